--- a/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
+++ b/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
@@ -32,7 +32,8 @@
         all.put("vouch-not", new MemberMessage.Vouch(CARD, 9, false, List.of()));
         all.put("gossip", new MemberMessage.Gossip(CARD, doubt, rumours));
         all.put("digest", new MemberMessage.Digest(CARD, 0x77L,
-                IntStream.range(0, MemberCodec.BUCKETS).mapToObj(i -> i * 0x01010101 - 9).toList()));
+                IntStream.range(0, MemberCodec.BUCKETS).mapToObj(i -> i * 0x01010101 - 9)
+                        .toList()));
         all.put("listing", new MemberMessage.Listing(CARD, 31, "a", "m", true, rumours));
         for (Standing standing : Standing.values()) {
             all.put("doubt-" + standing.ordinal(), new MemberMessage.Gossip(CARD,
