--- a/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
+++ b/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
@@ -281,4 +281,10 @@
         assertEquals(List.of(Outcome.Verdict.DONE, Outcome.Verdict.REFUSED,
                 Outcome.Verdict.UNKNOWN), List.of(Outcome.Verdict.values()));
     }
+
+    @Test
+    void gatewaysWithTheSameVotersHaveTheSameSumOfThem() {
+        assertEquals(-1443132049036506185L, VOTERS.hash());
+        assertEquals(VOTERS.hash(), new Voters(List.of("n3", "n1", "n2"), "n9").hash());
+    }
 }
