--- a/emulator/src/main/java/tillerlink/emulator/Link.java
+++ b/emulator/src/main/java/tillerlink/emulator/Link.java
@@ -10,216 +10,235 @@
 import tillerlink.standin.EngineSide;
 import tillerlink.standin.Says;
 
-/** A connection from a gateway to an engine: bytes take a while, in order; a machine that is silent swallows them. */
+/**
+ * A connection from a gateway to an engine: bytes take a while, in order; a machine that is silent
+ * swallows them.
+ */
 final class Link implements Pipe, Peer {
-    private static final int LATE_MOST = 200;
-    private static final long WORD_LATE = 1000;
-    private static final long SAID_LATE = 3000;
-
-    private final World world;
-    private final Seat seat;
-    private final int life;
-    private final Owner owner;
-    private final EmulatedEngine engine;
-    private final long delay;
-    private final HopWatch hops;
-    private final EngineSide side;
-    /** What goes out at the gateway: the same reader as at the other end. */
-    private final EngineSide outgoing;
-    private boolean up;
-    private boolean over;
-    /** Something that the engine said has come to the gateway. */
-    private boolean heard;
-    /** Bytes were swallowed on the way: what follows makes no sense any more. */
-    private boolean lost;
-    /** When the last that is on its way arrives, each way: nothing overtakes it. */
-    private long outAt;
-    /** Writes that have gone out and of which the gateway was not told. */
-    private int untold;
-    private long inAt;
-
-    Link(World world, Seat seat, Owner owner, EmulatedEngine engine, long delay) {
-        this.world = world;
-        this.seat = seat;
-        this.owner = owner;
-        this.engine = engine;
-        this.delay = delay;
-        life = seat.life();
-        Kind kind = engine == null ? null : world.fleet.kinds().get(engine.spec.kind());
-        side = kind == null ? new EngineSide.Lines() : world.sides.apply(engine.spec);
-        outgoing = kind == null ? new EngineSide.Lines() : kind.side();
-        hops = new HopWatch(world.auditor, seat.place, engine == null ? "?" : engine.spec.name());
-        world.timeline.at(world.now() + 2 * delay, this::comeUp);
-    }
-
-    private void comeUp() {
-        if (over) {
-            return;
-        }
-        int way = world.choices.choose("connect", 3);
-        if (engine == null || engine.isEnded() || way == 1) {
-            cut(Break.REFUSED);
-        } else if (engine.takesConnections() && way == 0) {
-            up = true;
-            engine.connected(this);
-            seat.post(life, owner::opened);
-            travel(side.owed());
-        }
-    }
-
-    @Override
-    public void write(byte[] bytes) {
-        if (over) {
-            // It has ended, and the gateway is about to hear of that: nothing goes out any more.
-            return;
-        }
-        outgoing.feed(bytes);
-        for (Command command = outgoing.next(); command != null; command = outgoing.next()) {
-            hops.goesOut(world.now(), command);
-        }
-        if (heard) {
-            // What the engine had said before that it will not take surely never runs, though it crossed its word.
-            hops.disowned(id -> side.leftBehind(outgoing, id));
-        }
-        int way = world.choices.choose("to the engine", 4);
-        tellWritten(world.choices.choose("word of a write", 2) == 1);
-        if (way == 1) {
-            cut(Break.RESET);
-            return;
-        }
-        lost |= way == 3;
-        for (byte[] part : parts(bytes)) {
-            outAt = Math.max(outAt, world.now() + delay + late());
-            world.timeline.at(outAt, () -> arrive(part));
-        }
-        if (way == 2) {
-            world.timeline.at(outAt, () -> cut(Break.RESET));
-        }
-    }
-
-    /** Word of a write may wait a while, but never until after the word of the connection's end. */
-    private void tellWritten(boolean later) {
-        if (!later && untold == 0) {
-            seat.post(life, owner::written);
-            return;
-        }
-        untold++;
-        world.timeline.at(world.now() + WORD_LATE, this::tellUntold);
-    }
-
-    private void tellUntold() {
-        for (; untold > 0; untold--) {
-            seat.post(life, owner::written);
-        }
-    }
-
-    private long late() {
-        return world.mischief == null ? 0 : world.mischief.nextInt(LATE_MOST);
-    }
-
-    private List<byte[]> parts(byte[] bytes) {
-        if (world.mischief == null || bytes.length < 2) {
-            return List.of(bytes);
-        }
-        int split = 1 + world.mischief.nextInt(bytes.length - 1);
-        return List.of(Arrays.copyOf(bytes, split), Arrays.copyOfRange(bytes, split, bytes.length));
-    }
-
-    private void arrive(byte[] bytes) {
-        if (over) {
-            return;
-        }
-        if (engine.isSilent()) {
-            lost = true;
-            return;
-        }
-        if (lost) {
-            cut(Break.RESET);
-            return;
-        }
-        side.feed(bytes);
-        try {
-            for (Command command = side.next(); command != null; command = side.next()) {
-                engine.heard(this, command);
-            }
-        } catch (IllegalArgumentException e) {
-            cut(Break.CLOSED_BY_PEER);
-        }
-        side.disowned().forEach(hops::disowned);
-        travel(side.owed());
-    }
-
-    private void travel(byte[] bytes) {
-        int way = bytes.length == 0 ? 0 : world.choices.choose("from the engine", 4);
-        if (way == 1) {
-            cut(Break.RESET);
-            return;
-        }
-        byte[] said = way == 3 ? "x\r\n".getBytes(StandardCharsets.US_ASCII) : bytes;
-        inAt = way == 2 ? Math.max(inAt, world.now()) + SAID_LATE : inAt;
-        for (byte[] part : bytes.length == 0 ? List.<byte[]>of() : parts(said)) {
-            inAt = Math.max(inAt, world.now() + delay + late());
-            world.timeline.at(inAt, () -> {
-                heard = true;
-                hops.disowned(id -> side.leftBehind(outgoing, id));
-                seat.post(life, () -> {
-                    if (!over) {
-                        owner.fed(part);
-                    }
-                });
-            });
-        }
+  private static final int LATE_MOST = 200;
+  private static final long WORD_LATE = 1000;
+  private static final long SAID_LATE = 3000;
+
+  private final World world;
+  private final Seat seat;
+  private final int life;
+  private final Owner owner;
+  private final EmulatedEngine engine;
+  private final long delay;
+  private final HopWatch hops;
+  private final EngineSide side;
+
+  /** What goes out at the gateway: the same reader as at the other end. */
+  private final EngineSide outgoing;
+
+  private boolean up;
+  private boolean over;
+
+  /** Something that the engine said has come to the gateway. */
+  private boolean heard;
+
+  /** Bytes were swallowed on the way: what follows makes no sense any more. */
+  private boolean lost;
+
+  /** When the last that is on its way arrives, each way: nothing overtakes it. */
+  private long outAt;
+
+  /** Writes that have gone out and of which the gateway was not told. */
+  private int untold;
+
+  private long inAt;
+
+  Link(World world, Seat seat, Owner owner, EmulatedEngine engine, long delay) {
+    this.world = world;
+    this.seat = seat;
+    this.owner = owner;
+    this.engine = engine;
+    this.delay = delay;
+    life = seat.life();
+    Kind kind = engine == null ? null : world.fleet.kinds().get(engine.spec.kind());
+    side = kind == null ? new EngineSide.Lines() : world.sides.apply(engine.spec);
+    outgoing = kind == null ? new EngineSide.Lines() : kind.side();
+    hops = new HopWatch(world.auditor, seat.place, engine == null ? "?" : engine.spec.name());
+    world.timeline.at(world.now() + 2 * delay, this::comeUp);
+  }
+
+  private void comeUp() {
+    if (over) {
+      return;
+    }
+    int way = world.choices.choose("connect", 3);
+    if (engine == null || engine.isEnded() || way == 1) {
+      cut(Break.REFUSED);
+    } else if (engine.takesConnections() && way == 0) {
+      up = true;
+      engine.connected(this);
+      seat.post(life, owner::opened);
+      travel(side.owed());
     }
+  }
 
-    /** It reaches the gateway a while later. */
-    @Override
-    public void say(Says what) {
-        travel(side.say(what));
-        world.timeline.at(Math.max(inAt, world.now() + delay), () -> {
-            if (!over) {
-                hops.comesBack(what);
-            }
-        });
+  @Override
+  public void write(byte[] bytes) {
+    if (over) {
+      // It has ended, and the gateway is about to hear of that: nothing goes out any more.
+      return;
     }
+    outgoing.feed(bytes);
+    for (Command command = outgoing.next(); command != null; command = outgoing.next()) {
+      hops.goesOut(world.now(), command);
+    }
+    if (heard) {
+      // What the engine had said before that it will not take surely never runs, though it crossed
+      // its word.
+      hops.disowned(id -> side.leftBehind(outgoing, id));
+    }
+    int way = world.choices.choose("to the engine", 4);
+    tellWritten(world.choices.choose("word of a write", 2) == 1);
+    if (way == 1) {
+      cut(Break.RESET);
+      return;
+    }
+    lost |= way == 3;
+    for (byte[] part : parts(bytes)) {
+      outAt = Math.max(outAt, world.now() + delay + late());
+      world.timeline.at(outAt, () -> arrive(part));
+    }
+    if (way == 2) {
+      world.timeline.at(outAt, () -> cut(Break.RESET));
+    }
+  }
 
-    /** The gateway hears of it a while later. */
-    @Override
-    public void cut(Break how) {
-        if (!over) {
-            world.timeline.at(Math.max(inAt, world.now() + delay), () -> {
-                if (!over) {
-                    tellUntold();
-                    end(how == Break.REFUSED);
-                    seat.post(life, () -> owner.ended(how));
-                }
-            });
-        }
+  /** Word of a write may wait a while, but never until after the word of the connection's end. */
+  private void tellWritten(boolean later) {
+    if (!later && untold == 0) {
+      seat.post(life, owner::written);
+      return;
     }
+    untold++;
+    world.timeline.at(world.now() + WORD_LATE, this::tellUntold);
+  }
 
-    private void end(boolean provesIdle) {
-        over = true;
-        seat.forget(this);
-        hops.disowned(id -> side.leftBehind(outgoing, id));
-        hops.ended(provesIdle);
-        if (up) {
-            engine.disconnected(this);
-        }
+  private void tellUntold() {
+    for (; untold > 0; untold--) {
+      seat.post(life, owner::written);
     }
+  }
+
+  private long late() {
+    return world.mischief == null ? 0 : world.mischief.nextInt(LATE_MOST);
+  }
 
-    @Override
-    public void close() {
-        drop();
+  private List<byte[]> parts(byte[] bytes) {
+    if (world.mischief == null || bytes.length < 2) {
+      return List.of(bytes);
     }
+    int split = 1 + world.mischief.nextInt(bytes.length - 1);
+    return List.of(Arrays.copyOf(bytes, split), Arrays.copyOfRange(bytes, split, bytes.length));
+  }
 
-    @Override
-    public void drop() {
-        if (!over) {
-            end(!up);
-        }
+  private void arrive(byte[] bytes) {
+    if (over) {
+      return;
+    }
+    if (engine.isSilent()) {
+      lost = true;
+      return;
     }
+    if (lost) {
+      cut(Break.RESET);
+      return;
+    }
+    side.feed(bytes);
+    try {
+      for (Command command = side.next(); command != null; command = side.next()) {
+        engine.heard(this, command);
+      }
+    } catch (IllegalArgumentException e) {
+      cut(Break.CLOSED_BY_PEER);
+    }
+    side.disowned().forEach(hops::disowned);
+    travel(side.owed());
+  }
+
+  private void travel(byte[] bytes) {
+    int way = bytes.length == 0 ? 0 : world.choices.choose("from the engine", 4);
+    if (way == 1) {
+      cut(Break.RESET);
+      return;
+    }
+    byte[] said = way == 3 ? "x\r\n".getBytes(StandardCharsets.US_ASCII) : bytes;
+    inAt = way == 2 ? Math.max(inAt, world.now()) + SAID_LATE : inAt;
+    for (byte[] part : bytes.length == 0 ? List.<byte[]>of() : parts(said)) {
+      inAt = Math.max(inAt, world.now() + delay + late());
+      world.timeline.at(
+          inAt,
+          () -> {
+            heard = true;
+            hops.disowned(id -> side.leftBehind(outgoing, id));
+            seat.post(
+                life,
+                () -> {
+                  if (!over) {
+                    owner.fed(part);
+                  }
+                });
+          });
+    }
+  }
+
+  /** It reaches the gateway a while later. */
+  @Override
+  public void say(Says what) {
+    travel(side.say(what));
+    world.timeline.at(
+        Math.max(inAt, world.now() + delay),
+        () -> {
+          if (!over) {
+            hops.comesBack(what);
+          }
+        });
+  }
+
+  /** The gateway hears of it a while later. */
+  @Override
+  public void cut(Break how) {
+    if (!over) {
+      world.timeline.at(
+          Math.max(inAt, world.now() + delay),
+          () -> {
+            if (!over) {
+              tellUntold();
+              end(how == Break.REFUSED);
+              seat.post(life, () -> owner.ended(how));
+            }
+          });
+    }
+  }
+
+  private void end(boolean provesIdle) {
+    over = true;
+    seat.forget(this);
+    hops.disowned(id -> side.leftBehind(outgoing, id));
+    hops.ended(provesIdle);
+    if (up) {
+      engine.disconnected(this);
+    }
+  }
+
+  @Override
+  public void close() {
+    drop();
+  }
 
-    @Override
-    public void hold(boolean held) {
-        // Only clients are held.
+  @Override
+  public void drop() {
+    if (!over) {
+      end(!up);
     }
+  }
+
+  @Override
+  public void hold(boolean held) {
+    // Only clients are held.
+  }
 }
--- a/emulator/src/main/java/tillerlink/emulator/Peer.java
+++ b/emulator/src/main/java/tillerlink/emulator/Peer.java
@@ -5,8 +5,8 @@
 
 /** A connection as an engine sees it. */
 public interface Peer {
-    void say(Says what);
+  void say(Says what);
 
-    /** The engine's process breaks it. */
-    void cut(Break how);
+  /** The engine's process breaks it. */
+  void cut(Break how);
 }
--- a/emulator/src/main/java/tillerlink/emulator/Receipts.java
+++ b/emulator/src/main/java/tillerlink/emulator/Receipts.java
@@ -4,18 +4,18 @@
 
 /** The marks that a group of engines has seen, each for a time. */
 final class Receipts {
-    private final LinkedHashMap<String, Long> seen = new LinkedHashMap<>();
-    private final long window;
+  private final LinkedHashMap<String, Long> seen = new LinkedHashMap<>();
+  private final long window;
 
-    Receipts(long window) {
-        this.window = window;
-    }
+  Receipts(long window) {
+    this.window = window;
+  }
 
-    /** Whether a mark is new. */
-    boolean first(long now, String mark) {
-        while (!seen.isEmpty() && seen.values().iterator().next() <= now - window) {
-            seen.remove(seen.keySet().iterator().next());
-        }
-        return seen.putIfAbsent(mark, now) == null;
+  /** Whether a mark is new. */
+  boolean first(long now, String mark) {
+    while (!seen.isEmpty() && seen.values().iterator().next() <= now - window) {
+      seen.remove(seen.keySet().iterator().next());
     }
+    return seen.putIfAbsent(mark, now) == null;
+  }
 }
--- a/emulator/src/main/java/tillerlink/emulator/Seat.java
+++ b/emulator/src/main/java/tillerlink/emulator/Seat.java
@@ -18,183 +18,195 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * A real gateway, its state and its module, on a driver in memory: what comes at one moment is told in one turn, in the
- * order in which it came, as by the turn thread of a process.
+ * A real gateway, its state and its module, on a driver in memory: what comes at one moment is told
+ * in one turn, in the order in which it came, as by the turn thread of a process.
  */
 public final class Seat implements Driver {
-    private static final long NAME_DELAY = 5;
-    private static final long BYTES_MOST = 16L << 20;
-
-    final int place;
-    private final World world;
-    private final SteeringFactory modules;
-    private final Random seeds;
-    private Gateway gateway;
-    private List<Runnable> inbox = new ArrayList<>();
-    private List<Runnable> spare = new ArrayList<>();
-    private boolean turnDue;
-    private long armedFor = Long.MAX_VALUE;
-    private int life;
-    private final Set<Link> links = new LinkedHashSet<>();
-
-    Seat(World world, int place, SteeringFactory modules, long seed) {
-        this.world = world;
-        this.place = place;
-        this.modules = modules;
-        seeds = new Random(seed * 1_000_003 + place);
-        start();
-    }
-
-    /** Comes up with no memory of what was before. */
-    void start() {
-        life++;
-        inbox.clear();
-        turnDue = false;
-        armedFor = Long.MAX_VALUE;
-        if (!world.namesDown()) {
+  private static final long NAME_DELAY = 5;
+  private static final long BYTES_MOST = 16L << 20;
+
+  final int place;
+  private final World world;
+  private final SteeringFactory modules;
+  private final Random seeds;
+  private Gateway gateway;
+  private List<Runnable> inbox = new ArrayList<>();
+  private List<Runnable> spare = new ArrayList<>();
+  private boolean turnDue;
+  private long armedFor = Long.MAX_VALUE;
+  private int life;
+  private final Set<Link> links = new LinkedHashSet<>();
+
+  Seat(World world, int place, SteeringFactory modules, long seed) {
+    this.world = world;
+    this.place = place;
+    this.modules = modules;
+    seeds = new Random(seed * 1_000_003 + place);
+    start();
+  }
+
+  /** Comes up with no memory of what was before. */
+  void start() {
+    life++;
+    inbox.clear();
+    turnDue = false;
+    armedFor = Long.MAX_VALUE;
+    if (!world.namesDown()) {
+      told(world.list());
+    }
+    gateway =
+        new Gateway(
+            world.fleet.assignment(place, seeds.nextLong(), world.tracks, world.news()),
+            modules,
+            this,
+            world.now(),
+            BYTES_MOST,
+            world.fleet.carriers(),
+            world.recalls.apply(place),
+            Telemetry.silent());
+    post(() -> {});
+  }
+
+  /** Puts something beside the module, until it is killed. */
+  public void beside(Function<Side.Door, Side> made) {
+    gateway.beside(made.apply(gateway.door()));
+  }
+
+  /** Killed outright: what it would still have done does not happen. */
+  void kill() {
+    life++;
+    gateway = null;
+    List.copyOf(links).forEach(Link::drop);
+  }
+
+  /** Connections to engines that it counts as open or coming up. */
+  public int links() {
+    return gateway.links();
+  }
+
+  public boolean isUp() {
+    return gateway != null;
+  }
+
+  /** A client connects. */
+  public Pipe.Owner accept(Pipe pipe) {
+    return gateway.accepted(pipe);
+  }
+
+  /** Counts its starts and ends: what was meant for one that was killed does not reach the next. */
+  public int life() {
+    return life;
+  }
+
+  /** Its connections to engines, as these see them. */
+  public List<Peer> connections() {
+    return List.copyOf(links);
+  }
+
+  void forget(Link link) {
+    links.remove(link);
+  }
+
+  /** Something has come for it in that life. */
+  public void post(int of, Runnable event) {
+    if (of == life) {
+      post(event);
+    }
+  }
+
+  /** Something has come for it; it is told in the turn of this moment. */
+  private void post(Runnable event) {
+    if (gateway == null) {
+      return;
+    }
+    inbox.add(event);
+    if (!turnDue) {
+      turnDue = true;
+      int of = life;
+      world.timeline.at(world.now(), () -> turn(of));
+    }
+  }
+
+  private void turn(int of) {
+    if (of != life || gateway == null) {
+      return;
+    }
+    turnDue = false;
+    if (world.meter != null) {
+      world.meter.turnBegins();
+    }
+    gateway.begin(world.now());
+    List<Runnable> events = inbox;
+    inbox = spare;
+    for (Runnable event : events) {
+      event.run();
+    }
+    events.clear();
+    spare = events;
+    gateway.settle();
+    if (world.meter != null) {
+      world.meter.turnEnds();
+    }
+    world.turns++;
+    arm();
+  }
+
+  private void arm() {
+    long due = gateway.dueAt();
+    if (due <= world.now()) {
+      post(() -> {});
+    } else if (due < armedFor || armedFor <= world.now()) {
+      armedFor = due;
+      int of = life;
+      world.timeline.at(due, () -> wake(of, due));
+    }
+  }
+
+  private void wake(int of, long due) {
+    if (of == life && gateway != null && armedFor == due) {
+      armedFor = Long.MAX_VALUE;
+      post(() -> {});
+    }
+  }
+
+  @Override
+  public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+    Link link = new Link(world, this, owner, world.at(to), world.delay(place, to));
+    links.add(link);
+    return link;
+  }
+
+  @Override
+  public void ask(byte[] datagram) {
+    int id = (datagram[0] & 255) << 8 | datagram[1] & 255;
+    int of = life;
+    world.timeline.at(
+        world.now() + NAME_DELAY,
+        () -> {
+          byte[] answer = world.nameAnswer();
+          if (of == life && answer != null) {
             told(world.list());
-        }
-        gateway = new Gateway(world.fleet.assignment(place, seeds.nextLong(), world.tracks, world.news()), modules,
-                this, world.now(), BYTES_MOST, world.fleet.carriers(), world.recalls.apply(place), Telemetry.silent());
-        post(() -> { });
-    }
-
-    /** Puts something beside the module, until it is killed. */
-    public void beside(Function<Side.Door, Side> made) {
-        gateway.beside(made.apply(gateway.door()));
-    }
-
-    /** Killed outright: what it would still have done does not happen. */
-    void kill() {
-        life++;
-        gateway = null;
-        List.copyOf(links).forEach(Link::drop);
-    }
-
-    /** Connections to engines that it counts as open or coming up. */
-    public int links() {
-        return gateway.links();
-    }
-
-    public boolean isUp() {
-        return gateway != null;
-    }
-
-    /** A client connects. */
-    public Pipe.Owner accept(Pipe pipe) {
-        return gateway.accepted(pipe);
-    }
-
-    /** Counts its starts and ends: what was meant for one that was killed does not reach the next. */
-    public int life() {
-        return life;
-    }
-
-    /** Its connections to engines, as these see them. */
-    public List<Peer> connections() {
-        return List.copyOf(links);
-    }
-
-    void forget(Link link) {
-        links.remove(link);
-    }
-
-    /** Something has come for it in that life. */
-    public void post(int of, Runnable event) {
-        if (of == life) {
-            post(event);
-        }
-    }
-
-    /** Something has come for it; it is told in the turn of this moment. */
-    private void post(Runnable event) {
-        if (gateway == null) {
-            return;
-        }
-        inbox.add(event);
-        if (!turnDue) {
-            turnDue = true;
-            int of = life;
-            world.timeline.at(world.now(), () -> turn(of));
-        }
-    }
-
-    private void turn(int of) {
-        if (of != life || gateway == null) {
-            return;
-        }
-        turnDue = false;
-        if (world.meter != null) {
-            world.meter.turnBegins();
-        }
-        gateway.begin(world.now());
-        List<Runnable> events = inbox;
-        inbox = spare;
-        for (Runnable event : events) {
-            event.run();
-        }
-        events.clear();
-        spare = events;
-        gateway.settle();
-        if (world.meter != null) {
-            world.meter.turnEnds();
-        }
-        world.turns++;
-        arm();
-    }
-
-    private void arm() {
-        long due = gateway.dueAt();
-        if (due <= world.now()) {
-            post(() -> { });
-        } else if (due < armedFor || armedFor <= world.now()) {
-            armedFor = due;
-            int of = life;
-            world.timeline.at(due, () -> wake(of, due));
-        }
-    }
-
-    private void wake(int of, long due) {
-        if (of == life && gateway != null && armedFor == due) {
-            armedFor = Long.MAX_VALUE;
-            post(() -> { });
-        }
-    }
-
-    @Override
-    public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
-        Link link = new Link(world, this, owner, world.at(to), world.delay(place, to));
-        links.add(link);
-        return link;
-    }
-
-    @Override
-    public void ask(byte[] datagram) {
-        int id = (datagram[0] & 255) << 8 | datagram[1] & 255;
-        int of = life;
-        world.timeline.at(world.now() + NAME_DELAY, () -> {
-            byte[] answer = world.nameAnswer();
-            if (of == life && answer != null) {
-                told(world.list());
-                world.timeline.at(world.now() + NAME_DELAY, () -> {
-                    if (of == life) {
-                        post(() -> gateway.told(NameAnswer.to(id, answer)));
-                    }
+            world.timeline.at(
+                world.now() + NAME_DELAY,
+                () -> {
+                  if (of == life) {
+                    post(() -> gateway.told(NameAnswer.to(id, answer)));
+                  }
                 });
-            }
+          }
         });
-    }
+  }
 
-    private void told(List<EngineEntry> list) {
-        for (EngineEntry entry : list) {
-            if (entry.standing() != Engine.Standing.READY) {
-                world.auditor.withdrawn(world.now(), place, entry.id());
-            }
-        }
+  private void told(List<EngineEntry> list) {
+    for (EngineEntry entry : list) {
+      if (entry.standing() != Engine.Standing.READY) {
+        world.auditor.withdrawn(world.now(), place, entry.id());
+      }
     }
+  }
 
-    @Override
-    public void flush() {
-        // What was written is already on its way.
-    }
+  @Override
+  public void flush() {
+    // What was written is already on its way.
+  }
 }
--- a/fleet/src/main/java/tillerlink/fleet/Fleet.java
+++ b/fleet/src/main/java/tillerlink/fleet/Fleet.java
@@ -18,145 +18,223 @@
 /**
  * Gateways and engines, and the terms under which they meet. Times are tenths of a millisecond.
  *
- * @param sockets       descriptors of one gateway
- * @param notesEvery    how often engines tell how far a hop is
+ * @param sockets descriptors of one gateway
+ * @param notesEvery how often engines tell how far a hop is
  * @param startCapacity the share of its cores that an engine just started has
- * @param warmWithin    when it has all of them
- * @param fallMultiple  sent more than so many times what it can do, for {@code fall}, a cold one falls over
- * @param drainGrace    how long after a gateway was told new work may still go to a draining engine
- * @param extraFloor    further hops that are always allowed within {@code budgetSpan}
- * @param furtherRatio  and those for each submission taken in it
+ * @param warmWithin when it has all of them
+ * @param fallMultiple sent more than so many times what it can do, for {@code fall}, a cold one
+ *     falls over
+ * @param drainGrace how long after a gateway was told new work may still go to a draining engine
+ * @param extraFloor further hops that are always allowed within {@code budgetSpan}
+ * @param furtherRatio and those for each submission taken in it
  */
-public record Fleet(int gateways, int sockets, List<Kind> kinds, List<String> zones, List<Spec> engines,
-                    long notesEvery, double startCapacity, long warmWithin, double fallMultiple, long fall,
-                    long drainGrace, double extraFloor, double furtherRatio, long budgetSpan, int attemptsMost,
-                    long comeBack) {
-    private static final long MICROS = 100;
-    private static final int HOSTS = 250;
-    private static final int PORT = 5050;
-    private static final int SEATS = 4096;
-    private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 1);
-    public static final long SECOND = 10_000;
+public record Fleet(
+    int gateways,
+    int sockets,
+    List<Kind> kinds,
+    List<String> zones,
+    List<Spec> engines,
+    long notesEvery,
+    double startCapacity,
+    long warmWithin,
+    double fallMultiple,
+    long fall,
+    long drainGrace,
+    double extraFloor,
+    double furtherRatio,
+    long budgetSpan,
+    int attemptsMost,
+    long comeBack) {
+  private static final long MICROS = 100;
+  private static final int HOSTS = 250;
+  private static final int PORT = 5050;
+  private static final int SEATS = 4096;
+  private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 1);
+  public static final long SECOND = 10_000;
 
-    /** Twelve engines of two kinds in three zones, 128 cores, behind three gateways. */
-    public static Fleet builtIn(int gateways) {
-        return of(gateways, 12);
-    }
+  /** Twelve engines of two kinds in three zones, 128 cores, behind three gateways. */
+  public static Fleet builtIn(int gateways) {
+    return of(gateways, 12);
+  }
 
-    /** A third of the engines have 16 cores, the others 8. Its terms are made up: they are no deployment's. */
-    public static Fleet of(int gateways, int engines) {
-        List<Spec> specs = new ArrayList<>();
-        for (int i = 0; i < engines; i++) {
-            specs.add(new Spec("e" + (i + 1), i % 3 == 2 ? 1 : 0, i / 3 % 3));
-        }
-        return new Fleet(gateways, SEATS, List.of(new Kind("small-8", 8, 20_000, false),
-                new Kind("big-16", 16, 40_000, false)),
-                List.of("east", "middle", "west"), specs, 3 * SECOND / 2, 0.25, 10 * SECOND, 3.5, 2 * SECOND,
-                4 * SECOND / 5, 4, 0.15, 12 * SECOND, 4, 4 * SECOND / 5);
+  /**
+   * A third of the engines have 16 cores, the others 8. Its terms are made up: they are no
+   * deployment's.
+   */
+  public static Fleet of(int gateways, int engines) {
+    List<Spec> specs = new ArrayList<>();
+    for (int i = 0; i < engines; i++) {
+      specs.add(new Spec("e" + (i + 1), i % 3 == 2 ? 1 : 0, i / 3 % 3));
     }
+    return new Fleet(
+        gateways,
+        SEATS,
+        List.of(new Kind("small-8", 8, 20_000, false), new Kind("big-16", 16, 40_000, false)),
+        List.of("east", "middle", "west"),
+        specs,
+        3 * SECOND / 2,
+        0.25,
+        10 * SECOND,
+        3.5,
+        2 * SECOND,
+        4 * SECOND / 5,
+        4,
+        0.15,
+        12 * SECOND,
+        4,
+        4 * SECOND / 5);
+  }
 
-    /** The same fleet behind so many gateways. */
-    public Fleet behind(int count) {
-        return new Fleet(count, sockets, kinds, zones, engines, notesEvery, startCapacity, warmWithin, fallMultiple,
-                fall, drainGrace, extraFloor, furtherRatio, budgetSpan, attemptsMost, comeBack);
-    }
+  /** The same fleet behind so many gateways. */
+  public Fleet behind(int count) {
+    return new Fleet(
+        count,
+        sockets,
+        kinds,
+        zones,
+        engines,
+        notesEvery,
+        startCapacity,
+        warmWithin,
+        fallMultiple,
+        fall,
+        drainGrace,
+        extraFloor,
+        furtherRatio,
+        budgetSpan,
+        attemptsMost,
+        comeBack);
+  }
 
-    /** The same fleet with engines of those kinds reached over HTTP/2, the others over engine lines. */
-    public Fleet overHttp2(Predicate<Kind> which) {
-        return new Fleet(gateways, sockets, kinds.stream().map(kind -> new Kind(kind.name(), kind.cores(),
-                kind.memory(), which.test(kind))).toList(), zones, engines, notesEvery, startCapacity, warmWithin,
-                fallMultiple, fall, drainGrace, extraFloor, furtherRatio, budgetSpan, attemptsMost, comeBack);
-    }
+  /**
+   * The same fleet with engines of those kinds reached over HTTP/2, the others over engine lines.
+   */
+  public Fleet overHttp2(Predicate<Kind> which) {
+    return new Fleet(
+        gateways,
+        sockets,
+        kinds.stream()
+            .map(kind -> new Kind(kind.name(), kind.cores(), kind.memory(), which.test(kind)))
+            .toList(),
+        zones,
+        engines,
+        notesEvery,
+        startCapacity,
+        warmWithin,
+        fallMultiple,
+        fall,
+        drainGrace,
+        extraFloor,
+        furtherRatio,
+        budgetSpan,
+        attemptsMost,
+        comeBack);
+  }
 
-    /** How gateways reach its engines. */
-    public Carrier.Factory carriers() {
-        return new H2Carriers(false, kinds.stream().filter(Kind::http2).map(Kind::name)
-                .collect(Collectors.toUnmodifiableSet()), 0);
-    }
+  /** How gateways reach its engines. */
+  public Carrier.Factory carriers() {
+    return new H2Carriers(
+        false,
+        kinds.stream().filter(Kind::http2).map(Kind::name).collect(Collectors.toUnmodifiableSet()),
+        0);
+  }
 
-    public double cores() {
-        return engines.stream().mapToInt(engine -> kinds.get(engine.kind()).cores()).sum();
-    }
+  public double cores() {
+    return engines.stream().mapToInt(engine -> kinds.get(engine.kind()).cores()).sum();
+  }
 
-    /** An engine's address, by its place among all that ever were: ports and hosts of the loopback range. */
-    public static InetSocketAddress address(int place) {
-        return new InetSocketAddress("127.77." + place / HOSTS % HOSTS + "." + (place % HOSTS + 1),
-                PORT + place / HOSTS / HOSTS);
-    }
+  /**
+   * An engine's address, by its place among all that ever were: ports and hosts of the loopback
+   * range.
+   */
+  public static InetSocketAddress address(int place) {
+    return new InetSocketAddress(
+        "127.77." + place / HOSTS % HOSTS + "." + (place % HOSTS + 1),
+        PORT + place / HOSTS / HOSTS);
+  }
 
-    public EngineEntry entry(Spec engine, InetSocketAddress at, Engine.Standing standing, long startedMs) {
-        Kind kind = kinds.get(engine.kind());
-        return new EngineEntry(engine.name(), at.getAddress().getHostAddress(), at.getPort(),
-                zones.get(engine.zone()), kind.name(), 0, standing, kind.cores() / 8.0, startedMs);
-    }
+  public EngineEntry entry(
+      Spec engine, InetSocketAddress at, Engine.Standing standing, long startedMs) {
+    Kind kind = kinds.get(engine.kind());
+    return new EngineEntry(
+        engine.name(),
+        at.getAddress().getHostAddress(),
+        at.getPort(),
+        zones.get(engine.zone()),
+        kind.name(),
+        0,
+        standing,
+        kind.cores() / 8.0,
+        startedMs);
+  }
 
-    /** What a gateway is told at its start. */
-    public Assignment assignment(int gateway, long seed, List<Track> tracks, EngineNews known) {
-        return new Assignment("n" + gateway, NOWHERE, NOWHERE, seed, sockets, settings(tracks, gateway),
-                List.of(known));
-    }
+  /** What a gateway is told at its start. */
+  public Assignment assignment(int gateway, long seed, List<Track> tracks, EngineNews known) {
+    return new Assignment(
+        "n" + gateway, NOWHERE, NOWHERE, seed, sockets, settings(tracks, gateway), List.of(known));
+  }
 
-    /** The settings in the form in which a gateway's configuration holds them. */
-    public Map<String, Object> settings(List<Track> tracks, int gateway) {
-        Map<String, Object> caps = new LinkedHashMap<>();
-        caps.put("max_attempts", (long) attemptsMost);
-        caps.put("may_cancel", true);
-        caps.put("retry_after", comeBack > 0);
-        caps.put("max_retry_after_us", comeBack * MICROS);
-        caps.put("streams_per_conn", 32L);
-        caps.put("connect_timeout_us", 400_000L);
-        caps.put("conn_idle_us", 20_000_000L);
-        Map<String, Object> guarantees = new LinkedHashMap<>();
-        guarantees.put("drain_grace_us", drainGrace * MICROS);
-        guarantees.put("extra_floor", extraFloor);
-        guarantees.put("further_ratio", furtherRatio);
-        guarantees.put("budget_span_us", budgetSpan * MICROS);
-        guarantees.put("fall_multiple", fallMultiple);
-        guarantees.put("fall_us", fall * MICROS);
-        guarantees.put("start_capacity", startCapacity);
-        guarantees.put("warm_within_us", warmWithin * MICROS);
-        Map<String, Object> info = new LinkedHashMap<>();
-        info.put("kind_cores", kinds.stream().map(kind -> (long) kind.cores()).toList());
-        info.put("tells_every_us", notesEvery * MICROS);
-        info.put("width_by_class", tracks.stream().map(track -> (long) track.width()).toList());
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("instances", (long) gateways);
-        all.put("me", (long) gateway);
-        all.put("tick_us", 5000L);
-        all.put("discovery", "push");
-        all.put("models", kinds.stream().map(Kind::name).toList());
-        all.put("zones", zones);
-        all.put("caps", caps);
-        all.put("guarantees", guarantees);
-        all.put("family_info", info);
-        all.put("profiles", tracks.stream().map(this::profile).toList());
-        return all;
-    }
+  /** The settings in the form in which a gateway's configuration holds them. */
+  public Map<String, Object> settings(List<Track> tracks, int gateway) {
+    Map<String, Object> caps = new LinkedHashMap<>();
+    caps.put("max_attempts", (long) attemptsMost);
+    caps.put("may_cancel", true);
+    caps.put("retry_after", comeBack > 0);
+    caps.put("max_retry_after_us", comeBack * MICROS);
+    caps.put("streams_per_conn", 32L);
+    caps.put("connect_timeout_us", 400_000L);
+    caps.put("conn_idle_us", 20_000_000L);
+    Map<String, Object> guarantees = new LinkedHashMap<>();
+    guarantees.put("drain_grace_us", drainGrace * MICROS);
+    guarantees.put("extra_floor", extraFloor);
+    guarantees.put("further_ratio", furtherRatio);
+    guarantees.put("budget_span_us", budgetSpan * MICROS);
+    guarantees.put("fall_multiple", fallMultiple);
+    guarantees.put("fall_us", fall * MICROS);
+    guarantees.put("start_capacity", startCapacity);
+    guarantees.put("warm_within_us", warmWithin * MICROS);
+    Map<String, Object> info = new LinkedHashMap<>();
+    info.put("kind_cores", kinds.stream().map(kind -> (long) kind.cores()).toList());
+    info.put("tells_every_us", notesEvery * MICROS);
+    info.put("width_by_class", tracks.stream().map(track -> (long) track.width()).toList());
+    Map<String, Object> all = new LinkedHashMap<>();
+    all.put("instances", (long) gateways);
+    all.put("me", (long) gateway);
+    all.put("tick_us", 5000L);
+    all.put("discovery", "push");
+    all.put("models", kinds.stream().map(Kind::name).toList());
+    all.put("zones", zones);
+    all.put("caps", caps);
+    all.put("guarantees", guarantees);
+    all.put("family_info", info);
+    all.put("profiles", tracks.stream().map(this::profile).toList());
+    return all;
+  }
 
-    private Map<String, Object> profile(Track track) {
-        Map<String, Object> profile = new LinkedHashMap<>();
-        profile.put("name", track.name());
-        profile.put("semantics", track.semantics());
-        profile.put("group", "all");
-        profile.put("window_us", track.window() * MICROS);
-        profile.put("aim_us", track.softLimit() * MICROS);
-        profile.put("hard_limit_us", track.deadline() * MICROS);
-        profile.put("worth", track.value());
-        profile.put("late_worth", track.lateValue() / track.value());
-        if (!track.kinds().isEmpty()) {
-            profile.put("models_allowed", track.kinds().stream()
-                    .map(name -> (long) kindNamed(name)).toList());
-        }
-        return profile;
+  private Map<String, Object> profile(Track track) {
+    Map<String, Object> profile = new LinkedHashMap<>();
+    profile.put("name", track.name());
+    profile.put("semantics", track.semantics());
+    profile.put("group", "all");
+    profile.put("window_us", track.window() * MICROS);
+    profile.put("aim_us", track.softLimit() * MICROS);
+    profile.put("hard_limit_us", track.deadline() * MICROS);
+    profile.put("worth", track.value());
+    profile.put("late_worth", track.lateValue() / track.value());
+    if (!track.kinds().isEmpty()) {
+      profile.put(
+          "models_allowed", track.kinds().stream().map(name -> (long) kindNamed(name)).toList());
     }
+    return profile;
+  }
 
-    /** The place of a kind, or -1. */
-    public int kindNamed(String name) {
-        for (int i = 0; i < kinds.size(); i++) {
-            if (kinds.get(i).name().equals(name)) {
-                return i;
-            }
-        }
-        return -1;
+  /** The place of a kind, or -1. */
+  public int kindNamed(String name) {
+    for (int i = 0; i < kinds.size(); i++) {
+      if (kinds.get(i).name().equals(name)) {
+        return i;
+      }
     }
+    return -1;
+  }
 }
--- a/gateway/src/main/java/tillerlink/Policy.java
+++ b/gateway/src/main/java/tillerlink/Policy.java
@@ -17,1122 +17,1246 @@
 /**
  * All decisions of one gateway: what runs, where, and with how much memory.
  *
- * <p>Callers reach it through {@link tillerlink.port.SteeringFactory} and {@link Steering}, where the
- * interface is defined; it answers through {@link Orders}. Events only change what is known and wanted;
- * {@link #settle} then reviews what is due, sends what may go, and {@link #emit} alone works out the
- * difference between the wanted and the present state. Times are tenths of a millisecond. The design, and
- * each departure from it, is in docs/design.md.
+ * <p>Callers reach it through {@link tillerlink.port.SteeringFactory} and {@link Steering}, where
+ * the interface is defined; it answers through {@link Orders}. Events only change what is known and
+ * wanted; {@link #settle} then reviews what is due, sends what may go, and {@link #emit} alone
+ * works out the difference between the wanted and the present state. Times are tenths of a
+ * millisecond. The design, and each departure from it, is in docs/design.md.
  */
 public final class Policy implements Steering {
-    // Pressure and the thread bound (design, section "ordinary path", point 4).
-    private static final double FAR = 2.0; // a pace this many times the best seen is far above it
-    /** The same for the mean age of what is out; nearer the cap, since underrated hops stay out longest. */
-    private static final double STALL = 2.6;
-    private static final double EASY = 1.6; // below this many times the best, the bound may grow again
-    private static final double BUSY = 0.95; // a reported share of cores or disks that is a busy report
-    /** Threads a core at which the bound starts: a thread is on its core for part of its time only. */
-    private static final double BOUND_START = 1;
-    private static final double CROWD = 0.25; // share of engines under pressure from which all are bounded
-    private static final double ALL_CLASSES = 1.5; // all classes together, in bounds of one: cores are shared
-    private static final double BOUND_LEAST = 0.27;
-    private static final double BOUND_CUT = 0.85;
-    private static final double BOUND_GROW = 0.05;
-    // Measures.
-    private static final double ENOUGH = 6; // hops a pace needs before it can be the best seen
-    private static final double PACE_CAP = 3; // a hop's pace counts as at most this, in times of the best
-    private static final int WARM_GROUPS = 4;
-    private static final double LEAST_SPARE = 0.1; // what bound tracks leave of an engine at the least
-    private static final double SLOWER = 1.4; // this much slower than the fleet counts as fewer cores
-    // Health.
-    private static final double DOUBT_LEAST = 0.7;
-    private static final double DOUBT_RATIO = 0.25; // failures for each success that make an engine doubtful
-    private static final double TRIAL_CHANCE = 0.7; // drawn chance of success that earns a trial
-    private static final double SILENCE_WEIGHT = 3; // what a silence counts for, in failures
-    private static final double TRIAL_CLEARS = 0.8; // share of the other record that a trial wipes out
-    private static final double QUIET = 4; // silence of this many expected times is suspicious
-    private static final double QUIET_NOTES = 1.3; // silence of this many periods of notes is suspicious
-    private static final double TRUSTED = 0.5; // from here on one answer makes up for a remembered list
-    // Bad plans.
-    private static final double BAD_PLAN = 4; // a hop projected at this many times the usual has a bad plan
-    private static final double UNKNOWN = 2; // times the usual while too little of a track was seen
-    private static final double LEAST_SHARE = 0.005;
-    // Cold engines.
-    private static final double COLD_USE = 0.35; // share of the stated limit for all gateways together
-    private static final double GOLDEN = 0.6180339887498949; // its multiples spread evenly over 0 to 1
-    private static final double PARTS = 1000; // starts so many parts of a span apart have turns of their own
-    private static final int SLICES = 50;
-    private static final double LATE_MARGIN = 1.25; // margin on an estimated soft limit before it is too late
-    private static final double GRANT_MARGIN = 1.25;
-
-    private final Orders orders;
-    private final Named settings;
-    private final Random random;
-    private final long startedAt;
-    private final List<Track> tracks = new ArrayList<>();
-    private final List<Engine> engines = new ArrayList<>();
-    private final List<Engine> candidates = new ArrayList<>();
-    private final List<Submission> changed = new ArrayList<>();
-    private final List<Submission> fresh = new ArrayList<>();
-    private final Alarms alarms = new Alarms();
-    private long armedFor = Long.MAX_VALUE;
-    private boolean followWanted;
-    private long followAgainAt = Long.MAX_VALUE;
-    /** What the last survey found; of the pools, the second is that of the engines under pressure. */
-    private final double[] poolBounds = new double[2];
-    private final double[] poolThreads = new double[2];
-    private boolean crowded;
-    private boolean blind;
-    private ListState listState = ListState.CONFIRMED;
-    private final SendGuard guard;
-    private double fleetPace = 1;
-    private double usualBusy;
-    private double allCores;
-    private double allWork;
-
-    private final int gateways;
-    /** This gateway's among them; one that was not told takes any. */
-    private final int place;
-    private final boolean mayCallOff;
-    private final long tick;
-    private final long settleTime;
-    /** Threads of one query of each track. */
-    private final int oneOfEach;
-    private final long leastSoftLimit;
-    private final long mostSoftLimit;
-    private final long fallSpan;
-    private final long warmWithin;
-    private final List<String> reportFields;
-    private final SlidingSum taken;
-    private final SlidingSum further;
-    private final DecayingSum valueSeen;
-    /** The pace of all hops that ended of late, in times of their tracks' best. */
-    private final DecayingMean lately;
-
-    public Policy(long now, long seed, Map<String, Object> values, Orders orders) {
-        this.orders = orders;
-        this.settings = new Named(values);
-        random = new Random(seed);
-        startedAt = now;
-        gateways = (int) Math.max(1, settings.number("instances", 1));
-        place = Math.floorMod(settings.number("me", seed), gateways);
-        mayCallOff = settings.flag("caps.may_cancel");
-        tick = settings.number("tick", 1);
-        guard = new SendGuard(tick);
-        settleTime = settings.number("guarantees.settle_after_doubt", 0) + tick;
-        fallSpan = settings.number("guarantees.fall", 0);
-        warmWithin = settings.number("guarantees.warm_within", 0);
-        reportFields = settings.list("report.fields").stream().map(String::valueOf).toList();
-        long least = Long.MAX_VALUE;
-        long most = 1;
-        for (int i = 0; i < settings.number("profiles", 0); i++) {
-            TrackTerms terms = terms(i);
-            least = Math.min(least, terms.softLimit());
-            most = Math.max(most, terms.softLimit());
-            tracks.add(new Track(i, terms, new DecayingMean(terms.deadline() * 4.0, 1, 4),
-                    new DecayingMean(terms.deadline() * 4.0, 1, 4),
-                    new DecayingMean(terms.deadline() * 4.0, terms.softLimit() * terms.width() / FAR, 1),
-                    new DecayingMean(terms.softLimit() * 4.0, 1, 1e-6)));
-        }
-        oneOfEach = tracks.stream().mapToInt(track -> track.terms.width()).sum();
-        leastSoftLimit = least;
-        mostSoftLimit = most;
-        long budgetSpan = settings.number("guarantees.budget_span", 0);
-        taken = budgetSpan > 0 ? new SlidingSum(budgetSpan, SLICES) : null;
-        further = budgetSpan > 0 ? new SlidingSum(budgetSpan, SLICES) : null;
-        valueSeen = new DecayingSum(mostSoftLimit * 16.0);
-        lately = new DecayingMean(mostSoftLimit, 1, 2);
-        tracks.forEach(track -> track.workSeen = new DecayingSum(mostSoftLimit * 16.0));
-        followWanted = settings.text("discovery").equals("ask");
-    }
-
-    private TrackTerms terms(int i) {
-        String at = "profiles." + i + ".";
-        Effect effect = switch (settings.text(at + "semantics")) {
-            case "repeatable" -> Effect.PURE;
-            case "by_key" -> Effect.RECEIPTED;
-            default -> Effect.EFFECTFUL;
+  // Pressure and the thread bound (design, section "ordinary path", point 4).
+  private static final double FAR = 2.0; // a pace this many times the best seen is far above it
+
+  /**
+   * The same for the mean age of what is out; nearer the cap, since underrated hops stay out
+   * longest.
+   */
+  private static final double STALL = 2.6;
+
+  private static final double EASY =
+      1.6; // below this many times the best, the bound may grow again
+  private static final double BUSY =
+      0.95; // a reported share of cores or disks that is a busy report
+
+  /**
+   * Threads a core at which the bound starts: a thread is on its core for part of its time only.
+   */
+  private static final double BOUND_START = 1;
+
+  private static final double CROWD =
+      0.25; // share of engines under pressure from which all are bounded
+  private static final double ALL_CLASSES =
+      1.5; // all classes together, in bounds of one: cores are shared
+  private static final double BOUND_LEAST = 0.27;
+  private static final double BOUND_CUT = 0.85;
+  private static final double BOUND_GROW = 0.05;
+  // Measures.
+  private static final double ENOUGH = 6; // hops a pace needs before it can be the best seen
+  private static final double PACE_CAP =
+      3; // a hop's pace counts as at most this, in times of the best
+  private static final int WARM_GROUPS = 4;
+  private static final double LEAST_SPARE =
+      0.1; // what bound tracks leave of an engine at the least
+  private static final double SLOWER = 1.4; // this much slower than the fleet counts as fewer cores
+  // Health.
+  private static final double DOUBT_LEAST = 0.7;
+  private static final double DOUBT_RATIO =
+      0.25; // failures for each success that make an engine doubtful
+  private static final double TRIAL_CHANCE = 0.7; // drawn chance of success that earns a trial
+  private static final double SILENCE_WEIGHT = 3; // what a silence counts for, in failures
+  private static final double TRIAL_CLEARS =
+      0.8; // share of the other record that a trial wipes out
+  private static final double QUIET = 4; // silence of this many expected times is suspicious
+  private static final double QUIET_NOTES =
+      1.3; // silence of this many periods of notes is suspicious
+  private static final double TRUSTED =
+      0.5; // from here on one answer makes up for a remembered list
+  // Bad plans.
+  private static final double BAD_PLAN =
+      4; // a hop projected at this many times the usual has a bad plan
+  private static final double UNKNOWN = 2; // times the usual while too little of a track was seen
+  private static final double LEAST_SHARE = 0.005;
+  // Cold engines.
+  private static final double COLD_USE =
+      0.35; // share of the stated limit for all gateways together
+  private static final double GOLDEN =
+      0.6180339887498949; // its multiples spread evenly over 0 to 1
+  private static final double PARTS =
+      1000; // starts so many parts of a span apart have turns of their own
+  private static final int SLICES = 50;
+  private static final double LATE_MARGIN =
+      1.25; // margin on an estimated soft limit before it is too late
+  private static final double GRANT_MARGIN = 1.25;
+
+  private final Orders orders;
+  private final Named settings;
+  private final Random random;
+  private final long startedAt;
+  private final List<Track> tracks = new ArrayList<>();
+  private final List<Engine> engines = new ArrayList<>();
+  private final List<Engine> candidates = new ArrayList<>();
+  private final List<Submission> changed = new ArrayList<>();
+  private final List<Submission> fresh = new ArrayList<>();
+  private final Alarms alarms = new Alarms();
+  private long armedFor = Long.MAX_VALUE;
+  private boolean followWanted;
+  private long followAgainAt = Long.MAX_VALUE;
+
+  /** What the last survey found; of the pools, the second is that of the engines under pressure. */
+  private final double[] poolBounds = new double[2];
+
+  private final double[] poolThreads = new double[2];
+  private boolean crowded;
+  private boolean blind;
+  private ListState listState = ListState.CONFIRMED;
+  private final SendGuard guard;
+  private double fleetPace = 1;
+  private double usualBusy;
+  private double allCores;
+  private double allWork;
+
+  private final int gateways;
+
+  /** This gateway's among them; one that was not told takes any. */
+  private final int place;
+
+  private final boolean mayCallOff;
+  private final long tick;
+  private final long settleTime;
+
+  /** Threads of one query of each track. */
+  private final int oneOfEach;
+
+  private final long leastSoftLimit;
+  private final long mostSoftLimit;
+  private final long fallSpan;
+  private final long warmWithin;
+  private final List<String> reportFields;
+  private final SlidingSum taken;
+  private final SlidingSum further;
+  private final DecayingSum valueSeen;
+
+  /** The pace of all hops that ended of late, in times of their tracks' best. */
+  private final DecayingMean lately;
+
+  public Policy(long now, long seed, Map<String, Object> values, Orders orders) {
+    this.orders = orders;
+    this.settings = new Named(values);
+    random = new Random(seed);
+    startedAt = now;
+    gateways = (int) Math.max(1, settings.number("instances", 1));
+    place = Math.floorMod(settings.number("me", seed), gateways);
+    mayCallOff = settings.flag("caps.may_cancel");
+    tick = settings.number("tick", 1);
+    guard = new SendGuard(tick);
+    settleTime = settings.number("guarantees.settle_after_doubt", 0) + tick;
+    fallSpan = settings.number("guarantees.fall", 0);
+    warmWithin = settings.number("guarantees.warm_within", 0);
+    reportFields = settings.list("report.fields").stream().map(String::valueOf).toList();
+    long least = Long.MAX_VALUE;
+    long most = 1;
+    for (int i = 0; i < settings.number("profiles", 0); i++) {
+      TrackTerms terms = terms(i);
+      least = Math.min(least, terms.softLimit());
+      most = Math.max(most, terms.softLimit());
+      tracks.add(
+          new Track(
+              i,
+              terms,
+              new DecayingMean(terms.deadline() * 4.0, 1, 4),
+              new DecayingMean(terms.deadline() * 4.0, 1, 4),
+              new DecayingMean(terms.deadline() * 4.0, terms.softLimit() * terms.width() / FAR, 1),
+              new DecayingMean(terms.softLimit() * 4.0, 1, 1e-6)));
+    }
+    oneOfEach = tracks.stream().mapToInt(track -> track.terms.width()).sum();
+    leastSoftLimit = least;
+    mostSoftLimit = most;
+    long budgetSpan = settings.number("guarantees.budget_span", 0);
+    taken = budgetSpan > 0 ? new SlidingSum(budgetSpan, SLICES) : null;
+    further = budgetSpan > 0 ? new SlidingSum(budgetSpan, SLICES) : null;
+    valueSeen = new DecayingSum(mostSoftLimit * 16.0);
+    lately = new DecayingMean(mostSoftLimit, 1, 2);
+    tracks.forEach(track -> track.workSeen = new DecayingSum(mostSoftLimit * 16.0));
+    followWanted = settings.text("discovery").equals("ask");
+  }
+
+  private TrackTerms terms(int i) {
+    String at = "profiles." + i + ".";
+    Effect effect =
+        switch (settings.text(at + "semantics")) {
+          case "repeatable" -> Effect.PURE;
+          case "by_key" -> Effect.RECEIPTED;
+          default -> Effect.EFFECTFUL;
         };
-        Circle circle = switch (settings.text(at + "group")) {
-            case "all" -> Circle.ALL;
-            case "zone" -> Circle.ZONE;
-            default -> Circle.CELL;
+    Circle circle =
+        switch (settings.text(at + "group")) {
+          case "all" -> Circle.ALL;
+          case "zone" -> Circle.ZONE;
+          default -> Circle.CELL;
         };
-        long deadline = settings.number(at + "hard_limit", 1);
-        return new TrackTerms(effect, circle, settings.number(at + "window", 0),
-                Math.max(1, settings.number(at + "aim", deadline)), settings.amount(at + "aim_stretch", 0),
-                deadline, settings.amount(at + "worth", 1), settings.amount(at + "late_worth", 0),
-                (int) Math.max(1, settings.nth("family_info.width_by_class", i, 1)),
-                settings.nthFlag("family_info.loads", i), settings.nthFlag("family_info.waits_for_loads", i),
-                settings.flag(at + "keep_order"), settings.numbers(at + "zones_open"),
-                settings.numbers(at + "models_allowed"));
-    }
-
-    // ---- events ----
-
-    @Override
-    public void listed(long now, boolean whole, List<Listed> entries) {
-        if (whole) {
-            engines.forEach(engine -> engine.standing = Engine.Standing.GONE);
-        }
-        for (Listed entry : entries) {
-            Engine engine = entry.engine();
-            if (!engine.known) {
-                prepare(engine);
-                engine.known = true;
-                engines.add(engine);
-            }
-            if (entry.startedAt() != engine.startedAt) {
-                engine.forget(BOUND_START);
-            }
-            engine.kind = entry.kind();
-            engine.zone = entry.zone();
-            engine.cell = entry.cell();
-            engine.standing = entry.standing();
-            engine.startedAt = entry.startedAt();
-            engine.trust = entry.trust();
-        }
-        engines.removeIf(this::forgotten);
-        followAgainAt = Long.MAX_VALUE;
-    }
-
-    private boolean forgotten(Engine engine) {
-        engine.known = engine.standing != Engine.Standing.GONE || !engine.out.isEmpty();
-        return !engine.known;
-    }
-
-    private void prepare(Engine engine) {
-        engine.outByTrack = new int[tracks.size()];
-        engine.successes = new DecayingSum(mostSoftLimit * 4.0);
-        engine.failures = new DecayingSum(mostSoftLimit * 4.0);
-        engine.threadsLost = new DecayingSum(mostSoftLimit * 4.0);
-        engine.pace = new DecayingMean(mostSoftLimit, 1, 2);
-        engine.workSent = new SlidingSum(Math.max(1, fallSpan), SLICES);
-        engine.boundFactor = BOUND_START;
-    }
-
-    @Override
-    public void blind(long now, boolean on) {
-        blind = on;
-    }
-
-    @Override
-    public void listState(long now, ListState state, long usableUntil) {
-        listState = state;
-        guard.listUsableUntil(usableUntil);
-    }
-
-    @Override
-    public void listFailed(long now) {
-        if (settings.text("discovery").equals("ask")) {
-            long pause = Math.max(tick, settings.number("guarantees.ask_within", 10 * leastSoftLimit) / 10);
-            followAgainAt = now + (long) (pause * (0.5 + random.nextDouble()));
-        }
-    }
-
-    @Override
-    public void arrived(long now, Submission s) {
-        s.track = tracks.get(s.trackIndex);
-        if (taken != null) {
-            taken.add(now, 1);
-        }
-        valueSeen.add(now, s.track.terms.value());
-        s.track.workSeen.add(now, Math.min(work(now, s), s.track.terms.deadline() * s.track.terms.width()));
-        if (s.ordered()) {
-            s.line.members.addLast(s);
-            alarms.set(s, tooLateAt(now, s));
-            advance(now, s);
-        } else {
-            hold(s, false);
-        }
-    }
-
-    @Override
-    public void begun(long now, Hop hop) {
-        hop.submission.begun = true;
-        hop.engine.heardAt = now;
-    }
-
-    @Override
-    public void noted(long now, Hop hop, Note note, double level) {
-        if (!hop.isOut()) {
-            return;
-        }
-        hop.engine.heardAt = now;
-        if (note == Note.PROGRESS) {
-            hop.share = level;
-            judgeProgress(now, hop);
-        }
-    }
-
-    @Override
-    public void ended(long now, Hop hop, Outcome outcome, long lag, boolean answered, double work,
-                      double memory, double[] report) {
-        Submission s = hop.submission;
-        Engine engine = hop.engine;
-        hop.outcome = outcome;
-        s.hopsOut--;
-        engine.leave(hop);
-        judge(now, hop, outcome);
-        read(now, engine, report);
-        if (outcome == Outcome.FULFILLED) {
-            learn(now, hop, lag, work, memory);
-        }
-        if (answered) {
-            close(s, outcome == Outcome.FULFILLED ? Ending.FULFILLED : Ending.LEFT);
-        }
-        if (s.ordered() && outcome.leavesDoubt) {
-            s.line.restsUntil = Math.max(s.line.restsUntil, now + settleTime);
-        }
-        if (s.ending == null && s.hopsOut == 0) {
-            onward(now, s);
-        }
+    long deadline = settings.number(at + "hard_limit", 1);
+    return new TrackTerms(
+        effect,
+        circle,
+        settings.number(at + "window", 0),
+        Math.max(1, settings.number(at + "aim", deadline)),
+        settings.amount(at + "aim_stretch", 0),
+        deadline,
+        settings.amount(at + "worth", 1),
+        settings.amount(at + "late_worth", 0),
+        (int) Math.max(1, settings.nth("family_info.width_by_class", i, 1)),
+        settings.nthFlag("family_info.loads", i),
+        settings.nthFlag("family_info.waits_for_loads", i),
+        settings.flag(at + "keep_order"),
+        settings.numbers(at + "zones_open"),
+        settings.numbers(at + "models_allowed"));
+  }
+
+  // ---- events ----
+
+  @Override
+  public void listed(long now, boolean whole, List<Listed> entries) {
+    if (whole) {
+      engines.forEach(engine -> engine.standing = Engine.Standing.GONE);
+    }
+    for (Listed entry : entries) {
+      Engine engine = entry.engine();
+      if (!engine.known) {
+        prepare(engine);
+        engine.known = true;
+        engines.add(engine);
+      }
+      if (entry.startedAt() != engine.startedAt) {
+        engine.forget(BOUND_START);
+      }
+      engine.kind = entry.kind();
+      engine.zone = entry.zone();
+      engine.cell = entry.cell();
+      engine.standing = entry.standing();
+      engine.startedAt = entry.startedAt();
+      engine.trust = entry.trust();
+    }
+    engines.removeIf(this::forgotten);
+    followAgainAt = Long.MAX_VALUE;
+  }
+
+  private boolean forgotten(Engine engine) {
+    engine.known = engine.standing != Engine.Standing.GONE || !engine.out.isEmpty();
+    return !engine.known;
+  }
+
+  private void prepare(Engine engine) {
+    engine.outByTrack = new int[tracks.size()];
+    engine.successes = new DecayingSum(mostSoftLimit * 4.0);
+    engine.failures = new DecayingSum(mostSoftLimit * 4.0);
+    engine.threadsLost = new DecayingSum(mostSoftLimit * 4.0);
+    engine.pace = new DecayingMean(mostSoftLimit, 1, 2);
+    engine.workSent = new SlidingSum(Math.max(1, fallSpan), SLICES);
+    engine.boundFactor = BOUND_START;
+  }
+
+  @Override
+  public void blind(long now, boolean on) {
+    blind = on;
+  }
+
+  @Override
+  public void listState(long now, ListState state, long usableUntil) {
+    listState = state;
+    guard.listUsableUntil(usableUntil);
+  }
+
+  @Override
+  public void listFailed(long now) {
+    if (settings.text("discovery").equals("ask")) {
+      long pause =
+          Math.max(tick, settings.number("guarantees.ask_within", 10 * leastSoftLimit) / 10);
+      followAgainAt = now + (long) (pause * (0.5 + random.nextDouble()));
+    }
+  }
+
+  @Override
+  public void arrived(long now, Submission s) {
+    s.track = tracks.get(s.trackIndex);
+    if (taken != null) {
+      taken.add(now, 1);
+    }
+    valueSeen.add(now, s.track.terms.value());
+    s.track.workSeen.add(
+        now, Math.min(work(now, s), s.track.terms.deadline() * s.track.terms.width()));
+    if (s.ordered()) {
+      s.line.members.addLast(s);
+      alarms.set(s, tooLateAt(now, s));
+      advance(now, s);
+    } else {
+      hold(s, false);
+    }
+  }
+
+  @Override
+  public void begun(long now, Hop hop) {
+    hop.submission.begun = true;
+    hop.engine.heardAt = now;
+  }
+
+  @Override
+  public void noted(long now, Hop hop, Note note, double level) {
+    if (!hop.isOut()) {
+      return;
+    }
+    hop.engine.heardAt = now;
+    if (note == Note.PROGRESS) {
+      hop.share = level;
+      judgeProgress(now, hop);
+    }
+  }
+
+  @Override
+  public void ended(
+      long now,
+      Hop hop,
+      Outcome outcome,
+      long lag,
+      boolean answered,
+      double work,
+      double memory,
+      double[] report) {
+    Submission s = hop.submission;
+    Engine engine = hop.engine;
+    hop.outcome = outcome;
+    s.hopsOut--;
+    engine.leave(hop);
+    judge(now, hop, outcome);
+    read(now, engine, report);
+    if (outcome == Outcome.FULFILLED) {
+      learn(now, hop, lag, work, memory);
+    }
+    if (answered) {
+      close(s, outcome == Outcome.FULFILLED ? Ending.FULFILLED : Ending.LEFT);
+    }
+    if (s.ordered() && outcome.leavesDoubt) {
+      s.line.restsUntil = Math.max(s.line.restsUntil, now + settleTime);
+    }
+    if (s.ending == null && s.hopsOut == 0) {
+      onward(now, s);
+    }
+    advance(now, s);
+  }
+
+  @Override
+  public void left(long now, Submission s) {
+    close(s, Ending.LEFT);
+    advance(now, s);
+  }
+
+  /**
+   * Guards engines against work that nobody waits for: no hop begins until the client calls again.
+   */
+  @Override
+  public void unattended(long now, Submission s, boolean on) {
+    s.unattended = on;
+    if (on && s.track.queue.remove(s)) {
+      s.held = false;
+      alarms.set(s, tooLateAt(now, s));
+    } else if (!on && s.ending == null && !s.held && s.hopsOut == 0) {
+      if (!s.hops.isEmpty()) {
+        onward(now, s);
+      } else if (s.ordered()) {
         advance(now, s);
-    }
-
-    @Override
-    public void left(long now, Submission s) {
-        close(s, Ending.LEFT);
-        advance(now, s);
-    }
-
-    /** Guards engines against work that nobody waits for: no hop begins until the client calls again. */
-    @Override
-    public void unattended(long now, Submission s, boolean on) {
-        s.unattended = on;
-        if (on && s.track.queue.remove(s)) {
-            s.held = false;
-            alarms.set(s, tooLateAt(now, s));
-        } else if (!on && s.ending == null && !s.held && s.hopsOut == 0) {
-            if (!s.hops.isEmpty()) {
-                onward(now, s);
-            } else if (s.ordered()) {
-                advance(now, s);
-            } else {
-                hold(s, true);
-            }
-        }
-    }
-
-    @Override
-    public SendVerdict mayWrite(long now, Hop hop) {
-        SendVerdict verdict = guard.mayWrite(now, hop);
-        if (verdict == SendVerdict.ALLOWED && hop.number > 0 && !withinBudget(now, 0)) {
-            return SendVerdict.RETRY_BUDGET;
-        }
-        return verdict;
-    }
-
-    @Override
-    public long writeBefore(long now, Hop hop) {
-        return guard.writeBefore(now, hop);
-    }
-
-    private void close(Submission s, Ending ending) {
-        if (s.ending == null) {
-            s.ending = ending;
-            s.told = true;
-            callOffAll(s);
-        }
-    }
-
-    @Override
-    public void outOfTime(long now, Submission s) {
-        if (s.ending == null) {
-            giveUp(now, s, EndReason.SHUTDOWN);
-        }
-    }
-
-    @Override
-    public void woken(long now) {
-        armedFor = Long.MAX_VALUE;
-    }
-
-    @Override
-    public void settle(long now) {
-        for (Submission due = alarms.due(now); due != null; due = alarms.due(now)) {
-            review(now, due);
-        }
-        if (followAgainAt <= now) {
-            followAgainAt = Long.MAX_VALUE;
-            followWanted = true;
-        }
-        survey(now);
-        pump(now);
-        emit(now);
-    }
-
-    // ---- the one place where wanted and present state are compared ----
-
-    private void emit(long now) {
-        if (followWanted) {
-            followWanted = false;
-            orders.follow();
-        }
-        for (Submission s : changed) {
-            s.changed = false;
-            if (s.ending != null && !s.told) {
-                s.told = true;
-                if (s.ending == Ending.TURNED_BACK) {
-                    orders.turnBack(s, s.comeBack);
-                } else {
-                    orders.breakOff(s);
-                }
-            }
-            if ((s.rank != s.rankTold || s.grant != s.grantTold) && s.hopsOut > 0) {
-                s.rankTold = s.rank;
-                s.grantTold = s.grant;
-                orders.terms(s, s.rank, s.grant);
-            }
-            for (Hop hop : s.hops) {
-                if (!hop.sent) {
-                    hop.sent = true;
-                    orders.send(hop);
-                }
-                if (hop.wantedOff && !hop.calledOff && hop.isOut()) {
-                    hop.calledOff = true;
-                    orders.callOff(hop);
-                }
-            }
-        }
-        changed.clear();
-        long next = Math.min(alarms.next(), followAgainAt);
-        if (next < armedFor) {
-            armedFor = Math.max(next, now + 1);
-            orders.wake(armedFor);
-        }
-    }
-
-    private void change(Submission s) {
-        if (!s.changed) {
-            s.changed = true;
-            changed.add(s);
-        }
-    }
-
-    // ---- queues ----
-
-    private void hold(Submission s, boolean first) {
-        if (s.unattended) {
-            return;
-        }
-        s.held = true;
-        if (first) {
-            s.track.queue.addFirst(s);
+      } else {
+        hold(s, true);
+      }
+    }
+  }
+
+  @Override
+  public SendVerdict mayWrite(long now, Hop hop) {
+    SendVerdict verdict = guard.mayWrite(now, hop);
+    if (verdict == SendVerdict.ALLOWED && hop.number > 0 && !withinBudget(now, 0)) {
+      return SendVerdict.RETRY_BUDGET;
+    }
+    return verdict;
+  }
+
+  @Override
+  public long writeBefore(long now, Hop hop) {
+    return guard.writeBefore(now, hop);
+  }
+
+  private void close(Submission s, Ending ending) {
+    if (s.ending == null) {
+      s.ending = ending;
+      s.told = true;
+      callOffAll(s);
+    }
+  }
+
+  @Override
+  public void outOfTime(long now, Submission s) {
+    if (s.ending == null) {
+      giveUp(now, s, EndReason.SHUTDOWN);
+    }
+  }
+
+  @Override
+  public void woken(long now) {
+    armedFor = Long.MAX_VALUE;
+  }
+
+  @Override
+  public void settle(long now) {
+    for (Submission due = alarms.due(now); due != null; due = alarms.due(now)) {
+      review(now, due);
+    }
+    if (followAgainAt <= now) {
+      followAgainAt = Long.MAX_VALUE;
+      followWanted = true;
+    }
+    survey(now);
+    pump(now);
+    emit(now);
+  }
+
+  // ---- the one place where wanted and present state are compared ----
+
+  private void emit(long now) {
+    if (followWanted) {
+      followWanted = false;
+      orders.follow();
+    }
+    for (Submission s : changed) {
+      s.changed = false;
+      if (s.ending != null && !s.told) {
+        s.told = true;
+        if (s.ending == Ending.TURNED_BACK) {
+          orders.turnBack(s, s.comeBack);
         } else {
-            s.track.queue.addLast(s);
-        }
-        fresh.add(s);
-    }
-
-    /** Sends what may go: of the queues' heads, the one that has used most of its time, while any fits. */
-    private void pump(long now) {
-        BitSet blocked = new BitSet(tracks.size());
-        while (true) {
-            Track next = null;
-            double most = -1;
-            for (Track track : tracks) {
-                Submission head = track.head();
-                if (head != null && !blocked.get(track.index)) {
-                    double used = (double) (now - head.arrivedAt) / softLimit(now, head);
-                    if (used > most) {
-                        most = used;
-                        next = track;
-                    }
-                }
-            }
-            if (next == null) {
-                break;
-            }
-            Submission s = next.queue.peekFirst();
-            EndReason hindrance = hindrance(now, s);
-            if (hindrance != null) {
-                giveUp(now, s, hindrance);
-                continue;
-            }
-            Engine engine = choose(now, s);
-            if (engine == null) {
-                blocked.set(next.index);
-            } else {
-                next.queue.pollFirst();
-                s.held = false;
-                place(now, s, engine);
-            }
-        }
-        shed(now);
-        fresh.clear();
-    }
-
-    /** Why a submission that waits for an engine can't be sent to any, now or later; null if it can. */
-    private EndReason hindrance(long now, Submission s) {
-        if (blind || listState == ListState.EXPIRED) {
-            return EndReason.ENGINES_UNKNOWN;
-        }
-        if (hopeless(now, s)) {
-            return EndReason.NO_TIME_LEFT;
-        }
-        return !s.hops.isEmpty() && !budgetLeft(now) ? EndReason.RETRY_BUDGET : null;
-    }
-
-    /**
-     * Held, and no longer able to be answered within its soft limit. Guards against clients that come with
-     * little time: while all are bounded, what they leave before it can end is not even sent once.
-     */
-    private boolean hopeless(long now, Submission s) {
-        return now >= hopelessAt(now, s)
-                && (now > s.arrivedAt || crowded && now + usual(now, s) >= lastMoment(s));
-    }
-
-    private long hopelessAt(long now, Submission s) {
-        return Math.min(softEnd(now, s) - usual(now, s) + 1, lastMoment(s));
-    }
-
-    /**
-     * Guards against a queue in which all wait too long to pay: the longer the head has waited, the smaller a
-     * new one must be, against its track's mean, to be kept. It may hurt when one long wait is no queue.
-     */
-    private void shed(long now) {
-        for (int i = 0; i < fresh.size(); i++) {
-            Submission s = fresh.get(i);
-            if (!s.held || s.ending != null) {
-                continue;
-            }
-            alarms.set(s, Math.max(now + tick, hopelessAt(now, s)));
-            Submission head = s.track.head();
-            if (head == s || !s.hops.isEmpty()) {
-                continue;
-            }
-            double most = Math.max(1, softLimit(now, head) - usual(now, head));
-            double used = (now - head.arrivedAt) / most;
-            double limit = s.track.work.at(now) * Math.max(0, 1 - used) / Math.max(1e-3, used);
-            if (work(now, s) > limit) {
-                giveUp(now, s, EndReason.QUEUE_TOO_LONG);
-            }
-        }
-    }
-
-    private void giveUp(long now, Submission s, EndReason reason) {
-        s.endReason = reason;
-        boolean back = mayTurnBack(s);
-        s.ending = back ? Ending.TURNED_BACK : Ending.BROKEN_OFF;
-        if (back && settings.flag("caps.retry_after")) {
-            s.comeBack = settings.number("caps.max_retry_after", 0);
-        }
-        change(s);
-        callOffAll(s);
-        advance(now, s);
-    }
-
-    private void callOffAll(Submission s) {
-        s.hops.forEach(this::callOff);
-    }
-
-    private void callOff(Hop hop) {
-        if (mayCallOff && hop.sent && hop.isOut()) {
-            hop.wantedOff = true;
-            change(hop.submission);
-        }
-    }
-
-    /** Lets the next of a key's submissions into its queue when all before it are over and have rested. */
-    private void advance(long now, Submission s) {
-        Submission head = s.ordered() ? s.line.head() : null;
-        if (head == null || head.ending != null || head.held || !head.hops.isEmpty()) {
-            return;
-        }
-        if (now >= s.line.restsUntil) {
-            hold(head, false);
-        } else if (s.line.restsUntil < head.wakeAt) {
-            alarms.set(head, s.line.restsUntil);
-        }
-    }
-
-    // ---- the mechanism: choice of the engine ----
-
-    /** The engine for a submission, or null if it must be held. */
-    private Engine choose(long now, Submission s) {
+          orders.breakOff(s);
+        }
+      }
+      if ((s.rank != s.rankTold || s.grant != s.grantTold) && s.hopsOut > 0) {
+        s.rankTold = s.rank;
+        s.grantTold = s.grant;
+        orders.terms(s, s.rank, s.grant);
+      }
+      for (Hop hop : s.hops) {
+        if (!hop.sent) {
+          hop.sent = true;
+          orders.send(hop);
+        }
+        if (hop.wantedOff && !hop.calledOff && hop.isOut()) {
+          hop.calledOff = true;
+          orders.callOff(hop);
+        }
+      }
+    }
+    changed.clear();
+    long next = Math.min(alarms.next(), followAgainAt);
+    if (next < armedFor) {
+      armedFor = Math.max(next, now + 1);
+      orders.wake(armedFor);
+    }
+  }
+
+  private void change(Submission s) {
+    if (!s.changed) {
+      s.changed = true;
+      changed.add(s);
+    }
+  }
+
+  // ---- queues ----
+
+  private void hold(Submission s, boolean first) {
+    if (s.unattended) {
+      return;
+    }
+    s.held = true;
+    if (first) {
+      s.track.queue.addFirst(s);
+    } else {
+      s.track.queue.addLast(s);
+    }
+    fresh.add(s);
+  }
+
+  /**
+   * Sends what may go: of the queues' heads, the one that has used most of its time, while any
+   * fits.
+   */
+  private void pump(long now) {
+    BitSet blocked = new BitSet(tracks.size());
+    while (true) {
+      Track next = null;
+      double most = -1;
+      for (Track track : tracks) {
+        Submission head = track.head();
+        if (head != null && !blocked.get(track.index)) {
+          double used = (double) (now - head.arrivedAt) / softLimit(now, head);
+          if (used > most) {
+            most = used;
+            next = track;
+          }
+        }
+      }
+      if (next == null) {
+        break;
+      }
+      Submission s = next.queue.peekFirst();
+      EndReason hindrance = hindrance(now, s);
+      if (hindrance != null) {
+        giveUp(now, s, hindrance);
+        continue;
+      }
+      Engine engine = choose(now, s);
+      if (engine == null) {
+        blocked.set(next.index);
+      } else {
+        next.queue.pollFirst();
+        s.held = false;
+        place(now, s, engine);
+      }
+    }
+    shed(now);
+    fresh.clear();
+  }
+
+  /**
+   * Why a submission that waits for an engine can't be sent to any, now or later; null if it can.
+   */
+  private EndReason hindrance(long now, Submission s) {
+    if (blind || listState == ListState.EXPIRED) {
+      return EndReason.ENGINES_UNKNOWN;
+    }
+    if (hopeless(now, s)) {
+      return EndReason.NO_TIME_LEFT;
+    }
+    return !s.hops.isEmpty() && !budgetLeft(now) ? EndReason.RETRY_BUDGET : null;
+  }
+
+  /**
+   * Held, and no longer able to be answered within its soft limit. Guards against clients that come
+   * with little time: while all are bounded, what they leave before it can end is not even sent
+   * once.
+   */
+  private boolean hopeless(long now, Submission s) {
+    return now >= hopelessAt(now, s)
+        && (now > s.arrivedAt || crowded && now + usual(now, s) >= lastMoment(s));
+  }
+
+  private long hopelessAt(long now, Submission s) {
+    return Math.min(softEnd(now, s) - usual(now, s) + 1, lastMoment(s));
+  }
+
+  /**
+   * Guards against a queue in which all wait too long to pay: the longer the head has waited, the
+   * smaller a new one must be, against its track's mean, to be kept. It may hurt when one long wait
+   * is no queue.
+   */
+  private void shed(long now) {
+    for (int i = 0; i < fresh.size(); i++) {
+      Submission s = fresh.get(i);
+      if (!s.held || s.ending != null) {
+        continue;
+      }
+      alarms.set(s, Math.max(now + tick, hopelessAt(now, s)));
+      Submission head = s.track.head();
+      if (head == s || !s.hops.isEmpty()) {
+        continue;
+      }
+      double most = Math.max(1, softLimit(now, head) - usual(now, head));
+      double used = (now - head.arrivedAt) / most;
+      double limit = s.track.work.at(now) * Math.max(0, 1 - used) / Math.max(1e-3, used);
+      if (work(now, s) > limit) {
+        giveUp(now, s, EndReason.QUEUE_TOO_LONG);
+      }
+    }
+  }
+
+  private void giveUp(long now, Submission s, EndReason reason) {
+    s.endReason = reason;
+    boolean back = mayTurnBack(s);
+    s.ending = back ? Ending.TURNED_BACK : Ending.BROKEN_OFF;
+    if (back && settings.flag("caps.retry_after")) {
+      s.comeBack = settings.number("caps.max_retry_after", 0);
+    }
+    change(s);
+    callOffAll(s);
+    advance(now, s);
+  }
+
+  private void callOffAll(Submission s) {
+    s.hops.forEach(this::callOff);
+  }
+
+  private void callOff(Hop hop) {
+    if (mayCallOff && hop.sent && hop.isOut()) {
+      hop.wantedOff = true;
+      change(hop.submission);
+    }
+  }
+
+  /**
+   * Lets the next of a key's submissions into its queue when all before it are over and have
+   * rested.
+   */
+  private void advance(long now, Submission s) {
+    Submission head = s.ordered() ? s.line.head() : null;
+    if (head == null || head.ending != null || head.held || !head.hops.isEmpty()) {
+      return;
+    }
+    if (now >= s.line.restsUntil) {
+      hold(head, false);
+    } else if (s.line.restsUntil < head.wakeAt) {
+      alarms.set(head, s.line.restsUntil);
+    }
+  }
+
+  // ---- the mechanism: choice of the engine ----
+
+  /** The engine for a submission, or null if it must be held. */
+  private Engine choose(long now, Submission s) {
+    candidates.clear();
+    boolean sound = false;
+    survey(now);
+    Room best = Room.NONE;
+    Engine likeliest = null;
+    double chance = -1;
+    for (Engine engine : engines) {
+      if (!open(now, s, engine) || !coldRoom(now, engine, work(now, s)) || !proven(s, engine)) {
+        continue;
+      }
+      if (doubtful(now, engine)) {
+        // Drawn from the posterior of its chance of success, so that it is never quite forgotten.
+        double drawn = Beta.draw(random, 1 + engine.successes.at(now), 1 + engine.failures.at(now));
+        if (engine.trialsOut == 0 && drawn > chance) {
+          chance = drawn;
+          likeliest = engine;
+        }
+        continue;
+      }
+      sound = true;
+      Room room = room(now, engine, s.track);
+      if (room.compareTo(best) < 0) {
         candidates.clear();
-        boolean sound = false;
-        survey(now);
-        Room best = Room.NONE;
-        Engine likeliest = null;
-        double chance = -1;
-        for (Engine engine : engines) {
-            if (!open(now, s, engine) || !coldRoom(now, engine, work(now, s)) || !proven(s, engine)) {
-                continue;
-            }
-            if (doubtful(now, engine)) {
-                // Drawn from the posterior of its chance of success, so that it is never quite forgotten.
-                double drawn = Beta.draw(random, 1 + engine.successes.at(now), 1 + engine.failures.at(now));
-                if (engine.trialsOut == 0 && drawn > chance) {
-                    chance = drawn;
-                    likeliest = engine;
-                }
-                continue;
-            }
-            sound = true;
-            Room room = room(now, engine, s.track);
-            if (room.compareTo(best) < 0) {
-                candidates.clear();
-                best = room;
-            }
-            if (room == best && room != Room.NONE) {
-                candidates.add(engine);
-            }
-        }
-        boolean trial = likeliest != null && s.track.terms.effect() == Effect.PURE && chance > TRIAL_CHANCE;
-        if (likeliest != null && (trial || !sound)) {
-            return likeliest;
-        }
-        if (candidates.isEmpty() || spent(best)) {
-            return null;
-        }
-        stepAside(e -> s.hops.stream().anyMatch(h -> h.engine == e));
-        if (s.track.terms.holdsGroup() || s.track.terms.waitsForGroup()) {
-            stepAside(e -> e.holdsGroup(s.tableGroup));
-        }
-        return fewest(now, s);
-    }
-
-    /**
-     * Guards a start from a remembered list: until an engine of it has answered, few hops go there, and none
-     * that must not run twice or is bound to some engines; of an old list these wait until it is confirmed.
-     * It may hurt a gateway that has little else.
-     */
-    private boolean proven(Submission s, Engine engine) {
-        boolean heard = engine.heardAt >= startedAt;
-        if (engine.trust >= 1 || heard && engine.trust >= TRUSTED) {
-            return true;
-        }
-        TrackTerms terms = s.track.terms;
-        return terms.effect() == Effect.PURE && terms.kinds() == null && terms.zones() == null
-                && (heard || engine.out.size() < Math.max(1, engine.trust * bound(engine)));
-    }
-
-    /** Engines of which the test holds step aside while another remains. */
-    private void stepAside(Predicate<Engine> aside) {
-        if (!candidates.stream().allMatch(aside)) {
-            candidates.removeIf(aside);
-        }
-    }
-
-    /** LBQP: fewest of the class per core; over the expected average steps aside; warmth breaks ties. */
-    private Engine fewest(long now, Submission s) {
-        double cores = 0;
-        double queries = 1;
-        for (Engine engine : candidates) {
-            double own = effectiveCores(now, engine) * spare(now, engine, s.track);
-            engine.spareCores = own;
-            engine.classLoad = engine.outByTrack[s.trackIndex] / own
-                    + (recent(now, engine) ? engine.reportedQueries / cores(engine) : 0);
-            // Guards against a jammed engine that answers nothing: after a while it would look idle.
-            engine.load = (engine.threadsOut + s.track.terms.width()) / own
-                    + (recent(now, engine) ? engine.reportedBusy : Math.max(usualBusy, engine.reportedBusy));
-            cores += own;
-            queries += engine.classLoad * own;
-        }
-        double average = queries / cores;
-        stepAside(e -> e.classLoad > average);
-        double least = candidates.stream().mapToDouble(e -> e.classLoad).min().orElse(0);
-        candidates.removeIf(e -> e.classLoad > least + 1e-9);
-        double usualLoad = candidates.stream().mapToDouble(e -> e.load).average().orElse(0);
-        Engine best = null;
-        double bestRating = Double.MAX_VALUE;
-        for (Engine engine : candidates) {
-            // Warmth breaks ties, but not towards an engine that other classes keep busier than the rest: a
-            // hot group would heap its long queries there. Before it comes a cold engine whose turn it is: a
-            // turn that finds no hop leaves it idle. Then the least load, with a chance draw by cores: guards
-            // against many gateways that know little and would choose alike. It costs crossings.
-            boolean warm = engine.groups.contains(s.tableGroup) && engine.load <= usualLoad + 1e-9;
-            double chance = -Math.log(1 - random.nextDouble()) / engine.spareCores;
-            double rating = (engine.byTurn ? -1000 : warm ? 0 : 1000) + engine.load + chance;
-            if (rating < bestRating) {
-                bestRating = rating;
-                best = engine;
-            }
-        }
-        return best;
-    }
-
-    private boolean recent(long now, Engine engine) {
-        return now < engine.reportedAt + mostSoftLimit;
-    }
-
-    private double cores(Engine engine) {
-        return Math.max(1, settings.nth("family_info.kind_cores", engine.kind, 1));
-    }
-
-    /** An engine slower than the fleet, or still cold, counts with the cores it seems to have. */
-    private double effectiveCores(long now, Engine engine) {
-        double slower = engine.pace.at(now) / fleetPace;
-        return cores(engine) * warmth(now, engine) / (slower > SLOWER ? slower : 1);
-    }
-
-    /**
-     * The share of an engine that the other tracks bound to a part of the fleet leave, by the work seen of
-     * each. Guards against that part being filled twice: counts of one class do not show it, and where a
-     * gateway's counts are mostly zero nothing does. It may hurt while estimates are far off by track.
-     */
-    private double spare(long now, Engine engine, Track track) {
-        double bound = 0;
-        for (Track other : tracks) {
-            if (other != track && other.openCores < allCores && other.terms.allows(engine)) {
-                bound += other.workSeen.at(now) / other.openCores;
-            }
-        }
-        return Math.max(LEAST_SPARE, 1 - bound * allCores / Math.max(1, allWork));
-    }
-
-    // ---- the thread bound ----
-
-    /**
-     * Guards against a jam that hides itself: an engine that answers little gives no pace, so the age of what
-     * is out there counts too, and 1.5 times its cores in threads from here alone: a gateway just started
-     * sends these before it learns. It should hold against any stall; it may hurt where estimates are poor.
-     */
-    private boolean stalled(long now, Engine engine) {
-        double ages = 0;
-        for (Hop hop : engine.out) {
-            Track track = hop.submission.track;
-            double usual = track.bestPace > 0 ? hop.nominal * track.bestPace : track.terms.softLimit() / FAR;
-            ages += Math.min(PACE_CAP, (now - hop.sentAt) / Math.max(1, usual));
-        }
-        return ages > STALL * engine.out.size() || engine.threadsOut >= ALL_CLASSES * cores(engine);
-    }
-
-    /** What room an engine has under the bound; those with a better one come first. */
-    private enum Room { BOUND, ONE, LAST, NONE }
-
-    /**
-     * Within its bound, or room for the one query that may always fly. Guards against a jam that never
-     * drains: one of each gateway may be more than it bears, so under pressure it comes last, and alone.
-     */
-    private Room room(long now, Engine engine, Track track) {
-        boolean pressed = now < engine.pressedUntil;
-        int width = track.terms.width();
-        int own = engine.outByTrack[track.index] * width;
-        double bound = bound(engine);
-        double threads = threads(now, engine);
-        boolean within = (own > 0 ? own < bound : width <= bound) && threads < ALL_CLASSES * bound;
-        if (within || !crowded && !pressed) {
-            return Room.BOUND;
-        }
-        double most = Math.max(ALL_CLASSES * bound, pressed ? width : oneOfEach);
-        return own > 0 || threads + width > most ? Room.NONE : pressed ? Room.LAST : Room.ONE;
-    }
-
-    /**
-     * Whether what is out on the engines with or without pressure is above their bounds together. Guards
-     * against a jam held up by the one query that may fly; it may hurt a gateway with most of the traffic.
-     */
-    private boolean spent(Room room) {
-        int pool = room == Room.LAST ? 1 : 0;
-        return room != Room.BOUND && poolThreads[pool] >= ALL_CLASSES * Math.max(poolBounds[pool], oneOfEach);
-    }
-
-    /**
-     * Sums up the ready engines. Pressure or doubt at a quarter of them bounds all, and so does a full pool,
-     * but while the hops of late came back at an easy pace: a gateway may have several times its share of
-     * the traffic. Guards against a chain of falls: what these may not have would all go to the next that
-     * shows nothing yet. It may hurt while the rest are idle.
-     */
-    private void survey(long now) {
-        int ready = 0;
-        int sound = 0;
-        int pressed = 0;
-        int heard = 0;
-        double paces = 0;
-        usualBusy = 0;
-        allCores = 0;
-        allWork = 0;
-        for (Track track : tracks) {
-            allWork += track.workSeen.at(now);
-            track.openCores = 0;
-        }
-        Arrays.fill(poolBounds, 0);
-        Arrays.fill(poolThreads, 0);
-        for (Engine engine : engines) {
-            if (engine.standing != Engine.Standing.READY) {
-                continue;
-            }
-            if (stalled(now, engine)) {
-                press(now, engine);
-                cutBound(now, engine);
-            }
-            ready++;
-            allCores += cores(engine);
-            for (Track track : tracks) {
-                track.openCores += track.terms.allows(engine) ? cores(engine) : 0;
-            }
-            boolean under = now < engine.pressedUntil;
-            boolean doubt = doubtful(now, engine);
-            pressed += under || doubt ? 1 : 0;
-            sound += doubt ? 0 : 1;
-            paces += doubt ? 0 : engine.pace.at(now);
-            heard += recent(now, engine) ? 1 : 0;
-            usualBusy += recent(now, engine) ? engine.reportedBusy : 0;
-            poolBounds[under ? 1 : 0] += bound(engine);
-            poolThreads[under ? 1 : 0] += threads(now, engine);
-        }
-        boolean easy = lately.weight(now) >= ENOUGH && lately.at(now) < EASY;
-        crowded = pressed >= CROWD * ready || !easy && (spent(Room.ONE) || spent(Room.LAST));
-        fleetPace = sound == 0 ? 1 : paces / sound;
-        usualBusy /= Math.max(1, heard);
-    }
-
-    /**
-     * Threads out, and those of hops that timed out where nothing can be called off. Guards against work that
-     * runs on unseen and keeps a jam alive, on an engine heard meanwhile: after a cut nothing may have run.
-     */
-    private double threads(long now, Engine engine) {
-        return engine.threadsOut + engine.threadsLost.at(now);
-    }
-
-    private double bound(Engine engine) {
-        return cores(engine) / gateways * engine.boundFactor;
-    }
-
-    private void press(long now, Engine engine) {
-        engine.pressedUntil = now + mostSoftLimit;
-    }
-
-    /** The bound's figure falls while the pace is far above the best seen and grows again while it is not. */
-    private void adjustBound(long now, Engine engine) {
-        double pace = engine.pace.at(now);
-        if (pace > FAR) {
-            press(now, engine);
-            cutBound(now, engine);
-        } else if (pace < EASY && (fullest(engine) + 1 >= bound(engine)
-                || tracks.stream().anyMatch(t -> t.head() != null))) {
-            engine.boundFactor = Math.min(gateways * FAR / ALL_CLASSES, engine.boundFactor + BOUND_GROW);
-        }
-    }
-
-    /** Threads out of the fullest class, or the sum of all in class bounds. */
-    private double fullest(Engine engine) {
-        return Math.max(engine.widest(), engine.threadsOut / ALL_CLASSES);
-    }
-
-    private void cutBound(long now, Engine engine) {
-        if (now >= engine.boundCutAt) {
-            double used = fullest(engine) / (cores(engine) / gateways);
-            double from = Math.min(engine.boundFactor, Math.max(used, BOUND_START));
-            engine.boundFactor = Math.max(BOUND_LEAST, from * BOUND_CUT);
-            engine.boundCutAt = now + leastSoftLimit;
-        }
-    }
-
-    // ---- rule guards ----
-
-    /** Where a submission may go now. */
-    private boolean open(long now, Submission s, Engine engine) {
-        return guard.mayPlace(now, s, engine) == SendVerdict.ALLOWED;
-    }
-
-    /** Where it may go now, or once the list is confirmed or the engine is warm. */
-    private boolean openLater(long now, Submission s, Engine engine) {
-        return guard.mayGoTo(now, s, engine) == SendVerdict.ALLOWED;
-    }
-
-    private boolean mayTurnBack(Submission s) {
-        TrackTerms terms = s.track.terms;
-        return terms.effect() == Effect.PURE
-                || (terms.effect() == Effect.RECEIPTED && terms.circle() == Circle.ALL)
-                || s.hops.stream().noneMatch(Hop::mayHaveRun);
-    }
-
-    private boolean budgetLeft(long now) {
-        return withinBudget(now, 1);
-    }
-
-    /** @param more further attempts that are about to be placed, beside those that were */
-    private boolean withinBudget(long now, int more) {
-        return further == null || further.most(now) + more <= settings.amount("guarantees.extra_floor", 0)
+        best = room;
+      }
+      if (room == best && room != Room.NONE) {
+        candidates.add(engine);
+      }
+    }
+    boolean trial =
+        likeliest != null && s.track.terms.effect() == Effect.PURE && chance > TRIAL_CHANCE;
+    if (likeliest != null && (trial || !sound)) {
+      return likeliest;
+    }
+    if (candidates.isEmpty() || spent(best)) {
+      return null;
+    }
+    stepAside(e -> s.hops.stream().anyMatch(h -> h.engine == e));
+    if (s.track.terms.holdsGroup() || s.track.terms.waitsForGroup()) {
+      stepAside(e -> e.holdsGroup(s.tableGroup));
+    }
+    return fewest(now, s);
+  }
+
+  /**
+   * Guards a start from a remembered list: until an engine of it has answered, few hops go there,
+   * and none that must not run twice or is bound to some engines; of an old list these wait until
+   * it is confirmed. It may hurt a gateway that has little else.
+   */
+  private boolean proven(Submission s, Engine engine) {
+    boolean heard = engine.heardAt >= startedAt;
+    if (engine.trust >= 1 || heard && engine.trust >= TRUSTED) {
+      return true;
+    }
+    TrackTerms terms = s.track.terms;
+    return terms.effect() == Effect.PURE
+        && terms.kinds() == null
+        && terms.zones() == null
+        && (heard || engine.out.size() < Math.max(1, engine.trust * bound(engine)));
+  }
+
+  /** Engines of which the test holds step aside while another remains. */
+  private void stepAside(Predicate<Engine> aside) {
+    if (!candidates.stream().allMatch(aside)) {
+      candidates.removeIf(aside);
+    }
+  }
+
+  /**
+   * LBQP: fewest of the class per core; over the expected average steps aside; warmth breaks ties.
+   */
+  private Engine fewest(long now, Submission s) {
+    double cores = 0;
+    double queries = 1;
+    for (Engine engine : candidates) {
+      double own = effectiveCores(now, engine) * spare(now, engine, s.track);
+      engine.spareCores = own;
+      engine.classLoad =
+          engine.outByTrack[s.trackIndex] / own
+              + (recent(now, engine) ? engine.reportedQueries / cores(engine) : 0);
+      // Guards against a jammed engine that answers nothing: after a while it would look idle.
+      engine.load =
+          (engine.threadsOut + s.track.terms.width()) / own
+              + (recent(now, engine)
+                  ? engine.reportedBusy
+                  : Math.max(usualBusy, engine.reportedBusy));
+      cores += own;
+      queries += engine.classLoad * own;
+    }
+    double average = queries / cores;
+    stepAside(e -> e.classLoad > average);
+    double least = candidates.stream().mapToDouble(e -> e.classLoad).min().orElse(0);
+    candidates.removeIf(e -> e.classLoad > least + 1e-9);
+    double usualLoad = candidates.stream().mapToDouble(e -> e.load).average().orElse(0);
+    Engine best = null;
+    double bestRating = Double.MAX_VALUE;
+    for (Engine engine : candidates) {
+      // Warmth breaks ties, but not towards an engine that other classes keep busier than the rest:
+      // a
+      // hot group would heap its long queries there. Before it comes a cold engine whose turn it
+      // is: a
+      // turn that finds no hop leaves it idle. Then the least load, with a chance draw by cores:
+      // guards
+      // against many gateways that know little and would choose alike. It costs crossings.
+      boolean warm = engine.groups.contains(s.tableGroup) && engine.load <= usualLoad + 1e-9;
+      double chance = -Math.log(1 - random.nextDouble()) / engine.spareCores;
+      double rating = (engine.byTurn ? -1000 : warm ? 0 : 1000) + engine.load + chance;
+      if (rating < bestRating) {
+        bestRating = rating;
+        best = engine;
+      }
+    }
+    return best;
+  }
+
+  private boolean recent(long now, Engine engine) {
+    return now < engine.reportedAt + mostSoftLimit;
+  }
+
+  private double cores(Engine engine) {
+    return Math.max(1, settings.nth("family_info.kind_cores", engine.kind, 1));
+  }
+
+  /** An engine slower than the fleet, or still cold, counts with the cores it seems to have. */
+  private double effectiveCores(long now, Engine engine) {
+    double slower = engine.pace.at(now) / fleetPace;
+    return cores(engine) * warmth(now, engine) / (slower > SLOWER ? slower : 1);
+  }
+
+  /**
+   * The share of an engine that the other tracks bound to a part of the fleet leave, by the work
+   * seen of each. Guards against that part being filled twice: counts of one class do not show it,
+   * and where a gateway's counts are mostly zero nothing does. It may hurt while estimates are far
+   * off by track.
+   */
+  private double spare(long now, Engine engine, Track track) {
+    double bound = 0;
+    for (Track other : tracks) {
+      if (other != track && other.openCores < allCores && other.terms.allows(engine)) {
+        bound += other.workSeen.at(now) / other.openCores;
+      }
+    }
+    return Math.max(LEAST_SPARE, 1 - bound * allCores / Math.max(1, allWork));
+  }
+
+  // ---- the thread bound ----
+
+  /**
+   * Guards against a jam that hides itself: an engine that answers little gives no pace, so the age
+   * of what is out there counts too, and 1.5 times its cores in threads from here alone: a gateway
+   * just started sends these before it learns. It should hold against any stall; it may hurt where
+   * estimates are poor.
+   */
+  private boolean stalled(long now, Engine engine) {
+    double ages = 0;
+    for (Hop hop : engine.out) {
+      Track track = hop.submission.track;
+      double usual =
+          track.bestPace > 0 ? hop.nominal * track.bestPace : track.terms.softLimit() / FAR;
+      ages += Math.min(PACE_CAP, (now - hop.sentAt) / Math.max(1, usual));
+    }
+    return ages > STALL * engine.out.size() || engine.threadsOut >= ALL_CLASSES * cores(engine);
+  }
+
+  /** What room an engine has under the bound; those with a better one come first. */
+  private enum Room {
+    BOUND,
+    ONE,
+    LAST,
+    NONE
+  }
+
+  /**
+   * Within its bound, or room for the one query that may always fly. Guards against a jam that
+   * never drains: one of each gateway may be more than it bears, so under pressure it comes last,
+   * and alone.
+   */
+  private Room room(long now, Engine engine, Track track) {
+    boolean pressed = now < engine.pressedUntil;
+    int width = track.terms.width();
+    int own = engine.outByTrack[track.index] * width;
+    double bound = bound(engine);
+    double threads = threads(now, engine);
+    boolean within = (own > 0 ? own < bound : width <= bound) && threads < ALL_CLASSES * bound;
+    if (within || !crowded && !pressed) {
+      return Room.BOUND;
+    }
+    double most = Math.max(ALL_CLASSES * bound, pressed ? width : oneOfEach);
+    return own > 0 || threads + width > most ? Room.NONE : pressed ? Room.LAST : Room.ONE;
+  }
+
+  /**
+   * Whether what is out on the engines with or without pressure is above their bounds together.
+   * Guards against a jam held up by the one query that may fly; it may hurt a gateway with most of
+   * the traffic.
+   */
+  private boolean spent(Room room) {
+    int pool = room == Room.LAST ? 1 : 0;
+    return room != Room.BOUND
+        && poolThreads[pool] >= ALL_CLASSES * Math.max(poolBounds[pool], oneOfEach);
+  }
+
+  /**
+   * Sums up the ready engines. Pressure or doubt at a quarter of them bounds all, and so does a
+   * full pool, but while the hops of late came back at an easy pace: a gateway may have several
+   * times its share of the traffic. Guards against a chain of falls: what these may not have would
+   * all go to the next that shows nothing yet. It may hurt while the rest are idle.
+   */
+  private void survey(long now) {
+    int ready = 0;
+    int sound = 0;
+    int pressed = 0;
+    int heard = 0;
+    double paces = 0;
+    usualBusy = 0;
+    allCores = 0;
+    allWork = 0;
+    for (Track track : tracks) {
+      allWork += track.workSeen.at(now);
+      track.openCores = 0;
+    }
+    Arrays.fill(poolBounds, 0);
+    Arrays.fill(poolThreads, 0);
+    for (Engine engine : engines) {
+      if (engine.standing != Engine.Standing.READY) {
+        continue;
+      }
+      if (stalled(now, engine)) {
+        press(now, engine);
+        cutBound(now, engine);
+      }
+      ready++;
+      allCores += cores(engine);
+      for (Track track : tracks) {
+        track.openCores += track.terms.allows(engine) ? cores(engine) : 0;
+      }
+      boolean under = now < engine.pressedUntil;
+      boolean doubt = doubtful(now, engine);
+      pressed += under || doubt ? 1 : 0;
+      sound += doubt ? 0 : 1;
+      paces += doubt ? 0 : engine.pace.at(now);
+      heard += recent(now, engine) ? 1 : 0;
+      usualBusy += recent(now, engine) ? engine.reportedBusy : 0;
+      poolBounds[under ? 1 : 0] += bound(engine);
+      poolThreads[under ? 1 : 0] += threads(now, engine);
+    }
+    boolean easy = lately.weight(now) >= ENOUGH && lately.at(now) < EASY;
+    crowded = pressed >= CROWD * ready || !easy && (spent(Room.ONE) || spent(Room.LAST));
+    fleetPace = sound == 0 ? 1 : paces / sound;
+    usualBusy /= Math.max(1, heard);
+  }
+
+  /**
+   * Threads out, and those of hops that timed out where nothing can be called off. Guards against
+   * work that runs on unseen and keeps a jam alive, on an engine heard meanwhile: after a cut
+   * nothing may have run.
+   */
+  private double threads(long now, Engine engine) {
+    return engine.threadsOut + engine.threadsLost.at(now);
+  }
+
+  private double bound(Engine engine) {
+    return cores(engine) / gateways * engine.boundFactor;
+  }
+
+  private void press(long now, Engine engine) {
+    engine.pressedUntil = now + mostSoftLimit;
+  }
+
+  /**
+   * The bound's figure falls while the pace is far above the best seen and grows again while it is
+   * not.
+   */
+  private void adjustBound(long now, Engine engine) {
+    double pace = engine.pace.at(now);
+    if (pace > FAR) {
+      press(now, engine);
+      cutBound(now, engine);
+    } else if (pace < EASY
+        && (fullest(engine) + 1 >= bound(engine)
+            || tracks.stream().anyMatch(t -> t.head() != null))) {
+      engine.boundFactor = Math.min(gateways * FAR / ALL_CLASSES, engine.boundFactor + BOUND_GROW);
+    }
+  }
+
+  /** Threads out of the fullest class, or the sum of all in class bounds. */
+  private double fullest(Engine engine) {
+    return Math.max(engine.widest(), engine.threadsOut / ALL_CLASSES);
+  }
+
+  private void cutBound(long now, Engine engine) {
+    if (now >= engine.boundCutAt) {
+      double used = fullest(engine) / (cores(engine) / gateways);
+      double from = Math.min(engine.boundFactor, Math.max(used, BOUND_START));
+      engine.boundFactor = Math.max(BOUND_LEAST, from * BOUND_CUT);
+      engine.boundCutAt = now + leastSoftLimit;
+    }
+  }
+
+  // ---- rule guards ----
+
+  /** Where a submission may go now. */
+  private boolean open(long now, Submission s, Engine engine) {
+    return guard.mayPlace(now, s, engine) == SendVerdict.ALLOWED;
+  }
+
+  /** Where it may go now, or once the list is confirmed or the engine is warm. */
+  private boolean openLater(long now, Submission s, Engine engine) {
+    return guard.mayGoTo(now, s, engine) == SendVerdict.ALLOWED;
+  }
+
+  private boolean mayTurnBack(Submission s) {
+    TrackTerms terms = s.track.terms;
+    return terms.effect() == Effect.PURE
+        || (terms.effect() == Effect.RECEIPTED && terms.circle() == Circle.ALL)
+        || s.hops.stream().noneMatch(Hop::mayHaveRun);
+  }
+
+  private boolean budgetLeft(long now) {
+    return withinBudget(now, 1);
+  }
+
+  /**
+   * @param more further attempts that are about to be placed, beside those that were
+   */
+  private boolean withinBudget(long now, int more) {
+    return further == null
+        || further.most(now) + more
+            <= settings.amount("guarantees.extra_floor", 0)
                 + settings.amount("guarantees.further_ratio", 0) * taken.least(now);
-    }
-
-    /** The share of its capacity that an engine surely has; how it warms is not told, so slowly at first. */
-    private double warmth(long now, Engine engine) {
-        long started = Math.max(engine.startedAt, engine.fellAt);
-        if (started <= 0 || now - started >= warmWithin) {
-            return 1;
-        }
-        double gone = Math.max(0, (double) (now - started) / warmWithin);
-        double start = settings.amount("guarantees.start_capacity", 1);
-        return start + (1 - start) * gone * gone;
-    }
-
-    /**
-     * Guards a cold engine: this gateway's part of the span, rounded to whole hops by its turn. One just
-     * started may have spent it before; in the first span the sum grows from nothing: others are told late.
-     */
-    private boolean coldRoom(long now, Engine engine, double work) {
-        double warmth = warmth(now, engine);
-        engine.byTurn = false;
-        if (warmth >= 1 || fallSpan <= 0) {
-            return true;
-        }
-        long up = now - Math.max(engine.startedAt, engine.fellAt);
-        double bears = settings.amount("guarantees.fall_multiple", 1) * warmth * cores(engine);
-        double all = bears * Math.max(0, Math.min(up, fallSpan)) * COLD_USE;
-        double left = all / gateways - engine.workSent.most(now);
-        engine.byTurn = work > left;
-        return now >= startedAt + fallSpan && work <= all && turn(up, now - up) * work <= left;
-    }
-
-    /**
-     * From this share of a hop on, the part is rounded up. Those of all gateways lie evenly between 0 and 1:
-     * the sum keeps by construction what draws keep on average; each one's moves evenly from span to span.
-     */
-    private double turn(long up, long started) {
-        double spans = Math.floor((double) up / fallSpan + place * GOLDEN % 1);
-        double turn = (place + 0.5) / gateways + (spans + started / (double) fallSpan * PARTS) * GOLDEN % 1;
-        return 1 - turn % 1;
-    }
-
-    // ---- hops ----
-
-    private void place(long now, Submission s, Engine engine) {
-        double nominal = work(now, s) / s.track.terms.width();
-        long expected = (long) (nominal * s.track.best() * Math.max(1, engine.pace.at(now)));
-        s.rank = rank(now, s);
-        double memory = s.memoryEstimate * s.track.memoryBias.at(now) * GRANT_MARGIN;
-        if (settings.flag("family_info.grants") && memory > 0) {
-            double most = settings.amount("family_info.max_grant_share", 1)
-                    * settings.nth("family_info.size_mb", engine.kind, 0);
-            s.grant = (long) Math.ceil(most > 0 ? Math.min(memory, most) : memory);
-        }
-        if (!s.hops.isEmpty() && further != null) {
-            further.add(now, 1);
-        }
-        Hop hop = new Hop(s, engine, now, expected, nominal, doubtful(now, engine));
-        s.hops.add(hop);
-        s.hopsOut++;
-        engine.enter(hop, WARM_GROUPS);
-        engine.workSent.add(now, work(now, s));
-        change(s);
-        alarms.set(s, Math.min(lastMoment(s), now + quietLimit(s, hop)));
-    }
-
-    private int rank(long now, Submission s) {
-        double usual = valueSeen.at(now) / Math.max(1, allWork);
-        double dense = s.track.terms.value() / Math.max(1, work(now, s)) / usual;
-        return dense >= 4 ? 3 : dense >= 1 ? 2 : dense >= 0.25 ? 1 : 0;
-    }
-
-    /** After a hop that did not fulfil: another, if the rules, the budget and the time left allow it. */
-    private void onward(long now, Submission s) {
-        if (worthAnother(now, s)) {
-            hold(s, true);
+  }
+
+  /**
+   * The share of its capacity that an engine surely has; how it warms is not told, so slowly at
+   * first.
+   */
+  private double warmth(long now, Engine engine) {
+    long started = Math.max(engine.startedAt, engine.fellAt);
+    if (started <= 0 || now - started >= warmWithin) {
+      return 1;
+    }
+    double gone = Math.max(0, (double) (now - started) / warmWithin);
+    double start = settings.amount("guarantees.start_capacity", 1);
+    return start + (1 - start) * gone * gone;
+  }
+
+  /**
+   * Guards a cold engine: this gateway's part of the span, rounded to whole hops by its turn. One
+   * just started may have spent it before; in the first span the sum grows from nothing: others are
+   * told late.
+   */
+  private boolean coldRoom(long now, Engine engine, double work) {
+    double warmth = warmth(now, engine);
+    engine.byTurn = false;
+    if (warmth >= 1 || fallSpan <= 0) {
+      return true;
+    }
+    long up = now - Math.max(engine.startedAt, engine.fellAt);
+    double bears = settings.amount("guarantees.fall_multiple", 1) * warmth * cores(engine);
+    double all = bears * Math.max(0, Math.min(up, fallSpan)) * COLD_USE;
+    double left = all / gateways - engine.workSent.most(now);
+    engine.byTurn = work > left;
+    return now >= startedAt + fallSpan && work <= all && turn(up, now - up) * work <= left;
+  }
+
+  /**
+   * From this share of a hop on, the part is rounded up. Those of all gateways lie evenly between 0
+   * and 1: the sum keeps by construction what draws keep on average; each one's moves evenly from
+   * span to span.
+   */
+  private double turn(long up, long started) {
+    double spans = Math.floor((double) up / fallSpan + place * GOLDEN % 1);
+    double turn =
+        (place + 0.5) / gateways + (spans + started / (double) fallSpan * PARTS) * GOLDEN % 1;
+    return 1 - turn % 1;
+  }
+
+  // ---- hops ----
+
+  private void place(long now, Submission s, Engine engine) {
+    double nominal = work(now, s) / s.track.terms.width();
+    long expected = (long) (nominal * s.track.best() * Math.max(1, engine.pace.at(now)));
+    s.rank = rank(now, s);
+    double memory = s.memoryEstimate * s.track.memoryBias.at(now) * GRANT_MARGIN;
+    if (settings.flag("family_info.grants") && memory > 0) {
+      double most =
+          settings.amount("family_info.max_grant_share", 1)
+              * settings.nth("family_info.size_mb", engine.kind, 0);
+      s.grant = (long) Math.ceil(most > 0 ? Math.min(memory, most) : memory);
+    }
+    if (!s.hops.isEmpty() && further != null) {
+      further.add(now, 1);
+    }
+    Hop hop = new Hop(s, engine, now, expected, nominal, doubtful(now, engine));
+    s.hops.add(hop);
+    s.hopsOut++;
+    engine.enter(hop, WARM_GROUPS);
+    engine.workSent.add(now, work(now, s));
+    change(s);
+    alarms.set(s, Math.min(lastMoment(s), now + quietLimit(s, hop)));
+  }
+
+  private int rank(long now, Submission s) {
+    double usual = valueSeen.at(now) / Math.max(1, allWork);
+    double dense = s.track.terms.value() / Math.max(1, work(now, s)) / usual;
+    return dense >= 4 ? 3 : dense >= 1 ? 2 : dense >= 0.25 ? 1 : 0;
+  }
+
+  /**
+   * After a hop that did not fulfil: another, if the rules, the budget and the time left allow it.
+   */
+  private void onward(long now, Submission s) {
+    if (worthAnother(now, s)) {
+      hold(s, true);
+    } else {
+      giveUp(now, s, EndReason.NO_FURTHER_ATTEMPT);
+    }
+  }
+
+  private boolean worthAnother(long now, Submission s) {
+    return !s.unusable
+        && s.hops.size() < settings.number("caps.max_attempts", 1)
+        && budgetLeft(now)
+        && now + usual(now, s) < tooLateAt(now, s)
+        && engines.stream().anyMatch(e -> openLater(now, s, e));
+  }
+
+  /** What is due for a submission: its end, or a look at the hop that is out. */
+  private void review(long now, Submission s) {
+    if (s.begun) {
+      return;
+    }
+    if (now >= tooLateAt(now, s)) {
+      giveUp(now, s, EndReason.TOO_LATE);
+      return;
+    }
+    if (s.hopsOut == 0) {
+      advance(now, s);
+      if (s.held && hopeless(now, s)) {
+        giveUp(now, s, EndReason.NO_TIME_LEFT);
+      } else if (s.wakeAt == Long.MAX_VALUE) {
+        alarms.set(s, s.held ? Math.max(now + tick, hopelessAt(now, s)) : tooLateAt(now, s));
+      }
+      return;
+    }
+    Hop hop = s.hops.get(s.hops.size() - 1);
+    long quiet = now - Math.max(hop.engine.heardAt, hop.sentAt);
+    if (quiet >= quietLimit(s, hop)) {
+      suspect(now, hop);
+    }
+    long look =
+        hop.wantedOff
+            ? leastSoftLimit
+            : Math.max(quietLimit(s, hop) - Math.max(0, quiet), leastSoftLimit / 4);
+    alarms.set(s, Math.min(tooLateAt(now, s), now + look));
+  }
+
+  /**
+   * How long an engine may say nothing before a hop there is in doubt. Where it sends notes, these
+   * tell: guards against calling off what was only underrated, where a gateway with little traffic
+   * hears nothing else of the engine. It may hurt short tracks on an engine that fell silent.
+   */
+  private long quietLimit(Submission s, Hop hop) {
+    long noteEvery = settings.number("family_info.tells_every", 0);
+    return (long)
+        (noteEvery > 0
+            ? Math.max(QUIET_NOTES * noteEvery, leastSoftLimit / 2.0)
+            : Math.max(QUIET * hop.expected, s.track.terms.softLimit() / 2.0));
+  }
+
+  private void suspect(long now, Hop hop) {
+    Engine engine = hop.engine;
+    if (!doubtful(now, engine)) {
+      engine.failures.add(now, SILENCE_WEIGHT + DOUBT_RATIO * engine.successes.at(now));
+    }
+    if (mayHopOn(now, hop.submission)) {
+      callOff(hop);
+    }
+  }
+
+  /** Whether another hop could follow if the one that is out were called off now. */
+  private boolean mayHopOn(long now, Submission s) {
+    return s.track.terms.effect() != Effect.EFFECTFUL && worthAnother(now, s);
+  }
+
+  /**
+   * Guards against bad plans, and against a hop stuck alone: what its notes project far beyond the
+   * usual is sent anew; of an unknown track more is asked. It may hurt where single estimates are
+   * far too low.
+   */
+  private void judgeProgress(long now, Hop hop) {
+    long age = now - hop.sentAt;
+    double projected = age / Math.max(LEAST_SHARE, hop.share);
+    Track track = hop.submission.track;
+    double known = track.bestPace > 0 ? 1 : UNKNOWN;
+    double usual =
+        known
+            * hop.nominal
+            * Math.max(track.pace.at(now), track.best() * Math.max(1, hop.engine.pace.at(now)));
+    double pace = projected / hop.nominal / hop.submission.track.best();
+    hop.engine.pace.add(now, Math.min(PACE_CAP, pace), 0.5);
+    adjustBound(now, hop.engine);
+    if (projected > BAD_PLAN * usual
+        && projected - age > FAR * usual
+        && hop.submission.ending == null
+        && mayHopOn(now, hop.submission)) {
+      callOff(hop);
+    }
+  }
+
+  // ---- measures ----
+
+  private void judge(long now, Hop hop, Outcome outcome) {
+    Engine engine = hop.engine;
+    engine.heardAt = outcome.heard ? now : engine.heardAt;
+    switch (outcome) {
+      case FULFILLED -> count(now, hop, engine.successes, 1, engine.failures);
+      // Guards against an engine that fails or refuses at once: its empty counts would draw its
+      // class.
+      case FULL -> {
+        count(now, hop, engine.failures, 1, engine.successes);
+        press(now, engine);
+        cutBound(now, engine);
+      }
+      // Guards against a submission that no engine can use: the second that errs speaks for the
+      // first.
+      case ERRED -> {
+        Engine before = hop.submission.erredElsewhere(engine);
+        hop.submission.unusable = before != null;
+        if (before == null) {
+          count(now, hop, engine.failures, 1, engine.successes);
         } else {
-            giveUp(now, s, EndReason.NO_FURTHER_ATTEMPT);
-        }
-    }
-
-    private boolean worthAnother(long now, Submission s) {
-        return !s.unusable && s.hops.size() < settings.number("caps.max_attempts", 1) && budgetLeft(now)
-                && now + usual(now, s) < tooLateAt(now, s) && engines.stream().anyMatch(e -> openLater(now,
-                        s, e));
-    }
-
-    /** What is due for a submission: its end, or a look at the hop that is out. */
-    private void review(long now, Submission s) {
-        if (s.begun) {
-            return;
-        }
-        if (now >= tooLateAt(now, s)) {
-            giveUp(now, s, EndReason.TOO_LATE);
-            return;
-        }
-        if (s.hopsOut == 0) {
-            advance(now, s);
-            if (s.held && hopeless(now, s)) {
-                giveUp(now, s, EndReason.NO_TIME_LEFT);
-            } else if (s.wakeAt == Long.MAX_VALUE) {
-                alarms.set(s, s.held ? Math.max(now + tick, hopelessAt(now, s)) : tooLateAt(now, s));
-            }
-            return;
-        }
-        Hop hop = s.hops.get(s.hops.size() - 1);
-        long quiet = now - Math.max(hop.engine.heardAt, hop.sentAt);
-        if (quiet >= quietLimit(s, hop)) {
-            suspect(now, hop);
-        }
-        long look = hop.wantedOff ? leastSoftLimit
-                : Math.max(quietLimit(s, hop) - Math.max(0, quiet), leastSoftLimit / 4);
-        alarms.set(s, Math.min(tooLateAt(now, s), now + look));
-    }
-
-    /**
-     * How long an engine may say nothing before a hop there is in doubt. Where it sends notes, these tell:
-     * guards against calling off what was only underrated, where a gateway with little traffic hears nothing
-     * else of the engine. It may hurt short tracks on an engine that fell silent.
-     */
-    private long quietLimit(Submission s, Hop hop) {
-        long noteEvery = settings.number("family_info.tells_every", 0);
-        return (long) (noteEvery > 0 ? Math.max(QUIET_NOTES * noteEvery, leastSoftLimit / 2.0)
-                : Math.max(QUIET * hop.expected, s.track.terms.softLimit() / 2.0));
-    }
-
-    private void suspect(long now, Hop hop) {
-        Engine engine = hop.engine;
-        if (!doubtful(now, engine)) {
-            engine.failures.add(now, SILENCE_WEIGHT + DOUBT_RATIO * engine.successes.at(now));
-        }
-        if (mayHopOn(now, hop.submission)) {
-            callOff(hop);
-        }
-    }
-
-    /** Whether another hop could follow if the one that is out were called off now. */
-    private boolean mayHopOn(long now, Submission s) {
-        return s.track.terms.effect() != Effect.EFFECTFUL && worthAnother(now, s);
-    }
-
-    /**
-     * Guards against bad plans, and against a hop stuck alone: what its notes project far beyond the usual is
-     * sent anew; of an unknown track more is asked. It may hurt where single estimates are far too low.
-     */
-    private void judgeProgress(long now, Hop hop) {
-        long age = now - hop.sentAt;
-        double projected = age / Math.max(LEAST_SHARE, hop.share);
-        Track track = hop.submission.track;
-        double known = track.bestPace > 0 ? 1 : UNKNOWN;
-        double usual = known * hop.nominal
-                * Math.max(track.pace.at(now), track.best() * Math.max(1, hop.engine.pace.at(now)));
-        double pace = projected / hop.nominal / hop.submission.track.best();
-        hop.engine.pace.add(now, Math.min(PACE_CAP, pace), 0.5);
-        adjustBound(now, hop.engine);
-        if (projected > BAD_PLAN * usual && projected - age > FAR * usual && hop.submission.ending == null
-                && mayHopOn(now, hop.submission)) {
-            callOff(hop);
-        }
-    }
-
-    // ---- measures ----
-
-    private void judge(long now, Hop hop, Outcome outcome) {
-        Engine engine = hop.engine;
-        engine.heardAt = outcome.heard ? now : engine.heardAt;
-        switch (outcome) {
-            case FULFILLED -> count(now, hop, engine.successes, 1, engine.failures);
-            // Guards against an engine that fails or refuses at once: its empty counts would draw its class.
-            case FULL -> {
-                count(now, hop, engine.failures, 1, engine.successes);
-                press(now, engine);
-                cutBound(now, engine);
-            }
-            // Guards against a submission that no engine can use: the second that errs speaks for the first.
-            case ERRED -> {
-                Engine before = hop.submission.erredElsewhere(engine);
-                hop.submission.unusable = before != null;
-                if (before == null) {
-                    count(now, hop, engine.failures, 1, engine.successes);
-                } else {
-                    before.failures.add(now, -1);
-                }
-            }
-            case UNREACHABLE -> count(now, hop, engine.failures, SILENCE_WEIGHT, engine.successes);
-            // Guards against a restart that the list tells late: a process that dropped its connections comes
-            // back cold. One alone is the network's; two with nothing heard between are the process'.
-            case SEVERED -> {
-                boolean fell = engine.heardAt < engine.severedAt;
-                count(now, hop, engine.failures, fell ? SILENCE_WEIGHT : 1, engine.successes);
-                engine.fellAt = fell ? now : engine.fellAt;
-                engine.severedAt = now;
-            }
-            case OVERDUE -> {
-                if (engine.heardAt < hop.sentAt) {
-                    engine.failures.add(now, 1);
-                } else if (!mayCallOff) {
-                    engine.threadsLost.add(now, hop.submission.track.terms.width());
-                }
-            }
-            default -> { }
-        }
-    }
-
-    /** A trial tells of now: its outcome wipes out most of what spoke for the other. */
-    private void count(long now, Hop hop, DecayingSum sum, double weight, DecayingSum other) {
-        sum.add(now, weight);
-        if (hop.trial) {
-            other.add(now, -TRIAL_CLEARS * other.at(now));
-        }
-    }
-
-    private void learn(long now, Hop hop, long lag, double work, double memory) {
-        Submission s = hop.submission;
-        Track track = s.track;
-        if (work > 0 && s.estimate > 0) {
-            track.bias.add(now, Math.min(2 * PACE_CAP, work / s.estimate), 1);
-        }
-        if (memory > 0 && s.memoryEstimate > 0) {
-            track.memoryBias.add(now, Math.min(2 * PACE_CAP, memory / s.memoryEstimate), 1);
-        }
-        track.work.add(now, work > 0 ? work : s.estimate > 0 ? work(now, s) : lag * track.terms.width(), 1);
-        double nominal = work > 0 ? work / track.terms.width() : hop.nominal;
-        double pace = lag / Math.max(1, nominal);
-        track.pace.add(now, Math.min(pace, 2 * PACE_CAP * track.best()), 1);
-        if (track.pace.weight(now) >= ENOUGH) {
-            double mean = track.pace.at(now);
-            track.bestPace = track.bestPace == 0 ? mean : Math.min(track.bestPace, mean);
-        }
-        double timesBest = Math.min(PACE_CAP, pace / track.best());
-        hop.engine.pace.add(now, timesBest, 1);
-        lately.add(now, timesBest, 1);
-        adjustBound(now, hop.engine);
-    }
-
-    private void read(long now, Engine engine, double[] report) {
-        if (report == null) {
-            return;
-        }
-        engine.reportedAt = now;
-        engine.reportedBusy = 0;
-        for (int i = 0; i < Math.min(report.length, reportFields.size()); i++) {
-            switch (reportFields.get(i)) {
-                case "busy_reqs" -> engine.reportedQueries = report[i];
-                case "cpu_share", "x1" -> engine.reportedBusy = Math.max(engine.reportedBusy, report[i]);
-                case "pending" -> engine.reportedBusy = Math.max(engine.reportedBusy, report[i] >= 1 ? 1 : 0);
-                default -> { }
-            }
-        }
-        if (engine.reportedBusy >= BUSY) {
-            press(now, engine);
-        }
-    }
-
-    private boolean doubtful(long now, Engine engine) {
-        double failed = engine.failures.at(now);
-        return failed > DOUBT_LEAST && failed > DOUBT_RATIO * engine.successes.at(now);
-    }
-
-    private static double work(long now, Submission s) {
-        return s.estimate > 0 ? s.estimate * s.track.bias.at(now) : s.track.work.at(now);
-    }
-
-    /** Time that a hop sent now is expected to take on an ordinary engine. */
-    private long usual(long now, Submission s) {
-        double pace = Math.max(s.track.pace.at(now), s.track.best() * Math.max(1, fleetPace));
-        return (long) (work(now, s) / s.track.terms.width() * pace);
-    }
-
-    private static long softLimit(long now, Submission s) {
-        TrackTerms terms = s.track.terms;
-        return terms.softLimit() + (long) (terms.stretch() * work(now, s) / terms.width());
-    }
-
-    private static long softEnd(long now, Submission s) {
-        return Math.min(s.leavesAt, s.arrivedAt + softLimit(now, s));
-    }
-
-    /** The last moment at which a final answer is surely in time. */
-    private long lastMoment(Submission s) {
-        return s.leavesAt - 2 * tick;
-    }
-
-    /** From here on an answer pays nothing. */
-    private long tooLateAt(long now, Submission s) {
-        return s.track.terms.lateValue() > 0 ? lastMoment(s)
-                : Math.min(lastMoment(s), (long) (s.arrivedAt + softLimit(now, s) * LATE_MARGIN));
-    }
+          before.failures.add(now, -1);
+        }
+      }
+      case UNREACHABLE -> count(now, hop, engine.failures, SILENCE_WEIGHT, engine.successes);
+      // Guards against a restart that the list tells late: a process that dropped its connections
+      // comes
+      // back cold. One alone is the network's; two with nothing heard between are the process'.
+      case SEVERED -> {
+        boolean fell = engine.heardAt < engine.severedAt;
+        count(now, hop, engine.failures, fell ? SILENCE_WEIGHT : 1, engine.successes);
+        engine.fellAt = fell ? now : engine.fellAt;
+        engine.severedAt = now;
+      }
+      case OVERDUE -> {
+        if (engine.heardAt < hop.sentAt) {
+          engine.failures.add(now, 1);
+        } else if (!mayCallOff) {
+          engine.threadsLost.add(now, hop.submission.track.terms.width());
+        }
+      }
+      default -> {}
+    }
+  }
+
+  /** A trial tells of now: its outcome wipes out most of what spoke for the other. */
+  private void count(long now, Hop hop, DecayingSum sum, double weight, DecayingSum other) {
+    sum.add(now, weight);
+    if (hop.trial) {
+      other.add(now, -TRIAL_CLEARS * other.at(now));
+    }
+  }
+
+  private void learn(long now, Hop hop, long lag, double work, double memory) {
+    Submission s = hop.submission;
+    Track track = s.track;
+    if (work > 0 && s.estimate > 0) {
+      track.bias.add(now, Math.min(2 * PACE_CAP, work / s.estimate), 1);
+    }
+    if (memory > 0 && s.memoryEstimate > 0) {
+      track.memoryBias.add(now, Math.min(2 * PACE_CAP, memory / s.memoryEstimate), 1);
+    }
+    track.work.add(
+        now, work > 0 ? work : s.estimate > 0 ? work(now, s) : lag * track.terms.width(), 1);
+    double nominal = work > 0 ? work / track.terms.width() : hop.nominal;
+    double pace = lag / Math.max(1, nominal);
+    track.pace.add(now, Math.min(pace, 2 * PACE_CAP * track.best()), 1);
+    if (track.pace.weight(now) >= ENOUGH) {
+      double mean = track.pace.at(now);
+      track.bestPace = track.bestPace == 0 ? mean : Math.min(track.bestPace, mean);
+    }
+    double timesBest = Math.min(PACE_CAP, pace / track.best());
+    hop.engine.pace.add(now, timesBest, 1);
+    lately.add(now, timesBest, 1);
+    adjustBound(now, hop.engine);
+  }
+
+  private void read(long now, Engine engine, double[] report) {
+    if (report == null) {
+      return;
+    }
+    engine.reportedAt = now;
+    engine.reportedBusy = 0;
+    for (int i = 0; i < Math.min(report.length, reportFields.size()); i++) {
+      switch (reportFields.get(i)) {
+        case "busy_reqs" -> engine.reportedQueries = report[i];
+        case "cpu_share", "x1" -> engine.reportedBusy = Math.max(engine.reportedBusy, report[i]);
+        case "pending" ->
+            engine.reportedBusy = Math.max(engine.reportedBusy, report[i] >= 1 ? 1 : 0);
+        default -> {}
+      }
+    }
+    if (engine.reportedBusy >= BUSY) {
+      press(now, engine);
+    }
+  }
+
+  private boolean doubtful(long now, Engine engine) {
+    double failed = engine.failures.at(now);
+    return failed > DOUBT_LEAST && failed > DOUBT_RATIO * engine.successes.at(now);
+  }
+
+  private static double work(long now, Submission s) {
+    return s.estimate > 0 ? s.estimate * s.track.bias.at(now) : s.track.work.at(now);
+  }
+
+  /** Time that a hop sent now is expected to take on an ordinary engine. */
+  private long usual(long now, Submission s) {
+    double pace = Math.max(s.track.pace.at(now), s.track.best() * Math.max(1, fleetPace));
+    return (long) (work(now, s) / s.track.terms.width() * pace);
+  }
+
+  private static long softLimit(long now, Submission s) {
+    TrackTerms terms = s.track.terms;
+    return terms.softLimit() + (long) (terms.stretch() * work(now, s) / terms.width());
+  }
+
+  private static long softEnd(long now, Submission s) {
+    return Math.min(s.leavesAt, s.arrivedAt + softLimit(now, s));
+  }
+
+  /** The last moment at which a final answer is surely in time. */
+  private long lastMoment(Submission s) {
+    return s.leavesAt - 2 * tick;
+  }
+
+  /** From here on an answer pays nothing. */
+  private long tooLateAt(long now, Submission s) {
+    return s.track.terms.lateValue() > 0
+        ? lastMoment(s)
+        : Math.min(lastMoment(s), (long) (s.arrivedAt + softLimit(now, s) * LATE_MARGIN));
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/Circle.java
+++ b/gateway/src/main/java/tillerlink/model/Circle.java
@@ -2,14 +2,16 @@
 
 /** The group of engines that discards the repeats of a receipted submission. */
 public enum Circle {
-    ALL, ZONE, CELL;
+  ALL,
+  ZONE,
+  CELL;
 
-    /** Whether a repeat of what one engine may have run is discarded by the other. */
-    public boolean joins(Engine one, Engine other) {
-        return switch (this) {
-            case ALL -> true;
-            case ZONE -> one.zone == other.zone;
-            case CELL -> one.cell == other.cell;
-        };
-    }
+  /** Whether a repeat of what one engine may have run is discarded by the other. */
+  public boolean joins(Engine one, Engine other) {
+    return switch (this) {
+      case ALL -> true;
+      case ZONE -> one.zone == other.zone;
+      case CELL -> one.cell == other.cell;
+    };
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/DecayingSum.java
+++ b/gateway/src/main/java/tillerlink/model/DecayingSum.java
@@ -2,25 +2,27 @@
 
 /** A sum whose parts fade with age; brought up to date when read. */
 public final class DecayingSum {
-    private final double span;
-    private double sum;
-    private long asOf;
+  private final double span;
+  private double sum;
+  private long asOf;
 
-    /** @param span the age at which a part has faded to 1/e */
-    public DecayingSum(double span) {
-        this.span = span;
-    }
+  /**
+   * @param span the age at which a part has faded to 1/e
+   */
+  public DecayingSum(double span) {
+    this.span = span;
+  }
 
-    public void add(long now, double amount) {
-        sum = at(now) + amount;
-        asOf = now;
-    }
+  public void add(long now, double amount) {
+    sum = at(now) + amount;
+    asOf = now;
+  }
 
-    public double at(long now) {
-        return sum == 0 ? 0 : sum * Math.exp((asOf - now) / span);
-    }
+  public double at(long now) {
+    return sum == 0 ? 0 : sum * Math.exp((asOf - now) / span);
+  }
 
-    public void clear() {
-        sum = 0;
-    }
+  public void clear() {
+    sum = 0;
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -6,102 +6,130 @@
 
 /** One engine as this gateway knows it: what it was told, and what it counted itself. */
 public final class Engine {
-    /** What the list says of an engine's process. */
-    public enum Standing { READY, DRAINING, GONE }
-
-    /** The door's own handle; the module never looks at it. */
-    public final Object tag;
-    public int kind;
-    public int zone;
-    public int cell;
-    public Standing standing = Standing.GONE;
-    /** The module counts with it; kept here, since a look-up in a list of a thousand for each of a thousand costs. */
-    public boolean known;
-    public long startedAt;
-    /** Below 1 while it is only remembered from before this gateway's start. */
-    public double trust = 1;
-
-    /** Hops that are out, oldest first. */
-    public final List<Hop> out = new ArrayList<>();
-    public int[] outByTrack = new int[0];
-    public int threadsOut;
-    public int trialsOut;
-    /** Table groups sent here lately, latest last. */
-    public final ArrayDeque<Integer> groups = new ArrayDeque<>();
-
-    public DecayingSum successes;
-    public DecayingSum failures;
-    /** Threads of hops that timed out and may run on. */
-    public DecayingSum threadsLost;
-    public DecayingMean pace;
-    public SlidingSum workSent;
-    /** Cold, and room there for the submission last weighed only since it is this gateway's turn. */
-    public boolean byTurn;
-    public double boundFactor;
-    public long pressedUntil = Long.MIN_VALUE;
-    /** When it last dropped a connection with a hop on it. */
-    public long fellAt = Long.MIN_VALUE;
-    /** When a hop was last cut off here. */
-    public long severedAt = Long.MIN_VALUE;
-    public long boundCutAt = Long.MIN_VALUE;
-    public long heardAt = Long.MIN_VALUE;
-    public long reportedAt = Long.MIN_VALUE;
-    public double reportedQueries;
-    /** The busiest of what it said of its cores and disks, 1 being all. */
-    public double reportedBusy;
-    /** Queries of the class in hand a core, and threads of all a core, as last weighed. */
-    public double classLoad;
-    public double load;
-    /** Cores that it seems to have for the class last weighed. */
-    public double spareCores;
-
-    public Engine(Object tag) {
-        this.tag = tag;
-    }
+  /** What the list says of an engine's process. */
+  public enum Standing {
+    READY,
+    DRAINING,
+    GONE
+  }
 
-    /** Counts a hop that goes out here; of the table groups, only the latest are remembered. */
-    public void enter(Hop hop, int groupsKept) {
-        count(hop, 1);
-        out.add(hop);
-        groups.remove((Integer) hop.submission.tableGroup);
-        groups.addLast(hop.submission.tableGroup);
-        if (groups.size() > groupsKept) {
-            groups.removeFirst();
-        }
-    }
+  /** The door's own handle; the module never looks at it. */
+  public final Object tag;
 
-    public void leave(Hop hop) {
-        count(hop, -1);
-        out.remove(hop);
-    }
+  public int kind;
+  public int zone;
+  public int cell;
+  public Standing standing = Standing.GONE;
 
-    /** Whether a load that is out here holds the table group. */
-    public boolean holdsGroup(int tableGroup) {
-        return out.stream().anyMatch(hop -> hop.submission.tableGroup == tableGroup
-                && hop.submission.track.terms.holdsGroup());
-    }
+  /**
+   * The module counts with it; kept here, since a look-up in a list of a thousand for each of a
+   * thousand costs.
+   */
+  public boolean known;
 
-    /** The threads out of the class that has most out. */
-    public int widest() {
-        return out.stream().mapToInt(hop -> outByTrack[hop.submission.trackIndex]
-                * hop.submission.track.terms.width()).max().orElse(0);
-    }
+  public long startedAt;
 
-    /** A process that started anew keeps nothing of its predecessor's record. */
-    public void forget(double boundAtStart) {
-        successes.clear();
-        failures.clear();
-        threadsLost.clear();
-        pace.clear();
-        groups.clear();
-        boundFactor = boundAtStart;
-        pressedUntil = Long.MIN_VALUE;
-        fellAt = Long.MIN_VALUE;
-    }
+  /** Below 1 while it is only remembered from before this gateway's start. */
+  public double trust = 1;
+
+  /** Hops that are out, oldest first. */
+  public final List<Hop> out = new ArrayList<>();
+
+  public int[] outByTrack = new int[0];
+  public int threadsOut;
+  public int trialsOut;
+
+  /** Table groups sent here lately, latest last. */
+  public final ArrayDeque<Integer> groups = new ArrayDeque<>();
+
+  public DecayingSum successes;
+  public DecayingSum failures;
+
+  /** Threads of hops that timed out and may run on. */
+  public DecayingSum threadsLost;
+
+  public DecayingMean pace;
+  public SlidingSum workSent;
+
+  /** Cold, and room there for the submission last weighed only since it is this gateway's turn. */
+  public boolean byTurn;
+
+  public double boundFactor;
+  public long pressedUntil = Long.MIN_VALUE;
 
-    private void count(Hop hop, int by) {
-        outByTrack[hop.submission.trackIndex] += by;
-        threadsOut += by * hop.submission.track.terms.width();
-        trialsOut += hop.trial ? by : 0;
+  /** When it last dropped a connection with a hop on it. */
+  public long fellAt = Long.MIN_VALUE;
+
+  /** When a hop was last cut off here. */
+  public long severedAt = Long.MIN_VALUE;
+
+  public long boundCutAt = Long.MIN_VALUE;
+  public long heardAt = Long.MIN_VALUE;
+  public long reportedAt = Long.MIN_VALUE;
+  public double reportedQueries;
+
+  /** The busiest of what it said of its cores and disks, 1 being all. */
+  public double reportedBusy;
+
+  /** Queries of the class in hand a core, and threads of all a core, as last weighed. */
+  public double classLoad;
+
+  public double load;
+
+  /** Cores that it seems to have for the class last weighed. */
+  public double spareCores;
+
+  public Engine(Object tag) {
+    this.tag = tag;
+  }
+
+  /** Counts a hop that goes out here; of the table groups, only the latest are remembered. */
+  public void enter(Hop hop, int groupsKept) {
+    count(hop, 1);
+    out.add(hop);
+    groups.remove((Integer) hop.submission.tableGroup);
+    groups.addLast(hop.submission.tableGroup);
+    if (groups.size() > groupsKept) {
+      groups.removeFirst();
     }
+  }
+
+  public void leave(Hop hop) {
+    count(hop, -1);
+    out.remove(hop);
+  }
+
+  /** Whether a load that is out here holds the table group. */
+  public boolean holdsGroup(int tableGroup) {
+    return out.stream()
+        .anyMatch(
+            hop ->
+                hop.submission.tableGroup == tableGroup && hop.submission.track.terms.holdsGroup());
+  }
+
+  /** The threads out of the class that has most out. */
+  public int widest() {
+    return out.stream()
+        .mapToInt(hop -> outByTrack[hop.submission.trackIndex] * hop.submission.track.terms.width())
+        .max()
+        .orElse(0);
+  }
+
+  /** A process that started anew keeps nothing of its predecessor's record. */
+  public void forget(double boundAtStart) {
+    successes.clear();
+    failures.clear();
+    threadsLost.clear();
+    pace.clear();
+    groups.clear();
+    boundFactor = boundAtStart;
+    pressedUntil = Long.MIN_VALUE;
+    fellAt = Long.MIN_VALUE;
+  }
+
+  private void count(Hop hop, int by) {
+    outByTrack[hop.submission.trackIndex] += by;
+    threadsOut += by * hop.submission.track.terms.width();
+    trialsOut += hop.trial ? by : 0;
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/Hop.java
+++ b/gateway/src/main/java/tillerlink/model/Hop.java
@@ -2,43 +2,54 @@
 
 /** One sending of a submission to an engine. */
 public final class Hop {
-    public final Submission submission;
-    public final Engine engine;
-    public final int number;
-    public final long sentAt;
-    /** Time it is expected to take, as judged when it was placed. */
-    public final long expected;
-    /** Time it would take alone on an ordinary engine, as judged when it was placed. */
-    public final double nominal;
-    /** Sent to learn whether a doubtful engine is back. */
-    public final boolean trial;
-
-    public boolean sent;
-    public boolean wantedOff;
-    public boolean calledOff;
-    /** When its first byte went out; 0 while none has. */
-    public long writtenAt;
-    /** Share done, as last noted. */
-    public double share;
-    /** Null while it is out. */
-    public Outcome outcome;
-
-    public Hop(Submission submission, Engine engine, long sentAt, long expected, double nominal,
-               boolean trial) {
-        this.submission = submission;
-        this.engine = engine;
-        this.number = submission.hops.size();
-        this.sentAt = sentAt;
-        this.expected = expected;
-        this.nominal = nominal;
-        this.trial = trial;
-    }
-
-    public boolean isOut() {
-        return outcome == null;
-    }
-
-    public boolean mayHaveRun() {
-        return outcome == null || !outcome.provesIdle;
-    }
+  public final Submission submission;
+  public final Engine engine;
+  public final int number;
+  public final long sentAt;
+
+  /** Time it is expected to take, as judged when it was placed. */
+  public final long expected;
+
+  /** Time it would take alone on an ordinary engine, as judged when it was placed. */
+  public final double nominal;
+
+  /** Sent to learn whether a doubtful engine is back. */
+  public final boolean trial;
+
+  public boolean sent;
+  public boolean wantedOff;
+  public boolean calledOff;
+
+  /** When its first byte went out; 0 while none has. */
+  public long writtenAt;
+
+  /** Share done, as last noted. */
+  public double share;
+
+  /** Null while it is out. */
+  public Outcome outcome;
+
+  public Hop(
+      Submission submission,
+      Engine engine,
+      long sentAt,
+      long expected,
+      double nominal,
+      boolean trial) {
+    this.submission = submission;
+    this.engine = engine;
+    this.number = submission.hops.size();
+    this.sentAt = sentAt;
+    this.expected = expected;
+    this.nominal = nominal;
+    this.trial = trial;
+  }
+
+  public boolean isOut() {
+    return outcome == null;
+  }
+
+  public boolean mayHaveRun() {
+    return outcome == null || !outcome.provesIdle;
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/KeyLine.java
+++ b/gateway/src/main/java/tillerlink/model/KeyLine.java
@@ -4,15 +4,16 @@
 
 /** The submissions of one key, in the order in which this gateway accepted them. */
 public final class KeyLine {
-    public final ArrayDeque<Submission> members = new ArrayDeque<>();
-    /** Nothing of this key is sent before. */
-    public long restsUntil = Long.MIN_VALUE;
+  public final ArrayDeque<Submission> members = new ArrayDeque<>();
 
-    /** The first that is not over, or null. */
-    public Submission head() {
-        while (!members.isEmpty() && members.peekFirst().isOver()) {
-            members.pollFirst();
-        }
-        return members.peekFirst();
+  /** Nothing of this key is sent before. */
+  public long restsUntil = Long.MIN_VALUE;
+
+  /** The first that is not over, or null. */
+  public Submission head() {
+    while (!members.isEmpty() && members.peekFirst().isOver()) {
+      members.pollFirst();
     }
+    return members.peekFirst();
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/Listed.java
+++ b/gateway/src/main/java/tillerlink/model/Listed.java
@@ -5,10 +5,23 @@
  *
  * @param trust 1 as discovery tells it; less for one that is only remembered, the less the older
  */
-public record Listed(Engine engine, int kind, int zone, int cell, double weight,
-                     Engine.Standing standing, long startedAt, double trust) {
-    public Listed(Engine engine, int kind, int zone, int cell, double weight, Engine.Standing standing,
-                  long startedAt) {
-        this(engine, kind, zone, cell, weight, standing, startedAt, 1);
-    }
+public record Listed(
+    Engine engine,
+    int kind,
+    int zone,
+    int cell,
+    double weight,
+    Engine.Standing standing,
+    long startedAt,
+    double trust) {
+  public Listed(
+      Engine engine,
+      int kind,
+      int zone,
+      int cell,
+      double weight,
+      Engine.Standing standing,
+      long startedAt) {
+    this(engine, kind, zone, cell, weight, standing, startedAt, 1);
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/Submission.java
+++ b/gateway/src/main/java/tillerlink/model/Submission.java
@@ -5,72 +5,95 @@
 
 /** What a client asked for, and how far it has come. */
 public final class Submission {
-    /** The door's own handle; the module never looks at it. */
-    public final Object tag;
-    public final int trackIndex;
-    public final int tableGroup;
-    public final boolean repeat;
-    public final long arrivedAt;
-    /** When the client gives up on this try. */
-    public final long leavesAt;
-    /** Estimate of the work of all its threads, as time on one; 0 if none was given. */
-    public final double estimate;
-    /** Estimate of the memory that it needs, in MB; 0 if none was given. */
-    public final double memoryEstimate;
-    /** Those that must run one after another, or null. */
-    public final KeyLine line;
-
-    public Track track;
-    public final List<Hop> hops = new ArrayList<>(1);
-    public int hopsOut;
-    public boolean held;
-    /** Nobody waits for its answer at present. */
-    public boolean unattended;
-    /** The answer has begun to reach the client. */
-    public boolean begun;
-    /** Null while an answer is owed. */
-    public Ending ending;
-    /** When its client was seen to have left; later than any time while it was not. */
-    public long leftAt = Long.MAX_VALUE;
-    /** Why the policy gave it up; null if it did not. */
-    public EndReason endReason;
-    /** No engine can use it. */
-    public boolean unusable;
-    public boolean told;
-    public long comeBack;
-    public int rank = 1;
-    public int rankTold = 1;
-    public long grant;
-    public long grantTold;
-    public long wakeAt = Long.MAX_VALUE;
-    public boolean changed;
-
-    public Submission(Object tag, int trackIndex, int tableGroup, boolean repeat, long arrivedAt, long leavesAt,
-                      double estimate, double memoryEstimate, KeyLine line) {
-        this.tag = tag;
-        this.trackIndex = trackIndex;
-        this.tableGroup = tableGroup;
-        this.repeat = repeat;
-        this.arrivedAt = arrivedAt;
-        this.leavesAt = leavesAt;
-        this.estimate = estimate;
-        this.memoryEstimate = memoryEstimate;
-        this.line = line;
-    }
-
-    /** Its track keeps an order, and it has a key. */
-    public boolean ordered() {
-        return line != null && track.terms.keepsOrder();
-    }
-
-    /** The first of the other engines that erred on it, or null. */
-    public Engine erredElsewhere(Engine engine) {
-        return hops.stream().filter(hop -> hop.outcome == Outcome.ERRED && hop.engine != engine)
-                .map(hop -> hop.engine).findFirst().orElse(null);
-    }
-
-    /** Ended, with no hop left of which anything more will be heard. */
-    public boolean isOver() {
-        return ending != null && hopsOut == 0;
-    }
+  /** The door's own handle; the module never looks at it. */
+  public final Object tag;
+
+  public final int trackIndex;
+  public final int tableGroup;
+  public final boolean repeat;
+  public final long arrivedAt;
+
+  /** When the client gives up on this try. */
+  public final long leavesAt;
+
+  /** Estimate of the work of all its threads, as time on one; 0 if none was given. */
+  public final double estimate;
+
+  /** Estimate of the memory that it needs, in MB; 0 if none was given. */
+  public final double memoryEstimate;
+
+  /** Those that must run one after another, or null. */
+  public final KeyLine line;
+
+  public Track track;
+  public final List<Hop> hops = new ArrayList<>(1);
+  public int hopsOut;
+  public boolean held;
+
+  /** Nobody waits for its answer at present. */
+  public boolean unattended;
+
+  /** The answer has begun to reach the client. */
+  public boolean begun;
+
+  /** Null while an answer is owed. */
+  public Ending ending;
+
+  /** When its client was seen to have left; later than any time while it was not. */
+  public long leftAt = Long.MAX_VALUE;
+
+  /** Why the policy gave it up; null if it did not. */
+  public EndReason endReason;
+
+  /** No engine can use it. */
+  public boolean unusable;
+
+  public boolean told;
+  public long comeBack;
+  public int rank = 1;
+  public int rankTold = 1;
+  public long grant;
+  public long grantTold;
+  public long wakeAt = Long.MAX_VALUE;
+  public boolean changed;
+
+  public Submission(
+      Object tag,
+      int trackIndex,
+      int tableGroup,
+      boolean repeat,
+      long arrivedAt,
+      long leavesAt,
+      double estimate,
+      double memoryEstimate,
+      KeyLine line) {
+    this.tag = tag;
+    this.trackIndex = trackIndex;
+    this.tableGroup = tableGroup;
+    this.repeat = repeat;
+    this.arrivedAt = arrivedAt;
+    this.leavesAt = leavesAt;
+    this.estimate = estimate;
+    this.memoryEstimate = memoryEstimate;
+    this.line = line;
+  }
+
+  /** Its track keeps an order, and it has a key. */
+  public boolean ordered() {
+    return line != null && track.terms.keepsOrder();
+  }
+
+  /** The first of the other engines that erred on it, or null. */
+  public Engine erredElsewhere(Engine engine) {
+    return hops.stream()
+        .filter(hop -> hop.outcome == Outcome.ERRED && hop.engine != engine)
+        .map(hop -> hop.engine)
+        .findFirst()
+        .orElse(null);
+  }
+
+  /** Ended, with no hop left of which anything more will be heard. */
+  public boolean isOver() {
+    return ending != null && hopsOut == 0;
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/Track.java
+++ b/gateway/src/main/java/tillerlink/model/Track.java
@@ -4,44 +4,57 @@
 
 /** A kind of submission: its terms, its queue and what was measured of it. */
 public final class Track {
-    public final int index;
-    public final TrackTerms terms;
-    /** Held submissions, first come first. */
-    public final ArrayDeque<Submission> queue = new ArrayDeque<>();
-    /** True work over estimate. */
-    public final DecayingMean bias;
-    /** True memory over estimate. */
-    public final DecayingMean memoryBias;
-    /** Work of a submission. */
-    public final DecayingMean work;
-    /** Time taken over the time alone. */
-    public final DecayingMean pace;
-    public double bestPace;
-    /** Work asked for of late. */
-    public DecayingSum workSeen;
-    /** Cores of the ready engines open to it, as last summed up. */
-    public double openCores;
-
-    public Track(int index, TrackTerms terms, DecayingMean bias, DecayingMean memoryBias, DecayingMean work,
-                 DecayingMean pace) {
-        this.index = index;
-        this.terms = terms;
-        this.bias = bias;
-        this.memoryBias = memoryBias;
-        this.work = work;
-        this.pace = pace;
-    }
+  public final int index;
+  public final TrackTerms terms;
 
-    /** The best pace seen, or that of the estimates while too little was seen. */
-    public double best() {
-        return bestPace == 0 ? 1 : bestPace;
-    }
+  /** Held submissions, first come first. */
+  public final ArrayDeque<Submission> queue = new ArrayDeque<>();
+
+  /** True work over estimate. */
+  public final DecayingMean bias;
+
+  /** True memory over estimate. */
+  public final DecayingMean memoryBias;
+
+  /** Work of a submission. */
+  public final DecayingMean work;
+
+  /** Time taken over the time alone. */
+  public final DecayingMean pace;
+
+  public double bestPace;
+
+  /** Work asked for of late. */
+  public DecayingSum workSeen;
+
+  /** Cores of the ready engines open to it, as last summed up. */
+  public double openCores;
+
+  public Track(
+      int index,
+      TrackTerms terms,
+      DecayingMean bias,
+      DecayingMean memoryBias,
+      DecayingMean work,
+      DecayingMean pace) {
+    this.index = index;
+    this.terms = terms;
+    this.bias = bias;
+    this.memoryBias = memoryBias;
+    this.work = work;
+    this.pace = pace;
+  }
+
+  /** The best pace seen, or that of the estimates while too little was seen. */
+  public double best() {
+    return bestPace == 0 ? 1 : bestPace;
+  }
 
-    /** The first held submission that is still owed an answer, or null. */
-    public Submission head() {
-        while (!queue.isEmpty() && queue.peekFirst().ending != null) {
-            queue.pollFirst().held = false;
-        }
-        return queue.peekFirst();
+  /** The first held submission that is still owed an answer, or null. */
+  public Submission head() {
+    while (!queue.isEmpty() && queue.peekFirst().ending != null) {
+      queue.pollFirst().held = false;
     }
+    return queue.peekFirst();
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/TrackTerms.java
+++ b/gateway/src/main/java/tillerlink/model/TrackTerms.java
@@ -3,10 +3,23 @@
 import java.util.List;
 
 /** What the settings say of a track; a null list binds nothing. */
-public record TrackTerms(Effect effect, Circle circle, long window, long softLimit, double stretch, long deadline,
-                         double value, double lateValue, int width, boolean holdsGroup, boolean waitsForGroup,
-                         boolean keepsOrder, List<Integer> zones, List<Integer> kinds) {
-    public boolean allows(Engine engine) {
-        return (zones == null || zones.contains(engine.zone)) && (kinds == null || kinds.contains(engine.kind));
-    }
+public record TrackTerms(
+    Effect effect,
+    Circle circle,
+    long window,
+    long softLimit,
+    double stretch,
+    long deadline,
+    double value,
+    double lateValue,
+    int width,
+    boolean holdsGroup,
+    boolean waitsForGroup,
+    boolean keepsOrder,
+    List<Integer> zones,
+    List<Integer> kinds) {
+  public boolean allows(Engine engine) {
+    return (zones == null || zones.contains(engine.zone))
+        && (kinds == null || kinds.contains(engine.kind));
+  }
 }
--- a/gateway/src/main/java/tillerlink/net/io/Bounded.java
+++ b/gateway/src/main/java/tillerlink/net/io/Bounded.java
@@ -7,33 +7,36 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
-/** Guards the descriptors: beyond the bound newcomers wait in the backlog until others have been closed. */
+/**
+ * Guards the descriptors: beyond the bound newcomers wait in the backlog until others have been
+ * closed.
+ */
 final class Bounded extends NioSocketAcceptor {
-    private static final long WAIT_MS = 20;
-    private final Semaphore room;
+  private static final long WAIT_MS = 20;
+  private final Semaphore room;
 
-    Bounded(IoProcessor<NioSession> processor, int most) {
-        super(processor);
-        room = new Semaphore(most);
-    }
+  Bounded(IoProcessor<NioSession> processor, int most) {
+    super(processor);
+    room = new Semaphore(most);
+  }
 
-    @Override
-    protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel listening)
-            throws Exception {
-        if (!room.tryAcquire(WAIT_MS, TimeUnit.MILLISECONDS)) {
-            return null;
-        }
-        NioSession session = null;
-        try {
-            session = super.accept(processor, listening);
-        } finally {
-            if (session == null) {
-                room.release();
-            }
-        }
-        if (session != null) {
-            session.getCloseFuture().addListener(closed -> room.release());
-        }
-        return session;
+  @Override
+  protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel listening)
+      throws Exception {
+    if (!room.tryAcquire(WAIT_MS, TimeUnit.MILLISECONDS)) {
+      return null;
+    }
+    NioSession session = null;
+    try {
+      session = super.accept(processor, listening);
+    } finally {
+      if (session == null) {
+        room.release();
+      }
+    }
+    if (session != null) {
+      session.getCloseFuture().addListener(closed -> room.release());
     }
+    return session;
+  }
 }
--- a/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
+++ b/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
@@ -24,344 +24,374 @@
 import tillerlink.net.state.Pipe;
 
 /**
- * Reads and writes by Apache MINA. Its threads only post what came to the queue of the thread that owns the state.
+ * Reads and writes by Apache MINA. Its threads only post what came to the queue of the thread that
+ * owns the state.
  */
 public final class MinaDriver implements Driver, Closeable {
-    private static final int READ_MOST = 8192;
-    /** No datagram is longer; one that is longer than the buffer it is read into would come cut, and be of no use. */
-    private static final int DATAGRAM_MOST = 65_535;
-    private static final int BACKLOG = 256;
-    private static final String PIPE = "pipe";
-    /** Room beyond the bound of clients, for those that are just being accepted or closed. */
-    private static final int NEWCOMERS_LEAST = 8;
-    private static final int NEWCOMERS_SHARE = 10;
-
-    /** Pieces read from a connection and not yet taken; the other events are bounded by what was written. */
-    private static final int UNREAD_MOST = 2;
-
-    /** How long what a peer says is read after we have ended. */
-    private static final long LINGER_NANOS = 1_000_000_000;
-
-    /** A connection on which we have ended and the peer may not have, and how long it may go on. */
-    private record HalfClosed(IoSession session, long until) {
+  private static final int READ_MOST = 8192;
+
+  /**
+   * No datagram is longer; one that is longer than the buffer it is read into would come cut, and
+   * be of no use.
+   */
+  private static final int DATAGRAM_MOST = 65_535;
+
+  private static final int BACKLOG = 256;
+  private static final String PIPE = "pipe";
+
+  /** Room beyond the bound of clients, for those that are just being accepted or closed. */
+  private static final int NEWCOMERS_LEAST = 8;
+
+  private static final int NEWCOMERS_SHARE = 10;
+
+  /**
+   * Pieces read from a connection and not yet taken; the other events are bounded by what was
+   * written.
+   */
+  private static final int UNREAD_MOST = 2;
+
+  /** How long what a peer says is read after we have ended. */
+  private static final long LINGER_NANOS = 1_000_000_000;
+
+  /** A connection on which we have ended and the peer may not have, and how long it may go on. */
+  private record HalfClosed(IoSession session, long until) {}
+
+  private final Queue<HalfClosed> halfClosed = new ConcurrentLinkedQueue<>();
+  private final Queue<Runnable> queue;
+  private final Reading reading;
+  private final Consumer<byte[]> datagrams;
+  private InetSocketAddress nameService;
+  private final NioSocketAcceptor acceptor;
+  private final NioSocketConnector connector;
+  private final NioDatagramConnector asker;
+  private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
+  private IoSession asking;
+
+  /** Asked over before that one; an answer may still come there. */
+  private IoSession askedBefore;
+
+  /** The question that goes out once the way to the name service is there, or null. */
+  private byte[] question;
+
+  private boolean askerDialing;
+
+  /**
+   * @param clock the gateway's, in tenths of a millisecond; for any thread
+   */
+  public MinaDriver(
+      Queue<Runnable> queue,
+      InetSocketAddress nameService,
+      Consumer<byte[]> datagrams,
+      Function<Pipe, Pipe.Owner> accepted,
+      int clientsMost,
+      LongSupplier clock) {
+    this.queue = queue;
+    reading = new Reading(clock);
+    this.nameService = nameService;
+    this.datagrams = datagrams;
+    acceptor =
+        new Bounded(
+            reading, clientsMost + Math.max(NEWCOMERS_LEAST, clientsMost / NEWCOMERS_SHARE));
+    acceptor.setReuseAddress(true);
+    acceptor.setBacklog(BACKLOG);
+    acceptor.getSessionConfig().setTcpNoDelay(true);
+    bound(acceptor.getSessionConfig(), READ_MOST);
+    acceptor.setHandler(new Accepting(accepted));
+    connector = new NioSocketConnector(reading);
+    connector.getSessionConfig().setTcpNoDelay(true);
+    bound(connector.getSessionConfig(), READ_MOST);
+    connector.setHandler(new Posting());
+    asker = new NioDatagramConnector(reading);
+    bound(asker.getSessionConfig(), DATAGRAM_MOST);
+    asker.setHandler(new Asking());
+  }
+
+  private static void bound(IoSessionConfig config, int most) {
+    config.setMaxReadBufferSize(most);
+    config.setReadBufferSize(most);
+    config.setMinReadBufferSize(Math.min(2048, most));
+  }
+
+  public void listen(InetSocketAddress address) throws IOException {
+    try {
+      acceptor.bind(address);
+    } catch (IOException e) {
+      Throwable cause = e.getCause() == null ? e : e.getCause();
+      throw new IOException("cannot listen on " + address + ": " + cause.getMessage(), e);
     }
-
-    private final Queue<HalfClosed> halfClosed = new ConcurrentLinkedQueue<>();
-    private final Queue<Runnable> queue;
-    private final Reading reading;
-    private final Consumer<byte[]> datagrams;
-    private InetSocketAddress nameService;
-    private final NioSocketAcceptor acceptor;
-    private final NioSocketConnector connector;
-    private final NioDatagramConnector asker;
-    private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
-    private IoSession asking;
-    /** Asked over before that one; an answer may still come there. */
-    private IoSession askedBefore;
-    /** The question that goes out once the way to the name service is there, or null. */
-    private byte[] question;
-    private boolean askerDialing;
-
-    /** @param clock the gateway's, in tenths of a millisecond; for any thread */
-    public MinaDriver(Queue<Runnable> queue, InetSocketAddress nameService, Consumer<byte[]> datagrams,
-                      Function<Pipe, Pipe.Owner> accepted, int clientsMost, LongSupplier clock) {
-        this.queue = queue;
-        reading = new Reading(clock);
-        this.nameService = nameService;
-        this.datagrams = datagrams;
-        acceptor = new Bounded(reading, clientsMost + Math.max(NEWCOMERS_LEAST, clientsMost / NEWCOMERS_SHARE));
-        acceptor.setReuseAddress(true);
-        acceptor.setBacklog(BACKLOG);
-        acceptor.getSessionConfig().setTcpNoDelay(true);
-        bound(acceptor.getSessionConfig(), READ_MOST);
-        acceptor.setHandler(new Accepting(accepted));
-        connector = new NioSocketConnector(reading);
-        connector.getSessionConfig().setTcpNoDelay(true);
-        bound(connector.getSessionConfig(), READ_MOST);
-        connector.setHandler(new Posting());
-        asker = new NioDatagramConnector(reading);
-        bound(asker.getSessionConfig(), DATAGRAM_MOST);
-        asker.setHandler(new Asking());
-    }
-
-    private static void bound(IoSessionConfig config, int most) {
-        config.setMaxReadBufferSize(most);
-        config.setReadBufferSize(most);
-        config.setMinReadBufferSize(Math.min(2048, most));
-    }
-
-    public void listen(InetSocketAddress address) throws IOException {
-        try {
-            acceptor.bind(address);
-        } catch (IOException e) {
-            Throwable cause = e.getCause() == null ? e : e.getCause();
-            throw new IOException("cannot listen on " + address + ": " + cause.getMessage(), e);
-        }
-    }
-
-    @Override
-    public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
-        MinaPipe pipe = new MinaPipe();
-        pipe.owner = owner;
-        pending.add(() -> {
-            ConnectFuture future = connector.connect(to, (session, connecting) -> session.setAttribute(PIPE, pipe));
-            pipe.future = future;
-            future.addListener(done -> {
+  }
+
+  @Override
+  public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+    MinaPipe pipe = new MinaPipe();
+    pipe.owner = owner;
+    pending.add(
+        () -> {
+          ConnectFuture future =
+              connector.connect(to, (session, connecting) -> session.setAttribute(PIPE, pipe));
+          pipe.future = future;
+          future.addListener(
+              done -> {
                 if (future.getException() != null) {
-                    queue.add(() -> pipe.owner.ended(Break.REFUSED));
+                  queue.add(() -> pipe.owner.ended(Break.REFUSED));
                 }
-            });
+              });
         });
-        return pipe;
+    return pipe;
+  }
+
+  @Override
+  public void afterReading(Runnable then) {
+    reading.afterPass(() -> queue.add(then));
+  }
+
+  @Override
+  public void ask(byte[] datagram) {
+    if (asking != null && asking.isConnected()) {
+      asking.write(IoBuffer.wrap(datagram));
+    } else {
+      question = datagram;
+      dialNameService();
     }
-
-    @Override
-    public void afterReading(Runnable then) {
-        reading.afterPass(() -> queue.add(then));
+  }
+
+  private void dialNameService() {
+    if (!askerDialing) {
+      InetSocketAddress to = nameService;
+      ConnectFuture dialing = asker.connect(to);
+      askerDialing = true;
+      dialing.addListener(done -> queue.add(() -> dialed((ConnectFuture) done, to)));
     }
-
-    @Override
-    public void ask(byte[] datagram) {
-        if (asking != null && asking.isConnected()) {
-            asking.write(IoBuffer.wrap(datagram));
-        } else {
-            question = datagram;
-            dialNameService();
-        }
+  }
+
+  private void dialed(ConnectFuture future, InetSocketAddress to) {
+    askerDialing = false;
+    if (future.isConnected() && to.equals(nameService)) {
+      asking = future.getSession();
+      asking.write(IoBuffer.wrap(question));
+    } else if (future.isConnected()) {
+      // It moved meanwhile: the question is for where it is now.
+      future.getSession().closeNow();
+      dialNameService();
     }
+  }
 
-    private void dialNameService() {
-        if (!askerDialing) {
-            InetSocketAddress to = nameService;
-            ConnectFuture dialing = asker.connect(to);
-            askerDialing = true;
-            dialing.addListener(done -> queue.add(() -> dialed((ConnectFuture) done, to)));
-        }
+  @Override
+  public void askAfresh() {
+    if (askedBefore != null) {
+      askedBefore.closeNow();
     }
-
-    private void dialed(ConnectFuture future, InetSocketAddress to) {
-        askerDialing = false;
-        if (future.isConnected() && to.equals(nameService)) {
-            asking = future.getSession();
-            asking.write(IoBuffer.wrap(question));
-        } else if (future.isConnected()) {
-            // It moved meanwhile: the question is for where it is now.
-            future.getSession().closeNow();
-            dialNameService();
-        }
+    askedBefore = asking;
+    asking = null;
+  }
+
+  /** From now on the name service is asked at that address; called in a turn. */
+  public void askAt(InetSocketAddress address) {
+    if (!address.equals(nameService)) {
+      askAfresh();
+      askAfresh();
+    }
+    nameService = address;
+  }
+
+  /** Nothing is read or written any more. */
+  @Override
+  public void close() {
+    acceptor.dispose();
+    connector.dispose();
+    asker.dispose();
+    reading.dispose();
+  }
+
+  @Override
+  public void flush() {
+    for (Runnable write = pending.poll(); write != null; write = pending.poll()) {
+      write.run();
     }
+    long now = System.nanoTime();
+    while (!halfClosed.isEmpty() && now - halfClosed.peek().until >= 0) {
+      halfClosed.poll().session.closeNow();
+    }
+  }
+
+  private static byte[] taken(Object message) {
+    IoBuffer buffer = (IoBuffer) message;
+    byte[] bytes = new byte[buffer.remaining()];
+    buffer.get(bytes);
+    return bytes;
+  }
+
+  private final class MinaPipe implements Pipe {
+    private Owner owner;
+    private ConnectFuture future;
+    private final AtomicInteger unread = new AtomicInteger();
+    private volatile IoSession session;
+    private volatile boolean held;
+
+    /** The last that was written, or null. */
+    private WriteFuture last;
 
     @Override
-    public void askAfresh() {
-        if (askedBefore != null) {
-            askedBefore.closeNow();
-        }
-        askedBefore = asking;
-        asking = null;
+    public void write(byte[] bytes) {
+      pending.add(() -> last = session.write(IoBuffer.wrap(bytes)));
     }
 
-    /** From now on the name service is asked at that address; called in a turn. */
-    public void askAt(InetSocketAddress address) {
-        if (!address.equals(nameService)) {
-            askAfresh();
-            askAfresh();
-        }
-        nameService = address;
+    @Override
+    public void writeBefore(byte[] bytes, long before) {
+      pending.add(() -> last = session.write(new TimedWrite(bytes, before)));
     }
 
-    /** Nothing is read or written any more. */
     @Override
     public void close() {
-        acceptor.dispose();
-        connector.dispose();
-        asker.dispose();
-        reading.dispose();
+      pending.add(() -> end(false));
     }
 
     @Override
-    public void flush() {
-        for (Runnable write = pending.poll(); write != null; write = pending.poll()) {
-            write.run();
-        }
-        long now = System.nanoTime();
-        while (!halfClosed.isEmpty() && now - halfClosed.peek().until >= 0) {
-            halfClosed.poll().session.closeNow();
-        }
+    public void drop() {
+      pending.add(() -> end(true));
     }
 
-    private static byte[] taken(Object message) {
-        IoBuffer buffer = (IoBuffer) message;
-        byte[] bytes = new byte[buffer.remaining()];
-        buffer.get(bytes);
-        return bytes;
+    @Override
+    public void hold(boolean on) {
+      held = on;
+      regulate();
     }
 
-    private final class MinaPipe implements Pipe {
-        private Owner owner;
-        private ConnectFuture future;
-        private final AtomicInteger unread = new AtomicInteger();
-        private volatile IoSession session;
-        private volatile boolean held;
-        /** The last that was written, or null. */
-        private WriteFuture last;
-
-        @Override
-        public void write(byte[] bytes) {
-            pending.add(() -> last = session.write(IoBuffer.wrap(bytes)));
-        }
-
-        @Override
-        public void writeBefore(byte[] bytes, long before) {
-            pending.add(() -> last = session.write(new TimedWrite(bytes, before)));
-        }
-
-        @Override
-        public void close() {
-            pending.add(() -> end(false));
-        }
-
-        @Override
-        public void drop() {
-            pending.add(() -> end(true));
-        }
+    /** On MINA's thread: a piece was read. */
+    private void read(byte[] bytes) {
+      unread.incrementAndGet();
+      regulate();
+      queue.add(
+          () -> {
+            if (unread.getAndDecrement() == UNREAD_MOST) {
+              regulate();
+            }
+            owner.fed(bytes);
+          });
+    }
 
-        @Override
-        public void hold(boolean on) {
-            held = on;
-            regulate();
-        }
+    /**
+     * Guards the memory, and the other connections: one of which pieces wait to be taken is not
+     * read further, and none waits for it.
+     */
+    private void regulate() {
+      reading.run(
+          () -> {
+            boolean stop = held || unread.get() >= UNREAD_MOST;
+            if (stop && !session.isReadSuspended()) {
+              session.suspendRead();
+            } else if (!stop && session.isReadSuspended()) {
+              session.resumeRead();
+            }
+          });
+    }
 
-        /** On MINA's thread: a piece was read. */
-        private void read(byte[] bytes) {
-            unread.incrementAndGet();
-            regulate();
-            queue.add(() -> {
-                if (unread.getAndDecrement() == UNREAD_MOST) {
-                    regulate();
-                }
-                owner.fed(bytes);
-            });
+    /**
+     * Unless it is to end now, only what we say ends, once all of it has gone out: closing over
+     * bytes that are still unread would reset the connection and take the last answer with it. What
+     * the peer says is read until it ends as well, for a while.
+     */
+    private void end(boolean now) {
+      if (session != null) {
+        if (now) {
+          session.closeNow();
+        } else if (last == null) {
+          endOutput(session);
+        } else {
+          last.addListener(done -> endOutput(session));
         }
-
-        /**
-         * Guards the memory, and the other connections: one of which pieces wait to be taken is not read further, and
-         * none waits for it.
-         */
-        private void regulate() {
-            reading.run(() -> {
-                boolean stop = held || unread.get() >= UNREAD_MOST;
-                if (stop && !session.isReadSuspended()) {
-                    session.suspendRead();
-                } else if (!stop && session.isReadSuspended()) {
-                    session.resumeRead();
-                }
+      } else if (future != null) {
+        future.cancel();
+        future.addListener(
+            done -> {
+              if (future.isConnected()) {
+                future.getSession().closeNow();
+              }
             });
-        }
-
-        /**
-         * Unless it is to end now, only what we say ends, once all of it has gone out: closing over bytes that are
-         * still unread would reset the connection and take the last answer with it. What the peer says is read until
-         * it ends as well, for a while.
-         */
-        private void end(boolean now) {
-            if (session != null) {
-                if (now) {
-                    session.closeNow();
-                } else if (last == null) {
-                    endOutput(session);
-                } else {
-                    last.addListener(done -> endOutput(session));
-                }
-            } else if (future != null) {
-                future.cancel();
-                future.addListener(done -> {
-                    if (future.isConnected()) {
-                        future.getSession().closeNow();
-                    }
-                });
-            }
-        }
+      }
     }
+  }
 
-    /** On any thread: what was written is out. */
-    private void endOutput(IoSession session) {
-        reading.run(() -> reading.endOutput(session));
-        halfClosed.add(new HalfClosed(session, System.nanoTime() + LINGER_NANOS));
-    }
+  /** On any thread: what was written is out. */
+  private void endOutput(IoSession session) {
+    reading.run(() -> reading.endOutput(session));
+    halfClosed.add(new HalfClosed(session, System.nanoTime() + LINGER_NANOS));
+  }
 
-    /** Posts what happens on a connection. */
-    private class Posting extends IoHandlerAdapter {
-        private static final String CAUSE = "cause";
+  /** Posts what happens on a connection. */
+  private class Posting extends IoHandlerAdapter {
+    private static final String CAUSE = "cause";
 
-        @Override
-        public void sessionOpened(IoSession session) {
-            MinaPipe pipe = pipe(session);
-            pipe.session = session;
-            queue.add(() -> pipe.owner.opened());
-        }
+    @Override
+    public void sessionOpened(IoSession session) {
+      MinaPipe pipe = pipe(session);
+      pipe.session = session;
+      queue.add(() -> pipe.owner.opened());
+    }
 
-        @Override
-        public void messageReceived(IoSession session, Object message) {
-            pipe(session).read(taken(message));
-        }
+    @Override
+    public void messageReceived(IoSession session, Object message) {
+      pipe(session).read(taken(message));
+    }
 
-        @Override
-        public void messageSent(IoSession session, Object message) {
-            MinaPipe pipe = pipe(session);
-            if (!(message instanceof TimedWrite timed)) {
-                queue.add(() -> pipe.owner.written());
-            } else if (timed.withheld()) {
-                queue.add(() -> pipe.owner.withheld());
-            } else {
-                queue.add(() -> pipe.owner.written(timed.firstByteAt()));
-            }
-        }
+    @Override
+    public void messageSent(IoSession session, Object message) {
+      MinaPipe pipe = pipe(session);
+      if (!(message instanceof TimedWrite timed)) {
+        queue.add(() -> pipe.owner.written());
+      } else if (timed.withheld()) {
+        queue.add(() -> pipe.owner.withheld());
+      } else {
+        queue.add(() -> pipe.owner.written(timed.firstByteAt()));
+      }
+    }
 
-        @Override
-        public void exceptionCaught(IoSession session, Throwable cause) {
-            session.setAttribute(CAUSE, cause);
-            session.closeNow();
-        }
+    @Override
+    public void exceptionCaught(IoSession session, Throwable cause) {
+      session.setAttribute(CAUSE, cause);
+      session.closeNow();
+    }
 
-        @Override
-        public void sessionClosed(IoSession session) {
-            MinaPipe pipe = pipe(session);
-            Break how = session.containsAttribute(CAUSE) ? Break.RESET : Break.CLOSED_BY_PEER;
-            queue.add(() -> pipe.owner.ended(how));
-        }
+    @Override
+    public void sessionClosed(IoSession session) {
+      MinaPipe pipe = pipe(session);
+      Break how = session.containsAttribute(CAUSE) ? Break.RESET : Break.CLOSED_BY_PEER;
+      queue.add(() -> pipe.owner.ended(how));
+    }
 
-        MinaPipe pipe(IoSession session) {
-            return (MinaPipe) session.getAttribute(PIPE);
-        }
+    MinaPipe pipe(IoSession session) {
+      return (MinaPipe) session.getAttribute(PIPE);
     }
+  }
 
-    private final class Accepting extends Posting {
-        private final Function<Pipe, Pipe.Owner> accepted;
+  private final class Accepting extends Posting {
+    private final Function<Pipe, Pipe.Owner> accepted;
 
-        Accepting(Function<Pipe, Pipe.Owner> accepted) {
-            this.accepted = accepted;
-        }
+    Accepting(Function<Pipe, Pipe.Owner> accepted) {
+      this.accepted = accepted;
+    }
 
-        @Override
-        public void sessionOpened(IoSession session) {
-            MinaPipe pipe = new MinaPipe();
-            pipe.session = session;
-            session.setAttribute(PIPE, pipe);
-            queue.add(() -> pipe.owner = accepted.apply(pipe));
-        }
+    @Override
+    public void sessionOpened(IoSession session) {
+      MinaPipe pipe = new MinaPipe();
+      pipe.session = session;
+      session.setAttribute(PIPE, pipe);
+      queue.add(() -> pipe.owner = accepted.apply(pipe));
     }
+  }
 
-    private final class Asking extends IoHandlerAdapter {
-        @Override
-        public void messageReceived(IoSession session, Object message) {
-            byte[] bytes = taken(message);
-            queue.add(() -> datagrams.accept(bytes));
-        }
+  private final class Asking extends IoHandlerAdapter {
+    @Override
+    public void messageReceived(IoSession session, Object message) {
+      byte[] bytes = taken(message);
+      queue.add(() -> datagrams.accept(bytes));
+    }
 
-        @Override
-        public void exceptionCaught(IoSession session, Throwable cause) {
-            // A lost question is asked again; a session that can't go on is replaced by the next question.
-            session.closeNow();
-        }
+    @Override
+    public void exceptionCaught(IoSession session, Throwable cause) {
+      // A lost question is asked again; a session that can't go on is replaced by the next
+      // question.
+      session.closeNow();
     }
+  }
 }
--- a/gateway/src/main/java/tillerlink/net/io/Reading.java
+++ b/gateway/src/main/java/tillerlink/net/io/Reading.java
@@ -14,92 +14,104 @@
 import org.apache.mina.transport.socket.nio.NioProcessor;
 import org.apache.mina.transport.socket.nio.NioSession;
 
-/** MINA's thread for reading and writing; what changes whether a connection is read must run on it. */
+/**
+ * MINA's thread for reading and writing; what changes whether a connection is read must run on it.
+ */
 final class Reading extends NioProcessor {
-    private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-    private final Queue<Runnable> passes = new ConcurrentLinkedQueue<>();
-    /** To be called once what is readable now has been read. */
-    private List<Runnable> reading = List.of();
-    private volatile Thread thread;
-    private final LongSupplier clock;
+  private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+  private final Queue<Runnable> passes = new ConcurrentLinkedQueue<>();
 
-    /** @param clock the gateway's, in tenths of a millisecond; for any thread */
-    Reading(LongSupplier clock) {
-        super(Executors.newCachedThreadPool(work -> {
-            Thread thread = new Thread(work, "reading");
-            thread.setDaemon(true);
-            return thread;
-        }));
-        this.clock = clock;
-    }
+  /** To be called once what is readable now has been read. */
+  private List<Runnable> reading = List.of();
 
-    /** The one place where bytes are handed to the system for a connection. */
-    @Override
-    protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
-        if (!(buffer instanceof TimedWrite timed) || timed.begun()) {
-            return super.write(session, buffer, length);
-        }
-        if (!timed.isDue(clock.getAsLong())) {
-            int all = timed.remaining();
-            timed.withhold();
-            return all;
-        }
-        int written = super.write(session, buffer, length);
-        if (written > 0) {
-            timed.began(clock.getAsLong());
-        }
-        return written;
-    }
+  private volatile Thread thread;
+  private final LongSupplier clock;
 
-    void run(Runnable task) {
-        if (Thread.currentThread() == thread) {
-            task.run();
-        } else {
-            tasks.add(task);
-            wakeup();
-        }
+  /**
+   * @param clock the gateway's, in tenths of a millisecond; for any thread
+   */
+  Reading(LongSupplier clock) {
+    super(
+        Executors.newCachedThreadPool(
+            work -> {
+              Thread thread = new Thread(work, "reading");
+              thread.setDaemon(true);
+              return thread;
+            }));
+    this.clock = clock;
+  }
+
+  /** The one place where bytes are handed to the system for a connection. */
+  @Override
+  protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
+    if (!(buffer instanceof TimedWrite timed) || timed.begun()) {
+      return super.write(session, buffer, length);
+    }
+    if (!timed.isDue(clock.getAsLong())) {
+      int all = timed.remaining();
+      timed.withhold();
+      return all;
     }
+    int written = super.write(session, buffer, length);
+    if (written > 0) {
+      timed.began(clock.getAsLong());
+    }
+    return written;
+  }
 
-    /** Calls back on this thread, once a piece of everything that is readable by now has been read and posted. */
-    void afterPass(Runnable then) {
-        passes.add(then);
-        wakeup();
+  void run(Runnable task) {
+    if (Thread.currentThread() == thread) {
+      task.run();
+    } else {
+      tasks.add(task);
+      wakeup();
     }
+  }
+
+  /**
+   * Calls back on this thread, once a piece of everything that is readable by now has been read and
+   * posted.
+   */
+  void afterPass(Runnable then) {
+    passes.add(then);
+    wakeup();
+  }
 
-    /** Ends what we say on a connection and leaves what its peer says to be read; on this thread. */
-    void endOutput(IoSession session) {
-        for (SelectionKey key : selector.keys()) {
-            if (key.attachment() == session && key.isValid()) {
-                try {
-                    ((SocketChannel) key.channel()).shutdownOutput();
-                } catch (IOException e) {
-                    session.closeNow();
-                }
-                return;
-            }
+  /** Ends what we say on a connection and leaves what its peer says to be read; on this thread. */
+  void endOutput(IoSession session) {
+    for (SelectionKey key : selector.keys()) {
+      if (key.attachment() == session && key.isValid()) {
+        try {
+          ((SocketChannel) key.channel()).shutdownOutput();
+        } catch (IOException e) {
+          session.closeNow();
         }
-        session.closeNow();
+        return;
+      }
     }
+    session.closeNow();
+  }
 
-    @Override
-    protected int select(long timeout) throws Exception {
-        thread = Thread.currentThread();
-        for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
-            task.run();
-        }
-        // All that the last selection found has been read.
-        reading.forEach(Runnable::run);
-        reading = List.of();
-        if (passes.isEmpty()) {
-            return super.select(timeout);
-        }
-        reading = new ArrayList<>();
-        for (Runnable pass = passes.poll(); pass != null; pass = passes.poll()) {
-            reading.add(pass);
-        }
-        int selected = selector.selectNow();
-        // MINA takes a selection that finds nothing at once for a fault of the selector, unless it was woken.
-        wakeupCalled.set(true);
-        return selected;
+  @Override
+  protected int select(long timeout) throws Exception {
+    thread = Thread.currentThread();
+    for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
+      task.run();
+    }
+    // All that the last selection found has been read.
+    reading.forEach(Runnable::run);
+    reading = List.of();
+    if (passes.isEmpty()) {
+      return super.select(timeout);
+    }
+    reading = new ArrayList<>();
+    for (Runnable pass = passes.poll(); pass != null; pass = passes.poll()) {
+      reading.add(pass);
     }
+    int selected = selector.selectNow();
+    // MINA takes a selection that finds nothing at once for a fault of the selector, unless it was
+    // woken.
+    wakeupCalled.set(true);
+    return selected;
+  }
 }
--- a/gateway/src/main/java/tillerlink/net/io/TimedWrite.java
+++ b/gateway/src/main/java/tillerlink/net/io/TimedWrite.java
@@ -4,51 +4,53 @@
 import org.apache.mina.core.buffer.IoBufferWrapper;
 
 /**
- * Bytes of which the first must go out before a moment, or none at all: the thread that writes looks at the clock right
- * before it hands them to the system, for a full socket or a pause of the process may lie before that.
+ * Bytes of which the first must go out before a moment, or none at all: the thread that writes
+ * looks at the clock right before it hands them to the system, for a full socket or a pause of the
+ * process may lie before that.
  */
 final class TimedWrite extends IoBufferWrapper {
-    private final long before;
-    private volatile long firstByteAt;
-    private volatile boolean withheld;
-
-    TimedWrite(byte[] bytes, long before) {
-        super(IoBuffer.wrap(bytes));
-        this.before = before;
-    }
-
-    /**
-     * MINA writes a duplicate of what it is given; of this one nothing is read again, and the state has to be shared.
-     */
-    @Override
-    public IoBuffer duplicate() {
-        return this;
-    }
-
-    /** Whether its first byte has gone out. */
-    boolean begun() {
-        return firstByteAt != 0;
-    }
-
-    boolean isDue(long now) {
-        return now < before;
-    }
-
-    void began(long now) {
-        firstByteAt = now;
-    }
-
-    /** None of it goes out; for MINA it is written. */
-    void withhold() {
-        withheld = true;
-        position(limit());
-    }
-
-    boolean withheld() {
-        return withheld;
-    }
-
-    long firstByteAt() {
-        return firstByteAt;
-    }
+  private final long before;
+  private volatile long firstByteAt;
+  private volatile boolean withheld;
+
+  TimedWrite(byte[] bytes, long before) {
+    super(IoBuffer.wrap(bytes));
+    this.before = before;
+  }
+
+  /**
+   * MINA writes a duplicate of what it is given; of this one nothing is read again, and the state
+   * has to be shared.
+   */
+  @Override
+  public IoBuffer duplicate() {
+    return this;
+  }
+
+  /** Whether its first byte has gone out. */
+  boolean begun() {
+    return firstByteAt != 0;
+  }
+
+  boolean isDue(long now) {
+    return now < before;
+  }
+
+  void began(long now) {
+    firstByteAt = now;
+  }
+
+  /** None of it goes out; for MINA it is written. */
+  void withhold() {
+    withheld = true;
+    position(limit());
+  }
+
+  boolean withheld() {
+    return withheld;
+  }
+
+  long firstByteAt() {
+    return firstByteAt;
+  }
 }
--- a/gateway/src/main/java/tillerlink/net/life/Shutdown.java
+++ b/gateway/src/main/java/tillerlink/net/life/Shutdown.java
@@ -4,65 +4,76 @@
 import tillerlink.plain.Units;
 
 /**
- * The end of a gateway that was told to end. It first goes on serving, for its clients hear of it late. Then it takes
- * nothing further: what comes is refused, connections at rest end, and those that wait end with their answers. Time is
- * kept for the last answers to go out, and for clients to end their side: a process that goes with bytes unread resets
- * their connections.
+ * The end of a gateway that was told to end. It first goes on serving, for its clients hear of it
+ * late. Then it takes nothing further: what comes is refused, connections at rest end, and those
+ * that wait end with their answers. Time is kept for the last answers to go out, and for clients to
+ * end their side: a process that goes with bytes unread resets their connections.
  */
 final class Shutdown {
-    /** Clients may go on coming for this long. */
-    private static final long STILL_COMING = 700 * Units.TENTHS_PER_MS;
-    /** The process is killed no sooner than the longest deadline after that, which counts as this at most. */
-    private static final long LONGEST = 3000 * Units.TENTHS_PER_MS;
-    /** What is kept of that time for the last answers to be called for and to go out. */
-    private static final long MARGIN = 350 * Units.TENTHS_PER_MS;
-    /** How long clients may take to end their side, once all is answered; and what of the margin is never used. */
-    private static final long PARTING = 200 * Units.TENTHS_PER_MS;
-    private static final long SPARE = 150 * Units.TENTHS_PER_MS;
+  /** Clients may go on coming for this long. */
+  private static final long STILL_COMING = 700 * Units.TENTHS_PER_MS;
 
-    private final Gateway gateway;
-    private long since = Long.MAX_VALUE;
-    private long answeredAt = Long.MAX_VALUE;
-    private boolean closed;
-    private boolean timeUp;
+  /**
+   * The process is killed no sooner than the longest deadline after that, which counts as this at
+   * most.
+   */
+  private static final long LONGEST = 3000 * Units.TENTHS_PER_MS;
 
-    Shutdown(Gateway gateway) {
-        this.gateway = gateway;
-    }
+  /** What is kept of that time for the last answers to be called for and to go out. */
+  private static final long MARGIN = 350 * Units.TENTHS_PER_MS;
 
-    /** The process was told to end; told again, nothing changes. */
-    void begin(long now) {
-        if (since == Long.MAX_VALUE) {
-            since = now;
-            gateway.drain();
-        }
-    }
+  /**
+   * How long clients may take to end their side, once all is answered; and what of the margin is
+   * never used.
+   */
+  private static final long PARTING = 200 * Units.TENTHS_PER_MS;
+
+  private static final long SPARE = 150 * Units.TENTHS_PER_MS;
+
+  private final Gateway gateway;
+  private long since = Long.MAX_VALUE;
+  private long answeredAt = Long.MAX_VALUE;
+  private boolean closed;
+  private boolean timeUp;
+
+  Shutdown(Gateway gateway) {
+    this.gateway = gateway;
+  }
 
-    /** Between turns: does what is due, and tells whether the process may go. */
-    boolean done(long now) {
-        if (since == Long.MAX_VALUE || now < since + STILL_COMING) {
-            return false;
-        }
-        long killedAt = since + STILL_COMING + Math.min(LONGEST, gateway.longestDeadline());
-        if (!closed) {
-            closed = true;
-            turn(now, gateway::close);
-        }
-        if (!timeUp && now >= killedAt - MARGIN) {
-            timeUp = true;
-            turn(now, gateway::endAll);
-        }
-        if (gateway.allAnswered()) {
-            answeredAt = Math.min(answeredAt, now);
-        } else {
-            answeredAt = Long.MAX_VALUE;
-        }
-        return answeredAt <= now && (gateway.deserted() || now >= answeredAt + PARTING) || now >= killedAt - SPARE;
+  /** The process was told to end; told again, nothing changes. */
+  void begin(long now) {
+    if (since == Long.MAX_VALUE) {
+      since = now;
+      gateway.drain();
     }
+  }
 
-    private void turn(long now, Runnable what) {
-        gateway.begin(now);
-        what.run();
-        gateway.settle();
+  /** Between turns: does what is due, and tells whether the process may go. */
+  boolean done(long now) {
+    if (since == Long.MAX_VALUE || now < since + STILL_COMING) {
+      return false;
     }
+    long killedAt = since + STILL_COMING + Math.min(LONGEST, gateway.longestDeadline());
+    if (!closed) {
+      closed = true;
+      turn(now, gateway::close);
+    }
+    if (!timeUp && now >= killedAt - MARGIN) {
+      timeUp = true;
+      turn(now, gateway::endAll);
+    }
+    if (gateway.allAnswered()) {
+      answeredAt = Math.min(answeredAt, now);
+    } else {
+      answeredAt = Long.MAX_VALUE;
+    }
+    return answeredAt <= now && (gateway.deserted() || now >= answeredAt + PARTING)
+        || now >= killedAt - SPARE;
+  }
+
+  private void turn(long now, Runnable what) {
+    gateway.begin(now);
+    what.run();
+    gateway.settle();
+  }
 }
