--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -7,96 +7,102 @@
 import tillerlink.model.TrackTerms;
 
 /**
- * The one guard in front of every attempt. It is asked when an engine is chosen and again right before the
- * bytes are handed to a connection, since a dial, a turn or a pause of the process may lie between the two.
+ * The one guard in front of every attempt. It is asked when an engine is chosen and again right
+ * before the bytes are handed to a connection, since a dial, a turn or a pause of the process may
+ * lie between the two.
  */
 public final class SendGuard {
-    /**
-     * How long after it was allowed an attempt may still be written: for longer, what it was allowed by may
-     * have changed unseen.
-     */
-    public static final long WRITE_WITHIN = 1_000;
+  /**
+   * How long after it was allowed an attempt may still be written: for longer, what it was allowed
+   * by may have changed unseen.
+   */
+  public static final long WRITE_WITHIN = 1_000;
 
-    private final long tick;
-    private long listUsableUntil = Long.MAX_VALUE;
+  private final long tick;
+  private long listUsableUntil = Long.MAX_VALUE;
 
-    /** @param tick the resolution of the settings' times */
-    public SendGuard(long tick) {
-        this.tick = tick;
-    }
+  /**
+   * @param tick the resolution of the settings' times
+   */
+  public SendGuard(long tick) {
+    this.tick = tick;
+  }
 
-    /** The list of engines may be used for new attempts before that moment. */
-    public void listUsableUntil(long until) {
-        listUsableUntil = until;
-    }
+  /** The list of engines may be used for new attempts before that moment. */
+  public void listUsableUntil(long until) {
+    listUsableUntil = until;
+  }
 
-    /**
-     * Whether a request may be sent to an engine once the list is confirmed: its state, placement and
-     * repeats.
-     */
-    public SendVerdict mayGoTo(long now, Submission submission, Engine engine) {
-        return mayGoTo(now, submission, engine, null);
-    }
+  /**
+   * Whether a request may be sent to an engine once the list is confirmed: its state, placement and
+   * repeats.
+   */
+  public SendVerdict mayGoTo(long now, Submission submission, Engine engine) {
+    return mayGoTo(now, submission, engine, null);
+  }
 
-    /** Whether a request may be sent to an engine now. */
-    public SendVerdict mayPlace(long now, Submission submission, Engine engine) {
-        return now < listUsableUntil ? mayGoTo(now, submission, engine) : SendVerdict.LIST_UNCONFIRMED;
-    }
+  /** Whether a request may be sent to an engine now. */
+  public SendVerdict mayPlace(long now, Submission submission, Engine engine) {
+    return now < listUsableUntil ? mayGoTo(now, submission, engine) : SendVerdict.LIST_UNCONFIRMED;
+  }
 
-    /** Whether an attempt that was placed may be written now. */
-    public SendVerdict mayWrite(long now, Hop hop) {
-        Submission submission = hop.submission;
-        if (submission.ending != null) {
-            return SendVerdict.REQUEST_ENDED;
-        }
-        if (submission.unattended) {
-            return SendVerdict.CLIENT_GONE;
-        }
-        if (hop.wantedOff) {
-            return SendVerdict.CALLED_OFF;
-        }
-        if (now >= submission.leavesAt) {
-            return SendVerdict.NO_TIME_LEFT;
-        }
-        if (now >= listUsableUntil) {
-            return SendVerdict.LIST_UNCONFIRMED;
-        }
-        if (submission.ordered() && submission.line.head() != submission) {
-            return SendVerdict.ORDER;
-        }
-        return mayGoTo(now, submission, hop.engine, hop);
+  /** Whether an attempt that was placed may be written now. */
+  public SendVerdict mayWrite(long now, Hop hop) {
+    Submission submission = hop.submission;
+    if (submission.ending != null) {
+      return SendVerdict.REQUEST_ENDED;
     }
-
-    /** The last moment at which the first byte of an attempt may go out that is allowed now. */
-    public long writeBefore(long now, Hop hop) {
-        return Math.min(now + WRITE_WITHIN, Math.min(listUsableUntil, hop.submission.leavesAt));
+    if (submission.unattended) {
+      return SendVerdict.CLIENT_GONE;
+    }
+    if (hop.wantedOff) {
+      return SendVerdict.CALLED_OFF;
     }
+    if (now >= submission.leavesAt) {
+      return SendVerdict.NO_TIME_LEFT;
+    }
+    if (now >= listUsableUntil) {
+      return SendVerdict.LIST_UNCONFIRMED;
+    }
+    if (submission.ordered() && submission.line.head() != submission) {
+      return SendVerdict.ORDER;
+    }
+    return mayGoTo(now, submission, hop.engine, hop);
+  }
 
-    /** @param next the attempt that is about to begin there, or null if it has yet to be placed */
-    private SendVerdict mayGoTo(long now, Submission submission, Engine engine, Hop next) {
-        if (engine.standing != Engine.Standing.READY) {
-            return SendVerdict.ENGINE_NOT_READY;
-        }
-        if (!submission.track.terms.allows(engine)) {
-            return SendVerdict.PLACEMENT;
-        }
-        return repeatAllowed(now, submission, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
+  /** The last moment at which the first byte of an attempt may go out that is allowed now. */
+  public long writeBefore(long now, Hop hop) {
+    return Math.min(now + WRITE_WITHIN, Math.min(listUsableUntil, hop.submission.leavesAt));
+  }
+
+  /**
+   * @param next the attempt that is about to begin there, or null if it has yet to be placed
+   */
+  private SendVerdict mayGoTo(long now, Submission submission, Engine engine, Hop next) {
+    if (engine.standing != Engine.Standing.READY) {
+      return SendVerdict.ENGINE_NOT_READY;
+    }
+    if (!submission.track.terms.allows(engine)) {
+      return SendVerdict.PLACEMENT;
     }
+    return repeatAllowed(now, submission, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
+  }
 
-    private boolean repeatAllowed(long now, Submission submission, Engine engine, Hop next) {
-        TrackTerms terms = submission.track.terms;
-        if (submission.hops.isEmpty() || terms.effect() == Effect.PURE) {
-            return true;
-        }
-        for (Hop hop : submission.hops) {
-            if (hop == next || !hop.mayHaveRun()) {
-                continue;
-            }
-            if (terms.effect() == Effect.EFFECTFUL || !terms.circle().joins(hop.engine, engine)
-                    || now + tick >= hop.sentAt + terms.window()) {
-                return false;
-            }
-        }
-        return true;
+  private boolean repeatAllowed(long now, Submission submission, Engine engine, Hop next) {
+    TrackTerms terms = submission.track.terms;
+    if (submission.hops.isEmpty() || terms.effect() == Effect.PURE) {
+      return true;
+    }
+    for (Hop hop : submission.hops) {
+      if (hop == next || !hop.mayHaveRun()) {
+        continue;
+      }
+      if (terms.effect() == Effect.EFFECTFUL
+          || !terms.circle().joins(hop.engine, engine)
+          || now + tick >= hop.sentAt + terms.window()) {
+        return false;
+      }
     }
+    return true;
+  }
 }
--- a/gateway/src/main/java/tillerlink/port/Steering.java
+++ b/gateway/src/main/java/tillerlink/port/Steering.java
@@ -10,73 +10,83 @@
 import tillerlink.policy.SendVerdict;
 
 /**
- * What happens to one gateway, told to the module in the order in which it happened. Times are tenths of a
- * millisecond. After the last of the events of one moment, {@link #settle} is called once; only then does the
- * module give {@link Orders}. A report is a row of numbers in the order of the setting {@code report.fields},
- * or null.
+ * What happens to one gateway, told to the module in the order in which it happened. Times are
+ * tenths of a millisecond. After the last of the events of one moment, {@link #settle} is called
+ * once; only then does the module give {@link Orders}. A report is a row of numbers in the order of
+ * the setting {@code report.fields}, or null.
  */
 public interface Steering {
-    /** The list of engines changed; {@code whole} means that engines not in it are gone. */
-    void listed(long now, boolean whole, List<Listed> entries);
-
-    /** Nothing is known of any engine, or what is known is too old to trust; or that is over. */
-    void blind(long now, boolean on);
-
-    /**
-     * How far the list may be trusted, told before it changes anything.
-     *
-     * @param usableUntil new attempts may be written before that moment; in the past if none may
-     */
-    default void listState(long now, ListState state, long usableUntil) {
-        // Where lists are pushed, the last one holds.
-    }
-
-    /** A call to the engine list failed, or the subscription broke. */
-    void listFailed(long now);
-
-    void arrived(long now, Submission submission);
-
-    /** The answer began to reach the client. */
-    void begun(long now, Hop hop);
-
-    void noted(long now, Hop hop, Note note, double level);
-
-    /**
-     * A hop ended.
-     *
-     * @param answered the client has its final answer
-     * @param work     true work in tenths of a millisecond, 0 if not told
-     * @param memory   memory that was needed in MB, 0 if not told
-     */
-    void ended(long now, Hop hop, Outcome outcome, long lag, boolean answered, double work, double memory,
-               double[] report);
-
-    /** The client went; nothing is owed any more. */
-    void left(long now, Submission submission);
-
-    /** Nobody waits for the answer, though the client may call for it again; or it has. */
-    default void unattended(long now, Submission submission, boolean on) {
-        // Where clients wait on no connection there is nothing to hear.
-    }
-
-    /**
-     * Asked right before a hop is written, for that may be long after it was ordered. Unless it is allowed, it ends as
-     * one that was never sent.
-     */
-    default SendVerdict mayWrite(long now, Hop hop) {
-        return hop.submission.ending == null ? SendVerdict.ALLOWED : SendVerdict.REQUEST_ENDED;
-    }
-
-    /** Until when the first byte of a hop may go out that may be written now; later it must not go out at all. */
-    default long writeBefore(long now, Hop hop) {
-        return hop.submission.leavesAt;
-    }
-
-    /** The gateway ends and can't wait for it any longer: it gets its final answer now. */
-    void outOfTime(long now, Submission submission);
-
-    /** A time asked for by {@link Orders#wake} has come. */
-    void woken(long now);
-
-    void settle(long now);
+  /** The list of engines changed; {@code whole} means that engines not in it are gone. */
+  void listed(long now, boolean whole, List<Listed> entries);
+
+  /** Nothing is known of any engine, or what is known is too old to trust; or that is over. */
+  void blind(long now, boolean on);
+
+  /**
+   * How far the list may be trusted, told before it changes anything.
+   *
+   * @param usableUntil new attempts may be written before that moment; in the past if none may
+   */
+  default void listState(long now, ListState state, long usableUntil) {
+    // Where lists are pushed, the last one holds.
+  }
+
+  /** A call to the engine list failed, or the subscription broke. */
+  void listFailed(long now);
+
+  void arrived(long now, Submission submission);
+
+  /** The answer began to reach the client. */
+  void begun(long now, Hop hop);
+
+  void noted(long now, Hop hop, Note note, double level);
+
+  /**
+   * A hop ended.
+   *
+   * @param answered the client has its final answer
+   * @param work true work in tenths of a millisecond, 0 if not told
+   * @param memory memory that was needed in MB, 0 if not told
+   */
+  void ended(
+      long now,
+      Hop hop,
+      Outcome outcome,
+      long lag,
+      boolean answered,
+      double work,
+      double memory,
+      double[] report);
+
+  /** The client went; nothing is owed any more. */
+  void left(long now, Submission submission);
+
+  /** Nobody waits for the answer, though the client may call for it again; or it has. */
+  default void unattended(long now, Submission submission, boolean on) {
+    // Where clients wait on no connection there is nothing to hear.
+  }
+
+  /**
+   * Asked right before a hop is written, for that may be long after it was ordered. Unless it is
+   * allowed, it ends as one that was never sent.
+   */
+  default SendVerdict mayWrite(long now, Hop hop) {
+    return hop.submission.ending == null ? SendVerdict.ALLOWED : SendVerdict.REQUEST_ENDED;
+  }
+
+  /**
+   * Until when the first byte of a hop may go out that may be written now; later it must not go out
+   * at all.
+   */
+  default long writeBefore(long now, Hop hop) {
+    return hop.submission.leavesAt;
+  }
+
+  /** The gateway ends and can't wait for it any longer: it gets its final answer now. */
+  void outOfTime(long now, Submission submission);
+
+  /** A time asked for by {@link Orders#wake} has come. */
+  void woken(long now);
+
+  void settle(long now);
 }
--- a/gateway/src/main/java/tillerlink/telemetry/Counter.java
+++ b/gateway/src/main/java/tillerlink/telemetry/Counter.java
@@ -2,36 +2,43 @@
 
 /** What a gateway counts, by the names and help texts under which monitoring reads it. */
 public enum Counter {
-    REQUESTS_TAKEN("requests_taken_total", "Requests accepted from clients."),
-    REQUESTS_ANSWERED("requests_answered_total", "Requests whose result was made ready for the client."),
-    REQUESTS_REFUSED("requests_refused_total", "Requests refused, by reason."),
-    REQUESTS_FAILED("requests_failed_total", "Requests failed, by reason."),
-    REQUESTS_ABANDONED("requests_abandoned_total", "Requests whose client cancelled or left before the answer."),
-    ATTEMPTS_ORDERED("attempts_ordered_total", "Attempts that the policy ordered."),
-    ATTEMPTS_REPEATED("attempts_repeated_total", "Attempts after a request's first."),
-    ATTEMPTS_WRITTEN("attempts_written_total", "Attempts written to a connection."),
-    ATTEMPTS_WITHHELD("attempts_withheld_total", "Attempts not written, by the reason of the guard."),
-    ATTEMPTS_ENDED("attempts_ended_total", "Attempts that ended, by outcome."),
-    CLIENT_CONNECTIONS_ENDED("client_connections_ended_total", "Client connections that ended, by cause."),
-    ENGINE_CONNECTIONS_ENDED("engine_connections_ended_total", "Engine connections that ended, by cause."),
-    DISCOVERY_QUESTIONS("discovery_questions_total", "Questions sent to the name service."),
-    DISCOVERY_ANSWERS("discovery_answers_total", "Usable answers of the name service."),
-    DISCOVERY_UNUSABLE_ANSWERS("discovery_unusable_answers_total", "Datagrams of the name service that were dropped."),
-    DISCOVERY_SOCKETS_REPLACED("discovery_sockets_replaced_total",
-            "Times the socket to the name service was replaced."),
-    PAUSES("process_pauses_total", "Times the process stood still for over 0.1 s."),
-    INVARIANT_VIOLATIONS("invariant_violations_total",
-            "Writes and answers that broke a rule, by rule; expected to stay 0.");
+  REQUESTS_TAKEN("requests_taken_total", "Requests accepted from clients."),
+  REQUESTS_ANSWERED(
+      "requests_answered_total", "Requests whose result was made ready for the client."),
+  REQUESTS_REFUSED("requests_refused_total", "Requests refused, by reason."),
+  REQUESTS_FAILED("requests_failed_total", "Requests failed, by reason."),
+  REQUESTS_ABANDONED(
+      "requests_abandoned_total", "Requests whose client cancelled or left before the answer."),
+  ATTEMPTS_ORDERED("attempts_ordered_total", "Attempts that the policy ordered."),
+  ATTEMPTS_REPEATED("attempts_repeated_total", "Attempts after a request's first."),
+  ATTEMPTS_WRITTEN("attempts_written_total", "Attempts written to a connection."),
+  ATTEMPTS_WITHHELD("attempts_withheld_total", "Attempts not written, by the reason of the guard."),
+  ATTEMPTS_ENDED("attempts_ended_total", "Attempts that ended, by outcome."),
+  CLIENT_CONNECTIONS_ENDED(
+      "client_connections_ended_total", "Client connections that ended, by cause."),
+  ENGINE_CONNECTIONS_ENDED(
+      "engine_connections_ended_total", "Engine connections that ended, by cause."),
+  DISCOVERY_QUESTIONS("discovery_questions_total", "Questions sent to the name service."),
+  DISCOVERY_ANSWERS("discovery_answers_total", "Usable answers of the name service."),
+  DISCOVERY_UNUSABLE_ANSWERS(
+      "discovery_unusable_answers_total", "Datagrams of the name service that were dropped."),
+  DISCOVERY_SOCKETS_REPLACED(
+      "discovery_sockets_replaced_total", "Times the socket to the name service was replaced."),
+  PAUSES("process_pauses_total", "Times the process stood still for over 0.1 s."),
+  INVARIANT_VIOLATIONS(
+      "invariant_violations_total",
+      "Writes and answers that broke a rule, by rule; expected to stay 0.");
 
-    private static final String PREFIX = "tillerlink_";
+  private static final String PREFIX = "tillerlink_";
 
-    /** The name in the exposition. */
-    public final String exposedName;
-    /** One sentence on what is counted. */
-    public final String help;
+  /** The name in the exposition. */
+  public final String exposedName;
 
-    Counter(String name, String help) {
-        this.exposedName = PREFIX + name;
-        this.help = help;
-    }
+  /** One sentence on what is counted. */
+  public final String help;
+
+  Counter(String name, String help) {
+    this.exposedName = PREFIX + name;
+    this.help = help;
+  }
 }
--- a/gateway/src/main/java/tillerlink/telemetry/Metrics.java
+++ b/gateway/src/main/java/tillerlink/telemetry/Metrics.java
@@ -8,68 +8,73 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counters and gauges of one gateway, exposed in the Prometheus text format. Owned by the thread that owns the state.
- * Labels come from enums of the program alone, so the number of series is bounded.
+ * Counters and gauges of one gateway, exposed in the Prometheus text format. Owned by the thread
+ * that owns the state. Labels come from enums of the program alone, so the number of series is
+ * bounded.
  */
 public final class Metrics {
-    private static final String UNLABELLED = "";
-    private static final String GAUGE_PREFIX = "tillerlink_";
+  private static final String UNLABELLED = "";
+  private static final String GAUGE_PREFIX = "tillerlink_";
 
-    /** A value that is read when it is exposed. */
-    private record Gauge(String help, LongSupplier value) {
-    }
+  /** A value that is read when it is exposed. */
+  private record Gauge(String help, LongSupplier value) {}
 
-    private final Map<Counter, Map<String, Long>> counts = new EnumMap<>(Counter.class);
-    private final Map<String, Gauge> gauges = new LinkedHashMap<>();
+  private final Map<Counter, Map<String, Long>> counts = new EnumMap<>(Counter.class);
+  private final Map<String, Gauge> gauges = new LinkedHashMap<>();
 
-    public void add(Counter counter) {
-        add(counter, UNLABELLED);
-    }
+  public void add(Counter counter) {
+    add(counter, UNLABELLED);
+  }
 
-    /** Counts one of a kind; the kind is exposed as the label {@code reason} in lower case. */
-    public void add(Counter counter, Enum<?> reason) {
-        add(counter, reason.name().toLowerCase(Locale.ROOT));
-    }
+  /** Counts one of a kind; the kind is exposed as the label {@code reason} in lower case. */
+  public void add(Counter counter, Enum<?> reason) {
+    add(counter, reason.name().toLowerCase(Locale.ROOT));
+  }
 
-    private void add(Counter counter, String label) {
-        counts.computeIfAbsent(counter, key -> new TreeMap<>()).merge(label, 1L, Long::sum);
-    }
+  private void add(Counter counter, String label) {
+    counts.computeIfAbsent(counter, key -> new TreeMap<>()).merge(label, 1L, Long::sum);
+  }
 
-    /** The sum over all reasons. */
-    public long total(Counter counter) {
-        return counts.getOrDefault(counter, Map.of()).values().stream().mapToLong(Long::longValue).sum();
-    }
+  /** The sum over all reasons. */
+  public long total(Counter counter) {
+    return counts.getOrDefault(counter, Map.of()).values().stream()
+        .mapToLong(Long::longValue)
+        .sum();
+  }
 
-    /** @param name without the program's prefix, in snake case and with its unit */
-    public void gauge(String name, String help, LongSupplier value) {
-        gauges.put(GAUGE_PREFIX + name, new Gauge(help, value));
-    }
+  /**
+   * @param name without the program's prefix, in snake case and with its unit
+   */
+  public void gauge(String name, String help, LongSupplier value) {
+    gauges.put(GAUGE_PREFIX + name, new Gauge(help, value));
+  }
 
-    /** All of it as Prometheus text. */
-    public String exposition() {
-        StringBuilder text = new StringBuilder(4096);
-        for (Counter counter : Counter.values()) {
-            header(text, counter.exposedName, counter.help, "counter");
-            Map<String, Long> byLabel = counts.getOrDefault(counter, Map.of(UNLABELLED, 0L));
-            byLabel.forEach((label, value) -> sample(text, counter.exposedName, label, value));
-        }
-        gauges.forEach((name, gauge) -> {
-            header(text, name, gauge.help, "gauge");
-            sample(text, name, UNLABELLED, gauge.value.getAsLong());
-        });
-        return text.toString();
+  /** All of it as Prometheus text. */
+  public String exposition() {
+    StringBuilder text = new StringBuilder(4096);
+    for (Counter counter : Counter.values()) {
+      header(text, counter.exposedName, counter.help, "counter");
+      Map<String, Long> byLabel = counts.getOrDefault(counter, Map.of(UNLABELLED, 0L));
+      byLabel.forEach((label, value) -> sample(text, counter.exposedName, label, value));
     }
+    gauges.forEach(
+        (name, gauge) -> {
+          header(text, name, gauge.help, "gauge");
+          sample(text, name, UNLABELLED, gauge.value.getAsLong());
+        });
+    return text.toString();
+  }
 
-    private static void header(StringBuilder text, String name, String help, String type) {
-        text.append("# HELP ").append(name).append(' ').append(help).append('\n');
-        text.append("# TYPE ").append(name).append(' ').append(type).append('\n');
-    }
+  private static void header(StringBuilder text, String name, String help, String type) {
+    text.append("# HELP ").append(name).append(' ').append(help).append('\n');
+    text.append("# TYPE ").append(name).append(' ').append(type).append('\n');
+  }
 
-    private static void sample(StringBuilder text, String name, String label, long value) {
-        text.append(name);
-        if (!label.equals(UNLABELLED)) {
-            text.append("{reason=\"").append(label).append("\"}");
-        }
-        text.append(' ').append(value).append('\n');
+  private static void sample(StringBuilder text, String name, String label, long value) {
+    text.append(name);
+    if (!label.equals(UNLABELLED)) {
+      text.append("{reason=\"").append(label).append("\"}");
     }
+    text.append(' ').append(value).append('\n');
+  }
 }
--- a/gateway/src/main/java/tillerlink/wirehost/Instance.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Instance.java
@@ -22,214 +22,253 @@
 
 /** One gateway's door: ids become objects on the way in, objects ids on the way out. */
 final class Instance implements Orders {
-    private static final int MODE_FAILED = 0;
-    private static final int MODE_CACHED = 1;
-    private static final int MODE_FULL = 3;
-
-    private final int number;
-    private final JsonGenerator actions;
-    private final Map<String, Engine> engines = new HashMap<>();
-    private final Map<String, Submission> submissions = new HashMap<>();
-    private final Map<String, KeyLine> lines = new HashMap<>();
-    private final Steering steering;
-
-    Instance(int number, long now, long seed, Map<String, Object> settings, SteeringFactory factory,
-             JsonGenerator actions) {
-        this.number = number;
-        this.actions = actions;
-        steering = factory.start(now, seed, PlainNames.of(settings), this);
-    }
+  private static final int MODE_FAILED = 0;
+  private static final int MODE_CACHED = 1;
+  private static final int MODE_FULL = 3;
 
-    Steering steering() {
-        return steering;
-    }
+  private final int number;
+  private final JsonGenerator actions;
+  private final Map<String, Engine> engines = new HashMap<>();
+  private final Map<String, Submission> submissions = new HashMap<>();
+  private final Map<String, KeyLine> lines = new HashMap<>();
+  private final Steering steering;
 
-    /** Takes an event; false if it is none that this door knows. */
-    boolean take(long now, Message event, List<Row> rows) {
-        switch (event.name()) {
-            case "BackendsChanged" -> listed(now, event, rows);
-            case "Incoming" -> arrived(now, event);
-            case "HeadReceived" -> {
-                Hop hop = hop(event.text(2, "tid"), event.number(5, "seq_no"));
-                if (hop != null) {
-                    steering.begun(now, hop);
-                }
-            }
-            case "Change" -> noted(now, event);
-            case "Reply" -> ended(now, event);
-            case "Expired" -> left(now, event.text(2, "tid"));
-            case "Timer" -> steering.woken(now);
-            case "Memo", "Pong" -> { }
-            default -> {
-                return false;
-            }
-        }
-        return true;
-    }
+  Instance(
+      int number,
+      long now,
+      long seed,
+      Map<String, Object> settings,
+      SteeringFactory factory,
+      JsonGenerator actions) {
+    this.number = number;
+    this.actions = actions;
+    steering = factory.start(now, seed, PlainNames.of(settings), this);
+  }
 
-    private void listed(long now, Message event, List<Row> rows) {
-        int mode = (int) event.number(2, "mode");
-        if (mode == MODE_FAILED) {
-            steering.listFailed(now);
-            return;
-        }
-        List<Listed> entries = new ArrayList<>(rows.size());
-        for (Row row : rows) {
-            Engine engine = engines.computeIfAbsent(row.engine(), Engine::new);
-            entries.add(new Listed(engine, row.kind(), row.zone(), row.cell(), row.weight(), row.standing(),
-                    row.startedAt()));
+  Steering steering() {
+    return steering;
+  }
+
+  /** Takes an event; false if it is none that this door knows. */
+  boolean take(long now, Message event, List<Row> rows) {
+    switch (event.name()) {
+      case "BackendsChanged" -> listed(now, event, rows);
+      case "Incoming" -> arrived(now, event);
+      case "HeadReceived" -> {
+        Hop hop = hop(event.text(2, "tid"), event.number(5, "seq_no"));
+        if (hop != null) {
+          steering.begun(now, hop);
         }
-        steering.listed(now, mode == MODE_CACHED || mode == MODE_FULL, entries);
+      }
+      case "Change" -> noted(now, event);
+      case "Reply" -> ended(now, event);
+      case "Expired" -> left(now, event.text(2, "tid"));
+      case "Timer" -> steering.woken(now);
+      case "Memo", "Pong" -> {}
+      default -> {
+        return false;
+      }
     }
+    return true;
+  }
 
-    private void arrived(long now, Message event) {
-        String id = event.text(2, "tid");
-        String key = event.textOr(9, null);
-        KeyLine line = key == null ? null : lines.computeIfAbsent(key, k -> new KeyLine());
-        Submission submission = new Submission(id, (int) event.number(6, "band"), (int) event.numberOr(3, 0),
-                event.flag(5), now, Units.toTenths(event.number(7, "deadline_us")),
-                event.amountOr(10, 0) / Units.toMicros(1), event.amountOr(11, 0), line);
-        submissions.put(id, submission);
-        steering.arrived(now, submission);
+  private void listed(long now, Message event, List<Row> rows) {
+    int mode = (int) event.number(2, "mode");
+    if (mode == MODE_FAILED) {
+      steering.listFailed(now);
+      return;
     }
-
-    private void noted(long now, Message event) {
-        Hop hop = hop(event.text(2, "tid"), event.number(6, "seq_no"));
-        Note note = switch ((int) event.numberOr(5, 0)) {
-            case 1 -> Note.PROGRESS;
-            case 2 -> Note.SPILLS;
-            case 3 -> Note.WAITS;
-            default -> null;
-        };
-        if (hop != null && note != null) {
-            steering.noted(now, hop, note, event.amountOr(3, 0));
-        }
+    List<Listed> entries = new ArrayList<>(rows.size());
+    for (Row row : rows) {
+      Engine engine = engines.computeIfAbsent(row.engine(), Engine::new);
+      entries.add(
+          new Listed(
+              engine,
+              row.kind(),
+              row.zone(),
+              row.cell(),
+              row.weight(),
+              row.standing(),
+              row.startedAt()));
     }
+    steering.listed(now, mode == MODE_CACHED || mode == MODE_FULL, entries);
+  }
 
-    private void ended(long now, Message event) {
-        Hop hop = hop(event.text(2, "tid"), event.number(3, "seq_no"));
-        if (hop == null || !hop.isOut()) {
-            return;
-        }
-        long bill = event.numberOr(8, 0);
-        steering.ended(now, hop, outcome(event.text(5, "how")), Units.toTenths(event.numberOr(6, 0)), event.flag(7),
-                Units.billedWork(bill), Units.billedMemory(bill), event.report(9));
-        forgetIfOver(hop.submission);
-    }
+  private void arrived(long now, Message event) {
+    String id = event.text(2, "tid");
+    String key = event.textOr(9, null);
+    KeyLine line = key == null ? null : lines.computeIfAbsent(key, k -> new KeyLine());
+    Submission submission =
+        new Submission(
+            id,
+            (int) event.number(6, "band"),
+            (int) event.numberOr(3, 0),
+            event.flag(5),
+            now,
+            Units.toTenths(event.number(7, "deadline_us")),
+            event.amountOr(10, 0) / Units.toMicros(1),
+            event.amountOr(11, 0),
+            line);
+    submissions.put(id, submission);
+    steering.arrived(now, submission);
+  }
 
-    private static Outcome outcome(String how) {
-        return switch (how) {
-            case "completed" -> Outcome.FULFILLED;
-            case "saturated" -> Outcome.FULL;
-            case "overdue" -> Outcome.OVERDUE;
-            case "refused_conn" -> Outcome.UNREACHABLE;
-            case "severed" -> Outcome.SEVERED;
-            case "recalled" -> Outcome.CALLED_OFF;
-            case "superseded" -> Outcome.NEVER_SENT;
-            default -> Outcome.ERRED;
+  private void noted(long now, Message event) {
+    Hop hop = hop(event.text(2, "tid"), event.number(6, "seq_no"));
+    Note note =
+        switch ((int) event.numberOr(5, 0)) {
+          case 1 -> Note.PROGRESS;
+          case 2 -> Note.SPILLS;
+          case 3 -> Note.WAITS;
+          default -> null;
         };
+    if (hop != null && note != null) {
+      steering.noted(now, hop, note, event.amountOr(3, 0));
     }
+  }
 
-    private void left(long now, String id) {
-        Submission submission = submissions.get(id);
-        if (submission != null) {
-            steering.left(now, submission);
-            forgetIfOver(submission);
-        }
+  private void ended(long now, Message event) {
+    Hop hop = hop(event.text(2, "tid"), event.number(3, "seq_no"));
+    if (hop == null || !hop.isOut()) {
+      return;
     }
+    long bill = event.numberOr(8, 0);
+    steering.ended(
+        now,
+        hop,
+        outcome(event.text(5, "how")),
+        Units.toTenths(event.numberOr(6, 0)),
+        event.flag(7),
+        Units.billedWork(bill),
+        Units.billedMemory(bill),
+        event.report(9));
+    forgetIfOver(hop.submission);
+  }
 
-    private Hop hop(String id, long place) {
-        Submission submission = submissions.get(id);
-        return submission == null || place < 0 || place >= submission.hops.size() ? null
-                : submission.hops.get((int) place);
-    }
+  private static Outcome outcome(String how) {
+    return switch (how) {
+      case "completed" -> Outcome.FULFILLED;
+      case "saturated" -> Outcome.FULL;
+      case "overdue" -> Outcome.OVERDUE;
+      case "refused_conn" -> Outcome.UNREACHABLE;
+      case "severed" -> Outcome.SEVERED;
+      case "recalled" -> Outcome.CALLED_OFF;
+      case "superseded" -> Outcome.NEVER_SENT;
+      default -> Outcome.ERRED;
+    };
+  }
 
-    private void forgetIfOver(Submission submission) {
-        if (submission.isOver()) {
-            submissions.remove((String) submission.tag);
-        }
+  private void left(long now, String id) {
+    Submission submission = submissions.get(id);
+    if (submission != null) {
+      steering.left(now, submission);
+      forgetIfOver(submission);
     }
+  }
 
-    private interface Writing {
-        void write() throws IOException;
-    }
+  private Hop hop(String id, long place) {
+    Submission submission = submissions.get(id);
+    return submission == null || place < 0 || place >= submission.hops.size()
+        ? null
+        : submission.hops.get((int) place);
+  }
 
-    private void write(String name, Writing rest) {
-        try {
-            actions.writeStartArray();
-            actions.writeString(name);
-            actions.writeNumber(number);
-            rest.write();
-            actions.writeEndArray();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
+  private void forgetIfOver(Submission submission) {
+    if (submission.isOver()) {
+      submissions.remove((String) submission.tag);
     }
+  }
 
-    private void writeTag(Object tag) throws IOException {
-        actions.writeString((String) tag);
+  private interface Writing {
+    void write() throws IOException;
+  }
+
+  private void write(String name, Writing rest) {
+    try {
+      actions.writeStartArray();
+      actions.writeString(name);
+      actions.writeNumber(number);
+      rest.write();
+      actions.writeEndArray();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+  }
+
+  private void writeTag(Object tag) throws IOException {
+    actions.writeString((String) tag);
+  }
 
-    @Override
-    public void terms(Submission submission, int rank, long grant) {
-        write("Provide", () -> {
-            writeTag(submission.tag);
-            actions.writeNumber(rank);
-            actions.writeNumber(grant);
+  @Override
+  public void terms(Submission submission, int rank, long grant) {
+    write(
+        "Provide",
+        () -> {
+          writeTag(submission.tag);
+          actions.writeNumber(rank);
+          actions.writeNumber(grant);
         });
-    }
+  }
 
-    @Override
-    public void send(Hop hop) {
-        write("Try", () -> {
-            writeTag(hop.submission.tag);
-            actions.writeNumber(0);
-            writeTag(hop.engine.tag);
+  @Override
+  public void send(Hop hop) {
+    write(
+        "Try",
+        () -> {
+          writeTag(hop.submission.tag);
+          actions.writeNumber(0);
+          writeTag(hop.engine.tag);
         });
-    }
+  }
 
-    @Override
-    public void callOff(Hop hop) {
-        write("CallOff", () -> {
-            writeTag(hop.submission.tag);
-            actions.writeNumber(hop.number);
+  @Override
+  public void callOff(Hop hop) {
+    write(
+        "CallOff",
+        () -> {
+          writeTag(hop.submission.tag);
+          actions.writeNumber(hop.number);
         });
-    }
+  }
 
-    @Override
-    public void turnBack(Submission submission, long comeBack) {
-        write("Decline", () -> {
-            writeTag(submission.tag);
-            actions.writeNumber(Units.toMicros(comeBack));
+  @Override
+  public void turnBack(Submission submission, long comeBack) {
+    write(
+        "Decline",
+        () -> {
+          writeTag(submission.tag);
+          actions.writeNumber(Units.toMicros(comeBack));
         });
-        forgetIfOver(submission);
-    }
+    forgetIfOver(submission);
+  }
 
-    @Override
-    public void breakOff(Submission submission) {
-        write("RespondError", () -> writeTag(submission.tag));
-        forgetIfOver(submission);
-    }
+  @Override
+  public void breakOff(Submission submission) {
+    write("RespondError", () -> writeTag(submission.tag));
+    forgetIfOver(submission);
+  }
 
-    @Override
-    public void wake(long at) {
-        write("Arm", () -> {
-            actions.writeNumber(Units.toMicros(at));
-            actions.writeNumber(0);
+  @Override
+  public void wake(long at) {
+    write(
+        "Arm",
+        () -> {
+          actions.writeNumber(Units.toMicros(at));
+          actions.writeNumber(0);
         });
-    }
+  }
 
-    @Override
-    public void follow() {
-        write("KeepInformed", () -> actions.writeBoolean(true));
-    }
+  @Override
+  public void follow() {
+    write("KeepInformed", () -> actions.writeBoolean(true));
+  }
 
-    @Override
-    public void log(String line) {
-        write("Log", () -> actions.writeString(line));
-    }
+  @Override
+  public void log(String line) {
+    write("Log", () -> actions.writeString(line));
+  }
 
-    void panic(String line) {
-        write("Panic", () -> actions.writeString(line));
-    }
+  void panic(String line) {
+    write("Panic", () -> actions.writeString(line));
+  }
 }
--- a/gateway/src/main/java/tillerlink/wirehost/Row.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Row.java
@@ -5,21 +5,36 @@
 import tillerlink.plain.Units;
 
 /**
- * One entry of a numbered list; it belongs to the process, so it holds an id and no object of any gateway.
+ * One entry of a numbered list; it belongs to the process, so it holds an id and no object of any
+ * gateway.
  */
-record Row(int kind, long startedAt, int zone, Engine.Standing standing, int cell, double weight, String engine) {
-    static Row of(Object raw) {
-        if (!(raw instanceof List<?> values)) {
-            throw new MalformedWireException("event DefineList: an entry is not an array: " + raw);
-        }
-        @SuppressWarnings("unchecked")
-        Message entry = new Message("DefineList entry", (List<Object>) values);
-        Engine.Standing standing = switch ((int) entry.number(3, "mode")) {
-            case 1 -> Engine.Standing.READY;
-            case 2 -> Engine.Standing.DRAINING;
-            default -> Engine.Standing.GONE;
-        };
-        return new Row((int) entry.numberOr(0, 0), Units.toTenths(entry.numberOr(1, 0)), (int) entry.numberOr(2, 0),
-                standing, (int) entry.numberOr(4, 0), entry.amountOr(5, 1), entry.text(6, "engine"));
+record Row(
+    int kind,
+    long startedAt,
+    int zone,
+    Engine.Standing standing,
+    int cell,
+    double weight,
+    String engine) {
+  static Row of(Object raw) {
+    if (!(raw instanceof List<?> values)) {
+      throw new MalformedWireException("event DefineList: an entry is not an array: " + raw);
     }
+    @SuppressWarnings("unchecked")
+    Message entry = new Message("DefineList entry", (List<Object>) values);
+    Engine.Standing standing =
+        switch ((int) entry.number(3, "mode")) {
+          case 1 -> Engine.Standing.READY;
+          case 2 -> Engine.Standing.DRAINING;
+          default -> Engine.Standing.GONE;
+        };
+    return new Row(
+        (int) entry.numberOr(0, 0),
+        Units.toTenths(entry.numberOr(1, 0)),
+        (int) entry.numberOr(2, 0),
+        standing,
+        (int) entry.numberOr(4, 0),
+        entry.amountOr(5, 1),
+        entry.text(6, "engine"));
+  }
 }
--- a/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
+++ b/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
@@ -34,161 +34,309 @@
  * key, the track terms made of it, and by which names the settings are asked for.
  */
 class ConfigurationFormatGuardTest {
-    private static final Orders NO_ORDERS = (Orders) Proxy.newProxyInstance(
-            Orders.class.getClassLoader(), new Class<?>[] {Orders.class},
-            (proxy, method, given) -> null);
-
-    @Test
-    void startValuesAreReadFromTheirKeys() throws Exception {
-        Assignment read = read();
-        assertEquals("north-1", read.name());
-        assertEquals(new InetSocketAddress("127.0.0.1", 8080), read.listen());
-        assertEquals(new InetSocketAddress("127.0.0.2", 5353), read.resolver());
-        assertEquals(-225L, read.seed());
-        assertEquals(300, read.sockets());
-        assertEquals(120, read.clientsMost());
-        assertEquals(100, read.linksMost());
-        assertEquals(List.of("look", "intake", "post"), read.tracks());
-    }
+  private static final Orders NO_ORDERS =
+      (Orders)
+          Proxy.newProxyInstance(
+              Orders.class.getClassLoader(),
+              new Class<?>[] {Orders.class},
+              (proxy, method, given) -> null);
 
-    @Test
-    void knownEnginesAreReadFromTheirKeys() throws Exception {
-        assertEquals(List.of(
-                new EngineNews(17, true, false, List.of(
-                        new EngineEntry("a1", "10.0.0.1", 7000, "east", "small-8", 3,
-                                Engine.Standing.READY, 0.5, 1_700_000_000_123L),
-                        new EngineEntry("a2", "10.0.0.2", 7001, "west", "big-16", 4,
-                                Engine.Standing.DRAINING, 2, 5))),
-                new EngineNews(18, false, false, List.of(
-                        new EngineEntry("a2", "0.0.0.0", 0, "null", "null", 0,
-                                Engine.Standing.GONE, 1, 0)))),
-                read().known());
-    }
+  @Test
+  void startValuesAreReadFromTheirKeys() throws Exception {
+    Assignment read = read();
+    assertEquals("north-1", read.name());
+    assertEquals(new InetSocketAddress("127.0.0.1", 8080), read.listen());
+    assertEquals(new InetSocketAddress("127.0.0.2", 5353), read.resolver());
+    assertEquals(-225L, read.seed());
+    assertEquals(300, read.sockets());
+    assertEquals(120, read.clientsMost());
+    assertEquals(100, read.linksMost());
+    assertEquals(List.of("look", "intake", "post"), read.tracks());
+  }
 
-    @Test
-    void settingsStandUnderTheirDottedNames() throws Exception {
-        Map<String, Object> plain = PlainNames.of(read().terms());
-        assertEquals(List.of(
-                "instances=3", "me=1", "tick=51", "discovery=ask", "models=[small-8, big-16]",
-                "zones=[east, west]", "caps.may_cancel=true", "caps.max_attempts=2",
-                "caps.retry_after=true", "caps.max_retry_after=9000", "caps.max_open=70",
-                "caps.streams_per_conn=9", "caps.connect_timeout=2500", "caps.conn_idle=610000",
-                "guarantees.settle_after_doubt=300", "guarantees.fall=20000",
-                "guarantees.warm_within=100000", "guarantees.fall_multiple=3.5",
-                "guarantees.start_capacity=0.25", "guarantees.budget_span=120000",
-                "guarantees.extra_floor=4", "guarantees.further_ratio=0.15",
-                "guarantees.drain_grace=8000", "guarantees.ask_within=4000",
-                "family_info.kind_cores=[8, 16]", "family_info.size_mb=[20000, 40000]",
-                "family_info.grants=true", "family_info.max_grant_share=0.5",
-                "family_info.tells_every=15000", "family_info.width_by_class=[2, 3]",
-                "family_info.loads=[false, true]", "family_info.waits_for_loads=[true, false]",
-                "report.fields=[busy_reqs, cpu_share, x1, pending]", "profiles=3",
-                "profiles.0.name=look", "profiles.0.semantics=repeatable", "profiles.0.group=all",
-                "profiles.0.aim=9000", "profiles.0.aim_stretch=1.5", "profiles.0.hard_limit=45000",
-                "profiles.0.worth=2", "profiles.0.late_worth=0.25",
-                "profiles.1.name=intake", "profiles.1.semantics=by_key", "profiles.1.group=zone",
-                "profiles.1.window=180000", "profiles.1.aim=40000", "profiles.1.hard_limit=190000",
-                "profiles.1.worth=4", "profiles.1.late_worth=3", "profiles.1.keep_order=true",
-                "profiles.1.zones_open=[0, 1]", "profiles.1.models_allowed=[1]",
-                "profiles.2.name=post", "profiles.2.semantics=once", "profiles.2.group=cell",
-                "profiles.2.aim=7000", "profiles.2.hard_limit=8000"),
-                plain.entrySet().stream()
-                        .map(entry -> entry.getKey() + "=" + entry.getValue()).toList());
-    }
+  @Test
+  void knownEnginesAreReadFromTheirKeys() throws Exception {
+    assertEquals(
+        List.of(
+            new EngineNews(
+                17,
+                true,
+                false,
+                List.of(
+                    new EngineEntry(
+                        "a1",
+                        "10.0.0.1",
+                        7000,
+                        "east",
+                        "small-8",
+                        3,
+                        Engine.Standing.READY,
+                        0.5,
+                        1_700_000_000_123L),
+                    new EngineEntry(
+                        "a2",
+                        "10.0.0.2",
+                        7001,
+                        "west",
+                        "big-16",
+                        4,
+                        Engine.Standing.DRAINING,
+                        2,
+                        5))),
+            new EngineNews(
+                18,
+                false,
+                false,
+                List.of(
+                    new EngineEntry(
+                        "a2", "0.0.0.0", 0, "null", "null", 0, Engine.Standing.GONE, 1, 0)))),
+        read().known());
+  }
 
-    @Test
-    void tracksHaveTheTermsOfTheirProfiles() throws Exception {
-        Map<String, Object> plain = PlainNames.of(read().terms());
-        assertEquals(new TrackTerms(Effect.PURE, Circle.ALL, 0, 9000, 1.5, 45_000, 2, 0.25, 2,
-                false, true, false, null, null), terms(plain, 0));
-        assertEquals(new TrackTerms(Effect.RECEIPTED, Circle.ZONE, 180_000, 40_000, 0, 190_000,
-                4, 3, 3, true, false, true, List.of(0, 1), List.of(1)), terms(plain, 1));
-        assertEquals(new TrackTerms(Effect.EFFECTFUL, Circle.CELL, 0, 7000, 0, 8000, 1, 0, 1,
-                false, false, false, null, null), terms(plain, 2));
-    }
+  @Test
+  void settingsStandUnderTheirDottedNames() throws Exception {
+    Map<String, Object> plain = PlainNames.of(read().terms());
+    assertEquals(
+        List.of(
+            "instances=3",
+            "me=1",
+            "tick=51",
+            "discovery=ask",
+            "models=[small-8, big-16]",
+            "zones=[east, west]",
+            "caps.may_cancel=true",
+            "caps.max_attempts=2",
+            "caps.retry_after=true",
+            "caps.max_retry_after=9000",
+            "caps.max_open=70",
+            "caps.streams_per_conn=9",
+            "caps.connect_timeout=2500",
+            "caps.conn_idle=610000",
+            "guarantees.settle_after_doubt=300",
+            "guarantees.fall=20000",
+            "guarantees.warm_within=100000",
+            "guarantees.fall_multiple=3.5",
+            "guarantees.start_capacity=0.25",
+            "guarantees.budget_span=120000",
+            "guarantees.extra_floor=4",
+            "guarantees.further_ratio=0.15",
+            "guarantees.drain_grace=8000",
+            "guarantees.ask_within=4000",
+            "family_info.kind_cores=[8, 16]",
+            "family_info.size_mb=[20000, 40000]",
+            "family_info.grants=true",
+            "family_info.max_grant_share=0.5",
+            "family_info.tells_every=15000",
+            "family_info.width_by_class=[2, 3]",
+            "family_info.loads=[false, true]",
+            "family_info.waits_for_loads=[true, false]",
+            "report.fields=[busy_reqs, cpu_share, x1, pending]",
+            "profiles=3",
+            "profiles.0.name=look",
+            "profiles.0.semantics=repeatable",
+            "profiles.0.group=all",
+            "profiles.0.aim=9000",
+            "profiles.0.aim_stretch=1.5",
+            "profiles.0.hard_limit=45000",
+            "profiles.0.worth=2",
+            "profiles.0.late_worth=0.25",
+            "profiles.1.name=intake",
+            "profiles.1.semantics=by_key",
+            "profiles.1.group=zone",
+            "profiles.1.window=180000",
+            "profiles.1.aim=40000",
+            "profiles.1.hard_limit=190000",
+            "profiles.1.worth=4",
+            "profiles.1.late_worth=3",
+            "profiles.1.keep_order=true",
+            "profiles.1.zones_open=[0, 1]",
+            "profiles.1.models_allowed=[1]",
+            "profiles.2.name=post",
+            "profiles.2.semantics=once",
+            "profiles.2.group=cell",
+            "profiles.2.aim=7000",
+            "profiles.2.hard_limit=8000"),
+        plain.entrySet().stream().map(entry -> entry.getKey() + "=" + entry.getValue()).toList());
+  }
 
-    /** A name that is asked for under another key would read as absent, without a fault. */
-    @Test
-    void decisionsAskForTheseNamesAndNoOthers() throws Exception {
-        Asked asked = new Asked(PlainNames.of(read().terms()));
-        Policy policy = new Policy(1_000_000, 5, asked, NO_ORDERS);
-        Engine cold = new Engine("a1");
-        policy.listFailed(1_000_000);
-        policy.listed(1_000_000, true, List.of(
-                new Listed(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_000_000 - 50_000)));
-        Submission first = submission(0, 1_100_000);
-        policy.arrived(1_100_000, first);
-        policy.settle(1_100_000);
-        policy.ended(1_100_100, first.hops.get(0), Outcome.SEVERED, 10, false, 0, 0, null);
-        policy.settle(1_100_100);
-        policy.listed(1_100_200, true, List.of(
-                new Listed(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_100_000)));
-        policy.arrived(1_100_200, submission(0, 1_100_200));
-        policy.settle(1_100_200);
-        policy.outOfTime(1_100_300, first);
-        Set<String> names = new TreeSet<>();
-        for (String name : asked.names) {
-            names.add(name.replaceFirst("^profiles[.][0-9]+[.]", "profiles.N."));
-        }
-        assertEquals(new TreeSet<>(Set.of(
-                "caps.max_attempts", "caps.max_retry_after", "caps.may_cancel",
-                "caps.retry_after", "discovery", "family_info.grants", "family_info.kind_cores",
-                "family_info.loads", "family_info.max_grant_share", "family_info.size_mb",
-                "family_info.tells_every", "family_info.waits_for_loads",
-                "family_info.width_by_class", "guarantees.ask_within", "guarantees.budget_span",
-                "guarantees.extra_floor", "guarantees.fall", "guarantees.fall_multiple",
-                "guarantees.further_ratio", "guarantees.settle_after_doubt",
-                "guarantees.start_capacity", "guarantees.warm_within", "instances", "me",
-                "profiles", "profiles.N.aim", "profiles.N.aim_stretch", "profiles.N.group",
-                "profiles.N.hard_limit", "profiles.N.keep_order", "profiles.N.late_worth",
-                "profiles.N.models_allowed", "profiles.N.semantics", "profiles.N.window",
-                "profiles.N.worth", "profiles.N.zones_open", "report.fields", "tick")), names);
-    }
+  @Test
+  void tracksHaveTheTermsOfTheirProfiles() throws Exception {
+    Map<String, Object> plain = PlainNames.of(read().terms());
+    assertEquals(
+        new TrackTerms(
+            Effect.PURE,
+            Circle.ALL,
+            0,
+            9000,
+            1.5,
+            45_000,
+            2,
+            0.25,
+            2,
+            false,
+            true,
+            false,
+            null,
+            null),
+        terms(plain, 0));
+    assertEquals(
+        new TrackTerms(
+            Effect.RECEIPTED,
+            Circle.ZONE,
+            180_000,
+            40_000,
+            0,
+            190_000,
+            4,
+            3,
+            3,
+            true,
+            false,
+            true,
+            List.of(0, 1),
+            List.of(1)),
+        terms(plain, 1));
+    assertEquals(
+        new TrackTerms(
+            Effect.EFFECTFUL,
+            Circle.CELL,
+            0,
+            7000,
+            0,
+            8000,
+            1,
+            0,
+            1,
+            false,
+            false,
+            false,
+            null,
+            null),
+        terms(plain, 2));
+  }
 
-    @Test
-    void invariantsAskForTheseNames() throws Exception {
-        Asked asked = new Asked(PlainNames.of(read().terms()));
-        new InvariantMonitor(new Named(asked));
-        assertEquals(new TreeSet<>(Set.of("guarantees.drain_grace", "guarantees.budget_span",
-                "guarantees.extra_floor", "guarantees.further_ratio", "guarantees.fall",
-                "guarantees.fall_multiple", "guarantees.start_capacity",
-                "guarantees.warm_within")), asked.names);
+  /** A name that is asked for under another key would read as absent, without a fault. */
+  @Test
+  void decisionsAskForTheseNamesAndNoOthers() throws Exception {
+    Asked asked = new Asked(PlainNames.of(read().terms()));
+    Policy policy = new Policy(1_000_000, 5, asked, NO_ORDERS);
+    Engine cold = new Engine("a1");
+    policy.listFailed(1_000_000);
+    policy.listed(
+        1_000_000,
+        true,
+        List.of(new Listed(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_000_000 - 50_000)));
+    Submission first = submission(0, 1_100_000);
+    policy.arrived(1_100_000, first);
+    policy.settle(1_100_000);
+    policy.ended(1_100_100, first.hops.get(0), Outcome.SEVERED, 10, false, 0, 0, null);
+    policy.settle(1_100_100);
+    policy.listed(
+        1_100_200, true, List.of(new Listed(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_100_000)));
+    policy.arrived(1_100_200, submission(0, 1_100_200));
+    policy.settle(1_100_200);
+    policy.outOfTime(1_100_300, first);
+    Set<String> names = new TreeSet<>();
+    for (String name : asked.names) {
+      names.add(name.replaceFirst("^profiles[.][0-9]+[.]", "profiles.N."));
     }
+    assertEquals(
+        new TreeSet<>(
+            Set.of(
+                "caps.max_attempts",
+                "caps.max_retry_after",
+                "caps.may_cancel",
+                "caps.retry_after",
+                "discovery",
+                "family_info.grants",
+                "family_info.kind_cores",
+                "family_info.loads",
+                "family_info.max_grant_share",
+                "family_info.size_mb",
+                "family_info.tells_every",
+                "family_info.waits_for_loads",
+                "family_info.width_by_class",
+                "guarantees.ask_within",
+                "guarantees.budget_span",
+                "guarantees.extra_floor",
+                "guarantees.fall",
+                "guarantees.fall_multiple",
+                "guarantees.further_ratio",
+                "guarantees.settle_after_doubt",
+                "guarantees.start_capacity",
+                "guarantees.warm_within",
+                "instances",
+                "me",
+                "profiles",
+                "profiles.N.aim",
+                "profiles.N.aim_stretch",
+                "profiles.N.group",
+                "profiles.N.hard_limit",
+                "profiles.N.keep_order",
+                "profiles.N.late_worth",
+                "profiles.N.models_allowed",
+                "profiles.N.semantics",
+                "profiles.N.window",
+                "profiles.N.worth",
+                "profiles.N.zones_open",
+                "report.fields",
+                "tick")),
+        names);
+  }
 
-    private static TrackTerms terms(Map<String, Object> plain, int track) {
-        Submission submission = submission(track, 10);
-        new Policy(10, 5, plain, NO_ORDERS).arrived(10, submission);
-        return submission.track.terms;
-    }
+  @Test
+  void invariantsAskForTheseNames() throws Exception {
+    Asked asked = new Asked(PlainNames.of(read().terms()));
+    new InvariantMonitor(new Named(asked));
+    assertEquals(
+        new TreeSet<>(
+            Set.of(
+                "guarantees.drain_grace",
+                "guarantees.budget_span",
+                "guarantees.extra_floor",
+                "guarantees.further_ratio",
+                "guarantees.fall",
+                "guarantees.fall_multiple",
+                "guarantees.start_capacity",
+                "guarantees.warm_within")),
+        asked.names);
+  }
+
+  private static TrackTerms terms(Map<String, Object> plain, int track) {
+    Submission submission = submission(track, 10);
+    new Policy(10, 5, plain, NO_ORDERS).arrived(10, submission);
+    return submission.track.terms;
+  }
+
+  private static Submission submission(int track, long now) {
+    return new Submission("id", track, 0, false, now, now + 7000, 100, 50, null);
+  }
+
+  private static Assignment read() throws IOException, URISyntaxException {
+    return Assignment.read(
+        Path.of(
+            ConfigurationFormatGuardTest.class.getResource("/guards/configuration.json").toURI()));
+  }
+
+  /** Settings that note by which names they are asked. */
+  private static final class Asked extends HashMap<String, Object> {
+    private static final long serialVersionUID = 1L;
+    private final transient Set<String> names = new TreeSet<>();
 
-    private static Submission submission(int track, long now) {
-        return new Submission("id", track, 0, false, now, now + 7000, 100, 50, null);
+    Asked(Map<String, Object> values) {
+      super(new LinkedHashMap<>(values));
     }
 
-    private static Assignment read() throws IOException, URISyntaxException {
-        return Assignment.read(Path.of(ConfigurationFormatGuardTest.class
-                .getResource("/guards/configuration.json").toURI()));
+    @Override
+    public Object get(Object name) {
+      names.add((String) name);
+      return super.get(name);
     }
 
-    /** Settings that note by which names they are asked. */
-    private static final class Asked extends HashMap<String, Object> {
-        private static final long serialVersionUID = 1L;
-        private final transient Set<String> names = new TreeSet<>();
-
-        Asked(Map<String, Object> values) {
-            super(new LinkedHashMap<>(values));
-        }
-
-        @Override
-        public Object get(Object name) {
-            names.add((String) name);
-            return super.get(name);
-        }
-
-        @Override
-        public boolean containsKey(Object name) {
-            names.add((String) name);
-            return super.containsKey(name);
-        }
+    @Override
+    public boolean containsKey(Object name) {
+      names.add((String) name);
+      return super.containsKey(name);
     }
+  }
 }
--- a/gateway/src/test/java/tillerlink/KnownRedTest.java
+++ b/gateway/src/test/java/tillerlink/KnownRedTest.java
@@ -13,204 +13,230 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Plays .ci/run in a made-up repository whose Maven only writes down how it was called and ends as told; the reports are
- * there already. Unless a test changes it, p.OneTest#red fails and is listed, and all else passes: that run passes.
+ * Plays .ci/run in a made-up repository whose Maven only writes down how it was called and ends as
+ * told; the reports are there already. Unless a test changes it, p.OneTest#red fails and is listed,
+ * and all else passes: that run passes.
  */
 class KnownRedTest {
-    private static final String PLAIN = "-B -ntp clean verify\n";
-    private static final String IGNORING = "-B -ntp clean verify -Dmaven.test.failure.ignore=true\n";
-    private static final String LISTED = "p.OneTest#red | the clock jumps | docs/clock.md\n";
-    private static final String PASSED = "";
-    private static final String FAILED = "<failure type='AssertionFailedError'>expected: 1</failure>";
-    private static final String ERROR = "<error type='IllegalStateException'>broken</error>";
-    private static final String SKIPPED = "<skipped/>";
-
-    @TempDir
-    Path root;
-
-    private record Run(int exit, String output) {
-    }
-
-    @BeforeEach
-    void repository() throws IOException {
-        for (String script : new String[] {"run", "KnownRed.java"}) {
-            write(".ci/" + script, Files.readString(Path.of("..", ".ci", script)));
-        }
-        write("bin/mvn", "#!/bin/sh\necho \"$@\" > called\nexit $(cat exit)\n");
-        assertTrue(root.resolve("bin/mvn").toFile().setExecutable(true));
-        write("exit", "0");
-        write("pom.xml", "<project><modules><module>one</module><module>two</module></modules></project>");
-        write("one/src/test/java/p/OneTest.java", "");
-        write("two/src/test/java/p/q/TwoTest.java", "");
-        report("one", "p.OneTest", test("p.OneTest", "green", PASSED) + test("p.OneTest", "red", FAILED));
-        report("two", "p.q.TwoTest", test("p.q.TwoTest", "green", PASSED) + test("p.q.TwoTest", "elsewhere", SKIPPED));
-        write("KNOWN-RED.txt", LISTED);
-    }
-
-    @Test
-    void withoutEntriesTheCommandIsThePlainOneAndMavenDecides() throws Exception {
-        for (String exit : new String[] {"0", "1"}) {
-            write("exit", exit);
-            Files.delete(root.resolve("KNOWN-RED.txt"));
-            assertEquals(new Run(Integer.parseInt(exit), ""), run());
-            assertEquals(PLAIN, read("called"));
-            for (String empty : new String[] {"", "\n", "# test | cause | issue\n \t\r\n"}) {
-                write("KNOWN-RED.txt", empty);
-                assertEquals(new Run(Integer.parseInt(exit), ""), run());
-                assertEquals(PLAIN, read("called"));
-            }
-        }
-    }
-
-    @Test
-    void aListedTestThatFailsIsPassedOverAndPrinted() throws Exception {
-        write("KNOWN-RED.txt", "# test | cause | issue\n\n" + LISTED);
-        Run run = run();
-        assertEquals(0, run.exit(), run.output());
-        assertTrue(run.output().contains(LISTED), run.output());
-        assertEquals(IGNORING, read("called"));
-    }
-
-    @Test
-    void aListedTestThatEndsInAnErrorIsPassedOverToo() throws Exception {
-        report("one", "p.OneTest", test("p.OneTest", "red", ERROR));
-        Run run = run();
-        assertEquals(0, run.exit(), run.output());
-    }
-
-    @Test
-    void threeEntriesAreTakenAndFourAreNot() throws Exception {
-        String four = "";
-        String tests = "";
-        for (int i = 1; i <= 4; i++) {
-            four += "p.OneTest#red" + i + " | cause | issue\n";
-            tests += test("p.OneTest", "red" + i, FAILED);
-        }
-        report("one", "p.OneTest", tests.replaceAll("<testcase [^>]*red4.*", ""));
-        write("KNOWN-RED.txt", four.replaceAll("p.OneTest#red4.*\n", ""));
-        Run run = run();
-        assertEquals(0, run.exit(), run.output());
-        report("one", "p.OneTest", tests);
-        write("KNOWN-RED.txt", four);
-        assertFails("4 entries; 3 at most");
-    }
-
-    @Test
-    void aListedTestThatPassesFails() throws Exception {
-        report("one", "p.OneTest", test("p.OneTest", "red", PASSED));
-        assertFails("listed, but it passes: p.OneTest#red");
-    }
-
-    @Test
-    void aListedTestThatPassesOnceOfTwiceFails() throws Exception {
-        report("one", "p.OneTest", test("p.OneTest", "red", FAILED) + test("p.OneTest", "red", PASSED));
-        assertFails("listed, but it passes: p.OneTest#red");
-    }
-
-    @Test
-    void aListedTestThatIsSkippedFails() throws Exception {
-        report("one", "p.OneTest", test("p.OneTest", "red", SKIPPED));
-        assertFails("listed, but it was skipped: p.OneTest#red");
-    }
-
-    @Test
-    void aListedTestThatDoesNotExistFails() throws Exception {
-        write("KNOWN-RED.txt", LISTED + "p.OneTest#gone | cause | issue\n");
-        assertFails("listed, but there is no such test: p.OneTest#gone");
-    }
-
-    @Test
-    void anEntryThatIsNotWhollyThereFails() throws Exception {
-        String[] malformed = {"p.OneTest#red", "p.OneTest#red | cause", "p.OneTest#red | cause |", "p.OneTest#red | | issue",
-            "p.OneTest | cause | issue", "p.OneTest# | cause | issue", "p.OneTest#red | cause | issue | more", "| cause | issue"};
-        write("KNOWN-RED.txt", String.join("\n", malformed) + "\n");
-        Run run = run();
-        assertEquals(1, run.exit(), run.output());
-        for (String entry : malformed) {
-            assertTrue(run.output().contains("not of the form package.Class#method | cause | issue: " + entry + "\n"), run.output());
-        }
-        write("KNOWN-RED.txt", "p.OneTest#red | cause\n");
-        assertFails("not of the form package.Class#method | cause | issue: p.OneTest#red | cause\n");
-        write("KNOWN-RED.txt", LISTED + LISTED);
-        assertFails("listed twice: p.OneTest#red");
-    }
-
-    @Test
-    void anUnlistedTestThatFailsOrEndsInAnErrorFails() throws Exception {
-        for (String outcome : new String[] {FAILED, ERROR}) {
-            report("two", "p.q.TwoTest", test("p.q.TwoTest", "green", outcome));
-            assertFails("fails and is not listed: p.q.TwoTest#green");
-        }
-    }
-
-    @Test
-    void whatFailsRoundAWholeClassFails() throws Exception {
-        report("one", "p.OneTest", test("p.OneTest", "red", FAILED) + test("p.OneTest", "", ERROR));
-        assertFails("fails and is not listed: p.OneTest#\n");
-    }
-
-    @Test
-    void aBuildThatMavenItselfFailsFails() throws Exception {
-        // So it ends with Surefire 3.5.4 when a JVM of tests dies, though failing tests are ignored.
-        write("exit", "1");
-        assertEquals(new Run(1, ""), run());
-        assertEquals(IGNORING, read("called"));
-    }
-
-    @Test
-    void aClassWithoutAReportFails() throws Exception {
-        Files.delete(root.resolve("two/target/surefire-reports/TEST-p.q.TwoTest.xml"));
-        assertFails("no test of it ran: p.q.TwoTest");
-        report("two", "p.q.TwoTest", "");
-        assertFails("no test of it ran: p.q.TwoTest");
-    }
-
-    @Test
-    void noReportsAtAllFail() throws Exception {
-        Files.delete(root.resolve("one/target/surefire-reports/TEST-p.OneTest.xml"));
-        Files.delete(root.resolve("two/target/surefire-reports/TEST-p.q.TwoTest.xml"));
-        assertFails("no tests ran");
-    }
-
-    @Test
-    void aReportThatCantBeReadFails() throws Exception {
-        write("two/target/surefire-reports/TEST-p.q.TwoTest.xml", "<testsuite><testcase classname='p.q.TwoTest' name='gr");
-        assertFails("can't be read: two/target/surefire-reports/TEST-p.q.TwoTest.xml");
-    }
-
-    private void assertFails(String fault) throws Exception {
-        Run run = run();
-        assertEquals(1, run.exit(), run.output());
-        assertTrue(run.output().contains(fault), run.output());
-    }
-
-    private Run run() throws IOException, InterruptedException {
-        ProcessBuilder script = new ProcessBuilder("bash", ".ci/run").directory(root.toFile()).redirectErrorStream(true);
-        script.environment().put("JAVA_HOME", System.getProperty("java.home"));
-        // The script's Java is compiled anew in each run: half the processor time so.
-        script.environment().put("JDK_JAVA_OPTIONS", "-XX:TieredStopAtLevel=1 -XX:+UseSerialGC");
-        script.environment().compute("PATH", (name, path) -> root.resolve("bin") + File.pathSeparator + path);
-        Process process = script.start();
-        String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-        return new Run(process.waitFor(), output);
-    }
-
-    private void report(String module, String suite, String tests) throws IOException {
-        write(module + "/target/surefire-reports/TEST-" + suite + ".xml",
-                "<?xml version='1.0' encoding='UTF-8'?>\n<testsuite name='" + suite + "'>\n" + tests + "</testsuite>\n");
-    }
-
-    private static String test(String suite, String name, String outcome) {
-        return "<testcase name='" + name + "' classname='" + suite + "'>" + outcome + "</testcase>\n";
-    }
-
-    private void write(String file, String text) throws IOException {
-        Path path = root.resolve(file);
-        Files.createDirectories(path.getParent());
-        Files.writeString(path, text);
-    }
-
-    private String read(String file) throws IOException {
-        return Files.readString(root.resolve(file));
-    }
+  private static final String PLAIN = "-B -ntp clean verify\n";
+  private static final String IGNORING = "-B -ntp clean verify -Dmaven.test.failure.ignore=true\n";
+  private static final String LISTED = "p.OneTest#red | the clock jumps | docs/clock.md\n";
+  private static final String PASSED = "";
+  private static final String FAILED = "<failure type='AssertionFailedError'>expected: 1</failure>";
+  private static final String ERROR = "<error type='IllegalStateException'>broken</error>";
+  private static final String SKIPPED = "<skipped/>";
+
+  @TempDir Path root;
+
+  private record Run(int exit, String output) {}
+
+  @BeforeEach
+  void repository() throws IOException {
+    for (String script : new String[] {"run", "KnownRed.java"}) {
+      write(".ci/" + script, Files.readString(Path.of("..", ".ci", script)));
+    }
+    write("bin/mvn", "#!/bin/sh\necho \"$@\" > called\nexit $(cat exit)\n");
+    assertTrue(root.resolve("bin/mvn").toFile().setExecutable(true));
+    write("exit", "0");
+    write(
+        "pom.xml",
+        "<project><modules><module>one</module><module>two</module></modules></project>");
+    write("one/src/test/java/p/OneTest.java", "");
+    write("two/src/test/java/p/q/TwoTest.java", "");
+    report(
+        "one", "p.OneTest", test("p.OneTest", "green", PASSED) + test("p.OneTest", "red", FAILED));
+    report(
+        "two",
+        "p.q.TwoTest",
+        test("p.q.TwoTest", "green", PASSED) + test("p.q.TwoTest", "elsewhere", SKIPPED));
+    write("KNOWN-RED.txt", LISTED);
+  }
+
+  @Test
+  void withoutEntriesTheCommandIsThePlainOneAndMavenDecides() throws Exception {
+    for (String exit : new String[] {"0", "1"}) {
+      write("exit", exit);
+      Files.delete(root.resolve("KNOWN-RED.txt"));
+      assertEquals(new Run(Integer.parseInt(exit), ""), run());
+      assertEquals(PLAIN, read("called"));
+      for (String empty : new String[] {"", "\n", "# test | cause | issue\n \t\r\n"}) {
+        write("KNOWN-RED.txt", empty);
+        assertEquals(new Run(Integer.parseInt(exit), ""), run());
+        assertEquals(PLAIN, read("called"));
+      }
+    }
+  }
+
+  @Test
+  void aListedTestThatFailsIsPassedOverAndPrinted() throws Exception {
+    write("KNOWN-RED.txt", "# test | cause | issue\n\n" + LISTED);
+    Run run = run();
+    assertEquals(0, run.exit(), run.output());
+    assertTrue(run.output().contains(LISTED), run.output());
+    assertEquals(IGNORING, read("called"));
+  }
+
+  @Test
+  void aListedTestThatEndsInAnErrorIsPassedOverToo() throws Exception {
+    report("one", "p.OneTest", test("p.OneTest", "red", ERROR));
+    Run run = run();
+    assertEquals(0, run.exit(), run.output());
+  }
+
+  @Test
+  void threeEntriesAreTakenAndFourAreNot() throws Exception {
+    String four = "";
+    String tests = "";
+    for (int i = 1; i <= 4; i++) {
+      four += "p.OneTest#red" + i + " | cause | issue\n";
+      tests += test("p.OneTest", "red" + i, FAILED);
+    }
+    report("one", "p.OneTest", tests.replaceAll("<testcase [^>]*red4.*", ""));
+    write("KNOWN-RED.txt", four.replaceAll("p.OneTest#red4.*\n", ""));
+    Run run = run();
+    assertEquals(0, run.exit(), run.output());
+    report("one", "p.OneTest", tests);
+    write("KNOWN-RED.txt", four);
+    assertFails("4 entries; 3 at most");
+  }
+
+  @Test
+  void aListedTestThatPassesFails() throws Exception {
+    report("one", "p.OneTest", test("p.OneTest", "red", PASSED));
+    assertFails("listed, but it passes: p.OneTest#red");
+  }
+
+  @Test
+  void aListedTestThatPassesOnceOfTwiceFails() throws Exception {
+    report("one", "p.OneTest", test("p.OneTest", "red", FAILED) + test("p.OneTest", "red", PASSED));
+    assertFails("listed, but it passes: p.OneTest#red");
+  }
+
+  @Test
+  void aListedTestThatIsSkippedFails() throws Exception {
+    report("one", "p.OneTest", test("p.OneTest", "red", SKIPPED));
+    assertFails("listed, but it was skipped: p.OneTest#red");
+  }
+
+  @Test
+  void aListedTestThatDoesNotExistFails() throws Exception {
+    write("KNOWN-RED.txt", LISTED + "p.OneTest#gone | cause | issue\n");
+    assertFails("listed, but there is no such test: p.OneTest#gone");
+  }
+
+  @Test
+  void anEntryThatIsNotWhollyThereFails() throws Exception {
+    String[] malformed = {
+      "p.OneTest#red",
+      "p.OneTest#red | cause",
+      "p.OneTest#red | cause |",
+      "p.OneTest#red | | issue",
+      "p.OneTest | cause | issue",
+      "p.OneTest# | cause | issue",
+      "p.OneTest#red | cause | issue | more",
+      "| cause | issue"
+    };
+    write("KNOWN-RED.txt", String.join("\n", malformed) + "\n");
+    Run run = run();
+    assertEquals(1, run.exit(), run.output());
+    for (String entry : malformed) {
+      assertTrue(
+          run.output()
+              .contains("not of the form package.Class#method | cause | issue: " + entry + "\n"),
+          run.output());
+    }
+    write("KNOWN-RED.txt", "p.OneTest#red | cause\n");
+    assertFails("not of the form package.Class#method | cause | issue: p.OneTest#red | cause\n");
+    write("KNOWN-RED.txt", LISTED + LISTED);
+    assertFails("listed twice: p.OneTest#red");
+  }
+
+  @Test
+  void anUnlistedTestThatFailsOrEndsInAnErrorFails() throws Exception {
+    for (String outcome : new String[] {FAILED, ERROR}) {
+      report("two", "p.q.TwoTest", test("p.q.TwoTest", "green", outcome));
+      assertFails("fails and is not listed: p.q.TwoTest#green");
+    }
+  }
+
+  @Test
+  void whatFailsRoundAWholeClassFails() throws Exception {
+    report("one", "p.OneTest", test("p.OneTest", "red", FAILED) + test("p.OneTest", "", ERROR));
+    assertFails("fails and is not listed: p.OneTest#\n");
+  }
+
+  @Test
+  void aBuildThatMavenItselfFailsFails() throws Exception {
+    // So it ends with Surefire 3.5.4 when a JVM of tests dies, though failing tests are ignored.
+    write("exit", "1");
+    assertEquals(new Run(1, ""), run());
+    assertEquals(IGNORING, read("called"));
+  }
+
+  @Test
+  void aClassWithoutAReportFails() throws Exception {
+    Files.delete(root.resolve("two/target/surefire-reports/TEST-p.q.TwoTest.xml"));
+    assertFails("no test of it ran: p.q.TwoTest");
+    report("two", "p.q.TwoTest", "");
+    assertFails("no test of it ran: p.q.TwoTest");
+  }
+
+  @Test
+  void noReportsAtAllFail() throws Exception {
+    Files.delete(root.resolve("one/target/surefire-reports/TEST-p.OneTest.xml"));
+    Files.delete(root.resolve("two/target/surefire-reports/TEST-p.q.TwoTest.xml"));
+    assertFails("no tests ran");
+  }
+
+  @Test
+  void aReportThatCantBeReadFails() throws Exception {
+    write(
+        "two/target/surefire-reports/TEST-p.q.TwoTest.xml",
+        "<testsuite><testcase classname='p.q.TwoTest' name='gr");
+    assertFails("can't be read: two/target/surefire-reports/TEST-p.q.TwoTest.xml");
+  }
+
+  private void assertFails(String fault) throws Exception {
+    Run run = run();
+    assertEquals(1, run.exit(), run.output());
+    assertTrue(run.output().contains(fault), run.output());
+  }
+
+  private Run run() throws IOException, InterruptedException {
+    ProcessBuilder script =
+        new ProcessBuilder("bash", ".ci/run").directory(root.toFile()).redirectErrorStream(true);
+    script.environment().put("JAVA_HOME", System.getProperty("java.home"));
+    // The script's Java is compiled anew in each run: half the processor time so.
+    script.environment().put("JDK_JAVA_OPTIONS", "-XX:TieredStopAtLevel=1 -XX:+UseSerialGC");
+    script
+        .environment()
+        .compute("PATH", (name, path) -> root.resolve("bin") + File.pathSeparator + path);
+    Process process = script.start();
+    String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    return new Run(process.waitFor(), output);
+  }
+
+  private void report(String module, String suite, String tests) throws IOException {
+    write(
+        module + "/target/surefire-reports/TEST-" + suite + ".xml",
+        "<?xml version='1.0' encoding='UTF-8'?>\n<testsuite name='"
+            + suite
+            + "'>\n"
+            + tests
+            + "</testsuite>\n");
+  }
+
+  private static String test(String suite, String name, String outcome) {
+    return "<testcase name='" + name + "' classname='" + suite + "'>" + outcome + "</testcase>\n";
+  }
+
+  private void write(String file, String text) throws IOException {
+    Path path = root.resolve(file);
+    Files.createDirectories(path.getParent());
+    Files.writeString(path, text);
+  }
+
+  private String read(String file) throws IOException {
+    return Files.readString(root.resolve(file));
+  }
 }
--- a/gateway/src/test/java/tillerlink/OneWayOutTest.java
+++ b/gateway/src/test/java/tillerlink/OneWayOutTest.java
@@ -12,58 +12,72 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards the guard: an attempt can reach a socket in one way only, and each step of it stands in one place. Whoever adds a
- * second has to lead it past the guard first, and then say so here.
+ * Guards the guard: an attempt can reach a socket in one way only, and each step of it stands in
+ * one place. Whoever adds a second has to lead it past the guard first, and then say so here.
  */
 class OneWayOutTest {
-    private static final Path SOURCES = Path.of("src", "main", "java", "tillerlink");
+  private static final Path SOURCES = Path.of("src", "main", "java", "tillerlink");
 
-    @Test
-    void socketsAreOpenedAndWrittenInTheDriverAlone() throws IOException {
-        assertEquals(List.of("net/io/MinaDriver.java", "net/io/Reading.java"),
-                filesWith("NioSocketConnector|NioDatagramConnector|\\bSocketChannel\\b|DatagramChannel\\b|java\\.net\\.(Datagram)?Socket\\b"
-                        + "|session\\.write\\("));
-        assertEquals(2, occurrences("net/io/Reading.java", "super\\.write\\("), "one for what has no time, one behind the clock");
-        assertEquals(List.of("net/io/Reading.java"), filesWith("super\\.write\\("));
-    }
+  @Test
+  void socketsAreOpenedAndWrittenInTheDriverAlone() throws IOException {
+    assertEquals(
+        List.of("net/io/MinaDriver.java", "net/io/Reading.java"),
+        filesWith(
+            "NioSocketConnector|NioDatagramConnector|\\bSocketChannel\\b|DatagramChannel\\b|java\\.net\\.(Datagram)?Socket\\b"
+                + "|session\\.write\\("));
+    assertEquals(
+        2,
+        occurrences("net/io/Reading.java", "super\\.write\\("),
+        "one for what has no time, one behind the clock");
+    assertEquals(List.of("net/io/Reading.java"), filesWith("super\\.write\\("));
+  }
 
-    @Test
-    void attemptsAreEncodedAndWrittenOnce() throws IOException {
-        assertEquals(List.of("net/state/EngineLink.java"), filesWith("EngineCommand\\.want\\("));
-        assertEquals(1, occurrences("net/state/EngineLink.java", "EngineCommand\\.want\\("));
-        assertEquals(List.of("net/state/EngineLink.java"), filesWith("\\.writeBefore\\(EngineCommand"));
-    }
+  @Test
+  void attemptsAreEncodedAndWrittenOnce() throws IOException {
+    assertEquals(List.of("net/state/EngineLink.java"), filesWith("EngineCommand\\.want\\("));
+    assertEquals(1, occurrences("net/state/EngineLink.java", "EngineCommand\\.want\\("));
+    assertEquals(List.of("net/state/EngineLink.java"), filesWith("\\.writeBefore\\(EngineCommand"));
+  }
 
-    /** Right before the one write: the guard's verdict; before the carrier gets it: the same. */
-    @Test
-    void eachOfThemAsksTheGuard() throws IOException {
-        String link = Files.readString(SOURCES.resolve("net/state/EngineLink.java"));
-        assertEquals(1, count(link, "[^.\\w]want\\(flight\\);"));
-        assertEquals(1, count(link, "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+want\\(flight\\);"));
-        String gateway = Files.readString(SOURCES.resolve("net/state/Gateway.java"));
-        assertEquals(1, count(gateway, "carrier\\(flight\\)\\.send\\(flight\\)"));
-        assertEquals(1, count(gateway, "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+carrier\\(flight\\)\\.send\\(flight\\)"));
-        assertEquals(List.of("Policy.java", "policy/SendGuard.java"), filesWith("guard\\.mayWrite\\(|SendVerdict mayWrite\\(long now, Hop hop\\) \\{")
-                .stream().filter(file -> !file.startsWith("port/")).toList());
-    }
+  /** Right before the one write: the guard's verdict; before the carrier gets it: the same. */
+  @Test
+  void eachOfThemAsksTheGuard() throws IOException {
+    String link = Files.readString(SOURCES.resolve("net/state/EngineLink.java"));
+    assertEquals(1, count(link, "[^.\\w]want\\(flight\\);"));
+    assertEquals(
+        1, count(link, "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+want\\(flight\\);"));
+    String gateway = Files.readString(SOURCES.resolve("net/state/Gateway.java"));
+    assertEquals(1, count(gateway, "carrier\\(flight\\)\\.send\\(flight\\)"));
+    assertEquals(
+        1,
+        count(
+            gateway,
+            "if \\(verdict == SendVerdict\\.ALLOWED\\)"
+                + " \\{\\s+carrier\\(flight\\)\\.send\\(flight\\)"));
+    assertEquals(
+        List.of("Policy.java", "policy/SendGuard.java"),
+        filesWith("guard\\.mayWrite\\(|SendVerdict mayWrite\\(long now, Hop hop\\) \\{").stream()
+            .filter(file -> !file.startsWith("port/"))
+            .toList());
+  }
 
-    private static int occurrences(String file, String pattern) throws IOException {
-        return count(Files.readString(SOURCES.resolve(file)), pattern);
-    }
+  private static int occurrences(String file, String pattern) throws IOException {
+    return count(Files.readString(SOURCES.resolve(file)), pattern);
+  }
 
-    private static int count(String text, String pattern) {
-        return (int) Pattern.compile(pattern).matcher(text).results().count();
-    }
+  private static int count(String text, String pattern) {
+    return (int) Pattern.compile(pattern).matcher(text).results().count();
+  }
 
-    private static List<String> filesWith(String pattern) throws IOException {
-        List<String> found = new ArrayList<>();
-        try (Stream<Path> files = Files.walk(SOURCES)) {
-            for (Path file : files.filter(path -> path.toString().endsWith(".java")).sorted().toList()) {
-                if (count(Files.readString(file), pattern) > 0) {
-                    found.add(SOURCES.relativize(file).toString().replace('\\', '/'));
-                }
-            }
+  private static List<String> filesWith(String pattern) throws IOException {
+    List<String> found = new ArrayList<>();
+    try (Stream<Path> files = Files.walk(SOURCES)) {
+      for (Path file : files.filter(path -> path.toString().endsWith(".java")).sorted().toList()) {
+        if (count(Files.readString(file), pattern) > 0) {
+          found.add(SOURCES.relativize(file).toString().replace('\\', '/'));
         }
-        return found;
+      }
     }
+    return found;
+  }
 }
--- a/gateway/src/test/java/tillerlink/RetryBudgetTest.java
+++ b/gateway/src/test/java/tillerlink/RetryBudgetTest.java
@@ -16,60 +16,71 @@
 import tillerlink.policy.SendVerdict;
 import tillerlink.port.Orders;
 
-/** The budget of further attempts by when they are written, which is later than they are placed where a dial takes time. */
+/**
+ * The budget of further attempts by when they are written, which is later than they are placed
+ * where a dial takes time.
+ */
 class RetryBudgetTest {
-    private static final long START = 17_000_000_000_000L;
-    private static final long SECOND = 10_000;
-    private static final long DIAL = SECOND / 2;
-    private static final int FLOOR = 3;
+  private static final long START = 17_000_000_000_000L;
+  private static final long SECOND = 10_000;
+  private static final long DIAL = SECOND / 2;
+  private static final int FLOOR = 3;
 
-    private final List<Hop> sent = new ArrayList<>();
-    private final Engine engine = new Engine("e1");
+  private final List<Hop> sent = new ArrayList<>();
+  private final Engine engine = new Engine("e1");
 
-    /** Guards the budget: what was placed over ten seconds ago may have been written since. */
-    @Test
-    void whatWasWrittenLateCountsFromItsWrite() {
-        Policy policy = new Policy(START, 7, settings(), (Orders) Proxy.newProxyInstance(Orders.class.getClassLoader(),
-                new Class<?>[] {Orders.class}, (proxy, method, values) -> {
-                    if (method.getName().equals("send")) {
+  /** Guards the budget: what was placed over ten seconds ago may have been written since. */
+  @Test
+  void whatWasWrittenLateCountsFromItsWrite() {
+    Policy policy =
+        new Policy(
+            START,
+            7,
+            settings(),
+            (Orders)
+                Proxy.newProxyInstance(
+                    Orders.class.getClassLoader(),
+                    new Class<?>[] {Orders.class},
+                    (proxy, method, values) -> {
+                      if (method.getName().equals("send")) {
                         sent.add((Hop) values[0]);
-                    }
-                    return null;
-                }));
-        policy.listed(START, true, List.of(new Listed(engine, 0, 0, 0, 1, Engine.Standing.READY, 0)));
-        for (int i = 0; i < FLOOR; i++) {
-            Hop further = further(policy, START);
-            assertEquals(SendVerdict.ALLOWED, policy.mayWrite(START + DIAL, further));
-            policy.writeBefore(START + DIAL, further);
-        }
-        long later = START + 10 * SECOND + DIAL / 2;
-        Hop fourth = further(policy, later);
-        assertEquals(SendVerdict.RETRY_BUDGET, policy.mayWrite(later, fourth));
-        assertEquals(SendVerdict.ALLOWED, policy.mayWrite(later + SECOND, fourth));
+                      }
+                      return null;
+                    }));
+    policy.listed(START, true, List.of(new Listed(engine, 0, 0, 0, 1, Engine.Standing.READY, 0)));
+    for (int i = 0; i < FLOOR; i++) {
+      Hop further = further(policy, START);
+      assertEquals(SendVerdict.ALLOWED, policy.mayWrite(START + DIAL, further));
+      policy.writeBefore(START + DIAL, further);
     }
+    long later = START + 10 * SECOND + DIAL / 2;
+    Hop fourth = further(policy, later);
+    assertEquals(SendVerdict.RETRY_BUDGET, policy.mayWrite(later, fourth));
+    assertEquals(SendVerdict.ALLOWED, policy.mayWrite(later + SECOND, fourth));
+  }
 
-    /** A request whose first attempt never ran, and that is placed again. */
-    private Hop further(Policy policy, long now) {
-        policy.arrived(now, new Submission("a", 0, 0, false, now, now + 30 * SECOND, 100, 0, null));
-        policy.settle(now);
-        Hop first = sent.get(sent.size() - 1);
-        policy.ended(now, first, Outcome.SPOILT, 0, false, 0, 0, null);
-        policy.settle(now);
-        return sent.get(sent.size() - 1);
-    }
+  /** A request whose first attempt never ran, and that is placed again. */
+  private Hop further(Policy policy, long now) {
+    policy.arrived(now, new Submission("a", 0, 0, false, now, now + 30 * SECOND, 100, 0, null));
+    policy.settle(now);
+    Hop first = sent.get(sent.size() - 1);
+    policy.ended(now, first, Outcome.SPOILT, 0, false, 0, 0, null);
+    policy.settle(now);
+    return sent.get(sent.size() - 1);
+  }
 
-    private static Map<String, Object> settings() {
-        Map<String, Object> settings = new HashMap<>();
-        settings.put("tick", 50L);
-        settings.put("caps.max_attempts", 3L);
-        settings.put("guarantees.budget_span", 10 * SECOND);
-        settings.put("guarantees.extra_floor", (double) FLOOR);
-        settings.put("guarantees.further_ratio", 0.0);
-        settings.put("family_info.kind_cores", List.of(64L));
-        settings.put("profiles", 1L);
-        settings.put("profiles.0.semantics", "repeatable");
-        settings.put("profiles.0.aim", 20 * SECOND);
-        settings.put("profiles.0.hard_limit", 30 * SECOND);
-        return settings;
-    }
+  private static Map<String, Object> settings() {
+    Map<String, Object> settings = new HashMap<>();
+    settings.put("tick", 50L);
+    settings.put("caps.max_attempts", 3L);
+    settings.put("guarantees.budget_span", 10 * SECOND);
+    settings.put("guarantees.extra_floor", (double) FLOOR);
+    settings.put("guarantees.further_ratio", 0.0);
+    settings.put("family_info.kind_cores", List.of(64L));
+    settings.put("profiles", 1L);
+    settings.put("profiles.0.semantics", "repeatable");
+    settings.put("profiles.0.aim", 20 * SECOND);
+    settings.put("profiles.0.hard_limit", 30 * SECOND);
+    return settings;
+  }
 }
--- a/gateway/src/test/java/tillerlink/SideTest.java
+++ b/gateway/src/test/java/tillerlink/SideTest.java
@@ -14,184 +14,274 @@
 
 /** What stands beside the module: its calls, and submissions whose hops wait on a guard. */
 class SideTest {
-    private static final String ID = "00000000000000a1";
-
-    /** Takes /v1/aside/TRACK and hands it in under a guard; answers /v1/later when told to, in a later turn. */
-    private static final class Aside implements Side, Side.Guard {
-        private final Door door;
-        private final List<Reply> owed = new ArrayList<>();
-        /** What the guard answers next; then that it holds. */
-        private final ArrayDeque<Boolean> answers = new ArrayDeque<>();
-        private final List<String> turns = new ArrayList<>();
-        /** What the guard was told of its hops. */
-        private final List<String> told = new ArrayList<>();
-
-        Aside(Door door) {
-            this.door = door;
-        }
-
-        @Override
-        public void begin(long now) {
-            turns.add("begin");
-        }
-
-        @Override
-        public void settle(long now) {
-            turns.add("settle");
-        }
-
-        @Override
-        public long dueAt() {
-            return Long.MAX_VALUE;
-        }
-
-        @Override
-        public boolean takes(String path) {
-            return path.startsWith("/v1/aside/") || path.equals("/v1/later");
-        }
-
-        @Override
-        public void called(HttpCall call, Reply reply) {
-            turns.add("called");
-            if (call.path().equals("/v1/later")) {
-                owed.add(reply);
-                return;
-            }
-            door.submit(new HttpCall(call.method(), call.path().replace("aside/", ""), call.fields(),
-                    "EXECUTE".getBytes(StandardCharsets.US_ASCII), false), this, reply);
-        }
-
-        @Override
-        public void drain() {
-            turns.add("drain");
-        }
-
-        @Override
-        public void timeUp() {
-            turns.add("time up");
-        }
-
-        @Override
-        public void close() {
-            turns.add("close");
-        }
-
-        @Override
-        public boolean holds() {
-            return answers.isEmpty() || answers.poll();
-        }
-
-        @Override
-        public long comeBack() {
-            return 2000;
-        }
-
-        @Override
-        public void began() {
-            told.add("began");
-        }
-
-        @Override
-        public void ended(long mayRunUntil) {
-            told.add(mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - Stage.STORY) / 10);
-        }
+  private static final String ID = "00000000000000a1";
+
+  /**
+   * Takes /v1/aside/TRACK and hands it in under a guard; answers /v1/later when told to, in a later
+   * turn.
+   */
+  private static final class Aside implements Side, Side.Guard {
+    private final Door door;
+    private final List<Reply> owed = new ArrayList<>();
+
+    /** What the guard answers next; then that it holds. */
+    private final ArrayDeque<Boolean> answers = new ArrayDeque<>();
+
+    private final List<String> turns = new ArrayList<>();
+
+    /** What the guard was told of its hops. */
+    private final List<String> told = new ArrayList<>();
+
+    Aside(Door door) {
+      this.door = door;
     }
 
-    private Aside aside;
+    @Override
+    public void begin(long now) {
+      turns.add("begin");
+    }
 
-    private Stage stage(Stage fresh, Boolean... answers) {
-        return fresh.beside(door -> {
-            aside = new Aside(door);
-            aside.answers.addAll(List.of(answers));
-            return aside;
-        });
+    @Override
+    public void settle(long now) {
+      turns.add("settle");
     }
 
-    @Test
-    void itsOwnCalls() {
-        Stage s = stage(new Stage()).client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n").say("the next call waits its turn")
-                .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n").pass(2000).answered();
-        s.turn(() -> aside.owed.get(0).answer(HttpAnswer.done())).say("told twice").turn(() -> aside.owed.get(0).answer(HttpAnswer.done()));
-        s.say("the client goes before the answer").client("c2", "PUT /v1/later HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
-                .breaks("c2", Break.CLOSED_BY_PEER).turn(() -> aside.owed.get(1).answer(HttpAnswer.done())).answered();
-        s.matches("side-calls");
+    @Override
+    public long dueAt() {
+      return Long.MAX_VALUE;
     }
 
-    @Test
-    void itsPlaceInATurn() {
-        stage(new Stage()).client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n").drain().timeUp();
-        assertEquals(List.of("begin", "called", "settle", "drain", "time up"), aside.turns.stream().distinct().toList());
+    @Override
+    public boolean takes(String path) {
+      return path.startsWith("/v1/aside/") || path.equals("/v1/later");
     }
 
-    /** Each point at which a guard may cease to hold, on a track that may run twice and on one that must not. */
-    @Test
-    void guards() {
-        Stage s = new Stage();
-        for (String track : List.of("aside/look", "aside/book")) {
-            s.say(track + ": it holds").fresh();
-            stage(s).post("c1", ID, track).get("c1", ID).connected(0).engine(0, ID + " ok count=1 0||");
-            s.say(track + ": not before anything is written").fresh();
-            stage(s, false).post("c1", ID, track).get("c1", ID);
-            s.say(track + ": not any more once the connection is up").fresh();
-            stage(s, true, false).post("c1", ID, track).get("c1", ID).connected(0);
-            s.say(track + ": not any more once it was written").fresh();
-            stage(s, true, true, false).post("c1", ID, track).get("c1", ID).connected(0).engine(0, ID + " ok count=1 0||");
-            s.say(track + ": the answer comes before it is known to be written, and it does not hold").fresh().stuck();
-            stage(s, true, true, false).post("c1", ID, track).get("c1", ID).connected(0).engine(0, ID + " ok count=1 0||").letGo();
-            s.say(track + ": an earlier hop may have run, the next does not go").fresh();
-            stage(s, true, true, true, false).post("c1", ID, track).get("c1", ID).connected(0).ends(0, Break.RESET);
-            s.say(track + ": an earlier hop surely did not run, the next does not go").fresh();
-            stage(s, true, false).post("c1", ID, track).get("c1", ID).ends(0, Break.REFUSED);
-            s.say(track + ": written in time, it may end").fresh();
-            stage(s).post("c1", ID, track).get("c1", ID).connected(0).turn(() -> {
-                aside.answers.add(false);
-                aside.door.recheck();
-            }).engine(0, ID + " ok count=1 0||");
-        }
-        s.matches("side-guards");
+    @Override
+    public void called(HttpCall call, Reply reply) {
+      turns.add("called");
+      if (call.path().equals("/v1/later")) {
+        owed.add(reply);
+        return;
+      }
+      door.submit(
+          new HttpCall(
+              call.method(),
+              call.path().replace("aside/", ""),
+              call.fields(),
+              "EXECUTE".getBytes(StandardCharsets.US_ASCII),
+              false),
+          this,
+          reply);
+    }
+
+    @Override
+    public void drain() {
+      turns.add("drain");
+    }
+
+    @Override
+    public void timeUp() {
+      turns.add("time up");
+    }
+
+    @Override
+    public void close() {
+      turns.add("close");
     }
 
-    private void told(String what, Stage s, String... wanted) {
-        assertEquals(List.of(wanted), aside.told, what);
+    @Override
+    public boolean holds() {
+      return answers.isEmpty() || answers.poll();
     }
 
-    private Stage out(Boolean... answers) {
-        return stage(new Stage(), answers).post("c1", ID, "aside/book").get("c1", ID);
+    @Override
+    public long comeBack() {
+      return 2000;
     }
 
-    private static final String DONE = ID + " ok count=1 0||";
-
-    /** Every ending of a hop that was written, and whether its engine may still be at it. */
-    @Test
-    void endsAreTold() {
-        told("answered", out().connected(0).engine(0, DONE), "began", "over");
-        told("its engine erred", out().connected(0).engine(0, ID + " error - 0||"), "began", "over");
-        told("of two pages one came, and the client's time is up", out().connected(0).engine(0, ID + " ok count=2 0||").pass(5000),
-                "began", "over");
-        told("not written yet", out(), new String[0]);
-        told("the guard does not hold", out(false), new String[0]);
-        told("the guard does not hold once the connection is up", out(true, false).connected(0), new String[0]);
-        told("never connected", out().ends(0, Break.REFUSED).ends(1, Break.REFUSED), new String[0]);
-        told("the connection broke", out().connected(0).ends(0, Break.RESET), "began", "may run until 4500");
-        told("the connection broke before it was written whole", out().stuck().connected(0).ends(0, Break.RESET), "began", "over");
-        told("the guard does not hold after the write", out(true, true, false).connected(0), "began", "may run until 4500");
-        told("it does not hold any more when the answer is there", out(true, true, false).stuck().connected(0).engine(0, DONE),
-                "began", "over");
-        told("the client goes", out().connected(0).client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n"),
-                "began", "may run until 4500");
-        told("the client's time is up", out().connected(0).pass(5000), "began", "may run until 4500");
-        told("the process ends", out().connected(0).timeUp(), "began", "may run until 4500");
-        told("a pure one goes to another engine", stage(new Stage()).post("c1", ID, "aside/look").get("c1", ID).connected(0)
-                .ends(0, Break.RESET).connected(1).engine(1, DONE), "began", "may run until 4500", "began", "over");
+    @Override
+    public void began() {
+      told.add("began");
     }
 
-    /** Held submissions hear of it at once and not only when their turn comes. */
-    @Test
-    void heldOnes() {
-        Stage s = new Stage().fleet(0, 1024);
-        stage(s).post("c1", ID, "aside/look").get("c1", ID).turn(() -> {
-            aside.answers.add(false);
-            aside.door.recheck();
-        }).matches("side-held");
+    @Override
+    public void ended(long mayRunUntil) {
+      told.add(mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - Stage.STORY) / 10);
     }
+  }
+
+  private Aside aside;
+
+  private Stage stage(Stage fresh, Boolean... answers) {
+    return fresh.beside(
+        door -> {
+          aside = new Aside(door);
+          aside.answers.addAll(List.of(answers));
+          return aside;
+        });
+  }
+
+  @Test
+  void itsOwnCalls() {
+    Stage s =
+        stage(new Stage())
+            .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
+            .say("the next call waits its turn")
+            .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+            .pass(2000)
+            .answered();
+    s.turn(() -> aside.owed.get(0).answer(HttpAnswer.done()))
+        .say("told twice")
+        .turn(() -> aside.owed.get(0).answer(HttpAnswer.done()));
+    s.say("the client goes before the answer")
+        .client("c2", "PUT /v1/later HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
+        .breaks("c2", Break.CLOSED_BY_PEER)
+        .turn(() -> aside.owed.get(1).answer(HttpAnswer.done()))
+        .answered();
+    s.matches("side-calls");
+  }
+
+  @Test
+  void itsPlaceInATurn() {
+    stage(new Stage()).client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n").drain().timeUp();
+    assertEquals(
+        List.of("begin", "called", "settle", "drain", "time up"),
+        aside.turns.stream().distinct().toList());
+  }
+
+  /**
+   * Each point at which a guard may cease to hold, on a track that may run twice and on one that
+   * must not.
+   */
+  @Test
+  void guards() {
+    Stage s = new Stage();
+    for (String track : List.of("aside/look", "aside/book")) {
+      s.say(track + ": it holds").fresh();
+      stage(s).post("c1", ID, track).get("c1", ID).connected(0).engine(0, ID + " ok count=1 0||");
+      s.say(track + ": not before anything is written").fresh();
+      stage(s, false).post("c1", ID, track).get("c1", ID);
+      s.say(track + ": not any more once the connection is up").fresh();
+      stage(s, true, false).post("c1", ID, track).get("c1", ID).connected(0);
+      s.say(track + ": not any more once it was written").fresh();
+      stage(s, true, true, false)
+          .post("c1", ID, track)
+          .get("c1", ID)
+          .connected(0)
+          .engine(0, ID + " ok count=1 0||");
+      s.say(track + ": the answer comes before it is known to be written, and it does not hold")
+          .fresh()
+          .stuck();
+      stage(s, true, true, false)
+          .post("c1", ID, track)
+          .get("c1", ID)
+          .connected(0)
+          .engine(0, ID + " ok count=1 0||")
+          .letGo();
+      s.say(track + ": an earlier hop may have run, the next does not go").fresh();
+      stage(s, true, true, true, false)
+          .post("c1", ID, track)
+          .get("c1", ID)
+          .connected(0)
+          .ends(0, Break.RESET);
+      s.say(track + ": an earlier hop surely did not run, the next does not go").fresh();
+      stage(s, true, false).post("c1", ID, track).get("c1", ID).ends(0, Break.REFUSED);
+      s.say(track + ": written in time, it may end").fresh();
+      stage(s)
+          .post("c1", ID, track)
+          .get("c1", ID)
+          .connected(0)
+          .turn(
+              () -> {
+                aside.answers.add(false);
+                aside.door.recheck();
+              })
+          .engine(0, ID + " ok count=1 0||");
+    }
+    s.matches("side-guards");
+  }
+
+  private void told(String what, Stage s, String... wanted) {
+    assertEquals(List.of(wanted), aside.told, what);
+  }
+
+  private Stage out(Boolean... answers) {
+    return stage(new Stage(), answers).post("c1", ID, "aside/book").get("c1", ID);
+  }
+
+  private static final String DONE = ID + " ok count=1 0||";
+
+  /** Every ending of a hop that was written, and whether its engine may still be at it. */
+  @Test
+  void endsAreTold() {
+    told("answered", out().connected(0).engine(0, DONE), "began", "over");
+    told("its engine erred", out().connected(0).engine(0, ID + " error - 0||"), "began", "over");
+    told(
+        "of two pages one came, and the client's time is up",
+        out().connected(0).engine(0, ID + " ok count=2 0||").pass(5000),
+        "began",
+        "over");
+    told("not written yet", out(), new String[0]);
+    told("the guard does not hold", out(false), new String[0]);
+    told(
+        "the guard does not hold once the connection is up",
+        out(true, false).connected(0),
+        new String[0]);
+    told("never connected", out().ends(0, Break.REFUSED).ends(1, Break.REFUSED), new String[0]);
+    told(
+        "the connection broke",
+        out().connected(0).ends(0, Break.RESET),
+        "began",
+        "may run until 4500");
+    told(
+        "the connection broke before it was written whole",
+        out().stuck().connected(0).ends(0, Break.RESET),
+        "began",
+        "over");
+    told(
+        "the guard does not hold after the write",
+        out(true, true, false).connected(0),
+        "began",
+        "may run until 4500");
+    told(
+        "it does not hold any more when the answer is there",
+        out(true, true, false).stuck().connected(0).engine(0, DONE),
+        "began",
+        "over");
+    told(
+        "the client goes",
+        out().connected(0).client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n"),
+        "began",
+        "may run until 4500");
+    told("the client's time is up", out().connected(0).pass(5000), "began", "may run until 4500");
+    told("the process ends", out().connected(0).timeUp(), "began", "may run until 4500");
+    told(
+        "a pure one goes to another engine",
+        stage(new Stage())
+            .post("c1", ID, "aside/look")
+            .get("c1", ID)
+            .connected(0)
+            .ends(0, Break.RESET)
+            .connected(1)
+            .engine(1, DONE),
+        "began",
+        "may run until 4500",
+        "began",
+        "over");
+  }
+
+  /** Held submissions hear of it at once and not only when their turn comes. */
+  @Test
+  void heldOnes() {
+    Stage s = new Stage().fleet(0, 1024);
+    stage(s)
+        .post("c1", ID, "aside/look")
+        .get("c1", ID)
+        .turn(
+            () -> {
+              aside.answers.add(false);
+              aside.door.recheck();
+            })
+        .matches("side-held");
+  }
 }
--- a/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
+++ b/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
@@ -27,103 +27,141 @@
  * list mode and every progress kind; the recorded output has the actions as they are written.
  */
 class SimulatorWireGuardTest {
-    @Test
-    void recordedInputGivesTheRecordedOutputByteForByte() throws IOException {
-        assertEquals(resource("simulator-output.jsonl"),
-                played(resource("simulator-input.jsonl")));
-    }
+  @Test
+  void recordedInputGivesTheRecordedOutputByteForByte() throws IOException {
+    assertEquals(resource("simulator-output.jsonl"), played(resource("simulator-input.jsonl")));
+  }
 
-    /** What follows " at " is a place in the source of the JDK, and differs between its builds. */
-    @Test
-    void panicTellsTheFaultOfAnInstance() throws IOException {
-        String output = played("{\"wall_us\":1000,\"inbox\":[[\"Up\",7,5,{\"profiles\":[{}]}],"
+  /** What follows " at " is a place in the source of the JDK, and differs between its builds. */
+  @Test
+  void panicTellsTheFaultOfAnInstance() throws IOException {
+    String output =
+        played(
+            "{\"wall_us\":1000,\"inbox\":[[\"Up\",7,5,{\"profiles\":[{}]}],"
                 + "[\"Incoming\",7,\"id-1\",0,false,false,9,900000]]}");
-        assertEquals("{\"do\":[[\"Panic\",7,\"java.lang.IndexOutOfBoundsException: "
-                + "Index 9 out of bounds for length 1\"]]}\n",
-                output.replaceFirst(" at [^\"]*\"", "\""));
-    }
+    assertEquals(
+        "{\"do\":[[\"Panic\",7,\"java.lang.IndexOutOfBoundsException: "
+            + "Index 9 out of bounds for length 1\"]]}\n",
+        output.replaceFirst(" at [^\"]*\"", "\""));
+  }
 
-    /** Guards words whose confusion the decisions of the recorded input would not show. */
-    @Test
-    void eventWordsAndPlacesMeanWhatTheyMeant() throws IOException {
-        StringBuilder replies = new StringBuilder();
-        String[] words = {"completed", "saturated", "overdue", "refused_conn", "severed",
-            "recalled", "superseded", "any other"};
-        StringBuilder input = new StringBuilder("{\"wall_us\":1000,\"inbox\":[[\"Up\",3,5,{}],"
+  /** Guards words whose confusion the decisions of the recorded input would not show. */
+  @Test
+  void eventWordsAndPlacesMeanWhatTheyMeant() throws IOException {
+    StringBuilder replies = new StringBuilder();
+    String[] words = {
+      "completed",
+      "saturated",
+      "overdue",
+      "refused_conn",
+      "severed",
+      "recalled",
+      "superseded",
+      "any other"
+    };
+    StringBuilder input =
+        new StringBuilder(
+            "{\"wall_us\":1000,\"inbox\":[[\"Up\",3,5,{}],"
                 + "[\"DefineList\",0,[[1,250000,2,1,4,0.5,\"e1\"],[0,null,0,2,0,1,\"e2\"],"
                 + "[0,null,0,0,0,1,\"e3\"]]],[\"BackendsChanged\",3,1,1,0],"
                 + "[\"BackendsChanged\",3,2,2,7],[\"BackendsChanged\",3,3,2,7]");
-        for (int i = 0; i < words.length; i++) {
-            input.append(",[\"Incoming\",3,\"s").append(i)
-                    .append("\",11,false,true,2,900000,0,\"key\",12000,384]");
-            replies.append(",[\"Reply\",3,\"s").append(i).append("\",0,\"e1\",\"").append(words[i])
-                    .append("\",1800,true,4096012,[3,0.5]]");
-        }
-        for (int kind = 1; kind <= 3; kind++) {
-            input.append(",[\"Change\",3,\"s0\",0.25,0,").append(kind).append(",0]");
-        }
-        List<Object> given = new ArrayList<>();
-        List<Submission> arrived = new ArrayList<>();
-        Steering steering = (Steering) Proxy.newProxyInstance(Steering.class.getClassLoader(),
-                new Class<?>[] {Steering.class}, (proxy, method, values) -> {
-                    for (Object value : values) {
-                        if (value instanceof Submission submission) {
-                            arrived.add(submission);
-                            submission.hops.add(
-                                    new Hop(submission, new Engine("e1"), 0, 1, 1, false));
-                        } else if (!(value instanceof Hop)) {
-                            given.add(value instanceof double[] report
-                                    ? Arrays.toString(report) : value);
-                        }
+    for (int i = 0; i < words.length; i++) {
+      input
+          .append(",[\"Incoming\",3,\"s")
+          .append(i)
+          .append("\",11,false,true,2,900000,0,\"key\",12000,384]");
+      replies
+          .append(",[\"Reply\",3,\"s")
+          .append(i)
+          .append("\",0,\"e1\",\"")
+          .append(words[i])
+          .append("\",1800,true,4096012,[3,0.5]]");
+    }
+    for (int kind = 1; kind <= 3; kind++) {
+      input.append(",[\"Change\",3,\"s0\",0.25,0,").append(kind).append(",0]");
+    }
+    List<Object> given = new ArrayList<>();
+    List<Submission> arrived = new ArrayList<>();
+    Steering steering =
+        (Steering)
+            Proxy.newProxyInstance(
+                Steering.class.getClassLoader(),
+                new Class<?>[] {Steering.class},
+                (proxy, method, values) -> {
+                  for (Object value : values) {
+                    if (value instanceof Submission submission) {
+                      arrived.add(submission);
+                      submission.hops.add(new Hop(submission, new Engine("e1"), 0, 1, 1, false));
+                    } else if (!(value instanceof Hop)) {
+                      given.add(value instanceof double[] report ? Arrays.toString(report) : value);
                     }
-                    return null;
+                  }
+                  return null;
                 });
-        new WireHost((now, seed, values, orders) -> steering).serve(new ByteArrayInputStream(
+    new WireHost((now, seed, values, orders) -> steering)
+        .serve(
+            new ByteArrayInputStream(
                 (input.append(replies) + "]}").getBytes(StandardCharsets.UTF_8)),
-                new ByteArrayOutputStream());
+            new ByteArrayOutputStream());
 
-        Listed first = listed(given, 0);
-        List<Object> expected = new ArrayList<>(List.of(10L, true, List.of(
-                new Listed(first.engine(), 1, 2, 4, 0.5, Engine.Standing.READY, 2500),
-                new Listed(listed(given, 1).engine(), 0, 0, 0, 1, Engine.Standing.DRAINING, 0),
-                new Listed(listed(given, 2).engine(), 0, 0, 0, 1, Engine.Standing.GONE, 0)),
-                10L, false, List.of(), 10L, true, List.of()));
-        expected.addAll(List.of(10L, 10L, 10L, 10L, 10L, 10L, 10L, 10L));
-        expected.addAll(List.of(10L, Note.PROGRESS, 0.25, 10L, Note.SPILLS, 0.25,
-                10L, Note.WAITS, 0.25));
-        for (Outcome outcome : List.of(Outcome.FULFILLED, Outcome.FULL, Outcome.OVERDUE,
-                Outcome.UNREACHABLE, Outcome.SEVERED, Outcome.CALLED_OFF, Outcome.NEVER_SENT,
-                Outcome.ERRED)) {
-            expected.addAll(List.of(10L, outcome, 18L, true, 10_000.0, 48.0, "[3.0, 0.5]"));
-        }
-        expected.add(10L);
-        assertEquals(expected, given);
-        assertEquals("e1", first.engine().tag);
-        assertEquals("s7", arrived.get(7).tag);
-        assertEquals(2, arrived.get(7).trackIndex);
-        assertEquals(11, arrived.get(7).tableGroup);
-        assertEquals(true, arrived.get(7).repeat);
-        assertEquals(9000, arrived.get(7).leavesAt);
-        assertEquals(120.0, arrived.get(7).estimate);
-        assertEquals(384.0, arrived.get(7).memoryEstimate);
-        assertSame(arrived.get(0).line, arrived.get(7).line);
+    Listed first = listed(given, 0);
+    List<Object> expected =
+        new ArrayList<>(
+            List.of(
+                10L,
+                true,
+                List.of(
+                    new Listed(first.engine(), 1, 2, 4, 0.5, Engine.Standing.READY, 2500),
+                    new Listed(listed(given, 1).engine(), 0, 0, 0, 1, Engine.Standing.DRAINING, 0),
+                    new Listed(listed(given, 2).engine(), 0, 0, 0, 1, Engine.Standing.GONE, 0)),
+                10L,
+                false,
+                List.of(),
+                10L,
+                true,
+                List.of()));
+    expected.addAll(List.of(10L, 10L, 10L, 10L, 10L, 10L, 10L, 10L));
+    expected.addAll(
+        List.of(10L, Note.PROGRESS, 0.25, 10L, Note.SPILLS, 0.25, 10L, Note.WAITS, 0.25));
+    for (Outcome outcome :
+        List.of(
+            Outcome.FULFILLED,
+            Outcome.FULL,
+            Outcome.OVERDUE,
+            Outcome.UNREACHABLE,
+            Outcome.SEVERED,
+            Outcome.CALLED_OFF,
+            Outcome.NEVER_SENT,
+            Outcome.ERRED)) {
+      expected.addAll(List.of(10L, outcome, 18L, true, 10_000.0, 48.0, "[3.0, 0.5]"));
     }
+    expected.add(10L);
+    assertEquals(expected, given);
+    assertEquals("e1", first.engine().tag);
+    assertEquals("s7", arrived.get(7).tag);
+    assertEquals(2, arrived.get(7).trackIndex);
+    assertEquals(11, arrived.get(7).tableGroup);
+    assertEquals(true, arrived.get(7).repeat);
+    assertEquals(9000, arrived.get(7).leavesAt);
+    assertEquals(120.0, arrived.get(7).estimate);
+    assertEquals(384.0, arrived.get(7).memoryEstimate);
+    assertSame(arrived.get(0).line, arrived.get(7).line);
+  }
 
-    private static Listed listed(List<Object> given, int place) {
-        return (Listed) ((List<?>) given.get(2)).get(place);
-    }
+  private static Listed listed(List<Object> given, int place) {
+    return (Listed) ((List<?>) given.get(2)).get(place);
+  }
 
-    private static String played(String input) throws IOException {
-        ByteArrayOutputStream output = new ByteArrayOutputStream();
-        new WireHost(Policy::new).serve(
-                new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), output);
-        return output.toString(StandardCharsets.UTF_8);
-    }
+  private static String played(String input) throws IOException {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    new WireHost(Policy::new)
+        .serve(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), output);
+    return output.toString(StandardCharsets.UTF_8);
+  }
 
-    private static String resource(String name) throws IOException {
-        try (InputStream in =
-                SimulatorWireGuardTest.class.getResourceAsStream("/guards/" + name)) {
-            return new String(in.readAllBytes(), StandardCharsets.UTF_8);
-        }
+  private static String resource(String name) throws IOException {
+    try (InputStream in = SimulatorWireGuardTest.class.getResourceAsStream("/guards/" + name)) {
+      return new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
+  }
 }
--- a/gateway/src/test/java/tillerlink/Stage.java
+++ b/gateway/src/test/java/tillerlink/Stage.java
@@ -21,309 +21,417 @@
 
 /** A driver that prints. Times are milliseconds; in what engines say, | is a line's end. */
 final class Stage implements Driver {
-    private static final int TENTHS = 10;
-    static final long START = 17_000_000_000_000L;
-    private static final long CONFIRM_MS = 125;
-    /** When the story of a new stage begins: the list was confirmed by then. */
-    static final long STORY = START + CONFIRM_MS * TENTHS;
-
-    private final StringBuilder printed = new StringBuilder();
-    private final List<Printed> dialed = new ArrayList<>();
-    private final List<Printed> unsent = new ArrayList<>();
-    private final Map<String, Printed> clients = new LinkedHashMap<>();
-    private List<EngineEntry> fleet = List.of(entry("e1", "127.0.0.1"), entry("e2", "127.0.0.2"));
-    private int sockets = 1024;
-    private long now = START;
-    private int query;
-    private int questions;
-    private boolean terse;
-    private boolean stuck;
-    private boolean quiet;
-    /** What the name service answers unless a test has news of it, and the question that waits for it. */
-    private String[] served;
-    private int servedIndex;
-    private boolean answering;
-    private int unanswered;
-    private long origin = START;
-    private Gateway gateway;
-
-    Stage() {
-        fresh();
-    }
-
-    Stage fresh() {
-        dialed.clear();
-        clients.clear();
-        unsent.clear();
-        stuck = false;
-        Map<String, Object> caps = terse ? Map.of("max_attempts", 3L)
-                : Map.of("max_attempts", 3L, "may_cancel", true, "retry_after", true, "max_retry_after_us",
-                1_000_000L, "streams_per_conn", 32L, "connect_timeout_us", 250_000L, "conn_idle_us", 30_000_000L);
-        Map<String, Object> look = Map.of("name", "look", "semantics", "repeatable", "aim_us", terse ? 400_000L : 1_000_000L, "hard_limit_us",
-                5_000_000L, "worth", 1.0, "late_worth", 0.5);
-        Map<String, Object> book = Map.of("name", "book", "semantics", "once", "aim_us", 1_000_000L, "hard_limit_us",
-                5_000_000L, "worth", 1.0, "late_worth", 0.5);
-        Map<String, Object> load = Map.of("name", "load", "semantics", "by_key", "aim_us", 1_000_000L, "hard_limit_us", 5_000_000L);
-        Map<String, Object> file = Map.of("name", "file", "semantics", "repeatable", "keep_order", true, "aim_us", 1_000_000L,
-                "hard_limit_us", 5_000_000L, "worth", 1.0);
-        Map<String, Object> terms = Map.of("caps", caps, "profiles", List.of(look, book, load, file), "models", List.of("std"), "zones",
-                List.of("east"), "tick_us", 5000L, "guarantees", terse ? Map.of() : Map.of("drain_grace_us", 100_000L),
-                "family_info", Map.of("kind_cores", List.of(8L), "tells_every_us", 2_000_000L));
-        EngineNews known = new EngineNews(1, true, fleet);
-        InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
-        served = fleet.stream().map(e -> e.id() + " ready " + e.address() + ":5050 east std 0 0").toArray(String[]::new);
-        servedIndex = 1;
-        answering = true;
-        unanswered = -1;
-        gateway = new Gateway(new Assignment("n0", any, any, 7, sockets, terms, List.of(known)), Policy::new, this, now);
-        turn(() -> { });
-        // A whole number of sweeps, in which the list is confirmed; stories begin then.
-        long before = now;
-        pass(terse ? 300 : CONFIRM_MS);
-        origin += now - before;
-        return this;
-    }
-
-    /** With settings that leave out all that they may. */
-    Stage terse() {
-        terse = true;
-        return fresh();
-    }
-
-    Stage fleet(int engines, int descriptors) {
-        fleet = IntStream.range(1, engines + 1).mapToObj(i -> entry("e" + i, "127.0.0." + i)).toList();
-        sockets = descriptors;
-        return fresh();
-    }
-
-    private static EngineEntry entry(String id, String address) {
-        return new EngineEntry(id, address, 5050, "east", "std", 0, Engine.Standing.READY, 1, 0);
-    }
-
-    /** Puts it beside the module, from now on. */
-    Stage beside(Function<Side.Door, Side> made) {
-        gateway.beside(made.apply(gateway.door()));
-        return this;
-    }
-
-    Stage say(String comment) {
-        printed.append("# ").append(comment).append('\n');
-        return this;
-    }
-
-    Stage stuck() {
-        stuck = true;
-        return this;
-    }
-
-    Stage letGo() {
-        stuck = false;
-        return turn(() -> { });
-    }
-
-    Stage post(String client, String id, String track) {
-        return client(client, "POST /v1/" + track + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: " + id
-                + "\r\nX-Deadline-Ms: 4500\r\nX-Estimate-Ms: 100\r\nContent-Length: 8\r\n\r\nSELECT 1");
-    }
-
-    /** Of the track that keeps its order. */
-    Stage ordered(String client, String id, String subject) {
-        return client(client, "POST /v1/file HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: " + id + "\r\nX-Deadline-Ms: 4500\r\n"
-                + "X-Subject: " + subject + "\r\nX-Estimate-Ms: 100\r\nContent-Length: 8\r\n\r\nSELECT 1");
-    }
-
-    Stage get(String client, String id) {
-        return client(client, "GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
-    }
-
-    Stage client(String name, String bytes) {
-        Printed pipe = clients.computeIfAbsent(name, n -> {
-            Printed made = new Printed(n);
-            made.owner = gateway.accepted(made);
-            return made;
-        });
-        return turn(() -> pipe.owner.fed(bytes.getBytes(StandardCharsets.UTF_8)));
-    }
-
-    Stage breaks(String client, Break how) {
-        return turn(() -> clients.remove(client).owner.ended(how));
-    }
-
-    Stage connected(int link) {
-        return turn(() -> dialed.get(link).owner.opened());
-    }
-
-    Stage ends(int link, Break how) {
-        return turn(() -> dialed.get(link).owner.ended(how));
-    }
-
-    Stage engine(int link, String says) {
-        return turn(() -> dialed.get(link).owner.fed(says.replace("|", "\r\n").getBytes(StandardCharsets.UTF_8)));
-    }
-
-    Stage news(int index, String... engines) {
-        asked().turn(() -> gateway.told(Lists.answer(query, index, engines)));
-        if (index > servedIndex) {
-            served = engines;
-            servedIndex = index;
-        }
-        answering = true;
-        return this;
-    }
-
-    /** The same, truncated behind its serial. */
-    Stage truncated(int index, String... engines) {
-        asked().turn(() -> {
-            byte[] bytes = Lists.answer(query, index, engines);
-            bytes[2] |= 2;
-            gateway.told(Arrays.copyOf(bytes, Lists.serialEnd(bytes)));
-        });
-        answering = true;
-        return this;
-    }
-
-    /** The name service answers nothing from now on. */
-    Stage silentNames() {
-        answering = false;
-        return this;
-    }
-
-    /** Of the name service, so far. */
-    int questions() {
-        return questions;
-    }
-
-    /** Time passes until the name service is asked. */
-    private Stage asked() {
-        answering = false;
-        query = -1;
-        for (int i = 0; i < 20 && query < 0; i++) {
-            pass(25);
-        }
-        return this;
-    }
-
-    Stage drain() {
-        gateway.drain();
-        return this;
-    }
-
-    Stage answered() {
-        print(gateway.allAnswered() ? "all answered" : "not all answered");
-        return this;
-    }
-
-    Stage timeUp() {
-        return turn(() -> gateway.endAll());
-    }
-
-    Stage pass(long ms) {
-        long until = now + ms * TENTHS;
-        while (gateway.dueAt() <= until) {
-            now = Math.max(now, gateway.dueAt());
-            turn(() -> { });
-        }
-        now = until;
-        return this;
-    }
-
-    /** Time passes and no turn is taken. */
-    Stage stall(long ms) {
-        now += ms * TENTHS;
-        return this;
-    }
-
-    /** Leaves what happens out of the trace. */
-    Stage quiet(boolean on) {
-        quiet = on;
-        return this;
-    }
-
-    Stage turn(Runnable event) {
-        gateway.begin(now);
-        event.run();
-        gateway.settle();
-        goOn();
-        while (unanswered >= 0) {
-            int id = unanswered;
-            unanswered = -1;
-            gateway.begin(now);
-            gateway.told(Lists.answer(id, servedIndex, served));
-            gateway.settle();
-            goOn();
-        }
-        return this;
-    }
-
-    private void goOn() {
-        while (gateway.dueAt() <= now) {
-            gateway.begin(now);
-            gateway.settle();
-        }
-    }
-
-    void matches(String kept) {
-        Trace.same(kept, printed.toString());
-    }
-
-    private void print(String line) {
-        if (quiet) {
-            return;
-        }
-        printed.append(String.format("%5d  %s%n", (now - origin) / TENTHS, line));
+  private static final int TENTHS = 10;
+  static final long START = 17_000_000_000_000L;
+  private static final long CONFIRM_MS = 125;
+
+  /** When the story of a new stage begins: the list was confirmed by then. */
+  static final long STORY = START + CONFIRM_MS * TENTHS;
+
+  private final StringBuilder printed = new StringBuilder();
+  private final List<Printed> dialed = new ArrayList<>();
+  private final List<Printed> unsent = new ArrayList<>();
+  private final Map<String, Printed> clients = new LinkedHashMap<>();
+  private List<EngineEntry> fleet = List.of(entry("e1", "127.0.0.1"), entry("e2", "127.0.0.2"));
+  private int sockets = 1024;
+  private long now = START;
+  private int query;
+  private int questions;
+  private boolean terse;
+  private boolean stuck;
+  private boolean quiet;
+
+  /**
+   * What the name service answers unless a test has news of it, and the question that waits for it.
+   */
+  private String[] served;
+
+  private int servedIndex;
+  private boolean answering;
+  private int unanswered;
+  private long origin = START;
+  private Gateway gateway;
+
+  Stage() {
+    fresh();
+  }
+
+  Stage fresh() {
+    dialed.clear();
+    clients.clear();
+    unsent.clear();
+    stuck = false;
+    Map<String, Object> caps =
+        terse
+            ? Map.of("max_attempts", 3L)
+            : Map.of(
+                "max_attempts",
+                3L,
+                "may_cancel",
+                true,
+                "retry_after",
+                true,
+                "max_retry_after_us",
+                1_000_000L,
+                "streams_per_conn",
+                32L,
+                "connect_timeout_us",
+                250_000L,
+                "conn_idle_us",
+                30_000_000L);
+    Map<String, Object> look =
+        Map.of(
+            "name",
+            "look",
+            "semantics",
+            "repeatable",
+            "aim_us",
+            terse ? 400_000L : 1_000_000L,
+            "hard_limit_us",
+            5_000_000L,
+            "worth",
+            1.0,
+            "late_worth",
+            0.5);
+    Map<String, Object> book =
+        Map.of(
+            "name",
+            "book",
+            "semantics",
+            "once",
+            "aim_us",
+            1_000_000L,
+            "hard_limit_us",
+            5_000_000L,
+            "worth",
+            1.0,
+            "late_worth",
+            0.5);
+    Map<String, Object> load =
+        Map.of(
+            "name",
+            "load",
+            "semantics",
+            "by_key",
+            "aim_us",
+            1_000_000L,
+            "hard_limit_us",
+            5_000_000L);
+    Map<String, Object> file =
+        Map.of(
+            "name",
+            "file",
+            "semantics",
+            "repeatable",
+            "keep_order",
+            true,
+            "aim_us",
+            1_000_000L,
+            "hard_limit_us",
+            5_000_000L,
+            "worth",
+            1.0);
+    Map<String, Object> terms =
+        Map.of(
+            "caps",
+            caps,
+            "profiles",
+            List.of(look, book, load, file),
+            "models",
+            List.of("std"),
+            "zones",
+            List.of("east"),
+            "tick_us",
+            5000L,
+            "guarantees",
+            terse ? Map.of() : Map.of("drain_grace_us", 100_000L),
+            "family_info",
+            Map.of("kind_cores", List.of(8L), "tells_every_us", 2_000_000L));
+    EngineNews known = new EngineNews(1, true, fleet);
+    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
+    served =
+        fleet.stream()
+            .map(e -> e.id() + " ready " + e.address() + ":5050 east std 0 0")
+            .toArray(String[]::new);
+    servedIndex = 1;
+    answering = true;
+    unanswered = -1;
+    gateway =
+        new Gateway(
+            new Assignment("n0", any, any, 7, sockets, terms, List.of(known)),
+            Policy::new,
+            this,
+            now);
+    turn(() -> {});
+    // A whole number of sweeps, in which the list is confirmed; stories begin then.
+    long before = now;
+    pass(terse ? 300 : CONFIRM_MS);
+    origin += now - before;
+    return this;
+  }
+
+  /** With settings that leave out all that they may. */
+  Stage terse() {
+    terse = true;
+    return fresh();
+  }
+
+  Stage fleet(int engines, int descriptors) {
+    fleet = IntStream.range(1, engines + 1).mapToObj(i -> entry("e" + i, "127.0.0." + i)).toList();
+    sockets = descriptors;
+    return fresh();
+  }
+
+  private static EngineEntry entry(String id, String address) {
+    return new EngineEntry(id, address, 5050, "east", "std", 0, Engine.Standing.READY, 1, 0);
+  }
+
+  /** Puts it beside the module, from now on. */
+  Stage beside(Function<Side.Door, Side> made) {
+    gateway.beside(made.apply(gateway.door()));
+    return this;
+  }
+
+  Stage say(String comment) {
+    printed.append("# ").append(comment).append('\n');
+    return this;
+  }
+
+  Stage stuck() {
+    stuck = true;
+    return this;
+  }
+
+  Stage letGo() {
+    stuck = false;
+    return turn(() -> {});
+  }
+
+  Stage post(String client, String id, String track) {
+    return client(
+        client,
+        "POST /v1/"
+            + track
+            + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
+            + id
+            + "\r\nX-Deadline-Ms: 4500\r\nX-Estimate-Ms: 100\r\nContent-Length: 8\r\n\r\nSELECT 1");
+  }
+
+  /** Of the track that keeps its order. */
+  Stage ordered(String client, String id, String subject) {
+    return client(
+        client,
+        "POST /v1/file HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
+            + id
+            + "\r\nX-Deadline-Ms: 4500\r\n"
+            + "X-Subject: "
+            + subject
+            + "\r\nX-Estimate-Ms: 100\r\nContent-Length: 8\r\n\r\nSELECT 1");
+  }
+
+  Stage get(String client, String id) {
+    return client(client, "GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
+  }
+
+  Stage client(String name, String bytes) {
+    Printed pipe =
+        clients.computeIfAbsent(
+            name,
+            n -> {
+              Printed made = new Printed(n);
+              made.owner = gateway.accepted(made);
+              return made;
+            });
+    return turn(() -> pipe.owner.fed(bytes.getBytes(StandardCharsets.UTF_8)));
+  }
+
+  Stage breaks(String client, Break how) {
+    return turn(() -> clients.remove(client).owner.ended(how));
+  }
+
+  Stage connected(int link) {
+    return turn(() -> dialed.get(link).owner.opened());
+  }
+
+  Stage ends(int link, Break how) {
+    return turn(() -> dialed.get(link).owner.ended(how));
+  }
+
+  Stage engine(int link, String says) {
+    return turn(
+        () ->
+            dialed.get(link).owner.fed(says.replace("|", "\r\n").getBytes(StandardCharsets.UTF_8)));
+  }
+
+  Stage news(int index, String... engines) {
+    asked().turn(() -> gateway.told(Lists.answer(query, index, engines)));
+    if (index > servedIndex) {
+      served = engines;
+      servedIndex = index;
+    }
+    answering = true;
+    return this;
+  }
+
+  /** The same, truncated behind its serial. */
+  Stage truncated(int index, String... engines) {
+    asked()
+        .turn(
+            () -> {
+              byte[] bytes = Lists.answer(query, index, engines);
+              bytes[2] |= 2;
+              gateway.told(Arrays.copyOf(bytes, Lists.serialEnd(bytes)));
+            });
+    answering = true;
+    return this;
+  }
+
+  /** The name service answers nothing from now on. */
+  Stage silentNames() {
+    answering = false;
+    return this;
+  }
+
+  /** Of the name service, so far. */
+  int questions() {
+    return questions;
+  }
+
+  /** Time passes until the name service is asked. */
+  private Stage asked() {
+    answering = false;
+    query = -1;
+    for (int i = 0; i < 20 && query < 0; i++) {
+      pass(25);
+    }
+    return this;
+  }
+
+  Stage drain() {
+    gateway.drain();
+    return this;
+  }
+
+  Stage answered() {
+    print(gateway.allAnswered() ? "all answered" : "not all answered");
+    return this;
+  }
+
+  Stage timeUp() {
+    return turn(() -> gateway.endAll());
+  }
+
+  Stage pass(long ms) {
+    long until = now + ms * TENTHS;
+    while (gateway.dueAt() <= until) {
+      now = Math.max(now, gateway.dueAt());
+      turn(() -> {});
+    }
+    now = until;
+    return this;
+  }
+
+  /** Time passes and no turn is taken. */
+  Stage stall(long ms) {
+    now += ms * TENTHS;
+    return this;
+  }
+
+  /** Leaves what happens out of the trace. */
+  Stage quiet(boolean on) {
+    quiet = on;
+    return this;
+  }
+
+  Stage turn(Runnable event) {
+    gateway.begin(now);
+    event.run();
+    gateway.settle();
+    goOn();
+    while (unanswered >= 0) {
+      int id = unanswered;
+      unanswered = -1;
+      gateway.begin(now);
+      gateway.told(Lists.answer(id, servedIndex, served));
+      gateway.settle();
+      goOn();
+    }
+    return this;
+  }
+
+  private void goOn() {
+    while (gateway.dueAt() <= now) {
+      gateway.begin(now);
+      gateway.settle();
+    }
+  }
+
+  void matches(String kept) {
+    Trace.same(kept, printed.toString());
+  }
+
+  private void print(String line) {
+    if (quiet) {
+      return;
+    }
+    printed.append(String.format("%5d  %s%n", (now - origin) / TENTHS, line));
+  }
+
+  @Override
+  public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+    Printed pipe = new Printed("e" + to.getHostString().substring(8) + "/" + dialed.size());
+    pipe.owner = owner;
+    dialed.add(pipe);
+    print("dial " + pipe.name);
+    return pipe;
+  }
+
+  @Override
+  public void ask(byte[] datagram) {
+    questions++;
+    query = (datagram[0] & 255) << 8 | datagram[1] & 255;
+    unanswered = answering ? query : -1;
+  }
+
+  @Override
+  public void flush() {
+    while (!stuck && !unsent.isEmpty()) {
+      unsent.remove(0).owner.written();
+    }
+  }
+
+  private final class Printed implements Pipe {
+    private final String name;
+    private Owner owner;
+
+    Printed(String name) {
+      this.name = name;
     }
 
     @Override
-    public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
-        Printed pipe = new Printed("e" + to.getHostString().substring(8) + "/" + dialed.size());
-        pipe.owner = owner;
-        dialed.add(pipe);
-        print("dial " + pipe.name);
-        return pipe;
+    public void write(byte[] bytes) {
+      print(
+          name
+              + " < "
+              + new String(bytes, StandardCharsets.UTF_8)
+                  .replaceAll("\r\n(Content-[^\r]*\r\n)*", "|")
+                  .replaceAll("\\|\\|$", "|"));
+      unsent.add(this);
     }
 
     @Override
-    public void ask(byte[] datagram) {
-        questions++;
-        query = (datagram[0] & 255) << 8 | datagram[1] & 255;
-        unanswered = answering ? query : -1;
+    public void close() {
+      print(name + " closed");
     }
 
     @Override
-    public void flush() {
-        while (!stuck && !unsent.isEmpty()) {
-            unsent.remove(0).owner.written();
-        }
+    public void drop() {
+      print(name + " dropped");
     }
 
-    private final class Printed implements Pipe {
-        private final String name;
-        private Owner owner;
-
-        Printed(String name) {
-            this.name = name;
-        }
-
-        @Override
-        public void write(byte[] bytes) {
-            print(name + " < " + new String(bytes, StandardCharsets.UTF_8)
-                    .replaceAll("\r\n(Content-[^\r]*\r\n)*", "|").replaceAll("\\|\\|$", "|"));
-            unsent.add(this);
-        }
-
-        @Override
-        public void close() {
-            print(name + " closed");
-        }
-
-        @Override
-        public void drop() {
-            print(name + " dropped");
-        }
-
-        @Override
-        public void hold(boolean held) {
-            print(name + (held ? " not read" : " read again"));
-        }
+    @Override
+    public void hold(boolean held) {
+      print(name + (held ? " not read" : " read again"));
     }
+  }
 }
--- a/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
+++ b/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
@@ -22,131 +22,143 @@
 import tillerlink.net.state.Pipe;
 
 class MinaDriverTest {
-    private static final int PATIENCE_MS = 10_000;
+  private static final int PATIENCE_MS = 10_000;
 
-    /**
-     * Guards the list of a large fleet: 16 KB, which some 180 engines fill, are not enough, and short answers before it
-     * must not shrink the room for it.
-     */
-    @Test
-    void anAnswerOfTheNameServiceComesWholeWhateverCameBefore() throws Exception {
-        BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
-        List<Integer> came = new ArrayList<>();
-        try (DatagramSocket names = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            names.setSoTimeout(PATIENCE_MS);
-            MinaDriver driver = new MinaDriver(queue, (InetSocketAddress) names.getLocalSocketAddress(),
-                    bytes -> came.add(bytes.length), pipe -> null, 10, () -> 0);
-            List<Integer> sent = List.of(60, 60, 60, 60, 60, 60, 8000, 60, 16_384, 30_000, 60, 65_507);
-            for (int length : sent) {
-                driver.ask(new byte[] {1});
-                while (came.size() < sent.size() && !question(names, length, queue)) {
-                    driver.ask(new byte[] {1});
-                }
-            }
-            assertEquals(sent, came);
+  /**
+   * Guards the list of a large fleet: 16 KB, which some 180 engines fill, are not enough, and short
+   * answers before it must not shrink the room for it.
+   */
+  @Test
+  void anAnswerOfTheNameServiceComesWholeWhateverCameBefore() throws Exception {
+    BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
+    List<Integer> came = new ArrayList<>();
+    try (DatagramSocket names =
+        new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
+      names.setSoTimeout(PATIENCE_MS);
+      MinaDriver driver =
+          new MinaDriver(
+              queue,
+              (InetSocketAddress) names.getLocalSocketAddress(),
+              bytes -> came.add(bytes.length),
+              pipe -> null,
+              10,
+              () -> 0);
+      List<Integer> sent = List.of(60, 60, 60, 60, 60, 60, 8000, 60, 16_384, 30_000, 60, 65_507);
+      for (int length : sent) {
+        driver.ask(new byte[] {1});
+        while (came.size() < sent.size() && !question(names, length, queue)) {
+          driver.ask(new byte[] {1});
         }
+      }
+      assertEquals(sent, came);
     }
+  }
 
-    /**
-     * Guards the wire: what waits behind a peer that does not read is not written any more once its time has passed, and
-     * what was written before it is not torn by that.
-     */
-    @Test
-    void aWriteThatIsLateIsWithheldWhole() throws Exception {
-        BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
-        AtomicLong clock = new AtomicLong(1);
-        InetAddress here = InetAddress.getLoopbackAddress();
-        try (ServerSocket engine = new ServerSocket()) {
-            engine.setReceiveBufferSize(4096);
-            engine.bind(new InetSocketAddress(here, 0));
-            try (MinaDriver driver = new MinaDriver(queue, new InetSocketAddress(here, 9), bytes -> { }, pipe -> null, 10,
-                    clock::get)) {
-                Heard heard = new Heard();
-                Pipe pipe = driver.dial((InetSocketAddress) engine.getLocalSocketAddress(), heard);
-                driver.flush();
-                try (Socket accepted = engine.accept()) {
-                    take(queue, () -> heard.events.contains("opened"));
-                    int filled = 16_000_000;
-                    pipe.write(new byte[filled]);
-                    pipe.writeBefore("late".getBytes(StandardCharsets.US_ASCII), 100);
-                    pipe.writeBefore("soon".getBytes(StandardCharsets.US_ASCII), 1000);
-                    driver.flush();
-                    // The first fills the socket; only what the peer reads makes room for the others.
-                    accepted.getInputStream().readNBytes(1);
-                    clock.set(100);
-                    accepted.getInputStream().readNBytes(filled - 1);
-                    assertEquals("soon", new String(accepted.getInputStream().readNBytes(4), StandardCharsets.US_ASCII));
-                    take(queue, () -> heard.events.size() == 4);
-                    assertEquals(List.of("opened", "written", "withheld", "written at 100"), heard.events);
-                }
-            }
+  /**
+   * Guards the wire: what waits behind a peer that does not read is not written any more once its
+   * time has passed, and what was written before it is not torn by that.
+   */
+  @Test
+  void aWriteThatIsLateIsWithheldWhole() throws Exception {
+    BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
+    AtomicLong clock = new AtomicLong(1);
+    InetAddress here = InetAddress.getLoopbackAddress();
+    try (ServerSocket engine = new ServerSocket()) {
+      engine.setReceiveBufferSize(4096);
+      engine.bind(new InetSocketAddress(here, 0));
+      try (MinaDriver driver =
+          new MinaDriver(
+              queue, new InetSocketAddress(here, 9), bytes -> {}, pipe -> null, 10, clock::get)) {
+        Heard heard = new Heard();
+        Pipe pipe = driver.dial((InetSocketAddress) engine.getLocalSocketAddress(), heard);
+        driver.flush();
+        try (Socket accepted = engine.accept()) {
+          take(queue, () -> heard.events.contains("opened"));
+          int filled = 16_000_000;
+          pipe.write(new byte[filled]);
+          pipe.writeBefore("late".getBytes(StandardCharsets.US_ASCII), 100);
+          pipe.writeBefore("soon".getBytes(StandardCharsets.US_ASCII), 1000);
+          driver.flush();
+          // The first fills the socket; only what the peer reads makes room for the others.
+          accepted.getInputStream().readNBytes(1);
+          clock.set(100);
+          accepted.getInputStream().readNBytes(filled - 1);
+          assertEquals(
+              "soon",
+              new String(accepted.getInputStream().readNBytes(4), StandardCharsets.US_ASCII));
+          take(queue, () -> heard.events.size() == 4);
+          assertEquals(List.of("opened", "written", "withheld", "written at 100"), heard.events);
         }
+      }
     }
+  }
 
-    private static void take(BlockingQueue<Runnable> queue, BooleanSupplier until) throws InterruptedException {
-        while (!until.getAsBoolean()) {
-            Runnable event = queue.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-            assertNotNull(event, "nothing more comes");
-            event.run();
-        }
+  private static void take(BlockingQueue<Runnable> queue, BooleanSupplier until)
+      throws InterruptedException {
+    while (!until.getAsBoolean()) {
+      Runnable event = queue.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+      assertNotNull(event, "nothing more comes");
+      event.run();
     }
+  }
 
-    /** Notes what it is told. */
-    private static final class Heard implements Pipe.Owner {
-        private final List<String> events = new ArrayList<>();
+  /** Notes what it is told. */
+  private static final class Heard implements Pipe.Owner {
+    private final List<String> events = new ArrayList<>();
 
-        @Override
-        public void opened() {
-            events.add("opened");
-        }
+    @Override
+    public void opened() {
+      events.add("opened");
+    }
 
-        @Override
-        public void fed(byte[] bytes) {
-            events.add("fed");
-        }
+    @Override
+    public void fed(byte[] bytes) {
+      events.add("fed");
+    }
 
-        @Override
-        public void written() {
-            events.add("written");
-        }
+    @Override
+    public void written() {
+      events.add("written");
+    }
 
-        @Override
-        public void written(long firstByteAt) {
-            events.add("written at " + firstByteAt);
-        }
+    @Override
+    public void written(long firstByteAt) {
+      events.add("written at " + firstByteAt);
+    }
 
-        @Override
-        public void withheld() {
-            events.add("withheld");
-        }
+    @Override
+    public void withheld() {
+      events.add("withheld");
+    }
 
-        @Override
-        public void ended(Break how) {
-            events.add("ended");
-        }
+    @Override
+    public void ended(Break how) {
+      events.add("ended");
     }
+  }
 
-    /** Answers one question and takes what comes of it; false if it was lost on the way. */
-    private static boolean question(DatagramSocket names, int length, BlockingQueue<Runnable> queue) throws Exception {
-        DatagramPacket packet = new DatagramPacket(new byte[16], 16);
-        // The first question waits for its socket, which opens on another thread.
-        while (true) {
-            names.setSoTimeout(50);
-            try {
-                names.receive(packet);
-                break;
-            } catch (java.net.SocketTimeoutException e) {
-                for (Runnable event = queue.poll(); event != null; event = queue.poll()) {
-                    event.run();
-                }
-            }
-        }
-        names.send(new DatagramPacket(new byte[length], length, packet.getSocketAddress()));
-        Runnable event = queue.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-        if (event == null) {
-            return false;
+  /** Answers one question and takes what comes of it; false if it was lost on the way. */
+  private static boolean question(DatagramSocket names, int length, BlockingQueue<Runnable> queue)
+      throws Exception {
+    DatagramPacket packet = new DatagramPacket(new byte[16], 16);
+    // The first question waits for its socket, which opens on another thread.
+    while (true) {
+      names.setSoTimeout(50);
+      try {
+        names.receive(packet);
+        break;
+      } catch (java.net.SocketTimeoutException e) {
+        for (Runnable event = queue.poll(); event != null; event = queue.poll()) {
+          event.run();
         }
-        event.run();
-        return true;
+      }
+    }
+    names.send(new DatagramPacket(new byte[length], length, packet.getSocketAddress()));
+    Runnable event = queue.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    if (event == null) {
+      return false;
     }
+    event.run();
+    return true;
+  }
 }
--- a/gateway/src/test/java/tillerlink/net/life/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/life/EndingsTest.java
@@ -16,237 +16,274 @@
 import tillerlink.Lists;
 import tillerlink.net.life.Loopback.Peer;
 
-/** What is still owed at the instant in which something ends, on real connections; docs/endings.md lists them. */
+/**
+ * What is still owed at the instant in which something ends, on real connections; docs/endings.md
+ * lists them.
+ */
 @Timeout(60)
 class EndingsTest {
-    private static final String ONE = "00000000000000a1";
-    private static final String TWO = "00000000000000a2";
-    private static final String ROWS = "{\"records\":[]}";
+  private static final String ONE = "00000000000000a1";
+  private static final String TWO = "00000000000000a2";
+  private static final String ROWS = "{\"records\":[]}";
 
-    private Loopback loopback;
+  private Loopback loopback;
 
-    @AfterEach
-    void end() throws IOException {
-        loopback.close();
-    }
+  @AfterEach
+  void end() throws IOException {
+    loopback.close();
+  }
 
-    // ---- clients that leave ----
-
-    /** Guards engines: a client whose poll ended is asked for nothing new until it calls again. */
-    @Test
-    void noAttemptBeginsWhileNobodyWaits() throws Exception {
-        loopback = new Loopback(1);
-        Peer client = loopback.posted(ONE, "look", 4500);
-        Peer engine = hasIt(client);
-        loopback.hold();
-        client.close();
-        loopback.came(1);
-        engine.say(ONE + " refused - 0\r\n\r\n");
-        loopback.came(2);
-        loopback.letGo();
-        othersAreServed(engine, TWO);
-        Peer again = loopback.client();
-        again.get(ONE);
-        Peer anew = loopback.engine(0);
-        assertEquals(ONE, anew.wanted());
-        anew.say(ONE + " ok count=1 0\r\n\r\n");
-        again.heard(ROWS);
-    }
+  // ---- clients that leave ----
 
-    /** Guards against the instant between a decision and its write: the close had come and was not read yet. */
-    @Test
-    void aCloseThatIsUnreadWhenTheAttemptIsDecided() throws Exception {
-        loopback = new Loopback(1);
-        Peer client = loopback.posted(ONE, "look", 4500);
-        Peer engine = hasIt(client);
-        loopback.turn();
-        loopback.hold();
-        loopback.tellOnly(1);
-        engine.say(ONE + " refused - 0\r\n\r\n");
-        loopback.came(1);
-        client.close();
-        loopback.letGo();
-        loopback.tellAll();
-        othersAreServed(engine, TWO);
-    }
+  /** Guards engines: a client whose poll ended is asked for nothing new until it calls again. */
+  @Test
+  void noAttemptBeginsWhileNobodyWaits() throws Exception {
+    loopback = new Loopback(1);
+    Peer client = loopback.posted(ONE, "look", 4500);
+    Peer engine = hasIt(client);
+    loopback.hold();
+    client.close();
+    loopback.came(1);
+    engine.say(ONE + " refused - 0\r\n\r\n");
+    loopback.came(2);
+    loopback.letGo();
+    othersAreServed(engine, TWO);
+    Peer again = loopback.client();
+    again.get(ONE);
+    Peer anew = loopback.engine(0);
+    assertEquals(ONE, anew.wanted());
+    anew.say(ONE + " ok count=1 0\r\n\r\n");
+    again.heard(ROWS);
+  }
 
-    /** Guards against a connection to an engine that comes up after its client has left. */
-    @Test
-    void aClientLeavesWhileTheConnectionComesUp() throws Exception {
-        loopback = new Loopback(1);
-        // The client's connection, its call, the pass before the attempt, the written answer: then the engine's connection.
-        loopback.keepBackAfter(4);
-        Peer client = loopback.posted(ONE, "look", 4500);
-        Peer engine = loopback.engine(0);
-        Loopback.await(loopback::keptBack, "the connection does not come up");
-        loopback.hold();
-        client.close();
-        loopback.came(1);
-        loopback.tellKeptBack();
-        loopback.letGo();
-        othersAreServed(engine, TWO);
-    }
+  /**
+   * Guards against the instant between a decision and its write: the close had come and was not
+   * read yet.
+   */
+  @Test
+  void aCloseThatIsUnreadWhenTheAttemptIsDecided() throws Exception {
+    loopback = new Loopback(1);
+    Peer client = loopback.posted(ONE, "look", 4500);
+    Peer engine = hasIt(client);
+    loopback.turn();
+    loopback.hold();
+    loopback.tellOnly(1);
+    engine.say(ONE + " refused - 0\r\n\r\n");
+    loopback.came(1);
+    client.close();
+    loopback.letGo();
+    loopback.tellAll();
+    othersAreServed(engine, TWO);
+  }
 
-    /** Guards a class that may be repeated for a short time only: it passes while the connection for the repeat comes up. */
-    @Test
-    void theTimeForRepeatsEndsWhileTheConnectionComesUp() throws Exception {
-        loopback = new Loopback(1);
-        Peer client = loopback.posted(ONE, "load", 4500);
-        Peer engine = hasIt(client);
-        loopback.turn();
-        loopback.hold();
-        // The reset, then the pass before the repeat: then the connection for it.
-        loopback.keepBackAfter(2);
-        engine.reset();
-        loopback.came(1);
-        loopback.letGo();
-        Peer anew = loopback.engine(0);
-        Loopback.await(loopback::keptBack, "the connection does not come up");
-        loopback.pass(200, 50);
-        loopback.tellKeptBack();
-        client.heard("{\"problem\":\"Full\"}");
-        othersAreServed(anew, TWO);
-    }
+  /** Guards against a connection to an engine that comes up after its client has left. */
+  @Test
+  void aClientLeavesWhileTheConnectionComesUp() throws Exception {
+    loopback = new Loopback(1);
+    // The client's connection, its call, the pass before the attempt, the written answer: then the
+    // engine's connection.
+    loopback.keepBackAfter(4);
+    Peer client = loopback.posted(ONE, "look", 4500);
+    Peer engine = loopback.engine(0);
+    Loopback.await(loopback::keptBack, "the connection does not come up");
+    loopback.hold();
+    client.close();
+    loopback.came(1);
+    loopback.tellKeptBack();
+    loopback.letGo();
+    othersAreServed(engine, TWO);
+  }
 
-    // ---- connections that close ----
-
-    /** Guards the last answer: a close over bytes that are still unread would reset the connection. */
-    @Test
-    void aCloseOverUnreadBytes() throws Exception {
-        loopback = new Loopback(1);
-        Peer client = loopback.client();
-        loopback.turn();
-        loopback.hold();
-        loopback.tellOnly(1);
-        client.say("GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n" + "x".repeat(60_000));
-        loopback.came(1);
-        loopback.letGo();
-        loopback.tellAll();
-        client.heard("{}");
-        client.endedAndRead();
-    }
+  /**
+   * Guards a class that may be repeated for a short time only: it passes while the connection for
+   * the repeat comes up.
+   */
+  @Test
+  void theTimeForRepeatsEndsWhileTheConnectionComesUp() throws Exception {
+    loopback = new Loopback(1);
+    Peer client = loopback.posted(ONE, "load", 4500);
+    Peer engine = hasIt(client);
+    loopback.turn();
+    loopback.hold();
+    // The reset, then the pass before the repeat: then the connection for it.
+    loopback.keepBackAfter(2);
+    engine.reset();
+    loopback.came(1);
+    loopback.letGo();
+    Peer anew = loopback.engine(0);
+    Loopback.await(loopback::keptBack, "the connection does not come up");
+    loopback.pass(200, 50);
+    loopback.tellKeptBack();
+    client.heard("{\"problem\":\"Full\"}");
+    othersAreServed(anew, TWO);
+  }
 
-    /** Guards a call that has come, and was not yet read, when its connection has rested too long: it is served. */
-    @Test
-    void aCallThatIsUnreadWhenItsIdleConnectionEnds() throws Exception {
-        loopback = new Loopback(1);
-        Peer client = loopback.client();
-        client.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-        client.heard("{}");
-        loopback.turn();
-        loopback.tellOnly(0);
-        client.post(ONE, "look", 4500);
-        loopback.pass(5125, 125);
-        loopback.tellAll();
-        client.heard("{\"continue\":\"/v1/calls/" + ONE + "\"}");
-    }
+  // ---- connections that close ----
 
-    /** Guards what a client says right after its idle connection was ended: a close that it can tell, and nothing is sent on. */
-    @Test
-    void anIdleCloseMeetsACall() throws Exception {
-        loopback = new Loopback(1);
-        Peer client = loopback.client();
-        client.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-        client.heard("{}");
-        loopback.turn();
-        loopback.pass(5125, 125);
-        client.post(ONE, "look", 4500);
-        client.ended();
-        loopback.turn();
-        loopback.nobodyElse(0);
-    }
+  /**
+   * Guards the last answer: a close over bytes that are still unread would reset the connection.
+   */
+  @Test
+  void aCloseOverUnreadBytes() throws Exception {
+    loopback = new Loopback(1);
+    Peer client = loopback.client();
+    loopback.turn();
+    loopback.hold();
+    loopback.tellOnly(1);
+    client.say(
+        "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n" + "x".repeat(60_000));
+    loopback.came(1);
+    loopback.letGo();
+    loopback.tellAll();
+    client.heard("{}");
+    client.endedAndRead();
+  }
 
-    /** Guards a call of which half has come when nothing further is taken, and nothing else is owed: it is waited for. */
-    @Test
-    void theEndWaitsForACallThatIsHalfRead() throws Exception {
-        loopback = new Loopback(1);
-        Peer client = loopback.client();
-        loopback.turn();
-        loopback.hold();
-        String text = Peer.posting(ONE, "look", 4500);
-        client.say(text.substring(0, 60));
-        loopback.came(1);
-        loopback.letGo();
-        Shutdown shutdown = loopback.ask(Shutdown::new);
-        long told = loopback.now();
-        loopback.ask(gateway -> {
-            shutdown.begin(told);
-            return shutdown.done(told + 7000);
+  /**
+   * Guards a call that has come, and was not yet read, when its connection has rested too long: it
+   * is served.
+   */
+  @Test
+  void aCallThatIsUnreadWhenItsIdleConnectionEnds() throws Exception {
+    loopback = new Loopback(1);
+    Peer client = loopback.client();
+    client.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+    client.heard("{}");
+    loopback.turn();
+    loopback.tellOnly(0);
+    client.post(ONE, "look", 4500);
+    loopback.pass(5125, 125);
+    loopback.tellAll();
+    client.heard("{\"continue\":\"/v1/calls/" + ONE + "\"}");
+  }
+
+  /**
+   * Guards what a client says right after its idle connection was ended: a close that it can tell,
+   * and nothing is sent on.
+   */
+  @Test
+  void anIdleCloseMeetsACall() throws Exception {
+    loopback = new Loopback(1);
+    Peer client = loopback.client();
+    client.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+    client.heard("{}");
+    loopback.turn();
+    loopback.pass(5125, 125);
+    client.post(ONE, "look", 4500);
+    client.ended();
+    loopback.turn();
+    loopback.nobodyElse(0);
+  }
+
+  /**
+   * Guards a call of which half has come when nothing further is taken, and nothing else is owed:
+   * it is waited for.
+   */
+  @Test
+  void theEndWaitsForACallThatIsHalfRead() throws Exception {
+    loopback = new Loopback(1);
+    Peer client = loopback.client();
+    loopback.turn();
+    loopback.hold();
+    String text = Peer.posting(ONE, "look", 4500);
+    client.say(text.substring(0, 60));
+    loopback.came(1);
+    loopback.letGo();
+    Shutdown shutdown = loopback.ask(Shutdown::new);
+    long told = loopback.now();
+    loopback.ask(
+        gateway -> {
+          shutdown.begin(told);
+          return shutdown.done(told + 7000);
         });
-        boolean gone = loopback.ask(gateway -> shutdown.done(told + 12_000));
-        assertFalse(gone);
-        client.say(text.substring(60));
-        client.heard("{\"problem\":\"Full\"}");
-        client.endedAndRead();
-        loopback.nobodyElse(0);
-        client.close();
-        Loopback.await(() -> loopback.ask(gateway -> shutdown.done(told + 13_000)), "it does not end");
-    }
+    boolean gone = loopback.ask(gateway -> shutdown.done(told + 12_000));
+    assertFalse(gone);
+    client.say(text.substring(60));
+    client.heard("{\"problem\":\"Full\"}");
+    client.endedAndRead();
+    loopback.nobodyElse(0);
+    client.close();
+    Loopback.await(() -> loopback.ask(gateway -> shutdown.done(told + 13_000)), "it does not end");
+  }
 
-    // ---- the name service ----
-
-    /** Guards drains: a way to the name service that falls silent for good is noticed and another taken within the grace. */
-    @Test
-    void theNameServiceFallsSilentAfterAnAnswer() throws Exception {
-        loopback = new Loopback(1);
-        SocketAddress first = answered(2);
-        // For a whole grace at the most, and an eighth of it to notice in.
-        for (int ms = 0; ms < 850; ms += 25) {
-            loopback.pass(25, 25);
-        }
-        loopback.names.setSoTimeout(1);
-        DatagramPacket question = new DatagramPacket(new byte[512], 512);
-        question.setSocketAddress(first);
-        while (first.equals(question.getSocketAddress())) {
-            loopback.names.receive(question);
-        }
-        assertNotEquals(first, question.getSocketAddress());
-    }
+  // ---- the name service ----
 
-    /** Guards a new configuration: what was asked at the old address is asked at the new one at once. */
-    @Test
-    void theNameServiceMovesWhileAQuestionIsOut() throws Exception {
-        loopback = new Loopback(1);
-        SocketAddress asker = answered(2);
-        loopback.pass(400, 25);
-        DatagramPacket out = loopback.question(loopback.names);
-        assertEquals(asker, out.getSocketAddress());
-        try (DatagramSocket moved = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            moved.setSoTimeout(Loopback.PATIENCE_MS);
-            loopback.resolver((InetSocketAddress) moved.getLocalSocketAddress());
-            loopback.question(moved);
-        }
+  /**
+   * Guards drains: a way to the name service that falls silent for good is noticed and another
+   * taken within the grace.
+   */
+  @Test
+  void theNameServiceFallsSilentAfterAnAnswer() throws Exception {
+    loopback = new Loopback(1);
+    SocketAddress first = answered(2);
+    // For a whole grace at the most, and an eighth of it to notice in.
+    for (int ms = 0; ms < 850; ms += 25) {
+      loopback.pass(25, 25);
     }
-
-    /** Answers the next question with that number and the engine as it is; from where it was asked. */
-    private SocketAddress answered(int index) throws Exception {
-        loopback.pass(400, 25);
-        DatagramPacket question = loopback.question(loopback.names);
-        byte[] q = question.getData();
-        byte[] list = Lists.answer((q[0] & 255) << 8 | q[1] & 255, index,
-                "e1 ready 127.0.0.1:" + loopback.engines.get(0).getLocalPort() + " east std 0 0");
-        loopback.hold();
-        loopback.names.send(new DatagramPacket(list, list.length, question.getSocketAddress()));
-        loopback.came(1);
-        loopback.letGo();
-        return question.getSocketAddress();
+    loopback.names.setSoTimeout(1);
+    DatagramPacket question = new DatagramPacket(new byte[512], 512);
+    question.setSocketAddress(first);
+    while (first.equals(question.getSocketAddress())) {
+      loopback.names.receive(question);
     }
+    assertNotEquals(first, question.getSocketAddress());
+  }
 
-    /** The client waits; the engine that has what it asked for. */
-    private Peer hasIt(Peer client) throws IOException {
-        client.get(ONE);
-        Peer engine = loopback.engine(0);
-        assertEquals(ONE, engine.wanted());
-        return engine;
+  /**
+   * Guards a new configuration: what was asked at the old address is asked at the new one at once.
+   */
+  @Test
+  void theNameServiceMovesWhileAQuestionIsOut() throws Exception {
+    loopback = new Loopback(1);
+    SocketAddress asker = answered(2);
+    loopback.pass(400, 25);
+    DatagramPacket out = loopback.question(loopback.names);
+    assertEquals(asker, out.getSocketAddress());
+    try (DatagramSocket moved =
+        new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
+      moved.setSoTimeout(Loopback.PATIENCE_MS);
+      loopback.resolver((InetSocketAddress) moved.getLocalSocketAddress());
+      loopback.question(moved);
     }
+  }
 
-    /** Another client is served on that connection, and meanwhile nothing else was sent there, nor over a further one. */
-    private void othersAreServed(Peer engine, String id) throws IOException {
-        Peer other = loopback.posted(id, "look", 4500);
-        other.get(id);
-        assertEquals(id, engine.wanted());
-        engine.say(id + " ok count=1 0\r\n\r\n");
-        other.heard(ROWS);
-        loopback.nobodyElse(0);
-    }
+  /**
+   * Answers the next question with that number and the engine as it is; from where it was asked.
+   */
+  private SocketAddress answered(int index) throws Exception {
+    loopback.pass(400, 25);
+    DatagramPacket question = loopback.question(loopback.names);
+    byte[] q = question.getData();
+    byte[] list =
+        Lists.answer(
+            (q[0] & 255) << 8 | q[1] & 255,
+            index,
+            "e1 ready 127.0.0.1:" + loopback.engines.get(0).getLocalPort() + " east std 0 0");
+    loopback.hold();
+    loopback.names.send(new DatagramPacket(list, list.length, question.getSocketAddress()));
+    loopback.came(1);
+    loopback.letGo();
+    return question.getSocketAddress();
+  }
+
+  /** The client waits; the engine that has what it asked for. */
+  private Peer hasIt(Peer client) throws IOException {
+    client.get(ONE);
+    Peer engine = loopback.engine(0);
+    assertEquals(ONE, engine.wanted());
+    return engine;
+  }
+
+  /**
+   * Another client is served on that connection, and meanwhile nothing else was sent there, nor
+   * over a further one.
+   */
+  private void othersAreServed(Peer engine, String id) throws IOException {
+    Peer other = loopback.posted(id, "look", 4500);
+    other.get(id);
+    assertEquals(id, engine.wanted());
+    engine.say(id + " ok count=1 0\r\n\r\n");
+    other.heard(ROWS);
+    loopback.nobodyElse(0);
+  }
 }
--- a/gateway/src/test/java/tillerlink/net/life/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/life/StaleListTest.java
@@ -21,235 +21,298 @@
 import tillerlink.net.life.Loopback.Peer;
 
 /**
- * Guards the drain where the process itself can't have heard of it: it started slowly, stood still, or lost what it was
- * told. Real processes, signals and sockets; the rule is judged by what the engines and the name service saw.
+ * Guards the drain where the process itself can't have heard of it: it started slowly, stood still,
+ * or lost what it was told. Real processes, signals and sockets; the rule is judged by what the
+ * engines and the name service saw.
  */
 @Timeout(120)
 class StaleListTest {
-    private static final String DRAINS = "e1";
-    private static final String STAYS = "e2";
-    private static final long GRACE_MS = 1000;
-    /** How much later than the grace a send on sockets may be. */
-    private static final long SLACK_MS = 50;
-    private static final long TOLD_MS = 1500;
-    private static final int DEADLINE_MS = 8000;
-    /** How much more than the client has left an engine may be told. */
-    private static final long LIMIT_SLACK_MS = 150;
-    private static final long PAST_THE_GRACE_MS = TOLD_MS + GRACE_MS + 300;
-    /** How long a client may take for its first call. */
-    private static final long FIRST_CALL_MS = 2500;
-    private static final InetAddress HERE = InetAddress.getLoopbackAddress();
-
-    @TempDir
-    private Path folder;
-    private StandInNames names;
-    private StandInEngine draining;
-    private StandInEngine staying;
-    private Process process;
-    private int port;
-    private int ids;
-
-    @BeforeEach
-    void standIns() throws IOException {
-        names = new StandInNames();
-        draining = new StandInEngine();
-        staying = new StandInEngine();
-        names.ready(DRAINS, draining.port());
-        names.ready(STAYS, staying.port());
-    }
+  private static final String DRAINS = "e1";
+  private static final String STAYS = "e2";
+  private static final long GRACE_MS = 1000;
 
-    @AfterEach
-    void end() throws IOException {
-        process.destroyForcibly();
-        names.close();
-        draining.close();
-        staying.close();
-    }
+  /** How much later than the grace a send on sockets may be. */
+  private static final long SLACK_MS = 50;
 
-    /** The list of the configuration is older than the word that counts as told before the process is up. */
-    @Test
-    void aStartThatTakesLong() throws Exception {
-        names.delay(300);
-        start();
-        process.errorReader(StandardCharsets.UTF_8).readLine();
-        signal("STOP");
-        names.drains(DRAINS);
-        Thread.sleep(PAST_THE_GRACE_MS);
-        signal("CONT");
-        awaitListening();
-        burst(40);
-        judge(40);
-    }
+  private static final long TOLD_MS = 1500;
+  private static final int DEADLINE_MS = 8000;
 
-    /** Requests wait for a process that stands still; when it goes on, they are read before any news. */
-    @Test
-    void aProcessThatStoodStill() throws Exception {
-        names.delay(300);
-        start();
-        awaitListening();
-        burst(10);
-        signal("STOP");
-        names.drains(DRAINS);
-        Thread.sleep(PAST_THE_GRACE_MS);
-        List<Peer> waiting = clients(40);
-        for (Peer client : waiting) {
-            post(client);
-        }
-        signal("CONT");
-        for (Peer client : waiting) {
-            fetch(client);
-        }
-        judge(50);
-    }
+  /** How much more than the client has left an engine may be told. */
+  private static final long LIMIT_SLACK_MS = 150;
+
+  private static final long PAST_THE_GRACE_MS = TOLD_MS + GRACE_MS + 300;
+
+  /** How long a client may take for its first call. */
+  private static final long FIRST_CALL_MS = 2500;
 
-    /** Clients that had only connected hand their requests in while the process stands still. */
-    @Test
-    void whatCameDuringAPauseIsReadBeforeAnyConnectionIsClosed() throws Exception {
-        start();
-        awaitListening();
-        burst(10);
-        List<Peer> waiting = clients(40);
-        awaitAccepted();
-        signal("STOP");
-        for (Peer client : waiting) {
-            post(client);
-        }
-        Thread.sleep(FIRST_CALL_MS + 200);
-        signal("CONT");
-        for (Peer client : waiting) {
-            fetch(client);
-        }
+  private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+
+  @TempDir private Path folder;
+  private StandInNames names;
+  private StandInEngine draining;
+  private StandInEngine staying;
+  private Process process;
+  private int port;
+  private int ids;
+
+  @BeforeEach
+  void standIns() throws IOException {
+    names = new StandInNames();
+    draining = new StandInEngine();
+    staying = new StandInEngine();
+    names.ready(DRAINS, draining.port());
+    names.ready(STAYS, staying.port());
+  }
+
+  @AfterEach
+  void end() throws IOException {
+    process.destroyForcibly();
+    names.close();
+    draining.close();
+    staying.close();
+  }
+
+  /**
+   * The list of the configuration is older than the word that counts as told before the process is
+   * up.
+   */
+  @Test
+  void aStartThatTakesLong() throws Exception {
+    names.delay(300);
+    start();
+    process.errorReader(StandardCharsets.UTF_8).readLine();
+    signal("STOP");
+    names.drains(DRAINS);
+    Thread.sleep(PAST_THE_GRACE_MS);
+    signal("CONT");
+    awaitListening();
+    burst(40);
+    judge(40);
+  }
+
+  /**
+   * Requests wait for a process that stands still; when it goes on, they are read before any news.
+   */
+  @Test
+  void aProcessThatStoodStill() throws Exception {
+    names.delay(300);
+    start();
+    awaitListening();
+    burst(10);
+    signal("STOP");
+    names.drains(DRAINS);
+    Thread.sleep(PAST_THE_GRACE_MS);
+    List<Peer> waiting = clients(40);
+    for (Peer client : waiting) {
+      post(client);
+    }
+    signal("CONT");
+    for (Peer client : waiting) {
+      fetch(client);
     }
+    judge(50);
+  }
 
-    /** What engines are told of the time that clients have left counts from when these wrote, not from when it was read. */
-    @Test
-    void theLimitAfterAPause() throws Exception {
-        start();
-        awaitListening();
-        burst(10);
-        List<Peer> waiting = clients(20);
-        awaitAccepted();
-        signal("STOP");
-        long posted = System.nanoTime();
-        for (Peer client : waiting) {
-            post(client);
-        }
-        Thread.sleep(2000);
-        signal("CONT");
-        for (Peer client : waiting) {
-            fetch(client);
-        }
-        List<StandInEngine.Attempt> attempts = new ArrayList<>(draining.attempts());
-        attempts.addAll(staying.attempts());
-        attempts.removeIf(attempt -> attempt.at() < posted);
-        assertEquals(20, attempts.size());
-        long most = attempts.stream().mapToLong(attempt -> attempt.limitMs() + TimeUnit.NANOSECONDS.toMillis(attempt.at() - posted))
-                .max().orElseThrow();
-        assertTrue(most <= DEADLINE_MS + LIMIT_SLACK_MS, "told " + (most - DEADLINE_MS) + " ms more than the client has left");
+  /** Clients that had only connected hand their requests in while the process stands still. */
+  @Test
+  void whatCameDuringAPauseIsReadBeforeAnyConnectionIsClosed() throws Exception {
+    start();
+    awaitListening();
+    burst(10);
+    List<Peer> waiting = clients(40);
+    awaitAccepted();
+    signal("STOP");
+    for (Peer client : waiting) {
+      post(client);
     }
+    Thread.sleep(FIRST_CALL_MS + 200);
+    signal("CONT");
+    for (Peer client : waiting) {
+      fetch(client);
+    }
+  }
 
-    /** Several answers in a row that tell of the drain are lost on their way. */
-    @Test
-    void answersLostInARow() throws Exception {
-        start();
-        awaitListening();
-        burst(10);
-        names.drainsUnheard(DRAINS, TOLD_MS);
-        long began = System.nanoTime();
-        int asked = 10;
-        while (System.nanoTime() < began + TimeUnit.MILLISECONDS.toNanos(4000)) {
-            burst(5);
-            asked += 5;
-        }
-        judge(asked);
+  /**
+   * What engines are told of the time that clients have left counts from when these wrote, not from
+   * when it was read.
+   */
+  @Test
+  void theLimitAfterAPause() throws Exception {
+    start();
+    awaitListening();
+    burst(10);
+    List<Peer> waiting = clients(20);
+    awaitAccepted();
+    signal("STOP");
+    long posted = System.nanoTime();
+    for (Peer client : waiting) {
+      post(client);
+    }
+    Thread.sleep(2000);
+    signal("CONT");
+    for (Peer client : waiting) {
+      fetch(client);
     }
+    List<StandInEngine.Attempt> attempts = new ArrayList<>(draining.attempts());
+    attempts.addAll(staying.attempts());
+    attempts.removeIf(attempt -> attempt.at() < posted);
+    assertEquals(20, attempts.size());
+    long most =
+        attempts.stream()
+            .mapToLong(
+                attempt -> attempt.limitMs() + TimeUnit.NANOSECONDS.toMillis(attempt.at() - posted))
+            .max()
+            .orElseThrow();
+    assertTrue(
+        most <= DEADLINE_MS + LIMIT_SLACK_MS,
+        "told " + (most - DEADLINE_MS) + " ms more than the client has left");
+  }
 
-    /** No attempt came to the engine that drains later than the rule allows, and all that was asked for was served. */
-    private void judge(int asked) {
-        long until = names.toldAt(DRAINS) + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + SLACK_MS);
-        List<Long> late = draining.attempts().stream().map(StandInEngine.Attempt::at).filter(at -> at > until).toList();
-        assertEquals(0, late.size(), () -> "attempts after the grace, the first "
-                + TimeUnit.NANOSECONDS.toMillis(late.get(0) - names.toldAt(DRAINS)) + " ms after the drain was told");
-        assertTrue(draining.attempts().size() + staying.attempts().size() >= asked, "not all that was asked for was sent");
+  /** Several answers in a row that tell of the drain are lost on their way. */
+  @Test
+  void answersLostInARow() throws Exception {
+    start();
+    awaitListening();
+    burst(10);
+    names.drainsUnheard(DRAINS, TOLD_MS);
+    long began = System.nanoTime();
+    int asked = 10;
+    while (System.nanoTime() < began + TimeUnit.MILLISECONDS.toNanos(4000)) {
+      burst(5);
+      asked += 5;
     }
+    judge(asked);
+  }
+
+  /**
+   * No attempt came to the engine that drains later than the rule allows, and all that was asked
+   * for was served.
+   */
+  private void judge(int asked) {
+    long until = names.toldAt(DRAINS) + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + SLACK_MS);
+    List<Long> late =
+        draining.attempts().stream()
+            .map(StandInEngine.Attempt::at)
+            .filter(at -> at > until)
+            .toList();
+    assertEquals(
+        0,
+        late.size(),
+        () ->
+            "attempts after the grace, the first "
+                + TimeUnit.NANOSECONDS.toMillis(late.get(0) - names.toldAt(DRAINS))
+                + " ms after the drain was told");
+    assertTrue(
+        draining.attempts().size() + staying.attempts().size() >= asked,
+        "not all that was asked for was sent");
+  }
 
-    private void start() throws IOException {
-        try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
-            port = free.getLocalPort();
-        }
-        String track = "{\"name\":\"look\",\"semantics\":\"repeatable\",\"group\":\"all\",\"aim_us\":8000000,\"hard_limit_us\":9000000,"
-                + "\"worth\":1,\"late_worth\":0.5}";
-        Path file = Files.writeString(folder.resolve("configuration.json"), "{\"name\":\"n0\",\"listen\":\"127.0.0.1:" + port
-                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"resolver\":\"127.0.0.1:" + names.port()
+  private void start() throws IOException {
+    try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
+      port = free.getLocalPort();
+    }
+    String track =
+        "{\"name\":\"look\",\"semantics\":\"repeatable\",\"group\":\"all\",\"aim_us\":8000000,\"hard_limit_us\":9000000,"
+            + "\"worth\":1,\"late_worth\":0.5}";
+    Path file =
+        Files.writeString(
+            folder.resolve("configuration.json"),
+            "{\"name\":\"n0\",\"listen\":\"127.0.0.1:"
+                + port
+                + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"resolver\":\"127.0.0.1:"
+                + names.port()
                 + "\",\"known\":{\"index\":1,\"updates\":[{\"index\":1,\"endpoints\":{\"snapshot\":true,\"endpoints\":["
-                + listed(DRAINS, draining) + "," + listed(STAYS, staying) + "]}}]},\"settings\":{\"tick_us\":5000,"
+                + listed(DRAINS, draining)
+                + ","
+                + listed(STAYS, staying)
+                + "]}}]},\"settings\":{\"tick_us\":5000,"
                 + "\"caps\":{\"max_attempts\":3,\"streams_per_conn\":8,\"connect_timeout_us\":1000000,\"may_cancel\":true},"
-                + "\"models\":[\"std\"],\"zones\":[\"east\"],\"guarantees\":{\"drain_grace_us\":" + GRACE_MS * 1000 + "},"
-                + "\"family_info\":{\"kind_cores\":[64],\"tells_every_us\":9000000},\"profiles\":[" + track + "]}}");
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xmx64m", "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"), "tillerlink.Main", "serve");
-        builder.environment().put("EDGE_CONFIG", file.toString());
-        process = builder.start();
-    }
+                + "\"models\":[\"std\"],\"zones\":[\"east\"],\"guarantees\":{\"drain_grace_us\":"
+                + GRACE_MS * 1000
+                + "},"
+                + "\"family_info\":{\"kind_cores\":[64],\"tells_every_us\":9000000},\"profiles\":["
+                + track
+                + "]}}");
+    ProcessBuilder builder =
+        new ProcessBuilder(
+            Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+            "-Xmx64m",
+            "-XX:+UseSerialGC",
+            "-cp",
+            System.getProperty("java.class.path"),
+            "tillerlink.Main",
+            "serve");
+    builder.environment().put("EDGE_CONFIG", file.toString());
+    process = builder.start();
+  }
 
-    private static String listed(String name, StandInEngine engine) {
-        return "{\"name\":\"" + name + "\",\"address\":\"127.0.0.1:" + engine.port()
-                + "\",\"zone\":\"east\",\"type\":\"std\",\"status\":\"SERVING\"}";
-    }
+  private static String listed(String name, StandInEngine engine) {
+    return "{\"name\":\""
+        + name
+        + "\",\"address\":\"127.0.0.1:"
+        + engine.port()
+        + "\",\"zone\":\"east\",\"type\":\"std\",\"status\":\"SERVING\"}";
+  }
 
-    private void awaitListening() {
-        Loopback.await(() -> {
-            try (Socket socket = new Socket(HERE, port)) {
-                return socket.isConnected();
-            } catch (IOException e) {
-                return false;
-            }
-        }, "it does not listen");
-        StandInEngine.daemon(() -> process.getErrorStream().transferTo(System.out));
-    }
+  private void awaitListening() {
+    Loopback.await(
+        () -> {
+          try (Socket socket = new Socket(HERE, port)) {
+            return socket.isConnected();
+          } catch (IOException e) {
+            return false;
+          }
+        },
+        "it does not listen");
+    StandInEngine.daemon(() -> process.getErrorStream().transferTo(System.out));
+  }
 
-    /** Until all connections are taken in: a call on a further one is answered, and they came before it. */
-    private void awaitAccepted() throws IOException {
-        Peer last = clients(1).get(0);
-        last.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-        last.heard("{}");
-        last.close();
-    }
+  /**
+   * Until all connections are taken in: a call on a further one is answered, and they came before
+   * it.
+   */
+  private void awaitAccepted() throws IOException {
+    Peer last = clients(1).get(0);
+    last.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+    last.heard("{}");
+    last.close();
+  }
 
-    private void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
-    }
+  private void signal(String name) throws Exception {
+    assertEquals(
+        0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
+  }
 
-    /** So many requests at once, each waited for. */
-    private void burst(int requests) throws IOException {
-        List<Peer> clients = clients(requests);
-        for (Peer client : clients) {
-            post(client);
-        }
-        for (Peer client : clients) {
-            fetch(client);
-        }
+  /** So many requests at once, each waited for. */
+  private void burst(int requests) throws IOException {
+    List<Peer> clients = clients(requests);
+    for (Peer client : clients) {
+      post(client);
     }
-
-    private List<Peer> clients(int count) throws IOException {
-        List<Peer> clients = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            Socket socket = new Socket(HERE, port);
-            socket.setTcpNoDelay(true);
-            socket.setSoTimeout(Loopback.PATIENCE_MS);
-            clients.add(new Peer(socket));
-        }
-        return clients;
+    for (Peer client : clients) {
+      fetch(client);
     }
+  }
 
-    private void post(Peer client) throws IOException {
-        client.post(String.format("%016x", ++ids), "look", DEADLINE_MS);
+  private List<Peer> clients(int count) throws IOException {
+    List<Peer> clients = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      Socket socket = new Socket(HERE, port);
+      socket.setTcpNoDelay(true);
+      socket.setSoTimeout(Loopback.PATIENCE_MS);
+      clients.add(new Peer(socket));
     }
+    return clients;
+  }
 
-    private static void fetch(Peer client) throws IOException {
-        String path = client.body().split("\"")[3];
-        client.say("GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
-        client.heard("{\"records\":[]}");
-        client.close();
-    }
+  private void post(Peer client) throws IOException {
+    client.post(String.format("%016x", ++ids), "look", DEADLINE_MS);
+  }
+
+  private static void fetch(Peer client) throws IOException {
+    String path = client.body().split("\"")[3];
+    client.say("GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
+    client.heard("{\"records\":[]}");
+    client.close();
+  }
 }
--- a/gateway/src/test/java/tillerlink/net/life/StandInEngine.java
+++ b/gateway/src/test/java/tillerlink/net/life/StandInEngine.java
@@ -11,73 +11,77 @@
 
 /** An engine that answers each attempt at once with no rows, and notes when attempts came. */
 final class StandInEngine implements Closeable {
-    private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    /**
-     * An attempt that came.
-     *
-     * @param at      when its first line was read, in nanoseconds
-     * @param limitMs how long it said that the client waits
-     */
-    record Attempt(long at, long limitMs) {
-    }
+  private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
-    private final List<Attempt> attempts = new ArrayList<>();
+  /**
+   * An attempt that came.
+   *
+   * @param at when its first line was read, in nanoseconds
+   * @param limitMs how long it said that the client waits
+   */
+  record Attempt(long at, long limitMs) {}
 
-    StandInEngine() throws IOException {
-        daemon(() -> {
-            while (true) {
-                Socket socket = door.accept();
-                socket.setTcpNoDelay(true);
-                daemon(() -> converse(new Peer(socket)));
-            }
-        });
-    }
+  private final List<Attempt> attempts = new ArrayList<>();
 
-    int port() {
-        return door.getLocalPort();
-    }
+  StandInEngine() throws IOException {
+    daemon(
+        () -> {
+          while (true) {
+            Socket socket = door.accept();
+            socket.setTcpNoDelay(true);
+            daemon(() -> converse(new Peer(socket)));
+          }
+        });
+  }
 
-    private void converse(Peer peer) throws IOException {
-        for (String line = peer.line(); line != null; line = peer.line()) {
-            String[] words = line.split(" ");
-            if (words[0].equals("want")) {
-                synchronized (attempts) {
-                    long limit = Long.parseLong(words[2].replaceAll(".*limit=([0-9]+).*", "$1"));
-                    attempts.add(new Attempt(System.nanoTime(), limit));
-                }
-                peer.line();
-                peer.say(words[1] + " ok count=1 0\r\n\r\n");
-            } else if (words[0].equals("there")) {
-                peer.say(words[1] + " yes - 0\r\n\r\n");
-            }
-        }
-    }
+  int port() {
+    return door.getLocalPort();
+  }
 
-    List<Attempt> attempts() {
+  private void converse(Peer peer) throws IOException {
+    for (String line = peer.line(); line != null; line = peer.line()) {
+      String[] words = line.split(" ");
+      if (words[0].equals("want")) {
         synchronized (attempts) {
-            return List.copyOf(attempts);
+          long limit = Long.parseLong(words[2].replaceAll(".*limit=([0-9]+).*", "$1"));
+          attempts.add(new Attempt(System.nanoTime(), limit));
         }
+        peer.line();
+        peer.say(words[1] + " ok count=1 0\r\n\r\n");
+      } else if (words[0].equals("there")) {
+        peer.say(words[1] + " yes - 0\r\n\r\n");
+      }
     }
+  }
 
-    /** Work that may fail when its connection ends. */
-    interface Work {
-        void run() throws IOException;
+  List<Attempt> attempts() {
+    synchronized (attempts) {
+      return List.copyOf(attempts);
     }
+  }
+
+  /** Work that may fail when its connection ends. */
+  interface Work {
+    void run() throws IOException;
+  }
 
-    static void daemon(Work work) {
-        Thread thread = new Thread(() -> {
-            try {
+  static void daemon(Work work) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
                 work.run();
-            } catch (IOException e) {
+              } catch (IOException e) {
                 // The connection or the test has ended.
-            }
-        }, "stand-in");
-        thread.setDaemon(true);
-        thread.start();
-    }
+              }
+            },
+            "stand-in");
+    thread.setDaemon(true);
+    thread.start();
+  }
 
-    @Override
-    public void close() throws IOException {
-        door.close();
-    }
+  @Override
+  public void close() throws IOException {
+    door.close();
+  }
 }
--- a/gateway/src/test/java/tillerlink/net/life/StandInNames.java
+++ b/gateway/src/test/java/tillerlink/net/life/StandInNames.java
@@ -14,97 +14,114 @@
 import tillerlink.Lists;
 
 /**
- * A name service for one gateway, with a way to it that delays or loses answers. It notes when each drain counts as told:
- * when an answer that holds it was sent, and 1.5 s after it happened at the latest.
+ * A name service for one gateway, with a way to it that delays or loses answers. It notes when each
+ * drain counts as told: when an answer that holds it was sent, and 1.5 s after it happened at the
+ * latest.
  */
 final class StandInNames implements Closeable {
-    private static final long TOLD_AT_THE_LATEST = TimeUnit.MILLISECONDS.toNanos(1500);
-
-    private final DatagramSocket socket;
-    private final ScheduledExecutorService late = Executors.newSingleThreadScheduledExecutor();
-    /** Address by engine. */
-    private final Map<String, String> engines = new TreeMap<>();
-    /** When the drain of an engine counts as told, in nanoseconds. */
-    private final Map<String, Long> told = new TreeMap<>();
-    private int version = 1;
-    private long delayMs;
-    private long silentMs;
-    /** Until then answers are sent and do not arrive. */
-    private long lossyUntil = System.nanoTime();
-
-    StandInNames() throws IOException {
-        socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        Thread thread = new Thread(this::run, "names");
-        thread.setDaemon(true);
-        thread.start();
-    }
+  private static final long TOLD_AT_THE_LATEST = TimeUnit.MILLISECONDS.toNanos(1500);
 
-    int port() {
-        return socket.getLocalPort();
-    }
+  private final DatagramSocket socket;
+  private final ScheduledExecutorService late = Executors.newSingleThreadScheduledExecutor();
 
-    synchronized void ready(String engine, int port) {
-        engines.put(engine, "127.0.0.1:" + port);
-    }
+  /** Address by engine. */
+  private final Map<String, String> engines = new TreeMap<>();
 
-    /** Every answer comes that much later than it is sent. */
-    synchronized void delay(long ms) {
-        delayMs = ms;
-    }
+  /** When the drain of an engine counts as told, in nanoseconds. */
+  private final Map<String, Long> told = new TreeMap<>();
 
-    /** An engine begins to drain now, and for so long from the first answer that tells it none arrives. */
-    synchronized void drainsUnheard(String engine, long ms) {
-        drains(engine);
-        silentMs = ms;
-    }
+  private int version = 1;
+  private long delayMs;
+  private long silentMs;
 
-    /** An engine begins to drain now. */
-    synchronized void drains(String engine) {
-        version++;
-        told.put(engine, System.nanoTime() + TOLD_AT_THE_LATEST);
-    }
+  /** Until then answers are sent and do not arrive. */
+  private long lossyUntil = System.nanoTime();
 
-    /** When its drain counts as told; {@link Long#MAX_VALUE} if it does not drain. */
-    synchronized long toldAt(String engine) {
-        return told.getOrDefault(engine, Long.MAX_VALUE);
-    }
+  StandInNames() throws IOException {
+    socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    Thread thread = new Thread(this::run, "names");
+    thread.setDaemon(true);
+    thread.start();
+  }
 
-    private void run() {
-        DatagramPacket packet = new DatagramPacket(new byte[512], 512);
-        while (!socket.isClosed()) {
-            try {
-                socket.receive(packet);
-                answer(packet);
-            } catch (IOException e) {
-                // It ends, or the gateway has gone.
-            }
-        }
-    }
+  int port() {
+    return socket.getLocalPort();
+  }
 
-    private synchronized void answer(DatagramPacket question) throws IOException {
-        byte[] bytes = question.getData();
-        String[] lines = engines.entrySet().stream().map(engine -> engine.getKey()
-                + (told.containsKey(engine.getKey()) ? " draining " : " ready ") + engine.getValue() + " east std 0 0")
-                .toArray(String[]::new);
-        byte[] list = Lists.answer((bytes[0] & 255) << 8 | bytes[1] & 255, version, lines);
-        long now = System.nanoTime();
-        told.replaceAll((engine, at) -> Math.min(at, now));
-        if (silentMs > 0) {
-            lossyUntil = now + TimeUnit.MILLISECONDS.toNanos(silentMs);
-            silentMs = 0;
-        }
-        if (now >= lossyUntil) {
-            DatagramPacket answer = new DatagramPacket(list, list.length, question.getSocketAddress());
-            late.schedule(() -> {
-                socket.send(answer);
-                return null;
-            }, delayMs, TimeUnit.MILLISECONDS);
-        }
+  synchronized void ready(String engine, int port) {
+    engines.put(engine, "127.0.0.1:" + port);
+  }
+
+  /** Every answer comes that much later than it is sent. */
+  synchronized void delay(long ms) {
+    delayMs = ms;
+  }
+
+  /**
+   * An engine begins to drain now, and for so long from the first answer that tells it none
+   * arrives.
+   */
+  synchronized void drainsUnheard(String engine, long ms) {
+    drains(engine);
+    silentMs = ms;
+  }
+
+  /** An engine begins to drain now. */
+  synchronized void drains(String engine) {
+    version++;
+    told.put(engine, System.nanoTime() + TOLD_AT_THE_LATEST);
+  }
+
+  /** When its drain counts as told; {@link Long#MAX_VALUE} if it does not drain. */
+  synchronized long toldAt(String engine) {
+    return told.getOrDefault(engine, Long.MAX_VALUE);
+  }
+
+  private void run() {
+    DatagramPacket packet = new DatagramPacket(new byte[512], 512);
+    while (!socket.isClosed()) {
+      try {
+        socket.receive(packet);
+        answer(packet);
+      } catch (IOException e) {
+        // It ends, or the gateway has gone.
+      }
     }
+  }
 
-    @Override
-    public void close() {
-        late.shutdownNow();
-        socket.close();
+  private synchronized void answer(DatagramPacket question) throws IOException {
+    byte[] bytes = question.getData();
+    String[] lines =
+        engines.entrySet().stream()
+            .map(
+                engine ->
+                    engine.getKey()
+                        + (told.containsKey(engine.getKey()) ? " draining " : " ready ")
+                        + engine.getValue()
+                        + " east std 0 0")
+            .toArray(String[]::new);
+    byte[] list = Lists.answer((bytes[0] & 255) << 8 | bytes[1] & 255, version, lines);
+    long now = System.nanoTime();
+    told.replaceAll((engine, at) -> Math.min(at, now));
+    if (silentMs > 0) {
+      lossyUntil = now + TimeUnit.MILLISECONDS.toNanos(silentMs);
+      silentMs = 0;
+    }
+    if (now >= lossyUntil) {
+      DatagramPacket answer = new DatagramPacket(list, list.length, question.getSocketAddress());
+      late.schedule(
+          () -> {
+            socket.send(answer);
+            return null;
+          },
+          delayMs,
+          TimeUnit.MILLISECONDS);
     }
+  }
+
+  @Override
+  public void close() {
+    late.shutdownNow();
+    socket.close();
+  }
 }
