--- a/gateway/src/test/java/tillerlink/net/life/TurnsTest.java
+++ b/gateway/src/test/java/tillerlink/net/life/TurnsTest.java
@@ -28,118 +28,169 @@
 import tillerlink.port.Steering;
 
 class TurnsTest {
-    private static final long START = 17_000_000_000_000L;
-    private static final long PAUSE = 30_000;
+  private static final long START = 17_000_000_000_000L;
+  private static final long PAUSE = 30_000;
 
-    private final List<String> happened = new ArrayList<>();
-    private long now = START;
-    private int reads;
-    private Turns turns;
+  private final List<String> happened = new ArrayList<>();
+  private long now = START;
+  private int reads;
+  private Turns turns;
 
-    /** Guards against taking a pause of this machine for a silent engine. */
-    @Test
-    void whatWasSaidDuringAPauseIsHeardBeforeWhatIsDue() throws InterruptedException {
-        InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
-        Assignment assignment = new Assignment("n0", any, any, 7, 1024, Map.of(), List.of());
-        turns = new Turns(this::clock);
-        Gateway gateway = new Gateway(assignment, (now, seed, settings, orders) -> steering(orders), new Mute(), START);
-        gateway.begin(START);
-        gateway.settle();
-        now += PAUSE;
-        turns.run(gateway, () -> happened.size() > 2);
-        assertEquals(List.of("listState", "settle", "heard", "woken", "settle"), happened);
-    }
+  /** Guards against taking a pause of this machine for a silent engine. */
+  @Test
+  void whatWasSaidDuringAPauseIsHeardBeforeWhatIsDue() throws InterruptedException {
+    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
+    Assignment assignment = new Assignment("n0", any, any, 7, 1024, Map.of(), List.of());
+    turns = new Turns(this::clock);
+    Gateway gateway =
+        new Gateway(
+            assignment, (now, seed, settings, orders) -> steering(orders), new Mute(), START);
+    gateway.begin(START);
+    gateway.settle();
+    now += PAUSE;
+    turns.run(gateway, () -> happened.size() > 2);
+    assertEquals(List.of("listState", "settle", "heard", "woken", "settle"), happened);
+  }
 
-    /** Guards what is beside an event that fails: seen as a process that ended on a class which could not be loaded. */
-    @Test
-    void anEventThatFailsTakesNothingElseWithIt() throws InterruptedException {
-        InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
-        Assignment assignment = new Assignment("n0", any, any, 7, 1024, Map.of(), List.of());
-        turns = new Turns(() -> now);
-        Gateway gateway = new Gateway(assignment, (now, seed, settings, orders) -> steering(orders), new Mute(), START);
-        turns.queue.add(() -> {
-            throw new NoClassDefFoundError("Late");
+  /**
+   * Guards what is beside an event that fails: seen as a process that ended on a class which could
+   * not be loaded.
+   */
+  @Test
+  void anEventThatFailsTakesNothingElseWithIt() throws InterruptedException {
+    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
+    Assignment assignment = new Assignment("n0", any, any, 7, 1024, Map.of(), List.of());
+    turns = new Turns(() -> now);
+    Gateway gateway =
+        new Gateway(
+            assignment, (now, seed, settings, orders) -> steering(orders), new Mute(), START);
+    turns.queue.add(
+        () -> {
+          throw new NoClassDefFoundError("Late");
         });
-        turns.queue.add(() -> {
-            throw new StackOverflowError();
+    turns.queue.add(
+        () -> {
+          throw new StackOverflowError();
         });
-        turns.queue.add(() -> {
-            throw new IllegalStateException();
+    turns.queue.add(
+        () -> {
+          throw new IllegalStateException();
         });
-        turns.queue.add(() -> happened.add("the next"));
-        turns.run(gateway, () -> happened.contains("the next"));
-    }
+    turns.queue.add(() -> happened.add("the next"));
+    turns.run(gateway, () -> happened.contains("the next"));
+  }
 
-    /**
-     * Guards a process whose jar is replaced under it: each of its classes comes from the archive that the build writes,
-     * also those first needed in trouble. When this fails, add the name that it prints to deploy/classes.lst.
-     */
-    @Test
-    void everyClassIsInTheArchive() throws IOException, URISyntaxException {
-        Set<String> listed = Set.copyOf(Files.readAllLines(Path.of("..", "deploy", "classes.lst")).stream()
-                .map(line -> line.split(" ")[0]).collect(Collectors.toSet()));
-        Path classes = Path.of(Turns.class.getProtectionDomain().getCodeSource().getLocation().toURI());
-        try (Stream<Path> files = Files.walk(classes.resolve("tillerlink"))) {
-            List<String> missing = files.map(file -> classes.relativize(file).toString().replace('\\', '/'))
-                    .filter(name -> name.endsWith(".class") && !name.contains("wirehost"))
-                    .map(name -> name.substring(0, name.length() - ".class".length()))
-                    .filter(name -> !listed.contains(name)).toList();
-            assertEquals(List.of(), missing);
-        }
+  /**
+   * Guards a process whose jar is replaced under it: each of its classes comes from the archive
+   * that the build writes, also those first needed in trouble. When this fails, add the name that
+   * it prints to deploy/classes.lst.
+   */
+  @Test
+  void everyClassIsInTheArchive() throws IOException, URISyntaxException {
+    Set<String> listed =
+        Set.copyOf(
+            Files.readAllLines(Path.of("..", "deploy", "classes.lst")).stream()
+                .map(line -> line.split(" ")[0])
+                .collect(Collectors.toSet()));
+    Path classes = Path.of(Turns.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    try (Stream<Path> files = Files.walk(classes.resolve("tillerlink"))) {
+      List<String> missing =
+          files
+              .map(file -> classes.relativize(file).toString().replace('\\', '/'))
+              .filter(name -> name.endsWith(".class") && !name.contains("wirehost"))
+              .map(name -> name.substring(0, name.length() - ".class".length()))
+              .filter(name -> !listed.contains(name))
+              .toList();
+      assertEquals(List.of(), missing);
     }
+  }
 
-    /** Guards the first seconds: all that a submission passes through has been played often enough to be compiled. */
-    @Test
-    void theRehearsalPlaysSubmissionsToTheirEnd() {
-        InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
-        Map<String, Object> terms = Map.of("profiles", List.of(Map.of("name", "look", "semantics", "repeatable",
-                "aim_us", 1_000_000L, "hard_limit_us", 4_000_000L)), "caps", Map.of("max_attempts", 2L));
-        EngineEntry engine = new EngineEntry("e1", "127.0.0.1", 2, "east", "std", 0, Engine.Standing.READY, 1, 0);
-        Assignment assignment = new Assignment("n0", any, any, 7, 1024, terms, List.of(new EngineNews(1, true, List.of(engine))));
-        new Rehearsal(assignment, (now, seed, settings, orders) -> {
-            Steering module = new Policy(now, seed, settings, orders);
-            return (Steering) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Steering.class},
-                    (proxy, method, values) -> {
-                        happened.add(method.getName().equals("ended") ? values[2].toString() : method.getName());
+  /**
+   * Guards the first seconds: all that a submission passes through has been played often enough to
+   * be compiled.
+   */
+  @Test
+  void theRehearsalPlaysSubmissionsToTheirEnd() {
+    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
+    Map<String, Object> terms =
+        Map.of(
+            "profiles",
+            List.of(
+                Map.of(
+                    "name",
+                    "look",
+                    "semantics",
+                    "repeatable",
+                    "aim_us",
+                    1_000_000L,
+                    "hard_limit_us",
+                    4_000_000L)),
+            "caps",
+            Map.of("max_attempts", 2L));
+    EngineEntry engine =
+        new EngineEntry("e1", "127.0.0.1", 2, "east", "std", 0, Engine.Standing.READY, 1, 0);
+    Assignment assignment =
+        new Assignment(
+            "n0", any, any, 7, 1024, terms, List.of(new EngineNews(1, true, List.of(engine))));
+    new Rehearsal(
+            assignment,
+            (now, seed, settings, orders) -> {
+              Steering module = new Policy(now, seed, settings, orders);
+              return (Steering)
+                  Proxy.newProxyInstance(
+                      getClass().getClassLoader(),
+                      new Class<?>[] {Steering.class},
+                      (proxy, method, values) -> {
+                        happened.add(
+                            method.getName().equals("ended")
+                                ? values[2].toString()
+                                : method.getName());
                         return method.invoke(module, values);
-                    });
-        }, START).play(() -> { });
-        assertTrue(happened.stream().filter("FULFILLED"::equals).count() > 20, happened::toString);
-    }
+                      });
+            },
+            START)
+        .play(() -> {});
+    assertTrue(happened.stream().filter("FULFILLED"::equals).count() > 20, happened::toString);
+  }
 
-    /** The machine goes on where it stood; only after a moment its other threads read what had come. */
-    private long clock() {
-        if (++reads == 2) {
-            turns.queue.add(() -> happened.add("heard"));
-        }
-        return now;
+  /**
+   * The machine goes on where it stood; only after a moment its other threads read what had come.
+   */
+  private long clock() {
+    if (++reads == 2) {
+      turns.queue.add(() -> happened.add("heard"));
     }
+    return now;
+  }
 
-    private Steering steering(Orders orders) {
-        return (Steering) Proxy.newProxyInstance(getClass().getClassLoader(), new Class<?>[] {Steering.class},
-                (proxy, method, values) -> {
-                    happened.add(method.getName());
-                    if (happened.size() == 1) {
-                        orders.wake(START + PAUSE / 10);
-                    }
-                    return null;
-                });
-    }
+  private Steering steering(Orders orders) {
+    return (Steering)
+        Proxy.newProxyInstance(
+            getClass().getClassLoader(),
+            new Class<?>[] {Steering.class},
+            (proxy, method, values) -> {
+              happened.add(method.getName());
+              if (happened.size() == 1) {
+                orders.wake(START + PAUSE / 10);
+              }
+              return null;
+            });
+  }
 
-    private static final class Mute implements Driver {
-        @Override
-        public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
-            throw new IllegalStateException("nothing is to be dialed");
-        }
+  private static final class Mute implements Driver {
+    @Override
+    public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+      throw new IllegalStateException("nothing is to be dialed");
+    }
 
-        @Override
-        public void ask(byte[] datagram) {
-            // Nobody answers.
-        }
+    @Override
+    public void ask(byte[] datagram) {
+      // Nobody answers.
+    }
 
-        @Override
-        public void flush() {
-            // Nothing is written.
-        }
+    @Override
+    public void flush() {
+      // Nothing is written.
     }
+  }
 }
--- a/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
+++ b/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
@@ -9,151 +9,162 @@
 
 /** Times are tenths of a millisecond; the grace is half a second. */
 class DiscoveryLeaseTest {
-    private static final long START = 17_000_000_000_000L;
-    private static final long GRACE = 5_000;
-    private static final long USABLE = 4_000;
-    private static final long SECOND = 10_000;
+  private static final long START = 17_000_000_000_000L;
+  private static final long GRACE = 5_000;
+  private static final long USABLE = 4_000;
+  private static final long SECOND = 10_000;
 
-    private final DiscoveryLease lease = new DiscoveryLease(START, GRACE);
+  private final DiscoveryLease lease = new DiscoveryLease(START, GRACE);
 
-    @Test
-    void theListOfTheStartIsAwaitedUntilTheFirstAnswer() {
-        assertEquals(ListState.AWAITED, lease.state(START));
-        assertEquals(0, lease.usableUntil(START));
-        lease.asked(START + 100);
-        assertEquals(ListState.AWAITED, lease.state(START + 200));
-        lease.answered(START + 100, START + 200);
-        assertEquals(ListState.CONFIRMED, lease.state(START + 200));
-    }
+  @Test
+  void theListOfTheStartIsAwaitedUntilTheFirstAnswer() {
+    assertEquals(ListState.AWAITED, lease.state(START));
+    assertEquals(0, lease.usableUntil(START));
+    lease.asked(START + 100);
+    assertEquals(ListState.AWAITED, lease.state(START + 200));
+    lease.answered(START + 100, START + 200);
+    assertEquals(ListState.CONFIRMED, lease.state(START + 200));
+  }
 
-    /** With nothing asked since, something newer counts as told 1.5 s after the question at the earliest. */
-    @Test
-    void anAnswerHoldsUntilAnEventAfterItCanHaveBeenToldForAGrace() {
-        confirm(START);
-        long until = START + DiscoveryLease.TOLD_AFTER + USABLE;
-        assertEquals(until, lease.usableUntil(START + SECOND));
-        assertEquals(ListState.CONFIRMED, lease.state(until - 1));
-        assertEquals(ListState.AWAITED, lease.state(until));
-        assertEquals(until, lease.changesAt(START));
-    }
+  /**
+   * With nothing asked since, something newer counts as told 1.5 s after the question at the
+   * earliest.
+   */
+  @Test
+  void anAnswerHoldsUntilAnEventAfterItCanHaveBeenToldForAGrace() {
+    confirm(START);
+    long until = START + DiscoveryLease.TOLD_AFTER + USABLE;
+    assertEquals(until, lease.usableUntil(START + SECOND));
+    assertEquals(ListState.CONFIRMED, lease.state(until - 1));
+    assertEquals(ListState.AWAITED, lease.state(until));
+    assertEquals(until, lease.changesAt(START));
+  }
 
-    /** A question may have been answered at once, and the answer lost. */
-    @Test
-    void aQuestionThatIsOutShortensIt() {
-        confirm(START);
-        lease.asked(START + 4_000);
-        assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 4_100));
-        lease.asked(START + 5_250);
-        assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 5_300));
-        lease.answered(START + 5_250, START + 5_300);
-        assertEquals(START + 5_250 + DiscoveryLease.TOLD_AFTER + USABLE, lease.usableUntil(START + 5_300));
-    }
+  /** A question may have been answered at once, and the answer lost. */
+  @Test
+  void aQuestionThatIsOutShortensIt() {
+    confirm(START);
+    lease.asked(START + 4_000);
+    assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 4_100));
+    lease.asked(START + 5_250);
+    assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 5_300));
+    lease.answered(START + 5_250, START + 5_300);
+    assertEquals(
+        START + 5_250 + DiscoveryLease.TOLD_AFTER + USABLE, lease.usableUntil(START + 5_300));
+  }
 
-    /** An answer that was sent long before it was read proves only the list as of its question. */
-    @Test
-    void whatComesLateConfirmsAsOfItsQuestion() {
-        confirm(START);
-        lease.asked(START + 4_000);
-        lease.answered(START + 4_000, START + 60_000);
-        assertEquals(ListState.AWAITED, lease.state(START + 60_000));
-    }
+  /** An answer that was sent long before it was read proves only the list as of its question. */
+  @Test
+  void whatComesLateConfirmsAsOfItsQuestion() {
+    confirm(START);
+    lease.asked(START + 4_000);
+    lease.answered(START + 4_000, START + 60_000);
+    assertEquals(ListState.AWAITED, lease.state(START + 60_000));
+  }
 
-    @Test
-    void anOutageIsToldFromLossesBySixQuestionsInTwoGraces() {
-        confirm(START);
-        for (int i = 0; i < 5; i++) {
-            lease.asked(START + 4_000 + i * 1_250);
-        }
-        assertEquals(ListState.AWAITED, lease.state(START + 40_000));
-        lease.asked(START + 10_250);
-        assertEquals(ListState.AWAITED, lease.state(START + 4_000 + 2 * GRACE - 1));
-        assertEquals(ListState.DEGRADED, lease.state(START + 4_000 + 2 * GRACE));
-        long expires = START + DiscoveryLease.TOLD_ANYWAY_AFTER + USABLE;
-        assertEquals(expires, lease.usableUntil(START + 20_000));
-        assertEquals(ListState.EXPIRED, lease.state(expires));
-        assertEquals(0, lease.usableUntil(expires));
-        lease.asked(expires);
-        lease.answered(expires, expires + 50);
-        assertEquals(ListState.CONFIRMED, lease.state(expires + 50));
+  @Test
+  void anOutageIsToldFromLossesBySixQuestionsInTwoGraces() {
+    confirm(START);
+    for (int i = 0; i < 5; i++) {
+      lease.asked(START + 4_000 + i * 1_250);
     }
+    assertEquals(ListState.AWAITED, lease.state(START + 40_000));
+    lease.asked(START + 10_250);
+    assertEquals(ListState.AWAITED, lease.state(START + 4_000 + 2 * GRACE - 1));
+    assertEquals(ListState.DEGRADED, lease.state(START + 4_000 + 2 * GRACE));
+    long expires = START + DiscoveryLease.TOLD_ANYWAY_AFTER + USABLE;
+    assertEquals(expires, lease.usableUntil(START + 20_000));
+    assertEquals(ListState.EXPIRED, lease.state(expires));
+    assertEquals(0, lease.usableUntil(expires));
+    lease.asked(expires);
+    lease.answered(expires, expires + 50);
+    assertEquals(ListState.CONFIRMED, lease.state(expires + 50));
+  }
 
-    /** A process that stood still asked nobody meanwhile: silence before the pause is no outage after it. */
-    @Test
-    void aPauseBeginsTheCountAnew() {
-        confirm(START);
-        for (int i = 0; i < 6; i++) {
-            lease.observe(START + 4_000 + i * 1_250);
-            lease.asked(START + 4_000 + i * 1_250);
-        }
-        assertEquals(ListState.DEGRADED, lease.state(START + 20_000));
-        assertTrue(lease.observe(START + 40_000));
-        assertEquals(ListState.AWAITED, lease.state(START + 40_000));
-        assertFalse(lease.observe(START + 41_000));
+  /**
+   * A process that stood still asked nobody meanwhile: silence before the pause is no outage after
+   * it.
+   */
+  @Test
+  void aPauseBeginsTheCountAnew() {
+    confirm(START);
+    for (int i = 0; i < 6; i++) {
+      lease.observe(START + 4_000 + i * 1_250);
+      lease.asked(START + 4_000 + i * 1_250);
     }
+    assertEquals(ListState.DEGRADED, lease.state(START + 20_000));
+    assertTrue(lease.observe(START + 40_000));
+    assertEquals(ListState.AWAITED, lease.state(START + 40_000));
+    assertFalse(lease.observe(START + 41_000));
+  }
 
-    /** A service that is there and lags proves nothing newer, but is no reason to refuse all. */
-    @Test
-    void anOlderListConfirmsNothingAndKeepsTheLastOneInUse() {
-        confirm(START);
-        for (long at = START + 4_000; at < START + 200_000; at += 2_500) {
-            lease.observe(at);
-            lease.asked(at);
-            lease.answeredWithOlder(at + 10);
-        }
-        assertEquals(ListState.DEGRADED, lease.state(START + 200_000));
+  /** A service that is there and lags proves nothing newer, but is no reason to refuse all. */
+  @Test
+  void anOlderListConfirmsNothingAndKeepsTheLastOneInUse() {
+    confirm(START);
+    for (long at = START + 4_000; at < START + 200_000; at += 2_500) {
+      lease.observe(at);
+      lease.asked(at);
+      lease.answeredWithOlder(at + 10);
     }
+    assertEquals(ListState.DEGRADED, lease.state(START + 200_000));
+  }
 
-    /** A service whose every answer takes longer than the grace costs one wait and not one for each question. */
-    @Test
-    void answersThatAllComeLateAreAnOutageThatNeverExpires() {
-        confirm(START);
-        int awaited = 0;
-        for (long now = START; now < START + 60 * SECOND; now += 500) {
-            lease.observe(now);
-            if ((now - START) % 2_500 == 0) {
-                lease.asked(now);
-            }
-            if (now > START + 6_000 && (now - START) % 2_500 == 1_000) {
-                lease.answered(now - 6_000, now);
-            }
-            awaited += lease.state(now) == ListState.AWAITED ? 500 : 0;
-        }
-        assertTrue(awaited <= 2 * GRACE, awaited + " tenths of a millisecond awaited in a minute");
+  /**
+   * A service whose every answer takes longer than the grace costs one wait and not one for each
+   * question.
+   */
+  @Test
+  void answersThatAllComeLateAreAnOutageThatNeverExpires() {
+    confirm(START);
+    int awaited = 0;
+    for (long now = START; now < START + 60 * SECOND; now += 500) {
+      lease.observe(now);
+      if ((now - START) % 2_500 == 0) {
+        lease.asked(now);
+      }
+      if (now > START + 6_000 && (now - START) % 2_500 == 1_000) {
+        lease.answered(now - 6_000, now);
+      }
+      awaited += lease.state(now) == ListState.AWAITED ? 500 : 0;
     }
+    assertTrue(awaited <= 2 * GRACE, awaited + " tenths of a millisecond awaited in a minute");
+  }
 
-    /**
-     * While an answer comes now and then and nothing else is awaited for long, no moment is usable that lies a grace after
-     * the first answer that was sent and not read: checked against every answer that was sent, in random histories.
-     */
-    @Test
-    void noConfirmedMomentLiesAGraceAfterAnAnswerThatWasLost() {
-        for (int seed = 0; seed < 300; seed++) {
-            Random random = new Random(seed);
-            DiscoveryLease own = new DiscoveryLease(START, GRACE);
-            long firstLost = Long.MAX_VALUE;
-            long nextAt = START;
-            for (long now = START; now < START + 20 * SECOND; now += 250) {
-                own.observe(now);
-                if (now >= nextAt) {
-                    own.asked(now);
-                    boolean lost = random.nextInt(3) == 0;
-                    if (lost) {
-                        firstLost = Math.min(firstLost, now);
-                    } else {
-                        own.answered(now, now);
-                        firstLost = Long.MAX_VALUE;
-                    }
-                    nextAt = now + 1_250 + random.nextInt(3_000);
-                }
-                if (own.state(now) == ListState.CONFIRMED) {
-                    assertTrue(firstLost == Long.MAX_VALUE || now < firstLost + GRACE, "seed " + seed);
-                }
-            }
+  /**
+   * While an answer comes now and then and nothing else is awaited for long, no moment is usable
+   * that lies a grace after the first answer that was sent and not read: checked against every
+   * answer that was sent, in random histories.
+   */
+  @Test
+  void noConfirmedMomentLiesAGraceAfterAnAnswerThatWasLost() {
+    for (int seed = 0; seed < 300; seed++) {
+      Random random = new Random(seed);
+      DiscoveryLease own = new DiscoveryLease(START, GRACE);
+      long firstLost = Long.MAX_VALUE;
+      long nextAt = START;
+      for (long now = START; now < START + 20 * SECOND; now += 250) {
+        own.observe(now);
+        if (now >= nextAt) {
+          own.asked(now);
+          boolean lost = random.nextInt(3) == 0;
+          if (lost) {
+            firstLost = Math.min(firstLost, now);
+          } else {
+            own.answered(now, now);
+            firstLost = Long.MAX_VALUE;
+          }
+          nextAt = now + 1_250 + random.nextInt(3_000);
         }
+        if (own.state(now) == ListState.CONFIRMED) {
+          assertTrue(firstLost == Long.MAX_VALUE || now < firstLost + GRACE, "seed " + seed);
+        }
+      }
     }
+  }
 
-    private void confirm(long at) {
-        lease.asked(at);
-        lease.answered(at, at);
-    }
+  private void confirm(long at) {
+    lease.asked(at);
+    lease.answered(at, at);
+  }
 }
--- a/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
+++ b/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
@@ -22,159 +22,203 @@
 import tillerlink.model.Track;
 import tillerlink.model.TrackTerms;
 
-/** Each invariant is broken on purpose, and just that one is told. Times are tenths of a millisecond. */
+/**
+ * Each invariant is broken on purpose, and just that one is told. Times are tenths of a
+ * millisecond.
+ */
 class InvariantMonitorTest {
-    private static final long NOW = 17_000_000_000_000L;
-    private static final long DEADLINE = 50_000;
-    private static final long LIMIT = 1_500;
-    private static final long SECOND = 10_000;
-
-    private final Map<String, Object> settings = new HashMap<>();
-    private final Engine engine = new Engine("e1");
-    private final Engine other = new Engine("e2");
-    private InvariantMonitor monitor;
-
-    @BeforeEach
-    void start() {
-        settings.put("guarantees.drain_grace", 5_000L);
-        settings.put("guarantees.budget_span", 100_000L);
-        settings.put("guarantees.extra_floor", 2.0);
-        settings.put("guarantees.further_ratio", 0.1);
-        settings.put("guarantees.fall", 20_000L);
-        settings.put("guarantees.fall_multiple", 2.0);
-        settings.put("guarantees.start_capacity", 0.25);
-        settings.put("guarantees.warm_within", 100_000L);
-        settings.put("family_info.kind_cores", List.of(4L));
-        monitor = new InvariantMonitor(new Named(settings));
-        listed(NOW, Engine.Standing.READY);
-    }
-
-    @Test
-    void whatIsAsItShouldBe() {
-        assertEquals(Set.of(), written(attempt(request(Effect.EFFECTFUL, null), engine), NOW));
-    }
-
-    @Test
-    void theClient() {
-        Submission left = request(Effect.PURE, null);
-        left.ending = Ending.LEFT;
-        left.leftAt = NOW;
-        assertEquals(Set.of(), written(attempt(left, engine), NOW + 1_000));
-        assertEquals(Set.of(Invariant.CLIENT_WAITS), written(attempt(left, engine), NOW + 1_001));
-        Hop late = attempt(request(Effect.PURE, null), engine);
-        long at = NOW + DEADLINE + 501;
-        assertEquals(Set.of(Invariant.CLIENT_WAITS), monitor.written(new InvariantMonitor.Written(late, at, at, 0)));
-        Submission answered = request(Effect.PURE, null);
-        assertEquals(Set.of(), monitor.answered(NOW + DEADLINE + 5_000, answered));
-        assertEquals(Set.of(Invariant.ANSWER_IN_TIME), monitor.answered(NOW + DEADLINE + 5_001, answered));
-    }
-
-    @Test
-    void theLimitThatIsPassedOn() {
-        Hop hop = attempt(request(Effect.PURE, null), engine);
-        long at = NOW + 10_000;
-        long left = DEADLINE - 10_000;
-        assertEquals(Set.of(), monitor.written(new InvariantMonitor.Written(hop, at, at, left + LIMIT)));
-        assertEquals(Set.of(Invariant.LIMIT), monitor.written(new InvariantMonitor.Written(hop, at, at, left + LIMIT + 1)));
-    }
-
-    @Test
-    void effects() {
-        Submission effectful = request(Effect.EFFECTFUL, null);
-        Hop first = attempt(effectful, engine);
-        written(first, NOW);
-        first.outcome = Outcome.SEVERED;
-        assertEquals(Set.of(Invariant.SINGLE_EFFECT), written(attempt(effectful, other), NOW));
-        Submission again = request(Effect.EFFECTFUL, null);
-        Hop refused = attempt(again, engine);
-        written(refused, NOW);
-        refused.outcome = Outcome.FULL;
-        assertEquals(Set.of(), written(attempt(again, other), NOW));
-        Submission neverWritten = request(Effect.EFFECTFUL, null);
-        attempt(neverWritten, engine).outcome = Outcome.SEVERED;
-        assertEquals(Set.of(), written(attempt(neverWritten, other), NOW));
-    }
-
-    @Test
-    void drainsAndEnginesThatAreGone() {
-        listed(NOW, Engine.Standing.DRAINING);
-        assertEquals(Set.of(), written(attempt(request(Effect.PURE, null), engine), NOW + 5_500));
-        assertEquals(Set.of(Invariant.DRAIN), written(attempt(request(Effect.PURE, null), engine), NOW + 5_501));
-        listed(NOW, Engine.Standing.READY);
-        monitor.listed(NOW + SECOND, true, List.of());
-        assertEquals(Set.of(Invariant.DRAIN), written(attempt(request(Effect.PURE, null), engine), NOW + SECOND + 5_501));
-    }
-
-    @Test
-    void whatGoesOutLaterThanAllowed() {
-        Hop hop = attempt(request(Effect.PURE, null), engine);
-        assertEquals(Set.of(), monitor.written(new InvariantMonitor.Written(hop, NOW + 500, NOW, 0)));
-        assertEquals(Set.of(Invariant.WRITE_IN_TIME), monitor.written(new InvariantMonitor.Written(hop, NOW + 501, NOW, 0)));
-    }
-
-    @Test
-    void order() {
-        KeyLine line = new KeyLine();
-        Submission before = request(Effect.PURE, null, line);
-        Submission after = request(Effect.PURE, null, line);
-        line.members.add(before);
-        line.members.add(after);
-        assertEquals(Set.of(Invariant.ORDER), written(attempt(after, engine), NOW));
-        assertEquals(Set.of(), written(attempt(before, engine), NOW));
-    }
-
-    @Test
-    void placement() {
-        other.zone = 1;
-        assertEquals(Set.of(Invariant.PLACEMENT), written(attempt(request(Effect.PURE, List.of(0)), other), NOW));
-    }
-
-    @Test
-    void theRetryBudget() {
-        Submission request = request(Effect.PURE, null);
-        written(attempt(request, engine), NOW);
-        Set<Invariant> broken = Set.of();
-        for (int i = 0; i < 3; i++) {
-            broken = written(attempt(request, engine), NOW);
-            assertEquals(Set.of(), broken);
-        }
-        assertEquals(Set.of(Invariant.RETRY_BUDGET), written(attempt(request, engine), NOW));
-    }
-
-    /** 2 times a quarter of 4 cores for 2 s are 4 s of work, 40 requests of 0.1 s; with twice the root and 2 they are 54. */
-    @Test
-    void aColdEngineThatThisGatewayAloneOverloads() {
-        engine.startedAt = NOW;
-        for (int i = 0; i < 54; i++) {
-            assertEquals(Set.of(), written(attempt(request(Effect.PURE, null), engine), NOW), "request " + i);
-        }
-        assertEquals(Set.of(Invariant.SLOW_START), written(attempt(request(Effect.PURE, null), engine), NOW));
-    }
-
-    private void listed(long now, Engine.Standing standing) {
-        monitor.listed(now, true, List.of(new Listed(engine, 0, 0, 0, 1, standing, 0, 1),
-                new Listed(other, 0, 1, 0, 1, Engine.Standing.READY, 0, 1)));
-    }
-
-    private Set<Invariant> written(Hop hop, long at) {
-        return monitor.written(new InvariantMonitor.Written(hop, at, at, 0));
-    }
-
-    private static Submission request(Effect effect, List<Integer> zones) {
-        return request(effect, zones, null);
-    }
-
-    private static Submission request(Effect effect, List<Integer> zones, KeyLine line) {
-        Submission request = new Submission("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
-        request.track = new Track(0, new TrackTerms(effect, Circle.ALL, 10_000, DEADLINE, 0, DEADLINE, 1, 0, 1, false, false,
-                line != null, zones, null), new DecayingMean(1, 1, 1), new DecayingMean(1, 1, 1), new DecayingMean(1, 1, 1),
-                new DecayingMean(1, 1, 1));
-        return request;
-    }
-
-    private static Hop attempt(Submission request, Engine to) {
-        Hop hop = new Hop(request, to, NOW, 1_000, 1_000, false);
-        request.hops.add(hop);
-        return hop;
-    }
+  private static final long NOW = 17_000_000_000_000L;
+  private static final long DEADLINE = 50_000;
+  private static final long LIMIT = 1_500;
+  private static final long SECOND = 10_000;
+
+  private final Map<String, Object> settings = new HashMap<>();
+  private final Engine engine = new Engine("e1");
+  private final Engine other = new Engine("e2");
+  private InvariantMonitor monitor;
+
+  @BeforeEach
+  void start() {
+    settings.put("guarantees.drain_grace", 5_000L);
+    settings.put("guarantees.budget_span", 100_000L);
+    settings.put("guarantees.extra_floor", 2.0);
+    settings.put("guarantees.further_ratio", 0.1);
+    settings.put("guarantees.fall", 20_000L);
+    settings.put("guarantees.fall_multiple", 2.0);
+    settings.put("guarantees.start_capacity", 0.25);
+    settings.put("guarantees.warm_within", 100_000L);
+    settings.put("family_info.kind_cores", List.of(4L));
+    monitor = new InvariantMonitor(new Named(settings));
+    listed(NOW, Engine.Standing.READY);
+  }
+
+  @Test
+  void whatIsAsItShouldBe() {
+    assertEquals(Set.of(), written(attempt(request(Effect.EFFECTFUL, null), engine), NOW));
+  }
+
+  @Test
+  void theClient() {
+    Submission left = request(Effect.PURE, null);
+    left.ending = Ending.LEFT;
+    left.leftAt = NOW;
+    assertEquals(Set.of(), written(attempt(left, engine), NOW + 1_000));
+    assertEquals(Set.of(Invariant.CLIENT_WAITS), written(attempt(left, engine), NOW + 1_001));
+    Hop late = attempt(request(Effect.PURE, null), engine);
+    long at = NOW + DEADLINE + 501;
+    assertEquals(
+        Set.of(Invariant.CLIENT_WAITS),
+        monitor.written(new InvariantMonitor.Written(late, at, at, 0)));
+    Submission answered = request(Effect.PURE, null);
+    assertEquals(Set.of(), monitor.answered(NOW + DEADLINE + 5_000, answered));
+    assertEquals(
+        Set.of(Invariant.ANSWER_IN_TIME), monitor.answered(NOW + DEADLINE + 5_001, answered));
+  }
+
+  @Test
+  void theLimitThatIsPassedOn() {
+    Hop hop = attempt(request(Effect.PURE, null), engine);
+    long at = NOW + 10_000;
+    long left = DEADLINE - 10_000;
+    assertEquals(
+        Set.of(), monitor.written(new InvariantMonitor.Written(hop, at, at, left + LIMIT)));
+    assertEquals(
+        Set.of(Invariant.LIMIT),
+        monitor.written(new InvariantMonitor.Written(hop, at, at, left + LIMIT + 1)));
+  }
+
+  @Test
+  void effects() {
+    Submission effectful = request(Effect.EFFECTFUL, null);
+    Hop first = attempt(effectful, engine);
+    written(first, NOW);
+    first.outcome = Outcome.SEVERED;
+    assertEquals(Set.of(Invariant.SINGLE_EFFECT), written(attempt(effectful, other), NOW));
+    Submission again = request(Effect.EFFECTFUL, null);
+    Hop refused = attempt(again, engine);
+    written(refused, NOW);
+    refused.outcome = Outcome.FULL;
+    assertEquals(Set.of(), written(attempt(again, other), NOW));
+    Submission neverWritten = request(Effect.EFFECTFUL, null);
+    attempt(neverWritten, engine).outcome = Outcome.SEVERED;
+    assertEquals(Set.of(), written(attempt(neverWritten, other), NOW));
+  }
+
+  @Test
+  void drainsAndEnginesThatAreGone() {
+    listed(NOW, Engine.Standing.DRAINING);
+    assertEquals(Set.of(), written(attempt(request(Effect.PURE, null), engine), NOW + 5_500));
+    assertEquals(
+        Set.of(Invariant.DRAIN), written(attempt(request(Effect.PURE, null), engine), NOW + 5_501));
+    listed(NOW, Engine.Standing.READY);
+    monitor.listed(NOW + SECOND, true, List.of());
+    assertEquals(
+        Set.of(Invariant.DRAIN),
+        written(attempt(request(Effect.PURE, null), engine), NOW + SECOND + 5_501));
+  }
+
+  @Test
+  void whatGoesOutLaterThanAllowed() {
+    Hop hop = attempt(request(Effect.PURE, null), engine);
+    assertEquals(Set.of(), monitor.written(new InvariantMonitor.Written(hop, NOW + 500, NOW, 0)));
+    assertEquals(
+        Set.of(Invariant.WRITE_IN_TIME),
+        monitor.written(new InvariantMonitor.Written(hop, NOW + 501, NOW, 0)));
+  }
+
+  @Test
+  void order() {
+    KeyLine line = new KeyLine();
+    Submission before = request(Effect.PURE, null, line);
+    Submission after = request(Effect.PURE, null, line);
+    line.members.add(before);
+    line.members.add(after);
+    assertEquals(Set.of(Invariant.ORDER), written(attempt(after, engine), NOW));
+    assertEquals(Set.of(), written(attempt(before, engine), NOW));
+  }
+
+  @Test
+  void placement() {
+    other.zone = 1;
+    assertEquals(
+        Set.of(Invariant.PLACEMENT),
+        written(attempt(request(Effect.PURE, List.of(0)), other), NOW));
+  }
+
+  @Test
+  void theRetryBudget() {
+    Submission request = request(Effect.PURE, null);
+    written(attempt(request, engine), NOW);
+    Set<Invariant> broken = Set.of();
+    for (int i = 0; i < 3; i++) {
+      broken = written(attempt(request, engine), NOW);
+      assertEquals(Set.of(), broken);
+    }
+    assertEquals(Set.of(Invariant.RETRY_BUDGET), written(attempt(request, engine), NOW));
+  }
+
+  /**
+   * 2 times a quarter of 4 cores for 2 s are 4 s of work, 40 requests of 0.1 s; with twice the root
+   * and 2 they are 54.
+   */
+  @Test
+  void aColdEngineThatThisGatewayAloneOverloads() {
+    engine.startedAt = NOW;
+    for (int i = 0; i < 54; i++) {
+      assertEquals(
+          Set.of(), written(attempt(request(Effect.PURE, null), engine), NOW), "request " + i);
+    }
+    assertEquals(
+        Set.of(Invariant.SLOW_START), written(attempt(request(Effect.PURE, null), engine), NOW));
+  }
+
+  private void listed(long now, Engine.Standing standing) {
+    monitor.listed(
+        now,
+        true,
+        List.of(
+            new Listed(engine, 0, 0, 0, 1, standing, 0, 1),
+            new Listed(other, 0, 1, 0, 1, Engine.Standing.READY, 0, 1)));
+  }
+
+  private Set<Invariant> written(Hop hop, long at) {
+    return monitor.written(new InvariantMonitor.Written(hop, at, at, 0));
+  }
+
+  private static Submission request(Effect effect, List<Integer> zones) {
+    return request(effect, zones, null);
+  }
+
+  private static Submission request(Effect effect, List<Integer> zones, KeyLine line) {
+    Submission request = new Submission("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
+    request.track =
+        new Track(
+            0,
+            new TrackTerms(
+                effect,
+                Circle.ALL,
+                10_000,
+                DEADLINE,
+                0,
+                DEADLINE,
+                1,
+                0,
+                1,
+                false,
+                false,
+                line != null,
+                zones,
+                null),
+            new DecayingMean(1, 1, 1),
+            new DecayingMean(1, 1, 1),
+            new DecayingMean(1, 1, 1),
+            new DecayingMean(1, 1, 1));
+    return request;
+  }
+
+  private static Hop attempt(Submission request, Engine to) {
+    Hop hop = new Hop(request, to, NOW, 1_000, 1_000, false);
+    request.hops.add(hop);
+    return hop;
+  }
 }
--- a/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
+++ b/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
@@ -4,29 +4,33 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Guards slow starts against a wall clock that was stepped, here or at the engine. Times are tenths of a millisecond. */
+/**
+ * Guards slow starts against a wall clock that was stepped, here or at the engine. Times are tenths
+ * of a millisecond.
+ */
 class StartTimeTest {
-    private static final long NOW = 17_000_000_000_000L;
-    private static final long HOUR = 36_000_000;
-    private static final long SECOND = 10_000;
+  private static final long NOW = 17_000_000_000_000L;
+  private static final long HOUR = 36_000_000;
+  private static final long SECOND = 10_000;
 
-    @Test
-    void aStartThatIsKnownWithinBoundsIsTakenAsTold() {
-        assertEquals(NOW - SECOND, StartTime.bounded(NOW - SECOND, NOW, NOW - SECOND));
-        assertEquals(NOW - HOUR, StartTime.bounded(NOW - HOUR, NOW, Long.MIN_VALUE));
-        assertEquals(0, StartTime.bounded(0, NOW, NOW - SECOND));
-    }
+  @Test
+  void aStartThatIsKnownWithinBoundsIsTakenAsTold() {
+    assertEquals(NOW - SECOND, StartTime.bounded(NOW - SECOND, NOW, NOW - SECOND));
+    assertEquals(NOW - HOUR, StartTime.bounded(NOW - HOUR, NOW, Long.MIN_VALUE));
+    assertEquals(0, StartTime.bounded(0, NOW, NOW - SECOND));
+  }
 
-    /** Else it would be held for cold, and get nothing, for an hour. */
-    @Test
-    void aStartInTheFutureIsNow() {
-        assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, Long.MIN_VALUE));
-        assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, NOW - SECOND));
-    }
+  /** Else it would be held for cold, and get nothing, for an hour. */
+  @Test
+  void aStartInTheFutureIsNow() {
+    assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, Long.MIN_VALUE));
+    assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, NOW - SECOND));
+  }
 
-    /** Else one that has just started would be held for warm, and be overloaded. */
-    @Test
-    void aStartBeforeItsProcessWasSeenMissingIsNoEarlierThanThat() {
-        assertEquals(NOW - SECOND - DiscoveryLease.TOLD_AFTER, StartTime.bounded(NOW - HOUR, NOW, NOW - SECOND));
-    }
+  /** Else one that has just started would be held for warm, and be overloaded. */
+  @Test
+  void aStartBeforeItsProcessWasSeenMissingIsNoEarlierThanThat() {
+    assertEquals(
+        NOW - SECOND - DiscoveryLease.TOLD_AFTER, StartTime.bounded(NOW - HOUR, NOW, NOW - SECOND));
+  }
 }
--- a/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
+++ b/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
@@ -12,58 +12,64 @@
 
 /** What monitoring reads, and how much of a repeated event reaches the log. */
 class TelemetryTest {
-    private static final long SECOND = 10_000;
+  private static final long SECOND = 10_000;
 
-    @Test
-    void everyCounterIsExposedWithHelpTypeAndReasons() {
-        Metrics metrics = new Metrics();
-        metrics.add(Counter.ATTEMPTS_ENDED, Outcome.NEVER_SENT);
-        metrics.add(Counter.ATTEMPTS_ENDED, Outcome.NEVER_SENT);
-        metrics.add(Counter.ATTEMPTS_ENDED, Outcome.ERRED);
-        metrics.gauge("engine_list_version", "Number of the last event.", () -> 7);
-        String text = metrics.exposition();
-        assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"never_sent\"} 2\n"), text);
-        assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"erred\"} 1\n"), text);
-        assertTrue(text.contains("tillerlink_invariant_violations_total 0\n"), text);
-        assertTrue(text.contains("# TYPE tillerlink_engine_list_version gauge\ntillerlink_engine_list_version 7\n"), text);
-        for (Counter counter : Counter.values()) {
-            assertTrue(text.contains("# TYPE " + counter.exposedName + " counter\n"), counter::name);
-        }
-        assertEquals(3, metrics.total(Counter.ATTEMPTS_ENDED));
+  @Test
+  void everyCounterIsExposedWithHelpTypeAndReasons() {
+    Metrics metrics = new Metrics();
+    metrics.add(Counter.ATTEMPTS_ENDED, Outcome.NEVER_SENT);
+    metrics.add(Counter.ATTEMPTS_ENDED, Outcome.NEVER_SENT);
+    metrics.add(Counter.ATTEMPTS_ENDED, Outcome.ERRED);
+    metrics.gauge("engine_list_version", "Number of the last event.", () -> 7);
+    String text = metrics.exposition();
+    assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"never_sent\"} 2\n"), text);
+    assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"erred\"} 1\n"), text);
+    assertTrue(text.contains("tillerlink_invariant_violations_total 0\n"), text);
+    assertTrue(
+        text.contains(
+            "# TYPE tillerlink_engine_list_version gauge\ntillerlink_engine_list_version 7\n"),
+        text);
+    for (Counter counter : Counter.values()) {
+      assertTrue(text.contains("# TYPE " + counter.exposedName + " counter\n"), counter::name);
     }
+    assertEquals(3, metrics.total(Counter.ATTEMPTS_ENDED));
+  }
 
-    /** Guards the log against trouble that repeats: a burst, then five lines a second, and the rest is counted. */
-    @Test
-    void aTopicIsBoundedInRateAndTellsWhatItLeftOut() {
-        PrintStream before = System.err;
-        ByteArrayOutputStream written = new ByteArrayOutputStream();
-        System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
-        try {
-            EventLog log = new EventLog(true);
-            for (int i = 0; i < 1000; i++) {
-                log.event(0, EventLog.Topic.ATTEMPT, "attempt ended", "id", i);
-            }
-            log.event(0, EventLog.Topic.ENGINE, "engine state changed", "engine", "e1");
-            log.event(SECOND, EventLog.Topic.ATTEMPT, "attempt ended", "id", "later");
-        } finally {
-            System.setErr(before);
-        }
-        String text = written.toString(StandardCharsets.UTF_8);
-        assertEquals(42, text.lines().count(), text);
-        assertTrue(text.contains("topic=engine engine=e1"), text);
-        assertTrue(text.contains("id=later left_out=960"), text);
+  /**
+   * Guards the log against trouble that repeats: a burst, then five lines a second, and the rest is
+   * counted.
+   */
+  @Test
+  void aTopicIsBoundedInRateAndTellsWhatItLeftOut() {
+    PrintStream before = System.err;
+    ByteArrayOutputStream written = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
+    try {
+      EventLog log = new EventLog(true);
+      for (int i = 0; i < 1000; i++) {
+        log.event(0, EventLog.Topic.ATTEMPT, "attempt ended", "id", i);
+      }
+      log.event(0, EventLog.Topic.ENGINE, "engine state changed", "engine", "e1");
+      log.event(SECOND, EventLog.Topic.ATTEMPT, "attempt ended", "id", "later");
+    } finally {
+      System.setErr(before);
     }
+    String text = written.toString(StandardCharsets.UTF_8);
+    assertEquals(42, text.lines().count(), text);
+    assertTrue(text.contains("topic=engine engine=e1"), text);
+    assertTrue(text.contains("id=later left_out=960"), text);
+  }
 
-    @Test
-    void aSilentOneWritesNothing() {
-        PrintStream before = System.err;
-        ByteArrayOutputStream written = new ByteArrayOutputStream();
-        System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
-        try {
-            Telemetry.silent().log().event(0, EventLog.Topic.ENGINE, "engine state changed");
-        } finally {
-            System.setErr(before);
-        }
-        assertFalse(written.toString(StandardCharsets.UTF_8).contains("engine"));
+  @Test
+  void aSilentOneWritesNothing() {
+    PrintStream before = System.err;
+    ByteArrayOutputStream written = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
+    try {
+      Telemetry.silent().log().event(0, EventLog.Topic.ENGINE, "engine state changed");
+    } finally {
+      System.setErr(before);
     }
+    assertFalse(written.toString(StandardCharsets.UTF_8).contains("engine"));
+  }
 }
--- a/http2/src/main/java/tillerlink/net/http2/ConnectionFault.java
+++ b/http2/src/main/java/tillerlink/net/http2/ConnectionFault.java
@@ -2,15 +2,15 @@
 
 /** What ends the whole connection (RFC 9113, section 5.4.1). */
 public final class ConnectionFault extends RuntimeException {
-    private static final long serialVersionUID = 1L;
-    private final ErrorCode code;
+  private static final long serialVersionUID = 1L;
+  private final ErrorCode code;
 
-    public ConnectionFault(ErrorCode code, String why) {
-        super(why, null, false, false);
-        this.code = code;
-    }
+  public ConnectionFault(ErrorCode code, String why) {
+    super(why, null, false, false);
+    this.code = code;
+  }
 
-    public ErrorCode code() {
-        return code;
-    }
+  public ErrorCode code() {
+    return code;
+  }
 }
--- a/http2/src/main/java/tillerlink/net/http2/H2Carrier.java
+++ b/http2/src/main/java/tillerlink/net/http2/H2Carrier.java
@@ -11,167 +11,178 @@
 import tillerlink.net.state.Flight;
 
 /**
- * Carries hops to one engine over HTTP/2: many on few connections, within the engine's limit of streams. A hop that
- * finds no room waits, for a bounded time; what its ending proves is told to the module as an outcome.
+ * Carries hops to one engine over HTTP/2: many on few connections, within the engine's limit of
+ * streams. A hop that finds no room waits, for a bounded time; what its ending proves is told to
+ * the module as an outcome.
  */
 public final class H2Carrier implements Carrier {
-    private static final int CONNECTIONS_MOST = 4;
-    private static final int STREAMS_MOST = 256;
-    /** Hops that wait for room, in times of what one connection bears. */
-    private static final int WAITING_TIMES = 2;
-    private static final int MENDS_MOST = 3;
-
-    final Owner owner;
-    final EngineSite site;
-    private final Pool pool;
-    private final int waitingMost;
-    private final List<H2Link> links = new ArrayList<>(2);
-    private final ArrayDeque<Flight> waiting = new ArrayDeque<>();
-    private boolean serving;
-
-    /** @param streamsMost streams on one connection; 0 for a bound of our own */
-    public H2Carrier(Owner owner, EngineSite site, int streamsMost) {
-        this.owner = owner;
-        this.site = site;
-        int streams = streamsMost > 0 ? Math.min(streamsMost, STREAMS_MOST) : STREAMS_MOST;
-        pool = new Pool(streams, CONNECTIONS_MOST);
-        waitingMost = WAITING_TIMES * streams;
+  private static final int CONNECTIONS_MOST = 4;
+  private static final int STREAMS_MOST = 256;
+
+  /** Hops that wait for room, in times of what one connection bears. */
+  private static final int WAITING_TIMES = 2;
+
+  private static final int MENDS_MOST = 3;
+
+  final Owner owner;
+  final EngineSite site;
+  private final Pool pool;
+  private final int waitingMost;
+  private final List<H2Link> links = new ArrayList<>(2);
+  private final ArrayDeque<Flight> waiting = new ArrayDeque<>();
+  private boolean serving;
+
+  /**
+   * @param streamsMost streams on one connection; 0 for a bound of our own
+   */
+  public H2Carrier(Owner owner, EngineSite site, int streamsMost) {
+    this.owner = owner;
+    this.site = site;
+    int streams = streamsMost > 0 ? Math.min(streamsMost, STREAMS_MOST) : STREAMS_MOST;
+    pool = new Pool(streams, CONNECTIONS_MOST);
+    waitingMost = WAITING_TIMES * streams;
+  }
+
+  @Override
+  public void send(Flight flight) {
+    if (waiting.size() >= waitingMost) {
+      owner.rarely("no room for a further stream to engine " + site.id);
+      unsent(flight, StreamEnd.NO_ROOM);
+      return;
     }
-
-    @Override
-    public void send(Flight flight) {
-        if (waiting.size() >= waitingMost) {
-            owner.rarely("no room for a further stream to engine " + site.id);
-            unsent(flight, StreamEnd.NO_ROOM);
-            return;
-        }
-        waiting.add(flight);
-        serve();
+    waiting.add(flight);
+    serve();
+  }
+
+  /** Nothing of a hop was written, and nothing will be. */
+  private void unsent(Flight flight, StreamEnd how) {
+    owner.later(() -> owner.ended(flight, how.outcome(false, false)));
+  }
+
+  /** Sends what waits, as far as there is room; opens connections for the rest. */
+  void serve() {
+    if (serving) {
+      return;
     }
-
-    /** Nothing of a hop was written, and nothing will be. */
-    private void unsent(Flight flight, StreamEnd how) {
-        owner.later(() -> owner.ended(flight, how.outcome(false, false)));
+    serving = true;
+    while (!waiting.isEmpty()) {
+      if (!site.ready() && !waiting.peek().begun()) {
+        unsent(waiting.poll(), StreamEnd.WITHDRAWN);
+        continue;
+      }
+      int part = Pool.part(owner.linksMost(), owner.links(), owner.engines(), links.size());
+      Pool.Choice choice = pool.choose(links, waiting.size() - 1, part);
+      if (choice.verdict() == Pool.Verdict.USE) {
+        ((H2Link) choice.member()).send(waiting.poll());
+      } else if (choice.verdict() == Pool.Verdict.DIAL) {
+        dial();
+      } else {
+        break;
+      }
     }
-
-    /** Sends what waits, as far as there is room; opens connections for the rest. */
-    void serve() {
-        if (serving) {
-            return;
-        }
-        serving = true;
-        while (!waiting.isEmpty()) {
-            if (!site.ready() && !waiting.peek().begun()) {
-                unsent(waiting.poll(), StreamEnd.WITHDRAWN);
-                continue;
-            }
-            int part = Pool.part(owner.linksMost(), owner.links(), owner.engines(), links.size());
-            Pool.Choice choice = pool.choose(links, waiting.size() - 1, part);
-            if (choice.verdict() == Pool.Verdict.USE) {
-                ((H2Link) choice.member()).send(waiting.poll());
-            } else if (choice.verdict() == Pool.Verdict.DIAL) {
-                dial();
-            } else {
-                break;
-            }
-        }
-        serving = false;
-    }
-
-    private void dial() {
-        H2Link link = new H2Link(this, owner.now());
-        owner.counted(1);
-        links.add(link);
-        link.dial();
+    serving = false;
+  }
+
+  private void dial() {
+    H2Link link = new H2Link(this, owner.now());
+    owner.counted(1);
+    links.add(link);
+    link.dial();
+  }
+
+  /** Shows whether anybody is there, unless a new connection is about to. */
+  void tryAnew() {
+    if (links.stream().noneMatch(H2Link::dialing) && owner.links() < owner.linksMost()) {
+      dial();
     }
-
-    /** Shows whether anybody is there, unless a new connection is about to. */
-    void tryAnew() {
-        if (links.stream().noneMatch(H2Link::dialing) && owner.links() < owner.linksMost()) {
-            dial();
-        }
+  }
+
+  void linkEnded(H2Link link) {
+    links.remove(link);
+    owner.counted(-1);
+  }
+
+  /**
+   * A new connection failed: those that do not say that they work end, and what waits has nowhere
+   * to go.
+   */
+  void nobodyThere(Outcome outcome) {
+    List.copyOf(links).forEach(H2Link::nobodyThere);
+    if (links.stream().noneMatch(link -> link.up() && link.sound())) {
+      while (!waiting.isEmpty()) {
+        Flight flight = waiting.poll();
+        owner.later(() -> owner.ended(flight, flight.begun() ? Outcome.SPOILT : outcome));
+      }
     }
-
-    void linkEnded(H2Link link) {
-        links.remove(link);
-        owner.counted(-1);
+  }
+
+  boolean heardSince(long then) {
+    return links.stream().anyMatch(link -> link.heardSince(then));
+  }
+
+  /**
+   * Asks for what a result lacks on another connection; false if it can't be, or was tried too
+   * often.
+   */
+  boolean mend(Flight flight) {
+    if (!flight.begun() || !flight.hop.isOut() || !flight.mendAgain(MENDS_MOST)) {
+      return false;
     }
-
-    /** A new connection failed: those that do not say that they work end, and what waits has nowhere to go. */
-    void nobodyThere(Outcome outcome) {
-        List.copyOf(links).forEach(H2Link::nobodyThere);
-        if (links.stream().noneMatch(link -> link.up() && link.sound())) {
-            while (!waiting.isEmpty()) {
-                Flight flight = waiting.poll();
-                owner.later(() -> owner.ended(flight, flight.begun() ? Outcome.SPOILT : outcome));
-            }
-        }
+    waiting.addFirst(flight);
+    return true;
+  }
+
+  @Override
+  public Outcome giveUp(Flight flight) {
+    for (H2Link link : links) {
+      if (link.bears(flight)) {
+        return link.giveUp(flight);
+      }
     }
-
-    boolean heardSince(long then) {
-        return links.stream().anyMatch(link -> link.heardSince(then));
+    waiting.remove(flight);
+    return StreamEnd.CANCELLED.outcome(flight.begun(), flight.begun());
+  }
+
+  @Override
+  public void release(Flight flight) {
+    waiting.remove(flight);
+    for (H2Link link : links) {
+      if (link.bears(flight)) {
+        link.release(flight);
+        break;
+      }
     }
-
-    /** Asks for what a result lacks on another connection; false if it can't be, or was tried too often. */
-    boolean mend(Flight flight) {
-        if (!flight.begun() || !flight.hop.isOut() || !flight.mendAgain(MENDS_MOST)) {
-            return false;
-        }
-        waiting.addFirst(flight);
-        return true;
+    serve();
+  }
+
+  @Override
+  public void sweep(long connectMost, long idleMost) {
+    long now = owner.now();
+    for (Iterator<Flight> i = waiting.iterator(); i.hasNext(); ) {
+      Flight flight = i.next();
+      if (!flight.hop.isOut()) {
+        i.remove();
+      } else if (now >= flight.hop.sentAt + connectMost && !flight.begun()) {
+        i.remove();
+        unsent(flight, StreamEnd.NO_ROOM);
+      }
     }
-
-    @Override
-    public Outcome giveUp(Flight flight) {
-        for (H2Link link : links) {
-            if (link.bears(flight)) {
-                return link.giveUp(flight);
-            }
-        }
-        waiting.remove(flight);
-        return StreamEnd.CANCELLED.outcome(flight.begun(), flight.begun());
-    }
-
-    @Override
-    public void release(Flight flight) {
-        waiting.remove(flight);
-        for (H2Link link : links) {
-            if (link.bears(flight)) {
-                link.release(flight);
-                break;
-            }
-        }
-        serve();
-    }
-
-    @Override
-    public void sweep(long connectMost, long idleMost) {
-        long now = owner.now();
-        for (Iterator<Flight> i = waiting.iterator(); i.hasNext();) {
-            Flight flight = i.next();
-            if (!flight.hop.isOut()) {
-                i.remove();
-            } else if (now >= flight.hop.sentAt + connectMost && !flight.begun()) {
-                i.remove();
-                unsent(flight, StreamEnd.NO_ROOM);
-            }
-        }
-        for (H2Link link : List.copyOf(links)) {
-            link.sweep(connectMost);
-            if (link.up() && pool.over(link, now, idleMost)) {
-                link.retire();
-            }
-        }
-        serve();
-    }
-
-    @Override
-    public void retireAll() {
-        List.copyOf(links).forEach(H2Link::retire);
-    }
-
-    @Override
-    public boolean isEmpty() {
-        return links.isEmpty() && waiting.isEmpty();
+    for (H2Link link : List.copyOf(links)) {
+      link.sweep(connectMost);
+      if (link.up() && pool.over(link, now, idleMost)) {
+        link.retire();
+      }
     }
+    serve();
+  }
+
+  @Override
+  public void retireAll() {
+    List.copyOf(links).forEach(H2Link::retire);
+  }
+
+  @Override
+  public boolean isEmpty() {
+    return links.isEmpty() && waiting.isEmpty();
+  }
 }
--- a/http2/src/main/java/tillerlink/net/http2/H2Link.java
+++ b/http2/src/main/java/tillerlink/net/http2/H2Link.java
@@ -18,490 +18,520 @@
 import tillerlink.net.state.Pipe;
 import tillerlink.policy.SendVerdict;
 
-/** One HTTP/2 connection to an engine: hops are streams on it, worded as docs/http2-wire.md says. */
+/**
+ * One HTTP/2 connection to an engine: hops are streams on it, worded as docs/http2-wire.md says.
+ */
 final class H2Link implements Pipe.Owner, Pool.Member {
-    private static final int RESULT_MOST = 48_000;
-    private static final int FULL_1 = 429;
-    private static final int FULL_2 = 503;
-
-    /** A hop on a stream. */
-    private static final class Ride {
-        private final Flight flight;
-        private final int stream;
-        /** The place of the write that bears the request's last byte; none while that was not written. */
-        private long place = Long.MAX_VALUE;
-        private boolean answered;
-        /** When the window was found shut for its body; 0 if it is not. */
-        private long shutSince;
-
-        Ride(Flight flight, int stream) {
-            this.flight = flight;
-            this.stream = stream;
-        }
-    }
-
-    private final H2Carrier carrier;
-    private final Carrier.Owner owner;
-    private final EngineSite site;
-    private final Connection connection = new Connection();
-    private final Map<Integer, Ride> rides = new LinkedHashMap<>();
-    private final Map<Flight, Ride> byFlight = new IdentityHashMap<>();
-    /** Guarded hops whose last byte is on its way out, in that order. */
-    private final ArrayDeque<Ride> guarded = new ArrayDeque<>(0);
-    private final long dialedAt;
-    private Pipe pipe;
-    private boolean open;
-    private boolean over;
-    private boolean retired;
-    /** The connection is being ended, with what was written known or not. */
-    private boolean ending;
-    private boolean exact;
-    private boolean silent;
-    private long writes;
-    private long writesDone;
-    private long heardAt;
-    private long idleSince;
-    private long askedAt;
-    private long answered;
-
-    H2Link(H2Carrier carrier, long now) {
-        this.carrier = carrier;
-        owner = carrier.owner;
-        site = carrier.site;
-        dialedAt = now;
-        heardAt = now;
-        idleSince = now;
-    }
-
-    void dial() {
-        pipe = owner.dial(site.address(), this);
-    }
-
-    // ---- as the pool sees it ----
-
-    @Override
-    public boolean up() {
-        return open && connection.settingsSeen();
-    }
-
-    @Override
-    public boolean dialing() {
-        return !open;
-    }
-
-    @Override
-    public boolean sound() {
-        return !over && !retired && !silent && !connection.isSpent();
-    }
-
-    @Override
-    public int bears() {
-        return connection.open();
-    }
-
-    @Override
-    public long most() {
-        return connection.streamsMost();
-    }
-
-    @Override
-    public long answered() {
-        return answered;
-    }
-
-    @Override
-    public long openedAt() {
-        return dialedAt;
-    }
-
-    @Override
-    public long idleSince() {
-        return idleSince;
-    }
-
-    // ---- hops ----
-
-    void send(Flight flight) {
-        SendVerdict verdict = flight.begun() ? SendVerdict.ALLOWED : flight.mayGo();
-        if (verdict != SendVerdict.ALLOWED) {
-            owner.withheld(flight, verdict);
-            owner.later(() -> owner.ended(flight, StreamEnd.WITHDRAWN.outcome(false, false)));
-            return;
-        }
-        List<Header> headers = new ArrayList<>(8);
-        byte[] body;
-        if (!flight.begun()) {
-            body = flight.statement();
-            headers.add(new BasicHeader(":method", "POST"));
-            headers.add(new BasicHeader(":scheme", "http"));
-            headers.add(new BasicHeader(":authority", "engine"));
-            headers.add(new BasicHeader(":path", "/v1/run/" + flight.track()));
-            headers.add(new BasicHeader("content-type", "application/sql"));
-            headers.add(new BasicHeader("content-length", Integer.toString(body.length)));
-            headers.add(new BasicHeader("hop-id", flight.id()));
-            headers.add(new BasicHeader("hop-limit-ms", Long.toString(flight.millisLeft(owner.now()))));
-            if (flight.key() != null) {
-                headers.add(new BasicHeader("idempotency-key", flight.key()));
-            }
-        } else {
-            body = new byte[0];
-            headers.add(new BasicHeader(":method", "GET"));
-            headers.add(new BasicHeader(":scheme", "http"));
-            headers.add(new BasicHeader(":authority", "engine"));
-            headers.add(new BasicHeader(":path", "/v1/results/" + flight.id()));
-            headers.add(new BasicHeader("range", "bytes=" + flight.answerSize() + "-"));
-        }
-        int stream;
-        try {
-            stream = connection.open(headers, body);
-        } catch (IllegalArgumentException e) {
-            owner.rarely("engine " + site.id + " takes no header lists that long");
-            owner.later(() -> owner.ended(flight, StreamEnd.NO_ROOM.outcome(false, flight.begun())));
-            return;
-        }
-        Ride ride = new Ride(flight, stream);
-        rides.put(stream, ride);
-        byFlight.put(flight, ride);
-        flush();
-    }
+  private static final int RESULT_MOST = 48_000;
+  private static final int FULL_1 = 429;
+  private static final int FULL_2 = 503;
 
-    boolean bears(Flight flight) {
-        return ride(flight) != null;
-    }
-
-    private Ride ride(Flight flight) {
-        return byFlight.get(flight);
-    }
+  /** A hop on a stream. */
+  private static final class Ride {
+    private final Flight flight;
+    private final int stream;
 
     /**
-     * Whether a request may have come whole to the engine. What the engine says of a stream comes after we heard that
-     * it was written, and so does the connection's own end. Where we end the connection that is not so: what was handed
-     * over may be on its way though nobody said so yet.
+     * The place of the write that bears the request's last byte; none while that was not written.
      */
-    private boolean whole(Ride ride) {
-        return ending && !exact ? ride.place != Long.MAX_VALUE : ride.place <= writesDone;
-    }
-
-    /** Gives a hop up; a request of which a part was written may come whole while the reset is on its way. */
-    Outcome giveUp(Flight flight) {
-        Ride ride = ride(flight);
-        connection.cancel(ride.stream, ErrorCode.CANCEL);
-        boolean sent = ride.place != Long.MAX_VALUE;
-        drop(ride);
-        flush();
-        return StreamEnd.CANCELLED.outcome(sent || flight.begun(), flight.begun());
-    }
-
-    /** A hop is over, by whatever ended it. */
-    void release(Flight flight) {
-        Ride ride = ride(flight);
-        connection.cancel(ride.stream, ErrorCode.CANCEL);
-        drop(ride);
-        flush();
-    }
-
-    private void forget(Ride ride) {
-        rides.remove(ride.stream);
-        byFlight.remove(ride.flight, ride);
-    }
-
-    private void drop(Ride ride) {
-        forget(ride);
-        idleSince = owner.now();
-        if (rides.isEmpty() && (retired || connection.isSpent())) {
-            end(StreamEnd.CUT, Break.CLOSED_BY_US);
-        }
-    }
-
-    /** What is said before the connection is up waits in the machine. */
-    private void flush() {
-        byte[] bytes = open && !over ? connection.take() : new byte[0];
-        if (bytes.length > 0) {
-            pipe.write(bytes);
-            writes++;
-            for (int stream : connection.sentWhole()) {
-                Ride ride = rides.get(stream);
-                if (ride != null) {
-                    ride.place = writes;
-                    if (ride.flight.guarded()) {
-                        guarded.add(ride);
-                    }
-                }
-            }
-        }
-    }
-
-    // ---- the pipe ----
-
-    @Override
-    public void opened() {
-        if (over) {
-            return;
-        }
-        open = true;
-        heardAt = owner.now();
-        flush();
-    }
-
-    @Override
-    public void written() {
-        writesDone++;
-        while (!guarded.isEmpty() && guarded.peek().place <= writesDone) {
-            owner.written(guarded.poll().flight);
-        }
-    }
-
-    @Override
-    public void fed(byte[] bytes) {
-        if (over) {
-            return;
-        }
-        heardAt = owner.now();
-        askedAt = 0;
-        silent = false;
-        connection.feed(bytes);
-        for (Event event = connection.next(); event != null && !over; event = connection.next()) {
-            take(event);
-        }
-        flush();
-        if (!over) {
-            carrier.serve();
-        }
-    }
-
-    @Override
-    public void ended(Break how) {
-        exact = true;
-        end(StreamEnd.CUT, how);
-    }
-
-    private void take(Event event) {
-        if (event instanceof Event.Interim note) {
-            noted(rides.get(note.stream()), note.headers());
-        } else if (event instanceof Event.Answer answer) {
-            answer(rides.get(answer.stream()), answer);
-        } else if (event instanceof Event.Body body) {
-            body(rides.get(body.stream()), body);
-        } else if (event instanceof Event.Ended ended) {
-            ended(rides.get(ended.stream()), ended.how());
-        } else if (event instanceof Event.Broken broken) {
-            owner.rarely("engine " + site.id + " broke HTTP/2: " + broken.why());
-            flush();
-            end(StreamEnd.GARBLED, Break.GARBLED);
-        } else if (event instanceof Event.Leaving && rides.isEmpty()) {
-            end(StreamEnd.CUT, Break.CLOSED_BY_US);
-        }
-    }
-
-    private void ended(Ride ride, StreamEnd how) {
+    private long place = Long.MAX_VALUE;
+
+    private boolean answered;
+
+    /** When the window was found shut for its body; 0 if it is not. */
+    private long shutSince;
+
+    Ride(Flight flight, int stream) {
+      this.flight = flight;
+      this.stream = stream;
+    }
+  }
+
+  private final H2Carrier carrier;
+  private final Carrier.Owner owner;
+  private final EngineSite site;
+  private final Connection connection = new Connection();
+  private final Map<Integer, Ride> rides = new LinkedHashMap<>();
+  private final Map<Flight, Ride> byFlight = new IdentityHashMap<>();
+
+  /** Guarded hops whose last byte is on its way out, in that order. */
+  private final ArrayDeque<Ride> guarded = new ArrayDeque<>(0);
+
+  private final long dialedAt;
+  private Pipe pipe;
+  private boolean open;
+  private boolean over;
+  private boolean retired;
+
+  /** The connection is being ended, with what was written known or not. */
+  private boolean ending;
+
+  private boolean exact;
+  private boolean silent;
+  private long writes;
+  private long writesDone;
+  private long heardAt;
+  private long idleSince;
+  private long askedAt;
+  private long answered;
+
+  H2Link(H2Carrier carrier, long now) {
+    this.carrier = carrier;
+    owner = carrier.owner;
+    site = carrier.site;
+    dialedAt = now;
+    heardAt = now;
+    idleSince = now;
+  }
+
+  void dial() {
+    pipe = owner.dial(site.address(), this);
+  }
+
+  // ---- as the pool sees it ----
+
+  @Override
+  public boolean up() {
+    return open && connection.settingsSeen();
+  }
+
+  @Override
+  public boolean dialing() {
+    return !open;
+  }
+
+  @Override
+  public boolean sound() {
+    return !over && !retired && !silent && !connection.isSpent();
+  }
+
+  @Override
+  public int bears() {
+    return connection.open();
+  }
+
+  @Override
+  public long most() {
+    return connection.streamsMost();
+  }
+
+  @Override
+  public long answered() {
+    return answered;
+  }
+
+  @Override
+  public long openedAt() {
+    return dialedAt;
+  }
+
+  @Override
+  public long idleSince() {
+    return idleSince;
+  }
+
+  // ---- hops ----
+
+  void send(Flight flight) {
+    SendVerdict verdict = flight.begun() ? SendVerdict.ALLOWED : flight.mayGo();
+    if (verdict != SendVerdict.ALLOWED) {
+      owner.withheld(flight, verdict);
+      owner.later(() -> owner.ended(flight, StreamEnd.WITHDRAWN.outcome(false, false)));
+      return;
+    }
+    List<Header> headers = new ArrayList<>(8);
+    byte[] body;
+    if (!flight.begun()) {
+      body = flight.statement();
+      headers.add(new BasicHeader(":method", "POST"));
+      headers.add(new BasicHeader(":scheme", "http"));
+      headers.add(new BasicHeader(":authority", "engine"));
+      headers.add(new BasicHeader(":path", "/v1/run/" + flight.track()));
+      headers.add(new BasicHeader("content-type", "application/sql"));
+      headers.add(new BasicHeader("content-length", Integer.toString(body.length)));
+      headers.add(new BasicHeader("hop-id", flight.id()));
+      headers.add(new BasicHeader("hop-limit-ms", Long.toString(flight.millisLeft(owner.now()))));
+      if (flight.key() != null) {
+        headers.add(new BasicHeader("idempotency-key", flight.key()));
+      }
+    } else {
+      body = new byte[0];
+      headers.add(new BasicHeader(":method", "GET"));
+      headers.add(new BasicHeader(":scheme", "http"));
+      headers.add(new BasicHeader(":authority", "engine"));
+      headers.add(new BasicHeader(":path", "/v1/results/" + flight.id()));
+      headers.add(new BasicHeader("range", "bytes=" + flight.answerSize() + "-"));
+    }
+    int stream;
+    try {
+      stream = connection.open(headers, body);
+    } catch (IllegalArgumentException e) {
+      owner.rarely("engine " + site.id + " takes no header lists that long");
+      owner.later(() -> owner.ended(flight, StreamEnd.NO_ROOM.outcome(false, flight.begun())));
+      return;
+    }
+    Ride ride = new Ride(flight, stream);
+    rides.put(stream, ride);
+    byFlight.put(flight, ride);
+    flush();
+  }
+
+  boolean bears(Flight flight) {
+    return ride(flight) != null;
+  }
+
+  private Ride ride(Flight flight) {
+    return byFlight.get(flight);
+  }
+
+  /**
+   * Whether a request may have come whole to the engine. What the engine says of a stream comes
+   * after we heard that it was written, and so does the connection's own end. Where we end the
+   * connection that is not so: what was handed over may be on its way though nobody said so yet.
+   */
+  private boolean whole(Ride ride) {
+    return ending && !exact ? ride.place != Long.MAX_VALUE : ride.place <= writesDone;
+  }
+
+  /**
+   * Gives a hop up; a request of which a part was written may come whole while the reset is on its
+   * way.
+   */
+  Outcome giveUp(Flight flight) {
+    Ride ride = ride(flight);
+    connection.cancel(ride.stream, ErrorCode.CANCEL);
+    boolean sent = ride.place != Long.MAX_VALUE;
+    drop(ride);
+    flush();
+    return StreamEnd.CANCELLED.outcome(sent || flight.begun(), flight.begun());
+  }
+
+  /** A hop is over, by whatever ended it. */
+  void release(Flight flight) {
+    Ride ride = ride(flight);
+    connection.cancel(ride.stream, ErrorCode.CANCEL);
+    drop(ride);
+    flush();
+  }
+
+  private void forget(Ride ride) {
+    rides.remove(ride.stream);
+    byFlight.remove(ride.flight, ride);
+  }
+
+  private void drop(Ride ride) {
+    forget(ride);
+    idleSince = owner.now();
+    if (rides.isEmpty() && (retired || connection.isSpent())) {
+      end(StreamEnd.CUT, Break.CLOSED_BY_US);
+    }
+  }
+
+  /** What is said before the connection is up waits in the machine. */
+  private void flush() {
+    byte[] bytes = open && !over ? connection.take() : new byte[0];
+    if (bytes.length > 0) {
+      pipe.write(bytes);
+      writes++;
+      for (int stream : connection.sentWhole()) {
+        Ride ride = rides.get(stream);
         if (ride != null) {
-            finish(ride, how);
-        }
-    }
-
-    private void noted(Ride ride, List<Header> headers) {
-        Note note = null;
-        double level = 0;
-        for (Header header : headers) {
-            switch (header.getName()) {
-                case "note-about" -> note = about(header.getValue());
-                case "note-level" -> level = amount(header.getValue());
-                default -> { }
-            }
-        }
-        if (ride != null && note != null && !Double.isNaN(level)) {
-            owner.noted(ride.flight, note, level);
-        }
-    }
-
-    private static Note about(String text) {
-        return switch (text) {
-            case "share-done" -> Note.PROGRESS;
-            case "megabytes-missing" -> Note.SPILLS;
-            case "parked" -> Note.WAITS;
-            default -> null;
-        };
-    }
-
-    private static double amount(String text) {
-        return text.matches("[0-9]{1,9}([.][0-9]{1,9})?") ? Double.parseDouble(text) : Double.NaN;
-    }
-
-    private void answer(Ride ride, Event.Answer answer) {
-        if (ride == null) {
-            return;
-        }
-        boolean ran = answer.headers().stream()
-                .noneMatch(header -> header.getName().equals("hop-ran") && header.getValue().equals("no"));
-        boolean first = !ride.flight.begun();
-        if (first && answer.status() == 200) {
-            ride.answered = true;
-            ride.flight.answerBegins();
-        } else if (!first && answer.status() == 206) {
-            ride.answered = true;
-        } else if (!first) {
-            finish(ride, StreamEnd.GARBLED);
-            return;
-        } else {
-            boolean full = answer.status() == FULL_1 || answer.status() == FULL_2;
-            finish(ride, ran ? StreamEnd.ANSWERED_ERROR : full ? StreamEnd.ANSWERED_FULL : StreamEnd.ANSWERED_STALE);
-            return;
-        }
-        if (answer.last()) {
-            complete(ride);
-        }
-    }
-
-    private void body(Ride ride, Event.Body body) {
-        if (ride == null || !ride.answered) {
-            return;
-        }
-        if (ride.flight.answerSize() + body.bytes().length > RESULT_MOST) {
-            owner.rarely("engine " + site.id + " sent a result too long");
-            finish(ride, StreamEnd.GARBLED);
-            return;
-        }
-        ride.flight.answerGrows(body.bytes());
-        owner.held(body.bytes().length);
-        if (body.last()) {
-            complete(ride);
-        }
-    }
-
-    private void complete(Ride ride) {
-        answered++;
-        forget(ride);
-        idleSince = owner.now();
-        boolean sound = ride.flight.completeAnswer();
-        owner.ended(ride.flight, (sound ? StreamEnd.ANSWERED : StreamEnd.GARBLED).outcome(true, true));
-        closeIfSpent();
-    }
-
-    /** A stream is over and its hop with it, unless the rest of its result can be had on another connection. */
-    private void finish(Ride ride, StreamEnd how) {
-        connection.cancel(ride.stream, ErrorCode.CANCEL);
-        forget(ride);
-        idleSince = owner.now();
-        boolean begun = ride.flight.begun();
-        if (how == StreamEnd.ANSWERED_ERROR || how == StreamEnd.ANSWERED_FULL) {
-            answered++;
-        }
-        if (!(begun && how.mayBeMended() && carrier.mend(ride.flight))) {
-            owner.ended(ride.flight, how.outcome(whole(ride), begun));
-        }
-        closeIfSpent();
-    }
-
-    private void closeIfSpent() {
-        if (!over && rides.isEmpty() && (retired || connection.isSpent())) {
-            end(StreamEnd.CUT, Break.CLOSED_BY_US);
-        }
-    }
-
-    // ---- time ----
-
-    boolean heardSince(long then) {
-        return open && heardAt >= then;
-    }
-
-    /** Takes no new hops. One that is still coming up leads to whoever is at its address by then: it ends. */
-    void retire() {
-        if (over) {
-            return;
-        }
+          ride.place = writes;
+          if (ride.flight.guarded()) {
+            guarded.add(ride);
+          }
+        }
+      }
+    }
+  }
+
+  // ---- the pipe ----
+
+  @Override
+  public void opened() {
+    if (over) {
+      return;
+    }
+    open = true;
+    heardAt = owner.now();
+    flush();
+  }
+
+  @Override
+  public void written() {
+    writesDone++;
+    while (!guarded.isEmpty() && guarded.peek().place <= writesDone) {
+      owner.written(guarded.poll().flight);
+    }
+  }
+
+  @Override
+  public void fed(byte[] bytes) {
+    if (over) {
+      return;
+    }
+    heardAt = owner.now();
+    askedAt = 0;
+    silent = false;
+    connection.feed(bytes);
+    for (Event event = connection.next(); event != null && !over; event = connection.next()) {
+      take(event);
+    }
+    flush();
+    if (!over) {
+      carrier.serve();
+    }
+  }
+
+  @Override
+  public void ended(Break how) {
+    exact = true;
+    end(StreamEnd.CUT, how);
+  }
+
+  private void take(Event event) {
+    if (event instanceof Event.Interim note) {
+      noted(rides.get(note.stream()), note.headers());
+    } else if (event instanceof Event.Answer answer) {
+      answer(rides.get(answer.stream()), answer);
+    } else if (event instanceof Event.Body body) {
+      body(rides.get(body.stream()), body);
+    } else if (event instanceof Event.Ended ended) {
+      ended(rides.get(ended.stream()), ended.how());
+    } else if (event instanceof Event.Broken broken) {
+      owner.rarely("engine " + site.id + " broke HTTP/2: " + broken.why());
+      flush();
+      end(StreamEnd.GARBLED, Break.GARBLED);
+    } else if (event instanceof Event.Leaving && rides.isEmpty()) {
+      end(StreamEnd.CUT, Break.CLOSED_BY_US);
+    }
+  }
+
+  private void ended(Ride ride, StreamEnd how) {
+    if (ride != null) {
+      finish(ride, how);
+    }
+  }
+
+  private void noted(Ride ride, List<Header> headers) {
+    Note note = null;
+    double level = 0;
+    for (Header header : headers) {
+      switch (header.getName()) {
+        case "note-about" -> note = about(header.getValue());
+        case "note-level" -> level = amount(header.getValue());
+        default -> {}
+      }
+    }
+    if (ride != null && note != null && !Double.isNaN(level)) {
+      owner.noted(ride.flight, note, level);
+    }
+  }
+
+  private static Note about(String text) {
+    return switch (text) {
+      case "share-done" -> Note.PROGRESS;
+      case "megabytes-missing" -> Note.SPILLS;
+      case "parked" -> Note.WAITS;
+      default -> null;
+    };
+  }
+
+  private static double amount(String text) {
+    return text.matches("[0-9]{1,9}([.][0-9]{1,9})?") ? Double.parseDouble(text) : Double.NaN;
+  }
+
+  private void answer(Ride ride, Event.Answer answer) {
+    if (ride == null) {
+      return;
+    }
+    boolean ran =
+        answer.headers().stream()
+            .noneMatch(
+                header -> header.getName().equals("hop-ran") && header.getValue().equals("no"));
+    boolean first = !ride.flight.begun();
+    if (first && answer.status() == 200) {
+      ride.answered = true;
+      ride.flight.answerBegins();
+    } else if (!first && answer.status() == 206) {
+      ride.answered = true;
+    } else if (!first) {
+      finish(ride, StreamEnd.GARBLED);
+      return;
+    } else {
+      boolean full = answer.status() == FULL_1 || answer.status() == FULL_2;
+      finish(
+          ride,
+          ran
+              ? StreamEnd.ANSWERED_ERROR
+              : full ? StreamEnd.ANSWERED_FULL : StreamEnd.ANSWERED_STALE);
+      return;
+    }
+    if (answer.last()) {
+      complete(ride);
+    }
+  }
+
+  private void body(Ride ride, Event.Body body) {
+    if (ride == null || !ride.answered) {
+      return;
+    }
+    if (ride.flight.answerSize() + body.bytes().length > RESULT_MOST) {
+      owner.rarely("engine " + site.id + " sent a result too long");
+      finish(ride, StreamEnd.GARBLED);
+      return;
+    }
+    ride.flight.answerGrows(body.bytes());
+    owner.held(body.bytes().length);
+    if (body.last()) {
+      complete(ride);
+    }
+  }
+
+  private void complete(Ride ride) {
+    answered++;
+    forget(ride);
+    idleSince = owner.now();
+    boolean sound = ride.flight.completeAnswer();
+    owner.ended(ride.flight, (sound ? StreamEnd.ANSWERED : StreamEnd.GARBLED).outcome(true, true));
+    closeIfSpent();
+  }
+
+  /**
+   * A stream is over and its hop with it, unless the rest of its result can be had on another
+   * connection.
+   */
+  private void finish(Ride ride, StreamEnd how) {
+    connection.cancel(ride.stream, ErrorCode.CANCEL);
+    forget(ride);
+    idleSince = owner.now();
+    boolean begun = ride.flight.begun();
+    if (how == StreamEnd.ANSWERED_ERROR || how == StreamEnd.ANSWERED_FULL) {
+      answered++;
+    }
+    if (!(begun && how.mayBeMended() && carrier.mend(ride.flight))) {
+      owner.ended(ride.flight, how.outcome(whole(ride), begun));
+    }
+    closeIfSpent();
+  }
+
+  private void closeIfSpent() {
+    if (!over && rides.isEmpty() && (retired || connection.isSpent())) {
+      end(StreamEnd.CUT, Break.CLOSED_BY_US);
+    }
+  }
+
+  // ---- time ----
+
+  boolean heardSince(long then) {
+    return open && heardAt >= then;
+  }
+
+  /**
+   * Takes no new hops. One that is still coming up leads to whoever is at its address by then: it
+   * ends.
+   */
+  void retire() {
+    if (over) {
+      return;
+    }
+    retired = true;
+    if (rides.isEmpty() || !open) {
+      connection.goAway();
+      flush();
+      end(StreamEnd.CUT, Break.CLOSED_BY_US);
+    }
+  }
+
+  /**
+   * Guards against a machine that vanished: a connection with hops on which nothing is heard is
+   * pinged. If that is not answered within a connect time-out in all, it takes no more hops and a
+   * new connection is tried; if that fails as well nobody is there, if it works this one alone is
+   * dead. Guards also against a window that stays shut while the path works, which is no slow
+   * engine; and the drain, while a request is not wholly sent.
+   */
+  void sweep(long connectMost) {
+    long now = owner.now();
+    if (over) {
+      return;
+    }
+    if (!up() && now >= dialedAt + connectMost) {
+      end(StreamEnd.CUT, Break.NEVER_UP);
+      return;
+    }
+    for (Ride ride : List.copyOf(rides.values())) {
+      boolean held = !whole(ride) && !ride.flight.begun() && !site.ready();
+      if (held && ride.place == Long.MAX_VALUE) {
+        finish(ride, StreamEnd.WITHDRAWN);
+      } else if (held && now >= ride.flight.hop.sentAt + owner.holdMost()) {
+        // What went out of it is known once the connection has ended.
         retired = true;
-        if (rides.isEmpty() || !open) {
-            connection.goAway();
-            flush();
-            end(StreamEnd.CUT, Break.CLOSED_BY_US);
-        }
-    }
-
-    /**
-     * Guards against a machine that vanished: a connection with hops on which nothing is heard is pinged. If that is
-     * not answered within a connect time-out in all, it takes no more hops and a new connection is tried; if that
-     * fails as well nobody is there, if it works this one alone is dead. Guards also against a window that stays shut
-     * while the path works, which is no slow engine; and the drain, while a request is not wholly sent.
-     */
-    void sweep(long connectMost) {
-        long now = owner.now();
-        if (over) {
-            return;
-        }
-        if (!up() && now >= dialedAt + connectMost) {
-            end(StreamEnd.CUT, Break.NEVER_UP);
-            return;
-        }
-        for (Ride ride : List.copyOf(rides.values())) {
-            boolean held = !whole(ride) && !ride.flight.begun() && !site.ready();
-            if (held && ride.place == Long.MAX_VALUE) {
-                finish(ride, StreamEnd.WITHDRAWN);
-            } else if (held && now >= ride.flight.hop.sentAt + owner.holdMost()) {
-                // What went out of it is known once the connection has ended.
-                retired = true;
-                pipe.drop();
-                return;
-            } else if (!connection.isWhole(ride.stream)) {
-                ride.shutSince = ride.shutSince == 0 ? now : ride.shutSince;
-                if (now >= ride.shutSince + connectMost) {
-                    owner.rarely("engine " + site.id + " keeps its window shut");
-                    finish(ride, StreamEnd.WINDOW_SHUT);
-                }
-            }
-        }
-        flush();
-        if (over) {
-            return;
-        }
-        if (askedAt == 0 && !rides.isEmpty() && now >= heardAt + connectMost / 2) {
-            askedAt = now;
-            connection.ping();
-            flush();
-        } else if (askedAt > 0 && !silent && now >= askedAt + connectMost / 2) {
-            silent = true;
-        }
-        if (!silent) {
-            return;
-        }
-        if (!carrier.heardSince(askedAt)) {
-            carrier.tryAnew();
-        } else if (now >= askedAt + connectMost) {
-            end(StreamEnd.MUTE, Break.MUTE);
-        }
-    }
-
-    /** A new connection to its engine failed: if this one does not say that it works, its hops end in doubt. */
-    void nobodyThere() {
-        if (over) {
-            return;
-        }
-        if (silent) {
-            owner.rarely("engine " + site.id + " is silent, " + rides.size() + " hops end in doubt");
-            end(StreamEnd.SILENT, Break.SILENT);
-        } else if (rides.isEmpty()) {
-            retire();
-        }
-    }
-
-    /** The connection is over; each hop on it ends as that means for it. */
-    private void end(StreamEnd how, Break connectionEnd) {
-        if (over) {
-            return;
-        }
-        over = true;
-        ending = true;
-        carrier.linkEnded(this);
-        if (connectionEnd == Break.CLOSED_BY_US || connectionEnd == Break.GARBLED) {
-            pipe.close();
-        } else {
-            pipe.drop();
-        }
-        for (Ride ride : List.copyOf(rides.values())) {
-            finish(ride, how);
-        }
-        if (connectionEnd == Break.REFUSED || connectionEnd == Break.NEVER_UP) {
-            carrier.nobodyThere(connectionEnd.outcome(false));
-        }
-        carrier.serve();
-    }
+        pipe.drop();
+        return;
+      } else if (!connection.isWhole(ride.stream)) {
+        ride.shutSince = ride.shutSince == 0 ? now : ride.shutSince;
+        if (now >= ride.shutSince + connectMost) {
+          owner.rarely("engine " + site.id + " keeps its window shut");
+          finish(ride, StreamEnd.WINDOW_SHUT);
+        }
+      }
+    }
+    flush();
+    if (over) {
+      return;
+    }
+    if (askedAt == 0 && !rides.isEmpty() && now >= heardAt + connectMost / 2) {
+      askedAt = now;
+      connection.ping();
+      flush();
+    } else if (askedAt > 0 && !silent && now >= askedAt + connectMost / 2) {
+      silent = true;
+    }
+    if (!silent) {
+      return;
+    }
+    if (!carrier.heardSince(askedAt)) {
+      carrier.tryAnew();
+    } else if (now >= askedAt + connectMost) {
+      end(StreamEnd.MUTE, Break.MUTE);
+    }
+  }
+
+  /**
+   * A new connection to its engine failed: if this one does not say that it works, its hops end in
+   * doubt.
+   */
+  void nobodyThere() {
+    if (over) {
+      return;
+    }
+    if (silent) {
+      owner.rarely("engine " + site.id + " is silent, " + rides.size() + " hops end in doubt");
+      end(StreamEnd.SILENT, Break.SILENT);
+    } else if (rides.isEmpty()) {
+      retire();
+    }
+  }
+
+  /** The connection is over; each hop on it ends as that means for it. */
+  private void end(StreamEnd how, Break connectionEnd) {
+    if (over) {
+      return;
+    }
+    over = true;
+    ending = true;
+    carrier.linkEnded(this);
+    if (connectionEnd == Break.CLOSED_BY_US || connectionEnd == Break.GARBLED) {
+      pipe.close();
+    } else {
+      pipe.drop();
+    }
+    for (Ride ride : List.copyOf(rides.values())) {
+      finish(ride, how);
+    }
+    if (connectionEnd == Break.REFUSED || connectionEnd == Break.NEVER_UP) {
+      carrier.nobodyThere(connectionEnd.outcome(false));
+    }
+    carrier.serve();
+  }
 }
--- a/http2/src/main/java/tillerlink/net/http2/StreamEnd.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamEnd.java
@@ -3,73 +3,76 @@
 import tillerlink.model.Outcome;
 
 /**
- * Every way a stream can end, and what each means for the hop that it bore. Which of them prove that nothing ran is
- * argued line by line in docs/http2-design.md.
+ * Every way a stream can end, and what each means for the hop that it bore. Which of them prove
+ * that nothing ran is argued line by line in docs/http2-design.md.
  */
 public enum StreamEnd {
-    /** Its answer came whole. */
-    ANSWERED,
-    /** The answer says that the engine was full and did not run it. */
-    ANSWERED_FULL,
-    /** The answer says that it was over already and was not run. */
-    ANSWERED_STALE,
-    /** Any other answer but a good one. */
-    ANSWERED_ERROR,
-    /** Its id is above the last that a GOAWAY names: not acted on (RFC 9113, 6.8). */
-    ABOVE_GOAWAY,
-    /** Reset with REFUSED_STREAM: not acted on (8.7). */
-    REFUSED,
-    /** Reset with another code before any of the answer. */
-    RESET_BEFORE_ANSWER,
-    /** Reset after the answer began. */
-    RESET_IN_ANSWER,
-    /** The answer can't be read, is not as long as it says, or is too long. */
-    GARBLED,
-    /** The connection ended with the stream open. */
-    CUT,
-    /** The connection does not say that it works, and a new one failed too. */
-    SILENT,
-    /** The connection alone does not say that it works. */
-    MUTE,
-    /** The engine's window stayed shut for a body that was not wholly sent. */
-    WINDOW_SHUT,
-    /** Its engine was said to drain before the last byte of the request was handed over. */
-    WITHDRAWN,
-    /** No connection had room for it in time. */
-    NO_ROOM,
-    /** Given up here. */
-    CANCELLED;
+  /** Its answer came whole. */
+  ANSWERED,
+  /** The answer says that the engine was full and did not run it. */
+  ANSWERED_FULL,
+  /** The answer says that it was over already and was not run. */
+  ANSWERED_STALE,
+  /** Any other answer but a good one. */
+  ANSWERED_ERROR,
+  /** Its id is above the last that a GOAWAY names: not acted on (RFC 9113, 6.8). */
+  ABOVE_GOAWAY,
+  /** Reset with REFUSED_STREAM: not acted on (8.7). */
+  REFUSED,
+  /** Reset with another code before any of the answer. */
+  RESET_BEFORE_ANSWER,
+  /** Reset after the answer began. */
+  RESET_IN_ANSWER,
+  /** The answer can't be read, is not as long as it says, or is too long. */
+  GARBLED,
+  /** The connection ended with the stream open. */
+  CUT,
+  /** The connection does not say that it works, and a new one failed too. */
+  SILENT,
+  /** The connection alone does not say that it works. */
+  MUTE,
+  /** The engine's window stayed shut for a body that was not wholly sent. */
+  WINDOW_SHUT,
+  /** Its engine was said to drain before the last byte of the request was handed over. */
+  WITHDRAWN,
+  /** No connection had room for it in time. */
+  NO_ROOM,
+  /** Given up here. */
+  CANCELLED;
 
-    /**
-     * @param whole    the request may have come whole to the engine: its last byte was written. An engine acts on a
-     *                 request only when it has come whole (docs/http2-wire.md; a shorter body is malformed, 8.1.1)
-     * @param answered the hop's answer had begun, on this stream or on one before it: then it has run
-     */
-    public Outcome outcome(boolean whole, boolean answered) {
-        Outcome outcome = outcome(whole);
-        return answered && outcome != Outcome.FULFILLED && outcome != Outcome.CALLED_OFF ? Outcome.SPOILT : outcome;
-    }
+  /**
+   * @param whole the request may have come whole to the engine: its last byte was written. An
+   *     engine acts on a request only when it has come whole (docs/http2-wire.md; a shorter body is
+   *     malformed, 8.1.1)
+   * @param answered the hop's answer had begun, on this stream or on one before it: then it has run
+   */
+  public Outcome outcome(boolean whole, boolean answered) {
+    Outcome outcome = outcome(whole);
+    return answered && outcome != Outcome.FULFILLED && outcome != Outcome.CALLED_OFF
+        ? Outcome.SPOILT
+        : outcome;
+  }
 
-    /** Whether what a result lacks may be asked for on another connection. */
-    boolean mayBeMended() {
-        return switch (this) {
-            case CUT, MUTE, REFUSED, ABOVE_GOAWAY, RESET_BEFORE_ANSWER, RESET_IN_ANSWER -> true;
-            default -> false;
-        };
-    }
+  /** Whether what a result lacks may be asked for on another connection. */
+  boolean mayBeMended() {
+    return switch (this) {
+      case CUT, MUTE, REFUSED, ABOVE_GOAWAY, RESET_BEFORE_ANSWER, RESET_IN_ANSWER -> true;
+      default -> false;
+    };
+  }
 
-    private Outcome outcome(boolean whole) {
-        return switch (this) {
-            case ANSWERED -> Outcome.FULFILLED;
-            case ANSWERED_FULL, REFUSED -> Outcome.FULL;
-            case ANSWERED_STALE, ABOVE_GOAWAY, NO_ROOM, WITHDRAWN -> Outcome.NEVER_SENT;
-            case ANSWERED_ERROR -> Outcome.ERRED;
-            case RESET_BEFORE_ANSWER -> whole ? Outcome.ERRED : Outcome.NEVER_SENT;
-            case RESET_IN_ANSWER -> Outcome.SPOILT;
-            case GARBLED, MUTE -> whole ? Outcome.SPOILT : Outcome.NEVER_SENT;
-            case CUT -> whole ? Outcome.SEVERED : Outcome.NEVER_SENT;
-            case SILENT -> whole ? Outcome.SEVERED : Outcome.UNREACHABLE;
-            case WINDOW_SHUT, CANCELLED -> whole ? Outcome.CALLED_OFF : Outcome.NEVER_SENT;
-        };
-    }
+  private Outcome outcome(boolean whole) {
+    return switch (this) {
+      case ANSWERED -> Outcome.FULFILLED;
+      case ANSWERED_FULL, REFUSED -> Outcome.FULL;
+      case ANSWERED_STALE, ABOVE_GOAWAY, NO_ROOM, WITHDRAWN -> Outcome.NEVER_SENT;
+      case ANSWERED_ERROR -> Outcome.ERRED;
+      case RESET_BEFORE_ANSWER -> whole ? Outcome.ERRED : Outcome.NEVER_SENT;
+      case RESET_IN_ANSWER -> Outcome.SPOILT;
+      case GARBLED, MUTE -> whole ? Outcome.SPOILT : Outcome.NEVER_SENT;
+      case CUT -> whole ? Outcome.SEVERED : Outcome.NEVER_SENT;
+      case SILENT -> whole ? Outcome.SEVERED : Outcome.UNREACHABLE;
+      case WINDOW_SHUT, CANCELLED -> whole ? Outcome.CALLED_OFF : Outcome.NEVER_SENT;
+    };
+  }
 }
--- a/http2/src/test/java/tillerlink/net/http2/Peer.java
+++ b/http2/src/test/java/tillerlink/net/http2/Peer.java
@@ -8,132 +8,146 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http2.hpack.HPackDecoder;
 
-/** The other end of a connection for tests: it says any frame, at will, and prints those that come. */
+/**
+ * The other end of a connection for tests: it says any frame, at will, and prints those that come.
+ */
 final class Peer {
-    final FrameWriter say = new FrameWriter();
-    private final FrameReader reader;
-    private final HPackDecoder decoder = new HPackDecoder(4096, StandardCharsets.US_ASCII);
-    private final List<String> seen = new ArrayList<>();
+  final FrameWriter say = new FrameWriter();
+  private final FrameReader reader;
+  private final HPackDecoder decoder = new HPackDecoder(4096, StandardCharsets.US_ASCII);
+  private final List<String> seen = new ArrayList<>();
 
-    Peer() {
-        reader = new FrameReader("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-    }
+  Peer() {
+    reader =
+        new FrameReader("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+  }
 
-    /** Frames that came, one after the other, since that was last asked. */
-    String heard(Connection connection) {
-        reader.feed(connection.take());
-        for (Frame frame = reader.next(); frame != null; frame = reader.next()) {
-            seen.add(print(frame));
-        }
-        String all = String.join(" ", seen);
-        seen.clear();
-        return all;
+  /** Frames that came, one after the other, since that was last asked. */
+  String heard(Connection connection) {
+    reader.feed(connection.take());
+    for (Frame frame = reader.next(); frame != null; frame = reader.next()) {
+      seen.add(print(frame));
     }
+    String all = String.join(" ", seen);
+    seen.clear();
+    return all;
+  }
 
-    private String print(Frame frame) {
-        String on = frame.stream() == 0 ? "" : Integer.toString(frame.stream());
-        String last = frame.has(Frame.END_STREAM) && frame.type() < 2 ? "." : "";
-        return switch (frame.type()) {
-            case Frame.DATA -> "DATA" + on + ":" + frame.payload().length + last;
-            case Frame.HEADERS -> "HEADERS" + on + last + decoded(frame);
-            case Frame.CONTINUATION -> "CONTINUATION" + on;
-            case Frame.RST_STREAM -> "RST" + on + ":" + ErrorCode.of((int) frame.number(0));
-            case Frame.SETTINGS -> frame.has(Frame.ACK) ? "ACK" : "SETTINGS";
-            case Frame.PING -> frame.has(Frame.ACK) ? "PONG" : "PING";
-            case Frame.GOAWAY -> "GOAWAY:" + ErrorCode.of((int) frame.number(4));
-            case Frame.WINDOW_UPDATE -> "WINDOW" + on + "+" + frame.id(0);
-            default -> "?" + frame.type();
-        };
-    }
+  private String print(Frame frame) {
+    String on = frame.stream() == 0 ? "" : Integer.toString(frame.stream());
+    String last = frame.has(Frame.END_STREAM) && frame.type() < 2 ? "." : "";
+    return switch (frame.type()) {
+      case Frame.DATA -> "DATA" + on + ":" + frame.payload().length + last;
+      case Frame.HEADERS -> "HEADERS" + on + last + decoded(frame);
+      case Frame.CONTINUATION -> "CONTINUATION" + on;
+      case Frame.RST_STREAM -> "RST" + on + ":" + ErrorCode.of((int) frame.number(0));
+      case Frame.SETTINGS -> frame.has(Frame.ACK) ? "ACK" : "SETTINGS";
+      case Frame.PING -> frame.has(Frame.ACK) ? "PONG" : "PING";
+      case Frame.GOAWAY -> "GOAWAY:" + ErrorCode.of((int) frame.number(4));
+      case Frame.WINDOW_UPDATE -> "WINDOW" + on + "+" + frame.id(0);
+      default -> "?" + frame.type();
+    };
+  }
 
-    private String decoded(Frame frame) {
-        if (!frame.has(Frame.END_HEADERS)) {
-            return "..";
-        }
-        try {
-            for (Header header : decoder.decodeHeaders(ByteBuffer.wrap(frame.payload()))) {
-                if (header.getName().equals(":path")) {
-                    return header.getValue();
-                }
-            }
-        } catch (org.apache.hc.core5.http2.hpack.HPackException e) {
-            return "!";
+  private String decoded(Frame frame) {
+    if (!frame.has(Frame.END_HEADERS)) {
+      return "..";
+    }
+    try {
+      for (Header header : decoder.decodeHeaders(ByteBuffer.wrap(frame.payload()))) {
+        if (header.getName().equals(":path")) {
+          return header.getValue();
         }
-        return "";
+      }
+    } catch (org.apache.hc.core5.http2.hpack.HPackException e) {
+      return "!";
     }
+    return "";
+  }
 
-    Peer settings(int... pairs) {
-        say.settings(pairs);
-        return this;
-    }
+  Peer settings(int... pairs) {
+    say.settings(pairs);
+    return this;
+  }
 
-    Peer answer(int stream, int status, boolean last, String... more) {
-        List<Header> headers = new ArrayList<>(List.of(new BasicHeader(":status", Integer.toString(status))));
-        for (int i = 0; i < more.length; i += 2) {
-            headers.add(new BasicHeader(more[i], more[i + 1]));
-        }
-        say.headers(stream, headers, last, Frame.FRAME_AT_START);
-        return this;
+  Peer answer(int stream, int status, boolean last, String... more) {
+    List<Header> headers =
+        new ArrayList<>(List.of(new BasicHeader(":status", Integer.toString(status))));
+    for (int i = 0; i < more.length; i += 2) {
+      headers.add(new BasicHeader(more[i], more[i + 1]));
     }
+    say.headers(stream, headers, last, Frame.FRAME_AT_START);
+    return this;
+  }
 
-    Peer raw(int type, int flags, int stream, int... bytes) {
-        byte[] payload = new byte[bytes.length];
-        for (int i = 0; i < bytes.length; i++) {
-            payload[i] = (byte) bytes[i];
-        }
-        say.frame(type, flags, stream, payload, 0, payload.length);
-        return this;
+  Peer raw(int type, int flags, int stream, int... bytes) {
+    byte[] payload = new byte[bytes.length];
+    for (int i = 0; i < bytes.length; i++) {
+      payload[i] = (byte) bytes[i];
     }
+    say.frame(type, flags, stream, payload, 0, payload.length);
+    return this;
+  }
 
-    Peer data(int stream, String body, boolean last) {
-        byte[] bytes = body.getBytes(StandardCharsets.US_ASCII);
-        say.frame(Frame.DATA, last ? Frame.END_STREAM : 0, stream, bytes, 0, bytes.length);
-        return this;
-    }
+  Peer data(int stream, String body, boolean last) {
+    byte[] bytes = body.getBytes(StandardCharsets.US_ASCII);
+    say.frame(Frame.DATA, last ? Frame.END_STREAM : 0, stream, bytes, 0, bytes.length);
+    return this;
+  }
 
-    /** What was said goes to the connection; what happened there, printed. */
-    String to(Connection connection) {
-        connection.feed(say.take());
-        return events(connection);
-    }
+  /** What was said goes to the connection; what happened there, printed. */
+  String to(Connection connection) {
+    connection.feed(say.take());
+    return events(connection);
+  }
 
-    static String events(Connection connection) {
-        List<String> all = new ArrayList<>();
-        for (Event event = connection.next(); event != null; event = connection.next()) {
-            if (event instanceof Event.Limits limits) {
-                all.add("limit=" + (limits.streamsMost() == Long.MAX_VALUE ? "none" : limits.streamsMost()));
-            } else if (event instanceof Event.Interim interim) {
-                all.add("interim" + interim.stream());
-            } else if (event instanceof Event.Answer answer) {
-                all.add("answer" + answer.stream() + ":" + answer.status() + (answer.last() ? "." : ""));
-            } else if (event instanceof Event.Body body) {
-                all.add("body" + body.stream() + ":" + new String(body.bytes(), StandardCharsets.US_ASCII) + (body.last() ? "." : ""));
-            } else if (event instanceof Event.Ended ended) {
-                all.add("ended" + ended.stream() + ":" + ended.how());
-            } else if (event instanceof Event.Leaving leaving) {
-                all.add("leaving:" + leaving.last());
-            } else if (event instanceof Event.Broken broken) {
-                all.add("broken:" + broken.code());
-            } else {
-                all.add("pong");
-            }
-        }
-        return String.join(" ", all);
+  static String events(Connection connection) {
+    List<String> all = new ArrayList<>();
+    for (Event event = connection.next(); event != null; event = connection.next()) {
+      if (event instanceof Event.Limits limits) {
+        all.add(
+            "limit=" + (limits.streamsMost() == Long.MAX_VALUE ? "none" : limits.streamsMost()));
+      } else if (event instanceof Event.Interim interim) {
+        all.add("interim" + interim.stream());
+      } else if (event instanceof Event.Answer answer) {
+        all.add("answer" + answer.stream() + ":" + answer.status() + (answer.last() ? "." : ""));
+      } else if (event instanceof Event.Body body) {
+        all.add(
+            "body"
+                + body.stream()
+                + ":"
+                + new String(body.bytes(), StandardCharsets.US_ASCII)
+                + (body.last() ? "." : ""));
+      } else if (event instanceof Event.Ended ended) {
+        all.add("ended" + ended.stream() + ":" + ended.how());
+      } else if (event instanceof Event.Leaving leaving) {
+        all.add("leaving:" + leaving.last());
+      } else if (event instanceof Event.Broken broken) {
+        all.add("broken:" + broken.code());
+      } else {
+        all.add("pong");
+      }
     }
+    return String.join(" ", all);
+  }
 
-    /** A connection on which so many streams were opened, each with a small body, and a peer that has said its settings. */
-    static Connection connected(Peer peer, int streams) {
-        Connection connection = new Connection();
-        peer.settings().to(connection);
-        for (int i = 0; i < streams; i++) {
-            open(connection, "x");
-        }
-        peer.heard(connection);
-        return connection;
+  /**
+   * A connection on which so many streams were opened, each with a small body, and a peer that has
+   * said its settings.
+   */
+  static Connection connected(Peer peer, int streams) {
+    Connection connection = new Connection();
+    peer.settings().to(connection);
+    for (int i = 0; i < streams; i++) {
+      open(connection, "x");
     }
+    peer.heard(connection);
+    return connection;
+  }
 
-    static int open(Connection connection, String body) {
-        return connection.open(List.of(new BasicHeader(":method", "POST"), new BasicHeader(":path", "/p")),
-                body.getBytes(StandardCharsets.US_ASCII));
-    }
+  static int open(Connection connection, String body) {
+    return connection.open(
+        List.of(new BasicHeader(":method", "POST"), new BasicHeader(":path", "/p")),
+        body.getBytes(StandardCharsets.US_ASCII));
+  }
 }
--- a/members/src/main/java/tillerlink/members/Hearing.java
+++ b/members/src/main/java/tillerlink/members/Hearing.java
@@ -17,262 +17,302 @@
 
 /** What this process makes of the messages of others. */
 final class Hearing {
-    /** Nobody is told of what it has to refute more often than that, but in an answer. */
-    private static final long DOUBTS_APART = 500;
+  /** Nobody is told of what it has to refute more often than that, but in an answer. */
+  private static final long DOUBTS_APART = 500;
 
-    private final Core core;
-    private final Asking asking;
-    private final Digests digests;
-    private long doubtToldAt = Long.MIN_VALUE / 2;
-    private long doubtfulUntil = Long.MIN_VALUE;
-    private long lasted;
-    long refused;
+  private final Core core;
+  private final Asking asking;
+  private final Digests digests;
+  private long doubtToldAt = Long.MIN_VALUE / 2;
+  private long doubtfulUntil = Long.MIN_VALUE;
+  private long lasted;
+  long refused;
 
-    Hearing(Core core, Asking asking, Digests digests) {
-        this.core = core;
-        this.asking = asking;
-        this.digests = digests;
-    }
+  Hearing(Core core, Asking asking, Digests digests) {
+    this.core = core;
+    this.asking = asking;
+    this.digests = digests;
+  }
 
-    /** What comes until then waited while this process was away. */
-    void doubtful(long until, long away) {
-        doubtfulUntil = until;
-        lasted = away;
-    }
+  /** What comes until then waited while this process was away. */
+  void doubtful(long until, long away) {
+    doubtfulUntil = until;
+    lasted = away;
+  }
 
-    void told(String from, MemberMessage message) {
-        if (core.isOut()) {
-            if (core.own.yielded() && message instanceof MemberMessage.Probe probe) {
-                // Its address may be a seed of somebody: that is told where the name is now.
-                core.sayLast(probe.card().address());
-            }
-            return;
-        }
-        if (from.equals(core.self)) {
-            self(message);
-            return;
-        }
-        boolean known = takesPart(from);
-        met(from, message.card());
-        if (message instanceof MemberMessage.Listing listing) {
-            digests.told(listing, listing.card().address());
-        }
-        message.rumours().forEach(this::rumour);
-        act(from, message, known);
+  void told(String from, MemberMessage message) {
+    if (core.isOut()) {
+      if (core.own.yielded() && message instanceof MemberMessage.Probe probe) {
+        // Its address may be a seed of somebody: that is told where the name is now.
+        core.sayLast(probe.card().address());
+      }
+      return;
     }
-
-    private boolean takesPart(String name) {
-        Entry entry = core.table.get(name);
-        return entry != null && entry.standing().takesPart();
+    if (from.equals(core.self)) {
+      self(message);
+      return;
     }
+    boolean known = takesPart(from);
+    met(from, message.card());
+    if (message instanceof MemberMessage.Listing listing) {
+      digests.told(listing, listing.card().address());
+    }
+    message.rumours().forEach(this::rumour);
+    act(from, message, known);
+  }
+
+  private boolean takesPart(String name) {
+    Entry entry = core.table.get(name);
+    return entry != null && entry.standing().takesPart();
+  }
 
-    private void act(String from, MemberMessage message, boolean known) {
-        if (message instanceof MemberMessage.Probe probe) {
-            probe(from, probe);
-        } else if (message instanceof MemberMessage.Ack ack) {
-            own(ack.doubt());
-            ack(from, ack, known);
-        } else if (message instanceof MemberMessage.Ask ask) {
-            relay(from, ask);
-        } else if (message instanceof MemberMessage.Vouch vouch) {
-            asking.probes.vouched(vouch.number(), vouch.reached());
-        } else if (message instanceof MemberMessage.Gossip gossip) {
-            own(gossip.doubt());
-        } else if (message instanceof MemberMessage.Digest digest) {
-            digests.told(digest, digest.card().address());
-        }
-        if (!(message instanceof MemberMessage.Probe)) {
-            tellDoubt(from, message.card());
-        }
+  private void act(String from, MemberMessage message, boolean known) {
+    if (message instanceof MemberMessage.Probe probe) {
+      probe(from, probe);
+    } else if (message instanceof MemberMessage.Ack ack) {
+      own(ack.doubt());
+      ack(from, ack, known);
+    } else if (message instanceof MemberMessage.Ask ask) {
+      relay(from, ask);
+    } else if (message instanceof MemberMessage.Vouch vouch) {
+      asking.probes.vouched(vouch.number(), vouch.reached());
+    } else if (message instanceof MemberMessage.Gossip gossip) {
+      own(gossip.doubt());
+    } else if (message instanceof MemberMessage.Digest digest) {
+      digests.told(digest, digest.card().address());
     }
+    if (!(message instanceof MemberMessage.Probe)) {
+      tellDoubt(from, message.card());
+    }
+  }
 
-    // ---- the sender ----
+  // ---- the sender ----
 
-    /** A message shows that its sender lived once, not that it does now: it may have been recorded. */
-    private void met(String from, Card card) {
-        Entry entry = core.table.get(from);
-        if (entry == null) {
-            asking.verify(new Rumour(from, Standing.ALIVE, card, "", 0));
-        } else if (card.compare(entry.card()) > 0) {
-            rumour(new Rumour(from, Standing.ALIVE, card, "", 0));
-        }
+  /**
+   * A message shows that its sender lived once, not that it does now: it may have been recorded.
+   */
+  private void met(String from, Card card) {
+    Entry entry = core.table.get(from);
+    if (entry == null) {
+      asking.verify(new Rumour(from, Standing.ALIVE, card, "", 0));
+    } else if (card.compare(entry.card()) > 0) {
+      rumour(new Rumour(from, Standing.ALIVE, card, "", 0));
     }
+  }
 
-    private void tellDoubt(String from, Card card) {
-        Doubt doubt = core.doubt(from, card);
-        if (doubt.is() && core.now - doubtToldAt >= DOUBTS_APART) {
-            doubtToldAt = core.now;
-            core.gossip(card.address(), doubt, 0);
-        }
+  private void tellDoubt(String from, Card card) {
+    Doubt doubt = core.doubt(from, card);
+    if (doubt.is() && core.now - doubtToldAt >= DOUBTS_APART) {
+      doubtToldAt = core.now;
+      core.gossip(card.address(), doubt, 0);
     }
+  }
 
-    // ---- questions and answers ----
+  // ---- questions and answers ----
 
-    private void probe(String from, MemberMessage.Probe probe) {
-        if (!probe.target().isEmpty() && !probe.target().equals(core.self)) {
-            // Another process stands at that address now: nobody answers for it.
-            core.gossip(probe.card().address(), Doubt.NONE, 0);
-            return;
-        }
-        own(probe.doubt());
-        core.send(probe.card().address(), new MemberMessage.Ack(core.own.card(), probe.number(),
-                core.doubt(from, probe.card()), answerNews(probe)));
+  private void probe(String from, MemberMessage.Probe probe) {
+    if (!probe.target().isEmpty() && !probe.target().equals(core.self)) {
+      // Another process stands at that address now: nobody answers for it.
+      core.gossip(probe.card().address(), Doubt.NONE, 0);
+      return;
     }
+    own(probe.doubt());
+    core.send(
+        probe.card().address(),
+        new MemberMessage.Ack(
+            core.own.card(), probe.number(), core.doubt(from, probe.card()), answerNews(probe)));
+  }
 
-    /** A question without news may have come over a link that carries small messages only: so is the answer. */
-    private List<Rumour> answerNews(MemberMessage.Probe probe) {
-        return probe.rumours().isEmpty() ? core.news(Core.room(Core.BYTES_SMALL))
-                : core.news(Core.room(Core.BYTES_MOST));
-    }
+  /**
+   * A question without news may have come over a link that carries small messages only: so is the
+   * answer.
+   */
+  private List<Rumour> answerNews(MemberMessage.Probe probe) {
+    return probe.rumours().isEmpty()
+        ? core.news(Core.room(Core.BYTES_SMALL))
+        : core.news(Core.room(Core.BYTES_MOST));
+  }
 
-    /** @param known whether it took part already, for all that was known before this answer */
-    private void ack(String from, MemberMessage.Ack ack, boolean known) {
-        Relays.For asker = asking.relays.answered(ack.number(), from);
-        if (asker != null) {
-            core.send(asker.address(), new MemberMessage.Vouch(core.own.card(), asker.number(), true,
-                    core.news(Core.room(Core.BYTES_SMALL))));
-            return;
-        }
-        Try about = asking.probes.answered(ack.number(), from, core.now);
-        if (about == null) {
-            return;
-        }
-        if (about.kind() == Try.Kind.MEMBER) {
-            straight(from, about);
-            return;
-        }
-        rumour(new Rumour(from, Standing.ALIVE, ack.card(), "", 0));
-        if (!known && takesPart(from)) {
-            straight(from, about);
-            // A partition may have healed: both learn at once who is there on the other's side.
-            compare(ack.card().address());
-        }
+  /**
+   * @param known whether it took part already, for all that was known before this answer
+   */
+  private void ack(String from, MemberMessage.Ack ack, boolean known) {
+    Relays.For asker = asking.relays.answered(ack.number(), from);
+    if (asker != null) {
+      core.send(
+          asker.address(),
+          new MemberMessage.Vouch(
+              core.own.card(), asker.number(), true, core.news(Core.room(Core.BYTES_SMALL))));
+      return;
+    }
+    Try about = asking.probes.answered(ack.number(), from, core.now);
+    if (about == null) {
+      return;
+    }
+    if (about.kind() == Try.Kind.MEMBER) {
+      straight(from, about);
+      return;
     }
+    rumour(new Rumour(from, Standing.ALIVE, ack.card(), "", 0));
+    if (!known && takesPart(from)) {
+      straight(from, about);
+      // A partition may have healed: both learn at once who is there on the other's side.
+      compare(ack.card().address());
+    }
+  }
 
-    private void straight(String from, Try about) {
-        Entry entry = core.table.get(from);
-        if (entry != null && entry.standing().takesPart()) {
-            core.table.lived(entry, about.startedAt());
-            core.table.straight(entry, about.took());
-        }
+  private void straight(String from, Try about) {
+    Entry entry = core.table.get(from);
+    if (entry != null && entry.standing().takesPart()) {
+      core.table.lived(entry, about.startedAt());
+      core.table.straight(entry, about.took());
     }
+  }
 
-    private void relay(String from, MemberMessage.Ask ask) {
-        Entry entry = core.table.get(ask.target());
-        String address = entry == null ? ask.address() : entry.card().address();
-        long number = asking.relays.add(new Relays.For(from, ask.card().address(), ask.number(), ask.target(),
+  private void relay(String from, MemberMessage.Ask ask) {
+    Entry entry = core.table.get(ask.target());
+    String address = entry == null ? ask.address() : entry.card().address();
+    long number =
+        asking.relays.add(
+            new Relays.For(
+                from,
+                ask.card().address(),
+                ask.number(),
+                ask.target(),
                 core.now + core.periods.answerWithin()));
-        if (number != 0) {
-            Doubt doubt = ask.doubt().is() || entry == null ? ask.doubt() : entry.doubt();
-            core.send(address, new MemberMessage.Probe(core.own.card(), number, ask.target(), doubt,
-                    List.of()));
-        }
+    if (number != 0) {
+      Doubt doubt = ask.doubt().is() || entry == null ? ask.doubt() : entry.doubt();
+      core.send(
+          address,
+          new MemberMessage.Probe(core.own.card(), number, ask.target(), doubt, List.of()));
     }
+  }
 
-    /** All that both know is compared. */
-    void compare(String address) {
-        long salt = core.random.nextLong();
-        core.send(address, new MemberMessage.Digest(core.own.card(), salt, digests.sums(salt)));
-    }
+  /** All that both know is compared. */
+  void compare(String address) {
+    long salt = core.random.nextLong();
+    core.send(address, new MemberMessage.Digest(core.own.card(), salt, digests.sums(salt)));
+  }
 
-    // ---- what is told ----
+  // ---- what is told ----
 
-    private void rumour(Rumour told) {
-        if (told.name().equals(core.self)) {
-            own(told.standing(), told.card());
-            return;
-        }
-        boolean doubtful = core.now <= doubtfulUntil;
-        Rumour rumour = doubtful ? new Rumour(told.name(), told.standing(), told.card(), told.by(),
-                told.age() + lasted) : told;
-        Table.Outcome outcome = core.table.tell(rumour, core.now, doubtful);
-        switch (outcome) {
-            case NEWS -> core.rumours.put(rumour.name(), rumour.by());
-            case VERIFY -> asking.verify(rumour);
-            case REFUSED -> {
-                refused++;
-                core.lines.line(Lines.Kind.FULL, core.now, "members: no room for " + rumour.name() + ", "
-                        + core.periods.mostMembers() + " others take part already");
-            }
-            case OUTDATED -> outdated(rumour);
-            case KNOWN -> {
-                // nothing new
-            }
-        }
-        if (outcome == Table.Outcome.NEWS && rumour.standing() == Standing.GONE
-                && core.table.get(rumour.name()).reach() == Reach.SUSPECTED) {
-            asking.verify(rumour);
-        }
+  private void rumour(Rumour told) {
+    if (told.name().equals(core.self)) {
+      own(told.standing(), told.card());
+      return;
+    }
+    boolean doubtful = core.now <= doubtfulUntil;
+    Rumour rumour =
+        doubtful
+            ? new Rumour(told.name(), told.standing(), told.card(), told.by(), told.age() + lasted)
+            : told;
+    Table.Outcome outcome = core.table.tell(rumour, core.now, doubtful);
+    switch (outcome) {
+      case NEWS -> core.rumours.put(rumour.name(), rumour.by());
+      case VERIFY -> asking.verify(rumour);
+      case REFUSED -> {
+        refused++;
+        core.lines.line(
+            Lines.Kind.FULL,
+            core.now,
+            "members: no room for "
+                + rumour.name()
+                + ", "
+                + core.periods.mostMembers()
+                + " others take part already");
+      }
+      case OUTDATED -> outdated(rumour);
+      case KNOWN -> {
+        // nothing new
+      }
     }
+    if (outcome == Table.Outcome.NEWS
+        && rumour.standing() == Standing.GONE
+        && core.table.get(rumour.name()).reach() == Reach.SUSPECTED) {
+      asking.verify(rumour);
+    }
+  }
 
-    private void outdated(Rumour rumour) {
-        Entry entry = core.table.get(rumour.name());
-        if (rumour.standing() == Standing.SUSPECTED && !entry.standing().takesPart()) {
-            // Whoever suspects it alone would wait long for others to confirm it: they have given it up already.
-            core.rumours.again(rumour.name(), core.self);
-        }
-        // Another process of the name of one that is away may not know yet what it has to stand above.
-        if (rumour.standing() == Standing.ALIVE && !entry.standing().takesPart()
-                && rumour.card().birth() != entry.card().birth()) {
-            asking.verify(rumour);
-        }
+  private void outdated(Rumour rumour) {
+    Entry entry = core.table.get(rumour.name());
+    if (rumour.standing() == Standing.SUSPECTED && !entry.standing().takesPart()) {
+      // Whoever suspects it alone would wait long for others to confirm it: they have given it up
+      // already.
+      core.rumours.again(rumour.name(), core.self);
+    }
+    // Another process of the name of one that is away may not know yet what it has to stand above.
+    if (rumour.standing() == Standing.ALIVE
+        && !entry.standing().takesPart()
+        && rumour.card().birth() != entry.card().birth()) {
+      asking.verify(rumour);
     }
+  }
 
-    // ---- the own name ----
+  // ---- the own name ----
 
-    private void own(Doubt doubt) {
-        own(doubt.standing(), new Card(doubt.incarnation(), doubt.birth(), "", ""));
-    }
+  private void own(Doubt doubt) {
+    own(doubt.standing(), new Card(doubt.incarnation(), doubt.birth(), "", ""));
+  }
 
-    private void own(Standing standing, Card card) {
-        if (card.incarnation() == 0 || core.left || core.own.yielded()) {
-            return;
-        }
-        Own.Answer answer = core.own.told(standing, card.incarnation(), card.birth(), card.address());
-        settle(answer, card);
-        if (answer == Own.Answer.RAISED && card.birth() == core.own.card().birth()) {
-            asking.health.worse(1);
-        }
+  private void own(Standing standing, Card card) {
+    if (card.incarnation() == 0 || core.left || core.own.yielded()) {
+      return;
+    }
+    Own.Answer answer = core.own.told(standing, card.incarnation(), card.birth(), card.address());
+    settle(answer, card);
+    if (answer == Own.Answer.RAISED && card.birth() == core.own.card().birth()) {
+      asking.health.worse(1);
     }
+  }
 
-    private void settle(Own.Answer answer, Card other) {
-        switch (answer) {
-            case NOTHING -> {
-                // it says what is so
-            }
-            case RAISED -> core.raised();
-            case RAISED_OVER_RIVAL -> {
-                core.raised();
-                core.lines.line(Lines.Kind.RIVAL, core.now, "members: another process is told of under the own name "
-                        + core.self + ", at " + other.address());
-                asking.rival(other.address());
-            }
-            case YIELD -> {
-                core.lines.line(Lines.Kind.OWN, core.now, "members: another process keeps the name " + core.self
-                        + "; this one takes part no more until it is started under another name");
-                core.yieldTo(other);
-            }
-        }
+  private void settle(Own.Answer answer, Card other) {
+    switch (answer) {
+      case NOTHING -> {
+        // it says what is so
+      }
+      case RAISED -> core.raised();
+      case RAISED_OVER_RIVAL -> {
+        core.raised();
+        core.lines.line(
+            Lines.Kind.RIVAL,
+            core.now,
+            "members: another process is told of under the own name "
+                + core.self
+                + ", at "
+                + other.address());
+        asking.rival(other.address());
+      }
+      case YIELD -> {
+        core.lines.line(
+            Lines.Kind.OWN,
+            core.now,
+            "members: another process keeps the name "
+                + core.self
+                + "; this one takes part no more until it is started under another name");
+        core.yieldTo(other);
+      }
     }
+  }
 
-    /** A message from the own name: an echo, or another process that has it. */
-    private void self(MemberMessage message) {
-        Card card = message.card();
-        if (card.birth() == core.own.card().birth() || core.left) {
-            return;
-        }
-        if (message instanceof MemberMessage.Ack ack
-                && asking.probes.answered(ack.number(), core.self, core.now) != null) {
-            settle(core.own.lives(card.birth()), card);
-            return;
-        }
-        own(Standing.ALIVE, card);
-        if (message instanceof MemberMessage.Probe probe) {
-            core.send(card.address(), new MemberMessage.Ack(core.own.card(), probe.number(), Doubt.NONE,
-                    List.of()));
-            if (!core.own.yielded() && !asking.probes.underWay(core.self)) {
-                asking.rival(card.address());
-            }
-        }
+  /** A message from the own name: an echo, or another process that has it. */
+  private void self(MemberMessage message) {
+    Card card = message.card();
+    if (card.birth() == core.own.card().birth() || core.left) {
+      return;
+    }
+    if (message instanceof MemberMessage.Ack ack
+        && asking.probes.answered(ack.number(), core.self, core.now) != null) {
+      settle(core.own.lives(card.birth()), card);
+      return;
+    }
+    own(Standing.ALIVE, card);
+    if (message instanceof MemberMessage.Probe probe) {
+      core.send(
+          card.address(),
+          new MemberMessage.Ack(core.own.card(), probe.number(), Doubt.NONE, List.of()));
+      if (!core.own.yielded() && !asking.probes.underWay(core.self)) {
+        asking.rival(card.address());
+      }
     }
+  }
 }
--- a/members/src/main/java/tillerlink/members/Members.java
+++ b/members/src/main/java/tillerlink/members/Members.java
@@ -21,322 +21,366 @@
 import tillerlink.peers.Roster;
 
 /**
- * Who takes part in a fleet of gateways, as one of them knows it. See {@code docs/members.md} and the design note
- * beside it. The wall clock decides nothing, but for which of two processes with one name is preferred.
+ * Who takes part in a fleet of gateways, as one of them knows it. See {@code docs/members.md} and
+ * the design note beside it. The wall clock decides nothing, but for which of two processes with
+ * one name is preferred.
  */
 public final class Members implements Part, Roster {
-    private static final int PIECES_AT_ONCE = 8;
-    private static final int LAST_TO = 6;
-    private static final int LAST_TIMES = 3;
-    /** Between two of them at the most: a process that was told to end takes turns for 700 ms more at the least. */
-    private static final long LAST_EVERY_MOST = 2000;
-    private static final int SMALL_EVERY = 4;
-    private static final int RANDOM_BITS = 20;
-
-    private final Identity identity;
-    private final Periods periods;
-    private final RandomGenerator random;
-    private final Core core;
-    private final Asking asking;
-    private final Digests digests;
-    private final Hearing hearing;
-    private final Watcher watcher;
-    private boolean started;
-    private long probeAt;
-    private long gossipAt;
-    private long retryAt;
-    private long digestAt;
-    private long forgetAt;
-    private long promised = Long.MAX_VALUE;
-    private int gossipRound;
-    private int lastSaid;
-    private long lastAt = Long.MIN_VALUE;
-    private long malformed;
-    private long awayCount;
-
-    /**
-     * @param wire    where messages go out
-     * @param random  a seeded generator
-     * @param watcher is told of what changes
-     * @param wall    the machine's clock at the start, which tells processes of one name apart
-     */
-    public Members(Identity identity, Periods periods, Wire wire, RandomGenerator random, Watcher watcher, long wall) {
-        this(identity, periods, wire, random, watcher, wall, new Makers());
+  private static final int PIECES_AT_ONCE = 8;
+  private static final int LAST_TO = 6;
+  private static final int LAST_TIMES = 3;
+
+  /**
+   * Between two of them at the most: a process that was told to end takes turns for 700 ms more at
+   * the least.
+   */
+  private static final long LAST_EVERY_MOST = 2000;
+
+  private static final int SMALL_EVERY = 4;
+  private static final int RANDOM_BITS = 20;
+
+  private final Identity identity;
+  private final Periods periods;
+  private final RandomGenerator random;
+  private final Core core;
+  private final Asking asking;
+  private final Digests digests;
+  private final Hearing hearing;
+  private final Watcher watcher;
+  private boolean started;
+  private long probeAt;
+  private long gossipAt;
+  private long retryAt;
+  private long digestAt;
+  private long forgetAt;
+  private long promised = Long.MAX_VALUE;
+  private int gossipRound;
+  private int lastSaid;
+  private long lastAt = Long.MIN_VALUE;
+  private long malformed;
+  private long awayCount;
+
+  /**
+   * @param wire where messages go out
+   * @param random a seeded generator
+   * @param watcher is told of what changes
+   * @param wall the machine's clock at the start, which tells processes of one name apart
+   */
+  public Members(
+      Identity identity,
+      Periods periods,
+      Wire wire,
+      RandomGenerator random,
+      Watcher watcher,
+      long wall) {
+    this(identity, periods, wire, random, watcher, wall, new Makers());
+  }
+
+  Members(
+      Identity identity,
+      Periods periods,
+      Wire wire,
+      RandomGenerator random,
+      Watcher watcher,
+      long wall,
+      Makers makers) {
+    this.identity = identity;
+    this.periods = periods;
+    this.random = random;
+    this.watcher = watcher;
+    long birth = wall / 10 << RANDOM_BITS | random.nextInt(1 << RANDOM_BITS);
+    core = new Core(identity, periods, wire, watcher, this::changed, random, birth, makers);
+    asking = new Asking(core, identity.seeds());
+    digests = new Digests(new All());
+    hearing = new Hearing(core, asking, digests);
+  }
+
+  private final class All implements Digests.Known {
+    @Override
+    public Iterable<String> names(int bucket) {
+      if (MemberCodec.bucket(core.self) != bucket) {
+        return core.table.bucket(bucket);
+      }
+      TreeSet<String> names = new TreeSet<>(core.table.bucket(bucket));
+      names.add(core.self);
+      return names;
     }
 
-    Members(Identity identity, Periods periods, Wire wire, RandomGenerator random, Watcher watcher, long wall,
-            Makers makers) {
-        this.identity = identity;
-        this.periods = periods;
-        this.random = random;
-        this.watcher = watcher;
-        long birth = wall / 10 << RANDOM_BITS | random.nextInt(1 << RANDOM_BITS);
-        core = new Core(identity, periods, wire, watcher, this::changed, random, birth, makers);
-        asking = new Asking(core, identity.seeds());
-        digests = new Digests(new All());
-        hearing = new Hearing(core, asking, digests);
+    @Override
+    public Rumour rumour(String name) {
+      return core.rumour(name, "");
     }
+  }
 
-    private final class All implements Digests.Known {
-        @Override
-        public Iterable<String> names(int bucket) {
-            if (MemberCodec.bucket(core.self) != bucket) {
-                return core.table.bucket(bucket);
-            }
-            TreeSet<String> names = new TreeSet<>(core.table.bucket(bucket));
-            names.add(core.self);
-            return names;
-        }
-
-        @Override
-        public Rumour rumour(String name) {
-            return core.rumour(name, "");
-        }
+  private void changed(Entry entry, Reach was, Card before) {
+    Reach is = entry.reach();
+    if (was != is) {
+      watcher.reach(entry.name(), was, is);
     }
-
-    private void changed(Entry entry, Reach was, Card before) {
-        Reach is = entry.reach();
-        if (was != is) {
-            watcher.reach(entry.name(), was, is);
-        }
-        if (!was.talksTo() && is.talksTo()) {
-            asking.newMember(entry.name());
-        }
-        if (was.talksTo() && is.talksTo() && before.birth() != entry.card().birth()) {
-            watcher.renewed(entry.name(), entry.card().incarnation());
-        }
+    if (!was.talksTo() && is.talksTo()) {
+      asking.newMember(entry.name());
     }
-
-    // ---- part ----
-
-    @Override
-    public void told(long now, long wall, String from, byte[] body) {
-        enter(now, wall);
-        try {
-            hearing.told(from, MemberCodec.read(body));
-        } catch (MalformedMessageException e) {
-            malformed++;
-            core.lines.line(Lines.Kind.MALFORMED, now, "members: a message from " + from + " can't be read: "
-                    + e.getMessage());
-        }
+    if (was.talksTo() && is.talksTo() && before.birth() != entry.card().birth()) {
+      watcher.renewed(entry.name(), entry.card().incarnation());
     }
-
-    @Override
-    public void turn(long now, long wall) {
-        enter(now, wall);
-        if (core.isOut()) {
-            sayLast();
-        } else {
-            doDue();
-        }
-        promised = Math.max(now, dueAt());
+  }
+
+  // ---- part ----
+
+  @Override
+  public void told(long now, long wall, String from, byte[] body) {
+    enter(now, wall);
+    try {
+      hearing.told(from, MemberCodec.read(body));
+    } catch (MalformedMessageException e) {
+      malformed++;
+      core.lines.line(
+          Lines.Kind.MALFORMED,
+          now,
+          "members: a message from " + from + " can't be read: " + e.getMessage());
     }
-
-    /** A pause that nobody told of shows by what is overdue. */
-    private void enter(long now, long wall) {
-        core.now = now;
-        if (!started) {
-            start();
-        } else if (promised < Long.MAX_VALUE && now - promised > 2 * periods.period()) {
-            away(now, wall, now - promised);
-        }
+  }
+
+  @Override
+  public void turn(long now, long wall) {
+    enter(now, wall);
+    if (core.isOut()) {
+      sayLast();
+    } else {
+      doDue();
     }
-
-    private void start() {
-        started = true;
-        probeAt = core.now + random.nextLong(periods.period());
-        gossipAt = core.now + random.nextLong(periods.gossipEvery());
-        digestAt = core.now + random.nextLong(periods.digestEvery()) + 1;
-        retryAt = core.now;
-        forgetAt = core.now + periods.forgetAfter() / 16;
-        core.raised();
+    promised = Math.max(now, dueAt());
+  }
+
+  /** A pause that nobody told of shows by what is overdue. */
+  private void enter(long now, long wall) {
+    core.now = now;
+    if (!started) {
+      start();
+    } else if (promised < Long.MAX_VALUE && now - promised > 2 * periods.period()) {
+      away(now, wall, now - promised);
     }
-
-    private void doDue() {
-        long now = core.now;
-        asking.probes.turn(now);
-        for (Relays.For who : asking.relays.expired(now)) {
-            core.send(who.address(), new MemberMessage.Vouch(core.own.card(), who.number(), false, List.of()));
-        }
-        for (Entry gone = core.table.expire(now); gone != null; gone = core.table.expire(now)) {
-            core.rumours.put(gone.name(), core.self);
-        }
-        if (now >= probeAt) {
-            probeAt = now + periods.period();
-            asking.probeNext();
-        }
-        if (now >= retryAt) {
-            retryAt = now + (core.table.size() == 1 ? periods.period() : periods.retryEvery());
-            asking.retry();
-        }
-        if (now >= gossipAt) {
-            gossipAt = now + periods.gossipEvery();
-            gossip();
-        }
-        if (now >= digestAt) {
-            digestAt = now + periods.digestEvery() / 2 + random.nextLong(periods.digestEvery());
-            Entry any = core.table.anyTalking(random);
-            if (any != null) {
-                hearing.compare(any.card().address());
-            }
-        }
-        if (now >= forgetAt) {
-            forgetAt = now + periods.forgetAfter() / 16;
-            core.table.forget(now);
-        }
+  }
+
+  private void start() {
+    started = true;
+    probeAt = core.now + random.nextLong(periods.period());
+    gossipAt = core.now + random.nextLong(periods.gossipEvery());
+    digestAt = core.now + random.nextLong(periods.digestEvery()) + 1;
+    retryAt = core.now;
+    forgetAt = core.now + periods.forgetAfter() / 16;
+    core.raised();
+  }
+
+  private void doDue() {
+    long now = core.now;
+    asking.probes.turn(now);
+    for (Relays.For who : asking.relays.expired(now)) {
+      core.send(
+          who.address(), new MemberMessage.Vouch(core.own.card(), who.number(), false, List.of()));
     }
-
-    private void gossip() {
-        asking.verifySome();
-        boolean small = gossipRound++ % SMALL_EVERY == SMALL_EVERY - 1;
-        int room = Core.room(small ? Core.BYTES_SMALL : Core.BYTES_MOST);
-        if (!core.rumours.isEmpty()) {
-            for (Entry entry : core.table.someTalking(random, periods.gossipTo(), "")) {
-                core.gossip(entry.card().address(), entry.doubt(), room);
-            }
-        }
-        for (int i = 0; i < PIECES_AT_ONCE && digests.send(core.own.card(), room, core::send); i++) {
-            // the next piece
-        }
+    for (Entry gone = core.table.expire(now); gone != null; gone = core.table.expire(now)) {
+      core.rumours.put(gone.name(), core.self);
     }
-
-    @Override
-    public long dueAt() {
-        if (!started) {
-            return 0;
-        }
-        if (core.isOut()) {
-            return stopped() ? Long.MAX_VALUE : lastAt;
-        }
-        long due = Math.min(Math.min(probeAt, retryAt), Math.min(digestAt, forgetAt));
-        due = Math.min(due, Math.min(asking.probes.dueAt(), Math.min(asking.relays.dueAt(), core.table.dueAt())));
-        boolean hasToSay = !core.rumours.isEmpty() && core.table.size() > 1 || !digests.isIdle()
-                || asking.hasToVerify();
-        return hasToSay ? Math.min(due, gossipAt) : due;
+    if (now >= probeAt) {
+      probeAt = now + periods.period();
+      asking.probeNext();
     }
-
-    @Override
-    public void away(long now, long wall, long lasted) {
-        core.now = now;
-        promised = Long.MAX_VALUE;
-        if (!started || core.isOut()) {
-            return;
-        }
-        awayCount++;
-        asking.away();
-        core.table.away(lasted);
-        hearing.doubtful(now + periods.answerWithin(), lasted);
-        core.lines.line(Lines.Kind.AWAY, now, "members: this process did nothing for " + lasted / 10 + " ms");
-        core.own.raise(0);
-        core.raised();
-        asking.health.worse(2);
-        probeAt = now + periods.answerWithin();
-        gossipAt = now;
-        // Some are told at once, before they give this process up.
-        for (Entry entry : core.table.someTalking(random, LAST_TO, "")) {
-            core.gossip(entry.card().address(), Doubt.NONE, Core.room(Core.BYTES_SMALL));
-        }
+    if (now >= retryAt) {
+      retryAt = now + (core.table.size() == 1 ? periods.period() : periods.retryEvery());
+      asking.retry();
     }
-
-    // ---- leaving ----
-
-    /** This process goes: said to some, several times; {@link #stopped} once that is done, within half a second. */
-    public void leave(long now) {
-        if (!core.isOut()) {
-            core.now = now;
-            core.leave();
-            sayLast();
-        }
+    if (now >= gossipAt) {
+      gossipAt = now + periods.gossipEvery();
+      gossip();
     }
-
-    private void sayLast() {
-        if (stopped() || core.now < lastAt) {
-            return;
-        }
-        lastSaid++;
-        lastAt = core.now + Math.min(periods.period() / 5, LAST_EVERY_MOST);
-        for (Entry entry : core.table.someTalking(random, LAST_TO, "")) {
-            core.sayLast(entry.card().address());
-        }
+    if (now >= digestAt) {
+      digestAt = now + periods.digestEvery() / 2 + random.nextLong(periods.digestEvery());
+      Entry any = core.table.anyTalking(random);
+      if (any != null) {
+        hearing.compare(any.card().address());
+      }
     }
-
-    /** Whether nothing more comes from this process: it left, and said so, or yielded its name. */
-    public boolean stopped() {
-        return core.isOut() && lastSaid >= LAST_TIMES;
+    if (now >= forgetAt) {
+      forgetAt = now + periods.forgetAfter() / 16;
+      core.table.forget(now);
     }
-
-    // ---- roster ----
-
-    @Override
-    public String self() {
-        return core.self;
+  }
+
+  private void gossip() {
+    asking.verifySome();
+    boolean small = gossipRound++ % SMALL_EVERY == SMALL_EVERY - 1;
+    int room = Core.room(small ? Core.BYTES_SMALL : Core.BYTES_MOST);
+    if (!core.rumours.isEmpty()) {
+      for (Entry entry : core.table.someTalking(random, periods.gossipTo(), "")) {
+        core.gossip(entry.card().address(), entry.doubt(), room);
+      }
     }
-
-    public String fleet() {
-        return identity.fleet();
+    for (int i = 0; i < PIECES_AT_ONCE && digests.send(core.own.card(), room, core::send); i++) {
+      // the next piece
     }
+  }
 
-    @Override
-    public String site(String name) {
-        if (name.equals(core.self)) {
-            return identity.site();
-        }
-        Entry entry = core.table.get(name);
-        return entry == null ? "" : entry.card().site();
+  @Override
+  public long dueAt() {
+    if (!started) {
+      return 0;
     }
-
-    @Override
-    public List<String> names() {
-        return List.copyOf(core.table.all().keySet());
+    if (core.isOut()) {
+      return stopped() ? Long.MAX_VALUE : lastAt;
     }
-
-    @Override
-    public Reach reach(String name) {
-        Entry entry = core.table.get(name);
-        return entry == null || core.own.yielded() ? Reach.GONE : entry.reach();
+    long due = Math.min(Math.min(probeAt, retryAt), Math.min(digestAt, forgetAt));
+    due =
+        Math.min(
+            due,
+            Math.min(asking.probes.dueAt(), Math.min(asking.relays.dueAt(), core.table.dueAt())));
+    boolean hasToSay =
+        !core.rumours.isEmpty() && core.table.size() > 1
+            || !digests.isIdle()
+            || asking.hasToVerify();
+    return hasToSay ? Math.min(due, gossipAt) : due;
+  }
+
+  @Override
+  public void away(long now, long wall, long lasted) {
+    core.now = now;
+    promised = Long.MAX_VALUE;
+    if (!started || core.isOut()) {
+      return;
     }
-
-    /** Where messages to a member go; empty if it is not known. */
-    public String address(String name) {
-        Entry entry = core.table.get(name);
-        return entry == null ? "" : entry.card().address();
+    awayCount++;
+    asking.away();
+    core.table.away(lasted);
+    hearing.doubtful(now + periods.answerWithin(), lasted);
+    core.lines.line(
+        Lines.Kind.AWAY, now, "members: this process did nothing for " + lasted / 10 + " ms");
+    core.own.raise(0);
+    core.raised();
+    asking.health.worse(2);
+    probeAt = now + periods.answerWithin();
+    gossipAt = now;
+    // Some are told at once, before they give this process up.
+    for (Entry entry : core.table.someTalking(random, LAST_TO, "")) {
+      core.gossip(entry.card().address(), Doubt.NONE, Core.room(Core.BYTES_SMALL));
     }
-
-    /** The incarnation under which a member is known, the own one too; 0 if it is not known. */
-    public long incarnation(String name) {
-        Entry entry = core.table.get(name);
-        return name.equals(core.self) ? core.own.card().incarnation() : entry == null ? 0
-                : entry.card().incarnation();
+  }
+
+  // ---- leaving ----
+
+  /**
+   * This process goes: said to some, several times; {@link #stopped} once that is done, within half
+   * a second.
+   */
+  public void leave(long now) {
+    if (!core.isOut()) {
+      core.now = now;
+      core.leave();
+      sayLast();
     }
+  }
 
-    /** Those that take part, oneself counted. */
-    public int size() {
-        return core.table.size();
+  private void sayLast() {
+    if (stopped() || core.now < lastAt) {
+      return;
     }
-
-    /** Whether another process keeps the own name. */
-    public boolean yielded() {
-        return core.own.yielded();
+    lastSaid++;
+    lastAt = core.now + Math.min(periods.period() / 5, LAST_EVERY_MOST);
+    for (Entry entry : core.table.someTalking(random, LAST_TO, "")) {
+      core.sayLast(entry.card().address());
     }
+  }
 
-    public Counts counts() {
-        return new Counts(core.sent, core.sentBytes, malformed, hearing.refused, core.own.refuted(), awayCount,
-                asking.health.score(), core.rumours.size());
-    }
+  /** Whether nothing more comes from this process: it left, and said so, or yielded its name. */
+  public boolean stopped() {
+    return core.isOut() && lastSaid >= LAST_TIMES;
+  }
+
+  // ---- roster ----
+
+  @Override
+  public String self() {
+    return core.self;
+  }
+
+  public String fleet() {
+    return identity.fleet();
+  }
 
-    /**
-     * For those who watch over it.
-     *
-     * @param sent      messages
-     * @param sentBytes bytes in them
-     * @param malformed messages that could not be read
-     * @param refused   members there was no room for
-     * @param refuted   how often the own incarnation rose
-     * @param away      how often this process was held up
-     * @param health    local health, 0 is well
-     * @param rumours   news that wait to be told on
-     */
-    public record Counts(long sent, long sentBytes, long malformed, long refused, long refuted, long away, int health,
-            int rumours) {
+  @Override
+  public String site(String name) {
+    if (name.equals(core.self)) {
+      return identity.site();
     }
+    Entry entry = core.table.get(name);
+    return entry == null ? "" : entry.card().site();
+  }
+
+  @Override
+  public List<String> names() {
+    return List.copyOf(core.table.all().keySet());
+  }
+
+  @Override
+  public Reach reach(String name) {
+    Entry entry = core.table.get(name);
+    return entry == null || core.own.yielded() ? Reach.GONE : entry.reach();
+  }
+
+  /** Where messages to a member go; empty if it is not known. */
+  public String address(String name) {
+    Entry entry = core.table.get(name);
+    return entry == null ? "" : entry.card().address();
+  }
+
+  /** The incarnation under which a member is known, the own one too; 0 if it is not known. */
+  public long incarnation(String name) {
+    Entry entry = core.table.get(name);
+    return name.equals(core.self)
+        ? core.own.card().incarnation()
+        : entry == null ? 0 : entry.card().incarnation();
+  }
+
+  /** Those that take part, oneself counted. */
+  public int size() {
+    return core.table.size();
+  }
+
+  /** Whether another process keeps the own name. */
+  public boolean yielded() {
+    return core.own.yielded();
+  }
+
+  public Counts counts() {
+    return new Counts(
+        core.sent,
+        core.sentBytes,
+        malformed,
+        hearing.refused,
+        core.own.refuted(),
+        awayCount,
+        asking.health.score(),
+        core.rumours.size());
+  }
+
+  /**
+   * For those who watch over it.
+   *
+   * @param sent messages
+   * @param sentBytes bytes in them
+   * @param malformed messages that could not be read
+   * @param refused members there was no room for
+   * @param refuted how often the own incarnation rose
+   * @param away how often this process was held up
+   * @param health local health, 0 is well
+   * @param rumours news that wait to be told on
+   */
+  public record Counts(
+      long sent,
+      long sentBytes,
+      long malformed,
+      long refused,
+      long refuted,
+      long away,
+      int health,
+      int rumours) {}
 }
--- a/members/src/main/java/tillerlink/members/state/Picks.java
+++ b/members/src/main/java/tillerlink/members/state/Picks.java
@@ -4,37 +4,40 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** Entries to pick one from by chance, in constant time; the order is that of what happened, so a seed repeats it. */
+/**
+ * Entries to pick one from by chance, in constant time; the order is that of what happened, so a
+ * seed repeats it.
+ */
 final class Picks {
-    private final List<Entry> entries = new ArrayList<>();
-
-    void add(Entry entry) {
-        entry.place = entries.size();
-        entries.add(entry);
+  private final List<Entry> entries = new ArrayList<>();
+
+  void add(Entry entry) {
+    entry.place = entries.size();
+    entries.add(entry);
+  }
+
+  void remove(Entry entry) {
+    Entry last = entries.remove(entries.size() - 1);
+    if (last != entry) {
+      entries.set(entry.place, last);
+      last.place = entry.place;
     }
+    entry.place = -1;
+  }
 
-    void remove(Entry entry) {
-        Entry last = entries.remove(entries.size() - 1);
-        if (last != entry) {
-            entries.set(entry.place, last);
-            last.place = entry.place;
-        }
-        entry.place = -1;
-    }
+  boolean has(Entry entry) {
+    return entry.place >= 0 && entry.place < entries.size() && entries.get(entry.place) == entry;
+  }
 
-    boolean has(Entry entry) {
-        return entry.place >= 0 && entry.place < entries.size() && entries.get(entry.place) == entry;
-    }
+  int size() {
+    return entries.size();
+  }
 
-    int size() {
-        return entries.size();
-    }
+  Entry get(int i) {
+    return entries.get(i);
+  }
 
-    Entry get(int i) {
-        return entries.get(i);
-    }
-
-    Entry any(RandomGenerator random) {
-        return entries.isEmpty() ? null : entries.get(random.nextInt(entries.size()));
-    }
+  Entry any(RandomGenerator random) {
+    return entries.isEmpty() ? null : entries.get(random.nextInt(entries.size()));
+  }
 }
--- a/members/src/main/java/tillerlink/members/terms/Watcher.java
+++ b/members/src/main/java/tillerlink/members/terms/Watcher.java
@@ -2,24 +2,28 @@
 
 import tillerlink.peers.Reach;
 
-/** Is told, in the turn in which it happens, what changes among the members. It must not call back into them. */
+/**
+ * Is told, in the turn in which it happens, what changes among the members. It must not call back
+ * into them.
+ */
 public interface Watcher {
-    /** @param was what it was; {@link Reach#GONE} also for one that was not known */
-    void reach(String name, Reach was, Reach is);
+  /**
+   * @param was what it was; {@link Reach#GONE} also for one that was not known
+   */
+  void reach(String name, Reach was, Reach is);
 
-    /** A process of that name took over from an earlier one, without that having been given up. */
-    default void renewed(String name, long incarnation) {
-    }
+  /** A process of that name took over from an earlier one, without that having been given up. */
+  default void renewed(String name, long incarnation) {}
 
-    /** The own incarnation rose, or was found at the start: to be kept, though nothing breaks if it is not. */
-    default void incarnation(long own) {
-    }
+  /**
+   * The own incarnation rose, or was found at the start: to be kept, though nothing breaks if it is
+   * not.
+   */
+  default void incarnation(long own) {}
 
-    /** Another process has the own name, and keeps it: this one takes part no more. */
-    default void yielded() {
-    }
+  /** Another process has the own name, and keeps it: this one takes part no more. */
+  default void yielded() {}
 
-    /** A line for the log; lines of one kind come at most every ten seconds. */
-    default void line(String words) {
-    }
+  /** A line for the log; lines of one kind come at most every ten seconds. */
+  default void line(String words) {}
 }
--- a/members/src/main/java/tillerlink/members/terms/Wire.java
+++ b/members/src/main/java/tillerlink/members/terms/Wire.java
@@ -1,8 +1,13 @@
 package tillerlink.members.terms;
 
-/** Sends to an address, since a seed's name is not known before it answered. What is sent may be lost. */
+/**
+ * Sends to an address, since a seed's name is not known before it answered. What is sent may be
+ * lost.
+ */
 @FunctionalInterface
 public interface Wire {
-    /** @param address host:port, as the operator or the member itself wrote it */
-    void send(String address, byte[] body);
+  /**
+   * @param address host:port, as the operator or the member itself wrote it
+   */
+  void send(String address, byte[] body);
 }
--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -28,151 +28,177 @@
 
 /** What is bounded, what is refused, what is forgotten. */
 class BoundsTest {
-    private static final long LIFE = 20 * Play.SECOND;
-    private static final long FORGET = 40 * Play.SECOND;
+  private static final long LIFE = 20 * Play.SECOND;
+  private static final long FORGET = 40 * Play.SECOND;
 
-    private final List<String> lines = new ArrayList<>();
-    private final List<byte[]> sent = new ArrayList<>();
+  private final List<String> lines = new ArrayList<>();
+  private final List<byte[]> sent = new ArrayList<>();
 
-    private Members members(Periods periods) {
-        return new Members(new Identity("f", "own", "s", "h:1", List.of("h:2"), 0), periods,
-                (address, body) -> sent.add(body), new SplittableRandom(1), new Watcher() {
-                    @Override
-                    public void reach(String name, Reach was, Reach is) {
-                        // counted elsewhere
-                    }
+  private Members members(Periods periods) {
+    return new Members(
+        new Identity("f", "own", "s", "h:1", List.of("h:2"), 0),
+        periods,
+        (address, body) -> sent.add(body),
+        new SplittableRandom(1),
+        new Watcher() {
+          @Override
+          public void reach(String name, Reach was, Reach is) {
+            // counted elsewhere
+          }
 
-                    @Override
-                    public void line(String words) {
-                        lines.add(words);
-                    }
-                }, 1);
-    }
+          @Override
+          public void line(String words) {
+            lines.add(words);
+          }
+        },
+        1);
+  }
 
-    private static Rumour rumour(String name, Standing standing, long incarnation, long age) {
-        return new Rumour(name, standing, new Card(incarnation, 7, "h:" + name, "s"), "x", age);
-    }
+  private static Rumour rumour(String name, Standing standing, long incarnation, long age) {
+    return new Rumour(name, standing, new Card(incarnation, 7, "h:" + name, "s"), "x", age);
+  }
 
-    private static byte[] gossip(Rumour... rumours) {
-        return MemberCodec.write(new MemberMessage.Gossip(new Card(1, 9, "h:9", "s"), Doubt.NONE, List.of(rumours)));
-    }
+  private static byte[] gossip(Rumour... rumours) {
+    return MemberCodec.write(
+        new MemberMessage.Gossip(new Card(1, 9, "h:9", "s"), Doubt.NONE, List.of(rumours)));
+  }
 
-    @Test
-    void noOldRumourBringsTheDeadBack() {
-        Table table = new Table("own", Periods.usual().withMemory(LIFE, FORGET), (entry, was, before) -> { });
-        assertEquals(Outcome.NEWS, table.tell(rumour("b", Standing.ALIVE, 1, 0), 0, false));
-        table.suspect(table.get("b"), "own", 10, 10);
-        assertEquals("b", table.expire(40 * Play.SECOND).name());
-        long gone = 40 * Play.SECOND;
-        assertEquals(Outcome.OUTDATED, table.tell(rumour("b", Standing.ALIVE, 1, 0), gone + 5, false));
-        assertEquals(Outcome.VERIFY, table.tell(rumour("b", Standing.ALIVE, 2, LIFE + 1), gone + 5, false));
-        table.forget(gone + FORGET);
-        assertEquals(Reach.GONE, table.get("b").reach());
-        table.forget(gone + FORGET + 1);
-        assertNull(table.get("b"));
-        // It lived before it was given up: whatever is told of that is older than what is believed by now.
-        assertEquals(Outcome.VERIFY, table.tell(rumour("b", Standing.ALIVE, 1, FORGET), gone + FORGET + 1, false));
-        assertEquals(Outcome.KNOWN, table.tell(rumour("b", Standing.GONE, 1, FORGET), gone + FORGET + 1, false));
-        assertNull(table.get("b"));
-    }
+  @Test
+  void noOldRumourBringsTheDeadBack() {
+    Table table =
+        new Table("own", Periods.usual().withMemory(LIFE, FORGET), (entry, was, before) -> {});
+    assertEquals(Outcome.NEWS, table.tell(rumour("b", Standing.ALIVE, 1, 0), 0, false));
+    table.suspect(table.get("b"), "own", 10, 10);
+    assertEquals("b", table.expire(40 * Play.SECOND).name());
+    long gone = 40 * Play.SECOND;
+    assertEquals(Outcome.OUTDATED, table.tell(rumour("b", Standing.ALIVE, 1, 0), gone + 5, false));
+    assertEquals(
+        Outcome.VERIFY, table.tell(rumour("b", Standing.ALIVE, 2, LIFE + 1), gone + 5, false));
+    table.forget(gone + FORGET);
+    assertEquals(Reach.GONE, table.get("b").reach());
+    table.forget(gone + FORGET + 1);
+    assertNull(table.get("b"));
+    // It lived before it was given up: whatever is told of that is older than what is believed by
+    // now.
+    assertEquals(
+        Outcome.VERIFY,
+        table.tell(rumour("b", Standing.ALIVE, 1, FORGET), gone + FORGET + 1, false));
+    assertEquals(
+        Outcome.KNOWN, table.tell(rumour("b", Standing.GONE, 1, FORGET), gone + FORGET + 1, false));
+    assertNull(table.get("b"));
+  }
 
-    @Test
-    void whoWaitedIsNotAccusedByMessagesThatWaitedToo() {
-        Table table = new Table("own", Periods.usual(), (entry, was, before) -> { });
-        table.tell(rumour("b", Standing.ALIVE, 1, 0), 0, false);
-        assertEquals(Outcome.VERIFY, table.tell(rumour("b", Standing.SUSPECTED, 1, 0), 5, true));
-        assertEquals(Outcome.VERIFY, table.tell(rumour("b", Standing.GONE, 1, 0), 5, false));
-        assertEquals(Reach.REACHABLE, table.get("b").reach());
-    }
+  @Test
+  void whoWaitedIsNotAccusedByMessagesThatWaitedToo() {
+    Table table = new Table("own", Periods.usual(), (entry, was, before) -> {});
+    table.tell(rumour("b", Standing.ALIVE, 1, 0), 0, false);
+    assertEquals(Outcome.VERIFY, table.tell(rumour("b", Standing.SUSPECTED, 1, 0), 5, true));
+    assertEquals(Outcome.VERIFY, table.tell(rumour("b", Standing.GONE, 1, 0), 5, false));
+    assertEquals(Reach.REACHABLE, table.get("b").reach());
+  }
 
-    @Test
-    void moreThanTheMostAreRefused() {
-        Members members = members(Periods.usual().withMembers(5));
-        members.turn(0, 0);
-        for (int i = 0; i < 40; i++) {
-            members.told(1, 1, "x", gossip(rumour("m" + i, Standing.ALIVE, 1, 0)));
-            members.told(1, 1, "x", gossip(rumour("g" + i, Standing.GONE, 1, 0)));
-        }
-        assertEquals(6, members.size());
-        assertEquals(35, members.counts().refused());
-        assertTrue(members.names().size() <= 10);
-        assertEquals(List.of("members: no room for m5, 5 others take part already"), lines);
+  @Test
+  void moreThanTheMostAreRefused() {
+    Members members = members(Periods.usual().withMembers(5));
+    members.turn(0, 0);
+    for (int i = 0; i < 40; i++) {
+      members.told(1, 1, "x", gossip(rumour("m" + i, Standing.ALIVE, 1, 0)));
+      members.told(1, 1, "x", gossip(rumour("g" + i, Standing.GONE, 1, 0)));
     }
+    assertEquals(6, members.size());
+    assertEquals(35, members.counts().refused());
+    assertTrue(members.names().size() <= 10);
+    assertEquals(List.of("members: no room for m5, 5 others take part already"), lines);
+  }
 
-    /** Garbled and cut off ones, of every kind: a counter and one line. */
-    @Test
-    void whatCantBeReadCostsACounterAndALine() {
-        Members members = members(Periods.usual());
-        members.turn(0, 0);
-        Random random = new Random(5);
-        Card card = new Card(3, 4, "h:3", "s");
-        List<Rumour> news = List.of(rumour("q", Standing.SUSPECTED, 2, 5));
-        List<byte[]> good = new ArrayList<>();
-        for (MemberMessage message : List.of(new MemberMessage.Probe(card, 8, "own", Doubt.NONE, news),
-                new MemberMessage.Ack(card, 8, new Doubt(Standing.GONE, 1, 2), news),
-                new MemberMessage.Ask(card, 8, "q", "h:q", Doubt.NONE, news),
-                new MemberMessage.Vouch(card, 8, true, news), new MemberMessage.Gossip(card, Doubt.NONE, news),
-                new MemberMessage.Digest(card, 5, Collections.nCopies(MemberCodec.BUCKETS, 1)),
-                new MemberMessage.Listing(card, 3, "a", "z", true, news))) {
-            good.add(MemberCodec.write(message));
-            assertEquals(message, read(MemberCodec.write(message)));
-        }
-        for (int i = 0; i < 20_000; i++) {
-            byte[] bytes = good.get(random.nextInt(good.size())).clone();
-            if (random.nextBoolean()) {
-                bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length));
-            }
-            for (int j = random.nextInt(4); j > 0 && bytes.length > 0; j--) {
-                bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
-            }
-            members.told(1 + i, 1, "m" + i % 7, bytes);
-            members.turn(1 + i, 1);
-        }
-        assertTrue(members.counts().malformed() > 5000, () -> "malformed: " + members.counts());
-        assertTrue(lines.stream().filter(line -> line.contains("can't be read")).count() <= 1, lines::toString);
+  /** Garbled and cut off ones, of every kind: a counter and one line. */
+  @Test
+  void whatCantBeReadCostsACounterAndALine() {
+    Members members = members(Periods.usual());
+    members.turn(0, 0);
+    Random random = new Random(5);
+    Card card = new Card(3, 4, "h:3", "s");
+    List<Rumour> news = List.of(rumour("q", Standing.SUSPECTED, 2, 5));
+    List<byte[]> good = new ArrayList<>();
+    for (MemberMessage message :
+        List.of(
+            new MemberMessage.Probe(card, 8, "own", Doubt.NONE, news),
+            new MemberMessage.Ack(card, 8, new Doubt(Standing.GONE, 1, 2), news),
+            new MemberMessage.Ask(card, 8, "q", "h:q", Doubt.NONE, news),
+            new MemberMessage.Vouch(card, 8, true, news),
+            new MemberMessage.Gossip(card, Doubt.NONE, news),
+            new MemberMessage.Digest(card, 5, Collections.nCopies(MemberCodec.BUCKETS, 1)),
+            new MemberMessage.Listing(card, 3, "a", "z", true, news))) {
+      good.add(MemberCodec.write(message));
+      assertEquals(message, read(MemberCodec.write(message)));
     }
-
-    private static MemberMessage read(byte[] bytes) {
-        try {
-            return MemberCodec.read(bytes);
-        } catch (MalformedMessageException e) {
-            throw new AssertionError(e);
-        }
+    for (int i = 0; i < 20_000; i++) {
+      byte[] bytes = good.get(random.nextInt(good.size())).clone();
+      if (random.nextBoolean()) {
+        bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length));
+      }
+      for (int j = random.nextInt(4); j > 0 && bytes.length > 0; j--) {
+        bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
+      }
+      members.told(1 + i, 1, "m" + i % 7, bytes);
+      members.turn(1 + i, 1);
     }
+    assertTrue(members.counts().malformed() > 5000, () -> "malformed: " + members.counts());
+    assertTrue(
+        lines.stream().filter(line -> line.contains("can't be read")).count() <= 1,
+        lines::toString);
+  }
 
-    @Test
-    void bareProbesAreSmallAndNoMessageIsLongerThanADatagram() {
-        Members members = members(Periods.usual());
-        members.turn(0, 0);
-        for (int i = 0; i < 400; i++) {
-            String name = "gateway-with-quite-a-long-name-" + i;
-            members.told(1, 1, "x", gossip(new Rumour(name, Standing.ALIVE, new Card(1, i,
-                    "host-" + i + ".site.example:7400", "a-site"), "", 0)));
-        }
-        int bare = 0;
-        for (long now = 2; now < 20 * Play.SECOND; now = Math.max(now + 1, members.dueAt())) {
-            members.turn(now, now);
-        }
-        for (byte[] body : sent) {
-            assertTrue(body.length <= 1100, () -> "a message of " + body.length);
-            boolean isBare = read(body) instanceof MemberMessage.Probe probe && probe.rumours().isEmpty();
-            assertFalse(isBare && body.length > 300, () -> "a bare probe of " + body.length);
-            bare += isBare ? 1 : 0;
-        }
-        assertTrue(bare > 50, "bare probes: " + bare);
+  private static MemberMessage read(byte[] bytes) {
+    try {
+      return MemberCodec.read(bytes);
+    } catch (MalformedMessageException e) {
+      throw new AssertionError(e);
     }
+  }
 
-    @Test
-    void oneOfTwoWithOneNameYieldsOnBothSides() {
-        Own older = new Own(4, 100, "h:1", "s");
-        Own newer = new Own(0, 200, "h:2", "s");
-        assertEquals(Own.Answer.RAISED_OVER_RIVAL, newer.told(Standing.ALIVE, 5, 100, "h:1"));
-        assertEquals(Own.Answer.RAISED_OVER_RIVAL, older.told(Standing.ALIVE, 6, 200, "h:2"));
-        assertEquals(Own.Answer.YIELD, older.lives(200));
-        assertEquals(Own.Answer.RAISED, newer.lives(100));
-        // An earlier process at the own address is no rival, however it is told of.
-        Own restarted = new Own(0, 300, "h:3", "s");
-        assertEquals(Own.Answer.RAISED, restarted.told(Standing.ALIVE, 9, 50, "h:3"));
-        assertEquals(10, restarted.card().incarnation());
+  @Test
+  void bareProbesAreSmallAndNoMessageIsLongerThanADatagram() {
+    Members members = members(Periods.usual());
+    members.turn(0, 0);
+    for (int i = 0; i < 400; i++) {
+      String name = "gateway-with-quite-a-long-name-" + i;
+      members.told(
+          1,
+          1,
+          "x",
+          gossip(
+              new Rumour(
+                  name,
+                  Standing.ALIVE,
+                  new Card(1, i, "host-" + i + ".site.example:7400", "a-site"),
+                  "",
+                  0)));
+    }
+    int bare = 0;
+    for (long now = 2; now < 20 * Play.SECOND; now = Math.max(now + 1, members.dueAt())) {
+      members.turn(now, now);
     }
+    for (byte[] body : sent) {
+      assertTrue(body.length <= 1100, () -> "a message of " + body.length);
+      boolean isBare = read(body) instanceof MemberMessage.Probe probe && probe.rumours().isEmpty();
+      assertFalse(isBare && body.length > 300, () -> "a bare probe of " + body.length);
+      bare += isBare ? 1 : 0;
+    }
+    assertTrue(bare > 50, "bare probes: " + bare);
+  }
+
+  @Test
+  void oneOfTwoWithOneNameYieldsOnBothSides() {
+    Own older = new Own(4, 100, "h:1", "s");
+    Own newer = new Own(0, 200, "h:2", "s");
+    assertEquals(Own.Answer.RAISED_OVER_RIVAL, newer.told(Standing.ALIVE, 5, 100, "h:1"));
+    assertEquals(Own.Answer.RAISED_OVER_RIVAL, older.told(Standing.ALIVE, 6, 200, "h:2"));
+    assertEquals(Own.Answer.YIELD, older.lives(200));
+    assertEquals(Own.Answer.RAISED, newer.lives(100));
+    // An earlier process at the own address is no rival, however it is told of.
+    Own restarted = new Own(0, 300, "h:3", "s");
+    assertEquals(Own.Answer.RAISED, restarted.told(Standing.ALIVE, 9, 50, "h:3"));
+    assertEquals(10, restarted.card().incarnation());
+  }
 }
--- a/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
+++ b/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
@@ -21,74 +21,84 @@
 import tillerlink.peers.Reach;
 
 /**
- * Guards what members of two releases must agree on beyond the bytes of their messages: the sums
- * of what each knows, and the incarnation that is handed over to be kept.
+ * Guards what members of two releases must agree on beyond the bytes of their messages: the sums of
+ * what each knows, and the incarnation that is handed over to be kept.
  */
 class MembersFormatGuardTest {
-    /** One member of every standing, by name. */
-    private static TreeMap<String, Rumour> known() {
-        TreeMap<String, Rumour> all = new TreeMap<>();
-        for (Rumour each : List.of(
-                new Rumour("n1", Standing.ALIVE, new Card(3, 0x1122334455667788L, "h1:1", "a"),
-                        "", 5),
-                new Rumour("n2", Standing.SUSPECTED, new Card(300, -5, "h2:2", "b"), "n1", 6),
-                new Rumour("größe", Standing.GONE, new Card(1, 9, "h3:3", "c"), "n1", 7),
-                new Rumour("s1", Standing.LEFT, new Card(2, 10, "h4:4", "d"), "", 8))) {
-            all.put(each.name(), each);
-        }
-        return all;
+  /** One member of every standing, by name. */
+  private static TreeMap<String, Rumour> known() {
+    TreeMap<String, Rumour> all = new TreeMap<>();
+    for (Rumour each :
+        List.of(
+            new Rumour("n1", Standing.ALIVE, new Card(3, 0x1122334455667788L, "h1:1", "a"), "", 5),
+            new Rumour("n2", Standing.SUSPECTED, new Card(300, -5, "h2:2", "b"), "n1", 6),
+            new Rumour("größe", Standing.GONE, new Card(1, 9, "h3:3", "c"), "n1", 7),
+            new Rumour("s1", Standing.LEFT, new Card(2, 10, "h4:4", "d"), "", 8))) {
+      all.put(each.name(), each);
     }
+    return all;
+  }
 
-    /** The sums under two salts, one line for each bucket: its number and the two sums. */
-    static String written() {
-        TreeMap<String, Rumour> known = known();
-        Digests digests = new Digests(new Digests.Known() {
-            @Override
-            public Iterable<String> names(int bucket) {
-                return known.keySet().stream().filter(name -> MemberCodec.bucket(name) == bucket)
-                        .toList();
-            }
+  /** The sums under two salts, one line for each bucket: its number and the two sums. */
+  static String written() {
+    TreeMap<String, Rumour> known = known();
+    Digests digests =
+        new Digests(
+            new Digests.Known() {
+              @Override
+              public Iterable<String> names(int bucket) {
+                return known.keySet().stream()
+                    .filter(name -> MemberCodec.bucket(name) == bucket)
+                    .toList();
+              }
 
-            @Override
-            public Rumour rumour(String name) {
+              @Override
+              public Rumour rumour(String name) {
                 return known.get(name);
-            }
-        });
-        List<Integer> one = digests.sums(0);
-        List<Integer> other = digests.sums(0x0123456789abcdefL);
-        StringBuilder text = new StringBuilder();
-        for (int bucket = 0; bucket < MemberCodec.BUCKETS; bucket++) {
-            text.append(String.format("%d %08x%08x%n", bucket, one.get(bucket),
-                    other.get(bucket)).replace("\r", ""));
-        }
-        return text.toString();
+              }
+            });
+    List<Integer> one = digests.sums(0);
+    List<Integer> other = digests.sums(0x0123456789abcdefL);
+    StringBuilder text = new StringBuilder();
+    for (int bucket = 0; bucket < MemberCodec.BUCKETS; bucket++) {
+      text.append(
+          String.format("%d %08x%08x%n", bucket, one.get(bucket), other.get(bucket))
+              .replace("\r", ""));
     }
+    return text.toString();
+  }
 
-    @Test
-    void theSumsOfWhatIsKnownAreAsBefore() throws IOException {
-        try (InputStream in = getClass().getResourceAsStream("/guards/member-sums.hex")) {
-            assertEquals(new String(in.readAllBytes(), StandardCharsets.UTF_8), written());
-        }
+  @Test
+  void theSumsOfWhatIsKnownAreAsBefore() throws IOException {
+    try (InputStream in = getClass().getResourceAsStream("/guards/member-sums.hex")) {
+      assertEquals(new String(in.readAllBytes(), StandardCharsets.UTF_8), written());
     }
+  }
 
-    @Test
-    void aProcessStartsOneAboveTheIncarnationThatWasKept() {
-        assertEquals(new Card(7, 9, "h1:1", "north"), new Own(6, 9, "h1:1", "north").card());
-        assertEquals(1, new Own(0, 9, "h1:1", "north").card().incarnation());
-        List<Long> handed = new ArrayList<>();
-        Members members = new Members(new Identity("fleet", "n1", "north", "h1:1", List.of(), 6),
-                Periods.usual(), (address, body) -> { }, new SplittableRandom(1), new Watcher() {
-                    @Override
-                    public void reach(String name, Reach was, Reach is) {
-                        // nobody else is there
-                    }
+  @Test
+  void aProcessStartsOneAboveTheIncarnationThatWasKept() {
+    assertEquals(new Card(7, 9, "h1:1", "north"), new Own(6, 9, "h1:1", "north").card());
+    assertEquals(1, new Own(0, 9, "h1:1", "north").card().incarnation());
+    List<Long> handed = new ArrayList<>();
+    Members members =
+        new Members(
+            new Identity("fleet", "n1", "north", "h1:1", List.of(), 6),
+            Periods.usual(),
+            (address, body) -> {},
+            new SplittableRandom(1),
+            new Watcher() {
+              @Override
+              public void reach(String name, Reach was, Reach is) {
+                // nobody else is there
+              }
 
-                    @Override
-                    public void incarnation(long own) {
-                        handed.add(own);
-                    }
-                }, 1);
-        members.turn(0, 0);
-        assertEquals(List.of(7L), handed);
-    }
+              @Override
+              public void incarnation(long own) {
+                handed.add(own);
+              }
+            },
+            1);
+    members.turn(0, 0);
+    assertEquals(List.of(7L), handed);
+  }
 }
--- a/members/src/test/java/tillerlink/members/measure/Memory.java
+++ b/members/src/test/java/tillerlink/members/measure/Memory.java
@@ -15,46 +15,62 @@
 
 /** What a full table takes of the heap. */
 final class Memory {
-    private static final int MEMBERS = 1024;
-    private static final int COPIES = 20;
+  private static final int MEMBERS = 1024;
+  private static final int COPIES = 20;
 
-    private Memory() {
-    }
+  private Memory() {}
 
-    private static Members full() {
-        Members members = new Members(new Identity("f", "own", "site", "10.0.0.1:7400", List.of(), 0),
-                Periods.usual(), (address, body) -> { }, new SplittableRandom(1), (name, was, is) -> { }, 1);
-        members.turn(0, 0);
-        for (int i = 0; i < MEMBERS; i++) {
-            String name = "gateway-at-some-site-" + i;
-            Card card = new Card(3, i, "10.1." + i / 256 + "." + i % 256 + ":7400", "site-" + i % 12);
-            Rumour rumour = new Rumour(name, Standing.ALIVE, card, "", 100);
-            members.told(1, 1, "another", MemberCodec.write(new MemberMessage.Gossip(card, Doubt.NONE,
-                    List.of(rumour))));
-        }
-        if (members.size() != MEMBERS + 1) {
-            throw new AssertionError("members: " + members.size());
-        }
-        return members;
+  private static Members full() {
+    Members members =
+        new Members(
+            new Identity("f", "own", "site", "10.0.0.1:7400", List.of(), 0),
+            Periods.usual(),
+            (address, body) -> {},
+            new SplittableRandom(1),
+            (name, was, is) -> {},
+            1);
+    members.turn(0, 0);
+    for (int i = 0; i < MEMBERS; i++) {
+      String name = "gateway-at-some-site-" + i;
+      Card card = new Card(3, i, "10.1." + i / 256 + "." + i % 256 + ":7400", "site-" + i % 12);
+      Rumour rumour = new Rumour(name, Standing.ALIVE, card, "", 100);
+      members.told(
+          1,
+          1,
+          "another",
+          MemberCodec.write(new MemberMessage.Gossip(card, Doubt.NONE, List.of(rumour))));
+    }
+    if (members.size() != MEMBERS + 1) {
+      throw new AssertionError("members: " + members.size());
     }
+    return members;
+  }
 
-    private static long used() {
-        Runtime runtime = Runtime.getRuntime();
-        for (int i = 0; i < 4; i++) {
-            System.gc();
-        }
-        return runtime.totalMemory() - runtime.freeMemory();
+  private static long used() {
+    Runtime runtime = Runtime.getRuntime();
+    for (int i = 0; i < 4; i++) {
+      System.gc();
     }
+    return runtime.totalMemory() - runtime.freeMemory();
+  }
 
-    static void say(Consumer<String> out) {
-        Members[] kept = new Members[COPIES];
-        full();
-        long before = used();
-        for (int i = 0; i < COPIES; i++) {
-            kept[i] = full();
-        }
-        long each = (used() - before) / COPIES;
-        out.accept("\nA table of " + MEMBERS + " members, all of it news still to be told: " + each / 1024 + " KiB, "
-                + each / MEMBERS + " bytes a member (" + kept.length + " tables measured)");
+  static void say(Consumer<String> out) {
+    Members[] kept = new Members[COPIES];
+    full();
+    long before = used();
+    for (int i = 0; i < COPIES; i++) {
+      kept[i] = full();
     }
+    long each = (used() - before) / COPIES;
+    out.accept(
+        "\nA table of "
+            + MEMBERS
+            + " members, all of it news still to be told: "
+            + each / 1024
+            + " KiB, "
+            + each / MEMBERS
+            + " bytes a member ("
+            + kept.length
+            + " tables measured)");
+  }
 }
--- a/messages/src/main/java/tillerlink/messages/envelope/RefusedException.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/RefusedException.java
@@ -2,17 +2,17 @@
 
 /** A datagram that is passed over. */
 public final class RefusedException extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    private final Refusal why;
+  private final Refusal why;
 
-    public RefusedException(Refusal why) {
-        // Many of these may come, and nobody asks from where: no stack is walked.
-        super(why.words(), null, false, false);
-        this.why = why;
-    }
+  public RefusedException(Refusal why) {
+    // Many of these may come, and nobody asks from where: no stack is walked.
+    super(why.words(), null, false, false);
+    this.why = why;
+  }
 
-    public Refusal why() {
-        return why;
-    }
+  public Refusal why() {
+    return why;
+  }
 }
--- a/messages/src/main/java/tillerlink/messages/members/Doubt.java
+++ b/messages/src/main/java/tillerlink/messages/members/Doubt.java
@@ -1,14 +1,15 @@
 package tillerlink.messages.members;
 
 /**
- * How the sender holds the one it writes to, if otherwise than that says of itself: what is to be refuted.
+ * How the sender holds the one it writes to, if otherwise than that says of itself: what is to be
+ * refuted.
  *
  * @param incarnation 0 if there is nothing to refute
  */
 public record Doubt(Standing standing, long incarnation, long birth) {
-    public static final Doubt NONE = new Doubt(Standing.ALIVE, 0, 0);
+  public static final Doubt NONE = new Doubt(Standing.ALIVE, 0, 0);
 
-    public boolean is() {
-        return incarnation > 0;
-    }
+  public boolean is() {
+    return incarnation > 0;
+  }
 }
