--- a/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
@@ -9,266 +9,293 @@
 
 /** Members' messages as bytes. Field numbers are never used again for something else. */
 public final class MemberCodec {
-    public static final int NAME_MOST = 64;
-    public static final int ADDRESS_MOST = 100;
-    public static final int SITE_MOST = 64;
-    public static final int RUMOURS_MOST = 64;
-    public static final int BUCKETS = 32;
-    /** No age is told as more than that: 30 days. */
-    public static final long AGE_MOST = 30L * 24 * 3600 * 10_000;
+  public static final int NAME_MOST = 64;
+  public static final int ADDRESS_MOST = 100;
+  public static final int SITE_MOST = 64;
+  public static final int RUMOURS_MOST = 64;
+  public static final int BUCKETS = 32;
 
-    private static final int KIND = 1;
-    private static final int CARD = 2;
-    private static final int NUMBER = 3;
-    private static final int TARGET = 4;
-    private static final int DOUBT = 5;
-    private static final int RUMOUR = 6;
-    private static final int ADDRESS = 7;
-    private static final int REACHED = 8;
-    private static final int SUMS = 9;
-    private static final int BUCKET = 10;
-    private static final int AFTER = 11;
-    private static final int UP_TO = 12;
-    private static final int REPLY = 13;
+  /** No age is told as more than that: 30 days. */
+  public static final long AGE_MOST = 30L * 24 * 3600 * 10_000;
 
-    /** Numbers of fields, lengths and the birth of a rumour. */
-    private static final int RUMOUR_FRAME = 30;
+  private static final int KIND = 1;
+  private static final int CARD = 2;
+  private static final int NUMBER = 3;
+  private static final int TARGET = 4;
+  private static final int DOUBT = 5;
+  private static final int RUMOUR = 6;
+  private static final int ADDRESS = 7;
+  private static final int REACHED = 8;
+  private static final int SUMS = 9;
+  private static final int BUCKET = 10;
+  private static final int AFTER = 11;
+  private static final int UP_TO = 12;
+  private static final int REPLY = 13;
 
-    private static final int PROBE = 1;
-    private static final int ACK = 2;
-    private static final int ASK = 3;
-    private static final int VOUCH = 4;
-    private static final int GOSSIP = 5;
-    private static final int DIGEST = 6;
-    private static final int LISTING = 7;
+  /** Numbers of fields, lengths and the birth of a rumour. */
+  private static final int RUMOUR_FRAME = 30;
 
-    private MemberCodec() {
-    }
+  private static final int PROBE = 1;
+  private static final int ACK = 2;
+  private static final int ASK = 3;
+  private static final int VOUCH = 4;
+  private static final int GOSSIP = 5;
+  private static final int DIGEST = 6;
+  private static final int LISTING = 7;
 
-    /** Which bucket of a digest a name falls into; the same in every release. */
-    public static int bucket(String name) {
-        return name.hashCode() * 0x9e3779b9 >>> 27;
-    }
+  private MemberCodec() {}
 
-    public static byte[] write(MemberMessage message) {
-        FieldWriter out = new FieldWriter();
-        if (message instanceof MemberMessage.Probe probe) {
-            out.number(KIND, PROBE).fixed(NUMBER, probe.number()).text(TARGET, probe.target());
-            doubt(out, probe.doubt());
-        } else if (message instanceof MemberMessage.Ack ack) {
-            out.number(KIND, ACK).fixed(NUMBER, ack.number());
-            doubt(out, ack.doubt());
-        } else if (message instanceof MemberMessage.Ask ask) {
-            out.number(KIND, ASK).fixed(NUMBER, ask.number()).text(TARGET, ask.target()).text(ADDRESS, ask.address());
-            doubt(out, ask.doubt());
-        } else if (message instanceof MemberMessage.Vouch vouch) {
-            out.number(KIND, VOUCH).fixed(NUMBER, vouch.number()).flag(REACHED, vouch.reached());
-        } else if (message instanceof MemberMessage.Gossip gossip) {
-            out.number(KIND, GOSSIP);
-            doubt(out, gossip.doubt());
-        } else if (message instanceof MemberMessage.Digest digest) {
-            out.number(KIND, DIGEST).fixed(NUMBER, digest.salt());
-            out.bytes(SUMS, sums(digest.sums()));
-        } else if (message instanceof MemberMessage.Listing listing) {
-            out.number(KIND, LISTING).number(BUCKET, listing.bucket()).text(AFTER, listing.after())
-                    .text(UP_TO, listing.upTo()).flag(REPLY, listing.reply());
-        }
-        out.within(CARD, card(message.card()));
-        message.rumours().forEach(rumour -> out.within(RUMOUR, rumour(rumour)));
-        return out.done();
-    }
+  /** Which bucket of a digest a name falls into; the same in every release. */
+  public static int bucket(String name) {
+    return name.hashCode() * 0x9e3779b9 >>> 27;
+  }
 
-    /** How many bytes a rumour adds to a message at the most. */
-    public static int size(Rumour rumour) {
-        Card card = rumour.card();
-        return RUMOUR_FRAME + varint(card.incarnation()) + varint(rumour.age()) + utf8(rumour.name())
-                + utf8(card.address()) + utf8(card.site()) + utf8(rumour.by());
+  public static byte[] write(MemberMessage message) {
+    FieldWriter out = new FieldWriter();
+    if (message instanceof MemberMessage.Probe probe) {
+      out.number(KIND, PROBE).fixed(NUMBER, probe.number()).text(TARGET, probe.target());
+      doubt(out, probe.doubt());
+    } else if (message instanceof MemberMessage.Ack ack) {
+      out.number(KIND, ACK).fixed(NUMBER, ack.number());
+      doubt(out, ack.doubt());
+    } else if (message instanceof MemberMessage.Ask ask) {
+      out.number(KIND, ASK)
+          .fixed(NUMBER, ask.number())
+          .text(TARGET, ask.target())
+          .text(ADDRESS, ask.address());
+      doubt(out, ask.doubt());
+    } else if (message instanceof MemberMessage.Vouch vouch) {
+      out.number(KIND, VOUCH).fixed(NUMBER, vouch.number()).flag(REACHED, vouch.reached());
+    } else if (message instanceof MemberMessage.Gossip gossip) {
+      out.number(KIND, GOSSIP);
+      doubt(out, gossip.doubt());
+    } else if (message instanceof MemberMessage.Digest digest) {
+      out.number(KIND, DIGEST).fixed(NUMBER, digest.salt());
+      out.bytes(SUMS, sums(digest.sums()));
+    } else if (message instanceof MemberMessage.Listing listing) {
+      out.number(KIND, LISTING)
+          .number(BUCKET, listing.bucket())
+          .text(AFTER, listing.after())
+          .text(UP_TO, listing.upTo())
+          .flag(REPLY, listing.reply());
     }
+    out.within(CARD, card(message.card()));
+    message.rumours().forEach(rumour -> out.within(RUMOUR, rumour(rumour)));
+    return out.done();
+  }
 
-    private static int varint(long value) {
-        return (70 - Long.numberOfLeadingZeros(value | 1)) / 7;
-    }
+  /** How many bytes a rumour adds to a message at the most. */
+  public static int size(Rumour rumour) {
+    Card card = rumour.card();
+    return RUMOUR_FRAME
+        + varint(card.incarnation())
+        + varint(rumour.age())
+        + utf8(rumour.name())
+        + utf8(card.address())
+        + utf8(card.site())
+        + utf8(rumour.by());
+  }
 
-    private static int utf8(String text) {
-        int bytes = text.length();
-        for (int i = 0; i < text.length(); i++) {
-            char at = text.charAt(i);
-            bytes += at < 0x80 ? 0 : at < 0x800 ? 1 : 2;
-        }
-        return bytes;
-    }
+  private static int varint(long value) {
+    return (70 - Long.numberOfLeadingZeros(value | 1)) / 7;
+  }
 
-    private static FieldWriter card(Card card) {
-        return new FieldWriter().number(1, card.incarnation()).fixed(2, card.birth()).text(3, card.address())
-                .text(4, card.site());
+  private static int utf8(String text) {
+    int bytes = text.length();
+    for (int i = 0; i < text.length(); i++) {
+      char at = text.charAt(i);
+      bytes += at < 0x80 ? 0 : at < 0x800 ? 1 : 2;
     }
+    return bytes;
+  }
 
-    private static FieldWriter rumour(Rumour rumour) {
-        return new FieldWriter().text(1, rumour.name()).number(2, rumour.standing().ordinal())
-                .within(3, card(rumour.card())).text(4, rumour.by()).number(5, rumour.age());
-    }
+  private static FieldWriter card(Card card) {
+    return new FieldWriter()
+        .number(1, card.incarnation())
+        .fixed(2, card.birth())
+        .text(3, card.address())
+        .text(4, card.site());
+  }
 
-    private static void doubt(FieldWriter out, Doubt doubt) {
-        if (doubt.is()) {
-            out.within(DOUBT, new FieldWriter().number(1, doubt.standing().ordinal()).number(2, doubt.incarnation())
-                    .fixed(3, doubt.birth()));
-        }
-    }
+  private static FieldWriter rumour(Rumour rumour) {
+    return new FieldWriter()
+        .text(1, rumour.name())
+        .number(2, rumour.standing().ordinal())
+        .within(3, card(rumour.card()))
+        .text(4, rumour.by())
+        .number(5, rumour.age());
+  }
 
-    /** What was read of any message, whatever its kind. */
-    private static final class Parts {
-        long kind;
-        Card card = Card.NONE;
-        long number;
-        String target = "";
-        String address = "";
-        Doubt doubt = Doubt.NONE;
-        boolean reached;
-        long bucket;
-        String after = "";
-        String upTo = "";
-        boolean reply;
-        final List<Rumour> rumours = new ArrayList<>();
-        final List<Integer> sums = new ArrayList<>();
+  private static void doubt(FieldWriter out, Doubt doubt) {
+    if (doubt.is()) {
+      out.within(
+          DOUBT,
+          new FieldWriter()
+              .number(1, doubt.standing().ordinal())
+              .number(2, doubt.incarnation())
+              .fixed(3, doubt.birth()));
     }
+  }
 
-    /** @throws MalformedMessageException if it can't be used; a kind of a later release is that too */
-    public static MemberMessage read(byte[] body) throws MalformedMessageException {
-        Parts parts = new Parts();
-        FieldReader in = new FieldReader(body);
-        while (in.next()) {
-            take(in, parts);
-        }
-        if (parts.card.incarnation() == 0 || parts.card.address().isEmpty()) {
-            throw new MalformedMessageException("no card");
-        }
-        return message(parts);
-    }
+  /** What was read of any message, whatever its kind. */
+  private static final class Parts {
+    long kind;
+    Card card = Card.NONE;
+    long number;
+    String target = "";
+    String address = "";
+    Doubt doubt = Doubt.NONE;
+    boolean reached;
+    long bucket;
+    String after = "";
+    String upTo = "";
+    boolean reply;
+    final List<Rumour> rumours = new ArrayList<>();
+    final List<Integer> sums = new ArrayList<>();
+  }
 
-    private static void take(FieldReader in, Parts parts) throws MalformedMessageException {
-        switch (in.field()) {
-            case KIND -> parts.kind = in.number();
-            case CARD -> parts.card = card(in.within());
-            case NUMBER -> parts.number = in.fixed();
-            case TARGET -> parts.target = in.text(NAME_MOST);
-            case DOUBT -> parts.doubt = doubt(in.within());
-            case ADDRESS -> parts.address = in.text(ADDRESS_MOST);
-            case REACHED -> parts.reached = in.flag();
-            case BUCKET -> parts.bucket = in.number(BUCKETS - 1);
-            case AFTER -> parts.after = in.text(NAME_MOST);
-            case UP_TO -> parts.upTo = in.text(NAME_MOST);
-            case REPLY -> parts.reply = in.flag();
-            case RUMOUR -> {
-                bound(parts.rumours, RUMOURS_MOST);
-                parts.rumours.add(rumour(in.within()));
-            }
-            case SUMS -> sums(in.bytes(BUCKETS * Integer.BYTES), parts.sums);
-            default -> {
-                // of a later release
-            }
-        }
+  /**
+   * @throws MalformedMessageException if it can't be used; a kind of a later release is that too
+   */
+  public static MemberMessage read(byte[] body) throws MalformedMessageException {
+    Parts parts = new Parts();
+    FieldReader in = new FieldReader(body);
+    while (in.next()) {
+      take(in, parts);
     }
-
-    private static void bound(List<?> list, int most) throws MalformedMessageException {
-        if (list.size() >= most) {
-            throw new MalformedMessageException("too many");
-        }
+    if (parts.card.incarnation() == 0 || parts.card.address().isEmpty()) {
+      throw new MalformedMessageException("no card");
     }
+    return message(parts);
+  }
 
-    private static MemberMessage message(Parts parts) throws MalformedMessageException {
-        List<Rumour> rumours = List.copyOf(parts.rumours);
-        Card card = parts.card;
-        return switch ((int) Math.min(parts.kind, Integer.MAX_VALUE)) {
-            case PROBE -> new MemberMessage.Probe(card, parts.number, parts.target, parts.doubt, rumours);
-            case ACK -> new MemberMessage.Ack(card, parts.number, parts.doubt, rumours);
-            case ASK -> new MemberMessage.Ask(card, parts.number, parts.target, parts.address, parts.doubt, rumours);
-            case VOUCH -> new MemberMessage.Vouch(card, parts.number, parts.reached, rumours);
-            case GOSSIP -> new MemberMessage.Gossip(card, parts.doubt, rumours);
-            case DIGEST -> digest(parts);
-            case LISTING -> new MemberMessage.Listing(card, (int) parts.bucket, parts.after, parts.upTo, parts.reply,
-                    rumours);
-            default -> throw new MalformedMessageException("a kind that is not known");
-        };
+  private static void take(FieldReader in, Parts parts) throws MalformedMessageException {
+    switch (in.field()) {
+      case KIND -> parts.kind = in.number();
+      case CARD -> parts.card = card(in.within());
+      case NUMBER -> parts.number = in.fixed();
+      case TARGET -> parts.target = in.text(NAME_MOST);
+      case DOUBT -> parts.doubt = doubt(in.within());
+      case ADDRESS -> parts.address = in.text(ADDRESS_MOST);
+      case REACHED -> parts.reached = in.flag();
+      case BUCKET -> parts.bucket = in.number(BUCKETS - 1);
+      case AFTER -> parts.after = in.text(NAME_MOST);
+      case UP_TO -> parts.upTo = in.text(NAME_MOST);
+      case REPLY -> parts.reply = in.flag();
+      case RUMOUR -> {
+        bound(parts.rumours, RUMOURS_MOST);
+        parts.rumours.add(rumour(in.within()));
+      }
+      case SUMS -> sums(in.bytes(BUCKETS * Integer.BYTES), parts.sums);
+      default -> {
+        // of a later release
+      }
     }
+  }
 
-    private static MemberMessage digest(Parts parts) throws MalformedMessageException {
-        if (parts.sums.size() != BUCKETS) {
-            throw new MalformedMessageException("a digest with missing sums");
-        }
-        return new MemberMessage.Digest(parts.card, parts.number, parts.sums);
+  private static void bound(List<?> list, int most) throws MalformedMessageException {
+    if (list.size() >= most) {
+      throw new MalformedMessageException("too many");
     }
+  }
 
-    private static byte[] sums(List<Integer> sums) {
-        ByteBuffer out = ByteBuffer.allocate(sums.size() * Integer.BYTES);
-        sums.forEach(out::putInt);
-        return out.array();
+  private static MemberMessage message(Parts parts) throws MalformedMessageException {
+    List<Rumour> rumours = List.copyOf(parts.rumours);
+    Card card = parts.card;
+    return switch ((int) Math.min(parts.kind, Integer.MAX_VALUE)) {
+      case PROBE -> new MemberMessage.Probe(card, parts.number, parts.target, parts.doubt, rumours);
+      case ACK -> new MemberMessage.Ack(card, parts.number, parts.doubt, rumours);
+      case ASK ->
+          new MemberMessage.Ask(
+              card, parts.number, parts.target, parts.address, parts.doubt, rumours);
+      case VOUCH -> new MemberMessage.Vouch(card, parts.number, parts.reached, rumours);
+      case GOSSIP -> new MemberMessage.Gossip(card, parts.doubt, rumours);
+      case DIGEST -> digest(parts);
+      case LISTING ->
+          new MemberMessage.Listing(
+              card, (int) parts.bucket, parts.after, parts.upTo, parts.reply, rumours);
+      default -> throw new MalformedMessageException("a kind that is not known");
+    };
+  }
+
+  private static MemberMessage digest(Parts parts) throws MalformedMessageException {
+    if (parts.sums.size() != BUCKETS) {
+      throw new MalformedMessageException("a digest with missing sums");
     }
+    return new MemberMessage.Digest(parts.card, parts.number, parts.sums);
+  }
 
-    private static void sums(byte[] bytes, List<Integer> sums) {
-        ByteBuffer in = ByteBuffer.wrap(bytes);
-        while (in.remaining() >= Integer.BYTES && sums.size() < BUCKETS) {
-            sums.add(in.getInt());
-        }
+  private static byte[] sums(List<Integer> sums) {
+    ByteBuffer out = ByteBuffer.allocate(sums.size() * Integer.BYTES);
+    sums.forEach(out::putInt);
+    return out.array();
+  }
+
+  private static void sums(byte[] bytes, List<Integer> sums) {
+    ByteBuffer in = ByteBuffer.wrap(bytes);
+    while (in.remaining() >= Integer.BYTES && sums.size() < BUCKETS) {
+      sums.add(in.getInt());
     }
+  }
 
-    private static Card card(FieldReader in) throws MalformedMessageException {
-        long incarnation = 0;
-        long birth = 0;
-        String address = "";
-        String site = "";
-        while (in.next()) {
-            switch (in.field()) {
-                // The highest half is refused, so that a forged one leaves room to refute it.
-                case 1 -> incarnation = in.number(Long.MAX_VALUE / 2);
-                case 2 -> birth = in.fixed();
-                case 3 -> address = in.text(ADDRESS_MOST);
-                case 4 -> site = in.text(SITE_MOST);
-                default -> {
-                    // of a later release
-                }
-            }
+  private static Card card(FieldReader in) throws MalformedMessageException {
+    long incarnation = 0;
+    long birth = 0;
+    String address = "";
+    String site = "";
+    while (in.next()) {
+      switch (in.field()) {
+        // The highest half is refused, so that a forged one leaves room to refute it.
+        case 1 -> incarnation = in.number(Long.MAX_VALUE / 2);
+        case 2 -> birth = in.fixed();
+        case 3 -> address = in.text(ADDRESS_MOST);
+        case 4 -> site = in.text(SITE_MOST);
+        default -> {
+          // of a later release
         }
-        return new Card(incarnation, birth, address, site);
+      }
     }
+    return new Card(incarnation, birth, address, site);
+  }
 
-    private static Rumour rumour(FieldReader in) throws MalformedMessageException {
-        String name = "";
-        int standing = 0;
-        Card card = Card.NONE;
-        String by = "";
-        long age = 0;
-        while (in.next()) {
-            switch (in.field()) {
-                case 1 -> name = in.text(NAME_MOST);
-                case 2 -> standing = (int) in.number(Standing.values().length - 1);
-                case 3 -> card = card(in.within());
-                case 4 -> by = in.text(NAME_MOST);
-                case 5 -> age = in.number(AGE_MOST);
-                default -> {
-                    // of a later release
-                }
-            }
+  private static Rumour rumour(FieldReader in) throws MalformedMessageException {
+    String name = "";
+    int standing = 0;
+    Card card = Card.NONE;
+    String by = "";
+    long age = 0;
+    while (in.next()) {
+      switch (in.field()) {
+        case 1 -> name = in.text(NAME_MOST);
+        case 2 -> standing = (int) in.number(Standing.values().length - 1);
+        case 3 -> card = card(in.within());
+        case 4 -> by = in.text(NAME_MOST);
+        case 5 -> age = in.number(AGE_MOST);
+        default -> {
+          // of a later release
         }
-        if (name.isEmpty() || card.incarnation() == 0 || card.address().isEmpty()) {
-            throw new MalformedMessageException("a rumour of nobody");
-        }
-        return new Rumour(name, Standing.values()[standing], card, by, age);
+      }
+    }
+    if (name.isEmpty() || card.incarnation() == 0 || card.address().isEmpty()) {
+      throw new MalformedMessageException("a rumour of nobody");
     }
+    return new Rumour(name, Standing.values()[standing], card, by, age);
+  }
 
-    private static Doubt doubt(FieldReader in) throws MalformedMessageException {
-        int standing = 0;
-        long incarnation = 0;
-        long birth = 0;
-        while (in.next()) {
-            switch (in.field()) {
-                case 1 -> standing = (int) in.number(Standing.values().length - 1);
-                case 2 -> incarnation = in.number(Long.MAX_VALUE / 2);
-                case 3 -> birth = in.fixed();
-                default -> {
-                    // of a later release
-                }
-            }
+  private static Doubt doubt(FieldReader in) throws MalformedMessageException {
+    int standing = 0;
+    long incarnation = 0;
+    long birth = 0;
+    while (in.next()) {
+      switch (in.field()) {
+        case 1 -> standing = (int) in.number(Standing.values().length - 1);
+        case 2 -> incarnation = in.number(Long.MAX_VALUE / 2);
+        case 3 -> birth = in.fixed();
+        default -> {
+          // of a later release
         }
-        return new Doubt(Standing.values()[standing], incarnation, birth);
+      }
     }
+    return new Doubt(Standing.values()[standing], incarnation, birth);
+  }
 }
--- a/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
@@ -4,61 +4,60 @@
 
 /** What members say to each other. The sender's name stands on the envelope. */
 public sealed interface MemberMessage {
-    /** The sender's own. */
-    Card card();
-
-    List<Rumour> rumours();
-
-    /**
-     * Are you there?
-     *
-     * @param number  to be answered with; nobody can guess it
-     * @param target  who is asked; empty for whoever has that address
-     */
-    record Probe(Card card, long number, String target, Doubt doubt, List<Rumour> rumours) implements MemberMessage {
-    }
-
-    /** I am. */
-    record Ack(Card card, long number, Doubt doubt, List<Rumour> rumours) implements MemberMessage {
-    }
-
-    /** Ask somebody for me. */
-    record Ask(Card card, long number, String target, String address, Doubt doubt, List<Rumour> rumours)
-            implements MemberMessage {
-    }
-
-    /** It answered me, or did not; the one who asked gets its own number back. */
-    record Vouch(Card card, long number, boolean reached, List<Rumour> rumours) implements MemberMessage {
-    }
-
-    /** News. */
-    record Gossip(Card card, Doubt doubt, List<Rumour> rumours) implements MemberMessage {
-    }
-
-    /**
-     * All I hold, as one sum for each bucket of names.
-     *
-     * @param salt mixed into the sums, so that two that are the same by chance are not so the next time
-     */
-    record Digest(Card card, long salt, List<Integer> sums) implements MemberMessage {
-        public Digest {
-            sums = List.copyOf(sums);
-        }
-
-        @Override
-        public List<Rumour> rumours() {
-            return List.of();
-        }
+  /** The sender's own. */
+  Card card();
+
+  List<Rumour> rumours();
+
+  /**
+   * Are you there?
+   *
+   * @param number to be answered with; nobody can guess it
+   * @param target who is asked; empty for whoever has that address
+   */
+  record Probe(Card card, long number, String target, Doubt doubt, List<Rumour> rumours)
+      implements MemberMessage {}
+
+  /** I am. */
+  record Ack(Card card, long number, Doubt doubt, List<Rumour> rumours) implements MemberMessage {}
+
+  /** Ask somebody for me. */
+  record Ask(
+      Card card, long number, String target, String address, Doubt doubt, List<Rumour> rumours)
+      implements MemberMessage {}
+
+  /** It answered me, or did not; the one who asked gets its own number back. */
+  record Vouch(Card card, long number, boolean reached, List<Rumour> rumours)
+      implements MemberMessage {}
+
+  /** News. */
+  record Gossip(Card card, Doubt doubt, List<Rumour> rumours) implements MemberMessage {}
+
+  /**
+   * All I hold, as one sum for each bucket of names.
+   *
+   * @param salt mixed into the sums, so that two that are the same by chance are not so the next
+   *     time
+   */
+  record Digest(Card card, long salt, List<Integer> sums) implements MemberMessage {
+    public Digest {
+      sums = List.copyOf(sums);
     }
 
-    /**
-     * What I hold of a bucket, of the names after one and up to another.
-     *
-     * @param after exclusive; empty from the first on
-     * @param upTo  inclusive; empty to the last
-     * @param reply whether the other is asked for what it holds above that
-     */
-    record Listing(Card card, int bucket, String after, String upTo, boolean reply, List<Rumour> rumours)
-            implements MemberMessage {
+    @Override
+    public List<Rumour> rumours() {
+      return List.of();
     }
+  }
+
+  /**
+   * What I hold of a bucket, of the names after one and up to another.
+   *
+   * @param after exclusive; empty from the first on
+   * @param upTo inclusive; empty to the last
+   * @param reply whether the other is asked for what it holds above that
+   */
+  record Listing(
+      Card card, int bucket, String after, String upTo, boolean reply, List<Rumour> rumours)
+      implements MemberMessage {}
 }
--- a/messages/src/main/java/tillerlink/messages/statements/Entry.java
+++ b/messages/src/main/java/tillerlink/messages/statements/Entry.java
@@ -7,6 +7,6 @@
  * @param number the number of the request there; a repeat has the same
  */
 public record Entry(long index, long term, long origin, long number, Command command) {
-    /** No entry is longer when written. */
-    public static final int BYTES_MOST = 10_500;
+  /** No entry is longer when written. */
+  public static final int BYTES_MOST = 10_500;
 }
--- a/messages/src/main/java/tillerlink/messages/statements/ParameterType.java
+++ b/messages/src/main/java/tillerlink/messages/statements/ParameterType.java
@@ -2,5 +2,9 @@
 
 /** What a parameter may be. The order is that of the wire: new ones come last. */
 public enum ParameterType {
-    TEXT, INTEGER, DECIMAL, FLAG, DAY
+  TEXT,
+  INTEGER,
+  DECIMAL,
+  FLAG,
+  DAY
 }
--- a/messages/src/test/java/tillerlink/messages/channels/ChannelsMessageFormatGuardTest.java
+++ b/messages/src/test/java/tillerlink/messages/channels/ChannelsMessageFormatGuardTest.java
@@ -13,112 +13,131 @@
 
 /** Guards the bytes of events, of agreed steps and of every kind of message about channels. */
 class ChannelsMessageFormatGuardTest {
-    private static final String MESSAGES = "channels-messages.hex";
-    private static final String ENTRIES = "channels-entries.hex";
-    private static final Cut CUT = new Cut(5, 0x5000000000001L,
-            List.of(new Span(0x11, 1, 4), new Span(0x2222222222L, 300, 300)), List.of("n1", "n2"));
+  private static final String MESSAGES = "channels-messages.hex";
+  private static final String ENTRIES = "channels-entries.hex";
+  private static final Cut CUT =
+      new Cut(
+          5,
+          0x5000000000001L,
+          List.of(new Span(0x11, 1, 4), new Span(0x2222222222L, 300, 300)),
+          List.of("n1", "n2"));
 
-    static Map<String, Entry> entries() {
-        Map<String, Entry> all = new LinkedHashMap<>();
-        for (Kind kind : Kind.values()) {
-            all.put("entry-" + kind.ordinal(), new Entry("n1", "north", 0x1234567890L,
-                    1 + kind.ordinal(), 0x18c000000000001L, "tv", kind, "cue-7", "Größe",
-                    1_700_000_000_000L, "key", List.of(new Dot(1, 2, 3)),
-                    List.of(new Dot(4, 5, 6), new Dot(7, 8, 9))));
-        }
-        all.put("entry-bare", new Entry("n1", "", 1, 1, 1, "tv", Kind.NOTE, "", "", 0, "",
-                List.of(), List.of()));
-        return all;
+  static Map<String, Entry> entries() {
+    Map<String, Entry> all = new LinkedHashMap<>();
+    for (Kind kind : Kind.values()) {
+      all.put(
+          "entry-" + kind.ordinal(),
+          new Entry(
+              "n1",
+              "north",
+              0x1234567890L,
+              1 + kind.ordinal(),
+              0x18c000000000001L,
+              "tv",
+              kind,
+              "cue-7",
+              "Größe",
+              1_700_000_000_000L,
+              "key",
+              List.of(new Dot(1, 2, 3)),
+              List.of(new Dot(4, 5, 6), new Dot(7, 8, 9))));
     }
+    all.put(
+        "entry-bare",
+        new Entry("n1", "", 1, 1, 1, "tv", Kind.NOTE, "", "", 0, "", List.of(), List.of()));
+    return all;
+  }
 
-    static Map<String, ChannelsMessage> messages() {
-        Ballot one = new Ballot(4, "n1");
-        Ballot other = new Ballot(3, "n2");
-        List<Span> spans = List.of(new Span(0x11, 1, 4), new Span(0x12, 9, 9));
-        List<ChannelsMessage.Life> lives = List.of(new ChannelsMessage.Life("n1", 0x11),
-                new ChannelsMessage.Life("n2", 0x12));
-        ChannelsMessage.Standing own = new ChannelsMessage.Standing("n1", 0x11, 0x700000, 12);
-        ChannelsMessage.Standing heard = new ChannelsMessage.Standing("n2", 0x12, 0x800000, 2);
-        Map<String, ChannelsMessage> all = new LinkedHashMap<>();
-        all.put("report", new ChannelsMessage.Report(1_700_000_000_000L, own, 3, 4, 2, -77, spans,
-                List.of(heard)));
-        all.put("want", new ChannelsMessage.Want(8, 900, 64, spans));
-        all.put("piece", new ChannelsMessage.Piece(8, true, List.copyOf(entries().values())));
-        all.put("piece-more", new ChannelsMessage.Piece(0, false, List.of()));
-        all.put("cuts-wanted", new ChannelsMessage.CutsWanted(6));
-        all.put("cuts", new ChannelsMessage.Cuts(List.of(CUT)));
-        all.put("sum-wanted", new ChannelsMessage.SumWanted(6, 4096));
-        all.put("sum-part", new ChannelsMessage.SumPart(6, 4096, 9000, new byte[] {1, -2, 3}));
-        all.put("ask", new ChannelsMessage.Ask(0x11));
-        all.put("answer", new ChannelsMessage.Answer(0x11, true, 4, one, other, CUT));
-        all.put("answer-bare", new ChannelsMessage.Answer(0x11, false, 0, Ballot.NONE,
-                Ballot.NONE, null));
-        all.put("prepare", new ChannelsMessage.Prepare(one, 5));
-        all.put("promise", new ChannelsMessage.Promise(one, 5, one, other, CUT, 0x12, lives));
-        all.put("accept", new ChannelsMessage.Accept(one, CUT));
-        all.put("accepted", new ChannelsMessage.Accepted(one, 5, one, 0x12, lives));
-        return all;
-    }
+  static Map<String, ChannelsMessage> messages() {
+    Ballot one = new Ballot(4, "n1");
+    Ballot other = new Ballot(3, "n2");
+    List<Span> spans = List.of(new Span(0x11, 1, 4), new Span(0x12, 9, 9));
+    List<ChannelsMessage.Life> lives =
+        List.of(new ChannelsMessage.Life("n1", 0x11), new ChannelsMessage.Life("n2", 0x12));
+    ChannelsMessage.Standing own = new ChannelsMessage.Standing("n1", 0x11, 0x700000, 12);
+    ChannelsMessage.Standing heard = new ChannelsMessage.Standing("n2", 0x12, 0x800000, 2);
+    Map<String, ChannelsMessage> all = new LinkedHashMap<>();
+    all.put(
+        "report",
+        new ChannelsMessage.Report(1_700_000_000_000L, own, 3, 4, 2, -77, spans, List.of(heard)));
+    all.put("want", new ChannelsMessage.Want(8, 900, 64, spans));
+    all.put("piece", new ChannelsMessage.Piece(8, true, List.copyOf(entries().values())));
+    all.put("piece-more", new ChannelsMessage.Piece(0, false, List.of()));
+    all.put("cuts-wanted", new ChannelsMessage.CutsWanted(6));
+    all.put("cuts", new ChannelsMessage.Cuts(List.of(CUT)));
+    all.put("sum-wanted", new ChannelsMessage.SumWanted(6, 4096));
+    all.put("sum-part", new ChannelsMessage.SumPart(6, 4096, 9000, new byte[] {1, -2, 3}));
+    all.put("ask", new ChannelsMessage.Ask(0x11));
+    all.put("answer", new ChannelsMessage.Answer(0x11, true, 4, one, other, CUT));
+    all.put(
+        "answer-bare", new ChannelsMessage.Answer(0x11, false, 0, Ballot.NONE, Ballot.NONE, null));
+    all.put("prepare", new ChannelsMessage.Prepare(one, 5));
+    all.put("promise", new ChannelsMessage.Promise(one, 5, one, other, CUT, 0x12, lives));
+    all.put("accept", new ChannelsMessage.Accept(one, CUT));
+    all.put("accepted", new ChannelsMessage.Accepted(one, 5, one, 0x12, lives));
+    return all;
+  }
 
-    static Map<String, byte[]> writtenEntries() {
-        Map<String, byte[]> all = new LinkedHashMap<>();
-        entries().forEach((name, entry) -> all.put(name, EntryCodec.bytes(entry)));
-        all.put("cut", EntryCodec.cut(CUT).done());
-        return all;
-    }
+  static Map<String, byte[]> writtenEntries() {
+    Map<String, byte[]> all = new LinkedHashMap<>();
+    entries().forEach((name, entry) -> all.put(name, EntryCodec.bytes(entry)));
+    all.put("cut", EntryCodec.cut(CUT).done());
+    return all;
+  }
 
-    static Map<String, byte[]> writtenMessages() {
-        Map<String, byte[]> all = new LinkedHashMap<>();
-        messages().forEach((name, message) -> all.put(name, ChannelsCodec.bytes(message)));
-        return all;
-    }
+  static Map<String, byte[]> writtenMessages() {
+    Map<String, byte[]> all = new LinkedHashMap<>();
+    messages().forEach((name, message) -> all.put(name, ChannelsCodec.bytes(message)));
+    return all;
+  }
 
-    @Test
-    void eventsAndStepsAreWrittenAsBefore() throws Exception {
-        HexLines.compare(HexLines.read(ENTRIES), writtenEntries());
-    }
+  @Test
+  void eventsAndStepsAreWrittenAsBefore() throws Exception {
+    HexLines.compare(HexLines.read(ENTRIES), writtenEntries());
+  }
 
-    @Test
-    void eventsAndStepsAreReadAsBefore() throws Exception {
-        Map<String, byte[]> kept = HexLines.read(ENTRIES);
-        for (Map.Entry<String, Entry> each : entries().entrySet()) {
-            assertEquals(each.getValue(), EntryCodec.entry(kept.get(each.getKey())));
-        }
-        assertEquals(CUT, EntryCodec.cut(new FieldReader(kept.get("cut"))));
+  @Test
+  void eventsAndStepsAreReadAsBefore() throws Exception {
+    Map<String, byte[]> kept = HexLines.read(ENTRIES);
+    for (Map.Entry<String, Entry> each : entries().entrySet()) {
+      assertEquals(each.getValue(), EntryCodec.entry(kept.get(each.getKey())));
     }
+    assertEquals(CUT, EntryCodec.cut(new FieldReader(kept.get("cut"))));
+  }
 
-    @Test
-    void everyKindOfMessageIsWrittenAsBefore() throws Exception {
-        HexLines.compare(HexLines.read(MESSAGES), writtenMessages());
-    }
+  @Test
+  void everyKindOfMessageIsWrittenAsBefore() throws Exception {
+    HexLines.compare(HexLines.read(MESSAGES), writtenMessages());
+  }
 
-    @Test
-    void everyKindOfMessageIsReadAsBefore() throws Exception {
-        Map<String, byte[]> kept = HexLines.read(MESSAGES);
-        assertEquals(messages().keySet(), kept.keySet());
-        for (Map.Entry<String, ChannelsMessage> each : messages().entrySet()) {
-            HexLines.same((Record) each.getValue(),
-                    (Record) ChannelsCodec.message(kept.get(each.getKey())));
-        }
+  @Test
+  void everyKindOfMessageIsReadAsBefore() throws Exception {
+    Map<String, byte[]> kept = HexLines.read(MESSAGES);
+    assertEquals(messages().keySet(), kept.keySet());
+    for (Map.Entry<String, ChannelsMessage> each : messages().entrySet()) {
+      HexLines.same(
+          (Record) each.getValue(), (Record) ChannelsCodec.message(kept.get(each.getKey())));
     }
+  }
 
-    @Test
-    void noKindOfMessageIsLeftOut() {
-        assertEquals(Stream.of(ChannelsMessage.class.getPermittedSubclasses())
-                .collect(Collectors.toSet()),
-                messages().values().stream().map(Object::getClass).collect(Collectors.toSet()));
-    }
+  @Test
+  void noKindOfMessageIsLeftOut() {
+    assertEquals(
+        Stream.of(ChannelsMessage.class.getPermittedSubclasses()).collect(Collectors.toSet()),
+        messages().values().stream().map(Object::getClass).collect(Collectors.toSet()));
+  }
 
-    @Test
-    void clientsGetAndGiveNamesOfEventsAsBefore() {
-        Dot dot = new Dot(0x1234567890L, 17, 0x18c000000000001L);
-        assertEquals("1234567890-17-18c000000000001", dot.text());
-        assertEquals(dot, Dot.parse("1234567890-17-18c000000000001").orElseThrow());
-    }
+  @Test
+  void clientsGetAndGiveNamesOfEventsAsBefore() {
+    Dot dot = new Dot(0x1234567890L, 17, 0x18c000000000001L);
+    assertEquals("1234567890-17-18c000000000001", dot.text());
+    assertEquals(dot, Dot.parse("1234567890-17-18c000000000001").orElseThrow());
+  }
 
-    @Test
-    void kindsThatAreSentByNumberHaveTheirOrder() {
-        assertEquals(List.of(Kind.CUE, Kind.CORRECTION, Kind.RETRACTION, Kind.AIR, Kind.NOTE),
-                List.of(Kind.values()));
-    }
+  @Test
+  void kindsThatAreSentByNumberHaveTheirOrder() {
+    assertEquals(
+        List.of(Kind.CUE, Kind.CORRECTION, Kind.RETRACTION, Kind.AIR, Kind.NOTE),
+        List.of(Kind.values()));
+  }
 }
--- a/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
+++ b/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
@@ -13,71 +13,78 @@
 
 /** Guards the bytes of every kind of message between members. */
 class MemberMessageFormatGuardTest {
-    private static final String RESOURCE = "member-messages.hex";
-    private static final Card CARD = new Card(3, 0x1122334455667788L, "h1:7001", "north");
+  private static final String RESOURCE = "member-messages.hex";
+  private static final Card CARD = new Card(3, 0x1122334455667788L, "h1:7001", "north");
 
-    static Map<String, MemberMessage> messages() {
-        Card other = new Card(300, -5, "h2:7002", "südwest");
-        List<Rumour> rumours = List.of(new Rumour("b", Standing.ALIVE, other, "", 0),
-                new Rumour("c", Standing.SUSPECTED, other, "d", 12_345),
-                new Rumour("e", Standing.GONE, other, "f", 1),
-                new Rumour("g", Standing.LEFT, other, "", MemberCodec.AGE_MOST));
-        Doubt doubt = new Doubt(Standing.SUSPECTED, 7, 0x0102030405060708L);
-        Map<String, MemberMessage> all = new LinkedHashMap<>();
-        all.put("probe", new MemberMessage.Probe(CARD, 0x0a0b0c0dL, "b", doubt, rumours));
-        all.put("probe-bare", new MemberMessage.Probe(CARD, 1, "", Doubt.NONE, List.of()));
-        all.put("ack", new MemberMessage.Ack(CARD, -1, doubt, rumours));
-        all.put("ask", new MemberMessage.Ask(CARD, 9, "b", "h2:7002", doubt, rumours));
-        all.put("vouch", new MemberMessage.Vouch(CARD, 9, true, rumours));
-        all.put("vouch-not", new MemberMessage.Vouch(CARD, 9, false, List.of()));
-        all.put("gossip", new MemberMessage.Gossip(CARD, doubt, rumours));
-        all.put("digest", new MemberMessage.Digest(CARD, 0x77L,
-                IntStream.range(0, MemberCodec.BUCKETS).mapToObj(i -> i * 0x01010101 - 9)
-                        .toList()));
-        all.put("listing", new MemberMessage.Listing(CARD, 31, "a", "m", true, rumours));
-        for (Standing standing : Standing.values()) {
-            all.put("doubt-" + standing.ordinal(), new MemberMessage.Gossip(CARD,
-                    new Doubt(standing, 2, 4), List.of()));
-        }
-        return all;
+  static Map<String, MemberMessage> messages() {
+    Card other = new Card(300, -5, "h2:7002", "südwest");
+    List<Rumour> rumours =
+        List.of(
+            new Rumour("b", Standing.ALIVE, other, "", 0),
+            new Rumour("c", Standing.SUSPECTED, other, "d", 12_345),
+            new Rumour("e", Standing.GONE, other, "f", 1),
+            new Rumour("g", Standing.LEFT, other, "", MemberCodec.AGE_MOST));
+    Doubt doubt = new Doubt(Standing.SUSPECTED, 7, 0x0102030405060708L);
+    Map<String, MemberMessage> all = new LinkedHashMap<>();
+    all.put("probe", new MemberMessage.Probe(CARD, 0x0a0b0c0dL, "b", doubt, rumours));
+    all.put("probe-bare", new MemberMessage.Probe(CARD, 1, "", Doubt.NONE, List.of()));
+    all.put("ack", new MemberMessage.Ack(CARD, -1, doubt, rumours));
+    all.put("ask", new MemberMessage.Ask(CARD, 9, "b", "h2:7002", doubt, rumours));
+    all.put("vouch", new MemberMessage.Vouch(CARD, 9, true, rumours));
+    all.put("vouch-not", new MemberMessage.Vouch(CARD, 9, false, List.of()));
+    all.put("gossip", new MemberMessage.Gossip(CARD, doubt, rumours));
+    all.put(
+        "digest",
+        new MemberMessage.Digest(
+            CARD,
+            0x77L,
+            IntStream.range(0, MemberCodec.BUCKETS).mapToObj(i -> i * 0x01010101 - 9).toList()));
+    all.put("listing", new MemberMessage.Listing(CARD, 31, "a", "m", true, rumours));
+    for (Standing standing : Standing.values()) {
+      all.put(
+          "doubt-" + standing.ordinal(),
+          new MemberMessage.Gossip(CARD, new Doubt(standing, 2, 4), List.of()));
     }
+    return all;
+  }
 
-    static Map<String, byte[]> written() {
-        Map<String, byte[]> all = new LinkedHashMap<>();
-        messages().forEach((name, message) -> all.put(name, MemberCodec.write(message)));
-        return all;
-    }
+  static Map<String, byte[]> written() {
+    Map<String, byte[]> all = new LinkedHashMap<>();
+    messages().forEach((name, message) -> all.put(name, MemberCodec.write(message)));
+    return all;
+  }
 
-    @Test
-    void everyKindIsWrittenAsBefore() throws Exception {
-        HexLines.compare(HexLines.read(RESOURCE), written());
-    }
+  @Test
+  void everyKindIsWrittenAsBefore() throws Exception {
+    HexLines.compare(HexLines.read(RESOURCE), written());
+  }
 
-    @Test
-    void everyKindIsReadAsBefore() throws Exception {
-        Map<String, byte[]> kept = HexLines.read(RESOURCE);
-        assertEquals(messages().keySet(), kept.keySet());
-        for (Map.Entry<String, MemberMessage> each : messages().entrySet()) {
-            assertEquals(each.getValue(), MemberCodec.read(kept.get(each.getKey())));
-        }
+  @Test
+  void everyKindIsReadAsBefore() throws Exception {
+    Map<String, byte[]> kept = HexLines.read(RESOURCE);
+    assertEquals(messages().keySet(), kept.keySet());
+    for (Map.Entry<String, MemberMessage> each : messages().entrySet()) {
+      assertEquals(each.getValue(), MemberCodec.read(kept.get(each.getKey())));
     }
+  }
 
-    @Test
-    void noKindIsLeftOut() {
-        assertEquals(Stream.of(MemberMessage.class.getPermittedSubclasses())
-                .collect(Collectors.toSet()),
-                messages().values().stream().map(Object::getClass).collect(Collectors.toSet()));
-    }
+  @Test
+  void noKindIsLeftOut() {
+    assertEquals(
+        Stream.of(MemberMessage.class.getPermittedSubclasses()).collect(Collectors.toSet()),
+        messages().values().stream().map(Object::getClass).collect(Collectors.toSet()));
+  }
 
-    @Test
-    void namesFallIntoTheSameBuckets() {
-        assertEquals(List.of(30, 16),
-                List.of(MemberCodec.bucket("a"), MemberCodec.bucket("gateway-1")));
-    }
+  @Test
+  void namesFallIntoTheSameBuckets() {
+    assertEquals(
+        List.of(30, 16), List.of(MemberCodec.bucket("a"), MemberCodec.bucket("gateway-1")));
+  }
 
-    @Test
-    void standingsThatAreSentByNumberHaveTheirOrder() {
-        assertEquals(List.of(Standing.ALIVE, Standing.SUSPECTED, Standing.GONE, Standing.LEFT),
-                List.of(Standing.values()));
-    }
+  @Test
+  void standingsThatAreSentByNumberHaveTheirOrder() {
+    assertEquals(
+        List.of(Standing.ALIVE, Standing.SUSPECTED, Standing.GONE, Standing.LEFT),
+        List.of(Standing.values()));
+  }
 }
--- a/operator/src/main/java/tillerlink/operator/Http2Part.java
+++ b/operator/src/main/java/tillerlink/operator/Http2Part.java
@@ -6,21 +6,22 @@
 
 /** The part <code>http2</code>. */
 final class Http2Part {
-    private Http2Part() {
-    }
+  private Http2Part() {}
 
-    /** Which engines are reached over HTTP/2. */
-    static H2Carriers read(Section section) {
-        if (section == null) {
-            return null;
-        }
-        H2Carriers carriers = new H2Carriers(section.flag("all", false),
-                Set.copyOf(new LinkedHashSet<>(section.texts("kinds", false))),
-                (int) section.whole("streams_most", 1, 100_000, 0));
-        if (!carriers.all() && carriers.kinds().isEmpty()) {
-            section.fault("http2 wants kinds, or all = true");
-        }
-        section.close();
-        return carriers;
+  /** Which engines are reached over HTTP/2. */
+  static H2Carriers read(Section section) {
+    if (section == null) {
+      return null;
+    }
+    H2Carriers carriers =
+        new H2Carriers(
+            section.flag("all", false),
+            Set.copyOf(new LinkedHashSet<>(section.texts("kinds", false))),
+            (int) section.whole("streams_most", 1, 100_000, 0));
+    if (!carriers.all() && carriers.kinds().isEmpty()) {
+      section.fault("http2 wants kinds, or all = true");
     }
+    section.close();
+    return carriers;
+  }
 }
--- a/operator/src/main/java/tillerlink/operator/LogPart.java
+++ b/operator/src/main/java/tillerlink/operator/LogPart.java
@@ -6,16 +6,17 @@
 
 /** The part <code>log</code>. */
 final class LogPart {
-    private LogPart() {
-    }
+  private LogPart() {}
 
-    static Log read(Section section) {
-        if (section == null) {
-            return null;
-        }
-        Log log = new Log(section.choice("form", Form.TEXT, Form.class),
-                section.choice("level", Level.INFO, Level.class));
-        section.close();
-        return log;
+  static Log read(Section section) {
+    if (section == null) {
+      return null;
     }
+    Log log =
+        new Log(
+            section.choice("form", Form.TEXT, Form.class),
+            section.choice("level", Level.INFO, Level.class));
+    section.close();
+    return log;
+  }
 }
--- a/operator/src/main/java/tillerlink/operator/OperatorFile.java
+++ b/operator/src/main/java/tillerlink/operator/OperatorFile.java
@@ -16,57 +16,88 @@
  *
  * @param tracks in the order of the file: the first whose tests a row passes takes it
  */
-public record OperatorFile(Log log, H2Carriers http2, Storing store, Members members, Channels channels,
-                           Statements statements, List<Layout> layouts, Fleet fleet, List<Track> tracks,
-                           List<Trouble> troubles, Replaying replay) {
-    /** How log lines look. */
-    public record Log(Form form, Level level) {
-    }
+public record OperatorFile(
+    Log log,
+    H2Carriers http2,
+    Storing store,
+    Members members,
+    Channels channels,
+    Statements statements,
+    List<Layout> layouts,
+    Fleet fleet,
+    List<Track> tracks,
+    List<Trouble> troubles,
+    Replaying replay) {
+  /** How log lines look. */
+  public record Log(Form form, Level level) {}
 
-    /** Plain text, or a JSON object a line. */
-    public enum Form { TEXT, JSON }
+  /** Plain text, or a JSON object a line. */
+  public enum Form {
+    TEXT,
+    JSON
+  }
 
-    /** What is logged at the least. */
-    public enum Level { DEBUG, INFO, WARN, ERROR }
+  /** What is logged at the least. */
+  public enum Level {
+    DEBUG,
+    INFO,
+    WARN,
+    ERROR
+  }
 
-    /** What a replay is by default; times are tenths of a millisecond. */
-    public record Replaying(double load, Plan.Scale scale, long window, double error, double badMost, long seed) {
-    }
+  /** What a replay is by default; times are tenths of a millisecond. */
+  public record Replaying(
+      double load, Plan.Scale scale, long window, double error, double badMost, long seed) {}
 
-    /** Where gateways remember what outlives them; the age from which it is not trusted, in tenths of a millisecond. */
-    public record Storing(String folder, long ageMost, long bytesMost) {
-    }
+  /**
+   * Where gateways remember what outlives them; the age from which it is not trusted, in tenths of
+   * a millisecond.
+   */
+  public record Storing(String folder, long ageMost, long bytesMost) {}
 
-    /** The file as a whole is wrong: all its faults, each with its place. */
-    public static final class FaultyException extends IOException {
-        private static final long serialVersionUID = 1L;
-        private final transient List<Fault> faults;
+  /** The file as a whole is wrong: all its faults, each with its place. */
+  public static final class FaultyException extends IOException {
+    private static final long serialVersionUID = 1L;
+    private final transient List<Fault> faults;
 
-        FaultyException(Path file, List<Fault> faults) {
-            super(file + ":" + faults.get(0) + (faults.size() == 1 ? ""
-                    : " (and " + (faults.size() - 1) + " more faults)"));
-            this.faults = faults;
-        }
+    FaultyException(Path file, List<Fault> faults) {
+      super(
+          file
+              + ":"
+              + faults.get(0)
+              + (faults.size() == 1 ? "" : " (and " + (faults.size() - 1) + " more faults)"));
+      this.faults = faults;
+    }
 
-        public List<Fault> faults() {
-            return faults;
-        }
+    public List<Fault> faults() {
+      return faults;
     }
+  }
 
-    /** @throws FaultyException if anything in it can't be used */
-    public static OperatorFile read(Path path) throws IOException {
-        List<Fault> faults = new ArrayList<>();
-        Section all = HclReader.read(path, faults);
-        OperatorFile file = new OperatorFile(LogPart.read(all.one("log")), Http2Part.read(all.one("http2")),
-                StorePart.read(all.one("store")), Members.read(all.one("members")),
-                Channels.read(all.one("channels")), Statements.read(all.one("statements")),
-                LayoutPart.read(all), FleetPart.read(all.one("fleet")), TrackPart.read(all), TroublePart.read(all),
-                ReplayPart.read(all.one("replay")));
-        all.close();
-        NamesCheck.check(all, file);
-        if (!faults.isEmpty()) {
-            throw new FaultyException(path, faults.stream().sorted().distinct().toList());
-        }
-        return file;
+  /**
+   * @throws FaultyException if anything in it can't be used
+   */
+  public static OperatorFile read(Path path) throws IOException {
+    List<Fault> faults = new ArrayList<>();
+    Section all = HclReader.read(path, faults);
+    OperatorFile file =
+        new OperatorFile(
+            LogPart.read(all.one("log")),
+            Http2Part.read(all.one("http2")),
+            StorePart.read(all.one("store")),
+            Members.read(all.one("members")),
+            Channels.read(all.one("channels")),
+            Statements.read(all.one("statements")),
+            LayoutPart.read(all),
+            FleetPart.read(all.one("fleet")),
+            TrackPart.read(all),
+            TroublePart.read(all),
+            ReplayPart.read(all.one("replay")));
+    all.close();
+    NamesCheck.check(all, file);
+    if (!faults.isEmpty()) {
+      throw new FaultyException(path, faults.stream().sorted().distinct().toList());
     }
+    return file;
+  }
 }
--- a/operator/src/main/java/tillerlink/operator/ReplayPart.java
+++ b/operator/src/main/java/tillerlink/operator/ReplayPart.java
@@ -4,19 +4,21 @@
 
 /** The part <code>replay</code>. */
 final class ReplayPart {
-    private ReplayPart() {
-    }
+  private ReplayPart() {}
 
-    static OperatorFile.Replaying read(Section section) {
-        if (section == null) {
-            return null;
-        }
-        OperatorFile.Replaying replay = new OperatorFile.Replaying(section.number("load", 0.001, 10, 0.6),
-                section.choice("scale", Plan.Scale.TIME, Plan.Scale.class),
-                Math.round(section.number("window_s", 0, 1e7, 3600) * Units.TENTHS_PER_S),
-                section.number("estimate_error", 0, 5, 0.4), section.number("bad_most", 0, 1, 0.1),
-                section.whole("seed", 0, 1L << 40, 1));
-        section.close();
-        return replay;
+  static OperatorFile.Replaying read(Section section) {
+    if (section == null) {
+      return null;
     }
+    OperatorFile.Replaying replay =
+        new OperatorFile.Replaying(
+            section.number("load", 0.001, 10, 0.6),
+            section.choice("scale", Plan.Scale.TIME, Plan.Scale.class),
+            Math.round(section.number("window_s", 0, 1e7, 3600) * Units.TENTHS_PER_S),
+            section.number("estimate_error", 0, 5, 0.4),
+            section.number("bad_most", 0, 1, 0.1),
+            section.whole("seed", 0, 1L << 40, 1));
+    section.close();
+    return replay;
+  }
 }
--- a/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
@@ -23,80 +23,171 @@
  * every part is compared with what it says.
  */
 class OperatorFileGuardTest {
-    private OperatorFile file;
+  private OperatorFile file;
 
-    @BeforeEach
-    void read() throws Exception {
-        file = OperatorFile.read(Path.of(
-                OperatorFileGuardTest.class.getResource("/guards/operator.hcl").toURI()));
-    }
+  @BeforeEach
+  void read() throws Exception {
+    file =
+        OperatorFile.read(
+            Path.of(OperatorFileGuardTest.class.getResource("/guards/operator.hcl").toURI()));
+  }
 
-    @Test
-    void logHttp2StoreAndReplay() {
-        assertEquals(new OperatorFile.Log(OperatorFile.Form.TEXT, OperatorFile.Level.INFO),
-                file.log());
-        assertEquals(new H2Carriers(false, Set.of("big-16"), 256), file.http2());
-        assertEquals(new OperatorFile.Storing("/var/lib/tillerlink", 864_000_000, 16_777_216),
-                file.store());
-        assertEquals(new OperatorFile.Replaying(0.6, Plan.Scale.TIME, 36_000_000, 0.4, 0.1, 1),
-                file.replay());
-    }
+  @Test
+  void logHttp2StoreAndReplay() {
+    assertEquals(new OperatorFile.Log(OperatorFile.Form.TEXT, OperatorFile.Level.INFO), file.log());
+    assertEquals(new H2Carriers(false, Set.of("big-16"), 256), file.http2());
+    assertEquals(
+        new OperatorFile.Storing("/var/lib/tillerlink", 864_000_000, 16_777_216), file.store());
+    assertEquals(
+        new OperatorFile.Replaying(0.6, Plan.Scale.TIME, 36_000_000, 0.4, 0.1, 1), file.replay());
+  }
 
-    @Test
-    void membersChannelsAndStatements() {
-        assertEquals(new Members("newsroom", "north", "10.1.0.7:7400",
-                List.of("10.1.0.7:7400", "10.2.0.7:7400"), "/etc/tillerlink/fleet.secret",
-                Map.of("south-1", "10.9.0.2:7400"), 5000), file.members());
-        assertEquals(new Channels(List.of("north", "south", "studio"),
-                List.of("north-1", "south-1", "studio-1"), 3_000_000, 600_000, 67_108_864,
-                1_073_741_824, 64), file.channels());
-        assertEquals(new Statements(List.of("north-1", "north-2", "south-1"), 30_000, 0.01, false),
-                file.statements());
-    }
+  @Test
+  void membersChannelsAndStatements() {
+    assertEquals(
+        new Members(
+            "newsroom",
+            "north",
+            "10.1.0.7:7400",
+            List.of("10.1.0.7:7400", "10.2.0.7:7400"),
+            "/etc/tillerlink/fleet.secret",
+            Map.of("south-1", "10.9.0.2:7400"),
+            5000),
+        file.members());
+    assertEquals(
+        new Channels(
+            List.of("north", "south", "studio"),
+            List.of("north-1", "south-1", "studio-1"),
+            3_000_000,
+            600_000,
+            67_108_864,
+            1_073_741_824,
+            64),
+        file.channels());
+    assertEquals(
+        new Statements(List.of("north-1", "north-2", "south-1"), 30_000, 0.01, false),
+        file.statements());
+  }
 
-    @Test
-    void layouts() {
-        assertEquals(List.of(
-                new Layout("batch-log", ';', true, List.of(), 10, "begin", "finish", "cpu", 0.01,
-                        "mem", "job", null, "team", null, null,
-                        List.of(new Layout.Test("state", List.of("done"), false, Double.NaN,
-                                Double.NaN)), Double.MAX_VALUE),
-                new Layout("events", ',', false, List.of("at", "job", "task", "event", "cpu"),
-                        0.01, "at", null, "cpu", 1, null, "job", "task", null, null,
-                        new Layout.Pairing("event", List.of("START"), List.of("FINISH"),
-                                List.of("KILL", "EVICT")), List.of(), Double.MAX_VALUE)),
-                file.layouts());
-    }
+  @Test
+  void layouts() {
+    assertEquals(
+        List.of(
+            new Layout(
+                "batch-log",
+                ';',
+                true,
+                List.of(),
+                10,
+                "begin",
+                "finish",
+                "cpu",
+                0.01,
+                "mem",
+                "job",
+                null,
+                "team",
+                null,
+                null,
+                List.of(new Layout.Test("state", List.of("done"), false, Double.NaN, Double.NaN)),
+                Double.MAX_VALUE),
+            new Layout(
+                "events",
+                ',',
+                false,
+                List.of("at", "job", "task", "event", "cpu"),
+                0.01,
+                "at",
+                null,
+                "cpu",
+                1,
+                null,
+                "job",
+                "task",
+                null,
+                null,
+                new Layout.Pairing(
+                    "event", List.of("START"), List.of("FINISH"), List.of("KILL", "EVICT")),
+                List.of(),
+                Double.MAX_VALUE)),
+        file.layouts());
+  }
 
-    @Test
-    void fleet() {
-        assertEquals(new Fleet(3, 4096,
-                List.of(new Kind("small-8", 8, 20_000, false),
-                        new Kind("big-16", 16, 40_000, false)),
-                List.of("east", "west"),
-                List.of(new Spec("a1", 0, 0), new Spec("a2", 0, 0), new Spec("a3", 0, 0),
-                        new Spec("a4", 0, 0), new Spec("a5", 0, 0), new Spec("b1", 0, 1),
-                        new Spec("b2", 0, 1), new Spec("b3", 0, 1), new Spec("b4", 0, 1),
-                        new Spec("c1", 1, 1), new Spec("c2", 1, 1), new Spec("c3", 1, 1)),
-                15_000, 0.25, 100_000, 3.5, 20_000, 8000, 4, 0.15, 120_000, 4, 8000),
-                file.fleet());
-    }
+  @Test
+  void fleet() {
+    assertEquals(
+        new Fleet(
+            3,
+            4096,
+            List.of(new Kind("small-8", 8, 20_000, false), new Kind("big-16", 16, 40_000, false)),
+            List.of("east", "west"),
+            List.of(
+                new Spec("a1", 0, 0),
+                new Spec("a2", 0, 0),
+                new Spec("a3", 0, 0),
+                new Spec("a4", 0, 0),
+                new Spec("a5", 0, 0),
+                new Spec("b1", 0, 1),
+                new Spec("b2", 0, 1),
+                new Spec("b3", 0, 1),
+                new Spec("b4", 0, 1),
+                new Spec("c1", 1, 1),
+                new Spec("c2", 1, 1),
+                new Spec("c3", 1, 1)),
+            15_000,
+            0.25,
+            100_000,
+            3.5,
+            20_000,
+            8000,
+            4,
+            0.15,
+            120_000,
+            4,
+            8000),
+        file.fleet());
+  }
 
-    @Test
-    void tracks() {
-        assertEquals(List.of(
-                new Track("intake", Effect.RECEIPTED, 2, 40_000, 180_000, 4, 2, List.of(), 180_000,
-                        5000, List.of(new Layout.Test("team", List.of("etl", "import"), false,
-                                Double.NaN, Double.NaN))),
-                new Track("sheet", Effect.PURE, 3, 25_000, 240_000, 3, 1.2, List.of("small-8"), 0,
-                        6000, List.of(new Layout.Test("cpu", List.of(), false, 200, 1e300))),
-                new Track("look", Effect.PURE, 1, 9000, 45_000, 1, 0.25, List.of(), 0, 800,
-                        List.of())), file.tracks());
-    }
+  @Test
+  void tracks() {
+    assertEquals(
+        List.of(
+            new Track(
+                "intake",
+                Effect.RECEIPTED,
+                2,
+                40_000,
+                180_000,
+                4,
+                2,
+                List.of(),
+                180_000,
+                5000,
+                List.of(
+                    new Layout.Test(
+                        "team", List.of("etl", "import"), false, Double.NaN, Double.NaN))),
+            new Track(
+                "sheet",
+                Effect.PURE,
+                3,
+                25_000,
+                240_000,
+                3,
+                1.2,
+                List.of("small-8"),
+                0,
+                6000,
+                List.of(new Layout.Test("cpu", List.of(), false, 200, 1e300))),
+            new Track("look", Effect.PURE, 1, 9000, 45_000, 1, 0.25, List.of(), 0, 800, List.of())),
+        file.tracks());
+  }
 
-    @Test
-    void troubles() {
-        assertEquals(List.of(new Trouble(200_000, Trouble.What.SLOW, "a2", 100_000, 4),
-                new Trouble(400_000, Trouble.What.REPLACED, "b1", 30_000, 1)), file.troubles());
-    }
+  @Test
+  void troubles() {
+    assertEquals(
+        List.of(
+            new Trouble(200_000, Trouble.What.SLOW, "a2", 100_000, 4),
+            new Trouble(400_000, Trouble.What.REPLACED, "b1", 30_000, 1)),
+        file.troubles());
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/Journal.java
+++ b/peering/src/main/java/tillerlink/peering/Journal.java
@@ -7,75 +7,79 @@
 import tillerlink.members.terms.Watcher;
 import tillerlink.peers.Reach;
 
-/** Logs what changes among the members. Guards the log against a network that makes hundreds come and go at once. */
+/**
+ * Logs what changes among the members. Guards the log against a network that makes hundreds come
+ * and go at once.
+ */
 final class Journal {
-    private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
-    private static final int AT_ONCE = 40;
-    private static final long EVERY = 100_000;
+  private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
+  private static final int AT_ONCE = 40;
+  private static final long EVERY = 100_000;
 
-    private long since = Long.MIN_VALUE;
-    private int written;
-    private long leftOut;
+  private long since = Long.MIN_VALUE;
+  private int written;
+  private long leftOut;
 
-    /** How another stands now. */
-    void reach(long now, String name, Reach was, Reach is) {
-        if (since == Long.MIN_VALUE || now >= since + EVERY) {
-            if (leftOut > 0) {
-                LOG.info("members: {} more changes, not told one by one", leftOut);
-            }
-            since = now;
-            written = 0;
-            leftOut = 0;
-        }
-        if (written++ < AT_ONCE) {
-            LOG.info("member {} is {}, was {}", name, word(is), word(was));
-        } else {
-            leftOut++;
-        }
+  /** How another stands now. */
+  void reach(long now, String name, Reach was, Reach is) {
+    if (since == Long.MIN_VALUE || now >= since + EVERY) {
+      if (leftOut > 0) {
+        LOG.info("members: {} more changes, not told one by one", leftOut);
+      }
+      since = now;
+      written = 0;
+      leftOut = 0;
     }
-
-    private static String word(Reach reach) {
-        return switch (reach) {
-            case REACHABLE -> "reachable";
-            case THROUGH_OTHERS -> "reachable through others";
-            case SUSPECTED -> "suspected";
-            case GONE -> "gone";
-            case LEFT -> "left";
-        };
+    if (written++ < AT_ONCE) {
+      LOG.info("member {} is {}, was {}", name, word(is), word(was));
+    } else {
+      leftOut++;
     }
+  }
 
-    /** A line that comes at a bounded rate already. */
-    void line(String words) {
-        LOG.warn(words);
-    }
+  private static String word(Reach reach) {
+    return switch (reach) {
+      case REACHABLE -> "reachable";
+      case THROUGH_OTHERS -> "reachable through others";
+      case SUSPECTED -> "suspected";
+      case GONE -> "gone";
+      case LEFT -> "left";
+    };
+  }
 
-    /** As members tell of it. */
-    Watcher watching(LongSupplier now, LongConsumer incarnation) {
-        return new Watcher() {
-            @Override
-            public void reach(String name, Reach was, Reach is) {
-                Journal.this.reach(now.getAsLong(), name, was, is);
-            }
+  /** A line that comes at a bounded rate already. */
+  void line(String words) {
+    LOG.warn(words);
+  }
 
-            @Override
-            public void renewed(String name, long own) {
-                LOG.info("member {} was started anew, incarnation {}", name, own);
-            }
+  /** As members tell of it. */
+  Watcher watching(LongSupplier now, LongConsumer incarnation) {
+    return new Watcher() {
+      @Override
+      public void reach(String name, Reach was, Reach is) {
+        Journal.this.reach(now.getAsLong(), name, was, is);
+      }
 
-            @Override
-            public void incarnation(long own) {
-                incarnation.accept(own);
-            }
+      @Override
+      public void renewed(String name, long own) {
+        LOG.info("member {} was started anew, incarnation {}", name, own);
+      }
 
-            @Override
-            public void yielded() {
-                LOG.error("another process has this gateway's name and keeps it: this one takes part no more");
-            }
+      @Override
+      public void incarnation(long own) {
+        incarnation.accept(own);
+      }
 
-            @Override
-            public void line(String words) {
-                Journal.this.line(words);
-            }
-        };
-    }
+      @Override
+      public void yielded() {
+        LOG.error(
+            "another process has this gateway's name and keeps it: this one takes part no more");
+      }
+
+      @Override
+      public void line(String words) {
+        Journal.this.line(words);
+      }
+    };
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -36,243 +36,307 @@
 import tillerlink.peers.Post;
 
 /**
- * What this gateway shares with others, on its process: feeds members and the other parts with messages, calls and
- * time, all in turns of the gateway's one thread. Before anything that waited it tells them if the process had been
- * away.
+ * What this gateway shares with others, on its process: feeds members and the other parts with
+ * messages, calls and time, all in turns of the gateway's one thread. Before anything that waited
+ * it tells them if the process had been away.
  */
 public final class Peering implements Side {
-    private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
-    /** A turn is taken that often though nothing comes, so that a pause of the process shows. */
-    private static final long BEAT = 1000;
-    /** Nothing done for so much longer than that: the process was away. */
-    private static final long AWAY_LEAST = 2000;
-    private static final String INCARNATION = "incarnation";
-    private static final String FOLDER = "shared";
-    private static final long WALL_PER_MS = 10;
-    private static final long COME_BACK_MS = 1000;
-
-    private final Sharing sharing;
-    private final Assignment assignment;
-    private final Consumer<Runnable> turns;
-    private final LongSupplier clock;
-    private final Watchdog watchdog = new Watchdog();
-    private final Journal journal = new Journal();
-    private final List<Attached> parts = new ArrayList<>();
-    private final Outbox outbox;
-    private final Inbox inbox;
-    private final Keep keep;
-    private final Members members;
-    private final Book book;
-    private Datagrams datagrams;
-    private long now;
-    /** Something was told to the parts that they have not had a turn for. */
-    private boolean stirred = true;
-
-    /** What makes it when a gateway starts. */
-    public static Side.Factory factory(Sharing sharing, List<Attaching> others) {
-        return (assignment, door, turns, clock) -> new Peering(sharing, others, assignment, door, turns, clock);
-    }
+  private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
 
-    private Peering(Sharing sharing, List<Attaching> others, Assignment assignment, Side.Door door,
-                    Consumer<Runnable> turns, LongSupplier clock) throws IOException {
-        this.sharing = sharing;
-        this.assignment = assignment;
-        this.turns = turns;
-        this.clock = clock;
-        now = clock.getAsLong();
-        SecureRandom chance = new SecureRandom();
-        long life = chance.nextLong() | 1;
-        EnvelopeCodec codec = new EnvelopeCodec(sharing.fleet(), sharing.secret() == null ? null
-                : Seal.of(sharing.secret()));
-        outbox = new Outbox(codec, assignment.name(), life);
-        inbox = new Inbox(codec, assignment.name(), life, Post.BYTES_MOST, journal::line);
-        keep = sharing.folder() == null ? new NoKeep() : DiskKeep.open(sharing.folder().resolve(assignment.name())
-                .resolve(FOLDER), assignment.name(), sharing.keepMost(), this::later);
-        members = members(new SplittableRandom(chance.nextLong()));
-        book = new Book(sharing.reach(), members::address);
-        parts.add(new MembersDoor(members, inbox.refused()));
-        for (Attaching other : others) {
-            parts.add(other.attach(new Ground(assignment.name(), sharing.site(), members, post(other.number()),
-                    new Share(keep, other.name()), new SplittableRandom(chance.nextLong()),
-                    new WatchedDoor(door, watchdog), clock)));
-        }
-        datagrams = new Datagrams(sharing.listen(), Envelope.DATAGRAM_MOST, turns, this::came);
-        LOG.info("{} of fleet {} at site {} is reached by other gateways on {}", assignment.name(), sharing.fleet(),
-                sharing.site(), sharing.listen());
-    }
+  /** A turn is taken that often though nothing comes, so that a pause of the process shows. */
+  private static final long BEAT = 1000;
 
-    private Members members(SplittableRandom random) {
-        Keep own = new Share(keep, MembersDoor.NAME);
-        byte[] kept = own.found().get(INCARNATION);
-        long before = kept == null || kept.length != Long.BYTES ? 0 : ByteBuffer.wrap(kept).getLong();
-        Identity identity = new Identity(sharing.fleet(), assignment.name(), sharing.site(), sharing.listen(),
-                sharing.seeds(), before);
-        return new Members(identity, periods(), (address, body) -> send(book.instead(address), MembersDoor.NUMBER,
-                body), random, journal.watching(() -> now, incarnation -> own.set(INCARNATION,
-                ByteBuffer.allocate(Long.BYTES).putLong(incarnation).array(), null)), wall());
-    }
+  /** Nothing done for so much longer than that: the process was away. */
+  private static final long AWAY_LEAST = 2000;
 
-    /** All that follows from how often members are probed goes with it. */
-    private Periods periods() {
-        Periods usual = Periods.usual();
-        double share = (double) sharing.probeEvery() / usual.period();
-        return new Periods(sharing.probeEvery(), scaled(usual.answerWithin(), share), scaled(usual.waitMost(), share),
-                usual.relays(), usual.suspicionFactor(), usual.suspicionSpread(), usual.confirmations(),
-                scaled(usual.gossipEvery(), share), usual.gossipTo(), usual.rumourFactor(),
-                scaled(usual.retryEvery(), share), scaled(usual.digestEvery(), share), usual.rumourLife(),
-                usual.forgetAfter(), usual.healthMost(), usual.mostMembers());
-    }
+  private static final String INCARNATION = "incarnation";
+  private static final String FOLDER = "shared";
+  private static final long WALL_PER_MS = 10;
+  private static final long COME_BACK_MS = 1000;
 
-    private static long scaled(long span, double share) {
-        return Math.max(1, Math.round(span * share));
-    }
+  private final Sharing sharing;
+  private final Assignment assignment;
+  private final Consumer<Runnable> turns;
+  private final LongSupplier clock;
+  private final Watchdog watchdog = new Watchdog();
+  private final Journal journal = new Journal();
+  private final List<Attached> parts = new ArrayList<>();
+  private final Outbox outbox;
+  private final Inbox inbox;
+  private final Keep keep;
+  private final Members members;
+  private final Book book;
+  private Datagrams datagrams;
+  private long now;
 
-    // ---- messages ----
+  /** Something was told to the parts that they have not had a turn for. */
+  private boolean stirred = true;
 
-    private Post post(int part) {
-        return (to, body) -> {
-            String address = members.yielded() ? "" : book.of(to);
-            if (!address.isEmpty()) {
-                send(address, part, body);
-            }
-        };
+  /** What makes it when a gateway starts. */
+  public static Side.Factory factory(Sharing sharing, List<Attaching> others) {
+    return (assignment, door, turns, clock) ->
+        new Peering(sharing, others, assignment, door, turns, clock);
+  }
+
+  private Peering(
+      Sharing sharing,
+      List<Attaching> others,
+      Assignment assignment,
+      Side.Door door,
+      Consumer<Runnable> turns,
+      LongSupplier clock)
+      throws IOException {
+    this.sharing = sharing;
+    this.assignment = assignment;
+    this.turns = turns;
+    this.clock = clock;
+    now = clock.getAsLong();
+    SecureRandom chance = new SecureRandom();
+    long life = chance.nextLong() | 1;
+    EnvelopeCodec codec =
+        new EnvelopeCodec(
+            sharing.fleet(), sharing.secret() == null ? null : Seal.of(sharing.secret()));
+    outbox = new Outbox(codec, assignment.name(), life);
+    inbox = new Inbox(codec, assignment.name(), life, Post.BYTES_MOST, journal::line);
+    keep =
+        sharing.folder() == null
+            ? new NoKeep()
+            : DiskKeep.open(
+                sharing.folder().resolve(assignment.name()).resolve(FOLDER),
+                assignment.name(),
+                sharing.keepMost(),
+                this::later);
+    members = members(new SplittableRandom(chance.nextLong()));
+    book = new Book(sharing.reach(), members::address);
+    parts.add(new MembersDoor(members, inbox.refused()));
+    for (Attaching other : others) {
+      parts.add(
+          other.attach(
+              new Ground(
+                  assignment.name(),
+                  sharing.site(),
+                  members,
+                  post(other.number()),
+                  new Share(keep, other.name()),
+                  new SplittableRandom(chance.nextLong()),
+                  new WatchedDoor(door, watchdog),
+                  clock)));
     }
+    datagrams = new Datagrams(sharing.listen(), Envelope.DATAGRAM_MOST, turns, this::came);
+    LOG.info(
+        "{} of fleet {} at site {} is reached by other gateways on {}",
+        assignment.name(),
+        sharing.fleet(),
+        sharing.site(),
+        sharing.listen());
+  }
 
-    private void send(String address, int part, byte[] body) {
-        Invariant.holds(body.length <= Post.BYTES_MOST, () -> "a message of " + body.length + " bytes to " + address);
-        if (datagrams == null || body.length > Post.BYTES_MOST) {
-            return;
-        }
-        for (byte[] datagram : outbox.datagrams(part, body)) {
-            datagrams.send(address, datagram);
-        }
+  private Members members(SplittableRandom random) {
+    Keep own = new Share(keep, MembersDoor.NAME);
+    byte[] kept = own.found().get(INCARNATION);
+    long before = kept == null || kept.length != Long.BYTES ? 0 : ByteBuffer.wrap(kept).getLong();
+    Identity identity =
+        new Identity(
+            sharing.fleet(),
+            assignment.name(),
+            sharing.site(),
+            sharing.listen(),
+            sharing.seeds(),
+            before);
+    return new Members(
+        identity,
+        periods(),
+        (address, body) -> send(book.instead(address), MembersDoor.NUMBER, body),
+        random,
+        journal.watching(
+            () -> now,
+            incarnation ->
+                own.set(
+                    INCARNATION,
+                    ByteBuffer.allocate(Long.BYTES).putLong(incarnation).array(),
+                    null)),
+        wall());
+  }
+
+  /** All that follows from how often members are probed goes with it. */
+  private Periods periods() {
+    Periods usual = Periods.usual();
+    double share = (double) sharing.probeEvery() / usual.period();
+    return new Periods(
+        sharing.probeEvery(),
+        scaled(usual.answerWithin(), share),
+        scaled(usual.waitMost(), share),
+        usual.relays(),
+        usual.suspicionFactor(),
+        usual.suspicionSpread(),
+        usual.confirmations(),
+        scaled(usual.gossipEvery(), share),
+        usual.gossipTo(),
+        usual.rumourFactor(),
+        scaled(usual.retryEvery(), share),
+        scaled(usual.digestEvery(), share),
+        usual.rumourLife(),
+        usual.forgetAfter(),
+        usual.healthMost(),
+        usual.mostMembers());
+  }
+
+  private static long scaled(long span, double share) {
+    return Math.max(1, Math.round(span * share));
+  }
+
+  // ---- messages ----
+
+  private Post post(int part) {
+    return (to, body) -> {
+      String address = members.yielded() ? "" : book.of(to);
+      if (!address.isEmpty()) {
+        send(address, part, body);
+      }
+    };
+  }
+
+  private void send(String address, int part, byte[] body) {
+    Invariant.holds(
+        body.length <= Post.BYTES_MOST,
+        () -> "a message of " + body.length + " bytes to " + address);
+    if (datagrams == null || body.length > Post.BYTES_MOST) {
+      return;
+    }
+    for (byte[] datagram : outbox.datagrams(part, body)) {
+      datagrams.send(address, datagram);
     }
+  }
 
-    /** A datagram came. */
-    private void came(String from, byte[] datagram) {
-        watched(() -> {
-            Inbox.Message message = inbox.take(now, from, datagram);
-            if (message == null) {
-                return;
-            }
-            for (Attached part : parts) {
-                if (part.number() == message.part()) {
-                    part.machine().told(now, wall(), message.sender(), message.body());
-                    return;
-                }
+  /** A datagram came. */
+  private void came(String from, byte[] datagram) {
+    watched(
+        () -> {
+          Inbox.Message message = inbox.take(now, from, datagram);
+          if (message == null) {
+            return;
+          }
+          for (Attached part : parts) {
+            if (part.number() == message.part()) {
+              part.machine().told(now, wall(), message.sender(), message.body());
+              return;
             }
-            inbox.refuse(now, from, Refusal.NO_PART);
+          }
+          inbox.refuse(now, from, Refusal.NO_PART);
         });
-    }
+  }
 
-    // ---- turns ----
+  // ---- turns ----
 
-    private static long wall() {
-        return System.currentTimeMillis() * WALL_PER_MS;
-    }
+  private static long wall() {
+    return System.currentTimeMillis() * WALL_PER_MS;
+  }
 
-    /** Something for a later turn, from any thread. */
-    private void later(Runnable what) {
-        turns.accept(() -> watched(what));
-    }
+  /** Something for a later turn, from any thread. */
+  private void later(Runnable what) {
+    turns.accept(() -> watched(what));
+  }
 
-    /** All that reaches the parts goes this way: first they hear of it if the process was away. */
-    private void watched(Runnable what) {
-        watchdog.run(() -> {
-            notice();
-            stirred = true;
-            what.run();
+  /** All that reaches the parts goes this way: first they hear of it if the process was away. */
+  private void watched(Runnable what) {
+    watchdog.run(
+        () -> {
+          notice();
+          stirred = true;
+          what.run();
         });
-    }
+  }
 
-    private void notice() {
-        long before = now;
-        now = Math.max(now, clock.getAsLong());
-        if (now - before > BEAT + AWAY_LEAST) {
-            stirred = true;
-            parts.forEach(part -> part.machine().away(now, wall(), now - before));
-        }
+  private void notice() {
+    long before = now;
+    now = Math.max(now, clock.getAsLong());
+    if (now - before > BEAT + AWAY_LEAST) {
+      stirred = true;
+      parts.forEach(part -> part.machine().away(now, wall(), now - before));
     }
+  }
 
-    @Override
-    public void begin(long clockNow) {
-        watchdog.run(this::notice);
-    }
+  @Override
+  public void begin(long clockNow) {
+    watchdog.run(this::notice);
+  }
 
-    @Override
-    public void settle(long clockNow) {
-        watchdog.run(() -> {
-            notice();
-            for (Attached part : parts) {
-                if (stirred || now >= part.machine().dueAt()) {
-                    part.machine().turn(now, wall());
-                }
-                part.settled(now, wall());
+  @Override
+  public void settle(long clockNow) {
+    watchdog.run(
+        () -> {
+          notice();
+          for (Attached part : parts) {
+            if (stirred || now >= part.machine().dueAt()) {
+              part.machine().turn(now, wall());
             }
-            stirred = false;
+            part.settled(now, wall());
+          }
+          stirred = false;
         });
-    }
+  }
 
-    @Override
-    public long dueAt() {
-        long dueAt = now + BEAT;
-        for (Attached part : parts) {
-            dueAt = Math.min(dueAt, part.machine().dueAt());
-        }
-        return dueAt;
+  @Override
+  public long dueAt() {
+    long dueAt = now + BEAT;
+    for (Attached part : parts) {
+      dueAt = Math.min(dueAt, part.machine().dueAt());
     }
+    return dueAt;
+  }
 
-    // ---- clients ----
+  // ---- clients ----
 
-    @Override
-    public boolean takes(String path) {
-        return part(path) != null;
-    }
+  @Override
+  public boolean takes(String path) {
+    return part(path) != null;
+  }
 
-    private Attached part(String path) {
-        for (Attached part : parts) {
-            if (part.takes(path)) {
-                return part;
-            }
-        }
-        return null;
+  private Attached part(String path) {
+    for (Attached part : parts) {
+      if (part.takes(path)) {
+        return part;
+      }
     }
+    return null;
+  }
 
-    @Override
-    public void called(HttpCall call, Reply reply) {
-        Attached part = part(call.path());
-        watched(() -> {
-            if (members.yielded() && part.number() != MembersDoor.NUMBER) {
-                reply.answer(HttpAnswer.problem(503, "Yielded", COME_BACK_MS));
-            } else {
-                part.called(now, wall(), call, reply);
-            }
+  @Override
+  public void called(HttpCall call, Reply reply) {
+    Attached part = part(call.path());
+    watched(
+        () -> {
+          if (members.yielded() && part.number() != MembersDoor.NUMBER) {
+            reply.answer(HttpAnswer.problem(503, "Yielded", COME_BACK_MS));
+          } else {
+            part.called(now, wall(), call, reply);
+          }
         });
-    }
+  }
 
-    // ---- the end ----
+  // ---- the end ----
 
-    @Override
-    public void drain() {
-        watched(() -> parts.forEach(part -> part.drain(now, wall())));
-    }
+  @Override
+  public void drain() {
+    watched(() -> parts.forEach(part -> part.drain(now, wall())));
+  }
 
-    @Override
-    public void timeUp() {
-        watched(() -> parts.forEach(part -> part.timeUp(now, wall())));
-    }
+  @Override
+  public void timeUp() {
+    watched(() -> parts.forEach(part -> part.timeUp(now, wall())));
+  }
 
-    /** What parts say last goes out with the call, as all datagrams do. */
-    @Override
-    public void close() {
-        watched(() -> parts.forEach(part -> part.close(now, wall())));
-        datagrams.close();
-        if (keep instanceof DiskKeep disk) {
-            try {
-                disk.close();
-            } catch (IOException e) {
-                LOG.warn("what is kept was not closed: {}", e.toString());
-            }
-        }
+  /** What parts say last goes out with the call, as all datagrams do. */
+  @Override
+  public void close() {
+    watched(() -> parts.forEach(part -> part.close(now, wall())));
+    datagrams.close();
+    if (keep instanceof DiskKeep disk) {
+      try {
+        disk.close();
+      } catch (IOException e) {
+        LOG.warn("what is kept was not closed: {}", e.toString());
+      }
     }
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsDoor.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsDoor.java
@@ -12,123 +12,146 @@
 import tillerlink.peers.Part;
 
 /**
- * The logs of channels, for clients: {@code POST /v1/channels/NAME}, {@code GET /v1/channels/NAME/log/FROM},
- * {@code GET /v1/channels/NAME/cues} and {@code GET /v1/channels}.
+ * The logs of channels, for clients: {@code POST /v1/channels/NAME}, {@code GET
+ * /v1/channels/NAME/log/FROM}, {@code GET /v1/channels/NAME/cues} and {@code GET /v1/channels}.
  */
 public final class ChannelsDoor implements Attached {
-    private static final String PATH = "/v1/channels";
-    private static final String KEY = "x-operation-key";
-    private static final String NAME_FORM = "[A-Za-z0-9._-]{1,64}";
-    private static final int PAGE_BYTES = 200_000;
-    /** An append that is not kept by then is told to be unknown; asked again under its key it is the same one. */
-    private static final long KEEP_WITHIN = 100_000;
-    private static final int PER_MS = 10;
-
-    /** An append that is being kept. */
-    private static final class Owed {
-        final long until;
-        final Side.Reply reply;
-        boolean done;
-
-        Owed(long until, Side.Reply reply) {
-            this.until = until;
-            this.reply = reply;
-        }
-
-        void answer(HttpAnswer answer) {
-            if (!done) {
-                done = true;
-                reply.answer(answer);
-            }
-        }
+  private static final String PATH = "/v1/channels";
+  private static final String KEY = "x-operation-key";
+  private static final String NAME_FORM = "[A-Za-z0-9._-]{1,64}";
+  private static final int PAGE_BYTES = 200_000;
+
+  /**
+   * An append that is not kept by then is told to be unknown; asked again under its key it is the
+   * same one.
+   */
+  private static final long KEEP_WITHIN = 100_000;
+
+  private static final int PER_MS = 10;
+
+  /** An append that is being kept. */
+  private static final class Owed {
+    final long until;
+    final Side.Reply reply;
+    boolean done;
+
+    Owed(long until, Side.Reply reply) {
+      this.until = until;
+      this.reply = reply;
     }
 
-    private final Channels channels;
-    private final ArrayDeque<Owed> owed = new ArrayDeque<>();
-
-    ChannelsDoor(Channels channels) {
-        this.channels = channels;
-    }
-
-    @Override
-    public int number() {
-        return ChannelsPart.NUMBER;
+    void answer(HttpAnswer answer) {
+      if (!done) {
+        done = true;
+        reply.answer(answer);
+      }
     }
-
-    @Override
-    public Part machine() {
-        return channels;
+  }
+
+  private final Channels channels;
+  private final ArrayDeque<Owed> owed = new ArrayDeque<>();
+
+  ChannelsDoor(Channels channels) {
+    this.channels = channels;
+  }
+
+  @Override
+  public int number() {
+    return ChannelsPart.NUMBER;
+  }
+
+  @Override
+  public Part machine() {
+    return channels;
+  }
+
+  @Override
+  public boolean takes(String path) {
+    return path.equals(PATH) || path.startsWith(PATH + "/");
+  }
+
+  @Override
+  public void called(long now, long wall, HttpCall call, Side.Reply reply) {
+    String[] words = call.path().split("/", -1);
+    boolean named = words.length > 3 && words[3].matches(NAME_FORM);
+    if (words.length == 3) {
+      read(call, reply, ChannelsJson.state(channels));
+    } else if (named && words.length == 4) {
+      append(now, wall, call, words[3], reply);
+    } else if (named && words.length == 5 && words[4].equals("cues")) {
+      read(call, reply, ChannelsJson.cues(channels, words[3]));
+    } else if (named
+        && words.length == 6
+        && words[4].equals("log")
+        && words[5].matches("[0-9]{1,15}")) {
+      read(
+          call,
+          reply,
+          ChannelsJson.page(channels.read(words[3], Long.parseLong(words[5]), PAGE_BYTES)));
+    } else {
+      reply.answer(HttpAnswer.unknown());
     }
-
-    @Override
-    public boolean takes(String path) {
-        return path.equals(PATH) || path.startsWith(PATH + "/");
+  }
+
+  private static void read(HttpCall call, Side.Reply reply, byte[] body) {
+    reply.answer(
+        call.method() == HttpCall.Method.GET
+            ? new HttpAnswer(200, body, 0, false)
+            : HttpAnswer.problem(405, "Method", 0));
+  }
+
+  private void append(long now, long wall, HttpCall call, String channel, Side.Reply reply) {
+    if (call.method() != HttpCall.Method.POST) {
+      reply.answer(HttpAnswer.problem(405, "Method", 0));
+      return;
     }
-
-    @Override
-    public void called(long now, long wall, HttpCall call, Side.Reply reply) {
-        String[] words = call.path().split("/", -1);
-        boolean named = words.length > 3 && words[3].matches(NAME_FORM);
-        if (words.length == 3) {
-            read(call, reply, ChannelsJson.state(channels));
-        } else if (named && words.length == 4) {
-            append(now, wall, call, words[3], reply);
-        } else if (named && words.length == 5 && words[4].equals("cues")) {
-            read(call, reply, ChannelsJson.cues(channels, words[3]));
-        } else if (named && words.length == 6 && words[4].equals("log") && words[5].matches("[0-9]{1,15}")) {
-            read(call, reply, ChannelsJson.page(channels.read(words[3], Long.parseLong(words[5]), PAGE_BYTES)));
-        } else {
-            reply.answer(HttpAnswer.unknown());
-        }
+    Draft draft;
+    try {
+      draft = ChannelsJson.draft(call.body(), call.fields().getOrDefault(KEY, ""));
+    } catch (IOException e) {
+      reply.answer(
+          new HttpAnswer(400, ChannelsJson.problem("Malformed", e.getMessage()), 0, false));
+      return;
     }
-
-    private static void read(HttpCall call, Side.Reply reply, byte[] body) {
-        reply.answer(call.method() == HttpCall.Method.GET ? new HttpAnswer(200, body, 0, false)
-                : HttpAnswer.problem(405, "Method", 0));
+    Owed one = new Owed(now + KEEP_WITHIN, reply);
+    channels.append(now, wall, channel, draft, appended -> one.answer(answer(appended)));
+    if (!one.done) {
+      owed.add(one);
     }
-
-    private void append(long now, long wall, HttpCall call, String channel, Side.Reply reply) {
-        if (call.method() != HttpCall.Method.POST) {
-            reply.answer(HttpAnswer.problem(405, "Method", 0));
-            return;
-        }
-        Draft draft;
-        try {
-            draft = ChannelsJson.draft(call.body(), call.fields().getOrDefault(KEY, ""));
-        } catch (IOException e) {
-            reply.answer(new HttpAnswer(400, ChannelsJson.problem("Malformed", e.getMessage()), 0, false));
-            return;
-        }
-        Owed one = new Owed(now + KEEP_WITHIN, reply);
-        channels.append(now, wall, channel, draft, appended -> one.answer(answer(appended)));
-        if (!one.done) {
-            owed.add(one);
-        }
+  }
+
+  private static HttpAnswer answer(Appended appended) {
+    if (appended instanceof Appended.Refused it) {
+      return it.comeBack() > 0
+          ? new HttpAnswer(
+              503,
+              ChannelsJson.problem("Refused", it.why()),
+              Math.max(1, it.comeBack() / PER_MS),
+              false)
+          : new HttpAnswer(409, ChannelsJson.problem("Refused", it.why()), 0, false);
     }
-
-    private static HttpAnswer answer(Appended appended) {
-        if (appended instanceof Appended.Refused it) {
-            return it.comeBack() > 0 ? new HttpAnswer(503, ChannelsJson.problem("Refused", it.why()),
-                    Math.max(1, it.comeBack() / PER_MS), false)
-                    : new HttpAnswer(409, ChannelsJson.problem("Refused", it.why()), 0, false);
-        }
-        return new HttpAnswer(200, ChannelsJson.taken((Appended.Taken) appended), 0, false);
-    }
-
-    @Override
-    public void timeUp(long now, long wall) {
-        answerUntil(Long.MAX_VALUE);
-    }
-
-    @Override
-    public void settled(long now, long wall) {
-        answerUntil(now);
-    }
-
-    private void answerUntil(long due) {
-        while (!owed.isEmpty() && (owed.peek().done || owed.peek().until <= due)) {
-            owed.poll().answer(new HttpAnswer(503, ChannelsJson.problem("Unknown",
-                    "it is not kept yet; ask again with its key"), 1000, false));
-        }
+    return new HttpAnswer(200, ChannelsJson.taken((Appended.Taken) appended), 0, false);
+  }
+
+  @Override
+  public void timeUp(long now, long wall) {
+    answerUntil(Long.MAX_VALUE);
+  }
+
+  @Override
+  public void settled(long now, long wall) {
+    answerUntil(now);
+  }
+
+  private void answerUntil(long due) {
+    while (!owed.isEmpty() && (owed.peek().done || owed.peek().until <= due)) {
+      owed.poll()
+          .answer(
+              new HttpAnswer(
+                  503,
+                  ChannelsJson.problem("Unknown", "it is not kept yet; ask again with its key"),
+                  1000,
+                  false));
     }
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsPart.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsPart.java
@@ -10,32 +10,40 @@
 
 /** The logs of channels on a gateway's process. */
 public final class ChannelsPart implements Attaching {
-    /** What messages to this part bear. */
-    public static final int NUMBER = 2;
-    public static final String NAME = "channels";
-    private static final Logger LOG = LoggerFactory.getLogger(ChannelsPart.class);
-    private static final long WALL_PER_MS = 10;
-
-    private final Terms terms;
-
-    public ChannelsPart(Terms terms) {
-        this.terms = terms;
-    }
-
-    @Override
-    public int number() {
-        return NUMBER;
-    }
-
-    @Override
-    public String name() {
-        return NAME;
-    }
-
-    @Override
-    public Attached attach(Ground ground) {
-        Channels channels = new Channels(terms, ground.roster(), ground.post(), ground.keep(), ground.random(),
-                System.currentTimeMillis() * WALL_PER_MS, line -> LOG.warn("channels: {}", line));
-        return new ChannelsDoor(channels);
-    }
+  /** What messages to this part bear. */
+  public static final int NUMBER = 2;
+
+  public static final String NAME = "channels";
+  private static final Logger LOG = LoggerFactory.getLogger(ChannelsPart.class);
+  private static final long WALL_PER_MS = 10;
+
+  private final Terms terms;
+
+  public ChannelsPart(Terms terms) {
+    this.terms = terms;
+  }
+
+  @Override
+  public int number() {
+    return NUMBER;
+  }
+
+  @Override
+  public String name() {
+    return NAME;
+  }
+
+  @Override
+  public Attached attach(Ground ground) {
+    Channels channels =
+        new Channels(
+            terms,
+            ground.roster(),
+            ground.post(),
+            ground.keep(),
+            ground.random(),
+            System.currentTimeMillis() * WALL_PER_MS,
+            line -> LOG.warn("channels: {}", line));
+    return new ChannelsDoor(channels);
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/keep/NoKeep.java
+++ b/peering/src/main/java/tillerlink/peering/keep/NoKeep.java
@@ -6,13 +6,13 @@
 
 /** Where the operator named no folder: nothing is kept, and whoever asks is told so. */
 public final class NoKeep implements Keep {
-    @Override
-    public NavigableMap<String, byte[]> found() {
-        return Collections.emptyNavigableMap();
-    }
+  @Override
+  public NavigableMap<String, byte[]> found() {
+    return Collections.emptyNavigableMap();
+  }
 
-    @Override
-    public boolean set(String name, byte[] value, Runnable kept) {
-        return false;
-    }
+  @Override
+  public boolean set(String name, byte[] value, Runnable kept) {
+    return false;
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/keep/Share.java
+++ b/peering/src/main/java/tillerlink/peering/keep/Share.java
@@ -7,28 +7,31 @@
 
 /** One part's share of what is kept: its names stand behind a prefix, which it does not see. */
 public final class Share implements Keep {
-    private final Keep all;
-    private final String prefix;
-    private final NavigableMap<String, byte[]> found;
+  private final Keep all;
+  private final String prefix;
+  private final NavigableMap<String, byte[]> found;
 
-    /** @param part no other part's name, and the same after a restart */
-    public Share(Keep all, String part) {
-        this.all = all;
-        prefix = part + "/";
-        NavigableMap<String, byte[]> own = new TreeMap<>();
-        // '0' comes right after '/'.
-        all.found().subMap(prefix, true, part + "0", false)
-                .forEach((name, value) -> own.put(name.substring(prefix.length()), value));
-        found = Collections.unmodifiableNavigableMap(own);
-    }
+  /**
+   * @param part no other part's name, and the same after a restart
+   */
+  public Share(Keep all, String part) {
+    this.all = all;
+    prefix = part + "/";
+    NavigableMap<String, byte[]> own = new TreeMap<>();
+    // '0' comes right after '/'.
+    all.found()
+        .subMap(prefix, true, part + "0", false)
+        .forEach((name, value) -> own.put(name.substring(prefix.length()), value));
+    found = Collections.unmodifiableNavigableMap(own);
+  }
 
-    @Override
-    public NavigableMap<String, byte[]> found() {
-        return found;
-    }
+  @Override
+  public NavigableMap<String, byte[]> found() {
+    return found;
+  }
 
-    @Override
-    public boolean set(String name, byte[] value, Runnable kept) {
-        return all.set(prefix + name, value, kept);
-    }
+  @Override
+  public boolean set(String name, byte[] value, Runnable kept) {
+    return all.set(prefix + name, value, kept);
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/members/MembersDoor.java
+++ b/peering/src/main/java/tillerlink/peering/members/MembersDoor.java
@@ -16,96 +16,99 @@
 
 /** Who is there, for operators: {@code GET /v1/members}. */
 public final class MembersDoor implements Attached {
-    /** What messages to this part bear. */
-    public static final int NUMBER = 1;
-    public static final String NAME = "members";
-    private static final String PATH = "/v1/members";
-    private static final JsonFactory JSON = new JsonFactory();
+  /** What messages to this part bear. */
+  public static final int NUMBER = 1;
 
-    private final Members members;
-    private final Map<Refusal, Long> refused;
+  public static final String NAME = "members";
+  private static final String PATH = "/v1/members";
+  private static final JsonFactory JSON = new JsonFactory();
 
-    /** @param refused datagrams that were passed over, as they are counted */
-    public MembersDoor(Members members, Map<Refusal, Long> refused) {
-        this.members = members;
-        this.refused = refused;
-    }
+  private final Members members;
+  private final Map<Refusal, Long> refused;
 
-    @Override
-    public int number() {
-        return NUMBER;
-    }
+  /**
+   * @param refused datagrams that were passed over, as they are counted
+   */
+  public MembersDoor(Members members, Map<Refusal, Long> refused) {
+    this.members = members;
+    this.refused = refused;
+  }
 
-    @Override
-    public Part machine() {
-        return members;
-    }
+  @Override
+  public int number() {
+    return NUMBER;
+  }
 
-    @Override
-    public boolean takes(String path) {
-        return path.equals(PATH);
-    }
+  @Override
+  public Part machine() {
+    return members;
+  }
 
-    @Override
-    public void called(long now, long wall, HttpCall call, Side.Reply reply) {
-        if (call.method() == HttpCall.Method.GET) {
-            reply.answer(new HttpAnswer(200, told(), 0, false));
-        } else {
-            reply.answer(HttpAnswer.problem(405, "Method", 0));
-        }
-    }
+  @Override
+  public boolean takes(String path) {
+    return path.equals(PATH);
+  }
 
-    @Override
-    public void drain(long now, long wall) {
-        members.leave(now);
+  @Override
+  public void called(long now, long wall, HttpCall call, Side.Reply reply) {
+    if (call.method() == HttpCall.Method.GET) {
+      reply.answer(new HttpAnswer(200, told(), 0, false));
+    } else {
+      reply.answer(HttpAnswer.problem(405, "Method", 0));
     }
+  }
 
-    private byte[] told() {
-        ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        try (JsonGenerator json = JSON.createGenerator(bytes)) {
-            json.writeStartObject();
-            json.writeStringField("fleet", members.fleet());
-            json.writeObjectFieldStart("self");
-            one(json, members.self());
-            json.writeBooleanField("yielded", members.yielded());
-            json.writeEndObject();
-            json.writeArrayFieldStart("members");
-            for (String name : members.names()) {
-                json.writeStartObject();
-                one(json, name);
-                json.writeStringField("reach", members.reach(name).name());
-                json.writeStringField("address", members.address(name));
-                json.writeEndObject();
-            }
-            json.writeEndArray();
-            counts(json);
-            json.writeEndObject();
-        } catch (IOException e) {
-            throw new UncheckedIOException(e);
-        }
-        return bytes.toByteArray();
-    }
+  @Override
+  public void drain(long now, long wall) {
+    members.leave(now);
+  }
 
-    private void one(JsonGenerator json, String name) throws IOException {
-        json.writeStringField("name", name);
-        json.writeStringField("site", members.site(name));
-        json.writeNumberField("incarnation", members.incarnation(name));
+  private byte[] told() {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    try (JsonGenerator json = JSON.createGenerator(bytes)) {
+      json.writeStartObject();
+      json.writeStringField("fleet", members.fleet());
+      json.writeObjectFieldStart("self");
+      one(json, members.self());
+      json.writeBooleanField("yielded", members.yielded());
+      json.writeEndObject();
+      json.writeArrayFieldStart("members");
+      for (String name : members.names()) {
+        json.writeStartObject();
+        one(json, name);
+        json.writeStringField("reach", members.reach(name).name());
+        json.writeStringField("address", members.address(name));
+        json.writeEndObject();
+      }
+      json.writeEndArray();
+      counts(json);
+      json.writeEndObject();
+    } catch (IOException e) {
+      throw new UncheckedIOException(e);
     }
+    return bytes.toByteArray();
+  }
 
-    private void counts(JsonGenerator json) throws IOException {
-        Members.Counts counts = members.counts();
-        json.writeObjectFieldStart("counts");
-        json.writeNumberField("sent", counts.sent());
-        json.writeNumberField("sent_bytes", counts.sentBytes());
-        json.writeNumberField("malformed", counts.malformed());
-        json.writeNumberField("refuted", counts.refuted());
-        json.writeNumberField("away", counts.away());
-        json.writeNumberField("health", counts.health());
-        json.writeEndObject();
-        json.writeObjectFieldStart("refused");
-        for (Map.Entry<Refusal, Long> kind : refused.entrySet()) {
-            json.writeNumberField(kind.getKey().name(), kind.getValue());
-        }
-        json.writeEndObject();
+  private void one(JsonGenerator json, String name) throws IOException {
+    json.writeStringField("name", name);
+    json.writeStringField("site", members.site(name));
+    json.writeNumberField("incarnation", members.incarnation(name));
+  }
+
+  private void counts(JsonGenerator json) throws IOException {
+    Members.Counts counts = members.counts();
+    json.writeObjectFieldStart("counts");
+    json.writeNumberField("sent", counts.sent());
+    json.writeNumberField("sent_bytes", counts.sentBytes());
+    json.writeNumberField("malformed", counts.malformed());
+    json.writeNumberField("refuted", counts.refuted());
+    json.writeNumberField("away", counts.away());
+    json.writeNumberField("health", counts.health());
+    json.writeEndObject();
+    json.writeObjectFieldStart("refused");
+    for (Map.Entry<Refusal, Long> kind : refused.entrySet()) {
+      json.writeNumberField(kind.getKey().name(), kind.getValue());
     }
+    json.writeEndObject();
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/part/Attaching.java
+++ b/peering/src/main/java/tillerlink/peering/part/Attaching.java
@@ -2,12 +2,14 @@
 
 /** Makes a part when the process starts. */
 public interface Attaching {
-    /** What its messages bear and its share of the disk is named by: see {@link Attached#number}. */
-    int number();
+  /** What its messages bear and its share of the disk is named by: see {@link Attached#number}. */
+  int number();
 
-    /** Its share of the disk; letters only. */
-    String name();
+  /** Its share of the disk; letters only. */
+  String name();
 
-    /** @throws IllegalArgumentException in words for the operator, if it can't be as it is told to */
-    Attached attach(Ground ground);
+  /**
+   * @throws IllegalArgumentException in words for the operator, if it can't be as it is told to
+   */
+  Attached attach(Ground ground);
 }
--- a/peering/src/main/java/tillerlink/peering/part/Ground.java
+++ b/peering/src/main/java/tillerlink/peering/part/Ground.java
@@ -10,14 +10,21 @@
 /**
  * What a part stands on in a process.
  *
- * @param self   the own name
- * @param site   the own site
- * @param post   its messages go to the part of the same number
- * @param keep   its own share of the disk
+ * @param self the own name
+ * @param site the own site
+ * @param post its messages go to the part of the same number
+ * @param keep its own share of the disk
  * @param random seeded, its own
- * @param door   submissions; may be used from the first turn on
- * @param clock  tenths of a millisecond, read anew each time; it goes on while the process is stopped
+ * @param door submissions; may be used from the first turn on
+ * @param clock tenths of a millisecond, read anew each time; it goes on while the process is
+ *     stopped
  */
-public record Ground(String self, String site, Roster roster, Post post, Keep keep, RandomGenerator random,
-                     Side.Door door, LongSupplier clock) {
-}
+public record Ground(
+    String self,
+    String site,
+    Roster roster,
+    Post post,
+    Keep keep,
+    RandomGenerator random,
+    Side.Door door,
+    LongSupplier clock) {}
--- a/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
+++ b/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
@@ -6,42 +6,45 @@
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Prepared;
 
-/** Asked before each hop of a prepared run is written and after: whether the statement still stands as it was taken. */
+/**
+ * Asked before each hop of a prepared run is written and after: whether the statement still stands
+ * as it was taken.
+ */
 final class RunGuard implements Side.Guard {
-    private final Statements statements;
-    private final Prepared prepared;
-    private final LongSupplier clock;
-    private long comeBack;
+  private final Statements statements;
+  private final Prepared prepared;
+  private final LongSupplier clock;
+  private long comeBack;
 
-    RunGuard(Statements statements, Prepared prepared, LongSupplier clock) {
-        this.statements = statements;
-        this.prepared = prepared;
-        this.clock = clock;
-    }
+  RunGuard(Statements statements, Prepared prepared, LongSupplier clock) {
+    this.statements = statements;
+    this.prepared = prepared;
+    this.clock = clock;
+  }
 
-    /** By the clock as it is now, since a pause may lie before. */
-    @Override
-    public boolean holds() {
-        if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
-            comeBack = no.comeBack();
-            return false;
-        }
-        return true;
+  /** By the clock as it is now, since a pause may lie before. */
+  @Override
+  public boolean holds() {
+    if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
+      comeBack = no.comeBack();
+      return false;
     }
+    return true;
+  }
 
-    /** In tenths of a millisecond. */
-    @Override
-    public long comeBack() {
-        return comeBack;
-    }
+  /** In tenths of a millisecond. */
+  @Override
+  public long comeBack() {
+    return comeBack;
+  }
 
-    @Override
-    public void began() {
-        statements.began(prepared);
-    }
+  @Override
+  public void began() {
+    statements.began(prepared);
+  }
 
-    @Override
-    public void ended(long mayRunUntil) {
-        statements.ended(clock.getAsLong(), prepared, mayRunUntil);
-    }
+  @Override
+  public void ended(long mayRunUntil) {
+    statements.ended(clock.getAsLong(), prepared, mayRunUntil);
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsAttaching.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsAttaching.java
@@ -16,50 +16,67 @@
 
 /** Makes the part of prepared statements on a gateway. */
 public final class StatementsAttaching implements Attaching {
-    private static final Logger LOG = LoggerFactory.getLogger(StatementsAttaching.class);
-    /**
-     * Bytes on the disk at the most: a snapshot, the entries behind it, and both once more while they are rewritten.
-     */
-    public static final long KEEP_MOST = 16L << 20;
-    private static final long MARGIN_LEAST = 50;
-    /** A part of the lease that has to be ahead of a run. */
-    private static final int MARGIN_PART = 50;
+  private static final Logger LOG = LoggerFactory.getLogger(StatementsAttaching.class);
 
-    private final StatementTerms terms;
-    private final boolean fence;
+  /**
+   * Bytes on the disk at the most: a snapshot, the entries behind it, and both once more while they
+   * are rewritten.
+   */
+  public static final long KEEP_MOST = 16L << 20;
 
-    /**
-     * @param voters  names of the gateways of which a majority grants leases
-     * @param lease   tenths of a millisecond
-     * @param drift   the share by which clocks may run apart
-     * @param vouched disks are never put back from a copy, so a voter that starts need not ask the others
-     * @param fence   engines are told the schema versions
-     * @throws IllegalArgumentException in words for the operator
-     */
-    public StatementsAttaching(List<String> voters, long lease, double drift, boolean vouched, boolean fence) {
-        terms = new StatementTerms(voters, new LeaseTerms(lease, drift, Math.max(MARGIN_LEAST, lease / MARGIN_PART)),
-                new Terms(vouched, Set.of()));
-        this.fence = fence;
-    }
+  private static final long MARGIN_LEAST = 50;
 
-    @Override
-    public int number() {
-        return StatementsDoor.NUMBER;
-    }
+  /** A part of the lease that has to be ahead of a run. */
+  private static final int MARGIN_PART = 50;
 
-    @Override
-    public String name() {
-        return StatementsDoor.NAME;
-    }
+  private final StatementTerms terms;
+  private final boolean fence;
+
+  /**
+   * @param voters names of the gateways of which a majority grants leases
+   * @param lease tenths of a millisecond
+   * @param drift the share by which clocks may run apart
+   * @param vouched disks are never put back from a copy, so a voter that starts need not ask the
+   *     others
+   * @param fence engines are told the schema versions
+   * @throws IllegalArgumentException in words for the operator
+   */
+  public StatementsAttaching(
+      List<String> voters, long lease, double drift, boolean vouched, boolean fence) {
+    terms =
+        new StatementTerms(
+            voters,
+            new LeaseTerms(lease, drift, Math.max(MARGIN_LEAST, lease / MARGIN_PART)),
+            new Terms(vouched, Set.of()));
+    this.fence = fence;
+  }
+
+  @Override
+  public int number() {
+    return StatementsDoor.NUMBER;
+  }
+
+  @Override
+  public String name() {
+    return StatementsDoor.NAME;
+  }
 
-    @Override
-    public Attached attach(Ground ground) {
-        try {
-            Statements statements = new Statements(terms, ground.roster(), ground.post(), ground.keep(),
-                    ground.random(), new Renaming(), words -> LOG.warn("statements: {}", words));
-            return new StatementsDoor(statements, ground.door(), ground.clock(), fence);
-        } catch (MalformedMessageException e) {
-            throw new IllegalArgumentException("statements: what is kept can't be read: " + e.getMessage(), e);
-        }
+  @Override
+  public Attached attach(Ground ground) {
+    try {
+      Statements statements =
+          new Statements(
+              terms,
+              ground.roster(),
+              ground.post(),
+              ground.keep(),
+              ground.random(),
+              new Renaming(),
+              words -> LOG.warn("statements: {}", words));
+      return new StatementsDoor(statements, ground.door(), ground.clock(), fence);
+    } catch (MalformedMessageException e) {
+      throw new IllegalArgumentException(
+          "statements: what is kept can't be read: " + e.getMessage(), e);
     }
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsDoor.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsDoor.java
@@ -15,163 +15,191 @@
 import tillerlink.statements.run.Prepared;
 
 /**
- * Prepared statements for clients: {@code POST}, {@code DELETE} and {@code GET /v1/statements/NAME}, the same under
- * {@code /v1/schemas/GROUP}, and {@code POST /v1/run/NAME} with the headers of a submission.
+ * Prepared statements for clients: {@code POST}, {@code DELETE} and {@code GET
+ * /v1/statements/NAME}, the same under {@code /v1/schemas/GROUP}, and {@code POST /v1/run/NAME}
+ * with the headers of a submission.
  */
 public final class StatementsDoor implements Attached {
-    /** What messages to this part bear. */
-    public static final int NUMBER = 3;
-    public static final String NAME = "statements";
-    private static final String STATEMENTS = "/v1/statements/";
-    private static final String SCHEMAS = "/v1/schemas/";
-    private static final String RUN = "/v1/run/";
-    private static final int DIGITS_MOST = 9;
-    private static final int CHANGE_DIGITS_MOST = 18;
-    private static final long BEHIND_COME_BACK = 100;
-
-    private final Statements statements;
-    private final Side.Door door;
-    private final LongSupplier clock;
-    private final boolean fence;
-    private long applied;
-    private long losses;
-
-    StatementsDoor(Statements statements, Side.Door door, LongSupplier clock, boolean fence) {
-        this.statements = statements;
-        this.door = door;
-        this.clock = clock;
-        this.fence = fence;
+  /** What messages to this part bear. */
+  public static final int NUMBER = 3;
+
+  public static final String NAME = "statements";
+  private static final String STATEMENTS = "/v1/statements/";
+  private static final String SCHEMAS = "/v1/schemas/";
+  private static final String RUN = "/v1/run/";
+  private static final int DIGITS_MOST = 9;
+  private static final int CHANGE_DIGITS_MOST = 18;
+  private static final long BEHIND_COME_BACK = 100;
+
+  private final Statements statements;
+  private final Side.Door door;
+  private final LongSupplier clock;
+  private final boolean fence;
+  private long applied;
+  private long losses;
+
+  StatementsDoor(Statements statements, Side.Door door, LongSupplier clock, boolean fence) {
+    this.statements = statements;
+    this.door = door;
+    this.clock = clock;
+    this.fence = fence;
+  }
+
+  @Override
+  public int number() {
+    return NUMBER;
+  }
+
+  @Override
+  public Part machine() {
+    return statements;
+  }
+
+  @Override
+  public boolean takes(String path) {
+    return path.startsWith(STATEMENTS) || path.startsWith(SCHEMAS) || path.startsWith(RUN);
+  }
+
+  /**
+   * What the catalog or the leases say has changed: runs that wait are asked about anew, and turned
+   * back at once.
+   */
+  @Override
+  public void settled(long now, long wall) {
+    long then = statements.catalog().applied();
+    if (then != applied || losses != statements.leasesLost()) {
+      applied = then;
+      losses = statements.leasesLost();
+      door.recheck();
     }
-
-    @Override
-    public int number() {
-        return NUMBER;
+  }
+
+  @Override
+  public void timeUp(long now, long wall) {
+    statements.timeUp(now);
+  }
+
+  @Override
+  public void close(long now, long wall) {
+    statements.leave(now);
+  }
+
+  @Override
+  public void called(long now, long wall, HttpCall call, Side.Reply reply) {
+    String path = call.path();
+    try {
+      if (path.startsWith(STATEMENTS)) {
+        statement(now, call, path.substring(STATEMENTS.length()), reply);
+      } else if (path.startsWith(SCHEMAS)) {
+        schema(now, call, path.substring(SCHEMAS.length()), reply);
+      } else {
+        run(call, path.substring(RUN.length()), reply);
+      }
+    } catch (IllegalArgumentException e) {
+      reply.answer(Telling.problem(400, "Malformed", e.getMessage(), 0));
     }
-
-    @Override
-    public Part machine() {
-        return statements;
+  }
+
+  // ---- statements ----
+
+  private void statement(long now, HttpCall call, String name, Side.Reply reply) {
+    switch (call.method()) {
+      case POST -> {
+        Reading.Preparation it = Reading.preparation(name, call.body());
+        statements.prepare(
+            now,
+            it.definition(),
+            it.over(),
+            outcome -> reply.answer(Telling.outcome(outcome, "generation")));
+      }
+      case DELETE ->
+          statements.drop(
+              now, name, -1, outcome -> reply.answer(Telling.outcome(outcome, "generation")));
+      case GET ->
+          reply.answer(
+              statements
+                  .catalog()
+                  .find(name)
+                  .map(Telling::standing)
+                  .orElseGet(HttpAnswer::unknown));
+      default -> reply.answer(HttpAnswer.problem(405, "Method", 0));
     }
-
-    @Override
-    public boolean takes(String path) {
-        return path.startsWith(STATEMENTS) || path.startsWith(SCHEMAS) || path.startsWith(RUN);
+  }
+
+  // ---- schemas ----
+
+  private void schema(long now, HttpCall call, String rest, Side.Reply reply) {
+    int slash = rest.indexOf('/');
+    int group = (int) number("group", slash < 0 ? rest : rest.substring(0, slash), DIGITS_MOST);
+    switch (call.method()) {
+      case POST -> {
+        Change change = Reading.change(group, call.body());
+        statements.announce(
+            now, change, outcome -> reply.answer(Telling.outcome(outcome, "change")));
+      }
+      case DELETE -> takeBack(now, group, slash < 0 ? "" : rest.substring(slash + 1), reply);
+      case GET -> reply.answer(Telling.schema(statements.schema(group), clock.getAsLong()));
+      default -> reply.answer(HttpAnswer.problem(405, "Method", 0));
     }
-
-    /** What the catalog or the leases say has changed: runs that wait are asked about anew, and turned back at once. */
-    @Override
-    public void settled(long now, long wall) {
-        long then = statements.catalog().applied();
-        if (then != applied || losses != statements.leasesLost()) {
-            applied = then;
-            losses = statements.leasesLost();
-            door.recheck();
-        }
+  }
+
+  /** Without a number it is the one change that waits; of several one has to be named. */
+  private void takeBack(long now, int group, String number, Side.Reply reply) {
+    SchemaState state = statements.schema(group);
+    if (number.isEmpty() && state.waiting().size() != 1) {
+      reply.answer(Telling.problem(409, "Refused", state.waiting().size() + " changes wait", 0));
+      return;
     }
-
-    @Override
-    public void timeUp(long now, long wall) {
-        statements.timeUp(now);
+    long change =
+        number.isEmpty()
+            ? state.waiting().firstKey()
+            : number("change", number, CHANGE_DIGITS_MOST);
+    statements.takeBack(now, change, outcome -> reply.answer(Telling.outcome(outcome, "change")));
+  }
+
+  private static long number(String what, String text, int digitsMost) {
+    if (text.isEmpty()
+        || text.length() > digitsMost
+        || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
+      throw new IllegalArgumentException(what + ": a number is wanted");
     }
+    return Long.parseLong(text);
+  }
 
-    @Override
-    public void close(long now, long wall) {
-        statements.leave(now);
-    }
+  // ---- runs ----
 
-    @Override
-    public void called(long now, long wall, HttpCall call, Side.Reply reply) {
-        String path = call.path();
-        try {
-            if (path.startsWith(STATEMENTS)) {
-                statement(now, call, path.substring(STATEMENTS.length()), reply);
-            } else if (path.startsWith(SCHEMAS)) {
-                schema(now, call, path.substring(SCHEMAS.length()), reply);
-            } else {
-                run(call, path.substring(RUN.length()), reply);
-            }
-        } catch (IllegalArgumentException e) {
-            reply.answer(Telling.problem(400, "Malformed", e.getMessage(), 0));
-        }
+  private void run(HttpCall call, String name, Side.Reply reply) {
+    if (call.method() != HttpCall.Method.POST) {
+      reply.answer(HttpAnswer.problem(405, "Method", 0));
+      return;
     }
-
-    // ---- statements ----
-
-    private void statement(long now, HttpCall call, String name, Side.Reply reply) {
-        switch (call.method()) {
-            case POST -> {
-                Reading.Preparation it = Reading.preparation(name, call.body());
-                statements.prepare(now, it.definition(), it.over(), outcome ->
-                        reply.answer(Telling.outcome(outcome, "generation")));
-            }
-            case DELETE -> statements.drop(now, name, -1, outcome ->
-                    reply.answer(Telling.outcome(outcome, "generation")));
-            case GET -> reply.answer(statements.catalog().find(name).map(Telling::standing)
-                    .orElseGet(HttpAnswer::unknown));
-            default -> reply.answer(HttpAnswer.problem(405, "Method", 0));
-        }
+    Reading.Run run = Reading.run(call.body());
+    Optional<Prepared> found = statements.lookUp(name);
+    boolean behind = found.map(Prepared::generation).orElse(0L) < run.generation();
+    if (behind) {
+      reply.answer(
+          Telling.problem(
+              503, "Behind", "this gateway has not heard of that generation", BEHIND_COME_BACK));
+      return;
     }
-
-    // ---- schemas ----
-
-    private void schema(long now, HttpCall call, String rest, Side.Reply reply) {
-        int slash = rest.indexOf('/');
-        int group = (int) number("group", slash < 0 ? rest : rest.substring(0, slash), DIGITS_MOST);
-        switch (call.method()) {
-            case POST -> {
-                Change change = Reading.change(group, call.body());
-                statements.announce(now, change, outcome -> reply.answer(Telling.outcome(outcome, "change")));
-            }
-            case DELETE -> takeBack(now, group, slash < 0 ? "" : rest.substring(slash + 1), reply);
-            case GET -> reply.answer(Telling.schema(statements.schema(group), clock.getAsLong()));
-            default -> reply.answer(HttpAnswer.problem(405, "Method", 0));
-        }
-    }
-
-    /** Without a number it is the one change that waits; of several one has to be named. */
-    private void takeBack(long now, int group, String number, Side.Reply reply) {
-        SchemaState state = statements.schema(group);
-        if (number.isEmpty() && state.waiting().size() != 1) {
-            reply.answer(Telling.problem(409, "Refused", state.waiting().size() + " changes wait", 0));
-            return;
-        }
-        long change = number.isEmpty() ? state.waiting().firstKey() : number("change", number, CHANGE_DIGITS_MOST);
-        statements.takeBack(now, change, outcome -> reply.answer(Telling.outcome(outcome, "change")));
+    if (found.isEmpty()) {
+      reply.answer(HttpAnswer.unknown());
+      return;
     }
-
-    private static long number(String what, String text, int digitsMost) {
-        if (text.isEmpty() || text.length() > digitsMost || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-            throw new IllegalArgumentException(what + ": a number is wanted");
-        }
-        return Long.parseLong(text);
-    }
-
-    // ---- runs ----
-
-    private void run(HttpCall call, String name, Side.Reply reply) {
-        if (call.method() != HttpCall.Method.POST) {
-            reply.answer(HttpAnswer.problem(405, "Method", 0));
-            return;
-        }
-        Reading.Run run = Reading.run(call.body());
-        Optional<Prepared> found = statements.lookUp(name);
-        boolean behind = found.map(Prepared::generation).orElse(0L) < run.generation();
-        if (behind) {
-            reply.answer(Telling.problem(503, "Behind", "this gateway has not heard of that generation",
-                    BEHIND_COME_BACK));
-            return;
-        }
-        if (found.isEmpty()) {
-            reply.answer(HttpAnswer.unknown());
-            return;
-        }
-        Prepared prepared = found.get();
-        String text = prepared.text(run.values(), fence);
-        if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
-            reply.answer(Telling.turnedBack(no));
-            return;
-        }
-        door.submit(new HttpCall(HttpCall.Method.POST, "/v1/" + prepared.definition().track(), call.fields(),
-                text.getBytes(StandardCharsets.UTF_8), call.last()), new RunGuard(statements, prepared, clock), reply);
+    Prepared prepared = found.get();
+    String text = prepared.text(run.values(), fence);
+    if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
+      reply.answer(Telling.turnedBack(no));
+      return;
     }
+    door.submit(
+        new HttpCall(
+            HttpCall.Method.POST,
+            "/v1/" + prepared.definition().track(),
+            call.fields(),
+            text.getBytes(StandardCharsets.UTF_8),
+            call.last()),
+        new RunGuard(statements, prepared, clock),
+        reply);
+  }
 }
--- a/peering/src/test/java/tillerlink/peering/Echo.java
+++ b/peering/src/test/java/tillerlink/peering/Echo.java
@@ -11,91 +11,99 @@
 import tillerlink.peers.Invariant;
 import tillerlink.peers.Part;
 
-/** The smallest part there can be: it sends a body to another and back, keeps a text, and breaks when it is told to. */
+/**
+ * The smallest part there can be: it sends a body to another and back, keeps a text, and breaks
+ * when it is told to.
+ */
 final class Echo implements Attaching {
+  @Override
+  public int number() {
+    return 250;
+  }
+
+  @Override
+  public String name() {
+    return "echo";
+  }
+
+  @Override
+  public Attached attach(Ground ground) {
+    return new Machine(ground);
+  }
+
+  private record Machine(Ground ground, Side.Reply[] owed) implements Attached, Part {
+    Machine(Ground ground) {
+      this(ground, new Side.Reply[1]);
+    }
+
     @Override
     public int number() {
-        return 250;
+      return 250;
     }
 
     @Override
-    public String name() {
-        return "echo";
+    public Part machine() {
+      return this;
     }
 
     @Override
-    public Attached attach(Ground ground) {
-        return new Machine(ground);
+    public boolean takes(String path) {
+      return path.startsWith("/v1/echo/");
     }
 
-    private record Machine(Ground ground, Side.Reply[] owed) implements Attached, Part {
-        Machine(Ground ground) {
-            this(ground, new Side.Reply[1]);
-        }
-
-        @Override
-        public int number() {
-            return 250;
-        }
-
-        @Override
-        public Part machine() {
-            return this;
-        }
-
-        @Override
-        public boolean takes(String path) {
-            return path.startsWith("/v1/echo/");
+    @Override
+    public void called(long now, long wall, HttpCall call, Side.Reply reply) {
+      String[] words = call.path().split("/");
+      switch (words[3]) {
+        case "send" -> {
+          owed[0] = reply;
+          byte[] body = Arrays.copyOf(call.body(), call.body().length + 1);
+          ground.post().send(words[4], body);
         }
-
-        @Override
-        public void called(long now, long wall, HttpCall call, Side.Reply reply) {
-            String[] words = call.path().split("/");
-            switch (words[3]) {
-                case "send" -> {
-                    owed[0] = reply;
-                    byte[] body = Arrays.copyOf(call.body(), call.body().length + 1);
-                    ground.post().send(words[4], body);
-                }
-                case "keep" -> {
-                    if (!ground.keep().set("text", call.body(), () -> reply.answer(said("kept".getBytes(StandardCharsets.UTF_8))))) {
-                        reply.answer(HttpAnswer.problem(503, "Disk", 0));
-                    }
-                }
-                case "found" -> reply.answer(said(ground.keep().found().getOrDefault("text", new byte[0])));
-                case "break" -> Invariant.holds(false, () -> "planted,\nto be seen");
-                default -> throw new IllegalStateException("a fault of this part");
-            }
+        case "keep" -> {
+          if (!ground
+              .keep()
+              .set(
+                  "text",
+                  call.body(),
+                  () -> reply.answer(said("kept".getBytes(StandardCharsets.UTF_8))))) {
+            reply.answer(HttpAnswer.problem(503, "Disk", 0));
+          }
         }
+        case "found" -> reply.answer(said(ground.keep().found().getOrDefault("text", new byte[0])));
+        case "break" -> Invariant.holds(false, () -> "planted,\nto be seen");
+        default -> throw new IllegalStateException("a fault of this part");
+      }
+    }
 
-        private static HttpAnswer said(byte[] body) {
-            return new HttpAnswer(200, body, 0, false);
-        }
+    private static HttpAnswer said(byte[] body) {
+      return new HttpAnswer(200, body, 0, false);
+    }
 
-        /** The last byte says whether it comes back. */
-        @Override
-        public void told(long now, long wall, String from, byte[] body) {
-            if (body[body.length - 1] == 0) {
-                body[body.length - 1] = 1;
-                ground.post().send(from, body);
-            } else if (owed[0] != null) {
-                owed[0].answer(said(Arrays.copyOf(body, body.length - 1)));
-            }
-        }
+    /** The last byte says whether it comes back. */
+    @Override
+    public void told(long now, long wall, String from, byte[] body) {
+      if (body[body.length - 1] == 0) {
+        body[body.length - 1] = 1;
+        ground.post().send(from, body);
+      } else if (owed[0] != null) {
+        owed[0].answer(said(Arrays.copyOf(body, body.length - 1)));
+      }
+    }
 
-        @Override
-        public void turn(long now, long wall) {
-            // Nothing falls due.
-        }
+    @Override
+    public void turn(long now, long wall) {
+      // Nothing falls due.
+    }
 
-        @Override
-        public long dueAt() {
-            return Long.MAX_VALUE;
-        }
+    @Override
+    public long dueAt() {
+      return Long.MAX_VALUE;
+    }
 
-        @Override
-        public void away(long now, long wall, long lasted) {
-            // Nothing of it runs out.
-        }
+    @Override
+    public void away(long now, long wall, long lasted) {
+      // Nothing of it runs out.
     }
+  }
 }
--- a/peering/src/test/java/tillerlink/peering/keep/DiskKeepFormatGuardTest.java
+++ b/peering/src/test/java/tillerlink/peering/keep/DiskKeepFormatGuardTest.java
@@ -20,88 +20,91 @@
 
 /**
  * Guards how what gateways share is kept on disk: the file's name, the owner in its head, the
- * records in the order in which they were handed over, and the prefix before each part's
- * names. The resource was written by the release before the renaming and is never written
- * anew. All changes are written one by one, so the log is the same each time and is compared
- * whole. What each part writes as a value is guarded elsewhere.
+ * records in the order in which they were handed over, and the prefix before each part's names. The
+ * resource was written by the release before the renaming and is never written anew. All changes
+ * are written one by one, so the log is the same each time and is compared whole. What each part
+ * writes as a value is guarded elsewhere.
  */
 class DiskKeepFormatGuardTest {
-    private static final String OWNER = "gateway-a";
-    private static final String LOG = "log-0000000000000001";
-    /** The values in hexadecimal digits. */
-    private static final Map<String, String> ALL = Map.of(
-            "alone", "6f6e65",
-            "channels/empty", "",
-            "channels/r\u00e4ume", "00017f80feff",
-            "members/", "6e6f206e616d65",
-            "members/a", "7365636f6e64",
-            "members0", "6e6f742061206d656d626572");
+  private static final String OWNER = "gateway-a";
+  private static final String LOG = "log-0000000000000001";
 
-    @TempDir
-    private Path folder;
+  /** The values in hexadecimal digits. */
+  private static final Map<String, String> ALL =
+      Map.of(
+          "alone", "6f6e65",
+          "channels/empty", "",
+          "channels/r\u00e4ume", "00017f80feff",
+          "members/", "6e6f206e616d65",
+          "members/a", "7365636f6e64",
+          "members0", "6e6f742061206d656d626572");
 
-    private static byte[] resource() throws IOException {
-        String path = "/guards/peering/" + LOG + ".bin";
-        try (InputStream in = DiskKeepFormatGuardTest.class.getResourceAsStream(path)) {
-            assertNotNull(in, path);
-            return in.readAllBytes();
-        }
-    }
+  @TempDir private Path folder;
 
-    private DiskKeep open(String owner) throws IOException {
-        return DiskKeep.open(folder, owner, 1 << 20, Runnable::run);
+  private static byte[] resource() throws IOException {
+    String path = "/guards/peering/" + LOG + ".bin";
+    try (InputStream in = DiskKeepFormatGuardTest.class.getResourceAsStream(path)) {
+      assertNotNull(in, path);
+      return in.readAllBytes();
     }
+  }
 
-    private static byte[] bytes(String text) {
-        return text.getBytes(StandardCharsets.UTF_8);
-    }
+  private DiskKeep open(String owner) throws IOException {
+    return DiskKeep.open(folder, owner, 1 << 20, Runnable::run);
+  }
 
-    private static Map<String, String> inDigits(NavigableMap<String, byte[]> values) {
-        Map<String, String> all = new TreeMap<>();
-        values.forEach((name, value) -> all.put(name, HexFormat.of().formatHex(value)));
-        return all;
-    }
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
+  }
 
-    /** Writes what the resource holds. */
-    private void write() throws IOException {
-        try (DiskKeep keep = open(OWNER)) {
-            Share members = new Share(keep, "members");
-            Share channels = new Share(keep, "channels");
-            assertTrue(members.set("a", bytes("first"), null));
-            assertTrue(members.set("b", bytes("removed"), null));
-            assertTrue(channels.set("empty", new byte[0], null));
-            assertTrue(members.set("a", bytes("second"), null));
-            assertTrue(channels.set("r\u00e4ume", HexFormat.of().parseHex("00017f80feff"), null));
-            assertTrue(members.set("b", null, null));
-            assertTrue(members.set("", bytes("no name"), null));
-            assertTrue(keep.set("members0", bytes("not a member"), null));
-            assertTrue(keep.set("alone", bytes("one"), null));
-        }
-    }
+  private static Map<String, String> inDigits(NavigableMap<String, byte[]> values) {
+    Map<String, String> all = new TreeMap<>();
+    values.forEach((name, value) -> all.put(name, HexFormat.of().formatHex(value)));
+    return all;
+  }
 
-    @Test
-    void readsWhatTheReleaseBeforeKept() throws IOException {
-        Files.write(folder.resolve(LOG), resource());
-        try (DiskKeep keep = open(OWNER)) {
-            assertEquals(new TreeMap<>(ALL), inDigits(keep.found()));
-            assertEquals(Map.of("", "6e6f206e616d65", "a", "7365636f6e64"),
-                    inDigits(new Share(keep, "members").found()));
-            assertEquals(Map.of("empty", "", "r\u00e4ume", "00017f80feff"),
-                    inDigits(new Share(keep, "channels").found()));
-            assertEquals(Map.of(), inDigits(new Share(keep, "statements").found()));
-        }
+  /** Writes what the resource holds. */
+  private void write() throws IOException {
+    try (DiskKeep keep = open(OWNER)) {
+      Share members = new Share(keep, "members");
+      Share channels = new Share(keep, "channels");
+      assertTrue(members.set("a", bytes("first"), null));
+      assertTrue(members.set("b", bytes("removed"), null));
+      assertTrue(channels.set("empty", new byte[0], null));
+      assertTrue(members.set("a", bytes("second"), null));
+      assertTrue(channels.set("r\u00e4ume", HexFormat.of().parseHex("00017f80feff"), null));
+      assertTrue(members.set("b", null, null));
+      assertTrue(members.set("", bytes("no name"), null));
+      assertTrue(keep.set("members0", bytes("not a member"), null));
+      assertTrue(keep.set("alone", bytes("one"), null));
     }
+  }
 
-    @Test
-    void refusesWhatAnotherKept() throws IOException {
-        Files.write(folder.resolve(LOG), resource());
-        assertThrows(IOException.class, () -> open("gateway-b").close());
-        assertArrayEquals(resource(), Files.readAllBytes(folder.resolve(LOG)));
+  @Test
+  void readsWhatTheReleaseBeforeKept() throws IOException {
+    Files.write(folder.resolve(LOG), resource());
+    try (DiskKeep keep = open(OWNER)) {
+      assertEquals(new TreeMap<>(ALL), inDigits(keep.found()));
+      assertEquals(
+          Map.of("", "6e6f206e616d65", "a", "7365636f6e64"),
+          inDigits(new Share(keep, "members").found()));
+      assertEquals(
+          Map.of("empty", "", "r\u00e4ume", "00017f80feff"),
+          inDigits(new Share(keep, "channels").found()));
+      assertEquals(Map.of(), inDigits(new Share(keep, "statements").found()));
     }
+  }
 
-    @Test
-    void theSameChangesGiveTheSameLog() throws IOException {
-        write();
-        assertArrayEquals(resource(), Files.readAllBytes(folder.resolve(LOG)));
-    }
+  @Test
+  void refusesWhatAnotherKept() throws IOException {
+    Files.write(folder.resolve(LOG), resource());
+    assertThrows(IOException.class, () -> open("gateway-b").close());
+    assertArrayEquals(resource(), Files.readAllBytes(folder.resolve(LOG)));
+  }
+
+  @Test
+  void theSameChangesGiveTheSameLog() throws IOException {
+    write();
+    assertArrayEquals(resource(), Files.readAllBytes(folder.resolve(LOG)));
+  }
 }
--- a/peering/src/test/java/tillerlink/peering/together/Host.java
+++ b/peering/src/test/java/tillerlink/peering/together/Host.java
@@ -24,92 +24,120 @@
 import tillerlink.virtual.MemoryKeep;
 import tillerlink.virtual.VirtualFleet;
 
-/** One gateway with all three parts: a message's first byte says whose it is, and members tell the others who is there. */
+/**
+ * One gateway with all three parts: a message's first byte says whose it is, and members tell the
+ * others who is there.
+ */
 final class Host implements Part {
-    static final List<String> COUNTED = List.of("n1", "s1", "w1");
-    private static final byte MEMBERS = 1;
-    private static final byte CHANNELS = 2;
-    private static final byte STATEMENTS = 3;
+  static final List<String> COUNTED = List.of("n1", "s1", "w1");
+  private static final byte MEMBERS = 1;
+  private static final byte CHANNELS = 2;
+  private static final byte STATEMENTS = 3;
 
-    final Members members;
-    final Channels channels;
-    final Statements statements;
-    private final Runnable stepped;
-    private List<Part> parts = List.of();
+  final Members members;
+  final Channels channels;
+  final Statements statements;
+  private final Runnable stepped;
+  private List<Part> parts = List.of();
 
-    /** @param stepped run after each step */
-    Host(String name, VirtualFleet fleet, MemoryKeep disk, Random random, Runnable stepped) {
-        this.stepped = stepped;
-        Post post = fleet.post(name);
-        Keep keep = new Keep() {
-            @Override
-            public NavigableMap<String, byte[]> found() {
-                return disk.found();
-            }
+  /**
+   * @param stepped run after each step
+   */
+  Host(String name, VirtualFleet fleet, MemoryKeep disk, Random random, Runnable stepped) {
+    this.stepped = stepped;
+    Post post = fleet.post(name);
+    Keep keep =
+        new Keep() {
+          @Override
+          public NavigableMap<String, byte[]> found() {
+            return disk.found();
+          }
 
-            @Override
-            public boolean set(String key, byte[] value, Runnable kept) {
-                return disk.set(key, value, () -> {
-                    if (kept != null) {
-                        kept.run();
-                    }
-                    if (!parts.isEmpty()) {
-                        fleet.touched(name);
-                    }
+          @Override
+          public boolean set(String key, byte[] value, Runnable kept) {
+            return disk.set(
+                key,
+                value,
+                () -> {
+                  if (kept != null) {
+                    kept.run();
+                  }
+                  if (!parts.isEmpty()) {
+                    fleet.touched(name);
+                  }
                 });
-            }
+          }
         };
-        members = new Members(new Identity("f", name, name.substring(0, 1), name, COUNTED, 0), Periods.usual(),
-                (to, body) -> post.send(to, marked(MEMBERS, body)), new Random(random.nextLong()), new Watcher() {
-                    @Override
-                    public void reach(String other, Reach was, Reach is) {
-                        // Asked, not told, here.
-                    }
-                }, fleet.wall(name));
-        channels = new Channels(new tillerlink.channels.Terms(COUNTED, 50_000, 30_000, 64 << 20, 40, 8), members,
-                (to, body) -> post.send(to, marked(CHANNELS, body)), new Share(keep, "channels"),
-                new Random(random.nextLong()), fleet.wall(name), line -> { });
-        try {
-            statements = new Statements(new StatementTerms(COUNTED, new LeaseTerms(10_000, 0.02, 50),
-                    new Terms(false, Set.of())), members, (to, body) -> post.send(to, marked(STATEMENTS, body)),
-                    new Share(keep, "statements"), new Random(random.nextLong()), new Renaming(), line -> { });
-        } catch (MalformedMessageException e) {
-            throw new IllegalStateException(e);
-        }
-        parts = List.of(members, channels, statements);
+    members =
+        new Members(
+            new Identity("f", name, name.substring(0, 1), name, COUNTED, 0),
+            Periods.usual(),
+            (to, body) -> post.send(to, marked(MEMBERS, body)),
+            new Random(random.nextLong()),
+            new Watcher() {
+              @Override
+              public void reach(String other, Reach was, Reach is) {
+                // Asked, not told, here.
+              }
+            },
+            fleet.wall(name));
+    channels =
+        new Channels(
+            new tillerlink.channels.Terms(COUNTED, 50_000, 30_000, 64 << 20, 40, 8),
+            members,
+            (to, body) -> post.send(to, marked(CHANNELS, body)),
+            new Share(keep, "channels"),
+            new Random(random.nextLong()),
+            fleet.wall(name),
+            line -> {});
+    try {
+      statements =
+          new Statements(
+              new StatementTerms(
+                  COUNTED, new LeaseTerms(10_000, 0.02, 50), new Terms(false, Set.of())),
+              members,
+              (to, body) -> post.send(to, marked(STATEMENTS, body)),
+              new Share(keep, "statements"),
+              new Random(random.nextLong()),
+              new Renaming(),
+              line -> {});
+    } catch (MalformedMessageException e) {
+      throw new IllegalStateException(e);
     }
+    parts = List.of(members, channels, statements);
+  }
 
-    /** It was killed: nothing that its disk still does is heard by it. */
-    void gone() {
-        parts = List.of();
-    }
+  /** It was killed: nothing that its disk still does is heard by it. */
+  void gone() {
+    parts = List.of();
+  }
 
-    private static byte[] marked(byte part, byte[] body) {
-        byte[] all = new byte[1 + body.length];
-        all[0] = part;
-        System.arraycopy(body, 0, all, 1, body.length);
-        return all;
-    }
+  private static byte[] marked(byte part, byte[] body) {
+    byte[] all = new byte[1 + body.length];
+    all[0] = part;
+    System.arraycopy(body, 0, all, 1, body.length);
+    return all;
+  }
 
-    @Override
-    public void told(long now, long wall, String from, byte[] body) {
-        parts.get(body[0] - 1).told(now, wall, from, Arrays.copyOfRange(body, 1, body.length));
-        stepped.run();
-    }
+  @Override
+  public void told(long now, long wall, String from, byte[] body) {
+    parts.get(body[0] - 1).told(now, wall, from, Arrays.copyOfRange(body, 1, body.length));
+    stepped.run();
+  }
 
-    @Override
-    public void turn(long now, long wall) {
-        parts.forEach(part -> part.turn(now, wall));
-        stepped.run();
-    }
+  @Override
+  public void turn(long now, long wall) {
+    parts.forEach(part -> part.turn(now, wall));
+    stepped.run();
+  }
 
-    @Override
-    public long dueAt() {
-        return parts.stream().mapToLong(Part::dueAt).min().orElse(Long.MAX_VALUE);
-    }
+  @Override
+  public long dueAt() {
+    return parts.stream().mapToLong(Part::dueAt).min().orElse(Long.MAX_VALUE);
+  }
 
-    @Override
-    public void away(long now, long wall, long lasted) {
-        parts.forEach(part -> part.away(now, wall, lasted));
-    }
+  @Override
+  public void away(long now, long wall, long lasted) {
+    parts.forEach(part -> part.away(now, wall, lasted));
+  }
 }
--- a/peers/src/main/java/tillerlink/peers/Part.java
+++ b/peers/src/main/java/tillerlink/peers/Part.java
@@ -1,23 +1,27 @@
 package tillerlink.peers;
 
 /**
- * A part of the state that gateways share: it is fed messages and time, and gives out messages through {@link Post}. It
- * does no I/O, and one thread owns it. Times are tenths of a millisecond: {@code now} never goes back and goes on while
- * the process is paused; {@code wall} is the machine's clock, which may jump either way.
+ * A part of the state that gateways share: it is fed messages and time, and gives out messages
+ * through {@link Post}. It does no I/O, and one thread owns it. Times are tenths of a millisecond:
+ * {@code now} never goes back and goes on while the process is paused; {@code wall} is the
+ * machine's clock, which may jump either way.
  */
 public interface Part {
-    /** A message of another gateway; one that can't be read costs no more than a counter. */
-    void told(long now, long wall, String from, byte[] body);
+  /** A message of another gateway; one that can't be read costs no more than a counter. */
+  void told(long now, long wall, String from, byte[] body);
 
-    /** What is due is done; called at least when {@link #dueAt} has come, and after what came in a turn. */
-    void turn(long now, long wall);
+  /**
+   * What is due is done; called at least when {@link #dueAt} has come, and after what came in a
+   * turn.
+   */
+  void turn(long now, long wall);
 
-    /** When a turn is due though nothing comes. */
-    long dueAt();
+  /** When a turn is due though nothing comes. */
+  long dueAt();
 
-    /**
-     * This process did nothing for so long (it was stopped, or its machine was): told before anything else that came
-     * meanwhile. Nothing of its own that ran out meanwhile may be trusted.
-     */
-    void away(long now, long wall, long lasted);
+  /**
+   * This process did nothing for so long (it was stopped, or its machine was): told before anything
+   * else that came meanwhile. Nothing of its own that ran out meanwhile may be trusted.
+   */
+  void away(long now, long wall, long lasted);
 }
--- a/peers/src/main/java/tillerlink/peers/Post.java
+++ b/peers/src/main/java/tillerlink/peers/Post.java
@@ -1,16 +1,17 @@
 package tillerlink.peers;
 
 /**
- * Sends a message to another gateway. It may be lost, late, repeated or overtaken by later ones, and nobody says so;
- * whoever needs it to arrive sends it again until the answer is there.
+ * Sends a message to another gateway. It may be lost, late, repeated or overtaken by later ones,
+ * and nobody says so; whoever needs it to arrive sends it again until the answer is there.
  */
 @FunctionalInterface
 public interface Post {
-    /** No message is longer; what is more goes in several. */
-    int BYTES_MOST = 12_000;
-    /** One of this size goes in a single datagram, which every link of today carries. */
-    int BYTES_EASY = 1_100;
+  /** No message is longer; what is more goes in several. */
+  int BYTES_MOST = 12_000;
 
-    /** Messages to a name that is not known are dropped. */
-    void send(String to, byte[] body);
+  /** One of this size goes in a single datagram, which every link of today carries. */
+  int BYTES_EASY = 1_100;
+
+  /** Messages to a name that is not known are dropped. */
+  void send(String to, byte[] body);
 }
--- a/replay/src/main/java/tillerlink/replay/End.java
+++ b/replay/src/main/java/tillerlink/replay/End.java
@@ -2,18 +2,18 @@
 
 /** How a submission ended for its client. */
 public enum End {
-    /** Fulfilled within the soft limit. */
-    IN_TIME,
-    /** Fulfilled, but later. */
-    LATE,
-    TURNED_BACK,
-    BROKEN_OFF,
-    /** The client's time was up and nothing had come. */
-    CLIENT_GONE,
-    /** Its gateway was killed with it. */
-    KILLED;
+  /** Fulfilled within the soft limit. */
+  IN_TIME,
+  /** Fulfilled, but later. */
+  LATE,
+  TURNED_BACK,
+  BROKEN_OFF,
+  /** The client's time was up and nothing had come. */
+  CLIENT_GONE,
+  /** Its gateway was killed with it. */
+  KILLED;
 
-    public boolean fulfilled() {
-        return this == IN_TIME || this == LATE;
-    }
+  public boolean fulfilled() {
+    return this == IN_TIME || this == LATE;
+  }
 }
--- a/replay/src/main/java/tillerlink/replay/Figures.java
+++ b/replay/src/main/java/tillerlink/replay/Figures.java
@@ -7,128 +7,140 @@
 import org.HdrHistogram.Histogram;
 import tillerlink.workload.Track;
 
-/** What a run was worth: value answered within the soft limit over value asked for, and what became of the rest. */
+/**
+ * What a run was worth: value answered within the soft limit over value asked for, and what became
+ * of the rest.
+ */
 public final class Figures {
-    static final long SECOND = 10_000;
-    private static final long WINDOW = 10 * SECOND;
-    private static final long WINDOW_LEAST = 20;
-    private static final int DIGITS = 3;
-
-    /** One track's share. */
-    public static final class OfTrack {
-        private final Track track;
-        private final Map<End, Long> ends = new EnumMap<>(End.class);
-        private final Histogram times;
-        private long arrived;
-
-        OfTrack(Track track) {
-            this.track = track;
-            times = new Histogram(1, Math.max(2, 4 * track.deadline()), DIGITS);
-        }
-
-        public Track track() {
-            return track;
-        }
-
-        public long arrived() {
-            return arrived;
-        }
-
-        public long ended(End how) {
-            return ends.getOrDefault(how, 0L);
-        }
-
-        /** Milliseconds to the answer of those that were fulfilled. */
-        public double timeMs(double percentile) {
-            return times.getTotalCount() == 0 ? Double.NaN : times.getValueAtPercentile(percentile) / 10.0;
-        }
-
-        /** NaN if nothing was asked for. */
-        public double served() {
-            return arrived == 0 ? Double.NaN : (double) ended(End.IN_TIME) / arrived;
-        }
+  static final long SECOND = 10_000;
+  private static final long WINDOW = 10 * SECOND;
+  private static final long WINDOW_LEAST = 20;
+  private static final int DIGITS = 3;
+
+  /** One track's share. */
+  public static final class OfTrack {
+    private final Track track;
+    private final Map<End, Long> ends = new EnumMap<>(End.class);
+    private final Histogram times;
+    private long arrived;
+
+    OfTrack(Track track) {
+      this.track = track;
+      times = new Histogram(1, Math.max(2, 4 * track.deadline()), DIGITS);
     }
 
-    private final List<OfTrack> tracks = new ArrayList<>();
-    private final Windows windows;
-    /** By second of arrival: all that arrived, then each end. */
-    private final Series series = new Series(1 + End.values().length, SECOND);
-    private double asked;
-    private double got;
-
-    public Figures(List<Track> tracks) {
-        tracks.forEach(track -> this.tracks.add(new OfTrack(track)));
-        long longest = tracks.stream().mapToLong(Track::deadline).max().orElse(0);
-        windows = new Windows(WINDOW, 2 * longest, WINDOW_LEAST);
+    public Track track() {
+      return track;
     }
 
-    public void arrived(long at, int track) {
-        OfTrack of = tracks.get(track);
-        of.arrived++;
-        asked += of.track.value();
-        windows.asked(at, of.track.value());
-        series.add(at, 0, 1);
-    }
-
-    /** @param took from when the client asked to when it had its answer */
-    public void ended(long askedAt, int track, End how, long took) {
-        OfTrack of = tracks.get(track);
-        of.ends.merge(how, 1L, Long::sum);
-        if (how.fulfilled()) {
-            of.times.recordValue(Math.min(Math.max(1, took), of.times.getHighestTrackableValue()));
-        }
-        if (how == End.IN_TIME) {
-            got += of.track.value();
-            windows.got(askedAt, of.track.value());
-        }
-        series.add(askedAt, 1 + how.ordinal(), 1);
-    }
-
-    public void end() {
-        windows.end();
-    }
-
-    /** The whole run's figure; 0 if nothing was asked for. */
-    public double whole() {
-        return asked == 0 ? 0 : got / asked;
-    }
-
-    /** The worst 10 s by arrival; the whole run's if none had enough submissions to tell. */
-    public double worstWindow() {
-        return Double.isNaN(windows.worst()) ? whole() : windows.worst();
-    }
-
-    public long worstWindowFrom() {
-        return windows.worstFrom();
+    public long arrived() {
+      return arrived;
     }
 
-    public double worstTrack() {
-        return tracks.stream().mapToDouble(OfTrack::served).filter(served -> !Double.isNaN(served)).min()
-                .orElse(whole());
+    public long ended(End how) {
+      return ends.getOrDefault(how, 0L);
     }
 
-    public List<OfTrack> tracks() {
-        return tracks;
+    /** Milliseconds to the answer of those that were fulfilled. */
+    public double timeMs(double percentile) {
+      return times.getTotalCount() == 0
+          ? Double.NaN
+          : times.getValueAtPercentile(percentile) / 10.0;
     }
 
-    public Series series() {
-        return series;
+    /** NaN if nothing was asked for. */
+    public double served() {
+      return arrived == 0 ? Double.NaN : (double) ended(End.IN_TIME) / arrived;
     }
-
-    public long arrived() {
-        return tracks.stream().mapToLong(OfTrack::arrived).sum();
+  }
+
+  private final List<OfTrack> tracks = new ArrayList<>();
+  private final Windows windows;
+
+  /** By second of arrival: all that arrived, then each end. */
+  private final Series series = new Series(1 + End.values().length, SECOND);
+
+  private double asked;
+  private double got;
+
+  public Figures(List<Track> tracks) {
+    tracks.forEach(track -> this.tracks.add(new OfTrack(track)));
+    long longest = tracks.stream().mapToLong(Track::deadline).max().orElse(0);
+    windows = new Windows(WINDOW, 2 * longest, WINDOW_LEAST);
+  }
+
+  public void arrived(long at, int track) {
+    OfTrack of = tracks.get(track);
+    of.arrived++;
+    asked += of.track.value();
+    windows.asked(at, of.track.value());
+    series.add(at, 0, 1);
+  }
+
+  /**
+   * @param took from when the client asked to when it had its answer
+   */
+  public void ended(long askedAt, int track, End how, long took) {
+    OfTrack of = tracks.get(track);
+    of.ends.merge(how, 1L, Long::sum);
+    if (how.fulfilled()) {
+      of.times.recordValue(Math.min(Math.max(1, took), of.times.getHighestTrackableValue()));
     }
-
-    public long ended(End how) {
-        return tracks.stream().mapToLong(track -> track.ended(how)).sum();
+    if (how == End.IN_TIME) {
+      got += of.track.value();
+      windows.got(askedAt, of.track.value());
     }
-
-    /** Whether every submission that arrived has ended, once. */
-    public boolean addsUp() {
-        long ends = 0;
-        for (End how : End.values()) {
-            ends += ended(how);
-        }
-        return ends == arrived();
+    series.add(askedAt, 1 + how.ordinal(), 1);
+  }
+
+  public void end() {
+    windows.end();
+  }
+
+  /** The whole run's figure; 0 if nothing was asked for. */
+  public double whole() {
+    return asked == 0 ? 0 : got / asked;
+  }
+
+  /** The worst 10 s by arrival; the whole run's if none had enough submissions to tell. */
+  public double worstWindow() {
+    return Double.isNaN(windows.worst()) ? whole() : windows.worst();
+  }
+
+  public long worstWindowFrom() {
+    return windows.worstFrom();
+  }
+
+  public double worstTrack() {
+    return tracks.stream()
+        .mapToDouble(OfTrack::served)
+        .filter(served -> !Double.isNaN(served))
+        .min()
+        .orElse(whole());
+  }
+
+  public List<OfTrack> tracks() {
+    return tracks;
+  }
+
+  public Series series() {
+    return series;
+  }
+
+  public long arrived() {
+    return tracks.stream().mapToLong(OfTrack::arrived).sum();
+  }
+
+  public long ended(End how) {
+    return tracks.stream().mapToLong(track -> track.ended(how)).sum();
+  }
+
+  /** Whether every submission that arrived has ended, once. */
+  public boolean addsUp() {
+    long ends = 0;
+    for (End how : End.values()) {
+      ends += ended(how);
     }
+    return ends == arrived();
+  }
 }
--- a/replay/src/main/java/tillerlink/replay/Front.java
+++ b/replay/src/main/java/tillerlink/replay/Front.java
@@ -13,267 +13,279 @@
 import tillerlink.workload.Track;
 
 /**
- * The clients of a replay: each submission is sent when it arrives, whatever became of those before it,
- * to a gateway that is up, and its result is fetched as the protocol says.
+ * The clients of a replay: each submission is sent when it arrives, whatever became of those before
+ * it, to a gateway that is up, and its result is fetched as the protocol says.
  */
 public final class Front {
-    private static final int CALLS_MOST = 3;
-    /** Each time limit is 50 ms longer on sockets. */
-    private static final long SLACK = 500;
-    private static final long LEAVING_TAKES = 10;
-    private static final long IDLE_MOST = 4 * Figures.SECOND;
+  private static final int CALLS_MOST = 3;
 
-    /** One submission and its client. */
-    private static final class Request {
-        private final Arrival arrival;
-        private final Track track;
-        private final String id;
-        private final int gateway;
-        private final long askedAt;
-        private String path;
-        private int calls;
-        private boolean over;
+  /** Each time limit is 50 ms longer on sockets. */
+  private static final long SLACK = 500;
 
-        Request(Arrival arrival, Track track, String id, int gateway, long askedAt) {
-            this.arrival = arrival;
-            this.track = track;
-            this.id = id;
-            this.gateway = gateway;
-            this.askedAt = askedAt;
-        }
-    }
+  private static final long LEAVING_TAKES = 10;
+  private static final long IDLE_MOST = 4 * Figures.SECOND;
 
-    private final World world;
-    private final Lines lines;
-    private final Figures figures;
-    private final Wording wording;
-    private long start;
-    private final Set<Request> open = new LinkedHashSet<>();
-    private final List<ArrayDeque<Conversation>> idle = new ArrayList<>();
-    private final List<Set<Conversation>> all = new ArrayList<>();
+  /** One submission and its client. */
+  private static final class Request {
+    private final Arrival arrival;
+    private final Track track;
+    private final String id;
+    private final int gateway;
+    private final long askedAt;
+    private String path;
+    private int calls;
+    private boolean over;
 
-    public Front(World world, Lines lines, Figures figures, Wording wording) {
-        this.world = world;
-        this.lines = lines;
-        this.figures = figures;
-        this.wording = wording;
-        start = world.now();
-        for (int i = 0; i < world.fleet.gateways(); i++) {
-            idle.add(new ArrayDeque<>());
-            all.add(new LinkedHashSet<>());
-        }
-        world.onKill(this::killed);
+    Request(Arrival arrival, Track track, String id, int gateway, long askedAt) {
+      this.arrival = arrival;
+      this.track = track;
+      this.id = id;
+      this.gateway = gateway;
+      this.askedAt = askedAt;
     }
+  }
 
-    /** The run begins then, not now. */
-    public void startAt(long at) {
-        start = at;
-    }
+  private final World world;
+  private final Lines lines;
+  private final Figures figures;
+  private final Wording wording;
+  private long start;
+  private final Set<Request> open = new LinkedHashSet<>();
+  private final List<ArrayDeque<Conversation>> idle = new ArrayList<>();
+  private final List<Set<Conversation>> all = new ArrayList<>();
 
-    /** How many wait for their answers. */
-    public int open() {
-        return open.size();
+  public Front(World world, Lines lines, Figures figures, Wording wording) {
+    this.world = world;
+    this.lines = lines;
+    this.figures = figures;
+    this.wording = wording;
+    start = world.now();
+    for (int i = 0; i < world.fleet.gateways(); i++) {
+      idle.add(new ArrayDeque<>());
+      all.add(new LinkedHashSet<>());
     }
+    world.onKill(this::killed);
+  }
 
-    public void arrive(Arrival arrival) {
-        Track track = world.tracks.get(arrival.track());
-        figures.arrived(world.now() - start, arrival.track());
-        int gateway = gatewayFor(arrival);
-        Request request = new Request(arrival, track, wording.id(arrival), gateway, world.now());
-        if (gateway < 0) {
-            finish(request, End.KILLED);
-            return;
-        }
-        open.add(request);
-        world.expect(request.id, new World.Job(arrival.work(), track.width(), arrival.memory()));
-        world.auditor.taken(world.now(), gateway, request.id, arrival.track(), null,
-                world.now() + track.deadline());
-        say(request, wording.submission(arrival, track, request.id));
-        world.timeline.at(world.now() + track.deadline() + SLACK, () -> leave(request));
+  /** The run begins then, not now. */
+  public void startAt(long at) {
+    start = at;
+  }
+
+  /** How many wait for their answers. */
+  public int open() {
+    return open.size();
+  }
+
+  public void arrive(Arrival arrival) {
+    Track track = world.tracks.get(arrival.track());
+    figures.arrived(world.now() - start, arrival.track());
+    int gateway = gatewayFor(arrival);
+    Request request = new Request(arrival, track, wording.id(arrival), gateway, world.now());
+    if (gateway < 0) {
+      finish(request, End.KILLED);
+      return;
     }
+    open.add(request);
+    world.expect(request.id, new World.Job(arrival.work(), track.width(), arrival.memory()));
+    world.auditor.taken(
+        world.now(), gateway, request.id, arrival.track(), null, world.now() + track.deadline());
+    say(request, wording.submission(arrival, track, request.id));
+    world.timeline.at(world.now() + track.deadline() + SLACK, () -> leave(request));
+  }
 
-    /** Drawn by the submission alone; a front passes over gateways that are down. */
-    private int gatewayFor(Arrival arrival) {
-        int count = world.fleet.gateways();
-        int first = (int) Long.remainderUnsigned(arrival.key() * 0x9e3779b97f4a7c15L >>> 16, count);
-        for (int i = 0; i < count; i++) {
-            if (lines.isUp((first + i) % count)) {
-                return (first + i) % count;
-            }
-        }
-        return -1;
+  /** Drawn by the submission alone; a front passes over gateways that are down. */
+  private int gatewayFor(Arrival arrival) {
+    int count = world.fleet.gateways();
+    int first = (int) Long.remainderUnsigned(arrival.key() * 0x9e3779b97f4a7c15L >>> 16, count);
+    for (int i = 0; i < count; i++) {
+      if (lines.isUp((first + i) % count)) {
+        return (first + i) % count;
+      }
     }
+    return -1;
+  }
 
-    private void say(Request request, byte[] bytes) {
-        ArrayDeque<Conversation> free = idle.get(request.gateway);
-        Conversation with = free.pollLast();
-        while (with != null && with.staleAt(world.now())) {
-            with.hangUp();
-            with = free.pollLast();
-        }
-        with = with == null ? new Conversation(request.gateway) : with;
-        with.request = request;
-        with.say(bytes);
+  private void say(Request request, byte[] bytes) {
+    ArrayDeque<Conversation> free = idle.get(request.gateway);
+    Conversation with = free.pollLast();
+    while (with != null && with.staleAt(world.now())) {
+      with.hangUp();
+      with = free.pollLast();
     }
+    with = with == null ? new Conversation(request.gateway) : with;
+    with.request = request;
+    with.say(bytes);
+  }
 
-    private void heard(Conversation on, Request request, HttpAnswers.Answer answer) {
-        String more = answer.status() == 200 ? answer.goOnAt() : null;
-        if (more != null) {
-            request.path = more;
-            switch (request.over ? 0 : world.choices.choose("client", 3)) {
-                case 1 -> {
-                    on.hangUp();
-                    say(request, Wording.fetch(more));
-                }
-                case 2 -> {
-                    on.hangUp();
-                    new Conversation(request.gateway).say(Wording.leave(more));
-                    // Until the gateway has heard of it, it does right to go on.
-                    world.timeline.at(world.now() + LEAVING_TAKES, () -> {
-                        world.auditor.left(world.now(), request.id, false);
-                        finish(request, End.CLIENT_GONE);
-                    });
-                }
-                default -> on.say(Wording.fetch(more));
-            }
-            return;
+  private void heard(Conversation on, Request request, HttpAnswers.Answer answer) {
+    String more = answer.status() == 200 ? answer.goOnAt() : null;
+    if (more != null) {
+      request.path = more;
+      switch (request.over ? 0 : world.choices.choose("client", 3)) {
+        case 1 -> {
+          on.hangUp();
+          say(request, Wording.fetch(more));
         }
-        on.free();
-        if (request.over) {
-            return;
-        }
-        long took = world.now() - request.askedAt;
-        if (answer.status() == 200) {
-            if (!answer.body().equals(Results.whole(request.id))) {
-                world.auditor.wrongResult(world.now(), request.id);
-            }
-            answered(request, Auditor.Answer.FULFILLED, took <= request.track.softLimit() ? End.IN_TIME : End.LATE);
-        } else if (answer.status() == 503 || answer.status() == 429) {
-            answered(request, Auditor.Answer.TURNED_BACK, End.TURNED_BACK);
-        } else {
-            answered(request, Auditor.Answer.BROKEN_OFF, End.BROKEN_OFF);
+        case 2 -> {
+          on.hangUp();
+          new Conversation(request.gateway).say(Wording.leave(more));
+          // Until the gateway has heard of it, it does right to go on.
+          world.timeline.at(
+              world.now() + LEAVING_TAKES,
+              () -> {
+                world.auditor.left(world.now(), request.id, false);
+                finish(request, End.CLIENT_GONE);
+              });
         }
+        default -> on.say(Wording.fetch(more));
+      }
+      return;
     }
-
-    private void answered(Request request, Auditor.Answer answer, End end) {
-        world.auditor.answered(world.now(), request.id, answer);
-        finish(request, end);
+    on.free();
+    if (request.over) {
+      return;
     }
-
-    private void finish(Request request, End end) {
-        request.over = true;
-        open.remove(request);
-        world.forget(request.id);
-        figures.ended(request.askedAt - start, request.arrival.track(), end, world.now() - request.askedAt);
+    long took = world.now() - request.askedAt;
+    if (answer.status() == 200) {
+      if (!answer.body().equals(Results.whole(request.id))) {
+        world.auditor.wrongResult(world.now(), request.id);
+      }
+      answered(
+          request,
+          Auditor.Answer.FULFILLED,
+          took <= request.track.softLimit() ? End.IN_TIME : End.LATE);
+    } else if (answer.status() == 503 || answer.status() == 429) {
+      answered(request, Auditor.Answer.TURNED_BACK, End.TURNED_BACK);
+    } else {
+      answered(request, Auditor.Answer.BROKEN_OFF, End.BROKEN_OFF);
     }
+  }
 
-    /** The connection ended with no answer: the path is called again on another, three times at most. */
-    private void broken(Request request) {
-        if (request == null || request.over) {
-            return;
-        }
-        if (request.path != null && request.calls++ < CALLS_MOST) {
-            say(request, Wording.fetch(request.path));
-        } else if (request.path == null && request.calls++ == 0) {
-            // It crossed the gateway's close of an idle connection.
-            say(request, wording.submission(request.arrival, request.track, request.id));
-        } else {
-            world.auditor.left(world.now(), request.id, true);
-            finish(request, End.CLIENT_GONE);
-        }
+  private void answered(Request request, Auditor.Answer answer, End end) {
+    world.auditor.answered(world.now(), request.id, answer);
+    finish(request, end);
+  }
+
+  private void finish(Request request, End end) {
+    request.over = true;
+    open.remove(request);
+    world.forget(request.id);
+    figures.ended(
+        request.askedAt - start, request.arrival.track(), end, world.now() - request.askedAt);
+  }
+
+  /**
+   * The connection ended with no answer: the path is called again on another, three times at most.
+   */
+  private void broken(Request request) {
+    if (request == null || request.over) {
+      return;
     }
+    if (request.path != null && request.calls++ < CALLS_MOST) {
+      say(request, Wording.fetch(request.path));
+    } else if (request.path == null && request.calls++ == 0) {
+      // It crossed the gateway's close of an idle connection.
+      say(request, wording.submission(request.arrival, request.track, request.id));
+    } else {
+      world.auditor.left(world.now(), request.id, true);
+      finish(request, End.CLIENT_GONE);
+    }
+  }
 
-    private void leave(Request request) {
-        if (request.over) {
-            return;
-        }
-        world.auditor.left(world.now(), request.id, true);
-        finish(request, End.CLIENT_GONE);
-        if (request.path != null) {
-            Conversation last = new Conversation(request.gateway);
-            last.say(Wording.leave(request.path));
-        }
+  private void leave(Request request) {
+    if (request.over) {
+      return;
+    }
+    world.auditor.left(world.now(), request.id, true);
+    finish(request, End.CLIENT_GONE);
+    if (request.path != null) {
+      Conversation last = new Conversation(request.gateway);
+      last.say(Wording.leave(request.path));
     }
+  }
 
-    private void killed(int gateway) {
-        List.copyOf(all.get(gateway)).forEach(Conversation::hangUp);
-        for (Request request : List.copyOf(open)) {
-            if (request.gateway == gateway) {
-                finish(request, End.KILLED);
-            }
-        }
+  private void killed(int gateway) {
+    List.copyOf(all.get(gateway)).forEach(Conversation::hangUp);
+    for (Request request : List.copyOf(open)) {
+      if (request.gateway == gateway) {
+        finish(request, End.KILLED);
+      }
     }
+  }
 
-    /** A client's connection to a gateway. */
-    private final class Conversation implements Lines.Client {
-        private final int gateway;
-        private final HttpAnswers reader = new HttpAnswers();
-        private final Lines.Line line;
-        private Request request;
-        private boolean over;
-        private long freeSince;
+  /** A client's connection to a gateway. */
+  private final class Conversation implements Lines.Client {
+    private final int gateway;
+    private final HttpAnswers reader = new HttpAnswers();
+    private final Lines.Line line;
+    private Request request;
+    private boolean over;
+    private long freeSince;
 
-        Conversation(int gateway) {
-            this.gateway = gateway;
-            all.get(gateway).add(this);
-            line = lines.open(gateway, this);
-        }
+    Conversation(int gateway) {
+      this.gateway = gateway;
+      all.get(gateway).add(this);
+      line = lines.open(gateway, this);
+    }
 
-        void say(byte[] bytes) {
-            line.say(bytes);
-        }
+    void say(byte[] bytes) {
+      line.say(bytes);
+    }
 
-        @Override
-        public void heard(byte[] bytes) {
-            if (over) {
-                return;
-            }
-            try {
-                reader.feed(bytes);
-                for (HttpAnswers.Answer answer = reader.next(); answer != null && !over; answer = reader.next()) {
-                    Request of = request;
-                    if (of == null) {
-                        hangUp();
-                    } else {
-                        Front.this.heard(this, of, answer);
-                    }
-                }
-            } catch (IllegalArgumentException e) {
-                hangUp();
-                broken(request);
-            }
+    @Override
+    public void heard(byte[] bytes) {
+      if (over) {
+        return;
+      }
+      try {
+        reader.feed(bytes);
+        for (HttpAnswers.Answer answer = reader.next();
+            answer != null && !over;
+            answer = reader.next()) {
+          Request of = request;
+          if (of == null) {
+            hangUp();
+          } else {
+            Front.this.heard(this, of, answer);
+          }
         }
+      } catch (IllegalArgumentException e) {
+        hangUp();
+        broken(request);
+      }
+    }
 
-        void free() {
-            request = null;
-            freeSince = world.now();
-            idle.get(gateway).addLast(this);
-        }
+    void free() {
+      request = null;
+      freeSince = world.now();
+      idle.get(gateway).addLast(this);
+    }
 
-        boolean staleAt(long now) {
-            return over || now >= freeSince + IDLE_MOST;
-        }
+    boolean staleAt(long now) {
+      return over || now >= freeSince + IDLE_MOST;
+    }
 
-        /** The client closes. */
-        void hangUp() {
-            if (!over) {
-                forget();
-                line.hangUp();
-            }
-        }
+    /** The client closes. */
+    void hangUp() {
+      if (!over) {
+        forget();
+        line.hangUp();
+      }
+    }
 
-        private void forget() {
-            over = true;
-            all.get(gateway).remove(this);
-            idle.get(gateway).remove(this);
-        }
+    private void forget() {
+      over = true;
+      all.get(gateway).remove(this);
+      idle.get(gateway).remove(this);
+    }
 
-        @Override
-        public void ended() {
-            if (!over) {
-                forget();
-                broken(request);
-            }
-        }
+    @Override
+    public void ended() {
+      if (!over) {
+        forget();
+        broken(request);
+      }
     }
+  }
 }
--- a/replay/src/main/java/tillerlink/replay/Played.java
+++ b/replay/src/main/java/tillerlink/replay/Played.java
@@ -10,52 +10,79 @@
 /**
  * A replay that has been played.
  *
- * @param start  when it began, and how long it lasted: tenths of a millisecond
- * @param lag    how late submissions were sent over sockets, in tenths of a millisecond; null in virtual time
+ * @param start when it began, and how long it lasted: tenths of a millisecond
+ * @param lag how late submissions were sent over sockets, in tenths of a millisecond; null in
+ *     virtual time
  */
-public record Played(Job job, Arrivals arrivals, World world, Auditor auditor, Figures figures, long start,
-                     long lasted, Histogram lag) {
-    private static final double LAG_99_MOST = 200;
-    private static final double LAG_MOST = 5000;
-    private static final int TENTHS_PER_MS = 10;
+public record Played(
+    Job job,
+    Arrivals arrivals,
+    World world,
+    Auditor auditor,
+    Figures figures,
+    long start,
+    long lasted,
+    Histogram lag) {
+  private static final double LAG_99_MOST = 200;
+  private static final double LAG_MOST = 5000;
+  private static final int TENTHS_PER_MS = 10;
 
-    /** Seconds since the start. */
-    String sinceStart(long at) {
-        return String.format(Locale.ROOT, "%.3f", (at - start) / (double) Figures.SECOND);
-    }
+  /** Seconds since the start. */
+  String sinceStart(long at) {
+    return String.format(Locale.ROOT, "%.3f", (at - start) / (double) Figures.SECOND);
+  }
 
-    /** Whether the load was sent as the trace has it: of 100 submissions 99 within 20 ms, all within half a second. */
-    public boolean inTime() {
-        return lag == null || lag.getValueAtPercentile(99) <= LAG_99_MOST && lag.getMaxValue() <= LAG_MOST;
-    }
+  /**
+   * Whether the load was sent as the trace has it: of 100 submissions 99 within 20 ms, all within
+   * half a second.
+   */
+  public boolean inTime() {
+    return lag == null
+        || lag.getValueAtPercentile(99) <= LAG_99_MOST && lag.getMaxValue() <= LAG_MOST;
+  }
 
-    /**
-     * What is wrong, in words, whatever the machine was busy with: rules that broke, rows or submissions that are not
-     * accounted for. Empty if nothing is.
-     */
-    public List<String> faults() {
-        List<String> faults = new ArrayList<>();
-        auditor.counts().forEach((rule, times) -> faults.add(String.format(Locale.ROOT, "rule broken: %s, %d times",
-                rule.name().toLowerCase(Locale.ROOT), times)));
-        if (!arrivals.tally().addsUp()) {
-            faults.add("rows are not all accounted for");
-        }
-        if (!figures.addsUp()) {
-            faults.add("submissions are not all accounted for");
-        }
-        return faults;
+  /**
+   * What is wrong, in words, whatever the machine was busy with: rules that broke, rows or
+   * submissions that are not accounted for. Empty if nothing is.
+   */
+  public List<String> faults() {
+    List<String> faults = new ArrayList<>();
+    auditor
+        .counts()
+        .forEach(
+            (rule, times) ->
+                faults.add(
+                    String.format(
+                        Locale.ROOT,
+                        "rule broken: %s, %d times",
+                        rule.name().toLowerCase(Locale.ROOT),
+                        times)));
+    if (!arrivals.tally().addsUp()) {
+      faults.add("rows are not all accounted for");
     }
-
-    /** Whether the figure counts: the load was in time, and nothing is wrong. */
-    public boolean sound() {
-        return inTime() && faults().isEmpty();
+    if (!figures.addsUp()) {
+      faults.add("submissions are not all accounted for");
     }
+    return faults;
+  }
 
-    /** In one line, why the figure counts or does not. */
-    public String verdict() {
-        List<String> faults = faults();
-        String told = faults.isEmpty() ? "no rule broke, and all is accounted for" : String.join("; ", faults);
-        return inTime() ? told : String.format(Locale.ROOT, "%s; the figure does not count: the load was sent late, by "
-                + "%.1f ms at the most, as the machine was busy", told, lag.getMaxValue() / (double) TENTHS_PER_MS);
-    }
+  /** Whether the figure counts: the load was in time, and nothing is wrong. */
+  public boolean sound() {
+    return inTime() && faults().isEmpty();
+  }
+
+  /** In one line, why the figure counts or does not. */
+  public String verdict() {
+    List<String> faults = faults();
+    String told =
+        faults.isEmpty() ? "no rule broke, and all is accounted for" : String.join("; ", faults);
+    return inTime()
+        ? told
+        : String.format(
+            Locale.ROOT,
+            "%s; the figure does not count: the load was sent late, by "
+                + "%.1f ms at the most, as the machine was busy",
+            told,
+            lag.getMaxValue() / (double) TENTHS_PER_MS);
+  }
 }
--- a/replay/src/main/java/tillerlink/replay/SeatLines.java
+++ b/replay/src/main/java/tillerlink/replay/SeatLines.java
@@ -7,98 +7,105 @@
 
 /** Connections of clients to gateways in memory. */
 public final class SeatLines implements Lines {
-    private static final long DELAY = 2;
+  private static final long DELAY = 2;
+
+  private final World world;
+
+  public SeatLines(World world) {
+    this.world = world;
+  }
+
+  @Override
+  public boolean isUp(int gateway) {
+    return world.seats.get(gateway).isUp();
+  }
+
+  @Override
+  public Line open(int gateway, Client client) {
+    return new Connection(world.seats.get(gateway), client);
+  }
+
+  /** What is said takes a while, both ways, and keeps its order. */
+  private final class Connection implements Line, Pipe {
+    private final Seat seat;
+    private final Client client;
+    private final int life;
+    private Owner owner;
+    private boolean hungUp;
+    private boolean over;
+
+    Connection(Seat seat, Client client) {
+      this.seat = seat;
+      this.client = client;
+      life = seat.life();
+      later(() -> seat.post(life, () -> owner = seat.accept(this)));
+    }
 
-    private final World world;
+    private void later(Runnable what) {
+      world.timeline.at(world.now() + DELAY, what);
+    }
 
-    public SeatLines(World world) {
-        this.world = world;
+    private void tell(Runnable what) {
+      seat.post(
+          life,
+          () -> {
+            if (!over && owner != null) {
+              what.run();
+            }
+          });
     }
 
     @Override
-    public boolean isUp(int gateway) {
-        return world.seats.get(gateway).isUp();
+    public void say(byte[] bytes) {
+      later(() -> tell(() -> owner.fed(bytes)));
     }
 
     @Override
-    public Line open(int gateway, Client client) {
-        return new Connection(world.seats.get(gateway), client);
+    public void hangUp() {
+      hungUp = true;
+      later(
+          () ->
+              tell(
+                  () -> {
+                    over = true;
+                    owner.ended(Break.CLOSED_BY_PEER);
+                  }));
     }
 
-    /** What is said takes a while, both ways, and keeps its order. */
-    private final class Connection implements Line, Pipe {
-        private final Seat seat;
-        private final Client client;
-        private final int life;
-        private Owner owner;
-        private boolean hungUp;
-        private boolean over;
-
-        Connection(Seat seat, Client client) {
-            this.seat = seat;
-            this.client = client;
-            life = seat.life();
-            later(() -> seat.post(life, () -> owner = seat.accept(this)));
-        }
-
-        private void later(Runnable what) {
-            world.timeline.at(world.now() + DELAY, what);
-        }
-
-        private void tell(Runnable what) {
-            seat.post(life, () -> {
-                if (!over && owner != null) {
-                    what.run();
-                }
-            });
-        }
-
-        @Override
-        public void say(byte[] bytes) {
-            later(() -> tell(() -> owner.fed(bytes)));
-        }
-
-        @Override
-        public void hangUp() {
-            hungUp = true;
-            later(() -> tell(() -> {
-                over = true;
-                owner.ended(Break.CLOSED_BY_PEER);
-            }));
-        }
-
-        @Override
-        public void write(byte[] bytes) {
-            tell(() -> owner.written());
-            later(() -> {
-                if (!hungUp) {
-                    client.heard(bytes);
-                }
-            });
-        }
-
-        @Override
-        public void close() {
-            drop();
-        }
-
-        /** What was written before still comes. */
-        @Override
-        public void drop() {
-            if (!over) {
-                over = true;
-                later(() -> {
-                    if (!hungUp) {
-                        hungUp = true;
-                        client.ended();
-                    }
-                });
+    @Override
+    public void write(byte[] bytes) {
+      tell(() -> owner.written());
+      later(
+          () -> {
+            if (!hungUp) {
+              client.heard(bytes);
             }
-        }
+          });
+    }
 
-        @Override
-        public void hold(boolean held) {
-            // Clients of a replay never send ahead.
-        }
+    @Override
+    public void close() {
+      drop();
+    }
+
+    /** What was written before still comes. */
+    @Override
+    public void drop() {
+      if (!over) {
+        over = true;
+        later(
+            () -> {
+              if (!hungUp) {
+                hungUp = true;
+                client.ended();
+              }
+            });
+      }
+    }
+
+    @Override
+    public void hold(boolean held) {
+      // Clients of a replay never send ahead.
     }
+  }
 }
