--- a/rig/src/main/java/tillerlink/rig/EngineSockets.java
+++ b/rig/src/main/java/tillerlink/rig/EngineSockets.java
@@ -28,176 +28,175 @@
 import tillerlink.standin.Says;
 
 /**
- * Stand-in engines on loopback: the emulated ones, behind sockets. Each gateway reaches each engine at a port of its
- * own, so that what comes tells whose it is.
+ * Stand-in engines on loopback: the emulated ones, behind sockets. Each gateway reaches each engine
+ * at a port of its own, so that what comes tells whose it is.
  */
 final class EngineSockets implements Closeable {
-    private static final String LOOPBACK = "127.0.0.1";
-    private static final int BACKLOG = 256;
-    private static final String PEER = "peer";
-
-    /** Whose port it is. */
-    private record Door(EmulatedEngine engine, int gateway) {
+  private static final String LOOPBACK = "127.0.0.1";
+  private static final int BACKLOG = 256;
+  private static final String PEER = "peer";
+
+  /** Whose port it is. */
+  private record Door(EmulatedEngine engine, int gateway) {}
+
+  private final World world;
+  private final Consumer<Runnable> post;
+  private final NioSocketAcceptor acceptor = new NioSocketAcceptor(1);
+  private final Map<SocketAddress, Door> doors = new ConcurrentHashMap<>();
+  private final Map<String, List<InetSocketAddress>> ports = new HashMap<>();
+  private final Set<EmulatedEngine> closed = new HashSet<>();
+
+  EngineSockets(World world, Consumer<Runnable> post) {
+    this.world = world;
+    this.post = post;
+    acceptor.setReuseAddress(true);
+    acceptor.setBacklog(BACKLOG);
+    acceptor.getSessionConfig().setTcpNoDelay(true);
+    acceptor.setHandler(new Handler());
+  }
+
+  /** An engine has come up: it listens. */
+  void open(EmulatedEngine engine) {
+    List<InetSocketAddress> own = new ArrayList<>();
+    for (int gateway = 0; gateway < world.fleet.gateways(); gateway++) {
+      try {
+        Set<SocketAddress> before = new HashSet<>(acceptor.getLocalAddresses());
+        acceptor.bind(new InetSocketAddress(LOOPBACK, 0));
+        Set<SocketAddress> after = new HashSet<>(acceptor.getLocalAddresses());
+        after.removeAll(before);
+        InetSocketAddress port = (InetSocketAddress) after.iterator().next();
+        doors.put(port, new Door(engine, gateway));
+        own.add(port);
+      } catch (IOException e) {
+        throw new IllegalStateException("an engine can't listen: " + e.getMessage(), e);
+      }
     }
-
-    private final World world;
-    private final Consumer<Runnable> post;
-    private final NioSocketAcceptor acceptor = new NioSocketAcceptor(1);
-    private final Map<SocketAddress, Door> doors = new ConcurrentHashMap<>();
-    private final Map<String, List<InetSocketAddress>> ports = new HashMap<>();
-    private final Set<EmulatedEngine> closed = new HashSet<>();
-
-    EngineSockets(World world, Consumer<Runnable> post) {
-        this.world = world;
-        this.post = post;
-        acceptor.setReuseAddress(true);
-        acceptor.setBacklog(BACKLOG);
-        acceptor.getSessionConfig().setTcpNoDelay(true);
-        acceptor.setHandler(new Handler());
+    ports.put(engine.spec.name(), own);
+  }
+
+  /** Where a gateway reaches an engine. */
+  InetSocketAddress port(String engine, int gateway) {
+    return ports.get(engine).get(gateway);
+  }
+
+  /** Looks which engines have ended since: they listen no longer. */
+  void sweep() {
+    for (Map.Entry<SocketAddress, Door> door : doors.entrySet()) {
+      EmulatedEngine engine = door.getValue().engine;
+      if (engine.isEnded() && closed.add(engine)) {
+        ports.get(engine.spec.name()).forEach(acceptor::unbind);
+      }
     }
-
-    /** An engine has come up: it listens. */
-    void open(EmulatedEngine engine) {
-        List<InetSocketAddress> own = new ArrayList<>();
-        for (int gateway = 0; gateway < world.fleet.gateways(); gateway++) {
-            try {
-                Set<SocketAddress> before = new HashSet<>(acceptor.getLocalAddresses());
-                acceptor.bind(new InetSocketAddress(LOOPBACK, 0));
-                Set<SocketAddress> after = new HashSet<>(acceptor.getLocalAddresses());
-                after.removeAll(before);
-                InetSocketAddress port = (InetSocketAddress) after.iterator().next();
-                doors.put(port, new Door(engine, gateway));
-                own.add(port);
-            } catch (IOException e) {
-                throw new IllegalStateException("an engine can't listen: " + e.getMessage(), e);
-            }
-        }
-        ports.put(engine.spec.name(), own);
+  }
+
+  @Override
+  public void close() {
+    acceptor.dispose(false);
+  }
+
+  /** A gateway's connection to an engine. */
+  private final class SocketPeer implements Peer {
+    private final Door door;
+    private final IoSession session;
+    private final EngineSide side;
+    private final HopWatch hops;
+    private boolean over;
+
+    SocketPeer(Door door, IoSession session) {
+      this.door = door;
+      this.session = session;
+      side = world.sides.apply(door.engine.spec);
+      hops = new HopWatch(world.auditor, door.gateway, door.engine.spec.name());
     }
 
-    /** Where a gateway reaches an engine. */
-    InetSocketAddress port(String engine, int gateway) {
-        return ports.get(engine).get(gateway);
+    void opened() {
+      if (door.engine.isEnded()) {
+        cut(Break.RESET);
+      } else {
+        door.engine.connected(this);
+        write(side.owed());
+      }
     }
 
-    /** Looks which engines have ended since: they listen no longer. */
-    void sweep() {
-        for (Map.Entry<SocketAddress, Door> door : doors.entrySet()) {
-            EmulatedEngine engine = door.getValue().engine;
-            if (engine.isEnded() && closed.add(engine)) {
-                ports.get(engine.spec.name()).forEach(acceptor::unbind);
-            }
+    void fed(byte[] bytes) {
+      if (over || door.engine.isSilent()) {
+        return;
+      }
+      try {
+        side.feed(bytes);
+        for (Command command = side.next(); command != null; command = side.next()) {
+          hops.goesOut(world.now(), command);
+          door.engine.heard(this, command);
         }
+        side.disowned().forEach(hops::disowned);
+        write(side.owed());
+      } catch (IllegalArgumentException e) {
+        cut(Break.CLOSED_BY_PEER);
+      }
     }
 
-    @Override
-    public void close() {
-        acceptor.dispose(false);
+    private void write(byte[] bytes) {
+      if (bytes.length > 0) {
+        session.write(IoBuffer.wrap(bytes));
+      }
     }
 
-    /** A gateway's connection to an engine. */
-    private final class SocketPeer implements Peer {
-        private final Door door;
-        private final IoSession session;
-        private final EngineSide side;
-        private final HopWatch hops;
-        private boolean over;
-
-        SocketPeer(Door door, IoSession session) {
-            this.door = door;
-            this.session = session;
-            side = world.sides.apply(door.engine.spec);
-            hops = new HopWatch(world.auditor, door.gateway, door.engine.spec.name());
-        }
-
-        void opened() {
-            if (door.engine.isEnded()) {
-                cut(Break.RESET);
-            } else {
-                door.engine.connected(this);
-                write(side.owed());
-            }
-        }
-
-        void fed(byte[] bytes) {
-            if (over || door.engine.isSilent()) {
-                return;
-            }
-            try {
-                side.feed(bytes);
-                for (Command command = side.next(); command != null; command = side.next()) {
-                    hops.goesOut(world.now(), command);
-                    door.engine.heard(this, command);
-                }
-                side.disowned().forEach(hops::disowned);
-                write(side.owed());
-            } catch (IllegalArgumentException e) {
-                cut(Break.CLOSED_BY_PEER);
-            }
-        }
-
-        private void write(byte[] bytes) {
-            if (bytes.length > 0) {
-                session.write(IoBuffer.wrap(bytes));
-            }
-        }
-
-        @Override
-        public void say(Says what) {
-            if (!over) {
-                hops.comesBack(what);
-                write(side.say(what));
-            }
-        }
+    @Override
+    public void say(Says what) {
+      if (!over) {
+        hops.comesBack(what);
+        write(side.say(what));
+      }
+    }
 
-        @Override
-        public void cut(Break how) {
-            if (how == Break.RESET) {
-                try {
-                    ((SocketSessionConfig) session.getConfig()).setSoLinger(0);
-                } catch (RuntimeIoException e) {
-                    // The gateway has closed it meanwhile.
-                }
-            }
-            session.closeNow();
-            ended();
+    @Override
+    public void cut(Break how) {
+      if (how == Break.RESET) {
+        try {
+          ((SocketSessionConfig) session.getConfig()).setSoLinger(0);
+        } catch (RuntimeIoException e) {
+          // The gateway has closed it meanwhile.
         }
+      }
+      session.closeNow();
+      ended();
+    }
 
-        void ended() {
-            if (!over) {
-                over = true;
-                hops.ended(false);
-                door.engine.disconnected(this);
-            }
-        }
+    void ended() {
+      if (!over) {
+        over = true;
+        hops.ended(false);
+        door.engine.disconnected(this);
+      }
     }
+  }
 
-    private final class Handler extends IoHandlerAdapter {
-        @Override
-        public void sessionOpened(IoSession session) {
-            SocketPeer peer = new SocketPeer(doors.get(session.getLocalAddress()), session);
-            session.setAttribute(PEER, peer);
-            post.accept(peer::opened);
-        }
+  private final class Handler extends IoHandlerAdapter {
+    @Override
+    public void sessionOpened(IoSession session) {
+      SocketPeer peer = new SocketPeer(doors.get(session.getLocalAddress()), session);
+      session.setAttribute(PEER, peer);
+      post.accept(peer::opened);
+    }
 
-        @Override
-        public void messageReceived(IoSession session, Object message) {
-            byte[] bytes = Buffers.taken(message);
-            SocketPeer peer = (SocketPeer) session.getAttribute(PEER);
-            post.accept(() -> peer.fed(bytes));
-        }
+    @Override
+    public void messageReceived(IoSession session, Object message) {
+      byte[] bytes = Buffers.taken(message);
+      SocketPeer peer = (SocketPeer) session.getAttribute(PEER);
+      post.accept(() -> peer.fed(bytes));
+    }
 
-        @Override
-        public void sessionClosed(IoSession session) {
-            SocketPeer peer = (SocketPeer) session.getAttribute(PEER);
-            if (peer != null) {
-                post.accept(peer::ended);
-            }
-        }
+    @Override
+    public void sessionClosed(IoSession session) {
+      SocketPeer peer = (SocketPeer) session.getAttribute(PEER);
+      if (peer != null) {
+        post.accept(peer::ended);
+      }
+    }
 
-        @Override
-        public void exceptionCaught(IoSession session, Throwable cause) {
-            session.closeNow();
-        }
+    @Override
+    public void exceptionCaught(IoSession session, Throwable cause) {
+      session.closeNow();
     }
+  }
 }
--- a/rig/src/main/java/tillerlink/rig/Rig.java
+++ b/rig/src/main/java/tillerlink/rig/Rig.java
@@ -30,242 +30,275 @@
 import tillerlink.workload.Arrival;
 
 /**
- * Replays in real time over loopback sockets, through gateway processes. One thread owns engines, clients and auditor;
- * the sockets' threads only post to its queue. The load keeps the trace's times whatever becomes of it; how late it was
- * sent is measured.
+ * Replays in real time over loopback sockets, through gateway processes. One thread owns engines,
+ * clients and auditor; the sockets' threads only post to its queue. The load keeps the trace's
+ * times whatever becomes of it; how late it was sent is measured.
  */
 public final class Rig implements AutoCloseable {
-    private static final long AHEAD = 10_000;
-    private static final long SWEEP_EVERY = 500;
-    private static final long LEAD = 2000;
-    private static final long AFTERWARDS = 10_000;
-    private static final long TELL_EVERY = 10_000;
-    private static final long LAG_MOST = 600_000;
+  private static final long AHEAD = 10_000;
+  private static final long SWEEP_EVERY = 500;
+  private static final long LEAD = 2000;
+  private static final long AFTERWARDS = 10_000;
+  private static final long TELL_EVERY = 10_000;
+  private static final long LAG_MOST = 600_000;
 
-    private final Job job;
-    private final WallClock clock = new WallClock();
-    private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
-    private final Auditor auditor;
-    private final World world;
-    private final EngineSockets engines;
-    private final NameSockets names;
-    private final ClientSockets clients;
-    private final Path folder;
-    private final GatewayProcess[] gateways;
-    private final Random seeds;
-    private final Histogram lag = new Histogram(1, LAG_MOST, 2);
-    private long serial = 1;
-    private List<EngineEntry> listed;
+  private final Job job;
+  private final WallClock clock = new WallClock();
+  private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
+  private final Auditor auditor;
+  private final World world;
+  private final EngineSockets engines;
+  private final NameSockets names;
+  private final ClientSockets clients;
+  private final Path folder;
+  private final GatewayProcess[] gateways;
+  private final Random seeds;
+  private final Histogram lag = new Histogram(1, LAG_MOST, 2);
+  private long serial = 1;
+  private List<EngineEntry> listed;
 
-    private Rig(Job job, Path store) throws IOException {
-        this.job = job;
-        int count = job.fleet().gateways();
-        seeds = new Random(job.seed());
-        auditor = new Auditor(job.fleet(), job.tracks());
-        world = new World(job.fleet(), job.tracks(), auditor, clock.now());
-        engines = new EngineSockets(world, queue::add);
-        world.onEngine(engines::open);
-        listed = world.list();
-        names = new NameSockets(count, queue::add, this::answer);
-        folder = Files.createTempDirectory("tillerlink-rig-");
-        InetSocketAddress[] at = new InetSocketAddress[count];
-        gateways = new GatewayProcess[count];
-        for (int i = 0; i < count; i++) {
-            try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-                at[i] = (InetSocketAddress) free.getLocalSocketAddress();
-            }
-            gateways[i] = new GatewayProcess(folder, "n" + i, at[i], job.fleet().kinds().stream()
-                    .filter(Kind::http2).map(Kind::name).toList(), store);
-        }
-        clients = new ClientSockets(at, queue::add);
+  private Rig(Job job, Path store) throws IOException {
+    this.job = job;
+    int count = job.fleet().gateways();
+    seeds = new Random(job.seed());
+    auditor = new Auditor(job.fleet(), job.tracks());
+    world = new World(job.fleet(), job.tracks(), auditor, clock.now());
+    engines = new EngineSockets(world, queue::add);
+    world.onEngine(engines::open);
+    listed = world.list();
+    names = new NameSockets(count, queue::add, this::answer);
+    folder = Files.createTempDirectory("tillerlink-rig-");
+    InetSocketAddress[] at = new InetSocketAddress[count];
+    gateways = new GatewayProcess[count];
+    for (int i = 0; i < count; i++) {
+      try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        at[i] = (InetSocketAddress) free.getLocalSocketAddress();
+      }
+      gateways[i] =
+          new GatewayProcess(
+              folder,
+              "n" + i,
+              at[i],
+              job.fleet().kinds().stream().filter(Kind::http2).map(Kind::name).toList(),
+              store);
     }
+    clients = new ClientSockets(at, queue::add);
+  }
 
-    /** @param progress told now and then how many have arrived */
-    public static Played play(Job job, Arrivals arrivals, LongConsumer progress) throws IOException {
-        return play(job, arrivals, progress, null, world -> { });
-    }
+  /**
+   * @param progress told now and then how many have arrived
+   */
+  public static Played play(Job job, Arrivals arrivals, LongConsumer progress) throws IOException {
+    return play(job, arrivals, progress, null, world -> {});
+  }
 
-    /**
-     * @param store    where gateways remember what outlives them, or null
-     * @param prepared given the engines before any gateway starts, so that some can be made to misbehave
-     */
-    public static Played play(Job job, Arrivals arrivals, LongConsumer progress, Path store,
-                              Consumer<World> prepared) throws IOException {
-        try (Rig rig = new Rig(job, store)) {
-            prepared.accept(rig.world);
-            rig.startGateways();
-            return rig.run(arrivals, progress);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-            throw new IOException("interrupted", e);
-        }
+  /**
+   * @param store where gateways remember what outlives them, or null
+   * @param prepared given the engines before any gateway starts, so that some can be made to
+   *     misbehave
+   */
+  public static Played play(
+      Job job, Arrivals arrivals, LongConsumer progress, Path store, Consumer<World> prepared)
+      throws IOException {
+    try (Rig rig = new Rig(job, store)) {
+      prepared.accept(rig.world);
+      rig.startGateways();
+      return rig.run(arrivals, progress);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+      throw new IOException("interrupted", e);
     }
+  }
 
-    // ---- gateways ----
+  // ---- gateways ----
 
-    /** The name service is asked while they start, so that its thread is this one. */
-    private void startGateways() throws IOException, InterruptedException {
-        for (int i = 0; i < gateways.length; i++) {
-            start(i);
-        }
-        for (int i = 0; i < gateways.length; i++) {
-            int gateway = i;
-            Thread waiting = waitFor(gateway);
-            while (waiting.isAlive()) {
-                turn(clock.now() + SWEEP_EVERY);
-            }
-            if (!clients.isUp(gateway)) {
-                turn(clock.now());
-            }
-            if (!clients.isUp(gateway)) {
-                gateways[gateway].awaitReady();
-                clients.up(gateway, true);
-            }
-        }
+  /** The name service is asked while they start, so that its thread is this one. */
+  private void startGateways() throws IOException, InterruptedException {
+    for (int i = 0; i < gateways.length; i++) {
+      start(i);
+    }
+    for (int i = 0; i < gateways.length; i++) {
+      int gateway = i;
+      Thread waiting = waitFor(gateway);
+      while (waiting.isAlive()) {
+        turn(clock.now() + SWEEP_EVERY);
+      }
+      if (!clients.isUp(gateway)) {
+        turn(clock.now());
+      }
+      if (!clients.isUp(gateway)) {
+        gateways[gateway].awaitReady();
+        clients.up(gateway, true);
+      }
     }
+  }
 
-    private Thread waitFor(int gateway) {
-        Thread waiting = new Thread(() -> {
-            try {
+  private Thread waitFor(int gateway) {
+    Thread waiting =
+        new Thread(
+            () -> {
+              try {
                 gateways[gateway].awaitReady();
                 queue.add(() -> clients.up(gateway, true));
-            } catch (IOException e) {
+              } catch (IOException e) {
                 // Those who need it find it down.
-            }
-        }, "ready-" + gateway);
-        waiting.setDaemon(true);
-        waiting.start();
-        return waiting;
-    }
+              }
+            },
+            "ready-" + gateway);
+    waiting.setDaemon(true);
+    waiting.start();
+    return waiting;
+  }
 
-    private void start(int gateway) throws IOException {
-        boolean down = world.namesDown();
-        if (!down) {
-            tell(gateway);
-        }
-        gateways[gateway].start(seeds.nextLong(), names.address(gateway), job.fleet().sockets(),
-                job.fleet().settings(job.tracks(), gateway), down ? 0 : serial(), down ? List.of() : seen(gateway));
+  private void start(int gateway) throws IOException {
+    boolean down = world.namesDown();
+    if (!down) {
+      tell(gateway);
     }
+    gateways[gateway].start(
+        seeds.nextLong(),
+        names.address(gateway),
+        job.fleet().sockets(),
+        job.fleet().settings(job.tracks(), gateway),
+        down ? 0 : serial(),
+        down ? List.of() : seen(gateway));
+  }
 
-    private void killed(int gateway) {
-        clients.up(gateway, false);
-        gateways[gateway].kill();
-    }
+  private void killed(int gateway) {
+    clients.up(gateway, false);
+    gateways[gateway].kill();
+  }
 
-    private void again(int gateway) {
-        try {
-            start(gateway);
-            waitFor(gateway);
-        } catch (IOException e) {
-            throw new IllegalStateException("gateway n" + gateway + " can't be started again: " + e.getMessage(), e);
-        }
+  private void again(int gateway) {
+    try {
+      start(gateway);
+      waitFor(gateway);
+    } catch (IOException e) {
+      throw new IllegalStateException(
+          "gateway n" + gateway + " can't be started again: " + e.getMessage(), e);
     }
+  }
 
-    // ---- the name service ----
+  // ---- the name service ----
 
-    private byte[] answer(int gateway, byte[] question) {
-        if (world.namesDown()) {
-            return null;
-        }
-        tell(gateway);
-        int id = question.length < 2 ? 0 : (question[0] & 255) << 8 | question[1] & 255;
-        return NameAnswer.of(id, serial(), seen(gateway));
+  private byte[] answer(int gateway, byte[] question) {
+    if (world.namesDown()) {
+      return null;
     }
+    tell(gateway);
+    int id = question.length < 2 ? 0 : (question[0] & 255) << 8 | question[1] & 255;
+    return NameAnswer.of(id, serial(), seen(gateway));
+  }
 
-    private long serial() {
-        List<EngineEntry> now = world.list();
-        if (!now.equals(listed)) {
-            listed = now;
-            serial++;
-        }
-        return serial;
+  private long serial() {
+    List<EngineEntry> now = world.list();
+    if (!now.equals(listed)) {
+      listed = now;
+      serial++;
     }
+    return serial;
+  }
 
-    /** The list as one gateway sees it: engines at the ports that are its own. */
-    private List<EngineEntry> seen(int gateway) {
-        return world.list().stream().map(entry -> {
-            InetSocketAddress port = engines.port(entry.id(), gateway);
-            return new EngineEntry(entry.id(), port.getAddress().getHostAddress(), port.getPort(), entry.zone(),
-                    entry.kind(), entry.cell(), entry.standing(), entry.weight(), entry.startedMs());
-        }).toList();
-    }
+  /** The list as one gateway sees it: engines at the ports that are its own. */
+  private List<EngineEntry> seen(int gateway) {
+    return world.list().stream()
+        .map(
+            entry -> {
+              InetSocketAddress port = engines.port(entry.id(), gateway);
+              return new EngineEntry(
+                  entry.id(),
+                  port.getAddress().getHostAddress(),
+                  port.getPort(),
+                  entry.zone(),
+                  entry.kind(),
+                  entry.cell(),
+                  entry.standing(),
+                  entry.weight(),
+                  entry.startedMs());
+            })
+        .toList();
+  }
 
-    private void tell(int gateway) {
-        for (EngineEntry entry : world.list()) {
-            if (entry.standing() != Engine.Standing.READY) {
-                auditor.withdrawn(world.now(), gateway, entry.id());
-            }
-        }
+  private void tell(int gateway) {
+    for (EngineEntry entry : world.list()) {
+      if (entry.standing() != Engine.Standing.READY) {
+        auditor.withdrawn(world.now(), gateway, entry.id());
+      }
     }
+  }
 
-    // ---- the run ----
+  // ---- the run ----
 
-    private Played run(Arrivals arrivals, LongConsumer progress) throws IOException, InterruptedException {
-        long start = clock.now() + LEAD;
-        world.timeline.follow(clock.now());
-        Figures figures = new Figures(job.tracks());
-        Front front = new Front(world, clients, figures, new Wording(job.seed(), job.error()));
-        front.startAt(start);
-        world.onKill(this::killed);
-        world.onStart(this::again);
-        world.startAt(start);
-        job.troubles().forEach(world::plan);
-        Arrival next = arrivals.next();
-        long tellAt = start;
-        while (next != null || figures.arrived() < arrivals.arrived() || front.open() > 0) {
-            long now = clock.now();
-            while (next != null && start + next.at() <= now + AHEAD) {
-                Arrival arrival = next;
-                long due = start + arrival.at();
-                world.timeline.at(due, () -> send(front, arrival, due));
-                next = arrivals.next();
-            }
-            turn(now + SWEEP_EVERY);
-            if (now >= tellAt) {
-                tellAt = now + TELL_EVERY;
-                progress.accept(arrivals.arrived());
-            }
-        }
-        long lasted = clock.now() - start;
-        long end = clock.now() + AFTERWARDS;
-        while (clock.now() < end) {
-            turn(end);
-        }
-        figures.end();
-        return new Played(job, arrivals, world, auditor, figures, start, lasted, lag);
+  private Played run(Arrivals arrivals, LongConsumer progress)
+      throws IOException, InterruptedException {
+    long start = clock.now() + LEAD;
+    world.timeline.follow(clock.now());
+    Figures figures = new Figures(job.tracks());
+    Front front = new Front(world, clients, figures, new Wording(job.seed(), job.error()));
+    front.startAt(start);
+    world.onKill(this::killed);
+    world.onStart(this::again);
+    world.startAt(start);
+    job.troubles().forEach(world::plan);
+    Arrival next = arrivals.next();
+    long tellAt = start;
+    while (next != null || figures.arrived() < arrivals.arrived() || front.open() > 0) {
+      long now = clock.now();
+      while (next != null && start + next.at() <= now + AHEAD) {
+        Arrival arrival = next;
+        long due = start + arrival.at();
+        world.timeline.at(due, () -> send(front, arrival, due));
+        next = arrivals.next();
+      }
+      turn(now + SWEEP_EVERY);
+      if (now >= tellAt) {
+        tellAt = now + TELL_EVERY;
+        progress.accept(arrivals.arrived());
+      }
     }
-
-    private void send(Front front, Arrival arrival, long due) {
-        lag.recordValue(Math.min(LAG_MOST, Math.max(1, clock.now() - due)));
-        front.arrive(arrival);
+    long lasted = clock.now() - start;
+    long end = clock.now() + AFTERWARDS;
+    while (clock.now() < end) {
+      turn(end);
     }
+    figures.end();
+    return new Played(job, arrivals, world, auditor, figures, start, lasted, lag);
+  }
 
-    /** Takes what came and what is due; waits for either until then. */
-    private void turn(long until) throws InterruptedException {
-        world.timeline.follow(clock.now());
-        long wait = Math.min(until, world.timeline.next()) - clock.now();
-        Runnable event = wait <= 0 ? queue.poll() : queue.poll(wait * WallClock.NANOS_PER_TENTH, TimeUnit.NANOSECONDS);
-        for (; event != null; event = queue.poll()) {
-            world.timeline.follow(clock.now());
-            event.run();
-        }
-        world.timeline.follow(clock.now());
-        engines.sweep();
+  private void send(Front front, Arrival arrival, long due) {
+    lag.recordValue(Math.min(LAG_MOST, Math.max(1, clock.now() - due)));
+    front.arrive(arrival);
+  }
+
+  /** Takes what came and what is due; waits for either until then. */
+  private void turn(long until) throws InterruptedException {
+    world.timeline.follow(clock.now());
+    long wait = Math.min(until, world.timeline.next()) - clock.now();
+    Runnable event =
+        wait <= 0
+            ? queue.poll()
+            : queue.poll(wait * WallClock.NANOS_PER_TENTH, TimeUnit.NANOSECONDS);
+    for (; event != null; event = queue.poll()) {
+      world.timeline.follow(clock.now());
+      event.run();
     }
+    world.timeline.follow(clock.now());
+    engines.sweep();
+  }
 
-    @Override
-    public void close() throws IOException {
-        for (GatewayProcess gateway : gateways) {
-            gateway.end();
-        }
-        clients.close();
-        names.close();
-        engines.close();
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
-            for (Path file : files) {
-                Files.deleteIfExists(file);
-            }
-        }
-        Files.deleteIfExists(folder);
+  @Override
+  public void close() throws IOException {
+    for (GatewayProcess gateway : gateways) {
+      gateway.end();
+    }
+    clients.close();
+    names.close();
+    engines.close();
+    try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+      for (Path file : files) {
+        Files.deleteIfExists(file);
+      }
     }
+    Files.deleteIfExists(folder);
+  }
 }
--- a/standin/src/main/java/tillerlink/standin/Says.java
+++ b/standin/src/main/java/tillerlink/standin/Says.java
@@ -5,55 +5,71 @@
 /**
  * One thing that an engine says, whatever protocol it speaks.
  *
- * @param id     the submission's, or the tag of a question whether the connection works
+ * @param id the submission's, or the tag of a question whether the connection works
  * @param number of all pages with {@code OK}, the page's with {@code BATCH}
- * @param about  what a note tells: frac, missing or parked
+ * @param about what a note tells: frac, missing or parked
  */
 public record Says(Word word, String id, int number, String about, double level, byte[] body) {
-    /** What it is. */
-    public enum Word { OK, BATCH, REFUSED, ERROR, YES, PROGRESS }
-
-    private static final byte[] NOTHING = new byte[0];
-
-    public static Says ok(String id, int pages, byte[] first) {
-        return new Says(Word.OK, id, pages, null, 0, first);
-    }
-
-    public static Says batch(String id, int page, byte[] body) {
-        return new Says(Word.BATCH, id, page, null, 0, body);
-    }
-
-    public static Says refused(String id) {
-        return new Says(Word.REFUSED, id, 0, null, 0, NOTHING);
-    }
-
-    public static Says error(String id) {
-        return new Says(Word.ERROR, id, 0, null, 0, NOTHING);
-    }
-
-    public static Says yes(String tag) {
-        return new Says(Word.YES, tag, 0, null, 0, NOTHING);
-    }
-
-    public static Says progress(String id, String about, double level) {
-        return new Says(Word.PROGRESS, id, 0, about, level, NOTHING);
-    }
-
-    /** On engine lines. */
-    public byte[] line() {
-        String fields = switch (word) {
-            case OK -> "count=" + number;
-            case BATCH -> "pos=" + number;
-            case PROGRESS -> "tell=" + about + ",reading=" + level;
-            default -> "-";
+  /** What it is. */
+  public enum Word {
+    OK,
+    BATCH,
+    REFUSED,
+    ERROR,
+    YES,
+    PROGRESS
+  }
+
+  private static final byte[] NOTHING = new byte[0];
+
+  public static Says ok(String id, int pages, byte[] first) {
+    return new Says(Word.OK, id, pages, null, 0, first);
+  }
+
+  public static Says batch(String id, int page, byte[] body) {
+    return new Says(Word.BATCH, id, page, null, 0, body);
+  }
+
+  public static Says refused(String id) {
+    return new Says(Word.REFUSED, id, 0, null, 0, NOTHING);
+  }
+
+  public static Says error(String id) {
+    return new Says(Word.ERROR, id, 0, null, 0, NOTHING);
+  }
+
+  public static Says yes(String tag) {
+    return new Says(Word.YES, tag, 0, null, 0, NOTHING);
+  }
+
+  public static Says progress(String id, String about, double level) {
+    return new Says(Word.PROGRESS, id, 0, about, level, NOTHING);
+  }
+
+  /** On engine lines. */
+  public byte[] line() {
+    String fields =
+        switch (word) {
+          case OK -> "count=" + number;
+          case BATCH -> "pos=" + number;
+          case PROGRESS -> "tell=" + about + ",reading=" + level;
+          default -> "-";
         };
-        byte[] head = (id + " " + word.name().toLowerCase(java.util.Locale.ROOT) + " " + fields + " " + body.length
-                + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-        byte[] whole = new byte[head.length + body.length + 2];
-        System.arraycopy(head, 0, whole, 0, head.length);
-        System.arraycopy(body, 0, whole, head.length, body.length);
-        whole[whole.length - 2] = '\r';
-        whole[whole.length - 1] = '\n';
-        return whole;
-    }
+    byte[] head =
+        (id
+                + " "
+                + word.name().toLowerCase(java.util.Locale.ROOT)
+                + " "
+                + fields
+                + " "
+                + body.length
+                + "\r\n")
+            .getBytes(StandardCharsets.ISO_8859_1);
+    byte[] whole = new byte[head.length + body.length + 2];
+    System.arraycopy(head, 0, whole, 0, head.length);
+    System.arraycopy(body, 0, whole, head.length, body.length);
+    whole[whole.length - 2] = '\r';
+    whole[whole.length - 1] = '\n';
+    return whole;
+  }
 }
--- a/standin/src/test/java/tillerlink/standin/StandInsTest.java
+++ b/standin/src/test/java/tillerlink/standin/StandInsTest.java
@@ -16,76 +16,143 @@
 
 /** What stands in speaks the same language as the product, at every split. */
 class StandInsTest {
-    private static byte[] joined(byte[]... parts) {
-        return String.join("", Arrays.stream(parts).map(p -> new String(p, StandardCharsets.ISO_8859_1)).toList())
-                .getBytes(StandardCharsets.ISO_8859_1);
-    }
+  private static byte[] joined(byte[]... parts) {
+    return String.join(
+            "", Arrays.stream(parts).map(p -> new String(p, StandardCharsets.ISO_8859_1)).toList())
+        .getBytes(StandardCharsets.ISO_8859_1);
+  }
 
-    @Test
-    void commandsAtEverySplit() {
-        byte[] all = joined(EngineCommand.want("a1", "look", 500, "k", "SELECT 1\r\n".getBytes(StandardCharsets.UTF_8)),
-                EngineCommand.turn("a1", 2), EngineCommand.there("0"), EngineCommand.neverMind("a1"), EngineCommand.shut("a1"),
-                EngineCommand.want("a2", "load", 9, null, "x".getBytes(StandardCharsets.UTF_8)));
-        for (int split = 0; split <= all.length; split++) {
-            EngineCommands reader = new EngineCommands();
-            StringBuilder heard = new StringBuilder();
-            for (byte[] part : List.of(Arrays.copyOf(all, split), Arrays.copyOfRange(all, split, all.length))) {
-                reader.feed(part);
-                for (EngineCommands.Command c = reader.next(); c != null; c = reader.next()) {
-                    heard.append(c.word()).append(' ').append(c.id()).append(' ').append(c.track()).append(c.limit())
-                            .append(c.nonce()).append(c.page()).append(c.statement().length).append('|');
-                }
-            }
-            assertEquals("WANT a1 look500k010|TURN a1 0null20|THERE 0 0null00|NEVER_MIND a1 0null00|SHUT a1 0null00|"
-                    + "WANT a2 load9null01|", heard.toString(), "split " + split);
-        }
-        for (String bad : List.of("hello\r\n", "want a - x\r\n", "want a -\r\n", "turn a\r\n", "want a - 1\r\nxy\r\n", "turn a -1\r\n")) {
-            EngineCommands reader = new EngineCommands();
-            reader.feed(bad.getBytes(StandardCharsets.UTF_8));
-            assertThrows(IllegalArgumentException.class, reader::next, bad);
+  @Test
+  void commandsAtEverySplit() {
+    byte[] all =
+        joined(
+            EngineCommand.want(
+                "a1", "look", 500, "k", "SELECT 1\r\n".getBytes(StandardCharsets.UTF_8)),
+            EngineCommand.turn("a1", 2),
+            EngineCommand.there("0"),
+            EngineCommand.neverMind("a1"),
+            EngineCommand.shut("a1"),
+            EngineCommand.want("a2", "load", 9, null, "x".getBytes(StandardCharsets.UTF_8)));
+    for (int split = 0; split <= all.length; split++) {
+      EngineCommands reader = new EngineCommands();
+      StringBuilder heard = new StringBuilder();
+      for (byte[] part :
+          List.of(Arrays.copyOf(all, split), Arrays.copyOfRange(all, split, all.length))) {
+        reader.feed(part);
+        for (EngineCommands.Command c = reader.next(); c != null; c = reader.next()) {
+          heard
+              .append(c.word())
+              .append(' ')
+              .append(c.id())
+              .append(' ')
+              .append(c.track())
+              .append(c.limit())
+              .append(c.nonce())
+              .append(c.page())
+              .append(c.statement().length)
+              .append('|');
         }
+      }
+      assertEquals(
+          "WANT a1 look500k010|TURN a1 0null20|THERE 0 0null00|NEVER_MIND a1 0null00|SHUT a1"
+              + " 0null00|WANT a2 load9null01|",
+          heard.toString(),
+          "split " + split);
     }
-
-    @Test
-    void answersAtEverySplit() {
-        byte[] all = joined(HttpAnswer.goOn(), HttpAnswer.goOnAt("/v1/calls/a").encoded(),
-                HttpAnswer.problem(503, "Full", 250).encoded(), HttpAnswer.done().ending().encoded());
-        for (int split = 0; split <= all.length; split++) {
-            HttpAnswers reader = new HttpAnswers();
-            StringBuilder heard = new StringBuilder();
-            for (byte[] part : List.of(Arrays.copyOf(all, split), Arrays.copyOfRange(all, split, all.length))) {
-                reader.feed(part);
-                for (HttpAnswers.Answer a = reader.next(); a != null; a = reader.next()) {
-                    heard.append(a.status()).append(' ').append(a.comeBack()).append(a.last()).append(a.goOnAt()).append('|');
-                }
-            }
-            assertEquals("200 0false/v1/calls/a|503 250falsenull|200 0truenull|", heard.toString(), "split " + split);
-        }
-        HttpAnswers reader = new HttpAnswers();
-        reader.feed("SMTP\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-        assertThrows(IllegalArgumentException.class, reader::next);
+    for (String bad :
+        List.of(
+            "hello\r\n",
+            "want a - x\r\n",
+            "want a -\r\n",
+            "turn a\r\n",
+            "want a - 1\r\nxy\r\n",
+            "turn a -1\r\n")) {
+      EngineCommands reader = new EngineCommands();
+      reader.feed(bad.getBytes(StandardCharsets.UTF_8));
+      assertThrows(IllegalArgumentException.class, reader::next, bad);
     }
+  }
 
-    @Test
-    void wordsOfEnginesAreThoseOfTheProtocol() {
-        EngineReader reader = new EngineReader();
-        reader.feed(joined(Says.ok("a", 2, Results.page("a", 0)).line(), Says.batch("a", 1, Results.page("a", 1)).line(),
-                Says.refused("a").line(), Says.error("a").line(), Says.yes("0").line(), Says.progress("a", "frac", 0.25).line()));
-        StringBuilder heard = new StringBuilder();
-        for (var answer = reader.next(); answer != null; answer = reader.next()) {
-            heard.append(answer.word()).append(' ').append(answer.number()).append(' ').append(answer.level()).append('|');
+  @Test
+  void answersAtEverySplit() {
+    byte[] all =
+        joined(
+            HttpAnswer.goOn(),
+            HttpAnswer.goOnAt("/v1/calls/a").encoded(),
+            HttpAnswer.problem(503, "Full", 250).encoded(),
+            HttpAnswer.done().ending().encoded());
+    for (int split = 0; split <= all.length; split++) {
+      HttpAnswers reader = new HttpAnswers();
+      StringBuilder heard = new StringBuilder();
+      for (byte[] part :
+          List.of(Arrays.copyOf(all, split), Arrays.copyOfRange(all, split, all.length))) {
+        reader.feed(part);
+        for (HttpAnswers.Answer a = reader.next(); a != null; a = reader.next()) {
+          heard
+              .append(a.status())
+              .append(' ')
+              .append(a.comeBack())
+              .append(a.last())
+              .append(a.goOnAt())
+              .append('|');
         }
-        assertEquals("OK 2 0.0|BATCH 1 0.0|REFUSED -1 0.0|ERROR -1 0.0|YES -1 0.0|PROGRESS -1 0.25|", heard.toString());
+      }
+      assertEquals(
+          "200 0false/v1/calls/a|503 250falsenull|200 0truenull|",
+          heard.toString(),
+          "split " + split);
     }
+    HttpAnswers reader = new HttpAnswers();
+    reader.feed("SMTP\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+    assertThrows(IllegalArgumentException.class, reader::next);
+  }
 
-    @Test
-    void theListIsReadAsItWasTold() {
-        List<EngineEntry> list = List.of(
-                new EngineEntry("e1", "127.0.0.1", 5050, "east", "small-8", 3, Engine.Standing.READY, 1.5, 1_700_000_000_000L),
-                new EngineEntry("e2", "127.0.0.9", 5051, "west", "big-16", 0, Engine.Standing.DRAINING, 2, 0),
-                new EngineEntry("e3", "127.0.0.3", 5052, "west", "big-16", 0, Engine.Standing.GONE, 2, 0));
-        byte[] answer = NameAnswer.to(0xabcd, NameAnswer.of(7, 70_001, list));
-        assertEquals(list.subList(0, 2), Dns.answer(answer, 0xabcd).entries());
-        assertEquals(70_001, Dns.answer(answer, 0xabcd).index());
+  @Test
+  void wordsOfEnginesAreThoseOfTheProtocol() {
+    EngineReader reader = new EngineReader();
+    reader.feed(
+        joined(
+            Says.ok("a", 2, Results.page("a", 0)).line(),
+            Says.batch("a", 1, Results.page("a", 1)).line(),
+            Says.refused("a").line(),
+            Says.error("a").line(),
+            Says.yes("0").line(),
+            Says.progress("a", "frac", 0.25).line()));
+    StringBuilder heard = new StringBuilder();
+    for (var answer = reader.next(); answer != null; answer = reader.next()) {
+      heard
+          .append(answer.word())
+          .append(' ')
+          .append(answer.number())
+          .append(' ')
+          .append(answer.level())
+          .append('|');
     }
+    assertEquals(
+        "OK 2 0.0|BATCH 1 0.0|REFUSED -1 0.0|ERROR -1 0.0|YES -1 0.0|PROGRESS -1 0.25|",
+        heard.toString());
+  }
+
+  @Test
+  void theListIsReadAsItWasTold() {
+    List<EngineEntry> list =
+        List.of(
+            new EngineEntry(
+                "e1",
+                "127.0.0.1",
+                5050,
+                "east",
+                "small-8",
+                3,
+                Engine.Standing.READY,
+                1.5,
+                1_700_000_000_000L),
+            new EngineEntry(
+                "e2", "127.0.0.9", 5051, "west", "big-16", 0, Engine.Standing.DRAINING, 2, 0),
+            new EngineEntry(
+                "e3", "127.0.0.3", 5052, "west", "big-16", 0, Engine.Standing.GONE, 2, 0));
+    byte[] answer = NameAnswer.to(0xabcd, NameAnswer.of(7, 70_001, list));
+    assertEquals(list.subList(0, 2), Dns.answer(answer, 0xabcd).entries());
+    assertEquals(70_001, Dns.answer(answer, 0xabcd).index());
+  }
 }
--- a/statements/src/main/java/tillerlink/statements/StatementTerms.java
+++ b/statements/src/main/java/tillerlink/statements/StatementTerms.java
@@ -10,7 +10,7 @@
  * @param voters the stated voters, the same on every gateway
  */
 public record StatementTerms(List<String> voters, LeaseTerms lease, Terms terms) {
-    public StatementTerms {
-        voters = List.copyOf(voters);
-    }
+  public StatementTerms {
+    voters = List.copyOf(voters);
+  }
 }
--- a/statements/src/main/java/tillerlink/statements/lease/Granting.java
+++ b/statements/src/main/java/tillerlink/statements/lease/Granting.java
@@ -14,169 +14,187 @@
 import tillerlink.peers.Invariant;
 import tillerlink.statements.catalog.Catalog;
 import tillerlink.statements.consensus.Consensus;
-import tillerlink.statements.plant.Plant;
 import tillerlink.statements.consensus.Terms;
+import tillerlink.statements.plant.Plant;
 
 /**
- * A voter's side of leases: which it granted, and of which changes it is clear. A voter that says it is clear of a
- * change holds the announcement on its disk, so it grants none on those groups until the change is settled, also after
- * a restart; and of all it granted before none is alive.
+ * A voter's side of leases: which it granted, and of which changes it is clear. A voter that says
+ * it is clear of a change holds the announcement on its disk, so it grants none on those groups
+ * until the change is settled, also after a restart; and of all it granted before none is alive.
  */
 public final class Granting {
-    private static final int HOLDERS_MOST = 1024;
-    private static final int GRANTS_MOST = 32_768;
-
-    private record Grant(long sequence, long until) {
-    }
-
-    private static final class Holder {
-        final TreeMap<Integer, Grant> grants = new TreeMap<>();
-        final TreeMap<Integer, Long> released = new TreeMap<>();
-    }
-
-    private final LeaseTerms lease;
-    private final Terms terms;
-    private final Consensus consensus;
-    /** By the numbers of the processes that hold. */
-    private final TreeMap<Long, Holder> holders = new TreeMap<>();
-    private final TreeSet<Long> cleared = new TreeSet<>();
-    private int count;
-
-    public Granting(LeaseTerms lease, Terms terms, Consensus consensus) {
-        this.lease = lease;
-        this.terms = terms;
-        this.consensus = consensus;
+  private static final int HOLDERS_MOST = 1024;
+  private static final int GRANTS_MOST = 32_768;
+
+  private record Grant(long sequence, long until) {}
+
+  private static final class Holder {
+    final TreeMap<Integer, Grant> grants = new TreeMap<>();
+    final TreeMap<Integer, Long> released = new TreeMap<>();
+  }
+
+  private final LeaseTerms lease;
+  private final Terms terms;
+  private final Consensus consensus;
+
+  /** By the numbers of the processes that hold. */
+  private final TreeMap<Long, Holder> holders = new TreeMap<>();
+
+  private final TreeSet<Long> cleared = new TreeSet<>();
+  private int count;
+
+  public Granting(LeaseTerms lease, Terms terms, Consensus consensus) {
+    this.lease = lease;
+    this.terms = terms;
+    this.consensus = consensus;
+  }
+
+  /**
+   * @return the answer, or null if this voter can give none
+   */
+  public Lease asked(long now, AskLease ask, Catalog catalog) {
+    if (!consensus.isSound() || !consensus.isMember(consensus.name(), consensus.disk())) {
+      return null;
     }
-
-    /** @return the answer, or null if this voter can give none */
-    public Lease asked(long now, AskLease ask, Catalog catalog) {
-        if (!consensus.isSound() || !consensus.isMember(consensus.name(), consensus.disk())) {
-            return null;
-        }
-        sweep(now);
-        TreeMap<Integer, Long> granted = new TreeMap<>();
-        List<Integer> blocked = new ArrayList<>();
-        ask.groups().forEach((group, version) -> {
-            boolean stands = blocks(catalog, group) && !terms.has(Plant.GRANTS_WHILE_BLOCKED);
-            if (stands) {
+    sweep(now);
+    TreeMap<Integer, Long> granted = new TreeMap<>();
+    List<Integer> blocked = new ArrayList<>();
+    ask.groups()
+        .forEach(
+            (group, version) -> {
+              boolean stands = blocks(catalog, group) && !terms.has(Plant.GRANTS_WHILE_BLOCKED);
+              if (stands) {
                 blocked.add(group);
-            } else if (version == catalog.version(group) && grant(now, ask, group)) {
+              } else if (version == catalog.version(group) && grant(now, ask, group)) {
                 granted.put(group, version);
-            }
-        });
-        return new Lease(ask.holder(), ask.sequence(), consensus.disk(), consensus.membersVersion(),
-                consensus.members(), granted, blocked, catalog.applied());
+              }
+            });
+    return new Lease(
+        ask.holder(),
+        ask.sequence(),
+        consensus.disk(),
+        consensus.membersVersion(),
+        consensus.members(),
+        granted,
+        blocked,
+        catalog.applied());
+  }
+
+  private boolean blocks(Catalog catalog, int group) {
+    return catalog.blocked(group) || consensus.announcedBehind(catalog.applied(), group);
+  }
+
+  private boolean grant(long now, AskLease ask, int group) {
+    Holder holder = holders.get(ask.holder());
+    if (holder == null) {
+      if (holders.size() >= HOLDERS_MOST) {
+        return false;
+      }
+      holder = new Holder();
+      holders.put(ask.holder(), holder);
     }
-
-    private boolean blocks(Catalog catalog, int group) {
-        return catalog.blocked(group) || consensus.announcedBehind(catalog.applied(), group);
+    Grant old = holder.grants.get(group);
+    if (old == null && count >= GRANTS_MOST
+        || ask.sequence() <= holder.released.getOrDefault(group, 0L)) {
+      return false;
     }
-
-    private boolean grant(long now, AskLease ask, int group) {
-        Holder holder = holders.get(ask.holder());
-        if (holder == null) {
-            if (holders.size() >= HOLDERS_MOST) {
-                return false;
-            }
-            holder = new Holder();
-            holders.put(ask.holder(), holder);
-        }
-        Grant old = holder.grants.get(group);
-        if (old == null && count >= GRANTS_MOST || ask.sequence() <= holder.released.getOrDefault(group, 0L)) {
-            return false;
-        }
-        count += old == null ? 1 : 0;
-        long sequence = Math.max(ask.sequence(), old == null ? 0 : old.sequence);
-        holder.grants.put(group, new Grant(sequence, now + lease.kept()));
-        return true;
+    count += old == null ? 1 : 0;
+    long sequence = Math.max(ask.sequence(), old == null ? 0 : old.sequence);
+    holder.grants.put(group, new Grant(sequence, now + lease.kept()));
+    return true;
+  }
+
+  public void released(Release release) {
+    Holder holder = holders.get(release.holder());
+    if (holder == null) {
+      return;
     }
-
-    public void released(Release release) {
-        Holder holder = holders.get(release.holder());
-        if (holder == null) {
-            return;
-        }
-        for (int group : release.groups()) {
-            Grant grant = holder.grants.get(group);
-            if (grant != null && grant.sequence <= release.sequence()) {
-                holder.grants.remove(group);
-                count--;
-            }
-            if (holder.released.size() < Catalog.GROUPS_MOST || holder.released.containsKey(group)) {
-                holder.released.merge(group, release.sequence(), Math::max);
-            }
-        }
+    for (int group : release.groups()) {
+      Grant grant = holder.grants.get(group);
+      if (grant != null && grant.sequence <= release.sequence()) {
+        holder.grants.remove(group);
+        count--;
+      }
+      if (holder.released.size() < Catalog.GROUPS_MOST || holder.released.containsKey(group)) {
+        holder.released.merge(group, release.sequence(), Math::max);
+      }
     }
-
-    private void sweep(long now) {
-        for (Iterator<Holder> each = holders.values().iterator(); each.hasNext();) {
-            Holder holder = each.next();
-            int before = holder.grants.size();
-            holder.grants.values().removeIf(grant -> grant.until < now);
-            count -= before - holder.grants.size();
-            if (holder.grants.isEmpty() && before > 0) {
-                each.remove();
-            }
-        }
-        Invariant.holds(count >= 0 && count <= GRANTS_MOST && holders.size() <= HOLDERS_MOST,
-                () -> "grants beyond bounds");
+  }
+
+  private void sweep(long now) {
+    for (Iterator<Holder> each = holders.values().iterator(); each.hasNext(); ) {
+      Holder holder = each.next();
+      int before = holder.grants.size();
+      holder.grants.values().removeIf(grant -> grant.until < now);
+      count -= before - holder.grants.size();
+      if (holder.grants.isEmpty() && before > 0) {
+        each.remove();
+      }
     }
-
-    /** When the last lease on these groups has run out; 0 if none is alive. */
-    private long lastUntil(long now, List<Integer> groups) {
-        long last = 0;
-        for (Holder holder : holders.values()) {
-            for (int group : groups) {
-                Grant grant = holder.grants.get(group);
-                last = grant != null && grant.until >= now ? Math.max(last, grant.until) : last;
-            }
-        }
-        return last;
+    Invariant.holds(
+        count >= 0 && count <= GRANTS_MOST && holders.size() <= HOLDERS_MOST,
+        () -> "grants beyond bounds");
+  }
+
+  /** When the last lease on these groups has run out; 0 if none is alive. */
+  private long lastUntil(long now, List<Integer> groups) {
+    long last = 0;
+    for (Holder holder : holders.values()) {
+      for (int group : groups) {
+        Grant grant = holder.grants.get(group);
+        last = grant != null && grant.until >= now ? Math.max(last, grant.until) : last;
+      }
     }
-
-    /** From when on leases of an earlier start of this voter have run out. */
-    private long soundFrom() {
-        return consensus.backSince() + lease.kept();
+    return last;
+  }
+
+  /** From when on leases of an earlier start of this voter have run out. */
+  private long soundFrom() {
+    return consensus.backSince() + lease.kept();
+  }
+
+  /** The announced changes that this voter is clear of. */
+  public List<Long> clearOf(long now, Catalog catalog) {
+    cleared.retainAll(catalog.waiting().keySet());
+    boolean rested = now > soundFrom() || terms.has(Plant.CLEARS_AFTER_START);
+    if (!consensus.isSound() || consensus.backSince() < 0 || !rested) {
+      return List.of();
     }
-
-    /** The announced changes that this voter is clear of. */
-    public List<Long> clearOf(long now, Catalog catalog) {
-        cleared.retainAll(catalog.waiting().keySet());
-        boolean rested = now > soundFrom() || terms.has(Plant.CLEARS_AFTER_START);
-        if (!consensus.isSound() || consensus.backSince() < 0 || !rested) {
-            return List.of();
-        }
-        catalog.waiting().forEach((id, change) -> {
-            if (lastUntil(now, change.groups()) == 0 || terms.has(Plant.CLEARS_TOO_EARLY)) {
+    catalog
+        .waiting()
+        .forEach(
+            (id, change) -> {
+              if (lastUntil(now, change.groups()) == 0 || terms.has(Plant.CLEARS_TOO_EARLY)) {
                 cleared.add(id);
-            }
-        });
-        return List.copyOf(cleared);
-    }
-
-    /** When there may be one more to be clear of. */
-    public long dueAt(long now, SortedMap<Long, Change> waiting) {
-        long due = Long.MAX_VALUE;
-        for (Map.Entry<Long, Change> each : waiting.entrySet()) {
-            if (!cleared.contains(each.getKey())) {
-                due = Math.min(due, Math.max(soundFrom(), lastUntil(now, each.getValue().groups())) + 1);
-            }
-        }
-        return Math.max(now + 1, due);
+              }
+            });
+    return List.copyOf(cleared);
+  }
+
+  /** When there may be one more to be clear of. */
+  public long dueAt(long now, SortedMap<Long, Change> waiting) {
+    long due = Long.MAX_VALUE;
+    for (Map.Entry<Long, Change> each : waiting.entrySet()) {
+      if (!cleared.contains(each.getKey())) {
+        due = Math.min(due, Math.max(soundFrom(), lastUntil(now, each.getValue().groups())) + 1);
+      }
     }
-
-    /** A change took effect: if this voter was clear of it, none of its leases may be alive. */
-    public void tookEffect(long now, long id, Change change) {
-        Invariant.holds(!cleared.contains(id) || lastUntil(now, change.groups()) == 0,
-                () -> "change " + id + " took effect while a lease of a clear voter is alive");
-        cleared.remove(id);
-        for (Holder holder : holders.values()) {
-            for (int group : change.groups()) {
-                if (holder.grants.get(group) != null && holder.grants.get(group).until < now) {
-                    holder.grants.remove(group);
-                    count--;
-                }
-            }
+    return Math.max(now + 1, due);
+  }
+
+  /** A change took effect: if this voter was clear of it, none of its leases may be alive. */
+  public void tookEffect(long now, long id, Change change) {
+    Invariant.holds(
+        !cleared.contains(id) || lastUntil(now, change.groups()) == 0,
+        () -> "change " + id + " took effect while a lease of a clear voter is alive");
+    cleared.remove(id);
+    for (Holder holder : holders.values()) {
+      for (int group : change.groups()) {
+        if (holder.grants.get(group) != null && holder.grants.get(group).until < now) {
+          holder.grants.remove(group);
+          count--;
         }
+      }
     }
+  }
 }
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseTerms.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseTerms.java
@@ -4,25 +4,29 @@
  * How long leases are, in tenths of a millisecond.
  *
  * @param length what a gateway asks for
- * @param drift  how much faster or slower than true time any clock in the fleet may run, as a part of one
+ * @param drift how much faster or slower than true time any clock in the fleet may run, as a part
+ *     of one
  * @param margin a run needs so much of the lease ahead of it when its hop is written
  */
 public record LeaseTerms(long length, double drift, long margin) {
-    /** @throws IllegalArgumentException if the terms leave nothing of a lease */
-    public LeaseTerms {
-        if (length < 1000 || drift < 0 || drift > 0.2 || margin < 0 || margin * 4 > length) {
-            throw new IllegalArgumentException("a lease lasts 100 ms at least, clocks drift by 0 to 0.2,"
-                    + " and the margin is a quarter of the lease at most");
-        }
+  /**
+   * @throws IllegalArgumentException if the terms leave nothing of a lease
+   */
+  public LeaseTerms {
+    if (length < 1000 || drift < 0 || drift > 0.2 || margin < 0 || margin * 4 > length) {
+      throw new IllegalArgumentException(
+          "a lease lasts 100 ms at least, clocks drift by 0 to 0.2,"
+              + " and the margin is a quarter of the lease at most");
     }
+  }
 
-    /** How long a gateway relies on a lease, by its own clock, from before it asked. */
-    public long held() {
-        return (long) Math.floor(length * (1 - drift));
-    }
+  /** How long a gateway relies on a lease, by its own clock, from before it asked. */
+  public long held() {
+    return (long) Math.floor(length * (1 - drift));
+  }
 
-    /** How long a voter keeps one that it granted, by its own clock, from after it was asked. */
-    public long kept() {
-        return (long) Math.ceil(length * (1 + drift)) + 1;
-    }
+  /** How long a voter keeps one that it granted, by its own clock, from after it was asked. */
+  public long kept() {
+    return (long) Math.ceil(length * (1 + drift)) + 1;
+  }
 }
--- a/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
@@ -8,61 +8,71 @@
 
 /** Checks what clients ask to be prepared or announced, before it goes into the log. */
 public final class Definitions {
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]*");
-    private static final Pattern USE = Pattern.compile("([1-9][0-9]{0,8}):[A-Za-z0-9_.]{1,64}");
+  private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]*");
+  private static final Pattern USE = Pattern.compile("([1-9][0-9]{0,8}):[A-Za-z0-9_.]{1,64}");
 
-    private Definitions() {
-    }
+  private Definitions() {}
 
-    /** @throws IllegalArgumentException if it can't be used; the message names what, for people */
-    public static void check(Definition of) {
-        name("name", of.name());
-        name("track", of.track());
-        if (of.text().isBlank() || of.text().getBytes(StandardCharsets.UTF_8).length > Definition.TEXT_MOST) {
-            throw new IllegalArgumentException("text: 1 to " + Definition.TEXT_MOST + " bytes");
-        }
-        if (of.parameters().size() > Definition.PARAMETERS_MOST) {
-            throw new IllegalArgumentException("parameters: no more than " + Definition.PARAMETERS_MOST);
-        }
-        groups(of.groups());
-        names("uses", of.uses(), Definition.USES_MOST, of.groups());
-        Template.of(of);
+  /**
+   * @throws IllegalArgumentException if it can't be used; the message names what, for people
+   */
+  public static void check(Definition of) {
+    name("name", of.name());
+    name("track", of.track());
+    if (of.text().isBlank()
+        || of.text().getBytes(StandardCharsets.UTF_8).length > Definition.TEXT_MOST) {
+      throw new IllegalArgumentException("text: 1 to " + Definition.TEXT_MOST + " bytes");
     }
-
-    /** @throws IllegalArgumentException if it can't be used; the message names what, for people */
-    public static void check(Change of) {
-        groups(of.groups());
-        names("removed", of.removed(), Change.NAMES_MOST, of.groups());
-        names("altered", of.altered(), Change.NAMES_MOST, of.groups());
-        names("renamed", List.copyOf(of.renamed().keySet()), Change.NAMES_MOST, of.groups());
-        names("renamed", List.copyOf(of.renamed().values()), Change.NAMES_MOST, of.groups());
+    if (of.parameters().size() > Definition.PARAMETERS_MOST) {
+      throw new IllegalArgumentException("parameters: no more than " + Definition.PARAMETERS_MOST);
     }
+    groups(of.groups());
+    names("uses", of.uses(), Definition.USES_MOST, of.groups());
+    Template.of(of);
+  }
 
-    private static void name(String what, String name) {
-        if (name.length() > Definition.NAME_MOST || !NAME.matcher(name).matches()) {
-            throw new IllegalArgumentException(what + ": 1 to " + Definition.NAME_MOST
-                    + " letters, digits, points, dashes and underscores");
-        }
+  /**
+   * @throws IllegalArgumentException if it can't be used; the message names what, for people
+   */
+  public static void check(Change of) {
+    groups(of.groups());
+    names("removed", of.removed(), Change.NAMES_MOST, of.groups());
+    names("altered", of.altered(), Change.NAMES_MOST, of.groups());
+    names("renamed", List.copyOf(of.renamed().keySet()), Change.NAMES_MOST, of.groups());
+    names("renamed", List.copyOf(of.renamed().values()), Change.NAMES_MOST, of.groups());
+  }
+
+  private static void name(String what, String name) {
+    if (name.length() > Definition.NAME_MOST || !NAME.matcher(name).matches()) {
+      throw new IllegalArgumentException(
+          what
+              + ": 1 to "
+              + Definition.NAME_MOST
+              + " letters, digits, points, dashes and underscores");
     }
+  }
 
-    private static void groups(List<Integer> groups) {
-        if (groups.isEmpty() || groups.size() > Definition.GROUPS_MOST
-                || groups.stream().anyMatch(group -> group < 1 || group > Definition.GROUP_MOST)) {
-            throw new IllegalArgumentException("groups: 1 to " + Definition.GROUPS_MOST + " numbers from 1 to "
-                    + Definition.GROUP_MOST);
-        }
+  private static void groups(List<Integer> groups) {
+    if (groups.isEmpty()
+        || groups.size() > Definition.GROUPS_MOST
+        || groups.stream().anyMatch(group -> group < 1 || group > Definition.GROUP_MOST)) {
+      throw new IllegalArgumentException(
+          "groups: 1 to " + Definition.GROUPS_MOST + " numbers from 1 to " + Definition.GROUP_MOST);
     }
+  }
 
-    private static void names(String what, List<String> names, int most, List<Integer> groups) {
-        if (names.size() > most) {
-            throw new IllegalArgumentException(what + ": no more than " + most);
-        }
-        for (String name : names) {
-            boolean fits = USE.matcher(name).matches()
-                    && groups.contains(Integer.parseInt(name.substring(0, name.indexOf(':'))));
-            if (!fits) {
-                throw new IllegalArgumentException(what + ": names as 17:orders.city, of a group that is named");
-            }
-        }
+  private static void names(String what, List<String> names, int most, List<Integer> groups) {
+    if (names.size() > most) {
+      throw new IllegalArgumentException(what + ": no more than " + most);
+    }
+    for (String name : names) {
+      boolean fits =
+          USE.matcher(name).matches()
+              && groups.contains(Integer.parseInt(name.substring(0, name.indexOf(':'))));
+      if (!fits) {
+        throw new IllegalArgumentException(
+            what + ": names as 17:orders.city, of a group that is named");
+      }
     }
+  }
 }
--- a/statements/src/main/java/tillerlink/statements/prepare/Template.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Template.java
@@ -5,81 +5,96 @@
 import java.util.TreeSet;
 import tillerlink.messages.statements.Definition;
 
-/** The text of a statement, cut at its parameters, so that a run is a matter of putting values between the pieces. */
+/**
+ * The text of a statement, cut at its parameters, so that a run is a matter of putting values
+ * between the pieces.
+ */
 public final class Template {
-    private static final int RENDERED_MOST = 64 * 1024;
+  private static final int RENDERED_MOST = 64 * 1024;
 
-    private final Definition definition;
-    /** One more than there are slots. */
-    private final List<String> pieces;
-    private final int[] slots;
+  private final Definition definition;
 
-    private Template(Definition definition, List<String> pieces, List<Integer> slots) {
-        this.definition = definition;
-        this.pieces = List.copyOf(pieces);
-        this.slots = slots.stream().mapToInt(i -> i).toArray();
-    }
+  /** One more than there are slots. */
+  private final List<String> pieces;
+
+  private final int[] slots;
+
+  private Template(Definition definition, List<String> pieces, List<Integer> slots) {
+    this.definition = definition;
+    this.pieces = List.copyOf(pieces);
+    this.slots = slots.stream().mapToInt(i -> i).toArray();
+  }
 
-    /**
-     * Finds the parameters of a text. A mark in a string, a quoted name or a comment is none.
-     *
-     * @throws IllegalArgumentException if a parameter that the text names has no type, or one with a type isn't named;
-     *                                  the message is for people
-     */
-    public static Template of(Definition definition) {
-        List<String> pieces = new ArrayList<>();
-        List<Integer> slots = new ArrayList<>();
-        StringBuilder piece = new StringBuilder();
-        for (Token token : Token.all(definition.text())) {
-            if (token.kind() == Token.Kind.PARAMETER) {
-                pieces.add(piece.toString());
-                piece.setLength(0);
-                slots.add(number(token.text(), definition.parameters().size()) - 1);
-            } else {
-                piece.append(token.text());
-            }
-        }
+  /**
+   * Finds the parameters of a text. A mark in a string, a quoted name or a comment is none.
+   *
+   * @throws IllegalArgumentException if a parameter that the text names has no type, or one with a
+   *     type isn't named; the message is for people
+   */
+  public static Template of(Definition definition) {
+    List<String> pieces = new ArrayList<>();
+    List<Integer> slots = new ArrayList<>();
+    StringBuilder piece = new StringBuilder();
+    for (Token token : Token.all(definition.text())) {
+      if (token.kind() == Token.Kind.PARAMETER) {
         pieces.add(piece.toString());
-        int named = new TreeSet<>(slots).size();
-        if (named != definition.parameters().size()) {
-            throw new IllegalArgumentException("parameters: " + definition.parameters().size() + " have a type, "
-                    + named + " are in the text");
-        }
-        return new Template(definition, pieces, slots);
+        piece.setLength(0);
+        slots.add(number(token.text(), definition.parameters().size()) - 1);
+      } else {
+        piece.append(token.text());
+      }
     }
+    pieces.add(piece.toString());
+    int named = new TreeSet<>(slots).size();
+    if (named != definition.parameters().size()) {
+      throw new IllegalArgumentException(
+          "parameters: "
+              + definition.parameters().size()
+              + " have a type, "
+              + named
+              + " are in the text");
+    }
+    return new Template(definition, pieces, slots);
+  }
 
-    private static int number(String mark, int most) {
-        int number = mark.length() > 4 ? 0 : Integer.parseInt(mark.substring(1));
-        if (number < 1 || number > most) {
-            throw new IllegalArgumentException("parameter " + mark + " has no type");
-        }
-        return number;
+  private static int number(String mark, int most) {
+    int number = mark.length() > 4 ? 0 : Integer.parseInt(mark.substring(1));
+    if (number < 1 || number > most) {
+      throw new IllegalArgumentException("parameter " + mark + " has no type");
     }
+    return number;
+  }
 
-    /**
-     * The text with values in the place of the parameters.
-     *
-     * @param values null stands for no value
-     * @param before put before the text, as a comment for engines that check schema versions; may be empty
-     * @throws IllegalArgumentException if a value is not of its type, or there are too few or too many; the message
-     *                                  names the parameter
-     */
-    public String render(List<String> values, String before) {
-        if (values.size() != definition.parameters().size()) {
-            throw new IllegalArgumentException("parameters: " + definition.parameters().size() + " are wanted, "
-                    + values.size() + " came");
-        }
-        String[] words = new String[values.size()];
-        for (int i = 0; i < words.length; i++) {
-            words[i] = Literal.of(i + 1, definition.parameters().get(i), values.get(i));
-        }
-        StringBuilder text = new StringBuilder(before);
-        for (int i = 0; i < slots.length; i++) {
-            text.append(pieces.get(i)).append(words[slots[i]]);
-            if (text.length() > RENDERED_MOST) {
-                throw new IllegalArgumentException("parameters: the text would be longer than " + RENDERED_MOST);
-            }
-        }
-        return text.append(pieces.get(slots.length)).toString();
+  /**
+   * The text with values in the place of the parameters.
+   *
+   * @param values null stands for no value
+   * @param before put before the text, as a comment for engines that check schema versions; may be
+   *     empty
+   * @throws IllegalArgumentException if a value is not of its type, or there are too few or too
+   *     many; the message names the parameter
+   */
+  public String render(List<String> values, String before) {
+    if (values.size() != definition.parameters().size()) {
+      throw new IllegalArgumentException(
+          "parameters: "
+              + definition.parameters().size()
+              + " are wanted, "
+              + values.size()
+              + " came");
+    }
+    String[] words = new String[values.size()];
+    for (int i = 0; i < words.length; i++) {
+      words[i] = Literal.of(i + 1, definition.parameters().get(i), values.get(i));
+    }
+    StringBuilder text = new StringBuilder(before);
+    for (int i = 0; i < slots.length; i++) {
+      text.append(pieces.get(i)).append(words[slots[i]]);
+      if (text.length() > RENDERED_MOST) {
+        throw new IllegalArgumentException(
+            "parameters: the text would be longer than " + RENDERED_MOST);
+      }
     }
+    return text.append(pieces.get(slots.length)).toString();
+  }
 }
--- a/statements/src/test/java/tillerlink/statements/PlantsTest.java
+++ b/statements/src/test/java/tillerlink/statements/PlantsTest.java
@@ -15,266 +15,308 @@
 import tillerlink.virtual.Fault;
 
 /**
- * Each planted fault is caught, by an invariant in the code or by the audit from outside; the same scene without the
- * fault is in order.
+ * Each planted fault is caught, by an invariant in the code or by the audit from outside; the same
+ * scene without the fault is in order.
  */
 class PlantsTest {
-    private static final int SEEDS_MOST = 120;
+  private static final int SEEDS_MOST = 120;
 
-    /** What a scene came to, by each check that saw something, numbers aside; empty if all was in order. */
-    private static Set<String> of(Town town, Function<Town, String> scene) {
-        Set<String> seen = new LinkedHashSet<>();
-        String said;
-        try {
-            said = scene.apply(town);
-        } catch (Invariant.Broken e) {
-            said = e.getMessage();
-        }
-        town.audit.violations.forEach(it -> seen.add(plain(it)));
-        if (said != null) {
-            seen.add(plain(said));
-        }
-        return seen;
+  /**
+   * What a scene came to, by each check that saw something, numbers aside; empty if all was in
+   * order.
+   */
+  private static Set<String> of(Town town, Function<Town, String> scene) {
+    Set<String> seen = new LinkedHashSet<>();
+    String said;
+    try {
+      said = scene.apply(town);
+    } catch (Invariant.Broken e) {
+      said = e.getMessage();
     }
-
-    private static String plain(String words) {
-        return words.replaceAll("[0-9]+", "N").replaceAll("v1|v2|v3", "vN");
+    town.audit.violations.forEach(it -> seen.add(plain(it)));
+    if (said != null) {
+      seen.add(plain(said));
     }
+    return seen;
+  }
 
-    private static void caught(Plant plant, Function<Town, String> scene, String words) {
-        assertEquals(Set.of(), of(new Town(5, 3, 2), scene), plant + " without the fault");
-        Set<String> seen = of(new Town(5, 3, 2, plant), scene);
-        System.out.println(plant + ": " + seen);
-        assertTrue(seen.contains(words), plant + ": " + seen);
-    }
+  private static String plain(String words) {
+    return words.replaceAll("[0-9]+", "N").replaceAll("v1|v2|v3", "vN");
+  }
+
+  private static void caught(Plant plant, Function<Town, String> scene, String words) {
+    assertEquals(Set.of(), of(new Town(5, 3, 2), scene), plant + " without the fault");
+    Set<String> seen = of(new Town(5, 3, 2, plant), scene);
+    System.out.println(plant + ": " + seen);
+    assertTrue(seen.contains(words), plant + ": " + seen);
+  }
 
-    /** By random histories: so many seeds until one catches it. */
-    private static void caughtByChance(Plant plant, int first, String words) {
-        for (int seed = first; seed < first + SEEDS_MOST; seed++) {
-            History history = new History(seed, plant);
-            try {
-                String said = history.play(8 * Town.SECOND);
-                assertNull(said);
-            } catch (Invariant.Broken e) {
-                System.out.println(plant + ": seed " + seed + ": " + e.getMessage());
-                assertEquals(words, e.getMessage().replaceAll("[0-9]+", "N").replaceAll(": vN.*", ""));
-                return;
-            }
-        }
-        throw new AssertionError(plant + " is not caught");
+  /** By random histories: so many seeds until one catches it. */
+  private static void caughtByChance(Plant plant, int first, String words) {
+    for (int seed = first; seed < first + SEEDS_MOST; seed++) {
+      History history = new History(seed, plant);
+      try {
+        String said = history.play(8 * Town.SECOND);
+        assertNull(said);
+      } catch (Invariant.Broken e) {
+        System.out.println(plant + ": seed " + seed + ": " + e.getMessage());
+        assertEquals(words, e.getMessage().replaceAll("[0-9]+", "N").replaceAll(": vN.*", ""));
+        return;
+      }
     }
+    throw new AssertionError(plant + " is not caught");
+  }
 
-    // ---- scenes ----
+  // ---- scenes ----
 
-    private static String settled(Town town) {
-        town.startAll();
-        if (!town.until(10 * Town.SECOND, () -> !town.leader().equals("none"))) {
-            return "no leader";
-        }
-        town.prepare("g1", Town.definition("top", "select 1 from orders_17.orders", 17), any -> { });
-        return town.until(5 * Town.SECOND, () -> town.mayRun("g1", "top").startsWith("yes")) ? null : "no run";
+  private static String settled(Town town) {
+    town.startAll();
+    if (!town.until(10 * Town.SECOND, () -> !town.leader().equals("none"))) {
+      return "no leader";
     }
+    town.prepare("g1", Town.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+    return town.until(5 * Town.SECOND, () -> town.mayRun("g1", "top").startsWith("yes"))
+        ? null
+        : "no run";
+  }
 
-    private static void load(Town town, String at, long until) {
-        town.run(at, "top");
-        if (town.fleet.now() < until) {
-            town.fleet.at(town.fleet.now() + 100, () -> load(town, at, until));
-        }
+  private static void load(Town town, String at, long until) {
+    town.run(at, "top");
+    if (town.fleet.now() < until) {
+      town.fleet.at(town.fleet.now() + 100, () -> load(town, at, until));
     }
+  }
 
-    private static void alone(Town town, String name) {
-        town.all.stream().filter(other -> !other.equals(name)).forEach(other -> town.fleet.between(name, other, Fault.CUT));
-    }
+  private static void alone(Town town, String name) {
+    town.all.stream()
+        .filter(other -> !other.equals(name))
+        .forEach(other -> town.fleet.between(name, other, Fault.CUT));
+  }
 
-    private static String calmAgain(Town town) {
-        town.fleet.heal();
-        town.all.forEach(name -> {
-            if (!town.isUp(name)) {
-                town.start(name);
-            }
+  private static String calmAgain(Town town) {
+    town.fleet.heal();
+    town.all.forEach(
+        name -> {
+          if (!town.isUp(name)) {
+            town.start(name);
+          }
         });
-        return town.until(30 * Town.SECOND, town::agree) ? null : "no agreement";
-    }
+    return town.until(30 * Town.SECOND, town::agree) ? null : "no agreement";
+  }
 
-    /** A change while one gateway is cut off with its lease. */
-    private static String changeWhileCut(Town town) {
-        String trouble = settled(town);
-        load(town, "g1", town.fleet.now() + 4 * Town.SECOND);
-        town.fleet.playFor(Town.SECOND);
-        alone(town, "g1");
-        town.announce("g2", Town.untouched(17), any -> { });
-        town.fleet.playFor(4 * Town.SECOND);
-        return trouble == null ? calmAgain(town) : trouble;
-    }
+  /** A change while one gateway is cut off with its lease. */
+  private static String changeWhileCut(Town town) {
+    String trouble = settled(town);
+    load(town, "g1", town.fleet.now() + 4 * Town.SECOND);
+    town.fleet.playFor(Town.SECOND);
+    alone(town, "g1");
+    town.announce("g2", Town.untouched(17), any -> {});
+    town.fleet.playFor(4 * Town.SECOND);
+    return trouble == null ? calmAgain(town) : trouble;
+  }
 
-    @Test
-    void aVoterThatClearsOrALeaderThatLetsItTakeEffectTooEarly() {
-        caught(Plant.CLEARS_TOO_EARLY, PlantsTest::changeWhileCut,
-                "invariant broken: change N took effect while a lease of a clear voter is alive");
-        caught(Plant.EFFECT_UNASKED, PlantsTest::changeWhileCut,
-                "N ms: gN runs top under version N of group N, in effect is N");
-        caught(Plant.LEASE_OF_A_MINORITY, PlantsTest::changeWhileCut,
-                "invariant broken: a lease on group N without a majority");
-    }
+  @Test
+  void aVoterThatClearsOrALeaderThatLetsItTakeEffectTooEarly() {
+    caught(
+        Plant.CLEARS_TOO_EARLY,
+        PlantsTest::changeWhileCut,
+        "invariant broken: change N took effect while a lease of a clear voter is alive");
+    caught(
+        Plant.EFFECT_UNASKED,
+        PlantsTest::changeWhileCut,
+        "N ms: gN runs top under version N of group N, in effect is N");
+    caught(
+        Plant.LEASE_OF_A_MINORITY,
+        PlantsTest::changeWhileCut,
+        "invariant broken: a lease on group N without a majority");
+  }
 
-    /** All voters start again and forget what they granted, while a gateway that holds a lease is cut off. */
-    private static String allVotersStartAgain(Town town) {
-        town.leaseLength = 6 * Town.SECOND;
-        String trouble = settled(town);
-        load(town, "g1", town.fleet.now() + 8 * Town.SECOND);
-        town.fleet.playFor(Town.SECOND);
-        alone(town, "g1");
-        town.voters.forEach(town::start);
-        town.until(5 * Town.SECOND, () -> !town.leader().equals("none"));
-        town.announce("g2", Town.untouched(17), any -> { });
-        town.fleet.playFor(8 * Town.SECOND);
-        return trouble == null ? calmAgain(town) : trouble;
-    }
+  /**
+   * All voters start again and forget what they granted, while a gateway that holds a lease is cut
+   * off.
+   */
+  private static String allVotersStartAgain(Town town) {
+    town.leaseLength = 6 * Town.SECOND;
+    String trouble = settled(town);
+    load(town, "g1", town.fleet.now() + 8 * Town.SECOND);
+    town.fleet.playFor(Town.SECOND);
+    alone(town, "g1");
+    town.voters.forEach(town::start);
+    town.until(5 * Town.SECOND, () -> !town.leader().equals("none"));
+    town.announce("g2", Town.untouched(17), any -> {});
+    town.fleet.playFor(8 * Town.SECOND);
+    return trouble == null ? calmAgain(town) : trouble;
+  }
 
-    @Test
-    void aVoterThatForgotWhatItGranted() {
-        caught(Plant.CLEARS_AFTER_START, PlantsTest::allVotersStartAgain,
-                "N ms: gN runs top under version N of group N, in effect is N");
-    }
+  @Test
+  void aVoterThatForgotWhatItGranted() {
+    caught(
+        Plant.CLEARS_AFTER_START,
+        PlantsTest::allVotersStartAgain,
+        "N ms: gN runs top under version N of group N, in effect is N");
+  }
 
-    /** Answers to a gateway take longer than half a lease. */
-    private static String answersAreLate(Town town) {
-        town.leaseLength = 2 * Town.SECOND;
-        String trouble = settled(town);
-        town.voters.forEach(voter -> town.fleet.link(voter, "g1", Fault.slow(14_000, 14_000)));
-        town.fleet.playFor(4 * Town.SECOND);
-        load(town, "g1", town.fleet.now() + 5 * Town.SECOND);
-        town.announce("g2", Town.untouched(17), any -> { });
-        town.fleet.playFor(13_900);
-        alone(town, "g1");
-        town.fleet.playFor(5 * Town.SECOND);
-        return trouble == null ? calmAgain(town) : trouble;
-    }
+  /** Answers to a gateway take longer than half a lease. */
+  private static String answersAreLate(Town town) {
+    town.leaseLength = 2 * Town.SECOND;
+    String trouble = settled(town);
+    town.voters.forEach(voter -> town.fleet.link(voter, "g1", Fault.slow(14_000, 14_000)));
+    town.fleet.playFor(4 * Town.SECOND);
+    load(town, "g1", town.fleet.now() + 5 * Town.SECOND);
+    town.announce("g2", Town.untouched(17), any -> {});
+    town.fleet.playFor(13_900);
+    alone(town, "g1");
+    town.fleet.playFor(5 * Town.SECOND);
+    return trouble == null ? calmAgain(town) : trouble;
+  }
 
-    @Test
-    void aGatewayThatCountsFromTheAnswer() {
-        caught(Plant.COUNTS_FROM_ANSWER, PlantsTest::answersAreLate,
-                "N ms: gN runs top under version N of group N, in effect is N");
-    }
+  @Test
+  void aGatewayThatCountsFromTheAnswer() {
+    caught(
+        Plant.COUNTS_FROM_ANSWER,
+        PlantsTest::answersAreLate,
+        "N ms: gN runs top under version N of group N, in effect is N");
+  }
 
-    /** A leader that is cut off takes in what the others never hear; they go on without it. */
-    private static String leaderIsCut(Town town) {
-        String trouble = settled(town);
-        String old = town.leader();
-        alone(town, old);
-        for (int i = 0; i < 3; i++) {
-            town.prepare(old, Town.definition("mine" + i, "select " + i + " from orders_17.orders", 17), any -> { });
-            town.fleet.playFor(60 * Town.MS);
-        }
-        town.until(10 * Town.SECOND, () -> town.leader().contains("+"));
-        for (int i = 0; i < 9; i++) {
-            town.prepare("g2", Town.definition("theirs" + i, "select 5 from orders_17.orders", 17), any -> { });
-        }
-        town.fleet.playFor(3 * Town.SECOND);
-        return trouble == null ? calmAgain(town) : trouble;
+  /** A leader that is cut off takes in what the others never hear; they go on without it. */
+  private static String leaderIsCut(Town town) {
+    String trouble = settled(town);
+    String old = town.leader();
+    alone(town, old);
+    for (int i = 0; i < 3; i++) {
+      town.prepare(
+          old,
+          Town.definition("mine" + i, "select " + i + " from orders_17.orders", 17),
+          any -> {});
+      town.fleet.playFor(60 * Town.MS);
     }
-
-    @Test
-    void aLeaderThatCommitsAlone() {
-        caught(Plant.COMMITS_ALONE, PlantsTest::leaderIsCut, "invariant broken: what is committed is written over at N");
+    town.until(10 * Town.SECOND, () -> town.leader().contains("+"));
+    for (int i = 0; i < 9; i++) {
+      town.prepare(
+          "g2", Town.definition("theirs" + i, "select 5 from orders_17.orders", 17), any -> {});
     }
+    town.fleet.playFor(3 * Town.SECOND);
+    return trouble == null ? calmAgain(town) : trouble;
+  }
 
-    /** What two voters took in is lost with their disks' last writes, if they said so too early. */
-    private static String twoCrash(Town town) {
-        String trouble = settled(town);
-        town.fleet.playFor(Town.SECOND);
-        String leader = town.leader();
-        List<String> others = town.voters.stream().filter(name -> !name.equals(leader)).toList();
-        alone(town, others.get(1));
-        town.fleet.between("g1", others.get(1), Fault.CUT);
-        town.slowDisks(3 * Town.SECOND);
-        for (int i = 0; i < 4; i++) {
-            town.prepare("g1", Town.definition("kept" + i, "select 'one' from orders_17.orders", 17), any -> { });
-        }
-        town.fleet.playFor(1200 * Town.MS);
-        town.crash(leader);
-        town.crash(others.get(0));
-        town.fleet.heal();
-        town.slowDisks(5);
-        town.start(leader);
-        town.start(others.get(0));
-        town.until(10 * Town.SECOND, () -> !town.leader().equals("none"));
-        for (int i = 1; i < 4; i++) {
-            town.prepare("g2", Town.definition("kept" + i, "select 'other' from orders_17.orders", 17), any -> { });
-        }
-        town.fleet.playFor(4 * Town.SECOND);
-        return trouble == null ? calmAgain(town) : trouble;
-    }
+  @Test
+  void aLeaderThatCommitsAlone() {
+    caught(
+        Plant.COMMITS_ALONE,
+        PlantsTest::leaderIsCut,
+        "invariant broken: what is committed is written over at N");
+  }
 
-    @Test
-    void aVoterThatAnswersBeforeItsDisk() {
-        caught(Plant.ANSWERS_BEFORE_KEPT, PlantsTest::twoCrash, "keptN has two texts in generation N");
+  /** What two voters took in is lost with their disks' last writes, if they said so too early. */
+  private static String twoCrash(Town town) {
+    String trouble = settled(town);
+    town.fleet.playFor(Town.SECOND);
+    String leader = town.leader();
+    List<String> others = town.voters.stream().filter(name -> !name.equals(leader)).toList();
+    alone(town, others.get(1));
+    town.fleet.between("g1", others.get(1), Fault.CUT);
+    town.slowDisks(3 * Town.SECOND);
+    for (int i = 0; i < 4; i++) {
+      town.prepare(
+          "g1", Town.definition("kept" + i, "select 'one' from orders_17.orders", 17), any -> {});
     }
-
-    /** An entry that two voters hold; one of them comes back from a disk of before, while the other is cut off. */
-    private static String oldDisk(Town town) {
-        String trouble = settled(town);
-        town.fleet.playFor(Town.SECOND);
-        String leader = town.leader();
-        List<String> others = town.voters.stream().filter(name -> !name.equals(leader)).toList();
-        String forgetful = others.get(0);
-        String behind = others.get(1);
-        alone(town, behind);
-        NavigableMap<String, byte[]> copy = town.copyOf(forgetful);
-        town.prepare("g1", Town.definition("kept", "select 'one' from orders_17.orders", 17), any -> { });
-        town.fleet.playFor(Town.SECOND);
-        town.fleet.heal();
-        alone(town, leader);
-        town.startOld(forgetful, copy);
-        town.until(8 * Town.SECOND, () -> town.leader().contains("+") || town.leader().equals(forgetful));
-        town.prepare("g2", Town.definition("kept", "select 'other' from orders_17.orders", 17), any -> { });
-        town.fleet.playFor(3 * Town.SECOND);
-        return trouble == null ? calmAgain(town) : trouble;
+    town.fleet.playFor(1200 * Town.MS);
+    town.crash(leader);
+    town.crash(others.get(0));
+    town.fleet.heal();
+    town.slowDisks(5);
+    town.start(leader);
+    town.start(others.get(0));
+    town.until(10 * Town.SECOND, () -> !town.leader().equals("none"));
+    for (int i = 1; i < 4; i++) {
+      town.prepare(
+          "g2", Town.definition("kept" + i, "select 'other' from orders_17.orders", 17), any -> {});
     }
+    town.fleet.playFor(4 * Town.SECOND);
+    return trouble == null ? calmAgain(town) : trouble;
+  }
 
-    @Test
-    void aVoterThatTrustsAnOldDisk() {
-        caught(Plant.TRUSTS_OLD_DISK, PlantsTest::oldDisk, "invariant broken: what is committed is written over at N");
-    }
+  @Test
+  void aVoterThatAnswersBeforeItsDisk() {
+    caught(Plant.ANSWERS_BEFORE_KEPT, PlantsTest::twoCrash, "keptN has two texts in generation N");
+  }
 
-    /** A change while an engine is at a hop for as long as the lease lasts. */
-    private static String changeWhileHopIsOut(Town town) {
-        town.worksFor = 4 * Town.SECOND;
-        String trouble = settled(town);
-        // A voter that has just started is clear of nothing.
-        town.fleet.playFor(2 * Town.SECOND);
-        town.run("g1", "top");
-        town.fleet.playFor(10 * Town.MS);
-        town.announce("g2", Town.untouched(17), any -> { });
-        town.fleet.playFor(5 * Town.SECOND);
-        return trouble == null ? calmAgain(town) : trouble;
-    }
+  /**
+   * An entry that two voters hold; one of them comes back from a disk of before, while the other is
+   * cut off.
+   */
+  private static String oldDisk(Town town) {
+    String trouble = settled(town);
+    town.fleet.playFor(Town.SECOND);
+    String leader = town.leader();
+    List<String> others = town.voters.stream().filter(name -> !name.equals(leader)).toList();
+    String forgetful = others.get(0);
+    String behind = others.get(1);
+    alone(town, behind);
+    NavigableMap<String, byte[]> copy = town.copyOf(forgetful);
+    town.prepare(
+        "g1", Town.definition("kept", "select 'one' from orders_17.orders", 17), any -> {});
+    town.fleet.playFor(Town.SECOND);
+    town.fleet.heal();
+    alone(town, leader);
+    town.startOld(forgetful, copy);
+    town.until(
+        8 * Town.SECOND, () -> town.leader().contains("+") || town.leader().equals(forgetful));
+    town.prepare(
+        "g2", Town.definition("kept", "select 'other' from orders_17.orders", 17), any -> {});
+    town.fleet.playFor(3 * Town.SECOND);
+    return trouble == null ? calmAgain(town) : trouble;
+  }
 
-    /** A change after a gateway gave a hop up, with its engine still at it. */
-    private static String changeAfterDoubt(Town town) {
-        town.worksFor = 20 * Town.MS;
-        town.inDoubt = 1;
-        String trouble = settled(town);
-        // A voter that has just started is clear of nothing.
-        town.fleet.playFor(2 * Town.SECOND);
-        town.run("g1", "top");
-        town.fleet.playFor(50 * Town.MS);
-        town.announce("g2", Town.untouched(17), any -> { });
-        town.fleet.playFor(5 * Town.SECOND);
-        return trouble == null ? calmAgain(town) : trouble;
-    }
+  @Test
+  void aVoterThatTrustsAnOldDisk() {
+    caught(
+        Plant.TRUSTS_OLD_DISK,
+        PlantsTest::oldDisk,
+        "invariant broken: what is committed is written over at N");
+  }
 
-    @Test
-    void aGatewayThatGivesALeaseBackUnderAHop() {
-        String words = "N ms: group N changes while a hop of gN is at an engine, under a lease until N ms";
-        caught(Plant.GIVES_BACK_WITH_HOPS_OUT, PlantsTest::changeWhileHopIsOut, words);
-        caught(Plant.TRUSTS_ENDINGS, PlantsTest::changeAfterDoubt, words);
-    }
+  /** A change while an engine is at a hop for as long as the lease lasts. */
+  private static String changeWhileHopIsOut(Town town) {
+    town.worksFor = 4 * Town.SECOND;
+    String trouble = settled(town);
+    // A voter that has just started is clear of nothing.
+    town.fleet.playFor(2 * Town.SECOND);
+    town.run("g1", "top");
+    town.fleet.playFor(10 * Town.MS);
+    town.announce("g2", Town.untouched(17), any -> {});
+    town.fleet.playFor(5 * Town.SECOND);
+    return trouble == null ? calmAgain(town) : trouble;
+  }
 
-    @Test
-    void byChance() {
-        caughtByChance(Plant.VOTES_TWICE, 70, "invariant broken: two leaders in term N");
-        caughtByChance(Plant.GRANTS_WHILE_BLOCKED, 1,
-                "invariant broken: change N took effect while a lease of a clear voter is alive");
-    }
+  /** A change after a gateway gave a hop up, with its engine still at it. */
+  private static String changeAfterDoubt(Town town) {
+    town.worksFor = 20 * Town.MS;
+    town.inDoubt = 1;
+    String trouble = settled(town);
+    // A voter that has just started is clear of nothing.
+    town.fleet.playFor(2 * Town.SECOND);
+    town.run("g1", "top");
+    town.fleet.playFor(50 * Town.MS);
+    town.announce("g2", Town.untouched(17), any -> {});
+    town.fleet.playFor(5 * Town.SECOND);
+    return trouble == null ? calmAgain(town) : trouble;
+  }
+
+  @Test
+  void aGatewayThatGivesALeaseBackUnderAHop() {
+    String words =
+        "N ms: group N changes while a hop of gN is at an engine, under a lease until N ms";
+    caught(Plant.GIVES_BACK_WITH_HOPS_OUT, PlantsTest::changeWhileHopIsOut, words);
+    caught(Plant.TRUSTS_ENDINGS, PlantsTest::changeAfterDoubt, words);
+  }
+
+  @Test
+  void byChance() {
+    caughtByChance(Plant.VOTES_TWICE, 70, "invariant broken: two leaders in term N");
+    caughtByChance(
+        Plant.GRANTS_WHILE_BLOCKED,
+        1,
+        "invariant broken: change N took effect while a lease of a clear voter is alive");
+  }
 }
--- a/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
@@ -5,41 +5,58 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.virtual.Seeds;
 
-/** Many short histories: three voters and one more, a statement prepared, runs, a change, one or two faults, then calm. */
+/**
+ * Many short histories: three voters and one more, a statement prepared, runs, a change, one or two
+ * faults, then calm.
+ */
 class ShortHistoriesTest {
-    private static final class Short implements Seeds.Seeded {
-        final History history;
-
-        Short(long seed) {
-            history = new History(seed, 3, 1);
-        }
-
-        @Override
-        public String play() {
-            return history.playShortly();
-        }
-
-        @Override
-        public String trace() {
-            StringBuilder out = new StringBuilder();
-            history.events.forEach(line -> out.append(line).append('\n'));
-            history.town.notes.forEach(line -> out.append(line).append('\n'));
-            history.town.all.forEach(name -> out.append(history.town.told(name)).append('\n'));
-            return out.toString();
-        }
-
-        @Override
-        public long[] sums() {
-            Audit audit = history.town.audit;
-            return new long[] {history.faults, audit.runs, audit.turnedBack, audit.calledOff, audit.effects};
-        }
+  private static final class Short implements Seeds.Seeded {
+    final History history;
+
+    Short(long seed) {
+      history = new History(seed, 3, 1);
+    }
+
+    @Override
+    public String play() {
+      return history.playShortly();
+    }
+
+    @Override
+    public String trace() {
+      StringBuilder out = new StringBuilder();
+      history.events.forEach(line -> out.append(line).append('\n'));
+      history.town.notes.forEach(line -> out.append(line).append('\n'));
+      history.town.all.forEach(name -> out.append(history.town.told(name)).append('\n'));
+      return out.toString();
     }
 
-    @Test
-    void noHistoryRunsAnOldStatementAndAllAgreeInTheEnd() {
-        long[] sums = Seeds.play("statements", 6000, Short::new);
-        System.out.println(sums[0] + " short histories of statements: " + sums[1] + " faults, " + sums[2] + " runs, " + sums[3]
-                + " turned back, " + sums[4] + " called off, " + sums[5] + " effects");
-        assertTrue(sums[0] < 100 || sums[1] >= sums[0] && sums[2] > 10 * sums[0] && sums[5] > sums[0] / 2);
+    @Override
+    public long[] sums() {
+      Audit audit = history.town.audit;
+      return new long[] {
+        history.faults, audit.runs, audit.turnedBack, audit.calledOff, audit.effects
+      };
     }
+  }
+
+  @Test
+  void noHistoryRunsAnOldStatementAndAllAgreeInTheEnd() {
+    long[] sums = Seeds.play("statements", 6000, Short::new);
+    System.out.println(
+        sums[0]
+            + " short histories of statements: "
+            + sums[1]
+            + " faults, "
+            + sums[2]
+            + " runs, "
+            + sums[3]
+            + " turned back, "
+            + sums[4]
+            + " called off, "
+            + sums[5]
+            + " effects");
+    assertTrue(
+        sums[0] < 100 || sums[1] >= sums[0] && sums[2] > 10 * sums[0] && sums[5] > sums[0] / 2);
+  }
 }
--- a/statements/src/test/java/tillerlink/statements/Timeline.java
+++ b/statements/src/test/java/tillerlink/statements/Timeline.java
@@ -8,27 +8,27 @@
 
 /** What happened in a story, line by line, compared with what was kept. */
 final class Timeline {
-    private final Town town;
-    private final StringBuilder lines = new StringBuilder();
+  private final Town town;
+  private final StringBuilder lines = new StringBuilder();
 
-    Timeline(Town town) {
-        this.town = town;
-    }
+  Timeline(Town town) {
+    this.town = town;
+  }
 
-    void say(String words) {
-        lines.append(String.format("%8s  %s%n", town.at(), words));
-    }
+  void say(String words) {
+    lines.append(String.format("%8s  %s%n", town.at(), words));
+  }
 
-    void isAsKept(String name) throws IOException {
-        assertEquals("[]", town.audit.violations.toString());
-        try (InputStream in = Timeline.class.getResourceAsStream("/timelines/" + name + ".txt")) {
-            String kept = in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
-            if (!kept.equals(lines.toString()) && Boolean.getBoolean("tillerlink.keep")) {
-                java.nio.file.Files.writeString(java.nio.file.Path.of("src/test/resources/timelines", name + ".txt"),
-                        lines.toString());
-                return;
-            }
-            assertEquals(kept, lines.toString());
-        }
+  void isAsKept(String name) throws IOException {
+    assertEquals("[]", town.audit.violations.toString());
+    try (InputStream in = Timeline.class.getResourceAsStream("/timelines/" + name + ".txt")) {
+      String kept = in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
+      if (!kept.equals(lines.toString()) && Boolean.getBoolean("tillerlink.keep")) {
+        java.nio.file.Files.writeString(
+            java.nio.file.Path.of("src/test/resources/timelines", name + ".txt"), lines.toString());
+        return;
+      }
+      assertEquals(kept, lines.toString());
     }
+  }
 }
--- a/store/src/main/java/tillerlink/store/Table.java
+++ b/store/src/main/java/tillerlink/store/Table.java
@@ -10,366 +10,404 @@
 import java.util.TreeMap;
 
 /**
- * A small table that survives crashes: every change is a record of an append-only log; now and then all of the table is
- * written as a snapshot and the log before it dropped. One thread uses it. What was synced is found again after any
- * crash; of what was not, a prefix.
+ * A small table that survives crashes: every change is a record of an append-only log; now and then
+ * all of the table is written as a snapshot and the log before it dropped. One thread uses it. What
+ * was synced is found again after any crash; of what was not, a prefix.
  */
 public final class Table implements Closeable {
-    private static final int GENERATIONS = 2;
-    private static final int FILE_MOST = 1 << 28;
-    private static final int ASIDE_MOST = 4;
-
-    private final Disk disk;
-    private final long owner;
-    private final long segmentMost;
-    private final long bytesMost;
-    private final NavigableMap<String, byte[]> values = new TreeMap<>();
-    private final List<String> told = new ArrayList<>();
-    private Found found;
-    private long sequence;
-    private long segment;
-    private Disk.Out out;
-    private long segmentBytes;
-    private long tableBytes;
-    /** What was appended since the last good sync: written anew if a sync fails. */
-    private final List<byte[]> unsynced = new ArrayList<>();
-    private boolean failed = true;
-
-    /**
-     * @param owner       whose store it is; one of another owner is not touched
-     * @param segmentMost bytes of log after which a snapshot is due
-     * @param bytesMost   bytes that keys and values may take together
-     */
-    public Table(Disk disk, long owner, long segmentMost, long bytesMost) {
-        this.disk = disk;
-        this.owner = owner;
-        this.segmentMost = segmentMost;
-        this.bytesMost = bytesMost;
-    }
+  private static final int GENERATIONS = 2;
+  private static final int FILE_MOST = 1 << 28;
+  private static final int ASIDE_MOST = 4;
 
-    // ---- recovery ----
-
-    /** Finds what was kept. Whatever it finds it returns: a store that can't be used is told of, not thrown. */
-    public Found open() {
-        try {
-            if (!disk.lock()) {
-                return found = new Found(Found.State.LOCKED, List.of("another process has the store"));
-            }
-            found = recover();
-        } catch (IOException e) {
-            found = new Found(Found.State.FOREIGN, List.of("the store can't be read: " + e.getMessage()));
-        }
-        failed = !found.usable();
-        return found;
-    }
+  private final Disk disk;
+  private final long owner;
+  private final long segmentMost;
+  private final long bytesMost;
+  private final NavigableMap<String, byte[]> values = new TreeMap<>();
+  private final List<String> told = new ArrayList<>();
+  private Found found;
+  private long sequence;
+  private long segment;
+  private Disk.Out out;
+  private long segmentBytes;
+  private long tableBytes;
 
-    private Found recover() throws IOException {
-        List<String> names = disk.list();
-        List<Long> snapshots = numbers(names, Format.SNAPSHOT);
-        List<Long> segments = numbers(names, Format.LOG);
-        for (String name : names) {
-            Format.Head head = name.startsWith(Format.LOG) || name.startsWith(Format.SNAPSHOT)
-                    ? Format.head(disk.read(name, Format.HEAD)) : null;
-            if (head != null && head.version() > Format.VERSION) {
-                return new Found(Found.State.FOREIGN, List.of(name + " is of version " + head.version()
-                        + " of the format; this release reads up to " + Format.VERSION));
-            }
-            if (head != null && head.store() != owner) {
-                return new Found(Found.State.FOREIGN, List.of(name + " belongs to another store"));
-            }
-        }
-        for (String name : names) {
-            if (name.startsWith(Format.DRAFT)) {
-                disk.delete(name);
-            }
-        }
-        boolean any = !snapshots.isEmpty() || !segments.isEmpty();
-        Collections.reverse(snapshots);
-        boolean read = false;
-        for (long number : snapshots) {
-            if (!read) {
-                read = readSnapshot(number);
-            }
-        }
-        boolean gap = false;
-        for (long number : segments) {
-            gap = gap || !readSegment(number, number == segments.get(segments.size() - 1));
-            if (gap) {
-                setAside(Format.name(Format.LOG, number));
-            }
-        }
-        segment = Math.max(segments.isEmpty() ? 0 : segments.get(segments.size() - 1), segment);
-        begin();
-        return new Found(!any ? Found.State.NEW : told.isEmpty() ? Found.State.WHOLE : Found.State.CUT,
-                List.copyOf(told));
-    }
+  /** What was appended since the last good sync: written anew if a sync fails. */
+  private final List<byte[]> unsynced = new ArrayList<>();
 
-    private static List<Long> numbers(List<String> names, String prefix) {
-        List<Long> numbers = new ArrayList<>();
-        for (String name : names) {
-            long number = Format.number(prefix, name);
-            if (number >= 0) {
-                numbers.add(number);
-            }
-        }
-        Collections.sort(numbers);
-        return numbers;
-    }
+  private boolean failed = true;
 
-    private boolean readSnapshot(long number) throws IOException {
-        String name = Format.name(Format.SNAPSHOT, number);
-        byte[] file = disk.read(name, FILE_MOST);
-        Format.Head head = Format.head(file);
-        NavigableMap<String, byte[]> all = new TreeMap<>();
-        int at = Format.HEAD;
-        Format.Entry entry = head == null || !head.snapshot() ? null : Format.entry(file, at);
-        while (entry != null && entry.kind() == Format.Kind.PUT) {
-            all.put(entry.key(), entry.value());
-            at += entry.size();
-            entry = Format.entry(file, at);
-        }
-        if (entry == null || entry.kind() != Format.Kind.END || entry.sequence() != all.size()) {
-            told.add(name + " is damaged and was passed over");
-            setAside(name);
-            return false;
-        }
-        values.putAll(all);
-        tableBytes = all.entrySet().stream().mapToLong(Table::size).sum();
-        sequence = number;
-        return true;
-    }
+  /**
+   * @param owner whose store it is; one of another owner is not touched
+   * @param segmentMost bytes of log after which a snapshot is due
+   * @param bytesMost bytes that keys and values may take together
+   */
+  public Table(Disk disk, long owner, long segmentMost, long bytesMost) {
+    this.disk = disk;
+    this.owner = owner;
+    this.segmentMost = segmentMost;
+    this.bytesMost = bytesMost;
+  }
 
-    /**
-     * Reads on; false if what it holds does not follow what was read before. What was cut off may stand again at the
-     * start of the next, where a fault of the disk made the writer go on there.
-     */
-    private boolean readSegment(long number, boolean last) throws IOException {
-        String name = Format.name(Format.LOG, number);
-        byte[] file = disk.read(name, FILE_MOST);
-        Format.Head head = Format.head(file);
-        if (head == null) {
-            if (!last) {
-                told.add(name + " has no head and was set aside");
-            }
-            setAside(name);
-            return true;
-        }
-        int at = Format.HEAD;
-        boolean follows = true;
-        for (Format.Entry entry = Format.entry(file, at); entry != null; entry = Format.entry(file, at)) {
-            if (entry.sequence() > sequence + 1) {
-                told.add(name + " begins at " + entry.sequence() + " where " + (sequence + 1)
-                        + " was wanted; it was set aside with what follows it");
-                follows = false;
-                break;
-            }
-            at += entry.size();
-            if (entry.sequence() == sequence + 1) {
-                apply(entry);
-            }
-        }
-        if (follows && at < file.length) {
-            told.add(name + (last ? ": a tail of " : " is damaged: ") + (file.length - at) + " bytes was cut off");
-            disk.truncate(name, at);
-        }
-        return follows;
-    }
+  // ---- recovery ----
 
-    private void apply(Format.Entry entry) {
-        sequence = entry.sequence();
-        if (entry.kind() == Format.Kind.PUT) {
-            put(entry.key(), entry.value());
-        } else {
-            take(entry.key());
-        }
+  /**
+   * Finds what was kept. Whatever it finds it returns: a store that can't be used is told of, not
+   * thrown.
+   */
+  public Found open() {
+    try {
+      if (!disk.lock()) {
+        return found = new Found(Found.State.LOCKED, List.of("another process has the store"));
+      }
+      found = recover();
+    } catch (IOException e) {
+      found = new Found(Found.State.FOREIGN, List.of("the store can't be read: " + e.getMessage()));
     }
+    failed = !found.usable();
+    return found;
+  }
 
-    private void put(String key, byte[] value) {
-        byte[] before = values.put(key, value);
-        tableBytes += size(key, value) - (before == null ? 0 : size(key, before));
+  private Found recover() throws IOException {
+    List<String> names = disk.list();
+    List<Long> snapshots = numbers(names, Format.SNAPSHOT);
+    List<Long> segments = numbers(names, Format.LOG);
+    for (String name : names) {
+      Format.Head head =
+          name.startsWith(Format.LOG) || name.startsWith(Format.SNAPSHOT)
+              ? Format.head(disk.read(name, Format.HEAD))
+              : null;
+      if (head != null && head.version() > Format.VERSION) {
+        return new Found(
+            Found.State.FOREIGN,
+            List.of(
+                name
+                    + " is of version "
+                    + head.version()
+                    + " of the format; this release reads up to "
+                    + Format.VERSION));
+      }
+      if (head != null && head.store() != owner) {
+        return new Found(Found.State.FOREIGN, List.of(name + " belongs to another store"));
+      }
+    }
+    for (String name : names) {
+      if (name.startsWith(Format.DRAFT)) {
+        disk.delete(name);
+      }
     }
+    boolean any = !snapshots.isEmpty() || !segments.isEmpty();
+    Collections.reverse(snapshots);
+    boolean read = false;
+    for (long number : snapshots) {
+      if (!read) {
+        read = readSnapshot(number);
+      }
+    }
+    boolean gap = false;
+    for (long number : segments) {
+      gap = gap || !readSegment(number, number == segments.get(segments.size() - 1));
+      if (gap) {
+        setAside(Format.name(Format.LOG, number));
+      }
+    }
+    segment = Math.max(segments.isEmpty() ? 0 : segments.get(segments.size() - 1), segment);
+    begin();
+    return new Found(
+        !any ? Found.State.NEW : told.isEmpty() ? Found.State.WHOLE : Found.State.CUT,
+        List.copyOf(told));
+  }
 
-    private void take(String key) {
-        byte[] before = values.remove(key);
-        tableBytes -= before == null ? 0 : size(key, before);
+  private static List<Long> numbers(List<String> names, String prefix) {
+    List<Long> numbers = new ArrayList<>();
+    for (String name : names) {
+      long number = Format.number(prefix, name);
+      if (number >= 0) {
+        numbers.add(number);
+      }
     }
+    Collections.sort(numbers);
+    return numbers;
+  }
 
-    private static long size(Map.Entry<String, byte[]> entry) {
-        return size(entry.getKey(), entry.getValue());
+  private boolean readSnapshot(long number) throws IOException {
+    String name = Format.name(Format.SNAPSHOT, number);
+    byte[] file = disk.read(name, FILE_MOST);
+    Format.Head head = Format.head(file);
+    NavigableMap<String, byte[]> all = new TreeMap<>();
+    int at = Format.HEAD;
+    Format.Entry entry = head == null || !head.snapshot() ? null : Format.entry(file, at);
+    while (entry != null && entry.kind() == Format.Kind.PUT) {
+      all.put(entry.key(), entry.value());
+      at += entry.size();
+      entry = Format.entry(file, at);
     }
+    if (entry == null || entry.kind() != Format.Kind.END || entry.sequence() != all.size()) {
+      told.add(name + " is damaged and was passed over");
+      setAside(name);
+      return false;
+    }
+    values.putAll(all);
+    tableBytes = all.entrySet().stream().mapToLong(Table::size).sum();
+    sequence = number;
+    return true;
+  }
 
-    private static long size(String key, byte[] value) {
-        return key.length() + value.length + Format.RECORD_HEAD + 2;
+  /**
+   * Reads on; false if what it holds does not follow what was read before. What was cut off may
+   * stand again at the start of the next, where a fault of the disk made the writer go on there.
+   */
+  private boolean readSegment(long number, boolean last) throws IOException {
+    String name = Format.name(Format.LOG, number);
+    byte[] file = disk.read(name, FILE_MOST);
+    Format.Head head = Format.head(file);
+    if (head == null) {
+      if (!last) {
+        told.add(name + " has no head and was set aside");
+      }
+      setAside(name);
+      return true;
+    }
+    int at = Format.HEAD;
+    boolean follows = true;
+    for (Format.Entry entry = Format.entry(file, at);
+        entry != null;
+        entry = Format.entry(file, at)) {
+      if (entry.sequence() > sequence + 1) {
+        told.add(
+            name
+                + " begins at "
+                + entry.sequence()
+                + " where "
+                + (sequence + 1)
+                + " was wanted; it was set aside with what follows it");
+        follows = false;
+        break;
+      }
+      at += entry.size();
+      if (entry.sequence() == sequence + 1) {
+        apply(entry);
+      }
     }
+    if (follows && at < file.length) {
+      told.add(
+          name
+              + (last ? ": a tail of " : " is damaged: ")
+              + (file.length - at)
+              + " bytes was cut off");
+      disk.truncate(name, at);
+    }
+    return follows;
+  }
 
-    /** What can't be used is kept for people to look at, the latest few of it. */
-    private void setAside(String name) throws IOException {
-        disk.rename(name, Format.ASIDE + name);
-        List<String> aside = disk.list().stream().filter(other -> other.startsWith(Format.ASIDE)).toList();
-        for (int i = 0; i < aside.size() - ASIDE_MOST; i++) {
-            disk.delete(aside.get(i));
-        }
+  private void apply(Format.Entry entry) {
+    sequence = entry.sequence();
+    if (entry.kind() == Format.Kind.PUT) {
+      put(entry.key(), entry.value());
+    } else {
+      take(entry.key());
     }
+  }
 
-    // ---- use ----
+  private void put(String key, byte[] value) {
+    byte[] before = values.put(key, value);
+    tableBytes += size(key, value) - (before == null ? 0 : size(key, before));
+  }
 
-    /** What recovery found. */
-    public Found found() {
-        return found;
-    }
+  private void take(String key) {
+    byte[] before = values.remove(key);
+    tableBytes -= before == null ? 0 : size(key, before);
+  }
 
-    public NavigableMap<String, byte[]> values() {
-        return Collections.unmodifiableNavigableMap(values);
-    }
+  private static long size(Map.Entry<String, byte[]> entry) {
+    return size(entry.getKey(), entry.getValue());
+  }
 
-    public long sequence() {
-        return sequence;
-    }
+  private static long size(String key, byte[] value) {
+    return key.length() + value.length + Format.RECORD_HEAD + 2;
+  }
 
-    /** A write or sync failed for good: nothing more is kept, what is in memory goes on. */
-    public boolean hasFailed() {
-        return failed;
+  /** What can't be used is kept for people to look at, the latest few of it. */
+  private void setAside(String name) throws IOException {
+    disk.rename(name, Format.ASIDE + name);
+    List<String> aside =
+        disk.list().stream().filter(other -> other.startsWith(Format.ASIDE)).toList();
+    for (int i = 0; i < aside.size() - ASIDE_MOST; i++) {
+      disk.delete(aside.get(i));
     }
+  }
 
-    /**
-     * Changes the table and writes the change; it is kept after the next {@link #sync}.
-     *
-     * @param value null removes the key
-     * @return false if the table would grow beyond its bound, or nothing is kept any more
-     */
-    public boolean set(String key, byte[] value) {
-        byte[] before = values.get(key);
-        long grown = tableBytes + (value == null ? 0 : size(key, value)) - (before == null ? 0 : size(key, before));
-        if (failed || value != null && grown > bytesMost || value == null && before == null) {
-            return value == null && before == null;
-        }
-        byte[] record = Format.entry(value == null ? Format.Kind.REMOVE : Format.Kind.PUT, sequence + 1, key,
-                value == null ? new byte[0] : value);
-        sequence++;
-        if (value == null) {
-            take(key);
-        } else {
-            put(key, value);
-        }
-        unsynced.add(record);
-        segmentBytes += record.length;
-        try {
-            out.write(record);
-        } catch (IOException e) {
-            startOver(e);
-        }
-        return !failed;
-    }
+  // ---- use ----
 
-    /** All that was set before is kept once this returns true. */
-    public boolean sync() {
-        if (failed) {
-            return false;
-        }
-        try {
-            out.sync();
-            unsynced.clear();
-            if (segmentBytes > segmentMost) {
-                snapshot();
-            }
-        } catch (IOException e) {
-            startOver(e);
-        }
-        return !failed;
-    }
+  /** What recovery found. */
+  public Found found() {
+    return found;
+  }
+
+  public NavigableMap<String, byte[]> values() {
+    return Collections.unmodifiableNavigableMap(values);
+  }
 
-    /**
-     * After a fault of the disk nothing that was written since the last good sync is taken as kept, and that file is
-     * not written to again: all of it goes to a new one, once. Guards against a sync that fails, drops what it could
-     * not write, and then succeeds.
-     */
-    private void startOver(IOException fault) {
-        try {
-            closeOut();
-            begin();
-            for (byte[] record : unsynced) {
-                out.write(record);
-            }
-            out.sync();
-            unsynced.clear();
-        } catch (IOException e) {
-            failed = true;
-            e.addSuppressed(fault);
-        }
+  public long sequence() {
+    return sequence;
+  }
+
+  /** A write or sync failed for good: nothing more is kept, what is in memory goes on. */
+  public boolean hasFailed() {
+    return failed;
+  }
+
+  /**
+   * Changes the table and writes the change; it is kept after the next {@link #sync}.
+   *
+   * @param value null removes the key
+   * @return false if the table would grow beyond its bound, or nothing is kept any more
+   */
+  public boolean set(String key, byte[] value) {
+    byte[] before = values.get(key);
+    long grown =
+        tableBytes
+            + (value == null ? 0 : size(key, value))
+            - (before == null ? 0 : size(key, before));
+    if (failed || value != null && grown > bytesMost || value == null && before == null) {
+      return value == null && before == null;
+    }
+    byte[] record =
+        Format.entry(
+            value == null ? Format.Kind.REMOVE : Format.Kind.PUT,
+            sequence + 1,
+            key,
+            value == null ? new byte[0] : value);
+    sequence++;
+    if (value == null) {
+      take(key);
+    } else {
+      put(key, value);
     }
+    unsynced.add(record);
+    segmentBytes += record.length;
+    try {
+      out.write(record);
+    } catch (IOException e) {
+      startOver(e);
+    }
+    return !failed;
+  }
 
-    /** A new segment. */
-    private void begin() throws IOException {
-        segment++;
-        out = disk.create(Format.name(Format.LOG, segment));
-        out.write(Format.head(new Format.Head(false, Format.VERSION, owner, segment)));
-        out.sync();
-        disk.syncFolder();
-        segmentBytes = Format.HEAD;
+  /** All that was set before is kept once this returns true. */
+  public boolean sync() {
+    if (failed) {
+      return false;
+    }
+    try {
+      out.sync();
+      unsynced.clear();
+      if (segmentBytes > segmentMost) {
+        snapshot();
+      }
+    } catch (IOException e) {
+      startOver(e);
     }
+    return !failed;
+  }
 
-    /** Writes all of the table, and drops what it makes needless: the log and the snapshots before the last two. */
-    public void snapshot() throws IOException {
-        String draft = Format.name(Format.DRAFT, sequence);
-        try (Disk.Out file = disk.create(draft)) {
-            file.write(Format.head(new Format.Head(true, Format.VERSION, owner, sequence)));
-            for (Map.Entry<String, byte[]> entry : values.entrySet()) {
-                file.write(Format.entry(Format.Kind.PUT, sequence, entry.getKey(), entry.getValue()));
-            }
-            file.write(Format.entry(Format.Kind.END, values.size(), "", new byte[0]));
-            file.sync();
-        }
-        disk.rename(draft, Format.name(Format.SNAPSHOT, sequence));
-        disk.syncFolder();
-        closeOut();
-        begin();
-        dropOld();
+  /**
+   * After a fault of the disk nothing that was written since the last good sync is taken as kept,
+   * and that file is not written to again: all of it goes to a new one, once. Guards against a sync
+   * that fails, drops what it could not write, and then succeeds.
+   */
+  private void startOver(IOException fault) {
+    try {
+      closeOut();
+      begin();
+      for (byte[] record : unsynced) {
+        out.write(record);
+      }
+      out.sync();
+      unsynced.clear();
+    } catch (IOException e) {
+      failed = true;
+      e.addSuppressed(fault);
     }
+  }
+
+  /** A new segment. */
+  private void begin() throws IOException {
+    segment++;
+    out = disk.create(Format.name(Format.LOG, segment));
+    out.write(Format.head(new Format.Head(false, Format.VERSION, owner, segment)));
+    out.sync();
+    disk.syncFolder();
+    segmentBytes = Format.HEAD;
+  }
 
-    /** Nothing is dropped that the older of the snapshots which stay would need. */
-    private void dropOld() throws IOException {
-        List<String> names = disk.list();
-        List<Long> snapshots = numbers(names, Format.SNAPSHOT);
-        if (snapshots.size() < GENERATIONS) {
-            return;
-        }
-        long oldest = snapshots.get(snapshots.size() - GENERATIONS);
-        for (long number : snapshots) {
-            if (number < oldest) {
-                disk.delete(Format.name(Format.SNAPSHOT, number));
-            }
-        }
-        List<Long> segments = numbers(names, Format.LOG);
-        for (int i = 0; i + 1 < segments.size(); i++) {
-            long next = segments.get(i + 1);
-            if (next < segment && lastBefore(next) <= oldest) {
-                disk.delete(Format.name(Format.LOG, segments.get(i)));
-            }
-        }
+  /**
+   * Writes all of the table, and drops what it makes needless: the log and the snapshots before the
+   * last two.
+   */
+  public void snapshot() throws IOException {
+    String draft = Format.name(Format.DRAFT, sequence);
+    try (Disk.Out file = disk.create(draft)) {
+      file.write(Format.head(new Format.Head(true, Format.VERSION, owner, sequence)));
+      for (Map.Entry<String, byte[]> entry : values.entrySet()) {
+        file.write(Format.entry(Format.Kind.PUT, sequence, entry.getKey(), entry.getValue()));
+      }
+      file.write(Format.entry(Format.Kind.END, values.size(), "", new byte[0]));
+      file.sync();
     }
+    disk.rename(draft, Format.name(Format.SNAPSHOT, sequence));
+    disk.syncFolder();
+    closeOut();
+    begin();
+    dropOld();
+  }
 
-    /** The sequence with which the segments before that one end: one less than its first record's. */
-    private long lastBefore(long number) throws IOException {
-        byte[] file = disk.read(Format.name(Format.LOG, number),
-                Format.HEAD + 64 + Format.KEY_MOST + Format.VALUE_MOST);
-        Format.Entry first = Format.entry(file, Format.HEAD);
-        return first == null ? Long.MAX_VALUE : first.sequence() - 1;
+  /** Nothing is dropped that the older of the snapshots which stay would need. */
+  private void dropOld() throws IOException {
+    List<String> names = disk.list();
+    List<Long> snapshots = numbers(names, Format.SNAPSHOT);
+    if (snapshots.size() < GENERATIONS) {
+      return;
     }
+    long oldest = snapshots.get(snapshots.size() - GENERATIONS);
+    for (long number : snapshots) {
+      if (number < oldest) {
+        disk.delete(Format.name(Format.SNAPSHOT, number));
+      }
+    }
+    List<Long> segments = numbers(names, Format.LOG);
+    for (int i = 0; i + 1 < segments.size(); i++) {
+      long next = segments.get(i + 1);
+      if (next < segment && lastBefore(next) <= oldest) {
+        disk.delete(Format.name(Format.LOG, segments.get(i)));
+      }
+    }
+  }
+
+  /** The sequence with which the segments before that one end: one less than its first record's. */
+  private long lastBefore(long number) throws IOException {
+    byte[] file =
+        disk.read(
+            Format.name(Format.LOG, number),
+            Format.HEAD + 64 + Format.KEY_MOST + Format.VALUE_MOST);
+    Format.Entry first = Format.entry(file, Format.HEAD);
+    return first == null ? Long.MAX_VALUE : first.sequence() - 1;
+  }
 
-    private void closeOut() {
-        try {
-            out.close();
-        } catch (IOException e) {
-            // What was synced is kept; the rest was not promised.
-        }
+  private void closeOut() {
+    try {
+      out.close();
+    } catch (IOException e) {
+      // What was synced is kept; the rest was not promised.
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        if (out != null) {
-            sync();
-            closeOut();
-        }
-        disk.close();
+  @Override
+  public void close() throws IOException {
+    if (out != null) {
+      sync();
+      closeOut();
     }
+    disk.close();
+  }
 }
--- a/store/src/test/java/tillerlink/store/TableTest.java
+++ b/store/src/test/java/tillerlink/store/TableTest.java
@@ -18,292 +18,327 @@
 
 /** Whatever crashes, what was acknowledged is found, and what is found is what some moment had. */
 class TableTest {
-    private static final long OWNER = 77;
+  private static final long OWNER = 77;
 
-    private static Table table(Disk disk) {
-        return new Table(disk, OWNER, 400, 10_000);
-    }
+  private static Table table(Disk disk) {
+    return new Table(disk, OWNER, 400, 10_000);
+  }
 
-    private static Map<String, String> print(Table table) {
-        Map<String, String> all = new TreeMap<>();
-        table.values().forEach((key, value) -> all.put(key, new String(value, StandardCharsets.UTF_8)));
-        return all;
-    }
+  private static Map<String, String> print(Table table) {
+    Map<String, String> all = new TreeMap<>();
+    table.values().forEach((key, value) -> all.put(key, new String(value, StandardCharsets.UTF_8)));
+    return all;
+  }
 
-    private static byte[] bytes(String text) {
-        return text.getBytes(StandardCharsets.UTF_8);
-    }
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.UTF_8);
+  }
 
-    /** Changes a table at random and remembers what it was after each, and what was acknowledged. */
-    private static final class History {
-        private final List<Map<String, String>> states = new ArrayList<>(List.of(new TreeMap<>()));
-        private long acknowledged;
-
-        void play(Table table, Random random, int changes) {
-            for (int i = 0; i < changes; i++) {
-                String key = "k" + random.nextInt(8);
-                boolean remove = random.nextInt(4) == 0 && table.values().containsKey(key);
-                Map<String, String> next = new TreeMap<>(states.get(states.size() - 1));
-                if (remove) {
-                    next.remove(key);
-                } else {
-                    next.put(key, "v" + random.nextInt(1000));
-                }
-                states.add(next);
-                if (!table.set(key, remove ? null : bytes(next.get(key)))) {
-                    return;
-                }
-                if (random.nextInt(3) == 0 && table.sync()) {
-                    acknowledged = table.sequence();
-                }
-            }
-        }
-    }
+  /** Changes a table at random and remembers what it was after each, and what was acknowledged. */
+  private static final class History {
+    private final List<Map<String, String>> states = new ArrayList<>(List.of(new TreeMap<>()));
+    private long acknowledged;
 
-    /** Plays until a crash, recovers, goes on, and so forth; what was wrong, or nothing. */
-    private static String crash(long seed, long point, boolean syncsNothing) {
-        Random random = new Random(seed);
-        Random after = new Random(seed * 31 + point);
-        CrashDisk disk = new CrashDisk().crashAt(point);
-        if (syncsNothing) {
-            disk.syncsNothing();
-        }
-        History history = new History();
-        Table table = table(disk);
-        try {
-            table.open();
-            history.play(table, random, 40);
-            return null;
-        } catch (CrashDisk.Crash e) {
-            // As was wanted.
-        }
-        CrashDisk found = disk.afterCrash(after);
-        if (after.nextInt(4) == 0) {
-            try {
-                table(found.crashAt(after.nextInt(6))).open();
-            } catch (CrashDisk.Crash e) {
-                // A crash while it recovers.
-            }
-            found = found.afterCrash(after);
+    void play(Table table, Random random, int changes) {
+      for (int i = 0; i < changes; i++) {
+        String key = "k" + random.nextInt(8);
+        boolean remove = random.nextInt(4) == 0 && table.values().containsKey(key);
+        Map<String, String> next = new TreeMap<>(states.get(states.size() - 1));
+        if (remove) {
+          next.remove(key);
+        } else {
+          next.put(key, "v" + random.nextInt(1000));
         }
-        Table recovered = table(found);
-        Found how = recovered.open();
-        if (!how.usable()) {
-            return "not usable: " + how;
+        states.add(next);
+        if (!table.set(key, remove ? null : bytes(next.get(key)))) {
+          return;
         }
-        long at = recovered.sequence();
-        if (at < history.acknowledged || at >= history.states.size()) {
-            return "at " + at + " where " + history.acknowledged + " to " + (history.states.size() - 1) + " were possible";
+        if (random.nextInt(3) == 0 && table.sync()) {
+          acknowledged = table.sequence();
         }
-        if (!print(recovered).equals(history.states.get((int) at))) {
-            return "at " + at + " it holds " + print(recovered) + ", not " + history.states.get((int) at);
-        }
-        return recovered.set("again", bytes("x")) && recovered.sync() ? "" : "it can't be written to";
+      }
     }
+  }
 
-    @Test
-    void everyCrashIsRecoveredFrom() {
-        int points = 0;
-        for (int seed = 0; points < 50_000; seed++) {
-            for (long point = 0;; point++) {
-                String wrong = crash(seed, point, false);
-                if (wrong == null) {
-                    break;
-                }
-                assertEquals("", wrong, "seed " + seed + ", crash at " + point);
-                points++;
-            }
-        }
+  /** Plays until a crash, recovers, goes on, and so forth; what was wrong, or nothing. */
+  private static String crash(long seed, long point, boolean syncsNothing) {
+    Random random = new Random(seed);
+    Random after = new Random(seed * 31 + point);
+    CrashDisk disk = new CrashDisk().crashAt(point);
+    if (syncsNothing) {
+      disk.syncsNothing();
     }
-
-    @Test
-    void aMissingSyncIsCaught() {
-        int wrong = 0;
-        for (int seed = 0; seed < 5; seed++) {
-            for (long point = 0; point < 60; point++) {
-                String what = crash(seed, point, true);
-                wrong += what != null && !what.isEmpty() ? 1 : 0;
-            }
-        }
-        assertTrue(wrong > 0);
+    History history = new History();
+    Table table = table(disk);
+    try {
+      table.open();
+      history.play(table, random, 40);
+      return null;
+    } catch (CrashDisk.Crash e) {
+      // As was wanted.
     }
-
-    /** A disk that says EIO, once or for good: what is acknowledged is there, and nothing else is promised. */
-    @Test
-    void faultsOfTheDisk() throws IOException {
-        int failed = 0;
-        for (int seed = 0; seed < 300; seed++) {
-            Random random = new Random(seed);
-            CrashDisk disk = new CrashDisk().faults(4 + random.nextInt(60), random.nextBoolean() ? 1 : 1000);
-            History history = new History();
-            Table table = table(disk);
-            table.open();
-            history.play(table, random, 40);
-            failed += table.hasFailed() ? 1 : 0;
-            Table recovered = table(disk.afterCrash(random));
-            assertTrue(recovered.open().usable());
-            long at = recovered.sequence();
-            assertTrue(at >= history.acknowledged, "seed " + seed + ": at " + at + ", acknowledged " + history.acknowledged);
-            assertEquals(history.states.get((int) at), print(recovered), "seed " + seed);
-        }
-        assertTrue(failed > 0);
+    CrashDisk found = disk.afterCrash(after);
+    if (after.nextInt(4) == 0) {
+      try {
+        table(found.crashAt(after.nextInt(6))).open();
+      } catch (CrashDisk.Crash e) {
+        // A crash while it recovers.
+      }
+      found = found.afterCrash(after);
+    }
+    Table recovered = table(found);
+    Found how = recovered.open();
+    if (!how.usable()) {
+      return "not usable: " + how;
     }
+    long at = recovered.sequence();
+    if (at < history.acknowledged || at >= history.states.size()) {
+      return "at "
+          + at
+          + " where "
+          + history.acknowledged
+          + " to "
+          + (history.states.size() - 1)
+          + " were possible";
+    }
+    if (!print(recovered).equals(history.states.get((int) at))) {
+      return "at " + at + " it holds " + print(recovered) + ", not " + history.states.get((int) at);
+    }
+    return recovered.set("again", bytes("x")) && recovered.sync() ? "" : "it can't be written to";
+  }
 
-    private static CrashDisk kept(int changes) {
-        CrashDisk disk = new CrashDisk();
-        Table table = new Table(disk, OWNER, 200, 10_000);
-        table.open();
-        for (int i = 0; i < changes; i++) {
-            table.set("k" + i % 4, bytes("value " + i));
-            table.sync();
+  @Test
+  void everyCrashIsRecoveredFrom() {
+    int points = 0;
+    for (int seed = 0; points < 50_000; seed++) {
+      for (long point = 0; ; point++) {
+        String wrong = crash(seed, point, false);
+        if (wrong == null) {
+          break;
         }
-        return disk;
+        assertEquals("", wrong, "seed " + seed + ", crash at " + point);
+        points++;
+      }
     }
+  }
 
-    private static String first(CrashDisk disk, String prefix) {
-        return disk.list().stream().filter(name -> name.startsWith(prefix)).findFirst().orElseThrow();
+  @Test
+  void aMissingSyncIsCaught() {
+    int wrong = 0;
+    for (int seed = 0; seed < 5; seed++) {
+      for (long point = 0; point < 60; point++) {
+        String what = crash(seed, point, true);
+        wrong += what != null && !what.isEmpty() ? 1 : 0;
+      }
     }
+    assertTrue(wrong > 0);
+  }
 
-    private static String last(CrashDisk disk, String prefix) {
-        return disk.list().stream().filter(name -> name.startsWith(prefix)).reduce((a, b) -> b).orElseThrow();
+  /**
+   * A disk that says EIO, once or for good: what is acknowledged is there, and nothing else is
+   * promised.
+   */
+  @Test
+  void faultsOfTheDisk() throws IOException {
+    int failed = 0;
+    for (int seed = 0; seed < 300; seed++) {
+      Random random = new Random(seed);
+      CrashDisk disk =
+          new CrashDisk().faults(4 + random.nextInt(60), random.nextBoolean() ? 1 : 1000);
+      History history = new History();
+      Table table = table(disk);
+      table.open();
+      history.play(table, random, 40);
+      failed += table.hasFailed() ? 1 : 0;
+      Table recovered = table(disk.afterCrash(random));
+      assertTrue(recovered.open().usable());
+      long at = recovered.sequence();
+      assertTrue(
+          at >= history.acknowledged,
+          "seed " + seed + ": at " + at + ", acknowledged " + history.acknowledged);
+      assertEquals(history.states.get((int) at), print(recovered), "seed " + seed);
     }
+    assertTrue(failed > 0);
+  }
 
-    private static String told(CrashDisk disk) {
-        Found found = new Table(disk, OWNER, 200, 10_000).open();
-        return found.state() + " " + found.told();
+  private static CrashDisk kept(int changes) {
+    CrashDisk disk = new CrashDisk();
+    Table table = new Table(disk, OWNER, 200, 10_000);
+    table.open();
+    for (int i = 0; i < changes; i++) {
+      table.set("k" + i % 4, bytes("value " + i));
+      table.sync();
     }
+    return disk;
+  }
 
-    /** Each kind of damage has one stated behaviour, and none of them keeps the gateway from starting. */
-    @Test
-    void damage() throws IOException {
-        assertEquals("NEW []", told(new CrashDisk()));
-        CrashDisk whole = kept(21);
-        assertEquals("WHOLE []", told(whole.copy()));
-        CrashDisk torn = whole.copy();
-        String tail = last(torn, Format.LOG);
-        torn.truncate(tail, torn.read(tail, 1 << 20).length - 3);
-        assertEquals("CUT [log-0000000000000004: a tail of 26 bytes was cut off]", told(torn));
-        CrashDisk newest = whole.copy();
-        newest.spoil(last(newest, Format.SNAPSHOT), 40);
-        assertEquals("CUT [" + last(whole, Format.SNAPSHOT) + " is damaged and was passed over]", told(newest));
-        Table older = new Table(newest.copy(), OWNER, 200, 10_000);
-        older.open();
-        assertEquals(21, older.sequence(), "the older snapshot and the log behind it tell all");
-        CrashDisk middle = new CrashDisk();
-        Table table = new Table(middle, OWNER, 100_000, 10_000);
-        table.open();
-        for (int i = 0; i < 10; i++) {
-            table.set("k" + i, bytes("v"));
-        }
-        table.sync();
-        middle.spoil("log-0000000000000001", Format.HEAD + 22 * 4 + 15);
-        Table cut = new Table(middle, OWNER, 100_000, 10_000);
-        assertEquals("[log-0000000000000001: a tail of 132 bytes was cut off]", cut.open().told().toString());
-        assertEquals(4, cut.sequence());
-        CrashDisk gap = new CrashDisk();
-        for (int i = 0; i < 3; i++) {
-            Table part = new Table(gap, OWNER, 100_000, 10_000);
-            part.open();
-            part.set("k" + i, bytes("v"));
-            part.sync();
-        }
-        gap.delete("log-0000000000000002");
-        assertEquals("CUT [log-0000000000000003 begins at 3 where 2 was wanted; it was set aside with what follows it]", told(gap));
-        assertTrue(gap.list().contains("aside-log-0000000000000003"));
-        CrashDisk noLog = whole.copy();
-        for (String name : noLog.list()) {
-            if (name.startsWith(Format.LOG)) {
-                noLog.delete(name);
-            }
-        }
-        assertEquals("WHOLE []", told(noLog), "a snapshot alone is newer than any log, and enough");
-    }
+  private static String first(CrashDisk disk, String prefix) {
+    return disk.list().stream().filter(name -> name.startsWith(prefix)).findFirst().orElseThrow();
+  }
+
+  private static String last(CrashDisk disk, String prefix) {
+    return disk.list().stream()
+        .filter(name -> name.startsWith(prefix))
+        .reduce((a, b) -> b)
+        .orElseThrow();
+  }
 
-    @Test
-    void whatIsNotOursIsNotTouched() throws IOException {
-        CrashDisk disk = kept(3);
-        List<String> before = disk.list();
-        Found foreign = new Table(disk, OWNER + 1, 200, 10_000).open();
-        assertEquals("FOREIGN [log-0000000000000001 belongs to another store]", foreign.state() + " " + foreign.told());
-        Disk.Out later = disk.create("snap-00000000000000ff");
-        later.write(Format.head(new Format.Head(true, 9, OWNER, 255)));
-        assertEquals("FOREIGN [snap-00000000000000ff is of version 9 of the format; this release reads up to 1]", told(disk));
-        disk.delete("snap-00000000000000ff");
-        assertEquals(before, disk.list());
-        disk.locked = true;
-        Table locked = new Table(disk, OWNER, 200, 10_000);
-        assertEquals(Found.State.LOCKED, locked.open().state());
-        assertFalse(locked.set("a", bytes("b")));
+  private static String told(CrashDisk disk) {
+    Found found = new Table(disk, OWNER, 200, 10_000).open();
+    return found.state() + " " + found.told();
+  }
+
+  /**
+   * Each kind of damage has one stated behaviour, and none of them keeps the gateway from starting.
+   */
+  @Test
+  void damage() throws IOException {
+    assertEquals("NEW []", told(new CrashDisk()));
+    CrashDisk whole = kept(21);
+    assertEquals("WHOLE []", told(whole.copy()));
+    CrashDisk torn = whole.copy();
+    String tail = last(torn, Format.LOG);
+    torn.truncate(tail, torn.read(tail, 1 << 20).length - 3);
+    assertEquals("CUT [log-0000000000000004: a tail of 26 bytes was cut off]", told(torn));
+    CrashDisk newest = whole.copy();
+    newest.spoil(last(newest, Format.SNAPSHOT), 40);
+    assertEquals(
+        "CUT [" + last(whole, Format.SNAPSHOT) + " is damaged and was passed over]", told(newest));
+    Table older = new Table(newest.copy(), OWNER, 200, 10_000);
+    older.open();
+    assertEquals(21, older.sequence(), "the older snapshot and the log behind it tell all");
+    CrashDisk middle = new CrashDisk();
+    Table table = new Table(middle, OWNER, 100_000, 10_000);
+    table.open();
+    for (int i = 0; i < 10; i++) {
+      table.set("k" + i, bytes("v"));
+    }
+    table.sync();
+    middle.spoil("log-0000000000000001", Format.HEAD + 22 * 4 + 15);
+    Table cut = new Table(middle, OWNER, 100_000, 10_000);
+    assertEquals(
+        "[log-0000000000000001: a tail of 132 bytes was cut off]", cut.open().told().toString());
+    assertEquals(4, cut.sequence());
+    CrashDisk gap = new CrashDisk();
+    for (int i = 0; i < 3; i++) {
+      Table part = new Table(gap, OWNER, 100_000, 10_000);
+      part.open();
+      part.set("k" + i, bytes("v"));
+      part.sync();
     }
+    gap.delete("log-0000000000000002");
+    assertEquals(
+        "CUT [log-0000000000000003 begins at 3 where 2 was wanted; it was set aside with what"
+            + " follows it]",
+        told(gap));
+    assertTrue(gap.list().contains("aside-log-0000000000000003"));
+    CrashDisk noLog = whole.copy();
+    for (String name : noLog.list()) {
+      if (name.startsWith(Format.LOG)) {
+        noLog.delete(name);
+      }
+    }
+    assertEquals("WHOLE []", told(noLog), "a snapshot alone is newer than any log, and enough");
+  }
 
-    @Test
-    void theTableAndTheDiskAreBounded() throws IOException {
-        CrashDisk disk = new CrashDisk();
-        Table table = new Table(disk, OWNER, 2000, 1000);
-        table.open();
-        int refused = 0;
-        for (int i = 0; i < 100; i++) {
-            refused += table.set("key " + i, new byte[40]) ? 0 : 1;
-        }
-        assertTrue(refused > 80);
-        for (int i = 0; i < 5000; i++) {
-            assertTrue(table.set("key 1", new byte[40]));
-            assertTrue(table.sync());
-        }
-        int bytes = 0;
-        for (String name : disk.list()) {
-            bytes += disk.read(name, 1 << 20).length;
-        }
-        assertTrue(bytes < 12_000, bytes + " bytes in " + disk.list());
+  @Test
+  void whatIsNotOursIsNotTouched() throws IOException {
+    CrashDisk disk = kept(3);
+    List<String> before = disk.list();
+    Found foreign = new Table(disk, OWNER + 1, 200, 10_000).open();
+    assertEquals(
+        "FOREIGN [log-0000000000000001 belongs to another store]",
+        foreign.state() + " " + foreign.told());
+    Disk.Out later = disk.create("snap-00000000000000ff");
+    later.write(Format.head(new Format.Head(true, 9, OWNER, 255)));
+    assertEquals(
+        "FOREIGN [snap-00000000000000ff is of version 9 of the format; this release reads up to 1]",
+        told(disk));
+    disk.delete("snap-00000000000000ff");
+    assertEquals(before, disk.list());
+    disk.locked = true;
+    Table locked = new Table(disk, OWNER, 200, 10_000);
+    assertEquals(Found.State.LOCKED, locked.open().state());
+    assertFalse(locked.set("a", bytes("b")));
+  }
+
+  @Test
+  void theTableAndTheDiskAreBounded() throws IOException {
+    CrashDisk disk = new CrashDisk();
+    Table table = new Table(disk, OWNER, 2000, 1000);
+    table.open();
+    int refused = 0;
+    for (int i = 0; i < 100; i++) {
+      refused += table.set("key " + i, new byte[40]) ? 0 : 1;
     }
+    assertTrue(refused > 80);
+    for (int i = 0; i < 5000; i++) {
+      assertTrue(table.set("key 1", new byte[40]));
+      assertTrue(table.sync());
+    }
+    int bytes = 0;
+    for (String name : disk.list()) {
+      bytes += disk.read(name, 1 << 20).length;
+    }
+    assertTrue(bytes < 12_000, bytes + " bytes in " + disk.list());
+  }
 
-    /** A real folder, a real process, killed while it writes. */
-    @Test
-    void aProcessThatIsKilled(@TempDir Path folder, @TempDir Path outside) throws Exception {
-        Random random = new Random(5);
-        long before = 0;
-        for (int i = 0; i < 25; i++) {
-            Path log = Files.createTempFile(outside, "acknowledged", "");
-            Process writer = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                    "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-cp", System.getProperty("java.class.path"),
-                    Writer.class.getName(), folder.toString()).redirectErrorStream(true).redirectOutput(log.toFile()).start();
-            int wanted = 20 + random.nextInt(2000);
-            for (int j = 0; j < 2000 && Files.size(log) < wanted && writer.isAlive(); j++) {
-                Thread.sleep(5);
-            }
-            writer.destroyForcibly().waitFor();
-            String all = Files.readString(log);
-            String[] lines = all.substring(0, all.lastIndexOf('\n') + 1).split("\n");
-            long found = Long.parseLong(lines[0]);
-            assertTrue(found >= before, "found " + found + " after " + before + " was acknowledged");
-            before = Long.parseLong(lines[lines.length - 1]);
-        }
-        try (Table table = new Table(new Folder(folder), OWNER, 4000, 10_000)) {
-            assertTrue(table.open().usable());
-            assertTrue(table.sequence() >= before);
-            assertEquals(Found.State.LOCKED, new Table(new Folder(folder), OWNER, 4000, 10_000).open().state());
-        }
-        try (var files = Files.list(folder)) {
-            assertTrue(files.count() < 12);
-        }
+  /** A real folder, a real process, killed while it writes. */
+  @Test
+  void aProcessThatIsKilled(@TempDir Path folder, @TempDir Path outside) throws Exception {
+    Random random = new Random(5);
+    long before = 0;
+    for (int i = 0; i < 25; i++) {
+      Path log = Files.createTempFile(outside, "acknowledged", "");
+      Process writer =
+          new ProcessBuilder(
+                  Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                  "-XX:TieredStopAtLevel=1",
+                  "-XX:+UseSerialGC",
+                  "-cp",
+                  System.getProperty("java.class.path"),
+                  Writer.class.getName(),
+                  folder.toString())
+              .redirectErrorStream(true)
+              .redirectOutput(log.toFile())
+              .start();
+      int wanted = 20 + random.nextInt(2000);
+      for (int j = 0; j < 2000 && Files.size(log) < wanted && writer.isAlive(); j++) {
+        Thread.sleep(5);
+      }
+      writer.destroyForcibly().waitFor();
+      String all = Files.readString(log);
+      String[] lines = all.substring(0, all.lastIndexOf('\n') + 1).split("\n");
+      long found = Long.parseLong(lines[0]);
+      assertTrue(found >= before, "found " + found + " after " + before + " was acknowledged");
+      before = Long.parseLong(lines[lines.length - 1]);
     }
+    try (Table table = new Table(new Folder(folder), OWNER, 4000, 10_000)) {
+      assertTrue(table.open().usable());
+      assertTrue(table.sequence() >= before);
+      assertEquals(
+          Found.State.LOCKED, new Table(new Folder(folder), OWNER, 4000, 10_000).open().state());
+    }
+    try (var files = Files.list(folder)) {
+      assertTrue(files.count() < 12);
+    }
+  }
 
-    /** Writes until it is killed, and says what was acknowledged. */
-    static final class Writer {
-        private Writer() {
-        }
+  /** Writes until it is killed, and says what was acknowledged. */
+  static final class Writer {
+    private Writer() {}
 
-        public static void main(String[] args) throws IOException {
-            Table table = new Table(new Folder(Path.of(args[0])), OWNER, 4000, 10_000);
-            Found found = table.open();
-            if (!found.usable()) {
-                System.out.println("-1 " + found);
-                return;
-            }
-            System.out.println(table.sequence());
-            while (table.set("k" + table.sequence() % 10, new byte[20]) && table.sync()) {
-                System.out.println(table.sequence());
-            }
-        }
+    public static void main(String[] args) throws IOException {
+      Table table = new Table(new Folder(Path.of(args[0])), OWNER, 4000, 10_000);
+      Found found = table.open();
+      if (!found.usable()) {
+        System.out.println("-1 " + found);
+        return;
+      }
+      System.out.println(table.sequence());
+      while (table.set("k" + table.sequence() % 10, new byte[20]) && table.sync()) {
+        System.out.println(table.sequence());
+      }
     }
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/Storm.java
+++ b/storm/src/main/java/tillerlink/storm/Storm.java
@@ -7,9 +7,9 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import java.util.Map;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
 import tillerlink.storm.audit.Breach;
@@ -22,98 +22,119 @@
 import tillerlink.storm.process.Plan;
 
 /**
- * Plays random schedules of faults over processes of the program for some minutes. It ends with 0 only if nothing
- * broke; a schedule in which something did is cut down, and the shortest that still fails is told.
+ * Plays random schedules of faults over processes of the program for some minutes. It ends with 0
+ * only if nothing broke; a schedule in which something did is cut down, and the shortest that still
+ * fails is told.
  */
 public final class Storm {
-    private static final int TRIES = 10;
-    private static final long LENGTH_MS = 8_000;
+  private static final int TRIES = 10;
+  private static final long LENGTH_MS = 8_000;
 
-    private final Path folder;
-    private final Plan.Shared shared;
-    private final PrintStream out;
-    private final Map<Step.Kind, Integer> faults = new TreeMap<>();
-    private int plays;
-    private int submissions;
-    private int appends;
-    private int runs;
-    private int violations;
+  private final Path folder;
+  private final Plan.Shared shared;
+  private final PrintStream out;
+  private final Map<Step.Kind, Integer> faults = new TreeMap<>();
+  private int plays;
+  private int submissions;
+  private int appends;
+  private int runs;
+  private int violations;
 
-    private Storm(Path folder, Plan.Shared shared, PrintStream out) {
-        this.folder = folder;
-        this.shared = shared;
-        this.out = out;
-    }
+  private Storm(Path folder, Plan.Shared shared, PrintStream out) {
+    this.folder = folder;
+    this.shared = shared;
+    this.out = out;
+  }
 
-    /**
-     * @param args the seed, and how many minutes at the most a play may begin in; with a third, only the play of
-     *             exactly that seed, which a storm has told
-     */
-    public static void main(String[] args) throws IOException {
-        if (args.length < 2) {
-            System.err.println("storm SEED MINUTES, or storm SEED 0 once for one play of a seed that a storm has told");
-            System.exit(2);
-        }
-        Storm storm = new Storm(Files.createTempDirectory("storm"), Plan.Shared.valueOf(
-                System.getProperty("storm.parts", "STATEMENTS")), System.out);
-        boolean quiet = storm.go(Long.parseLong(args[0]), Double.parseDouble(args[1]), args.length > 2);
-        System.exit(quiet ? 0 : 1);
+  /**
+   * @param args the seed, and how many minutes at the most a play may begin in; with a third, only
+   *     the play of exactly that seed, which a storm has told
+   */
+  public static void main(String[] args) throws IOException {
+    if (args.length < 2) {
+      System.err.println(
+          "storm SEED MINUTES, or storm SEED 0 once for one play of a seed that a storm has told");
+      System.exit(2);
     }
+    Storm storm =
+        new Storm(
+            Files.createTempDirectory("storm"),
+            Plan.Shared.valueOf(System.getProperty("storm.parts", "STATEMENTS")),
+            System.out);
+    boolean quiet = storm.go(Long.parseLong(args[0]), Double.parseDouble(args[1]), args.length > 2);
+    System.exit(quiet ? 0 : 1);
+  }
 
-    private boolean go(long seed, double minutes, boolean once) throws IOException {
-        RandomGenerator chance = new SplittableRandom(seed);
-        long until = System.nanoTime() + (long) (minutes * 60e9);
-        do {
-            one(Schedule.of(once ? seed : chance.nextLong(1L << 48), LENGTH_MS));
-        } while (!once && violations == 0 && System.nanoTime() < until);
-        out.printf(Locale.ROOT, "%d plays; faults: %s; %d submissions, %d appends, %d prepared runs; %d violations%n",
-                plays, faults, submissions, appends, runs, violations);
-        return violations == 0;
-    }
+  private boolean go(long seed, double minutes, boolean once) throws IOException {
+    RandomGenerator chance = new SplittableRandom(seed);
+    long until = System.nanoTime() + (long) (minutes * 60e9);
+    do {
+      one(Schedule.of(once ? seed : chance.nextLong(1L << 48), LENGTH_MS));
+    } while (!once && violations == 0 && System.nanoTime() < until);
+    out.printf(
+        Locale.ROOT,
+        "%d plays; faults: %s; %d submissions, %d appends, %d prepared runs; %d violations%n",
+        plays,
+        faults,
+        submissions,
+        appends,
+        runs,
+        violations);
+    return violations == 0;
+  }
 
-    private void one(Schedule schedule) throws IOException {
-        Played played = play(schedule);
-        plays++;
-        submissions += played.submissions();
-        appends += played.appends();
-        runs += played.runs();
-        violations += played.violations();
-        played.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
-        out.printf(Locale.ROOT, "play %d: seed %d, %d gateways, %d faults, %d submissions, %d appends, %d runs: %s%n",
-                plays, schedule.seed(), schedule.gateways(), schedule.steps().size(), played.submissions(),
-                played.appends(), played.runs(), played.breaches().isEmpty() ? "fine" : "BROKEN");
-        if (!played.breaches().isEmpty()) {
-            played.breaches().forEach(out::println);
-            Rule rule = played.breaches().get(0).rule();
-            out.println("cutting it down to what still breaks " + rule + ", " + TRIES + " plays at the most");
-            Schedule shortest = Cutter.cut(schedule, shorter -> breaks(shorter, rule), TRIES);
-            out.println("the shortest that still does:");
-            out.print(shortest);
-        }
+  private void one(Schedule schedule) throws IOException {
+    Played played = play(schedule);
+    plays++;
+    submissions += played.submissions();
+    appends += played.appends();
+    runs += played.runs();
+    violations += played.violations();
+    played.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
+    out.printf(
+        Locale.ROOT,
+        "play %d: seed %d, %d gateways, %d faults, %d submissions, %d appends, %d runs: %s%n",
+        plays,
+        schedule.seed(),
+        schedule.gateways(),
+        schedule.steps().size(),
+        played.submissions(),
+        played.appends(),
+        played.runs(),
+        played.breaches().isEmpty() ? "fine" : "BROKEN");
+    if (!played.breaches().isEmpty()) {
+      played.breaches().forEach(out::println);
+      Rule rule = played.breaches().get(0).rule();
+      out.println(
+          "cutting it down to what still breaks " + rule + ", " + TRIES + " plays at the most");
+      Schedule shortest = Cutter.cut(schedule, shorter -> breaks(shorter, rule), TRIES);
+      out.println("the shortest that still does:");
+      out.print(shortest);
     }
+  }
 
-    private boolean breaks(Schedule schedule, Rule rule) {
-        try {
-            List<Breach> breaches = play(schedule).breaches();
-            return breaches.stream().anyMatch(breach -> breach.rule() == rule);
-        } catch (IOException e) {
-            out.println("a shorter one could not be played: " + e.getMessage());
-            return false;
-        }
+  private boolean breaks(Schedule schedule, Rule rule) {
+    try {
+      List<Breach> breaches = play(schedule).breaches();
+      return breaches.stream().anyMatch(breach -> breach.rule() == rule);
+    } catch (IOException e) {
+      out.println("a shorter one could not be played: " + e.getMessage());
+      return false;
     }
+  }
 
-    private Played play(Schedule schedule) throws IOException {
-        Path own = Files.createTempDirectory(folder, "play");
-        Played played = new Play(own, System.getProperty("java.class.path"), shared).play(schedule);
-        if (played.breaches().isEmpty()) {
-            try (Stream<Path> all = Files.walk(own)) {
-                for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-                    Files.delete(one);
-                }
-            }
-        } else {
-            out.println("its logs are kept in " + own);
+  private Played play(Schedule schedule) throws IOException {
+    Path own = Files.createTempDirectory(folder, "play");
+    Played played = new Play(own, System.getProperty("java.class.path"), shared).play(schedule);
+    if (played.breaches().isEmpty()) {
+      try (Stream<Path> all = Files.walk(own)) {
+        for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
+          Files.delete(one);
         }
-        return played;
+      }
+    } else {
+      out.println("its logs are kept in " + own);
     }
+    return played;
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/audit/Breach.java
+++ b/storm/src/main/java/tillerlink/storm/audit/Breach.java
@@ -2,8 +2,8 @@
 
 /** What did not hold, in words. */
 public record Breach(Rule rule, String words) {
-    @Override
-    public String toString() {
-        return rule + ": " + words;
-    }
+  @Override
+  public String toString() {
+    return rule + ": " + words;
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/audit/Breaches.java
+++ b/storm/src/main/java/tillerlink/storm/audit/Breaches.java
@@ -7,21 +7,21 @@
 
 /** What did not hold so far: all counted, the first few of each rule kept in words. */
 final class Breaches {
-    private static final int WORDS_MOST = 8;
-    private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-    private final List<Breach> words = new ArrayList<>();
+  private static final int WORDS_MOST = 8;
+  private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
+  private final List<Breach> words = new ArrayList<>();
 
-    void add(Rule rule, String what) {
-        if (counts.merge(rule, 1, Integer::sum) <= WORDS_MOST) {
-            words.add(new Breach(rule, what));
-        }
+  void add(Rule rule, String what) {
+    if (counts.merge(rule, 1, Integer::sum) <= WORDS_MOST) {
+      words.add(new Breach(rule, what));
     }
+  }
 
-    List<Breach> all() {
-        return List.copyOf(words);
-    }
+  List<Breach> all() {
+    return List.copyOf(words);
+  }
 
-    int count() {
-        return counts.values().stream().mapToInt(Integer::intValue).sum();
-    }
+  int count() {
+    return counts.values().stream().mapToInt(Integer::intValue).sum();
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/client/HttpDoor.java
+++ b/storm/src/main/java/tillerlink/storm/client/HttpDoor.java
@@ -14,131 +14,150 @@
 import tillerlink.plain.Json;
 import tillerlink.standin.HttpAnswers;
 
-/** A client of one gateway. Each question has a connection of its own, so that no answer hangs on an older one. */
+/**
+ * A client of one gateway. Each question has a connection of its own, so that no answer hangs on an
+ * older one.
+ */
 public final class HttpDoor {
-    private static final int CONNECT_MS = 2000;
-    private static final int PIECE = 8192;
+  private static final int CONNECT_MS = 2000;
+  private static final int PIECE = 8192;
 
-    /** @param comeBackMs what it was told, 0 if nothing */
-    public record Reply(int status, String body, long comeBackMs) {
-        /** The body as JSON: maps, lists, texts, numbers. */
-        public Object json() throws IOException {
-            try (JsonParser parser = new JsonFactory().createParser(body)) {
-                parser.nextToken();
-                return Json.value(parser);
-            } catch (IllegalArgumentException e) {
-                throw new IOException("not JSON: " + body, e);
-            }
-        }
+  /**
+   * @param comeBackMs what it was told, 0 if nothing
+   */
+  public record Reply(int status, String body, long comeBackMs) {
+    /** The body as JSON: maps, lists, texts, numbers. */
+    public Object json() throws IOException {
+      try (JsonParser parser = new JsonFactory().createParser(body)) {
+        parser.nextToken();
+        return Json.value(parser);
+      } catch (IllegalArgumentException e) {
+        throw new IOException("not JSON: " + body, e);
+      }
+    }
 
-        /** The body as a JSON object. */
-        @SuppressWarnings("unchecked")
-        public Map<String, Object> object() throws IOException {
-            if (json() instanceof Map<?, ?> map) {
-                return (Map<String, Object>) map;
-            }
-            throw new IOException("no object: " + body);
-        }
+    /** The body as a JSON object. */
+    @SuppressWarnings("unchecked")
+    public Map<String, Object> object() throws IOException {
+      if (json() instanceof Map<?, ?> map) {
+        return (Map<String, Object>) map;
+      }
+      throw new IOException("no object: " + body);
     }
+  }
 
-    /** One connection. */
-    private static final class Talk implements Closeable {
-        private final Socket socket = new Socket();
-        private final HttpAnswers answers = new HttpAnswers();
-        private final int port;
+  /** One connection. */
+  private static final class Talk implements Closeable {
+    private final Socket socket = new Socket();
+    private final HttpAnswers answers = new HttpAnswers();
+    private final int port;
 
-        Talk(int port, int patienceMs) throws IOException {
-            this.port = port;
-            try {
-                socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
-                socket.setSoTimeout(patienceMs);
-                socket.setTcpNoDelay(true);
-            } catch (IOException e) {
-                socket.close();
-                throw e;
-            }
-        }
+    Talk(int port, int patienceMs) throws IOException {
+      this.port = port;
+      try {
+        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
+        socket.setSoTimeout(patienceMs);
+        socket.setTcpNoDelay(true);
+      } catch (IOException e) {
+        socket.close();
+        throw e;
+      }
+    }
 
-        HttpAnswers.Answer ask(String method, String path, Map<String, String> headers, String body)
-                throws IOException {
-            byte[] content = body.getBytes(StandardCharsets.UTF_8);
-            StringBuilder head = new StringBuilder(method + " " + path + " HTTP/1.1\r\nHost: 127.0.0.1:" + port)
-                    .append("\r\n");
-            headers.forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
-            head.append("Content-Length: ").append(content.length).append("\r\n\r\n");
-            byte[] start = head.toString().getBytes(StandardCharsets.US_ASCII);
-            byte[] all = Arrays.copyOf(start, start.length + content.length);
-            System.arraycopy(content, 0, all, start.length, content.length);
-            socket.getOutputStream().write(all);
-            InputStream in = socket.getInputStream();
-            byte[] piece = new byte[PIECE];
-            try {
-                HttpAnswers.Answer answer = answers.next();
-                while (answer == null) {
-                    int n = in.read(piece);
-                    if (n < 0) {
-                        throw new IOException("the connection ended before the answer to " + method + " " + path);
-                    }
-                    answers.feed(Arrays.copyOf(piece, n));
-                    answer = answers.next();
-                }
-                return answer;
-            } catch (IllegalArgumentException e) {
-                throw new IOException("no answer that can be read", e);
-            }
+    HttpAnswers.Answer ask(String method, String path, Map<String, String> headers, String body)
+        throws IOException {
+      byte[] content = body.getBytes(StandardCharsets.UTF_8);
+      StringBuilder head =
+          new StringBuilder(method + " " + path + " HTTP/1.1\r\nHost: 127.0.0.1:" + port)
+              .append("\r\n");
+      headers.forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
+      head.append("Content-Length: ").append(content.length).append("\r\n\r\n");
+      byte[] start = head.toString().getBytes(StandardCharsets.US_ASCII);
+      byte[] all = Arrays.copyOf(start, start.length + content.length);
+      System.arraycopy(content, 0, all, start.length, content.length);
+      socket.getOutputStream().write(all);
+      InputStream in = socket.getInputStream();
+      byte[] piece = new byte[PIECE];
+      try {
+        HttpAnswers.Answer answer = answers.next();
+        while (answer == null) {
+          int n = in.read(piece);
+          if (n < 0) {
+            throw new IOException(
+                "the connection ended before the answer to " + method + " " + path);
+          }
+          answers.feed(Arrays.copyOf(piece, n));
+          answer = answers.next();
         }
+        return answer;
+      } catch (IllegalArgumentException e) {
+        throw new IOException("no answer that can be read", e);
+      }
+    }
 
-        @Override
-        public void close() throws IOException {
-            socket.close();
-        }
+    @Override
+    public void close() throws IOException {
+      socket.close();
     }
+  }
 
-    private final int port;
-    private final int patienceMs;
+  private final int port;
+  private final int patienceMs;
 
-    /** @param patienceMs how long an answer is waited for */
-    public HttpDoor(int port, long patienceMs) {
-        this.port = port;
-        this.patienceMs = (int) patienceMs;
-    }
+  /**
+   * @param patienceMs how long an answer is waited for
+   */
+  public HttpDoor(int port, long patienceMs) {
+    this.port = port;
+    this.patienceMs = (int) patienceMs;
+  }
 
-    public Reply get(String path) throws IOException {
-        return ask("GET", path, Map.of(), "");
-    }
+  public Reply get(String path) throws IOException {
+    return ask("GET", path, Map.of(), "");
+  }
 
-    /** Asks, and follows the paths to the last answer. */
-    public Reply post(String path, Map<String, String> headers, String body) throws IOException {
-        return ask("POST", path, headers, body);
-    }
+  /** Asks, and follows the paths to the last answer. */
+  public Reply post(String path, Map<String, String> headers, String body) throws IOException {
+    return ask("POST", path, headers, body);
+  }
 
-    private Reply ask(String method, String path, Map<String, String> headers, String body) throws IOException {
-        try (Talk talk = new Talk(port, patienceMs)) {
-            HttpAnswers.Answer answer = talk.ask(method, path, headers, body);
-            while (answer.goOnAt() != null) {
-                answer = talk.ask("GET", answer.goOnAt(), Map.of(), "");
-            }
-            return new Reply(answer.status(), answer.body(), answer.comeBack());
-        }
+  private Reply ask(String method, String path, Map<String, String> headers, String body)
+      throws IOException {
+    try (Talk talk = new Talk(port, patienceMs)) {
+      HttpAnswers.Answer answer = talk.ask(method, path, headers, body);
+      while (answer.goOnAt() != null) {
+        answer = talk.ask("GET", answer.goOnAt(), Map.of(), "");
+      }
+      return new Reply(answer.status(), answer.body(), answer.comeBack());
     }
+  }
 
-    /** Whether it says that it is well. */
-    public boolean healthy() {
-        try {
-            return get("/healthz").status() == 200;
-        } catch (IOException e) {
-            return false;
-        }
+  /** Whether it says that it is well. */
+  public boolean healthy() {
+    try {
+      return get("/healthz").status() == 200;
+    } catch (IOException e) {
+      return false;
     }
+  }
 
-    /**
-     * Hands in a statement and follows the paths to its last answer.
-     *
-     * @param id 16 hexadecimal digits
-     * @throws IOException if the connection broke: what became of it is not known
-     */
-    public Reply submit(String track, String id, String statement, long deadlineMs) throws IOException {
-        return post("/v1/" + track, Map.of("X-Correlation-Id", id, "X-Deadline-Ms", Long.toString(deadlineMs),
-                "X-Estimate-Ms", "5"), statement);
-    }
+  /**
+   * Hands in a statement and follows the paths to its last answer.
+   *
+   * @param id 16 hexadecimal digits
+   * @throws IOException if the connection broke: what became of it is not known
+   */
+  public Reply submit(String track, String id, String statement, long deadlineMs)
+      throws IOException {
+    return post(
+        "/v1/" + track,
+        Map.of(
+            "X-Correlation-Id",
+            id,
+            "X-Deadline-Ms",
+            Long.toString(deadlineMs),
+            "X-Estimate-Ms",
+            "5"),
+        statement);
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/engine/NamesStandIn.java
+++ b/storm/src/main/java/tillerlink/storm/engine/NamesStandIn.java
@@ -12,42 +12,54 @@
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.standin.NameAnswer;
 
-/** The name service of one gateway: engines e1, e2, ... at the ports at which that gateway reaches them. */
+/**
+ * The name service of one gateway: engines e1, e2, ... at the ports at which that gateway reaches
+ * them.
+ */
 public final class NamesStandIn implements Closeable {
-    private final DatagramSocket socket =
-            new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-    private final List<EngineEntry> entries = new ArrayList<>();
+  private final DatagramSocket socket =
+      new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+  private final List<EngineEntry> entries = new ArrayList<>();
 
-    public NamesStandIn(List<Integer> engines) throws IOException {
-        for (int i = 0; i < engines.size(); i++) {
-            entries.add(new EngineEntry("e" + (i + 1), "127.0.0.1", engines.get(i), "east", "std", 0,
-                    Engine.Standing.READY, 1, 0));
-        }
-        Thread thread = new Thread(this::run, "names");
-        thread.setDaemon(true);
-        thread.start();
+  public NamesStandIn(List<Integer> engines) throws IOException {
+    for (int i = 0; i < engines.size(); i++) {
+      entries.add(
+          new EngineEntry(
+              "e" + (i + 1),
+              "127.0.0.1",
+              engines.get(i),
+              "east",
+              "std",
+              0,
+              Engine.Standing.READY,
+              1,
+              0));
     }
+    Thread thread = new Thread(this::run, "names");
+    thread.setDaemon(true);
+    thread.start();
+  }
 
-    public int port() {
-        return socket.getLocalPort();
-    }
+  public int port() {
+    return socket.getLocalPort();
+  }
 
-    private void run() {
-        DatagramPacket packet = new DatagramPacket(new byte[512], 512);
-        while (!socket.isClosed()) {
-            try {
-                socket.receive(packet);
-                byte[] question = packet.getData();
-                byte[] answer = NameAnswer.of((question[0] & 255) << 8 | question[1] & 255, 2, entries);
-                socket.send(new DatagramPacket(answer, answer.length, packet.getSocketAddress()));
-            } catch (IOException e) {
-                // A gateway that was killed; the next question is as good.
-            }
-        }
+  private void run() {
+    DatagramPacket packet = new DatagramPacket(new byte[512], 512);
+    while (!socket.isClosed()) {
+      try {
+        socket.receive(packet);
+        byte[] question = packet.getData();
+        byte[] answer = NameAnswer.of((question[0] & 255) << 8 | question[1] & 255, 2, entries);
+        socket.send(new DatagramPacket(answer, answer.length, packet.getSocketAddress()));
+      } catch (IOException e) {
+        // A gateway that was killed; the next question is as good.
+      }
     }
+  }
 
-    @Override
-    public void close() {
-        socket.close();
-    }
+  @Override
+  public void close() {
+    socket.close();
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/play/Played.java
+++ b/storm/src/main/java/tillerlink/storm/play/Played.java
@@ -5,6 +5,11 @@
 import tillerlink.storm.audit.Breach;
 
 /** What came of one play. */
-public record Played(Schedule schedule, List<Breach> breaches, Map<Step.Kind, Integer> faults, int submissions,
-                     int appends, int runs, int violations) {
-}
+public record Played(
+    Schedule schedule,
+    List<Breach> breaches,
+    Map<Step.Kind, Integer> faults,
+    int submissions,
+    int appends,
+    int runs,
+    int violations) {}
--- a/storm/src/main/java/tillerlink/storm/play/Schedule.java
+++ b/storm/src/main/java/tillerlink/storm/play/Schedule.java
@@ -8,63 +8,76 @@
 
 /** What befalls a fleet in one play: all of it follows from the seed. */
 public record Schedule(long seed, int gateways, int sites, long lengthMs, List<Step> steps) {
-    private static final int GATEWAYS_LEAST = 3;
-    private static final int GATEWAYS_MOST = 12;
-    private static final long FIRST_MS = 500;
+  private static final int GATEWAYS_LEAST = 3;
+  private static final int GATEWAYS_MOST = 12;
+  private static final long FIRST_MS = 500;
 
-    public Schedule {
-        steps = List.copyOf(steps);
-    }
+  public Schedule {
+    steps = List.copyOf(steps);
+  }
 
-    /** The schedule of a seed: mostly small fleets, for these meet the most cases in a minute. */
-    public static Schedule of(long seed, long lengthMs) {
-        RandomGenerator chance = new SplittableRandom(seed);
-        int gateways = chance.nextInt(4) == 0 ? chance.nextInt(GATEWAYS_LEAST, GATEWAYS_MOST + 1)
-                : chance.nextInt(GATEWAYS_LEAST, GATEWAYS_LEAST + 3);
-        int sites = chance.nextInt(2, Math.min(4, gateways) + 1);
-        List<Step> steps = new ArrayList<>();
-        int count = chance.nextInt(3, 10);
-        for (int i = 0; i < count; i++) {
-            steps.add(step(chance, gateways, lengthMs));
-        }
-        steps.sort(Comparator.comparingLong(Step::atMs));
-        return new Schedule(seed, gateways, sites, lengthMs, steps);
+  /** The schedule of a seed: mostly small fleets, for these meet the most cases in a minute. */
+  public static Schedule of(long seed, long lengthMs) {
+    RandomGenerator chance = new SplittableRandom(seed);
+    int gateways =
+        chance.nextInt(4) == 0
+            ? chance.nextInt(GATEWAYS_LEAST, GATEWAYS_MOST + 1)
+            : chance.nextInt(GATEWAYS_LEAST, GATEWAYS_LEAST + 3);
+    int sites = chance.nextInt(2, Math.min(4, gateways) + 1);
+    List<Step> steps = new ArrayList<>();
+    int count = chance.nextInt(3, 10);
+    for (int i = 0; i < count; i++) {
+      steps.add(step(chance, gateways, lengthMs));
     }
+    steps.sort(Comparator.comparingLong(Step::atMs));
+    return new Schedule(seed, gateways, sites, lengthMs, steps);
+  }
 
-    private static Step step(RandomGenerator chance, int gateways, long lengthMs) {
-        Step.Kind kind = Step.Kind.values()[chance.nextInt(Step.Kind.values().length)];
-        long at = chance.nextLong(FIRST_MS, lengthMs);
-        int who = chance.nextInt(gateways);
-        int other = (who + 1 + chance.nextInt(gateways - 1)) % gateways;
-        long lasts = chance.nextLong(200, Math.max(201, lengthMs / 2));
-        double draw = chance.nextDouble();
-        double amount = switch (kind) {
-            case LOSSY -> 0.1 + draw * 0.4;
-            case MUDDLED -> 0.1 + draw * 0.5;
-            case LATE -> 50 + draw * 2000;
-            case SLOW -> 2_000 + draw * 30_000;
-            case SMALL -> 200 + draw * 1000;
-            default -> 0;
+  private static Step step(RandomGenerator chance, int gateways, long lengthMs) {
+    Step.Kind kind = Step.Kind.values()[chance.nextInt(Step.Kind.values().length)];
+    long at = chance.nextLong(FIRST_MS, lengthMs);
+    int who = chance.nextInt(gateways);
+    int other = (who + 1 + chance.nextInt(gateways - 1)) % gateways;
+    long lasts = chance.nextLong(200, Math.max(201, lengthMs / 2));
+    double draw = chance.nextDouble();
+    double amount =
+        switch (kind) {
+          case LOSSY -> 0.1 + draw * 0.4;
+          case MUDDLED -> 0.1 + draw * 0.5;
+          case LATE -> 50 + draw * 2000;
+          case SLOW -> 2_000 + draw * 30_000;
+          case SMALL -> 200 + draw * 1000;
+          default -> 0;
         };
-        boolean pair = switch (kind) {
-            case CUT, CUT_ONE_WAY, SLOW, SMALL -> true;
-            default -> false;
+    boolean pair =
+        switch (kind) {
+          case CUT, CUT_ONE_WAY, SLOW, SMALL -> true;
+          default -> false;
         };
-        // Those from n0 up to one before this are on the one side: at least one on each.
-        String named = "n" + (kind == Step.Kind.PARTED ? Math.max(1, who) : who);
-        return new Step(at, kind, named, pair ? "n" + other : "", lasts, amount);
-    }
+    // Those from n0 up to one before this are on the one side: at least one on each.
+    String named = "n" + (kind == Step.Kind.PARTED ? Math.max(1, who) : who);
+    return new Step(at, kind, named, pair ? "n" + other : "", lasts, amount);
+  }
 
-    /** The same with other steps. */
-    public Schedule with(List<Step> others) {
-        return new Schedule(seed, gateways, sites, lengthMs, others);
-    }
+  /** The same with other steps. */
+  public Schedule with(List<Step> others) {
+    return new Schedule(seed, gateways, sites, lengthMs, others);
+  }
 
-    @Override
-    public String toString() {
-        StringBuilder text = new StringBuilder("seed " + seed + ", " + gateways + " gateways at " + sites + " sites, "
-                + lengthMs + " ms\n");
-        steps.forEach(step -> text.append(step).append('\n'));
-        return text.toString();
-    }
+  @Override
+  public String toString() {
+    StringBuilder text =
+        new StringBuilder(
+            "seed "
+                + seed
+                + ", "
+                + gateways
+                + " gateways at "
+                + sites
+                + " sites, "
+                + lengthMs
+                + " ms\n");
+    steps.forEach(step -> text.append(step).append('\n'));
+    return text.toString();
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/rig/Lives.java
+++ b/storm/src/main/java/tillerlink/storm/rig/Lives.java
@@ -5,14 +5,14 @@
 
 /** Counts the disks that each gateway had: what was on an earlier one it does not remember. */
 public final class Lives {
-    private final Map<String, Integer> lives = new HashMap<>();
+  private final Map<String, Integer> lives = new HashMap<>();
 
-    public synchronized int of(String gateway) {
-        return lives.getOrDefault(gateway, 0);
-    }
+  public synchronized int of(String gateway) {
+    return lives.getOrDefault(gateway, 0);
+  }
 
-    /** It starts with less than it had. */
-    public synchronized void diskLost(String gateway) {
-        lives.merge(gateway, 1, Integer::sum);
-    }
+  /** It starts with less than it had. */
+  public synchronized void diskLost(String gateway) {
+    lives.merge(gateway, 1, Integer::sum);
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/soak/SoakBreach.java
+++ b/storm/src/main/java/tillerlink/storm/soak/SoakBreach.java
@@ -2,8 +2,8 @@
 
 /** A rule that did not hold, and what was seen. */
 public record SoakBreach(SoakRule rule, String words) {
-    @Override
-    public String toString() {
-        return "BROKEN " + rule + ": " + words;
-    }
+  @Override
+  public String toString() {
+    return "BROKEN " + rule + ": " + words;
+  }
 }
