--- a/storm/src/main/java/tillerlink/storm/soak/SoakLoad.java
+++ b/storm/src/main/java/tillerlink/storm/soak/SoakLoad.java
@@ -17,280 +17,321 @@
 import tillerlink.standin.HttpAnswers;
 import tillerlink.storm.soak.SoakTerms.Track;
 
-/** The clients of a soak: usual ones, and such that leave, pipeline, write slowly, rest, or come all at once. */
+/**
+ * The clients of a soak: usual ones, and such that leave, pipeline, write slowly, rest, or come all
+ * at once.
+ */
 final class SoakLoad {
-    /** What each request is said to need, in milliseconds on one core. */
-    static final double ESTIMATE_MS = 50;
-    private static final int FETCHES_MOST = 3;
-    private static final int FLOOD = 40;
-    private static final int CONNECT_MS = 2_000;
-    private static final int PIECE = 4096;
-    private static final int SUBJECTS = 4;
+  /** What each request is said to need, in milliseconds on one core. */
+  static final double ESTIMATE_MS = 50;
 
-    /** How a client behaves. */
-    enum Manner { USUAL, LEAVES_AT_ONCE, CANCELS, PIPELINES, WRITES_SLOWLY, RESTS }
+  private static final int FETCHES_MOST = 3;
+  private static final int FLOOD = 40;
+  private static final int CONNECT_MS = 2_000;
+  private static final int PIECE = 4096;
+  private static final int SUBJECTS = 4;
 
-    private final SoakGateways gateways;
-    private final SoakOracle oracle;
-    private final SoakClock clock;
-    private final double perSecond;
-    private final long seed;
-    private final AtomicInteger ids = new AtomicInteger();
-    private final ExecutorService clients = Executors.newCachedThreadPool(work -> {
-        Thread thread = new Thread(null, work, "client", 128 * 1024);
-        thread.setDaemon(true);
-        return thread;
-    });
-    private volatile boolean ended;
+  /** How a client behaves. */
+  enum Manner {
+    USUAL,
+    LEAVES_AT_ONCE,
+    CANCELS,
+    PIPELINES,
+    WRITES_SLOWLY,
+    RESTS
+  }
 
-    SoakLoad(SoakGateways gateways, SoakOracle oracle, SoakClock clock, double perSecond, long seed) {
-        this.gateways = gateways;
-        this.oracle = oracle;
-        this.clock = clock;
-        this.perSecond = perSecond;
-        this.seed = seed;
+  private final SoakGateways gateways;
+  private final SoakOracle oracle;
+  private final SoakClock clock;
+  private final double perSecond;
+  private final long seed;
+  private final AtomicInteger ids = new AtomicInteger();
+  private final ExecutorService clients =
+      Executors.newCachedThreadPool(
+          work -> {
+            Thread thread = new Thread(null, work, "client", 128 * 1024);
+            thread.setDaemon(true);
+            return thread;
+          });
+  private volatile boolean ended;
+
+  SoakLoad(SoakGateways gateways, SoakOracle oracle, SoakClock clock, double perSecond, long seed) {
+    this.gateways = gateways;
+    this.oracle = oracle;
+    this.clock = clock;
+    this.perSecond = perSecond;
+    this.seed = seed;
+  }
+
+  void begin() {
+    for (int i = 0; i < gateways.count(); i++) {
+      int gateway = i;
+      clients.execute(() -> feed(gateway, new SplittableRandom(seed * 31 + gateway)));
     }
+  }
 
-    void begin() {
-        for (int i = 0; i < gateways.count(); i++) {
-            int gateway = i;
-            clients.execute(() -> feed(gateway, new SplittableRandom(seed * 31 + gateway)));
-        }
+  private void feed(int gateway, RandomGenerator chance) {
+    while (!ended) {
+      SoakGateways.pause((long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1000));
+      if (!ended && gateways.serves(gateway)) {
+        Track track = Track.values()[chance.nextInt(Track.values().length)];
+        Manner manner =
+            chance.nextInt(3) > 0
+                ? Manner.USUAL
+                : Manner.values()[chance.nextInt(Manner.values().length)];
+        one(gateway, track, manner, chance.nextInt(SUBJECTS), chance.nextLong(50, 1500));
+      }
     }
+  }
 
-    private void feed(int gateway, RandomGenerator chance) {
-        while (!ended) {
-            SoakGateways.pause((long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1000));
-            if (!ended && gateways.serves(gateway)) {
-                Track track = Track.values()[chance.nextInt(Track.values().length)];
-                Manner manner = chance.nextInt(3) > 0 ? Manner.USUAL : Manner.values()[chance.nextInt(Manner.values()
-                        .length)];
-                one(gateway, track, manner, chance.nextInt(SUBJECTS), chance.nextLong(50, 1500));
-            }
-        }
+  /** Many at once. */
+  void flood(int gateway) {
+    for (int i = 0; i < FLOOD && gateways.serves(gateway); i++) {
+      one(gateway, Track.LOOK, Manner.USUAL, 0, 0);
     }
+  }
 
-    /** Many at once. */
-    void flood(int gateway) {
-        for (int i = 0; i < FLOOD && gateways.serves(gateway); i++) {
-            one(gateway, Track.LOOK, Manner.USUAL, 0, 0);
-        }
+  private void one(int gateway, Track track, Manner manner, int subject, long stays) {
+    String id = String.format("%016x", ids.incrementAndGet());
+    Client client = new Client(id, gateway, track, "s" + subject, manner, stays);
+    clients.execute(client::run);
+  }
+
+  /** Those that are out have their time; then nobody comes any more. */
+  void end() {
+    ended = true;
+    clients.shutdown();
+    try {
+      clients.awaitTermination(SoakTerms.DEADLINE_MS + 4_000, TimeUnit.MILLISECONDS);
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
     }
+  }
+
+  /** One request, from its connection to its answer. */
+  private final class Client {
+    private final String id;
+    private final int gateway;
+    private final Track track;
+    private final String subject;
+    private final Manner manner;
+    private final long stays;
+    private final int life;
+    private double until;
+    private boolean handedIn;
 
-    private void one(int gateway, Track track, Manner manner, int subject, long stays) {
-        String id = String.format("%016x", ids.incrementAndGet());
-        Client client = new Client(id, gateway, track, "s" + subject, manner, stays);
-        clients.execute(client::run);
+    Client(String id, int gateway, Track track, String subject, Manner manner, long stays) {
+      this.id = id;
+      this.gateway = gateway;
+      this.track = track;
+      this.subject = subject;
+      this.manner = manner;
+      this.stays = stays;
+      life = gateways.life(gateway);
     }
 
-    /** Those that are out have their time; then nobody comes any more. */
-    void end() {
-        ended = true;
-        clients.shutdown();
-        try {
-            clients.awaitTermination(SoakTerms.DEADLINE_MS + 4_000, TimeUnit.MILLISECONDS);
-        } catch (InterruptedException e) {
-            Thread.currentThread().interrupt();
-        }
+    void run() {
+      try {
+        submit(manner == Manner.RESTS);
+      } catch (IOException e) {
+        failed(e.toString());
+      }
     }
 
-    /** One request, from its connection to its answer. */
-    private final class Client {
-        private final String id;
-        private final int gateway;
-        private final Track track;
-        private final String subject;
-        private final Manner manner;
-        private final long stays;
-        private final int life;
-        private double until;
-        private boolean handedIn;
+    /**
+     * What broke a connection: its gateway was killed meanwhile, or it has cut the connection
+     * itself.
+     */
+    private void failed(String words) {
+      if (!handedIn) {
+        return;
+      }
+      if (gateways.life(gateway) != life) {
+        oracle.excused(id);
+      } else {
+        oracle.cut(id, words);
+      }
+    }
 
-        Client(String id, int gateway, Track track, String subject, Manner manner, long stays) {
-            this.id = id;
-            this.gateway = gateway;
-            this.track = track;
-            this.subject = subject;
-            this.manner = manner;
-            this.stays = stays;
-            life = gateways.life(gateway);
+    private void submit(boolean rests) throws IOException {
+      try (Talk talk = new Talk(gateways.port(gateway))) {
+        if (rests) {
+          talk.say("GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n");
+          talk.answer();
+          SoakGateways.pause(4 * stays);
         }
-
-        void run() {
-            try {
-                submit(manner == Manner.RESTS);
-            } catch (IOException e) {
-                failed(e.toString());
-            }
+        if (rests && talk.ended() || !rests && !gateways.serves(gateway)) {
+          return;
         }
-
-        /** What broke a connection: its gateway was killed meanwhile, or it has cut the connection itself. */
-        private void failed(String words) {
-            if (!handedIn) {
-                return;
-            }
-            if (gateways.life(gateway) != life) {
-                oracle.excused(id);
-            } else {
-                oracle.cut(id, words);
-            }
+        handIn(talk);
+        if (manner == Manner.LEAVES_AT_ONCE) {
+          oracle.left(id, clock.now());
+          return;
         }
-
-        private void submit(boolean rests) throws IOException {
-            try (Talk talk = new Talk(gateways.port(gateway))) {
-                if (rests) {
-                    talk.say("GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n");
-                    talk.answer();
-                    SoakGateways.pause(4 * stays);
-                }
-                if (rests && talk.ended() || !rests && !gateways.serves(gateway)) {
-                    return;
-                }
-                handIn(talk);
-                if (manner == Manner.LEAVES_AT_ONCE) {
-                    oracle.left(id, clock.now());
-                    return;
-                }
-                HttpAnswers.Answer answer = talk.answer();
-                if (answer == null && rests) {
-                    crossed();
-                    return;
-                }
-                follow(talk, answer);
-            }
+        HttpAnswers.Answer answer = talk.answer();
+        if (answer == null && rests) {
+          crossed();
+          return;
         }
+        follow(talk, answer);
+      }
+    }
 
-        /** It crossed the end of a connection that rested: once more, on a new one, if its gateway takes any. */
-        private void crossed() throws IOException {
-            oracle.excused(id);
-            if (gateways.serves(gateway)) {
-                handedIn = false;
-                try (Talk talk = new Talk(gateways.port(gateway))) {
-                    handIn(talk);
-                    follow(talk, talk.answer());
-                }
-            }
+    /**
+     * It crossed the end of a connection that rested: once more, on a new one, if its gateway takes
+     * any.
+     */
+    private void crossed() throws IOException {
+      oracle.excused(id);
+      if (gateways.serves(gateway)) {
+        handedIn = false;
+        try (Talk talk = new Talk(gateways.port(gateway))) {
+          handIn(talk);
+          follow(talk, talk.answer());
         }
+      }
+    }
 
-        private void handIn(Talk talk) throws IOException {
-            String body = "SELECT a FROM t_" + subject.substring(1) + ".x";
-            String head = (manner == Manner.PIPELINES ? "GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n".repeat(3) : "")
-                    + "POST /v1/" + track.wireName() + " HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: " + id
-                            + "\r\nX-Deadline-Ms: "
-                    + SoakTerms.DEADLINE_MS + "\r\nX-Estimate-Ms: " + ESTIMATE_MS + (track.ordered ? "\r\nX-Subject: "
-                            + subject : "")
-                    + "\r\nX-Operation-Key: k" + id + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-            if (manner == Manner.WRITES_SLOWLY) {
-                for (int at = 0; at < head.length() - 1; at += head.length() / 5) {
-                    talk.say(head.substring(at, Math.min(head.length() - 1, at + head.length() / 5)));
-                    SoakGateways.pause(60);
-                }
-                head = head.substring(head.length() - 1);
-            }
-            double at = clock.now();
-            until = at + SoakTerms.DEADLINE_MS;
-            if (!handedIn) {
-                oracle.handedIn(id, gateway, track, subject, at, SoakTerms.DEADLINE_MS);
-            }
-            handedIn = true;
-            talk.say(head);
-            for (int i = 0; manner == Manner.PIPELINES && i < 3; i++) {
-                talk.answer();
-            }
+    private void handIn(Talk talk) throws IOException {
+      String body = "SELECT a FROM t_" + subject.substring(1) + ".x";
+      String head =
+          (manner == Manner.PIPELINES
+                  ? "GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n".repeat(3)
+                  : "")
+              + "POST /v1/"
+              + track.wireName()
+              + " HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: "
+              + id
+              + "\r\nX-Deadline-Ms: "
+              + SoakTerms.DEADLINE_MS
+              + "\r\nX-Estimate-Ms: "
+              + ESTIMATE_MS
+              + (track.ordered ? "\r\nX-Subject: " + subject : "")
+              + "\r\nX-Operation-Key: k"
+              + id
+              + "\r\nContent-Length: "
+              + body.length()
+              + "\r\n\r\n"
+              + body;
+      if (manner == Manner.WRITES_SLOWLY) {
+        for (int at = 0; at < head.length() - 1; at += head.length() / 5) {
+          talk.say(head.substring(at, Math.min(head.length() - 1, at + head.length() / 5)));
+          SoakGateways.pause(60);
         }
+        head = head.substring(head.length() - 1);
+      }
+      double at = clock.now();
+      until = at + SoakTerms.DEADLINE_MS;
+      if (!handedIn) {
+        oracle.handedIn(id, gateway, track, subject, at, SoakTerms.DEADLINE_MS);
+      }
+      handedIn = true;
+      talk.say(head);
+      for (int i = 0; manner == Manner.PIPELINES && i < 3; i++) {
+        talk.answer();
+      }
+    }
 
-        private void follow(Talk first, HttpAnswers.Answer submitted) throws IOException {
-            HttpAnswers.Answer answer = submitted;
-            Talk talk = first;
-            int fetches = 0;
-            try {
-                while (answer == null || answer.goOnAt() != null) {
-                    if (answer == null && (fetches++ == FETCHES_MOST
-                            || !SoakGateways.listens(gateways.port(gateway)))) {
-                        failed("its connection ended without an answer");
-                        return;
-                    }
-                    if (answer != null && manner == Manner.CANCELS) {
-                        SoakGateways.pause(stays / 4);
-                        cancel(answer.goOnAt());
-                        return;
-                    }
-                    if (answer == null) {
-                        if (talk != first) {
-                            talk.close();
-                        }
-                        talk = new Talk(gateways.port(gateway));
-                    }
-                    talk.say("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: soak\r\n\r\n");
-                    answer = talk.answer();
-                }
-                oracle.answered(id, answer.status() == 200 ? SoakOracle.Answer.SERVED
-                        : answer.status() == 503 || answer.status() == 429 || answer.body().contains("\"Full\"")
-                        ? SoakOracle.Answer.REFUSED : SoakOracle.Answer.FAILED, clock.now());
-            } finally {
-                if (talk != first) {
-                    talk.close();
-                }
+    private void follow(Talk first, HttpAnswers.Answer submitted) throws IOException {
+      HttpAnswers.Answer answer = submitted;
+      Talk talk = first;
+      int fetches = 0;
+      try {
+        while (answer == null || answer.goOnAt() != null) {
+          if (answer == null
+              && (fetches++ == FETCHES_MOST || !SoakGateways.listens(gateways.port(gateway)))) {
+            failed("its connection ended without an answer");
+            return;
+          }
+          if (answer != null && manner == Manner.CANCELS) {
+            SoakGateways.pause(stays / 4);
+            cancel(answer.goOnAt());
+            return;
+          }
+          if (answer == null) {
+            if (talk != first) {
+              talk.close();
             }
+            talk = new Talk(gateways.port(gateway));
+          }
+          talk.say("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: soak\r\n\r\n");
+          answer = talk.answer();
         }
-
-        private void cancel(String path) throws IOException {
-            try (Talk talk = new Talk(gateways.port(gateway))) {
-                oracle.left(id, clock.now());
-                talk.say("DELETE " + path + " HTTP/1.1\r\nHost: soak\r\n\r\n");
-                talk.answer();
-            }
+        oracle.answered(
+            id,
+            answer.status() == 200
+                ? SoakOracle.Answer.SERVED
+                : answer.status() == 503
+                        || answer.status() == 429
+                        || answer.body().contains("\"Full\"")
+                    ? SoakOracle.Answer.REFUSED
+                    : SoakOracle.Answer.FAILED,
+            clock.now());
+      } finally {
+        if (talk != first) {
+          talk.close();
         }
+      }
     }
 
-    /** A connection of a client. */
-    private static final class Talk implements AutoCloseable {
-        private final Socket socket = new Socket();
-        private final HttpAnswers answers = new HttpAnswers();
+    private void cancel(String path) throws IOException {
+      try (Talk talk = new Talk(gateways.port(gateway))) {
+        oracle.left(id, clock.now());
+        talk.say("DELETE " + path + " HTTP/1.1\r\nHost: soak\r\n\r\n");
+        talk.answer();
+      }
+    }
+  }
 
-        Talk(int port) throws IOException {
-            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
-            socket.setTcpNoDelay(true);
-        }
+  /** A connection of a client. */
+  private static final class Talk implements AutoCloseable {
+    private final Socket socket = new Socket();
+    private final HttpAnswers answers = new HttpAnswers();
 
-        void say(String text) throws IOException {
-            socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-        }
+    Talk(int port) throws IOException {
+      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
+      socket.setTcpNoDelay(true);
+    }
 
-        /** Whether the other side has ended it, while it rested. */
-        boolean ended() throws IOException {
-            socket.setSoTimeout(1);
-            try {
-                return socket.getInputStream().read() < 0;
-            } catch (SocketTimeoutException e) {
-                return false;
-            }
-        }
+    void say(String text) throws IOException {
+      socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+    }
 
-        /** The next answer; null if the connection ended. */
-        HttpAnswers.Answer answer() throws IOException {
-            InputStream in = socket.getInputStream();
-            byte[] piece = new byte[PIECE];
-            socket.setSoTimeout((int) Math.max(1, SoakTerms.DEADLINE_MS + 2_000));
-            try {
-                HttpAnswers.Answer answer = answers.next();
-                while (answer == null) {
-                    int n = in.read(piece);
-                    if (n < 0) {
-                        return null;
-                    }
-                    answers.feed(Arrays.copyOf(piece, n));
-                    answer = answers.next();
-                }
-                return answer;
-            } catch (SocketTimeoutException e) {
-                throw new IOException("nothing came in time", e);
-            }
-        }
+    /** Whether the other side has ended it, while it rested. */
+    boolean ended() throws IOException {
+      socket.setSoTimeout(1);
+      try {
+        return socket.getInputStream().read() < 0;
+      } catch (SocketTimeoutException e) {
+        return false;
+      }
+    }
 
-        @Override
-        public void close() throws IOException {
-            socket.close();
+    /** The next answer; null if the connection ended. */
+    HttpAnswers.Answer answer() throws IOException {
+      InputStream in = socket.getInputStream();
+      byte[] piece = new byte[PIECE];
+      socket.setSoTimeout((int) Math.max(1, SoakTerms.DEADLINE_MS + 2_000));
+      try {
+        HttpAnswers.Answer answer = answers.next();
+        while (answer == null) {
+          int n = in.read(piece);
+          if (n < 0) {
+            return null;
+          }
+          answers.feed(Arrays.copyOf(piece, n));
+          answer = answers.next();
         }
+        return answer;
+      } catch (SocketTimeoutException e) {
+        throw new IOException("nothing came in time", e);
+      }
+    }
+
+    @Override
+    public void close() throws IOException {
+      socket.close();
     }
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/soak/SoakSchedule.java
+++ b/storm/src/main/java/tillerlink/storm/soak/SoakSchedule.java
@@ -7,57 +7,72 @@
 import java.util.random.RandomGenerator;
 
 /** What befalls a fleet in one run of a soak: all of it follows from the seed. */
-public record SoakSchedule(long seed, int gateways, int engines, long lengthMs, List<SoakFault> faults) {
-    /** Quiet in the beginning: some faults show only after it. */
-    private static final long QUIET_LEAST_MS = 1_000;
-    private static final int ENGINES_LEAST = 5;
-    private static final int ENGINES_MORE = 5;
-
-    public SoakSchedule {
-        faults = List.copyOf(faults);
-    }
+public record SoakSchedule(
+    long seed, int gateways, int engines, long lengthMs, List<SoakFault> faults) {
+  /** Quiet in the beginning: some faults show only after it. */
+  private static final long QUIET_LEAST_MS = 1_000;
 
-    /** A run draws which kinds of fault exist in it, and then faults of these kinds that overlap in time. */
-    public static SoakSchedule of(long seed, int gateways, long lengthMs) {
-        RandomGenerator chance = new SplittableRandom(seed);
-        int engines = ENGINES_LEAST + chance.nextInt(ENGINES_MORE);
-        List<SoakFault.Kind> kinds = new ArrayList<>(List.of(SoakFault.Kind.values()));
-        while (kinds.size() > 6 + chance.nextInt(6)) {
-            kinds.remove(chance.nextInt(kinds.size()));
-        }
-        long quiet = QUIET_LEAST_MS + chance.nextLong(lengthMs / 4);
-        int count = (int) (gateways * lengthMs / 12_000) + 6;
-        List<SoakFault> faults = new ArrayList<>();
-        for (int i = 0; i < count; i++) {
-            SoakFault.Kind kind = kinds.get(chance.nextInt(kinds.size()));
-            int who = chance.nextInt(kind.target == SoakFault.Target.GATEWAY ? gateways : engines);
-            long at = chance.nextLong(quiet, lengthMs);
-            faults.add(new SoakFault(at, lasts(kind, chance), kind, who, chance.nextDouble()));
-        }
-        faults.sort(Comparator.comparingLong(SoakFault::atMs));
-        return new SoakSchedule(seed, gateways, engines, lengthMs, faults);
-    }
+  private static final int ENGINES_LEAST = 5;
+  private static final int ENGINES_MORE = 5;
 
-    private static long lasts(SoakFault.Kind kind, RandomGenerator chance) {
-        return switch (kind) {
-            case STOPPED -> chance.nextBoolean() ? chance.nextLong(200, 3_000) : chance.nextLong(200, 10_000);
-            case NAMES_DOWN -> chance.nextLong(500, 10_000);
-            case KILLED, TERMINATED -> chance.nextLong(100, 2_000);
-            case ENGINE_DRAINS, ENGINE_VANISHES, ENGINE_CRASHES -> chance.nextLong(1_500, 6_000);
-            default -> chance.nextLong(300, 5_000);
-        };
-    }
+  public SoakSchedule {
+    faults = List.copyOf(faults);
+  }
 
-    /** The same with other faults. */
-    public SoakSchedule with(List<SoakFault> others) {
-        return new SoakSchedule(seed, gateways, engines, lengthMs, others);
+  /**
+   * A run draws which kinds of fault exist in it, and then faults of these kinds that overlap in
+   * time.
+   */
+  public static SoakSchedule of(long seed, int gateways, long lengthMs) {
+    RandomGenerator chance = new SplittableRandom(seed);
+    int engines = ENGINES_LEAST + chance.nextInt(ENGINES_MORE);
+    List<SoakFault.Kind> kinds = new ArrayList<>(List.of(SoakFault.Kind.values()));
+    while (kinds.size() > 6 + chance.nextInt(6)) {
+      kinds.remove(chance.nextInt(kinds.size()));
     }
-
-    @Override
-    public String toString() {
-        StringBuilder text = new StringBuilder("seed " + seed + ", " + gateways + " gateways, " + engines + " engines, "
-                + lengthMs + " ms\n");
-        faults.forEach(fault -> text.append(fault).append('\n'));
-        return text.toString();
+    long quiet = QUIET_LEAST_MS + chance.nextLong(lengthMs / 4);
+    int count = (int) (gateways * lengthMs / 12_000) + 6;
+    List<SoakFault> faults = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      SoakFault.Kind kind = kinds.get(chance.nextInt(kinds.size()));
+      int who = chance.nextInt(kind.target == SoakFault.Target.GATEWAY ? gateways : engines);
+      long at = chance.nextLong(quiet, lengthMs);
+      faults.add(new SoakFault(at, lasts(kind, chance), kind, who, chance.nextDouble()));
     }
+    faults.sort(Comparator.comparingLong(SoakFault::atMs));
+    return new SoakSchedule(seed, gateways, engines, lengthMs, faults);
+  }
+
+  private static long lasts(SoakFault.Kind kind, RandomGenerator chance) {
+    return switch (kind) {
+      case STOPPED ->
+          chance.nextBoolean() ? chance.nextLong(200, 3_000) : chance.nextLong(200, 10_000);
+      case NAMES_DOWN -> chance.nextLong(500, 10_000);
+      case KILLED, TERMINATED -> chance.nextLong(100, 2_000);
+      case ENGINE_DRAINS, ENGINE_VANISHES, ENGINE_CRASHES -> chance.nextLong(1_500, 6_000);
+      default -> chance.nextLong(300, 5_000);
+    };
+  }
+
+  /** The same with other faults. */
+  public SoakSchedule with(List<SoakFault> others) {
+    return new SoakSchedule(seed, gateways, engines, lengthMs, others);
+  }
+
+  @Override
+  public String toString() {
+    StringBuilder text =
+        new StringBuilder(
+            "seed "
+                + seed
+                + ", "
+                + gateways
+                + " gateways, "
+                + engines
+                + " engines, "
+                + lengthMs
+                + " ms\n");
+    faults.forEach(fault -> text.append(fault).append('\n'));
+    return text.toString();
+  }
 }
--- a/storm/src/main/java/tillerlink/storm/soak/SoakTerms.java
+++ b/storm/src/main/java/tillerlink/storm/soak/SoakTerms.java
@@ -2,76 +2,109 @@
 
 import java.util.List;
 
-/** The terms that the gateways of a soak are given, and that it judges them by. Times are milliseconds. */
+/**
+ * The terms that the gateways of a soak are given, and that it judges them by. Times are
+ * milliseconds.
+ */
 final class SoakTerms {
-    static final long GRACE_MS = 500;
-    /** What a rule allows beyond its limit on sockets. */
-    static final long SLACK_MS = 50;
-    static final long TOLD_AFTER_MS = 1_500;
-    static final long TOLD_ANYWAY_AFTER_MS = 7_000;
-    static final long ANSWER_SLACK_MS = 500;
-    static final long CANCELLED_SLACK_MS = 100;
-    static final long LIMIT_SLACK_MS = 150;
-    static final long BUDGET_SPAN_MS = 10_000;
-    static final double BUDGET_FLOOR = 3;
-    static final double BUDGET_SHARE = 0.1;
-    static final long FALL_MS = 3_000;
-    static final double FALL_MULTIPLE = 2.5;
-    static final double START_CAPACITY = 0.3;
-    static final long WARM_WITHIN_MS = 13_000;
-    static final int CORES = 8;
-    static final long WINDOW_MS = 2_000;
-    static final long DEADLINE_MS = 3_000;
-    static final List<String> ZONES = List.of("east", "west");
+  static final long GRACE_MS = 500;
 
-    /** The classes of requests: what a second run would do, and where and in which order they may run. */
-    enum Track {
-        LOOK("repeatable", false, false),
-        BOOK("once", false, false),
-        LOAD("by_key", false, false),
-        FILE("repeatable", true, false),
-        LOCAL("repeatable", false, true);
+  /** What a rule allows beyond its limit on sockets. */
+  static final long SLACK_MS = 50;
 
-        final String semantics;
-        final boolean ordered;
-        /** It may run in the first zone alone. */
-        final boolean bound;
+  static final long TOLD_AFTER_MS = 1_500;
+  static final long TOLD_ANYWAY_AFTER_MS = 7_000;
+  static final long ANSWER_SLACK_MS = 500;
+  static final long CANCELLED_SLACK_MS = 100;
+  static final long LIMIT_SLACK_MS = 150;
+  static final long BUDGET_SPAN_MS = 10_000;
+  static final double BUDGET_FLOOR = 3;
+  static final double BUDGET_SHARE = 0.1;
+  static final long FALL_MS = 3_000;
+  static final double FALL_MULTIPLE = 2.5;
+  static final double START_CAPACITY = 0.3;
+  static final long WARM_WITHIN_MS = 13_000;
+  static final int CORES = 8;
+  static final long WINDOW_MS = 2_000;
+  static final long DEADLINE_MS = 3_000;
+  static final List<String> ZONES = List.of("east", "west");
 
-        Track(String semantics, boolean ordered, boolean bound) {
-            this.semantics = semantics;
-            this.ordered = ordered;
-            this.bound = bound;
-        }
+  /**
+   * The classes of requests: what a second run would do, and where and in which order they may run.
+   */
+  enum Track {
+    LOOK("repeatable", false, false),
+    BOOK("once", false, false),
+    LOAD("by_key", false, false),
+    FILE("repeatable", true, false),
+    LOCAL("repeatable", false, true);
 
-        String wireName() {
-            return name().toLowerCase(java.util.Locale.ROOT);
-        }
+    final String semantics;
+    final boolean ordered;
+
+    /** It may run in the first zone alone. */
+    final boolean bound;
+
+    Track(String semantics, boolean ordered, boolean bound) {
+      this.semantics = semantics;
+      this.ordered = ordered;
+      this.bound = bound;
     }
 
-    private SoakTerms() {
+    String wireName() {
+      return name().toLowerCase(java.util.Locale.ROOT);
     }
+  }
+
+  private SoakTerms() {}
 
-    /** The settings as JSON. */
-    static String settings(int instances, int me) {
-        StringBuilder tracks = new StringBuilder();
-        for (Track track : Track.values()) {
-            tracks.append(tracks.length() == 0 ? "" : ",").append("{\"name\":\"").append(track.wireName())
-                    .append("\",\"semantics\":\"").append(track.semantics).append("\",\"group\":\"all\",\"window_us\":")
-                    .append(WINDOW_MS * 1000).append(",\"aim_us\":1500000,\"hard_limit_us\":")
-                            .append(DEADLINE_MS * 1000)
-                    .append(",\"worth\":1,\"late_worth\":0.5").append(track.ordered ? ",\"keep_order\":true" : "")
-                    .append(track.bound ? ",\"zones_open\":[0]" : "").append('}');
-        }
-        return "{\"tick_us\":5000,\"instances\":" + instances + ",\"me\":" + me + ",\"guarantees\":{\"drain_grace_us\":"
-                + GRACE_MS * 1000 + ",\"budget_span_us\":" + BUDGET_SPAN_MS * 1000 + ",\"extra_floor\":" + BUDGET_FLOOR
-                + ",\"further_ratio\":" + BUDGET_SHARE + ",\"fall_us\":" + FALL_MS * 1000 + ",\"fall_multiple\":"
-                        + FALL_MULTIPLE
-                + ",\"start_capacity\":" + START_CAPACITY + ",\"warm_within_us\":" + WARM_WITHIN_MS * 1000
-                + ",\"settle_after_doubt_us\":500000},\"caps\":{\"max_attempts\":3,"
-                + "\"streams_per_conn\":16,\"may_cancel\":true,"
-                + "\"connect_timeout_us\":500000,\"conn_idle_us\":8000000,\"retry_after\":true,"
-                + "\"max_retry_after_us\":500000},"
-                + "\"models\":[\"std\"],\"zones\":[\"east\",\"west\"],\"family_info\":{\"kind_cores\":[" + CORES
-                + "],\"tells_every_us\":2000000},\"profiles\":[" + tracks + "]}";
+  /** The settings as JSON. */
+  static String settings(int instances, int me) {
+    StringBuilder tracks = new StringBuilder();
+    for (Track track : Track.values()) {
+      tracks
+          .append(tracks.length() == 0 ? "" : ",")
+          .append("{\"name\":\"")
+          .append(track.wireName())
+          .append("\",\"semantics\":\"")
+          .append(track.semantics)
+          .append("\",\"group\":\"all\",\"window_us\":")
+          .append(WINDOW_MS * 1000)
+          .append(",\"aim_us\":1500000,\"hard_limit_us\":")
+          .append(DEADLINE_MS * 1000)
+          .append(",\"worth\":1,\"late_worth\":0.5")
+          .append(track.ordered ? ",\"keep_order\":true" : "")
+          .append(track.bound ? ",\"zones_open\":[0]" : "")
+          .append('}');
     }
+    return "{\"tick_us\":5000,\"instances\":"
+        + instances
+        + ",\"me\":"
+        + me
+        + ",\"guarantees\":{\"drain_grace_us\":"
+        + GRACE_MS * 1000
+        + ",\"budget_span_us\":"
+        + BUDGET_SPAN_MS * 1000
+        + ",\"extra_floor\":"
+        + BUDGET_FLOOR
+        + ",\"further_ratio\":"
+        + BUDGET_SHARE
+        + ",\"fall_us\":"
+        + FALL_MS * 1000
+        + ",\"fall_multiple\":"
+        + FALL_MULTIPLE
+        + ",\"start_capacity\":"
+        + START_CAPACITY
+        + ",\"warm_within_us\":"
+        + WARM_WITHIN_MS * 1000
+        + ",\"settle_after_doubt_us\":500000},\"caps\":{\"max_attempts\":3,"
+        + "\"streams_per_conn\":16,\"may_cancel\":true,"
+        + "\"connect_timeout_us\":500000,\"conn_idle_us\":8000000,\"retry_after\":true,"
+        + "\"max_retry_after_us\":500000},"
+        + "\"models\":[\"std\"],\"zones\":[\"east\",\"west\"],\"family_info\":{\"kind_cores\":["
+        + CORES
+        + "],\"tells_every_us\":2000000},\"profiles\":["
+        + tracks
+        + "]}";
+  }
 }
--- a/storm/src/test/java/tillerlink/storm/soak/SoakOracleTest.java
+++ b/storm/src/test/java/tillerlink/storm/soak/SoakOracleTest.java
@@ -12,229 +12,239 @@
 
 /** A fault is planted for each rule, and just that rule is found broken. Times are milliseconds. */
 class SoakOracleTest {
-    private static final long DEADLINE = SoakTerms.DEADLINE_MS;
-    private static final String ONE = "00000000000000a1";
-    private static final String TWO = "00000000000000a2";
-    /** More than a busy machine makes of the allowance for what the rig sees late. */
-    private static final double FAR = 5_000;
-
-    private final SoakClock clock = new SoakClock();
-    private double notReadyAt = Double.MAX_VALUE;
-    private double startedAt;
-    private double startToldAt;
-    private final SoakOracle oracle = new SoakOracle(clock, new SoakOracle.Told() {
-        @Override
-        public double notReadyAt(int gateway, int engine, double at) {
-            return notReadyAt;
-        }
-
-        @Override
-        public double startedAt(int engine, double at) {
-            return startedAt;
-        }
-
-        @Override
-        public double startToldAt(int gateway, int engine, double at) {
-            return startToldAt;
-        }
-
-        @Override
-        public boolean inFirstZone(int engine) {
-            return engine % 2 == 0;
-        }
-    });
-
-    @AfterEach
-    void end() {
-        clock.end();
-    }
-
-    @Test
-    void allIsAsItShouldBe() {
-        handedIn(ONE, Track.BOOK);
-        attempt(ONE, 0, 1010, 2990);
-        oracle.attemptEnded(0, ONE, End.ANSWERED);
-        oracle.answered(ONE, Answer.SERVED, 1100);
-        broken();
-    }
-
-    @Test
-    void aRequestThatIsNeverAnsweredOrTooLateOrCut() {
-        handedIn(ONE, Track.LOOK);
-        broken(SoakRule.LOST);
-        handedIn(TWO, Track.LOOK);
-        oracle.answered(TWO, Answer.REFUSED, 1000 + DEADLINE + FAR);
-        assertEquals(2, oracle.counts().get(SoakRule.LOST));
-        handedIn("00000000000000a3", Track.LOOK);
-        oracle.cut("00000000000000a3", "its connection ended without an answer");
-        assertEquals(3, oracle.counts().get(SoakRule.LOST));
-    }
-
-    @Test
-    void aSecondAnswerAndServedByNobodyAndRefusedThoughItMayHaveRun() {
-        handedIn(ONE, Track.LOOK);
-        oracle.answered(ONE, Answer.REFUSED, 1100);
-        oracle.answered(ONE, Answer.FAILED, 1200);
-        assertEquals(1, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
-        handedIn(TWO, Track.LOOK);
-        oracle.answered(TWO, Answer.SERVED, 1100);
-        assertEquals(2, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
-        handedIn("00000000000000a3", Track.BOOK);
-        attempt("00000000000000a3", 0, 1010, 100);
-        oracle.answered("00000000000000a3", Answer.REFUSED, 1100);
-        assertEquals(3, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
-    }
-
-    @Test
-    void whatMustNotRunTwice() {
-        handedIn(ONE, Track.BOOK);
-        attempt(ONE, 0, 1010, 100);
-        oracle.attemptEnded(0, ONE, End.REFUSED);
-        attempt(ONE, 2, 1020, 100);
-        answered(ONE);
-        broken();
-        handedIn(TWO, Track.BOOK);
-        attempt(TWO, 0, 1010, 100);
-        attempt(TWO, 2, 1020, 100);
-        answered(TWO);
-        broken(SoakRule.DUPLICATE);
-    }
-
-    @Test
-    void aKeyAfterItsWindow() {
-        handedIn(ONE, Track.LOAD);
-        attempt(ONE, 0, 1010, 100);
-        attempt(ONE, 2, 1020, 100);
-        answered(ONE);
-        broken();
-        attempt(ONE, 0, 1010 + SoakTerms.WINDOW_MS + FAR, 0);
-        assertEquals(true, oracle.counts().containsKey(SoakRule.DUPLICATE));
-    }
-
-    @Test
-    void anEngineThatDrains() {
-        notReadyAt = 1000;
-        handedIn(ONE, Track.LOOK);
-        attempt(ONE, 0, 1000 + SoakTerms.GRACE_MS, 100);
-        answered(ONE);
-        broken();
-        handedIn(TWO, Track.LOOK);
-        oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakTerms.GRACE_MS + FAR));
-        answered(TWO);
-        broken(SoakRule.DRAIN);
-    }
-
-    /** 2.5 times 0.3 of 8 cores for 3 s are 360 requests of 50 ms; with twice the root and 2 they are 400. */
-    @Test
-    void aColdEngine() {
-        startedAt = 1000;
-        startToldAt = 1000;
-        for (int i = 0; i < 420; i++) {
-            String id = String.format("%016x", i);
-            handedIn(id, Track.LOOK);
-            attempt(id, 0, 1010, 100);
-            answered(id);
-        }
-        broken(SoakRule.SLOW_START);
-    }
-
-    @Test
-    void aColdEngineThatNobodyWasToldOf() {
-        startedAt = 1000;
-        startToldAt = 9000;
-        for (int i = 0; i < 420; i++) {
-            String id = String.format("%016x", i);
-            handedIn(id, Track.LOOK);
-            attempt(id, 0, 1010, 100);
-            answered(id);
-        }
-        broken();
-    }
-
-    @Test
-    void twoOfASubjectAtOnce() {
-        handedIn(ONE, Track.FILE);
-        handedIn(TWO, Track.FILE);
-        attempt(ONE, 0, 1010, 100);
-        attempt(TWO, 2, 1020, 100);
-        answered(ONE);
-        answered(TWO);
-        broken(SoakRule.ORDER);
-    }
-
-    @Test
-    void aClassWhereItMayNotRun() {
-        handedIn(ONE, Track.LOCAL);
-        attempt(ONE, 1, 1010, 100);
-        answered(ONE);
-        broken(SoakRule.PLACEMENT);
-    }
-
-    @Test
-    void moreFurtherAttemptsThanTheBudget() {
-        handedIn(ONE, Track.LOOK);
-        for (int i = 0; i < 5; i++) {
-            attempt(ONE, 0, 1010 + i, 100);
-        }
-        broken(SoakRule.LOST);
-        attempt(ONE, 0, 1020, 100);
-        answered(ONE);
-        assertEquals(true, oracle.counts().containsKey(SoakRule.RETRY_BUDGET));
-    }
-
-    @Test
-    void anAttemptForAClientThatLeft() {
-        handedIn(ONE, Track.LOOK);
-        oracle.left(ONE, 1050);
-        attempt(ONE, 0, 1050 + FAR, 0);
-        broken(SoakRule.CANCELLED);
-    }
-
-    @Test
-    void aLimitBeyondTheClients() {
-        handedIn(ONE, Track.LOOK);
-        attempt(ONE, 0, 2000, DEADLINE + (long) FAR);
-        answered(ONE);
-        broken(SoakRule.LIMIT);
-    }
-
-    @Test
-    void whatAProcessSaysOfItself() {
-        oracle.inside("n1 counts: tillerlink_invariant_violations_total{reason=\"drain\"} 1");
-        broken(SoakRule.INSIDE);
-    }
-
-    /** What a gateway owes that was killed or stood still meanwhile is not held against it; where it sends is. */
-    @Test
-    void aGatewayThatStoodStill() {
-        handedIn(ONE, Track.LOOK);
-        oracle.interrupted(0, 1500);
-        oracle.answered(ONE, Answer.REFUSED, 1000 + DEADLINE + FAR);
-        broken();
-        notReadyAt = 1000;
-        handedIn(TWO, Track.LOOK);
-        oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakTerms.GRACE_MS + FAR));
-        answered(TWO);
-        broken(SoakRule.DRAIN);
-    }
-
-    private void handedIn(String id, Track track) {
-        oracle.handedIn(id, 0, track, "s1", 1000, DEADLINE);
-    }
-
-    private void attempt(String id, int engine, double at, long limit) {
-        oracle.attempt(new Attempt(id, 0, engine, "look", limit, at));
-    }
-
-    private void answered(String id) {
-        oracle.attemptEnded(0, id, End.ANSWERED);
-        oracle.attemptEnded(2, id, End.ANSWERED);
-        oracle.attemptEnded(1, id, End.ANSWERED);
-        oracle.answered(id, Answer.SERVED, 1200);
-    }
-
-    private void broken(SoakRule... rules) {
-        oracle.end();
-        assertEquals(Set.of(rules), oracle.counts().keySet());
-    }
+  private static final long DEADLINE = SoakTerms.DEADLINE_MS;
+  private static final String ONE = "00000000000000a1";
+  private static final String TWO = "00000000000000a2";
+
+  /** More than a busy machine makes of the allowance for what the rig sees late. */
+  private static final double FAR = 5_000;
+
+  private final SoakClock clock = new SoakClock();
+  private double notReadyAt = Double.MAX_VALUE;
+  private double startedAt;
+  private double startToldAt;
+  private final SoakOracle oracle =
+      new SoakOracle(
+          clock,
+          new SoakOracle.Told() {
+            @Override
+            public double notReadyAt(int gateway, int engine, double at) {
+              return notReadyAt;
+            }
+
+            @Override
+            public double startedAt(int engine, double at) {
+              return startedAt;
+            }
+
+            @Override
+            public double startToldAt(int gateway, int engine, double at) {
+              return startToldAt;
+            }
+
+            @Override
+            public boolean inFirstZone(int engine) {
+              return engine % 2 == 0;
+            }
+          });
+
+  @AfterEach
+  void end() {
+    clock.end();
+  }
+
+  @Test
+  void allIsAsItShouldBe() {
+    handedIn(ONE, Track.BOOK);
+    attempt(ONE, 0, 1010, 2990);
+    oracle.attemptEnded(0, ONE, End.ANSWERED);
+    oracle.answered(ONE, Answer.SERVED, 1100);
+    broken();
+  }
+
+  @Test
+  void aRequestThatIsNeverAnsweredOrTooLateOrCut() {
+    handedIn(ONE, Track.LOOK);
+    broken(SoakRule.LOST);
+    handedIn(TWO, Track.LOOK);
+    oracle.answered(TWO, Answer.REFUSED, 1000 + DEADLINE + FAR);
+    assertEquals(2, oracle.counts().get(SoakRule.LOST));
+    handedIn("00000000000000a3", Track.LOOK);
+    oracle.cut("00000000000000a3", "its connection ended without an answer");
+    assertEquals(3, oracle.counts().get(SoakRule.LOST));
+  }
+
+  @Test
+  void aSecondAnswerAndServedByNobodyAndRefusedThoughItMayHaveRun() {
+    handedIn(ONE, Track.LOOK);
+    oracle.answered(ONE, Answer.REFUSED, 1100);
+    oracle.answered(ONE, Answer.FAILED, 1200);
+    assertEquals(1, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
+    handedIn(TWO, Track.LOOK);
+    oracle.answered(TWO, Answer.SERVED, 1100);
+    assertEquals(2, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
+    handedIn("00000000000000a3", Track.BOOK);
+    attempt("00000000000000a3", 0, 1010, 100);
+    oracle.answered("00000000000000a3", Answer.REFUSED, 1100);
+    assertEquals(3, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
+  }
+
+  @Test
+  void whatMustNotRunTwice() {
+    handedIn(ONE, Track.BOOK);
+    attempt(ONE, 0, 1010, 100);
+    oracle.attemptEnded(0, ONE, End.REFUSED);
+    attempt(ONE, 2, 1020, 100);
+    answered(ONE);
+    broken();
+    handedIn(TWO, Track.BOOK);
+    attempt(TWO, 0, 1010, 100);
+    attempt(TWO, 2, 1020, 100);
+    answered(TWO);
+    broken(SoakRule.DUPLICATE);
+  }
+
+  @Test
+  void aKeyAfterItsWindow() {
+    handedIn(ONE, Track.LOAD);
+    attempt(ONE, 0, 1010, 100);
+    attempt(ONE, 2, 1020, 100);
+    answered(ONE);
+    broken();
+    attempt(ONE, 0, 1010 + SoakTerms.WINDOW_MS + FAR, 0);
+    assertEquals(true, oracle.counts().containsKey(SoakRule.DUPLICATE));
+  }
+
+  @Test
+  void anEngineThatDrains() {
+    notReadyAt = 1000;
+    handedIn(ONE, Track.LOOK);
+    attempt(ONE, 0, 1000 + SoakTerms.GRACE_MS, 100);
+    answered(ONE);
+    broken();
+    handedIn(TWO, Track.LOOK);
+    oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakTerms.GRACE_MS + FAR));
+    answered(TWO);
+    broken(SoakRule.DRAIN);
+  }
+
+  /**
+   * 2.5 times 0.3 of 8 cores for 3 s are 360 requests of 50 ms; with twice the root and 2 they are
+   * 400.
+   */
+  @Test
+  void aColdEngine() {
+    startedAt = 1000;
+    startToldAt = 1000;
+    for (int i = 0; i < 420; i++) {
+      String id = String.format("%016x", i);
+      handedIn(id, Track.LOOK);
+      attempt(id, 0, 1010, 100);
+      answered(id);
+    }
+    broken(SoakRule.SLOW_START);
+  }
+
+  @Test
+  void aColdEngineThatNobodyWasToldOf() {
+    startedAt = 1000;
+    startToldAt = 9000;
+    for (int i = 0; i < 420; i++) {
+      String id = String.format("%016x", i);
+      handedIn(id, Track.LOOK);
+      attempt(id, 0, 1010, 100);
+      answered(id);
+    }
+    broken();
+  }
+
+  @Test
+  void twoOfASubjectAtOnce() {
+    handedIn(ONE, Track.FILE);
+    handedIn(TWO, Track.FILE);
+    attempt(ONE, 0, 1010, 100);
+    attempt(TWO, 2, 1020, 100);
+    answered(ONE);
+    answered(TWO);
+    broken(SoakRule.ORDER);
+  }
+
+  @Test
+  void aClassWhereItMayNotRun() {
+    handedIn(ONE, Track.LOCAL);
+    attempt(ONE, 1, 1010, 100);
+    answered(ONE);
+    broken(SoakRule.PLACEMENT);
+  }
+
+  @Test
+  void moreFurtherAttemptsThanTheBudget() {
+    handedIn(ONE, Track.LOOK);
+    for (int i = 0; i < 5; i++) {
+      attempt(ONE, 0, 1010 + i, 100);
+    }
+    broken(SoakRule.LOST);
+    attempt(ONE, 0, 1020, 100);
+    answered(ONE);
+    assertEquals(true, oracle.counts().containsKey(SoakRule.RETRY_BUDGET));
+  }
+
+  @Test
+  void anAttemptForAClientThatLeft() {
+    handedIn(ONE, Track.LOOK);
+    oracle.left(ONE, 1050);
+    attempt(ONE, 0, 1050 + FAR, 0);
+    broken(SoakRule.CANCELLED);
+  }
+
+  @Test
+  void aLimitBeyondTheClients() {
+    handedIn(ONE, Track.LOOK);
+    attempt(ONE, 0, 2000, DEADLINE + (long) FAR);
+    answered(ONE);
+    broken(SoakRule.LIMIT);
+  }
+
+  @Test
+  void whatAProcessSaysOfItself() {
+    oracle.inside("n1 counts: tillerlink_invariant_violations_total{reason=\"drain\"} 1");
+    broken(SoakRule.INSIDE);
+  }
+
+  /**
+   * What a gateway owes that was killed or stood still meanwhile is not held against it; where it
+   * sends is.
+   */
+  @Test
+  void aGatewayThatStoodStill() {
+    handedIn(ONE, Track.LOOK);
+    oracle.interrupted(0, 1500);
+    oracle.answered(ONE, Answer.REFUSED, 1000 + DEADLINE + FAR);
+    broken();
+    notReadyAt = 1000;
+    handedIn(TWO, Track.LOOK);
+    oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakTerms.GRACE_MS + FAR));
+    answered(TWO);
+    broken(SoakRule.DRAIN);
+  }
+
+  private void handedIn(String id, Track track) {
+    oracle.handedIn(id, 0, track, "s1", 1000, DEADLINE);
+  }
+
+  private void attempt(String id, int engine, double at, long limit) {
+    oracle.attempt(new Attempt(id, 0, engine, "look", limit, at));
+  }
+
+  private void answered(String id) {
+    oracle.attemptEnded(0, id, End.ANSWERED);
+    oracle.attemptEnded(2, id, End.ANSWERED);
+    oracle.attemptEnded(1, id, End.ANSWERED);
+    oracle.answered(id, Answer.SERVED, 1200);
+  }
+
+  private void broken(SoakRule... rules) {
+    oracle.end();
+    assertEquals(Set.of(rules), oracle.counts().keySet());
+  }
 }
--- a/storm/src/test/java/tillerlink/storm/story/SubmissionStoryTest.java
+++ b/storm/src/test/java/tillerlink/storm/story/SubmissionStoryTest.java
@@ -12,25 +12,29 @@
 
 /** Guards the rig itself: a gateway alone carries submissions to engines and ends in peace. */
 class SubmissionStoryTest {
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    @Test
-    void one() throws Exception {
-        Audit audit = new Audit();
-        try (Rig rig = new Rig(folder, 1, new Rig.Shape(1, 1, 2, 1, Plan.Shared.NOTHING), System.getProperty("java.class.path"),
-                (engine, command) -> audit.ran(engine, new String(command.statement())))) {
-            rig.start();
-            for (int i = 0; i < 20; i++) {
-                String id = String.format("%016x", i);
-                String statement = "UPDATE t SET x = " + i;
-                audit.handedIn(id, statement, true);
-                audit.answered(id, rig.client("n0").submit("book", id, statement, 3000).status());
-            }
-            rig.gateway("n0").leave();
-            assertEquals(List.of(), rig.violations());
-        }
-        assertEquals(List.of(), audit.end());
-        assertEquals(20, audit.submissions());
+  @Test
+  void one() throws Exception {
+    Audit audit = new Audit();
+    try (Rig rig =
+        new Rig(
+            folder,
+            1,
+            new Rig.Shape(1, 1, 2, 1, Plan.Shared.NOTHING),
+            System.getProperty("java.class.path"),
+            (engine, command) -> audit.ran(engine, new String(command.statement())))) {
+      rig.start();
+      for (int i = 0; i < 20; i++) {
+        String id = String.format("%016x", i);
+        String statement = "UPDATE t SET x = " + i;
+        audit.handedIn(id, statement, true);
+        audit.answered(id, rig.client("n0").submit("book", id, statement, 3000).status());
+      }
+      rig.gateway("n0").leave();
+      assertEquals(List.of(), rig.violations());
     }
+    assertEquals(List.of(), audit.end());
+    assertEquals(20, audit.submissions());
+  }
 }
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/Beside.java
@@ -18,40 +18,59 @@
 
 /** What stands beside the module of a gateway, as the operator's file names it. */
 final class Beside {
-    private static final long TENTHS_PER_MS = 10;
+  private static final long TENTHS_PER_MS = 10;
 
-    private Beside() {
-    }
+  private Beside() {}
 
-    /** Null where the file names no members. */
-    static Side.Factory of(OperatorFile file) throws IOException {
-        Members members = file.members();
-        if (members == null) {
-            return null;
-        }
-        OperatorFile.Storing store = file.store();
-        long keepMost = (store == null ? 0 : store.bytesMost())
-                + (file.channels() == null ? 0 : file.channels().diskMost())
-                + (file.statements() == null ? 0 : StatementsAttaching.KEEP_MOST);
-        return Peering.factory(new Sharing(members.fleet(), members.site(), members.listen(), members.seeds(),
-                members.secret(), members.reach(), members.probeEvery(),
-                store == null ? null : Path.of(store.folder()), keepMost), parts(file));
+  /** Null where the file names no members. */
+  static Side.Factory of(OperatorFile file) throws IOException {
+    Members members = file.members();
+    if (members == null) {
+      return null;
     }
+    OperatorFile.Storing store = file.store();
+    long keepMost =
+        (store == null ? 0 : store.bytesMost())
+            + (file.channels() == null ? 0 : file.channels().diskMost())
+            + (file.statements() == null ? 0 : StatementsAttaching.KEEP_MOST);
+    return Peering.factory(
+        new Sharing(
+            members.fleet(),
+            members.site(),
+            members.listen(),
+            members.seeds(),
+            members.secret(),
+            members.reach(),
+            members.probeEvery(),
+            store == null ? null : Path.of(store.folder()),
+            keepMost),
+        parts(file));
+  }
 
-    /** The parts that gateways share, beside who is there. */
-    private static List<Attaching> parts(OperatorFile file) {
-        List<Attaching> parts = new ArrayList<>();
-        Channels channels = file.channels();
-        if (channels != null) {
-            parts.add(new ChannelsPart(Terms.of(channels.voters(), channels.absentAfter(),
-                    channels.aheadMost() / TENTHS_PER_MS, Math.min(channels.memoryMost(), channels.diskMost()),
-                    channels.most())));
-        }
-        Statements statements = file.statements();
-        if (statements != null) {
-            parts.add(new StatementsAttaching(statements.voters(), statements.lease(), statements.drift(), false,
-                    statements.fence()));
-        }
-        return parts;
+  /** The parts that gateways share, beside who is there. */
+  private static List<Attaching> parts(OperatorFile file) {
+    List<Attaching> parts = new ArrayList<>();
+    Channels channels = file.channels();
+    if (channels != null) {
+      parts.add(
+          new ChannelsPart(
+              Terms.of(
+                  channels.voters(),
+                  channels.absentAfter(),
+                  channels.aheadMost() / TENTHS_PER_MS,
+                  Math.min(channels.memoryMost(), channels.diskMost()),
+                  channels.most())));
+    }
+    Statements statements = file.statements();
+    if (statements != null) {
+      parts.add(
+          new StatementsAttaching(
+              statements.voters(),
+              statements.lease(),
+              statements.drift(),
+              false,
+              statements.fence()));
     }
+    return parts;
+  }
 }
--- a/tools/src/main/java/tillerlink/cli/CheckCommand.java
+++ b/tools/src/main/java/tillerlink/cli/CheckCommand.java
@@ -12,46 +12,60 @@
 import tillerlink.operator.OperatorFile;
 
 /** Checks an operator's file and tells all that is wrong in it. */
-@Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Check an operator's file; every fault is told with its line and column.")
+@Command(
+    name = "check",
+    mixinStandardHelpOptions = true,
+    description = "Check an operator's file; every fault is told with its line and column.")
 final class CheckCommand implements Callable<Integer> {
-    @Spec
-    private CommandSpec spec;
-    @Parameters(paramLabel = "FILE", description = "the operator's file")
-    private Path file;
+  @Spec private CommandSpec spec;
 
-    @Override
-    public Integer call() throws IOException {
-        try {
-            OperatorFile read = OperatorFile.read(file);
-            spec.commandLine().getOut().printf(Locale.ROOT,
-                    "%s is fine: %d layouts, %d tracks, %d troubles%s%s%n", file,
-                    read.layouts().size(), read.tracks().size(), read.troubles().size(),
-                    read.fleet() == null ? "" : ", a fleet of " + read.fleet().engines().size() + " engines",
-                    shared(read));
-            spec.commandLine().getOut().flush();
-            return 0;
-        } catch (OperatorFile.FaultyException e) {
-            for (Fault fault : e.faults()) {
-                spec.commandLine().getErr().println(file + ":" + fault);
-            }
-            return 1;
-        }
+  @Parameters(paramLabel = "FILE", description = "the operator's file")
+  private Path file;
+
+  @Override
+  public Integer call() throws IOException {
+    try {
+      OperatorFile read = OperatorFile.read(file);
+      spec.commandLine()
+          .getOut()
+          .printf(
+              Locale.ROOT,
+              "%s is fine: %d layouts, %d tracks, %d troubles%s%s%n",
+              file,
+              read.layouts().size(),
+              read.tracks().size(),
+              read.troubles().size(),
+              read.fleet() == null
+                  ? ""
+                  : ", a fleet of " + read.fleet().engines().size() + " engines",
+              shared(read));
+      spec.commandLine().getOut().flush();
+      return 0;
+    } catch (OperatorFile.FaultyException e) {
+      for (Fault fault : e.faults()) {
+        spec.commandLine().getErr().println(file + ":" + fault);
+      }
+      return 1;
     }
+  }
 
-    /** What it has of what gateways share. */
-    private static String shared(OperatorFile read) {
-        StringBuilder all = new StringBuilder();
-        if (read.members() != null) {
-            all.append("; a member of '").append(read.members().fleet()).append("' at site ")
-                    .append(read.members().site()).append(" on ").append(read.members().listen());
-        }
-        if (read.channels() != null) {
-            all.append(", channels among ").append(read.channels().sites().size()).append(" sites");
-        }
-        if (read.statements() != null) {
-            all.append(", statements by ").append(read.statements().voters().size()).append(" voters");
-        }
-        return all.toString();
+  /** What it has of what gateways share. */
+  private static String shared(OperatorFile read) {
+    StringBuilder all = new StringBuilder();
+    if (read.members() != null) {
+      all.append("; a member of '")
+          .append(read.members().fleet())
+          .append("' at site ")
+          .append(read.members().site())
+          .append(" on ")
+          .append(read.members().listen());
+    }
+    if (read.channels() != null) {
+      all.append(", channels among ").append(read.channels().sites().size()).append(" sites");
+    }
+    if (read.statements() != null) {
+      all.append(", statements by ").append(read.statements().voters().size()).append(" voters");
     }
+    return all.toString();
+  }
 }
--- a/tools/src/main/java/tillerlink/cli/DemoCommand.java
+++ b/tools/src/main/java/tillerlink/cli/DemoCommand.java
@@ -24,44 +24,75 @@
 import tillerlink.workload.Plan;
 
 /** Shows the gateway at work on this machine alone. */
-@Command(name = "demo", mixinStandardHelpOptions = true,
-        description = {"Start two gateways, stand-in engines and a name service on loopback, replay a small made-up",
-            "trace over sockets for some ten seconds, and print the figure by track."})
+@Command(
+    name = "demo",
+    mixinStandardHelpOptions = true,
+    description = {
+      "Start two gateways, stand-in engines and a name service on loopback, replay a small made-up",
+      "trace over sockets for some ten seconds, and print the figure by track."
+    })
 final class DemoCommand implements Callable<Integer> {
-    private static final Layout LAYOUT = Layout.ALIBABA_2018;
-    private static final double LOAD = 0.5;
+  private static final Layout LAYOUT = Layout.ALIBABA_2018;
+  private static final double LOAD = 0.5;
 
-    @Spec
-    private CommandSpec spec;
-    @Option(names = "--rows", defaultValue = "2000", description = "rows of the trace (default ${DEFAULT-VALUE})")
-    private long rows;
+  @Spec private CommandSpec spec;
 
-    @Override
-    public Integer call() throws IOException {
-        Path trace = Files.createTempFile("tillerlink-demo-", ".csv");
-        try {
-            try (OutputStream file = Files.newOutputStream(trace);
-                    TraceMaker maker = new TraceMaker(LAYOUT, 1, 0.01, (long) (2 * Words.SECOND), file)) {
-                maker.make(rows);
-            }
-            Job job = new Job(List.of(Shard.of(trace)), LAYOUT, BuiltIn.tracks(LAYOUT), Fleet.builtIn(2), List.of(),
-                    (long) (60 * Words.SECOND), null, 0, LOAD, Plan.Scale.TIME, 0,
-                    0.4, 0.1, 1, "module", Policy::new);
-            try (Arrivals arrivals = new Arrivals(job)) {
-                spec.commandLine().getErr().println("two gateways are starting; the replay takes some ten seconds");
-                spec.commandLine().getErr().flush();
-                Played played = Rig.play(job, arrivals, arrived -> spec.commandLine().getErr()
-                        .printf(Locale.ROOT, "%d submissions%n", arrived));
-                Summary.print(played, spec.commandLine().getOut());
-                return exitCode(played);
-            }
-        } finally {
-            Files.deleteIfExists(trace);
-        }
-    }
+  @Option(
+      names = "--rows",
+      defaultValue = "2000",
+      description = "rows of the trace (default ${DEFAULT-VALUE})")
+  private long rows;
 
-    /** It shows that nothing breaks, and that it shows on a busy machine too; only the figure wants a quiet one. */
-    static int exitCode(Played played) {
-        return played.faults().isEmpty() ? 0 : 1;
+  @Override
+  public Integer call() throws IOException {
+    Path trace = Files.createTempFile("tillerlink-demo-", ".csv");
+    try {
+      try (OutputStream file = Files.newOutputStream(trace);
+          TraceMaker maker = new TraceMaker(LAYOUT, 1, 0.01, (long) (2 * Words.SECOND), file)) {
+        maker.make(rows);
+      }
+      Job job =
+          new Job(
+              List.of(Shard.of(trace)),
+              LAYOUT,
+              BuiltIn.tracks(LAYOUT),
+              Fleet.builtIn(2),
+              List.of(),
+              (long) (60 * Words.SECOND),
+              null,
+              0,
+              LOAD,
+              Plan.Scale.TIME,
+              0,
+              0.4,
+              0.1,
+              1,
+              "module",
+              Policy::new);
+      try (Arrivals arrivals = new Arrivals(job)) {
+        spec.commandLine()
+            .getErr()
+            .println("two gateways are starting; the replay takes some ten seconds");
+        spec.commandLine().getErr().flush();
+        Played played =
+            Rig.play(
+                job,
+                arrivals,
+                arrived ->
+                    spec.commandLine().getErr().printf(Locale.ROOT, "%d submissions%n", arrived));
+        Summary.print(played, spec.commandLine().getOut());
+        return exitCode(played);
+      }
+    } finally {
+      Files.deleteIfExists(trace);
     }
+  }
+
+  /**
+   * It shows that nothing breaks, and that it shows on a busy machine too; only the figure wants a
+   * quiet one.
+   */
+  static int exitCode(Played played) {
+    return played.faults().isEmpty() ? 0 : 1;
+  }
 }
--- a/tools/src/main/java/tillerlink/cli/Logs.java
+++ b/tools/src/main/java/tillerlink/cli/Logs.java
@@ -11,39 +11,38 @@
 
 /** Sets the log as the operator's file says; with none it stays plain text. */
 final class Logs {
-    private Logs() {
-    }
+  private Logs() {}
 
-    static void set(OperatorFile.Log log) {
-        if (log == null || !(LoggerFactory.getILoggerFactory() instanceof LoggerContext context)) {
-            return;
-        }
-        ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
-        root.setLevel(Level.toLevel(log.level().name()));
-        if (log.form() == OperatorFile.Form.JSON) {
-            JsonEncoder encoder = new JsonEncoder();
-            encoder.setContext(context);
-            encoder.setWithContext(false);
-            encoder.setWithSequenceNumber(false);
-            encoder.setWithNanoseconds(false);
-            encoder.setWithFormattedMessage(true);
-            encoder.setWithMessage(false);
-            encoder.setWithArguments(false);
-            encoder.start();
-            ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
-            appender.setContext(context);
-            appender.setTarget("System.err");
-            appender.setEncoder(encoder);
-            appender.start();
-            root.detachAndStopAllAppenders();
-            root.addAppender(appender);
-        }
+  static void set(OperatorFile.Log log) {
+    if (log == null || !(LoggerFactory.getILoggerFactory() instanceof LoggerContext context)) {
+      return;
+    }
+    ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
+    root.setLevel(Level.toLevel(log.level().name()));
+    if (log.form() == OperatorFile.Form.JSON) {
+      JsonEncoder encoder = new JsonEncoder();
+      encoder.setContext(context);
+      encoder.setWithContext(false);
+      encoder.setWithSequenceNumber(false);
+      encoder.setWithNanoseconds(false);
+      encoder.setWithFormattedMessage(true);
+      encoder.setWithMessage(false);
+      encoder.setWithArguments(false);
+      encoder.start();
+      ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
+      appender.setContext(context);
+      appender.setTarget("System.err");
+      appender.setEncoder(encoder);
+      appender.start();
+      root.detachAndStopAllAppenders();
+      root.addAppender(appender);
     }
+  }
 
-    /** Guards a replay's output against what hundreds of emulated gateways would log. */
-    static void hushGateways() {
-        if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
-            context.getLogger("tillerlink.net.state").setLevel(Level.ERROR);
-        }
+  /** Guards a replay's output against what hundreds of emulated gateways would log. */
+  static void hushGateways() {
+    if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
+      context.getLogger("tillerlink.net.state").setLevel(Level.ERROR);
     }
+  }
 }
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -10,24 +10,37 @@
 import tillerlink.operator.OperatorFile;
 
 /** One gateway on sockets. */
-@Command(name = "serve", mixinStandardHelpOptions = true,
-        description = "Serve as one gateway on sockets, as the file that EDGE_CONFIG names tells it.")
+@Command(
+    name = "serve",
+    mixinStandardHelpOptions = true,
+    description = "Serve as one gateway on sockets, as the file that EDGE_CONFIG names tells it.")
 final class ServeCommand implements Callable<Integer> {
-    @Option(names = "--operator", paramLabel = "FILE",
-            description = "the operator's file; its parts log, http2, store, members, channels"
-            + " and statements are used")
-    private Path operator;
+  @Option(
+      names = "--operator",
+      paramLabel = "FILE",
+      description =
+          "the operator's file; its parts log, http2, store, members, channels"
+              + " and statements are used")
+  private Path operator;
 
-    @Override
-    public Integer call() throws Exception {
-        OperatorFile file = operator == null ? null : OperatorFile.read(operator);
-        if (file != null) {
-            Logs.set(file.log());
-        }
-        OperatorFile.Storing store = file == null ? null : file.store();
-        new Node().serve(System.getenv(), Policy::new, file == null ? null : file.http2(), assignment -> store == null
-                ? null : Remembering.open(Path.of(store.folder()), assignment, store.ageMost(), store.bytesMost()),
-                file == null ? null : Beside.of(file));
-        return 0;
+  @Override
+  public Integer call() throws Exception {
+    OperatorFile file = operator == null ? null : OperatorFile.read(operator);
+    if (file != null) {
+      Logs.set(file.log());
     }
+    OperatorFile.Storing store = file == null ? null : file.store();
+    new Node()
+        .serve(
+            System.getenv(),
+            Policy::new,
+            file == null ? null : file.http2(),
+            assignment ->
+                store == null
+                    ? null
+                    : Remembering.open(
+                        Path.of(store.folder()), assignment, store.ageMost(), store.bytesMost()),
+            file == null ? null : Beside.of(file));
+    return 0;
+  }
 }
--- a/tools/src/main/java/tillerlink/cli/StoreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/StoreCommand.java
@@ -18,76 +18,104 @@
 import tillerlink.store.Table;
 
 /** Looks at what a gateway remembers, while that gateway is stopped. */
-@Command(name = "store", mixinStandardHelpOptions = true,
-        description = "Look at, or compact, what a stopped gateway remembers.",
-        subcommands = {StoreCommand.Check.class, StoreCommand.Show.class, StoreCommand.Compact.class})
+@Command(
+    name = "store",
+    mixinStandardHelpOptions = true,
+    description = "Look at, or compact, what a stopped gateway remembers.",
+    subcommands = {StoreCommand.Check.class, StoreCommand.Show.class, StoreCommand.Compact.class})
 final class StoreCommand implements Runnable {
-    private static final long SEGMENT_MOST = 1 << 20;
-    private static final long BYTES_MOST = 1L << 30;
+  private static final long SEGMENT_MOST = 1 << 20;
+  private static final long BYTES_MOST = 1L << 30;
 
-    @Spec
-    private CommandSpec spec;
+  @Spec private CommandSpec spec;
 
-    @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing: check, show or compact");
-    }
+  @Override
+  public void run() {
+    throw new CommandLine.ParameterException(
+        spec.commandLine(), "a command is missing: check, show or compact");
+  }
 
-    /** What the three have in common: the folder is opened as its gateway would, which cuts off a torn tail. */
-    private abstract static class OnFolder implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
-        @Parameters(paramLabel = "DIR", description = "the gateway's own folder; its last part is the gateway's name")
-        private Path folder;
+  /**
+   * What the three have in common: the folder is opened as its gateway would, which cuts off a torn
+   * tail.
+   */
+  private abstract static class OnFolder implements Callable<Integer> {
+    @Spec private CommandSpec spec;
 
-        @Override
-        public Integer call() throws IOException {
-            if (!Files.isDirectory(folder)) {
-                throw new IOException(folder + ": no such folder");
-            }
-            String name = folder.toAbsolutePath().normalize().getFileName().toString();
-            try (Table table = new Table(new Folder(folder), Remembering.owner(name), SEGMENT_MOST, BYTES_MOST)) {
-                Found found = table.open();
-                PrintWriter out = spec.commandLine().getOut();
-                found.told().forEach(out::println);
-                if (!found.usable()) {
-                    out.flush();
-                    throw new IOException(folder + ": the store can't be used");
-                }
-                act(table, out);
-                out.flush();
-                return 0;
-            }
-        }
+    @Parameters(
+        paramLabel = "DIR",
+        description = "the gateway's own folder; its last part is the gateway's name")
+    private Path folder;
 
-        abstract void act(Table table, PrintWriter out) throws IOException;
+    @Override
+    public Integer call() throws IOException {
+      if (!Files.isDirectory(folder)) {
+        throw new IOException(folder + ": no such folder");
+      }
+      String name = folder.toAbsolutePath().normalize().getFileName().toString();
+      try (Table table =
+          new Table(new Folder(folder), Remembering.owner(name), SEGMENT_MOST, BYTES_MOST)) {
+        Found found = table.open();
+        PrintWriter out = spec.commandLine().getOut();
+        found.told().forEach(out::println);
+        if (!found.usable()) {
+          out.flush();
+          throw new IOException(folder + ": the store can't be used");
+        }
+        act(table, out);
+        out.flush();
+        return 0;
+      }
     }
 
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Tell whether it is whole.")
-    static final class Check extends OnFolder {
-        @Override
-        void act(Table table, PrintWriter out) {
-            out.printf(Locale.ROOT, "%s, %d keys as of record %d%n",
-                    table.found().state().name().toLowerCase(Locale.ROOT), table.values().size(), table.sequence());
-        }
+    abstract void act(Table table, PrintWriter out) throws IOException;
+  }
+
+  @Command(
+      name = "check",
+      mixinStandardHelpOptions = true,
+      description = "Tell whether it is whole.")
+  static final class Check extends OnFolder {
+    @Override
+    void act(Table table, PrintWriter out) {
+      out.printf(
+          Locale.ROOT,
+          "%s, %d keys as of record %d%n",
+          table.found().state().name().toLowerCase(Locale.ROOT),
+          table.values().size(),
+          table.sequence());
     }
+  }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Print every key and its value.")
-    static final class Show extends OnFolder {
-        @Override
-        void act(Table table, PrintWriter out) {
-            table.values().forEach((key, value) -> out.println(key + "  "
-                    + new String(value, StandardCharsets.UTF_8).replace('\t', ' ')));
-        }
+  @Command(
+      name = "show",
+      mixinStandardHelpOptions = true,
+      description = "Print every key and its value.")
+  static final class Show extends OnFolder {
+    @Override
+    void act(Table table, PrintWriter out) {
+      table
+          .values()
+          .forEach(
+              (key, value) ->
+                  out.println(
+                      key + "  " + new String(value, StandardCharsets.UTF_8).replace('\t', ' ')));
     }
+  }
 
-    @Command(name = "compact", mixinStandardHelpOptions = true,
-            description = "Write a snapshot and drop the log that it makes needless.")
-    static final class Compact extends OnFolder {
-        @Override
-        void act(Table table, PrintWriter out) throws IOException {
-            table.snapshot();
-            out.printf(Locale.ROOT, "%d keys in a snapshot as of record %d%n", table.values().size(), table.sequence());
-        }
+  @Command(
+      name = "compact",
+      mixinStandardHelpOptions = true,
+      description = "Write a snapshot and drop the log that it makes needless.")
+  static final class Compact extends OnFolder {
+    @Override
+    void act(Table table, PrintWriter out) throws IOException {
+      table.snapshot();
+      out.printf(
+          Locale.ROOT,
+          "%d keys in a snapshot as of record %d%n",
+          table.values().size(),
+          table.sequence());
     }
+  }
 }
--- a/tools/src/main/java/tillerlink/cli/TraceCommand.java
+++ b/tools/src/main/java/tillerlink/cli/TraceCommand.java
@@ -26,107 +26,168 @@
 import tillerlink.workload.Track;
 
 /** Makes traces, and looks at them. */
-@Command(name = "trace", mixinStandardHelpOptions = true, description = "Make a trace, or look through one.",
-        subcommands = {TraceCommand.Make.class, TraceCommand.Check.class})
+@Command(
+    name = "trace",
+    mixinStandardHelpOptions = true,
+    description = "Make a trace, or look through one.",
+    subcommands = {TraceCommand.Make.class, TraceCommand.Check.class})
 final class TraceCommand implements Runnable {
-    @Spec
-    private CommandSpec spec;
+  @Spec private CommandSpec spec;
+
+  @Override
+  public void run() {
+    throw new CommandLine.ParameterException(
+        spec.commandLine(), "a command is missing: make or check");
+  }
+
+  @Command(
+      name = "make",
+      mixinStandardHelpOptions = true,
+      description = "Write a made-up trace in a published layout, and tell what was written.")
+  static final class Make implements Callable<Integer> {
+    @Spec private CommandSpec spec;
+
+    @Option(
+        names = "--layout",
+        required = true,
+        completionCandidates = Words.LayoutNames.class,
+        description = "one of ${COMPLETION-CANDIDATES}")
+    private String layout;
+
+    @Option(
+        names = "--rows",
+        defaultValue = "10000",
+        description = "good rows (default ${DEFAULT-VALUE})")
+    private long rows;
+
+    @Option(
+        names = "--seed",
+        defaultValue = "1",
+        description = "what is drawn (default ${DEFAULT-VALUE})")
+    private long seed;
+
+    @Option(
+        names = "--bad",
+        defaultValue = "0",
+        description = "the share of bad rows beside the good ones")
+    private double bad;
+
+    @Option(
+        names = "--shuffle",
+        defaultValue = "0",
+        description = "by how many seconds rows stand out of order")
+    private double shuffle;
+
+    @Option(
+        names = "--out",
+        required = true,
+        description = "the file; one that ends in .gz is compressed")
+    private Path out;
 
     @Override
-    public void run() {
-        throw new CommandLine.ParameterException(spec.commandLine(), "a command is missing: make or check");
+    public Integer call() throws IOException {
+      if (rows < 1 || bad < 0 || bad > 1 || shuffle < 0) {
+        throw new CommandLine.ParameterException(
+            spec.commandLine(), "--rows is 1 or more, --bad a share, --shuffle no less than 0");
+      }
+      Layout chosen = Words.layout(layout, List.of());
+      TraceMaker.Made made;
+      try (OutputStream file = open();
+          TraceMaker maker =
+              new TraceMaker(chosen, seed, bad, (long) (shuffle * Words.SECOND), file)) {
+        made = maker.make(rows);
+      }
+      PrintWriter print = spec.commandLine().getOut();
+      print.printf(
+          Locale.ROOT,
+          "rows %d, tasks %d, bad %d, shuffled %d%n",
+          made.rows(),
+          made.tasks(),
+          made.allBad(),
+          made.shuffled());
+      for (Map.Entry<Skip, Long> cause : made.bad().entrySet()) {
+        print.printf(Locale.ROOT, "  %s %d%n", cause.getKey().word(), cause.getValue());
+      }
+      print.flush();
+      return 0;
     }
 
-    @Command(name = "make", mixinStandardHelpOptions = true,
-            description = "Write a made-up trace in a published layout, and tell what was written.")
-    static final class Make implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
-        @Option(names = "--layout", required = true, completionCandidates = Words.LayoutNames.class,
-                description = "one of ${COMPLETION-CANDIDATES}")
-        private String layout;
-        @Option(names = "--rows", defaultValue = "10000", description = "good rows (default ${DEFAULT-VALUE})")
-        private long rows;
-        @Option(names = "--seed", defaultValue = "1", description = "what is drawn (default ${DEFAULT-VALUE})")
-        private long seed;
-        @Option(names = "--bad", defaultValue = "0", description = "the share of bad rows beside the good ones")
-        private double bad;
-        @Option(names = "--shuffle", defaultValue = "0", description = "by how many seconds rows stand out of order")
-        private double shuffle;
-        @Option(names = "--out", required = true, description = "the file; one that ends in .gz is compressed")
-        private Path out;
-
-        @Override
-        public Integer call() throws IOException {
-            if (rows < 1 || bad < 0 || bad > 1 || shuffle < 0) {
-                throw new CommandLine.ParameterException(spec.commandLine(),
-                        "--rows is 1 or more, --bad a share, --shuffle no less than 0");
-            }
-            Layout chosen = Words.layout(layout, List.of());
-            TraceMaker.Made made;
-            try (OutputStream file = open(); TraceMaker maker = new TraceMaker(chosen, seed, bad,
-                    (long) (shuffle * Words.SECOND), file)) {
-                made = maker.make(rows);
-            }
-            PrintWriter print = spec.commandLine().getOut();
-            print.printf(Locale.ROOT, "rows %d, tasks %d, bad %d, shuffled %d%n", made.rows(), made.tasks(),
-                    made.allBad(), made.shuffled());
-            for (Map.Entry<Skip, Long> cause : made.bad().entrySet()) {
-                print.printf(Locale.ROOT, "  %s %d%n", cause.getKey().word(), cause.getValue());
-            }
-            print.flush();
-            return 0;
-        }
-
-        private OutputStream open() throws IOException {
-            OutputStream file = Files.newOutputStream(out);
-            return out.toString().endsWith(".gz") ? new GZIPOutputStream(file) : file;
-        }
+    private OutputStream open() throws IOException {
+      OutputStream file = Files.newOutputStream(out);
+      return out.toString().endsWith(".gz") ? new GZIPOutputStream(file) : file;
     }
+  }
+
+  @Command(
+      name = "check",
+      mixinStandardHelpOptions = true,
+      description = "Read a trace through and tell what is in it and what can't be used.")
+  static final class Check implements Callable<Integer> {
+    @Spec private CommandSpec spec;
 
-    @Command(name = "check", mixinStandardHelpOptions = true,
-            description = "Read a trace through and tell what is in it and what can't be used.")
-    static final class Check implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
-        @Parameters(arity = "1..*", paramLabel = "FILE", description = "shards, in order; - for standard input")
-        private List<String> files;
-        @Option(names = "--layout", required = true, completionCandidates = Words.LayoutNames.class,
-                description = "one of ${COMPLETION-CANDIDATES}")
-        private String layout;
-        @Option(names = "--bad-most", defaultValue = "0.1",
-                description = "share of bad rows above which the exit code is 1 (default ${DEFAULT-VALUE})")
-        private double badMost;
-
-        @Override
-        public Integer call() throws IOException {
-            Layout chosen = Words.layout(layout, List.of());
-            List<Track> tracks = BuiltIn.tracks(chosen);
-            Tally tally = new Tally();
-            Survey survey = new Survey(tracks.size());
-            try (TaskReader reader = new TaskReader(chosen, Words.shards(files),
-                    tracks.stream().map(Track::rows).toList(), tally)) {
-                survey.addAll(reader, Long.MAX_VALUE);
-            }
-            PrintWriter print = spec.commandLine().getOut();
-            print.printf(Locale.ROOT, "rows %d, used %d, tasks %d, bad %d, behind a later one %d, %.1f s%n",
-                    tally.rowsRead(), tally.rowsUsed(), survey.tasks(), tally.bad(), tally.rowsBehind(),
-                    survey.span() / Words.SECOND);
-            for (Skip cause : Skip.values()) {
-                if (tally.skipped(cause) > 0) {
-                    print.printf(Locale.ROOT, "  %s %d, first at %s%n", cause.word(), tally.skipped(cause),
-                            tally.places(cause));
-                }
-            }
-            print.flush();
-            if (tally.rowsUsed() == 0) {
-                throw new IOException("the trace has no row of use");
-            }
-            if (tally.badShare() > badMost) {
-                throw new IOException(String.format(Locale.ROOT, "a share of %.4f of the rows is bad where %.4f is"
-                        + " allowed", tally.badShare(), badMost));
-            }
-            return 0;
+    @Parameters(
+        arity = "1..*",
+        paramLabel = "FILE",
+        description = "shards, in order; - for standard input")
+    private List<String> files;
+
+    @Option(
+        names = "--layout",
+        required = true,
+        completionCandidates = Words.LayoutNames.class,
+        description = "one of ${COMPLETION-CANDIDATES}")
+    private String layout;
+
+    @Option(
+        names = "--bad-most",
+        defaultValue = "0.1",
+        description = "share of bad rows above which the exit code is 1 (default ${DEFAULT-VALUE})")
+    private double badMost;
+
+    @Override
+    public Integer call() throws IOException {
+      Layout chosen = Words.layout(layout, List.of());
+      List<Track> tracks = BuiltIn.tracks(chosen);
+      Tally tally = new Tally();
+      Survey survey = new Survey(tracks.size());
+      try (TaskReader reader =
+          new TaskReader(
+              chosen, Words.shards(files), tracks.stream().map(Track::rows).toList(), tally)) {
+        survey.addAll(reader, Long.MAX_VALUE);
+      }
+      PrintWriter print = spec.commandLine().getOut();
+      print.printf(
+          Locale.ROOT,
+          "rows %d, used %d, tasks %d, bad %d, behind a later one %d, %.1f s%n",
+          tally.rowsRead(),
+          tally.rowsUsed(),
+          survey.tasks(),
+          tally.bad(),
+          tally.rowsBehind(),
+          survey.span() / Words.SECOND);
+      for (Skip cause : Skip.values()) {
+        if (tally.skipped(cause) > 0) {
+          print.printf(
+              Locale.ROOT,
+              "  %s %d, first at %s%n",
+              cause.word(),
+              tally.skipped(cause),
+              tally.places(cause));
         }
+      }
+      print.flush();
+      if (tally.rowsUsed() == 0) {
+        throw new IOException("the trace has no row of use");
+      }
+      if (tally.badShare() > badMost) {
+        throw new IOException(
+            String.format(
+                Locale.ROOT,
+                "a share of %.4f of the rows is bad where %.4f is" + " allowed",
+                tally.badShare(),
+                badMost));
+      }
+      return 0;
     }
+  }
 }
--- a/tools/src/main/java/tillerlink/cli/WireHostCommand.java
+++ b/tools/src/main/java/tillerlink/cli/WireHostCommand.java
@@ -7,16 +7,19 @@
 import tillerlink.wirehost.WireHost;
 
 /** Many gateways on the simulator's wire. */
-@Command(name = "wirehost", mixinStandardHelpOptions = true,
-        description = "Read the simulator's batches from standard input and answer each on standard output.")
+@Command(
+    name = "wirehost",
+    mixinStandardHelpOptions = true,
+    description =
+        "Read the simulator's batches from standard input and answer each on standard output.")
 final class WireHostCommand implements Callable<Integer> {
-    @Override
-    public Integer call() throws Exception {
-        try {
-            new WireHost(Policy::new).serve(System.in, System.out);
-            return 0;
-        } catch (MalformedWireException e) {
-            throw new java.io.IOException(e.getMessage(), e);
-        }
+  @Override
+  public Integer call() throws Exception {
+    try {
+      new WireHost(Policy::new).serve(System.in, System.out);
+      return 0;
+    } catch (MalformedWireException e) {
+      throw new java.io.IOException(e.getMessage(), e);
     }
+  }
 }
--- a/tools/src/main/java/tillerlink/cli/Words.java
+++ b/tools/src/main/java/tillerlink/cli/Words.java
@@ -1,38 +1,48 @@
 package tillerlink.cli;
 
+import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
-import java.nio.file.Path;
 
 /** What options mean. */
 final class Words {
-    static final double SECOND = 10_000;
+  static final double SECOND = 10_000;
 
-    private Words() {
-    }
+  private Words() {}
 
-    /** The layouts' names, for help. */
-    static final class LayoutNames implements Iterable<String> {
-        @Override
-        public Iterator<String> iterator() {
-            return Layout.KNOWN.stream().map(Layout::name).iterator();
-        }
+  /** The layouts' names, for help. */
+  static final class LayoutNames implements Iterable<String> {
+    @Override
+    public Iterator<String> iterator() {
+      return Layout.KNOWN.stream().map(Layout::name).iterator();
     }
+  }
 
-    /** @throws IllegalArgumentException if there is none of that name */
-    static Layout layout(String name, List<Layout> more) {
-        List<Layout> all = new ArrayList<>(Layout.KNOWN);
-        all.addAll(more);
-        return all.stream().filter(layout -> layout.name().equals(name)).findFirst()
-                .orElseThrow(() -> new IllegalArgumentException("no layout '" + name + "'; there are "
+  /**
+   * @throws IllegalArgumentException if there is none of that name
+   */
+  static Layout layout(String name, List<Layout> more) {
+    List<Layout> all = new ArrayList<>(Layout.KNOWN);
+    all.addAll(more);
+    return all.stream()
+        .filter(layout -> layout.name().equals(name))
+        .findFirst()
+        .orElseThrow(
+            () ->
+                new IllegalArgumentException(
+                    "no layout '"
+                        + name
+                        + "'; there are "
                         + String.join(", ", all.stream().map(Layout::name).toList())));
-    }
+  }
 
-    /** Files in the order given; "-" is standard input. */
-    static List<Shard> shards(List<String> names) {
-        return names.stream().map(name -> name.equals("-") ? Shard.STANDARD_INPUT : Shard.of(Path.of(name))).toList();
-    }
+  /** Files in the order given; "-" is standard input. */
+  static List<Shard> shards(List<String> names) {
+    return names.stream()
+        .map(name -> name.equals("-") ? Shard.STANDARD_INPUT : Shard.of(Path.of(name)))
+        .toList();
+  }
 }
--- a/tools/src/main/java/tillerlink/explore/Player.java
+++ b/tools/src/main/java/tillerlink/explore/Player.java
@@ -23,126 +23,164 @@
 
 /** Plays one history of the real gateway and module from its deviations, always the same way. */
 public final class Player {
-    private static final long START = 17_000_000_000_000L;
-    private static final long SECOND = 10_000;
-    private static final List<Track> TRACKS = List.of(
-            new Track("book", Effect.EFFECTFUL, 1, SECOND / 2, SECOND, 1, 0.5, List.of(), 0, 1, List.of()),
-            new Track("intake", Effect.RECEIPTED, 1, SECOND / 2, SECOND, 1, 0.5, List.of(), 2 * SECOND, 1, List.of()),
-            new Track("sheet", Effect.PURE, 1, SECOND / 2, SECOND, 1, 0.5, List.of("small-8"), 0, 1, List.of()));
+  private static final long START = 17_000_000_000_000L;
+  private static final long SECOND = 10_000;
+  private static final List<Track> TRACKS =
+      List.of(
+          new Track(
+              "book", Effect.EFFECTFUL, 1, SECOND / 2, SECOND, 1, 0.5, List.of(), 0, 1, List.of()),
+          new Track(
+              "intake",
+              Effect.RECEIPTED,
+              1,
+              SECOND / 2,
+              SECOND,
+              1,
+              0.5,
+              List.of(),
+              2 * SECOND,
+              1,
+              List.of()),
+          new Track(
+              "sheet",
+              Effect.PURE,
+              1,
+              SECOND / 2,
+              SECOND,
+              1,
+              0.5,
+              List.of("small-8"),
+              0,
+              1,
+              List.of()));
 
-    private final Fleet fleet;
-    private final int submissions;
-    private final SteeringFactory modules;
+  private final Fleet fleet;
+  private final int submissions;
+  private final SteeringFactory modules;
 
-    /** @param http2 whether engines speak HTTP/2, else engine lines */
-    public Player(int engines, int submissions, boolean http2, SteeringFactory modules) {
-        Fleet plain = Fleet.of(1, engines);
-        fleet = plain.overHttp2(kind -> http2);
-        this.submissions = submissions;
-        this.modules = modules;
-    }
+  /**
+   * @param http2 whether engines speak HTTP/2, else engine lines
+   */
+  public Player(int engines, int submissions, boolean http2, SteeringFactory modules) {
+    Fleet plain = Fleet.of(1, engines);
+    fleet = plain.overHttp2(kind -> http2);
+    this.submissions = submissions;
+    this.modules = modules;
+  }
 
-    /** Notes what is decided, and takes the way that was asked for. */
-    private static final class Noting implements Choices {
-        private final List<int[]> deviations;
-        private final List<String> told;
-        private int[] options = new int[256];
-        private int points;
-        private World world;
+  /** Notes what is decided, and takes the way that was asked for. */
+  private static final class Noting implements Choices {
+    private final List<int[]> deviations;
+    private final List<String> told;
+    private int[] options = new int[256];
+    private int points;
+    private World world;
 
-        Noting(List<int[]> deviations, List<String> told) {
-            this.deviations = deviations;
-            this.told = told;
-        }
+    Noting(List<int[]> deviations, List<String> told) {
+      this.deviations = deviations;
+      this.told = told;
+    }
 
-        @Override
-        public int choose(String point, int ways) {
-            int place = points++;
-            if (place >= options.length) {
-                options = Arrays.copyOf(options, 2 * place);
-            }
-            options[place] = ways;
-            for (int[] deviation : deviations) {
-                if (deviation[0] == place) {
-                    told.add(String.format(Locale.ROOT, "%7.1f ms  %s goes otherwise, way %d",
-                            (world.now() - START) / 10.0, point, deviation[1]));
-                    return deviation[1];
-                }
-            }
-            return 0;
+    @Override
+    public int choose(String point, int ways) {
+      int place = points++;
+      if (place >= options.length) {
+        options = Arrays.copyOf(options, 2 * place);
+      }
+      options[place] = ways;
+      for (int[] deviation : deviations) {
+        if (deviation[0] == place) {
+          told.add(
+              String.format(
+                  Locale.ROOT,
+                  "%7.1f ms  %s goes otherwise, way %d",
+                  (world.now() - START) / 10.0,
+                  point,
+                  deviation[1]));
+          return deviation[1];
         }
+      }
+      return 0;
     }
+  }
 
-    /** Tells what an auditor hears. */
-    private static final class Telling extends Auditor {
-        private final List<String> told;
-        private final Set<String> ran = new HashSet<>();
+  /** Tells what an auditor hears. */
+  private static final class Telling extends Auditor {
+    private final List<String> told;
+    private final Set<String> ran = new HashSet<>();
 
-        Telling(Fleet fleet, List<String> told) {
-            super(fleet, TRACKS);
-            this.told = told;
-        }
+    Telling(Fleet fleet, List<String> told) {
+      super(fleet, TRACKS);
+      this.told = told;
+    }
 
-        private void tell(long now, String what) {
-            told.add(String.format(Locale.ROOT, "%7.1f ms  %s", (now - START) / 10.0, what));
-        }
+    private void tell(long now, String what) {
+      told.add(String.format(Locale.ROOT, "%7.1f ms  %s", (now - START) / 10.0, what));
+    }
 
-        @Override
-        public void taken(long now, int gateway, String id, int track, String key, long leavesAt) {
-            tell(now, "a " + TRACKS.get(track).name() + " is handed in: " + id);
-            super.taken(now, gateway, id, track, key, leavesAt);
-        }
+    @Override
+    public void taken(long now, int gateway, String id, int track, String key, long leavesAt) {
+      tell(now, "a " + TRACKS.get(track).name() + " is handed in: " + id);
+      super.taken(now, gateway, id, track, key, leavesAt);
+    }
 
-        @Override
-        public void sent(long now, int gateway, String engine, String id) {
-            tell(now, id + " goes out to " + engine);
-            super.sent(now, gateway, engine, id);
-        }
+    @Override
+    public void sent(long now, int gateway, String engine, String id) {
+      tell(now, id + " goes out to " + engine);
+      super.sent(now, gateway, engine, id);
+    }
 
-        @Override
-        public void ran(long now, String engine, String id, double work) {
-            tell(now, id + " runs at " + engine + (ran.add(id) ? "" : " again"));
-            super.ran(now, engine, id, work);
-        }
+    @Override
+    public void ran(long now, String engine, String id, double work) {
+      tell(now, id + " runs at " + engine + (ran.add(id) ? "" : " again"));
+      super.ran(now, engine, id, work);
+    }
 
-        @Override
-        public void answered(long now, String id, Answer answer) {
-            tell(now, id + " is answered: " + answer.name().toLowerCase(Locale.ROOT).replace('_', ' '));
-            super.answered(now, id, answer);
-        }
+    @Override
+    public void answered(long now, String id, Answer answer) {
+      tell(now, id + " is answered: " + answer.name().toLowerCase(Locale.ROOT).replace('_', ' '));
+      super.answered(now, id, answer);
     }
+  }
 
-    public Story play(List<int[]> deviations) {
-        List<String> told = new ArrayList<>();
-        Telling auditor = new Telling(fleet, told);
-        Noting noting = new Noting(deviations, told);
-        World world = new World(fleet, TRACKS, auditor, START);
-        noting.world = world;
-        world.choices = noting;
-        world.seat(modules, 1);
-        Figures figures = new Figures(TRACKS);
-        Front front = new Front(world, new SeatLines(world), figures, new Wording(1, 0));
-        for (int i = 0; i < submissions; i++) {
-            Arrival arrival = new Arrival(i * 120L, i, i % TRACKS.size(), 400, 1, i, i);
-            world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
-        }
-        world.timeline.at(START + 150, () -> {
-            int way = noting.choose("the list", 3);
-            if (way > 0) {
-                world.plan(new Trouble(world.now() - START, way == 1 ? Trouble.What.DRAINED : Trouble.What.GONE, "e1",
-                        2 * SECOND, 1));
-            }
+  public Story play(List<int[]> deviations) {
+    List<String> told = new ArrayList<>();
+    Telling auditor = new Telling(fleet, told);
+    Noting noting = new Noting(deviations, told);
+    World world = new World(fleet, TRACKS, auditor, START);
+    noting.world = world;
+    world.choices = noting;
+    world.seat(modules, 1);
+    Figures figures = new Figures(TRACKS);
+    Front front = new Front(world, new SeatLines(world), figures, new Wording(1, 0));
+    for (int i = 0; i < submissions; i++) {
+      Arrival arrival = new Arrival(i * 120L, i, i % TRACKS.size(), 400, 1, i, i);
+      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+    }
+    world.timeline.at(
+        START + 150,
+        () -> {
+          int way = noting.choose("the list", 3);
+          if (way > 0) {
+            world.plan(
+                new Trouble(
+                    world.now() - START,
+                    way == 1 ? Trouble.What.DRAINED : Trouble.What.GONE,
+                    "e1",
+                    2 * SECOND,
+                    1));
+          }
         });
-        while (figures.arrived() < submissions || front.open() > 0) {
-            world.timeline.step();
-        }
-        List<String> wrong = new ArrayList<>();
-        for (Breach breach : auditor.breaches()) {
-            wrong.add(breach.rule() + ": " + breach.what());
-        }
-        if (!figures.addsUp()) {
-            wrong.add("ANSWER: submissions and endings do not add up");
-        }
-        return new Story(deviations, told, wrong, Arrays.copyOf(noting.options, noting.points));
+    while (figures.arrived() < submissions || front.open() > 0) {
+      world.timeline.step();
+    }
+    List<String> wrong = new ArrayList<>();
+    for (Breach breach : auditor.breaches()) {
+      wrong.add(breach.rule() + ": " + breach.what());
+    }
+    if (!figures.addsUp()) {
+      wrong.add("ANSWER: submissions and endings do not add up");
     }
+    return new Story(deviations, told, wrong, Arrays.copyOf(noting.options, noting.points));
+  }
 }
--- a/tools/src/test/java/tillerlink/cli/VerdictTest.java
+++ b/tools/src/test/java/tillerlink/cli/VerdictTest.java
@@ -26,59 +26,90 @@
 import tillerlink.workload.BuiltIn;
 import tillerlink.workload.Plan;
 
-/** What is said of a replay last, and the exit code, by what is wrong with it; played in virtual time. */
+/**
+ * What is said of a replay last, and the exit code, by what is wrong with it; played in virtual
+ * time.
+ */
 class VerdictTest {
-    @TempDir
-    private Path folder;
-    private Played calm;
+  @TempDir private Path folder;
+  private Played calm;
 
-    @BeforeEach
-    void play() throws IOException {
-        Path trace = folder.resolve("trace");
-        try (TraceMaker maker = new TraceMaker(Layout.ALIBABA_2018, 1, 0.01, 20_000, Files.newOutputStream(trace))) {
-            maker.make(200);
-        }
-        Job job = new Job(List.of(Shard.of(trace)), Layout.ALIBABA_2018, BuiltIn.tracks(Layout.ALIBABA_2018), Fleet.builtIn(2),
-                List.of(), 600_000, null, 0, 0.5, Plan.Scale.TIME, 0, 0.4, 0.1, 1, "module", Policy::new);
-        try (Arrivals arrivals = new Arrivals(job)) {
-            calm = Run.play(job, arrivals, arrived -> { });
-        }
+  @BeforeEach
+  void play() throws IOException {
+    Path trace = folder.resolve("trace");
+    try (TraceMaker maker =
+        new TraceMaker(Layout.ALIBABA_2018, 1, 0.01, 20_000, Files.newOutputStream(trace))) {
+      maker.make(200);
     }
-
-    /** As if it had been sent over sockets that late. */
-    private Played sent(int tenthsLate) {
-        Histogram lag = new Histogram(3);
-        lag.recordValueWithCount(5, 10);
-        lag.recordValueWithCount(tenthsLate, 10);
-        return new Played(calm.job(), calm.arrivals(), calm.world(), calm.auditor(), calm.figures(), calm.start(), calm.lasted(), lag);
+    Job job =
+        new Job(
+            List.of(Shard.of(trace)),
+            Layout.ALIBABA_2018,
+            BuiltIn.tracks(Layout.ALIBABA_2018),
+            Fleet.builtIn(2),
+            List.of(),
+            600_000,
+            null,
+            0,
+            0.5,
+            Plan.Scale.TIME,
+            0,
+            0.4,
+            0.1,
+            1,
+            "module",
+            Policy::new);
+    try (Arrivals arrivals = new Arrivals(job)) {
+      calm = Run.play(job, arrivals, arrived -> {});
     }
+  }
 
-    private static String lastLine(Played played) {
-        StringWriter out = new StringWriter();
-        Summary.print(played, new PrintWriter(out));
-        return out.toString().strip().lines().reduce("", (before, line) -> line);
-    }
+  /** As if it had been sent over sockets that late. */
+  private Played sent(int tenthsLate) {
+    Histogram lag = new Histogram(3);
+    lag.recordValueWithCount(5, 10);
+    lag.recordValueWithCount(tenthsLate, 10);
+    return new Played(
+        calm.job(),
+        calm.arrivals(),
+        calm.world(),
+        calm.auditor(),
+        calm.figures(),
+        calm.start(),
+        calm.lasted(),
+        lag);
+  }
 
-    @Test
-    void aLateLoadIsToldAndBreaksNothing() {
-        Played late = sent(680);
-        assertEquals("no rule broke, and all is accounted for; the figure does not count: the load was sent late, by 68.0 ms at "
-                + "the most, as the machine was busy", lastLine(late));
-        assertFalse(late.sound());
-        assertEquals(0, DemoCommand.exitCode(late));
-        assertEquals("no rule broke, and all is accounted for", lastLine(sent(6)));
-        assertEquals("no rule broke, and all is accounted for", lastLine(calm));
-        assertTrue(sent(6).sound());
-    }
+  private static String lastLine(Played played) {
+    StringWriter out = new StringWriter();
+    Summary.print(played, new PrintWriter(out));
+    return out.toString().strip().lines().reduce("", (before, line) -> line);
+  }
+
+  @Test
+  void aLateLoadIsToldAndBreaksNothing() {
+    Played late = sent(680);
+    assertEquals(
+        "no rule broke, and all is accounted for; the figure does not count: the load was sent"
+            + " late, by 68.0 ms at the most, as the machine was busy",
+        lastLine(late));
+    assertFalse(late.sound());
+    assertEquals(0, DemoCommand.exitCode(late));
+    assertEquals("no rule broke, and all is accounted for", lastLine(sent(6)));
+    assertEquals("no rule broke, and all is accounted for", lastLine(calm));
+    assertTrue(sent(6).sound());
+  }
 
-    @Test
-    void aBrokenRuleEndsItWithAFault() {
-        calm.auditor().wrongResult(calm.start(), "q1");
-        calm.figures().arrived(calm.start(), 0);
-        for (int late : new int[] {6, 680}) {
-            assertTrue(lastLine(sent(late)).startsWith("rule broken: "), lastLine(sent(late)));
-            assertTrue(lastLine(sent(late)).contains("; submissions are not all accounted for"), lastLine(sent(late)));
-            assertEquals(1, DemoCommand.exitCode(sent(late)));
-        }
+  @Test
+  void aBrokenRuleEndsItWithAFault() {
+    calm.auditor().wrongResult(calm.start(), "q1");
+    calm.figures().arrived(calm.start(), 0);
+    for (int late : new int[] {6, 680}) {
+      assertTrue(lastLine(sent(late)).startsWith("rule broken: "), lastLine(sent(late)));
+      assertTrue(
+          lastLine(sent(late)).contains("; submissions are not all accounted for"),
+          lastLine(sent(late)));
+      assertEquals(1, DemoCommand.exitCode(sent(late)));
     }
+  }
 }
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -24,12 +24,12 @@
 import tillerlink.net.http2.ErrorCode;
 import tillerlink.net.http2.Frame;
 import tillerlink.net.state.Break;
+import tillerlink.rig.Rig;
 import tillerlink.standin.EngineCommands.Command;
 import tillerlink.standin.EngineCommands.Word;
 import tillerlink.standin.EngineSide;
 import tillerlink.standin.H2Side;
 import tillerlink.standin.Says;
-import tillerlink.rig.Rig;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 import tillerlink.trace.TraceMaker;
@@ -39,295 +39,349 @@
 import tillerlink.workload.Track;
 
 /**
- * Many short histories of a gateway and two engines over HTTP/2, in which engines leave, refuse, reset and lower limits,
- * connections break, bytes come split and late, and clients wait. The real gateway, module and machines, in memory.
+ * Many short histories of a gateway and two engines over HTTP/2, in which engines leave, refuse,
+ * reset and lower limits, connections break, bytes come split and late, and clients wait. The real
+ * gateway, module and machines, in memory.
  */
 class Http2HistoriesTest {
-    private static final long START = 17_000_000_000_000L;
-    private static final int SUBMISSIONS = 5;
-    private static final boolean TOLD = System.getProperty("story") != null;
-    private static final List<Track> TRACKS = List.of(
-            new Track("book", Effect.EFFECTFUL, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()),
-            new Track("load", Effect.RECEIPTED, 1, 10_000, 20_000, 1, 0.5, List.of(), 30_000, 1, List.of()),
-            new Track("look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
+  private static final long START = 17_000_000_000_000L;
+  private static final int SUBMISSIONS = 5;
+  private static final boolean TOLD = System.getProperty("story") != null;
+  private static final List<Track> TRACKS =
+      List.of(
+          new Track(
+              "book", Effect.EFFECTFUL, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()),
+          new Track(
+              "load", Effect.RECEIPTED, 1, 10_000, 20_000, 1, 0.5, List.of(), 30_000, 1, List.of()),
+          new Track("look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
+
+  /** What engines may do. */
+  private enum Mood {
+    /** Only what proves that nothing ran: refusals, GOAWAY, limits. */
+    CERTAIN,
+    /** Anything. */
+    WILD,
+    /** They say GOAWAY with an id two too low, and run that stream all the same. */
+    LIES_LOW,
+    /**
+     * They say GOAWAY with an id two too high: of a stream that they never run it says that it may
+     * have run.
+     */
+    LIES_HIGH
+  }
 
-    /** What engines may do. */
-    private enum Mood {
-        /** Only what proves that nothing ran: refusals, GOAWAY, limits. */
-        CERTAIN,
-        /** Anything. */
-        WILD,
-        /** They say GOAWAY with an id two too low, and run that stream all the same. */
-        LIES_LOW,
-        /** They say GOAWAY with an id two too high: of a stream that they never run it says that it may have run. */
-        LIES_HIGH
+  private static final class Counted extends Auditor {
+    private final Set<String> ran = new HashSet<>();
+    private final Set<String> brokenOff = new HashSet<>();
+
+    Counted(Fleet fleet) {
+      super(fleet, TRACKS);
     }
 
-    private static final class Counted extends Auditor {
-        private final Set<String> ran = new HashSet<>();
-        private final Set<String> brokenOff = new HashSet<>();
+    /** With {@code -Dstory=SEED} the history of that seed is told. */
+    private void tell(long now, String what) {
+      if (TOLD) {
+        System.out.println((now - START) + " " + what);
+      }
+    }
 
-        Counted(Fleet fleet) {
-            super(fleet, TRACKS);
-        }
+    @Override
+    public void sent(long now, int gateway, String engine, String id) {
+      tell(now, id + " goes out to " + engine);
+      super.sent(now, gateway, engine, id);
+    }
 
-        /** With {@code -Dstory=SEED} the history of that seed is told. */
-        private void tell(long now, String what) {
-            if (TOLD) {
-                System.out.println((now - START) + " " + what);
-            }
-        }
+    @Override
+    public void over(String id, boolean provesIdle) {
+      tell(START, id + (provesIdle ? " never ran" : " is over"));
+      super.over(id, provesIdle);
+    }
 
-        @Override
-        public void sent(long now, int gateway, String engine, String id) {
-            tell(now, id + " goes out to " + engine);
-            super.sent(now, gateway, engine, id);
-        }
+    @Override
+    public void ran(long now, String engine, String id, double work) {
+      tell(now, id + " runs at " + engine);
+      super.ran(now, engine, id, work);
+      ran.add(id);
+    }
 
-        @Override
-        public void over(String id, boolean provesIdle) {
-            tell(START, id + (provesIdle ? " never ran" : " is over"));
-            super.over(id, provesIdle);
-        }
+    @Override
+    public void answered(long now, String id, Answer answer) {
+      tell(now, id + " " + answer);
+      super.answered(now, id, answer);
+      if (answer == Answer.BROKEN_OFF) {
+        brokenOff.add(id);
+      }
+    }
+  }
 
-        @Override
-        public void ran(long now, String engine, String id, double work) {
-            tell(now, id + " runs at " + engine);
-            super.ran(now, engine, id, work);
-            ran.add(id);
-        }
+  /** An engine's side that misbehaves now and then. */
+  private static final class Moody implements EngineSide {
+    private final H2Side side;
+    private final Random random;
+    private final Mood mood;
+    private int lowered;
+    private boolean left;
 
-        @Override
-        public void answered(long now, String id, Answer answer) {
-            tell(now, id + " " + answer);
-            super.answered(now, id, answer);
-            if (answer == Answer.BROKEN_OFF) {
-                brokenOff.add(id);
-            }
-        }
+    Moody(Random random, Mood mood) {
+      this.random = random;
+      this.mood = mood;
+      side = new H2Side(1 + random.nextInt(6));
     }
 
-    /** An engine's side that misbehaves now and then. */
-    private static final class Moody implements EngineSide {
-        private final H2Side side;
-        private final Random random;
-        private final Mood mood;
-        private int lowered;
-        private boolean left;
+    @Override
+    public void feed(byte[] bytes) {
+      side.feed(bytes);
+    }
 
-        Moody(Random random, Mood mood) {
-            this.random = random;
-            this.mood = mood;
-            side = new H2Side(1 + random.nextInt(6));
+    @Override
+    public Command next() {
+      for (Command command = side.next(); command != null; command = side.next()) {
+        if (command.word() != Word.WANT || !turnsAway(command)) {
+          return command;
         }
+      }
+      return null;
+    }
 
-        @Override
-        public void feed(byte[] bytes) {
-            side.feed(bytes);
+    /** True if it never runs. */
+    private boolean turnsAway(Command command) {
+      int stream = side.streamOf(command.id());
+      if (lowered > 0 && --lowered == 0) {
+        side.limit(4);
+      }
+      switch (random.nextInt(mood == Mood.WILD ? 14 : 10)) {
+        case 0 -> {
+          side.refuse(stream);
+          return true;
         }
-
-        @Override
-        public Command next() {
-            for (Command command = side.next(); command != null; command = side.next()) {
-                if (command.word() != Word.WANT || !turnsAway(command)) {
-                    return command;
-                }
-            }
-            return null;
+        case 1 -> {
+          return leave(stream);
         }
-
-        /** True if it never runs. */
-        private boolean turnsAway(Command command) {
-            int stream = side.streamOf(command.id());
-            if (lowered > 0 && --lowered == 0) {
-                side.limit(4);
-            }
-            switch (random.nextInt(mood == Mood.WILD ? 14 : 10)) {
-                case 0 -> {
-                    side.refuse(stream);
-                    return true;
-                }
-                case 1 -> {
-                    return leave(stream);
-                }
-                case 2 -> {
-                    if (!left) {
-                        left = true;
-                        side.writer().goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
-                    }
-                    return false;
-                }
-                case 3 -> {
-                    side.limit(random.nextInt(2));
-                    lowered = 1 + random.nextInt(2);
-                    return false;
-                }
-                case 10 -> {
-                    side.reset(stream, ErrorCode.INTERNAL_ERROR);
-                    return random.nextBoolean();
-                }
-                case 11 -> {
-                    side.writer().frame(Frame.DATA, 0, stream, 1);
-                    return random.nextBoolean();
-                }
-                case 12 -> {
-                    side.writer().frame(Frame.WINDOW_UPDATE, 0, 0, 0);
-                    return random.nextBoolean();
-                }
-                default -> {
-                    return false;
-                }
-            }
+        case 2 -> {
+          if (!left) {
+            left = true;
+            side.writer().goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
+          }
+          return false;
         }
-
-        private boolean leave(int stream) {
-            if (mood == Mood.LIES_LOW) {
-                side.writer().goAway(Math.max(0, stream - 2), ErrorCode.NO_ERROR);
-                return false;
-            }
-            if (mood == Mood.LIES_HIGH) {
-                side.writer().goAway(stream, ErrorCode.NO_ERROR);
-                return true;
-            }
-            side.leave(Math.max(0, stream - 2));
-            return true;
+        case 3 -> {
+          side.limit(random.nextInt(2));
+          lowered = 1 + random.nextInt(2);
+          return false;
         }
-
-        @Override
-        public byte[] say(Says what) {
-            if (mood == Mood.WILD && what.word() == Says.Word.OK && random.nextInt(12) == 0) {
-                Integer stream = side.streamOf(what.id());
-                if (stream != null) {
-                    side.reset(stream, random.nextBoolean() ? ErrorCode.CANCEL : ErrorCode.INTERNAL_ERROR);
-                    return side.owed();
-                }
-            }
-            return side.say(what);
+        case 10 -> {
+          side.reset(stream, ErrorCode.INTERNAL_ERROR);
+          return random.nextBoolean();
         }
-
-        @Override
-        public byte[] owed() {
-            return side.owed();
+        case 11 -> {
+          side.writer().frame(Frame.DATA, 0, stream, 1);
+          return random.nextBoolean();
         }
-
-        @Override
-        public boolean leftBehind(EngineSide sender, String hop) {
-            return side.leftBehind(sender, hop);
+        case 12 -> {
+          side.writer().frame(Frame.WINDOW_UPDATE, 0, 0, 0);
+          return random.nextBoolean();
         }
-
-        @Override
-        public List<String> disowned() {
-            return side.disowned();
+        default -> {
+          return false;
         }
+      }
     }
 
-    /** One history; what was wrong with it, or nothing. */
-    private static String play(long seed, Mood mood) {
-        Random random = new Random(seed);
-        Fleet fleet = Fleet.of(1, 2).overHttp2(kind -> true);
-        Counted auditor = new Counted(fleet);
-        World world = new World(fleet, TRACKS, auditor, START);
-        List<Moody> sides = new ArrayList<>();
-        world.sides = spec -> {
-            sides.add(new Moody(random, mood));
-            return sides.get(sides.size() - 1);
-        };
-        world.mischief = random;
-        world.seat(Policy::new, seed);
-        Figures figures = new Figures(TRACKS);
-        Front front = new Front(world, new SeatLines(world), figures, new Wording(seed, 0.2));
-        List<Arrival> arrivals = new ArrayList<>();
-        for (int i = 0; i < SUBMISSIONS; i++) {
-            Arrival arrival = new Arrival(random.nextInt(1500), i, random.nextInt(3), 100 + random.nextInt(2000), 1, i, i + 7);
-            arrivals.add(arrival);
-            world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
-        }
-        if (mood == Mood.WILD) {
-            for (int i = 0; i < 2; i++) {
-                world.timeline.at(START + random.nextInt(4000), () -> {
-                    List<Peer> open = world.seats.get(0).connections();
-                    if (!open.isEmpty()) {
-                        open.get(random.nextInt(open.size())).cut(random.nextBoolean() ? Break.RESET : Break.CLOSED_BY_PEER);
-                    }
-                });
-            }
-            Trouble.What[] kinds = {Trouble.What.SILENT, Trouble.What.GONE, Trouble.What.DRAINED};
-            world.plan(new Trouble(random.nextInt(4000), kinds[random.nextInt(3)], "e" + (1 + random.nextInt(2)), 3000, 1));
-        }
-        while (figures.arrived() < SUBMISSIONS || front.open() > 0) {
-            world.timeline.step();
-        }
-        StringBuilder wrong = new StringBuilder();
-        auditor.breaches().forEach(breach -> wrong.append(breach.rule()).append(' ').append(breach.what()).append("; "));
-        if (!figures.addsUp()) {
-            wrong.append("submissions do not add up; ");
-        }
-        if (mood != Mood.WILD) {
-            Wording wording = new Wording(seed, 0.2);
-            for (Arrival arrival : arrivals) {
-                String id = wording.id(arrival);
-                if (auditor.brokenOff.contains(id) && !auditor.ran.contains(id)) {
-                    wrong.append(id).append(" was lost though it never ran; ");
-                }
-            }
+    private boolean leave(int stream) {
+      if (mood == Mood.LIES_LOW) {
+        side.writer().goAway(Math.max(0, stream - 2), ErrorCode.NO_ERROR);
+        return false;
+      }
+      if (mood == Mood.LIES_HIGH) {
+        side.writer().goAway(stream, ErrorCode.NO_ERROR);
+        return true;
+      }
+      side.leave(Math.max(0, stream - 2));
+      return true;
+    }
+
+    @Override
+    public byte[] say(Says what) {
+      if (mood == Mood.WILD && what.word() == Says.Word.OK && random.nextInt(12) == 0) {
+        Integer stream = side.streamOf(what.id());
+        if (stream != null) {
+          side.reset(stream, random.nextBoolean() ? ErrorCode.CANCEL : ErrorCode.INTERNAL_ERROR);
+          return side.owed();
         }
-        sides.forEach(side -> wrong.append(side.side.overLimit() > 0 ? "a limit was passed; " : ""));
-        return wrong.toString();
+      }
+      return side.say(what);
     }
 
-    private static void hush() {
-        ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state")).setLevel(ch.qos.logback.classic.Level.ERROR);
+    @Override
+    public byte[] owed() {
+      return side.owed();
     }
 
-    private static int wrongOf(int from, int to, Mood mood) {
-        int wrong = 0;
-        for (int seed = from; seed < to; seed++) {
-            wrong += play(seed, mood).isEmpty() ? 0 : 1;
-        }
-        return wrong;
+    @Override
+    public boolean leftBehind(EngineSide sender, String hop) {
+      return side.leftBehind(sender, hop);
     }
 
-    @Test
-    void whatNeverRanIsNeverLost() {
-        hush();
-        for (int seed = Integer.getInteger("story", 0); seed < (TOLD ? Integer.getInteger("story") + 1 : 12_000); seed++) {
-            assertEquals("", play(seed, Mood.CERTAIN), "seed " + seed);
-        }
+    @Override
+    public List<String> disowned() {
+      return side.disowned();
     }
+  }
 
-    @Test
-    void whateverHappensTheRulesHold() {
-        hush();
-        for (int seed = Integer.getInteger("story", 0); seed < (TOLD ? Integer.getInteger("story") + 1 : 12_000); seed++) {
-            assertEquals("", play(seed, Mood.WILD), "seed " + seed);
+  /** One history; what was wrong with it, or nothing. */
+  private static String play(long seed, Mood mood) {
+    Random random = new Random(seed);
+    Fleet fleet = Fleet.of(1, 2).overHttp2(kind -> true);
+    Counted auditor = new Counted(fleet);
+    World world = new World(fleet, TRACKS, auditor, START);
+    List<Moody> sides = new ArrayList<>();
+    world.sides =
+        spec -> {
+          sides.add(new Moody(random, mood));
+          return sides.get(sides.size() - 1);
+        };
+    world.mischief = random;
+    world.seat(Policy::new, seed);
+    Figures figures = new Figures(TRACKS);
+    Front front = new Front(world, new SeatLines(world), figures, new Wording(seed, 0.2));
+    List<Arrival> arrivals = new ArrayList<>();
+    for (int i = 0; i < SUBMISSIONS; i++) {
+      Arrival arrival =
+          new Arrival(
+              random.nextInt(1500), i, random.nextInt(3), 100 + random.nextInt(2000), 1, i, i + 7);
+      arrivals.add(arrival);
+      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+    }
+    if (mood == Mood.WILD) {
+      for (int i = 0; i < 2; i++) {
+        world.timeline.at(
+            START + random.nextInt(4000),
+            () -> {
+              List<Peer> open = world.seats.get(0).connections();
+              if (!open.isEmpty()) {
+                open.get(random.nextInt(open.size()))
+                    .cut(random.nextBoolean() ? Break.RESET : Break.CLOSED_BY_PEER);
+              }
+            });
+      }
+      Trouble.What[] kinds = {Trouble.What.SILENT, Trouble.What.GONE, Trouble.What.DRAINED};
+      world.plan(
+          new Trouble(
+              random.nextInt(4000),
+              kinds[random.nextInt(3)],
+              "e" + (1 + random.nextInt(2)),
+              3000,
+              1));
+    }
+    while (figures.arrived() < SUBMISSIONS || front.open() > 0) {
+      world.timeline.step();
+    }
+    StringBuilder wrong = new StringBuilder();
+    auditor
+        .breaches()
+        .forEach(
+            breach -> wrong.append(breach.rule()).append(' ').append(breach.what()).append("; "));
+    if (!figures.addsUp()) {
+      wrong.append("submissions do not add up; ");
+    }
+    if (mood != Mood.WILD) {
+      Wording wording = new Wording(seed, 0.2);
+      for (Arrival arrival : arrivals) {
+        String id = wording.id(arrival);
+        if (auditor.brokenOff.contains(id) && !auditor.ran.contains(id)) {
+          wrong.append(id).append(" was lost though it never ran; ");
         }
+      }
     }
+    sides.forEach(side -> wrong.append(side.side.overLimit() > 0 ? "a limit was passed; " : ""));
+    return wrong.toString();
+  }
 
-    /** The same moods over loopback, with a gateway process: what fails at any frame ends what it must, and no more. */
-    @Test
-    void overSockets(@TempDir Path folder) throws IOException {
-        Path file = folder.resolve("trace");
-        try (TraceMaker maker = new TraceMaker(Layout.ALIBABA_2018, 2, 0, 0, Files.newOutputStream(file))) {
-            maker.make(300);
-        }
-        Job job = new Job(List.of(Shard.of(file)), Layout.ALIBABA_2018, BuiltIn.tracks(Layout.ALIBABA_2018),
-                Fleet.of(1, 4).overHttp2(kind -> true), List.of(), 36_000_000, null, 0, 0.3, Plan.Scale.TIME, 0, 0.4, 0.1, 1,
-                "wild", Policy::new);
-        Random random = new Random(9);
-        try (Arrivals arrivals = new Arrivals(job)) {
-            Played played = Rig.play(job, arrivals, arrived -> { }, null, world -> world.sides = spec -> new Moody(random, Mood.WILD));
-            assertTrue(played.auditor().counts().isEmpty(), played.auditor().breaches().toString());
-            assertTrue(played.figures().addsUp());
-            assertEquals(300, played.figures().arrived());
-            assertTrue(played.figures().whole() > 0.1, "served " + played.figures().whole());
-        }
+  private static void hush() {
+    ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state"))
+        .setLevel(ch.qos.logback.classic.Level.ERROR);
+  }
+
+  private static int wrongOf(int from, int to, Mood mood) {
+    int wrong = 0;
+    for (int seed = from; seed < to; seed++) {
+      wrong += play(seed, mood).isEmpty() ? 0 : 1;
     }
+    return wrong;
+  }
 
-    /** The same checks fail where a GOAWAY's id and what ran are apart by one stream, either way. */
-    @Test
-    void anIdOffByOneIsCaught() {
-        hush();
-        assertTrue(wrongOf(0, 600, Mood.LIES_LOW) > 0, "a stream that ran taken for one that never did");
-        assertTrue(wrongOf(0, 600, Mood.LIES_HIGH) > 0, "a stream that never ran taken for one that may have");
+  @Test
+  void whatNeverRanIsNeverLost() {
+    hush();
+    for (int seed = Integer.getInteger("story", 0);
+        seed < (TOLD ? Integer.getInteger("story") + 1 : 12_000);
+        seed++) {
+      assertEquals("", play(seed, Mood.CERTAIN), "seed " + seed);
     }
+  }
+
+  @Test
+  void whateverHappensTheRulesHold() {
+    hush();
+    for (int seed = Integer.getInteger("story", 0);
+        seed < (TOLD ? Integer.getInteger("story") + 1 : 12_000);
+        seed++) {
+      assertEquals("", play(seed, Mood.WILD), "seed " + seed);
+    }
+  }
+
+  /**
+   * The same moods over loopback, with a gateway process: what fails at any frame ends what it
+   * must, and no more.
+   */
+  @Test
+  void overSockets(@TempDir Path folder) throws IOException {
+    Path file = folder.resolve("trace");
+    try (TraceMaker maker =
+        new TraceMaker(Layout.ALIBABA_2018, 2, 0, 0, Files.newOutputStream(file))) {
+      maker.make(300);
+    }
+    Job job =
+        new Job(
+            List.of(Shard.of(file)),
+            Layout.ALIBABA_2018,
+            BuiltIn.tracks(Layout.ALIBABA_2018),
+            Fleet.of(1, 4).overHttp2(kind -> true),
+            List.of(),
+            36_000_000,
+            null,
+            0,
+            0.3,
+            Plan.Scale.TIME,
+            0,
+            0.4,
+            0.1,
+            1,
+            "wild",
+            Policy::new);
+    Random random = new Random(9);
+    try (Arrivals arrivals = new Arrivals(job)) {
+      Played played =
+          Rig.play(
+              job,
+              arrivals,
+              arrived -> {},
+              null,
+              world -> world.sides = spec -> new Moody(random, Mood.WILD));
+      assertTrue(played.auditor().counts().isEmpty(), played.auditor().breaches().toString());
+      assertTrue(played.figures().addsUp());
+      assertEquals(300, played.figures().arrived());
+      assertTrue(played.figures().whole() > 0.1, "served " + played.figures().whole());
+    }
+  }
+
+  /** The same checks fail where a GOAWAY's id and what ran are apart by one stream, either way. */
+  @Test
+  void anIdOffByOneIsCaught() {
+    hush();
+    assertTrue(
+        wrongOf(0, 600, Mood.LIES_LOW) > 0, "a stream that ran taken for one that never did");
+    assertTrue(
+        wrongOf(0, 600, Mood.LIES_HIGH) > 0, "a stream that never ran taken for one that may have");
+  }
 }
--- a/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
+++ b/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
@@ -21,79 +21,119 @@
 import tillerlink.workload.BuiltIn;
 import tillerlink.workload.Plan;
 
-/** 120 gateways before 300 engines, with fewer connections each than there are engines, through days of the whole fleet. */
+/**
+ * 120 gateways before 300 engines, with fewer connections each than there are engines, through days
+ * of the whole fleet.
+ */
 class WholeFleetTest {
-    private static final long SECOND = 10_000;
-    private static final int GATEWAYS = 120;
-    private static final int ENGINES = 300;
-    private static final int DESCRIPTORS = 512;
-    private static final int ROWS = 12_000;
+  private static final long SECOND = 10_000;
+  private static final int GATEWAYS = 120;
+  private static final int ENGINES = 300;
+  private static final int DESCRIPTORS = 512;
+  private static final int ROWS = 12_000;
 
-    @TempDir
-    private Path folder;
-    private Path trace;
+  @TempDir private Path folder;
+  private Path trace;
 
-    @BeforeEach
-    void traceAndHush() throws IOException {
-        ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state")).setLevel(ch.qos.logback.classic.Level.ERROR);
-        trace = folder.resolve("trace");
-        try (TraceMaker maker = new TraceMaker(Layout.ALIBABA_2018, 7, 0, 5 * SECOND, Files.newOutputStream(trace))) {
-            maker.make(ROWS);
-        }
+  @BeforeEach
+  void traceAndHush() throws IOException {
+    ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state"))
+        .setLevel(ch.qos.logback.classic.Level.ERROR);
+    trace = folder.resolve("trace");
+    try (TraceMaker maker =
+        new TraceMaker(Layout.ALIBABA_2018, 7, 0, 5 * SECOND, Files.newOutputStream(trace))) {
+      maker.make(ROWS);
     }
+  }
 
-    private Played play(List<Trouble> troubles) throws IOException {
-        Fleet f = Fleet.of(GATEWAYS, ENGINES);
-        Fleet fleet = new Fleet(GATEWAYS, DESCRIPTORS, f.kinds(), f.zones(), f.engines(), f.notesEvery(), f.startCapacity(),
-                f.warmWithin(), f.fallMultiple(), f.fall(), f.drainGrace(), f.extraFloor(), f.furtherRatio(), f.budgetSpan(),
-                f.attemptsMost(), f.comeBack());
-        Job job = new Job(List.of(Shard.of(trace)), Layout.ALIBABA_2018, BuiltIn.tracks(Layout.ALIBABA_2018), fleet, troubles,
-                3600 * SECOND, null, 0, 0.5, Plan.Scale.TIME, 0, 0.4, 0.1, 3, "test", Policy::new);
-        try (Arrivals arrivals = new Arrivals(job)) {
-            return Run.play(job, arrivals, arrived -> { });
-        }
+  private Played play(List<Trouble> troubles) throws IOException {
+    Fleet f = Fleet.of(GATEWAYS, ENGINES);
+    Fleet fleet =
+        new Fleet(
+            GATEWAYS,
+            DESCRIPTORS,
+            f.kinds(),
+            f.zones(),
+            f.engines(),
+            f.notesEvery(),
+            f.startCapacity(),
+            f.warmWithin(),
+            f.fallMultiple(),
+            f.fall(),
+            f.drainGrace(),
+            f.extraFloor(),
+            f.furtherRatio(),
+            f.budgetSpan(),
+            f.attemptsMost(),
+            f.comeBack());
+    Job job =
+        new Job(
+            List.of(Shard.of(trace)),
+            Layout.ALIBABA_2018,
+            BuiltIn.tracks(Layout.ALIBABA_2018),
+            fleet,
+            troubles,
+            3600 * SECOND,
+            null,
+            0,
+            0.5,
+            Plan.Scale.TIME,
+            0,
+            0.4,
+            0.1,
+            3,
+            "test",
+            Policy::new);
+    try (Arrivals arrivals = new Arrivals(job)) {
+      return Run.play(job, arrivals, arrived -> {});
     }
+  }
 
-    @Test
-    void calmAndTwiceAlike() throws IOException {
-        Played first = play(List.of());
-        assertTrue(first.sound(), first.auditor().breaches().toString());
-        assertTrue(first.figures().whole() > 0.9, "served " + first.figures().whole());
-        assertEquals(first.figures().whole(), play(List.of()).figures().whole());
-    }
+  @Test
+  void calmAndTwiceAlike() throws IOException {
+    Played first = play(List.of());
+    assertTrue(first.sound(), first.auditor().breaches().toString());
+    assertTrue(first.figures().whole() > 0.9, "served " + first.figures().whole());
+    assertEquals(first.figures().whole(), play(List.of()).figures().whole());
+  }
 
-    /** Seven in ten gateways at one moment: they come back knowing nothing, all at once. */
-    @Test
-    void massRestart() throws IOException {
-        List<Trouble> troubles = new ArrayList<>();
-        for (int i = 0; i < GATEWAYS * 7 / 10; i++) {
-            troubles.add(new Trouble(SECOND, Trouble.What.KILLED, "n" + i, SECOND, 1));
-        }
-        Played played = play(troubles);
-        assertTrue(played.sound(), played.auditor().breaches().toString());
+  /** Seven in ten gateways at one moment: they come back knowing nothing, all at once. */
+  @Test
+  void massRestart() throws IOException {
+    List<Trouble> troubles = new ArrayList<>();
+    for (int i = 0; i < GATEWAYS * 7 / 10; i++) {
+      troubles.add(new Trouble(SECOND, Trouble.What.KILLED, "n" + i, SECOND, 1));
     }
+    Played played = play(troubles);
+    assertTrue(played.sound(), played.auditor().breaches().toString());
+  }
 
-    /** Six in ten engines within seconds: the cold ones are used, and none is pushed over by all gateways together. */
-    @Test
-    void massReplacement() throws IOException {
-        List<Trouble> troubles = new ArrayList<>();
-        for (int i = 0; i < ENGINES * 6 / 10; i++) {
-            troubles.add(new Trouble(SECOND / 10 + i * SECOND / 100, Trouble.What.REPLACED, "e" + (i + 1), SECOND, 1));
-        }
-        Played played = play(troubles);
-        assertTrue(played.sound(), played.auditor().breaches().toString());
+  /**
+   * Six in ten engines within seconds: the cold ones are used, and none is pushed over by all
+   * gateways together.
+   */
+  @Test
+  void massReplacement() throws IOException {
+    List<Trouble> troubles = new ArrayList<>();
+    for (int i = 0; i < ENGINES * 6 / 10; i++) {
+      troubles.add(
+          new Trouble(
+              SECOND / 10 + i * SECOND / 100, Trouble.What.REPLACED, "e" + (i + 1), SECOND, 1));
     }
+    Played played = play(troubles);
+    assertTrue(played.sound(), played.auditor().breaches().toString());
+  }
 
-    /** A third of the engines says nothing for two seconds. */
-    @Test
-    void aZoneIsCutOff() throws IOException {
-        List<Trouble> troubles = new ArrayList<>();
-        for (int i = 0; i < ENGINES; i++) {
-            if (i / 3 % 3 == 1) {
-                troubles.add(new Trouble(SECOND, Trouble.What.SILENT, "e" + (i + 1), 2 * SECOND, 1));
-            }
-        }
-        Played played = play(troubles);
-        assertTrue(played.sound(), played.auditor().breaches().toString());
+  /** A third of the engines says nothing for two seconds. */
+  @Test
+  void aZoneIsCutOff() throws IOException {
+    List<Trouble> troubles = new ArrayList<>();
+    for (int i = 0; i < ENGINES; i++) {
+      if (i / 3 % 3 == 1) {
+        troubles.add(new Trouble(SECOND, Trouble.What.SILENT, "e" + (i + 1), 2 * SECOND, 1));
+      }
     }
+    Played played = play(troubles);
+    assertTrue(played.sound(), played.auditor().breaches().toString());
+  }
 }
--- a/traces/src/main/java/tillerlink/trace/Columns.java
+++ b/traces/src/main/java/tillerlink/trace/Columns.java
@@ -6,133 +6,146 @@
 
 /** Where the columns of a layout stand in the rows of one shard, and its tests bound to them. */
 final class Columns {
-    private static final int NONE = -1;
-
-    /** A test on one column. */
-    private record Bound(int column, byte[][] values, boolean not, double least, double most, boolean byNumber) {
-        boolean holds(Row row) {
-            if (byNumber) {
-                double number = row.number(column);
-                return (number >= least && number <= most) != not;
-            }
-            for (byte[] value : values) {
-                if (row.is(column, value)) {
-                    return !not;
-                }
-            }
-            return not;
+  private static final int NONE = -1;
+
+  /** A test on one column. */
+  private record Bound(
+      int column, byte[][] values, boolean not, double least, double most, boolean byNumber) {
+    boolean holds(Row row) {
+      if (byNumber) {
+        double number = row.number(column);
+        return (number >= least && number <= most) != not;
+      }
+      for (byte[] value : values) {
+        if (row.is(column, value)) {
+          return !not;
         }
+      }
+      return not;
     }
-
-    final int width;
-    final int start;
-    final int end;
-    final int cores;
-    final int memory;
-    final int job;
-    final int task;
-    final int owner;
-    final int copies;
-    final int event;
-    private final List<String> names;
-    private final byte[][] starts;
-    private final byte[][] ends;
-    private final byte[][] breaks;
-    private final List<Bound> wanted;
-    /** Of each kind, tests that must all hold. */
-    private final List<List<Bound>> kinds;
-
-    /** @throws IllegalArgumentException if a column that is needed is not there; the message names it */
-    Columns(Layout layout, List<String> names, List<List<Layout.Test>> kinds) {
-        this.names = names;
-        width = names.size();
-        start = place(layout.start());
-        end = place(layout.end());
-        cores = place(layout.cores());
-        memory = place(layout.memory());
-        job = place(layout.job());
-        task = place(layout.task());
-        owner = place(layout.owner());
-        copies = place(layout.copies());
-        Layout.Pairing pairing = layout.pairing();
-        event = pairing == null ? NONE : place(pairing.column());
-        starts = pairing == null ? new byte[0][] : bytes(pairing.starts());
-        ends = pairing == null ? new byte[0][] : bytes(pairing.ends());
-        breaks = pairing == null ? new byte[0][] : bytes(pairing.breaks());
-        wanted = bound(layout.wanted());
-        this.kinds = kinds.stream().map(this::bound).toList();
+  }
+
+  final int width;
+  final int start;
+  final int end;
+  final int cores;
+  final int memory;
+  final int job;
+  final int task;
+  final int owner;
+  final int copies;
+  final int event;
+  private final List<String> names;
+  private final byte[][] starts;
+  private final byte[][] ends;
+  private final byte[][] breaks;
+  private final List<Bound> wanted;
+
+  /** Of each kind, tests that must all hold. */
+  private final List<List<Bound>> kinds;
+
+  /**
+   * @throws IllegalArgumentException if a column that is needed is not there; the message names it
+   */
+  Columns(Layout layout, List<String> names, List<List<Layout.Test>> kinds) {
+    this.names = names;
+    width = names.size();
+    start = place(layout.start());
+    end = place(layout.end());
+    cores = place(layout.cores());
+    memory = place(layout.memory());
+    job = place(layout.job());
+    task = place(layout.task());
+    owner = place(layout.owner());
+    copies = place(layout.copies());
+    Layout.Pairing pairing = layout.pairing();
+    event = pairing == null ? NONE : place(pairing.column());
+    starts = pairing == null ? new byte[0][] : bytes(pairing.starts());
+    ends = pairing == null ? new byte[0][] : bytes(pairing.ends());
+    breaks = pairing == null ? new byte[0][] : bytes(pairing.breaks());
+    wanted = bound(layout.wanted());
+    this.kinds = kinds.stream().map(this::bound).toList();
+  }
+
+  /** The names that a header line gives. */
+  static List<String> header(Row row) {
+    List<String> names = new ArrayList<>(row.columns());
+    for (int i = 0; i < row.columns(); i++) {
+      names.add(row.text(i).strip());
     }
+    return names;
+  }
 
-    /** The names that a header line gives. */
-    static List<String> header(Row row) {
-        List<String> names = new ArrayList<>(row.columns());
-        for (int i = 0; i < row.columns(); i++) {
-            names.add(row.text(i).strip());
-        }
-        return names;
+  private int place(String name) {
+    if (name == null) {
+      return NONE;
     }
-
-    private int place(String name) {
-        if (name == null) {
-            return NONE;
-        }
-        int place = names.indexOf(name);
-        if (place < 0) {
-            throw new IllegalArgumentException("no column '" + name + "'");
-        }
-        return place;
+    int place = names.indexOf(name);
+    if (place < 0) {
+      throw new IllegalArgumentException("no column '" + name + "'");
     }
-
-    private List<Bound> bound(List<Layout.Test> tests) {
-        return tests.stream().map(test -> new Bound(place(test.column()), bytes(test.values()), test.not(),
-                test.least(), test.most(), test.byNumber())).toList();
+    return place;
+  }
+
+  private List<Bound> bound(List<Layout.Test> tests) {
+    return tests.stream()
+        .map(
+            test ->
+                new Bound(
+                    place(test.column()),
+                    bytes(test.values()),
+                    test.not(),
+                    test.least(),
+                    test.most(),
+                    test.byNumber()))
+        .toList();
+  }
+
+  private static byte[][] bytes(List<String> texts) {
+    return texts.stream().map(text -> text.getBytes(StandardCharsets.UTF_8)).toArray(byte[][]::new);
+  }
+
+  private static boolean all(List<Bound> tests, Row row) {
+    for (Bound test : tests) {
+      if (!test.holds(row)) {
+        return false;
+      }
     }
-
-    private static byte[][] bytes(List<String> texts) {
-        return texts.stream().map(text -> text.getBytes(StandardCharsets.UTF_8)).toArray(byte[][]::new);
+    return true;
+  }
+
+  boolean wants(Row row) {
+    return all(wanted, row);
+  }
+
+  /** The first kind whose tests all hold, or -1. */
+  int kind(Row row) {
+    for (int i = 0; i < kinds.size(); i++) {
+      if (all(kinds.get(i), row)) {
+        return i;
+      }
     }
+    return NONE;
+  }
 
-    private static boolean all(List<Bound> tests, Row row) {
-        for (Bound test : tests) {
-            if (!test.holds(row)) {
-                return false;
-            }
-        }
+  private boolean eventIn(byte[][] values, Row row) {
+    for (byte[] value : values) {
+      if (row.is(event, value)) {
         return true;
+      }
     }
+    return false;
+  }
 
-    boolean wants(Row row) {
-        return all(wanted, row);
-    }
+  boolean begins(Row row) {
+    return eventIn(starts, row);
+  }
 
-    /** The first kind whose tests all hold, or -1. */
-    int kind(Row row) {
-        for (int i = 0; i < kinds.size(); i++) {
-            if (all(kinds.get(i), row)) {
-                return i;
-            }
-        }
-        return NONE;
-    }
-
-    private boolean eventIn(byte[][] values, Row row) {
-        for (byte[] value : values) {
-            if (row.is(event, value)) {
-                return true;
-            }
-        }
-        return false;
-    }
+  boolean ends(Row row) {
+    return eventIn(ends, row);
+  }
 
-    boolean begins(Row row) {
-        return eventIn(starts, row);
-    }
-
-    boolean ends(Row row) {
-        return eventIn(ends, row);
-    }
-
-    boolean breaks(Row row) {
-        return eventIn(breaks, row);
-    }
+  boolean breaks(Row row) {
+    return eventIn(breaks, row);
+  }
 }
--- a/traces/src/main/java/tillerlink/trace/ExternalSort.java
+++ b/traces/src/main/java/tillerlink/trace/ExternalSort.java
@@ -16,208 +16,220 @@
 import java.util.PriorityQueue;
 
 /**
- * Sorts tasks that do not fit into memory: runs are sorted, spilled to a folder of this process' own and merged. The
- * folder goes with the process, also when it is told to end; what a killed one left behind is removed by the next.
+ * Sorts tasks that do not fit into memory: runs are sorted, spilled to a folder of this process'
+ * own and merged. The folder goes with the process, also when it is told to end; what a killed one
+ * left behind is removed by the next.
  */
 public final class ExternalSort implements Tasks, Closeable {
-    private static final String PREFIX = "tillerlink-sort-";
-    private static final int RUN = 100_000;
-    private static final int RECORD_BYTES = 3 * Long.BYTES + 2 * Double.BYTES + 2 * Long.BYTES + 2 * Integer.BYTES;
-    private static final int FAN_IN = 64;
-    private static final int BUFFER = 16_384;
-    private static final Comparator<Task> ORDER = Comparator.comparingLong(Task::start)
-            .thenComparingLong(Task::number);
-
-    /** One sorted run while it is merged. */
-    private static final class Run implements Closeable {
-        private final Path file;
-        private final DataInputStream in;
-        private Task head;
-
-        Run(Path file) throws IOException {
-            this.file = file;
-            in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), BUFFER));
-            advance();
-        }
-
-        void advance() throws IOException {
-            try {
-                head = new Task(in.readLong(), in.readLong(), in.readDouble(), in.readDouble(), in.readLong(),
-                        in.readLong(), in.readLong(), in.readInt(), in.readInt());
-            } catch (EOFException e) {
-                head = null;
-            }
-        }
+  private static final String PREFIX = "tillerlink-sort-";
+  private static final int RUN = 100_000;
+  private static final int RECORD_BYTES =
+      3 * Long.BYTES + 2 * Double.BYTES + 2 * Long.BYTES + 2 * Integer.BYTES;
+  private static final int FAN_IN = 64;
+  private static final int BUFFER = 16_384;
+  private static final Comparator<Task> ORDER =
+      Comparator.comparingLong(Task::start).thenComparingLong(Task::number);
+
+  /** One sorted run while it is merged. */
+  private static final class Run implements Closeable {
+    private final Path file;
+    private final DataInputStream in;
+    private Task head;
+
+    Run(Path file) throws IOException {
+      this.file = file;
+      in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), BUFFER));
+      advance();
+    }
 
-        @Override
-        public void close() throws IOException {
-            in.close();
-            Files.deleteIfExists(file);
-        }
+    void advance() throws IOException {
+      try {
+        head =
+            new Task(
+                in.readLong(),
+                in.readLong(),
+                in.readDouble(),
+                in.readDouble(),
+                in.readLong(),
+                in.readLong(),
+                in.readLong(),
+                in.readInt(),
+                in.readInt());
+      } catch (EOFException e) {
+        head = null;
+      }
     }
 
-    private final Path folder;
-    private final long bytesMost;
-    private final Thread cleaner = new Thread(this::clean, "clean");
-    private final PriorityQueue<Run> merged = new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
-    private final List<Path> runs = new ArrayList<>();
-    private final Tasks source;
-    private List<Task> inMemory;
-    private int at;
-    private long bytes;
-    private int files;
-
-    /**
-     * @param within    where the folder for the runs is made
-     * @param bytesMost how much may be spilled; beyond it the sort fails with a message
-     */
-    public ExternalSort(Tasks source, Path within, long bytesMost) throws IOException {
-        this.source = source;
-        this.bytesMost = bytesMost;
-        removeLeftOvers(within);
-        folder = Files.createTempDirectory(within, PREFIX + ProcessHandle.current().pid() + "-");
-        Runtime.getRuntime().addShutdownHook(cleaner);
-    }
-
-    /** A folder names the process that made it; one whose process is gone is nobody's. */
-    private static void removeLeftOvers(Path within) throws IOException {
-        try (DirectoryStream<Path> folders = Files.newDirectoryStream(within, PREFIX + "*")) {
-            for (Path left : folders) {
-                String pid = left.getFileName().toString().substring(PREFIX.length()).split("-")[0];
-                if (pid.matches("[0-9]{1,9}") && ProcessHandle.of(Long.parseLong(pid)).isEmpty()) {
-                    delete(left);
-                }
-            }
-        }
+    @Override
+    public void close() throws IOException {
+      in.close();
+      Files.deleteIfExists(file);
     }
+  }
+
+  private final Path folder;
+  private final long bytesMost;
+  private final Thread cleaner = new Thread(this::clean, "clean");
+  private final PriorityQueue<Run> merged =
+      new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
+  private final List<Path> runs = new ArrayList<>();
+  private final Tasks source;
+  private List<Task> inMemory;
+  private int at;
+  private long bytes;
+  private int files;
+
+  /**
+   * @param within where the folder for the runs is made
+   * @param bytesMost how much may be spilled; beyond it the sort fails with a message
+   */
+  public ExternalSort(Tasks source, Path within, long bytesMost) throws IOException {
+    this.source = source;
+    this.bytesMost = bytesMost;
+    removeLeftOvers(within);
+    folder = Files.createTempDirectory(within, PREFIX + ProcessHandle.current().pid() + "-");
+    Runtime.getRuntime().addShutdownHook(cleaner);
+  }
+
+  /** A folder names the process that made it; one whose process is gone is nobody's. */
+  private static void removeLeftOvers(Path within) throws IOException {
+    try (DirectoryStream<Path> folders = Files.newDirectoryStream(within, PREFIX + "*")) {
+      for (Path left : folders) {
+        String pid = left.getFileName().toString().substring(PREFIX.length()).split("-")[0];
+        if (pid.matches("[0-9]{1,9}") && ProcessHandle.of(Long.parseLong(pid)).isEmpty()) {
+          delete(left);
+        }
+      }
+    }
+  }
 
-    private static void delete(Path folder) throws IOException {
-        try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
-            for (Path file : files) {
-                Files.deleteIfExists(file);
-            }
-        }
-        Files.deleteIfExists(folder);
+  private static void delete(Path folder) throws IOException {
+    try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
+      for (Path file : files) {
+        Files.deleteIfExists(file);
+      }
     }
+    Files.deleteIfExists(folder);
+  }
 
-    @Override
-    public Task next() throws IOException {
-        if (inMemory == null) {
-            sort();
-        }
-        if (at < inMemory.size()) {
-            return inMemory.get(at++);
-        }
-        Run least = merged.poll();
-        if (least == null) {
-            return null;
-        }
-        Task task = least.head;
-        least.advance();
-        if (least.head != null) {
-            merged.add(least);
-        } else {
-            least.close();
-        }
-        return task;
+  @Override
+  public Task next() throws IOException {
+    if (inMemory == null) {
+      sort();
+    }
+    if (at < inMemory.size()) {
+      return inMemory.get(at++);
+    }
+    Run least = merged.poll();
+    if (least == null) {
+      return null;
     }
+    Task task = least.head;
+    least.advance();
+    if (least.head != null) {
+      merged.add(least);
+    } else {
+      least.close();
+    }
+    return task;
+  }
 
-    private void sort() throws IOException {
-        List<Task> run = new ArrayList<>(RUN);
-        for (Task task = source.next(); task != null; task = source.next()) {
-            if (run.size() == RUN) {
-                spill(run);
-                run.clear();
-            }
-            run.add(task);
-        }
-        run.sort(ORDER);
-        if (runs.isEmpty()) {
-            inMemory = run;
-            return;
-        }
+  private void sort() throws IOException {
+    List<Task> run = new ArrayList<>(RUN);
+    for (Task task = source.next(); task != null; task = source.next()) {
+      if (run.size() == RUN) {
         spill(run);
-        inMemory = List.of();
-        while (runs.size() > FAN_IN) {
-            mergeSome();
-        }
-        for (Path file : runs) {
-            merged.add(new Run(file));
-        }
+        run.clear();
+      }
+      run.add(task);
     }
-
-    private void spill(List<Task> run) throws IOException {
-        run.sort(ORDER);
-        bytes += (long) run.size() * RECORD_BYTES;
-        if (bytes > bytesMost) {
-            throw new IOException("sorting takes more than " + bytesMost / (1 << 20) + " MB on disk");
-        }
-        Path file = folder.resolve("run-" + files++);
-        try (DataOutputStream out = output(file)) {
-            for (Task task : run) {
-                write(out, task);
-            }
-        }
-        runs.add(file);
+    run.sort(ORDER);
+    if (runs.isEmpty()) {
+      inMemory = run;
+      return;
     }
-
-    /** Guards the descriptors: more runs than may be open at once are merged in steps. */
-    private void mergeSome() throws IOException {
-        PriorityQueue<Run> some = new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
-        for (Path file : runs.subList(0, FAN_IN)) {
-            some.add(new Run(file));
-        }
-        Path file = folder.resolve("run-" + files++);
-        try (DataOutputStream out = output(file)) {
-            for (Run run = some.poll(); run != null; run = some.poll()) {
-                write(out, run.head);
-                run.advance();
-                if (run.head != null) {
-                    some.add(run);
-                } else {
-                    run.close();
-                }
-            }
-        }
-        runs.subList(0, FAN_IN).clear();
-        runs.add(file);
+    spill(run);
+    inMemory = List.of();
+    while (runs.size() > FAN_IN) {
+      mergeSome();
     }
-
-    private static DataOutputStream output(Path file) throws IOException {
-        return new DataOutputStream(new BufferedOutputStream(Files.newOutputStream(file), BUFFER));
+    for (Path file : runs) {
+      merged.add(new Run(file));
     }
+  }
 
-    private static void write(DataOutputStream out, Task task) throws IOException {
-        out.writeLong(task.start());
-        out.writeLong(task.span());
-        out.writeDouble(task.cores());
-        out.writeDouble(task.memory());
-        out.writeLong(task.job());
-        out.writeLong(task.owner());
-        out.writeLong(task.number());
-        out.writeInt(task.kind());
-        out.writeInt(task.rows());
+  private void spill(List<Task> run) throws IOException {
+    run.sort(ORDER);
+    bytes += (long) run.size() * RECORD_BYTES;
+    if (bytes > bytesMost) {
+      throw new IOException("sorting takes more than " + bytesMost / (1 << 20) + " MB on disk");
     }
-
-    private void clean() {
-        try {
-            delete(folder);
-        } catch (IOException e) {
-            // The next sort removes what is left.
+    Path file = folder.resolve("run-" + files++);
+    try (DataOutputStream out = output(file)) {
+      for (Task task : run) {
+        write(out, task);
+      }
+    }
+    runs.add(file);
+  }
+
+  /** Guards the descriptors: more runs than may be open at once are merged in steps. */
+  private void mergeSome() throws IOException {
+    PriorityQueue<Run> some = new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
+    for (Path file : runs.subList(0, FAN_IN)) {
+      some.add(new Run(file));
+    }
+    Path file = folder.resolve("run-" + files++);
+    try (DataOutputStream out = output(file)) {
+      for (Run run = some.poll(); run != null; run = some.poll()) {
+        write(out, run.head);
+        run.advance();
+        if (run.head != null) {
+          some.add(run);
+        } else {
+          run.close();
         }
+      }
+    }
+    runs.subList(0, FAN_IN).clear();
+    runs.add(file);
+  }
+
+  private static DataOutputStream output(Path file) throws IOException {
+    return new DataOutputStream(new BufferedOutputStream(Files.newOutputStream(file), BUFFER));
+  }
+
+  private static void write(DataOutputStream out, Task task) throws IOException {
+    out.writeLong(task.start());
+    out.writeLong(task.span());
+    out.writeDouble(task.cores());
+    out.writeDouble(task.memory());
+    out.writeLong(task.job());
+    out.writeLong(task.owner());
+    out.writeLong(task.number());
+    out.writeInt(task.kind());
+    out.writeInt(task.rows());
+  }
+
+  private void clean() {
+    try {
+      delete(folder);
+    } catch (IOException e) {
+      // The next sort removes what is left.
     }
+  }
 
-    @Override
-    public void close() throws IOException {
-        for (Run run : merged) {
-            run.close();
-        }
-        merged.clear();
-        clean();
-        try {
-            Runtime.getRuntime().removeShutdownHook(cleaner);
-        } catch (IllegalStateException e) {
-            // The process is ending and the hook runs.
-        }
+  @Override
+  public void close() throws IOException {
+    for (Run run : merged) {
+      run.close();
+    }
+    merged.clear();
+    clean();
+    try {
+      Runtime.getRuntime().removeShutdownHook(cleaner);
+    } catch (IllegalStateException e) {
+      // The process is ending and the hook runs.
     }
+  }
 }
--- a/traces/src/main/java/tillerlink/trace/Layout.java
+++ b/traces/src/main/java/tillerlink/trace/Layout.java
@@ -3,77 +3,172 @@
 import java.util.List;
 
 /**
- * How the columns of a trace are to be read. Columns are named; without a header in the file, the names stand here in
- * the file's order.
+ * How the columns of a trace are to be read. Columns are named; without a header in the file, the
+ * names stand here in the file's order.
  *
- * @param columns     names in order; with a header only those that are used need to be here
- * @param tenthsPer   tenths of a millisecond in the file's unit of time
- * @param start       the column of the start, or of the time of an event where rows are paired
- * @param end         the column of the end, or null
- * @param cores       the column of the cores asked for, or null for one core
- * @param coresPer    cores in the file's unit
- * @param memory      the column of the memory, or null
- * @param job         the column that names the job
- * @param task        a column that, with the job, names the task where rows are paired, or null
- * @param owner       the column that names whose it is, or null for the job's
- * @param copies      a column with how often the row ran, or null
- * @param pairing     how a row that tells a start and one that tells the end are found, or null
- * @param wanted      rows of which one of these does not hold are of no use here
- * @param unknownTime a time from which on a row has none that is known, as in traces that mark them by a huge figure
+ * @param columns names in order; with a header only those that are used need to be here
+ * @param tenthsPer tenths of a millisecond in the file's unit of time
+ * @param start the column of the start, or of the time of an event where rows are paired
+ * @param end the column of the end, or null
+ * @param cores the column of the cores asked for, or null for one core
+ * @param coresPer cores in the file's unit
+ * @param memory the column of the memory, or null
+ * @param job the column that names the job
+ * @param task a column that, with the job, names the task where rows are paired, or null
+ * @param owner the column that names whose it is, or null for the job's
+ * @param copies a column with how often the row ran, or null
+ * @param pairing how a row that tells a start and one that tells the end are found, or null
+ * @param wanted rows of which one of these does not hold are of no use here
+ * @param unknownTime a time from which on a row has none that is known, as in traces that mark them
+ *     by a huge figure
  */
-public record Layout(String name, char delimiter, boolean header, List<String> columns, double tenthsPer,
-                     String start, String end, String cores, double coresPer, String memory, String job, String task,
-                     String owner, String copies, Pairing pairing, List<Test> wanted, double unknownTime) {
-    /** The events that begin a task, those that end it well, and those that end it otherwise. */
-    public record Pairing(String column, List<String> starts, List<String> ends, List<String> breaks) {
-    }
+public record Layout(
+    String name,
+    char delimiter,
+    boolean header,
+    List<String> columns,
+    double tenthsPer,
+    String start,
+    String end,
+    String cores,
+    double coresPer,
+    String memory,
+    String job,
+    String task,
+    String owner,
+    String copies,
+    Pairing pairing,
+    List<Test> wanted,
+    double unknownTime) {
+  /** The events that begin a task, those that end it well, and those that end it otherwise. */
+  public record Pairing(
+      String column, List<String> starts, List<String> ends, List<String> breaks) {}
 
-    /** Whether a column holds, or does not hold, one of some texts; or lies within numbers, both included. */
-    public record Test(String column, List<String> values, boolean not, double least, double most) {
-        public static Test in(String column, String... values) {
-            return new Test(column, List.of(values), false, Double.NaN, Double.NaN);
-        }
+  /**
+   * Whether a column holds, or does not hold, one of some texts; or lies within numbers, both
+   * included.
+   */
+  public record Test(String column, List<String> values, boolean not, double least, double most) {
+    public static Test in(String column, String... values) {
+      return new Test(column, List.of(values), false, Double.NaN, Double.NaN);
+    }
 
-        public static Test between(String column, double least, double most) {
-            return new Test(column, List.of(), false, least, most);
-        }
+    public static Test between(String column, double least, double most) {
+      return new Test(column, List.of(), false, least, most);
+    }
 
-        boolean byNumber() {
-            return !Double.isNaN(least);
-        }
+    boolean byNumber() {
+      return !Double.isNaN(least);
     }
+  }
 
-    private static final double MICROS = 1e-2;
-    private static final double SECONDS = 10_000;
+  private static final double MICROS = 1e-2;
+  private static final double SECONDS = 10_000;
 
-    /** Google ClusterData 2011, table task_events: 13 columns, times in microseconds, no header. */
-    public static final Layout GOOGLE_2011 = new Layout("google-2011", ',', false,
-            List.of("time", "missing_info", "job_id", "task_index", "machine_id", "event_type", "user",
-                    "scheduling_class", "priority", "cpu_request", "memory_request", "disk_space_request",
-                    "different_machines_restriction"),
-            MICROS, "time", null, "cpu_request", 16, "memory_request", "job_id", "task_index", "user", null,
-            new Pairing("event_type", List.of("1"), List.of("4"), List.of("2", "3", "5", "6")),
-            List.of(), 9.2e18);
+  /** Google ClusterData 2011, table task_events: 13 columns, times in microseconds, no header. */
+  public static final Layout GOOGLE_2011 =
+      new Layout(
+          "google-2011",
+          ',',
+          false,
+          List.of(
+              "time",
+              "missing_info",
+              "job_id",
+              "task_index",
+              "machine_id",
+              "event_type",
+              "user",
+              "scheduling_class",
+              "priority",
+              "cpu_request",
+              "memory_request",
+              "disk_space_request",
+              "different_machines_restriction"),
+          MICROS,
+          "time",
+          null,
+          "cpu_request",
+          16,
+          "memory_request",
+          "job_id",
+          "task_index",
+          "user",
+          null,
+          new Pairing("event_type", List.of("1"), List.of("4"), List.of("2", "3", "5", "6")),
+          List.of(),
+          9.2e18);
 
-    /** Alibaba cluster trace 2018, table batch_task: 9 columns, times in seconds, no header; 100 is one core. */
-    public static final Layout ALIBABA_2018 = new Layout("alibaba-2018", ',', false,
-            List.of("task_name", "instance_num", "job_name", "task_type", "status", "start_time", "end_time",
-                    "plan_cpu", "plan_mem"),
-            SECONDS, "start_time", "end_time", "plan_cpu", 0.01, "plan_mem", "job_name", null, null, null, null,
-            List.of(Test.in("status", "Terminated")), Double.MAX_VALUE);
+  /**
+   * Alibaba cluster trace 2018, table batch_task: 9 columns, times in seconds, no header; 100 is
+   * one core.
+   */
+  public static final Layout ALIBABA_2018 =
+      new Layout(
+          "alibaba-2018",
+          ',',
+          false,
+          List.of(
+              "task_name",
+              "instance_num",
+              "job_name",
+              "task_type",
+              "status",
+              "start_time",
+              "end_time",
+              "plan_cpu",
+              "plan_mem"),
+          SECONDS,
+          "start_time",
+          "end_time",
+          "plan_cpu",
+          0.01,
+          "plan_mem",
+          "job_name",
+          null,
+          null,
+          null,
+          null,
+          List.of(Test.in("status", "Terminated")),
+          Double.MAX_VALUE);
 
-    /** Azure public dataset 2019, table vmtable: 11 columns, times in seconds, no header. */
-    public static final Layout AZURE_2019 = new Layout("azure-2019", ',', false,
-            List.of("vm_id", "subscription_id", "deployment_id", "vm_created", "vm_deleted", "max_cpu", "avg_cpu",
-                    "p95_max_cpu", "vm_category", "vm_core_count_bucket", "vm_memory_bucket"),
-            SECONDS, "vm_created", "vm_deleted", "vm_core_count_bucket", 1, "vm_memory_bucket", "deployment_id", null,
-            "subscription_id", null, null, List.of(), Double.MAX_VALUE);
+  /** Azure public dataset 2019, table vmtable: 11 columns, times in seconds, no header. */
+  public static final Layout AZURE_2019 =
+      new Layout(
+          "azure-2019",
+          ',',
+          false,
+          List.of(
+              "vm_id",
+              "subscription_id",
+              "deployment_id",
+              "vm_created",
+              "vm_deleted",
+              "max_cpu",
+              "avg_cpu",
+              "p95_max_cpu",
+              "vm_category",
+              "vm_core_count_bucket",
+              "vm_memory_bucket"),
+          SECONDS,
+          "vm_created",
+          "vm_deleted",
+          "vm_core_count_bucket",
+          1,
+          "vm_memory_bucket",
+          "deployment_id",
+          null,
+          "subscription_id",
+          null,
+          null,
+          List.of(),
+          Double.MAX_VALUE);
 
-    /** Those that are built in, in the order in which help names them. */
-    public static final List<Layout> KNOWN = List.of(GOOGLE_2011, ALIBABA_2018, AZURE_2019);
+  /** Those that are built in, in the order in which help names them. */
+  public static final List<Layout> KNOWN = List.of(GOOGLE_2011, ALIBABA_2018, AZURE_2019);
 
-    /** How many columns a row must have; -1 if a header tells. */
-    int width() {
-        return header ? -1 : columns.size();
-    }
+  /** How many columns a row must have; -1 if a header tells. */
+  int width() {
+    return header ? -1 : columns.size();
+  }
 }
--- a/traces/src/main/java/tillerlink/trace/Tasks.java
+++ b/traces/src/main/java/tillerlink/trace/Tasks.java
@@ -5,6 +5,6 @@
 /** Tasks, one after the other. */
 @FunctionalInterface
 public interface Tasks {
-    /** The next, or null when there are no more. */
-    Task next() throws IOException;
+  /** The next, or null when there are no more. */
+  Task next() throws IOException;
 }
--- a/traces/src/main/java/tillerlink/workload/BuiltIn.java
+++ b/traces/src/main/java/tillerlink/workload/BuiltIn.java
@@ -5,36 +5,83 @@
 import tillerlink.trace.Layout;
 import tillerlink.trace.Layout.Test;
 
-/** Tracks for the layouts that are built in, so that a trace can be replayed with no further file. */
+/**
+ * Tracks for the layouts that are built in, so that a trace can be replayed with no further file.
+ */
 public final class BuiltIn {
-    private static final long SECOND = 10_000;
-    private static final double ANY = 1e18;
+  private static final long SECOND = 10_000;
+  private static final double ANY = 1e18;
 
-    private BuiltIn() {
-    }
+  private BuiltIn() {}
 
-    /** Four: short pure looks, wide pure sheets for one kind of engine, receipted intakes, effectful bookings. */
-    public static List<Track> tracks(Layout layout) {
-        return switch (layout.name()) {
-            case "google-2011" -> of(List.of(Test.between("priority", 9, ANY), Test.between("scheduling_class", 0, 1)),
-                    List.of(Test.between("priority", 9, ANY)), List.of(Test.between("scheduling_class", 2, ANY)));
-            case "alibaba-2018" -> of(List.of(Test.between("task_type", 10, ANY)),
-                    List.of(Test.between("task_type", 6, 9)), List.of(Test.between("task_type", 2, 5)));
-            case "azure-2019" -> of(List.of(Test.in("vm_core_count_bucket", ">24")),
-                    List.of(Test.in("vm_category", "Unknown")), List.of(Test.in("vm_category", "Interactive")));
-            default -> of(List.of(Test.between(layout.start(), -2, -1)), List.of(Test.between(layout.start(), -2, -1)),
-                    List.of(Test.between(layout.start(), -2, -1)));
-        };
-    }
+  /**
+   * Four: short pure looks, wide pure sheets for one kind of engine, receipted intakes, effectful
+   * bookings.
+   */
+  public static List<Track> tracks(Layout layout) {
+    return switch (layout.name()) {
+      case "google-2011" ->
+          of(
+              List.of(Test.between("priority", 9, ANY), Test.between("scheduling_class", 0, 1)),
+              List.of(Test.between("priority", 9, ANY)),
+              List.of(Test.between("scheduling_class", 2, ANY)));
+      case "alibaba-2018" ->
+          of(
+              List.of(Test.between("task_type", 10, ANY)),
+              List.of(Test.between("task_type", 6, 9)),
+              List.of(Test.between("task_type", 2, 5)));
+      case "azure-2019" ->
+          of(
+              List.of(Test.in("vm_core_count_bucket", ">24")),
+              List.of(Test.in("vm_category", "Unknown")),
+              List.of(Test.in("vm_category", "Interactive")));
+      default ->
+          of(
+              List.of(Test.between(layout.start(), -2, -1)),
+              List.of(Test.between(layout.start(), -2, -1)),
+              List.of(Test.between(layout.start(), -2, -1)));
+    };
+  }
 
-    private static List<Track> of(List<Test> book, List<Test> intake, List<Test> sheet) {
-        return List.of(
-                new Track("book", Effect.EFFECTFUL, 1, SECOND, 5 * SECOND, 4, 0.4, List.of(), 0, 1000, book),
-                new Track("intake", Effect.RECEIPTED, 2, 4 * SECOND, 18 * SECOND, 4, 2, List.of(), 18 * SECOND, 5000,
-                        intake),
-                new Track("sheet", Effect.PURE, 3, 5 * SECOND / 2, 24 * SECOND, 3, 1.2, List.of("small-8"), 0, 6000,
-                        sheet),
-                new Track("look", Effect.PURE, 1, 9 * SECOND / 10, 9 * SECOND / 2, 1, 0.25, List.of(), 0, 800,
-                        List.of()));
-    }
+  private static List<Track> of(List<Test> book, List<Test> intake, List<Test> sheet) {
+    return List.of(
+        new Track(
+            "book", Effect.EFFECTFUL, 1, SECOND, 5 * SECOND, 4, 0.4, List.of(), 0, 1000, book),
+        new Track(
+            "intake",
+            Effect.RECEIPTED,
+            2,
+            4 * SECOND,
+            18 * SECOND,
+            4,
+            2,
+            List.of(),
+            18 * SECOND,
+            5000,
+            intake),
+        new Track(
+            "sheet",
+            Effect.PURE,
+            3,
+            5 * SECOND / 2,
+            24 * SECOND,
+            3,
+            1.2,
+            List.of("small-8"),
+            0,
+            6000,
+            sheet),
+        new Track(
+            "look",
+            Effect.PURE,
+            1,
+            9 * SECOND / 10,
+            9 * SECOND / 2,
+            1,
+            0.25,
+            List.of(),
+            0,
+            800,
+            List.of()));
+  }
 }
--- a/traces/src/main/java/tillerlink/workload/Survey.java
+++ b/traces/src/main/java/tillerlink/workload/Survey.java
@@ -8,77 +8,80 @@
 import tillerlink.trace.Task;
 import tillerlink.trace.Tasks;
 
-/** What a first look at a trace tells: from when to when, how many tasks, and how their work is spread by track. */
+/**
+ * What a first look at a trace tells: from when to when, how many tasks, and how their work is
+ * spread by track.
+ */
 public final class Survey {
-    private static final long RANGE = 1L << 40;
-    private static final int DIGITS = 2;
+  private static final long RANGE = 1L << 40;
+  private static final int DIGITS = 2;
 
-    private final List<DoubleHistogram> work = new ArrayList<>();
-    private long first = Long.MAX_VALUE;
-    private long last = Long.MIN_VALUE;
-    private long tasks;
-    private long noTrack;
+  private final List<DoubleHistogram> work = new ArrayList<>();
+  private long first = Long.MAX_VALUE;
+  private long last = Long.MIN_VALUE;
+  private long tasks;
+  private long noTrack;
 
-    public Survey(int tracks) {
-        for (int i = 0; i < tracks; i++) {
-            DoubleHistogram histogram = new DoubleHistogram(RANGE, DIGITS);
-            histogram.setAutoResize(true);
-            work.add(histogram);
-        }
+  public Survey(int tracks) {
+    for (int i = 0; i < tracks; i++) {
+      DoubleHistogram histogram = new DoubleHistogram(RANGE, DIGITS);
+      histogram.setAutoResize(true);
+      work.add(histogram);
     }
+  }
 
-    public void add(Task task) {
-        first = Math.min(first, task.start());
-        last = Math.max(last, task.start());
-        tasks++;
-        if (task.kind() < 0) {
-            noTrack++;
-        } else {
-            work.get(task.kind()).recordValue(Math.max(1, task.work()));
-        }
+  public void add(Task task) {
+    first = Math.min(first, task.start());
+    last = Math.max(last, task.start());
+    tasks++;
+    if (task.kind() < 0) {
+      noTrack++;
+    } else {
+      work.get(task.kind()).recordValue(Math.max(1, task.work()));
     }
+  }
 
-    /** Takes in all, or the first so many. */
-    public Survey addAll(Tasks source, long most) throws IOException {
-        for (long i = 0; i < most; i++) {
-            Task task = source.next();
-            if (task == null) {
-                break;
-            }
-            add(task);
-        }
-        return this;
+  /** Takes in all, or the first so many. */
+  public Survey addAll(Tasks source, long most) throws IOException {
+    for (long i = 0; i < most; i++) {
+      Task task = source.next();
+      if (task == null) {
+        break;
+      }
+      add(task);
     }
+    return this;
+  }
 
-    public long first() {
-        return tasks == 0 ? 0 : first;
-    }
+  public long first() {
+    return tasks == 0 ? 0 : first;
+  }
 
-    /** From the first start to the last. */
-    public long span() {
-        return tasks == 0 ? 0 : Math.max(1, last - first);
-    }
+  /** From the first start to the last. */
+  public long span() {
+    return tasks == 0 ? 0 : Math.max(1, last - first);
+  }
 
-    public long tasks() {
-        return tasks;
-    }
+  public long tasks() {
+    return tasks;
+  }
 
-    /** Tasks that fit no track. */
-    public long noTrack() {
-        return noTrack;
-    }
+  /** Tasks that fit no track. */
+  public long noTrack() {
+    return noTrack;
+  }
 
-    public double median(int track) {
-        return work.get(track).getTotalCount() == 0 ? 1 : work.get(track).getValueAtPercentile(50);
-    }
+  public double median(int track) {
+    return work.get(track).getTotalCount() == 0 ? 1 : work.get(track).getValueAtPercentile(50);
+  }
 
-    /** The work of a track's tasks once each is scaled and bounded. */
-    double scaled(int track, double factor, double least, double most) {
-        double sum = 0;
-        for (DoubleHistogramIterationValue value : work.get(track).recordedValues()) {
-            double one = Math.min(most, Math.max(least, value.getValueIteratedTo() * factor));
-            sum += one * value.getCountAddedInThisIterationStep();
-        }
-        return sum;
+  /** The work of a track's tasks once each is scaled and bounded. */
+  double scaled(int track, double factor, double least, double most) {
+    double sum = 0;
+    for (DoubleHistogramIterationValue value : work.get(track).recordedValues()) {
+      double one = Math.min(most, Math.max(least, value.getValueIteratedTo() * factor));
+      sum += one * value.getCountAddedInThisIterationStep();
     }
+    return sum;
+  }
 }
--- a/traces/src/main/java/tillerlink/workload/Track.java
+++ b/traces/src/main/java/tillerlink/workload/Track.java
@@ -7,28 +7,42 @@
 /**
  * A track of the replayed fleet, and which rows of a trace become its submissions.
  *
- * @param width     threads of one submission
+ * @param width threads of one submission
  * @param softLimit tenths of a millisecond, as is deadline
- * @param kinds     the kinds of engine that it is bound to, or an empty list for all
- * @param window    how long engines remember the mark of a receipted one, in tenths of a millisecond
- * @param median    what the median of its tasks' work is scaled to, in tenths of a millisecond on one core
- * @param rows      tests of a row that must all hold; none takes every row that no track before it took
+ * @param kinds the kinds of engine that it is bound to, or an empty list for all
+ * @param window how long engines remember the mark of a receipted one, in tenths of a millisecond
+ * @param median what the median of its tasks' work is scaled to, in tenths of a millisecond on one
+ *     core
+ * @param rows tests of a row that must all hold; none takes every row that no track before it took
  */
-public record Track(String name, Effect effect, int width, long softLimit, long deadline, double value,
-                    double lateValue, List<String> kinds, long window, double median, List<Layout.Test> rows) {
-    private static final int SHARE_OF_SOFT = 2;
+public record Track(
+    String name,
+    Effect effect,
+    int width,
+    long softLimit,
+    long deadline,
+    double value,
+    double lateValue,
+    List<String> kinds,
+    long window,
+    double median,
+    List<Layout.Test> rows) {
+  private static final int SHARE_OF_SOFT = 2;
 
-    /** Beyond this much work a submission could hardly be answered within its soft limit on an idle engine. */
-    public double workMost() {
-        return (double) softLimit * width / SHARE_OF_SOFT;
-    }
+  /**
+   * Beyond this much work a submission could hardly be answered within its soft limit on an idle
+   * engine.
+   */
+  public double workMost() {
+    return (double) softLimit * width / SHARE_OF_SOFT;
+  }
 
-    /** The word for its effect in the gateway's settings. */
-    public String semantics() {
-        return switch (effect) {
-            case PURE -> "repeatable";
-            case RECEIPTED -> "by_key";
-            case EFFECTFUL -> "once";
-        };
-    }
+  /** The word for its effect in the gateway's settings. */
+  public String semantics() {
+    return switch (effect) {
+      case PURE -> "repeatable";
+      case RECEIPTED -> "by_key";
+      case EFFECTFUL -> "once";
+    };
+  }
 }
