--- a/traces/src/test/java/tillerlink/trace/TraceReadingTest.java
+++ b/traces/src/test/java/tillerlink/trace/TraceReadingTest.java
@@ -18,219 +18,310 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Rows of the published layouts become tasks, and every kind of bad row is counted by its cause and passed over. */
+/**
+ * Rows of the published layouts become tasks, and every kind of bad row is counted by its cause and
+ * passed over.
+ */
 class TraceReadingTest {
-    private static final Layout OWN = new Layout("own", ';', true, List.of(), 10, "begin", "finish", "cpu", 0.01, null,
-            "job", null, "team", null, null, List.of(Layout.Test.in("state", "done")), Double.MAX_VALUE);
+  private static final Layout OWN =
+      new Layout(
+          "own",
+          ';',
+          true,
+          List.of(),
+          10,
+          "begin",
+          "finish",
+          "cpu",
+          0.01,
+          null,
+          "job",
+          null,
+          "team",
+          null,
+          null,
+          List.of(Layout.Test.in("state", "done")),
+          Double.MAX_VALUE);
 
-    @TempDir
-    private Path folder;
-    private final Tally tally = new Tally();
+  @TempDir private Path folder;
+  private final Tally tally = new Tally();
 
-    private Shard shard(String name, byte[] bytes) throws IOException {
-        return Shard.of(Files.write(folder.resolve(name), bytes));
-    }
+  private Shard shard(String name, byte[] bytes) throws IOException {
+    return Shard.of(Files.write(folder.resolve(name), bytes));
+  }
 
-    private Shard shard(String name, String text) throws IOException {
-        return shard(name, text.getBytes(StandardCharsets.UTF_8));
-    }
+  private Shard shard(String name, String text) throws IOException {
+    return shard(name, text.getBytes(StandardCharsets.UTF_8));
+  }
 
-    private List<Task> read(Layout layout, Shard... shards) throws IOException {
-        List<Task> tasks = new ArrayList<>();
-        try (TaskReader reader = new TaskReader(layout, List.of(shards), List.of(List.of()), tally)) {
-            for (Task task = reader.next(); task != null; task = reader.next()) {
-                tasks.add(task);
-            }
-        }
-        assertTrue(tally.addsUp(), "every row is accounted for");
-        return tasks;
+  private List<Task> read(Layout layout, Shard... shards) throws IOException {
+    List<Task> tasks = new ArrayList<>();
+    try (TaskReader reader = new TaskReader(layout, List.of(shards), List.of(List.of()), tally)) {
+      for (Task task = reader.next(); task != null; task = reader.next()) {
+        tasks.add(task);
+      }
     }
+    assertTrue(tally.addsUp(), "every row is accounted for");
+    return tasks;
+  }
 
-    private String print(List<Task> tasks) {
-        StringBuilder out = new StringBuilder();
-        for (Task task : tasks) {
-            out.append(task.start()).append('+').append(task.span()).append('x').append(task.cores()).append(' ');
-        }
-        return out.toString().strip();
+  private String print(List<Task> tasks) {
+    StringBuilder out = new StringBuilder();
+    for (Task task : tasks) {
+      out.append(task.start())
+          .append('+')
+          .append(task.span())
+          .append('x')
+          .append(task.cores())
+          .append(' ');
     }
+    return out.toString().strip();
+  }
 
-    @Test
-    void alibaba() throws IOException {
-        List<Task> tasks = read(Layout.ALIBABA_2018, shard("a.csv", "M1,1,j_1,1,Terminated,10,25,150,0.5\n"
-                + "M2,3,j_1,2,Running,11,0,100,0.3\r\ntask_Lz,,j_2,1,Terminated,12,12,,\n"));
-        assertEquals("100000+150000x1.5 120000+0x1.0", print(tasks));
-        assertEquals(1, tally.skipped(Skip.OTHER_KIND));
-        assertTrue(tasks.get(0).job() != tasks.get(1).job());
-    }
+  @Test
+  void alibaba() throws IOException {
+    List<Task> tasks =
+        read(
+            Layout.ALIBABA_2018,
+            shard(
+                "a.csv",
+                "M1,1,j_1,1,Terminated,10,25,150,0.5\n"
+                    + "M2,3,j_1,2,Running,11,0,100,0.3\r\ntask_Lz,,j_2,1,Terminated,12,12,,\n"));
+    assertEquals("100000+150000x1.5 120000+0x1.0", print(tasks));
+    assertEquals(1, tally.skipped(Skip.OTHER_KIND));
+    assertTrue(tasks.get(0).job() != tasks.get(1).job());
+  }
 
-    @Test
-    void azure() throws IOException {
-        assertEquals("0+36000000x2.0 3000000+3000000x24.0", print(read(Layout.AZURE_2019, shard("v.csv",
-                "vm1,s1,d1,0,3600,99,3,40,Interactive,2,4\n\"vm2\",s1,d1,300,600,99,3,40,Delay-insensitive,>24,>64\n"))));
-    }
+  @Test
+  void azure() throws IOException {
+    assertEquals(
+        "0+36000000x2.0 3000000+3000000x24.0",
+        print(
+            read(
+                Layout.AZURE_2019,
+                shard(
+                    "v.csv",
+                    "vm1,s1,d1,0,3600,99,3,40,Interactive,2,4\n"
+                        + "\"vm2\",s1,d1,300,600,99,3,40,Delay-insensitive,>24,>64\n"))));
+  }
 
-    @Test
-    void googleJoinsStartsAndEnds() throws IOException {
-        String tail = ",u,0,0,0.5,0.1,0,0\n";
-        List<Task> tasks = read(Layout.GOOGLE_2011, shard("g.csv", "600000000,,1,0,5,0" + tail // submitted
-                + "601000000,,1,0,5,1" + tail + "602000000,,1,1,5,1" + tail + "603000000,,1,2,5,1" + tail
-                + "604000000,,1,1,5,4" + tail // the second ends first
-                + "605000000,,1,0,5,4" + tail + "606000000,,1,2,5,5" + tail // the third is killed
-                + "607000000,,2,0,5,4" + tail // an end with no start
-                + "608000000,,3,0,5,1" + tail // a start with no end
-                + "9223372036854775807,,4,0,5,1" + tail));
-        assertEquals("6020000+20000x8.0 6010000+40000x8.0", print(tasks));
-        assertEquals(4, tally.rowsUsed());
-        assertEquals(2, tally.skipped(Skip.UNPAIRED));
-        assertEquals(4, tally.skipped(Skip.OTHER_KIND));
-    }
+  @Test
+  void googleJoinsStartsAndEnds() throws IOException {
+    String tail = ",u,0,0,0.5,0.1,0,0\n";
+    List<Task> tasks =
+        read(
+            Layout.GOOGLE_2011,
+            shard(
+                "g.csv",
+                "600000000,,1,0,5,0"
+                    + tail // submitted
+                    + "601000000,,1,0,5,1"
+                    + tail
+                    + "602000000,,1,1,5,1"
+                    + tail
+                    + "603000000,,1,2,5,1"
+                    + tail
+                    + "604000000,,1,1,5,4"
+                    + tail // the second ends first
+                    + "605000000,,1,0,5,4"
+                    + tail
+                    + "606000000,,1,2,5,5"
+                    + tail // the third is killed
+                    + "607000000,,2,0,5,4"
+                    + tail // an end with no start
+                    + "608000000,,3,0,5,1"
+                    + tail // a start with no end
+                    + "9223372036854775807,,4,0,5,1"
+                    + tail));
+    assertEquals("6020000+20000x8.0 6010000+40000x8.0", print(tasks));
+    assertEquals(4, tally.rowsUsed());
+    assertEquals(2, tally.skipped(Skip.UNPAIRED));
+    assertEquals(4, tally.skipped(Skip.OTHER_KIND));
+  }
 
-    @Test
-    void aHeaderNamesTheColumnsOfEachShard() throws IOException {
-        Shard one = shard("1.csv", "\ufeffjob;state;begin;finish;cpu;team\nj;done;5;9;200;a\nj;lost;5;9;200;a\n");
-        Shard two = shard("2.csv", "finish;begin;job;\"state\";team;cpu\n20;15;k;done;b;50\n");
-        assertEquals("50+40x2.0 150+50x0.5", print(read(OWN, one, two)));
-        IOException missing = assertThrows(IOException.class, () -> read(OWN, shard("3.csv", "job;begin\n")));
-        assertEquals("3.csv: no column 'finish' in the header", missing.getMessage());
-    }
+  @Test
+  void aHeaderNamesTheColumnsOfEachShard() throws IOException {
+    Shard one =
+        shard(
+            "1.csv", "\ufeffjob;state;begin;finish;cpu;team\nj;done;5;9;200;a\nj;lost;5;9;200;a\n");
+    Shard two = shard("2.csv", "finish;begin;job;\"state\";team;cpu\n20;15;k;done;b;50\n");
+    assertEquals("50+40x2.0 150+50x0.5", print(read(OWN, one, two)));
+    IOException missing =
+        assertThrows(IOException.class, () -> read(OWN, shard("3.csv", "job;begin\n")));
+    assertEquals("3.csv: no column 'finish' in the header", missing.getMessage());
+  }
 
-    /** Each kind of malformed row, alone between two good ones, which are both used. */
-    @Test
-    void everyKindOfBadRow() throws IOException {
-        String good = "a,1,j,1,Terminated,1,2,100,0.5\n";
-        StringBuilder found = new StringBuilder();
-        Map<String, byte[]> rows = new java.util.LinkedHashMap<>();
-        for (String row : List.of("a,1,j,1,Terminated,1,2,100", "a,1,j,1,Terminated,1,2,100,0.5,x",
-                "\"a,1,j,1,Terminated,1,2,100,0.5", "a,1,j,1,Terminated,soon,2,100,0.5", "a,1,j,1,Terminated,0x1p3,2,1,1",
-                "a,1,j,1,Terminated,99999999999999999999999,2,100,0.5", "a,1,j,1,Terminated,-1,2,100,0.5",
-                "a,1,j,1,Terminated,5,2,100,0.5", "a,1,j,1,Terminated,1,2,1e99,0.5", "a,1,j,1,Terminated,1,2,-5,0.5",
-                "a,1,j,1,Terminated,1,2,NaN,0.5", "a,1,j,1,Terminated,1,2,100," + "9".repeat(70_000),
-                "a,1,j,1,Terminated,1,2,100,\0", "a,1,j,1,Terminated,1e400,2,100,0.5")) {
-            rows.put(row, row.getBytes(StandardCharsets.UTF_8));
-        }
-        rows.put("broken text", new byte[] {'a', (byte) 0xc3, ',', '1'});
-        rows.forEach((row, bytes) -> {
-            try {
-                ByteArrayOutputStream file = new ByteArrayOutputStream();
-                file.writeBytes(good.getBytes(StandardCharsets.UTF_8));
-                file.writeBytes(bytes);
-                file.writeBytes(("\n" + good).getBytes(StandardCharsets.UTF_8));
-                Tally one = new Tally();
-                try (TaskReader reader = new TaskReader(Layout.ALIBABA_2018, List.of(shard("b.csv", file.toByteArray())),
-                        List.of(List.of()), one)) {
-                    while (reader.next() != null) {
-                        assertTrue(one.rowsUsed() <= 2);
-                    }
-                }
-                assertEquals(2, one.rowsUsed(), row);
-                assertEquals(1, one.bad(), row);
-                Skip cause = Arrays.stream(Skip.values()).filter(skip -> one.skipped(skip) == 1).findFirst().orElseThrow();
-                found.append(cause.word()).append(' ').append(one.places(cause)).append('\n');
-            } catch (IOException e) {
-                throw new java.io.UncheckedIOException(e);
+  /** Each kind of malformed row, alone between two good ones, which are both used. */
+  @Test
+  void everyKindOfBadRow() throws IOException {
+    String good = "a,1,j,1,Terminated,1,2,100,0.5\n";
+    StringBuilder found = new StringBuilder();
+    Map<String, byte[]> rows = new java.util.LinkedHashMap<>();
+    for (String row :
+        List.of(
+            "a,1,j,1,Terminated,1,2,100",
+            "a,1,j,1,Terminated,1,2,100,0.5,x",
+            "\"a,1,j,1,Terminated,1,2,100,0.5",
+            "a,1,j,1,Terminated,soon,2,100,0.5",
+            "a,1,j,1,Terminated,0x1p3,2,1,1",
+            "a,1,j,1,Terminated,99999999999999999999999,2,100,0.5",
+            "a,1,j,1,Terminated,-1,2,100,0.5",
+            "a,1,j,1,Terminated,5,2,100,0.5",
+            "a,1,j,1,Terminated,1,2,1e99,0.5",
+            "a,1,j,1,Terminated,1,2,-5,0.5",
+            "a,1,j,1,Terminated,1,2,NaN,0.5",
+            "a,1,j,1,Terminated,1,2,100," + "9".repeat(70_000),
+            "a,1,j,1,Terminated,1,2,100,\0",
+            "a,1,j,1,Terminated,1e400,2,100,0.5")) {
+      rows.put(row, row.getBytes(StandardCharsets.UTF_8));
+    }
+    rows.put("broken text", new byte[] {'a', (byte) 0xc3, ',', '1'});
+    rows.forEach(
+        (row, bytes) -> {
+          try {
+            ByteArrayOutputStream file = new ByteArrayOutputStream();
+            file.writeBytes(good.getBytes(StandardCharsets.UTF_8));
+            file.writeBytes(bytes);
+            file.writeBytes(("\n" + good).getBytes(StandardCharsets.UTF_8));
+            Tally one = new Tally();
+            try (TaskReader reader =
+                new TaskReader(
+                    Layout.ALIBABA_2018,
+                    List.of(shard("b.csv", file.toByteArray())),
+                    List.of(List.of()),
+                    one)) {
+              while (reader.next() != null) {
+                assertTrue(one.rowsUsed() <= 2);
+              }
             }
+            assertEquals(2, one.rowsUsed(), row);
+            assertEquals(1, one.bad(), row);
+            Skip cause =
+                Arrays.stream(Skip.values())
+                    .filter(skip -> one.skipped(skip) == 1)
+                    .findFirst()
+                    .orElseThrow();
+            found.append(cause.word()).append(' ').append(one.places(cause)).append('\n');
+          } catch (IOException e) {
+            throw new java.io.UncheckedIOException(e);
+          }
         });
-        assertEquals("""
-                too_few_columns [b.csv:2]
-                too_many_columns [b.csv:2]
-                quote_open [b.csv:2]
-                not_a_number [b.csv:2]
-                not_a_number [b.csv:2]
-                out_of_range [b.csv:2]
-                out_of_range [b.csv:2]
-                ends_before_start [b.csv:2]
-                out_of_range [b.csv:2]
-                out_of_range [b.csv:2]
-                not_a_number [b.csv:2]
-                line_too_long [b.csv:2]
-                nul [b.csv:2]
-                not_a_number [b.csv:2]
-                broken_utf8 [b.csv:2]
-                """, found.toString());
-    }
+    assertEquals(
+        """
+        too_few_columns [b.csv:2]
+        too_many_columns [b.csv:2]
+        quote_open [b.csv:2]
+        not_a_number [b.csv:2]
+        not_a_number [b.csv:2]
+        out_of_range [b.csv:2]
+        out_of_range [b.csv:2]
+        ends_before_start [b.csv:2]
+        out_of_range [b.csv:2]
+        out_of_range [b.csv:2]
+        not_a_number [b.csv:2]
+        line_too_long [b.csv:2]
+        nul [b.csv:2]
+        not_a_number [b.csv:2]
+        broken_utf8 [b.csv:2]
+        """,
+        found.toString());
+  }
 
-    @Test
-    void shardsThatBreakOffCostOnlyWhatIsMissing() throws IOException {
-        String good = "a,1,j,1,Terminated,1,2,100,0.5\n";
-        ByteArrayOutputStream packed = new ByteArrayOutputStream();
-        try (OutputStream out = new GZIPOutputStream(packed)) {
-            out.write(good.repeat(5000).getBytes(StandardCharsets.UTF_8));
-        }
-        byte[] cut = Arrays.copyOf(packed.toByteArray(), packed.size() - 12);
-        List<Task> tasks = read(Layout.ALIBABA_2018, shard("cut.csv.gz", cut), shard("empty.csv", ""), shard("z.csv", good));
-        assertEquals(1, tally.skipped(Skip.CUT_OFF));
-        assertEquals(tally.rowsRead() - 1, tasks.size());
-        assertTrue(tasks.size() > 1000, "what came before the cut is used, and the shards behind it");
+  @Test
+  void shardsThatBreakOffCostOnlyWhatIsMissing() throws IOException {
+    String good = "a,1,j,1,Terminated,1,2,100,0.5\n";
+    ByteArrayOutputStream packed = new ByteArrayOutputStream();
+    try (OutputStream out = new GZIPOutputStream(packed)) {
+      out.write(good.repeat(5000).getBytes(StandardCharsets.UTF_8));
     }
+    byte[] cut = Arrays.copyOf(packed.toByteArray(), packed.size() - 12);
+    List<Task> tasks =
+        read(
+            Layout.ALIBABA_2018,
+            shard("cut.csv.gz", cut),
+            shard("empty.csv", ""),
+            shard("z.csv", good));
+    assertEquals(1, tally.skipped(Skip.CUT_OFF));
+    assertEquals(tally.rowsRead() - 1, tasks.size());
+    assertTrue(tasks.size() > 1000, "what came before the cut is used, and the shards behind it");
+  }
 
-    @Test
-    void aFileThatShrinksWhileItIsRead() throws IOException {
-        Shard shard = shard("shrinks.csv", "a,1,j,1,Terminated,1,2,100,0.5\n".repeat(20_000));
-        long tasks = 0;
-        try (TaskReader reader = new TaskReader(Layout.ALIBABA_2018, List.of(shard), List.of(List.of()), tally)) {
-            while (reader.next() != null) {
-                if (tasks++ == 0) {
-                    try (var file = java.nio.channels.FileChannel.open(shard.path(), java.nio.file.StandardOpenOption.WRITE)) {
-                        file.truncate(300_010);
-                    }
-                }
-            }
+  @Test
+  void aFileThatShrinksWhileItIsRead() throws IOException {
+    Shard shard = shard("shrinks.csv", "a,1,j,1,Terminated,1,2,100,0.5\n".repeat(20_000));
+    long tasks = 0;
+    try (TaskReader reader =
+        new TaskReader(Layout.ALIBABA_2018, List.of(shard), List.of(List.of()), tally)) {
+      while (reader.next() != null) {
+        if (tasks++ == 0) {
+          try (var file =
+              java.nio.channels.FileChannel.open(
+                  shard.path(), java.nio.file.StandardOpenOption.WRITE)) {
+            file.truncate(300_010);
+          }
         }
-        assertEquals(1, tally.skipped(Skip.CUT_OFF));
-        assertTrue(tasks > 1000 && tasks < 20_000, tasks + " tasks");
-        assertTrue(tally.addsUp());
+      }
     }
+    assertEquals(1, tally.skipped(Skip.CUT_OFF));
+    assertTrue(tasks > 1000 && tasks < 20_000, tasks + " tasks");
+    assertTrue(tally.addsUp());
+  }
 
-    @Test
-    void aLineOfAHundredMegabytesIsOneBadRow() throws IOException {
-        Path file = folder.resolve("long.csv");
-        try (OutputStream out = Files.newOutputStream(file)) {
-            byte[] piece = "x".repeat(1 << 20).getBytes(StandardCharsets.UTF_8);
-            for (int i = 0; i < 100; i++) {
-                out.write(piece);
-            }
-            out.write("\na,1,j,1,Terminated,1,2,100,0.5\n".getBytes(StandardCharsets.UTF_8));
-        }
-        assertEquals(1, read(Layout.ALIBABA_2018, Shard.of(file)).size());
-        assertEquals(1, tally.skipped(Skip.LINE_TOO_LONG));
+  @Test
+  void aLineOfAHundredMegabytesIsOneBadRow() throws IOException {
+    Path file = folder.resolve("long.csv");
+    try (OutputStream out = Files.newOutputStream(file)) {
+      byte[] piece = "x".repeat(1 << 20).getBytes(StandardCharsets.UTF_8);
+      for (int i = 0; i < 100; i++) {
+        out.write(piece);
+      }
+      out.write("\na,1,j,1,Terminated,1,2,100,0.5\n".getBytes(StandardCharsets.UTF_8));
     }
+    assertEquals(1, read(Layout.ALIBABA_2018, Shard.of(file)).size());
+    assertEquals(1, tally.skipped(Skip.LINE_TOO_LONG));
+  }
 
-    /** What a made trace says of itself is what reading it finds. */
-    @Test
-    void whatIsMadeIsFound() throws IOException {
-        for (Layout layout : Layout.KNOWN) {
-            Path file = folder.resolve(layout.name());
-            TraceMaker.Made made;
-            try (TraceMaker maker = new TraceMaker(layout, 11, 0.05, 30_000, Files.newOutputStream(file))) {
-                made = maker.make(4000);
-            }
-            Tally found = new Tally();
-            long tasks = 0;
-            try (TaskReader reader = new TaskReader(layout, List.of(Shard.of(file)), List.of(List.of()), found)) {
-                while (reader.next() != null) {
-                    tasks++;
-                }
-            }
-            assertTrue(found.addsUp(), layout.name());
-            assertEquals(made.rows(), found.rowsRead(), layout.name());
-            assertEquals(made.shuffled(), found.rowsBehind(), layout.name());
-            for (Skip cause : Skip.values()) {
-                assertEquals(made.bad().getOrDefault(cause, 0L), cause.bad ? found.skipped(cause) : 0, layout.name() + cause);
-            }
-            assertEquals(made.tasks(), tasks + found.skipped(Skip.UNPAIRED) / 2, layout.name());
+  /** What a made trace says of itself is what reading it finds. */
+  @Test
+  void whatIsMadeIsFound() throws IOException {
+    for (Layout layout : Layout.KNOWN) {
+      Path file = folder.resolve(layout.name());
+      TraceMaker.Made made;
+      try (TraceMaker maker =
+          new TraceMaker(layout, 11, 0.05, 30_000, Files.newOutputStream(file))) {
+        made = maker.make(4000);
+      }
+      Tally found = new Tally();
+      long tasks = 0;
+      try (TaskReader reader =
+          new TaskReader(layout, List.of(Shard.of(file)), List.of(List.of()), found)) {
+        while (reader.next() != null) {
+          tasks++;
         }
+      }
+      assertTrue(found.addsUp(), layout.name());
+      assertEquals(made.rows(), found.rowsRead(), layout.name());
+      assertEquals(made.shuffled(), found.rowsBehind(), layout.name());
+      for (Skip cause : Skip.values()) {
+        assertEquals(
+            made.bad().getOrDefault(cause, 0L),
+            cause.bad ? found.skipped(cause) : 0,
+            layout.name() + cause);
+      }
+      assertEquals(made.tasks(), tasks + found.skipped(Skip.UNPAIRED) / 2, layout.name());
     }
+  }
 
-    @Test
-    void theSameSeedMakesTheSameTrace() throws IOException {
-        byte[][] files = new byte[2][];
-        for (int i = 0; i < 2; i++) {
-            ByteArrayOutputStream out = new ByteArrayOutputStream();
-            try (TraceMaker maker = new TraceMaker(Layout.GOOGLE_2011, 5, 0.1, 10_000, out)) {
-                maker.make(1000);
-            }
-            files[i] = out.toByteArray();
-        }
-        assertTrue(Arrays.equals(files[0], files[1]));
+  @Test
+  void theSameSeedMakesTheSameTrace() throws IOException {
+    byte[][] files = new byte[2][];
+    for (int i = 0; i < 2; i++) {
+      ByteArrayOutputStream out = new ByteArrayOutputStream();
+      try (TraceMaker maker = new TraceMaker(Layout.GOOGLE_2011, 5, 0.1, 10_000, out)) {
+        maker.make(1000);
+      }
+      files[i] = out.toByteArray();
     }
+    assertTrue(Arrays.equals(files[0], files[1]));
+  }
 }
