--- a/Makefile
+++ b/Makefile
@@ -1,10 +1,10 @@
-# make demo | build | tools | storm | soak | bench | classes | test | lint | run; run takes CONFIG=path, by default the example's.
+# make demo | build | tools | fault-injection | soak | bench | classes | test | lint | run; run takes CONFIG=path, by default the example's.
 CONFIG ?= examples/configuration.json
 RUN = $(shell sed -n 's/^run = "\([^"]*\)".*/\1/p' deploy/balancer.toml)
 BUILD = $(shell sed -n 's/^build = "\([^"]*\)".*/\1/p' deploy/balancer.toml)
 POLICY = $(shell sed -n 's/^policy = \[\(.*\)\].*/\1/p' deploy/balancer.toml | tr -d '",')
 
-.PHONY: members-tables demo build tools storm soak bench classes test lint run
+.PHONY: members-tables demo build tools fault-injection soak bench classes test lint run
 build:
 	$(BUILD)
 
@@ -16,19 +16,19 @@
 	bin/tillerlink demo
 
 # Faults over several processes of the program on loopback, drawn from SEED, for MINUTES: ends with 0 only if nothing broke.
-# ONCE=1 plays only the one seed, as a storm that found something has told it.
+# ONCE=1 plays only the one seed, as a run that found something has told it.
 SEED ?= 1
 MINUTES ?= 5
-storm: tools
-	java -Dtillerlink.invariants=true -cp storm/target/classes:tools/target/tillerlink-tools.jar \
-	    tillerlink.storm.Storm $(SEED) $(MINUTES) $(if $(ONCE),once)
+fault-injection: tools
+	java -Dtillerlink.invariants=true -cp faultinjection/target/classes:tools/target/tillerlink-tools.jar \
+	    tillerlink.faultinjection.FaultInjectionRunner $(SEED) $(MINUTES) $(if $(ONCE),once)
 
 # Overlapping faults over many real processes, drawn from SEED, judged from outside by the seven rules; docs/soak.md.
 # ONCE=1 plays only the one seed, as a soak that found something has told it.
 PROCESSES ?= 12
 soak: tools
-	java -cp storm/target/classes:tools/target/tillerlink-tools.jar \
-	    tillerlink.storm.soak.Soak $(SEED) $(MINUTES) $(PROCESSES) $(if $(ONCE),once)
+	java -cp faultinjection/target/classes:tools/target/tillerlink-tools.jar \
+	    tillerlink.faultinjection.soak.Soak $(SEED) $(MINUTES) $(PROCESSES) $(if $(ONCE),once)
 
 # Data structures made for the job against plain ones; FOR=Name plays one of them.
 bench:
--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import tillerlink.channels.agree.Agreement;
+import tillerlink.channels.consensus.Agreement;
 import tillerlink.channels.cue.Cue;
 import tillerlink.channels.entry.Appended;
 import tillerlink.channels.entry.Draft;
@@ -21,6 +21,11 @@
 import tillerlink.channels.sync.Fetcher;
 import tillerlink.channels.sync.Server;
 import tillerlink.channels.sync.Wire;
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.Keep;
+import tillerlink.cluster.Part;
+import tillerlink.cluster.Post;
+import tillerlink.cluster.Roster;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.channels.ChannelsCodec;
 import tillerlink.messages.channels.ChannelsMessage;
@@ -35,11 +40,6 @@
 import tillerlink.messages.channels.Cut;
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.Span;
-import tillerlink.peers.Invariant;
-import tillerlink.peers.Keep;
-import tillerlink.peers.Part;
-import tillerlink.peers.Post;
-import tillerlink.peers.Roster;
 
 /**
  * The logs of all channels at one gateway. Takes appends at any time, also cut off, and gives a log
--- a/channels/src/main/java/tillerlink/channels/Writer.java
+++ b/channels/src/main/java/tillerlink/channels/Writer.java
@@ -13,11 +13,11 @@
 import tillerlink.channels.quota.Room;
 import tillerlink.channels.recovery.Store;
 import tillerlink.channels.sync.Wire;
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.Roster;
 import tillerlink.messages.channels.ChannelsMessage.Piece;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Entry;
-import tillerlink.peers.Invariant;
-import tillerlink.peers.Roster;
 
 /** Writes this gateway's own events: what clients append, each answered once it is kept. */
 final class Writer {
--- a/channels/src/main/java/tillerlink/channels/agree/Agreement.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/Agreement.java
@@ -1,4 +1,4 @@
-package tillerlink.channels.agree;
+package tillerlink.channels.consensus;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,6 +14,7 @@
 import tillerlink.channels.sync.Fetcher;
 import tillerlink.channels.sync.Server;
 import tillerlink.channels.sync.Wire;
+import tillerlink.cluster.Reach;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.channels.Ballot;
 import tillerlink.messages.channels.ChannelsMessage;
@@ -27,7 +28,6 @@
 import tillerlink.messages.channels.ChannelsMessage.Prepare;
 import tillerlink.messages.channels.ChannelsMessage.Promise;
 import tillerlink.messages.channels.Cut;
-import tillerlink.peers.Reach;
 
 /** One gateway's part in the agreed line: votes, and proposes when it is its turn. */
 public final class Agreement {
--- a/channels/src/main/java/tillerlink/channels/epoch/Voting.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/Voting.java
@@ -2,13 +2,13 @@
 
 import java.util.Map;
 import java.util.TreeMap;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.channels.Ballot;
 import tillerlink.messages.channels.Cut;
 import tillerlink.messages.channels.EntryCodec;
-import tillerlink.peers.Invariant;
 
 /**
  * What a gateway has promised and accepted on the agreed line. All of it is kept before it is said.
--- a/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
+++ b/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
@@ -9,9 +9,9 @@
 import java.util.TreeSet;
 import tillerlink.channels.cue.Book;
 import tillerlink.channels.cue.Cue;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Entry;
-import tillerlink.peers.Invariant;
 
 /**
  * One channel: what was compacted as a sum, the stable events after it, and the provisional tail.
--- a/channels/src/main/java/tillerlink/channels/journal/Journal.java
+++ b/channels/src/main/java/tillerlink/channels/journal/Journal.java
@@ -9,11 +9,11 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import tillerlink.channels.cue.Book;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.channels.Cut;
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.EntryCodec;
 import tillerlink.messages.channels.Span;
-import tillerlink.peers.Invariant;
 
 /**
  * The set of events held, and their order: step by step as agreed, within a step and after the last
--- a/channels/src/main/java/tillerlink/channels/recovery/Store.java
+++ b/channels/src/main/java/tillerlink/channels/recovery/Store.java
@@ -7,13 +7,13 @@
 import java.util.NavigableMap;
 import tillerlink.channels.journal.Journal;
 import tillerlink.channels.journal.Sum;
+import tillerlink.cluster.Keep;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.channels.Cut;
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.EntryCodec;
-import tillerlink.peers.Keep;
 
 /**
  * What a gateway keeps, by name: {@code e/INCARNATION/SEQUENCE} events, {@code k/STEP} agreed
--- a/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
@@ -6,6 +6,7 @@
 import java.util.TreeMap;
 import tillerlink.channels.journal.Holdings;
 import tillerlink.channels.journal.Journal;
+import tillerlink.cluster.Post;
 import tillerlink.messages.channels.ChannelsMessage.CutsWanted;
 import tillerlink.messages.channels.ChannelsMessage.Piece;
 import tillerlink.messages.channels.ChannelsMessage.Report;
@@ -14,7 +15,6 @@
 import tillerlink.messages.channels.ChannelsMessage.Want;
 import tillerlink.messages.channels.Cut;
 import tillerlink.messages.channels.Span;
-import tillerlink.peers.Post;
 
 /**
  * Gets what is missing here: asks each gateway that has it for a bounded amount, and for each event
--- a/channels/src/main/java/tillerlink/channels/sync/Server.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Server.java
@@ -4,6 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 import tillerlink.channels.journal.Journal;
+import tillerlink.cluster.Post;
 import tillerlink.messages.channels.ChannelsMessage.Cuts;
 import tillerlink.messages.channels.ChannelsMessage.Piece;
 import tillerlink.messages.channels.ChannelsMessage.SumPart;
@@ -13,7 +14,6 @@
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.EntryCodec;
 import tillerlink.messages.channels.Span;
-import tillerlink.peers.Post;
 
 /** Gives others what they ask for, in pieces of the size they ask for. */
 public final class Server {
--- a/channels/src/main/java/tillerlink/channels/sync/Wire.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Wire.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
+import tillerlink.cluster.Post;
+import tillerlink.cluster.Roster;
 import tillerlink.messages.channels.ChannelsCodec;
 import tillerlink.messages.channels.ChannelsMessage;
-import tillerlink.peers.Post;
-import tillerlink.peers.Roster;
 
 /** Sends messages to other gateways, and chooses whom to send what is for all. */
 public final class Wire {
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 import tillerlink.channels.entry.Appended;
 import tillerlink.channels.entry.Draft;
+import tillerlink.cluster.Keep;
+import tillerlink.cluster.Reach;
+import tillerlink.cluster.Roster;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Kind;
-import tillerlink.peers.Keep;
-import tillerlink.peers.Reach;
-import tillerlink.peers.Roster;
-import tillerlink.virtual.Fault;
-import tillerlink.virtual.MemoryKeep;
-import tillerlink.virtual.VirtualFleet;
+import tillerlink.simulation.Fault;
+import tillerlink.simulation.MemoryKeep;
+import tillerlink.simulation.VirtualFleet;
 
 /**
  * Gateways with channels in virtual time, and an audit from outside: it knows what was appended and
--- a/channels/src/test/java/tillerlink/channels/History.java
+++ b/channels/src/test/java/tillerlink/channels/History.java
@@ -7,8 +7,8 @@
 import java.util.TreeSet;
 import tillerlink.channels.entry.Draft;
 import tillerlink.messages.channels.Kind;
-import tillerlink.virtual.Fault;
-import tillerlink.virtual.MemoryKeep;
+import tillerlink.simulation.Fault;
+import tillerlink.simulation.MemoryKeep;
 
 /**
  * One seeded history: three sites with three to six gateways, load and faults, then healing and the
--- a/channels/src/test/java/tillerlink/channels/MergeMeasure.java
+++ b/channels/src/test/java/tillerlink/channels/MergeMeasure.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.EntryCodec;
-import tillerlink.virtual.Fault;
+import tillerlink.simulation.Fault;
 
 /**
  * Measures, outside the tests, what it takes to come together after a cut, in virtual time: run its
--- a/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
+++ b/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
@@ -13,7 +13,7 @@
 import tillerlink.channels.journal.ChannelLog;
 import tillerlink.messages.channels.Ballot;
 import tillerlink.messages.channels.Span;
-import tillerlink.virtual.MemoryKeep;
+import tillerlink.simulation.MemoryKeep;
 
 /** Each check can fail: faults planted in the machines' insides, and what caught them. */
 class PlantedFaultsTest {
--- a/channels/src/test/java/tillerlink/channels/RoomTest.java
+++ b/channels/src/test/java/tillerlink/channels/RoomTest.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import tillerlink.channels.entry.Draft;
+import tillerlink.cluster.Post;
 import tillerlink.messages.channels.Kind;
-import tillerlink.peers.Post;
-import tillerlink.virtual.Fault;
-import tillerlink.virtual.MemoryKeep;
+import tillerlink.simulation.Fault;
+import tillerlink.simulation.MemoryKeep;
 
 /** Compaction, the sum for those far behind, bounds, full disks, links for small messages. */
 class RoomTest {
--- a/channels/src/test/java/tillerlink/channels/ShortHistoriesTest.java
+++ b/channels/src/test/java/tillerlink/channels/ShortHistoriesTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tillerlink.virtual.Seeds;
+import tillerlink.simulation.Seeds;
 
 /**
  * Many short histories: a gateway at each of three sites, three to ten appends, one or two faults,
--- a/channels/src/test/java/tillerlink/channels/StoriesTest.java
+++ b/channels/src/test/java/tillerlink/channels/StoriesTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tillerlink.virtual.MemoryKeep;
+import tillerlink.simulation.MemoryKeep;
 
 /** Hard cases as kept timelines: what was done, and what readers of each gateway were told. */
 class StoriesTest {
@@ -153,7 +153,7 @@
   void twoThatHearEachOtherOnlyThroughTheThird() throws IOException {
     begin();
     say("n1 and s1 no longer hear each other, both hear w1");
-    fleet.net.between("n1", "s1", tillerlink.virtual.Fault.CUT);
+    fleet.net.between("n1", "s1", tillerlink.simulation.Fault.CUT);
     write("n1", "b");
     write("s1", "c");
     write("w1", "d");
--- a/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
+++ b/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
@@ -23,6 +23,7 @@
 import tillerlink.channels.journal.Journal;
 import tillerlink.channels.journal.Placed;
 import tillerlink.channels.journal.Sum;
+import tillerlink.cluster.Keep;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.channels.Ballot;
 import tillerlink.messages.channels.Cut;
@@ -31,7 +32,6 @@
 import tillerlink.messages.channels.EntryCodec;
 import tillerlink.messages.channels.Kind;
 import tillerlink.messages.channels.Span;
-import tillerlink.peers.Keep;
 
 /**
  * Guards what a gateway keeps of its channels: events, agreed steps, promises, its incarnation and
--- a/peers/src/main/java/tillerlink/peers/Invariant.java
+++ b/cluster/src/main/java/tillerlink/cluster/Invariant.java
@@ -1,4 +1,4 @@
-package tillerlink.peers;
+package tillerlink.cluster;
 
 import java.util.function.Supplier;
 
--- a/peers/src/main/java/tillerlink/peers/Part.java
+++ b/cluster/src/main/java/tillerlink/cluster/Part.java
@@ -1,4 +1,4 @@
-package tillerlink.peers;
+package tillerlink.cluster;
 
 /**
  * A part of the state that gateways share: it is fed messages and time, and gives out messages
--- a/peers/src/main/java/tillerlink/peers/Post.java
+++ b/cluster/src/main/java/tillerlink/cluster/Post.java
@@ -1,4 +1,4 @@
-package tillerlink.peers;
+package tillerlink.cluster;
 
 /**
  * Sends a message to another gateway. It may be lost, late, repeated or overtaken by later ones,
--- a/peers/src/main/java/tillerlink/peers/Reach.java
+++ b/cluster/src/main/java/tillerlink/cluster/Reach.java
@@ -1,4 +1,4 @@
-package tillerlink.peers;
+package tillerlink.cluster;
 
 /** How another member of the fleet stands, as this gateway knows it. */
 public enum Reach {
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.Results;
+import tillerlink.fakes.Says;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Kind;
 import tillerlink.fleet.Spec;
 import tillerlink.net.state.Break;
-import tillerlink.standin.EngineCommands.Command;
-import tillerlink.standin.Results;
-import tillerlink.standin.Says;
 
 /**
  * One engine process: it runs what it is sent on shared cores, tells now and then how far it is,
--- a/emulator/src/main/java/tillerlink/emulator/HopWatch.java
+++ b/emulator/src/main/java/tillerlink/emulator/HopWatch.java
@@ -4,8 +4,8 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import tillerlink.audit.Auditor;
-import tillerlink.standin.EngineCommands.Command;
-import tillerlink.standin.Says;
+import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.Says;
 
 /** Tells the auditor of the hops on one connection, from what crosses it. */
 public final class HopWatch {
--- a/emulator/src/main/java/tillerlink/emulator/Link.java
+++ b/emulator/src/main/java/tillerlink/emulator/Link.java
@@ -3,12 +3,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
+import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.EngineSide;
+import tillerlink.fakes.Says;
 import tillerlink.fleet.Kind;
 import tillerlink.net.state.Break;
 import tillerlink.net.state.Pipe;
-import tillerlink.standin.EngineCommands.Command;
-import tillerlink.standin.EngineSide;
-import tillerlink.standin.Says;
 
 /**
  * A connection from a gateway to an engine: bytes take a while, in order; a machine that is silent
--- a/emulator/src/main/java/tillerlink/emulator/Peer.java
+++ b/emulator/src/main/java/tillerlink/emulator/Peer.java
@@ -1,7 +1,7 @@
 package tillerlink.emulator;
 
+import tillerlink.fakes.Says;
 import tillerlink.net.state.Break;
-import tillerlink.standin.Says;
 
 /** A connection as an engine sees it. */
 public interface Peer {
--- a/emulator/src/main/java/tillerlink/emulator/Seat.java
+++ b/emulator/src/main/java/tillerlink/emulator/Seat.java
@@ -7,6 +7,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Function;
+import tillerlink.fakes.NameAnswer;
 import tillerlink.model.Engine;
 import tillerlink.net.state.Driver;
 import tillerlink.net.state.Gateway;
@@ -14,7 +15,6 @@
 import tillerlink.net.state.Side;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.port.SteeringFactory;
-import tillerlink.standin.NameAnswer;
 import tillerlink.telemetry.Telemetry;
 
 /**
--- a/emulator/src/main/java/tillerlink/emulator/World.java
+++ b/emulator/src/main/java/tillerlink/emulator/World.java
@@ -13,6 +13,8 @@
 import java.util.function.IntConsumer;
 import java.util.function.IntFunction;
 import tillerlink.audit.Auditor;
+import tillerlink.fakes.EngineSide;
+import tillerlink.fakes.NameAnswer;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Spec;
 import tillerlink.fleet.Trouble;
@@ -21,8 +23,6 @@
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
 import tillerlink.port.SteeringFactory;
-import tillerlink.standin.EngineSide;
-import tillerlink.standin.NameAnswer;
 import tillerlink.workload.Track;
 
 /**
--- a/blind/src/main/java/tillerlink/blind/Memory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/Memory.java
@@ -1,4 +1,4 @@
-package tillerlink.blind;
+package tillerlink.endpointcache;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/blind/src/main/java/tillerlink/blind/Remembering.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/Remembering.java
@@ -1,4 +1,4 @@
-package tillerlink.blind;
+package tillerlink.endpointcache;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/blind/src/main/java/tillerlink/blind/Trust.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/Trust.java
@@ -1,4 +1,4 @@
-package tillerlink.blind;
+package tillerlink.endpointcache;
 
 /**
  * How far a remembered list is trusted, by its age and by how fast the fleet was seen to change. It
--- a/blind/src/test/java/tillerlink/blind/MemoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/MemoryTest.java
@@ -1,4 +1,4 @@
-package tillerlink.blind;
+package tillerlink.endpointcache;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/standin/src/main/java/tillerlink/standin/H2Side.java
+++ b/fakes/src/main/java/tillerlink/fakes/H2Side.java
@@ -1,4 +1,4 @@
-package tillerlink.standin;
+package tillerlink.fakes;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.ByteBuffer;
@@ -14,13 +14,13 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http2.hpack.HPackDecoder;
 import org.apache.hc.core5.http2.hpack.HPackException;
+import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.EngineCommands.Word;
 import tillerlink.net.http2.ConnectionFault;
 import tillerlink.net.http2.ErrorCode;
 import tillerlink.net.http2.Frame;
 import tillerlink.net.http2.FrameReader;
 import tillerlink.net.http2.FrameWriter;
-import tillerlink.standin.EngineCommands.Command;
-import tillerlink.standin.EngineCommands.Word;
 
 /**
  * A stand-in engine's side of HTTP/2, worded as docs/http2-wire.md says; tests make it misbehave.
--- a/standin/src/main/java/tillerlink/standin/Results.java
+++ b/fakes/src/main/java/tillerlink/fakes/Results.java
@@ -1,4 +1,4 @@
-package tillerlink.standin;
+package tillerlink.fakes;
 
 import java.nio.charset.StandardCharsets;
 
--- a/standin/src/test/java/tillerlink/standin/StandInsTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
@@ -1,4 +1,4 @@
-package tillerlink.standin;
+package tillerlink.fakes;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/storm/src/main/java/tillerlink/storm/Storm.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/Storm.java
@@ -1,4 +1,4 @@
-package tillerlink.storm;
+package tillerlink.faultinjection;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -12,14 +12,14 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
-import tillerlink.storm.audit.Breach;
-import tillerlink.storm.audit.Rule;
-import tillerlink.storm.play.Cutter;
-import tillerlink.storm.play.Play;
-import tillerlink.storm.play.Played;
-import tillerlink.storm.play.Schedule;
-import tillerlink.storm.play.Step;
-import tillerlink.storm.process.Plan;
+import tillerlink.faultinjection.audit.Breach;
+import tillerlink.faultinjection.audit.Rule;
+import tillerlink.faultinjection.play.Cutter;
+import tillerlink.faultinjection.play.Play;
+import tillerlink.faultinjection.play.Played;
+import tillerlink.faultinjection.play.Schedule;
+import tillerlink.faultinjection.play.Step;
+import tillerlink.faultinjection.process.Plan;
 
 /**
  * Plays random schedules of faults over processes of the program for some minutes. It ends with 0
@@ -53,13 +53,13 @@
   public static void main(String[] args) throws IOException {
     if (args.length < 2) {
       System.err.println(
-          "storm SEED MINUTES, or storm SEED 0 once for one play of a seed that a storm has told");
+          "SEED MINUTES, or SEED 0 once for one play of a seed that an earlier run has named");
       System.exit(2);
     }
     Storm storm =
         new Storm(
-            Files.createTempDirectory("storm"),
-            Plan.Shared.valueOf(System.getProperty("storm.parts", "STATEMENTS")),
+            Files.createTempDirectory("fault-injection"),
+            Plan.Shared.valueOf(System.getProperty("faultinjection.parts", "STATEMENTS")),
             System.out);
     boolean quiet = storm.go(Long.parseLong(args[0]), Double.parseDouble(args[1]), args.length > 2);
     System.exit(quiet ? 0 : 1);
--- a/storm/src/main/java/tillerlink/storm/audit/Breach.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Breach.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.audit;
+package tillerlink.faultinjection.audit;
 
 /** What did not hold, in words. */
 public record Breach(Rule rule, String words) {
--- a/storm/src/main/java/tillerlink/storm/audit/LogLine.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/LogLine.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.audit;
+package tillerlink.faultinjection.audit;
 
 /**
  * An entry of a channel's log as a gateway told it.
--- a/storm/src/main/java/tillerlink/storm/audit/Rule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Rule.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.audit;
+package tillerlink.faultinjection.audit;
 
 /** What must hold, as clients and engines see it from outside. */
 public enum Rule {
--- a/storm/src/main/java/tillerlink/storm/audit/Submissions.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Submissions.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.audit;
+package tillerlink.faultinjection.audit;
 
 import java.util.HashMap;
 import java.util.Map;
--- a/storm/src/main/java/tillerlink/storm/client/Channels.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/Channels.java
@@ -1,11 +1,11 @@
-package tillerlink.storm.client;
+package tillerlink.faultinjection.client;
 
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tillerlink.storm.audit.LogLine;
+import tillerlink.faultinjection.audit.LogLine;
 
 /** The logs of channels as a client of one gateway uses them. */
 public final class Channels {
--- a/storm/src/main/java/tillerlink/storm/client/HttpDoor.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpDoor.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.client;
+package tillerlink.faultinjection.client;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
@@ -11,8 +11,8 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Map;
+import tillerlink.fakes.HttpAnswers;
 import tillerlink.plain.Json;
-import tillerlink.standin.HttpAnswers;
 
 /**
  * A client of one gateway. Each question has a connection of its own, so that no answer hangs on an
--- a/storm/src/main/java/tillerlink/storm/client/Members.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/Members.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.client;
+package tillerlink.faultinjection.client;
 
 import java.io.IOException;
 import java.util.List;
--- a/storm/src/main/java/tillerlink/storm/engine/EngineStandIn.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/EngineStandIn.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.engine;
+package tillerlink.faultinjection.engine;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -11,8 +11,8 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BiConsumer;
-import tillerlink.standin.EngineCommands;
-import tillerlink.standin.EngineCommands.Command;
+import tillerlink.fakes.EngineCommands;
+import tillerlink.fakes.EngineCommands.Command;
 
 /**
  * An engine of a few lines: it answers every statement with one row, the statement itself, and
--- a/storm/src/main/java/tillerlink/storm/engine/NamesStandIn.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/NamesStandIn.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.engine;
+package tillerlink.faultinjection.engine;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -8,9 +8,9 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import tillerlink.fakes.NameAnswer;
 import tillerlink.model.Engine;
 import tillerlink.net.wire.EngineEntry;
-import tillerlink.standin.NameAnswer;
 
 /**
  * The name service of one gateway: engines e1, e2, ... at the ports at which that gateway reaches
--- a/storm/src/main/java/tillerlink/storm/fabric/Door.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Door.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.fabric;
+package tillerlink.faultinjection.fabric;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/storm/src/main/java/tillerlink/storm/fabric/Fate.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Fate.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.fabric;
+package tillerlink.faultinjection.fabric;
 
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
--- a/storm/src/main/java/tillerlink/storm/fabric/Fault.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Fault.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.fabric;
+package tillerlink.faultinjection.fabric;
 
 /**
  * How the way from one process to another behaves. Chances are from 0 to 1, times tenths of a
--- a/storm/src/main/java/tillerlink/storm/fabric/Way.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Way.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.fabric;
+package tillerlink.faultinjection.fabric;
 
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
--- a/storm/src/main/java/tillerlink/storm/rig/Rig.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/Rig.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.rig;
+package tillerlink.faultinjection.harness;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -10,16 +10,16 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
-import tillerlink.standin.EngineCommands.Command;
-import tillerlink.storm.client.HttpDoor;
-import tillerlink.storm.engine.EngineStandIn;
-import tillerlink.storm.engine.NamesStandIn;
-import tillerlink.storm.fabric.Door;
-import tillerlink.storm.fabric.Fabric;
-import tillerlink.storm.fabric.Fault;
-import tillerlink.storm.process.GatewayProcess;
-import tillerlink.storm.process.Plan;
-import tillerlink.storm.process.Ports;
+import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.faultinjection.client.HttpDoor;
+import tillerlink.faultinjection.engine.EngineStandIn;
+import tillerlink.faultinjection.engine.NamesStandIn;
+import tillerlink.faultinjection.fabric.Door;
+import tillerlink.faultinjection.fabric.Fabric;
+import tillerlink.faultinjection.fabric.Fault;
+import tillerlink.faultinjection.process.GatewayProcess;
+import tillerlink.faultinjection.process.Plan;
+import tillerlink.faultinjection.process.Ports;
 
 /**
  * A fleet of gateways n0, n1, ... as processes, engines e1, e2, ... behind them, and the fabric
--- a/storm/src/main/java/tillerlink/storm/rig/Timeline.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/Timeline.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.rig;
+package tillerlink.faultinjection.harness;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/storm/src/main/java/tillerlink/storm/play/ChannelLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/ChannelLoad.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import java.io.IOException;
 import java.util.HashMap;
@@ -7,12 +7,12 @@
 import java.util.TreeMap;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.random.RandomGenerator;
-import tillerlink.storm.audit.Audit;
-import tillerlink.storm.audit.LogLine;
-import tillerlink.storm.audit.Rule;
-import tillerlink.storm.client.Channels;
-import tillerlink.storm.rig.Lives;
-import tillerlink.storm.rig.Rig;
+import tillerlink.faultinjection.audit.Audit;
+import tillerlink.faultinjection.audit.LogLine;
+import tillerlink.faultinjection.audit.Rule;
+import tillerlink.faultinjection.client.Channels;
+import tillerlink.faultinjection.harness.Lives;
+import tillerlink.faultinjection.harness.Rig;
 
 /**
  * Operators who write cues, corrections and retractions to two channels, each at one gateway, and
--- a/storm/src/main/java/tillerlink/storm/play/Doing.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Doing.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import java.io.IOException;
 import java.util.ArrayList;
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import tillerlink.storm.fabric.Door;
-import tillerlink.storm.process.GatewayProcess;
-import tillerlink.storm.rig.Rig;
+import tillerlink.faultinjection.fabric.Door;
+import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.process.GatewayProcess;
 
 /** Brings a schedule's faults about, and takes them back. */
 final class Doing {
--- a/storm/src/main/java/tillerlink/storm/play/Load.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Load.java
@@ -1,12 +1,12 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import java.io.IOException;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.BooleanSupplier;
 import java.util.random.RandomGenerator;
-import tillerlink.storm.audit.Audit;
-import tillerlink.storm.rig.Rig;
+import tillerlink.faultinjection.audit.Audit;
+import tillerlink.faultinjection.harness.Rig;
 
 /** What clients do meanwhile: one of them for each gateway, each with a seed of its own. */
 abstract class Load {
--- a/storm/src/main/java/tillerlink/storm/play/Play.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Play.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -6,13 +6,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import tillerlink.storm.audit.Audit;
-import tillerlink.storm.audit.Breach;
-import tillerlink.storm.audit.Rule;
-import tillerlink.storm.client.Members;
-import tillerlink.storm.process.Plan;
-import tillerlink.storm.rig.Lives;
-import tillerlink.storm.rig.Rig;
+import tillerlink.faultinjection.audit.Audit;
+import tillerlink.faultinjection.audit.Breach;
+import tillerlink.faultinjection.audit.Rule;
+import tillerlink.faultinjection.client.Members;
+import tillerlink.faultinjection.harness.Lives;
+import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.process.Plan;
 
 /** Plays one schedule over processes, with load, and audits it. */
 public final class Play {
--- a/storm/src/main/java/tillerlink/storm/play/Played.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Played.java
@@ -1,8 +1,8 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import java.util.List;
 import java.util.Map;
-import tillerlink.storm.audit.Breach;
+import tillerlink.faultinjection.audit.Breach;
 
 /** What came of one play. */
 public record Played(
--- a/storm/src/main/java/tillerlink/storm/play/Schedule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Schedule.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/storm/src/main/java/tillerlink/storm/play/StatementLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/StatementLoad.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import java.io.IOException;
 import java.util.List;
@@ -10,12 +10,12 @@
 import java.util.random.RandomGenerator;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import tillerlink.standin.EngineCommands.Command;
-import tillerlink.storm.audit.Audit;
-import tillerlink.storm.audit.Rule;
-import tillerlink.storm.client.HttpDoor;
-import tillerlink.storm.client.Statements;
-import tillerlink.storm.rig.Rig;
+import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.faultinjection.audit.Audit;
+import tillerlink.faultinjection.audit.Rule;
+import tillerlink.faultinjection.client.HttpDoor;
+import tillerlink.faultinjection.client.Statements;
+import tillerlink.faultinjection.harness.Rig;
 
 /**
  * Statements that are prepared at one gateway and run at all, while the schemas of their groups
--- a/storm/src/main/java/tillerlink/storm/play/SubmissionLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/SubmissionLoad.java
@@ -1,12 +1,12 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import java.io.IOException;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.random.RandomGenerator;
-import tillerlink.storm.audit.Audit;
-import tillerlink.storm.audit.Rule;
-import tillerlink.storm.client.HttpDoor;
-import tillerlink.storm.rig.Rig;
+import tillerlink.faultinjection.audit.Audit;
+import tillerlink.faultinjection.audit.Rule;
+import tillerlink.faultinjection.client.HttpDoor;
+import tillerlink.faultinjection.harness.Rig;
 
 /** Plain submissions, half of them effectful. */
 final class SubmissionLoad extends Load {
--- a/storm/src/main/java/tillerlink/storm/play/Ways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Ways.java
@@ -1,9 +1,9 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import java.util.Collection;
 import java.util.List;
-import tillerlink.storm.fabric.Fabric;
-import tillerlink.storm.fabric.Fault;
+import tillerlink.faultinjection.fabric.Fabric;
+import tillerlink.faultinjection.fabric.Fault;
 
 /** What several faults at once make of each ordered pair's way. */
 final class Ways {
--- a/storm/src/main/java/tillerlink/storm/process/GatewayProcess.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewayProcess.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.process;
+package tillerlink.faultinjection.process;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/storm/src/main/java/tillerlink/storm/process/Papers.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/Papers.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.process;
+package tillerlink.faultinjection.process;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/storm/src/main/java/tillerlink/storm/soak/Soak.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/Soak.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
-import tillerlink.storm.play.Cutter;
+import tillerlink.faultinjection.play.Cutter;
 
 /**
  * Plays random schedules of overlapping faults over real gateway processes for some minutes, judged
--- a/storm/src/main/java/tillerlink/storm/soak/SoakBreach.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakBreach.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 /** A rule that did not hold, and what was seen. */
 public record SoakBreach(SoakRule rule, String words) {
--- a/storm/src/main/java/tillerlink/storm/soak/SoakClock.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakClock.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 /**
  * The one clock of a run, in milliseconds since its start, and how far the rig itself was behind:
--- a/storm/src/main/java/tillerlink/storm/soak/SoakEngines.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -20,8 +20,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import tillerlink.standin.EngineCommands;
-import tillerlink.standin.EngineCommands.Command;
+import tillerlink.fakes.EngineCommands;
+import tillerlink.fakes.EngineCommands.Command;
 
 /**
  * The engines of a soak, each with a port for every gateway, so that what comes tells whose it is.
--- a/storm/src/main/java/tillerlink/storm/soak/SoakGateways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -10,10 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Collectors;
+import tillerlink.faultinjection.client.HttpDoor;
+import tillerlink.faultinjection.process.ControlledProcess;
+import tillerlink.faultinjection.process.Ports;
 import tillerlink.net.wire.EngineEntry;
-import tillerlink.storm.client.HttpDoor;
-import tillerlink.storm.process.ControlledProcess;
-import tillerlink.storm.process.Ports;
 
 /**
  * The gateways of a soak as processes, started as the platform starts them, with their
--- a/storm/src/main/java/tillerlink/storm/soak/SoakLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 import java.io.IOException;
 import java.io.InputStream;
@@ -14,8 +14,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
-import tillerlink.standin.HttpAnswers;
-import tillerlink.storm.soak.SoakTerms.Track;
+import tillerlink.fakes.HttpAnswers;
+import tillerlink.faultinjection.soak.SoakTerms.Track;
 
 /**
  * The clients of a soak: usual ones, and such that leave, pipeline, write slowly, rest, or come all
--- a/storm/src/main/java/tillerlink/storm/soak/SoakNames.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakNames.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -17,9 +17,9 @@
 import java.util.TreeMap;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
+import tillerlink.fakes.NameAnswer;
 import tillerlink.model.Engine;
 import tillerlink.net.wire.EngineEntry;
-import tillerlink.standin.NameAnswer;
 
 /**
  * The name service of all gateways: one list with numbered events, and a way to each gateway with
--- a/storm/src/main/java/tillerlink/storm/soak/SoakOracle.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakOracle.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tillerlink.storm.soak.SoakTerms.Track;
+import tillerlink.faultinjection.soak.SoakTerms.Track;
 
 /**
  * Judges the rules by what clients, engines and the name service saw, and by nothing that a gateway
--- a/storm/src/main/java/tillerlink/storm/soak/SoakPlay.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakPlay.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/storm/src/main/java/tillerlink/storm/soak/SoakRule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRule.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 /** The rules that a soak judges, as clients, engines and the name service see them from outside. */
 public enum SoakRule {
--- a/storm/src/test/java/tillerlink/storm/audit/AuditTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/audit/AuditTest.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.audit;
+package tillerlink.faultinjection.audit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
--- a/storm/src/test/java/tillerlink/storm/fabric/FabricTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/fabric/FabricTest.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.fabric;
+package tillerlink.faultinjection.fabric;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/storm/src/test/java/tillerlink/storm/play/CutterTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/play/CutterTest.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.play;
+package tillerlink.faultinjection.play;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/storm/src/test/java/tillerlink/storm/soak/SoakOracleTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakOracleTest.java
@@ -1,14 +1,14 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.Set;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
-import tillerlink.storm.soak.SoakOracle.Answer;
-import tillerlink.storm.soak.SoakOracle.Attempt;
-import tillerlink.storm.soak.SoakOracle.End;
-import tillerlink.storm.soak.SoakTerms.Track;
+import tillerlink.faultinjection.soak.SoakOracle.Answer;
+import tillerlink.faultinjection.soak.SoakOracle.Attempt;
+import tillerlink.faultinjection.soak.SoakOracle.End;
+import tillerlink.faultinjection.soak.SoakTerms.Track;
 
 /** A fault is planted for each rule, and just that rule is found broken. Times are milliseconds. */
 class SoakOracleTest {
--- a/storm/src/test/java/tillerlink/storm/soak/SoakTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakTest.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.soak;
+package tillerlink.faultinjection.soak;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/storm/src/test/java/tillerlink/storm/story/AllAtOnceStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/AllAtOnceStoryTest.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.story;
+package tillerlink.faultinjection.story;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.storm.play.Play;
-import tillerlink.storm.play.Played;
-import tillerlink.storm.play.Schedule;
-import tillerlink.storm.play.Step;
-import tillerlink.storm.process.Plan;
+import tillerlink.faultinjection.play.Play;
+import tillerlink.faultinjection.play.Played;
+import tillerlink.faultinjection.play.Schedule;
+import tillerlink.faultinjection.play.Step;
+import tillerlink.faultinjection.process.Plan;
 
 /**
  * All three parts with load at every gateway: a partition, within which one is stopped and another
--- a/storm/src/test/java/tillerlink/storm/story/ChannelStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/ChannelStoryTest.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.story;
+package tillerlink.faultinjection.story;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -13,13 +13,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestInfo;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.storm.audit.Audit;
-import tillerlink.storm.audit.LogLine;
-import tillerlink.storm.client.Channels;
-import tillerlink.storm.process.GatewayProcess;
-import tillerlink.storm.process.Plan;
-import tillerlink.storm.rig.Lives;
-import tillerlink.storm.rig.Rig;
+import tillerlink.faultinjection.audit.Audit;
+import tillerlink.faultinjection.audit.LogLine;
+import tillerlink.faultinjection.client.Channels;
+import tillerlink.faultinjection.harness.Lives;
+import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.process.GatewayProcess;
+import tillerlink.faultinjection.process.Plan;
 
 /** Logs of channels: three processes at three sites, each story on a channel of its own. */
 class ChannelStoryTest {
--- a/storm/src/test/java/tillerlink/storm/story/MembersStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/MembersStoryTest.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.story;
+package tillerlink.faultinjection.story;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -8,9 +8,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.storm.fabric.Fault;
-import tillerlink.storm.process.Plan;
-import tillerlink.storm.rig.Rig;
+import tillerlink.faultinjection.fabric.Fault;
+import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.process.Plan;
 
 /** Who is there: three processes, and what befalls one or a way between two. */
 class MembersStoryTest {
--- a/storm/src/test/java/tillerlink/storm/story/StatementStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/StatementStoryTest.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.story;
+package tillerlink.faultinjection.story;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -22,11 +22,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestInfo;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.storm.audit.Audit;
-import tillerlink.storm.client.HttpDoor;
-import tillerlink.storm.client.Statements;
-import tillerlink.storm.process.Plan;
-import tillerlink.storm.rig.Rig;
+import tillerlink.faultinjection.audit.Audit;
+import tillerlink.faultinjection.client.HttpDoor;
+import tillerlink.faultinjection.client.Statements;
+import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.process.Plan;
 
 /**
  * Prepared statements while a schema changes: three processes, all of them voters; each story has a
--- a/storm/src/test/java/tillerlink/storm/story/SubmissionStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/SubmissionStoryTest.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.story;
+package tillerlink.faultinjection.story;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,9 +6,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.storm.audit.Audit;
-import tillerlink.storm.process.Plan;
-import tillerlink.storm.rig.Rig;
+import tillerlink.faultinjection.audit.Audit;
+import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.process.Plan;
 
 /** Guards the rig itself: a gateway alone carries submissions to engines and ends in peace. */
 class SubmissionStoryTest {
--- a/storm/src/test/java/tillerlink/storm/story/Told.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/Told.java
@@ -1,4 +1,4 @@
-package tillerlink.storm.story;
+package tillerlink.faultinjection.story;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,9 +8,9 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import tillerlink.storm.client.Members;
-import tillerlink.storm.rig.Rig;
-import tillerlink.storm.rig.Timeline;
+import tillerlink.faultinjection.client.Members;
+import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.Timeline;
 
 /** A story as it is told: what is done to a rig, and what its gateways then say. */
 final class Told {
--- a/fleet/src/main/java/tillerlink/fleet/Kind.java
+++ b/fleet/src/main/java/tillerlink/fleet/Kind.java
@@ -1,7 +1,7 @@
 package tillerlink.fleet;
 
-import tillerlink.standin.EngineSide;
-import tillerlink.standin.H2Side;
+import tillerlink.fakes.EngineSide;
+import tillerlink.fakes.H2Side;
 
 /** A kind of engine; memory is megabytes. */
 public record Kind(String name, int cores, double memory, boolean http2) {
--- a/gateway/src/main/java/tillerlink/Main.java
+++ b/gateway/src/main/java/tillerlink/Main.java
@@ -1,7 +1,7 @@
 package tillerlink;
 
 import java.io.IOException;
-import tillerlink.net.life.Node;
+import tillerlink.net.lifecycle.Node;
 import tillerlink.wirehost.MalformedWireException;
 import tillerlink.wirehost.WireHost;
 
--- a/gateway/src/main/java/tillerlink/net/life/Shutdown.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/Shutdown.java
@@ -1,4 +1,4 @@
-package tillerlink.net.life;
+package tillerlink.net.lifecycle;
 
 import tillerlink.net.state.Gateway;
 import tillerlink.plain.Units;
--- a/gateway/src/main/java/tillerlink/net/life/Turns.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/Turns.java
@@ -1,4 +1,4 @@
-package tillerlink.net.life;
+package tillerlink.net.lifecycle;
 
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.LinkedBlockingQueue;
--- a/gateway/src/main/java/tillerlink/net/life/Watch.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/Watch.java
@@ -1,4 +1,4 @@
-package tillerlink.net.life;
+package tillerlink.net.lifecycle;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/gateway/src/test/java/tillerlink/net/life/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -1,4 +1,4 @@
-package tillerlink.net.life;
+package tillerlink.net.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import tillerlink.Lists;
-import tillerlink.net.life.Loopback.Peer;
+import tillerlink.net.lifecycle.Loopback.Peer;
 
 /**
  * What is still owed at the instant in which something ends, on real connections; docs/endings.md
--- a/gateway/src/test/java/tillerlink/net/life/ProcessTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
@@ -1,4 +1,4 @@
-package tillerlink.net.life;
+package tillerlink.net.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.net.life.Loopback.Peer;
+import tillerlink.net.lifecycle.Loopback.Peer;
 
 /**
  * A whole process, told to end while something is owed or short of what it needs; what is said
--- a/gateway/src/test/java/tillerlink/net/life/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -1,4 +1,4 @@
-package tillerlink.net.life;
+package tillerlink.net.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.net.life.Loopback.Peer;
+import tillerlink.net.lifecycle.Loopback.Peer;
 
 /**
  * Guards the drain where the process itself can't have heard of it: it started slowly, stood still,
--- a/gateway/src/test/java/tillerlink/net/life/StandInEngine.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StandInEngine.java
@@ -1,4 +1,4 @@
-package tillerlink.net.life;
+package tillerlink.net.lifecycle;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.util.ArrayList;
 import java.util.List;
-import tillerlink.net.life.Loopback.Peer;
+import tillerlink.net.lifecycle.Loopback.Peer;
 
 /** An engine that answers each attempt at once with no rows, and notes when attempts came. */
 final class StandInEngine implements Closeable {
--- a/gateway/src/test/java/tillerlink/net/life/StandInNames.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StandInNames.java
@@ -1,4 +1,4 @@
-package tillerlink.net.life;
+package tillerlink.net.lifecycle;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/gateway/src/test/java/tillerlink/net/life/TurnsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/TurnsTest.java
@@ -1,4 +1,4 @@
-package tillerlink.net.life;
+package tillerlink.net.lifecycle;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/rig/src/main/java/tillerlink/rig/Buffers.java
+++ b/harness/src/main/java/tillerlink/harness/Buffers.java
@@ -1,4 +1,4 @@
-package tillerlink.rig;
+package tillerlink.harness;
 
 import org.apache.mina.core.buffer.IoBuffer;
 
--- a/rig/src/main/java/tillerlink/rig/EngineSockets.java
+++ b/harness/src/main/java/tillerlink/harness/EngineSockets.java
@@ -1,4 +1,4 @@
-package tillerlink.rig;
+package tillerlink.harness;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -22,10 +22,10 @@
 import tillerlink.emulator.HopWatch;
 import tillerlink.emulator.Peer;
 import tillerlink.emulator.World;
+import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.EngineSide;
+import tillerlink.fakes.Says;
 import tillerlink.net.state.Break;
-import tillerlink.standin.EngineCommands.Command;
-import tillerlink.standin.EngineSide;
-import tillerlink.standin.Says;
 
 /**
  * Stand-in engines on loopback: the emulated ones, behind sockets. Each gateway reaches each engine
--- a/rig/src/main/java/tillerlink/rig/GatewayProcess.java
+++ b/harness/src/main/java/tillerlink/harness/GatewayProcess.java
@@ -1,4 +1,4 @@
-package tillerlink.rig;
+package tillerlink.harness;
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
--- a/rig/src/main/java/tillerlink/rig/NameSockets.java
+++ b/harness/src/main/java/tillerlink/harness/NameSockets.java
@@ -1,4 +1,4 @@
-package tillerlink.rig;
+package tillerlink.harness;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/rig/src/main/java/tillerlink/rig/Rig.java
+++ b/harness/src/main/java/tillerlink/harness/Rig.java
@@ -1,4 +1,4 @@
-package tillerlink.rig;
+package tillerlink.harness;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -16,9 +16,10 @@
 import org.HdrHistogram.Histogram;
 import tillerlink.audit.Auditor;
 import tillerlink.emulator.World;
+import tillerlink.fakes.NameAnswer;
 import tillerlink.fleet.Kind;
 import tillerlink.model.Engine;
-import tillerlink.net.life.WallClock;
+import tillerlink.net.lifecycle.WallClock;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.replay.Arrivals;
 import tillerlink.replay.Figures;
@@ -26,7 +27,6 @@
 import tillerlink.replay.Job;
 import tillerlink.replay.Played;
 import tillerlink.replay.Wording;
-import tillerlink.standin.NameAnswer;
 import tillerlink.workload.Arrival;
 
 /**
@@ -67,7 +67,7 @@
     world.onEngine(engines::open);
     listed = world.list();
     names = new NameSockets(count, queue::add, this::answer);
-    folder = Files.createTempDirectory("tillerlink-rig-");
+    folder = Files.createTempDirectory("tillerlink-harness-");
     InetSocketAddress[] at = new InetSocketAddress[count];
     gateways = new GatewayProcess[count];
     for (int i = 0; i < count; i++) {
--- a/members/src/main/java/tillerlink/members/Asking.java
+++ b/members/src/main/java/tillerlink/members/Asking.java
@@ -3,6 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import tillerlink.cluster.Reach;
 import tillerlink.members.probe.Health;
 import tillerlink.members.probe.Probes;
 import tillerlink.members.probe.Relays;
@@ -13,7 +14,6 @@
 import tillerlink.messages.members.MemberMessage;
 import tillerlink.messages.members.Rumour;
 import tillerlink.messages.members.Standing;
-import tillerlink.peers.Reach;
 
 /** Whom this process asks, and what it makes of silence. */
 final class Asking implements Probes.Steps {
--- a/members/src/main/java/tillerlink/members/Core.java
+++ b/members/src/main/java/tillerlink/members/Core.java
@@ -3,22 +3,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.Post;
+import tillerlink.members.config.Lines;
+import tillerlink.members.config.Periods;
+import tillerlink.members.config.Watcher;
+import tillerlink.members.config.Wire;
 import tillerlink.members.gossip.Rumours;
-import tillerlink.members.own.Own;
+import tillerlink.members.local.Own;
 import tillerlink.members.state.Entry;
 import tillerlink.members.state.Table;
-import tillerlink.members.terms.Lines;
-import tillerlink.members.terms.Periods;
-import tillerlink.members.terms.Watcher;
-import tillerlink.members.terms.Wire;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.Doubt;
 import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.MemberMessage;
 import tillerlink.messages.members.Rumour;
 import tillerlink.messages.members.Standing;
-import tillerlink.peers.Invariant;
-import tillerlink.peers.Post;
 
 /** What asking and hearing share: who is known, what is news, how it is said. */
 final class Core {
--- a/members/src/main/java/tillerlink/members/Hearing.java
+++ b/members/src/main/java/tillerlink/members/Hearing.java
@@ -1,19 +1,19 @@
 package tillerlink.members;
 
 import java.util.List;
-import tillerlink.members.digest.Digests;
-import tillerlink.members.own.Own;
+import tillerlink.cluster.Reach;
+import tillerlink.members.antientropy.Digests;
+import tillerlink.members.config.Lines;
+import tillerlink.members.local.Own;
 import tillerlink.members.probe.Relays;
 import tillerlink.members.probe.Try;
 import tillerlink.members.state.Entry;
 import tillerlink.members.state.Table;
-import tillerlink.members.terms.Lines;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.Doubt;
 import tillerlink.messages.members.MemberMessage;
 import tillerlink.messages.members.Rumour;
 import tillerlink.messages.members.Standing;
-import tillerlink.peers.Reach;
 
 /** What this process makes of the messages of others. */
 final class Hearing {
--- a/members/src/main/java/tillerlink/members/Makers.java
+++ b/members/src/main/java/tillerlink/members/Makers.java
@@ -1,9 +1,9 @@
 package tillerlink.members;
 
+import tillerlink.members.config.Periods;
 import tillerlink.members.gossip.Rumours;
-import tillerlink.members.own.Own;
+import tillerlink.members.local.Own;
 import tillerlink.members.state.Table;
-import tillerlink.members.terms.Periods;
 
 /** Makes the parts that members are put together of. Tests plant faults by making others. */
 class Makers {
--- a/members/src/main/java/tillerlink/members/Members.java
+++ b/members/src/main/java/tillerlink/members/Members.java
@@ -3,22 +3,22 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import tillerlink.members.digest.Digests;
+import tillerlink.cluster.Part;
+import tillerlink.cluster.Reach;
+import tillerlink.cluster.Roster;
+import tillerlink.members.antientropy.Digests;
+import tillerlink.members.config.Lines;
+import tillerlink.members.config.Periods;
+import tillerlink.members.config.Watcher;
+import tillerlink.members.config.Wire;
 import tillerlink.members.probe.Relays;
 import tillerlink.members.state.Entry;
-import tillerlink.members.terms.Lines;
-import tillerlink.members.terms.Periods;
-import tillerlink.members.terms.Watcher;
-import tillerlink.members.terms.Wire;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.Doubt;
 import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.MemberMessage;
 import tillerlink.messages.members.Rumour;
-import tillerlink.peers.Part;
-import tillerlink.peers.Reach;
-import tillerlink.peers.Roster;
 
 /**
  * Who takes part in a fleet of gateways, as one of them knows it. See {@code docs/members.md} and
--- a/members/src/main/java/tillerlink/members/digest/Digests.java
+++ b/members/src/main/java/tillerlink/members/antientropy/Digests.java
@@ -1,4 +1,4 @@
-package tillerlink.members.digest;
+package tillerlink.members.antientropy;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,11 +6,11 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.MemberMessage;
 import tillerlink.messages.members.Rumour;
-import tillerlink.peers.Invariant;
 
 /**
  * Comparing all that two members know: a sum for each bucket of names, then listings of the buckets
--- a/members/src/main/java/tillerlink/members/terms/Lines.java
+++ b/members/src/main/java/tillerlink/members/config/Lines.java
@@ -1,4 +1,4 @@
-package tillerlink.members.terms;
+package tillerlink.members.config;
 
 import java.util.EnumMap;
 import java.util.Map;
--- a/members/src/main/java/tillerlink/members/terms/Periods.java
+++ b/members/src/main/java/tillerlink/members/config/Periods.java
@@ -1,4 +1,4 @@
-package tillerlink.members.terms;
+package tillerlink.members.config;
 
 /**
  * All times and bounds of membership. Times are tenths of a millisecond.
--- a/members/src/main/java/tillerlink/members/terms/Watcher.java
+++ b/members/src/main/java/tillerlink/members/config/Watcher.java
@@ -1,6 +1,6 @@
-package tillerlink.members.terms;
+package tillerlink.members.config;
 
-import tillerlink.peers.Reach;
+import tillerlink.cluster.Reach;
 
 /**
  * Is told, in the turn in which it happens, what changes among the members. It must not call back
--- a/members/src/main/java/tillerlink/members/terms/Wire.java
+++ b/members/src/main/java/tillerlink/members/config/Wire.java
@@ -1,4 +1,4 @@
-package tillerlink.members.terms;
+package tillerlink.members.config;
 
 /**
  * Sends to an address, since a seed's name is not known before it answered. What is sent may be
--- a/members/src/main/java/tillerlink/members/gossip/Rumours.java
+++ b/members/src/main/java/tillerlink/members/gossip/Rumours.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.function.BiFunction;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.Rumour;
-import tillerlink.peers.Invariant;
 
 /**
  * News to be told on: at most one of each member, those sent least often first. What it says is
--- a/members/src/main/java/tillerlink/members/own/Own.java
+++ b/members/src/main/java/tillerlink/members/local/Own.java
@@ -1,8 +1,8 @@
-package tillerlink.members.own;
+package tillerlink.members.local;
 
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.Standing;
-import tillerlink.peers.Invariant;
 
 /**
  * This process's own life. Whatever is told of the own name that stands above it, or says that it
--- a/members/src/main/java/tillerlink/members/probe/Health.java
+++ b/members/src/main/java/tillerlink/members/probe/Health.java
@@ -1,6 +1,6 @@
 package tillerlink.members.probe;
 
-import tillerlink.peers.Invariant;
+import tillerlink.cluster.Invariant;
 
 /**
  * How well this process itself does, as far as it can tell: answers that stay out though others get
--- a/members/src/main/java/tillerlink/members/probe/Probes.java
+++ b/members/src/main/java/tillerlink/members/probe/Probes.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.random.RandomGenerator;
-import tillerlink.members.terms.Periods;
+import tillerlink.cluster.Invariant;
+import tillerlink.members.config.Periods;
 import tillerlink.messages.members.Doubt;
-import tillerlink.peers.Invariant;
 
 /**
  * Questions under way. A member is asked with news, then bare (a link may carry small messages
--- a/members/src/main/java/tillerlink/members/state/Entry.java
+++ b/members/src/main/java/tillerlink/members/state/Entry.java
@@ -1,11 +1,11 @@
 package tillerlink.members.state;
 
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.Reach;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.Doubt;
 import tillerlink.messages.members.Rumour;
 import tillerlink.messages.members.Standing;
-import tillerlink.peers.Invariant;
-import tillerlink.peers.Reach;
 
 /** One other member, as this process knows it. Only {@link Table} changes what is told on. */
 public final class Entry {
--- a/members/src/main/java/tillerlink/members/state/Suspicion.java
+++ b/members/src/main/java/tillerlink/members/state/Suspicion.java
@@ -2,7 +2,7 @@
 
 import java.util.Set;
 import java.util.TreeSet;
-import tillerlink.peers.Invariant;
+import tillerlink.cluster.Invariant;
 
 /**
  * How long a member is suspected before it is given up: the longest time if one accuses it alone,
--- a/members/src/main/java/tillerlink/members/state/Table.java
+++ b/members/src/main/java/tillerlink/members/state/Table.java
@@ -10,13 +10,13 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import tillerlink.members.terms.Periods;
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.Reach;
+import tillerlink.members.config.Periods;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.Rumour;
 import tillerlink.messages.members.Standing;
-import tillerlink.peers.Invariant;
-import tillerlink.peers.Reach;
 
 /**
  * All others that are known. Bounded: so many that take part, and as many again that are gone or
--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -12,11 +12,12 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import tillerlink.members.own.Own;
+import tillerlink.cluster.Reach;
+import tillerlink.members.config.Periods;
+import tillerlink.members.config.Watcher;
+import tillerlink.members.local.Own;
 import tillerlink.members.state.Table;
 import tillerlink.members.state.Table.Outcome;
-import tillerlink.members.terms.Periods;
-import tillerlink.members.terms.Watcher;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.Doubt;
@@ -24,7 +25,6 @@
 import tillerlink.messages.members.MemberMessage;
 import tillerlink.messages.members.Rumour;
 import tillerlink.messages.members.Standing;
-import tillerlink.peers.Reach;
 
 /** What is bounded, what is refused, what is forgotten. */
 class BoundsTest {
--- a/members/src/test/java/tillerlink/members/HistoriesTest.java
+++ b/members/src/test/java/tillerlink/members/HistoriesTest.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import tillerlink.members.terms.Periods;
-import tillerlink.peers.Reach;
-import tillerlink.virtual.Fault;
+import tillerlink.cluster.Reach;
+import tillerlink.members.config.Periods;
+import tillerlink.simulation.Fault;
 
 /** Seeded random histories in virtual time: whatever happens, all agree once it has stopped. */
 class HistoriesTest {
--- a/members/src/test/java/tillerlink/members/LargeFleetsTest.java
+++ b/members/src/test/java/tillerlink/members/LargeFleetsTest.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import tillerlink.members.terms.Periods;
-import tillerlink.peers.Reach;
+import tillerlink.cluster.Reach;
+import tillerlink.members.config.Periods;
 
 /** Fleets of 30, 120 and 1,000: all know all, one dies, all learn it, nobody else is given up. */
 class LargeFleetsTest {
--- a/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
+++ b/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
@@ -10,15 +10,15 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import tillerlink.members.digest.Digests;
-import tillerlink.members.own.Own;
-import tillerlink.members.terms.Periods;
-import tillerlink.members.terms.Watcher;
+import tillerlink.cluster.Reach;
+import tillerlink.members.antientropy.Digests;
+import tillerlink.members.config.Periods;
+import tillerlink.members.config.Watcher;
+import tillerlink.members.local.Own;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.Rumour;
 import tillerlink.messages.members.Standing;
-import tillerlink.peers.Reach;
 
 /**
  * Guards what members of two releases must agree on beyond the bytes of their messages: the sums of
--- a/members/src/test/java/tillerlink/members/MembersTest.java
+++ b/members/src/test/java/tillerlink/members/MembersTest.java
@@ -5,9 +5,9 @@
 
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import tillerlink.members.terms.Periods;
-import tillerlink.peers.Reach;
-import tillerlink.virtual.Fault;
+import tillerlink.cluster.Reach;
+import tillerlink.members.config.Periods;
+import tillerlink.simulation.Fault;
 
 /** Members in virtual time. */
 class MembersTest {
--- a/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
+++ b/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.Reach;
+import tillerlink.members.config.Periods;
 import tillerlink.members.gossip.Rumours;
-import tillerlink.members.own.Own;
+import tillerlink.members.local.Own;
 import tillerlink.members.state.FaultyTable;
 import tillerlink.members.state.Table;
-import tillerlink.members.terms.Periods;
 import tillerlink.messages.members.Rumour;
 import tillerlink.messages.members.Standing;
-import tillerlink.peers.Invariant;
-import tillerlink.peers.Reach;
-import tillerlink.virtual.Fault;
+import tillerlink.simulation.Fault;
 
 /**
  * Faults planted in members: what catches each, an invariant inside the code or the look from
--- a/members/src/test/java/tillerlink/members/Play.java
+++ b/members/src/test/java/tillerlink/members/Play.java
@@ -8,11 +8,11 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import tillerlink.members.terms.Periods;
-import tillerlink.members.terms.Watcher;
-import tillerlink.peers.Part;
-import tillerlink.peers.Reach;
-import tillerlink.virtual.VirtualFleet;
+import tillerlink.cluster.Part;
+import tillerlink.cluster.Reach;
+import tillerlink.members.config.Periods;
+import tillerlink.members.config.Watcher;
+import tillerlink.simulation.VirtualFleet;
 
 /**
  * A fleet of members in virtual time. Hosts stand under their addresses; a member's name goes on
--- a/members/src/test/java/tillerlink/members/ShortHistoriesTest.java
+++ b/members/src/test/java/tillerlink/members/ShortHistoriesTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import tillerlink.members.terms.Periods;
-import tillerlink.virtual.Seeds;
+import tillerlink.members.config.Periods;
+import tillerlink.simulation.Seeds;
 
 /**
  * Many short histories: three to five members, one to three things befall them, then it is calm and
--- a/members/src/test/java/tillerlink/members/TimelinesTest.java
+++ b/members/src/test/java/tillerlink/members/TimelinesTest.java
@@ -14,9 +14,9 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import tillerlink.members.terms.Periods;
-import tillerlink.peers.Reach;
-import tillerlink.virtual.Fault;
+import tillerlink.cluster.Reach;
+import tillerlink.members.config.Periods;
+import tillerlink.simulation.Fault;
 
 /** Hard cases as timelines to be read: who took whom for what, compared with the kept ones. */
 class TimelinesTest {
--- a/members/src/test/java/tillerlink/members/measure/Heartbeats.java
+++ b/members/src/test/java/tillerlink/members/measure/Heartbeats.java
@@ -3,10 +3,10 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
+import tillerlink.cluster.Part;
 import tillerlink.members.Play;
-import tillerlink.peers.Part;
-import tillerlink.virtual.Fault;
-import tillerlink.virtual.VirtualFleet;
+import tillerlink.simulation.Fault;
+import tillerlink.simulation.VirtualFleet;
 
 /**
  * All-to-all heartbeats, with a fixed time or with an accrual detector (phi of the gaps seen, taken
--- a/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
+++ b/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
@@ -7,10 +7,10 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
+import tillerlink.cluster.Reach;
 import tillerlink.members.Play;
-import tillerlink.members.terms.Periods;
-import tillerlink.peers.Reach;
-import tillerlink.virtual.Fault;
+import tillerlink.members.config.Periods;
+import tillerlink.simulation.Fault;
 
 /**
  * The tables of the design note, from virtual time: {@code make members-tables}. Not part of the
--- a/members/src/test/java/tillerlink/members/measure/Memory.java
+++ b/members/src/test/java/tillerlink/members/measure/Memory.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import tillerlink.members.Identity;
 import tillerlink.members.Members;
-import tillerlink.members.terms.Periods;
+import tillerlink.members.config.Periods;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.Doubt;
 import tillerlink.messages.members.MemberCodec;
--- a/members/src/test/java/tillerlink/members/state/FaultyTable.java
+++ b/members/src/test/java/tillerlink/members/state/FaultyTable.java
@@ -1,6 +1,6 @@
 package tillerlink.members.state;
 
-import tillerlink.members.terms.Periods;
+import tillerlink.members.config.Periods;
 import tillerlink.messages.members.Card;
 import tillerlink.messages.members.Rumour;
 import tillerlink.messages.members.Standing;
--- a/peering/src/main/java/tillerlink/peering/Journal.java
+++ b/peering/src/main/java/tillerlink/peering/Journal.java
@@ -4,8 +4,8 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tillerlink.members.terms.Watcher;
-import tillerlink.peers.Reach;
+import tillerlink.cluster.Reach;
+import tillerlink.members.config.Watcher;
 
 /**
  * Logs what changes among the members. Guards the log against a network that makes hundreds come
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -10,9 +10,12 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.Keep;
+import tillerlink.cluster.Post;
 import tillerlink.members.Identity;
 import tillerlink.members.Members;
-import tillerlink.members.terms.Periods;
+import tillerlink.members.config.Periods;
 import tillerlink.messages.envelope.Envelope;
 import tillerlink.messages.envelope.EnvelopeCodec;
 import tillerlink.messages.envelope.Inbox;
@@ -23,17 +26,14 @@
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
+import tillerlink.peering.component.Attached;
+import tillerlink.peering.component.Attaching;
+import tillerlink.peering.component.Ground;
 import tillerlink.peering.io.Datagrams;
-import tillerlink.peering.keep.DiskKeep;
-import tillerlink.peering.keep.NoKeep;
-import tillerlink.peering.keep.Share;
 import tillerlink.peering.members.MembersDoor;
-import tillerlink.peering.part.Attached;
-import tillerlink.peering.part.Attaching;
-import tillerlink.peering.part.Ground;
-import tillerlink.peers.Invariant;
-import tillerlink.peers.Keep;
-import tillerlink.peers.Post;
+import tillerlink.peering.storage.DiskKeep;
+import tillerlink.peering.storage.NoKeep;
+import tillerlink.peering.storage.Share;
 
 /**
  * What this gateway shares with others, on its process: feeds members and the other parts with
--- a/peering/src/main/java/tillerlink/peering/Watchdog.java
+++ b/peering/src/main/java/tillerlink/peering/Watchdog.java
@@ -1,7 +1,7 @@
 package tillerlink.peering;
 
 import java.util.function.Supplier;
-import tillerlink.peers.Invariant;
+import tillerlink.cluster.Invariant;
 
 /**
  * Ends the process when a part breaks its own rules: where the invariants are on, one line tells
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsDoor.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsDoor.java
@@ -5,11 +5,11 @@
 import tillerlink.channels.Channels;
 import tillerlink.channels.entry.Appended;
 import tillerlink.channels.entry.Draft;
+import tillerlink.cluster.Part;
 import tillerlink.net.state.Side;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
-import tillerlink.peering.part.Attached;
-import tillerlink.peers.Part;
+import tillerlink.peering.component.Attached;
 
 /**
  * The logs of channels, for clients: {@code POST /v1/channels/NAME}, {@code GET
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsPart.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsPart.java
@@ -4,9 +4,9 @@
 import org.slf4j.LoggerFactory;
 import tillerlink.channels.Channels;
 import tillerlink.channels.Terms;
-import tillerlink.peering.part.Attached;
-import tillerlink.peering.part.Attaching;
-import tillerlink.peering.part.Ground;
+import tillerlink.peering.component.Attached;
+import tillerlink.peering.component.Attaching;
+import tillerlink.peering.component.Ground;
 
 /** The logs of channels on a gateway's process. */
 public final class ChannelsPart implements Attaching {
--- a/peering/src/main/java/tillerlink/peering/part/Attached.java
+++ b/peering/src/main/java/tillerlink/peering/component/Attached.java
@@ -1,8 +1,8 @@
-package tillerlink.peering.part;
+package tillerlink.peering.component;
 
+import tillerlink.cluster.Part;
 import tillerlink.net.state.Side;
 import tillerlink.net.wire.HttpCall;
-import tillerlink.peers.Part;
 
 /**
  * A part of the shared state as it hangs on a gateway's process: its machine, and what clients
--- a/peering/src/main/java/tillerlink/peering/part/Attaching.java
+++ b/peering/src/main/java/tillerlink/peering/component/Attaching.java
@@ -1,4 +1,4 @@
-package tillerlink.peering.part;
+package tillerlink.peering.component;
 
 /** Makes a part when the process starts. */
 public interface Attaching {
--- a/peering/src/main/java/tillerlink/peering/part/Ground.java
+++ b/peering/src/main/java/tillerlink/peering/component/Ground.java
@@ -1,11 +1,11 @@
-package tillerlink.peering.part;
+package tillerlink.peering.component;
 
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
+import tillerlink.cluster.Keep;
+import tillerlink.cluster.Post;
+import tillerlink.cluster.Roster;
 import tillerlink.net.state.Side;
-import tillerlink.peers.Keep;
-import tillerlink.peers.Post;
-import tillerlink.peers.Roster;
 
 /**
  * What a part stands on in a process.
--- a/peering/src/main/java/tillerlink/peering/members/MembersDoor.java
+++ b/peering/src/main/java/tillerlink/peering/members/MembersDoor.java
@@ -6,13 +6,13 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Map;
+import tillerlink.cluster.Part;
 import tillerlink.members.Members;
 import tillerlink.messages.envelope.Refusal;
 import tillerlink.net.state.Side;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
-import tillerlink.peering.part.Attached;
-import tillerlink.peers.Part;
+import tillerlink.peering.component.Attached;
 
 /** Who is there, for operators: {@code GET /v1/members}. */
 public final class MembersDoor implements Attached {
--- a/peering/src/main/java/tillerlink/peering/keep/DiskKeep.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DiskKeep.java
@@ -1,4 +1,4 @@
-package tillerlink.peering.keep;
+package tillerlink.peering.storage;
 
 import java.io.Closeable;
 import java.io.IOException;
@@ -15,7 +15,7 @@
 import java.util.zip.CRC32C;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tillerlink.peers.Keep;
+import tillerlink.cluster.Keep;
 import tillerlink.store.Folder;
 import tillerlink.store.Found;
 import tillerlink.store.Table;
--- a/peering/src/main/java/tillerlink/peering/keep/NoKeep.java
+++ b/peering/src/main/java/tillerlink/peering/storage/NoKeep.java
@@ -1,8 +1,8 @@
-package tillerlink.peering.keep;
+package tillerlink.peering.storage;
 
 import java.util.Collections;
 import java.util.NavigableMap;
-import tillerlink.peers.Keep;
+import tillerlink.cluster.Keep;
 
 /** Where the operator named no folder: nothing is kept, and whoever asks is told so. */
 public final class NoKeep implements Keep {
--- a/peering/src/main/java/tillerlink/peering/keep/Share.java
+++ b/peering/src/main/java/tillerlink/peering/storage/Share.java
@@ -1,9 +1,9 @@
-package tillerlink.peering.keep;
+package tillerlink.peering.storage;
 
 import java.util.Collections;
 import java.util.NavigableMap;
 import java.util.TreeMap;
-import tillerlink.peers.Keep;
+import tillerlink.cluster.Keep;
 
 /** One part's share of what is kept: its names stand behind a prefix, which it does not see. */
 public final class Share implements Keep {
--- a/peering/src/test/java/tillerlink/peering/Echo.java
+++ b/peering/src/test/java/tillerlink/peering/Echo.java
@@ -2,14 +2,14 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.Part;
 import tillerlink.net.state.Side;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
-import tillerlink.peering.part.Attached;
-import tillerlink.peering.part.Attaching;
-import tillerlink.peering.part.Ground;
-import tillerlink.peers.Invariant;
-import tillerlink.peers.Part;
+import tillerlink.peering.component.Attached;
+import tillerlink.peering.component.Attaching;
+import tillerlink.peering.component.Ground;
 
 /**
  * The smallest part there can be: it sends a body to another and back, keeps a text, and breaks
--- a/peering/src/test/java/tillerlink/peering/Gateways.java
+++ b/peering/src/test/java/tillerlink/peering/Gateways.java
@@ -21,7 +21,7 @@
 import java.util.function.Predicate;
 import tillerlink.Policy;
 import tillerlink.channels.Terms;
-import tillerlink.net.life.Node;
+import tillerlink.net.lifecycle.Node;
 import tillerlink.peering.channels.ChannelsPart;
 import tillerlink.peering.statements.StatementsAttaching;
 
--- a/peering/src/test/java/tillerlink/peering/keep/DiskKeepFormatGuardTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeepFormatGuardTest.java
@@ -1,4 +1,4 @@
-package tillerlink.peering.keep;
+package tillerlink.peering.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/peering/src/test/java/tillerlink/peering/keep/DiskKeepTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeepTest.java
@@ -1,4 +1,4 @@
-package tillerlink.peering.keep;
+package tillerlink.peering.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -19,7 +19,7 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.peers.Keep;
+import tillerlink.cluster.Keep;
 
 /** What is kept on disk, by its own thread; a queue stands in for the gateway's turns. */
 class DiskKeepTest {
--- a/peering/src/test/java/tillerlink/peering/keep/PartsFormatGuardTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/PartsFormatGuardTest.java
@@ -1,4 +1,4 @@
-package tillerlink.peering.keep;
+package tillerlink.peering.storage;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -8,10 +8,10 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
+import tillerlink.cluster.Keep;
 import tillerlink.peering.channels.ChannelsPart;
 import tillerlink.peering.members.MembersDoor;
 import tillerlink.peering.statements.StatementsDoor;
-import tillerlink.peers.Keep;
 
 /** Guards the numbers of the parts in datagrams and the names under which each part keeps. */
 class PartsFormatGuardTest {
--- a/peering/src/test/java/tillerlink/peering/together/Host.java
+++ b/peering/src/test/java/tillerlink/peering/together/Host.java
@@ -6,23 +6,23 @@
 import java.util.Random;
 import java.util.Set;
 import tillerlink.channels.Channels;
+import tillerlink.cluster.Keep;
+import tillerlink.cluster.Part;
+import tillerlink.cluster.Post;
+import tillerlink.cluster.Reach;
 import tillerlink.members.Identity;
 import tillerlink.members.Members;
-import tillerlink.members.terms.Periods;
-import tillerlink.members.terms.Watcher;
+import tillerlink.members.config.Periods;
+import tillerlink.members.config.Watcher;
 import tillerlink.messages.MalformedMessageException;
-import tillerlink.peering.keep.Share;
-import tillerlink.peers.Keep;
-import tillerlink.peers.Part;
-import tillerlink.peers.Post;
-import tillerlink.peers.Reach;
+import tillerlink.peering.storage.Share;
+import tillerlink.simulation.MemoryKeep;
+import tillerlink.simulation.VirtualFleet;
 import tillerlink.statements.StatementTerms;
 import tillerlink.statements.Statements;
 import tillerlink.statements.consensus.Terms;
 import tillerlink.statements.lease.LeaseTerms;
 import tillerlink.statements.prepare.Renaming;
-import tillerlink.virtual.MemoryKeep;
-import tillerlink.virtual.VirtualFleet;
 
 /**
  * One gateway with all three parts: a message's first byte says whose it is, and members tell the
--- a/peering/src/test/java/tillerlink/peering/together/Story.java
+++ b/peering/src/test/java/tillerlink/peering/together/Story.java
@@ -10,18 +10,18 @@
 import tillerlink.channels.Page;
 import tillerlink.channels.entry.Appended;
 import tillerlink.channels.entry.Draft;
+import tillerlink.cluster.Reach;
 import tillerlink.messages.channels.Kind;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 import tillerlink.messages.statements.ParameterType;
 import tillerlink.messages.statements.RunEffect;
-import tillerlink.peers.Reach;
+import tillerlink.simulation.Fault;
+import tillerlink.simulation.MemoryKeep;
+import tillerlink.simulation.Seeds;
+import tillerlink.simulation.VirtualFleet;
 import tillerlink.statements.catalog.Snapshots;
 import tillerlink.statements.run.Permission;
-import tillerlink.virtual.Fault;
-import tillerlink.virtual.MemoryKeep;
-import tillerlink.virtual.Seeds;
-import tillerlink.virtual.VirtualFleet;
 
 /**
  * All three parts on the same hosts: load on each, one partition, perhaps a pause or a kill in it;
--- a/peering/src/test/java/tillerlink/peering/together/TogetherTest.java
+++ b/peering/src/test/java/tillerlink/peering/together/TogetherTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import tillerlink.virtual.Seeds;
+import tillerlink.simulation.Seeds;
 
 /** Members, channels and statements on the same hosts under one partition. */
 class TogetherTest {
--- a/replay/src/main/java/tillerlink/replay/Front.java
+++ b/replay/src/main/java/tillerlink/replay/Front.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import tillerlink.audit.Auditor;
 import tillerlink.emulator.World;
-import tillerlink.standin.HttpAnswers;
-import tillerlink.standin.Results;
+import tillerlink.fakes.HttpAnswers;
+import tillerlink.fakes.Results;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.Track;
 
--- a/virtual/src/main/java/tillerlink/virtual/Fault.java
+++ b/simulation/src/main/java/tillerlink/simulation/Fault.java
@@ -1,4 +1,4 @@
-package tillerlink.virtual;
+package tillerlink.simulation;
 
 /**
  * How an ordered pair's link behaves. Chances are from 0 to 1, times tenths of a millisecond.
--- a/virtual/src/main/java/tillerlink/virtual/MemoryKeep.java
+++ b/simulation/src/main/java/tillerlink/simulation/MemoryKeep.java
@@ -1,9 +1,9 @@
-package tillerlink.virtual;
+package tillerlink.simulation;
 
 import java.util.Collections;
 import java.util.NavigableMap;
 import java.util.TreeMap;
-import tillerlink.peers.Keep;
+import tillerlink.cluster.Keep;
 
 /**
  * A disk in virtual time. What was handed over is in doubt until its time has passed: a crash keeps
--- a/virtual/src/main/java/tillerlink/virtual/Seeds.java
+++ b/simulation/src/main/java/tillerlink/simulation/Seeds.java
@@ -1,4 +1,4 @@
-package tillerlink.virtual;
+package tillerlink.simulation;
 
 import java.util.Arrays;
 import java.util.List;
--- a/virtual/src/main/java/tillerlink/virtual/VirtualFleet.java
+++ b/simulation/src/main/java/tillerlink/simulation/VirtualFleet.java
@@ -1,4 +1,4 @@
-package tillerlink.virtual;
+package tillerlink.simulation;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -6,8 +6,8 @@
 import java.util.PriorityQueue;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
-import tillerlink.peers.Part;
-import tillerlink.peers.Post;
+import tillerlink.cluster.Part;
+import tillerlink.cluster.Post;
 
 /**
  * A fleet in virtual time: parts that are fed messages and time, and links between them that
--- a/statements/src/main/java/tillerlink/statements/Duties.java
+++ b/statements/src/main/java/tillerlink/statements/Duties.java
@@ -6,8 +6,8 @@
 import tillerlink.statements.catalog.Catalog;
 import tillerlink.statements.consensus.Consensus;
 import tillerlink.statements.consensus.Voters;
-import tillerlink.statements.plant.Plant;
 import tillerlink.statements.prepare.Preparer;
+import tillerlink.statements.testing.Plant;
 
 /**
  * What the leader of the log does of itself: it lets a change take effect once a majority of the
--- a/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
@@ -8,11 +8,11 @@
 import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Command;
 import tillerlink.messages.statements.Definition;
 import tillerlink.messages.statements.Entry;
-import tillerlink.peers.Invariant;
 
 /**
  * What is prepared, and the schema version of each table group: a pure function of the log. A
--- a/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
@@ -1,10 +1,10 @@
 package tillerlink.statements.consensus;
 
 import java.util.BitSet;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
-import tillerlink.peers.Invariant;
 
 /** The term, and whom this voter gave its vote in it: kept before either is shown. */
 final class Ballot {
--- a/statements/src/main/java/tillerlink/statements/consensus/Consensus.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Consensus.java
@@ -4,6 +4,8 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.Keep;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Command;
 import tillerlink.messages.statements.Entry;
@@ -20,9 +22,7 @@
 import tillerlink.messages.statements.StatementMessage.Seen;
 import tillerlink.messages.statements.StatementMessage.Stage;
 import tillerlink.messages.statements.StatementMessage.Vote;
-import tillerlink.peers.Invariant;
-import tillerlink.peers.Keep;
-import tillerlink.statements.plant.Plant;
+import tillerlink.statements.testing.Plant;
 
 /**
  * One voter of the log: Raft's terms, votes and replication, with a vote asked about before a term
--- a/statements/src/main/java/tillerlink/statements/consensus/Disk.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Disk.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.NavigableMap;
-import tillerlink.peers.Keep;
+import tillerlink.cluster.Keep;
 
 /**
  * The durable table, with what waits for it: nothing that a voter promises is said before it is
--- a/statements/src/main/java/tillerlink/statements/consensus/Identity.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Identity.java
@@ -4,12 +4,12 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.random.RandomGenerator;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Stamp;
 import tillerlink.messages.statements.StatementMessage.Stage;
-import tillerlink.peers.Invariant;
 
 /**
  * Who this voter is to the others: its disk, how often it started on it, and what it knows of the
--- a/statements/src/main/java/tillerlink/statements/consensus/Leading.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Leading.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.function.BiConsumer;
 import tillerlink.messages.statements.StatementMessage.Appended;
-import tillerlink.statements.plant.Plant;
+import tillerlink.statements.testing.Plant;
 
 /** What a leader knows of the others, and what is committed by it. */
 final class Leading {
--- a/statements/src/main/java/tillerlink/statements/consensus/Log.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Log.java
@@ -3,11 +3,11 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.CommandCodec;
 import tillerlink.messages.statements.Entry;
-import tillerlink.peers.Invariant;
 
 /** A voter's log: a snapshot, some entries that are in it still, and those behind it. */
 final class Log {
--- a/statements/src/main/java/tillerlink/statements/consensus/Pieces.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Pieces.java
@@ -1,8 +1,8 @@
 package tillerlink.statements.consensus;
 
 import java.util.Arrays;
+import tillerlink.cluster.Keep;
 import tillerlink.messages.statements.StatementMessage;
-import tillerlink.peers.Keep;
 
 /**
  * Fetches a snapshot by pieces, one after the other; what stays out is asked for again, in smaller
--- a/statements/src/main/java/tillerlink/statements/consensus/Terms.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Terms.java
@@ -1,7 +1,7 @@
 package tillerlink.statements.consensus;
 
 import java.util.Set;
-import tillerlink.statements.plant.Plant;
+import tillerlink.statements.testing.Plant;
 
 /**
  * How a voter works.
--- a/statements/src/main/java/tillerlink/statements/lease/Granting.java
+++ b/statements/src/main/java/tillerlink/statements/lease/Granting.java
@@ -7,15 +7,15 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.StatementMessage.AskLease;
 import tillerlink.messages.statements.StatementMessage.Lease;
 import tillerlink.messages.statements.StatementMessage.Release;
-import tillerlink.peers.Invariant;
 import tillerlink.statements.catalog.Catalog;
 import tillerlink.statements.consensus.Consensus;
 import tillerlink.statements.consensus.Terms;
-import tillerlink.statements.plant.Plant;
+import tillerlink.statements.testing.Plant;
 
 /**
  * A voter's side of leases: which it granted, and of which changes it is clear. A voter that says
--- a/statements/src/main/java/tillerlink/statements/lease/Holding.java
+++ b/statements/src/main/java/tillerlink/statements/lease/Holding.java
@@ -8,15 +8,15 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
+import tillerlink.cluster.Invariant;
 import tillerlink.messages.statements.StatementMessage.AskLease;
 import tillerlink.messages.statements.StatementMessage.Lease;
 import tillerlink.messages.statements.StatementMessage.Release;
-import tillerlink.peers.Invariant;
 import tillerlink.statements.catalog.Catalog;
 import tillerlink.statements.consensus.Outbox;
 import tillerlink.statements.consensus.Terms;
 import tillerlink.statements.consensus.Voters;
-import tillerlink.statements.plant.Plant;
+import tillerlink.statements.testing.Plant;
 
 /**
  * A gateway's side of leases. One is held while a majority of the voters granted it, each from the
--- a/statements/src/main/java/tillerlink/statements/plant/Plant.java
+++ b/statements/src/main/java/tillerlink/statements/testing/Plant.java
@@ -1,4 +1,4 @@
-package tillerlink.statements.plant;
+package tillerlink.statements.testing;
 
 /** Faults that tests plant to show that a check can fail. None is on in a gateway. */
 public enum Plant {
--- a/statements/src/test/java/tillerlink/statements/HistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/HistoriesTest.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tillerlink.peers.Invariant;
+import tillerlink.cluster.Invariant;
 
 class HistoriesTest {
   private static final int HISTORIES = Integer.getInteger("tillerlink.histories", 40);
--- a/statements/src/test/java/tillerlink/statements/History.java
+++ b/statements/src/test/java/tillerlink/statements/History.java
@@ -7,9 +7,9 @@
 import java.util.NavigableMap;
 import java.util.SplittableRandom;
 import tillerlink.messages.statements.Change;
+import tillerlink.simulation.Fault;
 import tillerlink.statements.catalog.State;
-import tillerlink.statements.plant.Plant;
-import tillerlink.virtual.Fault;
+import tillerlink.statements.testing.Plant;
 
 /**
  * One seeded history: load, changes and faults at random, then everything heals and all gateways
--- a/statements/src/test/java/tillerlink/statements/Measure.java
+++ b/statements/src/test/java/tillerlink/statements/Measure.java
@@ -4,9 +4,9 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.function.Consumer;
+import tillerlink.simulation.Fault;
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Prepared;
-import tillerlink.virtual.Fault;
 
 /** Prints the tables of docs/statements-design.md: not part of any test. */
 final class Measure {
--- a/statements/src/test/java/tillerlink/statements/PlantsTest.java
+++ b/statements/src/test/java/tillerlink/statements/PlantsTest.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 import java.util.function.Function;
 import org.junit.jupiter.api.Test;
-import tillerlink.peers.Invariant;
-import tillerlink.statements.plant.Plant;
-import tillerlink.virtual.Fault;
+import tillerlink.cluster.Invariant;
+import tillerlink.simulation.Fault;
+import tillerlink.statements.testing.Plant;
 
 /**
  * Each planted fault is caught, by an invariant in the code or by the audit from outside; the same
--- a/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import tillerlink.virtual.Seeds;
+import tillerlink.simulation.Seeds;
 
 /**
  * Many short histories: three voters and one more, a statement prepared, runs, a change, one or two
--- a/statements/src/test/java/tillerlink/statements/StoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/StoriesTest.java
@@ -8,8 +8,8 @@
 import java.util.NavigableMap;
 import org.junit.jupiter.api.Test;
 import tillerlink.messages.statements.Change;
+import tillerlink.simulation.Fault;
 import tillerlink.statements.catalog.Outcome;
-import tillerlink.virtual.Fault;
 
 /** The hard cases of prepared statements, each as a timeline that people can read. */
 class StoriesTest {
--- a/statements/src/test/java/tillerlink/statements/Town.java
+++ b/statements/src/test/java/tillerlink/statements/Town.java
@@ -12,25 +12,25 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
+import tillerlink.cluster.Keep;
+import tillerlink.cluster.Part;
+import tillerlink.cluster.Reach;
+import tillerlink.cluster.Roster;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 import tillerlink.messages.statements.ParameterType;
 import tillerlink.messages.statements.RunEffect;
-import tillerlink.peers.Keep;
-import tillerlink.peers.Part;
-import tillerlink.peers.Reach;
-import tillerlink.peers.Roster;
+import tillerlink.simulation.MemoryKeep;
+import tillerlink.simulation.VirtualFleet;
 import tillerlink.statements.catalog.Outcome;
 import tillerlink.statements.catalog.Snapshots;
 import tillerlink.statements.consensus.Terms;
 import tillerlink.statements.lease.LeaseTerms;
-import tillerlink.statements.plant.Plant;
 import tillerlink.statements.prepare.Renaming;
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Prepared;
-import tillerlink.virtual.MemoryKeep;
-import tillerlink.virtual.VirtualFleet;
+import tillerlink.statements.testing.Plant;
 
 /** A fleet of gateways in virtual time that keep prepared statements, with load and an audit. */
 final class Town {
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/Beside.java
@@ -13,7 +13,7 @@
 import tillerlink.peering.Peering;
 import tillerlink.peering.Sharing;
 import tillerlink.peering.channels.ChannelsPart;
-import tillerlink.peering.part.Attaching;
+import tillerlink.peering.component.Attaching;
 import tillerlink.peering.statements.StatementsAttaching;
 
 /** What stands beside the module of a gateway, as the operator's file names it. */
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -5,8 +5,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import tillerlink.Policy;
-import tillerlink.blind.Remembering;
-import tillerlink.net.life.Node;
+import tillerlink.endpointcache.Remembering;
+import tillerlink.net.lifecycle.Node;
 import tillerlink.operator.OperatorFile;
 
 /** One gateway on sockets. */
--- a/tools/src/main/java/tillerlink/cli/StoreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/StoreCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tillerlink.blind.Remembering;
+import tillerlink.endpointcache.Remembering;
 import tillerlink.store.Folder;
 import tillerlink.store.Found;
 import tillerlink.store.Table;
