--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -15,16 +15,16 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import tillerlink.Policy;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Spec;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.Listed;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
+import tillerlink.model.Request;
 import tillerlink.plain.PlainNames;
-import tillerlink.port.Orders;
+import tillerlink.policy.DefaultDispatchPolicy;
+import tillerlink.port.DispatchActions;
 import tillerlink.trace.Layout;
 import tillerlink.workload.BuiltIn;
 
@@ -44,9 +44,9 @@
   @Param({"36", "300", "1024"})
   public int engines;
 
-  private final List<Listed> list = new ArrayList<>();
-  private final List<Submission> out = new ArrayList<>();
-  private Policy policy;
+  private final List<EndpointUpdate> list = new ArrayList<>();
+  private final List<Request> out = new ArrayList<>();
+  private DefaultDispatchPolicy policy;
   private long now = 17_000_000_000_000L;
   private int next;
 
@@ -55,10 +55,10 @@
     Fleet fleet = Fleet.of(100, engines);
     Map<String, Object> settings =
         PlainNames.of(fleet.settings(BuiltIn.tracks(Layout.ALIBABA_2018), 0));
-    policy = new Policy(now, 7, settings, new Nobody());
+    policy = new DefaultDispatchPolicy(now, 7, settings, new Nobody());
     for (Spec spec : fleet.engines()) {
       list.add(
-          new Listed(
+          new EndpointUpdate(
               new Engine(spec.name()), spec.kind(), spec.zone(), 0, 1, Engine.Standing.READY, 0));
     }
     policy.listed(now, true, list);
@@ -68,7 +68,7 @@
   }
 
   private void submit() {
-    Submission s = new Submission(next, 0, next++ % 16, false, now, now + 100_000, 2000, 0, null);
+    Request s = new Request(next, 0, next++ % 16, false, now, now + 100_000, 2000, 0, null);
     policy.arrived(now, s);
     policy.settle(now);
     out.add(s);
@@ -86,38 +86,38 @@
   @Benchmark
   public void decision() {
     now += 10;
-    Submission oldest = out.remove(0);
+    Request oldest = out.remove(0);
     if (!oldest.hops.isEmpty()) {
-      Hop hop = oldest.hops.get(oldest.hops.size() - 1);
-      policy.ended(now, hop, Outcome.FULFILLED, LAG, true, 0, 0, null);
+      Attempt hop = oldest.hops.get(oldest.hops.size() - 1);
+      policy.ended(now, hop, AttemptOutcome.FULFILLED, LAG, true, 0, 0, null);
     }
     submit();
   }
 
   /** Takes orders and does nothing. */
-  private static final class Nobody implements Orders {
+  private static final class Nobody implements DispatchActions {
     @Override
-    public void terms(Submission submission, int rank, long grant) {
+    public void terms(Request submission, int rank, long grant) {
       // Nothing is told on.
     }
 
     @Override
-    public void send(Hop hop) {
+    public void send(Attempt hop) {
       // It is out from here on.
     }
 
     @Override
-    public void callOff(Hop hop) {
+    public void callOff(Attempt hop) {
       // Nothing runs.
     }
 
     @Override
-    public void turnBack(Submission submission, long comeBack) {
+    public void turnBack(Request submission, long comeBack) {
       // Nobody waits.
     }
 
     @Override
-    public void breakOff(Submission submission) {
+    public void breakOff(Request submission) {
       // Nobody waits.
     }
 
--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import java.util.Locale;
-import tillerlink.Policy;
 import tillerlink.audit.Auditor;
 import tillerlink.emulator.Meter;
 import tillerlink.emulator.World;
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.replay.Figures;
 import tillerlink.replay.Front;
 import tillerlink.replay.SeatLines;
@@ -41,7 +41,7 @@
   private static World world(boolean http2) {
     Fleet fleet = Fleet.of(1, 30).overHttp2(kind -> http2);
     return new World(fleet, List.of(TRACK), new Auditor(fleet, List.of(TRACK)), START)
-        .seat(Policy::new, 1);
+        .seat(DefaultDispatchPolicy::new, 1);
   }
 
   private static void inFlight(boolean http2) {
--- a/emulator/src/main/java/tillerlink/baseline/Baseline.java
+++ b/emulator/src/main/java/tillerlink/baseline/Baseline.java
@@ -6,23 +6,23 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
-import tillerlink.model.Ending;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.Listed;
-import tillerlink.model.Named;
-import tillerlink.model.Note;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
-import tillerlink.port.Orders;
-import tillerlink.port.Steering;
-import tillerlink.port.SteeringFactory;
+import tillerlink.model.Request;
+import tillerlink.model.RequestOutcome;
+import tillerlink.model.Settings;
+import tillerlink.port.DispatchActions;
+import tillerlink.port.DispatchPolicy;
+import tillerlink.port.DispatchPolicyFactory;
 
 /**
  * Plain policies to compare with, of the tool alone: they send at once, never again, and answer
  * just before the client leaves. They heed placement and drains, and nothing else.
  */
-public final class Baseline implements Steering {
+public final class Baseline implements DispatchPolicy {
   /** How an engine is chosen. */
   public enum Choice {
     RANDOM,
@@ -31,12 +31,12 @@
 
   private static final long MARGIN = 200;
 
-  private record Due(long at, long number, Submission submission) {}
+  private record Due(long at, long number, Request submission) {}
 
   private final Choice choice;
-  private final Orders orders;
+  private final DispatchActions orders;
   private final Random random;
-  private final Named settings;
+  private final Settings settings;
   private final Map<Engine, Integer> out = new IdentityHashMap<>();
   private final List<Engine> engines = new ArrayList<>();
   private final List<Runnable> wanted = new ArrayList<>();
@@ -45,23 +45,23 @@
           java.util.Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
   private long number;
 
-  private Baseline(Choice choice, long seed, Map<String, Object> settings, Orders orders) {
+  private Baseline(Choice choice, long seed, Map<String, Object> settings, DispatchActions orders) {
     this.choice = choice;
     this.orders = orders;
-    this.settings = new Named(settings);
+    this.settings = new Settings(settings);
     random = new Random(seed);
   }
 
-  public static SteeringFactory of(Choice choice) {
+  public static DispatchPolicyFactory of(Choice choice) {
     return (now, seed, settings, orders) -> new Baseline(choice, seed, settings, orders);
   }
 
   @Override
-  public void listed(long now, boolean whole, List<Listed> entries) {
+  public void listed(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
       engines.forEach(engine -> engine.standing = Engine.Standing.GONE);
     }
-    for (Listed entry : entries) {
+    for (EndpointUpdate entry : entries) {
       Engine engine = entry.engine();
       if (!engines.contains(engine)) {
         engines.add(engine);
@@ -85,7 +85,7 @@
   }
 
   @Override
-  public void arrived(long now, Submission s) {
+  public void arrived(long now, Request s) {
     List<Integer> kinds = settings.numbers("profiles." + s.trackIndex + ".models_allowed");
     Engine best = null;
     double least = Double.MAX_VALUE;
@@ -101,10 +101,10 @@
       }
     }
     if (best == null) {
-      end(s, Ending.TURNED_BACK);
+      end(s, RequestOutcome.TURNED_BACK);
       return;
     }
-    Hop hop = new Hop(s, best, now, 0, 0, false);
+    Attempt hop = new Attempt(s, best, now, 0, 0, false);
     hop.sent = true;
     s.hops.add(hop);
     s.hopsOut++;
@@ -113,12 +113,12 @@
     due.add(new Due(s.leavesAt - MARGIN, number++, s));
   }
 
-  private void end(Submission s, Ending how) {
+  private void end(Request s, RequestOutcome how) {
     if (s.ending == null) {
       s.ending = how;
       wanted.add(
           () -> {
-            if (how == Ending.TURNED_BACK) {
+            if (how == RequestOutcome.TURNED_BACK) {
               orders.turnBack(s, 0);
             } else {
               orders.breakOff(s);
@@ -128,49 +128,50 @@
   }
 
   @Override
-  public void outOfTime(long now, Submission s) {
-    end(s, Ending.BROKEN_OFF);
+  public void outOfTime(long now, Request s) {
+    end(s, RequestOutcome.BROKEN_OFF);
   }
 
   @Override
-  public void begun(long now, Hop hop) {
+  public void begun(long now, Attempt hop) {
     // Answers are whole here.
   }
 
   @Override
-  public void noted(long now, Hop hop, Note note, double level) {
+  public void noted(long now, Attempt hop, AttemptProgress note, double level) {
     // Not heeded.
   }
 
   @Override
   public void ended(
       long now,
-      Hop hop,
-      Outcome outcome,
+      Attempt hop,
+      AttemptOutcome outcome,
       long lag,
       boolean answered,
       double work,
       double memory,
       double[] report) {
-    Submission s = hop.submission;
+    Request s = hop.submission;
     hop.outcome = outcome;
     s.hopsOut--;
     out.merge(hop.engine, -1, Integer::sum);
     if (answered && s.ending == null) {
-      s.ending = outcome == Outcome.FULFILLED ? Ending.FULFILLED : Ending.LEFT;
+      s.ending =
+          outcome == AttemptOutcome.FULFILLED ? RequestOutcome.FULFILLED : RequestOutcome.LEFT;
     }
     boolean pure = settings.text("profiles." + s.trackIndex + ".semantics").equals("repeatable");
-    end(s, outcome.provesIdle || pure ? Ending.TURNED_BACK : Ending.BROKEN_OFF);
+    end(s, outcome.provesIdle || pure ? RequestOutcome.TURNED_BACK : RequestOutcome.BROKEN_OFF);
   }
 
   @Override
-  public void left(long now, Submission s) {
-    s.ending = s.ending == null ? Ending.LEFT : s.ending;
+  public void left(long now, Request s) {
+    s.ending = s.ending == null ? RequestOutcome.LEFT : s.ending;
     callOff(s);
   }
 
-  private void callOff(Submission s) {
-    for (Hop hop : s.hops) {
+  private void callOff(Request s) {
+    for (Attempt hop : s.hops) {
       if (hop.isOut()) {
         wanted.add(() -> orders.callOff(hop));
       }
@@ -185,9 +186,9 @@
   @Override
   public void settle(long now) {
     while (!due.isEmpty() && due.peek().at <= now) {
-      Submission s = due.poll().submission;
+      Request s = due.poll().submission;
       if (s.ending == null) {
-        end(s, Ending.BROKEN_OFF);
+        end(s, RequestOutcome.BROKEN_OFF);
         callOff(s);
       }
     }
--- a/emulator/src/main/java/tillerlink/emulator/Seat.java
+++ b/emulator/src/main/java/tillerlink/emulator/Seat.java
@@ -14,7 +14,7 @@
 import tillerlink.net.state.Pipe;
 import tillerlink.net.state.Side;
 import tillerlink.net.wire.EngineEntry;
-import tillerlink.port.SteeringFactory;
+import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.telemetry.Telemetry;
 
 /**
@@ -27,7 +27,7 @@
 
   final int place;
   private final World world;
-  private final SteeringFactory modules;
+  private final DispatchPolicyFactory modules;
   private final Random seeds;
   private Gateway gateway;
   private List<Runnable> inbox = new ArrayList<>();
@@ -37,7 +37,7 @@
   private int life;
   private final Set<Link> links = new LinkedHashSet<>();
 
-  Seat(World world, int place, SteeringFactory modules, long seed) {
+  Seat(World world, int place, DispatchPolicyFactory modules, long seed) {
     this.world = world;
     this.place = place;
     this.modules = modules;
--- a/emulator/src/main/java/tillerlink/emulator/World.java
+++ b/emulator/src/main/java/tillerlink/emulator/World.java
@@ -22,7 +22,7 @@
 import tillerlink.net.state.Recall;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
-import tillerlink.port.SteeringFactory;
+import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.workload.Track;
 
 /**
@@ -96,7 +96,7 @@
   }
 
   /** Gateways on a driver in memory. */
-  public World seat(SteeringFactory modules, long seed) {
+  public World seat(DispatchPolicyFactory modules, long seed) {
     for (int i = 0; i < fleet.gateways(); i++) {
       seats.add(new Seat(this, i, modules, seed));
     }
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Remembering.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/Remembering.java
@@ -7,7 +7,7 @@
 import java.util.zip.CRC32C;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tillerlink.model.Named;
+import tillerlink.model.Settings;
 import tillerlink.net.state.Recall;
 import tillerlink.net.wire.Assignment;
 import tillerlink.plain.PlainNames;
@@ -35,7 +35,7 @@
    * @param bytesMost how much may be kept
    */
   public static Recall open(Path within, Assignment assignment, long ageMost, long bytesMost) {
-    Named terms = new Named(PlainNames.of(assignment.terms()));
+    Settings terms = new Settings(PlainNames.of(assignment.terms()));
     long longest = 1;
     for (int i = 0; i < terms.number("profiles", 0); i++) {
       longest = Math.max(longest, terms.number("profiles." + i + ".hard_limit", 1));
--- a/gateway/src/main/java/tillerlink/Main.java
+++ b/gateway/src/main/java/tillerlink/Main.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import tillerlink.net.lifecycle.Node;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.wirehost.MalformedWireException;
 import tillerlink.wirehost.WireHost;
 
@@ -32,9 +33,9 @@
       switch (args.length == 1 ? args[0] : "") {
         case "serve" -> {
           Thread.setDefaultUncaughtExceptionHandler(Main::died);
-          new Node().serve(System.getenv(), Policy::new);
+          new Node().serve(System.getenv(), DefaultDispatchPolicy::new);
         }
-        case "wirehost" -> new WireHost(Policy::new).serve(System.in, System.out);
+        case "wirehost" -> new WireHost(DefaultDispatchPolicy::new).serve(System.in, System.out);
         default -> {
           System.err.println("usage: java -jar tillerlink.jar serve|wirehost");
           System.err.println("  serve      one gateway on sockets, as EDGE_CONFIG tells it");
--- a/gateway/src/main/java/tillerlink/model/Hop.java
+++ b/gateway/src/main/java/tillerlink/model/Attempt.java
@@ -1,8 +1,8 @@
 package tillerlink.model;
 
 /** One sending of a submission to an engine. */
-public final class Hop {
-  public final Submission submission;
+public final class Attempt {
+  public final Request submission;
   public final Engine engine;
   public final int number;
   public final long sentAt;
@@ -27,10 +27,10 @@
   public double share;
 
   /** Null while it is out. */
-  public Outcome outcome;
+  public AttemptOutcome outcome;
 
-  public Hop(
-      Submission submission,
+  public Attempt(
+      Request submission,
       Engine engine,
       long sentAt,
       long expected,
--- a/gateway/src/main/java/tillerlink/model/Outcome.java
+++ b/gateway/src/main/java/tillerlink/model/AttemptOutcome.java
@@ -1,7 +1,7 @@
 package tillerlink.model;
 
 /** How a hop ended. */
-public enum Outcome {
+public enum AttemptOutcome {
   FULFILLED(false, false, true),
   ERRED(false, false, true),
   /** Turned away by an engine that was full or draining. */
@@ -27,7 +27,7 @@
   /** The engine itself answered. */
   public final boolean heard;
 
-  Outcome(boolean provesIdle, boolean leavesDoubt, boolean heard) {
+  AttemptOutcome(boolean provesIdle, boolean leavesDoubt, boolean heard) {
     this.provesIdle = provesIdle;
     this.leavesDoubt = leavesDoubt;
     this.heard = heard;
--- a/gateway/src/main/java/tillerlink/model/Note.java
+++ b/gateway/src/main/java/tillerlink/model/AttemptProgress.java
@@ -1,7 +1,7 @@
 package tillerlink.model;
 
 /** Word on a hop that is still out. */
-public enum Note {
+public enum AttemptProgress {
   PROGRESS,
   SPILLS,
   WAITS
--- a/gateway/src/main/java/tillerlink/model/Beta.java
+++ b/gateway/src/main/java/tillerlink/model/BetaDistribution.java
@@ -3,8 +3,8 @@
 import java.util.Random;
 
 /** Draws from a beta distribution, as the share of one gamma in the sum of two. */
-public final class Beta {
-  private Beta() {}
+public final class BetaDistribution {
+  private BetaDistribution() {}
 
   /** Both shapes must be one or more. */
   public static double draw(Random random, double one, double other) {
--- a/gateway/src/main/java/tillerlink/model/Circle.java
+++ b/gateway/src/main/java/tillerlink/model/DeduplicationGroup.java
@@ -1,7 +1,7 @@
 package tillerlink.model;
 
 /** The group of engines that discards the repeats of a receipted submission. */
-public enum Circle {
+public enum DeduplicationGroup {
   ALL,
   ZONE,
   CELL;
--- a/gateway/src/main/java/tillerlink/model/Listed.java
+++ b/gateway/src/main/java/tillerlink/model/EndpointUpdate.java
@@ -5,7 +5,7 @@
  *
  * @param trust 1 as discovery tells it; less for one that is only remembered, the less the older
  */
-public record Listed(
+public record EndpointUpdate(
     Engine engine,
     int kind,
     int zone,
@@ -14,7 +14,7 @@
     Engine.Standing standing,
     long startedAt,
     double trust) {
-  public Listed(
+  public EndpointUpdate(
       Engine engine,
       int kind,
       int zone,
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -33,7 +33,7 @@
   public double trust = 1;
 
   /** Hops that are out, oldest first. */
-  public final List<Hop> out = new ArrayList<>();
+  public final List<Attempt> out = new ArrayList<>();
 
   public int[] outByTrack = new int[0];
   public int threadsOut;
@@ -84,7 +84,7 @@
   }
 
   /** Counts a hop that goes out here; of the table groups, only the latest are remembered. */
-  public void enter(Hop hop, int groupsKept) {
+  public void enter(Attempt hop, int groupsKept) {
     count(hop, 1);
     out.add(hop);
     groups.remove((Integer) hop.submission.tableGroup);
@@ -94,7 +94,7 @@
     }
   }
 
-  public void leave(Hop hop) {
+  public void leave(Attempt hop) {
     count(hop, -1);
     out.remove(hop);
   }
@@ -127,7 +127,7 @@
     fellAt = Long.MIN_VALUE;
   }
 
-  private void count(Hop hop, int by) {
+  private void count(Attempt hop, int by) {
     outByTrack[hop.submission.trackIndex] += by;
     threadsOut += by * hop.submission.track.terms.width();
     trialsOut += hop.trial ? by : 0;
--- a/gateway/src/main/java/tillerlink/model/KeyLine.java
+++ b/gateway/src/main/java/tillerlink/model/KeyedRequestQueue.java
@@ -3,14 +3,14 @@
 import java.util.ArrayDeque;
 
 /** The submissions of one key, in the order in which this gateway accepted them. */
-public final class KeyLine {
-  public final ArrayDeque<Submission> members = new ArrayDeque<>();
+public final class KeyedRequestQueue {
+  public final ArrayDeque<Request> members = new ArrayDeque<>();
 
   /** Nothing of this key is sent before. */
   public long restsUntil = Long.MIN_VALUE;
 
   /** The first that is not over, or null. */
-  public Submission head() {
+  public Request head() {
     while (!members.isEmpty() && members.peekFirst().isOver()) {
       members.pollFirst();
     }
--- a/gateway/src/main/java/tillerlink/model/Submission.java
+++ b/gateway/src/main/java/tillerlink/model/Request.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /** What a client asked for, and how far it has come. */
-public final class Submission {
+public final class Request {
   /** The door's own handle; the module never looks at it. */
   public final Object tag;
 
@@ -23,10 +23,10 @@
   public final double memoryEstimate;
 
   /** Those that must run one after another, or null. */
-  public final KeyLine line;
+  public final KeyedRequestQueue line;
 
-  public Track track;
-  public final List<Hop> hops = new ArrayList<>(1);
+  public RequestClass track;
+  public final List<Attempt> hops = new ArrayList<>(1);
   public int hopsOut;
   public boolean held;
 
@@ -37,13 +37,13 @@
   public boolean begun;
 
   /** Null while an answer is owed. */
-  public Ending ending;
+  public RequestOutcome ending;
 
   /** When its client was seen to have left; later than any time while it was not. */
   public long leftAt = Long.MAX_VALUE;
 
   /** Why the policy gave it up; null if it did not. */
-  public EndReason endReason;
+  public TerminationReason endReason;
 
   /** No engine can use it. */
   public boolean unusable;
@@ -57,7 +57,7 @@
   public long wakeAt = Long.MAX_VALUE;
   public boolean changed;
 
-  public Submission(
+  public Request(
       Object tag,
       int trackIndex,
       int tableGroup,
@@ -66,7 +66,7 @@
       long leavesAt,
       double estimate,
       double memoryEstimate,
-      KeyLine line) {
+      KeyedRequestQueue line) {
     this.tag = tag;
     this.trackIndex = trackIndex;
     this.tableGroup = tableGroup;
@@ -86,7 +86,7 @@
   /** The first of the other engines that erred on it, or null. */
   public Engine erredElsewhere(Engine engine) {
     return hops.stream()
-        .filter(hop -> hop.outcome == Outcome.ERRED && hop.engine != engine)
+        .filter(hop -> hop.outcome == AttemptOutcome.ERRED && hop.engine != engine)
         .map(hop -> hop.engine)
         .findFirst()
         .orElse(null);
--- a/gateway/src/main/java/tillerlink/model/Track.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClass.java
@@ -3,12 +3,12 @@
 import java.util.ArrayDeque;
 
 /** A kind of submission: its terms, its queue and what was measured of it. */
-public final class Track {
+public final class RequestClass {
   public final int index;
-  public final TrackTerms terms;
+  public final RequestClassConfig terms;
 
   /** Held submissions, first come first. */
-  public final ArrayDeque<Submission> queue = new ArrayDeque<>();
+  public final ArrayDeque<Request> queue = new ArrayDeque<>();
 
   /** True work over estimate. */
   public final DecayingMean bias;
@@ -30,9 +30,9 @@
   /** Cores of the ready engines open to it, as last summed up. */
   public double openCores;
 
-  public Track(
+  public RequestClass(
       int index,
-      TrackTerms terms,
+      RequestClassConfig terms,
       DecayingMean bias,
       DecayingMean memoryBias,
       DecayingMean work,
@@ -51,7 +51,7 @@
   }
 
   /** The first held submission that is still owed an answer, or null. */
-  public Submission head() {
+  public Request head() {
     while (!queue.isEmpty() && queue.peekFirst().ending != null) {
       queue.pollFirst().held = false;
     }
--- a/gateway/src/main/java/tillerlink/model/TrackTerms.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClassConfig.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /** What the settings say of a track; a null list binds nothing. */
-public record TrackTerms(
+public record RequestClassConfig(
     Effect effect,
-    Circle circle,
+    DeduplicationGroup circle,
     long window,
     long softLimit,
     double stretch,
--- a/gateway/src/main/java/tillerlink/model/Ending.java
+++ b/gateway/src/main/java/tillerlink/model/RequestOutcome.java
@@ -1,7 +1,7 @@
 package tillerlink.model;
 
 /** How a submission ended. */
-public enum Ending {
+public enum RequestOutcome {
   FULFILLED,
   TURNED_BACK,
   BROKEN_OFF,
--- a/gateway/src/main/java/tillerlink/model/Named.java
+++ b/gateway/src/main/java/tillerlink/model/Settings.java
@@ -7,7 +7,7 @@
  * Reads plain values by name out of what the door handed over; what is absent or odd reads as the
  * value given.
  */
-public record Named(Map<String, Object> values) {
+public record Settings(Map<String, Object> values) {
   public boolean has(String name) {
     return values.containsKey(name);
   }
--- a/gateway/src/main/java/tillerlink/model/EndReason.java
+++ b/gateway/src/main/java/tillerlink/model/TerminationReason.java
@@ -1,7 +1,7 @@
 package tillerlink.model;
 
 /** Why the policy gave a submission up; for logs and counters. */
-public enum EndReason {
+public enum TerminationReason {
   /** The process ends and can't wait any longer. */
   SHUTDOWN,
   /** No engine list can be trusted. */
--- a/gateway/src/main/java/tillerlink/net/lifecycle/Node.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/Node.java
@@ -16,7 +16,7 @@
 import tillerlink.net.state.Recall;
 import tillerlink.net.state.Side;
 import tillerlink.net.wire.Assignment;
-import tillerlink.port.SteeringFactory;
+import tillerlink.port.DispatchPolicyFactory;
 
 /** One gateway process: start, turns, drain, stop. */
 public final class Node {
@@ -37,7 +37,7 @@
   private Shutdown shutdown;
 
   /** Serves until it is told to end. */
-  public void serve(Map<String, String> environment, SteeringFactory modules)
+  public void serve(Map<String, String> environment, DispatchPolicyFactory modules)
       throws IOException, InterruptedException {
     serve(environment, modules, null, assignment -> null, null);
   }
@@ -49,7 +49,7 @@
    */
   public void serve(
       Map<String, String> environment,
-      SteeringFactory modules,
+      DispatchPolicyFactory modules,
       Carrier.Factory carriers,
       Function<Assignment, Recall> recalls,
       Side.Factory beside)
--- a/gateway/src/main/java/tillerlink/net/lifecycle/Rehearsal.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/Rehearsal.java
@@ -9,7 +9,7 @@
 import tillerlink.net.state.Pipe;
 import tillerlink.net.wire.Assignment;
 import tillerlink.plain.Units;
-import tillerlink.port.SteeringFactory;
+import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.telemetry.Telemetry;
 
 /**
@@ -32,7 +32,7 @@
   private Pipe.Owner client;
   private long now;
 
-  Rehearsal(Assignment assignment, SteeringFactory modules, long now) {
+  Rehearsal(Assignment assignment, DispatchPolicyFactory modules, long now) {
     this.assignment = assignment;
     this.now = now;
     gateway =
--- a/gateway/src/main/java/tillerlink/net/state/Break.java
+++ b/gateway/src/main/java/tillerlink/net/state/Break.java
@@ -1,6 +1,6 @@
 package tillerlink.net.state;
 
-import tillerlink.model.Outcome;
+import tillerlink.model.AttemptOutcome;
 
 /** Every way a connection can end, and what each means for a hop that was on it. */
 public enum Break {
@@ -32,16 +32,16 @@
   /**
    * @param whole the hop may have come whole to the engine; else it surely never ran
    */
-  public Outcome outcome(boolean whole) {
+  public AttemptOutcome outcome(boolean whole) {
     return switch (this) {
       // It may have run before, on a connection that broke while its result came.
-      case REFUSED, NEVER_UP, SILENT -> whole ? Outcome.SEVERED : Outcome.UNREACHABLE;
+      case REFUSED, NEVER_UP, SILENT -> whole ? AttemptOutcome.SEVERED : AttemptOutcome.UNREACHABLE;
       // A connection that came up and broke says that somebody is there; only what it bore may be
       // in doubt.
-      case RESET, CLOSED_BY_PEER -> whole ? Outcome.SEVERED : Outcome.NEVER_SENT;
-      case GARBLED, MUTE, HELD_BACK -> whole ? Outcome.SPOILT : Outcome.NEVER_SENT;
-      case NO_ROOM, WITHDRAWN -> Outcome.NEVER_SENT;
-      case CLOSED_BY_US -> whole ? Outcome.CALLED_OFF : Outcome.NEVER_SENT;
+      case RESET, CLOSED_BY_PEER -> whole ? AttemptOutcome.SEVERED : AttemptOutcome.NEVER_SENT;
+      case GARBLED, MUTE, HELD_BACK -> whole ? AttemptOutcome.SPOILT : AttemptOutcome.NEVER_SENT;
+      case NO_ROOM, WITHDRAWN -> AttemptOutcome.NEVER_SENT;
+      case CLOSED_BY_US -> whole ? AttemptOutcome.CALLED_OFF : AttemptOutcome.NEVER_SENT;
     };
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/Call.java
+++ b/gateway/src/main/java/tillerlink/net/state/Call.java
@@ -2,15 +2,15 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import tillerlink.model.KeyLine;
-import tillerlink.model.Submission;
+import tillerlink.model.KeyedRequestQueue;
+import tillerlink.model.Request;
 import tillerlink.net.wire.Ask;
 import tillerlink.net.wire.HttpAnswer;
 
 /** A submission as its client sees it: where it waits, and its answer once there is one. */
 final class Call {
   final Ask ask;
-  final Submission submission;
+  final Request submission;
   final List<Flight> flights = new ArrayList<>(1);
 
   /** The client's connection that waits for the answer, or null. */
@@ -31,10 +31,10 @@
    * @param arrivedAt when it may have come at the earliest: its client's time counts from then
    * @param line those about the same, of tracks that keep their order; or null
    */
-  Call(Ask ask, int trackIndex, long arrivedAt, KeyLine line) {
+  Call(Ask ask, int trackIndex, long arrivedAt, KeyedRequestQueue line) {
     this.ask = ask;
     submission =
-        new Submission(
+        new Request(
             this,
             trackIndex,
             ask.tableGroup(),
--- a/gateway/src/main/java/tillerlink/net/state/Carrier.java
+++ b/gateway/src/main/java/tillerlink/net/state/Carrier.java
@@ -1,8 +1,8 @@
 package tillerlink.net.state;
 
 import java.net.InetSocketAddress;
-import tillerlink.model.Note;
-import tillerlink.model.Outcome;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
 import tillerlink.policy.SendVerdict;
 import tillerlink.telemetry.Telemetry;
 
@@ -17,13 +17,13 @@
     long now();
 
     /** Word on a hop that is still out. */
-    void noted(Flight flight, Note note, double level);
+    void noted(Flight flight, AttemptProgress note, double level);
 
     /**
      * A hop is over; told once. One that was taken in this turn ends by {@link #later} at the
      * soonest.
      */
-    void ended(Flight flight, Outcome outcome);
+    void ended(Flight flight, AttemptOutcome outcome);
 
     /**
      * All of a hop that is {@link Flight#guarded} has gone out; told before anything that comes of
@@ -87,7 +87,7 @@
   void send(Flight flight);
 
   /** Gives a hop up that is out; what that proves. The state ends it. */
-  Outcome giveUp(Flight flight);
+  AttemptOutcome giveUp(Flight flight);
 
   /** A hop is over and is expected here no more. */
   void release(Flight flight);
--- a/gateway/src/main/java/tillerlink/net/state/ClientDoor.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientDoor.java
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.stream.Stream;
-import tillerlink.model.KeyLine;
-import tillerlink.model.Named;
+import tillerlink.model.KeyedRequestQueue;
+import tillerlink.model.Settings;
 import tillerlink.net.wire.Ask;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
@@ -47,7 +47,7 @@
   /** The tracks that keep their order, and what is open of each subject. */
   private final Set<Integer> ordered = new HashSet<>();
 
-  private final Map<String, KeyLine> lines = new HashMap<>();
+  private final Map<String, KeyedRequestQueue> lines = new HashMap<>();
   private final Map<String, Call> calls = new LinkedHashMap<>();
   private final Set<ClientLink> clients = new LinkedHashSet<>();
   private final int clientsMost;
@@ -64,7 +64,7 @@
   /** Takes some calls, or null. */
   private Side side;
 
-  ClientDoor(Gateway gateway, Named terms, int clientsMost, long bytesMost) {
+  ClientDoor(Gateway gateway, Settings terms, int clientsMost, long bytesMost) {
     this.gateway = gateway;
     this.bytesMost = bytesMost;
     this.clientsMost = clientsMost;
@@ -256,10 +256,10 @@
           "no room for a further submission: " + calls.size() + " with " + bytes + " bytes");
       reply.answer(noRoom());
     } else {
-      KeyLine line =
+      KeyedRequestQueue line =
           ask.subject() == null || !ordered.contains(track)
               ? null
-              : lines.computeIfAbsent(ask.subject(), about -> new KeyLine());
+              : lines.computeIfAbsent(ask.subject(), about -> new KeyedRequestQueue());
       Call call = new Call(ask, track, gateway.earliestArrival(), line);
       call.guard = guard;
       calls.put(ask.id(), call);
--- a/gateway/src/main/java/tillerlink/net/state/Discovery.java
+++ b/gateway/src/main/java/tillerlink/net/state/Discovery.java
@@ -3,10 +3,10 @@
 import java.util.List;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tillerlink.model.Listed;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.net.wire.EngineNews;
 import tillerlink.policy.InvariantMonitor;
-import tillerlink.port.Steering;
+import tillerlink.port.DispatchPolicy;
 import tillerlink.telemetry.EventLog.Topic;
 import tillerlink.telemetry.Telemetry;
 
@@ -18,7 +18,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
   private final EngineList engines;
-  private final Steering steering;
+  private final DispatchPolicy steering;
   private final InvariantMonitor invariants;
   private final Recall recall;
   private final Telemetry telemetry;
@@ -31,7 +31,7 @@
    */
   Discovery(
       EngineList engines,
-      Steering steering,
+      DispatchPolicy steering,
       InvariantMonitor invariants,
       Recall recall,
       Telemetry telemetry) {
@@ -63,7 +63,7 @@
     EngineNews told = engines.filled(came);
     boolean newer = told.index() > engines.index();
     EngineNews news = recall != null && newer ? recall.told(now, told) : told;
-    List<Listed> entries = engines.take(news);
+    List<EndpointUpdate> entries = engines.take(news);
     if (entries != null) {
       telemetry
           .log()
--- a/gateway/src/main/java/tillerlink/net/state/EngineLink.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineLink.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tillerlink.model.Note;
-import tillerlink.model.Outcome;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
 import tillerlink.net.wire.EngineAnswer;
 import tillerlink.net.wire.EngineCommand;
 import tillerlink.net.wire.EngineReader;
@@ -252,7 +252,7 @@
   }
 
   /** Gives a hop up; what that proves. */
-  Outcome giveUp(Flight flight) {
+  AttemptOutcome giveUp(Flight flight) {
     boolean sent = flight.place != Flight.UNSENT;
     if (sent && !over) {
       givenUp = flight.pages == null && flight.place > writesDone ? flight.place : givenUp;
@@ -359,10 +359,12 @@
           keep(flight, answer);
         }
       }
-      case REFUSED -> gateway.ended(flight, Outcome.FULL);
+      case REFUSED -> gateway.ended(flight, AttemptOutcome.FULL);
       // A page that the engine no longer has says nothing against what it runs.
-      case ERROR -> gateway.ended(flight, flight.pages == null ? Outcome.ERRED : Outcome.SPOILT);
-      case STALE -> gateway.ended(flight, Outcome.NEVER_SENT);
+      case ERROR ->
+          gateway.ended(
+              flight, flight.pages == null ? AttemptOutcome.ERRED : AttemptOutcome.SPOILT);
+      case STALE -> gateway.ended(flight, AttemptOutcome.NEVER_SENT);
       case PROGRESS -> {
         if (answer.about() != null) {
           gateway.noted(flight, note(answer.about()), answer.level());
@@ -372,11 +374,11 @@
     }
   }
 
-  private static Note note(EngineAnswer.About about) {
+  private static AttemptProgress note(EngineAnswer.About about) {
     return switch (about) {
-      case SHARE_DONE -> Note.PROGRESS;
-      case MEGABYTES_MISSING -> Note.SPILLS;
-      case PARKED -> Note.WAITS;
+      case SHARE_DONE -> AttemptProgress.PROGRESS;
+      case MEGABYTES_MISSING -> AttemptProgress.SPILLS;
+      case PARKED -> AttemptProgress.WAITS;
     };
   }
 
@@ -415,7 +417,7 @@
       if (flight.pages.length > 1) {
         write(EngineCommand.shut(flight.id()));
       }
-      gateway.ended(flight, Outcome.FULFILLED);
+      gateway.ended(flight, AttemptOutcome.FULFILLED);
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/EngineList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineList.java
@@ -5,9 +5,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Listed;
-import tillerlink.model.Named;
+import tillerlink.model.Settings;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
 import tillerlink.telemetry.EventLog.Topic;
@@ -33,7 +33,7 @@
   private final Carrier.Owner owner;
   private final Carrier.Factory carriers;
 
-  EngineList(Named terms, Telemetry telemetry, Carrier.Owner owner, Carrier.Factory carriers) {
+  EngineList(Settings terms, Telemetry telemetry, Carrier.Owner owner, Carrier.Factory carriers) {
     this.telemetry = telemetry;
     this.owner = owner;
     this.carriers = carriers;
@@ -42,7 +42,7 @@
   }
 
   /** What is new in the news, or null if they are older than what is known. */
-  List<Listed> take(EngineNews news) {
+  List<EndpointUpdate> take(EngineNews news) {
     if (news.index() <= index || news.index() < partialIndex) {
       return null;
     }
@@ -75,12 +75,12 @@
   }
 
   /** What was remembered; any news are newer. */
-  List<Listed> remember(Recall.Remembered remembered) {
+  List<EndpointUpdate> remember(Recall.Remembered remembered) {
     return listed(remembered.engines(), remembered.trust());
   }
 
-  private List<Listed> listed(EngineNews news, Map<String, Double> trust) {
-    List<Listed> listed = new ArrayList<>(news.entries().size());
+  private List<EndpointUpdate> listed(EngineNews news, Map<String, Double> trust) {
+    List<EndpointUpdate> listed = new ArrayList<>(news.entries().size());
     for (EngineEntry entry : news.entries()) {
       EngineSite site = sites.get(entry.id());
       if (site == null) {
@@ -91,7 +91,7 @@
       site.at(entry, owner.now(), listedAt);
       logChange(site, entry, news.index());
       listed.add(
-          new Listed(
+          new EndpointUpdate(
               site.engine,
               place(kinds, entry.kind()),
               place(zones, entry.zone()),
--- a/gateway/src/main/java/tillerlink/net/state/Flight.java
+++ b/gateway/src/main/java/tillerlink/net/state/Flight.java
@@ -2,7 +2,7 @@
 
 import java.io.ByteArrayOutputStream;
 import java.util.function.Function;
-import tillerlink.model.Hop;
+import tillerlink.model.Attempt;
 import tillerlink.net.wire.Rows;
 import tillerlink.plain.Units;
 import tillerlink.policy.SendVerdict;
@@ -12,7 +12,7 @@
   /** While its connection is not up. */
   static final long UNSENT = Long.MAX_VALUE;
 
-  public final Hop hop;
+  public final Attempt hop;
   final Call call;
   EngineLink link;
 
@@ -44,12 +44,12 @@
 
   private ByteArrayOutputStream answer;
 
-  private final Function<Hop, SendVerdict> guard;
+  private final Function<Attempt, SendVerdict> guard;
 
   /**
    * @param guard whether a hop may still begin
    */
-  Flight(Hop hop, Call call, Function<Hop, SendVerdict> guard) {
+  Flight(Attempt hop, Call call, Function<Attempt, SendVerdict> guard) {
     this.hop = hop;
     this.call = call;
     this.guard = guard;
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -8,22 +8,22 @@
 import java.util.Set;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tillerlink.model.Hop;
-import tillerlink.model.Named;
-import tillerlink.model.Note;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
+import tillerlink.model.Request;
+import tillerlink.model.Settings;
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.Rows;
 import tillerlink.plain.PlainNames;
 import tillerlink.plain.Units;
+import tillerlink.policy.EndpointListState;
 import tillerlink.policy.Invariant;
 import tillerlink.policy.InvariantMonitor;
-import tillerlink.policy.ListState;
 import tillerlink.policy.SendVerdict;
-import tillerlink.port.Orders;
-import tillerlink.port.Steering;
-import tillerlink.port.SteeringFactory;
+import tillerlink.port.DispatchActions;
+import tillerlink.port.DispatchPolicy;
+import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.telemetry.Counter;
 import tillerlink.telemetry.EventLog.Topic;
 import tillerlink.telemetry.Telemetry;
@@ -33,7 +33,7 @@
  * becomes events, orders become what is said to them. One thread owns it; a turn is {@link #begin},
  * whatever came, {@link #settle}.
  */
-public final class Gateway implements Orders, Carrier.Owner {
+public final class Gateway implements DispatchActions, Carrier.Owner {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
   private static final long COUNT_EVERY = 10_000 * Units.TENTHS_PER_MS;
   private static final int HEAP_SHARE = 4;
@@ -62,7 +62,7 @@
   /** What stands beside the module, or null. */
   private Side side;
 
-  private final Steering steering;
+  private final DispatchPolicy steering;
   private final InvariantMonitor invariants;
   private final Telemetry telemetry;
   private final Rarely rarely = new Rarely();
@@ -99,20 +99,20 @@
   /** The module was told something and has not settled it. */
   private boolean unsettled;
 
-  private ListState listState = ListState.AWAITED;
+  private EndpointListState listState = EndpointListState.AWAITED;
   private long listUsableUntil = -1;
 
   /** Hops ordered in this turn. */
   private List<Flight> ordered = new ArrayList<>();
 
-  public Gateway(Assignment assignment, SteeringFactory factory, Driver driver, long now) {
+  public Gateway(Assignment assignment, DispatchPolicyFactory factory, Driver driver, long now) {
     this(assignment, factory, driver, now, null, null);
   }
 
   /** With a bound by this process' heap on what is kept for clients. */
   public Gateway(
       Assignment assignment,
-      SteeringFactory factory,
+      DispatchPolicyFactory factory,
       Driver driver,
       long now,
       Carrier.Factory carriers,
@@ -137,7 +137,7 @@
    */
   public Gateway(
       Assignment assignment,
-      SteeringFactory factory,
+      DispatchPolicyFactory factory,
       Driver driver,
       long now,
       long bytesMost,
@@ -148,7 +148,7 @@
     this.telemetry = telemetry;
     this.now = now;
     Map<String, Object> plain = PlainNames.of(assignment.terms());
-    Named terms = new Named(plain);
+    Settings terms = new Settings(plain);
     int streams = (int) Math.max(1, terms.number("caps.streams_per_conn", 1));
     long soon = shortestSoftLimit(terms);
     connectMost = stated(terms, "caps.connect_timeout", soon);
@@ -192,13 +192,13 @@
             "requests_owed", "Requests taken and not yet answered.", () -> clients.owed().size());
   }
 
-  private static long stated(Named terms, String name, long otherwise) {
+  private static long stated(Settings terms, String name, long otherwise) {
     long stated = terms.number(name, 0);
     return stated > 0 ? stated : otherwise;
   }
 
   /** The measure of what the settings leave out: what takes longer earns nothing in full. */
-  private static long shortestSoftLimit(Named terms) {
+  private static long shortestSoftLimit(Settings terms) {
     long shortest = Long.MAX_VALUE;
     for (int i = 0; i < terms.number("profiles", 0); i++) {
       String track = "profiles." + i + ".";
@@ -304,7 +304,7 @@
     // A list from memory is known to be old, and the module weighs how far it trusts each engine of
     // it.
     boolean remembered = discovery.goesByMemory();
-    ListState state = remembered ? ListState.DEGRADED : names.lease().state(now);
+    EndpointListState state = remembered ? EndpointListState.DEGRADED : names.lease().state(now);
     long usableUntil = remembered ? Long.MAX_VALUE : names.lease().usableUntil(now);
     if (state != listState) {
       telemetry
@@ -332,7 +332,7 @@
 
   /** Whether an answer of the name service stands for the list that is in force. */
   public boolean listConfirmed() {
-    return names.lease().state(now) == ListState.CONFIRMED;
+    return names.lease().state(now) == EndpointListState.CONFIRMED;
   }
 
   /** When the next turn is due though nothing comes. */
@@ -397,7 +397,7 @@
    * nothing.
    */
   void overdue(Call call) {
-    call.flights.forEach(flight -> ended(flight, Outcome.OVERDUE));
+    call.flights.forEach(flight -> ended(flight, AttemptOutcome.OVERDUE));
   }
 
   @Override
@@ -408,7 +408,7 @@
   // ---- engines ----
 
   @Override
-  public void noted(Flight flight, Note note, double level) {
+  public void noted(Flight flight, AttemptProgress note, double level) {
     steering.noted(now, flight.hop, note, level);
     unsettled = true;
   }
@@ -419,13 +419,13 @@
   }
 
   @Override
-  public void ended(Flight flight, Outcome how) {
+  public void ended(Flight flight, AttemptOutcome how) {
     if (!flight.hop.isOut()) {
       return;
     }
     carrier(flight).release(flight);
-    Outcome outcome = flight.guarded() ? guarded.ended(flight, how) : how;
-    if (outcome == Outcome.FULFILLED) {
+    AttemptOutcome outcome = flight.guarded() ? guarded.ended(flight, how) : how;
+    if (outcome == AttemptOutcome.FULFILLED) {
       clients.fulfil(flight.call, Rows.answer(flight.pages));
     }
     flight.forgetAnswer();
@@ -436,9 +436,9 @@
     unsettled = true;
   }
 
-  private void countEnd(Flight flight, Outcome outcome, long lag) {
+  private void countEnd(Flight flight, AttemptOutcome outcome, long lag) {
     telemetry.metrics().add(Counter.ATTEMPTS_ENDED, outcome);
-    if (outcome == Outcome.FULFILLED) {
+    if (outcome == AttemptOutcome.FULFILLED) {
       telemetry.metrics().add(Counter.REQUESTS_ANSWERED);
     } else {
       telemetry
@@ -530,12 +530,12 @@
   // ---- orders ----
 
   @Override
-  public void terms(Submission submission, int rank, long grant) {
+  public void terms(Request submission, int rank, long grant) {
     // This protocol has no word for either.
   }
 
   @Override
-  public void send(Hop hop) {
+  public void send(Attempt hop) {
     Call call = (Call) hop.submission.tag;
     Flight flight = new Flight(hop, call, wanted -> steering.mayWrite(now, wanted));
     call.flights.add(flight);
@@ -573,7 +573,7 @@
       carrier(flight).send(flight);
     } else {
       withheld(flight, verdict);
-      next.add(() -> ended(flight, Outcome.NEVER_SENT));
+      next.add(() -> ended(flight, AttemptOutcome.NEVER_SENT));
     }
   }
 
@@ -645,10 +645,10 @@
   }
 
   @Override
-  public void callOff(Hop hop) {
+  public void callOff(Attempt hop) {
     Flight flight = ((Call) hop.submission.tag).flights.get(hop.number);
     if (hop.isOut()) {
-      Outcome outcome = carrier(flight).giveUp(flight);
+      AttemptOutcome outcome = carrier(flight).giveUp(flight);
       telemetry
           .log()
           .event(
@@ -670,18 +670,18 @@
   }
 
   @Override
-  public void turnBack(Submission submission, long comeBack) {
+  public void turnBack(Request submission, long comeBack) {
     countGivenUp(Counter.REQUESTS_REFUSED, submission);
     clients.turnBack((Call) submission.tag, comeBack);
   }
 
   @Override
-  public void breakOff(Submission submission) {
+  public void breakOff(Request submission) {
     countGivenUp(Counter.REQUESTS_FAILED, submission);
     clients.breakOff((Call) submission.tag);
   }
 
-  private void countGivenUp(Counter counter, Submission submission) {
+  private void countGivenUp(Counter counter, Request submission) {
     Call call = (Call) submission.tag;
     if (submission.endReason == null) {
       telemetry.metrics().add(counter);
--- a/gateway/src/main/java/tillerlink/net/state/Guarded.java
+++ b/gateway/src/main/java/tillerlink/net/state/Guarded.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
+import tillerlink.model.AttemptOutcome;
 import tillerlink.model.Effect;
-import tillerlink.model.Outcome;
 import tillerlink.net.wire.HttpCall;
 
 /**
@@ -66,17 +66,17 @@
    * What a hop's end counts as. The answer of one that was written too late, or may have been, is
    * lost.
    */
-  Outcome ended(Flight flight, Outcome outcome) {
+  AttemptOutcome ended(Flight flight, AttemptOutcome outcome) {
     if (flight.began) {
       flight.call.guard.ended(mayRunUntil(flight, outcome));
     }
     if (flight.refused) {
       withdraw(flight.call);
-    } else if (outcome == Outcome.FULFILLED) {
+    } else if (outcome == AttemptOutcome.FULFILLED) {
       flight.stale |= !flight.sound && !flight.call.guard.holds();
       if (flight.stale) {
         withdraw(flight.call);
-        return Outcome.SPOILT;
+        return AttemptOutcome.SPOILT;
       }
     }
     if (flight.call.settled()) {
@@ -89,7 +89,7 @@
    * Up to when its engine may still be at a hop that began. One of which pages have come has run,
    * whatever became of the rest.
    */
-  private static long mayRunUntil(Flight flight, Outcome outcome) {
+  private static long mayRunUntil(Flight flight, AttemptOutcome outcome) {
     boolean over = !outcome.leavesDoubt || flight.pages != null || flight.begun();
     return over ? 0 : flight.call.submission.leavesAt;
   }
--- a/gateway/src/main/java/tillerlink/net/state/LineCarrier.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineCarrier.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
+import tillerlink.model.AttemptOutcome;
 import tillerlink.model.Engine;
-import tillerlink.model.Outcome;
 
 /**
  * Carries hops over the platform's engine lines: connections of which each bears as many as the
@@ -120,7 +120,7 @@
   }
 
   @Override
-  public Outcome giveUp(Flight flight) {
+  public AttemptOutcome giveUp(Flight flight) {
     return flight.link == null ? Break.NO_ROOM.outcome(false) : flight.link.giveUp(flight);
   }
 
--- a/gateway/src/main/java/tillerlink/Policy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -1,4 +1,4 @@
-package tillerlink;
+package tillerlink.policy;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -8,22 +8,20 @@
 import java.util.Random;
 import java.util.function.Predicate;
 import tillerlink.model.*;
-import tillerlink.policy.ListState;
-import tillerlink.policy.SendGuard;
-import tillerlink.policy.SendVerdict;
-import tillerlink.port.Orders;
-import tillerlink.port.Steering;
+import tillerlink.port.DispatchActions;
+import tillerlink.port.DispatchPolicy;
 
 /**
  * All decisions of one gateway: what runs, where, and with how much memory.
  *
- * <p>Callers reach it through {@link tillerlink.port.SteeringFactory} and {@link Steering}, where
- * the interface is defined; it answers through {@link Orders}. Events only change what is known and
- * wanted; {@link #settle} then reviews what is due, sends what may go, and {@link #emit} alone
- * works out the difference between the wanted and the present state. Times are tenths of a
- * millisecond. The design, and each departure from it, is in docs/design.md.
+ * <p>Callers reach it through {@link tillerlink.port.DispatchPolicyFactory} and {@link
+ * DispatchPolicy}, where the interface is defined; it answers through {@link DispatchActions}.
+ * Events only change what is known and wanted; {@link #settle} then reviews what is due, sends what
+ * may go, and {@link #emit} alone works out the difference between the wanted and the present
+ * state. Times are tenths of a millisecond. The design, and each departure from it, is in
+ * docs/design.md.
  */
-public final class Policy implements Steering {
+public final class DefaultDispatchPolicy implements DispatchPolicy {
   // Pressure and the thread bound (design, section "ordinary path", point 4).
   private static final double FAR = 2.0; // a pace this many times the best seen is far above it
 
@@ -88,16 +86,16 @@
       1.25; // margin on an estimated soft limit before it is too late
   private static final double GRANT_MARGIN = 1.25;
 
-  private final Orders orders;
-  private final Named settings;
+  private final DispatchActions orders;
+  private final Settings settings;
   private final Random random;
   private final long startedAt;
-  private final List<Track> tracks = new ArrayList<>();
+  private final List<RequestClass> tracks = new ArrayList<>();
   private final List<Engine> engines = new ArrayList<>();
   private final List<Engine> candidates = new ArrayList<>();
-  private final List<Submission> changed = new ArrayList<>();
-  private final List<Submission> fresh = new ArrayList<>();
-  private final Alarms alarms = new Alarms();
+  private final List<Request> changed = new ArrayList<>();
+  private final List<Request> fresh = new ArrayList<>();
+  private final RequestTimers alarms = new RequestTimers();
   private long armedFor = Long.MAX_VALUE;
   private boolean followWanted;
   private long followAgainAt = Long.MAX_VALUE;
@@ -108,7 +106,7 @@
   private final double[] poolThreads = new double[2];
   private boolean crowded;
   private boolean blind;
-  private ListState listState = ListState.CONFIRMED;
+  private EndpointListState listState = EndpointListState.CONFIRMED;
   private final SendGuard guard;
   private double fleetPace = 1;
   private double usualBusy;
@@ -139,9 +137,10 @@
   /** The pace of all hops that ended of late, in times of their tracks' best. */
   private final DecayingMean lately;
 
-  public Policy(long now, long seed, Map<String, Object> values, Orders orders) {
+  public DefaultDispatchPolicy(
+      long now, long seed, Map<String, Object> values, DispatchActions orders) {
     this.orders = orders;
-    this.settings = new Named(values);
+    this.settings = new Settings(values);
     random = new Random(seed);
     startedAt = now;
     gateways = (int) Math.max(1, settings.number("instances", 1));
@@ -156,11 +155,11 @@
     long least = Long.MAX_VALUE;
     long most = 1;
     for (int i = 0; i < settings.number("profiles", 0); i++) {
-      TrackTerms terms = terms(i);
+      RequestClassConfig terms = terms(i);
       least = Math.min(least, terms.softLimit());
       most = Math.max(most, terms.softLimit());
       tracks.add(
-          new Track(
+          new RequestClass(
               i,
               terms,
               new DecayingMean(terms.deadline() * 4.0, 1, 4),
@@ -180,7 +179,7 @@
     followWanted = settings.text("discovery").equals("ask");
   }
 
-  private TrackTerms terms(int i) {
+  private RequestClassConfig terms(int i) {
     String at = "profiles." + i + ".";
     Effect effect =
         switch (settings.text(at + "semantics")) {
@@ -188,14 +187,14 @@
           case "by_key" -> Effect.RECEIPTED;
           default -> Effect.EFFECTFUL;
         };
-    Circle circle =
+    DeduplicationGroup circle =
         switch (settings.text(at + "group")) {
-          case "all" -> Circle.ALL;
-          case "zone" -> Circle.ZONE;
-          default -> Circle.CELL;
+          case "all" -> DeduplicationGroup.ALL;
+          case "zone" -> DeduplicationGroup.ZONE;
+          default -> DeduplicationGroup.CELL;
         };
     long deadline = settings.number(at + "hard_limit", 1);
-    return new TrackTerms(
+    return new RequestClassConfig(
         effect,
         circle,
         settings.number(at + "window", 0),
@@ -215,11 +214,11 @@
   // ---- events ----
 
   @Override
-  public void listed(long now, boolean whole, List<Listed> entries) {
+  public void listed(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
       engines.forEach(engine -> engine.standing = Engine.Standing.GONE);
     }
-    for (Listed entry : entries) {
+    for (EndpointUpdate entry : entries) {
       Engine engine = entry.engine();
       if (!engine.known) {
         prepare(engine);
@@ -261,7 +260,7 @@
   }
 
   @Override
-  public void listState(long now, ListState state, long usableUntil) {
+  public void listState(long now, EndpointListState state, long usableUntil) {
     listState = state;
     guard.listUsableUntil(usableUntil);
   }
@@ -276,7 +275,7 @@
   }
 
   @Override
-  public void arrived(long now, Submission s) {
+  public void arrived(long now, Request s) {
     s.track = tracks.get(s.trackIndex);
     if (taken != null) {
       taken.add(now, 1);
@@ -294,18 +293,18 @@
   }
 
   @Override
-  public void begun(long now, Hop hop) {
+  public void begun(long now, Attempt hop) {
     hop.submission.begun = true;
     hop.engine.heardAt = now;
   }
 
   @Override
-  public void noted(long now, Hop hop, Note note, double level) {
+  public void noted(long now, Attempt hop, AttemptProgress note, double level) {
     if (!hop.isOut()) {
       return;
     }
     hop.engine.heardAt = now;
-    if (note == Note.PROGRESS) {
+    if (note == AttemptProgress.PROGRESS) {
       hop.share = level;
       judgeProgress(now, hop);
     }
@@ -314,25 +313,26 @@
   @Override
   public void ended(
       long now,
-      Hop hop,
-      Outcome outcome,
+      Attempt hop,
+      AttemptOutcome outcome,
       long lag,
       boolean answered,
       double work,
       double memory,
       double[] report) {
-    Submission s = hop.submission;
+    Request s = hop.submission;
     Engine engine = hop.engine;
     hop.outcome = outcome;
     s.hopsOut--;
     engine.leave(hop);
     judge(now, hop, outcome);
     read(now, engine, report);
-    if (outcome == Outcome.FULFILLED) {
+    if (outcome == AttemptOutcome.FULFILLED) {
       learn(now, hop, lag, work, memory);
     }
     if (answered) {
-      close(s, outcome == Outcome.FULFILLED ? Ending.FULFILLED : Ending.LEFT);
+      close(
+          s, outcome == AttemptOutcome.FULFILLED ? RequestOutcome.FULFILLED : RequestOutcome.LEFT);
     }
     if (s.ordered() && outcome.leavesDoubt) {
       s.line.restsUntil = Math.max(s.line.restsUntil, now + settleTime);
@@ -344,8 +344,8 @@
   }
 
   @Override
-  public void left(long now, Submission s) {
-    close(s, Ending.LEFT);
+  public void left(long now, Request s) {
+    close(s, RequestOutcome.LEFT);
     advance(now, s);
   }
 
@@ -353,7 +353,7 @@
    * Guards engines against work that nobody waits for: no hop begins until the client calls again.
    */
   @Override
-  public void unattended(long now, Submission s, boolean on) {
+  public void unattended(long now, Request s, boolean on) {
     s.unattended = on;
     if (on && s.track.queue.remove(s)) {
       s.held = false;
@@ -370,7 +370,7 @@
   }
 
   @Override
-  public SendVerdict mayWrite(long now, Hop hop) {
+  public SendVerdict mayWrite(long now, Attempt hop) {
     SendVerdict verdict = guard.mayWrite(now, hop);
     if (verdict == SendVerdict.ALLOWED && hop.number > 0 && !withinBudget(now, 0)) {
       return SendVerdict.RETRY_BUDGET;
@@ -379,11 +379,11 @@
   }
 
   @Override
-  public long writeBefore(long now, Hop hop) {
+  public long writeBefore(long now, Attempt hop) {
     return guard.writeBefore(now, hop);
   }
 
-  private void close(Submission s, Ending ending) {
+  private void close(Request s, RequestOutcome ending) {
     if (s.ending == null) {
       s.ending = ending;
       s.told = true;
@@ -392,9 +392,9 @@
   }
 
   @Override
-  public void outOfTime(long now, Submission s) {
+  public void outOfTime(long now, Request s) {
     if (s.ending == null) {
-      giveUp(now, s, EndReason.SHUTDOWN);
+      giveUp(now, s, TerminationReason.SHUTDOWN);
     }
   }
 
@@ -405,7 +405,7 @@
 
   @Override
   public void settle(long now) {
-    for (Submission due = alarms.due(now); due != null; due = alarms.due(now)) {
+    for (Request due = alarms.due(now); due != null; due = alarms.due(now)) {
       review(now, due);
     }
     if (followAgainAt <= now) {
@@ -424,11 +424,11 @@
       followWanted = false;
       orders.follow();
     }
-    for (Submission s : changed) {
+    for (Request s : changed) {
       s.changed = false;
       if (s.ending != null && !s.told) {
         s.told = true;
-        if (s.ending == Ending.TURNED_BACK) {
+        if (s.ending == RequestOutcome.TURNED_BACK) {
           orders.turnBack(s, s.comeBack);
         } else {
           orders.breakOff(s);
@@ -439,7 +439,7 @@
         s.grantTold = s.grant;
         orders.terms(s, s.rank, s.grant);
       }
-      for (Hop hop : s.hops) {
+      for (Attempt hop : s.hops) {
         if (!hop.sent) {
           hop.sent = true;
           orders.send(hop);
@@ -458,7 +458,7 @@
     }
   }
 
-  private void change(Submission s) {
+  private void change(Request s) {
     if (!s.changed) {
       s.changed = true;
       changed.add(s);
@@ -467,7 +467,7 @@
 
   // ---- queues ----
 
-  private void hold(Submission s, boolean first) {
+  private void hold(Request s, boolean first) {
     if (s.unattended) {
       return;
     }
@@ -487,10 +487,10 @@
   private void pump(long now) {
     BitSet blocked = new BitSet(tracks.size());
     while (true) {
-      Track next = null;
+      RequestClass next = null;
       double most = -1;
-      for (Track track : tracks) {
-        Submission head = track.head();
+      for (RequestClass track : tracks) {
+        Request head = track.head();
         if (head != null && !blocked.get(track.index)) {
           double used = (double) (now - head.arrivedAt) / softLimit(now, head);
           if (used > most) {
@@ -502,8 +502,8 @@
       if (next == null) {
         break;
       }
-      Submission s = next.queue.peekFirst();
-      EndReason hindrance = hindrance(now, s);
+      Request s = next.queue.peekFirst();
+      TerminationReason hindrance = hindrance(now, s);
       if (hindrance != null) {
         giveUp(now, s, hindrance);
         continue;
@@ -524,14 +524,14 @@
   /**
    * Why a submission that waits for an engine can't be sent to any, now or later; null if it can.
    */
-  private EndReason hindrance(long now, Submission s) {
-    if (blind || listState == ListState.EXPIRED) {
-      return EndReason.ENGINES_UNKNOWN;
+  private TerminationReason hindrance(long now, Request s) {
+    if (blind || listState == EndpointListState.EXPIRED) {
+      return TerminationReason.ENGINES_UNKNOWN;
     }
     if (hopeless(now, s)) {
-      return EndReason.NO_TIME_LEFT;
+      return TerminationReason.NO_TIME_LEFT;
     }
-    return !s.hops.isEmpty() && !budgetLeft(now) ? EndReason.RETRY_BUDGET : null;
+    return !s.hops.isEmpty() && !budgetLeft(now) ? TerminationReason.RETRY_BUDGET : null;
   }
 
   /**
@@ -539,12 +539,12 @@
    * with little time: while all are bounded, what they leave before it can end is not even sent
    * once.
    */
-  private boolean hopeless(long now, Submission s) {
+  private boolean hopeless(long now, Request s) {
     return now >= hopelessAt(now, s)
         && (now > s.arrivedAt || crowded && now + usual(now, s) >= lastMoment(s));
   }
 
-  private long hopelessAt(long now, Submission s) {
+  private long hopelessAt(long now, Request s) {
     return Math.min(softEnd(now, s) - usual(now, s) + 1, lastMoment(s));
   }
 
@@ -555,12 +555,12 @@
    */
   private void shed(long now) {
     for (int i = 0; i < fresh.size(); i++) {
-      Submission s = fresh.get(i);
+      Request s = fresh.get(i);
       if (!s.held || s.ending != null) {
         continue;
       }
       alarms.set(s, Math.max(now + tick, hopelessAt(now, s)));
-      Submission head = s.track.head();
+      Request head = s.track.head();
       if (head == s || !s.hops.isEmpty()) {
         continue;
       }
@@ -568,15 +568,15 @@
       double used = (now - head.arrivedAt) / most;
       double limit = s.track.work.at(now) * Math.max(0, 1 - used) / Math.max(1e-3, used);
       if (work(now, s) > limit) {
-        giveUp(now, s, EndReason.QUEUE_TOO_LONG);
+        giveUp(now, s, TerminationReason.QUEUE_TOO_LONG);
       }
     }
   }
 
-  private void giveUp(long now, Submission s, EndReason reason) {
+  private void giveUp(long now, Request s, TerminationReason reason) {
     s.endReason = reason;
     boolean back = mayTurnBack(s);
-    s.ending = back ? Ending.TURNED_BACK : Ending.BROKEN_OFF;
+    s.ending = back ? RequestOutcome.TURNED_BACK : RequestOutcome.BROKEN_OFF;
     if (back && settings.flag("caps.retry_after")) {
       s.comeBack = settings.number("caps.max_retry_after", 0);
     }
@@ -585,11 +585,11 @@
     advance(now, s);
   }
 
-  private void callOffAll(Submission s) {
+  private void callOffAll(Request s) {
     s.hops.forEach(this::callOff);
   }
 
-  private void callOff(Hop hop) {
+  private void callOff(Attempt hop) {
     if (mayCallOff && hop.sent && hop.isOut()) {
       hop.wantedOff = true;
       change(hop.submission);
@@ -600,8 +600,8 @@
    * Lets the next of a key's submissions into its queue when all before it are over and have
    * rested.
    */
-  private void advance(long now, Submission s) {
-    Submission head = s.ordered() ? s.line.head() : null;
+  private void advance(long now, Request s) {
+    Request head = s.ordered() ? s.line.head() : null;
     if (head == null || head.ending != null || head.held || !head.hops.isEmpty()) {
       return;
     }
@@ -615,7 +615,7 @@
   // ---- the mechanism: choice of the engine ----
 
   /** The engine for a submission, or null if it must be held. */
-  private Engine choose(long now, Submission s) {
+  private Engine choose(long now, Request s) {
     candidates.clear();
     boolean sound = false;
     survey(now);
@@ -628,7 +628,9 @@
       }
       if (doubtful(now, engine)) {
         // Drawn from the posterior of its chance of success, so that it is never quite forgotten.
-        double drawn = Beta.draw(random, 1 + engine.successes.at(now), 1 + engine.failures.at(now));
+        double drawn =
+            BetaDistribution.draw(
+                random, 1 + engine.successes.at(now), 1 + engine.failures.at(now));
         if (engine.trialsOut == 0 && drawn > chance) {
           chance = drawn;
           likeliest = engine;
@@ -665,12 +667,12 @@
    * and none that must not run twice or is bound to some engines; of an old list these wait until
    * it is confirmed. It may hurt a gateway that has little else.
    */
-  private boolean proven(Submission s, Engine engine) {
+  private boolean proven(Request s, Engine engine) {
     boolean heard = engine.heardAt >= startedAt;
     if (engine.trust >= 1 || heard && engine.trust >= TRUSTED) {
       return true;
     }
-    TrackTerms terms = s.track.terms;
+    RequestClassConfig terms = s.track.terms;
     return terms.effect() == Effect.PURE
         && terms.kinds() == null
         && terms.zones() == null
@@ -687,7 +689,7 @@
   /**
    * LBQP: fewest of the class per core; over the expected average steps aside; warmth breaks ties.
    */
-  private Engine fewest(long now, Submission s) {
+  private Engine fewest(long now, Request s) {
     double cores = 0;
     double queries = 1;
     for (Engine engine : candidates) {
@@ -751,9 +753,9 @@
    * and where a gateway's counts are mostly zero nothing does. It may hurt while estimates are far
    * off by track.
    */
-  private double spare(long now, Engine engine, Track track) {
+  private double spare(long now, Engine engine, RequestClass track) {
     double bound = 0;
-    for (Track other : tracks) {
+    for (RequestClass other : tracks) {
       if (other != track && other.openCores < allCores && other.terms.allows(engine)) {
         bound += other.workSeen.at(now) / other.openCores;
       }
@@ -771,8 +773,8 @@
    */
   private boolean stalled(long now, Engine engine) {
     double ages = 0;
-    for (Hop hop : engine.out) {
-      Track track = hop.submission.track;
+    for (Attempt hop : engine.out) {
+      RequestClass track = hop.submission.track;
       double usual =
           track.bestPace > 0 ? hop.nominal * track.bestPace : track.terms.softLimit() / FAR;
       ages += Math.min(PACE_CAP, (now - hop.sentAt) / Math.max(1, usual));
@@ -793,7 +795,7 @@
    * never drains: one of each gateway may be more than it bears, so under pressure it comes last,
    * and alone.
    */
-  private Room room(long now, Engine engine, Track track) {
+  private Room room(long now, Engine engine, RequestClass track) {
     boolean pressed = now < engine.pressedUntil;
     int width = track.terms.width();
     int own = engine.outByTrack[track.index] * width;
@@ -833,7 +835,7 @@
     usualBusy = 0;
     allCores = 0;
     allWork = 0;
-    for (Track track : tracks) {
+    for (RequestClass track : tracks) {
       allWork += track.workSeen.at(now);
       track.openCores = 0;
     }
@@ -849,7 +851,7 @@
       }
       ready++;
       allCores += cores(engine);
-      for (Track track : tracks) {
+      for (RequestClass track : tracks) {
         track.openCores += track.terms.allows(engine) ? cores(engine) : 0;
       }
       boolean under = now < engine.pressedUntil;
@@ -918,20 +920,20 @@
   // ---- rule guards ----
 
   /** Where a submission may go now. */
-  private boolean open(long now, Submission s, Engine engine) {
+  private boolean open(long now, Request s, Engine engine) {
     return guard.mayPlace(now, s, engine) == SendVerdict.ALLOWED;
   }
 
   /** Where it may go now, or once the list is confirmed or the engine is warm. */
-  private boolean openLater(long now, Submission s, Engine engine) {
+  private boolean openLater(long now, Request s, Engine engine) {
     return guard.mayGoTo(now, s, engine) == SendVerdict.ALLOWED;
   }
 
-  private boolean mayTurnBack(Submission s) {
-    TrackTerms terms = s.track.terms;
+  private boolean mayTurnBack(Request s) {
+    RequestClassConfig terms = s.track.terms;
     return terms.effect() == Effect.PURE
-        || (terms.effect() == Effect.RECEIPTED && terms.circle() == Circle.ALL)
-        || s.hops.stream().noneMatch(Hop::mayHaveRun);
+        || (terms.effect() == Effect.RECEIPTED && terms.circle() == DeduplicationGroup.ALL)
+        || s.hops.stream().noneMatch(Attempt::mayHaveRun);
   }
 
   private boolean budgetLeft(long now) {
@@ -995,7 +997,7 @@
 
   // ---- hops ----
 
-  private void place(long now, Submission s, Engine engine) {
+  private void place(long now, Request s, Engine engine) {
     double nominal = work(now, s) / s.track.terms.width();
     long expected = (long) (nominal * s.track.best() * Math.max(1, engine.pace.at(now)));
     s.rank = rank(now, s);
@@ -1009,7 +1011,7 @@
     if (!s.hops.isEmpty() && further != null) {
       further.add(now, 1);
     }
-    Hop hop = new Hop(s, engine, now, expected, nominal, doubtful(now, engine));
+    Attempt hop = new Attempt(s, engine, now, expected, nominal, doubtful(now, engine));
     s.hops.add(hop);
     s.hopsOut++;
     engine.enter(hop, WARM_GROUPS);
@@ -1018,7 +1020,7 @@
     alarms.set(s, Math.min(lastMoment(s), now + quietLimit(s, hop)));
   }
 
-  private int rank(long now, Submission s) {
+  private int rank(long now, Request s) {
     double usual = valueSeen.at(now) / Math.max(1, allWork);
     double dense = s.track.terms.value() / Math.max(1, work(now, s)) / usual;
     return dense >= 4 ? 3 : dense >= 1 ? 2 : dense >= 0.25 ? 1 : 0;
@@ -1027,15 +1029,15 @@
   /**
    * After a hop that did not fulfil: another, if the rules, the budget and the time left allow it.
    */
-  private void onward(long now, Submission s) {
+  private void onward(long now, Request s) {
     if (worthAnother(now, s)) {
       hold(s, true);
     } else {
-      giveUp(now, s, EndReason.NO_FURTHER_ATTEMPT);
+      giveUp(now, s, TerminationReason.NO_FURTHER_ATTEMPT);
     }
   }
 
-  private boolean worthAnother(long now, Submission s) {
+  private boolean worthAnother(long now, Request s) {
     return !s.unusable
         && s.hops.size() < settings.number("caps.max_attempts", 1)
         && budgetLeft(now)
@@ -1044,24 +1046,24 @@
   }
 
   /** What is due for a submission: its end, or a look at the hop that is out. */
-  private void review(long now, Submission s) {
+  private void review(long now, Request s) {
     if (s.begun) {
       return;
     }
     if (now >= tooLateAt(now, s)) {
-      giveUp(now, s, EndReason.TOO_LATE);
+      giveUp(now, s, TerminationReason.TOO_LATE);
       return;
     }
     if (s.hopsOut == 0) {
       advance(now, s);
       if (s.held && hopeless(now, s)) {
-        giveUp(now, s, EndReason.NO_TIME_LEFT);
+        giveUp(now, s, TerminationReason.NO_TIME_LEFT);
       } else if (s.wakeAt == Long.MAX_VALUE) {
         alarms.set(s, s.held ? Math.max(now + tick, hopelessAt(now, s)) : tooLateAt(now, s));
       }
       return;
     }
-    Hop hop = s.hops.get(s.hops.size() - 1);
+    Attempt hop = s.hops.get(s.hops.size() - 1);
     long quiet = now - Math.max(hop.engine.heardAt, hop.sentAt);
     if (quiet >= quietLimit(s, hop)) {
       suspect(now, hop);
@@ -1078,7 +1080,7 @@
    * tell: guards against calling off what was only underrated, where a gateway with little traffic
    * hears nothing else of the engine. It may hurt short tracks on an engine that fell silent.
    */
-  private long quietLimit(Submission s, Hop hop) {
+  private long quietLimit(Request s, Attempt hop) {
     long noteEvery = settings.number("family_info.tells_every", 0);
     return (long)
         (noteEvery > 0
@@ -1086,7 +1088,7 @@
             : Math.max(QUIET * hop.expected, s.track.terms.softLimit() / 2.0));
   }
 
-  private void suspect(long now, Hop hop) {
+  private void suspect(long now, Attempt hop) {
     Engine engine = hop.engine;
     if (!doubtful(now, engine)) {
       engine.failures.add(now, SILENCE_WEIGHT + DOUBT_RATIO * engine.successes.at(now));
@@ -1097,7 +1099,7 @@
   }
 
   /** Whether another hop could follow if the one that is out were called off now. */
-  private boolean mayHopOn(long now, Submission s) {
+  private boolean mayHopOn(long now, Request s) {
     return s.track.terms.effect() != Effect.EFFECTFUL && worthAnother(now, s);
   }
 
@@ -1106,10 +1108,10 @@
    * usual is sent anew; of an unknown track more is asked. It may hurt where single estimates are
    * far too low.
    */
-  private void judgeProgress(long now, Hop hop) {
+  private void judgeProgress(long now, Attempt hop) {
     long age = now - hop.sentAt;
     double projected = age / Math.max(LEAST_SHARE, hop.share);
-    Track track = hop.submission.track;
+    RequestClass track = hop.submission.track;
     double known = track.bestPace > 0 ? 1 : UNKNOWN;
     double usual =
         known
@@ -1128,7 +1130,7 @@
 
   // ---- measures ----
 
-  private void judge(long now, Hop hop, Outcome outcome) {
+  private void judge(long now, Attempt hop, AttemptOutcome outcome) {
     Engine engine = hop.engine;
     engine.heardAt = outcome.heard ? now : engine.heardAt;
     switch (outcome) {
@@ -1173,16 +1175,16 @@
   }
 
   /** A trial tells of now: its outcome wipes out most of what spoke for the other. */
-  private void count(long now, Hop hop, DecayingSum sum, double weight, DecayingSum other) {
+  private void count(long now, Attempt hop, DecayingSum sum, double weight, DecayingSum other) {
     sum.add(now, weight);
     if (hop.trial) {
       other.add(now, -TRIAL_CLEARS * other.at(now));
     }
   }
 
-  private void learn(long now, Hop hop, long lag, double work, double memory) {
-    Submission s = hop.submission;
-    Track track = s.track;
+  private void learn(long now, Attempt hop, long lag, double work, double memory) {
+    Request s = hop.submission;
+    RequestClass track = s.track;
     if (work > 0 && s.estimate > 0) {
       track.bias.add(now, Math.min(2 * PACE_CAP, work / s.estimate), 1);
     }
@@ -1229,32 +1231,32 @@
     return failed > DOUBT_LEAST && failed > DOUBT_RATIO * engine.successes.at(now);
   }
 
-  private static double work(long now, Submission s) {
+  private static double work(long now, Request s) {
     return s.estimate > 0 ? s.estimate * s.track.bias.at(now) : s.track.work.at(now);
   }
 
   /** Time that a hop sent now is expected to take on an ordinary engine. */
-  private long usual(long now, Submission s) {
+  private long usual(long now, Request s) {
     double pace = Math.max(s.track.pace.at(now), s.track.best() * Math.max(1, fleetPace));
     return (long) (work(now, s) / s.track.terms.width() * pace);
   }
 
-  private static long softLimit(long now, Submission s) {
-    TrackTerms terms = s.track.terms;
+  private static long softLimit(long now, Request s) {
+    RequestClassConfig terms = s.track.terms;
     return terms.softLimit() + (long) (terms.stretch() * work(now, s) / terms.width());
   }
 
-  private static long softEnd(long now, Submission s) {
+  private static long softEnd(long now, Request s) {
     return Math.min(s.leavesAt, s.arrivedAt + softLimit(now, s));
   }
 
   /** The last moment at which a final answer is surely in time. */
-  private long lastMoment(Submission s) {
+  private long lastMoment(Request s) {
     return s.leavesAt - 2 * tick;
   }
 
   /** From here on an answer pays nothing. */
-  private long tooLateAt(long now, Submission s) {
+  private long tooLateAt(long now, Request s) {
     return s.track.terms.lateValue() > 0
         ? lastMoment(s)
         : Math.min(lastMoment(s), (long) (s.arrivedAt + softLimit(now, s) * LATE_MARGIN));
--- a/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
+++ b/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
@@ -123,14 +123,14 @@
   }
 
   /** How far the list may be trusted now. */
-  public ListState state(long now) {
+  public EndpointListState state(long now) {
     if (everConfirmed && now < confirmedUntil()) {
-      return ListState.CONFIRMED;
+      return EndpointListState.CONFIRMED;
     }
     if (now < outageFrom()) {
-      return ListState.AWAITED;
+      return EndpointListState.AWAITED;
     }
-    return now < expiresAt() ? ListState.DEGRADED : ListState.EXPIRED;
+    return now < expiresAt() ? EndpointListState.DEGRADED : EndpointListState.EXPIRED;
   }
 
   /** New attempts may be written before this moment; in the past if none may. */
--- a/gateway/src/main/java/tillerlink/policy/ListState.java
+++ b/gateway/src/main/java/tillerlink/policy/EndpointListState.java
@@ -1,7 +1,7 @@
 package tillerlink.policy;
 
 /** How far the list of engines may be trusted for new attempts. */
-public enum ListState {
+public enum EndpointListState {
   /** An answer confirmed it, and nothing newer can have been in force for longer than the grace. */
   CONFIRMED,
   /** Something newer may be in force; an answer is awaited and expected soon. New attempts wait. */
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -6,15 +6,15 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import tillerlink.model.Attempt;
 import tillerlink.model.Effect;
-import tillerlink.model.Ending;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.Listed;
-import tillerlink.model.Named;
+import tillerlink.model.Request;
+import tillerlink.model.RequestClassConfig;
+import tillerlink.model.RequestOutcome;
+import tillerlink.model.Settings;
 import tillerlink.model.SlidingSum;
-import tillerlink.model.Submission;
-import tillerlink.model.TrackTerms;
 import tillerlink.plain.Units;
 
 /**
@@ -43,7 +43,7 @@
    * @param before when the guard wanted it out by
    * @param limit how long the engine was told that the client waits
    */
-  public record Written(Hop hop, long firstByteAt, long before, long limit) {}
+  public record Written(Attempt hop, long firstByteAt, long before, long limit) {}
 
   private final long grace;
   private final long budgetSpan;
@@ -53,7 +53,7 @@
   private final double fallMultiple;
   private final double startCapacity;
   private final long warmWithin;
-  private final Named settings;
+  private final Settings settings;
   private final SlidingSum taken;
   private final SlidingSum further;
   private final Set<Engine> ready = Collections.newSetFromMap(new IdentityHashMap<>());
@@ -65,7 +65,7 @@
   /**
    * @param settings as the policy has them
    */
-  public InvariantMonitor(Named settings) {
+  public InvariantMonitor(Settings settings) {
     this.settings = settings;
     grace = settings.number("guarantees.drain_grace", 0);
     budgetSpan = settings.number("guarantees.budget_span", 0);
@@ -85,12 +85,12 @@
   }
 
   /** The list was told; {@code whole} means that engines not in it are gone. */
-  public void listed(long now, boolean whole, List<Listed> entries) {
+  public void listed(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
       ready.forEach(engine -> notReadySince.putIfAbsent(engine, now));
       ready.clear();
     }
-    for (Listed entry : entries) {
+    for (EndpointUpdate entry : entries) {
       if (entry.standing() == Engine.Standing.READY) {
         ready.add(entry.engine());
         notReadySince.remove(entry.engine());
@@ -109,7 +109,7 @@
   }
 
   /** A final answer became ready. */
-  public Set<Invariant> answered(long now, Submission submission) {
+  public Set<Invariant> answered(long now, Request submission) {
     return now > submission.leavesAt + ANSWER_SLACK
         ? EnumSet.of(Invariant.ANSWER_IN_TIME)
         : Set.of();
@@ -118,8 +118,8 @@
   /** An attempt was written; what that broke. */
   public Set<Invariant> written(Written attempt) {
     EnumSet<Invariant> broken = EnumSet.noneOf(Invariant.class);
-    Hop hop = attempt.hop;
-    Submission submission = hop.submission;
+    Attempt hop = attempt.hop;
+    Request submission = hop.submission;
     long at = attempt.firstByteAt;
     hop.writtenAt = at;
     if (submission.track == null) {
@@ -130,7 +130,7 @@
     note(
         broken,
         Invariant.CLIENT_WAITS,
-        submission.ending == Ending.LEFT && at > submission.leftAt + LEFT_SLACK
+        submission.ending == RequestOutcome.LEFT && at > submission.leftAt + LEFT_SLACK
             || at > submission.leavesAt + SLACK);
     note(
         broken,
@@ -161,12 +161,12 @@
     }
   }
 
-  private static boolean runsTwice(Hop hop, long at) {
-    TrackTerms terms = hop.submission.track.terms;
+  private static boolean runsTwice(Attempt hop, long at) {
+    RequestClassConfig terms = hop.submission.track.terms;
     if (terms.effect() == Effect.PURE) {
       return false;
     }
-    for (Hop other : hop.submission.hops) {
+    for (Attempt other : hop.submission.hops) {
       if (other == hop || other.writtenAt == 0 || !other.mayHaveRun()) {
         continue;
       }
@@ -179,7 +179,7 @@
     return false;
   }
 
-  private boolean exceedsBudget(Hop hop, long at) {
+  private boolean exceedsBudget(Attempt hop, long at) {
     if (budgetSpan <= 0 || hop.number == 0) {
       return false;
     }
@@ -191,7 +191,7 @@
    * Whether this gateway alone wrote more to a cold engine than it bears: N and twice its root of
    * mean requests, and 2.
    */
-  private boolean overloadsCold(Hop hop, long at) {
+  private boolean overloadsCold(Attempt hop, long at) {
     double work = Math.max(1, hop.nominal * hop.submission.track.terms.width());
     works += work;
     written++;
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -1,10 +1,10 @@
 package tillerlink.policy;
 
+import tillerlink.model.Attempt;
 import tillerlink.model.Effect;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.Submission;
-import tillerlink.model.TrackTerms;
+import tillerlink.model.Request;
+import tillerlink.model.RequestClassConfig;
 
 /**
  * The one guard in front of every attempt. It is asked when an engine is chosen and again right
@@ -37,18 +37,18 @@
    * Whether a request may be sent to an engine once the list is confirmed: its state, placement and
    * repeats.
    */
-  public SendVerdict mayGoTo(long now, Submission submission, Engine engine) {
+  public SendVerdict mayGoTo(long now, Request submission, Engine engine) {
     return mayGoTo(now, submission, engine, null);
   }
 
   /** Whether a request may be sent to an engine now. */
-  public SendVerdict mayPlace(long now, Submission submission, Engine engine) {
+  public SendVerdict mayPlace(long now, Request submission, Engine engine) {
     return now < listUsableUntil ? mayGoTo(now, submission, engine) : SendVerdict.LIST_UNCONFIRMED;
   }
 
   /** Whether an attempt that was placed may be written now. */
-  public SendVerdict mayWrite(long now, Hop hop) {
-    Submission submission = hop.submission;
+  public SendVerdict mayWrite(long now, Attempt hop) {
+    Request submission = hop.submission;
     if (submission.ending != null) {
       return SendVerdict.REQUEST_ENDED;
     }
@@ -71,14 +71,14 @@
   }
 
   /** The last moment at which the first byte of an attempt may go out that is allowed now. */
-  public long writeBefore(long now, Hop hop) {
+  public long writeBefore(long now, Attempt hop) {
     return Math.min(now + WRITE_WITHIN, Math.min(listUsableUntil, hop.submission.leavesAt));
   }
 
   /**
    * @param next the attempt that is about to begin there, or null if it has yet to be placed
    */
-  private SendVerdict mayGoTo(long now, Submission submission, Engine engine, Hop next) {
+  private SendVerdict mayGoTo(long now, Request submission, Engine engine, Attempt next) {
     if (engine.standing != Engine.Standing.READY) {
       return SendVerdict.ENGINE_NOT_READY;
     }
@@ -88,12 +88,12 @@
     return repeatAllowed(now, submission, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
   }
 
-  private boolean repeatAllowed(long now, Submission submission, Engine engine, Hop next) {
-    TrackTerms terms = submission.track.terms;
+  private boolean repeatAllowed(long now, Request submission, Engine engine, Attempt next) {
+    RequestClassConfig terms = submission.track.terms;
     if (submission.hops.isEmpty() || terms.effect() == Effect.PURE) {
       return true;
     }
-    for (Hop hop : submission.hops) {
+    for (Attempt hop : submission.hops) {
       if (hop == next || !hop.mayHaveRun()) {
         continue;
       }
--- a/gateway/src/main/java/tillerlink/port/Steering.java
+++ b/gateway/src/main/java/tillerlink/port/DispatchPolicy.java
@@ -1,23 +1,23 @@
 package tillerlink.port;
 
 import java.util.List;
-import tillerlink.model.Hop;
-import tillerlink.model.Listed;
-import tillerlink.model.Note;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
-import tillerlink.policy.ListState;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
+import tillerlink.model.EndpointUpdate;
+import tillerlink.model.Request;
+import tillerlink.policy.EndpointListState;
 import tillerlink.policy.SendVerdict;
 
 /**
  * What happens to one gateway, told to the module in the order in which it happened. Times are
  * tenths of a millisecond. After the last of the events of one moment, {@link #settle} is called
- * once; only then does the module give {@link Orders}. A report is a row of numbers in the order of
- * the setting {@code report.fields}, or null.
+ * once; only then does the module give {@link DispatchActions}. A report is a row of numbers in the
+ * order of the setting {@code report.fields}, or null.
  */
-public interface Steering {
+public interface DispatchPolicy {
   /** The list of engines changed; {@code whole} means that engines not in it are gone. */
-  void listed(long now, boolean whole, List<Listed> entries);
+  void listed(long now, boolean whole, List<EndpointUpdate> entries);
 
   /** Nothing is known of any engine, or what is known is too old to trust; or that is over. */
   void blind(long now, boolean on);
@@ -27,19 +27,19 @@
    *
    * @param usableUntil new attempts may be written before that moment; in the past if none may
    */
-  default void listState(long now, ListState state, long usableUntil) {
+  default void listState(long now, EndpointListState state, long usableUntil) {
     // Where lists are pushed, the last one holds.
   }
 
   /** A call to the engine list failed, or the subscription broke. */
   void listFailed(long now);
 
-  void arrived(long now, Submission submission);
+  void arrived(long now, Request submission);
 
   /** The answer began to reach the client. */
-  void begun(long now, Hop hop);
+  void begun(long now, Attempt hop);
 
-  void noted(long now, Hop hop, Note note, double level);
+  void noted(long now, Attempt hop, AttemptProgress note, double level);
 
   /**
    * A hop ended.
@@ -50,8 +50,8 @@
    */
   void ended(
       long now,
-      Hop hop,
-      Outcome outcome,
+      Attempt hop,
+      AttemptOutcome outcome,
       long lag,
       boolean answered,
       double work,
@@ -59,10 +59,10 @@
       double[] report);
 
   /** The client went; nothing is owed any more. */
-  void left(long now, Submission submission);
+  void left(long now, Request submission);
 
   /** Nobody waits for the answer, though the client may call for it again; or it has. */
-  default void unattended(long now, Submission submission, boolean on) {
+  default void unattended(long now, Request submission, boolean on) {
     // Where clients wait on no connection there is nothing to hear.
   }
 
@@ -70,7 +70,7 @@
    * Asked right before a hop is written, for that may be long after it was ordered. Unless it is
    * allowed, it ends as one that was never sent.
    */
-  default SendVerdict mayWrite(long now, Hop hop) {
+  default SendVerdict mayWrite(long now, Attempt hop) {
     return hop.submission.ending == null ? SendVerdict.ALLOWED : SendVerdict.REQUEST_ENDED;
   }
 
@@ -78,14 +78,14 @@
    * Until when the first byte of a hop may go out that may be written now; later it must not go out
    * at all.
    */
-  default long writeBefore(long now, Hop hop) {
+  default long writeBefore(long now, Attempt hop) {
     return hop.submission.leavesAt;
   }
 
   /** The gateway ends and can't wait for it any longer: it gets its final answer now. */
-  void outOfTime(long now, Submission submission);
+  void outOfTime(long now, Request submission);
 
-  /** A time asked for by {@link Orders#wake} has come. */
+  /** A time asked for by {@link DispatchActions#wake} has come. */
   void woken(long now);
 
   void settle(long now);
--- a/gateway/src/main/java/tillerlink/wirehost/Instance.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Instance.java
@@ -7,21 +7,21 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.KeyLine;
-import tillerlink.model.Listed;
-import tillerlink.model.Note;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
+import tillerlink.model.KeyedRequestQueue;
+import tillerlink.model.Request;
 import tillerlink.plain.PlainNames;
 import tillerlink.plain.Units;
-import tillerlink.port.Orders;
-import tillerlink.port.Steering;
-import tillerlink.port.SteeringFactory;
+import tillerlink.port.DispatchActions;
+import tillerlink.port.DispatchPolicy;
+import tillerlink.port.DispatchPolicyFactory;
 
 /** One gateway's door: ids become objects on the way in, objects ids on the way out. */
-final class Instance implements Orders {
+final class Instance implements DispatchActions {
   private static final int MODE_FAILED = 0;
   private static final int MODE_CACHED = 1;
   private static final int MODE_FULL = 3;
@@ -29,23 +29,23 @@
   private final int number;
   private final JsonGenerator actions;
   private final Map<String, Engine> engines = new HashMap<>();
-  private final Map<String, Submission> submissions = new HashMap<>();
-  private final Map<String, KeyLine> lines = new HashMap<>();
-  private final Steering steering;
+  private final Map<String, Request> submissions = new HashMap<>();
+  private final Map<String, KeyedRequestQueue> lines = new HashMap<>();
+  private final DispatchPolicy steering;
 
   Instance(
       int number,
       long now,
       long seed,
       Map<String, Object> settings,
-      SteeringFactory factory,
+      DispatchPolicyFactory factory,
       JsonGenerator actions) {
     this.number = number;
     this.actions = actions;
     steering = factory.start(now, seed, PlainNames.of(settings), this);
   }
 
-  Steering steering() {
+  DispatchPolicy steering() {
     return steering;
   }
 
@@ -55,7 +55,7 @@
       case "BackendsChanged" -> listed(now, event, rows);
       case "Incoming" -> arrived(now, event);
       case "HeadReceived" -> {
-        Hop hop = hop(event.text(2, "tid"), event.number(5, "seq_no"));
+        Attempt hop = hop(event.text(2, "tid"), event.number(5, "seq_no"));
         if (hop != null) {
           steering.begun(now, hop);
         }
@@ -78,11 +78,11 @@
       steering.listFailed(now);
       return;
     }
-    List<Listed> entries = new ArrayList<>(rows.size());
+    List<EndpointUpdate> entries = new ArrayList<>(rows.size());
     for (Row row : rows) {
       Engine engine = engines.computeIfAbsent(row.engine(), Engine::new);
       entries.add(
-          new Listed(
+          new EndpointUpdate(
               engine,
               row.kind(),
               row.zone(),
@@ -97,9 +97,10 @@
   private void arrived(long now, Message event) {
     String id = event.text(2, "tid");
     String key = event.textOr(9, null);
-    KeyLine line = key == null ? null : lines.computeIfAbsent(key, k -> new KeyLine());
-    Submission submission =
-        new Submission(
+    KeyedRequestQueue line =
+        key == null ? null : lines.computeIfAbsent(key, k -> new KeyedRequestQueue());
+    Request submission =
+        new Request(
             id,
             (int) event.number(6, "band"),
             (int) event.numberOr(3, 0),
@@ -114,12 +115,12 @@
   }
 
   private void noted(long now, Message event) {
-    Hop hop = hop(event.text(2, "tid"), event.number(6, "seq_no"));
-    Note note =
+    Attempt hop = hop(event.text(2, "tid"), event.number(6, "seq_no"));
+    AttemptProgress note =
         switch ((int) event.numberOr(5, 0)) {
-          case 1 -> Note.PROGRESS;
-          case 2 -> Note.SPILLS;
-          case 3 -> Note.WAITS;
+          case 1 -> AttemptProgress.PROGRESS;
+          case 2 -> AttemptProgress.SPILLS;
+          case 3 -> AttemptProgress.WAITS;
           default -> null;
         };
     if (hop != null && note != null) {
@@ -128,7 +129,7 @@
   }
 
   private void ended(long now, Message event) {
-    Hop hop = hop(event.text(2, "tid"), event.number(3, "seq_no"));
+    Attempt hop = hop(event.text(2, "tid"), event.number(3, "seq_no"));
     if (hop == null || !hop.isOut()) {
       return;
     }
@@ -145,35 +146,35 @@
     forgetIfOver(hop.submission);
   }
 
-  private static Outcome outcome(String how) {
+  private static AttemptOutcome outcome(String how) {
     return switch (how) {
-      case "completed" -> Outcome.FULFILLED;
-      case "saturated" -> Outcome.FULL;
-      case "overdue" -> Outcome.OVERDUE;
-      case "refused_conn" -> Outcome.UNREACHABLE;
-      case "severed" -> Outcome.SEVERED;
-      case "recalled" -> Outcome.CALLED_OFF;
-      case "superseded" -> Outcome.NEVER_SENT;
-      default -> Outcome.ERRED;
+      case "completed" -> AttemptOutcome.FULFILLED;
+      case "saturated" -> AttemptOutcome.FULL;
+      case "overdue" -> AttemptOutcome.OVERDUE;
+      case "refused_conn" -> AttemptOutcome.UNREACHABLE;
+      case "severed" -> AttemptOutcome.SEVERED;
+      case "recalled" -> AttemptOutcome.CALLED_OFF;
+      case "superseded" -> AttemptOutcome.NEVER_SENT;
+      default -> AttemptOutcome.ERRED;
     };
   }
 
   private void left(long now, String id) {
-    Submission submission = submissions.get(id);
+    Request submission = submissions.get(id);
     if (submission != null) {
       steering.left(now, submission);
       forgetIfOver(submission);
     }
   }
 
-  private Hop hop(String id, long place) {
-    Submission submission = submissions.get(id);
+  private Attempt hop(String id, long place) {
+    Request submission = submissions.get(id);
     return submission == null || place < 0 || place >= submission.hops.size()
         ? null
         : submission.hops.get((int) place);
   }
 
-  private void forgetIfOver(Submission submission) {
+  private void forgetIfOver(Request submission) {
     if (submission.isOver()) {
       submissions.remove((String) submission.tag);
     }
@@ -200,7 +201,7 @@
   }
 
   @Override
-  public void terms(Submission submission, int rank, long grant) {
+  public void terms(Request submission, int rank, long grant) {
     write(
         "Provide",
         () -> {
@@ -211,7 +212,7 @@
   }
 
   @Override
-  public void send(Hop hop) {
+  public void send(Attempt hop) {
     write(
         "Try",
         () -> {
@@ -222,7 +223,7 @@
   }
 
   @Override
-  public void callOff(Hop hop) {
+  public void callOff(Attempt hop) {
     write(
         "CallOff",
         () -> {
@@ -232,7 +233,7 @@
   }
 
   @Override
-  public void turnBack(Submission submission, long comeBack) {
+  public void turnBack(Request submission, long comeBack) {
     write(
         "Decline",
         () -> {
@@ -243,7 +244,7 @@
   }
 
   @Override
-  public void breakOff(Submission submission) {
+  public void breakOff(Request submission) {
     write("RespondError", () -> writeTag(submission.tag));
     forgetIfOver(submission);
   }
--- a/gateway/src/main/java/tillerlink/wirehost/WireHost.java
+++ b/gateway/src/main/java/tillerlink/wirehost/WireHost.java
@@ -21,14 +21,14 @@
 import java.util.Set;
 import tillerlink.plain.Json;
 import tillerlink.plain.Units;
-import tillerlink.port.SteeringFactory;
+import tillerlink.port.DispatchPolicyFactory;
 
 /**
  * Hosts many gateways on the simulator's wire: a line of events in, a line of actions out. They
  * share nothing.
  */
 public final class WireHost {
-  private final SteeringFactory steerings;
+  private final DispatchPolicyFactory steerings;
   private final JsonFactory factory = new JsonFactory();
   private final ByteArrayOutputStream reply = new ByteArrayOutputStream();
   private final JsonGenerator actions;
@@ -36,7 +36,7 @@
   private final Map<Integer, List<Row>> pages = new HashMap<>();
   private final Set<Integer> touched = new LinkedHashSet<>();
 
-  public WireHost(SteeringFactory steerings) throws IOException {
+  public WireHost(DispatchPolicyFactory steerings) throws IOException {
     this.steerings = steerings;
     actions = factory.createGenerator(reply).setRootValueSeparator(new SerializedString(""));
   }
--- a/gateway/src/test/java/tillerlink/ColdStarts.java
+++ b/gateway/src/test/java/tillerlink/ColdStarts.java
@@ -11,12 +11,13 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Random;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.Listed;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
-import tillerlink.port.Orders;
+import tillerlink.model.Request;
+import tillerlink.policy.DefaultDispatchPolicy;
+import tillerlink.port.DispatchActions;
 
 /**
  * One engine of a fleet starts cold, in virtual time: what many gateways, each a module of its own,
@@ -89,7 +90,7 @@
 
   /** An engine: hops share its cores. */
   private final class Server {
-    final Map<Hop, Double> left = new LinkedHashMap<>();
+    final Map<Attempt, Double> left = new LinkedHashMap<>();
     long since;
     long turn;
 
@@ -115,7 +116,7 @@
     }
 
     private void finish() {
-      List<Hop> through = new ArrayList<>();
+      List<Attempt> through = new ArrayList<>();
       change(
           () -> {
             left.forEach(
@@ -126,7 +127,7 @@
                 });
             through.forEach(left::remove);
           });
-      through.forEach(hop -> nodeOf(hop).ended(hop, Outcome.FULFILLED));
+      through.forEach(hop -> nodeOf(hop).ended(hop, AttemptOutcome.FULFILLED));
     }
 
     private double rate() {
@@ -152,12 +153,12 @@
   }
 
   /** One gateway; a restart replaces its module. */
-  private final class Node implements Orders {
+  private final class Node implements DispatchActions {
     final int me;
     final double rate;
     final Map<Engine, Server> engines = new IdentityHashMap<>();
     Engine coldEngine;
-    Policy policy;
+    DefaultDispatchPolicy policy;
     boolean told;
     long wakeAt;
     int life;
@@ -174,8 +175,8 @@
       engines.clear();
       Map<String, Object> values = settings();
       values.put("me", (long) me);
-      policy = new Policy(now, random.nextLong(), values, this);
-      List<Listed> list = new ArrayList<>();
+      policy = new DefaultDispatchPolicy(now, random.nextLong(), values, this);
+      List<EndpointUpdate> list = new ArrayList<>();
       for (Server server : servers) {
         Engine engine = new Engine(server);
         engines.put(engine, server);
@@ -184,7 +185,7 @@
         }
         if (server != cold || kind != Kind.NEW || now >= startAt) {
           list.add(
-              new Listed(
+              new EndpointUpdate(
                   engine,
                   0,
                   0,
@@ -214,7 +215,7 @@
         policy.listed(
             now,
             false,
-            List.of(new Listed(coldEngine, 0, 0, 0, 1, Engine.Standing.READY, startAt)));
+            List.of(new EndpointUpdate(coldEngine, 0, 0, 0, 1, Engine.Standing.READY, startAt)));
         settle();
       }
     }
@@ -227,7 +228,7 @@
         long patience = (long) (40 * meanWork);
         policy.arrived(
             now,
-            new Submission(
+            new Request(
                 new Job(this, life, work),
                 heavy ? 1 : 0,
                 random.nextInt(50),
@@ -242,9 +243,10 @@
       at(now + (long) (-Math.log(1 - random.nextDouble()) / rate), this::arrive);
     }
 
-    void ended(Hop hop, Outcome outcome) {
+    void ended(Attempt hop, AttemptOutcome outcome) {
       if (policy != null && job(hop).life == life && hop.isOut()) {
-        policy.ended(now, hop, outcome, now - hop.sentAt, outcome == Outcome.FULFILLED, 0, 0, null);
+        policy.ended(
+            now, hop, outcome, now - hop.sentAt, outcome == AttemptOutcome.FULFILLED, 0, 0, null);
         settle();
       }
     }
@@ -254,7 +256,7 @@
     }
 
     @Override
-    public void send(Hop hop) {
+    public void send(Attempt hop) {
       Server server = engines.get(hop.engine);
       if (server == cold && now >= startAt) {
         sent.add(new Sent(now, job(hop).work, told));
@@ -266,10 +268,10 @@
     }
 
     @Override
-    public void callOff(Hop hop) {
+    public void callOff(Attempt hop) {
       Server server = engines.get(hop.engine);
       server.change(() -> server.left.remove(hop));
-      at(now + 10, () -> ended(hop, Outcome.CALLED_OFF));
+      at(now + 10, () -> ended(hop, AttemptOutcome.CALLED_OFF));
     }
 
     @Override
@@ -290,13 +292,13 @@
     }
 
     @Override
-    public void terms(Submission s, int rank, long grant) {}
+    public void terms(Request s, int rank, long grant) {}
 
     @Override
-    public void turnBack(Submission s, long comeBack) {}
+    public void turnBack(Request s, long comeBack) {}
 
     @Override
-    public void breakOff(Submission s) {}
+    public void breakOff(Request s) {}
 
     @Override
     public void follow() {}
@@ -307,11 +309,11 @@
 
   private record Job(Node node, int life, double work) {}
 
-  private static Job job(Hop hop) {
+  private static Job job(Attempt hop) {
     return (Job) hop.submission.tag;
   }
 
-  private static Node nodeOf(Hop hop) {
+  private static Node nodeOf(Attempt hop) {
     return job(hop).node;
   }
 
@@ -413,27 +415,27 @@
   private void fallSilent() {
     cold.change(() -> {});
     cold.turn++;
-    List<Hop> out = new ArrayList<>(cold.left.keySet());
+    List<Attempt> out = new ArrayList<>(cold.left.keySet());
     out.forEach(this::giveUpLater);
   }
 
   /** As the connections do with an engine that answers no question. */
-  private void giveUpLater(Hop hop) {
+  private void giveUpLater(Attempt hop) {
     at(
         now + QUIET,
         () -> {
           if (silent() && cold.left.remove(hop) != null) {
-            nodeOf(hop).ended(hop, Outcome.SEVERED);
+            nodeOf(hop).ended(hop, AttemptOutcome.SEVERED);
           }
         });
   }
 
   private void start() {
-    List<Hop> out = new ArrayList<>(cold.left.keySet());
+    List<Attempt> out = new ArrayList<>(cold.left.keySet());
     if (kind == Kind.REPLACED) {
       cold.left.clear();
       cold.turn++;
-      out.forEach(hop -> nodeOf(hop).ended(hop, Outcome.SEVERED));
+      out.forEach(hop -> nodeOf(hop).ended(hop, AttemptOutcome.SEVERED));
     } else {
       out.forEach(hop -> sent.add(new Sent(now, job(hop).work, false)));
       cold.since = now;
--- a/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
+++ b/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
@@ -14,31 +14,32 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import tillerlink.model.Circle;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.DeduplicationGroup;
 import tillerlink.model.Effect;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Listed;
-import tillerlink.model.Named;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
-import tillerlink.model.TrackTerms;
+import tillerlink.model.Request;
+import tillerlink.model.RequestClassConfig;
+import tillerlink.model.Settings;
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
 import tillerlink.plain.PlainNames;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.policy.InvariantMonitor;
-import tillerlink.port.Orders;
+import tillerlink.port.DispatchActions;
 
 /**
  * Pins the keys and units of a gateway's configuration: what is parsed out of one file with every
  * key, the track terms made of it, and by which names the settings are asked for.
  */
 class ConfigurationFormatGuardTest {
-  private static final Orders NO_ORDERS =
-      (Orders)
+  private static final DispatchActions NO_ORDERS =
+      (DispatchActions)
           Proxy.newProxyInstance(
-              Orders.class.getClassLoader(),
-              new Class<?>[] {Orders.class},
+              DispatchActions.class.getClassLoader(),
+              new Class<?>[] {DispatchActions.class},
               (proxy, method, given) -> null);
 
   @Test
@@ -163,9 +164,9 @@
   void tracksHaveTheTermsOfTheirProfiles() throws Exception {
     Map<String, Object> plain = PlainNames.of(read().terms());
     assertEquals(
-        new TrackTerms(
+        new RequestClassConfig(
             Effect.PURE,
-            Circle.ALL,
+            DeduplicationGroup.ALL,
             0,
             9000,
             1.5,
@@ -180,9 +181,9 @@
             null),
         terms(plain, 0));
     assertEquals(
-        new TrackTerms(
+        new RequestClassConfig(
             Effect.RECEIPTED,
-            Circle.ZONE,
+            DeduplicationGroup.ZONE,
             180_000,
             40_000,
             0,
@@ -197,9 +198,9 @@
             List.of(1)),
         terms(plain, 1));
     assertEquals(
-        new TrackTerms(
+        new RequestClassConfig(
             Effect.EFFECTFUL,
-            Circle.CELL,
+            DeduplicationGroup.CELL,
             0,
             7000,
             0,
@@ -219,20 +220,22 @@
   @Test
   void decisionsAskForTheseNamesAndNoOthers() throws Exception {
     Asked asked = new Asked(PlainNames.of(read().terms()));
-    Policy policy = new Policy(1_000_000, 5, asked, NO_ORDERS);
+    DefaultDispatchPolicy policy = new DefaultDispatchPolicy(1_000_000, 5, asked, NO_ORDERS);
     Engine cold = new Engine("a1");
     policy.listFailed(1_000_000);
     policy.listed(
         1_000_000,
         true,
-        List.of(new Listed(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_000_000 - 50_000)));
-    Submission first = submission(0, 1_100_000);
+        List.of(new EndpointUpdate(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_000_000 - 50_000)));
+    Request first = submission(0, 1_100_000);
     policy.arrived(1_100_000, first);
     policy.settle(1_100_000);
-    policy.ended(1_100_100, first.hops.get(0), Outcome.SEVERED, 10, false, 0, 0, null);
+    policy.ended(1_100_100, first.hops.get(0), AttemptOutcome.SEVERED, 10, false, 0, 0, null);
     policy.settle(1_100_100);
     policy.listed(
-        1_100_200, true, List.of(new Listed(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_100_000)));
+        1_100_200,
+        true,
+        List.of(new EndpointUpdate(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_100_000)));
     policy.arrived(1_100_200, submission(0, 1_100_200));
     policy.settle(1_100_200);
     policy.outOfTime(1_100_300, first);
@@ -287,7 +290,7 @@
   @Test
   void invariantsAskForTheseNames() throws Exception {
     Asked asked = new Asked(PlainNames.of(read().terms()));
-    new InvariantMonitor(new Named(asked));
+    new InvariantMonitor(new Settings(asked));
     assertEquals(
         new TreeSet<>(
             Set.of(
@@ -302,14 +305,14 @@
         asked.names);
   }
 
-  private static TrackTerms terms(Map<String, Object> plain, int track) {
-    Submission submission = submission(track, 10);
-    new Policy(10, 5, plain, NO_ORDERS).arrived(10, submission);
+  private static RequestClassConfig terms(Map<String, Object> plain, int track) {
+    Request submission = submission(track, 10);
+    new DefaultDispatchPolicy(10, 5, plain, NO_ORDERS).arrived(10, submission);
     return submission.track.terms;
   }
 
-  private static Submission submission(int track, long now) {
-    return new Submission("id", track, 0, false, now, now + 7000, 100, 50, null);
+  private static Request submission(int track, long now) {
+    return new Request("id", track, 0, false, now, now + 7000, 100, 50, null);
   }
 
   private static Assignment read() throws IOException, URISyntaxException {
--- a/gateway/src/test/java/tillerlink/PolicyTest.java
+++ b/gateway/src/test/java/tillerlink/PolicyTest.java
@@ -1,16 +1,16 @@
 package tillerlink;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
+import static tillerlink.model.AttemptOutcome.CALLED_OFF;
+import static tillerlink.model.AttemptOutcome.ERRED;
+import static tillerlink.model.AttemptOutcome.FULFILLED;
+import static tillerlink.model.AttemptOutcome.FULL;
+import static tillerlink.model.AttemptOutcome.OVERDUE;
+import static tillerlink.model.AttemptOutcome.SEVERED;
+import static tillerlink.model.AttemptOutcome.UNREACHABLE;
 import static tillerlink.model.Engine.Standing.DRAINING;
 import static tillerlink.model.Engine.Standing.GONE;
 import static tillerlink.model.Engine.Standing.READY;
-import static tillerlink.model.Outcome.CALLED_OFF;
-import static tillerlink.model.Outcome.ERRED;
-import static tillerlink.model.Outcome.FULFILLED;
-import static tillerlink.model.Outcome.FULL;
-import static tillerlink.model.Outcome.OVERDUE;
-import static tillerlink.model.Outcome.SEVERED;
-import static tillerlink.model.Outcome.UNREACHABLE;
 
 import java.util.List;
 import java.util.Random;
--- a/gateway/src/test/java/tillerlink/RetryBudgetTest.java
+++ b/gateway/src/test/java/tillerlink/RetryBudgetTest.java
@@ -8,13 +8,14 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.Listed;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
+import tillerlink.model.Request;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.policy.SendVerdict;
-import tillerlink.port.Orders;
+import tillerlink.port.DispatchActions;
 
 /**
  * The budget of further attempts by when they are written, which is later than they are placed
@@ -26,45 +27,46 @@
   private static final long DIAL = SECOND / 2;
   private static final int FLOOR = 3;
 
-  private final List<Hop> sent = new ArrayList<>();
+  private final List<Attempt> sent = new ArrayList<>();
   private final Engine engine = new Engine("e1");
 
   /** Guards the budget: what was placed over ten seconds ago may have been written since. */
   @Test
   void whatWasWrittenLateCountsFromItsWrite() {
-    Policy policy =
-        new Policy(
+    DefaultDispatchPolicy policy =
+        new DefaultDispatchPolicy(
             START,
             7,
             settings(),
-            (Orders)
+            (DispatchActions)
                 Proxy.newProxyInstance(
-                    Orders.class.getClassLoader(),
-                    new Class<?>[] {Orders.class},
+                    DispatchActions.class.getClassLoader(),
+                    new Class<?>[] {DispatchActions.class},
                     (proxy, method, values) -> {
                       if (method.getName().equals("send")) {
-                        sent.add((Hop) values[0]);
+                        sent.add((Attempt) values[0]);
                       }
                       return null;
                     }));
-    policy.listed(START, true, List.of(new Listed(engine, 0, 0, 0, 1, Engine.Standing.READY, 0)));
+    policy.listed(
+        START, true, List.of(new EndpointUpdate(engine, 0, 0, 0, 1, Engine.Standing.READY, 0)));
     for (int i = 0; i < FLOOR; i++) {
-      Hop further = further(policy, START);
+      Attempt further = further(policy, START);
       assertEquals(SendVerdict.ALLOWED, policy.mayWrite(START + DIAL, further));
       policy.writeBefore(START + DIAL, further);
     }
     long later = START + 10 * SECOND + DIAL / 2;
-    Hop fourth = further(policy, later);
+    Attempt fourth = further(policy, later);
     assertEquals(SendVerdict.RETRY_BUDGET, policy.mayWrite(later, fourth));
     assertEquals(SendVerdict.ALLOWED, policy.mayWrite(later + SECOND, fourth));
   }
 
   /** A request whose first attempt never ran, and that is placed again. */
-  private Hop further(Policy policy, long now) {
-    policy.arrived(now, new Submission("a", 0, 0, false, now, now + 30 * SECOND, 100, 0, null));
+  private Attempt further(DefaultDispatchPolicy policy, long now) {
+    policy.arrived(now, new Request("a", 0, 0, false, now, now + 30 * SECOND, 100, 0, null));
     policy.settle(now);
-    Hop first = sent.get(sent.size() - 1);
-    policy.ended(now, first, Outcome.SPOILT, 0, false, 0, 0, null);
+    Attempt first = sent.get(sent.size() - 1);
+    policy.ended(now, first, AttemptOutcome.SPOILT, 0, false, 0, 0, null);
     policy.settle(now);
     return sent.get(sent.size() - 1);
   }
--- a/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
+++ b/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
@@ -13,13 +13,14 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.Listed;
-import tillerlink.model.Note;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
-import tillerlink.port.Steering;
+import tillerlink.model.Request;
+import tillerlink.policy.DefaultDispatchPolicy;
+import tillerlink.port.DispatchPolicy;
 import tillerlink.wirehost.WireHost;
 
 /**
@@ -81,18 +82,19 @@
       input.append(",[\"Change\",3,\"s0\",0.25,0,").append(kind).append(",0]");
     }
     List<Object> given = new ArrayList<>();
-    List<Submission> arrived = new ArrayList<>();
-    Steering steering =
-        (Steering)
+    List<Request> arrived = new ArrayList<>();
+    DispatchPolicy steering =
+        (DispatchPolicy)
             Proxy.newProxyInstance(
-                Steering.class.getClassLoader(),
-                new Class<?>[] {Steering.class},
+                DispatchPolicy.class.getClassLoader(),
+                new Class<?>[] {DispatchPolicy.class},
                 (proxy, method, values) -> {
                   for (Object value : values) {
-                    if (value instanceof Submission submission) {
+                    if (value instanceof Request submission) {
                       arrived.add(submission);
-                      submission.hops.add(new Hop(submission, new Engine("e1"), 0, 1, 1, false));
-                    } else if (!(value instanceof Hop)) {
+                      submission.hops.add(
+                          new Attempt(submission, new Engine("e1"), 0, 1, 1, false));
+                    } else if (!(value instanceof Attempt)) {
                       given.add(value instanceof double[] report ? Arrays.toString(report) : value);
                     }
                   }
@@ -104,16 +106,18 @@
                 (input.append(replies) + "]}").getBytes(StandardCharsets.UTF_8)),
             new ByteArrayOutputStream());
 
-    Listed first = listed(given, 0);
+    EndpointUpdate first = listed(given, 0);
     List<Object> expected =
         new ArrayList<>(
             List.of(
                 10L,
                 true,
                 List.of(
-                    new Listed(first.engine(), 1, 2, 4, 0.5, Engine.Standing.READY, 2500),
-                    new Listed(listed(given, 1).engine(), 0, 0, 0, 1, Engine.Standing.DRAINING, 0),
-                    new Listed(listed(given, 2).engine(), 0, 0, 0, 1, Engine.Standing.GONE, 0)),
+                    new EndpointUpdate(first.engine(), 1, 2, 4, 0.5, Engine.Standing.READY, 2500),
+                    new EndpointUpdate(
+                        listed(given, 1).engine(), 0, 0, 0, 1, Engine.Standing.DRAINING, 0),
+                    new EndpointUpdate(
+                        listed(given, 2).engine(), 0, 0, 0, 1, Engine.Standing.GONE, 0)),
                 10L,
                 false,
                 List.of(),
@@ -122,17 +126,26 @@
                 List.of()));
     expected.addAll(List.of(10L, 10L, 10L, 10L, 10L, 10L, 10L, 10L));
     expected.addAll(
-        List.of(10L, Note.PROGRESS, 0.25, 10L, Note.SPILLS, 0.25, 10L, Note.WAITS, 0.25));
-    for (Outcome outcome :
         List.of(
-            Outcome.FULFILLED,
-            Outcome.FULL,
-            Outcome.OVERDUE,
-            Outcome.UNREACHABLE,
-            Outcome.SEVERED,
-            Outcome.CALLED_OFF,
-            Outcome.NEVER_SENT,
-            Outcome.ERRED)) {
+            10L,
+            AttemptProgress.PROGRESS,
+            0.25,
+            10L,
+            AttemptProgress.SPILLS,
+            0.25,
+            10L,
+            AttemptProgress.WAITS,
+            0.25));
+    for (AttemptOutcome outcome :
+        List.of(
+            AttemptOutcome.FULFILLED,
+            AttemptOutcome.FULL,
+            AttemptOutcome.OVERDUE,
+            AttemptOutcome.UNREACHABLE,
+            AttemptOutcome.SEVERED,
+            AttemptOutcome.CALLED_OFF,
+            AttemptOutcome.NEVER_SENT,
+            AttemptOutcome.ERRED)) {
       expected.addAll(List.of(10L, outcome, 18L, true, 10_000.0, 48.0, "[3.0, 0.5]"));
     }
     expected.add(10L);
@@ -148,13 +161,13 @@
     assertSame(arrived.get(0).line, arrived.get(7).line);
   }
 
-  private static Listed listed(List<Object> given, int place) {
-    return (Listed) ((List<?>) given.get(2)).get(place);
+  private static EndpointUpdate listed(List<Object> given, int place) {
+    return (EndpointUpdate) ((List<?>) given.get(2)).get(place);
   }
 
   private static String played(String input) throws IOException {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
-    new WireHost(Policy::new)
+    new WireHost(DefaultDispatchPolicy::new)
         .serve(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), output);
     return output.toString(StandardCharsets.UTF_8);
   }
--- a/gateway/src/test/java/tillerlink/Stage.java
+++ b/gateway/src/test/java/tillerlink/Stage.java
@@ -18,6 +18,7 @@
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
+import tillerlink.policy.DefaultDispatchPolicy;
 
 /** A driver that prints. Times are milliseconds; in what engines say, | is a line's end. */
 final class Stage implements Driver {
@@ -159,7 +160,7 @@
     gateway =
         new Gateway(
             new Assignment("n0", any, any, 7, sockets, terms, List.of(known)),
-            Policy::new,
+            DefaultDispatchPolicy::new,
             this,
             now);
     turn(() -> {});
--- a/gateway/src/test/java/tillerlink/Trace.java
+++ b/gateway/src/test/java/tillerlink/Trace.java
@@ -12,20 +12,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.UnaryOperator;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.KeyLine;
-import tillerlink.model.Listed;
-import tillerlink.model.Note;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
-import tillerlink.port.Orders;
+import tillerlink.model.KeyedRequestQueue;
+import tillerlink.model.Request;
+import tillerlink.policy.DefaultDispatchPolicy;
+import tillerlink.port.DispatchActions;
 
 /**
  * A door for tests: plays events to one module and prints what it orders, a line each. Times are
  * milliseconds.
  */
-final class Trace implements Orders {
+final class Trace implements DispatchActions {
   /**
    * The form in which all stories are played: so many times the times and values, and other names
    * or not.
@@ -43,10 +44,10 @@
   private final long start = 1_000_000L * scale;
   private final Map<String, Object> settings = new LinkedHashMap<>();
   private final Map<String, Engine> engines = new LinkedHashMap<>();
-  private final Map<String, Submission> submissions = new LinkedHashMap<>();
-  private final Map<String, KeyLine> lines = new LinkedHashMap<>();
+  private final Map<String, Request> submissions = new LinkedHashMap<>();
+  private final Map<String, KeyedRequestQueue> lines = new LinkedHashMap<>();
   private final StringBuilder printed = new StringBuilder();
-  private Policy policy;
+  private DefaultDispatchPolicy policy;
   private long seed = 7;
   private long now = start;
   private long patience = 50000L * scale;
@@ -135,7 +136,7 @@
   }
 
   Trace up(String... ready) {
-    policy = new Policy(now, seed, renamed ? otherwise() : scaled(), this);
+    policy = new DefaultDispatchPolicy(now, seed, renamed ? otherwise() : scaled(), this);
     for (String name : ready) {
       list(name, Engine.Standing.READY, 0);
     }
@@ -200,7 +201,7 @@
         now,
         false,
         List.of(
-            new Listed(
+            new EndpointUpdate(
                 engine,
                 renamed ? 1 - kind : kind,
                 renamed ? zone + OTHER_ZONES : zone,
@@ -227,25 +228,26 @@
   }
 
   Trace arrive(String id, int track, double workMs, int tableGroup, String key) {
-    KeyLine line = key == null ? null : lines.computeIfAbsent(key, k -> new KeyLine());
-    Submission s =
-        new Submission(id, track, tableGroup, false, now, now + patience, workMs * tenths, 0, line);
+    KeyedRequestQueue line =
+        key == null ? null : lines.computeIfAbsent(key, k -> new KeyedRequestQueue());
+    Request s =
+        new Request(id, track, tableGroup, false, now, now + patience, workMs * tenths, 0, line);
     submissions.put(id, s);
     policy.arrived(now, s);
     return settle();
   }
 
   /** The newest hop of a submission ends, at times with a load report. */
-  Trace end(String id, Outcome outcome, double... report) {
-    Submission s = submissions.get(id);
-    Hop hop = s.hops.get(s.hops.size() - 1);
+  Trace end(String id, AttemptOutcome outcome, double... report) {
+    Request s = submissions.get(id);
+    Attempt hop = s.hops.get(s.hops.size() - 1);
     print(id + " " + outcome + " at " + hop.engine.tag);
     policy.ended(
         now,
         hop,
         outcome,
         now - hop.sentAt,
-        outcome == Outcome.FULFILLED,
+        outcome == AttemptOutcome.FULFILLED,
         0,
         0,
         report.length == 0 ? null : report);
@@ -254,20 +256,20 @@
 
   /** Hop by hop, until it is over: one engine errs, the others fulfil. */
   Trace endAll(String id, String erring) {
-    Submission s = submissions.get(id);
+    Request s = submissions.get(id);
     while (s.hopsOut > 0) {
       end(
           id,
           s.hops.get(s.hops.size() - 1).engine.tag.equals(erring)
-              ? Outcome.ERRED
-              : Outcome.FULFILLED);
+              ? AttemptOutcome.ERRED
+              : AttemptOutcome.FULFILLED);
     }
     return this;
   }
 
   Trace note(String id, double share) {
-    Submission s = submissions.get(id);
-    policy.noted(now, s.hops.get(s.hops.size() - 1), Note.PROGRESS, share);
+    Request s = submissions.get(id);
+    policy.noted(now, s.hops.get(s.hops.size() - 1), AttemptProgress.PROGRESS, share);
     return settle();
   }
 
@@ -329,27 +331,27 @@
   }
 
   @Override
-  public void terms(Submission s, int rank, long grant) {
+  public void terms(Request s, int rank, long grant) {
     // Ranks and grants are left out of the traces.
   }
 
   @Override
-  public void send(Hop hop) {
+  public void send(Attempt hop) {
     print("send " + hop.submission.tag + " -> " + hop.engine.tag + (hop.trial ? " (trial)" : ""));
   }
 
   @Override
-  public void callOff(Hop hop) {
+  public void callOff(Attempt hop) {
     print("call off " + hop.submission.tag + " at " + hop.engine.tag);
   }
 
   @Override
-  public void turnBack(Submission s, long comeBack) {
+  public void turnBack(Request s, long comeBack) {
     print("turn back " + s.tag + ", come back in " + comeBack / tenths);
   }
 
   @Override
-  public void breakOff(Submission s) {
+  public void breakOff(Request s) {
     print("break off " + s.tag);
   }
 
--- a/gateway/src/test/java/tillerlink/WireHostTest.java
+++ b/gateway/src/test/java/tillerlink/WireHostTest.java
@@ -8,6 +8,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.wirehost.MalformedWireException;
 import tillerlink.wirehost.WireHost;
 
@@ -88,7 +89,7 @@
   private static String played(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] in = String.join("\n", lines).getBytes(StandardCharsets.UTF_8);
-    new WireHost(Policy::new).serve(new ByteArrayInputStream(in), out);
+    new WireHost(DefaultDispatchPolicy::new).serve(new ByteArrayInputStream(in), out);
     return out.toString(StandardCharsets.UTF_8);
   }
 
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -29,13 +29,13 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import tillerlink.Lists;
-import tillerlink.Policy;
 import tillerlink.model.Engine;
 import tillerlink.net.io.MinaDriver;
 import tillerlink.net.state.Gateway;
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
+import tillerlink.policy.DefaultDispatchPolicy;
 
 /**
  * A gateway on real loopback connections whose peers a test plays line by line. Time stands still
@@ -114,7 +114,7 @@
             pipe -> gateway.accepted(pipe),
             assignment.clientsMost(),
             now::get);
-    gateway = new Gateway(assignment, Policy::new, driver, now.get());
+    gateway = new Gateway(assignment, DefaultDispatchPolicy::new, driver, now.get());
     driver.listen(listen);
     thread = new Thread(this::run, "turns");
     thread.setDaemon(true);
--- a/gateway/src/test/java/tillerlink/net/lifecycle/TurnsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/TurnsTest.java
@@ -16,7 +16,6 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import tillerlink.Policy;
 import tillerlink.model.Engine;
 import tillerlink.net.state.Driver;
 import tillerlink.net.state.Gateway;
@@ -24,8 +23,9 @@
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
-import tillerlink.port.Orders;
-import tillerlink.port.Steering;
+import tillerlink.policy.DefaultDispatchPolicy;
+import tillerlink.port.DispatchActions;
+import tillerlink.port.DispatchPolicy;
 
 class TurnsTest {
   private static final long START = 17_000_000_000_000L;
@@ -135,11 +135,11 @@
     new Rehearsal(
             assignment,
             (now, seed, settings, orders) -> {
-              Steering module = new Policy(now, seed, settings, orders);
-              return (Steering)
+              DispatchPolicy module = new DefaultDispatchPolicy(now, seed, settings, orders);
+              return (DispatchPolicy)
                   Proxy.newProxyInstance(
                       getClass().getClassLoader(),
-                      new Class<?>[] {Steering.class},
+                      new Class<?>[] {DispatchPolicy.class},
                       (proxy, method, values) -> {
                         happened.add(
                             method.getName().equals("ended")
@@ -163,11 +163,11 @@
     return now;
   }
 
-  private Steering steering(Orders orders) {
-    return (Steering)
+  private DispatchPolicy steering(DispatchActions orders) {
+    return (DispatchPolicy)
         Proxy.newProxyInstance(
             getClass().getClassLoader(),
-            new Class<?>[] {Steering.class},
+            new Class<?>[] {DispatchPolicy.class},
             (proxy, method, values) -> {
               happened.add(method.getName());
               if (happened.size() == 1) {
--- a/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
+++ b/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
@@ -18,12 +18,12 @@
 
   @Test
   void theListOfTheStartIsAwaitedUntilTheFirstAnswer() {
-    assertEquals(ListState.AWAITED, lease.state(START));
+    assertEquals(EndpointListState.AWAITED, lease.state(START));
     assertEquals(0, lease.usableUntil(START));
     lease.asked(START + 100);
-    assertEquals(ListState.AWAITED, lease.state(START + 200));
+    assertEquals(EndpointListState.AWAITED, lease.state(START + 200));
     lease.answered(START + 100, START + 200);
-    assertEquals(ListState.CONFIRMED, lease.state(START + 200));
+    assertEquals(EndpointListState.CONFIRMED, lease.state(START + 200));
   }
 
   /**
@@ -35,8 +35,8 @@
     confirm(START);
     long until = START + DiscoveryLease.TOLD_AFTER + USABLE;
     assertEquals(until, lease.usableUntil(START + SECOND));
-    assertEquals(ListState.CONFIRMED, lease.state(until - 1));
-    assertEquals(ListState.AWAITED, lease.state(until));
+    assertEquals(EndpointListState.CONFIRMED, lease.state(until - 1));
+    assertEquals(EndpointListState.AWAITED, lease.state(until));
     assertEquals(until, lease.changesAt(START));
   }
 
@@ -59,7 +59,7 @@
     confirm(START);
     lease.asked(START + 4_000);
     lease.answered(START + 4_000, START + 60_000);
-    assertEquals(ListState.AWAITED, lease.state(START + 60_000));
+    assertEquals(EndpointListState.AWAITED, lease.state(START + 60_000));
   }
 
   @Test
@@ -68,17 +68,17 @@
     for (int i = 0; i < 5; i++) {
       lease.asked(START + 4_000 + i * 1_250);
     }
-    assertEquals(ListState.AWAITED, lease.state(START + 40_000));
+    assertEquals(EndpointListState.AWAITED, lease.state(START + 40_000));
     lease.asked(START + 10_250);
-    assertEquals(ListState.AWAITED, lease.state(START + 4_000 + 2 * GRACE - 1));
-    assertEquals(ListState.DEGRADED, lease.state(START + 4_000 + 2 * GRACE));
+    assertEquals(EndpointListState.AWAITED, lease.state(START + 4_000 + 2 * GRACE - 1));
+    assertEquals(EndpointListState.DEGRADED, lease.state(START + 4_000 + 2 * GRACE));
     long expires = START + DiscoveryLease.TOLD_ANYWAY_AFTER + USABLE;
     assertEquals(expires, lease.usableUntil(START + 20_000));
-    assertEquals(ListState.EXPIRED, lease.state(expires));
+    assertEquals(EndpointListState.EXPIRED, lease.state(expires));
     assertEquals(0, lease.usableUntil(expires));
     lease.asked(expires);
     lease.answered(expires, expires + 50);
-    assertEquals(ListState.CONFIRMED, lease.state(expires + 50));
+    assertEquals(EndpointListState.CONFIRMED, lease.state(expires + 50));
   }
 
   /**
@@ -92,9 +92,9 @@
       lease.observe(START + 4_000 + i * 1_250);
       lease.asked(START + 4_000 + i * 1_250);
     }
-    assertEquals(ListState.DEGRADED, lease.state(START + 20_000));
+    assertEquals(EndpointListState.DEGRADED, lease.state(START + 20_000));
     assertTrue(lease.observe(START + 40_000));
-    assertEquals(ListState.AWAITED, lease.state(START + 40_000));
+    assertEquals(EndpointListState.AWAITED, lease.state(START + 40_000));
     assertFalse(lease.observe(START + 41_000));
   }
 
@@ -107,7 +107,7 @@
       lease.asked(at);
       lease.answeredWithOlder(at + 10);
     }
-    assertEquals(ListState.DEGRADED, lease.state(START + 200_000));
+    assertEquals(EndpointListState.DEGRADED, lease.state(START + 200_000));
   }
 
   /**
@@ -126,7 +126,7 @@
       if (now > START + 6_000 && (now - START) % 2_500 == 1_000) {
         lease.answered(now - 6_000, now);
       }
-      awaited += lease.state(now) == ListState.AWAITED ? 500 : 0;
+      awaited += lease.state(now) == EndpointListState.AWAITED ? 500 : 0;
     }
     assertTrue(awaited <= 2 * GRACE, awaited + " tenths of a millisecond awaited in a minute");
   }
@@ -156,7 +156,7 @@
           }
           nextAt = now + 1_250 + random.nextInt(3_000);
         }
-        if (own.state(now) == ListState.CONFIRMED) {
+        if (own.state(now) == EndpointListState.CONFIRMED) {
           assertTrue(firstLost == Long.MAX_VALUE || now < firstLost + GRACE, "seed " + seed);
         }
       }
--- a/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
+++ b/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
@@ -8,19 +8,19 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import tillerlink.model.Circle;
+import tillerlink.model.Attempt;
+import tillerlink.model.AttemptOutcome;
 import tillerlink.model.DecayingMean;
+import tillerlink.model.DeduplicationGroup;
 import tillerlink.model.Effect;
-import tillerlink.model.Ending;
+import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
-import tillerlink.model.Hop;
-import tillerlink.model.KeyLine;
-import tillerlink.model.Listed;
-import tillerlink.model.Named;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
-import tillerlink.model.Track;
-import tillerlink.model.TrackTerms;
+import tillerlink.model.KeyedRequestQueue;
+import tillerlink.model.Request;
+import tillerlink.model.RequestClass;
+import tillerlink.model.RequestClassConfig;
+import tillerlink.model.RequestOutcome;
+import tillerlink.model.Settings;
 
 /**
  * Each invariant is broken on purpose, and just that one is told. Times are tenths of a
@@ -48,7 +48,7 @@
     settings.put("guarantees.start_capacity", 0.25);
     settings.put("guarantees.warm_within", 100_000L);
     settings.put("family_info.kind_cores", List.of(4L));
-    monitor = new InvariantMonitor(new Named(settings));
+    monitor = new InvariantMonitor(new Settings(settings));
     listed(NOW, Engine.Standing.READY);
   }
 
@@ -59,17 +59,17 @@
 
   @Test
   void theClient() {
-    Submission left = request(Effect.PURE, null);
-    left.ending = Ending.LEFT;
+    Request left = request(Effect.PURE, null);
+    left.ending = RequestOutcome.LEFT;
     left.leftAt = NOW;
     assertEquals(Set.of(), written(attempt(left, engine), NOW + 1_000));
     assertEquals(Set.of(Invariant.CLIENT_WAITS), written(attempt(left, engine), NOW + 1_001));
-    Hop late = attempt(request(Effect.PURE, null), engine);
+    Attempt late = attempt(request(Effect.PURE, null), engine);
     long at = NOW + DEADLINE + 501;
     assertEquals(
         Set.of(Invariant.CLIENT_WAITS),
         monitor.written(new InvariantMonitor.Written(late, at, at, 0)));
-    Submission answered = request(Effect.PURE, null);
+    Request answered = request(Effect.PURE, null);
     assertEquals(Set.of(), monitor.answered(NOW + DEADLINE + 5_000, answered));
     assertEquals(
         Set.of(Invariant.ANSWER_IN_TIME), monitor.answered(NOW + DEADLINE + 5_001, answered));
@@ -77,7 +77,7 @@
 
   @Test
   void theLimitThatIsPassedOn() {
-    Hop hop = attempt(request(Effect.PURE, null), engine);
+    Attempt hop = attempt(request(Effect.PURE, null), engine);
     long at = NOW + 10_000;
     long left = DEADLINE - 10_000;
     assertEquals(
@@ -89,18 +89,18 @@
 
   @Test
   void effects() {
-    Submission effectful = request(Effect.EFFECTFUL, null);
-    Hop first = attempt(effectful, engine);
+    Request effectful = request(Effect.EFFECTFUL, null);
+    Attempt first = attempt(effectful, engine);
     written(first, NOW);
-    first.outcome = Outcome.SEVERED;
+    first.outcome = AttemptOutcome.SEVERED;
     assertEquals(Set.of(Invariant.SINGLE_EFFECT), written(attempt(effectful, other), NOW));
-    Submission again = request(Effect.EFFECTFUL, null);
-    Hop refused = attempt(again, engine);
+    Request again = request(Effect.EFFECTFUL, null);
+    Attempt refused = attempt(again, engine);
     written(refused, NOW);
-    refused.outcome = Outcome.FULL;
+    refused.outcome = AttemptOutcome.FULL;
     assertEquals(Set.of(), written(attempt(again, other), NOW));
-    Submission neverWritten = request(Effect.EFFECTFUL, null);
-    attempt(neverWritten, engine).outcome = Outcome.SEVERED;
+    Request neverWritten = request(Effect.EFFECTFUL, null);
+    attempt(neverWritten, engine).outcome = AttemptOutcome.SEVERED;
     assertEquals(Set.of(), written(attempt(neverWritten, other), NOW));
   }
 
@@ -119,7 +119,7 @@
 
   @Test
   void whatGoesOutLaterThanAllowed() {
-    Hop hop = attempt(request(Effect.PURE, null), engine);
+    Attempt hop = attempt(request(Effect.PURE, null), engine);
     assertEquals(Set.of(), monitor.written(new InvariantMonitor.Written(hop, NOW + 500, NOW, 0)));
     assertEquals(
         Set.of(Invariant.WRITE_IN_TIME),
@@ -128,9 +128,9 @@
 
   @Test
   void order() {
-    KeyLine line = new KeyLine();
-    Submission before = request(Effect.PURE, null, line);
-    Submission after = request(Effect.PURE, null, line);
+    KeyedRequestQueue line = new KeyedRequestQueue();
+    Request before = request(Effect.PURE, null, line);
+    Request after = request(Effect.PURE, null, line);
     line.members.add(before);
     line.members.add(after);
     assertEquals(Set.of(Invariant.ORDER), written(attempt(after, engine), NOW));
@@ -147,7 +147,7 @@
 
   @Test
   void theRetryBudget() {
-    Submission request = request(Effect.PURE, null);
+    Request request = request(Effect.PURE, null);
     written(attempt(request, engine), NOW);
     Set<Invariant> broken = Set.of();
     for (int i = 0; i < 3; i++) {
@@ -177,26 +177,26 @@
         now,
         true,
         List.of(
-            new Listed(engine, 0, 0, 0, 1, standing, 0, 1),
-            new Listed(other, 0, 1, 0, 1, Engine.Standing.READY, 0, 1)));
+            new EndpointUpdate(engine, 0, 0, 0, 1, standing, 0, 1),
+            new EndpointUpdate(other, 0, 1, 0, 1, Engine.Standing.READY, 0, 1)));
   }
 
-  private Set<Invariant> written(Hop hop, long at) {
+  private Set<Invariant> written(Attempt hop, long at) {
     return monitor.written(new InvariantMonitor.Written(hop, at, at, 0));
   }
 
-  private static Submission request(Effect effect, List<Integer> zones) {
+  private static Request request(Effect effect, List<Integer> zones) {
     return request(effect, zones, null);
   }
 
-  private static Submission request(Effect effect, List<Integer> zones, KeyLine line) {
-    Submission request = new Submission("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
+  private static Request request(Effect effect, List<Integer> zones, KeyedRequestQueue line) {
+    Request request = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
     request.track =
-        new Track(
+        new RequestClass(
             0,
-            new TrackTerms(
+            new RequestClassConfig(
                 effect,
-                Circle.ALL,
+                DeduplicationGroup.ALL,
                 10_000,
                 DEADLINE,
                 0,
@@ -216,8 +216,8 @@
     return request;
   }
 
-  private static Hop attempt(Submission request, Engine to) {
-    Hop hop = new Hop(request, to, NOW, 1_000, 1_000, false);
+  private static Attempt attempt(Request request, Engine to) {
+    Attempt hop = new Attempt(request, to, NOW, 1_000, 1_000, false);
     request.hops.add(hop);
     return hop;
   }
--- a/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
+++ b/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
@@ -8,7 +8,7 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import tillerlink.model.Outcome;
+import tillerlink.model.AttemptOutcome;
 
 /** What monitoring reads, and how much of a repeated event reaches the log. */
 class TelemetryTest {
@@ -17,9 +17,9 @@
   @Test
   void everyCounterIsExposedWithHelpTypeAndReasons() {
     Metrics metrics = new Metrics();
-    metrics.add(Counter.ATTEMPTS_ENDED, Outcome.NEVER_SENT);
-    metrics.add(Counter.ATTEMPTS_ENDED, Outcome.NEVER_SENT);
-    metrics.add(Counter.ATTEMPTS_ENDED, Outcome.ERRED);
+    metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.NEVER_SENT);
+    metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.NEVER_SENT);
+    metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.ERRED);
     metrics.gauge("engine_list_version", "Number of the last event.", () -> 7);
     String text = metrics.exposition();
     assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"never_sent\"} 2\n"), text);
--- a/http2/src/main/java/tillerlink/net/http2/H2Carrier.java
+++ b/http2/src/main/java/tillerlink/net/http2/H2Carrier.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
-import tillerlink.model.Outcome;
+import tillerlink.model.AttemptOutcome;
 import tillerlink.net.pool.Pool;
 import tillerlink.net.state.Carrier;
 import tillerlink.net.state.EngineSite;
@@ -106,12 +106,12 @@
    * A new connection failed: those that do not say that they work end, and what waits has nowhere
    * to go.
    */
-  void nobodyThere(Outcome outcome) {
+  void nobodyThere(AttemptOutcome outcome) {
     List.copyOf(links).forEach(H2Link::nobodyThere);
     if (links.stream().noneMatch(link -> link.up() && link.sound())) {
       while (!waiting.isEmpty()) {
         Flight flight = waiting.poll();
-        owner.later(() -> owner.ended(flight, flight.begun() ? Outcome.SPOILT : outcome));
+        owner.later(() -> owner.ended(flight, flight.begun() ? AttemptOutcome.SPOILT : outcome));
       }
     }
   }
@@ -133,7 +133,7 @@
   }
 
   @Override
-  public Outcome giveUp(Flight flight) {
+  public AttemptOutcome giveUp(Flight flight) {
     for (H2Link link : links) {
       if (link.bears(flight)) {
         return link.giveUp(flight);
--- a/http2/src/main/java/tillerlink/net/http2/H2Link.java
+++ b/http2/src/main/java/tillerlink/net/http2/H2Link.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 import org.apache.hc.core5.http.Header;
 import org.apache.hc.core5.http.message.BasicHeader;
-import tillerlink.model.Note;
-import tillerlink.model.Outcome;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
 import tillerlink.net.pool.Pool;
 import tillerlink.net.state.Break;
 import tillerlink.net.state.Carrier;
@@ -197,7 +197,7 @@
    * Gives a hop up; a request of which a part was written may come whole while the reset is on its
    * way.
    */
-  Outcome giveUp(Flight flight) {
+  AttemptOutcome giveUp(Flight flight) {
     Ride ride = ride(flight);
     connection.cancel(ride.stream, ErrorCode.CANCEL);
     boolean sent = ride.place != Long.MAX_VALUE;
@@ -314,7 +314,7 @@
   }
 
   private void noted(Ride ride, List<Header> headers) {
-    Note note = null;
+    AttemptProgress note = null;
     double level = 0;
     for (Header header : headers) {
       switch (header.getName()) {
@@ -328,11 +328,11 @@
     }
   }
 
-  private static Note about(String text) {
+  private static AttemptProgress about(String text) {
     return switch (text) {
-      case "share-done" -> Note.PROGRESS;
-      case "megabytes-missing" -> Note.SPILLS;
-      case "parked" -> Note.WAITS;
+      case "share-done" -> AttemptProgress.PROGRESS;
+      case "megabytes-missing" -> AttemptProgress.SPILLS;
+      case "parked" -> AttemptProgress.WAITS;
       default -> null;
     };
   }
--- a/http2/src/main/java/tillerlink/net/http2/StreamEnd.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamEnd.java
@@ -1,6 +1,6 @@
 package tillerlink.net.http2;
 
-import tillerlink.model.Outcome;
+import tillerlink.model.AttemptOutcome;
 
 /**
  * Every way a stream can end, and what each means for the hop that it bore. Which of them prove
@@ -46,10 +46,10 @@
    *     malformed, 8.1.1)
    * @param answered the hop's answer had begun, on this stream or on one before it: then it has run
    */
-  public Outcome outcome(boolean whole, boolean answered) {
-    Outcome outcome = outcome(whole);
-    return answered && outcome != Outcome.FULFILLED && outcome != Outcome.CALLED_OFF
-        ? Outcome.SPOILT
+  public AttemptOutcome outcome(boolean whole, boolean answered) {
+    AttemptOutcome outcome = outcome(whole);
+    return answered && outcome != AttemptOutcome.FULFILLED && outcome != AttemptOutcome.CALLED_OFF
+        ? AttemptOutcome.SPOILT
         : outcome;
   }
 
@@ -61,18 +61,18 @@
     };
   }
 
-  private Outcome outcome(boolean whole) {
+  private AttemptOutcome outcome(boolean whole) {
     return switch (this) {
-      case ANSWERED -> Outcome.FULFILLED;
-      case ANSWERED_FULL, REFUSED -> Outcome.FULL;
-      case ANSWERED_STALE, ABOVE_GOAWAY, NO_ROOM, WITHDRAWN -> Outcome.NEVER_SENT;
-      case ANSWERED_ERROR -> Outcome.ERRED;
-      case RESET_BEFORE_ANSWER -> whole ? Outcome.ERRED : Outcome.NEVER_SENT;
-      case RESET_IN_ANSWER -> Outcome.SPOILT;
-      case GARBLED, MUTE -> whole ? Outcome.SPOILT : Outcome.NEVER_SENT;
-      case CUT -> whole ? Outcome.SEVERED : Outcome.NEVER_SENT;
-      case SILENT -> whole ? Outcome.SEVERED : Outcome.UNREACHABLE;
-      case WINDOW_SHUT, CANCELLED -> whole ? Outcome.CALLED_OFF : Outcome.NEVER_SENT;
+      case ANSWERED -> AttemptOutcome.FULFILLED;
+      case ANSWERED_FULL, REFUSED -> AttemptOutcome.FULL;
+      case ANSWERED_STALE, ABOVE_GOAWAY, NO_ROOM, WITHDRAWN -> AttemptOutcome.NEVER_SENT;
+      case ANSWERED_ERROR -> AttemptOutcome.ERRED;
+      case RESET_BEFORE_ANSWER -> whole ? AttemptOutcome.ERRED : AttemptOutcome.NEVER_SENT;
+      case RESET_IN_ANSWER -> AttemptOutcome.SPOILT;
+      case GARBLED, MUTE -> whole ? AttemptOutcome.SPOILT : AttemptOutcome.NEVER_SENT;
+      case CUT -> whole ? AttemptOutcome.SEVERED : AttemptOutcome.NEVER_SENT;
+      case SILENT -> whole ? AttemptOutcome.SEVERED : AttemptOutcome.UNREACHABLE;
+      case WINDOW_SHUT, CANCELLED -> whole ? AttemptOutcome.CALLED_OFF : AttemptOutcome.NEVER_SENT;
     };
   }
 }
--- a/peering/src/test/java/tillerlink/peering/Gateways.java
+++ b/peering/src/test/java/tillerlink/peering/Gateways.java
@@ -19,11 +19,11 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import tillerlink.Policy;
 import tillerlink.channels.Terms;
 import tillerlink.net.lifecycle.Node;
 import tillerlink.peering.channels.ChannelsPart;
 import tillerlink.peering.statements.StatementsAttaching;
+import tillerlink.policy.DefaultDispatchPolicy;
 
 /** Gateways as processes of their own, on loopback, for tests; none of them knows an engine. */
 final class Gateways implements AutoCloseable {
@@ -70,7 +70,7 @@
     new Node()
         .serve(
             System.getenv(),
-            Policy::new,
+            DefaultDispatchPolicy::new,
             null,
             assignment -> null,
             Peering.factory(
--- a/replay/src/main/java/tillerlink/replay/Job.java
+++ b/replay/src/main/java/tillerlink/replay/Job.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
-import tillerlink.port.SteeringFactory;
+import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 import tillerlink.workload.Plan;
@@ -38,4 +38,4 @@
     double badMost,
     long seed,
     String policyName,
-    SteeringFactory modules) {}
+    DispatchPolicyFactory modules) {}
--- a/tools/src/main/java/tillerlink/cli/DemoCommand.java
+++ b/tools/src/main/java/tillerlink/cli/DemoCommand.java
@@ -11,9 +11,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tillerlink.Policy;
 import tillerlink.fleet.Fleet;
 import tillerlink.harness.Rig;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.replay.Arrivals;
 import tillerlink.replay.Job;
 import tillerlink.replay.Played;
@@ -68,7 +68,7 @@
               0.1,
               1,
               "module",
-              Policy::new);
+              DefaultDispatchPolicy::new);
       try (Arrivals arrivals = new Arrivals(job)) {
         spec.commandLine()
             .getErr()
--- a/tools/src/main/java/tillerlink/cli/ExploreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ExploreCommand.java
@@ -8,9 +8,9 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
-import tillerlink.Policy;
 import tillerlink.explore.Explorer;
 import tillerlink.explore.Player;
+import tillerlink.policy.DefaultDispatchPolicy;
 
 /** Explores small histories exhaustively. */
 @Command(
@@ -64,7 +64,10 @@
     PrintWriter out = spec.commandLine().getOut();
     PrintWriter err = spec.commandLine().getErr();
     Explorer.Found found =
-        new Explorer(new Player(engines, submissions, http2, Policy::new), failures, minutes)
+        new Explorer(
+                new Player(engines, submissions, http2, DefaultDispatchPolicy::new),
+                failures,
+                minutes)
             .explore(
                 (histories, distinct, depth) -> {
                   err.printf(
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -11,13 +11,13 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tillerlink.Policy;
 import tillerlink.baseline.Baseline;
 import tillerlink.fleet.Fleet;
 import tillerlink.harness.Rig;
 import tillerlink.operator.OperatorFile;
 import tillerlink.operator.OperatorFile.Replaying;
-import tillerlink.port.SteeringFactory;
+import tillerlink.policy.DefaultDispatchPolicy;
+import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.replay.Arrivals;
 import tillerlink.replay.Job;
 import tillerlink.replay.Page;
@@ -242,9 +242,9 @@
     };
   }
 
-  private SteeringFactory modules() {
+  private DispatchPolicyFactory modules() {
     return switch (choice) {
-      case MODULE -> Policy::new;
+      case MODULE -> DefaultDispatchPolicy::new;
       case RANDOM -> Baseline.of(Baseline.Choice.RANDOM);
       default -> Baseline.of(Baseline.Choice.LEAST_OUTSTANDING);
     };
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import tillerlink.Policy;
 import tillerlink.endpointcache.Remembering;
 import tillerlink.net.lifecycle.Node;
 import tillerlink.operator.OperatorFile;
+import tillerlink.policy.DefaultDispatchPolicy;
 
 /** One gateway on sockets. */
 @Command(
@@ -33,7 +33,7 @@
     new Node()
         .serve(
             System.getenv(),
-            Policy::new,
+            DefaultDispatchPolicy::new,
             file == null ? null : file.http2(),
             assignment ->
                 store == null
--- a/tools/src/main/java/tillerlink/cli/WireHostCommand.java
+++ b/tools/src/main/java/tillerlink/cli/WireHostCommand.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
-import tillerlink.Policy;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.wirehost.MalformedWireException;
 import tillerlink.wirehost.WireHost;
 
@@ -16,7 +16,7 @@
   @Override
   public Integer call() throws Exception {
     try {
-      new WireHost(Policy::new).serve(System.in, System.out);
+      new WireHost(DefaultDispatchPolicy::new).serve(System.in, System.out);
       return 0;
     } catch (MalformedWireException e) {
       throw new java.io.IOException(e.getMessage(), e);
--- a/tools/src/main/java/tillerlink/explore/Player.java
+++ b/tools/src/main/java/tillerlink/explore/Player.java
@@ -13,7 +13,7 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
 import tillerlink.model.Effect;
-import tillerlink.port.SteeringFactory;
+import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.replay.Figures;
 import tillerlink.replay.Front;
 import tillerlink.replay.SeatLines;
@@ -56,12 +56,12 @@
 
   private final Fleet fleet;
   private final int submissions;
-  private final SteeringFactory modules;
+  private final DispatchPolicyFactory modules;
 
   /**
    * @param http2 whether engines speak HTTP/2, else engine lines
    */
-  public Player(int engines, int submissions, boolean http2, SteeringFactory modules) {
+  public Player(int engines, int submissions, boolean http2, DispatchPolicyFactory modules) {
     Fleet plain = Fleet.of(1, engines);
     fleet = plain.overHttp2(kind -> http2);
     this.submissions = submissions;
--- a/tools/src/test/java/tillerlink/cli/VerdictTest.java
+++ b/tools/src/test/java/tillerlink/cli/VerdictTest.java
@@ -14,8 +14,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.Policy;
 import tillerlink.fleet.Fleet;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.replay.Arrivals;
 import tillerlink.replay.Job;
 import tillerlink.replay.Played;
@@ -58,7 +58,7 @@
             0.1,
             1,
             "module",
-            Policy::new);
+            DefaultDispatchPolicy::new);
     try (Arrivals arrivals = new Arrivals(job)) {
       calm = Run.play(job, arrivals, arrived -> {});
     }
--- a/tools/src/test/java/tillerlink/explore/ExplorerTest.java
+++ b/tools/src/test/java/tillerlink/explore/ExplorerTest.java
@@ -9,12 +9,12 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
-import tillerlink.Policy;
-import tillerlink.model.Outcome;
-import tillerlink.model.Submission;
-import tillerlink.port.Orders;
-import tillerlink.port.Steering;
-import tillerlink.port.SteeringFactory;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.Request;
+import tillerlink.policy.DefaultDispatchPolicy;
+import tillerlink.port.DispatchActions;
+import tillerlink.port.DispatchPolicy;
+import tillerlink.port.DispatchPolicyFactory;
 
 /**
  * All small histories keep the rules; each planted fault is found, with a history that people can
@@ -27,7 +27,8 @@
         .setLevel(ch.qos.logback.classic.Level.ERROR);
   }
 
-  private static Explorer.Found explore(int failures, boolean http2, SteeringFactory modules) {
+  private static Explorer.Found explore(
+      int failures, boolean http2, DispatchPolicyFactory modules) {
     return new Explorer(new Player(2, 3, http2, modules), failures, 2)
         .explore((histories, distinct, depth) -> {});
   }
@@ -35,7 +36,7 @@
   @Test
   void allHistoriesWithTwoFailures() {
     for (boolean http2 : new boolean[] {false, true}) {
-      Explorer.Found found = explore(2, http2, Policy::new);
+      Explorer.Found found = explore(2, http2, DefaultDispatchPolicy::new);
       assertNull(
           found.wrong(), () -> String.join("\n", found.wrong().told()) + found.wrong().wrong());
       assertTrue(found.closed());
@@ -45,7 +46,7 @@
 
   @Test
   void theSameDeviationsTellTheSameStory() {
-    Player player = new Player(2, 3, false, Policy::new);
+    Player player = new Player(2, 3, false, DefaultDispatchPolicy::new);
     List<int[]> deviations = List.of(new int[] {3, 1}, new int[] {9, 2});
     assertEquals(player.play(deviations).told(), player.play(deviations).told());
   }
@@ -58,14 +59,17 @@
             1,
             false,
             (now, seed, settings, orders) -> {
-              Steering real = new Policy(now, seed, settings, orders);
-              return (Steering)
+              DispatchPolicy real = new DefaultDispatchPolicy(now, seed, settings, orders);
+              return (DispatchPolicy)
                   Proxy.newProxyInstance(
-                      Steering.class.getClassLoader(),
-                      new Class<?>[] {Steering.class},
+                      DispatchPolicy.class.getClassLoader(),
+                      new Class<?>[] {DispatchPolicy.class},
                       (proxy, method, args) -> {
                         for (int i = 0; args != null && i < args.length; i++) {
-                          args[i] = args[i] == Outcome.SEVERED ? Outcome.NEVER_SENT : args[i];
+                          args[i] =
+                              args[i] == AttemptOutcome.SEVERED
+                                  ? AttemptOutcome.NEVER_SENT
+                                  : args[i];
                         }
                         return method.invoke(real, args);
                       });
@@ -83,16 +87,16 @@
             1,
             false,
             (now, seed, settings, orders) ->
-                new Policy(
+                new DefaultDispatchPolicy(
                     now,
                     seed,
                     settings,
-                    (Orders)
+                    (DispatchActions)
                         Proxy.newProxyInstance(
-                            Orders.class.getClassLoader(),
-                            new Class<?>[] {Orders.class},
+                            DispatchActions.class.getClassLoader(),
+                            new Class<?>[] {DispatchActions.class},
                             (proxy, method, args) ->
-                                method.getName().equals("breakOff") && args[0] instanceof Submission
+                                method.getName().equals("breakOff") && args[0] instanceof Request
                                     ? null
                                     : method.invoke(orders, args))));
     assertTrue(
--- a/tools/src/test/java/tillerlink/replay/BlindStartTest.java
+++ b/tools/src/test/java/tillerlink/replay/BlindStartTest.java
@@ -14,7 +14,6 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
-import tillerlink.Policy;
 import tillerlink.audit.Auditor;
 import tillerlink.emulator.World;
 import tillerlink.endpointcache.Memory;
@@ -23,6 +22,7 @@
 import tillerlink.model.Engine;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.Track;
 
@@ -123,7 +123,7 @@
     world.namesDownUntil = down ? START + 8 * SECOND : 0;
     world.recalls =
         place -> new Memory(stored, LONGEST, 13 * SECOND, 24 * HOUR, (key, value, soon) -> {});
-    world.seat(Policy::new, 4);
+    world.seat(DefaultDispatchPolicy::new, 4);
     Figures figures = new Figures(TRACKS);
     Front front = new Front(world, new SeatLines(world), figures, new Wording(4, 0.2));
     int count = 6000;
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -11,7 +11,6 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
-import tillerlink.Policy;
 import tillerlink.audit.Auditor;
 import tillerlink.emulator.Peer;
 import tillerlink.emulator.World;
@@ -21,6 +20,7 @@
 import tillerlink.net.state.Break;
 import tillerlink.net.state.Side;
 import tillerlink.net.wire.HttpCall;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.Track;
 
@@ -195,7 +195,7 @@
     Watching watching = new Watching(fleet);
     World world = new World(fleet, TRACKS, watching, START);
     world.mischief = random;
-    world.seat(Policy::new, seed);
+    world.seat(DefaultDispatchPolicy::new, seed);
     world.seats.get(0).beside(door -> new Aside(door, watching, random, planted));
     Figures figures = new Figures(TRACKS);
     Front front = new Front(world, new SeatLines(world), figures, new Wording(seed, 0.2));
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -14,7 +14,6 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.LoggerFactory;
-import tillerlink.Policy;
 import tillerlink.audit.Auditor;
 import tillerlink.emulator.Peer;
 import tillerlink.emulator.World;
@@ -30,6 +29,7 @@
 import tillerlink.net.http2.ErrorCode;
 import tillerlink.net.http2.Frame;
 import tillerlink.net.state.Break;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 import tillerlink.trace.TraceMaker;
@@ -241,7 +241,7 @@
           return sides.get(sides.size() - 1);
         };
     world.mischief = random;
-    world.seat(Policy::new, seed);
+    world.seat(DefaultDispatchPolicy::new, seed);
     Figures figures = new Figures(TRACKS);
     Front front = new Front(world, new SeatLines(world), figures, new Wording(seed, 0.2));
     List<Arrival> arrivals = new ArrayList<>();
@@ -358,7 +358,7 @@
             0.1,
             1,
             "wild",
-            Policy::new);
+            DefaultDispatchPolicy::new);
     Random random = new Random(9);
     try (Arrivals arrivals = new Arrivals(job)) {
       Played played =
--- a/tools/src/test/java/tillerlink/replay/ReplayTest.java
+++ b/tools/src/test/java/tillerlink/replay/ReplayTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.LoggerFactory;
-import tillerlink.Policy;
 import tillerlink.baseline.Baseline;
 import tillerlink.cli.Tillerlink;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
 import tillerlink.harness.Rig;
-import tillerlink.port.SteeringFactory;
+import tillerlink.policy.DefaultDispatchPolicy;
+import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 import tillerlink.trace.TraceMaker;
@@ -58,7 +58,7 @@
       Path trace,
       Fleet fleet,
       double load,
-      SteeringFactory modules,
+      DispatchPolicyFactory modules,
       Trouble... troubles) {
     return new Job(
         List.of(Shard.of(trace)),
@@ -91,7 +91,7 @@
       Path trace = trace(layout, 1500, 0.05);
       List<byte[]> reports = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
-        Played played = play(job(layout, trace, Fleet.builtIn(3), 1.1, Policy::new));
+        Played played = play(job(layout, trace, Fleet.builtIn(3), 1.1, DefaultDispatchPolicy::new));
         assertTrue(played.sound(), layout.name() + played.auditor().breaches());
         assertEquals(0, played.auditor().watching());
         Path report = folder.resolve("report");
@@ -109,7 +109,9 @@
   void theModuleDoesBetterThanChance() throws IOException {
     Path trace = trace(Layout.ALIBABA_2018, 3000, 0);
     double module =
-        play(job(Layout.ALIBABA_2018, trace, Fleet.builtIn(3), 0.9, Policy::new)).figures().whole();
+        play(job(Layout.ALIBABA_2018, trace, Fleet.builtIn(3), 0.9, DefaultDispatchPolicy::new))
+            .figures()
+            .whole();
     Played random =
         play(
             job(
@@ -137,7 +139,7 @@
                 trace,
                 Fleet.builtIn(3),
                 0.6,
-                Policy::new,
+                DefaultDispatchPolicy::new,
                 new Trouble(2 * SECOND, Trouble.What.SLOW, "e2", 4 * SECOND, 5),
                 new Trouble(5 * SECOND, Trouble.What.SILENT, "e3", 4 * SECOND, 1),
                 new Trouble(8 * SECOND, Trouble.What.GONE, "e4", 0, 1),
@@ -182,7 +184,14 @@
     assertTrue(
         assertThrows(
                 BadTraceException.class,
-                () -> play(job(Layout.ALIBABA_2018, wrong, Fleet.builtIn(1), 0.5, Policy::new)))
+                () ->
+                    play(
+                        job(
+                            Layout.ALIBABA_2018,
+                            wrong,
+                            Fleet.builtIn(1),
+                            0.5,
+                            DefaultDispatchPolicy::new)))
             .getMessage()
             .endsWith("rows are bad, a share of 1.0000 where 0.1000 is allowed"));
     Path empty = Files.createFile(folder.resolve("empty"));
@@ -190,7 +199,14 @@
         "the trace has no row of use",
         assertThrows(
                 BadTraceException.class,
-                () -> play(job(Layout.ALIBABA_2018, empty, Fleet.builtIn(1), 0.5, Policy::new)))
+                () ->
+                    play(
+                        job(
+                            Layout.ALIBABA_2018,
+                            empty,
+                            Fleet.builtIn(1),
+                            0.5,
+                            DefaultDispatchPolicy::new)))
             .getMessage());
   }
 
@@ -207,7 +223,7 @@
             trace,
             Fleet.of(1, 4),
             0.4,
-            Policy::new,
+            DefaultDispatchPolicy::new,
             new Trouble(SECOND, Trouble.What.DRAINED, "e1", 60 * SECOND, 1),
             new Trouble(3 * SECOND, Trouble.What.KILLED, "n0", SECOND / 10, 1));
     try (Arrivals arrivals = new Arrivals(job)) {
@@ -250,7 +266,7 @@
             trace,
             mixed,
             0.3,
-            Policy::new,
+            DefaultDispatchPolicy::new,
             new Trouble(SECOND / 2, Trouble.What.GONE, "e3", 0, 1),
             new Trouble(SECOND, Trouble.What.DRAINED, "e1", SECOND, 1),
             new Trouble(2 * SECOND, Trouble.What.KILLED, "n1", SECOND / 2, 1));
--- a/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
+++ b/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.LoggerFactory;
-import tillerlink.Policy;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
+import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 import tillerlink.trace.TraceMaker;
@@ -83,7 +83,7 @@
             0.1,
             3,
             "test",
-            Policy::new);
+            DefaultDispatchPolicy::new);
     try (Arrivals arrivals = new Arrivals(job)) {
       return Run.play(job, arrivals, arrived -> {});
     }
