--- a/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
@@ -12,7 +12,7 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Kind;
 import tillerlink.fleet.Spec;
-import tillerlink.net.state.Break;
+import tillerlink.net.state.DisconnectReason;
 
 /**
  * One engine process: it runs what it is sent on shared cores, tells now and then how far it is,
@@ -284,7 +284,7 @@
     open.clear();
     List<Peer> all = new ArrayList<>(links);
     links.clear();
-    all.forEach(link -> link.cut(Break.RESET));
+    all.forEach(link -> link.cut(DisconnectReason.RESET));
   }
 
   public boolean isEnded() {
--- a/emulator/src/main/java/tillerlink/emulator/Link.java
+++ b/emulator/src/main/java/tillerlink/emulator/Link.java
@@ -7,14 +7,14 @@
 import tillerlink.fakes.EngineSide;
 import tillerlink.fakes.Says;
 import tillerlink.fleet.Kind;
-import tillerlink.net.state.Break;
-import tillerlink.net.state.Pipe;
+import tillerlink.net.state.Channel;
+import tillerlink.net.state.DisconnectReason;
 
 /**
  * A connection from a gateway to an engine: bytes take a while, in order; a machine that is silent
  * swallows them.
  */
-final class Link implements Pipe, Peer {
+final class Link implements Channel, Peer {
   private static final int LATE_MOST = 200;
   private static final long WORD_LATE = 1000;
   private static final long SAID_LATE = 3000;
@@ -68,7 +68,7 @@
     }
     int way = world.choices.choose("connect", 3);
     if (engine == null || engine.isEnded() || way == 1) {
-      cut(Break.REFUSED);
+      cut(DisconnectReason.REFUSED);
     } else if (engine.takesConnections() && way == 0) {
       up = true;
       engine.connected(this);
@@ -95,7 +95,7 @@
     int way = world.choices.choose("to the engine", 4);
     tellWritten(world.choices.choose("word of a write", 2) == 1);
     if (way == 1) {
-      cut(Break.RESET);
+      cut(DisconnectReason.RESET);
       return;
     }
     lost |= way == 3;
@@ -104,7 +104,7 @@
       world.timeline.at(outAt, () -> arrive(part));
     }
     if (way == 2) {
-      world.timeline.at(outAt, () -> cut(Break.RESET));
+      world.timeline.at(outAt, () -> cut(DisconnectReason.RESET));
     }
   }
 
@@ -145,7 +145,7 @@
       return;
     }
     if (lost) {
-      cut(Break.RESET);
+      cut(DisconnectReason.RESET);
       return;
     }
     side.feed(bytes);
@@ -154,7 +154,7 @@
         engine.heard(this, command);
       }
     } catch (IllegalArgumentException e) {
-      cut(Break.CLOSED_BY_PEER);
+      cut(DisconnectReason.CLOSED_BY_PEER);
     }
     side.disowned().forEach(hops::disowned);
     travel(side.owed());
@@ -163,7 +163,7 @@
   private void travel(byte[] bytes) {
     int way = bytes.length == 0 ? 0 : world.choices.choose("from the engine", 4);
     if (way == 1) {
-      cut(Break.RESET);
+      cut(DisconnectReason.RESET);
       return;
     }
     byte[] said = way == 3 ? "x\r\n".getBytes(StandardCharsets.US_ASCII) : bytes;
@@ -201,14 +201,14 @@
 
   /** The gateway hears of it a while later. */
   @Override
-  public void cut(Break how) {
+  public void cut(DisconnectReason how) {
     if (!over) {
       world.timeline.at(
           Math.max(inAt, world.now() + delay),
           () -> {
             if (!over) {
               tellUntold();
-              end(how == Break.REFUSED);
+              end(how == DisconnectReason.REFUSED);
               seat.post(life, () -> owner.ended(how));
             }
           });
--- a/emulator/src/main/java/tillerlink/emulator/Peer.java
+++ b/emulator/src/main/java/tillerlink/emulator/Peer.java
@@ -1,12 +1,12 @@
 package tillerlink.emulator;
 
 import tillerlink.fakes.Says;
-import tillerlink.net.state.Break;
+import tillerlink.net.state.DisconnectReason;
 
 /** A connection as an engine sees it. */
 public interface Peer {
   void say(Says what);
 
   /** The engine's process breaks it. */
-  void cut(Break how);
+  void cut(DisconnectReason how);
 }
--- a/emulator/src/main/java/tillerlink/emulator/Seat.java
+++ b/emulator/src/main/java/tillerlink/emulator/Seat.java
@@ -9,10 +9,10 @@
 import java.util.function.Function;
 import tillerlink.fakes.NameAnswer;
 import tillerlink.model.Engine;
-import tillerlink.net.state.Driver;
+import tillerlink.net.state.Channel;
 import tillerlink.net.state.Gateway;
-import tillerlink.net.state.Pipe;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
+import tillerlink.net.state.NetworkDriver;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.telemetry.Telemetry;
@@ -21,7 +21,7 @@
  * A real gateway, its state and its module, on a driver in memory: what comes at one moment is told
  * in one turn, in the order in which it came, as by the turn thread of a process.
  */
-public final class Seat implements Driver {
+public final class Seat implements NetworkDriver {
   private static final long NAME_DELAY = 5;
   private static final long BYTES_MOST = 16L << 20;
 
@@ -68,7 +68,7 @@
   }
 
   /** Puts something beside the module, until it is killed. */
-  public void beside(Function<Side.Door, Side> made) {
+  public void beside(Function<GatewayExtension.Door, GatewayExtension> made) {
     gateway.beside(made.apply(gateway.door()));
   }
 
@@ -89,7 +89,7 @@
   }
 
   /** A client connects. */
-  public Pipe.Owner accept(Pipe pipe) {
+  public Channel.Owner accept(Channel pipe) {
     return gateway.accepted(pipe);
   }
 
@@ -170,7 +170,7 @@
   }
 
   @Override
-  public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
     Link link = new Link(world, this, owner, world.at(to), world.delay(place, to));
     links.add(link);
     return link;
--- a/emulator/src/main/java/tillerlink/emulator/World.java
+++ b/emulator/src/main/java/tillerlink/emulator/World.java
@@ -19,7 +19,7 @@
 import tillerlink.fleet.Spec;
 import tillerlink.fleet.Trouble;
 import tillerlink.model.Engine;
-import tillerlink.net.state.Recall;
+import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
 import tillerlink.port.DispatchPolicyFactory;
@@ -50,7 +50,7 @@
   public Function<Spec, EngineSide> sides;
 
   /** What each gateway remembers over a restart, by its place; null for nothing. */
-  public IntFunction<Recall> recalls = place -> null;
+  public IntFunction<EndpointCache> recalls = place -> null;
 
   /** Until then the name service answers nobody, and a gateway that starts is told nothing. */
   public long namesDownUntil;
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Memory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/Memory.java
@@ -12,7 +12,7 @@
 import java.util.TreeMap;
 import tillerlink.model.DecayingSum;
 import tillerlink.model.Engine;
-import tillerlink.net.state.Recall;
+import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
 
@@ -21,7 +21,7 @@
  * how fast the fleet changes. It does no I/O: what is to be kept goes to a {@link Sink}, at a
  * bounded rate.
  */
-public final class Memory implements Recall {
+public final class Memory implements EndpointCache {
   /** Where what is to be kept goes; it never waits. */
   @FunctionalInterface
   public interface Sink {
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Remembering.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/Remembering.java
@@ -8,7 +8,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tillerlink.model.Settings;
-import tillerlink.net.state.Recall;
+import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.Assignment;
 import tillerlink.plain.PlainNames;
 import tillerlink.store.Folder;
@@ -34,7 +34,8 @@
    * @param ageMost tenths of a millisecond from which on a list is not trusted at all
    * @param bytesMost how much may be kept
    */
-  public static Recall open(Path within, Assignment assignment, long ageMost, long bytesMost) {
+  public static EndpointCache open(
+      Path within, Assignment assignment, long ageMost, long bytesMost) {
     Settings terms = new Settings(PlainNames.of(assignment.terms()));
     long longest = 1;
     for (int i = 0; i < terms.number("profiles", 0); i++) {
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.model.Engine;
-import tillerlink.net.state.Recall;
+import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
@@ -68,7 +68,7 @@
     Files.write(folder.resolve(GATEWAY).resolve(LOG), resource());
   }
 
-  private Recall open() {
+  private EndpointCache open() {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     Map<String, Object> terms = Map.of("profiles", List.of(Map.of("hard_limit", LONGEST)));
     Assignment assignment = new Assignment(GATEWAY, any, any, 7, 1024, terms, List.of());
@@ -149,7 +149,7 @@
   @Test
   void aGatewayStartsFromTheListOfTheReleaseBefore() throws IOException {
     copy();
-    Recall.Remembered remembered = open().atStart(TOLD_AT + 10_000);
+    EndpointCache.Remembered remembered = open().atStart(TOLD_AT + 10_000);
     assertEquals(new EngineNews(0, true, List.of(drains(), serves())), remembered.engines());
     assertEquals(Set.of("drains", "serves"), remembered.trust().keySet());
   }
--- a/endpointcache/src/test/java/tillerlink/endpointcache/MemoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/MemoryTest.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import tillerlink.model.Engine;
-import tillerlink.net.state.Recall;
+import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
 
@@ -110,7 +110,7 @@
     Memory first = memory();
     first.told(NOW, list(1, "a", "b", "c", "d"));
     first.told(NOW + SECOND, list(2, "a", "b-", "c"));
-    Recall.Remembered later = memory().atStart(NOW + 60 * SECOND);
+    EndpointCache.Remembered later = memory().atStart(NOW + 60 * SECOND);
     assertEquals("a b- c", print(later.engines()));
     assertEquals(0.9, later.trust().get("a"));
     assertNull(memory().atStart(NOW + 30 * HOUR).engines());
--- a/fleet/src/main/java/tillerlink/fleet/Fleet.java
+++ b/fleet/src/main/java/tillerlink/fleet/Fleet.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import tillerlink.model.Engine;
 import tillerlink.net.http2.H2Carriers;
-import tillerlink.net.state.Carrier;
+import tillerlink.net.state.EngineTransport;
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
@@ -132,7 +132,7 @@
   }
 
   /** How gateways reach its engines. */
-  public Carrier.Factory carriers() {
+  public EngineTransport.Factory carriers() {
     return new H2Carriers(
         false,
         kinds.stream().filter(Kind::http2).map(Kind::name).collect(Collectors.toUnmodifiableSet()),
--- a/gateway/src/main/java/tillerlink/Main.java
+++ b/gateway/src/main/java/tillerlink/Main.java
@@ -1,7 +1,7 @@
 package tillerlink;
 
 import java.io.IOException;
-import tillerlink.net.lifecycle.Node;
+import tillerlink.net.lifecycle.GatewayServer;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.wirehost.MalformedWireException;
 import tillerlink.wirehost.WireHost;
@@ -33,7 +33,7 @@
       switch (args.length == 1 ? args[0] : "") {
         case "serve" -> {
           Thread.setDefaultUncaughtExceptionHandler(Main::died);
-          new Node().serve(System.getenv(), DefaultDispatchPolicy::new);
+          new GatewayServer().serve(System.getenv(), DefaultDispatchPolicy::new);
         }
         case "wirehost" -> new WireHost(DefaultDispatchPolicy::new).serve(System.in, System.out);
         default -> {
--- a/gateway/src/main/java/tillerlink/net/io/Bounded.java
+++ b/gateway/src/main/java/tillerlink/net/io/ConnectionLimiter.java
@@ -11,11 +11,11 @@
  * Guards the descriptors: beyond the bound newcomers wait in the backlog until others have been
  * closed.
  */
-final class Bounded extends NioSocketAcceptor {
+final class ConnectionLimiter extends NioSocketAcceptor {
   private static final long WAIT_MS = 20;
   private final Semaphore room;
 
-  Bounded(IoProcessor<NioSession> processor, int most) {
+  ConnectionLimiter(IoProcessor<NioSession> processor, int most) {
     super(processor);
     room = new Semaphore(most);
   }
--- a/gateway/src/main/java/tillerlink/net/io/TimedWrite.java
+++ b/gateway/src/main/java/tillerlink/net/io/DeadlineWrite.java
@@ -8,12 +8,12 @@
  * looks at the clock right before it hands them to the system, for a full socket or a pause of the
  * process may lie before that.
  */
-final class TimedWrite extends IoBufferWrapper {
+final class DeadlineWrite extends IoBufferWrapper {
   private final long before;
   private volatile long firstByteAt;
   private volatile boolean withheld;
 
-  TimedWrite(byte[] bytes, long before) {
+  DeadlineWrite(byte[] bytes, long before) {
     super(IoBuffer.wrap(bytes));
     this.before = before;
   }
--- a/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
+++ b/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
@@ -19,15 +19,15 @@
 import org.apache.mina.transport.socket.nio.NioDatagramConnector;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import tillerlink.net.state.Break;
-import tillerlink.net.state.Driver;
-import tillerlink.net.state.Pipe;
+import tillerlink.net.state.Channel;
+import tillerlink.net.state.DisconnectReason;
+import tillerlink.net.state.NetworkDriver;
 
 /**
  * Reads and writes by Apache MINA. Its threads only post what came to the queue of the thread that
  * owns the state.
  */
-public final class MinaDriver implements Driver, Closeable {
+public final class MinaDriver implements NetworkDriver, Closeable {
   private static final int READ_MOST = 8192;
 
   /**
@@ -58,7 +58,7 @@
 
   private final Queue<HalfClosed> halfClosed = new ConcurrentLinkedQueue<>();
   private final Queue<Runnable> queue;
-  private final Reading reading;
+  private final ReadProcessor reading;
   private final Consumer<byte[]> datagrams;
   private InetSocketAddress nameService;
   private final NioSocketAcceptor acceptor;
@@ -82,15 +82,15 @@
       Queue<Runnable> queue,
       InetSocketAddress nameService,
       Consumer<byte[]> datagrams,
-      Function<Pipe, Pipe.Owner> accepted,
+      Function<Channel, Channel.Owner> accepted,
       int clientsMost,
       LongSupplier clock) {
     this.queue = queue;
-    reading = new Reading(clock);
+    reading = new ReadProcessor(clock);
     this.nameService = nameService;
     this.datagrams = datagrams;
     acceptor =
-        new Bounded(
+        new ConnectionLimiter(
             reading, clientsMost + Math.max(NEWCOMERS_LEAST, clientsMost / NEWCOMERS_SHARE));
     acceptor.setReuseAddress(true);
     acceptor.setBacklog(BACKLOG);
@@ -122,7 +122,7 @@
   }
 
   @Override
-  public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
     MinaPipe pipe = new MinaPipe();
     pipe.owner = owner;
     pending.add(
@@ -133,7 +133,7 @@
           future.addListener(
               done -> {
                 if (future.getException() != null) {
-                  queue.add(() -> pipe.owner.ended(Break.REFUSED));
+                  queue.add(() -> pipe.owner.ended(DisconnectReason.REFUSED));
                 }
               });
         });
@@ -221,7 +221,7 @@
     return bytes;
   }
 
-  private final class MinaPipe implements Pipe {
+  private final class MinaPipe implements Channel {
     private Owner owner;
     private ConnectFuture future;
     private final AtomicInteger unread = new AtomicInteger();
@@ -238,7 +238,7 @@
 
     @Override
     public void writeBefore(byte[] bytes, long before) {
-      pending.add(() -> last = session.write(new TimedWrite(bytes, before)));
+      pending.add(() -> last = session.write(new DeadlineWrite(bytes, before)));
     }
 
     @Override
@@ -337,7 +337,7 @@
     @Override
     public void messageSent(IoSession session, Object message) {
       MinaPipe pipe = pipe(session);
-      if (!(message instanceof TimedWrite timed)) {
+      if (!(message instanceof DeadlineWrite timed)) {
         queue.add(() -> pipe.owner.written());
       } else if (timed.withheld()) {
         queue.add(() -> pipe.owner.withheld());
@@ -355,7 +355,10 @@
     @Override
     public void sessionClosed(IoSession session) {
       MinaPipe pipe = pipe(session);
-      Break how = session.containsAttribute(CAUSE) ? Break.RESET : Break.CLOSED_BY_PEER;
+      DisconnectReason how =
+          session.containsAttribute(CAUSE)
+              ? DisconnectReason.RESET
+              : DisconnectReason.CLOSED_BY_PEER;
       queue.add(() -> pipe.owner.ended(how));
     }
 
@@ -365,9 +368,9 @@
   }
 
   private final class Accepting extends Posting {
-    private final Function<Pipe, Pipe.Owner> accepted;
+    private final Function<Channel, Channel.Owner> accepted;
 
-    Accepting(Function<Pipe, Pipe.Owner> accepted) {
+    Accepting(Function<Channel, Channel.Owner> accepted) {
       this.accepted = accepted;
     }
 
--- a/gateway/src/main/java/tillerlink/net/io/Reading.java
+++ b/gateway/src/main/java/tillerlink/net/io/ReadProcessor.java
@@ -17,7 +17,7 @@
 /**
  * MINA's thread for reading and writing; what changes whether a connection is read must run on it.
  */
-final class Reading extends NioProcessor {
+final class ReadProcessor extends NioProcessor {
   private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
   private final Queue<Runnable> passes = new ConcurrentLinkedQueue<>();
 
@@ -30,7 +30,7 @@
   /**
    * @param clock the gateway's, in tenths of a millisecond; for any thread
    */
-  Reading(LongSupplier clock) {
+  ReadProcessor(LongSupplier clock) {
     super(
         Executors.newCachedThreadPool(
             work -> {
@@ -44,7 +44,7 @@
   /** The one place where bytes are handed to the system for a connection. */
   @Override
   protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
-    if (!(buffer instanceof TimedWrite timed) || timed.begun()) {
+    if (!(buffer instanceof DeadlineWrite timed) || timed.begun()) {
       return super.write(session, buffer, length);
     }
     if (!timed.isDue(clock.getAsLong())) {
--- a/gateway/src/main/java/tillerlink/net/lifecycle/Watch.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/ConfigFileWatcher.java
@@ -10,7 +10,7 @@
  * Tells when a file was replaced or written anew; looks at it from time to time, on a thread of its
  * own.
  */
-final class Watch {
+final class ConfigFileWatcher {
   private static final long LOOK_EVERY_MS = 250;
 
   /** What tells one state of the file from another; of a file that is missing, nothing is known. */
@@ -29,7 +29,7 @@
   private final Runnable changed;
   private Seen seen;
 
-  Watch(Path path, Runnable changed) {
+  ConfigFileWatcher(Path path, Runnable changed) {
     this.path = path;
     this.changed = changed;
     seen = Seen.of(path);
--- a/gateway/src/main/java/tillerlink/net/lifecycle/Turns.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/EventLoop.java
@@ -11,8 +11,8 @@
 import tillerlink.plain.Units;
 
 /** The one thread that owns module and state, and its queue. */
-final class Turns {
-  private static final Logger LOG = LoggerFactory.getLogger(Turns.class);
+final class EventLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
   private static final int EVENTS_MOST = 256;
   private static final long STOOD_STILL = 100 * Units.TENTHS_PER_MS;
   private static final long CATCH_UP = 20 * Units.TENTHS_PER_MS;
@@ -20,7 +20,7 @@
   final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
   private final LongSupplier clock;
 
-  Turns(LongSupplier clock) {
+  EventLoop(LongSupplier clock) {
     this.clock = clock;
   }
 
--- a/gateway/src/main/java/tillerlink/net/lifecycle/Node.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -10,17 +10,17 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tillerlink.net.io.MinaDriver;
-import tillerlink.net.state.Carrier;
+import tillerlink.net.state.Channel;
+import tillerlink.net.state.EndpointCache;
+import tillerlink.net.state.EngineTransport;
 import tillerlink.net.state.Gateway;
-import tillerlink.net.state.Pipe;
-import tillerlink.net.state.Recall;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.Assignment;
 import tillerlink.port.DispatchPolicyFactory;
 
 /** One gateway process: start, turns, drain, stop. */
-public final class Node {
-  private static final Logger LOG = LoggerFactory.getLogger(Node.class);
+public final class GatewayServer {
+  private static final Logger LOG = LoggerFactory.getLogger(GatewayServer.class);
 
   /**
    * Kept in reserve beside those that the process has open when it starts: two ways to the name
@@ -30,11 +30,11 @@
   private static final int DESCRIPTORS_KEPT = 24;
 
   private final WallClock clock = new WallClock();
-  private final Turns turns = new Turns(clock::now);
+  private final EventLoop turns = new EventLoop(clock::now);
   private final CountDownLatch ended = new CountDownLatch(1);
   private MinaDriver driver;
   private Gateway gateway;
-  private Shutdown shutdown;
+  private GracefulShutdown shutdown;
 
   /** Serves until it is told to end. */
   public void serve(Map<String, String> environment, DispatchPolicyFactory modules)
@@ -50,9 +50,9 @@
   public void serve(
       Map<String, String> environment,
       DispatchPolicyFactory modules,
-      Carrier.Factory carriers,
-      Function<Assignment, Recall> recalls,
-      Side.Factory beside)
+      EngineTransport.Factory carriers,
+      Function<Assignment, EndpointCache> recalls,
+      GatewayExtension.Factory beside)
       throws IOException, InterruptedException {
     String file = environment.get("EDGE_CONFIG");
     if (file == null) {
@@ -62,7 +62,7 @@
     // From the first moment on, for a JVM that nobody told otherwise ends on this signal.
     boolean heard = onHangUp(() -> reload(path));
     // Before it is read: a file that is replaced from then on is read again.
-    Watch watch = new Watch(path, () -> reload(path));
+    ConfigFileWatcher watch = new ConfigFileWatcher(path, () -> reload(path));
     Assignment told = Assignment.read(path);
     int inUse = descriptorsInUse() + DESCRIPTORS_KEPT;
     Assignment assignment = told.without(inUse);
@@ -77,7 +77,7 @@
             turns.queue,
             assignment.resolver(),
             bytes -> gateway.told(bytes),
-            (Pipe pipe) -> gateway.accepted(pipe),
+            (Channel pipe) -> gateway.accepted(pipe),
             assignment.clientsMost(),
             clock::now);
     gateway =
@@ -85,11 +85,11 @@
     // The name service is asked meanwhile, so that the list is confirmed by the time that clients
     // come.
     try {
-      new Rehearsal(assignment, modules, clock.now()).play(() -> turns.takeDue(gateway));
+      new JvmWarmup(assignment, modules, clock.now()).play(() -> turns.takeDue(gateway));
     } catch (RuntimeException e) {
       LOG.warn("the rehearsal broke off; the gateway starts without", e);
     }
-    Side side =
+    GatewayExtension side =
         beside == null
             ? null
             : beside.start(assignment, gateway.door(), turns.queue::add, clock::now);
@@ -100,7 +100,7 @@
           path);
       watch.start();
     }
-    shutdown = new Shutdown(gateway);
+    shutdown = new GracefulShutdown(gateway);
     try {
       // Before anybody can connect, for whoever does is owed an answer.
       Runtime.getRuntime().addShutdownHook(new Thread(this::drain, "drain"));
--- a/gateway/src/main/java/tillerlink/net/lifecycle/Shutdown.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
@@ -9,7 +9,7 @@
  * that wait end with their answers. Time is kept for the last answers to go out, and for clients to
  * end their side: a process that goes with bytes unread resets their connections.
  */
-final class Shutdown {
+final class GracefulShutdown {
   /** Clients may go on coming for this long. */
   private static final long STILL_COMING = 700 * Units.TENTHS_PER_MS;
 
@@ -36,7 +36,7 @@
   private boolean closed;
   private boolean timeUp;
 
-  Shutdown(Gateway gateway) {
+  GracefulShutdown(Gateway gateway) {
     this.gateway = gateway;
   }
 
--- a/gateway/src/main/java/tillerlink/net/lifecycle/Rehearsal.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
@@ -4,9 +4,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.List;
-import tillerlink.net.state.Driver;
+import tillerlink.net.state.Channel;
 import tillerlink.net.state.Gateway;
-import tillerlink.net.state.Pipe;
+import tillerlink.net.state.NetworkDriver;
 import tillerlink.net.wire.Assignment;
 import tillerlink.plain.Units;
 import tillerlink.port.DispatchPolicyFactory;
@@ -17,7 +17,7 @@
  * one listens. Guards the first seconds: code that was not yet called is not compiled and takes
  * many times as long, on part of a core.
  */
-final class Rehearsal implements Driver {
+final class JvmWarmup implements NetworkDriver {
   private static final int HEAP_SHARE = 4;
   private static final int ROUNDS = 600;
   private static final long STEP = 20 * Units.TENTHS_PER_MS;
@@ -29,10 +29,10 @@
   private final ArrayDeque<Runnable> next = new ArrayDeque<>();
   private final Gateway gateway;
   private final Assignment assignment;
-  private Pipe.Owner client;
+  private Channel.Owner client;
   private long now;
 
-  Rehearsal(Assignment assignment, DispatchPolicyFactory modules, long now) {
+  JvmWarmup(Assignment assignment, DispatchPolicyFactory modules, long now) {
     this.assignment = assignment;
     this.now = now;
     gateway =
@@ -90,7 +90,7 @@
   }
 
   @Override
-  public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
     Played pipe = new Played();
     pipe.engine = owner;
     next.add(owner::opened);
@@ -108,7 +108,7 @@
   }
 
   /** A connection at whose other end an engine answers at once, or a client reads. */
-  private final class Played implements Pipe {
+  private final class Played implements Channel {
     private Owner engine;
 
     @Override
--- a/gateway/src/main/java/tillerlink/net/state/Pipe.java
+++ b/gateway/src/main/java/tillerlink/net/state/Channel.java
@@ -1,7 +1,7 @@
 package tillerlink.net.state;
 
 /** One connection as seen from here; what is written goes out at the end of the turn, in order. */
-public interface Pipe {
+public interface Channel {
   void write(byte[] bytes);
 
   /**
@@ -47,6 +47,6 @@
     }
 
     /** Told once; nothing follows. */
-    void ended(Break how);
+    void ended(DisconnectReason how);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/ClientLink.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -10,7 +10,7 @@
  * A client's connection: one call at a time, and the next is read when the answer to the one before
  * is out.
  */
-final class ClientLink implements Pipe.Owner {
+final class ClientConnection implements Channel.Owner {
   /** Of how much use a connection is, least first. */
   enum Use {
     UNSPOKEN,
@@ -52,8 +52,8 @@
 
   private static final int PIPELINED_WITH_ROOM = 131_072 + PIPELINED_MOST;
 
-  private final ClientDoor door;
-  private final Pipe pipe;
+  private final ClientRequestHandler door;
+  private final Channel pipe;
   private final HttpReader reader = new HttpReader();
 
   /** Sizes of what was written and is not yet out. */
@@ -68,7 +68,7 @@
   private boolean endPending;
 
   /** Why it was ended from here; null while it was not. */
-  private ClientEnd ourEnd;
+  private ClientDisconnectReason ourEnd;
 
   /** A whole call has come. */
   private boolean spoken;
@@ -84,17 +84,17 @@
   private int discarded;
 
   /** What it waits for, or null. */
-  Call waitsFor;
+  PendingResponse waitsFor;
 
   /** Another than this door answers the call in hand, in its time. */
   private boolean owed;
 
   /** What it handed in by its latest call, or null. */
-  private Call handedIn;
+  private PendingResponse handedIn;
 
   private long quietSince;
 
-  ClientLink(ClientDoor door, Pipe pipe) {
+  ClientConnection(ClientRequestHandler door, Channel pipe) {
     this.door = door;
     this.pipe = pipe;
     quietSince = door.now();
@@ -165,8 +165,11 @@
   }
 
   @Override
-  public void ended(Break how) {
-    ClientEnd theirs = how == Break.RESET ? ClientEnd.RESET_BY_CLIENT : ClientEnd.CLOSED_BY_CLIENT;
+  public void ended(DisconnectReason how) {
+    ClientDisconnectReason theirs =
+        how == DisconnectReason.RESET
+            ? ClientDisconnectReason.RESET_BY_CLIENT
+            : ClientDisconnectReason.CLOSED_BY_CLIENT;
     door.connectionEnded(ourEnd == null ? theirs : ourEnd, waitsFor == null ? handedIn : waitsFor);
     over = true;
     if (waitsFor != null) {
@@ -223,7 +226,7 @@
     lastCall = true;
   }
 
-  void handedIn(Call call) {
+  void handedIn(PendingResponse call) {
     handedIn = call;
     handedInSoFar++;
   }
@@ -237,7 +240,7 @@
     write((lastCall ? answer.ending() : answer).encoded());
     if (lastCall) {
       over = true;
-      ourEnd = ClientEnd.AFTER_ANSWER;
+      ourEnd = ClientDisconnectReason.AFTER_ANSWER;
       pipe.close();
     }
   }
@@ -247,16 +250,16 @@
     quietSince = door.now();
     write(answer.ending().encoded());
     over = true;
-    ourEnd = ClientEnd.AFTER_REFUSAL;
+    ourEnd = ClientDisconnectReason.AFTER_REFUSAL;
   }
 
   /** The call in hand is answered by another, once, now or later. */
-  Side.Reply owed() {
+  GatewayExtension.Reply owed() {
     owed = true;
     return new Owed();
   }
 
-  private final class Owed implements Side.Reply {
+  private final class Owed implements GatewayExtension.Reply {
     private boolean given;
 
     @Override
@@ -264,7 +267,7 @@
       if (!given) {
         given = true;
         owed = false;
-        ClientLink.this.answer(answer);
+        ClientConnection.this.answer(answer);
       }
     }
   }
@@ -289,7 +292,7 @@
     long now = door.now();
     if (over || sending()) {
       if (now >= quietSince + (over && !sending() ? LINGER : STALLED_MOST)) {
-        drop(ClientEnd.STALLED);
+        drop(ClientDisconnectReason.STALLED);
       }
     } else if (!inHand && reader.midway() && now >= callSince + CALL_MOST) {
       afterReading(this::refuseHalf);
@@ -326,7 +329,7 @@
 
   private void endIdle() {
     if (idle()) {
-      end(ClientEnd.IDLE);
+      end(ClientDisconnectReason.IDLE);
     }
   }
 
@@ -345,7 +348,7 @@
       afterReading(
           () -> {
             if (resting()) {
-              end(ClientEnd.SHUTDOWN);
+              end(ClientDisconnectReason.SHUTDOWN);
             }
           });
     }
@@ -363,7 +366,7 @@
   }
 
   /** Ends it with no word; what its client may be saying in this moment is read and not taken. */
-  void end(ClientEnd why) {
+  void end(ClientDisconnectReason why) {
     over = true;
     ourEnd = why;
     quietSince = door.now();
@@ -371,7 +374,7 @@
   }
 
   /** Ends it at once, with no word. */
-  void drop(ClientEnd why) {
+  void drop(ClientDisconnectReason why) {
     over = true;
     ourEnd = ourEnd == null ? why : ourEnd;
     pipe.drop();
--- a/gateway/src/main/java/tillerlink/net/state/ClientEnd.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientDisconnectReason.java
@@ -1,7 +1,7 @@
 package tillerlink.net.state;
 
 /** Who ended a client's connection, and why; for logs and counters. */
-enum ClientEnd {
+enum ClientDisconnectReason {
   CLOSED_BY_CLIENT,
   RESET_BY_CLIENT,
   /** It ended with the answer, because the client asked for that or the process ends. */
--- a/gateway/src/main/java/tillerlink/net/state/ClientDoor.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -26,7 +26,7 @@
  * What clients ask for and what they are owed. A submission is answered at once with the path of
  * its result; the call of that path is held until there is news.
  */
-final class ClientDoor {
+final class ClientRequestHandler {
   private static final String CALLS = "/v1/calls/";
   private static final String SUBMIT = "/v1/";
   private static final String HEALTH = "/healthz";
@@ -48,8 +48,8 @@
   private final Set<Integer> ordered = new HashSet<>();
 
   private final Map<String, KeyedRequestQueue> lines = new HashMap<>();
-  private final Map<String, Call> calls = new LinkedHashMap<>();
-  private final Set<ClientLink> clients = new LinkedHashSet<>();
+  private final Map<String, PendingResponse> calls = new LinkedHashMap<>();
+  private final Set<ClientConnection> clients = new LinkedHashSet<>();
   private final int clientsMost;
   private final long openMost;
   private long longestDeadline = 1;
@@ -62,9 +62,9 @@
   private boolean closing;
 
   /** Takes some calls, or null. */
-  private Side side;
+  private GatewayExtension side;
 
-  ClientDoor(Gateway gateway, Settings terms, int clientsMost, long bytesMost) {
+  ClientRequestHandler(Gateway gateway, Settings terms, int clientsMost, long bytesMost) {
     this.gateway = gateway;
     this.bytesMost = bytesMost;
     this.clientsMost = clientsMost;
@@ -84,8 +84,8 @@
 
   // ---- connections ----
 
-  ClientLink accepted(Pipe pipe) {
-    ClientLink client = new ClientLink(this, pipe);
+  ClientConnection accepted(Channel pipe) {
+    ClientConnection client = new ClientConnection(this, pipe);
     clients.add(client);
     makeRoom();
     return client;
@@ -101,17 +101,18 @@
     if (more <= 0) {
       return;
     }
-    int over = (int) clients.stream().filter(ClientLink::over).count();
-    first(more, clients.stream().filter(ClientLink::over))
-        .forEach(client -> client.drop(ClientEnd.NO_ROOM));
+    int over = (int) clients.stream().filter(ClientConnection::over).count();
+    first(more, clients.stream().filter(ClientConnection::over))
+        .forEach(client -> client.drop(ClientDisconnectReason.NO_ROOM));
     first(more - over, clients.stream().filter(client -> !client.over()))
-        .forEach(client -> client.end(ClientEnd.NO_ROOM));
+        .forEach(client -> client.end(ClientDisconnectReason.NO_ROOM));
   }
 
   /** So many of those that may go, those of least use first. */
-  private static List<ClientLink> first(int most, Stream<ClientLink> some) {
-    return some.filter(ClientLink::mayGo)
-        .sorted(Comparator.comparing(ClientLink::use).thenComparing(ClientLink::quietSince))
+  private static List<ClientConnection> first(int most, Stream<ClientConnection> some) {
+    return some.filter(ClientConnection::mayGo)
+        .sorted(
+            Comparator.comparing(ClientConnection::use).thenComparing(ClientConnection::quietSince))
         .limit(Math.max(0, most))
         .toList();
   }
@@ -121,7 +122,7 @@
    *
    * @param call the last that was handed in or waited for on it, or null
    */
-  void connectionEnded(ClientEnd how, Call call) {
+  void connectionEnded(ClientDisconnectReason how, PendingResponse call) {
     gateway.telemetry().metrics().add(Counter.CLIENT_CONNECTIONS_ENDED, how);
     if (call != null && !call.settled()) {
       gateway
@@ -140,7 +141,7 @@
     }
   }
 
-  void forget(ClientLink client) {
+  void forget(ClientConnection client) {
     clients.remove(client);
   }
 
@@ -170,7 +171,7 @@
 
   // ---- calls ----
 
-  void called(ClientLink client, HttpItem item) {
+  void called(ClientConnection client, HttpItem item) {
     if (item instanceof HttpFault fault) {
       client.refuse(HttpAnswer.problem(fault.status(), fault.cause(), 0));
       return;
@@ -199,13 +200,13 @@
         }
       }
       case POST -> {
-        Call call = submit(http, null, client::answer);
+        PendingResponse call = submit(http, null, client::answer);
         if (call != null) {
           client.handedIn(call);
         }
       }
       case DELETE -> {
-        Call call = known(path);
+        PendingResponse call = known(path);
         if (call != null) {
           leave(call);
         }
@@ -215,7 +216,7 @@
     }
   }
 
-  private Call known(String path) {
+  private PendingResponse known(String path) {
     return path.startsWith(CALLS) ? calls.get(path.substring(CALLS.length())) : null;
   }
 
@@ -225,7 +226,8 @@
    * @param guard what its hops wait on before they go out, or null
    * @return null if none was taken
    */
-  Call submit(HttpCall http, Side.Guard guard, Side.Reply reply) {
+  PendingResponse submit(
+      HttpCall http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
     if (closing) {
       reply.answer(noRoom());
       return null;
@@ -243,7 +245,7 @@
       reply.answer(HttpAnswer.problem(400, e.getMessage(), 0));
       return null;
     }
-    Call known = calls.get(ask.id());
+    PendingResponse known = calls.get(ask.id());
     boolean tooLong = ask.patience() > PATIENCE_MOST * longestDeadline;
     if (tooLong || ask.key() == null && marked.contains(track)) {
       reply.answer(HttpAnswer.problem(400, tooLong ? "X-Deadline-Ms" : "X-Operation-Key", 0));
@@ -260,7 +262,7 @@
           ask.subject() == null || !ordered.contains(track)
               ? null
               : lines.computeIfAbsent(ask.subject(), about -> new KeyedRequestQueue());
-      Call call = new Call(ask, track, gateway.earliestArrival(), line);
+      PendingResponse call = new PendingResponse(ask, track, gateway.earliestArrival(), line);
       call.guard = guard;
       calls.put(ask.id(), call);
       held(ask.statement().length);
@@ -271,7 +273,7 @@
     return null;
   }
 
-  private void fetch(ClientLink client, Call call) {
+  private void fetch(ClientConnection client, PendingResponse call) {
     if (call == null || call.left) {
       client.answer(HttpAnswer.unknown());
     } else if (call.answer != null) {
@@ -285,16 +287,16 @@
   }
 
   /** Another call of the path, or none: the connection that waited is of no use any more. */
-  private static void stopWaiting(Call call) {
+  private static void stopWaiting(PendingResponse call) {
     if (call.waiting != null) {
       call.waiting.waitsFor = null;
-      call.waiting.drop(ClientEnd.SUPERSEDED);
+      call.waiting.drop(ClientDisconnectReason.SUPERSEDED);
       call.waiting = null;
     }
   }
 
   /** The client has gone; nothing is owed any more. */
-  void leave(Call call) {
+  void leave(PendingResponse call) {
     if (!call.settled()) {
       call.left = true;
       call.submission.leftAt = now();
@@ -318,7 +320,7 @@
   }
 
   /** The connection on which its client waited, or handed it in and was to wait, has ended. */
-  void unattended(Call call) {
+  void unattended(PendingResponse call) {
     if (call.waiting == null) {
       gateway.unattended(call, true);
     }
@@ -326,15 +328,15 @@
 
   // ---- answers ----
 
-  void fulfil(Call call, byte[] rows) {
+  void fulfil(PendingResponse call, byte[] rows) {
     answer(call, new HttpAnswer(200, rows, 0, false));
   }
 
-  void turnBack(Call call, long stayAway) {
+  void turnBack(PendingResponse call, long stayAway) {
     answer(call, refusal(stayAway));
   }
 
-  void breakOff(Call call) {
+  void breakOff(PendingResponse call) {
     answer(call, HttpAnswer.problem(500, "Error", 0));
   }
 
@@ -342,7 +344,7 @@
     return HttpAnswer.problem(503, "Full", stayAway / Units.TENTHS_PER_MS);
   }
 
-  private void answer(Call call, HttpAnswer answer) {
+  private void answer(PendingResponse call, HttpAnswer answer) {
     if (call.settled()) {
       return;
     }
@@ -356,7 +358,7 @@
   }
 
   /** The answer stays for a moment: a client whose connection breaks comes again. */
-  private void handOut(Call call, ClientLink client) {
+  private void handOut(PendingResponse call, ClientConnection client) {
     call.handedOut = true;
     call.forgetAt = now();
     client.answer(call.answer);
@@ -365,8 +367,8 @@
   // ---- time ----
 
   void sweep() {
-    for (Iterator<Call> i = calls.values().iterator(); i.hasNext(); ) {
-      Call call = i.next();
+    for (Iterator<PendingResponse> i = calls.values().iterator(); i.hasNext(); ) {
+      PendingResponse call = i.next();
       if (now() >= call.submission.leavesAt) {
         gateway.overdue(call);
       }
@@ -377,11 +379,11 @@
       }
     }
     lines.values().removeIf(line -> line.head() == null && now() >= line.restsUntil);
-    List.copyOf(clients).forEach(ClientLink::sweep);
+    List.copyOf(clients).forEach(ClientConnection::sweep);
     makeRoom();
   }
 
-  void beside(Side stands) {
+  void beside(GatewayExtension stands) {
     side = stands;
   }
 
@@ -393,7 +395,7 @@
   /** Nothing further is taken: it is refused, and connections end once nothing is owed on them. */
   void close() {
     closing = true;
-    List.copyOf(clients).forEach(ClientLink::closing);
+    List.copyOf(clients).forEach(ClientConnection::closing);
   }
 
   boolean closing() {
@@ -412,13 +414,13 @@
   /** Whether every answer is out. */
   boolean allAnswered() {
     return calls.values().stream().allMatch(call -> call.left || call.handedOut)
-        && clients.stream().noneMatch(ClientLink::busy);
+        && clients.stream().noneMatch(ClientConnection::busy);
   }
 
   /** The submissions that are owed an answer. */
-  List<Call> owed() {
-    List<Call> owed = new ArrayList<>(calls.values());
-    owed.removeIf(Call::settled);
+  List<PendingResponse> owed() {
+    List<PendingResponse> owed = new ArrayList<>(calls.values());
+    owed.removeIf(PendingResponse::settled);
     return owed;
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/Break.java
+++ b/gateway/src/main/java/tillerlink/net/state/DisconnectReason.java
@@ -3,7 +3,7 @@
 import tillerlink.model.AttemptOutcome;
 
 /** Every way a connection can end, and what each means for a hop that was on it. */
-public enum Break {
+public enum DisconnectReason {
   /** Nobody listens at the other end. */
   REFUSED,
   /** It did not come up in time. */
--- a/gateway/src/main/java/tillerlink/net/state/Discovery.java
+++ b/gateway/src/main/java/tillerlink/net/state/Discovery.java
@@ -17,10 +17,10 @@
 final class Discovery {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
-  private final EngineList engines;
+  private final EndpointList engines;
   private final DispatchPolicy steering;
   private final InvariantMonitor invariants;
-  private final Recall recall;
+  private final EndpointCache recall;
   private final Telemetry telemetry;
 
   /** No list was told since the start. */
@@ -30,10 +30,10 @@
    * @param recall what is remembered across restarts; null: nothing
    */
   Discovery(
-      EngineList engines,
+      EndpointList engines,
       DispatchPolicy steering,
       InvariantMonitor invariants,
-      Recall recall,
+      EndpointCache recall,
       Telemetry telemetry) {
     this.invariants = invariants;
     this.engines = engines;
@@ -92,7 +92,7 @@
 
   /** Discovery told nothing: the gateway goes by what it remembers, or by nothing at all. */
   private void startBlind(long now) {
-    Recall.Remembered remembered = recall.atStart(now);
+    EndpointCache.Remembered remembered = recall.atStart(now);
     blind = true;
     if (remembered.engines() == null) {
       steering.blind(now, true);
--- a/gateway/src/main/java/tillerlink/net/state/NameService.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -21,7 +21,7 @@
  * fallen silent for good. The period is drawn anew each time: guards the service against a fleet
  * that was started at one moment and would ask in step for good.
  */
-final class NameService {
+final class DiscoveryClient {
   private static final int KEPT = 8;
   private static final int QUICK = 4;
   private static final double SPREAD = 0.2;
@@ -42,7 +42,7 @@
   private final Telemetry telemetry;
   private final DiscoveryLease lease;
   private final Random random;
-  private final Driver driver;
+  private final NetworkDriver driver;
   private final long period;
   private long lastAt;
   private long nextAt;
@@ -55,7 +55,7 @@
   /**
    * @param grace how long after an answer was sent what it tells must be heeded
    */
-  NameService(Driver driver, long seed, long now, long grace, Telemetry telemetry) {
+  DiscoveryClient(NetworkDriver driver, long seed, long now, long grace, Telemetry telemetry) {
     this.driver = driver;
     this.telemetry = telemetry;
     random = new Random(seed);
--- a/gateway/src/main/java/tillerlink/net/state/Recall.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointCache.java
@@ -7,7 +7,7 @@
  * What a gateway remembers of the engines across restarts, for a start with discovery down. Called
  * in turns, it never waits.
  */
-public interface Recall {
+public interface EndpointCache {
   /**
    * What is remembered, weighed by its age.
    *
--- a/gateway/src/main/java/tillerlink/net/state/EngineList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -14,8 +14,8 @@
 import tillerlink.telemetry.Telemetry;
 
 /** The engines as last told. */
-final class EngineList {
-  private final Map<String, EngineSite> sites = new LinkedHashMap<>();
+final class EndpointList {
+  private final Map<String, EngineAddress> sites = new LinkedHashMap<>();
   private final List<?> kinds;
   private final List<?> zones;
   private long index;
@@ -30,10 +30,14 @@
   private long listedAt = Long.MIN_VALUE;
 
   private final Telemetry telemetry;
-  private final Carrier.Owner owner;
-  private final Carrier.Factory carriers;
-
-  EngineList(Settings terms, Telemetry telemetry, Carrier.Owner owner, Carrier.Factory carriers) {
+  private final EngineTransport.Owner owner;
+  private final EngineTransport.Factory carriers;
+
+  EndpointList(
+      Settings terms,
+      Telemetry telemetry,
+      EngineTransport.Owner owner,
+      EngineTransport.Factory carriers) {
     this.telemetry = telemetry;
     this.owner = owner;
     this.carriers = carriers;
@@ -64,7 +68,7 @@
     }
     List<EngineEntry> entries = new ArrayList<>();
     for (EngineEntry entry : news.entries()) {
-      EngineSite site = sites.get(entry.id());
+      EngineAddress site = sites.get(entry.id());
       if (entry.address() != null) {
         entries.add(entry);
       } else if (site != null && site.entry != null) {
@@ -75,16 +79,16 @@
   }
 
   /** What was remembered; any news are newer. */
-  List<EndpointUpdate> remember(Recall.Remembered remembered) {
+  List<EndpointUpdate> remember(EndpointCache.Remembered remembered) {
     return listed(remembered.engines(), remembered.trust());
   }
 
   private List<EndpointUpdate> listed(EngineNews news, Map<String, Double> trust) {
     List<EndpointUpdate> listed = new ArrayList<>(news.entries().size());
     for (EngineEntry entry : news.entries()) {
-      EngineSite site = sites.get(entry.id());
+      EngineAddress site = sites.get(entry.id());
       if (site == null) {
-        site = new EngineSite(entry.id());
+        site = new EngineAddress(entry.id());
         site.carrier = carriers.of(owner, site, entry.kind());
         sites.put(entry.id(), site);
       }
@@ -107,7 +111,7 @@
     return listed;
   }
 
-  private void logChange(EngineSite site, EngineEntry entry, long version) {
+  private void logChange(EngineAddress site, EngineEntry entry, long version) {
     if (site.engine.standing != entry.standing()) {
       telemetry
           .log()
@@ -141,8 +145,8 @@
 
   /** Looks after the connections; closes what leads to engines that are gone, and forgets these. */
   void sweep(long connectMost, long idleMost) {
-    for (Iterator<EngineSite> i = sites.values().iterator(); i.hasNext(); ) {
-      EngineSite site = i.next();
+    for (Iterator<EngineAddress> i = sites.values().iterator(); i.hasNext(); ) {
+      EngineAddress site = i.next();
       site.carrier.sweep(connectMost, idleMost);
       if (site.engine.standing == Engine.Standing.GONE) {
         site.carrier.retireAll();
@@ -155,8 +159,8 @@
 
   /** Ends the connection that has been idle longest; false if none is idle. */
   boolean endIdle() {
-    Carrier longest = null;
-    for (EngineSite site : sites.values()) {
+    EngineTransport longest = null;
+    for (EngineAddress site : sites.values()) {
       if (site.carrier.idleSince() < (longest == null ? Long.MAX_VALUE : longest.idleSince())) {
         longest = site.carrier;
       }
--- a/gateway/src/main/java/tillerlink/net/state/EngineSite.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -7,10 +7,10 @@
 import tillerlink.policy.StartTime;
 
 /** Where an engine is, and how it is reached. */
-public final class EngineSite {
+public final class EngineAddress {
   public final String id;
   public final Engine engine = new Engine(this);
-  Carrier carrier;
+  EngineTransport carrier;
 
   /** As it was last told whole, or null. */
   EngineEntry entry;
@@ -21,7 +21,7 @@
   /** The same on this gateway's clock, within what can be. */
   private long startedAt;
 
-  EngineSite(String id) {
+  EngineAddress(String id) {
     this.id = id;
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/EngineLink.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -17,7 +17,7 @@
 import tillerlink.telemetry.EventLog.Topic;
 
 /** A connection to an engine, which bears many hops. */
-final class EngineLink implements Pipe.Owner {
+final class EngineConnection implements Channel.Owner {
   /** Hops that ended here lately: an answer to one of these crossed our word and is no fault. */
   private static final int ENDED_KEPT = 64;
 
@@ -25,12 +25,12 @@
   private static final int RESULT_MOST = 48_000;
   private static final String TAG = "0";
 
-  private final LineCarrier carrier;
-  private final EngineSite site;
-  private final Carrier.Owner gateway;
+  private final LineProtocolTransport carrier;
+  private final EngineAddress site;
+  private final EngineTransport.Owner gateway;
   private final long dialedAt;
   private final EngineReader reader = new EngineReader();
-  private final Map<String, Flight> flights = new LinkedHashMap<>();
+  private final Map<String, InFlightAttempt> flights = new LinkedHashMap<>();
   private final Set<String> ended = new LinkedHashSet<>();
 
   /**
@@ -40,12 +40,12 @@
    * @param before when its first byte is to be out by
    * @param limit how long the engine is told that the client waits
    */
-  private record GoingOut(Flight flight, long place, long before, long limit) {}
+  private record GoingOut(InFlightAttempt flight, long place, long before, long limit) {}
 
   /** Hops that are on their way out, in that order. */
   private final ArrayDeque<GoingOut> goingOut = new ArrayDeque<>(1);
 
-  private Pipe pipe;
+  private Channel pipe;
   private boolean open;
   private boolean over;
   private long writes;
@@ -79,7 +79,7 @@
   /** Since when half an answer waits for the rest; 0 if none does. */
   private long midwaySince;
 
-  EngineLink(LineCarrier carrier, long now) {
+  EngineConnection(LineProtocolTransport carrier, long now) {
     this.carrier = carrier;
     gateway = carrier.owner;
     site = carrier.site;
@@ -108,7 +108,7 @@
   void retire() {
     retired = true;
     if (flights.isEmpty() || !open) {
-      end(Break.CLOSED_BY_US);
+      end(DisconnectReason.CLOSED_BY_US);
     }
   }
 
@@ -129,7 +129,7 @@
       return;
     }
     if (!open && now >= dialedAt + connectMost) {
-      end(Break.NEVER_UP);
+      end(DisconnectReason.NEVER_UP);
     } else if (flights.isEmpty() && now >= idleSince + idleMost) {
       retire();
     } else if (open
@@ -142,7 +142,7 @@
       askedAt = now;
       write(EngineCommand.there(TAG));
     } else if (midwaySince > 0 && now >= midwaySince + connectMost) {
-      end(Break.GARBLED);
+      end(DisconnectReason.GARBLED);
     } else if (!dropped
         && (givenUp > writesDone || !site.ready() && holdsBack(now - gateway.holdMost()))) {
       // What went out of it is known once the connection has ended.
@@ -158,7 +158,7 @@
     if (!carrier.heardSince(askedAt)) {
       carrier.tryAnew();
     } else if (now >= askedAt + connectMost) {
-      end(Break.MUTE);
+      end(DisconnectReason.MUTE);
     }
   }
 
@@ -169,7 +169,7 @@
   void nobodyThere() {
     if (silent) {
       gateway.rarely("engine " + site.id + " is silent, " + flights.size() + " hops end in doubt");
-      end(Break.SILENT);
+      end(DisconnectReason.SILENT);
     } else if (flights.isEmpty()) {
       retire();
     }
@@ -195,7 +195,7 @@
     return open && heardAt >= then;
   }
 
-  void send(Flight flight) {
+  void send(InFlightAttempt flight) {
     flight.link = this;
     flights.put(flight.id(), flight);
     sentAt = gateway.now();
@@ -210,7 +210,7 @@
    * connection to come up is not sent to an engine that was said to drain meanwhile, for that may
    * be past the grace. Pages are no new work.
    */
-  private void start(Flight flight) {
+  private void start(InFlightAttempt flight) {
     if (flight.pages != null) {
       turnPages(flight);
       return;
@@ -220,7 +220,7 @@
       want(flight);
     } else {
       gateway.withheld(flight, verdict);
-      carrier.unsent(flight, Break.WITHDRAWN);
+      carrier.unsent(flight, DisconnectReason.WITHDRAWN);
     }
   }
 
@@ -230,12 +230,12 @@
         .anyMatch(
             flight ->
                 flight.pages == null
-                    && flight.place != Flight.UNSENT
+                    && flight.place != InFlightAttempt.UNSENT
                     && flight.place > writesDone
                     && flight.hop.sentAt <= since);
   }
 
-  private void want(Flight flight) {
+  private void want(InFlightAttempt flight) {
     long millisLeft = flight.millisLeft(gateway.now());
     long before = gateway.writeBefore(flight);
     pipe.writeBefore(
@@ -252,17 +252,17 @@
   }
 
   /** Gives a hop up; what that proves. */
-  AttemptOutcome giveUp(Flight flight) {
-    boolean sent = flight.place != Flight.UNSENT;
+  AttemptOutcome giveUp(InFlightAttempt flight) {
+    boolean sent = flight.place != InFlightAttempt.UNSENT;
     if (sent && !over) {
       givenUp = flight.pages == null && flight.place > writesDone ? flight.place : givenUp;
       write(EngineCommand.neverMind(flight.id()));
     }
-    return Break.CLOSED_BY_US.outcome(sent);
+    return DisconnectReason.CLOSED_BY_US.outcome(sent);
   }
 
   /** A hop is over: nothing more of it is expected here. */
-  void release(Flight flight) {
+  void release(InFlightAttempt flight) {
     if (flights.remove(flight.id(), flight)) {
       ended.add(flight.id());
       if (ended.size() > ENDED_KEPT) {
@@ -271,7 +271,7 @@
     }
     idleSince = gateway.now();
     if (retired && flights.isEmpty()) {
-      end(Break.CLOSED_BY_US);
+      end(DisconnectReason.CLOSED_BY_US);
     }
   }
 
@@ -305,10 +305,10 @@
   @Override
   public void withheld() {
     GoingOut out = nextWriteDone();
-    out.flight.place = Flight.UNSENT;
+    out.flight.place = InFlightAttempt.UNSENT;
     gateway.withheld(out.flight, SendVerdict.WRITE_DELAYED);
     if (out.flight.hop.isOut()) {
-      gateway.ended(out.flight, Break.WITHDRAWN.outcome(false));
+      gateway.ended(out.flight, DisconnectReason.WITHDRAWN.outcome(false));
     }
   }
 
@@ -335,7 +335,7 @@
       midwaySince = !reader.midway() ? 0 : midwaySince == 0 ? heardAt : midwaySince;
     } catch (IllegalArgumentException e) {
       gateway.rarely("engine " + site.id + " said what can't be read: " + e.getMessage());
-      end(Break.GARBLED);
+      end(DisconnectReason.GARBLED);
     }
   }
 
@@ -344,7 +344,7 @@
    * framing is sound, so it is passed over and the connection goes on.
    */
   private void take(EngineAnswer answer) {
-    Flight flight = flights.get(answer.id());
+    InFlightAttempt flight = flights.get(answer.id());
     if (flight == null) {
       if (answer.word() != EngineAnswer.Word.YES && !ended.contains(answer.id())) {
         gateway.rarely("engine " + site.id + " answered what was not asked");
@@ -383,7 +383,7 @@
   }
 
   /** The first page is there: the others are asked for at once. */
-  private void begin(Flight flight, EngineAnswer answer) {
+  private void begin(InFlightAttempt flight, EngineAnswer answer) {
     if (flight.pages != null) {
       return;
     }
@@ -398,7 +398,7 @@
     keep(flight, answer);
   }
 
-  private void turnPages(Flight flight) {
+  private void turnPages(InFlightAttempt flight) {
     for (int page = 1; page < flight.pages.length; page++) {
       if (flight.lacks(page)) {
         write(EngineCommand.turn(flight.id(), page));
@@ -407,7 +407,7 @@
   }
 
   /** A page was taken: counts it, and ends the hop with the last. */
-  private void keep(Flight flight, EngineAnswer answer) {
+  private void keep(InFlightAttempt flight, EngineAnswer answer) {
     gateway.held(answer.body().length);
     if (flight.bytes > RESULT_MOST) {
       flight.pages = null;
@@ -423,18 +423,20 @@
 
   /** It went in the middle of an answer: what it bore has run. */
   @Override
-  public void ended(Break how) {
-    end(dropped ? Break.HELD_BACK : reader.midway() ? Break.GARBLED : how, true);
+  public void ended(DisconnectReason how) {
+    end(
+        dropped ? DisconnectReason.HELD_BACK : reader.midway() ? DisconnectReason.GARBLED : how,
+        true);
   }
 
   /** Ends the connection from here. */
-  void end(Break how) {
+  void end(DisconnectReason how) {
     end(how, false);
   }
 
-  private void countEnd(Break how) {
+  private void countEnd(DisconnectReason how) {
     gateway.telemetry().metrics().add(Counter.ENGINE_CONNECTIONS_ENDED, how);
-    if (how != Break.CLOSED_BY_US || !flights.isEmpty()) {
+    if (how != DisconnectReason.CLOSED_BY_US || !flights.isEmpty()) {
       gateway
           .telemetry()
           .log()
@@ -458,25 +460,27 @@
    * ended by itself is it known what was written: while it is open, a hop that was handed over may
    * be on its way though nobody said so yet.
    */
-  private void end(Break how, boolean exact) {
+  private void end(DisconnectReason how, boolean exact) {
     if (over) {
       return;
     }
     over = true;
     countEnd(how);
     carrier.linkEnded(this);
-    if (how == Break.CLOSED_BY_US) {
+    if (how == DisconnectReason.CLOSED_BY_US) {
       pipe.close();
     } else {
       pipe.drop();
     }
-    for (Flight flight : List.copyOf(flights.values())) {
-      if (how == Break.CLOSED_BY_US || how == Break.SILENT || !carrier.mend(flight)) {
-        boolean whole = exact ? flight.place <= writesDone : flight.place != Flight.UNSENT;
+    for (InFlightAttempt flight : List.copyOf(flights.values())) {
+      if (how == DisconnectReason.CLOSED_BY_US
+          || how == DisconnectReason.SILENT
+          || !carrier.mend(flight)) {
+        boolean whole = exact ? flight.place <= writesDone : flight.place != InFlightAttempt.UNSENT;
         gateway.ended(flight, how.outcome(whole || flight.pages != null));
       }
     }
-    if (how == Break.REFUSED || how == Break.NEVER_UP) {
+    if (how == DisconnectReason.REFUSED || how == DisconnectReason.NEVER_UP) {
       carrier.nobodyThere();
     }
   }
--- a/gateway/src/main/java/tillerlink/net/state/Carrier.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
@@ -10,29 +10,29 @@
  * How hops reach one engine and what it says of them comes back: its connections, in whatever
  * protocol it speaks.
  */
-public interface Carrier {
+public interface EngineTransport {
   /** What the state is told by a carrier, in the turn in which it happened. */
   interface Owner {
     /** Tenths of a millisecond; the clock of the turn. */
     long now();
 
     /** Word on a hop that is still out. */
-    void noted(Flight flight, AttemptProgress note, double level);
+    void noted(InFlightAttempt flight, AttemptProgress note, double level);
 
     /**
      * A hop is over; told once. One that was taken in this turn ends by {@link #later} at the
      * soonest.
      */
-    void ended(Flight flight, AttemptOutcome outcome);
+    void ended(InFlightAttempt flight, AttemptOutcome outcome);
 
     /**
-     * All of a hop that is {@link Flight#guarded} has gone out; told before anything that comes of
-     * it.
+     * All of a hop that is {@link InFlightAttempt#guarded} has gone out; told before anything that
+     * comes of it.
      */
-    void written(Flight flight);
+    void written(InFlightAttempt flight);
 
     /** A hop is written in this turn; until when its first byte may go out. */
-    long writeBefore(Flight flight);
+    long writeBefore(InFlightAttempt flight);
 
     /**
      * A hop has gone out.
@@ -40,10 +40,10 @@
      * @param before what {@link #writeBefore} said
      * @param limit how long its engine was told that the client waits
      */
-    void wentOut(Flight flight, long firstByteAt, long before, long limit);
+    void wentOut(InFlightAttempt flight, long firstByteAt, long before, long limit);
 
     /** A hop was not written, for the guard did not allow it. */
-    void withheld(Flight flight, SendVerdict verdict);
+    void withheld(InFlightAttempt flight, SendVerdict verdict);
 
     /** Something of the next turn. */
     void later(Runnable what);
@@ -58,7 +58,7 @@
     void rarely(String line);
 
     /** Begins a connection. */
-    Pipe dial(InetSocketAddress to, Pipe.Owner owner);
+    Channel dial(InetSocketAddress to, Channel.Owner owner);
 
     /** Connections to engines that may be open at once, by all carriers together. */
     int linksMost();
@@ -84,13 +84,13 @@
   }
 
   /** A hop is to go out. If there is no way to, it ends as one that never ran, in the next turn. */
-  void send(Flight flight);
+  void send(InFlightAttempt flight);
 
   /** Gives a hop up that is out; what that proves. The state ends it. */
-  AttemptOutcome giveUp(Flight flight);
+  AttemptOutcome giveUp(InFlightAttempt flight);
 
   /** A hop is over and is expected here no more. */
-  void release(Flight flight);
+  void release(InFlightAttempt flight);
 
   /** Looks after what time brings. */
   void sweep(long connectMost, long idleMost);
@@ -122,6 +122,6 @@
     /**
      * @param kind the engine's kind, by its name
      */
-    Carrier of(Owner owner, EngineSite site, String kind);
+    EngineTransport of(Owner owner, EngineAddress site, String kind);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/Guarded.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -14,21 +14,21 @@
  * it: a pause of this process between the two shows in the second answer, and then nothing that
  * came of the hop is handed out.
  */
-final class Guarded implements Side.Door {
+final class FencedRequests implements GatewayExtension.Door {
   private final Gateway gateway;
-  private final ClientDoor clients;
+  private final ClientRequestHandler clients;
 
   /** Those that are owed an answer. */
-  private final Set<Call> open = new LinkedHashSet<>();
+  private final Set<PendingResponse> open = new LinkedHashSet<>();
 
-  Guarded(Gateway gateway, ClientDoor clients) {
+  FencedRequests(Gateway gateway, ClientRequestHandler clients) {
     this.gateway = gateway;
     this.clients = clients;
   }
 
   @Override
-  public void submit(HttpCall http, Side.Guard guard, Side.Reply reply) {
-    Call call = clients.submit(http, guard, reply);
+  public void submit(HttpCall http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
+    PendingResponse call = clients.submit(http, guard, reply);
     if (call != null) {
       open.add(call);
     }
@@ -36,9 +36,9 @@
 
   @Override
   public void recheck() {
-    List<Call> withdrawn = new ArrayList<>();
-    for (Iterator<Call> i = open.iterator(); i.hasNext(); ) {
-      Call call = i.next();
+    List<PendingResponse> withdrawn = new ArrayList<>();
+    for (Iterator<PendingResponse> i = open.iterator(); i.hasNext(); ) {
+      PendingResponse call = i.next();
       if (call.settled()) {
         i.remove();
       } else if (call.flights.stream().noneMatch(flight -> flight.hop.isOut())
@@ -51,7 +51,7 @@
   }
 
   /** All of a hop was written. If its guard does not hold any more, that may have been too late. */
-  void written(Flight flight) {
+  void written(InFlightAttempt flight) {
     if (flight.sound || !flight.hop.isOut()) {
       return;
     }
@@ -66,7 +66,7 @@
    * What a hop's end counts as. The answer of one that was written too late, or may have been, is
    * lost.
    */
-  AttemptOutcome ended(Flight flight, AttemptOutcome outcome) {
+  AttemptOutcome ended(InFlightAttempt flight, AttemptOutcome outcome) {
     if (flight.began) {
       flight.call.guard.ended(mayRunUntil(flight, outcome));
     }
@@ -89,7 +89,7 @@
    * Up to when its engine may still be at a hop that began. One of which pages have come has run,
    * whatever became of the rest.
    */
-  private static long mayRunUntil(Flight flight, AttemptOutcome outcome) {
+  private static long mayRunUntil(InFlightAttempt flight, AttemptOutcome outcome) {
     boolean over = !outcome.leavesDoubt || flight.pages != null || flight.begun();
     return over ? 0 : flight.call.submission.leavesAt;
   }
@@ -98,7 +98,7 @@
    * The client is told at once, for it can't be fulfilled as it is; the module calls off what is
    * still out.
    */
-  private void withdraw(Call call) {
+  private void withdraw(PendingResponse call) {
     open.remove(call);
     if (call.settled()) {
       return;
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -33,7 +33,7 @@
  * becomes events, orders become what is said to them. One thread owns it; a turn is {@link #begin},
  * whatever came, {@link #settle}.
  */
-public final class Gateway implements DispatchActions, Carrier.Owner {
+public final class Gateway implements DispatchActions, EngineTransport.Owner {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
   private static final long COUNT_EVERY = 10_000 * Units.TENTHS_PER_MS;
   private static final int HEAP_SHARE = 4;
@@ -52,20 +52,20 @@
   /** Connections, and the end, are looked after this often at the least. */
   private static final long SWEEP_MOST = 125 * Units.TENTHS_PER_MS;
 
-  private final Driver driver;
-  private final ClientDoor clients;
-  private final EngineList engines;
-  private final NameService names;
+  private final NetworkDriver driver;
+  private final ClientRequestHandler clients;
+  private final EndpointList engines;
+  private final DiscoveryClient names;
   private final Discovery discovery;
-  private final Guarded guarded;
+  private final FencedRequests guarded;
 
   /** What stands beside the module, or null. */
-  private Side side;
+  private GatewayExtension side;
 
   private final DispatchPolicy steering;
   private final InvariantMonitor invariants;
   private final Telemetry telemetry;
-  private final Rarely rarely = new Rarely();
+  private final RateLimitedWarning rarely = new RateLimitedWarning();
   private final ArrayDeque<Runnable> next = new ArrayDeque<>();
   private final long connectMost;
 
@@ -103,9 +103,10 @@
   private long listUsableUntil = -1;
 
   /** Hops ordered in this turn. */
-  private List<Flight> ordered = new ArrayList<>();
+  private List<InFlightAttempt> ordered = new ArrayList<>();
 
-  public Gateway(Assignment assignment, DispatchPolicyFactory factory, Driver driver, long now) {
+  public Gateway(
+      Assignment assignment, DispatchPolicyFactory factory, NetworkDriver driver, long now) {
     this(assignment, factory, driver, now, null, null);
   }
 
@@ -113,10 +114,10 @@
   public Gateway(
       Assignment assignment,
       DispatchPolicyFactory factory,
-      Driver driver,
+      NetworkDriver driver,
       long now,
-      Carrier.Factory carriers,
-      Recall recall) {
+      EngineTransport.Factory carriers,
+      EndpointCache recall) {
     this(
         assignment,
         factory,
@@ -138,11 +139,11 @@
   public Gateway(
       Assignment assignment,
       DispatchPolicyFactory factory,
-      Driver driver,
+      NetworkDriver driver,
       long now,
       long bytesMost,
-      Carrier.Factory carriers,
-      Recall recall,
+      EngineTransport.Factory carriers,
+      EndpointCache recall,
       Telemetry telemetry) {
     this.driver = driver;
     this.telemetry = telemetry;
@@ -156,24 +157,24 @@
     sweepEvery = Math.max(1, half / (1 + (half - 1) / SWEEP_MOST));
     linksMost = assignment.linksMost();
     countAt = now + COUNT_EVERY;
-    clients = new ClientDoor(this, terms, assignment.clientsMost(), bytesMost);
+    clients = new ClientRequestHandler(this, terms, assignment.clientsMost(), bytesMost);
     // Engines that close nothing: whoever came before it fell idle waits no more.
     idleMost = stated(terms, "caps.conn_idle", 2 * clients.longestDeadline()) / 2;
-    guarded = new Guarded(this, clients);
+    guarded = new FencedRequests(this, clients);
     engines =
-        new EngineList(
+        new EndpointList(
             terms,
             telemetry,
             this,
             (owner, site, kind) -> {
-              Carrier carrier = carriers == null ? null : carriers.of(owner, site, kind);
-              return carrier == null ? new LineCarrier(owner, site, streams) : carrier;
+              EngineTransport carrier = carriers == null ? null : carriers.of(owner, site, kind);
+              return carrier == null ? new LineProtocolTransport(owner, site, streams) : carrier;
             });
     // With no grace, or none stated, a drain is obeyed at once; asked for is only how fresh the
     // list is.
     long grace = stated(terms, "guarantees.drain_grace", soon);
     holdMost = Math.min(grace, connectMost) / 2;
-    names = new NameService(driver, assignment.seed(), now, grace, telemetry);
+    names = new DiscoveryClient(driver, assignment.seed(), now, grace, telemetry);
     invariants = new InvariantMonitor(terms);
     steering = factory.start(now, assignment.seed(), plain, this);
     discovery = new Discovery(engines, steering, invariants, recall, telemetry);
@@ -209,13 +210,13 @@
   }
 
   /** What stands beside the module from now on. */
-  public void beside(Side stands) {
+  public void beside(GatewayExtension stands) {
     side = stands;
     clients.beside(stands);
   }
 
   /** What the one beside may ask for. */
-  public Side.Door door() {
+  public GatewayExtension.Door door() {
     return guarded;
   }
 
@@ -282,7 +283,7 @@
       steering.settle(now);
     }
     if (!ordered.isEmpty()) {
-      List<Flight> batch = ordered;
+      List<InFlightAttempt> batch = ordered;
       ordered = new ArrayList<>();
       driver.afterReading(() -> batch.forEach(this::begin));
     }
@@ -361,7 +362,7 @@
   }
 
   /** A client has connected. */
-  public Pipe.Owner accepted(Pipe pipe) {
+  public Channel.Owner accepted(Channel pipe) {
     clientHeard();
     return clients.accepted(pipe);
   }
@@ -371,21 +372,21 @@
     return telemetry;
   }
 
-  void arrived(Call call) {
+  void arrived(PendingResponse call) {
     telemetry.metrics().add(Counter.REQUESTS_TAKEN);
     invariants.taken(now);
     steering.arrived(now, call.submission);
     unsettled = true;
   }
 
-  void left(Call call) {
+  void left(PendingResponse call) {
     telemetry.metrics().add(Counter.REQUESTS_ABANDONED);
     steering.left(now, call.submission);
     unsettled = true;
   }
 
   /** Nobody waits for its answer any more, though its client may call again; or it has. */
-  void unattended(Call call, boolean on) {
+  void unattended(PendingResponse call, boolean on) {
     if (!call.settled() && call.submission.unattended != on) {
       steering.unattended(now, call.submission, on);
       unsettled = true;
@@ -396,7 +397,7 @@
    * The client's time is up: hops that are still out end so. The engine knows the limit and is told
    * nothing.
    */
-  void overdue(Call call) {
+  void overdue(PendingResponse call) {
     call.flights.forEach(flight -> ended(flight, AttemptOutcome.OVERDUE));
   }
 
@@ -408,18 +409,18 @@
   // ---- engines ----
 
   @Override
-  public void noted(Flight flight, AttemptProgress note, double level) {
+  public void noted(InFlightAttempt flight, AttemptProgress note, double level) {
     steering.noted(now, flight.hop, note, level);
     unsettled = true;
   }
 
   @Override
-  public void written(Flight flight) {
+  public void written(InFlightAttempt flight) {
     guarded.written(flight);
   }
 
   @Override
-  public void ended(Flight flight, AttemptOutcome how) {
+  public void ended(InFlightAttempt flight, AttemptOutcome how) {
     if (!flight.hop.isOut()) {
       return;
     }
@@ -436,7 +437,7 @@
     unsettled = true;
   }
 
-  private void countEnd(Flight flight, AttemptOutcome outcome, long lag) {
+  private void countEnd(InFlightAttempt flight, AttemptOutcome outcome, long lag) {
     telemetry.metrics().add(Counter.ATTEMPTS_ENDED, outcome);
     if (outcome == AttemptOutcome.FULFILLED) {
       telemetry.metrics().add(Counter.REQUESTS_ANSWERED);
@@ -458,16 +459,16 @@
               "after_ms",
               lag / Units.TENTHS_PER_MS,
               "written",
-              flight.place != Flight.UNSENT);
+              flight.place != InFlightAttempt.UNSENT);
     }
   }
 
-  private static String engineId(Flight flight) {
-    return ((EngineSite) flight.hop.engine.tag).id;
+  private static String engineId(InFlightAttempt flight) {
+    return ((EngineAddress) flight.hop.engine.tag).id;
   }
 
-  private static Carrier carrier(Flight flight) {
-    return ((EngineSite) flight.hop.engine.tag).carrier;
+  private static EngineTransport carrier(InFlightAttempt flight) {
+    return ((EngineAddress) flight.hop.engine.tag).carrier;
   }
 
   @Override
@@ -476,7 +477,7 @@
   }
 
   @Override
-  public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
     return driver.dial(to, owner);
   }
 
@@ -536,8 +537,9 @@
 
   @Override
   public void send(Attempt hop) {
-    Call call = (Call) hop.submission.tag;
-    Flight flight = new Flight(hop, call, wanted -> steering.mayWrite(now, wanted));
+    PendingResponse call = (PendingResponse) hop.submission.tag;
+    InFlightAttempt flight =
+        new InFlightAttempt(hop, call, wanted -> steering.mayWrite(now, wanted));
     call.flights.add(flight);
     ordered.add(flight);
     telemetry.metrics().add(Counter.ATTEMPTS_ORDERED);
@@ -564,7 +566,7 @@
    * Guards those whose client closed in the moment of the order: what could be read by then was
    * taken in since, and the hop is looked at once more.
    */
-  private void begin(Flight flight) {
+  private void begin(InFlightAttempt flight) {
     if (!flight.hop.isOut()) {
       return;
     }
@@ -578,12 +580,12 @@
   }
 
   @Override
-  public long writeBefore(Flight flight) {
+  public long writeBefore(InFlightAttempt flight) {
     return steering.writeBefore(now, flight.hop);
   }
 
   @Override
-  public void wentOut(Flight flight, long firstByteAt, long before, long limit) {
+  public void wentOut(InFlightAttempt flight, long firstByteAt, long before, long limit) {
     telemetry.metrics().add(Counter.ATTEMPTS_WRITTEN);
     report(
         invariants.written(new InvariantMonitor.Written(flight.hop, firstByteAt, before, limit)),
@@ -592,7 +594,7 @@
   }
 
   /** An answer is ready that a client is owed. */
-  void answered(Call call) {
+  void answered(PendingResponse call) {
     if (now < unreadUntil && pausedFrom <= call.submission.leavesAt) {
       // Its time ran out while this process stood still, which no program can help; the pause is
       // counted.
@@ -601,7 +603,7 @@
     report(invariants.answered(now, call.submission), call, "none");
   }
 
-  private void report(Set<Invariant> broken, Call call, String engine) {
+  private void report(Set<Invariant> broken, PendingResponse call, String engine) {
     for (Invariant invariant : broken) {
       telemetry.metrics().add(Counter.INVARIANT_VIOLATIONS, invariant);
       telemetry
@@ -626,7 +628,7 @@
   }
 
   @Override
-  public void withheld(Flight flight, SendVerdict verdict) {
+  public void withheld(InFlightAttempt flight, SendVerdict verdict) {
     telemetry.metrics().add(Counter.ATTEMPTS_WITHHELD, verdict);
     telemetry
         .log()
@@ -646,7 +648,7 @@
 
   @Override
   public void callOff(Attempt hop) {
-    Flight flight = ((Call) hop.submission.tag).flights.get(hop.number);
+    InFlightAttempt flight = ((PendingResponse) hop.submission.tag).flights.get(hop.number);
     if (hop.isOut()) {
       AttemptOutcome outcome = carrier(flight).giveUp(flight);
       telemetry
@@ -672,17 +674,17 @@
   @Override
   public void turnBack(Request submission, long comeBack) {
     countGivenUp(Counter.REQUESTS_REFUSED, submission);
-    clients.turnBack((Call) submission.tag, comeBack);
+    clients.turnBack((PendingResponse) submission.tag, comeBack);
   }
 
   @Override
   public void breakOff(Request submission) {
     countGivenUp(Counter.REQUESTS_FAILED, submission);
-    clients.breakOff((Call) submission.tag);
+    clients.breakOff((PendingResponse) submission.tag);
   }
 
   private void countGivenUp(Counter counter, Request submission) {
-    Call call = (Call) submission.tag;
+    PendingResponse call = (PendingResponse) submission.tag;
     if (submission.endReason == null) {
       telemetry.metrics().add(counter);
     } else {
--- a/gateway/src/main/java/tillerlink/net/state/Side.java
+++ b/gateway/src/main/java/tillerlink/net/state/GatewayExtension.java
@@ -13,7 +13,7 @@
  * called in a turn; none may wait. Times are tenths of a millisecond, of the gateway's clock, which
  * never goes back and goes on while the process is stopped.
  */
-public interface Side {
+public interface GatewayExtension {
   /** A turn begins: called before anything that waited for it. */
   void begin(long now);
 
@@ -114,7 +114,8 @@
      * @param turns what other threads hand to the thread that owns all state
      * @param clock the gateway's clock, read anew; for any thread
      */
-    Side start(Assignment assignment, Door door, Consumer<Runnable> turns, LongSupplier clock)
+    GatewayExtension start(
+        Assignment assignment, Door door, Consumer<Runnable> turns, LongSupplier clock)
         throws IOException;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/Flight.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -8,13 +8,13 @@
 import tillerlink.policy.SendVerdict;
 
 /** A hop on its way: the connection that bears it, and the pages of its result that have come. */
-public final class Flight {
+public final class InFlightAttempt {
   /** While its connection is not up. */
   static final long UNSENT = Long.MAX_VALUE;
 
   public final Attempt hop;
-  final Call call;
-  EngineLink link;
+  final PendingResponse call;
+  EngineConnection link;
 
   /**
    * Its place among the writes of its connection; none of it has been written before that one is.
@@ -49,7 +49,7 @@
   /**
    * @param guard whether a hop may still begin
    */
-  Flight(Attempt hop, Call call, Function<Attempt, SendVerdict> guard) {
+  InFlightAttempt(Attempt hop, PendingResponse call, Function<Attempt, SendVerdict> guard) {
     this.hop = hop;
     this.call = call;
     this.guard = guard;
@@ -88,7 +88,7 @@
     return verdict;
   }
 
-  /** Whether {@link Carrier.Owner#written} is waited for. */
+  /** Whether {@link EngineTransport.Owner#written} is waited for. */
   public boolean guarded() {
     return call.guard != null;
   }
--- a/gateway/src/main/java/tillerlink/net/state/LineCarrier.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -10,33 +10,33 @@
  * Carries hops over the platform's engine lines: connections of which each bears as many as the
  * settings allow.
  */
-final class LineCarrier implements Carrier {
+final class LineProtocolTransport implements EngineTransport {
   private static final int MENDS_MOST = 3;
 
   final Owner owner;
-  final EngineSite site;
+  final EngineAddress site;
   private final int streams;
-  private final List<EngineLink> links = new ArrayList<>(2);
+  private final List<EngineConnection> links = new ArrayList<>(2);
 
-  LineCarrier(Owner owner, EngineSite site, int streams) {
+  LineProtocolTransport(Owner owner, EngineAddress site, int streams) {
     this.owner = owner;
     this.site = site;
     this.streams = streams;
   }
 
   @Override
-  public void send(Flight flight) {
-    EngineLink link = linkFor(flight);
+  public void send(InFlightAttempt flight) {
+    EngineConnection link = linkFor(flight);
     if (link == null) {
       owner.rarely("no room for a further engine connection");
-      unsent(flight, Break.NO_ROOM);
+      unsent(flight, DisconnectReason.NO_ROOM);
     } else {
       link.send(flight);
     }
   }
 
   /** Nothing of a hop was written, and nothing will be: the module hears of it in the next turn. */
-  void unsent(Flight flight, Break why) {
+  void unsent(InFlightAttempt flight, DisconnectReason why) {
     owner.later(() -> owner.ended(flight, why.outcome(false)));
   }
 
@@ -45,16 +45,16 @@
    * spoilt answer, after which a connection can't be read any more, that takes the hops beside it
    * along.
    */
-  private EngineLink linkFor(Flight flight) {
-    EngineLink link = roomy(flight.id());
-    EngineLink fresh = link == null || link.bears() > 0 ? dial() : null;
+  private EngineConnection linkFor(InFlightAttempt flight) {
+    EngineConnection link = roomy(flight.id());
+    EngineConnection fresh = link == null || link.bears() > 0 ? dial() : null;
     return fresh == null ? link : fresh;
   }
 
   /** Of the connections with room for one more, the one that bears least, or null. */
-  private EngineLink roomy(String submission) {
-    EngineLink best = null;
-    for (EngineLink link : links) {
+  private EngineConnection roomy(String submission) {
+    EngineConnection best = null;
+    for (EngineConnection link : links) {
       if (link.takes(submission, streams) && (best == null || link.bears() < best.bears())) {
         best = link;
       }
@@ -63,14 +63,14 @@
   }
 
   /** A new connection, or null if there is no room for it. */
-  private EngineLink dial() {
+  private EngineConnection dial() {
     // Each engine has its part, and one connection at the least: with more engines than
     // connections, those that
     // are in use pass from engine to engine.
     if (links.size() >= Math.max(1, owner.linksMost() / owner.engines()) || !owner.roomForLink()) {
       return null;
     }
-    EngineLink link = new EngineLink(this, owner.now());
+    EngineConnection link = new EngineConnection(this, owner.now());
     owner.counted(1);
     links.add(link);
     link.dial();
@@ -79,20 +79,20 @@
 
   /** Shows whether anybody is there, unless a new connection is about to. */
   void tryAnew() {
-    if (links.stream().noneMatch(EngineLink::dialing)) {
+    if (links.stream().noneMatch(EngineConnection::dialing)) {
       dial();
     }
   }
 
   /** One has ended; if it did not come up, others hear of it. */
-  void linkEnded(EngineLink link) {
+  void linkEnded(EngineConnection link) {
     links.remove(link);
     owner.counted(-1);
   }
 
   /** A new connection failed. */
   void nobodyThere() {
-    List.copyOf(links).forEach(EngineLink::nobodyThere);
+    List.copyOf(links).forEach(EngineConnection::nobodyThere);
   }
 
   /** Whether the engine was seen to be there since then, on any connection. */
@@ -105,13 +105,13 @@
    * another. The engine keeps pages, so nothing runs again. False if it can't be, or was tried too
    * often.
    */
-  boolean mend(Flight flight) {
+  boolean mend(InFlightAttempt flight) {
     boolean mends =
         flight.pages != null
             && flight.mended < MENDS_MOST
             && flight.hop.isOut()
             && site.engine.standing != Engine.Standing.GONE;
-    EngineLink link = mends ? linkFor(flight) : null;
+    EngineConnection link = mends ? linkFor(flight) : null;
     if (link != null) {
       flight.mended++;
       link.send(flight);
@@ -120,12 +120,14 @@
   }
 
   @Override
-  public AttemptOutcome giveUp(Flight flight) {
-    return flight.link == null ? Break.NO_ROOM.outcome(false) : flight.link.giveUp(flight);
+  public AttemptOutcome giveUp(InFlightAttempt flight) {
+    return flight.link == null
+        ? DisconnectReason.NO_ROOM.outcome(false)
+        : flight.link.giveUp(flight);
   }
 
   @Override
-  public void release(Flight flight) {
+  public void release(InFlightAttempt flight) {
     if (flight.link != null) {
       flight.link.release(flight);
     }
@@ -138,17 +140,19 @@
 
   @Override
   public long idleSince() {
-    return links.stream().mapToLong(EngineLink::idleSince).min().orElse(Long.MAX_VALUE);
+    return links.stream().mapToLong(EngineConnection::idleSince).min().orElse(Long.MAX_VALUE);
   }
 
   @Override
   public void endIdle() {
-    links.stream().min(Comparator.comparing(EngineLink::idleSince)).ifPresent(EngineLink::retire);
+    links.stream()
+        .min(Comparator.comparing(EngineConnection::idleSince))
+        .ifPresent(EngineConnection::retire);
   }
 
   @Override
   public void retireAll() {
-    List.copyOf(links).forEach(EngineLink::retire);
+    List.copyOf(links).forEach(EngineConnection::retire);
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/Driver.java
+++ b/gateway/src/main/java/tillerlink/net/state/NetworkDriver.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 
 /** Reads and writes for the state; never blocks it. */
-public interface Driver {
+public interface NetworkDriver {
   /** Begins a connection; its owner hears of it later. */
-  Pipe dial(InetSocketAddress to, Pipe.Owner owner);
+  Channel dial(InetSocketAddress to, Channel.Owner owner);
 
   /** Sends a datagram to the name service. */
   void ask(byte[] datagram);
--- a/gateway/src/main/java/tillerlink/net/state/Call.java
+++ b/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
@@ -8,13 +8,13 @@
 import tillerlink.net.wire.HttpAnswer;
 
 /** A submission as its client sees it: where it waits, and its answer once there is one. */
-final class Call {
+final class PendingResponse {
   final Ask ask;
   final Request submission;
-  final List<Flight> flights = new ArrayList<>(1);
+  final List<InFlightAttempt> flights = new ArrayList<>(1);
 
   /** The client's connection that waits for the answer, or null. */
-  ClientLink waiting;
+  ClientConnection waiting;
 
   /** The final answer, kept for a while for a client whose connection broke. */
   HttpAnswer answer;
@@ -22,7 +22,7 @@
   boolean handedOut;
 
   /** What its hops wait on before they go out, or null. */
-  Side.Guard guard;
+  GatewayExtension.Guard guard;
 
   boolean left;
   long forgetAt;
@@ -31,7 +31,7 @@
    * @param arrivedAt when it may have come at the earliest: its client's time counts from then
    * @param line those about the same, of tracks that keep their order; or null
    */
-  Call(Ask ask, int trackIndex, long arrivedAt, KeyedRequestQueue line) {
+  PendingResponse(Ask ask, int trackIndex, long arrivedAt, KeyedRequestQueue line) {
     this.ask = ask;
     submission =
         new Request(
--- a/gateway/src/main/java/tillerlink/net/state/Rarely.java
+++ b/gateway/src/main/java/tillerlink/net/state/RateLimitedWarning.java
@@ -5,7 +5,7 @@
 import tillerlink.plain.Units;
 
 /** Warns, but at most a line a second: trouble that repeats must not fill the log. */
-final class Rarely {
+final class RateLimitedWarning {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
   private static final long EVERY = 1000 * Units.TENTHS_PER_MS;
 
--- a/gateway/src/test/java/tillerlink/GatewayTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tillerlink.net.state.Break;
+import tillerlink.net.state.DisconnectReason;
 
 /**
  * Submissions from bytes to orders and back, on a driver that only prints; each story is compared
@@ -27,7 +27,7 @@
         .engine(0, ID + " batch pos=2 6|c\t3\tz\n|")
         .engine(0, ID + " batch pos=1 6|b\t2\ty\n|");
     s.say("the same again after a broken connection")
-        .breaks("c1", Break.RESET)
+        .breaks("c1", DisconnectReason.RESET)
         .get("c2", ID)
         .pass(2500)
         .get("c2", ID);
@@ -41,7 +41,7 @@
   @Test
   void endings() {
     Stage s = new Stage();
-    for (Break how : List.of(Break.REFUSED, Break.RESET)) {
+    for (DisconnectReason how : List.of(DisconnectReason.REFUSED, DisconnectReason.RESET)) {
       s.say("before it was connected: " + how)
           .fresh()
           .post("c1", ID, "book")
@@ -55,8 +55,8 @@
         .post("c1", ID, "book")
         .get("c1", ID)
         .connected(0)
-        .ends(0, Break.RESET);
-    for (Break how : List.of(Break.RESET, Break.CLOSED_BY_PEER)) {
+        .ends(0, DisconnectReason.RESET);
+    for (DisconnectReason how : List.of(DisconnectReason.RESET, DisconnectReason.CLOSED_BY_PEER)) {
       s.say("after it was written: " + how)
           .fresh()
           .post("c1", ID, "book")
@@ -145,7 +145,7 @@
         .get("c1", ID)
         .connected(0)
         .engine(0, ID + " ok cou")
-        .ends(0, Break.CLOSED_BY_PEER);
+        .ends(0, DisconnectReason.CLOSED_BY_PEER);
     s.say("the connection alone is dead")
         .fresh()
         .post("c1", ID, "look")
@@ -161,10 +161,12 @@
           .get("c1", ID)
           .connected(0)
           .engine(0, ID + " ok count=2" + row)
-          .ends(0, Break.RESET);
+          .ends(0, DisconnectReason.RESET);
       s =
           how.startsWith("nobody")
-              ? s.ends(1, Break.REFUSED).ends(2, Break.REFUSED).ends(3, Break.REFUSED)
+              ? s.ends(1, DisconnectReason.REFUSED)
+                  .ends(2, DisconnectReason.REFUSED)
+                  .ends(3, DisconnectReason.REFUSED)
               : s.pass(900);
       s.get("c1", ID);
     }
@@ -190,7 +192,7 @@
         .get("c1", ID)
         .connected(0)
         .pass(350)
-        .ends(1, Break.REFUSED);
+        .ends(1, DisconnectReason.REFUSED);
     s.say("it does not say that it works, but a new connection comes up")
         .fresh()
         .post("c1", ID, "look")
@@ -236,7 +238,7 @@
     s.say("by a close before the path was out")
         .stuck()
         .post("c3", "00000000000000a2", "look")
-        .breaks("c3", Break.CLOSED_BY_PEER);
+        .breaks("c3", DisconnectReason.CLOSED_BY_PEER);
     s.matches("net-leave");
   }
 
@@ -252,7 +254,7 @@
     };
     for (String head : heads) {
       s.client("c1", head + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
-          .breaks("c1", Break.CLOSED_BY_PEER);
+          .breaks("c1", DisconnectReason.CLOSED_BY_PEER);
     }
     for (String fields :
         List.of(
@@ -383,7 +385,7 @@
         .connected(0)
         .news(5, "e1 draining 127.0.0.1:5050 east std 0 0", "e2 ready 127.0.0.2:5050 east std 0 0")
         .pass(250)
-        .ends(0, Break.RESET);
+        .ends(0, DisconnectReason.RESET);
     s.matches("net-news");
   }
 
@@ -434,7 +436,7 @@
     s.say("the client leaves; the engine has read nothing")
         .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n")
         .pass(150)
-        .ends(0, Break.RESET);
+        .ends(0, DisconnectReason.RESET);
     s.say("one that has read all")
         .letGo()
         .post("c3", "00000000000000a2", "look")
--- a/gateway/src/test/java/tillerlink/SideTest.java
+++ b/gateway/src/test/java/tillerlink/SideTest.java
@@ -7,8 +7,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tillerlink.net.state.Break;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.DisconnectReason;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
 
@@ -20,7 +20,7 @@
    * Takes /v1/aside/TRACK and hands it in under a guard; answers /v1/later when told to, in a later
    * turn.
    */
-  private static final class Aside implements Side, Side.Guard {
+  private static final class Aside implements GatewayExtension, GatewayExtension.Guard {
     private final Door door;
     private final List<Reply> owed = new ArrayList<>();
 
@@ -135,7 +135,7 @@
         .turn(() -> aside.owed.get(0).answer(HttpAnswer.done()));
     s.say("the client goes before the answer")
         .client("c2", "PUT /v1/later HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
-        .breaks("c2", Break.CLOSED_BY_PEER)
+        .breaks("c2", DisconnectReason.CLOSED_BY_PEER)
         .turn(() -> aside.owed.get(1).answer(HttpAnswer.done()))
         .answered();
     s.matches("side-calls");
@@ -183,9 +183,9 @@
           .post("c1", ID, track)
           .get("c1", ID)
           .connected(0)
-          .ends(0, Break.RESET);
+          .ends(0, DisconnectReason.RESET);
       s.say(track + ": an earlier hop surely did not run, the next does not go").fresh();
-      stage(s, true, false).post("c1", ID, track).get("c1", ID).ends(0, Break.REFUSED);
+      stage(s, true, false).post("c1", ID, track).get("c1", ID).ends(0, DisconnectReason.REFUSED);
       s.say(track + ": written in time, it may end").fresh();
       stage(s)
           .post("c1", ID, track)
@@ -227,15 +227,18 @@
         "the guard does not hold once the connection is up",
         out(true, false).connected(0),
         new String[0]);
-    told("never connected", out().ends(0, Break.REFUSED).ends(1, Break.REFUSED), new String[0]);
+    told(
+        "never connected",
+        out().ends(0, DisconnectReason.REFUSED).ends(1, DisconnectReason.REFUSED),
+        new String[0]);
     told(
         "the connection broke",
-        out().connected(0).ends(0, Break.RESET),
+        out().connected(0).ends(0, DisconnectReason.RESET),
         "began",
         "may run until 4500");
     told(
         "the connection broke before it was written whole",
-        out().stuck().connected(0).ends(0, Break.RESET),
+        out().stuck().connected(0).ends(0, DisconnectReason.RESET),
         "began",
         "over");
     told(
@@ -261,7 +264,7 @@
             .post("c1", ID, "aside/look")
             .get("c1", ID)
             .connected(0)
-            .ends(0, Break.RESET)
+            .ends(0, DisconnectReason.RESET)
             .connected(1)
             .engine(1, DONE),
         "began",
--- a/gateway/src/test/java/tillerlink/Stage.java
+++ b/gateway/src/test/java/tillerlink/Stage.java
@@ -10,18 +10,18 @@
 import java.util.function.Function;
 import java.util.stream.IntStream;
 import tillerlink.model.Engine;
-import tillerlink.net.state.Break;
-import tillerlink.net.state.Driver;
+import tillerlink.net.state.Channel;
+import tillerlink.net.state.DisconnectReason;
 import tillerlink.net.state.Gateway;
-import tillerlink.net.state.Pipe;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
+import tillerlink.net.state.NetworkDriver;
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /** A driver that prints. Times are milliseconds; in what engines say, | is a line's end. */
-final class Stage implements Driver {
+final class Stage implements NetworkDriver {
   private static final int TENTHS = 10;
   static final long START = 17_000_000_000_000L;
   private static final long CONFIRM_MS = 125;
@@ -188,7 +188,7 @@
   }
 
   /** Puts it beside the module, from now on. */
-  Stage beside(Function<Side.Door, Side> made) {
+  Stage beside(Function<GatewayExtension.Door, GatewayExtension> made) {
     gateway.beside(made.apply(gateway.door()));
     return this;
   }
@@ -246,7 +246,7 @@
     return turn(() -> pipe.owner.fed(bytes.getBytes(StandardCharsets.UTF_8)));
   }
 
-  Stage breaks(String client, Break how) {
+  Stage breaks(String client, DisconnectReason how) {
     return turn(() -> clients.remove(client).owner.ended(how));
   }
 
@@ -254,7 +254,7 @@
     return turn(() -> dialed.get(link).owner.opened());
   }
 
-  Stage ends(int link, Break how) {
+  Stage ends(int link, DisconnectReason how) {
     return turn(() -> dialed.get(link).owner.ended(how));
   }
 
@@ -379,7 +379,7 @@
   }
 
   @Override
-  public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
     Printed pipe = new Printed("e" + to.getHostString().substring(8) + "/" + dialed.size());
     pipe.owner = owner;
     dialed.add(pipe);
@@ -401,7 +401,7 @@
     }
   }
 
-  private final class Printed implements Pipe {
+  private final class Printed implements Channel {
     private final String name;
     private Owner owner;
 
--- a/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
+++ b/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
@@ -18,8 +18,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.function.BooleanSupplier;
 import org.junit.jupiter.api.Test;
-import tillerlink.net.state.Break;
-import tillerlink.net.state.Pipe;
+import tillerlink.net.state.Channel;
+import tillerlink.net.state.DisconnectReason;
 
 class MinaDriverTest {
   private static final int PATIENCE_MS = 10_000;
@@ -70,7 +70,7 @@
           new MinaDriver(
               queue, new InetSocketAddress(here, 9), bytes -> {}, pipe -> null, 10, clock::get)) {
         Heard heard = new Heard();
-        Pipe pipe = driver.dial((InetSocketAddress) engine.getLocalSocketAddress(), heard);
+        Channel pipe = driver.dial((InetSocketAddress) engine.getLocalSocketAddress(), heard);
         driver.flush();
         try (Socket accepted = engine.accept()) {
           take(queue, () -> heard.events.contains("opened"));
@@ -103,7 +103,7 @@
   }
 
   /** Notes what it is told. */
-  private static final class Heard implements Pipe.Owner {
+  private static final class Heard implements Channel.Owner {
     private final List<String> events = new ArrayList<>();
 
     @Override
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public void ended(Break how) {
+    public void ended(DisconnectReason how) {
       events.add("ended");
     }
   }
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -189,7 +189,7 @@
     client.say(text.substring(0, 60));
     loopback.came(1);
     loopback.letGo();
-    Shutdown shutdown = loopback.ask(Shutdown::new);
+    GracefulShutdown shutdown = loopback.ask(GracefulShutdown::new);
     long told = loopback.now();
     loopback.ask(
         gateway -> {
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -55,7 +55,7 @@
   private final List<Closeable> open = new ArrayList<>();
   private final AtomicLong now = new AtomicLong(START);
   private final AtomicLong turnsDone = new AtomicLong();
-  private final Turns turns = new Turns(now::get);
+  private final EventLoop turns = new EventLoop(now::get);
   private final MinaDriver driver;
   private final InetSocketAddress listen;
   private final Thread thread;
--- a/gateway/src/test/java/tillerlink/net/lifecycle/TurnsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/TurnsTest.java
@@ -17,9 +17,9 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import tillerlink.model.Engine;
-import tillerlink.net.state.Driver;
+import tillerlink.net.state.Channel;
 import tillerlink.net.state.Gateway;
-import tillerlink.net.state.Pipe;
+import tillerlink.net.state.NetworkDriver;
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.EngineEntry;
 import tillerlink.net.wire.EngineNews;
@@ -34,14 +34,14 @@
   private final List<String> happened = new ArrayList<>();
   private long now = START;
   private int reads;
-  private Turns turns;
+  private EventLoop turns;
 
   /** Guards against taking a pause of this machine for a silent engine. */
   @Test
   void whatWasSaidDuringAPauseIsHeardBeforeWhatIsDue() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
     Assignment assignment = new Assignment("n0", any, any, 7, 1024, Map.of(), List.of());
-    turns = new Turns(this::clock);
+    turns = new EventLoop(this::clock);
     Gateway gateway =
         new Gateway(
             assignment, (now, seed, settings, orders) -> steering(orders), new Mute(), START);
@@ -60,7 +60,7 @@
   void anEventThatFailsTakesNothingElseWithIt() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
     Assignment assignment = new Assignment("n0", any, any, 7, 1024, Map.of(), List.of());
-    turns = new Turns(() -> now);
+    turns = new EventLoop(() -> now);
     Gateway gateway =
         new Gateway(
             assignment, (now, seed, settings, orders) -> steering(orders), new Mute(), START);
@@ -92,7 +92,8 @@
             Files.readAllLines(Path.of("..", "deploy", "classes.lst")).stream()
                 .map(line -> line.split(" ")[0])
                 .collect(Collectors.toSet()));
-    Path classes = Path.of(Turns.class.getProtectionDomain().getCodeSource().getLocation().toURI());
+    Path classes =
+        Path.of(EventLoop.class.getProtectionDomain().getCodeSource().getLocation().toURI());
     try (Stream<Path> files = Files.walk(classes.resolve("tillerlink"))) {
       List<String> missing =
           files
@@ -132,7 +133,7 @@
     Assignment assignment =
         new Assignment(
             "n0", any, any, 7, 1024, terms, List.of(new EngineNews(1, true, List.of(engine))));
-    new Rehearsal(
+    new JvmWarmup(
             assignment,
             (now, seed, settings, orders) -> {
               DispatchPolicy module = new DefaultDispatchPolicy(now, seed, settings, orders);
@@ -177,9 +178,9 @@
             });
   }
 
-  private static final class Mute implements Driver {
+  private static final class Mute implements NetworkDriver {
     @Override
-    public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+    public Channel dial(InetSocketAddress to, Channel.Owner owner) {
       throw new IllegalStateException("nothing is to be dialed");
     }
 
--- a/gateway/src/test/java/tillerlink/net/state/NameServiceTest.java
+++ b/gateway/src/test/java/tillerlink/net/state/NameServiceTest.java
@@ -22,11 +22,11 @@
   @Test
   void aFleetAsksOnceInAGraceAndNotInStep() {
     Asked asked = new Asked();
-    List<NameService> fleet = fleet(asked);
+    List<DiscoveryClient> fleet = fleet(asked);
     int most = 0;
     for (long now = 0; now < 20 * SECOND; now += STEP) {
       int before = asked.ids.size();
-      for (NameService one : fleet) {
+      for (DiscoveryClient one : fleet) {
         one.sweep(now);
         answer(one, now, asked, true);
       }
@@ -45,7 +45,7 @@
   void aLostAnswerIsAskedForAgainWithinTheGrace() {
     Random lost = new Random(5);
     Asked asked = new Asked();
-    for (NameService one : fleet(asked)) {
+    for (DiscoveryClient one : fleet(asked)) {
       long sentAt = -1;
       int losses = 0;
       for (long now = 0; now < 20 * SECOND; now += STEP) {
@@ -70,9 +70,9 @@
   @Test
   void nobodyHammersAServiceThatIsDown() {
     Asked asked = new Asked();
-    List<NameService> fleet = fleet(asked);
+    List<DiscoveryClient> fleet = fleet(asked);
     for (long now = 0; now < 20 * SECOND; now += STEP) {
-      for (NameService one : fleet) {
+      for (DiscoveryClient one : fleet) {
         one.sweep(now);
       }
     }
@@ -87,7 +87,7 @@
   @Test
   void answersOfNoUseInARow() {
     Asked asked = new Asked();
-    NameService one = new NameService(asked, 7, 0, GRACE, Telemetry.silent());
+    DiscoveryClient one = new DiscoveryClient(asked, 7, 0, GRACE, Telemetry.silent());
     for (long now = 0; now < 5 * SECOND; now += STEP) {
       one.sweep(now);
       if (asked.unanswered >= 0) {
@@ -104,16 +104,16 @@
     assertTrue(asked.ids.size() > 8, asked.ids.size() + " questions");
   }
 
-  private static List<NameService> fleet(Asked asked) {
+  private static List<DiscoveryClient> fleet(Asked asked) {
     Random seeds = new Random(1);
-    List<NameService> fleet = new ArrayList<>();
+    List<DiscoveryClient> fleet = new ArrayList<>();
     for (int i = 0; i < GATEWAYS; i++) {
-      fleet.add(new NameService(asked, seeds.nextLong(), 0, GRACE, Telemetry.silent()));
+      fleet.add(new DiscoveryClient(asked, seeds.nextLong(), 0, GRACE, Telemetry.silent()));
     }
     return fleet;
   }
 
-  private static void answer(NameService one, long now, Asked asked, boolean arrives) {
+  private static void answer(DiscoveryClient one, long now, Asked asked, boolean arrives) {
     if (asked.unanswered >= 0 && arrives) {
       one.take(
           now,
@@ -124,12 +124,12 @@
   }
 
   /** Notes what is asked. */
-  private static final class Asked implements Driver {
+  private static final class Asked implements NetworkDriver {
     private final List<Integer> ids = new ArrayList<>();
     private int unanswered = -1;
 
     @Override
-    public Pipe dial(InetSocketAddress to, Pipe.Owner owner) {
+    public Channel dial(InetSocketAddress to, Channel.Owner owner) {
       throw new AssertionError("nothing is dialed");
     }
 
--- a/harness/src/main/java/tillerlink/harness/EngineSockets.java
+++ b/harness/src/main/java/tillerlink/harness/EngineSockets.java
@@ -25,7 +25,7 @@
 import tillerlink.fakes.EngineCommands.Command;
 import tillerlink.fakes.EngineSide;
 import tillerlink.fakes.Says;
-import tillerlink.net.state.Break;
+import tillerlink.net.state.DisconnectReason;
 
 /**
  * Stand-in engines on loopback: the emulated ones, behind sockets. Each gateway reaches each engine
@@ -111,7 +111,7 @@
 
     void opened() {
       if (door.engine.isEnded()) {
-        cut(Break.RESET);
+        cut(DisconnectReason.RESET);
       } else {
         door.engine.connected(this);
         write(side.owed());
@@ -131,7 +131,7 @@
         side.disowned().forEach(hops::disowned);
         write(side.owed());
       } catch (IllegalArgumentException e) {
-        cut(Break.CLOSED_BY_PEER);
+        cut(DisconnectReason.CLOSED_BY_PEER);
       }
     }
 
@@ -150,8 +150,8 @@
     }
 
     @Override
-    public void cut(Break how) {
-      if (how == Break.RESET) {
+    public void cut(DisconnectReason how) {
+      if (how == DisconnectReason.RESET) {
         try {
           ((SocketSessionConfig) session.getConfig()).setSoLinger(0);
         } catch (RuntimeIoException e) {
--- a/http2/src/main/java/tillerlink/net/http2/H2Carrier.java
+++ b/http2/src/main/java/tillerlink/net/http2/H2Carrier.java
@@ -6,16 +6,16 @@
 import java.util.List;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.net.pool.Pool;
-import tillerlink.net.state.Carrier;
-import tillerlink.net.state.EngineSite;
-import tillerlink.net.state.Flight;
+import tillerlink.net.state.EngineAddress;
+import tillerlink.net.state.EngineTransport;
+import tillerlink.net.state.InFlightAttempt;
 
 /**
  * Carries hops to one engine over HTTP/2: many on few connections, within the engine's limit of
  * streams. A hop that finds no room waits, for a bounded time; what its ending proves is told to
  * the module as an outcome.
  */
-public final class H2Carrier implements Carrier {
+public final class H2Carrier implements EngineTransport {
   private static final int CONNECTIONS_MOST = 4;
   private static final int STREAMS_MOST = 256;
 
@@ -25,17 +25,17 @@
   private static final int MENDS_MOST = 3;
 
   final Owner owner;
-  final EngineSite site;
+  final EngineAddress site;
   private final Pool pool;
   private final int waitingMost;
   private final List<H2Link> links = new ArrayList<>(2);
-  private final ArrayDeque<Flight> waiting = new ArrayDeque<>();
+  private final ArrayDeque<InFlightAttempt> waiting = new ArrayDeque<>();
   private boolean serving;
 
   /**
    * @param streamsMost streams on one connection; 0 for a bound of our own
    */
-  public H2Carrier(Owner owner, EngineSite site, int streamsMost) {
+  public H2Carrier(Owner owner, EngineAddress site, int streamsMost) {
     this.owner = owner;
     this.site = site;
     int streams = streamsMost > 0 ? Math.min(streamsMost, STREAMS_MOST) : STREAMS_MOST;
@@ -44,7 +44,7 @@
   }
 
   @Override
-  public void send(Flight flight) {
+  public void send(InFlightAttempt flight) {
     if (waiting.size() >= waitingMost) {
       owner.rarely("no room for a further stream to engine " + site.id);
       unsent(flight, StreamEnd.NO_ROOM);
@@ -55,7 +55,7 @@
   }
 
   /** Nothing of a hop was written, and nothing will be. */
-  private void unsent(Flight flight, StreamEnd how) {
+  private void unsent(InFlightAttempt flight, StreamEnd how) {
     owner.later(() -> owner.ended(flight, how.outcome(false, false)));
   }
 
@@ -110,7 +110,7 @@
     List.copyOf(links).forEach(H2Link::nobodyThere);
     if (links.stream().noneMatch(link -> link.up() && link.sound())) {
       while (!waiting.isEmpty()) {
-        Flight flight = waiting.poll();
+        InFlightAttempt flight = waiting.poll();
         owner.later(() -> owner.ended(flight, flight.begun() ? AttemptOutcome.SPOILT : outcome));
       }
     }
@@ -124,7 +124,7 @@
    * Asks for what a result lacks on another connection; false if it can't be, or was tried too
    * often.
    */
-  boolean mend(Flight flight) {
+  boolean mend(InFlightAttempt flight) {
     if (!flight.begun() || !flight.hop.isOut() || !flight.mendAgain(MENDS_MOST)) {
       return false;
     }
@@ -133,7 +133,7 @@
   }
 
   @Override
-  public AttemptOutcome giveUp(Flight flight) {
+  public AttemptOutcome giveUp(InFlightAttempt flight) {
     for (H2Link link : links) {
       if (link.bears(flight)) {
         return link.giveUp(flight);
@@ -144,7 +144,7 @@
   }
 
   @Override
-  public void release(Flight flight) {
+  public void release(InFlightAttempt flight) {
     waiting.remove(flight);
     for (H2Link link : links) {
       if (link.bears(flight)) {
@@ -158,8 +158,8 @@
   @Override
   public void sweep(long connectMost, long idleMost) {
     long now = owner.now();
-    for (Iterator<Flight> i = waiting.iterator(); i.hasNext(); ) {
-      Flight flight = i.next();
+    for (Iterator<InFlightAttempt> i = waiting.iterator(); i.hasNext(); ) {
+      InFlightAttempt flight = i.next();
       if (!flight.hop.isOut()) {
         i.remove();
       } else if (now >= flight.hop.sentAt + connectMost && !flight.begun()) {
--- a/http2/src/main/java/tillerlink/net/http2/H2Link.java
+++ b/http2/src/main/java/tillerlink/net/http2/H2Link.java
@@ -11,24 +11,24 @@
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.AttemptProgress;
 import tillerlink.net.pool.Pool;
-import tillerlink.net.state.Break;
-import tillerlink.net.state.Carrier;
-import tillerlink.net.state.EngineSite;
-import tillerlink.net.state.Flight;
-import tillerlink.net.state.Pipe;
+import tillerlink.net.state.Channel;
+import tillerlink.net.state.DisconnectReason;
+import tillerlink.net.state.EngineAddress;
+import tillerlink.net.state.EngineTransport;
+import tillerlink.net.state.InFlightAttempt;
 import tillerlink.policy.SendVerdict;
 
 /**
  * One HTTP/2 connection to an engine: hops are streams on it, worded as docs/http2-wire.md says.
  */
-final class H2Link implements Pipe.Owner, Pool.Member {
+final class H2Link implements Channel.Owner, Pool.Member {
   private static final int RESULT_MOST = 48_000;
   private static final int FULL_1 = 429;
   private static final int FULL_2 = 503;
 
   /** A hop on a stream. */
   private static final class Ride {
-    private final Flight flight;
+    private final InFlightAttempt flight;
     private final int stream;
 
     /**
@@ -41,24 +41,24 @@
     /** When the window was found shut for its body; 0 if it is not. */
     private long shutSince;
 
-    Ride(Flight flight, int stream) {
+    Ride(InFlightAttempt flight, int stream) {
       this.flight = flight;
       this.stream = stream;
     }
   }
 
   private final H2Carrier carrier;
-  private final Carrier.Owner owner;
-  private final EngineSite site;
+  private final EngineTransport.Owner owner;
+  private final EngineAddress site;
   private final Connection connection = new Connection();
   private final Map<Integer, Ride> rides = new LinkedHashMap<>();
-  private final Map<Flight, Ride> byFlight = new IdentityHashMap<>();
+  private final Map<InFlightAttempt, Ride> byFlight = new IdentityHashMap<>();
 
   /** Guarded hops whose last byte is on its way out, in that order. */
   private final ArrayDeque<Ride> guarded = new ArrayDeque<>(0);
 
   private final long dialedAt;
-  private Pipe pipe;
+  private Channel pipe;
   private boolean open;
   private boolean over;
   private boolean retired;
@@ -132,7 +132,7 @@
 
   // ---- hops ----
 
-  void send(Flight flight) {
+  void send(InFlightAttempt flight) {
     SendVerdict verdict = flight.begun() ? SendVerdict.ALLOWED : flight.mayGo();
     if (verdict != SendVerdict.ALLOWED) {
       owner.withheld(flight, verdict);
@@ -176,11 +176,11 @@
     flush();
   }
 
-  boolean bears(Flight flight) {
+  boolean bears(InFlightAttempt flight) {
     return ride(flight) != null;
   }
 
-  private Ride ride(Flight flight) {
+  private Ride ride(InFlightAttempt flight) {
     return byFlight.get(flight);
   }
 
@@ -197,7 +197,7 @@
    * Gives a hop up; a request of which a part was written may come whole while the reset is on its
    * way.
    */
-  AttemptOutcome giveUp(Flight flight) {
+  AttemptOutcome giveUp(InFlightAttempt flight) {
     Ride ride = ride(flight);
     connection.cancel(ride.stream, ErrorCode.CANCEL);
     boolean sent = ride.place != Long.MAX_VALUE;
@@ -207,7 +207,7 @@
   }
 
   /** A hop is over, by whatever ended it. */
-  void release(Flight flight) {
+  void release(InFlightAttempt flight) {
     Ride ride = ride(flight);
     connection.cancel(ride.stream, ErrorCode.CANCEL);
     drop(ride);
@@ -223,7 +223,7 @@
     forget(ride);
     idleSince = owner.now();
     if (rides.isEmpty() && (retired || connection.isSpent())) {
-      end(StreamEnd.CUT, Break.CLOSED_BY_US);
+      end(StreamEnd.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
@@ -284,7 +284,7 @@
   }
 
   @Override
-  public void ended(Break how) {
+  public void ended(DisconnectReason how) {
     exact = true;
     end(StreamEnd.CUT, how);
   }
@@ -301,9 +301,9 @@
     } else if (event instanceof Event.Broken broken) {
       owner.rarely("engine " + site.id + " broke HTTP/2: " + broken.why());
       flush();
-      end(StreamEnd.GARBLED, Break.GARBLED);
+      end(StreamEnd.GARBLED, DisconnectReason.GARBLED);
     } else if (event instanceof Event.Leaving && rides.isEmpty()) {
-      end(StreamEnd.CUT, Break.CLOSED_BY_US);
+      end(StreamEnd.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
@@ -417,7 +417,7 @@
 
   private void closeIfSpent() {
     if (!over && rides.isEmpty() && (retired || connection.isSpent())) {
-      end(StreamEnd.CUT, Break.CLOSED_BY_US);
+      end(StreamEnd.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
@@ -439,7 +439,7 @@
     if (rides.isEmpty() || !open) {
       connection.goAway();
       flush();
-      end(StreamEnd.CUT, Break.CLOSED_BY_US);
+      end(StreamEnd.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
@@ -456,7 +456,7 @@
       return;
     }
     if (!up() && now >= dialedAt + connectMost) {
-      end(StreamEnd.CUT, Break.NEVER_UP);
+      end(StreamEnd.CUT, DisconnectReason.NEVER_UP);
       return;
     }
     for (Ride ride : List.copyOf(rides.values())) {
@@ -493,7 +493,7 @@
     if (!carrier.heardSince(askedAt)) {
       carrier.tryAnew();
     } else if (now >= askedAt + connectMost) {
-      end(StreamEnd.MUTE, Break.MUTE);
+      end(StreamEnd.MUTE, DisconnectReason.MUTE);
     }
   }
 
@@ -507,21 +507,22 @@
     }
     if (silent) {
       owner.rarely("engine " + site.id + " is silent, " + rides.size() + " hops end in doubt");
-      end(StreamEnd.SILENT, Break.SILENT);
+      end(StreamEnd.SILENT, DisconnectReason.SILENT);
     } else if (rides.isEmpty()) {
       retire();
     }
   }
 
   /** The connection is over; each hop on it ends as that means for it. */
-  private void end(StreamEnd how, Break connectionEnd) {
+  private void end(StreamEnd how, DisconnectReason connectionEnd) {
     if (over) {
       return;
     }
     over = true;
     ending = true;
     carrier.linkEnded(this);
-    if (connectionEnd == Break.CLOSED_BY_US || connectionEnd == Break.GARBLED) {
+    if (connectionEnd == DisconnectReason.CLOSED_BY_US
+        || connectionEnd == DisconnectReason.GARBLED) {
       pipe.close();
     } else {
       pipe.drop();
@@ -529,7 +530,7 @@
     for (Ride ride : List.copyOf(rides.values())) {
       finish(ride, how);
     }
-    if (connectionEnd == Break.REFUSED || connectionEnd == Break.NEVER_UP) {
+    if (connectionEnd == DisconnectReason.REFUSED || connectionEnd == DisconnectReason.NEVER_UP) {
       carrier.nobodyThere(connectionEnd.outcome(false));
     }
     carrier.serve();
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -22,7 +22,7 @@
 import tillerlink.messages.envelope.Outbox;
 import tillerlink.messages.envelope.Refusal;
 import tillerlink.messages.envelope.Seal;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.Assignment;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
@@ -40,7 +40,7 @@
  * messages, calls and time, all in turns of the gateway's one thread. Before anything that waited
  * it tells them if the process had been away.
  */
-public final class Peering implements Side {
+public final class Peering implements GatewayExtension {
   private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
 
   /** A turn is taken that often though nothing comes, so that a pause of the process shows. */
@@ -73,7 +73,7 @@
   private boolean stirred = true;
 
   /** What makes it when a gateway starts. */
-  public static Side.Factory factory(Sharing sharing, List<Attaching> others) {
+  public static GatewayExtension.Factory factory(Sharing sharing, List<Attaching> others) {
     return (assignment, door, turns, clock) ->
         new Peering(sharing, others, assignment, door, turns, clock);
   }
@@ -82,7 +82,7 @@
       Sharing sharing,
       List<Attaching> others,
       Assignment assignment,
-      Side.Door door,
+      GatewayExtension.Door door,
       Consumer<Runnable> turns,
       LongSupplier clock)
       throws IOException {
--- a/peering/src/main/java/tillerlink/peering/WatchedDoor.java
+++ b/peering/src/main/java/tillerlink/peering/WatchedDoor.java
@@ -1,14 +1,15 @@
 package tillerlink.peering;
 
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpCall;
 
 /**
  * The gateway's door as parts get it: their guards are asked under the watchdog, for the gateway
  * asks them itself.
  */
-record WatchedDoor(Side.Door door, Watchdog watchdog) implements Side.Door {
-  private record Watched(Side.Guard guard, Watchdog watchdog) implements Side.Guard {
+record WatchedDoor(GatewayExtension.Door door, Watchdog watchdog) implements GatewayExtension.Door {
+  private record Watched(GatewayExtension.Guard guard, Watchdog watchdog)
+      implements GatewayExtension.Guard {
     @Override
     public boolean holds() {
       return watchdog.get(guard::holds);
@@ -31,7 +32,7 @@
   }
 
   @Override
-  public void submit(HttpCall call, Side.Guard guard, Side.Reply reply) {
+  public void submit(HttpCall call, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
     door.submit(call, new Watched(guard, watchdog), reply);
   }
 
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsDoor.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsDoor.java
@@ -6,7 +6,7 @@
 import tillerlink.channels.entry.Appended;
 import tillerlink.channels.entry.Draft;
 import tillerlink.cluster.Part;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
 import tillerlink.peering.component.Attached;
@@ -32,10 +32,10 @@
   /** An append that is being kept. */
   private static final class Owed {
     final long until;
-    final Side.Reply reply;
+    final GatewayExtension.Reply reply;
     boolean done;
 
-    Owed(long until, Side.Reply reply) {
+    Owed(long until, GatewayExtension.Reply reply) {
       this.until = until;
       this.reply = reply;
     }
@@ -71,7 +71,7 @@
   }
 
   @Override
-  public void called(long now, long wall, HttpCall call, Side.Reply reply) {
+  public void called(long now, long wall, HttpCall call, GatewayExtension.Reply reply) {
     String[] words = call.path().split("/", -1);
     boolean named = words.length > 3 && words[3].matches(NAME_FORM);
     if (words.length == 3) {
@@ -93,14 +93,15 @@
     }
   }
 
-  private static void read(HttpCall call, Side.Reply reply, byte[] body) {
+  private static void read(HttpCall call, GatewayExtension.Reply reply, byte[] body) {
     reply.answer(
         call.method() == HttpCall.Method.GET
             ? new HttpAnswer(200, body, 0, false)
             : HttpAnswer.problem(405, "Method", 0));
   }
 
-  private void append(long now, long wall, HttpCall call, String channel, Side.Reply reply) {
+  private void append(
+      long now, long wall, HttpCall call, String channel, GatewayExtension.Reply reply) {
     if (call.method() != HttpCall.Method.POST) {
       reply.answer(HttpAnswer.problem(405, "Method", 0));
       return;
--- a/peering/src/main/java/tillerlink/peering/component/Ground.java
+++ b/peering/src/main/java/tillerlink/peering/component/Ground.java
@@ -5,7 +5,7 @@
 import tillerlink.cluster.Keep;
 import tillerlink.cluster.Post;
 import tillerlink.cluster.Roster;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 
 /**
  * What a part stands on in a process.
@@ -26,5 +26,5 @@
     Post post,
     Keep keep,
     RandomGenerator random,
-    Side.Door door,
+    GatewayExtension.Door door,
     LongSupplier clock) {}
--- a/peering/src/main/java/tillerlink/peering/members/MembersDoor.java
+++ b/peering/src/main/java/tillerlink/peering/members/MembersDoor.java
@@ -9,7 +9,7 @@
 import tillerlink.cluster.Part;
 import tillerlink.members.Members;
 import tillerlink.messages.envelope.Refusal;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
 import tillerlink.peering.component.Attached;
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public void called(long now, long wall, HttpCall call, Side.Reply reply) {
+  public void called(long now, long wall, HttpCall call, GatewayExtension.Reply reply) {
     if (call.method() == HttpCall.Method.GET) {
       reply.answer(new HttpAnswer(200, told(), 0, false));
     } else {
--- a/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
+++ b/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
@@ -1,7 +1,7 @@
 package tillerlink.peering.statements;
 
 import java.util.function.LongSupplier;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.statements.Statements;
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Prepared;
@@ -10,7 +10,7 @@
  * Asked before each hop of a prepared run is written and after: whether the statement still stands
  * as it was taken.
  */
-final class RunGuard implements Side.Guard {
+final class RunGuard implements GatewayExtension.Guard {
   private final Statements statements;
   private final Prepared prepared;
   private final LongSupplier clock;
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsDoor.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsDoor.java
@@ -5,7 +5,7 @@
 import java.util.function.LongSupplier;
 import tillerlink.cluster.Part;
 import tillerlink.messages.statements.Change;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
 import tillerlink.peering.component.Attached;
@@ -32,13 +32,14 @@
   private static final long BEHIND_COME_BACK = 100;
 
   private final Statements statements;
-  private final Side.Door door;
+  private final GatewayExtension.Door door;
   private final LongSupplier clock;
   private final boolean fence;
   private long applied;
   private long losses;
 
-  StatementsDoor(Statements statements, Side.Door door, LongSupplier clock, boolean fence) {
+  StatementsDoor(
+      Statements statements, GatewayExtension.Door door, LongSupplier clock, boolean fence) {
     this.statements = statements;
     this.door = door;
     this.clock = clock;
@@ -85,7 +86,7 @@
   }
 
   @Override
-  public void called(long now, long wall, HttpCall call, Side.Reply reply) {
+  public void called(long now, long wall, HttpCall call, GatewayExtension.Reply reply) {
     String path = call.path();
     try {
       if (path.startsWith(STATEMENTS)) {
@@ -102,7 +103,7 @@
 
   // ---- statements ----
 
-  private void statement(long now, HttpCall call, String name, Side.Reply reply) {
+  private void statement(long now, HttpCall call, String name, GatewayExtension.Reply reply) {
     switch (call.method()) {
       case POST -> {
         Reading.Preparation it = Reading.preparation(name, call.body());
@@ -128,7 +129,7 @@
 
   // ---- schemas ----
 
-  private void schema(long now, HttpCall call, String rest, Side.Reply reply) {
+  private void schema(long now, HttpCall call, String rest, GatewayExtension.Reply reply) {
     int slash = rest.indexOf('/');
     int group = (int) number("group", slash < 0 ? rest : rest.substring(0, slash), DIGITS_MOST);
     switch (call.method()) {
@@ -144,7 +145,7 @@
   }
 
   /** Without a number it is the one change that waits; of several one has to be named. */
-  private void takeBack(long now, int group, String number, Side.Reply reply) {
+  private void takeBack(long now, int group, String number, GatewayExtension.Reply reply) {
     SchemaState state = statements.schema(group);
     if (number.isEmpty() && state.waiting().size() != 1) {
       reply.answer(Telling.problem(409, "Refused", state.waiting().size() + " changes wait", 0));
@@ -168,7 +169,7 @@
 
   // ---- runs ----
 
-  private void run(HttpCall call, String name, Side.Reply reply) {
+  private void run(HttpCall call, String name, GatewayExtension.Reply reply) {
     if (call.method() != HttpCall.Method.POST) {
       reply.answer(HttpAnswer.problem(405, "Method", 0));
       return;
--- a/peering/src/test/java/tillerlink/peering/Echo.java
+++ b/peering/src/test/java/tillerlink/peering/Echo.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import tillerlink.cluster.Invariant;
 import tillerlink.cluster.Part;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpAnswer;
 import tillerlink.net.wire.HttpCall;
 import tillerlink.peering.component.Attached;
@@ -31,9 +31,9 @@
     return new Machine(ground);
   }
 
-  private record Machine(Ground ground, Side.Reply[] owed) implements Attached, Part {
+  private record Machine(Ground ground, GatewayExtension.Reply[] owed) implements Attached, Part {
     Machine(Ground ground) {
-      this(ground, new Side.Reply[1]);
+      this(ground, new GatewayExtension.Reply[1]);
     }
 
     @Override
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void called(long now, long wall, HttpCall call, Side.Reply reply) {
+    public void called(long now, long wall, HttpCall call, GatewayExtension.Reply reply) {
       String[] words = call.path().split("/");
       switch (words[3]) {
         case "send" -> {
--- a/peering/src/test/java/tillerlink/peering/Gateways.java
+++ b/peering/src/test/java/tillerlink/peering/Gateways.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 import tillerlink.channels.Terms;
-import tillerlink.net.lifecycle.Node;
+import tillerlink.net.lifecycle.GatewayServer;
 import tillerlink.peering.channels.ChannelsPart;
 import tillerlink.peering.statements.StatementsAttaching;
 import tillerlink.policy.DefaultDispatchPolicy;
@@ -67,7 +67,7 @@
             2000,
             Path.of(args[3]),
             1 << 20);
-    new Node()
+    new GatewayServer()
         .serve(
             System.getenv(),
             DefaultDispatchPolicy::new,
--- a/replay/src/main/java/tillerlink/replay/SeatLines.java
+++ b/replay/src/main/java/tillerlink/replay/SeatLines.java
@@ -2,8 +2,8 @@
 
 import tillerlink.emulator.Seat;
 import tillerlink.emulator.World;
-import tillerlink.net.state.Break;
-import tillerlink.net.state.Pipe;
+import tillerlink.net.state.Channel;
+import tillerlink.net.state.DisconnectReason;
 
 /** Connections of clients to gateways in memory. */
 public final class SeatLines implements Lines {
@@ -26,7 +26,7 @@
   }
 
   /** What is said takes a while, both ways, and keeps its order. */
-  private final class Connection implements Line, Pipe {
+  private final class Connection implements Line, Channel {
     private final Seat seat;
     private final Client client;
     private final int life;
@@ -68,7 +68,7 @@
               tell(
                   () -> {
                     over = true;
-                    owner.ended(Break.CLOSED_BY_PEER);
+                    owner.ended(DisconnectReason.CLOSED_BY_PEER);
                   }));
     }
 
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/Beside.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tillerlink.channels.Terms;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.operator.Channels;
 import tillerlink.operator.Members;
 import tillerlink.operator.OperatorFile;
@@ -23,7 +23,7 @@
   private Beside() {}
 
   /** Null where the file names no members. */
-  static Side.Factory of(OperatorFile file) throws IOException {
+  static GatewayExtension.Factory of(OperatorFile file) throws IOException {
     Members members = file.members();
     if (members == null) {
       return null;
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import tillerlink.endpointcache.Remembering;
-import tillerlink.net.lifecycle.Node;
+import tillerlink.net.lifecycle.GatewayServer;
 import tillerlink.operator.OperatorFile;
 import tillerlink.policy.DefaultDispatchPolicy;
 
@@ -30,7 +30,7 @@
       Logs.set(file.log());
     }
     OperatorFile.Storing store = file == null ? null : file.store();
-    new Node()
+    new GatewayServer()
         .serve(
             System.getenv(),
             DefaultDispatchPolicy::new,
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -17,8 +17,8 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
 import tillerlink.model.Effect;
-import tillerlink.net.state.Break;
-import tillerlink.net.state.Side;
+import tillerlink.net.state.DisconnectReason;
+import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpCall;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.workload.Arrival;
@@ -88,7 +88,7 @@
     }
   }
 
-  private static final class Fickle implements Side.Guard {
+  private static final class Fickle implements GatewayExtension.Guard {
     private final Random random;
     private final Planted planted;
     private boolean valid = true;
@@ -136,7 +136,7 @@
 
   /** Takes every call of a track, and hands it in under a guard of its own. */
   private record Aside(Door door, Watching watching, Random random, Planted planted)
-      implements Side {
+      implements GatewayExtension {
     @Override
     public void begin(long now) {
       // Nothing of it waits.
@@ -219,7 +219,10 @@
             List<Peer> open = world.seats.get(0).connections();
             if (!open.isEmpty()) {
               open.get(random.nextInt(open.size()))
-                  .cut(random.nextBoolean() ? Break.RESET : Break.CLOSED_BY_PEER);
+                  .cut(
+                      random.nextBoolean()
+                          ? DisconnectReason.RESET
+                          : DisconnectReason.CLOSED_BY_PEER);
             }
           });
     }
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -28,7 +28,7 @@
 import tillerlink.model.Effect;
 import tillerlink.net.http2.ErrorCode;
 import tillerlink.net.http2.Frame;
-import tillerlink.net.state.Break;
+import tillerlink.net.state.DisconnectReason;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
@@ -260,7 +260,10 @@
               List<Peer> open = world.seats.get(0).connections();
               if (!open.isEmpty()) {
                 open.get(random.nextInt(open.size()))
-                    .cut(random.nextBoolean() ? Break.RESET : Break.CLOSED_BY_PEER);
+                    .cut(
+                        random.nextBoolean()
+                            ? DisconnectReason.RESET
+                            : DisconnectReason.CLOSED_BY_PEER);
               }
             });
       }
