--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -22,7 +22,7 @@
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
 import tillerlink.model.Request;
-import tillerlink.plain.PlainNames;
+import tillerlink.plain.FlattenedConfig;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchActions;
 import tillerlink.trace.Layout;
@@ -54,7 +54,7 @@
   public void start() {
     Fleet fleet = Fleet.of(100, engines);
     Map<String, Object> settings =
-        PlainNames.of(fleet.settings(BuiltIn.tracks(Layout.ALIBABA_2018), 0));
+        FlattenedConfig.of(fleet.settings(BuiltIn.tracks(Layout.ALIBABA_2018), 0));
     policy = new DefaultDispatchPolicy(now, 7, settings, new Nobody());
     for (Spec spec : fleet.engines()) {
       list.add(
--- a/emulator/src/main/java/tillerlink/emulator/Seat.java
+++ b/emulator/src/main/java/tillerlink/emulator/Seat.java
@@ -13,7 +13,7 @@
 import tillerlink.net.state.Gateway;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.state.NetworkDriver;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.telemetry.Telemetry;
 
@@ -197,8 +197,8 @@
         });
   }
 
-  private void told(List<EngineEntry> list) {
-    for (EngineEntry entry : list) {
+  private void told(List<EndpointEntry> list) {
+    for (EndpointEntry entry : list) {
       if (entry.standing() != Engine.Standing.READY) {
         world.auditor.withdrawn(world.now(), place, entry.id());
       }
--- a/emulator/src/main/java/tillerlink/emulator/World.java
+++ b/emulator/src/main/java/tillerlink/emulator/World.java
@@ -20,8 +20,8 @@
 import tillerlink.fleet.Trouble;
 import tillerlink.model.Engine;
 import tillerlink.net.state.EndpointCache;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.workload.Track;
 
@@ -70,7 +70,7 @@
   private final Map<String, Job> jobs = new HashMap<>();
   private final Map<InetSocketAddress, EmulatedEngine> byAddress = new HashMap<>();
   private final Map<String, EmulatedEngine> byName = new LinkedHashMap<>();
-  private final Map<String, EngineEntry> listed = new LinkedHashMap<>();
+  private final Map<String, EndpointEntry> listed = new LinkedHashMap<>();
   private final List<String> happened = new ArrayList<>();
   private final List<IntConsumer> killListeners = new ArrayList<>();
   private final List<IntConsumer> startListeners = new ArrayList<>();
@@ -171,15 +171,15 @@
 
   // ---- the list ----
 
-  public List<EngineEntry> list() {
+  public List<EndpointEntry> list() {
     return List.copyOf(listed.values());
   }
 
-  public EngineNews news() {
+  public EndpointWatchEvent news() {
     if (namesDown()) {
-      return new EngineNews(0, true, List.of());
+      return new EndpointWatchEvent(0, true, List.of());
     }
-    return new EngineNews(serial, true, list());
+    return new EndpointWatchEvent(serial, true, list());
   }
 
   public boolean namesDown() {
@@ -197,11 +197,11 @@
   }
 
   private void list(String name, Engine.Standing standing) {
-    EngineEntry entry = listed.get(name);
+    EndpointEntry entry = listed.get(name);
     if (entry != null) {
       listed.put(
           name,
-          new EngineEntry(
+          new EndpointEntry(
               entry.id(),
               entry.address(),
               entry.port(),
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Memory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/Memory.java
@@ -13,8 +13,8 @@
 import tillerlink.model.DecayingSum;
 import tillerlink.model.Engine;
 import tillerlink.net.state.EndpointCache;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
 
 /**
  * What is remembered of the engines: the list as last told and when, those seen draining or gone,
@@ -124,7 +124,7 @@
     if (trust == Trust.TOO_OLD) {
       return new Remembered(null, Map.of());
     }
-    List<EngineEntry> entries = new ArrayList<>();
+    List<EndpointEntry> entries = new ArrayList<>();
     Map<String, Double> levels = new LinkedHashMap<>();
     for (Seen seen : wanted.values()) {
       if (!seen.isGone()) {
@@ -132,16 +132,16 @@
         levels.put(seen.entry().id(), trust.level);
       }
     }
-    return new Remembered(new EngineNews(0, true, entries), levels);
+    return new Remembered(new EndpointWatchEvent(0, true, entries), levels);
   }
 
   /**
    * One that was cold when it was last told may have started anew since: it counts as just started.
    */
-  private EngineEntry coldIfNew(EngineEntry e, long now) {
+  private EndpointEntry coldIfNew(EndpointEntry e, long now) {
     boolean isNew = e.startedMs() > 0 && e.startedMs() * TENTHS_PER_MS + warmWithin > confirmedAt;
     return isNew
-        ? new EngineEntry(
+        ? new EndpointEntry(
             e.id(),
             e.address(),
             e.port(),
@@ -157,8 +157,8 @@
   // ---- discovery answers ----
 
   @Override
-  public EngineNews told(long now, EngineNews news) {
-    Map<String, EngineEntry> listed = new LinkedHashMap<>();
+  public EndpointWatchEvent told(long now, EndpointWatchEvent news) {
+    Map<String, EndpointEntry> listed = new LinkedHashMap<>();
     news.entries().forEach(entry -> listed.put(entry.id(), entry));
     Set<String> lost = new LinkedHashSet<>();
     for (Seen seen : wanted.values()) {
@@ -167,7 +167,7 @@
       }
     }
     boolean held = holdsBack(now, lost);
-    List<EngineEntry> entries = new ArrayList<>(news.entries());
+    List<EndpointEntry> entries = new ArrayList<>(news.entries());
     if (held) {
       // Nothing new goes to those that the list left out, yet nothing that is known of them is
       // forgotten.
@@ -176,7 +176,7 @@
       lost.forEach(id -> wanted.put(id, wanted.get(id).gone(now / TENTHS_PER_MS)));
       changes.add(now, lost.size());
     }
-    for (EngineEntry entry : news.entries()) {
+    for (EndpointEntry entry : news.entries()) {
       Seen before = wanted.get(entry.id());
       boolean another =
           before == null || before.isGone() || before.entry().startedMs() != entry.startedMs();
@@ -195,7 +195,7 @@
     told = true;
     forgetOld(now);
     emit(now);
-    return new EngineNews(news.index(), news.whole(), news.partial(), entries);
+    return new EndpointWatchEvent(news.index(), news.whole(), news.partial(), entries);
   }
 
   /** Whether a list that lost much of the fleet at once is not yet believed. */
@@ -215,8 +215,8 @@
     return doubtedTimes < TOLD_AGAIN || now < doubtedSince + HELD_FOR * longestDeadline;
   }
 
-  private static EngineEntry draining(EngineEntry e) {
-    return new EngineEntry(
+  private static EndpointEntry draining(EndpointEntry e) {
+    return new EndpointEntry(
         e.id(),
         e.address(),
         e.port(),
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Remembering.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/Remembering.java
@@ -9,8 +9,8 @@
 import org.slf4j.LoggerFactory;
 import tillerlink.model.Settings;
 import tillerlink.net.state.EndpointCache;
-import tillerlink.net.wire.Assignment;
-import tillerlink.plain.PlainNames;
+import tillerlink.net.wire.GatewayConfig;
+import tillerlink.plain.FlattenedConfig;
 import tillerlink.store.Folder;
 import tillerlink.store.Found;
 import tillerlink.store.Keeper;
@@ -35,8 +35,8 @@
    * @param bytesMost how much may be kept
    */
   public static EndpointCache open(
-      Path within, Assignment assignment, long ageMost, long bytesMost) {
-    Settings terms = new Settings(PlainNames.of(assignment.terms()));
+      Path within, GatewayConfig assignment, long ageMost, long bytesMost) {
+    Settings terms = new Settings(FlattenedConfig.of(assignment.terms()));
     long longest = 1;
     for (int i = 0; i < terms.number("profiles", 0); i++) {
       longest = Math.max(longest, terms.number("profiles." + i + ".hard_limit", 1));
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Seen.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/Seen.java
@@ -2,7 +2,7 @@
 
 import java.nio.charset.StandardCharsets;
 import tillerlink.model.Engine;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 
 /**
  * One engine as it was last told, and since when it has been gone; times are Unix milliseconds, 0
@@ -10,7 +10,7 @@
  *
  * @param entry as discovery told it; {@code GONE} once it told it no more
  */
-record Seen(EngineEntry entry, long goneAt) {
+record Seen(EndpointEntry entry, long goneAt) {
   private static final int FIELDS = 10;
   private static final String SEPARATOR = "\t";
 
@@ -38,7 +38,7 @@
     }
     try {
       return new Seen(
-          new EngineEntry(
+          new EndpointEntry(
               id,
               parts[0],
               Integer.parseInt(parts[1]),
@@ -55,9 +55,9 @@
   }
 
   Seen gone(long at) {
-    EngineEntry e = entry;
+    EndpointEntry e = entry;
     return new Seen(
-        new EngineEntry(
+        new EndpointEntry(
             e.id(),
             e.address(),
             e.port(),
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.model.Engine;
 import tillerlink.net.state.EndpointCache;
-import tillerlink.net.wire.Assignment;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
+import tillerlink.net.wire.GatewayConfig;
 import tillerlink.store.Folder;
 import tillerlink.store.Table;
 
@@ -71,17 +71,17 @@
   private EndpointCache open() {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     Map<String, Object> terms = Map.of("profiles", List.of(Map.of("hard_limit", LONGEST)));
-    Assignment assignment = new Assignment(GATEWAY, any, any, 7, 1024, terms, List.of());
+    GatewayConfig assignment = new GatewayConfig(GATEWAY, any, any, 7, 1024, terms, List.of());
     return Remembering.open(folder, assignment, AGE_MOST, 1 << 20);
   }
 
-  private static EngineEntry serves() {
-    return new EngineEntry(
+  private static EndpointEntry serves() {
+    return new EndpointEntry(
         "serves", "127.0.0.1", 5051, "east", "std", 0, Engine.Standing.READY, 1, 0);
   }
 
-  private static EngineEntry drains() {
-    return new EngineEntry(
+  private static EndpointEntry drains() {
+    return new EndpointEntry(
         "drains",
         "engine-2.example",
         65535,
@@ -93,8 +93,8 @@
         1_699_990_000_123L);
   }
 
-  private static EngineEntry leaves() {
-    return new EngineEntry(
+  private static EndpointEntry leaves() {
+    return new EndpointEntry(
         "leaves", "10.0.0.3", 5053, "", "std", -1, Engine.Standing.GONE, 0.00001, 0);
   }
 
@@ -150,7 +150,8 @@
   void aGatewayStartsFromTheListOfTheReleaseBefore() throws IOException {
     copy();
     EndpointCache.Remembered remembered = open().atStart(TOLD_AT + 10_000);
-    assertEquals(new EngineNews(0, true, List.of(drains(), serves())), remembered.engines());
+    assertEquals(
+        new EndpointWatchEvent(0, true, List.of(drains(), serves())), remembered.engines());
     assertEquals(Set.of("drains", "serves"), remembered.trust().keySet());
   }
 
@@ -162,7 +163,8 @@
 
   /** Writes what the resource holds; only the end of the process closes the store. */
   private void write() throws IOException, InterruptedException {
-    EngineNews news = new EngineNews(3, true, List.of(serves(), drains(), leaves()));
+    EndpointWatchEvent news =
+        new EndpointWatchEvent(3, true, List.of(serves(), drains(), leaves()));
     open().told(TOLD_AT, news);
     Path log = folder.resolve(GATEWAY).resolve(LOG);
     long until = System.nanoTime() + 60_000_000_000L;
@@ -188,10 +190,10 @@
               String text = value == null ? null : new String(value, StandardCharsets.UTF_8);
               handed.add(key + " " + soon + " " + text);
             });
-    memory.told(TOLD_AT, new EngineNews(1, true, List.of(serves(), drains())));
-    memory.told(TOLD_AT + LONGEST, new EngineNews(2, true, List.of(serves())));
-    memory.told(TOLD_AT + LONGEST + 1, new EngineNews(3, true, List.of(serves())));
-    memory.told(TOLD_AT + 2 * LONGEST + 200 * LONGEST, new EngineNews(4, false, List.of()));
+    memory.told(TOLD_AT, new EndpointWatchEvent(1, true, List.of(serves(), drains())));
+    memory.told(TOLD_AT + LONGEST, new EndpointWatchEvent(2, true, List.of(serves())));
+    memory.told(TOLD_AT + LONGEST + 1, new EndpointWatchEvent(3, true, List.of(serves())));
+    memory.told(TOLD_AT + 2 * LONGEST + 200 * LONGEST, new EndpointWatchEvent(4, false, List.of()));
     assertEquals(
         List.of(
             "engine/drains true " + STORED.get("engine/drains"),
--- a/endpointcache/src/test/java/tillerlink/endpointcache/MemoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/MemoryTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.model.Engine;
 import tillerlink.net.state.EndpointCache;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
 
 /**
  * What is remembered over a restart, what is written for it, and which lists are not believed at
@@ -42,12 +42,12 @@
         });
   }
 
-  private static EngineEntry engine(String id, Engine.Standing standing, long startedMs) {
-    return new EngineEntry(id, "127.0.0.1", 5050, "east", "std", 0, standing, 1, startedMs);
+  private static EndpointEntry engine(String id, Engine.Standing standing, long startedMs) {
+    return new EndpointEntry(id, "127.0.0.1", 5050, "east", "std", 0, standing, 1, startedMs);
   }
 
-  private static EngineNews list(long index, String... ids) {
-    List<EngineEntry> entries = new ArrayList<>();
+  private static EndpointWatchEvent list(long index, String... ids) {
+    List<EndpointEntry> entries = new ArrayList<>();
     for (String id : ids) {
       boolean drains = id.endsWith("-");
       entries.add(
@@ -56,10 +56,10 @@
               drains ? Engine.Standing.DRAINING : Engine.Standing.READY,
               0));
     }
-    return new EngineNews(index, true, entries);
+    return new EndpointWatchEvent(index, true, entries);
   }
 
-  private static String print(EngineNews news) {
+  private static String print(EndpointWatchEvent news) {
     StringBuilder all = new StringBuilder();
     news.entries()
         .forEach(
@@ -127,14 +127,14 @@
     memory()
         .told(
             NOW,
-            new EngineNews(
+            new EndpointWatchEvent(
                 1,
                 true,
                 List.of(
                     engine("old", Engine.Standing.READY, NOW / 10 - 60_000),
                     engine("new", Engine.Standing.READY, NOW / 10 - 5000))));
     long start = NOW + 100 * SECOND;
-    List<EngineEntry> found = memory().atStart(start).engines().entries();
+    List<EndpointEntry> found = memory().atStart(start).engines().entries();
     assertEquals(
         "new " + start / 10 + " old " + (NOW / 10 - 60_000),
         found.get(0).id()
--- a/fakes/src/main/java/tillerlink/fakes/NameAnswer.java
+++ b/fakes/src/main/java/tillerlink/fakes/NameAnswer.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import tillerlink.model.Engine;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 
 /**
  * The name service's answer with the whole list (RFC 1035, RFC 2782); engines that are gone have no
@@ -29,7 +29,7 @@
    * The answer to the query of that id; its first two bytes are the id, so that it can be used for
    * others.
    */
-  public static byte[] of(int id, long serial, List<EngineEntry> entries) {
+  public static byte[] of(int id, long serial, List<EndpointEntry> entries) {
     NameAnswer answer = new NameAnswer();
     answer.all(
         id, serial, entries.stream().filter(e -> e.standing() != Engine.Standing.GONE).toList());
@@ -44,11 +44,11 @@
     return copy;
   }
 
-  private void all(int id, long serial, List<EngineEntry> entries) {
+  private void all(int id, long serial, List<EndpointEntry> entries) {
     two(id, ANSWER_FLAGS, 1, entries.size(), 1, 2 * entries.size());
     name(QUESTION);
     two(SRV, 1);
-    for (EngineEntry entry : entries) {
+    for (EndpointEntry entry : entries) {
       pointer();
       two(SRV, 1, 0, 0);
       byte[] target = encoded(target(entry));
@@ -66,7 +66,7 @@
     out.writeBytes(nobody);
     out.writeBytes(nobody);
     two((int) (serial >>> 16), (int) (serial & 0xffff), 0, 0, 0, 0, 0, 0, 0, 0);
-    for (EngineEntry entry : entries) {
+    for (EndpointEntry entry : entries) {
       byte[] target = encoded(target(entry));
       out.writeBytes(target);
       two(A, 1, 0, 0, 4);
@@ -84,11 +84,11 @@
     }
   }
 
-  private static String[] target(EngineEntry entry) {
+  private static String[] target(EndpointEntry entry) {
     return new String[] {entry.id(), entry.zone(), "hosts"};
   }
 
-  private static byte[] address(EngineEntry entry) {
+  private static byte[] address(EndpointEntry entry) {
     try {
       return InetAddress.getByName(entry.address()).getAddress();
     } catch (UnknownHostException e) {
--- a/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.model.Engine;
 import tillerlink.net.wire.Dns;
+import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EngineCommand;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineReader;
-import tillerlink.net.wire.HttpAnswer;
+import tillerlink.net.wire.EngineResponseParser;
+import tillerlink.net.wire.HttpResponse;
 
 /** What stands in speaks the same language as the product, at every split. */
 class StandInsTest {
@@ -77,10 +77,10 @@
   void answersAtEverySplit() {
     byte[] all =
         joined(
-            HttpAnswer.goOn(),
-            HttpAnswer.goOnAt("/v1/calls/a").encoded(),
-            HttpAnswer.problem(503, "Full", 250).encoded(),
-            HttpAnswer.done().ending().encoded());
+            HttpResponse.goOn(),
+            HttpResponse.goOnAt("/v1/calls/a").encoded(),
+            HttpResponse.problem(503, "Full", 250).encoded(),
+            HttpResponse.done().ending().encoded());
     for (int split = 0; split <= all.length; split++) {
       HttpAnswers reader = new HttpAnswers();
       StringBuilder heard = new StringBuilder();
@@ -109,7 +109,7 @@
 
   @Test
   void wordsOfEnginesAreThoseOfTheProtocol() {
-    EngineReader reader = new EngineReader();
+    EngineResponseParser reader = new EngineResponseParser();
     reader.feed(
         joined(
             Says.ok("a", 2, Results.page("a", 0)).line(),
@@ -135,9 +135,9 @@
 
   @Test
   void theListIsReadAsItWasTold() {
-    List<EngineEntry> list =
+    List<EndpointEntry> list =
         List.of(
-            new EngineEntry(
+            new EndpointEntry(
                 "e1",
                 "127.0.0.1",
                 5050,
@@ -147,9 +147,9 @@
                 Engine.Standing.READY,
                 1.5,
                 1_700_000_000_000L),
-            new EngineEntry(
+            new EndpointEntry(
                 "e2", "127.0.0.9", 5051, "west", "big-16", 0, Engine.Standing.DRAINING, 2, 0),
-            new EngineEntry(
+            new EndpointEntry(
                 "e3", "127.0.0.3", 5052, "west", "big-16", 0, Engine.Standing.GONE, 2, 0));
     byte[] answer = NameAnswer.to(0xabcd, NameAnswer.of(7, 70_001, list));
     assertEquals(list.subList(0, 2), Dns.answer(answer, 0xabcd).entries());
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/NamesStandIn.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/NamesStandIn.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import tillerlink.fakes.NameAnswer;
 import tillerlink.model.Engine;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 
 /**
  * The name service of one gateway: engines e1, e2, ... at the ports at which that gateway reaches
@@ -19,12 +19,12 @@
 public final class NamesStandIn implements Closeable {
   private final DatagramSocket socket =
       new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-  private final List<EngineEntry> entries = new ArrayList<>();
+  private final List<EndpointEntry> entries = new ArrayList<>();
 
   public NamesStandIn(List<Integer> engines) throws IOException {
     for (int i = 0; i < engines.size(); i++) {
       entries.add(
-          new EngineEntry(
+          new EndpointEntry(
               "e" + (i + 1),
               "127.0.0.1",
               engines.get(i),
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
@@ -13,7 +13,7 @@
 import tillerlink.faultinjection.client.HttpDoor;
 import tillerlink.faultinjection.process.ControlledProcess;
 import tillerlink.faultinjection.process.Ports;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 
 /**
  * The gateways of a soak as processes, started as the platform starts them, with their
@@ -198,7 +198,7 @@
         fresh, file(gateway), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  private String json(EngineEntry entry, int gateway) {
+  private String json(EndpointEntry entry, int gateway) {
     int engine = Integer.parseInt(entry.id().substring(1));
     String status =
         entry.standing() == tillerlink.model.Engine.Standing.DRAINING ? "DRAINING" : "SERVING";
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakNames.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakNames.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.TimeUnit;
 import tillerlink.fakes.NameAnswer;
 import tillerlink.model.Engine;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 
 /**
  * The name service of all gateways: one list with numbered events, and a way to each gateway with
@@ -30,7 +30,7 @@
   private static final long REPEATED_AFTER_MS = 30;
 
   /** What happened to an engine: its entry from then on. */
-  record Event(long index, double at, EngineEntry entry) {}
+  record Event(long index, double at, EndpointEntry entry) {}
 
   /** The way between the service and one gateway. */
   private static final class Way {
@@ -54,7 +54,7 @@
   private final ScheduledExecutorService later;
   private final Random random;
   private final List<Way> ways = new ArrayList<>();
-  private final Map<String, EngineEntry> engines = new TreeMap<>();
+  private final Map<String, EndpointEntry> engines = new TreeMap<>();
   private final List<Event> events = new ArrayList<>();
   private EntryFor entryFor = (entry, gateway) -> entry;
   private volatile boolean closed;
@@ -91,7 +91,7 @@
 
   /** How an entry reads for a gateway, since each reaches engines at ports of its own. */
   interface EntryFor {
-    EngineEntry of(EngineEntry entry, int gateway);
+    EndpointEntry of(EndpointEntry entry, int gateway);
   }
 
   synchronized void listFor(EntryFor how) {
@@ -101,13 +101,13 @@
   // ---- what happens ----
 
   /** An engine is as the entry says from now on. */
-  synchronized void happens(EngineEntry entry) {
+  synchronized void happens(EndpointEntry entry) {
     events.add(new Event(events.size() + 1, clock.now(), entry));
     engines.put(entry.id(), entry);
   }
 
   /** The list as it is, for a gateway's configuration. */
-  synchronized List<EngineEntry> list() {
+  synchronized List<EndpointEntry> list() {
     return engines.values().stream()
         .filter(entry -> entry.standing() != Engine.Standing.GONE)
         .toList();
@@ -117,7 +117,7 @@
     return events.size();
   }
 
-  synchronized EngineEntry entry(String engine) {
+  synchronized EndpointEntry entry(String engine) {
     return engines.get(engine);
   }
 
@@ -190,7 +190,7 @@
     }
     int id = (question[0] & 255) << 8 | question[1] & 255;
     long index = events.size();
-    List<EngineEntry> list = list();
+    List<EndpointEntry> list = list();
     boolean older = way.faults.contains(SoakFault.Kind.NAMES_OLDER) && index > 2;
     boolean truncated = way.faults.contains(SoakFault.Kind.NAMES_TRUNCATED) && random.nextBoolean();
     if (older) {
@@ -217,8 +217,8 @@
     }
   }
 
-  private List<EngineEntry> listAt(long index) {
-    Map<String, EngineEntry> then = new TreeMap<>();
+  private List<EndpointEntry> listAt(long index) {
+    Map<String, EndpointEntry> then = new TreeMap<>();
     events.stream().limit(index).forEach(event -> then.put(event.entry.id(), event.entry));
     return then.values().stream()
         .filter(entry -> entry.standing() != Engine.Standing.GONE)
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakPlay.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakPlay.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
 import tillerlink.model.Engine;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 
 /** Plays one schedule over real processes with load, and judges it. */
 final class SoakPlay implements Closeable {
@@ -73,7 +73,7 @@
     }
     names.listFor(
         (entry, gateway) ->
-            new EngineEntry(
+            new EndpointEntry(
                 entry.id(),
                 entry.address(),
                 engines.port(number(entry.id()), gateway),
@@ -91,8 +91,8 @@
     return thread;
   }
 
-  private static EngineEntry entry(int engine, Engine.Standing standing, long startedMs) {
-    return new EngineEntry(
+  private static EndpointEntry entry(int engine, Engine.Standing standing, long startedMs) {
+    return new EndpointEntry(
         "e" + engine,
         "127.0.0.1",
         1,
--- a/fleet/src/main/java/tillerlink/fleet/Fleet.java
+++ b/fleet/src/main/java/tillerlink/fleet/Fleet.java
@@ -10,9 +10,9 @@
 import tillerlink.model.Engine;
 import tillerlink.net.http2.H2Carriers;
 import tillerlink.net.state.EngineTransport;
-import tillerlink.net.wire.Assignment;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
+import tillerlink.net.wire.GatewayConfig;
 import tillerlink.workload.Track;
 
 /**
@@ -153,10 +153,10 @@
         PORT + place / HOSTS / HOSTS);
   }
 
-  public EngineEntry entry(
+  public EndpointEntry entry(
       Spec engine, InetSocketAddress at, Engine.Standing standing, long startedMs) {
     Kind kind = kinds.get(engine.kind());
-    return new EngineEntry(
+    return new EndpointEntry(
         engine.name(),
         at.getAddress().getHostAddress(),
         at.getPort(),
@@ -169,8 +169,9 @@
   }
 
   /** What a gateway is told at its start. */
-  public Assignment assignment(int gateway, long seed, List<Track> tracks, EngineNews known) {
-    return new Assignment(
+  public GatewayConfig assignment(
+      int gateway, long seed, List<Track> tracks, EndpointWatchEvent known) {
+    return new GatewayConfig(
         "n" + gateway, NOWHERE, NOWHERE, seed, sockets, settings(tracks, gateway), List.of(known));
   }
 
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -15,7 +15,7 @@
 import tillerlink.net.state.EngineTransport;
 import tillerlink.net.state.Gateway;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.Assignment;
+import tillerlink.net.wire.GatewayConfig;
 import tillerlink.port.DispatchPolicyFactory;
 
 /** One gateway process: start, turns, drain, stop. */
@@ -51,7 +51,7 @@
       Map<String, String> environment,
       DispatchPolicyFactory modules,
       EngineTransport.Factory carriers,
-      Function<Assignment, EndpointCache> recalls,
+      Function<GatewayConfig, EndpointCache> recalls,
       GatewayExtension.Factory beside)
       throws IOException, InterruptedException {
     String file = environment.get("EDGE_CONFIG");
@@ -63,9 +63,9 @@
     boolean heard = onHangUp(() -> reload(path));
     // Before it is read: a file that is replaced from then on is read again.
     ConfigFileWatcher watch = new ConfigFileWatcher(path, () -> reload(path));
-    Assignment told = Assignment.read(path);
+    GatewayConfig told = GatewayConfig.read(path);
     int inUse = descriptorsInUse() + DESCRIPTORS_KEPT;
-    Assignment assignment = told.without(inUse);
+    GatewayConfig assignment = told.without(inUse);
     LOG.info(
         "{} starts with {} engines known, {} descriptors, {} of them kept",
         assignment.name(),
@@ -143,7 +143,7 @@
    */
   private synchronized void reload(Path path) {
     try {
-      InetSocketAddress resolver = Assignment.read(path).resolver();
+      InetSocketAddress resolver = GatewayConfig.read(path).resolver();
       turns.queue.add(
           () -> {
             driver.askAt(resolver);
--- a/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
@@ -7,7 +7,7 @@
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.Gateway;
 import tillerlink.net.state.NetworkDriver;
-import tillerlink.net.wire.Assignment;
+import tillerlink.net.wire.GatewayConfig;
 import tillerlink.plain.Units;
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.telemetry.Telemetry;
@@ -28,11 +28,11 @@
 
   private final ArrayDeque<Runnable> next = new ArrayDeque<>();
   private final Gateway gateway;
-  private final Assignment assignment;
+  private final GatewayConfig assignment;
   private Channel.Owner client;
   private long now;
 
-  JvmWarmup(Assignment assignment, DispatchPolicyFactory modules, long now) {
+  JvmWarmup(GatewayConfig assignment, DispatchPolicyFactory modules, long now) {
     this.assignment = assignment;
     this.now = now;
     gateway =
--- a/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -1,9 +1,9 @@
 package tillerlink.net.state;
 
 import java.util.ArrayDeque;
-import tillerlink.net.wire.HttpAnswer;
-import tillerlink.net.wire.HttpItem;
-import tillerlink.net.wire.HttpReader;
+import tillerlink.net.wire.HttpParseResult;
+import tillerlink.net.wire.HttpRequestParser;
+import tillerlink.net.wire.HttpResponse;
 import tillerlink.plain.Units;
 
 /**
@@ -54,7 +54,7 @@
 
   private final ClientRequestHandler door;
   private final Channel pipe;
-  private final HttpReader reader = new HttpReader();
+  private final HttpRequestParser reader = new HttpRequestParser();
 
   /** Sizes of what was written and is not yet out. */
   private final ArrayDeque<Integer> unsent = new ArrayDeque<>();
@@ -194,9 +194,9 @@
 
   private void read() {
     if (!inHand && !over) {
-      HttpItem item = reader.next();
+      HttpParseResult item = reader.next();
       if (reader.wantsGoOn()) {
-        write(HttpAnswer.goOn());
+        write(HttpResponse.goOn());
       }
       if (item != null) {
         inHand = true;
@@ -231,7 +231,7 @@
     handedInSoFar++;
   }
 
-  void answer(HttpAnswer answer) {
+  void answer(HttpResponse answer) {
     if (over) {
       return;
     }
@@ -246,7 +246,7 @@
   }
 
   /** Answers what can't be read on from; the client may be sending still. */
-  void refuse(HttpAnswer answer) {
+  void refuse(HttpResponse answer) {
     quietSince = door.now();
     write(answer.ending().encoded());
     over = true;
@@ -263,7 +263,7 @@
     private boolean given;
 
     @Override
-    public void answer(HttpAnswer answer) {
+    public void answer(HttpResponse answer) {
       if (!given) {
         given = true;
         owed = false;
@@ -335,7 +335,7 @@
 
   private void refuseHalf() {
     if (!inHand && reader.midway()) {
-      refuse(HttpAnswer.problem(408, "Timeout", 0));
+      refuse(HttpResponse.problem(408, "Timeout", 0));
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -13,11 +13,11 @@
 import java.util.stream.Stream;
 import tillerlink.model.KeyedRequestQueue;
 import tillerlink.model.Settings;
-import tillerlink.net.wire.Ask;
-import tillerlink.net.wire.HttpAnswer;
-import tillerlink.net.wire.HttpCall;
-import tillerlink.net.wire.HttpFault;
-import tillerlink.net.wire.HttpItem;
+import tillerlink.net.wire.HttpParseError;
+import tillerlink.net.wire.HttpParseResult;
+import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpResponse;
+import tillerlink.net.wire.SubmitRequest;
 import tillerlink.plain.Units;
 import tillerlink.telemetry.Counter;
 import tillerlink.telemetry.EventLog.Topic;
@@ -156,7 +156,7 @@
   }
 
   /** The answer to what there is no room for. */
-  HttpAnswer noRoom() {
+  HttpResponse noRoom() {
     return refusal(comeBack);
   }
 
@@ -171,12 +171,12 @@
 
   // ---- calls ----
 
-  void called(ClientConnection client, HttpItem item) {
-    if (item instanceof HttpFault fault) {
-      client.refuse(HttpAnswer.problem(fault.status(), fault.cause(), 0));
+  void called(ClientConnection client, HttpParseResult item) {
+    if (item instanceof HttpParseError fault) {
+      client.refuse(HttpResponse.problem(fault.status(), fault.cause(), 0));
       return;
     }
-    HttpCall http = (HttpCall) item;
+    HttpRequest http = (HttpRequest) item;
     if (http.last() || closing) {
       client.lastCall();
     }
@@ -192,9 +192,9 @@
     switch (http.method()) {
       case GET -> {
         if (path.equals(HEALTH)) {
-          client.answer(draining ? HttpAnswer.problem(503, "Draining", 0) : HttpAnswer.done());
+          client.answer(draining ? HttpResponse.problem(503, "Draining", 0) : HttpResponse.done());
         } else if (path.equals(METRICS)) {
-          client.answer(HttpAnswer.text(gateway.telemetry().metrics().exposition()));
+          client.answer(HttpResponse.text(gateway.telemetry().metrics().exposition()));
         } else {
           fetch(client, known(path));
         }
@@ -210,9 +210,9 @@
         if (call != null) {
           leave(call);
         }
-        client.answer(call == null ? HttpAnswer.unknown() : HttpAnswer.done());
+        client.answer(call == null ? HttpResponse.unknown() : HttpResponse.done());
       }
-      default -> client.refuse(HttpAnswer.problem(405, "Method", 0));
+      default -> client.refuse(HttpResponse.problem(405, "Method", 0));
     }
   }
 
@@ -227,7 +227,7 @@
    * @return null if none was taken
    */
   PendingResponse submit(
-      HttpCall http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
+      HttpRequest http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
     if (closing) {
       reply.answer(noRoom());
       return null;
@@ -235,24 +235,24 @@
     Integer track =
         http.path().startsWith(SUBMIT) ? tracks.get(http.path().substring(SUBMIT.length())) : null;
     if (track == null) {
-      reply.answer(HttpAnswer.unknown());
+      reply.answer(HttpResponse.unknown());
       return null;
     }
-    Ask ask;
+    SubmitRequest ask;
     try {
-      ask = Ask.of(http);
+      ask = SubmitRequest.of(http);
     } catch (IllegalArgumentException e) {
-      reply.answer(HttpAnswer.problem(400, e.getMessage(), 0));
+      reply.answer(HttpResponse.problem(400, e.getMessage(), 0));
       return null;
     }
     PendingResponse known = calls.get(ask.id());
     boolean tooLong = ask.patience() > PATIENCE_MOST * longestDeadline;
     if (tooLong || ask.key() == null && marked.contains(track)) {
-      reply.answer(HttpAnswer.problem(400, tooLong ? "X-Deadline-Ms" : "X-Operation-Key", 0));
+      reply.answer(HttpResponse.problem(400, tooLong ? "X-Deadline-Ms" : "X-Operation-Key", 0));
     } else if (known != null && !known.left && known.ask.same(ask)) {
-      reply.answer(HttpAnswer.goOnAt(CALLS + ask.id()));
+      reply.answer(HttpResponse.goOnAt(CALLS + ask.id()));
     } else if (known != null) {
-      reply.answer(HttpAnswer.problem(409, "Known", 0));
+      reply.answer(HttpResponse.problem(409, "Known", 0));
     } else if (calls.size() >= openMost || full()) {
       gateway.rarely(
           "no room for a further submission: " + calls.size() + " with " + bytes + " bytes");
@@ -266,7 +266,7 @@
       call.guard = guard;
       calls.put(ask.id(), call);
       held(ask.statement().length);
-      reply.answer(HttpAnswer.goOnAt(CALLS + ask.id()));
+      reply.answer(HttpResponse.goOnAt(CALLS + ask.id()));
       gateway.arrived(call);
       return call;
     }
@@ -275,7 +275,7 @@
 
   private void fetch(ClientConnection client, PendingResponse call) {
     if (call == null || call.left) {
-      client.answer(HttpAnswer.unknown());
+      client.answer(HttpResponse.unknown());
     } else if (call.answer != null) {
       handOut(call, client);
     } else {
@@ -329,7 +329,7 @@
   // ---- answers ----
 
   void fulfil(PendingResponse call, byte[] rows) {
-    answer(call, new HttpAnswer(200, rows, 0, false));
+    answer(call, new HttpResponse(200, rows, 0, false));
   }
 
   void turnBack(PendingResponse call, long stayAway) {
@@ -337,14 +337,14 @@
   }
 
   void breakOff(PendingResponse call) {
-    answer(call, HttpAnswer.problem(500, "Error", 0));
+    answer(call, HttpResponse.problem(500, "Error", 0));
   }
 
-  private static HttpAnswer refusal(long stayAway) {
-    return HttpAnswer.problem(503, "Full", stayAway / Units.TENTHS_PER_MS);
+  private static HttpResponse refusal(long stayAway) {
+    return HttpResponse.problem(503, "Full", stayAway / Units.TENTHS_PER_MS);
   }
 
-  private void answer(PendingResponse call, HttpAnswer answer) {
+  private void answer(PendingResponse call, HttpResponse answer) {
     if (call.settled()) {
       return;
     }
--- a/gateway/src/main/java/tillerlink/net/state/Discovery.java
+++ b/gateway/src/main/java/tillerlink/net/state/Discovery.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tillerlink.model.EndpointUpdate;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.policy.InvariantMonitor;
 import tillerlink.port.DispatchPolicy;
 import tillerlink.telemetry.EventLog.Topic;
@@ -50,7 +50,7 @@
   }
 
   /** What was known at the start. */
-  void start(long now, List<EngineNews> known) {
+  void start(long now, List<EndpointWatchEvent> known) {
     known.forEach(news -> listed(now, news));
     engines.listedLongAgo();
     if (recall != null && known.stream().allMatch(news -> news.entries().isEmpty())) {
@@ -59,10 +59,10 @@
   }
 
   /** Whether the module was told anything. */
-  boolean listed(long now, EngineNews came) {
-    EngineNews told = engines.filled(came);
+  boolean listed(long now, EndpointWatchEvent came) {
+    EndpointWatchEvent told = engines.filled(came);
     boolean newer = told.index() > engines.index();
-    EngineNews news = recall != null && newer ? recall.told(now, told) : told;
+    EndpointWatchEvent news = recall != null && newer ? recall.told(now, told) : told;
     List<EndpointUpdate> entries = engines.take(news);
     if (entries != null) {
       telemetry
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -3,7 +3,7 @@
 import java.util.ArrayDeque;
 import java.util.Random;
 import tillerlink.net.wire.Dns;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.plain.Units;
 import tillerlink.policy.DiscoveryLease;
 import tillerlink.telemetry.Counter;
@@ -123,14 +123,14 @@
    *     confirms nothing
    * @throws IllegalArgumentException if the datagram is of no use; the message says why
    */
-  EngineNews take(long now, byte[] datagram, long known) {
+  EndpointWatchEvent take(long now, byte[] datagram, long known) {
     int id = Dns.id(datagram);
     Question question = asked.stream().filter(one -> one.id == id).findFirst().orElse(null);
     if (question == null) {
       throw new IllegalArgumentException("an answer to no question of ours");
     }
     asked.remove(question);
-    EngineNews news = Dns.answer(datagram, id);
+    EndpointWatchEvent news = Dns.answer(datagram, id);
     logAnswer(now, question, news);
     if (news.index() >= known) {
       lease.answered(question.askedAt, now);
@@ -142,7 +142,7 @@
     return news;
   }
 
-  private void logAnswer(long now, Question question, EngineNews news) {
+  private void logAnswer(long now, Question question, EndpointWatchEvent news) {
     telemetry.metrics().add(Counter.DISCOVERY_ANSWERS);
     if (!answeredBefore || unanswered > MANY_UNANSWERED) {
       telemetry
--- a/gateway/src/main/java/tillerlink/net/state/EndpointCache.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointCache.java
@@ -1,7 +1,7 @@
 package tillerlink.net.state;
 
 import java.util.Map;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointWatchEvent;
 
 /**
  * What a gateway remembers of the engines across restarts, for a start with discovery down. Called
@@ -14,7 +14,7 @@
    * @param engines the engines, or null if nothing is, or it is too old to trust at all
    * @param trust of each engine by id, above 0 and below 1
    */
-  record Remembered(EngineNews engines, Map<String, Double> trust) {}
+  record Remembered(EndpointWatchEvent engines, Map<String, Double> trust) {}
 
   /** Asked once, at a start for which discovery told nothing. Times are tenths of a millisecond. */
   Remembered atStart(long now);
@@ -23,5 +23,5 @@
    * Discovery told the list; what is to be taken for it. Guards against one that lost half of the
    * fleet at once.
    */
-  EngineNews told(long now, EngineNews news);
+  EndpointWatchEvent told(long now, EndpointWatchEvent news);
 }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -8,8 +8,8 @@
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
 import tillerlink.model.Settings;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.telemetry.EventLog.Topic;
 import tillerlink.telemetry.Telemetry;
 
@@ -46,7 +46,7 @@
   }
 
   /** What is new in the news, or null if they are older than what is known. */
-  List<EndpointUpdate> take(EngineNews news) {
+  List<EndpointUpdate> take(EndpointWatchEvent news) {
     if (news.index() <= index || news.index() < partialIndex) {
       return null;
     }
@@ -62,12 +62,12 @@
    * Partial news with what is known put in where only the standing was told. Guards the drain: it
    * is obeyed though the rest of the answer was lost. What is not known yet can wait.
    */
-  EngineNews filled(EngineNews news) {
+  EndpointWatchEvent filled(EndpointWatchEvent news) {
     if (!news.partial()) {
       return news;
     }
-    List<EngineEntry> entries = new ArrayList<>();
-    for (EngineEntry entry : news.entries()) {
+    List<EndpointEntry> entries = new ArrayList<>();
+    for (EndpointEntry entry : news.entries()) {
       EngineAddress site = sites.get(entry.id());
       if (entry.address() != null) {
         entries.add(entry);
@@ -75,7 +75,7 @@
         entries.add(site.entry.as(entry.standing()));
       }
     }
-    return new EngineNews(news.index(), false, true, entries);
+    return new EndpointWatchEvent(news.index(), false, true, entries);
   }
 
   /** What was remembered; any news are newer. */
@@ -83,9 +83,9 @@
     return listed(remembered.engines(), remembered.trust());
   }
 
-  private List<EndpointUpdate> listed(EngineNews news, Map<String, Double> trust) {
+  private List<EndpointUpdate> listed(EndpointWatchEvent news, Map<String, Double> trust) {
     List<EndpointUpdate> listed = new ArrayList<>(news.entries().size());
-    for (EngineEntry entry : news.entries()) {
+    for (EndpointEntry entry : news.entries()) {
       EngineAddress site = sites.get(entry.id());
       if (site == null) {
         site = new EngineAddress(entry.id());
@@ -111,7 +111,7 @@
     return listed;
   }
 
-  private void logChange(EngineAddress site, EngineEntry entry, long version) {
+  private void logChange(EngineAddress site, EndpointEntry entry, long version) {
     if (site.engine.standing != entry.standing()) {
       telemetry
           .log()
--- a/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -2,7 +2,7 @@
 
 import java.net.InetSocketAddress;
 import tillerlink.model.Engine;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 import tillerlink.plain.Units;
 import tillerlink.policy.StartTime;
 
@@ -13,7 +13,7 @@
   EngineTransport carrier;
 
   /** As it was last told whole, or null. */
-  EngineEntry entry;
+  EndpointEntry entry;
 
   private InetSocketAddress address;
   private long startedMs;
@@ -35,7 +35,7 @@
    *
    * @param missingAt up to when this process is known not to have been there, if it is new
    */
-  void at(EngineEntry entry, long now, long missingAt) {
+  void at(EndpointEntry entry, long now, long missingAt) {
     if (entry.standing() != Engine.Standing.GONE) {
       InetSocketAddress told = new InetSocketAddress(entry.address(), entry.port());
       if (!told.equals(address) || entry.startedMs() != startedMs) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.AttemptProgress;
-import tillerlink.net.wire.EngineAnswer;
 import tillerlink.net.wire.EngineCommand;
-import tillerlink.net.wire.EngineReader;
+import tillerlink.net.wire.EngineResponse;
+import tillerlink.net.wire.EngineResponseParser;
 import tillerlink.plain.Units;
 import tillerlink.policy.SendVerdict;
 import tillerlink.telemetry.Counter;
@@ -29,7 +29,7 @@
   private final EngineAddress site;
   private final EngineTransport.Owner gateway;
   private final long dialedAt;
-  private final EngineReader reader = new EngineReader();
+  private final EngineResponseParser reader = new EngineResponseParser();
   private final Map<String, InFlightAttempt> flights = new LinkedHashMap<>();
   private final Set<String> ended = new LinkedHashSet<>();
 
@@ -329,7 +329,7 @@
     silent = false;
     try {
       reader.feed(bytes);
-      for (EngineAnswer answer = reader.next(); answer != null && !over; answer = reader.next()) {
+      for (EngineResponse answer = reader.next(); answer != null && !over; answer = reader.next()) {
         take(answer);
       }
       midwaySince = !reader.midway() ? 0 : midwaySince == 0 ? heardAt : midwaySince;
@@ -343,10 +343,10 @@
    * Guards the hops beside it against an answer that belongs to none here, or that comes twice: its
    * framing is sound, so it is passed over and the connection goes on.
    */
-  private void take(EngineAnswer answer) {
+  private void take(EngineResponse answer) {
     InFlightAttempt flight = flights.get(answer.id());
     if (flight == null) {
-      if (answer.word() != EngineAnswer.Word.YES && !ended.contains(answer.id())) {
+      if (answer.word() != EngineResponse.Word.YES && !ended.contains(answer.id())) {
         gateway.rarely("engine " + site.id + " answered what was not asked");
       }
       return;
@@ -374,7 +374,7 @@
     }
   }
 
-  private static AttemptProgress note(EngineAnswer.About about) {
+  private static AttemptProgress note(EngineResponse.About about) {
     return switch (about) {
       case SHARE_DONE -> AttemptProgress.PROGRESS;
       case MEGABYTES_MISSING -> AttemptProgress.SPILLS;
@@ -383,7 +383,7 @@
   }
 
   /** The first page is there: the others are asked for at once. */
-  private void begin(InFlightAttempt flight, EngineAnswer answer) {
+  private void begin(InFlightAttempt flight, EngineResponse answer) {
     if (flight.pages != null) {
       return;
     }
@@ -407,7 +407,7 @@
   }
 
   /** A page was taken: counts it, and ends the hop with the last. */
-  private void keep(InFlightAttempt flight, EngineAnswer answer) {
+  private void keep(InFlightAttempt flight, EngineResponse answer) {
     gateway.held(answer.body().length);
     if (flight.bytes > RESULT_MOST) {
       flight.pages = null;
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.Effect;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.HttpRequest;
 
 /**
  * Submissions whose hops go out only while a guard holds. It is asked before each write and after
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public void submit(HttpCall http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
+  public void submit(HttpRequest http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
     PendingResponse call = clients.submit(http, guard, reply);
     if (call != null) {
       open.add(call);
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -13,9 +13,9 @@
 import tillerlink.model.AttemptProgress;
 import tillerlink.model.Request;
 import tillerlink.model.Settings;
-import tillerlink.net.wire.Assignment;
-import tillerlink.net.wire.Rows;
-import tillerlink.plain.PlainNames;
+import tillerlink.net.wire.GatewayConfig;
+import tillerlink.net.wire.ResultEncoder;
+import tillerlink.plain.FlattenedConfig;
 import tillerlink.plain.Units;
 import tillerlink.policy.EndpointListState;
 import tillerlink.policy.Invariant;
@@ -106,13 +106,13 @@
   private List<InFlightAttempt> ordered = new ArrayList<>();
 
   public Gateway(
-      Assignment assignment, DispatchPolicyFactory factory, NetworkDriver driver, long now) {
+      GatewayConfig assignment, DispatchPolicyFactory factory, NetworkDriver driver, long now) {
     this(assignment, factory, driver, now, null, null);
   }
 
   /** With a bound by this process' heap on what is kept for clients. */
   public Gateway(
-      Assignment assignment,
+      GatewayConfig assignment,
       DispatchPolicyFactory factory,
       NetworkDriver driver,
       long now,
@@ -137,7 +137,7 @@
    * @param telemetry what it counts and logs
    */
   public Gateway(
-      Assignment assignment,
+      GatewayConfig assignment,
       DispatchPolicyFactory factory,
       NetworkDriver driver,
       long now,
@@ -148,7 +148,7 @@
     this.driver = driver;
     this.telemetry = telemetry;
     this.now = now;
-    Map<String, Object> plain = PlainNames.of(assignment.terms());
+    Map<String, Object> plain = FlattenedConfig.of(assignment.terms());
     Settings terms = new Settings(plain);
     int streams = (int) Math.max(1, terms.number("caps.streams_per_conn", 1));
     long soon = shortestSoftLimit(terms);
@@ -427,7 +427,7 @@
     carrier(flight).release(flight);
     AttemptOutcome outcome = flight.guarded() ? guarded.ended(flight, how) : how;
     if (outcome == AttemptOutcome.FULFILLED) {
-      clients.fulfil(flight.call, Rows.answer(flight.pages));
+      clients.fulfil(flight.call, ResultEncoder.answer(flight.pages));
     }
     flight.forgetAnswer();
     held(-flight.bytes);
--- a/gateway/src/main/java/tillerlink/net/state/GatewayExtension.java
+++ b/gateway/src/main/java/tillerlink/net/state/GatewayExtension.java
@@ -3,9 +3,9 @@
 import java.io.IOException;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import tillerlink.net.wire.Assignment;
-import tillerlink.net.wire.HttpAnswer;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.GatewayConfig;
+import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpResponse;
 
 /**
  * What stands beside the module on a gateway and shares its one thread: state that gateways hold
@@ -30,7 +30,7 @@
    * A client's call of a path that it takes; answered now or in a later turn, of whatever method it
    * is.
    */
-  void called(HttpCall call, Reply reply);
+  void called(HttpRequest call, Reply reply);
 
   /** The process was told to end; turns go on for some time. */
   void drain();
@@ -53,7 +53,7 @@
    */
   @FunctionalInterface
   interface Reply {
-    void answer(HttpAnswer answer);
+    void answer(HttpResponse answer);
   }
 
   /**
@@ -97,7 +97,7 @@
      * instead. Where it does not hold after a write, the hop is called off and its result is not
      * handed out. One handed in again under its correlation id is the same submission.
      */
-    void submit(HttpCall call, Guard guard, Reply reply);
+    void submit(HttpRequest call, Guard guard, Reply reply);
 
     /**
      * Guards may have changed: submissions whose guards do not hold and of which no hop is out are
@@ -115,7 +115,7 @@
      * @param clock the gateway's clock, read anew; for any thread
      */
     GatewayExtension start(
-        Assignment assignment, Door door, Consumer<Runnable> turns, LongSupplier clock)
+        GatewayConfig assignment, Door door, Consumer<Runnable> turns, LongSupplier clock)
         throws IOException;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -3,7 +3,7 @@
 import java.io.ByteArrayOutputStream;
 import java.util.function.Function;
 import tillerlink.model.Attempt;
-import tillerlink.net.wire.Rows;
+import tillerlink.net.wire.ResultEncoder;
 import tillerlink.plain.Units;
 import tillerlink.policy.SendVerdict;
 
@@ -134,7 +134,7 @@
   public boolean completeAnswer() {
     byte[] rows = answer.toByteArray();
     try {
-      Rows.check(rows);
+      ResultEncoder.check(rows);
     } catch (IllegalArgumentException e) {
       return false;
     }
--- a/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
+++ b/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
@@ -4,12 +4,12 @@
 import java.util.List;
 import tillerlink.model.KeyedRequestQueue;
 import tillerlink.model.Request;
-import tillerlink.net.wire.Ask;
-import tillerlink.net.wire.HttpAnswer;
+import tillerlink.net.wire.HttpResponse;
+import tillerlink.net.wire.SubmitRequest;
 
 /** A submission as its client sees it: where it waits, and its answer once there is one. */
 final class PendingResponse {
-  final Ask ask;
+  final SubmitRequest ask;
   final Request submission;
   final List<InFlightAttempt> flights = new ArrayList<>(1);
 
@@ -17,7 +17,7 @@
   ClientConnection waiting;
 
   /** The final answer, kept for a while for a client whose connection broke. */
-  HttpAnswer answer;
+  HttpResponse answer;
 
   boolean handedOut;
 
@@ -31,7 +31,7 @@
    * @param arrivedAt when it may have come at the earliest: its client's time counts from then
    * @param line those about the same, of tracks that keep their order; or null
    */
-  PendingResponse(Ask ask, int trackIndex, long arrivedAt, KeyedRequestQueue line) {
+  PendingResponse(SubmitRequest ask, int trackIndex, long arrivedAt, KeyedRequestQueue line) {
     this.ask = ask;
     submission =
         new Request(
--- a/gateway/src/main/java/tillerlink/net/wire/Bytes.java
+++ b/gateway/src/main/java/tillerlink/net/wire/ByteAccumulator.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 
 /** Bytes that were fed and not yet taken. */
-final class Bytes {
+final class ByteAccumulator {
   private byte[] kept = new byte[0];
   private int from;
   private int to;
--- a/gateway/src/main/java/tillerlink/net/wire/Dns.java
+++ b/gateway/src/main/java/tillerlink/net/wire/Dns.java
@@ -60,7 +60,7 @@
    *
    * @throws IllegalArgumentException if it is none to the query of that id; the message says why
    */
-  public static EngineNews answer(byte[] message, int id) {
+  public static EndpointWatchEvent answer(byte[] message, int id) {
     try {
       return new Answer(message).read(id);
     } catch (IndexOutOfBoundsException e) {
@@ -76,7 +76,7 @@
       m = message;
     }
 
-    EngineNews read(int id) {
+    EndpointWatchEvent read(int id) {
       if (two(0) != id) {
         throw new IllegalArgumentException("a foreign id");
       }
@@ -127,24 +127,24 @@
       if (serial < 0) {
         throw new IllegalArgumentException(partial ? "truncated before its serial" : "no serial");
       }
-      List<EngineEntry> entries = new ArrayList<>();
+      List<EndpointEntry> entries = new ArrayList<>();
       for (Service service : services) {
         String owner = service.target.toLowerCase(Locale.ROOT);
-        EngineEntry entry = entry(service, addresses.get(owner), texts.get(owner));
+        EndpointEntry entry = entry(service, addresses.get(owner), texts.get(owner));
         partial |= entry.address() == null;
         entries.add(entry);
       }
-      return new EngineNews(serial, !partial, partial, entries);
+      return new EndpointWatchEvent(serial, !partial, partial, entries);
     }
 
     /** Without its address or text, only the standing is told. */
-    private static EngineEntry entry(Service service, String address, Map<String, String> text) {
+    private static EndpointEntry entry(Service service, String address, Map<String, String> text) {
       String[] labels = service.target.split("\\.");
       if (labels.length < 2) {
         throw new IllegalArgumentException("no zone in " + service.target);
       }
       if (address == null || text == null) {
-        return new EngineEntry(
+        return new EndpointEntry(
             labels[0],
             null,
             service.port,
@@ -155,7 +155,7 @@
             service.weight / WEIGHT_UNIT,
             0);
       }
-      return new EngineEntry(
+      return new EndpointEntry(
           labels[0],
           address,
           service.port,
--- a/gateway/src/main/java/tillerlink/net/wire/EngineEntry.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EndpointEntry.java
@@ -6,7 +6,7 @@
  * One engine as the name service tells it; {@code startedMs} is Unix milliseconds, 0 for long ago.
  * In partial news the address may be null: then only the standing was told.
  */
-public record EngineEntry(
+public record EndpointEntry(
     String id,
     String address,
     int port,
@@ -17,7 +17,7 @@
     double weight,
     long startedMs) {
   /** The same, said to stand otherwise. */
-  public EngineEntry as(Engine.Standing other) {
-    return new EngineEntry(id, address, port, zone, kind, cell, other, weight, startedMs);
+  public EndpointEntry as(Engine.Standing other) {
+    return new EndpointEntry(id, address, port, zone, kind, cell, other, weight, startedMs);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/EngineNews.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EndpointWatchEvent.java
@@ -8,8 +8,9 @@
  * @param partial an answer that did not hold all it should have: what it tells holds, what it does
  *     not tell stays as it was, and a whole answer of the same number is still news
  */
-public record EngineNews(long index, boolean whole, boolean partial, List<EngineEntry> entries) {
-  public EngineNews(long index, boolean whole, List<EngineEntry> entries) {
+public record EndpointWatchEvent(
+    long index, boolean whole, boolean partial, List<EndpointEntry> entries) {
+  public EndpointWatchEvent(long index, boolean whole, List<EndpointEntry> entries) {
     this(index, whole, false, entries);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/EngineCommand.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineCommand.java
@@ -23,7 +23,7 @@
                 + " "
                 + statement.length
                 + "\r\n");
-    return Bytes.joined(head, statement, ascii("\r\n"));
+    return ByteAccumulator.joined(head, statement, ascii("\r\n"));
   }
 
   public static byte[] neverMind(String id) {
--- a/gateway/src/main/java/tillerlink/net/wire/EngineAnswer.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineResponse.java
@@ -7,7 +7,7 @@
  * @param about what a note tells, or null
  * @param level the note's value
  */
-public record EngineAnswer(
+public record EngineResponse(
     String id, Word word, int number, About about, double level, byte[] body) {
   public enum Word {
     OK,
--- a/gateway/src/main/java/tillerlink/net/wire/EngineReader.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineResponseParser.java
@@ -1,11 +1,11 @@
 package tillerlink.net.wire;
 
 /** Makes answers of the bytes of one engine connection; knows no socket. */
-public final class EngineReader {
+public final class EngineResponseParser {
   private static final int LINE_MOST = 1024;
   private static final int BODY_MOST = 6000;
 
-  private final Bytes bytes = new Bytes();
+  private final ByteAccumulator bytes = new ByteAccumulator();
   private String[] words;
   private int length;
 
@@ -23,7 +23,7 @@
    *
    * @throws IllegalArgumentException if the bytes are none; the connection can't be used any more
    */
-  public EngineAnswer next() {
+  public EngineResponse next() {
     if (words == null && !readLine() || bytes.size() < length + 2) {
       return null;
     }
@@ -32,7 +32,7 @@
     }
     byte[] body = bytes.take(length);
     bytes.skip(2);
-    EngineAnswer answer = answer(words, body);
+    EngineResponse answer = answer(words, body);
     words = null;
     return answer;
   }
@@ -60,20 +60,20 @@
     return true;
   }
 
-  private static EngineAnswer answer(String[] words, byte[] body) {
-    EngineAnswer.Word word =
+  private static EngineResponse answer(String[] words, byte[] body) {
+    EngineResponse.Word word =
         switch (words[1]) {
-          case "ok" -> EngineAnswer.Word.OK;
-          case "refused" -> EngineAnswer.Word.REFUSED;
-          case "error" -> EngineAnswer.Word.ERROR;
-          case "stale" -> EngineAnswer.Word.STALE;
-          case "progress" -> EngineAnswer.Word.PROGRESS;
-          case "batch" -> EngineAnswer.Word.BATCH;
-          case "yes" -> EngineAnswer.Word.YES;
+          case "ok" -> EngineResponse.Word.OK;
+          case "refused" -> EngineResponse.Word.REFUSED;
+          case "error" -> EngineResponse.Word.ERROR;
+          case "stale" -> EngineResponse.Word.STALE;
+          case "progress" -> EngineResponse.Word.PROGRESS;
+          case "batch" -> EngineResponse.Word.BATCH;
+          case "yes" -> EngineResponse.Word.YES;
           default -> throw new IllegalArgumentException("an unknown word");
         };
     int number = -1;
-    EngineAnswer.About about = null;
+    EngineResponse.About about = null;
     double level = 0;
     for (String field : words[2].equals("-") ? new String[0] : words[2].split(",")) {
       int sign = field.indexOf('=');
@@ -88,17 +88,17 @@
         default -> {}
       }
     }
-    if (word == EngineAnswer.Word.OK || word == EngineAnswer.Word.BATCH) {
-      Rows.check(body);
+    if (word == EngineResponse.Word.OK || word == EngineResponse.Word.BATCH) {
+      ResultEncoder.check(body);
     }
-    return new EngineAnswer(words[0], word, number, about, level, body);
+    return new EngineResponse(words[0], word, number, about, level, body);
   }
 
-  private static EngineAnswer.About about(String value) {
+  private static EngineResponse.About about(String value) {
     return switch (value) {
-      case "frac" -> EngineAnswer.About.SHARE_DONE;
-      case "missing" -> EngineAnswer.About.MEGABYTES_MISSING;
-      case "parked" -> EngineAnswer.About.PARKED;
+      case "frac" -> EngineResponse.About.SHARE_DONE;
+      case "missing" -> EngineResponse.About.MEGABYTES_MISSING;
+      case "parked" -> EngineResponse.About.PARKED;
       default -> null;
     };
   }
--- a/gateway/src/main/java/tillerlink/net/wire/Assignment.java
+++ b/gateway/src/main/java/tillerlink/net/wire/GatewayConfig.java
@@ -15,14 +15,14 @@
 import tillerlink.plain.Json;
 
 /** What a gateway is told at its start. */
-public record Assignment(
+public record GatewayConfig(
     String name,
     InetSocketAddress listen,
     InetSocketAddress resolver,
     long seed,
     int sockets,
     Map<String, Object> terms,
-    List<EngineNews> known) {
+    List<EndpointWatchEvent> known) {
   private static final int HEX = 16;
 
   /** More connections than an address has ports are of no use. */
@@ -46,14 +46,15 @@
   }
 
   /** Of its descriptors so many are in use for other things. */
-  public Assignment without(int inUse) {
-    return new Assignment(name, listen, resolver, seed, Math.max(1, sockets - inUse), terms, known);
+  public GatewayConfig without(int inUse) {
+    return new GatewayConfig(
+        name, listen, resolver, seed, Math.max(1, sockets - inUse), terms, known);
   }
 
   /**
    * @throws IOException if it can't be read or is not what it should be; the message says what
    */
-  public static Assignment read(Path file) throws IOException {
+  public static GatewayConfig read(Path file) throws IOException {
     try (JsonParser parser = new JsonFactory().createParser(Files.readAllBytes(file))) {
       if (parser.nextToken() == null) {
         throw new IllegalArgumentException("the configuration is empty");
@@ -64,10 +65,10 @@
     }
   }
 
-  private static Assignment of(Map<String, Object> all) {
+  private static GatewayConfig of(Map<String, Object> all) {
     Map<String, Object> limits = object(all.getOrDefault("limits", Map.of()), "limits");
     Map<String, Object> known = object(all.getOrDefault("known", Map.of()), "known");
-    List<EngineNews> news = new ArrayList<>();
+    List<EndpointWatchEvent> news = new ArrayList<>();
     for (Object update : list(known.getOrDefault("updates", List.of()), "known.updates")) {
       news.add(news(object(update, "known.updates")));
     }
@@ -75,7 +76,7 @@
     if (resolver.getPort() == 0) {
       throw new IllegalArgumentException("'resolver' has no port");
     }
-    return new Assignment(
+    return new GatewayConfig(
         text(all, "name"),
         address(text(all, "listen")),
         resolver,
@@ -99,9 +100,9 @@
     throw new IllegalArgumentException("'limits.sockets' is not a number above 0");
   }
 
-  private static EngineNews news(Map<String, Object> update) {
+  private static EndpointWatchEvent news(Map<String, Object> update) {
     Map<String, Object> told = object(update.get("endpoints"), "endpoints");
-    List<EngineEntry> entries = new ArrayList<>();
+    List<EndpointEntry> entries = new ArrayList<>();
     for (Object raw : list(told.get("endpoints"), "endpoints.endpoints")) {
       Map<String, Object> one = object(raw, "an endpoint");
       Engine.Standing standing =
@@ -113,7 +114,7 @@
       InetSocketAddress at =
           address(one.get("address") instanceof String text ? text : "0.0.0.0:0");
       entries.add(
-          new EngineEntry(
+          new EndpointEntry(
               text(one, "name"),
               at.getHostString(),
               at.getPort(),
@@ -125,7 +126,7 @@
               number(one, "since_ms", 0).longValue()));
     }
     boolean whole = Boolean.TRUE.equals(told.get("snapshot"));
-    return new EngineNews(number(update, "index", 0).longValue(), whole, entries);
+    return new EndpointWatchEvent(number(update, "index", 0).longValue(), whole, entries);
   }
 
   private static InetSocketAddress address(String text) {
--- a/gateway/src/main/java/tillerlink/net/wire/HttpItem.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package tillerlink.net.wire;
-
-/** What a client's bytes turn out to hold. */
-public sealed interface HttpItem permits HttpCall, HttpFault {}
--- a/gateway/src/main/java/tillerlink/net/wire/HttpFault.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpParseError.java
@@ -1,4 +1,4 @@
 package tillerlink.net.wire;
 
 /** Bytes that are no usable call: the status that says so, after which the connection ends. */
-public record HttpFault(int status, String cause) implements HttpItem {}
+public record HttpParseError(int status, String cause) implements HttpParseResult {}
--- a/gateway/src/main/java/tillerlink/net/wire/HttpCall.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpRequest.java
@@ -8,9 +8,9 @@
  * @param fields headers under their names in small letters
  * @param last the client wants the connection closed after the answer
  */
-public record HttpCall(
+public record HttpRequest(
     Method method, String path, Map<String, String> fields, byte[] body, boolean last)
-    implements HttpItem {
+    implements HttpParseResult {
   public enum Method {
     GET,
     POST,
--- a/gateway/src/main/java/tillerlink/net/wire/HttpReader.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 
 /** Makes calls of the bytes of one client connection (RFC 9112); knows no socket. */
-public final class HttpReader {
+public final class HttpRequestParser {
   private static final int LINE_MOST = 4096;
   private static final int HEAD_MOST = 16_384;
   private static final int FIELDS_MOST = 64;
   private static final int BODY_MOST = 131_072;
   private static final String MARKS = "!#$%&'*+-.^_`|~";
 
-  private final Bytes bytes = new Bytes();
+  private final ByteAccumulator bytes = new ByteAccumulator();
   private boolean broken;
 
   /** The head of a call whose body is still to come. */
-  private HttpCall head;
+  private HttpRequest head;
 
   private int bodyLength;
   private int scanned;
@@ -51,7 +51,7 @@
   /**
    * The next call, or the fault after which nothing more is read, or null while it is not whole.
    */
-  public HttpItem next() {
+  public HttpParseResult next() {
     if (broken) {
       return null;
     }
@@ -60,14 +60,15 @@
         return null;
       }
       byte[] body = bytes.take(bodyLength);
-      HttpCall whole = new HttpCall(head.method(), head.path(), head.fields(), body, head.last());
+      HttpRequest whole =
+          new HttpRequest(head.method(), head.path(), head.fields(), body, head.last());
       head = null;
       goOnWanted = false;
       return whole;
     } catch (Fault e) {
       broken = true;
       bytes.skip(bytes.size());
-      return new HttpFault(e.status, e.getMessage());
+      return new HttpParseError(e.status, e.getMessage());
     }
   }
 
@@ -97,7 +98,7 @@
     bodyLength = bodyLength(fields);
     String connection = fields.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
     head =
-        new HttpCall(
+        new HttpRequest(
             method(words[0]),
             path(words[1]),
             fields,
@@ -140,7 +141,7 @@
       }
       String name = lines[i].substring(0, colon);
       String value = lines[i].substring(colon + 1).strip();
-      if (!name.chars().allMatch(HttpReader::inName)
+      if (!name.chars().allMatch(HttpRequestParser::inName)
           || value.chars().anyMatch(c -> c < ' ' && c != '\t')) {
         throw new Fault(400, "header line");
       }
@@ -169,15 +170,15 @@
     return Integer.parseInt(text);
   }
 
-  private static HttpCall.Method method(String word) {
-    if (!word.chars().allMatch(HttpReader::inName)) {
+  private static HttpRequest.Method method(String word) {
+    if (!word.chars().allMatch(HttpRequestParser::inName)) {
       throw new Fault(400, "method");
     }
     return switch (word) {
-      case "GET" -> HttpCall.Method.GET;
-      case "POST" -> HttpCall.Method.POST;
-      case "DELETE" -> HttpCall.Method.DELETE;
-      default -> HttpCall.Method.OTHER;
+      case "GET" -> HttpRequest.Method.GET;
+      case "POST" -> HttpRequest.Method.POST;
+      case "DELETE" -> HttpRequest.Method.DELETE;
+      default -> HttpRequest.Method.OTHER;
     };
   }
 
--- a/gateway/src/main/java/tillerlink/net/wire/HttpAnswer.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpResponse.java
@@ -9,42 +9,42 @@
  * @param last the connection ends after it
  * @param type the media type of the body
  */
-public record HttpAnswer(int status, byte[] body, long comeBack, boolean last, String type) {
+public record HttpResponse(int status, byte[] body, long comeBack, boolean last, String type) {
   private static final String JSON = "application/json";
   private static final String PROMETHEUS_TEXT = "text/plain; version=0.0.4; charset=utf-8";
 
-  public HttpAnswer(int status, byte[] body, long comeBack, boolean last) {
+  public HttpResponse(int status, byte[] body, long comeBack, boolean last) {
     this(status, body, comeBack, last, JSON);
   }
 
   /** What monitoring reads. */
-  public static HttpAnswer text(String body) {
-    return new HttpAnswer(200, body.getBytes(StandardCharsets.UTF_8), 0, false, PROMETHEUS_TEXT);
+  public static HttpResponse text(String body) {
+    return new HttpResponse(200, body.getBytes(StandardCharsets.UTF_8), 0, false, PROMETHEUS_TEXT);
   }
 
-  public static HttpAnswer done() {
+  public static HttpResponse done() {
     return of(200, "{}", 0);
   }
 
   /** The path at which there is more. */
-  public static HttpAnswer goOnAt(String path) {
+  public static HttpResponse goOnAt(String path) {
     return of(200, "{\"continue\":\"" + path + "\"}", 0);
   }
 
-  public static HttpAnswer unknown() {
+  public static HttpResponse unknown() {
     return problem(404, "Unknown", 0);
   }
 
-  public static HttpAnswer problem(int status, String problem, long comeBack) {
+  public static HttpResponse problem(int status, String problem, long comeBack) {
     return of(status, "{\"problem\":\"" + problem + "\"}", comeBack);
   }
 
-  private static HttpAnswer of(int status, String body, long comeBack) {
-    return new HttpAnswer(status, body.getBytes(StandardCharsets.UTF_8), comeBack, false);
+  private static HttpResponse of(int status, String body, long comeBack) {
+    return new HttpResponse(status, body.getBytes(StandardCharsets.UTF_8), comeBack, false);
   }
 
-  public HttpAnswer ending() {
-    return new HttpAnswer(status, body, comeBack, true, type);
+  public HttpResponse ending() {
+    return new HttpResponse(status, body, comeBack, true, type);
   }
 
   public byte[] encoded() {
@@ -65,7 +65,7 @@
       head.append("\r\nConnection: close");
     }
     byte[] start = head.append("\r\n\r\n").toString().getBytes(StandardCharsets.US_ASCII);
-    return Bytes.joined(start, body);
+    return ByteAccumulator.joined(start, body);
   }
 
   /** The word for a client that asks before it sends a body. */
--- a/gateway/src/main/java/tillerlink/net/wire/Rows.java
+++ b/gateway/src/main/java/tillerlink/net/wire/ResultEncoder.java
@@ -7,11 +7,11 @@
  * Turns pages as engines send them (tabs between columns, a line feed after each row) into a
  * client's last answer.
  */
-public final class Rows {
+public final class ResultEncoder {
   private static final int COLUMNS = 3;
   private static final byte[] DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
-  private Rows() {}
+  private ResultEncoder() {}
 
   /**
    * Guards against handing on as whole what was spoilt on the way.
--- a/gateway/src/main/java/tillerlink/net/wire/Statement.java
+++ b/gateway/src/main/java/tillerlink/net/wire/StatementTableScanner.java
@@ -6,12 +6,12 @@
 import java.util.Set;
 
 /** A small lexer of statements, for the group of tables that one reads or writes. */
-public final class Statement {
+public final class StatementTableScanner {
   private static final Set<String> BEFORE_TABLES =
       Set.of("from", "join", "into", "update", "table", "using");
   private static final String SCRATCH = "staging";
 
-  private Statement() {}
+  private StatementTableScanner() {}
 
   /**
    * The number behind the underscore in the schema's name, or 0 if there is none. Names where
--- a/gateway/src/main/java/tillerlink/net/wire/Ask.java
+++ b/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
@@ -11,7 +11,7 @@
  * @param key the mark by which engines know a repeat, or null
  * @param subject what it is about, for tracks that keep their order by it, or null
  */
-public record Ask(
+public record SubmitRequest(
     String id,
     String track,
     long patience,
@@ -30,14 +30,16 @@
   /**
    * @throws IllegalArgumentException if a header is missing or can't be used; the message names it
    */
-  public static Ask of(HttpCall call) {
+  public static SubmitRequest of(HttpRequest call) {
     String id = call.fields().get("x-correlation-id");
-    if (id == null || id.length() != ID_DIGITS || !id.chars().allMatch(Ask::hexDigit)) {
+    if (id == null || id.length() != ID_DIGITS || !id.chars().allMatch(SubmitRequest::hexDigit)) {
       throw new IllegalArgumentException("X-Correlation-Id");
     }
     String key = call.fields().get("x-operation-key");
     if (key != null
-        && (key.isEmpty() || key.length() > KEY_MOST || !key.chars().allMatch(Ask::plain))) {
+        && (key.isEmpty()
+            || key.length() > KEY_MOST
+            || !key.chars().allMatch(SubmitRequest::plain))) {
       throw new IllegalArgumentException("X-Operation-Key");
     }
     String subject = call.fields().get("x-subject");
@@ -52,7 +54,7 @@
     if (statement.isBlank() || statement.indexOf('\0') >= 0) {
       throw new IllegalArgumentException("no statement");
     }
-    return new Ask(
+    return new SubmitRequest(
         id,
         call.path().substring(call.path().lastIndexOf('/') + 1),
         (long) (patience * Units.TENTHS_PER_MS),
@@ -61,7 +63,7 @@
         subject,
         amount(call, "X-Estimate-Ms") * Units.TENTHS_PER_MS,
         amount(call, "X-Space"),
-        Statement.tableGroup(statement),
+        StatementTableScanner.tableGroup(statement),
         call.body());
   }
 
@@ -77,7 +79,7 @@
    * Digits, and a fraction at most: what else a parser would take (1e9, NaN, 0x1p3) no client of
    * ours sends.
    */
-  private static double amount(HttpCall call, String name) {
+  private static double amount(HttpRequest call, String name) {
     String text = call.fields().getOrDefault(name.toLowerCase(Locale.ROOT), "0");
     int point = text.indexOf('.');
     String whole = point < 0 ? text : text.substring(0, point);
@@ -92,7 +94,7 @@
    * Whether another is the same submission once more, made again by a client whose connection
    * broke.
    */
-  public boolean same(Ask other) {
+  public boolean same(SubmitRequest other) {
     return track.equals(other.track)
         && Objects.equals(key, other.key)
         && Arrays.equals(statement, other.statement);
--- a/gateway/src/main/java/tillerlink/plain/PlainNames.java
+++ b/gateway/src/main/java/tillerlink/plain/FlattenedConfig.java
@@ -10,10 +10,10 @@
  * list's length under its own name. A name that ends in {@code _us} loses that ending, and its
  * value becomes tenths of a millisecond.
  */
-public final class PlainNames {
+public final class FlattenedConfig {
   private static final String MICROS_ENDING = "_us";
 
-  private PlainNames() {}
+  private FlattenedConfig() {}
 
   public static Map<String, Object> of(Map<String, Object> settings) {
     Map<String, Object> plain = new LinkedHashMap<>();
--- a/gateway/src/main/java/tillerlink/wirehost/Instance.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Instance.java
@@ -14,7 +14,7 @@
 import tillerlink.model.Engine;
 import tillerlink.model.KeyedRequestQueue;
 import tillerlink.model.Request;
-import tillerlink.plain.PlainNames;
+import tillerlink.plain.FlattenedConfig;
 import tillerlink.plain.Units;
 import tillerlink.port.DispatchActions;
 import tillerlink.port.DispatchPolicy;
@@ -42,7 +42,7 @@
       JsonGenerator actions) {
     this.number = number;
     this.actions = actions;
-    steering = factory.start(now, seed, PlainNames.of(settings), this);
+    steering = factory.start(now, seed, FlattenedConfig.of(settings), this);
   }
 
   DispatchPolicy steering() {
--- a/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
+++ b/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
@@ -22,10 +22,10 @@
 import tillerlink.model.Request;
 import tillerlink.model.RequestClassConfig;
 import tillerlink.model.Settings;
-import tillerlink.net.wire.Assignment;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
-import tillerlink.plain.PlainNames;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
+import tillerlink.net.wire.GatewayConfig;
+import tillerlink.plain.FlattenedConfig;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.policy.InvariantMonitor;
 import tillerlink.port.DispatchActions;
@@ -44,7 +44,7 @@
 
   @Test
   void startValuesAreReadFromTheirKeys() throws Exception {
-    Assignment read = read();
+    GatewayConfig read = read();
     assertEquals("north-1", read.name());
     assertEquals(new InetSocketAddress("127.0.0.1", 8080), read.listen());
     assertEquals(new InetSocketAddress("127.0.0.2", 5353), read.resolver());
@@ -59,12 +59,12 @@
   void knownEnginesAreReadFromTheirKeys() throws Exception {
     assertEquals(
         List.of(
-            new EngineNews(
+            new EndpointWatchEvent(
                 17,
                 true,
                 false,
                 List.of(
-                    new EngineEntry(
+                    new EndpointEntry(
                         "a1",
                         "10.0.0.1",
                         7000,
@@ -74,7 +74,7 @@
                         Engine.Standing.READY,
                         0.5,
                         1_700_000_000_123L),
-                    new EngineEntry(
+                    new EndpointEntry(
                         "a2",
                         "10.0.0.2",
                         7001,
@@ -84,19 +84,19 @@
                         Engine.Standing.DRAINING,
                         2,
                         5))),
-            new EngineNews(
+            new EndpointWatchEvent(
                 18,
                 false,
                 false,
                 List.of(
-                    new EngineEntry(
+                    new EndpointEntry(
                         "a2", "0.0.0.0", 0, "null", "null", 0, Engine.Standing.GONE, 1, 0)))),
         read().known());
   }
 
   @Test
   void settingsStandUnderTheirDottedNames() throws Exception {
-    Map<String, Object> plain = PlainNames.of(read().terms());
+    Map<String, Object> plain = FlattenedConfig.of(read().terms());
     assertEquals(
         List.of(
             "instances=3",
@@ -162,7 +162,7 @@
 
   @Test
   void tracksHaveTheTermsOfTheirProfiles() throws Exception {
-    Map<String, Object> plain = PlainNames.of(read().terms());
+    Map<String, Object> plain = FlattenedConfig.of(read().terms());
     assertEquals(
         new RequestClassConfig(
             Effect.PURE,
@@ -219,7 +219,7 @@
   /** A name that is asked for under another key would read as absent, without a fault. */
   @Test
   void decisionsAskForTheseNamesAndNoOthers() throws Exception {
-    Asked asked = new Asked(PlainNames.of(read().terms()));
+    Asked asked = new Asked(FlattenedConfig.of(read().terms()));
     DefaultDispatchPolicy policy = new DefaultDispatchPolicy(1_000_000, 5, asked, NO_ORDERS);
     Engine cold = new Engine("a1");
     policy.listFailed(1_000_000);
@@ -289,7 +289,7 @@
 
   @Test
   void invariantsAskForTheseNames() throws Exception {
-    Asked asked = new Asked(PlainNames.of(read().terms()));
+    Asked asked = new Asked(FlattenedConfig.of(read().terms()));
     new InvariantMonitor(new Settings(asked));
     assertEquals(
         new TreeSet<>(
@@ -315,8 +315,8 @@
     return new Request("id", track, 0, false, now, now + 7000, 100, 50, null);
   }
 
-  private static Assignment read() throws IOException, URISyntaxException {
-    return Assignment.read(
+  private static GatewayConfig read() throws IOException, URISyntaxException {
+    return GatewayConfig.read(
         Path.of(
             ConfigurationFormatGuardTest.class.getResource("/guards/configuration.json").toURI()));
   }
--- a/gateway/src/test/java/tillerlink/SideTest.java
+++ b/gateway/src/test/java/tillerlink/SideTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.net.state.DisconnectReason;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.HttpAnswer;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpResponse;
 
 /** What stands beside the module: its calls, and submissions whose hops wait on a guard. */
 class SideTest {
@@ -57,14 +57,14 @@
     }
 
     @Override
-    public void called(HttpCall call, Reply reply) {
+    public void called(HttpRequest call, Reply reply) {
       turns.add("called");
       if (call.path().equals("/v1/later")) {
         owed.add(reply);
         return;
       }
       door.submit(
-          new HttpCall(
+          new HttpRequest(
               call.method(),
               call.path().replace("aside/", ""),
               call.fields(),
@@ -130,13 +130,13 @@
             .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
             .pass(2000)
             .answered();
-    s.turn(() -> aside.owed.get(0).answer(HttpAnswer.done()))
+    s.turn(() -> aside.owed.get(0).answer(HttpResponse.done()))
         .say("told twice")
-        .turn(() -> aside.owed.get(0).answer(HttpAnswer.done()));
+        .turn(() -> aside.owed.get(0).answer(HttpResponse.done()));
     s.say("the client goes before the answer")
         .client("c2", "PUT /v1/later HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
         .breaks("c2", DisconnectReason.CLOSED_BY_PEER)
-        .turn(() -> aside.owed.get(1).answer(HttpAnswer.done()))
+        .turn(() -> aside.owed.get(1).answer(HttpResponse.done()))
         .answered();
     s.matches("side-calls");
   }
--- a/gateway/src/test/java/tillerlink/Stage.java
+++ b/gateway/src/test/java/tillerlink/Stage.java
@@ -15,9 +15,9 @@
 import tillerlink.net.state.Gateway;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.state.NetworkDriver;
-import tillerlink.net.wire.Assignment;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
+import tillerlink.net.wire.GatewayConfig;
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /** A driver that prints. Times are milliseconds; in what engines say, | is a line's end. */
@@ -33,7 +33,7 @@
   private final List<Printed> dialed = new ArrayList<>();
   private final List<Printed> unsent = new ArrayList<>();
   private final Map<String, Printed> clients = new LinkedHashMap<>();
-  private List<EngineEntry> fleet = List.of(entry("e1", "127.0.0.1"), entry("e2", "127.0.0.2"));
+  private List<EndpointEntry> fleet = List.of(entry("e1", "127.0.0.1"), entry("e2", "127.0.0.2"));
   private int sockets = 1024;
   private long now = START;
   private int query;
@@ -148,7 +148,7 @@
             terse ? Map.of() : Map.of("drain_grace_us", 100_000L),
             "family_info",
             Map.of("kind_cores", List.of(8L), "tells_every_us", 2_000_000L));
-    EngineNews known = new EngineNews(1, true, fleet);
+    EndpointWatchEvent known = new EndpointWatchEvent(1, true, fleet);
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
     served =
         fleet.stream()
@@ -159,7 +159,7 @@
     unanswered = -1;
     gateway =
         new Gateway(
-            new Assignment("n0", any, any, 7, sockets, terms, List.of(known)),
+            new GatewayConfig("n0", any, any, 7, sockets, terms, List.of(known)),
             DefaultDispatchPolicy::new,
             this,
             now);
@@ -183,8 +183,8 @@
     return fresh();
   }
 
-  private static EngineEntry entry(String id, String address) {
-    return new EngineEntry(id, address, 5050, "east", "std", 0, Engine.Standing.READY, 1, 0);
+  private static EndpointEntry entry(String id, String address) {
+    return new EndpointEntry(id, address, 5050, "east", "std", 0, Engine.Standing.READY, 1, 0);
   }
 
   /** Puts it beside the module, from now on. */
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -13,16 +13,16 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.model.Engine;
 import tillerlink.net.wire.Dns;
-import tillerlink.net.wire.EngineAnswer;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
-import tillerlink.net.wire.EngineReader;
-import tillerlink.net.wire.HttpCall;
-import tillerlink.net.wire.HttpFault;
-import tillerlink.net.wire.HttpItem;
-import tillerlink.net.wire.HttpReader;
-import tillerlink.net.wire.Rows;
-import tillerlink.net.wire.Statement;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
+import tillerlink.net.wire.EngineResponse;
+import tillerlink.net.wire.EngineResponseParser;
+import tillerlink.net.wire.HttpParseError;
+import tillerlink.net.wire.HttpParseResult;
+import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpRequestParser;
+import tillerlink.net.wire.ResultEncoder;
+import tillerlink.net.wire.StatementTableScanner;
 
 /**
  * What is spoken, without a socket: each machine is fed whole, bytewise and at every split, and
@@ -63,12 +63,12 @@
   }
 
   private static Machine http() {
-    HttpReader reader = new HttpReader();
+    HttpRequestParser reader = new HttpRequestParser();
     return bytes -> {
       reader.feed(bytes);
       StringBuilder read = new StringBuilder();
-      for (HttpItem item = reader.next(); item != null; item = reader.next()) {
-        if (item instanceof HttpCall call) {
+      for (HttpParseResult item = reader.next(); item != null; item = reader.next()) {
+        if (item instanceof HttpRequest call) {
           read.append(
               call.method()
                   + " "
@@ -80,7 +80,7 @@
                   + "'"
                   + (call.last() ? " last" : "")
                   + "\n");
-        } else if (item instanceof HttpFault fault) {
+        } else if (item instanceof HttpParseError fault) {
           read.append(fault.status() + " " + fault.cause() + "\n");
         }
       }
@@ -89,12 +89,12 @@
   }
 
   private static Machine engine() {
-    EngineReader reader = new EngineReader();
+    EngineResponseParser reader = new EngineResponseParser();
     return bytes -> {
       StringBuilder read = new StringBuilder();
       try {
         reader.feed(bytes);
-        for (EngineAnswer a = reader.next(); a != null; a = reader.next()) {
+        for (EngineResponse a = reader.next(); a != null; a = reader.next()) {
           read.append(
               a.id()
                   + " "
@@ -181,7 +181,7 @@
     }
     printed.append(
         text(
-            Rows.answer(
+            ResultEncoder.answer(
                 new byte[][] {bytes("a\t1\tq\"\\\u0002\nb\t\tz\n"), {}, bytes("c\t2\té\n")})));
     Trace.same("net-engine", printed.append('\n').toString());
   }
@@ -200,7 +200,11 @@
             "SELECT a FROM b, sales_13.c",
             "SELECT 1.5 FROM t_2",
             "SELECT 'open FROM sales_14.t")) {
-      printed.append(Statement.tableGroup(statement)).append("  ").append(statement).append('\n');
+      printed
+          .append(StatementTableScanner.tableGroup(statement))
+          .append("  ")
+          .append(statement)
+          .append('\n');
     }
     Trace.same("net-statement", printed.toString());
   }
@@ -214,7 +218,7 @@
             "s-1 ready 127.0.0.1:5050 east std 2 0",
             "s-2 draining 127.0.0.2:5051 west big 3 1700000000123");
     StringBuilder printed = new StringBuilder("index " + Dns.answer(message, 77).index() + "\n");
-    for (EngineEntry entry : Dns.answer(message, 77).entries()) {
+    for (EndpointEntry entry : Dns.answer(message, 77).entries()) {
       printed.append(entry).append('\n');
     }
     for (int end = 0; end < message.length; end++) {
@@ -226,7 +230,7 @@
     loop[13] = 12;
     byte[] truncated = message.clone();
     truncated[2] |= 2;
-    EngineNews part = Dns.answer(Arrays.copyOf(truncated, message.length - 50), 77);
+    EndpointWatchEvent part = Dns.answer(Arrays.copyOf(truncated, message.length - 50), 77);
     printed.append("truncated behind the first address: ").append(part).append('\n');
     byte[] refused = message.clone();
     refused[3] |= 5;
@@ -278,7 +282,7 @@
         end += end < 30_000 ? 211 : end < message.length - 2000 ? 71 : 1) {
       byte[] shorter = Arrays.copyOf(message, end);
       try {
-        EngineNews news = Dns.answer(shorter, 9);
+        EndpointWatchEvent news = Dns.answer(shorter, 9);
         assertTrue(news.partial() && !news.whole());
         assertEquals(
             341 + 1,
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -32,9 +32,9 @@
 import tillerlink.model.Engine;
 import tillerlink.net.io.MinaDriver;
 import tillerlink.net.state.Gateway;
-import tillerlink.net.wire.Assignment;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
+import tillerlink.net.wire.GatewayConfig;
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /**
@@ -75,13 +75,13 @@
   Loopback(int engineCount, Consumer<Map<String, Object>> changed) throws IOException {
     names = new DatagramSocket(new InetSocketAddress(HERE, 0));
     names.setSoTimeout(PATIENCE_MS);
-    List<EngineEntry> known = new ArrayList<>();
+    List<EndpointEntry> known = new ArrayList<>();
     for (int i = 0; i < engineCount; i++) {
       ServerSocket engine = new ServerSocket(0, 50, HERE);
       engine.setSoTimeout(PATIENCE_MS);
       engines.add(engine);
       known.add(
-          new EngineEntry(
+          new EndpointEntry(
               "e" + (i + 1),
               "127.0.0.1",
               engine.getLocalPort(),
@@ -97,15 +97,15 @@
     try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
       listen = new InetSocketAddress(HERE, free.getLocalPort());
     }
-    Assignment assignment =
-        new Assignment(
+    GatewayConfig assignment =
+        new GatewayConfig(
             "n0",
             listen,
             (InetSocketAddress) names.getLocalSocketAddress(),
             7,
             1024,
             terms,
-            List.of(new EngineNews(1, true, known)));
+            List.of(new EndpointWatchEvent(1, true, known)));
     driver =
         new MinaDriver(
             gate,
--- a/gateway/src/test/java/tillerlink/net/lifecycle/TurnsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/TurnsTest.java
@@ -20,9 +20,9 @@
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.Gateway;
 import tillerlink.net.state.NetworkDriver;
-import tillerlink.net.wire.Assignment;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
+import tillerlink.net.wire.GatewayConfig;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchActions;
 import tillerlink.port.DispatchPolicy;
@@ -40,7 +40,7 @@
   @Test
   void whatWasSaidDuringAPauseIsHeardBeforeWhatIsDue() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
-    Assignment assignment = new Assignment("n0", any, any, 7, 1024, Map.of(), List.of());
+    GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
     turns = new EventLoop(this::clock);
     Gateway gateway =
         new Gateway(
@@ -59,7 +59,7 @@
   @Test
   void anEventThatFailsTakesNothingElseWithIt() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
-    Assignment assignment = new Assignment("n0", any, any, 7, 1024, Map.of(), List.of());
+    GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
     turns = new EventLoop(() -> now);
     Gateway gateway =
         new Gateway(
@@ -128,11 +128,17 @@
                     4_000_000L)),
             "caps",
             Map.of("max_attempts", 2L));
-    EngineEntry engine =
-        new EngineEntry("e1", "127.0.0.1", 2, "east", "std", 0, Engine.Standing.READY, 1, 0);
-    Assignment assignment =
-        new Assignment(
-            "n0", any, any, 7, 1024, terms, List.of(new EngineNews(1, true, List.of(engine))));
+    EndpointEntry engine =
+        new EndpointEntry("e1", "127.0.0.1", 2, "east", "std", 0, Engine.Standing.READY, 1, 0);
+    GatewayConfig assignment =
+        new GatewayConfig(
+            "n0",
+            any,
+            any,
+            7,
+            1024,
+            terms,
+            List.of(new EndpointWatchEvent(1, true, List.of(engine))));
     new JvmWarmup(
             assignment,
             (now, seed, settings, orders) -> {
--- a/gateway/src/test/java/tillerlink/net/wire/AssignmentTest.java
+++ b/gateway/src/test/java/tillerlink/net/wire/AssignmentTest.java
@@ -44,8 +44,8 @@
         + "},\"settings\":{}}";
   }
 
-  private Assignment read(String text) throws IOException {
-    return Assignment.read(Files.writeString(folder.resolve("configuration.json"), text));
+  private GatewayConfig read(String text) throws IOException {
+    return GatewayConfig.read(Files.writeString(folder.resolve("configuration.json"), text));
   }
 
   private String fault(String text) {
--- a/harness/src/main/java/tillerlink/harness/GatewayProcess.java
+++ b/harness/src/main/java/tillerlink/harness/GatewayProcess.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import tillerlink.model.Engine;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 
 /** One gateway as a process of its own, as the platform runs it. */
 final class GatewayProcess {
@@ -49,7 +49,7 @@
       int sockets,
       Map<String, Object> settings,
       long index,
-      List<EngineEntry> engines)
+      List<EndpointEntry> engines)
       throws IOException {
     Path file = folder.resolve(name + ".json");
     try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
@@ -101,7 +101,7 @@
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static void known(JsonGenerator json, long index, List<EngineEntry> engines)
+  private static void known(JsonGenerator json, long index, List<EndpointEntry> engines)
       throws IOException {
     json.writeObjectFieldStart("known");
     json.writeNumberField("index", index);
@@ -112,7 +112,7 @@
     json.writeNumberField("index", index);
     json.writeBooleanField("snapshot", true);
     json.writeArrayFieldStart("endpoints");
-    for (EngineEntry engine : engines) {
+    for (EndpointEntry engine : engines) {
       json.writeStartObject();
       json.writeStringField("name", engine.id());
       json.writeStringField("address", engine.address() + ":" + engine.port());
--- a/harness/src/main/java/tillerlink/harness/Rig.java
+++ b/harness/src/main/java/tillerlink/harness/Rig.java
@@ -20,7 +20,7 @@
 import tillerlink.fleet.Kind;
 import tillerlink.model.Engine;
 import tillerlink.net.lifecycle.WallClock;
-import tillerlink.net.wire.EngineEntry;
+import tillerlink.net.wire.EndpointEntry;
 import tillerlink.replay.Arrivals;
 import tillerlink.replay.Figures;
 import tillerlink.replay.Front;
@@ -55,7 +55,7 @@
   private final Random seeds;
   private final Histogram lag = new Histogram(1, LAG_MOST, 2);
   private long serial = 1;
-  private List<EngineEntry> listed;
+  private List<EndpointEntry> listed;
 
   private Rig(Job job, Path store) throws IOException {
     this.job = job;
@@ -191,7 +191,7 @@
   }
 
   private long serial() {
-    List<EngineEntry> now = world.list();
+    List<EndpointEntry> now = world.list();
     if (!now.equals(listed)) {
       listed = now;
       serial++;
@@ -200,12 +200,12 @@
   }
 
   /** The list as one gateway sees it: engines at the ports that are its own. */
-  private List<EngineEntry> seen(int gateway) {
+  private List<EndpointEntry> seen(int gateway) {
     return world.list().stream()
         .map(
             entry -> {
               InetSocketAddress port = engines.port(entry.id(), gateway);
-              return new EngineEntry(
+              return new EndpointEntry(
                   entry.id(),
                   port.getAddress().getHostAddress(),
                   port.getPort(),
@@ -220,7 +220,7 @@
   }
 
   private void tell(int gateway) {
-    for (EngineEntry entry : world.list()) {
+    for (EndpointEntry entry : world.list()) {
       if (entry.standing() != Engine.Standing.READY) {
         auditor.withdrawn(world.now(), gateway, entry.id());
       }
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -23,9 +23,9 @@
 import tillerlink.messages.envelope.Refusal;
 import tillerlink.messages.envelope.Seal;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.Assignment;
-import tillerlink.net.wire.HttpAnswer;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.GatewayConfig;
+import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpResponse;
 import tillerlink.peering.component.Attached;
 import tillerlink.peering.component.Attaching;
 import tillerlink.peering.component.Ground;
@@ -55,7 +55,7 @@
   private static final long COME_BACK_MS = 1000;
 
   private final Sharing sharing;
-  private final Assignment assignment;
+  private final GatewayConfig assignment;
   private final Consumer<Runnable> turns;
   private final LongSupplier clock;
   private final Watchdog watchdog = new Watchdog();
@@ -81,7 +81,7 @@
   private Peering(
       Sharing sharing,
       List<Attaching> others,
-      Assignment assignment,
+      GatewayConfig assignment,
       GatewayExtension.Door door,
       Consumer<Runnable> turns,
       LongSupplier clock)
@@ -302,12 +302,12 @@
   }
 
   @Override
-  public void called(HttpCall call, Reply reply) {
+  public void called(HttpRequest call, Reply reply) {
     Attached part = part(call.path());
     watched(
         () -> {
           if (members.yielded() && part.number() != MembersDoor.NUMBER) {
-            reply.answer(HttpAnswer.problem(503, "Yielded", COME_BACK_MS));
+            reply.answer(HttpResponse.problem(503, "Yielded", COME_BACK_MS));
           } else {
             part.called(now, wall(), call, reply);
           }
--- a/peering/src/main/java/tillerlink/peering/WatchedDoor.java
+++ b/peering/src/main/java/tillerlink/peering/WatchedDoor.java
@@ -1,7 +1,7 @@
 package tillerlink.peering;
 
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.HttpRequest;
 
 /**
  * The gateway's door as parts get it: their guards are asked under the watchdog, for the gateway
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public void submit(HttpCall call, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
+  public void submit(HttpRequest call, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
     door.submit(call, new Watched(guard, watchdog), reply);
   }
 
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsDoor.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsDoor.java
@@ -7,8 +7,8 @@
 import tillerlink.channels.entry.Draft;
 import tillerlink.cluster.Part;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.HttpAnswer;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpResponse;
 import tillerlink.peering.component.Attached;
 
 /**
@@ -40,7 +40,7 @@
       this.reply = reply;
     }
 
-    void answer(HttpAnswer answer) {
+    void answer(HttpResponse answer) {
       if (!done) {
         done = true;
         reply.answer(answer);
@@ -71,7 +71,7 @@
   }
 
   @Override
-  public void called(long now, long wall, HttpCall call, GatewayExtension.Reply reply) {
+  public void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply) {
     String[] words = call.path().split("/", -1);
     boolean named = words.length > 3 && words[3].matches(NAME_FORM);
     if (words.length == 3) {
@@ -89,21 +89,21 @@
           reply,
           ChannelsJson.page(channels.read(words[3], Long.parseLong(words[5]), PAGE_BYTES)));
     } else {
-      reply.answer(HttpAnswer.unknown());
+      reply.answer(HttpResponse.unknown());
     }
   }
 
-  private static void read(HttpCall call, GatewayExtension.Reply reply, byte[] body) {
+  private static void read(HttpRequest call, GatewayExtension.Reply reply, byte[] body) {
     reply.answer(
-        call.method() == HttpCall.Method.GET
-            ? new HttpAnswer(200, body, 0, false)
-            : HttpAnswer.problem(405, "Method", 0));
+        call.method() == HttpRequest.Method.GET
+            ? new HttpResponse(200, body, 0, false)
+            : HttpResponse.problem(405, "Method", 0));
   }
 
   private void append(
-      long now, long wall, HttpCall call, String channel, GatewayExtension.Reply reply) {
-    if (call.method() != HttpCall.Method.POST) {
-      reply.answer(HttpAnswer.problem(405, "Method", 0));
+      long now, long wall, HttpRequest call, String channel, GatewayExtension.Reply reply) {
+    if (call.method() != HttpRequest.Method.POST) {
+      reply.answer(HttpResponse.problem(405, "Method", 0));
       return;
     }
     Draft draft;
@@ -111,7 +111,7 @@
       draft = ChannelsJson.draft(call.body(), call.fields().getOrDefault(KEY, ""));
     } catch (IOException e) {
       reply.answer(
-          new HttpAnswer(400, ChannelsJson.problem("Malformed", e.getMessage()), 0, false));
+          new HttpResponse(400, ChannelsJson.problem("Malformed", e.getMessage()), 0, false));
       return;
     }
     Owed one = new Owed(now + KEEP_WITHIN, reply);
@@ -121,17 +121,17 @@
     }
   }
 
-  private static HttpAnswer answer(Appended appended) {
+  private static HttpResponse answer(Appended appended) {
     if (appended instanceof Appended.Refused it) {
       return it.comeBack() > 0
-          ? new HttpAnswer(
+          ? new HttpResponse(
               503,
               ChannelsJson.problem("Refused", it.why()),
               Math.max(1, it.comeBack() / PER_MS),
               false)
-          : new HttpAnswer(409, ChannelsJson.problem("Refused", it.why()), 0, false);
+          : new HttpResponse(409, ChannelsJson.problem("Refused", it.why()), 0, false);
     }
-    return new HttpAnswer(200, ChannelsJson.taken((Appended.Taken) appended), 0, false);
+    return new HttpResponse(200, ChannelsJson.taken((Appended.Taken) appended), 0, false);
   }
 
   @Override
@@ -148,7 +148,7 @@
     while (!owed.isEmpty() && (owed.peek().done || owed.peek().until <= due)) {
       owed.poll()
           .answer(
-              new HttpAnswer(
+              new HttpResponse(
                   503,
                   ChannelsJson.problem("Unknown", "it is not kept yet; ask again with its key"),
                   1000,
--- a/peering/src/main/java/tillerlink/peering/component/Attached.java
+++ b/peering/src/main/java/tillerlink/peering/component/Attached.java
@@ -2,7 +2,7 @@
 
 import tillerlink.cluster.Part;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.HttpRequest;
 
 /**
  * A part of the shared state as it hangs on a gateway's process: its machine, and what clients
@@ -22,7 +22,7 @@
    * A client's call of such a path, of whatever method. It is answered once, now or in a later
    * turn.
    */
-  void called(long now, long wall, HttpCall call, GatewayExtension.Reply reply);
+  void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply);
 
   /**
    * At the end of every turn, so ten times a second at the least: calls that the machine settled,
--- a/peering/src/main/java/tillerlink/peering/members/MembersDoor.java
+++ b/peering/src/main/java/tillerlink/peering/members/MembersDoor.java
@@ -10,8 +10,8 @@
 import tillerlink.members.Members;
 import tillerlink.messages.envelope.Refusal;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.HttpAnswer;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpResponse;
 import tillerlink.peering.component.Attached;
 
 /** Who is there, for operators: {@code GET /v1/members}. */
@@ -50,11 +50,11 @@
   }
 
   @Override
-  public void called(long now, long wall, HttpCall call, GatewayExtension.Reply reply) {
-    if (call.method() == HttpCall.Method.GET) {
-      reply.answer(new HttpAnswer(200, told(), 0, false));
+  public void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply) {
+    if (call.method() == HttpRequest.Method.GET) {
+      reply.answer(new HttpResponse(200, told(), 0, false));
     } else {
-      reply.answer(HttpAnswer.problem(405, "Method", 0));
+      reply.answer(HttpResponse.problem(405, "Method", 0));
     }
   }
 
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsDoor.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsDoor.java
@@ -6,8 +6,8 @@
 import tillerlink.cluster.Part;
 import tillerlink.messages.statements.Change;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.HttpAnswer;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpResponse;
 import tillerlink.peering.component.Attached;
 import tillerlink.statements.SchemaState;
 import tillerlink.statements.Statements;
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public void called(long now, long wall, HttpCall call, GatewayExtension.Reply reply) {
+  public void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply) {
     String path = call.path();
     try {
       if (path.startsWith(STATEMENTS)) {
@@ -103,7 +103,7 @@
 
   // ---- statements ----
 
-  private void statement(long now, HttpCall call, String name, GatewayExtension.Reply reply) {
+  private void statement(long now, HttpRequest call, String name, GatewayExtension.Reply reply) {
     switch (call.method()) {
       case POST -> {
         Reading.Preparation it = Reading.preparation(name, call.body());
@@ -122,14 +122,14 @@
                   .catalog()
                   .find(name)
                   .map(Telling::standing)
-                  .orElseGet(HttpAnswer::unknown));
-      default -> reply.answer(HttpAnswer.problem(405, "Method", 0));
+                  .orElseGet(HttpResponse::unknown));
+      default -> reply.answer(HttpResponse.problem(405, "Method", 0));
     }
   }
 
   // ---- schemas ----
 
-  private void schema(long now, HttpCall call, String rest, GatewayExtension.Reply reply) {
+  private void schema(long now, HttpRequest call, String rest, GatewayExtension.Reply reply) {
     int slash = rest.indexOf('/');
     int group = (int) number("group", slash < 0 ? rest : rest.substring(0, slash), DIGITS_MOST);
     switch (call.method()) {
@@ -140,7 +140,7 @@
       }
       case DELETE -> takeBack(now, group, slash < 0 ? "" : rest.substring(slash + 1), reply);
       case GET -> reply.answer(Telling.schema(statements.schema(group), clock.getAsLong()));
-      default -> reply.answer(HttpAnswer.problem(405, "Method", 0));
+      default -> reply.answer(HttpResponse.problem(405, "Method", 0));
     }
   }
 
@@ -169,9 +169,9 @@
 
   // ---- runs ----
 
-  private void run(HttpCall call, String name, GatewayExtension.Reply reply) {
-    if (call.method() != HttpCall.Method.POST) {
-      reply.answer(HttpAnswer.problem(405, "Method", 0));
+  private void run(HttpRequest call, String name, GatewayExtension.Reply reply) {
+    if (call.method() != HttpRequest.Method.POST) {
+      reply.answer(HttpResponse.problem(405, "Method", 0));
       return;
     }
     Reading.Run run = Reading.run(call.body());
@@ -184,7 +184,7 @@
       return;
     }
     if (found.isEmpty()) {
-      reply.answer(HttpAnswer.unknown());
+      reply.answer(HttpResponse.unknown());
       return;
     }
     Prepared prepared = found.get();
@@ -194,8 +194,8 @@
       return;
     }
     door.submit(
-        new HttpCall(
-            HttpCall.Method.POST,
+        new HttpRequest(
+            HttpRequest.Method.POST,
             "/v1/" + prepared.definition().track(),
             call.fields(),
             text.getBytes(StandardCharsets.UTF_8),
--- a/peering/src/main/java/tillerlink/peering/statements/Telling.java
+++ b/peering/src/main/java/tillerlink/peering/statements/Telling.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
-import tillerlink.net.wire.HttpAnswer;
+import tillerlink.net.wire.HttpResponse;
 import tillerlink.statements.SchemaState;
 import tillerlink.statements.catalog.Outcome;
 import tillerlink.statements.catalog.Standing;
@@ -28,7 +28,7 @@
 
   private Telling() {}
 
-  private static HttpAnswer answer(int status, long comeBack, Body body) {
+  private static HttpResponse answer(int status, long comeBack, Body body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = JSON.createGenerator(bytes)) {
       json.writeStartObject();
@@ -37,10 +37,10 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    return new HttpAnswer(status, bytes.toByteArray(), comeBack, false);
+    return new HttpResponse(status, bytes.toByteArray(), comeBack, false);
   }
 
-  static HttpAnswer problem(int status, String problem, String words, long comeBackMs) {
+  static HttpResponse problem(int status, String problem, String words, long comeBackMs) {
     return answer(
         status,
         comeBackMs,
@@ -53,7 +53,7 @@
   /**
    * @param field what the outcome's number is called
    */
-  static HttpAnswer outcome(Outcome outcome, String field) {
+  static HttpResponse outcome(Outcome outcome, String field) {
     return switch (outcome.verdict()) {
       case DONE -> answer(200, 0, json -> json.writeNumberField(field, outcome.id()));
       case REFUSED -> problem(409, "Refused", outcome.words(), 0);
@@ -61,7 +61,7 @@
     };
   }
 
-  static HttpAnswer turnedBack(Permission.No no) {
+  static HttpResponse turnedBack(Permission.No no) {
     String problem =
         switch (no.why()) {
           case OTHER -> "Other";
@@ -77,7 +77,7 @@
     return (tenths + TENTHS_PER_MS - 1) / TENTHS_PER_MS;
   }
 
-  static HttpAnswer standing(Standing of) {
+  static HttpResponse standing(Standing of) {
     Definition definition = of.definition();
     return answer(
         200,
@@ -105,7 +105,7 @@
   /**
    * @param now by the clock of the leases
    */
-  static HttpAnswer schema(SchemaState of, long now) {
+  static HttpResponse schema(SchemaState of, long now) {
     return answer(
         200,
         0,
--- a/peering/src/test/java/tillerlink/peering/Echo.java
+++ b/peering/src/test/java/tillerlink/peering/Echo.java
@@ -5,8 +5,8 @@
 import tillerlink.cluster.Invariant;
 import tillerlink.cluster.Part;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.HttpAnswer;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpResponse;
 import tillerlink.peering.component.Attached;
 import tillerlink.peering.component.Attaching;
 import tillerlink.peering.component.Ground;
@@ -52,7 +52,7 @@
     }
 
     @Override
-    public void called(long now, long wall, HttpCall call, GatewayExtension.Reply reply) {
+    public void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply) {
       String[] words = call.path().split("/");
       switch (words[3]) {
         case "send" -> {
@@ -67,7 +67,7 @@
                   "text",
                   call.body(),
                   () -> reply.answer(said("kept".getBytes(StandardCharsets.UTF_8))))) {
-            reply.answer(HttpAnswer.problem(503, "Disk", 0));
+            reply.answer(HttpResponse.problem(503, "Disk", 0));
           }
         }
         case "found" -> reply.answer(said(ground.keep().found().getOrDefault("text", new byte[0])));
@@ -76,8 +76,8 @@
       }
     }
 
-    private static HttpAnswer said(byte[] body) {
-      return new HttpAnswer(200, body, 0, false);
+    private static HttpResponse said(byte[] body) {
+      return new HttpResponse(200, body, 0, false);
     }
 
     /** The last byte says whether it comes back. */
--- a/tools/src/test/java/tillerlink/replay/BlindStartTest.java
+++ b/tools/src/test/java/tillerlink/replay/BlindStartTest.java
@@ -20,8 +20,8 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
 import tillerlink.model.Engine;
-import tillerlink.net.wire.EngineEntry;
-import tillerlink.net.wire.EngineNews;
+import tillerlink.net.wire.EndpointEntry;
+import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.Track;
@@ -90,13 +90,13 @@
                 stored.put(key, value);
               }
             });
-    List<EngineEntry> all = new ArrayList<>(world.list());
-    memory.told(START - age - SECOND, new EngineNews(1, true, all));
+    List<EndpointEntry> all = new ArrayList<>(world.list());
+    memory.told(START - age - SECOND, new EndpointWatchEvent(1, true, all));
     all.removeIf(entry -> entry.id().equals("e3"));
     all.replaceAll(
         entry ->
             entry.id().equals("e2")
-                ? new EngineEntry(
+                ? new EndpointEntry(
                     entry.id(),
                     entry.address(),
                     entry.port(),
@@ -107,7 +107,7 @@
                     entry.weight(),
                     entry.startedMs())
                 : entry);
-    memory.told(START - age, new EngineNews(2, true, all));
+    memory.told(START - age, new EndpointWatchEvent(2, true, all));
     return stored;
   }
 
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -19,7 +19,7 @@
 import tillerlink.model.Effect;
 import tillerlink.net.state.DisconnectReason;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.net.wire.HttpCall;
+import tillerlink.net.wire.HttpRequest;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.Track;
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void called(HttpCall call, Reply reply) {
+    public void called(HttpRequest call, Reply reply) {
       Fickle guard =
           watching.guards.computeIfAbsent(
               call.fields().get("x-correlation-id"), id -> new Fickle(random, planted));
