--- a/fakes/src/main/java/tillerlink/fakes/H2Side.java
+++ b/fakes/src/main/java/tillerlink/fakes/H2Side.java
@@ -16,11 +16,11 @@
 import org.apache.hc.core5.http2.hpack.HPackException;
 import tillerlink.fakes.EngineCommands.Command;
 import tillerlink.fakes.EngineCommands.Word;
-import tillerlink.net.http2.ConnectionFault;
 import tillerlink.net.http2.ErrorCode;
 import tillerlink.net.http2.Frame;
 import tillerlink.net.http2.FrameReader;
 import tillerlink.net.http2.FrameWriter;
+import tillerlink.net.http2.Http2ConnectionError;
 
 /**
  * A stand-in engine's side of HTTP/2, worded as docs/http2-wire.md says; tests make it misbehave.
@@ -99,7 +99,7 @@
           frame = commands.isEmpty() ? reader.next() : null) {
         take(frame);
       }
-    } catch (ConnectionFault | HPackException e) {
+    } catch (Http2ConnectionError | HPackException e) {
       throw new IllegalArgumentException(e.getMessage(), e);
     }
     return commands.poll();
--- a/fleet/src/main/java/tillerlink/fleet/Fleet.java
+++ b/fleet/src/main/java/tillerlink/fleet/Fleet.java
@@ -8,7 +8,7 @@
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
 import tillerlink.model.Engine;
-import tillerlink.net.http2.H2Carriers;
+import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.net.state.EngineTransport;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
@@ -133,7 +133,7 @@
 
   /** How gateways reach its engines. */
   public EngineTransport.Factory carriers() {
-    return new H2Carriers(
+    return new Http2TransportFactory(
         false,
         kinds.stream().filter(Kind::http2).map(Kind::name).collect(Collectors.toUnmodifiableSet()),
         0);
--- a/http2/src/main/java/tillerlink/net/http2/Event.java
+++ b/http2/src/main/java/tillerlink/net/http2/Event.java
@@ -18,7 +18,7 @@
   record Body(int stream, byte[] bytes, boolean last) implements Event {}
 
   /** A stream ended otherwise than by its whole answer. */
-  record Ended(int stream, StreamEnd how, ErrorCode code) implements Event {}
+  record Ended(int stream, StreamTermination how, ErrorCode code) implements Event {}
 
   /** The peer takes no streams beyond that id; those above it have been told of as ended. */
   record Leaving(int last, ErrorCode code) implements Event {}
--- a/http2/src/main/java/tillerlink/net/http2/Frame.java
+++ b/http2/src/main/java/tillerlink/net/http2/Frame.java
@@ -61,7 +61,7 @@
   /**
    * Where it ends, before a padding.
    *
-   * @throws ConnectionFault if the padding is longer than what there is
+   * @throws Http2ConnectionError if the padding is longer than what there is
    */
   public int to() {
     int padding =
@@ -70,7 +70,7 @@
             : 0;
     int to = payload.length - padding;
     if (to < from()) {
-      throw new ConnectionFault(ErrorCode.PROTOCOL_ERROR, "more padding than frame");
+      throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "more padding than frame");
     }
     return to;
   }
--- a/http2/src/main/java/tillerlink/net/http2/FrameReader.java
+++ b/http2/src/main/java/tillerlink/net/http2/FrameReader.java
@@ -46,12 +46,12 @@
   /**
    * The next frame, or null while it is not whole.
    *
-   * @throws ConnectionFault if it is longer than was allowed, or the preface is another
+   * @throws Http2ConnectionError if it is longer than was allowed, or the preface is another
    */
   public Frame next() {
     while (prefaceSeen < preface.length && from < to) {
       if (kept[from++] != preface[prefaceSeen++]) {
-        throw new ConnectionFault(ErrorCode.PROTOCOL_ERROR, "not the preface");
+        throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "not the preface");
       }
     }
     if (to - from < HEAD || prefaceSeen < preface.length) {
@@ -59,7 +59,7 @@
     }
     int length = (kept[from] & 255) << 16 | (kept[from + 1] & 255) << 8 | kept[from + 2] & 255;
     if (length > Frame.FRAME_AT_START) {
-      throw new ConnectionFault(ErrorCode.FRAME_SIZE_ERROR, "a frame of " + length + " bytes");
+      throw new Http2ConnectionError(ErrorCode.FRAME_SIZE_ERROR, "a frame of " + length + " bytes");
     }
     if (to - from < HEAD + length) {
       return null;
--- a/http2/src/main/java/tillerlink/net/http2/Connection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
@@ -19,7 +19,7 @@
  * event comes out for each thing that happened. What a peer can make it keep or do is bounded,
  * whatever it sends.
  */
-public final class Connection {
+public final class Http2ClientConnection {
   private static final byte[] PREFACE =
       "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
   private static final int TABLE = 4096;
@@ -101,7 +101,7 @@
   private long pings;
   private boolean pinging;
 
-  public Connection() {
+  public Http2ClientConnection() {
     decoder.setMaxListSize(LIST_MOST);
     writer.raw(PREFACE);
     writer.settings(Frame.SETTINGS_ENABLE_PUSH, 0, Frame.SETTINGS_MAX_HEADER_LIST_SIZE, LIST_MOST);
@@ -119,7 +119,7 @@
       for (Frame frame = reader.next(); frame != null && !broken; frame = reader.next()) {
         take(frame);
       }
-    } catch (ConnectionFault e) {
+    } catch (Http2ConnectionError e) {
       breakOff(e.code(), e.getMessage());
     }
   }
@@ -225,10 +225,10 @@
 
   private void take(Frame frame) {
     if (blockStream != 0 && (frame.type() != Frame.CONTINUATION || frame.stream() != blockStream)) {
-      throw new ConnectionFault(ErrorCode.PROTOCOL_ERROR, "a header block was not ended");
+      throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "a header block was not ended");
     }
     if (!settingsSeen && (frame.type() != Frame.SETTINGS || frame.has(Frame.ACK))) {
-      throw new ConnectionFault(ErrorCode.PROTOCOL_ERROR, "the first frame is no settings");
+      throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "the first frame is no settings");
     }
     switch (frame.type()) {
       case Frame.DATA -> data(frame);
@@ -240,7 +240,7 @@
       case Frame.GOAWAY -> leaving(frame);
       case Frame.WINDOW_UPDATE -> opened(frame);
       case Frame.PUSH_PROMISE ->
-          throw new ConnectionFault(ErrorCode.PROTOCOL_ERROR, "a push, which was not enabled");
+          throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "a push, which was not enabled");
       case Frame.PRIORITY -> {
         need(frame.stream() != 0, "a priority on no stream");
         if (frame.payload().length != 5) {
@@ -255,20 +255,20 @@
 
   private static void need(boolean holds, String otherwise) {
     if (!holds) {
-      throw new ConnectionFault(ErrorCode.PROTOCOL_ERROR, otherwise);
+      throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, otherwise);
     }
   }
 
   private static void size(boolean holds, String what) {
     if (!holds) {
-      throw new ConnectionFault(ErrorCode.FRAME_SIZE_ERROR, what + " of a wrong size");
+      throw new Http2ConnectionError(ErrorCode.FRAME_SIZE_ERROR, what + " of a wrong size");
     }
   }
 
   /** Guards against floods of frames that cost work and bring nothing. */
   private void bother() {
     if (++nuisance > NUISANCE_MOST) {
-      throw new ConnectionFault(ErrorCode.ENHANCE_YOUR_CALM, "too much that brings nothing");
+      throw new Http2ConnectionError(ErrorCode.ENHANCE_YOUR_CALM, "too much that brings nothing");
     }
   }
 
@@ -287,7 +287,7 @@
     int length = frame.payload().length;
     receiveWindow -= length;
     if (receiveWindow < 0) {
-      throw new ConnectionFault(
+      throw new Http2ConnectionError(
           ErrorCode.FLOW_CONTROL_ERROR, "more data than the window lets through");
     }
     if (receiveWindow < RECEIVE_WINDOW / 2) {
@@ -329,7 +329,7 @@
    */
   private void afterEnd(int id) {
     if (done.contains(id)) {
-      throw new ConnectionFault(ErrorCode.STREAM_CLOSED, "more on a stream that had ended");
+      throw new Http2ConnectionError(ErrorCode.STREAM_CLOSED, "more on a stream that had ended");
     }
     bother();
   }
@@ -350,14 +350,14 @@
   private void continuation(Frame frame) {
     need(blockStream != 0, "a continuation of nothing");
     if (++blockFrames > CONTINUATIONS_MOST) {
-      throw new ConnectionFault(ErrorCode.ENHANCE_YOUR_CALM, "endless continuations");
+      throw new Http2ConnectionError(ErrorCode.ENHANCE_YOUR_CALM, "endless continuations");
     }
     append(frame.payload(), 0, frame.payload().length, frame.has(Frame.END_HEADERS));
   }
 
   private void append(byte[] more, int from, int length, boolean last) {
     if (block.length + length > BLOCK_MOST) {
-      throw new ConnectionFault(ErrorCode.ENHANCE_YOUR_CALM, "a header block too long");
+      throw new Http2ConnectionError(ErrorCode.ENHANCE_YOUR_CALM, "a header block too long");
     }
     byte[] joined = Arrays.copyOf(block, block.length + length);
     System.arraycopy(more, from, joined, block.length, length);
@@ -377,9 +377,9 @@
       headers = decoder.decodeHeaders(ByteBuffer.wrap(block));
     } catch (HeaderListConstraintException e) {
       // The library stops in the middle, so that the shared table can't be trusted any more.
-      throw new ConnectionFault(ErrorCode.ENHANCE_YOUR_CALM, "a header list too long");
+      throw new Http2ConnectionError(ErrorCode.ENHANCE_YOUR_CALM, "a header list too long");
     } catch (HPackException | RuntimeException e) {
-      throw new ConnectionFault(ErrorCode.COMPRESSION_ERROR, "headers that can't be decoded");
+      throw new Http2ConnectionError(ErrorCode.COMPRESSION_ERROR, "headers that can't be decoded");
     }
     Stream stream = streams.get(id);
     if (stream == null) {
@@ -514,8 +514,10 @@
         new Event.Ended(
             stream.id,
             code == ErrorCode.REFUSED_STREAM && !stream.answered
-                ? StreamEnd.REFUSED
-                : stream.answered ? StreamEnd.RESET_IN_ANSWER : StreamEnd.RESET_BEFORE_ANSWER,
+                ? StreamTermination.REFUSED
+                : stream.answered
+                    ? StreamTermination.RESET_IN_ANSWER
+                    : StreamTermination.RESET_BEFORE_ANSWER,
             code));
   }
 
@@ -548,14 +550,15 @@
       case Frame.SETTINGS_MAX_CONCURRENT_STREAMS -> peerStreamsMost = value;
       case Frame.SETTINGS_INITIAL_WINDOW_SIZE -> {
         if (value > WINDOW_MOST) {
-          throw new ConnectionFault(ErrorCode.FLOW_CONTROL_ERROR, "a window too large");
+          throw new Http2ConnectionError(ErrorCode.FLOW_CONTROL_ERROR, "a window too large");
         }
         long change = value - peerWindowAtStart;
         peerWindowAtStart = value;
         for (Stream stream : streams.values()) {
           stream.sendWindow += change;
           if (stream.sendWindow > WINDOW_MOST) {
-            throw new ConnectionFault(ErrorCode.FLOW_CONTROL_ERROR, "a window grown too large");
+            throw new Http2ConnectionError(
+                ErrorCode.FLOW_CONTROL_ERROR, "a window grown too large");
           }
         }
       }
@@ -598,7 +601,7 @@
     for (Stream stream : List.copyOf(streams.values())) {
       if (stream.id > last) {
         remove(stream);
-        events.add(new Event.Ended(stream.id, StreamEnd.ABOVE_GOAWAY, code));
+        events.add(new Event.Ended(stream.id, StreamTermination.ABOVE_GOAWAY, code));
       }
     }
     events.add(new Event.Leaving(last, code));
@@ -611,7 +614,7 @@
       need(more > 0, "a window update of nothing");
       sendWindow += more;
       if (sendWindow > WINDOW_MOST) {
-        throw new ConnectionFault(
+        throw new Http2ConnectionError(
             ErrorCode.FLOW_CONTROL_ERROR, "the connection's window overflows");
       }
       bother();
@@ -695,7 +698,7 @@
   private void garbled(Stream stream) {
     writer.reset(stream.id, ErrorCode.PROTOCOL_ERROR);
     remove(stream);
-    events.add(new Event.Ended(stream.id, StreamEnd.GARBLED, ErrorCode.PROTOCOL_ERROR));
+    events.add(new Event.Ended(stream.id, StreamTermination.GARBLED, ErrorCode.PROTOCOL_ERROR));
   }
 
   private void streamFault(int id, ErrorCode code) {
@@ -706,7 +709,7 @@
     }
     writer.reset(id, code);
     remove(stream);
-    events.add(new Event.Ended(id, StreamEnd.GARBLED, code));
+    events.add(new Event.Ended(id, StreamTermination.GARBLED, code));
   }
 
   private void breakOff(ErrorCode code, String why) {
--- a/http2/src/main/java/tillerlink/net/http2/H2Link.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -10,7 +10,7 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.AttemptProgress;
-import tillerlink.net.pool.Pool;
+import tillerlink.net.pool.StreamPool;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.DisconnectReason;
 import tillerlink.net.state.EngineAddress;
@@ -21,7 +21,7 @@
 /**
  * One HTTP/2 connection to an engine: hops are streams on it, worded as docs/http2-wire.md says.
  */
-final class H2Link implements Channel.Owner, Pool.Member {
+final class Http2EngineConnection implements Channel.Owner, StreamPool.Member {
   private static final int RESULT_MOST = 48_000;
   private static final int FULL_1 = 429;
   private static final int FULL_2 = 503;
@@ -47,10 +47,10 @@
     }
   }
 
-  private final H2Carrier carrier;
+  private final Http2Transport carrier;
   private final EngineTransport.Owner owner;
   private final EngineAddress site;
-  private final Connection connection = new Connection();
+  private final Http2ClientConnection connection = new Http2ClientConnection();
   private final Map<Integer, Ride> rides = new LinkedHashMap<>();
   private final Map<InFlightAttempt, Ride> byFlight = new IdentityHashMap<>();
 
@@ -75,7 +75,7 @@
   private long askedAt;
   private long answered;
 
-  H2Link(H2Carrier carrier, long now) {
+  Http2EngineConnection(Http2Transport carrier, long now) {
     this.carrier = carrier;
     owner = carrier.owner;
     site = carrier.site;
@@ -136,7 +136,7 @@
     SendVerdict verdict = flight.begun() ? SendVerdict.ALLOWED : flight.mayGo();
     if (verdict != SendVerdict.ALLOWED) {
       owner.withheld(flight, verdict);
-      owner.later(() -> owner.ended(flight, StreamEnd.WITHDRAWN.outcome(false, false)));
+      owner.later(() -> owner.ended(flight, StreamTermination.WITHDRAWN.outcome(false, false)));
       return;
     }
     List<Header> headers = new ArrayList<>(8);
@@ -167,7 +167,8 @@
       stream = connection.open(headers, body);
     } catch (IllegalArgumentException e) {
       owner.rarely("engine " + site.id + " takes no header lists that long");
-      owner.later(() -> owner.ended(flight, StreamEnd.NO_ROOM.outcome(false, flight.begun())));
+      owner.later(
+          () -> owner.ended(flight, StreamTermination.NO_ROOM.outcome(false, flight.begun())));
       return;
     }
     Ride ride = new Ride(flight, stream);
@@ -203,7 +204,7 @@
     boolean sent = ride.place != Long.MAX_VALUE;
     drop(ride);
     flush();
-    return StreamEnd.CANCELLED.outcome(sent || flight.begun(), flight.begun());
+    return StreamTermination.CANCELLED.outcome(sent || flight.begun(), flight.begun());
   }
 
   /** A hop is over, by whatever ended it. */
@@ -223,7 +224,7 @@
     forget(ride);
     idleSince = owner.now();
     if (rides.isEmpty() && (retired || connection.isSpent())) {
-      end(StreamEnd.CUT, DisconnectReason.CLOSED_BY_US);
+      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
@@ -286,7 +287,7 @@
   @Override
   public void ended(DisconnectReason how) {
     exact = true;
-    end(StreamEnd.CUT, how);
+    end(StreamTermination.CUT, how);
   }
 
   private void take(Event event) {
@@ -301,13 +302,13 @@
     } else if (event instanceof Event.Broken broken) {
       owner.rarely("engine " + site.id + " broke HTTP/2: " + broken.why());
       flush();
-      end(StreamEnd.GARBLED, DisconnectReason.GARBLED);
+      end(StreamTermination.GARBLED, DisconnectReason.GARBLED);
     } else if (event instanceof Event.Leaving && rides.isEmpty()) {
-      end(StreamEnd.CUT, DisconnectReason.CLOSED_BY_US);
+      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
-  private void ended(Ride ride, StreamEnd how) {
+  private void ended(Ride ride, StreamTermination how) {
     if (ride != null) {
       finish(ride, how);
     }
@@ -356,15 +357,15 @@
     } else if (!first && answer.status() == 206) {
       ride.answered = true;
     } else if (!first) {
-      finish(ride, StreamEnd.GARBLED);
+      finish(ride, StreamTermination.GARBLED);
       return;
     } else {
       boolean full = answer.status() == FULL_1 || answer.status() == FULL_2;
       finish(
           ride,
           ran
-              ? StreamEnd.ANSWERED_ERROR
-              : full ? StreamEnd.ANSWERED_FULL : StreamEnd.ANSWERED_STALE);
+              ? StreamTermination.ANSWERED_ERROR
+              : full ? StreamTermination.ANSWERED_FULL : StreamTermination.ANSWERED_STALE);
       return;
     }
     if (answer.last()) {
@@ -378,7 +379,7 @@
     }
     if (ride.flight.answerSize() + body.bytes().length > RESULT_MOST) {
       owner.rarely("engine " + site.id + " sent a result too long");
-      finish(ride, StreamEnd.GARBLED);
+      finish(ride, StreamTermination.GARBLED);
       return;
     }
     ride.flight.answerGrows(body.bytes());
@@ -393,7 +394,9 @@
     forget(ride);
     idleSince = owner.now();
     boolean sound = ride.flight.completeAnswer();
-    owner.ended(ride.flight, (sound ? StreamEnd.ANSWERED : StreamEnd.GARBLED).outcome(true, true));
+    owner.ended(
+        ride.flight,
+        (sound ? StreamTermination.ANSWERED : StreamTermination.GARBLED).outcome(true, true));
     closeIfSpent();
   }
 
@@ -401,12 +404,12 @@
    * A stream is over and its hop with it, unless the rest of its result can be had on another
    * connection.
    */
-  private void finish(Ride ride, StreamEnd how) {
+  private void finish(Ride ride, StreamTermination how) {
     connection.cancel(ride.stream, ErrorCode.CANCEL);
     forget(ride);
     idleSince = owner.now();
     boolean begun = ride.flight.begun();
-    if (how == StreamEnd.ANSWERED_ERROR || how == StreamEnd.ANSWERED_FULL) {
+    if (how == StreamTermination.ANSWERED_ERROR || how == StreamTermination.ANSWERED_FULL) {
       answered++;
     }
     if (!(begun && how.mayBeMended() && carrier.mend(ride.flight))) {
@@ -417,7 +420,7 @@
 
   private void closeIfSpent() {
     if (!over && rides.isEmpty() && (retired || connection.isSpent())) {
-      end(StreamEnd.CUT, DisconnectReason.CLOSED_BY_US);
+      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
@@ -439,7 +442,7 @@
     if (rides.isEmpty() || !open) {
       connection.goAway();
       flush();
-      end(StreamEnd.CUT, DisconnectReason.CLOSED_BY_US);
+      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
@@ -456,13 +459,13 @@
       return;
     }
     if (!up() && now >= dialedAt + connectMost) {
-      end(StreamEnd.CUT, DisconnectReason.NEVER_UP);
+      end(StreamTermination.CUT, DisconnectReason.NEVER_UP);
       return;
     }
     for (Ride ride : List.copyOf(rides.values())) {
       boolean held = !whole(ride) && !ride.flight.begun() && !site.ready();
       if (held && ride.place == Long.MAX_VALUE) {
-        finish(ride, StreamEnd.WITHDRAWN);
+        finish(ride, StreamTermination.WITHDRAWN);
       } else if (held && now >= ride.flight.hop.sentAt + owner.holdMost()) {
         // What went out of it is known once the connection has ended.
         retired = true;
@@ -472,7 +475,7 @@
         ride.shutSince = ride.shutSince == 0 ? now : ride.shutSince;
         if (now >= ride.shutSince + connectMost) {
           owner.rarely("engine " + site.id + " keeps its window shut");
-          finish(ride, StreamEnd.WINDOW_SHUT);
+          finish(ride, StreamTermination.WINDOW_SHUT);
         }
       }
     }
@@ -493,7 +496,7 @@
     if (!carrier.heardSince(askedAt)) {
       carrier.tryAnew();
     } else if (now >= askedAt + connectMost) {
-      end(StreamEnd.MUTE, DisconnectReason.MUTE);
+      end(StreamTermination.MUTE, DisconnectReason.MUTE);
     }
   }
 
@@ -507,14 +510,14 @@
     }
     if (silent) {
       owner.rarely("engine " + site.id + " is silent, " + rides.size() + " hops end in doubt");
-      end(StreamEnd.SILENT, DisconnectReason.SILENT);
+      end(StreamTermination.SILENT, DisconnectReason.SILENT);
     } else if (rides.isEmpty()) {
       retire();
     }
   }
 
   /** The connection is over; each hop on it ends as that means for it. */
-  private void end(StreamEnd how, DisconnectReason connectionEnd) {
+  private void end(StreamTermination how, DisconnectReason connectionEnd) {
     if (over) {
       return;
     }
--- a/http2/src/main/java/tillerlink/net/http2/H2Carrier.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -5,7 +5,7 @@
 import java.util.Iterator;
 import java.util.List;
 import tillerlink.model.AttemptOutcome;
-import tillerlink.net.pool.Pool;
+import tillerlink.net.pool.StreamPool;
 import tillerlink.net.state.EngineAddress;
 import tillerlink.net.state.EngineTransport;
 import tillerlink.net.state.InFlightAttempt;
@@ -15,7 +15,7 @@
  * streams. A hop that finds no room waits, for a bounded time; what its ending proves is told to
  * the module as an outcome.
  */
-public final class H2Carrier implements EngineTransport {
+public final class Http2Transport implements EngineTransport {
   private static final int CONNECTIONS_MOST = 4;
   private static final int STREAMS_MOST = 256;
 
@@ -26,20 +26,20 @@
 
   final Owner owner;
   final EngineAddress site;
-  private final Pool pool;
+  private final StreamPool pool;
   private final int waitingMost;
-  private final List<H2Link> links = new ArrayList<>(2);
+  private final List<Http2EngineConnection> links = new ArrayList<>(2);
   private final ArrayDeque<InFlightAttempt> waiting = new ArrayDeque<>();
   private boolean serving;
 
   /**
    * @param streamsMost streams on one connection; 0 for a bound of our own
    */
-  public H2Carrier(Owner owner, EngineAddress site, int streamsMost) {
+  public Http2Transport(Owner owner, EngineAddress site, int streamsMost) {
     this.owner = owner;
     this.site = site;
     int streams = streamsMost > 0 ? Math.min(streamsMost, STREAMS_MOST) : STREAMS_MOST;
-    pool = new Pool(streams, CONNECTIONS_MOST);
+    pool = new StreamPool(streams, CONNECTIONS_MOST);
     waitingMost = WAITING_TIMES * streams;
   }
 
@@ -47,7 +47,7 @@
   public void send(InFlightAttempt flight) {
     if (waiting.size() >= waitingMost) {
       owner.rarely("no room for a further stream to engine " + site.id);
-      unsent(flight, StreamEnd.NO_ROOM);
+      unsent(flight, StreamTermination.NO_ROOM);
       return;
     }
     waiting.add(flight);
@@ -55,7 +55,7 @@
   }
 
   /** Nothing of a hop was written, and nothing will be. */
-  private void unsent(InFlightAttempt flight, StreamEnd how) {
+  private void unsent(InFlightAttempt flight, StreamTermination how) {
     owner.later(() -> owner.ended(flight, how.outcome(false, false)));
   }
 
@@ -67,14 +67,14 @@
     serving = true;
     while (!waiting.isEmpty()) {
       if (!site.ready() && !waiting.peek().begun()) {
-        unsent(waiting.poll(), StreamEnd.WITHDRAWN);
+        unsent(waiting.poll(), StreamTermination.WITHDRAWN);
         continue;
       }
-      int part = Pool.part(owner.linksMost(), owner.links(), owner.engines(), links.size());
-      Pool.Choice choice = pool.choose(links, waiting.size() - 1, part);
-      if (choice.verdict() == Pool.Verdict.USE) {
-        ((H2Link) choice.member()).send(waiting.poll());
-      } else if (choice.verdict() == Pool.Verdict.DIAL) {
+      int part = StreamPool.part(owner.linksMost(), owner.links(), owner.engines(), links.size());
+      StreamPool.Choice choice = pool.choose(links, waiting.size() - 1, part);
+      if (choice.verdict() == StreamPool.Verdict.USE) {
+        ((Http2EngineConnection) choice.member()).send(waiting.poll());
+      } else if (choice.verdict() == StreamPool.Verdict.DIAL) {
         dial();
       } else {
         break;
@@ -84,7 +84,7 @@
   }
 
   private void dial() {
-    H2Link link = new H2Link(this, owner.now());
+    Http2EngineConnection link = new Http2EngineConnection(this, owner.now());
     owner.counted(1);
     links.add(link);
     link.dial();
@@ -92,12 +92,13 @@
 
   /** Shows whether anybody is there, unless a new connection is about to. */
   void tryAnew() {
-    if (links.stream().noneMatch(H2Link::dialing) && owner.links() < owner.linksMost()) {
+    if (links.stream().noneMatch(Http2EngineConnection::dialing)
+        && owner.links() < owner.linksMost()) {
       dial();
     }
   }
 
-  void linkEnded(H2Link link) {
+  void linkEnded(Http2EngineConnection link) {
     links.remove(link);
     owner.counted(-1);
   }
@@ -107,7 +108,7 @@
    * to go.
    */
   void nobodyThere(AttemptOutcome outcome) {
-    List.copyOf(links).forEach(H2Link::nobodyThere);
+    List.copyOf(links).forEach(Http2EngineConnection::nobodyThere);
     if (links.stream().noneMatch(link -> link.up() && link.sound())) {
       while (!waiting.isEmpty()) {
         InFlightAttempt flight = waiting.poll();
@@ -134,19 +135,19 @@
 
   @Override
   public AttemptOutcome giveUp(InFlightAttempt flight) {
-    for (H2Link link : links) {
+    for (Http2EngineConnection link : links) {
       if (link.bears(flight)) {
         return link.giveUp(flight);
       }
     }
     waiting.remove(flight);
-    return StreamEnd.CANCELLED.outcome(flight.begun(), flight.begun());
+    return StreamTermination.CANCELLED.outcome(flight.begun(), flight.begun());
   }
 
   @Override
   public void release(InFlightAttempt flight) {
     waiting.remove(flight);
-    for (H2Link link : links) {
+    for (Http2EngineConnection link : links) {
       if (link.bears(flight)) {
         link.release(flight);
         break;
@@ -164,10 +165,10 @@
         i.remove();
       } else if (now >= flight.hop.sentAt + connectMost && !flight.begun()) {
         i.remove();
-        unsent(flight, StreamEnd.NO_ROOM);
+        unsent(flight, StreamTermination.NO_ROOM);
       }
     }
-    for (H2Link link : List.copyOf(links)) {
+    for (Http2EngineConnection link : List.copyOf(links)) {
       link.sweep(connectMost);
       if (link.up() && pool.over(link, now, idleMost)) {
         link.retire();
@@ -178,7 +179,7 @@
 
   @Override
   public void retireAll() {
-    List.copyOf(links).forEach(H2Link::retire);
+    List.copyOf(links).forEach(Http2EngineConnection::retire);
   }
 
   @Override
--- a/http2/src/main/java/tillerlink/net/http2/H2Carriers.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2TransportFactory.java
@@ -5,10 +5,10 @@
 import tillerlink.net.state.EngineTransport;
 
 /** Which kinds of engines are reached over HTTP/2; the others over engine lines. */
-public record H2Carriers(boolean all, Set<String> kinds, int streamsMost)
+public record Http2TransportFactory(boolean all, Set<String> kinds, int streamsMost)
     implements EngineTransport.Factory {
   @Override
   public EngineTransport of(EngineTransport.Owner owner, EngineAddress site, String kind) {
-    return all || kinds.contains(kind) ? new H2Carrier(owner, site, streamsMost) : null;
+    return all || kinds.contains(kind) ? new Http2Transport(owner, site, streamsMost) : null;
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/StreamEnd.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
@@ -6,7 +6,7 @@
  * Every way a stream can end, and what each means for the hop that it bore. Which of them prove
  * that nothing ran is argued line by line in docs/http2-design.md.
  */
-public enum StreamEnd {
+public enum StreamTermination {
   /** Its answer came whole. */
   ANSWERED,
   /** The answer says that the engine was full and did not run it. */
--- a/http2/src/main/java/tillerlink/net/pool/Pool.java
+++ b/http2/src/main/java/tillerlink/net/pool/StreamPool.java
@@ -6,7 +6,7 @@
  * Which connection of one engine the next stream goes to, when another is opened, and when one is
  * given up. It does no I/O and keeps no clock: it is asked with what there is.
  */
-public final class Pool {
+public final class StreamPool {
   /** A connection as the pool sees it. */
   public interface Member {
     /** It came up and the engine's settings were heard. */
@@ -66,7 +66,7 @@
    * @param streamsMost streams on one connection, whatever the engine allows
    * @param connectionsMost connections to one engine, whatever the fleet's bound leaves
    */
-  public Pool(int streamsMost, int connectionsMost) {
+  public StreamPool(int streamsMost, int connectionsMost) {
     this.streamsMost = streamsMost;
     this.connectionsMost = connectionsMost;
   }
--- a/http2/src/test/java/tillerlink/net/http2/ConnectionTest.java
+++ b/http2/src/test/java/tillerlink/net/http2/ConnectionTest.java
@@ -13,7 +13,7 @@
 
   @Test
   void aStreamFromRequestToAnswer() {
-    Connection c = new Connection();
+    Http2ClientConnection c = new Http2ClientConnection();
     assertEquals("SETTINGS WINDOW+983041", peer.heard(c));
     assertEquals("limit=2", peer.settings(3, 2).to(c));
     assertEquals("ACK", peer.heard(c));
@@ -47,7 +47,7 @@
     peer.data(3, "", false).data(3, "z", true).say.goAway(3, ErrorCode.NO_ERROR);
     byte[] all = peer.say.take();
     for (int split = 0; split <= all.length; split++) {
-      Connection c = Peer.connected(new Peer(), 2);
+      Http2ClientConnection c = Peer.connected(new Peer(), 2);
       Peer.events(c);
       c.feed(Arrays.copyOf(all, split));
       c.feed(Arrays.copyOfRange(all, split, all.length));
@@ -62,7 +62,7 @@
 
   @Test
   void goAwayTellsWhichStreamsNeverRan() {
-    Connection c = Peer.connected(peer, 4);
+    Http2ClientConnection c = Peer.connected(peer, 4);
     peer.say.goAway(3, ErrorCode.NO_ERROR);
     assertEquals("ended5:ABOVE_GOAWAY ended7:ABOVE_GOAWAY leaving:3", peer.to(c));
     assertTrue(c.isSpent());
@@ -75,7 +75,7 @@
 
   @Test
   void theGracefulGoAwayHasTwoSteps() {
-    Connection c = Peer.connected(peer, 2);
+    Http2ClientConnection c = Peer.connected(peer, 2);
     peer.say.goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
     assertEquals("leaving:2147483647", peer.to(c));
     assertFalse(c.takesStreams());
@@ -87,7 +87,7 @@
 
   @Test
   void aLimitMayFallBelowWhatIsOpenAndRiseAgain() {
-    Connection c = Peer.connected(peer, 3);
+    Http2ClientConnection c = Peer.connected(peer, 3);
     assertEquals("limit=1", peer.settings(3, 1).to(c));
     assertFalse(c.takesStreams());
     assertEquals(
@@ -100,7 +100,7 @@
 
   @Test
   void bodiesShareTheWindowsInTurn() {
-    Connection c = Peer.connected(peer, 0);
+    Http2ClientConnection c = Peer.connected(peer, 0);
     peer.settings(4, 30_000).to(c);
     Peer.open(c, "a".repeat(40_000));
     Peer.open(c, "b".repeat(40_000));
@@ -127,7 +127,7 @@
 
   @Test
   void anAnswerBeforeTheRequestWasWhollySent() {
-    Connection c = Peer.connected(peer, 0);
+    Http2ClientConnection c = Peer.connected(peer, 0);
     peer.settings(4, 0).to(c);
     Peer.open(c, "body");
     assertEquals("ACK HEADERS1/p", peer.heard(c));
@@ -138,7 +138,7 @@
 
   @Test
   void ourWindowIsHandedBack() {
-    Connection c = Peer.connected(peer, 40);
+    Http2ClientConnection c = Peer.connected(peer, 40);
     String page = "x".repeat(16_000);
     for (int i = 0; i < 35; i++) {
       peer.answer(1 + 2 * i, 200, false).data(1 + 2 * i, page, true);
@@ -151,7 +151,7 @@
 
   @Test
   void resets() {
-    Connection c = Peer.connected(peer, 4);
+    Http2ClientConnection c = Peer.connected(peer, 4);
     peer.say.reset(1, ErrorCode.REFUSED_STREAM);
     peer.say.reset(3, ErrorCode.INTERNAL_ERROR);
     peer.answer(5, 200, false).say.reset(5, ErrorCode.CANCEL);
@@ -170,14 +170,14 @@
 
   @Test
   void refusedAfterTheAnswerBeganProvesNothing() {
-    Connection c = Peer.connected(peer, 1);
+    Http2ClientConnection c = Peer.connected(peer, 1);
     peer.answer(1, 200, false).say.reset(1, ErrorCode.REFUSED_STREAM);
     assertEquals("answer1:200 ended1:RESET_IN_ANSWER", peer.to(c));
   }
 
   @Test
   void pings() {
-    Connection c = Peer.connected(peer, 0);
+    Http2ClientConnection c = Peer.connected(peer, 0);
     c.ping();
     assertEquals("PING", peer.heard(c));
     peer.say.frame(Frame.PING, Frame.ACK, 0, 0, 7);
@@ -191,7 +191,7 @@
 
   @Test
   void streamIdsRunOut() {
-    Connection c = Peer.connected(peer, 0);
+    Http2ClientConnection c = Peer.connected(peer, 0);
     assertFalse(c.isSpent());
     peer.say.goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
     peer.to(c);
--- a/http2/src/test/java/tillerlink/net/http2/MalformedTest.java
+++ b/http2/src/test/java/tillerlink/net/http2/MalformedTest.java
@@ -15,7 +15,7 @@
 
   private void says(String section, String what, Consumer<Peer> says) {
     Peer peer = new Peer();
-    Connection c = Peer.connected(peer, 2);
+    Http2ClientConnection c = Peer.connected(peer, 2);
     says.accept(peer);
     String events = peer.to(c);
     printed
@@ -194,7 +194,7 @@
     StringBuilder found = new StringBuilder();
     for (String name : names) {
       Peer peer = new Peer();
-      Connection c = Peer.connected(peer, 2);
+      Http2ClientConnection c = Peer.connected(peer, 2);
       int said = 0;
       String events = "";
       while (said < 20_000 && !events.contains("broken") && !events.contains("ended1")) {
@@ -236,7 +236,7 @@
   @Test
   void aHeaderListThatGrowsWhenItIsDecoded() {
     Peer peer = new Peer();
-    Connection c = Peer.connected(peer, 2);
+    Http2ClientConnection c = Peer.connected(peer, 2);
     // One long header put into the table, then named again and again by a byte.
     byte[] bomb = new byte[6000];
     int at = 0;
--- a/http2/src/test/java/tillerlink/net/http2/Peer.java
+++ b/http2/src/test/java/tillerlink/net/http2/Peer.java
@@ -23,7 +23,7 @@
   }
 
   /** Frames that came, one after the other, since that was last asked. */
-  String heard(Connection connection) {
+  String heard(Http2ClientConnection connection) {
     reader.feed(connection.take());
     for (Frame frame = reader.next(); frame != null; frame = reader.next()) {
       seen.add(print(frame));
@@ -96,12 +96,12 @@
   }
 
   /** What was said goes to the connection; what happened there, printed. */
-  String to(Connection connection) {
+  String to(Http2ClientConnection connection) {
     connection.feed(say.take());
     return events(connection);
   }
 
-  static String events(Connection connection) {
+  static String events(Http2ClientConnection connection) {
     List<String> all = new ArrayList<>();
     for (Event event = connection.next(); event != null; event = connection.next()) {
       if (event instanceof Event.Limits limits) {
@@ -135,8 +135,8 @@
    * A connection on which so many streams were opened, each with a small body, and a peer that has
    * said its settings.
    */
-  static Connection connected(Peer peer, int streams) {
-    Connection connection = new Connection();
+  static Http2ClientConnection connected(Peer peer, int streams) {
+    Http2ClientConnection connection = new Http2ClientConnection();
     peer.settings().to(connection);
     for (int i = 0; i < streams; i++) {
       open(connection, "x");
@@ -145,7 +145,7 @@
     return connection;
   }
 
-  static int open(Connection connection, String body) {
+  static int open(Http2ClientConnection connection, String body) {
     return connection.open(
         List.of(new BasicHeader(":method", "POST"), new BasicHeader(":path", "/p")),
         body.getBytes(StandardCharsets.US_ASCII));
--- a/operator/src/main/java/tillerlink/operator/Http2Part.java
+++ b/operator/src/main/java/tillerlink/operator/Http2Part.java
@@ -2,19 +2,19 @@
 
 import java.util.LinkedHashSet;
 import java.util.Set;
-import tillerlink.net.http2.H2Carriers;
+import tillerlink.net.http2.Http2TransportFactory;
 
 /** The part <code>http2</code>. */
 final class Http2Part {
   private Http2Part() {}
 
   /** Which engines are reached over HTTP/2. */
-  static H2Carriers read(Section section) {
+  static Http2TransportFactory read(Section section) {
     if (section == null) {
       return null;
     }
-    H2Carriers carriers =
-        new H2Carriers(
+    Http2TransportFactory carriers =
+        new Http2TransportFactory(
             section.flag("all", false),
             Set.copyOf(new LinkedHashSet<>(section.texts("kinds", false))),
             (int) section.whole("streams_most", 1, 100_000, 0));
--- a/operator/src/main/java/tillerlink/operator/OperatorFile.java
+++ b/operator/src/main/java/tillerlink/operator/OperatorFile.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
-import tillerlink.net.http2.H2Carriers;
+import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.trace.Layout;
 import tillerlink.workload.Plan;
 import tillerlink.workload.Track;
@@ -18,7 +18,7 @@
  */
 public record OperatorFile(
     Log log,
-    H2Carriers http2,
+    Http2TransportFactory http2,
     Storing store,
     Members members,
     Channels channels,
--- a/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
@@ -13,7 +13,7 @@
 import tillerlink.fleet.Spec;
 import tillerlink.fleet.Trouble;
 import tillerlink.model.Effect;
-import tillerlink.net.http2.H2Carriers;
+import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.trace.Layout;
 import tillerlink.workload.Plan;
 import tillerlink.workload.Track;
@@ -35,7 +35,7 @@
   @Test
   void logHttp2StoreAndReplay() {
     assertEquals(new OperatorFile.Log(OperatorFile.Form.TEXT, OperatorFile.Level.INFO), file.log());
-    assertEquals(new H2Carriers(false, Set.of("big-16"), 256), file.http2());
+    assertEquals(new Http2TransportFactory(false, Set.of("big-16"), 256), file.http2());
     assertEquals(
         new OperatorFile.Storing("/var/lib/tillerlink", 864_000_000, 16_777_216), file.store());
     assertEquals(
