--- a/bench/src/main/java/tillerlink/jmh/StoreAppends.java
+++ b/bench/src/main/java/tillerlink/jmh/StoreAppends.java
@@ -7,8 +7,8 @@
 import java.util.stream.Stream;
 import org.h2.mvstore.MVMap;
 import org.h2.mvstore.MVStore;
-import tillerlink.store.Folder;
-import tillerlink.store.Table;
+import tillerlink.store.DurableTable;
+import tillerlink.store.FileSystemDirectory;
 
 /**
  * The store against H2 MVStore in one run: appends by durability, recovery, and what lies on disk.
@@ -40,7 +40,8 @@
   private static void table(int group) throws IOException {
     Path folder = Files.createTempDirectory("appends-");
     long count = 0;
-    try (Table table = new Table(new Folder(folder), 1, 4 << 20, 1 << 24)) {
+    try (DurableTable table =
+        new DurableTable(new FileSystemDirectory(folder), 1, 4 << 20, 1 << 24)) {
       table.open();
       long until = System.nanoTime() + NANOS;
       while (System.nanoTime() < until) {
@@ -84,7 +85,8 @@
   private static void kept(int engines) throws IOException {
     Path folder = Files.createTempDirectory("kept-");
     long written = 0;
-    try (Table table = new Table(new Folder(folder), 1, 1 << 20, 1 << 28)) {
+    try (DurableTable table =
+        new DurableTable(new FileSystemDirectory(folder), 1, 1 << 20, 1 << 28)) {
       table.open();
       for (int turn = 0; turn < 5; turn++) {
         for (int i = 0; i < engines; i++) {
@@ -95,7 +97,8 @@
       }
     }
     long began = System.nanoTime();
-    try (Table table = new Table(new Folder(folder), 1, 1 << 20, 1 << 28)) {
+    try (DurableTable table =
+        new DurableTable(new FileSystemDirectory(folder), 1, 1 << 20, 1 << 28)) {
       table.open();
       System.out.printf(
           Locale.ROOT,
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Seen.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
@@ -10,7 +10,7 @@
  *
  * @param entry as discovery told it; {@code GONE} once it told it no more
  */
-record Seen(EndpointEntry entry, long goneAt) {
+record CachedEndpoint(EndpointEntry entry, long goneAt) {
   private static final int FIELDS = 10;
   private static final String SEPARATOR = "\t";
 
@@ -31,13 +31,13 @@
   }
 
   /** Null if it can't be read: then that engine is as if it had not been seen. */
-  static Seen decoded(String id, byte[] value) {
+  static CachedEndpoint decoded(String id, byte[] value) {
     String[] parts = new String(value, StandardCharsets.UTF_8).split(SEPARATOR, -1);
     if (parts.length < FIELDS) {
       return null;
     }
     try {
-      return new Seen(
+      return new CachedEndpoint(
           new EndpointEntry(
               id,
               parts[0],
@@ -54,9 +54,9 @@
     }
   }
 
-  Seen gone(long at) {
+  CachedEndpoint gone(long at) {
     EndpointEntry e = entry;
-    return new Seen(
+    return new CachedEndpoint(
         new EndpointEntry(
             e.id(),
             e.address(),
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Memory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -21,7 +21,7 @@
  * how fast the fleet changes. It does no I/O: what is to be kept goes to a {@link Sink}, at a
  * bounded rate.
  */
-public final class Memory implements EndpointCache {
+public final class EndpointHistory implements EndpointCache {
   /** Where what is to be kept goes; it never waits. */
   @FunctionalInterface
   public interface Sink {
@@ -54,8 +54,8 @@
   private final long longestDeadline;
   private final long warmWithin;
   private final long ageMost;
-  private final NavigableMap<String, Seen> wanted = new TreeMap<>();
-  private final Map<String, Seen> kept = new LinkedHashMap<>();
+  private final NavigableMap<String, CachedEndpoint> wanted = new TreeMap<>();
+  private final Map<String, CachedEndpoint> kept = new LinkedHashMap<>();
   private final DecayingSum changes;
   private long confirmedAt;
   private long listKeptAt = Long.MIN_VALUE;
@@ -73,7 +73,7 @@
    * @param warmWithin how long an engine counts as cold
    * @param ageMost from which age on a list is not trusted at all; all are tenths of a millisecond
    */
-  public Memory(
+  public EndpointHistory(
       NavigableMap<String, byte[]> stored,
       long longestDeadline,
       long warmWithin,
@@ -88,7 +88,7 @@
         (key, value) -> {
           if (key.startsWith(ENGINE)) {
             String id = key.substring(ENGINE.length());
-            Seen seen = Seen.decoded(id, value);
+            CachedEndpoint seen = CachedEndpoint.decoded(id, value);
             if (seen != null) {
               wanted.put(id, seen);
               kept.put(id, seen);
@@ -112,21 +112,21 @@
   // ---- a start with discovery down ----
 
   /** How far what is remembered is trusted now. */
-  public Trust trust(long now) {
+  public StalenessModel trust(long now) {
     return confirmedAt == 0
-        ? Trust.TOO_OLD
-        : Trust.of(now - confirmedAt, rateAtStart, longestDeadline, ageMost);
+        ? StalenessModel.TOO_OLD
+        : StalenessModel.of(now - confirmedAt, rateAtStart, longestDeadline, ageMost);
   }
 
   @Override
   public Remembered atStart(long now) {
-    Trust trust = trust(now);
-    if (trust == Trust.TOO_OLD) {
+    StalenessModel trust = trust(now);
+    if (trust == StalenessModel.TOO_OLD) {
       return new Remembered(null, Map.of());
     }
     List<EndpointEntry> entries = new ArrayList<>();
     Map<String, Double> levels = new LinkedHashMap<>();
-    for (Seen seen : wanted.values()) {
+    for (CachedEndpoint seen : wanted.values()) {
       if (!seen.isGone()) {
         entries.add(coldIfNew(seen.entry(), now));
         levels.put(seen.entry().id(), trust.level);
@@ -161,7 +161,7 @@
     Map<String, EndpointEntry> listed = new LinkedHashMap<>();
     news.entries().forEach(entry -> listed.put(entry.id(), entry));
     Set<String> lost = new LinkedHashSet<>();
-    for (Seen seen : wanted.values()) {
+    for (CachedEndpoint seen : wanted.values()) {
       if (news.whole() && !seen.isGone() && !listed.containsKey(seen.entry().id())) {
         lost.add(seen.entry().id());
       }
@@ -177,7 +177,7 @@
       changes.add(now, lost.size());
     }
     for (EndpointEntry entry : news.entries()) {
-      Seen before = wanted.get(entry.id());
+      CachedEndpoint before = wanted.get(entry.id());
       boolean another =
           before == null || before.isGone() || before.entry().startedMs() != entry.startedMs();
       changes.add(now, told && another ? 1 : 0);
@@ -185,8 +185,8 @@
         wanted.put(
             entry.id(),
             entry.standing() == Engine.Standing.GONE
-                ? new Seen(entry, 0).gone(now / TENTHS_PER_MS)
-                : new Seen(entry, 0));
+                ? new CachedEndpoint(entry, 0).gone(now / TENTHS_PER_MS)
+                : new CachedEndpoint(entry, 0));
       }
     }
     if (!held) {
@@ -230,8 +230,8 @@
 
   /** Those that have been gone for long can't be brought back by any list that is trusted. */
   private void forgetOld(long now) {
-    for (Iterator<Seen> i = wanted.values().iterator(); i.hasNext(); ) {
-      Seen seen = i.next();
+    for (Iterator<CachedEndpoint> i = wanted.values().iterator(); i.hasNext(); ) {
+      CachedEndpoint seen = i.next();
       if (seen.isGone() && now > seen.goneAt() * TENTHS_PER_MS + GONE_KEPT * longestDeadline) {
         i.remove();
       }
@@ -241,7 +241,7 @@
   /** The one place where what is to be kept and what is kept are compared. */
   private void emit(long now) {
     boolean changed = false;
-    for (Map.Entry<String, Seen> entry : wanted.entrySet()) {
+    for (Map.Entry<String, CachedEndpoint> entry : wanted.entrySet()) {
       if (!entry.getValue().equals(kept.get(entry.getKey()))) {
         kept.put(entry.getKey(), entry.getValue());
         sink.keep(ENGINE + entry.getKey(), entry.getValue().encoded(), true);
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Remembering.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
@@ -11,23 +11,23 @@
 import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.GatewayConfig;
 import tillerlink.plain.FlattenedConfig;
-import tillerlink.store.Folder;
-import tillerlink.store.Found;
-import tillerlink.store.Keeper;
-import tillerlink.store.Table;
+import tillerlink.store.AsyncTableWriter;
+import tillerlink.store.DurableTable;
+import tillerlink.store.FileSystemDirectory;
+import tillerlink.store.RecoveryReport;
 
 /**
  * Opens what one gateway remembers, in a folder of its own. Whatever the disk does, the gateway
  * serves.
  */
-public final class Remembering {
-  private static final Logger LOG = LoggerFactory.getLogger(Remembering.class);
+public final class PersistentEndpointCache {
+  private static final Logger LOG = LoggerFactory.getLogger(PersistentEndpointCache.class);
   private static final long SEGMENT_MOST = 1 << 20;
   private static final int WAITING_MOST = 20_000;
   private static final long GROUP_MS = 100;
   private static final long LAZY_MS = 5000;
 
-  private Remembering() {}
+  private PersistentEndpointCache() {}
 
   /**
    * @param within the folder under which each gateway has its own, by its name
@@ -43,30 +43,33 @@
     }
     long warm = terms.number("guarantees.warm_within", 0);
     try {
-      Table table =
-          new Table(
-              new Folder(within.resolve(assignment.name())),
+      DurableTable table =
+          new DurableTable(
+              new FileSystemDirectory(within.resolve(assignment.name())),
               owner(assignment.name()),
               SEGMENT_MOST,
               bytesMost);
-      Found found = table.open();
+      RecoveryReport found = table.open();
       found.told().forEach(line -> LOG.atWarn().addKeyValue("store", found.state()).log(line));
       if (found.usable()) {
-        Keeper keeper = new Keeper(table, WAITING_MOST, GROUP_MS, LAZY_MS);
+        AsyncTableWriter keeper = new AsyncTableWriter(table, WAITING_MOST, GROUP_MS, LAZY_MS);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> close(keeper), "keep"));
-        return new Memory(
+        return new EndpointHistory(
             new TreeMap<>(table.values()),
             longest,
             warm,
             ageMost,
             (key, value, soon) ->
                 keeper.set(
-                    key, value, soon ? Keeper.Durability.GROUPED : Keeper.Durability.LAZY, null));
+                    key,
+                    value,
+                    soon ? AsyncTableWriter.Durability.GROUPED : AsyncTableWriter.Durability.LAZY,
+                    null));
       }
     } catch (IOException e) {
       LOG.warn("the store can't be opened, nothing is remembered: {}", e.toString());
     }
-    return new Memory(new TreeMap<>(), longest, warm, ageMost, (key, value, soon) -> {});
+    return new EndpointHistory(new TreeMap<>(), longest, warm, ageMost, (key, value, soon) -> {});
   }
 
   /** Whose store it is, so that one copied from another gateway is not taken for ours. */
@@ -76,7 +79,7 @@
     return crc.getValue() << 8 | 1;
   }
 
-  private static void close(Keeper keeper) {
+  private static void close(AsyncTableWriter keeper) {
     try {
       keeper.close();
     } catch (IOException e) {
--- a/endpointcache/src/main/java/tillerlink/endpointcache/Trust.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/StalenessModel.java
@@ -4,7 +4,7 @@
  * How far a remembered list is trusted, by its age and by how fast the fleet was seen to change. It
  * does no I/O. Times are tenths of a millisecond.
  */
-public enum Trust {
+public enum StalenessModel {
   FRESH(0.9),
   AGEING(0.6),
   OLD(0.3),
@@ -22,7 +22,7 @@
   /** What the module is told: 1 would be a list that was just confirmed. */
   public final double level;
 
-  Trust(double level) {
+  StalenessModel(double level) {
     this.level = level;
   }
 
@@ -36,7 +36,7 @@
    * @param longestDeadline the longest deadline of any track
    * @param ageMost from which age on nothing is trusted
    */
-  public static Trust of(long age, double changes, long longestDeadline, long ageMost) {
+  public static StalenessModel of(long age, double changes, long longestDeadline, long ageMost) {
     if (age < -CLOCK_SLACK * longestDeadline) {
       return OLD;
     }
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
@@ -26,8 +26,8 @@
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.net.wire.GatewayConfig;
-import tillerlink.store.Folder;
-import tillerlink.store.Table;
+import tillerlink.store.DurableTable;
+import tillerlink.store.FileSystemDirectory;
 
 /**
  * Guards how the remembered list of endpoints is stored: the names, the fields in their order, and
@@ -72,7 +72,7 @@
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     Map<String, Object> terms = Map.of("profiles", List.of(Map.of("hard_limit", LONGEST)));
     GatewayConfig assignment = new GatewayConfig(GATEWAY, any, any, 7, 1024, terms, List.of());
-    return Remembering.open(folder, assignment, AGE_MOST, 1 << 20);
+    return PersistentEndpointCache.open(folder, assignment, AGE_MOST, 1 << 20);
   }
 
   private static EndpointEntry serves() {
@@ -107,9 +107,12 @@
   /** Opened by the store alone, with the owner that this gateway's name gives. */
   private NavigableMap<String, byte[]> stored() throws IOException {
     copy();
-    try (Table table =
-        new Table(
-            new Folder(folder.resolve(GATEWAY)), Remembering.owner(GATEWAY), 1 << 20, 1 << 20)) {
+    try (DurableTable table =
+        new DurableTable(
+            new FileSystemDirectory(folder.resolve(GATEWAY)),
+            PersistentEndpointCache.owner(GATEWAY),
+            1 << 20,
+            1 << 20)) {
       assertEquals("WHOLE", table.open().state().name());
       return new TreeMap<>(table.values());
     }
@@ -123,26 +126,31 @@
   @Test
   void eachStandingIsReadFromItsWord() throws IOException {
     NavigableMap<String, byte[]> values = stored();
-    assertEquals(new Seen(serves(), 0), Seen.decoded("serves", values.get("engine/serves")));
-    assertEquals(new Seen(drains(), 0), Seen.decoded("drains", values.get("engine/drains")));
     assertEquals(
-        new Seen(leaves(), 1_700_000_000_000L),
-        Seen.decoded("leaves", values.get("engine/leaves")));
+        new CachedEndpoint(serves(), 0),
+        CachedEndpoint.decoded("serves", values.get("engine/serves")));
+    assertEquals(
+        new CachedEndpoint(drains(), 0),
+        CachedEndpoint.decoded("drains", values.get("engine/drains")));
+    assertEquals(
+        new CachedEndpoint(leaves(), 1_700_000_000_000L),
+        CachedEndpoint.decoded("leaves", values.get("engine/leaves")));
     Set<Engine.Standing> read = EnumSet.noneOf(Engine.Standing.class);
     for (String id : List.of("serves", "drains", "leaves")) {
-      read.add(Seen.decoded(id, values.get("engine/" + id)).entry().standing());
+      read.add(CachedEndpoint.decoded(id, values.get("engine/" + id)).entry().standing());
     }
     assertEquals(EnumSet.allOf(Engine.Standing.class), read, "one standing is not guarded");
   }
 
   @Test
   void eachStandingIsWrittenAsItsWord() {
-    assertEquals(STORED.get("engine/serves"), text(new Seen(serves(), 0)));
-    assertEquals(STORED.get("engine/drains"), text(new Seen(drains(), 0)));
-    assertEquals(STORED.get("engine/leaves"), text(new Seen(leaves(), 1_700_000_000_000L)));
+    assertEquals(STORED.get("engine/serves"), text(new CachedEndpoint(serves(), 0)));
+    assertEquals(STORED.get("engine/drains"), text(new CachedEndpoint(drains(), 0)));
+    assertEquals(
+        STORED.get("engine/leaves"), text(new CachedEndpoint(leaves(), 1_700_000_000_000L)));
   }
 
-  private static String text(Seen seen) {
+  private static String text(CachedEndpoint seen) {
     return new String(seen.encoded(), StandardCharsets.UTF_8);
   }
 
@@ -180,8 +188,8 @@
   @Test
   void whatIsHandedToTheStoreIsThis() {
     List<String> handed = new ArrayList<>();
-    Memory memory =
-        new Memory(
+    EndpointHistory memory =
+        new EndpointHistory(
             new TreeMap<>(),
             LONGEST,
             0,
--- a/endpointcache/src/test/java/tillerlink/endpointcache/MemoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/MemoryTest.java
@@ -26,8 +26,8 @@
   private final TreeMap<String, byte[]> stored = new TreeMap<>();
   private int writes;
 
-  private Memory memory() {
-    return new Memory(
+  private EndpointHistory memory() {
+    return new EndpointHistory(
         new TreeMap<>(stored),
         STOP,
         13 * SECOND,
@@ -86,7 +86,7 @@
           Long.MAX_VALUE / 2
         }) {
       for (double perHour : new double[] {0, 0.5, 60}) {
-        all.append(Trust.of(age, perHour / HOUR, STOP, 24 * HOUR)).append(' ');
+        all.append(StalenessModel.of(age, perHour / HOUR, STOP, 24 * HOUR)).append(' ');
       }
       all.append('\n');
     }
@@ -107,14 +107,14 @@
 
   @Test
   void anOldListBringsNobodyBack() {
-    Memory first = memory();
+    EndpointHistory first = memory();
     first.told(NOW, list(1, "a", "b", "c", "d"));
     first.told(NOW + SECOND, list(2, "a", "b-", "c"));
     EndpointCache.Remembered later = memory().atStart(NOW + 60 * SECOND);
     assertEquals("a b- c", print(later.engines()));
     assertEquals(0.9, later.trust().get("a"));
     assertNull(memory().atStart(NOW + 30 * HOUR).engines());
-    Memory third = memory();
+    EndpointHistory third = memory();
     third.told(NOW + 500 * STOP, list(3, "a", "c"));
     assertEquals(
         "[engine/a, engine/b, engine/c, list]",
@@ -148,7 +148,7 @@
 
   @Test
   void aListThatLostMuchIsBelievedWhenItIsToldAgain() {
-    Memory memory = memory();
+    EndpointHistory memory = memory();
     memory.told(NOW, list(1, "a", "b", "c", "d"));
     assertEquals("a b- c- d-", print(memory.told(NOW + SECOND, list(2, "a"))));
     assertEquals("a b- c- d-", print(memory.told(NOW + SECOND + 2000, list(2, "a"))));
@@ -166,14 +166,14 @@
 
   @Test
   void aLossOfAFewIsBelievedAtOnce() {
-    Memory memory = memory();
+    EndpointHistory memory = memory();
     memory.told(NOW, list(1, "a", "b", "c", "d"));
     assertEquals("a b", print(memory.told(NOW + SECOND, list(2, "a", "b"))));
   }
 
   @Test
   void discoveryThatSaysTheSameDoesNotWearTheDisk() {
-    Memory memory = memory();
+    EndpointHistory memory = memory();
     for (int i = 0; i < 1000; i++) {
       memory.told(NOW + i * 2000L, list(i + 1, "a", "b"));
     }
--- a/peering/src/main/java/tillerlink/peering/storage/DiskKeep.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DiskKeep.java
@@ -16,9 +16,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tillerlink.cluster.Keep;
-import tillerlink.store.Folder;
-import tillerlink.store.Found;
-import tillerlink.store.Table;
+import tillerlink.store.DurableTable;
+import tillerlink.store.FileSystemDirectory;
+import tillerlink.store.RecoveryReport;
 
 /**
  * Keeps on disk, on a thread of its own: all that waits is written in the order in which it was
@@ -52,7 +52,7 @@
     }
   }
 
-  private final Table table;
+  private final DurableTable table;
   private final Consumer<Runnable> turns;
   private final long bytesMost;
   private final NavigableMap<String, byte[]> found;
@@ -67,7 +67,7 @@
   private boolean closing;
   private boolean failed;
 
-  private DiskKeep(Table table, long bytesMost, Consumer<Runnable> turns) {
+  private DiskKeep(DurableTable table, long bytesMost, Consumer<Runnable> turns) {
     this.table = table;
     this.bytesMost = bytesMost;
     this.turns = turns;
@@ -90,8 +90,10 @@
       throws IOException {
     long most = Math.min(bytesMost, BYTES_MOST);
     long segment = Math.max(SEGMENT_LEAST, Math.min(SEGMENT_MOST, most / 4));
-    Table table = new Table(new Folder(folder), sum(owner), segment, most + (SEGMENT_LEAST << 1));
-    Found state = table.open();
+    DurableTable table =
+        new DurableTable(
+            new FileSystemDirectory(folder), sum(owner), segment, most + (SEGMENT_LEAST << 1));
+    RecoveryReport state = table.open();
     state.told().forEach(line -> LOG.warn("{}: {}", folder, line));
     if (!state.usable()) {
       throw new IOException(folder + ": " + String.join("; ", state.told()));
--- a/store/src/main/java/tillerlink/store/Keeper.java
+++ b/store/src/main/java/tillerlink/store/AsyncTableWriter.java
@@ -12,7 +12,7 @@
  * disk. Of several changes of one key that wait, the last is written: a value that flaps does not
  * wear the disk.
  */
-public final class Keeper implements Closeable {
+public final class AsyncTableWriter implements Closeable {
   /** When a change is surely kept. */
   public enum Durability {
     /** Before anybody is told so: synced as soon as it can be. */
@@ -27,7 +27,7 @@
 
   private static final long NANOS_PER_MS = 1_000_000;
 
-  private final Table table;
+  private final DurableTable table;
   private final int waitingMost;
   private final long groupNanos;
   private final long lazyNanos;
@@ -39,7 +39,7 @@
   /**
    * @param waitingMost keys whose changes may wait at once
    */
-  public Keeper(Table table, int waitingMost, long groupMs, long lazyMs) {
+  public AsyncTableWriter(DurableTable table, int waitingMost, long groupMs, long lazyMs) {
     this.table = table;
     this.waitingMost = waitingMost;
     groupNanos = groupMs * NANOS_PER_MS;
--- a/store/src/main/java/tillerlink/store/Table.java
+++ b/store/src/main/java/tillerlink/store/DurableTable.java
@@ -14,21 +14,21 @@
  * all of the table is written as a snapshot and the log before it dropped. One thread uses it. What
  * was synced is found again after any crash; of what was not, a prefix.
  */
-public final class Table implements Closeable {
+public final class DurableTable implements Closeable {
   private static final int GENERATIONS = 2;
   private static final int FILE_MOST = 1 << 28;
   private static final int ASIDE_MOST = 4;
 
-  private final Disk disk;
+  private final StorageDirectory disk;
   private final long owner;
   private final long segmentMost;
   private final long bytesMost;
   private final NavigableMap<String, byte[]> values = new TreeMap<>();
   private final List<String> told = new ArrayList<>();
-  private Found found;
+  private RecoveryReport found;
   private long sequence;
   private long segment;
-  private Disk.Out out;
+  private StorageDirectory.Out out;
   private long segmentBytes;
   private long tableBytes;
 
@@ -42,7 +42,7 @@
    * @param segmentMost bytes of log after which a snapshot is due
    * @param bytesMost bytes that keys and values may take together
    */
-  public Table(Disk disk, long owner, long segmentMost, long bytesMost) {
+  public DurableTable(StorageDirectory disk, long owner, long segmentMost, long bytesMost) {
     this.disk = disk;
     this.owner = owner;
     this.segmentMost = segmentMost;
@@ -55,44 +55,49 @@
    * Finds what was kept. Whatever it finds it returns: a store that can't be used is told of, not
    * thrown.
    */
-  public Found open() {
+  public RecoveryReport open() {
     try {
       if (!disk.lock()) {
-        return found = new Found(Found.State.LOCKED, List.of("another process has the store"));
+        return found =
+            new RecoveryReport(
+                RecoveryReport.State.LOCKED, List.of("another process has the store"));
       }
       found = recover();
     } catch (IOException e) {
-      found = new Found(Found.State.FOREIGN, List.of("the store can't be read: " + e.getMessage()));
+      found =
+          new RecoveryReport(
+              RecoveryReport.State.FOREIGN, List.of("the store can't be read: " + e.getMessage()));
     }
     failed = !found.usable();
     return found;
   }
 
-  private Found recover() throws IOException {
+  private RecoveryReport recover() throws IOException {
     List<String> names = disk.list();
-    List<Long> snapshots = numbers(names, Format.SNAPSHOT);
-    List<Long> segments = numbers(names, Format.LOG);
+    List<Long> snapshots = numbers(names, FileFormat.SNAPSHOT);
+    List<Long> segments = numbers(names, FileFormat.LOG);
     for (String name : names) {
-      Format.Head head =
-          name.startsWith(Format.LOG) || name.startsWith(Format.SNAPSHOT)
-              ? Format.head(disk.read(name, Format.HEAD))
+      FileFormat.Head head =
+          name.startsWith(FileFormat.LOG) || name.startsWith(FileFormat.SNAPSHOT)
+              ? FileFormat.head(disk.read(name, FileFormat.HEAD))
               : null;
-      if (head != null && head.version() > Format.VERSION) {
-        return new Found(
-            Found.State.FOREIGN,
+      if (head != null && head.version() > FileFormat.VERSION) {
+        return new RecoveryReport(
+            RecoveryReport.State.FOREIGN,
             List.of(
                 name
                     + " is of version "
                     + head.version()
                     + " of the format; this release reads up to "
-                    + Format.VERSION));
+                    + FileFormat.VERSION));
       }
       if (head != null && head.store() != owner) {
-        return new Found(Found.State.FOREIGN, List.of(name + " belongs to another store"));
+        return new RecoveryReport(
+            RecoveryReport.State.FOREIGN, List.of(name + " belongs to another store"));
       }
     }
     for (String name : names) {
-      if (name.startsWith(Format.DRAFT)) {
+      if (name.startsWith(FileFormat.DRAFT)) {
         disk.delete(name);
       }
     }
@@ -108,20 +113,22 @@
     for (long number : segments) {
       gap = gap || !readSegment(number, number == segments.get(segments.size() - 1));
       if (gap) {
-        setAside(Format.name(Format.LOG, number));
+        setAside(FileFormat.name(FileFormat.LOG, number));
       }
     }
     segment = Math.max(segments.isEmpty() ? 0 : segments.get(segments.size() - 1), segment);
     begin();
-    return new Found(
-        !any ? Found.State.NEW : told.isEmpty() ? Found.State.WHOLE : Found.State.CUT,
+    return new RecoveryReport(
+        !any
+            ? RecoveryReport.State.NEW
+            : told.isEmpty() ? RecoveryReport.State.WHOLE : RecoveryReport.State.CUT,
         List.copyOf(told));
   }
 
   private static List<Long> numbers(List<String> names, String prefix) {
     List<Long> numbers = new ArrayList<>();
     for (String name : names) {
-      long number = Format.number(prefix, name);
+      long number = FileFormat.number(prefix, name);
       if (number >= 0) {
         numbers.add(number);
       }
@@ -131,24 +138,24 @@
   }
 
   private boolean readSnapshot(long number) throws IOException {
-    String name = Format.name(Format.SNAPSHOT, number);
+    String name = FileFormat.name(FileFormat.SNAPSHOT, number);
     byte[] file = disk.read(name, FILE_MOST);
-    Format.Head head = Format.head(file);
+    FileFormat.Head head = FileFormat.head(file);
     NavigableMap<String, byte[]> all = new TreeMap<>();
-    int at = Format.HEAD;
-    Format.Entry entry = head == null || !head.snapshot() ? null : Format.entry(file, at);
-    while (entry != null && entry.kind() == Format.Kind.PUT) {
+    int at = FileFormat.HEAD;
+    FileFormat.Entry entry = head == null || !head.snapshot() ? null : FileFormat.entry(file, at);
+    while (entry != null && entry.kind() == FileFormat.Kind.PUT) {
       all.put(entry.key(), entry.value());
       at += entry.size();
-      entry = Format.entry(file, at);
+      entry = FileFormat.entry(file, at);
     }
-    if (entry == null || entry.kind() != Format.Kind.END || entry.sequence() != all.size()) {
+    if (entry == null || entry.kind() != FileFormat.Kind.END || entry.sequence() != all.size()) {
       told.add(name + " is damaged and was passed over");
       setAside(name);
       return false;
     }
     values.putAll(all);
-    tableBytes = all.entrySet().stream().mapToLong(Table::size).sum();
+    tableBytes = all.entrySet().stream().mapToLong(DurableTable::size).sum();
     sequence = number;
     return true;
   }
@@ -158,9 +165,9 @@
    * stand again at the start of the next, where a fault of the disk made the writer go on there.
    */
   private boolean readSegment(long number, boolean last) throws IOException {
-    String name = Format.name(Format.LOG, number);
+    String name = FileFormat.name(FileFormat.LOG, number);
     byte[] file = disk.read(name, FILE_MOST);
-    Format.Head head = Format.head(file);
+    FileFormat.Head head = FileFormat.head(file);
     if (head == null) {
       if (!last) {
         told.add(name + " has no head and was set aside");
@@ -168,11 +175,11 @@
       setAside(name);
       return true;
     }
-    int at = Format.HEAD;
+    int at = FileFormat.HEAD;
     boolean follows = true;
-    for (Format.Entry entry = Format.entry(file, at);
+    for (FileFormat.Entry entry = FileFormat.entry(file, at);
         entry != null;
-        entry = Format.entry(file, at)) {
+        entry = FileFormat.entry(file, at)) {
       if (entry.sequence() > sequence + 1) {
         told.add(
             name
@@ -200,9 +207,9 @@
     return follows;
   }
 
-  private void apply(Format.Entry entry) {
+  private void apply(FileFormat.Entry entry) {
     sequence = entry.sequence();
-    if (entry.kind() == Format.Kind.PUT) {
+    if (entry.kind() == FileFormat.Kind.PUT) {
       put(entry.key(), entry.value());
     } else {
       take(entry.key());
@@ -224,14 +231,14 @@
   }
 
   private static long size(String key, byte[] value) {
-    return key.length() + value.length + Format.RECORD_HEAD + 2;
+    return key.length() + value.length + FileFormat.RECORD_HEAD + 2;
   }
 
   /** What can't be used is kept for people to look at, the latest few of it. */
   private void setAside(String name) throws IOException {
-    disk.rename(name, Format.ASIDE + name);
+    disk.rename(name, FileFormat.ASIDE + name);
     List<String> aside =
-        disk.list().stream().filter(other -> other.startsWith(Format.ASIDE)).toList();
+        disk.list().stream().filter(other -> other.startsWith(FileFormat.ASIDE)).toList();
     for (int i = 0; i < aside.size() - ASIDE_MOST; i++) {
       disk.delete(aside.get(i));
     }
@@ -240,7 +247,7 @@
   // ---- use ----
 
   /** What recovery found. */
-  public Found found() {
+  public RecoveryReport found() {
     return found;
   }
 
@@ -273,8 +280,8 @@
       return value == null && before == null;
     }
     byte[] record =
-        Format.entry(
-            value == null ? Format.Kind.REMOVE : Format.Kind.PUT,
+        FileFormat.entry(
+            value == null ? FileFormat.Kind.REMOVE : FileFormat.Kind.PUT,
             sequence + 1,
             key,
             value == null ? new byte[0] : value);
@@ -334,11 +341,11 @@
   /** A new segment. */
   private void begin() throws IOException {
     segment++;
-    out = disk.create(Format.name(Format.LOG, segment));
-    out.write(Format.head(new Format.Head(false, Format.VERSION, owner, segment)));
+    out = disk.create(FileFormat.name(FileFormat.LOG, segment));
+    out.write(FileFormat.head(new FileFormat.Head(false, FileFormat.VERSION, owner, segment)));
     out.sync();
     disk.syncFolder();
-    segmentBytes = Format.HEAD;
+    segmentBytes = FileFormat.HEAD;
   }
 
   /**
@@ -346,16 +353,17 @@
    * last two.
    */
   public void snapshot() throws IOException {
-    String draft = Format.name(Format.DRAFT, sequence);
-    try (Disk.Out file = disk.create(draft)) {
-      file.write(Format.head(new Format.Head(true, Format.VERSION, owner, sequence)));
+    String draft = FileFormat.name(FileFormat.DRAFT, sequence);
+    try (StorageDirectory.Out file = disk.create(draft)) {
+      file.write(FileFormat.head(new FileFormat.Head(true, FileFormat.VERSION, owner, sequence)));
       for (Map.Entry<String, byte[]> entry : values.entrySet()) {
-        file.write(Format.entry(Format.Kind.PUT, sequence, entry.getKey(), entry.getValue()));
+        file.write(
+            FileFormat.entry(FileFormat.Kind.PUT, sequence, entry.getKey(), entry.getValue()));
       }
-      file.write(Format.entry(Format.Kind.END, values.size(), "", new byte[0]));
+      file.write(FileFormat.entry(FileFormat.Kind.END, values.size(), "", new byte[0]));
       file.sync();
     }
-    disk.rename(draft, Format.name(Format.SNAPSHOT, sequence));
+    disk.rename(draft, FileFormat.name(FileFormat.SNAPSHOT, sequence));
     disk.syncFolder();
     closeOut();
     begin();
@@ -365,21 +373,21 @@
   /** Nothing is dropped that the older of the snapshots which stay would need. */
   private void dropOld() throws IOException {
     List<String> names = disk.list();
-    List<Long> snapshots = numbers(names, Format.SNAPSHOT);
+    List<Long> snapshots = numbers(names, FileFormat.SNAPSHOT);
     if (snapshots.size() < GENERATIONS) {
       return;
     }
     long oldest = snapshots.get(snapshots.size() - GENERATIONS);
     for (long number : snapshots) {
       if (number < oldest) {
-        disk.delete(Format.name(Format.SNAPSHOT, number));
+        disk.delete(FileFormat.name(FileFormat.SNAPSHOT, number));
       }
     }
-    List<Long> segments = numbers(names, Format.LOG);
+    List<Long> segments = numbers(names, FileFormat.LOG);
     for (int i = 0; i + 1 < segments.size(); i++) {
       long next = segments.get(i + 1);
       if (next < segment && lastBefore(next) <= oldest) {
-        disk.delete(Format.name(Format.LOG, segments.get(i)));
+        disk.delete(FileFormat.name(FileFormat.LOG, segments.get(i)));
       }
     }
   }
@@ -388,9 +396,9 @@
   private long lastBefore(long number) throws IOException {
     byte[] file =
         disk.read(
-            Format.name(Format.LOG, number),
-            Format.HEAD + 64 + Format.KEY_MOST + Format.VALUE_MOST);
-    Format.Entry first = Format.entry(file, Format.HEAD);
+            FileFormat.name(FileFormat.LOG, number),
+            FileFormat.HEAD + 64 + FileFormat.KEY_MOST + FileFormat.VALUE_MOST);
+    FileFormat.Entry first = FileFormat.entry(file, FileFormat.HEAD);
     return first == null ? Long.MAX_VALUE : first.sequence() - 1;
   }
 
--- a/store/src/main/java/tillerlink/store/Format.java
+++ b/store/src/main/java/tillerlink/store/FileFormat.java
@@ -9,7 +9,7 @@
  * store it is, and a number; records follow, each with its length and a checksum. All numbers are
  * big-endian.
  */
-final class Format {
+final class FileFormat {
   static final int VERSION = 1;
   static final int HEAD = 32;
   static final int RECORD_HEAD = 17;
@@ -35,7 +35,7 @@
   /** One record; {@code size} is how many bytes it takes. */
   record Entry(Kind kind, long sequence, String key, byte[] value, int size) {}
 
-  private Format() {}
+  private FileFormat() {}
 
   static String name(String prefix, long number) {
     return prefix + String.format("%016x", number);
--- a/store/src/main/java/tillerlink/store/Folder.java
+++ b/store/src/main/java/tillerlink/store/FileSystemDirectory.java
@@ -13,14 +13,14 @@
 import java.util.stream.Stream;
 
 /** A folder of the file system. */
-public final class Folder implements Disk {
+public final class FileSystemDirectory implements StorageDirectory {
   private static final String LOCK = "lock";
 
   private final Path path;
   private FileChannel lockFile;
   private FileLock lock;
 
-  public Folder(Path path) throws IOException {
+  public FileSystemDirectory(Path path) throws IOException {
     this.path = Files.createDirectories(path);
   }
 
--- a/store/src/main/java/tillerlink/store/Found.java
+++ b/store/src/main/java/tillerlink/store/RecoveryReport.java
@@ -8,7 +8,7 @@
  * @param state what became of it
  * @param told one line for each thing that was not as it should be
  */
-public record Found(State state, List<String> told) {
+public record RecoveryReport(State state, List<String> told) {
   /** How the store was found. */
   public enum State {
     /** Nothing was there. */
--- a/store/src/main/java/tillerlink/store/Disk.java
+++ b/store/src/main/java/tillerlink/store/StorageDirectory.java
@@ -8,7 +8,7 @@
  * A folder as the store uses it, so that faults can be put in. Names are plain names of files in
  * it.
  */
-public interface Disk extends Closeable {
+public interface StorageDirectory extends Closeable {
   /** A file that is written to its end. */
   interface Out extends Closeable {
     void write(byte[] bytes) throws IOException;
--- a/store/src/test/java/tillerlink/store/CrashDisk.java
+++ b/store/src/test/java/tillerlink/store/CrashDisk.java
@@ -14,7 +14,7 @@
  * prefix, torn at any byte. Names that were created, moved or deleted since the folder was last
  * synced are so in an order that is cut anywhere.
  */
-final class CrashDisk implements Disk {
+final class CrashDisk implements StorageDirectory {
   static final class Crash extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
--- a/store/src/test/java/tillerlink/store/KeeperTest.java
+++ b/store/src/test/java/tillerlink/store/KeeperTest.java
@@ -14,7 +14,7 @@
 /** Nobody who hands a change over waits for the disk, whatever the disk does. */
 class KeeperTest {
   /** A disk that takes its time for a sync, or says EIO from some time on. */
-  private static final class Slow implements Disk {
+  private static final class Slow implements StorageDirectory {
     private final CrashDisk disk = new CrashDisk();
     private final long syncMs;
     private final AtomicInteger syncs = new AtomicInteger();
@@ -96,8 +96,8 @@
     }
   }
 
-  private static Table open(Disk disk) {
-    Table table = new Table(disk, 5, 1 << 20, 1 << 20);
+  private static DurableTable open(StorageDirectory disk) {
+    DurableTable table = new DurableTable(disk, 5, 1 << 20, 1 << 20);
     assertTrue(table.open().usable());
     return table;
   }
@@ -105,7 +105,7 @@
   @Test
   void aDiskThatTakesTwoSecondsStallsNobody() throws Exception {
     Slow disk = new Slow(2000);
-    Keeper keeper = new Keeper(open(disk), 100, 10, 1000);
+    AsyncTableWriter keeper = new AsyncTableWriter(open(disk), 100, 10, 1000);
     CountDownLatch kept = new CountDownLatch(1);
     long longest = 0;
     int refused = 0;
@@ -115,7 +115,7 @@
           keeper.set(
                   "k" + i % 300,
                   new byte[10],
-                  Keeper.Durability.AT_ONCE,
+                  AsyncTableWriter.Durability.AT_ONCE,
                   i == 0 ? kept::countDown : null)
               ? 0
               : 1;
@@ -129,21 +129,25 @@
   @Test
   void aValueThatFlapsIsWrittenOnce() throws Exception {
     Slow disk = new Slow(0);
-    Table table = open(disk);
-    Keeper keeper = new Keeper(table, 10, 50, 5000);
+    DurableTable table = open(disk);
+    AsyncTableWriter keeper = new AsyncTableWriter(table, 10, 50, 5000);
     AtomicInteger told = new AtomicInteger();
     for (int i = 0; i < 1000; i++) {
       assertTrue(
           keeper.set(
-              "flaps", new byte[] {(byte) i}, Keeper.Durability.LAZY, told::incrementAndGet));
+              "flaps",
+              new byte[] {(byte) i},
+              AsyncTableWriter.Durability.LAZY,
+              told::incrementAndGet));
     }
     CountDownLatch kept = new CountDownLatch(1);
-    assertTrue(keeper.set("last", new byte[0], Keeper.Durability.GROUPED, kept::countDown));
+    assertTrue(
+        keeper.set("last", new byte[0], AsyncTableWriter.Durability.GROUPED, kept::countDown));
     assertTrue(kept.await(10, TimeUnit.SECONDS));
     assertEquals(1000, told.get(), "all who asked were told");
     assertTrue(disk.syncs.get() < 10, disk.syncs + " syncs");
     keeper.close();
-    Table again = open(disk);
+    DurableTable again = open(disk);
     assertEquals((byte) 999, again.values().get("flaps")[0]);
     assertTrue(again.sequence() <= 4, again.sequence() + " records");
   }
@@ -151,12 +155,13 @@
   @Test
   void afterAFaultNobodyIsToldThatItIsKept() throws Exception {
     Slow disk = new Slow(0);
-    Keeper keeper = new Keeper(open(disk), 10, 1, 10);
+    AsyncTableWriter keeper = new AsyncTableWriter(open(disk), 10, 1, 10);
     disk.broken = true;
     AtomicInteger told = new AtomicInteger();
-    assertTrue(keeper.set("a", new byte[1], Keeper.Durability.AT_ONCE, told::incrementAndGet));
+    assertTrue(
+        keeper.set("a", new byte[1], AsyncTableWriter.Durability.AT_ONCE, told::incrementAndGet));
     keeper.close();
     assertEquals(0, told.get());
-    assertFalse(keeper.set("b", new byte[1], Keeper.Durability.AT_ONCE, null));
+    assertFalse(keeper.set("b", new byte[1], AsyncTableWriter.Durability.AT_ONCE, null));
   }
 }
--- a/store/src/test/java/tillerlink/store/StoreFormatGuardTest.java
+++ b/store/src/test/java/tillerlink/store/StoreFormatGuardTest.java
@@ -67,8 +67,8 @@
     }
   }
 
-  private Table table(long owner) throws IOException {
-    return new Table(new Folder(folder), owner, 1 << 20, 1 << 20);
+  private DurableTable table(long owner) throws IOException {
+    return new DurableTable(new FileSystemDirectory(folder), owner, 1 << 20, 1 << 20);
   }
 
   private static byte[] bytes(String text) {
@@ -93,7 +93,8 @@
 
   /** Writes the store that the resources hold. */
   private static void write(Path folder) throws IOException {
-    try (Table table = new Table(new Folder(folder), OWNER, 1 << 20, 1 << 20)) {
+    try (DurableTable table =
+        new DurableTable(new FileSystemDirectory(folder), OWNER, 1 << 20, 1 << 20)) {
       assertEquals("NEW", table.open().state().name());
       for (Map.Entry<String, byte[]> change : changesBeforeTheSnapshot()) {
         assertTrue(table.set(change.getKey(), change.getValue()));
@@ -108,8 +109,8 @@
     }
   }
 
-  private void holds(Table table, Map<String, String> wanted, long sequence) {
-    Found found = table.open();
+  private void holds(DurableTable table, Map<String, String> wanted, long sequence) {
+    RecoveryReport found = table.open();
     assertEquals(List.of(), found.told());
     assertEquals("WHOLE", found.state().name());
     assertEquals(new TreeMap<>(wanted), inDigits(table.values()));
@@ -119,7 +120,7 @@
   @Test
   void readsAStoreOfTheReleaseBefore() throws IOException {
     copy(FIRST_LOG, SECOND_LOG, SNAPSHOT);
-    try (Table table = table(OWNER)) {
+    try (DurableTable table = table(OWNER)) {
       holds(table, AT_END, 9);
     }
   }
@@ -127,7 +128,7 @@
   @Test
   void readsTheLogsAlone() throws IOException {
     copy(FIRST_LOG, SECOND_LOG);
-    try (Table table = table(OWNER)) {
+    try (DurableTable table = table(OWNER)) {
       holds(table, AT_END, 9);
     }
   }
@@ -135,7 +136,7 @@
   @Test
   void readsTheSnapshotAlone() throws IOException {
     copy(SNAPSHOT);
-    try (Table table = table(OWNER)) {
+    try (DurableTable table = table(OWNER)) {
       holds(table, AT_SNAPSHOT, 6);
     }
   }
@@ -143,7 +144,7 @@
   @Test
   void refusesAStoreOfAnotherOwner() throws IOException {
     copy(FIRST_LOG, SECOND_LOG, SNAPSHOT);
-    try (Table table = table(OWNER + 1)) {
+    try (DurableTable table = table(OWNER + 1)) {
       assertEquals("FOREIGN", table.open().state().name());
     }
   }
@@ -164,9 +165,9 @@
   /** Each change is waited for: of several of one name the keeper would write only the last. */
   @Test
   void theKeeperWritesTheSameLog() throws IOException, InterruptedException {
-    Table table = table(OWNER);
+    DurableTable table = table(OWNER);
     table.open();
-    try (Keeper keeper = new Keeper(table, 10, 1, 1)) {
+    try (AsyncTableWriter keeper = new AsyncTableWriter(table, 10, 1, 1)) {
       for (Map.Entry<String, byte[]> change : changesBeforeTheSnapshot()) {
         keep(keeper, change.getKey(), change.getValue());
       }
@@ -175,9 +176,10 @@
     assertArrayEquals(resource(FIRST_LOG), Files.readAllBytes(folder.resolve(FIRST_LOG)));
   }
 
-  private static void keep(Keeper keeper, String key, byte[] value) throws InterruptedException {
+  private static void keep(AsyncTableWriter keeper, String key, byte[] value)
+      throws InterruptedException {
     CountDownLatch kept = new CountDownLatch(1);
-    assertTrue(keeper.set(key, value, Keeper.Durability.AT_ONCE, kept::countDown));
+    assertTrue(keeper.set(key, value, AsyncTableWriter.Durability.AT_ONCE, kept::countDown));
     assertTrue(kept.await(60, TimeUnit.SECONDS), key);
   }
 
--- a/store/src/test/java/tillerlink/store/TableTest.java
+++ b/store/src/test/java/tillerlink/store/TableTest.java
@@ -20,11 +20,11 @@
 class TableTest {
   private static final long OWNER = 77;
 
-  private static Table table(Disk disk) {
-    return new Table(disk, OWNER, 400, 10_000);
+  private static DurableTable table(StorageDirectory disk) {
+    return new DurableTable(disk, OWNER, 400, 10_000);
   }
 
-  private static Map<String, String> print(Table table) {
+  private static Map<String, String> print(DurableTable table) {
     Map<String, String> all = new TreeMap<>();
     table.values().forEach((key, value) -> all.put(key, new String(value, StandardCharsets.UTF_8)));
     return all;
@@ -39,7 +39,7 @@
     private final List<Map<String, String>> states = new ArrayList<>(List.of(new TreeMap<>()));
     private long acknowledged;
 
-    void play(Table table, Random random, int changes) {
+    void play(DurableTable table, Random random, int changes) {
       for (int i = 0; i < changes; i++) {
         String key = "k" + random.nextInt(8);
         boolean remove = random.nextInt(4) == 0 && table.values().containsKey(key);
@@ -69,7 +69,7 @@
       disk.syncsNothing();
     }
     History history = new History();
-    Table table = table(disk);
+    DurableTable table = table(disk);
     try {
       table.open();
       history.play(table, random, 40);
@@ -86,8 +86,8 @@
       }
       found = found.afterCrash(after);
     }
-    Table recovered = table(found);
-    Found how = recovered.open();
+    DurableTable recovered = table(found);
+    RecoveryReport how = recovered.open();
     if (!how.usable()) {
       return "not usable: " + how;
     }
@@ -146,11 +146,11 @@
       CrashDisk disk =
           new CrashDisk().faults(4 + random.nextInt(60), random.nextBoolean() ? 1 : 1000);
       History history = new History();
-      Table table = table(disk);
+      DurableTable table = table(disk);
       table.open();
       history.play(table, random, 40);
       failed += table.hasFailed() ? 1 : 0;
-      Table recovered = table(disk.afterCrash(random));
+      DurableTable recovered = table(disk.afterCrash(random));
       assertTrue(recovered.open().usable());
       long at = recovered.sequence();
       assertTrue(
@@ -163,7 +163,7 @@
 
   private static CrashDisk kept(int changes) {
     CrashDisk disk = new CrashDisk();
-    Table table = new Table(disk, OWNER, 200, 10_000);
+    DurableTable table = new DurableTable(disk, OWNER, 200, 10_000);
     table.open();
     for (int i = 0; i < changes; i++) {
       table.set("k" + i % 4, bytes("value " + i));
@@ -184,7 +184,7 @@
   }
 
   private static String told(CrashDisk disk) {
-    Found found = new Table(disk, OWNER, 200, 10_000).open();
+    RecoveryReport found = new DurableTable(disk, OWNER, 200, 10_000).open();
     return found.state() + " " + found.told();
   }
 
@@ -197,31 +197,32 @@
     CrashDisk whole = kept(21);
     assertEquals("WHOLE []", told(whole.copy()));
     CrashDisk torn = whole.copy();
-    String tail = last(torn, Format.LOG);
+    String tail = last(torn, FileFormat.LOG);
     torn.truncate(tail, torn.read(tail, 1 << 20).length - 3);
     assertEquals("CUT [log-0000000000000004: a tail of 26 bytes was cut off]", told(torn));
     CrashDisk newest = whole.copy();
-    newest.spoil(last(newest, Format.SNAPSHOT), 40);
+    newest.spoil(last(newest, FileFormat.SNAPSHOT), 40);
     assertEquals(
-        "CUT [" + last(whole, Format.SNAPSHOT) + " is damaged and was passed over]", told(newest));
-    Table older = new Table(newest.copy(), OWNER, 200, 10_000);
+        "CUT [" + last(whole, FileFormat.SNAPSHOT) + " is damaged and was passed over]",
+        told(newest));
+    DurableTable older = new DurableTable(newest.copy(), OWNER, 200, 10_000);
     older.open();
     assertEquals(21, older.sequence(), "the older snapshot and the log behind it tell all");
     CrashDisk middle = new CrashDisk();
-    Table table = new Table(middle, OWNER, 100_000, 10_000);
+    DurableTable table = new DurableTable(middle, OWNER, 100_000, 10_000);
     table.open();
     for (int i = 0; i < 10; i++) {
       table.set("k" + i, bytes("v"));
     }
     table.sync();
-    middle.spoil("log-0000000000000001", Format.HEAD + 22 * 4 + 15);
-    Table cut = new Table(middle, OWNER, 100_000, 10_000);
+    middle.spoil("log-0000000000000001", FileFormat.HEAD + 22 * 4 + 15);
+    DurableTable cut = new DurableTable(middle, OWNER, 100_000, 10_000);
     assertEquals(
         "[log-0000000000000001: a tail of 132 bytes was cut off]", cut.open().told().toString());
     assertEquals(4, cut.sequence());
     CrashDisk gap = new CrashDisk();
     for (int i = 0; i < 3; i++) {
-      Table part = new Table(gap, OWNER, 100_000, 10_000);
+      DurableTable part = new DurableTable(gap, OWNER, 100_000, 10_000);
       part.open();
       part.set("k" + i, bytes("v"));
       part.sync();
@@ -234,7 +235,7 @@
     assertTrue(gap.list().contains("aside-log-0000000000000003"));
     CrashDisk noLog = whole.copy();
     for (String name : noLog.list()) {
-      if (name.startsWith(Format.LOG)) {
+      if (name.startsWith(FileFormat.LOG)) {
         noLog.delete(name);
       }
     }
@@ -245,27 +246,27 @@
   void whatIsNotOursIsNotTouched() throws IOException {
     CrashDisk disk = kept(3);
     List<String> before = disk.list();
-    Found foreign = new Table(disk, OWNER + 1, 200, 10_000).open();
+    RecoveryReport foreign = new DurableTable(disk, OWNER + 1, 200, 10_000).open();
     assertEquals(
         "FOREIGN [log-0000000000000001 belongs to another store]",
         foreign.state() + " " + foreign.told());
-    Disk.Out later = disk.create("snap-00000000000000ff");
-    later.write(Format.head(new Format.Head(true, 9, OWNER, 255)));
+    StorageDirectory.Out later = disk.create("snap-00000000000000ff");
+    later.write(FileFormat.head(new FileFormat.Head(true, 9, OWNER, 255)));
     assertEquals(
         "FOREIGN [snap-00000000000000ff is of version 9 of the format; this release reads up to 1]",
         told(disk));
     disk.delete("snap-00000000000000ff");
     assertEquals(before, disk.list());
     disk.locked = true;
-    Table locked = new Table(disk, OWNER, 200, 10_000);
-    assertEquals(Found.State.LOCKED, locked.open().state());
+    DurableTable locked = new DurableTable(disk, OWNER, 200, 10_000);
+    assertEquals(RecoveryReport.State.LOCKED, locked.open().state());
     assertFalse(locked.set("a", bytes("b")));
   }
 
   @Test
   void theTableAndTheDiskAreBounded() throws IOException {
     CrashDisk disk = new CrashDisk();
-    Table table = new Table(disk, OWNER, 2000, 1000);
+    DurableTable table = new DurableTable(disk, OWNER, 2000, 1000);
     table.open();
     int refused = 0;
     for (int i = 0; i < 100; i++) {
@@ -313,11 +314,13 @@
       assertTrue(found >= before, "found " + found + " after " + before + " was acknowledged");
       before = Long.parseLong(lines[lines.length - 1]);
     }
-    try (Table table = new Table(new Folder(folder), OWNER, 4000, 10_000)) {
+    try (DurableTable table =
+        new DurableTable(new FileSystemDirectory(folder), OWNER, 4000, 10_000)) {
       assertTrue(table.open().usable());
       assertTrue(table.sequence() >= before);
       assertEquals(
-          Found.State.LOCKED, new Table(new Folder(folder), OWNER, 4000, 10_000).open().state());
+          RecoveryReport.State.LOCKED,
+          new DurableTable(new FileSystemDirectory(folder), OWNER, 4000, 10_000).open().state());
     }
     try (var files = Files.list(folder)) {
       assertTrue(files.count() < 12);
@@ -329,8 +332,9 @@
     private Writer() {}
 
     public static void main(String[] args) throws IOException {
-      Table table = new Table(new Folder(Path.of(args[0])), OWNER, 4000, 10_000);
-      Found found = table.open();
+      DurableTable table =
+          new DurableTable(new FileSystemDirectory(Path.of(args[0])), OWNER, 4000, 10_000);
+      RecoveryReport found = table.open();
       if (!found.usable()) {
         System.out.println("-1 " + found);
         return;
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
-import tillerlink.endpointcache.Remembering;
+import tillerlink.endpointcache.PersistentEndpointCache;
 import tillerlink.net.lifecycle.GatewayServer;
 import tillerlink.operator.OperatorFile;
 import tillerlink.policy.DefaultDispatchPolicy;
@@ -38,7 +38,7 @@
             assignment ->
                 store == null
                     ? null
-                    : Remembering.open(
+                    : PersistentEndpointCache.open(
                         Path.of(store.folder()), assignment, store.ageMost(), store.bytesMost()),
             file == null ? null : Beside.of(file));
     return 0;
--- a/tools/src/main/java/tillerlink/cli/StoreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/StoreCommand.java
@@ -12,10 +12,10 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tillerlink.endpointcache.Remembering;
-import tillerlink.store.Folder;
-import tillerlink.store.Found;
-import tillerlink.store.Table;
+import tillerlink.endpointcache.PersistentEndpointCache;
+import tillerlink.store.DurableTable;
+import tillerlink.store.FileSystemDirectory;
+import tillerlink.store.RecoveryReport;
 
 /** Looks at what a gateway remembers, while that gateway is stopped. */
 @Command(
@@ -53,9 +53,13 @@
         throw new IOException(folder + ": no such folder");
       }
       String name = folder.toAbsolutePath().normalize().getFileName().toString();
-      try (Table table =
-          new Table(new Folder(folder), Remembering.owner(name), SEGMENT_MOST, BYTES_MOST)) {
-        Found found = table.open();
+      try (DurableTable table =
+          new DurableTable(
+              new FileSystemDirectory(folder),
+              PersistentEndpointCache.owner(name),
+              SEGMENT_MOST,
+              BYTES_MOST)) {
+        RecoveryReport found = table.open();
         PrintWriter out = spec.commandLine().getOut();
         found.told().forEach(out::println);
         if (!found.usable()) {
@@ -68,7 +72,7 @@
       }
     }
 
-    abstract void act(Table table, PrintWriter out) throws IOException;
+    abstract void act(DurableTable table, PrintWriter out) throws IOException;
   }
 
   @Command(
@@ -77,7 +81,7 @@
       description = "Tell whether it is whole.")
   static final class Check extends OnFolder {
     @Override
-    void act(Table table, PrintWriter out) {
+    void act(DurableTable table, PrintWriter out) {
       out.printf(
           Locale.ROOT,
           "%s, %d keys as of record %d%n",
@@ -93,7 +97,7 @@
       description = "Print every key and its value.")
   static final class Show extends OnFolder {
     @Override
-    void act(Table table, PrintWriter out) {
+    void act(DurableTable table, PrintWriter out) {
       table
           .values()
           .forEach(
@@ -109,7 +113,7 @@
       description = "Write a snapshot and drop the log that it makes needless.")
   static final class Compact extends OnFolder {
     @Override
-    void act(Table table, PrintWriter out) throws IOException {
+    void act(DurableTable table, PrintWriter out) throws IOException {
       table.snapshot();
       out.printf(
           Locale.ROOT,
--- a/tools/src/test/java/tillerlink/replay/BlindStartTest.java
+++ b/tools/src/test/java/tillerlink/replay/BlindStartTest.java
@@ -16,7 +16,7 @@
 import org.slf4j.LoggerFactory;
 import tillerlink.audit.Auditor;
 import tillerlink.emulator.World;
-import tillerlink.endpointcache.Memory;
+import tillerlink.endpointcache.EndpointHistory;
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
 import tillerlink.model.Engine;
@@ -77,8 +77,8 @@
    */
   private static TreeMap<String, byte[]> remembered(World world, long age) {
     TreeMap<String, byte[]> stored = new TreeMap<>();
-    Memory memory =
-        new Memory(
+    EndpointHistory memory =
+        new EndpointHistory(
             new TreeMap<>(),
             LONGEST,
             13 * SECOND,
@@ -122,7 +122,8 @@
     TreeMap<String, byte[]> stored = age == null ? new TreeMap<>() : remembered(world, age);
     world.namesDownUntil = down ? START + 8 * SECOND : 0;
     world.recalls =
-        place -> new Memory(stored, LONGEST, 13 * SECOND, 24 * HOUR, (key, value, soon) -> {});
+        place ->
+            new EndpointHistory(stored, LONGEST, 13 * SECOND, 24 * HOUR, (key, value, soon) -> {});
     world.seat(DefaultDispatchPolicy::new, 4);
     Figures figures = new Figures(TRACKS);
     Front front = new Front(world, new SeatLines(world), figures, new Wording(4, 0.2));
