--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -22,12 +22,12 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import tillerlink.messages.MalformedMessageException;
-import tillerlink.messages.members.Card;
-import tillerlink.messages.members.Doubt;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
+import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberMessage;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.messages.members.MemberStatus;
+import tillerlink.messages.members.SuspicionLevel;
 
 /**
  * A probe with six rumours as bytes and back: numbered fields of protobuf's wire format, as
@@ -51,22 +51,23 @@
 
   @Setup
   public void make() throws IOException, MalformedMessageException {
-    List<Rumour> rumours = new ArrayList<>();
+    List<GossipUpdate> rumours = new ArrayList<>();
     for (int i = 0; i < RUMOURS; i++) {
       rumours.add(
-          new Rumour(
+          new GossipUpdate(
               "north-" + i,
-              i % 2 == 0 ? Standing.ALIVE : Standing.SUSPECTED,
-              new Card(3 + i, 0x9e3779b97f4a7c15L * (i + 1), "10.1.0." + i + ":7400", "north"),
+              i % 2 == 0 ? MemberStatus.ALIVE : MemberStatus.SUSPECTED,
+              new MemberInfo(
+                  3 + i, 0x9e3779b97f4a7c15L * (i + 1), "10.1.0." + i + ":7400", "north"),
               i % 2 == 0 ? "" : "south-1",
               1200 * i));
     }
     probe =
         new MemberMessage.Probe(
-            new Card(4, 0x51d2c3b4a5968778L, "10.1.0.9:7400", "north"),
+            new MemberInfo(4, 0x51d2c3b4a5968778L, "10.1.0.9:7400", "north"),
             0x1f2e3d4c5b6a7988L,
             "south-2",
-            Doubt.NONE,
+            SuspicionLevel.NONE,
             rumours);
     fields = writeFields();
     places = writePlaces();
@@ -98,7 +99,7 @@
     out.putLong(probe.number());
     put(out, probe.target());
     out.put((byte) probe.rumours().size());
-    for (Rumour rumour : probe.rumours()) {
+    for (GossipUpdate rumour : probe.rumours()) {
       put(out, rumour.name());
       out.put((byte) rumour.standing().ordinal());
       put(out, rumour.card());
@@ -110,7 +111,7 @@
     return bytes;
   }
 
-  private static void put(ByteBuffer out, Card card) {
+  private static void put(ByteBuffer out, MemberInfo card) {
     out.putLong(card.incarnation()).putLong(card.birth());
     put(out, card.address());
     put(out, card.site());
@@ -125,20 +126,21 @@
   public MemberMessage readPlaces() {
     ByteBuffer in = ByteBuffer.wrap(places);
     in.get();
-    Card card = card(in);
+    MemberInfo card = card(in);
     long number = in.getLong();
     String target = text(in);
     int count = in.get();
-    List<Rumour> rumours = new ArrayList<>(count);
+    List<GossipUpdate> rumours = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       rumours.add(
-          new Rumour(text(in), Standing.values()[in.get()], card(in), text(in), in.getLong()));
+          new GossipUpdate(
+              text(in), MemberStatus.values()[in.get()], card(in), text(in), in.getLong()));
     }
-    return new MemberMessage.Probe(card, number, target, Doubt.NONE, rumours);
+    return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, rumours);
   }
 
-  private static Card card(ByteBuffer in) {
-    return new Card(in.getLong(), in.getLong(), text(in), text(in));
+  private static MemberInfo card(ByteBuffer in) {
+    return new MemberInfo(in.getLong(), in.getLong(), text(in), text(in));
   }
 
   private static String text(ByteBuffer in) {
@@ -159,7 +161,7 @@
       out.writeNumberField("number", probe.number());
       out.writeStringField("target", probe.target());
       out.writeArrayFieldStart("rumours");
-      for (Rumour rumour : probe.rumours()) {
+      for (GossipUpdate rumour : probe.rumours()) {
         out.writeStartObject();
         out.writeStringField("name", rumour.name());
         out.writeNumberField("standing", rumour.standing().ordinal());
@@ -174,7 +176,7 @@
     return bytes.toByteArray();
   }
 
-  private static void card(JsonGenerator out, Card card) throws IOException {
+  private static void card(JsonGenerator out, MemberInfo card) throws IOException {
     out.writeObjectFieldStart("card");
     out.writeNumberField("incarnation", card.incarnation());
     out.writeNumberField("birth", card.birth());
@@ -186,10 +188,10 @@
   @Benchmark
   public MemberMessage readJson() throws IOException {
     try (JsonParser in = JSON.createParser(json)) {
-      Card card = null;
+      MemberInfo card = null;
       long number = 0;
       String target = "";
-      List<Rumour> rumours = new ArrayList<>();
+      List<GossipUpdate> rumours = new ArrayList<>();
       in.nextToken();
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String name = in.currentName();
@@ -206,14 +208,14 @@
           default -> in.skipChildren();
         }
       }
-      return new MemberMessage.Probe(card, number, target, Doubt.NONE, rumours);
+      return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, rumours);
     }
   }
 
-  private static Rumour rumour(JsonParser in) throws IOException {
+  private static GossipUpdate rumour(JsonParser in) throws IOException {
     String called = "";
     int standing = 0;
-    Card card = null;
+    MemberInfo card = null;
     String by = "";
     long age = 0;
     while (in.nextToken() == JsonToken.FIELD_NAME) {
@@ -228,10 +230,10 @@
         default -> in.skipChildren();
       }
     }
-    return new Rumour(called, Standing.values()[standing], card, by, age);
+    return new GossipUpdate(called, MemberStatus.values()[standing], card, by, age);
   }
 
-  private static Card card(JsonParser in) throws IOException {
+  private static MemberInfo card(JsonParser in) throws IOException {
     long incarnation = 0;
     long birth = 0;
     String address = "";
@@ -247,6 +249,6 @@
         default -> in.skipChildren();
       }
     }
-    return new Card(incarnation, birth, address, site);
+    return new MemberInfo(incarnation, birth, address, site);
   }
 }
--- a/bench/src/main/java/tillerlink/jmh/NewsQueue.java
+++ b/bench/src/main/java/tillerlink/jmh/NewsQueue.java
@@ -18,11 +18,11 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import tillerlink.members.gossip.Rumours;
-import tillerlink.messages.members.Card;
+import tillerlink.members.gossip.GossipQueue;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.messages.members.MemberInfo;
+import tillerlink.messages.members.MemberStatus;
 
 /**
  * One piece of news comes, in place of what was to be told of that member, and a message takes what
@@ -46,8 +46,8 @@
   private int news;
 
   private String[] names;
-  private final Map<String, Rumour> said = new HashMap<>();
-  private Rumours rumours;
+  private final Map<String, GossipUpdate> said = new HashMap<>();
+  private GossipQueue rumours;
   private final PriorityQueue<Item> heap =
       new PriorityQueue<>(
           Comparator.comparingInt(Item::sent)
@@ -59,11 +59,11 @@
   @Setup
   public void make() {
     names = new String[news];
-    rumours = new Rumours(news);
+    rumours = new GossipQueue(news);
     for (int i = 0; i < news; i++) {
       names[i] = "north-" + i;
-      Card card = new Card(1, 77L * i, "10.1.0.9:7400", "north");
-      said.put(names[i], new Rumour(names[i], Standing.ALIVE, card, "", 0));
+      MemberInfo card = new MemberInfo(1, 77L * i, "10.1.0.9:7400", "north");
+      said.put(names[i], new GossipUpdate(names[i], MemberStatus.ALIVE, card, "", 0));
       rumours.put(names[i], "");
       put(names[i]);
     }
@@ -75,19 +75,19 @@
   }
 
   @Benchmark
-  public List<Rumour> queue() {
+  public List<GossipUpdate> queue() {
     rumours.put(any(), "");
     return rumours.take(ROOM, SENDS_MOST, (name, by) -> said.get(name));
   }
 
   @Benchmark
-  public List<Rumour> heap() {
+  public List<GossipUpdate> heap() {
     put(any());
-    List<Rumour> taken = new ArrayList<>();
+    List<GossipUpdate> taken = new ArrayList<>();
     List<Item> sent = new ArrayList<>();
     int left = ROOM;
     while (!heap.isEmpty()) {
-      Rumour rumour = said.get(heap.peek().name);
+      GossipUpdate rumour = said.get(heap.peek().name);
       int size = MemberCodec.size(rumour);
       if (size > left) {
         break;
--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -21,11 +21,11 @@
 import tillerlink.channels.sync.Fetcher;
 import tillerlink.channels.sync.Server;
 import tillerlink.channels.sync.Wire;
+import tillerlink.cluster.ClusterComponent;
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Keep;
-import tillerlink.cluster.Part;
-import tillerlink.cluster.Post;
-import tillerlink.cluster.Roster;
+import tillerlink.cluster.KeyValueStore;
+import tillerlink.cluster.MembershipView;
+import tillerlink.cluster.MessageSender;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.channels.ChannelsCodec;
 import tillerlink.messages.channels.ChannelsMessage;
@@ -46,7 +46,7 @@
  * of which a prefix is stable: agreed on by a majority of the gateways counted in, and from then on
  * the same everywhere and for good.
  */
-public final class Channels implements Part {
+public final class Channels implements ClusterComponent {
   private static final long REPORT_BUSY = 2500;
   private static final long REPORT_IDLE = 10_000;
   private static final int REPORT_SPANS = 32;
@@ -56,7 +56,7 @@
   private static final int KINDS_MOST = 1024;
 
   private final Terms terms;
-  private final Roster roster;
+  private final MembershipView roster;
   private final Consumer<String> log;
   private final Journal journal;
   private final Store store;
@@ -85,9 +85,9 @@
    */
   public Channels(
       Terms terms,
-      Roster roster,
-      Post post,
-      Keep keep,
+      MembershipView roster,
+      MessageSender post,
+      KeyValueStore keep,
       RandomGenerator random,
       long wall,
       Consumer<String> log) {
--- a/channels/src/main/java/tillerlink/channels/Writer.java
+++ b/channels/src/main/java/tillerlink/channels/Writer.java
@@ -14,7 +14,7 @@
 import tillerlink.channels.recovery.Store;
 import tillerlink.channels.sync.Wire;
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Roster;
+import tillerlink.cluster.MembershipView;
 import tillerlink.messages.channels.ChannelsMessage.Piece;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Entry;
@@ -27,7 +27,7 @@
   private record Asker(Draft draft, Consumer<Appended> answer) {}
 
   private final Terms terms;
-  private final Roster roster;
+  private final MembershipView roster;
   private final Journal journal;
   private final Store store;
   private final Stamps stamps;
--- a/channels/src/main/java/tillerlink/channels/consensus/Agreement.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/Agreement.java
@@ -14,7 +14,7 @@
 import tillerlink.channels.sync.Fetcher;
 import tillerlink.channels.sync.Server;
 import tillerlink.channels.sync.Wire;
-import tillerlink.cluster.Reach;
+import tillerlink.cluster.Reachability;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.channels.Ballot;
 import tillerlink.messages.channels.ChannelsMessage;
@@ -325,8 +325,8 @@
           && report.applied() == journal.applied()) {
         caughtUp.add(name);
       }
-      Reach reach = wire.roster().reach(name);
-      if (reach.talksTo() || reach == Reach.GONE && counted.contains(name)) {
+      Reachability reach = wire.roster().reach(name);
+      if (reach.talksTo() || reach == Reachability.GONE && counted.contains(name)) {
         waitedFor.add(name);
       }
     }
--- a/channels/src/main/java/tillerlink/channels/recovery/Store.java
+++ b/channels/src/main/java/tillerlink/channels/recovery/Store.java
@@ -7,7 +7,7 @@
 import java.util.NavigableMap;
 import tillerlink.channels.journal.Journal;
 import tillerlink.channels.journal.Sum;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
@@ -24,11 +24,11 @@
 public final class Store {
   private static final int PART = 1 << 19;
 
-  private final Keep keep;
+  private final KeyValueStore keep;
   private long failures;
   private long unreadable;
 
-  public Store(Keep keep) {
+  public Store(KeyValueStore keep) {
     this.keep = keep;
   }
 
--- a/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import tillerlink.channels.journal.Holdings;
 import tillerlink.channels.journal.Journal;
-import tillerlink.cluster.Post;
+import tillerlink.cluster.MessageSender;
 import tillerlink.messages.channels.ChannelsMessage.CutsWanted;
 import tillerlink.messages.channels.ChannelsMessage.Piece;
 import tillerlink.messages.channels.ChannelsMessage.Report;
@@ -46,7 +46,7 @@
     long askedAt;
     List<Span> asked = List.of();
     int window = 64;
-    int pieceBytes = Post.BYTES_EASY;
+    int pieceBytes = MessageSender.BYTES_EASY;
     long stepsAskedAt = Long.MIN_VALUE / 2;
     boolean heardSince;
     int taken;
@@ -133,7 +133,7 @@
     source.window = Math.min(WINDOW_MOST, source.window * 2);
     if (source.taken > 0 && ++source.goodInARow >= GOOD_TO_GROW) {
       source.goodInARow = 0;
-      source.pieceBytes = Math.min(Post.BYTES_EASY, source.pieceBytes * 2);
+      source.pieceBytes = Math.min(MessageSender.BYTES_EASY, source.pieceBytes * 2);
     }
   }
 
--- a/channels/src/main/java/tillerlink/channels/sync/Wire.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Wire.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.random.RandomGenerator;
-import tillerlink.cluster.Post;
-import tillerlink.cluster.Roster;
+import tillerlink.cluster.MembershipView;
+import tillerlink.cluster.MessageSender;
 import tillerlink.messages.channels.ChannelsCodec;
 import tillerlink.messages.channels.ChannelsMessage;
 
@@ -16,13 +16,13 @@
    */
   private static final int ALL_MOST = 12;
 
-  private final Roster roster;
-  private final Post post;
+  private final MembershipView roster;
+  private final MessageSender post;
   private final RandomGenerator random;
   private long sent;
   private long sentBytes;
 
-  public Wire(Roster roster, Post post, RandomGenerator random) {
+  public Wire(MembershipView roster, MessageSender post, RandomGenerator random) {
     this.roster = roster;
     this.post = post;
     this.random = random;
@@ -69,7 +69,7 @@
     return chosen;
   }
 
-  public Roster roster() {
+  public MembershipView roster() {
     return roster;
   }
 
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 import tillerlink.channels.entry.Appended;
 import tillerlink.channels.entry.Draft;
-import tillerlink.cluster.Keep;
-import tillerlink.cluster.Reach;
-import tillerlink.cluster.Roster;
+import tillerlink.cluster.KeyValueStore;
+import tillerlink.cluster.MembershipView;
+import tillerlink.cluster.Reachability;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Kind;
 import tillerlink.simulation.Fault;
-import tillerlink.simulation.MemoryKeep;
-import tillerlink.simulation.VirtualFleet;
+import tillerlink.simulation.InMemoryKeyValueStore;
+import tillerlink.simulation.SimulatedFleet;
 
 /**
  * Gateways with channels in virtual time, and an audit from outside: it knows what was appended and
@@ -28,11 +28,11 @@
   static final int ALL = 1 << 30;
 
   final Random random;
-  final VirtualFleet net;
+  final SimulatedFleet net;
   final List<String> names;
   final Terms terms;
   final Map<String, Channels> running = new TreeMap<>();
-  final Map<String, MemoryKeep> disks = new HashMap<>();
+  final Map<String, InMemoryKeyValueStore> disks = new HashMap<>();
   final Map<String, NavigableMap<String, byte[]>> copies = new HashMap<>();
   final List<String> log = new ArrayList<>();
 
@@ -54,7 +54,7 @@
 
   Fleet(long seed, List<String> names, Terms terms) {
     random = new Random(seed);
-    net = new VirtualFleet(random);
+    net = new SimulatedFleet(random);
     this.names = names;
     this.terms = terms;
     termsOf = name -> terms;
@@ -62,7 +62,7 @@
     wallOf = net::wall;
   }
 
-  private final class Names implements Roster {
+  private final class Names implements MembershipView {
     final String self;
 
     Names(String self) {
@@ -85,8 +85,8 @@
     }
 
     @Override
-    public Reach reach(String name) {
-      return Reach.REACHABLE;
+    public Reachability reach(String name) {
+      return Reachability.REACHABLE;
     }
   }
 
@@ -96,19 +96,20 @@
 
   /** Starts a gateway on its disk, an empty one if it has none. */
   void start(String name) {
-    MemoryKeep before = disks.get(name);
-    MemoryKeep disk = before == null ? new MemoryKeep(net, 5) : before.reopened();
+    InMemoryKeyValueStore before = disks.get(name);
+    InMemoryKeyValueStore disk =
+        before == null ? new InMemoryKeyValueStore(net, 5) : before.reopened();
     start(name, disk);
   }
 
-  void start(String name, MemoryKeep disk) {
+  void start(String name, InMemoryKeyValueStore disk) {
     disks.put(name, disk);
     Channels channels = made(name, disk);
     running.put(name, channels);
     net.start(name, channels);
   }
 
-  Channels made(String name, Keep keep) {
+  Channels made(String name, KeyValueStore keep) {
     return new Channels(
         termsOf.apply(name),
         new Names(name),
@@ -120,7 +121,7 @@
   }
 
   void kill(String name) {
-    MemoryKeep disk = disks.get(name);
+    InMemoryKeyValueStore disk = disks.get(name);
     if (running.remove(name) != null) {
       net.kill(name);
       disk.crash(disk.inDoubt() == 0 ? 0 : random.nextInt(disk.inDoubt() + 1));
--- a/channels/src/test/java/tillerlink/channels/History.java
+++ b/channels/src/test/java/tillerlink/channels/History.java
@@ -8,7 +8,7 @@
 import tillerlink.channels.entry.Draft;
 import tillerlink.messages.channels.Kind;
 import tillerlink.simulation.Fault;
-import tillerlink.simulation.MemoryKeep;
+import tillerlink.simulation.InMemoryKeyValueStore;
 
 /**
  * One seeded history: three sites with three to six gateways, load and faults, then healing and the
@@ -156,7 +156,7 @@
     return fleet.names.get(fleet.random.nextInt(fleet.names.size()));
   }
 
-  private MemoryKeep disk(String name) {
+  private InMemoryKeyValueStore disk(String name) {
     return fleet.disks.get(name);
   }
 
@@ -252,10 +252,10 @@
     note(name);
     if (die < 39 && fleet.copies.containsKey(name)) {
       say("old copy " + name);
-      fleet.start(name, MemoryKeep.of(fleet.net, 5, fleet.copies.get(name)));
+      fleet.start(name, InMemoryKeyValueStore.of(fleet.net, 5, fleet.copies.get(name)));
     } else {
       say("lost disk " + name);
-      fleet.start(name, new MemoryKeep(fleet.net, 5));
+      fleet.start(name, new InMemoryKeyValueStore(fleet.net, 5));
     }
   }
 
--- a/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
+++ b/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
@@ -13,7 +13,7 @@
 import tillerlink.channels.journal.ChannelLog;
 import tillerlink.messages.channels.Ballot;
 import tillerlink.messages.channels.Span;
-import tillerlink.simulation.MemoryKeep;
+import tillerlink.simulation.InMemoryKeyValueStore;
 
 /** Each check can fail: faults planted in the machines' insides, and what caught them. */
 class PlantedFaultsTest {
@@ -119,7 +119,7 @@
                   () -> {
                     if (history.fleet.running.containsKey("n1")) {
                       history.fleet.kill("n1");
-                      history.fleet.start("n1", new MemoryKeep(history.fleet.net, 5));
+                      history.fleet.start("n1", new InMemoryKeyValueStore(history.fleet.net, 5));
                       history.fleet.append(
                           "n1", "news", Fleet.cue("c", "at " + history.fleet.net.now()));
                     }
@@ -220,7 +220,8 @@
                       for (String name : List.copyOf(history.fleet.running.keySet())) {
                         if (history.fleet.random.nextInt(4) == 0) {
                           history.fleet.kill(name);
-                          history.fleet.start(name, new MemoryKeep(history.fleet.net, 5));
+                          history.fleet.start(
+                              name, new InMemoryKeyValueStore(history.fleet.net, 5));
                           set(get(history.fleet.running.get(name), "agreement"), "votes", true);
                         }
                       }
--- a/channels/src/test/java/tillerlink/channels/RoomTest.java
+++ b/channels/src/test/java/tillerlink/channels/RoomTest.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import tillerlink.channels.entry.Draft;
-import tillerlink.cluster.Post;
+import tillerlink.cluster.MessageSender;
 import tillerlink.messages.channels.Kind;
 import tillerlink.simulation.Fault;
-import tillerlink.simulation.MemoryKeep;
+import tillerlink.simulation.InMemoryKeyValueStore;
 
 /** Compaction, the sum for those far behind, bounds, full disks, links for small messages. */
 class RoomTest {
@@ -121,7 +121,7 @@
     Fleet fleet = fleet(64 << 20, 1000);
     write(fleet, "w1", 4);
     fleet.kill("w1");
-    fleet.start("w1", new MemoryKeep(fleet.net, 5));
+    fleet.start("w1", new InMemoryKeyValueStore(fleet.net, 5));
     fleet.net.playFor(10 * Fleet.SECOND);
     write(fleet, "w1", 2);
     fleet.net.playFor(10 * Fleet.SECOND);
@@ -138,7 +138,7 @@
   @Test
   void linksForSmallMessagesCarryAll() {
     Fleet fleet = fleet(64 << 20, 8);
-    fleet.net.usual(Fault.small(Post.BYTES_EASY));
+    fleet.net.usual(Fault.small(MessageSender.BYTES_EASY));
     fleet.cut(List.of("w1"));
     for (int i = 0; i < 300; i++) {
       fleet.append("w1", "news", Fleet.cue("c".repeat(60) + i % 7, "x".repeat(400)));
--- a/channels/src/test/java/tillerlink/channels/StoriesTest.java
+++ b/channels/src/test/java/tillerlink/channels/StoriesTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tillerlink.simulation.MemoryKeep;
+import tillerlink.simulation.InMemoryKeyValueStore;
 
 /** Hard cases as kept timelines: what was done, and what readers of each gateway were told. */
 class StoriesTest {
@@ -117,7 +117,7 @@
     fleet.cut(List.of("w1"));
     write("s1", "b");
     fleet.kill("s1");
-    fleet.start("s1", new MemoryKeep(fleet.net, 5));
+    fleet.start("s1", new InMemoryKeyValueStore(fleet.net, 5));
     write("n1", "c");
     write("s1", "d");
     wait(20);
@@ -139,7 +139,7 @@
     wait(3);
     say("all are killed; n1 is started on the old copy, the others on their disks");
     fleet.names.forEach(fleet::kill);
-    fleet.start("n1", MemoryKeep.of(fleet.net, 5, copy));
+    fleet.start("n1", InMemoryKeyValueStore.of(fleet.net, 5, copy));
     write("n1", "d");
     told();
     fleet.start("s1");
--- a/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
+++ b/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
@@ -23,7 +23,7 @@
 import tillerlink.channels.journal.Journal;
 import tillerlink.channels.journal.Placed;
 import tillerlink.channels.journal.Sum;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.channels.Ballot;
 import tillerlink.messages.channels.Cut;
@@ -46,7 +46,7 @@
   private static final long OTHER = 0x22L;
 
   /** A table in memory that keeps at once. */
-  private static final class MapKeep implements Keep {
+  private static final class MapKeep implements KeyValueStore {
     final NavigableMap<String, byte[]> values;
 
     MapKeep(Map<String, byte[]> values) {
--- a/cluster/src/main/java/tillerlink/cluster/Part.java
+++ b/cluster/src/main/java/tillerlink/cluster/ClusterComponent.java
@@ -2,11 +2,11 @@
 
 /**
  * A part of the state that gateways share: it is fed messages and time, and gives out messages
- * through {@link Post}. It does no I/O, and one thread owns it. Times are tenths of a millisecond:
- * {@code now} never goes back and goes on while the process is paused; {@code wall} is the
- * machine's clock, which may jump either way.
+ * through {@link MessageSender}. It does no I/O, and one thread owns it. Times are tenths of a
+ * millisecond: {@code now} never goes back and goes on while the process is paused; {@code wall} is
+ * the machine's clock, which may jump either way.
  */
-public interface Part {
+public interface ClusterComponent {
   /** A message of another gateway; one that can't be read costs no more than a counter. */
   void told(long now, long wall, String from, byte[] body);
 
--- a/cluster/src/main/java/tillerlink/cluster/Keep.java
+++ b/cluster/src/main/java/tillerlink/cluster/KeyValueStore.java
@@ -6,7 +6,7 @@
  * What outlives the process: a table of small values under names. Nobody who hands over a change
  * waits for the disk.
  */
-public interface Keep {
+public interface KeyValueStore {
   /** No value is longer. */
   int VALUE_MOST = 1 << 20;
 
--- a/cluster/src/main/java/tillerlink/cluster/Roster.java
+++ b/cluster/src/main/java/tillerlink/cluster/MembershipView.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** Who is there. Asked in a turn of the thread that owns all state; never waits. */
-public interface Roster {
+public interface MembershipView {
   /** The own name, the same after a restart. */
   String self();
 
@@ -13,6 +13,6 @@
   /** All others that are known, gone and left ones too, in the order of their names. */
   List<String> names();
 
-  /** {@link Reach#GONE} for one that is not known. */
-  Reach reach(String name);
+  /** {@link Reachability#GONE} for one that is not known. */
+  Reachability reach(String name);
 }
--- a/cluster/src/main/java/tillerlink/cluster/Post.java
+++ b/cluster/src/main/java/tillerlink/cluster/MessageSender.java
@@ -5,7 +5,7 @@
  * and nobody says so; whoever needs it to arrive sends it again until the answer is there.
  */
 @FunctionalInterface
-public interface Post {
+public interface MessageSender {
   /** No message is longer; what is more goes in several. */
   int BYTES_MOST = 12_000;
 
--- a/cluster/src/main/java/tillerlink/cluster/Reach.java
+++ b/cluster/src/main/java/tillerlink/cluster/Reachability.java
@@ -1,7 +1,7 @@
 package tillerlink.cluster;
 
 /** How another member of the fleet stands, as this gateway knows it. */
-public enum Reach {
+public enum Reachability {
   /** Heard straight from it of late. */
   REACHABLE,
   /** Not heard straight, but others that are heard reach it. */
--- a/members/src/main/java/tillerlink/members/Members.java
+++ b/members/src/main/java/tillerlink/members/Members.java
@@ -3,29 +3,29 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
-import tillerlink.cluster.Part;
-import tillerlink.cluster.Reach;
-import tillerlink.cluster.Roster;
-import tillerlink.members.antientropy.Digests;
-import tillerlink.members.config.Lines;
-import tillerlink.members.config.Periods;
-import tillerlink.members.config.Watcher;
-import tillerlink.members.config.Wire;
-import tillerlink.members.probe.Relays;
-import tillerlink.members.state.Entry;
+import tillerlink.cluster.ClusterComponent;
+import tillerlink.cluster.MembershipView;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.antientropy.AntiEntropy;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.members.config.MembershipListener;
+import tillerlink.members.config.MembershipTransport;
+import tillerlink.members.config.RateLimitedLog;
+import tillerlink.members.probe.IndirectProbes;
+import tillerlink.members.state.MemberRecord;
 import tillerlink.messages.MalformedMessageException;
-import tillerlink.messages.members.Card;
-import tillerlink.messages.members.Doubt;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
+import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberMessage;
-import tillerlink.messages.members.Rumour;
+import tillerlink.messages.members.SuspicionLevel;
 
 /**
  * Who takes part in a fleet of gateways, as one of them knows it. See {@code docs/members.md} and
  * the design note beside it. The wall clock decides nothing, but for which of two processes with
  * one name is preferred.
  */
-public final class Members implements Part, Roster {
+public final class Members implements ClusterComponent, MembershipView {
   private static final int PIECES_AT_ONCE = 8;
   private static final int LAST_TO = 6;
   private static final int LAST_TIMES = 3;
@@ -40,13 +40,13 @@
   private static final int RANDOM_BITS = 20;
 
   private final Identity identity;
-  private final Periods periods;
+  private final MembershipConfig periods;
   private final RandomGenerator random;
-  private final Core core;
-  private final Asking asking;
-  private final Digests digests;
-  private final Hearing hearing;
-  private final Watcher watcher;
+  private final MembershipState core;
+  private final FailureDetector asking;
+  private final AntiEntropy digests;
+  private final MessageHandler hearing;
+  private final MembershipListener watcher;
   private boolean started;
   private long probeAt;
   private long gossipAt;
@@ -68,34 +68,35 @@
    */
   public Members(
       Identity identity,
-      Periods periods,
-      Wire wire,
+      MembershipConfig periods,
+      MembershipTransport wire,
       RandomGenerator random,
-      Watcher watcher,
+      MembershipListener watcher,
       long wall) {
-    this(identity, periods, wire, random, watcher, wall, new Makers());
+    this(identity, periods, wire, random, watcher, wall, new ComponentFactories());
   }
 
   Members(
       Identity identity,
-      Periods periods,
-      Wire wire,
+      MembershipConfig periods,
+      MembershipTransport wire,
       RandomGenerator random,
-      Watcher watcher,
+      MembershipListener watcher,
       long wall,
-      Makers makers) {
+      ComponentFactories makers) {
     this.identity = identity;
     this.periods = periods;
     this.random = random;
     this.watcher = watcher;
     long birth = wall / 10 << RANDOM_BITS | random.nextInt(1 << RANDOM_BITS);
-    core = new Core(identity, periods, wire, watcher, this::changed, random, birth, makers);
-    asking = new Asking(core, identity.seeds());
-    digests = new Digests(new All());
-    hearing = new Hearing(core, asking, digests);
+    core =
+        new MembershipState(identity, periods, wire, watcher, this::changed, random, birth, makers);
+    asking = new FailureDetector(core, identity.seeds());
+    digests = new AntiEntropy(new All());
+    hearing = new MessageHandler(core, asking, digests);
   }
 
-  private final class All implements Digests.Known {
+  private final class All implements AntiEntropy.Known {
     @Override
     public Iterable<String> names(int bucket) {
       if (MemberCodec.bucket(core.self) != bucket) {
@@ -107,13 +108,13 @@
     }
 
     @Override
-    public Rumour rumour(String name) {
+    public GossipUpdate rumour(String name) {
       return core.rumour(name, "");
     }
   }
 
-  private void changed(Entry entry, Reach was, Card before) {
-    Reach is = entry.reach();
+  private void changed(MemberRecord entry, Reachability was, MemberInfo before) {
+    Reachability is = entry.reach();
     if (was != is) {
       watcher.reach(entry.name(), was, is);
     }
@@ -135,7 +136,7 @@
     } catch (MalformedMessageException e) {
       malformed++;
       core.lines.line(
-          Lines.Kind.MALFORMED,
+          RateLimitedLog.Kind.MALFORMED,
           now,
           "members: a message from " + from + " can't be read: " + e.getMessage());
     }
@@ -175,11 +176,11 @@
   private void doDue() {
     long now = core.now;
     asking.probes.turn(now);
-    for (Relays.For who : asking.relays.expired(now)) {
+    for (IndirectProbes.For who : asking.relays.expired(now)) {
       core.send(
           who.address(), new MemberMessage.Vouch(core.own.card(), who.number(), false, List.of()));
     }
-    for (Entry gone = core.table.expire(now); gone != null; gone = core.table.expire(now)) {
+    for (MemberRecord gone = core.table.expire(now); gone != null; gone = core.table.expire(now)) {
       core.rumours.put(gone.name(), core.self);
     }
     if (now >= probeAt) {
@@ -196,7 +197,7 @@
     }
     if (now >= digestAt) {
       digestAt = now + periods.digestEvery() / 2 + random.nextLong(periods.digestEvery());
-      Entry any = core.table.anyTalking(random);
+      MemberRecord any = core.table.anyTalking(random);
       if (any != null) {
         hearing.compare(any.card().address());
       }
@@ -210,9 +211,10 @@
   private void gossip() {
     asking.verifySome();
     boolean small = gossipRound++ % SMALL_EVERY == SMALL_EVERY - 1;
-    int room = Core.room(small ? Core.BYTES_SMALL : Core.BYTES_MOST);
+    int room =
+        MembershipState.room(small ? MembershipState.BYTES_SMALL : MembershipState.BYTES_MOST);
     if (!core.rumours.isEmpty()) {
-      for (Entry entry : core.table.someTalking(random, periods.gossipTo(), "")) {
+      for (MemberRecord entry : core.table.someTalking(random, periods.gossipTo(), "")) {
         core.gossip(entry.card().address(), entry.doubt(), room);
       }
     }
@@ -253,15 +255,20 @@
     core.table.away(lasted);
     hearing.doubtful(now + periods.answerWithin(), lasted);
     core.lines.line(
-        Lines.Kind.AWAY, now, "members: this process did nothing for " + lasted / 10 + " ms");
+        RateLimitedLog.Kind.AWAY,
+        now,
+        "members: this process did nothing for " + lasted / 10 + " ms");
     core.own.raise(0);
     core.raised();
     asking.health.worse(2);
     probeAt = now + periods.answerWithin();
     gossipAt = now;
     // Some are told at once, before they give this process up.
-    for (Entry entry : core.table.someTalking(random, LAST_TO, "")) {
-      core.gossip(entry.card().address(), Doubt.NONE, Core.room(Core.BYTES_SMALL));
+    for (MemberRecord entry : core.table.someTalking(random, LAST_TO, "")) {
+      core.gossip(
+          entry.card().address(),
+          SuspicionLevel.NONE,
+          MembershipState.room(MembershipState.BYTES_SMALL));
     }
   }
 
@@ -285,7 +292,7 @@
     }
     lastSaid++;
     lastAt = core.now + Math.min(periods.period() / 5, LAST_EVERY_MOST);
-    for (Entry entry : core.table.someTalking(random, LAST_TO, "")) {
+    for (MemberRecord entry : core.table.someTalking(random, LAST_TO, "")) {
       core.sayLast(entry.card().address());
     }
   }
@@ -311,7 +318,7 @@
     if (name.equals(core.self)) {
       return identity.site();
     }
-    Entry entry = core.table.get(name);
+    MemberRecord entry = core.table.get(name);
     return entry == null ? "" : entry.card().site();
   }
 
@@ -321,20 +328,20 @@
   }
 
   @Override
-  public Reach reach(String name) {
-    Entry entry = core.table.get(name);
-    return entry == null || core.own.yielded() ? Reach.GONE : entry.reach();
+  public Reachability reach(String name) {
+    MemberRecord entry = core.table.get(name);
+    return entry == null || core.own.yielded() ? Reachability.GONE : entry.reach();
   }
 
   /** Where messages to a member go; empty if it is not known. */
   public String address(String name) {
-    Entry entry = core.table.get(name);
+    MemberRecord entry = core.table.get(name);
     return entry == null ? "" : entry.card().address();
   }
 
   /** The incarnation under which a member is known, the own one too; 0 if it is not known. */
   public long incarnation(String name) {
-    Entry entry = core.table.get(name);
+    MemberRecord entry = core.table.get(name);
     return name.equals(core.self)
         ? core.own.card().incarnation()
         : entry == null ? 0 : entry.card().incarnation();
--- a/members/src/main/java/tillerlink/members/Core.java
+++ b/members/src/main/java/tillerlink/members/MembershipState.java
@@ -4,80 +4,81 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Post;
-import tillerlink.members.config.Lines;
-import tillerlink.members.config.Periods;
-import tillerlink.members.config.Watcher;
-import tillerlink.members.config.Wire;
-import tillerlink.members.gossip.Rumours;
-import tillerlink.members.local.Own;
-import tillerlink.members.state.Entry;
-import tillerlink.members.state.Table;
-import tillerlink.messages.members.Card;
-import tillerlink.messages.members.Doubt;
+import tillerlink.cluster.MessageSender;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.members.config.MembershipListener;
+import tillerlink.members.config.MembershipTransport;
+import tillerlink.members.config.RateLimitedLog;
+import tillerlink.members.gossip.GossipQueue;
+import tillerlink.members.local.LocalMember;
+import tillerlink.members.state.MemberRecord;
+import tillerlink.members.state.MemberTable;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
+import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberMessage;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.messages.members.MemberStatus;
+import tillerlink.messages.members.SuspicionLevel;
 
 /** What asking and hearing share: who is known, what is news, how it is said. */
-final class Core {
+final class MembershipState {
   /** A message with news is no longer, so that it goes in one datagram. */
-  static final int BYTES_MOST = Post.BYTES_EASY;
+  static final int BYTES_MOST = MessageSender.BYTES_EASY;
 
   /** Every so often news go in small messages, for links that carry no others. */
   static final int BYTES_SMALL = 300;
 
   final String self;
-  final Periods periods;
-  final Watcher watcher;
-  final Lines lines;
+  final MembershipConfig periods;
+  final MembershipListener watcher;
+  final RateLimitedLog lines;
   final RandomGenerator random;
-  final Table table;
-  final Rumours rumours;
-  final Own own;
-  private final Wire wire;
+  final MemberTable table;
+  final GossipQueue rumours;
+  final LocalMember own;
+  private final MembershipTransport wire;
   long now;
   boolean left;
 
   /** What is said before this process says nothing more; null as long as it takes part. */
-  private List<Card> lastCards;
+  private List<MemberInfo> lastCards;
 
   private long lastAt;
   long sent;
   long sentBytes;
 
-  Core(
+  MembershipState(
       Identity identity,
-      Periods periods,
-      Wire wire,
-      Watcher watcher,
-      Table.Changes changes,
+      MembershipConfig periods,
+      MembershipTransport wire,
+      MembershipListener watcher,
+      MemberTable.Changes changes,
       RandomGenerator random,
       long birth,
-      Makers makers) {
+      ComponentFactories makers) {
     self = identity.name();
     this.periods = periods;
     this.wire = wire;
     this.watcher = watcher;
     this.random = random;
-    lines = new Lines(watcher::line);
+    lines = new RateLimitedLog(watcher::line);
     table = makers.table(self, periods, changes);
     rumours = makers.rumours(2 * periods.mostMembers() + 1);
     own = makers.own(identity, birth);
   }
 
   /** What is told of a name now; null if it is not known. */
-  Rumour rumour(String name, String by) {
+  GossipUpdate rumour(String name, String by) {
     if (name.equals(self)) {
-      return new Rumour(self, left ? Standing.LEFT : Standing.ALIVE, own.card(), "", 0);
+      return new GossipUpdate(
+          self, left ? MemberStatus.LEFT : MemberStatus.ALIVE, own.card(), "", 0);
     }
-    Entry entry = table.get(name);
+    MemberRecord entry = table.get(name);
     return entry == null ? null : entry.rumour(by, now);
   }
 
   /** News for a message that has that much room for them. */
-  List<Rumour> news(int room) {
+  List<GossipUpdate> news(int room) {
     return rumours.take(room, periods.sendsMost(table.size()), this::rumour);
   }
 
@@ -86,13 +87,14 @@
       return;
     }
     byte[] body = MemberCodec.write(message);
-    Invariant.holds(body.length <= Post.BYTES_MOST, () -> "a message of " + body.length + " bytes");
+    Invariant.holds(
+        body.length <= MessageSender.BYTES_MOST, () -> "a message of " + body.length + " bytes");
     sent++;
     sentBytes += body.length;
     wire.send(address, body);
   }
 
-  void gossip(String address, Doubt doubt, int room) {
+  void gossip(String address, SuspicionLevel doubt, int room) {
     send(address, new MemberMessage.Gossip(own.card(), doubt, news(room)));
   }
 
@@ -105,22 +107,22 @@
   }
 
   /** How a member is held that shows that card, if otherwise than it says. */
-  Doubt doubt(String name, Card shown) {
-    Entry entry = table.get(name);
+  SuspicionLevel doubt(String name, MemberInfo shown) {
+    MemberRecord entry = table.get(name);
     if (entry == null) {
-      return Doubt.NONE;
+      return SuspicionLevel.NONE;
     }
     int order = shown.compare(entry.card());
     if (order > 0) {
-      return Doubt.NONE;
+      return SuspicionLevel.NONE;
     }
     return order == 0
         ? entry.doubt()
-        : new Doubt(entry.standing(), entry.card().incarnation(), entry.card().birth());
+        : new SuspicionLevel(entry.standing(), entry.card().incarnation(), entry.card().birth());
   }
 
   /** Another process keeps the own name: the last that is said here is where that one is. */
-  void yieldTo(Card other) {
+  void yieldTo(MemberInfo other) {
     lastCards = List.of(other);
     lastAt = now;
     watcher.yielded();
@@ -140,10 +142,11 @@
 
   /** That this process is away, and which other has its name now. */
   void sayLast(String address) {
-    List<Rumour> words = new ArrayList<>();
-    words.add(new Rumour(self, Standing.LEFT, own.card(), "", now - lastAt));
-    lastCards.forEach(card -> words.add(new Rumour(self, Standing.ALIVE, card, "", now - lastAt)));
-    send(address, new MemberMessage.Gossip(own.card(), Doubt.NONE, words));
+    List<GossipUpdate> words = new ArrayList<>();
+    words.add(new GossipUpdate(self, MemberStatus.LEFT, own.card(), "", now - lastAt));
+    lastCards.forEach(
+        card -> words.add(new GossipUpdate(self, MemberStatus.ALIVE, card, "", now - lastAt)));
+    send(address, new MemberMessage.Gossip(own.card(), SuspicionLevel.NONE, words));
   }
 
   /** The own incarnation rose: the first thing to be told. */
--- a/members/src/main/java/tillerlink/members/Hearing.java
+++ b/members/src/main/java/tillerlink/members/MessageHandler.java
@@ -1,34 +1,34 @@
 package tillerlink.members;
 
 import java.util.List;
-import tillerlink.cluster.Reach;
-import tillerlink.members.antientropy.Digests;
-import tillerlink.members.config.Lines;
-import tillerlink.members.local.Own;
-import tillerlink.members.probe.Relays;
-import tillerlink.members.probe.Try;
-import tillerlink.members.state.Entry;
-import tillerlink.members.state.Table;
-import tillerlink.messages.members.Card;
-import tillerlink.messages.members.Doubt;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.antientropy.AntiEntropy;
+import tillerlink.members.config.RateLimitedLog;
+import tillerlink.members.local.LocalMember;
+import tillerlink.members.probe.IndirectProbes;
+import tillerlink.members.probe.Probe;
+import tillerlink.members.state.MemberRecord;
+import tillerlink.members.state.MemberTable;
+import tillerlink.messages.members.GossipUpdate;
+import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberMessage;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.messages.members.MemberStatus;
+import tillerlink.messages.members.SuspicionLevel;
 
 /** What this process makes of the messages of others. */
-final class Hearing {
+final class MessageHandler {
   /** Nobody is told of what it has to refute more often than that, but in an answer. */
   private static final long DOUBTS_APART = 500;
 
-  private final Core core;
-  private final Asking asking;
-  private final Digests digests;
+  private final MembershipState core;
+  private final FailureDetector asking;
+  private final AntiEntropy digests;
   private long doubtToldAt = Long.MIN_VALUE / 2;
   private long doubtfulUntil = Long.MIN_VALUE;
   private long lasted;
   long refused;
 
-  Hearing(Core core, Asking asking, Digests digests) {
+  MessageHandler(MembershipState core, FailureDetector asking, AntiEntropy digests) {
     this.core = core;
     this.asking = asking;
     this.digests = digests;
@@ -62,7 +62,7 @@
   }
 
   private boolean takesPart(String name) {
-    Entry entry = core.table.get(name);
+    MemberRecord entry = core.table.get(name);
     return entry != null && entry.standing().takesPart();
   }
 
@@ -91,17 +91,17 @@
   /**
    * A message shows that its sender lived once, not that it does now: it may have been recorded.
    */
-  private void met(String from, Card card) {
-    Entry entry = core.table.get(from);
+  private void met(String from, MemberInfo card) {
+    MemberRecord entry = core.table.get(from);
     if (entry == null) {
-      asking.verify(new Rumour(from, Standing.ALIVE, card, "", 0));
+      asking.verify(new GossipUpdate(from, MemberStatus.ALIVE, card, "", 0));
     } else if (card.compare(entry.card()) > 0) {
-      rumour(new Rumour(from, Standing.ALIVE, card, "", 0));
+      rumour(new GossipUpdate(from, MemberStatus.ALIVE, card, "", 0));
     }
   }
 
-  private void tellDoubt(String from, Card card) {
-    Doubt doubt = core.doubt(from, card);
+  private void tellDoubt(String from, MemberInfo card) {
+    SuspicionLevel doubt = core.doubt(from, card);
     if (doubt.is() && core.now - doubtToldAt >= DOUBTS_APART) {
       doubtToldAt = core.now;
       core.gossip(card.address(), doubt, 0);
@@ -113,7 +113,7 @@
   private void probe(String from, MemberMessage.Probe probe) {
     if (!probe.target().isEmpty() && !probe.target().equals(core.self)) {
       // Another process stands at that address now: nobody answers for it.
-      core.gossip(probe.card().address(), Doubt.NONE, 0);
+      core.gossip(probe.card().address(), SuspicionLevel.NONE, 0);
       return;
     }
     own(probe.doubt());
@@ -127,33 +127,36 @@
    * A question without news may have come over a link that carries small messages only: so is the
    * answer.
    */
-  private List<Rumour> answerNews(MemberMessage.Probe probe) {
+  private List<GossipUpdate> answerNews(MemberMessage.Probe probe) {
     return probe.rumours().isEmpty()
-        ? core.news(Core.room(Core.BYTES_SMALL))
-        : core.news(Core.room(Core.BYTES_MOST));
+        ? core.news(MembershipState.room(MembershipState.BYTES_SMALL))
+        : core.news(MembershipState.room(MembershipState.BYTES_MOST));
   }
 
   /**
    * @param known whether it took part already, for all that was known before this answer
    */
   private void ack(String from, MemberMessage.Ack ack, boolean known) {
-    Relays.For asker = asking.relays.answered(ack.number(), from);
+    IndirectProbes.For asker = asking.relays.answered(ack.number(), from);
     if (asker != null) {
       core.send(
           asker.address(),
           new MemberMessage.Vouch(
-              core.own.card(), asker.number(), true, core.news(Core.room(Core.BYTES_SMALL))));
+              core.own.card(),
+              asker.number(),
+              true,
+              core.news(MembershipState.room(MembershipState.BYTES_SMALL))));
       return;
     }
-    Try about = asking.probes.answered(ack.number(), from, core.now);
+    Probe about = asking.probes.answered(ack.number(), from, core.now);
     if (about == null) {
       return;
     }
-    if (about.kind() == Try.Kind.MEMBER) {
+    if (about.kind() == Probe.Kind.MEMBER) {
       straight(from, about);
       return;
     }
-    rumour(new Rumour(from, Standing.ALIVE, ack.card(), "", 0));
+    rumour(new GossipUpdate(from, MemberStatus.ALIVE, ack.card(), "", 0));
     if (!known && takesPart(from)) {
       straight(from, about);
       // A partition may have healed: both learn at once who is there on the other's side.
@@ -161,8 +164,8 @@
     }
   }
 
-  private void straight(String from, Try about) {
-    Entry entry = core.table.get(from);
+  private void straight(String from, Probe about) {
+    MemberRecord entry = core.table.get(from);
     if (entry != null && entry.standing().takesPart()) {
       core.table.lived(entry, about.startedAt());
       core.table.straight(entry, about.took());
@@ -170,18 +173,18 @@
   }
 
   private void relay(String from, MemberMessage.Ask ask) {
-    Entry entry = core.table.get(ask.target());
+    MemberRecord entry = core.table.get(ask.target());
     String address = entry == null ? ask.address() : entry.card().address();
     long number =
         asking.relays.add(
-            new Relays.For(
+            new IndirectProbes.For(
                 from,
                 ask.card().address(),
                 ask.number(),
                 ask.target(),
                 core.now + core.periods.answerWithin()));
     if (number != 0) {
-      Doubt doubt = ask.doubt().is() || entry == null ? ask.doubt() : entry.doubt();
+      SuspicionLevel doubt = ask.doubt().is() || entry == null ? ask.doubt() : entry.doubt();
       core.send(
           address,
           new MemberMessage.Probe(core.own.card(), number, ask.target(), doubt, List.of()));
@@ -196,24 +199,25 @@
 
   // ---- what is told ----
 
-  private void rumour(Rumour told) {
+  private void rumour(GossipUpdate told) {
     if (told.name().equals(core.self)) {
       own(told.standing(), told.card());
       return;
     }
     boolean doubtful = core.now <= doubtfulUntil;
-    Rumour rumour =
+    GossipUpdate rumour =
         doubtful
-            ? new Rumour(told.name(), told.standing(), told.card(), told.by(), told.age() + lasted)
+            ? new GossipUpdate(
+                told.name(), told.standing(), told.card(), told.by(), told.age() + lasted)
             : told;
-    Table.Outcome outcome = core.table.tell(rumour, core.now, doubtful);
+    MemberTable.Outcome outcome = core.table.tell(rumour, core.now, doubtful);
     switch (outcome) {
       case NEWS -> core.rumours.put(rumour.name(), rumour.by());
       case VERIFY -> asking.verify(rumour);
       case REFUSED -> {
         refused++;
         core.lines.line(
-            Lines.Kind.FULL,
+            RateLimitedLog.Kind.FULL,
             core.now,
             "members: no room for "
                 + rumour.name()
@@ -226,22 +230,22 @@
         // nothing new
       }
     }
-    if (outcome == Table.Outcome.NEWS
-        && rumour.standing() == Standing.GONE
-        && core.table.get(rumour.name()).reach() == Reach.SUSPECTED) {
+    if (outcome == MemberTable.Outcome.NEWS
+        && rumour.standing() == MemberStatus.GONE
+        && core.table.get(rumour.name()).reach() == Reachability.SUSPECTED) {
       asking.verify(rumour);
     }
   }
 
-  private void outdated(Rumour rumour) {
-    Entry entry = core.table.get(rumour.name());
-    if (rumour.standing() == Standing.SUSPECTED && !entry.standing().takesPart()) {
+  private void outdated(GossipUpdate rumour) {
+    MemberRecord entry = core.table.get(rumour.name());
+    if (rumour.standing() == MemberStatus.SUSPECTED && !entry.standing().takesPart()) {
       // Whoever suspects it alone would wait long for others to confirm it: they have given it up
       // already.
       core.rumours.again(rumour.name(), core.self);
     }
     // Another process of the name of one that is away may not know yet what it has to stand above.
-    if (rumour.standing() == Standing.ALIVE
+    if (rumour.standing() == MemberStatus.ALIVE
         && !entry.standing().takesPart()
         && rumour.card().birth() != entry.card().birth()) {
       asking.verify(rumour);
@@ -250,22 +254,23 @@
 
   // ---- the own name ----
 
-  private void own(Doubt doubt) {
-    own(doubt.standing(), new Card(doubt.incarnation(), doubt.birth(), "", ""));
+  private void own(SuspicionLevel doubt) {
+    own(doubt.standing(), new MemberInfo(doubt.incarnation(), doubt.birth(), "", ""));
   }
 
-  private void own(Standing standing, Card card) {
+  private void own(MemberStatus standing, MemberInfo card) {
     if (card.incarnation() == 0 || core.left || core.own.yielded()) {
       return;
     }
-    Own.Answer answer = core.own.told(standing, card.incarnation(), card.birth(), card.address());
+    LocalMember.Answer answer =
+        core.own.told(standing, card.incarnation(), card.birth(), card.address());
     settle(answer, card);
-    if (answer == Own.Answer.RAISED && card.birth() == core.own.card().birth()) {
+    if (answer == LocalMember.Answer.RAISED && card.birth() == core.own.card().birth()) {
       asking.health.worse(1);
     }
   }
 
-  private void settle(Own.Answer answer, Card other) {
+  private void settle(LocalMember.Answer answer, MemberInfo other) {
     switch (answer) {
       case NOTHING -> {
         // it says what is so
@@ -274,7 +279,7 @@
       case RAISED_OVER_RIVAL -> {
         core.raised();
         core.lines.line(
-            Lines.Kind.RIVAL,
+            RateLimitedLog.Kind.RIVAL,
             core.now,
             "members: another process is told of under the own name "
                 + core.self
@@ -284,7 +289,7 @@
       }
       case YIELD -> {
         core.lines.line(
-            Lines.Kind.OWN,
+            RateLimitedLog.Kind.OWN,
             core.now,
             "members: another process keeps the name "
                 + core.self
@@ -296,7 +301,7 @@
 
   /** A message from the own name: an echo, or another process that has it. */
   private void self(MemberMessage message) {
-    Card card = message.card();
+    MemberInfo card = message.card();
     if (card.birth() == core.own.card().birth() || core.left) {
       return;
     }
@@ -305,11 +310,11 @@
       settle(core.own.lives(card.birth()), card);
       return;
     }
-    own(Standing.ALIVE, card);
+    own(MemberStatus.ALIVE, card);
     if (message instanceof MemberMessage.Probe probe) {
       core.send(
           card.address(),
-          new MemberMessage.Ack(core.own.card(), probe.number(), Doubt.NONE, List.of()));
+          new MemberMessage.Ack(core.own.card(), probe.number(), SuspicionLevel.NONE, List.of()));
       if (!core.own.yielded() && !asking.probes.underWay(core.self)) {
         asking.rival(card.address());
       }
--- a/members/src/main/java/tillerlink/members/antientropy/Digests.java
+++ b/members/src/main/java/tillerlink/members/antientropy/AntiEntropy.java
@@ -7,16 +7,16 @@
 import java.util.List;
 import java.util.Map;
 import tillerlink.cluster.Invariant;
-import tillerlink.messages.members.Card;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
+import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberMessage;
-import tillerlink.messages.members.Rumour;
 
 /**
  * Comparing all that two members know: a sum for each bucket of names, then listings of the buckets
  * that differ, in pieces, then what the other lacked.
  */
-public final class Digests {
+public final class AntiEntropy {
   /** Pieces to be sent that wait at once; beyond it the comparison is taken up by the next one. */
   public static final int TASKS_MOST = 128;
 
@@ -26,7 +26,7 @@
     Iterable<String> names(int bucket);
 
     /** As it is told on now. */
-    Rumour rumour(String name);
+    GossipUpdate rumour(String name);
   }
 
   private record Task(String address, int bucket, String after, List<String> only) {}
@@ -34,7 +34,7 @@
   private final Known known;
   private final Deque<Task> tasks = new ArrayDeque<>();
 
-  public Digests(Known known) {
+  public AntiEntropy(Known known) {
     this.known = known;
   }
 
@@ -55,7 +55,7 @@
     return sums;
   }
 
-  private static int sum(Rumour rumour, long salt) {
+  private static int sum(GossipUpdate rumour, long salt) {
     long mixed = salt ^ rumour.name().hashCode();
     mixed = mix(mixed + rumour.card().incarnation());
     mixed = mix(mixed ^ rumour.card().birth());
@@ -93,7 +93,7 @@
     if (!listing.reply()) {
       return;
     }
-    Map<String, Rumour> theirs = new HashMap<>();
+    Map<String, GossipUpdate> theirs = new HashMap<>();
     listing.rumours().forEach(rumour -> theirs.put(rumour.name(), rumour));
     List<String> lacks = new ArrayList<>();
     for (String name : known.names(listing.bucket())) {
@@ -109,7 +109,7 @@
     }
   }
 
-  private static boolean above(Rumour own, Rumour theirs) {
+  private static boolean above(GossipUpdate own, GossipUpdate theirs) {
     if (theirs == null) {
       return true;
     }
@@ -122,12 +122,12 @@
    *
    * @param room bytes for rumours
    */
-  public boolean send(Card card, int room, Sender sender) {
+  public boolean send(MemberInfo card, int room, Sender sender) {
     Task task = tasks.poll();
     if (task == null) {
       return false;
     }
-    List<Rumour> piece = new ArrayList<>();
+    List<GossipUpdate> piece = new ArrayList<>();
     String last = task.after;
     int left = room;
     boolean whole = true;
@@ -135,7 +135,7 @@
       if (name.compareTo(task.after) <= 0) {
         continue;
       }
-      Rumour rumour = known.rumour(name);
+      GossipUpdate rumour = known.rumour(name);
       int size = rumour == null ? 0 : MemberCodec.size(rumour);
       if (!piece.isEmpty() && (size > left || piece.size() >= MemberCodec.RUMOURS_MOST)) {
         whole = false;
--- a/members/src/main/java/tillerlink/members/config/Periods.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipConfig.java
@@ -21,7 +21,7 @@
  * @param healthMost local health goes from 0 to that; 0 switches it off
  * @param mostMembers others that take part at once; as many again may be gone or left
  */
-public record Periods(
+public record MembershipConfig(
     long period,
     long answerWithin,
     long waitMost,
@@ -40,7 +40,7 @@
     int mostMembers) {
   private static final long SECOND = 10_000;
 
-  public Periods {
+  public MembershipConfig {
     if (period < 10
         || answerWithin < 1
         || waitMost < answerWithin
@@ -61,8 +61,8 @@
     }
   }
 
-  public static Periods usual() {
-    return new Periods(
+  public static MembershipConfig usual() {
+    return new MembershipConfig(
         SECOND / 2,
         1500,
         2 * SECOND,
@@ -81,8 +81,8 @@
         1024);
   }
 
-  public Periods withHealth(int most) {
-    return new Periods(
+  public MembershipConfig withHealth(int most) {
+    return new MembershipConfig(
         period,
         answerWithin,
         waitMost,
@@ -101,8 +101,8 @@
         mostMembers);
   }
 
-  public Periods withMembers(int most) {
-    return new Periods(
+  public MembershipConfig withMembers(int most) {
+    return new MembershipConfig(
         period,
         answerWithin,
         waitMost,
@@ -122,8 +122,8 @@
   }
 
   /** How long rumours and those gone are remembered. */
-  public Periods withMemory(long life, long forget) {
-    return new Periods(
+  public MembershipConfig withMemory(long life, long forget) {
+    return new MembershipConfig(
         period,
         answerWithin,
         waitMost,
--- a/members/src/main/java/tillerlink/members/config/Watcher.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipListener.java
@@ -1,16 +1,16 @@
 package tillerlink.members.config;
 
-import tillerlink.cluster.Reach;
+import tillerlink.cluster.Reachability;
 
 /**
  * Is told, in the turn in which it happens, what changes among the members. It must not call back
  * into them.
  */
-public interface Watcher {
+public interface MembershipListener {
   /**
-   * @param was what it was; {@link Reach#GONE} also for one that was not known
+   * @param was what it was; {@link Reachability#GONE} also for one that was not known
    */
-  void reach(String name, Reach was, Reach is);
+  void reach(String name, Reachability was, Reachability is);
 
   /** A process of that name took over from an earlier one, without that having been given up. */
   default void renewed(String name, long incarnation) {}
--- a/members/src/main/java/tillerlink/members/config/Wire.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipTransport.java
@@ -5,7 +5,7 @@
  * lost.
  */
 @FunctionalInterface
-public interface Wire {
+public interface MembershipTransport {
   /**
    * @param address host:port, as the operator or the member itself wrote it
    */
--- a/members/src/main/java/tillerlink/members/config/Lines.java
+++ b/members/src/main/java/tillerlink/members/config/RateLimitedLog.java
@@ -8,7 +8,7 @@
  * Lines for the log, of each kind at most one in ten seconds; the next one says how many were left
  * out.
  */
-public final class Lines {
+public final class RateLimitedLog {
   /** What a line is about. */
   public enum Kind {
     MALFORMED,
@@ -28,7 +28,7 @@
   private final Map<Kind, Last> lasts = new EnumMap<>(Kind.class);
   private final Consumer<String> log;
 
-  public Lines(Consumer<String> log) {
+  public RateLimitedLog(Consumer<String> log) {
     this.log = log;
   }
 
--- a/members/src/main/java/tillerlink/members/gossip/Rumours.java
+++ b/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
@@ -9,14 +9,14 @@
 import java.util.TreeSet;
 import java.util.function.BiFunction;
 import tillerlink.cluster.Invariant;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
-import tillerlink.messages.members.Rumour;
 
 /**
  * News to be told on: at most one of each member, those sent least often first. What it says is
  * looked up when it is sent, so that it is never older than what is known.
  */
-public class Rumours {
+public class GossipQueue {
   private record Item(String name, String by, int sent, long order) {}
 
   private static final Comparator<Item> LEAST_SENT =
@@ -31,7 +31,7 @@
   /**
    * @param most that many wait at once; beyond it those sent most often are dropped
    */
-  public Rumours(int most) {
+  public GossipQueue(int most) {
     this.most = most;
   }
 
@@ -77,12 +77,13 @@
    * @param sendsMost after that it is no news any more
    * @param look what is to be said of a name, by whom; null if nothing
    */
-  public List<Rumour> take(int room, int sendsMost, BiFunction<String, String, Rumour> look) {
-    List<Rumour> taken = new ArrayList<>();
+  public List<GossipUpdate> take(
+      int room, int sendsMost, BiFunction<String, String, GossipUpdate> look) {
+    List<GossipUpdate> taken = new ArrayList<>();
     List<Item> items = new ArrayList<>();
     int left = room;
     for (Item item : queue) {
-      Rumour rumour = look.apply(item.name, item.by);
+      GossipUpdate rumour = look.apply(item.name, item.by);
       int size = rumour == null ? 0 : MemberCodec.size(rumour);
       if (size > left || taken.size() >= MemberCodec.RUMOURS_MOST) {
         break;
@@ -97,7 +98,7 @@
     return taken;
   }
 
-  private void sent(Item item, int sendsMost, BiFunction<String, String, Rumour> look) {
+  private void sent(Item item, int sendsMost, BiFunction<String, String, GossipUpdate> look) {
     remove(item.name);
     if (item.sent + 1 < sendsMost && look.apply(item.name, item.by) != null) {
       Item next = new Item(item.name, item.by, item.sent + 1, item.order);
--- a/members/src/main/java/tillerlink/members/local/Own.java
+++ b/members/src/main/java/tillerlink/members/local/LocalMember.java
@@ -1,15 +1,15 @@
 package tillerlink.members.local;
 
 import tillerlink.cluster.Invariant;
-import tillerlink.messages.members.Card;
-import tillerlink.messages.members.Standing;
+import tillerlink.messages.members.MemberInfo;
+import tillerlink.messages.members.MemberStatus;
 
 /**
  * This process's own life. Whatever is told of the own name that stands above it, or says that it
  * is not there, is refuted by a higher incarnation. If another process has the name too, both see
  * each other rise; the one whose birth is less yields, the same one on both sides.
  */
-public class Own {
+public class LocalMember {
   /** Rises of a rival after the own ones that prove, without its direct answer, that it lives. */
   private static final int RISES_PROVE = 3;
 
@@ -24,7 +24,7 @@
     YIELD
   }
 
-  private Card card;
+  private MemberInfo card;
   private boolean yielded;
   private long rivalBirth;
   private long rivalIncarnation;
@@ -35,11 +35,11 @@
    * @param before the incarnation that an earlier process under this name had at the most; 0 if
    *     that is not known
    */
-  public Own(long before, long birth, String address, String site) {
-    card = new Card(Math.max(0, before) + 1, birth, address, site);
+  public LocalMember(long before, long birth, String address, String site) {
+    card = new MemberInfo(Math.max(0, before) + 1, birth, address, site);
   }
 
-  public Card card() {
+  public MemberInfo card() {
     return card;
   }
 
@@ -56,28 +56,28 @@
   public void raise(long above) {
     long next = Math.max(above, card.incarnation()) + 1;
     Invariant.holds(next > card.incarnation(), () -> "the own incarnation falls to " + next);
-    card = new Card(next, card.birth(), card.address(), card.site());
+    card = new MemberInfo(next, card.birth(), card.address(), card.site());
     refuted++;
   }
 
   /** Something was told of the own name. */
-  public Answer told(Standing standing, long incarnation, long birth, String address) {
+  public Answer told(MemberStatus standing, long incarnation, long birth, String address) {
     if (birth == card.birth()) {
-      if (standing == Standing.ALIVE && incarnation <= card.incarnation()
+      if (standing == MemberStatus.ALIVE && incarnation <= card.incarnation()
           || incarnation < card.incarnation()) {
         return Answer.NOTHING;
       }
       raise(incarnation);
       return Answer.RAISED;
     }
-    Card other = new Card(incarnation, birth, "", "");
+    MemberInfo other = new MemberInfo(incarnation, birth, "", "");
     if (other.compare(card) < 0) {
       return Answer.NOTHING;
     }
     return rival(standing, incarnation, birth, address);
   }
 
-  private Answer rival(Standing standing, long incarnation, long birth, String address) {
+  private Answer rival(MemberStatus standing, long incarnation, long birth, String address) {
     if (birth != rivalBirth) {
       rivalBirth = birth;
       rivalRises = 0;
--- a/members/src/main/java/tillerlink/members/probe/Relays.java
+++ b/members/src/main/java/tillerlink/members/probe/IndirectProbes.java
@@ -10,7 +10,7 @@
  * Questions that others asked this process to put for them. Bounded: beyond it others are not
  * helped.
  */
-public final class Relays {
+public final class IndirectProbes {
   public static final int MOST = 256;
 
   /** For whom, and the number it gave. */
@@ -19,7 +19,7 @@
   private final Map<Long, For> open = new LinkedHashMap<>();
   private final RandomGenerator random;
 
-  public Relays(RandomGenerator random) {
+  public IndirectProbes(RandomGenerator random) {
     this.random = random;
   }
 
--- a/members/src/main/java/tillerlink/members/probe/Health.java
+++ b/members/src/main/java/tillerlink/members/probe/LocalHealth.java
@@ -7,7 +7,7 @@
  * them, refutations it had to make, pauses. The worse, the longer it waits before it accuses
  * anybody.
  */
-public final class Health {
+public final class LocalHealth {
   /** At that score waits are twice as long. */
   private static final int STRETCH = 4;
 
@@ -17,7 +17,7 @@
   /**
    * @param most 0: always well
    */
-  public Health(int most) {
+  public LocalHealth(int most) {
     this.most = most;
   }
 
--- a/members/src/main/java/tillerlink/members/probe/Try.java
+++ b/members/src/main/java/tillerlink/members/probe/Probe.java
@@ -1,9 +1,9 @@
 package tillerlink.members.probe;
 
-import tillerlink.messages.members.Doubt;
+import tillerlink.messages.members.SuspicionLevel;
 
 /** One question to somebody, with all that is done until it is answered or given up. */
-public final class Try {
+public final class Probe {
   /** Who is asked, and why. */
   public enum Kind {
     /** A member that takes part, in its turn. */
@@ -27,7 +27,7 @@
   final long number;
   final String name;
   final String address;
-  final Doubt doubt;
+  final SuspicionLevel doubt;
   final long startedAt;
   final long trip;
   int step;
@@ -40,7 +40,14 @@
   private final long[] sentAt = new long[(int) SENDS];
   private int sends;
 
-  Try(Kind kind, long number, String name, String address, Doubt doubt, long now, long trip) {
+  Probe(
+      Kind kind,
+      long number,
+      String name,
+      String address,
+      SuspicionLevel doubt,
+      long now,
+      long trip) {
     this.kind = kind;
     this.number = number;
     this.name = name;
@@ -82,7 +89,7 @@
     return address;
   }
 
-  public Doubt doubt() {
+  public SuspicionLevel doubt() {
     return doubt;
   }
 
--- a/members/src/main/java/tillerlink/members/probe/Probes.java
+++ b/members/src/main/java/tillerlink/members/probe/ProbeManager.java
@@ -7,34 +7,34 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 import tillerlink.cluster.Invariant;
-import tillerlink.members.config.Periods;
-import tillerlink.messages.members.Doubt;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.messages.members.SuspicionLevel;
 
 /**
  * Questions under way. A member is asked with news, then bare (a link may carry small messages
  * only), then through others; if nobody gets an answer all of it is done once more before it is
  * accused.
  */
-public final class Probes {
+public final class ProbeManager {
   /** That many at once, answered ones counted that may still be answered again. */
   public static final int MOST = 128;
 
   /** What is to be done. */
   public interface Steps {
-    void ask(Try about, boolean bare);
+    void ask(Probe about, boolean bare);
 
     /**
      * @return how many were asked
      */
-    int askOthers(Try about);
+    int askOthers(Probe about);
 
     /** Whether others accuse it already. */
-    boolean suspected(Try about);
+    boolean suspected(Probe about);
 
     /** Only others got an answer. */
-    void onlyOthers(Try about);
+    void onlyOthers(Probe about);
 
-    void missed(Try about);
+    void missed(Probe about);
   }
 
   private static final int STEPS_EACH_ROUND = 3;
@@ -43,14 +43,15 @@
   /** Local health gets worse by no more for one question. */
   private static final int SILENT_MOST = 2;
 
-  private final Periods periods;
-  private final Health health;
+  private final MembershipConfig periods;
+  private final LocalHealth health;
   private final RandomGenerator random;
   private final Steps steps;
-  private final Map<Long, Try> tries = new LinkedHashMap<>();
+  private final Map<Long, Probe> tries = new LinkedHashMap<>();
   private long usualTrip;
 
-  public Probes(Periods periods, Health health, RandomGenerator random, Steps steps) {
+  public ProbeManager(
+      MembershipConfig periods, LocalHealth health, RandomGenerator random, Steps steps) {
     this.periods = periods;
     this.health = health;
     this.random = random;
@@ -63,7 +64,7 @@
 
   /** Whether one is under way to that name. */
   public boolean underWay(String name) {
-    for (Try any : tries.values()) {
+    for (Probe any : tries.values()) {
       if (!any.done && any.name.equals(name)) {
         return true;
       }
@@ -76,23 +77,24 @@
    *
    * @param trip how long its answers took of late; 0 if that is not known
    */
-  public void start(Try.Kind kind, String name, String address, Doubt doubt, long trip, long now) {
+  public void start(
+      Probe.Kind kind, String name, String address, SuspicionLevel doubt, long trip, long now) {
     if (tries.size() >= MOST && !dropDone()) {
       return;
     }
-    Try about = new Try(kind, number(), name, address, doubt, now, trip);
+    Probe about = new Probe(kind, number(), name, address, doubt, now, trip);
     tries.put(about.number, about);
     Invariant.holds(tries.size() <= MOST, () -> "questions under way: " + tries.size());
     step(about, now);
   }
 
   private long number() {
-    long number = random.nextLong() & -Try.SENDS;
+    long number = random.nextLong() & -Probe.SENDS;
     return number == 0 || tries.containsKey(number) ? number() : number;
   }
 
   private boolean dropDone() {
-    Iterator<Try> all = tries.values().iterator();
+    Iterator<Probe> all = tries.values().iterator();
     while (all.hasNext()) {
       if (all.next().done) {
         all.remove();
@@ -105,16 +107,16 @@
   /**
    * An answer came: what it answers, also if it is late; null if nothing, or if another was asked.
    */
-  public Try answered(long number, String from, long now) {
-    Try about = tries.get(number & -Try.SENDS);
+  public Probe answered(long number, String from, long now) {
+    Probe about = tries.get(number & -Probe.SENDS);
     if (about == null || !about.name.isEmpty() && !about.name.equals(from)) {
       return null;
     }
-    if (!about.done && about.kind == Try.Kind.MEMBER) {
+    if (!about.done && about.kind == Probe.Kind.MEMBER) {
       health.better();
     }
     finish(about, now);
-    long took = Math.min(now - about.sentAt((int) (number & Try.SENDS - 1)), periods.waitMost());
+    long took = Math.min(now - about.sentAt((int) (number & Probe.SENDS - 1)), periods.waitMost());
     about.took = took;
     // Slower links are believed soon, faster ones only after a while.
     usualTrip = took > usualTrip ? (usualTrip + took) / 2 : (7 * usualTrip + took) / 8;
@@ -122,8 +124,8 @@
   }
 
   /** Another says whether it got an answer; null if nobody asked. */
-  public Try vouched(long number, boolean reached) {
-    Try about = tries.get(number & -Try.SENDS);
+  public Probe vouched(long number, boolean reached) {
+    Probe about = tries.get(number & -Probe.SENDS);
     if (about == null || about.relays == 0) {
       return null;
     }
@@ -136,8 +138,8 @@
   }
 
   public void turn(long now) {
-    List<Try> due = new ArrayList<>();
-    for (Try about : tries.values()) {
+    List<Probe> due = new ArrayList<>();
+    for (Probe about : tries.values()) {
       if (about.nextAt <= now) {
         due.add(about);
       }
@@ -147,7 +149,7 @@
 
   public long dueAt() {
     long due = Long.MAX_VALUE;
-    for (Try about : tries.values()) {
+    for (Probe about : tries.values()) {
       due = Math.min(due, about.nextAt);
     }
     return due;
@@ -161,12 +163,12 @@
     tries.clear();
   }
 
-  private void step(Try about, long now) {
+  private void step(Probe about, long now) {
     if (about.done) {
       tries.remove(about.number);
       return;
     }
-    if (about.kind != Try.Kind.MEMBER) {
+    if (about.kind != Probe.Kind.MEMBER) {
       stepOfOthers(about, now);
       return;
     }
@@ -185,7 +187,7 @@
   }
 
   /** The first of a round, or the end of the one before. */
-  private void ask(Try about, long now, int waits) {
+  private void ask(Probe about, long now, int waits) {
     boolean first = about.step == 0;
     if (!first && (about.vouched || about.step >= rounds(about) * STEPS_EACH_ROUND)) {
       end(about, now);
@@ -196,11 +198,11 @@
   }
 
   /** Rounds in all before it is accused; whoever does not do well itself asks more often. */
-  private int rounds(Try about) {
+  private int rounds(Probe about) {
     return Math.min(ROUNDS_MOST, (steps.suspected(about) ? 1 : 2) + health.moreRounds());
   }
 
-  private void stepOfOthers(Try about, long now) {
+  private void stepOfOthers(Probe about, long now) {
     if (about.step > 1) {
       finish(about, now);
       return;
@@ -209,23 +211,23 @@
     next(about, now, 1 + about.step);
   }
 
-  private void send(Try about, long now, boolean bare) {
+  private void send(Probe about, long now, boolean bare) {
     about.sends(now);
     steps.ask(about, bare);
   }
 
-  private void next(Try about, long now, int waits) {
+  private void next(Probe about, long now, int waits) {
     about.step++;
     about.nextAt = now + waits * patience(about);
   }
 
   /** How long an answer is waited for before more is tried. */
-  private long patience(Try about) {
+  private long patience(Probe about) {
     long patient = Math.max(periods.answerWithin(), 2 * Math.max(about.trip, usualTrip));
     return Math.min(periods.waitMost(), health.stretched(patient));
   }
 
-  private void end(Try about, long now) {
+  private void end(Probe about, long now) {
     finish(about, now);
     if (about.vouched) {
       steps.onlyOthers(about);
@@ -239,7 +241,7 @@
   }
 
   /** Kept a little, as an answer may still come. */
-  private void finish(Try about, long now) {
+  private void finish(Probe about, long now) {
     about.done = true;
     about.nextAt = now + 2 * periods.waitMost();
   }
--- a/members/src/main/java/tillerlink/members/probe/Rotation.java
+++ b/members/src/main/java/tillerlink/members/probe/ProbeRotation.java
@@ -7,12 +7,12 @@
 import java.util.random.RandomGenerator;
 
 /** Whom to ask next: each once a round, in an order that is drawn anew for each round. */
-public final class Rotation {
+public final class ProbeRotation {
   private final RandomGenerator random;
   private List<String> round = new ArrayList<>();
   private int next;
 
-  public Rotation(RandomGenerator random) {
+  public ProbeRotation(RandomGenerator random) {
     this.random = random;
   }
 
--- a/members/src/main/java/tillerlink/members/state/Entry.java
+++ b/members/src/main/java/tillerlink/members/state/MemberRecord.java
@@ -1,14 +1,14 @@
 package tillerlink.members.state;
 
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Reach;
-import tillerlink.messages.members.Card;
-import tillerlink.messages.members.Doubt;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
-
-/** One other member, as this process knows it. Only {@link Table} changes what is told on. */
-public final class Entry {
+import tillerlink.cluster.Reachability;
+import tillerlink.messages.members.GossipUpdate;
+import tillerlink.messages.members.MemberInfo;
+import tillerlink.messages.members.MemberStatus;
+import tillerlink.messages.members.SuspicionLevel;
+
+/** One other member, as this process knows it. Only {@link MemberTable} changes what is told on. */
+public final class MemberRecord {
   /**
    * Straight tries in a row that only others could make good, until it counts as reached through
    * them.
@@ -16,8 +16,8 @@
   private static final int MISSES_TO_THROUGH = 3;
 
   private final String name;
-  private Card card;
-  private Standing standing;
+  private MemberInfo card;
+  private MemberStatus standing;
   private long lifeAt;
   private long changedAt;
   private Suspicion suspicion;
@@ -28,7 +28,7 @@
   /** Where it stands among those that take part, or among those gone; for picking one by chance. */
   int place = -1;
 
-  Entry(String name, Card card, Standing standing, long lifeAt, long changedAt) {
+  MemberRecord(String name, MemberInfo card, MemberStatus standing, long lifeAt, long changedAt) {
     this.name = name;
     this.card = card;
     this.standing = standing;
@@ -40,11 +40,11 @@
     return name;
   }
 
-  public Card card() {
+  public MemberInfo card() {
     return card;
   }
 
-  public Standing standing() {
+  public MemberStatus standing() {
     return standing;
   }
 
@@ -58,29 +58,29 @@
     return changedAt;
   }
 
-  public Reach reach() {
+  public Reachability reach() {
     return switch (standing) {
-      case ALIVE -> through ? Reach.THROUGH_OTHERS : Reach.REACHABLE;
-      case SUSPECTED -> Reach.SUSPECTED;
-      case GONE -> Reach.GONE;
-      case LEFT -> Reach.LEFT;
+      case ALIVE -> through ? Reachability.THROUGH_OTHERS : Reachability.REACHABLE;
+      case SUSPECTED -> Reachability.SUSPECTED;
+      case GONE -> Reachability.GONE;
+      case LEFT -> Reachability.LEFT;
     };
   }
 
   /** What it may have to refute. */
-  public Doubt doubt() {
-    return standing == Standing.ALIVE
-        ? Doubt.NONE
-        : new Doubt(standing, card.incarnation(), card.birth());
+  public SuspicionLevel doubt() {
+    return standing == MemberStatus.ALIVE
+        ? SuspicionLevel.NONE
+        : new SuspicionLevel(standing, card.incarnation(), card.birth());
   }
 
   public boolean accusedBy(String who) {
     return suspicion != null && suspicion.accusedBy(who);
   }
 
-  public Rumour rumour(String by, long now) {
-    long since = standing == Standing.ALIVE ? lifeAt : changedAt;
-    return new Rumour(name, standing, card, by, Math.max(0, now - since));
+  public GossipUpdate rumour(String by, long now) {
+    long since = standing == MemberStatus.ALIVE ? lifeAt : changedAt;
+    return new GossipUpdate(name, standing, card, by, Math.max(0, now - since));
   }
 
   // ---- how it answers this process itself ----
@@ -117,13 +117,13 @@
     return suspicion;
   }
 
-  void become(Standing next, Card of, Suspicion suspected, long at) {
+  void become(MemberStatus next, MemberInfo of, Suspicion suspected, long at) {
     Invariant.holds(of.compare(card) >= 0, () -> name + " falls from " + card + " to " + of);
     Invariant.holds(
         standing.takesPart() || !next.takesPart() || of.compare(card) > 0,
         () -> name + " came back without a higher incarnation: " + of);
     Invariant.holds(
-        next == Standing.SUSPECTED == (suspected != null), () -> name + " in two states");
+        next == MemberStatus.SUSPECTED == (suspected != null), () -> name + " in two states");
     card = of;
     standing = next;
     suspicion = suspected;
--- a/members/src/main/java/tillerlink/members/state/Table.java
+++ b/members/src/main/java/tillerlink/members/state/MemberTable.java
@@ -11,19 +11,19 @@
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Reach;
-import tillerlink.members.config.Periods;
-import tillerlink.messages.members.Card;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.messages.members.MemberInfo;
+import tillerlink.messages.members.MemberStatus;
 
 /**
  * All others that are known. Bounded: so many that take part, and as many again that are gone or
  * left. Those are kept for longer than any rumour of their life is believed, and only then
  * forgotten.
  */
-public class Table {
+public class MemberTable {
   /** What became of a rumour. */
   public enum Outcome {
     /** It changed what is known: to be told on. */
@@ -44,27 +44,27 @@
     /**
      * @param before the life it had before; none if it was not known
      */
-    void changed(Entry entry, Reach was, Card before);
+    void changed(MemberRecord entry, Reachability was, MemberInfo before);
   }
 
   private final String self;
-  private final Periods periods;
+  private final MembershipConfig periods;
   private final Changes changes;
-  private final NavigableMap<String, Entry> entries = new TreeMap<>();
+  private final NavigableMap<String, MemberRecord> entries = new TreeMap<>();
 
   /** The same, for the many questions after one; nothing goes by its order. */
-  private final Map<String, Entry> index = new HashMap<>();
+  private final Map<String, MemberRecord> index = new HashMap<>();
 
-  private final Map<String, Entry> suspected = new TreeMap<>();
+  private final Map<String, MemberRecord> suspected = new TreeMap<>();
 
   /** When the first suspicion runs out; to be found anew if that is below zero. */
   private long firstDue = -1;
 
   private final List<NavigableSet<String>> buckets = new ArrayList<>();
-  private final Picks talking = new Picks();
-  private final Picks gone = new Picks();
+  private final RandomPickSet talking = new RandomPickSet();
+  private final RandomPickSet gone = new RandomPickSet();
 
-  public Table(String self, Periods periods, Changes changes) {
+  public MemberTable(String self, MembershipConfig periods, Changes changes) {
     this.self = self;
     this.periods = periods;
     this.changes = changes;
@@ -76,11 +76,11 @@
   // ---- who is there ----
 
   /** Null if it is not known. */
-  public Entry get(String name) {
+  public MemberRecord get(String name) {
     return index.get(name);
   }
 
-  public NavigableMap<String, Entry> all() {
+  public NavigableMap<String, MemberRecord> all() {
     return Collections.unmodifiableNavigableMap(entries);
   }
 
@@ -98,19 +98,19 @@
     return entries.size() - talking.size();
   }
 
-  public Entry anyTalking(RandomGenerator random) {
+  public MemberRecord anyTalking(RandomGenerator random) {
     return talking.any(random);
   }
 
-  public Entry anyGone(RandomGenerator random) {
+  public MemberRecord anyGone(RandomGenerator random) {
     return gone.any(random);
   }
 
   /** Up to so many of those that take part, none twice, and not that one. */
-  public List<Entry> someTalking(RandomGenerator random, int most, String not) {
-    List<Entry> some = new ArrayList<>();
+  public List<MemberRecord> someTalking(RandomGenerator random, int most, String not) {
+    List<MemberRecord> some = new ArrayList<>();
     for (int tries = 0; some.size() < most && tries < 4 * most && talking.size() > 0; tries++) {
-      Entry any = talking.any(random);
+      MemberRecord any = talking.any(random);
       if (!any.name().equals(not) && !some.contains(any)) {
         some.add(any);
       }
@@ -137,9 +137,9 @@
    *
    * @param doubtful it waited while this process was away: nobody is accused by it
    */
-  public Outcome tell(Rumour rumour, long now, boolean doubtful) {
+  public Outcome tell(GossipUpdate rumour, long now, boolean doubtful) {
     Invariant.holds(!rumour.name().equals(self), () -> "oneself in the table");
-    Entry entry = index.get(rumour.name());
+    MemberRecord entry = index.get(rumour.name());
     if (entry == null) {
       return unknown(rumour, now, doubtful);
     }
@@ -150,12 +150,12 @@
     return order > 0 ? above(entry, rumour, now, doubtful) : same(entry, rumour, now, doubtful);
   }
 
-  private Outcome unknown(Rumour rumour, long now, boolean doubtful) {
+  private Outcome unknown(GossipUpdate rumour, long now, boolean doubtful) {
     long since = now - rumour.age();
     if (!rumour.standing().takesPart()) {
       // Without the bound those long gone would be told from one to the other for ever.
       if (rumour.age() < periods.forgetAfter() && entries.size() < 2 * periods.mostMembers()) {
-        add(new Entry(rumour.name(), rumour.card(), rumour.standing(), since, since));
+        add(new MemberRecord(rumour.name(), rumour.card(), rumour.standing(), since, since));
       }
       return Outcome.KNOWN;
     }
@@ -165,11 +165,12 @@
     if (isFull()) {
       return Outcome.REFUSED;
     }
-    Entry entry = new Entry(rumour.name(), rumour.card(), Standing.ALIVE, since, since);
+    MemberRecord entry =
+        new MemberRecord(rumour.name(), rumour.card(), MemberStatus.ALIVE, since, since);
     add(entry);
-    changes.changed(entry, Reach.GONE, Card.NONE);
-    if (rumour.standing() == Standing.SUSPECTED) {
-      become(entry, Standing.SUSPECTED, rumour.card(), suspicion(rumour.by(), now), since);
+    changes.changed(entry, Reachability.GONE, MemberInfo.NONE);
+    if (rumour.standing() == MemberStatus.SUSPECTED) {
+      become(entry, MemberStatus.SUSPECTED, rumour.card(), suspicion(rumour.by(), now), since);
     }
     return Outcome.NEWS;
   }
@@ -178,33 +179,35 @@
     return talking.size() >= periods.mostMembers() || entries.size() >= 2 * periods.mostMembers();
   }
 
-  private Outcome above(Entry entry, Rumour rumour, long now, boolean doubtful) {
+  private Outcome above(MemberRecord entry, GossipUpdate rumour, long now, boolean doubtful) {
     boolean comesBack = rumour.standing().takesPart() && !entry.standing().takesPart();
     if (comesBack && talking.size() >= periods.mostMembers()) {
       return Outcome.REFUSED;
     }
     if (comesBack && rumour.age() > periods.rumourLife()
-        || doubtful && rumour.standing() != Standing.ALIVE && rumour.standing() != Standing.LEFT) {
+        || doubtful
+            && rumour.standing() != MemberStatus.ALIVE
+            && rumour.standing() != MemberStatus.LEFT) {
       return Outcome.VERIFY;
     }
-    Standing next =
-        rumour.standing() == Standing.GONE && entry.standing().takesPart()
-            ? Standing.SUSPECTED
+    MemberStatus next =
+        rumour.standing() == MemberStatus.GONE && entry.standing().takesPart()
+            ? MemberStatus.SUSPECTED
             : rumour.standing();
     long since = now - rumour.age();
-    if (next == Standing.ALIVE) {
+    if (next == MemberStatus.ALIVE) {
       entry.lived(since);
     }
     become(
         entry,
         next,
         rumour.card(),
-        next == Standing.SUSPECTED ? suspicion(rumour.by(), now) : null,
+        next == MemberStatus.SUSPECTED ? suspicion(rumour.by(), now) : null,
         since);
     return Outcome.NEWS;
   }
 
-  private Outcome same(Entry entry, Rumour rumour, long now, boolean doubtful) {
+  private Outcome same(MemberRecord entry, GossipUpdate rumour, long now, boolean doubtful) {
     int order = rumour.standing().compareTo(entry.standing());
     if (order < 0) {
       return Outcome.OUTDATED;
@@ -224,14 +227,14 @@
       // Who lives for all that is known here is not given up on hearsay: it is asked, and told what
       // to refute.
       case GONE ->
-          order > 0 && (entry.standing() == Standing.ALIVE || doubtful)
+          order > 0 && (entry.standing() == MemberStatus.ALIVE || doubtful)
               ? Outcome.VERIFY
               : settle(entry, rumour, order, since);
       case LEFT -> settle(entry, rumour, order, since);
     };
   }
 
-  private Outcome settle(Entry entry, Rumour rumour, int order, long since) {
+  private Outcome settle(MemberRecord entry, GossipUpdate rumour, int order, long since) {
     if (order == 0) {
       return Outcome.KNOWN;
     }
@@ -242,15 +245,15 @@
   // ---- what is found out here ----
 
   /** One accuses it, perhaps the own process; true if that is new. */
-  public boolean suspect(Entry entry, String by, long now, long since) {
-    if (entry.standing() == Standing.SUSPECTED) {
+  public boolean suspect(MemberRecord entry, String by, long now, long since) {
+    if (entry.standing() == MemberStatus.SUSPECTED) {
       firstDue = -1;
       return entry.suspicion().confirm(by);
     }
-    if (entry.standing() != Standing.ALIVE) {
+    if (entry.standing() != MemberStatus.ALIVE) {
       return false;
     }
-    become(entry, Standing.SUSPECTED, entry.card(), suspicion(by, now), since);
+    become(entry, MemberStatus.SUSPECTED, entry.card(), suspicion(by, now), since);
     return true;
   }
 
@@ -262,37 +265,37 @@
   }
 
   /** It answered a question of this process, straight or through another. */
-  public void lived(Entry entry, long at) {
+  public void lived(MemberRecord entry, long at) {
     entry.lived(at);
   }
 
   /** Answered straight. */
-  public void straight(Entry entry, long took) {
-    Reach was = entry.reach();
+  public void straight(MemberRecord entry, long took) {
+    Reachability was = entry.reach();
     entry.straight(took);
     told(entry, was);
   }
 
-  public void vouched(Entry entry) {
-    Reach was = entry.reach();
+  public void vouched(MemberRecord entry) {
+    Reachability was = entry.reach();
     entry.vouched();
     told(entry, was);
   }
 
-  private void told(Entry entry, Reach was) {
+  private void told(MemberRecord entry, Reachability was) {
     if (entry.reach() != was) {
       changes.changed(entry, was, entry.card());
     }
   }
 
   /** One whose suspicion has run out is given up; null if there is none more. */
-  public Entry expire(long now) {
+  public MemberRecord expire(long now) {
     if (dueAt() > now) {
       return null;
     }
-    for (Entry entry : suspected.values()) {
+    for (MemberRecord entry : suspected.values()) {
       if (entry.suspicion().deadline() <= now) {
-        become(entry, Standing.GONE, entry.card(), null, now);
+        become(entry, MemberStatus.GONE, entry.card(), null, now);
         return entry;
       }
     }
@@ -321,8 +324,8 @@
     if (goneSize() == 0) {
       return;
     }
-    List<Entry> old = new ArrayList<>();
-    for (Entry entry : entries.values()) {
+    List<MemberRecord> old = new ArrayList<>();
+    for (MemberRecord entry : entries.values()) {
       if (!entry.standing().takesPart() && now - entry.changedAt() > periods.forgetAfter()) {
         old.add(entry);
       }
@@ -330,7 +333,7 @@
     old.forEach(this::remove);
   }
 
-  void remove(Entry entry) {
+  void remove(MemberRecord entry) {
     entries.remove(entry.name());
     index.remove(entry.name());
     buckets.get(MemberCodec.bucket(entry.name())).remove(entry.name());
@@ -339,7 +342,7 @@
 
   // ---- the lists ----
 
-  private void add(Entry entry) {
+  private void add(MemberRecord entry) {
     entries.put(entry.name(), entry);
     index.put(entry.name(), entry);
     buckets.get(MemberCodec.bucket(entry.name())).add(entry.name());
@@ -348,9 +351,10 @@
         entries.size() <= 2 * periods.mostMembers(), () -> "members known: " + entries.size());
   }
 
-  private void become(Entry entry, Standing next, Card card, Suspicion suspicion, long at) {
-    Reach was = entry.reach();
-    Card before = entry.card();
+  private void become(
+      MemberRecord entry, MemberStatus next, MemberInfo card, Suspicion suspicion, long at) {
+    Reachability was = entry.reach();
+    MemberInfo before = entry.card();
     unlist(entry);
     entry.become(next, card, suspicion, at);
     list(entry);
@@ -361,19 +365,19 @@
     }
   }
 
-  private void list(Entry entry) {
+  private void list(MemberRecord entry) {
     if (entry.standing().takesPart()) {
       talking.add(entry);
-    } else if (entry.standing() == Standing.GONE) {
+    } else if (entry.standing() == MemberStatus.GONE) {
       gone.add(entry);
     }
-    if (entry.standing() == Standing.SUSPECTED) {
+    if (entry.standing() == MemberStatus.SUSPECTED) {
       suspected.put(entry.name(), entry);
       firstDue = -1;
     }
   }
 
-  private void unlist(Entry entry) {
+  private void unlist(MemberRecord entry) {
     if (talking.has(entry)) {
       talking.remove(entry);
     } else if (gone.has(entry)) {
--- a/members/src/main/java/tillerlink/members/state/Picks.java
+++ b/members/src/main/java/tillerlink/members/state/RandomPickSet.java
@@ -8,16 +8,16 @@
  * Entries to pick one from by chance, in constant time; the order is that of what happened, so a
  * seed repeats it.
  */
-final class Picks {
-  private final List<Entry> entries = new ArrayList<>();
+final class RandomPickSet {
+  private final List<MemberRecord> entries = new ArrayList<>();
 
-  void add(Entry entry) {
+  void add(MemberRecord entry) {
     entry.place = entries.size();
     entries.add(entry);
   }
 
-  void remove(Entry entry) {
-    Entry last = entries.remove(entries.size() - 1);
+  void remove(MemberRecord entry) {
+    MemberRecord last = entries.remove(entries.size() - 1);
     if (last != entry) {
       entries.set(entry.place, last);
       last.place = entry.place;
@@ -25,7 +25,7 @@
     entry.place = -1;
   }
 
-  boolean has(Entry entry) {
+  boolean has(MemberRecord entry) {
     return entry.place >= 0 && entry.place < entries.size() && entries.get(entry.place) == entry;
   }
 
@@ -33,11 +33,11 @@
     return entries.size();
   }
 
-  Entry get(int i) {
+  MemberRecord get(int i) {
     return entries.get(i);
   }
 
-  Entry any(RandomGenerator random) {
+  MemberRecord any(RandomGenerator random) {
     return entries.isEmpty() ? null : entries.get(random.nextInt(entries.size()));
   }
 }
--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -12,19 +12,19 @@
 import java.util.Random;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
-import tillerlink.cluster.Reach;
-import tillerlink.members.config.Periods;
-import tillerlink.members.config.Watcher;
-import tillerlink.members.local.Own;
-import tillerlink.members.state.Table;
-import tillerlink.members.state.Table.Outcome;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.members.config.MembershipListener;
+import tillerlink.members.local.LocalMember;
+import tillerlink.members.state.MemberTable;
+import tillerlink.members.state.MemberTable.Outcome;
 import tillerlink.messages.MalformedMessageException;
-import tillerlink.messages.members.Card;
-import tillerlink.messages.members.Doubt;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
+import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberMessage;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.messages.members.MemberStatus;
+import tillerlink.messages.members.SuspicionLevel;
 
 /** What is bounded, what is refused, what is forgotten. */
 class BoundsTest {
@@ -34,15 +34,15 @@
   private final List<String> lines = new ArrayList<>();
   private final List<byte[]> sent = new ArrayList<>();
 
-  private Members members(Periods periods) {
+  private Members members(MembershipConfig periods) {
     return new Members(
         new Identity("f", "own", "s", "h:1", List.of("h:2"), 0),
         periods,
         (address, body) -> sent.add(body),
         new SplittableRandom(1),
-        new Watcher() {
+        new MembershipListener() {
           @Override
-          public void reach(String name, Reach was, Reach is) {
+          public void reach(String name, Reachability was, Reachability is) {
             // counted elsewhere
           }
 
@@ -54,56 +54,63 @@
         1);
   }
 
-  private static Rumour rumour(String name, Standing standing, long incarnation, long age) {
-    return new Rumour(name, standing, new Card(incarnation, 7, "h:" + name, "s"), "x", age);
+  private static GossipUpdate rumour(
+      String name, MemberStatus standing, long incarnation, long age) {
+    return new GossipUpdate(
+        name, standing, new MemberInfo(incarnation, 7, "h:" + name, "s"), "x", age);
   }
 
-  private static byte[] gossip(Rumour... rumours) {
+  private static byte[] gossip(GossipUpdate... rumours) {
     return MemberCodec.write(
-        new MemberMessage.Gossip(new Card(1, 9, "h:9", "s"), Doubt.NONE, List.of(rumours)));
+        new MemberMessage.Gossip(
+            new MemberInfo(1, 9, "h:9", "s"), SuspicionLevel.NONE, List.of(rumours)));
   }
 
   @Test
   void noOldRumourBringsTheDeadBack() {
-    Table table =
-        new Table("own", Periods.usual().withMemory(LIFE, FORGET), (entry, was, before) -> {});
-    assertEquals(Outcome.NEWS, table.tell(rumour("b", Standing.ALIVE, 1, 0), 0, false));
+    MemberTable table =
+        new MemberTable(
+            "own", MembershipConfig.usual().withMemory(LIFE, FORGET), (entry, was, before) -> {});
+    assertEquals(Outcome.NEWS, table.tell(rumour("b", MemberStatus.ALIVE, 1, 0), 0, false));
     table.suspect(table.get("b"), "own", 10, 10);
     assertEquals("b", table.expire(40 * Play.SECOND).name());
     long gone = 40 * Play.SECOND;
-    assertEquals(Outcome.OUTDATED, table.tell(rumour("b", Standing.ALIVE, 1, 0), gone + 5, false));
     assertEquals(
-        Outcome.VERIFY, table.tell(rumour("b", Standing.ALIVE, 2, LIFE + 1), gone + 5, false));
+        Outcome.OUTDATED, table.tell(rumour("b", MemberStatus.ALIVE, 1, 0), gone + 5, false));
+    assertEquals(
+        Outcome.VERIFY, table.tell(rumour("b", MemberStatus.ALIVE, 2, LIFE + 1), gone + 5, false));
     table.forget(gone + FORGET);
-    assertEquals(Reach.GONE, table.get("b").reach());
+    assertEquals(Reachability.GONE, table.get("b").reach());
     table.forget(gone + FORGET + 1);
     assertNull(table.get("b"));
     // It lived before it was given up: whatever is told of that is older than what is believed by
     // now.
     assertEquals(
         Outcome.VERIFY,
-        table.tell(rumour("b", Standing.ALIVE, 1, FORGET), gone + FORGET + 1, false));
+        table.tell(rumour("b", MemberStatus.ALIVE, 1, FORGET), gone + FORGET + 1, false));
     assertEquals(
-        Outcome.KNOWN, table.tell(rumour("b", Standing.GONE, 1, FORGET), gone + FORGET + 1, false));
+        Outcome.KNOWN,
+        table.tell(rumour("b", MemberStatus.GONE, 1, FORGET), gone + FORGET + 1, false));
     assertNull(table.get("b"));
   }
 
   @Test
   void whoWaitedIsNotAccusedByMessagesThatWaitedToo() {
-    Table table = new Table("own", Periods.usual(), (entry, was, before) -> {});
-    table.tell(rumour("b", Standing.ALIVE, 1, 0), 0, false);
-    assertEquals(Outcome.VERIFY, table.tell(rumour("b", Standing.SUSPECTED, 1, 0), 5, true));
-    assertEquals(Outcome.VERIFY, table.tell(rumour("b", Standing.GONE, 1, 0), 5, false));
-    assertEquals(Reach.REACHABLE, table.get("b").reach());
+    MemberTable table =
+        new MemberTable("own", MembershipConfig.usual(), (entry, was, before) -> {});
+    table.tell(rumour("b", MemberStatus.ALIVE, 1, 0), 0, false);
+    assertEquals(Outcome.VERIFY, table.tell(rumour("b", MemberStatus.SUSPECTED, 1, 0), 5, true));
+    assertEquals(Outcome.VERIFY, table.tell(rumour("b", MemberStatus.GONE, 1, 0), 5, false));
+    assertEquals(Reachability.REACHABLE, table.get("b").reach());
   }
 
   @Test
   void moreThanTheMostAreRefused() {
-    Members members = members(Periods.usual().withMembers(5));
+    Members members = members(MembershipConfig.usual().withMembers(5));
     members.turn(0, 0);
     for (int i = 0; i < 40; i++) {
-      members.told(1, 1, "x", gossip(rumour("m" + i, Standing.ALIVE, 1, 0)));
-      members.told(1, 1, "x", gossip(rumour("g" + i, Standing.GONE, 1, 0)));
+      members.told(1, 1, "x", gossip(rumour("m" + i, MemberStatus.ALIVE, 1, 0)));
+      members.told(1, 1, "x", gossip(rumour("g" + i, MemberStatus.GONE, 1, 0)));
     }
     assertEquals(6, members.size());
     assertEquals(35, members.counts().refused());
@@ -114,19 +121,19 @@
   /** Garbled and cut off ones, of every kind: a counter and one line. */
   @Test
   void whatCantBeReadCostsACounterAndALine() {
-    Members members = members(Periods.usual());
+    Members members = members(MembershipConfig.usual());
     members.turn(0, 0);
     Random random = new Random(5);
-    Card card = new Card(3, 4, "h:3", "s");
-    List<Rumour> news = List.of(rumour("q", Standing.SUSPECTED, 2, 5));
+    MemberInfo card = new MemberInfo(3, 4, "h:3", "s");
+    List<GossipUpdate> news = List.of(rumour("q", MemberStatus.SUSPECTED, 2, 5));
     List<byte[]> good = new ArrayList<>();
     for (MemberMessage message :
         List.of(
-            new MemberMessage.Probe(card, 8, "own", Doubt.NONE, news),
-            new MemberMessage.Ack(card, 8, new Doubt(Standing.GONE, 1, 2), news),
-            new MemberMessage.Ask(card, 8, "q", "h:q", Doubt.NONE, news),
+            new MemberMessage.Probe(card, 8, "own", SuspicionLevel.NONE, news),
+            new MemberMessage.Ack(card, 8, new SuspicionLevel(MemberStatus.GONE, 1, 2), news),
+            new MemberMessage.Ask(card, 8, "q", "h:q", SuspicionLevel.NONE, news),
             new MemberMessage.Vouch(card, 8, true, news),
-            new MemberMessage.Gossip(card, Doubt.NONE, news),
+            new MemberMessage.Gossip(card, SuspicionLevel.NONE, news),
             new MemberMessage.Digest(card, 5, Collections.nCopies(MemberCodec.BUCKETS, 1)),
             new MemberMessage.Listing(card, 3, "a", "z", true, news))) {
       good.add(MemberCodec.write(message));
@@ -159,7 +166,7 @@
 
   @Test
   void bareProbesAreSmallAndNoMessageIsLongerThanADatagram() {
-    Members members = members(Periods.usual());
+    Members members = members(MembershipConfig.usual());
     members.turn(0, 0);
     for (int i = 0; i < 400; i++) {
       String name = "gateway-with-quite-a-long-name-" + i;
@@ -168,10 +175,10 @@
           1,
           "x",
           gossip(
-              new Rumour(
+              new GossipUpdate(
                   name,
-                  Standing.ALIVE,
-                  new Card(1, i, "host-" + i + ".site.example:7400", "a-site"),
+                  MemberStatus.ALIVE,
+                  new MemberInfo(1, i, "host-" + i + ".site.example:7400", "a-site"),
                   "",
                   0)));
     }
@@ -190,15 +197,17 @@
 
   @Test
   void oneOfTwoWithOneNameYieldsOnBothSides() {
-    Own older = new Own(4, 100, "h:1", "s");
-    Own newer = new Own(0, 200, "h:2", "s");
-    assertEquals(Own.Answer.RAISED_OVER_RIVAL, newer.told(Standing.ALIVE, 5, 100, "h:1"));
-    assertEquals(Own.Answer.RAISED_OVER_RIVAL, older.told(Standing.ALIVE, 6, 200, "h:2"));
-    assertEquals(Own.Answer.YIELD, older.lives(200));
-    assertEquals(Own.Answer.RAISED, newer.lives(100));
+    LocalMember older = new LocalMember(4, 100, "h:1", "s");
+    LocalMember newer = new LocalMember(0, 200, "h:2", "s");
+    assertEquals(
+        LocalMember.Answer.RAISED_OVER_RIVAL, newer.told(MemberStatus.ALIVE, 5, 100, "h:1"));
+    assertEquals(
+        LocalMember.Answer.RAISED_OVER_RIVAL, older.told(MemberStatus.ALIVE, 6, 200, "h:2"));
+    assertEquals(LocalMember.Answer.YIELD, older.lives(200));
+    assertEquals(LocalMember.Answer.RAISED, newer.lives(100));
     // An earlier process at the own address is no rival, however it is told of.
-    Own restarted = new Own(0, 300, "h:3", "s");
-    assertEquals(Own.Answer.RAISED, restarted.told(Standing.ALIVE, 9, 50, "h:3"));
+    LocalMember restarted = new LocalMember(0, 300, "h:3", "s");
+    assertEquals(LocalMember.Answer.RAISED, restarted.told(MemberStatus.ALIVE, 9, 50, "h:3"));
     assertEquals(10, restarted.card().incarnation());
   }
 }
--- a/members/src/test/java/tillerlink/members/HistoriesTest.java
+++ b/members/src/test/java/tillerlink/members/HistoriesTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import tillerlink.cluster.Reach;
-import tillerlink.members.config.Periods;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
 /** Seeded random histories in virtual time: whatever happens, all agree once it has stopped. */
@@ -26,18 +26,18 @@
     final StringBuilder story = new StringBuilder();
     int steps;
 
-    History(long seed, Periods periods) {
-      this(seed, periods, new Makers());
+    History(long seed, MembershipConfig periods) {
+      this(seed, periods, new ComponentFactories());
     }
 
-    History(long seed, Periods periods, Makers makers) {
+    History(long seed, MembershipConfig periods, ComponentFactories makers) {
       this(seed, periods, makers, 0);
     }
 
     /**
      * @param members how many, or 0 if the seed says so
      */
-    History(long seed, Periods periods, Makers makers, int members) {
+    History(long seed, MembershipConfig periods, ComponentFactories makers, int members) {
       play = new Play(seed, periods);
       play.makers = makers;
       random = new Random(seed * 31 + 7);
@@ -200,7 +200,7 @@
   void allAgreeOnceItIsCalm() {
     long longest = 0;
     for (long seed = FIRST; seed < FIRST + HISTORIES; seed++) {
-      History history = new History(seed, Periods.usual());
+      History history = new History(seed, MembershipConfig.usual());
       try {
         history.run();
         long took = history.play.untilAgreed(AGREED_WITHIN);
@@ -267,7 +267,7 @@
   @Test
   void nobodyIsGivenUpForAShortPauseOrLostMessages() {
     for (long seed = 0; seed < HISTORIES / 8; seed++) {
-      Play play = new Play(seed, Periods.usual());
+      Play play = new Play(seed, MembershipConfig.usual());
       Random random = new Random(seed);
       int size = 5 + random.nextInt(8);
       for (int i = 0; i < size; i++) {
@@ -282,7 +282,7 @@
         play.fleet.resume(address);
         play.fleet.playFor(random.nextInt(40_000));
       }
-      long gone = play.changes.stream().filter(change -> change.is() == Reach.GONE).count();
+      long gone = play.changes.stream().filter(change -> change.is() == Reachability.GONE).count();
       assertEquals(0, gone, "seed " + seed + play.changes);
     }
   }
--- a/members/src/test/java/tillerlink/members/LargeFleetsTest.java
+++ b/members/src/test/java/tillerlink/members/LargeFleetsTest.java
@@ -5,19 +5,19 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
-import tillerlink.cluster.Reach;
-import tillerlink.members.config.Periods;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.config.MembershipConfig;
 
 /** Fleets of 30, 120 and 1,000: all know all, one dies, all learn it, nobody else is given up. */
 class LargeFleetsTest {
   private static final long ALL_KNOWN_WITHIN = 60 * Play.SECOND;
 
   private static void played(int size) {
-    Periods periods = Periods.usual();
+    MembershipConfig periods = MembershipConfig.usual();
     Play play = new Play(size, periods);
     play.heard =
         change -> {
-          if (change.is() == Reach.GONE) {
+          if (change.is() == Reachability.GONE) {
             play.changes.add(change);
           }
         };
--- a/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
+++ b/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
@@ -10,15 +10,15 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import tillerlink.cluster.Reach;
-import tillerlink.members.antientropy.Digests;
-import tillerlink.members.config.Periods;
-import tillerlink.members.config.Watcher;
-import tillerlink.members.local.Own;
-import tillerlink.messages.members.Card;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.antientropy.AntiEntropy;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.members.config.MembershipListener;
+import tillerlink.members.local.LocalMember;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.messages.members.MemberInfo;
+import tillerlink.messages.members.MemberStatus;
 
 /**
  * Guards what members of two releases must agree on beyond the bytes of their messages: the sums of
@@ -26,14 +26,21 @@
  */
 class MembersFormatGuardTest {
   /** One member of every standing, by name. */
-  private static TreeMap<String, Rumour> known() {
-    TreeMap<String, Rumour> all = new TreeMap<>();
-    for (Rumour each :
+  private static TreeMap<String, GossipUpdate> known() {
+    TreeMap<String, GossipUpdate> all = new TreeMap<>();
+    for (GossipUpdate each :
         List.of(
-            new Rumour("n1", Standing.ALIVE, new Card(3, 0x1122334455667788L, "h1:1", "a"), "", 5),
-            new Rumour("n2", Standing.SUSPECTED, new Card(300, -5, "h2:2", "b"), "n1", 6),
-            new Rumour("größe", Standing.GONE, new Card(1, 9, "h3:3", "c"), "n1", 7),
-            new Rumour("s1", Standing.LEFT, new Card(2, 10, "h4:4", "d"), "", 8))) {
+            new GossipUpdate(
+                "n1",
+                MemberStatus.ALIVE,
+                new MemberInfo(3, 0x1122334455667788L, "h1:1", "a"),
+                "",
+                5),
+            new GossipUpdate(
+                "n2", MemberStatus.SUSPECTED, new MemberInfo(300, -5, "h2:2", "b"), "n1", 6),
+            new GossipUpdate(
+                "größe", MemberStatus.GONE, new MemberInfo(1, 9, "h3:3", "c"), "n1", 7),
+            new GossipUpdate("s1", MemberStatus.LEFT, new MemberInfo(2, 10, "h4:4", "d"), "", 8))) {
       all.put(each.name(), each);
     }
     return all;
@@ -41,10 +48,10 @@
 
   /** The sums under two salts, one line for each bucket: its number and the two sums. */
   static String written() {
-    TreeMap<String, Rumour> known = known();
-    Digests digests =
-        new Digests(
-            new Digests.Known() {
+    TreeMap<String, GossipUpdate> known = known();
+    AntiEntropy digests =
+        new AntiEntropy(
+            new AntiEntropy.Known() {
               @Override
               public Iterable<String> names(int bucket) {
                 return known.keySet().stream()
@@ -53,7 +60,7 @@
               }
 
               @Override
-              public Rumour rumour(String name) {
+              public GossipUpdate rumour(String name) {
                 return known.get(name);
               }
             });
@@ -77,18 +84,19 @@
 
   @Test
   void aProcessStartsOneAboveTheIncarnationThatWasKept() {
-    assertEquals(new Card(7, 9, "h1:1", "north"), new Own(6, 9, "h1:1", "north").card());
-    assertEquals(1, new Own(0, 9, "h1:1", "north").card().incarnation());
+    assertEquals(
+        new MemberInfo(7, 9, "h1:1", "north"), new LocalMember(6, 9, "h1:1", "north").card());
+    assertEquals(1, new LocalMember(0, 9, "h1:1", "north").card().incarnation());
     List<Long> handed = new ArrayList<>();
     Members members =
         new Members(
             new Identity("fleet", "n1", "north", "h1:1", List.of(), 6),
-            Periods.usual(),
+            MembershipConfig.usual(),
             (address, body) -> {},
             new SplittableRandom(1),
-            new Watcher() {
+            new MembershipListener() {
               @Override
-              public void reach(String name, Reach was, Reach is) {
+              public void reach(String name, Reachability was, Reachability is) {
                 // nobody else is there
               }
 
--- a/members/src/test/java/tillerlink/members/MembersTest.java
+++ b/members/src/test/java/tillerlink/members/MembersTest.java
@@ -5,8 +5,8 @@
 
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import tillerlink.cluster.Reach;
-import tillerlink.members.config.Periods;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
 /** Members in virtual time. */
@@ -18,14 +18,14 @@
   @Test
   void knowEachOtherAndFindOneDead() {
     for (int size : new int[] {2, 3, 12, 30}) {
-      Play play = new Play(size, Periods.usual());
+      Play play = new Play(size, MembershipConfig.usual());
       play.startAll(names(size));
       long joined = play.untilAgreed(20 * Play.SECOND);
       assertTrue(joined >= 0, "joined");
       play.fleet.playFor(20 * Play.SECOND);
       assertTrue(play.agreed());
       assertTrue(
-          play.changes.stream().noneMatch(change -> change.is() != Reach.REACHABLE),
+          play.changes.stream().noneMatch(change -> change.is() != Reachability.REACHABLE),
           play.changes::toString);
       play.kill("g001");
       long found = play.untilAgreed(30 * Play.SECOND);
@@ -38,14 +38,14 @@
 
   @Test
   void cutBetweenTwoThatOthersReachIsThroughOthers() {
-    Play play = new Play(5, Periods.usual());
+    Play play = new Play(5, MembershipConfig.usual());
     play.startAll("a", "b", "c");
     assertTrue(play.untilAgreed(20 * Play.SECOND) >= 0);
     play.fleet.between(Play.at("a"), Play.at("b"), Fault.CUT);
     play.changes.clear();
     play.fleet.playFor(120 * Play.SECOND);
-    assertEquals(Reach.THROUGH_OTHERS, play.reach("a", "b"));
-    assertEquals(Reach.THROUGH_OTHERS, play.reach("b", "a"));
+    assertEquals(Reachability.THROUGH_OTHERS, play.reach("a", "b"));
+    assertEquals(Reachability.THROUGH_OTHERS, play.reach("b", "a"));
     assertEquals(2, play.changes.size(), play.changes::toString);
     play.fleet.heal();
     assertTrue(play.untilAgreed(20 * Play.SECOND) >= 0);
@@ -58,11 +58,11 @@
   @Test
   void aLeaveIsSaidBeforeTheProcessGoes() {
     for (long period : new long[] {50 * Play.MS, Play.SECOND / 2, 60 * Play.SECOND}) {
-      Periods usual = Periods.usual();
+      MembershipConfig usual = MembershipConfig.usual();
       Play play =
           new Play(
               7,
-              new Periods(
+              new MembershipConfig(
                   period,
                   period / 4,
                   period,
@@ -85,8 +85,8 @@
       play.fleet.playFor(650 * Play.MS);
       assertTrue(play.up.get(Play.at("c")).members.stopped(), period / Play.MS + " ms");
       play.kill("c");
-      assertEquals(Reach.LEFT, play.reach("a", "c"));
-      assertEquals(Reach.LEFT, play.reach("b", "c"));
+      assertEquals(Reachability.LEFT, play.reach("a", "c"));
+      assertEquals(Reachability.LEFT, play.reach("b", "c"));
     }
   }
 }
--- a/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
+++ b/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
@@ -7,14 +7,14 @@
 import java.util.function.BiFunction;
 import org.junit.jupiter.api.Test;
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Reach;
-import tillerlink.members.config.Periods;
-import tillerlink.members.gossip.Rumours;
-import tillerlink.members.local.Own;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.members.gossip.GossipQueue;
+import tillerlink.members.local.LocalMember;
 import tillerlink.members.state.FaultyTable;
-import tillerlink.members.state.Table;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.members.state.MemberTable;
+import tillerlink.messages.members.GossipUpdate;
+import tillerlink.messages.members.MemberStatus;
 import tillerlink.simulation.Fault;
 
 /**
@@ -24,41 +24,41 @@
 class PlantedFaultsTest {
   private static final int HISTORIES = 40;
 
-  private static Makers table(FaultyTable.What what) {
-    return new Makers() {
+  private static ComponentFactories table(FaultyTable.What what) {
+    return new ComponentFactories() {
       @Override
-      Table table(String self, Periods periods, Table.Changes changes) {
+      MemberTable table(String self, MembershipConfig periods, MemberTable.Changes changes) {
         return new FaultyTable(self, periods, changes, what);
       }
     };
   }
 
-  private static Makers own(BiFunction<Identity, Long, Own> make) {
-    return new Makers() {
+  private static ComponentFactories own(BiFunction<Identity, Long, LocalMember> make) {
+    return new ComponentFactories() {
       @Override
-      Own own(Identity identity, long birth) {
+      LocalMember own(Identity identity, long birth) {
         return make.apply(identity, birth);
       }
     };
   }
 
-  private static final Makers NEVER_REFUTES =
+  private static final ComponentFactories NEVER_REFUTES =
       own(
           (identity, birth) ->
-              new Own(identity.before(), birth, identity.address(), identity.site()) {
+              new LocalMember(identity.before(), birth, identity.address(), identity.site()) {
                 @Override
                 public Answer told(
-                    Standing standing, long incarnation, long other, String address) {
+                    MemberStatus standing, long incarnation, long other, String address) {
                   return other == card().birth()
                       ? Answer.NOTHING
                       : super.told(standing, incarnation, other, address);
                 }
               });
 
-  private static final Makers NEVER_YIELDS =
+  private static final ComponentFactories NEVER_YIELDS =
       own(
           (identity, birth) ->
-              new Own(identity.before(), birth, identity.address(), identity.site()) {
+              new LocalMember(identity.before(), birth, identity.address(), identity.site()) {
                 @Override
                 public Answer lives(long other) {
                   raise(0);
@@ -66,24 +66,24 @@
                 }
               });
 
-  private static final Makers FALLS =
+  private static final ComponentFactories FALLS =
       own(
           (identity, birth) ->
-              new Own(identity.before(), birth, identity.address(), identity.site()) {
+              new LocalMember(identity.before(), birth, identity.address(), identity.site()) {
                 @Override
                 public void raise(long above) {
                   super.raise(above == 0 ? -5 : Long.MAX_VALUE);
                 }
               });
 
-  private static final Makers TELLS_FOR_EVER =
-      new Makers() {
+  private static final ComponentFactories TELLS_FOR_EVER =
+      new ComponentFactories() {
         @Override
-        Rumours rumours(int most) {
-          return new Rumours(most) {
+        GossipQueue rumours(int most) {
+          return new GossipQueue(most) {
             @Override
-            public List<Rumour> take(
-                int room, int sendsMost, BiFunction<String, String, Rumour> look) {
+            public List<GossipUpdate> take(
+                int room, int sendsMost, BiFunction<String, String, GossipUpdate> look) {
               return super.take(room, Integer.MAX_VALUE, look);
             }
           };
@@ -91,7 +91,7 @@
       };
 
   /** Plays a few histories with the fault in all; what caught it first. */
-  private static String caught(Makers makers, Periods periods) {
+  private static String caught(ComponentFactories makers, MembershipConfig periods) {
     for (long seed = 0; seed < HISTORIES; seed++) {
       HistoriesTest.History history = new HistoriesTest.History(seed, periods, makers);
       try {
@@ -134,7 +134,7 @@
    * Some messages lost, and a partition that heals: nobody who lives is given up after it, nobody
    * dead comes back.
    */
-  private static String calm(Makers makers, Periods periods) {
+  private static String calm(ComponentFactories makers, MembershipConfig periods) {
     Play play = new Play(4, periods);
     play.makers = makers;
     play.startAll("a", "b", "c", "d", "e", "f");
@@ -142,7 +142,7 @@
     play.fleet.usual(Fault.lossy(0.3));
     play.changes.clear();
     play.fleet.playFor(300 * Play.SECOND);
-    if (play.changes.stream().anyMatch(change -> change.is() == Reach.GONE)) {
+    if (play.changes.stream().anyMatch(change -> change.is() == Reachability.GONE)) {
       return "a living one is given up for lost messages";
     }
     play.fleet.usual(Fault.NONE);
@@ -155,7 +155,8 @@
     play.changes.clear();
     play.untilAgreed(60 * Play.SECOND);
     if (play.changes.stream()
-        .anyMatch(change -> change.is() == Reach.SUSPECTED || change.is() == Reach.GONE)) {
+        .anyMatch(
+            change -> change.is() == Reachability.SUSPECTED || change.is() == Reachability.GONE)) {
       return "a living one is accused after a partition healed";
     }
     // One that was stopped meanwhile still takes the dead one for alive, and says so.
@@ -166,14 +167,14 @@
     play.fleet.resume(Play.at("a"));
     play.fleet.playFor(60 * Play.SECOND);
     return play.changes.stream()
-            .anyMatch(change -> change.of().equals("f") && change.is() == Reach.REACHABLE)
+            .anyMatch(change -> change.of().equals("f") && change.is() == Reachability.REACHABLE)
         ? "a dead one comes back"
         : "";
   }
 
-  private static Periods with(int suspicion, long retryEvery, long digestEvery) {
-    Periods usual = Periods.usual();
-    return new Periods(
+  private static MembershipConfig with(int suspicion, long retryEvery, long digestEvery) {
+    MembershipConfig usual = MembershipConfig.usual();
+    return new MembershipConfig(
         usual.period(),
         usual.answerWithin(),
         usual.waitMost(),
@@ -213,10 +214,10 @@
 
   @Test
   void eachIsCaught() {
-    Periods usual = Periods.usual();
+    MembershipConfig usual = MembershipConfig.usual();
     long never = Long.MAX_VALUE / 4;
     List<String> found = new ArrayList<>();
-    found.add("nothing planted: " + caught(new Makers(), usual));
+    found.add("nothing planted: " + caught(new ComponentFactories(), usual));
     for (FaultyTable.What what : FaultyTable.What.values()) {
       found.add(what + ": " + caught(table(what), usual));
     }
@@ -226,12 +227,13 @@
     found.add("news told for ever: " + caught(TELLS_FOR_EVER, usual));
     found.add(
         "suspicion of half a second: "
-            + caught(new Makers(), with(1, usual.retryEvery(), usual.digestEvery())));
+            + caught(new ComponentFactories(), with(1, usual.retryEvery(), usual.digestEvery())));
     found.add(
         "the gone are not tried again: "
-            + caught(new Makers(), with(5, never, usual.digestEvery())));
+            + caught(new ComponentFactories(), with(5, never, usual.digestEvery())));
     found.add(
-        "no digests but on meeting: " + caught(new Makers(), with(5, usual.retryEvery(), never)));
+        "no digests but on meeting: "
+            + caught(new ComponentFactories(), with(5, usual.retryEvery(), never)));
     assertEquals(CAUGHT, String.join("\n", found) + "\n");
   }
 }
--- a/members/src/test/java/tillerlink/members/Play.java
+++ b/members/src/test/java/tillerlink/members/Play.java
@@ -8,11 +8,11 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import tillerlink.cluster.Part;
-import tillerlink.cluster.Reach;
-import tillerlink.members.config.Periods;
-import tillerlink.members.config.Watcher;
-import tillerlink.simulation.VirtualFleet;
+import tillerlink.cluster.ClusterComponent;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.members.config.MembershipListener;
+import tillerlink.simulation.SimulatedFleet;
 
 /**
  * A fleet of members in virtual time. Hosts stand under their addresses; a member's name goes on
@@ -23,7 +23,7 @@
   public static final long SECOND = 10_000;
 
   /** One process. */
-  public final class Process implements Part, Watcher {
+  public final class Process implements ClusterComponent, MembershipListener {
     public final Members members;
     public final String address;
     public final String name;
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void reach(String other, Reach was, Reach is) {
+    public void reach(String other, Reachability was, Reachability is) {
       heard.accept(new Change(fleet.now(), name, other, was, is));
     }
 
@@ -90,17 +90,17 @@
     }
   }
 
-  public record Change(long at, String by, String of, Reach was, Reach is) {
+  public record Change(long at, String by, String of, Reachability was, Reachability is) {
     @Override
     public String toString() {
       return String.format("%7.2f s  %s: %s %s -> %s", at / (double) SECOND, by, of, was, is);
     }
   }
 
-  public final VirtualFleet fleet;
+  public final SimulatedFleet fleet;
   final Random random;
-  final Periods periods;
-  Makers makers = new Makers();
+  final MembershipConfig periods;
+  ComponentFactories makers = new ComponentFactories();
   public final Map<String, Process> up = new TreeMap<>();
   final Map<String, Long> kept = new TreeMap<>();
   public final List<Change> changes = new ArrayList<>();
@@ -110,9 +110,9 @@
 
   final List<String> told = new ArrayList<>();
 
-  public Play(long seed, Periods periods) {
+  public Play(long seed, MembershipConfig periods) {
     random = new Random(seed);
-    fleet = new VirtualFleet(new Random(seed + 1));
+    fleet = new SimulatedFleet(new Random(seed + 1));
     this.periods = periods;
   }
 
@@ -162,7 +162,7 @@
     fleet.touched(at(name));
   }
 
-  Reach reach(String by, String of) {
+  Reachability reach(String by, String of) {
     return up.get(at(by)).members.reach(of);
   }
 
@@ -181,7 +181,7 @@
     for (Process other : up.values()) {
       if (other != one && !other.members.yielded()) {
         reachable++;
-        if (one.members.reach(other.name) != Reach.REACHABLE) {
+        if (one.members.reach(other.name) != Reachability.REACHABLE) {
           return false;
         }
       }
--- a/members/src/test/java/tillerlink/members/ShortHistoriesTest.java
+++ b/members/src/test/java/tillerlink/members/ShortHistoriesTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import org.junit.jupiter.api.Test;
-import tillerlink.members.config.Periods;
+import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Seeds;
 
 /**
@@ -17,7 +17,8 @@
 
     Short(long seed) {
       history =
-          new HistoriesTest.History(seed, Periods.usual(), new Makers(), 3 + (int) (seed % 3));
+          new HistoriesTest.History(
+              seed, MembershipConfig.usual(), new ComponentFactories(), 3 + (int) (seed % 3));
     }
 
     @Override
--- a/members/src/test/java/tillerlink/members/TimelinesTest.java
+++ b/members/src/test/java/tillerlink/members/TimelinesTest.java
@@ -14,8 +14,8 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import tillerlink.cluster.Reach;
-import tillerlink.members.config.Periods;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
 /** Hard cases as timelines to be read: who took whom for what, compared with the kept ones. */
@@ -25,7 +25,7 @@
   private long begun;
 
   private void fleet(String... names) {
-    play = new Play(11, Periods.usual());
+    play = new Play(11, MembershipConfig.usual());
     play.startAll(names);
     play.fleet.playFor(20 * Play.SECOND);
     play.changes.clear();
@@ -60,7 +60,7 @@
     play.told.clear();
   }
 
-  private static String word(Reach reach) {
+  private static String word(Reachability reach) {
     return reach.name().toLowerCase(Locale.ROOT).replace('_', ' ');
   }
 
--- a/members/src/test/java/tillerlink/members/measure/Heartbeats.java
+++ b/members/src/test/java/tillerlink/members/measure/Heartbeats.java
@@ -3,16 +3,16 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import tillerlink.cluster.Part;
+import tillerlink.cluster.ClusterComponent;
 import tillerlink.members.Play;
 import tillerlink.simulation.Fault;
-import tillerlink.simulation.VirtualFleet;
+import tillerlink.simulation.SimulatedFleet;
 
 /**
  * All-to-all heartbeats, with a fixed time or with an accrual detector (phi of the gaps seen, taken
  * as exponential after the mean, given up at 8): for comparison only.
  */
-final class Heartbeats implements Part {
+final class Heartbeats implements ClusterComponent {
   private static final long EVERY = Play.SECOND / 2;
   private static final long FIXED = 5 * EVERY;
   private static final double PHI = 8;
@@ -32,7 +32,7 @@
     long deadAt;
   }
 
-  private final VirtualFleet fleet;
+  private final SimulatedFleet fleet;
   private final String name;
   private final int size;
   private final boolean accrual;
@@ -41,7 +41,7 @@
   private long dueAt;
 
   private Heartbeats(
-      VirtualFleet fleet, String name, int size, boolean accrual, Tally tally, long first) {
+      SimulatedFleet fleet, String name, int size, boolean accrual, Tally tally, long first) {
     this.fleet = fleet;
     this.name = name;
     this.size = size;
@@ -99,7 +99,7 @@
   }
 
   static String play(int size, double lost, boolean accrual) {
-    VirtualFleet fleet = new VirtualFleet(new Random(size));
+    SimulatedFleet fleet = new SimulatedFleet(new Random(size));
     Tally tally = new Tally();
     Random random = new Random(1);
     for (int i = 0; i < size; i++) {
--- a/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
+++ b/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
@@ -7,9 +7,9 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import tillerlink.cluster.Reach;
+import tillerlink.cluster.Reachability;
 import tillerlink.members.Play;
-import tillerlink.members.config.Periods;
+import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
 /**
@@ -34,12 +34,12 @@
     return IntStream.range(0, size).mapToObj(i -> String.format("g%04d", i)).toArray(String[]::new);
   }
 
-  private static Periods periods(boolean health) {
-    return health ? Periods.usual() : Periods.usual().withHealth(0);
+  private static MembershipConfig periods(boolean health) {
+    return health ? MembershipConfig.usual() : MembershipConfig.usual().withHealth(0);
   }
 
   /** A fleet that knows all of itself; changes are told to nobody. */
-  static Play fleet(int size, long seed, Periods periods) {
+  static Play fleet(int size, long seed, MembershipConfig periods) {
     Play play = new Play(seed, periods);
     play.heard = change -> {};
     play.startAll(names(size));
@@ -110,11 +110,11 @@
       String[] last = {""};
       play.heard =
           change -> {
-            if (change.of().equals(last[0]) && change.is() == Reach.GONE) {
+            if (change.of().equals(last[0]) && change.is() == Reachability.GONE) {
               found.add(change.at() - killedAt[0]);
-            } else if (!dead.contains(change.of()) && change.is() == Reach.SUSPECTED) {
+            } else if (!dead.contains(change.of()) && change.is() == Reachability.SUSPECTED) {
               alarms[0]++;
-            } else if (!dead.contains(change.of()) && change.is() == Reach.GONE) {
+            } else if (!dead.contains(change.of()) && change.is() == Reachability.GONE) {
               alarms[1]++;
             }
           };
@@ -174,10 +174,10 @@
     play.heard =
         change -> {
           if (!paused.contains(change.of())) {
-            counts[3] += change.is() == Reach.SUSPECTED ? 1 : 0;
-          } else if (change.is() == Reach.SUSPECTED) {
+            counts[3] += change.is() == Reachability.SUSPECTED ? 1 : 0;
+          } else if (change.is() == Reachability.SUSPECTED) {
             suspected.add(change.of());
-          } else if (change.is() == Reach.GONE) {
+          } else if (change.is() == Reachability.GONE) {
             gone.add(change.of());
             goneBy[0]++;
           }
@@ -234,8 +234,8 @@
         play.heard =
             change -> {
               if (!change.of().equals(one) && change.by().equals(one)) {
-                counts[0] += change.is() == Reach.SUSPECTED ? 1 : 0;
-                counts[1] += change.is() == Reach.GONE ? 1 : 0;
+                counts[0] += change.is() == Reachability.SUSPECTED ? 1 : 0;
+                counts[1] += change.is() == Reachability.GONE ? 1 : 0;
               }
             };
         play.fleet.playFor(minutes * 60 * Play.SECOND);
@@ -311,7 +311,7 @@
     play.fleet.playFor(seconds * Play.SECOND);
     play.fleet.heal();
     long[] gone = new long[1];
-    play.heard = change -> gone[0] += change.is() == Reach.GONE ? 1 : 0;
+    play.heard = change -> gone[0] += change.is() == Reachability.GONE ? 1 : 0;
     long bytes = play.fleet.sentBytes();
     long took = play.untilAgreed(600 * Play.SECOND, size == BIG ? Play.SECOND : 100 * Play.MS);
     say(
--- a/members/src/test/java/tillerlink/members/measure/Memory.java
+++ b/members/src/test/java/tillerlink/members/measure/Memory.java
@@ -5,13 +5,13 @@
 import java.util.function.Consumer;
 import tillerlink.members.Identity;
 import tillerlink.members.Members;
-import tillerlink.members.config.Periods;
-import tillerlink.messages.members.Card;
-import tillerlink.messages.members.Doubt;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
+import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberMessage;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.messages.members.MemberStatus;
+import tillerlink.messages.members.SuspicionLevel;
 
 /** What a full table takes of the heap. */
 final class Memory {
@@ -24,7 +24,7 @@
     Members members =
         new Members(
             new Identity("f", "own", "site", "10.0.0.1:7400", List.of(), 0),
-            Periods.usual(),
+            MembershipConfig.usual(),
             (address, body) -> {},
             new SplittableRandom(1),
             (name, was, is) -> {},
@@ -32,13 +32,14 @@
     members.turn(0, 0);
     for (int i = 0; i < MEMBERS; i++) {
       String name = "gateway-at-some-site-" + i;
-      Card card = new Card(3, i, "10.1." + i / 256 + "." + i % 256 + ":7400", "site-" + i % 12);
-      Rumour rumour = new Rumour(name, Standing.ALIVE, card, "", 100);
+      MemberInfo card =
+          new MemberInfo(3, i, "10.1." + i / 256 + "." + i % 256 + ":7400", "site-" + i % 12);
+      GossipUpdate rumour = new GossipUpdate(name, MemberStatus.ALIVE, card, "", 100);
       members.told(
           1,
           1,
           "another",
-          MemberCodec.write(new MemberMessage.Gossip(card, Doubt.NONE, List.of(rumour))));
+          MemberCodec.write(new MemberMessage.Gossip(card, SuspicionLevel.NONE, List.of(rumour))));
     }
     if (members.size() != MEMBERS + 1) {
       throw new AssertionError("members: " + members.size());
--- a/members/src/test/java/tillerlink/members/state/FaultyTable.java
+++ b/members/src/test/java/tillerlink/members/state/FaultyTable.java
@@ -1,12 +1,12 @@
 package tillerlink.members.state;
 
-import tillerlink.members.config.Periods;
-import tillerlink.messages.members.Card;
-import tillerlink.messages.members.Rumour;
-import tillerlink.messages.members.Standing;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.messages.members.GossipUpdate;
+import tillerlink.messages.members.MemberInfo;
+import tillerlink.messages.members.MemberStatus;
 
 /** Tables with a fault planted in them, each of which has to be caught. */
-public final class FaultyTable extends Table {
+public final class FaultyTable extends MemberTable {
   /** What is wrong. */
   public enum What {
     BELIEVES_LOWER,
@@ -18,15 +18,15 @@
   private final What what;
   private final Changes changes;
 
-  public FaultyTable(String self, Periods periods, Changes changes, What what) {
+  public FaultyTable(String self, MembershipConfig periods, Changes changes, What what) {
     super(self, periods, changes);
     this.what = what;
     this.changes = changes;
   }
 
   @Override
-  public Outcome tell(Rumour rumour, long now, boolean doubtful) {
-    Entry entry = get(rumour.name());
+  public Outcome tell(GossipUpdate rumour, long now, boolean doubtful) {
+    MemberRecord entry = get(rumour.name());
     if (entry == null) {
       return super.tell(rumour, now, doubtful);
     }
@@ -39,15 +39,15 @@
       }
       case COMES_BACK_AS_IT_WENT -> {
         if (order == 0
-            && rumour.standing() == Standing.ALIVE
-            && entry.standing() == Standing.GONE) {
-          entry.become(Standing.ALIVE, rumour.card(), null, now);
+            && rumour.standing() == MemberStatus.ALIVE
+            && entry.standing() == MemberStatus.GONE) {
+          entry.become(MemberStatus.ALIVE, rumour.card(), null, now);
         }
       }
       case GIVEN_UP_ON_HEARSAY -> {
         if (order == 0
-            && rumour.standing() == Standing.GONE
-            && entry.standing() == Standing.ALIVE) {
+            && rumour.standing() == MemberStatus.GONE
+            && entry.standing() == MemberStatus.ALIVE) {
           suspect(entry, rumour.by(), now, now);
         }
       }
@@ -59,11 +59,11 @@
   }
 
   @Override
-  public Entry expire(long now) {
-    Entry gone = super.expire(now);
+  public MemberRecord expire(long now) {
+    MemberRecord gone = super.expire(now);
     if (gone != null && what == What.FORGETS_AT_ONCE) {
       remove(gone);
-      changes.changed(gone, gone.reach(), Card.NONE);
+      changes.changed(gone, gone.reach(), MemberInfo.NONE);
     }
     return gone;
   }
--- a/messages/src/main/java/tillerlink/messages/members/Rumour.java
+++ b/messages/src/main/java/tillerlink/messages/members/GossipUpdate.java
@@ -10,4 +10,5 @@
  * @param age tenths of a millisecond since its last sign of life if it is alive, since it changed
  *     otherwise: each who tells it on adds the time it lay there
  */
-public record Rumour(String name, Standing standing, Card card, String by, long age) {}
+public record GossipUpdate(
+    String name, MemberStatus standing, MemberInfo card, String by, long age) {}
--- a/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
@@ -85,8 +85,8 @@
   }
 
   /** How many bytes a rumour adds to a message at the most. */
-  public static int size(Rumour rumour) {
-    Card card = rumour.card();
+  public static int size(GossipUpdate rumour) {
+    MemberInfo card = rumour.card();
     return RUMOUR_FRAME
         + varint(card.incarnation())
         + varint(rumour.age())
@@ -109,7 +109,7 @@
     return bytes;
   }
 
-  private static FieldWriter card(Card card) {
+  private static FieldWriter card(MemberInfo card) {
     return new FieldWriter()
         .number(1, card.incarnation())
         .fixed(2, card.birth())
@@ -117,7 +117,7 @@
         .text(4, card.site());
   }
 
-  private static FieldWriter rumour(Rumour rumour) {
+  private static FieldWriter rumour(GossipUpdate rumour) {
     return new FieldWriter()
         .text(1, rumour.name())
         .number(2, rumour.standing().ordinal())
@@ -126,7 +126,7 @@
         .number(5, rumour.age());
   }
 
-  private static void doubt(FieldWriter out, Doubt doubt) {
+  private static void doubt(FieldWriter out, SuspicionLevel doubt) {
     if (doubt.is()) {
       out.within(
           DOUBT,
@@ -140,17 +140,17 @@
   /** What was read of any message, whatever its kind. */
   private static final class Parts {
     long kind;
-    Card card = Card.NONE;
+    MemberInfo card = MemberInfo.NONE;
     long number;
     String target = "";
     String address = "";
-    Doubt doubt = Doubt.NONE;
+    SuspicionLevel doubt = SuspicionLevel.NONE;
     boolean reached;
     long bucket;
     String after = "";
     String upTo = "";
     boolean reply;
-    final List<Rumour> rumours = new ArrayList<>();
+    final List<GossipUpdate> rumours = new ArrayList<>();
     final List<Integer> sums = new ArrayList<>();
   }
 
@@ -200,8 +200,8 @@
   }
 
   private static MemberMessage message(Parts parts) throws MalformedMessageException {
-    List<Rumour> rumours = List.copyOf(parts.rumours);
-    Card card = parts.card;
+    List<GossipUpdate> rumours = List.copyOf(parts.rumours);
+    MemberInfo card = parts.card;
     return switch ((int) Math.min(parts.kind, Integer.MAX_VALUE)) {
       case PROBE -> new MemberMessage.Probe(card, parts.number, parts.target, parts.doubt, rumours);
       case ACK -> new MemberMessage.Ack(card, parts.number, parts.doubt, rumours);
@@ -238,7 +238,7 @@
     }
   }
 
-  private static Card card(FieldReader in) throws MalformedMessageException {
+  private static MemberInfo card(FieldReader in) throws MalformedMessageException {
     long incarnation = 0;
     long birth = 0;
     String address = "";
@@ -255,19 +255,19 @@
         }
       }
     }
-    return new Card(incarnation, birth, address, site);
+    return new MemberInfo(incarnation, birth, address, site);
   }
 
-  private static Rumour rumour(FieldReader in) throws MalformedMessageException {
+  private static GossipUpdate rumour(FieldReader in) throws MalformedMessageException {
     String name = "";
     int standing = 0;
-    Card card = Card.NONE;
+    MemberInfo card = MemberInfo.NONE;
     String by = "";
     long age = 0;
     while (in.next()) {
       switch (in.field()) {
         case 1 -> name = in.text(NAME_MOST);
-        case 2 -> standing = (int) in.number(Standing.values().length - 1);
+        case 2 -> standing = (int) in.number(MemberStatus.values().length - 1);
         case 3 -> card = card(in.within());
         case 4 -> by = in.text(NAME_MOST);
         case 5 -> age = in.number(AGE_MOST);
@@ -279,16 +279,16 @@
     if (name.isEmpty() || card.incarnation() == 0 || card.address().isEmpty()) {
       throw new MalformedMessageException("a rumour of nobody");
     }
-    return new Rumour(name, Standing.values()[standing], card, by, age);
+    return new GossipUpdate(name, MemberStatus.values()[standing], card, by, age);
   }
 
-  private static Doubt doubt(FieldReader in) throws MalformedMessageException {
+  private static SuspicionLevel doubt(FieldReader in) throws MalformedMessageException {
     int standing = 0;
     long incarnation = 0;
     long birth = 0;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> standing = (int) in.number(Standing.values().length - 1);
+        case 1 -> standing = (int) in.number(MemberStatus.values().length - 1);
         case 2 -> incarnation = in.number(Long.MAX_VALUE / 2);
         case 3 -> birth = in.fixed();
         default -> {
@@ -296,6 +296,6 @@
         }
       }
     }
-    return new Doubt(Standing.values()[standing], incarnation, birth);
+    return new SuspicionLevel(MemberStatus.values()[standing], incarnation, birth);
   }
 }
--- a/messages/src/main/java/tillerlink/messages/members/Card.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberInfo.java
@@ -9,12 +9,12 @@
  * @param address host:port, where its messages go to; at most 100 bytes
  * @param site at most 64 bytes
  */
-public record Card(long incarnation, long birth, String address, String site) {
+public record MemberInfo(long incarnation, long birth, String address, String site) {
   /** No card: what nobody was told of. */
-  public static final Card NONE = new Card(0, 0, "", "");
+  public static final MemberInfo NONE = new MemberInfo(0, 0, "", "");
 
   /** Above zero if this one stands above the other. */
-  public int compare(Card other) {
+  public int compare(MemberInfo other) {
     return incarnation != other.incarnation
         ? Long.compare(incarnation, other.incarnation)
         : Long.compare(birth, other.birth);
--- a/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
@@ -5,9 +5,9 @@
 /** What members say to each other. The sender's name stands on the envelope. */
 public sealed interface MemberMessage {
   /** The sender's own. */
-  Card card();
+  MemberInfo card();
 
-  List<Rumour> rumours();
+  List<GossipUpdate> rumours();
 
   /**
    * Are you there?
@@ -15,23 +15,31 @@
    * @param number to be answered with; nobody can guess it
    * @param target who is asked; empty for whoever has that address
    */
-  record Probe(Card card, long number, String target, Doubt doubt, List<Rumour> rumours)
+  record Probe(
+      MemberInfo card, long number, String target, SuspicionLevel doubt, List<GossipUpdate> rumours)
       implements MemberMessage {}
 
   /** I am. */
-  record Ack(Card card, long number, Doubt doubt, List<Rumour> rumours) implements MemberMessage {}
+  record Ack(MemberInfo card, long number, SuspicionLevel doubt, List<GossipUpdate> rumours)
+      implements MemberMessage {}
 
   /** Ask somebody for me. */
   record Ask(
-      Card card, long number, String target, String address, Doubt doubt, List<Rumour> rumours)
+      MemberInfo card,
+      long number,
+      String target,
+      String address,
+      SuspicionLevel doubt,
+      List<GossipUpdate> rumours)
       implements MemberMessage {}
 
   /** It answered me, or did not; the one who asked gets its own number back. */
-  record Vouch(Card card, long number, boolean reached, List<Rumour> rumours)
+  record Vouch(MemberInfo card, long number, boolean reached, List<GossipUpdate> rumours)
       implements MemberMessage {}
 
   /** News. */
-  record Gossip(Card card, Doubt doubt, List<Rumour> rumours) implements MemberMessage {}
+  record Gossip(MemberInfo card, SuspicionLevel doubt, List<GossipUpdate> rumours)
+      implements MemberMessage {}
 
   /**
    * All I hold, as one sum for each bucket of names.
@@ -39,13 +47,13 @@
    * @param salt mixed into the sums, so that two that are the same by chance are not so the next
    *     time
    */
-  record Digest(Card card, long salt, List<Integer> sums) implements MemberMessage {
+  record Digest(MemberInfo card, long salt, List<Integer> sums) implements MemberMessage {
     public Digest {
       sums = List.copyOf(sums);
     }
 
     @Override
-    public List<Rumour> rumours() {
+    public List<GossipUpdate> rumours() {
       return List.of();
     }
   }
@@ -58,6 +66,11 @@
    * @param reply whether the other is asked for what it holds above that
    */
   record Listing(
-      Card card, int bucket, String after, String upTo, boolean reply, List<Rumour> rumours)
+      MemberInfo card,
+      int bucket,
+      String after,
+      String upTo,
+      boolean reply,
+      List<GossipUpdate> rumours)
       implements MemberMessage {}
 }
--- a/messages/src/main/java/tillerlink/messages/members/Standing.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberStatus.java
@@ -4,7 +4,7 @@
  * What is told of a member. The later ones stand above the earlier at one incarnation; the order is
  * that of the numbers on the wire, and never changes.
  */
-public enum Standing {
+public enum MemberStatus {
   ALIVE,
   /** Somebody could not reach it, nor could those it asked. */
   SUSPECTED,
--- a/messages/src/main/java/tillerlink/messages/members/Doubt.java
+++ b/messages/src/main/java/tillerlink/messages/members/SuspicionLevel.java
@@ -6,8 +6,8 @@
  *
  * @param incarnation 0 if there is nothing to refute
  */
-public record Doubt(Standing standing, long incarnation, long birth) {
-  public static final Doubt NONE = new Doubt(Standing.ALIVE, 0, 0);
+public record SuspicionLevel(MemberStatus standing, long incarnation, long birth) {
+  public static final SuspicionLevel NONE = new SuspicionLevel(MemberStatus.ALIVE, 0, 0);
 
   public boolean is() {
     return incarnation > 0;
--- a/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
+++ b/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
@@ -14,20 +14,20 @@
 /** Guards the bytes of every kind of message between members. */
 class MemberMessageFormatGuardTest {
   private static final String RESOURCE = "member-messages.hex";
-  private static final Card CARD = new Card(3, 0x1122334455667788L, "h1:7001", "north");
+  private static final MemberInfo CARD = new MemberInfo(3, 0x1122334455667788L, "h1:7001", "north");
 
   static Map<String, MemberMessage> messages() {
-    Card other = new Card(300, -5, "h2:7002", "südwest");
-    List<Rumour> rumours =
+    MemberInfo other = new MemberInfo(300, -5, "h2:7002", "südwest");
+    List<GossipUpdate> rumours =
         List.of(
-            new Rumour("b", Standing.ALIVE, other, "", 0),
-            new Rumour("c", Standing.SUSPECTED, other, "d", 12_345),
-            new Rumour("e", Standing.GONE, other, "f", 1),
-            new Rumour("g", Standing.LEFT, other, "", MemberCodec.AGE_MOST));
-    Doubt doubt = new Doubt(Standing.SUSPECTED, 7, 0x0102030405060708L);
+            new GossipUpdate("b", MemberStatus.ALIVE, other, "", 0),
+            new GossipUpdate("c", MemberStatus.SUSPECTED, other, "d", 12_345),
+            new GossipUpdate("e", MemberStatus.GONE, other, "f", 1),
+            new GossipUpdate("g", MemberStatus.LEFT, other, "", MemberCodec.AGE_MOST));
+    SuspicionLevel doubt = new SuspicionLevel(MemberStatus.SUSPECTED, 7, 0x0102030405060708L);
     Map<String, MemberMessage> all = new LinkedHashMap<>();
     all.put("probe", new MemberMessage.Probe(CARD, 0x0a0b0c0dL, "b", doubt, rumours));
-    all.put("probe-bare", new MemberMessage.Probe(CARD, 1, "", Doubt.NONE, List.of()));
+    all.put("probe-bare", new MemberMessage.Probe(CARD, 1, "", SuspicionLevel.NONE, List.of()));
     all.put("ack", new MemberMessage.Ack(CARD, -1, doubt, rumours));
     all.put("ask", new MemberMessage.Ask(CARD, 9, "b", "h2:7002", doubt, rumours));
     all.put("vouch", new MemberMessage.Vouch(CARD, 9, true, rumours));
@@ -40,10 +40,10 @@
             0x77L,
             IntStream.range(0, MemberCodec.BUCKETS).mapToObj(i -> i * 0x01010101 - 9).toList()));
     all.put("listing", new MemberMessage.Listing(CARD, 31, "a", "m", true, rumours));
-    for (Standing standing : Standing.values()) {
+    for (MemberStatus standing : MemberStatus.values()) {
       all.put(
           "doubt-" + standing.ordinal(),
-          new MemberMessage.Gossip(CARD, new Doubt(standing, 2, 4), List.of()));
+          new MemberMessage.Gossip(CARD, new SuspicionLevel(standing, 2, 4), List.of()));
     }
     return all;
   }
@@ -84,7 +84,7 @@
   @Test
   void standingsThatAreSentByNumberHaveTheirOrder() {
     assertEquals(
-        List.of(Standing.ALIVE, Standing.SUSPECTED, Standing.GONE, Standing.LEFT),
-        List.of(Standing.values()));
+        List.of(MemberStatus.ALIVE, MemberStatus.SUSPECTED, MemberStatus.GONE, MemberStatus.LEFT),
+        List.of(MemberStatus.values()));
   }
 }
--- a/peering/src/main/java/tillerlink/peering/Book.java
+++ b/peering/src/main/java/tillerlink/peering/AddressBook.java
@@ -8,7 +8,7 @@
  * Where others are reached: at the address that each tells of itself, unless the operator says that
  * this gateway reaches it elsewhere, as behind a translator of addresses.
  */
-final class Book {
+final class AddressBook {
   private final Map<String, String> reach;
   private final UnaryOperator<String> told;
 
@@ -16,7 +16,7 @@
    * @param reach by name, the operator's word
    * @param told by name, what the member says of itself; empty if it is not known
    */
-  Book(Map<String, String> reach, UnaryOperator<String> told) {
+  AddressBook(Map<String, String> reach, UnaryOperator<String> told) {
     this.reach = new TreeMap<>(reach);
     this.told = told;
   }
--- a/peering/src/main/java/tillerlink/peering/Journal.java
+++ b/peering/src/main/java/tillerlink/peering/MembershipLogger.java
@@ -4,14 +4,14 @@
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tillerlink.cluster.Reach;
-import tillerlink.members.config.Watcher;
+import tillerlink.cluster.Reachability;
+import tillerlink.members.config.MembershipListener;
 
 /**
  * Logs what changes among the members. Guards the log against a network that makes hundreds come
  * and go at once.
  */
-final class Journal {
+final class MembershipLogger {
   private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
   private static final int AT_ONCE = 40;
   private static final long EVERY = 100_000;
@@ -21,7 +21,7 @@
   private long leftOut;
 
   /** How another stands now. */
-  void reach(long now, String name, Reach was, Reach is) {
+  void reach(long now, String name, Reachability was, Reachability is) {
     if (since == Long.MIN_VALUE || now >= since + EVERY) {
       if (leftOut > 0) {
         LOG.info("members: {} more changes, not told one by one", leftOut);
@@ -37,7 +37,7 @@
     }
   }
 
-  private static String word(Reach reach) {
+  private static String word(Reachability reach) {
     return switch (reach) {
       case REACHABLE -> "reachable";
       case THROUGH_OTHERS -> "reachable through others";
@@ -53,11 +53,11 @@
   }
 
   /** As members tell of it. */
-  Watcher watching(LongSupplier now, LongConsumer incarnation) {
-    return new Watcher() {
+  MembershipListener watching(LongSupplier now, LongConsumer incarnation) {
+    return new MembershipListener() {
       @Override
-      public void reach(String name, Reach was, Reach is) {
-        Journal.this.reach(now.getAsLong(), name, was, is);
+      public void reach(String name, Reachability was, Reachability is) {
+        MembershipLogger.this.reach(now.getAsLong(), name, was, is);
       }
 
       @Override
@@ -78,7 +78,7 @@
 
       @Override
       public void line(String words) {
-        Journal.this.line(words);
+        MembershipLogger.this.line(words);
       }
     };
   }
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -11,11 +11,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Keep;
-import tillerlink.cluster.Post;
+import tillerlink.cluster.KeyValueStore;
+import tillerlink.cluster.MessageSender;
 import tillerlink.members.Identity;
 import tillerlink.members.Members;
-import tillerlink.members.config.Periods;
+import tillerlink.members.config.MembershipConfig;
 import tillerlink.messages.envelope.Envelope;
 import tillerlink.messages.envelope.EnvelopeCodec;
 import tillerlink.messages.envelope.Inbox;
@@ -26,14 +26,14 @@
 import tillerlink.net.wire.GatewayConfig;
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
-import tillerlink.peering.component.Attached;
-import tillerlink.peering.component.Attaching;
-import tillerlink.peering.component.Ground;
+import tillerlink.peering.component.ComponentContext;
+import tillerlink.peering.component.ComponentFactory;
+import tillerlink.peering.component.HostedComponent;
 import tillerlink.peering.io.Datagrams;
-import tillerlink.peering.members.MembersDoor;
-import tillerlink.peering.storage.DiskKeep;
-import tillerlink.peering.storage.NoKeep;
-import tillerlink.peering.storage.Share;
+import tillerlink.peering.members.MembersHttpHandler;
+import tillerlink.peering.storage.DisabledKeyValueStore;
+import tillerlink.peering.storage.DiskKeyValueStore;
+import tillerlink.peering.storage.PrefixedKeyValueStore;
 
 /**
  * What this gateway shares with others, on its process: feeds members and the other parts with
@@ -54,18 +54,18 @@
   private static final long WALL_PER_MS = 10;
   private static final long COME_BACK_MS = 1000;
 
-  private final Sharing sharing;
+  private final PeeringConfig sharing;
   private final GatewayConfig assignment;
   private final Consumer<Runnable> turns;
   private final LongSupplier clock;
   private final Watchdog watchdog = new Watchdog();
-  private final Journal journal = new Journal();
-  private final List<Attached> parts = new ArrayList<>();
+  private final MembershipLogger journal = new MembershipLogger();
+  private final List<HostedComponent> parts = new ArrayList<>();
   private final Outbox outbox;
   private final Inbox inbox;
-  private final Keep keep;
+  private final KeyValueStore keep;
   private final Members members;
-  private final Book book;
+  private final AddressBook book;
   private Datagrams datagrams;
   private long now;
 
@@ -73,14 +73,15 @@
   private boolean stirred = true;
 
   /** What makes it when a gateway starts. */
-  public static GatewayExtension.Factory factory(Sharing sharing, List<Attaching> others) {
+  public static GatewayExtension.Factory factory(
+      PeeringConfig sharing, List<ComponentFactory> others) {
     return (assignment, door, turns, clock) ->
         new Peering(sharing, others, assignment, door, turns, clock);
   }
 
   private Peering(
-      Sharing sharing,
-      List<Attaching> others,
+      PeeringConfig sharing,
+      List<ComponentFactory> others,
       GatewayConfig assignment,
       GatewayExtension.Door door,
       Consumer<Runnable> turns,
@@ -97,29 +98,29 @@
         new EnvelopeCodec(
             sharing.fleet(), sharing.secret() == null ? null : Seal.of(sharing.secret()));
     outbox = new Outbox(codec, assignment.name(), life);
-    inbox = new Inbox(codec, assignment.name(), life, Post.BYTES_MOST, journal::line);
+    inbox = new Inbox(codec, assignment.name(), life, MessageSender.BYTES_MOST, journal::line);
     keep =
         sharing.folder() == null
-            ? new NoKeep()
-            : DiskKeep.open(
+            ? new DisabledKeyValueStore()
+            : DiskKeyValueStore.open(
                 sharing.folder().resolve(assignment.name()).resolve(FOLDER),
                 assignment.name(),
                 sharing.keepMost(),
                 this::later);
     members = members(new SplittableRandom(chance.nextLong()));
-    book = new Book(sharing.reach(), members::address);
-    parts.add(new MembersDoor(members, inbox.refused()));
-    for (Attaching other : others) {
+    book = new AddressBook(sharing.reach(), members::address);
+    parts.add(new MembersHttpHandler(members, inbox.refused()));
+    for (ComponentFactory other : others) {
       parts.add(
           other.attach(
-              new Ground(
+              new ComponentContext(
                   assignment.name(),
                   sharing.site(),
                   members,
                   post(other.number()),
-                  new Share(keep, other.name()),
+                  new PrefixedKeyValueStore(keep, other.name()),
                   new SplittableRandom(chance.nextLong()),
-                  new WatchedDoor(door, watchdog),
+                  new WatchedExtensionContext(door, watchdog),
                   clock)));
     }
     datagrams = new Datagrams(sharing.listen(), Envelope.DATAGRAM_MOST, turns, this::came);
@@ -132,7 +133,7 @@
   }
 
   private Members members(SplittableRandom random) {
-    Keep own = new Share(keep, MembersDoor.NAME);
+    KeyValueStore own = new PrefixedKeyValueStore(keep, MembersHttpHandler.NAME);
     byte[] kept = own.found().get(INCARNATION);
     long before = kept == null || kept.length != Long.BYTES ? 0 : ByteBuffer.wrap(kept).getLong();
     Identity identity =
@@ -146,7 +147,7 @@
     return new Members(
         identity,
         periods(),
-        (address, body) -> send(book.instead(address), MembersDoor.NUMBER, body),
+        (address, body) -> send(book.instead(address), MembersHttpHandler.NUMBER, body),
         random,
         journal.watching(
             () -> now,
@@ -159,10 +160,10 @@
   }
 
   /** All that follows from how often members are probed goes with it. */
-  private Periods periods() {
-    Periods usual = Periods.usual();
+  private MembershipConfig periods() {
+    MembershipConfig usual = MembershipConfig.usual();
     double share = (double) sharing.probeEvery() / usual.period();
-    return new Periods(
+    return new MembershipConfig(
         sharing.probeEvery(),
         scaled(usual.answerWithin(), share),
         scaled(usual.waitMost(), share),
@@ -187,7 +188,7 @@
 
   // ---- messages ----
 
-  private Post post(int part) {
+  private MessageSender post(int part) {
     return (to, body) -> {
       String address = members.yielded() ? "" : book.of(to);
       if (!address.isEmpty()) {
@@ -198,9 +199,9 @@
 
   private void send(String address, int part, byte[] body) {
     Invariant.holds(
-        body.length <= Post.BYTES_MOST,
+        body.length <= MessageSender.BYTES_MOST,
         () -> "a message of " + body.length + " bytes to " + address);
-    if (datagrams == null || body.length > Post.BYTES_MOST) {
+    if (datagrams == null || body.length > MessageSender.BYTES_MOST) {
       return;
     }
     for (byte[] datagram : outbox.datagrams(part, body)) {
@@ -216,7 +217,7 @@
           if (message == null) {
             return;
           }
-          for (Attached part : parts) {
+          for (HostedComponent part : parts) {
             if (part.number() == message.part()) {
               part.machine().told(now, wall(), message.sender(), message.body());
               return;
@@ -266,7 +267,7 @@
     watchdog.run(
         () -> {
           notice();
-          for (Attached part : parts) {
+          for (HostedComponent part : parts) {
             if (stirred || now >= part.machine().dueAt()) {
               part.machine().turn(now, wall());
             }
@@ -279,7 +280,7 @@
   @Override
   public long dueAt() {
     long dueAt = now + BEAT;
-    for (Attached part : parts) {
+    for (HostedComponent part : parts) {
       dueAt = Math.min(dueAt, part.machine().dueAt());
     }
     return dueAt;
@@ -292,8 +293,8 @@
     return part(path) != null;
   }
 
-  private Attached part(String path) {
-    for (Attached part : parts) {
+  private HostedComponent part(String path) {
+    for (HostedComponent part : parts) {
       if (part.takes(path)) {
         return part;
       }
@@ -303,10 +304,10 @@
 
   @Override
   public void called(HttpRequest call, Reply reply) {
-    Attached part = part(call.path());
+    HostedComponent part = part(call.path());
     watched(
         () -> {
-          if (members.yielded() && part.number() != MembersDoor.NUMBER) {
+          if (members.yielded() && part.number() != MembersHttpHandler.NUMBER) {
             reply.answer(HttpResponse.problem(503, "Yielded", COME_BACK_MS));
           } else {
             part.called(now, wall(), call, reply);
@@ -331,7 +332,7 @@
   public void close() {
     watched(() -> parts.forEach(part -> part.close(now, wall())));
     datagrams.close();
-    if (keep instanceof DiskKeep disk) {
+    if (keep instanceof DiskKeyValueStore disk) {
       try {
         disk.close();
       } catch (IOException e) {
--- a/peering/src/main/java/tillerlink/peering/Sharing.java
+++ b/peering/src/main/java/tillerlink/peering/PeeringConfig.java
@@ -18,7 +18,7 @@
  * @param folder where it keeps what outlives it, or null
  * @param keepMost bytes that may be kept there
  */
-public record Sharing(
+public record PeeringConfig(
     String fleet,
     String site,
     String listen,
@@ -28,7 +28,7 @@
     long probeEvery,
     Path folder,
     long keepMost) {
-  public Sharing {
+  public PeeringConfig {
     seeds = List.copyOf(seeds);
     reach = new TreeMap<>(reach);
     secret = secret == null ? null : secret.clone();
--- a/peering/src/main/java/tillerlink/peering/WatchedDoor.java
+++ b/peering/src/main/java/tillerlink/peering/WatchedExtensionContext.java
@@ -7,7 +7,8 @@
  * The gateway's door as parts get it: their guards are asked under the watchdog, for the gateway
  * asks them itself.
  */
-record WatchedDoor(GatewayExtension.Door door, Watchdog watchdog) implements GatewayExtension.Door {
+record WatchedExtensionContext(GatewayExtension.Door door, Watchdog watchdog)
+    implements GatewayExtension.Door {
   private record Watched(GatewayExtension.Guard guard, Watchdog watchdog)
       implements GatewayExtension.Guard {
     @Override
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsDoor.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsHttpHandler.java
@@ -5,17 +5,17 @@
 import tillerlink.channels.Channels;
 import tillerlink.channels.entry.Appended;
 import tillerlink.channels.entry.Draft;
-import tillerlink.cluster.Part;
+import tillerlink.cluster.ClusterComponent;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
-import tillerlink.peering.component.Attached;
+import tillerlink.peering.component.HostedComponent;
 
 /**
  * The logs of channels, for clients: {@code POST /v1/channels/NAME}, {@code GET
  * /v1/channels/NAME/log/FROM}, {@code GET /v1/channels/NAME/cues} and {@code GET /v1/channels}.
  */
-public final class ChannelsDoor implements Attached {
+public final class ChannelsHttpHandler implements HostedComponent {
   private static final String PATH = "/v1/channels";
   private static final String KEY = "x-operation-key";
   private static final String NAME_FORM = "[A-Za-z0-9._-]{1,64}";
@@ -51,17 +51,17 @@
   private final Channels channels;
   private final ArrayDeque<Owed> owed = new ArrayDeque<>();
 
-  ChannelsDoor(Channels channels) {
+  ChannelsHttpHandler(Channels channels) {
     this.channels = channels;
   }
 
   @Override
   public int number() {
-    return ChannelsPart.NUMBER;
+    return HostedChannels.NUMBER;
   }
 
   @Override
-  public Part machine() {
+  public ClusterComponent machine() {
     return channels;
   }
 
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsPart.java
+++ b/peering/src/main/java/tillerlink/peering/channels/HostedChannels.java
@@ -4,22 +4,22 @@
 import org.slf4j.LoggerFactory;
 import tillerlink.channels.Channels;
 import tillerlink.channels.Terms;
-import tillerlink.peering.component.Attached;
-import tillerlink.peering.component.Attaching;
-import tillerlink.peering.component.Ground;
+import tillerlink.peering.component.ComponentContext;
+import tillerlink.peering.component.ComponentFactory;
+import tillerlink.peering.component.HostedComponent;
 
 /** The logs of channels on a gateway's process. */
-public final class ChannelsPart implements Attaching {
+public final class HostedChannels implements ComponentFactory {
   /** What messages to this part bear. */
   public static final int NUMBER = 2;
 
   public static final String NAME = "channels";
-  private static final Logger LOG = LoggerFactory.getLogger(ChannelsPart.class);
+  private static final Logger LOG = LoggerFactory.getLogger(HostedChannels.class);
   private static final long WALL_PER_MS = 10;
 
   private final Terms terms;
 
-  public ChannelsPart(Terms terms) {
+  public HostedChannels(Terms terms) {
     this.terms = terms;
   }
 
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public Attached attach(Ground ground) {
+  public HostedComponent attach(ComponentContext ground) {
     Channels channels =
         new Channels(
             terms,
@@ -44,6 +44,6 @@
             ground.random(),
             System.currentTimeMillis() * WALL_PER_MS,
             line -> LOG.warn("channels: {}", line));
-    return new ChannelsDoor(channels);
+    return new ChannelsHttpHandler(channels);
   }
 }
--- a/peering/src/main/java/tillerlink/peering/component/Ground.java
+++ b/peering/src/main/java/tillerlink/peering/component/ComponentContext.java
@@ -2,9 +2,9 @@
 
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import tillerlink.cluster.Keep;
-import tillerlink.cluster.Post;
-import tillerlink.cluster.Roster;
+import tillerlink.cluster.KeyValueStore;
+import tillerlink.cluster.MembershipView;
+import tillerlink.cluster.MessageSender;
 import tillerlink.net.state.GatewayExtension;
 
 /**
@@ -19,12 +19,12 @@
  * @param clock tenths of a millisecond, read anew each time; it goes on while the process is
  *     stopped
  */
-public record Ground(
+public record ComponentContext(
     String self,
     String site,
-    Roster roster,
-    Post post,
-    Keep keep,
+    MembershipView roster,
+    MessageSender post,
+    KeyValueStore keep,
     RandomGenerator random,
     GatewayExtension.Door door,
     LongSupplier clock) {}
--- a/peering/src/main/java/tillerlink/peering/component/Attaching.java
+++ b/peering/src/main/java/tillerlink/peering/component/ComponentFactory.java
@@ -1,8 +1,11 @@
 package tillerlink.peering.component;
 
 /** Makes a part when the process starts. */
-public interface Attaching {
-  /** What its messages bear and its share of the disk is named by: see {@link Attached#number}. */
+public interface ComponentFactory {
+  /**
+   * What its messages bear and its share of the disk is named by: see {@link
+   * HostedComponent#number}.
+   */
   int number();
 
   /** Its share of the disk; letters only. */
@@ -11,5 +14,5 @@
   /**
    * @throws IllegalArgumentException in words for the operator, if it can't be as it is told to
    */
-  Attached attach(Ground ground);
+  HostedComponent attach(ComponentContext ground);
 }
--- a/peering/src/main/java/tillerlink/peering/component/Attached.java
+++ b/peering/src/main/java/tillerlink/peering/component/HostedComponent.java
@@ -1,6 +1,6 @@
 package tillerlink.peering.component;
 
-import tillerlink.cluster.Part;
+import tillerlink.cluster.ClusterComponent;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpRequest;
 
@@ -9,11 +9,11 @@
  * call. All of it is called in turns of the one thread. Before any call its machine was told if the
  * process had been away.
  */
-public interface Attached {
+public interface HostedComponent {
   /** What messages to it bear, 2 to 255; the same in every release, and no other part's. */
   int number();
 
-  Part machine();
+  ClusterComponent machine();
 
   /** Whether calls of that path are its own; the path has nothing behind a question mark. */
   boolean takes(String path);
--- a/peering/src/main/java/tillerlink/peering/members/MembersDoor.java
+++ b/peering/src/main/java/tillerlink/peering/members/MembersHttpHandler.java
@@ -6,16 +6,16 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.Map;
-import tillerlink.cluster.Part;
+import tillerlink.cluster.ClusterComponent;
 import tillerlink.members.Members;
 import tillerlink.messages.envelope.Refusal;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
-import tillerlink.peering.component.Attached;
+import tillerlink.peering.component.HostedComponent;
 
 /** Who is there, for operators: {@code GET /v1/members}. */
-public final class MembersDoor implements Attached {
+public final class MembersHttpHandler implements HostedComponent {
   /** What messages to this part bear. */
   public static final int NUMBER = 1;
 
@@ -29,7 +29,7 @@
   /**
    * @param refused datagrams that were passed over, as they are counted
    */
-  public MembersDoor(Members members, Map<Refusal, Long> refused) {
+  public MembersHttpHandler(Members members, Map<Refusal, Long> refused) {
     this.members = members;
     this.refused = refused;
   }
@@ -40,7 +40,7 @@
   }
 
   @Override
-  public Part machine() {
+  public ClusterComponent machine() {
     return members;
   }
 
--- a/peering/src/main/java/tillerlink/peering/statements/Reading.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementRequestParser.java
@@ -20,7 +20,7 @@
  * Reads the bodies of clients' calls; IllegalArgumentException, in words for people, at what it
  * can't use.
  */
-final class Reading {
+final class StatementRequestParser {
   private static final int ITEMS_MOST = 256;
   private static final JsonFactory JSON =
       JsonFactory.builder()
@@ -50,7 +50,7 @@
     boolean take(String name, JsonParser in) throws IOException;
   }
 
-  private Reading() {}
+  private StatementRequestParser() {}
 
   static Preparation preparation(String name, byte[] body) {
     String[] texts = {"", "", "pure"};
@@ -79,7 +79,7 @@
         new Definition(
             name,
             texts[0],
-            types.stream().map(Reading::type).toList(),
+            types.stream().map(StatementRequestParser::type).toList(),
             groups,
             uses,
             texts[1],
--- a/peering/src/main/java/tillerlink/peering/statements/Telling.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
@@ -17,7 +17,7 @@
 import tillerlink.statements.run.Permission;
 
 /** Words answers to clients. */
-final class Telling {
+final class StatementResponses {
   private static final long TENTHS_PER_MS = 10;
   private static final long UNKNOWN_COME_BACK = 1000;
   private static final JsonFactory JSON = new JsonFactory();
@@ -26,7 +26,7 @@
     void write(JsonGenerator json) throws IOException;
   }
 
-  private Telling() {}
+  private StatementResponses() {}
 
   private static HttpResponse answer(int status, long comeBack, Body body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -90,7 +90,10 @@
             json.writeNumberField("change", of.change());
           }
           json.writeStringField("text", definition.text());
-          texts(json, "parameters", definition.parameters().stream().map(Telling::low).toList());
+          texts(
+              json,
+              "parameters",
+              definition.parameters().stream().map(StatementResponses::low).toList());
           json.writeObjectFieldStart("versions");
           for (Map.Entry<Integer, Long> each : of.versions().entrySet()) {
             json.writeNumberField(each.getKey().toString(), each.getValue());
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsAttaching.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsComponentFactory.java
@@ -5,9 +5,9 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import tillerlink.messages.MalformedMessageException;
-import tillerlink.peering.component.Attached;
-import tillerlink.peering.component.Attaching;
-import tillerlink.peering.component.Ground;
+import tillerlink.peering.component.ComponentContext;
+import tillerlink.peering.component.ComponentFactory;
+import tillerlink.peering.component.HostedComponent;
 import tillerlink.statements.StatementTerms;
 import tillerlink.statements.Statements;
 import tillerlink.statements.consensus.Terms;
@@ -15,8 +15,8 @@
 import tillerlink.statements.prepare.Renaming;
 
 /** Makes the part of prepared statements on a gateway. */
-public final class StatementsAttaching implements Attaching {
-  private static final Logger LOG = LoggerFactory.getLogger(StatementsAttaching.class);
+public final class StatementsComponentFactory implements ComponentFactory {
+  private static final Logger LOG = LoggerFactory.getLogger(StatementsComponentFactory.class);
 
   /**
    * Bytes on the disk at the most: a snapshot, the entries behind it, and both once more while they
@@ -41,7 +41,7 @@
    * @param fence engines are told the schema versions
    * @throws IllegalArgumentException in words for the operator
    */
-  public StatementsAttaching(
+  public StatementsComponentFactory(
       List<String> voters, long lease, double drift, boolean vouched, boolean fence) {
     terms =
         new StatementTerms(
@@ -53,16 +53,16 @@
 
   @Override
   public int number() {
-    return StatementsDoor.NUMBER;
+    return StatementsHttpHandler.NUMBER;
   }
 
   @Override
   public String name() {
-    return StatementsDoor.NAME;
+    return StatementsHttpHandler.NAME;
   }
 
   @Override
-  public Attached attach(Ground ground) {
+  public HostedComponent attach(ComponentContext ground) {
     try {
       Statements statements =
           new Statements(
@@ -73,7 +73,7 @@
               ground.random(),
               new Renaming(),
               words -> LOG.warn("statements: {}", words));
-      return new StatementsDoor(statements, ground.door(), ground.clock(), fence);
+      return new StatementsHttpHandler(statements, ground.door(), ground.clock(), fence);
     } catch (MalformedMessageException e) {
       throw new IllegalArgumentException(
           "statements: what is kept can't be read: " + e.getMessage(), e);
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsDoor.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
@@ -3,12 +3,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 import java.util.function.LongSupplier;
-import tillerlink.cluster.Part;
+import tillerlink.cluster.ClusterComponent;
 import tillerlink.messages.statements.Change;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
-import tillerlink.peering.component.Attached;
+import tillerlink.peering.component.HostedComponent;
 import tillerlink.statements.SchemaState;
 import tillerlink.statements.Statements;
 import tillerlink.statements.run.Permission;
@@ -19,7 +19,7 @@
  * /v1/statements/NAME}, the same under {@code /v1/schemas/GROUP}, and {@code POST /v1/run/NAME}
  * with the headers of a submission.
  */
-public final class StatementsDoor implements Attached {
+public final class StatementsHttpHandler implements HostedComponent {
   /** What messages to this part bear. */
   public static final int NUMBER = 3;
 
@@ -38,7 +38,7 @@
   private long applied;
   private long losses;
 
-  StatementsDoor(
+  StatementsHttpHandler(
       Statements statements, GatewayExtension.Door door, LongSupplier clock, boolean fence) {
     this.statements = statements;
     this.door = door;
@@ -52,7 +52,7 @@
   }
 
   @Override
-  public Part machine() {
+  public ClusterComponent machine() {
     return statements;
   }
 
@@ -97,7 +97,7 @@
         run(call, path.substring(RUN.length()), reply);
       }
     } catch (IllegalArgumentException e) {
-      reply.answer(Telling.problem(400, "Malformed", e.getMessage(), 0));
+      reply.answer(StatementResponses.problem(400, "Malformed", e.getMessage(), 0));
     }
   }
 
@@ -106,22 +106,26 @@
   private void statement(long now, HttpRequest call, String name, GatewayExtension.Reply reply) {
     switch (call.method()) {
       case POST -> {
-        Reading.Preparation it = Reading.preparation(name, call.body());
+        StatementRequestParser.Preparation it =
+            StatementRequestParser.preparation(name, call.body());
         statements.prepare(
             now,
             it.definition(),
             it.over(),
-            outcome -> reply.answer(Telling.outcome(outcome, "generation")));
+            outcome -> reply.answer(StatementResponses.outcome(outcome, "generation")));
       }
       case DELETE ->
           statements.drop(
-              now, name, -1, outcome -> reply.answer(Telling.outcome(outcome, "generation")));
+              now,
+              name,
+              -1,
+              outcome -> reply.answer(StatementResponses.outcome(outcome, "generation")));
       case GET ->
           reply.answer(
               statements
                   .catalog()
                   .find(name)
-                  .map(Telling::standing)
+                  .map(StatementResponses::standing)
                   .orElseGet(HttpResponse::unknown));
       default -> reply.answer(HttpResponse.problem(405, "Method", 0));
     }
@@ -134,12 +138,13 @@
     int group = (int) number("group", slash < 0 ? rest : rest.substring(0, slash), DIGITS_MOST);
     switch (call.method()) {
       case POST -> {
-        Change change = Reading.change(group, call.body());
+        Change change = StatementRequestParser.change(group, call.body());
         statements.announce(
-            now, change, outcome -> reply.answer(Telling.outcome(outcome, "change")));
+            now, change, outcome -> reply.answer(StatementResponses.outcome(outcome, "change")));
       }
       case DELETE -> takeBack(now, group, slash < 0 ? "" : rest.substring(slash + 1), reply);
-      case GET -> reply.answer(Telling.schema(statements.schema(group), clock.getAsLong()));
+      case GET ->
+          reply.answer(StatementResponses.schema(statements.schema(group), clock.getAsLong()));
       default -> reply.answer(HttpResponse.problem(405, "Method", 0));
     }
   }
@@ -148,14 +153,16 @@
   private void takeBack(long now, int group, String number, GatewayExtension.Reply reply) {
     SchemaState state = statements.schema(group);
     if (number.isEmpty() && state.waiting().size() != 1) {
-      reply.answer(Telling.problem(409, "Refused", state.waiting().size() + " changes wait", 0));
+      reply.answer(
+          StatementResponses.problem(409, "Refused", state.waiting().size() + " changes wait", 0));
       return;
     }
     long change =
         number.isEmpty()
             ? state.waiting().firstKey()
             : number("change", number, CHANGE_DIGITS_MOST);
-    statements.takeBack(now, change, outcome -> reply.answer(Telling.outcome(outcome, "change")));
+    statements.takeBack(
+        now, change, outcome -> reply.answer(StatementResponses.outcome(outcome, "change")));
   }
 
   private static long number(String what, String text, int digitsMost) {
@@ -174,12 +181,12 @@
       reply.answer(HttpResponse.problem(405, "Method", 0));
       return;
     }
-    Reading.Run run = Reading.run(call.body());
+    StatementRequestParser.Run run = StatementRequestParser.run(call.body());
     Optional<Prepared> found = statements.lookUp(name);
     boolean behind = found.map(Prepared::generation).orElse(0L) < run.generation();
     if (behind) {
       reply.answer(
-          Telling.problem(
+          StatementResponses.problem(
               503, "Behind", "this gateway has not heard of that generation", BEHIND_COME_BACK));
       return;
     }
@@ -190,7 +197,7 @@
     Prepared prepared = found.get();
     String text = prepared.text(run.values(), fence);
     if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
-      reply.answer(Telling.turnedBack(no));
+      reply.answer(StatementResponses.turnedBack(no));
       return;
     }
     door.submit(
--- a/peering/src/main/java/tillerlink/peering/storage/NoKeep.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DisabledKeyValueStore.java
@@ -2,10 +2,10 @@
 
 import java.util.Collections;
 import java.util.NavigableMap;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 
 /** Where the operator named no folder: nothing is kept, and whoever asks is told so. */
-public final class NoKeep implements Keep {
+public final class DisabledKeyValueStore implements KeyValueStore {
   @Override
   public NavigableMap<String, byte[]> found() {
     return Collections.emptyNavigableMap();
--- a/peering/src/main/java/tillerlink/peering/storage/DiskKeep.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
@@ -15,7 +15,7 @@
 import java.util.zip.CRC32C;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 import tillerlink.store.DurableTable;
 import tillerlink.store.FileSystemDirectory;
 import tillerlink.store.RecoveryReport;
@@ -25,7 +25,7 @@
  * handed over and synced once, so that whatever was handed over before is kept no later. After a
  * fault of the disk nothing more is kept, and whoever hands something over is told so.
  */
-public final class DiskKeep implements Keep, Closeable {
+public final class DiskKeyValueStore implements KeyValueStore, Closeable {
   /**
    * A log beyond a quarter of all there may be is replaced by a snapshot; these bound that quarter.
    */
@@ -44,7 +44,7 @@
   private static final int WAITING_MOST = 100_000;
   private static final long WAITING_BYTES_MOST = 32L << 20;
   private static final long CLOSE_WITHIN_MS = 2000;
-  private static final Logger LOG = LoggerFactory.getLogger(DiskKeep.class);
+  private static final Logger LOG = LoggerFactory.getLogger(DiskKeyValueStore.class);
 
   private record Change(String name, byte[] value, Runnable kept) {
     int size() {
@@ -67,7 +67,7 @@
   private boolean closing;
   private boolean failed;
 
-  private DiskKeep(DurableTable table, long bytesMost, Consumer<Runnable> turns) {
+  private DiskKeyValueStore(DurableTable table, long bytesMost, Consumer<Runnable> turns) {
     this.table = table;
     this.bytesMost = bytesMost;
     this.turns = turns;
@@ -86,8 +86,8 @@
    * @throws IOException if it can't be used: another process has it, or it is another's; nothing
    *     was touched then
    */
-  public static DiskKeep open(Path folder, String owner, long bytesMost, Consumer<Runnable> turns)
-      throws IOException {
+  public static DiskKeyValueStore open(
+      Path folder, String owner, long bytesMost, Consumer<Runnable> turns) throws IOException {
     long most = Math.min(bytesMost, BYTES_MOST);
     long segment = Math.max(SEGMENT_LEAST, Math.min(SEGMENT_MOST, most / 4));
     DurableTable table =
@@ -98,7 +98,7 @@
     if (!state.usable()) {
       throw new IOException(folder + ": " + String.join("; ", state.told()));
     }
-    return new DiskKeep(table, most, turns);
+    return new DiskKeyValueStore(table, most, turns);
   }
 
   private static long sum(String owner) {
--- a/peering/src/main/java/tillerlink/peering/storage/Share.java
+++ b/peering/src/main/java/tillerlink/peering/storage/PrefixedKeyValueStore.java
@@ -3,18 +3,18 @@
 import java.util.Collections;
 import java.util.NavigableMap;
 import java.util.TreeMap;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 
 /** One part's share of what is kept: its names stand behind a prefix, which it does not see. */
-public final class Share implements Keep {
-  private final Keep all;
+public final class PrefixedKeyValueStore implements KeyValueStore {
+  private final KeyValueStore all;
   private final String prefix;
   private final NavigableMap<String, byte[]> found;
 
   /**
    * @param part no other part's name, and the same after a restart
    */
-  public Share(Keep all, String part) {
+  public PrefixedKeyValueStore(KeyValueStore all, String part) {
     this.all = all;
     prefix = part + "/";
     NavigableMap<String, byte[]> own = new TreeMap<>();
--- a/peering/src/test/java/tillerlink/peering/BookTest.java
+++ b/peering/src/test/java/tillerlink/peering/BookTest.java
@@ -10,8 +10,8 @@
   @Test
   void theOperatorsWordGoesFirst() {
     Map<String, String> told = Map.of("n2", "10.0.0.2:7400", "n3", "10.0.0.3:7400");
-    Book book =
-        new Book(
+    AddressBook book =
+        new AddressBook(
             Map.of("n2", "10.9.0.2:1", "n9", "10.9.0.9:1"), name -> told.getOrDefault(name, ""));
     assertEquals("10.9.0.2:1", book.of("n2"));
     assertEquals("10.0.0.3:7400", book.of("n3"));
--- a/peering/src/test/java/tillerlink/peering/Echo.java
+++ b/peering/src/test/java/tillerlink/peering/Echo.java
@@ -2,20 +2,20 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import tillerlink.cluster.ClusterComponent;
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Part;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
-import tillerlink.peering.component.Attached;
-import tillerlink.peering.component.Attaching;
-import tillerlink.peering.component.Ground;
+import tillerlink.peering.component.ComponentContext;
+import tillerlink.peering.component.ComponentFactory;
+import tillerlink.peering.component.HostedComponent;
 
 /**
  * The smallest part there can be: it sends a body to another and back, keeps a text, and breaks
  * when it is told to.
  */
-final class Echo implements Attaching {
+final class Echo implements ComponentFactory {
   @Override
   public int number() {
     return 250;
@@ -27,12 +27,13 @@
   }
 
   @Override
-  public Attached attach(Ground ground) {
+  public HostedComponent attach(ComponentContext ground) {
     return new Machine(ground);
   }
 
-  private record Machine(Ground ground, GatewayExtension.Reply[] owed) implements Attached, Part {
-    Machine(Ground ground) {
+  private record Machine(ComponentContext ground, GatewayExtension.Reply[] owed)
+      implements HostedComponent, ClusterComponent {
+    Machine(ComponentContext ground) {
       this(ground, new GatewayExtension.Reply[1]);
     }
 
@@ -42,7 +43,7 @@
     }
 
     @Override
-    public Part machine() {
+    public ClusterComponent machine() {
       return this;
     }
 
--- a/peering/src/test/java/tillerlink/peering/Gateways.java
+++ b/peering/src/test/java/tillerlink/peering/Gateways.java
@@ -21,8 +21,8 @@
 import java.util.function.Predicate;
 import tillerlink.channels.Terms;
 import tillerlink.net.lifecycle.GatewayServer;
-import tillerlink.peering.channels.ChannelsPart;
-import tillerlink.peering.statements.StatementsAttaching;
+import tillerlink.peering.channels.HostedChannels;
+import tillerlink.peering.statements.StatementsComponentFactory;
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /** Gateways as processes of their own, on loopback, for tests; none of them knows an engine. */
@@ -56,8 +56,8 @@
 
   /** The process: fleet, site, UDP address, folder, secret or "-", seeds with commas. */
   public static void main(String[] args) throws IOException, InterruptedException {
-    Sharing sharing =
-        new Sharing(
+    PeeringConfig sharing =
+        new PeeringConfig(
             args[0],
             args[1],
             args[2],
@@ -77,8 +77,8 @@
                 sharing,
                 List.of(
                     new Echo(),
-                    new ChannelsPart(Terms.of(List.of("n1", "n2", "n3"))),
-                    new StatementsAttaching(
+                    new HostedChannels(Terms.of(List.of("n1", "n2", "n3"))),
+                    new StatementsComponentFactory(
                         List.of("n1", "n2", "n3"), 20_000, 0.01, false, false))));
     System.exit(0);
   }
--- a/peering/src/test/java/tillerlink/peering/storage/DiskKeepFormatGuardTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeepFormatGuardTest.java
@@ -49,8 +49,8 @@
     }
   }
 
-  private DiskKeep open(String owner) throws IOException {
-    return DiskKeep.open(folder, owner, 1 << 20, Runnable::run);
+  private DiskKeyValueStore open(String owner) throws IOException {
+    return DiskKeyValueStore.open(folder, owner, 1 << 20, Runnable::run);
   }
 
   private static byte[] bytes(String text) {
@@ -65,9 +65,9 @@
 
   /** Writes what the resource holds. */
   private void write() throws IOException {
-    try (DiskKeep keep = open(OWNER)) {
-      Share members = new Share(keep, "members");
-      Share channels = new Share(keep, "channels");
+    try (DiskKeyValueStore keep = open(OWNER)) {
+      PrefixedKeyValueStore members = new PrefixedKeyValueStore(keep, "members");
+      PrefixedKeyValueStore channels = new PrefixedKeyValueStore(keep, "channels");
       assertTrue(members.set("a", bytes("first"), null));
       assertTrue(members.set("b", bytes("removed"), null));
       assertTrue(channels.set("empty", new byte[0], null));
@@ -83,15 +83,15 @@
   @Test
   void readsWhatTheReleaseBeforeKept() throws IOException {
     Files.write(folder.resolve(LOG), resource());
-    try (DiskKeep keep = open(OWNER)) {
+    try (DiskKeyValueStore keep = open(OWNER)) {
       assertEquals(new TreeMap<>(ALL), inDigits(keep.found()));
       assertEquals(
           Map.of("", "6e6f206e616d65", "a", "7365636f6e64"),
-          inDigits(new Share(keep, "members").found()));
+          inDigits(new PrefixedKeyValueStore(keep, "members").found()));
       assertEquals(
           Map.of("empty", "", "r\u00e4ume", "00017f80feff"),
-          inDigits(new Share(keep, "channels").found()));
-      assertEquals(Map.of(), inDigits(new Share(keep, "statements").found()));
+          inDigits(new PrefixedKeyValueStore(keep, "channels").found()));
+      assertEquals(Map.of(), inDigits(new PrefixedKeyValueStore(keep, "statements").found()));
     }
   }
 
