--- a/peering/src/test/java/tillerlink/peering/storage/DiskKeepTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeepTest.java
@@ -19,15 +19,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 
 /** What is kept on disk, by its own thread; a queue stands in for the gateway's turns. */
 class DiskKeepTest {
   @TempDir private Path folder;
   private final BlockingQueue<Runnable> turns = new LinkedBlockingQueue<>();
 
-  private DiskKeep open(long most) throws IOException {
-    return DiskKeep.open(folder.resolve("n1"), "n1", most, turns::add);
+  private DiskKeyValueStore open(long most) throws IOException {
+    return DiskKeyValueStore.open(folder.resolve("n1"), "n1", most, turns::add);
   }
 
   private void turnsUntil(List<?> told, int size) throws InterruptedException {
@@ -45,7 +45,7 @@
   @Test
   void keepsInOrder() throws IOException, InterruptedException {
     List<Integer> kept = new ArrayList<>();
-    try (DiskKeep keep = open(1 << 20)) {
+    try (DiskKeyValueStore keep = open(1 << 20)) {
       assertTrue(keep.found().isEmpty());
       for (int i = 0; i < 500; i++) {
         int number = i;
@@ -57,7 +57,7 @@
     for (int i = 0; i < 500; i++) {
       assertEquals(i, kept.get(i));
     }
-    try (DiskKeep keep = open(1 << 20)) {
+    try (DiskKeyValueStore keep = open(1 << 20)) {
       assertEquals(
           Set.of("name 0", "name 1", "name 2", "name 4", "name 5", "name 6"),
           keep.found().keySet());
@@ -69,7 +69,7 @@
   @Test
   void aCopyTakenAtAnyMomentHoldsAPrefix() throws IOException, InterruptedException {
     List<Integer> kept = new ArrayList<>();
-    try (DiskKeep keep = open(1 << 22)) {
+    try (DiskKeyValueStore keep = open(1 << 22)) {
       for (int i = 0; i < 3000; i++) {
         int number = i;
         keep.set(String.format("%06d", i), new byte[100], () -> kept.add(number));
@@ -77,7 +77,7 @@
           turnsUntil(kept, 1);
           int told = kept.get(kept.size() - 1);
           Path copy = copy("copy" + i);
-          try (DiskKeep other = DiskKeep.open(copy, "n1", 1 << 22, turns::add)) {
+          try (DiskKeyValueStore other = DiskKeyValueStore.open(copy, "n1", 1 << 22, turns::add)) {
             int found = other.found().size();
             assertTrue(
                 found > told && found <= i + 1, found + " found, told up to " + told + " of " + i);
@@ -105,7 +105,7 @@
   @Test
   void refusesWhatHasNoRoom() throws IOException, InterruptedException {
     List<String> kept = new ArrayList<>();
-    try (DiskKeep keep = open(10_000)) {
+    try (DiskKeyValueStore keep = open(10_000)) {
       assertTrue(keep.set("a", new byte[6000], () -> kept.add("a")));
       assertFalse(keep.set("b", new byte[6000], () -> kept.add("b")));
       assertFalse(keep.set("a", new byte[11_000], () -> kept.add("longer a")));
@@ -113,11 +113,12 @@
       assertTrue(keep.set("a", null, () -> kept.add("no a")));
       assertTrue(keep.set("b", new byte[6000], () -> kept.add("b again")));
       assertThrows(
-          IllegalArgumentException.class, () -> keep.set("c", new byte[Keep.VALUE_MOST + 1], null));
+          IllegalArgumentException.class,
+          () -> keep.set("c", new byte[KeyValueStore.VALUE_MOST + 1], null));
       turnsUntil(kept, 4);
     }
     assertEquals(List.of("a", "a again", "no a", "b again"), kept);
-    try (DiskKeep keep = open(10_000)) {
+    try (DiskKeyValueStore keep = open(10_000)) {
       assertEquals(Set.of("b"), keep.found().keySet());
       assertFalse(keep.set("a", new byte[6000], null));
     }
@@ -125,7 +126,7 @@
 
   @Test
   void isNotSharedAndNotAnothers() throws IOException {
-    try (DiskKeep keep = open(1 << 20)) {
+    try (DiskKeyValueStore keep = open(1 << 20)) {
       assertTrue(keep.set("a", new byte[1], null));
       assertTrue(
           assertThrows(IOException.class, () -> open(1 << 20))
@@ -133,27 +134,29 @@
               .contains("another process has the store"));
     }
     assertThrows(
-        IOException.class, () -> DiskKeep.open(folder.resolve("n1"), "n2", 1 << 20, turns::add));
+        IOException.class,
+        () -> DiskKeyValueStore.open(folder.resolve("n1"), "n2", 1 << 20, turns::add));
   }
 
   /** After it has ended nothing is promised any more. */
   @Test
   void saysNoOnceItIsClosed() throws IOException {
-    DiskKeep keep = open(1 << 20);
+    DiskKeyValueStore keep = open(1 << 20);
     keep.close();
     assertFalse(keep.set("a", new byte[1], null));
   }
 
   @Test
   void sharesDoNotSeeEachOther() throws IOException {
-    try (DiskKeep keep = open(1 << 20)) {
-      new Share(keep, "members").set("x", new byte[] {1}, null);
-      new Share(keep, "members2").set("x", new byte[] {2}, null);
-      new Share(keep, "channels").set("y", new byte[] {3}, null);
+    try (DiskKeyValueStore keep = open(1 << 20)) {
+      new PrefixedKeyValueStore(keep, "members").set("x", new byte[] {1}, null);
+      new PrefixedKeyValueStore(keep, "members2").set("x", new byte[] {2}, null);
+      new PrefixedKeyValueStore(keep, "channels").set("y", new byte[] {3}, null);
     }
-    try (DiskKeep keep = open(1 << 20)) {
-      assertArrayEquals(new byte[] {1}, new Share(keep, "members").found().get("x"));
-      assertEquals(Set.of("y"), new Share(keep, "channels").found().keySet());
+    try (DiskKeyValueStore keep = open(1 << 20)) {
+      assertArrayEquals(
+          new byte[] {1}, new PrefixedKeyValueStore(keep, "members").found().get("x"));
+      assertEquals(Set.of("y"), new PrefixedKeyValueStore(keep, "channels").found().keySet());
       assertEquals(Set.of("channels/y", "members/x", "members2/x"), keep.found().keySet());
     }
   }
--- a/peering/src/test/java/tillerlink/peering/storage/PartsFormatGuardTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/PartsFormatGuardTest.java
@@ -8,27 +8,28 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import tillerlink.cluster.Keep;
-import tillerlink.peering.channels.ChannelsPart;
-import tillerlink.peering.members.MembersDoor;
-import tillerlink.peering.statements.StatementsDoor;
+import tillerlink.cluster.KeyValueStore;
+import tillerlink.peering.channels.HostedChannels;
+import tillerlink.peering.members.MembersHttpHandler;
+import tillerlink.peering.statements.StatementsHttpHandler;
 
 /** Guards the numbers of the parts in datagrams and the names under which each part keeps. */
 class PartsFormatGuardTest {
   @Test
   void partsHaveTheirNumbersInDatagrams() {
     assertEquals(
-        List.of(1, 2, 3), List.of(MembersDoor.NUMBER, ChannelsPart.NUMBER, StatementsDoor.NUMBER));
+        List.of(1, 2, 3),
+        List.of(MembersHttpHandler.NUMBER, HostedChannels.NUMBER, StatementsHttpHandler.NUMBER));
   }
 
   @Test
   void partsKeepUnderTheirNames() {
     assertEquals(
         List.of("members", "channels", "statements"),
-        List.of(MembersDoor.NAME, ChannelsPart.NAME, StatementsDoor.NAME));
+        List.of(MembersHttpHandler.NAME, HostedChannels.NAME, StatementsHttpHandler.NAME));
     NavigableMap<String, byte[]> values = new TreeMap<>();
-    Keep all =
-        new Keep() {
+    KeyValueStore all =
+        new KeyValueStore() {
           @Override
           public NavigableMap<String, byte[]> found() {
             return values;
@@ -40,11 +41,15 @@
             return true;
           }
         };
-    for (String part : List.of(MembersDoor.NAME, ChannelsPart.NAME, StatementsDoor.NAME)) {
-      new Share(all, part).set("a/b", part.getBytes(), null);
+    for (String part :
+        List.of(MembersHttpHandler.NAME, HostedChannels.NAME, StatementsHttpHandler.NAME)) {
+      new PrefixedKeyValueStore(all, part).set("a/b", part.getBytes(), null);
     }
     assertEquals(Set.of("members/a/b", "channels/a/b", "statements/a/b"), values.keySet());
-    assertArrayEquals("channels".getBytes(), new Share(all, ChannelsPart.NAME).found().get("a/b"));
-    assertEquals(Set.of("a/b"), new Share(all, StatementsDoor.NAME).found().keySet());
+    assertArrayEquals(
+        "channels".getBytes(),
+        new PrefixedKeyValueStore(all, HostedChannels.NAME).found().get("a/b"));
+    assertEquals(
+        Set.of("a/b"), new PrefixedKeyValueStore(all, StatementsHttpHandler.NAME).found().keySet());
   }
 }
--- a/peering/src/test/java/tillerlink/peering/together/Host.java
+++ b/peering/src/test/java/tillerlink/peering/together/Host.java
@@ -6,18 +6,18 @@
 import java.util.Random;
 import java.util.Set;
 import tillerlink.channels.Channels;
-import tillerlink.cluster.Keep;
-import tillerlink.cluster.Part;
-import tillerlink.cluster.Post;
-import tillerlink.cluster.Reach;
+import tillerlink.cluster.ClusterComponent;
+import tillerlink.cluster.KeyValueStore;
+import tillerlink.cluster.MessageSender;
+import tillerlink.cluster.Reachability;
 import tillerlink.members.Identity;
 import tillerlink.members.Members;
-import tillerlink.members.config.Periods;
-import tillerlink.members.config.Watcher;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.members.config.MembershipListener;
 import tillerlink.messages.MalformedMessageException;
-import tillerlink.peering.storage.Share;
-import tillerlink.simulation.MemoryKeep;
-import tillerlink.simulation.VirtualFleet;
+import tillerlink.peering.storage.PrefixedKeyValueStore;
+import tillerlink.simulation.InMemoryKeyValueStore;
+import tillerlink.simulation.SimulatedFleet;
 import tillerlink.statements.StatementTerms;
 import tillerlink.statements.Statements;
 import tillerlink.statements.consensus.Terms;
@@ -28,7 +28,7 @@
  * One gateway with all three parts: a message's first byte says whose it is, and members tell the
  * others who is there.
  */
-final class Host implements Part {
+final class Host implements ClusterComponent {
   static final List<String> COUNTED = List.of("n1", "s1", "w1");
   private static final byte MEMBERS = 1;
   private static final byte CHANNELS = 2;
@@ -38,16 +38,21 @@
   final Channels channels;
   final Statements statements;
   private final Runnable stepped;
-  private List<Part> parts = List.of();
+  private List<ClusterComponent> parts = List.of();
 
   /**
    * @param stepped run after each step
    */
-  Host(String name, VirtualFleet fleet, MemoryKeep disk, Random random, Runnable stepped) {
+  Host(
+      String name,
+      SimulatedFleet fleet,
+      InMemoryKeyValueStore disk,
+      Random random,
+      Runnable stepped) {
     this.stepped = stepped;
-    Post post = fleet.post(name);
-    Keep keep =
-        new Keep() {
+    MessageSender post = fleet.post(name);
+    KeyValueStore keep =
+        new KeyValueStore() {
           @Override
           public NavigableMap<String, byte[]> found() {
             return disk.found();
@@ -71,12 +76,12 @@
     members =
         new Members(
             new Identity("f", name, name.substring(0, 1), name, COUNTED, 0),
-            Periods.usual(),
+            MembershipConfig.usual(),
             (to, body) -> post.send(to, marked(MEMBERS, body)),
             new Random(random.nextLong()),
-            new Watcher() {
+            new MembershipListener() {
               @Override
-              public void reach(String other, Reach was, Reach is) {
+              public void reach(String other, Reachability was, Reachability is) {
                 // Asked, not told, here.
               }
             },
@@ -86,7 +91,7 @@
             new tillerlink.channels.Terms(COUNTED, 50_000, 30_000, 64 << 20, 40, 8),
             members,
             (to, body) -> post.send(to, marked(CHANNELS, body)),
-            new Share(keep, "channels"),
+            new PrefixedKeyValueStore(keep, "channels"),
             new Random(random.nextLong()),
             fleet.wall(name),
             line -> {});
@@ -97,7 +102,7 @@
                   COUNTED, new LeaseTerms(10_000, 0.02, 50), new Terms(false, Set.of())),
               members,
               (to, body) -> post.send(to, marked(STATEMENTS, body)),
-              new Share(keep, "statements"),
+              new PrefixedKeyValueStore(keep, "statements"),
               new Random(random.nextLong()),
               new Renaming(),
               line -> {});
@@ -133,7 +138,7 @@
 
   @Override
   public long dueAt() {
-    return parts.stream().mapToLong(Part::dueAt).min().orElse(Long.MAX_VALUE);
+    return parts.stream().mapToLong(ClusterComponent::dueAt).min().orElse(Long.MAX_VALUE);
   }
 
   @Override
--- a/peering/src/test/java/tillerlink/peering/together/Story.java
+++ b/peering/src/test/java/tillerlink/peering/together/Story.java
@@ -10,16 +10,16 @@
 import tillerlink.channels.Page;
 import tillerlink.channels.entry.Appended;
 import tillerlink.channels.entry.Draft;
-import tillerlink.cluster.Reach;
+import tillerlink.cluster.Reachability;
 import tillerlink.messages.channels.Kind;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 import tillerlink.messages.statements.ParameterType;
 import tillerlink.messages.statements.RunEffect;
 import tillerlink.simulation.Fault;
-import tillerlink.simulation.MemoryKeep;
+import tillerlink.simulation.InMemoryKeyValueStore;
 import tillerlink.simulation.Seeds;
-import tillerlink.simulation.VirtualFleet;
+import tillerlink.simulation.SimulatedFleet;
 import tillerlink.statements.catalog.Snapshots;
 import tillerlink.statements.run.Permission;
 
@@ -34,9 +34,9 @@
   private static final String CHANNEL = "news";
 
   private final Random random;
-  private final VirtualFleet fleet;
+  private final SimulatedFleet fleet;
   private final Map<String, Host> up = new TreeMap<>();
-  private final Map<String, MemoryKeep> disks = new TreeMap<>();
+  private final Map<String, InMemoryKeyValueStore> disks = new TreeMap<>();
   private final List<String> told = new ArrayList<>();
   private final List<String> wrong = new ArrayList<>();
   private final Map<Long, String> stable = new TreeMap<>();
@@ -48,7 +48,7 @@
 
   Story(long seed) {
     random = new Random(seed);
-    fleet = new VirtualFleet(new Random(seed + 1));
+    fleet = new SimulatedFleet(new Random(seed + 1));
   }
 
   private void say(String words) {
@@ -60,8 +60,8 @@
   }
 
   private void start(String name) {
-    MemoryKeep was = disks.get(name);
-    MemoryKeep disk = was == null ? new MemoryKeep(fleet, 5) : was.reopened();
+    InMemoryKeyValueStore was = disks.get(name);
+    InMemoryKeyValueStore disk = was == null ? new InMemoryKeyValueStore(fleet, 5) : was.reopened();
     disks.put(name, disk);
     Host host = new Host(name, fleet, disk, random, this::sees);
     up.put(name, host);
@@ -72,7 +72,7 @@
     say("kill " + name);
     up.remove(name).gone();
     fleet.kill(name);
-    MemoryKeep disk = disks.get(name);
+    InMemoryKeyValueStore disk = disks.get(name);
     disk.crash(disk.inDoubt() == 0 ? 0 : random.nextInt(disk.inDoubt() + 1));
   }
 
@@ -268,7 +268,7 @@
     for (String name : ALL) {
       Host host = up.get(name);
       for (String other : ALL) {
-        if (!other.equals(name) && host.members.reach(other) != Reach.REACHABLE) {
+        if (!other.equals(name) && host.members.reach(other) != Reachability.REACHABLE) {
           return name + " holds " + other + " as " + host.members.reach(other);
         }
       }
--- a/simulation/src/main/java/tillerlink/simulation/MemoryKeep.java
+++ b/simulation/src/main/java/tillerlink/simulation/InMemoryKeyValueStore.java
@@ -3,17 +3,17 @@
 import java.util.Collections;
 import java.util.NavigableMap;
 import java.util.TreeMap;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 
 /**
  * A disk in virtual time. What was handed over is in doubt until its time has passed: a crash keeps
  * a prefix of it, drawn by whoever calls {@link #crash}. The value of one process after the other:
  * {@link #reopened} is what the next one finds.
  */
-public final class MemoryKeep implements Keep {
+public final class InMemoryKeyValueStore implements KeyValueStore {
   private record Change(String name, byte[] value) {}
 
-  private final VirtualFleet fleet;
+  private final SimulatedFleet fleet;
   private final long takes;
   private final NavigableMap<String, byte[]> disk;
   private final NavigableMap<String, byte[]> found;
@@ -25,11 +25,12 @@
   /**
    * @param takes how long until a change is kept
    */
-  public MemoryKeep(VirtualFleet fleet, long takes) {
+  public InMemoryKeyValueStore(SimulatedFleet fleet, long takes) {
     this(fleet, takes, new TreeMap<>());
   }
 
-  private MemoryKeep(VirtualFleet fleet, long takes, NavigableMap<String, byte[]> disk) {
+  private InMemoryKeyValueStore(
+      SimulatedFleet fleet, long takes, NavigableMap<String, byte[]> disk) {
     this.fleet = fleet;
     this.takes = takes;
     this.disk = disk;
@@ -97,14 +98,14 @@
   }
 
   /** What the next process finds: the disk as this one left it. */
-  public MemoryKeep reopened() {
+  public InMemoryKeyValueStore reopened() {
     dead = true;
-    return new MemoryKeep(fleet, takes, disk);
+    return new InMemoryKeyValueStore(fleet, takes, disk);
   }
 
   /** A disk with that on it: an old copy, or an empty one. */
-  public static MemoryKeep of(
-      VirtualFleet fleet, long takes, NavigableMap<String, byte[]> contents) {
-    return new MemoryKeep(fleet, takes, new TreeMap<>(contents));
+  public static InMemoryKeyValueStore of(
+      SimulatedFleet fleet, long takes, NavigableMap<String, byte[]> contents) {
+    return new InMemoryKeyValueStore(fleet, takes, new TreeMap<>(contents));
   }
 }
--- a/simulation/src/main/java/tillerlink/simulation/VirtualFleet.java
+++ b/simulation/src/main/java/tillerlink/simulation/SimulatedFleet.java
@@ -6,15 +6,15 @@
 import java.util.PriorityQueue;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
-import tillerlink.cluster.Part;
-import tillerlink.cluster.Post;
+import tillerlink.cluster.ClusterComponent;
+import tillerlink.cluster.MessageSender;
 
 /**
  * A fleet in virtual time: parts that are fed messages and time, and links between them that
  * misbehave as told. One seed, one history: events of one moment happen in the order in which they
  * were planned.
  */
-public final class VirtualFleet {
+public final class SimulatedFleet {
   /** What waits for a host that is paused, as a socket's buffer would hold it. */
   private static final int WAITING_MOST = 512;
 
@@ -35,14 +35,14 @@
 
   /** One process: its part, and what waits for it while it is paused. */
   private static final class Host {
-    final Part part;
+    final ClusterComponent part;
     final ArrayDeque<Message> waiting = new ArrayDeque<>();
     long wallAhead;
     long pausedAt = -1;
     long plannedAt = Long.MAX_VALUE;
     boolean alive = true;
 
-    Host(Part part) {
+    Host(ClusterComponent part) {
       this.part = part;
     }
   }
@@ -61,14 +61,14 @@
   /**
    * @param random a seeded generator
    */
-  public VirtualFleet(RandomGenerator random) {
+  public SimulatedFleet(RandomGenerator random) {
     this.random = random;
   }
 
   // ---- hosts ----
 
   /** Starts a process under a name; whoever had it before is killed. */
-  public void start(String name, Part part) {
+  public void start(String name, ClusterComponent part) {
     kill(name);
     Host host = new Host(part);
     hosts.put(name, host);
@@ -76,7 +76,7 @@
   }
 
   /** What a host sends by. */
-  public Post post(String from) {
+  public MessageSender post(String from) {
     return (to, body) -> send(from, to, body);
   }
 
--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -7,11 +7,11 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import tillerlink.cluster.ClusterComponent;
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Keep;
-import tillerlink.cluster.Part;
-import tillerlink.cluster.Post;
-import tillerlink.cluster.Roster;
+import tillerlink.cluster.KeyValueStore;
+import tillerlink.cluster.MembershipView;
+import tillerlink.cluster.MessageSender;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Command;
@@ -47,7 +47,7 @@
  * everywhere, and no statement is run under a schema that is no longer in effect. A turn has to
  * follow whatever the durable table says is kept.
  */
-public final class Statements implements Part {
+public final class Statements implements ClusterComponent {
   private static final long CLEAR_AGAIN = 3000;
 
   /** When a come-back is worth it where nothing better is known. */
@@ -55,7 +55,7 @@
 
   private final StatementTerms terms;
   private final Voters voters;
-  private final Post post;
+  private final MessageSender post;
   private final Holding holding;
   private final Requests requests;
   private final Consensus consensus;
@@ -78,9 +78,9 @@
    */
   public Statements(
       StatementTerms terms,
-      Roster roster,
-      Post post,
-      Keep keep,
+      MembershipView roster,
+      MessageSender post,
+      KeyValueStore keep,
       RandomGenerator random,
       Preparer preparer,
       Consumer<String> notes)
--- a/statements/src/main/java/tillerlink/statements/consensus/Consensus.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Consensus.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import tillerlink.cluster.Invariant;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Command;
 import tillerlink.messages.statements.Entry;
@@ -78,7 +78,7 @@
       Terms terms,
       Voters voters,
       Outbox out,
-      Keep keep,
+      KeyValueStore keep,
       RandomGenerator random,
       Machine machine,
       Consumer<String> notes)
--- a/statements/src/main/java/tillerlink/statements/consensus/Disk.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Disk.java
@@ -2,7 +2,7 @@
 
 import java.util.ArrayDeque;
 import java.util.NavigableMap;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 
 /**
  * The durable table, with what waits for it: nothing that a voter promises is said before it is
@@ -11,7 +11,7 @@
 final class Disk {
   private record Waiting(long write, Runnable what) {}
 
-  private final Keep keep;
+  private final KeyValueStore keep;
   private final boolean early;
   private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
   private long handed;
@@ -21,7 +21,7 @@
   /**
    * @param early a planted fault: nothing waits
    */
-  Disk(Keep keep, boolean early) {
+  Disk(KeyValueStore keep, boolean early) {
     this.keep = keep;
     this.early = early;
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/Pieces.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Pieces.java
@@ -1,7 +1,7 @@
 package tillerlink.statements.consensus;
 
 import java.util.Arrays;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 import tillerlink.messages.statements.StatementMessage;
 
 /**
@@ -32,7 +32,9 @@
   }
 
   void start(long now, String other, long at, long size) {
-    if (from != null && from.equals(other) && index == at || size > Keep.VALUE_MOST || size <= 0) {
+    if (from != null && from.equals(other) && index == at
+        || size > KeyValueStore.VALUE_MOST
+        || size <= 0) {
       return;
     }
     from = other;
--- a/statements/src/test/java/tillerlink/statements/Town.java
+++ b/statements/src/test/java/tillerlink/statements/Town.java
@@ -12,17 +12,17 @@
 import java.util.SplittableRandom;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import tillerlink.cluster.Keep;
-import tillerlink.cluster.Part;
-import tillerlink.cluster.Reach;
-import tillerlink.cluster.Roster;
+import tillerlink.cluster.ClusterComponent;
+import tillerlink.cluster.KeyValueStore;
+import tillerlink.cluster.MembershipView;
+import tillerlink.cluster.Reachability;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 import tillerlink.messages.statements.ParameterType;
 import tillerlink.messages.statements.RunEffect;
-import tillerlink.simulation.MemoryKeep;
-import tillerlink.simulation.VirtualFleet;
+import tillerlink.simulation.InMemoryKeyValueStore;
+import tillerlink.simulation.SimulatedFleet;
 import tillerlink.statements.catalog.Outcome;
 import tillerlink.statements.catalog.Snapshots;
 import tillerlink.statements.consensus.Terms;
@@ -38,7 +38,7 @@
   static final long SECOND = 10_000;
   private static final double DRIFT = 0.02;
 
-  final VirtualFleet fleet;
+  final SimulatedFleet fleet;
   final Audit audit = new Audit();
   final List<String> voters = new ArrayList<>();
   final List<String> all = new ArrayList<>();
@@ -46,7 +46,7 @@
   private final SplittableRandom random;
   private final Set<Plant> plants;
   private final Map<String, Gateway> gateways = new TreeMap<>();
-  private final Map<String, MemoryKeep> disks = new HashMap<>();
+  private final Map<String, InMemoryKeyValueStore> disks = new HashMap<>();
   private final Map<String, Double> rates = new HashMap<>();
   boolean vouched;
   long leaseLength = 10 * 1000;
@@ -67,7 +67,7 @@
     random = new SplittableRandom(seed);
     doubts = new SplittableRandom(~seed);
     this.plants = Set.of(plants);
-    fleet = new VirtualFleet(new Random(seed));
+    fleet = new SimulatedFleet(new Random(seed));
     for (int i = 1; i <= voterCount; i++) {
       voters.add("v" + i);
     }
@@ -85,7 +85,7 @@
   /**
    * A process: its part by its own clock, and the hops that wait to be written while it is paused.
    */
-  private final class Gateway implements Part {
+  private final class Gateway implements ClusterComponent {
     final String name;
     final String process;
     final double rate;
@@ -127,7 +127,7 @@
     }
   }
 
-  private record Names(String self, List<String> all) implements Roster {
+  private record Names(String self, List<String> all) implements MembershipView {
     @Override
     public String site(String name) {
       return "";
@@ -139,8 +139,8 @@
     }
 
     @Override
-    public Reach reach(String name) {
-      return Reach.REACHABLE;
+    public Reachability reach(String name) {
+      return Reachability.REACHABLE;
     }
   }
 
@@ -152,33 +152,33 @@
 
   /** With its disk as it was left. */
   void start(String name) {
-    MemoryKeep disk = disks.get(name);
-    start(name, disk == null ? new MemoryKeep(fleet, 5) : disk.reopened());
+    InMemoryKeyValueStore disk = disks.get(name);
+    start(name, disk == null ? new InMemoryKeyValueStore(fleet, 5) : disk.reopened());
   }
 
   void startEmpty(String name) {
-    start(name, new MemoryKeep(fleet, 5));
+    start(name, new InMemoryKeyValueStore(fleet, 5));
   }
 
   void startOld(String name, NavigableMap<String, byte[]> copy) {
-    start(name, MemoryKeep.of(fleet, 5, copy));
+    start(name, InMemoryKeyValueStore.of(fleet, 5, copy));
   }
 
   NavigableMap<String, byte[]> copyOf(String name) {
     return disks.get(name).copy();
   }
 
-  MemoryKeep disk(String name) {
+  InMemoryKeyValueStore disk(String name) {
     return disks.get(name);
   }
 
-  private void start(String name, MemoryKeep disk) {
+  private void start(String name, InMemoryKeyValueStore disk) {
     kill(name);
     Gateway gateway = new Gateway(name);
     disks.put(name, disk);
     LeaseTerms lease = new LeaseTerms(leaseLength, DRIFT, 50);
-    Keep keep =
-        new Keep() {
+    KeyValueStore keep =
+        new KeyValueStore() {
           @Override
           public NavigableMap<String, byte[]> found() {
             return disk.found();
@@ -221,7 +221,7 @@
 
   void kill(String name) {
     if (gateways.remove(name) != null) {
-      MemoryKeep disk = disks.get(name);
+      InMemoryKeyValueStore disk = disks.get(name);
       disk.crash(disk.inDoubt() == 0 ? 0 : random.nextInt(disk.inDoubt() + 1));
       fleet.kill(name);
     }
--- a/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
+++ b/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
@@ -17,7 +17,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import tillerlink.cluster.Keep;
+import tillerlink.cluster.KeyValueStore;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Command;
 import tillerlink.messages.statements.Definition;
@@ -43,7 +43,7 @@
       new Snapshot(0, 0, 0, 0, 0, List.of(), Snapshots.write(new Catalog()));
 
   /** A table in memory that keeps at once. */
-  private static final class MapKeep implements Keep {
+  private static final class MapKeep implements KeyValueStore {
     final NavigableMap<String, byte[]> values;
 
     MapKeep(Map<String, byte[]> values) {
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/Beside.java
@@ -11,10 +11,10 @@
 import tillerlink.operator.OperatorFile;
 import tillerlink.operator.Statements;
 import tillerlink.peering.Peering;
-import tillerlink.peering.Sharing;
-import tillerlink.peering.channels.ChannelsPart;
-import tillerlink.peering.component.Attaching;
-import tillerlink.peering.statements.StatementsAttaching;
+import tillerlink.peering.PeeringConfig;
+import tillerlink.peering.channels.HostedChannels;
+import tillerlink.peering.component.ComponentFactory;
+import tillerlink.peering.statements.StatementsComponentFactory;
 
 /** What stands beside the module of a gateway, as the operator's file names it. */
 final class Beside {
@@ -32,9 +32,9 @@
     long keepMost =
         (store == null ? 0 : store.bytesMost())
             + (file.channels() == null ? 0 : file.channels().diskMost())
-            + (file.statements() == null ? 0 : StatementsAttaching.KEEP_MOST);
+            + (file.statements() == null ? 0 : StatementsComponentFactory.KEEP_MOST);
     return Peering.factory(
-        new Sharing(
+        new PeeringConfig(
             members.fleet(),
             members.site(),
             members.listen(),
@@ -48,12 +48,12 @@
   }
 
   /** The parts that gateways share, beside who is there. */
-  private static List<Attaching> parts(OperatorFile file) {
-    List<Attaching> parts = new ArrayList<>();
+  private static List<ComponentFactory> parts(OperatorFile file) {
+    List<ComponentFactory> parts = new ArrayList<>();
     Channels channels = file.channels();
     if (channels != null) {
       parts.add(
-          new ChannelsPart(
+          new HostedChannels(
               Terms.of(
                   channels.voters(),
                   channels.absentAfter(),
@@ -64,7 +64,7 @@
     Statements statements = file.statements();
     if (statements != null) {
       parts.add(
-          new StatementsAttaching(
+          new StatementsComponentFactory(
               statements.voters(),
               statements.lease(),
               statements.drift(),
