--- a/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
@@ -12,8 +12,8 @@
 import tillerlink.messages.statements.Definition;
 import tillerlink.net.wire.HttpResponse;
 import tillerlink.statements.SchemaState;
+import tillerlink.statements.catalog.CatalogEntry;
 import tillerlink.statements.catalog.Outcome;
-import tillerlink.statements.catalog.Standing;
 import tillerlink.statements.run.Permission;
 
 /** Words answers to clients. */
@@ -77,7 +77,7 @@
     return (tenths + TENTHS_PER_MS - 1) / TENTHS_PER_MS;
   }
 
-  static HttpResponse standing(Standing of) {
+  static HttpResponse standing(CatalogEntry of) {
     Definition definition = of.definition();
     return answer(
         200,
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsComponentFactory.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsComponentFactory.java
@@ -10,7 +10,7 @@
 import tillerlink.peering.component.HostedComponent;
 import tillerlink.statements.StatementTerms;
 import tillerlink.statements.Statements;
-import tillerlink.statements.consensus.Terms;
+import tillerlink.statements.consensus.RaftConfig;
 import tillerlink.statements.lease.LeaseTerms;
 import tillerlink.statements.prepare.Renaming;
 
@@ -47,7 +47,7 @@
         new StatementTerms(
             voters,
             new LeaseTerms(lease, drift, Math.max(MARGIN_LEAST, lease / MARGIN_PART)),
-            new Terms(vouched, Set.of()));
+            new RaftConfig(vouched, Set.of()));
     this.fence = fence;
   }
 
--- a/peering/src/test/java/tillerlink/peering/together/Host.java
+++ b/peering/src/test/java/tillerlink/peering/together/Host.java
@@ -20,7 +20,7 @@
 import tillerlink.simulation.SimulatedFleet;
 import tillerlink.statements.StatementTerms;
 import tillerlink.statements.Statements;
-import tillerlink.statements.consensus.Terms;
+import tillerlink.statements.consensus.RaftConfig;
 import tillerlink.statements.lease.LeaseTerms;
 import tillerlink.statements.prepare.Renaming;
 
@@ -99,7 +99,7 @@
       statements =
           new Statements(
               new StatementTerms(
-                  COUNTED, new LeaseTerms(10_000, 0.02, 50), new Terms(false, Set.of())),
+                  COUNTED, new LeaseTerms(10_000, 0.02, 50), new RaftConfig(false, Set.of())),
               members,
               (to, body) -> post.send(to, marked(STATEMENTS, body)),
               new PrefixedKeyValueStore(keep, "statements"),
--- a/statements/src/main/java/tillerlink/statements/Duties.java
+++ b/statements/src/main/java/tillerlink/statements/LeaderTasks.java
@@ -4,21 +4,21 @@
 import java.util.TreeMap;
 import tillerlink.messages.statements.Command;
 import tillerlink.statements.catalog.Catalog;
-import tillerlink.statements.consensus.Consensus;
+import tillerlink.statements.consensus.RaftVoter;
 import tillerlink.statements.consensus.Voters;
 import tillerlink.statements.prepare.Preparer;
-import tillerlink.statements.testing.Plant;
+import tillerlink.statements.testing.InjectedFault;
 
 /**
  * What the leader of the log does of itself: it lets a change take effect once a majority of the
  * voters is clear of it, and has statements prepared anew. What a leader of before began is begun
  * again, and is void if it was done.
  */
-final class Duties {
+final class LeaderTasks {
   private static final long AGAIN = 20_000;
 
   private final Voters voters;
-  private final Consensus consensus;
+  private final RaftVoter consensus;
   private final Preparer preparer;
   private final boolean unasked;
 
@@ -28,11 +28,11 @@
   private final TreeMap<String, Long> begun = new TreeMap<>();
   private long preparedAnew;
 
-  Duties(StatementTerms terms, Voters voters, Consensus consensus, Preparer preparer) {
+  LeaderTasks(StatementTerms terms, Voters voters, RaftVoter consensus, Preparer preparer) {
     this.voters = voters;
     this.consensus = consensus;
     this.preparer = preparer;
-    unasked = terms.terms().has(Plant.EFFECT_UNASKED);
+    unasked = terms.terms().has(InjectedFault.EFFECT_UNASKED);
   }
 
   void cleared(String voter, long disk, List<Long> changes, Catalog catalog) {
--- a/statements/src/main/java/tillerlink/statements/StatementTerms.java
+++ b/statements/src/main/java/tillerlink/statements/StatementTerms.java
@@ -1,7 +1,7 @@
 package tillerlink.statements;
 
 import java.util.List;
-import tillerlink.statements.consensus.Terms;
+import tillerlink.statements.consensus.RaftConfig;
 import tillerlink.statements.lease.LeaseTerms;
 
 /**
@@ -9,7 +9,7 @@
  *
  * @param voters the stated voters, the same on every gateway
  */
-public record StatementTerms(List<String> voters, LeaseTerms lease, Terms terms) {
+public record StatementTerms(List<String> voters, LeaseTerms lease, RaftConfig terms) {
   public StatementTerms {
     voters = List.copyOf(voters);
   }
--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -26,16 +26,16 @@
 import tillerlink.messages.statements.StatementMessage.Propose;
 import tillerlink.messages.statements.StatementMessage.Release;
 import tillerlink.statements.catalog.Catalog;
+import tillerlink.statements.catalog.CatalogEntry;
 import tillerlink.statements.catalog.Outcome;
 import tillerlink.statements.catalog.Snapshots;
-import tillerlink.statements.catalog.Standing;
 import tillerlink.statements.catalog.State;
-import tillerlink.statements.consensus.Consensus;
 import tillerlink.statements.consensus.Learner;
-import tillerlink.statements.consensus.Machine;
+import tillerlink.statements.consensus.RaftVoter;
+import tillerlink.statements.consensus.StateMachine;
 import tillerlink.statements.consensus.Voters;
-import tillerlink.statements.lease.Granting;
-import tillerlink.statements.lease.Holding;
+import tillerlink.statements.lease.LeaseGrantor;
+import tillerlink.statements.lease.LeaseHolder;
 import tillerlink.statements.prepare.Definitions;
 import tillerlink.statements.prepare.Preparer;
 import tillerlink.statements.prepare.Template;
@@ -56,11 +56,11 @@
   private final StatementTerms terms;
   private final Voters voters;
   private final MessageSender post;
-  private final Holding holding;
+  private final LeaseHolder holding;
   private final Requests requests;
-  private final Consensus consensus;
-  private final Granting granting;
-  private final Duties duties;
+  private final RaftVoter consensus;
+  private final LeaseGrantor granting;
+  private final LeaderTasks duties;
   private final Learner learner;
   private final Map<String, Prepared> templates = new TreeMap<>();
   private Catalog catalog = new Catalog();
@@ -88,13 +88,13 @@
     this.terms = terms;
     this.post = post;
     voters = new Voters(terms.voters(), roster.self());
-    holding = new Holding(terms.lease(), terms.terms(), voters, this::send, random);
+    holding = new LeaseHolder(terms.lease(), terms.terms(), voters, this::send, random);
     requests = new Requests(holding.holder(), this::propose);
     Applying applying = new Applying();
     if (voters.isOne()) {
-      consensus = new Consensus(terms.terms(), voters, this::send, keep, random, applying, notes);
-      granting = new Granting(terms.lease(), terms.terms(), consensus);
-      duties = new Duties(terms, voters, consensus, preparer);
+      consensus = new RaftVoter(terms.terms(), voters, this::send, keep, random, applying, notes);
+      granting = new LeaseGrantor(terms.lease(), terms.terms(), consensus);
+      duties = new LeaderTasks(terms, voters, consensus, preparer);
       learner = null;
     } else {
       consensus = null;
@@ -105,7 +105,7 @@
   }
 
   /** The catalog as the log's machine. */
-  private final class Applying implements Machine {
+  private final class Applying implements StateMachine {
     @Override
     public void apply(Entry entry) {
       Change change =
@@ -219,12 +219,12 @@
    * from now on.
    */
   public Optional<Prepared> lookUp(String name) {
-    Optional<Standing> found = catalog.find(name);
+    Optional<CatalogEntry> found = catalog.find(name);
     if (found.isEmpty()) {
       templates.remove(name);
       return Optional.empty();
     }
-    Standing standing = found.get();
+    CatalogEntry standing = found.get();
     standing.definition().groups().forEach(group -> holding.want(now, group, catalog));
     Prepared last = templates.get(name);
     if (last == null || last.standing() != standing) {
@@ -250,7 +250,7 @@
    */
   public Permission mayRun(long at, Prepared prepared) {
     String name = prepared.definition().name();
-    Standing standing = catalog.find(name).orElse(null);
+    CatalogEntry standing = catalog.find(name).orElse(null);
     if (standing == null) {
       return no(Permission.Reason.OTHER, name + " is not prepared", 0);
     }
@@ -350,7 +350,7 @@
     return consensus != null && consensus.isLeader();
   }
 
-  public Optional<Consensus> voter() {
+  public Optional<RaftVoter> voter() {
     return Optional.ofNullable(consensus);
   }
 
--- a/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
@@ -42,7 +42,7 @@
   /** What the last request of a process came to. */
   record Answered(long number, Outcome outcome) {}
 
-  final TreeMap<String, Standing> statements = new TreeMap<>();
+  final TreeMap<String, CatalogEntry> statements = new TreeMap<>();
   final TreeMap<Integer, Long> versions = new TreeMap<>();
   final TreeMap<Long, Change> waiting = new TreeMap<>();
 
@@ -60,11 +60,11 @@
     return applied;
   }
 
-  public Optional<Standing> find(String name) {
+  public Optional<CatalogEntry> find(String name) {
     return Optional.ofNullable(statements.get(name));
   }
 
-  public SortedMap<String, Standing> statements() {
+  public SortedMap<String, CatalogEntry> statements() {
     return Collections.unmodifiableSortedMap(statements);
   }
 
@@ -157,7 +157,7 @@
 
   private Outcome prepare(long index, Command.Prepare it) {
     Definition definition = it.definition();
-    Standing old = statements.get(definition.name());
+    CatalogEntry old = statements.get(definition.name());
     for (int group : definition.groups()) {
       if (it.versions().getOrDefault(group, 0L) != version(group)) {
         return Outcome.refused("the schema of group " + group + " is at version " + version(group));
@@ -179,7 +179,7 @@
     if (!roomFor(definition.groups())) {
       return Outcome.refused("no more than " + GROUPS_MOST + " table groups");
     }
-    put(new Standing(definition, index, now(definition), State.READY, 0));
+    put(new CatalogEntry(definition, index, now(definition), State.READY, 0));
     return Outcome.done(index);
   }
 
@@ -198,7 +198,7 @@
   }
 
   private Outcome drop(Command.Drop it) {
-    Standing old = statements.get(it.name());
+    CatalogEntry old = statements.get(it.name());
     if (old == null) {
       return Outcome.refused("it is not prepared");
     }
@@ -232,7 +232,7 @@
     Change change = waiting.remove(id);
     change.groups().forEach(group -> versions.merge(group, 1L, Long::sum));
     asking.put(id, change);
-    for (Standing old : new ArrayList<>(statements.values())) {
+    for (CatalogEntry old : new ArrayList<>(statements.values())) {
       if (change.touches(old.definition().groups())) {
         put(after(old, change, id));
       }
@@ -241,8 +241,8 @@
   }
 
   /** What is invalid stays so, and keeps the versions that it was last prepared under. */
-  private Standing after(Standing old, Change change, long id) {
-    State does = Triage.of(old.definition(), change);
+  private CatalogEntry after(CatalogEntry old, Change change, long id) {
+    State does = ChangeImpact.of(old.definition(), change);
     if (old.state() == State.INVALID || does == State.INVALID) {
       return old.under(
           old.versions(), State.INVALID, old.state() == State.INVALID ? old.change() : id);
@@ -258,7 +258,7 @@
   }
 
   private Outcome anew(long index, Command.Anew it) {
-    Standing old = statements.get(it.name());
+    CatalogEntry old = statements.get(it.name());
     if (old == null || old.generation() != it.generation() || old.state() != State.ANEW) {
       return Outcome.refused("it stands no more as it did");
     }
@@ -270,14 +270,14 @@
             && bytes - size(old) + size(definition) <= BYTES_MOST;
     put(
         can
-            ? new Standing(definition, index, now(definition), State.READY, 0)
+            ? new CatalogEntry(definition, index, now(definition), State.READY, 0)
             : old.under(old.versions(), State.INVALID, old.change()));
     return Outcome.done(index);
   }
 
-  void put(Standing standing) {
+  void put(CatalogEntry standing) {
     String name = standing.definition().name();
-    Standing old = statements.put(name, standing);
+    CatalogEntry old = statements.put(name, standing);
     bytes += size(standing) - size(old);
     Invariant.holds(
         old == null || old.generation() <= standing.generation(),
@@ -292,7 +292,7 @@
         () -> "catalog beyond its bounds");
   }
 
-  private static long size(Standing standing) {
+  private static long size(CatalogEntry standing) {
     return standing == null ? 0 : size(standing.definition());
   }
 
@@ -308,8 +308,8 @@
   }
 
   /** Statements that wait for being prepared anew, each with the change that asks for it. */
-  public Map<Standing, Change> waitingAnew() {
-    LinkedHashMap<Standing, Change> some = new LinkedHashMap<>();
+  public Map<CatalogEntry, Change> waitingAnew() {
+    LinkedHashMap<CatalogEntry, Change> some = new LinkedHashMap<>();
     if (!asking.isEmpty()) {
       statements.values().stream()
           .filter(it -> it.state() == State.ANEW)
--- a/statements/src/main/java/tillerlink/statements/catalog/Standing.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/CatalogEntry.java
@@ -13,17 +13,17 @@
  * @param versions the schema version of each of its groups that it is prepared under
  * @param change the change that made it other than ready; 0 if it is ready
  */
-public record Standing(
+public record CatalogEntry(
     Definition definition,
     long generation,
     SortedMap<Integer, Long> versions,
     State state,
     long change) {
-  public Standing {
+  public CatalogEntry {
     versions = Collections.unmodifiableSortedMap(new TreeMap<>(versions));
   }
 
-  Standing under(SortedMap<Integer, Long> others, State stands, long by) {
-    return new Standing(definition, generation, others, stands, by);
+  CatalogEntry under(SortedMap<Integer, Long> others, State stands, long by) {
+    return new CatalogEntry(definition, generation, others, stands, by);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/catalog/Triage.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/ChangeImpact.java
@@ -5,8 +5,8 @@
 import tillerlink.messages.statements.Definition;
 
 /** Tells apart what a change does to a statement. */
-final class Triage {
-  private Triage() {}
+final class ChangeImpact {
+  private ChangeImpact() {}
 
   /** {@link State#READY} is one that the change leaves untouched. */
   static State of(Definition definition, Change change) {
--- a/statements/src/main/java/tillerlink/statements/catalog/Snapshots.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Snapshots.java
@@ -44,7 +44,7 @@
     return new FieldWriter().number(1, id).within(2, CommandCodec.change(change));
   }
 
-  private static FieldWriter standing(Standing of) {
+  private static FieldWriter standing(CatalogEntry of) {
     FieldWriter to =
         new FieldWriter()
             .within(1, CommandCodec.definition(of.definition()))
@@ -60,7 +60,7 @@
 
   public static Catalog read(byte[] bytes) throws MalformedMessageException {
     Catalog to = new Catalog();
-    List<Standing> standings = new ArrayList<>();
+    List<CatalogEntry> standings = new ArrayList<>();
     for (FieldReader in = new FieldReader(bytes); in.next(); ) {
       switch (in.field()) {
         case 1 -> to.applied = in.number();
@@ -110,7 +110,7 @@
     to.put(id, change);
   }
 
-  private static Standing standing(FieldReader in) throws MalformedMessageException {
+  private static CatalogEntry standing(FieldReader in) throws MalformedMessageException {
     Definition definition = null;
     long generation = 0;
     State state = State.READY;
@@ -129,7 +129,7 @@
     if (definition == null) {
       throw new MalformedMessageException("a statement without its text");
     }
-    return new Standing(definition, generation, versions, state, change);
+    return new CatalogEntry(definition, generation, versions, state, change);
   }
 
   private static void answered(FieldReader in, Catalog to) throws MalformedMessageException {
--- a/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
@@ -13,14 +13,14 @@
   /** It may have voted and forgotten it. */
   private static final String UNKNOWN = "?";
 
-  private final Disk disk;
+  private final DurableState disk;
   private long term;
   private String votedFor = "";
 
   /** Votes that this candidate got, by the voters' places. */
   final BitSet got = new BitSet();
 
-  Ballot(Disk disk) throws MalformedMessageException {
+  Ballot(DurableState disk) throws MalformedMessageException {
     this.disk = disk;
     byte[] kept = disk.found().get(NAME);
     if (kept != null) {
--- a/statements/src/main/java/tillerlink/statements/consensus/Disk.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/DurableState.java
@@ -8,7 +8,7 @@
  * The durable table, with what waits for it: nothing that a voter promises is said before it is
  * kept.
  */
-final class Disk {
+final class DurableState {
   private record Waiting(long write, Runnable what) {}
 
   private final KeyValueStore keep;
@@ -21,7 +21,7 @@
   /**
    * @param early a planted fault: nothing waits
    */
-  Disk(KeyValueStore keep, boolean early) {
+  DurableState(KeyValueStore keep, boolean early) {
     this.keep = keep;
     this.early = early;
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/Identity.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Identity.java
@@ -19,13 +19,14 @@
   private static final String NAME = "identity";
 
   private final Voters voters;
-  private final Disk disk;
+  private final DurableState disk;
   private final List<Long> boots;
   private long number;
   private Stage stage = Stage.FRESH;
   private List<Long> pledge = List.of();
 
-  Identity(Voters voters, Disk disk, RandomGenerator random) throws MalformedMessageException {
+  Identity(Voters voters, DurableState disk, RandomGenerator random)
+      throws MalformedMessageException {
     this.voters = voters;
     this.disk = disk;
     boots = new ArrayList<>(Collections.nCopies(voters.count(), 0L));
--- a/statements/src/main/java/tillerlink/statements/consensus/Leading.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/LeaderState.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 import java.util.function.BiConsumer;
 import tillerlink.messages.statements.StatementMessage.Appended;
-import tillerlink.statements.testing.Plant;
+import tillerlink.statements.testing.InjectedFault;
 
 /** What a leader knows of the others, and what is committed by it. */
-final class Leading {
+final class LeaderState {
   private static final long SEND_AGAIN = 2000;
   private static final int UNCOMMITTED_MOST = 512;
 
@@ -15,7 +15,7 @@
 
   private final Voters voters;
   private final int self;
-  private final Terms terms;
+  private final RaftConfig terms;
   private final Log log;
   private final Membership membership;
   private final Progress[] others;
@@ -23,7 +23,7 @@
   private long beatAt;
   private boolean leads;
 
-  Leading(Voters voters, int self, Terms terms, Log log, Membership membership) {
+  LeaderState(Voters voters, int self, RaftConfig terms, Log log, Membership membership) {
     this.voters = voters;
     this.self = self;
     this.terms = terms;
@@ -73,7 +73,7 @@
       }
     }
     if (beat) {
-      beatAt = now + Consensus.HEARTBEAT;
+      beatAt = now + RaftVoter.HEARTBEAT;
     }
   }
 
@@ -98,7 +98,7 @@
   boolean lostMajority(long now) {
     int heard = 1;
     for (int i = 0; i < others.length; i++) {
-      heard += i != self && now - others[i].heardAt < 2 * Consensus.ELECTION_LEAST ? 1 : 0;
+      heard += i != self && now - others[i].heardAt < 2 * RaftVoter.ELECTION_LEAST ? 1 : 0;
     }
     return heard < voters.quorum();
   }
@@ -111,13 +111,13 @@
     for (int i = 0; i < others.length; i++) {
       has[i] = i == self ? log.durable() : others[i].match;
     }
-    long most = terms.has(Plant.COMMITS_ALONE) ? log.durable() : agreed(has);
+    long most = terms.has(InjectedFault.COMMITS_ALONE) ? log.durable() : agreed(has);
     long pending = membership.pending(commit);
     if (pending > 0 && most >= pending) {
       has[membership.excluded(commit)] = 0;
       most = Math.min(most, Math.max(pending - 1, agreed(has)));
     }
-    boolean settles = log.term(most) == term || terms.has(Plant.COMMITS_OLD_TERMS);
+    boolean settles = log.term(most) == term || terms.has(InjectedFault.COMMITS_OLD_TERMS);
     return most > commit && settles ? most : commit;
   }
 
--- a/statements/src/main/java/tillerlink/statements/consensus/Learner.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Learner.java
@@ -19,20 +19,21 @@
 
   private final Voters voters;
   private final Outbox out;
-  private final Machine machine;
+  private final StateMachine machine;
   private final Consumer<String> notes;
-  private final Pieces pieces;
+  private final SnapshotFetcher pieces;
   private int asks;
   private int times;
   private long askAt;
   private long heardAt;
 
-  public Learner(Voters voters, Outbox out, Machine machine, Consumer<String> notes, int first) {
+  public Learner(
+      Voters voters, Outbox out, StateMachine machine, Consumer<String> notes, int first) {
     this.voters = voters;
     this.out = out;
     this.machine = machine;
     this.notes = notes;
-    pieces = new Pieces(out);
+    pieces = new SnapshotFetcher(out);
     asks = Math.floorMod(first, voters.count());
   }
 
--- a/statements/src/main/java/tillerlink/statements/consensus/Serving.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/LearnerService.java
@@ -8,7 +8,7 @@
 import tillerlink.messages.statements.StatementMessage.Fetch;
 
 /** Lets gateways that don't vote have what is committed. */
-final class Serving {
+final class LearnerService {
   private static final int LEARNERS_MOST = 1024;
   private static final long REMEMBERED = 50_000;
   private static final int BYTES = 8000;
@@ -18,7 +18,7 @@
   /** Who asked of late, the longest ago first. */
   private final Map<String, Long> learners = new LinkedHashMap<>();
 
-  Serving(Outbox out) {
+  LearnerService(Outbox out) {
     this.out = out;
   }
 
--- a/statements/src/main/java/tillerlink/statements/consensus/Log.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Log.java
@@ -20,7 +20,7 @@
   /** Entries that a snapshot leaves, for those that are little behind. */
   private static final int TRAIL = 64;
 
-  private final Disk disk;
+  private final DurableState disk;
   private final List<Entry> entries = new ArrayList<>();
   private final List<Long> writes = new ArrayList<>();
   private Snapshot snapshot;
@@ -29,7 +29,7 @@
   private long baseTerm;
   private long durable;
 
-  Log(Disk disk, Snapshot empty) throws MalformedMessageException {
+  Log(DurableState disk, Snapshot empty) throws MalformedMessageException {
     this.disk = disk;
     byte[] kept = disk.found().get(SNAPSHOT);
     snapshot = kept == null ? empty : Snapshot.read(kept);
--- a/statements/src/main/java/tillerlink/statements/consensus/Progress.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Progress.java
@@ -40,7 +40,7 @@
 
   /** Links may carry small messages only. */
   int bytesMost() {
-    return unanswered >= TRIES_LARGE ? Pieces.SMALL : Pieces.LARGE;
+    return unanswered >= TRIES_LARGE ? SnapshotFetcher.SMALL : SnapshotFetcher.LARGE;
   }
 
   /** It started anew: what it said before counts no more. */
--- a/statements/src/main/java/tillerlink/statements/consensus/Terms.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RaftConfig.java
@@ -1,7 +1,7 @@
 package tillerlink.statements.consensus;
 
 import java.util.Set;
-import tillerlink.statements.testing.Plant;
+import tillerlink.statements.testing.InjectedFault;
 
 /**
  * How a voter works.
@@ -10,12 +10,12 @@
  *     the start
  * @param plants faults that a test planted
  */
-public record Terms(boolean vouched, Set<Plant> plants) {
-  public Terms {
+public record RaftConfig(boolean vouched, Set<InjectedFault> plants) {
+  public RaftConfig {
     plants = Set.copyOf(plants);
   }
 
-  public boolean has(Plant plant) {
+  public boolean has(InjectedFault plant) {
     return plants.contains(plant);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/Consensus.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RaftVoter.java
@@ -22,13 +22,13 @@
 import tillerlink.messages.statements.StatementMessage.Seen;
 import tillerlink.messages.statements.StatementMessage.Stage;
 import tillerlink.messages.statements.StatementMessage.Vote;
-import tillerlink.statements.testing.Plant;
+import tillerlink.statements.testing.InjectedFault;
 
 /**
  * One voter of the log: Raft's terms, votes and replication, with a vote asked about before a term
- * is raised, and with {@link Homecoming} before it takes part.
+ * is raised, and with {@link VoterRejoin} before it takes part.
  */
-public final class Consensus {
+public final class RaftVoter {
   static final long HEARTBEAT = 1000;
   static final long ELECTION_LEAST = 7000;
   private static final long ELECTION_SPREAD = 7000;
@@ -45,18 +45,18 @@
   private final int self;
   private final RandomGenerator random;
   private final Outbox out;
-  private final Machine machine;
-  private final Terms terms;
+  private final StateMachine machine;
+  private final RaftConfig terms;
   private final Consumer<String> notes;
-  private final Disk disk;
+  private final DurableState disk;
   private final Log log;
   private final Identity identity;
   private final Ballot ballot;
   private final Membership membership;
-  private final Homecoming homecoming;
-  private final Pieces pieces;
-  private final Leading leading;
-  private final Serving serving;
+  private final VoterRejoin homecoming;
+  private final SnapshotFetcher pieces;
+  private final LeaderState leading;
+  private final LearnerService serving;
   private Role role = Role.FOLLOWER;
   private String leader = "";
   private long commit;
@@ -74,13 +74,13 @@
   /**
    * @throws MalformedMessageException if what the disk holds can't be read
    */
-  public Consensus(
-      Terms terms,
+  public RaftVoter(
+      RaftConfig terms,
       Voters voters,
       Outbox out,
       KeyValueStore keep,
       RandomGenerator random,
-      Machine machine,
+      StateMachine machine,
       Consumer<String> notes)
       throws MalformedMessageException {
     this.voters = voters;
@@ -90,24 +90,24 @@
     this.machine = machine;
     this.notes = notes;
     self = voters.place(voters.self());
-    disk = new Disk(keep, terms.has(Plant.ANSWERS_BEFORE_KEPT));
+    disk = new DurableState(keep, terms.has(InjectedFault.ANSWERS_BEFORE_KEPT));
     log = new Log(disk, new Snapshot(0, 0, 0, 0, 0, List.of(), machine.state()));
     identity = new Identity(voters, disk, random);
     ballot = new Ballot(disk);
     membership =
         new Membership(
             voters, log, identity.stage() == Stage.FOUNDED ? identity.pledge() : List.of());
-    homecoming = new Homecoming(voters, identity, disk, out, random, new Back());
-    pieces = new Pieces(out);
-    leading = new Leading(voters, self, terms, log, membership);
-    serving = new Serving(out);
+    homecoming = new VoterRejoin(voters, identity, disk, out, random, new Back());
+    pieces = new SnapshotFetcher(out);
+    leading = new LeaderState(voters, self, terms, log, membership);
+    serving = new LearnerService(out);
     if (log.snapshot().index() > 0) {
       machine.install(log.snapshot().state());
     }
     commit = machine.applied();
   }
 
-  private final class Back implements Homecoming.Host {
+  private final class Back implements VoterRejoin.Host {
     @Override
     public void returned(long term, long lastTerm, long lastIndex) {
       ballot.noVotesUpTo(term);
@@ -252,7 +252,7 @@
       rewrite();
       return;
     }
-    if (terms.vouched() || terms.has(Plant.TRUSTS_OLD_DISK)) {
+    if (terms.vouched() || terms.has(InjectedFault.TRUSTS_OLD_DISK)) {
       homecoming.vouched();
     }
     homecoming.turn(now);
@@ -390,7 +390,7 @@
     boolean given =
         ask.term() == ballot.term()
             && upToDate
-            && (ballot.mayVoteFor(from) || terms.has(Plant.VOTES_TWICE));
+            && (ballot.mayVoteFor(from) || terms.has(InjectedFault.VOTES_TWICE));
     if (given) {
       ballot.vote(from);
       electionLater();
@@ -474,7 +474,7 @@
     boolean there =
         before <= log.base()
             || log.term(before) == append.prevTerm()
-            || terms.has(Plant.APPENDS_UNCOMPARED) && before <= log.lastIndex();
+            || terms.has(InjectedFault.APPENDS_UNCOMPARED) && before <= log.lastIndex();
     if (!there) {
       long hint = Math.max(log.base(), Math.min(log.lastIndex(), before - 1));
       long term = ballot.term();
@@ -609,7 +609,7 @@
     if (message instanceof Fetch fetch) {
       serving.fetched(now, from, fetch, log, machine.applied());
     } else if (message instanceof AskPiece ask) {
-      out.send(from, Pieces.answer(ask, log.snapshot().index(), log.snapshotBytes()));
+      out.send(from, SnapshotFetcher.answer(ask, log.snapshot().index(), log.snapshotBytes()));
     } else if (message instanceof Piece piece) {
       byte[] whole = pieces.took(now, from, piece);
       if (whole != null) {
--- a/statements/src/main/java/tillerlink/statements/consensus/Pieces.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/SnapshotFetcher.java
@@ -8,7 +8,7 @@
  * Fetches a snapshot by pieces, one after the other; what stays out is asked for again, in smaller
  * pieces.
  */
-final class Pieces {
+final class SnapshotFetcher {
   static final int LARGE = 8000;
   static final int SMALL = 900;
   private static final long AGAIN = 2500;
@@ -23,7 +23,7 @@
   private int most = LARGE;
   private long askedAt;
 
-  Pieces(Outbox out) {
+  SnapshotFetcher(Outbox out) {
     this.out = out;
   }
 
--- a/statements/src/main/java/tillerlink/statements/consensus/Machine.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/StateMachine.java
@@ -4,7 +4,7 @@
 import tillerlink.messages.statements.Entry;
 
 /** What the log is for: the same entries in the same order give the same state everywhere. */
-public interface Machine {
+public interface StateMachine {
   void apply(Entry entry);
 
   /** The index of the last entry that was applied. */
--- a/statements/src/main/java/tillerlink/statements/consensus/Homecoming.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/VoterRejoin.java
@@ -15,7 +15,7 @@
  * the new one. From any other disk: it asks the others how far they and it were, as its disk may be
  * an old copy.
  */
-final class Homecoming {
+final class VoterRejoin {
   /** What a voter may rely on once it is back. */
   interface Host {
     /** It may vote, but for nobody who is behind that, and in no term up to this one. */
@@ -32,7 +32,7 @@
 
   private final Voters voters;
   private final Identity identity;
-  private final Disk disk;
+  private final DurableState disk;
   private final Outbox out;
   private final RandomGenerator random;
   private final Host host;
@@ -43,8 +43,13 @@
   private long askAt;
   private boolean back;
 
-  Homecoming(
-      Voters voters, Identity identity, Disk disk, Outbox out, RandomGenerator random, Host host) {
+  VoterRejoin(
+      Voters voters,
+      Identity identity,
+      DurableState disk,
+      Outbox out,
+      RandomGenerator random,
+      Host host) {
     this.voters = voters;
     this.identity = identity;
     this.disk = disk;
--- a/statements/src/main/java/tillerlink/statements/lease/Granting.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
@@ -13,16 +13,16 @@
 import tillerlink.messages.statements.StatementMessage.Lease;
 import tillerlink.messages.statements.StatementMessage.Release;
 import tillerlink.statements.catalog.Catalog;
-import tillerlink.statements.consensus.Consensus;
-import tillerlink.statements.consensus.Terms;
-import tillerlink.statements.testing.Plant;
+import tillerlink.statements.consensus.RaftConfig;
+import tillerlink.statements.consensus.RaftVoter;
+import tillerlink.statements.testing.InjectedFault;
 
 /**
  * A voter's side of leases: which it granted, and of which changes it is clear. A voter that says
  * it is clear of a change holds the announcement on its disk, so it grants none on those groups
  * until the change is settled, also after a restart; and of all it granted before none is alive.
  */
-public final class Granting {
+public final class LeaseGrantor {
   private static final int HOLDERS_MOST = 1024;
   private static final int GRANTS_MOST = 32_768;
 
@@ -34,8 +34,8 @@
   }
 
   private final LeaseTerms lease;
-  private final Terms terms;
-  private final Consensus consensus;
+  private final RaftConfig terms;
+  private final RaftVoter consensus;
 
   /** By the numbers of the processes that hold. */
   private final TreeMap<Long, Holder> holders = new TreeMap<>();
@@ -43,7 +43,7 @@
   private final TreeSet<Long> cleared = new TreeSet<>();
   private int count;
 
-  public Granting(LeaseTerms lease, Terms terms, Consensus consensus) {
+  public LeaseGrantor(LeaseTerms lease, RaftConfig terms, RaftVoter consensus) {
     this.lease = lease;
     this.terms = terms;
     this.consensus = consensus;
@@ -62,7 +62,8 @@
     ask.groups()
         .forEach(
             (group, version) -> {
-              boolean stands = blocks(catalog, group) && !terms.has(Plant.GRANTS_WHILE_BLOCKED);
+              boolean stands =
+                  blocks(catalog, group) && !terms.has(InjectedFault.GRANTS_WHILE_BLOCKED);
               if (stands) {
                 blocked.add(group);
               } else if (version == catalog.version(group) && grant(now, ask, group)) {
@@ -156,7 +157,7 @@
   /** The announced changes that this voter is clear of. */
   public List<Long> clearOf(long now, Catalog catalog) {
     cleared.retainAll(catalog.waiting().keySet());
-    boolean rested = now > soundFrom() || terms.has(Plant.CLEARS_AFTER_START);
+    boolean rested = now > soundFrom() || terms.has(InjectedFault.CLEARS_AFTER_START);
     if (!consensus.isSound() || consensus.backSince() < 0 || !rested) {
       return List.of();
     }
@@ -164,7 +165,8 @@
         .waiting()
         .forEach(
             (id, change) -> {
-              if (lastUntil(now, change.groups()) == 0 || terms.has(Plant.CLEARS_TOO_EARLY)) {
+              if (lastUntil(now, change.groups()) == 0
+                  || terms.has(InjectedFault.CLEARS_TOO_EARLY)) {
                 cleared.add(id);
               }
             });
--- a/statements/src/main/java/tillerlink/statements/lease/Holding.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
@@ -14,15 +14,15 @@
 import tillerlink.messages.statements.StatementMessage.Release;
 import tillerlink.statements.catalog.Catalog;
 import tillerlink.statements.consensus.Outbox;
-import tillerlink.statements.consensus.Terms;
+import tillerlink.statements.consensus.RaftConfig;
 import tillerlink.statements.consensus.Voters;
-import tillerlink.statements.testing.Plant;
+import tillerlink.statements.testing.InjectedFault;
 
 /**
  * A gateway's side of leases. One is held while a majority of the voters granted it, each from the
  * moment before it was asked, by the own clock alone.
  */
-public final class Holding {
+public final class LeaseHolder {
   private static final int ASKS_MOST = 16;
 
   /** Leases are asked for so long after a group was last wanted. */
@@ -89,7 +89,7 @@
   }
 
   private final LeaseTerms lease;
-  private final Terms terms;
+  private final RaftConfig terms;
   private final Voters voters;
   private final Outbox out;
   private final long holder;
@@ -106,7 +106,8 @@
   /** The last hop ended that kept a lease from being given back. */
   private boolean freed;
 
-  public Holding(LeaseTerms lease, Terms terms, Voters voters, Outbox out, RandomGenerator random) {
+  public LeaseHolder(
+      LeaseTerms lease, RaftConfig terms, Voters voters, Outbox out, RandomGenerator random) {
     this.lease = lease;
     this.terms = terms;
     this.voters = voters;
@@ -157,7 +158,7 @@
         grants++;
       }
     }
-    int needed = voters.quorum() - (terms.has(Plant.LEASE_OF_A_MINORITY) ? 1 : 0);
+    int needed = voters.quorum() - (terms.has(InjectedFault.LEASE_OF_A_MINORITY) ? 1 : 0);
     if (grants < needed) {
       return NONE;
     }
@@ -186,7 +187,7 @@
    */
   public void running(int group, int by) {
     Group it = groups.get(group);
-    if (it != null && !terms.has(Plant.GIVES_BACK_WITH_HOPS_OUT)) {
+    if (it != null && !terms.has(InjectedFault.GIVES_BACK_WITH_HOPS_OUT)) {
       Invariant.holds(
           it.running + by >= 0, () -> "more hops of group " + group + " ended than began");
       it.running = Math.max(0, it.running + by);
@@ -203,8 +204,8 @@
   public void inDoubt(long now, int group, long mayRunUntil) {
     Group it = groups.get(group);
     if (it != null
-        && !terms.has(Plant.GIVES_BACK_WITH_HOPS_OUT)
-        && !terms.has(Plant.TRUSTS_ENDINGS)) {
+        && !terms.has(InjectedFault.GIVES_BACK_WITH_HOPS_OUT)
+        && !terms.has(InjectedFault.TRUSTS_ENDINGS)) {
       it.doubtUntil = Math.max(it.doubtUntil, Math.max(now, mayRunUntil) + lease.kept());
     }
   }
@@ -336,7 +337,7 @@
               if (it != null
                   && it.version == version
                   && ask.groups.getOrDefault(group, -1L) == (long) version) {
-                long since = terms.has(Plant.COUNTS_FROM_ANSWER) ? now : ask.sentAt;
+                long since = terms.has(InjectedFault.COUNTS_FROM_ANSWER) ? now : ask.sentAt;
                 Granted old = it.grants[place];
                 if (old == null || old.disk != answer.disk() || old.from < since) {
                   it.grants[place] = new Granted(answer.disk(), since);
@@ -352,7 +353,7 @@
    * be out.
    */
   public void away(long now) {
-    if (terms.has(Plant.TRUSTS_AFTER_PAUSE)) {
+    if (terms.has(InjectedFault.TRUSTS_AFTER_PAUSE)) {
       return;
     }
     asks.clear();
--- a/statements/src/main/java/tillerlink/statements/run/Prepared.java
+++ b/statements/src/main/java/tillerlink/statements/run/Prepared.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.SortedMap;
 import tillerlink.messages.statements.Definition;
-import tillerlink.statements.catalog.Standing;
+import tillerlink.statements.catalog.CatalogEntry;
 import tillerlink.statements.prepare.Template;
 
 /**
@@ -16,7 +16,7 @@
     Definition definition,
     long generation,
     SortedMap<Integer, Long> versions,
-    Standing standing,
+    CatalogEntry standing,
     Template template) {
   /**
    * The text of a run.
--- a/statements/src/main/java/tillerlink/statements/testing/Plant.java
+++ b/statements/src/main/java/tillerlink/statements/testing/InjectedFault.java
@@ -1,7 +1,7 @@
 package tillerlink.statements.testing;
 
 /** Faults that tests plant to show that a check can fail. None is on in a gateway. */
-public enum Plant {
+public enum InjectedFault {
   /** A voter answers before its disk has kept what it says. */
   ANSWERS_BEFORE_KEPT,
   /** A voter gives a second vote in a term. */
--- a/statements/src/test/java/tillerlink/statements/History.java
+++ b/statements/src/test/java/tillerlink/statements/History.java
@@ -9,7 +9,7 @@
 import tillerlink.messages.statements.Change;
 import tillerlink.simulation.Fault;
 import tillerlink.statements.catalog.State;
-import tillerlink.statements.testing.Plant;
+import tillerlink.statements.testing.InjectedFault;
 
 /**
  * One seeded history: load, changes and faults at random, then everything heals and all gateways
@@ -36,7 +36,7 @@
   int refused;
   int unknown;
 
-  History(long seed, Plant... plants) {
+  History(long seed, InjectedFault... plants) {
     random = new SplittableRandom(seed * 31 + 7);
     voterCount = random.nextInt(4) == 0 ? 5 : 3;
     town = new Town(seed, voterCount, 2 + random.nextInt(3), plants);
--- a/statements/src/test/java/tillerlink/statements/PlantsTest.java
+++ b/statements/src/test/java/tillerlink/statements/PlantsTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.cluster.Invariant;
 import tillerlink.simulation.Fault;
-import tillerlink.statements.testing.Plant;
+import tillerlink.statements.testing.InjectedFault;
 
 /**
  * Each planted fault is caught, by an invariant in the code or by the audit from outside; the same
@@ -44,7 +44,7 @@
     return words.replaceAll("[0-9]+", "N").replaceAll("v1|v2|v3", "vN");
   }
 
-  private static void caught(Plant plant, Function<Town, String> scene, String words) {
+  private static void caught(InjectedFault plant, Function<Town, String> scene, String words) {
     assertEquals(Set.of(), of(new Town(5, 3, 2), scene), plant + " without the fault");
     Set<String> seen = of(new Town(5, 3, 2, plant), scene);
     System.out.println(plant + ": " + seen);
@@ -52,7 +52,7 @@
   }
 
   /** By random histories: so many seeds until one catches it. */
-  private static void caughtByChance(Plant plant, int first, String words) {
+  private static void caughtByChance(InjectedFault plant, int first, String words) {
     for (int seed = first; seed < first + SEEDS_MOST; seed++) {
       History history = new History(seed, plant);
       try {
@@ -118,15 +118,15 @@
   @Test
   void aVoterThatClearsOrALeaderThatLetsItTakeEffectTooEarly() {
     caught(
-        Plant.CLEARS_TOO_EARLY,
+        InjectedFault.CLEARS_TOO_EARLY,
         PlantsTest::changeWhileCut,
         "invariant broken: change N took effect while a lease of a clear voter is alive");
     caught(
-        Plant.EFFECT_UNASKED,
+        InjectedFault.EFFECT_UNASKED,
         PlantsTest::changeWhileCut,
         "N ms: gN runs top under version N of group N, in effect is N");
     caught(
-        Plant.LEASE_OF_A_MINORITY,
+        InjectedFault.LEASE_OF_A_MINORITY,
         PlantsTest::changeWhileCut,
         "invariant broken: a lease on group N without a majority");
   }
@@ -151,7 +151,7 @@
   @Test
   void aVoterThatForgotWhatItGranted() {
     caught(
-        Plant.CLEARS_AFTER_START,
+        InjectedFault.CLEARS_AFTER_START,
         PlantsTest::allVotersStartAgain,
         "N ms: gN runs top under version N of group N, in effect is N");
   }
@@ -173,7 +173,7 @@
   @Test
   void aGatewayThatCountsFromTheAnswer() {
     caught(
-        Plant.COUNTS_FROM_ANSWER,
+        InjectedFault.COUNTS_FROM_ANSWER,
         PlantsTest::answersAreLate,
         "N ms: gN runs top under version N of group N, in effect is N");
   }
@@ -202,7 +202,7 @@
   @Test
   void aLeaderThatCommitsAlone() {
     caught(
-        Plant.COMMITS_ALONE,
+        InjectedFault.COMMITS_ALONE,
         PlantsTest::leaderIsCut,
         "invariant broken: what is committed is written over at N");
   }
@@ -238,7 +238,10 @@
 
   @Test
   void aVoterThatAnswersBeforeItsDisk() {
-    caught(Plant.ANSWERS_BEFORE_KEPT, PlantsTest::twoCrash, "keptN has two texts in generation N");
+    caught(
+        InjectedFault.ANSWERS_BEFORE_KEPT,
+        PlantsTest::twoCrash,
+        "keptN has two texts in generation N");
   }
 
   /**
@@ -271,7 +274,7 @@
   @Test
   void aVoterThatTrustsAnOldDisk() {
     caught(
-        Plant.TRUSTS_OLD_DISK,
+        InjectedFault.TRUSTS_OLD_DISK,
         PlantsTest::oldDisk,
         "invariant broken: what is committed is written over at N");
   }
@@ -307,15 +310,15 @@
   void aGatewayThatGivesALeaseBackUnderAHop() {
     String words =
         "N ms: group N changes while a hop of gN is at an engine, under a lease until N ms";
-    caught(Plant.GIVES_BACK_WITH_HOPS_OUT, PlantsTest::changeWhileHopIsOut, words);
-    caught(Plant.TRUSTS_ENDINGS, PlantsTest::changeAfterDoubt, words);
+    caught(InjectedFault.GIVES_BACK_WITH_HOPS_OUT, PlantsTest::changeWhileHopIsOut, words);
+    caught(InjectedFault.TRUSTS_ENDINGS, PlantsTest::changeAfterDoubt, words);
   }
 
   @Test
   void byChance() {
-    caughtByChance(Plant.VOTES_TWICE, 70, "invariant broken: two leaders in term N");
+    caughtByChance(InjectedFault.VOTES_TWICE, 70, "invariant broken: two leaders in term N");
     caughtByChance(
-        Plant.GRANTS_WHILE_BLOCKED,
+        InjectedFault.GRANTS_WHILE_BLOCKED,
         1,
         "invariant broken: change N took effect while a lease of a clear voter is alive");
   }
--- a/statements/src/test/java/tillerlink/statements/Town.java
+++ b/statements/src/test/java/tillerlink/statements/Town.java
@@ -25,12 +25,12 @@
 import tillerlink.simulation.SimulatedFleet;
 import tillerlink.statements.catalog.Outcome;
 import tillerlink.statements.catalog.Snapshots;
-import tillerlink.statements.consensus.Terms;
+import tillerlink.statements.consensus.RaftConfig;
 import tillerlink.statements.lease.LeaseTerms;
 import tillerlink.statements.prepare.Renaming;
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Prepared;
-import tillerlink.statements.testing.Plant;
+import tillerlink.statements.testing.InjectedFault;
 
 /** A fleet of gateways in virtual time that keep prepared statements, with load and an audit. */
 final class Town {
@@ -44,7 +44,7 @@
   final List<String> all = new ArrayList<>();
   final List<String> notes = new ArrayList<>();
   private final SplittableRandom random;
-  private final Set<Plant> plants;
+  private final Set<InjectedFault> plants;
   private final Map<String, Gateway> gateways = new TreeMap<>();
   private final Map<String, InMemoryKeyValueStore> disks = new HashMap<>();
   private final Map<String, Double> rates = new HashMap<>();
@@ -63,7 +63,7 @@
   private int starts;
   private long diskTakes = 5;
 
-  Town(long seed, int voterCount, int others, Plant... plants) {
+  Town(long seed, int voterCount, int others, InjectedFault... plants) {
     random = new SplittableRandom(seed);
     doubts = new SplittableRandom(~seed);
     this.plants = Set.of(plants);
@@ -205,7 +205,7 @@
     try {
       gateway.part =
           new Statements(
-              new StatementTerms(voters, lease, new Terms(vouched, plants)),
+              new StatementTerms(voters, lease, new RaftConfig(vouched, plants)),
               new Names(name, all),
               fleet.post(name),
               keep,
--- a/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
+++ b/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
@@ -153,7 +153,7 @@
   /** What a voter keeps that has founded, voted and taken all entries into its log. */
   static Map<String, byte[]> writtenLog() throws Exception {
     MapKeep keep = new MapKeep(Map.of());
-    Disk disk = new Disk(keep, false);
+    DurableState disk = new DurableState(keep, false);
     Log log = new Log(disk, EMPTY);
     entries().forEach(log::append);
     Identity identity = new Identity(VOTERS, disk, new Random(7));
@@ -168,7 +168,7 @@
   /** What the same voter keeps once a snapshot of a later term took the place of its entries. */
   static Map<String, byte[]> writtenSnapshot() throws Exception {
     MapKeep keep = new MapKeep(writtenLog());
-    Log log = new Log(new Disk(keep, false), EMPTY);
+    Log log = new Log(new DurableState(keep, false), EMPTY);
     log.install(
         new Snapshot(
             20,
@@ -213,7 +213,7 @@
 
   @Test
   void everyEntryOfTheLogIsFound() throws Exception {
-    Log log = new Log(new Disk(new MapKeep(read(LOG)), false), EMPTY);
+    Log log = new Log(new DurableState(new MapKeep(read(LOG)), false), EMPTY);
     assertEquals(0, log.base());
     assertEquals(entries(), log.from(1, log.lastIndex(), 1 << 20));
     assertEquals(20, log.durable());
@@ -226,7 +226,7 @@
   @Test
   void theIdentityIsFound() throws Exception {
     MapKeep keep = new MapKeep(read(LOG));
-    Identity identity = new Identity(VOTERS, new Disk(keep, false), new Random(8));
+    Identity identity = new Identity(VOTERS, new DurableState(keep, false), new Random(8));
     assertEquals(new Random(7).nextLong() | 1, identity.disk());
     assertEquals(Stage.FOUNDED, identity.stage());
     assertEquals(DISKS, identity.pledge());
@@ -240,13 +240,13 @@
     List<String> kept = new ArrayList<>();
     for (Stage stage : Stage.values()) {
       MapKeep keep = new MapKeep(read(LOG));
-      Identity identity = new Identity(VOTERS, new Disk(keep, false), new Random(8));
+      Identity identity = new Identity(VOTERS, new DurableState(keep, false), new Random(8));
       identity.stageIs(stage, DISKS);
       byte[] bytes = keep.values.get("identity");
       // A tag and a fixed number of eight bytes, then the tag and the number of the stage;
       // the number 0 is left out, and the next field stands there.
       kept.add(bytes[9] + "," + bytes[10]);
-      Identity again = new Identity(VOTERS, new Disk(keep, false), new Random(8));
+      Identity again = new Identity(VOTERS, new DurableState(keep, false), new Random(8));
       assertEquals(stage, again.stage());
     }
     assertEquals(List.of("26,9", "16,1", "16,2", "16,3"), kept);
@@ -256,7 +256,7 @@
 
   @Test
   void theBallotIsFound() throws Exception {
-    Ballot ballot = new Ballot(new Disk(new MapKeep(read(LOG)), false));
+    Ballot ballot = new Ballot(new DurableState(new MapKeep(read(LOG)), false));
     assertEquals(300, ballot.term());
     assertTrue(ballot.mayVoteFor("n1"));
     assertTrue(!ballot.mayVoteFor("n2"));
@@ -264,19 +264,19 @@
 
   @Test
   void theMembersAreFound() throws Exception {
-    Log log = new Log(new Disk(new MapKeep(read(LOG)), false), EMPTY);
+    Log log = new Log(new DurableState(new MapKeep(read(LOG)), false), EMPTY);
     Membership membership = new Membership(VOTERS, log, DISKS);
     assertEquals(List.of(0x11L, 0x2222222222L, 0x3333333333L), membership.members());
     assertEquals(20, membership.version());
     assertEquals(DISKS, membership.membersAt(19));
-    Log compacted = new Log(new Disk(new MapKeep(read(SNAPSHOT)), false), EMPTY);
+    Log compacted = new Log(new DurableState(new MapKeep(read(SNAPSHOT)), false), EMPTY);
     assertEquals(membership.members(), new Membership(VOTERS, compacted, List.of()).members());
   }
 
   @Test
   void theSnapshotIsFound() throws Exception {
     Map<String, byte[]> kept = read(SNAPSHOT);
-    Log log = new Log(new Disk(new MapKeep(kept), false), EMPTY);
+    Log log = new Log(new DurableState(new MapKeep(kept), false), EMPTY);
     Snapshot snapshot = log.snapshot();
     assertEquals(
         List.of(20L, 4L, 20L, 4L, 20L),
