--- a/bench/src/main/java/tillerlink/jmh/HeldEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/HeldEvents.java
@@ -22,7 +22,7 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import tillerlink.channels.journal.Holdings;
+import tillerlink.channels.journal.EventSet;
 import tillerlink.channels.journal.Journal;
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.Kind;
@@ -50,7 +50,7 @@
   private int mixed;
 
   private Entry[] events;
-  private Holdings ranges;
+  private EventSet ranges;
   private Set<Name> names;
   private Map<Long, TreeSet<Long>> numbers;
 
@@ -99,8 +99,8 @@
 
   @Benchmark
   @OperationsPerInvocation(EVENTS)
-  public Holdings ranges() {
-    Holdings held = new Holdings();
+  public EventSet ranges() {
+    EventSet held = new EventSet();
     for (Entry event : events) {
       if (!held.has(event.incarnation(), event.sequence())) {
         held.add(event.incarnation(), event.sequence());
--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -5,22 +5,22 @@
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import tillerlink.channels.consensus.Agreement;
+import tillerlink.channels.consensus.EpochConsensus;
 import tillerlink.channels.cue.Cue;
-import tillerlink.channels.entry.Appended;
-import tillerlink.channels.entry.Draft;
+import tillerlink.channels.entry.AppendRequest;
+import tillerlink.channels.entry.AppendResult;
+import tillerlink.channels.entry.HybridLogicalClock;
 import tillerlink.channels.entry.Incarnations;
-import tillerlink.channels.entry.Stamps;
 import tillerlink.channels.epoch.Standings;
 import tillerlink.channels.journal.ChannelLog;
-import tillerlink.channels.journal.Holdings;
+import tillerlink.channels.journal.CompactedState;
+import tillerlink.channels.journal.EventSet;
 import tillerlink.channels.journal.Journal;
-import tillerlink.channels.journal.Placed;
-import tillerlink.channels.journal.Sum;
+import tillerlink.channels.journal.OrderedEvent;
 import tillerlink.channels.recovery.Store;
+import tillerlink.channels.sync.ChannelTransport;
 import tillerlink.channels.sync.Fetcher;
 import tillerlink.channels.sync.Server;
-import tillerlink.channels.sync.Wire;
 import tillerlink.cluster.ClusterComponent;
 import tillerlink.cluster.Invariant;
 import tillerlink.cluster.KeyValueStore;
@@ -60,12 +60,12 @@
   private final Consumer<String> log;
   private final Journal journal;
   private final Store store;
-  private final Stamps stamps;
-  private final Wire wire;
+  private final HybridLogicalClock stamps;
+  private final ChannelTransport wire;
   private final Fetcher fetcher;
   private final Server server;
   private final Standings standings = new Standings();
-  private final Agreement agreement;
+  private final EpochConsensus agreement;
   private final Writer writer;
   private final RandomGenerator random;
   private final long incarnation;
@@ -98,8 +98,8 @@
     this.wall = wall;
     journal = new Journal(terms.counted());
     store = new Store(keep);
-    stamps = new Stamps(terms.aheadMillis());
-    wire = new Wire(roster, post, random);
+    stamps = new HybridLogicalClock(terms.aheadMillis());
+    wire = new ChannelTransport(roster, post, random);
     fetcher = new Fetcher(journal, wire);
     server = new Server(journal, wire);
     store.load(journal);
@@ -108,7 +108,7 @@
     journal.tail().forEach(entry -> stamps.saw(entry.stamp()));
     stamps.saw(journal.upTo());
     agreement =
-        new Agreement(
+        new EpochConsensus(
             roster.self(),
             incarnation,
             terms.counted(),
@@ -131,7 +131,8 @@
    * @param answer told in this turn if it is refused or was there already, otherwise once it is
    *     kept; never told if the disk fails meanwhile
    */
-  public void append(long now, long wall, String channel, Draft draft, Consumer<Appended> answer) {
+  public void append(
+      long now, long wall, String channel, AppendRequest draft, Consumer<AppendResult> answer) {
     time(now, wall);
     writer.append(now, wall, channel, draft, answer);
   }
@@ -148,7 +149,7 @@
     long bytes = 0;
     long index = Math.max(from, of.first());
     for (; index < of.stableCount(); index++) {
-      Placed placed = of.stable(index);
+      OrderedEvent placed = of.stable(index);
       bytes += placed.entry().weight();
       if (bytes > bytesMost && !lines.isEmpty()) {
         return new Page(of.first(), of.stableCount(), lines, true);
@@ -282,7 +283,7 @@
       // It holds more than it told: nothing can be said.
       return;
     }
-    Holdings theirs = new Holdings();
+    EventSet theirs = new EventSet();
     report.extra().forEach(theirs::add);
     if (report.applied() >= journal.base()) {
       journal.placed().spans(before.incarnation()).forEach(theirs::add);
@@ -370,14 +371,14 @@
 
   private void startFrom(String from, byte[] bytes) {
     try {
-      Sum sum = Sum.read(bytes);
+      CompactedState sum = CompactedState.read(bytes);
       if (sum.slot() <= journal.applied()) {
         return;
       }
       long before = journal.base();
       List<Entry> all = new ArrayList<>();
       journal.held().spans().forEach(span -> all.addAll(journal.entries(span)));
-      List<Entry> rest = journal.startFrom(sum, Sum.read(bytes));
+      List<Entry> rest = journal.startFrom(sum, CompactedState.read(bytes));
       all.removeAll(rest);
       store.sum(bytes, sum.slot(), before, all, before + 1);
       rest.forEach(journal::put);
--- a/channels/src/main/java/tillerlink/channels/Writer.java
+++ b/channels/src/main/java/tillerlink/channels/Writer.java
@@ -5,14 +5,14 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import java.util.function.Consumer;
-import tillerlink.channels.entry.Appended;
-import tillerlink.channels.entry.Draft;
-import tillerlink.channels.entry.Stamps;
+import tillerlink.channels.entry.AppendRequest;
+import tillerlink.channels.entry.AppendResult;
+import tillerlink.channels.entry.HybridLogicalClock;
 import tillerlink.channels.journal.ChannelLog;
 import tillerlink.channels.journal.Journal;
-import tillerlink.channels.quota.Room;
+import tillerlink.channels.quota.StorageQuota;
 import tillerlink.channels.recovery.Store;
-import tillerlink.channels.sync.Wire;
+import tillerlink.channels.sync.ChannelTransport;
 import tillerlink.cluster.Invariant;
 import tillerlink.cluster.MembershipView;
 import tillerlink.messages.channels.ChannelsMessage.Piece;
@@ -24,15 +24,15 @@
   private static final int NAME_MOST = 64;
   private static final int PENDING_MOST = 1024;
 
-  private record Asker(Draft draft, Consumer<Appended> answer) {}
+  private record Asker(AppendRequest draft, Consumer<AppendResult> answer) {}
 
   private final Terms terms;
   private final MembershipView roster;
   private final Journal journal;
   private final Store store;
-  private final Stamps stamps;
-  private final Wire wire;
-  private final Room room;
+  private final HybridLogicalClock stamps;
+  private final ChannelTransport wire;
+  private final StorageQuota room;
   private final BiConsumer<String, String> say;
   private final long incarnation;
   private final TreeMap<Long, Entry> pending = new TreeMap<>();
@@ -50,8 +50,8 @@
       Terms terms,
       Journal journal,
       Store store,
-      Stamps stamps,
-      Wire wire,
+      HybridLogicalClock stamps,
+      ChannelTransport wire,
       long incarnation,
       BiConsumer<String, String> say) {
     this.terms = terms;
@@ -62,7 +62,7 @@
     this.wire = wire;
     this.incarnation = incarnation;
     this.say = say;
-    room = new Room(terms.bytes());
+    room = new StorageQuota(terms.bytes());
   }
 
   /** The last number of its own that is kept. */
@@ -79,11 +79,12 @@
     return refusedAhead;
   }
 
-  Room room() {
+  StorageQuota room() {
     return room;
   }
 
-  void append(long now, long wall, String channel, Draft draft, Consumer<Appended> answer) {
+  void append(
+      long now, long wall, String channel, AppendRequest draft, Consumer<AppendResult> answer) {
     String fault =
         channel.isEmpty() || channel.length() > NAME_MOST
             ? "a channel's name has 1 to 64 characters"
@@ -94,7 +95,7 @@
       fault = "there are " + terms.most() + " channels already, and no more are allowed";
     }
     if (fault != null) {
-      answer.accept(new Appended.Refused(fault, 0));
+      answer.accept(new AppendResult.Refused(fault, 0));
       return;
     }
     if (!draft.key().isEmpty() && isAgain(channel, draft, answer)) {
@@ -103,7 +104,8 @@
     for (Dot dot : draft.seen() == null ? List.<Dot>of() : draft.seen()) {
       if (stamps.isTooFarAhead(now, wall, dot.stamp())) {
         answer.accept(
-            new Appended.Refused("what it names as seen is stamped too far ahead of the time", 0));
+            new AppendResult.Refused(
+                "what it names as seen is stamped too far ahead of the time", 0));
         return;
       }
       stamps.saw(dot.stamp());
@@ -120,18 +122,19 @@
               + terms.aheadMillis()
               + " ms allowed; set this machine's clock right");
       answer.accept(
-          new Appended.Refused(
+          new AppendResult.Refused(
               "this gateway's clock is too far ahead of the fleet's", tooFarBy * 10));
       return;
     }
     write(wall, channel, draft, answer);
   }
 
-  private boolean isAgain(String channel, Draft draft, Consumer<Appended> answer) {
+  private boolean isAgain(String channel, AppendRequest draft, Consumer<AppendResult> answer) {
     List<Asker> waiting = pendingKeys.get(channel + "/" + draft.key());
     if (waiting != null) {
       if (waiting.size() >= PENDING_MOST) {
-        answer.accept(new Appended.Refused("too many ask with this key", Room.COME_BACK));
+        answer.accept(
+            new AppendResult.Refused("too many ask with this key", StorageQuota.COME_BACK));
       } else if (!same(waiting.get(0).draft, draft)) {
         answer.accept(otherContent());
       } else {
@@ -150,22 +153,23 @@
                 || entry.kind() == draft.kind()
                     && entry.cue().equals(draft.cue())
                     && entry.text().equals(draft.text())
-            ? new Appended.Taken(dot, true)
+            ? new AppendResult.Taken(dot, true)
             : otherContent());
     return true;
   }
 
-  private static boolean same(Draft one, Draft other) {
+  private static boolean same(AppendRequest one, AppendRequest other) {
     return one.kind() == other.kind()
         && one.cue().equals(other.cue())
         && one.text().equals(other.text());
   }
 
-  private static Appended otherContent() {
-    return new Appended.Refused("this key stands for an event that says otherwise", 0);
+  private static AppendResult otherContent() {
+    return new AppendResult.Refused("this key stands for an event that says otherwise", 0);
   }
 
-  private void write(long wall, String channel, Draft draft, Consumer<Appended> answer) {
+  private void write(
+      long wall, String channel, AppendRequest draft, Consumer<AppendResult> answer) {
     Entry entry =
         new Entry(
             roster.self(),
@@ -186,7 +190,7 @@
       say.accept(
           "full",
           "channel " + channel + " is full of events that are not agreed on: appends are refused");
-      answer.accept(new Appended.Refused("the channel is full", Room.COME_BACK));
+      answer.accept(new AppendResult.Refused("the channel is full", StorageQuota.COME_BACK));
       return;
     }
     Invariant.holds(
@@ -195,8 +199,8 @@
     if (!store.entry(entry, () -> kept(entry, answer))) {
       say.accept("disk", "an append could not be kept: the disk is full or has failed");
       answer.accept(
-          new Appended.Refused(
-              "it can't be kept here: the disk is full or has failed", Room.COME_BACK));
+          new AppendResult.Refused(
+              "it can't be kept here: the disk is full or has failed", StorageQuota.COME_BACK));
       return;
     }
     sequence++;
@@ -208,14 +212,16 @@
     }
   }
 
-  private List<Dot> over(String channel, Draft draft) {
+  private List<Dot> over(String channel, AppendRequest draft) {
     if (draft.seen() != null) {
       return List.copyOf(draft.seen());
     }
     ChannelLog of = journal.logs().get(channel);
     return of == null || draft.cue().isEmpty()
         ? List.of()
-        : of.cue(draft.cue(), journal.upTo()).standing().stream().limit(Draft.SEEN_MOST).toList();
+        : of.cue(draft.cue(), journal.upTo()).standing().stream()
+            .limit(AppendRequest.SEEN_MOST)
+            .toList();
   }
 
   /**
@@ -228,7 +234,7 @@
       long prefix = journal.held().prefix(other);
       if (other != incarnation
           && prefix > 0
-          && seen.size() < Draft.SEEN_MOST
+          && seen.size() < AppendRequest.SEEN_MOST
           && isNews(other, prefix)) {
         Entry last = journal.entry(other, prefix);
         seen.add(new Dot(other, prefix, last == null ? 0 : last.stamp()));
@@ -247,20 +253,20 @@
     return true;
   }
 
-  private void kept(Entry entry, Consumer<Appended> answer) {
+  private void kept(Entry entry, Consumer<AppendResult> answer) {
     pending.remove(entry.sequence());
     pendingBytes -= entry.weight();
     top = entry.sequence();
     journal.put(entry);
     wire.spread(new Piece(0, true, List.of(entry)), journal.voters());
-    Appended taken = new Appended.Taken(entry.dot(), false);
+    AppendResult taken = new AppendResult.Taken(entry.dot(), false);
     List<Asker> askers =
         entry.key().isEmpty() ? null : pendingKeys.remove(entry.channel() + "/" + entry.key());
     if (askers == null) {
       answer.accept(taken);
     } else {
       for (int i = 0; i < askers.size(); i++) {
-        askers.get(i).answer.accept(i == 0 ? taken : new Appended.Taken(entry.dot(), true));
+        askers.get(i).answer.accept(i == 0 ? taken : new AppendResult.Taken(entry.dot(), true));
       }
     }
   }
--- a/channels/src/main/java/tillerlink/channels/consensus/Agreement.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/EpochConsensus.java
@@ -4,16 +4,16 @@
 import java.util.List;
 import java.util.TreeSet;
 import java.util.random.RandomGenerator;
+import tillerlink.channels.epoch.AcceptorState;
 import tillerlink.channels.epoch.Planner;
 import tillerlink.channels.epoch.Proposer;
+import tillerlink.channels.epoch.RejoinCheck;
 import tillerlink.channels.epoch.Standings;
-import tillerlink.channels.epoch.Voting;
-import tillerlink.channels.epoch.Witnesses;
 import tillerlink.channels.journal.Journal;
 import tillerlink.channels.recovery.Store;
+import tillerlink.channels.sync.ChannelTransport;
 import tillerlink.channels.sync.Fetcher;
 import tillerlink.channels.sync.Server;
-import tillerlink.channels.sync.Wire;
 import tillerlink.cluster.Reachability;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.channels.Ballot;
@@ -30,7 +30,7 @@
 import tillerlink.messages.channels.Cut;
 
 /** One gateway's part in the agreed line: votes, and proposes when it is its turn. */
-public final class Agreement {
+public final class EpochConsensus {
   private static final long ASK_AGAIN = 5000;
   private static final long STEP_LEAST = 1500;
   private static final long TURN_OF_NEXT = 15_000;
@@ -41,12 +41,12 @@
   private final long incarnation;
   private final Journal journal;
   private final Store store;
-  private final Wire wire;
+  private final ChannelTransport wire;
   private final Server server;
   private final Fetcher fetcher;
   private final Standings standings;
-  private final Voting voting;
-  private final Witnesses witnesses;
+  private final AcceptorState voting;
+  private final RejoinCheck witnesses;
   private final Proposer proposer;
   private final Planner planner;
   private final List<String> counted;
@@ -58,14 +58,14 @@
   private long lastDecided;
   private long dueAt;
 
-  public Agreement(
+  public EpochConsensus(
       String self,
       long incarnation,
       List<String> counted,
       long absentAfter,
       Journal journal,
       Store store,
-      Wire wire,
+      ChannelTransport wire,
       Server server,
       Fetcher fetcher,
       Standings standings,
@@ -80,23 +80,23 @@
     this.fetcher = fetcher;
     this.standings = standings;
     voting = found(store);
-    witnesses = new Witnesses(self, counted);
+    witnesses = new RejoinCheck(self, counted);
     proposer = new Proposer(self, incarnation, random);
     planner = new Planner(counted, absentAfter);
   }
 
-  private static Voting found(Store store) {
+  private static AcceptorState found(Store store) {
     try {
-      return new Voting(store.foundVoting());
+      return new AcceptorState(store.foundVoting());
     } catch (MalformedMessageException e) {
       return lost();
     }
   }
 
   /** What can't be read counts as lost. */
-  private static Voting lost() {
+  private static AcceptorState lost() {
     try {
-      return new Voting(null);
+      return new AcceptorState(null);
     } catch (MalformedMessageException e) {
       throw new AssertionError(e);
     }
@@ -379,7 +379,7 @@
     return dueAt;
   }
 
-  public Voting voting() {
+  public AcceptorState voting() {
     return voting;
   }
 
--- a/channels/src/main/java/tillerlink/channels/cue/Book.java
+++ b/channels/src/main/java/tillerlink/channels/cue/CueProjection.java
@@ -16,7 +16,7 @@
  * function of the events and their order alone, so gateways that compact at different moments have
  * the same one.
  */
-public final class Book {
+public final class CueProjection {
   /** Those touched longest ago are forgotten beyond it. */
   public static final int CUES_MOST = 5000;
 
@@ -132,8 +132,8 @@
     return out;
   }
 
-  public static Book read(FieldReader in) throws MalformedMessageException {
-    Book book = new Book();
+  public static CueProjection read(FieldReader in) throws MalformedMessageException {
+    CueProjection book = new CueProjection();
     while (in.next()) {
       switch (in.field()) {
         case 1 -> book.count = in.number();
--- a/channels/src/main/java/tillerlink/channels/entry/Draft.java
+++ b/channels/src/main/java/tillerlink/channels/entry/AppendRequest.java
@@ -15,7 +15,8 @@
  * @param seen events on this cue that the client had before its eyes; null if it doesn't say, then
  *     what stands at the gateway counts as seen
  */
-public record Draft(Kind kind, String cue, String text, long airsAt, String key, List<Dot> seen) {
+public record AppendRequest(
+    Kind kind, String cue, String text, long airsAt, String key, List<Dot> seen) {
   /** Bytes, so that an event goes in one message that every link carries. */
   public static final int TEXT_MOST = 400;
 
--- a/channels/src/main/java/tillerlink/channels/entry/Stamps.java
+++ b/channels/src/main/java/tillerlink/channels/entry/HybridLogicalClock.java
@@ -10,7 +10,7 @@
  * was seen. What the fleet believes the time to be is the median of the walls heard of late, the
  * own one with them; one clock that is off by minutes is so outvoted by two that are not.
  */
-public final class Stamps {
+public final class HybridLogicalClock {
   private static final long HEARD_FOR = 100_000;
   private static final int GATEWAYS_MOST = 1024;
 
@@ -24,7 +24,7 @@
    * @param aheadMost milliseconds that a stamp may be ahead of what the fleet believes the time to
    *     be
    */
-  public Stamps(long aheadMost) {
+  public HybridLogicalClock(long aheadMost) {
     this.aheadMost = aheadMost;
   }
 
--- a/channels/src/main/java/tillerlink/channels/epoch/Voting.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/AcceptorState.java
@@ -12,10 +12,10 @@
 
 /**
  * What a gateway has promised and accepted on the agreed line. All of it is kept before it is said.
- * A promise given never falls: not by a restart, and, as {@link Witnesses} ask the others first,
+ * A promise given never falls: not by a restart, and, as {@link RejoinCheck} ask the others first,
  * not by a lost disk or an old copy of it.
  */
-public final class Voting {
+public final class AcceptorState {
   private Ballot promised = Ballot.NONE;
   private Ballot acceptedIn = Ballot.NONE;
   private Cut accepted;
@@ -25,7 +25,7 @@
   /**
    * @param kept what was kept, null if nothing
    */
-  public Voting(byte[] kept) throws MalformedMessageException {
+  public AcceptorState(byte[] kept) throws MalformedMessageException {
     if (kept != null) {
       knows = true;
       read(new FieldReader(kept));
--- a/channels/src/main/java/tillerlink/channels/epoch/Planner.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/Planner.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tillerlink.channels.journal.Holdings;
+import tillerlink.channels.journal.EventSet;
 import tillerlink.channels.journal.Journal;
 import tillerlink.messages.channels.ChannelsMessage.Standing;
 import tillerlink.messages.channels.Cut;
@@ -162,7 +162,7 @@
   }
 
   private static List<Span> spans(List<Entry> entries) {
-    Holdings holdings = new Holdings();
+    EventSet holdings = new EventSet();
     entries.forEach(entry -> holdings.add(entry.incarnation(), entry.sequence()));
     return holdings.spans();
   }
--- a/channels/src/main/java/tillerlink/channels/epoch/Witnesses.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/RejoinCheck.java
@@ -10,7 +10,7 @@
  * agreed to, as its disk may be lost, or an old copy, and can't tell so itself. Of any majority it
  * was ever part of there is one among those that answered: more than half of the others do.
  */
-public final class Witnesses {
+public final class RejoinCheck {
   private final String self;
   private final List<String> counted;
   private final TreeMap<String, Answer> answers = new TreeMap<>();
@@ -20,7 +20,7 @@
    * @param counted those that the operator counts in: who is not among them any more is not waited
    *     for
    */
-  public Witnesses(String self, List<String> counted) {
+  public RejoinCheck(String self, List<String> counted) {
     this.self = self;
     this.counted = counted;
   }
--- a/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
+++ b/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import tillerlink.channels.cue.Book;
 import tillerlink.channels.cue.Cue;
+import tillerlink.channels.cue.CueProjection;
 import tillerlink.cluster.Invariant;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Entry;
@@ -18,16 +18,16 @@
  */
 public final class ChannelLog {
   private final String name;
-  private final ArrayList<Placed> stable = new ArrayList<>();
+  private final ArrayList<OrderedEvent> stable = new ArrayList<>();
   private final TreeSet<Entry> tail = new TreeSet<>(Entry.ORDER);
   private final Map<String, TreeSet<Entry>> tailOf = new HashMap<>();
   private final Map<String, Entry> tailKeys = new HashMap<>();
-  private final Book base;
-  private final Book book;
+  private final CueProjection base;
+  private final CueProjection book;
   private long bytes;
   private long tailBytes;
 
-  ChannelLog(String name, Book base, Book book) {
+  ChannelLog(String name, CueProjection base, CueProjection book) {
     this.name = name;
     this.base = base;
     this.book = book;
@@ -63,12 +63,12 @@
     takeFromTail(entry);
     boolean late = entry.stamp() <= upToBefore;
     long at = late ? upToBefore >> Entry.COUNTER : entry.millis();
-    Placed last = stable.isEmpty() ? null : stable.get(stable.size() - 1);
+    OrderedEvent last = stable.isEmpty() ? null : stable.get(stable.size() - 1);
     Invariant.holds(
         last == null || last.slot() < slot || Entry.ORDER.compare(last.entry(), entry) < 0,
         () -> "the stable prefix of " + name + " is not in order at " + entry.dot().text());
     boolean repeat = book.take(entry, at);
-    stable.add(new Placed(entry, slot, at, late, repeat));
+    stable.add(new OrderedEvent(entry, slot, at, late, repeat));
     Invariant.holds(
         book.count() == base.count() + stable.size(),
         () -> "the sum of " + name + " counts otherwise");
@@ -76,7 +76,7 @@
 
   /** Puts the first stable events into the sum. */
   void compact(int count) {
-    for (Placed placed : stable.subList(0, count)) {
+    for (OrderedEvent placed : stable.subList(0, count)) {
       base.take(placed.entry(), placed.at());
       bytes -= placed.entry().weight();
     }
@@ -106,7 +106,7 @@
     return book.count();
   }
 
-  public Placed stable(long index) {
+  public OrderedEvent stable(long index) {
     return stable.get((int) (index - base.count()));
   }
 
@@ -122,7 +122,7 @@
     return tailBytes;
   }
 
-  Book base() {
+  CueProjection base() {
     return base;
   }
 
@@ -144,7 +144,7 @@
     Cue copy = book.copyOf(cue);
     for (Entry entry : tailOf.getOrDefault(cue, new TreeSet<>(Entry.ORDER))) {
       if (!isRepeat(entry)) {
-        Book.take(
+        CueProjection.take(
             copy,
             entry,
             Math.max(entry.stamp(), entry.stamp() <= upTo ? upTo : 0) >> Entry.COUNTER);
--- a/channels/src/main/java/tillerlink/channels/journal/Sum.java
+++ b/channels/src/main/java/tillerlink/channels/journal/CompactedState.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tillerlink.channels.cue.Book;
+import tillerlink.channels.cue.CueProjection;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
@@ -14,13 +14,13 @@
  * All that was compacted, up to a step: what a gateway far behind starts from, and what is kept in
  * place of events.
  */
-public record Sum(
+public record CompactedState(
     long slot,
     long upTo,
     long digest,
     List<String> voters,
     List<Span> spans,
-    Map<String, Book> books) {
+    Map<String, CueProjection> books) {
   public byte[] bytes() {
     FieldWriter out = new FieldWriter().number(1, slot).fixed(2, upTo).fixed(3, digest);
     voters.forEach(voter -> out.text(4, voter));
@@ -37,14 +37,14 @@
     return out.done();
   }
 
-  public static Sum read(byte[] bytes) throws MalformedMessageException {
+  public static CompactedState read(byte[] bytes) throws MalformedMessageException {
     FieldReader in = new FieldReader(bytes);
     long slot = 0;
     long upTo = 0;
     long digest = 0;
     List<String> voters = new ArrayList<>();
     List<Span> spans = new ArrayList<>();
-    Map<String, Book> books = new TreeMap<>();
+    Map<String, CueProjection> books = new TreeMap<>();
     while (in.next()) {
       switch (in.field()) {
         case 1 -> slot = in.number();
@@ -59,7 +59,7 @@
     if (slot <= 0 || voters.isEmpty()) {
       throw new MalformedMessageException("no sum");
     }
-    return new Sum(slot, upTo, digest, List.copyOf(voters), spans, books);
+    return new CompactedState(slot, upTo, digest, List.copyOf(voters), spans, books);
   }
 
   private static Span span(FieldReader in) throws MalformedMessageException {
@@ -74,13 +74,14 @@
     return new Span(of[0], of[1], of[2]);
   }
 
-  private static void book(FieldReader in, Map<String, Book> to) throws MalformedMessageException {
+  private static void book(FieldReader in, Map<String, CueProjection> to)
+      throws MalformedMessageException {
     String name = "";
-    Book book = new Book();
+    CueProjection book = new CueProjection();
     while (in.next()) {
       switch (in.field()) {
         case 1 -> name = in.text(255);
-        case 2 -> book = Book.read(in.within());
+        case 2 -> book = CueProjection.read(in.within());
         default -> {}
       }
     }
--- a/channels/src/main/java/tillerlink/channels/journal/Holdings.java
+++ b/channels/src/main/java/tillerlink/channels/journal/EventSet.java
@@ -10,7 +10,7 @@
  * A set of events, as ranges of sequence numbers of each incarnation: a version vector that bears
  * gaps.
  */
-public final class Holdings {
+public final class EventSet {
   private final TreeMap<Long, TreeMap<Long, Long>> ranges = new TreeMap<>();
   private long size;
 
--- a/channels/src/main/java/tillerlink/channels/journal/Journal.java
+++ b/channels/src/main/java/tillerlink/channels/journal/Journal.java
@@ -8,7 +8,7 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tillerlink.channels.cue.Book;
+import tillerlink.channels.cue.CueProjection;
 import tillerlink.cluster.Invariant;
 import tillerlink.messages.channels.Cut;
 import tillerlink.messages.channels.Entry;
@@ -24,14 +24,14 @@
   private static final int CUTS_AHEAD = 100_000;
 
   private final TreeMap<Long, TreeMap<Long, Entry>> entries = new TreeMap<>();
-  private final Holdings held = new Holdings();
-  private final Holdings placed = new Holdings();
-  private final Holdings extra = new Holdings();
+  private final EventSet held = new EventSet();
+  private final EventSet placed = new EventSet();
+  private final EventSet extra = new EventSet();
   private final TreeSet<Entry> tail = new TreeSet<>(Entry.ORDER);
   private final TreeMap<String, ChannelLog> logs = new TreeMap<>();
   private final TreeMap<Long, Cut> cuts = new TreeMap<>();
   private final TreeMap<Long, Long> digests = new TreeMap<>();
-  private Holdings compacted = new Holdings();
+  private EventSet compacted = new EventSet();
   private List<String> baseVoters;
   private long baseUpTo;
   private long baseDigest;
@@ -89,7 +89,8 @@
   }
 
   private ChannelLog log(String channel) {
-    return logs.computeIfAbsent(channel, name -> new ChannelLog(name, new Book(), new Book()));
+    return logs.computeIfAbsent(
+        channel, name -> new ChannelLog(name, new CueProjection(), new CueProjection()));
   }
 
   // ---- the agreed line ----
@@ -198,15 +199,15 @@
   }
 
   /** The sum of all that is compacted. */
-  public Sum sum() {
-    Map<String, Book> books = new TreeMap<>();
+  public CompactedState sum() {
+    Map<String, CueProjection> books = new TreeMap<>();
     logs.forEach(
         (name, log) -> {
           if (log.base().count() > 0) {
             books.put(name, log.base());
           }
         });
-    return new Sum(base, baseUpTo, baseDigest, baseVoters, compacted.spans(), books);
+    return new CompactedState(base, baseUpTo, baseDigest, baseVoters, compacted.spans(), books);
   }
 
   /**
@@ -215,9 +216,9 @@
    * @param again the same sum read a second time, for what comes on top of it
    * @return the events that were held and are not in the sum, in their order
    */
-  public List<Entry> startFrom(Sum sum, Sum again) {
+  public List<Entry> startFrom(CompactedState sum, CompactedState again) {
     Invariant.holds(sum.slot() >= base, () -> "a sum that is older than the own one");
-    Holdings in = new Holdings();
+    EventSet in = new EventSet();
     sum.spans().forEach(in::add);
     List<Entry> rest = new ArrayList<>();
     entries
@@ -267,22 +268,22 @@
     return rest;
   }
 
-  private static void clear(Holdings holdings) {
+  private static void clear(EventSet holdings) {
     holdings.spans().forEach(holdings::remove);
   }
 
   // ---- what is read ----
 
-  public Holdings held() {
+  public EventSet held() {
     return held;
   }
 
-  public Holdings placed() {
+  public EventSet placed() {
     return placed;
   }
 
   /** What is held and not in its final place. */
-  public Holdings extra() {
+  public EventSet extra() {
     return extra;
   }
 
--- a/channels/src/main/java/tillerlink/channels/journal/Placed.java
+++ b/channels/src/main/java/tillerlink/channels/journal/OrderedEvent.java
@@ -12,4 +12,4 @@
  *     agreed on
  * @param repeat an earlier event has the same key: this one changes nothing
  */
-public record Placed(Entry entry, long slot, long at, boolean late, boolean repeat) {}
+public record OrderedEvent(Entry entry, long slot, long at, boolean late, boolean repeat) {}
--- a/channels/src/main/java/tillerlink/channels/quota/Room.java
+++ b/channels/src/main/java/tillerlink/channels/quota/StorageQuota.java
@@ -9,7 +9,7 @@
  * together fit in after a cut. When that part is half full, only channels that hold more than their
  * equal share of it are refused, one more channel counted.
  */
-public final class Room {
+public final class StorageQuota {
   /** Asking again sooner is of no use: nothing is agreed on any faster. */
   public static final long COME_BACK = 50_000;
 
@@ -18,7 +18,7 @@
   /**
    * @param bytes what all events may take in memory, and on disk
    */
-  public Room(long bytes) {
+  public StorageQuota(long bytes) {
     this.bytes = bytes;
   }
 
--- a/channels/src/main/java/tillerlink/channels/recovery/Store.java
+++ b/channels/src/main/java/tillerlink/channels/recovery/Store.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
+import tillerlink.channels.journal.CompactedState;
 import tillerlink.channels.journal.Journal;
-import tillerlink.channels.journal.Sum;
 import tillerlink.cluster.KeyValueStore;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.FieldWriter;
@@ -130,7 +130,7 @@
     byte[] sum = foundSum();
     if (sum != null) {
       try {
-        journal.startFrom(Sum.read(sum), Sum.read(sum));
+        journal.startFrom(CompactedState.read(sum), CompactedState.read(sum));
       } catch (MalformedMessageException e) {
         unreadable++;
       }
--- a/channels/src/main/java/tillerlink/channels/sync/Wire.java
+++ b/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
@@ -9,7 +9,7 @@
 import tillerlink.messages.channels.ChannelsMessage;
 
 /** Sends messages to other gateways, and chooses whom to send what is for all. */
-public final class Wire {
+public final class ChannelTransport {
   /**
    * A fleet up to this size is told of everything straight; a larger one in part, and the rest
    * hears it from those.
@@ -22,7 +22,7 @@
   private long sent;
   private long sentBytes;
 
-  public Wire(MembershipView roster, MessageSender post, RandomGenerator random) {
+  public ChannelTransport(MembershipView roster, MessageSender post, RandomGenerator random) {
     this.roster = roster;
     this.post = post;
     this.random = random;
--- a/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import tillerlink.channels.journal.Holdings;
+import tillerlink.channels.journal.EventSet;
 import tillerlink.channels.journal.Journal;
 import tillerlink.cluster.MessageSender;
 import tillerlink.messages.channels.ChannelsMessage.CutsWanted;
@@ -57,7 +57,7 @@
   }
 
   private final Journal journal;
-  private final Wire wire;
+  private final ChannelTransport wire;
   private final TreeMap<String, Source> sources = new TreeMap<>();
   private String sumFrom = "";
   private long sumSlot;
@@ -67,7 +67,7 @@
   private long numbers;
   private long again;
 
-  public Fetcher(Journal journal, Wire wire) {
+  public Fetcher(Journal journal, ChannelTransport wire) {
     this.journal = journal;
     this.wire = wire;
   }
@@ -194,7 +194,7 @@
   }
 
   private List<Span> wanted(Source source) {
-    Holdings taken = new Holdings();
+    EventSet taken = new EventSet();
     for (Source other : sources.values()) {
       other.asked.forEach(taken::add);
     }
--- a/channels/src/main/java/tillerlink/channels/sync/Server.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Server.java
@@ -24,11 +24,11 @@
   private static final int SUM_PART = 1000;
 
   private final Journal journal;
-  private final Wire wire;
+  private final ChannelTransport wire;
   private byte[] sum = new byte[0];
   private long sumSlot = -1;
 
-  public Server(Journal journal, Wire wire) {
+  public Server(Journal journal, ChannelTransport wire) {
     this.journal = journal;
     this.wire = wire;
   }
--- a/channels/src/test/java/tillerlink/channels/CueRulesTest.java
+++ b/channels/src/test/java/tillerlink/channels/CueRulesTest.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import tillerlink.channels.cue.Cue;
-import tillerlink.channels.entry.Draft;
+import tillerlink.channels.entry.AppendRequest;
 import tillerlink.messages.channels.Kind;
 
 /**
@@ -56,7 +56,7 @@
 
   private void write(String gateway, Kind kind, String text, long airsIn) {
     long airs = kind == Kind.AIR ? fleet.net.wall(gateway) / 10 + airsIn : 0;
-    fleet.append(gateway, "news", new Draft(kind, "c", text, airs, "", null));
+    fleet.append(gateway, "news", new AppendRequest(kind, "c", text, airs, "", null));
     fleet.net.playFor(1000);
   }
 
@@ -166,7 +166,8 @@
               write("s1", Kind.CORRECTION, "in time, but cut off");
               for (int i = 0; i < 50; i++) {
                 fleet.net.playFor(Fleet.SECOND);
-                fleet.append("n1", "other", new Draft(Kind.NOTE, "", "goes on", 0, "", null));
+                fleet.append(
+                    "n1", "other", new AppendRequest(Kind.NOTE, "", "goes on", 0, "", null));
               }
             }));
   }
@@ -229,9 +230,9 @@
     fleet.startAll();
     fleet.net.playFor(Fleet.SECOND);
     fleet.cut(List.of("s1"));
-    fleet.append("n1", "news", new Draft(Kind.CUE, "c", "once", 0, "key", null));
+    fleet.append("n1", "news", new AppendRequest(Kind.CUE, "c", "once", 0, "key", null));
     fleet.net.playFor(1000);
-    fleet.append("s1", "news", new Draft(Kind.CUE, "c", "once", 0, "key", null));
+    fleet.append("s1", "news", new AppendRequest(Kind.CUE, "c", "once", 0, "key", null));
     fleet.net.heal();
     fleet.net.playFor(10 * Fleet.SECOND);
     assertEquals("'once' of [once] []", told());
@@ -241,7 +242,7 @@
     fleet.append(
         "w1",
         "news",
-        new Draft(Kind.CUE, "c", "once", 0, "key", null),
+        new AppendRequest(Kind.CUE, "c", "once", 0, "key", null),
         dot -> again[0] = dot.text());
     assertEquals(page.lines().get(0).entry().dot().text(), again[0]);
   }
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -8,8 +8,8 @@
 import java.util.NavigableMap;
 import java.util.Random;
 import java.util.TreeMap;
-import tillerlink.channels.entry.Appended;
-import tillerlink.channels.entry.Draft;
+import tillerlink.channels.entry.AppendRequest;
+import tillerlink.channels.entry.AppendResult;
 import tillerlink.cluster.KeyValueStore;
 import tillerlink.cluster.MembershipView;
 import tillerlink.cluster.Reachability;
@@ -139,11 +139,12 @@
     }
   }
 
-  void append(String name, String channel, Draft draft) {
+  void append(String name, String channel, AppendRequest draft) {
     append(name, channel, draft, dot -> {});
   }
 
-  void append(String name, String channel, Draft draft, java.util.function.Consumer<Dot> taken) {
+  void append(
+      String name, String channel, AppendRequest draft, java.util.function.Consumer<Dot> taken) {
     Channels channels = running.get(name);
     if (channels == null) {
       return;
@@ -154,9 +155,9 @@
         channel,
         draft,
         answer -> {
-          if (answer instanceof Appended.Taken it && it.again()) {
+          if (answer instanceof AppendResult.Taken it && it.again()) {
             taken.accept(it.id());
-          } else if (answer instanceof Appended.Taken it) {
+          } else if (answer instanceof AppendResult.Taken it) {
             String says = channel + " " + draft.kind() + " " + draft.cue() + " " + draft.text();
             String was = answered.put(it.id().text(), says);
             if (was != null && !was.equals(says)) {
@@ -171,8 +172,8 @@
     net.touched(name);
   }
 
-  static Draft cue(String cue, String text) {
-    return new Draft(Kind.CUE, cue, text, 0, "", null);
+  static AppendRequest cue(String cue, String text) {
+    return new AppendRequest(Kind.CUE, cue, text, 0, "", null);
   }
 
   static String says(Page.Line line) {
--- a/channels/src/test/java/tillerlink/channels/History.java
+++ b/channels/src/test/java/tillerlink/channels/History.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
-import tillerlink.channels.entry.Draft;
+import tillerlink.channels.entry.AppendRequest;
 import tillerlink.messages.channels.Kind;
 import tillerlink.simulation.Fault;
 import tillerlink.simulation.InMemoryKeyValueStore;
@@ -211,22 +211,22 @@
     int what = fleet.random.nextInt(8);
     String cue = "c" + fleet.random.nextInt(5);
     String key = fleet.random.nextInt(3) == 0 ? "k" + fleet.random.nextInt(30) : "";
-    Draft draft =
+    AppendRequest draft =
         what < 3
-            ? new Draft(Kind.CUE, cue, "t" + n, 0, key, null)
+            ? new AppendRequest(Kind.CUE, cue, "t" + n, 0, key, null)
             : what < 5
-                ? new Draft(Kind.CORRECTION, cue, "t" + n, 0, key, null)
+                ? new AppendRequest(Kind.CORRECTION, cue, "t" + n, 0, key, null)
                 : what < 6
-                    ? new Draft(Kind.RETRACTION, cue, "", 0, key, null)
+                    ? new AppendRequest(Kind.RETRACTION, cue, "", 0, key, null)
                     : what < 7
-                        ? new Draft(
+                        ? new AppendRequest(
                             Kind.AIR,
                             cue,
                             "",
                             fleet.net.wall(name) / 10 + fleet.random.nextInt(20_000),
                             key,
                             null)
-                        : new Draft(Kind.NOTE, "", "note " + n, 0, key, null);
+                        : new AppendRequest(Kind.NOTE, "", "note " + n, 0, key, null);
     fleet.append(name, CHANNELS.get(fleet.random.nextInt(2)), draft);
   }
 
--- a/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
+++ b/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
@@ -134,8 +134,8 @@
         caught(
             each(
                 channels -> {
-                  tillerlink.channels.journal.Holdings extra =
-                      (tillerlink.channels.journal.Holdings) get(channels, "journal", "extra");
+                  tillerlink.channels.journal.EventSet extra =
+                      (tillerlink.channels.journal.EventSet) get(channels, "journal", "extra");
                   List<Span> spans = extra.spans();
                   if (spans.size() > 1) {
                     extra.remove(spans.get(0));
--- a/channels/src/test/java/tillerlink/channels/RoomTest.java
+++ b/channels/src/test/java/tillerlink/channels/RoomTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
-import tillerlink.channels.entry.Draft;
+import tillerlink.channels.entry.AppendRequest;
 import tillerlink.cluster.MessageSender;
 import tillerlink.messages.channels.Kind;
 import tillerlink.simulation.Fault;
@@ -28,8 +28,8 @@
     return fleet;
   }
 
-  private static Draft note(String text) {
-    return new Draft(Kind.NOTE, "", text, 0, "", null);
+  private static AppendRequest note(String text) {
+    return new AppendRequest(Kind.NOTE, "", text, 0, "", null);
   }
 
   private static void write(Fleet fleet, String name, int events) {
--- a/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
+++ b/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
@@ -16,13 +16,13 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 import org.junit.jupiter.api.Test;
-import tillerlink.channels.cue.Book;
+import tillerlink.channels.cue.CueProjection;
 import tillerlink.channels.cue.Flag;
-import tillerlink.channels.epoch.Voting;
+import tillerlink.channels.epoch.AcceptorState;
 import tillerlink.channels.journal.ChannelLog;
+import tillerlink.channels.journal.CompactedState;
 import tillerlink.channels.journal.Journal;
-import tillerlink.channels.journal.Placed;
-import tillerlink.channels.journal.Sum;
+import tillerlink.channels.journal.OrderedEvent;
 import tillerlink.cluster.KeyValueStore;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.channels.Ballot;
@@ -124,8 +124,8 @@
             2, stamp(5), List.of(new Span(ONE, 4, 4), new Span(OTHER, 2, 3)), List.of("n1", "s1")));
   }
 
-  private static Voting voting() throws Exception {
-    Voting voting = new Voting(null);
+  private static AcceptorState voting() throws Exception {
+    AcceptorState voting = new AcceptorState(null);
     voting.started("n2", 0x33);
     voting.started("s1", OTHER);
     voting.accept(new Ballot(300, "n1"), cuts().get(1));
@@ -234,7 +234,7 @@
   @Test
   void thePromisesAreFound() throws Exception {
     byte[] kept = new Store(new MapKeep(read(EVENTS))).foundVoting();
-    Voting voting = new Voting(kept);
+    AcceptorState voting = new AcceptorState(kept);
     assertTrue(voting.knows());
     assertEquals(new Ballot(301, "s1"), voting.promised());
     assertEquals(new Ballot(300, "n1"), voting.acceptedIn());
@@ -254,7 +254,7 @@
     ChannelLog tv = journal.logs().get("tv");
     List<String> order = new ArrayList<>();
     for (long i = tv.first(); i < tv.stableCount(); i++) {
-      Placed placed = tv.stable(i);
+      OrderedEvent placed = tv.stable(i);
       order.add(
           placed.entry().gateway()
               + "-"
@@ -275,7 +275,7 @@
     for (int steps = 1; steps <= 2; steps++) {
       MapKeep keep = summed(steps);
       byte[] kept = keep.values.get(String.format("s/%016x/%016x", steps, 0));
-      Sum sum = Sum.read(kept);
+      CompactedState sum = CompactedState.read(kept);
       assertArrayEquals(kept, sum.bytes());
       assertEquals(steps, sum.slot());
       assertEquals(cuts().get(steps - 1).upTo(), sum.upTo());
@@ -295,8 +295,8 @@
   @Test
   void theCuesAndKeysInTheSumAreFound() throws Exception {
     byte[] kept = summed(2).values.get(String.format("s/%016x/%016x", 2, 0));
-    Map<String, Book> books = Sum.read(kept).books();
-    Book tv = books.get("tv");
+    Map<String, CueProjection> books = CompactedState.read(kept).books();
+    CueProjection tv = books.get("tv");
     assertEquals(List.of("radio", "tv"), List.copyOf(books.keySet()));
     assertEquals(6, tv.count());
     assertEquals(1, books.get("radio").count());
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsHttpHandler.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 import java.util.ArrayDeque;
 import tillerlink.channels.Channels;
-import tillerlink.channels.entry.Appended;
-import tillerlink.channels.entry.Draft;
+import tillerlink.channels.entry.AppendRequest;
+import tillerlink.channels.entry.AppendResult;
 import tillerlink.cluster.ClusterComponent;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpRequest;
@@ -106,7 +106,7 @@
       reply.answer(HttpResponse.problem(405, "Method", 0));
       return;
     }
-    Draft draft;
+    AppendRequest draft;
     try {
       draft = ChannelsJson.draft(call.body(), call.fields().getOrDefault(KEY, ""));
     } catch (IOException e) {
@@ -121,8 +121,8 @@
     }
   }
 
-  private static HttpResponse answer(Appended appended) {
-    if (appended instanceof Appended.Refused it) {
+  private static HttpResponse answer(AppendResult appended) {
+    if (appended instanceof AppendResult.Refused it) {
       return it.comeBack() > 0
           ? new HttpResponse(
               503,
@@ -131,7 +131,7 @@
               false)
           : new HttpResponse(409, ChannelsJson.problem("Refused", it.why()), 0, false);
     }
-    return new HttpResponse(200, ChannelsJson.taken((Appended.Taken) appended), 0, false);
+    return new HttpResponse(200, ChannelsJson.taken((AppendResult.Taken) appended), 0, false);
   }
 
   @Override
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsJson.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsJson.java
@@ -15,8 +15,8 @@
 import tillerlink.channels.Page;
 import tillerlink.channels.State;
 import tillerlink.channels.cue.Cue;
-import tillerlink.channels.entry.Appended;
-import tillerlink.channels.entry.Draft;
+import tillerlink.channels.entry.AppendRequest;
+import tillerlink.channels.entry.AppendResult;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.Kind;
@@ -51,7 +51,7 @@
         });
   }
 
-  static byte[] taken(Appended.Taken taken) {
+  static byte[] taken(AppendResult.Taken taken) {
     return object(
         json -> {
           json.writeStringField("id", taken.id().text());
@@ -63,7 +63,7 @@
   /**
    * @throws IOException in words for the client, if that is no event
    */
-  static Draft draft(byte[] body, String key) throws IOException {
+  static AppendRequest draft(byte[] body, String key) throws IOException {
     Kind kind = null;
     String cue = "";
     String text = "";
@@ -92,7 +92,7 @@
     } catch (JsonProcessingException e) {
       throw new IOException("no JSON: " + e.getOriginalMessage(), e);
     }
-    Draft draft = new Draft(kind, cue, text, airsAt, key, seen);
+    AppendRequest draft = new AppendRequest(kind, cue, text, airsAt, key, seen);
     String fault = draft.fault().orElse(null);
     want(fault == null, fault);
     return draft;
@@ -124,7 +124,7 @@
     while (json.nextToken() != JsonToken.END_ARRAY) {
       String id = text(json, "seen");
       seen.add(Dot.parse(id).orElseThrow(() -> new IOException("'" + id + "' is no event's id")));
-      want(seen.size() <= Draft.SEEN_MOST, "too many in 'seen'");
+      want(seen.size() <= AppendRequest.SEEN_MOST, "too many in 'seen'");
     }
     return seen;
   }
--- a/peering/src/test/java/tillerlink/peering/together/Story.java
+++ b/peering/src/test/java/tillerlink/peering/together/Story.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import tillerlink.channels.Page;
-import tillerlink.channels.entry.Appended;
-import tillerlink.channels.entry.Draft;
+import tillerlink.channels.entry.AppendRequest;
+import tillerlink.channels.entry.AppendResult;
 import tillerlink.cluster.Reachability;
 import tillerlink.messages.channels.Kind;
 import tillerlink.messages.statements.Change;
@@ -100,7 +100,8 @@
 
   private void append(String name, int n) {
     if (up.containsKey(name)) {
-      Draft draft = new Draft(Kind.CUE, "c" + random.nextInt(4), "t" + n, 0, "", null);
+      AppendRequest draft =
+          new AppendRequest(Kind.CUE, "c" + random.nextInt(4), "t" + n, 0, "", null);
       up.get(name)
           .channels
           .append(
@@ -109,7 +110,7 @@
               CHANNEL,
               draft,
               answer -> {
-                if (answer instanceof Appended.Taken taken) {
+                if (answer instanceof AppendResult.Taken taken) {
                   answered.add(taken.id().text());
                 }
               });
