--- a/audit/src/main/java/tillerlink/audit/Auditor.java
+++ b/audit/src/main/java/tillerlink/audit/Auditor.java
@@ -80,7 +80,7 @@
   private final List<ArrayDeque<Long>> taken = new ArrayList<>();
   private final List<ArrayDeque<Long>> further = new ArrayList<>();
   private final Map<Rule, Long> counts = new EnumMap<>(Rule.class);
-  private final List<Breach> breaches = new ArrayList<>();
+  private final List<Violation> breaches = new ArrayList<>();
 
   /** Ordered tracks: of each key, those taken and not over, first come first. */
   private final Map<String, ArrayDeque<String>> lines = new HashMap<>();
@@ -102,7 +102,7 @@
 
   private void breach(Rule rule, long at, String what) {
     if (counts.merge(rule, 1L, Long::sum) <= KEPT_OF_EACH) {
-      breaches.add(new Breach(rule, at, what));
+      breaches.add(new Violation(rule, at, what));
     }
   }
 
@@ -370,7 +370,7 @@
   }
 
   /** The first of each rule. */
-  public List<Breach> breaches() {
+  public List<Violation> breaches() {
     return breaches;
   }
 
--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -10,7 +10,7 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.replay.Figures;
 import tillerlink.replay.Front;
-import tillerlink.replay.SeatLines;
+import tillerlink.replay.GatewayConnections;
 import tillerlink.replay.Wording;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.Track;
@@ -47,7 +47,8 @@
   private static void inFlight(boolean http2) {
     World world = world(http2);
     Front front =
-        new Front(world, new SeatLines(world), new Figures(List.of(TRACK)), new Wording(1, 0));
+        new Front(
+            world, new GatewayConnections(world), new Figures(List.of(TRACK)), new Wording(1, 0));
     for (int i = 0; i < 1000; i++) {
       Arrival arrival = new Arrival(i * 10, i, 0, 60_000, 1, i % 64, i);
       world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
@@ -71,7 +72,7 @@
     World world = world(http2);
     world.meter = new Meter();
     Figures figures = new Figures(List.of(TRACK));
-    Front front = new Front(world, new SeatLines(world), figures, new Wording(1, 0.2));
+    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(1, 0.2));
     double gap = 500 / (world.fleet.cores() * 0.5);
     for (int i = 0; i < SUBMISSIONS; i++) {
       Arrival arrival = new Arrival((long) (i * gap), i, 0, 500, 1, i % 64, i);
--- a/channels/src/test/java/tillerlink/channels/RoomTest.java
+++ b/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
@@ -14,7 +14,7 @@
 import tillerlink.simulation.InMemoryKeyValueStore;
 
 /** Compaction, the sum for those far behind, bounds, full disks, links for small messages. */
-class RoomTest {
+class StorageQuotaTest {
   private static final List<String> THREE = List.of("n1", "s1", "w1");
 
   private static Fleet fleet(long bytes, int cuts) {
--- a/emulator/src/main/java/tillerlink/emulator/HopWatch.java
+++ b/emulator/src/main/java/tillerlink/emulator/AttemptObserver.java
@@ -5,16 +5,16 @@
 import java.util.function.Predicate;
 import tillerlink.audit.Auditor;
 import tillerlink.fakes.EngineCommands.Command;
-import tillerlink.fakes.Says;
+import tillerlink.fakes.EngineReplies;
 
 /** Tells the auditor of the hops on one connection, from what crosses it. */
-public final class HopWatch {
+public final class AttemptObserver {
   private final Auditor auditor;
   private final int gateway;
   private final String engine;
   private final Set<String> hops = new LinkedHashSet<>();
 
-  public HopWatch(Auditor auditor, int gateway, String engine) {
+  public AttemptObserver(Auditor auditor, int gateway, String engine) {
     this.auditor = auditor;
     this.gateway = gateway;
     this.engine = engine;
@@ -39,7 +39,7 @@
   }
 
   /** The engine says something; what ends a hop is taken as the gateway is about to learn it. */
-  public void comesBack(Says what) {
+  public void comesBack(EngineReplies what) {
     switch (what.word()) {
       case REFUSED -> over(what.id(), true);
       case OK, ERROR -> over(what.id(), false);
--- a/emulator/src/main/java/tillerlink/emulator/Receipts.java
+++ b/emulator/src/main/java/tillerlink/emulator/DeduplicationLog.java
@@ -3,11 +3,11 @@
 import java.util.LinkedHashMap;
 
 /** The marks that a group of engines has seen, each for a time. */
-final class Receipts {
+final class DeduplicationLog {
   private final LinkedHashMap<String, Long> seen = new LinkedHashMap<>();
   private final long window;
 
-  Receipts(long window) {
+  DeduplicationLog(long window) {
     this.window = window;
   }
 
--- a/emulator/src/main/java/tillerlink/emulator/Link.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 import java.util.List;
 import tillerlink.fakes.EngineCommands.Command;
-import tillerlink.fakes.EngineSide;
-import tillerlink.fakes.Says;
+import tillerlink.fakes.EngineReplies;
+import tillerlink.fakes.LineProtocolServer;
 import tillerlink.fleet.Kind;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.DisconnectReason;
@@ -14,22 +14,22 @@
  * A connection from a gateway to an engine: bytes take a while, in order; a machine that is silent
  * swallows them.
  */
-final class Link implements Channel, Peer {
+final class EmulatedConnection implements Channel, Peer {
   private static final int LATE_MOST = 200;
   private static final long WORD_LATE = 1000;
   private static final long SAID_LATE = 3000;
 
   private final World world;
-  private final Seat seat;
+  private final EmulatedGateway seat;
   private final int life;
   private final Owner owner;
   private final EmulatedEngine engine;
   private final long delay;
-  private final HopWatch hops;
-  private final EngineSide side;
+  private final AttemptObserver hops;
+  private final LineProtocolServer side;
 
   /** What goes out at the gateway: the same reader as at the other end. */
-  private final EngineSide outgoing;
+  private final LineProtocolServer outgoing;
 
   private boolean up;
   private boolean over;
@@ -48,7 +48,8 @@
 
   private long inAt;
 
-  Link(World world, Seat seat, Owner owner, EmulatedEngine engine, long delay) {
+  EmulatedConnection(
+      World world, EmulatedGateway seat, Owner owner, EmulatedEngine engine, long delay) {
     this.world = world;
     this.seat = seat;
     this.owner = owner;
@@ -56,9 +57,10 @@
     this.delay = delay;
     life = seat.life();
     Kind kind = engine == null ? null : world.fleet.kinds().get(engine.spec.kind());
-    side = kind == null ? new EngineSide.Lines() : world.sides.apply(engine.spec);
-    outgoing = kind == null ? new EngineSide.Lines() : kind.side();
-    hops = new HopWatch(world.auditor, seat.place, engine == null ? "?" : engine.spec.name());
+    side = kind == null ? new LineProtocolServer.Lines() : world.sides.apply(engine.spec);
+    outgoing = kind == null ? new LineProtocolServer.Lines() : kind.side();
+    hops =
+        new AttemptObserver(world.auditor, seat.place, engine == null ? "?" : engine.spec.name());
     world.timeline.at(world.now() + 2 * delay, this::comeUp);
   }
 
@@ -188,7 +190,7 @@
 
   /** It reaches the gateway a while later. */
   @Override
-  public void say(Says what) {
+  public void say(EngineReplies what) {
     travel(side.say(what));
     world.timeline.at(
         Math.max(inAt, world.now() + delay),
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.EngineReplies;
 import tillerlink.fakes.Results;
-import tillerlink.fakes.Says;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Kind;
 import tillerlink.fleet.Spec;
@@ -139,11 +139,11 @@
       case TURN ->
           link.say(
               results.containsKey(command.id())
-                  ? Says.batch(
+                  ? EngineReplies.batch(
                       command.id(), command.page(), Results.page(command.id(), command.page()))
-                  : Says.error(command.id()));
+                  : EngineReplies.error(command.id()));
       case SHUT -> results.remove(command.id());
-      default -> link.say(Says.yes(command.id()));
+      default -> link.say(EngineReplies.yes(command.id()));
     }
   }
 
@@ -163,15 +163,15 @@
     World.Job job = world.job(command.id());
     int way = world.choices.choose("engine", 4);
     if (way == 2) {
-      link.say(Says.error(command.id()));
+      link.say(EngineReplies.error(command.id()));
       return;
     }
     if (way == 1 || draining || cores.running() >= sessionsMost) {
-      link.say(Says.refused(command.id()));
+      link.say(EngineReplies.refused(command.id()));
       return;
     }
     if (job == null) {
-      link.say(Says.error(command.id()));
+      link.say(EngineReplies.error(command.id()));
       return;
     }
     double work = job.work();
@@ -211,8 +211,8 @@
       double share = Math.rint(cores.shareDone(query.load) * 1000) / 1000;
       query.link.say(
           missing > 0
-              ? Says.progress(query.id, "missing", Math.rint(missing))
-              : Says.progress(query.id, "frac", share));
+              ? EngineReplies.progress(query.id, "missing", Math.rint(missing))
+              : EngineReplies.progress(query.id, "frac", share));
     }
     world.timeline.at(world.now() + world.fleet.notesEvery(), () -> note(query));
   }
@@ -250,7 +250,7 @@
     if (pages > 1 || world.fleet.kinds().get(spec.kind()).http2()) {
       keep(query.id);
     }
-    query.link.say(Says.ok(query.id, pages, Results.page(query.id, 0)));
+    query.link.say(EngineReplies.ok(query.id, pages, Results.page(query.id, 0)));
   }
 
   private void keep(String id) {
--- a/emulator/src/main/java/tillerlink/emulator/Seat.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
@@ -21,7 +21,7 @@
  * A real gateway, its state and its module, on a driver in memory: what comes at one moment is told
  * in one turn, in the order in which it came, as by the turn thread of a process.
  */
-public final class Seat implements NetworkDriver {
+public final class EmulatedGateway implements NetworkDriver {
   private static final long NAME_DELAY = 5;
   private static final long BYTES_MOST = 16L << 20;
 
@@ -35,9 +35,9 @@
   private boolean turnDue;
   private long armedFor = Long.MAX_VALUE;
   private int life;
-  private final Set<Link> links = new LinkedHashSet<>();
+  private final Set<EmulatedConnection> links = new LinkedHashSet<>();
 
-  Seat(World world, int place, DispatchPolicyFactory modules, long seed) {
+  EmulatedGateway(World world, int place, DispatchPolicyFactory modules, long seed) {
     this.world = world;
     this.place = place;
     this.modules = modules;
@@ -76,7 +76,7 @@
   void kill() {
     life++;
     gateway = null;
-    List.copyOf(links).forEach(Link::drop);
+    List.copyOf(links).forEach(EmulatedConnection::drop);
   }
 
   /** Connections to engines that it counts as open or coming up. */
@@ -103,7 +103,7 @@
     return List.copyOf(links);
   }
 
-  void forget(Link link) {
+  void forget(EmulatedConnection link) {
     links.remove(link);
   }
 
@@ -171,7 +171,8 @@
 
   @Override
   public Channel dial(InetSocketAddress to, Channel.Owner owner) {
-    Link link = new Link(world, this, owner, world.at(to), world.delay(place, to));
+    EmulatedConnection link =
+        new EmulatedConnection(world, this, owner, world.at(to), world.delay(place, to));
     links.add(link);
     return link;
   }
--- a/emulator/src/main/java/tillerlink/emulator/Peer.java
+++ b/emulator/src/main/java/tillerlink/emulator/Peer.java
@@ -1,11 +1,11 @@
 package tillerlink.emulator;
 
-import tillerlink.fakes.Says;
+import tillerlink.fakes.EngineReplies;
 import tillerlink.net.state.DisconnectReason;
 
 /** A connection as an engine sees it. */
 public interface Peer {
-  void say(Says what);
+  void say(EngineReplies what);
 
   /** The engine's process breaks it. */
   void cut(DisconnectReason how);
--- a/emulator/src/main/java/tillerlink/emulator/World.java
+++ b/emulator/src/main/java/tillerlink/emulator/World.java
@@ -13,7 +13,7 @@
 import java.util.function.IntConsumer;
 import java.util.function.IntFunction;
 import tillerlink.audit.Auditor;
-import tillerlink.fakes.EngineSide;
+import tillerlink.fakes.LineProtocolServer;
 import tillerlink.fakes.NameAnswer;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Spec;
@@ -44,10 +44,10 @@
   public final List<Track> tracks;
   public final Timeline timeline;
   public final Auditor auditor;
-  public final List<Seat> seats = new ArrayList<>();
+  public final List<EmulatedGateway> seats = new ArrayList<>();
 
   /** How engines speak on a new connection; tests put in others that misbehave. */
-  public Function<Spec, EngineSide> sides;
+  public Function<Spec, LineProtocolServer> sides;
 
   /** What each gateway remembers over a restart, by its place; null for nothing. */
   public IntFunction<EndpointCache> recalls = place -> null;
@@ -66,7 +66,7 @@
    */
   public Random mischief;
 
-  final Receipts receipts;
+  final DeduplicationLog receipts;
   private final Map<String, Job> jobs = new HashMap<>();
   private final Map<InetSocketAddress, EmulatedEngine> byAddress = new HashMap<>();
   private final Map<String, EmulatedEngine> byName = new LinkedHashMap<>();
@@ -89,7 +89,7 @@
     this.auditor = auditor;
     this.start = start;
     timeline = new Timeline(start);
-    receipts = new Receipts(tracks.stream().mapToLong(Track::window).max().orElse(0));
+    receipts = new DeduplicationLog(tracks.stream().mapToLong(Track::window).max().orElse(0));
     for (Spec spec : fleet.engines()) {
       up(spec, 0);
     }
@@ -98,7 +98,7 @@
   /** Gateways on a driver in memory. */
   public World seat(DispatchPolicyFactory modules, long seed) {
     for (int i = 0; i < fleet.gateways(); i++) {
-      seats.add(new Seat(this, i, modules, seed));
+      seats.add(new EmulatedGateway(this, i, modules, seed));
     }
     onKill(place -> seats.get(place).kill());
     onStart(place -> seats.get(place).start());
--- a/emulator/src/test/java/tillerlink/emulator/MachineryTest.java
+++ b/emulator/src/test/java/tillerlink/emulator/MachineryTest.java
@@ -97,7 +97,7 @@
 
   @Test
   void aMarkIsForgottenAfterItsTime() {
-    Receipts receipts = new Receipts(100);
+    DeduplicationLog receipts = new DeduplicationLog(100);
     assertTrue(receipts.first(0, "a"));
     assertTrue(!receipts.first(99, "a"));
     assertTrue(receipts.first(100, "a"));
--- a/endpointcache/src/test/java/tillerlink/endpointcache/MemoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
@@ -17,7 +17,7 @@
  * What is remembered over a restart, what is written for it, and which lists are not believed at
  * once.
  */
-class MemoryTest {
+class EndpointHistoryTest {
   private static final long SECOND = 10_000;
   private static final long STOP = 2 * SECOND;
   private static final long HOUR = 3600 * SECOND;
--- a/fakes/src/main/java/tillerlink/fakes/Says.java
+++ b/fakes/src/main/java/tillerlink/fakes/EngineReplies.java
@@ -9,7 +9,8 @@
  * @param number of all pages with {@code OK}, the page's with {@code BATCH}
  * @param about what a note tells: frac, missing or parked
  */
-public record Says(Word word, String id, int number, String about, double level, byte[] body) {
+public record EngineReplies(
+    Word word, String id, int number, String about, double level, byte[] body) {
   /** What it is. */
   public enum Word {
     OK,
@@ -22,28 +23,28 @@
 
   private static final byte[] NOTHING = new byte[0];
 
-  public static Says ok(String id, int pages, byte[] first) {
-    return new Says(Word.OK, id, pages, null, 0, first);
+  public static EngineReplies ok(String id, int pages, byte[] first) {
+    return new EngineReplies(Word.OK, id, pages, null, 0, first);
   }
 
-  public static Says batch(String id, int page, byte[] body) {
-    return new Says(Word.BATCH, id, page, null, 0, body);
+  public static EngineReplies batch(String id, int page, byte[] body) {
+    return new EngineReplies(Word.BATCH, id, page, null, 0, body);
   }
 
-  public static Says refused(String id) {
-    return new Says(Word.REFUSED, id, 0, null, 0, NOTHING);
+  public static EngineReplies refused(String id) {
+    return new EngineReplies(Word.REFUSED, id, 0, null, 0, NOTHING);
   }
 
-  public static Says error(String id) {
-    return new Says(Word.ERROR, id, 0, null, 0, NOTHING);
+  public static EngineReplies error(String id) {
+    return new EngineReplies(Word.ERROR, id, 0, null, 0, NOTHING);
   }
 
-  public static Says yes(String tag) {
-    return new Says(Word.YES, tag, 0, null, 0, NOTHING);
+  public static EngineReplies yes(String tag) {
+    return new EngineReplies(Word.YES, tag, 0, null, 0, NOTHING);
   }
 
-  public static Says progress(String id, String about, double level) {
-    return new Says(Word.PROGRESS, id, 0, about, level, NOTHING);
+  public static EngineReplies progress(String id, String about, double level) {
+    return new EngineReplies(Word.PROGRESS, id, 0, about, level, NOTHING);
   }
 
   /** On engine lines. */
--- a/fakes/src/main/java/tillerlink/fakes/H2Side.java
+++ b/fakes/src/main/java/tillerlink/fakes/Http2Server.java
@@ -25,7 +25,7 @@
 /**
  * A stand-in engine's side of HTTP/2, worded as docs/http2-wire.md says; tests make it misbehave.
  */
-public final class H2Side implements EngineSide {
+public final class Http2Server implements LineProtocolServer {
   private static final byte[] PREFACE =
       "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
   private static final int TABLE = 4096;
@@ -71,7 +71,7 @@
   /**
    * @param streamsMost how many streams it lets be open
    */
-  public H2Side(int streamsMost) {
+  public Http2Server(int streamsMost) {
     limit(streamsMost);
   }
 
@@ -136,8 +136,8 @@
   }
 
   @Override
-  public boolean leftBehind(EngineSide sender, String hop) {
-    Integer id = ((H2Side) sender).byHop.get(hop);
+  public boolean leftBehind(LineProtocolServer sender, String hop) {
+    Integer id = ((Http2Server) sender).byHop.get(hop);
     return id != null && id > goneAbove;
   }
 
@@ -304,7 +304,7 @@
   }
 
   @Override
-  public byte[] say(Says what) {
+  public byte[] say(EngineReplies what) {
     Integer id = byHop.get(what.id());
     Stream stream = id == null ? null : streams.get(id);
     if (stream == null) {
--- a/fakes/src/main/java/tillerlink/fakes/EngineSide.java
+++ b/fakes/src/main/java/tillerlink/fakes/LineProtocolServer.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** An engine's side of one connection, in the protocol that it speaks; knows no socket. */
-public interface EngineSide {
+public interface LineProtocolServer {
   void feed(byte[] bytes);
 
   /**
@@ -17,7 +17,7 @@
    * What is to be written for that; empty where the protocol has no word for it, or its window is
    * shut.
    */
-  byte[] say(Says what);
+  byte[] say(EngineReplies what);
 
   /**
    * What the protocol itself owes since it was last asked: receipts, windows, and what these had
@@ -34,12 +34,12 @@
    * Whether it has said that it does not act on a hop that was sent on the connection as the sender
    * sees it.
    */
-  default boolean leftBehind(EngineSide sender, String hop) {
+  default boolean leftBehind(LineProtocolServer sender, String hop) {
     return false;
   }
 
   /** Engine lines. */
-  final class Lines implements EngineSide {
+  final class Lines implements LineProtocolServer {
     private final EngineCommands reader = new EngineCommands();
 
     @Override
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public byte[] say(Says what) {
+    public byte[] say(EngineReplies what) {
       return what.line();
     }
 
--- a/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
@@ -112,12 +112,12 @@
     EngineResponseParser reader = new EngineResponseParser();
     reader.feed(
         joined(
-            Says.ok("a", 2, Results.page("a", 0)).line(),
-            Says.batch("a", 1, Results.page("a", 1)).line(),
-            Says.refused("a").line(),
-            Says.error("a").line(),
-            Says.yes("0").line(),
-            Says.progress("a", "frac", 0.25).line()));
+            EngineReplies.ok("a", 2, Results.page("a", 0)).line(),
+            EngineReplies.batch("a", 1, Results.page("a", 1)).line(),
+            EngineReplies.refused("a").line(),
+            EngineReplies.error("a").line(),
+            EngineReplies.yes("0").line(),
+            EngineReplies.progress("a", "frac", 0.25).line()));
     StringBuilder heard = new StringBuilder();
     for (var answer = reader.next(); answer != null; answer = reader.next()) {
       heard
--- a/faultinjection/src/main/java/tillerlink/faultinjection/Storm.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/FaultInjectionRunner.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
-import tillerlink.faultinjection.audit.Breach;
 import tillerlink.faultinjection.audit.Rule;
+import tillerlink.faultinjection.audit.Violation;
 import tillerlink.faultinjection.play.Cutter;
 import tillerlink.faultinjection.play.Play;
 import tillerlink.faultinjection.play.Played;
@@ -26,7 +26,7 @@
  * only if nothing broke; a schedule in which something did is cut down, and the shortest that still
  * fails is told.
  */
-public final class Storm {
+public final class FaultInjectionRunner {
   private static final int TRIES = 10;
   private static final long LENGTH_MS = 8_000;
 
@@ -40,7 +40,7 @@
   private int runs;
   private int violations;
 
-  private Storm(Path folder, Plan.Shared shared, PrintStream out) {
+  private FaultInjectionRunner(Path folder, Plan.Shared shared, PrintStream out) {
     this.folder = folder;
     this.shared = shared;
     this.out = out;
@@ -56,8 +56,8 @@
           "SEED MINUTES, or SEED 0 once for one play of a seed that an earlier run has named");
       System.exit(2);
     }
-    Storm storm =
-        new Storm(
+    FaultInjectionRunner storm =
+        new FaultInjectionRunner(
             Files.createTempDirectory("fault-injection"),
             Plan.Shared.valueOf(System.getProperty("faultinjection.parts", "STATEMENTS")),
             System.out);
@@ -115,7 +115,7 @@
 
   private boolean breaks(Schedule schedule, Rule rule) {
     try {
-      List<Breach> breaches = play(schedule).breaches();
+      List<Violation> breaches = play(schedule).breaches();
       return breaches.stream().anyMatch(breach -> breach.rule() == rule);
     } catch (IOException e) {
       out.println("a shorter one could not be played: " + e.getMessage());
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Audit.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Audit.java
@@ -7,8 +7,8 @@
  * processes but what their logs say about themselves. Told from any thread.
  */
 public final class Audit {
-  private final Breaches breaches = new Breaches();
-  private final Submissions submissions = new Submissions(breaches);
+  private final Violations breaches = new Violations();
+  private final Requests submissions = new Requests(breaches);
   private final Logs logs = new Logs(breaches);
   private final Prepared prepared = new Prepared(breaches);
 
@@ -104,13 +104,13 @@
   }
 
   /** All is at rest: what must be true by now is looked at. */
-  public synchronized List<Breach> end() {
+  public synchronized List<Violation> end() {
     submissions.end();
     logs.end();
     return breaches.all();
   }
 
-  public synchronized List<Breach> breaches() {
+  public synchronized List<Violation> breaches() {
     return breaches.all();
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Logs.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Logs.java
@@ -27,11 +27,11 @@
     private final Map<String, List<LogLine>> last = new TreeMap<>();
   }
 
-  private final Breaches breaches;
+  private final Violations breaches;
   private final Map<String, Channel> channels = new TreeMap<>();
   private int appends;
 
-  Logs(Breaches breaches) {
+  Logs(Violations breaches) {
     this.breaches = breaches;
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Prepared.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Prepared.java
@@ -8,14 +8,14 @@
 final class Prepared {
   private record Asked(String gateway, String group, long at) {}
 
-  private final Breaches breaches;
+  private final Violations breaches;
   private final Map<String, TreeMap<Long, Long>> effects = new HashMap<>();
   private final Map<String, Asked> asked = new HashMap<>();
   private final Map<String, String> texts = new HashMap<>();
   private final Map<String, Long> generations = new HashMap<>();
   private int runs;
 
-  Prepared(Breaches breaches) {
+  Prepared(Violations breaches) {
     this.breaches = breaches;
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Submissions.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Requests.java
@@ -5,7 +5,7 @@
 import java.util.TreeMap;
 
 /** Plain submissions, as clients and engines saw them. */
-final class Submissions {
+final class Requests {
   private static final int FULFILLED = 200;
   private static final int TURNED_BACK = 503;
 
@@ -22,11 +22,11 @@
     }
   }
 
-  private final Breaches breaches;
+  private final Violations breaches;
   private final Map<String, One> byId = new TreeMap<>();
   private final Map<String, One> byStatement = new HashMap<>();
 
-  Submissions(Breaches breaches) {
+  Requests(Violations breaches) {
     this.breaches = breaches;
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Breaches.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Violations.java
@@ -6,18 +6,18 @@
 import java.util.Map;
 
 /** What did not hold so far: all counted, the first few of each rule kept in words. */
-final class Breaches {
+final class Violations {
   private static final int WORDS_MOST = 8;
   private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-  private final List<Breach> words = new ArrayList<>();
+  private final List<Violation> words = new ArrayList<>();
 
   void add(Rule rule, String what) {
     if (counts.merge(rule, 1, Integer::sum) <= WORDS_MOST) {
-      words.add(new Breach(rule, what));
+      words.add(new Violation(rule, what));
     }
   }
 
-  List<Breach> all() {
+  List<Violation> all() {
     return List.copyOf(words);
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/Channels.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/Channels.java
@@ -21,7 +21,13 @@
    * @throws IOException if nobody knows whether it was taken, or it can't be
    */
   public static String append(
-      HttpDoor door, String channel, String key, String kind, String cue, String text, long airsMs)
+      HttpEndpointClient door,
+      String channel,
+      String key,
+      String kind,
+      String cue,
+      String text,
+      long airsMs)
       throws IOException {
     StringBuilder body =
         new StringBuilder("{\"kind\":\"" + kind + "\",\"cue\":\"" + cue + "\",\"text\":\"")
@@ -30,7 +36,7 @@
     if (airsMs > 0) {
       body.append(",\"airs_ms\":").append(airsMs);
     }
-    HttpDoor.Reply reply =
+    HttpEndpointClient.Reply reply =
         door.post(PATH + channel, Map.of("X-Operation-Key", key), body.append('}').toString());
     if (reply.status() == 503) {
       return null;
@@ -42,11 +48,12 @@
   }
 
   /** The log from a place on, to its end. */
-  public static List<LogLine> log(HttpDoor door, String channel, long from) throws IOException {
+  public static List<LogLine> log(HttpEndpointClient door, String channel, long from)
+      throws IOException {
     List<LogLine> lines = new ArrayList<>();
     long next = from;
     for (boolean more = true; more; ) {
-      HttpDoor.Reply reply = door.get(PATH + channel + "/log/" + next);
+      HttpEndpointClient.Reply reply = door.get(PATH + channel + "/log/" + next);
       if (reply.status() != 200 || !(reply.object().get("events") instanceof List<?> events)) {
         throw new IOException("log of " + channel + ": " + reply.status() + " " + reply.body());
       }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpDoor.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpEndpointClient.java
@@ -18,7 +18,7 @@
  * A client of one gateway. Each question has a connection of its own, so that no answer hangs on an
  * older one.
  */
-public final class HttpDoor {
+public final class HttpEndpointClient {
   private static final int CONNECT_MS = 2000;
   private static final int PIECE = 8192;
 
@@ -107,7 +107,7 @@
   /**
    * @param patienceMs how long an answer is waited for
    */
-  public HttpDoor(int port, long patienceMs) {
+  public HttpEndpointClient(int port, long patienceMs) {
     this.port = port;
     this.patienceMs = (int) patienceMs;
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/Members.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/Members.java
@@ -11,8 +11,8 @@
   private Members() {}
 
   /** How each other one stands, in small letters, by its name. */
-  public static Map<String, String> of(HttpDoor door) throws IOException {
-    HttpDoor.Reply reply = door.get("/v1/members");
+  public static Map<String, String> of(HttpEndpointClient door) throws IOException {
+    HttpEndpointClient.Reply reply = door.get("/v1/members");
     if (reply.status() != 200) {
       throw new IOException("members: " + reply.status() + " " + reply.body());
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/Statements.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/Statements.java
@@ -16,9 +16,9 @@
    * @return its generation; 0 if it was refused for now, or nobody knows
    */
   public static long prepare(
-      HttpDoor door, String name, String text, int group, String uses, boolean effectful)
+      HttpEndpointClient door, String name, String text, int group, String uses, boolean effectful)
       throws IOException {
-    HttpDoor.Reply reply =
+    HttpEndpointClient.Reply reply =
         door.post(
             "/v1/statements/" + name,
             Map.of(),
@@ -40,8 +40,9 @@
    * Announces that a name of a group is another from now on; the number of the change, 0 if nobody
    * knows.
    */
-  public static long rename(HttpDoor door, int group, String from, String to) throws IOException {
-    HttpDoor.Reply reply =
+  public static long rename(HttpEndpointClient door, int group, String from, String to)
+      throws IOException {
+    HttpEndpointClient.Reply reply =
         door.post(
             "/v1/schemas/" + group, Map.of(), "{\"renamed\":{\"" + from + "\":\"" + to + "\"}}");
     return number(reply, "change");
@@ -51,8 +52,8 @@
    * The version of a group's schema that is in effect as the gateway knows it; below 0 while a
    * change is awaited.
    */
-  public static long version(HttpDoor door, int group) throws IOException {
-    HttpDoor.Reply reply = door.get("/v1/schemas/" + group);
+  public static long version(HttpEndpointClient door, int group) throws IOException {
+    HttpEndpointClient.Reply reply = door.get("/v1/schemas/" + group);
     if (reply.status() != 200) {
       throw new IOException("schema " + group + ": " + reply.status() + " " + reply.body());
     }
@@ -60,8 +61,9 @@
   }
 
   /** Runs by name, with the mark as the one parameter. */
-  public static HttpDoor.Reply run(
-      HttpDoor door, String name, String id, String mark, long deadlineMs) throws IOException {
+  public static HttpEndpointClient.Reply run(
+      HttpEndpointClient door, String name, String id, String mark, long deadlineMs)
+      throws IOException {
     return door.post(
         "/v1/run/" + name,
         Map.of(
@@ -74,7 +76,7 @@
         "{\"parameters\":[\"" + mark + "\"]}");
   }
 
-  private static long number(HttpDoor.Reply reply, String name) throws IOException {
+  private static long number(HttpEndpointClient.Reply reply, String name) throws IOException {
     if (reply.status() == 200 && reply.object().get(name) instanceof Number number) {
       return number.longValue();
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/EngineStandIn.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeEngine.java
@@ -18,7 +18,7 @@
  * An engine of a few lines: it answers every statement with one row, the statement itself, and
  * tells what it ran at the moment that it begins.
  */
-public final class EngineStandIn implements Closeable {
+public final class FakeEngine implements Closeable {
   private static final int PIECE = 8192;
 
   private final ServerSocket door = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
@@ -31,8 +31,7 @@
    * @param ran told the engine's name and each request before it is answered, from any thread
    * @param workMs how long each takes
    */
-  public EngineStandIn(String name, long workMs, BiConsumer<String, Command> ran)
-      throws IOException {
+  public FakeEngine(String name, long workMs, BiConsumer<String, Command> ran) throws IOException {
     this.name = name;
     this.ran = ran;
     this.workMs = workMs;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/NamesStandIn.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeNameService.java
@@ -16,12 +16,12 @@
  * The name service of one gateway: engines e1, e2, ... at the ports at which that gateway reaches
  * them.
  */
-public final class NamesStandIn implements Closeable {
+public final class FakeNameService implements Closeable {
   private final DatagramSocket socket =
       new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   private final List<EndpointEntry> entries = new ArrayList<>();
 
-  public NamesStandIn(List<Integer> engines) throws IOException {
+  public FakeNameService(List<Integer> engines) throws IOException {
     for (int i = 0; i < engines.size(); i++) {
       entries.add(
           new EndpointEntry(
--- a/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Fabric.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Fabric.java
@@ -35,12 +35,12 @@
   private static final long IDLE_MS = 50;
 
   /** A datagram on its way. */
-  private record Held(long at, long order, Way way, byte[] bytes) {}
+  private record Held(long at, long order, Link way, byte[] bytes) {}
 
   private final long seed;
   private final Tally tally = new Tally();
   private final Selector selector = Selector.open();
-  private final Map<String, Way> ways = new TreeMap<>();
+  private final Map<String, Link> ways = new TreeMap<>();
   private final Map<String, InetSocketAddress> processes = new ConcurrentHashMap<>();
   private final PriorityQueue<Held> held =
       new PriorityQueue<>(Comparator.comparingLong(Held::at).thenComparingLong(Held::order));
@@ -66,7 +66,7 @@
   /** The port at which one process reaches another; the way both ways is there from then on. */
   public int port(String from, String to) {
     way(to, from);
-    return Way.port(way(from, to).channel);
+    return Link.port(way(from, to).channel);
   }
 
   /** From now on the way from one to the other is so. */
@@ -89,18 +89,18 @@
     return tally;
   }
 
-  private Way way(String from, String to) {
+  private Link way(String from, String to) {
     synchronized (ways) {
       return ways.computeIfAbsent(from + ">" + to, key -> open(from, to));
     }
   }
 
-  private Way open(String from, String to) {
+  private Link open(String from, String to) {
     try {
       DatagramChannel channel = DatagramChannel.open();
       channel.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       channel.configureBlocking(false);
-      Way way = new Way(seed, from, to, channel);
+      Link way = new Link(seed, from, to, channel);
       selector.wakeup();
       channel.register(selector, SelectionKey.OP_READ, way);
       return way;
@@ -124,7 +124,7 @@
         List<SelectionKey> ready = new ArrayList<>(selector.selectedKeys());
         selector.selectedKeys().clear();
         for (SelectionKey key : ready) {
-          take((Way) key.attachment());
+          take((Link) key.attachment());
         }
         deliver();
       } catch (IOException | java.nio.channels.ClosedSelectorException e) {
@@ -133,7 +133,7 @@
     }
   }
 
-  private void take(Way way) throws IOException {
+  private void take(Link way) throws IOException {
     for (boolean more = true; more; ) {
       buffer.clear();
       more = way.channel.receive(buffer) != null;
@@ -141,7 +141,7 @@
       if (more) {
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
-        Fate fate = way.next(now(), bytes.length, tally);
+        LinkFault fate = way.next(now(), bytes.length, tally);
         if (fate != null) {
           hold(way, bytes, fate.late());
           if (fate.late() > 0) {
@@ -156,7 +156,7 @@
     }
   }
 
-  private void hold(Way way, byte[] bytes, long late) {
+  private void hold(Link way, byte[] bytes, long late) {
     if (held.size() >= HELD_MOST) {
       tally.add(Tally.What.TOO_MUCH);
     } else {
@@ -192,7 +192,7 @@
       Thread.currentThread().interrupt();
     }
     synchronized (ways) {
-      for (Way way : ways.values()) {
+      for (Link way : ways.values()) {
         way.channel.close();
       }
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Way.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Link.java
@@ -8,7 +8,7 @@
  * The way of datagrams from one process to another: a socket of its own, at which the first reaches
  * the second.
  */
-final class Way {
+final class Link {
   /** What waits on a slow way beyond this is dropped, as the queue of any router would: 2 s. */
   private static final long QUEUE_MOST = 20_000;
 
@@ -20,7 +20,7 @@
   private long ordinal;
   private long freeAt;
 
-  Way(long seed, String from, String to, DatagramChannel channel) {
+  Link(long seed, String from, String to, DatagramChannel channel) {
     this.seed = seed;
     this.from = from;
     this.to = to;
@@ -31,9 +31,9 @@
    * What becomes of the next datagram under what holds now; null if nothing comes of it, and why is
    * counted.
    */
-  Fate next(long now, int length, Tally tally) {
+  LinkFault next(long now, int length, Tally tally) {
     Fault holds = fault;
-    Fate fate = Fate.of(seed, from, to, ordinal++, holds);
+    LinkFault fate = LinkFault.of(seed, from, to, ordinal++, holds);
     Tally.What dropped =
         holds.cut()
             ? Tally.What.CUT
@@ -50,7 +50,7 @@
         return null;
       }
       freeAt = Math.max(now, freeAt) + length * 10_000L / holds.rate();
-      return new Fate(
+      return new LinkFault(
           false, fate.late() + freeAt - now, fate.again() < 0 ? -1 : fate.again() + freeAt - now);
     }
     return fate;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Fate.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/fabric/LinkFault.java
@@ -11,8 +11,8 @@
  * @param late time on the way, tenths of a millisecond
  * @param again when its repeat follows, counted likewise; below 0 if there is none
  */
-record Fate(boolean lost, long late, long again) {
-  static Fate of(long seed, String from, String to, long ordinal, Fault fault) {
+record LinkFault(boolean lost, long late, long again) {
+  static LinkFault of(long seed, String from, String to, long ordinal, Fault fault) {
     long pair = mixed(mixed(seed, from.hashCode()), to.hashCode());
     RandomGenerator chance = new SplittableRandom(mixed(pair, ordinal));
     // Each is drawn whether or not it is asked for: a fault that is added leaves the other draws as
@@ -24,7 +24,7 @@
     long again =
         onTheWay(chance.nextDouble(), fault) + (long) (chance.nextDouble() * Fault.HELD_BACK);
     long held = Fault.HELD_BACK + (long) (chance.nextDouble() * Fault.HELD_BACK);
-    return new Fate(lost, late + (heldBack ? held : 0), repeated ? again : -1);
+    return new LinkFault(lost, late + (heldBack ? held : 0), repeated ? again : -1);
   }
 
   private static long onTheWay(double draw, Fault fault) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/Rig.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessCluster.java
@@ -11,9 +11,9 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import tillerlink.fakes.EngineCommands.Command;
-import tillerlink.faultinjection.client.HttpDoor;
-import tillerlink.faultinjection.engine.EngineStandIn;
-import tillerlink.faultinjection.engine.NamesStandIn;
+import tillerlink.faultinjection.client.HttpEndpointClient;
+import tillerlink.faultinjection.engine.FakeEngine;
+import tillerlink.faultinjection.engine.FakeNameService;
 import tillerlink.faultinjection.fabric.Door;
 import tillerlink.faultinjection.fabric.Fabric;
 import tillerlink.faultinjection.fabric.Fault;
@@ -25,7 +25,7 @@
  * A fleet of gateways n0, n1, ... as processes, engines e1, e2, ... behind them, and the fabric
  * between all.
  */
-public final class Rig implements Closeable {
+public final class ProcessCluster implements Closeable {
   private static final long READY_MS = 60_000;
   private static final long PAUSE_MS = 20;
   private static final long PATIENCE_MS = 5_000;
@@ -41,8 +41,8 @@
   public record Shape(int gateways, int sites, int engines, long workMs, Plan.Shared shared) {}
 
   public final Fabric fabric;
-  private final List<EngineStandIn> engines = new ArrayList<>();
-  private final List<NamesStandIn> names = new ArrayList<>();
+  private final List<FakeEngine> engines = new ArrayList<>();
+  private final List<FakeNameService> names = new ArrayList<>();
   private final Map<String, List<Door>> engineDoors = new TreeMap<>();
   private final Map<String, Door> clientDoors = new TreeMap<>();
   private final Map<String, GatewayProcess> gateways = new LinkedHashMap<>();
@@ -50,11 +50,12 @@
   /**
    * @param ran told the engine and each request that it runs
    */
-  public Rig(Path folder, long seed, Shape shape, String classPath, BiConsumer<String, Command> ran)
+  public ProcessCluster(
+      Path folder, long seed, Shape shape, String classPath, BiConsumer<String, Command> ran)
       throws IOException {
     fabric = new Fabric(seed);
     for (int i = 1; i <= shape.engines(); i++) {
-      engines.add(new EngineStandIn("e" + i, shape.workMs(), ran));
+      engines.add(new FakeEngine("e" + i, shape.workMs(), ran));
     }
     List<String> all = new ArrayList<>();
     for (int i = 0; i < shape.gateways(); i++) {
@@ -93,11 +94,11 @@
 
   private int namesFor(String gateway) throws IOException {
     List<Door> doors = new ArrayList<>();
-    for (EngineStandIn engine : engines) {
+    for (FakeEngine engine : engines) {
       doors.add(new Door(engine.port(), fabric.tally()));
     }
     engineDoors.put(gateway, doors);
-    NamesStandIn service = new NamesStandIn(doors.stream().map(Door::port).toList());
+    FakeNameService service = new FakeNameService(doors.stream().map(Door::port).toList());
     names.add(service);
     return service.port();
   }
@@ -115,7 +116,7 @@
   /** Waits until a gateway says that it is well; a machine that is busy only makes this longer. */
   public void awaitHealthy(String name) throws IOException {
     long until = System.nanoTime() + READY_MS * 1_000_000;
-    HttpDoor client = client(name);
+    HttpEndpointClient client = client(name);
     while (!client.healthy()) {
       if (System.nanoTime() > until || !gateways.get(name).isAlive()) {
         throw new IOException(
@@ -134,12 +135,12 @@
   }
 
   /** A client that comes through the fabric's door to that gateway. */
-  public HttpDoor client(String name) {
-    return new HttpDoor(clientDoors.get(name).port(), PATIENCE_MS);
+  public HttpEndpointClient client(String name) {
+    return new HttpEndpointClient(clientDoors.get(name).port(), PATIENCE_MS);
   }
 
-  public HttpDoor client(String name, long patienceMs) {
-    return new HttpDoor(clientDoors.get(name).port(), patienceMs);
+  public HttpEndpointClient client(String name, long patienceMs) {
+    return new HttpEndpointClient(clientDoors.get(name).port(), patienceMs);
   }
 
   public Door clientDoor(String name) {
@@ -197,8 +198,8 @@
         door.close();
       }
     }
-    names.forEach(NamesStandIn::close);
-    for (EngineStandIn engine : engines) {
+    names.forEach(FakeNameService::close);
+    for (FakeEngine engine : engines) {
       engine.close();
     }
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/Lives.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessIncarnations.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Counts the disks that each gateway had: what was on an earlier one it does not remember. */
-public final class Lives {
+public final class ProcessIncarnations {
   private final Map<String, Integer> lives = new HashMap<>();
 
   public synchronized int of(String gateway) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/Timeline.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/Timeline.java
@@ -45,7 +45,7 @@
       } catch (Exception e) {
         trouble = " (" + e + ")";
       }
-      Rig.pause(PAUSE_MS);
+      ProcessCluster.pause(PAUSE_MS);
     }
     lines.add("NEVER: " + line + trouble);
     failed = true;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/ChannelLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/ChannelLoad.java
@@ -11,8 +11,8 @@
 import tillerlink.faultinjection.audit.LogLine;
 import tillerlink.faultinjection.audit.Rule;
 import tillerlink.faultinjection.client.Channels;
-import tillerlink.faultinjection.harness.Lives;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
+import tillerlink.faultinjection.harness.ProcessIncarnations;
 
 /**
  * Operators who write cues, corrections and retractions to two channels, each at one gateway, and
@@ -26,11 +26,12 @@
   /** What a writer asked for; asked again with its key until it is known to be taken. */
   private record Draft(String channel, String key, String kind, String cue, String text) {}
 
-  private final Lives lives;
+  private final ProcessIncarnations lives;
   private final Map<String, Draft> unsure = new ConcurrentHashMap<>();
   private final Map<String, Integer> counts = new ConcurrentHashMap<>();
 
-  ChannelLoad(Rig rig, Audit audit, Disturbed disturbed, Lives lives, long seed) {
+  ChannelLoad(
+      ProcessCluster rig, Audit audit, Disturbed disturbed, ProcessIncarnations lives, long seed) {
     super(rig, audit, disturbed, seed);
     this.lives = lives;
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/Load.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Load.java
@@ -6,18 +6,18 @@
 import java.util.function.BooleanSupplier;
 import java.util.random.RandomGenerator;
 import tillerlink.faultinjection.audit.Audit;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
 
 /** What clients do meanwhile: one of them for each gateway, each with a seed of its own. */
 abstract class Load {
-  final Rig rig;
+  final ProcessCluster rig;
   final Audit audit;
   final Disturbed disturbed;
   private final long seed;
   private final List<Thread> threads = new java.util.ArrayList<>();
   private volatile boolean over;
 
-  Load(Rig rig, Audit audit, Disturbed disturbed, long seed) {
+  Load(ProcessCluster rig, Audit audit, Disturbed disturbed, long seed) {
     this.rig = rig;
     this.audit = audit;
     this.disturbed = disturbed;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/Play.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Play.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import java.util.Map;
 import tillerlink.faultinjection.audit.Audit;
-import tillerlink.faultinjection.audit.Breach;
 import tillerlink.faultinjection.audit.Rule;
+import tillerlink.faultinjection.audit.Violation;
 import tillerlink.faultinjection.client.Members;
-import tillerlink.faultinjection.harness.Lives;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
+import tillerlink.faultinjection.harness.ProcessIncarnations;
 import tillerlink.faultinjection.process.Plan;
 
 /** Plays one schedule over processes, with load, and audits it. */
@@ -37,9 +37,10 @@
   public Played play(Schedule schedule) throws IOException {
     Audit audit = new Audit();
     Disturbed disturbed = new Disturbed();
-    Rig.Shape shape = new Rig.Shape(schedule.gateways(), schedule.sites(), ENGINES, 2, shared);
-    try (Rig rig =
-        new Rig(
+    ProcessCluster.Shape shape =
+        new ProcessCluster.Shape(schedule.gateways(), schedule.sites(), ENGINES, 2, shared);
+    try (ProcessCluster rig =
+        new ProcessCluster(
             folder,
             schedule.seed(),
             shape,
@@ -54,10 +55,10 @@
         audit.broken(Rule.INSIDE, e.getMessage());
         return new Played(schedule, audit.breaches(), Map.of(), 0, 0, 0, audit.violations());
       }
-      Lives lives = new Lives();
+      ProcessIncarnations lives = new ProcessIncarnations();
       ChannelLoad channels = new ChannelLoad(rig, audit, disturbed, lives, schedule.seed());
       List<Load> loads =
-          new ArrayList<>(List.of(new SubmissionLoad(rig, audit, disturbed, schedule.seed())));
+          new ArrayList<>(List.of(new RequestLoad(rig, audit, disturbed, schedule.seed())));
       if (shared.compareTo(Plan.Shared.CHANNELS) >= 0) {
         loads.add(channels);
       }
@@ -65,8 +66,8 @@
       if (shared.compareTo(Plan.Shared.STATEMENTS) >= 0) {
         loads.add(statements);
       }
-      Doing doing =
-          new Doing(
+      StepExecutor doing =
+          new StepExecutor(
               rig,
               disturbed,
               gateway -> {
@@ -91,7 +92,7 @@
         statements.settle();
       }
       rig.violations().forEach(words -> audit.broken(Rule.INSIDE, words));
-      List<Breach> breaches = audit.end();
+      List<Violation> breaches = audit.end();
       return new Played(
           schedule,
           breaches,
@@ -104,7 +105,7 @@
   }
 
   /** Waits until every gateway says of every other that it reaches it. */
-  private void together(Rig rig, Audit audit, String when) {
+  private void together(ProcessCluster rig, Audit audit, String when) {
     if (shared == Plan.Shared.NOTHING) {
       return;
     }
@@ -122,7 +123,7 @@
   }
 
   /** What a gateway says that is not yet as it should be; empty if all is. */
-  private static String apart(Rig rig, String name) {
+  private static String apart(ProcessCluster rig, String name) {
     try {
       Map<String, String> members = Members.of(rig.client(name));
       for (String other : rig.names()) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/Played.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Played.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import java.util.Map;
-import tillerlink.faultinjection.audit.Breach;
+import tillerlink.faultinjection.audit.Violation;
 
 /** What came of one play. */
 public record Played(
     Schedule schedule,
-    List<Breach> breaches,
+    List<Violation> breaches,
     Map<Step.Kind, Integer> faults,
     int submissions,
     int appends,
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/SubmissionLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/RequestLoad.java
@@ -5,11 +5,11 @@
 import java.util.random.RandomGenerator;
 import tillerlink.faultinjection.audit.Audit;
 import tillerlink.faultinjection.audit.Rule;
-import tillerlink.faultinjection.client.HttpDoor;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.client.HttpEndpointClient;
+import tillerlink.faultinjection.harness.ProcessCluster;
 
 /** Plain submissions, half of them effectful. */
-final class SubmissionLoad extends Load {
+final class RequestLoad extends Load {
   private static final long DEADLINE_MS = 3500;
 
   /**
@@ -20,7 +20,7 @@
 
   private final AtomicLong ids = new AtomicLong(0x5100);
 
-  SubmissionLoad(Rig rig, Audit audit, Disturbed disturbed, long seed) {
+  RequestLoad(ProcessCluster rig, Audit audit, Disturbed disturbed, long seed) {
     super(rig, audit, disturbed, seed);
   }
 
@@ -41,7 +41,7 @@
     long began = System.nanoTime();
     audit.handedIn(id, statement, effectful);
     try {
-      HttpDoor.Reply reply =
+      HttpEndpointClient.Reply reply =
           rig.client(gateway, PATIENCE_MS)
               .submit(effectful ? "book" : "look", id, statement, DEADLINE_MS);
       if (reply.status() == 200 || reply.status() == 500 || reply.status() == 503) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/StatementLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/StatementLoad.java
@@ -13,9 +13,9 @@
 import tillerlink.fakes.EngineCommands.Command;
 import tillerlink.faultinjection.audit.Audit;
 import tillerlink.faultinjection.audit.Rule;
-import tillerlink.faultinjection.client.HttpDoor;
+import tillerlink.faultinjection.client.HttpEndpointClient;
 import tillerlink.faultinjection.client.Statements;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
 
 /**
  * Statements that are prepared at one gateway and run at all, while the schemas of their groups
@@ -41,7 +41,7 @@
   private final Set<String> prepared = ConcurrentHashMap.newKeySet();
   private volatile boolean ending;
 
-  StatementLoad(Rig rig, Audit audit, Disturbed disturbed, long seed) {
+  StatementLoad(ProcessCluster rig, Audit audit, Disturbed disturbed, long seed) {
     super(rig, audit, disturbed, seed);
     for (int group = GROUP; group < GROUP + GROUPS; group++) {
       columns.put(group, 1);
@@ -162,7 +162,7 @@
     audit.handedIn(id, mark, effectful(name));
     audit.runAsked(mark, gateway, "g" + group(name), began);
     try {
-      HttpDoor.Reply reply =
+      HttpEndpointClient.Reply reply =
           Statements.run(rig.client(gateway, PATIENCE_MS), "s" + name, id, mark, DEADLINE_MS);
       if (List.of(200, 500, 503).contains(reply.status())) {
         audit.answered(id, reply.status());
@@ -216,7 +216,7 @@
     audit.handedIn(id, mark, effectful(name));
     audit.runAsked(mark, gateway, "g" + group(name), System.nanoTime());
     try {
-      HttpDoor.Reply reply =
+      HttpEndpointClient.Reply reply =
           Statements.run(rig.client(gateway, PATIENCE_MS), "s" + name, id, mark, DEADLINE_MS);
       audit.answered(id, reply.status() == 404 || reply.status() == 409 ? 503 : reply.status());
       return reply.status() == 200
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/Doing.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/StepExecutor.java
@@ -7,15 +7,15 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import tillerlink.faultinjection.fabric.Door;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
 import tillerlink.faultinjection.process.GatewayProcess;
 
 /** Brings a schedule's faults about, and takes them back. */
-final class Doing {
+final class StepExecutor {
   /** One of a pair: when a step begins, and when it ends. */
   private record Moment(long atMs, Step step, boolean begins) {}
 
-  private final Rig rig;
+  private final ProcessCluster rig;
   private final Disturbed disturbed;
   private final Consumer<String> diskLost;
   private final List<Step> active = new ArrayList<>();
@@ -24,7 +24,7 @@
   /**
    * @param diskLost told before a gateway starts with less on its disk than it had
    */
-  Doing(Rig rig, Disturbed disturbed, Consumer<String> diskLost) {
+  StepExecutor(ProcessCluster rig, Disturbed disturbed, Consumer<String> diskLost) {
     this.rig = rig;
     this.disturbed = disturbed;
     this.diskLost = diskLost;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/Papers.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/ConfigurationFiles.java
@@ -10,7 +10,7 @@
 import java.util.stream.Collectors;
 
 /** The files that a gateway is started with. */
-final class Papers {
+final class ConfigurationFiles {
   private static final String LOOPBACK = "127.0.0.1:";
 
   /** Short ones, so that a play of seconds sees what takes minutes in the open. */
@@ -21,7 +21,7 @@
 
   private final Plan plan;
 
-  Papers(Plan plan) {
+  ConfigurationFiles(Plan plan) {
     this.plan = plan;
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewayProcess.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewayProcess.java
@@ -20,7 +20,7 @@
       List.of("INVARIANT", "invariant broken", "Exception in thread");
 
   private final Plan plan;
-  private final Papers papers;
+  private final ConfigurationFiles papers;
   private final String classPath;
   private final ControlledProcess process;
 
@@ -31,7 +31,7 @@
     this.plan = plan;
     this.classPath = classPath;
     process = new ControlledProcess(plan.name());
-    papers = new Papers(plan);
+    papers = new ConfigurationFiles(plan);
   }
 
   public String name() {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.Collectors;
-import tillerlink.faultinjection.client.HttpDoor;
+import tillerlink.faultinjection.client.HttpEndpointClient;
 import tillerlink.faultinjection.process.ControlledProcess;
 import tillerlink.faultinjection.process.Ports;
 import tillerlink.net.wire.EndpointEntry;
@@ -155,7 +155,7 @@
   void awaitReady(int gateway) throws IOException {
     Gateway one = gateways.get(gateway);
     double until = clock.now() + READY_MS;
-    while (!new HttpDoor(one.port, (long) READY_MS).healthy()) {
+    while (!new HttpEndpointClient(one.port, (long) READY_MS).healthy()) {
       if (!one.process.isAlive() || clock.now() > until) {
         oracle.inside(one.name + " did not come up");
         throw new IOException(
@@ -287,7 +287,7 @@
       }
       if (one.process.isRunning()) {
         for (String line :
-            new HttpDoor(one.port, (long) READY_MS).get("/metrics").body().split("\n")) {
+            new HttpEndpointClient(one.port, (long) READY_MS).get("/metrics").body().split("\n")) {
           if (line.startsWith("tillerlink_invariant_violations_total") && !line.endsWith(" 0")) {
             oracle.inside(one.name + " counts: " + line);
           }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/fabric/FabricTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/fabric/FabricTest.java
@@ -122,10 +122,10 @@
     Set<Integer> expected = new TreeSet<>();
     Set<Integer> other = new TreeSet<>();
     for (int i = 0; i < 64; i++) {
-      if (!Fate.of(7, "a", "b", i, Fault.lossy(0.5)).lost()) {
+      if (!LinkFault.of(7, "a", "b", i, Fault.lossy(0.5)).lost()) {
         expected.add(i);
       }
-      if (!Fate.of(8, "a", "b", i, Fault.lossy(0.5)).lost()) {
+      if (!LinkFault.of(8, "a", "b", i, Fault.lossy(0.5)).lost()) {
         other.add(i);
       }
       say(a, fabric.port("a", "b"), Integer.toString(i));
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/ChannelStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/ChannelStoryTest.java
@@ -16,16 +16,16 @@
 import tillerlink.faultinjection.audit.Audit;
 import tillerlink.faultinjection.audit.LogLine;
 import tillerlink.faultinjection.client.Channels;
-import tillerlink.faultinjection.harness.Lives;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
+import tillerlink.faultinjection.harness.ProcessIncarnations;
 import tillerlink.faultinjection.process.GatewayProcess;
 import tillerlink.faultinjection.process.Plan;
 
 /** Logs of channels: three processes at three sites, each story on a channel of its own. */
 class ChannelStoryTest {
   @TempDir private static Path folder;
-  private static Rig rig;
-  private static final Lives LIVES = new Lives();
+  private static ProcessCluster rig;
+  private static final ProcessIncarnations LIVES = new ProcessIncarnations();
   private Audit audit;
   private Told told;
   private String channel;
@@ -33,10 +33,10 @@
   @BeforeAll
   static void start() throws IOException {
     rig =
-        new Rig(
+        new ProcessCluster(
             folder,
             2,
-            new Rig.Shape(3, 3, 1, 1, Plan.Shared.CHANNELS),
+            new ProcessCluster.Shape(3, 3, 1, 1, Plan.Shared.CHANNELS),
             System.getProperty("java.class.path"),
             (engine, command) -> {});
     rig.start();
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/MembersStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/MembersStoryTest.java
@@ -9,22 +9,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.faultinjection.fabric.Fault;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
 import tillerlink.faultinjection.process.Plan;
 
 /** Who is there: three processes, and what befalls one or a way between two. */
 class MembersStoryTest {
   @TempDir private static Path folder;
-  private static Rig rig;
+  private static ProcessCluster rig;
   private Told told;
 
   @BeforeAll
   static void start() throws IOException {
     rig =
-        new Rig(
+        new ProcessCluster(
             folder,
             1,
-            new Rig.Shape(3, 3, 1, 1, Plan.Shared.MEMBERS),
+            new ProcessCluster.Shape(3, 3, 1, 1, Plan.Shared.MEMBERS),
             System.getProperty("java.class.path"),
             (engine, command) -> {});
     rig.start();
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/SubmissionStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/RequestStoryTest.java
@@ -7,21 +7,21 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.faultinjection.audit.Audit;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
 import tillerlink.faultinjection.process.Plan;
 
 /** Guards the rig itself: a gateway alone carries submissions to engines and ends in peace. */
-class SubmissionStoryTest {
+class RequestStoryTest {
   @TempDir private Path folder;
 
   @Test
   void one() throws Exception {
     Audit audit = new Audit();
-    try (Rig rig =
-        new Rig(
+    try (ProcessCluster rig =
+        new ProcessCluster(
             folder,
             1,
-            new Rig.Shape(1, 1, 2, 1, Plan.Shared.NOTHING),
+            new ProcessCluster.Shape(1, 1, 2, 1, Plan.Shared.NOTHING),
             System.getProperty("java.class.path"),
             (engine, command) -> audit.ran(engine, new String(command.statement())))) {
       rig.start();
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/StatementStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/StatementStoryTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.api.TestInfo;
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.faultinjection.audit.Audit;
-import tillerlink.faultinjection.client.HttpDoor;
+import tillerlink.faultinjection.client.HttpEndpointClient;
 import tillerlink.faultinjection.client.Statements;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
 import tillerlink.faultinjection.process.Plan;
 
 /**
@@ -36,7 +36,7 @@
   private static final Pattern SENT = Pattern.compile("v([0-9]+) = 1 AND mark = '(m[0-9]+)'");
   private static final AtomicInteger MARKS = new AtomicInteger();
   @TempDir private static Path folder;
-  private static Rig rig;
+  private static ProcessCluster rig;
   private static final Audit AUDIT = new Audit();
 
   /**
@@ -61,10 +61,10 @@
   @BeforeAll
   static void start() throws IOException {
     rig =
-        new Rig(
+        new ProcessCluster(
             folder,
             3,
-            new Rig.Shape(3, 3, 2, 1, Plan.Shared.STATEMENTS),
+            new ProcessCluster.Shape(3, 3, 2, 1, Plan.Shared.STATEMENTS),
             System.getProperty("java.class.path"),
             (engine, command) -> {
               Matcher matcher =
@@ -121,12 +121,13 @@
     }
   }
 
-  private HttpDoor.Reply run(String gateway) throws IOException {
+  private HttpEndpointClient.Reply run(String gateway) throws IOException {
     String mark = "m" + MARKS.incrementAndGet();
     String id = String.format("%016x", 0x7000 + MARKS.get());
     AUDIT.handedIn(id, mark, true);
     AUDIT.runAsked(mark, gateway, "g" + group, System.nanoTime());
-    HttpDoor.Reply reply = Statements.run(rig.client(gateway, 60_000), name, id, mark, 3500);
+    HttpEndpointClient.Reply reply =
+        Statements.run(rig.client(gateway, 60_000), name, id, mark, 3500);
     AUDIT.answered(id, reply.status() == 404 || reply.status() == 409 ? 503 : reply.status());
     return reply;
   }
@@ -136,7 +137,7 @@
     told.timeline.until(
         gateway + " runs it under v" + column,
         () -> {
-          HttpDoor.Reply reply = run(gateway);
+          HttpEndpointClient.Reply reply = run(gateway);
           return reply.status() == 200 && reply.body().contains(" v" + column + " = 1 ");
         });
   }
@@ -145,7 +146,7 @@
     told.timeline.until(
         gateway + " turns it back, with a time to come again",
         () -> {
-          HttpDoor.Reply reply = run(gateway);
+          HttpEndpointClient.Reply reply = run(gateway);
           return reply.status() == 503 && reply.comeBackMs() > 0;
         });
   }
@@ -205,7 +206,7 @@
     before = Statements.version(rig.client("n0"), group);
     CyclicBarrier held = new CyclicBarrier(2);
     HELD.set(held);
-    CompletableFuture<HttpDoor.Reply> run =
+    CompletableFuture<HttpEndpointClient.Reply> run =
         CompletableFuture.supplyAsync(
             () -> {
               try {
@@ -235,7 +236,7 @@
     told.timeline.until(
         "the engine goes on, and the run is fulfilled under v1",
         () -> {
-          HttpDoor.Reply reply = run.get(30, TimeUnit.SECONDS);
+          HttpEndpointClient.Reply reply = run.get(30, TimeUnit.SECONDS);
           return reply.status() == 200 && reply.body().contains(" v1 = 1 ");
         });
     inEffect("n0");
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/Told.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/Told.java
@@ -9,16 +9,16 @@
 import java.nio.file.Path;
 import java.util.List;
 import tillerlink.faultinjection.client.Members;
-import tillerlink.faultinjection.harness.Rig;
+import tillerlink.faultinjection.harness.ProcessCluster;
 import tillerlink.faultinjection.harness.Timeline;
 
 /** A story as it is told: what is done to a rig, and what its gateways then say. */
 final class Told {
   private static final long PATIENCE_MS = 30_000;
   final Timeline timeline = new Timeline(PATIENCE_MS);
-  private final Rig rig;
+  private final ProcessCluster rig;
 
-  Told(Rig rig) {
+  Told(ProcessCluster rig) {
     this.rig = rig;
   }
 
--- a/gateway/src/test/java/tillerlink/PolicyTest.java
+++ b/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
@@ -19,7 +19,7 @@
 /**
  * Each test plays a short story and compares what the module ordered with the trace kept for it.
  */
-class PolicyTest {
+class DefaultDispatchPolicyTest {
   @Test
   void fewestOfTheClassPerCore() {
     Trace t = new Trace().up("a0", "big0");
--- a/gateway/src/test/java/tillerlink/SideTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -13,7 +13,7 @@
 import tillerlink.net.wire.HttpResponse;
 
 /** What stands beside the module: its calls, and submissions whose hops wait on a guard. */
-class SideTest {
+class GatewayExtensionTest {
   private static final String ID = "00000000000000a1";
 
   /**
@@ -106,13 +106,14 @@
 
     @Override
     public void ended(long mayRunUntil) {
-      told.add(mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - Stage.STORY) / 10);
+      told.add(
+          mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - TestGateway.STORY) / 10);
     }
   }
 
   private Aside aside;
 
-  private Stage stage(Stage fresh, Boolean... answers) {
+  private TestGateway stage(TestGateway fresh, Boolean... answers) {
     return fresh.beside(
         door -> {
           aside = new Aside(door);
@@ -123,8 +124,8 @@
 
   @Test
   void itsOwnCalls() {
-    Stage s =
-        stage(new Stage())
+    TestGateway s =
+        stage(new TestGateway())
             .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
             .say("the next call waits its turn")
             .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -143,7 +144,10 @@
 
   @Test
   void itsPlaceInATurn() {
-    stage(new Stage()).client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n").drain().timeUp();
+    stage(new TestGateway())
+        .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
+        .drain()
+        .timeUp();
     assertEquals(
         List.of("begin", "called", "settle", "drain", "time up"),
         aside.turns.stream().distinct().toList());
@@ -155,7 +159,7 @@
    */
   @Test
   void guards() {
-    Stage s = new Stage();
+    TestGateway s = new TestGateway();
     for (String track : List.of("aside/look", "aside/book")) {
       s.say(track + ": it holds").fresh();
       stage(s).post("c1", ID, track).get("c1", ID).connected(0).engine(0, ID + " ok count=1 0||");
@@ -201,12 +205,12 @@
     s.matches("side-guards");
   }
 
-  private void told(String what, Stage s, String... wanted) {
+  private void told(String what, TestGateway s, String... wanted) {
     assertEquals(List.of(wanted), aside.told, what);
   }
 
-  private Stage out(Boolean... answers) {
-    return stage(new Stage(), answers).post("c1", ID, "aside/book").get("c1", ID);
+  private TestGateway out(Boolean... answers) {
+    return stage(new TestGateway(), answers).post("c1", ID, "aside/book").get("c1", ID);
   }
 
   private static final String DONE = ID + " ok count=1 0||";
@@ -260,7 +264,7 @@
     told("the process ends", out().connected(0).timeUp(), "began", "may run until 4500");
     told(
         "a pure one goes to another engine",
-        stage(new Stage())
+        stage(new TestGateway())
             .post("c1", ID, "aside/look")
             .get("c1", ID)
             .connected(0)
@@ -276,7 +280,7 @@
   /** Held submissions hear of it at once and not only when their turn comes. */
   @Test
   void heldOnes() {
-    Stage s = new Stage().fleet(0, 1024);
+    TestGateway s = new TestGateway().fleet(0, 1024);
     stage(s)
         .post("c1", ID, "aside/look")
         .get("c1", ID)
--- a/gateway/src/test/java/tillerlink/OtherSettingsTest.java
+++ b/gateway/src/test/java/tillerlink/OtherSettingsTest.java
@@ -17,7 +17,7 @@
   @TestFactory
   List<DynamicTest> stories() {
     List<DynamicTest> stories = new ArrayList<>();
-    for (Method story : PolicyTest.class.getDeclaredMethods()) {
+    for (Method story : DefaultDispatchPolicyTest.class.getDeclaredMethods()) {
       if (story.isAnnotationPresent(Test.class)) {
         stories.add(retold(story, 1, true));
         stories.add(retold(story, 2, false));
@@ -35,7 +35,7 @@
           Trace.scale = scale;
           Trace.renamed = renamed;
           try {
-            ReflectionSupport.invokeMethod(story, new PolicyTest());
+            ReflectionSupport.invokeMethod(story, new DefaultDispatchPolicyTest());
           } finally {
             Trace.scale = 1;
             Trace.renamed = false;
--- a/gateway/src/test/java/tillerlink/OneWayOutTest.java
+++ b/gateway/src/test/java/tillerlink/SingleWriterTest.java
@@ -15,7 +15,7 @@
  * Guards the guard: an attempt can reach a socket in one way only, and each step of it stands in
  * one place. Whoever adds a second has to lead it past the guard first, and then say so here.
  */
-class OneWayOutTest {
+class SingleWriterTest {
   private static final Path SOURCES = Path.of("src", "main", "java", "tillerlink");
 
   @Test
--- a/gateway/src/test/java/tillerlink/ColdStarts.java
+++ b/gateway/src/test/java/tillerlink/SlowStartSimulation.java
@@ -24,7 +24,7 @@
  * send it together. Traffic is Poisson and uneven by gateway, each is told of the start after a
  * time of its own, and a tenth of them restart meanwhile. Times are tenths of a millisecond.
  */
-final class ColdStarts {
+final class SlowStartSimulation {
   /** How the engine comes to be cold. */
   enum Kind {
     /** It was never there before. */
@@ -321,7 +321,7 @@
    * @param meanWork the mean work of a request; with it N is 90,000 / meanWork at first
    * @param latestNews after this time the last gateway is told of the start
    */
-  ColdStarts(int gateways, double meanWork, long latestNews, Kind kind, long seed) {
+  SlowStartSimulation(int gateways, double meanWork, long latestNews, Kind kind, long seed) {
     this.latestNews = latestNews;
     this.gateways = gateways;
     this.meanWork = meanWork;
--- a/gateway/src/test/java/tillerlink/ColdStartsTest.java
+++ b/gateway/src/test/java/tillerlink/SlowStartTest.java
@@ -9,29 +9,30 @@
 import org.junit.jupiter.api.Test;
 
 /** Rule 4 over all gateways: a cold engine is not pushed over by them together, and yet used. */
-class ColdStartsTest {
+class SlowStartTest {
   private static final int[] FLEETS = {3, 20, 30, 120};
   private static final double[] MEAN_WORKS = {1500, 9000};
   private static final double LATEST_NEWS = 1;
 
-  private static ColdStarts.Start[] play(
+  private static SlowStartSimulation.Start[] play(
       int gateways, double meanWork, double latestNews, int starts) {
-    ColdStarts.Kind[] kinds = ColdStarts.Kind.values();
+    SlowStartSimulation.Kind[] kinds = SlowStartSimulation.Kind.values();
     return IntStream.range(0, starts)
         .parallel()
         .mapToObj(
             i ->
-                new ColdStarts(
+                new SlowStartSimulation(
                         gateways,
                         meanWork,
                         (long) (10_000 * latestNews),
                         kinds[i % kinds.length],
                         31L * i + gateways)
                     .play())
-        .toArray(ColdStarts.Start[]::new);
+        .toArray(SlowStartSimulation.Start[]::new);
   }
 
-  private static double[] sorted(ColdStarts.Start[] starts, ToDoubleFunction<ColdStarts.Start> of) {
+  private static double[] sorted(
+      SlowStartSimulation.Start[] starts, ToDoubleFunction<SlowStartSimulation.Start> of) {
     return Arrays.stream(starts).mapToDouble(of).sorted().toArray();
   }
 
@@ -53,24 +54,25 @@
         Double.parseDouble(System.getProperty("cold.news", String.valueOf(LATEST_NEWS)));
     for (int gateways : FLEETS) {
       for (double meanWork : MEAN_WORKS) {
-        ColdStarts.Start[] all = play(gateways, meanWork, latestNews, starts);
+        SlowStartSimulation.Start[] all = play(gateways, meanWork, latestNews, starts);
         long over = Arrays.stream(all).filter(start -> start.bound() > 1).count();
         String line = line(gateways, meanWork, all, over);
         if (table) {
           System.out.println(line);
         }
-        double given = mean(sorted(all, ColdStarts.Start::given));
+        double given = mean(sorted(all, SlowStartSimulation.Start::given));
         assertTrue(table || over == 0, line);
         assertTrue(table || given >= (gateways > 100 && meanWork > 5000 ? 0.33 : 0.5), line);
       }
     }
   }
 
-  private static String line(int gateways, double meanWork, ColdStarts.Start[] all, long over) {
-    double[] most = sorted(all, ColdStarts.Start::most);
-    double[] given = sorted(all, ColdStarts.Start::given);
-    double bound = Arrays.stream(all).mapToDouble(ColdStarts.Start::bound).max().orElse(0);
-    double told = Arrays.stream(all).mapToDouble(ColdStarts.Start::told).max().orElse(0);
+  private static String line(
+      int gateways, double meanWork, SlowStartSimulation.Start[] all, long over) {
+    double[] most = sorted(all, SlowStartSimulation.Start::most);
+    double[] given = sorted(all, SlowStartSimulation.Start::given);
+    double bound = Arrays.stream(all).mapToDouble(SlowStartSimulation.Start::bound).max().orElse(0);
+    double told = Arrays.stream(all).mapToDouble(SlowStartSimulation.Start::told).max().orElse(0);
     int last = all.length - 1;
     return String.format(
         Locale.ROOT,
--- a/gateway/src/test/java/tillerlink/Stage.java
+++ b/gateway/src/test/java/tillerlink/TestGateway.java
@@ -21,7 +21,7 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /** A driver that prints. Times are milliseconds; in what engines say, | is a line's end. */
-final class Stage implements NetworkDriver {
+final class TestGateway implements NetworkDriver {
   private static final int TENTHS = 10;
   static final long START = 17_000_000_000_000L;
   private static final long CONFIRM_MS = 125;
@@ -53,11 +53,11 @@
   private long origin = START;
   private Gateway gateway;
 
-  Stage() {
+  TestGateway() {
     fresh();
   }
 
-  Stage fresh() {
+  TestGateway fresh() {
     dialed.clear();
     clients.clear();
     unsent.clear();
@@ -172,12 +172,12 @@
   }
 
   /** With settings that leave out all that they may. */
-  Stage terse() {
+  TestGateway terse() {
     terse = true;
     return fresh();
   }
 
-  Stage fleet(int engines, int descriptors) {
+  TestGateway fleet(int engines, int descriptors) {
     fleet = IntStream.range(1, engines + 1).mapToObj(i -> entry("e" + i, "127.0.0." + i)).toList();
     sockets = descriptors;
     return fresh();
@@ -188,27 +188,27 @@
   }
 
   /** Puts it beside the module, from now on. */
-  Stage beside(Function<GatewayExtension.Door, GatewayExtension> made) {
+  TestGateway beside(Function<GatewayExtension.Door, GatewayExtension> made) {
     gateway.beside(made.apply(gateway.door()));
     return this;
   }
 
-  Stage say(String comment) {
+  TestGateway say(String comment) {
     printed.append("# ").append(comment).append('\n');
     return this;
   }
 
-  Stage stuck() {
+  TestGateway stuck() {
     stuck = true;
     return this;
   }
 
-  Stage letGo() {
+  TestGateway letGo() {
     stuck = false;
     return turn(() -> {});
   }
 
-  Stage post(String client, String id, String track) {
+  TestGateway post(String client, String id, String track) {
     return client(
         client,
         "POST /v1/"
@@ -219,7 +219,7 @@
   }
 
   /** Of the track that keeps its order. */
-  Stage ordered(String client, String id, String subject) {
+  TestGateway ordered(String client, String id, String subject) {
     return client(
         client,
         "POST /v1/file HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
@@ -230,11 +230,11 @@
             + "\r\nX-Estimate-Ms: 100\r\nContent-Length: 8\r\n\r\nSELECT 1");
   }
 
-  Stage get(String client, String id) {
+  TestGateway get(String client, String id) {
     return client(client, "GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
   }
 
-  Stage client(String name, String bytes) {
+  TestGateway client(String name, String bytes) {
     Printed pipe =
         clients.computeIfAbsent(
             name,
@@ -246,25 +246,25 @@
     return turn(() -> pipe.owner.fed(bytes.getBytes(StandardCharsets.UTF_8)));
   }
 
-  Stage breaks(String client, DisconnectReason how) {
+  TestGateway breaks(String client, DisconnectReason how) {
     return turn(() -> clients.remove(client).owner.ended(how));
   }
 
-  Stage connected(int link) {
+  TestGateway connected(int link) {
     return turn(() -> dialed.get(link).owner.opened());
   }
 
-  Stage ends(int link, DisconnectReason how) {
+  TestGateway ends(int link, DisconnectReason how) {
     return turn(() -> dialed.get(link).owner.ended(how));
   }
 
-  Stage engine(int link, String says) {
+  TestGateway engine(int link, String says) {
     return turn(
         () ->
             dialed.get(link).owner.fed(says.replace("|", "\r\n").getBytes(StandardCharsets.UTF_8)));
   }
 
-  Stage news(int index, String... engines) {
+  TestGateway news(int index, String... engines) {
     asked().turn(() -> gateway.told(Lists.answer(query, index, engines)));
     if (index > servedIndex) {
       served = engines;
@@ -275,7 +275,7 @@
   }
 
   /** The same, truncated behind its serial. */
-  Stage truncated(int index, String... engines) {
+  TestGateway truncated(int index, String... engines) {
     asked()
         .turn(
             () -> {
@@ -288,7 +288,7 @@
   }
 
   /** The name service answers nothing from now on. */
-  Stage silentNames() {
+  TestGateway silentNames() {
     answering = false;
     return this;
   }
@@ -299,7 +299,7 @@
   }
 
   /** Time passes until the name service is asked. */
-  private Stage asked() {
+  private TestGateway asked() {
     answering = false;
     query = -1;
     for (int i = 0; i < 20 && query < 0; i++) {
@@ -308,21 +308,21 @@
     return this;
   }
 
-  Stage drain() {
+  TestGateway drain() {
     gateway.drain();
     return this;
   }
 
-  Stage answered() {
+  TestGateway answered() {
     print(gateway.allAnswered() ? "all answered" : "not all answered");
     return this;
   }
 
-  Stage timeUp() {
+  TestGateway timeUp() {
     return turn(() -> gateway.endAll());
   }
 
-  Stage pass(long ms) {
+  TestGateway pass(long ms) {
     long until = now + ms * TENTHS;
     while (gateway.dueAt() <= until) {
       now = Math.max(now, gateway.dueAt());
@@ -333,18 +333,18 @@
   }
 
   /** Time passes and no turn is taken. */
-  Stage stall(long ms) {
+  TestGateway stall(long ms) {
     now += ms * TENTHS;
     return this;
   }
 
   /** Leaves what happens out of the trace. */
-  Stage quiet(boolean on) {
+  TestGateway quiet(boolean on) {
     quiet = on;
     return this;
   }
 
-  Stage turn(Runnable event) {
+  TestGateway turn(Runnable event) {
     gateway.begin(now);
     event.run();
     gateway.settle();
--- a/gateway/src/test/java/tillerlink/net/lifecycle/TurnsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -27,7 +27,7 @@
 import tillerlink.port.DispatchActions;
 import tillerlink.port.DispatchPolicy;
 
-class TurnsTest {
+class EventLoopTest {
   private static final long START = 17_000_000_000_000L;
   private static final long PAUSE = 30_000;
 
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StandInEngine.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/FakeEngine.java
@@ -10,7 +10,7 @@
 import tillerlink.net.lifecycle.Loopback.Peer;
 
 /** An engine that answers each attempt at once with no rows, and notes when attempts came. */
-final class StandInEngine implements Closeable {
+final class FakeEngine implements Closeable {
   private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
   /**
@@ -23,7 +23,7 @@
 
   private final List<Attempt> attempts = new ArrayList<>();
 
-  StandInEngine() throws IOException {
+  FakeEngine() throws IOException {
     daemon(
         () -> {
           while (true) {
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StandInNames.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/FakeNameService.java
@@ -18,7 +18,7 @@
  * drain counts as told: when an answer that holds it was sent, and 1.5 s after it happened at the
  * latest.
  */
-final class StandInNames implements Closeable {
+final class FakeNameService implements Closeable {
   private static final long TOLD_AT_THE_LATEST = TimeUnit.MILLISECONDS.toNanos(1500);
 
   private final DatagramSocket socket;
@@ -37,7 +37,7 @@
   /** Until then answers are sent and do not arrive. */
   private long lossyUntil = System.nanoTime();
 
-  StandInNames() throws IOException {
+  FakeNameService() throws IOException {
     socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     Thread thread = new Thread(this::run, "names");
     thread.setDaemon(true);
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -48,18 +48,18 @@
   private static final InetAddress HERE = InetAddress.getLoopbackAddress();
 
   @TempDir private Path folder;
-  private StandInNames names;
-  private StandInEngine draining;
-  private StandInEngine staying;
+  private FakeNameService names;
+  private FakeEngine draining;
+  private FakeEngine staying;
   private Process process;
   private int port;
   private int ids;
 
   @BeforeEach
   void standIns() throws IOException {
-    names = new StandInNames();
-    draining = new StandInEngine();
-    staying = new StandInEngine();
+    names = new FakeNameService();
+    draining = new FakeEngine();
+    staying = new FakeEngine();
     names.ready(DRAINS, draining.port());
     names.ready(STAYS, staying.port());
   }
@@ -153,7 +153,7 @@
     for (Peer client : waiting) {
       fetch(client);
     }
-    List<StandInEngine.Attempt> attempts = new ArrayList<>(draining.attempts());
+    List<FakeEngine.Attempt> attempts = new ArrayList<>(draining.attempts());
     attempts.addAll(staying.attempts());
     attempts.removeIf(attempt -> attempt.at() < posted);
     assertEquals(20, attempts.size());
@@ -191,10 +191,7 @@
   private void judge(int asked) {
     long until = names.toldAt(DRAINS) + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + SLACK_MS);
     List<Long> late =
-        draining.attempts().stream()
-            .map(StandInEngine.Attempt::at)
-            .filter(at -> at > until)
-            .toList();
+        draining.attempts().stream().map(FakeEngine.Attempt::at).filter(at -> at > until).toList();
     assertEquals(
         0,
         late.size(),
@@ -246,7 +243,7 @@
     process = builder.start();
   }
 
-  private static String listed(String name, StandInEngine engine) {
+  private static String listed(String name, FakeEngine engine) {
     return "{\"name\":\""
         + name
         + "\",\"address\":\"127.0.0.1:"
@@ -264,7 +261,7 @@
           }
         },
         "it does not listen");
-    StandInEngine.daemon(() -> process.getErrorStream().transferTo(System.out));
+    FakeEngine.daemon(() -> process.getErrorStream().transferTo(System.out));
   }
 
   /**
--- a/gateway/src/test/java/tillerlink/net/state/NameServiceTest.java
+++ b/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
@@ -12,7 +12,7 @@
 import tillerlink.telemetry.Telemetry;
 
 /** Questions of a whole fleet that was started at one moment. Times are tenths of a millisecond. */
-class NameServiceTest {
+class DiscoveryClientTest {
   private static final int GATEWAYS = 100;
   private static final long STEP = 1250;
   private static final long GRACE = 5000;
--- a/gateway/src/test/java/tillerlink/net/wire/AssignmentTest.java
+++ b/gateway/src/test/java/tillerlink/net/wire/GatewayConfigTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** What a configuration says, at the start and when it is read again. */
-class AssignmentTest {
+class GatewayConfigTest {
   @TempDir Path folder;
 
   /**
--- a/harness/src/main/java/tillerlink/harness/EngineSockets.java
+++ b/harness/src/main/java/tillerlink/harness/EngineSockets.java
@@ -18,13 +18,13 @@
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
+import tillerlink.emulator.AttemptObserver;
 import tillerlink.emulator.EmulatedEngine;
-import tillerlink.emulator.HopWatch;
 import tillerlink.emulator.Peer;
 import tillerlink.emulator.World;
 import tillerlink.fakes.EngineCommands.Command;
-import tillerlink.fakes.EngineSide;
-import tillerlink.fakes.Says;
+import tillerlink.fakes.EngineReplies;
+import tillerlink.fakes.LineProtocolServer;
 import tillerlink.net.state.DisconnectReason;
 
 /**
@@ -98,15 +98,15 @@
   private final class SocketPeer implements Peer {
     private final Door door;
     private final IoSession session;
-    private final EngineSide side;
-    private final HopWatch hops;
+    private final LineProtocolServer side;
+    private final AttemptObserver hops;
     private boolean over;
 
     SocketPeer(Door door, IoSession session) {
       this.door = door;
       this.session = session;
       side = world.sides.apply(door.engine.spec);
-      hops = new HopWatch(world.auditor, door.gateway, door.engine.spec.name());
+      hops = new AttemptObserver(world.auditor, door.gateway, door.engine.spec.name());
     }
 
     void opened() {
@@ -142,7 +142,7 @@
     }
 
     @Override
-    public void say(Says what) {
+    public void say(EngineReplies what) {
       if (!over) {
         hops.comesBack(what);
         write(side.say(what));
--- a/harness/src/main/java/tillerlink/harness/Rig.java
+++ b/harness/src/main/java/tillerlink/harness/ProcessHarness.java
@@ -34,7 +34,7 @@
  * clients and auditor; the sockets' threads only post to its queue. The load keeps the trace's
  * times whatever becomes of it; how late it was sent is measured.
  */
-public final class Rig implements AutoCloseable {
+public final class ProcessHarness implements AutoCloseable {
   private static final long AHEAD = 10_000;
   private static final long SWEEP_EVERY = 500;
   private static final long LEAD = 2000;
@@ -57,7 +57,7 @@
   private long serial = 1;
   private List<EndpointEntry> listed;
 
-  private Rig(Job job, Path store) throws IOException {
+  private ProcessHarness(Job job, Path store) throws IOException {
     this.job = job;
     int count = job.fleet().gateways();
     seeds = new Random(job.seed());
@@ -100,7 +100,7 @@
   public static Played play(
       Job job, Arrivals arrivals, LongConsumer progress, Path store, Consumer<World> prepared)
       throws IOException {
-    try (Rig rig = new Rig(job, store)) {
+    try (ProcessHarness rig = new ProcessHarness(job, store)) {
       prepared.accept(rig.world);
       rig.startGateways();
       return rig.run(arrivals, progress);
--- a/http2/src/test/java/tillerlink/net/http2/ConnectionTest.java
+++ b/http2/src/test/java/tillerlink/net/http2/Http2ClientConnectionTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The client's side of RFC 9113, frame by frame. */
-class ConnectionTest {
+class Http2ClientConnectionTest {
   private final Peer peer = new Peer();
 
   @Test
--- a/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
+++ b/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
@@ -11,7 +11,7 @@
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.members.gossip.GossipQueue;
 import tillerlink.members.local.LocalMember;
-import tillerlink.members.state.FaultyTable;
+import tillerlink.members.state.FaultyMemberTable;
 import tillerlink.members.state.MemberTable;
 import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberStatus;
@@ -24,11 +24,11 @@
 class PlantedFaultsTest {
   private static final int HISTORIES = 40;
 
-  private static ComponentFactories table(FaultyTable.What what) {
+  private static ComponentFactories table(FaultyMemberTable.What what) {
     return new ComponentFactories() {
       @Override
       MemberTable table(String self, MembershipConfig periods, MemberTable.Changes changes) {
-        return new FaultyTable(self, periods, changes, what);
+        return new FaultyMemberTable(self, periods, changes, what);
       }
     };
   }
@@ -218,7 +218,7 @@
     long never = Long.MAX_VALUE / 4;
     List<String> found = new ArrayList<>();
     found.add("nothing planted: " + caught(new ComponentFactories(), usual));
-    for (FaultyTable.What what : FaultyTable.What.values()) {
+    for (FaultyMemberTable.What what : FaultyMemberTable.What.values()) {
       found.add(what + ": " + caught(table(what), usual));
     }
     found.add("never refutes: " + caught(NEVER_REFUTES, usual));
--- a/members/src/test/java/tillerlink/members/state/FaultyTable.java
+++ b/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
@@ -6,7 +6,7 @@
 import tillerlink.messages.members.MemberStatus;
 
 /** Tables with a fault planted in them, each of which has to be caught. */
-public final class FaultyTable extends MemberTable {
+public final class FaultyMemberTable extends MemberTable {
   /** What is wrong. */
   public enum What {
     BELIEVES_LOWER,
@@ -18,7 +18,7 @@
   private final What what;
   private final Changes changes;
 
-  public FaultyTable(String self, MembershipConfig periods, Changes changes, What what) {
+  public FaultyMemberTable(String self, MembershipConfig periods, Changes changes, What what) {
     super(self, periods, changes);
     this.what = what;
     this.changes = changes;
--- a/peering/src/test/java/tillerlink/peering/BookTest.java
+++ b/peering/src/test/java/tillerlink/peering/AddressBookTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Where others are reached: by their own word, or by the operator's. */
-class BookTest {
+class AddressBookTest {
   @Test
   void theOperatorsWordGoesFirst() {
     Map<String, String> told = Map.of("n2", "10.0.0.2:7400", "n3", "10.0.0.3:7400");
--- a/peering/src/test/java/tillerlink/peering/storage/DiskKeepTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeyValueStoreTest.java
@@ -22,7 +22,7 @@
 import tillerlink.cluster.KeyValueStore;
 
 /** What is kept on disk, by its own thread; a queue stands in for the gateway's turns. */
-class DiskKeepTest {
+class DiskKeyValueStoreTest {
   @TempDir private Path folder;
   private final BlockingQueue<Runnable> turns = new LinkedBlockingQueue<>();
 
--- a/replay/src/main/java/tillerlink/replay/SeatLines.java
+++ b/replay/src/main/java/tillerlink/replay/GatewayConnections.java
@@ -1,17 +1,17 @@
 package tillerlink.replay;
 
-import tillerlink.emulator.Seat;
+import tillerlink.emulator.EmulatedGateway;
 import tillerlink.emulator.World;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.DisconnectReason;
 
 /** Connections of clients to gateways in memory. */
-public final class SeatLines implements Lines {
+public final class GatewayConnections implements Lines {
   private static final long DELAY = 2;
 
   private final World world;
 
-  public SeatLines(World world) {
+  public GatewayConnections(World world) {
     this.world = world;
   }
 
@@ -27,14 +27,14 @@
 
   /** What is said takes a while, both ways, and keeps its order. */
   private final class Connection implements Line, Channel {
-    private final Seat seat;
+    private final EmulatedGateway seat;
     private final Client client;
     private final int life;
     private Owner owner;
     private boolean hungUp;
     private boolean over;
 
-    Connection(Seat seat, Client client) {
+    Connection(EmulatedGateway seat, Client client) {
       this.seat = seat;
       this.client = client;
       life = seat.life();
--- a/replay/src/main/java/tillerlink/replay/Page.java
+++ b/replay/src/main/java/tillerlink/replay/Page.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tillerlink.audit.Breach;
+import tillerlink.audit.Violation;
 
 /**
  * One page with the figures of a replay and plots of it, in a file of its own that needs nothing
@@ -70,7 +70,7 @@
         run.job().fleet().engines().size(),
         run.job().fleet().cores(),
         run.lasted() / (double) Figures.SECOND);
-    for (Breach breach : run.auditor().breaches()) {
+    for (Violation breach : run.auditor().breaches()) {
       out.printf(
           "<p class=\"bad\">Rule broken: %s s, %s</p>",
           run.sinceStart(breach.at()), escaped(breach.what()));
--- a/replay/src/main/java/tillerlink/replay/Report.java
+++ b/replay/src/main/java/tillerlink/replay/Report.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tillerlink.audit.Breach;
 import tillerlink.audit.Rule;
+import tillerlink.audit.Violation;
 import tillerlink.fleet.Trouble;
 import tillerlink.trace.Skip;
 import tillerlink.trace.Tally;
@@ -145,8 +145,8 @@
     }
     json.writeEndObject();
     json.writeArrayFieldStart("first_breaches");
-    List<Breach> breaches = run.auditor().breaches();
-    for (Breach breach : breaches.subList(0, Math.min(10, breaches.size()))) {
+    List<Violation> breaches = run.auditor().breaches();
+    for (Violation breach : breaches.subList(0, Math.min(10, breaches.size()))) {
       json.writeString(run.sinceStart(breach.at()) + " s " + breach.what());
     }
     json.writeEndArray();
--- a/replay/src/main/java/tillerlink/replay/Run.java
+++ b/replay/src/main/java/tillerlink/replay/Run.java
@@ -23,7 +23,8 @@
     World world =
         new World(job.fleet(), job.tracks(), auditor, UNIX_START).seat(job.modules(), job.seed());
     Front front =
-        new Front(world, new SeatLines(world), figures, new Wording(job.seed(), job.error()));
+        new Front(
+            world, new GatewayConnections(world), figures, new Wording(job.seed(), job.error()));
     job.troubles().forEach(world::plan);
     Arrival next = arrivals.next();
     long steps = 0;
--- a/statements/src/test/java/tillerlink/statements/AttemptsTest.java
+++ b/statements/src/test/java/tillerlink/statements/AttemptsTest.java
@@ -11,15 +11,16 @@
  * announced.
  */
 class AttemptsTest {
-  private static final long LEASE = 3 * Town.SECOND;
-  private final Town town = new Town(3, 3, 2);
+  private static final long LEASE = 3 * TestCluster.SECOND;
+  private final TestCluster town = new TestCluster(3, 3, 2);
 
   private void settled() {
     town.leaseLength = LEASE;
     town.startAll();
-    assertTrue(town.until(10 * Town.SECOND, () -> !town.leader().equals("none")));
-    town.prepare("g1", Town.definition("top", "select 1 from orders_17.orders", 17), any -> {});
-    assertTrue(town.until(5 * Town.SECOND, () -> runs("g1") && runs("g2")));
+    assertTrue(town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none")));
+    town.prepare(
+        "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+    assertTrue(town.until(5 * TestCluster.SECOND, () -> runs("g1") && runs("g2")));
     // A voter that has just started is clear of nothing.
     town.fleet.playFor(2 * LEASE);
   }
@@ -32,8 +33,9 @@
   private long change() {
     long version = town.part("g2").catalog().version(17);
     long from = town.fleet.now();
-    town.announce("g2", Town.untouched(17), any -> {});
-    assertTrue(town.until(20 * Town.SECOND, () -> town.part("g2").catalog().version(17) > version));
+    town.announce("g2", TestCluster.untouched(17), any -> {});
+    assertTrue(
+        town.until(20 * TestCluster.SECOND, () -> town.part("g2").catalog().version(17) > version));
     assertEquals(List.of(), town.audit.violations);
     return town.fleet.now() - from;
   }
@@ -42,22 +44,22 @@
     town.worksFor = worksFor;
     town.inDoubt = inDoubt;
     town.run("g1", "top");
-    town.fleet.playFor(20 * Town.MS);
+    town.fleet.playFor(20 * TestCluster.MS);
     assertEquals(1, town.audit.runs);
   }
 
   @Test
   void itTakesEffectRightAfterTheHopEnded() {
     settled();
-    run(Town.SECOND, 0);
+    run(TestCluster.SECOND, 0);
     long took = change();
-    assertTrue(took >= 950 * Town.MS && took <= 1100 * Town.MS, took / 10 + " ms");
+    assertTrue(took >= 950 * TestCluster.MS && took <= 1100 * TestCluster.MS, took / 10 + " ms");
   }
 
   @Test
   void itTakesEffectOnceTheLeaseRanOutUnderAHopThatGoesOn() {
     settled();
-    run(10 * Town.SECOND, 0);
+    run(10 * TestCluster.SECOND, 0);
     long took = change();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
   }
@@ -65,7 +67,7 @@
   @Test
   void aHopThatMayBeOutIsNoReasonToGiveALeaseBack() {
     settled();
-    run(10 * Town.MS, 1);
+    run(10 * TestCluster.MS, 1);
     long took = change();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
   }
@@ -73,10 +75,10 @@
   @Test
   void itIsForgottenOnceItCannotBeOutAnyMore() {
     settled();
-    run(10 * Town.MS, 1);
-    town.fleet.playFor(LEASE + Town.SECOND);
+    run(10 * TestCluster.MS, 1);
+    town.fleet.playFor(LEASE + TestCluster.SECOND);
     long took = change();
-    assertTrue(took <= 50 * Town.MS, took / 10 + " ms");
+    assertTrue(took <= 50 * TestCluster.MS, took / 10 + " ms");
   }
 
   /**
@@ -86,13 +88,13 @@
   @Test
   void aPauseEndsNoHop() {
     settled();
-    run(2 * Town.SECOND, 0);
+    run(2 * TestCluster.SECOND, 0);
     town.pause("g1");
-    town.fleet.playFor(400 * Town.MS);
+    town.fleet.playFor(400 * TestCluster.MS);
     town.resume("g1");
-    town.fleet.playFor(20 * Town.MS);
+    town.fleet.playFor(20 * TestCluster.MS);
     long took = change();
-    assertTrue(took >= Town.SECOND && took <= 1700 * Town.MS, took / 10 + " ms");
+    assertTrue(took >= TestCluster.SECOND && took <= 1700 * TestCluster.MS, took / 10 + " ms");
   }
 
   /** A process that ends gives back what no hop is out under. */
@@ -101,13 +103,13 @@
     settled();
     town.leave("g1");
     long took = change();
-    assertTrue(took <= 50 * Town.MS, took / 10 + " ms");
+    assertTrue(took <= 50 * TestCluster.MS, took / 10 + " ms");
   }
 
   @Test
   void whoLeavesWithAHopOutGivesNothingBackUnderIt() {
     settled();
-    run(10 * Town.SECOND, 0);
+    run(10 * TestCluster.SECOND, 0);
     town.leave("g1");
     long took = change();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
--- a/statements/src/test/java/tillerlink/statements/HistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/HistoriesTest.java
@@ -27,7 +27,7 @@
       History history = new History(seed + 100_000L * seconds);
       String what;
       try {
-        what = history.play(seconds * Town.SECOND);
+        what = history.play(seconds * TestCluster.SECOND);
       } catch (Invariant.Broken e) {
         what = e + " at " + history.town.at();
       }
--- a/statements/src/test/java/tillerlink/statements/History.java
+++ b/statements/src/test/java/tillerlink/statements/History.java
@@ -18,7 +18,7 @@
 final class History {
   static final List<String> NAMES = List.of("a", "b", "c", "d");
 
-  final Town town;
+  final TestCluster town;
   final List<String> events = new ArrayList<>();
   private final SplittableRandom random;
   private final Map<String, NavigableMap<String, byte[]>> copies = new HashMap<>();
@@ -39,7 +39,7 @@
   History(long seed, InjectedFault... plants) {
     random = new SplittableRandom(seed * 31 + 7);
     voterCount = random.nextInt(4) == 0 ? 5 : 3;
-    town = new Town(seed, voterCount, 2 + random.nextInt(3), plants);
+    town = new TestCluster(seed, voterCount, 2 + random.nextInt(3), plants);
     town.leaseLength = 10 * (300 + random.nextInt(1500));
     town.inDoubt = 0.02;
   }
@@ -48,7 +48,7 @@
   History(long seed, int voters, int others) {
     random = new SplittableRandom(seed * 31 + 7);
     voterCount = voters;
-    town = new Town(seed, voters, others);
+    town = new TestCluster(seed, voters, others);
     town.leaseLength = 10 * (300 + random.nextInt(1000));
     town.inDoubt = 0.02;
   }
@@ -69,13 +69,13 @@
       town.clocksDrift();
     }
     town.startAll();
-    if (!town.until(10 * Town.SECOND, () -> !town.leader().equals("none"))) {
+    if (!town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none"))) {
       return "no leader at the start";
     }
     for (String name : NAMES) {
       prepare(name);
     }
-    town.fleet.playFor(Town.SECOND);
+    town.fleet.playFor(TestCluster.SECOND);
     load();
     long end = town.fleet.now() + lasts;
     while (town.fleet.now() < end) {
@@ -97,12 +97,12 @@
       town.clocksDrift();
     }
     town.startAll();
-    if (!town.until(10 * Town.SECOND, () -> !town.leader().equals("none"))) {
+    if (!town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none"))) {
       return "no leader at the start";
     }
     prepare(NAMES.get(0));
     prepare(NAMES.get(1));
-    town.fleet.playFor(Town.SECOND / 2);
+    town.fleet.playFor(TestCluster.SECOND / 2);
     load();
     int before = random.nextInt(3);
     for (int i = 0; i < 3; i++) {
@@ -167,8 +167,8 @@
     town.prepare(
         at,
         two
-            ? Town.definition(name, text, group, group == 17 ? 18 : 17)
-            : Town.definition(name, text, group),
+            ? TestCluster.definition(name, text, group, group == 17 ? 18 : 17)
+            : TestCluster.definition(name, text, group),
         this::told);
   }
 
@@ -183,11 +183,11 @@
   private Change change() {
     int group = 17 + random.nextInt(3);
     return switch (random.nextInt(6)) {
-      case 0 -> Town.removed(group);
-      case 1 -> Town.renamed(group, "t" + random.nextInt(100));
-      case 2 -> Town.altered(group);
-      case 3 -> Town.untouched(group, group == 17 ? 18 : 17);
-      default -> Town.untouched(group);
+      case 0 -> TestCluster.removed(group);
+      case 1 -> TestCluster.renamed(group, "t" + random.nextInt(100));
+      case 2 -> TestCluster.altered(group);
+      case 3 -> TestCluster.untouched(group, group == 17 ? 18 : 17);
+      default -> TestCluster.untouched(group);
     };
   }
 
@@ -303,7 +303,7 @@
       return;
     }
     doubtful = name;
-    doubtfulUntil = town.fleet.now() + Town.SECOND;
+    doubtfulUntil = town.fleet.now() + TestCluster.SECOND;
     town.kill(name);
     NavigableMap<String, byte[]> copy = copies.get(name);
     if (copy != null && random.nextBoolean()) {
@@ -326,7 +326,7 @@
       }
       town.resume(name);
     }
-    boolean agreed = town.until(60 * Town.SECOND, town::agree);
+    boolean agreed = town.until(60 * TestCluster.SECOND, town::agree);
     loaded = false;
     if (!town.audit.violations.isEmpty()) {
       return town.audit.violations.get(0);
@@ -338,7 +338,8 @@
       boolean ready =
           town.part("g1").catalog().find(name).filter(it -> it.state() == State.READY).isPresent();
       for (String at : town.all) {
-        if (ready && !town.until(5 * Town.SECOND, () -> town.mayRun(at, name).startsWith("yes"))) {
+        if (ready
+            && !town.until(5 * TestCluster.SECOND, () -> town.mayRun(at, name).startsWith("yes"))) {
           return at + " can't run " + name + " in a calm fleet: " + town.mayRun(at, name);
         }
       }
--- a/statements/src/test/java/tillerlink/statements/Measure.java
+++ b/statements/src/test/java/tillerlink/statements/Measure.java
@@ -20,28 +20,28 @@
         "runs at all gateways, hops of 2 to 42 ms",
         town -> {
           town.all.forEach(name -> load(town, name));
-          town.fleet.playFor(2 * Town.SECOND);
+          town.fleet.playFor(2 * TestCluster.SECOND);
         });
     change(
         "the same, one in 1,000 hops in doubt",
         town -> {
           town.inDoubt = 0.001;
           town.all.forEach(name -> load(town, name));
-          town.fleet.playFor(2 * Town.SECOND);
+          town.fleet.playFor(2 * TestCluster.SECOND);
         });
     change(
         "a hop that goes on for 500 ms",
         town -> {
-          town.worksFor = 500 * Town.MS;
+          town.worksFor = 500 * TestCluster.MS;
           town.run("g2", "top");
-          town.fleet.playFor(10 * Town.MS);
+          town.fleet.playFor(10 * TestCluster.MS);
         });
     change(
         "a hop in doubt",
         town -> {
           town.inDoubt = 1;
           town.run("g2", "top");
-          town.fleet.playFor(50 * Town.MS);
+          town.fleet.playFor(50 * TestCluster.MS);
         });
     change("a gateway killed", town -> town.kill("g2"));
     change("a gateway paused", town -> town.pause("g2"));
@@ -65,36 +65,37 @@
     cost();
   }
 
-  private static void load(Town town, String at) {
+  private static void load(TestCluster town, String at) {
     town.run(at, "top");
-    town.fleet.at(town.fleet.now() + 10 * Town.MS, () -> load(town, at));
+    town.fleet.at(town.fleet.now() + 10 * TestCluster.MS, () -> load(town, at));
   }
 
-  private static void change(String words, Consumer<Town> trouble) {
+  private static void change(String words, Consumer<TestCluster> trouble) {
     List<Long> effects = new ArrayList<>();
     List<Long> gaps = new ArrayList<>();
     for (int seed = 1; seed <= TIMES; seed++) {
-      Town town = new Town(seed, 3, 4);
-      town.leaseLength = 3 * Town.SECOND;
+      TestCluster town = new TestCluster(seed, 3, 4);
+      town.leaseLength = 3 * TestCluster.SECOND;
       town.startAll();
-      town.until(20 * Town.SECOND, () -> !town.leader().equals("none"));
-      town.prepare("g1", Town.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+      town.until(20 * TestCluster.SECOND, () -> !town.leader().equals("none"));
+      town.prepare(
+          "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
       for (String name : town.all) {
-        town.until(5 * Town.SECOND, () -> town.mayRun(name, "top").startsWith("yes"));
+        town.until(5 * TestCluster.SECOND, () -> town.mayRun(name, "top").startsWith("yes"));
       }
-      town.fleet.playFor(5 * Town.SECOND + seed * 7);
+      town.fleet.playFor(5 * TestCluster.SECOND + seed * 7);
       trouble.accept(town);
       long from = town.fleet.now();
-      town.announce("g1", Town.untouched(17), any -> {});
+      town.announce("g1", TestCluster.untouched(17), any -> {});
       town.until(
-          60 * Town.SECOND,
+          60 * TestCluster.SECOND,
           () ->
               town.part("g3").catalog().version(17) == 2
                   || !town.mayRun("g3", "top").startsWith("yes"));
       long lost = town.fleet.now();
-      town.until(60 * Town.SECOND, () -> town.part("g1").catalog().version(17) == 2);
+      town.until(60 * TestCluster.SECOND, () -> town.part("g1").catalog().version(17) == 2);
       effects.add(town.fleet.now() - from);
-      town.until(60 * Town.SECOND, () -> town.mayRun("g3", "top").startsWith("yes"));
+      town.until(60 * TestCluster.SECOND, () -> town.mayRun("g3", "top").startsWith("yes"));
       gaps.add(town.fleet.now() - lost);
     }
     System.out.println(
@@ -120,12 +121,13 @@
   }
 
   private static void cost() {
-    Town town = new Town(1, 3, 1);
-    town.leaseLength = 1000 * Town.SECOND;
+    TestCluster town = new TestCluster(1, 3, 1);
+    town.leaseLength = 1000 * TestCluster.SECOND;
     town.startAll();
-    town.until(20 * Town.SECOND, () -> !town.leader().equals("none"));
-    town.prepare("g1", Town.definition("top", "select * from orders_17.orders", 17, 18), any -> {});
-    town.until(5 * Town.SECOND, () -> town.mayRun("g1", "top").startsWith("yes"));
+    town.until(20 * TestCluster.SECOND, () -> !town.leader().equals("none"));
+    town.prepare(
+        "g1", TestCluster.definition("top", "select * from orders_17.orders", 17, 18), any -> {});
+    town.until(5 * TestCluster.SECOND, () -> town.mayRun("g1", "top").startsWith("yes"));
     Statements part = town.part("g1");
     long now = town.fleet.now();
     for (int round = 0; round < 6; round++) {
--- a/statements/src/test/java/tillerlink/statements/StoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/StoriesTest.java
@@ -13,17 +13,17 @@
 
 /** The hard cases of prepared statements, each as a timeline that people can read. */
 class StoriesTest {
-  private final Town town = new Town(3, 3, 2);
+  private final TestCluster town = new TestCluster(3, 3, 2);
   private final Timeline line = new Timeline(town);
   private final List<Outcome> outcomes = new ArrayList<>();
   private final List<String> told = new ArrayList<>();
 
   private void settled() {
     town.startAll();
-    assertTrue(town.until(10 * Town.SECOND, () -> !town.leader().equals("none")));
+    assertTrue(town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none")));
     line.say(town.leader() + " leads");
     prepare("g1", "top", "select 1 from orders_17.orders", 17);
-    assertTrue(town.until(5 * Town.SECOND, () -> runs("g1") && runs("g2")));
+    assertTrue(town.until(5 * TestCluster.SECOND, () -> runs("g1") && runs("g2")));
     line.say("g1 and g2 run top: " + town.mayRun("g1", "top"));
     load("g1");
     load("g2");
@@ -35,12 +35,12 @@
 
   private void load(String at) {
     town.run(at, "top");
-    town.fleet.at(town.fleet.now() + 10 * Town.MS, () -> load(at));
+    town.fleet.at(town.fleet.now() + 10 * TestCluster.MS, () -> load(at));
   }
 
   private void prepare(String at, String name, String text, int... groups) {
     line.say(at + " is asked to prepare " + name);
-    town.prepare(at, Town.definition(name, text, groups), outcome -> tell(at, outcome));
+    town.prepare(at, TestCluster.definition(name, text, groups), outcome -> tell(at, outcome));
   }
 
   private void announce(String at, String words, Change change) {
@@ -82,13 +82,13 @@
       now.stream().filter(words -> !told.contains(words)).forEach(line::say);
       told.clear();
       told.addAll(now);
-      town.fleet.playFor(5 * Town.MS);
+      town.fleet.playFor(5 * TestCluster.MS);
     }
   }
 
   private void end(String name) throws IOException {
     assertTrue(
-        town.until(30 * Town.SECOND, town::agree),
+        town.until(30 * TestCluster.SECOND, town::agree),
         () -> town.all.stream().map(town::told).toList().toString());
     line.say(
         "all agree; "
@@ -111,8 +111,8 @@
   @Test
   void aChangeInACalmFleet() throws IOException {
     settled();
-    announce("g1", "17:orders.city is called town", Town.renamed(17, "town"));
-    watch(Town.SECOND, 17);
+    announce("g1", "17:orders.city is called town", TestCluster.renamed(17, "town"));
+    watch(TestCluster.SECOND, 17);
     end("calm");
   }
 
@@ -120,10 +120,10 @@
   void aGatewayIsCutOff() throws IOException {
     settled();
     alone("g2");
-    announce("g1", "a change that leaves top untouched", Town.untouched(17));
-    watch(3 * Town.SECOND, 17);
+    announce("g1", "a change that leaves top untouched", TestCluster.untouched(17));
+    watch(3 * TestCluster.SECOND, 17);
     heal();
-    watch(Town.SECOND, 17);
+    watch(TestCluster.SECOND, 17);
     end("cut-off");
   }
 
@@ -132,22 +132,22 @@
     settled();
     line.say("g2 is stopped");
     town.pause("g2");
-    announce("g1", "a change that removes what top uses", Town.removed(17));
-    watch(3 * Town.SECOND, 17);
+    announce("g1", "a change that removes what top uses", TestCluster.removed(17));
+    watch(3 * TestCluster.SECOND, 17);
     line.say("g2 goes on");
     town.resume("g2");
-    watch(Town.SECOND, 17);
+    watch(TestCluster.SECOND, 17);
     end("paused");
   }
 
   @Test
   void aGatewayStartsAgainDuringAChange() throws IOException {
     settled();
-    announce("g1", "a change that leaves top untouched", Town.untouched(17));
+    announce("g1", "a change that leaves top untouched", TestCluster.untouched(17));
     line.say("g2 is killed and starts again");
     town.kill("g2");
     town.start("g2");
-    watch(3 * Town.SECOND, 17);
+    watch(3 * TestCluster.SECOND, 17);
     end("restarted");
   }
 
@@ -155,11 +155,11 @@
   void theLeaderDiesAtEachStep() throws IOException {
     settled();
     for (int step = 0; step < 5; step++) {
-      announce("g1", "change number " + (step + 1), Town.untouched(17));
+      announce("g1", "change number " + (step + 1), TestCluster.untouched(17));
       long version = town.part("g1").catalog().version(17);
       int at = step;
       town.until(
-          Town.SECOND,
+          TestCluster.SECOND,
           () ->
               switch (at) {
                 case 0 -> true;
@@ -175,11 +175,12 @@
       String leader = town.leader();
       line.say(leader + " is killed, step " + step);
       town.kill(leader);
-      watch(4 * Town.SECOND, 17);
+      watch(4 * TestCluster.SECOND, 17);
       line.say(leader + " starts again");
       town.start(leader);
       assertTrue(
-          town.until(10 * Town.SECOND, () -> town.part(leader).voter().orElseThrow().isSound()));
+          town.until(
+              10 * TestCluster.SECOND, () -> town.part(leader).voter().orElseThrow().isSound()));
     }
     end("leader-dies");
   }
@@ -188,18 +189,18 @@
   void twoChangesOverlapAndOneIsTakenBack() throws IOException {
     settled();
     alone("g2");
-    announce("g1", "a change of 17 and 18", Town.untouched(17, 18));
-    announce("v1", "a change of 18 and 19", Town.untouched(18, 19));
-    announce("v2", "another of 17", Town.untouched(17));
-    town.until(Town.SECOND, () -> outcomes.size() == 4);
+    announce("g1", "a change of 17 and 18", TestCluster.untouched(17, 18));
+    announce("v1", "a change of 18 and 19", TestCluster.untouched(18, 19));
+    announce("v2", "another of 17", TestCluster.untouched(17));
+    town.until(TestCluster.SECOND, () -> outcomes.size() == 4);
     line.say("the last is taken back");
     town.takeBack("g1", outcomes.get(3).id(), outcome -> tell("g1", outcome));
-    watch(3 * Town.SECOND, 17, 18, 19);
+    watch(3 * TestCluster.SECOND, 17, 18, 19);
     line.say("the first is taken back, too late");
     town.takeBack("g1", outcomes.get(1).id(), outcome -> tell("g1", outcome));
-    watch(Town.SECOND, 17, 18, 19);
+    watch(TestCluster.SECOND, 17, 18, 19);
     heal();
-    watch(Town.SECOND, 17, 18, 19);
+    watch(TestCluster.SECOND, 17, 18, 19);
     end("overlap");
   }
 
@@ -209,11 +210,11 @@
     line.say("all links to and from g2 take half a second to a second");
     town.all.forEach(other -> town.fleet.between("g2", other, Fault.slow(5000, 10_000)));
     for (int i = 0; i < 5; i++) {
-      announce("g1", "change number " + (i + 1), Town.untouched(17));
-      watch(600 * Town.MS, 17);
+      announce("g1", "change number " + (i + 1), TestCluster.untouched(17));
+      watch(600 * TestCluster.MS, 17);
     }
     heal();
-    watch(2 * Town.SECOND, 17);
+    watch(2 * TestCluster.SECOND, 17);
     end("slow");
   }
 
@@ -221,19 +222,21 @@
   void aVoterFromAnEmptyDiskAndOneFromAnOldDisk() throws IOException {
     settled();
     NavigableMap<String, byte[]> copy = town.copyOf("v2");
-    announce("g1", "change number 1", Town.untouched(17));
-    watch(Town.SECOND, 17);
+    announce("g1", "change number 1", TestCluster.untouched(17));
+    watch(TestCluster.SECOND, 17);
     line.say("v2 starts from the disk as it was before that change");
     town.startOld("v2", copy);
-    assertTrue(town.until(20 * Town.SECOND, () -> town.part("v2").voter().orElseThrow().isSound()));
+    assertTrue(
+        town.until(20 * TestCluster.SECOND, () -> town.part("v2").voter().orElseThrow().isSound()));
     line.say("v2 takes part again");
-    watch(Town.SECOND, 17);
+    watch(TestCluster.SECOND, 17);
     line.say("v3 starts from an empty disk");
     town.startEmpty("v3");
-    announce("g1", "change number 2", Town.untouched(17));
-    assertTrue(town.until(20 * Town.SECOND, () -> town.part("v3").voter().orElseThrow().isSound()));
+    announce("g1", "change number 2", TestCluster.untouched(17));
+    assertTrue(
+        town.until(20 * TestCluster.SECOND, () -> town.part("v3").voter().orElseThrow().isSound()));
     line.say("v3 takes part again");
-    watch(2 * Town.SECOND, 17);
+    watch(2 * TestCluster.SECOND, 17);
     town.notes.forEach(note -> line.say("told: " + note));
     end("disks");
   }
@@ -243,7 +246,7 @@
     settled();
     prepare("g1", "both", "select 1 from orders_17.orders", 17);
     prepare("g2", "both", "select 2 from orders_17.orders", 17);
-    watch(Town.SECOND, 17);
+    watch(TestCluster.SECOND, 17);
     town.all.forEach(
         name ->
             line.say(
@@ -251,10 +254,10 @@
                     + " has both in generation "
                     + town.part(name).lookUp("both").orElseThrow().generation()));
     town.drop("v1", "both", outcome -> tell("v1", outcome));
-    town.fleet.playFor(Town.SECOND);
+    town.fleet.playFor(TestCluster.SECOND);
     line.say("g1 on both: " + town.mayRun("g1", "both"));
     prepare("g2", "both", "select 2 from orders_17.orders", 17);
-    watch(Town.SECOND, 17);
+    watch(TestCluster.SECOND, 17);
     line.say("g1 on both: " + town.mayRun("g1", "both"));
     end("one-name");
   }
--- a/statements/src/test/java/tillerlink/statements/Timeline.java
+++ b/statements/src/test/java/tillerlink/statements/Timeline.java
@@ -8,10 +8,10 @@
 
 /** What happened in a story, line by line, compared with what was kept. */
 final class Timeline {
-  private final Town town;
+  private final TestCluster town;
   private final StringBuilder lines = new StringBuilder();
 
-  Timeline(Town town) {
+  Timeline(TestCluster town) {
     this.town = town;
   }
 
--- a/store/src/test/java/tillerlink/store/KeeperTest.java
+++ b/store/src/test/java/tillerlink/store/AsyncTableWriterTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Nobody who hands a change over waits for the disk, whatever the disk does. */
-class KeeperTest {
+class AsyncTableWriterTest {
   /** A disk that takes its time for a sync, or says EIO from some time on. */
   private static final class Slow implements StorageDirectory {
-    private final CrashDisk disk = new CrashDisk();
+    private final CrashingDirectory disk = new CrashingDirectory();
     private final long syncMs;
     private final AtomicInteger syncs = new AtomicInteger();
     private volatile boolean broken;
--- a/store/src/test/java/tillerlink/store/CrashDisk.java
+++ b/store/src/test/java/tillerlink/store/CrashingDirectory.java
@@ -14,7 +14,7 @@
  * prefix, torn at any byte. Names that were created, moved or deleted since the folder was last
  * synced are so in an order that is cut anywhere.
  */
-final class CrashDisk implements StorageDirectory {
+final class CrashingDirectory implements StorageDirectory {
   static final class Crash extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
@@ -44,19 +44,19 @@
   long operations;
   boolean locked;
 
-  CrashDisk crashAt(long operation) {
+  CrashingDirectory crashAt(long operation) {
     crashAt = operation;
     return this;
   }
 
   /** Operations that say EIO, from the first on, so many. */
-  CrashDisk faults(long from, long count) {
+  CrashingDirectory faults(long from, long count) {
     faultAt = from;
     faultsUntil = from + count;
     return this;
   }
 
-  CrashDisk syncsNothing() {
+  CrashingDirectory syncsNothing() {
     syncsNothing = true;
     return this;
   }
@@ -75,8 +75,8 @@
   }
 
   /** What a process finds that starts after the crash. */
-  CrashDisk afterCrash(Random random) {
-    CrashDisk after = new CrashDisk();
+  CrashingDirectory afterCrash(Random random) {
+    CrashingDirectory after = new CrashingDirectory();
     Map<String, File> found = folders.get(random.nextInt(folders.size()));
     found.forEach(
         (name, file) -> {
@@ -105,8 +105,8 @@
     files.put(name, file);
   }
 
-  CrashDisk copy() {
-    CrashDisk copy = new CrashDisk();
+  CrashingDirectory copy() {
+    CrashingDirectory copy = new CrashingDirectory();
     files.forEach((name, file) -> copy.files.put(name, file.copy(file.written.size())));
     copy.folders.set(0, new TreeMap<>(copy.files));
     return copy;
--- a/store/src/test/java/tillerlink/store/TableTest.java
+++ b/store/src/test/java/tillerlink/store/DurableTableTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Whatever crashes, what was acknowledged is found, and what is found is what some moment had. */
-class TableTest {
+class DurableTableTest {
   private static final long OWNER = 77;
 
   private static DurableTable table(StorageDirectory disk) {
@@ -64,7 +64,7 @@
   private static String crash(long seed, long point, boolean syncsNothing) {
     Random random = new Random(seed);
     Random after = new Random(seed * 31 + point);
-    CrashDisk disk = new CrashDisk().crashAt(point);
+    CrashingDirectory disk = new CrashingDirectory().crashAt(point);
     if (syncsNothing) {
       disk.syncsNothing();
     }
@@ -74,14 +74,14 @@
       table.open();
       history.play(table, random, 40);
       return null;
-    } catch (CrashDisk.Crash e) {
+    } catch (CrashingDirectory.Crash e) {
       // As was wanted.
     }
-    CrashDisk found = disk.afterCrash(after);
+    CrashingDirectory found = disk.afterCrash(after);
     if (after.nextInt(4) == 0) {
       try {
         table(found.crashAt(after.nextInt(6))).open();
-      } catch (CrashDisk.Crash e) {
+      } catch (CrashingDirectory.Crash e) {
         // A crash while it recovers.
       }
       found = found.afterCrash(after);
@@ -143,8 +143,8 @@
     int failed = 0;
     for (int seed = 0; seed < 300; seed++) {
       Random random = new Random(seed);
-      CrashDisk disk =
-          new CrashDisk().faults(4 + random.nextInt(60), random.nextBoolean() ? 1 : 1000);
+      CrashingDirectory disk =
+          new CrashingDirectory().faults(4 + random.nextInt(60), random.nextBoolean() ? 1 : 1000);
       History history = new History();
       DurableTable table = table(disk);
       table.open();
@@ -161,8 +161,8 @@
     assertTrue(failed > 0);
   }
 
-  private static CrashDisk kept(int changes) {
-    CrashDisk disk = new CrashDisk();
+  private static CrashingDirectory kept(int changes) {
+    CrashingDirectory disk = new CrashingDirectory();
     DurableTable table = new DurableTable(disk, OWNER, 200, 10_000);
     table.open();
     for (int i = 0; i < changes; i++) {
@@ -172,18 +172,18 @@
     return disk;
   }
 
-  private static String first(CrashDisk disk, String prefix) {
+  private static String first(CrashingDirectory disk, String prefix) {
     return disk.list().stream().filter(name -> name.startsWith(prefix)).findFirst().orElseThrow();
   }
 
-  private static String last(CrashDisk disk, String prefix) {
+  private static String last(CrashingDirectory disk, String prefix) {
     return disk.list().stream()
         .filter(name -> name.startsWith(prefix))
         .reduce((a, b) -> b)
         .orElseThrow();
   }
 
-  private static String told(CrashDisk disk) {
+  private static String told(CrashingDirectory disk) {
     RecoveryReport found = new DurableTable(disk, OWNER, 200, 10_000).open();
     return found.state() + " " + found.told();
   }
@@ -193,14 +193,14 @@
    */
   @Test
   void damage() throws IOException {
-    assertEquals("NEW []", told(new CrashDisk()));
-    CrashDisk whole = kept(21);
+    assertEquals("NEW []", told(new CrashingDirectory()));
+    CrashingDirectory whole = kept(21);
     assertEquals("WHOLE []", told(whole.copy()));
-    CrashDisk torn = whole.copy();
+    CrashingDirectory torn = whole.copy();
     String tail = last(torn, FileFormat.LOG);
     torn.truncate(tail, torn.read(tail, 1 << 20).length - 3);
     assertEquals("CUT [log-0000000000000004: a tail of 26 bytes was cut off]", told(torn));
-    CrashDisk newest = whole.copy();
+    CrashingDirectory newest = whole.copy();
     newest.spoil(last(newest, FileFormat.SNAPSHOT), 40);
     assertEquals(
         "CUT [" + last(whole, FileFormat.SNAPSHOT) + " is damaged and was passed over]",
@@ -208,7 +208,7 @@
     DurableTable older = new DurableTable(newest.copy(), OWNER, 200, 10_000);
     older.open();
     assertEquals(21, older.sequence(), "the older snapshot and the log behind it tell all");
-    CrashDisk middle = new CrashDisk();
+    CrashingDirectory middle = new CrashingDirectory();
     DurableTable table = new DurableTable(middle, OWNER, 100_000, 10_000);
     table.open();
     for (int i = 0; i < 10; i++) {
@@ -220,7 +220,7 @@
     assertEquals(
         "[log-0000000000000001: a tail of 132 bytes was cut off]", cut.open().told().toString());
     assertEquals(4, cut.sequence());
-    CrashDisk gap = new CrashDisk();
+    CrashingDirectory gap = new CrashingDirectory();
     for (int i = 0; i < 3; i++) {
       DurableTable part = new DurableTable(gap, OWNER, 100_000, 10_000);
       part.open();
@@ -233,7 +233,7 @@
             + " follows it]",
         told(gap));
     assertTrue(gap.list().contains("aside-log-0000000000000003"));
-    CrashDisk noLog = whole.copy();
+    CrashingDirectory noLog = whole.copy();
     for (String name : noLog.list()) {
       if (name.startsWith(FileFormat.LOG)) {
         noLog.delete(name);
@@ -244,7 +244,7 @@
 
   @Test
   void whatIsNotOursIsNotTouched() throws IOException {
-    CrashDisk disk = kept(3);
+    CrashingDirectory disk = kept(3);
     List<String> before = disk.list();
     RecoveryReport foreign = new DurableTable(disk, OWNER + 1, 200, 10_000).open();
     assertEquals(
@@ -265,7 +265,7 @@
 
   @Test
   void theTableAndTheDiskAreBounded() throws IOException {
-    CrashDisk disk = new CrashDisk();
+    CrashingDirectory disk = new CrashingDirectory();
     DurableTable table = new DurableTable(disk, OWNER, 2000, 1000);
     table.open();
     int refused = 0;
--- a/tools/src/main/java/tillerlink/cli/DemoCommand.java
+++ b/tools/src/main/java/tillerlink/cli/DemoCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import tillerlink.fleet.Fleet;
-import tillerlink.harness.Rig;
+import tillerlink.harness.ProcessHarness;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.replay.Arrivals;
 import tillerlink.replay.Job;
@@ -75,7 +75,7 @@
             .println("two gateways are starting; the replay takes some ten seconds");
         spec.commandLine().getErr().flush();
         Played played =
-            Rig.play(
+            ProcessHarness.play(
                 job,
                 arrivals,
                 arrived ->
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Spec;
 import tillerlink.baseline.Baseline;
 import tillerlink.fleet.Fleet;
-import tillerlink.harness.Rig;
+import tillerlink.harness.ProcessHarness;
 import tillerlink.operator.OperatorFile;
 import tillerlink.operator.OperatorFile.Replaying;
 import tillerlink.policy.DefaultDispatchPolicy;
@@ -170,7 +170,7 @@
       long began = System.nanoTime();
       Played run =
           sockets
-              ? Rig.play(job, arrivals, this::progress)
+              ? ProcessHarness.play(job, arrivals, this::progress)
               : Run.play(job, arrivals, this::progress);
       if (report != null) {
         Report.write(run, report);
--- a/tools/src/main/java/tillerlink/cli/Summary.java
+++ b/tools/src/main/java/tillerlink/cli/Summary.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintWriter;
 import java.util.Locale;
-import tillerlink.audit.Breach;
+import tillerlink.audit.Violation;
 import tillerlink.replay.End;
 import tillerlink.replay.Figures;
 import tillerlink.replay.Played;
@@ -65,7 +65,7 @@
         run.auditor().hops(),
         run.auditor().furtherHops());
     run.world().happened().forEach(out::println);
-    for (Breach breach :
+    for (Violation breach :
         run.auditor().breaches().subList(0, Math.min(5, run.auditor().breaches().size()))) {
       out.println("  " + breach.what());
     }
--- a/tools/src/main/java/tillerlink/explore/Player.java
+++ b/tools/src/main/java/tillerlink/explore/Player.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Set;
 import tillerlink.audit.Auditor;
-import tillerlink.audit.Breach;
+import tillerlink.audit.Violation;
 import tillerlink.emulator.Choices;
 import tillerlink.emulator.World;
 import tillerlink.fleet.Fleet;
@@ -16,7 +16,7 @@
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.replay.Figures;
 import tillerlink.replay.Front;
-import tillerlink.replay.SeatLines;
+import tillerlink.replay.GatewayConnections;
 import tillerlink.replay.Wording;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.Track;
@@ -152,7 +152,7 @@
     world.choices = noting;
     world.seat(modules, 1);
     Figures figures = new Figures(TRACKS);
-    Front front = new Front(world, new SeatLines(world), figures, new Wording(1, 0));
+    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(1, 0));
     for (int i = 0; i < submissions; i++) {
       Arrival arrival = new Arrival(i * 120L, i, i % TRACKS.size(), 400, 1, i, i);
       world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
@@ -175,7 +175,7 @@
       world.timeline.step();
     }
     List<String> wrong = new ArrayList<>();
-    for (Breach breach : auditor.breaches()) {
+    for (Violation breach : auditor.breaches()) {
       wrong.add(breach.rule() + ": " + breach.what());
     }
     if (!figures.addsUp()) {
--- a/tools/src/test/java/tillerlink/replay/BlindStartTest.java
+++ b/tools/src/test/java/tillerlink/replay/BlindStartTest.java
@@ -126,7 +126,7 @@
             new EndpointHistory(stored, LONGEST, 13 * SECOND, 24 * HOUR, (key, value, soon) -> {});
     world.seat(DefaultDispatchPolicy::new, 4);
     Figures figures = new Figures(TRACKS);
-    Front front = new Front(world, new SeatLines(world), figures, new Wording(4, 0.2));
+    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(4, 0.2));
     int count = 6000;
     for (int i = 0; i < count; i++) {
       Arrival arrival = new Arrival(i * 20L, i, i % 3, 1000 + i % 7 * 200, 1, i % 16, i * 31L);
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -198,7 +198,7 @@
     world.seat(DefaultDispatchPolicy::new, seed);
     world.seats.get(0).beside(door -> new Aside(door, watching, random, planted));
     Figures figures = new Figures(TRACKS);
-    Front front = new Front(world, new SeatLines(world), figures, new Wording(seed, 0.2));
+    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(seed, 0.2));
     for (int i = 0; i < SUBMISSIONS; i++) {
       Arrival arrival =
           new Arrival(
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -19,12 +19,12 @@
 import tillerlink.emulator.World;
 import tillerlink.fakes.EngineCommands.Command;
 import tillerlink.fakes.EngineCommands.Word;
-import tillerlink.fakes.EngineSide;
-import tillerlink.fakes.H2Side;
-import tillerlink.fakes.Says;
+import tillerlink.fakes.EngineReplies;
+import tillerlink.fakes.Http2Server;
+import tillerlink.fakes.LineProtocolServer;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
-import tillerlink.harness.Rig;
+import tillerlink.harness.ProcessHarness;
 import tillerlink.model.Effect;
 import tillerlink.net.http2.ErrorCode;
 import tillerlink.net.http2.Frame;
@@ -115,8 +115,8 @@
   }
 
   /** An engine's side that misbehaves now and then. */
-  private static final class Moody implements EngineSide {
-    private final H2Side side;
+  private static final class Moody implements LineProtocolServer {
+    private final Http2Server side;
     private final Random random;
     private final Mood mood;
     private int lowered;
@@ -125,7 +125,7 @@
     Moody(Random random, Mood mood) {
       this.random = random;
       this.mood = mood;
-      side = new H2Side(1 + random.nextInt(6));
+      side = new Http2Server(1 + random.nextInt(6));
     }
 
     @Override
@@ -201,8 +201,8 @@
     }
 
     @Override
-    public byte[] say(Says what) {
-      if (mood == Mood.WILD && what.word() == Says.Word.OK && random.nextInt(12) == 0) {
+    public byte[] say(EngineReplies what) {
+      if (mood == Mood.WILD && what.word() == EngineReplies.Word.OK && random.nextInt(12) == 0) {
         Integer stream = side.streamOf(what.id());
         if (stream != null) {
           side.reset(stream, random.nextBoolean() ? ErrorCode.CANCEL : ErrorCode.INTERNAL_ERROR);
@@ -218,7 +218,7 @@
     }
 
     @Override
-    public boolean leftBehind(EngineSide sender, String hop) {
+    public boolean leftBehind(LineProtocolServer sender, String hop) {
       return side.leftBehind(sender, hop);
     }
 
@@ -243,7 +243,7 @@
     world.mischief = random;
     world.seat(DefaultDispatchPolicy::new, seed);
     Figures figures = new Figures(TRACKS);
-    Front front = new Front(world, new SeatLines(world), figures, new Wording(seed, 0.2));
+    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(seed, 0.2));
     List<Arrival> arrivals = new ArrayList<>();
     for (int i = 0; i < SUBMISSIONS; i++) {
       Arrival arrival =
@@ -365,7 +365,7 @@
     Random random = new Random(9);
     try (Arrivals arrivals = new Arrivals(job)) {
       Played played =
-          Rig.play(
+          ProcessHarness.play(
               job,
               arrivals,
               arrived -> {},
--- a/tools/src/test/java/tillerlink/replay/ReplayTest.java
+++ b/tools/src/test/java/tillerlink/replay/ReplayTest.java
@@ -20,7 +20,7 @@
 import tillerlink.cli.Tillerlink;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
-import tillerlink.harness.Rig;
+import tillerlink.harness.ProcessHarness;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.trace.Layout;
@@ -228,7 +228,7 @@
             new Trouble(3 * SECOND, Trouble.What.KILLED, "n0", SECOND / 10, 1));
     try (Arrivals arrivals = new Arrivals(job)) {
       Played played =
-          Rig.play(
+          ProcessHarness.play(
               job,
               arrivals,
               arrived -> {},
@@ -271,7 +271,7 @@
             new Trouble(SECOND, Trouble.What.DRAINED, "e1", SECOND, 1),
             new Trouble(2 * SECOND, Trouble.What.KILLED, "n1", SECOND / 2, 1));
     try (Arrivals arrivals = new Arrivals(job)) {
-      Played played = Rig.play(job, arrivals, arrived -> {});
+      Played played = ProcessHarness.play(job, arrivals, arrived -> {});
       assertTrue(played.auditor().counts().isEmpty(), played.auditor().breaches().toString());
       assertTrue(played.figures().addsUp());
       assertEquals(400, played.figures().arrived());
