--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -21,6 +21,7 @@
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.plain.FlattenedConfig;
 import tillerlink.policy.DefaultDispatchPolicy;
@@ -59,9 +60,9 @@
     for (Spec spec : fleet.engines()) {
       list.add(
           new EndpointUpdate(
-              new Engine(spec.name()), spec.kind(), spec.zone(), 0, 1, Engine.Standing.READY, 0));
+              new Engine(spec.name()), spec.kind(), spec.zone(), 0, 1, Status.READY, 0));
     }
-    policy.listed(now, true, list);
+    policy.onEndpointsChanged(now, true, list);
     for (int i = 0; i < engines / 10; i++) {
       submit();
     }
@@ -69,8 +70,8 @@
 
   private void submit() {
     Request s = new Request(next, 0, next++ % 16, false, now, now + 100_000, 2000, 0, null);
-    policy.arrived(now, s);
-    policy.settle(now);
+    policy.onRequestArrived(now, s);
+    policy.applyDecisions(now);
     out.add(s);
   }
 
@@ -78,8 +79,8 @@
   @Benchmark
   public void list() {
     now += 10;
-    policy.listed(now, true, list);
-    policy.settle(now);
+    policy.onEndpointsChanged(now, true, list);
+    policy.applyDecisions(now);
   }
 
   /** One submission comes and is placed, the oldest one out ends. */
@@ -89,7 +90,7 @@
     Request oldest = out.remove(0);
     if (!oldest.hops.isEmpty()) {
       Attempt hop = oldest.hops.get(oldest.hops.size() - 1);
-      policy.ended(now, hop, AttemptOutcome.FULFILLED, LAG, true, 0, 0, null);
+      policy.onAttemptEnded(now, hop, AttemptOutcome.FULFILLED, LAG, true, 0, 0, null);
     }
     submit();
   }
@@ -97,37 +98,37 @@
   /** Takes orders and does nothing. */
   private static final class Nobody implements DispatchActions {
     @Override
-    public void terms(Request submission, int rank, long grant) {
+    public void updatePriorityAndGrant(Request submission, int rank, long grant) {
       // Nothing is told on.
     }
 
     @Override
-    public void send(Attempt hop) {
+    public void sendAttempt(Attempt hop) {
       // It is out from here on.
     }
 
     @Override
-    public void callOff(Attempt hop) {
+    public void cancelAttempt(Attempt hop) {
       // Nothing runs.
     }
 
     @Override
-    public void turnBack(Request submission, long comeBack) {
+    public void rejectRequest(Request submission, long comeBack) {
       // Nobody waits.
     }
 
     @Override
-    public void breakOff(Request submission) {
+    public void failRequest(Request submission) {
       // Nobody waits.
     }
 
     @Override
-    public void wake(long at) {
+    public void scheduleWakeup(long at) {
       // The next round comes by itself.
     }
 
     @Override
-    public void follow() {
+    public void watchEndpoints() {
       // Lists come by themselves.
     }
 
--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -206,17 +206,17 @@
   // ---- from others ----
 
   @Override
-  public void told(long now, long wall, String from, byte[] body) {
+  public void onMessage(long now, long wall, String from, byte[] body) {
     time(now, wall);
     try {
-      told(from, ChannelsCodec.message(body));
+      onMessage(from, ChannelsCodec.message(body));
     } catch (MalformedMessageException e) {
       malformed++;
       say("malformed", "a message of " + from + " about channels can't be read: " + e.getMessage());
     }
   }
 
-  private void told(String from, ChannelsMessage message) {
+  private void onMessage(String from, ChannelsMessage message) {
     if (message instanceof Report it) {
       reported(from, it);
     } else if (message instanceof Piece it) {
@@ -403,7 +403,7 @@
   }
 
   @Override
-  public void turn(long now, long wall) {
+  public void tick(long now, long wall) {
     time(now, wall);
     standings.start(now);
     standings.take(now, standing());
@@ -465,12 +465,12 @@
   }
 
   @Override
-  public long dueAt() {
+  public long nextDueAt() {
     return Math.min(Math.min(reportDue(), agreement.dueAt()), fetcher.dueAt());
   }
 
   @Override
-  public void away(long now, long wall, long lasted) {
+  public void onPause(long now, long wall, long lasted) {
     time(now, wall);
     agreement.away();
     reportedAt = Long.MIN_VALUE / 2;
--- a/channels/src/main/java/tillerlink/channels/consensus/EpochConsensus.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/EpochConsensus.java
@@ -325,7 +325,7 @@
           && report.applied() == journal.applied()) {
         caughtUp.add(name);
       }
-      Reachability reach = wire.roster().reach(name);
+      Reachability reach = wire.roster().reachability(name);
       if (reach.talksTo() || reach == Reachability.GONE && counted.contains(name)) {
         waitedFor.add(name);
       }
--- a/channels/src/main/java/tillerlink/channels/recovery/Store.java
+++ b/channels/src/main/java/tillerlink/channels/recovery/Store.java
@@ -86,7 +86,9 @@
     }
     if (before > 0 && before != slot) {
       for (String name :
-          keep.found().subMap("s/" + hex(before) + "/", "s/" + hex(before) + "0").keySet()) {
+          keep.initialEntries()
+              .subMap("s/" + hex(before) + "/", "s/" + hex(before) + "0")
+              .keySet()) {
         set(name, null, null);
       }
       for (int i = 0; i < parts; i++) {
@@ -110,7 +112,7 @@
 
   /** 0 if none is kept. */
   public long foundIncarnation() {
-    byte[] value = keep.found().get("i");
+    byte[] value = keep.initialEntries().get("i");
     try {
       FieldReader in = new FieldReader(value == null ? new byte[0] : value);
       return in.next() && in.field() == 1 ? in.fixed() : 0;
@@ -122,7 +124,7 @@
 
   /** Null if nothing was promised. */
   public byte[] foundVoting() {
-    return keep.found().get("v");
+    return keep.initialEntries().get("v");
   }
 
   /** Puts into the journal what is kept. */
@@ -136,7 +138,7 @@
       }
     }
     List<Entry> covered = new ArrayList<>();
-    for (byte[] value : keep.found().subMap("e/", "e0").values()) {
+    for (byte[] value : keep.initialEntries().subMap("e/", "e0").values()) {
       try {
         Entry entry = EntryCodec.entry(value);
         if (!journal.put(entry) && journal.entry(entry.incarnation(), entry.sequence()) == null) {
@@ -147,7 +149,7 @@
       }
     }
     covered.forEach(entry -> set(name(entry), null, null));
-    for (byte[] value : keep.found().subMap("k/", "k0").values()) {
+    for (byte[] value : keep.initialEntries().subMap("k/", "k0").values()) {
       try {
         journal.learn(EntryCodec.cut(new FieldReader(value)));
       } catch (MalformedMessageException e) {
@@ -158,7 +160,7 @@
   }
 
   private byte[] foundSum() {
-    NavigableMap<String, byte[]> found = keep.found();
+    NavigableMap<String, byte[]> found = keep.initialEntries();
     long slot = 0;
     try {
       FieldReader in = new FieldReader(found.getOrDefault("s", new byte[0]));
--- a/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
+++ b/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
@@ -50,7 +50,7 @@
   private List<String> some(List<String> always) {
     List<String> names = new ArrayList<>();
     for (String name : roster.names()) {
-      if (roster.reach(name).talksTo()) {
+      if (roster.reachability(name).talksTo()) {
         names.add(name);
       }
     }
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public Reachability reach(String name) {
+    public Reachability reachability(String name) {
       return Reachability.REACHABLE;
     }
   }
--- a/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
+++ b/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
@@ -54,7 +54,7 @@
     }
 
     @Override
-    public NavigableMap<String, byte[]> found() {
+    public NavigableMap<String, byte[]> initialEntries() {
       return values;
     }
 
--- a/cluster/src/main/java/tillerlink/cluster/ClusterComponent.java
+++ b/cluster/src/main/java/tillerlink/cluster/ClusterComponent.java
@@ -8,20 +8,20 @@
  */
 public interface ClusterComponent {
   /** A message of another gateway; one that can't be read costs no more than a counter. */
-  void told(long now, long wall, String from, byte[] body);
+  void onMessage(long now, long wall, String from, byte[] body);
 
   /**
-   * What is due is done; called at least when {@link #dueAt} has come, and after what came in a
+   * What is due is done; called at least when {@link #nextDueAt} has come, and after what came in a
    * turn.
    */
-  void turn(long now, long wall);
+  void tick(long now, long wall);
 
   /** When a turn is due though nothing comes. */
-  long dueAt();
+  long nextDueAt();
 
   /**
    * This process did nothing for so long (it was stopped, or its machine was): told before anything
    * else that came meanwhile. Nothing of its own that ran out meanwhile may be trusted.
    */
-  void away(long now, long wall, long lasted);
+  void onPause(long now, long wall, long lasted);
 }
--- a/cluster/src/main/java/tillerlink/cluster/KeyValueStore.java
+++ b/cluster/src/main/java/tillerlink/cluster/KeyValueStore.java
@@ -11,7 +11,7 @@
   int VALUE_MOST = 1 << 20;
 
   /** What was kept when this process started; empty after a lost disk. */
-  NavigableMap<String, byte[]> found();
+  NavigableMap<String, byte[]> initialEntries();
 
   /**
    * Hands over a change. Of several of one name that wait, the last is written. Changes handed over
--- a/cluster/src/main/java/tillerlink/cluster/MembershipView.java
+++ b/cluster/src/main/java/tillerlink/cluster/MembershipView.java
@@ -14,5 +14,5 @@
   List<String> names();
 
   /** {@link Reachability#GONE} for one that is not known. */
-  Reachability reach(String name);
+  Reachability reachability(String name);
 }
--- a/emulator/src/main/java/tillerlink/baseline/Baseline.java
+++ b/emulator/src/main/java/tillerlink/baseline/Baseline.java
@@ -11,6 +11,7 @@
 import tillerlink.model.AttemptProgress;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.model.RequestOutcome;
 import tillerlink.model.Settings;
@@ -57,9 +58,9 @@
   }
 
   @Override
-  public void listed(long now, boolean whole, List<EndpointUpdate> entries) {
+  public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
-      engines.forEach(engine -> engine.standing = Engine.Standing.GONE);
+      engines.forEach(engine -> engine.standing = Status.GONE);
     }
     for (EndpointUpdate entry : entries) {
       Engine engine = entry.engine();
@@ -71,27 +72,26 @@
       engine.standing = entry.standing();
       engine.startedAt = entry.startedAt();
     }
-    engines.removeIf(engine -> engine.standing == Engine.Standing.GONE);
+    engines.removeIf(engine -> engine.standing == Status.GONE);
   }
 
   @Override
-  public void blind(long now, boolean on) {
+  public void onEndpointsUnknown(long now, boolean on) {
     // Not heeded: with no engines all is turned back.
   }
 
   @Override
-  public void listFailed(long now) {
+  public void onEndpointPollFailed(long now) {
     // The last list holds.
   }
 
   @Override
-  public void arrived(long now, Request s) {
+  public void onRequestArrived(long now, Request s) {
     List<Integer> kinds = settings.numbers("profiles." + s.trackIndex + ".models_allowed");
     Engine best = null;
     double least = Double.MAX_VALUE;
     for (Engine engine : engines) {
-      if (engine.standing == Engine.Standing.READY
-          && (kinds == null || kinds.contains(engine.kind))) {
+      if (engine.standing == Status.READY && (kinds == null || kinds.contains(engine.kind))) {
         double load = choice == Choice.RANDOM ? 0 : out.getOrDefault(engine, 0);
         double rating = load + random.nextDouble() / 2;
         if (rating < least) {
@@ -109,7 +109,7 @@
     s.hops.add(hop);
     s.hopsOut++;
     out.merge(best, 1, Integer::sum);
-    wanted.add(() -> orders.send(hop));
+    wanted.add(() -> orders.sendAttempt(hop));
     due.add(new Due(s.leavesAt - MARGIN, number++, s));
   }
 
@@ -119,31 +119,31 @@
       wanted.add(
           () -> {
             if (how == RequestOutcome.TURNED_BACK) {
-              orders.turnBack(s, 0);
+              orders.rejectRequest(s, 0);
             } else {
-              orders.breakOff(s);
+              orders.failRequest(s);
             }
           });
     }
   }
 
   @Override
-  public void outOfTime(long now, Request s) {
+  public void onShutdownDeadline(long now, Request s) {
     end(s, RequestOutcome.BROKEN_OFF);
   }
 
   @Override
-  public void begun(long now, Attempt hop) {
+  public void onResponseStarted(long now, Attempt hop) {
     // Answers are whole here.
   }
 
   @Override
-  public void noted(long now, Attempt hop, AttemptProgress note, double level) {
+  public void onAttemptProgress(long now, Attempt hop, AttemptProgress note, double level) {
     // Not heeded.
   }
 
   @Override
-  public void ended(
+  public void onAttemptEnded(
       long now,
       Attempt hop,
       AttemptOutcome outcome,
@@ -165,7 +165,7 @@
   }
 
   @Override
-  public void left(long now, Request s) {
+  public void onClientDisconnected(long now, Request s) {
     s.ending = s.ending == null ? RequestOutcome.LEFT : s.ending;
     callOff(s);
   }
@@ -173,18 +173,18 @@
   private void callOff(Request s) {
     for (Attempt hop : s.hops) {
       if (hop.isOut()) {
-        wanted.add(() -> orders.callOff(hop));
+        wanted.add(() -> orders.cancelAttempt(hop));
       }
     }
   }
 
   @Override
-  public void woken(long now) {
+  public void onWakeup(long now) {
     // What is due is looked at when things settle.
   }
 
   @Override
-  public void settle(long now) {
+  public void applyDecisions(long now) {
     while (!due.isEmpty() && due.peek().at <= now) {
       Request s = due.poll().submission;
       if (s.ending == null) {
@@ -200,7 +200,7 @@
       due.poll();
     }
     if (!due.isEmpty()) {
-      orders.wake(due.peek().at);
+      orders.scheduleWakeup(due.peek().at);
     }
   }
 }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
@@ -74,7 +74,7 @@
     } else if (engine.takesConnections() && way == 0) {
       up = true;
       engine.connected(this);
-      seat.post(life, owner::opened);
+      seat.post(life, owner::onOpened);
       travel(side.owed());
     }
   }
@@ -113,7 +113,7 @@
   /** Word of a write may wait a while, but never until after the word of the connection's end. */
   private void tellWritten(boolean later) {
     if (!later && untold == 0) {
-      seat.post(life, owner::written);
+      seat.post(life, owner::onWritten);
       return;
     }
     untold++;
@@ -122,7 +122,7 @@
 
   private void tellUntold() {
     for (; untold > 0; untold--) {
-      seat.post(life, owner::written);
+      seat.post(life, owner::onWritten);
     }
   }
 
@@ -181,7 +181,7 @@
                 life,
                 () -> {
                   if (!over) {
-                    owner.fed(part);
+                    owner.onBytes(part);
                   }
                 });
           });
@@ -211,7 +211,7 @@
             if (!over) {
               tellUntold();
               end(how == DisconnectReason.REFUSED);
-              seat.post(life, () -> owner.ended(how));
+              seat.post(life, () -> owner.onClosed(how));
             }
           });
     }
@@ -229,18 +229,18 @@
 
   @Override
   public void close() {
-    drop();
+    abort();
   }
 
   @Override
-  public void drop() {
+  public void abort() {
     if (!over) {
       end(!up);
     }
   }
 
   @Override
-  public void hold(boolean held) {
+  public void pauseReading(boolean held) {
     // Only clients are held.
   }
 }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import tillerlink.fakes.NameAnswer;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.Gateway;
 import tillerlink.net.state.GatewayExtension;
@@ -68,7 +68,7 @@
   }
 
   /** Puts something beside the module, until it is killed. */
-  public void beside(Function<GatewayExtension.Door, GatewayExtension> made) {
+  public void beside(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
     gateway.beside(made.apply(gateway.door()));
   }
 
@@ -76,12 +76,12 @@
   void kill() {
     life++;
     gateway = null;
-    List.copyOf(links).forEach(EmulatedConnection::drop);
+    List.copyOf(links).forEach(EmulatedConnection::abort);
   }
 
   /** Connections to engines that it counts as open or coming up. */
   public int links() {
-    return gateway.links();
+    return gateway.openConnections();
   }
 
   public boolean isUp() {
@@ -170,7 +170,7 @@
   }
 
   @Override
-  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
+  public Channel connect(InetSocketAddress to, Channel.Owner owner) {
     EmulatedConnection link =
         new EmulatedConnection(world, this, owner, world.at(to), world.delay(place, to));
     links.add(link);
@@ -178,7 +178,7 @@
   }
 
   @Override
-  public void ask(byte[] datagram) {
+  public void sendDiscoveryQuery(byte[] datagram) {
     int id = (datagram[0] & 255) << 8 | datagram[1] & 255;
     int of = life;
     world.timeline.at(
@@ -200,7 +200,7 @@
 
   private void told(List<EndpointEntry> list) {
     for (EndpointEntry entry : list) {
-      if (entry.standing() != Engine.Standing.READY) {
+      if (entry.standing() != Status.READY) {
         world.auditor.withdrawn(world.now(), place, entry.id());
       }
     }
--- a/emulator/src/main/java/tillerlink/emulator/World.java
+++ b/emulator/src/main/java/tillerlink/emulator/World.java
@@ -18,7 +18,7 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Spec;
 import tillerlink.fleet.Trouble;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
@@ -123,7 +123,7 @@
     InetSocketAddress address = Fleet.address(engine.place);
     byAddress.put(address, engine);
     byName.put(spec.name(), engine);
-    listed.put(spec.name(), fleet.entry(spec, address, Engine.Standing.READY, startedAt / MS));
+    listed.put(spec.name(), fleet.entry(spec, address, Status.READY, startedAt / MS));
     auditor.engineUp(spec.name(), spec.kind(), startedAt);
     engineListeners.forEach(listener -> listener.accept(engine));
     changed();
@@ -196,7 +196,7 @@
     return nameAnswer;
   }
 
-  private void list(String name, Engine.Standing standing) {
+  private void list(String name, Status standing) {
     EndpointEntry entry = listed.get(name);
     if (entry != null) {
       listed.put(
@@ -269,7 +269,7 @@
   }
 
   private void drain(EmulatedEngine engine, long until) {
-    list(engine.spec.name(), Engine.Standing.DRAINING);
+    list(engine.spec.name(), Status.DRAINING);
     engine.drain();
     happened(engine.spec.name() + " drains");
     timeline.at(
@@ -289,7 +289,7 @@
 
   private void delist(EmulatedEngine engine) {
     String name = engine.spec.name();
-    list(name, Engine.Standing.GONE);
+    list(name, Status.GONE);
     listed.remove(name);
     for (int gateway = 0; gateway < fleet.gateways(); gateway++) {
       auditor.withdrawn(now() + LIST_DELAY, gateway, name);
--- a/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
@@ -1,7 +1,7 @@
 package tillerlink.endpointcache;
 
 import java.nio.charset.StandardCharsets;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
 /**
@@ -45,7 +45,7 @@
               parts[2],
               parts[3],
               Integer.parseInt(parts[4]),
-              Engine.Standing.valueOf(parts[5]),
+              Status.valueOf(parts[5]),
               Double.parseDouble(parts[6]),
               Long.parseLong(parts[7])),
           Long.parseLong(parts[8]));
@@ -64,13 +64,13 @@
             e.zone(),
             e.kind(),
             e.cell(),
-            Engine.Standing.GONE,
+            Status.GONE,
             e.weight(),
             e.startedMs()),
         at);
   }
 
   boolean isGone() {
-    return entry.standing() == Engine.Standing.GONE;
+    return entry.standing() == Status.GONE;
   }
 }
--- a/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import tillerlink.model.DecayingSum;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
@@ -119,7 +119,7 @@
   }
 
   @Override
-  public Remembered atStart(long now) {
+  public Remembered loadAtStart(long now) {
     StalenessModel trust = trust(now);
     if (trust == StalenessModel.TOO_OLD) {
       return new Remembered(null, Map.of());
@@ -157,7 +157,7 @@
   // ---- discovery answers ----
 
   @Override
-  public EndpointWatchEvent told(long now, EndpointWatchEvent news) {
+  public EndpointWatchEvent onEndpointsReceived(long now, EndpointWatchEvent news) {
     Map<String, EndpointEntry> listed = new LinkedHashMap<>();
     news.entries().forEach(entry -> listed.put(entry.id(), entry));
     Set<String> lost = new LinkedHashSet<>();
@@ -184,7 +184,7 @@
       if (before != null || wanted.size() < ENGINES_MOST) {
         wanted.put(
             entry.id(),
-            entry.standing() == Engine.Standing.GONE
+            entry.standing() == Status.GONE
                 ? new CachedEndpoint(entry, 0).gone(now / TENTHS_PER_MS)
                 : new CachedEndpoint(entry, 0));
       }
@@ -223,7 +223,7 @@
         e.zone(),
         e.kind(),
         e.cell(),
-        Engine.Standing.DRAINING,
+        Status.DRAINING,
         e.weight(),
         e.startedMs());
   }
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
@@ -42,7 +42,7 @@
         });
   }
 
-  private static EndpointEntry engine(String id, Engine.Standing standing, long startedMs) {
+  private static EndpointEntry engine(String id, Status standing, long startedMs) {
     return new EndpointEntry(id, "127.0.0.1", 5050, "east", "std", 0, standing, 1, startedMs);
   }
 
@@ -53,7 +53,7 @@
       entries.add(
           engine(
               drains ? id.substring(0, id.length() - 1) : id,
-              drains ? Engine.Standing.DRAINING : Engine.Standing.READY,
+              drains ? Status.DRAINING : Status.READY,
               0));
     }
     return new EndpointWatchEvent(index, true, entries);
@@ -63,10 +63,7 @@
     StringBuilder all = new StringBuilder();
     news.entries()
         .forEach(
-            e ->
-                all.append(e.id())
-                    .append(e.standing() == Engine.Standing.DRAINING ? "-" : "")
-                    .append(' '));
+            e -> all.append(e.id()).append(e.standing() == Status.DRAINING ? "-" : "").append(' '));
     return all.toString().strip();
   }
 
@@ -108,14 +105,14 @@
   @Test
   void anOldListBringsNobodyBack() {
     EndpointHistory first = memory();
-    first.told(NOW, list(1, "a", "b", "c", "d"));
-    first.told(NOW + SECOND, list(2, "a", "b-", "c"));
-    EndpointCache.Remembered later = memory().atStart(NOW + 60 * SECOND);
+    first.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
+    first.onEndpointsReceived(NOW + SECOND, list(2, "a", "b-", "c"));
+    EndpointCache.Remembered later = memory().loadAtStart(NOW + 60 * SECOND);
     assertEquals("a b- c", print(later.engines()));
     assertEquals(0.9, later.trust().get("a"));
-    assertNull(memory().atStart(NOW + 30 * HOUR).engines());
+    assertNull(memory().loadAtStart(NOW + 30 * HOUR).engines());
     EndpointHistory third = memory();
-    third.told(NOW + 500 * STOP, list(3, "a", "c"));
+    third.onEndpointsReceived(NOW + 500 * STOP, list(3, "a", "c"));
     assertEquals(
         "[engine/a, engine/b, engine/c, list]",
         stored.keySet().toString(),
@@ -125,16 +122,16 @@
   @Test
   void oneThatWasColdCountsAsJustStarted() {
     memory()
-        .told(
+        .onEndpointsReceived(
             NOW,
             new EndpointWatchEvent(
                 1,
                 true,
                 List.of(
-                    engine("old", Engine.Standing.READY, NOW / 10 - 60_000),
-                    engine("new", Engine.Standing.READY, NOW / 10 - 5000))));
+                    engine("old", Status.READY, NOW / 10 - 60_000),
+                    engine("new", Status.READY, NOW / 10 - 5000))));
     long start = NOW + 100 * SECOND;
-    List<EndpointEntry> found = memory().atStart(start).engines().entries();
+    List<EndpointEntry> found = memory().loadAtStart(start).engines().entries();
     assertEquals(
         "new " + start / 10 + " old " + (NOW / 10 - 60_000),
         found.get(0).id()
@@ -149,44 +146,48 @@
   @Test
   void aListThatLostMuchIsBelievedWhenItIsToldAgain() {
     EndpointHistory memory = memory();
-    memory.told(NOW, list(1, "a", "b", "c", "d"));
-    assertEquals("a b- c- d-", print(memory.told(NOW + SECOND, list(2, "a"))));
-    assertEquals("a b- c- d-", print(memory.told(NOW + SECOND + 2000, list(2, "a"))));
+    memory.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
+    assertEquals("a b- c- d-", print(memory.onEndpointsReceived(NOW + SECOND, list(2, "a"))));
+    assertEquals(
+        "a b- c- d-", print(memory.onEndpointsReceived(NOW + SECOND + 2000, list(2, "a"))));
     assertEquals(
         "a b c d",
-        print(memory.told(NOW + SECOND + 4000, list(3, "a", "b", "c", "d"))),
+        print(memory.onEndpointsReceived(NOW + SECOND + 4000, list(3, "a", "b", "c", "d"))),
         "it was the list's fault");
     for (int i = 0; i < 2; i++) {
-      assertEquals("a- b- c- d-", print(memory.told(NOW + 2 * SECOND + i * 2000, list(4))));
+      assertEquals(
+          "a- b- c- d-", print(memory.onEndpointsReceived(NOW + 2 * SECOND + i * 2000, list(4))));
     }
     assertEquals(
-        "", print(memory.told(NOW + 3 * SECOND, list(4))), "told three times over a while");
-    assertEquals("", print(memory().atStart(NOW + 4 * SECOND).engines()));
+        "",
+        print(memory.onEndpointsReceived(NOW + 3 * SECOND, list(4))),
+        "told three times over a while");
+    assertEquals("", print(memory().loadAtStart(NOW + 4 * SECOND).engines()));
   }
 
   @Test
   void aLossOfAFewIsBelievedAtOnce() {
     EndpointHistory memory = memory();
-    memory.told(NOW, list(1, "a", "b", "c", "d"));
-    assertEquals("a b", print(memory.told(NOW + SECOND, list(2, "a", "b"))));
+    memory.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
+    assertEquals("a b", print(memory.onEndpointsReceived(NOW + SECOND, list(2, "a", "b"))));
   }
 
   @Test
   void discoveryThatSaysTheSameDoesNotWearTheDisk() {
     EndpointHistory memory = memory();
     for (int i = 0; i < 1000; i++) {
-      memory.told(NOW + i * 2000L, list(i + 1, "a", "b"));
+      memory.onEndpointsReceived(NOW + i * 2000L, list(i + 1, "a", "b"));
     }
     assertTrue(writes <= 2 + 1 + 200 / 2 + 1, writes + " writes in 200 s");
   }
 
   @Test
   void whatCannotBeReadIsAsIfItWasNotThere() {
-    memory().told(NOW, list(1, "a", "b"));
+    memory().onEndpointsReceived(NOW, list(1, "a", "b"));
     stored.put("engine/a", new byte[] {1, 2, 3});
     stored.put("engine/x", "127.0.0.1\tport\teast\tstd\t0\tREADY\t1\t0\t0\t1".getBytes());
-    assertEquals("b", print(memory().atStart(NOW + SECOND).engines()));
+    assertEquals("b", print(memory().loadAtStart(NOW + SECOND).engines()));
     stored.put("list", "soon".getBytes());
-    assertNull(memory().atStart(NOW + SECOND).engines());
+    assertNull(memory().loadAtStart(NOW + SECOND).engines());
   }
 }
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
@@ -21,7 +21,7 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
@@ -76,8 +76,7 @@
   }
 
   private static EndpointEntry serves() {
-    return new EndpointEntry(
-        "serves", "127.0.0.1", 5051, "east", "std", 0, Engine.Standing.READY, 1, 0);
+    return new EndpointEntry("serves", "127.0.0.1", 5051, "east", "std", 0, Status.READY, 1, 0);
   }
 
   private static EndpointEntry drains() {
@@ -88,14 +87,13 @@
         "west",
         "big",
         7,
-        Engine.Standing.DRAINING,
+        Status.DRAINING,
         0.25,
         1_699_990_000_123L);
   }
 
   private static EndpointEntry leaves() {
-    return new EndpointEntry(
-        "leaves", "10.0.0.3", 5053, "", "std", -1, Engine.Standing.GONE, 0.00001, 0);
+    return new EndpointEntry("leaves", "10.0.0.3", 5053, "", "std", -1, Status.GONE, 0.00001, 0);
   }
 
   private static Map<String, String> asTexts(NavigableMap<String, byte[]> values) {
@@ -135,11 +133,11 @@
     assertEquals(
         new CachedEndpoint(leaves(), 1_700_000_000_000L),
         CachedEndpoint.decoded("leaves", values.get("engine/leaves")));
-    Set<Engine.Standing> read = EnumSet.noneOf(Engine.Standing.class);
+    Set<Status> read = EnumSet.noneOf(Status.class);
     for (String id : List.of("serves", "drains", "leaves")) {
       read.add(CachedEndpoint.decoded(id, values.get("engine/" + id)).entry().standing());
     }
-    assertEquals(EnumSet.allOf(Engine.Standing.class), read, "one standing is not guarded");
+    assertEquals(EnumSet.allOf(Status.class), read, "one standing is not guarded");
   }
 
   @Test
@@ -157,7 +155,7 @@
   @Test
   void aGatewayStartsFromTheListOfTheReleaseBefore() throws IOException {
     copy();
-    EndpointCache.Remembered remembered = open().atStart(TOLD_AT + 10_000);
+    EndpointCache.Remembered remembered = open().loadAtStart(TOLD_AT + 10_000);
     assertEquals(
         new EndpointWatchEvent(0, true, List.of(drains(), serves())), remembered.engines());
     assertEquals(Set.of("drains", "serves"), remembered.trust().keySet());
@@ -173,7 +171,7 @@
   private void write() throws IOException, InterruptedException {
     EndpointWatchEvent news =
         new EndpointWatchEvent(3, true, List.of(serves(), drains(), leaves()));
-    open().told(TOLD_AT, news);
+    open().onEndpointsReceived(TOLD_AT, news);
     Path log = folder.resolve(GATEWAY).resolve(LOG);
     long until = System.nanoTime() + 60_000_000_000L;
     while (Files.size(log) < resource().length) {
@@ -198,10 +196,14 @@
               String text = value == null ? null : new String(value, StandardCharsets.UTF_8);
               handed.add(key + " " + soon + " " + text);
             });
-    memory.told(TOLD_AT, new EndpointWatchEvent(1, true, List.of(serves(), drains())));
-    memory.told(TOLD_AT + LONGEST, new EndpointWatchEvent(2, true, List.of(serves())));
-    memory.told(TOLD_AT + LONGEST + 1, new EndpointWatchEvent(3, true, List.of(serves())));
-    memory.told(TOLD_AT + 2 * LONGEST + 200 * LONGEST, new EndpointWatchEvent(4, false, List.of()));
+    memory.onEndpointsReceived(
+        TOLD_AT, new EndpointWatchEvent(1, true, List.of(serves(), drains())));
+    memory.onEndpointsReceived(
+        TOLD_AT + LONGEST, new EndpointWatchEvent(2, true, List.of(serves())));
+    memory.onEndpointsReceived(
+        TOLD_AT + LONGEST + 1, new EndpointWatchEvent(3, true, List.of(serves())));
+    memory.onEndpointsReceived(
+        TOLD_AT + 2 * LONGEST + 200 * LONGEST, new EndpointWatchEvent(4, false, List.of()));
     assertEquals(
         List.of(
             "engine/drains true " + STORED.get("engine/drains"),
--- a/fakes/src/main/java/tillerlink/fakes/NameAnswer.java
+++ b/fakes/src/main/java/tillerlink/fakes/NameAnswer.java
@@ -5,7 +5,7 @@
 import java.net.UnknownHostException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
 /**
@@ -31,8 +31,7 @@
    */
   public static byte[] of(int id, long serial, List<EndpointEntry> entries) {
     NameAnswer answer = new NameAnswer();
-    answer.all(
-        id, serial, entries.stream().filter(e -> e.standing() != Engine.Standing.GONE).toList());
+    answer.all(id, serial, entries.stream().filter(e -> e.standing() != Status.GONE).toList());
     return answer.out.toByteArray();
   }
 
@@ -54,7 +53,7 @@
       byte[] target = encoded(target(entry));
       two(
           6 + target.length,
-          entry.standing() == Engine.Standing.DRAINING ? 1 : 0,
+          entry.standing() == Status.DRAINING ? 1 : 0,
           (int) Math.round(entry.weight() * 10),
           entry.port());
       out.writeBytes(target);
--- a/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
@@ -7,7 +7,7 @@
 import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.Dns;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EngineCommand;
@@ -144,13 +144,11 @@
                 "east",
                 "small-8",
                 3,
-                Engine.Standing.READY,
+                Status.READY,
                 1.5,
                 1_700_000_000_000L),
-            new EndpointEntry(
-                "e2", "127.0.0.9", 5051, "west", "big-16", 0, Engine.Standing.DRAINING, 2, 0),
-            new EndpointEntry(
-                "e3", "127.0.0.3", 5052, "west", "big-16", 0, Engine.Standing.GONE, 2, 0));
+            new EndpointEntry("e2", "127.0.0.9", 5051, "west", "big-16", 0, Status.DRAINING, 2, 0),
+            new EndpointEntry("e3", "127.0.0.3", 5052, "west", "big-16", 0, Status.GONE, 2, 0));
     byte[] answer = NameAnswer.to(0xabcd, NameAnswer.of(7, 70_001, list));
     assertEquals(list.subList(0, 2), Dns.answer(answer, 0xabcd).entries());
     assertEquals(70_001, Dns.answer(answer, 0xabcd).index());
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeNameService.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeNameService.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tillerlink.fakes.NameAnswer;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
 /**
@@ -25,15 +25,7 @@
     for (int i = 0; i < engines.size(); i++) {
       entries.add(
           new EndpointEntry(
-              "e" + (i + 1),
-              "127.0.0.1",
-              engines.get(i),
-              "east",
-              "std",
-              0,
-              Engine.Standing.READY,
-              1,
-              0));
+              "e" + (i + 1), "127.0.0.1", engines.get(i), "east", "std", 0, Status.READY, 1, 0));
     }
     Thread thread = new Thread(this::run, "names");
     thread.setDaemon(true);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
@@ -13,6 +13,7 @@
 import tillerlink.faultinjection.client.HttpEndpointClient;
 import tillerlink.faultinjection.process.ControlledProcess;
 import tillerlink.faultinjection.process.Ports;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
 /**
@@ -200,8 +201,7 @@
 
   private String json(EndpointEntry entry, int gateway) {
     int engine = Integer.parseInt(entry.id().substring(1));
-    String status =
-        entry.standing() == tillerlink.model.Engine.Standing.DRAINING ? "DRAINING" : "SERVING";
+    String status = entry.standing() == Status.DRAINING ? "DRAINING" : "SERVING";
     return "{\"name\":\""
         + entry.id()
         + "\",\"address\":\"127.0.0.1:"
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakNames.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakNames.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import tillerlink.fakes.NameAnswer;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
 /**
@@ -108,9 +108,7 @@
 
   /** The list as it is, for a gateway's configuration. */
   synchronized List<EndpointEntry> list() {
-    return engines.values().stream()
-        .filter(entry -> entry.standing() != Engine.Standing.GONE)
-        .toList();
+    return engines.values().stream().filter(entry -> entry.standing() != Status.GONE).toList();
   }
 
   synchronized long index() {
@@ -220,9 +218,7 @@
   private List<EndpointEntry> listAt(long index) {
     Map<String, EndpointEntry> then = new TreeMap<>();
     events.stream().limit(index).forEach(event -> then.put(event.entry.id(), event.entry));
-    return then.values().stream()
-        .filter(entry -> entry.standing() != Engine.Standing.GONE)
-        .toList();
+    return then.values().stream().filter(entry -> entry.standing() != Status.GONE).toList();
   }
 
   private static void send(DatagramSocket socket, byte[] bytes, SocketAddress to) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakPlay.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakPlay.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ScheduledThreadPoolExecutor;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
 /** Plays one schedule over real processes with load, and judges it. */
@@ -69,7 +69,7 @@
             schedule.gateways(), folder, classPath, names, engines::port, oracle, clock);
     load = new SoakLoad(gateways, oracle, clock, REQUESTS_PER_SECOND, schedule.seed());
     for (int e = 0; e < schedule.engines(); e++) {
-      names.happens(entry(e, Engine.Standing.READY, 0));
+      names.happens(entry(e, Status.READY, 0));
     }
     names.listFor(
         (entry, gateway) ->
@@ -91,7 +91,7 @@
     return thread;
   }
 
-  private static EndpointEntry entry(int engine, Engine.Standing standing, long startedMs) {
+  private static EndpointEntry entry(int engine, Status standing, long startedMs) {
     return new EndpointEntry(
         "e" + engine,
         "127.0.0.1",
@@ -296,25 +296,25 @@
     switch (fault.kind()) {
       case ENGINE_DRAINS -> {
         if (begins) {
-          names.happens(entry(who, Engine.Standing.DRAINING, 0));
+          names.happens(entry(who, Status.DRAINING, 0));
         } else {
           SoakGateways.pause(STAYS_MS);
-          replaced(who, Engine.Standing.GONE);
+          replaced(who, Status.GONE);
         }
       }
       case ENGINE_CRASHES -> {
         if (begins) {
           engines.down(who);
         } else {
-          replaced(who, Engine.Standing.READY);
+          replaced(who, Status.READY);
         }
       }
       case ENGINE_VANISHES -> {
         engines.set(who, fault.kind(), begins);
         if (begins) {
-          names.happens(entry(who, Engine.Standing.GONE, 0));
+          names.happens(entry(who, Status.GONE, 0));
         } else {
-          replaced(who, Engine.Standing.READY);
+          replaced(who, Status.READY);
         }
       }
       default -> engines.set(who, fault.kind(), begins);
@@ -322,16 +322,16 @@
   }
 
   /** A new process at its address, after it was listed as gone for a moment if it is to be. */
-  private void replaced(int engine, Engine.Standing first) {
-    if (first == Engine.Standing.GONE) {
-      names.happens(entry(engine, Engine.Standing.GONE, 0));
+  private void replaced(int engine, Status first) {
+    if (first == Status.GONE) {
+      names.happens(entry(engine, Status.GONE, 0));
       engines.down(engine);
       SoakGateways.pause(STAYS_MS / 3);
     } else {
       engines.down(engine);
     }
     engines.up(engine);
-    names.happens(entry(engine, Engine.Standing.READY, System.currentTimeMillis()));
+    names.happens(entry(engine, Status.READY, System.currentTimeMillis()));
   }
 
   // ---- what the oracle may know ----
@@ -345,7 +345,7 @@
         double toldAt =
             names.toldAt(
                 gateway, event, gateways.startedAt(gateway), gateways.indexAtStart(gateway));
-        if (event.entry().standing() == Engine.Standing.READY) {
+        if (event.entry().standing() == Status.READY) {
           // Whoever was told, or could have been, may send there again.
           since = event.at() <= at ? Double.MAX_VALUE : since;
         } else {
@@ -360,7 +360,7 @@
       double started = 0;
       for (SoakNames.Event event : names.eventsOf("e" + engine)) {
         if (event.at() <= at
-            && event.entry().standing() == Engine.Standing.READY
+            && event.entry().standing() == Status.READY
             && event.entry().startedMs() > 0) {
           started = event.at();
         }
@@ -373,7 +373,7 @@
       double told = Double.MAX_VALUE;
       for (SoakNames.Event event : names.eventsOf("e" + engine)) {
         if (event.at() <= at
-            && event.entry().standing() == Engine.Standing.READY
+            && event.entry().standing() == Status.READY
             && event.entry().startedMs() > 0) {
           told =
               names.toldAt(
--- a/fleet/src/main/java/tillerlink/fleet/Fleet.java
+++ b/fleet/src/main/java/tillerlink/fleet/Fleet.java
@@ -154,7 +154,7 @@
   }
 
   public EndpointEntry entry(
-      Spec engine, InetSocketAddress at, Engine.Standing standing, long startedMs) {
+      Spec engine, InetSocketAddress at, Engine.Status standing, long startedMs) {
     Kind kind = kinds.get(engine.kind());
     return new EndpointEntry(
         engine.name(),
--- a/gateway/src/main/java/tillerlink/model/EndpointUpdate.java
+++ b/gateway/src/main/java/tillerlink/model/EndpointUpdate.java
@@ -11,7 +11,7 @@
     int zone,
     int cell,
     double weight,
-    Engine.Standing standing,
+    Engine.Status standing,
     long startedAt,
     double trust) {
   public EndpointUpdate(
@@ -20,7 +20,7 @@
       int zone,
       int cell,
       double weight,
-      Engine.Standing standing,
+      Engine.Status standing,
       long startedAt) {
     this(engine, kind, zone, cell, weight, standing, startedAt, 1);
   }
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -7,7 +7,7 @@
 /** One engine as this gateway knows it: what it was told, and what it counted itself. */
 public final class Engine {
   /** What the list says of an engine's process. */
-  public enum Standing {
+  public enum Status {
     READY,
     DRAINING,
     GONE
@@ -19,7 +19,7 @@
   public int kind;
   public int zone;
   public int cell;
-  public Standing standing = Standing.GONE;
+  public Engine.Status standing = Engine.Status.GONE;
 
   /**
    * The module counts with it; kept here, since a look-up in a list of a thousand for each of a
--- a/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
+++ b/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
@@ -122,7 +122,7 @@
   }
 
   @Override
-  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
+  public Channel connect(InetSocketAddress to, Channel.Owner owner) {
     MinaPipe pipe = new MinaPipe();
     pipe.owner = owner;
     pending.add(
@@ -133,7 +133,7 @@
           future.addListener(
               done -> {
                 if (future.getException() != null) {
-                  queue.add(() -> pipe.owner.ended(DisconnectReason.REFUSED));
+                  queue.add(() -> pipe.owner.onClosed(DisconnectReason.REFUSED));
                 }
               });
         });
@@ -141,12 +141,12 @@
   }
 
   @Override
-  public void afterReading(Runnable then) {
+  public void runAfterPendingReads(Runnable then) {
     reading.afterPass(() -> queue.add(then));
   }
 
   @Override
-  public void ask(byte[] datagram) {
+  public void sendDiscoveryQuery(byte[] datagram) {
     if (asking != null && asking.isConnected()) {
       asking.write(IoBuffer.wrap(datagram));
     } else {
@@ -177,7 +177,7 @@
   }
 
   @Override
-  public void askAfresh() {
+  public void replaceDiscoverySocket() {
     if (askedBefore != null) {
       askedBefore.closeNow();
     }
@@ -188,8 +188,8 @@
   /** From now on the name service is asked at that address; called in a turn. */
   public void askAt(InetSocketAddress address) {
     if (!address.equals(nameService)) {
-      askAfresh();
-      askAfresh();
+      replaceDiscoverySocket();
+      replaceDiscoverySocket();
     }
     nameService = address;
   }
@@ -237,7 +237,7 @@
     }
 
     @Override
-    public void writeBefore(byte[] bytes, long before) {
+    public void writeUntil(byte[] bytes, long before) {
       pending.add(() -> last = session.write(new DeadlineWrite(bytes, before)));
     }
 
@@ -247,12 +247,12 @@
     }
 
     @Override
-    public void drop() {
+    public void abort() {
       pending.add(() -> end(true));
     }
 
     @Override
-    public void hold(boolean on) {
+    public void pauseReading(boolean on) {
       held = on;
       regulate();
     }
@@ -266,7 +266,7 @@
             if (unread.getAndDecrement() == UNREAD_MOST) {
               regulate();
             }
-            owner.fed(bytes);
+            owner.onBytes(bytes);
           });
     }
 
@@ -326,7 +326,7 @@
     public void sessionOpened(IoSession session) {
       MinaPipe pipe = pipe(session);
       pipe.session = session;
-      queue.add(() -> pipe.owner.opened());
+      queue.add(() -> pipe.owner.onOpened());
     }
 
     @Override
@@ -338,11 +338,11 @@
     public void messageSent(IoSession session, Object message) {
       MinaPipe pipe = pipe(session);
       if (!(message instanceof DeadlineWrite timed)) {
-        queue.add(() -> pipe.owner.written());
+        queue.add(() -> pipe.owner.onWritten());
       } else if (timed.withheld()) {
-        queue.add(() -> pipe.owner.withheld());
+        queue.add(() -> pipe.owner.onWithheld());
       } else {
-        queue.add(() -> pipe.owner.written(timed.firstByteAt()));
+        queue.add(() -> pipe.owner.onWritten(timed.firstByteAt()));
       }
     }
 
@@ -359,7 +359,7 @@
           session.containsAttribute(CAUSE)
               ? DisconnectReason.RESET
               : DisconnectReason.CLOSED_BY_PEER;
-      queue.add(() -> pipe.owner.ended(how));
+      queue.add(() -> pipe.owner.onClosed(how));
     }
 
     MinaPipe pipe(IoSession session) {
--- a/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
@@ -77,7 +77,7 @@
   }
 
   private void say(String text) {
-    turn(() -> client.fed(text.getBytes(StandardCharsets.ISO_8859_1)));
+    turn(() -> client.onBytes(text.getBytes(StandardCharsets.ISO_8859_1)));
     while (!next.isEmpty()) {
       turn(next.poll());
     }
@@ -90,15 +90,15 @@
   }
 
   @Override
-  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
+  public Channel connect(InetSocketAddress to, Channel.Owner owner) {
     Played pipe = new Played();
     pipe.engine = owner;
-    next.add(owner::opened);
+    next.add(owner::onOpened);
     return pipe;
   }
 
   @Override
-  public void ask(byte[] datagram) {
+  public void sendDiscoveryQuery(byte[] datagram) {
     // Nobody answers.
   }
 
@@ -114,10 +114,10 @@
     @Override
     public void write(byte[] bytes) {
       if (engine == null) {
-        next.add(client::written);
+        next.add(client::onWritten);
         return;
       }
-      next.add(engine::written);
+      next.add(engine::onWritten);
       String[] words = new String(bytes, StandardCharsets.ISO_8859_1).split("[ \r]", 4);
       String answer =
           switch (words[0]) {
@@ -133,7 +133,8 @@
           };
       if (!answer.isEmpty()) {
         next.add(
-            () -> engine.fed((words[1] + answer + "\r\n").getBytes(StandardCharsets.ISO_8859_1)));
+            () ->
+                engine.onBytes((words[1] + answer + "\r\n").getBytes(StandardCharsets.ISO_8859_1)));
       }
     }
 
@@ -143,12 +144,12 @@
     }
 
     @Override
-    public void drop() {
+    public void abort() {
       // Nobody is there.
     }
 
     @Override
-    public void hold(boolean held) {
+    public void pauseReading(boolean held) {
       // Nothing more comes.
     }
   }
--- a/gateway/src/main/java/tillerlink/net/state/Channel.java
+++ b/gateway/src/main/java/tillerlink/net/state/Channel.java
@@ -6,9 +6,9 @@
 
   /**
    * The same, but none of it goes out if its first byte can't before that moment; then the owner
-   * hears {@link Owner#withheld} in place of {@link Owner#written}.
+   * hears {@link Owner#onWithheld} in place of {@link Owner#onWritten}.
    */
-  default void writeBefore(byte[] bytes, long before) {
+  default void writeUntil(byte[] bytes, long before) {
     write(bytes);
   }
 
@@ -19,34 +19,34 @@
   void close();
 
   /** Ends it at once. */
-  void drop();
+  void abort();
 
   /** Stops or resumes reading from it. */
-  void hold(boolean held);
+  void pauseReading(boolean held);
 
   /** Told of what happens on a pipe, always by the one thread that owns the state. */
   interface Owner {
-    void opened();
+    void onOpened();
 
-    void fed(byte[] bytes);
+    void onBytes(byte[] bytes);
 
     /** The oldest write that was not yet told of has gone out whole. */
-    void written();
+    void onWritten();
 
     /**
      * The same, told with the time at which its first byte went out; of what was written with a
      * bound.
      */
-    default void written(long firstByteAt) {
-      written();
+    default void onWritten(long firstByteAt) {
+      onWritten();
     }
 
     /** The oldest write that was not yet told of was late, and nothing of it has gone out. */
-    default void withheld() {
-      written();
+    default void onWithheld() {
+      onWritten();
     }
 
     /** Told once; nothing follows. */
-    void ended(DisconnectReason how);
+    void onClosed(DisconnectReason how);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -120,12 +120,12 @@
   }
 
   @Override
-  public void opened() {
+  public void onOpened() {
     // It was accepted open.
   }
 
   @Override
-  public void fed(byte[] bytes) {
+  public void onBytes(byte[] bytes) {
     if (over) {
       discard(bytes.length);
       return;
@@ -145,12 +145,12 @@
     discarded += more;
     if (discarded > DISCARDED_MOST && !held) {
       held = true;
-      pipe.hold(true);
+      pipe.pauseReading(true);
     }
   }
 
   @Override
-  public void written() {
+  public void onWritten() {
     door.held(-unsent.poll());
     if (unsent.isEmpty()) {
       quietSince = door.now();
@@ -165,7 +165,7 @@
   }
 
   @Override
-  public void ended(DisconnectReason how) {
+  public void onClosed(DisconnectReason how) {
     ClientDisconnectReason theirs =
         how == DisconnectReason.RESET
             ? ClientDisconnectReason.RESET_BY_CLIENT
@@ -211,7 +211,7 @@
         inHand && reader.waiting() > (door.full() ? PIPELINED_MOST : PIPELINED_WITH_ROOM);
     if (hold != held && !over) {
       held = hold;
-      pipe.hold(hold);
+      pipe.pauseReading(hold);
     }
   }
 
@@ -377,7 +377,7 @@
   void drop(ClientDisconnectReason why) {
     over = true;
     ourEnd = ourEnd == null ? why : ourEnd;
-    pipe.drop();
+    pipe.abort();
     door.forget(this);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -181,11 +181,11 @@
       client.lastCall();
     }
     String path = http.path();
-    if (side != null && side.takes(path)) {
+    if (side != null && side.handlesPath(path)) {
       if (full() && http.body().length > 0) {
         client.answer(noRoom());
       } else {
-        side.called(http, client.owed());
+        side.onRequest(http, client.owed());
       }
       return;
     }
@@ -254,7 +254,7 @@
     } else if (known != null) {
       reply.answer(HttpResponse.problem(409, "Known", 0));
     } else if (calls.size() >= openMost || full()) {
-      gateway.rarely(
+      gateway.warnRateLimited(
           "no room for a further submission: " + calls.size() + " with " + bytes + " bytes");
       reply.answer(noRoom());
     } else {
--- a/gateway/src/main/java/tillerlink/net/state/Discovery.java
+++ b/gateway/src/main/java/tillerlink/net/state/Discovery.java
@@ -62,7 +62,8 @@
   boolean listed(long now, EndpointWatchEvent came) {
     EndpointWatchEvent told = engines.filled(came);
     boolean newer = told.index() > engines.index();
-    EndpointWatchEvent news = recall != null && newer ? recall.told(now, told) : told;
+    EndpointWatchEvent news =
+        recall != null && newer ? recall.onEndpointsReceived(now, told) : told;
     List<EndpointUpdate> entries = engines.take(news);
     if (entries != null) {
       telemetry
@@ -80,11 +81,11 @@
               "newer",
               newer);
       invariants.listed(now, news.whole(), entries);
-      steering.listed(now, news.whole(), entries);
+      steering.onEndpointsChanged(now, news.whole(), entries);
     }
     if (blind && newer) {
       blind = false;
-      steering.blind(now, false);
+      steering.onEndpointsUnknown(now, false);
       LOG.info("discovery answers, list {}", news.index());
     }
     return entries != null;
@@ -92,15 +93,15 @@
 
   /** Discovery told nothing: the gateway goes by what it remembers, or by nothing at all. */
   private void startBlind(long now) {
-    EndpointCache.Remembered remembered = recall.atStart(now);
+    EndpointCache.Remembered remembered = recall.loadAtStart(now);
     blind = true;
     if (remembered.engines() == null) {
-      steering.blind(now, true);
+      steering.onEndpointsUnknown(now, true);
       LOG.warn(
           "discovery told nothing, and nothing that can be trusted is remembered: all is turned"
               + " back");
     } else {
-      steering.listed(now, true, engines.remember(remembered));
+      steering.onEndpointsChanged(now, true, engines.remember(remembered));
       LOG.atWarn()
           .addKeyValue("engines", remembered.engines().entries().size())
           .addKeyValue("trust", remembered.trust().values().stream().findFirst().orElse(0.0))
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -74,7 +74,7 @@
               period, period / QUICK << Math.max(0, Math.min(2 * QUICK, unanswered++) - QUICK));
       if (unanswered > 1 && unanswered % 2 == 1) {
         telemetry.metrics().add(Counter.DISCOVERY_SOCKETS_REPLACED);
-        driver.askAfresh();
+        driver.replaceDiscoverySocket();
       }
       if (unanswered == MANY_UNANSWERED + 1) {
         telemetry
@@ -97,7 +97,7 @@
       }
       telemetry.metrics().add(Counter.DISCOVERY_QUESTIONS);
       lease.asked(now);
-      driver.ask(Dns.query(id));
+      driver.sendDiscoveryQuery(Dns.query(id));
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/EndpointCache.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointCache.java
@@ -17,11 +17,11 @@
   record Remembered(EndpointWatchEvent engines, Map<String, Double> trust) {}
 
   /** Asked once, at a start for which discovery told nothing. Times are tenths of a millisecond. */
-  Remembered atStart(long now);
+  Remembered loadAtStart(long now);
 
   /**
    * Discovery told the list; what is to be taken for it. Guards against one that lost half of the
    * fleet at once.
    */
-  EndpointWatchEvent told(long now, EndpointWatchEvent news);
+  EndpointWatchEvent onEndpointsReceived(long now, EndpointWatchEvent news);
 }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import tillerlink.model.EndpointUpdate;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.Settings;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
@@ -89,7 +89,7 @@
       EngineAddress site = sites.get(entry.id());
       if (site == null) {
         site = new EngineAddress(entry.id());
-        site.carrier = carriers.of(owner, site, entry.kind());
+        site.carrier = carriers.create(owner, site, entry.kind());
         sites.put(entry.id(), site);
       }
       site.at(entry, owner.now(), listedAt);
@@ -147,9 +147,9 @@
   void sweep(long connectMost, long idleMost) {
     for (Iterator<EngineAddress> i = sites.values().iterator(); i.hasNext(); ) {
       EngineAddress site = i.next();
-      site.carrier.sweep(connectMost, idleMost);
-      if (site.engine.standing == Engine.Standing.GONE) {
-        site.carrier.retireAll();
+      site.carrier.checkTimeouts(connectMost, idleMost);
+      if (site.engine.standing == Status.GONE) {
+        site.carrier.retireConnections();
         if (site.carrier.isEmpty() && site.engine.out.isEmpty()) {
           i.remove();
         }
@@ -166,7 +166,7 @@
       }
     }
     if (longest != null) {
-      longest.endIdle();
+      longest.closeIdle();
     }
     return longest != null;
   }
--- a/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -2,6 +2,7 @@
 
 import java.net.InetSocketAddress;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.plain.Units;
 import tillerlink.policy.StartTime;
@@ -36,10 +37,10 @@
    * @param missingAt up to when this process is known not to have been there, if it is new
    */
   void at(EndpointEntry entry, long now, long missingAt) {
-    if (entry.standing() != Engine.Standing.GONE) {
+    if (entry.standing() != Status.GONE) {
       InetSocketAddress told = new InetSocketAddress(entry.address(), entry.port());
       if (!told.equals(address) || entry.startedMs() != startedMs) {
-        carrier.retireAll();
+        carrier.retireConnections();
       }
       if (entry.startedMs() != startedMs || this.entry == null) {
         startedAt = StartTime.bounded(entry.startedMs() * Units.TENTHS_PER_MS, now, missingAt);
@@ -59,6 +60,6 @@
 
   /** Whether new work may go there. */
   public boolean ready() {
-    return engine.standing == Engine.Standing.READY;
+    return engine.standing == Status.READY;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -89,7 +89,7 @@
   }
 
   void dial() {
-    pipe = gateway.dial(site.address(), this);
+    pipe = gateway.connect(site.address(), this);
   }
 
   boolean takes(String id, int most) {
@@ -144,11 +144,11 @@
     } else if (midwaySince > 0 && now >= midwaySince + connectMost) {
       end(DisconnectReason.GARBLED);
     } else if (!dropped
-        && (givenUp > writesDone || !site.ready() && holdsBack(now - gateway.holdMost()))) {
+        && (givenUp > writesDone || !site.ready() && holdsBack(now - gateway.maxWriteDelay()))) {
       // What went out of it is known once the connection has ended.
       dropped = true;
       retired = true;
-      pipe.drop();
+      pipe.abort();
     } else if (askedAt > 0 && !silent && now >= askedAt + connectMost / 2) {
       silent = true;
     }
@@ -168,7 +168,8 @@
    */
   void nobodyThere() {
     if (silent) {
-      gateway.rarely("engine " + site.id + " is silent, " + flights.size() + " hops end in doubt");
+      gateway.warnRateLimited(
+          "engine " + site.id + " is silent, " + flights.size() + " hops end in doubt");
       end(DisconnectReason.SILENT);
     } else if (flights.isEmpty()) {
       retire();
@@ -219,7 +220,7 @@
     if (verdict == SendVerdict.ALLOWED) {
       want(flight);
     } else {
-      gateway.withheld(flight, verdict);
+      gateway.attemptWithheld(flight, verdict);
       carrier.unsent(flight, DisconnectReason.WITHDRAWN);
     }
   }
@@ -237,8 +238,8 @@
 
   private void want(InFlightAttempt flight) {
     long millisLeft = flight.millisLeft(gateway.now());
-    long before = gateway.writeBefore(flight);
-    pipe.writeBefore(
+    long before = gateway.writeDeadline(flight);
+    pipe.writeUntil(
         EngineCommand.want(
             flight.id(), flight.track(), millisLeft, flight.key(), flight.statement()),
         before);
@@ -276,7 +277,7 @@
   }
 
   @Override
-  public void opened() {
+  public void onOpened() {
     if (over) {
       return;
     }
@@ -286,29 +287,29 @@
   }
 
   @Override
-  public void written() {
-    written(gateway.now());
+  public void onWritten() {
+    onWritten(gateway.now());
   }
 
   @Override
-  public void written(long firstByteAt) {
+  public void onWritten(long firstByteAt) {
     GoingOut out = nextWriteDone();
     if (out != null) {
-      gateway.wentOut(out.flight, firstByteAt, out.before, out.limit);
+      gateway.attemptSent(out.flight, firstByteAt, out.before, out.limit);
       if (out.flight.guarded()) {
-        gateway.written(out.flight);
+        gateway.attemptWritten(out.flight);
       }
     }
   }
 
   /** Nothing of the hop has gone out, though it was handed over: it surely never ran. */
   @Override
-  public void withheld() {
+  public void onWithheld() {
     GoingOut out = nextWriteDone();
     out.flight.place = InFlightAttempt.UNSENT;
-    gateway.withheld(out.flight, SendVerdict.WRITE_DELAYED);
+    gateway.attemptWithheld(out.flight, SendVerdict.WRITE_DELAYED);
     if (out.flight.hop.isOut()) {
-      gateway.ended(out.flight, DisconnectReason.WITHDRAWN.outcome(false));
+      gateway.attemptEnded(out.flight, DisconnectReason.WITHDRAWN.outcome(false));
     }
   }
 
@@ -320,7 +321,7 @@
   }
 
   @Override
-  public void fed(byte[] bytes) {
+  public void onBytes(byte[] bytes) {
     if (over) {
       return;
     }
@@ -334,7 +335,7 @@
       }
       midwaySince = !reader.midway() ? 0 : midwaySince == 0 ? heardAt : midwaySince;
     } catch (IllegalArgumentException e) {
-      gateway.rarely("engine " + site.id + " said what can't be read: " + e.getMessage());
+      gateway.warnRateLimited("engine " + site.id + " said what can't be read: " + e.getMessage());
       end(DisconnectReason.GARBLED);
     }
   }
@@ -347,7 +348,7 @@
     InFlightAttempt flight = flights.get(answer.id());
     if (flight == null) {
       if (answer.word() != EngineResponse.Word.YES && !ended.contains(answer.id())) {
-        gateway.rarely("engine " + site.id + " answered what was not asked");
+        gateway.warnRateLimited("engine " + site.id + " answered what was not asked");
       }
       return;
     }
@@ -359,15 +360,15 @@
           keep(flight, answer);
         }
       }
-      case REFUSED -> gateway.ended(flight, AttemptOutcome.FULL);
+      case REFUSED -> gateway.attemptEnded(flight, AttemptOutcome.FULL);
       // A page that the engine no longer has says nothing against what it runs.
       case ERROR ->
-          gateway.ended(
+          gateway.attemptEnded(
               flight, flight.pages == null ? AttemptOutcome.ERRED : AttemptOutcome.SPOILT);
-      case STALE -> gateway.ended(flight, AttemptOutcome.NEVER_SENT);
+      case STALE -> gateway.attemptEnded(flight, AttemptOutcome.NEVER_SENT);
       case PROGRESS -> {
         if (answer.about() != null) {
-          gateway.noted(flight, note(answer.about()), answer.level());
+          gateway.attemptProgressed(flight, note(answer.about()), answer.level());
         }
       }
       default -> throw new IllegalArgumentException("a word that is no answer to a submission");
@@ -408,7 +409,7 @@
 
   /** A page was taken: counts it, and ends the hop with the last. */
   private void keep(InFlightAttempt flight, EngineResponse answer) {
-    gateway.held(answer.body().length);
+    gateway.retainedBytesChanged(answer.body().length);
     if (flight.bytes > RESULT_MOST) {
       flight.pages = null;
       throw new IllegalArgumentException("a result too long");
@@ -417,13 +418,13 @@
       if (flight.pages.length > 1) {
         write(EngineCommand.shut(flight.id()));
       }
-      gateway.ended(flight, AttemptOutcome.FULFILLED);
+      gateway.attemptEnded(flight, AttemptOutcome.FULFILLED);
     }
   }
 
   /** It went in the middle of an answer: what it bore has run. */
   @Override
-  public void ended(DisconnectReason how) {
+  public void onClosed(DisconnectReason how) {
     end(
         dropped ? DisconnectReason.HELD_BACK : reader.midway() ? DisconnectReason.GARBLED : how,
         true);
@@ -470,14 +471,14 @@
     if (how == DisconnectReason.CLOSED_BY_US) {
       pipe.close();
     } else {
-      pipe.drop();
+      pipe.abort();
     }
     for (InFlightAttempt flight : List.copyOf(flights.values())) {
       if (how == DisconnectReason.CLOSED_BY_US
           || how == DisconnectReason.SILENT
           || !carrier.mend(flight)) {
         boolean whole = exact ? flight.place <= writesDone : flight.place != InFlightAttempt.UNSENT;
-        gateway.ended(flight, how.outcome(whole || flight.pages != null));
+        gateway.attemptEnded(flight, how.outcome(whole || flight.pages != null));
       }
     }
     if (how == DisconnectReason.REFUSED || how == DisconnectReason.NEVER_UP) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
@@ -17,88 +17,88 @@
     long now();
 
     /** Word on a hop that is still out. */
-    void noted(InFlightAttempt flight, AttemptProgress note, double level);
+    void attemptProgressed(InFlightAttempt flight, AttemptProgress note, double level);
 
     /**
-     * A hop is over; told once. One that was taken in this turn ends by {@link #later} at the
-     * soonest.
+     * A hop is over; told once. One that was taken in this turn ends by {@link #runInNextIteration}
+     * at the soonest.
      */
-    void ended(InFlightAttempt flight, AttemptOutcome outcome);
+    void attemptEnded(InFlightAttempt flight, AttemptOutcome outcome);
 
     /**
      * All of a hop that is {@link InFlightAttempt#guarded} has gone out; told before anything that
      * comes of it.
      */
-    void written(InFlightAttempt flight);
+    void attemptWritten(InFlightAttempt flight);
 
     /** A hop is written in this turn; until when its first byte may go out. */
-    long writeBefore(InFlightAttempt flight);
+    long writeDeadline(InFlightAttempt flight);
 
     /**
      * A hop has gone out.
      *
-     * @param before what {@link #writeBefore} said
+     * @param before what {@link #writeDeadline} said
      * @param limit how long its engine was told that the client waits
      */
-    void wentOut(InFlightAttempt flight, long firstByteAt, long before, long limit);
+    void attemptSent(InFlightAttempt flight, long firstByteAt, long before, long limit);
 
     /** A hop was not written, for the guard did not allow it. */
-    void withheld(InFlightAttempt flight, SendVerdict verdict);
+    void attemptWithheld(InFlightAttempt flight, SendVerdict verdict);
 
     /** Something of the next turn. */
-    void later(Runnable what);
+    void runInNextIteration(Runnable what);
 
     /** Bytes that are kept for a client, or no longer. */
-    void held(long more);
+    void retainedBytesChanged(long more);
 
     /** What is counted and logged of attempts and connections. */
     Telemetry telemetry();
 
     /** Warns, at a bounded rate. */
-    void rarely(String line);
+    void warnRateLimited(String line);
 
     /** Begins a connection. */
-    Channel dial(InetSocketAddress to, Channel.Owner owner);
+    Channel connect(InetSocketAddress to, Channel.Owner owner);
 
     /** Connections to engines that may be open at once, by all carriers together. */
-    int linksMost();
+    int maxConnections();
 
     /** How many are open or coming up now. */
-    int links();
+    int openConnections();
 
     /**
      * Whether one more may be opened. At the bound the one that has been idle longest, to any
      * engine, ends for it: guards a fleet of more engines than connections, where those that are
      * idle would lock the others out.
      */
-    boolean roomForLink();
+    boolean reserveConnection();
 
     /** How long what must not go out later may wait here for a peer that does not read. */
-    long holdMost();
+    long maxWriteDelay();
 
     /** How many engines are known. */
-    int engines();
+    int engineCount();
 
     /** One was dialed, or is over. */
-    void counted(int more);
+    void connectionCountChanged(int more);
   }
 
   /** A hop is to go out. If there is no way to, it ends as one that never ran, in the next turn. */
   void send(InFlightAttempt flight);
 
   /** Gives a hop up that is out; what that proves. The state ends it. */
-  AttemptOutcome giveUp(InFlightAttempt flight);
+  AttemptOutcome abandon(InFlightAttempt flight);
 
   /** A hop is over and is expected here no more. */
   void release(InFlightAttempt flight);
 
   /** Looks after what time brings. */
-  void sweep(long connectMost, long idleMost);
+  void checkTimeouts(long connectMost, long idleMost);
 
   /**
    * Takes no new hops over what is open now: that leads to a process which is not the one listed.
    */
-  void retireAll();
+  void retireConnections();
 
   /**
    * Since when its connection that has been idle longest bears nothing; {@link Long#MAX_VALUE} if
@@ -109,7 +109,7 @@
   }
 
   /** Ends that connection. */
-  default void endIdle() {
+  default void closeIdle() {
     // Where none is idle, none is ended.
   }
 
@@ -122,6 +122,6 @@
     /**
      * @param kind the engine's kind, by its name
      */
-    EngineTransport of(Owner owner, EngineAddress site, String kind);
+    EngineTransport create(Owner owner, EngineAddress site, String kind);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -14,7 +14,7 @@
  * it: a pause of this process between the two shows in the second answer, and then nothing that
  * came of the hop is handed out.
  */
-final class FencedRequests implements GatewayExtension.Door {
+final class FencedRequests implements GatewayExtension.ExtensionContext {
   private final Gateway gateway;
   private final ClientRequestHandler clients;
 
@@ -35,7 +35,7 @@
   }
 
   @Override
-  public void recheck() {
+  public void recheckGuards() {
     List<PendingResponse> withdrawn = new ArrayList<>();
     for (Iterator<PendingResponse> i = open.iterator(); i.hasNext(); ) {
       PendingResponse call = i.next();
@@ -58,7 +58,7 @@
     flight.sound = flight.call.guard.holds();
     if (!flight.sound) {
       flight.stale = true;
-      gateway.later(() -> withdraw(flight.call));
+      gateway.runInNextIteration(() -> withdraw(flight.call));
     }
   }
 
@@ -68,7 +68,7 @@
    */
   AttemptOutcome ended(InFlightAttempt flight, AttemptOutcome outcome) {
     if (flight.began) {
-      flight.call.guard.ended(mayRunUntil(flight, outcome));
+      flight.call.guard.onAttemptEnded(mayRunUntil(flight, outcome));
     }
     if (flight.refused) {
       withdraw(flight.call);
@@ -107,7 +107,7 @@
         call.submission.track != null && call.submission.track.terms.effect() == Effect.PURE
             || call.flights.stream().allMatch(flight -> flight.refused || !flight.hop.mayHaveRun());
     if (again) {
-      clients.turnBack(call, call.guard.comeBack());
+      clients.turnBack(call, call.guard.retryAfter());
     } else {
       clients.breakOff(call);
     }
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -167,7 +167,8 @@
             telemetry,
             this,
             (owner, site, kind) -> {
-              EngineTransport carrier = carriers == null ? null : carriers.of(owner, site, kind);
+              EngineTransport carrier =
+                  carriers == null ? null : carriers.create(owner, site, kind);
               return carrier == null ? new LineProtocolTransport(owner, site, streams) : carrier;
             });
     // With no grace, or none stated, a drain is obeyed at once; asked for is only how fresh the
@@ -176,7 +177,7 @@
     holdMost = Math.min(grace, connectMost) / 2;
     names = new DiscoveryClient(driver, assignment.seed(), now, grace, telemetry);
     invariants = new InvariantMonitor(terms);
-    steering = factory.start(now, assignment.seed(), plain, this);
+    steering = factory.create(now, assignment.seed(), plain, this);
     discovery = new Discovery(engines, steering, invariants, recall, telemetry);
     discovery.start(now, assignment.known());
     unsettled = true;
@@ -216,7 +217,7 @@
   }
 
   /** What the one beside may ask for. */
-  public GatewayExtension.Door door() {
+  public GatewayExtension.ExtensionContext door() {
     return guarded;
   }
 
@@ -234,7 +235,7 @@
     }
     now = Math.max(now, clock);
     if (side != null) {
-      side.begin(now);
+      side.beginIteration(now);
     }
     for (int i = next.size(); i > 0; i--) {
       next.poll().run();
@@ -271,21 +272,21 @@
     names.sweep(now);
     watchList();
     if (side != null) {
-      side.settle(now);
+      side.endIteration(now);
     }
     if (now >= wakeAt) {
       wakeAt = Long.MAX_VALUE;
-      steering.woken(now);
+      steering.onWakeup(now);
       unsettled = true;
     }
     if (unsettled) {
       unsettled = false;
-      steering.settle(now);
+      steering.applyDecisions(now);
     }
     if (!ordered.isEmpty()) {
       List<InFlightAttempt> batch = ordered;
       ordered = new ArrayList<>();
-      driver.afterReading(() -> batch.forEach(this::begin));
+      driver.runAfterPendingReads(() -> batch.forEach(this::begin));
     }
     driver.flush();
     expectedAt = dueAt();
@@ -326,7 +327,7 @@
     if (state != listState || usableUntil != listUsableUntil) {
       listState = state;
       listUsableUntil = usableUntil;
-      steering.listState(now, state, usableUntil);
+      steering.onEndpointListStateChanged(now, state, usableUntil);
       unsettled = true;
     }
   }
@@ -339,7 +340,7 @@
   /** When the next turn is due though nothing comes. */
   public long dueAt() {
     long dueAt = next.isEmpty() ? Math.min(Math.min(wakeAt, sweepAt), names.dueAt(now)) : now;
-    return side == null ? dueAt : Math.min(dueAt, side.dueAt());
+    return side == null ? dueAt : Math.min(dueAt, side.nextDueAt());
   }
 
   private void sweep() {
@@ -358,7 +359,7 @@
 
   /** Calls back, in this turn or a later one, once all that can be read by now was told. */
   void afterReading(Runnable then) {
-    driver.afterReading(then);
+    driver.runAfterPendingReads(then);
   }
 
   /** A client has connected. */
@@ -375,20 +376,20 @@
   void arrived(PendingResponse call) {
     telemetry.metrics().add(Counter.REQUESTS_TAKEN);
     invariants.taken(now);
-    steering.arrived(now, call.submission);
+    steering.onRequestArrived(now, call.submission);
     unsettled = true;
   }
 
   void left(PendingResponse call) {
     telemetry.metrics().add(Counter.REQUESTS_ABANDONED);
-    steering.left(now, call.submission);
+    steering.onClientDisconnected(now, call.submission);
     unsettled = true;
   }
 
   /** Nobody waits for its answer any more, though its client may call again; or it has. */
   void unattended(PendingResponse call, boolean on) {
     if (!call.settled() && call.submission.unattended != on) {
-      steering.unattended(now, call.submission, on);
+      steering.onClientAttendanceChanged(now, call.submission, on);
       unsettled = true;
     }
   }
@@ -398,29 +399,29 @@
    * nothing.
    */
   void overdue(PendingResponse call) {
-    call.flights.forEach(flight -> ended(flight, AttemptOutcome.OVERDUE));
+    call.flights.forEach(flight -> attemptEnded(flight, AttemptOutcome.OVERDUE));
   }
 
   @Override
-  public void held(long more) {
+  public void retainedBytesChanged(long more) {
     clients.held(more);
   }
 
   // ---- engines ----
 
   @Override
-  public void noted(InFlightAttempt flight, AttemptProgress note, double level) {
-    steering.noted(now, flight.hop, note, level);
+  public void attemptProgressed(InFlightAttempt flight, AttemptProgress note, double level) {
+    steering.onAttemptProgress(now, flight.hop, note, level);
     unsettled = true;
   }
 
   @Override
-  public void written(InFlightAttempt flight) {
+  public void attemptWritten(InFlightAttempt flight) {
     guarded.written(flight);
   }
 
   @Override
-  public void ended(InFlightAttempt flight, AttemptOutcome how) {
+  public void attemptEnded(InFlightAttempt flight, AttemptOutcome how) {
     if (!flight.hop.isOut()) {
       return;
     }
@@ -430,10 +431,10 @@
       clients.fulfil(flight.call, ResultEncoder.answer(flight.pages));
     }
     flight.forgetAnswer();
-    held(-flight.bytes);
+    retainedBytesChanged(-flight.bytes);
     long lag = now - flight.hop.sentAt;
     countEnd(flight, outcome, lag);
-    steering.ended(now, flight.hop, outcome, lag, flight.call.settled(), 0, 0, null);
+    steering.onAttemptEnded(now, flight.hop, outcome, lag, flight.call.settled(), 0, 0, null);
     unsettled = true;
   }
 
@@ -472,42 +473,42 @@
   }
 
   @Override
-  public void later(Runnable what) {
+  public void runInNextIteration(Runnable what) {
     next.add(what);
   }
 
   @Override
-  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
-    return driver.dial(to, owner);
+  public Channel connect(InetSocketAddress to, Channel.Owner owner) {
+    return driver.connect(to, owner);
   }
 
   @Override
-  public int linksMost() {
+  public int maxConnections() {
     return linksMost;
   }
 
   @Override
-  public int links() {
+  public int openConnections() {
     return links;
   }
 
   @Override
-  public boolean roomForLink() {
+  public boolean reserveConnection() {
     return links < linksMost || engines.endIdle();
   }
 
   @Override
-  public long holdMost() {
+  public long maxWriteDelay() {
     return holdMost;
   }
 
   @Override
-  public int engines() {
+  public int engineCount() {
     return engines.size();
   }
 
   @Override
-  public void counted(int more) {
+  public void connectionCountChanged(int more) {
     links += more;
   }
 
@@ -524,22 +525,22 @@
       unsettled |= discovery.listed(now, names.take(now, datagram, engines.index()));
     } catch (IllegalArgumentException e) {
       telemetry.metrics().add(Counter.DISCOVERY_UNUSABLE_ANSWERS);
-      rarely("name service: " + e.getMessage());
+      warnRateLimited("name service: " + e.getMessage());
     }
   }
 
   // ---- orders ----
 
   @Override
-  public void terms(Request submission, int rank, long grant) {
+  public void updatePriorityAndGrant(Request submission, int rank, long grant) {
     // This protocol has no word for either.
   }
 
   @Override
-  public void send(Attempt hop) {
+  public void sendAttempt(Attempt hop) {
     PendingResponse call = (PendingResponse) hop.submission.tag;
     InFlightAttempt flight =
-        new InFlightAttempt(hop, call, wanted -> steering.mayWrite(now, wanted));
+        new InFlightAttempt(hop, call, wanted -> steering.checkWrite(now, wanted));
     call.flights.add(flight);
     ordered.add(flight);
     telemetry.metrics().add(Counter.ATTEMPTS_ORDERED);
@@ -574,18 +575,18 @@
     if (verdict == SendVerdict.ALLOWED) {
       carrier(flight).send(flight);
     } else {
-      withheld(flight, verdict);
-      next.add(() -> ended(flight, AttemptOutcome.NEVER_SENT));
+      attemptWithheld(flight, verdict);
+      next.add(() -> attemptEnded(flight, AttemptOutcome.NEVER_SENT));
     }
   }
 
   @Override
-  public long writeBefore(InFlightAttempt flight) {
-    return steering.writeBefore(now, flight.hop);
+  public long writeDeadline(InFlightAttempt flight) {
+    return steering.writeDeadline(now, flight.hop);
   }
 
   @Override
-  public void wentOut(InFlightAttempt flight, long firstByteAt, long before, long limit) {
+  public void attemptSent(InFlightAttempt flight, long firstByteAt, long before, long limit) {
     telemetry.metrics().add(Counter.ATTEMPTS_WRITTEN);
     report(
         invariants.written(new InvariantMonitor.Written(flight.hop, firstByteAt, before, limit)),
@@ -628,7 +629,7 @@
   }
 
   @Override
-  public void withheld(InFlightAttempt flight, SendVerdict verdict) {
+  public void attemptWithheld(InFlightAttempt flight, SendVerdict verdict) {
     telemetry.metrics().add(Counter.ATTEMPTS_WITHHELD, verdict);
     telemetry
         .log()
@@ -647,10 +648,10 @@
   }
 
   @Override
-  public void callOff(Attempt hop) {
+  public void cancelAttempt(Attempt hop) {
     InFlightAttempt flight = ((PendingResponse) hop.submission.tag).flights.get(hop.number);
     if (hop.isOut()) {
-      AttemptOutcome outcome = carrier(flight).giveUp(flight);
+      AttemptOutcome outcome = carrier(flight).abandon(flight);
       telemetry
           .log()
           .event(
@@ -667,18 +668,18 @@
               flight.call.left,
               "request_ended",
               hop.submission.ending != null);
-      next.add(() -> ended(flight, outcome));
+      next.add(() -> attemptEnded(flight, outcome));
     }
   }
 
   @Override
-  public void turnBack(Request submission, long comeBack) {
+  public void rejectRequest(Request submission, long comeBack) {
     countGivenUp(Counter.REQUESTS_REFUSED, submission);
     clients.turnBack((PendingResponse) submission.tag, comeBack);
   }
 
   @Override
-  public void breakOff(Request submission) {
+  public void failRequest(Request submission) {
     countGivenUp(Counter.REQUESTS_FAILED, submission);
     clients.breakOff((PendingResponse) submission.tag);
   }
@@ -707,22 +708,22 @@
   }
 
   @Override
-  public void wake(long at) {
+  public void scheduleWakeup(long at) {
     wakeAt = Math.min(wakeAt, at);
   }
 
   @Override
-  public void follow() {
+  public void watchEndpoints() {
     // The name service is asked all the time.
   }
 
   @Override
   public void log(String line) {
-    rarely(line);
+    warnRateLimited(line);
   }
 
   @Override
-  public void rarely(String line) {
+  public void warnRateLimited(String line) {
     rarely.warn(now, line);
   }
 
@@ -732,7 +733,7 @@
   public void drain() {
     clients.drain();
     if (side != null) {
-      side.drain();
+      side.onDrain();
     }
   }
 
@@ -759,9 +760,9 @@
   /** Time is up: the module words the final answer to what is left. */
   public void endAll() {
     if (side != null) {
-      side.timeUp();
+      side.onShutdownDeadline();
     }
-    clients.owed().forEach(call -> steering.outOfTime(now, call.submission));
+    clients.owed().forEach(call -> steering.onShutdownDeadline(now, call.submission));
     unsettled = true;
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/GatewayExtension.java
+++ b/gateway/src/main/java/tillerlink/net/state/GatewayExtension.java
@@ -15,31 +15,31 @@
  */
 public interface GatewayExtension {
   /** A turn begins: called before anything that waited for it. */
-  void begin(long now);
+  void beginIteration(long now);
 
   /** All that came in this turn was told. */
-  void settle(long now);
+  void endIteration(long now);
 
   /** When a turn is due though nothing comes. */
-  long dueAt();
+  long nextDueAt();
 
   /** Whether calls of that path (as sent, without what follows a question mark) are its own. */
-  boolean takes(String path);
+  boolean handlesPath(String path);
 
   /**
    * A client's call of a path that it takes; answered now or in a later turn, of whatever method it
    * is.
    */
-  void called(HttpRequest call, Reply reply);
+  void onRequest(HttpRequest call, Reply reply);
 
   /** The process was told to end; turns go on for some time. */
-  void drain();
+  void onDrain();
 
   /**
    * Time is up: clients that still wait for an answer of its own get one now, for their connections
    * end.
    */
-  void timeUp();
+  void onShutdownDeadline();
 
   /**
    * The last turn is over, and no hop goes out any more; what was handed to the disk may still be
@@ -70,13 +70,13 @@
     boolean holds();
 
     /** How long the client should stay away once it does not; 0 means no advice. */
-    long comeBack();
+    long retryAfter();
 
     /**
      * It was found to hold and a hop is handed over to be written, in the same turn: it may be out
      * from now on.
      */
-    void began();
+    void onAttemptStarted();
 
     /**
      * A hop that began is over here; told once for each.
@@ -84,11 +84,11 @@
      * @param mayRunUntil up to when its engine may still be at it, by the limit that it was told; 0
      *     if it surely is not: it answered, or it never got the hop whole
      */
-    void ended(long mayRunUntil);
+    void onAttemptEnded(long mayRunUntil);
   }
 
   /** What it may ask of its gateway. */
-  interface Door {
+  interface ExtensionContext {
     /**
      * Hands a submission in as if a client had called {@code POST /v1/<track>} with these headers
      * and this body; the reply gets the path of its result, or why it was not taken. Where the
@@ -103,7 +103,7 @@
      * Guards may have changed: submissions whose guards do not hold and of which no hop is out are
      * turned back.
      */
-    void recheck();
+    void recheckGuards();
   }
 
   /** Makes it, once, before the gateway listens. */
@@ -115,7 +115,10 @@
      * @param clock the gateway's clock, read anew; for any thread
      */
     GatewayExtension start(
-        GatewayConfig assignment, Door door, Consumer<Runnable> turns, LongSupplier clock)
+        GatewayConfig assignment,
+        GatewayExtension.ExtensionContext door,
+        Consumer<Runnable> turns,
+        LongSupplier clock)
         throws IOException;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -83,12 +83,12 @@
     SendVerdict verdict = mayBePlaced();
     if (verdict == SendVerdict.ALLOWED && call.guard != null && !began) {
       began = true;
-      call.guard.began();
+      call.guard.onAttemptStarted();
     }
     return verdict;
   }
 
-  /** Whether {@link EngineTransport.Owner#written} is waited for. */
+  /** Whether {@link EngineTransport.Owner#attemptWritten} is waited for. */
   public boolean guarded() {
     return call.guard != null;
   }
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -4,7 +4,7 @@
 import java.util.Comparator;
 import java.util.List;
 import tillerlink.model.AttemptOutcome;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 
 /**
  * Carries hops over the platform's engine lines: connections of which each bears as many as the
@@ -28,7 +28,7 @@
   public void send(InFlightAttempt flight) {
     EngineConnection link = linkFor(flight);
     if (link == null) {
-      owner.rarely("no room for a further engine connection");
+      owner.warnRateLimited("no room for a further engine connection");
       unsent(flight, DisconnectReason.NO_ROOM);
     } else {
       link.send(flight);
@@ -37,7 +37,7 @@
 
   /** Nothing of a hop was written, and nothing will be: the module hears of it in the next turn. */
   void unsent(InFlightAttempt flight, DisconnectReason why) {
-    owner.later(() -> owner.ended(flight, why.outcome(false)));
+    owner.runInNextIteration(() -> owner.attemptEnded(flight, why.outcome(false)));
   }
 
   /**
@@ -67,11 +67,12 @@
     // Each engine has its part, and one connection at the least: with more engines than
     // connections, those that
     // are in use pass from engine to engine.
-    if (links.size() >= Math.max(1, owner.linksMost() / owner.engines()) || !owner.roomForLink()) {
+    if (links.size() >= Math.max(1, owner.maxConnections() / owner.engineCount())
+        || !owner.reserveConnection()) {
       return null;
     }
     EngineConnection link = new EngineConnection(this, owner.now());
-    owner.counted(1);
+    owner.connectionCountChanged(1);
     links.add(link);
     link.dial();
     return link;
@@ -87,7 +88,7 @@
   /** One has ended; if it did not come up, others hear of it. */
   void linkEnded(EngineConnection link) {
     links.remove(link);
-    owner.counted(-1);
+    owner.connectionCountChanged(-1);
   }
 
   /** A new connection failed. */
@@ -110,7 +111,7 @@
         flight.pages != null
             && flight.mended < MENDS_MOST
             && flight.hop.isOut()
-            && site.engine.standing != Engine.Standing.GONE;
+            && site.engine.standing != Status.GONE;
     EngineConnection link = mends ? linkFor(flight) : null;
     if (link != null) {
       flight.mended++;
@@ -120,7 +121,7 @@
   }
 
   @Override
-  public AttemptOutcome giveUp(InFlightAttempt flight) {
+  public AttemptOutcome abandon(InFlightAttempt flight) {
     return flight.link == null
         ? DisconnectReason.NO_ROOM.outcome(false)
         : flight.link.giveUp(flight);
@@ -134,7 +135,7 @@
   }
 
   @Override
-  public void sweep(long connectMost, long idleMost) {
+  public void checkTimeouts(long connectMost, long idleMost) {
     List.copyOf(links).forEach(link -> link.sweep(connectMost, idleMost));
   }
 
@@ -144,14 +145,14 @@
   }
 
   @Override
-  public void endIdle() {
+  public void closeIdle() {
     links.stream()
         .min(Comparator.comparing(EngineConnection::idleSince))
         .ifPresent(EngineConnection::retire);
   }
 
   @Override
-  public void retireAll() {
+  public void retireConnections() {
     List.copyOf(links).forEach(EngineConnection::retire);
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/NetworkDriver.java
+++ b/gateway/src/main/java/tillerlink/net/state/NetworkDriver.java
@@ -5,16 +5,16 @@
 /** Reads and writes for the state; never blocks it. */
 public interface NetworkDriver {
   /** Begins a connection; its owner hears of it later. */
-  Channel dial(InetSocketAddress to, Channel.Owner owner);
+  Channel connect(InetSocketAddress to, Channel.Owner owner);
 
   /** Sends a datagram to the name service. */
-  void ask(byte[] datagram);
+  void sendDiscoveryQuery(byte[] datagram);
 
   /**
    * Nothing is heard on the way on which it is asked: the next question takes another, as from
    * another port.
    */
-  default void askAfresh() {
+  default void replaceDiscoverySocket() {
     // Where there is one way only, it is asked on that.
   }
 
@@ -22,7 +22,7 @@
    * Calls back, in this turn or a later one, once all that could be read of any connection when
    * this was asked has been told to its owner.
    */
-  default void afterReading(Runnable then) {
+  default void runAfterPendingReads(Runnable then) {
     then.run();
   }
 
--- a/gateway/src/main/java/tillerlink/net/wire/Dns.java
+++ b/gateway/src/main/java/tillerlink/net/wire/Dns.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 
 /** The name service's messages (RFC 1035, RFC 2782). */
 public final class Dns {
@@ -167,8 +167,8 @@
           number(text.get("started")));
     }
 
-    private static Engine.Standing standing(Service service) {
-      return service.priority == DRAINING ? Engine.Standing.DRAINING : Engine.Standing.READY;
+    private static Status standing(Service service) {
+      return service.priority == DRAINING ? Status.DRAINING : Status.READY;
     }
 
     private static long number(String text) {
--- a/gateway/src/main/java/tillerlink/net/wire/EndpointEntry.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EndpointEntry.java
@@ -13,11 +13,11 @@
     String zone,
     String kind,
     int cell,
-    Engine.Standing standing,
+    Engine.Status standing,
     double weight,
     long startedMs) {
   /** The same, said to stand otherwise. */
-  public EndpointEntry as(Engine.Standing other) {
+  public EndpointEntry as(Engine.Status other) {
     return new EndpointEntry(id, address, port, zone, kind, cell, other, weight, startedMs);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/GatewayConfig.java
+++ b/gateway/src/main/java/tillerlink/net/wire/GatewayConfig.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.plain.Json;
 
 /** What a gateway is told at its start. */
@@ -105,11 +105,11 @@
     List<EndpointEntry> entries = new ArrayList<>();
     for (Object raw : list(told.get("endpoints"), "endpoints.endpoints")) {
       Map<String, Object> one = object(raw, "an endpoint");
-      Engine.Standing standing =
+      Status standing =
           switch (text(one, "status")) {
-            case "SERVING" -> Engine.Standing.READY;
-            case "DRAINING" -> Engine.Standing.DRAINING;
-            default -> Engine.Standing.GONE;
+            case "SERVING" -> Status.READY;
+            case "DRAINING" -> Status.DRAINING;
+            default -> Status.GONE;
           };
       InetSocketAddress at =
           address(one.get("address") instanceof String text ? text : "0.0.0.0:0");
--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -8,6 +8,7 @@
 import java.util.Random;
 import java.util.function.Predicate;
 import tillerlink.model.*;
+import tillerlink.model.Engine.Status;
 import tillerlink.port.DispatchActions;
 import tillerlink.port.DispatchPolicy;
 
@@ -16,9 +17,9 @@
  *
  * <p>Callers reach it through {@link tillerlink.port.DispatchPolicyFactory} and {@link
  * DispatchPolicy}, where the interface is defined; it answers through {@link DispatchActions}.
- * Events only change what is known and wanted; {@link #settle} then reviews what is due, sends what
- * may go, and {@link #emit} alone works out the difference between the wanted and the present
- * state. Times are tenths of a millisecond. The design, and each departure from it, is in
+ * Events only change what is known and wanted; {@link #applyDecisions} then reviews what is due,
+ * sends what may go, and {@link #emit} alone works out the difference between the wanted and the
+ * present state. Times are tenths of a millisecond. The design, and each departure from it, is in
  * docs/design.md.
  */
 public final class DefaultDispatchPolicy implements DispatchPolicy {
@@ -214,9 +215,9 @@
   // ---- events ----
 
   @Override
-  public void listed(long now, boolean whole, List<EndpointUpdate> entries) {
+  public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
-      engines.forEach(engine -> engine.standing = Engine.Standing.GONE);
+      engines.forEach(engine -> engine.standing = Status.GONE);
     }
     for (EndpointUpdate entry : entries) {
       Engine engine = entry.engine();
@@ -240,7 +241,7 @@
   }
 
   private boolean forgotten(Engine engine) {
-    engine.known = engine.standing != Engine.Standing.GONE || !engine.out.isEmpty();
+    engine.known = engine.standing != Status.GONE || !engine.out.isEmpty();
     return !engine.known;
   }
 
@@ -255,18 +256,18 @@
   }
 
   @Override
-  public void blind(long now, boolean on) {
+  public void onEndpointsUnknown(long now, boolean on) {
     blind = on;
   }
 
   @Override
-  public void listState(long now, EndpointListState state, long usableUntil) {
+  public void onEndpointListStateChanged(long now, EndpointListState state, long usableUntil) {
     listState = state;
-    guard.listUsableUntil(usableUntil);
+    guard.endpointsUsableUntil(usableUntil);
   }
 
   @Override
-  public void listFailed(long now) {
+  public void onEndpointPollFailed(long now) {
     if (settings.text("discovery").equals("ask")) {
       long pause =
           Math.max(tick, settings.number("guarantees.ask_within", 10 * leastSoftLimit) / 10);
@@ -275,7 +276,7 @@
   }
 
   @Override
-  public void arrived(long now, Request s) {
+  public void onRequestArrived(long now, Request s) {
     s.track = tracks.get(s.trackIndex);
     if (taken != null) {
       taken.add(now, 1);
@@ -293,13 +294,13 @@
   }
 
   @Override
-  public void begun(long now, Attempt hop) {
+  public void onResponseStarted(long now, Attempt hop) {
     hop.submission.begun = true;
     hop.engine.heardAt = now;
   }
 
   @Override
-  public void noted(long now, Attempt hop, AttemptProgress note, double level) {
+  public void onAttemptProgress(long now, Attempt hop, AttemptProgress note, double level) {
     if (!hop.isOut()) {
       return;
     }
@@ -311,7 +312,7 @@
   }
 
   @Override
-  public void ended(
+  public void onAttemptEnded(
       long now,
       Attempt hop,
       AttemptOutcome outcome,
@@ -344,7 +345,7 @@
   }
 
   @Override
-  public void left(long now, Request s) {
+  public void onClientDisconnected(long now, Request s) {
     close(s, RequestOutcome.LEFT);
     advance(now, s);
   }
@@ -353,7 +354,7 @@
    * Guards engines against work that nobody waits for: no hop begins until the client calls again.
    */
   @Override
-  public void unattended(long now, Request s, boolean on) {
+  public void onClientAttendanceChanged(long now, Request s, boolean on) {
     s.unattended = on;
     if (on && s.track.queue.remove(s)) {
       s.held = false;
@@ -370,8 +371,8 @@
   }
 
   @Override
-  public SendVerdict mayWrite(long now, Attempt hop) {
-    SendVerdict verdict = guard.mayWrite(now, hop);
+  public SendVerdict checkWrite(long now, Attempt hop) {
+    SendVerdict verdict = guard.checkWrite(now, hop);
     if (verdict == SendVerdict.ALLOWED && hop.number > 0 && !withinBudget(now, 0)) {
       return SendVerdict.RETRY_BUDGET;
     }
@@ -379,8 +380,8 @@
   }
 
   @Override
-  public long writeBefore(long now, Attempt hop) {
-    return guard.writeBefore(now, hop);
+  public long writeDeadline(long now, Attempt hop) {
+    return guard.writeDeadline(now, hop);
   }
 
   private void close(Request s, RequestOutcome ending) {
@@ -392,19 +393,19 @@
   }
 
   @Override
-  public void outOfTime(long now, Request s) {
+  public void onShutdownDeadline(long now, Request s) {
     if (s.ending == null) {
       giveUp(now, s, TerminationReason.SHUTDOWN);
     }
   }
 
   @Override
-  public void woken(long now) {
+  public void onWakeup(long now) {
     armedFor = Long.MAX_VALUE;
   }
 
   @Override
-  public void settle(long now) {
+  public void applyDecisions(long now) {
     for (Request due = alarms.due(now); due != null; due = alarms.due(now)) {
       review(now, due);
     }
@@ -422,31 +423,31 @@
   private void emit(long now) {
     if (followWanted) {
       followWanted = false;
-      orders.follow();
+      orders.watchEndpoints();
     }
     for (Request s : changed) {
       s.changed = false;
       if (s.ending != null && !s.told) {
         s.told = true;
         if (s.ending == RequestOutcome.TURNED_BACK) {
-          orders.turnBack(s, s.comeBack);
+          orders.rejectRequest(s, s.comeBack);
         } else {
-          orders.breakOff(s);
+          orders.failRequest(s);
         }
       }
       if ((s.rank != s.rankTold || s.grant != s.grantTold) && s.hopsOut > 0) {
         s.rankTold = s.rank;
         s.grantTold = s.grant;
-        orders.terms(s, s.rank, s.grant);
+        orders.updatePriorityAndGrant(s, s.rank, s.grant);
       }
       for (Attempt hop : s.hops) {
         if (!hop.sent) {
           hop.sent = true;
-          orders.send(hop);
+          orders.sendAttempt(hop);
         }
         if (hop.wantedOff && !hop.calledOff && hop.isOut()) {
           hop.calledOff = true;
-          orders.callOff(hop);
+          orders.cancelAttempt(hop);
         }
       }
     }
@@ -454,7 +455,7 @@
     long next = Math.min(alarms.next(), followAgainAt);
     if (next < armedFor) {
       armedFor = Math.max(next, now + 1);
-      orders.wake(armedFor);
+      orders.scheduleWakeup(armedFor);
     }
   }
 
@@ -842,7 +843,7 @@
     Arrays.fill(poolBounds, 0);
     Arrays.fill(poolThreads, 0);
     for (Engine engine : engines) {
-      if (engine.standing != Engine.Standing.READY) {
+      if (engine.standing != Status.READY) {
         continue;
       }
       if (stalled(now, engine)) {
@@ -921,12 +922,12 @@
 
   /** Where a submission may go now. */
   private boolean open(long now, Request s, Engine engine) {
-    return guard.mayPlace(now, s, engine) == SendVerdict.ALLOWED;
+    return guard.checkPlacement(now, s, engine) == SendVerdict.ALLOWED;
   }
 
   /** Where it may go now, or once the list is confirmed or the engine is warm. */
   private boolean openLater(long now, Request s, Engine engine) {
-    return guard.mayGoTo(now, s, engine) == SendVerdict.ALLOWED;
+    return guard.checkEndpoint(now, s, engine) == SendVerdict.ALLOWED;
   }
 
   private boolean mayTurnBack(Request s) {
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -10,6 +10,7 @@
 import tillerlink.model.Effect;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.model.RequestClassConfig;
 import tillerlink.model.RequestOutcome;
@@ -91,7 +92,7 @@
       ready.clear();
     }
     for (EndpointUpdate entry : entries) {
-      if (entry.standing() == Engine.Standing.READY) {
+      if (entry.standing() == Status.READY) {
         ready.add(entry.engine());
         notReadySince.remove(entry.engine());
       } else {
@@ -103,8 +104,7 @@
         .entrySet()
         .removeIf(
             entry ->
-                entry.getKey().standing == Engine.Standing.GONE
-                    && now > entry.getValue() + FORGOTTEN_AFTER);
+                entry.getKey().standing == Status.GONE && now > entry.getValue() + FORGOTTEN_AFTER);
     workWritten.keySet().retainAll(ready);
   }
 
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -3,6 +3,7 @@
 import tillerlink.model.Attempt;
 import tillerlink.model.Effect;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.model.RequestClassConfig;
 
@@ -29,7 +30,7 @@
   }
 
   /** The list of engines may be used for new attempts before that moment. */
-  public void listUsableUntil(long until) {
+  public void endpointsUsableUntil(long until) {
     listUsableUntil = until;
   }
 
@@ -37,17 +38,19 @@
    * Whether a request may be sent to an engine once the list is confirmed: its state, placement and
    * repeats.
    */
-  public SendVerdict mayGoTo(long now, Request submission, Engine engine) {
-    return mayGoTo(now, submission, engine, null);
+  public SendVerdict checkEndpoint(long now, Request submission, Engine engine) {
+    return checkEndpoint(now, submission, engine, null);
   }
 
   /** Whether a request may be sent to an engine now. */
-  public SendVerdict mayPlace(long now, Request submission, Engine engine) {
-    return now < listUsableUntil ? mayGoTo(now, submission, engine) : SendVerdict.LIST_UNCONFIRMED;
+  public SendVerdict checkPlacement(long now, Request submission, Engine engine) {
+    return now < listUsableUntil
+        ? checkEndpoint(now, submission, engine)
+        : SendVerdict.LIST_UNCONFIRMED;
   }
 
   /** Whether an attempt that was placed may be written now. */
-  public SendVerdict mayWrite(long now, Attempt hop) {
+  public SendVerdict checkWrite(long now, Attempt hop) {
     Request submission = hop.submission;
     if (submission.ending != null) {
       return SendVerdict.REQUEST_ENDED;
@@ -67,19 +70,19 @@
     if (submission.ordered() && submission.line.head() != submission) {
       return SendVerdict.ORDER;
     }
-    return mayGoTo(now, submission, hop.engine, hop);
+    return checkEndpoint(now, submission, hop.engine, hop);
   }
 
   /** The last moment at which the first byte of an attempt may go out that is allowed now. */
-  public long writeBefore(long now, Attempt hop) {
+  public long writeDeadline(long now, Attempt hop) {
     return Math.min(now + WRITE_WITHIN, Math.min(listUsableUntil, hop.submission.leavesAt));
   }
 
   /**
    * @param next the attempt that is about to begin there, or null if it has yet to be placed
    */
-  private SendVerdict mayGoTo(long now, Request submission, Engine engine, Attempt next) {
-    if (engine.standing != Engine.Standing.READY) {
+  private SendVerdict checkEndpoint(long now, Request submission, Engine engine, Attempt next) {
+    if (engine.standing != Status.READY) {
       return SendVerdict.ENGINE_NOT_READY;
     }
     if (!submission.track.terms.allows(engine)) {
--- a/gateway/src/main/java/tillerlink/port/DispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/port/DispatchPolicy.java
@@ -11,35 +11,35 @@
 
 /**
  * What happens to one gateway, told to the module in the order in which it happened. Times are
- * tenths of a millisecond. After the last of the events of one moment, {@link #settle} is called
- * once; only then does the module give {@link DispatchActions}. A report is a row of numbers in the
- * order of the setting {@code report.fields}, or null.
+ * tenths of a millisecond. After the last of the events of one moment, {@link #applyDecisions} is
+ * called once; only then does the module give {@link DispatchActions}. A report is a row of numbers
+ * in the order of the setting {@code report.fields}, or null.
  */
 public interface DispatchPolicy {
   /** The list of engines changed; {@code whole} means that engines not in it are gone. */
-  void listed(long now, boolean whole, List<EndpointUpdate> entries);
+  void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries);
 
   /** Nothing is known of any engine, or what is known is too old to trust; or that is over. */
-  void blind(long now, boolean on);
+  void onEndpointsUnknown(long now, boolean on);
 
   /**
    * How far the list may be trusted, told before it changes anything.
    *
    * @param usableUntil new attempts may be written before that moment; in the past if none may
    */
-  default void listState(long now, EndpointListState state, long usableUntil) {
+  default void onEndpointListStateChanged(long now, EndpointListState state, long usableUntil) {
     // Where lists are pushed, the last one holds.
   }
 
   /** A call to the engine list failed, or the subscription broke. */
-  void listFailed(long now);
+  void onEndpointPollFailed(long now);
 
-  void arrived(long now, Request submission);
+  void onRequestArrived(long now, Request submission);
 
   /** The answer began to reach the client. */
-  void begun(long now, Attempt hop);
+  void onResponseStarted(long now, Attempt hop);
 
-  void noted(long now, Attempt hop, AttemptProgress note, double level);
+  void onAttemptProgress(long now, Attempt hop, AttemptProgress note, double level);
 
   /**
    * A hop ended.
@@ -48,7 +48,7 @@
    * @param work true work in tenths of a millisecond, 0 if not told
    * @param memory memory that was needed in MB, 0 if not told
    */
-  void ended(
+  void onAttemptEnded(
       long now,
       Attempt hop,
       AttemptOutcome outcome,
@@ -59,10 +59,10 @@
       double[] report);
 
   /** The client went; nothing is owed any more. */
-  void left(long now, Request submission);
+  void onClientDisconnected(long now, Request submission);
 
   /** Nobody waits for the answer, though the client may call for it again; or it has. */
-  default void unattended(long now, Request submission, boolean on) {
+  default void onClientAttendanceChanged(long now, Request submission, boolean on) {
     // Where clients wait on no connection there is nothing to hear.
   }
 
@@ -70,7 +70,7 @@
    * Asked right before a hop is written, for that may be long after it was ordered. Unless it is
    * allowed, it ends as one that was never sent.
    */
-  default SendVerdict mayWrite(long now, Attempt hop) {
+  default SendVerdict checkWrite(long now, Attempt hop) {
     return hop.submission.ending == null ? SendVerdict.ALLOWED : SendVerdict.REQUEST_ENDED;
   }
 
@@ -78,15 +78,15 @@
    * Until when the first byte of a hop may go out that may be written now; later it must not go out
    * at all.
    */
-  default long writeBefore(long now, Attempt hop) {
+  default long writeDeadline(long now, Attempt hop) {
     return hop.submission.leavesAt;
   }
 
   /** The gateway ends and can't wait for it any longer: it gets its final answer now. */
-  void outOfTime(long now, Request submission);
+  void onShutdownDeadline(long now, Request submission);
 
-  /** A time asked for by {@link DispatchActions#wake} has come. */
-  void woken(long now);
+  /** A time asked for by {@link DispatchActions#scheduleWakeup} has come. */
+  void onWakeup(long now);
 
-  void settle(long now);
+  void applyDecisions(long now);
 }
--- a/gateway/src/main/java/tillerlink/wirehost/Instance.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Instance.java
@@ -42,7 +42,7 @@
       JsonGenerator actions) {
     this.number = number;
     this.actions = actions;
-    steering = factory.start(now, seed, FlattenedConfig.of(settings), this);
+    steering = factory.create(now, seed, FlattenedConfig.of(settings), this);
   }
 
   DispatchPolicy steering() {
@@ -57,13 +57,13 @@
       case "HeadReceived" -> {
         Attempt hop = hop(event.text(2, "tid"), event.number(5, "seq_no"));
         if (hop != null) {
-          steering.begun(now, hop);
+          steering.onResponseStarted(now, hop);
         }
       }
       case "Change" -> noted(now, event);
       case "Reply" -> ended(now, event);
       case "Expired" -> left(now, event.text(2, "tid"));
-      case "Timer" -> steering.woken(now);
+      case "Timer" -> steering.onWakeup(now);
       case "Memo", "Pong" -> {}
       default -> {
         return false;
@@ -75,7 +75,7 @@
   private void listed(long now, Message event, List<Row> rows) {
     int mode = (int) event.number(2, "mode");
     if (mode == MODE_FAILED) {
-      steering.listFailed(now);
+      steering.onEndpointPollFailed(now);
       return;
     }
     List<EndpointUpdate> entries = new ArrayList<>(rows.size());
@@ -91,7 +91,7 @@
               row.standing(),
               row.startedAt()));
     }
-    steering.listed(now, mode == MODE_CACHED || mode == MODE_FULL, entries);
+    steering.onEndpointsChanged(now, mode == MODE_CACHED || mode == MODE_FULL, entries);
   }
 
   private void arrived(long now, Message event) {
@@ -111,7 +111,7 @@
             event.amountOr(11, 0),
             line);
     submissions.put(id, submission);
-    steering.arrived(now, submission);
+    steering.onRequestArrived(now, submission);
   }
 
   private void noted(long now, Message event) {
@@ -124,7 +124,7 @@
           default -> null;
         };
     if (hop != null && note != null) {
-      steering.noted(now, hop, note, event.amountOr(3, 0));
+      steering.onAttemptProgress(now, hop, note, event.amountOr(3, 0));
     }
   }
 
@@ -134,7 +134,7 @@
       return;
     }
     long bill = event.numberOr(8, 0);
-    steering.ended(
+    steering.onAttemptEnded(
         now,
         hop,
         outcome(event.text(5, "how")),
@@ -162,7 +162,7 @@
   private void left(long now, String id) {
     Request submission = submissions.get(id);
     if (submission != null) {
-      steering.left(now, submission);
+      steering.onClientDisconnected(now, submission);
       forgetIfOver(submission);
     }
   }
@@ -201,7 +201,7 @@
   }
 
   @Override
-  public void terms(Request submission, int rank, long grant) {
+  public void updatePriorityAndGrant(Request submission, int rank, long grant) {
     write(
         "Provide",
         () -> {
@@ -212,7 +212,7 @@
   }
 
   @Override
-  public void send(Attempt hop) {
+  public void sendAttempt(Attempt hop) {
     write(
         "Try",
         () -> {
@@ -223,7 +223,7 @@
   }
 
   @Override
-  public void callOff(Attempt hop) {
+  public void cancelAttempt(Attempt hop) {
     write(
         "CallOff",
         () -> {
@@ -233,7 +233,7 @@
   }
 
   @Override
-  public void turnBack(Request submission, long comeBack) {
+  public void rejectRequest(Request submission, long comeBack) {
     write(
         "Decline",
         () -> {
@@ -244,13 +244,13 @@
   }
 
   @Override
-  public void breakOff(Request submission) {
+  public void failRequest(Request submission) {
     write("RespondError", () -> writeTag(submission.tag));
     forgetIfOver(submission);
   }
 
   @Override
-  public void wake(long at) {
+  public void scheduleWakeup(long at) {
     write(
         "Arm",
         () -> {
@@ -260,7 +260,7 @@
   }
 
   @Override
-  public void follow() {
+  public void watchEndpoints() {
     write("KeepInformed", () -> actions.writeBoolean(true));
   }
 
--- a/gateway/src/main/java/tillerlink/wirehost/Row.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Row.java
@@ -1,7 +1,7 @@
 package tillerlink.wirehost;
 
 import java.util.List;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.plain.Units;
 
 /**
@@ -9,24 +9,18 @@
  * gateway.
  */
 record Row(
-    int kind,
-    long startedAt,
-    int zone,
-    Engine.Standing standing,
-    int cell,
-    double weight,
-    String engine) {
+    int kind, long startedAt, int zone, Status standing, int cell, double weight, String engine) {
   static Row of(Object raw) {
     if (!(raw instanceof List<?> values)) {
       throw new MalformedWireException("event DefineList: an entry is not an array: " + raw);
     }
     @SuppressWarnings("unchecked")
     Message entry = new Message("DefineList entry", (List<Object>) values);
-    Engine.Standing standing =
+    Status standing =
         switch ((int) entry.number(3, "mode")) {
-          case 1 -> Engine.Standing.READY;
-          case 2 -> Engine.Standing.DRAINING;
-          default -> Engine.Standing.GONE;
+          case 1 -> Status.READY;
+          case 2 -> Status.DRAINING;
+          default -> Status.GONE;
         };
     return new Row(
         (int) entry.numberOr(0, 0),
--- a/gateway/src/main/java/tillerlink/wirehost/WireHost.java
+++ b/gateway/src/main/java/tillerlink/wirehost/WireHost.java
@@ -110,7 +110,7 @@
     for (int number : touched) {
       Instance instance = instances.get(number);
       if (instance != null) {
-        guarded(instance, () -> instance.steering().settle(now));
+        guarded(instance, () -> instance.steering().applyDecisions(now));
       }
     }
     touched.clear();
--- a/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
+++ b/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
@@ -19,6 +19,7 @@
 import tillerlink.model.Effect;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.model.RequestClassConfig;
 import tillerlink.model.Settings;
@@ -71,26 +72,17 @@
                         "east",
                         "small-8",
                         3,
-                        Engine.Standing.READY,
+                        Status.READY,
                         0.5,
                         1_700_000_000_123L),
                     new EndpointEntry(
-                        "a2",
-                        "10.0.0.2",
-                        7001,
-                        "west",
-                        "big-16",
-                        4,
-                        Engine.Standing.DRAINING,
-                        2,
-                        5))),
+                        "a2", "10.0.0.2", 7001, "west", "big-16", 4, Status.DRAINING, 2, 5))),
             new EndpointWatchEvent(
                 18,
                 false,
                 false,
                 List.of(
-                    new EndpointEntry(
-                        "a2", "0.0.0.0", 0, "null", "null", 0, Engine.Standing.GONE, 1, 0)))),
+                    new EndpointEntry("a2", "0.0.0.0", 0, "null", "null", 0, Status.GONE, 1, 0)))),
         read().known());
   }
 
@@ -222,23 +214,22 @@
     Asked asked = new Asked(FlattenedConfig.of(read().terms()));
     DefaultDispatchPolicy policy = new DefaultDispatchPolicy(1_000_000, 5, asked, NO_ORDERS);
     Engine cold = new Engine("a1");
-    policy.listFailed(1_000_000);
-    policy.listed(
+    policy.onEndpointPollFailed(1_000_000);
+    policy.onEndpointsChanged(
         1_000_000,
         true,
-        List.of(new EndpointUpdate(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_000_000 - 50_000)));
+        List.of(new EndpointUpdate(cold, 0, 0, 0, 1, Status.READY, 1_000_000 - 50_000)));
     Request first = submission(0, 1_100_000);
-    policy.arrived(1_100_000, first);
-    policy.settle(1_100_000);
-    policy.ended(1_100_100, first.hops.get(0), AttemptOutcome.SEVERED, 10, false, 0, 0, null);
-    policy.settle(1_100_100);
-    policy.listed(
-        1_100_200,
-        true,
-        List.of(new EndpointUpdate(cold, 0, 0, 0, 1, Engine.Standing.READY, 1_100_000)));
-    policy.arrived(1_100_200, submission(0, 1_100_200));
-    policy.settle(1_100_200);
-    policy.outOfTime(1_100_300, first);
+    policy.onRequestArrived(1_100_000, first);
+    policy.applyDecisions(1_100_000);
+    policy.onAttemptEnded(
+        1_100_100, first.hops.get(0), AttemptOutcome.SEVERED, 10, false, 0, 0, null);
+    policy.applyDecisions(1_100_100);
+    policy.onEndpointsChanged(
+        1_100_200, true, List.of(new EndpointUpdate(cold, 0, 0, 0, 1, Status.READY, 1_100_000)));
+    policy.onRequestArrived(1_100_200, submission(0, 1_100_200));
+    policy.applyDecisions(1_100_200);
+    policy.onShutdownDeadline(1_100_300, first);
     Set<String> names = new TreeSet<>();
     for (String name : asked.names) {
       names.add(name.replaceFirst("^profiles[.][0-9]+[.]", "profiles.N."));
@@ -307,7 +298,7 @@
 
   private static RequestClassConfig terms(Map<String, Object> plain, int track) {
     Request submission = submission(track, 10);
-    new DefaultDispatchPolicy(10, 5, plain, NO_ORDERS).arrived(10, submission);
+    new DefaultDispatchPolicy(10, 5, plain, NO_ORDERS).onRequestArrived(10, submission);
     return submission.track.terms;
   }
 
--- a/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
+++ b/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
@@ -8,9 +8,9 @@
 import static tillerlink.model.AttemptOutcome.OVERDUE;
 import static tillerlink.model.AttemptOutcome.SEVERED;
 import static tillerlink.model.AttemptOutcome.UNREACHABLE;
-import static tillerlink.model.Engine.Standing.DRAINING;
-import static tillerlink.model.Engine.Standing.GONE;
-import static tillerlink.model.Engine.Standing.READY;
+import static tillerlink.model.Engine.Status.DRAINING;
+import static tillerlink.model.Engine.Status.GONE;
+import static tillerlink.model.Engine.Status.READY;
 
 import java.util.List;
 import java.util.Random;
--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -21,7 +21,7 @@
    * turn.
    */
   private static final class Aside implements GatewayExtension, GatewayExtension.Guard {
-    private final Door door;
+    private final GatewayExtension.ExtensionContext door;
     private final List<Reply> owed = new ArrayList<>();
 
     /** What the guard answers next; then that it holds. */
@@ -32,32 +32,32 @@
     /** What the guard was told of its hops. */
     private final List<String> told = new ArrayList<>();
 
-    Aside(Door door) {
+    Aside(GatewayExtension.ExtensionContext door) {
       this.door = door;
     }
 
     @Override
-    public void begin(long now) {
+    public void beginIteration(long now) {
       turns.add("begin");
     }
 
     @Override
-    public void settle(long now) {
+    public void endIteration(long now) {
       turns.add("settle");
     }
 
     @Override
-    public long dueAt() {
+    public long nextDueAt() {
       return Long.MAX_VALUE;
     }
 
     @Override
-    public boolean takes(String path) {
+    public boolean handlesPath(String path) {
       return path.startsWith("/v1/aside/") || path.equals("/v1/later");
     }
 
     @Override
-    public void called(HttpRequest call, Reply reply) {
+    public void onRequest(HttpRequest call, Reply reply) {
       turns.add("called");
       if (call.path().equals("/v1/later")) {
         owed.add(reply);
@@ -75,12 +75,12 @@
     }
 
     @Override
-    public void drain() {
+    public void onDrain() {
       turns.add("drain");
     }
 
     @Override
-    public void timeUp() {
+    public void onShutdownDeadline() {
       turns.add("time up");
     }
 
@@ -95,17 +95,17 @@
     }
 
     @Override
-    public long comeBack() {
+    public long retryAfter() {
       return 2000;
     }
 
     @Override
-    public void began() {
+    public void onAttemptStarted() {
       told.add("began");
     }
 
     @Override
-    public void ended(long mayRunUntil) {
+    public void onAttemptEnded(long mayRunUntil) {
       told.add(
           mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - TestGateway.STORY) / 10);
     }
@@ -198,7 +198,7 @@
           .turn(
               () -> {
                 aside.answers.add(false);
-                aside.door.recheck();
+                aside.door.recheckGuards();
               })
           .engine(0, ID + " ok count=1 0||");
     }
@@ -287,7 +287,7 @@
         .turn(
             () -> {
               aside.answers.add(false);
-              aside.door.recheck();
+              aside.door.recheckGuards();
             })
         .matches("side-held");
   }
--- a/gateway/src/test/java/tillerlink/RetryBudgetTest.java
+++ b/gateway/src/test/java/tillerlink/RetryBudgetTest.java
@@ -12,6 +12,7 @@
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.policy.SendVerdict;
@@ -48,26 +49,27 @@
                       }
                       return null;
                     }));
-    policy.listed(
-        START, true, List.of(new EndpointUpdate(engine, 0, 0, 0, 1, Engine.Standing.READY, 0)));
+    policy.onEndpointsChanged(
+        START, true, List.of(new EndpointUpdate(engine, 0, 0, 0, 1, Status.READY, 0)));
     for (int i = 0; i < FLOOR; i++) {
       Attempt further = further(policy, START);
-      assertEquals(SendVerdict.ALLOWED, policy.mayWrite(START + DIAL, further));
-      policy.writeBefore(START + DIAL, further);
+      assertEquals(SendVerdict.ALLOWED, policy.checkWrite(START + DIAL, further));
+      policy.writeDeadline(START + DIAL, further);
     }
     long later = START + 10 * SECOND + DIAL / 2;
     Attempt fourth = further(policy, later);
-    assertEquals(SendVerdict.RETRY_BUDGET, policy.mayWrite(later, fourth));
-    assertEquals(SendVerdict.ALLOWED, policy.mayWrite(later + SECOND, fourth));
+    assertEquals(SendVerdict.RETRY_BUDGET, policy.checkWrite(later, fourth));
+    assertEquals(SendVerdict.ALLOWED, policy.checkWrite(later + SECOND, fourth));
   }
 
   /** A request whose first attempt never ran, and that is placed again. */
   private Attempt further(DefaultDispatchPolicy policy, long now) {
-    policy.arrived(now, new Request("a", 0, 0, false, now, now + 30 * SECOND, 100, 0, null));
-    policy.settle(now);
+    policy.onRequestArrived(
+        now, new Request("a", 0, 0, false, now, now + 30 * SECOND, 100, 0, null));
+    policy.applyDecisions(now);
     Attempt first = sent.get(sent.size() - 1);
-    policy.ended(now, first, AttemptOutcome.SPOILT, 0, false, 0, 0, null);
-    policy.settle(now);
+    policy.onAttemptEnded(now, first, AttemptOutcome.SPOILT, 0, false, 0, 0, null);
+    policy.applyDecisions(now);
     return sent.get(sent.size() - 1);
   }
 
--- a/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
+++ b/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
@@ -18,6 +18,7 @@
 import tillerlink.model.AttemptProgress;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchPolicy;
@@ -113,11 +114,9 @@
                 10L,
                 true,
                 List.of(
-                    new EndpointUpdate(first.engine(), 1, 2, 4, 0.5, Engine.Standing.READY, 2500),
-                    new EndpointUpdate(
-                        listed(given, 1).engine(), 0, 0, 0, 1, Engine.Standing.DRAINING, 0),
-                    new EndpointUpdate(
-                        listed(given, 2).engine(), 0, 0, 0, 1, Engine.Standing.GONE, 0)),
+                    new EndpointUpdate(first.engine(), 1, 2, 4, 0.5, Status.READY, 2500),
+                    new EndpointUpdate(listed(given, 1).engine(), 0, 0, 0, 1, Status.DRAINING, 0),
+                    new EndpointUpdate(listed(given, 2).engine(), 0, 0, 0, 1, Status.GONE, 0)),
                 10L,
                 false,
                 List.of(),
--- a/gateway/src/test/java/tillerlink/SlowStartSimulation.java
+++ b/gateway/src/test/java/tillerlink/SlowStartSimulation.java
@@ -15,6 +15,7 @@
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchActions;
@@ -191,12 +192,12 @@
                   0,
                   0,
                   1,
-                  Engine.Standing.READY,
+                  Status.READY,
                   server == cold && now >= startAt ? startAt : 0));
         }
       }
       told = now >= startAt;
-      policy.listed(now, true, list);
+      policy.onEndpointsChanged(now, true, list);
       settle();
     }
 
@@ -212,10 +213,8 @@
     void tell() {
       if (policy != null && !told) {
         told = true;
-        policy.listed(
-            now,
-            false,
-            List.of(new EndpointUpdate(coldEngine, 0, 0, 0, 1, Engine.Standing.READY, startAt)));
+        policy.onEndpointsChanged(
+            now, false, List.of(new EndpointUpdate(coldEngine, 0, 0, 0, 1, Status.READY, startAt)));
         settle();
       }
     }
@@ -226,7 +225,7 @@
         double work = -Math.log(1 - random.nextDouble()) * light() * (heavy ? HEAVY : 1) + 10;
         double estimate = work * Math.exp(0.4 * random.nextGaussian());
         long patience = (long) (40 * meanWork);
-        policy.arrived(
+        policy.onRequestArrived(
             now,
             new Request(
                 new Job(this, life, work),
@@ -245,18 +244,18 @@
 
     void ended(Attempt hop, AttemptOutcome outcome) {
       if (policy != null && job(hop).life == life && hop.isOut()) {
-        policy.ended(
+        policy.onAttemptEnded(
             now, hop, outcome, now - hop.sentAt, outcome == AttemptOutcome.FULFILLED, 0, 0, null);
         settle();
       }
     }
 
     private void settle() {
-      policy.settle(now);
+      policy.applyDecisions(now);
     }
 
     @Override
-    public void send(Attempt hop) {
+    public void sendAttempt(Attempt hop) {
       Server server = engines.get(hop.engine);
       if (server == cold && now >= startAt) {
         sent.add(new Sent(now, job(hop).work, told));
@@ -268,14 +267,14 @@
     }
 
     @Override
-    public void callOff(Attempt hop) {
+    public void cancelAttempt(Attempt hop) {
       Server server = engines.get(hop.engine);
       server.change(() -> server.left.remove(hop));
       at(now + 10, () -> ended(hop, AttemptOutcome.CALLED_OFF));
     }
 
     @Override
-    public void wake(long at) {
+    public void scheduleWakeup(long at) {
       if (at < wakeAt) {
         wakeAt = at;
         int own = life;
@@ -284,7 +283,7 @@
             () -> {
               if (policy != null && own == life && wakeAt == at) {
                 wakeAt = Long.MAX_VALUE;
-                policy.woken(now);
+                policy.onWakeup(now);
                 settle();
               }
             });
@@ -292,16 +291,16 @@
     }
 
     @Override
-    public void terms(Request s, int rank, long grant) {}
+    public void updatePriorityAndGrant(Request s, int rank, long grant) {}
 
     @Override
-    public void turnBack(Request s, long comeBack) {}
+    public void rejectRequest(Request s, long comeBack) {}
 
     @Override
-    public void breakOff(Request s) {}
+    public void failRequest(Request s) {}
 
     @Override
-    public void follow() {}
+    public void watchEndpoints() {}
 
     @Override
     public void log(String line) {}
--- a/gateway/src/test/java/tillerlink/TestGateway.java
+++ b/gateway/src/test/java/tillerlink/TestGateway.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.stream.IntStream;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.DisconnectReason;
 import tillerlink.net.state.Gateway;
@@ -184,11 +184,11 @@
   }
 
   private static EndpointEntry entry(String id, String address) {
-    return new EndpointEntry(id, address, 5050, "east", "std", 0, Engine.Standing.READY, 1, 0);
+    return new EndpointEntry(id, address, 5050, "east", "std", 0, Status.READY, 1, 0);
   }
 
   /** Puts it beside the module, from now on. */
-  TestGateway beside(Function<GatewayExtension.Door, GatewayExtension> made) {
+  TestGateway beside(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
     gateway.beside(made.apply(gateway.door()));
     return this;
   }
@@ -243,25 +243,28 @@
               made.owner = gateway.accepted(made);
               return made;
             });
-    return turn(() -> pipe.owner.fed(bytes.getBytes(StandardCharsets.UTF_8)));
+    return turn(() -> pipe.owner.onBytes(bytes.getBytes(StandardCharsets.UTF_8)));
   }
 
   TestGateway breaks(String client, DisconnectReason how) {
-    return turn(() -> clients.remove(client).owner.ended(how));
+    return turn(() -> clients.remove(client).owner.onClosed(how));
   }
 
   TestGateway connected(int link) {
-    return turn(() -> dialed.get(link).owner.opened());
+    return turn(() -> dialed.get(link).owner.onOpened());
   }
 
   TestGateway ends(int link, DisconnectReason how) {
-    return turn(() -> dialed.get(link).owner.ended(how));
+    return turn(() -> dialed.get(link).owner.onClosed(how));
   }
 
   TestGateway engine(int link, String says) {
     return turn(
         () ->
-            dialed.get(link).owner.fed(says.replace("|", "\r\n").getBytes(StandardCharsets.UTF_8)));
+            dialed
+                .get(link)
+                .owner
+                .onBytes(says.replace("|", "\r\n").getBytes(StandardCharsets.UTF_8)));
   }
 
   TestGateway news(int index, String... engines) {
@@ -379,7 +382,7 @@
   }
 
   @Override
-  public Channel dial(InetSocketAddress to, Channel.Owner owner) {
+  public Channel connect(InetSocketAddress to, Channel.Owner owner) {
     Printed pipe = new Printed("e" + to.getHostString().substring(8) + "/" + dialed.size());
     pipe.owner = owner;
     dialed.add(pipe);
@@ -388,7 +391,7 @@
   }
 
   @Override
-  public void ask(byte[] datagram) {
+  public void sendDiscoveryQuery(byte[] datagram) {
     questions++;
     query = (datagram[0] & 255) << 8 | datagram[1] & 255;
     unanswered = answering ? query : -1;
@@ -397,7 +400,7 @@
   @Override
   public void flush() {
     while (!stuck && !unsent.isEmpty()) {
-      unsent.remove(0).owner.written();
+      unsent.remove(0).owner.onWritten();
     }
   }
 
@@ -426,12 +429,12 @@
     }
 
     @Override
-    public void drop() {
+    public void abort() {
       print(name + " dropped");
     }
 
     @Override
-    public void hold(boolean held) {
+    public void pauseReading(boolean held) {
       print(name + (held ? " not read" : " read again"));
     }
   }
--- a/gateway/src/test/java/tillerlink/Trace.java
+++ b/gateway/src/test/java/tillerlink/Trace.java
@@ -17,6 +17,7 @@
 import tillerlink.model.AttemptProgress;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.KeyedRequestQueue;
 import tillerlink.model.Request;
 import tillerlink.policy.DefaultDispatchPolicy;
@@ -138,7 +139,7 @@
   Trace up(String... ready) {
     policy = new DefaultDispatchPolicy(now, seed, renamed ? otherwise() : scaled(), this);
     for (String name : ready) {
-      list(name, Engine.Standing.READY, 0);
+      list(name, Status.READY, 0);
     }
     return this;
   }
@@ -193,11 +194,11 @@
    * An engine's zone is the digit at the end of its name; names that begin with "big" are of kind
    * 1.
    */
-  Trace list(String name, Engine.Standing standing, long startedAgo) {
+  Trace list(String name, Status standing, long startedAgo) {
     Engine engine = engines.computeIfAbsent(name, Engine::new);
     int kind = name.startsWith("big") ? 1 : 0;
     int zone = name.charAt(name.length() - 1) - '0';
-    policy.listed(
+    policy.onEndpointsChanged(
         now,
         false,
         List.of(
@@ -219,7 +220,7 @@
   }
 
   Trace listFails() {
-    policy.listFailed(now);
+    policy.onEndpointPollFailed(now);
     return settle();
   }
 
@@ -233,7 +234,7 @@
     Request s =
         new Request(id, track, tableGroup, false, now, now + patience, workMs * tenths, 0, line);
     submissions.put(id, s);
-    policy.arrived(now, s);
+    policy.onRequestArrived(now, s);
     return settle();
   }
 
@@ -242,7 +243,7 @@
     Request s = submissions.get(id);
     Attempt hop = s.hops.get(s.hops.size() - 1);
     print(id + " " + outcome + " at " + hop.engine.tag);
-    policy.ended(
+    policy.onAttemptEnded(
         now,
         hop,
         outcome,
@@ -269,7 +270,7 @@
 
   Trace note(String id, double share) {
     Request s = submissions.get(id);
-    policy.noted(now, s.hops.get(s.hops.size() - 1), AttemptProgress.PROGRESS, share);
+    policy.onAttemptProgress(now, s.hops.get(s.hops.size() - 1), AttemptProgress.PROGRESS, share);
     return settle();
   }
 
@@ -279,7 +280,7 @@
     while (wakeAt <= until) {
       now = Math.max(now, wakeAt);
       wakeAt = Long.MAX_VALUE;
-      policy.woken(now);
+      policy.onWakeup(now);
       settle();
     }
     now = until;
@@ -321,7 +322,7 @@
   }
 
   private Trace settle() {
-    policy.settle(now);
+    policy.applyDecisions(now);
     return this;
   }
 
@@ -331,37 +332,37 @@
   }
 
   @Override
-  public void terms(Request s, int rank, long grant) {
+  public void updatePriorityAndGrant(Request s, int rank, long grant) {
     // Ranks and grants are left out of the traces.
   }
 
   @Override
-  public void send(Attempt hop) {
+  public void sendAttempt(Attempt hop) {
     print("send " + hop.submission.tag + " -> " + hop.engine.tag + (hop.trial ? " (trial)" : ""));
   }
 
   @Override
-  public void callOff(Attempt hop) {
+  public void cancelAttempt(Attempt hop) {
     print("call off " + hop.submission.tag + " at " + hop.engine.tag);
   }
 
   @Override
-  public void turnBack(Request s, long comeBack) {
+  public void rejectRequest(Request s, long comeBack) {
     print("turn back " + s.tag + ", come back in " + comeBack / tenths);
   }
 
   @Override
-  public void breakOff(Request s) {
+  public void failRequest(Request s) {
     print("break off " + s.tag);
   }
 
   @Override
-  public void wake(long at) {
+  public void scheduleWakeup(long at) {
     wakeAt = Math.min(wakeAt, at);
   }
 
   @Override
-  public void follow() {
+  public void watchEndpoints() {
     print("follow the list");
   }
 
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.Dns;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
@@ -285,8 +285,7 @@
         EndpointWatchEvent news = Dns.answer(shorter, 9);
         assertTrue(news.partial() && !news.whole());
         assertEquals(
-            341 + 1,
-            news.entries().stream().filter(e -> e.standing() == Engine.Standing.DRAINING).count());
+            341 + 1, news.entries().stream().filter(e -> e.standing() == Status.DRAINING).count());
         told++;
       } catch (IllegalArgumentException e) {
         assertTrue(e.getMessage() != null);
--- a/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
+++ b/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
@@ -45,9 +45,9 @@
               () -> 0);
       List<Integer> sent = List.of(60, 60, 60, 60, 60, 60, 8000, 60, 16_384, 30_000, 60, 65_507);
       for (int length : sent) {
-        driver.ask(new byte[] {1});
+        driver.sendDiscoveryQuery(new byte[] {1});
         while (came.size() < sent.size() && !question(names, length, queue)) {
-          driver.ask(new byte[] {1});
+          driver.sendDiscoveryQuery(new byte[] {1});
         }
       }
       assertEquals(sent, came);
@@ -70,14 +70,14 @@
           new MinaDriver(
               queue, new InetSocketAddress(here, 9), bytes -> {}, pipe -> null, 10, clock::get)) {
         Heard heard = new Heard();
-        Channel pipe = driver.dial((InetSocketAddress) engine.getLocalSocketAddress(), heard);
+        Channel pipe = driver.connect((InetSocketAddress) engine.getLocalSocketAddress(), heard);
         driver.flush();
         try (Socket accepted = engine.accept()) {
           take(queue, () -> heard.events.contains("opened"));
           int filled = 16_000_000;
           pipe.write(new byte[filled]);
-          pipe.writeBefore("late".getBytes(StandardCharsets.US_ASCII), 100);
-          pipe.writeBefore("soon".getBytes(StandardCharsets.US_ASCII), 1000);
+          pipe.writeUntil("late".getBytes(StandardCharsets.US_ASCII), 100);
+          pipe.writeUntil("soon".getBytes(StandardCharsets.US_ASCII), 1000);
           driver.flush();
           // The first fills the socket; only what the peer reads makes room for the others.
           accepted.getInputStream().readNBytes(1);
@@ -107,32 +107,32 @@
     private final List<String> events = new ArrayList<>();
 
     @Override
-    public void opened() {
+    public void onOpened() {
       events.add("opened");
     }
 
     @Override
-    public void fed(byte[] bytes) {
+    public void onBytes(byte[] bytes) {
       events.add("fed");
     }
 
     @Override
-    public void written() {
+    public void onWritten() {
       events.add("written");
     }
 
     @Override
-    public void written(long firstByteAt) {
+    public void onWritten(long firstByteAt) {
       events.add("written at " + firstByteAt);
     }
 
     @Override
-    public void withheld() {
+    public void onWithheld() {
       events.add("withheld");
     }
 
     @Override
-    public void ended(DisconnectReason how) {
+    public void onClosed(DisconnectReason how) {
       events.add("ended");
     }
   }
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.Gateway;
 import tillerlink.net.state.NetworkDriver;
@@ -129,7 +129,7 @@
             "caps",
             Map.of("max_attempts", 2L));
     EndpointEntry engine =
-        new EndpointEntry("e1", "127.0.0.1", 2, "east", "std", 0, Engine.Standing.READY, 1, 0);
+        new EndpointEntry("e1", "127.0.0.1", 2, "east", "std", 0, Status.READY, 1, 0);
     GatewayConfig assignment =
         new GatewayConfig(
             "n0",
@@ -178,7 +178,7 @@
             (proxy, method, values) -> {
               happened.add(method.getName());
               if (happened.size() == 1) {
-                orders.wake(START + PAUSE / 10);
+                orders.scheduleWakeup(START + PAUSE / 10);
               }
               return null;
             });
@@ -186,12 +186,12 @@
 
   private static final class Mute implements NetworkDriver {
     @Override
-    public Channel dial(InetSocketAddress to, Channel.Owner owner) {
+    public Channel connect(InetSocketAddress to, Channel.Owner owner) {
       throw new IllegalStateException("nothing is to be dialed");
     }
 
     @Override
-    public void ask(byte[] datagram) {
+    public void sendDiscoveryQuery(byte[] datagram) {
       // Nobody answers.
     }
 
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -29,7 +29,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import tillerlink.Lists;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.io.MinaDriver;
 import tillerlink.net.state.Gateway;
 import tillerlink.net.wire.EndpointEntry;
@@ -88,7 +88,7 @@
               "east",
               "std",
               0,
-              Engine.Standing.READY,
+              Status.READY,
               1,
               0));
     }
--- a/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
+++ b/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
@@ -129,12 +129,12 @@
     private int unanswered = -1;
 
     @Override
-    public Channel dial(InetSocketAddress to, Channel.Owner owner) {
+    public Channel connect(InetSocketAddress to, Channel.Owner owner) {
       throw new AssertionError("nothing is dialed");
     }
 
     @Override
-    public void ask(byte[] datagram) {
+    public void sendDiscoveryQuery(byte[] datagram) {
       unanswered = (datagram[0] & 255) << 8 | datagram[1] & 255;
       ids.add(unanswered);
     }
--- a/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
+++ b/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
@@ -15,6 +15,7 @@
 import tillerlink.model.Effect;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.KeyedRequestQueue;
 import tillerlink.model.Request;
 import tillerlink.model.RequestClass;
@@ -49,7 +50,7 @@
     settings.put("guarantees.warm_within", 100_000L);
     settings.put("family_info.kind_cores", List.of(4L));
     monitor = new InvariantMonitor(new Settings(settings));
-    listed(NOW, Engine.Standing.READY);
+    listed(NOW, Status.READY);
   }
 
   @Test
@@ -106,11 +107,11 @@
 
   @Test
   void drainsAndEnginesThatAreGone() {
-    listed(NOW, Engine.Standing.DRAINING);
+    listed(NOW, Status.DRAINING);
     assertEquals(Set.of(), written(attempt(request(Effect.PURE, null), engine), NOW + 5_500));
     assertEquals(
         Set.of(Invariant.DRAIN), written(attempt(request(Effect.PURE, null), engine), NOW + 5_501));
-    listed(NOW, Engine.Standing.READY);
+    listed(NOW, Status.READY);
     monitor.listed(NOW + SECOND, true, List.of());
     assertEquals(
         Set.of(Invariant.DRAIN),
@@ -172,13 +173,13 @@
         Set.of(Invariant.SLOW_START), written(attempt(request(Effect.PURE, null), engine), NOW));
   }
 
-  private void listed(long now, Engine.Standing standing) {
+  private void listed(long now, Status standing) {
     monitor.listed(
         now,
         true,
         List.of(
             new EndpointUpdate(engine, 0, 0, 0, 1, standing, 0, 1),
-            new EndpointUpdate(other, 0, 1, 0, 1, Engine.Standing.READY, 0, 1)));
+            new EndpointUpdate(other, 0, 1, 0, 1, Status.READY, 0, 1)));
   }
 
   private Set<Invariant> written(Attempt hop, long at) {
--- a/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
+++ b/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
@@ -11,6 +11,7 @@
 import tillerlink.model.DeduplicationGroup;
 import tillerlink.model.Effect;
 import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.model.KeyedRequestQueue;
 import tillerlink.model.Request;
 import tillerlink.model.RequestClass;
@@ -32,55 +33,55 @@
 
   @BeforeEach
   void ready() {
-    engine.standing = Engine.Standing.READY;
-    other.standing = Engine.Standing.READY;
+    engine.standing = Status.READY;
+    other.standing = Status.READY;
     other.zone = 1;
-    guard.listUsableUntil(NOW + DEADLINE);
+    guard.endpointsUsableUntil(NOW + DEADLINE);
   }
 
   @Test
   void whatNothingSpeaksAgainstGoes() {
     Attempt hop = attempt(request(Effect.EFFECTFUL, null), engine);
-    assertEquals(SendVerdict.ALLOWED, guard.mayWrite(NOW, hop));
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, hop));
   }
 
   @Test
   void theRequest() {
     Request ended = request(Effect.PURE, null);
     ended.ending = RequestOutcome.LEFT;
-    assertEquals(SendVerdict.REQUEST_ENDED, guard.mayWrite(NOW, attempt(ended, engine)));
+    assertEquals(SendVerdict.REQUEST_ENDED, guard.checkWrite(NOW, attempt(ended, engine)));
     Request unattended = request(Effect.PURE, null);
     unattended.unattended = true;
-    assertEquals(SendVerdict.CLIENT_GONE, guard.mayWrite(NOW, attempt(unattended, engine)));
+    assertEquals(SendVerdict.CLIENT_GONE, guard.checkWrite(NOW, attempt(unattended, engine)));
     Attempt calledOff = attempt(request(Effect.PURE, null), engine);
     calledOff.wantedOff = true;
-    assertEquals(SendVerdict.CALLED_OFF, guard.mayWrite(NOW, calledOff));
+    assertEquals(SendVerdict.CALLED_OFF, guard.checkWrite(NOW, calledOff));
     Attempt late = attempt(request(Effect.PURE, null), engine);
-    guard.listUsableUntil(NOW + 2 * DEADLINE);
-    assertEquals(SendVerdict.ALLOWED, guard.mayWrite(NOW + DEADLINE - 1, late));
-    assertEquals(SendVerdict.NO_TIME_LEFT, guard.mayWrite(NOW + DEADLINE, late));
+    guard.endpointsUsableUntil(NOW + 2 * DEADLINE);
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW + DEADLINE - 1, late));
+    assertEquals(SendVerdict.NO_TIME_LEFT, guard.checkWrite(NOW + DEADLINE, late));
   }
 
   @Test
   void theList() {
     Attempt hop = attempt(request(Effect.PURE, null), engine);
-    guard.listUsableUntil(NOW);
-    assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.mayWrite(NOW, hop));
-    assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.mayPlace(NOW, hop.submission, engine));
-    assertEquals(SendVerdict.ALLOWED, guard.mayGoTo(NOW, hop.submission, engine));
-    guard.listUsableUntil(NOW + 1);
-    assertEquals(SendVerdict.ALLOWED, guard.mayWrite(NOW, hop));
-    engine.standing = Engine.Standing.DRAINING;
-    assertEquals(SendVerdict.ENGINE_NOT_READY, guard.mayWrite(NOW, hop));
-    engine.standing = Engine.Standing.GONE;
-    assertEquals(SendVerdict.ENGINE_NOT_READY, guard.mayGoTo(NOW, hop.submission, engine));
+    guard.endpointsUsableUntil(NOW);
+    assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.checkWrite(NOW, hop));
+    assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.checkPlacement(NOW, hop.submission, engine));
+    assertEquals(SendVerdict.ALLOWED, guard.checkEndpoint(NOW, hop.submission, engine));
+    guard.endpointsUsableUntil(NOW + 1);
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, hop));
+    engine.standing = Status.DRAINING;
+    assertEquals(SendVerdict.ENGINE_NOT_READY, guard.checkWrite(NOW, hop));
+    engine.standing = Status.GONE;
+    assertEquals(SendVerdict.ENGINE_NOT_READY, guard.checkEndpoint(NOW, hop.submission, engine));
   }
 
   @Test
   void placement() {
     Request bound = request(Effect.PURE, List.of(0));
-    assertEquals(SendVerdict.ALLOWED, guard.mayWrite(NOW, attempt(bound, engine)));
-    assertEquals(SendVerdict.PLACEMENT, guard.mayWrite(NOW, attempt(bound, other)));
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt(bound, engine)));
+    assertEquals(SendVerdict.PLACEMENT, guard.checkWrite(NOW, attempt(bound, other)));
   }
 
   @Test
@@ -88,16 +89,16 @@
     Request effectful = request(Effect.EFFECTFUL, null);
     Attempt first = attempt(effectful, engine);
     Attempt second = attempt(effectful, other);
-    assertEquals(SendVerdict.REPEAT, guard.mayWrite(NOW, second));
+    assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW, second));
     first.outcome = AttemptOutcome.SEVERED;
-    assertEquals(SendVerdict.REPEAT, guard.mayWrite(NOW, second));
+    assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW, second));
     first.outcome = AttemptOutcome.FULL;
-    assertEquals(SendVerdict.ALLOWED, guard.mayWrite(NOW, second));
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, second));
     Request keyed = request(Effect.RECEIPTED, null);
     attempt(keyed, engine).outcome = AttemptOutcome.SEVERED;
     Attempt repeat = attempt(keyed, other);
-    assertEquals(SendVerdict.ALLOWED, guard.mayWrite(NOW + 10_000 - TICK - 1, repeat));
-    assertEquals(SendVerdict.REPEAT, guard.mayWrite(NOW + 10_000 - TICK, repeat));
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW + 10_000 - TICK - 1, repeat));
+    assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW + 10_000 - TICK, repeat));
   }
 
   @Test
@@ -110,19 +111,19 @@
     line.members.add(before);
     line.members.add(after);
     Attempt hop = attempt(after, engine);
-    assertEquals(SendVerdict.ORDER, guard.mayWrite(NOW, hop));
+    assertEquals(SendVerdict.ORDER, guard.checkWrite(NOW, hop));
     before.ending = RequestOutcome.FULFILLED;
-    assertEquals(SendVerdict.ALLOWED, guard.mayWrite(NOW, hop));
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, hop));
   }
 
   /** What waits longer on its way out than this is decided on anew. */
   @Test
   void aWriteIsBoundedByListClientAndDelay() {
     Attempt hop = attempt(request(Effect.PURE, null), engine);
-    assertEquals(NOW + SendGuard.WRITE_WITHIN, guard.writeBefore(NOW, hop));
-    assertEquals(NOW + DEADLINE, guard.writeBefore(NOW + DEADLINE - 1, hop));
-    guard.listUsableUntil(NOW + 10);
-    assertEquals(NOW + 10, guard.writeBefore(NOW, hop));
+    assertEquals(NOW + SendGuard.WRITE_WITHIN, guard.writeDeadline(NOW, hop));
+    assertEquals(NOW + DEADLINE, guard.writeDeadline(NOW + DEADLINE - 1, hop));
+    guard.endpointsUsableUntil(NOW + 10);
+    assertEquals(NOW + 10, guard.writeDeadline(NOW, hop));
   }
 
   private static Request request(Effect effect, List<Integer> zones) {
--- a/harness/src/main/java/tillerlink/harness/GatewayProcess.java
+++ b/harness/src/main/java/tillerlink/harness/GatewayProcess.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
 /** One gateway as a process of its own, as the platform runs it. */
@@ -121,9 +121,9 @@
       json.writeNumberField("group", engine.cell());
       json.writeStringField(
           "status",
-          engine.standing() == Engine.Standing.READY
+          engine.standing() == Status.READY
               ? "SERVING"
-              : engine.standing() == Engine.Standing.DRAINING ? "DRAINING" : "DELETED");
+              : engine.standing() == Status.DRAINING ? "DRAINING" : "DELETED");
       json.writeNumberField("weight", engine.weight());
       json.writeNumberField("since_ms", engine.startedMs());
       json.writeEndObject();
--- a/harness/src/main/java/tillerlink/harness/ProcessHarness.java
+++ b/harness/src/main/java/tillerlink/harness/ProcessHarness.java
@@ -18,7 +18,7 @@
 import tillerlink.emulator.World;
 import tillerlink.fakes.NameAnswer;
 import tillerlink.fleet.Kind;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.lifecycle.WallClock;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.replay.Arrivals;
@@ -221,7 +221,7 @@
 
   private void tell(int gateway) {
     for (EndpointEntry entry : world.list()) {
-      if (entry.standing() != Engine.Standing.READY) {
+      if (entry.standing() != Status.READY) {
         auditor.withdrawn(world.now(), gateway, entry.id());
       }
     }
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -85,7 +85,7 @@
   }
 
   void dial() {
-    pipe = owner.dial(site.address(), this);
+    pipe = owner.connect(site.address(), this);
   }
 
   // ---- as the pool sees it ----
@@ -135,8 +135,9 @@
   void send(InFlightAttempt flight) {
     SendVerdict verdict = flight.begun() ? SendVerdict.ALLOWED : flight.mayGo();
     if (verdict != SendVerdict.ALLOWED) {
-      owner.withheld(flight, verdict);
-      owner.later(() -> owner.ended(flight, StreamTermination.WITHDRAWN.outcome(false, false)));
+      owner.attemptWithheld(flight, verdict);
+      owner.runInNextIteration(
+          () -> owner.attemptEnded(flight, StreamTermination.WITHDRAWN.outcome(false, false)));
       return;
     }
     List<Header> headers = new ArrayList<>(8);
@@ -166,9 +167,10 @@
     try {
       stream = connection.open(headers, body);
     } catch (IllegalArgumentException e) {
-      owner.rarely("engine " + site.id + " takes no header lists that long");
-      owner.later(
-          () -> owner.ended(flight, StreamTermination.NO_ROOM.outcome(false, flight.begun())));
+      owner.warnRateLimited("engine " + site.id + " takes no header lists that long");
+      owner.runInNextIteration(
+          () ->
+              owner.attemptEnded(flight, StreamTermination.NO_ROOM.outcome(false, flight.begun())));
       return;
     }
     Ride ride = new Ride(flight, stream);
@@ -249,7 +251,7 @@
   // ---- the pipe ----
 
   @Override
-  public void opened() {
+  public void onOpened() {
     if (over) {
       return;
     }
@@ -259,15 +261,15 @@
   }
 
   @Override
-  public void written() {
+  public void onWritten() {
     writesDone++;
     while (!guarded.isEmpty() && guarded.peek().place <= writesDone) {
-      owner.written(guarded.poll().flight);
+      owner.attemptWritten(guarded.poll().flight);
     }
   }
 
   @Override
-  public void fed(byte[] bytes) {
+  public void onBytes(byte[] bytes) {
     if (over) {
       return;
     }
@@ -285,7 +287,7 @@
   }
 
   @Override
-  public void ended(DisconnectReason how) {
+  public void onClosed(DisconnectReason how) {
     exact = true;
     end(StreamTermination.CUT, how);
   }
@@ -298,9 +300,9 @@
     } else if (event instanceof Event.Body body) {
       body(rides.get(body.stream()), body);
     } else if (event instanceof Event.Ended ended) {
-      ended(rides.get(ended.stream()), ended.how());
+      onClosed(rides.get(ended.stream()), ended.how());
     } else if (event instanceof Event.Broken broken) {
-      owner.rarely("engine " + site.id + " broke HTTP/2: " + broken.why());
+      owner.warnRateLimited("engine " + site.id + " broke HTTP/2: " + broken.why());
       flush();
       end(StreamTermination.GARBLED, DisconnectReason.GARBLED);
     } else if (event instanceof Event.Leaving && rides.isEmpty()) {
@@ -308,7 +310,7 @@
     }
   }
 
-  private void ended(Ride ride, StreamTermination how) {
+  private void onClosed(Ride ride, StreamTermination how) {
     if (ride != null) {
       finish(ride, how);
     }
@@ -325,7 +327,7 @@
       }
     }
     if (ride != null && note != null && !Double.isNaN(level)) {
-      owner.noted(ride.flight, note, level);
+      owner.attemptProgressed(ride.flight, note, level);
     }
   }
 
@@ -378,12 +380,12 @@
       return;
     }
     if (ride.flight.answerSize() + body.bytes().length > RESULT_MOST) {
-      owner.rarely("engine " + site.id + " sent a result too long");
+      owner.warnRateLimited("engine " + site.id + " sent a result too long");
       finish(ride, StreamTermination.GARBLED);
       return;
     }
     ride.flight.answerGrows(body.bytes());
-    owner.held(body.bytes().length);
+    owner.retainedBytesChanged(body.bytes().length);
     if (body.last()) {
       complete(ride);
     }
@@ -394,7 +396,7 @@
     forget(ride);
     idleSince = owner.now();
     boolean sound = ride.flight.completeAnswer();
-    owner.ended(
+    owner.attemptEnded(
         ride.flight,
         (sound ? StreamTermination.ANSWERED : StreamTermination.GARBLED).outcome(true, true));
     closeIfSpent();
@@ -413,7 +415,7 @@
       answered++;
     }
     if (!(begun && how.mayBeMended() && carrier.mend(ride.flight))) {
-      owner.ended(ride.flight, how.outcome(whole(ride), begun));
+      owner.attemptEnded(ride.flight, how.outcome(whole(ride), begun));
     }
     closeIfSpent();
   }
@@ -466,15 +468,15 @@
       boolean held = !whole(ride) && !ride.flight.begun() && !site.ready();
       if (held && ride.place == Long.MAX_VALUE) {
         finish(ride, StreamTermination.WITHDRAWN);
-      } else if (held && now >= ride.flight.hop.sentAt + owner.holdMost()) {
+      } else if (held && now >= ride.flight.hop.sentAt + owner.maxWriteDelay()) {
         // What went out of it is known once the connection has ended.
         retired = true;
-        pipe.drop();
+        pipe.abort();
         return;
       } else if (!connection.isWhole(ride.stream)) {
         ride.shutSince = ride.shutSince == 0 ? now : ride.shutSince;
         if (now >= ride.shutSince + connectMost) {
-          owner.rarely("engine " + site.id + " keeps its window shut");
+          owner.warnRateLimited("engine " + site.id + " keeps its window shut");
           finish(ride, StreamTermination.WINDOW_SHUT);
         }
       }
@@ -509,7 +511,8 @@
       return;
     }
     if (silent) {
-      owner.rarely("engine " + site.id + " is silent, " + rides.size() + " hops end in doubt");
+      owner.warnRateLimited(
+          "engine " + site.id + " is silent, " + rides.size() + " hops end in doubt");
       end(StreamTermination.SILENT, DisconnectReason.SILENT);
     } else if (rides.isEmpty()) {
       retire();
@@ -528,7 +531,7 @@
         || connectionEnd == DisconnectReason.GARBLED) {
       pipe.close();
     } else {
-      pipe.drop();
+      pipe.abort();
     }
     for (Ride ride : List.copyOf(rides.values())) {
       finish(ride, how);
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -46,7 +46,7 @@
   @Override
   public void send(InFlightAttempt flight) {
     if (waiting.size() >= waitingMost) {
-      owner.rarely("no room for a further stream to engine " + site.id);
+      owner.warnRateLimited("no room for a further stream to engine " + site.id);
       unsent(flight, StreamTermination.NO_ROOM);
       return;
     }
@@ -56,7 +56,7 @@
 
   /** Nothing of a hop was written, and nothing will be. */
   private void unsent(InFlightAttempt flight, StreamTermination how) {
-    owner.later(() -> owner.ended(flight, how.outcome(false, false)));
+    owner.runInNextIteration(() -> owner.attemptEnded(flight, how.outcome(false, false)));
   }
 
   /** Sends what waits, as far as there is room; opens connections for the rest. */
@@ -70,7 +70,9 @@
         unsent(waiting.poll(), StreamTermination.WITHDRAWN);
         continue;
       }
-      int part = StreamPool.part(owner.linksMost(), owner.links(), owner.engines(), links.size());
+      int part =
+          StreamPool.part(
+              owner.maxConnections(), owner.openConnections(), owner.engineCount(), links.size());
       StreamPool.Choice choice = pool.choose(links, waiting.size() - 1, part);
       if (choice.verdict() == StreamPool.Verdict.USE) {
         ((Http2EngineConnection) choice.member()).send(waiting.poll());
@@ -85,7 +87,7 @@
 
   private void dial() {
     Http2EngineConnection link = new Http2EngineConnection(this, owner.now());
-    owner.counted(1);
+    owner.connectionCountChanged(1);
     links.add(link);
     link.dial();
   }
@@ -93,14 +95,14 @@
   /** Shows whether anybody is there, unless a new connection is about to. */
   void tryAnew() {
     if (links.stream().noneMatch(Http2EngineConnection::dialing)
-        && owner.links() < owner.linksMost()) {
+        && owner.openConnections() < owner.maxConnections()) {
       dial();
     }
   }
 
   void linkEnded(Http2EngineConnection link) {
     links.remove(link);
-    owner.counted(-1);
+    owner.connectionCountChanged(-1);
   }
 
   /**
@@ -112,7 +114,8 @@
     if (links.stream().noneMatch(link -> link.up() && link.sound())) {
       while (!waiting.isEmpty()) {
         InFlightAttempt flight = waiting.poll();
-        owner.later(() -> owner.ended(flight, flight.begun() ? AttemptOutcome.SPOILT : outcome));
+        owner.runInNextIteration(
+            () -> owner.attemptEnded(flight, flight.begun() ? AttemptOutcome.SPOILT : outcome));
       }
     }
   }
@@ -134,7 +137,7 @@
   }
 
   @Override
-  public AttemptOutcome giveUp(InFlightAttempt flight) {
+  public AttemptOutcome abandon(InFlightAttempt flight) {
     for (Http2EngineConnection link : links) {
       if (link.bears(flight)) {
         return link.giveUp(flight);
@@ -157,7 +160,7 @@
   }
 
   @Override
-  public void sweep(long connectMost, long idleMost) {
+  public void checkTimeouts(long connectMost, long idleMost) {
     long now = owner.now();
     for (Iterator<InFlightAttempt> i = waiting.iterator(); i.hasNext(); ) {
       InFlightAttempt flight = i.next();
@@ -178,7 +181,7 @@
   }
 
   @Override
-  public void retireAll() {
+  public void retireConnections() {
     List.copyOf(links).forEach(Http2EngineConnection::retire);
   }
 
--- a/http2/src/main/java/tillerlink/net/http2/Http2TransportFactory.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2TransportFactory.java
@@ -8,7 +8,7 @@
 public record Http2TransportFactory(boolean all, Set<String> kinds, int streamsMost)
     implements EngineTransport.Factory {
   @Override
-  public EngineTransport of(EngineTransport.Owner owner, EngineAddress site, String kind) {
+  public EngineTransport create(EngineTransport.Owner owner, EngineAddress site, String kind) {
     return all || kinds.contains(kind) ? new Http2Transport(owner, site, streamsMost) : null;
   }
 }
--- a/members/src/main/java/tillerlink/members/Members.java
+++ b/members/src/main/java/tillerlink/members/Members.java
@@ -116,20 +116,20 @@
   private void changed(MemberRecord entry, Reachability was, MemberInfo before) {
     Reachability is = entry.reach();
     if (was != is) {
-      watcher.reach(entry.name(), was, is);
+      watcher.onReachabilityChanged(entry.name(), was, is);
     }
     if (!was.talksTo() && is.talksTo()) {
       asking.newMember(entry.name());
     }
     if (was.talksTo() && is.talksTo() && before.birth() != entry.card().birth()) {
-      watcher.renewed(entry.name(), entry.card().incarnation());
+      watcher.onProcessReplaced(entry.name(), entry.card().incarnation());
     }
   }
 
   // ---- part ----
 
   @Override
-  public void told(long now, long wall, String from, byte[] body) {
+  public void onMessage(long now, long wall, String from, byte[] body) {
     enter(now, wall);
     try {
       hearing.told(from, MemberCodec.read(body));
@@ -143,14 +143,14 @@
   }
 
   @Override
-  public void turn(long now, long wall) {
+  public void tick(long now, long wall) {
     enter(now, wall);
     if (core.isOut()) {
       sayLast();
     } else {
       doDue();
     }
-    promised = Math.max(now, dueAt());
+    promised = Math.max(now, nextDueAt());
   }
 
   /** A pause that nobody told of shows by what is overdue. */
@@ -159,7 +159,7 @@
     if (!started) {
       start();
     } else if (promised < Long.MAX_VALUE && now - promised > 2 * periods.period()) {
-      away(now, wall, now - promised);
+      onPause(now, wall, now - promised);
     }
   }
 
@@ -224,7 +224,7 @@
   }
 
   @Override
-  public long dueAt() {
+  public long nextDueAt() {
     if (!started) {
       return 0;
     }
@@ -244,7 +244,7 @@
   }
 
   @Override
-  public void away(long now, long wall, long lasted) {
+  public void onPause(long now, long wall, long lasted) {
     core.now = now;
     promised = Long.MAX_VALUE;
     if (!started || core.isOut()) {
@@ -328,7 +328,7 @@
   }
 
   @Override
-  public Reachability reach(String name) {
+  public Reachability reachability(String name) {
     MemberRecord entry = core.table.get(name);
     return entry == null || core.own.yielded() ? Reachability.GONE : entry.reach();
   }
--- a/members/src/main/java/tillerlink/members/MembershipState.java
+++ b/members/src/main/java/tillerlink/members/MembershipState.java
@@ -61,7 +61,7 @@
     this.wire = wire;
     this.watcher = watcher;
     this.random = random;
-    lines = new RateLimitedLog(watcher::line);
+    lines = new RateLimitedLog(watcher::log);
     table = makers.table(self, periods, changes);
     rumours = makers.rumours(2 * periods.mostMembers() + 1);
     own = makers.own(identity, birth);
@@ -125,7 +125,7 @@
   void yieldTo(MemberInfo other) {
     lastCards = List.of(other);
     lastAt = now;
-    watcher.yielded();
+    watcher.onNameLost();
   }
 
   /** This process leaves. */
@@ -152,6 +152,6 @@
   /** The own incarnation rose: the first thing to be told. */
   void raised() {
     rumours.put(self, "");
-    watcher.incarnation(own.card().incarnation());
+    watcher.onOwnIncarnationChanged(own.card().incarnation());
   }
 }
--- a/members/src/main/java/tillerlink/members/config/MembershipListener.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipListener.java
@@ -10,20 +10,20 @@
   /**
    * @param was what it was; {@link Reachability#GONE} also for one that was not known
    */
-  void reach(String name, Reachability was, Reachability is);
+  void onReachabilityChanged(String name, Reachability was, Reachability is);
 
   /** A process of that name took over from an earlier one, without that having been given up. */
-  default void renewed(String name, long incarnation) {}
+  default void onProcessReplaced(String name, long incarnation) {}
 
   /**
    * The own incarnation rose, or was found at the start: to be kept, though nothing breaks if it is
    * not.
    */
-  default void incarnation(long own) {}
+  default void onOwnIncarnationChanged(long own) {}
 
   /** Another process has the own name, and keeps it: this one takes part no more. */
-  default void yielded() {}
+  default void onNameLost() {}
 
   /** A line for the log; lines of one kind come at most every ten seconds. */
-  default void line(String words) {}
+  default void log(String words) {}
 }
--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -42,12 +42,12 @@
         new SplittableRandom(1),
         new MembershipListener() {
           @Override
-          public void reach(String name, Reachability was, Reachability is) {
+          public void onReachabilityChanged(String name, Reachability was, Reachability is) {
             // counted elsewhere
           }
 
           @Override
-          public void line(String words) {
+          public void log(String words) {
             lines.add(words);
           }
         },
@@ -107,10 +107,10 @@
   @Test
   void moreThanTheMostAreRefused() {
     Members members = members(MembershipConfig.usual().withMembers(5));
-    members.turn(0, 0);
+    members.tick(0, 0);
     for (int i = 0; i < 40; i++) {
-      members.told(1, 1, "x", gossip(rumour("m" + i, MemberStatus.ALIVE, 1, 0)));
-      members.told(1, 1, "x", gossip(rumour("g" + i, MemberStatus.GONE, 1, 0)));
+      members.onMessage(1, 1, "x", gossip(rumour("m" + i, MemberStatus.ALIVE, 1, 0)));
+      members.onMessage(1, 1, "x", gossip(rumour("g" + i, MemberStatus.GONE, 1, 0)));
     }
     assertEquals(6, members.size());
     assertEquals(35, members.counts().refused());
@@ -122,7 +122,7 @@
   @Test
   void whatCantBeReadCostsACounterAndALine() {
     Members members = members(MembershipConfig.usual());
-    members.turn(0, 0);
+    members.tick(0, 0);
     Random random = new Random(5);
     MemberInfo card = new MemberInfo(3, 4, "h:3", "s");
     List<GossipUpdate> news = List.of(rumour("q", MemberStatus.SUSPECTED, 2, 5));
@@ -147,8 +147,8 @@
       for (int j = random.nextInt(4); j > 0 && bytes.length > 0; j--) {
         bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
       }
-      members.told(1 + i, 1, "m" + i % 7, bytes);
-      members.turn(1 + i, 1);
+      members.onMessage(1 + i, 1, "m" + i % 7, bytes);
+      members.tick(1 + i, 1);
     }
     assertTrue(members.counts().malformed() > 5000, () -> "malformed: " + members.counts());
     assertTrue(
@@ -167,10 +167,10 @@
   @Test
   void bareProbesAreSmallAndNoMessageIsLongerThanADatagram() {
     Members members = members(MembershipConfig.usual());
-    members.turn(0, 0);
+    members.tick(0, 0);
     for (int i = 0; i < 400; i++) {
       String name = "gateway-with-quite-a-long-name-" + i;
-      members.told(
+      members.onMessage(
           1,
           1,
           "x",
@@ -183,8 +183,8 @@
                   0)));
     }
     int bare = 0;
-    for (long now = 2; now < 20 * Play.SECOND; now = Math.max(now + 1, members.dueAt())) {
-      members.turn(now, now);
+    for (long now = 2; now < 20 * Play.SECOND; now = Math.max(now + 1, members.nextDueAt())) {
+      members.tick(now, now);
     }
     for (byte[] body : sent) {
       assertTrue(body.length <= 1100, () -> "a message of " + body.length);
--- a/members/src/test/java/tillerlink/members/HistoriesTest.java
+++ b/members/src/test/java/tillerlink/members/HistoriesTest.java
@@ -243,7 +243,7 @@
                           out.append(' ')
                               .append(name)
                               .append('=')
-                              .append(one.members.reach(name))
+                              .append(one.members.reachability(name))
                               .append('@')
                               .append(one.members.incarnation(name)));
             });
--- a/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
+++ b/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
@@ -96,17 +96,17 @@
             new SplittableRandom(1),
             new MembershipListener() {
               @Override
-              public void reach(String name, Reachability was, Reachability is) {
+              public void onReachabilityChanged(String name, Reachability was, Reachability is) {
                 // nobody else is there
               }
 
               @Override
-              public void incarnation(long own) {
+              public void onOwnIncarnationChanged(long own) {
                 handed.add(own);
               }
             },
             1);
-    members.turn(0, 0);
+    members.tick(0, 0);
     assertEquals(List.of(7L), handed);
   }
 }
--- a/members/src/test/java/tillerlink/members/Play.java
+++ b/members/src/test/java/tillerlink/members/Play.java
@@ -44,9 +44,9 @@
     }
 
     @Override
-    public void told(long now, long wall, String from, byte[] body) {
+    public void onMessage(long now, long wall, String from, byte[] body) {
       int length = body[0];
-      members.told(
+      members.onMessage(
           now,
           wall,
           new String(body, 1, length, StandardCharsets.UTF_8),
@@ -54,38 +54,38 @@
     }
 
     @Override
-    public void turn(long now, long wall) {
-      members.turn(now, wall);
+    public void tick(long now, long wall) {
+      members.tick(now, wall);
       kept.merge(name, members.incarnation(name), Math::max);
     }
 
     @Override
-    public long dueAt() {
-      return members.dueAt();
+    public long nextDueAt() {
+      return members.nextDueAt();
     }
 
     @Override
-    public void away(long now, long wall, long lasted) {
-      members.away(now, wall, lasted);
+    public void onPause(long now, long wall, long lasted) {
+      members.onPause(now, wall, lasted);
     }
 
     @Override
-    public void reach(String other, Reachability was, Reachability is) {
+    public void onReachabilityChanged(String other, Reachability was, Reachability is) {
       heard.accept(new Change(fleet.now(), name, other, was, is));
     }
 
     @Override
-    public void renewed(String other, long incarnation) {
+    public void onProcessReplaced(String other, long incarnation) {
       told.add(time() + " " + name + ": " + other + " is another process now");
     }
 
     @Override
-    public void yielded() {
+    public void onNameLost() {
       told.add(time() + " " + address + " yields the name " + name);
     }
 
     @Override
-    public void line(String words) {
+    public void log(String words) {
       told.add(time() + " " + name + ": " + words);
     }
   }
@@ -163,7 +163,7 @@
   }
 
   Reachability reach(String by, String of) {
-    return up.get(at(by)).members.reach(of);
+    return up.get(at(by)).members.reachability(of);
   }
 
   /** Whether all that are up hold each other, and no others, as reachable. */
@@ -181,12 +181,14 @@
     for (Process other : up.values()) {
       if (other != one && !other.members.yielded()) {
         reachable++;
-        if (one.members.reach(other.name) != Reachability.REACHABLE) {
+        if (one.members.reachability(other.name) != Reachability.REACHABLE) {
           return false;
         }
       }
     }
-    return one.members.names().stream().filter(name -> one.members.reach(name).talksTo()).count()
+    return one.members.names().stream()
+            .filter(name -> one.members.reachability(name).talksTo())
+            .count()
         == reachable;
   }
 
--- a/members/src/test/java/tillerlink/members/measure/Heartbeats.java
+++ b/members/src/test/java/tillerlink/members/measure/Heartbeats.java
@@ -51,7 +51,7 @@
   }
 
   @Override
-  public void told(long now, long wall, String from, byte[] body) {
+  public void onMessage(long now, long wall, String from, byte[] body) {
     Seen of = seen.computeIfAbsent(from, any -> new Seen());
     if (of.last > 0) {
       of.gap = (9 * of.gap + now - of.last) / 10;
@@ -61,7 +61,7 @@
   }
 
   @Override
-  public void turn(long now, long wall) {
+  public void tick(long now, long wall) {
     if (now < dueAt) {
       return;
     }
@@ -89,12 +89,12 @@
   }
 
   @Override
-  public long dueAt() {
+  public long nextDueAt() {
     return dueAt;
   }
 
   @Override
-  public void away(long now, long wall, long lasted) {
+  public void onPause(long now, long wall, long lasted) {
     // it trusts what ran out
   }
 
--- a/members/src/test/java/tillerlink/members/measure/Memory.java
+++ b/members/src/test/java/tillerlink/members/measure/Memory.java
@@ -29,13 +29,13 @@
             new SplittableRandom(1),
             (name, was, is) -> {},
             1);
-    members.turn(0, 0);
+    members.tick(0, 0);
     for (int i = 0; i < MEMBERS; i++) {
       String name = "gateway-at-some-site-" + i;
       MemberInfo card =
           new MemberInfo(3, i, "10.1." + i / 256 + "." + i % 256 + ":7400", "site-" + i % 12);
       GossipUpdate rumour = new GossipUpdate(name, MemberStatus.ALIVE, card, "", 100);
-      members.told(
+      members.onMessage(
           1,
           1,
           "another",
--- a/peering/src/main/java/tillerlink/peering/MembershipLogger.java
+++ b/peering/src/main/java/tillerlink/peering/MembershipLogger.java
@@ -56,28 +56,28 @@
   MembershipListener watching(LongSupplier now, LongConsumer incarnation) {
     return new MembershipListener() {
       @Override
-      public void reach(String name, Reachability was, Reachability is) {
+      public void onReachabilityChanged(String name, Reachability was, Reachability is) {
         MembershipLogger.this.reach(now.getAsLong(), name, was, is);
       }
 
       @Override
-      public void renewed(String name, long own) {
+      public void onProcessReplaced(String name, long own) {
         LOG.info("member {} was started anew, incarnation {}", name, own);
       }
 
       @Override
-      public void incarnation(long own) {
+      public void onOwnIncarnationChanged(long own) {
         incarnation.accept(own);
       }
 
       @Override
-      public void yielded() {
+      public void onNameLost() {
         LOG.error(
             "another process has this gateway's name and keeps it: this one takes part no more");
       }
 
       @Override
-      public void line(String words) {
+      public void log(String words) {
         MembershipLogger.this.line(words);
       }
     };
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -83,7 +83,7 @@
       PeeringConfig sharing,
       List<ComponentFactory> others,
       GatewayConfig assignment,
-      GatewayExtension.Door door,
+      GatewayExtension.ExtensionContext door,
       Consumer<Runnable> turns,
       LongSupplier clock)
       throws IOException {
@@ -134,7 +134,7 @@
 
   private Members members(SplittableRandom random) {
     KeyValueStore own = new PrefixedKeyValueStore(keep, MembersHttpHandler.NAME);
-    byte[] kept = own.found().get(INCARNATION);
+    byte[] kept = own.initialEntries().get(INCARNATION);
     long before = kept == null || kept.length != Long.BYTES ? 0 : ByteBuffer.wrap(kept).getLong();
     Identity identity =
         new Identity(
@@ -219,7 +219,7 @@
           }
           for (HostedComponent part : parts) {
             if (part.number() == message.part()) {
-              part.machine().told(now, wall(), message.sender(), message.body());
+              part.machine().onMessage(now, wall(), message.sender(), message.body());
               return;
             }
           }
@@ -253,23 +253,23 @@
     now = Math.max(now, clock.getAsLong());
     if (now - before > BEAT + AWAY_LEAST) {
       stirred = true;
-      parts.forEach(part -> part.machine().away(now, wall(), now - before));
+      parts.forEach(part -> part.machine().onPause(now, wall(), now - before));
     }
   }
 
   @Override
-  public void begin(long clockNow) {
+  public void beginIteration(long clockNow) {
     watchdog.run(this::notice);
   }
 
   @Override
-  public void settle(long clockNow) {
+  public void endIteration(long clockNow) {
     watchdog.run(
         () -> {
           notice();
           for (HostedComponent part : parts) {
-            if (stirred || now >= part.machine().dueAt()) {
-              part.machine().turn(now, wall());
+            if (stirred || now >= part.machine().nextDueAt()) {
+              part.machine().tick(now, wall());
             }
             part.settled(now, wall());
           }
@@ -278,10 +278,10 @@
   }
 
   @Override
-  public long dueAt() {
+  public long nextDueAt() {
     long dueAt = now + BEAT;
     for (HostedComponent part : parts) {
-      dueAt = Math.min(dueAt, part.machine().dueAt());
+      dueAt = Math.min(dueAt, part.machine().nextDueAt());
     }
     return dueAt;
   }
@@ -289,7 +289,7 @@
   // ---- clients ----
 
   @Override
-  public boolean takes(String path) {
+  public boolean handlesPath(String path) {
     return part(path) != null;
   }
 
@@ -303,7 +303,7 @@
   }
 
   @Override
-  public void called(HttpRequest call, Reply reply) {
+  public void onRequest(HttpRequest call, Reply reply) {
     HostedComponent part = part(call.path());
     watched(
         () -> {
@@ -318,12 +318,12 @@
   // ---- the end ----
 
   @Override
-  public void drain() {
+  public void onDrain() {
     watched(() -> parts.forEach(part -> part.drain(now, wall())));
   }
 
   @Override
-  public void timeUp() {
+  public void onShutdownDeadline() {
     watched(() -> parts.forEach(part -> part.timeUp(now, wall())));
   }
 
--- a/peering/src/main/java/tillerlink/peering/WatchedExtensionContext.java
+++ b/peering/src/main/java/tillerlink/peering/WatchedExtensionContext.java
@@ -7,8 +7,8 @@
  * The gateway's door as parts get it: their guards are asked under the watchdog, for the gateway
  * asks them itself.
  */
-record WatchedExtensionContext(GatewayExtension.Door door, Watchdog watchdog)
-    implements GatewayExtension.Door {
+record WatchedExtensionContext(GatewayExtension.ExtensionContext door, Watchdog watchdog)
+    implements GatewayExtension.ExtensionContext {
   private record Watched(GatewayExtension.Guard guard, Watchdog watchdog)
       implements GatewayExtension.Guard {
     @Override
@@ -17,18 +17,18 @@
     }
 
     @Override
-    public long comeBack() {
-      return watchdog.get(guard::comeBack);
+    public long retryAfter() {
+      return watchdog.get(guard::retryAfter);
     }
 
     @Override
-    public void began() {
-      watchdog.run(guard::began);
+    public void onAttemptStarted() {
+      watchdog.run(guard::onAttemptStarted);
     }
 
     @Override
-    public void ended(long mayRunUntil) {
-      watchdog.run(() -> guard.ended(mayRunUntil));
+    public void onAttemptEnded(long mayRunUntil) {
+      watchdog.run(() -> guard.onAttemptEnded(mayRunUntil));
     }
   }
 
@@ -38,7 +38,7 @@
   }
 
   @Override
-  public void recheck() {
-    door.recheck();
+  public void recheckGuards() {
+    door.recheckGuards();
   }
 }
--- a/peering/src/main/java/tillerlink/peering/component/ComponentContext.java
+++ b/peering/src/main/java/tillerlink/peering/component/ComponentContext.java
@@ -26,5 +26,5 @@
     MessageSender post,
     KeyValueStore keep,
     RandomGenerator random,
-    GatewayExtension.Door door,
+    GatewayExtension.ExtensionContext door,
     LongSupplier clock) {}
--- a/peering/src/main/java/tillerlink/peering/members/MembersHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/members/MembersHttpHandler.java
@@ -76,7 +76,7 @@
       for (String name : members.names()) {
         json.writeStartObject();
         one(json, name);
-        json.writeStringField("reach", members.reach(name).name());
+        json.writeStringField("reach", members.reachability(name).name());
         json.writeStringField("address", members.address(name));
         json.writeEndObject();
       }
--- a/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
+++ b/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
@@ -34,17 +34,17 @@
 
   /** In tenths of a millisecond. */
   @Override
-  public long comeBack() {
+  public long retryAfter() {
     return comeBack;
   }
 
   @Override
-  public void began() {
+  public void onAttemptStarted() {
     statements.began(prepared);
   }
 
   @Override
-  public void ended(long mayRunUntil) {
+  public void onAttemptEnded(long mayRunUntil) {
     statements.ended(clock.getAsLong(), prepared, mayRunUntil);
   }
 }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
@@ -32,14 +32,17 @@
   private static final long BEHIND_COME_BACK = 100;
 
   private final Statements statements;
-  private final GatewayExtension.Door door;
+  private final GatewayExtension.ExtensionContext door;
   private final LongSupplier clock;
   private final boolean fence;
   private long applied;
   private long losses;
 
   StatementsHttpHandler(
-      Statements statements, GatewayExtension.Door door, LongSupplier clock, boolean fence) {
+      Statements statements,
+      GatewayExtension.ExtensionContext door,
+      LongSupplier clock,
+      boolean fence) {
     this.statements = statements;
     this.door = door;
     this.clock = clock;
@@ -71,7 +74,7 @@
     if (then != applied || losses != statements.leasesLost()) {
       applied = then;
       losses = statements.leasesLost();
-      door.recheck();
+      door.recheckGuards();
     }
   }
 
--- a/peering/src/main/java/tillerlink/peering/storage/DisabledKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DisabledKeyValueStore.java
@@ -7,7 +7,7 @@
 /** Where the operator named no folder: nothing is kept, and whoever asks is told so. */
 public final class DisabledKeyValueStore implements KeyValueStore {
   @Override
-  public NavigableMap<String, byte[]> found() {
+  public NavigableMap<String, byte[]> initialEntries() {
     return Collections.emptyNavigableMap();
   }
 
--- a/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
@@ -108,7 +108,7 @@
   }
 
   @Override
-  public NavigableMap<String, byte[]> found() {
+  public NavigableMap<String, byte[]> initialEntries() {
     return found;
   }
 
--- a/peering/src/main/java/tillerlink/peering/storage/PrefixedKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/PrefixedKeyValueStore.java
@@ -19,14 +19,14 @@
     prefix = part + "/";
     NavigableMap<String, byte[]> own = new TreeMap<>();
     // '0' comes right after '/'.
-    all.found()
+    all.initialEntries()
         .subMap(prefix, true, part + "0", false)
         .forEach((name, value) -> own.put(name.substring(prefix.length()), value));
     found = Collections.unmodifiableNavigableMap(own);
   }
 
   @Override
-  public NavigableMap<String, byte[]> found() {
+  public NavigableMap<String, byte[]> initialEntries() {
     return found;
   }
 
--- a/peering/src/test/java/tillerlink/peering/Echo.java
+++ b/peering/src/test/java/tillerlink/peering/Echo.java
@@ -71,7 +71,8 @@
             reply.answer(HttpResponse.problem(503, "Disk", 0));
           }
         }
-        case "found" -> reply.answer(said(ground.keep().found().getOrDefault("text", new byte[0])));
+        case "found" ->
+            reply.answer(said(ground.keep().initialEntries().getOrDefault("text", new byte[0])));
         case "break" -> Invariant.holds(false, () -> "planted,\nto be seen");
         default -> throw new IllegalStateException("a fault of this part");
       }
@@ -83,7 +84,7 @@
 
     /** The last byte says whether it comes back. */
     @Override
-    public void told(long now, long wall, String from, byte[] body) {
+    public void onMessage(long now, long wall, String from, byte[] body) {
       if (body[body.length - 1] == 0) {
         body[body.length - 1] = 1;
         ground.post().send(from, body);
@@ -93,17 +94,17 @@
     }
 
     @Override
-    public void turn(long now, long wall) {
+    public void tick(long now, long wall) {
       // Nothing falls due.
     }
 
     @Override
-    public long dueAt() {
+    public long nextDueAt() {
       return Long.MAX_VALUE;
     }
 
     @Override
-    public void away(long now, long wall, long lasted) {
+    public void onPause(long now, long wall, long lasted) {
       // Nothing of it runs out.
     }
   }
--- a/peering/src/test/java/tillerlink/peering/storage/DiskKeepFormatGuardTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeepFormatGuardTest.java
@@ -84,14 +84,15 @@
   void readsWhatTheReleaseBeforeKept() throws IOException {
     Files.write(folder.resolve(LOG), resource());
     try (DiskKeyValueStore keep = open(OWNER)) {
-      assertEquals(new TreeMap<>(ALL), inDigits(keep.found()));
+      assertEquals(new TreeMap<>(ALL), inDigits(keep.initialEntries()));
       assertEquals(
           Map.of("", "6e6f206e616d65", "a", "7365636f6e64"),
-          inDigits(new PrefixedKeyValueStore(keep, "members").found()));
+          inDigits(new PrefixedKeyValueStore(keep, "members").initialEntries()));
       assertEquals(
           Map.of("empty", "", "r\u00e4ume", "00017f80feff"),
-          inDigits(new PrefixedKeyValueStore(keep, "channels").found()));
-      assertEquals(Map.of(), inDigits(new PrefixedKeyValueStore(keep, "statements").found()));
+          inDigits(new PrefixedKeyValueStore(keep, "channels").initialEntries()));
+      assertEquals(
+          Map.of(), inDigits(new PrefixedKeyValueStore(keep, "statements").initialEntries()));
     }
   }
 
--- a/peering/src/test/java/tillerlink/peering/storage/DiskKeyValueStoreTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeyValueStoreTest.java
@@ -46,7 +46,7 @@
   void keepsInOrder() throws IOException, InterruptedException {
     List<Integer> kept = new ArrayList<>();
     try (DiskKeyValueStore keep = open(1 << 20)) {
-      assertTrue(keep.found().isEmpty());
+      assertTrue(keep.initialEntries().isEmpty());
       for (int i = 0; i < 500; i++) {
         int number = i;
         assertTrue(keep.set("name " + i % 7, new byte[] {(byte) i}, () -> kept.add(number)));
@@ -60,8 +60,8 @@
     try (DiskKeyValueStore keep = open(1 << 20)) {
       assertEquals(
           Set.of("name 0", "name 1", "name 2", "name 4", "name 5", "name 6"),
-          keep.found().keySet());
-      assertArrayEquals(new byte[] {(byte) 499}, keep.found().get("name 2"));
+          keep.initialEntries().keySet());
+      assertArrayEquals(new byte[] {(byte) 499}, keep.initialEntries().get("name 2"));
     }
   }
 
@@ -78,10 +78,10 @@
           int told = kept.get(kept.size() - 1);
           Path copy = copy("copy" + i);
           try (DiskKeyValueStore other = DiskKeyValueStore.open(copy, "n1", 1 << 22, turns::add)) {
-            int found = other.found().size();
+            int found = other.initialEntries().size();
             assertTrue(
                 found > told && found <= i + 1, found + " found, told up to " + told + " of " + i);
-            assertEquals(String.format("%06d", found - 1), other.found().lastKey());
+            assertEquals(String.format("%06d", found - 1), other.initialEntries().lastKey());
           }
         }
       }
@@ -119,7 +119,7 @@
     }
     assertEquals(List.of("a", "a again", "no a", "b again"), kept);
     try (DiskKeyValueStore keep = open(10_000)) {
-      assertEquals(Set.of("b"), keep.found().keySet());
+      assertEquals(Set.of("b"), keep.initialEntries().keySet());
       assertFalse(keep.set("a", new byte[6000], null));
     }
   }
@@ -155,9 +155,10 @@
     }
     try (DiskKeyValueStore keep = open(1 << 20)) {
       assertArrayEquals(
-          new byte[] {1}, new PrefixedKeyValueStore(keep, "members").found().get("x"));
-      assertEquals(Set.of("y"), new PrefixedKeyValueStore(keep, "channels").found().keySet());
-      assertEquals(Set.of("channels/y", "members/x", "members2/x"), keep.found().keySet());
+          new byte[] {1}, new PrefixedKeyValueStore(keep, "members").initialEntries().get("x"));
+      assertEquals(
+          Set.of("y"), new PrefixedKeyValueStore(keep, "channels").initialEntries().keySet());
+      assertEquals(Set.of("channels/y", "members/x", "members2/x"), keep.initialEntries().keySet());
     }
   }
 }
--- a/peering/src/test/java/tillerlink/peering/storage/PartsFormatGuardTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/PartsFormatGuardTest.java
@@ -31,7 +31,7 @@
     KeyValueStore all =
         new KeyValueStore() {
           @Override
-          public NavigableMap<String, byte[]> found() {
+          public NavigableMap<String, byte[]> initialEntries() {
             return values;
           }
 
@@ -48,8 +48,9 @@
     assertEquals(Set.of("members/a/b", "channels/a/b", "statements/a/b"), values.keySet());
     assertArrayEquals(
         "channels".getBytes(),
-        new PrefixedKeyValueStore(all, HostedChannels.NAME).found().get("a/b"));
+        new PrefixedKeyValueStore(all, HostedChannels.NAME).initialEntries().get("a/b"));
     assertEquals(
-        Set.of("a/b"), new PrefixedKeyValueStore(all, StatementsHttpHandler.NAME).found().keySet());
+        Set.of("a/b"),
+        new PrefixedKeyValueStore(all, StatementsHttpHandler.NAME).initialEntries().keySet());
   }
 }
--- a/peering/src/test/java/tillerlink/peering/together/Host.java
+++ b/peering/src/test/java/tillerlink/peering/together/Host.java
@@ -54,8 +54,8 @@
     KeyValueStore keep =
         new KeyValueStore() {
           @Override
-          public NavigableMap<String, byte[]> found() {
-            return disk.found();
+          public NavigableMap<String, byte[]> initialEntries() {
+            return disk.initialEntries();
           }
 
           @Override
@@ -81,7 +81,7 @@
             new Random(random.nextLong()),
             new MembershipListener() {
               @Override
-              public void reach(String other, Reachability was, Reachability is) {
+              public void onReachabilityChanged(String other, Reachability was, Reachability is) {
                 // Asked, not told, here.
               }
             },
@@ -125,24 +125,24 @@
   }
 
   @Override
-  public void told(long now, long wall, String from, byte[] body) {
-    parts.get(body[0] - 1).told(now, wall, from, Arrays.copyOfRange(body, 1, body.length));
+  public void onMessage(long now, long wall, String from, byte[] body) {
+    parts.get(body[0] - 1).onMessage(now, wall, from, Arrays.copyOfRange(body, 1, body.length));
     stepped.run();
   }
 
   @Override
-  public void turn(long now, long wall) {
-    parts.forEach(part -> part.turn(now, wall));
+  public void tick(long now, long wall) {
+    parts.forEach(part -> part.tick(now, wall));
     stepped.run();
   }
 
   @Override
-  public long dueAt() {
-    return parts.stream().mapToLong(ClusterComponent::dueAt).min().orElse(Long.MAX_VALUE);
+  public long nextDueAt() {
+    return parts.stream().mapToLong(ClusterComponent::nextDueAt).min().orElse(Long.MAX_VALUE);
   }
 
   @Override
-  public void away(long now, long wall, long lasted) {
-    parts.forEach(part -> part.away(now, wall, lasted));
+  public void onPause(long now, long wall, long lasted) {
+    parts.forEach(part -> part.onPause(now, wall, lasted));
   }
 }
--- a/peering/src/test/java/tillerlink/peering/together/Story.java
+++ b/peering/src/test/java/tillerlink/peering/together/Story.java
@@ -269,8 +269,8 @@
     for (String name : ALL) {
       Host host = up.get(name);
       for (String other : ALL) {
-        if (!other.equals(name) && host.members.reach(other) != Reachability.REACHABLE) {
-          return name + " holds " + other + " as " + host.members.reach(other);
+        if (!other.equals(name) && host.members.reachability(other) != Reachability.REACHABLE) {
+          return name + " holds " + other + " as " + host.members.reachability(other);
         }
       }
       Page page = page(name);
--- a/replay/src/main/java/tillerlink/replay/GatewayConnections.java
+++ b/replay/src/main/java/tillerlink/replay/GatewayConnections.java
@@ -57,7 +57,7 @@
 
     @Override
     public void say(byte[] bytes) {
-      later(() -> tell(() -> owner.fed(bytes)));
+      later(() -> tell(() -> owner.onBytes(bytes)));
     }
 
     @Override
@@ -68,13 +68,13 @@
               tell(
                   () -> {
                     over = true;
-                    owner.ended(DisconnectReason.CLOSED_BY_PEER);
+                    owner.onClosed(DisconnectReason.CLOSED_BY_PEER);
                   }));
     }
 
     @Override
     public void write(byte[] bytes) {
-      tell(() -> owner.written());
+      tell(() -> owner.onWritten());
       later(
           () -> {
             if (!hungUp) {
@@ -85,12 +85,12 @@
 
     @Override
     public void close() {
-      drop();
+      abort();
     }
 
     /** What was written before still comes. */
     @Override
-    public void drop() {
+    public void abort() {
       if (!over) {
         over = true;
         later(
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void hold(boolean held) {
+    public void pauseReading(boolean held) {
       // Clients of a replay never send ahead.
     }
   }
--- a/simulation/src/main/java/tillerlink/simulation/InMemoryKeyValueStore.java
+++ b/simulation/src/main/java/tillerlink/simulation/InMemoryKeyValueStore.java
@@ -38,7 +38,7 @@
   }
 
   @Override
-  public NavigableMap<String, byte[]> found() {
+  public NavigableMap<String, byte[]> initialEntries() {
     return found;
   }
 
--- a/simulation/src/main/java/tillerlink/simulation/SimulatedFleet.java
+++ b/simulation/src/main/java/tillerlink/simulation/SimulatedFleet.java
@@ -108,10 +108,10 @@
     long lasted = now - host.pausedAt;
     host.pausedAt = -1;
     if (lasted > AWAY_LEAST) {
-      host.part.away(now, wall(host), lasted);
+      host.part.onPause(now, wall(host), lasted);
     }
     for (Message message = host.waiting.poll(); message != null; message = host.waiting.poll()) {
-      host.part.told(now, wall(host), message.from, message.body);
+      host.part.onMessage(now, wall(host), message.from, message.body);
     }
     turn(host);
   }
@@ -206,7 +206,7 @@
       return;
     }
     delivered++;
-    host.part.told(now, wall(host), from, body);
+    host.part.onMessage(now, wall(host), from, body);
     turn(host);
   }
 
@@ -234,12 +234,12 @@
   }
 
   private void turn(Host host) {
-    host.part.turn(now, wall(host));
+    host.part.tick(now, wall(host));
     plan(host);
   }
 
   private void plan(Host host) {
-    long due = Math.max(now + 1, host.part.dueAt());
+    long due = Math.max(now + 1, host.part.nextDueAt());
     if (due < host.plannedAt && due < Long.MAX_VALUE) {
       host.plannedAt = due;
       at(due, () -> due(host, due));
