--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -376,23 +376,23 @@
 
   private void send(String to, StatementMessage message) {
     if (to.equals(voters.self())) {
-      told(to, message);
+      onMessage(to, message);
     } else {
       post.send(to, StatementCodec.write(message));
     }
   }
 
   @Override
-  public void told(long at, long wall, String from, byte[] body) {
+  public void onMessage(long at, long wall, String from, byte[] body) {
     now = at;
     try {
-      told(from, StatementCodec.read(body));
+      onMessage(from, StatementCodec.read(body));
     } catch (MalformedMessageException e) {
       malformed++;
     }
   }
 
-  private void told(String from, StatementMessage message) {
+  private void onMessage(String from, StatementMessage message) {
     if (message instanceof Lease it) {
       holding.granted(now, from, it);
     } else if (consensus == null) {
@@ -436,7 +436,7 @@
   }
 
   @Override
-  public void turn(long at, long wall) {
+  public void tick(long at, long wall) {
     now = at;
     if (consensus != null) {
       consensus.turn(now);
@@ -464,7 +464,7 @@
   }
 
   @Override
-  public long dueAt() {
+  public long nextDueAt() {
     long due = Math.min(holding.dueAt(), requests.dueAt());
     if (consensus == null) {
       return Math.min(due, learner.dueAt());
@@ -480,7 +480,7 @@
   }
 
   @Override
-  public void away(long at, long wall, long lasted) {
+  public void onPause(long at, long wall, long lasted) {
     now = at;
     pauses++;
     holding.away(now);
--- a/statements/src/main/java/tillerlink/statements/consensus/DurableState.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/DurableState.java
@@ -27,7 +27,7 @@
   }
 
   NavigableMap<String, byte[]> found() {
-    return keep.found();
+    return keep.initialEntries();
   }
 
   /**
--- a/statements/src/test/java/tillerlink/statements/TestCluster.java
+++ b/statements/src/test/java/tillerlink/statements/TestCluster.java
@@ -104,26 +104,26 @@
     }
 
     @Override
-    public void told(long now, long wall, String from, byte[] body) {
-      part.told(local(now), wall, from, body);
+    public void onMessage(long now, long wall, String from, byte[] body) {
+      part.onMessage(local(now), wall, from, body);
       audit.sees(fleet.now(), process, part);
     }
 
     @Override
-    public void turn(long now, long wall) {
-      part.turn(local(now), wall);
+    public void tick(long now, long wall) {
+      part.tick(local(now), wall);
       audit.sees(fleet.now(), process, part);
     }
 
     @Override
-    public long dueAt() {
-      long due = part.dueAt();
+    public long nextDueAt() {
+      long due = part.nextDueAt();
       return due == Long.MAX_VALUE ? due : (long) Math.ceil(due / rate) + 1;
     }
 
     @Override
-    public void away(long now, long wall, long lasted) {
-      part.away(local(now), wall, lasted);
+    public void onPause(long now, long wall, long lasted) {
+      part.onPause(local(now), wall, lasted);
     }
   }
 
@@ -139,7 +139,7 @@
     }
 
     @Override
-    public Reachability reach(String name) {
+    public Reachability reachability(String name) {
       return Reachability.REACHABLE;
     }
   }
@@ -180,8 +180,8 @@
     KeyValueStore keep =
         new KeyValueStore() {
           @Override
-          public NavigableMap<String, byte[]> found() {
-            return disk.found();
+          public NavigableMap<String, byte[]> initialEntries() {
+            return disk.initialEntries();
           }
 
           @Override
--- a/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
+++ b/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public NavigableMap<String, byte[]> found() {
+    public NavigableMap<String, byte[]> initialEntries() {
       return values;
     }
 
--- a/tools/src/test/java/tillerlink/replay/BlindStartTest.java
+++ b/tools/src/test/java/tillerlink/replay/BlindStartTest.java
@@ -19,7 +19,7 @@
 import tillerlink.endpointcache.EndpointHistory;
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
-import tillerlink.model.Engine;
+import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.policy.DefaultDispatchPolicy;
@@ -91,7 +91,7 @@
               }
             });
     List<EndpointEntry> all = new ArrayList<>(world.list());
-    memory.told(START - age - SECOND, new EndpointWatchEvent(1, true, all));
+    memory.onEndpointsReceived(START - age - SECOND, new EndpointWatchEvent(1, true, all));
     all.removeIf(entry -> entry.id().equals("e3"));
     all.replaceAll(
         entry ->
@@ -103,11 +103,11 @@
                     entry.zone(),
                     entry.kind(),
                     entry.cell(),
-                    Engine.Standing.DRAINING,
+                    Status.DRAINING,
                     entry.weight(),
                     entry.startedMs())
                 : entry);
-    memory.told(START - age, new EndpointWatchEvent(2, true, all));
+    memory.onEndpointsReceived(START - age, new EndpointWatchEvent(2, true, all));
     return stored;
   }
 
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -118,49 +118,50 @@
     }
 
     @Override
-    public long comeBack() {
+    public long retryAfter() {
       return 3000;
     }
 
     @Override
-    public void began() {
+    public void onAttemptStarted() {
       out++;
     }
 
     @Override
-    public void ended(long mayRunUntil) {
+    public void onAttemptEnded(long mayRunUntil) {
       out--;
       endedTooOften |= out < 0;
     }
   }
 
   /** Takes every call of a track, and hands it in under a guard of its own. */
-  private record Aside(Door door, Watching watching, Random random, Planted planted)
+  private record Aside(
+      GatewayExtension.ExtensionContext door, Watching watching, Random random, Planted planted)
       implements GatewayExtension {
     @Override
-    public void begin(long now) {
+    public void beginIteration(long now) {
       // Nothing of it waits.
     }
 
     @Override
-    public void settle(long now) {
+    public void endIteration(long now) {
       if (random.nextInt(4) == 0) {
-        door.recheck();
+        door.recheckGuards();
       }
     }
 
     @Override
-    public long dueAt() {
+    public long nextDueAt() {
       return Long.MAX_VALUE;
     }
 
     @Override
-    public boolean takes(String path) {
+    public boolean handlesPath(String path) {
       return TRACKS.stream().anyMatch(track -> path.equals("/v1/" + track.name()));
     }
 
     @Override
-    public void called(HttpRequest call, Reply reply) {
+    public void onRequest(HttpRequest call, Reply reply) {
       Fickle guard =
           watching.guards.computeIfAbsent(
               call.fields().get("x-correlation-id"), id -> new Fickle(random, planted));
@@ -168,12 +169,12 @@
     }
 
     @Override
-    public void drain() {
+    public void onDrain() {
       // It owes nothing.
     }
 
     @Override
-    public void timeUp() {
+    public void onShutdownDeadline() {
       // It owes nothing.
     }
 
