--- a/audit/src/main/java/tillerlink/audit/Auditor.java
+++ b/audit/src/main/java/tillerlink/audit/Auditor.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * Watches what crosses between clients, gateways and engines, and tells which rules were broken. It
@@ -35,8 +35,8 @@
   /** A submission that a gateway has taken. */
   private static final class Case {
     private final int gateway;
-    private final Track track;
-    private final long leavesAt;
+    private final RequestClassSpec requestClass;
+    private final long clientDeadline;
     private final String key;
     private Answer answer;
     private boolean left;
@@ -51,10 +51,10 @@
     /** When the first hop that may have run was sent. */
     private long firstRunAt = Long.MIN_VALUE;
 
-    Case(int gateway, Track track, long leavesAt, String key) {
+    Case(int gateway, RequestClassSpec requestClass, long clientDeadline, String key) {
       this.gateway = gateway;
-      this.track = track;
-      this.leavesAt = leavesAt;
+      this.requestClass = requestClass;
+      this.clientDeadline = clientDeadline;
       this.key = key;
     }
   }
@@ -74,44 +74,45 @@
   }
 
   private final Fleet fleet;
-  private final List<Track> tracks;
+  private final List<RequestClassSpec> requestClasses;
   private final Map<String, Case> cases = new HashMap<>();
   private final Map<String, Watched> engines = new LinkedHashMap<>();
   private final List<ArrayDeque<Long>> taken = new ArrayList<>();
   private final List<ArrayDeque<Long>> further = new ArrayList<>();
   private final Map<Rule, Long> counts = new EnumMap<>(Rule.class);
-  private final List<Violation> breaches = new ArrayList<>();
+  private final List<Violation> violations = new ArrayList<>();
 
   /** Ordered tracks: of each key, those taken and not over, first come first. */
   private final Map<String, ArrayDeque<String>> lines = new HashMap<>();
 
   private final Set<String> fallen = new HashSet<>();
-  private long hops;
-  private long furtherHops;
+  private long attempts;
+  private long retries;
   private final boolean[] ordered;
 
-  public Auditor(Fleet fleet, List<Track> tracks, boolean... ordered) {
+  public Auditor(Fleet fleet, List<RequestClassSpec> requestClasses, boolean... ordered) {
     this.fleet = fleet;
-    this.tracks = tracks;
-    this.ordered = Arrays.copyOf(ordered, tracks.size());
+    this.requestClasses = requestClasses;
+    this.ordered = Arrays.copyOf(ordered, requestClasses.size());
     for (int i = 0; i < fleet.gateways(); i++) {
       taken.add(new ArrayDeque<>());
       further.add(new ArrayDeque<>());
     }
   }
 
-  private void breach(Rule rule, long at, String what) {
+  private void violation(Rule rule, long at, String what) {
     if (counts.merge(rule, 1L, Long::sum) <= KEPT_OF_EACH) {
-      breaches.add(new Violation(rule, at, what));
+      violations.add(new Violation(rule, at, what));
     }
   }
 
   // ---- clients ----
 
   /** A gateway has taken a submission. */
-  public void taken(long now, int gateway, String id, int track, String key, long leavesAt) {
-    cases.put(id, new Case(gateway, tracks.get(track), leavesAt, key));
-    if (ordered[track] && key != null) {
+  public void taken(
+      long now, int gateway, String id, int requestClass, String key, long clientDeadline) {
+    cases.put(id, new Case(gateway, requestClasses.get(requestClass), clientDeadline, key));
+    if (ordered[requestClass] && key != null) {
       lines.computeIfAbsent(key, k -> new ArrayDeque<>()).add(id);
     }
     ArrayDeque<Long> seen = taken.get(gateway);
@@ -122,29 +123,32 @@
   public void answered(long now, String id, Answer answer) {
     Case one = cases.get(id);
     if (one == null || one.answer != null) {
-      breach(
+      violation(
           Rule.ANSWER,
           now,
           id + " was answered " + answer + (one == null ? " after its end" : " once more"));
       return;
     }
     one.answer = answer;
-    if (now > one.leavesAt + ANSWER_SLACK) {
-      breach(Rule.ANSWER, now, id + " was answered " + (now - one.leavesAt) / 10 + " ms too late");
+    if (now > one.clientDeadline + ANSWER_SLACK) {
+      violation(
+          Rule.ANSWER,
+          now,
+          id + " was answered " + (now - one.clientDeadline) / 10 + " ms too late");
     }
-    boolean safe = one.track.effect() != Effect.EFFECTFUL;
+    boolean safe = one.requestClass.effect() != Effect.EFFECTFUL;
     if (answer == Answer.TURNED_BACK && !safe && one.mayHaveRun > 0) {
-      breach(Rule.EFFECT, now, id + " was turned back though it may have run");
+      violation(Rule.EFFECT, now, id + " was turned back though it may have run");
     }
     if (answer == Answer.FULFILLED && one.ran == 0) {
-      breach(Rule.ANSWER, now, id + " was fulfilled though no engine ran it");
+      violation(Rule.ANSWER, now, id + " was fulfilled though no engine ran it");
     }
     forget(id, one);
   }
 
   /** What a client was given is not what the engine made. */
   public void wrongResult(long now, String id) {
-    breach(Rule.ANSWER, now, id + " was given another result than its engine's");
+    violation(Rule.ANSWER, now, id + " was given another result than its engine's");
   }
 
   /** The client went with no answer: if its time was up, one was owed. */
@@ -154,7 +158,7 @@
       return;
     }
     if (timeUp && one.answer == null) {
-      breach(Rule.ANSWER, now, id + " was not answered in time");
+      violation(Rule.ANSWER, now, id + " was not answered in time");
     }
     one.left = true;
     forget(id, one);
@@ -210,7 +214,7 @@
     Watched watched = engines.get(engine);
     Case one = cases.get(id);
     if (watched == null || one == null) {
-      breach(
+      violation(
           one == null ? Rule.ANSWER : Rule.DRAIN,
           now,
           "a hop of "
@@ -221,11 +225,11 @@
       return;
     }
     if (one.answer != null || one.left) {
-      breach(Rule.ANSWER, now, "a hop of " + id + " went out after its answer");
+      violation(Rule.ANSWER, now, "a hop of " + id + " went out after its answer");
     }
     Long since = watched.withdrawnFor.get(gateway);
     if (since != null && now > since + fleet.drainGrace()) {
-      breach(
+      violation(
           Rule.DRAIN,
           now,
           id
@@ -237,22 +241,22 @@
               + (now - since) / 10
               + " ms after it was told to be draining or gone");
     }
-    List<String> kinds = one.track.kinds();
+    List<String> kinds = one.requestClass.kinds();
     if (!kinds.isEmpty() && !kinds.contains(fleet.kinds().get(watched.kind).name())) {
-      breach(Rule.PLACEMENT, now, id + " of " + one.track.name() + " went to " + engine);
+      violation(Rule.PLACEMENT, now, id + " of " + one.requestClass.name() + " went to " + engine);
     }
-    if (one.track.effect() == Effect.EFFECTFUL && (one.mayHaveRun > 0 || one.out > 0)) {
-      breach(Rule.EFFECT, now, id + " went out again though it may have run");
+    if (one.requestClass.effect() == Effect.EFFECTFUL && (one.mayHaveRun > 0 || one.out > 0)) {
+      violation(Rule.EFFECT, now, id + " went out again though it may have run");
     }
-    if (one.track.effect() == Effect.RECEIPTED
+    if (one.requestClass.effect() == Effect.RECEIPTED
         && one.firstRunAt != Long.MIN_VALUE
-        && now >= one.firstRunAt + one.track.window()) {
-      breach(Rule.EFFECT, now, id + " went out again after engines forgot its mark");
+        && now >= one.firstRunAt + one.requestClass.window()) {
+      violation(Rule.EFFECT, now, id + " went out again after engines forgot its mark");
     }
     order(now, id, one);
-    hops++;
+    attempts++;
     if (one.sent > 0) {
-      furtherHops++;
+      retries++;
       budget(now, gateway);
     }
     one.sent++;
@@ -265,7 +269,7 @@
   private void order(long now, String id, Case one) {
     ArrayDeque<String> line = one.key == null ? null : lines.get(one.key);
     if (line != null && !id.equals(line.peekFirst())) {
-      breach(
+      violation(
           Rule.ORDER,
           now,
           id + " went out before " + line.peekFirst() + " of the same key was over");
@@ -273,19 +277,19 @@
   }
 
   private void budget(long now, int gateway) {
-    ArrayDeque<Long> hops = further.get(gateway);
-    hops.add(now);
-    drop(hops, now);
+    ArrayDeque<Long> attempts = further.get(gateway);
+    attempts.add(now);
+    drop(attempts, now);
     drop(taken.get(gateway), now);
     double most = fleet.extraFloor() + fleet.furtherRatio() * taken.get(gateway).size();
-    if (hops.size() > most) {
-      breach(
+    if (attempts.size() > most) {
+      violation(
           Rule.BUDGET,
           now,
           "n"
               + gateway
               + " made "
-              + hops.size()
+              + attempts.size()
               + " further hops where "
               + Math.floor(most)
               + " were allowed");
@@ -303,8 +307,8 @@
     Case one = cases.get(id);
     if (one != null) {
       one.ran++;
-      if (one.track.effect() == Effect.EFFECTFUL && one.ran > 1) {
-        breach(Rule.EFFECT, now, id + " ran twice");
+      if (one.requestClass.effect() == Effect.EFFECTFUL && one.ran > 1) {
+        violation(Rule.EFFECT, now, id + " ran twice");
       }
     }
     Watched watched = engines.get(engine);
@@ -331,7 +335,7 @@
     }
     watched.workMost = Math.max(watched.workMost, watched.workSent / able);
     if (watched.workSent > able && fallen.add(engine)) {
-      breach(
+      violation(
           Rule.COLD,
           now,
           engine
@@ -346,11 +350,11 @@
   }
 
   /** A hop ended: known never to have run, or not. */
-  public void over(String id, boolean provesIdle) {
+  public void over(String id, boolean provesNotExecuted) {
     Case one = cases.get(id);
     if (one != null) {
       one.out--;
-      one.mayHaveRun += provesIdle ? 0 : 1;
+      one.mayHaveRun += provesNotExecuted ? 0 : 1;
       if (one.out == 0 && one.mayHaveRun == 0) {
         one.firstRunAt = Long.MIN_VALUE;
       }
@@ -370,17 +374,17 @@
   }
 
   /** The first of each rule. */
-  public List<Violation> breaches() {
-    return breaches;
+  public List<Violation> violations() {
+    return violations;
   }
 
-  public long hops() {
-    return hops;
+  public long attempts() {
+    return attempts;
   }
 
   /** Those beyond each submission's first. */
-  public long furtherHops() {
-    return furtherHops;
+  public long retries() {
+    return retries;
   }
 
   /** How many submissions it still watches. */
--- a/audit/src/test/java/tillerlink/audit/AuditorTest.java
+++ b/audit/src/test/java/tillerlink/audit/AuditorTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /** A break of each rule is planted, and found; beside each stands the same story without it. */
 class AuditorTest {
@@ -20,25 +20,26 @@
   private final Auditor auditor;
 
   AuditorTest() {
-    List<Track> tracks =
+    List<RequestClassSpec> requestClasses =
         List.of(
-            track("pure", Effect.PURE),
-            track("receipted", Effect.RECEIPTED),
-            track("effectful", Effect.EFFECTFUL),
-            track("bound", Effect.PURE, "small-8"),
-            track("ordered", Effect.PURE));
-    auditor = new Auditor(Fleet.builtIn(2), tracks, false, false, false, false, true);
+            requestClass("pure", Effect.PURE),
+            requestClass("receipted", Effect.RECEIPTED),
+            requestClass("effectful", Effect.EFFECTFUL),
+            requestClass("bound", Effect.PURE, "small-8"),
+            requestClass("ordered", Effect.PURE));
+    auditor = new Auditor(Fleet.builtIn(2), requestClasses, false, false, false, false, true);
     auditor.engineUp("e1", 0, 0);
     auditor.engineUp("big", 1, 0);
     auditor.engineUp("cold", 0, T - 10_000);
   }
 
-  private static Track track(String name, Effect effect, String... kinds) {
-    return new Track(name, effect, 1, 10_000, 50_000, 1, 0, List.of(kinds), 20_000, 100, List.of());
+  private static RequestClassSpec requestClass(String name, Effect effect, String... kinds) {
+    return new RequestClassSpec(
+        name, effect, 1, 10_000, 50_000, 1, 0, List.of(kinds), 20_000, 100, List.of());
   }
 
-  private AuditorTest taken(String id, int track, String key) {
-    auditor.taken(T, 0, id, track, key, T + 50_000);
+  private AuditorTest taken(String id, int requestClass, String key) {
+    auditor.taken(T, 0, id, requestClass, key, T + 50_000);
     return this;
   }
 
@@ -51,9 +52,10 @@
   private void found(String wanted) {
     StringBuilder all = new StringBuilder();
     auditor
-        .breaches()
+        .violations()
         .forEach(
-            breach -> all.append(breach.rule()).append(": ").append(breach.what()).append('\n'));
+            violation ->
+                all.append(violation.rule()).append(": ").append(violation.what()).append('\n'));
     assertEquals(wanted, all.toString());
   }
 
--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -55,7 +55,7 @@
   public void start() {
     Fleet fleet = Fleet.of(100, engines);
     Map<String, Object> settings =
-        FlattenedConfig.of(fleet.settings(BuiltIn.tracks(Layout.ALIBABA_2018), 0));
+        FlattenedConfig.of(fleet.settings(BuiltIn.requestClasses(Layout.ALIBABA_2018), 0));
     policy = new DefaultDispatchPolicy(now, 7, settings, new Nobody());
     for (Spec spec : fleet.engines()) {
       list.add(
@@ -88,9 +88,9 @@
   public void decision() {
     now += 10;
     Request oldest = out.remove(0);
-    if (!oldest.hops.isEmpty()) {
-      Attempt hop = oldest.hops.get(oldest.hops.size() - 1);
-      policy.onAttemptEnded(now, hop, AttemptOutcome.FULFILLED, LAG, true, 0, 0, null);
+    if (!oldest.attempts.isEmpty()) {
+      Attempt attempt = oldest.attempts.get(oldest.attempts.size() - 1);
+      policy.onAttemptEnded(now, attempt, AttemptOutcome.SUCCEEDED, LAG, true, 0, 0, null);
     }
     submit();
   }
@@ -98,27 +98,27 @@
   /** Takes orders and does nothing. */
   private static final class Nobody implements DispatchActions {
     @Override
-    public void updatePriorityAndGrant(Request submission, int rank, long grant) {
+    public void updatePriorityAndGrant(Request request, int rank, long grant) {
       // Nothing is told on.
     }
 
     @Override
-    public void sendAttempt(Attempt hop) {
+    public void sendAttempt(Attempt attempt) {
       // It is out from here on.
     }
 
     @Override
-    public void cancelAttempt(Attempt hop) {
+    public void cancelAttempt(Attempt attempt) {
       // Nothing runs.
     }
 
     @Override
-    public void rejectRequest(Request submission, long comeBack) {
+    public void rejectRequest(Request request, long retryAfter) {
       // Nobody waits.
     }
 
     @Override
-    public void failRequest(Request submission) {
+    public void failRequest(Request request) {
       // Nobody waits.
     }
 
--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -13,7 +13,7 @@
 import tillerlink.replay.GatewayConnections;
 import tillerlink.replay.Wording;
 import tillerlink.workload.Arrival;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * Engine lines against HTTP/2, side by side in one run on one thread, in virtual time: connections
@@ -23,9 +23,10 @@
 public final class LinesAgainstHttp2 {
   private static final long START = 17_000_000_000_000L;
   private static final int ROUNDS = 4;
-  private static final int SUBMISSIONS = 20_000;
-  private static final Track TRACK =
-      new Track("look", Effect.PURE, 1, 200_000, 400_000, 1, 0.5, List.of(), 0, 1, List.of());
+  private static final int REQUESTS = 20_000;
+  private static final RequestClassSpec REQUEST_CLASS =
+      new RequestClassSpec(
+          "look", Effect.PURE, 1, 200_000, 400_000, 1, 0.5, List.of(), 0, 1, List.of());
 
   private LinesAgainstHttp2() {}
 
@@ -40,7 +41,8 @@
 
   private static World world(boolean http2) {
     Fleet fleet = Fleet.of(1, 30).overHttp2(kind -> http2);
-    return new World(fleet, List.of(TRACK), new Auditor(fleet, List.of(TRACK)), START)
+    return new World(
+            fleet, List.of(REQUEST_CLASS), new Auditor(fleet, List.of(REQUEST_CLASS)), START)
         .seat(DefaultDispatchPolicy::new, 1);
   }
 
@@ -48,7 +50,10 @@
     World world = world(http2);
     Front front =
         new Front(
-            world, new GatewayConnections(world), new Figures(List.of(TRACK)), new Wording(1, 0));
+            world,
+            new GatewayConnections(world),
+            new Figures(List.of(REQUEST_CLASS)),
+            new Wording(1, 0));
     for (int i = 0; i < 1000; i++) {
       Arrival arrival = new Arrival(i * 10, i, 0, 60_000, 1, i % 64, i);
       world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
@@ -71,27 +76,27 @@
   private static void atHalfLoad(boolean http2) {
     World world = world(http2);
     world.meter = new Meter();
-    Figures figures = new Figures(List.of(TRACK));
+    Figures figures = new Figures(List.of(REQUEST_CLASS));
     Front front = new Front(world, new GatewayConnections(world), figures, new Wording(1, 0.2));
     double gap = 500 / (world.fleet.cores() * 0.5);
-    for (int i = 0; i < SUBMISSIONS; i++) {
+    for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival = new Arrival((long) (i * gap), i, 0, 500, 1, i % 64, i);
       world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
     }
     long began = System.nanoTime();
-    while (figures.arrived() < SUBMISSIONS || front.open() > 0) {
+    while (figures.arrived() < REQUESTS || front.open() > 0) {
       world.timeline.step();
     }
     double seconds = (System.nanoTime() - began) / 1e9;
-    Figures.OfTrack of = figures.tracks().get(0);
+    Figures.OfRequestClass of = figures.requestClasses().get(0);
     System.out.printf(
         Locale.ROOT,
         "%s: %.1f us and %d bytes of a gateway a submission, %.0f a second with "
             + "all stand-ins, half in %.1f ms, 99 of 100 in %.1f ms, %d connections%n",
         name(http2),
-        world.meter.nanos() / 1e3 / SUBMISSIONS,
-        world.meter.bytes() / SUBMISSIONS,
-        SUBMISSIONS / seconds,
+        world.meter.nanos() / 1e3 / REQUESTS,
+        world.meter.bytes() / REQUESTS,
+        REQUESTS / seconds,
         of.timeMs(50),
         of.timeMs(99),
         world.seats.get(0).links());
--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -41,7 +41,7 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class MemberMessages {
-  private static final int RUMOURS = 6;
+  private static final int UPDATES = 6;
   private static final JsonFactory JSON = new JsonFactory();
 
   private MemberMessage.Probe probe;
@@ -51,9 +51,9 @@
 
   @Setup
   public void make() throws IOException, MalformedMessageException {
-    List<GossipUpdate> rumours = new ArrayList<>();
-    for (int i = 0; i < RUMOURS; i++) {
-      rumours.add(
+    List<GossipUpdate> updates = new ArrayList<>();
+    for (int i = 0; i < UPDATES; i++) {
+      updates.add(
           new GossipUpdate(
               "north-" + i,
               i % 2 == 0 ? MemberStatus.ALIVE : MemberStatus.SUSPECTED,
@@ -68,7 +68,7 @@
             0x1f2e3d4c5b6a7988L,
             "south-2",
             SuspicionLevel.NONE,
-            rumours);
+            updates);
     fields = writeFields();
     places = writePlaces();
     json = writeJson();
@@ -98,13 +98,13 @@
     put(out, probe.card());
     out.putLong(probe.number());
     put(out, probe.target());
-    out.put((byte) probe.rumours().size());
-    for (GossipUpdate rumour : probe.rumours()) {
-      put(out, rumour.name());
-      out.put((byte) rumour.standing().ordinal());
-      put(out, rumour.card());
-      put(out, rumour.by());
-      out.putLong(rumour.age());
+    out.put((byte) probe.updates().size());
+    for (GossipUpdate update : probe.updates()) {
+      put(out, update.name());
+      out.put((byte) update.standing().ordinal());
+      put(out, update.card());
+      put(out, update.by());
+      out.putLong(update.age());
     }
     byte[] bytes = new byte[out.position()];
     out.flip().get(bytes);
@@ -130,13 +130,13 @@
     long number = in.getLong();
     String target = text(in);
     int count = in.get();
-    List<GossipUpdate> rumours = new ArrayList<>(count);
+    List<GossipUpdate> updates = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      rumours.add(
+      updates.add(
           new GossipUpdate(
               text(in), MemberStatus.values()[in.get()], card(in), text(in), in.getLong()));
     }
-    return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, rumours);
+    return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, updates);
   }
 
   private static MemberInfo card(ByteBuffer in) {
@@ -161,13 +161,13 @@
       out.writeNumberField("number", probe.number());
       out.writeStringField("target", probe.target());
       out.writeArrayFieldStart("rumours");
-      for (GossipUpdate rumour : probe.rumours()) {
+      for (GossipUpdate update : probe.updates()) {
         out.writeStartObject();
-        out.writeStringField("name", rumour.name());
-        out.writeNumberField("standing", rumour.standing().ordinal());
-        card(out, rumour.card());
-        out.writeStringField("by", rumour.by());
-        out.writeNumberField("age", rumour.age());
+        out.writeStringField("name", update.name());
+        out.writeNumberField("standing", update.standing().ordinal());
+        card(out, update.card());
+        out.writeStringField("by", update.by());
+        out.writeNumberField("age", update.age());
         out.writeEndObject();
       }
       out.writeEndArray();
@@ -191,7 +191,7 @@
       MemberInfo card = null;
       long number = 0;
       String target = "";
-      List<GossipUpdate> rumours = new ArrayList<>();
+      List<GossipUpdate> updates = new ArrayList<>();
       in.nextToken();
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String name = in.currentName();
@@ -202,17 +202,17 @@
           case "target" -> target = in.getText();
           case "rumours" -> {
             while (in.nextToken() == JsonToken.START_OBJECT) {
-              rumours.add(rumour(in));
+              updates.add(update(in));
             }
           }
           default -> in.skipChildren();
         }
       }
-      return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, rumours);
+      return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, updates);
     }
   }
 
-  private static GossipUpdate rumour(JsonParser in) throws IOException {
+  private static GossipUpdate update(JsonParser in) throws IOException {
     String called = "";
     int standing = 0;
     MemberInfo card = null;
--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -56,7 +56,7 @@
   private static final int KINDS_MOST = 1024;
 
   private final Terms terms;
-  private final MembershipView roster;
+  private final MembershipView membership;
   private final Consumer<String> log;
   private final Journal journal;
   private final Store store;
@@ -85,21 +85,21 @@
    */
   public Channels(
       Terms terms,
-      MembershipView roster,
+      MembershipView membership,
       MessageSender post,
       KeyValueStore keep,
       RandomGenerator random,
       long wall,
       Consumer<String> log) {
     this.terms = terms;
-    this.roster = roster;
+    this.membership = membership;
     this.random = random;
     this.log = log;
     this.wall = wall;
     journal = new Journal(terms.counted());
     store = new Store(keep);
     stamps = new HybridLogicalClock(terms.aheadMillis());
-    wire = new ChannelTransport(roster, post, random);
+    wire = new ChannelTransport(membership, post, random);
     fetcher = new Fetcher(journal, wire);
     server = new Server(journal, wire);
     store.load(journal);
@@ -109,7 +109,7 @@
     stamps.saw(journal.upTo());
     agreement =
         new EpochConsensus(
-            roster.self(),
+            membership.self(),
             incarnation,
             terms.counted(),
             terms.absentAfter(),
@@ -140,7 +140,7 @@
   /**
    * @param bytesMost about so many bytes of events, at least one event
    */
-  public Page read(String channel, long from, int bytesMost) {
+  public Page read(String channel, long from, int maxBytes) {
     ChannelLog of = journal.logs().get(channel);
     if (of == null) {
       return new Page(0, 0, List.of(), false);
@@ -151,7 +151,7 @@
     for (; index < of.stableCount(); index++) {
       OrderedEvent placed = of.stable(index);
       bytes += placed.entry().weight();
-      if (bytes > bytesMost && !lines.isEmpty()) {
+      if (bytes > maxBytes && !lines.isEmpty()) {
         return new Page(of.first(), of.stableCount(), lines, true);
       }
       lines.add(new Page.Line(index, placed.entry(), true, placed.late(), placed.repeat()));
@@ -160,7 +160,7 @@
     for (Entry entry : of.tail()) {
       if (at >= index) {
         bytes += entry.weight();
-        if (bytes > bytesMost && !lines.isEmpty()) {
+        if (bytes > maxBytes && !lines.isEmpty()) {
           return new Page(of.first(), of.stableCount(), lines, true);
         }
         lines.add(
@@ -257,7 +257,7 @@
             "stable events up to step "
                 + report.applied()
                 + " differ between "
-                + roster.self()
+                + membership.self()
                 + " and "
                 + from);
     stamps.heard(now, from, report.wall());
@@ -266,7 +266,7 @@
         .others()
         .forEach(
             other -> {
-              if (!other.gateway().equals(roster.self())) {
+              if (!other.gateway().equals(membership.self())) {
                 standings.take(now, other);
               }
             });
@@ -336,7 +336,7 @@
       return;
     }
     stamps.saw(entry.stamp());
-    if (entry.gateway().equals(roster.self())) {
+    if (entry.gateway().equals(membership.self())) {
       ownTakenBack++;
       say(
           "own",
@@ -418,7 +418,7 @@
 
   private Standing standing() {
     long floor = stamps.floor(now, wall);
-    return new Standing(roster.self(), incarnation, writer.floor(floor), writer.top());
+    return new Standing(membership.self(), incarnation, writer.floor(floor), writer.top());
   }
 
   private long reportDue() {
--- a/channels/src/main/java/tillerlink/channels/Writer.java
+++ b/channels/src/main/java/tillerlink/channels/Writer.java
@@ -27,7 +27,7 @@
   private record Asker(AppendRequest draft, Consumer<AppendResult> answer) {}
 
   private final Terms terms;
-  private final MembershipView roster;
+  private final MembershipView membership;
   private final Journal journal;
   private final Store store;
   private final HybridLogicalClock stamps;
@@ -55,7 +55,7 @@
       long incarnation,
       BiConsumer<String, String> say) {
     this.terms = terms;
-    roster = wire.roster();
+    membership = wire.membership();
     this.journal = journal;
     this.store = store;
     this.stamps = stamps;
@@ -172,8 +172,8 @@
       long wall, String channel, AppendRequest draft, Consumer<AppendResult> answer) {
     Entry entry =
         new Entry(
-            roster.self(),
-            roster.site(roster.self()),
+            membership.self(),
+            membership.site(membership.self()),
             incarnation,
             sequence + 1,
             stamps.next(wall),
@@ -186,7 +186,8 @@
             over(channel, draft),
             seen());
     if (pending.size() >= PENDING_MOST
-        || !room.takes(journal, channel, entry.weight(), roster.names().size() + 1, pendingBytes)) {
+        || !room.takes(
+            journal, channel, entry.weight(), membership.names().size() + 1, pendingBytes)) {
       say.accept(
           "full",
           "channel " + channel + " is full of events that are not agreed on: appends are refused");
--- a/channels/src/main/java/tillerlink/channels/consensus/EpochConsensus.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/EpochConsensus.java
@@ -318,14 +318,14 @@
     TreeSet<String> waitedFor = new TreeSet<>();
     caughtUp.add(self);
     waitedFor.add(self);
-    for (String name : wire.roster().names()) {
+    for (String name : wire.membership().names()) {
       ChannelsMessage.Report report = fetcher.report(name);
       if (report != null
           && now - fetcher.reportAt(name) < FRESH
           && report.applied() == journal.applied()) {
         caughtUp.add(name);
       }
-      Reachability reach = wire.roster().reachability(name);
+      Reachability reach = wire.membership().reachability(name);
       if (reach.talksTo() || reach == Reachability.GONE && counted.contains(name)) {
         waitedFor.add(name);
       }
--- a/channels/src/main/java/tillerlink/channels/entry/AppendResult.java
+++ b/channels/src/main/java/tillerlink/channels/entry/AppendResult.java
@@ -10,5 +10,5 @@
   /**
    * @param comeBack tenths of a millisecond after which asking again may help; 0 if it won't
    */
-  record Refused(String why, long comeBack) implements AppendResult {}
+  record Refused(String why, long retryAfter) implements AppendResult {}
 }
--- a/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
+++ b/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
@@ -16,14 +16,14 @@
    */
   private static final int ALL_MOST = 12;
 
-  private final MembershipView roster;
+  private final MembershipView membership;
   private final MessageSender post;
   private final RandomGenerator random;
   private long sent;
   private long sentBytes;
 
-  public ChannelTransport(MembershipView roster, MessageSender post, RandomGenerator random) {
-    this.roster = roster;
+  public ChannelTransport(MembershipView membership, MessageSender post, RandomGenerator random) {
+    this.membership = membership;
     this.post = post;
     this.random = random;
   }
@@ -49,8 +49,8 @@
 
   private List<String> some(List<String> always) {
     List<String> names = new ArrayList<>();
-    for (String name : roster.names()) {
-      if (roster.reachability(name).talksTo()) {
+    for (String name : membership.names()) {
+      if (membership.reachability(name).talksTo()) {
         names.add(name);
       }
     }
@@ -69,8 +69,8 @@
     return chosen;
   }
 
-  public MembershipView roster() {
-    return roster;
+  public MembershipView membership() {
+    return membership;
   }
 
   public long sent() {
--- a/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
@@ -158,7 +158,7 @@
     }
     for (Map.Entry<String, Source> each : sources.entrySet()) {
       if (now - each.getValue().reportAt <= HEARD_FOR
-          && wire.roster().reachability(each.getKey()).talksTo()) {
+          && wire.membership().reachability(each.getKey()).talksTo()) {
         ask(now, each.getKey(), each.getValue());
       }
     }
--- a/emulator/src/main/java/tillerlink/baseline/Baseline.java
+++ b/emulator/src/main/java/tillerlink/baseline/Baseline.java
@@ -32,10 +32,10 @@
 
   private static final long MARGIN = 200;
 
-  private record Due(long at, long number, Request submission) {}
+  private record Due(long at, long number, Request request) {}
 
   private final Choice choice;
-  private final DispatchActions orders;
+  private final DispatchActions actions;
   private final Random random;
   private final Settings settings;
   private final Map<Engine, Integer> out = new IdentityHashMap<>();
@@ -46,15 +46,16 @@
           java.util.Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
   private long number;
 
-  private Baseline(Choice choice, long seed, Map<String, Object> settings, DispatchActions orders) {
+  private Baseline(
+      Choice choice, long seed, Map<String, Object> settings, DispatchActions actions) {
     this.choice = choice;
-    this.orders = orders;
+    this.actions = actions;
     this.settings = new Settings(settings);
     random = new Random(seed);
   }
 
   public static DispatchPolicyFactory of(Choice choice) {
-    return (now, seed, settings, orders) -> new Baseline(choice, seed, settings, orders);
+    return (now, seed, settings, actions) -> new Baseline(choice, seed, settings, actions);
   }
 
   @Override
@@ -87,7 +88,7 @@
 
   @Override
   public void onRequestArrived(long now, Request s) {
-    List<Integer> kinds = settings.numbers("profiles." + s.trackIndex + ".models_allowed");
+    List<Integer> kinds = settings.numbers("profiles." + s.classIndex + ".models_allowed");
     Engine best = null;
     double least = Double.MAX_VALUE;
     for (Engine engine : engines) {
@@ -101,27 +102,27 @@
       }
     }
     if (best == null) {
-      end(s, RequestOutcome.TURNED_BACK);
+      end(s, RequestOutcome.REJECTED);
       return;
     }
-    Attempt hop = new Attempt(s, best, now, 0, 0, false);
-    hop.sent = true;
-    s.hops.add(hop);
-    s.hopsOut++;
+    Attempt attempt = new Attempt(s, best, now, 0, 0, false);
+    attempt.sent = true;
+    s.attempts.add(attempt);
+    s.attemptsInFlight++;
     out.merge(best, 1, Integer::sum);
-    wanted.add(() -> orders.sendAttempt(hop));
-    due.add(new Due(s.leavesAt - MARGIN, number++, s));
+    wanted.add(() -> actions.sendAttempt(attempt));
+    due.add(new Due(s.clientDeadline - MARGIN, number++, s));
   }
 
   private void end(Request s, RequestOutcome how) {
-    if (s.ending == null) {
-      s.ending = how;
+    if (s.outcome == null) {
+      s.outcome = how;
       wanted.add(
           () -> {
-            if (how == RequestOutcome.TURNED_BACK) {
-              orders.rejectRequest(s, 0);
+            if (how == RequestOutcome.REJECTED) {
+              actions.rejectRequest(s, 0);
             } else {
-              orders.failRequest(s);
+              actions.failRequest(s);
             }
           });
     }
@@ -129,51 +130,53 @@
 
   @Override
   public void onShutdownDeadline(long now, Request s) {
-    end(s, RequestOutcome.BROKEN_OFF);
+    end(s, RequestOutcome.FAILED);
   }
 
   @Override
-  public void onResponseStarted(long now, Attempt hop) {
+  public void onResponseStarted(long now, Attempt attempt) {
     // Answers are whole here.
   }
 
   @Override
-  public void onAttemptProgress(long now, Attempt hop, AttemptProgress note, double level) {
+  public void onAttemptProgress(long now, Attempt attempt, AttemptProgress note, double level) {
     // Not heeded.
   }
 
   @Override
   public void onAttemptEnded(
       long now,
-      Attempt hop,
+      Attempt attempt,
       AttemptOutcome outcome,
       long lag,
       boolean answered,
       double work,
       double memory,
       double[] report) {
-    Request s = hop.submission;
-    hop.outcome = outcome;
-    s.hopsOut--;
-    out.merge(hop.engine, -1, Integer::sum);
-    if (answered && s.ending == null) {
-      s.ending =
-          outcome == AttemptOutcome.FULFILLED ? RequestOutcome.FULFILLED : RequestOutcome.LEFT;
+    Request s = attempt.request;
+    attempt.outcome = outcome;
+    s.attemptsInFlight--;
+    out.merge(attempt.engine, -1, Integer::sum);
+    if (answered && s.outcome == null) {
+      s.outcome =
+          outcome == AttemptOutcome.SUCCEEDED
+              ? RequestOutcome.SUCCEEDED
+              : RequestOutcome.CLIENT_DISCONNECTED;
     }
-    boolean pure = settings.text("profiles." + s.trackIndex + ".semantics").equals("repeatable");
-    end(s, outcome.provesIdle || pure ? RequestOutcome.TURNED_BACK : RequestOutcome.BROKEN_OFF);
+    boolean pure = settings.text("profiles." + s.classIndex + ".semantics").equals("repeatable");
+    end(s, outcome.provesNotExecuted || pure ? RequestOutcome.REJECTED : RequestOutcome.FAILED);
   }
 
   @Override
   public void onClientDisconnected(long now, Request s) {
-    s.ending = s.ending == null ? RequestOutcome.LEFT : s.ending;
-    callOff(s);
+    s.outcome = s.outcome == null ? RequestOutcome.CLIENT_DISCONNECTED : s.outcome;
+    cancel(s);
   }
 
-  private void callOff(Request s) {
-    for (Attempt hop : s.hops) {
-      if (hop.isOut()) {
-        wanted.add(() -> orders.cancelAttempt(hop));
+  private void cancel(Request s) {
+    for (Attempt attempt : s.attempts) {
+      if (attempt.isOut()) {
+        wanted.add(() -> actions.cancelAttempt(attempt));
       }
     }
   }
@@ -186,21 +189,21 @@
   @Override
   public void applyDecisions(long now) {
     while (!due.isEmpty() && due.peek().at <= now) {
-      Request s = due.poll().submission;
-      if (s.ending == null) {
-        end(s, RequestOutcome.BROKEN_OFF);
-        callOff(s);
+      Request s = due.poll().request;
+      if (s.outcome == null) {
+        end(s, RequestOutcome.FAILED);
+        cancel(s);
       }
     }
     for (int i = 0; i < wanted.size(); i++) {
       wanted.get(i).run();
     }
     wanted.clear();
-    while (!due.isEmpty() && due.peek().submission.ending != null) {
+    while (!due.isEmpty() && due.peek().request.outcome != null) {
       due.poll();
     }
     if (!due.isEmpty()) {
-      orders.scheduleWakeup(due.peek().at);
+      actions.scheduleWakeup(due.peek().at);
     }
   }
 }
--- a/emulator/src/main/java/tillerlink/emulator/AttemptObserver.java
+++ b/emulator/src/main/java/tillerlink/emulator/AttemptObserver.java
@@ -12,7 +12,7 @@
   private final Auditor auditor;
   private final int gateway;
   private final String engine;
-  private final Set<String> hops = new LinkedHashSet<>();
+  private final Set<String> attempts = new LinkedHashSet<>();
 
   public AttemptObserver(Auditor auditor, int gateway, String engine) {
     this.auditor = auditor;
@@ -24,7 +24,7 @@
   public void goesOut(long now, Command command) {
     switch (command.word()) {
       case WANT -> {
-        hops.add(command.id());
+        attempts.add(command.id());
         auditor.sent(now, gateway, engine, command.id());
       }
       case NEVER_MIND -> over(command.id(), false);
@@ -32,9 +32,9 @@
     }
   }
 
-  private void over(String id, boolean provesIdle) {
-    if (hops.remove(id)) {
-      auditor.over(id, provesIdle);
+  private void over(String id, boolean provesNotExecuted) {
+    if (attempts.remove(id)) {
+      auditor.over(id, provesNotExecuted);
     }
   }
 
@@ -54,11 +54,11 @@
 
   /** The same for those of which a test holds. */
   public void disowned(Predicate<String> which) {
-    hops.stream().filter(which).toList().forEach(this::disowned);
+    attempts.stream().filter(which).toList().forEach(this::disowned);
   }
 
   /** The connection is over. */
-  public void ended(boolean provesIdle) {
-    Set.copyOf(hops).stream().sorted().forEach(id -> over(id, provesIdle));
+  public void ended(boolean provesNotExecuted) {
+    Set.copyOf(attempts).stream().sorted().forEach(id -> over(id, provesNotExecuted));
   }
 }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
@@ -25,7 +25,7 @@
   private final Owner owner;
   private final EmulatedEngine engine;
   private final long delay;
-  private final AttemptObserver hops;
+  private final AttemptObserver attempts;
   private final LineProtocolServer side;
 
   /** What goes out at the gateway: the same reader as at the other end. */
@@ -59,7 +59,7 @@
     Kind kind = engine == null ? null : world.fleet.kinds().get(engine.spec.kind());
     side = kind == null ? new LineProtocolServer.Lines() : world.sides.apply(engine.spec);
     outgoing = kind == null ? new LineProtocolServer.Lines() : kind.side();
-    hops =
+    attempts =
         new AttemptObserver(world.auditor, seat.place, engine == null ? "?" : engine.spec.name());
     world.timeline.at(world.now() + 2 * delay, this::comeUp);
   }
@@ -87,12 +87,12 @@
     }
     outgoing.feed(bytes);
     for (Command command = outgoing.next(); command != null; command = outgoing.next()) {
-      hops.goesOut(world.now(), command);
+      attempts.goesOut(world.now(), command);
     }
     if (heard) {
       // What the engine had said before that it will not take surely never runs, though it crossed
       // its word.
-      hops.disowned(id -> side.leftBehind(outgoing, id));
+      attempts.disowned(id -> side.leftBehind(outgoing, id));
     }
     int way = world.choices.choose("to the engine", 4);
     tellWritten(world.choices.choose("word of a write", 2) == 1);
@@ -158,7 +158,7 @@
     } catch (IllegalArgumentException e) {
       cut(DisconnectReason.CLOSED_BY_PEER);
     }
-    side.disowned().forEach(hops::disowned);
+    side.disowned().forEach(attempts::disowned);
     travel(side.owed());
   }
 
@@ -176,7 +176,7 @@
           inAt,
           () -> {
             heard = true;
-            hops.disowned(id -> side.leftBehind(outgoing, id));
+            attempts.disowned(id -> side.leftBehind(outgoing, id));
             seat.post(
                 life,
                 () -> {
@@ -196,7 +196,7 @@
         Math.max(inAt, world.now() + delay),
         () -> {
           if (!over) {
-            hops.comesBack(what);
+            attempts.comesBack(what);
           }
         });
   }
@@ -217,11 +217,11 @@
     }
   }
 
-  private void end(boolean provesIdle) {
+  private void end(boolean provesNotExecuted) {
     over = true;
     seat.forget(this);
-    hops.disowned(id -> side.leftBehind(outgoing, id));
-    hops.ended(provesIdle);
+    attempts.disowned(id -> side.leftBehind(outgoing, id));
+    attempts.ended(provesNotExecuted);
     if (up) {
       engine.disconnected(this);
     }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
@@ -56,13 +56,13 @@
     }
     gateway =
         new Gateway(
-            world.fleet.assignment(place, seeds.nextLong(), world.tracks, world.news()),
+            world.fleet.assignment(place, seeds.nextLong(), world.requestClasses, world.news()),
             modules,
             this,
             world.now(),
             BYTES_MOST,
-            world.fleet.carriers(),
-            world.recalls.apply(place),
+            world.fleet.transports(),
+            world.endpointCaches.apply(place),
             Telemetry.silent());
     post(() -> {});
   }
@@ -89,8 +89,8 @@
   }
 
   /** A client connects. */
-  public Channel.Owner accept(Channel pipe) {
-    return gateway.accepted(pipe);
+  public Channel.Owner accept(Channel channel) {
+    return gateway.accepted(channel);
   }
 
   /** Counts its starts and ends: what was meant for one that was killed does not reach the next. */
--- a/emulator/src/main/java/tillerlink/emulator/World.java
+++ b/emulator/src/main/java/tillerlink/emulator/World.java
@@ -23,7 +23,7 @@
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.port.DispatchPolicyFactory;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * Engines, their list and gateways in virtual time. The same seed and events give the same world on
@@ -41,7 +41,7 @@
   private static final long LIST_DELAY = 2 * Fleet.SECOND;
 
   public final Fleet fleet;
-  public final List<Track> tracks;
+  public final List<RequestClassSpec> requestClasses;
   public final Timeline timeline;
   public final Auditor auditor;
   public final List<EmulatedGateway> seats = new ArrayList<>();
@@ -50,7 +50,7 @@
   public Function<Spec, LineProtocolServer> sides;
 
   /** What each gateway remembers over a restart, by its place; null for nothing. */
-  public IntFunction<EndpointCache> recalls = place -> null;
+  public IntFunction<EndpointCache> endpointCaches = place -> null;
 
   /** Until then the name service answers nobody, and a gateway that starts is told nothing. */
   public long namesDownUntil;
@@ -82,14 +82,16 @@
   long turns;
 
   /** Engines and their list; who the gateways are is seen to by others. */
-  public World(Fleet fleet, List<Track> tracks, Auditor auditor, long start) {
+  public World(Fleet fleet, List<RequestClassSpec> requestClasses, Auditor auditor, long start) {
     this.fleet = fleet;
     sides = spec -> fleet.kinds().get(spec.kind()).side();
-    this.tracks = tracks;
+    this.requestClasses = requestClasses;
     this.auditor = auditor;
     this.start = start;
     timeline = new Timeline(start);
-    receipts = new DeduplicationLog(tracks.stream().mapToLong(Track::window).max().orElse(0));
+    receipts =
+        new DeduplicationLog(
+            requestClasses.stream().mapToLong(RequestClassSpec::window).max().orElse(0));
     for (Spec spec : fleet.engines()) {
       up(spec, 0);
     }
--- a/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
@@ -32,10 +32,10 @@
   /**
    * @param within the folder under which each gateway has its own, by its name
    * @param ageMost tenths of a millisecond from which on a list is not trusted at all
-   * @param bytesMost how much may be kept
+   * @param maxBytes how much may be kept
    */
   public static EndpointCache open(
-      Path within, GatewayConfig assignment, long ageMost, long bytesMost) {
+      Path within, GatewayConfig assignment, long ageMost, long maxBytes) {
     Settings terms = new Settings(FlattenedConfig.of(assignment.terms()));
     long longest = 1;
     for (int i = 0; i < terms.number("profiles", 0); i++) {
@@ -48,7 +48,7 @@
               new FileSystemDirectory(within.resolve(assignment.name())),
               owner(assignment.name()),
               SEGMENT_MOST,
-              bytesMost);
+              maxBytes);
       RecoveryReport found = table.open();
       found.told().forEach(line -> LOG.atWarn().addKeyValue("store", found.state()).log(line));
       if (found.usable()) {
--- a/fakes/src/main/java/tillerlink/fakes/EngineCommands.java
+++ b/fakes/src/main/java/tillerlink/fakes/EngineCommands.java
@@ -22,14 +22,20 @@
   /**
    * One command.
    *
-   * @param track the class of a request, or empty
+   * @param requestClass the class of a request, or empty
    * @param limit how long the gateway waits, in milliseconds
    * @param nonce the mark against repeats, or null
    * @param page the page that is asked for
    * @param statement what is to run
    */
   public record Command(
-      Word word, String id, String track, long limit, String nonce, int page, byte[] statement) {}
+      Word word,
+      String id,
+      String requestClass,
+      long limit,
+      String nonce,
+      int page,
+      byte[] statement) {}
 
   private byte[] kept = new byte[256];
   private int from;
@@ -71,7 +77,8 @@
       throw new IllegalArgumentException("a length that does not fit");
     }
     from += bodyLength + 2;
-    Command whole = new Command(head.word, head.id, head.track, head.limit, head.nonce, 0, body);
+    Command whole =
+        new Command(head.word, head.id, head.requestClass, head.limit, head.nonce, 0, body);
     head = null;
     return whole;
   }
@@ -115,21 +122,21 @@
     if (words.length != 4) {
       throw new IllegalArgumentException("a request of " + words.length + " words");
     }
-    String track = "";
+    String requestClass = "";
     long limit = 0;
     String nonce = null;
     for (String field : words[2].split(",")) {
       int sign = field.indexOf('=');
       String value = field.substring(sign + 1);
       switch (sign < 0 ? "" : field.substring(0, sign)) {
-        case "cls" -> track = value;
+        case "cls" -> requestClass = value;
         case "limit" -> limit = whole(value);
         case "nonce" -> nonce = value;
         default -> {}
       }
     }
     bodyLength = whole(words[3]);
-    return new Command(Word.WANT, words[1], track, limit, nonce, 0, null);
+    return new Command(Word.WANT, words[1], requestClass, limit, nonce, 0, null);
   }
 
   private static int whole(String text) {
--- a/fakes/src/main/java/tillerlink/fakes/Http2Server.java
+++ b/fakes/src/main/java/tillerlink/fakes/Http2Server.java
@@ -51,7 +51,7 @@
   private final FrameWriter writer = new FrameWriter();
   private final HPackDecoder decoder = new HPackDecoder(TABLE, StandardCharsets.US_ASCII);
   private final Map<Integer, Stream> streams = new LinkedHashMap<>();
-  private final Map<String, Integer> byHop = new HashMap<>();
+  private final Map<String, Integer> byAttempt = new HashMap<>();
   private final List<String> disowned = new ArrayList<>();
   private final ArrayDeque<Command> commands = new ArrayDeque<>();
   private long window = Frame.WINDOW_AT_START;
@@ -116,8 +116,8 @@
   }
 
   /** The stream of a hop that is open, or null. */
-  public Integer streamOf(String hop) {
-    return byHop.get(hop);
+  public Integer streamOf(String attempt) {
+    return byAttempt.get(attempt);
   }
 
   public int highest() {
@@ -136,8 +136,8 @@
   }
 
   @Override
-  public boolean leftBehind(LineProtocolServer sender, String hop) {
-    Integer id = ((Http2Server) sender).byHop.get(hop);
+  public boolean leftBehind(LineProtocolServer sender, String attempt) {
+    Integer id = ((Http2Server) sender).byAttempt.get(attempt);
     return id != null && id > goneAbove;
   }
 
@@ -161,9 +161,9 @@
 
   private void disown(Stream stream) {
     over(stream);
-    String hop = stream.headers.get("hop-id");
-    if (hop != null) {
-      disowned.add(hop);
+    String attempt = stream.headers.get("hop-id");
+    if (attempt != null) {
+      disowned.add(attempt);
     }
   }
 
@@ -202,9 +202,9 @@
       case Frame.RST_STREAM -> {
         Stream stream = streams.remove(frame.stream());
         if (stream != null) {
-          String hop = stream.headers.getOrDefault("hop-id", "");
-          if (byHop.remove(hop, stream.id)) {
-            commands.add(new Command(Word.NEVER_MIND, hop, "", 0, null, 0, new byte[0]));
+          String attempt = stream.headers.getOrDefault("hop-id", "");
+          if (byAttempt.remove(attempt, stream.id)) {
+            commands.add(new Command(Word.NEVER_MIND, attempt, "", 0, null, 0, new byte[0]));
           }
         }
       }
@@ -275,17 +275,17 @@
    */
   private void whole(Stream stream) {
     String path = stream.headers.getOrDefault(":path", "");
-    String hop = stream.headers.getOrDefault("hop-id", "");
+    String attempt = stream.headers.getOrDefault("hop-id", "");
     String length = stream.headers.get("content-length");
     if (length != null && Integer.parseInt(length) != stream.body.size()) {
       writer.reset(stream.id, ErrorCode.PROTOCOL_ERROR);
       streams.remove(stream.id);
-    } else if (path.startsWith(RUN) && !hop.isEmpty()) {
-      byHop.put(hop, stream.id);
+    } else if (path.startsWith(RUN) && !attempt.isEmpty()) {
+      byAttempt.put(attempt, stream.id);
       commands.add(
           new Command(
               Word.WANT,
-              hop,
+              attempt,
               path.substring(RUN.length()),
               Long.parseLong(stream.headers.getOrDefault("hop-limit-ms", "1")),
               stream.headers.get("idempotency-key"),
@@ -293,7 +293,7 @@
               stream.body.toByteArray()));
     } else if (path.startsWith(RESULTS)) {
       String id = path.substring(RESULTS.length());
-      byHop.put(id, stream.id);
+      byAttempt.put(id, stream.id);
       String range = stream.headers.getOrDefault("range", "bytes=0-");
       stream.sent = Integer.parseInt(range.substring(6, range.length() - 1));
       commands.add(new Command(Word.TURN, id, "", 0, null, 0, new byte[0]));
@@ -305,7 +305,7 @@
 
   @Override
   public byte[] say(EngineReplies what) {
-    Integer id = byHop.get(what.id());
+    Integer id = byAttempt.get(what.id());
     Stream stream = id == null ? null : streams.get(id);
     if (stream == null) {
       return owed();
@@ -363,7 +363,7 @@
 
   private void over(Stream stream) {
     streams.remove(stream.id);
-    byHop.values().remove(stream.id);
+    byAttempt.values().remove(stream.id);
   }
 
   private void status(Stream stream, int status, boolean last) {
--- a/fakes/src/main/java/tillerlink/fakes/HttpAnswers.java
+++ b/fakes/src/main/java/tillerlink/fakes/HttpAnswers.java
@@ -9,8 +9,8 @@
   private static final int HEAD_MOST = 16_384;
   private static final byte[] HEAD_END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-  /** One answer; {@code comeBack} is milliseconds, 0 if nothing was said. */
-  public record Answer(int status, long comeBack, boolean last, String body) {
+  /** One answer; {@code retryAfter} is milliseconds, 0 if nothing was said. */
+  public record Answer(int status, long retryAfter, boolean last, String body) {
     /** The path at which there is more, or null. */
     public String goOnAt() {
       String mark = "{\"continue\":\"";
@@ -57,14 +57,14 @@
     }
     int status = Integer.parseInt(words[1]);
     int length = 0;
-    long comeBack = 0;
+    long retryAfter = 0;
     boolean last = false;
     for (int i = 1; i < lines.length; i++) {
       int colon = lines[i].indexOf(':');
       String value = lines[i].substring(colon + 1).strip();
       switch (colon < 0 ? "" : lines[i].substring(0, colon).toLowerCase(Locale.ROOT)) {
         case "content-length" -> length = Integer.parseInt(value);
-        case "x-pushback-ms" -> comeBack = Long.parseLong(value);
+        case "x-pushback-ms" -> retryAfter = Long.parseLong(value);
         case "connection" -> last = value.equals("close");
         default -> {}
       }
@@ -75,7 +75,7 @@
     }
     String body = new String(kept, bodyAt, length, StandardCharsets.UTF_8);
     kept = Arrays.copyOfRange(kept, bodyAt + length, kept.length);
-    return status == 100 ? next() : new Answer(status, comeBack, last, body);
+    return status == 100 ? next() : new Answer(status, retryAfter, last, body);
   }
 
   private int headEnd() {
--- a/fakes/src/main/java/tillerlink/fakes/LineProtocolServer.java
+++ b/fakes/src/main/java/tillerlink/fakes/LineProtocolServer.java
@@ -34,7 +34,7 @@
    * Whether it has said that it does not act on a hop that was sent on the connection as the sender
    * sees it.
    */
-  default boolean leftBehind(LineProtocolServer sender, String hop) {
+  default boolean leftBehind(LineProtocolServer sender, String attempt) {
     return false;
   }
 
--- a/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
@@ -30,7 +30,7 @@
                 "a1", "look", 500, "k", "SELECT 1\r\n".getBytes(StandardCharsets.UTF_8)),
             EngineCommand.turn("a1", 2),
             EngineCommand.there("0"),
-            EngineCommand.neverMind("a1"),
+            EngineCommand.cancel("a1"),
             EngineCommand.shut("a1"),
             EngineCommand.want("a2", "load", 9, null, "x".getBytes(StandardCharsets.UTF_8)));
     for (int split = 0; split <= all.length; split++) {
@@ -45,7 +45,7 @@
               .append(' ')
               .append(c.id())
               .append(' ')
-              .append(c.track())
+              .append(c.requestClass())
               .append(c.limit())
               .append(c.nonce())
               .append(c.page())
@@ -80,7 +80,7 @@
             HttpResponse.goOn(),
             HttpResponse.goOnAt("/v1/calls/a").encoded(),
             HttpResponse.problem(503, "Full", 250).encoded(),
-            HttpResponse.done().ending().encoded());
+            HttpResponse.done().closingConnection().encoded());
     for (int split = 0; split <= all.length; split++) {
       HttpAnswers reader = new HttpAnswers();
       StringBuilder heard = new StringBuilder();
@@ -91,7 +91,7 @@
           heard
               .append(a.status())
               .append(' ')
-              .append(a.comeBack())
+              .append(a.retryAfter())
               .append(a.last())
               .append(a.goOnAt())
               .append('|');
--- a/faultinjection/src/main/java/tillerlink/faultinjection/FaultInjectionRunner.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/FaultInjectionRunner.java
@@ -35,10 +35,10 @@
   private final PrintStream out;
   private final Map<Step.Kind, Integer> faults = new TreeMap<>();
   private int plays;
-  private int submissions;
+  private int requests;
   private int appends;
   private int runs;
-  private int violations;
+  private int violationCount;
 
   private FaultInjectionRunner(Path folder, Plan.Shared shared, PrintStream out) {
     this.folder = folder;
@@ -70,26 +70,26 @@
     long until = System.nanoTime() + (long) (minutes * 60e9);
     do {
       one(Schedule.of(once ? seed : chance.nextLong(1L << 48), LENGTH_MS));
-    } while (!once && violations == 0 && System.nanoTime() < until);
+    } while (!once && violationCount == 0 && System.nanoTime() < until);
     out.printf(
         Locale.ROOT,
         "%d plays; faults: %s; %d submissions, %d appends, %d prepared runs; %d violations%n",
         plays,
         faults,
-        submissions,
+        requests,
         appends,
         runs,
-        violations);
-    return violations == 0;
+        violationCount);
+    return violationCount == 0;
   }
 
   private void one(Schedule schedule) throws IOException {
     Played played = play(schedule);
     plays++;
-    submissions += played.submissions();
+    requests += played.requests();
     appends += played.appends();
     runs += played.runs();
-    violations += played.violations();
+    violationCount += played.violationCount();
     played.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
     out.printf(
         Locale.ROOT,
@@ -98,13 +98,13 @@
         schedule.seed(),
         schedule.gateways(),
         schedule.steps().size(),
-        played.submissions(),
+        played.requests(),
         played.appends(),
         played.runs(),
-        played.breaches().isEmpty() ? "fine" : "BROKEN");
-    if (!played.breaches().isEmpty()) {
-      played.breaches().forEach(out::println);
-      Rule rule = played.breaches().get(0).rule();
+        played.violations().isEmpty() ? "fine" : "BROKEN");
+    if (!played.violations().isEmpty()) {
+      played.violations().forEach(out::println);
+      Rule rule = played.violations().get(0).rule();
       out.println(
           "cutting it down to what still breaks " + rule + ", " + TRIES + " plays at the most");
       Schedule shortest = Cutter.cut(schedule, shorter -> breaks(shorter, rule), TRIES);
@@ -115,8 +115,8 @@
 
   private boolean breaks(Schedule schedule, Rule rule) {
     try {
-      List<Violation> breaches = play(schedule).breaches();
-      return breaches.stream().anyMatch(breach -> breach.rule() == rule);
+      List<Violation> violations = play(schedule).violations();
+      return violations.stream().anyMatch(violation -> violation.rule() == rule);
     } catch (IOException e) {
       out.println("a shorter one could not be played: " + e.getMessage());
       return false;
@@ -126,7 +126,7 @@
   private Played play(Schedule schedule) throws IOException {
     Path own = Files.createTempDirectory(folder, "play");
     Played played = new Play(own, System.getProperty("java.class.path"), shared).play(schedule);
-    if (played.breaches().isEmpty()) {
+    if (played.violations().isEmpty()) {
       try (Stream<Path> all = Files.walk(own)) {
         for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
           Files.delete(one);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Audit.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Audit.java
@@ -7,10 +7,10 @@
  * processes but what their logs say about themselves. Told from any thread.
  */
 public final class Audit {
-  private final Violations breaches = new Violations();
-  private final Requests submissions = new Requests(breaches);
-  private final Logs logs = new Logs(breaches);
-  private final Prepared prepared = new Prepared(breaches);
+  private final Violations violations = new Violations();
+  private final Requests requests = new Requests(violations);
+  private final Logs logs = new Logs(violations);
+  private final Prepared prepared = new Prepared(violations);
 
   // ---- plain submissions ----
 
@@ -18,22 +18,22 @@
    * @param statement one of a kind, so that what an engine ran tells whose it was
    */
   public synchronized void handedIn(String id, String statement, boolean effectful) {
-    submissions.handedIn(id, statement, effectful);
+    requests.handedIn(id, statement, effectful);
   }
 
   public synchronized void answered(String id, int status) {
-    submissions.answered(id, status);
+    requests.answered(id, status);
   }
 
   /**
    * Nobody knows what became of it, and somebody may not: its connection broke, or its gateway did.
    */
   public synchronized void excused(String id) {
-    submissions.excused(id);
+    requests.excused(id);
   }
 
   public synchronized void ran(String engine, String statement) {
-    submissions.ran(engine, statement);
+    requests.ran(engine, statement);
   }
 
   // ---- channels ----
@@ -100,22 +100,22 @@
 
   /** Something that the rig itself saw. */
   public synchronized void broken(Rule rule, String words) {
-    breaches.add(rule, words);
+    violations.add(rule, words);
   }
 
   /** All is at rest: what must be true by now is looked at. */
   public synchronized List<Violation> end() {
-    submissions.end();
+    requests.end();
     logs.end();
-    return breaches.all();
+    return violations.all();
   }
 
-  public synchronized List<Violation> breaches() {
-    return breaches.all();
+  public synchronized List<Violation> violations() {
+    return violations.all();
   }
 
-  public synchronized int submissions() {
-    return submissions.count();
+  public synchronized int requests() {
+    return requests.count();
   }
 
   public synchronized int appends() {
@@ -126,7 +126,7 @@
     return prepared.runs();
   }
 
-  public synchronized int violations() {
-    return breaches.count();
+  public synchronized int violationCount() {
+    return violations.count();
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Logs.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Logs.java
@@ -27,12 +27,12 @@
     private final Map<String, List<LogLine>> last = new TreeMap<>();
   }
 
-  private final Violations breaches;
+  private final Violations violations;
   private final Map<String, Channel> channels = new TreeMap<>();
   private int appends;
 
-  Logs(Violations breaches) {
-    this.breaches = breaches;
+  Logs(Violations violations) {
+    this.violations = violations;
   }
 
   private Channel channel(String name) {
@@ -52,7 +52,7 @@
       channel.taken.add(new Taken(gateway, life, id));
       appends++;
     } else if (!before.equals(id)) {
-      breaches.add(
+      violations.add(
           Rule.KEY_TWICE,
           name + " at " + gateway + ": key " + key + " gave " + before + " and " + id);
     }
@@ -77,7 +77,7 @@
       channel.seenAt.computeIfAbsent(line.id(), id -> new HashSet<>()).add(gateway);
       String content = channel.contents.putIfAbsent(line.id(), line.content());
       if (content != null && !content.equals(line.content())) {
-        breaches.add(
+        violations.add(
             Rule.TWO_CONTENTS,
             name
                 + ": "
@@ -99,7 +99,7 @@
       // the end; while
       // it is provisional it may yet move.
       if (line.stable() && before != null && !before.equals(line.id())) {
-        breaches.add(
+        violations.add(
             Rule.STABLE_CHANGED,
             name
                 + ": place "
@@ -142,7 +142,7 @@
         while (at < Math.min(first.size(), ids.size()) && first.get(at).equals(ids.get(at))) {
           at++;
         }
-        breaches.add(
+        violations.add(
             Rule.LOGS_DIFFER,
             name
                 + ": "
@@ -172,7 +172,7 @@
     for (Taken taken : channel.taken) {
       int n = count.getOrDefault(taken.id, 0);
       if (n != 1 && !(n == 0 && channel.excused.contains(taken.id)) && told.add(taken.id)) {
-        breaches.add(
+        violations.add(
             Rule.APPEND_LOST,
             name
                 + ": "
@@ -193,7 +193,7 @@
     channel.stable.forEach(
         (place, id) -> {
           if (!id.equals(at.get(place))) {
-            breaches.add(
+            violations.add(
                 Rule.STABLE_CHANGED,
                 name
                     + ": place "
@@ -223,7 +223,7 @@
       Integer place = places.get(taken.id);
       Integer other = earlier == null ? null : places.get(earlier.id);
       if (place != null && other != null && place < other) {
-        breaches.add(
+        violations.add(
             Rule.ORDER_OF_CAUSE,
             name
                 + ": "
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Prepared.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Prepared.java
@@ -8,15 +8,15 @@
 final class Prepared {
   private record Asked(String gateway, String group, long at) {}
 
-  private final Violations breaches;
+  private final Violations violations;
   private final Map<String, TreeMap<Long, Long>> effects = new HashMap<>();
   private final Map<String, Asked> asked = new HashMap<>();
   private final Map<String, String> texts = new HashMap<>();
   private final Map<String, Long> generations = new HashMap<>();
   private int runs;
 
-  Prepared(Violations breaches) {
-    this.breaches = breaches;
+  Prepared(Violations violations) {
+    this.violations = violations;
   }
 
   /** A client was told that a group's schema is of that version now. */
@@ -42,7 +42,7 @@
         .forEach(
             (later, at) -> {
               if (at < one.at) {
-                breaches.add(
+                violations.add(
                     Rule.OLD_SCHEMA,
                     engine
                         + " was sent "
@@ -64,11 +64,11 @@
   void stands(String gateway, int life, String name, long generation, String text) {
     String before = texts.putIfAbsent(name + "/" + generation, text);
     if (before != null && !before.equals(text)) {
-      breaches.add(Rule.GENERATION_FELL, name + " has two texts of generation " + generation);
+      violations.add(Rule.GENERATION_FELL, name + " has two texts of generation " + generation);
     }
     Long was = generations.put(gateway + "/" + life + "/" + name, generation);
     if (was != null && was > generation) {
-      breaches.add(
+      violations.add(
           Rule.GENERATION_FELL,
           name + " fell from generation " + was + " to " + generation + " at " + gateway);
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Requests.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Requests.java
@@ -22,12 +22,12 @@
     }
   }
 
-  private final Violations breaches;
+  private final Violations violations;
   private final Map<String, One> byId = new TreeMap<>();
   private final Map<String, One> byStatement = new HashMap<>();
 
-  Requests(Violations breaches) {
-    this.breaches = breaches;
+  Requests(Violations violations) {
+    this.violations = violations;
   }
 
   void handedIn(String id, String statement, boolean effectful) {
@@ -39,14 +39,14 @@
   void ran(String engine, String statement) {
     One one = byStatement.get(statement);
     if (one != null && ++one.ran > 1 && one.effectful) {
-      breaches.add(Rule.RUN_TWICE, engine + " ran '" + statement + "' for the time " + one.ran);
+      violations.add(Rule.RUN_TWICE, engine + " ran '" + statement + "' for the time " + one.ran);
     }
   }
 
   void answered(String id, int status) {
     One one = byId.get(id);
     if (one.status != null) {
-      breaches.add(Rule.ONE_ANSWER, id + " was answered " + one.status + " and then " + status);
+      violations.add(Rule.ONE_ANSWER, id + " was answered " + one.status + " and then " + status);
     }
     one.status = status;
   }
@@ -67,14 +67,14 @@
     byId.forEach(
         (id, one) -> {
           if (one.status == null && !one.excused) {
-            breaches.add(Rule.ONE_ANSWER, id + " ('" + one.statement + "') was never answered");
+            violations.add(Rule.ONE_ANSWER, id + " ('" + one.statement + "') was never answered");
           } else if (one.status != null && one.status == FULFILLED && one.ran == 0) {
-            breaches.add(Rule.ANSWER_UNTRUE, id + " was fulfilled, but no engine ran it");
+            violations.add(Rule.ANSWER_UNTRUE, id + " was fulfilled, but no engine ran it");
           } else if (one.status != null
               && one.status == TURNED_BACK
               && one.effectful
               && one.ran > 0) {
-            breaches.add(Rule.ANSWER_UNTRUE, id + " was turned back, but an engine ran it");
+            violations.add(Rule.ANSWER_UNTRUE, id + " was turned back, but an engine ran it");
           }
         });
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpEndpointClient.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpEndpointClient.java
@@ -23,9 +23,9 @@
   private static final int PIECE = 8192;
 
   /**
-   * @param comeBackMs what it was told, 0 if nothing
+   * @param retryAfterMs what it was told, 0 if nothing
    */
-  public record Reply(int status, String body, long comeBackMs) {
+  public record Reply(int status, String body, long retryAfterMs) {
     /** The body as JSON: maps, lists, texts, numbers. */
     public Object json() throws IOException {
       try (JsonParser parser = new JsonFactory().createParser(body)) {
@@ -128,7 +128,7 @@
       while (answer.goOnAt() != null) {
         answer = talk.ask("GET", answer.goOnAt(), Map.of(), "");
       }
-      return new Reply(answer.status(), answer.body(), answer.comeBack());
+      return new Reply(answer.status(), answer.body(), answer.retryAfter());
     }
   }
 
@@ -147,10 +147,10 @@
    * @param id 16 hexadecimal digits
    * @throws IOException if the connection broke: what became of it is not known
    */
-  public Reply submit(String track, String id, String statement, long deadlineMs)
+  public Reply submit(String requestClass, String id, String statement, long deadlineMs)
       throws IOException {
     return post(
-        "/v1/" + track,
+        "/v1/" + requestClass,
         Map.of(
             "X-Correlation-Id",
             id,
--- a/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Fault.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Fault.java
@@ -11,7 +11,7 @@
  *     it
  * @param least least time on the way
  * @param most most time on the way
- * @param bytesMost longer datagrams do not get through
+ * @param maxBytes longer datagrams do not get through
  * @param rate bytes a second, 0 for as many as come
  */
 public record Fault(
@@ -21,7 +21,7 @@
     double heldBack,
     long least,
     long most,
-    int bytesMost,
+    int maxBytes,
     long rate) {
   /** How long a datagram is held back at the least; at the most it is twice that long. */
   public static final long HELD_BACK = 300;
@@ -46,7 +46,7 @@
     return new Fault(false, 0, 0, 0, 0, 0, Integer.MAX_VALUE, rate);
   }
 
-  public static Fault small(int bytesMost) {
-    return new Fault(false, 0, 0, 0, 0, 0, bytesMost, 0);
+  public static Fault small(int maxBytes) {
+    return new Fault(false, 0, 0, 0, 0, 0, maxBytes, 0);
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Link.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/fabric/Link.java
@@ -37,7 +37,7 @@
     Tally.What dropped =
         holds.cut()
             ? Tally.What.CUT
-            : length > holds.bytesMost()
+            : length > holds.maxBytes()
                 ? Tally.What.TOO_LONG
                 : fate.lost() ? Tally.What.LOST : null;
     if (dropped != null) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/Play.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Play.java
@@ -53,7 +53,7 @@
         rig.start();
       } catch (IOException e) {
         audit.broken(Rule.INSIDE, e.getMessage());
-        return new Played(schedule, audit.breaches(), Map.of(), 0, 0, 0, audit.violations());
+        return new Played(schedule, audit.violations(), Map.of(), 0, 0, 0, audit.violationCount());
       }
       ProcessIncarnations lives = new ProcessIncarnations();
       ChannelLoad channels = new ChannelLoad(rig, audit, disturbed, lives, schedule.seed());
@@ -92,15 +92,15 @@
         statements.settle();
       }
       rig.violations().forEach(words -> audit.broken(Rule.INSIDE, words));
-      List<Violation> breaches = audit.end();
+      List<Violation> violations = audit.end();
       return new Played(
           schedule,
-          breaches,
+          violations,
           doing.counts(),
-          audit.submissions(),
+          audit.requests(),
           audit.appends(),
           audit.runs(),
-          audit.violations());
+          audit.violationCount());
     }
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/Played.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/Played.java
@@ -7,9 +7,9 @@
 /** What came of one play. */
 public record Played(
     Schedule schedule,
-    List<Violation> breaches,
+    List<Violation> violations,
     Map<Step.Kind, Integer> faults,
-    int submissions,
+    int requests,
     int appends,
     int runs,
-    int violations) {}
+    int violationCount) {}
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/StatementLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/StatementLoad.java
@@ -225,7 +225,7 @@
               + " "
               + reply.body()
               + ", come back in "
-              + reply.comeBackMs()
+              + reply.retryAfterMs()
               + " ms; schema "
               + rig.client(gateway).get("/v1/schemas/" + group(name)).body();
     } catch (IOException e) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/ConfigurationFiles.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/ConfigurationFiles.java
@@ -44,16 +44,16 @@
               + "\"caps\":{\"max_attempts\":3,\"streams_per_conn\":16,"
               + "\"connect_timeout_us\":500000,\"retry_after\":true,\"max_retry_after_us\":500000},"
               + "\"models\":[\"std\"],\"zones\":[\"east\"],\"family_info\":{\"kind_cores\":[8]},\"profiles\":["
-              + track("look", "repeatable")
+              + requestClass("look", "repeatable")
               + ","
-              + track("book", "once")
+              + requestClass("book", "once")
               + "]}");
       json.writeEndObject();
     }
     return file;
   }
 
-  private static String track(String name, String semantics) {
+  private static String requestClass(String name, String semantics) {
     return "{\"name\":\""
         + name
         + "\",\"semantics\":\""
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/Soak.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/Soak.java
@@ -90,7 +90,7 @@
     processMs += (double) schedule.gateways() * schedule.lengthMs();
     result.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
     result.pairs().forEach((pair, n) -> pairs.merge(pair, n, Integer::sum));
-    boolean fine = result.breaches().isEmpty();
+    boolean fine = result.violations().isEmpty();
     broken += fine ? 0 : 1;
     out.printf(
         Locale.ROOT,
@@ -106,9 +106,9 @@
         result.worstLag(),
         fine ? "fine" : "BROKEN " + result.counts());
     if (!fine) {
-      result.breaches().forEach(out::println);
+      result.violations().forEach(out::println);
       out.print(schedule);
-      SoakRule rule = result.breaches().get(0).rule();
+      SoakRule rule = result.violations().get(0).rule();
       out.println(
           "cutting it down to what still breaks " + rule + ", " + TRIES + " runs at the most");
       List<SoakFault> shortest =
@@ -133,7 +133,7 @@
     try (SoakPlay play = new SoakPlay(schedule, own, System.getProperty("java.class.path"))) {
       result = play.play();
     }
-    if (result.breaches().isEmpty()) {
+    if (result.violations().isEmpty()) {
       try (Stream<Path> all = Files.walk(own)) {
         for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
           Files.delete(one);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
@@ -199,7 +199,12 @@
     private void want(Command command, double at) {
       oracle.attempt(
           new SoakOracle.Attempt(
-              command.id(), port.gateway, port.engine, command.track(), command.limit(), at));
+              command.id(),
+              port.gateway,
+              port.engine,
+              command.requestClass(),
+              command.limit(),
+              at));
       running.add(command.id());
       double ms = WORK_LEAST_MS + WORK_MORE_MS * draw();
       if (ways.get(port.gateway).contains(SoakFault.Kind.DIAL_LATE) && !served) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
 import tillerlink.fakes.HttpAnswers;
-import tillerlink.faultinjection.soak.SoakTerms.Track;
+import tillerlink.faultinjection.soak.SoakTerms.RequestClass;
 
 /**
  * The clients of a soak: usual ones, and such that leave, pipeline, write slowly, rest, or come all
@@ -75,12 +75,13 @@
     while (!ended) {
       SoakGateways.pause((long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1000));
       if (!ended && gateways.serves(gateway)) {
-        Track track = Track.values()[chance.nextInt(Track.values().length)];
+        RequestClass requestClass =
+            RequestClass.values()[chance.nextInt(RequestClass.values().length)];
         Manner manner =
             chance.nextInt(3) > 0
                 ? Manner.USUAL
                 : Manner.values()[chance.nextInt(Manner.values().length)];
-        one(gateway, track, manner, chance.nextInt(SUBJECTS), chance.nextLong(50, 1500));
+        one(gateway, requestClass, manner, chance.nextInt(SUBJECTS), chance.nextLong(50, 1500));
       }
     }
   }
@@ -88,13 +89,13 @@
   /** Many at once. */
   void flood(int gateway) {
     for (int i = 0; i < FLOOD && gateways.serves(gateway); i++) {
-      one(gateway, Track.LOOK, Manner.USUAL, 0, 0);
+      one(gateway, RequestClass.LOOK, Manner.USUAL, 0, 0);
     }
   }
 
-  private void one(int gateway, Track track, Manner manner, int subject, long stays) {
+  private void one(int gateway, RequestClass requestClass, Manner manner, int subject, long stays) {
     String id = String.format("%016x", ids.incrementAndGet());
-    Client client = new Client(id, gateway, track, "s" + subject, manner, stays);
+    Client client = new Client(id, gateway, requestClass, "s" + subject, manner, stays);
     clients.execute(client::run);
   }
 
@@ -113,7 +114,7 @@
   private final class Client {
     private final String id;
     private final int gateway;
-    private final Track track;
+    private final RequestClass requestClass;
     private final String subject;
     private final Manner manner;
     private final long stays;
@@ -121,10 +122,16 @@
     private double until;
     private boolean handedIn;
 
-    Client(String id, int gateway, Track track, String subject, Manner manner, long stays) {
+    Client(
+        String id,
+        int gateway,
+        RequestClass requestClass,
+        String subject,
+        Manner manner,
+        long stays) {
       this.id = id;
       this.gateway = gateway;
-      this.track = track;
+      this.requestClass = requestClass;
       this.subject = subject;
       this.manner = manner;
       this.stays = stays;
@@ -200,14 +207,14 @@
                   ? "GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n".repeat(3)
                   : "")
               + "POST /v1/"
-              + track.wireName()
+              + requestClass.wireName()
               + " HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: "
               + id
               + "\r\nX-Deadline-Ms: "
               + SoakTerms.DEADLINE_MS
               + "\r\nX-Estimate-Ms: "
               + ESTIMATE_MS
-              + (track.ordered ? "\r\nX-Subject: " + subject : "")
+              + (requestClass.ordered ? "\r\nX-Subject: " + subject : "")
               + "\r\nX-Operation-Key: k"
               + id
               + "\r\nContent-Length: "
@@ -224,7 +231,7 @@
       double at = clock.now();
       until = at + SoakTerms.DEADLINE_MS;
       if (!handedIn) {
-        oracle.handedIn(id, gateway, track, subject, at, SoakTerms.DEADLINE_MS);
+        oracle.handedIn(id, gateway, requestClass, subject, at, SoakTerms.DEADLINE_MS);
       }
       handedIn = true;
       talk.say(head);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakOracle.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakOracle.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import tillerlink.faultinjection.soak.SoakTerms.Track;
+import tillerlink.faultinjection.soak.SoakTerms.RequestClass;
 
 /**
  * Judges the rules by what clients, engines and the name service saw, and by nothing that a gateway
@@ -36,7 +36,8 @@
   }
 
   /** A request that has come whole to an engine, or begun to. */
-  record Attempt(String id, int gateway, int engine, String track, long limitMs, double at) {}
+  record Attempt(
+      String id, int gateway, int engine, String requestClass, long limitMs, double at) {}
 
   /** What the name service told, and where an engine is. */
   interface Told {
@@ -57,7 +58,7 @@
 
   private static final class Request {
     private final int gateway;
-    private final Track track;
+    private final RequestClass requestClass;
     private final String subject;
     private final double at;
     private final double until;
@@ -66,9 +67,9 @@
     private boolean excused;
     private final List<Run> runs = new ArrayList<>();
 
-    Request(int gateway, Track track, String subject, double at, double until) {
+    Request(int gateway, RequestClass requestClass, String subject, double at, double until) {
       this.gateway = gateway;
-      this.track = track;
+      this.requestClass = requestClass;
       this.subject = subject;
       this.at = at;
       this.until = until;
@@ -96,7 +97,7 @@
   private final Map<Integer, Double> stoodStill = new HashMap<>();
 
   private final Map<SoakRule, Integer> counts = new EnumMap<>(SoakRule.class);
-  private final List<SoakBreach> breaches = new ArrayList<>();
+  private final List<SoakViolation> violations = new ArrayList<>();
   private int attempts;
 
   SoakOracle(SoakClock clock, Told told) {
@@ -108,8 +109,13 @@
 
   /** Its last byte is about to be written, on a connection that was accepted. */
   synchronized void handedIn(
-      String id, int gateway, Track track, String subject, double at, long deadlineMs) {
-    requests.put(id, new Request(gateway, track, subject, at, at + deadlineMs));
+      String id,
+      int gateway,
+      RequestClass requestClass,
+      String subject,
+      double at,
+      long deadlineMs) {
+    requests.put(id, new Request(gateway, requestClass, subject, at, at + deadlineMs));
     taken.computeIfAbsent(gateway, g -> new ArrayDeque<>()).addLast(at);
   }
 
@@ -124,7 +130,7 @@
       broken(SoakRule.ANSWER_UNTRUE, "%s was served, and no engine answered it", id);
     }
     boolean mayHaveRun = request.runs.stream().anyMatch(run -> run.end != End.REFUSED);
-    if (answer == Answer.REFUSED && request.track == Track.BOOK && mayHaveRun) {
+    if (answer == Answer.REFUSED && request.requestClass == RequestClass.BOOK && mayHaveRun) {
       broken(SoakRule.ANSWER_UNTRUE, "%s was refused, and may have run", id);
     }
     if (!request.excused
@@ -202,7 +208,7 @@
     drain(attempt, slack);
     duplicate(request, attempt, slack);
     client(request, attempt, slack);
-    if (request.track.bound && !told.inFirstZone(attempt.engine)) {
+    if (request.requestClass.bound && !told.inFirstZone(attempt.engine)) {
       broken(SoakRule.PLACEMENT, "%s went to e%d", attempt.id, attempt.engine);
     }
     order(request, attempt);
@@ -227,11 +233,12 @@
 
   private void duplicate(Request request, Attempt attempt, double slack) {
     for (Run run : request.runs) {
-      if (run.end == End.REFUSED || request.track.semantics.equals("repeatable")) {
+      if (run.end == End.REFUSED || request.requestClass.semantics.equals("repeatable")) {
         continue;
       }
       boolean inWindow =
-          request.track == Track.LOAD && attempt.at <= run.attempt.at + SoakTerms.WINDOW_MS + slack;
+          request.requestClass == RequestClass.LOAD
+              && attempt.at <= run.attempt.at + SoakTerms.WINDOW_MS + slack;
       if (!inWindow) {
         broken(
             SoakRule.DUPLICATE,
@@ -270,7 +277,7 @@
   }
 
   private void order(Request request, Attempt attempt) {
-    if (!request.track.ordered) {
+    if (!request.requestClass.ordered) {
       return;
     }
     Request before = outBySubject.get(request.gateway + request.subject);
@@ -382,12 +389,12 @@
 
   private void broken(SoakRule rule, String words, Object... values) {
     if (counts.merge(rule, 1, Integer::sum) <= WORDS_KEPT) {
-      breaches.add(new SoakBreach(rule, String.format(Locale.ROOT, words, values)));
+      violations.add(new SoakViolation(rule, String.format(Locale.ROOT, words, values)));
     }
   }
 
   /** All is over: what was not answered is lost. */
-  synchronized List<SoakBreach> end() {
+  synchronized List<SoakViolation> end() {
     requests.forEach(
         (id, request) -> {
           boolean owed =
@@ -401,11 +408,11 @@
                 request.at);
           }
         });
-    return breaches();
+    return violations();
   }
 
-  synchronized List<SoakBreach> breaches() {
-    return List.copyOf(breaches);
+  synchronized List<SoakViolation> violations() {
+    return List.copyOf(violations);
   }
 
   synchronized Map<SoakRule, Integer> counts() {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakPlay.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakPlay.java
@@ -28,7 +28,7 @@
 
   /** What came of a schedule. */
   record Result(
-      List<SoakBreach> breaches,
+      List<SoakViolation> violations,
       Map<SoakRule, Integer> counts,
       Map<SoakFault.Kind, Integer> faults,
       Map<String, Integer> pairs,
@@ -142,9 +142,9 @@
     load.end();
     gateways.lookForCrashes();
     gateways.lookInside();
-    List<SoakBreach> breaches = oracle.end();
+    List<SoakViolation> violations = oracle.end();
     return new Result(
-        breaches,
+        violations,
         oracle.counts(),
         faults,
         pairs,
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakTerms.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakTerms.java
@@ -32,7 +32,7 @@
   /**
    * The classes of requests: what a second run would do, and where and in which order they may run.
    */
-  enum Track {
+  enum RequestClass {
     LOOK("repeatable", false, false),
     BOOK("once", false, false),
     LOAD("by_key", false, false),
@@ -45,7 +45,7 @@
     /** It may run in the first zone alone. */
     final boolean bound;
 
-    Track(String semantics, boolean ordered, boolean bound) {
+    RequestClass(String semantics, boolean ordered, boolean bound) {
       this.semantics = semantics;
       this.ordered = ordered;
       this.bound = bound;
@@ -60,21 +60,21 @@
 
   /** The settings as JSON. */
   static String settings(int instances, int me) {
-    StringBuilder tracks = new StringBuilder();
-    for (Track track : Track.values()) {
-      tracks
-          .append(tracks.length() == 0 ? "" : ",")
+    StringBuilder requestClasses = new StringBuilder();
+    for (RequestClass requestClass : RequestClass.values()) {
+      requestClasses
+          .append(requestClasses.length() == 0 ? "" : ",")
           .append("{\"name\":\"")
-          .append(track.wireName())
+          .append(requestClass.wireName())
           .append("\",\"semantics\":\"")
-          .append(track.semantics)
+          .append(requestClass.semantics)
           .append("\",\"group\":\"all\",\"window_us\":")
           .append(WINDOW_MS * 1000)
           .append(",\"aim_us\":1500000,\"hard_limit_us\":")
           .append(DEADLINE_MS * 1000)
           .append(",\"worth\":1,\"late_worth\":0.5")
-          .append(track.ordered ? ",\"keep_order\":true" : "")
-          .append(track.bound ? ",\"zones_open\":[0]" : "")
+          .append(requestClass.ordered ? ",\"keep_order\":true" : "")
+          .append(requestClass.bound ? ",\"zones_open\":[0]" : "")
           .append('}');
     }
     return "{\"tick_us\":5000,\"instances\":"
@@ -104,7 +104,7 @@
         + "\"models\":[\"std\"],\"zones\":[\"east\",\"west\"],\"family_info\":{\"kind_cores\":["
         + CORES
         + "],\"tells_every_us\":2000000},\"profiles\":["
-        + tracks
+        + requestClasses
         + "]}";
   }
 }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/audit/AuditTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/audit/AuditTest.java
@@ -49,7 +49,7 @@
     fair(audit);
     planted.accept(audit);
     return String.join(
-        "; ", audit.end().stream().map(breach -> breach.rule().name()).distinct().toList());
+        "; ", audit.end().stream().map(violation -> violation.rule().name()).distinct().toList());
   }
 
   @Test
--- a/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakOracleTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakOracleTest.java
@@ -8,7 +8,7 @@
 import tillerlink.faultinjection.soak.SoakOracle.Answer;
 import tillerlink.faultinjection.soak.SoakOracle.Attempt;
 import tillerlink.faultinjection.soak.SoakOracle.End;
-import tillerlink.faultinjection.soak.SoakTerms.Track;
+import tillerlink.faultinjection.soak.SoakTerms.RequestClass;
 
 /** A fault is planted for each rule, and just that rule is found broken. Times are milliseconds. */
 class SoakOracleTest {
@@ -55,7 +55,7 @@
 
   @Test
   void allIsAsItShouldBe() {
-    handedIn(ONE, Track.BOOK);
+    handedIn(ONE, RequestClass.BOOK);
     attempt(ONE, 0, 1010, 2990);
     oracle.attemptEnded(0, ONE, End.ANSWERED);
     oracle.answered(ONE, Answer.SERVED, 1100);
@@ -64,26 +64,26 @@
 
   @Test
   void aRequestThatIsNeverAnsweredOrTooLateOrCut() {
-    handedIn(ONE, Track.LOOK);
+    handedIn(ONE, RequestClass.LOOK);
     broken(SoakRule.LOST);
-    handedIn(TWO, Track.LOOK);
+    handedIn(TWO, RequestClass.LOOK);
     oracle.answered(TWO, Answer.REFUSED, 1000 + DEADLINE + FAR);
     assertEquals(2, oracle.counts().get(SoakRule.LOST));
-    handedIn("00000000000000a3", Track.LOOK);
+    handedIn("00000000000000a3", RequestClass.LOOK);
     oracle.cut("00000000000000a3", "its connection ended without an answer");
     assertEquals(3, oracle.counts().get(SoakRule.LOST));
   }
 
   @Test
   void aSecondAnswerAndServedByNobodyAndRefusedThoughItMayHaveRun() {
-    handedIn(ONE, Track.LOOK);
+    handedIn(ONE, RequestClass.LOOK);
     oracle.answered(ONE, Answer.REFUSED, 1100);
     oracle.answered(ONE, Answer.FAILED, 1200);
     assertEquals(1, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
-    handedIn(TWO, Track.LOOK);
+    handedIn(TWO, RequestClass.LOOK);
     oracle.answered(TWO, Answer.SERVED, 1100);
     assertEquals(2, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
-    handedIn("00000000000000a3", Track.BOOK);
+    handedIn("00000000000000a3", RequestClass.BOOK);
     attempt("00000000000000a3", 0, 1010, 100);
     oracle.answered("00000000000000a3", Answer.REFUSED, 1100);
     assertEquals(3, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
@@ -91,13 +91,13 @@
 
   @Test
   void whatMustNotRunTwice() {
-    handedIn(ONE, Track.BOOK);
+    handedIn(ONE, RequestClass.BOOK);
     attempt(ONE, 0, 1010, 100);
     oracle.attemptEnded(0, ONE, End.REFUSED);
     attempt(ONE, 2, 1020, 100);
     answered(ONE);
     broken();
-    handedIn(TWO, Track.BOOK);
+    handedIn(TWO, RequestClass.BOOK);
     attempt(TWO, 0, 1010, 100);
     attempt(TWO, 2, 1020, 100);
     answered(TWO);
@@ -106,7 +106,7 @@
 
   @Test
   void aKeyAfterItsWindow() {
-    handedIn(ONE, Track.LOAD);
+    handedIn(ONE, RequestClass.LOAD);
     attempt(ONE, 0, 1010, 100);
     attempt(ONE, 2, 1020, 100);
     answered(ONE);
@@ -118,11 +118,11 @@
   @Test
   void anEngineThatDrains() {
     notReadyAt = 1000;
-    handedIn(ONE, Track.LOOK);
+    handedIn(ONE, RequestClass.LOOK);
     attempt(ONE, 0, 1000 + SoakTerms.GRACE_MS, 100);
     answered(ONE);
     broken();
-    handedIn(TWO, Track.LOOK);
+    handedIn(TWO, RequestClass.LOOK);
     oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakTerms.GRACE_MS + FAR));
     answered(TWO);
     broken(SoakRule.DRAIN);
@@ -138,7 +138,7 @@
     startToldAt = 1000;
     for (int i = 0; i < 420; i++) {
       String id = String.format("%016x", i);
-      handedIn(id, Track.LOOK);
+      handedIn(id, RequestClass.LOOK);
       attempt(id, 0, 1010, 100);
       answered(id);
     }
@@ -151,7 +151,7 @@
     startToldAt = 9000;
     for (int i = 0; i < 420; i++) {
       String id = String.format("%016x", i);
-      handedIn(id, Track.LOOK);
+      handedIn(id, RequestClass.LOOK);
       attempt(id, 0, 1010, 100);
       answered(id);
     }
@@ -160,8 +160,8 @@
 
   @Test
   void twoOfASubjectAtOnce() {
-    handedIn(ONE, Track.FILE);
-    handedIn(TWO, Track.FILE);
+    handedIn(ONE, RequestClass.FILE);
+    handedIn(TWO, RequestClass.FILE);
     attempt(ONE, 0, 1010, 100);
     attempt(TWO, 2, 1020, 100);
     answered(ONE);
@@ -171,7 +171,7 @@
 
   @Test
   void aClassWhereItMayNotRun() {
-    handedIn(ONE, Track.LOCAL);
+    handedIn(ONE, RequestClass.LOCAL);
     attempt(ONE, 1, 1010, 100);
     answered(ONE);
     broken(SoakRule.PLACEMENT);
@@ -179,7 +179,7 @@
 
   @Test
   void moreFurtherAttemptsThanTheBudget() {
-    handedIn(ONE, Track.LOOK);
+    handedIn(ONE, RequestClass.LOOK);
     for (int i = 0; i < 5; i++) {
       attempt(ONE, 0, 1010 + i, 100);
     }
@@ -191,7 +191,7 @@
 
   @Test
   void anAttemptForAClientThatLeft() {
-    handedIn(ONE, Track.LOOK);
+    handedIn(ONE, RequestClass.LOOK);
     oracle.left(ONE, 1050);
     attempt(ONE, 0, 1050 + FAR, 0);
     broken(SoakRule.CANCELLED);
@@ -199,7 +199,7 @@
 
   @Test
   void aLimitBeyondTheClients() {
-    handedIn(ONE, Track.LOOK);
+    handedIn(ONE, RequestClass.LOOK);
     attempt(ONE, 0, 2000, DEADLINE + (long) FAR);
     answered(ONE);
     broken(SoakRule.LIMIT);
@@ -217,19 +217,19 @@
    */
   @Test
   void aGatewayThatStoodStill() {
-    handedIn(ONE, Track.LOOK);
+    handedIn(ONE, RequestClass.LOOK);
     oracle.interrupted(0, 1500);
     oracle.answered(ONE, Answer.REFUSED, 1000 + DEADLINE + FAR);
     broken();
     notReadyAt = 1000;
-    handedIn(TWO, Track.LOOK);
+    handedIn(TWO, RequestClass.LOOK);
     oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakTerms.GRACE_MS + FAR));
     answered(TWO);
     broken(SoakRule.DRAIN);
   }
 
-  private void handedIn(String id, Track track) {
-    oracle.handedIn(id, 0, track, "s1", 1000, DEADLINE);
+  private void handedIn(String id, RequestClass requestClass) {
+    oracle.handedIn(id, 0, requestClass, "s1", 1000, DEADLINE);
   }
 
   private void attempt(String id, int engine, double at, long limit) {
--- a/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakTest.java
@@ -56,7 +56,7 @@
             folder,
             System.getProperty("java.class.path"))) {
       SoakPlay.Result result = play.play();
-      assertEquals(List.of(), result.breaches());
+      assertEquals(List.of(), result.violations());
       assertEquals(
           faults.size(), result.faults().values().stream().mapToInt(Integer::intValue).sum());
       assertTrue(
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/AllAtOnceStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/AllAtOnceStoryTest.java
@@ -37,11 +37,10 @@
     Played played =
         new Play(folder, System.getProperty("java.class.path"), Plan.Shared.STATEMENTS)
             .play(schedule);
-    assertEquals(List.of(), played.breaches());
+    assertEquals(List.of(), played.violations());
     assertEquals(4, played.faults().size(), "all of it befell");
     Told.kept("all-at-once", schedule + "every rule holds\n");
     assertTrue(
-        played.submissions() > 50 && played.appends() > 50 && played.runs() > 50,
-        played.toString());
+        played.requests() > 50 && played.appends() > 50 && played.runs() > 50, played.toString());
   }
 }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/RequestStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/RequestStoryTest.java
@@ -35,6 +35,6 @@
       assertEquals(List.of(), rig.violations());
     }
     assertEquals(List.of(), audit.end());
-    assertEquals(20, audit.submissions());
+    assertEquals(20, audit.requests());
   }
 }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/StatementStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/story/StatementStoryTest.java
@@ -147,7 +147,7 @@
         gateway + " turns it back, with a time to come again",
         () -> {
           HttpEndpointClient.Reply reply = run(gateway);
-          return reply.status() == 503 && reply.comeBackMs() > 0;
+          return reply.status() == 503 && reply.retryAfterMs() > 0;
         });
   }
 
--- a/fleet/src/main/java/tillerlink/fleet/Fleet.java
+++ b/fleet/src/main/java/tillerlink/fleet/Fleet.java
@@ -13,7 +13,7 @@
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.net.wire.GatewayConfig;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * Gateways and engines, and the terms under which they meet. Times are tenths of a millisecond.
@@ -44,7 +44,7 @@
     double furtherRatio,
     long budgetSpan,
     int attemptsMost,
-    long comeBack) {
+    long retryAfter) {
   private static final long MICROS = 100;
   private static final int HOSTS = 250;
   private static final int PORT = 5050;
@@ -103,7 +103,7 @@
         furtherRatio,
         budgetSpan,
         attemptsMost,
-        comeBack);
+        retryAfter);
   }
 
   /**
@@ -128,11 +128,11 @@
         furtherRatio,
         budgetSpan,
         attemptsMost,
-        comeBack);
+        retryAfter);
   }
 
   /** How gateways reach its engines. */
-  public EngineTransport.Factory carriers() {
+  public EngineTransport.Factory transports() {
     return new Http2TransportFactory(
         false,
         kinds.stream().filter(Kind::http2).map(Kind::name).collect(Collectors.toUnmodifiableSet()),
@@ -170,18 +170,24 @@
 
   /** What a gateway is told at its start. */
   public GatewayConfig assignment(
-      int gateway, long seed, List<Track> tracks, EndpointWatchEvent known) {
+      int gateway, long seed, List<RequestClassSpec> requestClasses, EndpointWatchEvent known) {
     return new GatewayConfig(
-        "n" + gateway, NOWHERE, NOWHERE, seed, sockets, settings(tracks, gateway), List.of(known));
+        "n" + gateway,
+        NOWHERE,
+        NOWHERE,
+        seed,
+        sockets,
+        settings(requestClasses, gateway),
+        List.of(known));
   }
 
   /** The settings in the form in which a gateway's configuration holds them. */
-  public Map<String, Object> settings(List<Track> tracks, int gateway) {
+  public Map<String, Object> settings(List<RequestClassSpec> requestClasses, int gateway) {
     Map<String, Object> caps = new LinkedHashMap<>();
     caps.put("max_attempts", (long) attemptsMost);
     caps.put("may_cancel", true);
-    caps.put("retry_after", comeBack > 0);
-    caps.put("max_retry_after_us", comeBack * MICROS);
+    caps.put("retry_after", retryAfter > 0);
+    caps.put("max_retry_after_us", retryAfter * MICROS);
     caps.put("streams_per_conn", 32L);
     caps.put("connect_timeout_us", 400_000L);
     caps.put("conn_idle_us", 20_000_000L);
@@ -197,7 +203,9 @@
     Map<String, Object> info = new LinkedHashMap<>();
     info.put("kind_cores", kinds.stream().map(kind -> (long) kind.cores()).toList());
     info.put("tells_every_us", notesEvery * MICROS);
-    info.put("width_by_class", tracks.stream().map(track -> (long) track.width()).toList());
+    info.put(
+        "width_by_class",
+        requestClasses.stream().map(requestClass -> (long) requestClass.width()).toList());
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("instances", (long) gateways);
     all.put("me", (long) gateway);
@@ -208,23 +216,24 @@
     all.put("caps", caps);
     all.put("guarantees", guarantees);
     all.put("family_info", info);
-    all.put("profiles", tracks.stream().map(this::profile).toList());
+    all.put("profiles", requestClasses.stream().map(this::profile).toList());
     return all;
   }
 
-  private Map<String, Object> profile(Track track) {
+  private Map<String, Object> profile(RequestClassSpec requestClass) {
     Map<String, Object> profile = new LinkedHashMap<>();
-    profile.put("name", track.name());
-    profile.put("semantics", track.semantics());
+    profile.put("name", requestClass.name());
+    profile.put("semantics", requestClass.semantics());
     profile.put("group", "all");
-    profile.put("window_us", track.window() * MICROS);
-    profile.put("aim_us", track.softLimit() * MICROS);
-    profile.put("hard_limit_us", track.deadline() * MICROS);
-    profile.put("worth", track.value());
-    profile.put("late_worth", track.lateValue() / track.value());
-    if (!track.kinds().isEmpty()) {
+    profile.put("window_us", requestClass.window() * MICROS);
+    profile.put("aim_us", requestClass.latencyObjective() * MICROS);
+    profile.put("hard_limit_us", requestClass.deadline() * MICROS);
+    profile.put("worth", requestClass.value());
+    profile.put("late_worth", requestClass.lateValue() / requestClass.value());
+    if (!requestClass.kinds().isEmpty()) {
       profile.put(
-          "models_allowed", track.kinds().stream().map(name -> (long) kindNamed(name)).toList());
+          "models_allowed",
+          requestClass.kinds().stream().map(name -> (long) kindNamed(name)).toList());
     }
     return profile;
   }
--- a/gateway/src/main/java/tillerlink/model/Attempt.java
+++ b/gateway/src/main/java/tillerlink/model/Attempt.java
@@ -2,7 +2,7 @@
 
 /** One sending of a submission to an engine. */
 public final class Attempt {
-  public final Request submission;
+  public final Request request;
   public final Engine engine;
   public final int number;
   public final long sentAt;
@@ -17,8 +17,8 @@
   public final boolean trial;
 
   public boolean sent;
-  public boolean wantedOff;
-  public boolean calledOff;
+  public boolean cancelRequested;
+  public boolean cancelSent;
 
   /** When its first byte went out; 0 while none has. */
   public long writtenAt;
@@ -30,15 +30,10 @@
   public AttemptOutcome outcome;
 
   public Attempt(
-      Request submission,
-      Engine engine,
-      long sentAt,
-      long expected,
-      double nominal,
-      boolean trial) {
-    this.submission = submission;
+      Request request, Engine engine, long sentAt, long expected, double nominal, boolean trial) {
+    this.request = request;
     this.engine = engine;
-    this.number = submission.hops.size();
+    this.number = request.attempts.size();
     this.sentAt = sentAt;
     this.expected = expected;
     this.nominal = nominal;
@@ -50,6 +45,6 @@
   }
 
   public boolean mayHaveRun() {
-    return outcome == null || !outcome.provesIdle;
+    return outcome == null || !outcome.provesNotExecuted;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/AttemptOutcome.java
+++ b/gateway/src/main/java/tillerlink/model/AttemptOutcome.java
@@ -2,34 +2,34 @@
 
 /** How a hop ended. */
 public enum AttemptOutcome {
-  FULFILLED(false, false, true),
-  ERRED(false, false, true),
+  SUCCEEDED(false, false, true),
+  FAILED(false, false, true),
   /** Turned away by an engine that was full or draining. */
-  FULL(true, false, true),
-  OVERDUE(false, true, false),
+  REJECTED(true, false, true),
+  TIMED_OUT(false, true, false),
   /** No connection was made in time. */
-  UNREACHABLE(true, false, false),
-  SEVERED(false, true, false),
+  CONNECT_FAILED(true, false, false),
+  CONNECTION_LOST(false, true, false),
   /**
    * It came to the engine, and what that answered was lost on the way: nothing is said of its
    * health.
    */
-  SPOILT(false, true, true),
-  CALLED_OFF(false, true, false),
-  NEVER_SENT(true, false, false);
+  RESPONSE_LOST(false, true, true),
+  CANCELLED(false, true, false),
+  NOT_SENT(true, false, false);
 
   /** The submission is known not to have run on this hop. */
-  public final boolean provesIdle;
+  public final boolean provesNotExecuted;
 
   /** The submission may still be running. */
-  public final boolean leavesDoubt;
+  public final boolean mayStillBeRunning;
 
   /** The engine itself answered. */
   public final boolean heard;
 
-  AttemptOutcome(boolean provesIdle, boolean leavesDoubt, boolean heard) {
-    this.provesIdle = provesIdle;
-    this.leavesDoubt = leavesDoubt;
+  AttemptOutcome(boolean provesNotExecuted, boolean mayStillBeRunning, boolean heard) {
+    this.provesNotExecuted = provesNotExecuted;
+    this.mayStillBeRunning = mayStillBeRunning;
     this.heard = heard;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -35,7 +35,7 @@
   /** Hops that are out, oldest first. */
   public final List<Attempt> out = new ArrayList<>();
 
-  public int[] outByTrack = new int[0];
+  public int[] inFlightByClass = new int[0];
   public int threadsOut;
   public int trialsOut;
 
@@ -84,33 +84,37 @@
   }
 
   /** Counts a hop that goes out here; of the table groups, only the latest are remembered. */
-  public void enter(Attempt hop, int groupsKept) {
-    count(hop, 1);
-    out.add(hop);
-    groups.remove((Integer) hop.submission.tableGroup);
-    groups.addLast(hop.submission.tableGroup);
+  public void enter(Attempt attempt, int groupsKept) {
+    count(attempt, 1);
+    out.add(attempt);
+    groups.remove((Integer) attempt.request.tableGroup);
+    groups.addLast(attempt.request.tableGroup);
     if (groups.size() > groupsKept) {
       groups.removeFirst();
     }
   }
 
-  public void leave(Attempt hop) {
-    count(hop, -1);
-    out.remove(hop);
+  public void leave(Attempt attempt) {
+    count(attempt, -1);
+    out.remove(attempt);
   }
 
   /** Whether a load that is out here holds the table group. */
   public boolean holdsGroup(int tableGroup) {
     return out.stream()
         .anyMatch(
-            hop ->
-                hop.submission.tableGroup == tableGroup && hop.submission.track.terms.holdsGroup());
+            attempt ->
+                attempt.request.tableGroup == tableGroup
+                    && attempt.request.requestClass.terms.holdsGroup());
   }
 
   /** The threads out of the class that has most out. */
   public int widest() {
     return out.stream()
-        .mapToInt(hop -> outByTrack[hop.submission.trackIndex] * hop.submission.track.terms.width())
+        .mapToInt(
+            attempt ->
+                inFlightByClass[attempt.request.classIndex]
+                    * attempt.request.requestClass.terms.width())
         .max()
         .orElse(0);
   }
@@ -127,9 +131,9 @@
     fellAt = Long.MIN_VALUE;
   }
 
-  private void count(Attempt hop, int by) {
-    outByTrack[hop.submission.trackIndex] += by;
-    threadsOut += by * hop.submission.track.terms.width();
-    trialsOut += hop.trial ? by : 0;
+  private void count(Attempt attempt, int by) {
+    inFlightByClass[attempt.request.classIndex] += by;
+    threadsOut += by * attempt.request.requestClass.terms.width();
+    trialsOut += attempt.trial ? by : 0;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/KeyedRequestQueue.java
+++ b/gateway/src/main/java/tillerlink/model/KeyedRequestQueue.java
@@ -7,7 +7,7 @@
   public final ArrayDeque<Request> members = new ArrayDeque<>();
 
   /** Nothing of this key is sent before. */
-  public long restsUntil = Long.MIN_VALUE;
+  public long cooldownUntil = Long.MIN_VALUE;
 
   /** The first that is not over, or null. */
   public Request head() {
--- a/gateway/src/main/java/tillerlink/model/Request.java
+++ b/gateway/src/main/java/tillerlink/model/Request.java
@@ -8,13 +8,13 @@
   /** The door's own handle; the module never looks at it. */
   public final Object tag;
 
-  public final int trackIndex;
+  public final int classIndex;
   public final int tableGroup;
   public final boolean repeat;
   public final long arrivedAt;
 
   /** When the client gives up on this try. */
-  public final long leavesAt;
+  public final long clientDeadline;
 
   /** Estimate of the work of all its threads, as time on one; 0 if none was given. */
   public final double estimate;
@@ -25,9 +25,9 @@
   /** Those that must run one after another, or null. */
   public final KeyedRequestQueue line;
 
-  public RequestClass track;
-  public final List<Attempt> hops = new ArrayList<>(1);
-  public int hopsOut;
+  public RequestClass requestClass;
+  public final List<Attempt> attempts = new ArrayList<>(1);
+  public int attemptsInFlight;
   public boolean held;
 
   /** Nobody waits for its answer at present. */
@@ -37,42 +37,42 @@
   public boolean begun;
 
   /** Null while an answer is owed. */
-  public RequestOutcome ending;
+  public RequestOutcome outcome;
 
   /** When its client was seen to have left; later than any time while it was not. */
   public long leftAt = Long.MAX_VALUE;
 
   /** Why the policy gave it up; null if it did not. */
-  public TerminationReason endReason;
+  public TerminationReason terminationReason;
 
   /** No engine can use it. */
   public boolean unusable;
 
   public boolean told;
-  public long comeBack;
+  public long retryAfter;
   public int rank = 1;
-  public int rankTold = 1;
+  public int rankSent = 1;
   public long grant;
-  public long grantTold;
+  public long grantSent;
   public long wakeAt = Long.MAX_VALUE;
   public boolean changed;
 
   public Request(
       Object tag,
-      int trackIndex,
+      int classIndex,
       int tableGroup,
       boolean repeat,
       long arrivedAt,
-      long leavesAt,
+      long clientDeadline,
       double estimate,
       double memoryEstimate,
       KeyedRequestQueue line) {
     this.tag = tag;
-    this.trackIndex = trackIndex;
+    this.classIndex = classIndex;
     this.tableGroup = tableGroup;
     this.repeat = repeat;
     this.arrivedAt = arrivedAt;
-    this.leavesAt = leavesAt;
+    this.clientDeadline = clientDeadline;
     this.estimate = estimate;
     this.memoryEstimate = memoryEstimate;
     this.line = line;
@@ -80,20 +80,20 @@
 
   /** Its track keeps an order, and it has a key. */
   public boolean ordered() {
-    return line != null && track.terms.keepsOrder();
+    return line != null && requestClass.terms.keepsOrder();
   }
 
   /** The first of the other engines that erred on it, or null. */
   public Engine erredElsewhere(Engine engine) {
-    return hops.stream()
-        .filter(hop -> hop.outcome == AttemptOutcome.ERRED && hop.engine != engine)
-        .map(hop -> hop.engine)
+    return attempts.stream()
+        .filter(attempt -> attempt.outcome == AttemptOutcome.FAILED && attempt.engine != engine)
+        .map(attempt -> attempt.engine)
         .findFirst()
         .orElse(null);
   }
 
   /** Ended, with no hop left of which anything more will be heard. */
   public boolean isOver() {
-    return ending != null && hopsOut == 0;
+    return outcome != null && attemptsInFlight == 0;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/RequestClass.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClass.java
@@ -52,7 +52,7 @@
 
   /** The first held submission that is still owed an answer, or null. */
   public Request head() {
-    while (!queue.isEmpty() && queue.peekFirst().ending != null) {
+    while (!queue.isEmpty() && queue.peekFirst().outcome != null) {
       queue.pollFirst().held = false;
     }
     return queue.peekFirst();
--- a/gateway/src/main/java/tillerlink/model/RequestClassConfig.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClassConfig.java
@@ -7,7 +7,7 @@
     Effect effect,
     DeduplicationGroup circle,
     long window,
-    long softLimit,
+    long latencyObjective,
     double stretch,
     long deadline,
     double value,
--- a/gateway/src/main/java/tillerlink/model/RequestOutcome.java
+++ b/gateway/src/main/java/tillerlink/model/RequestOutcome.java
@@ -2,9 +2,9 @@
 
 /** How a submission ended. */
 public enum RequestOutcome {
-  FULFILLED,
-  TURNED_BACK,
-  BROKEN_OFF,
+  SUCCEEDED,
+  REJECTED,
+  FAILED,
   /** The client went, or the answer reached it without us. */
-  LEFT
+  CLIENT_DISCONNECTED
 }
--- a/gateway/src/main/java/tillerlink/model/RequestTimers.java
+++ b/gateway/src/main/java/tillerlink/model/RequestTimers.java
@@ -4,32 +4,32 @@
 
 /** When each submission is to be looked at next; setting an alarm anew replaces the one before. */
 public final class RequestTimers {
-  private record Alarm(long at, long order, Request submission) {}
+  private record Timer(long at, long order, Request request) {}
 
-  private final PriorityQueue<Alarm> alarms =
+  private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
           (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
   private long made;
 
-  public void set(Request submission, long at) {
-    submission.wakeAt = at;
-    alarms.add(new Alarm(at, made++, submission));
+  public void set(Request request, long at) {
+    request.wakeAt = at;
+    timers.add(new Timer(at, made++, request));
   }
 
   /** The next submission that is due and still owed an answer, or null. */
   public Request due(long now) {
-    while (!alarms.isEmpty() && alarms.peek().at <= now) {
-      Alarm alarm = alarms.poll();
-      Request submission = alarm.submission;
-      if (submission.wakeAt == alarm.at && submission.ending == null) {
-        submission.wakeAt = Long.MAX_VALUE;
-        return submission;
+    while (!timers.isEmpty() && timers.peek().at <= now) {
+      Timer timer = timers.poll();
+      Request request = timer.request;
+      if (request.wakeAt == timer.at && request.outcome == null) {
+        request.wakeAt = Long.MAX_VALUE;
+        return request;
       }
     }
     return null;
   }
 
   public long next() {
-    return alarms.isEmpty() ? Long.MAX_VALUE : alarms.peek().at;
+    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
+++ b/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
@@ -37,7 +37,7 @@
   private static final int DATAGRAM_MOST = 65_535;
 
   private static final int BACKLOG = 256;
-  private static final String PIPE = "pipe";
+  private static final String CHANNEL = "pipe";
 
   /** Room beyond the bound of clients, for those that are just being accepted or closed. */
   private static final int NEWCOMERS_LEAST = 8;
@@ -83,7 +83,7 @@
       InetSocketAddress nameService,
       Consumer<byte[]> datagrams,
       Function<Channel, Channel.Owner> accepted,
-      int clientsMost,
+      int maxClients,
       LongSupplier clock) {
     this.queue = queue;
     reading = new ReadProcessor(clock);
@@ -91,7 +91,7 @@
     this.datagrams = datagrams;
     acceptor =
         new ConnectionLimiter(
-            reading, clientsMost + Math.max(NEWCOMERS_LEAST, clientsMost / NEWCOMERS_SHARE));
+            reading, maxClients + Math.max(NEWCOMERS_LEAST, maxClients / NEWCOMERS_SHARE));
     acceptor.setReuseAddress(true);
     acceptor.setBacklog(BACKLOG);
     acceptor.getSessionConfig().setTcpNoDelay(true);
@@ -123,21 +123,22 @@
 
   @Override
   public Channel connect(InetSocketAddress to, Channel.Owner owner) {
-    MinaPipe pipe = new MinaPipe();
-    pipe.owner = owner;
+    MinaChannel channel = new MinaChannel();
+    channel.owner = owner;
     pending.add(
         () -> {
           ConnectFuture future =
-              connector.connect(to, (session, connecting) -> session.setAttribute(PIPE, pipe));
-          pipe.future = future;
+              connector.connect(
+                  to, (session, connecting) -> session.setAttribute(CHANNEL, channel));
+          channel.future = future;
           future.addListener(
               done -> {
                 if (future.getException() != null) {
-                  queue.add(() -> pipe.owner.onClosed(DisconnectReason.REFUSED));
+                  queue.add(() -> channel.owner.onClosed(DisconnectReason.REFUSED));
                 }
               });
         });
-    return pipe;
+    return channel;
   }
 
   @Override
@@ -221,7 +222,7 @@
     return bytes;
   }
 
-  private final class MinaPipe implements Channel {
+  private final class MinaChannel implements Channel {
     private Owner owner;
     private ConnectFuture future;
     private final AtomicInteger unread = new AtomicInteger();
@@ -324,25 +325,25 @@
 
     @Override
     public void sessionOpened(IoSession session) {
-      MinaPipe pipe = pipe(session);
-      pipe.session = session;
-      queue.add(() -> pipe.owner.onOpened());
+      MinaChannel channel = channel(session);
+      channel.session = session;
+      queue.add(() -> channel.owner.onOpened());
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      pipe(session).read(taken(message));
+      channel(session).read(taken(message));
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
-      MinaPipe pipe = pipe(session);
+      MinaChannel channel = channel(session);
       if (!(message instanceof DeadlineWrite timed)) {
-        queue.add(() -> pipe.owner.onWritten());
+        queue.add(() -> channel.owner.onWritten());
       } else if (timed.withheld()) {
-        queue.add(() -> pipe.owner.onWithheld());
+        queue.add(() -> channel.owner.onWithheld());
       } else {
-        queue.add(() -> pipe.owner.onWritten(timed.firstByteAt()));
+        queue.add(() -> channel.owner.onWritten(timed.firstByteAt()));
       }
     }
 
@@ -354,16 +355,16 @@
 
     @Override
     public void sessionClosed(IoSession session) {
-      MinaPipe pipe = pipe(session);
+      MinaChannel channel = channel(session);
       DisconnectReason how =
           session.containsAttribute(CAUSE)
               ? DisconnectReason.RESET
               : DisconnectReason.CLOSED_BY_PEER;
-      queue.add(() -> pipe.owner.onClosed(how));
+      queue.add(() -> channel.owner.onClosed(how));
     }
 
-    MinaPipe pipe(IoSession session) {
-      return (MinaPipe) session.getAttribute(PIPE);
+    MinaChannel channel(IoSession session) {
+      return (MinaChannel) session.getAttribute(CHANNEL);
     }
   }
 
@@ -376,10 +377,10 @@
 
     @Override
     public void sessionOpened(IoSession session) {
-      MinaPipe pipe = new MinaPipe();
-      pipe.session = session;
-      session.setAttribute(PIPE, pipe);
-      queue.add(() -> pipe.owner = accepted.apply(pipe));
+      MinaChannel channel = new MinaChannel();
+      channel.session = session;
+      session.setAttribute(CHANNEL, channel);
+      queue.add(() -> channel.owner = accepted.apply(channel));
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -43,15 +43,16 @@
   }
 
   /**
-   * @param carriers how engines are reached, by their kinds; null: over engine lines
-   * @param recalls what is remembered across restarts, for what it is told to be; it may give null
+   * @param transports how engines are reached, by their kinds; null: over engine lines
+   * @param endpointCaches what is remembered across restarts, for what it is told to be; it may
+   *     give null
    * @param beside makes what stands beside the module, or null
    */
   public void serve(
       Map<String, String> environment,
       DispatchPolicyFactory modules,
-      EngineTransport.Factory carriers,
-      Function<GatewayConfig, EndpointCache> recalls,
+      EngineTransport.Factory transports,
+      Function<GatewayConfig, EndpointCache> endpointCaches,
       GatewayExtension.Factory beside)
       throws IOException, InterruptedException {
     String file = environment.get("EDGE_CONFIG");
@@ -77,11 +78,12 @@
             turns.queue,
             assignment.resolver(),
             bytes -> gateway.told(bytes),
-            (Channel pipe) -> gateway.accepted(pipe),
-            assignment.clientsMost(),
+            (Channel channel) -> gateway.accepted(channel),
+            assignment.maxClients(),
             clock::now);
     gateway =
-        new Gateway(assignment, modules, driver, clock.now(), carriers, recalls.apply(assignment));
+        new Gateway(
+            assignment, modules, driver, clock.now(), transports, endpointCaches.apply(assignment));
     // The name service is asked meanwhile, so that the list is confirmed by the time that clients
     // come.
     try {
@@ -147,7 +149,7 @@
       turns.queue.add(
           () -> {
             driver.askAt(resolver);
-            gateway.nameServiceMoved();
+            gateway.discoveryAddressChanged();
           });
       LOG.info("configuration read again, the name service is asked at {}", resolver);
     } catch (IOException e) {
--- a/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
@@ -51,8 +51,8 @@
    * @param between called between two rounds, for what can't wait until it is over
    */
   void play(Runnable between) {
-    List<String> tracks = assignment.tracks();
-    if (tracks.isEmpty()) {
+    List<String> requestClasses = assignment.requestClasses();
+    if (requestClasses.isEmpty()) {
       return;
     }
     long until = System.nanoTime() + NANOS_MOST;
@@ -61,7 +61,7 @@
       String id = String.format("%016x", i);
       say(
           "POST /v1/"
-              + tracks.get(i % tracks.size())
+              + requestClasses.get(i % requestClasses.size())
               + " HTTP/1.1\r\nHost: app\r\nX-Correlation-Id: "
               + id
               + "\r\nX-Deadline-Ms: 500\r\nX-Estimate-Ms: 10.5\r\nX-Space: 20\r\nX-Operation-Key: "
@@ -91,10 +91,10 @@
 
   @Override
   public Channel connect(InetSocketAddress to, Channel.Owner owner) {
-    Played pipe = new Played();
-    pipe.engine = owner;
+    Played channel = new Played();
+    channel.engine = owner;
     next.add(owner::onOpened);
-    return pipe;
+    return channel;
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -53,7 +53,7 @@
   private static final int PIPELINED_WITH_ROOM = 131_072 + PIPELINED_MOST;
 
   private final ClientRequestHandler door;
-  private final Channel pipe;
+  private final Channel channel;
   private final HttpRequestParser reader = new HttpRequestParser();
 
   /** Sizes of what was written and is not yet out. */
@@ -94,9 +94,9 @@
 
   private long quietSince;
 
-  ClientConnection(ClientRequestHandler door, Channel pipe) {
+  ClientConnection(ClientRequestHandler door, Channel channel) {
     this.door = door;
-    this.pipe = pipe;
+    this.channel = channel;
     quietSince = door.now();
     callSince = quietSince;
   }
@@ -145,7 +145,7 @@
     discarded += more;
     if (discarded > DISCARDED_MOST && !held) {
       held = true;
-      pipe.pauseReading(true);
+      channel.pauseReading(true);
     }
   }
 
@@ -211,14 +211,14 @@
         inHand && reader.waiting() > (door.full() ? PIPELINED_MOST : PIPELINED_WITH_ROOM);
     if (hold != held && !over) {
       held = hold;
-      pipe.pauseReading(hold);
+      channel.pauseReading(hold);
     }
   }
 
   private void write(byte[] bytes) {
     unsent.add(bytes.length);
     door.held(bytes.length);
-    pipe.write(bytes);
+    channel.write(bytes);
   }
 
   /** The connection ends after the answer to the call in hand. */
@@ -237,18 +237,18 @@
     }
     waitsFor = null;
     quietSince = door.now();
-    write((lastCall ? answer.ending() : answer).encoded());
+    write((lastCall ? answer.closingConnection() : answer).encoded());
     if (lastCall) {
       over = true;
       ourEnd = ClientDisconnectReason.AFTER_ANSWER;
-      pipe.close();
+      channel.close();
     }
   }
 
   /** Answers what can't be read on from; the client may be sending still. */
   void refuse(HttpResponse answer) {
     quietSince = door.now();
-    write(answer.ending().encoded());
+    write(answer.closingConnection().encoded());
     over = true;
     ourEnd = ClientDisconnectReason.AFTER_REFUSAL;
   }
@@ -370,14 +370,14 @@
     over = true;
     ourEnd = why;
     quietSince = door.now();
-    pipe.close();
+    channel.close();
   }
 
   /** Ends it at once, with no word. */
   void drop(ClientDisconnectReason why) {
     over = true;
     ourEnd = ourEnd == null ? why : ourEnd;
-    pipe.abort();
+    channel.abort();
     door.forget(this);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -39,7 +39,7 @@
   private static final long LINGER = 1000 * Units.TENTHS_PER_MS;
 
   private final Gateway gateway;
-  private final Map<String, Integer> tracks = new HashMap<>();
+  private final Map<String, Integer> requestClasses = new HashMap<>();
 
   /** The tracks whose submissions bear a mark against repeats. */
   private final Set<Integer> marked = new HashSet<>();
@@ -50,11 +50,11 @@
   private final Map<String, KeyedRequestQueue> lines = new HashMap<>();
   private final Map<String, PendingResponse> calls = new LinkedHashMap<>();
   private final Set<ClientConnection> clients = new LinkedHashSet<>();
-  private final int clientsMost;
+  private final int maxClients;
   private final long openMost;
   private long longestDeadline = 1;
-  private final long comeBack;
-  private final long bytesMost;
+  private final long retryAfter;
+  private final long maxBytes;
   private long bytes;
   private boolean draining;
 
@@ -64,12 +64,12 @@
   /** Takes some calls, or null. */
   private GatewayExtension side;
 
-  ClientRequestHandler(Gateway gateway, Settings terms, int clientsMost, long bytesMost) {
+  ClientRequestHandler(Gateway gateway, Settings terms, int maxClients, long maxBytes) {
     this.gateway = gateway;
-    this.bytesMost = bytesMost;
-    this.clientsMost = clientsMost;
+    this.maxBytes = maxBytes;
+    this.maxClients = maxClients;
     for (int i = 0; i < terms.number("profiles", 0); i++) {
-      tracks.put(terms.text("profiles." + i + ".name"), i);
+      requestClasses.put(terms.text("profiles." + i + ".name"), i);
       if (terms.text("profiles." + i + ".semantics").equals("by_key")) {
         marked.add(i);
       }
@@ -79,13 +79,13 @@
       longestDeadline = Math.max(longestDeadline, terms.number("profiles." + i + ".hard_limit", 1));
     }
     openMost = Math.min(OPEN_MOST, terms.number("caps.max_open", OPEN_MOST));
-    comeBack = terms.flag("caps.retry_after") ? terms.number("caps.max_retry_after", 0) : 0;
+    retryAfter = terms.flag("caps.retry_after") ? terms.number("caps.max_retry_after", 0) : 0;
   }
 
   // ---- connections ----
 
-  ClientConnection accepted(Channel pipe) {
-    ClientConnection client = new ClientConnection(this, pipe);
+  ClientConnection accepted(Channel channel) {
+    ClientConnection client = new ClientConnection(this, channel);
     clients.add(client);
     makeRoom();
     return client;
@@ -97,7 +97,7 @@
    * here does not linger. If nothing may go yet, newcomers wait in the backlog.
    */
   private void makeRoom() {
-    int more = clients.size() - clientsMost;
+    int more = clients.size() - maxClients;
     if (more <= 0) {
       return;
     }
@@ -137,7 +137,7 @@
               "how",
               how,
               "after_ms",
-              (now() - call.submission.arrivedAt) / Units.TENTHS_PER_MS);
+              (now() - call.request.arrivedAt) / Units.TENTHS_PER_MS);
     }
   }
 
@@ -152,12 +152,12 @@
 
   /** Whether as much is kept for clients as may be. */
   boolean full() {
-    return bytes > bytesMost;
+    return bytes > maxBytes;
   }
 
   /** The answer to what there is no room for. */
   HttpResponse noRoom() {
-    return refusal(comeBack);
+    return refusal(retryAfter);
   }
 
   long now() {
@@ -232,9 +232,11 @@
       reply.answer(noRoom());
       return null;
     }
-    Integer track =
-        http.path().startsWith(SUBMIT) ? tracks.get(http.path().substring(SUBMIT.length())) : null;
-    if (track == null) {
+    Integer requestClass =
+        http.path().startsWith(SUBMIT)
+            ? requestClasses.get(http.path().substring(SUBMIT.length()))
+            : null;
+    if (requestClass == null) {
       reply.answer(HttpResponse.unknown());
       return null;
     }
@@ -247,7 +249,7 @@
     }
     PendingResponse known = calls.get(ask.id());
     boolean tooLong = ask.patience() > PATIENCE_MOST * longestDeadline;
-    if (tooLong || ask.key() == null && marked.contains(track)) {
+    if (tooLong || ask.key() == null && marked.contains(requestClass)) {
       reply.answer(HttpResponse.problem(400, tooLong ? "X-Deadline-Ms" : "X-Operation-Key", 0));
     } else if (known != null && !known.left && known.ask.same(ask)) {
       reply.answer(HttpResponse.goOnAt(CALLS + ask.id()));
@@ -259,10 +261,11 @@
       reply.answer(noRoom());
     } else {
       KeyedRequestQueue line =
-          ask.subject() == null || !ordered.contains(track)
+          ask.subject() == null || !ordered.contains(requestClass)
               ? null
               : lines.computeIfAbsent(ask.subject(), about -> new KeyedRequestQueue());
-      PendingResponse call = new PendingResponse(ask, track, gateway.earliestArrival(), line);
+      PendingResponse call =
+          new PendingResponse(ask, requestClass, gateway.earliestArrival(), line);
       call.guard = guard;
       calls.put(ask.id(), call);
       held(ask.statement().length);
@@ -299,7 +302,7 @@
   void leave(PendingResponse call) {
     if (!call.settled()) {
       call.left = true;
-      call.submission.leftAt = now();
+      call.request.leftAt = now();
       gateway
           .telemetry()
           .log()
@@ -310,9 +313,9 @@
               "id",
               call.ask.id(),
               "attempts",
-              call.flights.size(),
+              call.inFlightAttempts.size(),
               "after_ms",
-              (now() - call.submission.arrivedAt) / Units.TENTHS_PER_MS);
+              (now() - call.request.arrivedAt) / Units.TENTHS_PER_MS);
       call.forgetAt = now();
       stopWaiting(call);
       gateway.left(call);
@@ -332,11 +335,11 @@
     answer(call, new HttpResponse(200, rows, 0, false));
   }
 
-  void turnBack(PendingResponse call, long stayAway) {
+  void reject(PendingResponse call, long stayAway) {
     answer(call, refusal(stayAway));
   }
 
-  void breakOff(PendingResponse call) {
+  void fail(PendingResponse call) {
     answer(call, HttpResponse.problem(500, "Error", 0));
   }
 
@@ -369,16 +372,16 @@
   void sweep() {
     for (Iterator<PendingResponse> i = calls.values().iterator(); i.hasNext(); ) {
       PendingResponse call = i.next();
-      if (now() >= call.submission.leavesAt) {
+      if (now() >= call.request.clientDeadline) {
         gateway.overdue(call);
       }
-      if (now() >= call.forgetAt + LINGER && call.settled() && call.submission.isOver()) {
+      if (now() >= call.forgetAt + LINGER && call.settled() && call.request.isOver()) {
         held(-call.ask.statement().length);
         held(call.answer == null ? 0 : -call.answer.body().length);
         i.remove();
       }
     }
-    lines.values().removeIf(line -> line.head() == null && now() >= line.restsUntil);
+    lines.values().removeIf(line -> line.head() == null && now() >= line.cooldownUntil);
     List.copyOf(clients).forEach(ClientConnection::sweep);
     makeRoom();
   }
--- a/gateway/src/main/java/tillerlink/net/state/DisconnectReason.java
+++ b/gateway/src/main/java/tillerlink/net/state/DisconnectReason.java
@@ -35,13 +35,16 @@
   public AttemptOutcome outcome(boolean whole) {
     return switch (this) {
       // It may have run before, on a connection that broke while its result came.
-      case REFUSED, NEVER_UP, SILENT -> whole ? AttemptOutcome.SEVERED : AttemptOutcome.UNREACHABLE;
+      case REFUSED, NEVER_UP, SILENT ->
+          whole ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.CONNECT_FAILED;
       // A connection that came up and broke says that somebody is there; only what it bore may be
       // in doubt.
-      case RESET, CLOSED_BY_PEER -> whole ? AttemptOutcome.SEVERED : AttemptOutcome.NEVER_SENT;
-      case GARBLED, MUTE, HELD_BACK -> whole ? AttemptOutcome.SPOILT : AttemptOutcome.NEVER_SENT;
-      case NO_ROOM, WITHDRAWN -> AttemptOutcome.NEVER_SENT;
-      case CLOSED_BY_US -> whole ? AttemptOutcome.CALLED_OFF : AttemptOutcome.NEVER_SENT;
+      case RESET, CLOSED_BY_PEER ->
+          whole ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.NOT_SENT;
+      case GARBLED, MUTE, HELD_BACK ->
+          whole ? AttemptOutcome.RESPONSE_LOST : AttemptOutcome.NOT_SENT;
+      case NO_ROOM, WITHDRAWN -> AttemptOutcome.NOT_SENT;
+      case CLOSED_BY_US -> whole ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
     };
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/Discovery.java
+++ b/gateway/src/main/java/tillerlink/net/state/Discovery.java
@@ -18,27 +18,27 @@
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
 
   private final EndpointList engines;
-  private final DispatchPolicy steering;
+  private final DispatchPolicy policy;
   private final InvariantMonitor invariants;
-  private final EndpointCache recall;
+  private final EndpointCache endpointCache;
   private final Telemetry telemetry;
 
   /** No list was told since the start. */
   private boolean blind;
 
   /**
-   * @param recall what is remembered across restarts; null: nothing
+   * @param endpointCache what is remembered across restarts; null: nothing
    */
   Discovery(
       EndpointList engines,
-      DispatchPolicy steering,
+      DispatchPolicy policy,
       InvariantMonitor invariants,
-      EndpointCache recall,
+      EndpointCache endpointCache,
       Telemetry telemetry) {
     this.invariants = invariants;
     this.engines = engines;
-    this.steering = steering;
-    this.recall = recall;
+    this.policy = policy;
+    this.endpointCache = endpointCache;
     this.telemetry = telemetry;
   }
 
@@ -53,7 +53,7 @@
   void start(long now, List<EndpointWatchEvent> known) {
     known.forEach(news -> listed(now, news));
     engines.listedLongAgo();
-    if (recall != null && known.stream().allMatch(news -> news.entries().isEmpty())) {
+    if (endpointCache != null && known.stream().allMatch(news -> news.entries().isEmpty())) {
       startBlind(now);
     }
   }
@@ -63,7 +63,7 @@
     EndpointWatchEvent told = engines.filled(came);
     boolean newer = told.index() > engines.index();
     EndpointWatchEvent news =
-        recall != null && newer ? recall.onEndpointsReceived(now, told) : told;
+        endpointCache != null && newer ? endpointCache.onEndpointsReceived(now, told) : told;
     List<EndpointUpdate> entries = engines.take(news);
     if (entries != null) {
       telemetry
@@ -81,11 +81,11 @@
               "newer",
               newer);
       invariants.listed(now, news.whole(), entries);
-      steering.onEndpointsChanged(now, news.whole(), entries);
+      policy.onEndpointsChanged(now, news.whole(), entries);
     }
     if (blind && newer) {
       blind = false;
-      steering.onEndpointsUnknown(now, false);
+      policy.onEndpointsUnknown(now, false);
       LOG.info("discovery answers, list {}", news.index());
     }
     return entries != null;
@@ -93,15 +93,15 @@
 
   /** Discovery told nothing: the gateway goes by what it remembers, or by nothing at all. */
   private void startBlind(long now) {
-    EndpointCache.Remembered remembered = recall.loadAtStart(now);
+    EndpointCache.Remembered remembered = endpointCache.loadAtStart(now);
     blind = true;
     if (remembered.engines() == null) {
-      steering.onEndpointsUnknown(now, true);
+      policy.onEndpointsUnknown(now, true);
       LOG.warn(
           "discovery told nothing, and nothing that can be trusted is remembered: all is turned"
               + " back");
     } else {
-      steering.onEndpointsChanged(now, true, engines.remember(remembered));
+      policy.onEndpointsChanged(now, true, engines.remember(remembered));
       LOG.atWarn()
           .addKeyValue("engines", remembered.engines().entries().size())
           .addKeyValue("trust", remembered.trust().values().stream().findFirst().orElse(0.0))
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -31,16 +31,16 @@
 
   private final Telemetry telemetry;
   private final EngineTransport.Owner owner;
-  private final EngineTransport.Factory carriers;
+  private final EngineTransport.Factory transports;
 
   EndpointList(
       Settings terms,
       Telemetry telemetry,
       EngineTransport.Owner owner,
-      EngineTransport.Factory carriers) {
+      EngineTransport.Factory transports) {
     this.telemetry = telemetry;
     this.owner = owner;
-    this.carriers = carriers;
+    this.transports = transports;
     kinds = terms.list("models");
     zones = terms.list("zones");
   }
@@ -89,7 +89,7 @@
       EngineAddress site = sites.get(entry.id());
       if (site == null) {
         site = new EngineAddress(entry.id());
-        site.carrier = carriers.create(owner, site, entry.kind());
+        site.transport = transports.create(owner, site, entry.kind());
         sites.put(entry.id(), site);
       }
       site.at(entry, owner.now(), listedAt);
@@ -147,10 +147,10 @@
   void sweep(long connectMost, long idleMost) {
     for (Iterator<EngineAddress> i = sites.values().iterator(); i.hasNext(); ) {
       EngineAddress site = i.next();
-      site.carrier.checkTimeouts(connectMost, idleMost);
+      site.transport.checkTimeouts(connectMost, idleMost);
       if (site.engine.standing == Status.GONE) {
-        site.carrier.retireConnections();
-        if (site.carrier.isEmpty() && site.engine.out.isEmpty()) {
+        site.transport.retireConnections();
+        if (site.transport.isEmpty() && site.engine.out.isEmpty()) {
           i.remove();
         }
       }
@@ -161,8 +161,8 @@
   boolean endIdle() {
     EngineTransport longest = null;
     for (EngineAddress site : sites.values()) {
-      if (site.carrier.idleSince() < (longest == null ? Long.MAX_VALUE : longest.idleSince())) {
-        longest = site.carrier;
+      if (site.transport.idleSince() < (longest == null ? Long.MAX_VALUE : longest.idleSince())) {
+        longest = site.transport;
       }
     }
     if (longest != null) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -11,7 +11,7 @@
 public final class EngineAddress {
   public final String id;
   public final Engine engine = new Engine(this);
-  EngineTransport carrier;
+  EngineTransport transport;
 
   /** As it was last told whole, or null. */
   EndpointEntry entry;
@@ -40,7 +40,7 @@
     if (entry.standing() != Status.GONE) {
       InetSocketAddress told = new InetSocketAddress(entry.address(), entry.port());
       if (!told.equals(address) || entry.startedMs() != startedMs) {
-        carrier.retireConnections();
+        transport.retireConnections();
       }
       if (entry.startedMs() != startedMs || this.entry == null) {
         startedAt = StartTime.bounded(entry.startedMs() * Units.TENTHS_PER_MS, now, missingAt);
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -25,12 +25,12 @@
   private static final int RESULT_MOST = 48_000;
   private static final String TAG = "0";
 
-  private final LineProtocolTransport carrier;
+  private final LineProtocolTransport transport;
   private final EngineAddress site;
   private final EngineTransport.Owner gateway;
   private final long dialedAt;
   private final EngineResponseParser reader = new EngineResponseParser();
-  private final Map<String, InFlightAttempt> flights = new LinkedHashMap<>();
+  private final Map<String, InFlightAttempt> inFlightAttempts = new LinkedHashMap<>();
   private final Set<String> ended = new LinkedHashSet<>();
 
   /**
@@ -40,12 +40,12 @@
    * @param before when its first byte is to be out by
    * @param limit how long the engine is told that the client waits
    */
-  private record GoingOut(InFlightAttempt flight, long place, long before, long limit) {}
+  private record GoingOut(InFlightAttempt inFlight, long place, long before, long limit) {}
 
   /** Hops that are on their way out, in that order. */
   private final ArrayDeque<GoingOut> goingOut = new ArrayDeque<>(1);
 
-  private Channel pipe;
+  private Channel channel;
   private boolean open;
   private boolean over;
   private long writes;
@@ -79,25 +79,25 @@
   /** Since when half an answer waits for the rest; 0 if none does. */
   private long midwaySince;
 
-  EngineConnection(LineProtocolTransport carrier, long now) {
-    this.carrier = carrier;
-    gateway = carrier.owner;
-    site = carrier.site;
+  EngineConnection(LineProtocolTransport transport, long now) {
+    this.transport = transport;
+    gateway = transport.owner;
+    site = transport.site;
     dialedAt = now;
     heardAt = now;
     idleSince = now;
   }
 
   void dial() {
-    pipe = gateway.connect(site.address(), this);
+    channel = gateway.connect(site.address(), this);
   }
 
   boolean takes(String id, int most) {
     return !retired
         && !silent
         && !over
-        && flights.size() < most
-        && !flights.containsKey(id)
+        && inFlightAttempts.size() < most
+        && !inFlightAttempts.containsKey(id)
         && !ended.contains(id);
   }
 
@@ -107,7 +107,7 @@
    */
   void retire() {
     retired = true;
-    if (flights.isEmpty() || !open) {
+    if (inFlightAttempts.isEmpty() || !open) {
       end(DisconnectReason.CLOSED_BY_US);
     }
   }
@@ -130,11 +130,11 @@
     }
     if (!open && now >= dialedAt + connectMost) {
       end(DisconnectReason.NEVER_UP);
-    } else if (flights.isEmpty() && now >= idleSince + idleMost) {
+    } else if (inFlightAttempts.isEmpty() && now >= idleSince + idleMost) {
       retire();
     } else if (open
         && askedAt == 0
-        && !flights.isEmpty()
+        && !inFlightAttempts.isEmpty()
         && now >= Math.max(heardAt, sentAt) + Math.max(askAfter, connectMost / 2)) {
       // What has said once that it works is asked half as often until the next hop: all gateways
       // ask all engines.
@@ -148,15 +148,15 @@
       // What went out of it is known once the connection has ended.
       dropped = true;
       retired = true;
-      pipe.abort();
+      channel.abort();
     } else if (askedAt > 0 && !silent && now >= askedAt + connectMost / 2) {
       silent = true;
     }
     if (!silent || over) {
       return;
     }
-    if (!carrier.heardSince(askedAt)) {
-      carrier.tryAnew();
+    if (!transport.heardSince(askedAt)) {
+      transport.tryAnew();
     } else if (now >= askedAt + connectMost) {
       end(DisconnectReason.MUTE);
     }
@@ -169,21 +169,21 @@
   void nobodyThere() {
     if (silent) {
       gateway.warnRateLimited(
-          "engine " + site.id + " is silent, " + flights.size() + " hops end in doubt");
+          "engine " + site.id + " is silent, " + inFlightAttempts.size() + " hops end in doubt");
       end(DisconnectReason.SILENT);
-    } else if (flights.isEmpty()) {
+    } else if (inFlightAttempts.isEmpty()) {
       retire();
     }
   }
 
   /** How many hops it bears. */
   int bears() {
-    return flights.size();
+    return inFlightAttempts.size();
   }
 
   /** Since when it bears nothing; {@link Long#MAX_VALUE} if it bears something or is coming up. */
   long idleSince() {
-    return open && flights.isEmpty() ? idleSince : Long.MAX_VALUE;
+    return open && inFlightAttempts.isEmpty() ? idleSince : Long.MAX_VALUE;
   }
 
   /** Whether it is still coming up. */
@@ -196,13 +196,13 @@
     return open && heardAt >= then;
   }
 
-  void send(InFlightAttempt flight) {
-    flight.link = this;
-    flights.put(flight.id(), flight);
+  void send(InFlightAttempt inFlight) {
+    inFlight.link = this;
+    inFlightAttempts.put(inFlight.id(), inFlight);
     sentAt = gateway.now();
     askAfter = 0;
     if (open) {
-      start(flight);
+      start(inFlight);
     }
   }
 
@@ -211,67 +211,71 @@
    * connection to come up is not sent to an engine that was said to drain meanwhile, for that may
    * be past the grace. Pages are no new work.
    */
-  private void start(InFlightAttempt flight) {
-    if (flight.pages != null) {
-      turnPages(flight);
+  private void start(InFlightAttempt inFlight) {
+    if (inFlight.pages != null) {
+      turnPages(inFlight);
       return;
     }
-    SendVerdict verdict = flight.mayGo();
+    SendVerdict verdict = inFlight.mayGo();
     if (verdict == SendVerdict.ALLOWED) {
-      want(flight);
+      want(inFlight);
     } else {
-      gateway.attemptWithheld(flight, verdict);
-      carrier.unsent(flight, DisconnectReason.WITHDRAWN);
+      gateway.attemptWithheld(inFlight, verdict);
+      transport.unsent(inFlight, DisconnectReason.WITHDRAWN);
     }
   }
 
   /** Whether part of a hop has waited longer than that to go out to a peer that does not read. */
   private boolean holdsBack(long since) {
-    return flights.values().stream()
+    return inFlightAttempts.values().stream()
         .anyMatch(
-            flight ->
-                flight.pages == null
-                    && flight.place != InFlightAttempt.UNSENT
-                    && flight.place > writesDone
-                    && flight.hop.sentAt <= since);
+            inFlight ->
+                inFlight.pages == null
+                    && inFlight.place != InFlightAttempt.UNSENT
+                    && inFlight.place > writesDone
+                    && inFlight.attempt.sentAt <= since);
   }
 
-  private void want(InFlightAttempt flight) {
-    long millisLeft = flight.millisLeft(gateway.now());
-    long before = gateway.writeDeadline(flight);
-    pipe.writeUntil(
+  private void want(InFlightAttempt inFlight) {
+    long millisLeft = inFlight.millisLeft(gateway.now());
+    long before = gateway.writeDeadline(inFlight);
+    channel.writeUntil(
         EngineCommand.want(
-            flight.id(), flight.track(), millisLeft, flight.key(), flight.statement()),
+            inFlight.id(),
+            inFlight.requestClass(),
+            millisLeft,
+            inFlight.key(),
+            inFlight.statement()),
         before);
-    flight.place = ++writes;
-    goingOut.add(new GoingOut(flight, writes, before, millisLeft * Units.TENTHS_PER_MS));
+    inFlight.place = ++writes;
+    goingOut.add(new GoingOut(inFlight, writes, before, millisLeft * Units.TENTHS_PER_MS));
   }
 
   private long write(byte[] bytes) {
-    pipe.write(bytes);
+    channel.write(bytes);
     return ++writes;
   }
 
   /** Gives a hop up; what that proves. */
-  AttemptOutcome giveUp(InFlightAttempt flight) {
-    boolean sent = flight.place != InFlightAttempt.UNSENT;
+  AttemptOutcome giveUp(InFlightAttempt inFlight) {
+    boolean sent = inFlight.place != InFlightAttempt.UNSENT;
     if (sent && !over) {
-      givenUp = flight.pages == null && flight.place > writesDone ? flight.place : givenUp;
-      write(EngineCommand.neverMind(flight.id()));
+      givenUp = inFlight.pages == null && inFlight.place > writesDone ? inFlight.place : givenUp;
+      write(EngineCommand.cancel(inFlight.id()));
     }
     return DisconnectReason.CLOSED_BY_US.outcome(sent);
   }
 
   /** A hop is over: nothing more of it is expected here. */
-  void release(InFlightAttempt flight) {
-    if (flights.remove(flight.id(), flight)) {
-      ended.add(flight.id());
+  void release(InFlightAttempt inFlight) {
+    if (inFlightAttempts.remove(inFlight.id(), inFlight)) {
+      ended.add(inFlight.id());
       if (ended.size() > ENDED_KEPT) {
         ended.remove(ended.iterator().next());
       }
     }
     idleSince = gateway.now();
-    if (retired && flights.isEmpty()) {
+    if (retired && inFlightAttempts.isEmpty()) {
       end(DisconnectReason.CLOSED_BY_US);
     }
   }
@@ -283,7 +287,7 @@
     }
     open = true;
     heardAt = gateway.now();
-    flights.values().forEach(this::start);
+    inFlightAttempts.values().forEach(this::start);
   }
 
   @Override
@@ -295,9 +299,9 @@
   public void onWritten(long firstByteAt) {
     GoingOut out = nextWriteDone();
     if (out != null) {
-      gateway.attemptSent(out.flight, firstByteAt, out.before, out.limit);
-      if (out.flight.guarded()) {
-        gateway.attemptWritten(out.flight);
+      gateway.attemptSent(out.inFlight, firstByteAt, out.before, out.limit);
+      if (out.inFlight.guarded()) {
+        gateway.attemptWritten(out.inFlight);
       }
     }
   }
@@ -306,18 +310,18 @@
   @Override
   public void onWithheld() {
     GoingOut out = nextWriteDone();
-    out.flight.place = InFlightAttempt.UNSENT;
-    gateway.attemptWithheld(out.flight, SendVerdict.WRITE_DELAYED);
-    if (out.flight.hop.isOut()) {
-      gateway.attemptEnded(out.flight, DisconnectReason.WITHDRAWN.outcome(false));
+    out.inFlight.place = InFlightAttempt.UNSENT;
+    gateway.attemptWithheld(out.inFlight, SendVerdict.WRITE_DELAYED);
+    if (out.inFlight.attempt.isOut()) {
+      gateway.attemptEnded(out.inFlight, DisconnectReason.WITHDRAWN.outcome(false));
     }
   }
 
   /** Counts a write that is done; the hop that it was, or null. */
   private GoingOut nextWriteDone() {
     writesDone++;
-    boolean hop = !goingOut.isEmpty() && goingOut.peek().place <= writesDone;
-    return hop ? goingOut.poll() : null;
+    boolean attempt = !goingOut.isEmpty() && goingOut.peek().place <= writesDone;
+    return attempt ? goingOut.poll() : null;
   }
 
   @Override
@@ -345,30 +349,31 @@
    * framing is sound, so it is passed over and the connection goes on.
    */
   private void take(EngineResponse answer) {
-    InFlightAttempt flight = flights.get(answer.id());
-    if (flight == null) {
+    InFlightAttempt inFlight = inFlightAttempts.get(answer.id());
+    if (inFlight == null) {
       if (answer.word() != EngineResponse.Word.YES && !ended.contains(answer.id())) {
         gateway.warnRateLimited("engine " + site.id + " answered what was not asked");
       }
       return;
     }
     switch (answer.word()) {
-      case OK -> begin(flight, answer);
+      case OK -> begin(inFlight, answer);
       case BATCH -> {
-        if (flight.lacks(answer.number())) {
-          flight.take(answer.number(), answer.body());
-          keep(flight, answer);
+        if (inFlight.lacks(answer.number())) {
+          inFlight.take(answer.number(), answer.body());
+          keep(inFlight, answer);
         }
       }
-      case REFUSED -> gateway.attemptEnded(flight, AttemptOutcome.FULL);
+      case REFUSED -> gateway.attemptEnded(inFlight, AttemptOutcome.REJECTED);
       // A page that the engine no longer has says nothing against what it runs.
       case ERROR ->
           gateway.attemptEnded(
-              flight, flight.pages == null ? AttemptOutcome.ERRED : AttemptOutcome.SPOILT);
-      case STALE -> gateway.attemptEnded(flight, AttemptOutcome.NEVER_SENT);
+              inFlight,
+              inFlight.pages == null ? AttemptOutcome.FAILED : AttemptOutcome.RESPONSE_LOST);
+      case STALE -> gateway.attemptEnded(inFlight, AttemptOutcome.NOT_SENT);
       case PROGRESS -> {
         if (answer.about() != null) {
-          gateway.attemptProgressed(flight, note(answer.about()), answer.level());
+          gateway.attemptProgressed(inFlight, note(answer.about()), answer.level());
         }
       }
       default -> throw new IllegalArgumentException("a word that is no answer to a submission");
@@ -384,41 +389,41 @@
   }
 
   /** The first page is there: the others are asked for at once. */
-  private void begin(InFlightAttempt flight, EngineResponse answer) {
-    if (flight.pages != null) {
+  private void begin(InFlightAttempt inFlight, EngineResponse answer) {
+    if (inFlight.pages != null) {
       return;
     }
     int pages = Math.max(1, answer.number());
     if (pages > PAGES_MOST) {
       throw new IllegalArgumentException("a result of " + pages + " pages");
     }
-    flight.pages = new byte[pages][];
-    flight.missing = pages;
-    flight.take(0, answer.body());
-    turnPages(flight);
-    keep(flight, answer);
+    inFlight.pages = new byte[pages][];
+    inFlight.missing = pages;
+    inFlight.take(0, answer.body());
+    turnPages(inFlight);
+    keep(inFlight, answer);
   }
 
-  private void turnPages(InFlightAttempt flight) {
-    for (int page = 1; page < flight.pages.length; page++) {
-      if (flight.lacks(page)) {
-        write(EngineCommand.turn(flight.id(), page));
+  private void turnPages(InFlightAttempt inFlight) {
+    for (int page = 1; page < inFlight.pages.length; page++) {
+      if (inFlight.lacks(page)) {
+        write(EngineCommand.turn(inFlight.id(), page));
       }
     }
   }
 
   /** A page was taken: counts it, and ends the hop with the last. */
-  private void keep(InFlightAttempt flight, EngineResponse answer) {
+  private void keep(InFlightAttempt inFlight, EngineResponse answer) {
     gateway.retainedBytesChanged(answer.body().length);
-    if (flight.bytes > RESULT_MOST) {
-      flight.pages = null;
+    if (inFlight.bytes > RESULT_MOST) {
+      inFlight.pages = null;
       throw new IllegalArgumentException("a result too long");
     }
-    if (flight.missing == 0) {
-      if (flight.pages.length > 1) {
-        write(EngineCommand.shut(flight.id()));
+    if (inFlight.missing == 0) {
+      if (inFlight.pages.length > 1) {
+        write(EngineCommand.shut(inFlight.id()));
       }
-      gateway.attemptEnded(flight, AttemptOutcome.FULFILLED);
+      gateway.attemptEnded(inFlight, AttemptOutcome.SUCCEEDED);
     }
   }
 
@@ -437,7 +442,7 @@
 
   private void countEnd(DisconnectReason how) {
     gateway.telemetry().metrics().add(Counter.ENGINE_CONNECTIONS_ENDED, how);
-    if (how != DisconnectReason.CLOSED_BY_US || !flights.isEmpty()) {
+    if (how != DisconnectReason.CLOSED_BY_US || !inFlightAttempts.isEmpty()) {
       gateway
           .telemetry()
           .log()
@@ -450,7 +455,7 @@
               "how",
               how,
               "attempts",
-              flights.size(),
+              inFlightAttempts.size(),
               "up",
               open);
     }
@@ -467,22 +472,23 @@
     }
     over = true;
     countEnd(how);
-    carrier.linkEnded(this);
+    transport.linkEnded(this);
     if (how == DisconnectReason.CLOSED_BY_US) {
-      pipe.close();
+      channel.close();
     } else {
-      pipe.abort();
+      channel.abort();
     }
-    for (InFlightAttempt flight : List.copyOf(flights.values())) {
+    for (InFlightAttempt inFlight : List.copyOf(inFlightAttempts.values())) {
       if (how == DisconnectReason.CLOSED_BY_US
           || how == DisconnectReason.SILENT
-          || !carrier.mend(flight)) {
-        boolean whole = exact ? flight.place <= writesDone : flight.place != InFlightAttempt.UNSENT;
-        gateway.attemptEnded(flight, how.outcome(whole || flight.pages != null));
+          || !transport.mend(inFlight)) {
+        boolean whole =
+            exact ? inFlight.place <= writesDone : inFlight.place != InFlightAttempt.UNSENT;
+        gateway.attemptEnded(inFlight, how.outcome(whole || inFlight.pages != null));
       }
     }
     if (how == DisconnectReason.REFUSED || how == DisconnectReason.NEVER_UP) {
-      carrier.nobodyThere();
+      transport.nobodyThere();
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
@@ -17,22 +17,22 @@
     long now();
 
     /** Word on a hop that is still out. */
-    void attemptProgressed(InFlightAttempt flight, AttemptProgress note, double level);
+    void attemptProgressed(InFlightAttempt inFlight, AttemptProgress note, double level);
 
     /**
      * A hop is over; told once. One that was taken in this turn ends by {@link #runInNextIteration}
      * at the soonest.
      */
-    void attemptEnded(InFlightAttempt flight, AttemptOutcome outcome);
+    void attemptEnded(InFlightAttempt inFlight, AttemptOutcome outcome);
 
     /**
      * All of a hop that is {@link InFlightAttempt#guarded} has gone out; told before anything that
      * comes of it.
      */
-    void attemptWritten(InFlightAttempt flight);
+    void attemptWritten(InFlightAttempt inFlight);
 
     /** A hop is written in this turn; until when its first byte may go out. */
-    long writeDeadline(InFlightAttempt flight);
+    long writeDeadline(InFlightAttempt inFlight);
 
     /**
      * A hop has gone out.
@@ -40,10 +40,10 @@
      * @param before what {@link #writeDeadline} said
      * @param limit how long its engine was told that the client waits
      */
-    void attemptSent(InFlightAttempt flight, long firstByteAt, long before, long limit);
+    void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit);
 
     /** A hop was not written, for the guard did not allow it. */
-    void attemptWithheld(InFlightAttempt flight, SendVerdict verdict);
+    void attemptWithheld(InFlightAttempt inFlight, SendVerdict verdict);
 
     /** Something of the next turn. */
     void runInNextIteration(Runnable what);
@@ -84,13 +84,13 @@
   }
 
   /** A hop is to go out. If there is no way to, it ends as one that never ran, in the next turn. */
-  void send(InFlightAttempt flight);
+  void send(InFlightAttempt inFlight);
 
   /** Gives a hop up that is out; what that proves. The state ends it. */
-  AttemptOutcome abandon(InFlightAttempt flight);
+  AttemptOutcome abandon(InFlightAttempt inFlight);
 
   /** A hop is over and is expected here no more. */
-  void release(InFlightAttempt flight);
+  void release(InFlightAttempt inFlight);
 
   /** Looks after what time brings. */
   void checkTimeouts(long connectMost, long idleMost);
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -41,7 +41,7 @@
       PendingResponse call = i.next();
       if (call.settled()) {
         i.remove();
-      } else if (call.flights.stream().noneMatch(flight -> flight.hop.isOut())
+      } else if (call.inFlightAttempts.stream().noneMatch(inFlight -> inFlight.attempt.isOut())
           && !call.guard.holds()) {
         withdrawn.add(call);
         i.remove();
@@ -51,14 +51,14 @@
   }
 
   /** All of a hop was written. If its guard does not hold any more, that may have been too late. */
-  void written(InFlightAttempt flight) {
-    if (flight.sound || !flight.hop.isOut()) {
+  void written(InFlightAttempt inFlight) {
+    if (inFlight.sound || !inFlight.attempt.isOut()) {
       return;
     }
-    flight.sound = flight.call.guard.holds();
-    if (!flight.sound) {
-      flight.stale = true;
-      gateway.runInNextIteration(() -> withdraw(flight.call));
+    inFlight.sound = inFlight.call.guard.holds();
+    if (!inFlight.sound) {
+      inFlight.stale = true;
+      gateway.runInNextIteration(() -> withdraw(inFlight.call));
     }
   }
 
@@ -66,21 +66,21 @@
    * What a hop's end counts as. The answer of one that was written too late, or may have been, is
    * lost.
    */
-  AttemptOutcome ended(InFlightAttempt flight, AttemptOutcome outcome) {
-    if (flight.began) {
-      flight.call.guard.onAttemptEnded(mayRunUntil(flight, outcome));
+  AttemptOutcome ended(InFlightAttempt inFlight, AttemptOutcome outcome) {
+    if (inFlight.began) {
+      inFlight.call.guard.onAttemptEnded(mayRunUntil(inFlight, outcome));
     }
-    if (flight.refused) {
-      withdraw(flight.call);
-    } else if (outcome == AttemptOutcome.FULFILLED) {
-      flight.stale |= !flight.sound && !flight.call.guard.holds();
-      if (flight.stale) {
-        withdraw(flight.call);
-        return AttemptOutcome.SPOILT;
+    if (inFlight.refused) {
+      withdraw(inFlight.call);
+    } else if (outcome == AttemptOutcome.SUCCEEDED) {
+      inFlight.stale |= !inFlight.sound && !inFlight.call.guard.holds();
+      if (inFlight.stale) {
+        withdraw(inFlight.call);
+        return AttemptOutcome.RESPONSE_LOST;
       }
     }
-    if (flight.call.settled()) {
-      open.remove(flight.call);
+    if (inFlight.call.settled()) {
+      open.remove(inFlight.call);
     }
     return outcome;
   }
@@ -89,9 +89,9 @@
    * Up to when its engine may still be at a hop that began. One of which pages have come has run,
    * whatever became of the rest.
    */
-  private static long mayRunUntil(InFlightAttempt flight, AttemptOutcome outcome) {
-    boolean over = !outcome.leavesDoubt || flight.pages != null || flight.begun();
-    return over ? 0 : flight.call.submission.leavesAt;
+  private static long mayRunUntil(InFlightAttempt inFlight, AttemptOutcome outcome) {
+    boolean over = !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.begun();
+    return over ? 0 : inFlight.call.request.clientDeadline;
   }
 
   /**
@@ -104,12 +104,13 @@
       return;
     }
     boolean again =
-        call.submission.track != null && call.submission.track.terms.effect() == Effect.PURE
-            || call.flights.stream().allMatch(flight -> flight.refused || !flight.hop.mayHaveRun());
+        call.request.requestClass != null && call.request.requestClass.terms.effect() == Effect.PURE
+            || call.inFlightAttempts.stream()
+                .allMatch(inFlight -> inFlight.refused || !inFlight.attempt.mayHaveRun());
     if (again) {
-      clients.turnBack(call, call.guard.retryAfter());
+      clients.reject(call, call.guard.retryAfter());
     } else {
-      clients.breakOff(call);
+      clients.fail(call);
     }
     gateway.left(call);
   }
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -62,7 +62,7 @@
   /** What stands beside the module, or null. */
   private GatewayExtension side;
 
-  private final DispatchPolicy steering;
+  private final DispatchPolicy policy;
   private final InvariantMonitor invariants;
   private final Telemetry telemetry;
   private final RateLimitedWarning rarely = new RateLimitedWarning();
@@ -77,7 +77,7 @@
 
   private final long idleMost;
   private final long holdMost;
-  private final int linksMost;
+  private final int maxConnections;
   private int links;
   private long now;
   private long wakeAt = Long.MAX_VALUE;
@@ -116,24 +116,24 @@
       DispatchPolicyFactory factory,
       NetworkDriver driver,
       long now,
-      EngineTransport.Factory carriers,
-      EndpointCache recall) {
+      EngineTransport.Factory transports,
+      EndpointCache endpointCache) {
     this(
         assignment,
         factory,
         driver,
         now,
         Runtime.getRuntime().maxMemory() / HEAP_SHARE,
-        carriers,
-        recall,
+        transports,
+        endpointCache,
         Telemetry.logging());
   }
 
   /**
-   * @param bytesMost how much may be kept for clients; beyond it no submission is taken
-   * @param carriers how engines are reached, by their kinds; null, or null for an engine: over
+   * @param maxBytes how much may be kept for clients; beyond it no submission is taken
+   * @param transports how engines are reached, by their kinds; null, or null for an engine: over
    *     engine lines
-   * @param recall what is remembered across restarts; null: nothing
+   * @param endpointCache what is remembered across restarts; null: nothing
    * @param telemetry what it counts and logs
    */
   public Gateway(
@@ -141,9 +141,9 @@
       DispatchPolicyFactory factory,
       NetworkDriver driver,
       long now,
-      long bytesMost,
-      EngineTransport.Factory carriers,
-      EndpointCache recall,
+      long maxBytes,
+      EngineTransport.Factory transports,
+      EndpointCache endpointCache,
       Telemetry telemetry) {
     this.driver = driver;
     this.telemetry = telemetry;
@@ -151,13 +151,13 @@
     Map<String, Object> plain = FlattenedConfig.of(assignment.terms());
     Settings terms = new Settings(plain);
     int streams = (int) Math.max(1, terms.number("caps.streams_per_conn", 1));
-    long soon = shortestSoftLimit(terms);
+    long soon = shortestLatencyObjective(terms);
     connectMost = stated(terms, "caps.connect_timeout", soon);
     long half = connectMost / 2;
     sweepEvery = Math.max(1, half / (1 + (half - 1) / SWEEP_MOST));
-    linksMost = assignment.linksMost();
+    maxConnections = assignment.maxConnections();
     countAt = now + COUNT_EVERY;
-    clients = new ClientRequestHandler(this, terms, assignment.clientsMost(), bytesMost);
+    clients = new ClientRequestHandler(this, terms, assignment.maxClients(), maxBytes);
     // Engines that close nothing: whoever came before it fell idle waits no more.
     idleMost = stated(terms, "caps.conn_idle", 2 * clients.longestDeadline()) / 2;
     guarded = new FencedRequests(this, clients);
@@ -167,9 +167,11 @@
             telemetry,
             this,
             (owner, site, kind) -> {
-              EngineTransport carrier =
-                  carriers == null ? null : carriers.create(owner, site, kind);
-              return carrier == null ? new LineProtocolTransport(owner, site, streams) : carrier;
+              EngineTransport transport =
+                  transports == null ? null : transports.create(owner, site, kind);
+              return transport == null
+                  ? new LineProtocolTransport(owner, site, streams)
+                  : transport;
             });
     // With no grace, or none stated, a drain is obeyed at once; asked for is only how fresh the
     // list is.
@@ -177,8 +179,8 @@
     holdMost = Math.min(grace, connectMost) / 2;
     names = new DiscoveryClient(driver, assignment.seed(), now, grace, telemetry);
     invariants = new InvariantMonitor(terms);
-    steering = factory.create(now, assignment.seed(), plain, this);
-    discovery = new Discovery(engines, steering, invariants, recall, telemetry);
+    policy = factory.create(now, assignment.seed(), plain, this);
+    discovery = new Discovery(engines, policy, invariants, endpointCache, telemetry);
     discovery.start(now, assignment.known());
     unsettled = true;
     telemetry
@@ -200,12 +202,12 @@
   }
 
   /** The measure of what the settings leave out: what takes longer earns nothing in full. */
-  private static long shortestSoftLimit(Settings terms) {
+  private static long shortestLatencyObjective(Settings terms) {
     long shortest = Long.MAX_VALUE;
     for (int i = 0; i < terms.number("profiles", 0); i++) {
-      String track = "profiles." + i + ".";
-      long deadline = stated(terms, track + "hard_limit", COUNT_EVERY);
-      shortest = Math.min(shortest, stated(terms, track + "aim", deadline));
+      String requestClass = "profiles." + i + ".";
+      long deadline = stated(terms, requestClass + "hard_limit", COUNT_EVERY);
+      shortest = Math.min(shortest, stated(terms, requestClass + "aim", deadline));
     }
     return Math.min(shortest, COUNT_EVERY);
   }
@@ -276,12 +278,12 @@
     }
     if (now >= wakeAt) {
       wakeAt = Long.MAX_VALUE;
-      steering.onWakeup(now);
+      policy.onWakeup(now);
       unsettled = true;
     }
     if (unsettled) {
       unsettled = false;
-      steering.applyDecisions(now);
+      policy.applyDecisions(now);
     }
     if (!ordered.isEmpty()) {
       List<InFlightAttempt> batch = ordered;
@@ -327,7 +329,7 @@
     if (state != listState || usableUntil != listUsableUntil) {
       listState = state;
       listUsableUntil = usableUntil;
-      steering.onEndpointListStateChanged(now, state, usableUntil);
+      policy.onEndpointListStateChanged(now, state, usableUntil);
       unsettled = true;
     }
   }
@@ -363,9 +365,9 @@
   }
 
   /** A client has connected. */
-  public Channel.Owner accepted(Channel pipe) {
+  public Channel.Owner accepted(Channel channel) {
     clientHeard();
-    return clients.accepted(pipe);
+    return clients.accepted(channel);
   }
 
   @Override
@@ -376,20 +378,20 @@
   void arrived(PendingResponse call) {
     telemetry.metrics().add(Counter.REQUESTS_TAKEN);
     invariants.taken(now);
-    steering.onRequestArrived(now, call.submission);
+    policy.onRequestArrived(now, call.request);
     unsettled = true;
   }
 
   void left(PendingResponse call) {
     telemetry.metrics().add(Counter.REQUESTS_ABANDONED);
-    steering.onClientDisconnected(now, call.submission);
+    policy.onClientDisconnected(now, call.request);
     unsettled = true;
   }
 
   /** Nobody waits for its answer any more, though its client may call again; or it has. */
   void unattended(PendingResponse call, boolean on) {
-    if (!call.settled() && call.submission.unattended != on) {
-      steering.onClientAttendanceChanged(now, call.submission, on);
+    if (!call.settled() && call.request.unattended != on) {
+      policy.onClientAttendanceChanged(now, call.request, on);
       unsettled = true;
     }
   }
@@ -399,7 +401,7 @@
    * nothing.
    */
   void overdue(PendingResponse call) {
-    call.flights.forEach(flight -> attemptEnded(flight, AttemptOutcome.OVERDUE));
+    call.inFlightAttempts.forEach(inFlight -> attemptEnded(inFlight, AttemptOutcome.TIMED_OUT));
   }
 
   @Override
@@ -410,37 +412,37 @@
   // ---- engines ----
 
   @Override
-  public void attemptProgressed(InFlightAttempt flight, AttemptProgress note, double level) {
-    steering.onAttemptProgress(now, flight.hop, note, level);
+  public void attemptProgressed(InFlightAttempt inFlight, AttemptProgress note, double level) {
+    policy.onAttemptProgress(now, inFlight.attempt, note, level);
     unsettled = true;
   }
 
   @Override
-  public void attemptWritten(InFlightAttempt flight) {
-    guarded.written(flight);
+  public void attemptWritten(InFlightAttempt inFlight) {
+    guarded.written(inFlight);
   }
 
   @Override
-  public void attemptEnded(InFlightAttempt flight, AttemptOutcome how) {
-    if (!flight.hop.isOut()) {
+  public void attemptEnded(InFlightAttempt inFlight, AttemptOutcome how) {
+    if (!inFlight.attempt.isOut()) {
       return;
     }
-    carrier(flight).release(flight);
-    AttemptOutcome outcome = flight.guarded() ? guarded.ended(flight, how) : how;
-    if (outcome == AttemptOutcome.FULFILLED) {
-      clients.fulfil(flight.call, ResultEncoder.answer(flight.pages));
+    transport(inFlight).release(inFlight);
+    AttemptOutcome outcome = inFlight.guarded() ? guarded.ended(inFlight, how) : how;
+    if (outcome == AttemptOutcome.SUCCEEDED) {
+      clients.fulfil(inFlight.call, ResultEncoder.answer(inFlight.pages));
     }
-    flight.forgetAnswer();
-    retainedBytesChanged(-flight.bytes);
-    long lag = now - flight.hop.sentAt;
-    countEnd(flight, outcome, lag);
-    steering.onAttemptEnded(now, flight.hop, outcome, lag, flight.call.settled(), 0, 0, null);
+    inFlight.forgetAnswer();
+    retainedBytesChanged(-inFlight.bytes);
+    long lag = now - inFlight.attempt.sentAt;
+    countEnd(inFlight, outcome, lag);
+    policy.onAttemptEnded(now, inFlight.attempt, outcome, lag, inFlight.call.settled(), 0, 0, null);
     unsettled = true;
   }
 
-  private void countEnd(InFlightAttempt flight, AttemptOutcome outcome, long lag) {
+  private void countEnd(InFlightAttempt inFlight, AttemptOutcome outcome, long lag) {
     telemetry.metrics().add(Counter.ATTEMPTS_ENDED, outcome);
-    if (outcome == AttemptOutcome.FULFILLED) {
+    if (outcome == AttemptOutcome.SUCCEEDED) {
       telemetry.metrics().add(Counter.REQUESTS_ANSWERED);
     } else {
       telemetry
@@ -450,26 +452,26 @@
               Topic.ATTEMPT,
               "attempt ended",
               "id",
-              flight.id(),
+              inFlight.id(),
               "attempt",
-              flight.hop.number,
+              inFlight.attempt.number,
               "engine",
-              engineId(flight),
+              engineId(inFlight),
               "outcome",
               outcome,
               "after_ms",
               lag / Units.TENTHS_PER_MS,
               "written",
-              flight.place != InFlightAttempt.UNSENT);
+              inFlight.place != InFlightAttempt.UNSENT);
     }
   }
 
-  private static String engineId(InFlightAttempt flight) {
-    return ((EngineAddress) flight.hop.engine.tag).id;
+  private static String engineId(InFlightAttempt inFlight) {
+    return ((EngineAddress) inFlight.attempt.engine.tag).id;
   }
 
-  private static EngineTransport carrier(InFlightAttempt flight) {
-    return ((EngineAddress) flight.hop.engine.tag).carrier;
+  private static EngineTransport transport(InFlightAttempt inFlight) {
+    return ((EngineAddress) inFlight.attempt.engine.tag).transport;
   }
 
   @Override
@@ -484,7 +486,7 @@
 
   @Override
   public int maxConnections() {
-    return linksMost;
+    return maxConnections;
   }
 
   @Override
@@ -494,7 +496,7 @@
 
   @Override
   public boolean reserveConnection() {
-    return links < linksMost || engines.endIdle();
+    return links < maxConnections || engines.endIdle();
   }
 
   @Override
@@ -515,7 +517,7 @@
   // ---- the name service ----
 
   /** The driver asks it elsewhere from now on. */
-  public void nameServiceMoved() {
+  public void discoveryAddressChanged() {
     names.moved(now);
   }
 
@@ -532,19 +534,19 @@
   // ---- orders ----
 
   @Override
-  public void updatePriorityAndGrant(Request submission, int rank, long grant) {
+  public void updatePriorityAndGrant(Request request, int rank, long grant) {
     // This protocol has no word for either.
   }
 
   @Override
-  public void sendAttempt(Attempt hop) {
-    PendingResponse call = (PendingResponse) hop.submission.tag;
-    InFlightAttempt flight =
-        new InFlightAttempt(hop, call, wanted -> steering.checkWrite(now, wanted));
-    call.flights.add(flight);
-    ordered.add(flight);
+  public void sendAttempt(Attempt attempt) {
+    PendingResponse call = (PendingResponse) attempt.request.tag;
+    InFlightAttempt inFlight =
+        new InFlightAttempt(attempt, call, wanted -> policy.checkWrite(now, wanted));
+    call.inFlightAttempts.add(inFlight);
+    ordered.add(inFlight);
     telemetry.metrics().add(Counter.ATTEMPTS_ORDERED);
-    if (hop.number > 0) {
+    if (attempt.number > 0) {
       telemetry.metrics().add(Counter.ATTEMPTS_REPEATED);
       telemetry
           .log()
@@ -553,13 +555,13 @@
               Topic.ATTEMPT,
               "attempt repeated",
               "id",
-              flight.id(),
+              inFlight.id(),
               "attempt",
-              hop.number,
+              attempt.number,
               "engine",
-              engineId(flight),
+              engineId(inFlight),
               "after",
-              hop.submission.hops.get(hop.number - 1).outcome);
+              attempt.request.attempts.get(attempt.number - 1).outcome);
     }
   }
 
@@ -567,41 +569,42 @@
    * Guards those whose client closed in the moment of the order: what could be read by then was
    * taken in since, and the hop is looked at once more.
    */
-  private void begin(InFlightAttempt flight) {
-    if (!flight.hop.isOut()) {
+  private void begin(InFlightAttempt inFlight) {
+    if (!inFlight.attempt.isOut()) {
       return;
     }
-    SendVerdict verdict = flight.mayBePlaced();
+    SendVerdict verdict = inFlight.mayBePlaced();
     if (verdict == SendVerdict.ALLOWED) {
-      carrier(flight).send(flight);
+      transport(inFlight).send(inFlight);
     } else {
-      attemptWithheld(flight, verdict);
-      next.add(() -> attemptEnded(flight, AttemptOutcome.NEVER_SENT));
+      attemptWithheld(inFlight, verdict);
+      next.add(() -> attemptEnded(inFlight, AttemptOutcome.NOT_SENT));
     }
   }
 
   @Override
-  public long writeDeadline(InFlightAttempt flight) {
-    return steering.writeDeadline(now, flight.hop);
+  public long writeDeadline(InFlightAttempt inFlight) {
+    return policy.writeDeadline(now, inFlight.attempt);
   }
 
   @Override
-  public void attemptSent(InFlightAttempt flight, long firstByteAt, long before, long limit) {
+  public void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit) {
     telemetry.metrics().add(Counter.ATTEMPTS_WRITTEN);
     report(
-        invariants.written(new InvariantMonitor.Written(flight.hop, firstByteAt, before, limit)),
-        flight.call,
-        engineId(flight));
+        invariants.written(
+            new InvariantMonitor.Written(inFlight.attempt, firstByteAt, before, limit)),
+        inFlight.call,
+        engineId(inFlight));
   }
 
   /** An answer is ready that a client is owed. */
   void answered(PendingResponse call) {
-    if (now < unreadUntil && pausedFrom <= call.submission.leavesAt) {
+    if (now < unreadUntil && pausedFrom <= call.request.clientDeadline) {
       // Its time ran out while this process stood still, which no program can help; the pause is
       // counted.
       return;
     }
-    report(invariants.answered(now, call.submission), call, "none");
+    report(invariants.answered(now, call.request), call, "none");
   }
 
   private void report(Set<Invariant> broken, PendingResponse call, String engine) {
@@ -620,7 +623,7 @@
               "engine",
               engine,
               "attempts",
-              call.flights.size(),
+              call.inFlightAttempts.size(),
               "list",
               listState,
               "version",
@@ -629,7 +632,7 @@
   }
 
   @Override
-  public void attemptWithheld(InFlightAttempt flight, SendVerdict verdict) {
+  public void attemptWithheld(InFlightAttempt inFlight, SendVerdict verdict) {
     telemetry.metrics().add(Counter.ATTEMPTS_WITHHELD, verdict);
     telemetry
         .log()
@@ -638,20 +641,21 @@
             Topic.ATTEMPT,
             "attempt withheld",
             "id",
-            flight.id(),
+            inFlight.id(),
             "attempt",
-            flight.hop.number,
+            inFlight.attempt.number,
             "engine",
-            engineId(flight),
+            engineId(inFlight),
             "reason",
             verdict);
   }
 
   @Override
-  public void cancelAttempt(Attempt hop) {
-    InFlightAttempt flight = ((PendingResponse) hop.submission.tag).flights.get(hop.number);
-    if (hop.isOut()) {
-      AttemptOutcome outcome = carrier(flight).abandon(flight);
+  public void cancelAttempt(Attempt attempt) {
+    InFlightAttempt inFlight =
+        ((PendingResponse) attempt.request.tag).inFlightAttempts.get(attempt.number);
+    if (attempt.isOut()) {
+      AttemptOutcome outcome = transport(inFlight).abandon(inFlight);
       telemetry
           .log()
           .event(
@@ -659,37 +663,37 @@
               Topic.ATTEMPT,
               "attempt given up",
               "id",
-              flight.id(),
+              inFlight.id(),
               "attempt",
-              hop.number,
+              attempt.number,
               "engine",
-              engineId(flight),
+              engineId(inFlight),
               "client_left",
-              flight.call.left,
+              inFlight.call.left,
               "request_ended",
-              hop.submission.ending != null);
-      next.add(() -> attemptEnded(flight, outcome));
+              attempt.request.outcome != null);
+      next.add(() -> attemptEnded(inFlight, outcome));
     }
   }
 
   @Override
-  public void rejectRequest(Request submission, long comeBack) {
-    countGivenUp(Counter.REQUESTS_REFUSED, submission);
-    clients.turnBack((PendingResponse) submission.tag, comeBack);
+  public void rejectRequest(Request request, long retryAfter) {
+    countGivenUp(Counter.REQUESTS_REFUSED, request);
+    clients.reject((PendingResponse) request.tag, retryAfter);
   }
 
   @Override
-  public void failRequest(Request submission) {
-    countGivenUp(Counter.REQUESTS_FAILED, submission);
-    clients.breakOff((PendingResponse) submission.tag);
+  public void failRequest(Request request) {
+    countGivenUp(Counter.REQUESTS_FAILED, request);
+    clients.fail((PendingResponse) request.tag);
   }
 
-  private void countGivenUp(Counter counter, Request submission) {
-    PendingResponse call = (PendingResponse) submission.tag;
-    if (submission.endReason == null) {
+  private void countGivenUp(Counter counter, Request request) {
+    PendingResponse call = (PendingResponse) request.tag;
+    if (request.terminationReason == null) {
       telemetry.metrics().add(counter);
     } else {
-      telemetry.metrics().add(counter, submission.endReason);
+      telemetry.metrics().add(counter, request.terminationReason);
     }
     telemetry
         .log()
@@ -700,11 +704,11 @@
             "id",
             call.ask.id(),
             "reason",
-            submission.endReason,
+            request.terminationReason,
             "attempts",
-            submission.hops.size(),
+            request.attempts.size(),
             "after_ms",
-            (now - submission.arrivedAt) / Units.TENTHS_PER_MS);
+            (now - request.arrivedAt) / Units.TENTHS_PER_MS);
   }
 
   @Override
@@ -762,7 +766,7 @@
     if (side != null) {
       side.onShutdownDeadline();
     }
-    clients.owed().forEach(call -> steering.onShutdownDeadline(now, call.submission));
+    clients.owed().forEach(call -> policy.onShutdownDeadline(now, call.request));
     unsettled = true;
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -12,7 +12,7 @@
   /** While its connection is not up. */
   static final long UNSENT = Long.MAX_VALUE;
 
-  public final Attempt hop;
+  public final Attempt attempt;
   final PendingResponse call;
   EngineConnection link;
 
@@ -49,8 +49,8 @@
   /**
    * @param guard whether a hop may still begin
    */
-  InFlightAttempt(Attempt hop, PendingResponse call, Function<Attempt, SendVerdict> guard) {
-    this.hop = hop;
+  InFlightAttempt(Attempt attempt, PendingResponse call, Function<Attempt, SendVerdict> guard) {
+    this.attempt = attempt;
     this.call = call;
     this.guard = guard;
   }
@@ -59,8 +59,8 @@
     return call.ask.id();
   }
 
-  public String track() {
-    return call.ask.track();
+  public String requestClass() {
+    return call.ask.requestClass();
   }
 
   /** The mark against repeats, or null. */
@@ -75,7 +75,7 @@
   /** Asked before it is handed to a carrier; if not, it ends as one that was never sent. */
   SendVerdict mayBePlaced() {
     refused = call.guard != null && !call.guard.holds();
-    return refused ? SendVerdict.SHARED_STATE : guard.apply(hop);
+    return refused ? SendVerdict.SHARED_STATE : guard.apply(attempt);
   }
 
   /** Asked by whoever writes it, right before; if not, it ends as one that was never sent. */
@@ -95,7 +95,7 @@
 
   /** How long the client still waits, in milliseconds; 1 at least. */
   public long millisLeft(long now) {
-    return Math.max(1, (call.submission.leavesAt - now) / Units.TENTHS_PER_MS);
+    return Math.max(1, (call.request.clientDeadline - now) / Units.TENTHS_PER_MS);
   }
 
   // ---- results that come as one body and not in pages ----
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -25,19 +25,19 @@
   }
 
   @Override
-  public void send(InFlightAttempt flight) {
-    EngineConnection link = linkFor(flight);
+  public void send(InFlightAttempt inFlight) {
+    EngineConnection link = linkFor(inFlight);
     if (link == null) {
       owner.warnRateLimited("no room for a further engine connection");
-      unsent(flight, DisconnectReason.NO_ROOM);
+      unsent(inFlight, DisconnectReason.NO_ROOM);
     } else {
-      link.send(flight);
+      link.send(inFlight);
     }
   }
 
   /** Nothing of a hop was written, and nothing will be: the module hears of it in the next turn. */
-  void unsent(InFlightAttempt flight, DisconnectReason why) {
-    owner.runInNextIteration(() -> owner.attemptEnded(flight, why.outcome(false)));
+  void unsent(InFlightAttempt inFlight, DisconnectReason why) {
+    owner.runInNextIteration(() -> owner.attemptEnded(inFlight, why.outcome(false)));
   }
 
   /**
@@ -45,17 +45,17 @@
    * spoilt answer, after which a connection can't be read any more, that takes the hops beside it
    * along.
    */
-  private EngineConnection linkFor(InFlightAttempt flight) {
-    EngineConnection link = roomy(flight.id());
+  private EngineConnection linkFor(InFlightAttempt inFlight) {
+    EngineConnection link = roomy(inFlight.id());
     EngineConnection fresh = link == null || link.bears() > 0 ? dial() : null;
     return fresh == null ? link : fresh;
   }
 
   /** Of the connections with room for one more, the one that bears least, or null. */
-  private EngineConnection roomy(String submission) {
+  private EngineConnection roomy(String request) {
     EngineConnection best = null;
     for (EngineConnection link : links) {
-      if (link.takes(submission, streams) && (best == null || link.bears() < best.bears())) {
+      if (link.takes(request, streams) && (best == null || link.bears() < best.bears())) {
         best = link;
       }
     }
@@ -106,31 +106,31 @@
    * another. The engine keeps pages, so nothing runs again. False if it can't be, or was tried too
    * often.
    */
-  boolean mend(InFlightAttempt flight) {
+  boolean mend(InFlightAttempt inFlight) {
     boolean mends =
-        flight.pages != null
-            && flight.mended < MENDS_MOST
-            && flight.hop.isOut()
+        inFlight.pages != null
+            && inFlight.mended < MENDS_MOST
+            && inFlight.attempt.isOut()
             && site.engine.standing != Status.GONE;
-    EngineConnection link = mends ? linkFor(flight) : null;
+    EngineConnection link = mends ? linkFor(inFlight) : null;
     if (link != null) {
-      flight.mended++;
-      link.send(flight);
+      inFlight.mended++;
+      link.send(inFlight);
     }
     return link != null;
   }
 
   @Override
-  public AttemptOutcome abandon(InFlightAttempt flight) {
-    return flight.link == null
+  public AttemptOutcome abandon(InFlightAttempt inFlight) {
+    return inFlight.link == null
         ? DisconnectReason.NO_ROOM.outcome(false)
-        : flight.link.giveUp(flight);
+        : inFlight.link.giveUp(inFlight);
   }
 
   @Override
-  public void release(InFlightAttempt flight) {
-    if (flight.link != null) {
-      flight.link.release(flight);
+  public void release(InFlightAttempt inFlight) {
+    if (inFlight.link != null) {
+      inFlight.link.release(inFlight);
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
+++ b/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
@@ -10,8 +10,8 @@
 /** A submission as its client sees it: where it waits, and its answer once there is one. */
 final class PendingResponse {
   final SubmitRequest ask;
-  final Request submission;
-  final List<InFlightAttempt> flights = new ArrayList<>(1);
+  final Request request;
+  final List<InFlightAttempt> inFlightAttempts = new ArrayList<>(1);
 
   /** The client's connection that waits for the answer, or null. */
   ClientConnection waiting;
@@ -31,12 +31,12 @@
    * @param arrivedAt when it may have come at the earliest: its client's time counts from then
    * @param line those about the same, of tracks that keep their order; or null
    */
-  PendingResponse(SubmitRequest ask, int trackIndex, long arrivedAt, KeyedRequestQueue line) {
+  PendingResponse(SubmitRequest ask, int classIndex, long arrivedAt, KeyedRequestQueue line) {
     this.ask = ask;
-    submission =
+    request =
         new Request(
             this,
-            trackIndex,
+            classIndex,
             ask.tableGroup(),
             ask.repeat(),
             arrivedAt,
@@ -44,7 +44,7 @@
             ask.estimate(),
             ask.memory(),
             line);
-    forgetAt = submission.leavesAt;
+    forgetAt = request.clientDeadline;
   }
 
   /** Whether the client is owed nothing more. */
--- a/gateway/src/main/java/tillerlink/net/wire/EngineCommand.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineCommand.java
@@ -10,13 +10,14 @@
    * @param limit how long the answer is waited for, in milliseconds; @param key the mark against
    *     repeats or null
    */
-  public static byte[] want(String id, String track, long limit, String key, byte[] statement) {
+  public static byte[] want(
+      String id, String requestClass, long limit, String key, byte[] statement) {
     byte[] head =
         ascii(
             "want "
                 + id
                 + " cls="
-                + track
+                + requestClass
                 + ",limit="
                 + limit
                 + (key == null ? "" : ",nonce=" + key)
@@ -26,7 +27,7 @@
     return ByteAccumulator.joined(head, statement, ascii("\r\n"));
   }
 
-  public static byte[] neverMind(String id) {
+  public static byte[] cancel(String id) {
     return ascii("never_mind " + id + "\r\n");
   }
 
--- a/gateway/src/main/java/tillerlink/net/wire/GatewayConfig.java
+++ b/gateway/src/main/java/tillerlink/net/wire/GatewayConfig.java
@@ -29,19 +29,19 @@
   private static final int PORTS = 1 << 16;
 
   /** The names of the tracks. */
-  public List<String> tracks() {
+  public List<String> requestClasses() {
     return list(terms.getOrDefault("profiles", List.of()), "profiles").stream()
-        .map(track -> text(object(track, "a profile"), "name"))
+        .map(requestClass -> text(object(requestClass, "a profile"), "name"))
         .toList();
   }
 
   /** Two fifths of the descriptors are for clients: these hold a third at most. */
-  public int clientsMost() {
+  public int maxClients() {
     return Math.max(1, sockets * 2 / 5);
   }
 
   /** A third is for engines; a burst of newcomers has the rest. */
-  public int linksMost() {
+  public int maxConnections() {
     return Math.max(1, sockets / 3);
   }
 
--- a/gateway/src/main/java/tillerlink/net/wire/HttpResponse.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpResponse.java
@@ -5,16 +5,16 @@
 /**
  * An answer to a client's call.
  *
- * @param comeBack milliseconds to stay away, 0 for no advice
+ * @param retryAfter milliseconds to stay away, 0 for no advice
  * @param last the connection ends after it
  * @param type the media type of the body
  */
-public record HttpResponse(int status, byte[] body, long comeBack, boolean last, String type) {
+public record HttpResponse(int status, byte[] body, long retryAfter, boolean last, String type) {
   private static final String JSON = "application/json";
   private static final String PROMETHEUS_TEXT = "text/plain; version=0.0.4; charset=utf-8";
 
-  public HttpResponse(int status, byte[] body, long comeBack, boolean last) {
-    this(status, body, comeBack, last, JSON);
+  public HttpResponse(int status, byte[] body, long retryAfter, boolean last) {
+    this(status, body, retryAfter, last, JSON);
   }
 
   /** What monitoring reads. */
@@ -35,16 +35,16 @@
     return problem(404, "Unknown", 0);
   }
 
-  public static HttpResponse problem(int status, String problem, long comeBack) {
-    return of(status, "{\"problem\":\"" + problem + "\"}", comeBack);
+  public static HttpResponse problem(int status, String problem, long retryAfter) {
+    return of(status, "{\"problem\":\"" + problem + "\"}", retryAfter);
   }
 
-  private static HttpResponse of(int status, String body, long comeBack) {
-    return new HttpResponse(status, body.getBytes(StandardCharsets.UTF_8), comeBack, false);
+  private static HttpResponse of(int status, String body, long retryAfter) {
+    return new HttpResponse(status, body.getBytes(StandardCharsets.UTF_8), retryAfter, false);
   }
 
-  public HttpResponse ending() {
-    return new HttpResponse(status, body, comeBack, true, type);
+  public HttpResponse closingConnection() {
+    return new HttpResponse(status, body, retryAfter, true, type);
   }
 
   public byte[] encoded() {
@@ -58,8 +58,8 @@
             .append(type)
             .append("\r\nContent-Length: ")
             .append(body.length);
-    if (comeBack > 0) {
-      head.append("\r\nX-Pushback-Ms: ").append(comeBack);
+    if (retryAfter > 0) {
+      head.append("\r\nX-Pushback-Ms: ").append(retryAfter);
     }
     if (last) {
       head.append("\r\nConnection: close");
--- a/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
+++ b/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
@@ -13,7 +13,7 @@
  */
 public record SubmitRequest(
     String id,
-    String track,
+    String requestClass,
     long patience,
     boolean repeat,
     String key,
@@ -95,7 +95,7 @@
    * broke.
    */
   public boolean same(SubmitRequest other) {
-    return track.equals(other.track)
+    return requestClass.equals(other.requestClass)
         && Objects.equals(key, other.key)
         && Arrays.equals(statement, other.statement);
   }
