--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -87,16 +87,16 @@
       1.25; // margin on an estimated soft limit before it is too late
   private static final double GRANT_MARGIN = 1.25;
 
-  private final DispatchActions orders;
+  private final DispatchActions actions;
   private final Settings settings;
   private final Random random;
   private final long startedAt;
-  private final List<RequestClass> tracks = new ArrayList<>();
+  private final List<RequestClass> requestClasses = new ArrayList<>();
   private final List<Engine> engines = new ArrayList<>();
   private final List<Engine> candidates = new ArrayList<>();
   private final List<Request> changed = new ArrayList<>();
   private final List<Request> fresh = new ArrayList<>();
-  private final RequestTimers alarms = new RequestTimers();
+  private final RequestTimers timers = new RequestTimers();
   private long armedFor = Long.MAX_VALUE;
   private boolean followWanted;
   private long followAgainAt = Long.MAX_VALUE;
@@ -119,15 +119,15 @@
   /** This gateway's among them; one that was not told takes any. */
   private final int place;
 
-  private final boolean mayCallOff;
+  private final boolean mayCancel;
   private final long tick;
   private final long settleTime;
 
   /** Threads of one query of each track. */
   private final int oneOfEach;
 
-  private final long leastSoftLimit;
-  private final long mostSoftLimit;
+  private final long minLatencyObjective;
+  private final long maxLatencyObjective;
   private final long fallSpan;
   private final long warmWithin;
   private final List<String> reportFields;
@@ -139,14 +139,14 @@
   private final DecayingMean lately;
 
   public DefaultDispatchPolicy(
-      long now, long seed, Map<String, Object> values, DispatchActions orders) {
-    this.orders = orders;
+      long now, long seed, Map<String, Object> values, DispatchActions actions) {
+    this.actions = actions;
     this.settings = new Settings(values);
     random = new Random(seed);
     startedAt = now;
     gateways = (int) Math.max(1, settings.number("instances", 1));
     place = Math.floorMod(settings.number("me", seed), gateways);
-    mayCallOff = settings.flag("caps.may_cancel");
+    mayCancel = settings.flag("caps.may_cancel");
     tick = settings.number("tick", 1);
     guard = new SendGuard(tick);
     settleTime = settings.number("guarantees.settle_after_doubt", 0) + tick;
@@ -157,26 +157,28 @@
     long most = 1;
     for (int i = 0; i < settings.number("profiles", 0); i++) {
       RequestClassConfig terms = terms(i);
-      least = Math.min(least, terms.softLimit());
-      most = Math.max(most, terms.softLimit());
-      tracks.add(
+      least = Math.min(least, terms.latencyObjective());
+      most = Math.max(most, terms.latencyObjective());
+      requestClasses.add(
           new RequestClass(
               i,
               terms,
               new DecayingMean(terms.deadline() * 4.0, 1, 4),
               new DecayingMean(terms.deadline() * 4.0, 1, 4),
-              new DecayingMean(terms.deadline() * 4.0, terms.softLimit() * terms.width() / FAR, 1),
-              new DecayingMean(terms.softLimit() * 4.0, 1, 1e-6)));
+              new DecayingMean(
+                  terms.deadline() * 4.0, terms.latencyObjective() * terms.width() / FAR, 1),
+              new DecayingMean(terms.latencyObjective() * 4.0, 1, 1e-6)));
     }
-    oneOfEach = tracks.stream().mapToInt(track -> track.terms.width()).sum();
-    leastSoftLimit = least;
-    mostSoftLimit = most;
+    oneOfEach = requestClasses.stream().mapToInt(requestClass -> requestClass.terms.width()).sum();
+    minLatencyObjective = least;
+    maxLatencyObjective = most;
     long budgetSpan = settings.number("guarantees.budget_span", 0);
     taken = budgetSpan > 0 ? new SlidingSum(budgetSpan, SLICES) : null;
     further = budgetSpan > 0 ? new SlidingSum(budgetSpan, SLICES) : null;
-    valueSeen = new DecayingSum(mostSoftLimit * 16.0);
-    lately = new DecayingMean(mostSoftLimit, 1, 2);
-    tracks.forEach(track -> track.workSeen = new DecayingSum(mostSoftLimit * 16.0));
+    valueSeen = new DecayingSum(maxLatencyObjective * 16.0);
+    lately = new DecayingMean(maxLatencyObjective, 1, 2);
+    requestClasses.forEach(
+        requestClass -> requestClass.workSeen = new DecayingSum(maxLatencyObjective * 16.0));
     followWanted = settings.text("discovery").equals("ask");
   }
 
@@ -246,11 +248,11 @@
   }
 
   private void prepare(Engine engine) {
-    engine.outByTrack = new int[tracks.size()];
-    engine.successes = new DecayingSum(mostSoftLimit * 4.0);
-    engine.failures = new DecayingSum(mostSoftLimit * 4.0);
-    engine.threadsLost = new DecayingSum(mostSoftLimit * 4.0);
-    engine.pace = new DecayingMean(mostSoftLimit, 1, 2);
+    engine.inFlightByClass = new int[requestClasses.size()];
+    engine.successes = new DecayingSum(maxLatencyObjective * 4.0);
+    engine.failures = new DecayingSum(maxLatencyObjective * 4.0);
+    engine.threadsLost = new DecayingSum(maxLatencyObjective * 4.0);
+    engine.pace = new DecayingMean(maxLatencyObjective, 1, 2);
     engine.workSent = new SlidingSum(Math.max(1, fallSpan), SLICES);
     engine.boundFactor = BOUND_START;
   }
@@ -270,23 +272,24 @@
   public void onEndpointPollFailed(long now) {
     if (settings.text("discovery").equals("ask")) {
       long pause =
-          Math.max(tick, settings.number("guarantees.ask_within", 10 * leastSoftLimit) / 10);
+          Math.max(tick, settings.number("guarantees.ask_within", 10 * minLatencyObjective) / 10);
       followAgainAt = now + (long) (pause * (0.5 + random.nextDouble()));
     }
   }
 
   @Override
   public void onRequestArrived(long now, Request s) {
-    s.track = tracks.get(s.trackIndex);
+    s.requestClass = requestClasses.get(s.classIndex);
     if (taken != null) {
       taken.add(now, 1);
     }
-    valueSeen.add(now, s.track.terms.value());
-    s.track.workSeen.add(
-        now, Math.min(work(now, s), s.track.terms.deadline() * s.track.terms.width()));
+    valueSeen.add(now, s.requestClass.terms.value());
+    s.requestClass.workSeen.add(
+        now,
+        Math.min(work(now, s), s.requestClass.terms.deadline() * s.requestClass.terms.width()));
     if (s.ordered()) {
       s.line.members.addLast(s);
-      alarms.set(s, tooLateAt(now, s));
+      timers.set(s, tooLateAt(now, s));
       advance(now, s);
     } else {
       hold(s, false);
@@ -294,51 +297,54 @@
   }
 
   @Override
-  public void onResponseStarted(long now, Attempt hop) {
-    hop.submission.begun = true;
-    hop.engine.heardAt = now;
+  public void onResponseStarted(long now, Attempt attempt) {
+    attempt.request.begun = true;
+    attempt.engine.heardAt = now;
   }
 
   @Override
-  public void onAttemptProgress(long now, Attempt hop, AttemptProgress note, double level) {
-    if (!hop.isOut()) {
+  public void onAttemptProgress(long now, Attempt attempt, AttemptProgress note, double level) {
+    if (!attempt.isOut()) {
       return;
     }
-    hop.engine.heardAt = now;
+    attempt.engine.heardAt = now;
     if (note == AttemptProgress.PROGRESS) {
-      hop.share = level;
-      judgeProgress(now, hop);
+      attempt.share = level;
+      judgeProgress(now, attempt);
     }
   }
 
   @Override
   public void onAttemptEnded(
       long now,
-      Attempt hop,
+      Attempt attempt,
       AttemptOutcome outcome,
       long lag,
       boolean answered,
       double work,
       double memory,
       double[] report) {
-    Request s = hop.submission;
-    Engine engine = hop.engine;
-    hop.outcome = outcome;
-    s.hopsOut--;
-    engine.leave(hop);
-    judge(now, hop, outcome);
+    Request s = attempt.request;
+    Engine engine = attempt.engine;
+    attempt.outcome = outcome;
+    s.attemptsInFlight--;
+    engine.leave(attempt);
+    judge(now, attempt, outcome);
     read(now, engine, report);
-    if (outcome == AttemptOutcome.FULFILLED) {
-      learn(now, hop, lag, work, memory);
+    if (outcome == AttemptOutcome.SUCCEEDED) {
+      learn(now, attempt, lag, work, memory);
     }
     if (answered) {
       close(
-          s, outcome == AttemptOutcome.FULFILLED ? RequestOutcome.FULFILLED : RequestOutcome.LEFT);
+          s,
+          outcome == AttemptOutcome.SUCCEEDED
+              ? RequestOutcome.SUCCEEDED
+              : RequestOutcome.CLIENT_DISCONNECTED);
     }
-    if (s.ordered() && outcome.leavesDoubt) {
-      s.line.restsUntil = Math.max(s.line.restsUntil, now + settleTime);
+    if (s.ordered() && outcome.mayStillBeRunning) {
+      s.line.cooldownUntil = Math.max(s.line.cooldownUntil, now + settleTime);
     }
-    if (s.ending == null && s.hopsOut == 0) {
+    if (s.outcome == null && s.attemptsInFlight == 0) {
       onward(now, s);
     }
     advance(now, s);
@@ -346,7 +352,7 @@
 
   @Override
   public void onClientDisconnected(long now, Request s) {
-    close(s, RequestOutcome.LEFT);
+    close(s, RequestOutcome.CLIENT_DISCONNECTED);
     advance(now, s);
   }
 
@@ -356,11 +362,11 @@
   @Override
   public void onClientAttendanceChanged(long now, Request s, boolean on) {
     s.unattended = on;
-    if (on && s.track.queue.remove(s)) {
+    if (on && s.requestClass.queue.remove(s)) {
       s.held = false;
-      alarms.set(s, tooLateAt(now, s));
-    } else if (!on && s.ending == null && !s.held && s.hopsOut == 0) {
-      if (!s.hops.isEmpty()) {
+      timers.set(s, tooLateAt(now, s));
+    } else if (!on && s.outcome == null && !s.held && s.attemptsInFlight == 0) {
+      if (!s.attempts.isEmpty()) {
         onward(now, s);
       } else if (s.ordered()) {
         advance(now, s);
@@ -371,30 +377,30 @@
   }
 
   @Override
-  public SendVerdict checkWrite(long now, Attempt hop) {
-    SendVerdict verdict = guard.checkWrite(now, hop);
-    if (verdict == SendVerdict.ALLOWED && hop.number > 0 && !withinBudget(now, 0)) {
+  public SendVerdict checkWrite(long now, Attempt attempt) {
+    SendVerdict verdict = guard.checkWrite(now, attempt);
+    if (verdict == SendVerdict.ALLOWED && attempt.number > 0 && !withinBudget(now, 0)) {
       return SendVerdict.RETRY_BUDGET;
     }
     return verdict;
   }
 
   @Override
-  public long writeDeadline(long now, Attempt hop) {
-    return guard.writeDeadline(now, hop);
+  public long writeDeadline(long now, Attempt attempt) {
+    return guard.writeDeadline(now, attempt);
   }
 
-  private void close(Request s, RequestOutcome ending) {
-    if (s.ending == null) {
-      s.ending = ending;
+  private void close(Request s, RequestOutcome outcome) {
+    if (s.outcome == null) {
+      s.outcome = outcome;
       s.told = true;
-      callOffAll(s);
+      cancelAll(s);
     }
   }
 
   @Override
   public void onShutdownDeadline(long now, Request s) {
-    if (s.ending == null) {
+    if (s.outcome == null) {
       giveUp(now, s, TerminationReason.SHUTDOWN);
     }
   }
@@ -406,7 +412,7 @@
 
   @Override
   public void applyDecisions(long now) {
-    for (Request due = alarms.due(now); due != null; due = alarms.due(now)) {
+    for (Request due = timers.due(now); due != null; due = timers.due(now)) {
       review(now, due);
     }
     if (followAgainAt <= now) {
@@ -423,39 +429,39 @@
   private void emit(long now) {
     if (followWanted) {
       followWanted = false;
-      orders.watchEndpoints();
+      actions.watchEndpoints();
     }
     for (Request s : changed) {
       s.changed = false;
-      if (s.ending != null && !s.told) {
+      if (s.outcome != null && !s.told) {
         s.told = true;
-        if (s.ending == RequestOutcome.TURNED_BACK) {
-          orders.rejectRequest(s, s.comeBack);
+        if (s.outcome == RequestOutcome.REJECTED) {
+          actions.rejectRequest(s, s.retryAfter);
         } else {
-          orders.failRequest(s);
+          actions.failRequest(s);
         }
       }
-      if ((s.rank != s.rankTold || s.grant != s.grantTold) && s.hopsOut > 0) {
-        s.rankTold = s.rank;
-        s.grantTold = s.grant;
-        orders.updatePriorityAndGrant(s, s.rank, s.grant);
+      if ((s.rank != s.rankSent || s.grant != s.grantSent) && s.attemptsInFlight > 0) {
+        s.rankSent = s.rank;
+        s.grantSent = s.grant;
+        actions.updatePriorityAndGrant(s, s.rank, s.grant);
       }
-      for (Attempt hop : s.hops) {
-        if (!hop.sent) {
-          hop.sent = true;
-          orders.sendAttempt(hop);
+      for (Attempt attempt : s.attempts) {
+        if (!attempt.sent) {
+          attempt.sent = true;
+          actions.sendAttempt(attempt);
         }
-        if (hop.wantedOff && !hop.calledOff && hop.isOut()) {
-          hop.calledOff = true;
-          orders.cancelAttempt(hop);
+        if (attempt.cancelRequested && !attempt.cancelSent && attempt.isOut()) {
+          attempt.cancelSent = true;
+          actions.cancelAttempt(attempt);
         }
       }
     }
     changed.clear();
-    long next = Math.min(alarms.next(), followAgainAt);
+    long next = Math.min(timers.next(), followAgainAt);
     if (next < armedFor) {
       armedFor = Math.max(next, now + 1);
-      orders.scheduleWakeup(armedFor);
+      actions.scheduleWakeup(armedFor);
     }
   }
 
@@ -474,9 +480,9 @@
     }
     s.held = true;
     if (first) {
-      s.track.queue.addFirst(s);
+      s.requestClass.queue.addFirst(s);
     } else {
-      s.track.queue.addLast(s);
+      s.requestClass.queue.addLast(s);
     }
     fresh.add(s);
   }
@@ -486,17 +492,17 @@
    * fits.
    */
   private void pump(long now) {
-    BitSet blocked = new BitSet(tracks.size());
+    BitSet blocked = new BitSet(requestClasses.size());
     while (true) {
       RequestClass next = null;
       double most = -1;
-      for (RequestClass track : tracks) {
-        Request head = track.head();
-        if (head != null && !blocked.get(track.index)) {
-          double used = (double) (now - head.arrivedAt) / softLimit(now, head);
+      for (RequestClass requestClass : requestClasses) {
+        Request head = requestClass.head();
+        if (head != null && !blocked.get(requestClass.index)) {
+          double used = (double) (now - head.arrivedAt) / latencyObjective(now, head);
           if (used > most) {
             most = used;
-            next = track;
+            next = requestClass;
           }
         }
       }
@@ -532,7 +538,7 @@
     if (hopeless(now, s)) {
       return TerminationReason.NO_TIME_LEFT;
     }
-    return !s.hops.isEmpty() && !budgetLeft(now) ? TerminationReason.RETRY_BUDGET : null;
+    return !s.attempts.isEmpty() && !budgetLeft(now) ? TerminationReason.RETRY_BUDGET : null;
   }
 
   /**
@@ -557,17 +563,17 @@
   private void shed(long now) {
     for (int i = 0; i < fresh.size(); i++) {
       Request s = fresh.get(i);
-      if (!s.held || s.ending != null) {
+      if (!s.held || s.outcome != null) {
         continue;
       }
-      alarms.set(s, Math.max(now + tick, hopelessAt(now, s)));
-      Request head = s.track.head();
-      if (head == s || !s.hops.isEmpty()) {
+      timers.set(s, Math.max(now + tick, hopelessAt(now, s)));
+      Request head = s.requestClass.head();
+      if (head == s || !s.attempts.isEmpty()) {
         continue;
       }
-      double most = Math.max(1, softLimit(now, head) - usual(now, head));
+      double most = Math.max(1, latencyObjective(now, head) - usual(now, head));
       double used = (now - head.arrivedAt) / most;
-      double limit = s.track.work.at(now) * Math.max(0, 1 - used) / Math.max(1e-3, used);
+      double limit = s.requestClass.work.at(now) * Math.max(0, 1 - used) / Math.max(1e-3, used);
       if (work(now, s) > limit) {
         giveUp(now, s, TerminationReason.QUEUE_TOO_LONG);
       }
@@ -575,25 +581,25 @@
   }
 
   private void giveUp(long now, Request s, TerminationReason reason) {
-    s.endReason = reason;
-    boolean back = mayTurnBack(s);
-    s.ending = back ? RequestOutcome.TURNED_BACK : RequestOutcome.BROKEN_OFF;
+    s.terminationReason = reason;
+    boolean back = mayReject(s);
+    s.outcome = back ? RequestOutcome.REJECTED : RequestOutcome.FAILED;
     if (back && settings.flag("caps.retry_after")) {
-      s.comeBack = settings.number("caps.max_retry_after", 0);
+      s.retryAfter = settings.number("caps.max_retry_after", 0);
     }
     change(s);
-    callOffAll(s);
+    cancelAll(s);
     advance(now, s);
   }
 
-  private void callOffAll(Request s) {
-    s.hops.forEach(this::callOff);
+  private void cancelAll(Request s) {
+    s.attempts.forEach(this::cancel);
   }
 
-  private void callOff(Attempt hop) {
-    if (mayCallOff && hop.sent && hop.isOut()) {
-      hop.wantedOff = true;
-      change(hop.submission);
+  private void cancel(Attempt attempt) {
+    if (mayCancel && attempt.sent && attempt.isOut()) {
+      attempt.cancelRequested = true;
+      change(attempt.request);
     }
   }
 
@@ -603,13 +609,13 @@
    */
   private void advance(long now, Request s) {
     Request head = s.ordered() ? s.line.head() : null;
-    if (head == null || head.ending != null || head.held || !head.hops.isEmpty()) {
+    if (head == null || head.outcome != null || head.held || !head.attempts.isEmpty()) {
       return;
     }
-    if (now >= s.line.restsUntil) {
+    if (now >= s.line.cooldownUntil) {
       hold(head, false);
-    } else if (s.line.restsUntil < head.wakeAt) {
-      alarms.set(head, s.line.restsUntil);
+    } else if (s.line.cooldownUntil < head.wakeAt) {
+      timers.set(head, s.line.cooldownUntil);
     }
   }
 
@@ -639,7 +645,7 @@
         continue;
       }
       sound = true;
-      Room room = room(now, engine, s.track);
+      Room room = room(now, engine, s.requestClass);
       if (room.compareTo(best) < 0) {
         candidates.clear();
         best = room;
@@ -649,15 +655,15 @@
       }
     }
     boolean trial =
-        likeliest != null && s.track.terms.effect() == Effect.PURE && chance > TRIAL_CHANCE;
+        likeliest != null && s.requestClass.terms.effect() == Effect.PURE && chance > TRIAL_CHANCE;
     if (likeliest != null && (trial || !sound)) {
       return likeliest;
     }
     if (candidates.isEmpty() || spent(best)) {
       return null;
     }
-    stepAside(e -> s.hops.stream().anyMatch(h -> h.engine == e));
-    if (s.track.terms.holdsGroup() || s.track.terms.waitsForGroup()) {
+    stepAside(e -> s.attempts.stream().anyMatch(h -> h.engine == e));
+    if (s.requestClass.terms.holdsGroup() || s.requestClass.terms.waitsForGroup()) {
       stepAside(e -> e.holdsGroup(s.tableGroup));
     }
     return fewest(now, s);
@@ -673,7 +679,7 @@
     if (engine.trust >= 1 || heard && engine.trust >= TRUSTED) {
       return true;
     }
-    RequestClassConfig terms = s.track.terms;
+    RequestClassConfig terms = s.requestClass.terms;
     return terms.effect() == Effect.PURE
         && terms.kinds() == null
         && terms.zones() == null
@@ -694,14 +700,14 @@
     double cores = 0;
     double queries = 1;
     for (Engine engine : candidates) {
-      double own = effectiveCores(now, engine) * spare(now, engine, s.track);
+      double own = effectiveCores(now, engine) * spare(now, engine, s.requestClass);
       engine.spareCores = own;
       engine.classLoad =
-          engine.outByTrack[s.trackIndex] / own
+          engine.inFlightByClass[s.classIndex] / own
               + (recent(now, engine) ? engine.reportedQueries / cores(engine) : 0);
       // Guards against a jammed engine that answers nothing: after a while it would look idle.
       engine.load =
-          (engine.threadsOut + s.track.terms.width()) / own
+          (engine.threadsOut + s.requestClass.terms.width()) / own
               + (recent(now, engine)
                   ? engine.reportedBusy
                   : Math.max(usualBusy, engine.reportedBusy));
@@ -735,7 +741,7 @@
   }
 
   private boolean recent(long now, Engine engine) {
-    return now < engine.reportedAt + mostSoftLimit;
+    return now < engine.reportedAt + maxLatencyObjective;
   }
 
   private double cores(Engine engine) {
@@ -754,10 +760,10 @@
    * and where a gateway's counts are mostly zero nothing does. It may hurt while estimates are far
    * off by track.
    */
-  private double spare(long now, Engine engine, RequestClass track) {
+  private double spare(long now, Engine engine, RequestClass requestClass) {
     double bound = 0;
-    for (RequestClass other : tracks) {
-      if (other != track && other.openCores < allCores && other.terms.allows(engine)) {
+    for (RequestClass other : requestClasses) {
+      if (other != requestClass && other.openCores < allCores && other.terms.allows(engine)) {
         bound += other.workSeen.at(now) / other.openCores;
       }
     }
@@ -774,11 +780,13 @@
    */
   private boolean stalled(long now, Engine engine) {
     double ages = 0;
-    for (Attempt hop : engine.out) {
-      RequestClass track = hop.submission.track;
+    for (Attempt attempt : engine.out) {
+      RequestClass requestClass = attempt.request.requestClass;
       double usual =
-          track.bestPace > 0 ? hop.nominal * track.bestPace : track.terms.softLimit() / FAR;
-      ages += Math.min(PACE_CAP, (now - hop.sentAt) / Math.max(1, usual));
+          requestClass.bestPace > 0
+              ? attempt.nominal * requestClass.bestPace
+              : requestClass.terms.latencyObjective() / FAR;
+      ages += Math.min(PACE_CAP, (now - attempt.sentAt) / Math.max(1, usual));
     }
     return ages > STALL * engine.out.size() || engine.threadsOut >= ALL_CLASSES * cores(engine);
   }
@@ -796,10 +804,10 @@
    * never drains: one of each gateway may be more than it bears, so under pressure it comes last,
    * and alone.
    */
-  private Room room(long now, Engine engine, RequestClass track) {
+  private Room room(long now, Engine engine, RequestClass requestClass) {
     boolean pressed = now < engine.pressedUntil;
-    int width = track.terms.width();
-    int own = engine.outByTrack[track.index] * width;
+    int width = requestClass.terms.width();
+    int own = engine.inFlightByClass[requestClass.index] * width;
     double bound = bound(engine);
     double threads = threads(now, engine);
     boolean within = (own > 0 ? own < bound : width <= bound) && threads < ALL_CLASSES * bound;
@@ -836,9 +844,9 @@
     usualBusy = 0;
     allCores = 0;
     allWork = 0;
-    for (RequestClass track : tracks) {
-      allWork += track.workSeen.at(now);
-      track.openCores = 0;
+    for (RequestClass requestClass : requestClasses) {
+      allWork += requestClass.workSeen.at(now);
+      requestClass.openCores = 0;
     }
     Arrays.fill(poolBounds, 0);
     Arrays.fill(poolThreads, 0);
@@ -852,8 +860,8 @@
       }
       ready++;
       allCores += cores(engine);
-      for (RequestClass track : tracks) {
-        track.openCores += track.terms.allows(engine) ? cores(engine) : 0;
+      for (RequestClass requestClass : requestClasses) {
+        requestClass.openCores += requestClass.terms.allows(engine) ? cores(engine) : 0;
       }
       boolean under = now < engine.pressedUntil;
       boolean doubt = doubtful(now, engine);
@@ -885,7 +893,7 @@
   }
 
   private void press(long now, Engine engine) {
-    engine.pressedUntil = now + mostSoftLimit;
+    engine.pressedUntil = now + maxLatencyObjective;
   }
 
   /**
@@ -899,7 +907,7 @@
       cutBound(now, engine);
     } else if (pace < EASY
         && (fullest(engine) + 1 >= bound(engine)
-            || tracks.stream().anyMatch(t -> t.head() != null))) {
+            || requestClasses.stream().anyMatch(t -> t.head() != null))) {
       engine.boundFactor = Math.min(gateways * FAR / ALL_CLASSES, engine.boundFactor + BOUND_GROW);
     }
   }
@@ -914,7 +922,7 @@
       double used = fullest(engine) / (cores(engine) / gateways);
       double from = Math.min(engine.boundFactor, Math.max(used, BOUND_START));
       engine.boundFactor = Math.max(BOUND_LEAST, from * BOUND_CUT);
-      engine.boundCutAt = now + leastSoftLimit;
+      engine.boundCutAt = now + minLatencyObjective;
     }
   }
 
@@ -930,11 +938,11 @@
     return guard.checkEndpoint(now, s, engine) == SendVerdict.ALLOWED;
   }
 
-  private boolean mayTurnBack(Request s) {
-    RequestClassConfig terms = s.track.terms;
+  private boolean mayReject(Request s) {
+    RequestClassConfig terms = s.requestClass.terms;
     return terms.effect() == Effect.PURE
         || (terms.effect() == Effect.RECEIPTED && terms.circle() == DeduplicationGroup.ALL)
-        || s.hops.stream().noneMatch(Attempt::mayHaveRun);
+        || s.attempts.stream().noneMatch(Attempt::mayHaveRun);
   }
 
   private boolean budgetLeft(long now) {
@@ -999,31 +1007,31 @@
   // ---- hops ----
 
   private void place(long now, Request s, Engine engine) {
-    double nominal = work(now, s) / s.track.terms.width();
-    long expected = (long) (nominal * s.track.best() * Math.max(1, engine.pace.at(now)));
+    double nominal = work(now, s) / s.requestClass.terms.width();
+    long expected = (long) (nominal * s.requestClass.best() * Math.max(1, engine.pace.at(now)));
     s.rank = rank(now, s);
-    double memory = s.memoryEstimate * s.track.memoryBias.at(now) * GRANT_MARGIN;
+    double memory = s.memoryEstimate * s.requestClass.memoryBias.at(now) * GRANT_MARGIN;
     if (settings.flag("family_info.grants") && memory > 0) {
       double most =
           settings.amount("family_info.max_grant_share", 1)
               * settings.nth("family_info.size_mb", engine.kind, 0);
       s.grant = (long) Math.ceil(most > 0 ? Math.min(memory, most) : memory);
     }
-    if (!s.hops.isEmpty() && further != null) {
+    if (!s.attempts.isEmpty() && further != null) {
       further.add(now, 1);
     }
-    Attempt hop = new Attempt(s, engine, now, expected, nominal, doubtful(now, engine));
-    s.hops.add(hop);
-    s.hopsOut++;
-    engine.enter(hop, WARM_GROUPS);
+    Attempt attempt = new Attempt(s, engine, now, expected, nominal, doubtful(now, engine));
+    s.attempts.add(attempt);
+    s.attemptsInFlight++;
+    engine.enter(attempt, WARM_GROUPS);
     engine.workSent.add(now, work(now, s));
     change(s);
-    alarms.set(s, Math.min(lastMoment(s), now + quietLimit(s, hop)));
+    timers.set(s, Math.min(lastMoment(s), now + quietLimit(s, attempt)));
   }
 
   private int rank(long now, Request s) {
     double usual = valueSeen.at(now) / Math.max(1, allWork);
-    double dense = s.track.terms.value() / Math.max(1, work(now, s)) / usual;
+    double dense = s.requestClass.terms.value() / Math.max(1, work(now, s)) / usual;
     return dense >= 4 ? 3 : dense >= 1 ? 2 : dense >= 0.25 ? 1 : 0;
   }
 
@@ -1040,7 +1048,7 @@
 
   private boolean worthAnother(long now, Request s) {
     return !s.unusable
-        && s.hops.size() < settings.number("caps.max_attempts", 1)
+        && s.attempts.size() < settings.number("caps.max_attempts", 1)
         && budgetLeft(now)
         && now + usual(now, s) < tooLateAt(now, s)
         && engines.stream().anyMatch(e -> openLater(now, s, e));
@@ -1055,25 +1063,25 @@
       giveUp(now, s, TerminationReason.TOO_LATE);
       return;
     }
-    if (s.hopsOut == 0) {
+    if (s.attemptsInFlight == 0) {
       advance(now, s);
       if (s.held && hopeless(now, s)) {
         giveUp(now, s, TerminationReason.NO_TIME_LEFT);
       } else if (s.wakeAt == Long.MAX_VALUE) {
-        alarms.set(s, s.held ? Math.max(now + tick, hopelessAt(now, s)) : tooLateAt(now, s));
+        timers.set(s, s.held ? Math.max(now + tick, hopelessAt(now, s)) : tooLateAt(now, s));
       }
       return;
     }
-    Attempt hop = s.hops.get(s.hops.size() - 1);
-    long quiet = now - Math.max(hop.engine.heardAt, hop.sentAt);
-    if (quiet >= quietLimit(s, hop)) {
-      suspect(now, hop);
+    Attempt attempt = s.attempts.get(s.attempts.size() - 1);
+    long quiet = now - Math.max(attempt.engine.heardAt, attempt.sentAt);
+    if (quiet >= quietLimit(s, attempt)) {
+      suspect(now, attempt);
     }
     long look =
-        hop.wantedOff
-            ? leastSoftLimit
-            : Math.max(quietLimit(s, hop) - Math.max(0, quiet), leastSoftLimit / 4);
-    alarms.set(s, Math.min(tooLateAt(now, s), now + look));
+        attempt.cancelRequested
+            ? minLatencyObjective
+            : Math.max(quietLimit(s, attempt) - Math.max(0, quiet), minLatencyObjective / 4);
+    timers.set(s, Math.min(tooLateAt(now, s), now + look));
   }
 
   /**
@@ -1081,27 +1089,27 @@
    * tell: guards against calling off what was only underrated, where a gateway with little traffic
    * hears nothing else of the engine. It may hurt short tracks on an engine that fell silent.
    */
-  private long quietLimit(Request s, Attempt hop) {
+  private long quietLimit(Request s, Attempt attempt) {
     long noteEvery = settings.number("family_info.tells_every", 0);
     return (long)
         (noteEvery > 0
-            ? Math.max(QUIET_NOTES * noteEvery, leastSoftLimit / 2.0)
-            : Math.max(QUIET * hop.expected, s.track.terms.softLimit() / 2.0));
+            ? Math.max(QUIET_NOTES * noteEvery, minLatencyObjective / 2.0)
+            : Math.max(QUIET * attempt.expected, s.requestClass.terms.latencyObjective() / 2.0));
   }
 
-  private void suspect(long now, Attempt hop) {
-    Engine engine = hop.engine;
+  private void suspect(long now, Attempt attempt) {
+    Engine engine = attempt.engine;
     if (!doubtful(now, engine)) {
       engine.failures.add(now, SILENCE_WEIGHT + DOUBT_RATIO * engine.successes.at(now));
     }
-    if (mayHopOn(now, hop.submission)) {
-      callOff(hop);
+    if (mayRetryAfterCancel(now, attempt.request)) {
+      cancel(attempt);
     }
   }
 
   /** Whether another hop could follow if the one that is out were called off now. */
-  private boolean mayHopOn(long now, Request s) {
-    return s.track.terms.effect() != Effect.EFFECTFUL && worthAnother(now, s);
+  private boolean mayRetryAfterCancel(long now, Request s) {
+    return s.requestClass.terms.effect() != Effect.EFFECTFUL && worthAnother(now, s);
   }
 
   /**
@@ -1109,66 +1117,68 @@
    * usual is sent anew; of an unknown track more is asked. It may hurt where single estimates are
    * far too low.
    */
-  private void judgeProgress(long now, Attempt hop) {
-    long age = now - hop.sentAt;
-    double projected = age / Math.max(LEAST_SHARE, hop.share);
-    RequestClass track = hop.submission.track;
-    double known = track.bestPace > 0 ? 1 : UNKNOWN;
+  private void judgeProgress(long now, Attempt attempt) {
+    long age = now - attempt.sentAt;
+    double projected = age / Math.max(LEAST_SHARE, attempt.share);
+    RequestClass requestClass = attempt.request.requestClass;
+    double known = requestClass.bestPace > 0 ? 1 : UNKNOWN;
     double usual =
         known
-            * hop.nominal
-            * Math.max(track.pace.at(now), track.best() * Math.max(1, hop.engine.pace.at(now)));
-    double pace = projected / hop.nominal / hop.submission.track.best();
-    hop.engine.pace.add(now, Math.min(PACE_CAP, pace), 0.5);
-    adjustBound(now, hop.engine);
+            * attempt.nominal
+            * Math.max(
+                requestClass.pace.at(now),
+                requestClass.best() * Math.max(1, attempt.engine.pace.at(now)));
+    double pace = projected / attempt.nominal / attempt.request.requestClass.best();
+    attempt.engine.pace.add(now, Math.min(PACE_CAP, pace), 0.5);
+    adjustBound(now, attempt.engine);
     if (projected > BAD_PLAN * usual
         && projected - age > FAR * usual
-        && hop.submission.ending == null
-        && mayHopOn(now, hop.submission)) {
-      callOff(hop);
+        && attempt.request.outcome == null
+        && mayRetryAfterCancel(now, attempt.request)) {
+      cancel(attempt);
     }
   }
 
   // ---- measures ----
 
-  private void judge(long now, Attempt hop, AttemptOutcome outcome) {
-    Engine engine = hop.engine;
+  private void judge(long now, Attempt attempt, AttemptOutcome outcome) {
+    Engine engine = attempt.engine;
     engine.heardAt = outcome.heard ? now : engine.heardAt;
     switch (outcome) {
-      case FULFILLED -> count(now, hop, engine.successes, 1, engine.failures);
+      case SUCCEEDED -> count(now, attempt, engine.successes, 1, engine.failures);
       // Guards against an engine that fails or refuses at once: its empty counts would draw its
       // class.
-      case FULL -> {
-        count(now, hop, engine.failures, 1, engine.successes);
+      case REJECTED -> {
+        count(now, attempt, engine.failures, 1, engine.successes);
         press(now, engine);
         cutBound(now, engine);
       }
       // Guards against a submission that no engine can use: the second that errs speaks for the
       // first.
-      case ERRED -> {
-        Engine before = hop.submission.erredElsewhere(engine);
-        hop.submission.unusable = before != null;
+      case FAILED -> {
+        Engine before = attempt.request.erredElsewhere(engine);
+        attempt.request.unusable = before != null;
         if (before == null) {
-          count(now, hop, engine.failures, 1, engine.successes);
+          count(now, attempt, engine.failures, 1, engine.successes);
         } else {
           before.failures.add(now, -1);
         }
       }
-      case UNREACHABLE -> count(now, hop, engine.failures, SILENCE_WEIGHT, engine.successes);
+      case CONNECT_FAILED -> count(now, attempt, engine.failures, SILENCE_WEIGHT, engine.successes);
       // Guards against a restart that the list tells late: a process that dropped its connections
       // comes
       // back cold. One alone is the network's; two with nothing heard between are the process'.
-      case SEVERED -> {
+      case CONNECTION_LOST -> {
         boolean fell = engine.heardAt < engine.severedAt;
-        count(now, hop, engine.failures, fell ? SILENCE_WEIGHT : 1, engine.successes);
+        count(now, attempt, engine.failures, fell ? SILENCE_WEIGHT : 1, engine.successes);
         engine.fellAt = fell ? now : engine.fellAt;
         engine.severedAt = now;
       }
-      case OVERDUE -> {
-        if (engine.heardAt < hop.sentAt) {
+      case TIMED_OUT -> {
+        if (engine.heardAt < attempt.sentAt) {
           engine.failures.add(now, 1);
-        } else if (!mayCallOff) {
-          engine.threadsLost.add(now, hop.submission.track.terms.width());
+        } else if (!mayCancel) {
+          engine.threadsLost.add(now, attempt.request.requestClass.terms.width());
         }
       }
       default -> {}
@@ -1176,35 +1186,36 @@
   }
 
   /** A trial tells of now: its outcome wipes out most of what spoke for the other. */
-  private void count(long now, Attempt hop, DecayingSum sum, double weight, DecayingSum other) {
+  private void count(long now, Attempt attempt, DecayingSum sum, double weight, DecayingSum other) {
     sum.add(now, weight);
-    if (hop.trial) {
+    if (attempt.trial) {
       other.add(now, -TRIAL_CLEARS * other.at(now));
     }
   }
 
-  private void learn(long now, Attempt hop, long lag, double work, double memory) {
-    Request s = hop.submission;
-    RequestClass track = s.track;
+  private void learn(long now, Attempt attempt, long lag, double work, double memory) {
+    Request s = attempt.request;
+    RequestClass requestClass = s.requestClass;
     if (work > 0 && s.estimate > 0) {
-      track.bias.add(now, Math.min(2 * PACE_CAP, work / s.estimate), 1);
+      requestClass.bias.add(now, Math.min(2 * PACE_CAP, work / s.estimate), 1);
     }
     if (memory > 0 && s.memoryEstimate > 0) {
-      track.memoryBias.add(now, Math.min(2 * PACE_CAP, memory / s.memoryEstimate), 1);
+      requestClass.memoryBias.add(now, Math.min(2 * PACE_CAP, memory / s.memoryEstimate), 1);
     }
-    track.work.add(
-        now, work > 0 ? work : s.estimate > 0 ? work(now, s) : lag * track.terms.width(), 1);
-    double nominal = work > 0 ? work / track.terms.width() : hop.nominal;
+    requestClass.work.add(
+        now, work > 0 ? work : s.estimate > 0 ? work(now, s) : lag * requestClass.terms.width(), 1);
+    double nominal = work > 0 ? work / requestClass.terms.width() : attempt.nominal;
     double pace = lag / Math.max(1, nominal);
-    track.pace.add(now, Math.min(pace, 2 * PACE_CAP * track.best()), 1);
-    if (track.pace.weight(now) >= ENOUGH) {
-      double mean = track.pace.at(now);
-      track.bestPace = track.bestPace == 0 ? mean : Math.min(track.bestPace, mean);
-    }
-    double timesBest = Math.min(PACE_CAP, pace / track.best());
-    hop.engine.pace.add(now, timesBest, 1);
+    requestClass.pace.add(now, Math.min(pace, 2 * PACE_CAP * requestClass.best()), 1);
+    if (requestClass.pace.weight(now) >= ENOUGH) {
+      double mean = requestClass.pace.at(now);
+      requestClass.bestPace =
+          requestClass.bestPace == 0 ? mean : Math.min(requestClass.bestPace, mean);
+    }
+    double timesBest = Math.min(PACE_CAP, pace / requestClass.best());
+    attempt.engine.pace.add(now, timesBest, 1);
     lately.add(now, timesBest, 1);
-    adjustBound(now, hop.engine);
+    adjustBound(now, attempt.engine);
   }
 
   private void read(long now, Engine engine, double[] report) {
@@ -1233,33 +1244,34 @@
   }
 
   private static double work(long now, Request s) {
-    return s.estimate > 0 ? s.estimate * s.track.bias.at(now) : s.track.work.at(now);
+    return s.estimate > 0 ? s.estimate * s.requestClass.bias.at(now) : s.requestClass.work.at(now);
   }
 
   /** Time that a hop sent now is expected to take on an ordinary engine. */
   private long usual(long now, Request s) {
-    double pace = Math.max(s.track.pace.at(now), s.track.best() * Math.max(1, fleetPace));
-    return (long) (work(now, s) / s.track.terms.width() * pace);
+    double pace =
+        Math.max(s.requestClass.pace.at(now), s.requestClass.best() * Math.max(1, fleetPace));
+    return (long) (work(now, s) / s.requestClass.terms.width() * pace);
   }
 
-  private static long softLimit(long now, Request s) {
-    RequestClassConfig terms = s.track.terms;
-    return terms.softLimit() + (long) (terms.stretch() * work(now, s) / terms.width());
+  private static long latencyObjective(long now, Request s) {
+    RequestClassConfig terms = s.requestClass.terms;
+    return terms.latencyObjective() + (long) (terms.stretch() * work(now, s) / terms.width());
   }
 
   private static long softEnd(long now, Request s) {
-    return Math.min(s.leavesAt, s.arrivedAt + softLimit(now, s));
+    return Math.min(s.clientDeadline, s.arrivedAt + latencyObjective(now, s));
   }
 
   /** The last moment at which a final answer is surely in time. */
   private long lastMoment(Request s) {
-    return s.leavesAt - 2 * tick;
+    return s.clientDeadline - 2 * tick;
   }
 
   /** From here on an answer pays nothing. */
   private long tooLateAt(long now, Request s) {
-    return s.track.terms.lateValue() > 0
+    return s.requestClass.terms.lateValue() > 0
         ? lastMoment(s)
-        : Math.min(lastMoment(s), (long) (s.arrivedAt + softLimit(now, s) * LATE_MARGIN));
+        : Math.min(lastMoment(s), (long) (s.arrivedAt + latencyObjective(now, s) * LATE_MARGIN));
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -44,7 +44,7 @@
    * @param before when the guard wanted it out by
    * @param limit how long the engine was told that the client waits
    */
-  public record Written(Attempt hop, long firstByteAt, long before, long limit) {}
+  public record Written(Attempt attempt, long firstByteAt, long before, long limit) {}
 
   private final long grace;
   private final long budgetSpan;
@@ -109,20 +109,20 @@
   }
 
   /** A final answer became ready. */
-  public Set<Invariant> answered(long now, Request submission) {
-    return now > submission.leavesAt + ANSWER_SLACK
+  public Set<Invariant> answered(long now, Request request) {
+    return now > request.clientDeadline + ANSWER_SLACK
         ? EnumSet.of(Invariant.ANSWER_IN_TIME)
         : Set.of();
   }
 
   /** An attempt was written; what that broke. */
-  public Set<Invariant> written(Written attempt) {
+  public Set<Invariant> written(Written written) {
     EnumSet<Invariant> broken = EnumSet.noneOf(Invariant.class);
-    Attempt hop = attempt.hop;
-    Request submission = hop.submission;
-    long at = attempt.firstByteAt;
-    hop.writtenAt = at;
-    if (submission.track == null) {
+    Attempt attempt = written.attempt;
+    Request request = attempt.request;
+    long at = written.firstByteAt;
+    attempt.writtenAt = at;
+    if (request.requestClass == null) {
       // A policy that knows no tracks, as those that others are measured against: it has no terms
       // to hold it to.
       return broken;
@@ -130,28 +130,28 @@
     note(
         broken,
         Invariant.CLIENT_WAITS,
-        submission.ending == RequestOutcome.LEFT && at > submission.leftAt + LEFT_SLACK
-            || at > submission.leavesAt + SLACK);
+        request.outcome == RequestOutcome.CLIENT_DISCONNECTED && at > request.leftAt + LEFT_SLACK
+            || at > request.clientDeadline + SLACK);
     note(
         broken,
         Invariant.LIMIT,
-        attempt.limit > Math.max(0, submission.leavesAt - at) + LIMIT_SLACK);
-    note(broken, Invariant.SINGLE_EFFECT, runsTwice(hop, at));
+        written.limit > Math.max(0, request.clientDeadline - at) + LIMIT_SLACK);
+    note(broken, Invariant.SINGLE_EFFECT, runsTwice(attempt, at));
     note(
         broken,
         Invariant.DRAIN,
         at
-            > notReadySince.getOrDefault(hop.engine, Long.MAX_VALUE - grace - SLACK)
+            > notReadySince.getOrDefault(attempt.engine, Long.MAX_VALUE - grace - SLACK)
                 + grace
                 + SLACK);
-    note(broken, Invariant.WRITE_IN_TIME, at > attempt.before + SLACK);
+    note(broken, Invariant.WRITE_IN_TIME, at > written.before + SLACK);
     note(
         broken,
         Invariant.ORDER,
-        submission.ordered() && submission.line.head() != submission && submission.ending == null);
-    note(broken, Invariant.PLACEMENT, !submission.track.terms.allows(hop.engine));
-    note(broken, Invariant.RETRY_BUDGET, exceedsBudget(hop, at));
-    note(broken, Invariant.SLOW_START, overloadsCold(hop, at));
+        request.ordered() && request.line.head() != request && request.outcome == null);
+    note(broken, Invariant.PLACEMENT, !request.requestClass.terms.allows(attempt.engine));
+    note(broken, Invariant.RETRY_BUDGET, exceedsBudget(attempt, at));
+    note(broken, Invariant.SLOW_START, overloadsCold(attempt, at));
     return broken;
   }
 
@@ -161,17 +161,17 @@
     }
   }
 
-  private static boolean runsTwice(Attempt hop, long at) {
-    RequestClassConfig terms = hop.submission.track.terms;
+  private static boolean runsTwice(Attempt attempt, long at) {
+    RequestClassConfig terms = attempt.request.requestClass.terms;
     if (terms.effect() == Effect.PURE) {
       return false;
     }
-    for (Attempt other : hop.submission.hops) {
-      if (other == hop || other.writtenAt == 0 || !other.mayHaveRun()) {
+    for (Attempt other : attempt.request.attempts) {
+      if (other == attempt || other.writtenAt == 0 || !other.mayHaveRun()) {
         continue;
       }
       if (terms.effect() == Effect.EFFECTFUL
-          || !terms.circle().joins(other.engine, hop.engine)
+          || !terms.circle().joins(other.engine, attempt.engine)
           || at > other.writtenAt + terms.window() + SLACK) {
         return true;
       }
@@ -179,8 +179,8 @@
     return false;
   }
 
-  private boolean exceedsBudget(Attempt hop, long at) {
-    if (budgetSpan <= 0 || hop.number == 0) {
+  private boolean exceedsBudget(Attempt attempt, long at) {
+    if (budgetSpan <= 0 || attempt.number == 0) {
       return false;
     }
     further.add(at, 1);
@@ -191,23 +191,23 @@
    * Whether this gateway alone wrote more to a cold engine than it bears: N and twice its root of
    * mean requests, and 2.
    */
-  private boolean overloadsCold(Attempt hop, long at) {
-    double work = Math.max(1, hop.nominal * hop.submission.track.terms.width());
+  private boolean overloadsCold(Attempt attempt, long at) {
+    double work = Math.max(1, attempt.nominal * attempt.request.requestClass.terms.width());
     works += work;
     written++;
     if (fallSpan <= 0) {
       return false;
     }
     SlidingSum sum =
-        workWritten.computeIfAbsent(hop.engine, engine -> new SlidingSum(fallSpan, SLICES));
+        workWritten.computeIfAbsent(attempt.engine, engine -> new SlidingSum(fallSpan, SLICES));
     sum.add(at, work);
-    long started = hop.engine.startedAt;
+    long started = attempt.engine.startedAt;
     if (started <= 0 || at - started >= warmWithin) {
       return false;
     }
     double gone = Math.max(0, (double) (at - started) / warmWithin);
     double warmth = startCapacity + (1 - startCapacity) * gone;
-    double cores = Math.max(1, settings.nth("family_info.kind_cores", hop.engine.kind, 1));
+    double cores = Math.max(1, settings.nth("family_info.kind_cores", attempt.engine.kind, 1));
     double mean = works / written;
     double requests = fallMultiple * warmth * cores * fallSpan / mean;
     return sum.least(at) > (requests + 2 * Math.sqrt(requests) + 2) * mean;
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -38,71 +38,71 @@
    * Whether a request may be sent to an engine once the list is confirmed: its state, placement and
    * repeats.
    */
-  public SendVerdict checkEndpoint(long now, Request submission, Engine engine) {
-    return checkEndpoint(now, submission, engine, null);
+  public SendVerdict checkEndpoint(long now, Request request, Engine engine) {
+    return checkEndpoint(now, request, engine, null);
   }
 
   /** Whether a request may be sent to an engine now. */
-  public SendVerdict checkPlacement(long now, Request submission, Engine engine) {
+  public SendVerdict checkPlacement(long now, Request request, Engine engine) {
     return now < listUsableUntil
-        ? checkEndpoint(now, submission, engine)
+        ? checkEndpoint(now, request, engine)
         : SendVerdict.LIST_UNCONFIRMED;
   }
 
   /** Whether an attempt that was placed may be written now. */
-  public SendVerdict checkWrite(long now, Attempt hop) {
-    Request submission = hop.submission;
-    if (submission.ending != null) {
+  public SendVerdict checkWrite(long now, Attempt attempt) {
+    Request request = attempt.request;
+    if (request.outcome != null) {
       return SendVerdict.REQUEST_ENDED;
     }
-    if (submission.unattended) {
+    if (request.unattended) {
       return SendVerdict.CLIENT_GONE;
     }
-    if (hop.wantedOff) {
-      return SendVerdict.CALLED_OFF;
+    if (attempt.cancelRequested) {
+      return SendVerdict.CANCELLED;
     }
-    if (now >= submission.leavesAt) {
+    if (now >= request.clientDeadline) {
       return SendVerdict.NO_TIME_LEFT;
     }
     if (now >= listUsableUntil) {
       return SendVerdict.LIST_UNCONFIRMED;
     }
-    if (submission.ordered() && submission.line.head() != submission) {
+    if (request.ordered() && request.line.head() != request) {
       return SendVerdict.ORDER;
     }
-    return checkEndpoint(now, submission, hop.engine, hop);
+    return checkEndpoint(now, request, attempt.engine, attempt);
   }
 
   /** The last moment at which the first byte of an attempt may go out that is allowed now. */
-  public long writeDeadline(long now, Attempt hop) {
-    return Math.min(now + WRITE_WITHIN, Math.min(listUsableUntil, hop.submission.leavesAt));
+  public long writeDeadline(long now, Attempt attempt) {
+    return Math.min(now + WRITE_WITHIN, Math.min(listUsableUntil, attempt.request.clientDeadline));
   }
 
   /**
    * @param next the attempt that is about to begin there, or null if it has yet to be placed
    */
-  private SendVerdict checkEndpoint(long now, Request submission, Engine engine, Attempt next) {
+  private SendVerdict checkEndpoint(long now, Request request, Engine engine, Attempt next) {
     if (engine.standing != Status.READY) {
       return SendVerdict.ENGINE_NOT_READY;
     }
-    if (!submission.track.terms.allows(engine)) {
+    if (!request.requestClass.terms.allows(engine)) {
       return SendVerdict.PLACEMENT;
     }
-    return repeatAllowed(now, submission, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
+    return repeatAllowed(now, request, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
   }
 
-  private boolean repeatAllowed(long now, Request submission, Engine engine, Attempt next) {
-    RequestClassConfig terms = submission.track.terms;
-    if (submission.hops.isEmpty() || terms.effect() == Effect.PURE) {
+  private boolean repeatAllowed(long now, Request request, Engine engine, Attempt next) {
+    RequestClassConfig terms = request.requestClass.terms;
+    if (request.attempts.isEmpty() || terms.effect() == Effect.PURE) {
       return true;
     }
-    for (Attempt hop : submission.hops) {
-      if (hop == next || !hop.mayHaveRun()) {
+    for (Attempt attempt : request.attempts) {
+      if (attempt == next || !attempt.mayHaveRun()) {
         continue;
       }
       if (terms.effect() == Effect.EFFECTFUL
-          || !terms.circle().joins(hop.engine, engine)
-          || now + tick >= hop.sentAt + terms.window()) {
+          || !terms.circle().joins(attempt.engine, engine)
+          || now + tick >= attempt.sentAt + terms.window()) {
         return false;
       }
     }
--- a/gateway/src/main/java/tillerlink/policy/SendVerdict.java
+++ b/gateway/src/main/java/tillerlink/policy/SendVerdict.java
@@ -8,7 +8,7 @@
   /** Its client's connection is gone, and it has not called again. */
   CLIENT_GONE,
   /** The attempt was given up before it went out. */
-  CALLED_OFF,
+  CANCELLED,
   /** The client does not wait any longer. */
   NO_TIME_LEFT,
   /** The list of engines is not confirmed: its engine may drain or be gone. */
--- a/gateway/src/main/java/tillerlink/port/DispatchActions.java
+++ b/gateway/src/main/java/tillerlink/port/DispatchActions.java
@@ -9,19 +9,19 @@
    * Priority (at once, also for hops that are out) and memory grant (from the next hop on; 0: the
    * engine's own).
    */
-  void updatePriorityAndGrant(Request submission, int rank, long grant);
+  void updatePriorityAndGrant(Request request, int rank, long grant);
 
   /** Sends a hop, with no time-out but the client's. */
-  void sendAttempt(Attempt hop);
+  void sendAttempt(Attempt attempt);
 
-  void cancelAttempt(Attempt hop);
+  void cancelAttempt(Attempt attempt);
 
   /**
-   * @param comeBack how long the client should stay away; 0 means no advice
+   * @param retryAfter how long the client should stay away; 0 means no advice
    */
-  void rejectRequest(Request submission, long comeBack);
+  void rejectRequest(Request request, long retryAfter);
 
-  void failRequest(Request submission);
+  void failRequest(Request request);
 
   void scheduleWakeup(long at);
 
--- a/gateway/src/main/java/tillerlink/port/DispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/port/DispatchPolicy.java
@@ -34,12 +34,12 @@
   /** A call to the engine list failed, or the subscription broke. */
   void onEndpointPollFailed(long now);
 
-  void onRequestArrived(long now, Request submission);
+  void onRequestArrived(long now, Request request);
 
   /** The answer began to reach the client. */
-  void onResponseStarted(long now, Attempt hop);
+  void onResponseStarted(long now, Attempt attempt);
 
-  void onAttemptProgress(long now, Attempt hop, AttemptProgress note, double level);
+  void onAttemptProgress(long now, Attempt attempt, AttemptProgress note, double level);
 
   /**
    * A hop ended.
@@ -50,7 +50,7 @@
    */
   void onAttemptEnded(
       long now,
-      Attempt hop,
+      Attempt attempt,
       AttemptOutcome outcome,
       long lag,
       boolean answered,
@@ -59,10 +59,10 @@
       double[] report);
 
   /** The client went; nothing is owed any more. */
-  void onClientDisconnected(long now, Request submission);
+  void onClientDisconnected(long now, Request request);
 
   /** Nobody waits for the answer, though the client may call for it again; or it has. */
-  default void onClientAttendanceChanged(long now, Request submission, boolean on) {
+  default void onClientAttendanceChanged(long now, Request request, boolean on) {
     // Where clients wait on no connection there is nothing to hear.
   }
 
@@ -70,20 +70,20 @@
    * Asked right before a hop is written, for that may be long after it was ordered. Unless it is
    * allowed, it ends as one that was never sent.
    */
-  default SendVerdict checkWrite(long now, Attempt hop) {
-    return hop.submission.ending == null ? SendVerdict.ALLOWED : SendVerdict.REQUEST_ENDED;
+  default SendVerdict checkWrite(long now, Attempt attempt) {
+    return attempt.request.outcome == null ? SendVerdict.ALLOWED : SendVerdict.REQUEST_ENDED;
   }
 
   /**
    * Until when the first byte of a hop may go out that may be written now; later it must not go out
    * at all.
    */
-  default long writeDeadline(long now, Attempt hop) {
-    return hop.submission.leavesAt;
+  default long writeDeadline(long now, Attempt attempt) {
+    return attempt.request.clientDeadline;
   }
 
   /** The gateway ends and can't wait for it any longer: it gets its final answer now. */
-  void onShutdownDeadline(long now, Request submission);
+  void onShutdownDeadline(long now, Request request);
 
   /** A time asked for by {@link DispatchActions#scheduleWakeup} has come. */
   void onWakeup(long now);
--- a/gateway/src/main/java/tillerlink/wirehost/Instance.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Instance.java
@@ -29,9 +29,9 @@
   private final int number;
   private final JsonGenerator actions;
   private final Map<String, Engine> engines = new HashMap<>();
-  private final Map<String, Request> submissions = new HashMap<>();
+  private final Map<String, Request> requests = new HashMap<>();
   private final Map<String, KeyedRequestQueue> lines = new HashMap<>();
-  private final DispatchPolicy steering;
+  private final DispatchPolicy policy;
 
   Instance(
       int number,
@@ -42,11 +42,11 @@
       JsonGenerator actions) {
     this.number = number;
     this.actions = actions;
-    steering = factory.create(now, seed, FlattenedConfig.of(settings), this);
+    policy = factory.create(now, seed, FlattenedConfig.of(settings), this);
   }
 
-  DispatchPolicy steering() {
-    return steering;
+  DispatchPolicy policy() {
+    return policy;
   }
 
   /** Takes an event; false if it is none that this door knows. */
@@ -55,15 +55,15 @@
       case "BackendsChanged" -> listed(now, event, rows);
       case "Incoming" -> arrived(now, event);
       case "HeadReceived" -> {
-        Attempt hop = hop(event.text(2, "tid"), event.number(5, "seq_no"));
-        if (hop != null) {
-          steering.onResponseStarted(now, hop);
+        Attempt attempt = attempt(event.text(2, "tid"), event.number(5, "seq_no"));
+        if (attempt != null) {
+          policy.onResponseStarted(now, attempt);
         }
       }
       case "Change" -> noted(now, event);
       case "Reply" -> ended(now, event);
       case "Expired" -> left(now, event.text(2, "tid"));
-      case "Timer" -> steering.onWakeup(now);
+      case "Timer" -> policy.onWakeup(now);
       case "Memo", "Pong" -> {}
       default -> {
         return false;
@@ -75,7 +75,7 @@
   private void listed(long now, Message event, List<Row> rows) {
     int mode = (int) event.number(2, "mode");
     if (mode == MODE_FAILED) {
-      steering.onEndpointPollFailed(now);
+      policy.onEndpointPollFailed(now);
       return;
     }
     List<EndpointUpdate> entries = new ArrayList<>(rows.size());
@@ -91,7 +91,7 @@
               row.standing(),
               row.startedAt()));
     }
-    steering.onEndpointsChanged(now, mode == MODE_CACHED || mode == MODE_FULL, entries);
+    policy.onEndpointsChanged(now, mode == MODE_CACHED || mode == MODE_FULL, entries);
   }
 
   private void arrived(long now, Message event) {
@@ -99,7 +99,7 @@
     String key = event.textOr(9, null);
     KeyedRequestQueue line =
         key == null ? null : lines.computeIfAbsent(key, k -> new KeyedRequestQueue());
-    Request submission =
+    Request request =
         new Request(
             id,
             (int) event.number(6, "band"),
@@ -110,12 +110,12 @@
             event.amountOr(10, 0) / Units.toMicros(1),
             event.amountOr(11, 0),
             line);
-    submissions.put(id, submission);
-    steering.onRequestArrived(now, submission);
+    requests.put(id, request);
+    policy.onRequestArrived(now, request);
   }
 
   private void noted(long now, Message event) {
-    Attempt hop = hop(event.text(2, "tid"), event.number(6, "seq_no"));
+    Attempt attempt = attempt(event.text(2, "tid"), event.number(6, "seq_no"));
     AttemptProgress note =
         switch ((int) event.numberOr(5, 0)) {
           case 1 -> AttemptProgress.PROGRESS;
@@ -123,60 +123,60 @@
           case 3 -> AttemptProgress.WAITS;
           default -> null;
         };
-    if (hop != null && note != null) {
-      steering.onAttemptProgress(now, hop, note, event.amountOr(3, 0));
+    if (attempt != null && note != null) {
+      policy.onAttemptProgress(now, attempt, note, event.amountOr(3, 0));
     }
   }
 
   private void ended(long now, Message event) {
-    Attempt hop = hop(event.text(2, "tid"), event.number(3, "seq_no"));
-    if (hop == null || !hop.isOut()) {
+    Attempt attempt = attempt(event.text(2, "tid"), event.number(3, "seq_no"));
+    if (attempt == null || !attempt.isOut()) {
       return;
     }
     long bill = event.numberOr(8, 0);
-    steering.onAttemptEnded(
+    policy.onAttemptEnded(
         now,
-        hop,
+        attempt,
         outcome(event.text(5, "how")),
         Units.toTenths(event.numberOr(6, 0)),
         event.flag(7),
         Units.billedWork(bill),
         Units.billedMemory(bill),
         event.report(9));
-    forgetIfOver(hop.submission);
+    forgetIfOver(attempt.request);
   }
 
   private static AttemptOutcome outcome(String how) {
     return switch (how) {
-      case "completed" -> AttemptOutcome.FULFILLED;
-      case "saturated" -> AttemptOutcome.FULL;
-      case "overdue" -> AttemptOutcome.OVERDUE;
-      case "refused_conn" -> AttemptOutcome.UNREACHABLE;
-      case "severed" -> AttemptOutcome.SEVERED;
-      case "recalled" -> AttemptOutcome.CALLED_OFF;
-      case "superseded" -> AttemptOutcome.NEVER_SENT;
-      default -> AttemptOutcome.ERRED;
+      case "completed" -> AttemptOutcome.SUCCEEDED;
+      case "saturated" -> AttemptOutcome.REJECTED;
+      case "overdue" -> AttemptOutcome.TIMED_OUT;
+      case "refused_conn" -> AttemptOutcome.CONNECT_FAILED;
+      case "severed" -> AttemptOutcome.CONNECTION_LOST;
+      case "recalled" -> AttemptOutcome.CANCELLED;
+      case "superseded" -> AttemptOutcome.NOT_SENT;
+      default -> AttemptOutcome.FAILED;
     };
   }
 
   private void left(long now, String id) {
-    Request submission = submissions.get(id);
-    if (submission != null) {
-      steering.onClientDisconnected(now, submission);
-      forgetIfOver(submission);
+    Request request = requests.get(id);
+    if (request != null) {
+      policy.onClientDisconnected(now, request);
+      forgetIfOver(request);
     }
   }
 
-  private Attempt hop(String id, long place) {
-    Request submission = submissions.get(id);
-    return submission == null || place < 0 || place >= submission.hops.size()
+  private Attempt attempt(String id, long place) {
+    Request request = requests.get(id);
+    return request == null || place < 0 || place >= request.attempts.size()
         ? null
-        : submission.hops.get((int) place);
+        : request.attempts.get((int) place);
   }
 
-  private void forgetIfOver(Request submission) {
-    if (submission.isOver()) {
-      submissions.remove((String) submission.tag);
+  private void forgetIfOver(Request request) {
+    if (request.isOver()) {
+      requests.remove((String) request.tag);
     }
   }
 
@@ -201,52 +201,52 @@
   }
 
   @Override
-  public void updatePriorityAndGrant(Request submission, int rank, long grant) {
+  public void updatePriorityAndGrant(Request request, int rank, long grant) {
     write(
         "Provide",
         () -> {
-          writeTag(submission.tag);
+          writeTag(request.tag);
           actions.writeNumber(rank);
           actions.writeNumber(grant);
         });
   }
 
   @Override
-  public void sendAttempt(Attempt hop) {
+  public void sendAttempt(Attempt attempt) {
     write(
         "Try",
         () -> {
-          writeTag(hop.submission.tag);
+          writeTag(attempt.request.tag);
           actions.writeNumber(0);
-          writeTag(hop.engine.tag);
+          writeTag(attempt.engine.tag);
         });
   }
 
   @Override
-  public void cancelAttempt(Attempt hop) {
+  public void cancelAttempt(Attempt attempt) {
     write(
         "CallOff",
         () -> {
-          writeTag(hop.submission.tag);
-          actions.writeNumber(hop.number);
+          writeTag(attempt.request.tag);
+          actions.writeNumber(attempt.number);
         });
   }
 
   @Override
-  public void rejectRequest(Request submission, long comeBack) {
+  public void rejectRequest(Request request, long retryAfter) {
     write(
         "Decline",
         () -> {
-          writeTag(submission.tag);
-          actions.writeNumber(Units.toMicros(comeBack));
+          writeTag(request.tag);
+          actions.writeNumber(Units.toMicros(retryAfter));
         });
-    forgetIfOver(submission);
+    forgetIfOver(request);
   }
 
   @Override
-  public void failRequest(Request submission) {
-    write("RespondError", () -> writeTag(submission.tag));
-    forgetIfOver(submission);
+  public void failRequest(Request request) {
+    write("RespondError", () -> writeTag(request.tag));
+    forgetIfOver(request);
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/wirehost/WireHost.java
+++ b/gateway/src/main/java/tillerlink/wirehost/WireHost.java
@@ -28,7 +28,7 @@
  * share nothing.
  */
 public final class WireHost {
-  private final DispatchPolicyFactory steerings;
+  private final DispatchPolicyFactory policies;
   private final JsonFactory factory = new JsonFactory();
   private final ByteArrayOutputStream reply = new ByteArrayOutputStream();
   private final JsonGenerator actions;
@@ -36,8 +36,8 @@
   private final Map<Integer, List<Row>> pages = new HashMap<>();
   private final Set<Integer> touched = new LinkedHashSet<>();
 
-  public WireHost(DispatchPolicyFactory steerings) throws IOException {
-    this.steerings = steerings;
+  public WireHost(DispatchPolicyFactory policies) throws IOException {
+    this.policies = policies;
     actions = factory.createGenerator(reply).setRootValueSeparator(new SerializedString(""));
   }
 
@@ -110,7 +110,7 @@
     for (int number : touched) {
       Instance instance = instances.get(number);
       if (instance != null) {
-        guarded(instance, () -> instance.steering().applyDecisions(now));
+        guarded(instance, () -> instance.policy().applyDecisions(now));
       }
     }
     touched.clear();
@@ -140,7 +140,7 @@
     touched.remove(number);
     touched.add(number);
     try {
-      instances.put(number, new Instance(number, now, seed, settings, steerings, actions));
+      instances.put(number, new Instance(number, now, seed, settings, policies, actions));
     } catch (RuntimeException e) {
       panic(number, e);
     }
--- a/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
+++ b/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
@@ -51,9 +51,9 @@
     assertEquals(new InetSocketAddress("127.0.0.2", 5353), read.resolver());
     assertEquals(-225L, read.seed());
     assertEquals(300, read.sockets());
-    assertEquals(120, read.clientsMost());
-    assertEquals(100, read.linksMost());
-    assertEquals(List.of("look", "intake", "post"), read.tracks());
+    assertEquals(120, read.maxClients());
+    assertEquals(100, read.maxConnections());
+    assertEquals(List.of("look", "intake", "post"), read.requestClasses());
   }
 
   @Test
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void tracksHaveTheTermsOfTheirProfiles() throws Exception {
+  void requestClassesHaveTheTermsOfTheirProfiles() throws Exception {
     Map<String, Object> plain = FlattenedConfig.of(read().terms());
     assertEquals(
         new RequestClassConfig(
@@ -219,15 +219,15 @@
         1_000_000,
         true,
         List.of(new EndpointUpdate(cold, 0, 0, 0, 1, Status.READY, 1_000_000 - 50_000)));
-    Request first = submission(0, 1_100_000);
+    Request first = request(0, 1_100_000);
     policy.onRequestArrived(1_100_000, first);
     policy.applyDecisions(1_100_000);
     policy.onAttemptEnded(
-        1_100_100, first.hops.get(0), AttemptOutcome.SEVERED, 10, false, 0, 0, null);
+        1_100_100, first.attempts.get(0), AttemptOutcome.CONNECTION_LOST, 10, false, 0, 0, null);
     policy.applyDecisions(1_100_100);
     policy.onEndpointsChanged(
         1_100_200, true, List.of(new EndpointUpdate(cold, 0, 0, 0, 1, Status.READY, 1_100_000)));
-    policy.onRequestArrived(1_100_200, submission(0, 1_100_200));
+    policy.onRequestArrived(1_100_200, request(0, 1_100_200));
     policy.applyDecisions(1_100_200);
     policy.onShutdownDeadline(1_100_300, first);
     Set<String> names = new TreeSet<>();
@@ -296,14 +296,14 @@
         asked.names);
   }
 
-  private static RequestClassConfig terms(Map<String, Object> plain, int track) {
-    Request submission = submission(track, 10);
-    new DefaultDispatchPolicy(10, 5, plain, NO_ORDERS).onRequestArrived(10, submission);
-    return submission.track.terms;
+  private static RequestClassConfig terms(Map<String, Object> plain, int requestClass) {
+    Request request = request(requestClass, 10);
+    new DefaultDispatchPolicy(10, 5, plain, NO_ORDERS).onRequestArrived(10, request);
+    return request.requestClass.terms;
   }
 
-  private static Request submission(int track, long now) {
-    return new Request("id", track, 0, false, now, now + 7000, 100, 50, null);
+  private static Request request(int requestClass, long now) {
+    return new Request("id", requestClass, 0, false, now, now + 7000, 100, 50, null);
   }
 
   private static GatewayConfig read() throws IOException, URISyntaxException {
--- a/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
+++ b/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
@@ -1,13 +1,13 @@
 package tillerlink;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static tillerlink.model.AttemptOutcome.CALLED_OFF;
-import static tillerlink.model.AttemptOutcome.ERRED;
-import static tillerlink.model.AttemptOutcome.FULFILLED;
-import static tillerlink.model.AttemptOutcome.FULL;
-import static tillerlink.model.AttemptOutcome.OVERDUE;
-import static tillerlink.model.AttemptOutcome.SEVERED;
-import static tillerlink.model.AttemptOutcome.UNREACHABLE;
+import static tillerlink.model.AttemptOutcome.CANCELLED;
+import static tillerlink.model.AttemptOutcome.CONNECTION_LOST;
+import static tillerlink.model.AttemptOutcome.CONNECT_FAILED;
+import static tillerlink.model.AttemptOutcome.FAILED;
+import static tillerlink.model.AttemptOutcome.REJECTED;
+import static tillerlink.model.AttemptOutcome.SUCCEEDED;
+import static tillerlink.model.AttemptOutcome.TIMED_OUT;
 import static tillerlink.model.Engine.Status.DRAINING;
 import static tillerlink.model.Engine.Status.GONE;
 import static tillerlink.model.Engine.Status.READY;
@@ -31,10 +31,10 @@
 
   @Test
   void warmGroupBreaksTies() {
-    Trace t = new Trace().track("repeatable").up("a0", "b0", "c0");
-    t.arrive("first", 0, 100, 9, null).pass(100).end("first", FULFILLED);
+    Trace t = new Trace().requestClass("repeatable").up("a0", "b0", "c0");
+    t.arrive("first", 0, 100, 9, null).pass(100).end("first", SUCCEEDED);
     t.say("idle again: the group's engine is warm").arrive("second", 0, 100, 9, null);
-    t.pass(100).end("second", FULFILLED);
+    t.pass(100).end("second", SUCCEEDED);
     t.say("busy with another class: warmth no longer draws")
         .arrive("other", 1, 100, 9, null)
         .arrive("third", 0, 100, 9, null);
@@ -46,17 +46,19 @@
     Trace t = new Trace().set("instances", 8L).up("a0", "b0");
     t.arrive("s1", 0, 300)
         .arrive("s2", 0, 300)
-        .end("s1", FULL)
+        .end("s1", REJECTED)
         .say("pressure: one or two threads an engine");
     t.arrive("s3", 0, 300).arrive("s4", 0, 300).arrive("s5", 0, 300).arrive("s6", 0, 300);
-    t.pass(300).end("s2", FULFILLED).pass(20).end("s1", FULFILLED).pass(20).end("s3", FULFILLED);
+    t.pass(300).end("s2", SUCCEEDED).pass(20).end("s1", SUCCEEDED).pass(20).end("s3", SUCCEEDED);
     t.pass(1500).matches("fifo");
   }
 
   @Test
   void pressureAtOneEngineBoundsAll() {
     Trace t = new Trace().set("instances", 8L).up("a0", "b0", "c0");
-    t.arrive("s1", 0, 300).end("s1", FULL).say("one engine was full: the others are not flooded");
+    t.arrive("s1", 0, 300)
+        .end("s1", REJECTED)
+        .say("one engine was full: the others are not flooded");
     for (int i = 2; i <= 8; i++) {
       t.arrive("s" + i, 0, 300);
     }
@@ -72,7 +74,7 @@
   void moreThanAShareMayBeOutWhileThePaceIsEasy() {
     Trace t = new Trace().set("instances", 8L).up("a0", "b0");
     for (int i = 1; i <= 12; i++) {
-      t.arrive("k" + i, 0, 100, i, null).pass(100).end("k" + i, FULFILLED);
+      t.arrive("k" + i, 0, 100, i, null).pass(100).end("k" + i, SUCCEEDED);
     }
     t.say("an easy pace: eight are out, of a share of two threads");
     for (int i = 1; i <= 8; i++) {
@@ -80,11 +82,11 @@
     }
     t.pass(190);
     for (int i = 1; i <= 8; i++) {
-      t.end("s" + i, FULFILLED).arrive("t" + i, 0, 100, i, null);
+      t.end("s" + i, SUCCEEDED).arrive("t" + i, 0, 100, i, null);
     }
     t.pass(190);
     for (int i = 1; i <= 8; i++) {
-      t.end("t" + i, FULFILLED);
+      t.end("t" + i, SUCCEEDED);
     }
     t.say("all took nearly twice as long, on no engine far too long: now the sum is bounded");
     for (int i = 1; i <= 8; i++) {
@@ -104,8 +106,8 @@
                 List.of(1, 3),
                 "report.fields",
                 List.of("cpu_share"))
-            .track("repeatable");
-    t.up("a0", "b0", "c0").arrive("s1", 0, 300).pass(300).end("s1", FULFILLED, 1);
+            .requestClass("repeatable");
+    t.up("a0", "b0", "c0").arrive("s1", 0, 300).pass(300).end("s1", SUCCEEDED, 1);
     t.say("one engine of three is busy: a heavy query and two look-ups share the other two")
         .arrive("r1", 1, 900)
         .arrive("s2", 0, 300)
@@ -120,7 +122,7 @@
   void doubtAtAQuarterOfTheEnginesBoundsTheRest() {
     Trace t = new Trace().set("instances", 8L).up("a0", "b0", "c1", "d1");
     t.arrive("s1", 0, 300)
-        .end("s1", UNREACHABLE)
+        .end("s1", CONNECT_FAILED)
         .say("one engine of four is in doubt: the others take one thread each");
     for (int i = 2; i <= 6; i++) {
       t.arrive("s" + i, 0, 300, i, null);
@@ -142,23 +144,28 @@
 
   @Test
   void effectfulNeverRunsTwice() {
-    Trace t = new Trace().track("once").up("a0", "b0");
-    t.arrive("unseen", 1, 100).end("unseen", UNREACHABLE).pass(50).end("unseen", SEVERED);
-    t.arrive("erred", 1, 100).end("erred", ERRED);
-    t.arrive("silent", 1, 100).pass(6000).end("silent", OVERDUE);
+    Trace t = new Trace().requestClass("once").up("a0", "b0");
+    t.arrive("unseen", 1, 100)
+        .end("unseen", CONNECT_FAILED)
+        .pass(50)
+        .end("unseen", CONNECTION_LOST);
+    t.arrive("erred", 1, 100).end("erred", FAILED);
+    t.arrive("silent", 1, 100).pass(6000).end("silent", TIMED_OUT);
     t.matches("effectful");
   }
 
   @Test
   void receiptedStaysInItsZoneAndWindow() {
     Trace t =
-        new Trace().track("by_key", "group", "zone", "window", 3000L).up("a0", "b0", "c1", "d1");
+        new Trace()
+            .requestClass("by_key", "group", "zone", "window", 3000L)
+            .up("a0", "b0", "c1", "d1");
     t.arrive("r1", 1, 100)
-        .end("r1", SEVERED)
-        .end("r1", SEVERED)
+        .end("r1", CONNECTION_LOST)
+        .end("r1", CONNECTION_LOST)
         .pass(350)
         .say("the window of 300 ms has passed");
-    t.end("r1", SEVERED).matches("receipted");
+    t.end("r1", CONNECTION_LOST).matches("receipted");
   }
 
   @Test
@@ -265,18 +272,18 @@
   void keysTakeTurnsAndRestAfterDoubt() {
     Trace t =
         new Trace()
-            .track("repeatable", "keep_order", true)
+            .requestClass("repeatable", "keep_order", true)
             .set("guarantees.settle_after_doubt", 3000L);
     t.up("a0", "b0")
         .arrive("k1", 1, 100, 1, "x")
         .arrive("k2", 1, 100, 1, "x")
         .arrive("other", 1, 100, 1, "y");
     t.pass(100)
-        .end("k1", FULFILLED)
+        .end("k1", SUCCEEDED)
         .pass(100)
-        .end("k2", SEVERED)
+        .end("k2", CONNECTION_LOST)
         .pass(50)
-        .end("k2", FULFILLED)
+        .end("k2", SUCCEEDED)
         .arrive("k3", 1, 100, 1, "x")
         .pass(400)
         .matches("order");
@@ -284,9 +291,9 @@
 
   @Test
   void placementIsKeptEvenWhenAllAllowedAreDown() {
-    Trace t = new Trace().track("repeatable", "zones_open", List.of(1)).up("a0", "b1");
+    Trace t = new Trace().requestClass("repeatable", "zones_open", List.of(1)).up("a0", "b1");
     t.arrive("s1", 1, 100)
-        .end("s1", UNREACHABLE)
+        .end("s1", CONNECT_FAILED)
         .pass(100)
         .list("b1", GONE, 0)
         .arrive("s2", 1, 100);
@@ -294,7 +301,7 @@
   }
 
   @Test
-  void furtherHopsStayInTheBudget() {
+  void furtherAttemptsStayInTheBudget() {
     Trace t =
         new Trace()
             .set(
@@ -305,12 +312,12 @@
                 "guarantees.further_ratio",
                 0.0)
             .up("a0", "b0");
-    t.arrive("s1", 0, 100).end("s1", ERRED).arrive("s2", 0, 100).end("s2", ERRED);
+    t.arrive("s1", 0, 100).end("s1", FAILED).arrive("s2", 0, 100).end("s2", FAILED);
     t.pass(6000)
         .say("the span has passed")
-        .end("s1", FULFILLED)
+        .end("s1", SUCCEEDED)
         .arrive("s3", 0, 100)
-        .end("s3", ERRED);
+        .end("s3", FAILED);
     t.matches("budget");
   }
 
@@ -327,8 +334,8 @@
   @Test
   void silentEngineLosesItsWorkAndIsTriedAgain() {
     Trace t = new Trace().up("a0", "b0");
-    t.arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 2, null).pass(100).end("s2", FULFILLED);
-    t.pass(500).say("s1 is called off and sent anew").end("s1", CALLED_OFF);
+    t.arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 2, null).pass(100).end("s2", SUCCEEDED);
+    t.pass(500).say("s1 is called off and sent anew").end("s1", CANCELLED);
     for (int i = 3; i <= 6; i++) {
       t.arrive("s" + i, 0, 100, i, null);
     }
@@ -345,9 +352,9 @@
     t.arrive("s0", 0, 100, 1, null)
         .arrive("s1", 0, 100, 1, null)
         .list("b0", READY, 0)
-        .end("s0", SEVERED)
-        .end("s1", SEVERED);
-    t.pass(100).end("s0", FULFILLED).end("s1", FULFILLED).pass(7000);
+        .end("s0", CONNECTION_LOST)
+        .end("s1", CONNECTION_LOST);
+    t.pass(100).end("s0", SUCCEEDED).end("s1", SUCCEEDED).pass(7000);
     t.say("in doubt no more, but perhaps cold: room there for 3 s of work once, then for 100 ms");
     for (int i = 2; i <= 5; i++) {
       t.arrive("big" + i, 0, 3000, i, null);
@@ -360,7 +367,11 @@
   void oneDroppedConnectionIsNoCrash() {
     Trace t =
         new Trace().up("a0").pass(5000).arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 1, null);
-    t.list("b0", READY, 0).end("s1", SEVERED).end("s2", FULFILLED).end("s1", FULFILLED).pass(7000);
+    t.list("b0", READY, 0)
+        .end("s1", CONNECTION_LOST)
+        .end("s2", SUCCEEDED)
+        .end("s1", SUCCEEDED)
+        .pass(7000);
     for (int i = 3; i <= 6; i++) {
       t.arrive("big" + i, 0, 2000, i, null);
     }
@@ -375,7 +386,7 @@
   void aFailedTrialSpeaksForTheFailures() {
     Trace t = new Trace().up("a0", "b0");
     for (int i = 1; i <= 16; i++) {
-      t.arrive("s" + i, 0, 100, i, null).pass(10).end("s" + i, FULFILLED);
+      t.arrive("s" + i, 0, 100, i, null).pass(10).end("s" + i, SUCCEEDED);
     }
     t.say("from now on a0 errs at once");
     for (int i = 17; i <= 40; i++) {
@@ -389,7 +400,7 @@
   void whatTwoEnginesErrOnIsGivenUp() {
     Trace t = new Trace().up("a0", "b0", "c0");
     for (int i = 1; i <= 3; i++) {
-      t.arrive("bad" + i, 0, 100, i, null).end("bad" + i, ERRED).end("bad" + i, ERRED);
+      t.arrive("bad" + i, 0, 100, i, null).end("bad" + i, FAILED).end("bad" + i, FAILED);
     }
     t.say("none is in doubt")
         .arrive("s1", 0, 100, 1, null)
@@ -400,7 +411,7 @@
 
   /** Guards against pressure seen where only estimates are low, before anything is known. */
   @Test
-  void beforeATracksPaceIsKnownItsSoftLimitTellsAStall() {
+  void beforeARequestClassesPaceIsKnownItsSoftLimitTellsAStall() {
     Trace t = new Trace().up("a0", "b0").arrive("s1", 0, 30, 1, null).arrive("s2", 0, 30, 2, null);
     t.pass(200).say("six estimates old: no pressure yet");
     for (int i = 3; i <= 12; i++) {
@@ -424,18 +435,18 @@
     for (int i = 0; i < 15; i++) {
       t.pass(200).note("s1", 0.1);
     }
-    t.end("s1", OVERDUE).say("a0 is slow, and s1 runs on there: no more for now");
+    t.end("s1", TIMED_OUT).say("a0 is slow, and s1 runs on there: no more for now");
     t.arrive("s2", 0, 100).pass(2000).matches("lost-threads");
   }
 
   @Test
   void engineIsUsedAgainAfterACut() {
     Trace t = new Trace().set("instances", 8L, "caps.may_cancel", false).up("a0", "b0");
-    t.arrive("s1", 0, 300, 1, null).arrive("s2", 0, 300, 2, null).pass(5000).end("s1", OVERDUE);
-    t.end("s2", OVERDUE).say("nothing was heard: what timed out does not count as running there");
+    t.arrive("s1", 0, 300, 1, null).arrive("s2", 0, 300, 2, null).pass(5000).end("s1", TIMED_OUT);
+    t.end("s2", TIMED_OUT).say("nothing was heard: what timed out does not count as running there");
     t.arrive("s3", 0, 100, 3, null)
         .pass(100)
-        .end("s3", FULFILLED)
+        .end("s3", SUCCEEDED)
         .arrive("s4", 0, 100, 4, null)
         .arrive("s5", 0, 100, 5, null)
         .matches("cut");
@@ -444,9 +455,12 @@
   @Test
   void jamThatAnswersNothingIsSeenByTheAgeOfWhatIsOut() {
     Trace t =
-        new Trace().set("instances", 8L).track("repeatable", "late_worth", 0.3).up("a0", "b0");
+        new Trace()
+            .set("instances", 8L)
+            .requestClass("repeatable", "late_worth", 0.3)
+            .up("a0", "b0");
     for (int i = 1; i <= 8; i++) {
-      t.arrive("k" + i, 1, 100, i, null).pass(100).end("k" + i, FULFILLED);
+      t.arrive("k" + i, 1, 100, i, null).pass(100).end("k" + i, SUCCEEDED);
     }
     t.arrive("s1", 1, 100, 1, null)
         .arrive("s2", 1, 100, 2, null)
@@ -456,37 +470,38 @@
   }
 
   @Test
-  void whereNotesComeAnUnderratedHopIsNotCalledSilent() {
+  void whereNotesComeAnUnderratedAttemptIsNotCalledSilent() {
     Trace t =
         new Trace()
             .set("family_info.tells_every", 20000L)
             .up("a0", "b0")
             .arrive("s1", 0, 80)
             .pass(900);
-    t.say("ten times its estimate, but a note is not due before 2 s").end("s1", FULFILLED);
+    t.say("ten times its estimate, but a note is not due before 2 s").end("s1", SUCCEEDED);
     t.matches("notes-due");
   }
 
   @Test
   void underPressureNothingIsSentThatItsClientLeavesBefore() {
-    Trace t = new Trace().set("instances", 8L).up("a0", "b0").arrive("s1", 0, 300).end("s1", FULL);
+    Trace t =
+        new Trace().set("instances", 8L).up("a0", "b0").arrive("s1", 0, 300).end("s1", REJECTED);
     t.say("pressure: of two clients that wait 400 ms, one has work for longer").patience(400);
     t.arrive("s2", 0, 500)
         .arrive("s3", 0, 100)
         .pass(50)
-        .end("s1", FULFILLED)
+        .end("s1", SUCCEEDED)
         .matches("little-time");
   }
 
   @Test
   void anEngineNotHeardForLongIsNotIdle() {
     Trace t = new Trace().set("report.fields", List.of("cpu_share")).up("a0", "b0");
-    t.arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 2, null).end("s1", FULFILLED, 0.9);
-    t.end("s2", FULFILLED, 0.4)
+    t.arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 2, null).end("s1", SUCCEEDED, 0.9);
+    t.end("s2", SUCCEEDED, 0.4)
         .say("one said 90% busy, the other 40%, and goes on saying so")
         .pass(900);
     for (int i = 3; i <= 7; i++) {
-      t.arrive("s" + i, 0, 100, i, null).pass(100).end("s" + i, FULFILLED, 0.4);
+      t.arrive("s" + i, 0, 100, i, null).pass(100).end("s" + i, SUCCEEDED, 0.4);
     }
     t.matches("unheard");
   }
@@ -500,7 +515,7 @@
             .arrive("s2", 0, 100, 2, null)
             .stall(900);
     t.say("nothing could be heard for 900 ms: s1's end comes before any age is judged")
-        .end("s1", FULFILLED);
+        .end("s1", SUCCEEDED);
     t.arrive("s3", 0, 100, 3, null)
         .stall(1600)
         .arrive("s4", 0, 100, 4, null)
@@ -509,21 +524,22 @@
   }
 
   @Test
-  void ofATrackNotYetKnownMoreIsAskedOfABadPlan() {
+  void ofARequestClassNotYetKnownMoreIsAskedOfABadPlan() {
     Trace t = new Trace().up("a0", "b0").arrive("s1", 0, 200).pass(300).note("s1", 0.25);
     t.say("projected at six times its estimate: not yet");
     t.arrive("s2", 0, 200)
         .pass(300)
         .note("s2", 0.1)
         .say("fifteen times: sent anew")
-        .end("s2", CALLED_OFF);
+        .end("s2", CANCELLED);
     t.matches("plan-unknown");
   }
 
   @Test
-  void enginesThatATrackIsBoundToAreLeftToIt() {
-    Trace t = new Trace().track("repeatable", "models_allowed", List.of(0)).up("a0", "b0", "big0");
-    t.arrive("r1", 1, 900).arrive("r2", 1, 900).pass(900).end("r1", FULFILLED).end("r2", FULFILLED);
+  void enginesThatARequestClassIsBoundToAreLeftToIt() {
+    Trace t =
+        new Trace().requestClass("repeatable", "models_allowed", List.of(0)).up("a0", "b0", "big0");
+    t.arrive("r1", 1, 900).arrive("r2", 1, 900).pass(900).end("r1", SUCCEEDED).end("r2", SUCCEEDED);
     t.say(
         "the bound track takes most of a0 and b0: others count them with the cores that it leaves");
     for (int i = 1; i <= 6; i++) {
@@ -534,8 +550,8 @@
 
   @Test
   void badPlanIsSentAnew() {
-    Trace t = new Trace().track("repeatable", "late_worth", 0.3).up("a0", "b0");
+    Trace t = new Trace().requestClass("repeatable", "late_worth", 0.3).up("a0", "b0");
     t.arrive("fine", 1, 400).arrive("bad", 1, 400).pass(300).note("fine", 0.7).note("bad", 0.02);
-    t.end("bad", CALLED_OFF).matches("bad-plan");
+    t.end("bad", CANCELLED).matches("bad-plan");
   }
 }
--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -160,39 +160,48 @@
   @Test
   void guards() {
     TestGateway s = new TestGateway();
-    for (String track : List.of("aside/look", "aside/book")) {
-      s.say(track + ": it holds").fresh();
-      stage(s).post("c1", ID, track).get("c1", ID).connected(0).engine(0, ID + " ok count=1 0||");
-      s.say(track + ": not before anything is written").fresh();
-      stage(s, false).post("c1", ID, track).get("c1", ID);
-      s.say(track + ": not any more once the connection is up").fresh();
-      stage(s, true, false).post("c1", ID, track).get("c1", ID).connected(0);
-      s.say(track + ": not any more once it was written").fresh();
+    for (String requestClass : List.of("aside/look", "aside/book")) {
+      s.say(requestClass + ": it holds").fresh();
+      stage(s)
+          .post("c1", ID, requestClass)
+          .get("c1", ID)
+          .connected(0)
+          .engine(0, ID + " ok count=1 0||");
+      s.say(requestClass + ": not before anything is written").fresh();
+      stage(s, false).post("c1", ID, requestClass).get("c1", ID);
+      s.say(requestClass + ": not any more once the connection is up").fresh();
+      stage(s, true, false).post("c1", ID, requestClass).get("c1", ID).connected(0);
+      s.say(requestClass + ": not any more once it was written").fresh();
       stage(s, true, true, false)
-          .post("c1", ID, track)
+          .post("c1", ID, requestClass)
           .get("c1", ID)
           .connected(0)
           .engine(0, ID + " ok count=1 0||");
-      s.say(track + ": the answer comes before it is known to be written, and it does not hold")
+      s.say(
+              requestClass
+                  + ": the answer comes before it is known to be written, and it does not hold")
           .fresh()
           .stuck();
       stage(s, true, true, false)
-          .post("c1", ID, track)
+          .post("c1", ID, requestClass)
           .get("c1", ID)
           .connected(0)
           .engine(0, ID + " ok count=1 0||")
           .letGo();
-      s.say(track + ": an earlier hop may have run, the next does not go").fresh();
+      s.say(requestClass + ": an earlier hop may have run, the next does not go").fresh();
       stage(s, true, true, true, false)
-          .post("c1", ID, track)
+          .post("c1", ID, requestClass)
           .get("c1", ID)
           .connected(0)
           .ends(0, DisconnectReason.RESET);
-      s.say(track + ": an earlier hop surely did not run, the next does not go").fresh();
-      stage(s, true, false).post("c1", ID, track).get("c1", ID).ends(0, DisconnectReason.REFUSED);
-      s.say(track + ": written in time, it may end").fresh();
+      s.say(requestClass + ": an earlier hop surely did not run, the next does not go").fresh();
+      stage(s, true, false)
+          .post("c1", ID, requestClass)
+          .get("c1", ID)
+          .ends(0, DisconnectReason.REFUSED);
+      s.say(requestClass + ": written in time, it may end").fresh();
       stage(s)
-          .post("c1", ID, track)
+          .post("c1", ID, requestClass)
           .get("c1", ID)
           .connected(0)
           .turn(
--- a/gateway/src/test/java/tillerlink/GatewayTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayTest.java
@@ -220,7 +220,7 @@
   }
 
   @Test
-  void aFullTableTurnsSubmissionsBack() {
+  void aFullTableTurnsRequestsBack() {
     TestGateway s = new TestGateway().quiet(true);
     for (int i = 0; i < 4096; i++) {
       s.post("c1", String.format("%016x", i), "look");
--- a/gateway/src/test/java/tillerlink/RetryBudgetTest.java
+++ b/gateway/src/test/java/tillerlink/RetryBudgetTest.java
@@ -44,7 +44,7 @@
                     DispatchActions.class.getClassLoader(),
                     new Class<?>[] {DispatchActions.class},
                     (proxy, method, values) -> {
-                      if (method.getName().equals("send")) {
+                      if (method.getName().equals("sendAttempt")) {
                         sent.add((Attempt) values[0]);
                       }
                       return null;
@@ -68,7 +68,7 @@
         now, new Request("a", 0, 0, false, now, now + 30 * SECOND, 100, 0, null));
     policy.applyDecisions(now);
     Attempt first = sent.get(sent.size() - 1);
-    policy.onAttemptEnded(now, first, AttemptOutcome.SPOILT, 0, false, 0, 0, null);
+    policy.onAttemptEnded(now, first, AttemptOutcome.RESPONSE_LOST, 0, false, 0, 0, null);
     policy.applyDecisions(now);
     return sent.get(sent.size() - 1);
   }
--- a/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
+++ b/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
@@ -84,24 +84,23 @@
     }
     List<Object> given = new ArrayList<>();
     List<Request> arrived = new ArrayList<>();
-    DispatchPolicy steering =
+    DispatchPolicy policy =
         (DispatchPolicy)
             Proxy.newProxyInstance(
                 DispatchPolicy.class.getClassLoader(),
                 new Class<?>[] {DispatchPolicy.class},
                 (proxy, method, values) -> {
                   for (Object value : values) {
-                    if (value instanceof Request submission) {
-                      arrived.add(submission);
-                      submission.hops.add(
-                          new Attempt(submission, new Engine("e1"), 0, 1, 1, false));
+                    if (value instanceof Request request) {
+                      arrived.add(request);
+                      request.attempts.add(new Attempt(request, new Engine("e1"), 0, 1, 1, false));
                     } else if (!(value instanceof Attempt)) {
                       given.add(value instanceof double[] report ? Arrays.toString(report) : value);
                     }
                   }
                   return null;
                 });
-    new WireHost((now, seed, values, orders) -> steering)
+    new WireHost((now, seed, values, actions) -> policy)
         .serve(
             new ByteArrayInputStream(
                 (input.append(replies) + "]}").getBytes(StandardCharsets.UTF_8)),
@@ -137,24 +136,24 @@
             0.25));
     for (AttemptOutcome outcome :
         List.of(
-            AttemptOutcome.FULFILLED,
-            AttemptOutcome.FULL,
-            AttemptOutcome.OVERDUE,
-            AttemptOutcome.UNREACHABLE,
-            AttemptOutcome.SEVERED,
-            AttemptOutcome.CALLED_OFF,
-            AttemptOutcome.NEVER_SENT,
-            AttemptOutcome.ERRED)) {
+            AttemptOutcome.SUCCEEDED,
+            AttemptOutcome.REJECTED,
+            AttemptOutcome.TIMED_OUT,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.CONNECTION_LOST,
+            AttemptOutcome.CANCELLED,
+            AttemptOutcome.NOT_SENT,
+            AttemptOutcome.FAILED)) {
       expected.addAll(List.of(10L, outcome, 18L, true, 10_000.0, 48.0, "[3.0, 0.5]"));
     }
     expected.add(10L);
     assertEquals(expected, given);
     assertEquals("e1", first.engine().tag);
     assertEquals("s7", arrived.get(7).tag);
-    assertEquals(2, arrived.get(7).trackIndex);
+    assertEquals(2, arrived.get(7).classIndex);
     assertEquals(11, arrived.get(7).tableGroup);
     assertEquals(true, arrived.get(7).repeat);
-    assertEquals(9000, arrived.get(7).leavesAt);
+    assertEquals(9000, arrived.get(7).clientDeadline);
     assertEquals(120.0, arrived.get(7).estimate);
     assertEquals(384.0, arrived.get(7).memoryEstimate);
     assertSame(arrived.get(0).line, arrived.get(7).line);
--- a/gateway/src/test/java/tillerlink/SingleWriterTest.java
+++ b/gateway/src/test/java/tillerlink/SingleWriterTest.java
@@ -21,42 +21,44 @@
   @Test
   void socketsAreOpenedAndWrittenInTheDriverAlone() throws IOException {
     assertEquals(
-        List.of("net/io/MinaDriver.java", "net/io/Reading.java"),
+        List.of("net/io/MinaDriver.java", "net/io/ReadProcessor.java"),
         filesWith(
             "NioSocketConnector|NioDatagramConnector|\\bSocketChannel\\b|DatagramChannel\\b|java\\.net\\.(Datagram)?Socket\\b"
                 + "|session\\.write\\("));
     assertEquals(
         2,
-        occurrences("net/io/Reading.java", "super\\.write\\("),
+        occurrences("net/io/ReadProcessor.java", "super\\.write\\("),
         "one for what has no time, one behind the clock");
-    assertEquals(List.of("net/io/Reading.java"), filesWith("super\\.write\\("));
+    assertEquals(List.of("net/io/ReadProcessor.java"), filesWith("super\\.write\\("));
   }
 
   @Test
   void attemptsAreEncodedAndWrittenOnce() throws IOException {
-    assertEquals(List.of("net/state/EngineLink.java"), filesWith("EngineCommand\\.want\\("));
-    assertEquals(1, occurrences("net/state/EngineLink.java", "EngineCommand\\.want\\("));
-    assertEquals(List.of("net/state/EngineLink.java"), filesWith("\\.writeBefore\\(EngineCommand"));
+    assertEquals(List.of("net/state/EngineConnection.java"), filesWith("EngineCommand\\.want\\("));
+    assertEquals(1, occurrences("net/state/EngineConnection.java", "EngineCommand\\.want\\("));
+    assertEquals(
+        List.of("net/state/EngineConnection.java"), filesWith("\\.writeUntil\\(\\s*EngineCommand"));
   }
 
   /** Right before the one write: the guard's verdict; before the carrier gets it: the same. */
   @Test
   void eachOfThemAsksTheGuard() throws IOException {
-    String link = Files.readString(SOURCES.resolve("net/state/EngineLink.java"));
-    assertEquals(1, count(link, "[^.\\w]want\\(flight\\);"));
+    String link = Files.readString(SOURCES.resolve("net/state/EngineConnection.java"));
+    assertEquals(1, count(link, "[^.\\w]want\\(inFlight\\);"));
     assertEquals(
-        1, count(link, "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+want\\(flight\\);"));
+        1, count(link, "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+want\\(inFlight\\);"));
     String gateway = Files.readString(SOURCES.resolve("net/state/Gateway.java"));
-    assertEquals(1, count(gateway, "carrier\\(flight\\)\\.send\\(flight\\)"));
+    assertEquals(1, count(gateway, "transport\\(inFlight\\)\\.send\\(inFlight\\)"));
     assertEquals(
         1,
         count(
             gateway,
             "if \\(verdict == SendVerdict\\.ALLOWED\\)"
-                + " \\{\\s+carrier\\(flight\\)\\.send\\(flight\\)"));
+                + " \\{\\s+transport\\(inFlight\\)\\.send\\(inFlight\\)"));
     assertEquals(
-        List.of("Policy.java", "policy/SendGuard.java"),
-        filesWith("guard\\.mayWrite\\(|SendVerdict mayWrite\\(long now, Hop hop\\) \\{").stream()
+        List.of("policy/DefaultDispatchPolicy.java", "policy/SendGuard.java"),
+        filesWith("guard\\.checkWrite\\(|SendVerdict checkWrite\\(long now, Attempt attempt\\) \\{")
+            .stream()
             .filter(file -> !file.startsWith("port/"))
             .toList());
   }
--- a/gateway/src/test/java/tillerlink/SlowStartSimulation.java
+++ b/gateway/src/test/java/tillerlink/SlowStartSimulation.java
@@ -100,7 +100,7 @@
      */
     void change(Runnable what) {
       double each = rate();
-      left.replaceAll((hop, work) -> work - (now - since) * each);
+      left.replaceAll((attempt, work) -> work - (now - since) * each);
       since = now;
       what.run();
       long own = ++turn;
@@ -121,14 +121,14 @@
       change(
           () -> {
             left.forEach(
-                (hop, work) -> {
+                (attempt, work) -> {
                   if (work <= 1) {
-                    through.add(hop);
+                    through.add(attempt);
                   }
                 });
             through.forEach(left::remove);
           });
-      through.forEach(hop -> nodeOf(hop).ended(hop, AttemptOutcome.FULFILLED));
+      through.forEach(attempt -> nodeOf(attempt).ended(attempt, AttemptOutcome.SUCCEEDED));
     }
 
     private double rate() {
@@ -203,8 +203,8 @@
 
     void down() {
       for (Server server : servers) {
-        if (server.left.keySet().stream().anyMatch(hop -> nodeOf(hop) == this)) {
-          server.change(() -> server.left.keySet().removeIf(hop -> nodeOf(hop) == this));
+        if (server.left.keySet().stream().anyMatch(attempt -> nodeOf(attempt) == this)) {
+          server.change(() -> server.left.keySet().removeIf(attempt -> nodeOf(attempt) == this));
         }
       }
       policy = null;
@@ -242,10 +242,17 @@
       at(now + (long) (-Math.log(1 - random.nextDouble()) / rate), this::arrive);
     }
 
-    void ended(Attempt hop, AttemptOutcome outcome) {
-      if (policy != null && job(hop).life == life && hop.isOut()) {
+    void ended(Attempt attempt, AttemptOutcome outcome) {
+      if (policy != null && job(attempt).life == life && attempt.isOut()) {
         policy.onAttemptEnded(
-            now, hop, outcome, now - hop.sentAt, outcome == AttemptOutcome.FULFILLED, 0, 0, null);
+            now,
+            attempt,
+            outcome,
+            now - attempt.sentAt,
+            outcome == AttemptOutcome.SUCCEEDED,
+            0,
+            0,
+            null);
         settle();
       }
     }
@@ -255,22 +262,22 @@
     }
 
     @Override
-    public void sendAttempt(Attempt hop) {
-      Server server = engines.get(hop.engine);
+    public void sendAttempt(Attempt attempt) {
+      Server server = engines.get(attempt.engine);
       if (server == cold && now >= startAt) {
-        sent.add(new Sent(now, job(hop).work, told));
+        sent.add(new Sent(now, job(attempt).work, told));
       }
-      server.change(() -> server.left.put(hop, job(hop).work));
+      server.change(() -> server.left.put(attempt, job(attempt).work));
       if (server == cold && silent()) {
-        giveUpLater(hop);
+        giveUpLater(attempt);
       }
     }
 
     @Override
-    public void cancelAttempt(Attempt hop) {
-      Server server = engines.get(hop.engine);
-      server.change(() -> server.left.remove(hop));
-      at(now + 10, () -> ended(hop, AttemptOutcome.CALLED_OFF));
+    public void cancelAttempt(Attempt attempt) {
+      Server server = engines.get(attempt.engine);
+      server.change(() -> server.left.remove(attempt));
+      at(now + 10, () -> ended(attempt, AttemptOutcome.CANCELLED));
     }
 
     @Override
@@ -294,7 +301,7 @@
     public void updatePriorityAndGrant(Request s, int rank, long grant) {}
 
     @Override
-    public void rejectRequest(Request s, long comeBack) {}
+    public void rejectRequest(Request s, long retryAfter) {}
 
     @Override
     public void failRequest(Request s) {}
@@ -308,12 +315,12 @@
 
   private record Job(Node node, int life, double work) {}
 
-  private static Job job(Attempt hop) {
-    return (Job) hop.submission.tag;
+  private static Job job(Attempt attempt) {
+    return (Job) attempt.request.tag;
   }
 
-  private static Node nodeOf(Attempt hop) {
-    return job(hop).node;
+  private static Node nodeOf(Attempt attempt) {
+    return job(attempt).node;
   }
 
   /**
@@ -419,12 +426,12 @@
   }
 
   /** As the connections do with an engine that answers no question. */
-  private void giveUpLater(Attempt hop) {
+  private void giveUpLater(Attempt attempt) {
     at(
         now + QUIET,
         () -> {
-          if (silent() && cold.left.remove(hop) != null) {
-            nodeOf(hop).ended(hop, AttemptOutcome.SEVERED);
+          if (silent() && cold.left.remove(attempt) != null) {
+            nodeOf(attempt).ended(attempt, AttemptOutcome.CONNECTION_LOST);
           }
         });
   }
@@ -434,9 +441,9 @@
     if (kind == Kind.REPLACED) {
       cold.left.clear();
       cold.turn++;
-      out.forEach(hop -> nodeOf(hop).ended(hop, AttemptOutcome.SEVERED));
+      out.forEach(attempt -> nodeOf(attempt).ended(attempt, AttemptOutcome.CONNECTION_LOST));
     } else {
-      out.forEach(hop -> sent.add(new Sent(now, job(hop).work, false)));
+      out.forEach(attempt -> sent.add(new Sent(now, job(attempt).work, false)));
       cold.since = now;
       cold.change(() -> {});
     }
--- a/gateway/src/test/java/tillerlink/TestGateway.java
+++ b/gateway/src/test/java/tillerlink/TestGateway.java
@@ -208,11 +208,11 @@
     return turn(() -> {});
   }
 
-  TestGateway post(String client, String id, String track) {
+  TestGateway post(String client, String id, String requestClass) {
     return client(
         client,
         "POST /v1/"
-            + track
+            + requestClass
             + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
             + id
             + "\r\nX-Deadline-Ms: 4500\r\nX-Estimate-Ms: 100\r\nContent-Length: 8\r\n\r\nSELECT 1");
@@ -235,7 +235,7 @@
   }
 
   TestGateway client(String name, String bytes) {
-    Printed pipe =
+    Printed channel =
         clients.computeIfAbsent(
             name,
             n -> {
@@ -243,7 +243,7 @@
               made.owner = gateway.accepted(made);
               return made;
             });
-    return turn(() -> pipe.owner.onBytes(bytes.getBytes(StandardCharsets.UTF_8)));
+    return turn(() -> channel.owner.onBytes(bytes.getBytes(StandardCharsets.UTF_8)));
   }
 
   TestGateway breaks(String client, DisconnectReason how) {
@@ -383,11 +383,11 @@
 
   @Override
   public Channel connect(InetSocketAddress to, Channel.Owner owner) {
-    Printed pipe = new Printed("e" + to.getHostString().substring(8) + "/" + dialed.size());
-    pipe.owner = owner;
-    dialed.add(pipe);
-    print("dial " + pipe.name);
-    return pipe;
+    Printed channel = new Printed("e" + to.getHostString().substring(8) + "/" + dialed.size());
+    channel.owner = owner;
+    dialed.add(channel);
+    print("dial " + channel.name);
+    return channel;
   }
 
   @Override
--- a/gateway/src/test/java/tillerlink/Trace.java
+++ b/gateway/src/test/java/tillerlink/Trace.java
@@ -45,7 +45,7 @@
   private final long start = 1_000_000L * scale;
   private final Map<String, Object> settings = new LinkedHashMap<>();
   private final Map<String, Engine> engines = new LinkedHashMap<>();
-  private final Map<String, Request> submissions = new LinkedHashMap<>();
+  private final Map<String, Request> requests = new LinkedHashMap<>();
   private final Map<String, KeyedRequestQueue> lines = new LinkedHashMap<>();
   private final StringBuilder printed = new StringBuilder();
   private DefaultDispatchPolicy policy;
@@ -83,7 +83,7 @@
         List.of(8, 16),
         "profiles",
         0L);
-    track("repeatable");
+    requestClass("repeatable");
   }
 
   Trace set(Object... namesAndValues) {
@@ -94,7 +94,7 @@
   }
 
   /** Adds a track: soft limit 1 s, deadline 5 s, value 1. */
-  Trace track(String semantics, Object... more) {
+  Trace requestClass(String semantics, Object... more) {
     long place = (Long) settings.get("profiles");
     String at = "profiles." + place + ".";
     set(
@@ -224,31 +224,32 @@
     return settle();
   }
 
-  Trace arrive(String id, int track, double workMs) {
-    return arrive(id, track, workMs, 0, null);
+  Trace arrive(String id, int requestClass, double workMs) {
+    return arrive(id, requestClass, workMs, 0, null);
   }
 
-  Trace arrive(String id, int track, double workMs, int tableGroup, String key) {
+  Trace arrive(String id, int requestClass, double workMs, int tableGroup, String key) {
     KeyedRequestQueue line =
         key == null ? null : lines.computeIfAbsent(key, k -> new KeyedRequestQueue());
     Request s =
-        new Request(id, track, tableGroup, false, now, now + patience, workMs * tenths, 0, line);
-    submissions.put(id, s);
+        new Request(
+            id, requestClass, tableGroup, false, now, now + patience, workMs * tenths, 0, line);
+    requests.put(id, s);
     policy.onRequestArrived(now, s);
     return settle();
   }
 
   /** The newest hop of a submission ends, at times with a load report. */
   Trace end(String id, AttemptOutcome outcome, double... report) {
-    Request s = submissions.get(id);
-    Attempt hop = s.hops.get(s.hops.size() - 1);
-    print(id + " " + outcome + " at " + hop.engine.tag);
+    Request s = requests.get(id);
+    Attempt attempt = s.attempts.get(s.attempts.size() - 1);
+    print(id + " " + outcome + " at " + attempt.engine.tag);
     policy.onAttemptEnded(
         now,
-        hop,
+        attempt,
         outcome,
-        now - hop.sentAt,
-        outcome == AttemptOutcome.FULFILLED,
+        now - attempt.sentAt,
+        outcome == AttemptOutcome.SUCCEEDED,
         0,
         0,
         report.length == 0 ? null : report);
@@ -257,20 +258,21 @@
 
   /** Hop by hop, until it is over: one engine errs, the others fulfil. */
   Trace endAll(String id, String erring) {
-    Request s = submissions.get(id);
-    while (s.hopsOut > 0) {
+    Request s = requests.get(id);
+    while (s.attemptsInFlight > 0) {
       end(
           id,
-          s.hops.get(s.hops.size() - 1).engine.tag.equals(erring)
-              ? AttemptOutcome.ERRED
-              : AttemptOutcome.FULFILLED);
+          s.attempts.get(s.attempts.size() - 1).engine.tag.equals(erring)
+              ? AttemptOutcome.FAILED
+              : AttemptOutcome.SUCCEEDED);
     }
     return this;
   }
 
   Trace note(String id, double share) {
-    Request s = submissions.get(id);
-    policy.onAttemptProgress(now, s.hops.get(s.hops.size() - 1), AttemptProgress.PROGRESS, share);
+    Request s = requests.get(id);
+    policy.onAttemptProgress(
+        now, s.attempts.get(s.attempts.size() - 1), AttemptProgress.PROGRESS, share);
     return settle();
   }
 
@@ -337,18 +339,23 @@
   }
 
   @Override
-  public void sendAttempt(Attempt hop) {
-    print("send " + hop.submission.tag + " -> " + hop.engine.tag + (hop.trial ? " (trial)" : ""));
+  public void sendAttempt(Attempt attempt) {
+    print(
+        "send "
+            + attempt.request.tag
+            + " -> "
+            + attempt.engine.tag
+            + (attempt.trial ? " (trial)" : ""));
   }
 
   @Override
-  public void cancelAttempt(Attempt hop) {
-    print("call off " + hop.submission.tag + " at " + hop.engine.tag);
+  public void cancelAttempt(Attempt attempt) {
+    print("call off " + attempt.request.tag + " at " + attempt.engine.tag);
   }
 
   @Override
-  public void rejectRequest(Request s, long comeBack) {
-    print("turn back " + s.tag + ", come back in " + comeBack / tenths);
+  public void rejectRequest(Request s, long retryAfter) {
+    print("turn back " + s.tag + ", come back in " + retryAfter / tenths);
   }
 
   @Override
--- a/gateway/src/test/java/tillerlink/WireHostTest.java
+++ b/gateway/src/test/java/tillerlink/WireHostTest.java
@@ -76,10 +76,10 @@
 
   @Test
   void faultInsideAnInstanceIsReported() throws IOException {
-    String unknownTrack = SUBMIT.replace("false,false,0,", "false,false,9,");
+    String unknownRequestClass = SUBMIT.replace("false,false,0,", "false,false,9,");
     assertEquals(
         "{\"do\":[[\"Panic\",3,\"java.lang.IndexOutOfBoundsException: Index 9",
-        played(batch(UP + "," + unknownTrack)).substring(0, 63));
+        played(batch(UP + "," + unknownRequestClass)).substring(0, 63));
   }
 
   private static String batch(String events) {
--- a/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
+++ b/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
@@ -40,7 +40,7 @@
               queue,
               (InetSocketAddress) names.getLocalSocketAddress(),
               bytes -> came.add(bytes.length),
-              pipe -> null,
+              channel -> null,
               10,
               () -> 0);
       List<Integer> sent = List.of(60, 60, 60, 60, 60, 60, 8000, 60, 16_384, 30_000, 60, 65_507);
@@ -68,16 +68,21 @@
       engine.bind(new InetSocketAddress(here, 0));
       try (MinaDriver driver =
           new MinaDriver(
-              queue, new InetSocketAddress(here, 9), bytes -> {}, pipe -> null, 10, clock::get)) {
+              queue,
+              new InetSocketAddress(here, 9),
+              bytes -> {},
+              channel -> null,
+              10,
+              clock::get)) {
         Heard heard = new Heard();
-        Channel pipe = driver.connect((InetSocketAddress) engine.getLocalSocketAddress(), heard);
+        Channel channel = driver.connect((InetSocketAddress) engine.getLocalSocketAddress(), heard);
         driver.flush();
         try (Socket accepted = engine.accept()) {
           take(queue, () -> heard.events.contains("opened"));
           int filled = 16_000_000;
-          pipe.write(new byte[filled]);
-          pipe.writeUntil("late".getBytes(StandardCharsets.US_ASCII), 100);
-          pipe.writeUntil("soon".getBytes(StandardCharsets.US_ASCII), 1000);
+          channel.write(new byte[filled]);
+          channel.writeUntil("late".getBytes(StandardCharsets.US_ASCII), 100);
+          channel.writeUntil("soon".getBytes(StandardCharsets.US_ASCII), 1000);
           driver.flush();
           // The first fills the socket; only what the peer reads makes room for the others.
           accepted.getInputStream().readNBytes(1);
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -44,12 +44,15 @@
     turns = new EventLoop(this::clock);
     Gateway gateway =
         new Gateway(
-            assignment, (now, seed, settings, orders) -> steering(orders), new Mute(), START);
+            assignment, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
     gateway.begin(START);
     gateway.settle();
     now += PAUSE;
     turns.run(gateway, () -> happened.size() > 2);
-    assertEquals(List.of("listState", "settle", "heard", "woken", "settle"), happened);
+    assertEquals(
+        List.of(
+            "onEndpointListStateChanged", "applyDecisions", "heard", "onWakeup", "applyDecisions"),
+        happened);
   }
 
   /**
@@ -63,7 +66,7 @@
     turns = new EventLoop(() -> now);
     Gateway gateway =
         new Gateway(
-            assignment, (now, seed, settings, orders) -> steering(orders), new Mute(), START);
+            assignment, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
     turns.queue.add(
         () -> {
           throw new NoClassDefFoundError("Late");
@@ -111,7 +114,7 @@
    * be compiled.
    */
   @Test
-  void theRehearsalPlaysSubmissionsToTheirEnd() {
+  void theWarmupPlaysRequestsToTheirEnd() {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
     Map<String, Object> terms =
         Map.of(
@@ -141,15 +144,15 @@
             List.of(new EndpointWatchEvent(1, true, List.of(engine))));
     new JvmWarmup(
             assignment,
-            (now, seed, settings, orders) -> {
-              DispatchPolicy module = new DefaultDispatchPolicy(now, seed, settings, orders);
+            (now, seed, settings, actions) -> {
+              DispatchPolicy module = new DefaultDispatchPolicy(now, seed, settings, actions);
               return (DispatchPolicy)
                   Proxy.newProxyInstance(
                       getClass().getClassLoader(),
                       new Class<?>[] {DispatchPolicy.class},
                       (proxy, method, values) -> {
                         happened.add(
-                            method.getName().equals("ended")
+                            method.getName().equals("onAttemptEnded")
                                 ? values[2].toString()
                                 : method.getName());
                         return method.invoke(module, values);
@@ -157,7 +160,7 @@
             },
             START)
         .play(() -> {});
-    assertTrue(happened.stream().filter("FULFILLED"::equals).count() > 20, happened::toString);
+    assertTrue(happened.stream().filter("SUCCEEDED"::equals).count() > 20, happened::toString);
   }
 
   /**
@@ -170,7 +173,7 @@
     return now;
   }
 
-  private DispatchPolicy steering(DispatchActions orders) {
+  private DispatchPolicy policy(DispatchActions actions) {
     return (DispatchPolicy)
         Proxy.newProxyInstance(
             getClass().getClassLoader(),
@@ -178,7 +181,7 @@
             (proxy, method, values) -> {
               happened.add(method.getName());
               if (happened.size() == 1) {
-                orders.scheduleWakeup(START + PAUSE / 10);
+                actions.scheduleWakeup(START + PAUSE / 10);
               }
               return null;
             });
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -111,8 +111,8 @@
             gate,
             assignment.resolver(),
             bytes -> gateway.told(bytes),
-            pipe -> gateway.accepted(pipe),
-            assignment.clientsMost(),
+            channel -> gateway.accepted(channel),
+            assignment.maxClients(),
             now::get);
     gateway = new Gateway(assignment, DefaultDispatchPolicy::new, driver, now.get());
     driver.listen(listen);
@@ -260,7 +260,7 @@
     turns.queue.add(
         () -> {
           driver.askAt(moved);
-          gateway.nameServiceMoved();
+          gateway.discoveryAddressChanged();
         });
     turn();
   }
@@ -281,9 +281,9 @@
   }
 
   /** A client that hands a statement in and has the path of its result. */
-  Peer posted(String id, String track, int deadlineMs) throws IOException {
+  Peer posted(String id, String requestClass, int deadlineMs) throws IOException {
     Peer client = client();
-    client.post(id, track, deadlineMs);
+    client.post(id, requestClass, deadlineMs);
     client.heard("{\"continue\":\"/v1/calls/" + id + "\"}");
     return client;
   }
@@ -399,9 +399,9 @@
       terms.put(
           "profiles",
           List.of(
-              track("look", "repeatable", 0),
-              track("book", "once", 0),
-              track("load", "by_key", 150_000L)));
+              requestClass("look", "repeatable", 0),
+              requestClass("book", "once", 0),
+              requestClass("load", "by_key", 150_000L)));
       terms.put("models", List.of("std"));
       terms.put("zones", List.of("east"));
       terms.put("tick_us", 5000L);
@@ -410,7 +410,7 @@
       return terms;
     }
 
-    static Map<String, Object> track(String name, String semantics, long windowUs) {
+    static Map<String, Object> requestClass(String name, String semantics, long windowUs) {
       return Map.of(
           "name",
           name,
@@ -445,13 +445,13 @@
       socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    void post(String id, String track, int deadlineMs) throws IOException {
-      say(posting(id, track, deadlineMs));
+    void post(String id, String requestClass, int deadlineMs) throws IOException {
+      say(posting(id, requestClass, deadlineMs));
     }
 
-    static String posting(String id, String track, int deadlineMs) {
+    static String posting(String id, String requestClass, int deadlineMs) {
       return "POST /v1/"
-          + track
+          + requestClass
           + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
           + id
           + "\r\nX-Deadline-Ms: "
--- a/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
@@ -59,7 +59,7 @@
         "{\"name\":\"e1\",\"address\":\"127.0.0.1:"
             + engines.getLocalPort()
             + "\",\"zone\":\"east\",\"type\":\"std\",\"status\":\"SERVING\"}";
-    String track =
+    String requestClass =
         "{\"name\":\"look\",\"semantics\":\"repeatable\",\"group\":\"all\",\"aim_us\":2000000,\"hard_limit_us\":9000000,"
             + "\"worth\":1,\"late_worth\":0.5}";
     Path file =
@@ -76,7 +76,7 @@
                 + "\"tick_us\":5000,\"caps\":{\"max_attempts\":2,\"streams_per_conn\":8,\"connect_timeout_us\":5000000,\"may_cancel\":true},"
                 + "\"models\":[\"std\"],\"zones\":[\"east\"],\"guarantees\":{\"drain_grace_us\":400000},"
                 + "\"family_info\":{\"kind_cores\":[8],\"tells_every_us\":9000000},\"profiles\":["
-                + track
+                + requestClass
                 + "]}}");
     List<String> line = new ArrayList<>(List.of(under));
     line.addAll(
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -208,7 +208,7 @@
     try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
       port = free.getLocalPort();
     }
-    String track =
+    String requestClass =
         "{\"name\":\"look\",\"semantics\":\"repeatable\",\"group\":\"all\",\"aim_us\":8000000,\"hard_limit_us\":9000000,"
             + "\"worth\":1,\"late_worth\":0.5}";
     Path file =
@@ -228,7 +228,7 @@
                 + GRACE_MS * 1000
                 + "},"
                 + "\"family_info\":{\"kind_cores\":[64],\"tells_every_us\":9000000},\"profiles\":["
-                + track
+                + requestClass
                 + "]}}");
     ProcessBuilder builder =
         new ProcessBuilder(
--- a/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
+++ b/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
@@ -61,7 +61,7 @@
   @Test
   void theClient() {
     Request left = request(Effect.PURE, null);
-    left.ending = RequestOutcome.LEFT;
+    left.outcome = RequestOutcome.CLIENT_DISCONNECTED;
     left.leftAt = NOW;
     assertEquals(Set.of(), written(attempt(left, engine), NOW + 1_000));
     assertEquals(Set.of(Invariant.CLIENT_WAITS), written(attempt(left, engine), NOW + 1_001));
@@ -78,14 +78,14 @@
 
   @Test
   void theLimitThatIsPassedOn() {
-    Attempt hop = attempt(request(Effect.PURE, null), engine);
+    Attempt attempt = attempt(request(Effect.PURE, null), engine);
     long at = NOW + 10_000;
     long left = DEADLINE - 10_000;
     assertEquals(
-        Set.of(), monitor.written(new InvariantMonitor.Written(hop, at, at, left + LIMIT)));
+        Set.of(), monitor.written(new InvariantMonitor.Written(attempt, at, at, left + LIMIT)));
     assertEquals(
         Set.of(Invariant.LIMIT),
-        monitor.written(new InvariantMonitor.Written(hop, at, at, left + LIMIT + 1)));
+        monitor.written(new InvariantMonitor.Written(attempt, at, at, left + LIMIT + 1)));
   }
 
   @Test
@@ -93,15 +93,15 @@
     Request effectful = request(Effect.EFFECTFUL, null);
     Attempt first = attempt(effectful, engine);
     written(first, NOW);
-    first.outcome = AttemptOutcome.SEVERED;
+    first.outcome = AttemptOutcome.CONNECTION_LOST;
     assertEquals(Set.of(Invariant.SINGLE_EFFECT), written(attempt(effectful, other), NOW));
     Request again = request(Effect.EFFECTFUL, null);
     Attempt refused = attempt(again, engine);
     written(refused, NOW);
-    refused.outcome = AttemptOutcome.FULL;
+    refused.outcome = AttemptOutcome.REJECTED;
     assertEquals(Set.of(), written(attempt(again, other), NOW));
     Request neverWritten = request(Effect.EFFECTFUL, null);
-    attempt(neverWritten, engine).outcome = AttemptOutcome.SEVERED;
+    attempt(neverWritten, engine).outcome = AttemptOutcome.CONNECTION_LOST;
     assertEquals(Set.of(), written(attempt(neverWritten, other), NOW));
   }
 
@@ -120,11 +120,12 @@
 
   @Test
   void whatGoesOutLaterThanAllowed() {
-    Attempt hop = attempt(request(Effect.PURE, null), engine);
-    assertEquals(Set.of(), monitor.written(new InvariantMonitor.Written(hop, NOW + 500, NOW, 0)));
+    Attempt attempt = attempt(request(Effect.PURE, null), engine);
+    assertEquals(
+        Set.of(), monitor.written(new InvariantMonitor.Written(attempt, NOW + 500, NOW, 0)));
     assertEquals(
         Set.of(Invariant.WRITE_IN_TIME),
-        monitor.written(new InvariantMonitor.Written(hop, NOW + 501, NOW, 0)));
+        monitor.written(new InvariantMonitor.Written(attempt, NOW + 501, NOW, 0)));
   }
 
   @Test
@@ -182,8 +183,8 @@
             new EndpointUpdate(other, 0, 1, 0, 1, Status.READY, 0, 1)));
   }
 
-  private Set<Invariant> written(Attempt hop, long at) {
-    return monitor.written(new InvariantMonitor.Written(hop, at, at, 0));
+  private Set<Invariant> written(Attempt attempt, long at) {
+    return monitor.written(new InvariantMonitor.Written(attempt, at, at, 0));
   }
 
   private static Request request(Effect effect, List<Integer> zones) {
@@ -192,7 +193,7 @@
 
   private static Request request(Effect effect, List<Integer> zones, KeyedRequestQueue line) {
     Request request = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
-    request.track =
+    request.requestClass =
         new RequestClass(
             0,
             new RequestClassConfig(
@@ -218,8 +219,8 @@
   }
 
   private static Attempt attempt(Request request, Engine to) {
-    Attempt hop = new Attempt(request, to, NOW, 1_000, 1_000, false);
-    request.hops.add(hop);
-    return hop;
+    Attempt attempt = new Attempt(request, to, NOW, 1_000, 1_000, false);
+    request.attempts.add(attempt);
+    return attempt;
   }
 }
--- a/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
+++ b/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
@@ -41,21 +41,21 @@
 
   @Test
   void whatNothingSpeaksAgainstGoes() {
-    Attempt hop = attempt(request(Effect.EFFECTFUL, null), engine);
-    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, hop));
+    Attempt attempt = attempt(request(Effect.EFFECTFUL, null), engine);
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt));
   }
 
   @Test
   void theRequest() {
     Request ended = request(Effect.PURE, null);
-    ended.ending = RequestOutcome.LEFT;
+    ended.outcome = RequestOutcome.CLIENT_DISCONNECTED;
     assertEquals(SendVerdict.REQUEST_ENDED, guard.checkWrite(NOW, attempt(ended, engine)));
     Request unattended = request(Effect.PURE, null);
     unattended.unattended = true;
     assertEquals(SendVerdict.CLIENT_GONE, guard.checkWrite(NOW, attempt(unattended, engine)));
-    Attempt calledOff = attempt(request(Effect.PURE, null), engine);
-    calledOff.wantedOff = true;
-    assertEquals(SendVerdict.CALLED_OFF, guard.checkWrite(NOW, calledOff));
+    Attempt cancelSent = attempt(request(Effect.PURE, null), engine);
+    cancelSent.cancelRequested = true;
+    assertEquals(SendVerdict.CANCELLED, guard.checkWrite(NOW, cancelSent));
     Attempt late = attempt(request(Effect.PURE, null), engine);
     guard.endpointsUsableUntil(NOW + 2 * DEADLINE);
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW + DEADLINE - 1, late));
@@ -64,17 +64,17 @@
 
   @Test
   void theList() {
-    Attempt hop = attempt(request(Effect.PURE, null), engine);
+    Attempt attempt = attempt(request(Effect.PURE, null), engine);
     guard.endpointsUsableUntil(NOW);
-    assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.checkWrite(NOW, hop));
-    assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.checkPlacement(NOW, hop.submission, engine));
-    assertEquals(SendVerdict.ALLOWED, guard.checkEndpoint(NOW, hop.submission, engine));
+    assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.checkWrite(NOW, attempt));
+    assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.checkPlacement(NOW, attempt.request, engine));
+    assertEquals(SendVerdict.ALLOWED, guard.checkEndpoint(NOW, attempt.request, engine));
     guard.endpointsUsableUntil(NOW + 1);
-    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, hop));
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt));
     engine.standing = Status.DRAINING;
-    assertEquals(SendVerdict.ENGINE_NOT_READY, guard.checkWrite(NOW, hop));
+    assertEquals(SendVerdict.ENGINE_NOT_READY, guard.checkWrite(NOW, attempt));
     engine.standing = Status.GONE;
-    assertEquals(SendVerdict.ENGINE_NOT_READY, guard.checkEndpoint(NOW, hop.submission, engine));
+    assertEquals(SendVerdict.ENGINE_NOT_READY, guard.checkEndpoint(NOW, attempt.request, engine));
   }
 
   @Test
@@ -90,12 +90,12 @@
     Attempt first = attempt(effectful, engine);
     Attempt second = attempt(effectful, other);
     assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW, second));
-    first.outcome = AttemptOutcome.SEVERED;
+    first.outcome = AttemptOutcome.CONNECTION_LOST;
     assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW, second));
-    first.outcome = AttemptOutcome.FULL;
+    first.outcome = AttemptOutcome.REJECTED;
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, second));
     Request keyed = request(Effect.RECEIPTED, null);
-    attempt(keyed, engine).outcome = AttemptOutcome.SEVERED;
+    attempt(keyed, engine).outcome = AttemptOutcome.CONNECTION_LOST;
     Attempt repeat = attempt(keyed, other);
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW + 10_000 - TICK - 1, repeat));
     assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW + 10_000 - TICK, repeat));
@@ -106,33 +106,33 @@
     KeyedRequestQueue line = new KeyedRequestQueue();
     Request before = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
     Request after = new Request("b", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
-    before.track = track(Effect.PURE, null, true);
-    after.track = before.track;
+    before.requestClass = requestClass(Effect.PURE, null, true);
+    after.requestClass = before.requestClass;
     line.members.add(before);
     line.members.add(after);
-    Attempt hop = attempt(after, engine);
-    assertEquals(SendVerdict.ORDER, guard.checkWrite(NOW, hop));
-    before.ending = RequestOutcome.FULFILLED;
-    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, hop));
+    Attempt attempt = attempt(after, engine);
+    assertEquals(SendVerdict.ORDER, guard.checkWrite(NOW, attempt));
+    before.outcome = RequestOutcome.SUCCEEDED;
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt));
   }
 
   /** What waits longer on its way out than this is decided on anew. */
   @Test
   void aWriteIsBoundedByListClientAndDelay() {
-    Attempt hop = attempt(request(Effect.PURE, null), engine);
-    assertEquals(NOW + SendGuard.WRITE_WITHIN, guard.writeDeadline(NOW, hop));
-    assertEquals(NOW + DEADLINE, guard.writeDeadline(NOW + DEADLINE - 1, hop));
+    Attempt attempt = attempt(request(Effect.PURE, null), engine);
+    assertEquals(NOW + SendGuard.WRITE_WITHIN, guard.writeDeadline(NOW, attempt));
+    assertEquals(NOW + DEADLINE, guard.writeDeadline(NOW + DEADLINE - 1, attempt));
     guard.endpointsUsableUntil(NOW + 10);
-    assertEquals(NOW + 10, guard.writeDeadline(NOW, hop));
+    assertEquals(NOW + 10, guard.writeDeadline(NOW, attempt));
   }
 
   private static Request request(Effect effect, List<Integer> zones) {
     Request request = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, null);
-    request.track = track(effect, zones, false);
+    request.requestClass = requestClass(effect, zones, false);
     return request;
   }
 
-  private static RequestClass track(Effect effect, List<Integer> zones, boolean ordered) {
+  private static RequestClass requestClass(Effect effect, List<Integer> zones, boolean ordered) {
     return new RequestClass(
         0,
         new RequestClassConfig(
@@ -157,8 +157,8 @@
   }
 
   private static Attempt attempt(Request request, Engine to) {
-    Attempt hop = new Attempt(request, to, NOW, 1, 1, false);
-    request.hops.add(hop);
-    return hop;
+    Attempt attempt = new Attempt(request, to, NOW, 1, 1, false);
+    request.attempts.add(attempt);
+    return attempt;
   }
 }
--- a/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
+++ b/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
@@ -17,13 +17,13 @@
   @Test
   void everyCounterIsExposedWithHelpTypeAndReasons() {
     Metrics metrics = new Metrics();
-    metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.NEVER_SENT);
-    metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.NEVER_SENT);
-    metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.ERRED);
+    metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.NOT_SENT);
+    metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.NOT_SENT);
+    metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.FAILED);
     metrics.gauge("engine_list_version", "Number of the last event.", () -> 7);
     String text = metrics.exposition();
-    assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"never_sent\"} 2\n"), text);
-    assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"erred\"} 1\n"), text);
+    assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"not_sent\"} 2\n"), text);
+    assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"failed\"} 1\n"), text);
     assertTrue(text.contains("tillerlink_invariant_violations_total 0\n"), text);
     assertTrue(
         text.contains(
--- a/harness/src/main/java/tillerlink/harness/EngineSockets.java
+++ b/harness/src/main/java/tillerlink/harness/EngineSockets.java
@@ -99,14 +99,14 @@
     private final Door door;
     private final IoSession session;
     private final LineProtocolServer side;
-    private final AttemptObserver hops;
+    private final AttemptObserver attempts;
     private boolean over;
 
     SocketPeer(Door door, IoSession session) {
       this.door = door;
       this.session = session;
       side = world.sides.apply(door.engine.spec);
-      hops = new AttemptObserver(world.auditor, door.gateway, door.engine.spec.name());
+      attempts = new AttemptObserver(world.auditor, door.gateway, door.engine.spec.name());
     }
 
     void opened() {
@@ -125,10 +125,10 @@
       try {
         side.feed(bytes);
         for (Command command = side.next(); command != null; command = side.next()) {
-          hops.goesOut(world.now(), command);
+          attempts.goesOut(world.now(), command);
           door.engine.heard(this, command);
         }
-        side.disowned().forEach(hops::disowned);
+        side.disowned().forEach(attempts::disowned);
         write(side.owed());
       } catch (IllegalArgumentException e) {
         cut(DisconnectReason.CLOSED_BY_PEER);
@@ -144,7 +144,7 @@
     @Override
     public void say(EngineReplies what) {
       if (!over) {
-        hops.comesBack(what);
+        attempts.comesBack(what);
         write(side.say(what));
       }
     }
@@ -165,7 +165,7 @@
     void ended() {
       if (!over) {
         over = true;
-        hops.ended(false);
+        attempts.ended(false);
         door.engine.disconnected(this);
       }
     }
--- a/harness/src/main/java/tillerlink/harness/ProcessHarness.java
+++ b/harness/src/main/java/tillerlink/harness/ProcessHarness.java
@@ -61,8 +61,8 @@
     this.job = job;
     int count = job.fleet().gateways();
     seeds = new Random(job.seed());
-    auditor = new Auditor(job.fleet(), job.tracks());
-    world = new World(job.fleet(), job.tracks(), auditor, clock.now());
+    auditor = new Auditor(job.fleet(), job.requestClasses());
+    world = new World(job.fleet(), job.requestClasses(), auditor, clock.now());
     engines = new EngineSockets(world, queue::add);
     world.onEngine(engines::open);
     listed = world.list();
@@ -159,7 +159,7 @@
         seeds.nextLong(),
         names.address(gateway),
         job.fleet().sockets(),
-        job.fleet().settings(job.tracks(), gateway),
+        job.fleet().settings(job.requestClasses(), gateway),
         down ? 0 : serial(),
         down ? List.of() : seen(gateway));
   }
@@ -233,7 +233,7 @@
       throws IOException, InterruptedException {
     long start = clock.now() + LEAD;
     world.timeline.follow(clock.now());
-    Figures figures = new Figures(job.tracks());
+    Figures figures = new Figures(job.requestClasses());
     Front front = new Front(world, clients, figures, new Wording(job.seed(), job.error()));
     front.startAt(start);
     world.onKill(this::killed);
--- a/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
@@ -120,7 +120,7 @@
         take(frame);
       }
     } catch (Http2ConnectionError e) {
-      breakOff(e.code(), e.getMessage());
+      fail(e.code(), e.getMessage());
     }
   }
 
@@ -712,7 +712,7 @@
     events.add(new Event.Ended(id, StreamTermination.GARBLED, code));
   }
 
-  private void breakOff(ErrorCode code, String why) {
+  private void fail(ErrorCode code, String why) {
     broken = true;
     writer.goAway(0, code);
     events.add(new Event.Broken(code, why));
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -28,7 +28,7 @@
 
   /** A hop on a stream. */
   private static final class Ride {
-    private final InFlightAttempt flight;
+    private final InFlightAttempt inFlight;
     private final int stream;
 
     /**
@@ -41,13 +41,13 @@
     /** When the window was found shut for its body; 0 if it is not. */
     private long shutSince;
 
-    Ride(InFlightAttempt flight, int stream) {
-      this.flight = flight;
+    Ride(InFlightAttempt inFlight, int stream) {
+      this.inFlight = inFlight;
       this.stream = stream;
     }
   }
 
-  private final Http2Transport carrier;
+  private final Http2Transport transport;
   private final EngineTransport.Owner owner;
   private final EngineAddress site;
   private final Http2ClientConnection connection = new Http2ClientConnection();
@@ -58,13 +58,13 @@
   private final ArrayDeque<Ride> guarded = new ArrayDeque<>(0);
 
   private final long dialedAt;
-  private Channel pipe;
+  private Channel channel;
   private boolean open;
   private boolean over;
   private boolean retired;
 
   /** The connection is being ended, with what was written known or not. */
-  private boolean ending;
+  private boolean closing;
 
   private boolean exact;
   private boolean silent;
@@ -75,17 +75,17 @@
   private long askedAt;
   private long answered;
 
-  Http2EngineConnection(Http2Transport carrier, long now) {
-    this.carrier = carrier;
-    owner = carrier.owner;
-    site = carrier.site;
+  Http2EngineConnection(Http2Transport transport, long now) {
+    this.transport = transport;
+    owner = transport.owner;
+    site = transport.site;
     dialedAt = now;
     heardAt = now;
     idleSince = now;
   }
 
   void dial() {
-    pipe = owner.connect(site.address(), this);
+    channel = owner.connect(site.address(), this);
   }
 
   // ---- as the pool sees it ----
@@ -132,36 +132,36 @@
 
   // ---- hops ----
 
-  void send(InFlightAttempt flight) {
-    SendVerdict verdict = flight.begun() ? SendVerdict.ALLOWED : flight.mayGo();
+  void send(InFlightAttempt inFlight) {
+    SendVerdict verdict = inFlight.begun() ? SendVerdict.ALLOWED : inFlight.mayGo();
     if (verdict != SendVerdict.ALLOWED) {
-      owner.attemptWithheld(flight, verdict);
+      owner.attemptWithheld(inFlight, verdict);
       owner.runInNextIteration(
-          () -> owner.attemptEnded(flight, StreamTermination.WITHDRAWN.outcome(false, false)));
+          () -> owner.attemptEnded(inFlight, StreamTermination.WITHDRAWN.outcome(false, false)));
       return;
     }
     List<Header> headers = new ArrayList<>(8);
     byte[] body;
-    if (!flight.begun()) {
-      body = flight.statement();
+    if (!inFlight.begun()) {
+      body = inFlight.statement();
       headers.add(new BasicHeader(":method", "POST"));
       headers.add(new BasicHeader(":scheme", "http"));
       headers.add(new BasicHeader(":authority", "engine"));
-      headers.add(new BasicHeader(":path", "/v1/run/" + flight.track()));
+      headers.add(new BasicHeader(":path", "/v1/run/" + inFlight.requestClass()));
       headers.add(new BasicHeader("content-type", "application/sql"));
       headers.add(new BasicHeader("content-length", Integer.toString(body.length)));
-      headers.add(new BasicHeader("hop-id", flight.id()));
-      headers.add(new BasicHeader("hop-limit-ms", Long.toString(flight.millisLeft(owner.now()))));
-      if (flight.key() != null) {
-        headers.add(new BasicHeader("idempotency-key", flight.key()));
+      headers.add(new BasicHeader("hop-id", inFlight.id()));
+      headers.add(new BasicHeader("hop-limit-ms", Long.toString(inFlight.millisLeft(owner.now()))));
+      if (inFlight.key() != null) {
+        headers.add(new BasicHeader("idempotency-key", inFlight.key()));
       }
     } else {
       body = new byte[0];
       headers.add(new BasicHeader(":method", "GET"));
       headers.add(new BasicHeader(":scheme", "http"));
       headers.add(new BasicHeader(":authority", "engine"));
-      headers.add(new BasicHeader(":path", "/v1/results/" + flight.id()));
-      headers.add(new BasicHeader("range", "bytes=" + flight.answerSize() + "-"));
+      headers.add(new BasicHeader(":path", "/v1/results/" + inFlight.id()));
+      headers.add(new BasicHeader("range", "bytes=" + inFlight.answerSize() + "-"));
     }
     int stream;
     try {
@@ -170,21 +170,22 @@
       owner.warnRateLimited("engine " + site.id + " takes no header lists that long");
       owner.runInNextIteration(
           () ->
-              owner.attemptEnded(flight, StreamTermination.NO_ROOM.outcome(false, flight.begun())));
+              owner.attemptEnded(
+                  inFlight, StreamTermination.NO_ROOM.outcome(false, inFlight.begun())));
       return;
     }
-    Ride ride = new Ride(flight, stream);
+    Ride ride = new Ride(inFlight, stream);
     rides.put(stream, ride);
-    byFlight.put(flight, ride);
+    byFlight.put(inFlight, ride);
     flush();
   }
 
-  boolean bears(InFlightAttempt flight) {
-    return ride(flight) != null;
+  boolean bears(InFlightAttempt inFlight) {
+    return ride(inFlight) != null;
   }
 
-  private Ride ride(InFlightAttempt flight) {
-    return byFlight.get(flight);
+  private Ride ride(InFlightAttempt inFlight) {
+    return byFlight.get(inFlight);
   }
 
   /**
@@ -193,25 +194,25 @@
    * connection that is not so: what was handed over may be on its way though nobody said so yet.
    */
   private boolean whole(Ride ride) {
-    return ending && !exact ? ride.place != Long.MAX_VALUE : ride.place <= writesDone;
+    return closing && !exact ? ride.place != Long.MAX_VALUE : ride.place <= writesDone;
   }
 
   /**
    * Gives a hop up; a request of which a part was written may come whole while the reset is on its
    * way.
    */
-  AttemptOutcome giveUp(InFlightAttempt flight) {
-    Ride ride = ride(flight);
+  AttemptOutcome giveUp(InFlightAttempt inFlight) {
+    Ride ride = ride(inFlight);
     connection.cancel(ride.stream, ErrorCode.CANCEL);
     boolean sent = ride.place != Long.MAX_VALUE;
     drop(ride);
     flush();
-    return StreamTermination.CANCELLED.outcome(sent || flight.begun(), flight.begun());
+    return StreamTermination.CANCELLED.outcome(sent || inFlight.begun(), inFlight.begun());
   }
 
   /** A hop is over, by whatever ended it. */
-  void release(InFlightAttempt flight) {
-    Ride ride = ride(flight);
+  void release(InFlightAttempt inFlight) {
+    Ride ride = ride(inFlight);
     connection.cancel(ride.stream, ErrorCode.CANCEL);
     drop(ride);
     flush();
@@ -219,7 +220,7 @@
 
   private void forget(Ride ride) {
     rides.remove(ride.stream);
-    byFlight.remove(ride.flight, ride);
+    byFlight.remove(ride.inFlight, ride);
   }
 
   private void drop(Ride ride) {
@@ -234,13 +235,13 @@
   private void flush() {
     byte[] bytes = open && !over ? connection.take() : new byte[0];
     if (bytes.length > 0) {
-      pipe.write(bytes);
+      channel.write(bytes);
       writes++;
       for (int stream : connection.sentWhole()) {
         Ride ride = rides.get(stream);
         if (ride != null) {
           ride.place = writes;
-          if (ride.flight.guarded()) {
+          if (ride.inFlight.guarded()) {
             guarded.add(ride);
           }
         }
@@ -264,7 +265,7 @@
   public void onWritten() {
     writesDone++;
     while (!guarded.isEmpty() && guarded.peek().place <= writesDone) {
-      owner.attemptWritten(guarded.poll().flight);
+      owner.attemptWritten(guarded.poll().inFlight);
     }
   }
 
@@ -282,7 +283,7 @@
     }
     flush();
     if (!over) {
-      carrier.serve();
+      transport.serve();
     }
   }
 
@@ -327,7 +328,7 @@
       }
     }
     if (ride != null && note != null && !Double.isNaN(level)) {
-      owner.attemptProgressed(ride.flight, note, level);
+      owner.attemptProgressed(ride.inFlight, note, level);
     }
   }
 
@@ -352,10 +353,10 @@
         answer.headers().stream()
             .noneMatch(
                 header -> header.getName().equals("hop-ran") && header.getValue().equals("no"));
-    boolean first = !ride.flight.begun();
+    boolean first = !ride.inFlight.begun();
     if (first && answer.status() == 200) {
       ride.answered = true;
-      ride.flight.answerBegins();
+      ride.inFlight.answerBegins();
     } else if (!first && answer.status() == 206) {
       ride.answered = true;
     } else if (!first) {
@@ -379,12 +380,12 @@
     if (ride == null || !ride.answered) {
       return;
     }
-    if (ride.flight.answerSize() + body.bytes().length > RESULT_MOST) {
+    if (ride.inFlight.answerSize() + body.bytes().length > RESULT_MOST) {
       owner.warnRateLimited("engine " + site.id + " sent a result too long");
       finish(ride, StreamTermination.GARBLED);
       return;
     }
-    ride.flight.answerGrows(body.bytes());
+    ride.inFlight.answerGrows(body.bytes());
     owner.retainedBytesChanged(body.bytes().length);
     if (body.last()) {
       complete(ride);
@@ -395,9 +396,9 @@
     answered++;
     forget(ride);
     idleSince = owner.now();
-    boolean sound = ride.flight.completeAnswer();
+    boolean sound = ride.inFlight.completeAnswer();
     owner.attemptEnded(
-        ride.flight,
+        ride.inFlight,
         (sound ? StreamTermination.ANSWERED : StreamTermination.GARBLED).outcome(true, true));
     closeIfSpent();
   }
@@ -410,12 +411,12 @@
     connection.cancel(ride.stream, ErrorCode.CANCEL);
     forget(ride);
     idleSince = owner.now();
-    boolean begun = ride.flight.begun();
+    boolean begun = ride.inFlight.begun();
     if (how == StreamTermination.ANSWERED_ERROR || how == StreamTermination.ANSWERED_FULL) {
       answered++;
     }
-    if (!(begun && how.mayBeMended() && carrier.mend(ride.flight))) {
-      owner.attemptEnded(ride.flight, how.outcome(whole(ride), begun));
+    if (!(begun && how.mayBeMended() && transport.mend(ride.inFlight))) {
+      owner.attemptEnded(ride.inFlight, how.outcome(whole(ride), begun));
     }
     closeIfSpent();
   }
@@ -465,13 +466,13 @@
       return;
     }
     for (Ride ride : List.copyOf(rides.values())) {
-      boolean held = !whole(ride) && !ride.flight.begun() && !site.ready();
+      boolean held = !whole(ride) && !ride.inFlight.begun() && !site.ready();
       if (held && ride.place == Long.MAX_VALUE) {
         finish(ride, StreamTermination.WITHDRAWN);
-      } else if (held && now >= ride.flight.hop.sentAt + owner.maxWriteDelay()) {
+      } else if (held && now >= ride.inFlight.attempt.sentAt + owner.maxWriteDelay()) {
         // What went out of it is known once the connection has ended.
         retired = true;
-        pipe.abort();
+        channel.abort();
         return;
       } else if (!connection.isWhole(ride.stream)) {
         ride.shutSince = ride.shutSince == 0 ? now : ride.shutSince;
@@ -495,8 +496,8 @@
     if (!silent) {
       return;
     }
-    if (!carrier.heardSince(askedAt)) {
-      carrier.tryAnew();
+    if (!transport.heardSince(askedAt)) {
+      transport.tryAnew();
     } else if (now >= askedAt + connectMost) {
       end(StreamTermination.MUTE, DisconnectReason.MUTE);
     }
@@ -525,20 +526,20 @@
       return;
     }
     over = true;
-    ending = true;
-    carrier.linkEnded(this);
+    closing = true;
+    transport.linkEnded(this);
     if (connectionEnd == DisconnectReason.CLOSED_BY_US
         || connectionEnd == DisconnectReason.GARBLED) {
-      pipe.close();
+      channel.close();
     } else {
-      pipe.abort();
+      channel.abort();
     }
     for (Ride ride : List.copyOf(rides.values())) {
       finish(ride, how);
     }
     if (connectionEnd == DisconnectReason.REFUSED || connectionEnd == DisconnectReason.NEVER_UP) {
-      carrier.nobodyThere(connectionEnd.outcome(false));
+      transport.nobodyThere(connectionEnd.outcome(false));
     }
-    carrier.serve();
+    transport.serve();
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -44,19 +44,19 @@
   }
 
   @Override
-  public void send(InFlightAttempt flight) {
+  public void send(InFlightAttempt inFlight) {
     if (waiting.size() >= waitingMost) {
       owner.warnRateLimited("no room for a further stream to engine " + site.id);
-      unsent(flight, StreamTermination.NO_ROOM);
+      unsent(inFlight, StreamTermination.NO_ROOM);
       return;
     }
-    waiting.add(flight);
+    waiting.add(inFlight);
     serve();
   }
 
   /** Nothing of a hop was written, and nothing will be. */
-  private void unsent(InFlightAttempt flight, StreamTermination how) {
-    owner.runInNextIteration(() -> owner.attemptEnded(flight, how.outcome(false, false)));
+  private void unsent(InFlightAttempt inFlight, StreamTermination how) {
+    owner.runInNextIteration(() -> owner.attemptEnded(inFlight, how.outcome(false, false)));
   }
 
   /** Sends what waits, as far as there is room; opens connections for the rest. */
@@ -113,9 +113,11 @@
     List.copyOf(links).forEach(Http2EngineConnection::nobodyThere);
     if (links.stream().noneMatch(link -> link.up() && link.sound())) {
       while (!waiting.isEmpty()) {
-        InFlightAttempt flight = waiting.poll();
+        InFlightAttempt inFlight = waiting.poll();
         owner.runInNextIteration(
-            () -> owner.attemptEnded(flight, flight.begun() ? AttemptOutcome.SPOILT : outcome));
+            () ->
+                owner.attemptEnded(
+                    inFlight, inFlight.begun() ? AttemptOutcome.RESPONSE_LOST : outcome));
       }
     }
   }
@@ -128,31 +130,31 @@
    * Asks for what a result lacks on another connection; false if it can't be, or was tried too
    * often.
    */
-  boolean mend(InFlightAttempt flight) {
-    if (!flight.begun() || !flight.hop.isOut() || !flight.mendAgain(MENDS_MOST)) {
+  boolean mend(InFlightAttempt inFlight) {
+    if (!inFlight.begun() || !inFlight.attempt.isOut() || !inFlight.mendAgain(MENDS_MOST)) {
       return false;
     }
-    waiting.addFirst(flight);
+    waiting.addFirst(inFlight);
     return true;
   }
 
   @Override
-  public AttemptOutcome abandon(InFlightAttempt flight) {
+  public AttemptOutcome abandon(InFlightAttempt inFlight) {
     for (Http2EngineConnection link : links) {
-      if (link.bears(flight)) {
-        return link.giveUp(flight);
+      if (link.bears(inFlight)) {
+        return link.giveUp(inFlight);
       }
     }
-    waiting.remove(flight);
-    return StreamTermination.CANCELLED.outcome(flight.begun(), flight.begun());
+    waiting.remove(inFlight);
+    return StreamTermination.CANCELLED.outcome(inFlight.begun(), inFlight.begun());
   }
 
   @Override
-  public void release(InFlightAttempt flight) {
-    waiting.remove(flight);
+  public void release(InFlightAttempt inFlight) {
+    waiting.remove(inFlight);
     for (Http2EngineConnection link : links) {
-      if (link.bears(flight)) {
-        link.release(flight);
+      if (link.bears(inFlight)) {
+        link.release(inFlight);
         break;
       }
     }
@@ -163,12 +165,12 @@
   public void checkTimeouts(long connectMost, long idleMost) {
     long now = owner.now();
     for (Iterator<InFlightAttempt> i = waiting.iterator(); i.hasNext(); ) {
-      InFlightAttempt flight = i.next();
-      if (!flight.hop.isOut()) {
+      InFlightAttempt inFlight = i.next();
+      if (!inFlight.attempt.isOut()) {
         i.remove();
-      } else if (now >= flight.hop.sentAt + connectMost && !flight.begun()) {
+      } else if (now >= inFlight.attempt.sentAt + connectMost && !inFlight.begun()) {
         i.remove();
-        unsent(flight, StreamTermination.NO_ROOM);
+        unsent(inFlight, StreamTermination.NO_ROOM);
       }
     }
     for (Http2EngineConnection link : List.copyOf(links)) {
--- a/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
@@ -48,8 +48,8 @@
    */
   public AttemptOutcome outcome(boolean whole, boolean answered) {
     AttemptOutcome outcome = outcome(whole);
-    return answered && outcome != AttemptOutcome.FULFILLED && outcome != AttemptOutcome.CALLED_OFF
-        ? AttemptOutcome.SPOILT
+    return answered && outcome != AttemptOutcome.SUCCEEDED && outcome != AttemptOutcome.CANCELLED
+        ? AttemptOutcome.RESPONSE_LOST
         : outcome;
   }
 
@@ -63,16 +63,16 @@
 
   private AttemptOutcome outcome(boolean whole) {
     return switch (this) {
-      case ANSWERED -> AttemptOutcome.FULFILLED;
-      case ANSWERED_FULL, REFUSED -> AttemptOutcome.FULL;
-      case ANSWERED_STALE, ABOVE_GOAWAY, NO_ROOM, WITHDRAWN -> AttemptOutcome.NEVER_SENT;
-      case ANSWERED_ERROR -> AttemptOutcome.ERRED;
-      case RESET_BEFORE_ANSWER -> whole ? AttemptOutcome.ERRED : AttemptOutcome.NEVER_SENT;
-      case RESET_IN_ANSWER -> AttemptOutcome.SPOILT;
-      case GARBLED, MUTE -> whole ? AttemptOutcome.SPOILT : AttemptOutcome.NEVER_SENT;
-      case CUT -> whole ? AttemptOutcome.SEVERED : AttemptOutcome.NEVER_SENT;
-      case SILENT -> whole ? AttemptOutcome.SEVERED : AttemptOutcome.UNREACHABLE;
-      case WINDOW_SHUT, CANCELLED -> whole ? AttemptOutcome.CALLED_OFF : AttemptOutcome.NEVER_SENT;
+      case ANSWERED -> AttemptOutcome.SUCCEEDED;
+      case ANSWERED_FULL, REFUSED -> AttemptOutcome.REJECTED;
+      case ANSWERED_STALE, ABOVE_GOAWAY, NO_ROOM, WITHDRAWN -> AttemptOutcome.NOT_SENT;
+      case ANSWERED_ERROR -> AttemptOutcome.FAILED;
+      case RESET_BEFORE_ANSWER -> whole ? AttemptOutcome.FAILED : AttemptOutcome.NOT_SENT;
+      case RESET_IN_ANSWER -> AttemptOutcome.RESPONSE_LOST;
+      case GARBLED, MUTE -> whole ? AttemptOutcome.RESPONSE_LOST : AttemptOutcome.NOT_SENT;
+      case CUT -> whole ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.NOT_SENT;
+      case SILENT -> whole ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.CONNECT_FAILED;
+      case WINDOW_SHUT, CANCELLED -> whole ? AttemptOutcome.CANCELLED : AttemptOutcome.NOT_SENT;
     };
   }
 }
--- a/http2/src/main/java/tillerlink/net/pool/StreamPool.java
+++ b/http2/src/main/java/tillerlink/net/pool/StreamPool.java
@@ -117,8 +117,8 @@
    * How many connections an engine may have: its part of the fleet's bound, and never none while
    * there is room.
    */
-  public static int part(int linksMost, int links, int engines, int own) {
-    return links >= linksMost ? own : Math.max(1, linksMost / Math.max(1, engines));
+  public static int part(int maxConnections, int links, int engines, int own) {
+    return links >= maxConnections ? own : Math.max(1, maxConnections / Math.max(1, engines));
   }
 
   /** Whether a connection that bears nothing should be given up: idle for long, or old. */
--- a/members/src/main/java/tillerlink/members/ComponentFactories.java
+++ b/members/src/main/java/tillerlink/members/ComponentFactories.java
@@ -15,7 +15,7 @@
     return new MemberTable(self, periods, changes);
   }
 
-  GossipQueue rumours(int most) {
+  GossipQueue updates(int most) {
     return new GossipQueue(most);
   }
 }
--- a/members/src/main/java/tillerlink/members/FailureDetector.java
+++ b/members/src/main/java/tillerlink/members/FailureDetector.java
@@ -91,9 +91,9 @@
   }
 
   /** What was told of it is not believed, or may be wrong: it is asked itself soon. */
-  void verify(GossipUpdate rumour) {
+  void verify(GossipUpdate update) {
     if (verify.size() < VERIFY_MOST) {
-      verify.put(rumour.name(), rumour);
+      verify.put(update.name(), update);
     }
   }
 
@@ -103,14 +103,14 @@
 
   void verifySome() {
     for (int i = 0; i < VERIFY_AT_ONCE && !verify.isEmpty(); i++) {
-      GossipUpdate rumour = verify.remove(verify.keySet().iterator().next());
+      GossipUpdate update = verify.remove(verify.keySet().iterator().next());
       SuspicionLevel doubt =
-          rumour.standing() == MemberStatus.ALIVE
+          update.standing() == MemberStatus.ALIVE
               ? SuspicionLevel.NONE
               : new SuspicionLevel(
-                  rumour.standing(), rumour.card().incarnation(), rumour.card().birth());
-      MemberRecord entry = core.table.get(rumour.name());
-      if (probes.underWay(rumour.name())) {
+                  update.standing(), update.card().incarnation(), update.card().birth());
+      MemberRecord entry = core.table.get(update.name());
+      if (probes.underWay(update.name())) {
         continue;
       }
       if (entry != null && entry.standing().takesPart()) {
@@ -118,8 +118,8 @@
       } else {
         probes.start(
             Probe.Kind.HEARSAY,
-            rumour.name(),
-            rumour.card().address(),
+            update.name(),
+            update.card().address(),
             entry == null ? doubt : entry.doubt(),
             0,
             core.now);
@@ -178,7 +178,7 @@
       core.table.lived(entry, about.startedAt());
       core.table.vouched(entry);
       if (entry.misses() > 0 && entry.reach() != Reachability.THROUGH_OTHERS) {
-        verify(entry.rumour("", core.now));
+        verify(entry.update("", core.now));
       }
     }
   }
@@ -187,7 +187,7 @@
   public void missed(Probe about) {
     MemberRecord entry = core.table.get(about.name());
     if (entry != null && core.table.suspect(entry, core.self, core.now, core.now)) {
-      core.rumours.put(entry.name(), core.self);
+      core.updates.put(entry.name(), core.self);
     }
   }
 
--- a/members/src/main/java/tillerlink/members/Members.java
+++ b/members/src/main/java/tillerlink/members/Members.java
@@ -108,8 +108,8 @@
     }
 
     @Override
-    public GossipUpdate rumour(String name) {
-      return core.rumour(name, "");
+    public GossipUpdate update(String name) {
+      return core.update(name, "");
     }
   }
 
@@ -181,7 +181,7 @@
           who.address(), new MemberMessage.Vouch(core.own.card(), who.number(), false, List.of()));
     }
     for (MemberRecord gone = core.table.expire(now); gone != null; gone = core.table.expire(now)) {
-      core.rumours.put(gone.name(), core.self);
+      core.updates.put(gone.name(), core.self);
     }
     if (now >= probeAt) {
       probeAt = now + periods.period();
@@ -213,7 +213,7 @@
     boolean small = gossipRound++ % SMALL_EVERY == SMALL_EVERY - 1;
     int room =
         MembershipState.room(small ? MembershipState.BYTES_SMALL : MembershipState.BYTES_MOST);
-    if (!core.rumours.isEmpty()) {
+    if (!core.updates.isEmpty()) {
       for (MemberRecord entry : core.table.someTalking(random, periods.gossipTo(), "")) {
         core.gossip(entry.card().address(), entry.doubt(), room);
       }
@@ -237,7 +237,7 @@
             due,
             Math.min(asking.probes.dueAt(), Math.min(asking.relays.dueAt(), core.table.dueAt())));
     boolean hasToSay =
-        !core.rumours.isEmpty() && core.table.size() > 1
+        !core.updates.isEmpty() && core.table.size() > 1
             || !digests.isIdle()
             || asking.hasToVerify();
     return hasToSay ? Math.min(due, gossipAt) : due;
@@ -366,7 +366,7 @@
         core.own.refuted(),
         awayCount,
         asking.health.score(),
-        core.rumours.size());
+        core.updates.size());
   }
 
   /**
@@ -379,7 +379,7 @@
    * @param refuted how often the own incarnation rose
    * @param away how often this process was held up
    * @param health local health, 0 is well
-   * @param rumours news that wait to be told on
+   * @param updates news that wait to be told on
    */
   public record Counts(
       long sent,
@@ -389,5 +389,5 @@
       long refuted,
       long away,
       int health,
-      int rumours) {}
+      int updates) {}
 }
--- a/members/src/main/java/tillerlink/members/MembershipState.java
+++ b/members/src/main/java/tillerlink/members/MembershipState.java
@@ -34,7 +34,7 @@
   final RateLimitedLog lines;
   final RandomGenerator random;
   final MemberTable table;
-  final GossipQueue rumours;
+  final GossipQueue updates;
   final LocalMember own;
   private final MembershipTransport wire;
   long now;
@@ -63,23 +63,23 @@
     this.random = random;
     lines = new RateLimitedLog(watcher::log);
     table = makers.table(self, periods, changes);
-    rumours = makers.rumours(2 * periods.mostMembers() + 1);
+    updates = makers.updates(2 * periods.mostMembers() + 1);
     own = makers.own(identity, birth);
   }
 
   /** What is told of a name now; null if it is not known. */
-  GossipUpdate rumour(String name, String by) {
+  GossipUpdate update(String name, String by) {
     if (name.equals(self)) {
       return new GossipUpdate(
           self, left ? MemberStatus.LEFT : MemberStatus.ALIVE, own.card(), "", 0);
     }
     MemberRecord entry = table.get(name);
-    return entry == null ? null : entry.rumour(by, now);
+    return entry == null ? null : entry.update(by, now);
   }
 
   /** News for a message that has that much room for them. */
   List<GossipUpdate> news(int room) {
-    return rumours.take(room, periods.sendsMost(table.size()), this::rumour);
+    return updates.take(room, periods.sendsMost(table.size()), this::update);
   }
 
   void send(String address, MemberMessage message) {
@@ -151,7 +151,7 @@
 
   /** The own incarnation rose: the first thing to be told. */
   void raised() {
-    rumours.put(self, "");
+    updates.put(self, "");
     watcher.onOwnIncarnationChanged(own.card().incarnation());
   }
 }
--- a/members/src/main/java/tillerlink/members/MessageHandler.java
+++ b/members/src/main/java/tillerlink/members/MessageHandler.java
@@ -57,7 +57,7 @@
     if (message instanceof MemberMessage.Listing listing) {
       digests.told(listing, listing.card().address());
     }
-    message.rumours().forEach(this::rumour);
+    message.updates().forEach(this::update);
     act(from, message, known);
   }
 
@@ -96,7 +96,7 @@
     if (entry == null) {
       asking.verify(new GossipUpdate(from, MemberStatus.ALIVE, card, "", 0));
     } else if (card.compare(entry.card()) > 0) {
-      rumour(new GossipUpdate(from, MemberStatus.ALIVE, card, "", 0));
+      update(new GossipUpdate(from, MemberStatus.ALIVE, card, "", 0));
     }
   }
 
@@ -128,7 +128,7 @@
    * answer.
    */
   private List<GossipUpdate> answerNews(MemberMessage.Probe probe) {
-    return probe.rumours().isEmpty()
+    return probe.updates().isEmpty()
         ? core.news(MembershipState.room(MembershipState.BYTES_SMALL))
         : core.news(MembershipState.room(MembershipState.BYTES_MOST));
   }
@@ -156,7 +156,7 @@
       straight(from, about);
       return;
     }
-    rumour(new GossipUpdate(from, MemberStatus.ALIVE, ack.card(), "", 0));
+    update(new GossipUpdate(from, MemberStatus.ALIVE, ack.card(), "", 0));
     if (!known && takesPart(from)) {
       straight(from, about);
       // A partition may have healed: both learn at once who is there on the other's side.
@@ -199,56 +199,56 @@
 
   // ---- what is told ----
 
-  private void rumour(GossipUpdate told) {
+  private void update(GossipUpdate told) {
     if (told.name().equals(core.self)) {
       own(told.standing(), told.card());
       return;
     }
     boolean doubtful = core.now <= doubtfulUntil;
-    GossipUpdate rumour =
+    GossipUpdate update =
         doubtful
             ? new GossipUpdate(
                 told.name(), told.standing(), told.card(), told.by(), told.age() + lasted)
             : told;
-    MemberTable.Outcome outcome = core.table.tell(rumour, core.now, doubtful);
+    MemberTable.Outcome outcome = core.table.tell(update, core.now, doubtful);
     switch (outcome) {
-      case NEWS -> core.rumours.put(rumour.name(), rumour.by());
-      case VERIFY -> asking.verify(rumour);
+      case NEWS -> core.updates.put(update.name(), update.by());
+      case VERIFY -> asking.verify(update);
       case REFUSED -> {
         refused++;
         core.lines.line(
             RateLimitedLog.Kind.FULL,
             core.now,
             "members: no room for "
-                + rumour.name()
+                + update.name()
                 + ", "
                 + core.periods.mostMembers()
                 + " others take part already");
       }
-      case OUTDATED -> outdated(rumour);
+      case OUTDATED -> outdated(update);
       case KNOWN -> {
         // nothing new
       }
     }
     if (outcome == MemberTable.Outcome.NEWS
-        && rumour.standing() == MemberStatus.GONE
-        && core.table.get(rumour.name()).reach() == Reachability.SUSPECTED) {
-      asking.verify(rumour);
+        && update.standing() == MemberStatus.GONE
+        && core.table.get(update.name()).reach() == Reachability.SUSPECTED) {
+      asking.verify(update);
     }
   }
 
-  private void outdated(GossipUpdate rumour) {
-    MemberRecord entry = core.table.get(rumour.name());
-    if (rumour.standing() == MemberStatus.SUSPECTED && !entry.standing().takesPart()) {
+  private void outdated(GossipUpdate update) {
+    MemberRecord entry = core.table.get(update.name());
+    if (update.standing() == MemberStatus.SUSPECTED && !entry.standing().takesPart()) {
       // Whoever suspects it alone would wait long for others to confirm it: they have given it up
       // already.
-      core.rumours.again(rumour.name(), core.self);
+      core.updates.again(update.name(), core.self);
     }
     // Another process of the name of one that is away may not know yet what it has to stand above.
-    if (rumour.standing() == MemberStatus.ALIVE
+    if (update.standing() == MemberStatus.ALIVE
         && !entry.standing().takesPart()
-        && rumour.card().birth() != entry.card().birth()) {
-      asking.verify(rumour);
+        && update.card().birth() != entry.card().birth()) {
+      asking.verify(update);
     }
   }
 
--- a/members/src/main/java/tillerlink/members/antientropy/AntiEntropy.java
+++ b/members/src/main/java/tillerlink/members/antientropy/AntiEntropy.java
@@ -26,7 +26,7 @@
     Iterable<String> names(int bucket);
 
     /** As it is told on now. */
-    GossipUpdate rumour(String name);
+    GossipUpdate update(String name);
   }
 
   private record Task(String address, int bucket, String after, List<String> only) {}
@@ -48,18 +48,18 @@
     for (int bucket = 0; bucket < MemberCodec.BUCKETS; bucket++) {
       int sum = 0;
       for (String name : known.names(bucket)) {
-        sum += sum(known.rumour(name), salt);
+        sum += sum(known.update(name), salt);
       }
       sums.add(sum);
     }
     return sums;
   }
 
-  private static int sum(GossipUpdate rumour, long salt) {
-    long mixed = salt ^ rumour.name().hashCode();
-    mixed = mix(mixed + rumour.card().incarnation());
-    mixed = mix(mixed ^ rumour.card().birth());
-    return (int) (mix(mixed + rumour.standing().ordinal()) >>> 32);
+  private static int sum(GossipUpdate update, long salt) {
+    long mixed = salt ^ update.name().hashCode();
+    mixed = mix(mixed + update.card().incarnation());
+    mixed = mix(mixed ^ update.card().birth());
+    return (int) (mix(mixed + update.standing().ordinal()) >>> 32);
   }
 
   private static long mix(long bits) {
@@ -94,13 +94,13 @@
       return;
     }
     Map<String, GossipUpdate> theirs = new HashMap<>();
-    listing.rumours().forEach(rumour -> theirs.put(rumour.name(), rumour));
+    listing.updates().forEach(update -> theirs.put(update.name(), update));
     List<String> lacks = new ArrayList<>();
     for (String name : known.names(listing.bucket())) {
       boolean within =
           name.compareTo(listing.after()) > 0
               && (listing.upTo().isEmpty() || name.compareTo(listing.upTo()) <= 0);
-      if (within && above(known.rumour(name), theirs.get(name))) {
+      if (within && above(known.update(name), theirs.get(name))) {
         lacks.add(name);
       }
     }
@@ -135,14 +135,14 @@
       if (name.compareTo(task.after) <= 0) {
         continue;
       }
-      GossipUpdate rumour = known.rumour(name);
-      int size = rumour == null ? 0 : MemberCodec.size(rumour);
-      if (!piece.isEmpty() && (size > left || piece.size() >= MemberCodec.RUMOURS_MOST)) {
+      GossipUpdate update = known.update(name);
+      int size = update == null ? 0 : MemberCodec.size(update);
+      if (!piece.isEmpty() && (size > left || piece.size() >= MemberCodec.UPDATES_MOST)) {
         whole = false;
         break;
       }
-      if (rumour != null) {
-        piece.add(rumour);
+      if (update != null) {
+        piece.add(update);
       }
       left -= size;
       last = name;
--- a/members/src/main/java/tillerlink/members/config/MembershipConfig.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipConfig.java
@@ -13,10 +13,10 @@
  * @param confirmations that many more accusers make it the shortest
  * @param gossipEvery between two rounds of news, while there is any
  * @param gossipTo members that a round goes to
- * @param rumourFactor a rumour is sent this times the binary logarithm of the fleet's size
+ * @param updateFactor a rumour is sent this times the binary logarithm of the fleet's size
  * @param retryEvery between two tries of somebody who is gone, or of a seed
  * @param digestEvery between two comparisons with somebody of all that is known
- * @param rumourLife one who is not known is not believed to live by a rumour older than that
+ * @param updateLife one who is not known is not believed to live by a rumour older than that
  * @param forgetAfter those gone or left are forgotten after that
  * @param healthMost local health goes from 0 to that; 0 switches it off
  * @param mostMembers others that take part at once; as many again may be gone or left
@@ -31,10 +31,10 @@
     int confirmations,
     long gossipEvery,
     int gossipTo,
-    int rumourFactor,
+    int updateFactor,
     long retryEvery,
     long digestEvery,
-    long rumourLife,
+    long updateLife,
     long forgetAfter,
     int healthMost,
     int mostMembers) {
@@ -50,11 +50,11 @@
         || confirmations < 0
         || gossipEvery < 1
         || gossipTo < 0
-        || rumourFactor < 1
+        || updateFactor < 1
         || retryEvery < 1
         || digestEvery < 1
-        || rumourLife < 1
-        || forgetAfter <= rumourLife
+        || updateLife < 1
+        || forgetAfter <= updateLife
         || healthMost < 0
         || mostMembers < 1) {
       throw new IllegalArgumentException("periods that can't be");
@@ -92,10 +92,10 @@
         confirmations,
         gossipEvery,
         gossipTo,
-        rumourFactor,
+        updateFactor,
         retryEvery,
         digestEvery,
-        rumourLife,
+        updateLife,
         forgetAfter,
         most,
         mostMembers);
@@ -112,10 +112,10 @@
         confirmations,
         gossipEvery,
         gossipTo,
-        rumourFactor,
+        updateFactor,
         retryEvery,
         digestEvery,
-        rumourLife,
+        updateLife,
         forgetAfter,
         healthMost,
         most);
@@ -133,7 +133,7 @@
         confirmations,
         gossipEvery,
         gossipTo,
-        rumourFactor,
+        updateFactor,
         retryEvery,
         digestEvery,
         life,
@@ -153,6 +153,6 @@
 
   /** How often a rumour is sent by each who has it. */
   public int sendsMost(int size) {
-    return rumourFactor * (32 - Integer.numberOfLeadingZeros(Math.max(1, size)));
+    return updateFactor * (32 - Integer.numberOfLeadingZeros(Math.max(1, size)));
   }
 }
--- a/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
+++ b/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
@@ -83,15 +83,15 @@
     List<Item> items = new ArrayList<>();
     int left = room;
     for (Item item : queue) {
-      GossipUpdate rumour = look.apply(item.name, item.by);
-      int size = rumour == null ? 0 : MemberCodec.size(rumour);
-      if (size > left || taken.size() >= MemberCodec.RUMOURS_MOST) {
+      GossipUpdate update = look.apply(item.name, item.by);
+      int size = update == null ? 0 : MemberCodec.size(update);
+      if (size > left || taken.size() >= MemberCodec.UPDATES_MOST) {
         break;
       }
       left -= size;
       items.add(item);
-      if (rumour != null) {
-        taken.add(rumour);
+      if (update != null) {
+        taken.add(update);
       }
     }
     items.forEach(item -> sent(item, sendsMost, look));
--- a/members/src/main/java/tillerlink/members/state/MemberRecord.java
+++ b/members/src/main/java/tillerlink/members/state/MemberRecord.java
@@ -78,7 +78,7 @@
     return suspicion != null && suspicion.accusedBy(who);
   }
 
-  public GossipUpdate rumour(String by, long now) {
+  public GossipUpdate update(String by, long now) {
     long since = standing == MemberStatus.ALIVE ? lifeAt : changedAt;
     return new GossipUpdate(name, standing, card, by, Math.max(0, now - since));
   }
--- a/members/src/main/java/tillerlink/members/state/MemberTable.java
+++ b/members/src/main/java/tillerlink/members/state/MemberTable.java
@@ -137,40 +137,40 @@
    *
    * @param doubtful it waited while this process was away: nobody is accused by it
    */
-  public Outcome tell(GossipUpdate rumour, long now, boolean doubtful) {
-    Invariant.holds(!rumour.name().equals(self), () -> "oneself in the table");
-    MemberRecord entry = index.get(rumour.name());
+  public Outcome tell(GossipUpdate update, long now, boolean doubtful) {
+    Invariant.holds(!update.name().equals(self), () -> "oneself in the table");
+    MemberRecord entry = index.get(update.name());
     if (entry == null) {
-      return unknown(rumour, now, doubtful);
+      return unknown(update, now, doubtful);
     }
-    int order = rumour.card().compare(entry.card());
+    int order = update.card().compare(entry.card());
     if (order < 0) {
       return Outcome.OUTDATED;
     }
-    return order > 0 ? above(entry, rumour, now, doubtful) : same(entry, rumour, now, doubtful);
+    return order > 0 ? above(entry, update, now, doubtful) : same(entry, update, now, doubtful);
   }
 
-  private Outcome unknown(GossipUpdate rumour, long now, boolean doubtful) {
-    long since = now - rumour.age();
-    if (!rumour.standing().takesPart()) {
+  private Outcome unknown(GossipUpdate update, long now, boolean doubtful) {
+    long since = now - update.age();
+    if (!update.standing().takesPart()) {
       // Without the bound those long gone would be told from one to the other for ever.
-      if (rumour.age() < periods.forgetAfter() && entries.size() < 2 * periods.mostMembers()) {
-        add(new MemberRecord(rumour.name(), rumour.card(), rumour.standing(), since, since));
+      if (update.age() < periods.forgetAfter() && entries.size() < 2 * periods.mostMembers()) {
+        add(new MemberRecord(update.name(), update.card(), update.standing(), since, since));
       }
       return Outcome.KNOWN;
     }
-    if (rumour.age() > periods.rumourLife() || doubtful) {
+    if (update.age() > periods.updateLife() || doubtful) {
       return Outcome.VERIFY;
     }
     if (isFull()) {
       return Outcome.REFUSED;
     }
     MemberRecord entry =
-        new MemberRecord(rumour.name(), rumour.card(), MemberStatus.ALIVE, since, since);
+        new MemberRecord(update.name(), update.card(), MemberStatus.ALIVE, since, since);
     add(entry);
     changes.changed(entry, Reachability.GONE, MemberInfo.NONE);
-    if (rumour.standing() == MemberStatus.SUSPECTED) {
-      become(entry, MemberStatus.SUSPECTED, rumour.card(), suspicion(rumour.by(), now), since);
+    if (update.standing() == MemberStatus.SUSPECTED) {
+      become(entry, MemberStatus.SUSPECTED, update.card(), suspicion(update.by(), now), since);
     }
     return Outcome.NEWS;
   }
@@ -179,41 +179,41 @@
     return talking.size() >= periods.mostMembers() || entries.size() >= 2 * periods.mostMembers();
   }
 
-  private Outcome above(MemberRecord entry, GossipUpdate rumour, long now, boolean doubtful) {
-    boolean comesBack = rumour.standing().takesPart() && !entry.standing().takesPart();
+  private Outcome above(MemberRecord entry, GossipUpdate update, long now, boolean doubtful) {
+    boolean comesBack = update.standing().takesPart() && !entry.standing().takesPart();
     if (comesBack && talking.size() >= periods.mostMembers()) {
       return Outcome.REFUSED;
     }
-    if (comesBack && rumour.age() > periods.rumourLife()
+    if (comesBack && update.age() > periods.updateLife()
         || doubtful
-            && rumour.standing() != MemberStatus.ALIVE
-            && rumour.standing() != MemberStatus.LEFT) {
+            && update.standing() != MemberStatus.ALIVE
+            && update.standing() != MemberStatus.LEFT) {
       return Outcome.VERIFY;
     }
     MemberStatus next =
-        rumour.standing() == MemberStatus.GONE && entry.standing().takesPart()
+        update.standing() == MemberStatus.GONE && entry.standing().takesPart()
             ? MemberStatus.SUSPECTED
-            : rumour.standing();
-    long since = now - rumour.age();
+            : update.standing();
+    long since = now - update.age();
     if (next == MemberStatus.ALIVE) {
       entry.lived(since);
     }
     become(
         entry,
         next,
-        rumour.card(),
-        next == MemberStatus.SUSPECTED ? suspicion(rumour.by(), now) : null,
+        update.card(),
+        next == MemberStatus.SUSPECTED ? suspicion(update.by(), now) : null,
         since);
     return Outcome.NEWS;
   }
 
-  private Outcome same(MemberRecord entry, GossipUpdate rumour, long now, boolean doubtful) {
-    int order = rumour.standing().compareTo(entry.standing());
+  private Outcome same(MemberRecord entry, GossipUpdate update, long now, boolean doubtful) {
+    int order = update.standing().compareTo(entry.standing());
     if (order < 0) {
       return Outcome.OUTDATED;
     }
-    long since = now - rumour.age();
-    return switch (rumour.standing()) {
+    long since = now - update.age();
+    return switch (update.standing()) {
       case ALIVE -> {
         entry.lived(since);
         yield Outcome.KNOWN;
@@ -222,23 +222,23 @@
         if (doubtful) {
           yield Outcome.VERIFY;
         }
-        yield suspect(entry, rumour.by(), now, since) ? Outcome.NEWS : Outcome.KNOWN;
+        yield suspect(entry, update.by(), now, since) ? Outcome.NEWS : Outcome.KNOWN;
       }
       // Who lives for all that is known here is not given up on hearsay: it is asked, and told what
       // to refute.
       case GONE ->
           order > 0 && (entry.standing() == MemberStatus.ALIVE || doubtful)
               ? Outcome.VERIFY
-              : settle(entry, rumour, order, since);
-      case LEFT -> settle(entry, rumour, order, since);
+              : settle(entry, update, order, since);
+      case LEFT -> settle(entry, update, order, since);
     };
   }
 
-  private Outcome settle(MemberRecord entry, GossipUpdate rumour, int order, long since) {
+  private Outcome settle(MemberRecord entry, GossipUpdate update, int order, long since) {
     if (order == 0) {
       return Outcome.KNOWN;
     }
-    become(entry, rumour.standing(), rumour.card(), null, since);
+    become(entry, update.standing(), update.card(), null, since);
     return Outcome.NEWS;
   }
 
--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -54,31 +54,31 @@
         1);
   }
 
-  private static GossipUpdate rumour(
+  private static GossipUpdate update(
       String name, MemberStatus standing, long incarnation, long age) {
     return new GossipUpdate(
         name, standing, new MemberInfo(incarnation, 7, "h:" + name, "s"), "x", age);
   }
 
-  private static byte[] gossip(GossipUpdate... rumours) {
+  private static byte[] gossip(GossipUpdate... updates) {
     return MemberCodec.write(
         new MemberMessage.Gossip(
-            new MemberInfo(1, 9, "h:9", "s"), SuspicionLevel.NONE, List.of(rumours)));
+            new MemberInfo(1, 9, "h:9", "s"), SuspicionLevel.NONE, List.of(updates)));
   }
 
   @Test
-  void noOldRumourBringsTheDeadBack() {
+  void noOldUpdateBringsTheDeadBack() {
     MemberTable table =
         new MemberTable(
             "own", MembershipConfig.usual().withMemory(LIFE, FORGET), (entry, was, before) -> {});
-    assertEquals(Outcome.NEWS, table.tell(rumour("b", MemberStatus.ALIVE, 1, 0), 0, false));
+    assertEquals(Outcome.NEWS, table.tell(update("b", MemberStatus.ALIVE, 1, 0), 0, false));
     table.suspect(table.get("b"), "own", 10, 10);
     assertEquals("b", table.expire(40 * Play.SECOND).name());
     long gone = 40 * Play.SECOND;
     assertEquals(
-        Outcome.OUTDATED, table.tell(rumour("b", MemberStatus.ALIVE, 1, 0), gone + 5, false));
+        Outcome.OUTDATED, table.tell(update("b", MemberStatus.ALIVE, 1, 0), gone + 5, false));
     assertEquals(
-        Outcome.VERIFY, table.tell(rumour("b", MemberStatus.ALIVE, 2, LIFE + 1), gone + 5, false));
+        Outcome.VERIFY, table.tell(update("b", MemberStatus.ALIVE, 2, LIFE + 1), gone + 5, false));
     table.forget(gone + FORGET);
     assertEquals(Reachability.GONE, table.get("b").reach());
     table.forget(gone + FORGET + 1);
@@ -87,10 +87,10 @@
     // now.
     assertEquals(
         Outcome.VERIFY,
-        table.tell(rumour("b", MemberStatus.ALIVE, 1, FORGET), gone + FORGET + 1, false));
+        table.tell(update("b", MemberStatus.ALIVE, 1, FORGET), gone + FORGET + 1, false));
     assertEquals(
         Outcome.KNOWN,
-        table.tell(rumour("b", MemberStatus.GONE, 1, FORGET), gone + FORGET + 1, false));
+        table.tell(update("b", MemberStatus.GONE, 1, FORGET), gone + FORGET + 1, false));
     assertNull(table.get("b"));
   }
 
@@ -98,9 +98,9 @@
   void whoWaitedIsNotAccusedByMessagesThatWaitedToo() {
     MemberTable table =
         new MemberTable("own", MembershipConfig.usual(), (entry, was, before) -> {});
-    table.tell(rumour("b", MemberStatus.ALIVE, 1, 0), 0, false);
-    assertEquals(Outcome.VERIFY, table.tell(rumour("b", MemberStatus.SUSPECTED, 1, 0), 5, true));
-    assertEquals(Outcome.VERIFY, table.tell(rumour("b", MemberStatus.GONE, 1, 0), 5, false));
+    table.tell(update("b", MemberStatus.ALIVE, 1, 0), 0, false);
+    assertEquals(Outcome.VERIFY, table.tell(update("b", MemberStatus.SUSPECTED, 1, 0), 5, true));
+    assertEquals(Outcome.VERIFY, table.tell(update("b", MemberStatus.GONE, 1, 0), 5, false));
     assertEquals(Reachability.REACHABLE, table.get("b").reach());
   }
 
@@ -109,8 +109,8 @@
     Members members = members(MembershipConfig.usual().withMembers(5));
     members.tick(0, 0);
     for (int i = 0; i < 40; i++) {
-      members.onMessage(1, 1, "x", gossip(rumour("m" + i, MemberStatus.ALIVE, 1, 0)));
-      members.onMessage(1, 1, "x", gossip(rumour("g" + i, MemberStatus.GONE, 1, 0)));
+      members.onMessage(1, 1, "x", gossip(update("m" + i, MemberStatus.ALIVE, 1, 0)));
+      members.onMessage(1, 1, "x", gossip(update("g" + i, MemberStatus.GONE, 1, 0)));
     }
     assertEquals(6, members.size());
     assertEquals(35, members.counts().refused());
@@ -125,7 +125,7 @@
     members.tick(0, 0);
     Random random = new Random(5);
     MemberInfo card = new MemberInfo(3, 4, "h:3", "s");
-    List<GossipUpdate> news = List.of(rumour("q", MemberStatus.SUSPECTED, 2, 5));
+    List<GossipUpdate> news = List.of(update("q", MemberStatus.SUSPECTED, 2, 5));
     List<byte[]> good = new ArrayList<>();
     for (MemberMessage message :
         List.of(
@@ -188,7 +188,7 @@
     }
     for (byte[] body : sent) {
       assertTrue(body.length <= 1100, () -> "a message of " + body.length);
-      boolean isBare = read(body) instanceof MemberMessage.Probe probe && probe.rumours().isEmpty();
+      boolean isBare = read(body) instanceof MemberMessage.Probe probe && probe.updates().isEmpty();
       assertFalse(isBare && body.length > 300, () -> "a bare probe of " + body.length);
       bare += isBare ? 1 : 0;
     }
--- a/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
+++ b/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
@@ -60,7 +60,7 @@
               }
 
               @Override
-              public GossipUpdate rumour(String name) {
+              public GossipUpdate update(String name) {
                 return known.get(name);
               }
             });
--- a/members/src/test/java/tillerlink/members/MembersTest.java
+++ b/members/src/test/java/tillerlink/members/MembersTest.java
@@ -72,10 +72,10 @@
                   usual.confirmations(),
                   period / 2,
                   usual.gossipTo(),
-                  usual.rumourFactor(),
+                  usual.updateFactor(),
                   period,
                   10 * period,
-                  usual.rumourLife(),
+                  usual.updateLife(),
                   usual.forgetAfter(),
                   usual.healthMost(),
                   usual.mostMembers()));
--- a/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
+++ b/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
@@ -79,7 +79,7 @@
   private static final ComponentFactories TELLS_FOR_EVER =
       new ComponentFactories() {
         @Override
-        GossipQueue rumours(int most) {
+        GossipQueue updates(int most) {
           return new GossipQueue(most) {
             @Override
             public List<GossipUpdate> take(
@@ -107,7 +107,7 @@
                 one ->
                     !one.members.stopped()
                         && one.members.size() > 1
-                        && one.members.counts().rumours() > 0)) {
+                        && one.members.counts().updates() > 0)) {
           return "news are still told once it is calm";
         }
       } catch (Invariant.Broken e) {
@@ -184,10 +184,10 @@
         usual.confirmations(),
         usual.gossipEvery(),
         usual.gossipTo(),
-        usual.rumourFactor(),
+        usual.updateFactor(),
         retryEvery,
         digestEvery,
-        usual.rumourLife(),
+        usual.updateLife(),
         usual.forgetAfter(),
         usual.healthMost(),
         usual.mostMembers());
--- a/members/src/test/java/tillerlink/members/measure/Memory.java
+++ b/members/src/test/java/tillerlink/members/measure/Memory.java
@@ -34,12 +34,12 @@
       String name = "gateway-at-some-site-" + i;
       MemberInfo card =
           new MemberInfo(3, i, "10.1." + i / 256 + "." + i % 256 + ":7400", "site-" + i % 12);
-      GossipUpdate rumour = new GossipUpdate(name, MemberStatus.ALIVE, card, "", 100);
+      GossipUpdate update = new GossipUpdate(name, MemberStatus.ALIVE, card, "", 100);
       members.onMessage(
           1,
           1,
           "another",
-          MemberCodec.write(new MemberMessage.Gossip(card, SuspicionLevel.NONE, List.of(rumour))));
+          MemberCodec.write(new MemberMessage.Gossip(card, SuspicionLevel.NONE, List.of(update))));
     }
     if (members.size() != MEMBERS + 1) {
       throw new AssertionError("members: " + members.size());
--- a/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
+++ b/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
@@ -25,37 +25,37 @@
   }
 
   @Override
-  public Outcome tell(GossipUpdate rumour, long now, boolean doubtful) {
-    MemberRecord entry = get(rumour.name());
+  public Outcome tell(GossipUpdate update, long now, boolean doubtful) {
+    MemberRecord entry = get(update.name());
     if (entry == null) {
-      return super.tell(rumour, now, doubtful);
+      return super.tell(update, now, doubtful);
     }
-    int order = rumour.card().compare(entry.card());
+    int order = update.card().compare(entry.card());
     switch (what) {
       case BELIEVES_LOWER -> {
         if (order < 0) {
-          entry.become(rumour.standing(), rumour.card(), null, now);
+          entry.become(update.standing(), update.card(), null, now);
         }
       }
       case COMES_BACK_AS_IT_WENT -> {
         if (order == 0
-            && rumour.standing() == MemberStatus.ALIVE
+            && update.standing() == MemberStatus.ALIVE
             && entry.standing() == MemberStatus.GONE) {
-          entry.become(MemberStatus.ALIVE, rumour.card(), null, now);
+          entry.become(MemberStatus.ALIVE, update.card(), null, now);
         }
       }
       case GIVEN_UP_ON_HEARSAY -> {
         if (order == 0
-            && rumour.standing() == MemberStatus.GONE
+            && update.standing() == MemberStatus.GONE
             && entry.standing() == MemberStatus.ALIVE) {
-          suspect(entry, rumour.by(), now, now);
+          suspect(entry, update.by(), now, now);
         }
       }
       default -> {
         // another fault
       }
     }
-    return super.tell(rumour, now, doubtful);
+    return super.tell(update, now, doubtful);
   }
 
   @Override
--- a/messages/src/main/java/tillerlink/messages/channels/ChannelsCodec.java
+++ b/messages/src/main/java/tillerlink/messages/channels/ChannelsCodec.java
@@ -48,7 +48,7 @@
       it.others().forEach(other -> out.within(8, standing(other)));
       return 1;
     } else if (message instanceof Want it) {
-      out.number(9, it.number()).number(10, it.bytesMost()).number(11, it.entriesMost());
+      out.number(9, it.number()).number(10, it.maxBytes()).number(11, it.entriesMost());
       it.spans().forEach(span -> out.within(7, EntryCodec.span(span)));
       return 2;
     } else if (message instanceof Piece it) {
@@ -144,7 +144,7 @@
     final List<Span> spans = new ArrayList<>();
     final List<Standing> others = new ArrayList<>();
     long number;
-    int bytesMost;
+    int maxBytes;
     int entriesMost;
     boolean last;
     final List<Entry> entries = new ArrayList<>();
@@ -201,7 +201,7 @@
         case 7 -> to.spans.add(EntryCodec.span(in.within()));
         case 8 -> to.others.add(standing(in.within()));
         case 9 -> to.number = in.number();
-        case 10 -> to.bytesMost = (int) in.number(1 << 20);
+        case 10 -> to.maxBytes = (int) in.number(1 << 20);
         case 11 -> to.entriesMost = (int) in.number(1 << 20);
         case 12 -> to.last = in.flag();
         case 13 -> to.entries.add(EntryCodec.entry(in.bytes(4 * EntryCodec.ENTRY_MOST)));
@@ -231,7 +231,7 @@
         return new Report(
             of.wall, of.own, of.applied, of.decided, of.base, of.digest, of.spans, of.others);
       case 2:
-        return new Want(of.number, of.bytesMost, of.entriesMost, of.spans);
+        return new Want(of.number, of.maxBytes, of.entriesMost, of.spans);
       case 3:
         return new Piece(of.number, of.last, of.entries);
       case 4:
--- a/messages/src/main/java/tillerlink/messages/channels/ChannelsMessage.java
+++ b/messages/src/main/java/tillerlink/messages/channels/ChannelsMessage.java
@@ -34,10 +34,10 @@
       implements ChannelsMessage {}
 
   /**
-   * Asks for events; the answer comes in pieces of {@code bytesMost} each, of {@code entriesMost}
-   * in all.
+   * Asks for events; the answer comes in pieces of {@code maxBytes} each, of {@code entriesMost} in
+   * all.
    */
-  record Want(long number, int bytesMost, int entriesMost, List<Span> spans)
+  record Want(long number, int maxBytes, int entriesMost, List<Span> spans)
       implements ChannelsMessage {}
 
   /** Events: an answer to a want of that number, or fresh ones (0). */
--- a/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
@@ -12,7 +12,7 @@
   public static final int NAME_MOST = 64;
   public static final int ADDRESS_MOST = 100;
   public static final int SITE_MOST = 64;
-  public static final int RUMOURS_MOST = 64;
+  public static final int UPDATES_MOST = 64;
   public static final int BUCKETS = 32;
 
   /** No age is told as more than that: 30 days. */
@@ -23,7 +23,7 @@
   private static final int NUMBER = 3;
   private static final int TARGET = 4;
   private static final int DOUBT = 5;
-  private static final int RUMOUR = 6;
+  private static final int UPDATE = 6;
   private static final int ADDRESS = 7;
   private static final int REACHED = 8;
   private static final int SUMS = 9;
@@ -33,7 +33,7 @@
   private static final int REPLY = 13;
 
   /** Numbers of fields, lengths and the birth of a rumour. */
-  private static final int RUMOUR_FRAME = 30;
+  private static final int UPDATE_FRAME = 30;
 
   private static final int PROBE = 1;
   private static final int ACK = 2;
@@ -80,20 +80,20 @@
           .flag(REPLY, listing.reply());
     }
     out.within(CARD, card(message.card()));
-    message.rumours().forEach(rumour -> out.within(RUMOUR, rumour(rumour)));
+    message.updates().forEach(update -> out.within(UPDATE, update(update)));
     return out.done();
   }
 
   /** How many bytes a rumour adds to a message at the most. */
-  public static int size(GossipUpdate rumour) {
-    MemberInfo card = rumour.card();
-    return RUMOUR_FRAME
+  public static int size(GossipUpdate update) {
+    MemberInfo card = update.card();
+    return UPDATE_FRAME
         + varint(card.incarnation())
-        + varint(rumour.age())
-        + utf8(rumour.name())
+        + varint(update.age())
+        + utf8(update.name())
         + utf8(card.address())
         + utf8(card.site())
-        + utf8(rumour.by());
+        + utf8(update.by());
   }
 
   private static int varint(long value) {
@@ -117,13 +117,13 @@
         .text(4, card.site());
   }
 
-  private static FieldWriter rumour(GossipUpdate rumour) {
+  private static FieldWriter update(GossipUpdate update) {
     return new FieldWriter()
-        .text(1, rumour.name())
-        .number(2, rumour.standing().ordinal())
-        .within(3, card(rumour.card()))
-        .text(4, rumour.by())
-        .number(5, rumour.age());
+        .text(1, update.name())
+        .number(2, update.standing().ordinal())
+        .within(3, card(update.card()))
+        .text(4, update.by())
+        .number(5, update.age());
   }
 
   private static void doubt(FieldWriter out, SuspicionLevel doubt) {
@@ -150,7 +150,7 @@
     String after = "";
     String upTo = "";
     boolean reply;
-    final List<GossipUpdate> rumours = new ArrayList<>();
+    final List<GossipUpdate> updates = new ArrayList<>();
     final List<Integer> sums = new ArrayList<>();
   }
 
@@ -182,9 +182,9 @@
       case AFTER -> parts.after = in.text(NAME_MOST);
       case UP_TO -> parts.upTo = in.text(NAME_MOST);
       case REPLY -> parts.reply = in.flag();
-      case RUMOUR -> {
-        bound(parts.rumours, RUMOURS_MOST);
-        parts.rumours.add(rumour(in.within()));
+      case UPDATE -> {
+        bound(parts.updates, UPDATES_MOST);
+        parts.updates.add(update(in.within()));
       }
       case SUMS -> sums(in.bytes(BUCKETS * Integer.BYTES), parts.sums);
       default -> {
@@ -200,20 +200,20 @@
   }
 
   private static MemberMessage message(Parts parts) throws MalformedMessageException {
-    List<GossipUpdate> rumours = List.copyOf(parts.rumours);
+    List<GossipUpdate> updates = List.copyOf(parts.updates);
     MemberInfo card = parts.card;
     return switch ((int) Math.min(parts.kind, Integer.MAX_VALUE)) {
-      case PROBE -> new MemberMessage.Probe(card, parts.number, parts.target, parts.doubt, rumours);
-      case ACK -> new MemberMessage.Ack(card, parts.number, parts.doubt, rumours);
+      case PROBE -> new MemberMessage.Probe(card, parts.number, parts.target, parts.doubt, updates);
+      case ACK -> new MemberMessage.Ack(card, parts.number, parts.doubt, updates);
       case ASK ->
           new MemberMessage.Ask(
-              card, parts.number, parts.target, parts.address, parts.doubt, rumours);
-      case VOUCH -> new MemberMessage.Vouch(card, parts.number, parts.reached, rumours);
-      case GOSSIP -> new MemberMessage.Gossip(card, parts.doubt, rumours);
+              card, parts.number, parts.target, parts.address, parts.doubt, updates);
+      case VOUCH -> new MemberMessage.Vouch(card, parts.number, parts.reached, updates);
+      case GOSSIP -> new MemberMessage.Gossip(card, parts.doubt, updates);
       case DIGEST -> digest(parts);
       case LISTING ->
           new MemberMessage.Listing(
-              card, (int) parts.bucket, parts.after, parts.upTo, parts.reply, rumours);
+              card, (int) parts.bucket, parts.after, parts.upTo, parts.reply, updates);
       default -> throw new MalformedMessageException("a kind that is not known");
     };
   }
@@ -258,7 +258,7 @@
     return new MemberInfo(incarnation, birth, address, site);
   }
 
-  private static GossipUpdate rumour(FieldReader in) throws MalformedMessageException {
+  private static GossipUpdate update(FieldReader in) throws MalformedMessageException {
     String name = "";
     int standing = 0;
     MemberInfo card = MemberInfo.NONE;
--- a/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
@@ -7,7 +7,7 @@
   /** The sender's own. */
   MemberInfo card();
 
-  List<GossipUpdate> rumours();
+  List<GossipUpdate> updates();
 
   /**
    * Are you there?
@@ -16,11 +16,11 @@
    * @param target who is asked; empty for whoever has that address
    */
   record Probe(
-      MemberInfo card, long number, String target, SuspicionLevel doubt, List<GossipUpdate> rumours)
+      MemberInfo card, long number, String target, SuspicionLevel doubt, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /** I am. */
-  record Ack(MemberInfo card, long number, SuspicionLevel doubt, List<GossipUpdate> rumours)
+  record Ack(MemberInfo card, long number, SuspicionLevel doubt, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /** Ask somebody for me. */
@@ -30,15 +30,15 @@
       String target,
       String address,
       SuspicionLevel doubt,
-      List<GossipUpdate> rumours)
+      List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /** It answered me, or did not; the one who asked gets its own number back. */
-  record Vouch(MemberInfo card, long number, boolean reached, List<GossipUpdate> rumours)
+  record Vouch(MemberInfo card, long number, boolean reached, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /** News. */
-  record Gossip(MemberInfo card, SuspicionLevel doubt, List<GossipUpdate> rumours)
+  record Gossip(MemberInfo card, SuspicionLevel doubt, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /**
@@ -53,7 +53,7 @@
     }
 
     @Override
-    public List<GossipUpdate> rumours() {
+    public List<GossipUpdate> updates() {
       return List.of();
     }
   }
@@ -71,6 +71,6 @@
       String after,
       String upTo,
       boolean reply,
-      List<GossipUpdate> rumours)
+      List<GossipUpdate> updates)
       implements MemberMessage {}
 }
--- a/messages/src/main/java/tillerlink/messages/statements/CommandCodec.java
+++ b/messages/src/main/java/tillerlink/messages/statements/CommandCodec.java
@@ -26,7 +26,7 @@
     of.parameters().forEach(type -> to.within(3, new FieldWriter().number(1, type.ordinal())));
     Lists.integers(to, 4, of.groups());
     Lists.texts(to, 5, of.uses());
-    return to.text(6, of.track()).number(7, of.effect().ordinal());
+    return to.text(6, of.requestClass()).number(7, of.effect().ordinal());
   }
 
   public static Definition definition(FieldReader in) throws MalformedMessageException {
@@ -35,7 +35,7 @@
     List<Integer> types = Lists.list();
     List<Integer> groups = Lists.list();
     List<String> uses = Lists.list();
-    String track = "";
+    String requestClass = "";
     RunEffect effect = RunEffect.PURE;
     while (in.next()) {
       switch (in.field()) {
@@ -44,7 +44,7 @@
         case 3 -> Lists.addInteger(in, types, ParameterType.values().length - 1);
         case 4 -> Lists.addInteger(in, groups, Definition.GROUP_MOST);
         case 5 -> Lists.addText(in, uses);
-        case 6 -> track = in.text(Definition.NAME_MOST);
+        case 6 -> requestClass = in.text(Definition.NAME_MOST);
         case 7 -> effect = RunEffect.values()[(int) in.number(RunEffect.values().length - 1)];
         default -> {}
       }
@@ -55,7 +55,7 @@
         types.stream().map(i -> ParameterType.values()[i]).toList(),
         groups,
         uses,
-        track,
+        requestClass,
         effect);
   }
 
--- a/messages/src/main/java/tillerlink/messages/statements/Definition.java
+++ b/messages/src/main/java/tillerlink/messages/statements/Definition.java
@@ -9,7 +9,7 @@
  * @param parameters their types, in that order
  * @param groups the table groups that it touches, rising
  * @param uses names of those groups that it relies on, as 17:orders.city
- * @param track the track that its runs are of
+ * @param requestClass the track that its runs are of
  */
 public record Definition(
     String name,
@@ -17,7 +17,7 @@
     List<ParameterType> parameters,
     List<Integer> groups,
     List<String> uses,
-    String track,
+    String requestClass,
     RunEffect effect) {
   public static final int NAME_MOST = 64;
 
@@ -36,6 +36,6 @@
   }
 
   public Definition withText(String other, List<String> otherUses) {
-    return new Definition(name, other, parameters, groups, otherUses, track, effect);
+    return new Definition(name, other, parameters, groups, otherUses, requestClass, effect);
   }
 }
--- a/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
+++ b/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
@@ -18,7 +18,7 @@
 
   static Map<String, MemberMessage> messages() {
     MemberInfo other = new MemberInfo(300, -5, "h2:7002", "südwest");
-    List<GossipUpdate> rumours =
+    List<GossipUpdate> updates =
         List.of(
             new GossipUpdate("b", MemberStatus.ALIVE, other, "", 0),
             new GossipUpdate("c", MemberStatus.SUSPECTED, other, "d", 12_345),
@@ -26,20 +26,20 @@
             new GossipUpdate("g", MemberStatus.LEFT, other, "", MemberCodec.AGE_MOST));
     SuspicionLevel doubt = new SuspicionLevel(MemberStatus.SUSPECTED, 7, 0x0102030405060708L);
     Map<String, MemberMessage> all = new LinkedHashMap<>();
-    all.put("probe", new MemberMessage.Probe(CARD, 0x0a0b0c0dL, "b", doubt, rumours));
+    all.put("probe", new MemberMessage.Probe(CARD, 0x0a0b0c0dL, "b", doubt, updates));
     all.put("probe-bare", new MemberMessage.Probe(CARD, 1, "", SuspicionLevel.NONE, List.of()));
-    all.put("ack", new MemberMessage.Ack(CARD, -1, doubt, rumours));
-    all.put("ask", new MemberMessage.Ask(CARD, 9, "b", "h2:7002", doubt, rumours));
-    all.put("vouch", new MemberMessage.Vouch(CARD, 9, true, rumours));
+    all.put("ack", new MemberMessage.Ack(CARD, -1, doubt, updates));
+    all.put("ask", new MemberMessage.Ask(CARD, 9, "b", "h2:7002", doubt, updates));
+    all.put("vouch", new MemberMessage.Vouch(CARD, 9, true, updates));
     all.put("vouch-not", new MemberMessage.Vouch(CARD, 9, false, List.of()));
-    all.put("gossip", new MemberMessage.Gossip(CARD, doubt, rumours));
+    all.put("gossip", new MemberMessage.Gossip(CARD, doubt, updates));
     all.put(
         "digest",
         new MemberMessage.Digest(
             CARD,
             0x77L,
             IntStream.range(0, MemberCodec.BUCKETS).mapToObj(i -> i * 0x01010101 - 9).toList()));
-    all.put("listing", new MemberMessage.Listing(CARD, 31, "a", "m", true, rumours));
+    all.put("listing", new MemberMessage.Listing(CARD, 31, "a", "m", true, updates));
     for (MemberStatus standing : MemberStatus.values()) {
       all.put(
           "doubt-" + standing.ordinal(),
