--- a/operator/src/main/java/tillerlink/operator/FleetPart.java
+++ b/operator/src/main/java/tillerlink/operator/FleetPart.java
@@ -61,7 +61,7 @@
                 ? plain.budgetSpan()
                 : seconds(budget, "span_s", 0.1, plain.budgetSpan()),
             (int) section.whole("hops_most", 1, 100, plain.attemptsMost()),
-            seconds(section, "come_back_s", 0, plain.comeBack()));
+            seconds(section, "come_back_s", 0, plain.retryAfter()));
     if (cold != null) {
       cold.close();
     }
--- a/operator/src/main/java/tillerlink/operator/Http2Part.java
+++ b/operator/src/main/java/tillerlink/operator/Http2Part.java
@@ -13,15 +13,15 @@
     if (section == null) {
       return null;
     }
-    Http2TransportFactory carriers =
+    Http2TransportFactory transports =
         new Http2TransportFactory(
             section.flag("all", false),
             Set.copyOf(new LinkedHashSet<>(section.texts("kinds", false))),
             (int) section.whole("streams_most", 1, 100_000, 0));
-    if (!carriers.all() && carriers.kinds().isEmpty()) {
+    if (!transports.all() && transports.kinds().isEmpty()) {
       section.fault("http2 wants kinds, or all = true");
     }
     section.close();
-    return carriers;
+    return transports;
   }
 }
--- a/operator/src/main/java/tillerlink/operator/NamesCheck.java
+++ b/operator/src/main/java/tillerlink/operator/NamesCheck.java
@@ -35,10 +35,10 @@
 
   /** What a replay names must be there. */
   private static void replayed(Section all, Fleet fleet) {
-    for (Section track : all.all("track")) {
-      for (String kind : track.texts("kinds", false)) {
+    for (Section requestClass : all.all("track")) {
+      for (String kind : requestClass.texts("kinds", false)) {
         if (fleet.kindNamed(kind) < 0) {
-          track.faultAt("kinds", "there is no kind '" + kind + "' in the fleet");
+          requestClass.faultAt("kinds", "there is no kind '" + kind + "' in the fleet");
         }
       }
     }
--- a/operator/src/main/java/tillerlink/operator/OperatorFile.java
+++ b/operator/src/main/java/tillerlink/operator/OperatorFile.java
@@ -9,12 +9,12 @@
 import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.trace.Layout;
 import tillerlink.workload.Plan;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * What the operator has written, checked. Every part is optional; what is absent is null or empty.
  *
- * @param tracks in the order of the file: the first whose tests a row passes takes it
+ * @param requestClasses in the order of the file: the first whose tests a row passes takes it
  */
 public record OperatorFile(
     Log log,
@@ -25,7 +25,7 @@
     Statements statements,
     List<Layout> layouts,
     Fleet fleet,
-    List<Track> tracks,
+    List<RequestClassSpec> requestClasses,
     List<Trouble> troubles,
     Replaying replay) {
   /** How log lines look. */
@@ -53,7 +53,7 @@
    * Where gateways remember what outlives them; the age from which it is not trusted, in tenths of
    * a millisecond.
    */
-  public record Storing(String folder, long ageMost, long bytesMost) {}
+  public record Storing(String folder, long ageMost, long maxBytes) {}
 
   /** The file as a whole is wrong: all its faults, each with its place. */
   public static final class FaultyException extends IOException {
@@ -90,7 +90,7 @@
             Statements.read(all.one("statements")),
             LayoutPart.read(all),
             FleetPart.read(all.one("fleet")),
-            TrackPart.read(all),
+            RequestClassPart.read(all),
             TroublePart.read(all),
             ReplayPart.read(all.one("replay")));
     all.close();
--- a/operator/src/main/java/tillerlink/operator/TrackPart.java
+++ b/operator/src/main/java/tillerlink/operator/RequestClassPart.java
@@ -3,20 +3,20 @@
 import java.util.ArrayList;
 import java.util.List;
 import tillerlink.model.Effect;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /** The parts <code>track</code>. */
-final class TrackPart {
-  private TrackPart() {}
+final class RequestClassPart {
+  private RequestClassPart() {}
 
-  static List<Track> read(Section all) {
-    List<Track> tracks = new ArrayList<>();
+  static List<RequestClassSpec> read(Section all) {
+    List<RequestClassSpec> requestClasses = new ArrayList<>();
     for (Section section : all.all("track")) {
       String name = section.label();
       if (!name.matches("[A-Za-z0-9_-]{1,32}")) {
         section.fault("a track's name is of letters, digits, - and _, 32 at most");
       }
-      if (tracks.stream().anyMatch(track -> track.name().equals(name))) {
+      if (requestClasses.stream().anyMatch(requestClass -> requestClass.name().equals(name))) {
         section.fault("a second track '" + name + "'");
       }
       Effect effect = section.choice("effect", null, Effect.class);
@@ -28,8 +28,8 @@
         section.faultAt("hard_stop_ms", "'hard_stop_ms' is below 'soft_limit_ms'");
       }
       double value = section.number("payoff", 1e-6, 1e9, 1);
-      tracks.add(
-          new Track(
+      requestClasses.add(
+          new RequestClassSpec(
               name,
               effect,
               (int) section.whole("threads", 1, 1024, 1),
@@ -49,6 +49,6 @@
               RowTests.read(section, "rows", List.of())));
       section.close();
     }
-    return tracks;
+    return requestClasses;
   }
 }
--- a/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
@@ -16,7 +16,7 @@
 import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.trace.Layout;
 import tillerlink.workload.Plan;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * Pins the keys, words and units of the operator's file by a copy of the example: every value of
@@ -149,10 +149,10 @@
   }
 
   @Test
-  void tracks() {
+  void requestClasses() {
     assertEquals(
         List.of(
-            new Track(
+            new RequestClassSpec(
                 "intake",
                 Effect.RECEIPTED,
                 2,
@@ -166,7 +166,7 @@
                 List.of(
                     new Layout.Test(
                         "team", List.of("etl", "import"), false, Double.NaN, Double.NaN))),
-            new Track(
+            new RequestClassSpec(
                 "sheet",
                 Effect.PURE,
                 3,
@@ -178,8 +178,9 @@
                 0,
                 6000,
                 List.of(new Layout.Test("cpu", List.of(), false, 200, 1e300))),
-            new Track("look", Effect.PURE, 1, 9000, 45_000, 1, 0.25, List.of(), 0, 800, List.of())),
-        file.tracks());
+            new RequestClassSpec(
+                "look", Effect.PURE, 1, 9000, 45_000, 1, 0.25, List.of(), 0, 800, List.of())),
+        file.requestClasses());
   }
 
   @Test
--- a/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
@@ -286,8 +286,8 @@
             left.furtherRatio(),
             left.budgetSpan(),
             left.attemptsMost(),
-            left.comeBack()));
-    assertEquals(700, terse.tracks().get(0).window());
+            left.retryAfter()));
+    assertEquals(700, terse.requestClasses().get(0).window());
   }
 
   @Test
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -173,10 +173,10 @@
         usual.confirmations(),
         scaled(usual.gossipEvery(), share),
         usual.gossipTo(),
-        usual.rumourFactor(),
+        usual.updateFactor(),
         scaled(usual.retryEvery(), share),
         scaled(usual.digestEvery(), share),
-        usual.rumourLife(),
+        usual.updateLife(),
         usual.forgetAfter(),
         usual.healthMost(),
         usual.mostMembers());
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsHttpHandler.java
@@ -123,11 +123,11 @@
 
   private static HttpResponse answer(AppendResult appended) {
     if (appended instanceof AppendResult.Refused it) {
-      return it.comeBack() > 0
+      return it.retryAfter() > 0
           ? new HttpResponse(
               503,
               ChannelsJson.problem("Refused", it.why()),
-              Math.max(1, it.comeBack() / PER_MS),
+              Math.max(1, it.retryAfter() / PER_MS),
               false)
           : new HttpResponse(409, ChannelsJson.problem("Refused", it.why()), 0, false);
     }
--- a/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
+++ b/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
@@ -14,7 +14,7 @@
   private final Statements statements;
   private final Prepared prepared;
   private final LongSupplier clock;
-  private long comeBack;
+  private long retryAfter;
 
   RunGuard(Statements statements, Prepared prepared, LongSupplier clock) {
     this.statements = statements;
@@ -26,7 +26,7 @@
   @Override
   public boolean holds() {
     if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
-      comeBack = no.comeBack();
+      retryAfter = no.retryAfter();
       return false;
     }
     return true;
@@ -35,7 +35,7 @@
   /** In tenths of a millisecond. */
   @Override
   public long retryAfter() {
-    return comeBack;
+    return retryAfter;
   }
 
   @Override
--- a/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
@@ -28,7 +28,7 @@
 
   private StatementResponses() {}
 
-  private static HttpResponse answer(int status, long comeBack, Body body) {
+  private static HttpResponse answer(int status, long retryAfter, Body body) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = JSON.createGenerator(bytes)) {
       json.writeStartObject();
@@ -37,13 +37,13 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    return new HttpResponse(status, bytes.toByteArray(), comeBack, false);
+    return new HttpResponse(status, bytes.toByteArray(), retryAfter, false);
   }
 
-  static HttpResponse problem(int status, String problem, String words, long comeBackMs) {
+  static HttpResponse problem(int status, String problem, String words, long retryAfterMs) {
     return answer(
         status,
-        comeBackMs,
+        retryAfterMs,
         json -> {
           json.writeStringField("problem", problem);
           json.writeStringField("words", words);
@@ -61,7 +61,7 @@
     };
   }
 
-  static HttpResponse turnedBack(Permission.No no) {
+  static HttpResponse rejected(Permission.No no) {
     String problem =
         switch (no.why()) {
           case OTHER -> "Other";
@@ -69,8 +69,8 @@
           case ANEW, CHANGING -> "Changing";
           case UNKNOWN -> "NoLease";
         };
-    boolean for503 = no.comeBack() > 0;
-    return problem(for503 ? 503 : 409, problem, no.words(), milliseconds(no.comeBack()));
+    boolean for503 = no.retryAfter() > 0;
+    return problem(for503 ? 503 : 409, problem, no.words(), milliseconds(no.retryAfter()));
   }
 
   static long milliseconds(long tenths) {
@@ -100,7 +100,7 @@
           }
           json.writeEndObject();
           texts(json, "uses", definition.uses());
-          json.writeStringField("track", definition.track());
+          json.writeStringField("track", definition.requestClass());
           json.writeStringField("effect", low(definition.effect()));
         });
   }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
@@ -200,13 +200,13 @@
     Prepared prepared = found.get();
     String text = prepared.text(run.values(), fence);
     if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
-      reply.answer(StatementResponses.turnedBack(no));
+      reply.answer(StatementResponses.rejected(no));
       return;
     }
     door.submit(
         new HttpRequest(
             HttpRequest.Method.POST,
-            "/v1/" + prepared.definition().track(),
+            "/v1/" + prepared.definition().requestClass(),
             call.fields(),
             text.getBytes(StandardCharsets.UTF_8),
             call.last()),
--- a/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
@@ -54,7 +54,7 @@
 
   private final DurableTable table;
   private final Consumer<Runnable> turns;
-  private final long bytesMost;
+  private final long maxBytes;
   private final NavigableMap<String, byte[]> found;
 
   /** What each name takes; of the thread that owns all state. */
@@ -67,9 +67,9 @@
   private boolean closing;
   private boolean failed;
 
-  private DiskKeyValueStore(DurableTable table, long bytesMost, Consumer<Runnable> turns) {
+  private DiskKeyValueStore(DurableTable table, long maxBytes, Consumer<Runnable> turns) {
     this.table = table;
-    this.bytesMost = bytesMost;
+    this.maxBytes = maxBytes;
     this.turns = turns;
     found = Collections.unmodifiableNavigableMap(new TreeMap<>(table.values()));
     found.forEach((name, value) -> count(name, value));
@@ -81,14 +81,14 @@
    * Opens what a gateway keeps in a folder.
    *
    * @param owner whose it is; a folder copied from another is refused
-   * @param bytesMost of all names and values together; {@link #BYTES_MOST} at the most
+   * @param maxBytes of all names and values together; {@link #BYTES_MOST} at the most
    * @param turns what is to be run in a later turn
    * @throws IOException if it can't be used: another process has it, or it is another's; nothing
    *     was touched then
    */
   public static DiskKeyValueStore open(
-      Path folder, String owner, long bytesMost, Consumer<Runnable> turns) throws IOException {
-    long most = Math.min(bytesMost, BYTES_MOST);
+      Path folder, String owner, long maxBytes, Consumer<Runnable> turns) throws IOException {
+    long most = Math.min(maxBytes, BYTES_MOST);
     long segment = Math.max(SEGMENT_LEAST, Math.min(SEGMENT_MOST, most / 4));
     DurableTable table =
         new DurableTable(
@@ -119,7 +119,7 @@
     }
     Change change = new Change(name, value, kept);
     long grown = bytes + (value == null ? 0 : change.size()) - sizes.getOrDefault(name, 0);
-    if (value != null && grown > bytesMost || !hand(change)) {
+    if (value != null && grown > maxBytes || !hand(change)) {
       return false;
     }
     count(name, value);
--- a/peering/src/test/java/tillerlink/peering/together/Story.java
+++ b/peering/src/test/java/tillerlink/peering/together/Story.java
@@ -43,7 +43,7 @@
   private final Set<String> answered = new HashSet<>();
   private final Map<Integer, Long> newest = new TreeMap<>();
   private long runs;
-  private long turnedBack;
+  private long rejected;
   private long agreedAfter;
 
   Story(long seed) {
@@ -145,7 +145,7 @@
                           }
                         });
               } else {
-                turnedBack++;
+                rejected++;
               }
             });
     fleet.touched(name);
@@ -315,7 +315,7 @@
   @Override
   public long[] sums() {
     return new long[] {
-      answered.size(), runs, turnedBack, newest.getOrDefault(17, 1L) - 1, agreedAfter
+      answered.size(), runs, rejected, newest.getOrDefault(17, 1L) - 1, agreedAfter
     };
   }
 }
--- a/replay/src/main/java/tillerlink/replay/Arrivals.java
+++ b/replay/src/main/java/tillerlink/replay/Arrivals.java
@@ -13,8 +13,8 @@
 import tillerlink.trace.Tasks;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.Plan;
+import tillerlink.workload.RequestClassSpec;
 import tillerlink.workload.Survey;
-import tillerlink.workload.Track;
 
 /**
  * The submissions of a trace in the order of their arrival. A file is read twice, first to learn
@@ -39,14 +39,14 @@
   private final Plan plan;
   private final Survey survey;
   private long sampledOut;
-  private long noTrack;
+  private long noRequestClass;
   private long arrived;
   private long latest;
 
   public Arrivals(Job job) throws IOException {
     this.job = job;
     boolean twice = job.shards().stream().allMatch(Shard::readableAgain);
-    survey = new Survey(job.tracks().size());
+    survey = new Survey(job.requestClasses().size());
     List<Task> prefix = new ArrayList<>();
     reader = reader(tally);
     if (twice) {
@@ -70,7 +70,7 @@
       plan =
           Plan.of(
               survey,
-              job.tracks(),
+              job.requestClasses(),
               job.fleet().cores(),
               job.load(),
               job.scale(),
@@ -87,7 +87,10 @@
 
   private TaskReader reader(Tally to) {
     return new TaskReader(
-        job.layout(), job.shards(), job.tracks().stream().map(Track::rows).toList(), to);
+        job.layout(),
+        job.shards(),
+        job.requestClasses().stream().map(RequestClassSpec::rows).toList(),
+        to);
   }
 
   /** Guards against replaying what is no such trace at all. */
@@ -125,14 +128,14 @@
             : new Arrival(
                 latest,
                 arrival.number(),
-                arrival.track(),
+                arrival.requestClass(),
                 arrival.work(),
                 arrival.memory(),
                 arrival.tableGroup(),
                 arrival.key());
       }
       if (task.kind() < 0) {
-        noTrack++;
+        noRequestClass++;
       } else {
         sampledOut++;
       }
@@ -158,8 +161,8 @@
   }
 
   /** Tasks that fit no track. */
-  public long noTrack() {
-    return noTrack;
+  public long noRequestClass() {
+    return noRequestClass;
   }
 
   public long arrived() {
--- a/replay/src/main/java/tillerlink/replay/Figures.java
+++ b/replay/src/main/java/tillerlink/replay/Figures.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * What a run was worth: value answered within the soft limit over value asked for, and what became
@@ -18,19 +18,19 @@
   private static final int DIGITS = 3;
 
   /** One track's share. */
-  public static final class OfTrack {
-    private final Track track;
+  public static final class OfRequestClass {
+    private final RequestClassSpec requestClass;
     private final Map<End, Long> ends = new EnumMap<>(End.class);
     private final Histogram times;
     private long arrived;
 
-    OfTrack(Track track) {
-      this.track = track;
-      times = new Histogram(1, Math.max(2, 4 * track.deadline()), DIGITS);
+    OfRequestClass(RequestClassSpec requestClass) {
+      this.requestClass = requestClass;
+      times = new Histogram(1, Math.max(2, 4 * requestClass.deadline()), DIGITS);
     }
 
-    public Track track() {
-      return track;
+    public RequestClassSpec requestClass() {
+      return requestClass;
     }
 
     public long arrived() {
@@ -54,7 +54,7 @@
     }
   }
 
-  private final List<OfTrack> tracks = new ArrayList<>();
+  private final List<OfRequestClass> requestClasses = new ArrayList<>();
   private final Windows windows;
 
   /** By second of arrival: all that arrived, then each end. */
@@ -63,32 +63,33 @@
   private double asked;
   private double got;
 
-  public Figures(List<Track> tracks) {
-    tracks.forEach(track -> this.tracks.add(new OfTrack(track)));
-    long longest = tracks.stream().mapToLong(Track::deadline).max().orElse(0);
+  public Figures(List<RequestClassSpec> requestClasses) {
+    requestClasses.forEach(
+        requestClass -> this.requestClasses.add(new OfRequestClass(requestClass)));
+    long longest = requestClasses.stream().mapToLong(RequestClassSpec::deadline).max().orElse(0);
     windows = new Windows(WINDOW, 2 * longest, WINDOW_LEAST);
   }
 
-  public void arrived(long at, int track) {
-    OfTrack of = tracks.get(track);
+  public void arrived(long at, int requestClass) {
+    OfRequestClass of = requestClasses.get(requestClass);
     of.arrived++;
-    asked += of.track.value();
-    windows.asked(at, of.track.value());
+    asked += of.requestClass.value();
+    windows.asked(at, of.requestClass.value());
     series.add(at, 0, 1);
   }
 
   /**
    * @param took from when the client asked to when it had its answer
    */
-  public void ended(long askedAt, int track, End how, long took) {
-    OfTrack of = tracks.get(track);
+  public void ended(long askedAt, int requestClass, End how, long took) {
+    OfRequestClass of = requestClasses.get(requestClass);
     of.ends.merge(how, 1L, Long::sum);
     if (how.fulfilled()) {
       of.times.recordValue(Math.min(Math.max(1, took), of.times.getHighestTrackableValue()));
     }
     if (how == End.IN_TIME) {
-      got += of.track.value();
-      windows.got(askedAt, of.track.value());
+      got += of.requestClass.value();
+      windows.got(askedAt, of.requestClass.value());
     }
     series.add(askedAt, 1 + how.ordinal(), 1);
   }
@@ -111,16 +112,16 @@
     return windows.worstFrom();
   }
 
-  public double worstTrack() {
-    return tracks.stream()
-        .mapToDouble(OfTrack::served)
+  public double worstRequestClass() {
+    return requestClasses.stream()
+        .mapToDouble(OfRequestClass::served)
         .filter(served -> !Double.isNaN(served))
         .min()
         .orElse(whole());
   }
 
-  public List<OfTrack> tracks() {
-    return tracks;
+  public List<OfRequestClass> requestClasses() {
+    return requestClasses;
   }
 
   public Series series() {
@@ -128,11 +129,11 @@
   }
 
   public long arrived() {
-    return tracks.stream().mapToLong(OfTrack::arrived).sum();
+    return requestClasses.stream().mapToLong(OfRequestClass::arrived).sum();
   }
 
   public long ended(End how) {
-    return tracks.stream().mapToLong(track -> track.ended(how)).sum();
+    return requestClasses.stream().mapToLong(requestClass -> requestClass.ended(how)).sum();
   }
 
   /** Whether every submission that arrived has ended, once. */
--- a/replay/src/main/java/tillerlink/replay/Front.java
+++ b/replay/src/main/java/tillerlink/replay/Front.java
@@ -10,7 +10,7 @@
 import tillerlink.fakes.HttpAnswers;
 import tillerlink.fakes.Results;
 import tillerlink.workload.Arrival;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * The clients of a replay: each submission is sent when it arrives, whatever became of those before
@@ -28,7 +28,7 @@
   /** One submission and its client. */
   private static final class Request {
     private final Arrival arrival;
-    private final Track track;
+    private final RequestClassSpec requestClass;
     private final String id;
     private final int gateway;
     private final long askedAt;
@@ -36,9 +36,9 @@
     private int calls;
     private boolean over;
 
-    Request(Arrival arrival, Track track, String id, int gateway, long askedAt) {
+    Request(Arrival arrival, RequestClassSpec requestClass, String id, int gateway, long askedAt) {
       this.arrival = arrival;
-      this.track = track;
+      this.requestClass = requestClass;
       this.id = id;
       this.gateway = gateway;
       this.askedAt = askedAt;
@@ -78,20 +78,25 @@
   }
 
   public void arrive(Arrival arrival) {
-    Track track = world.tracks.get(arrival.track());
-    figures.arrived(world.now() - start, arrival.track());
+    RequestClassSpec requestClass = world.requestClasses.get(arrival.requestClass());
+    figures.arrived(world.now() - start, arrival.requestClass());
     int gateway = gatewayFor(arrival);
-    Request request = new Request(arrival, track, wording.id(arrival), gateway, world.now());
+    Request request = new Request(arrival, requestClass, wording.id(arrival), gateway, world.now());
     if (gateway < 0) {
       finish(request, End.KILLED);
       return;
     }
     open.add(request);
-    world.expect(request.id, new World.Job(arrival.work(), track.width(), arrival.memory()));
+    world.expect(request.id, new World.Job(arrival.work(), requestClass.width(), arrival.memory()));
     world.auditor.taken(
-        world.now(), gateway, request.id, arrival.track(), null, world.now() + track.deadline());
-    say(request, wording.submission(arrival, track, request.id));
-    world.timeline.at(world.now() + track.deadline() + SLACK, () -> leave(request));
+        world.now(),
+        gateway,
+        request.id,
+        arrival.requestClass(),
+        null,
+        world.now() + requestClass.deadline());
+    say(request, wording.request(arrival, requestClass, request.id));
+    world.timeline.at(world.now() + requestClass.deadline() + SLACK, () -> leave(request));
   }
 
   /** Drawn by the submission alone; a front passes over gateways that are down. */
@@ -154,7 +159,7 @@
       answered(
           request,
           Auditor.Answer.FULFILLED,
-          took <= request.track.softLimit() ? End.IN_TIME : End.LATE);
+          took <= request.requestClass.latencyObjective() ? End.IN_TIME : End.LATE);
     } else if (answer.status() == 503 || answer.status() == 429) {
       answered(request, Auditor.Answer.TURNED_BACK, End.TURNED_BACK);
     } else {
@@ -172,7 +177,10 @@
     open.remove(request);
     world.forget(request.id);
     figures.ended(
-        request.askedAt - start, request.arrival.track(), end, world.now() - request.askedAt);
+        request.askedAt - start,
+        request.arrival.requestClass(),
+        end,
+        world.now() - request.askedAt);
   }
 
   /**
@@ -186,7 +194,7 @@
       say(request, Wording.fetch(request.path));
     } else if (request.path == null && request.calls++ == 0) {
       // It crossed the gateway's close of an idle connection.
-      say(request, wording.submission(request.arrival, request.track, request.id));
+      say(request, wording.request(request.arrival, request.requestClass, request.id));
     } else {
       world.auditor.left(world.now(), request.id, true);
       finish(request, End.CLIENT_GONE);
--- a/replay/src/main/java/tillerlink/replay/Job.java
+++ b/replay/src/main/java/tillerlink/replay/Job.java
@@ -8,7 +8,7 @@
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 import tillerlink.workload.Plan;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * What is to be replayed, and how.
@@ -25,7 +25,7 @@
 public record Job(
     List<Shard> shards,
     Layout layout,
-    List<Track> tracks,
+    List<RequestClassSpec> requestClasses,
     Fleet fleet,
     List<Trouble> troubles,
     long window,
--- a/replay/src/main/java/tillerlink/replay/Page.java
+++ b/replay/src/main/java/tillerlink/replay/Page.java
@@ -65,19 +65,19 @@
         figures.whole(),
         figures.worstWindow(),
         figures.worstWindowFrom() / (double) Figures.SECOND,
-        figures.worstTrack(),
+        figures.worstRequestClass(),
         run.job().fleet().gateways(),
         run.job().fleet().engines().size(),
         run.job().fleet().cores(),
         run.lasted() / (double) Figures.SECOND);
-    for (Violation breach : run.auditor().breaches()) {
+    for (Violation violation : run.auditor().violations()) {
       out.printf(
           "<p class=\"bad\">Rule broken: %s s, %s</p>",
-          run.sinceStart(breach.at()), escaped(breach.what()));
+          run.sinceStart(violation.at()), escaped(violation.what()));
     }
     table();
     bySecond();
-    byTrack();
+    byRequestClass();
     engines();
     troubles();
     out.println("</html>");
@@ -91,11 +91,11 @@
     out.print(
         "<h2>By track</h2><table><tr><th>track<th>arrived<th>in time<th>late<th>turned"
             + " back<th>broken off<th>gone<th>killed<th>half, ms<th>99 of 100, ms");
-    for (Figures.OfTrack of : run.figures().tracks()) {
+    for (Figures.OfRequestClass of : run.figures().requestClasses()) {
       out.printf(
           Locale.ROOT,
           "<tr><td>%s<td>%d<td>%.4f<td>%d<td>%d<td>%d<td>%d<td>%d<td>%.1f<td>%.1f",
-          escaped(of.track().name()),
+          escaped(of.requestClass().name()),
           of.arrived(),
           of.served(),
           of.ended(End.LATE),
@@ -136,15 +136,15 @@
     return values;
   }
 
-  private void byTrack() {
+  private void byRequestClass() {
     List<Line> lines = new ArrayList<>();
-    for (Figures.OfTrack of : run.figures().tracks()) {
+    for (Figures.OfRequestClass of : run.figures().requestClasses()) {
       double[] values = new double[PERCENTILES.length];
       for (int i = 0; i < values.length; i++) {
         double ms = of.timeMs(PERCENTILES[i]);
         values[i] = Double.isNaN(ms) ? 0 : ms;
       }
-      lines.add(new Line(of.track().name(), values));
+      lines.add(new Line(of.requestClass().name(), values));
     }
     plot(
         "Milliseconds to the answer: 0, 10, 25, 50, 75, 90, 95, 99, 99.5 and 99.9 of 100",
--- a/replay/src/main/java/tillerlink/replay/Report.java
+++ b/replay/src/main/java/tillerlink/replay/Report.java
@@ -97,10 +97,10 @@
     number(json, "trace_time_per_time", arrivals.plan().press());
     number(json, "share_of_jobs", arrivals.plan().share());
     json.writeNumberField("tasks_sampled_out", arrivals.sampledOut());
-    json.writeNumberField("tasks_of_no_track", arrivals.noTrack());
+    json.writeNumberField("tasks_of_no_track", arrivals.noRequestClass());
     json.writeObjectFieldStart("work_times");
-    for (int i = 0; i < run.job().tracks().size(); i++) {
-      json.writeFieldName(run.job().tracks().get(i).name());
+    for (int i = 0; i < run.job().requestClasses().size(); i++) {
+      json.writeFieldName(run.job().requestClasses().get(i).name());
       json.writeNumber(String.format(Locale.ROOT, "%.6f", arrivals.plan().factor(i)));
     }
     json.writeEndObject();
@@ -113,18 +113,18 @@
     number(json, "whole", figures.whole());
     number(json, "worst_10_s", figures.worstWindow());
     number(json, "worst_10_s_from", figures.worstWindowFrom() / SECOND);
-    number(json, "worst_track", figures.worstTrack());
+    number(json, "worst_track", figures.worstRequestClass());
     number(json, "seconds", run.lasted() / SECOND);
     json.writeNumberField("arrived", figures.arrived());
     for (End how : End.values()) {
       json.writeNumberField(how.name().toLowerCase(Locale.ROOT), figures.ended(how));
     }
     json.writeBooleanField("adds_up", figures.addsUp());
-    json.writeNumberField("hops", run.auditor().hops());
-    json.writeNumberField("further_hops", run.auditor().furtherHops());
+    json.writeNumberField("hops", run.auditor().attempts());
+    json.writeNumberField("further_hops", run.auditor().retries());
     json.writeObjectFieldStart("tracks");
-    for (Figures.OfTrack of : figures.tracks()) {
-      json.writeObjectFieldStart(of.track().name());
+    for (Figures.OfRequestClass of : figures.requestClasses()) {
+      json.writeObjectFieldStart(of.requestClass().name());
       json.writeNumberField("arrived", of.arrived());
       for (End how : End.values()) {
         json.writeNumberField(how.name().toLowerCase(Locale.ROOT), of.ended(how));
@@ -145,9 +145,9 @@
     }
     json.writeEndObject();
     json.writeArrayFieldStart("first_breaches");
-    List<Violation> breaches = run.auditor().breaches();
-    for (Violation breach : breaches.subList(0, Math.min(10, breaches.size()))) {
-      json.writeString(run.sinceStart(breach.at()) + " s " + breach.what());
+    List<Violation> violations = run.auditor().violations();
+    for (Violation violation : violations.subList(0, Math.min(10, violations.size()))) {
+      json.writeString(run.sinceStart(violation.at()) + " s " + violation.what());
     }
     json.writeEndArray();
     number(json, "cold_engine_most", run.auditor().coldMost());
--- a/replay/src/main/java/tillerlink/replay/Run.java
+++ b/replay/src/main/java/tillerlink/replay/Run.java
@@ -18,10 +18,11 @@
    * @param progress told now and then how many have arrived
    */
   public static Played play(Job job, Arrivals arrivals, LongConsumer progress) throws IOException {
-    Auditor auditor = new Auditor(job.fleet(), job.tracks());
-    Figures figures = new Figures(job.tracks());
+    Auditor auditor = new Auditor(job.fleet(), job.requestClasses());
+    Figures figures = new Figures(job.requestClasses());
     World world =
-        new World(job.fleet(), job.tracks(), auditor, UNIX_START).seat(job.modules(), job.seed());
+        new World(job.fleet(), job.requestClasses(), auditor, UNIX_START)
+            .seat(job.modules(), job.seed());
     Front front =
         new Front(
             world, new GatewayConnections(world), figures, new Wording(job.seed(), job.error()));
--- a/replay/src/main/java/tillerlink/replay/Wording.java
+++ b/replay/src/main/java/tillerlink/replay/Wording.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import tillerlink.model.Effect;
 import tillerlink.workload.Arrival;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /** How a submission is worded to a gateway, the same for every way of replaying it. */
 public final class Wording {
@@ -38,7 +38,7 @@
     return "0".repeat(DIGITS - digits.length()) + digits;
   }
 
-  public byte[] submission(Arrival arrival, Track track, String id) {
+  public byte[] request(Arrival arrival, RequestClassSpec requestClass, String id) {
     Random random = new Random(arrival.key() ^ seed);
     double estimate = arrival.work() / 10 * Math.exp(random.nextGaussian() * error);
     double space = Math.max(1, arrival.memory() * Math.exp(random.nextGaussian() * error));
@@ -49,12 +49,14 @@
             + id
             + "' GROUP BY day";
     return ("POST /v1/"
-            + track.name()
+            + requestClass.name()
             + " HTTP/1.1\r\nHost: app\r\nX-Correlation-Id: "
             + id
             + "\r\nX-Deadline-Ms: "
-            + track.deadline() / 10
-            + (track.effect() == Effect.RECEIPTED ? "\r\nX-Operation-Key: " + mark(arrival) : "")
+            + requestClass.deadline() / 10
+            + (requestClass.effect() == Effect.RECEIPTED
+                ? "\r\nX-Operation-Key: " + mark(arrival)
+                : "")
             + "\r\nX-Estimate-Ms: "
             + String.format(Locale.ROOT, "%.1f", Math.min(ESTIMATE_MOST, estimate))
             + "\r\nX-Space: "
--- a/simulation/src/main/java/tillerlink/simulation/Fault.java
+++ b/simulation/src/main/java/tillerlink/simulation/Fault.java
@@ -11,7 +11,7 @@
  * @param bytesMost longer messages don't get through
  */
 public record Fault(
-    boolean cut, double lost, double repeated, long least, long most, int bytesMost) {
+    boolean cut, double lost, double repeated, long least, long most, int maxBytes) {
   /** A link as it should be: 0.2 to 1 ms. */
   public static final Fault NONE = new Fault(false, 0, 0, 2, 10, Integer.MAX_VALUE);
 
@@ -30,7 +30,7 @@
     return new Fault(false, 0, 0, least, most, Integer.MAX_VALUE);
   }
 
-  public static Fault small(int bytesMost) {
-    return new Fault(false, 0, 0, 2, 10, bytesMost);
+  public static Fault small(int maxBytes) {
+    return new Fault(false, 0, 0, 2, 10, maxBytes);
   }
 }
--- a/simulation/src/main/java/tillerlink/simulation/SimulatedFleet.java
+++ b/simulation/src/main/java/tillerlink/simulation/SimulatedFleet.java
@@ -188,7 +188,7 @@
               + (fault.most() > fault.least()
                   ? random.nextLong(fault.most() - fault.least() + 1)
                   : 0);
-      if (!fault.cut() && body.length <= fault.bytesMost() && random.nextDouble() >= fault.lost()) {
+      if (!fault.cut() && body.length <= fault.maxBytes() && random.nextDouble() >= fault.lost()) {
         at(now + way, () -> arrive(from, to, body));
       }
     }
--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -78,7 +78,7 @@
    */
   public Statements(
       StatementTerms terms,
-      MembershipView roster,
+      MembershipView membership,
       MessageSender post,
       KeyValueStore keep,
       RandomGenerator random,
@@ -87,7 +87,7 @@
       throws MalformedMessageException {
     this.terms = terms;
     this.post = post;
-    voters = new Voters(terms.voters(), roster.self());
+    voters = new Voters(terms.voters(), membership.self());
     holding = new LeaseHolder(terms.lease(), terms.terms(), voters, this::send, random);
     requests = new Requests(holding.holder(), this::propose);
     Applying applying = new Applying();
@@ -296,8 +296,8 @@
         heard ? SOON : terms.lease().length() / 2);
   }
 
-  private static Permission no(Permission.Reason why, String words, long comeBack) {
-    return new Permission.No(why, words, comeBack);
+  private static Permission no(Permission.Reason why, String words, long retryAfter) {
+    return new Permission.No(why, words, retryAfter);
   }
 
   /** A hop of it is written: leases are not given back early before it ended. */
--- a/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
@@ -300,7 +300,7 @@
   private static long size(Definition of) {
     return of.name().length() * 3L
         + of.text().length() * 3L
-        + of.track().length()
+        + of.requestClass().length()
         + of.groups().size() * 16L
         + of.parameters().size() * 4L
         + of.uses().stream().mapToLong(use -> use.length() * 3L + 4).sum()
--- a/statements/src/main/java/tillerlink/statements/consensus/Log.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Log.java
@@ -98,13 +98,13 @@
   }
 
   /** From an index on, as many as fit. */
-  List<Entry> from(long index, long upTo, int bytesMost) {
+  List<Entry> from(long index, long upTo, int maxBytes) {
     List<Entry> some = new ArrayList<>();
     int bytes = 0;
     for (long i = index; i <= upTo && some.size() < 128; i++) {
       Entry entry = get(i);
       bytes += CommandCodec.entry(entry).done().length + 8;
-      if (bytes > bytesMost && !some.isEmpty()) {
+      if (bytes > maxBytes && !some.isEmpty()) {
         break;
       }
       some.add(entry);
--- a/statements/src/main/java/tillerlink/statements/consensus/Progress.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Progress.java
@@ -39,7 +39,7 @@
   }
 
   /** Links may carry small messages only. */
-  int bytesMost() {
+  int maxBytes() {
     return unanswered >= TRIES_LARGE ? SnapshotFetcher.SMALL : SnapshotFetcher.LARGE;
   }
 
--- a/statements/src/main/java/tillerlink/statements/consensus/RaftVoter.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RaftVoter.java
@@ -436,7 +436,7 @@
       return;
     }
     long before = progress.next - 1;
-    List<Entry> some = log.from(progress.next, log.lastIndex(), progress.bytesMost());
+    List<Entry> some = log.from(progress.next, log.lastIndex(), progress.maxBytes());
     out.send(
         to,
         new Append(
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
@@ -187,7 +187,7 @@
    */
   public void running(int group, int by) {
     Group it = groups.get(group);
-    if (it != null && !terms.has(InjectedFault.GIVES_BACK_WITH_HOPS_OUT)) {
+    if (it != null && !terms.has(InjectedFault.GIVES_BACK_WITH_ATTEMPTS_OUT)) {
       Invariant.holds(
           it.running + by >= 0, () -> "more hops of group " + group + " ended than began");
       it.running = Math.max(0, it.running + by);
@@ -204,7 +204,7 @@
   public void inDoubt(long now, int group, long mayRunUntil) {
     Group it = groups.get(group);
     if (it != null
-        && !terms.has(InjectedFault.GIVES_BACK_WITH_HOPS_OUT)
+        && !terms.has(InjectedFault.GIVES_BACK_WITH_ATTEMPTS_OUT)
         && !terms.has(InjectedFault.TRUSTS_ENDINGS)) {
       it.doubtUntil = Math.max(it.doubtUntil, Math.max(now, mayRunUntil) + lease.kept());
     }
--- a/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
@@ -18,7 +18,7 @@
    */
   public static void check(Definition of) {
     name("name", of.name());
-    name("track", of.track());
+    name("track", of.requestClass());
     if (of.text().isBlank()
         || of.text().getBytes(StandardCharsets.UTF_8).length > Definition.TEXT_MOST) {
       throw new IllegalArgumentException("text: 1 to " + Definition.TEXT_MOST + " bytes");
--- a/statements/src/main/java/tillerlink/statements/run/Permission.java
+++ b/statements/src/main/java/tillerlink/statements/run/Permission.java
@@ -12,7 +12,7 @@
    * @param comeBack in how long another try is worth it; 0 if it isn't, as it has to be looked up
    *     or prepared again
    */
-  record No(Reason why, String words, long comeBack) implements Permission {}
+  record No(Reason why, String words, long retryAfter) implements Permission {}
 
   /** Why not. */
   enum Reason {
--- a/statements/src/main/java/tillerlink/statements/testing/InjectedFault.java
+++ b/statements/src/main/java/tillerlink/statements/testing/InjectedFault.java
@@ -25,7 +25,7 @@
   /** A gateway trusts its leases after a pause. */
   TRUSTS_AFTER_PAUSE,
   /** A gateway gives leases back though a hop that runs under them is out. */
-  GIVES_BACK_WITH_HOPS_OUT,
+  GIVES_BACK_WITH_ATTEMPTS_OUT,
   /** A gateway takes every hop that is over here for one that its engine is no longer at. */
   TRUSTS_ENDINGS,
   /** A voter from an old disk takes part without asking what others saw of it. */
--- a/statements/src/test/java/tillerlink/statements/AttemptsTest.java
+++ b/statements/src/test/java/tillerlink/statements/AttemptsTest.java
@@ -12,44 +12,45 @@
  */
 class AttemptsTest {
   private static final long LEASE = 3 * TestCluster.SECOND;
-  private final TestCluster town = new TestCluster(3, 3, 2);
+  private final TestCluster cluster = new TestCluster(3, 3, 2);
 
   private void settled() {
-    town.leaseLength = LEASE;
-    town.startAll();
-    assertTrue(town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none")));
-    town.prepare(
+    cluster.leaseLength = LEASE;
+    cluster.startAll();
+    assertTrue(cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none")));
+    cluster.prepare(
         "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
-    assertTrue(town.until(5 * TestCluster.SECOND, () -> runs("g1") && runs("g2")));
+    assertTrue(cluster.until(5 * TestCluster.SECOND, () -> runs("g1") && runs("g2")));
     // A voter that has just started is clear of nothing.
-    town.fleet.playFor(2 * LEASE);
+    cluster.fleet.playFor(2 * LEASE);
   }
 
   private boolean runs(String at) {
-    return town.mayRun(at, "top").startsWith("yes");
+    return cluster.mayRun(at, "top").startsWith("yes");
   }
 
   /** Announces a change and waits until it is in effect; how long that took. */
   private long change() {
-    long version = town.part("g2").catalog().version(17);
-    long from = town.fleet.now();
-    town.announce("g2", TestCluster.untouched(17), any -> {});
+    long version = cluster.part("g2").catalog().version(17);
+    long from = cluster.fleet.now();
+    cluster.announce("g2", TestCluster.untouched(17), any -> {});
     assertTrue(
-        town.until(20 * TestCluster.SECOND, () -> town.part("g2").catalog().version(17) > version));
-    assertEquals(List.of(), town.audit.violations);
-    return town.fleet.now() - from;
+        cluster.until(
+            20 * TestCluster.SECOND, () -> cluster.part("g2").catalog().version(17) > version));
+    assertEquals(List.of(), cluster.audit.violations);
+    return cluster.fleet.now() - from;
   }
 
   private void run(long worksFor, double inDoubt) {
-    town.worksFor = worksFor;
-    town.inDoubt = inDoubt;
-    town.run("g1", "top");
-    town.fleet.playFor(20 * TestCluster.MS);
-    assertEquals(1, town.audit.runs);
+    cluster.worksFor = worksFor;
+    cluster.inDoubt = inDoubt;
+    cluster.run("g1", "top");
+    cluster.fleet.playFor(20 * TestCluster.MS);
+    assertEquals(1, cluster.audit.runs);
   }
 
   @Test
-  void itTakesEffectRightAfterTheHopEnded() {
+  void itTakesEffectRightAfterTheAttemptEnded() {
     settled();
     run(TestCluster.SECOND, 0);
     long took = change();
@@ -57,7 +58,7 @@
   }
 
   @Test
-  void itTakesEffectOnceTheLeaseRanOutUnderAHopThatGoesOn() {
+  void itTakesEffectOnceTheLeaseRanOutUnderAnAttemptThatGoesOn() {
     settled();
     run(10 * TestCluster.SECOND, 0);
     long took = change();
@@ -65,7 +66,7 @@
   }
 
   @Test
-  void aHopThatMayBeOutIsNoReasonToGiveALeaseBack() {
+  void anAttemptThatMayBeOutIsNoReasonToGiveALeaseBack() {
     settled();
     run(10 * TestCluster.MS, 1);
     long took = change();
@@ -76,7 +77,7 @@
   void itIsForgottenOnceItCannotBeOutAnyMore() {
     settled();
     run(10 * TestCluster.MS, 1);
-    town.fleet.playFor(LEASE + TestCluster.SECOND);
+    cluster.fleet.playFor(LEASE + TestCluster.SECOND);
     long took = change();
     assertTrue(took <= 50 * TestCluster.MS, took / 10 + " ms");
   }
@@ -86,31 +87,31 @@
    * for that.
    */
   @Test
-  void aPauseEndsNoHop() {
+  void aPauseEndsNoAttempt() {
     settled();
     run(2 * TestCluster.SECOND, 0);
-    town.pause("g1");
-    town.fleet.playFor(400 * TestCluster.MS);
-    town.resume("g1");
-    town.fleet.playFor(20 * TestCluster.MS);
+    cluster.pause("g1");
+    cluster.fleet.playFor(400 * TestCluster.MS);
+    cluster.resume("g1");
+    cluster.fleet.playFor(20 * TestCluster.MS);
     long took = change();
     assertTrue(took >= TestCluster.SECOND && took <= 1700 * TestCluster.MS, took / 10 + " ms");
   }
 
   /** A process that ends gives back what no hop is out under. */
   @Test
-  void whoLeavesGivesBackWhatNoHopIsOutUnder() {
+  void whoLeavesGivesBackWhatNoAttemptIsOutUnder() {
     settled();
-    town.leave("g1");
+    cluster.leave("g1");
     long took = change();
     assertTrue(took <= 50 * TestCluster.MS, took / 10 + " ms");
   }
 
   @Test
-  void whoLeavesWithAHopOutGivesNothingBackUnderIt() {
+  void whoLeavesWithAnAttemptOutGivesNothingBackUnderIt() {
     settled();
     run(10 * TestCluster.SECOND, 0);
-    town.leave("g1");
+    cluster.leave("g1");
     long took = change();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
   }
--- a/statements/src/test/java/tillerlink/statements/HistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/HistoriesTest.java
@@ -29,20 +29,20 @@
       try {
         what = history.play(seconds * TestCluster.SECOND);
       } catch (Invariant.Broken e) {
-        what = e + " at " + history.town.at();
+        what = e + " at " + history.cluster.at();
       }
       if (what != null) {
         wrong.add("seed " + seed + ": " + what);
         if (histories == 1) {
           history.events.forEach(System.out::println);
-          history.town.notes.forEach(System.out::println);
-          history.town.all.forEach(name -> System.out.println(history.town.told(name)));
+          history.cluster.notes.forEach(System.out::println);
+          history.cluster.all.forEach(name -> System.out.println(history.cluster.told(name)));
         }
       }
-      runs += history.town.audit.runs;
-      effects += history.town.audit.effects;
-      turnedBack += history.town.audit.turnedBack;
-      calledOff += history.town.audit.calledOff;
+      runs += history.cluster.audit.runs;
+      effects += history.cluster.audit.effects;
+      turnedBack += history.cluster.audit.turnedBack;
+      calledOff += history.cluster.audit.calledOff;
     }
     System.out.println(
         histories
--- a/statements/src/test/java/tillerlink/statements/History.java
+++ b/statements/src/test/java/tillerlink/statements/History.java
@@ -18,7 +18,7 @@
 final class History {
   static final List<String> NAMES = List.of("a", "b", "c", "d");
 
-  final TestCluster town;
+  final TestCluster cluster;
   final List<String> events = new ArrayList<>();
   private final SplittableRandom random;
   private final Map<String, NavigableMap<String, byte[]>> copies = new HashMap<>();
@@ -39,18 +39,18 @@
   History(long seed, InjectedFault... plants) {
     random = new SplittableRandom(seed * 31 + 7);
     voterCount = random.nextInt(4) == 0 ? 5 : 3;
-    town = new TestCluster(seed, voterCount, 2 + random.nextInt(3), plants);
-    town.leaseLength = 10 * (300 + random.nextInt(1500));
-    town.inDoubt = 0.02;
+    cluster = new TestCluster(seed, voterCount, 2 + random.nextInt(3), plants);
+    cluster.leaseLength = 10 * (300 + random.nextInt(1500));
+    cluster.inDoubt = 0.02;
   }
 
   /** A short one, of a fleet of a stated size. */
   History(long seed, int voters, int others) {
     random = new SplittableRandom(seed * 31 + 7);
     voterCount = voters;
-    town = new TestCluster(seed, voters, others);
-    town.leaseLength = 10 * (300 + random.nextInt(1000));
-    town.inDoubt = 0.02;
+    cluster = new TestCluster(seed, voters, others);
+    cluster.leaseLength = 10 * (300 + random.nextInt(1000));
+    cluster.inDoubt = 0.02;
   }
 
   private <T> T any(List<T> of) {
@@ -58,7 +58,7 @@
   }
 
   private void say(String words) {
-    events.add(town.at() + " " + words);
+    events.add(cluster.at() + " " + words);
   }
 
   /**
@@ -66,23 +66,23 @@
    */
   String play(long lasts) {
     if (drift) {
-      town.clocksDrift();
+      cluster.clocksDrift();
     }
-    town.startAll();
-    if (!town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none"))) {
+    cluster.startAll();
+    if (!cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"))) {
       return "no leader at the start";
     }
     for (String name : NAMES) {
       prepare(name);
     }
-    town.fleet.playFor(TestCluster.SECOND);
+    cluster.fleet.playFor(TestCluster.SECOND);
     load();
-    long end = town.fleet.now() + lasts;
-    while (town.fleet.now() < end) {
+    long end = cluster.fleet.now() + lasts;
+    while (cluster.fleet.now() < end) {
       step();
-      town.fleet.playFor(10 * random.nextInt(10, 400));
-      if (!town.audit.violations.isEmpty()) {
-        return town.audit.violations.get(0);
+      cluster.fleet.playFor(10 * random.nextInt(10, 400));
+      if (!cluster.audit.violations.isEmpty()) {
+        return cluster.audit.violations.get(0);
       }
     }
     return heal();
@@ -94,15 +94,15 @@
    */
   String playShortly() {
     if (drift) {
-      town.clocksDrift();
+      cluster.clocksDrift();
     }
-    town.startAll();
-    if (!town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none"))) {
+    cluster.startAll();
+    if (!cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"))) {
       return "no leader at the start";
     }
     prepare(NAMES.get(0));
     prepare(NAMES.get(1));
-    town.fleet.playFor(TestCluster.SECOND / 2);
+    cluster.fleet.playFor(TestCluster.SECOND / 2);
     load();
     int before = random.nextInt(3);
     for (int i = 0; i < 3; i++) {
@@ -112,31 +112,31 @@
         faults++;
         fault();
       }
-      town.fleet.playFor(10 * random.nextInt(10, 600));
+      cluster.fleet.playFor(10 * random.nextInt(10, 600));
     }
     return heal();
   }
 
   private void fault() {
     switch (random.nextInt(8)) {
-      case 0 -> pause(any(town.all));
-      case 1 -> kill(any(town.all));
-      case 2 -> cut(any(town.all), any(town.all));
+      case 0 -> pause(any(cluster.all));
+      case 1 -> kill(any(cluster.all));
+      case 2 -> cut(any(cluster.all), any(cluster.all));
       case 3 -> partition();
       case 4 -> doubtful();
-      case 5 -> pause(town.leader());
-      case 6 -> kill(town.leader());
+      case 5 -> pause(cluster.leader());
+      case 6 -> kill(cluster.leader());
       default -> {
         say("links are bad");
-        town.fleet.usual(Fault.bad(0.2, 0.1, 20 + random.nextInt(3000)));
+        cluster.fleet.usual(Fault.bad(0.2, 0.1, 20 + random.nextInt(3000)));
       }
     }
   }
 
   private void announce() {
-    String at = any(town.all);
+    String at = any(cluster.all);
     say("announce at " + at);
-    town.announce(
+    cluster.announce(
         at,
         change(),
         outcome -> {
@@ -148,13 +148,13 @@
   private boolean loaded = true;
 
   private void load() {
-    town.all.forEach(this::load);
+    cluster.all.forEach(this::load);
   }
 
   private void load(String at) {
     if (loaded) {
-      town.run(at, any(NAMES));
-      town.fleet.at(town.fleet.now() + 10 * random.nextInt(5, 60), () -> load(at));
+      cluster.run(at, any(NAMES));
+      cluster.fleet.at(cluster.fleet.now() + 10 * random.nextInt(5, 60), () -> load(at));
     }
   }
 
@@ -162,9 +162,9 @@
     int group = 17 + random.nextInt(3);
     String text = "select " + random.nextInt(1000) + " from orders_" + group + ".orders";
     boolean two = random.nextInt(3) == 0;
-    String at = any(town.all);
+    String at = any(cluster.all);
     say("prepare " + name + " at " + at);
-    town.prepare(
+    cluster.prepare(
         at,
         two
             ? TestCluster.definition(name, text, group, group == 17 ? 18 : 17)
@@ -196,35 +196,35 @@
       case 0, 1 -> prepare(any(NAMES));
       case 2 -> {
         say("drop");
-        town.drop(any(town.all), any(NAMES), this::told);
+        cluster.drop(any(cluster.all), any(NAMES), this::told);
       }
       case 3, 4, 5 -> announce();
       case 6 -> {
         if (!changes.isEmpty()) {
           say("take back");
-          town.takeBack(any(town.all), changes.get(changes.size() - 1), this::told);
+          cluster.takeBack(any(cluster.all), changes.get(changes.size() - 1), this::told);
         }
       }
-      case 7 -> pause(any(town.all));
-      case 8 -> kill(any(town.all));
-      case 9 -> cut(any(town.all), any(town.all));
+      case 7 -> pause(any(cluster.all));
+      case 8 -> kill(any(cluster.all));
+      case 9 -> cut(any(cluster.all), any(cluster.all));
       case 10 -> partition();
       case 11 -> {
         say("links heal");
-        town.fleet.heal();
-        town.fleet.usual(
+        cluster.fleet.heal();
+        cluster.fleet.usual(
             random.nextInt(3) == 0 ? Fault.bad(0.2, 0.1, 20 + random.nextInt(3000)) : Fault.NONE);
       }
       case 12 -> {
-        String voter = any(town.voters);
-        if (town.isUp(voter)) {
-          copies.put(voter, town.copyOf(voter));
+        String voter = any(cluster.voters);
+        if (cluster.isUp(voter)) {
+          copies.put(voter, cluster.copyOf(voter));
         }
       }
       case 13 -> doubtful();
       case 14 -> {
-        String leader = town.leader();
-        if (town.isUp(leader)) {
+        String leader = cluster.leader();
+        if (cluster.isUp(leader)) {
           say("the leader is hit");
           if (random.nextBoolean()) {
             kill(leader);
@@ -233,23 +233,24 @@
           }
         }
       }
-      default -> town.fleet.playFor(10 * random.nextInt(500));
+      default -> cluster.fleet.playFor(10 * random.nextInt(500));
     }
   }
 
   private void pause(String name) {
-    if (town.isUp(name) && !town.isPaused(name)) {
+    if (cluster.isUp(name) && !cluster.isPaused(name)) {
       say("pause " + name);
-      town.pause(name);
-      town.fleet.at(town.fleet.now() + 10 * random.nextInt(10, 4000), () -> town.resume(name));
+      cluster.pause(name);
+      cluster.fleet.at(
+          cluster.fleet.now() + 10 * random.nextInt(10, 4000), () -> cluster.resume(name));
     }
   }
 
   private boolean whole() {
     return doubtful == null
-        || town.isUp(doubtful)
-            && town.part(doubtful).voter().orElseThrow().isSound()
-            && town.fleet.now() > doubtfulUntil;
+        || cluster.isUp(doubtful)
+            && cluster.part(doubtful).voter().orElseThrow().isSound()
+            && cluster.fleet.now() > doubtfulUntil;
   }
 
   /**
@@ -257,15 +258,15 @@
    * two at once.
    */
   private void kill(String name) {
-    if (town.isUp(name) && (whole() || !town.voters.contains(name))) {
+    if (cluster.isUp(name) && (whole() || !cluster.voters.contains(name))) {
       say("kill " + name);
-      town.kill(name);
-      town.fleet.at(
-          town.fleet.now() + 10 * random.nextInt(10, 3000),
+      cluster.kill(name);
+      cluster.fleet.at(
+          cluster.fleet.now() + 10 * random.nextInt(10, 3000),
           () -> {
-            if (!town.isUp(name)) {
+            if (!cluster.isUp(name)) {
               say("start " + name);
-              town.start(name);
+              cluster.start(name);
             }
           });
     }
@@ -273,18 +274,18 @@
 
   private void cut(String from, String to) {
     say("cut " + from + " to " + to);
-    town.fleet.link(from, to, Fault.CUT);
+    cluster.fleet.link(from, to, Fault.CUT);
   }
 
   private void partition() {
-    String one = any(town.all);
+    String one = any(cluster.all);
     boolean both = random.nextBoolean();
     say("part " + one + (both ? " and another" : ""));
-    String two = both ? any(town.all) : one;
-    for (String other : town.all) {
+    String two = both ? any(cluster.all) : one;
+    for (String other : cluster.all) {
       if (!other.equals(one) && !other.equals(two)) {
-        town.fleet.between(one, other, Fault.CUT);
-        town.fleet.between(two, other, Fault.CUT);
+        cluster.fleet.between(one, other, Fault.CUT);
+        cluster.fleet.between(two, other, Fault.CUT);
       }
     }
   }
@@ -295,55 +296,61 @@
    */
   private void doubtful() {
     boolean over = whole();
-    String name = any(town.voters);
+    String name = any(cluster.voters);
     boolean founded =
-        town.voters.stream()
-            .allMatch(it -> town.isUp(it) && town.part(it).voter().orElseThrow().isSound());
-    if (!olds || !over || !town.isUp(name) || !founded) {
+        cluster.voters.stream()
+            .allMatch(it -> cluster.isUp(it) && cluster.part(it).voter().orElseThrow().isSound());
+    if (!olds || !over || !cluster.isUp(name) || !founded) {
       return;
     }
     doubtful = name;
-    doubtfulUntil = town.fleet.now() + TestCluster.SECOND;
-    town.kill(name);
+    doubtfulUntil = cluster.fleet.now() + TestCluster.SECOND;
+    cluster.kill(name);
     NavigableMap<String, byte[]> copy = copies.get(name);
     if (copy != null && random.nextBoolean()) {
       say("start " + name + " from an old disk");
-      town.startOld(name, copy);
+      cluster.startOld(name, copy);
     } else {
       say("start " + name + " from an empty disk");
       copies.remove(name);
-      town.startEmpty(name);
+      cluster.startEmpty(name);
     }
   }
 
   private String heal() {
     say("all heals");
-    town.fleet.heal();
-    town.fleet.usual(Fault.NONE);
-    for (String name : town.all) {
-      if (!town.isUp(name)) {
-        town.start(name);
+    cluster.fleet.heal();
+    cluster.fleet.usual(Fault.NONE);
+    for (String name : cluster.all) {
+      if (!cluster.isUp(name)) {
+        cluster.start(name);
       }
-      town.resume(name);
+      cluster.resume(name);
     }
-    boolean agreed = town.until(60 * TestCluster.SECOND, town::agree);
+    boolean agreed = cluster.until(60 * TestCluster.SECOND, cluster::agree);
     loaded = false;
-    if (!town.audit.violations.isEmpty()) {
-      return town.audit.violations.get(0);
+    if (!cluster.audit.violations.isEmpty()) {
+      return cluster.audit.violations.get(0);
     }
     if (!agreed) {
-      return "no agreement: leader " + town.leader();
+      return "no agreement: leader " + cluster.leader();
     }
     for (String name : NAMES) {
       boolean ready =
-          town.part("g1").catalog().find(name).filter(it -> it.state() == State.READY).isPresent();
-      for (String at : town.all) {
+          cluster
+              .part("g1")
+              .catalog()
+              .find(name)
+              .filter(it -> it.state() == State.READY)
+              .isPresent();
+      for (String at : cluster.all) {
         if (ready
-            && !town.until(5 * TestCluster.SECOND, () -> town.mayRun(at, name).startsWith("yes"))) {
-          return at + " can't run " + name + " in a calm fleet: " + town.mayRun(at, name);
+            && !cluster.until(
+                5 * TestCluster.SECOND, () -> cluster.mayRun(at, name).startsWith("yes"))) {
+          return at + " can't run " + name + " in a calm fleet: " + cluster.mayRun(at, name);
         }
       }
     }
-    return town.audit.violations.isEmpty() ? null : town.audit.violations.get(0);
+    return cluster.audit.violations.isEmpty() ? null : cluster.audit.violations.get(0);
   }
 }
--- a/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
+++ b/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
@@ -25,15 +25,15 @@
    * What a scene came to, by each check that saw something, numbers aside; empty if all was in
    * order.
    */
-  private static Set<String> of(TestCluster town, Function<TestCluster, String> scene) {
+  private static Set<String> of(TestCluster cluster, Function<TestCluster, String> scene) {
     Set<String> seen = new LinkedHashSet<>();
     String said;
     try {
-      said = scene.apply(town);
+      said = scene.apply(cluster);
     } catch (Invariant.Broken e) {
       said = e.getMessage();
     }
-    town.audit.violations.forEach(it -> seen.add(plain(it)));
+    cluster.audit.violations.forEach(it -> seen.add(plain(it)));
     if (said != null) {
       seen.add(plain(said));
     }
@@ -70,51 +70,52 @@
 
   // ---- scenes ----
 
-  private static String settled(TestCluster town) {
-    town.startAll();
-    if (!town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none"))) {
+  private static String settled(TestCluster cluster) {
+    cluster.startAll();
+    if (!cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"))) {
       return "no leader";
     }
-    town.prepare(
+    cluster.prepare(
         "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
-    return town.until(5 * TestCluster.SECOND, () -> town.mayRun("g1", "top").startsWith("yes"))
+    return cluster.until(
+            5 * TestCluster.SECOND, () -> cluster.mayRun("g1", "top").startsWith("yes"))
         ? null
         : "no run";
   }
 
-  private static void load(TestCluster town, String at, long until) {
-    town.run(at, "top");
-    if (town.fleet.now() < until) {
-      town.fleet.at(town.fleet.now() + 100, () -> load(town, at, until));
+  private static void load(TestCluster cluster, String at, long until) {
+    cluster.run(at, "top");
+    if (cluster.fleet.now() < until) {
+      cluster.fleet.at(cluster.fleet.now() + 100, () -> load(cluster, at, until));
     }
   }
 
-  private static void alone(TestCluster town, String name) {
-    town.all.stream()
+  private static void alone(TestCluster cluster, String name) {
+    cluster.all.stream()
         .filter(other -> !other.equals(name))
-        .forEach(other -> town.fleet.between(name, other, Fault.CUT));
+        .forEach(other -> cluster.fleet.between(name, other, Fault.CUT));
   }
 
-  private static String calmAgain(TestCluster town) {
-    town.fleet.heal();
-    town.all.forEach(
+  private static String calmAgain(TestCluster cluster) {
+    cluster.fleet.heal();
+    cluster.all.forEach(
         name -> {
-          if (!town.isUp(name)) {
-            town.start(name);
+          if (!cluster.isUp(name)) {
+            cluster.start(name);
           }
         });
-    return town.until(30 * TestCluster.SECOND, town::agree) ? null : "no agreement";
+    return cluster.until(30 * TestCluster.SECOND, cluster::agree) ? null : "no agreement";
   }
 
   /** A change while one gateway is cut off with its lease. */
-  private static String changeWhileCut(TestCluster town) {
-    String trouble = settled(town);
-    load(town, "g1", town.fleet.now() + 4 * TestCluster.SECOND);
-    town.fleet.playFor(TestCluster.SECOND);
-    alone(town, "g1");
-    town.announce("g2", TestCluster.untouched(17), any -> {});
-    town.fleet.playFor(4 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(town) : trouble;
+  private static String changeWhileCut(TestCluster cluster) {
+    String trouble = settled(cluster);
+    load(cluster, "g1", cluster.fleet.now() + 4 * TestCluster.SECOND);
+    cluster.fleet.playFor(TestCluster.SECOND);
+    alone(cluster, "g1");
+    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.fleet.playFor(4 * TestCluster.SECOND);
+    return trouble == null ? calmAgain(cluster) : trouble;
   }
 
   @Test
@@ -137,17 +138,17 @@
    * All voters start again and forget what they granted, while a gateway that holds a lease is cut
    * off.
    */
-  private static String allVotersStartAgain(TestCluster town) {
-    town.leaseLength = 6 * TestCluster.SECOND;
-    String trouble = settled(town);
-    load(town, "g1", town.fleet.now() + 8 * TestCluster.SECOND);
-    town.fleet.playFor(TestCluster.SECOND);
-    alone(town, "g1");
-    town.voters.forEach(town::start);
-    town.until(5 * TestCluster.SECOND, () -> !town.leader().equals("none"));
-    town.announce("g2", TestCluster.untouched(17), any -> {});
-    town.fleet.playFor(8 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(town) : trouble;
+  private static String allVotersStartAgain(TestCluster cluster) {
+    cluster.leaseLength = 6 * TestCluster.SECOND;
+    String trouble = settled(cluster);
+    load(cluster, "g1", cluster.fleet.now() + 8 * TestCluster.SECOND);
+    cluster.fleet.playFor(TestCluster.SECOND);
+    alone(cluster, "g1");
+    cluster.voters.forEach(cluster::start);
+    cluster.until(5 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
+    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.fleet.playFor(8 * TestCluster.SECOND);
+    return trouble == null ? calmAgain(cluster) : trouble;
   }
 
   @Test
@@ -159,17 +160,17 @@
   }
 
   /** Answers to a gateway take longer than half a lease. */
-  private static String answersAreLate(TestCluster town) {
-    town.leaseLength = 2 * TestCluster.SECOND;
-    String trouble = settled(town);
-    town.voters.forEach(voter -> town.fleet.link(voter, "g1", Fault.slow(14_000, 14_000)));
-    town.fleet.playFor(4 * TestCluster.SECOND);
-    load(town, "g1", town.fleet.now() + 5 * TestCluster.SECOND);
-    town.announce("g2", TestCluster.untouched(17), any -> {});
-    town.fleet.playFor(13_900);
-    alone(town, "g1");
-    town.fleet.playFor(5 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(town) : trouble;
+  private static String answersAreLate(TestCluster cluster) {
+    cluster.leaseLength = 2 * TestCluster.SECOND;
+    String trouble = settled(cluster);
+    cluster.voters.forEach(voter -> cluster.fleet.link(voter, "g1", Fault.slow(14_000, 14_000)));
+    cluster.fleet.playFor(4 * TestCluster.SECOND);
+    load(cluster, "g1", cluster.fleet.now() + 5 * TestCluster.SECOND);
+    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.fleet.playFor(13_900);
+    alone(cluster, "g1");
+    cluster.fleet.playFor(5 * TestCluster.SECOND);
+    return trouble == null ? calmAgain(cluster) : trouble;
   }
 
   @Test
@@ -181,26 +182,26 @@
   }
 
   /** A leader that is cut off takes in what the others never hear; they go on without it. */
-  private static String leaderIsCut(TestCluster town) {
-    String trouble = settled(town);
-    String old = town.leader();
-    alone(town, old);
+  private static String leaderIsCut(TestCluster cluster) {
+    String trouble = settled(cluster);
+    String old = cluster.leader();
+    alone(cluster, old);
     for (int i = 0; i < 3; i++) {
-      town.prepare(
+      cluster.prepare(
           old,
           TestCluster.definition("mine" + i, "select " + i + " from orders_17.orders", 17),
           any -> {});
-      town.fleet.playFor(60 * TestCluster.MS);
+      cluster.fleet.playFor(60 * TestCluster.MS);
     }
-    town.until(10 * TestCluster.SECOND, () -> town.leader().contains("+"));
+    cluster.until(10 * TestCluster.SECOND, () -> cluster.leader().contains("+"));
     for (int i = 0; i < 9; i++) {
-      town.prepare(
+      cluster.prepare(
           "g2",
           TestCluster.definition("theirs" + i, "select 5 from orders_17.orders", 17),
           any -> {});
     }
-    town.fleet.playFor(3 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(town) : trouble;
+    cluster.fleet.playFor(3 * TestCluster.SECOND);
+    return trouble == null ? calmAgain(cluster) : trouble;
   }
 
   @Test
@@ -212,36 +213,36 @@
   }
 
   /** What two voters took in is lost with their disks' last writes, if they said so too early. */
-  private static String twoCrash(TestCluster town) {
-    String trouble = settled(town);
-    town.fleet.playFor(TestCluster.SECOND);
-    String leader = town.leader();
-    List<String> others = town.voters.stream().filter(name -> !name.equals(leader)).toList();
-    alone(town, others.get(1));
-    town.fleet.between("g1", others.get(1), Fault.CUT);
-    town.slowDisks(3 * TestCluster.SECOND);
+  private static String twoCrash(TestCluster cluster) {
+    String trouble = settled(cluster);
+    cluster.fleet.playFor(TestCluster.SECOND);
+    String leader = cluster.leader();
+    List<String> others = cluster.voters.stream().filter(name -> !name.equals(leader)).toList();
+    alone(cluster, others.get(1));
+    cluster.fleet.between("g1", others.get(1), Fault.CUT);
+    cluster.slowDisks(3 * TestCluster.SECOND);
     for (int i = 0; i < 4; i++) {
-      town.prepare(
+      cluster.prepare(
           "g1",
           TestCluster.definition("kept" + i, "select 'one' from orders_17.orders", 17),
           any -> {});
     }
-    town.fleet.playFor(1200 * TestCluster.MS);
-    town.crash(leader);
-    town.crash(others.get(0));
-    town.fleet.heal();
-    town.slowDisks(5);
-    town.start(leader);
-    town.start(others.get(0));
-    town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none"));
+    cluster.fleet.playFor(1200 * TestCluster.MS);
+    cluster.crash(leader);
+    cluster.crash(others.get(0));
+    cluster.fleet.heal();
+    cluster.slowDisks(5);
+    cluster.start(leader);
+    cluster.start(others.get(0));
+    cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
     for (int i = 1; i < 4; i++) {
-      town.prepare(
+      cluster.prepare(
           "g2",
           TestCluster.definition("kept" + i, "select 'other' from orders_17.orders", 17),
           any -> {});
     }
-    town.fleet.playFor(4 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(town) : trouble;
+    cluster.fleet.playFor(4 * TestCluster.SECOND);
+    return trouble == null ? calmAgain(cluster) : trouble;
   }
 
   @Test
@@ -256,30 +257,30 @@
    * An entry that two voters hold; one of them comes back from a disk of before, while the other is
    * cut off.
    */
-  private static String oldDisk(TestCluster town) {
-    String trouble = settled(town);
-    town.fleet.playFor(TestCluster.SECOND);
-    String leader = town.leader();
-    List<String> others = town.voters.stream().filter(name -> !name.equals(leader)).toList();
+  private static String oldDisk(TestCluster cluster) {
+    String trouble = settled(cluster);
+    cluster.fleet.playFor(TestCluster.SECOND);
+    String leader = cluster.leader();
+    List<String> others = cluster.voters.stream().filter(name -> !name.equals(leader)).toList();
     String forgetful = others.get(0);
     String behind = others.get(1);
-    alone(town, behind);
-    NavigableMap<String, byte[]> copy = town.copyOf(forgetful);
-    town.prepare(
+    alone(cluster, behind);
+    NavigableMap<String, byte[]> copy = cluster.copyOf(forgetful);
+    cluster.prepare(
         "g1", TestCluster.definition("kept", "select 'one' from orders_17.orders", 17), any -> {});
-    town.fleet.playFor(TestCluster.SECOND);
-    town.fleet.heal();
-    alone(town, leader);
-    town.startOld(forgetful, copy);
-    town.until(
+    cluster.fleet.playFor(TestCluster.SECOND);
+    cluster.fleet.heal();
+    alone(cluster, leader);
+    cluster.startOld(forgetful, copy);
+    cluster.until(
         8 * TestCluster.SECOND,
-        () -> town.leader().contains("+") || town.leader().equals(forgetful));
-    town.prepare(
+        () -> cluster.leader().contains("+") || cluster.leader().equals(forgetful));
+    cluster.prepare(
         "g2",
         TestCluster.definition("kept", "select 'other' from orders_17.orders", 17),
         any -> {});
-    town.fleet.playFor(3 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(town) : trouble;
+    cluster.fleet.playFor(3 * TestCluster.SECOND);
+    return trouble == null ? calmAgain(cluster) : trouble;
   }
 
   @Test
@@ -291,37 +292,40 @@
   }
 
   /** A change while an engine is at a hop for as long as the lease lasts. */
-  private static String changeWhileHopIsOut(TestCluster town) {
-    town.worksFor = 4 * TestCluster.SECOND;
-    String trouble = settled(town);
+  private static String changeWhileAttemptIsOut(TestCluster cluster) {
+    cluster.worksFor = 4 * TestCluster.SECOND;
+    String trouble = settled(cluster);
     // A voter that has just started is clear of nothing.
-    town.fleet.playFor(2 * TestCluster.SECOND);
-    town.run("g1", "top");
-    town.fleet.playFor(10 * TestCluster.MS);
-    town.announce("g2", TestCluster.untouched(17), any -> {});
-    town.fleet.playFor(5 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(town) : trouble;
+    cluster.fleet.playFor(2 * TestCluster.SECOND);
+    cluster.run("g1", "top");
+    cluster.fleet.playFor(10 * TestCluster.MS);
+    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.fleet.playFor(5 * TestCluster.SECOND);
+    return trouble == null ? calmAgain(cluster) : trouble;
   }
 
   /** A change after a gateway gave a hop up, with its engine still at it. */
-  private static String changeAfterDoubt(TestCluster town) {
-    town.worksFor = 20 * TestCluster.MS;
-    town.inDoubt = 1;
-    String trouble = settled(town);
+  private static String changeAfterDoubt(TestCluster cluster) {
+    cluster.worksFor = 20 * TestCluster.MS;
+    cluster.inDoubt = 1;
+    String trouble = settled(cluster);
     // A voter that has just started is clear of nothing.
-    town.fleet.playFor(2 * TestCluster.SECOND);
-    town.run("g1", "top");
-    town.fleet.playFor(50 * TestCluster.MS);
-    town.announce("g2", TestCluster.untouched(17), any -> {});
-    town.fleet.playFor(5 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(town) : trouble;
+    cluster.fleet.playFor(2 * TestCluster.SECOND);
+    cluster.run("g1", "top");
+    cluster.fleet.playFor(50 * TestCluster.MS);
+    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.fleet.playFor(5 * TestCluster.SECOND);
+    return trouble == null ? calmAgain(cluster) : trouble;
   }
 
   @Test
-  void aGatewayThatGivesALeaseBackUnderAHop() {
+  void aGatewayThatGivesALeaseBackUnderAnAttempt() {
     String words =
         "N ms: group N changes while a hop of gN is at an engine, under a lease until N ms";
-    caught(InjectedFault.GIVES_BACK_WITH_HOPS_OUT, InjectedFaultsTest::changeWhileHopIsOut, words);
+    caught(
+        InjectedFault.GIVES_BACK_WITH_ATTEMPTS_OUT,
+        InjectedFaultsTest::changeWhileAttemptIsOut,
+        words);
     caught(InjectedFault.TRUSTS_ENDINGS, InjectedFaultsTest::changeAfterDoubt, words);
   }
 
--- a/statements/src/test/java/tillerlink/statements/Measure.java
+++ b/statements/src/test/java/tillerlink/statements/Measure.java
@@ -15,88 +15,88 @@
   private Measure() {}
 
   public static void main(String[] args) {
-    change("calm", town -> {});
+    change("calm", cluster -> {});
     change(
         "runs at all gateways, hops of 2 to 42 ms",
-        town -> {
-          town.all.forEach(name -> load(town, name));
-          town.fleet.playFor(2 * TestCluster.SECOND);
+        cluster -> {
+          cluster.all.forEach(name -> load(cluster, name));
+          cluster.fleet.playFor(2 * TestCluster.SECOND);
         });
     change(
         "the same, one in 1,000 hops in doubt",
-        town -> {
-          town.inDoubt = 0.001;
-          town.all.forEach(name -> load(town, name));
-          town.fleet.playFor(2 * TestCluster.SECOND);
+        cluster -> {
+          cluster.inDoubt = 0.001;
+          cluster.all.forEach(name -> load(cluster, name));
+          cluster.fleet.playFor(2 * TestCluster.SECOND);
         });
     change(
         "a hop that goes on for 500 ms",
-        town -> {
-          town.worksFor = 500 * TestCluster.MS;
-          town.run("g2", "top");
-          town.fleet.playFor(10 * TestCluster.MS);
+        cluster -> {
+          cluster.worksFor = 500 * TestCluster.MS;
+          cluster.run("g2", "top");
+          cluster.fleet.playFor(10 * TestCluster.MS);
         });
     change(
         "a hop in doubt",
-        town -> {
-          town.inDoubt = 1;
-          town.run("g2", "top");
-          town.fleet.playFor(50 * TestCluster.MS);
+        cluster -> {
+          cluster.inDoubt = 1;
+          cluster.run("g2", "top");
+          cluster.fleet.playFor(50 * TestCluster.MS);
         });
-    change("a gateway killed", town -> town.kill("g2"));
-    change("a gateway paused", town -> town.pause("g2"));
+    change("a gateway killed", cluster -> cluster.kill("g2"));
+    change("a gateway paused", cluster -> cluster.pause("g2"));
     change(
         "a gateway cut off",
-        town ->
-            town.all.stream()
+        cluster ->
+            cluster.all.stream()
                 .filter(other -> !other.equals("g2"))
-                .forEach(other -> town.fleet.between("g2", other, Fault.CUT)));
+                .forEach(other -> cluster.fleet.between("g2", other, Fault.CUT)));
     change(
         "a voter killed",
-        town ->
-            town.kill(
-                town.voters.stream()
-                    .filter(v -> !v.equals(town.leader()))
+        cluster ->
+            cluster.kill(
+                cluster.voters.stream()
+                    .filter(v -> !v.equals(cluster.leader()))
                     .findFirst()
                     .orElseThrow()));
-    change("the leader killed", town -> town.kill(town.leader()));
-    change("links of 40 ms", town -> town.fleet.usual(Fault.slow(400, 420)));
-    change("20% of messages lost", town -> town.fleet.usual(Fault.lossy(0.2)));
+    change("the leader killed", cluster -> cluster.kill(cluster.leader()));
+    change("links of 40 ms", cluster -> cluster.fleet.usual(Fault.slow(400, 420)));
+    change("20% of messages lost", cluster -> cluster.fleet.usual(Fault.lossy(0.2)));
     cost();
   }
 
-  private static void load(TestCluster town, String at) {
-    town.run(at, "top");
-    town.fleet.at(town.fleet.now() + 10 * TestCluster.MS, () -> load(town, at));
+  private static void load(TestCluster cluster, String at) {
+    cluster.run(at, "top");
+    cluster.fleet.at(cluster.fleet.now() + 10 * TestCluster.MS, () -> load(cluster, at));
   }
 
   private static void change(String words, Consumer<TestCluster> trouble) {
     List<Long> effects = new ArrayList<>();
     List<Long> gaps = new ArrayList<>();
     for (int seed = 1; seed <= TIMES; seed++) {
-      TestCluster town = new TestCluster(seed, 3, 4);
-      town.leaseLength = 3 * TestCluster.SECOND;
-      town.startAll();
-      town.until(20 * TestCluster.SECOND, () -> !town.leader().equals("none"));
-      town.prepare(
+      TestCluster cluster = new TestCluster(seed, 3, 4);
+      cluster.leaseLength = 3 * TestCluster.SECOND;
+      cluster.startAll();
+      cluster.until(20 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
+      cluster.prepare(
           "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
-      for (String name : town.all) {
-        town.until(5 * TestCluster.SECOND, () -> town.mayRun(name, "top").startsWith("yes"));
+      for (String name : cluster.all) {
+        cluster.until(5 * TestCluster.SECOND, () -> cluster.mayRun(name, "top").startsWith("yes"));
       }
-      town.fleet.playFor(5 * TestCluster.SECOND + seed * 7);
-      trouble.accept(town);
-      long from = town.fleet.now();
-      town.announce("g1", TestCluster.untouched(17), any -> {});
-      town.until(
+      cluster.fleet.playFor(5 * TestCluster.SECOND + seed * 7);
+      trouble.accept(cluster);
+      long from = cluster.fleet.now();
+      cluster.announce("g1", TestCluster.untouched(17), any -> {});
+      cluster.until(
           60 * TestCluster.SECOND,
           () ->
-              town.part("g3").catalog().version(17) == 2
-                  || !town.mayRun("g3", "top").startsWith("yes"));
-      long lost = town.fleet.now();
-      town.until(60 * TestCluster.SECOND, () -> town.part("g1").catalog().version(17) == 2);
-      effects.add(town.fleet.now() - from);
-      town.until(60 * TestCluster.SECOND, () -> town.mayRun("g3", "top").startsWith("yes"));
-      gaps.add(town.fleet.now() - lost);
+              cluster.part("g3").catalog().version(17) == 2
+                  || !cluster.mayRun("g3", "top").startsWith("yes"));
+      long lost = cluster.fleet.now();
+      cluster.until(60 * TestCluster.SECOND, () -> cluster.part("g1").catalog().version(17) == 2);
+      effects.add(cluster.fleet.now() - from);
+      cluster.until(60 * TestCluster.SECOND, () -> cluster.mayRun("g3", "top").startsWith("yes"));
+      gaps.add(cluster.fleet.now() - lost);
     }
     System.out.println(
         "| "
@@ -121,15 +121,15 @@
   }
 
   private static void cost() {
-    TestCluster town = new TestCluster(1, 3, 1);
-    town.leaseLength = 1000 * TestCluster.SECOND;
-    town.startAll();
-    town.until(20 * TestCluster.SECOND, () -> !town.leader().equals("none"));
-    town.prepare(
+    TestCluster cluster = new TestCluster(1, 3, 1);
+    cluster.leaseLength = 1000 * TestCluster.SECOND;
+    cluster.startAll();
+    cluster.until(20 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
+    cluster.prepare(
         "g1", TestCluster.definition("top", "select * from orders_17.orders", 17, 18), any -> {});
-    town.until(5 * TestCluster.SECOND, () -> town.mayRun("g1", "top").startsWith("yes"));
-    Statements part = town.part("g1");
-    long now = town.fleet.now();
+    cluster.until(5 * TestCluster.SECOND, () -> cluster.mayRun("g1", "top").startsWith("yes"));
+    Statements part = cluster.part("g1");
+    long now = cluster.fleet.now();
     for (int round = 0; round < 6; round++) {
       long sum = 0;
       long begin = System.nanoTime();
--- a/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
@@ -26,14 +26,14 @@
     public String trace() {
       StringBuilder out = new StringBuilder();
       history.events.forEach(line -> out.append(line).append('\n'));
-      history.town.notes.forEach(line -> out.append(line).append('\n'));
-      history.town.all.forEach(name -> out.append(history.town.told(name)).append('\n'));
+      history.cluster.notes.forEach(line -> out.append(line).append('\n'));
+      history.cluster.all.forEach(name -> out.append(history.cluster.told(name)).append('\n'));
       return out.toString();
     }
 
     @Override
     public long[] sums() {
-      Audit audit = history.town.audit;
+      Audit audit = history.cluster.audit;
       return new long[] {
         history.faults, audit.runs, audit.turnedBack, audit.calledOff, audit.effects
       };
--- a/statements/src/test/java/tillerlink/statements/StatementsTest.java
+++ b/statements/src/test/java/tillerlink/statements/StatementsTest.java
@@ -11,30 +11,30 @@
 class StatementsTest {
   @Test
   void aCalmFleetPreparesRunsAndChanges() {
-    TestCluster town = new TestCluster(1, 3, 2);
-    town.startAll();
+    TestCluster cluster = new TestCluster(1, 3, 2);
+    cluster.startAll();
     List<Outcome> outcomes = new ArrayList<>();
     assertTrue(
-        town.until(5 * TestCluster.SECOND, () -> !town.leader().equals("none")),
-        town.notes.toString());
-    town.prepare(
+        cluster.until(5 * TestCluster.SECOND, () -> !cluster.leader().equals("none")),
+        cluster.notes.toString());
+    cluster.prepare(
         "g1", TestCluster.definition("top", "select * from orders_17.orders", 17), outcomes::add);
-    assertTrue(town.until(TestCluster.SECOND, () -> outcomes.size() == 1));
+    assertTrue(cluster.until(TestCluster.SECOND, () -> outcomes.size() == 1));
     assertEquals(Outcome.Verdict.DONE, outcomes.get(0).verdict(), outcomes.toString());
     assertTrue(
-        town.until(TestCluster.SECOND, () -> town.mayRun("g2", "top").startsWith("yes")),
-        town.mayRun("g2", "top"));
-    town.announce("v1", TestCluster.renamed(17, "town"), outcomes::add);
+        cluster.until(TestCluster.SECOND, () -> cluster.mayRun("g2", "top").startsWith("yes")),
+        cluster.mayRun("g2", "top"));
+    cluster.announce("v1", TestCluster.renamed(17, "town"), outcomes::add);
     assertTrue(
-        town.until(5 * TestCluster.SECOND, () -> town.part("g2").catalog().version(17) == 2),
+        cluster.until(5 * TestCluster.SECOND, () -> cluster.part("g2").catalog().version(17) == 2),
         outcomes.toString());
     assertTrue(
-        town.until(TestCluster.SECOND, () -> town.mayRun("g2", "top").startsWith("yes")),
-        town.mayRun("g2", "top"));
+        cluster.until(TestCluster.SECOND, () -> cluster.mayRun("g2", "top").startsWith("yes")),
+        cluster.mayRun("g2", "top"));
     assertEquals(
         "select * from orders_17.orders where town = $1",
-        town.part("g2").lookUp("top").orElseThrow().definition().text());
-    assertTrue(town.until(TestCluster.SECOND, town::agree));
-    assertEquals(List.of(), town.audit.violations);
+        cluster.part("g2").lookUp("top").orElseThrow().definition().text());
+    assertTrue(cluster.until(TestCluster.SECOND, cluster::agree));
+    assertEquals(List.of(), cluster.audit.violations);
   }
 }
--- a/statements/src/test/java/tillerlink/statements/StoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/StoriesTest.java
@@ -13,39 +13,39 @@
 
 /** The hard cases of prepared statements, each as a timeline that people can read. */
 class StoriesTest {
-  private final TestCluster town = new TestCluster(3, 3, 2);
-  private final Timeline line = new Timeline(town);
+  private final TestCluster cluster = new TestCluster(3, 3, 2);
+  private final Timeline line = new Timeline(cluster);
   private final List<Outcome> outcomes = new ArrayList<>();
   private final List<String> told = new ArrayList<>();
 
   private void settled() {
-    town.startAll();
-    assertTrue(town.until(10 * TestCluster.SECOND, () -> !town.leader().equals("none")));
-    line.say(town.leader() + " leads");
+    cluster.startAll();
+    assertTrue(cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none")));
+    line.say(cluster.leader() + " leads");
     prepare("g1", "top", "select 1 from orders_17.orders", 17);
-    assertTrue(town.until(5 * TestCluster.SECOND, () -> runs("g1") && runs("g2")));
-    line.say("g1 and g2 run top: " + town.mayRun("g1", "top"));
+    assertTrue(cluster.until(5 * TestCluster.SECOND, () -> runs("g1") && runs("g2")));
+    line.say("g1 and g2 run top: " + cluster.mayRun("g1", "top"));
     load("g1");
     load("g2");
   }
 
   private boolean runs(String at) {
-    return town.mayRun(at, "top").startsWith("yes");
+    return cluster.mayRun(at, "top").startsWith("yes");
   }
 
   private void load(String at) {
-    town.run(at, "top");
-    town.fleet.at(town.fleet.now() + 10 * TestCluster.MS, () -> load(at));
+    cluster.run(at, "top");
+    cluster.fleet.at(cluster.fleet.now() + 10 * TestCluster.MS, () -> load(at));
   }
 
   private void prepare(String at, String name, String text, int... groups) {
     line.say(at + " is asked to prepare " + name);
-    town.prepare(at, TestCluster.definition(name, text, groups), outcome -> tell(at, outcome));
+    cluster.prepare(at, TestCluster.definition(name, text, groups), outcome -> tell(at, outcome));
   }
 
   private void announce(String at, String words, Change change) {
     line.say(at + " is asked to announce: " + words);
-    town.announce(at, change, outcome -> tell(at, outcome));
+    cluster.announce(at, change, outcome -> tell(at, outcome));
   }
 
   private void tell(String at, Outcome outcome) {
@@ -60,52 +60,52 @@
 
   /** Says whenever something that people would see is another than before. */
   private void watch(long lasts, int... groups) {
-    long end = town.fleet.now() + lasts;
-    while (town.fleet.now() < end) {
+    long end = cluster.fleet.now() + lasts;
+    while (cluster.fleet.now() < end) {
       List<String> now = new ArrayList<>();
-      for (String name : town.all) {
-        if (town.isUp(name) && !town.isPaused(name)) {
+      for (String name : cluster.all) {
+        if (cluster.isUp(name) && !cluster.isPaused(name)) {
           for (int group : groups) {
             now.add(
                 name
                     + " has group "
                     + group
                     + " at version "
-                    + town.part(name).catalog().version(group));
+                    + cluster.part(name).catalog().version(group));
           }
           if (name.startsWith("g")) {
-            now.add(name + " on top: " + town.mayRun(name, "top"));
+            now.add(name + " on top: " + cluster.mayRun(name, "top"));
           }
         }
       }
-      now.add("leader: " + town.leader());
+      now.add("leader: " + cluster.leader());
       now.stream().filter(words -> !told.contains(words)).forEach(line::say);
       told.clear();
       told.addAll(now);
-      town.fleet.playFor(5 * TestCluster.MS);
+      cluster.fleet.playFor(5 * TestCluster.MS);
     }
   }
 
   private void end(String name) throws IOException {
     assertTrue(
-        town.until(30 * TestCluster.SECOND, town::agree),
-        () -> town.all.stream().map(town::told).toList().toString());
+        cluster.until(30 * TestCluster.SECOND, cluster::agree),
+        () -> cluster.all.stream().map(cluster::told).toList().toString());
     line.say(
         "all agree; "
-            + (town.audit.violations.isEmpty() ? "no run under an old schema" : "violations"));
+            + (cluster.audit.violations.isEmpty() ? "no run under an old schema" : "violations"));
     line.isAsKept(name);
   }
 
   private void alone(String name) {
     line.say(name + " is cut off");
-    town.all.stream()
+    cluster.all.stream()
         .filter(other -> !other.equals(name))
-        .forEach(other -> town.fleet.between(name, other, Fault.CUT));
+        .forEach(other -> cluster.fleet.between(name, other, Fault.CUT));
   }
 
   private void heal() {
     line.say("the links are back");
-    town.fleet.heal();
+    cluster.fleet.heal();
   }
 
   @Test
@@ -131,11 +131,11 @@
   void aGatewayIsPausedThroughAChange() throws IOException {
     settled();
     line.say("g2 is stopped");
-    town.pause("g2");
+    cluster.pause("g2");
     announce("g1", "a change that removes what top uses", TestCluster.removed(17));
     watch(3 * TestCluster.SECOND, 17);
     line.say("g2 goes on");
-    town.resume("g2");
+    cluster.resume("g2");
     watch(TestCluster.SECOND, 17);
     end("paused");
   }
@@ -145,8 +145,8 @@
     settled();
     announce("g1", "a change that leaves top untouched", TestCluster.untouched(17));
     line.say("g2 is killed and starts again");
-    town.kill("g2");
-    town.start("g2");
+    cluster.kill("g2");
+    cluster.start("g2");
     watch(3 * TestCluster.SECOND, 17);
     end("restarted");
   }
@@ -156,31 +156,32 @@
     settled();
     for (int step = 0; step < 5; step++) {
       announce("g1", "change number " + (step + 1), TestCluster.untouched(17));
-      long version = town.part("g1").catalog().version(17);
+      long version = cluster.part("g1").catalog().version(17);
       int at = step;
-      town.until(
+      cluster.until(
           TestCluster.SECOND,
           () ->
               switch (at) {
                 case 0 -> true;
                 case 1 ->
-                    town.voters.stream()
-                        .anyMatch(v -> town.isUp(v) && !town.part(v).catalog().waiting().isEmpty());
-                case 2 -> !town.part("g1").catalog().waiting().isEmpty();
+                    cluster.voters.stream()
+                        .anyMatch(
+                            v -> cluster.isUp(v) && !cluster.part(v).catalog().waiting().isEmpty());
+                case 2 -> !cluster.part("g1").catalog().waiting().isEmpty();
                 case 3 ->
-                    town.voters.stream()
-                        .anyMatch(v -> town.part(v).catalog().version(17) > version);
-                default -> town.part("g1").catalog().version(17) > version;
+                    cluster.voters.stream()
+                        .anyMatch(v -> cluster.part(v).catalog().version(17) > version);
+                default -> cluster.part("g1").catalog().version(17) > version;
               });
-      String leader = town.leader();
+      String leader = cluster.leader();
       line.say(leader + " is killed, step " + step);
-      town.kill(leader);
+      cluster.kill(leader);
       watch(4 * TestCluster.SECOND, 17);
       line.say(leader + " starts again");
-      town.start(leader);
+      cluster.start(leader);
       assertTrue(
-          town.until(
-              10 * TestCluster.SECOND, () -> town.part(leader).voter().orElseThrow().isSound()));
+          cluster.until(
+              10 * TestCluster.SECOND, () -> cluster.part(leader).voter().orElseThrow().isSound()));
     }
     end("leader-dies");
   }
@@ -192,12 +193,12 @@
     announce("g1", "a change of 17 and 18", TestCluster.untouched(17, 18));
     announce("v1", "a change of 18 and 19", TestCluster.untouched(18, 19));
     announce("v2", "another of 17", TestCluster.untouched(17));
-    town.until(TestCluster.SECOND, () -> outcomes.size() == 4);
+    cluster.until(TestCluster.SECOND, () -> outcomes.size() == 4);
     line.say("the last is taken back");
-    town.takeBack("g1", outcomes.get(3).id(), outcome -> tell("g1", outcome));
+    cluster.takeBack("g1", outcomes.get(3).id(), outcome -> tell("g1", outcome));
     watch(3 * TestCluster.SECOND, 17, 18, 19);
     line.say("the first is taken back, too late");
-    town.takeBack("g1", outcomes.get(1).id(), outcome -> tell("g1", outcome));
+    cluster.takeBack("g1", outcomes.get(1).id(), outcome -> tell("g1", outcome));
     watch(TestCluster.SECOND, 17, 18, 19);
     heal();
     watch(TestCluster.SECOND, 17, 18, 19);
@@ -208,7 +209,7 @@
   void changesAreFasterThanASlowGateway() throws IOException {
     settled();
     line.say("all links to and from g2 take half a second to a second");
-    town.all.forEach(other -> town.fleet.between("g2", other, Fault.slow(5000, 10_000)));
+    cluster.all.forEach(other -> cluster.fleet.between("g2", other, Fault.slow(5000, 10_000)));
     for (int i = 0; i < 5; i++) {
       announce("g1", "change number " + (i + 1), TestCluster.untouched(17));
       watch(600 * TestCluster.MS, 17);
@@ -221,23 +222,25 @@
   @Test
   void aVoterFromAnEmptyDiskAndOneFromAnOldDisk() throws IOException {
     settled();
-    NavigableMap<String, byte[]> copy = town.copyOf("v2");
+    NavigableMap<String, byte[]> copy = cluster.copyOf("v2");
     announce("g1", "change number 1", TestCluster.untouched(17));
     watch(TestCluster.SECOND, 17);
     line.say("v2 starts from the disk as it was before that change");
-    town.startOld("v2", copy);
+    cluster.startOld("v2", copy);
     assertTrue(
-        town.until(20 * TestCluster.SECOND, () -> town.part("v2").voter().orElseThrow().isSound()));
+        cluster.until(
+            20 * TestCluster.SECOND, () -> cluster.part("v2").voter().orElseThrow().isSound()));
     line.say("v2 takes part again");
     watch(TestCluster.SECOND, 17);
     line.say("v3 starts from an empty disk");
-    town.startEmpty("v3");
+    cluster.startEmpty("v3");
     announce("g1", "change number 2", TestCluster.untouched(17));
     assertTrue(
-        town.until(20 * TestCluster.SECOND, () -> town.part("v3").voter().orElseThrow().isSound()));
+        cluster.until(
+            20 * TestCluster.SECOND, () -> cluster.part("v3").voter().orElseThrow().isSound()));
     line.say("v3 takes part again");
     watch(2 * TestCluster.SECOND, 17);
-    town.notes.forEach(note -> line.say("told: " + note));
+    cluster.notes.forEach(note -> line.say("told: " + note));
     end("disks");
   }
 
@@ -247,18 +250,18 @@
     prepare("g1", "both", "select 1 from orders_17.orders", 17);
     prepare("g2", "both", "select 2 from orders_17.orders", 17);
     watch(TestCluster.SECOND, 17);
-    town.all.forEach(
+    cluster.all.forEach(
         name ->
             line.say(
                 name
                     + " has both in generation "
-                    + town.part(name).lookUp("both").orElseThrow().generation()));
-    town.drop("v1", "both", outcome -> tell("v1", outcome));
-    town.fleet.playFor(TestCluster.SECOND);
-    line.say("g1 on both: " + town.mayRun("g1", "both"));
+                    + cluster.part(name).lookUp("both").orElseThrow().generation()));
+    cluster.drop("v1", "both", outcome -> tell("v1", outcome));
+    cluster.fleet.playFor(TestCluster.SECOND);
+    line.say("g1 on both: " + cluster.mayRun("g1", "both"));
     prepare("g2", "both", "select 2 from orders_17.orders", 17);
     watch(TestCluster.SECOND, 17);
-    line.say("g1 on both: " + town.mayRun("g1", "both"));
+    line.say("g1 on both: " + cluster.mayRun("g1", "both"));
     end("one-name");
   }
 }
--- a/statements/src/test/java/tillerlink/statements/Timeline.java
+++ b/statements/src/test/java/tillerlink/statements/Timeline.java
@@ -8,19 +8,19 @@
 
 /** What happened in a story, line by line, compared with what was kept. */
 final class Timeline {
-  private final TestCluster town;
+  private final TestCluster cluster;
   private final StringBuilder lines = new StringBuilder();
 
-  Timeline(TestCluster town) {
-    this.town = town;
+  Timeline(TestCluster cluster) {
+    this.cluster = cluster;
   }
 
   void say(String words) {
-    lines.append(String.format("%8s  %s%n", town.at(), words));
+    lines.append(String.format("%8s  %s%n", cluster.at(), words));
   }
 
   void isAsKept(String name) throws IOException {
-    assertEquals("[]", town.audit.violations.toString());
+    assertEquals("[]", cluster.audit.violations.toString());
     try (InputStream in = Timeline.class.getResourceAsStream("/timelines/" + name + ".txt")) {
       String kept = in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
       if (!kept.equals(lines.toString()) && Boolean.getBoolean("tillerlink.keep")) {
--- a/store/src/main/java/tillerlink/store/DurableTable.java
+++ b/store/src/main/java/tillerlink/store/DurableTable.java
@@ -22,7 +22,7 @@
   private final StorageDirectory disk;
   private final long owner;
   private final long segmentMost;
-  private final long bytesMost;
+  private final long maxBytes;
   private final NavigableMap<String, byte[]> values = new TreeMap<>();
   private final List<String> told = new ArrayList<>();
   private RecoveryReport found;
@@ -42,11 +42,11 @@
    * @param segmentMost bytes of log after which a snapshot is due
    * @param bytesMost bytes that keys and values may take together
    */
-  public DurableTable(StorageDirectory disk, long owner, long segmentMost, long bytesMost) {
+  public DurableTable(StorageDirectory disk, long owner, long segmentMost, long maxBytes) {
     this.disk = disk;
     this.owner = owner;
     this.segmentMost = segmentMost;
-    this.bytesMost = bytesMost;
+    this.maxBytes = maxBytes;
   }
 
   // ---- recovery ----
@@ -276,7 +276,7 @@
         tableBytes
             + (value == null ? 0 : size(key, value))
             - (before == null ? 0 : size(key, before));
-    if (failed || value != null && grown > bytesMost || value == null && before == null) {
+    if (failed || value != null && grown > maxBytes || value == null && before == null) {
       return value == null && before == null;
     }
     byte[] record =
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/Beside.java
@@ -30,7 +30,7 @@
     }
     OperatorFile.Storing store = file.store();
     long keepMost =
-        (store == null ? 0 : store.bytesMost())
+        (store == null ? 0 : store.maxBytes())
             + (file.channels() == null ? 0 : file.channels().diskMost())
             + (file.statements() == null ? 0 : StatementsComponentFactory.KEEP_MOST);
     return Peering.factory(
--- a/tools/src/main/java/tillerlink/cli/CheckCommand.java
+++ b/tools/src/main/java/tillerlink/cli/CheckCommand.java
@@ -33,7 +33,7 @@
               "%s is fine: %d layouts, %d tracks, %d troubles%s%s%n",
               file,
               read.layouts().size(),
-              read.tracks().size(),
+              read.requestClasses().size(),
               read.troubles().size(),
               read.fleet() == null
                   ? ""
--- a/tools/src/main/java/tillerlink/cli/DemoCommand.java
+++ b/tools/src/main/java/tillerlink/cli/DemoCommand.java
@@ -55,7 +55,7 @@
           new Job(
               List.of(Shard.of(trace)),
               LAYOUT,
-              BuiltIn.tracks(LAYOUT),
+              BuiltIn.requestClasses(LAYOUT),
               Fleet.builtIn(2),
               List.of(),
               (long) (60 * Words.SECOND),
--- a/tools/src/main/java/tillerlink/cli/ExploreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ExploreCommand.java
@@ -32,7 +32,7 @@
       names = "--submissions",
       defaultValue = "3",
       description = "how many (default ${DEFAULT-VALUE})")
-  private int submissions;
+  private int requests;
 
   @Option(
       names = "--failures",
@@ -53,8 +53,8 @@
   public Integer call() {
     if (engines < 1
         || engines > 20
-        || submissions < 1
-        || submissions > 50
+        || requests < 1
+        || requests > 50
         || failures < 0
         || failures > 10) {
       throw new CommandLine.ParameterException(
@@ -65,9 +65,7 @@
     PrintWriter err = spec.commandLine().getErr();
     Explorer.Found found =
         new Explorer(
-                new Player(engines, submissions, http2, DefaultDispatchPolicy::new),
-                failures,
-                minutes)
+                new Player(engines, requests, http2, DefaultDispatchPolicy::new), failures, minutes)
             .explore(
                 (histories, distinct, depth) -> {
                   err.printf(
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -214,7 +214,9 @@
     return new Job(
         Words.shards(files),
         chosen,
-        file != null && !file.tracks().isEmpty() ? file.tracks() : BuiltIn.tracks(chosen),
+        file != null && !file.requestClasses().isEmpty()
+            ? file.requestClasses()
+            : BuiltIn.requestClasses(chosen),
         speaking(gateways == null ? fleet : fleet.behind(gateways), file),
         file == null ? List.of() : file.troubles(),
         ordering,
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -39,7 +39,7 @@
                 store == null
                     ? null
                     : PersistentEndpointCache.open(
-                        Path.of(store.folder()), assignment, store.ageMost(), store.bytesMost()),
+                        Path.of(store.folder()), assignment, store.ageMost(), store.maxBytes()),
             file == null ? null : Beside.of(file));
     return 0;
   }
--- a/tools/src/main/java/tillerlink/cli/Summary.java
+++ b/tools/src/main/java/tillerlink/cli/Summary.java
@@ -18,7 +18,7 @@
         "served %.4f whole, %.4f worst 10 s, %.4f worst track; %s, %s engines%n",
         figures.whole(),
         figures.worstWindow(),
-        figures.worstTrack(),
+        figures.worstRequestClass(),
         run.job().policyName(),
         run.lag() == null ? "emulated" : "stand-in");
     if (run.lag() != null) {
@@ -42,11 +42,11 @@
         "gone",
         "half ms",
         "99% ms");
-    for (Figures.OfTrack of : figures.tracks()) {
+    for (Figures.OfRequestClass of : figures.requestClasses()) {
       out.printf(
           Locale.ROOT,
           "%-8s %9d %8.4f %7d %8d %8d %7d %9.1f %9.1f%n",
-          of.track().name(),
+          of.requestClass().name(),
           of.arrived(),
           of.served(),
           of.ended(End.LATE),
@@ -62,12 +62,12 @@
         run.arrivals().tally().rowsRead(),
         run.arrivals().tally().rowsUsed(),
         run.arrivals().tally().bad(),
-        run.auditor().hops(),
-        run.auditor().furtherHops());
+        run.auditor().attempts(),
+        run.auditor().retries());
     run.world().happened().forEach(out::println);
-    for (Violation breach :
-        run.auditor().breaches().subList(0, Math.min(5, run.auditor().breaches().size()))) {
-      out.println("  " + breach.what());
+    for (Violation violation :
+        run.auditor().violations().subList(0, Math.min(5, run.auditor().violations().size()))) {
+      out.println("  " + violation.what());
     }
     out.println(run.verdict());
     out.flush();
--- a/tools/src/main/java/tillerlink/cli/TraceCommand.java
+++ b/tools/src/main/java/tillerlink/cli/TraceCommand.java
@@ -22,8 +22,8 @@
 import tillerlink.trace.TaskReader;
 import tillerlink.trace.TraceMaker;
 import tillerlink.workload.BuiltIn;
+import tillerlink.workload.RequestClassSpec;
 import tillerlink.workload.Survey;
-import tillerlink.workload.Track;
 
 /** Makes traces, and looks at them. */
 @Command(
@@ -147,12 +147,15 @@
     @Override
     public Integer call() throws IOException {
       Layout chosen = Words.layout(layout, List.of());
-      List<Track> tracks = BuiltIn.tracks(chosen);
+      List<RequestClassSpec> requestClasses = BuiltIn.requestClasses(chosen);
       Tally tally = new Tally();
-      Survey survey = new Survey(tracks.size());
+      Survey survey = new Survey(requestClasses.size());
       try (TaskReader reader =
           new TaskReader(
-              chosen, Words.shards(files), tracks.stream().map(Track::rows).toList(), tally)) {
+              chosen,
+              Words.shards(files),
+              requestClasses.stream().map(RequestClassSpec::rows).toList(),
+              tally)) {
         survey.addAll(reader, Long.MAX_VALUE);
       }
       PrintWriter print = spec.commandLine().getOut();
--- a/tools/src/main/java/tillerlink/explore/Player.java
+++ b/tools/src/main/java/tillerlink/explore/Player.java
@@ -19,17 +19,17 @@
 import tillerlink.replay.GatewayConnections;
 import tillerlink.replay.Wording;
 import tillerlink.workload.Arrival;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /** Plays one history of the real gateway and module from its deviations, always the same way. */
 public final class Player {
   private static final long START = 17_000_000_000_000L;
   private static final long SECOND = 10_000;
-  private static final List<Track> TRACKS =
+  private static final List<RequestClassSpec> REQUEST_CLASSES =
       List.of(
-          new Track(
+          new RequestClassSpec(
               "book", Effect.EFFECTFUL, 1, SECOND / 2, SECOND, 1, 0.5, List.of(), 0, 1, List.of()),
-          new Track(
+          new RequestClassSpec(
               "intake",
               Effect.RECEIPTED,
               1,
@@ -41,7 +41,7 @@
               2 * SECOND,
               1,
               List.of()),
-          new Track(
+          new RequestClassSpec(
               "sheet",
               Effect.PURE,
               1,
@@ -55,16 +55,16 @@
               List.of()));
 
   private final Fleet fleet;
-  private final int submissions;
+  private final int requests;
   private final DispatchPolicyFactory modules;
 
   /**
    * @param http2 whether engines speak HTTP/2, else engine lines
    */
-  public Player(int engines, int submissions, boolean http2, DispatchPolicyFactory modules) {
+  public Player(int engines, int requests, boolean http2, DispatchPolicyFactory modules) {
     Fleet plain = Fleet.of(1, engines);
     fleet = plain.overHttp2(kind -> http2);
-    this.submissions = submissions;
+    this.requests = requests;
     this.modules = modules;
   }
 
@@ -110,7 +110,7 @@
     private final Set<String> ran = new HashSet<>();
 
     Telling(Fleet fleet, List<String> told) {
-      super(fleet, TRACKS);
+      super(fleet, REQUEST_CLASSES);
       this.told = told;
     }
 
@@ -119,9 +119,10 @@
     }
 
     @Override
-    public void taken(long now, int gateway, String id, int track, String key, long leavesAt) {
-      tell(now, "a " + TRACKS.get(track).name() + " is handed in: " + id);
-      super.taken(now, gateway, id, track, key, leavesAt);
+    public void taken(
+        long now, int gateway, String id, int requestClass, String key, long clientDeadline) {
+      tell(now, "a " + REQUEST_CLASSES.get(requestClass).name() + " is handed in: " + id);
+      super.taken(now, gateway, id, requestClass, key, clientDeadline);
     }
 
     @Override
@@ -147,14 +148,14 @@
     List<String> told = new ArrayList<>();
     Telling auditor = new Telling(fleet, told);
     Noting noting = new Noting(deviations, told);
-    World world = new World(fleet, TRACKS, auditor, START);
+    World world = new World(fleet, REQUEST_CLASSES, auditor, START);
     noting.world = world;
     world.choices = noting;
     world.seat(modules, 1);
-    Figures figures = new Figures(TRACKS);
+    Figures figures = new Figures(REQUEST_CLASSES);
     Front front = new Front(world, new GatewayConnections(world), figures, new Wording(1, 0));
-    for (int i = 0; i < submissions; i++) {
-      Arrival arrival = new Arrival(i * 120L, i, i % TRACKS.size(), 400, 1, i, i);
+    for (int i = 0; i < requests; i++) {
+      Arrival arrival = new Arrival(i * 120L, i, i % REQUEST_CLASSES.size(), 400, 1, i, i);
       world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
     }
     world.timeline.at(
@@ -171,12 +172,12 @@
                     1));
           }
         });
-    while (figures.arrived() < submissions || front.open() > 0) {
+    while (figures.arrived() < requests || front.open() > 0) {
       world.timeline.step();
     }
     List<String> wrong = new ArrayList<>();
-    for (Violation breach : auditor.breaches()) {
-      wrong.add(breach.rule() + ": " + breach.what());
+    for (Violation violation : auditor.violations()) {
+      wrong.add(violation.rule() + ": " + violation.what());
     }
     if (!figures.addsUp()) {
       wrong.add("ANSWER: submissions and endings do not add up");
--- a/tools/src/test/java/tillerlink/cli/VerdictTest.java
+++ b/tools/src/test/java/tillerlink/cli/VerdictTest.java
@@ -45,7 +45,7 @@
         new Job(
             List.of(Shard.of(trace)),
             Layout.ALIBABA_2018,
-            BuiltIn.tracks(Layout.ALIBABA_2018),
+            BuiltIn.requestClasses(Layout.ALIBABA_2018),
             Fleet.builtIn(2),
             List.of(),
             600_000,
--- a/tools/src/test/java/tillerlink/explore/ExplorerTest.java
+++ b/tools/src/test/java/tillerlink/explore/ExplorerTest.java
@@ -58,8 +58,8 @@
         explore(
             1,
             false,
-            (now, seed, settings, orders) -> {
-              DispatchPolicy real = new DefaultDispatchPolicy(now, seed, settings, orders);
+            (now, seed, settings, actions) -> {
+              DispatchPolicy real = new DefaultDispatchPolicy(now, seed, settings, actions);
               return (DispatchPolicy)
                   Proxy.newProxyInstance(
                       DispatchPolicy.class.getClassLoader(),
@@ -67,8 +67,8 @@
                       (proxy, method, args) -> {
                         for (int i = 0; args != null && i < args.length; i++) {
                           args[i] =
-                              args[i] == AttemptOutcome.SEVERED
-                                  ? AttemptOutcome.NEVER_SENT
+                              args[i] == AttemptOutcome.CONNECTION_LOST
+                                  ? AttemptOutcome.NOT_SENT
                                   : args[i];
                         }
                         return method.invoke(real, args);
@@ -86,7 +86,7 @@
         explore(
             1,
             false,
-            (now, seed, settings, orders) ->
+            (now, seed, settings, actions) ->
                 new DefaultDispatchPolicy(
                     now,
                     seed,
@@ -96,9 +96,9 @@
                             DispatchActions.class.getClassLoader(),
                             new Class<?>[] {DispatchActions.class},
                             (proxy, method, args) ->
-                                method.getName().equals("breakOff") && args[0] instanceof Request
+                                method.getName().equals("failRequest") && args[0] instanceof Request
                                     ? null
-                                    : method.invoke(orders, args))));
+                                    : method.invoke(actions, args))));
     assertTrue(
         found.wrong().wrong().get(0).startsWith("ANSWER: "), found.wrong().wrong().toString());
   }
--- a/tools/src/test/java/tillerlink/replay/BlindStartTest.java
+++ b/tools/src/test/java/tillerlink/replay/BlindStartTest.java
@@ -24,7 +24,7 @@
 import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.workload.Arrival;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * Gateways that start with discovery down, from lists of all ages, and discovery that comes back.
@@ -34,12 +34,13 @@
   private static final long HOUR = 3600 * SECOND;
   private static final long START = 17_000_000_000_000L;
   private static final long LONGEST = 2 * SECOND;
-  private static final List<Track> TRACKS =
+  private static final List<RequestClassSpec> REQUEST_CLASSES =
       List.of(
-          new Track("look", Effect.PURE, 1, SECOND, LONGEST, 1, 0.5, List.of(), 0, 1, List.of()),
-          new Track(
+          new RequestClassSpec(
+              "look", Effect.PURE, 1, SECOND, LONGEST, 1, 0.5, List.of(), 0, 1, List.of()),
+          new RequestClassSpec(
               "book", Effect.EFFECTFUL, 1, SECOND, LONGEST, 1, 0.5, List.of(), 0, 1, List.of()),
-          new Track(
+          new RequestClassSpec(
               "sheet",
               Effect.PURE,
               1,
@@ -59,7 +60,7 @@
     private int outOfList;
 
     Counted(Fleet fleet) {
-      super(fleet, TRACKS);
+      super(fleet, REQUEST_CLASSES);
     }
 
     @Override
@@ -118,14 +119,14 @@
         .setLevel(ch.qos.logback.classic.Level.ERROR);
     Fleet fleet = Fleet.of(gateways, 12);
     Counted auditor = new Counted(fleet);
-    World world = new World(fleet, TRACKS, auditor, START);
+    World world = new World(fleet, REQUEST_CLASSES, auditor, START);
     TreeMap<String, byte[]> stored = age == null ? new TreeMap<>() : remembered(world, age);
     world.namesDownUntil = down ? START + 8 * SECOND : 0;
-    world.recalls =
+    world.endpointCaches =
         place ->
             new EndpointHistory(stored, LONGEST, 13 * SECOND, 24 * HOUR, (key, value, soon) -> {});
     world.seat(DefaultDispatchPolicy::new, 4);
-    Figures figures = new Figures(TRACKS);
+    Figures figures = new Figures(REQUEST_CLASSES);
     Front front = new Front(world, new GatewayConnections(world), figures, new Wording(4, 0.2));
     int count = 6000;
     for (int i = 0; i < count; i++) {
@@ -145,7 +146,7 @@
     while (figures.arrived() < count || front.open() > 0) {
       world.timeline.step();
     }
-    assertTrue(auditor.counts().isEmpty(), name + auditor.breaches());
+    assertTrue(auditor.counts().isEmpty(), name + auditor.violations());
     assertTrue(figures.addsUp());
     assertTrue(
         !down || auditor.outOfList == 0,
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -22,7 +22,7 @@
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.workload.Arrival;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * Many short histories of submissions whose guards cease to hold at any moment, also between the
@@ -31,18 +31,19 @@
  */
 class GuardedHistoriesTest {
   private static final long START = 17_000_000_000_000L;
-  private static final int SUBMISSIONS = 6;
+  private static final int REQUESTS = 6;
 
   /** After the last answer, for hops that are called off: tenths of a millisecond. */
   private static final long SETTLE = 20;
 
-  private static final List<Track> TRACKS =
+  private static final List<RequestClassSpec> REQUEST_CLASSES =
       List.of(
-          new Track(
+          new RequestClassSpec(
               "book", Effect.EFFECTFUL, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()),
-          new Track(
+          new RequestClassSpec(
               "load", Effect.RECEIPTED, 1, 10_000, 20_000, 1, 0.5, List.of(), 30_000, 1, List.of()),
-          new Track("look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
+          new RequestClassSpec(
+              "look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
 
   /** What is planted to see that it is caught. */
   private enum Planted {
@@ -62,7 +63,7 @@
     private final Map<Answer, Integer> answers = new HashMap<>();
 
     Watching(Fleet fleet) {
-      super(fleet, TRACKS);
+      super(fleet, REQUEST_CLASSES);
     }
 
     @Override
@@ -157,7 +158,8 @@
 
     @Override
     public boolean handlesPath(String path) {
-      return TRACKS.stream().anyMatch(track -> path.equals("/v1/" + track.name()));
+      return REQUEST_CLASSES.stream()
+          .anyMatch(requestClass -> path.equals("/v1/" + requestClass.name()));
     }
 
     @Override
@@ -194,13 +196,13 @@
     Random random = new Random(seed);
     Fleet fleet = http2 ? Fleet.of(1, 2).overHttp2(kind -> true) : Fleet.of(1, 2);
     Watching watching = new Watching(fleet);
-    World world = new World(fleet, TRACKS, watching, START);
+    World world = new World(fleet, REQUEST_CLASSES, watching, START);
     world.mischief = random;
     world.seat(DefaultDispatchPolicy::new, seed);
     world.seats.get(0).beside(door -> new Aside(door, watching, random, planted));
-    Figures figures = new Figures(TRACKS);
+    Figures figures = new Figures(REQUEST_CLASSES);
     Front front = new Front(world, new GatewayConnections(world), figures, new Wording(seed, 0.2));
-    for (int i = 0; i < SUBMISSIONS; i++) {
+    for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival =
           new Arrival(
               random.nextInt(1500), i, random.nextInt(3), 100 + random.nextInt(2000), 1, i, i + 7);
@@ -209,7 +211,7 @@
           START + random.nextInt(12_000),
           () ->
               watching.guards.values().stream()
-                  .skip(random.nextInt(SUBMISSIONS))
+                  .skip(random.nextInt(REQUESTS))
                   .limit(1)
                   .forEach(guard -> guard.valid = false));
     }
@@ -235,7 +237,7 @@
             "e" + (1 + random.nextInt(2)),
             3000,
             1));
-    while (figures.arrived() < SUBMISSIONS || front.open() > 0) {
+    while (figures.arrived() < REQUESTS || front.open() > 0) {
       world.timeline.step();
     }
     world.timeline.follow(world.timeline.now() + SETTLE);
@@ -246,14 +248,14 @@
                     ? ""
                     : id + " has hops that began and did not end, or the other way round; "));
     watching
-        .breaches()
+        .violations()
         .forEach(
-            breach ->
+            violation ->
                 watching
                     .wrong
-                    .append(breach.rule())
+                    .append(violation.rule())
                     .append(' ')
-                    .append(breach.what())
+                    .append(violation.what())
                     .append("; "));
     if (!figures.addsUp()) {
       watching.wrong.append("submissions do not add up; ");
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -36,7 +36,7 @@
 import tillerlink.workload.Arrival;
 import tillerlink.workload.BuiltIn;
 import tillerlink.workload.Plan;
-import tillerlink.workload.Track;
+import tillerlink.workload.RequestClassSpec;
 
 /**
  * Many short histories of a gateway and two engines over HTTP/2, in which engines leave, refuse,
@@ -45,15 +45,16 @@
  */
 class Http2HistoriesTest {
   private static final long START = 17_000_000_000_000L;
-  private static final int SUBMISSIONS = 5;
+  private static final int REQUESTS = 5;
   private static final boolean TOLD = System.getProperty("story") != null;
-  private static final List<Track> TRACKS =
+  private static final List<RequestClassSpec> REQUEST_CLASSES =
       List.of(
-          new Track(
+          new RequestClassSpec(
               "book", Effect.EFFECTFUL, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()),
-          new Track(
+          new RequestClassSpec(
               "load", Effect.RECEIPTED, 1, 10_000, 20_000, 1, 0.5, List.of(), 30_000, 1, List.of()),
-          new Track("look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
+          new RequestClassSpec(
+              "look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
 
   /** What engines may do. */
   private enum Mood {
@@ -72,10 +73,10 @@
 
   private static final class Counted extends Auditor {
     private final Set<String> ran = new HashSet<>();
-    private final Set<String> brokenOff = new HashSet<>();
+    private final Set<String> failed = new HashSet<>();
 
     Counted(Fleet fleet) {
-      super(fleet, TRACKS);
+      super(fleet, REQUEST_CLASSES);
     }
 
     /** With {@code -Dstory=SEED} the history of that seed is told. */
@@ -92,9 +93,9 @@
     }
 
     @Override
-    public void over(String id, boolean provesIdle) {
-      tell(START, id + (provesIdle ? " never ran" : " is over"));
-      super.over(id, provesIdle);
+    public void over(String id, boolean provesNotExecuted) {
+      tell(START, id + (provesNotExecuted ? " never ran" : " is over"));
+      super.over(id, provesNotExecuted);
     }
 
     @Override
@@ -109,7 +110,7 @@
       tell(now, id + " " + answer);
       super.answered(now, id, answer);
       if (answer == Answer.BROKEN_OFF) {
-        brokenOff.add(id);
+        failed.add(id);
       }
     }
   }
@@ -218,8 +219,8 @@
     }
 
     @Override
-    public boolean leftBehind(LineProtocolServer sender, String hop) {
-      return side.leftBehind(sender, hop);
+    public boolean leftBehind(LineProtocolServer sender, String attempt) {
+      return side.leftBehind(sender, attempt);
     }
 
     @Override
@@ -233,7 +234,7 @@
     Random random = new Random(seed);
     Fleet fleet = Fleet.of(1, 2).overHttp2(kind -> true);
     Counted auditor = new Counted(fleet);
-    World world = new World(fleet, TRACKS, auditor, START);
+    World world = new World(fleet, REQUEST_CLASSES, auditor, START);
     List<Moody> sides = new ArrayList<>();
     world.sides =
         spec -> {
@@ -242,10 +243,10 @@
         };
     world.mischief = random;
     world.seat(DefaultDispatchPolicy::new, seed);
-    Figures figures = new Figures(TRACKS);
+    Figures figures = new Figures(REQUEST_CLASSES);
     Front front = new Front(world, new GatewayConnections(world), figures, new Wording(seed, 0.2));
     List<Arrival> arrivals = new ArrayList<>();
-    for (int i = 0; i < SUBMISSIONS; i++) {
+    for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival =
           new Arrival(
               random.nextInt(1500), i, random.nextInt(3), 100 + random.nextInt(2000), 1, i, i + 7);
@@ -276,14 +277,15 @@
               3000,
               1));
     }
-    while (figures.arrived() < SUBMISSIONS || front.open() > 0) {
+    while (figures.arrived() < REQUESTS || front.open() > 0) {
       world.timeline.step();
     }
     StringBuilder wrong = new StringBuilder();
     auditor
-        .breaches()
+        .violations()
         .forEach(
-            breach -> wrong.append(breach.rule()).append(' ').append(breach.what()).append("; "));
+            violation ->
+                wrong.append(violation.rule()).append(' ').append(violation.what()).append("; "));
     if (!figures.addsUp()) {
       wrong.append("submissions do not add up; ");
     }
@@ -291,7 +293,7 @@
       Wording wording = new Wording(seed, 0.2);
       for (Arrival arrival : arrivals) {
         String id = wording.id(arrival);
-        if (auditor.brokenOff.contains(id) && !auditor.ran.contains(id)) {
+        if (auditor.failed.contains(id) && !auditor.ran.contains(id)) {
           wrong.append(id).append(" was lost though it never ran; ");
         }
       }
@@ -348,7 +350,7 @@
         new Job(
             List.of(Shard.of(file)),
             Layout.ALIBABA_2018,
-            BuiltIn.tracks(Layout.ALIBABA_2018),
+            BuiltIn.requestClasses(Layout.ALIBABA_2018),
             Fleet.of(1, 4).overHttp2(kind -> true),
             List.of(),
             36_000_000,
@@ -371,7 +373,7 @@
               arrived -> {},
               null,
               world -> world.sides = spec -> new Moody(random, Mood.WILD));
-      assertTrue(played.auditor().counts().isEmpty(), played.auditor().breaches().toString());
+      assertTrue(played.auditor().counts().isEmpty(), played.auditor().violations().toString());
       assertTrue(played.figures().addsUp());
       assertEquals(300, played.figures().arrived());
       assertTrue(played.figures().whole() > 0.1, "served " + played.figures().whole());
--- a/tools/src/test/java/tillerlink/replay/ReplayTest.java
+++ b/tools/src/test/java/tillerlink/replay/ReplayTest.java
@@ -63,7 +63,7 @@
     return new Job(
         List.of(Shard.of(trace)),
         layout,
-        BuiltIn.tracks(layout),
+        BuiltIn.requestClasses(layout),
         fleet,
         List.of(troubles),
         3600 * SECOND,
@@ -92,7 +92,7 @@
       List<byte[]> reports = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
         Played played = play(job(layout, trace, Fleet.builtIn(3), 1.1, DefaultDispatchPolicy::new));
-        assertTrue(played.sound(), layout.name() + played.auditor().breaches());
+        assertTrue(played.sound(), layout.name() + played.auditor().violations());
         assertEquals(0, played.auditor().watching());
         Path report = folder.resolve("report");
         Report.write(played, report);
@@ -120,7 +120,7 @@
                 Fleet.builtIn(3),
                 0.9,
                 Baseline.of(Baseline.Choice.RANDOM)));
-    assertTrue(random.auditor().counts().isEmpty(), random.auditor().breaches().toString());
+    assertTrue(random.auditor().counts().isEmpty(), random.auditor().violations().toString());
     assertTrue(
         module > random.figures().whole() + 0.1, module + " against " + random.figures().whole());
   }
@@ -147,7 +147,7 @@
                 new Trouble(13 * SECOND, Trouble.What.REPLACED, "e6", 2 * SECOND, 1),
                 new Trouble(17 * SECOND, Trouble.What.KILLED, "n1", SECOND, 1),
                 new Trouble(18 * SECOND, Trouble.What.DRAINED, "e4", SECOND, 1)));
-    assertTrue(played.sound(), played.auditor().breaches().toString());
+    assertTrue(played.sound(), played.auditor().violations().toString());
     StringBuilder print = new StringBuilder();
     played.world().happened().forEach(line -> print.append(line).append('\n'));
     Series series = played.figures().series();
@@ -237,7 +237,7 @@
                   world.timeline.at(
                       world.now() + 1,
                       () -> world.onKill(place -> world.namesDownUntil = Long.MAX_VALUE)));
-      assertTrue(played.auditor().counts().isEmpty(), played.auditor().breaches().toString());
+      assertTrue(played.auditor().counts().isEmpty(), played.auditor().violations().toString());
       assertTrue(played.figures().addsUp());
       Series series = played.figures().series();
       long late = 0;
@@ -272,7 +272,7 @@
             new Trouble(2 * SECOND, Trouble.What.KILLED, "n1", SECOND / 2, 1));
     try (Arrivals arrivals = new Arrivals(job)) {
       Played played = ProcessHarness.play(job, arrivals, arrived -> {});
-      assertTrue(played.auditor().counts().isEmpty(), played.auditor().breaches().toString());
+      assertTrue(played.auditor().counts().isEmpty(), played.auditor().violations().toString());
       assertTrue(played.figures().addsUp());
       assertEquals(400, played.figures().arrived());
       assertTrue(played.figures().whole() > 0.6, "served " + played.figures().whole());
--- a/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
+++ b/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
@@ -65,12 +65,12 @@
             f.furtherRatio(),
             f.budgetSpan(),
             f.attemptsMost(),
-            f.comeBack());
+            f.retryAfter());
     Job job =
         new Job(
             List.of(Shard.of(trace)),
             Layout.ALIBABA_2018,
-            BuiltIn.tracks(Layout.ALIBABA_2018),
+            BuiltIn.requestClasses(Layout.ALIBABA_2018),
             fleet,
             troubles,
             3600 * SECOND,
@@ -92,7 +92,7 @@
   @Test
   void calmAndTwiceAlike() throws IOException {
     Played first = play(List.of());
-    assertTrue(first.sound(), first.auditor().breaches().toString());
+    assertTrue(first.sound(), first.auditor().violations().toString());
     assertTrue(first.figures().whole() > 0.9, "served " + first.figures().whole());
     assertEquals(first.figures().whole(), play(List.of()).figures().whole());
   }
@@ -105,7 +105,7 @@
       troubles.add(new Trouble(SECOND, Trouble.What.KILLED, "n" + i, SECOND, 1));
     }
     Played played = play(troubles);
-    assertTrue(played.sound(), played.auditor().breaches().toString());
+    assertTrue(played.sound(), played.auditor().violations().toString());
   }
 
   /**
@@ -121,7 +121,7 @@
               SECOND / 10 + i * SECOND / 100, Trouble.What.REPLACED, "e" + (i + 1), SECOND, 1));
     }
     Played played = play(troubles);
-    assertTrue(played.sound(), played.auditor().breaches().toString());
+    assertTrue(played.sound(), played.auditor().violations().toString());
   }
 
   /** A third of the engines says nothing for two seconds. */
@@ -134,6 +134,6 @@
       }
     }
     Played played = play(troubles);
-    assertTrue(played.sound(), played.auditor().breaches().toString());
+    assertTrue(played.sound(), played.auditor().violations().toString());
   }
 }
--- a/traces/src/main/java/tillerlink/trace/ExternalSort.java
+++ b/traces/src/main/java/tillerlink/trace/ExternalSort.java
@@ -68,7 +68,7 @@
   }
 
   private final Path folder;
-  private final long bytesMost;
+  private final long maxBytes;
   private final Thread cleaner = new Thread(this::clean, "clean");
   private final PriorityQueue<Run> merged =
       new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
@@ -81,11 +81,11 @@
 
   /**
    * @param within where the folder for the runs is made
-   * @param bytesMost how much may be spilled; beyond it the sort fails with a message
+   * @param maxBytes how much may be spilled; beyond it the sort fails with a message
    */
-  public ExternalSort(Tasks source, Path within, long bytesMost) throws IOException {
+  public ExternalSort(Tasks source, Path within, long maxBytes) throws IOException {
     this.source = source;
-    this.bytesMost = bytesMost;
+    this.maxBytes = maxBytes;
     removeLeftOvers(within);
     folder = Files.createTempDirectory(within, PREFIX + ProcessHandle.current().pid() + "-");
     Runtime.getRuntime().addShutdownHook(cleaner);
@@ -161,8 +161,8 @@
   private void spill(List<Task> run) throws IOException {
     run.sort(ORDER);
     bytes += (long) run.size() * RECORD_BYTES;
-    if (bytes > bytesMost) {
-      throw new IOException("sorting takes more than " + bytesMost / (1 << 20) + " MB on disk");
+    if (bytes > maxBytes) {
+      throw new IOException("sorting takes more than " + maxBytes / (1 << 20) + " MB on disk");
     }
     Path file = folder.resolve("run-" + files++);
     try (DataOutputStream out = output(file)) {
--- a/traces/src/main/java/tillerlink/workload/Arrival.java
+++ b/traces/src/main/java/tillerlink/workload/Arrival.java
@@ -9,4 +9,4 @@
  * @param key decides what is drawn for it, and its mark against repeats
  */
 public record Arrival(
-    long at, long number, int track, double work, double memory, int tableGroup, long key) {}
+    long at, long number, int requestClass, double work, double memory, int tableGroup, long key) {}
--- a/traces/src/main/java/tillerlink/workload/BuiltIn.java
+++ b/traces/src/main/java/tillerlink/workload/BuiltIn.java
@@ -18,7 +18,7 @@
    * Four: short pure looks, wide pure sheets for one kind of engine, receipted intakes, effectful
    * bookings.
    */
-  public static List<Track> tracks(Layout layout) {
+  public static List<RequestClassSpec> requestClasses(Layout layout) {
     return switch (layout.name()) {
       case "google-2011" ->
           of(
@@ -43,11 +43,11 @@
     };
   }
 
-  private static List<Track> of(List<Test> book, List<Test> intake, List<Test> sheet) {
+  private static List<RequestClassSpec> of(List<Test> book, List<Test> intake, List<Test> sheet) {
     return List.of(
-        new Track(
+        new RequestClassSpec(
             "book", Effect.EFFECTFUL, 1, SECOND, 5 * SECOND, 4, 0.4, List.of(), 0, 1000, book),
-        new Track(
+        new RequestClassSpec(
             "intake",
             Effect.RECEIPTED,
             2,
@@ -59,7 +59,7 @@
             18 * SECOND,
             5000,
             intake),
-        new Track(
+        new RequestClassSpec(
             "sheet",
             Effect.PURE,
             3,
@@ -71,7 +71,7 @@
             0,
             6000,
             sheet),
-        new Track(
+        new RequestClassSpec(
             "look",
             Effect.PURE,
             1,
--- a/traces/src/main/java/tillerlink/workload/Plan.java
+++ b/traces/src/main/java/tillerlink/workload/Plan.java
@@ -23,7 +23,7 @@
   /** With both, time is pressed by the square root of what is needed in all. */
   private static final double EVEN = 0.5;
 
-  private final List<Track> tracks;
+  private final List<RequestClassSpec> requestClasses;
   private final double[] factors;
   private final long first;
 
@@ -35,14 +35,14 @@
   private final double load;
 
   private Plan(
-      List<Track> tracks,
+      List<RequestClassSpec> requestClasses,
       double[] factors,
       long first,
       double press,
       double share,
       double memoryPer,
       double load) {
-    this.tracks = tracks;
+    this.requestClasses = requestClasses;
     this.factors = factors;
     this.first = first;
     this.press = press;
@@ -59,18 +59,18 @@
    */
   public static Plan of(
       Survey survey,
-      List<Track> tracks,
+      List<RequestClassSpec> requestClasses,
       double cores,
       double load,
       Scale scale,
       double jobs,
       double memoryPer) {
-    double[] factors = new double[tracks.size()];
+    double[] factors = new double[requestClasses.size()];
     double work = 0;
     for (int i = 0; i < factors.length; i++) {
-      Track track = tracks.get(i);
-      factors[i] = track.median() / survey.median(i);
-      work += survey.scaled(i, factors[i], WORK_LEAST, track.workMost());
+      RequestClassSpec requestClass = requestClasses.get(i);
+      factors[i] = requestClass.median() / survey.median(i);
+      work += survey.scaled(i, factors[i], WORK_LEAST, requestClass.workMost());
     }
     if (work == 0) {
       throw new IllegalArgumentException("no task of the trace fits a track");
@@ -101,7 +101,7 @@
         press = needed / share;
       }
     }
-    return new Plan(tracks, factors, survey.first(), press, share, memoryPer, load);
+    return new Plan(requestClasses, factors, survey.first(), press, share, memoryPer, load);
   }
 
   /**
@@ -112,9 +112,9 @@
     if (task.kind() < 0 || !sampled(task.job())) {
       return null;
     }
-    Track track = tracks.get(task.kind());
+    RequestClassSpec requestClass = requestClasses.get(task.kind());
     double work =
-        Math.min(track.workMost(), Math.max(WORK_LEAST, task.work() * factors[task.kind()]));
+        Math.min(requestClass.workMost(), Math.max(WORK_LEAST, task.work() * factors[task.kind()]));
     long at = Math.max(0, (long) ((task.start() - first) / press));
     double memory =
         Math.max(
@@ -141,7 +141,7 @@
   }
 
   /** What a track's work is multiplied by. */
-  public double factor(int track) {
-    return factors[track];
+  public double factor(int requestClass) {
+    return factors[requestClass];
   }
 }
--- a/traces/src/main/java/tillerlink/workload/Track.java
+++ b/traces/src/main/java/tillerlink/workload/RequestClassSpec.java
@@ -8,18 +8,18 @@
  * A track of the replayed fleet, and which rows of a trace become its submissions.
  *
  * @param width threads of one submission
- * @param softLimit tenths of a millisecond, as is deadline
+ * @param latencyObjective tenths of a millisecond, as is deadline
  * @param kinds the kinds of engine that it is bound to, or an empty list for all
  * @param window how long engines remember the mark of a receipted one, in tenths of a millisecond
  * @param median what the median of its tasks' work is scaled to, in tenths of a millisecond on one
  *     core
  * @param rows tests of a row that must all hold; none takes every row that no track before it took
  */
-public record Track(
+public record RequestClassSpec(
     String name,
     Effect effect,
     int width,
-    long softLimit,
+    long latencyObjective,
     long deadline,
     double value,
     double lateValue,
@@ -34,7 +34,7 @@
    * engine.
    */
   public double workMost() {
-    return (double) softLimit * width / SHARE_OF_SOFT;
+    return (double) latencyObjective * width / SHARE_OF_SOFT;
   }
 
   /** The word for its effect in the gateway's settings. */
--- a/traces/src/main/java/tillerlink/workload/Survey.java
+++ b/traces/src/main/java/tillerlink/workload/Survey.java
@@ -20,10 +20,10 @@
   private long first = Long.MAX_VALUE;
   private long last = Long.MIN_VALUE;
   private long tasks;
-  private long noTrack;
+  private long noRequestClass;
 
-  public Survey(int tracks) {
-    for (int i = 0; i < tracks; i++) {
+  public Survey(int requestClasses) {
+    for (int i = 0; i < requestClasses; i++) {
       DoubleHistogram histogram = new DoubleHistogram(RANGE, DIGITS);
       histogram.setAutoResize(true);
       work.add(histogram);
@@ -35,7 +35,7 @@
     last = Math.max(last, task.start());
     tasks++;
     if (task.kind() < 0) {
-      noTrack++;
+      noRequestClass++;
     } else {
       work.get(task.kind()).recordValue(Math.max(1, task.work()));
     }
@@ -67,18 +67,20 @@
   }
 
   /** Tasks that fit no track. */
-  public long noTrack() {
-    return noTrack;
+  public long noRequestClass() {
+    return noRequestClass;
   }
 
-  public double median(int track) {
-    return work.get(track).getTotalCount() == 0 ? 1 : work.get(track).getValueAtPercentile(50);
+  public double median(int requestClass) {
+    return work.get(requestClass).getTotalCount() == 0
+        ? 1
+        : work.get(requestClass).getValueAtPercentile(50);
   }
 
   /** The work of a track's tasks once each is scaled and bounded. */
-  double scaled(int track, double factor, double least, double most) {
+  double scaled(int requestClass, double factor, double least, double most) {
     double sum = 0;
-    for (DoubleHistogramIterationValue value : work.get(track).recordedValues()) {
+    for (DoubleHistogramIterationValue value : work.get(requestClass).recordedValues()) {
       double one = Math.min(most, Math.max(least, value.getValueIteratedTo() * factor));
       sum += one * value.getCountAddedInThisIterationStep();
     }
