--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -101,9 +101,9 @@
     out.put((byte) probe.updates().size());
     for (GossipUpdate update : probe.updates()) {
       put(out, update.name());
-      out.put((byte) update.standing().ordinal());
+      out.put((byte) update.status().ordinal());
       put(out, update.card());
-      put(out, update.by());
+      put(out, update.accuser());
       out.putLong(update.age());
     }
     byte[] bytes = new byte[out.position()];
@@ -164,9 +164,9 @@
       for (GossipUpdate update : probe.updates()) {
         out.writeStartObject();
         out.writeStringField("name", update.name());
-        out.writeNumberField("standing", update.standing().ordinal());
+        out.writeNumberField("standing", update.status().ordinal());
         card(out, update.card());
-        out.writeStringField("by", update.by());
+        out.writeStringField("by", update.accuser());
         out.writeNumberField("age", update.age());
         out.writeEndObject();
       }
--- a/channels/src/main/java/tillerlink/channels/consensus/EpochConsensus.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/EpochConsensus.java
@@ -326,7 +326,7 @@
         caughtUp.add(name);
       }
       Reachability reach = wire.membership().reachability(name);
-      if (reach.talksTo() || reach == Reachability.GONE && counted.contains(name)) {
+      if (reach.isContactable() || reach == Reachability.GONE && counted.contains(name)) {
         waitedFor.add(name);
       }
     }
--- a/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
+++ b/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
@@ -50,7 +50,7 @@
   private List<String> some(List<String> always) {
     List<String> names = new ArrayList<>();
     for (String name : membership.names()) {
-      if (membership.reachability(name).talksTo()) {
+      if (membership.reachability(name).isContactable()) {
         names.add(name);
       }
     }
--- a/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
@@ -46,7 +46,7 @@
     long askedAt;
     List<Span> asked = List.of();
     int window = 64;
-    int pieceBytes = MessageSender.BYTES_EASY;
+    int pieceBytes = MessageSender.SINGLE_DATAGRAM_BYTES;
     long stepsAskedAt = Long.MIN_VALUE / 2;
     boolean heardSince;
     int taken;
@@ -133,7 +133,7 @@
     source.window = Math.min(WINDOW_MOST, source.window * 2);
     if (source.taken > 0 && ++source.goodInARow >= GOOD_TO_GROW) {
       source.goodInARow = 0;
-      source.pieceBytes = Math.min(MessageSender.BYTES_EASY, source.pieceBytes * 2);
+      source.pieceBytes = Math.min(MessageSender.SINGLE_DATAGRAM_BYTES, source.pieceBytes * 2);
     }
   }
 
@@ -158,7 +158,7 @@
     }
     for (Map.Entry<String, Source> each : sources.entrySet()) {
       if (now - each.getValue().reportAt <= HEARD_FOR
-          && wire.membership().reachability(each.getKey()).talksTo()) {
+          && wire.membership().reachability(each.getKey()).isContactable()) {
         ask(now, each.getKey(), each.getValue());
       }
     }
--- a/channels/src/main/java/tillerlink/channels/sync/Server.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Server.java
@@ -19,7 +19,7 @@
 public final class Server {
   private static final int ROOM_FOR_HEAD = 40;
   private static final int ENTRIES_MOST = 4096;
-  private static final int CUTS_BYTES = MessageSender.BYTES_EASY - 60;
+  private static final int CUTS_BYTES = MessageSender.SINGLE_DATAGRAM_BYTES - 60;
   private static final int CUTS_MESSAGES = 24;
   private static final int SUM_PART = 1000;
 
@@ -34,7 +34,7 @@
   }
 
   public void want(String from, Want want) {
-    int most = Math.max(150, Math.min(MessageSender.BYTES_MOST, want.maxBytes())) - ROOM_FOR_HEAD;
+    int most = Math.max(150, Math.min(MessageSender.MAX_MESSAGE_BYTES, want.maxBytes())) - ROOM_FOR_HEAD;
     int left = Math.min(ENTRIES_MOST, want.entriesMost());
     List<Entry> piece = new ArrayList<>();
     int bytes = 0;
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -98,7 +98,7 @@
   void start(String name) {
     InMemoryKeyValueStore before = disks.get(name);
     InMemoryKeyValueStore disk =
-        before == null ? new InMemoryKeyValueStore(net, 5) : before.reopened();
+        before == null ? new InMemoryKeyValueStore(net, 5) : before.reopen();
     start(name, disk);
   }
 
@@ -113,7 +113,7 @@
     return new Channels(
         termsOf.apply(name),
         new Names(name),
-        net.post(name),
+        net.sender(name),
         keep,
         chanceOf.apply(name),
         wallOf.applyAsLong(name),
@@ -124,7 +124,7 @@
     InMemoryKeyValueStore disk = disks.get(name);
     if (running.remove(name) != null) {
       net.kill(name);
-      disk.crash(disk.inDoubt() == 0 ? 0 : random.nextInt(disk.inDoubt() + 1));
+      disk.crash(disk.pendingWrites() == 0 ? 0 : random.nextInt(disk.pendingWrites() + 1));
     }
   }
 
@@ -169,7 +169,7 @@
             refused++;
           }
         });
-    net.touched(name);
+    net.reschedule(name);
   }
 
   static AppendRequest cue(String cue, String text) {
--- a/channels/src/test/java/tillerlink/channels/History.java
+++ b/channels/src/test/java/tillerlink/channels/History.java
@@ -119,7 +119,7 @@
       }
       case 3 -> {
         say("bad");
-        fleet.net.usual(Fault.bad(0.2, 0.1, 5000));
+        fleet.net.setDefaultFault(Fault.bad(0.2, 0.1, 5000));
       }
       case 4 -> {
         say("pause " + name);
@@ -140,7 +140,7 @@
 
   private void heal() {
     say("calm");
-    fleet.net.usual(Fault.NONE);
+    fleet.net.setDefaultFault(Fault.NONE);
     fleet.net.heal();
     for (String name : fleet.names) {
       fleet.net.setClock(name, 0);
@@ -182,10 +182,10 @@
     } else if (die < 26) {
       say("heal");
       fleet.net.heal();
-      fleet.net.usual(Fault.NONE);
+      fleet.net.setDefaultFault(Fault.NONE);
     } else if (die < 27) {
       say("bad");
-      fleet.net.usual(Fault.bad(0.2, 0.1, 5000));
+      fleet.net.setDefaultFault(Fault.bad(0.2, 0.1, 5000));
     } else if (die < 30) {
       if (fleet.running.containsKey(name)) {
         say("pause " + name);
--- a/channels/src/test/java/tillerlink/channels/MergeMeasure.java
+++ b/channels/src/test/java/tillerlink/channels/MergeMeasure.java
@@ -52,7 +52,7 @@
       Entry entry = line.entry();
       missing += 2L * EntryCodec.bytes(entry).length;
     }
-    fleet.net.usual(fault);
+    fleet.net.setDefaultFault(fault);
     fleet.net.heal();
     long began = fleet.net.now();
     long bytes = fleet.net.sentBytes();
--- a/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
+++ b/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
@@ -138,7 +138,7 @@
   @Test
   void linksForSmallMessagesCarryAll() {
     Fleet fleet = fleet(64 << 20, 8);
-    fleet.net.usual(Fault.small(MessageSender.BYTES_EASY));
+    fleet.net.setDefaultFault(Fault.small(MessageSender.SINGLE_DATAGRAM_BYTES));
     fleet.cut(List.of("w1"));
     for (int i = 0; i < 300; i++) {
       fleet.append("w1", "news", Fleet.cue("c".repeat(60) + i % 7, "x".repeat(400)));
@@ -160,7 +160,7 @@
       fleet.net.playFor(100);
     }
     fleet.net.heal();
-    fleet.net.usual(Fault.small(280));
+    fleet.net.setDefaultFault(Fault.small(280));
     fleet.net.playFor(60 * Fleet.SECOND);
     fleet.audit(Set.of());
     assertEquals(List.of(), fleet.violations);
--- a/cluster/src/main/java/tillerlink/cluster/Invariant.java
+++ b/cluster/src/main/java/tillerlink/cluster/Invariant.java
@@ -7,7 +7,7 @@
  * processes that a rig starts ({@code -Dtillerlink.invariants=true}), and off otherwise.
  */
 public final class Invariant {
-  public static final boolean ON = Boolean.getBoolean("tillerlink.invariants");
+  public static final boolean ENABLED = Boolean.getBoolean("tillerlink.invariants");
 
   /**
    * An invariant does not hold: a fault of the program, which nothing that comes from outside may
@@ -27,7 +27,7 @@
    * @param what told only if it does not hold
    */
   public static void holds(boolean condition, Supplier<String> what) {
-    if (ON && !condition) {
+    if (ENABLED && !condition) {
       throw new Broken(what.get());
     }
   }
--- a/cluster/src/main/java/tillerlink/cluster/KeyValueStore.java
+++ b/cluster/src/main/java/tillerlink/cluster/KeyValueStore.java
@@ -8,7 +8,7 @@
  */
 public interface KeyValueStore {
   /** No value is longer. */
-  int VALUE_MOST = 1 << 20;
+  int MAX_VALUE_BYTES = 1 << 20;
 
   /** What was kept when this process started; empty after a lost disk. */
   NavigableMap<String, byte[]> initialEntries();
--- a/cluster/src/main/java/tillerlink/cluster/MessageSender.java
+++ b/cluster/src/main/java/tillerlink/cluster/MessageSender.java
@@ -7,10 +7,10 @@
 @FunctionalInterface
 public interface MessageSender {
   /** No message is longer; what is more goes in several. */
-  int BYTES_MOST = 12_000;
+  int MAX_MESSAGE_BYTES = 12_000;
 
   /** One of this size goes in a single datagram, which every link of today carries. */
-  int BYTES_EASY = 1_100;
+  int SINGLE_DATAGRAM_BYTES = 1_100;
 
   /** Messages to a name that is not known are dropped. */
   void send(String to, byte[] body);
--- a/cluster/src/main/java/tillerlink/cluster/Reachability.java
+++ b/cluster/src/main/java/tillerlink/cluster/Reachability.java
@@ -14,7 +14,7 @@
   LEFT;
 
   /** Whether messages to it are worth sending. */
-  public boolean talksTo() {
+  public boolean isContactable() {
     return this == REACHABLE || this == THROUGH_OTHERS || this == SUSPECTED;
   }
 }
--- a/members/src/main/java/tillerlink/members/FailureDetector.java
+++ b/members/src/main/java/tillerlink/members/FailureDetector.java
@@ -34,7 +34,7 @@
   FailureDetector(MembershipState core, List<String> seeds) {
     this.core = core;
     this.seeds = seeds;
-    health = new LocalHealth(core.periods.healthMost());
+    health = new LocalHealth(core.periods.maxLocalHealthScore());
     probes = new ProbeManager(core.periods, health, core.random, this);
     relays = new IndirectProbes(core.random);
     rotation = new ProbeRotation(core.random);
@@ -49,8 +49,8 @@
       if (name == null) {
         return;
       }
-      if (entry != null && entry.standing().takesPart() && !probes.underWay(name)) {
-        member(entry, entry.doubt());
+      if (entry != null && entry.status().takesPart() && !probes.underWay(name)) {
+        member(entry, entry.suspicion());
         return;
       }
     }
@@ -74,7 +74,8 @@
   void retry() {
     MemberRecord gone = core.random.nextBoolean() ? core.table.anyGone(core.random) : null;
     if (gone != null) {
-      probes.start(Probe.Kind.GONE, gone.name(), gone.card().address(), gone.doubt(), 0, core.now);
+      probes.start(
+          Probe.Kind.GONE, gone.name(), gone.card().address(), gone.suspicion(), 0, core.now);
     } else if (!seeds.isEmpty()) {
       String seed = seeds.get(nextSeed++ % seeds.size());
       if (!seed.equals(core.own.card().address())) {
@@ -82,7 +83,7 @@
       }
     } else if (core.table.anyGone(core.random) != null) {
       MemberRecord any = core.table.anyGone(core.random);
-      probes.start(Probe.Kind.GONE, any.name(), any.card().address(), any.doubt(), 0, core.now);
+      probes.start(Probe.Kind.GONE, any.name(), any.card().address(), any.suspicion(), 0, core.now);
     }
   }
 
@@ -105,22 +106,22 @@
     for (int i = 0; i < VERIFY_AT_ONCE && !verify.isEmpty(); i++) {
       GossipUpdate update = verify.remove(verify.keySet().iterator().next());
       SuspicionLevel doubt =
-          update.standing() == MemberStatus.ALIVE
+          update.status() == MemberStatus.ALIVE
               ? SuspicionLevel.NONE
               : new SuspicionLevel(
-                  update.standing(), update.card().incarnation(), update.card().birth());
+                  update.status(), update.card().incarnation(), update.card().birth());
       MemberRecord entry = core.table.get(update.name());
       if (probes.underWay(update.name())) {
         continue;
       }
-      if (entry != null && entry.standing().takesPart()) {
-        member(entry, doubt.is() ? doubt : entry.doubt());
+      if (entry != null && entry.status().takesPart()) {
+        member(entry, doubt.isPresent() ? doubt : entry.suspicion());
       } else {
         probes.start(
             Probe.Kind.HEARSAY,
             update.name(),
             update.card().address(),
-            entry == null ? doubt : entry.doubt(),
+            entry == null ? doubt : entry.suspicion(),
             0,
             core.now);
       }
@@ -144,13 +145,13 @@
   /** What it has to refute may have changed since it was first asked. */
   private SuspicionLevel doubt(Probe about) {
     MemberRecord entry = core.table.get(about.name());
-    return entry == null || about.doubt().is() ? about.doubt() : entry.doubt();
+    return entry == null || about.suspicion().isPresent() ? about.suspicion() : entry.suspicion();
   }
 
   @Override
   public int askOthers(Probe about) {
     List<MemberRecord> others =
-        core.table.someTalking(core.random, core.periods.relays(), about.name());
+        core.table.someTalking(core.random, core.periods.indirectProbes(), about.name());
     for (MemberRecord other : others) {
       core.send(
           other.card().address(),
@@ -168,13 +169,13 @@
   @Override
   public boolean suspected(Probe about) {
     MemberRecord entry = core.table.get(about.name());
-    return entry == null || entry.standing() != MemberStatus.ALIVE;
+    return entry == null || entry.status() != MemberStatus.ALIVE;
   }
 
   @Override
   public void onlyOthers(Probe about) {
     MemberRecord entry = core.table.get(about.name());
-    if (entry != null && entry.standing().takesPart()) {
+    if (entry != null && entry.status().takesPart()) {
       core.table.lived(entry, about.startedAt());
       core.table.vouched(entry);
       if (entry.misses() > 0 && entry.reach() != Reachability.THROUGH_OTHERS) {
--- a/members/src/main/java/tillerlink/members/Identity.java
+++ b/members/src/main/java/tillerlink/members/Identity.java
@@ -18,9 +18,9 @@
     String fleet, String name, String site, String address, List<String> seeds, long before) {
   public Identity {
     seeds = List.copyOf(seeds);
-    bound("name", name, 1, MemberCodec.NAME_MOST);
-    bound("site", site, 0, MemberCodec.SITE_MOST);
-    bound("address", address, 1, MemberCodec.ADDRESS_MOST);
+    bound("name", name, 1, MemberCodec.MAX_NAME_BYTES);
+    bound("site", site, 0, MemberCodec.MAX_SITE_BYTES);
+    bound("address", address, 1, MemberCodec.MAX_ADDRESS_BYTES);
   }
 
   private static void bound(String what, String text, int least, int most) {
--- a/members/src/main/java/tillerlink/members/Members.java
+++ b/members/src/main/java/tillerlink/members/Members.java
@@ -118,10 +118,10 @@
     if (was != is) {
       watcher.onReachabilityChanged(entry.name(), was, is);
     }
-    if (!was.talksTo() && is.talksTo()) {
+    if (!was.isContactable() && is.isContactable()) {
       asking.newMember(entry.name());
     }
-    if (was.talksTo() && is.talksTo() && before.birth() != entry.card().birth()) {
+    if (was.isContactable() && is.isContactable() && before.birth() != entry.card().birth()) {
       watcher.onProcessReplaced(entry.name(), entry.card().incarnation());
     }
   }
@@ -158,16 +158,16 @@
     core.now = now;
     if (!started) {
       start();
-    } else if (promised < Long.MAX_VALUE && now - promised > 2 * periods.period()) {
+    } else if (promised < Long.MAX_VALUE && now - promised > 2 * periods.probeInterval()) {
       onPause(now, wall, now - promised);
     }
   }
 
   private void start() {
     started = true;
-    probeAt = core.now + random.nextLong(periods.period());
-    gossipAt = core.now + random.nextLong(periods.gossipEvery());
-    digestAt = core.now + random.nextLong(periods.digestEvery()) + 1;
+    probeAt = core.now + random.nextLong(periods.probeInterval());
+    gossipAt = core.now + random.nextLong(periods.gossipInterval());
+    digestAt = core.now + random.nextLong(periods.antiEntropyInterval()) + 1;
     retryAt = core.now;
     forgetAt = core.now + periods.forgetAfter() / 16;
     core.raised();
@@ -184,19 +184,21 @@
       core.updates.put(gone.name(), core.self);
     }
     if (now >= probeAt) {
-      probeAt = now + periods.period();
+      probeAt = now + periods.probeInterval();
       asking.probeNext();
     }
     if (now >= retryAt) {
-      retryAt = now + (core.table.size() == 1 ? periods.period() : periods.retryEvery());
+      retryAt =
+          now + (core.table.size() == 1 ? periods.probeInterval() : periods.reconnectInterval());
       asking.retry();
     }
     if (now >= gossipAt) {
-      gossipAt = now + periods.gossipEvery();
+      gossipAt = now + periods.gossipInterval();
       gossip();
     }
     if (now >= digestAt) {
-      digestAt = now + periods.digestEvery() / 2 + random.nextLong(periods.digestEvery());
+      digestAt =
+          now + periods.antiEntropyInterval() / 2 + random.nextLong(periods.antiEntropyInterval());
       MemberRecord any = core.table.anyTalking(random);
       if (any != null) {
         hearing.compare(any.card().address());
@@ -214,8 +216,8 @@
     int room =
         MembershipState.room(small ? MembershipState.BYTES_SMALL : MembershipState.BYTES_MOST);
     if (!core.updates.isEmpty()) {
-      for (MemberRecord entry : core.table.someTalking(random, periods.gossipTo(), "")) {
-        core.gossip(entry.card().address(), entry.doubt(), room);
+      for (MemberRecord entry : core.table.someTalking(random, periods.gossipFanout(), "")) {
+        core.gossip(entry.card().address(), entry.suspicion(), room);
       }
     }
     for (int i = 0; i < PIECES_AT_ONCE && digests.send(core.own.card(), room, core::send); i++) {
@@ -253,7 +255,7 @@
     awayCount++;
     asking.away();
     core.table.away(lasted);
-    hearing.doubtful(now + periods.answerWithin(), lasted);
+    hearing.doubtful(now + periods.probeTimeout(), lasted);
     core.lines.line(
         RateLimitedLog.Kind.AWAY,
         now,
@@ -261,7 +263,7 @@
     core.own.raise(0);
     core.raised();
     asking.health.worse(2);
-    probeAt = now + periods.answerWithin();
+    probeAt = now + periods.probeTimeout();
     gossipAt = now;
     // Some are told at once, before they give this process up.
     for (MemberRecord entry : core.table.someTalking(random, LAST_TO, "")) {
@@ -291,7 +293,7 @@
       return;
     }
     lastSaid++;
-    lastAt = core.now + Math.min(periods.period() / 5, LAST_EVERY_MOST);
+    lastAt = core.now + Math.min(periods.probeInterval() / 5, LAST_EVERY_MOST);
     for (MemberRecord entry : core.table.someTalking(random, LAST_TO, "")) {
       core.sayLast(entry.card().address());
     }
@@ -377,7 +379,7 @@
    * @param malformed messages that could not be read
    * @param refused members there was no room for
    * @param refuted how often the own incarnation rose
-   * @param away how often this process was held up
+   * @param pauses how often this process was held up
    * @param health local health, 0 is well
    * @param updates news that wait to be told on
    */
@@ -387,7 +389,7 @@
       long malformed,
       long refused,
       long refuted,
-      long away,
+      long pauses,
       int health,
       int updates) {}
 }
--- a/members/src/main/java/tillerlink/members/MembershipState.java
+++ b/members/src/main/java/tillerlink/members/MembershipState.java
@@ -23,7 +23,7 @@
 /** What asking and hearing share: who is known, what is news, how it is said. */
 final class MembershipState {
   /** A message with news is no longer, so that it goes in one datagram. */
-  static final int BYTES_MOST = MessageSender.BYTES_EASY;
+  static final int BYTES_MOST = MessageSender.SINGLE_DATAGRAM_BYTES;
 
   /** Every so often news go in small messages, for links that carry no others. */
   static final int BYTES_SMALL = 300;
@@ -63,7 +63,7 @@
     this.random = random;
     lines = new RateLimitedLog(watcher::log);
     table = makers.table(self, periods, changes);
-    updates = makers.updates(2 * periods.mostMembers() + 1);
+    updates = makers.updates(2 * periods.maxMembers() + 1);
     own = makers.own(identity, birth);
   }
 
@@ -79,7 +79,7 @@
 
   /** News for a message that has that much room for them. */
   List<GossipUpdate> news(int room) {
-    return updates.take(room, periods.sendsMost(table.size()), this::update);
+    return updates.take(room, periods.maxTransmissions(table.size()), this::update);
   }
 
   void send(String address, MemberMessage message) {
@@ -88,7 +88,8 @@
     }
     byte[] body = MemberCodec.write(message);
     Invariant.holds(
-        body.length <= MessageSender.BYTES_MOST, () -> "a message of " + body.length + " bytes");
+        body.length <= MessageSender.MAX_MESSAGE_BYTES,
+        () -> "a message of " + body.length + " bytes");
     sent++;
     sentBytes += body.length;
     wire.send(address, body);
@@ -117,8 +118,8 @@
       return SuspicionLevel.NONE;
     }
     return order == 0
-        ? entry.doubt()
-        : new SuspicionLevel(entry.standing(), entry.card().incarnation(), entry.card().birth());
+        ? entry.suspicion()
+        : new SuspicionLevel(entry.status(), entry.card().incarnation(), entry.card().birth());
   }
 
   /** Another process keeps the own name: the last that is said here is where that one is. */
--- a/members/src/main/java/tillerlink/members/MessageHandler.java
+++ b/members/src/main/java/tillerlink/members/MessageHandler.java
@@ -63,21 +63,21 @@
 
   private boolean takesPart(String name) {
     MemberRecord entry = core.table.get(name);
-    return entry != null && entry.standing().takesPart();
+    return entry != null && entry.status().takesPart();
   }
 
   private void act(String from, MemberMessage message, boolean known) {
     if (message instanceof MemberMessage.Probe probe) {
       probe(from, probe);
     } else if (message instanceof MemberMessage.Ack ack) {
-      own(ack.doubt());
+      own(ack.suspicion());
       ack(from, ack, known);
     } else if (message instanceof MemberMessage.Ask ask) {
       relay(from, ask);
     } else if (message instanceof MemberMessage.Vouch vouch) {
       asking.probes.vouched(vouch.number(), vouch.reached());
     } else if (message instanceof MemberMessage.Gossip gossip) {
-      own(gossip.doubt());
+      own(gossip.suspicion());
     } else if (message instanceof MemberMessage.Digest digest) {
       digests.told(digest, digest.card().address());
     }
@@ -102,7 +102,7 @@
 
   private void tellDoubt(String from, MemberInfo card) {
     SuspicionLevel doubt = core.doubt(from, card);
-    if (doubt.is() && core.now - doubtToldAt >= DOUBTS_APART) {
+    if (doubt.isPresent() && core.now - doubtToldAt >= DOUBTS_APART) {
       doubtToldAt = core.now;
       core.gossip(card.address(), doubt, 0);
     }
@@ -116,7 +116,7 @@
       core.gossip(probe.card().address(), SuspicionLevel.NONE, 0);
       return;
     }
-    own(probe.doubt());
+    own(probe.suspicion());
     core.send(
         probe.card().address(),
         new MemberMessage.Ack(
@@ -166,7 +166,7 @@
 
   private void straight(String from, Probe about) {
     MemberRecord entry = core.table.get(from);
-    if (entry != null && entry.standing().takesPart()) {
+    if (entry != null && entry.status().takesPart()) {
       core.table.lived(entry, about.startedAt());
       core.table.straight(entry, about.took());
     }
@@ -182,9 +182,10 @@
                 ask.card().address(),
                 ask.number(),
                 ask.target(),
-                core.now + core.periods.answerWithin()));
+                core.now + core.periods.probeTimeout()));
     if (number != 0) {
-      SuspicionLevel doubt = ask.doubt().is() || entry == null ? ask.doubt() : entry.doubt();
+      SuspicionLevel doubt =
+          ask.suspicion().isPresent() || entry == null ? ask.suspicion() : entry.suspicion();
       core.send(
           address,
           new MemberMessage.Probe(core.own.card(), number, ask.target(), doubt, List.of()));
@@ -201,18 +202,18 @@
 
   private void update(GossipUpdate told) {
     if (told.name().equals(core.self)) {
-      own(told.standing(), told.card());
+      own(told.status(), told.card());
       return;
     }
     boolean doubtful = core.now <= doubtfulUntil;
     GossipUpdate update =
         doubtful
             ? new GossipUpdate(
-                told.name(), told.standing(), told.card(), told.by(), told.age() + lasted)
+                told.name(), told.status(), told.card(), told.accuser(), told.age() + lasted)
             : told;
     MemberTable.Outcome outcome = core.table.tell(update, core.now, doubtful);
     switch (outcome) {
-      case NEWS -> core.updates.put(update.name(), update.by());
+      case NEWS -> core.updates.put(update.name(), update.accuser());
       case VERIFY -> asking.verify(update);
       case REFUSED -> {
         refused++;
@@ -222,7 +223,7 @@
             "members: no room for "
                 + update.name()
                 + ", "
-                + core.periods.mostMembers()
+                + core.periods.maxMembers()
                 + " others take part already");
       }
       case OUTDATED -> outdated(update);
@@ -231,7 +232,7 @@
       }
     }
     if (outcome == MemberTable.Outcome.NEWS
-        && update.standing() == MemberStatus.GONE
+        && update.status() == MemberStatus.GONE
         && core.table.get(update.name()).reach() == Reachability.SUSPECTED) {
       asking.verify(update);
     }
@@ -239,14 +240,14 @@
 
   private void outdated(GossipUpdate update) {
     MemberRecord entry = core.table.get(update.name());
-    if (update.standing() == MemberStatus.SUSPECTED && !entry.standing().takesPart()) {
+    if (update.status() == MemberStatus.SUSPECTED && !entry.status().takesPart()) {
       // Whoever suspects it alone would wait long for others to confirm it: they have given it up
       // already.
       core.updates.again(update.name(), core.self);
     }
     // Another process of the name of one that is away may not know yet what it has to stand above.
-    if (update.standing() == MemberStatus.ALIVE
-        && !entry.standing().takesPart()
+    if (update.status() == MemberStatus.ALIVE
+        && !entry.status().takesPart()
         && update.card().birth() != entry.card().birth()) {
       asking.verify(update);
     }
@@ -255,7 +256,7 @@
   // ---- the own name ----
 
   private void own(SuspicionLevel doubt) {
-    own(doubt.standing(), new MemberInfo(doubt.incarnation(), doubt.birth(), "", ""));
+    own(doubt.status(), new MemberInfo(doubt.incarnation(), doubt.birth(), "", ""));
   }
 
   private void own(MemberStatus standing, MemberInfo card) {
--- a/members/src/main/java/tillerlink/members/antientropy/AntiEntropy.java
+++ b/members/src/main/java/tillerlink/members/antientropy/AntiEntropy.java
@@ -59,7 +59,7 @@
     long mixed = salt ^ update.name().hashCode();
     mixed = mix(mixed + update.card().incarnation());
     mixed = mix(mixed ^ update.card().birth());
-    return (int) (mix(mixed + update.standing().ordinal()) >>> 32);
+    return (int) (mix(mixed + update.status().ordinal()) >>> 32);
   }
 
   private static long mix(long bits) {
@@ -114,7 +114,7 @@
       return true;
     }
     int order = own.card().compare(theirs.card());
-    return order != 0 ? order > 0 : own.standing().compareTo(theirs.standing()) > 0;
+    return order != 0 ? order > 0 : own.status().compareTo(theirs.status()) > 0;
   }
 
   /**
@@ -137,7 +137,7 @@
       }
       GossipUpdate update = known.update(name);
       int size = update == null ? 0 : MemberCodec.size(update);
-      if (!piece.isEmpty() && (size > left || piece.size() >= MemberCodec.UPDATES_MOST)) {
+      if (!piece.isEmpty() && (size > left || piece.size() >= MemberCodec.MAX_UPDATES)) {
         whole = false;
         break;
       }
--- a/members/src/main/java/tillerlink/members/config/MembershipConfig.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipConfig.java
@@ -22,41 +22,41 @@
  * @param mostMembers others that take part at once; as many again may be gone or left
  */
 public record MembershipConfig(
-    long period,
-    long answerWithin,
-    long waitMost,
-    int relays,
-    int suspicionFactor,
-    int suspicionSpread,
+    long probeInterval,
+    long probeTimeout,
+    long maxProbeTimeout,
+    int indirectProbes,
+    int suspicionMultiplier,
+    int maxSuspicionMultiplier,
     int confirmations,
-    long gossipEvery,
-    int gossipTo,
-    int updateFactor,
-    long retryEvery,
-    long digestEvery,
-    long updateLife,
+    long gossipInterval,
+    int gossipFanout,
+    int retransmitMultiplier,
+    long reconnectInterval,
+    long antiEntropyInterval,
+    long maxUpdateAge,
     long forgetAfter,
-    int healthMost,
-    int mostMembers) {
+    int maxLocalHealthScore,
+    int maxMembers) {
   private static final long SECOND = 10_000;
 
   public MembershipConfig {
-    if (period < 10
-        || answerWithin < 1
-        || waitMost < answerWithin
-        || relays < 0
-        || suspicionFactor < 1
-        || suspicionSpread < 1
+    if (probeInterval < 10
+        || probeTimeout < 1
+        || maxProbeTimeout < probeTimeout
+        || indirectProbes < 0
+        || suspicionMultiplier < 1
+        || maxSuspicionMultiplier < 1
         || confirmations < 0
-        || gossipEvery < 1
-        || gossipTo < 0
-        || updateFactor < 1
-        || retryEvery < 1
-        || digestEvery < 1
-        || updateLife < 1
-        || forgetAfter <= updateLife
-        || healthMost < 0
-        || mostMembers < 1) {
+        || gossipInterval < 1
+        || gossipFanout < 0
+        || retransmitMultiplier < 1
+        || reconnectInterval < 1
+        || antiEntropyInterval < 1
+        || maxUpdateAge < 1
+        || forgetAfter <= maxUpdateAge
+        || maxLocalHealthScore < 0
+        || maxMembers < 1) {
       throw new IllegalArgumentException("periods that can't be");
     }
   }
@@ -81,78 +81,79 @@
         1024);
   }
 
-  public MembershipConfig withHealth(int most) {
+  public MembershipConfig withMaxLocalHealthScore(int most) {
     return new MembershipConfig(
-        period,
-        answerWithin,
-        waitMost,
-        relays,
-        suspicionFactor,
-        suspicionSpread,
+        probeInterval,
+        probeTimeout,
+        maxProbeTimeout,
+        indirectProbes,
+        suspicionMultiplier,
+        maxSuspicionMultiplier,
         confirmations,
-        gossipEvery,
-        gossipTo,
-        updateFactor,
-        retryEvery,
-        digestEvery,
-        updateLife,
+        gossipInterval,
+        gossipFanout,
+        retransmitMultiplier,
+        reconnectInterval,
+        antiEntropyInterval,
+        maxUpdateAge,
         forgetAfter,
         most,
-        mostMembers);
+        maxMembers);
   }
 
-  public MembershipConfig withMembers(int most) {
+  public MembershipConfig withMaxMembers(int most) {
     return new MembershipConfig(
-        period,
-        answerWithin,
-        waitMost,
-        relays,
-        suspicionFactor,
-        suspicionSpread,
+        probeInterval,
+        probeTimeout,
+        maxProbeTimeout,
+        indirectProbes,
+        suspicionMultiplier,
+        maxSuspicionMultiplier,
         confirmations,
-        gossipEvery,
-        gossipTo,
-        updateFactor,
-        retryEvery,
-        digestEvery,
-        updateLife,
+        gossipInterval,
+        gossipFanout,
+        retransmitMultiplier,
+        reconnectInterval,
+        antiEntropyInterval,
+        maxUpdateAge,
         forgetAfter,
-        healthMost,
+        maxLocalHealthScore,
         most);
   }
 
   /** How long gossip updates and those gone are remembered. */
-  public MembershipConfig withMemory(long life, long forget) {
+  public MembershipConfig withRetention(long life, long forget) {
     return new MembershipConfig(
-        period,
-        answerWithin,
-        waitMost,
-        relays,
-        suspicionFactor,
-        suspicionSpread,
+        probeInterval,
+        probeTimeout,
+        maxProbeTimeout,
+        indirectProbes,
+        suspicionMultiplier,
+        maxSuspicionMultiplier,
         confirmations,
-        gossipEvery,
-        gossipTo,
-        updateFactor,
-        retryEvery,
-        digestEvery,
+        gossipInterval,
+        gossipFanout,
+        retransmitMultiplier,
+        reconnectInterval,
+        antiEntropyInterval,
         life,
         forget,
-        healthMost,
-        mostMembers);
+        maxLocalHealthScore,
+        maxMembers);
   }
 
   /** The shortest suspicion in a fleet of that size, oneself counted. */
-  public long suspicionLeast(int size) {
-    return (long) (suspicionFactor * period * Math.max(1, Math.log10(Math.max(1, size))));
+  public long minSuspicionTime(int size) {
+    return (long)
+        (suspicionMultiplier * probeInterval * Math.max(1, Math.log10(Math.max(1, size))));
   }
 
-  public long suspicionMost(int size) {
-    return suspicionLeast(size) * suspicionSpread;
+  public long maxSuspicionTime(int size) {
+    return minSuspicionTime(size) * maxSuspicionMultiplier;
   }
 
   /** How often a gossip update is sent by each who has it. */
-  public int sendsMost(int size) {
-    return updateFactor * (32 - Integer.numberOfLeadingZeros(Math.max(1, size)));
+  public int maxTransmissions(int size) {
+    return retransmitMultiplier * (32 - Integer.numberOfLeadingZeros(Math.max(1, size)));
   }
 }
--- a/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
+++ b/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
@@ -85,7 +85,7 @@
     for (Item item : queue) {
       GossipUpdate update = look.apply(item.name, item.by);
       int size = update == null ? 0 : MemberCodec.size(update);
-      if (size > left || taken.size() >= MemberCodec.UPDATES_MOST) {
+      if (size > left || taken.size() >= MemberCodec.MAX_UPDATES) {
         break;
       }
       left -= size;
--- a/members/src/main/java/tillerlink/members/probe/Probe.java
+++ b/members/src/main/java/tillerlink/members/probe/Probe.java
@@ -27,7 +27,7 @@
   final long number;
   final String name;
   final String address;
-  final SuspicionLevel doubt;
+  final SuspicionLevel suspicion;
   final long startedAt;
   final long trip;
   int step;
@@ -45,14 +45,14 @@
       long number,
       String name,
       String address,
-      SuspicionLevel doubt,
+      SuspicionLevel suspicion,
       long now,
       long trip) {
     this.kind = kind;
     this.number = number;
     this.name = name;
     this.address = address;
-    this.doubt = doubt;
+    this.suspicion = suspicion;
     startedAt = now;
     this.trip = trip;
     nextAt = now;
@@ -89,8 +89,8 @@
     return address;
   }
 
-  public SuspicionLevel doubt() {
-    return doubt;
+  public SuspicionLevel suspicion() {
+    return suspicion;
   }
 
   public long startedAt() {
--- a/members/src/main/java/tillerlink/members/probe/ProbeManager.java
+++ b/members/src/main/java/tillerlink/members/probe/ProbeManager.java
@@ -116,7 +116,8 @@
       health.better();
     }
     finish(about, now);
-    long took = Math.min(now - about.sentAt((int) (number & Probe.SENDS - 1)), periods.waitMost());
+    long took =
+        Math.min(now - about.sentAt((int) (number & Probe.SENDS - 1)), periods.maxProbeTimeout());
     about.took = took;
     // Slower links are believed soon, faster ones only after a while.
     usualTrip = took > usualTrip ? (usualTrip + took) / 2 : (7 * usualTrip + took) / 8;
@@ -223,8 +224,8 @@
 
   /** How long an answer is waited for before more is tried. */
   private long patience(Probe about) {
-    long patient = Math.max(periods.answerWithin(), 2 * Math.max(about.trip, usualTrip));
-    return Math.min(periods.waitMost(), health.stretched(patient));
+    long patient = Math.max(periods.probeTimeout(), 2 * Math.max(about.trip, usualTrip));
+    return Math.min(periods.maxProbeTimeout(), health.stretched(patient));
   }
 
   private void end(Probe about, long now) {
@@ -243,6 +244,6 @@
   /** Kept a little, as an answer may still come. */
   private void finish(Probe about, long now) {
     about.done = true;
-    about.nextAt = now + 2 * periods.waitMost();
+    about.nextAt = now + 2 * periods.maxProbeTimeout();
   }
 }
--- a/members/src/main/java/tillerlink/members/state/MemberRecord.java
+++ b/members/src/main/java/tillerlink/members/state/MemberRecord.java
@@ -20,7 +20,7 @@
   private MemberStatus standing;
   private long lifeAt;
   private long changedAt;
-  private Suspicion suspicion;
+  private SuspicionTimer suspicion;
   private int misses;
   private boolean through;
   private long roundTrip;
@@ -44,7 +44,7 @@
     return card;
   }
 
-  public MemberStatus standing() {
+  public MemberStatus status() {
     return standing;
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** What it may have to refute. */
-  public SuspicionLevel doubt() {
+  public SuspicionLevel suspicion() {
     return standing == MemberStatus.ALIVE
         ? SuspicionLevel.NONE
         : new SuspicionLevel(standing, card.incarnation(), card.birth());
@@ -113,11 +113,11 @@
 
   // ---- what is told on ----
 
-  Suspicion suspicion() {
+  SuspicionTimer suspicionTimer() {
     return suspicion;
   }
 
-  void become(MemberStatus next, MemberInfo of, Suspicion suspected, long at) {
+  void become(MemberStatus next, MemberInfo of, SuspicionTimer suspected, long at) {
     Invariant.holds(of.compare(card) >= 0, () -> name + " falls from " + card + " to " + of);
     Invariant.holds(
         standing.takesPart() || !next.takesPart() || of.compare(card) > 0,
--- a/members/src/main/java/tillerlink/members/state/MemberTable.java
+++ b/members/src/main/java/tillerlink/members/state/MemberTable.java
@@ -152,14 +152,14 @@
 
   private Outcome unknown(GossipUpdate update, long now, boolean doubtful) {
     long since = now - update.age();
-    if (!update.standing().takesPart()) {
+    if (!update.status().takesPart()) {
       // Without the bound those long gone would be told from one to the other for ever.
-      if (update.age() < periods.forgetAfter() && entries.size() < 2 * periods.mostMembers()) {
-        add(new MemberRecord(update.name(), update.card(), update.standing(), since, since));
+      if (update.age() < periods.forgetAfter() && entries.size() < 2 * periods.maxMembers()) {
+        add(new MemberRecord(update.name(), update.card(), update.status(), since, since));
       }
       return Outcome.KNOWN;
     }
-    if (update.age() > periods.updateLife() || doubtful) {
+    if (update.age() > periods.maxUpdateAge() || doubtful) {
       return Outcome.VERIFY;
     }
     if (isFull()) {
@@ -169,31 +169,31 @@
         new MemberRecord(update.name(), update.card(), MemberStatus.ALIVE, since, since);
     add(entry);
     changes.changed(entry, Reachability.GONE, MemberInfo.NONE);
-    if (update.standing() == MemberStatus.SUSPECTED) {
-      become(entry, MemberStatus.SUSPECTED, update.card(), suspicion(update.by(), now), since);
+    if (update.status() == MemberStatus.SUSPECTED) {
+      become(entry, MemberStatus.SUSPECTED, update.card(), suspicion(update.accuser(), now), since);
     }
     return Outcome.NEWS;
   }
 
   private boolean isFull() {
-    return talking.size() >= periods.mostMembers() || entries.size() >= 2 * periods.mostMembers();
+    return talking.size() >= periods.maxMembers() || entries.size() >= 2 * periods.maxMembers();
   }
 
   private Outcome above(MemberRecord entry, GossipUpdate update, long now, boolean doubtful) {
-    boolean comesBack = update.standing().takesPart() && !entry.standing().takesPart();
-    if (comesBack && talking.size() >= periods.mostMembers()) {
+    boolean comesBack = update.status().takesPart() && !entry.status().takesPart();
+    if (comesBack && talking.size() >= periods.maxMembers()) {
       return Outcome.REFUSED;
     }
-    if (comesBack && update.age() > periods.updateLife()
+    if (comesBack && update.age() > periods.maxUpdateAge()
         || doubtful
-            && update.standing() != MemberStatus.ALIVE
-            && update.standing() != MemberStatus.LEFT) {
+            && update.status() != MemberStatus.ALIVE
+            && update.status() != MemberStatus.LEFT) {
       return Outcome.VERIFY;
     }
     MemberStatus next =
-        update.standing() == MemberStatus.GONE && entry.standing().takesPart()
+        update.status() == MemberStatus.GONE && entry.status().takesPart()
             ? MemberStatus.SUSPECTED
-            : update.standing();
+            : update.status();
     long since = now - update.age();
     if (next == MemberStatus.ALIVE) {
       entry.lived(since);
@@ -202,18 +202,18 @@
         entry,
         next,
         update.card(),
-        next == MemberStatus.SUSPECTED ? suspicion(update.by(), now) : null,
+        next == MemberStatus.SUSPECTED ? suspicion(update.accuser(), now) : null,
         since);
     return Outcome.NEWS;
   }
 
   private Outcome same(MemberRecord entry, GossipUpdate update, long now, boolean doubtful) {
-    int order = update.standing().compareTo(entry.standing());
+    int order = update.status().compareTo(entry.status());
     if (order < 0) {
       return Outcome.OUTDATED;
     }
     long since = now - update.age();
-    return switch (update.standing()) {
+    return switch (update.status()) {
       case ALIVE -> {
         entry.lived(since);
         yield Outcome.KNOWN;
@@ -222,12 +222,12 @@
         if (doubtful) {
           yield Outcome.VERIFY;
         }
-        yield suspect(entry, update.by(), now, since) ? Outcome.NEWS : Outcome.KNOWN;
+        yield suspect(entry, update.accuser(), now, since) ? Outcome.NEWS : Outcome.KNOWN;
       }
       // Who lives for all that is known here is not given up on hearsay: it is asked, and told what
       // to refute.
       case GONE ->
-          order > 0 && (entry.standing() == MemberStatus.ALIVE || doubtful)
+          order > 0 && (entry.status() == MemberStatus.ALIVE || doubtful)
               ? Outcome.VERIFY
               : settle(entry, update, order, since);
       case LEFT -> settle(entry, update, order, since);
@@ -238,7 +238,7 @@
     if (order == 0) {
       return Outcome.KNOWN;
     }
-    become(entry, update.standing(), update.card(), null, since);
+    become(entry, update.status(), update.card(), null, since);
     return Outcome.NEWS;
   }
 
@@ -246,22 +246,22 @@
 
   /** One accuses it, perhaps the own process; true if that is new. */
   public boolean suspect(MemberRecord entry, String by, long now, long since) {
-    if (entry.standing() == MemberStatus.SUSPECTED) {
+    if (entry.status() == MemberStatus.SUSPECTED) {
       firstDue = -1;
-      return entry.suspicion().confirm(by);
+      return entry.suspicionTimer().confirm(by);
     }
-    if (entry.standing() != MemberStatus.ALIVE) {
+    if (entry.status() != MemberStatus.ALIVE) {
       return false;
     }
     become(entry, MemberStatus.SUSPECTED, entry.card(), suspicion(by, now), since);
     return true;
   }
 
-  private Suspicion suspicion(String by, long now) {
+  private SuspicionTimer suspicion(String by, long now) {
     // In a small fleet there are not that many who could confirm it.
     int confirmations = Math.max(0, Math.min(periods.confirmations(), size() - 3));
-    return new Suspicion(
-        now, by, confirmations, periods.suspicionLeast(size()), periods.suspicionMost(size()));
+    return new SuspicionTimer(
+        now, by, confirmations, periods.minSuspicionTime(size()), periods.maxSuspicionTime(size()));
   }
 
   /** It answered a question of this process, straight or through another. */
@@ -294,7 +294,7 @@
       return null;
     }
     for (MemberRecord entry : suspected.values()) {
-      if (entry.suspicion().deadline() <= now) {
+      if (entry.suspicionTimer().deadline() <= now) {
         become(entry, MemberStatus.GONE, entry.card(), null, now);
         return entry;
       }
@@ -308,14 +308,14 @@
       firstDue = Long.MAX_VALUE;
       suspected
           .values()
-          .forEach(entry -> firstDue = Math.min(firstDue, entry.suspicion().deadline()));
+          .forEach(entry -> firstDue = Math.min(firstDue, entry.suspicionTimer().deadline()));
     }
     return firstDue;
   }
 
   /** No suspicion runs while the own process is away. */
   public void away(long lasted) {
-    suspected.values().forEach(entry -> entry.suspicion().later(lasted));
+    suspected.values().forEach(entry -> entry.suspicionTimer().later(lasted));
     firstDue = -1;
   }
 
@@ -329,7 +329,7 @@
     }
     List<MemberRecord> old = new ArrayList<>();
     for (MemberRecord entry : entries.values()) {
-      if (!entry.standing().takesPart() && now - entry.changedAt() > periods.forgetAfter()) {
+      if (!entry.status().takesPart() && now - entry.changedAt() > periods.forgetAfter()) {
         old.add(entry);
       }
     }
@@ -351,30 +351,30 @@
     buckets.get(MemberCodec.bucket(entry.name())).add(entry.name());
     list(entry);
     Invariant.holds(
-        entries.size() <= 2 * periods.mostMembers(), () -> "members known: " + entries.size());
+        entries.size() <= 2 * periods.maxMembers(), () -> "members known: " + entries.size());
   }
 
   private void become(
-      MemberRecord entry, MemberStatus next, MemberInfo card, Suspicion suspicion, long at) {
+      MemberRecord entry, MemberStatus next, MemberInfo card, SuspicionTimer suspicion, long at) {
     Reachability was = entry.reach();
     MemberInfo before = entry.card();
     unlist(entry);
     entry.become(next, card, suspicion, at);
     list(entry);
     Invariant.holds(
-        talking.size() <= periods.mostMembers(), () -> "members that take part: " + talking.size());
+        talking.size() <= periods.maxMembers(), () -> "members that take part: " + talking.size());
     if (entry.reach() != was || card.birth() != before.birth()) {
       changes.changed(entry, was, before);
     }
   }
 
   private void list(MemberRecord entry) {
-    if (entry.standing().takesPart()) {
+    if (entry.status().takesPart()) {
       talking.add(entry);
-    } else if (entry.standing() == MemberStatus.GONE) {
+    } else if (entry.status() == MemberStatus.GONE) {
       gone.add(entry);
     }
-    if (entry.standing() == MemberStatus.SUSPECTED) {
+    if (entry.status() == MemberStatus.SUSPECTED) {
       suspected.put(entry.name(), entry);
       firstDue = -1;
     }
--- a/members/src/main/java/tillerlink/members/state/Suspicion.java
+++ b/members/src/main/java/tillerlink/members/state/SuspicionTimer.java
@@ -8,7 +8,7 @@
  * How long a member is suspected before it is given up: the longest time if one accuses it alone,
  * falling to the shortest as others, who tried it themselves, say so too.
  */
-final class Suspicion {
+final class SuspicionTimer {
   private final Set<String> accusers = new TreeSet<>();
   private final int confirmations;
   private final long least;
@@ -16,7 +16,7 @@
   private long since;
   private long lasts;
 
-  Suspicion(long now, String by, int confirmations, long least, long most) {
+  SuspicionTimer(long now, String by, int confirmations, long least, long most) {
     since = now;
     accusers.add(by);
     this.confirmations = confirmations;
--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -70,7 +70,9 @@
   void noOldUpdateBringsTheDeadBack() {
     MemberTable table =
         new MemberTable(
-            "own", MembershipConfig.usual().withMemory(LIFE, FORGET), (entry, was, before) -> {});
+            "own",
+            MembershipConfig.usual().withRetention(LIFE, FORGET),
+            (entry, was, before) -> {});
     assertEquals(Outcome.NEWS, table.tell(update("b", MemberStatus.ALIVE, 1, 0), 0, false));
     table.suspect(table.get("b"), "own", 10, 10);
     assertEquals("b", table.expire(40 * Play.SECOND).name());
@@ -106,7 +108,7 @@
 
   @Test
   void moreThanTheMostAreRefused() {
-    Members members = members(MembershipConfig.usual().withMembers(5));
+    Members members = members(MembershipConfig.usual().withMaxMembers(5));
     members.tick(0, 0);
     for (int i = 0; i < 40; i++) {
       members.onMessage(1, 1, "x", gossip(update("m" + i, MemberStatus.ALIVE, 1, 0)));
--- a/members/src/test/java/tillerlink/members/HistoriesTest.java
+++ b/members/src/test/java/tillerlink/members/HistoriesTest.java
@@ -111,7 +111,7 @@
       double lost = random.nextInt(4) / 10.0;
       long late = random.nextBoolean() ? 10 : 10 + random.nextInt(30_000);
       say("all links lose " + lost + ", late by up to " + late / 10 + " ms");
-      play.fleet.usual(Fault.bad(lost, random.nextInt(3) / 10.0, late));
+      play.fleet.setDefaultFault(Fault.bad(lost, random.nextInt(3) / 10.0, late));
     }
 
     private void partition() {
@@ -149,7 +149,7 @@
         default -> {
           say("all links are as usual");
           play.fleet.heal();
-          play.fleet.usual(Fault.NONE);
+          play.fleet.setDefaultFault(Fault.NONE);
         }
       }
     }
@@ -158,7 +158,7 @@
     void calm() {
       say("calm");
       play.fleet.heal();
-      play.fleet.usual(Fault.NONE);
+      play.fleet.setDefaultFault(Fault.NONE);
       for (Play.Process process : List.copyOf(play.up.values())) {
         play.fleet.resume(process.address);
         if (process.leaving) {
@@ -274,7 +274,8 @@
         play.start("m" + i, Play.at("m0"), Play.at("m1"));
       }
       assertTrue(play.untilAgreed(20 * Play.SECOND) >= 0);
-      play.fleet.usual(Fault.bad(random.nextInt(4) / 10.0, 0.1, 10 + random.nextInt(1000)));
+      play.fleet.setDefaultFault(
+          Fault.bad(random.nextInt(4) / 10.0, 0.1, 10 + random.nextInt(1000)));
       for (int i = 0; i < 10; i++) {
         String address = Play.at("m" + random.nextInt(size));
         play.fleet.pause(address);
--- a/members/src/test/java/tillerlink/members/LargeFleetsTest.java
+++ b/members/src/test/java/tillerlink/members/LargeFleetsTest.java
@@ -34,7 +34,7 @@
     play.kill(dead);
     long killed = play.fleet.now();
     // A probe that meets it, the longest suspicion, and the news of it.
-    long within = periods.suspicionMost(size) + 20 * Play.SECOND;
+    long within = periods.maxSuspicionTime(size) + 20 * Play.SECOND;
     long learnt = play.untilAgreed(within, every);
     assertTrue(
         learnt >= 0,
--- a/members/src/test/java/tillerlink/members/MembersTest.java
+++ b/members/src/test/java/tillerlink/members/MembersTest.java
@@ -66,19 +66,19 @@
                   period,
                   period / 4,
                   period,
-                  usual.relays(),
-                  usual.suspicionFactor(),
-                  usual.suspicionSpread(),
+                  usual.indirectProbes(),
+                  usual.suspicionMultiplier(),
+                  usual.maxSuspicionMultiplier(),
                   usual.confirmations(),
                   period / 2,
-                  usual.gossipTo(),
-                  usual.updateFactor(),
+                  usual.gossipFanout(),
+                  usual.retransmitMultiplier(),
                   period,
                   10 * period,
-                  usual.updateLife(),
+                  usual.maxUpdateAge(),
                   usual.forgetAfter(),
-                  usual.healthMost(),
-                  usual.mostMembers()));
+                  usual.maxLocalHealthScore(),
+                  usual.maxMembers()));
       play.startAll("a", "b", "c");
       assertTrue(play.untilAgreed(40 * period) >= 0);
       play.leave("c");
--- a/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
+++ b/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
@@ -139,13 +139,13 @@
     play.makers = makers;
     play.startAll("a", "b", "c", "d", "e", "f");
     play.untilAgreed(20 * Play.SECOND);
-    play.fleet.usual(Fault.lossy(0.3));
+    play.fleet.setDefaultFault(Fault.lossy(0.3));
     play.changes.clear();
     play.fleet.playFor(300 * Play.SECOND);
     if (play.changes.stream().anyMatch(change -> change.is() == Reachability.GONE)) {
       return "a living one is given up for lost messages";
     }
-    play.fleet.usual(Fault.NONE);
+    play.fleet.setDefaultFault(Fault.NONE);
     for (String one : List.of("a", "b", "c")) {
       List.of("d", "e", "f")
           .forEach(other -> play.fleet.between(Play.at(one), Play.at(other), Fault.CUT));
@@ -175,22 +175,22 @@
   private static MembershipConfig with(int suspicion, long retryEvery, long digestEvery) {
     MembershipConfig usual = MembershipConfig.usual();
     return new MembershipConfig(
-        usual.period(),
-        usual.answerWithin(),
-        usual.waitMost(),
-        usual.relays(),
+        usual.probeInterval(),
+        usual.probeTimeout(),
+        usual.maxProbeTimeout(),
+        usual.indirectProbes(),
         suspicion,
-        suspicion == 1 ? 1 : usual.suspicionSpread(),
+        suspicion == 1 ? 1 : usual.maxSuspicionMultiplier(),
         usual.confirmations(),
-        usual.gossipEvery(),
-        usual.gossipTo(),
-        usual.updateFactor(),
+        usual.gossipInterval(),
+        usual.gossipFanout(),
+        usual.retransmitMultiplier(),
         retryEvery,
         digestEvery,
-        usual.updateLife(),
+        usual.maxUpdateAge(),
         usual.forgetAfter(),
-        usual.healthMost(),
-        usual.mostMembers());
+        usual.maxLocalHealthScore(),
+        usual.maxMembers());
   }
 
   /**
@@ -227,13 +227,15 @@
     found.add("news told for ever: " + caught(TELLS_FOR_EVER, usual));
     found.add(
         "suspicion of half a second: "
-            + caught(new ComponentFactories(), with(1, usual.retryEvery(), usual.digestEvery())));
+            + caught(
+                new ComponentFactories(),
+                with(1, usual.reconnectInterval(), usual.antiEntropyInterval())));
     found.add(
         "the gone are not tried again: "
-            + caught(new ComponentFactories(), with(5, never, usual.digestEvery())));
+            + caught(new ComponentFactories(), with(5, never, usual.antiEntropyInterval())));
     found.add(
         "no digests but on meeting: "
-            + caught(new ComponentFactories(), with(5, usual.retryEvery(), never)));
+            + caught(new ComponentFactories(), with(5, usual.reconnectInterval(), never)));
     assertEquals(CAUGHT, String.join("\n", found) + "\n");
   }
 }
--- a/members/src/test/java/tillerlink/members/Play.java
+++ b/members/src/test/java/tillerlink/members/Play.java
@@ -36,7 +36,7 @@
           new Members(
               new Identity("f", name, "site-" + name.charAt(0), address, seeds, before),
               periods,
-              (to, body) -> fleet.post(address).send(to, sealed(name, body)),
+              (to, body) -> fleet.sender(address).send(to, sealed(name, body)),
               new java.util.SplittableRandom(random.nextLong()),
               this,
               fleet.wall(address),
@@ -159,7 +159,7 @@
   void leave(String name) {
     up.get(at(name)).leaving = true;
     up.get(at(name)).members.leave(fleet.now());
-    fleet.touched(at(name));
+    fleet.reschedule(at(name));
   }
 
   Reachability reach(String by, String of) {
@@ -187,7 +187,7 @@
       }
     }
     return one.members.names().stream()
-            .filter(name -> one.members.reachability(name).talksTo())
+            .filter(name -> one.members.reachability(name).isContactable())
             .count()
         == reachable;
   }
--- a/members/src/test/java/tillerlink/members/measure/Heartbeats.java
+++ b/members/src/test/java/tillerlink/members/measure/Heartbeats.java
@@ -68,7 +68,7 @@
     dueAt = now + EVERY;
     for (int i = 0; i < size; i++) {
       if (!name.equals("h" + i)) {
-        fleet.post(name).send("h" + i, new byte[BYTES]);
+        fleet.sender(name).send("h" + i, new byte[BYTES]);
       }
     }
     seen.forEach((other, of) -> look(now, other, of));
@@ -107,7 +107,7 @@
           "h" + i,
           new Heartbeats(fleet, "h" + i, size, accrual, tally, random.nextInt((int) EVERY)));
     }
-    fleet.usual(Fault.lossy(lost));
+    fleet.setDefaultFault(Fault.lossy(lost));
     fleet.playFor(30 * Play.SECOND);
     tally.falsely = 0;
     long bytes = fleet.sentBytes();
--- a/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
+++ b/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
@@ -35,7 +35,7 @@
   }
 
   private static MembershipConfig periods(boolean health) {
-    return health ? MembershipConfig.usual() : MembershipConfig.usual().withHealth(0);
+    return health ? MembershipConfig.usual() : MembershipConfig.usual().withMaxLocalHealthScore(0);
   }
 
   /** A fleet that knows all of itself; changes are told to nobody. */
@@ -103,7 +103,7 @@
     int kills = size == BIG ? 3 : 10;
     for (int seed = 0; seed < plays; seed++) {
       Play play = fleet(size, seed, periods(health));
-      play.fleet.usual(Fault.lossy(lost));
+      play.fleet.setDefaultFault(Fault.lossy(lost));
       play.fleet.playFor(20 * Play.SECOND);
       Set<String> dead = new HashSet<>();
       long[] killedAt = new long[1];
@@ -261,7 +261,7 @@
     for (int size : new int[] {3, 30, 120, BIG}) {
       for (double lost : LOST) {
         Play play = fleet(size, 1, periods(true));
-        play.fleet.usual(Fault.lossy(lost));
+        play.fleet.setDefaultFault(Fault.lossy(lost));
         play.fleet.playFor(40 * Play.SECOND);
         long messages = play.fleet.sent();
         long bytes = play.fleet.sentBytes();
--- a/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
+++ b/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
@@ -34,21 +34,21 @@
     switch (what) {
       case BELIEVES_LOWER -> {
         if (order < 0) {
-          entry.become(update.standing(), update.card(), null, now);
+          entry.become(update.status(), update.card(), null, now);
         }
       }
       case COMES_BACK_AS_IT_WENT -> {
         if (order == 0
-            && update.standing() == MemberStatus.ALIVE
-            && entry.standing() == MemberStatus.GONE) {
+            && update.status() == MemberStatus.ALIVE
+            && entry.status() == MemberStatus.GONE) {
           entry.become(MemberStatus.ALIVE, update.card(), null, now);
         }
       }
       case GIVEN_UP_ON_HEARSAY -> {
         if (order == 0
-            && update.standing() == MemberStatus.GONE
-            && entry.standing() == MemberStatus.ALIVE) {
-          suspect(entry, update.by(), now, now);
+            && update.status() == MemberStatus.GONE
+            && entry.status() == MemberStatus.ALIVE) {
+          suspect(entry, update.accuser(), now, now);
         }
       }
       default -> {
--- a/messages/src/main/java/tillerlink/messages/members/GossipUpdate.java
+++ b/messages/src/main/java/tillerlink/messages/members/GossipUpdate.java
@@ -11,4 +11,4 @@
  *     otherwise: each who tells it on adds the time it lay there
  */
 public record GossipUpdate(
-    String name, MemberStatus standing, MemberInfo card, String by, long age) {}
+    String name, MemberStatus status, MemberInfo card, String accuser, long age) {}
--- a/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
@@ -9,10 +9,10 @@
 
 /** Members' messages as bytes. Field numbers are never used again for something else. */
 public final class MemberCodec {
-  public static final int NAME_MOST = 64;
-  public static final int ADDRESS_MOST = 100;
-  public static final int SITE_MOST = 64;
-  public static final int UPDATES_MOST = 64;
+  public static final int MAX_NAME_BYTES = 64;
+  public static final int MAX_ADDRESS_BYTES = 100;
+  public static final int MAX_SITE_BYTES = 64;
+  public static final int MAX_UPDATES = 64;
   public static final int BUCKETS = 32;
 
   /** No age is told as more than that: 30 days. */
@@ -54,21 +54,21 @@
     FieldWriter out = new FieldWriter();
     if (message instanceof MemberMessage.Probe probe) {
       out.number(KIND, PROBE).fixed(NUMBER, probe.number()).text(TARGET, probe.target());
-      doubt(out, probe.doubt());
+      suspicion(out, probe.suspicion());
     } else if (message instanceof MemberMessage.Ack ack) {
       out.number(KIND, ACK).fixed(NUMBER, ack.number());
-      doubt(out, ack.doubt());
+      suspicion(out, ack.suspicion());
     } else if (message instanceof MemberMessage.Ask ask) {
       out.number(KIND, ASK)
           .fixed(NUMBER, ask.number())
           .text(TARGET, ask.target())
           .text(ADDRESS, ask.address());
-      doubt(out, ask.doubt());
+      suspicion(out, ask.suspicion());
     } else if (message instanceof MemberMessage.Vouch vouch) {
       out.number(KIND, VOUCH).fixed(NUMBER, vouch.number()).flag(REACHED, vouch.reached());
     } else if (message instanceof MemberMessage.Gossip gossip) {
       out.number(KIND, GOSSIP);
-      doubt(out, gossip.doubt());
+      suspicion(out, gossip.suspicion());
     } else if (message instanceof MemberMessage.Digest digest) {
       out.number(KIND, DIGEST).fixed(NUMBER, digest.salt());
       out.bytes(SUMS, sums(digest.sums()));
@@ -93,7 +93,7 @@
         + utf8(update.name())
         + utf8(card.address())
         + utf8(card.site())
-        + utf8(update.by());
+        + utf8(update.accuser());
   }
 
   private static int varint(long value) {
@@ -120,20 +120,20 @@
   private static FieldWriter update(GossipUpdate update) {
     return new FieldWriter()
         .text(1, update.name())
-        .number(2, update.standing().ordinal())
+        .number(2, update.status().ordinal())
         .within(3, card(update.card()))
-        .text(4, update.by())
+        .text(4, update.accuser())
         .number(5, update.age());
   }
 
-  private static void doubt(FieldWriter out, SuspicionLevel doubt) {
-    if (doubt.is()) {
+  private static void suspicion(FieldWriter out, SuspicionLevel suspicion) {
+    if (suspicion.isPresent()) {
       out.within(
           DOUBT,
           new FieldWriter()
-              .number(1, doubt.standing().ordinal())
-              .number(2, doubt.incarnation())
-              .fixed(3, doubt.birth()));
+              .number(1, suspicion.status().ordinal())
+              .number(2, suspicion.incarnation())
+              .fixed(3, suspicion.birth()));
     }
   }
 
@@ -144,7 +144,7 @@
     long number;
     String target = "";
     String address = "";
-    SuspicionLevel doubt = SuspicionLevel.NONE;
+    SuspicionLevel suspicion = SuspicionLevel.NONE;
     boolean reached;
     long bucket;
     String after = "";
@@ -174,16 +174,16 @@
       case KIND -> parts.kind = in.number();
       case CARD -> parts.card = card(in.within());
       case NUMBER -> parts.number = in.fixed();
-      case TARGET -> parts.target = in.text(NAME_MOST);
-      case DOUBT -> parts.doubt = doubt(in.within());
-      case ADDRESS -> parts.address = in.text(ADDRESS_MOST);
+      case TARGET -> parts.target = in.text(MAX_NAME_BYTES);
+      case DOUBT -> parts.suspicion = suspicion(in.within());
+      case ADDRESS -> parts.address = in.text(MAX_ADDRESS_BYTES);
       case REACHED -> parts.reached = in.flag();
       case BUCKET -> parts.bucket = in.number(BUCKETS - 1);
-      case AFTER -> parts.after = in.text(NAME_MOST);
-      case UP_TO -> parts.upTo = in.text(NAME_MOST);
+      case AFTER -> parts.after = in.text(MAX_NAME_BYTES);
+      case UP_TO -> parts.upTo = in.text(MAX_NAME_BYTES);
       case REPLY -> parts.reply = in.flag();
       case UPDATE -> {
-        bound(parts.updates, UPDATES_MOST);
+        bound(parts.updates, MAX_UPDATES);
         parts.updates.add(update(in.within()));
       }
       case SUMS -> sums(in.bytes(BUCKETS * Integer.BYTES), parts.sums);
@@ -203,13 +203,14 @@
     List<GossipUpdate> updates = List.copyOf(parts.updates);
     MemberInfo card = parts.card;
     return switch ((int) Math.min(parts.kind, Integer.MAX_VALUE)) {
-      case PROBE -> new MemberMessage.Probe(card, parts.number, parts.target, parts.doubt, updates);
-      case ACK -> new MemberMessage.Ack(card, parts.number, parts.doubt, updates);
+      case PROBE ->
+          new MemberMessage.Probe(card, parts.number, parts.target, parts.suspicion, updates);
+      case ACK -> new MemberMessage.Ack(card, parts.number, parts.suspicion, updates);
       case ASK ->
           new MemberMessage.Ask(
-              card, parts.number, parts.target, parts.address, parts.doubt, updates);
+              card, parts.number, parts.target, parts.address, parts.suspicion, updates);
       case VOUCH -> new MemberMessage.Vouch(card, parts.number, parts.reached, updates);
-      case GOSSIP -> new MemberMessage.Gossip(card, parts.doubt, updates);
+      case GOSSIP -> new MemberMessage.Gossip(card, parts.suspicion, updates);
       case DIGEST -> digest(parts);
       case LISTING ->
           new MemberMessage.Listing(
@@ -248,8 +249,8 @@
         // The highest half is refused, so that a forged one leaves room to refute it.
         case 1 -> incarnation = in.number(Long.MAX_VALUE / 2);
         case 2 -> birth = in.fixed();
-        case 3 -> address = in.text(ADDRESS_MOST);
-        case 4 -> site = in.text(SITE_MOST);
+        case 3 -> address = in.text(MAX_ADDRESS_BYTES);
+        case 4 -> site = in.text(MAX_SITE_BYTES);
         default -> {
           // of a later release
         }
@@ -260,16 +261,16 @@
 
   private static GossipUpdate update(FieldReader in) throws MalformedMessageException {
     String name = "";
-    int standing = 0;
+    int status = 0;
     MemberInfo card = MemberInfo.NONE;
-    String by = "";
+    String accuser = "";
     long age = 0;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> name = in.text(NAME_MOST);
-        case 2 -> standing = (int) in.number(MemberStatus.values().length - 1);
+        case 1 -> name = in.text(MAX_NAME_BYTES);
+        case 2 -> status = (int) in.number(MemberStatus.values().length - 1);
         case 3 -> card = card(in.within());
-        case 4 -> by = in.text(NAME_MOST);
+        case 4 -> accuser = in.text(MAX_NAME_BYTES);
         case 5 -> age = in.number(AGE_MOST);
         default -> {
           // of a later release
@@ -279,16 +280,16 @@
     if (name.isEmpty() || card.incarnation() == 0 || card.address().isEmpty()) {
       throw new MalformedMessageException("a rumour of nobody");
     }
-    return new GossipUpdate(name, MemberStatus.values()[standing], card, by, age);
+    return new GossipUpdate(name, MemberStatus.values()[status], card, accuser, age);
   }
 
-  private static SuspicionLevel doubt(FieldReader in) throws MalformedMessageException {
-    int standing = 0;
+  private static SuspicionLevel suspicion(FieldReader in) throws MalformedMessageException {
+    int status = 0;
     long incarnation = 0;
     long birth = 0;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> standing = (int) in.number(MemberStatus.values().length - 1);
+        case 1 -> status = (int) in.number(MemberStatus.values().length - 1);
         case 2 -> incarnation = in.number(Long.MAX_VALUE / 2);
         case 3 -> birth = in.fixed();
         default -> {
@@ -296,6 +297,6 @@
         }
       }
     }
-    return new SuspicionLevel(MemberStatus.values()[standing], incarnation, birth);
+    return new SuspicionLevel(MemberStatus.values()[status], incarnation, birth);
   }
 }
--- a/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
@@ -16,11 +16,15 @@
    * @param target who is asked; empty for whoever has that address
    */
   record Probe(
-      MemberInfo card, long number, String target, SuspicionLevel doubt, List<GossipUpdate> updates)
+      MemberInfo card,
+      long number,
+      String target,
+      SuspicionLevel suspicion,
+      List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /** I am. */
-  record Ack(MemberInfo card, long number, SuspicionLevel doubt, List<GossipUpdate> updates)
+  record Ack(MemberInfo card, long number, SuspicionLevel suspicion, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /** Ask somebody for me. */
@@ -29,7 +33,7 @@
       long number,
       String target,
       String address,
-      SuspicionLevel doubt,
+      SuspicionLevel suspicion,
       List<GossipUpdate> updates)
       implements MemberMessage {}
 
@@ -38,7 +42,7 @@
       implements MemberMessage {}
 
   /** News. */
-  record Gossip(MemberInfo card, SuspicionLevel doubt, List<GossipUpdate> updates)
+  record Gossip(MemberInfo card, SuspicionLevel suspicion, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /**
--- a/messages/src/main/java/tillerlink/messages/members/SuspicionLevel.java
+++ b/messages/src/main/java/tillerlink/messages/members/SuspicionLevel.java
@@ -6,10 +6,10 @@
  *
  * @param incarnation 0 if there is nothing to refute
  */
-public record SuspicionLevel(MemberStatus standing, long incarnation, long birth) {
+public record SuspicionLevel(MemberStatus status, long incarnation, long birth) {
   public static final SuspicionLevel NONE = new SuspicionLevel(MemberStatus.ALIVE, 0, 0);
 
-  public boolean is() {
+  public boolean isPresent() {
     return incarnation > 0;
   }
 }
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -98,7 +98,7 @@
         new EnvelopeCodec(
             sharing.fleet(), sharing.secret() == null ? null : Seal.of(sharing.secret()));
     outbox = new Outbox(codec, assignment.name(), life);
-    inbox = new Inbox(codec, assignment.name(), life, MessageSender.BYTES_MOST, journal::line);
+    inbox = new Inbox(codec, assignment.name(), life, MessageSender.MAX_MESSAGE_BYTES, journal::line);
     keep =
         sharing.folder() == null
             ? new DisabledKeyValueStore()
@@ -162,24 +162,24 @@
   /** All that follows from how often members are probed goes with it. */
   private MembershipConfig periods() {
     MembershipConfig usual = MembershipConfig.usual();
-    double share = (double) sharing.probeEvery() / usual.period();
+    double share = (double) sharing.probeEvery() / usual.probeInterval();
     return new MembershipConfig(
         sharing.probeEvery(),
-        scaled(usual.answerWithin(), share),
-        scaled(usual.waitMost(), share),
-        usual.relays(),
-        usual.suspicionFactor(),
-        usual.suspicionSpread(),
+        scaled(usual.probeTimeout(), share),
+        scaled(usual.maxProbeTimeout(), share),
+        usual.indirectProbes(),
+        usual.suspicionMultiplier(),
+        usual.maxSuspicionMultiplier(),
         usual.confirmations(),
-        scaled(usual.gossipEvery(), share),
-        usual.gossipTo(),
-        usual.updateFactor(),
-        scaled(usual.retryEvery(), share),
-        scaled(usual.digestEvery(), share),
-        usual.updateLife(),
+        scaled(usual.gossipInterval(), share),
+        usual.gossipFanout(),
+        usual.retransmitMultiplier(),
+        scaled(usual.reconnectInterval(), share),
+        scaled(usual.antiEntropyInterval(), share),
+        usual.maxUpdateAge(),
         usual.forgetAfter(),
-        usual.healthMost(),
-        usual.mostMembers());
+        usual.maxLocalHealthScore(),
+        usual.maxMembers());
   }
 
   private static long scaled(long span, double share) {
@@ -199,9 +199,9 @@
 
   private void send(String address, int part, byte[] body) {
     Invariant.holds(
-        body.length <= MessageSender.BYTES_MOST,
+        body.length <= MessageSender.MAX_MESSAGE_BYTES,
         () -> "a message of " + body.length + " bytes to " + address);
-    if (datagrams == null || body.length > MessageSender.BYTES_MOST) {
+    if (datagrams == null || body.length > MessageSender.MAX_MESSAGE_BYTES) {
       return;
     }
     for (byte[] datagram : outbox.datagrams(part, body)) {
--- a/peering/src/main/java/tillerlink/peering/Watchdog.java
+++ b/peering/src/main/java/tillerlink/peering/Watchdog.java
@@ -25,7 +25,7 @@
     } catch (Invariant.Broken e) {
       throw end(e.getMessage(), e);
     } catch (RuntimeException e) {
-      if (!Invariant.ON) {
+      if (!Invariant.ENABLED) {
         throw e;
       }
       throw end("an internal fault: " + e, e);
--- a/peering/src/main/java/tillerlink/peering/members/MembersHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/members/MembersHttpHandler.java
@@ -102,7 +102,7 @@
     json.writeNumberField("sent_bytes", counts.sentBytes());
     json.writeNumberField("malformed", counts.malformed());
     json.writeNumberField("refuted", counts.refuted());
-    json.writeNumberField("away", counts.away());
+    json.writeNumberField("away", counts.pauses());
     json.writeNumberField("health", counts.health());
     json.writeEndObject();
     json.writeObjectFieldStart("refused");
--- a/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
@@ -114,7 +114,7 @@
 
   @Override
   public boolean set(String name, byte[] value, Runnable kept) {
-    if (name.length() > NAME_MOST || value != null && value.length > VALUE_MOST) {
+    if (name.length() > NAME_MOST || value != null && value.length > MAX_VALUE_BYTES) {
       throw new IllegalArgumentException("more than can be kept: " + name);
     }
     Change change = new Change(name, value, kept);
--- a/peering/src/test/java/tillerlink/peering/storage/DiskKeyValueStoreTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeyValueStoreTest.java
@@ -114,7 +114,7 @@
       assertTrue(keep.set("b", new byte[6000], () -> kept.add("b again")));
       assertThrows(
           IllegalArgumentException.class,
-          () -> keep.set("c", new byte[KeyValueStore.VALUE_MOST + 1], null));
+          () -> keep.set("c", new byte[KeyValueStore.MAX_VALUE_BYTES + 1], null));
       turnsUntil(kept, 4);
     }
     assertEquals(List.of("a", "a again", "no a", "b again"), kept);
--- a/peering/src/test/java/tillerlink/peering/together/Host.java
+++ b/peering/src/test/java/tillerlink/peering/together/Host.java
@@ -50,7 +50,7 @@
       Random random,
       Runnable stepped) {
     this.stepped = stepped;
-    MessageSender post = fleet.post(name);
+    MessageSender post = fleet.sender(name);
     KeyValueStore keep =
         new KeyValueStore() {
           @Override
@@ -68,7 +68,7 @@
                     kept.run();
                   }
                   if (!parts.isEmpty()) {
-                    fleet.touched(name);
+                    fleet.reschedule(name);
                   }
                 });
           }
--- a/peering/src/test/java/tillerlink/peering/together/Story.java
+++ b/peering/src/test/java/tillerlink/peering/together/Story.java
@@ -61,7 +61,7 @@
 
   private void start(String name) {
     InMemoryKeyValueStore was = disks.get(name);
-    InMemoryKeyValueStore disk = was == null ? new InMemoryKeyValueStore(fleet, 5) : was.reopened();
+    InMemoryKeyValueStore disk = was == null ? new InMemoryKeyValueStore(fleet, 5) : was.reopen();
     disks.put(name, disk);
     Host host = new Host(name, fleet, disk, random, this::sees);
     up.put(name, host);
@@ -73,7 +73,7 @@
     up.remove(name).gone();
     fleet.kill(name);
     InMemoryKeyValueStore disk = disks.get(name);
-    disk.crash(disk.inDoubt() == 0 ? 0 : random.nextInt(disk.inDoubt() + 1));
+    disk.crash(disk.pendingWrites() == 0 ? 0 : random.nextInt(disk.pendingWrites() + 1));
   }
 
   /** Which changes could be seen in effect anywhere. */
@@ -114,7 +114,7 @@
                   answered.add(taken.id().text());
                 }
               });
-      fleet.touched(name);
+      fleet.reschedule(name);
     }
   }
 
@@ -148,7 +148,7 @@
                 rejected++;
               }
             });
-    fleet.touched(name);
+    fleet.reschedule(name);
   }
 
   private final Set<String> paused = new HashSet<>();
@@ -233,7 +233,7 @@
             fleet.now(),
             new Change(List.of(17), List.of(), List.of(), new TreeMap<>()),
             outcome -> say("announced: " + outcome));
-    fleet.touched(at);
+    fleet.reschedule(at);
   }
 
   private void befalls(String name) {
--- a/simulation/src/main/java/tillerlink/simulation/InMemoryKeyValueStore.java
+++ b/simulation/src/main/java/tillerlink/simulation/InMemoryKeyValueStore.java
@@ -88,7 +88,7 @@
     dead = true;
   }
 
-  public int inDoubt() {
+  public int pendingWrites() {
     return waiting.size();
   }
 
@@ -98,7 +98,7 @@
   }
 
   /** What the next process finds: the disk as this one left it. */
-  public InMemoryKeyValueStore reopened() {
+  public InMemoryKeyValueStore reopen() {
     dead = true;
     return new InMemoryKeyValueStore(fleet, takes, disk);
   }
--- a/simulation/src/main/java/tillerlink/simulation/SimulatedFleet.java
+++ b/simulation/src/main/java/tillerlink/simulation/SimulatedFleet.java
@@ -76,7 +76,7 @@
   }
 
   /** What a host sends by. */
-  public MessageSender post(String from) {
+  public MessageSender sender(String from) {
     return (to, body) -> send(from, to, body);
   }
 
@@ -128,7 +128,7 @@
    * To be called after something was asked of a host's part from outside, so that its time is
    * looked at again.
    */
-  public void touched(String name) {
+  public void reschedule(String name) {
     Host host = hosts.get(name);
     if (host != null && host.pausedAt < 0) {
       turn(host);
@@ -148,7 +148,7 @@
   // ---- links ----
 
   /** How all links behave of which nothing else was said. */
-  public void usual(Fault fault) {
+  public void setDefaultFault(Fault fault) {
     usual = fault;
   }
 
--- a/statements/src/main/java/tillerlink/statements/consensus/SnapshotFetcher.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/SnapshotFetcher.java
@@ -33,7 +33,7 @@
 
   void start(long now, String other, long at, long size) {
     if (from != null && from.equals(other) && index == at
-        || size > KeyValueStore.VALUE_MOST
+        || size > KeyValueStore.MAX_VALUE_BYTES
         || size <= 0) {
       return;
     }
--- a/statements/src/test/java/tillerlink/statements/History.java
+++ b/statements/src/test/java/tillerlink/statements/History.java
@@ -128,7 +128,7 @@
       case 6 -> kill(cluster.leader());
       default -> {
         say("links are bad");
-        cluster.fleet.usual(Fault.bad(0.2, 0.1, 20 + random.nextInt(3000)));
+        cluster.fleet.setDefaultFault(Fault.bad(0.2, 0.1, 20 + random.nextInt(3000)));
       }
     }
   }
@@ -212,7 +212,7 @@
       case 11 -> {
         say("links heal");
         cluster.fleet.heal();
-        cluster.fleet.usual(
+        cluster.fleet.setDefaultFault(
             random.nextInt(3) == 0 ? Fault.bad(0.2, 0.1, 20 + random.nextInt(3000)) : Fault.NONE);
       }
       case 12 -> {
@@ -320,7 +320,7 @@
   private String heal() {
     say("all heals");
     cluster.fleet.heal();
-    cluster.fleet.usual(Fault.NONE);
+    cluster.fleet.setDefaultFault(Fault.NONE);
     for (String name : cluster.all) {
       if (!cluster.isUp(name)) {
         cluster.start(name);
--- a/statements/src/test/java/tillerlink/statements/Measure.java
+++ b/statements/src/test/java/tillerlink/statements/Measure.java
@@ -60,8 +60,8 @@
                     .findFirst()
                     .orElseThrow()));
     change("the leader killed", cluster -> cluster.kill(cluster.leader()));
-    change("links of 40 ms", cluster -> cluster.fleet.usual(Fault.slow(400, 420)));
-    change("20% of messages lost", cluster -> cluster.fleet.usual(Fault.lossy(0.2)));
+    change("links of 40 ms", cluster -> cluster.fleet.setDefaultFault(Fault.slow(400, 420)));
+    change("20% of messages lost", cluster -> cluster.fleet.setDefaultFault(Fault.lossy(0.2)));
     cost();
   }
 
--- a/statements/src/test/java/tillerlink/statements/TestCluster.java
+++ b/statements/src/test/java/tillerlink/statements/TestCluster.java
@@ -155,7 +155,7 @@
   /** With its disk as it was left. */
   void start(String name) {
     InMemoryKeyValueStore disk = disks.get(name);
-    start(name, disk == null ? new InMemoryKeyValueStore(fleet, 5) : disk.reopened());
+    start(name, disk == null ? new InMemoryKeyValueStore(fleet, 5) : disk.reopen());
   }
 
   void startEmpty(String name) {
@@ -199,7 +199,7 @@
                 () -> {
                   kept.run();
                   if (gateways.get(name) == gateway) {
-                    fleet.touched(name);
+                    fleet.reschedule(name);
                   }
                 });
           }
@@ -209,7 +209,7 @@
           new Statements(
               new StatementTerms(voters, lease, new RaftConfig(vouched, plants)),
               new Names(name, all),
-              fleet.post(name),
+              fleet.sender(name),
               keep,
               new Random(random.nextLong()),
               new Renaming(),
@@ -224,7 +224,7 @@
   void kill(String name) {
     if (gateways.remove(name) != null) {
       InMemoryKeyValueStore disk = disks.get(name);
-      disk.crash(disk.inDoubt() == 0 ? 0 : random.nextInt(disk.inDoubt() + 1));
+      disk.crash(disk.pendingWrites() == 0 ? 0 : random.nextInt(disk.pendingWrites() + 1));
       fleet.kill(name);
     }
   }
@@ -282,7 +282,7 @@
     Gateway gateway = gateways.get(name);
     if (gateway != null && !gateway.paused) {
       what.accept(gateway);
-      fleet.touched(name);
+      fleet.reschedule(name);
     }
   }
 
@@ -314,7 +314,7 @@
     Prepared prepared = gateway.part.lookUp(name).orElse(null);
     Permission permission =
         prepared == null ? null : gateway.part.mayRun(gateway.local(fleet.now()), prepared);
-    fleet.touched(at);
+    fleet.reschedule(at);
     return permission == null
         ? "unknown name"
         : permission instanceof Permission.No no
@@ -332,7 +332,7 @@
       return;
     }
     Prepared prepared = gateway.part.lookUp(name).orElse(null);
-    fleet.touched(at);
+    fleet.reschedule(at);
     if (prepared == null
         || gateway.part.mayRun(gateway.local(fleet.now()), prepared) instanceof Permission.No) {
       audit.turnedBack++;
