--- a/cluster/src/main/java/tillerlink/cluster/Invariant.java
+++ b/cluster/src/main/java/tillerlink/cluster/Invariant.java
@@ -3,32 +3,35 @@
 import java.util.function.Supplier;
 
 /**
- * Checks that stand next to the state they guard. They are on in tests, in virtual time and in
- * processes that a rig starts ({@code -Dtillerlink.invariants=true}), and off otherwise.
+ * Checks of invariants next to the state that they guard. They are enabled in tests, in simulations
+ * and in processes started by the test harness ({@code -Dtillerlink.invariants=true}), and disabled
+ * otherwise.
  */
 public final class Invariant {
+  /** Whether invariants are checked in this process. */
   public static final boolean ENABLED = Boolean.getBoolean("tillerlink.invariants");
 
-  /**
-   * An invariant does not hold: a fault of the program, which nothing that comes from outside may
-   * bring about.
-   */
+  /** An invariant does not hold: a fault of the program, which no input from outside may cause. */
   public static final class Broken extends AssertionError {
     private static final long serialVersionUID = 1L;
 
-    Broken(String what) {
-      super("invariant broken: " + what);
+    Broken(String description) {
+      super("invariant broken: " + description);
     }
   }
 
   private Invariant() {}
 
   /**
-   * @param what told only if it does not hold
+   * Checks an invariant, if checks are enabled.
+   *
+   * @param condition whether the invariant holds
+   * @param description evaluated only if it does not hold
+   * @throws Broken if it does not hold
    */
-  public static void holds(boolean condition, Supplier<String> what) {
+  public static void holds(boolean condition, Supplier<String> description) {
     if (ENABLED && !condition) {
-      throw new Broken(what.get());
+      throw new Broken(description.get());
     }
   }
 }
--- a/cluster/src/main/java/tillerlink/cluster/MembershipView.java
+++ b/cluster/src/main/java/tillerlink/cluster/MembershipView.java
@@ -2,17 +2,20 @@
 
 import java.util.List;
 
-/** Who is there. Asked in a turn of the thread that owns all state; never waits. */
+/**
+ * What this gateway knows of the members of its fleet. Every method is called on the gateway's
+ * event loop and answers at once from memory.
+ */
 public interface MembershipView {
-  /** The own name, the same after a restart. */
+  /** The name of the local member; it survives a restart. */
   String self();
 
-  /** The site of a member, the own one too; empty if it is not known. */
+  /** The site of a member, the local one included; empty if the member is not known. */
   String site(String name);
 
-  /** All others that are known, gone and left ones too, in the order of their names. */
+  /** The names of all other known members in ascending order, failed and departed ones included. */
   List<String> names();
 
-  /** {@link Reachability#GONE} for one that is not known. */
+  /** How another member can be reached; {@link Reachability#GONE} if it is not known. */
   Reachability reachability(String name);
 }
--- a/cluster/src/main/java/tillerlink/cluster/MessageSender.java
+++ b/cluster/src/main/java/tillerlink/cluster/MessageSender.java
@@ -1,17 +1,18 @@
 package tillerlink.cluster;
 
 /**
- * Sends a message to another gateway. It may be lost, late, repeated or overtaken by later ones,
- * and nobody says so; whoever needs it to arrive sends it again until the answer is there.
+ * Sends messages to other gateways, without any guarantee: a message may be lost, delayed,
+ * duplicated or reordered, and the sender is not notified. A component that needs delivery sends
+ * again until it is acknowledged. Called on the gateway's event loop; never blocks.
  */
 @FunctionalInterface
 public interface MessageSender {
-  /** No message is longer; what is more goes in several. */
+  /** The longest message, in bytes; more has to be split. */
   int MAX_MESSAGE_BYTES = 12_000;
 
-  /** One of this size goes in a single datagram, which every link of today carries. */
+  /** A message up to this length, in bytes, fits a single datagram on every common link. */
   int SINGLE_DATAGRAM_BYTES = 1_100;
 
-  /** Messages to a name that is not known are dropped. */
+  /** Sends a message; it is dropped if the name of the receiver is not known. */
   void send(String to, byte[] body);
 }
--- a/cluster/src/main/java/tillerlink/cluster/Reachability.java
+++ b/cluster/src/main/java/tillerlink/cluster/Reachability.java
@@ -1,19 +1,22 @@
 package tillerlink.cluster;
 
-/** How another member of the fleet stands, as this gateway knows it. */
+/**
+ * How another member of the fleet can be reached, as far as this gateway knows. The names of the
+ * constants are part of the HTTP interface for operators.
+ */
 public enum Reachability {
-  /** Heard straight from it of late. */
+  /** It answered this gateway's own probes recently. */
   REACHABLE,
-  /** Not heard straight, but others that are heard reach it. */
+  /** It does not answer this gateway, but members that do answer can reach it. */
   THROUGH_OTHERS,
-  /** Nobody reached it of late; it may still say that it lives. */
+  /** Nobody reached it recently; it may still refute the suspicion. */
   SUSPECTED,
-  /** Given up; it comes back only by its own word. */
+  /** It was declared failed; only a higher incarnation of its own brings it back. */
   GONE,
-  /** It said itself that it goes. */
+  /** It announced itself that it leaves. */
   LEFT;
 
-  /** Whether messages to it are worth sending. */
+  /** Whether messages to the member are worth sending. */
   public boolean isContactable() {
     return this == REACHABLE || this == THROUGH_OTHERS || this == SUSPECTED;
   }
