--- a/simulation/src/main/java/tillerlink/simulation/InMemoryKeyValueStore.java
+++ b/simulation/src/main/java/tillerlink/simulation/InMemoryKeyValueStore.java
@@ -1,64 +1,69 @@
 package tillerlink.simulation;
 
+import java.util.ArrayDeque;
 import java.util.Collections;
 import java.util.NavigableMap;
+import java.util.Queue;
 import java.util.TreeMap;
 import tillerlink.cluster.KeyValueStore;
 
 /**
- * A disk in virtual time. What was handed over is in doubt until its time has passed: a crash keeps
- * a prefix of it, drawn by whoever calls {@link #crash}. The value of one process after the other:
- * {@link #reopened} is what the next one finds.
+ * A simulated disk in virtual time. A change is pending until the write time has passed; a crash
+ * persists a prefix of the pending changes, whose length the caller of {@link #crash} draws. One
+ * instance serves one process; {@link #reopen} gives the store that its successor opens.
  */
 public final class InMemoryKeyValueStore implements KeyValueStore {
   private record Change(String name, byte[] value) {}
 
   private final SimulatedFleet fleet;
-  private final long takes;
+  private final long writeTime;
   private final NavigableMap<String, byte[]> disk;
-  private final NavigableMap<String, byte[]> found;
-  private final java.util.ArrayDeque<Change> waiting = new java.util.ArrayDeque<>();
-  private boolean dead;
+  private final NavigableMap<String, byte[]> initialEntries;
+  private final Queue<Change> pending = new ArrayDeque<>();
+  private boolean closed;
   private boolean full;
   private boolean failed;
 
   /**
-   * @param takes how long until a change is kept
+   * Makes an empty store.
+   *
+   * @param fleet whose virtual time is used
+   * @param writeTime tenths of a millisecond until a change is persisted
    */
-  public InMemoryKeyValueStore(SimulatedFleet fleet, long takes) {
-    this(fleet, takes, new TreeMap<>());
+  public InMemoryKeyValueStore(SimulatedFleet fleet, long writeTime) {
+    this(fleet, writeTime, new TreeMap<>());
   }
 
   private InMemoryKeyValueStore(
-      SimulatedFleet fleet, long takes, NavigableMap<String, byte[]> disk) {
+      SimulatedFleet fleet, long writeTime, NavigableMap<String, byte[]> disk) {
     this.fleet = fleet;
-    this.takes = takes;
+    this.writeTime = writeTime;
     this.disk = disk;
-    found = Collections.unmodifiableNavigableMap(new TreeMap<>(disk));
+    initialEntries = Collections.unmodifiableNavigableMap(new TreeMap<>(disk));
   }
 
   @Override
   public NavigableMap<String, byte[]> initialEntries() {
-    return found;
+    return initialEntries;
   }
 
   @Override
-  public boolean set(String name, byte[] value, Runnable kept) {
-    if (dead || full || failed) {
+  public boolean set(String name, byte[] value, Runnable onPersisted) {
+    if (closed || full || failed) {
       return false;
     }
-    waiting.add(new Change(name, value));
-    fleet.at(fleet.now() + takes, () -> keep(kept));
+    pending.add(new Change(name, value));
+    fleet.at(fleet.now() + writeTime, () -> persistNext(onPersisted));
     return true;
   }
 
-  private void keep(Runnable kept) {
-    if (dead || failed) {
+  private void persistNext(Runnable onPersisted) {
+    if (closed || failed) {
       return;
     }
-    apply(waiting.poll());
-    if (kept != null) {
-      kept.run();
+    apply(pending.poll());
+    if (onPersisted != null) {
+      onPersisted.run();
     }
   }
 
@@ -70,42 +75,47 @@
     }
   }
 
-  /** From now on there is no room, or there is again. */
-  public void full(boolean is) {
-    full = is;
+  /** Sets whether the disk is full; a full disk accepts no change. */
+  public void full(boolean nowFull) {
+    full = nowFull;
   }
 
-  /** From now on nothing more is kept, and nobody is told so. */
+  /** The disk fails: nothing more is persisted, and nobody is notified. */
   public void fail() {
     failed = true;
   }
 
-  /** The process died: of what was in doubt, so many changes were written all the same. */
-  public void crash(int written) {
-    for (int i = 0; i < written && !waiting.isEmpty(); i++) {
-      apply(waiting.poll());
+  /**
+   * The process crashes.
+   *
+   * @param persisted how many of the pending changes reached the disk nevertheless, in their order
+   */
+  public void crash(int persisted) {
+    for (int i = 0; i < persisted && !pending.isEmpty(); i++) {
+      apply(pending.poll());
     }
-    dead = true;
+    closed = true;
   }
 
+  /** How many changes are accepted but not yet persisted. */
   public int pendingWrites() {
-    return waiting.size();
+    return pending.size();
   }
 
-  /** A copy of what is kept now, to be put back later. */
+  /** A copy of what is persisted now, to be restored later. */
   public NavigableMap<String, byte[]> copy() {
     return new TreeMap<>(disk);
   }
 
-  /** What the next process finds: the disk as this one left it. */
+  /** Closes this store and opens the same disk for the next process. */
   public InMemoryKeyValueStore reopen() {
-    dead = true;
-    return new InMemoryKeyValueStore(fleet, takes, disk);
+    closed = true;
+    return new InMemoryKeyValueStore(fleet, writeTime, disk);
   }
 
-  /** A disk with that on it: an old copy, or an empty one. */
+  /** A store with the given contents, such as an old {@link #copy}. */
   public static InMemoryKeyValueStore of(
-      SimulatedFleet fleet, long takes, NavigableMap<String, byte[]> contents) {
-    return new InMemoryKeyValueStore(fleet, takes, new TreeMap<>(contents));
+      SimulatedFleet fleet, long writeTime, NavigableMap<String, byte[]> contents) {
+    return new InMemoryKeyValueStore(fleet, writeTime, new TreeMap<>(contents));
   }
 }
--- a/simulation/src/main/java/tillerlink/simulation/Seeds.java
+++ b/simulation/src/main/java/tillerlink/simulation/Seeds.java
@@ -6,90 +6,112 @@
 import java.util.stream.LongStream;
 
 /**
- * Plays seeded histories that share nothing, several at once, and tells what came of them in the
- * order of their seeds: the same seeds give the same words, on however many cores. {@code
- * -Dhistories.seed=N} plays that one alone and prints its trace, {@code -Dhistories.count=N} plays
- * another number, {@code -Dhistories.first=N} begins elsewhere.
+ * Runs seeded random histories that share no state, several in parallel, and reports them in the
+ * order of their seeds, so that the report does not depend on the number of cores. {@code
+ * -Dhistories.seed=N} runs one seed and prints its trace, {@code -Dhistories.count=N} runs another
+ * number of seeds, {@code -Dhistories.first=N} starts at another seed.
  */
 public final class Seeds {
-  private static final long ONE = Long.getLong("histories.seed", -1);
-  private static final int TRACES_MOST = 3;
-  private static final int NAMED_MOST = 20;
+  private static final int ALL_SEEDS = -1;
+  private static final long SINGLE_SEED = Long.getLong("histories.seed", ALL_SEEDS);
+  private static final int MAX_TRACES = 3;
+  private static final int MAX_LISTED_FAILURES = 20;
+  private static final int MAX_STACK_FRAMES = 4;
 
-  /** One history, made from its seed; nothing of it is static. */
+  /** One history, made from its seed; it shares no state with others. */
   public interface Seeded {
-    /** Plays it once; what was wrong, or null. Errors thrown count as wrong too. */
+    /**
+     * Runs the history once. An exception or error counts as a failure, too.
+     *
+     * @return what went wrong, or null
+     */
     String play();
 
-    /** What befell it so far, for people. */
+    /** A readable account of what happened so far. */
     String trace();
 
-    /** What is summed up over all histories, the same number of sums for each. */
+    /** Figures to be added up over all histories, the same number for each. */
     long[] sums();
   }
 
-  private record Came(long seed, String wrong, String trace, long[] sums) {}
+  private record Result(long seed, String failure, String trace, long[] sums) {}
 
   private Seeds() {}
 
   /**
-   * Plays that many.
+   * Runs histories of successive seeds.
    *
-   * @param what how to name them when one fails, with the words to play it again by
-   * @param usually how many, if nothing else is told
-   * @return how many were played, and then the sums over them
-   * @throws AssertionError if any went wrong: it names the seeds, and the traces of the first few
-   *     are printed
+   * @param name what the histories are of, for the message of a failure
+   * @param defaultCount how many to run, unless a system property says otherwise
+   * @param history makes the history of a seed
+   * @return the number of histories, followed by the sums over all of them
+   * @throws AssertionError if any failed: it names the seeds, and the traces of the first few are
+   *     printed
    */
-  public static long[] play(String what, int usually, LongFunction<Seeded> history) {
-    long first = ONE >= 0 ? ONE : Long.getLong("histories.first", 1);
-    int many = ONE >= 0 ? 1 : Integer.getInteger("histories.count", usually);
-    List<Came> all =
-        LongStream.range(first, first + many)
+  public static long[] play(String name, int defaultCount, LongFunction<Seeded> history) {
+    long first = isSingle() ? SINGLE_SEED : Long.getLong("histories.first", 1);
+    int count = isSingle() ? 1 : Integer.getInteger("histories.count", defaultCount);
+    List<Result> results =
+        LongStream.range(first, first + count)
             .parallel()
-            .mapToObj(seed -> one(seed, history))
+            .mapToObj(seed -> run(seed, history))
             .toList();
-    List<Came> wrong = all.stream().filter(came -> came.wrong != null).toList();
-    all.stream().filter(came -> ONE >= 0).forEach(came -> System.out.println(came.trace));
-    wrong.stream()
-        .filter(came -> ONE < 0)
-        .limit(TRACES_MOST)
-        .forEach(
-            came ->
-                System.out.println("seed " + came.seed + ": " + came.wrong + "\n" + came.trace));
-    if (!wrong.isEmpty()) {
-      throw new AssertionError(
-          wrong.size()
-              + " of "
-              + many
-              + " histories of "
-              + what
-              + " went wrong; play one"
-              + " again by -Dhistories.seed=N: "
-              + wrong.stream()
-                  .limit(NAMED_MOST)
-                  .map(came -> "\nseed " + came.seed + ": " + came.wrong)
-                  .reduce("", String::concat));
+    List<Result> failures = results.stream().filter(result -> result.failure != null).toList();
+    printTraces(results, failures);
+    if (!failures.isEmpty()) {
+      throw new AssertionError(describe(name, count, failures));
     }
-    long[] sums = new long[1 + all.get(0).sums.length];
-    sums[0] = many;
-    all.forEach(came -> Arrays.setAll(sums, i -> i == 0 ? sums[0] : sums[i] + came.sums[i - 1]));
+    long[] sums = new long[1 + results.get(0).sums.length];
+    sums[0] = count;
+    results.forEach(
+        result -> Arrays.setAll(sums, i -> i == 0 ? sums[0] : sums[i] + result.sums[i - 1]));
     return sums;
   }
 
-  private static Came one(long seed, LongFunction<Seeded> history) {
+  private static boolean isSingle() {
+    return SINGLE_SEED >= 0;
+  }
+
+  private static void printTraces(List<Result> results, List<Result> failures) {
+    if (isSingle()) {
+      results.forEach(result -> System.out.println(result.trace));
+      return;
+    }
+    failures.stream()
+        .limit(MAX_TRACES)
+        .forEach(
+            result ->
+                System.out.println(
+                    "seed " + result.seed + ": " + result.failure + "\n" + result.trace));
+  }
+
+  private static String describe(String name, int count, List<Result> failures) {
+    return failures.size()
+        + " of "
+        + count
+        + " histories of "
+        + name
+        + " went wrong; play one again by -Dhistories.seed=N: "
+        + failures.stream()
+            .limit(MAX_LISTED_FAILURES)
+            .map(result -> "\nseed " + result.seed + ": " + result.failure)
+            .reduce("", String::concat);
+  }
+
+  private static Result run(long seed, LongFunction<Seeded> history) {
     Seeded seeded = history.apply(seed);
-    String wrong;
+    String failure;
     try {
-      wrong = seeded.play();
+      failure = seeded.play();
     } catch (RuntimeException | AssertionError e) {
-      wrong =
+      failure =
           e
               + Arrays.stream(e.getStackTrace())
-                  .limit(4)
-                  .map(at -> "\n    at " + at)
+                  .limit(MAX_STACK_FRAMES)
+                  .map(frame -> "\n    at " + frame)
                   .reduce("", String::concat);
     }
-    return new Came(seed, wrong, wrong == null && ONE < 0 ? "" : seeded.trace(), seeded.sums());
+    String trace = failure == null && !isSingle() ? "" : seeded.trace();
+    return new Result(seed, failure, trace, seeded.sums());
   }
 }
