--- a/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
@@ -103,7 +103,7 @@
     byte[] body = new byte[out.position()];
     out.flip().get(body);
     return ByteBuffer.allocate(Long.BYTES + body.length)
-        .putLong(EntryCodec.sum(body))
+        .putLong(EntryCodec.checksum(body))
         .put(body)
         .array();
   }
@@ -125,7 +125,7 @@
     long sum = in.getLong();
     byte[] body = new byte[in.remaining()];
     in.slice().get(body);
-    if (sum != EntryCodec.sum(body)) {
+    if (sum != EntryCodec.checksum(body)) {
       throw new IllegalStateException("garbled");
     }
     return new Entry(
--- a/channels/src/main/java/tillerlink/channels/epoch/AcceptorState.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/AcceptorState.java
@@ -119,9 +119,9 @@
     FieldWriter out =
         new FieldWriter()
             .number(1, promised.round())
-            .text(2, promised.by())
+            .text(2, promised.proposer())
             .number(3, acceptedIn.round())
-            .text(4, acceptedIn.by());
+            .text(4, acceptedIn.proposer());
     if (accepted != null) {
       out.within(5, EntryCodec.cut(accepted));
     }
--- a/channels/src/main/java/tillerlink/channels/epoch/Proposer.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/Proposer.java
@@ -86,7 +86,7 @@
   /** Another ballot was seen. */
   public void saw(long now, Ballot other) {
     highestRound = Math.max(highestRound, other.round());
-    if (other.compareTo(ballot) > 0 && !other.by().equals(name)) {
+    if (other.compareTo(ballot) > 0 && !other.proposer().equals(name)) {
       isPromised = false;
       if (stage != Stage.IDLE) {
         rest(now);
@@ -96,8 +96,8 @@
 
   /** The gateway whose ballot it is. */
   public static String gateway(Ballot ballot) {
-    int end = ballot.by().lastIndexOf('/');
-    return end < 0 ? "" : ballot.by().substring(0, end);
+    int end = ballot.proposer().lastIndexOf('/');
+    return end < 0 ? "" : ballot.proposer().substring(0, end);
   }
 
   /**
--- a/channels/src/main/java/tillerlink/channels/journal/Journal.java
+++ b/channels/src/main/java/tillerlink/channels/journal/Journal.java
@@ -155,9 +155,9 @@
     for (Entry entry : now) {
       tail.remove(entry);
       log(entry.channel()).place(entry, cut.slot(), upTo);
-      digest = EntryCodec.stir(digest * 31 + entry.incarnation() * 7 + entry.sequence());
+      digest = EntryCodec.mix(digest * 31 + entry.incarnation() * 7 + entry.sequence());
     }
-    digest = EntryCodec.stir(digest * 31 + cut.slot() + cut.upTo());
+    digest = EntryCodec.mix(digest * 31 + cut.slot() + cut.upTo());
     applied = cut.slot();
     upTo = cut.upTo();
     voters = cut.voters();
--- a/channels/src/main/java/tillerlink/channels/sync/Server.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Server.java
@@ -35,7 +35,7 @@
 
   public void want(String from, Want want) {
     int most = Math.max(150, Math.min(MessageSender.BYTES_MOST, want.maxBytes())) - ROOM_FOR_HEAD;
-    int left = Math.min(ENTRIES_MOST, want.entriesMost());
+    int left = Math.min(ENTRIES_MOST, want.maxEntries());
     List<Entry> piece = new ArrayList<>();
     int bytes = 0;
     for (Span span : want.spans()) {
--- a/messages/src/main/java/tillerlink/messages/FieldReader.java
+++ b/messages/src/main/java/tillerlink/messages/FieldReader.java
@@ -9,17 +9,18 @@
 
 /**
  * Reads what {@link FieldWriter} wrote, also by a later release: call {@link #next} until it is
- * false, and take what is known of each field; what is not taken is passed over. A field that is
- * asked for as what it is not is malformed.
+ * false, and read the value of each known field once; fields that are not read are skipped. Reading
+ * a field as another type than it has is an error.
  */
 public final class FieldReader {
-  private static final int DEEP_MOST = 8;
+  private static final int MAX_DEPTH = 8;
 
   private final CodedInputStream in;
   private final int depth;
   private int tag;
-  private boolean taken = true;
+  private boolean wasRead = true;
 
+  /** Makes a reader of a message's fields. */
   public FieldReader(byte[] bytes) {
     this(bytes, 0);
   }
@@ -29,96 +30,136 @@
     this.depth = depth;
   }
 
-  /** Goes to the next field; false at the end. */
+  /**
+   * Goes to the next field.
+   *
+   * @return false at the end of the message
+   * @throws MalformedMessageException if the bytes are truncated, or no message
+   */
   public boolean next() throws MalformedMessageException {
     try {
-      if (!taken) {
+      if (!wasRead) {
         in.skipField(tag);
       }
       tag = in.readTag();
-      taken = false;
+      wasRead = false;
       return tag != 0;
     } catch (IOException e) {
       throw new MalformedMessageException("cut off, or no message");
     }
   }
 
+  /** Returns the number of the current field. */
   public int field() {
     return WireFormat.getTagFieldNumber(tag);
   }
 
-  private void take(int type) throws MalformedMessageException {
-    if (taken || WireFormat.getTagWireType(tag) != type) {
+  private void checkType(int type) throws MalformedMessageException {
+    if (wasRead || WireFormat.getTagWireType(tag) != type) {
       throw new MalformedMessageException("field " + field() + " is of another type");
     }
-    taken = true;
+    wasRead = true;
   }
 
-  private interface Step<T> {
-    T run() throws IOException;
+  private interface ValueReader<T> {
+    T read() throws IOException;
   }
 
-  private <T> T read(int type, Step<T> step) throws MalformedMessageException {
-    take(type);
+  private <T> T read(int type, ValueReader<T> reader) throws MalformedMessageException {
+    checkType(type);
     try {
-      return step.run();
+      return reader.read();
     } catch (IOException e) {
       throw new MalformedMessageException("field " + field() + " is cut off");
     }
   }
 
   /**
-   * @param most a number beyond it, or below zero, is malformed
+   * Reads a number that is not negative.
+   *
+   * @throws MalformedMessageException if it is below zero or beyond {@code max}
    */
-  public long number(long most) throws MalformedMessageException {
+  public long number(long max) throws MalformedMessageException {
     long value = read(WireFormat.WIRETYPE_VARINT, in::readUInt64);
-    if (value < 0 || value > most) {
+    if (value < 0 || value > max) {
       throw new MalformedMessageException("field " + field() + " is out of its bounds");
     }
     return value;
   }
 
+  /**
+   * Reads a number that is not negative.
+   *
+   * @throws MalformedMessageException if it is below zero
+   */
   public long number() throws MalformedMessageException {
     return number(Long.MAX_VALUE);
   }
 
+  /**
+   * Reads a number that may be negative.
+   *
+   * @throws MalformedMessageException if the field is no number
+   */
   public long signed() throws MalformedMessageException {
     return read(WireFormat.WIRETYPE_VARINT, in::readSInt64);
   }
 
+  /**
+   * Reads a number of eight bytes.
+   *
+   * @throws MalformedMessageException if the field is no such number
+   */
   public long fixed() throws MalformedMessageException {
     return read(WireFormat.WIRETYPE_FIXED64, in::readFixed64);
   }
 
+  /**
+   * Reads a flag.
+   *
+   * @throws MalformedMessageException if the field is no number
+   */
   public boolean flag() throws MalformedMessageException {
     return read(WireFormat.WIRETYPE_VARINT, in::readBool);
   }
 
   /**
-   * @param most bytes at the most
+   * Reads bytes.
+   *
+   * @throws MalformedMessageException if there are more than {@code max}
    */
-  public byte[] bytes(int most) throws MalformedMessageException {
+  public byte[] bytes(int max) throws MalformedMessageException {
     byte[] value = read(WireFormat.WIRETYPE_LENGTH_DELIMITED, in::readByteArray);
-    if (value.length > most) {
+    if (value.length > max) {
       throw new MalformedMessageException("field " + field() + " is too long");
     }
     return value;
   }
 
   /**
-   * @param most bytes at the most; what is not UTF-8 is malformed
+   * Reads a text.
+   *
+   * @param maxBytes bytes of UTF-8 at the most
+   * @throws MalformedMessageException if it is longer, or not UTF-8
    */
-  public String text(int most) throws MalformedMessageException {
+  public String text(int maxBytes) throws MalformedMessageException {
     try {
-      return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes(most))).toString();
+      return StandardCharsets.UTF_8
+          .newDecoder()
+          .decode(ByteBuffer.wrap(bytes(maxBytes)))
+          .toString();
     } catch (CharacterCodingException e) {
       throw new MalformedMessageException("field " + field() + " is not UTF-8");
     }
   }
 
-  /** A message within. */
+  /**
+   * Returns a reader of the message within this field.
+   *
+   * @throws MalformedMessageException if messages are nested too deep
+   */
   public FieldReader within() throws MalformedMessageException {
-    if (depth >= DEEP_MOST) {
+    if (depth >= MAX_DEPTH) {
       throw new MalformedMessageException("too deep");
     }
     return new FieldReader(bytes(Integer.MAX_VALUE), depth + 1);
--- a/messages/src/main/java/tillerlink/messages/MalformedMessageException.java
+++ b/messages/src/main/java/tillerlink/messages/MalformedMessageException.java
@@ -1,9 +1,10 @@
 package tillerlink.messages;
 
-/** Bytes that are no message, or one with a field that can't be used. */
+/** Bytes are no message, or a field of it can't be used. */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
+  /** Makes an exception; {@code what} says what is malformed. */
   public MalformedMessageException(String what) {
     super(what);
   }
--- a/messages/src/main/java/tillerlink/messages/channels/Cut.java
+++ b/messages/src/main/java/tillerlink/messages/channels/Cut.java
@@ -3,12 +3,13 @@
 import java.util.List;
 
 /**
- * One step of the agreed line: these events, in the order of their stamps, come next in the stable
- * prefix.
+ * The value that one consensus slot decides on: these events, in the order of their stamps, come
+ * next in the stable prefix of the logs.
  *
- * @param slot the number of the step, from 1
- * @param upTo events stamped later are not in it; it never falls from one step to the next
- * @param spans the events, none of which was in an earlier step
- * @param voters the gateways that agree on the next step
+ * @param slot the number of the slot, from 1
+ * @param upTo a stamp of the hybrid logical clock; events stamped later are not in the cut. It
+ *     never falls from one slot to the next
+ * @param spans the events, none of which was in an earlier cut
+ * @param voters the gateways that decide on the next slot
  */
 public record Cut(long slot, long upTo, List<Span> spans, List<String> voters) {}
--- a/messages/src/main/java/tillerlink/messages/channels/Entry.java
+++ b/messages/src/main/java/tillerlink/messages/channels/Entry.java
@@ -6,11 +6,19 @@
 /**
  * An event of a channel, as its writer made it; it never changes.
  *
+ * @param gateway the gateway that wrote it
+ * @param site the site of that gateway
+ * @param incarnation the process that wrote it
+ * @param sequence the number of the event among those of the process, from 1
  * @param stamp hybrid logical clock: milliseconds since 1970 in the upper bits, a counter in the
  *     lower {@link #COUNTER}
+ * @param channel the channel it was appended to
+ * @param kind what the event says
+ * @param cue the name of the cue, empty for a note
+ * @param text the text of the cue, of the correction or of the note
  * @param airsAt milliseconds since 1970 for an air mark, otherwise 0
- * @param key the client's own key, empty if it gave none
- * @param over events on the same cue that the writer had seen and that stood
+ * @param key the client's idempotency key, empty if it gave none
+ * @param over events on the same cue that the writer had seen and that were in effect
  * @param seen what the writer's gateway held and had not held when it wrote its event before this
  *     one: of each incarnation the last event up to which all was there
  */
@@ -28,11 +36,17 @@
     String key,
     List<Dot> over,
     List<Dot> seen) {
+  /** The bits of a stamp that are its counter. */
   public static final int COUNTER = 20;
 
+  /** Bytes of an event in memory without its texts and the events it names. */
+  private static final int FIXED_WEIGHT_BYTES = 330;
+
+  private static final int DOT_WEIGHT_BYTES = 40;
+
   /**
-   * The one total order; it respects causes, as a stamp is higher than those of all its writer had
-   * seen.
+   * The total order of events. It respects causality: the stamp of an event is higher than those of
+   * all events that its writer had seen.
    */
   public static final Comparator<Entry> ORDER =
       Comparator.comparingLong(Entry::stamp)
@@ -40,21 +54,22 @@
           .thenComparingLong(Entry::incarnation)
           .thenComparingLong(Entry::sequence);
 
+  /** Returns the name of this event. */
   public Dot dot() {
     return new Dot(incarnation, sequence, stamp);
   }
 
-  /** Milliseconds since 1970. */
+  /** Returns the time of the stamp, in milliseconds since 1970. */
   public long millis() {
     return stamp >> COUNTER;
   }
 
-  /** About what it takes in memory, and no less than on disk, in bytes. */
+  /** Returns about the bytes that it takes in memory, no less than on disk. */
   public int weight() {
-    return 330
-        + cue.length() * 2
-        + text.length() * 2
-        + key.length() * 2
-        + 40 * (over.size() + seen.size());
+    return FIXED_WEIGHT_BYTES
+        + cue.length() * Character.BYTES
+        + text.length() * Character.BYTES
+        + key.length() * Character.BYTES
+        + DOT_WEIGHT_BYTES * (over.size() + seen.size());
   }
 }
--- a/messages/src/main/java/tillerlink/messages/channels/Kind.java
+++ b/messages/src/main/java/tillerlink/messages/channels/Kind.java
@@ -1,15 +1,28 @@
 package tillerlink.messages.channels;
 
-/** What an event says. The numbers go over the wire: new kinds are added at the end. */
-public enum Kind {
+import tillerlink.messages.Numbered;
+
+/** What an event says. */
+public enum Kind implements Numbered {
   /** A cue with its text. */
-  CUE,
+  CUE(0),
   /** Another text for a cue. */
-  CORRECTION,
-  /** A cue is taken back. */
-  RETRACTION,
+  CORRECTION(1),
+  /** Withdraws a cue. */
+  RETRACTION(2),
   /** A cue goes, or went, on the air at a time. */
-  AIR,
+  AIR(3),
   /** A note to people, about no cue. */
-  NOTE
+  NOTE(4);
+
+  private final int number;
+
+  Kind(int number) {
+    this.number = number;
+  }
+
+  @Override
+  public int number() {
+    return number;
+  }
 }
