--- a/messages/src/main/java/tillerlink/messages/statements/CommandCodec.java
+++ b/messages/src/main/java/tillerlink/messages/statements/CommandCodec.java
@@ -5,80 +5,114 @@
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
+import tillerlink.messages.Numbered;
 
-/** Writes and reads definitions, changes, commands and entries. */
+/** Writes and reads definitions, changes, commands and entries of the log. */
 public final class CommandCodec {
-  private static final int NOTHING = 1;
-  private static final int PREPARE = 2;
-  private static final int DROP = 3;
-  private static final int ANNOUNCE = 4;
-  private static final int TAKE_BACK = 5;
-  private static final int EFFECT = 6;
-  private static final int ANEW = 7;
-  private static final int READMIT = 8;
+  private static final int DEFINITION_NAME = 1;
+  private static final int DEFINITION_TEXT = 2;
+  private static final int DEFINITION_PARAMETER = 3;
+  private static final int DEFINITION_GROUP = 4;
+  private static final int DEFINITION_USES = 5;
+  private static final int DEFINITION_REQUEST_CLASS = 6;
+  private static final int DEFINITION_EFFECT = 7;
+
+  private static final int PARAMETER_TYPE = 1;
+
+  private static final int CHANGE_GROUP = 1;
+  private static final int CHANGE_REMOVED = 2;
+  private static final int CHANGE_ALTERED = 3;
+  private static final int CHANGE_RENAMED = 4;
+
+  private static final int ENTRY_INDEX = 1;
+  private static final int ENTRY_TERM = 2;
+  private static final int ENTRY_ORIGIN = 3;
+  private static final int ENTRY_NUMBER = 4;
+  private static final int ENTRY_COMMAND = 5;
+
+  private static final ParameterType[] TYPES = ParameterType.values();
+  private static final RunEffect[] EFFECTS = RunEffect.values();
 
   private CommandCodec() {}
 
   // ---- definitions ----
 
-  public static FieldWriter definition(Definition of) {
-    FieldWriter to = new FieldWriter().text(1, of.name()).text(2, of.text());
-    of.parameters().forEach(type -> to.within(3, new FieldWriter().number(1, type.ordinal())));
-    Lists.integers(to, 4, of.groups());
-    Lists.texts(to, 5, of.uses());
-    return to.text(6, of.requestClass()).number(7, of.effect().ordinal());
+  /** Writes a definition. */
+  public static FieldWriter definition(Definition definition) {
+    FieldWriter out =
+        new FieldWriter()
+            .text(DEFINITION_NAME, definition.name())
+            .text(DEFINITION_TEXT, definition.text());
+    definition
+        .parameters()
+        .forEach(
+            type ->
+                out.within(
+                    DEFINITION_PARAMETER, new FieldWriter().number(PARAMETER_TYPE, type.number())));
+    RepeatedFields.integers(out, DEFINITION_GROUP, definition.groups());
+    RepeatedFields.texts(out, DEFINITION_USES, definition.uses());
+    return out.text(DEFINITION_REQUEST_CLASS, definition.requestClass())
+        .number(DEFINITION_EFFECT, definition.effect().number());
   }
 
+  /**
+   * Reads a definition.
+   *
+   * @throws MalformedMessageException if it can't be read, or is out of its bounds
+   */
   public static Definition definition(FieldReader in) throws MalformedMessageException {
     String name = "";
     String text = "";
-    List<Integer> types = Lists.list();
-    List<Integer> groups = Lists.list();
-    List<String> uses = Lists.list();
+    List<Integer> types = RepeatedFields.list();
+    List<Integer> groups = RepeatedFields.list();
+    List<String> uses = RepeatedFields.list();
     String requestClass = "";
     RunEffect effect = RunEffect.PURE;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> name = in.text(Definition.NAME_MOST);
-        case 2 -> text = in.text(Definition.TEXT_MOST);
-        case 3 -> Lists.addInteger(in, types, ParameterType.values().length - 1);
-        case 4 -> Lists.addInteger(in, groups, Definition.GROUP_MOST);
-        case 5 -> Lists.addText(in, uses);
-        case 6 -> requestClass = in.text(Definition.NAME_MOST);
-        case 7 -> effect = RunEffect.values()[(int) in.number(RunEffect.values().length - 1)];
+        case DEFINITION_NAME -> name = in.text(Definition.MAX_NAME_BYTES);
+        case DEFINITION_TEXT -> text = in.text(Definition.MAX_TEXT_BYTES);
+        case DEFINITION_PARAMETER -> RepeatedFields.addInteger(in, types, TYPES.length - 1);
+        case DEFINITION_GROUP -> RepeatedFields.addInteger(in, groups, Definition.MAX_GROUP);
+        case DEFINITION_USES -> RepeatedFields.addText(in, uses);
+        case DEFINITION_REQUEST_CLASS -> requestClass = in.text(Definition.MAX_NAME_BYTES);
+        case DEFINITION_EFFECT ->
+            effect = Numbered.of(EFFECTS, (int) in.number(EFFECTS.length - 1));
         default -> {}
       }
     }
-    return new Definition(
-        name,
-        text,
-        types.stream().map(i -> ParameterType.values()[i]).toList(),
-        groups,
-        uses,
-        requestClass,
-        effect);
+    List<ParameterType> parameters =
+        types.stream().map(number -> Numbered.of(TYPES, number)).toList();
+    return new Definition(name, text, parameters, groups, uses, requestClass, effect);
   }
 
   // ---- changes ----
 
-  public static FieldWriter change(Change of) {
-    FieldWriter to = Lists.integers(new FieldWriter(), 1, of.groups());
-    Lists.texts(to, 2, of.removed());
-    Lists.texts(to, 3, of.altered());
-    return Lists.pairs(to, 4, of.renamed());
+  /** Writes a change of the schema. */
+  public static FieldWriter change(Change change) {
+    FieldWriter out = new FieldWriter();
+    RepeatedFields.integers(out, CHANGE_GROUP, change.groups());
+    RepeatedFields.texts(out, CHANGE_REMOVED, change.removed());
+    RepeatedFields.texts(out, CHANGE_ALTERED, change.altered());
+    return RepeatedFields.pairs(out, CHANGE_RENAMED, change.renamed());
   }
 
+  /**
+   * Reads a change of the schema.
+   *
+   * @throws MalformedMessageException if it can't be read, or is out of its bounds
+   */
   public static Change change(FieldReader in) throws MalformedMessageException {
-    List<Integer> groups = Lists.list();
-    List<String> removed = Lists.list();
-    List<String> altered = Lists.list();
-    SortedMap<String, String> renamed = Lists.map();
+    List<Integer> groups = RepeatedFields.list();
+    List<String> removed = RepeatedFields.list();
+    List<String> altered = RepeatedFields.list();
+    SortedMap<String, String> renamed = RepeatedFields.map();
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> Lists.addInteger(in, groups, Definition.GROUP_MOST);
-        case 2 -> Lists.addText(in, removed);
-        case 3 -> Lists.addText(in, altered);
-        case 4 -> Lists.addPair(in, renamed);
+        case CHANGE_GROUP -> RepeatedFields.addInteger(in, groups, Definition.MAX_GROUP);
+        case CHANGE_REMOVED -> RepeatedFields.addText(in, removed);
+        case CHANGE_ALTERED -> RepeatedFields.addText(in, altered);
+        case CHANGE_RENAMED -> RepeatedFields.addPair(in, renamed);
         default -> {}
       }
     }
@@ -87,81 +121,38 @@
 
   // ---- commands ----
 
-  public static FieldWriter command(Command of) {
-    FieldWriter to = new FieldWriter();
-    if (of instanceof Command.Nothing) {
-      to.number(1, NOTHING);
-    } else if (of instanceof Command.Prepare it) {
-      to.number(1, PREPARE).within(2, definition(it.definition())).signed(3, it.over());
-      Lists.versions(to, 4, it.versions());
-    } else if (of instanceof Command.Drop it) {
-      to.number(1, DROP).text(5, it.name()).signed(3, it.over());
-    } else if (of instanceof Command.Announce it) {
-      to.number(1, ANNOUNCE).within(6, change(it.change()));
-    } else if (of instanceof Command.TakeBack it) {
-      to.number(1, TAKE_BACK).number(7, it.change());
-    } else if (of instanceof Command.Effect it) {
-      to.number(1, EFFECT).number(7, it.change());
-    } else if (of instanceof Command.Anew it) {
-      to.number(1, ANEW).text(5, it.name()).signed(3, it.generation());
-      if (it.definition() != null) {
-        to.within(2, definition(it.definition()));
-      }
-    } else if (of instanceof Command.Readmit it) {
-      to.number(1, READMIT).text(5, it.voter()).fixed(8, it.disk());
-    }
-    return to;
+  /** Writes a command. */
+  public static FieldWriter command(Command command) {
+    return CommandFields.write(command);
   }
 
+  /**
+   * Reads a command.
+   *
+   * @throws MalformedMessageException if it can't be read, or is of a kind that this release does
+   *     not know
+   */
   public static Command command(FieldReader in) throws MalformedMessageException {
-    int kind = 0;
-    Definition definition = null;
-    Change change = null;
-    SortedMap<Integer, Long> versions = Lists.map();
-    String name = "";
-    long over = 0;
-    long of = 0;
-    long disk = 0;
-    while (in.next()) {
-      switch (in.field()) {
-        case 1 -> kind = (int) in.number(Integer.MAX_VALUE);
-        case 2 -> definition = definition(in.within());
-        case 3 -> over = in.signed();
-        case 4 -> Lists.addVersion(in, versions);
-        case 5 -> name = in.text(Definition.NAME_MOST);
-        case 6 -> change = change(in.within());
-        case 7 -> of = in.number();
-        case 8 -> disk = in.fixed();
-        default -> {}
-      }
-    }
-    if (kind == PREPARE && definition == null || kind == ANNOUNCE && change == null) {
-      throw new MalformedMessageException("a command without its object");
-    }
-    return switch (kind) {
-      case NOTHING -> new Command.Nothing();
-      case PREPARE -> new Command.Prepare(definition, versions, over);
-      case DROP -> new Command.Drop(name, over);
-      case ANNOUNCE -> new Command.Announce(change);
-      case TAKE_BACK -> new Command.TakeBack(of);
-      case EFFECT -> new Command.Effect(of);
-      case ANEW -> new Command.Anew(name, over, definition);
-      case READMIT -> new Command.Readmit(name, disk);
-      default -> throw new MalformedMessageException("no command that is known");
-    };
+    return new CommandFields().read(in);
   }
 
   // ---- entries ----
 
-  public static FieldWriter entry(Entry of) {
+  /** Writes an entry of the log. */
+  public static FieldWriter entry(Entry entry) {
     return new FieldWriter()
-        .number(1, of.index())
-        .number(2, of.term())
-        .fixed(3, of.origin())
-        .number(4, of.number())
-        .within(5, command(of.command()));
+        .number(ENTRY_INDEX, entry.index())
+        .number(ENTRY_TERM, entry.term())
+        .fixed(ENTRY_ORIGIN, entry.origin())
+        .number(ENTRY_NUMBER, entry.number())
+        .within(ENTRY_COMMAND, command(entry.command()));
   }
 
+  /**
+   * Reads an entry of the log.
+   *
+   * @throws MalformedMessageException if it can't be read, or has no index or no command
+   */
   public static Entry entry(FieldReader in) throws MalformedMessageException {
     long index = 0;
     long term = 0;
@@ -170,11 +161,11 @@
     Command command = null;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> index = in.number();
-        case 2 -> term = in.number();
-        case 3 -> origin = in.fixed();
-        case 4 -> number = in.number();
-        case 5 -> command = command(in.within());
+        case ENTRY_INDEX -> index = in.number();
+        case ENTRY_TERM -> term = in.number();
+        case ENTRY_ORIGIN -> origin = in.fixed();
+        case ENTRY_NUMBER -> number = in.number();
+        case ENTRY_COMMAND -> command = command(in.within());
         default -> {}
       }
     }
--- a/messages/src/main/java/tillerlink/messages/statements/RunEffect.java
+++ b/messages/src/main/java/tillerlink/messages/statements/RunEffect.java
@@ -1,11 +1,24 @@
 package tillerlink.messages.statements;
 
-/**
- * What running a statement a second time would do. The order is that of the wire: new ones come
- * last.
- */
-public enum RunEffect {
-  PURE,
-  RECEIPTED,
-  EFFECTFUL
+import tillerlink.messages.Numbered;
+
+/** What running a statement a second time would do. */
+public enum RunEffect implements Numbered {
+  /** It changes nothing, however often it runs. */
+  PURE(0),
+  /** The engine recognises the second run by its idempotency key. */
+  RECEIPTED(1),
+  /** It would take effect a second time. */
+  EFFECTFUL(2);
+
+  private final int number;
+
+  RunEffect(int number) {
+    this.number = number;
+  }
+
+  @Override
+  public int number() {
+    return number;
+  }
 }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementRequestParser.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementRequestParser.java
@@ -219,7 +219,7 @@
   }
 
   private static void numbers(JsonParser in, List<Integer> to) throws IOException {
-    list(in, () -> to.add((int) number(in, Definition.GROUP_MOST)));
+    list(in, () -> to.add((int) number(in, Definition.MAX_GROUP)));
   }
 
   private static void values(JsonParser in, List<String> to) throws IOException {
--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -205,7 +205,7 @@
   }
 
   private void ask(Command command, Consumer<Outcome> told) {
-    if (CommandCodec.command(command).done().length > Entry.BYTES_MOST - 100) {
+    if (CommandCodec.command(command).done().length > Entry.MAX_BYTES - 100) {
       told.accept(Outcome.refused("it is too long"));
       return;
     }
--- a/statements/src/main/java/tillerlink/statements/catalog/Snapshots.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Snapshots.java
@@ -85,7 +85,7 @@
     long version = 0;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> group = (int) in.number(Definition.GROUP_MOST);
+        case 1 -> group = (int) in.number(Definition.MAX_GROUP);
         case 2 -> version = in.number();
         default -> {}
       }
--- a/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
@@ -20,14 +20,14 @@
     name("name", of.name());
     name("track", of.requestClass());
     if (of.text().isBlank()
-        || of.text().getBytes(StandardCharsets.UTF_8).length > Definition.TEXT_MOST) {
-      throw new IllegalArgumentException("text: 1 to " + Definition.TEXT_MOST + " bytes");
+        || of.text().getBytes(StandardCharsets.UTF_8).length > Definition.MAX_TEXT_BYTES) {
+      throw new IllegalArgumentException("text: 1 to " + Definition.MAX_TEXT_BYTES + " bytes");
     }
-    if (of.parameters().size() > Definition.PARAMETERS_MOST) {
-      throw new IllegalArgumentException("parameters: no more than " + Definition.PARAMETERS_MOST);
+    if (of.parameters().size() > Definition.MAX_PARAMETERS) {
+      throw new IllegalArgumentException("parameters: no more than " + Definition.MAX_PARAMETERS);
     }
     groups(of.groups());
-    names("uses", of.uses(), Definition.USES_MOST, of.groups());
+    names("uses", of.uses(), Definition.MAX_USES, of.groups());
     Template.of(of);
   }
 
@@ -36,28 +36,28 @@
    */
   public static void check(Change of) {
     groups(of.groups());
-    names("removed", of.removed(), Change.NAMES_MOST, of.groups());
-    names("altered", of.altered(), Change.NAMES_MOST, of.groups());
-    names("renamed", List.copyOf(of.renamed().keySet()), Change.NAMES_MOST, of.groups());
-    names("renamed", List.copyOf(of.renamed().values()), Change.NAMES_MOST, of.groups());
+    names("removed", of.removed(), Change.MAX_NAMES, of.groups());
+    names("altered", of.altered(), Change.MAX_NAMES, of.groups());
+    names("renamed", List.copyOf(of.renamed().keySet()), Change.MAX_NAMES, of.groups());
+    names("renamed", List.copyOf(of.renamed().values()), Change.MAX_NAMES, of.groups());
   }
 
   private static void name(String what, String name) {
-    if (name.length() > Definition.NAME_MOST || !NAME.matcher(name).matches()) {
+    if (name.length() > Definition.MAX_NAME_BYTES || !NAME.matcher(name).matches()) {
       throw new IllegalArgumentException(
           what
               + ": 1 to "
-              + Definition.NAME_MOST
+              + Definition.MAX_NAME_BYTES
               + " letters, digits, points, dashes and underscores");
     }
   }
 
   private static void groups(List<Integer> groups) {
     if (groups.isEmpty()
-        || groups.size() > Definition.GROUPS_MOST
-        || groups.stream().anyMatch(group -> group < 1 || group > Definition.GROUP_MOST)) {
+        || groups.size() > Definition.MAX_GROUPS
+        || groups.stream().anyMatch(group -> group < 1 || group > Definition.MAX_GROUP)) {
       throw new IllegalArgumentException(
-          "groups: 1 to " + Definition.GROUPS_MOST + " numbers from 1 to " + Definition.GROUP_MOST);
+          "groups: 1 to " + Definition.MAX_GROUPS + " numbers from 1 to " + Definition.MAX_GROUP);
     }
   }
 
--- a/statements/src/main/java/tillerlink/statements/prepare/Renaming.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Renaming.java
@@ -37,7 +37,7 @@
       text.append(token.kind() == Token.Kind.NAME ? renamed(token.text(), words) : token.text());
     }
     Definition next = old.withText(text.toString(), uses);
-    return text.toString().getBytes(StandardCharsets.UTF_8).length > Definition.TEXT_MOST
+    return text.toString().getBytes(StandardCharsets.UTF_8).length > Definition.MAX_TEXT_BYTES
         ? Optional.empty()
         : Optional.of(next);
   }
