--- a/messages/src/main/java/tillerlink/messages/envelope/EnvelopeCodec.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/EnvelopeCodec.java
@@ -6,22 +6,32 @@
 import tillerlink.messages.MalformedMessageException;
 
 /**
- * Datagrams: two bytes that say they are ours, the release that a reader must know at the least, a
+ * Writes and reads datagrams: two magic bytes, the version that a reader must know at the least, a
  * byte of flags, the fields of the envelope, and the seal if there is one. A later release adds
- * fields and raises what a reader must know only if it changes what the earlier ones rely on.
+ * fields, and raises the version that a reader must know only if it changes what earlier releases
+ * rely on. Used by one thread.
  */
 public final class EnvelopeCodec {
-  private static final int MARK_1 = 0x74;
-  private static final int MARK_2 = 0x6c;
-  private static final int NEEDS = 1;
-  private static final int SEALED = 1;
-  private static final int HEAD = 4;
-  private static final int PARTS_MOST = 255;
+  private static final int MAGIC_1 = 0x74;
+  private static final int MAGIC_2 = 0x6c;
+
+  /** The version that a reader must know to read what this release writes. */
+  private static final int REQUIRED_VERSION = 1;
+
+  private static final int FLAG_SEALED = 1;
+
+  private static final int MAGIC_1_OFFSET = 0;
+  private static final int MAGIC_2_OFFSET = 1;
+  private static final int REQUIRED_VERSION_OFFSET = 2;
+  private static final int FLAGS_OFFSET = 3;
+  private static final int HEADER_BYTES = 4;
+
+  private static final int MAX_PART = 255;
 
   private static final int VERSION = 1;
   private static final int FLEET = 2;
   private static final int SENDER = 3;
-  private static final int LIFE = 4;
+  private static final int INCARNATION = 4;
   private static final int PART = 5;
   private static final int COUNTER = 6;
   private static final int FIRST = 7;
@@ -33,6 +43,9 @@
   private final Seal seal;
 
   /**
+   * Makes the codec of one fleet.
+   *
+   * @param fleet the fleet's name
    * @param seal null where the fleet has no secret
    */
   public EnvelopeCodec(String fleet, Seal seal) {
@@ -40,49 +53,62 @@
     this.seal = seal;
   }
 
+  /** Returns the hash of the fleet's name. */
   public long fleet() {
     return fleet;
   }
 
-  public byte[] encode(Envelope e) {
-    FieldWriter fields =
-        new FieldWriter()
-            .number(VERSION, e.version())
-            .fixed(FLEET, e.fleet())
-            .text(SENDER, e.sender())
-            .fixed(LIFE, e.life())
-            .number(PART, e.part())
-            .number(COUNTER, e.counter());
-    if (e.pieces() > 1) {
-      fields.number(FIRST, e.first()).number(PIECE, e.piece()).number(PIECES, e.pieces());
-    }
-    byte[] bytes = fields.bytes(BODY, e.body()).done();
-    int length = HEAD + bytes.length;
+  // ---- writing ----
+
+  /** Writes a datagram, sealed if the fleet has a secret. */
+  public byte[] encode(Envelope envelope) {
+    byte[] fields = writeFields(envelope);
+    int length = HEADER_BYTES + fields.length;
     byte[] datagram = new byte[length + (seal == null ? 0 : Seal.BYTES)];
-    datagram[0] = MARK_1;
-    datagram[1] = MARK_2;
-    datagram[2] = NEEDS;
-    datagram[3] = (byte) (seal == null ? 0 : SEALED);
-    System.arraycopy(bytes, 0, datagram, HEAD, bytes.length);
+    datagram[MAGIC_1_OFFSET] = MAGIC_1;
+    datagram[MAGIC_2_OFFSET] = MAGIC_2;
+    datagram[REQUIRED_VERSION_OFFSET] = REQUIRED_VERSION;
+    datagram[FLAGS_OFFSET] = (byte) (seal == null ? 0 : FLAG_SEALED);
+    System.arraycopy(fields, 0, datagram, HEADER_BYTES, fields.length);
     if (seal != null) {
       System.arraycopy(seal.of(datagram, length), 0, datagram, length, Seal.BYTES);
     }
     return datagram;
   }
 
+  private static byte[] writeFields(Envelope envelope) {
+    FieldWriter out =
+        new FieldWriter()
+            .number(VERSION, envelope.version())
+            .fixed(FLEET, envelope.fleet())
+            .text(SENDER, envelope.sender())
+            .fixed(INCARNATION, envelope.incarnation())
+            .number(PART, envelope.part())
+            .number(COUNTER, envelope.counter());
+    if (envelope.pieces() > 1) {
+      out.number(FIRST, envelope.first())
+          .number(PIECE, envelope.piece())
+          .number(PIECES, envelope.pieces());
+    }
+    return out.bytes(BODY, envelope.body()).done();
+  }
+
+  // ---- reading ----
+
   /**
-   * Nothing of the fields is looked at before the seal is known to be right.
+   * Reads a datagram. The fields are read only after the seal was verified.
    *
    * @throws RefusedException if it is not one of this fleet's
    */
   public Envelope decode(byte[] datagram) throws RefusedException {
-    int length = checkHead(datagram);
+    int length = checkHeader(datagram);
     try {
-      Envelope envelope = fields(new FieldReader(Arrays.copyOfRange(datagram, HEAD, length)));
+      Envelope envelope =
+          readFields(new FieldReader(Arrays.copyOfRange(datagram, HEADER_BYTES, length)));
       if (envelope.fleet() != fleet) {
         throw new RefusedException(Refusal.FOREIGN);
       }
-      if (!plausible(envelope)) {
+      if (!isPlausible(envelope)) {
         throw new RefusedException(Refusal.GARBLED);
       }
       return envelope;
@@ -91,23 +117,27 @@
     }
   }
 
-  /** Where the fields end. */
-  private int checkHead(byte[] datagram) throws RefusedException {
-    if (datagram.length > Envelope.DATAGRAM_MOST) {
+  /** Checks the header and the seal, and returns where the fields end. */
+  private int checkHeader(byte[] datagram) throws RefusedException {
+    if (datagram.length > Envelope.MAX_DATAGRAM_BYTES) {
       throw new RefusedException(Refusal.OVERSIZED);
     }
-    if (datagram.length < HEAD
-        || datagram[0] != MARK_1
-        || datagram[1] != MARK_2
-        || datagram[2] < 1) {
+    if (datagram.length < HEADER_BYTES
+        || datagram[MAGIC_1_OFFSET] != MAGIC_1
+        || datagram[MAGIC_2_OFFSET] != MAGIC_2
+        || datagram[REQUIRED_VERSION_OFFSET] < 1) {
       throw new RefusedException(Refusal.GARBLED);
     }
-    if (datagram[2] > NEEDS) {
+    if (datagram[REQUIRED_VERSION_OFFSET] > REQUIRED_VERSION) {
       throw new RefusedException(Refusal.TOO_NEW);
     }
-    boolean sealed = (datagram[3] & SEALED) != 0;
+    return checkSeal(datagram);
+  }
+
+  private int checkSeal(byte[] datagram) throws RefusedException {
+    boolean sealed = (datagram[FLAGS_OFFSET] & FLAG_SEALED) != 0;
     int length = datagram.length - (sealed ? Seal.BYTES : 0);
-    if (length < HEAD) {
+    if (length < HEADER_BYTES) {
       throw new RefusedException(Refusal.GARBLED);
     }
     if (seal != null && !sealed) {
@@ -119,58 +149,78 @@
     return length;
   }
 
-  private static Envelope fields(FieldReader in) throws MalformedMessageException {
-    int version = 0;
-    long fleet = 0;
-    String sender = "";
-    long life = 0;
-    int part = 0;
-    long counter = 0;
-    long first = 0;
-    int piece = 0;
-    int pieces = 1;
-    byte[] body = {};
+  /** The values that were read so far of one envelope. */
+  private static final class Fields {
+    private int version;
+    private long fleet;
+    private String sender = "";
+    private long incarnation;
+    private int part;
+    private long counter;
+    private long first;
+    private int piece;
+    private int pieces = 1;
+    private byte[] body = {};
+  }
+
+  private static Envelope readFields(FieldReader in) throws MalformedMessageException {
+    Fields fields = new Fields();
     while (in.next()) {
-      switch (in.field()) {
-        case VERSION -> version = (int) in.number(Integer.MAX_VALUE);
-        case FLEET -> fleet = in.fixed();
-        case SENDER -> sender = in.text(Envelope.NAME_MOST);
-        case LIFE -> life = in.fixed();
-        case PART -> part = (int) in.number(PARTS_MOST);
-        case COUNTER -> counter = in.number();
-        case FIRST -> first = in.number();
-        case PIECE -> piece = (int) in.number(Envelope.PIECES_MOST);
-        case PIECES -> pieces = (int) in.number(Envelope.PIECES_MOST);
-        case BODY -> body = in.bytes(Envelope.BODY_MOST);
-        default -> {
-          // Of a later release.
-        }
-      }
+      readField(in, fields);
     }
     return new Envelope(
-        version,
-        fleet,
-        sender,
-        life,
-        part,
-        counter,
-        pieces > 1 ? first : counter,
-        piece,
-        pieces,
-        body);
+        fields.version,
+        fields.fleet,
+        fields.sender,
+        fields.incarnation,
+        fields.part,
+        fields.counter,
+        fields.pieces > 1 ? fields.first : fields.counter,
+        fields.piece,
+        fields.pieces,
+        fields.body);
+  }
+
+  private static void readField(FieldReader in, Fields to) throws MalformedMessageException {
+    switch (in.field()) {
+      case VERSION -> to.version = (int) in.number(Integer.MAX_VALUE);
+      case FLEET -> to.fleet = in.fixed();
+      case SENDER -> to.sender = in.text(Envelope.MAX_NAME_BYTES);
+      case INCARNATION -> to.incarnation = in.fixed();
+      case PART -> to.part = (int) in.number(MAX_PART);
+      case COUNTER -> to.counter = in.number();
+      case BODY -> to.body = in.bytes(Envelope.MAX_BODY_BYTES);
+      default -> readFragmentField(in, to);
+    }
+  }
+
+  private static void readFragmentField(FieldReader in, Fields to)
+      throws MalformedMessageException {
+    switch (in.field()) {
+      case FIRST -> to.first = in.number();
+      case PIECE -> to.piece = (int) in.number(Envelope.MAX_PIECES);
+      case PIECES -> to.pieces = (int) in.number(Envelope.MAX_PIECES);
+      default -> {
+        // A field of a later release.
+      }
+    }
+  }
+
+  private static boolean isPlausible(Envelope envelope) {
+    return envelope.version() >= 1
+        && !envelope.sender().isEmpty()
+        && envelope.incarnation() != 0
+        && envelope.part() >= 1
+        && envelope.counter() >= 1
+        && isPlausibleFragment(envelope);
   }
 
-  private static boolean plausible(Envelope e) {
-    return e.version() >= 1
-        && !e.sender().isEmpty()
-        && e.life() != 0
-        && e.part() >= 1
-        && e.counter() >= 1
-        && e.pieces() >= 1
-        && e.piece() < e.pieces()
-        && e.first() >= 1
-        && e.counter() >= e.piece() + 1
-        && e.counter() - e.piece() == e.first()
-        && (e.pieces() == 1 || e.body().length > 0);
+  private static boolean isPlausibleFragment(Envelope envelope) {
+    return envelope.pieces() >= 1
+        && envelope.piece() < envelope.pieces()
+        && envelope.first() >= 1
+        && envelope.counter() >= envelope.piece() + 1
+        && envelope.counter() - envelope.piece() == envelope.first()
+        && (envelope.pieces() == 1 || envelope.body().length > 0);
   }
 }
--- a/messages/src/main/java/tillerlink/messages/envelope/Inbox.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/Inbox.java
@@ -7,164 +7,191 @@
 import java.util.Map;
 
 /**
- * Takes datagrams, and gives the messages that have come whole. What is refused is counted, and a
- * line for the log is given at most so often. All it holds is bounded. Used by one thread; times
- * are tenths of a millisecond.
+ * Takes datagrams and returns the messages that are complete. Refused datagrams are counted and
+ * logged at a limited rate. All that it holds is bounded. Used by one thread; times are tenths of a
+ * millisecond.
  */
 public final class Inbox {
-  /** A message that came whole. */
+  /**
+   * A complete message.
+   *
+   * @param sender the name of its sender
+   * @param part the component that it is for
+   * @param body its bytes
+   */
   public record Message(String sender, int part, byte[] body) {}
 
   /** Takes a line for the log. */
   @FunctionalInterface
   public interface Lines {
+    /** Logs one line. */
     void line(String words);
   }
 
-  private record Life(String sender, long life) {}
+  private record SenderProcess(String sender, long incarnation) {}
 
-  private record Whole(Life life, long first) {}
+  private record MessageId(SenderProcess process, long first) {}
 
   /**
-   * Processes whose datagrams are told from repeats; the one that was silent longest is forgotten
+   * Processes whose datagrams are checked for repeats; the one that was silent longest is dropped
    * first.
    */
-  static final int LIVES_MOST = 2048;
+  static final int MAX_PROCESSES = 2048;
+
+  /** Incomplete messages of all senders at the most. */
+  static final int MAX_INCOMPLETE = 128;
+
+  /** Incomplete messages of one process at the most. */
+  static final int MAX_INCOMPLETE_PER_PROCESS = 16;
 
-  static final int GATHERINGS_MOST = 128;
-  static final int GATHERINGS_EACH = 16;
+  /** A message whose fragments take longer is dropped; tenths of a millisecond. */
+  static final long REASSEMBLY_TIMEOUT = 50_000;
 
-  /** A message whose pieces take longer is lost. */
-  static final long GATHER_MOST = 50_000;
+  /** Tenths of a millisecond between two log lines of one kind. */
+  private static final long LOG_INTERVAL = 100_000;
 
-  private static final long LINE_EVERY = 100_000;
+  private static final int INITIAL_CAPACITY = 64;
+  private static final float LOAD_FACTOR = 0.75f;
 
   private final EnvelopeCodec codec;
-  private final Life own;
-  private final int messageMost;
+  private final SenderProcess own;
+  private final int maxMessageBytes;
   private final Lines lines;
-  private final Map<Life, Window> windows = new LinkedHashMap<>(64, 0.75f, true);
-  private final Map<Whole, Gathering> gatherings = new LinkedHashMap<>();
+  private final Map<SenderProcess, ReplayWindow> windows =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
+  private final Map<MessageId, FragmentBuffer> incomplete = new LinkedHashMap<>();
   private final Map<Refusal, Long> refused = new EnumMap<>(Refusal.class);
-  private final Map<Refusal, Long> lineAt = new EnumMap<>(Refusal.class);
+  private final Map<Refusal, Long> nextLineAt = new EnumMap<>(Refusal.class);
 
   /**
-   * @param messageMost bytes of a message at the most; a longer one is passed over
-   * @param lines is told one line for each kind of refusal at most every ten seconds
+   * Makes the inbox of a process.
+   *
+   * @param name the gateway's name
+   * @param incarnation the number that the process has drawn
+   * @param maxMessageBytes bytes of a message at the most; a longer one is refused
+   * @param lines takes one line for each kind of refusal at most every ten seconds
    */
-  public Inbox(EnvelopeCodec codec, String name, long life, int messageMost, Lines lines) {
+  public Inbox(
+      EnvelopeCodec codec, String name, long incarnation, int maxMessageBytes, Lines lines) {
     this.codec = codec;
-    own = new Life(name, life);
-    this.messageMost = messageMost;
+    own = new SenderProcess(name, incarnation);
+    this.maxMessageBytes = maxMessageBytes;
     this.lines = lines;
   }
 
   /**
-   * A datagram came.
+   * Takes a datagram.
    *
-   * @param from where from, in words for the log
-   * @return null if no message is whole by it
+   * @param now tenths of a millisecond
+   * @param from where it came from, in words for the log
+   * @return the message that it completes, null if it completes none
    */
   public Message take(long now, String from, byte[] datagram) {
     try {
       Envelope envelope = codec.decode(datagram);
-      Life life = new Life(envelope.sender(), envelope.life());
-      if (life.equals(own)) {
+      SenderProcess process = new SenderProcess(envelope.sender(), envelope.incarnation());
+      if (process.equals(own)) {
         throw new RefusedException(Refusal.OWN);
       }
-      if (!window(life).isNew(envelope.counter())) {
+      if (!window(process).isNew(envelope.counter())) {
         throw new RefusedException(Refusal.REPEATED);
       }
       return envelope.pieces() == 1
           ? new Message(envelope.sender(), envelope.part(), envelope.body())
-          : gather(now, new Whole(life, envelope.first()), envelope);
+          : reassemble(now, new MessageId(process, envelope.first()), envelope);
     } catch (RefusedException e) {
       refuse(now, from, e.why());
       return null;
     }
   }
 
-  private Window window(Life life) {
-    Window window = windows.get(life);
+  private ReplayWindow window(SenderProcess process) {
+    ReplayWindow window = windows.get(process);
     if (window == null) {
-      if (windows.size() >= LIVES_MOST) {
+      if (windows.size() >= MAX_PROCESSES) {
         windows.remove(windows.keySet().iterator().next());
       }
-      window = new Window();
-      windows.put(life, window);
+      window = new ReplayWindow();
+      windows.put(process, window);
     }
     return window;
   }
 
-  private Message gather(long now, Whole whole, Envelope envelope) throws RefusedException {
-    forgetOld(now);
-    Gathering gathering = gatherings.get(whole);
-    if (gathering == null) {
-      makeRoom(now, whole.life);
-      gathering = new Gathering(envelope, now);
-      gatherings.put(whole, gathering);
+  private Message reassemble(long now, MessageId id, Envelope fragment) throws RefusedException {
+    dropTimedOut(now);
+    FragmentBuffer buffer = incomplete.get(id);
+    if (buffer == null) {
+      makeRoom(now, id.process);
+      buffer = new FragmentBuffer(fragment, now);
+      incomplete.put(id, buffer);
     }
-    if (!gathering.fits(envelope)) {
+    if (!buffer.accepts(fragment)) {
       throw new RefusedException(Refusal.MISFIT);
     }
-    gathering.take(envelope);
-    if (gathering.bytes() > messageMost) {
-      gatherings.remove(whole);
+    buffer.add(fragment);
+    if (buffer.bytes() > maxMessageBytes) {
+      incomplete.remove(id);
       throw new RefusedException(Refusal.OVERSIZED);
     }
-    if (!gathering.isWhole()) {
+    if (!buffer.isComplete()) {
       return null;
     }
-    gatherings.remove(whole);
-    return new Message(envelope.sender(), envelope.part(), gathering.whole());
+    incomplete.remove(id);
+    return new Message(fragment.sender(), fragment.part(), buffer.message());
   }
 
-  /** One sender can't crowd out the others. */
-  private void makeRoom(long now, Life life) {
-    long ofThis = gatherings.keySet().stream().filter(other -> other.life.equals(life)).count();
-    if (ofThis >= GATHERINGS_EACH || gatherings.size() >= GATHERINGS_MOST) {
-      Iterator<Whole> oldest = gatherings.keySet().iterator();
-      Whole goes = oldest.next();
-      while (ofThis >= GATHERINGS_EACH && !goes.life.equals(life)) {
-        goes = oldest.next();
+  /** Drops an incomplete message if there are too many; no sender can crowd out the others. */
+  private void makeRoom(long now, SenderProcess process) {
+    long ofProcess = incomplete.keySet().stream().filter(id -> id.process.equals(process)).count();
+    if (ofProcess >= MAX_INCOMPLETE_PER_PROCESS || incomplete.size() >= MAX_INCOMPLETE) {
+      Iterator<MessageId> oldestFirst = incomplete.keySet().iterator();
+      MessageId dropped = oldestFirst.next();
+      while (ofProcess >= MAX_INCOMPLETE_PER_PROCESS && !dropped.process.equals(process)) {
+        dropped = oldestFirst.next();
       }
-      gatherings.remove(goes);
-      refuse(now, goes.life.sender, Refusal.INCOMPLETE);
+      incomplete.remove(dropped);
+      refuse(now, dropped.process.sender, Refusal.INCOMPLETE);
     }
   }
 
-  private void forgetOld(long now) {
-    Iterator<Map.Entry<Whole, Gathering>> i = gatherings.entrySet().iterator();
-    while (i.hasNext()) {
-      Map.Entry<Whole, Gathering> oldest = i.next();
-      if (oldest.getValue().since + GATHER_MOST > now) {
+  private void dropTimedOut(long now) {
+    Iterator<Map.Entry<MessageId, FragmentBuffer>> oldestFirst = incomplete.entrySet().iterator();
+    while (oldestFirst.hasNext()) {
+      Map.Entry<MessageId, FragmentBuffer> oldest = oldestFirst.next();
+      if (oldest.getValue().startedAt() + REASSEMBLY_TIMEOUT > now) {
         return;
       }
-      i.remove();
-      refuse(now, oldest.getKey().life.sender, Refusal.INCOMPLETE);
+      oldestFirst.remove();
+      refuse(now, oldest.getKey().process.sender, Refusal.INCOMPLETE);
     }
   }
 
-  /** Counts one that is passed over, also by whoever took the message. */
+  /**
+   * Counts and logs a refused datagram; also called by whoever can't use a complete message.
+   *
+   * @param now tenths of a millisecond
+   * @param from where it came from, in words for the log
+   */
   public void refuse(long now, String from, Refusal why) {
     long count = refused.merge(why, 1L, Long::sum);
-    if (now >= lineAt.getOrDefault(why, Long.MIN_VALUE)) {
-      lineAt.put(why, now + LINE_EVERY);
+    if (now >= nextLineAt.getOrDefault(why, Long.MIN_VALUE)) {
+      nextLineAt.put(why, now + LOG_INTERVAL);
       lines.line("a datagram from " + from + " " + why.words() + "; " + count + " so far");
     }
   }
 
-  /** How many were passed over, for each reason that there was. */
+  /** Returns how many datagrams were refused, for each reason that occurred; a live view. */
   public Map<Refusal, Long> refused() {
     return Collections.unmodifiableMap(refused);
   }
 
-  /** Messages that wait for pieces. */
-  int gathering() {
-    return gatherings.size();
+  /** Returns the number of messages that wait for fragments. */
+  int incomplete() {
+    return incomplete.size();
   }
 
-  int lives() {
+  /** Returns the number of processes whose datagrams are checked for repeats. */
+  int processes() {
     return windows.size();
   }
 }
--- a/messages/src/main/java/tillerlink/messages/envelope/Outbox.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/Outbox.java
@@ -4,50 +4,51 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Makes datagrams of what one process says. Used by one thread. */
+/** Makes the datagrams of the messages that one process sends. Used by one thread. */
 public final class Outbox {
   private final EnvelopeCodec codec;
   private final String name;
-  private final long life;
+  private final long incarnation;
   private long counter;
 
   /**
-   * @param life drawn anew by each process; not 0
+   * Makes the outbox of a process.
+   *
+   * @param name the gateway's name
+   * @param incarnation drawn anew by each process; not 0
    */
-  public Outbox(EnvelopeCodec codec, String name, long life) {
+  public Outbox(EnvelopeCodec codec, String name, long incarnation) {
     this.codec = codec;
     this.name = name;
-    this.life = life;
+    this.incarnation = incarnation;
   }
 
   /**
-   * @param part 1 to 255
-   * @return none if the message is too long to be sent at all
+   * Makes the datagrams of a message.
+   *
+   * @param part the component that the message is for; 1 to 255
+   * @return the datagrams; none if the message is too long to be sent at all
    */
   public List<byte[]> datagrams(int part, byte[] message) {
-    int pieces = Math.max(1, (message.length + Envelope.BODY_MOST - 1) / Envelope.BODY_MOST);
-    if (pieces > Envelope.PIECES_MOST) {
+    int pieces =
+        Math.max(1, (message.length + Envelope.MAX_BODY_BYTES - 1) / Envelope.MAX_BODY_BYTES);
+    if (pieces > Envelope.MAX_PIECES) {
       return List.of();
     }
     List<byte[]> datagrams = new ArrayList<>(pieces);
     long first = counter + 1;
     for (int piece = 0; piece < pieces; piece++) {
-      byte[] body =
-          pieces == 1
-              ? message
-              : Arrays.copyOfRange(
-                  message,
-                  piece * Envelope.BODY_MOST,
-                  Math.min(message.length, (piece + 1) * Envelope.BODY_MOST));
+      counter++;
+      byte[] body = pieces == 1 ? message : fragment(message, piece);
       datagrams.add(
           codec.encode(
               new Envelope(
                   Envelope.VERSION,
                   codec.fleet(),
                   name,
-                  life,
+                  incarnation,
                   part,
-                  ++counter,
+                  counter,
                   first,
                   piece,
                   pieces,
@@ -55,4 +56,10 @@
     }
     return datagrams;
   }
+
+  private static byte[] fragment(byte[] message, int piece) {
+    int start = piece * Envelope.MAX_BODY_BYTES;
+    return Arrays.copyOfRange(
+        message, start, Math.min(message.length, start + Envelope.MAX_BODY_BYTES));
+  }
 }
--- a/messages/src/main/java/tillerlink/messages/envelope/Refusal.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/Refusal.java
@@ -1,28 +1,28 @@
 package tillerlink.messages.envelope;
 
-/** Why a datagram was passed over; each is counted. */
+/** Why a datagram was refused; each kind is counted. */
 public enum Refusal {
-  /** Longer than any of ours. */
+  /** It is longer than any datagram between gateways. */
   OVERSIZED("is longer than any of ours"),
-  /** No datagram of ours, cut off, or with a field that can't be used. */
+  /** It is no datagram between gateways, truncated, or has a field that can't be used. */
   GARBLED("can't be read"),
-  /** Of a later release that changed what this one relies on. */
+  /** It is of a later release that changed what this one relies on. */
   TOO_NEW("is of a release that this one can't read"),
-  /** Of another fleet. */
+  /** It is of another fleet. */
   FOREIGN("is of another fleet"),
-  /** A secret is set here, and it bears no seal. */
+  /** This gateway has a secret, and the datagram has no seal. */
   UNSEALED("bears no seal"),
-  /** Its seal is not that of the fleet's secret, or there is none here to tell. */
+  /** Its seal is not of the fleet's secret, or this gateway has no secret to verify it. */
   FORGED("bears a seal that is not the fleet's"),
-  /** It came already, or is so old that it can't be told. */
+  /** It arrived before, or is too old to be checked for that. */
   REPEATED("came already, or too late to tell"),
-  /** It bears the own name and life: sent back by the network. */
+  /** It has this process's own name and incarnation: the network sent it back. */
   OWN("is of this process itself"),
-  /** A piece that does not fit the others of its message. */
+  /** It is a fragment that does not agree with the others of its message. */
   MISFIT("does not fit the pieces before it"),
-  /** A message whose other pieces did not come in time, or for which there was no room. */
+  /** It is of a message whose other fragments did not arrive in time, or had no room. */
   INCOMPLETE("was one of a message that did not come whole"),
-  /** For a part that this gateway does not have. */
+  /** It is for a component that is not enabled at this gateway. */
   NO_PART("is for a part that is not switched on here");
 
   private final String words;
@@ -31,6 +31,7 @@
     this.words = words;
   }
 
+  /** Returns the reason in words for the log. */
   public String words() {
     return words;
   }
--- a/messages/src/main/java/tillerlink/messages/envelope/Seal.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/Seal.java
@@ -8,12 +8,14 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Shows that a datagram was written by somebody who knows the fleet's secret, by HMAC-SHA256 cut to
- * {@value #BYTES} bytes. It hides nothing of what is said. Used by one thread.
+ * Authenticates datagrams by the fleet's secret, with HMAC-SHA256 truncated to {@value #BYTES}
+ * bytes. It encrypts nothing. Used by one thread.
  */
 public final class Seal {
+  /** Bytes of a seal. */
   public static final int BYTES = 16;
-  private static final String KIND = "HmacSHA256";
+
+  private static final String ALGORITHM = "HmacSHA256";
 
   private final Mac mac;
 
@@ -22,26 +24,28 @@
   }
 
   /**
+   * Makes the seal of a secret.
+   *
    * @param secret not empty
    */
   public static Seal of(byte[] secret) {
     try {
-      Mac mac = Mac.getInstance(KIND);
-      mac.init(new SecretKeySpec(secret, KIND));
+      Mac mac = Mac.getInstance(ALGORITHM);
+      mac.init(new SecretKeySpec(secret, ALGORITHM));
       return new Seal(mac);
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every JDK has " + KIND, e);
+      throw new IllegalStateException("every JDK has " + ALGORITHM, e);
     }
   }
 
-  /** The sum by which fleets are told apart; no secret. */
+  /** Returns the hash that distinguishes fleets by their names; it is no secret. */
   public static long sum(String fleet) {
     try {
       byte[] digest =
           MessageDigest.getInstance("SHA-256").digest(fleet.getBytes(StandardCharsets.UTF_8));
       long sum = 0;
       for (int i = 0; i < Long.BYTES; i++) {
-        sum = sum << Byte.SIZE | digest[i] & 255;
+        sum = (sum << Byte.SIZE) | (digest[i] & 0xff);
       }
       return sum;
     } catch (GeneralSecurityException e) {
@@ -54,7 +58,7 @@
     return Arrays.copyOf(mac.doFinal(), BYTES);
   }
 
-  /** Takes as long for a seal that is nearly right as for one that is not right at all. */
+  /** Whether the bytes after {@code length} are the seal of those before; in constant time. */
   boolean fits(byte[] bytes, int length) {
     return MessageDigest.isEqual(
         of(bytes, length), Arrays.copyOfRange(bytes, length, length + BYTES));
--- a/messages/src/test/java/tillerlink/messages/envelope/EnvelopeTest.java
+++ b/messages/src/test/java/tillerlink/messages/envelope/EnvelopeTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.messages.FieldWriter;
 
-/** Datagrams between gateways: what is read again, and what costs no more than a counter. */
+/** Which datagrams between gateways are read again, and which are only counted and logged. */
 class EnvelopeTest {
   private static final String FLEET = "newsroom";
   private static final byte[] SECRET = "a secret of a fleet".getBytes(StandardCharsets.UTF_8);
-  private static final int MOST = 12_000;
+  private static final int MAX_MESSAGE_BYTES = 12_000;
 
   private final List<String> lines = new ArrayList<>();
 
@@ -37,7 +37,7 @@
   }
 
   private Inbox inbox(boolean sealed) {
-    return new Inbox(codec(sealed), "n2", 9, MOST, lines::add);
+    return new Inbox(codec(sealed), "n2", 9, MAX_MESSAGE_BYTES, lines::add);
   }
 
   private static byte[] bytes(int length, long seed) {
@@ -46,36 +46,36 @@
     return bytes;
   }
 
-  /** Of every length at which something changes, sealed and not, in order and not. */
+  /** Of every length at which the fragments change, sealed and not, in order and not. */
   @Test
-  void messagesOfAllLengths() {
+  void messagesOfEveryLengthArriveComplete() {
     for (boolean sealed : List.of(false, true)) {
-      Outbox outbox = new Outbox(codec(sealed), "n".repeat(Envelope.NAME_MOST), -1);
+      Outbox outbox = new Outbox(codec(sealed), "n".repeat(Envelope.MAX_NAME_BYTES), -1);
       Inbox inbox = inbox(sealed);
-      for (int length : new int[] {0, 1, 1099, 1100, 1101, 2200, 2201, 11_999, MOST}) {
+      for (int length : new int[] {0, 1, 1099, 1100, 1101, 2200, 2201, 11_999, MAX_MESSAGE_BYTES}) {
         List<byte[]> datagrams = new ArrayList<>(outbox.datagrams(3, bytes(length, length)));
         Collections.shuffle(datagrams, new java.util.Random(length));
         Inbox.Message message = null;
         for (byte[] datagram : datagrams) {
           assertTrue(
-              datagram.length <= Envelope.DATAGRAM_MOST, "of " + length + ": " + datagram.length);
+              datagram.length <= Envelope.MAX_DATAGRAM_BYTES,
+              "of " + length + ": " + datagram.length);
           assertNull(message);
           message = inbox.take(0, "a", datagram);
         }
         assertArrayEquals(bytes(length, length), message.body());
-        assertEquals("n".repeat(Envelope.NAME_MOST) + 3, message.sender() + message.part());
+        assertEquals("n".repeat(Envelope.MAX_NAME_BYTES) + 3, message.sender() + message.part());
       }
       assertEquals(
-          List.of(), outbox.datagrams(1, bytes(Envelope.BODY_MOST * Envelope.PIECES_MOST + 1, 1)));
+          List.of(),
+          outbox.datagrams(1, bytes(Envelope.MAX_BODY_BYTES * Envelope.MAX_PIECES + 1, 1)));
       assertEquals(Map.of(), inbox.refused());
     }
   }
 
-  /**
-   * One that is cut off anywhere, or in which any byte is another, is never taken for what it was.
-   */
+  /** A truncated datagram, or one with any byte changed, is never taken for the original. */
   @Test
-  void everyTruncationAndEveryFlippedByte() {
+  void truncatedAndCorruptedDatagramsAreNeverAccepted() {
     byte[] whole = outbox(true).datagrams(1, "hello".getBytes(StandardCharsets.UTF_8)).get(0);
     for (int length = 0; length < whole.length; length++) {
       assertNull(inbox(true).take(0, "a", Arrays.copyOf(whole, length)));
@@ -91,9 +91,9 @@
     assertNotNull(inbox(true).take(0, "a", whole));
   }
 
-  /** Nothing that comes makes it throw, or hold more than it may. */
+  /** No datagram makes the inbox throw, or hold more than its bounds allow. */
   @Test
-  void garbage() {
+  void garbageNeitherThrowsNorExceedsTheBounds() {
     SplittableRandom random = new SplittableRandom(11);
     Inbox inbox = inbox(false);
     Outbox outbox = outbox(false);
@@ -109,7 +109,8 @@
         }
       }
       inbox.take(i, "a", datagram);
-      assertTrue(inbox.gathering() <= Inbox.GATHERINGS_MOST && inbox.lives() <= Inbox.LIVES_MOST);
+      assertTrue(
+          inbox.incomplete() <= Inbox.MAX_INCOMPLETE && inbox.processes() <= Inbox.MAX_PROCESSES);
     }
     assertTrue(
         inbox
@@ -126,9 +127,9 @@
     assertTrue(lines.size() <= Refusal.values().length, lines::toString);
   }
 
-  /** Each reason, once, with the line that it costs. */
+  /** Every refusal is logged with its reason, a second one of a kind after ten seconds. */
   @Test
-  void reasons() {
+  void everyRefusalIsLoggedWithItsReason() {
     byte[] body = {1};
     byte[] good = outbox(false).datagrams(1, body).get(0);
     byte[] later = good.clone();
@@ -155,46 +156,44 @@
     sealed.take(99_999, "a:1", good);
     sealed.take(100_000, "a:1", good);
     assertEquals(
-        String.join(
-            "\n",
-            "a datagram from a:1 is longer than any of ours; 1 so far",
-            "a datagram from a:1 is of a release that this one can't read; 1 so far",
-            "a datagram from a:1 is of another fleet; 1 so far",
-            "a datagram from a:1 bears a seal that is not the fleet's; 1 so far",
-            "a datagram from a:1 is of this process itself; 1 so far",
-            "a datagram from a:1 came already, or too late to tell; 1 so far",
-            "a datagram from a:1 bears no seal; 1 so far",
-            "a datagram from a:1 bears a seal that is not the fleet's; 1 so far",
-            "a datagram from a:1 bears no seal; 3 so far"),
+        """
+        a datagram from a:1 is longer than any of ours; 1 so far
+        a datagram from a:1 is of a release that this one can't read; 1 so far
+        a datagram from a:1 is of another fleet; 1 so far
+        a datagram from a:1 bears a seal that is not the fleet's; 1 so far
+        a datagram from a:1 is of this process itself; 1 so far
+        a datagram from a:1 came already, or too late to tell; 1 so far
+        a datagram from a:1 bears no seal; 1 so far
+        a datagram from a:1 bears a seal that is not the fleet's; 1 so far
+        a datagram from a:1 bears no seal; 3 so far\
+        """,
         String.join("\n", lines));
   }
 
-  /**
-   * In any order within the span each comes once; what is older can't be told and does not come.
-   */
+  /** In any order, each counter within the window is new once; older ones never are. */
   @Test
-  void repeats() {
+  void everyCounterIsNewOnceWithinTheWindow() {
     SplittableRandom random = new SplittableRandom(5);
     for (int round = 0; round < 50; round++) {
-      Window window = new Window();
+      ReplayWindow window = new ReplayWindow();
       boolean[] came = new boolean[20_000];
       long newest = 0;
       for (int i = 0; i < 20_000; i++) {
         int counter = Math.max(1, Math.min(19_999, i + random.nextInt(10) - random.nextInt(6000)));
-        boolean told = counter > newest - Window.SPAN && !came[counter];
-        assertEquals(told, window.isNew(counter), "counter " + counter + " after " + newest);
-        came[counter] |= told;
+        boolean isNew = counter > newest - ReplayWindow.SPAN && !came[counter];
+        assertEquals(isNew, window.isNew(counter), "counter " + counter + " after " + newest);
+        came[counter] |= isNew;
         newest = Math.max(newest, counter);
       }
     }
-    Window far = new Window();
+    ReplayWindow far = new ReplayWindow();
     assertTrue(
         far.isNew(1) && far.isNew(Long.MAX_VALUE) && !far.isNew(Long.MAX_VALUE) && !far.isNew(1));
   }
 
-  /** A lost piece loses its message and nothing else; one sender can't crowd out another. */
+  /** A lost fragment loses its message and no other; one sender can't crowd out another. */
   @Test
-  void lostPieces() {
+  void aLostFragmentCostsOnlyItsOwnMessage() {
     Outbox outbox = outbox(false);
     Inbox inbox = inbox(false);
     List<byte[]> other = new Outbox(codec(false), "n3", 8).datagrams(1, bytes(2000, 1));
@@ -202,39 +201,40 @@
     for (int i = 0; i < 300; i++) {
       inbox.take(i, "a", outbox.datagrams(1, bytes(2000, i)).get(0));
     }
-    assertEquals(Inbox.GATHERINGS_EACH + 1, inbox.gathering());
+    assertEquals(Inbox.MAX_INCOMPLETE_PER_PROCESS + 1, inbox.incomplete());
     assertNotNull(inbox.take(300, "a", other.get(1)));
     List<byte[]> late = outbox.datagrams(1, bytes(2000, 1));
     assertNull(inbox.take(400, "a", late.get(0)));
-    assertNull(inbox.take(400 + Inbox.GATHER_MOST, "a", late.get(1)));
-    assertEquals(1, inbox.gathering());
+    assertNull(inbox.take(400 + Inbox.REASSEMBLY_TIMEOUT, "a", late.get(1)));
+    assertEquals(1, inbox.incomplete());
   }
 
-  /** What release 1 wrote is read by every later one; fields that are not known are passed over. */
+  /** Datagrams of release 1 are read by every later one; unknown fields are skipped. */
   @Test
-  void keptDatagrams() throws IOException, RefusedException {
+  void datagramsOfTheFirstReleaseAreStillRead() throws IOException, RefusedException {
     try (InputStream in = EnvelopeTest.class.getResourceAsStream("/envelope/release-1.txt")) {
       String kept = new String(in.readAllBytes(), StandardCharsets.UTF_8);
       for (String line : kept.lines().filter(line -> !line.startsWith("#")).toList()) {
-        String[] words = line.split(" ");
-        Envelope e = codec(words[0].equals("sealed")).decode(HexFormat.of().parseHex(words[2]));
+        String[] words = line.split(" ", -1);
+        Envelope envelope =
+            codec(words[0].equals("sealed")).decode(HexFormat.of().parseHex(words[2]));
         assertEquals(
             words[1],
-            e.sender()
+            envelope.sender()
                 + "/"
-                + e.life()
+                + envelope.incarnation()
                 + "/"
-                + e.part()
+                + envelope.part()
                 + "/"
-                + e.counter()
+                + envelope.counter()
                 + "/"
-                + e.first()
+                + envelope.first()
                 + "/"
-                + e.piece()
+                + envelope.piece()
                 + "/"
-                + e.pieces()
+                + envelope.pieces()
                 + "/"
-                + new String(e.body(), StandardCharsets.UTF_8));
+                + new String(envelope.body(), StandardCharsets.UTF_8));
       }
     }
     byte[] good = outbox(false).datagrams(1, new byte[] {1}).get(0);
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -123,7 +123,7 @@
                   new WatchedExtensionContext(door, watchdog),
                   clock)));
     }
-    datagrams = new Datagrams(sharing.listen(), Envelope.DATAGRAM_MOST, turns, this::came);
+    datagrams = new Datagrams(sharing.listen(), Envelope.MAX_DATAGRAM_BYTES, turns, this::came);
     LOG.info(
         "{} of fleet {} at site {} is reached by other gateways on {}",
         assignment.name(),
