--- a/statements/src/main/java/tillerlink/statements/LeaderTasks.java
+++ b/statements/src/main/java/tillerlink/statements/LeaderTasks.java
@@ -32,7 +32,7 @@
     this.voters = voters;
     this.consensus = consensus;
     this.preparer = preparer;
-    unasked = terms.terms().has(InjectedFault.EFFECT_UNASKED);
+    unasked = terms.terms().injects(InjectedFault.EFFECT_WITHOUT_MAJORITY);
   }
 
   void cleared(String voter, long disk, List<Long> changes, Catalog catalog) {
--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -91,7 +91,7 @@
     holding = new LeaseHolder(terms.lease(), terms.terms(), voters, this::send, random);
     requests = new Requests(holding.holder(), this::propose);
     Applying applying = new Applying();
-    if (voters.isOne()) {
+    if (voters.includesSelf()) {
       consensus = new RaftVoter(terms.terms(), voters, this::send, keep, random, applying, notes);
       granting = new LeaseGrantor(terms.lease(), terms.terms(), consensus);
       duties = new LeaderTasks(terms, voters, consensus, preparer);
@@ -397,11 +397,11 @@
     if (message instanceof Lease it) {
       holding.granted(now, from, it);
     } else if (consensus == null) {
-      learner.told(now, from, message);
+      learner.onMessage(now, from, message);
     } else if (message instanceof AskLease it) {
       Lease answer = granting.asked(now, it, catalog);
       if (answer != null) {
-        consensus.whenKept(() -> send(from, answer));
+        consensus.whenDurable(() -> send(from, answer));
       }
     } else if (message instanceof Release it) {
       granting.released(it);
@@ -410,7 +410,7 @@
     } else if (message instanceof Propose it) {
       proposed(it);
     } else {
-      consensus.told(now, from, message);
+      consensus.onMessage(now, from, message);
     }
   }
 
@@ -440,11 +440,11 @@
   public void tick(long at, long wall) {
     now = at;
     if (consensus != null) {
-      consensus.turn(now);
+      consensus.tick(now);
       duties.turn(now, catalog);
       sayClear();
     } else {
-      learner.turn(now);
+      learner.tick(now);
     }
     holding.turn(now, catalog);
     requests.turn(now);
@@ -460,7 +460,7 @@
     clearAt = now + CLEAR_AGAIN;
     String to = consensus.leader().orElse(null);
     if (to != null) {
-      consensus.whenKept(() -> send(to, new Clear(consensus.stamp(), clear)));
+      consensus.whenDurable(() -> send(to, new Clear(consensus.stamp(), clear)));
     }
   }
 
@@ -468,9 +468,9 @@
   public long nextDueAt() {
     long due = Math.min(holding.dueAt(), requests.dueAt());
     if (consensus == null) {
-      return Math.min(due, learner.dueAt());
+      return Math.min(due, learner.nextDueAt());
     }
-    due = Math.min(due, Math.min(consensus.dueAt(), duties.dueAt()));
+    due = Math.min(due, Math.min(consensus.nextDueAt(), duties.dueAt()));
     return catalog.waiting().isEmpty()
         ? due
         : Math.min(
@@ -486,7 +486,7 @@
     pauses++;
     holding.away(now);
     if (consensus != null) {
-      consensus.away(now);
+      consensus.onPause(now);
     }
   }
 
--- a/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
@@ -6,34 +6,49 @@
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
 
-/** The term, and whom this voter gave its vote in it: kept before either is shown. */
+/**
+ * The current term and whom this voter voted for in it, both written to durable state before either
+ * is shown to another voter; and the votes that it got itself, which are not stored.
+ */
 final class Ballot {
-  private static final String NAME = "ballot";
+  /** The key of the stored value; part of the stored format. */
+  private static final String KEY = "ballot";
 
-  /** It may have voted and forgotten it. */
-  private static final String UNKNOWN = "?";
+  private static final int TERM = 1;
+  private static final int VOTED_FOR = 2;
+  private static final int NAME_BYTES_MAX = 256;
 
-  private final DurableState disk;
+  /** Stored in place of a name if a vote may have been given and forgotten. */
+  private static final String UNKNOWN_CANDIDATE = "?";
+
+  private final DurableState durable;
+  private final BitSet votes = new BitSet();
   private long term;
   private String votedFor = "";
 
-  /** Votes that this candidate got, by the voters' places. */
-  final BitSet got = new BitSet();
-
-  Ballot(DurableState disk) throws MalformedMessageException {
-    this.disk = disk;
-    byte[] kept = disk.found().get(NAME);
-    if (kept != null) {
-      for (FieldReader in = new FieldReader(kept); in.next(); ) {
-        switch (in.field()) {
-          case 1 -> term = in.number();
-          case 2 -> votedFor = in.text(256);
-          default -> {}
-        }
+  Ballot(DurableState durable) throws MalformedMessageException {
+    this.durable = durable;
+    byte[] stored = durable.initialEntries().get(KEY);
+    if (stored != null) {
+      read(new FieldReader(stored));
+    }
+  }
+
+  private void read(FieldReader in) throws MalformedMessageException {
+    while (in.next()) {
+      switch (in.field()) {
+        case TERM -> term = in.number();
+        case VOTED_FOR -> votedFor = in.text(NAME_BYTES_MAX);
+        default -> {}
       }
     }
   }
 
+  /** Writes it to durable state. */
+  void persist() {
+    durable.write(KEY, new FieldWriter().number(TERM, term).text(VOTED_FOR, votedFor).done());
+  }
+
   long term() {
     return term;
   }
@@ -42,8 +57,8 @@
     Invariant.holds(next > term, () -> "term falls from " + term + " to " + next);
     term = next;
     votedFor = "";
-    got.clear();
-    keep();
+    votes.clear();
+    persist();
   }
 
   boolean mayVoteFor(String name) {
@@ -53,21 +68,41 @@
   void vote(String name) {
     if (!votedFor.equals(name)) {
       votedFor = name;
-      keep();
+      persist();
     }
   }
 
-  /** Votes up to that term may have been given and forgotten. */
-  void noVotesUpTo(long least) {
-    if (least > term) {
-      termIs(least);
+  /** Votes up to that term may have been given and forgotten: none is given in them again. */
+  void forbidVotesUpTo(long highestTerm) {
+    if (highestTerm > term) {
+      termIs(highestTerm);
     }
-    if (least == term && votedFor.isEmpty()) {
-      vote(UNKNOWN);
+    if (highestTerm == term && votedFor.isEmpty()) {
+      vote(UNKNOWN_CANDIDATE);
     }
   }
 
-  void keep() {
-    disk.write(NAME, new FieldWriter().number(1, term).text(2, votedFor).done());
+  // ---- votes for this voter ----
+
+  void clearVotes() {
+    votes.clear();
+  }
+
+  void recordVote(int voter) {
+    votes.set(voter);
+  }
+
+  /** That voter restarted: its vote no longer counts. */
+  void revokeVote(int voter) {
+    votes.clear(voter);
+  }
+
+  /**
+   * How many voters voted for this one.
+   *
+   * @param excluded a voter whose vote does not count, or -1
+   */
+  int votes(int excluded) {
+    return votes.cardinality() - (excluded >= 0 && votes.get(excluded) ? 1 : 0);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/DurableState.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/DurableState.java
@@ -5,79 +5,81 @@
 import tillerlink.cluster.KeyValueStore;
 
 /**
- * The durable table, with what waits for it: nothing that a voter promises is said before it is
- * kept.
+ * A voter's durable key-value store with the actions that wait for its writes: nothing that a voter
+ * promises is sent before it is durable.
  */
 final class DurableState {
-  private record Waiting(long write, Runnable what) {}
+  private record PendingAction(long write, Runnable action) {}
 
-  private final KeyValueStore keep;
-  private final boolean early;
-  private final ArrayDeque<Waiting> waiting = new ArrayDeque<>();
-  private long handed;
-  private long done;
+  private final KeyValueStore store;
+  private final boolean assumeDurable;
+  private final ArrayDeque<PendingAction> pending = new ArrayDeque<>();
+  private long lastWrite;
+  private long durableWrite;
   private boolean failed;
 
   /**
-   * @param early a planted fault: nothing waits
+   * Puts a store to use.
+   *
+   * @param assumeDurable an injected fault: actions wait for no write
    */
-  DurableState(KeyValueStore keep, boolean early) {
-    this.keep = keep;
-    this.early = early;
+  DurableState(KeyValueStore store, boolean assumeDurable) {
+    this.store = store;
+    this.assumeDurable = assumeDurable;
   }
 
-  NavigableMap<String, byte[]> found() {
-    return keep.initialEntries();
+  /** What was stored when this process started. */
+  NavigableMap<String, byte[]> initialEntries() {
+    return store.initialEntries();
   }
 
-  /**
-   * @return the number of this write
-   */
-  long write(String name, byte[] value) {
-    long write = ++handed;
-    if (!failed && !keep.set(name, value, () -> kept(write))) {
+  /** Hands a value to the store, null to remove it; returns the number of this write. */
+  long write(String key, byte[] value) {
+    long write = ++lastWrite;
+    if (!failed && !store.set(key, value, () -> onDurable(write))) {
       failed = true;
     }
-    if (early) {
-      done = handed;
+    if (assumeDurable) {
+      durableWrite = lastWrite;
     }
     return write;
   }
 
-  private void kept(long write) {
+  private void onDurable(long write) {
     if (failed) {
       return;
     }
-    done = Math.max(done, write);
-    while (!waiting.isEmpty() && waiting.peek().write <= done) {
-      waiting.poll().what.run();
+    durableWrite = Math.max(durableWrite, write);
+    while (!pending.isEmpty() && pending.peek().write <= durableWrite) {
+      pending.poll().action.run();
     }
   }
 
-  /** Runs it once all that was written so far is kept. */
-  void then(Runnable what) {
+  /** Runs the action once everything written so far is durable; never, if the store fails. */
+  void whenDurable(Runnable action) {
     if (failed) {
       return;
     }
-    if (done >= handed) {
-      what.run();
+    if (durableWrite >= lastWrite) {
+      action.run();
     } else {
-      waiting.add(new Waiting(handed, what));
+      pending.add(new PendingAction(lastWrite, action));
     }
   }
 
-  long done() {
-    return done;
+  /** The number of the last write that is durable. */
+  long durableWrite() {
+    return durableWrite;
   }
 
-  /** The disk refused a write: this voter says nothing more that others would rely on. */
-  boolean failed() {
+  /** Whether the store refused a write: this voter sends nothing that others would rely on. */
+  boolean hasFailed() {
     return failed;
   }
 
-  /** There may be room again: what follows is all that has to be kept, once more. */
-  void again() {
+  /** Writes are handed to the store again; the caller writes all of the state after this. */
+  void retry() {
     failed = false;
-    waiting.clear();
+    pending.clear();
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/Identity.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Identity.java
@@ -12,78 +12,95 @@
 import tillerlink.messages.statements.StatementMessage.Stage;
 
 /**
- * Who this voter is to the others: its disk, how often it started on it, and what it knows of the
- * others' starts.
+ * Who this voter is to the others: the number of its disk, how often it started from it, and how
+ * often it knows the others to have started. All of it is durable.
  */
 final class Identity {
-  private static final String NAME = "identity";
+  /** The key of the stored value; part of the stored format. */
+  private static final String KEY = "identity";
+
+  private static final int DISK = 1;
+  private static final int STAGE = 2;
+  private static final int BOOTS = 3;
+  private static final int PLEDGE = 4;
+  private static final int LIST_VALUE = 1;
+
+  /** A stage is stored as its position here: new ones come last. */
+  private static final List<Stage> STORED_STAGES =
+      List.of(Stage.FRESH, Stage.PLEDGED, Stage.FOUNDED, Stage.LOST);
 
   private final Voters voters;
-  private final DurableState disk;
+  private final DurableState durable;
   private final List<Long> boots;
-  private long number;
+  private long disk;
   private Stage stage = Stage.FRESH;
   private List<Long> pledge = List.of();
 
-  Identity(Voters voters, DurableState disk, RandomGenerator random)
+  Identity(Voters voters, DurableState durable, RandomGenerator random)
       throws MalformedMessageException {
     this.voters = voters;
-    this.disk = disk;
+    this.durable = durable;
     boots = new ArrayList<>(Collections.nCopies(voters.count(), 0L));
-    byte[] kept = disk.found().get(NAME);
-    if (kept == null) {
-      number = random.nextLong() | 1;
+    byte[] stored = durable.initialEntries().get(KEY);
+    if (stored == null) {
+      disk = newDisk(random);
     } else {
-      read(new FieldReader(kept));
+      read(new FieldReader(stored));
     }
-    bootsAre(voters.place(voters.self()), boots() + 1);
+    bootsAre(voters.indexOf(voters.self()), boots() + 1);
+  }
+
+  /** Never 0, which stands for no disk. */
+  private static long newDisk(RandomGenerator random) {
+    return random.nextLong() | 1;
   }
 
   private void read(FieldReader in) throws MalformedMessageException {
-    List<Long> seen = new ArrayList<>();
-    List<Long> pledged = new ArrayList<>();
+    List<Long> storedBoots = new ArrayList<>();
+    List<Long> storedPledge = new ArrayList<>();
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> number = in.fixed();
-        case 2 -> stage = Stage.values()[(int) in.number(Stage.values().length - 1)];
-        case 3 -> seen.add(one(in.within()));
-        case 4 -> pledged.add(one(in.within()));
+        case DISK -> disk = in.fixed();
+        case STAGE -> stage = STORED_STAGES.get((int) in.number(STORED_STAGES.size() - 1));
+        case BOOTS -> storedBoots.add(listValue(in.within()));
+        case PLEDGE -> storedPledge.add(listValue(in.within()));
         default -> {}
       }
     }
-    if (seen.size() == voters.count()) {
-      Collections.copy(boots, seen);
+    if (storedBoots.size() == voters.count()) {
+      Collections.copy(boots, storedBoots);
     }
-    pledge = pledged.size() == voters.count() ? List.copyOf(pledged) : List.of();
+    pledge = storedPledge.size() == voters.count() ? List.copyOf(storedPledge) : List.of();
   }
 
-  private static long one(FieldReader in) throws MalformedMessageException {
+  private static long listValue(FieldReader in) throws MalformedMessageException {
     long value = 0;
     while (in.next()) {
-      value = in.field() == 1 ? in.fixed() : value;
+      value = in.field() == LIST_VALUE ? in.fixed() : value;
     }
     return value;
   }
 
-  private void keep() {
-    FieldWriter to = new FieldWriter().fixed(1, number).number(2, stage.ordinal());
-    boots.forEach(each -> to.within(3, new FieldWriter().fixed(1, each)));
-    pledge.forEach(each -> to.within(4, new FieldWriter().fixed(1, each)));
-    disk.write(NAME, to.done());
-  }
-
-  void rewrite() {
-    keep();
+  /** Writes it to durable state. */
+  void persist() {
+    FieldWriter to =
+        new FieldWriter().fixed(DISK, disk).number(STAGE, STORED_STAGES.indexOf(stage));
+    boots.forEach(each -> to.within(BOOTS, new FieldWriter().fixed(LIST_VALUE, each)));
+    pledge.forEach(each -> to.within(PLEDGE, new FieldWriter().fixed(LIST_VALUE, each)));
+    durable.write(KEY, to.done());
   }
 
+  /** The number that this disk was given when it was empty. */
   long disk() {
-    return number;
+    return disk;
   }
 
+  /** How far this voter has come since its disk was empty. */
   Stage stage() {
     return stage;
   }
 
+  /** The disks that it founds the log with, in the order of the voters' names; empty if none. */
   List<Long> pledge() {
     return pledge;
   }
@@ -93,32 +110,35 @@
         pledge.isEmpty() || pledge.equals(pledged) || next == Stage.LOST, () -> "a second pledge");
     stage = next;
     pledge = List.copyOf(pledged);
-    keep();
+    persist();
   }
 
-  /** The disk's place was taken by another: it starts over as an empty one. */
+  /** Another disk took this one's place: it is treated as lost, and gets a new number. */
   void startOver(RandomGenerator random) {
-    number = random.nextLong() | 1;
+    disk = newDisk(random);
     stage = Stage.LOST;
     pledge = List.of();
-    keep();
+    persist();
   }
 
+  /** How often this voter started from this disk. */
   long boots() {
-    return boots(voters.place(voters.self()));
+    return boots(voters.indexOf(voters.self()));
   }
 
-  long boots(int place) {
-    return boots.get(place);
+  /** How often that voter is known to have started. */
+  long boots(int voter) {
+    return boots.get(voter);
   }
 
-  void bootsAre(int place, long count) {
-    Invariant.holds(count >= boots.get(place), () -> "starts of a voter fall");
-    boots.set(place, count);
-    keep();
+  void bootsAre(int voter, long count) {
+    Invariant.holds(count >= boots.get(voter), () -> "starts of a voter fall");
+    boots.set(voter, count);
+    persist();
   }
 
+  /** The stamp of this voter's messages. */
   Stamp stamp() {
-    return new Stamp(voters.hash(), number, boots(), boots);
+    return new Stamp(voters.hash(), disk, boots(), boots);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/LeaderState.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/LeaderState.java
@@ -5,146 +5,137 @@
 import tillerlink.messages.statements.StatementMessage.Appended;
 import tillerlink.statements.testing.InjectedFault;
 
-/** What a leader knows of the others, and what is committed by it. */
+/**
+ * What a leader knows of the other voters, and which entries it may commit by that. Times are in
+ * tenths of a millisecond.
+ */
 final class LeaderState {
-  private static final long SEND_AGAIN = 2000;
-  private static final int UNCOMMITTED_MOST = 512;
+  private static final int UNCOMMITTED_MAX = 512;
 
-  /** A voter of which nothing was heard for so long may be replaced by its new disk. */
-  private static final long SILENT_LEAST = 15_000;
+  /** A voter that was silent for so long may be replaced by its new disk. */
+  private static final long SILENCE_BEFORE_READMISSION = 15_000;
 
   private final Voters voters;
   private final int self;
-  private final RaftConfig terms;
+  private final RaftConfig config;
   private final Log log;
   private final Membership membership;
   private final Progress[] others;
   private long sequence;
-  private long beatAt;
-  private boolean leads;
+  private long heartbeatDueAt;
+  private boolean hasLed;
 
-  LeaderState(Voters voters, int self, RaftConfig terms, Log log, Membership membership) {
+  LeaderState(Voters voters, int self, RaftConfig config, Log log, Membership membership) {
     this.voters = voters;
     this.self = self;
-    this.terms = terms;
+    this.config = config;
     this.log = log;
     this.membership = membership;
     others = new Progress[voters.count()];
   }
 
+  /** A term as the leader begins. */
   void start(long now) {
     for (int i = 0; i < others.length; i++) {
       others[i] = new Progress(log.lastIndex() + 1, now);
     }
-    beatAt = now;
-    leads = true;
+    heartbeatDueAt = now;
+    hasLed = true;
   }
 
   long nextSequence() {
     return ++sequence;
   }
 
-  boolean hasRoom(long commit) {
-    return log.lastIndex() - commit < UNCOMMITTED_MOST;
+  /** Whether one more entry may be appended while others are not committed yet. */
+  boolean hasCapacity(long commitIndex) {
+    return log.lastIndex() - commitIndex < UNCOMMITTED_MAX;
   }
 
-  long dueAt() {
-    return beatAt;
+  long nextDueAt() {
+    return heartbeatDueAt;
   }
 
-  /** The others are to hear of what is committed. */
-  void beatSoon() {
-    beatAt = Math.min(beatAt, 0);
+  /** The commit index rose: the other voters learn of it at the next replication. */
+  void expediteHeartbeat() {
+    heartbeatDueAt = Math.min(heartbeatDueAt, 0);
   }
 
-  /**
-   * Sends what is due: to all at a heartbeat, else to those that lack entries and owe no answer.
-   */
+  /** Sends to all voters when a heartbeat is due, else to those that lack entries. */
   void replicate(long now, BiConsumer<String, Progress> send) {
-    boolean beat = now >= beatAt;
+    boolean heartbeat = now >= heartbeatDueAt;
     for (int i = 0; i < others.length; i++) {
-      if (i == self) {
-        continue;
-      }
-      Progress it = others[i];
-      boolean lacks = it.next <= log.lastIndex() && (!it.waiting || now >= it.sentAt + SEND_AGAIN);
-      if (beat || lacks) {
-        send.accept(voters.names().get(i), it);
+      if (i != self && (heartbeat || others[i].needsEntries(log.lastIndex(), now))) {
+        send.accept(voters.names().get(i), others[i]);
       }
     }
-    if (beat) {
-      beatAt = now + RaftVoter.HEARTBEAT;
+    if (heartbeat) {
+      heartbeatDueAt = now + RaftTiming.HEARTBEAT_INTERVAL;
     }
   }
 
-  void acknowledged(long now, int place, Appended ack) {
-    Progress it = others[place];
-    it.heard(now);
-    if (ack.fits()) {
-      it.match = Math.max(it.match, Math.min(ack.match(), log.lastIndex()));
-      it.next = Math.max(it.next, it.match + 1);
-      if (ack.match() < it.next - 1 && ack.sequence() == it.sequence) {
-        it.next = it.match + 1;
-      }
-    } else {
-      long before = it.next;
-      it.next = Math.max(it.match + 1, Math.min(it.next - 1, ack.match() + 1));
-      // What brings nothing is not sent again at once.
-      it.waiting = it.next >= before;
-    }
+  void onResponse(long now, int voter, Appended response) {
+    others[voter].onResponse(now, response, log.lastIndex());
   }
 
-  /** Too long unheard by a majority: others may have a leader by now. */
-  boolean lostMajority(long now) {
+  /** Whether a majority was silent for so long that there may be another leader. */
+  boolean hasLostMajority(long now) {
     int heard = 1;
     for (int i = 0; i < others.length; i++) {
-      heard += i != self && now - others[i].heardAt < 2 * RaftVoter.ELECTION_LEAST ? 1 : 0;
+      boolean live = now - others[i].heardAt() < 2 * RaftTiming.ELECTION_TIMEOUT_MIN;
+      heard += i != self && live ? 1 : 0;
     }
     return heard < voters.quorum();
   }
 
   /**
-   * How far a majority has the log, if that settles it: only by an entry of the leader's own term.
+   * The highest index that is committed, at least the given one. Raft commits only by an entry of
+   * the leader's own term; a voter whose readmission is pending does not count for entries from
+   * there on.
    */
-  long committed(long commit, long term) {
-    long[] has = new long[others.length];
+  long committableIndex(long commitIndex, long term) {
+    long[] durable = new long[others.length];
     for (int i = 0; i < others.length; i++) {
-      has[i] = i == self ? log.durable() : others[i].match;
+      durable[i] = i == self ? log.durable() : others[i].matchIndex();
     }
-    long most = terms.has(InjectedFault.COMMITS_ALONE) ? log.durable() : agreed(has);
-    long pending = membership.pending(commit);
-    if (pending > 0 && most >= pending) {
-      has[membership.excluded(commit)] = 0;
-      most = Math.min(most, Math.max(pending - 1, agreed(has)));
+    boolean alone = config.injects(InjectedFault.COMMITS_WITHOUT_MAJORITY);
+    long highest = alone ? log.durable() : majorityIndex(durable);
+    long readmission = membership.pendingReadmission(commitIndex);
+    if (readmission > 0 && highest >= readmission) {
+      durable[membership.excludedVoter(commitIndex)] = 0;
+      highest = Math.min(highest, Math.max(readmission - 1, majorityIndex(durable)));
     }
-    boolean settles = log.term(most) == term || terms.has(InjectedFault.COMMITS_OLD_TERMS);
-    return most > commit && settles ? most : commit;
+    boolean ownTerm =
+        log.term(highest) == term || config.injects(InjectedFault.COMMITS_EARLIER_TERMS);
+    return highest > commitIndex && ownTerm ? highest : commitIndex;
   }
 
-  private long agreed(long[] has) {
-    long[] sorted = has.clone();
+  private long majorityIndex(long[] durable) {
+    long[] sorted = durable.clone();
     Arrays.sort(sorted);
     return sorted[sorted.length - voters.quorum()];
   }
 
-  void forget(int place) {
-    if (others[place] != null) {
-      others[place].forget();
+  /** That voter restarted. */
+  void resetProgress(int voter) {
+    if (others[voter] != null) {
+      others[voter].reset();
     }
   }
 
-  long matchOf(int place) {
-    return others[place] == null ? 0 : others[place].match;
+  /** Up to where that voter acknowledged this leader's log; 0 if nothing is known. */
+  long matchIndexOf(int voter) {
+    return others[voter] == null ? 0 : others[voter].matchIndex();
   }
 
   /**
-   * One at a time, behind an entry of the own term that is committed, and not while the old disk is
-   * heard of.
+   * Whether the log may readmit a voter by its new disk: one readmission at a time, behind a
+   * committed entry of the own term, and not while the old disk is heard of.
    */
-  boolean mayReadmit(long now, int place, long commit, long term) {
-    return leads
-        && membership.pending(commit) < 0
-        && log.term(commit) == term
-        && now - others[place].heardAt > SILENT_LEAST;
+  boolean canReadmit(long now, int voter, long commitIndex, long term) {
+    return hasLed
+        && membership.pendingReadmission(commitIndex) < 0
+        && log.term(commitIndex) == term
+        && now - others[voter].heardAt() > SILENCE_BEFORE_READMISSION;
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/Learner.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Learner.java
@@ -9,105 +9,109 @@
 import tillerlink.messages.statements.StatementMessage.Piece;
 
 /**
- * How a gateway that doesn't vote follows the log: it asks one voter after the other for what is
- * committed.
+ * Follows the log on a gateway that does not vote: it asks one voter after the other for committed
+ * entries. It does no I/O itself and is owned by the gateway's event loop. Times are in tenths of a
+ * millisecond.
  */
 public final class Learner {
-  private static final long AGAIN = 2500;
-  private static final long ELSEWHERE = 3000;
-  private static final int TIMES_MOST = 6;
+  private static final long FETCH_INTERVAL = 2500;
+
+  /** A voter that was silent for so long is not asked again before all others were. */
+  private static final long VOTER_TIMEOUT = 3000;
+
+  /** After so many fetches another voter is asked: one that responds may itself be behind. */
+  private static final int FETCHES_PER_VOTER = 6;
 
   private final Voters voters;
-  private final Outbox out;
+  private final Outbox outbox;
   private final StateMachine machine;
-  private final Consumer<String> notes;
-  private final SnapshotFetcher pieces;
-  private int asks;
-  private int times;
-  private long askAt;
+  private final Consumer<String> warnings;
+  private final SnapshotFetcher snapshots;
+  private int current;
+  private int fetches;
+  private long fetchDueAt;
   private long heardAt;
 
+  /**
+   * Sets up a learner.
+   *
+   * @param warnings lines for the operator's log
+   * @param first the index of the voter to ask first, modulo their number
+   */
   public Learner(
-      Voters voters, Outbox out, StateMachine machine, Consumer<String> notes, int first) {
+      Voters voters, Outbox outbox, StateMachine machine, Consumer<String> warnings, int first) {
     this.voters = voters;
-    this.out = out;
+    this.outbox = outbox;
     this.machine = machine;
-    this.notes = notes;
-    pieces = new SnapshotFetcher(out);
-    asks = Math.floorMod(first, voters.count());
+    this.warnings = warnings;
+    snapshots = new SnapshotFetcher(outbox);
+    current = Math.floorMod(first, voters.count());
   }
 
-  public void turn(long now) {
-    pieces.turn(now);
-    if (now < askAt) {
+  /** Runs what is due; called on each event-loop iteration. */
+  public void tick(long now) {
+    snapshots.tick(now);
+    if (now < fetchDueAt) {
       return;
     }
-    // One that answers may itself be behind.
-    if (now - heardAt > ELSEWHERE || ++times % TIMES_MOST == 0) {
-      asks = (asks + 1) % voters.count();
+    if (now - heardAt > VOTER_TIMEOUT || ++fetches % FETCHES_PER_VOTER == 0) {
+      current = (current + 1) % voters.count();
       heardAt = now;
     }
-    ask(now);
+    fetch(now);
   }
 
-  private void ask(long now) {
-    askAt = now + AGAIN;
-    out.send(voters.names().get(asks), new Fetch(machine.applied() + 1));
+  private void fetch(long now) {
+    fetchDueAt = now + FETCH_INTERVAL;
+    outbox.send(voters.names().get(current), new Fetch(machine.applied() + 1));
   }
 
-  public long dueAt() {
-    return Math.min(askAt, pieces.dueAt());
+  /** When {@link #tick} is to be called next, at the latest. */
+  public long nextDueAt() {
+    return Math.min(fetchDueAt, snapshots.nextDueAt());
   }
 
-  /**
-   * @return false if it is none of the log's
-   */
-  public boolean told(long now, String from, StatementMessage message) {
-    if (!voters.has(from)) {
-      return false;
+  /** Takes a message of the log's protocol; others are ignored, and those of other gateways. */
+  public void onMessage(long now, String from, StatementMessage message) {
+    if (!voters.contains(from)) {
+      return;
     }
-    if (message instanceof Committed it) {
-      committed(now, from, it);
-    } else if (message instanceof Piece it) {
-      byte[] whole = pieces.took(now, from, it);
-      if (whole != null) {
-        install(now, from, whole);
-      }
-    } else {
-      return false;
+    if (message instanceof Committed committed) {
+      onCommitted(now, from, committed);
+    } else if (message instanceof Piece piece) {
+      snapshots.onPiece(now, from, piece).ifPresent(bytes -> install(now, from, bytes));
     }
-    return true;
   }
 
-  private void committed(long now, String from, Committed it) {
-    if (from.equals(voters.names().get(asks))) {
+  private void onCommitted(long now, String from, Committed committed) {
+    if (from.equals(voters.names().get(current))) {
       heardAt = now;
     }
-    if (it.snapshot() > machine.applied()) {
-      pieces.start(now, from, it.snapshot(), it.size());
+    long before = machine.applied();
+    if (committed.snapshot() > before) {
+      snapshots.start(now, from, committed.snapshot(), committed.size());
       return;
     }
-    long before = machine.applied();
-    for (Entry entry : it.entries()) {
-      if (entry.index() == machine.applied() + 1 && entry.index() <= it.commit()) {
+    for (Entry entry : committed.entries()) {
+      if (entry.index() == machine.applied() + 1 && entry.index() <= committed.commit()) {
         machine.apply(entry);
       }
     }
-    boolean news = it.entries().isEmpty() || machine.applied() > before;
-    if (it.commit() > machine.applied() && news && !pieces.isFetching()) {
-      ask(now);
+    boolean progressed = committed.entries().isEmpty() || machine.applied() > before;
+    if (committed.commit() > machine.applied() && progressed && !snapshots.isFetching()) {
+      fetch(now);
     }
   }
 
-  private void install(long now, String from, byte[] whole) {
+  private void install(long now, String from, byte[] bytes) {
     try {
-      Snapshot snapshot = Snapshot.read(whole);
+      Snapshot snapshot = Snapshot.read(bytes);
       if (snapshot.index() > machine.applied()) {
         machine.install(snapshot.state());
-        ask(now);
+        fetch(now);
       }
     } catch (MalformedMessageException e) {
-      notes.accept("a snapshot of " + from + " can't be read: " + e.getMessage());
+      warnings.accept("a snapshot of " + from + " can't be read: " + e.getMessage());
     }
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/LearnerService.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/LearnerService.java
@@ -7,51 +7,48 @@
 import tillerlink.messages.statements.StatementMessage.Committed;
 import tillerlink.messages.statements.StatementMessage.Fetch;
 
-/** Lets gateways that don't vote have what is committed. */
+/** Sends committed entries to gateways that do not vote. Times are in tenths of a millisecond. */
 final class LearnerService {
-  private static final int LEARNERS_MOST = 1024;
-  private static final long REMEMBERED = 50_000;
-  private static final int BYTES = 8000;
+  private static final int LEARNERS_MAX = 1024;
 
-  private final Outbox out;
+  /** A learner that has not fetched for so long is no longer notified. */
+  private static final long LEARNER_TIMEOUT = 50_000;
 
-  /** Who asked of late, the longest ago first. */
+  private static final int BYTES_MAX = 8000;
+
+  private final Outbox outbox;
+
+  /** When each learner last fetched, the longest ago first. */
   private final Map<String, Long> learners = new LinkedHashMap<>();
 
-  LearnerService(Outbox out) {
-    this.out = out;
+  LearnerService(Outbox outbox) {
+    this.outbox = outbox;
   }
 
-  void fetched(long now, String from, Fetch fetch, Log log, long applied) {
+  void onFetch(long now, String from, Fetch fetch, Log log, long applied) {
     learners.remove(from);
     learners.put(from, now);
-    if (learners.size() > LEARNERS_MOST) {
+    if (learners.size() > LEARNERS_MAX) {
       learners.remove(learners.keySet().iterator().next());
     }
-    if (fetch.from() <= log.base()) {
-      out.send(
-          from,
-          new Committed(
-              fetch.from(),
-              List.of(),
-              applied,
-              log.snapshot().index(),
-              log.snapshotBytes().length));
-    } else {
-      out.send(
-          from, new Committed(fetch.from(), log.from(fetch.from(), applied, BYTES), applied, 0, 0));
-    }
+    long first = fetch.from();
+    Committed response =
+        first <= log.base()
+            ? new Committed(
+                first, List.of(), applied, log.snapshot().index(), log.snapshotBytes().length)
+            : new Committed(first, log.from(first, applied, BYTES_MAX), applied, 0, 0);
+    outbox.send(from, response);
   }
 
-  /** Tells those that asked of late that there is more. */
-  void moved(long now, long applied) {
+  /** Notifies the learners that more is committed. */
+  void onApplied(long now, long applied) {
     for (Iterator<Map.Entry<String, Long>> each = learners.entrySet().iterator();
         each.hasNext(); ) {
       Map.Entry<String, Long> learner = each.next();
-      if (now - learner.getValue() > REMEMBERED) {
+      if (now - learner.getValue() > LEARNER_TIMEOUT) {
         each.remove();
       } else {
-        out.send(learner.getKey(), new Committed(applied + 1, List.of(), applied, 0, 0));
+        outbox.send(learner.getKey(), new Committed(applied + 1, List.of(), applied, 0, 0));
       }
     }
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/Log.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Log.java
@@ -9,35 +9,51 @@
 import tillerlink.messages.statements.CommandCodec;
 import tillerlink.messages.statements.Entry;
 
-/** A voter's log: a snapshot, some entries that are in it still, and those behind it. */
+/**
+ * A voter's log: a snapshot, the entries behind it, and the last few entries that the snapshot
+ * covers.
+ */
 final class Log {
-  private static final String ENTRY = "log/";
-  private static final String SNAPSHOT = "snapshot";
+  /** Keys of the stored values; part of the stored format. */
+  private static final String ENTRY_PREFIX = "log/";
 
-  /** Entries behind the snapshot before there is a new one. */
-  private static final int ENTRIES_MOST = 256;
+  private static final String SNAPSHOT_KEY = "snapshot";
 
-  /** Entries that a snapshot leaves, for those that are little behind. */
-  private static final int TRAIL = 64;
+  /** Entries applied since the snapshot before there is a new one. */
+  private static final int ENTRIES_PER_SNAPSHOT = 256;
 
-  private final DurableState disk;
+  /** Entries that a snapshot leaves in the log, for voters that are little behind. */
+  private static final int ENTRIES_RETAINED = 64;
+
+  private static final int ENTRIES_PER_APPEND_MAX = 128;
+
+  /** Bytes around an entry in a message, at the most. */
+  private static final int ENTRY_OVERHEAD = 8;
+
+  private static final long UNKNOWN_TERM = -1;
+
+  private final DurableState durable;
   private final List<Entry> entries = new ArrayList<>();
+
+  /** The numbers of the writes of the entries. */
   private final List<Long> writes = new ArrayList<>();
+
   private Snapshot snapshot;
   private byte[] snapshotBytes;
   private long base;
   private long baseTerm;
-  private long durable;
+  private long durableIndex;
 
-  Log(DurableState disk, Snapshot empty) throws MalformedMessageException {
-    this.disk = disk;
-    byte[] kept = disk.found().get(SNAPSHOT);
-    snapshot = kept == null ? empty : Snapshot.read(kept);
+  Log(DurableState durable, Snapshot empty) throws MalformedMessageException {
+    this.durable = durable;
+    byte[] stored = durable.initialEntries().get(SNAPSHOT_KEY);
+    snapshot = stored == null ? empty : Snapshot.read(stored);
     snapshotBytes = snapshot.write();
     base = snapshot.base();
     baseTerm = snapshot.baseTerm();
-    for (Map.Entry<String, byte[]> each : disk.found().tailMap(ENTRY, false).entrySet()) {
-      if (!each.getKey().startsWith(ENTRY)) {
+    for (Map.Entry<String, byte[]> each :
+        durable.initialEntries().tailMap(ENTRY_PREFIX, false).entrySet()) {
+      if (!each.getKey().startsWith(ENTRY_PREFIX)) {
         break;
       }
       Entry entry = CommandCodec.entry(new FieldReader(each.getValue()));
@@ -46,10 +62,10 @@
         writes.add(0L);
       }
     }
-    durable = lastIndex();
+    durableIndex = lastIndex();
   }
 
-  // ---- what is there ----
+  // ---- reading ----
 
   long lastIndex() {
     return base + entries.size();
@@ -59,17 +75,17 @@
     return entries.isEmpty() ? baseTerm : entries.get(entries.size() - 1).term();
   }
 
-  /** The index before the first entry that is there. */
+  /** The index before the first entry that is in the log. */
   long base() {
     return base;
   }
 
-  /** -1 if it is not there. */
+  /** The term of the entry at that index; -1 if it is not in the log. */
   long term(long index) {
     if (index == base) {
       return baseTerm;
     }
-    return index < base || index > lastIndex() ? -1 : get(index).term();
+    return index < base || index > lastIndex() ? UNKNOWN_TERM : get(index).term();
   }
 
   Entry get(long index) {
@@ -84,109 +100,111 @@
     return snapshotBytes;
   }
 
-  /** How much of it outlives a crash. */
+  /** The index up to which the log would survive a crash. */
   long durable() {
-    while (durable < lastIndex() && writes.get((int) (durable - base)) <= disk.done()) {
-      durable++;
+    while (durableIndex < lastIndex()
+        && writes.get((int) (durableIndex - base)) <= durable.durableWrite()) {
+      durableIndex++;
     }
-    return durable;
+    return durableIndex;
   }
 
-  /** Whether a position is at or beyond another, by the term of the last entry first. */
-  static boolean reaches(long term, long index, long otherTerm, long otherIndex) {
-    return term > otherTerm || term == otherTerm && index >= otherIndex;
+  /** Whether a log position is at least as far as another, compared by term first. */
+  static boolean isAtLeast(long term, long index, long otherTerm, long otherIndex) {
+    return term > otherTerm || (term == otherTerm && index >= otherIndex);
   }
 
-  /** From an index on, as many as fit. */
+  /** Entries from one index to another, as many as fit into one message; at least one. */
   List<Entry> from(long index, long upTo, int maxBytes) {
-    List<Entry> some = new ArrayList<>();
+    List<Entry> fitting = new ArrayList<>();
     int bytes = 0;
-    for (long i = index; i <= upTo && some.size() < 128; i++) {
+    for (long i = index; i <= upTo && fitting.size() < ENTRIES_PER_APPEND_MAX; i++) {
       Entry entry = get(i);
-      bytes += CommandCodec.entry(entry).done().length + 8;
-      if (bytes > maxBytes && !some.isEmpty()) {
+      bytes += CommandCodec.entry(entry).done().length + ENTRY_OVERHEAD;
+      if (bytes > maxBytes && !fitting.isEmpty()) {
         break;
       }
-      some.add(entry);
+      fitting.add(entry);
     }
-    return some;
+    return fitting;
   }
 
-  // ---- changes ----
+  // ---- writing ----
 
   void append(Entry entry) {
     Invariant.holds(
         entry.index() == lastIndex() + 1, () -> "a gap in the log before " + entry.index());
     Invariant.holds(entry.term() >= lastTerm(), () -> "terms in the log fall at " + entry.index());
     entries.add(entry);
-    writes.add(disk.write(key(entry.index()), CommandCodec.entry(entry).done()));
+    writes.add(durable.write(key(entry.index()), CommandCodec.entry(entry).done()));
   }
 
   private static String key(long index) {
-    return ENTRY + String.format("%019d", index);
+    return ENTRY_PREFIX + String.format("%019d", index);
   }
 
   void truncateFrom(long index) {
     for (long i = lastIndex(); i >= index; i--) {
       entries.remove(entries.size() - 1);
       writes.remove(writes.size() - 1);
-      disk.write(key(i), null);
+      durable.write(key(i), null);
     }
-    durable = Math.min(durable, index - 1);
+    durableIndex = Math.min(durableIndex, index - 1);
   }
 
-  /** Whether it is time for a new snapshot. */
-  boolean isLong(long applied) {
-    return applied - snapshot.index() >= ENTRIES_MOST;
+  /** Whether the log is to be compacted. */
+  boolean needsSnapshot(long applied) {
+    return applied - snapshot.index() >= ENTRIES_PER_SNAPSHOT;
   }
 
-  /** A snapshot of what is applied takes the place of all entries but the last few. */
-  void compact(Snapshot of) {
-    long from = Math.max(base, of.index() - TRAIL);
+  /** Replaces all entries that a snapshot of the applied state covers but the last few. */
+  void compact(Snapshot next) {
+    long from = Math.max(base, next.index() - ENTRIES_RETAINED);
     long fromTerm = term(from);
-    long old = base;
-    keep(of.on(from, fromTerm));
-    int drop = (int) (from - old);
-    entries.subList(0, drop).clear();
-    writes.subList(0, drop).clear();
-    durable = Math.max(durable, from);
-    for (long i = old + 1; i <= from; i++) {
-      disk.write(key(i), null);
-    }
-  }
-
-  /** A snapshot of the leader: what is behind it stays only if it goes on from it. */
-  void install(Snapshot of) {
-    boolean goesOn = term(of.index()) == of.term();
-    long first = base;
-    long last = lastIndex();
-    if (goesOn) {
-      compact(of);
+    long oldBase = base;
+    replaceSnapshot(next.withBase(from, fromTerm));
+    int dropped = (int) (from - oldBase);
+    entries.subList(0, dropped).clear();
+    writes.subList(0, dropped).clear();
+    durableIndex = Math.max(durableIndex, from);
+    deleteEntries(oldBase + 1, from);
+  }
+
+  /** Takes the leader's snapshot; entries behind it stay only if the log agrees with it. */
+  void install(Snapshot next) {
+    if (term(next.index()) == next.term()) {
+      compact(next);
       return;
     }
-    keep(of.on(of.index(), of.term()));
+    long oldBase = base;
+    long oldLast = lastIndex();
+    replaceSnapshot(next.withBase(next.index(), next.term()));
     entries.clear();
     writes.clear();
-    durable = of.index();
-    for (long i = first + 1; i <= last; i++) {
-      disk.write(key(i), null);
+    durableIndex = next.index();
+    deleteEntries(oldBase + 1, oldLast);
+  }
+
+  private void deleteEntries(long first, long last) {
+    for (long i = first; i <= last; i++) {
+      durable.write(key(i), null);
     }
   }
 
-  private void keep(Snapshot of) {
-    snapshot = of;
-    base = of.base();
-    baseTerm = of.baseTerm();
-    snapshotBytes = of.write();
-    disk.write(SNAPSHOT, snapshotBytes);
+  private void replaceSnapshot(Snapshot next) {
+    snapshot = next;
+    base = next.base();
+    baseTerm = next.baseTerm();
+    snapshotBytes = next.write();
+    durable.write(SNAPSHOT_KEY, snapshotBytes);
   }
 
-  /** Hands all of it to the disk once more. */
+  /** Writes the whole log to durable state once more. */
   void rewrite() {
-    disk.write(SNAPSHOT, snapshotBytes);
-    durable = base;
+    durable.write(SNAPSHOT_KEY, snapshotBytes);
+    durableIndex = base;
     for (int i = 0; i < entries.size(); i++) {
-      writes.set(i, disk.write(key(base + 1 + i), CommandCodec.entry(entries.get(i)).done()));
+      writes.set(i, durable.write(key(base + 1 + i), CommandCodec.entry(entries.get(i)).done()));
     }
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/Outbox.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Outbox.java
@@ -2,8 +2,9 @@
 
 import tillerlink.messages.statements.StatementMessage;
 
-/** Sends to another gateway. */
+/** Sends messages to other gateways. */
 @FunctionalInterface
 public interface Outbox {
+  /** Sends a message; it may be lost, duplicated or reordered on the way. */
   void send(String to, StatementMessage message);
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/RaftConfig.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RaftConfig.java
@@ -6,16 +6,18 @@
 /**
  * How a voter works.
  *
- * @param vouched the operator vouches that disks are never put back from a copy: nobody is asked at
- *     the start
- * @param plants faults that a test planted
+ * @param vouched the operator vouches that disks are never restored from a copy: a voter that
+ *     starts does not ask the others how far it was
+ * @param injectedFaults faults that a test injects; none on a gateway
  */
-public record RaftConfig(boolean vouched, Set<InjectedFault> plants) {
+public record RaftConfig(boolean vouched, Set<InjectedFault> injectedFaults) {
+  /** Copies the set. */
   public RaftConfig {
-    plants = Set.copyOf(plants);
+    injectedFaults = Set.copyOf(injectedFaults);
   }
 
-  public boolean has(InjectedFault plant) {
-    return plants.contains(plant);
+  /** Whether a test injects that fault. */
+  public boolean injects(InjectedFault fault) {
+    return injectedFaults.contains(fault);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/RaftVoter.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RaftVoter.java
@@ -4,11 +4,9 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
-import tillerlink.cluster.Invariant;
 import tillerlink.cluster.KeyValueStore;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Command;
-import tillerlink.messages.statements.Entry;
 import tillerlink.messages.statements.Stamp;
 import tillerlink.messages.statements.StatementMessage;
 import tillerlink.messages.statements.StatementMessage.Append;
@@ -25,688 +23,296 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * One voter of the log: Raft's terms, votes and replication, with a vote asked about before a term
- * is raised, and with {@link VoterRejoin} before it takes part.
+ * One voter of the replicated log, by Raft: elections with a pre-vote, log replication and
+ * snapshots; before it takes part it rejoins by {@link VoterRejoin}. It does no I/O itself and is
+ * owned by the gateway's event loop: every method is called from that thread alone. Times are in
+ * tenths of a millisecond.
  */
 public final class RaftVoter {
-  static final long HEARTBEAT = 1000;
-  static final long ELECTION_LEAST = 7000;
-  private static final long ELECTION_SPREAD = 7000;
-  private static final long REWRITE_AGAIN = 10_000;
-
-  private enum Role {
-    FOLLOWER,
-    ASKING,
-    CANDIDATE,
-    LEADER
-  }
-
-  private final Voters voters;
-  private final int self;
-  private final RandomGenerator random;
-  private final Outbox out;
-  private final StateMachine machine;
-  private final RaftConfig terms;
-  private final Consumer<String> notes;
-  private final DurableState disk;
-  private final Log log;
-  private final Identity identity;
-  private final Ballot ballot;
-  private final Membership membership;
-  private final VoterRejoin homecoming;
-  private final SnapshotFetcher pieces;
-  private final LeaderState leading;
-  private final LearnerService serving;
-  private Role role = Role.FOLLOWER;
-  private String leader = "";
-  private long commit;
-  private long heardLeaderAt = Long.MIN_VALUE / 2;
-  private long electionAt;
-  private long rewriteAt;
-  private long now;
-
-  /** The position that a voter from a doubtful disk must reach before it is as any other. */
-  private long duty;
-
-  private long dutyTerm;
-  private long backSince = -1;
+  private final RaftContext context;
+  private final VoterState state;
+  private final LeaderState leaderState;
+  private final LearnerService learners;
+  private final VoterRejoin rejoin;
+  private final CommitAdvancer commits;
+  private final LogReplication replication;
+  private final Election election;
+  private final SnapshotInstallation snapshots;
+  private final PeerIncarnations incarnations;
+  private final RejoinResponder rejoinResponder;
+  private long storageRetryAt;
 
   /**
-   * @throws MalformedMessageException if what the disk holds can't be read
+   * Restores a voter from its durable state.
+   *
+   * @param warnings lines for the operator's log
+   * @throws MalformedMessageException if the stored state can't be read
    */
   public RaftVoter(
-      RaftConfig terms,
+      RaftConfig config,
       Voters voters,
-      Outbox out,
-      KeyValueStore keep,
+      Outbox outbox,
+      KeyValueStore store,
       RandomGenerator random,
       StateMachine machine,
-      Consumer<String> notes)
+      Consumer<String> warnings)
       throws MalformedMessageException {
-    this.voters = voters;
-    this.terms = terms;
-    this.out = out;
-    this.random = random;
-    this.machine = machine;
-    this.notes = notes;
-    self = voters.place(voters.self());
-    disk = new DurableState(keep, terms.has(InjectedFault.ANSWERS_BEFORE_KEPT));
-    log = new Log(disk, new Snapshot(0, 0, 0, 0, 0, List.of(), machine.state()));
-    identity = new Identity(voters, disk, random);
-    ballot = new Ballot(disk);
-    membership =
-        new Membership(
-            voters, log, identity.stage() == Stage.FOUNDED ? identity.pledge() : List.of());
-    homecoming = new VoterRejoin(voters, identity, disk, out, random, new Back());
-    pieces = new SnapshotFetcher(out);
-    leading = new LeaderState(voters, self, terms, log, membership);
-    serving = new LearnerService(out);
+    int self = voters.indexOf(voters.self());
+    DurableState durable =
+        new DurableState(store, config.injects(InjectedFault.RESPONDS_BEFORE_DURABLE));
+    Log log = new Log(durable, new Snapshot(0, 0, 0, 0, 0, List.of(), machine.state()));
+    Identity identity = new Identity(voters, durable, random);
+    Ballot ballot = new Ballot(durable);
+    List<Long> founders = identity.stage() == Stage.FOUNDED ? identity.pledge() : List.of();
+    Membership membership = new Membership(voters, log, founders);
+    context =
+        new RaftContext(
+            voters,
+            self,
+            config,
+            outbox,
+            machine,
+            warnings,
+            durable,
+            log,
+            identity,
+            ballot,
+            membership);
+    state = new VoterState(voters.self(), ballot, log, random);
+    rejoin = new VoterRejoin(context, random, state::rejoin);
+    leaderState = new LeaderState(voters, self, config, log, membership);
+    learners = new LearnerService(outbox);
+    commits = new CommitAdvancer(context, state, leaderState, rejoin, learners);
+    replication = new LogReplication(context, state, leaderState, commits);
+    election = new Election(context, state, replication::startLeading);
+    snapshots = new SnapshotInstallation(context, state, replication, commits, rejoin);
+    incarnations = new PeerIncarnations(context, leaderState);
+    rejoinResponder = new RejoinResponder(context, state, leaderState, incarnations, replication);
     if (log.snapshot().index() > 0) {
       machine.install(log.snapshot().state());
     }
-    commit = machine.applied();
+    state.raiseCommitIndex(machine.applied());
   }
 
-  private final class Back implements VoterRejoin.Host {
-    @Override
-    public void returned(long term, long lastTerm, long lastIndex) {
-      ballot.noVotesUpTo(term);
-      dutyTerm = lastTerm;
-      duty = lastIndex;
-      backSince = now;
-      electionLater();
-    }
-
-    @Override
-    public void founded(List<Long> disks) {
-      membership.found(disks);
-    }
-
-    @Override
-    public void told(String words) {
-      notes.accept(words);
-    }
-  }
-
-  // ---- what others may ask ----
+  // ---- state ----
 
+  /** Whether this voter leads, as far as it knows. */
   public boolean isLeader() {
-    return role == Role.LEADER;
+    return state.isLeader();
   }
 
+  /** The leader that this voter follows, or itself; empty if it knows none. */
   public Optional<String> leader() {
-    return isLeader()
-        ? Optional.of(voters.self())
-        : leader.isEmpty() ? Optional.empty() : Optional.of(leader);
+    return Optional.of(state.leader()).filter(name -> !name.equals(VoterState.NO_LEADER));
   }
 
+  /** The current term. */
   public long term() {
-    return ballot.term();
+    return context.ballot().term();
   }
 
-  public long commit() {
-    return commit;
+  /** The commit index. */
+  public long commitIndex() {
+    return state.commitIndex();
   }
 
   /**
-   * Whether what this voter says of leases can be relied on: it is back, and holds all that it ever
-   * held.
+   * Whether this voter may grant leases: it has rejoined, its storage works, and its durable log
+   * holds all that it ever acknowledged.
    */
-  public boolean isSound() {
-    return isBack() && !disk.failed() && meetsDuty();
-  }
-
-  private boolean isBack() {
-    return backSince >= 0;
+  public boolean isOperational() {
+    return state.hasRejoined() && !context.durable().hasFailed() && state.hasCaughtUp();
   }
 
-  /** Since when it is back on this start; -1 if it isn't. */
-  public long backSince() {
-    return backSince;
+  /** When this voter rejoined since its start, in tenths of a millisecond; -1 if it has not. */
+  public long rejoinedAt() {
+    return state.rejoinedAt();
   }
 
+  /** The name of this voter's gateway. */
   public String name() {
-    return voters.self();
+    return context.voters().self();
   }
 
+  /** The number that this voter's disk was given when it was empty. */
   public long disk() {
-    return identity.disk();
+    return context.identity().disk();
   }
 
+  /** The disks that vote, in the order of the voters' names; empty if they are not known yet. */
   public List<Long> members() {
-    return membership.members();
+    return context.membership().members();
   }
 
+  /** The log index that the members date from. */
   public long membersVersion() {
-    return membership.version();
+    return context.membership().version();
   }
 
+  /** The stamp of this voter's messages: its disk, and how often each voter started. */
   public Stamp stamp() {
-    return identity.stamp();
+    return context.identity().stamp();
   }
 
-  /** Whether the log says that this one votes with that disk. */
-  public boolean isMember(String name, long itsDisk) {
-    return membership.isMember(voters.place(name), itsDisk);
+  /** Whether that voter is a member with that disk, as far as the log says. */
+  public boolean isMember(String voter, long itsDisk) {
+    return context.membership().isMember(context.voters().indexOf(voter), itsDisk);
   }
 
-  /** Whether an announcement that blocks the group stands in the log, committed or not. */
-  public boolean announcedBehind(long applied, int group) {
+  /** Whether the log announces a change of the group after that index, committed or not. */
+  public boolean hasAnnouncementAfter(long applied, int group) {
+    Log log = context.log();
     for (long i = Math.max(applied, log.base()) + 1; i <= log.lastIndex(); i++) {
-      if (log.get(i).command() instanceof Command.Announce it
-          && it.change().groups().contains(group)) {
+      if (log.get(i).command() instanceof Command.Announce announce
+          && announce.change().groups().contains(group)) {
         return true;
       }
     }
     return false;
   }
 
-  /** Runs it once all that this voter took in up to now outlives a crash. */
-  public void whenKept(Runnable what) {
-    disk.then(what);
-  }
-
-  private boolean meetsDuty() {
-    if (duty > 0) {
-      long durable = log.durable();
-      if (!Log.reaches(log.term(durable), durable, dutyTerm, duty)) {
-        return false;
-      }
-      duty = 0;
-      dutyTerm = 0;
-    }
-    return true;
+  /** Runs the action once everything written so far would survive a crash. */
+  public void whenDurable(Runnable action) {
+    context.durable().whenDurable(action);
   }
 
-  // ---- proposals ----
+  // ---- events ----
 
   /**
-   * @return false if this is not the leader
+   * Appends a command to the log if this voter leads and has capacity for it.
+   *
+   * @param origin the process that asks, 0 for the leader itself
+   * @param number the number of the request there
+   * @return whether it was appended; it is not committed by that
    */
-  public boolean propose(long at, long origin, long number, Command command) {
-    now = at;
-    if (role != Role.LEADER || disk.failed() || !leading.hasRoom(commit)) {
+  public boolean propose(long now, long origin, long number, Command command) {
+    state.setNow(now);
+    if (!state.isLeader()
+        || context.durable().hasFailed()
+        || !leaderState.hasCapacity(state.commitIndex())) {
       return false;
     }
-    append(origin, number, command);
-    leading.replicate(now, this::sendAppend);
-    advance();
+    replication.appendAndReplicate(origin, number, command);
+    commits.advance();
     return true;
   }
 
-  private void append(long origin, long number, Command command) {
-    log.append(new Entry(log.lastIndex() + 1, ballot.term(), origin, number, command));
-    if (command instanceof Command.Readmit) {
-      membership.changed();
-    }
-  }
-
-  // ---- time ----
-
-  public void turn(long at) {
-    now = at;
-    if (electionAt == 0) {
-      electionLater();
-    }
-    if (disk.failed()) {
-      rewrite();
+  /** Runs what is due; called on each event-loop iteration. */
+  public void tick(long now) {
+    state.setNow(now);
+    state.startElectionTimer();
+    if (context.durable().hasFailed()) {
+      retryStorage();
       return;
     }
-    if (terms.vouched() || terms.has(InjectedFault.TRUSTS_OLD_DISK)) {
-      homecoming.vouched();
+    RaftConfig config = context.config();
+    if (config.vouched() || config.injects(InjectedFault.TRUSTS_RESTORED_DISK)) {
+      rejoin.skipInquiry();
     }
-    homecoming.turn(now);
-    pieces.turn(now);
-    if (role == Role.LEADER) {
+    rejoin.tick(now);
+    snapshots.tick();
+    if (state.isLeader()) {
       lead();
-    } else if (now >= electionAt) {
-      stand();
+    } else if (now >= state.electionDueAt()) {
+      election.onElectionTimeout();
     }
-    advance();
+    commits.advance();
   }
 
-  public long dueAt() {
-    if (disk.failed()) {
-      return rewriteAt;
+  /** When {@link #tick} is to be called next, at the latest. */
+  public long nextDueAt() {
+    if (context.durable().hasFailed()) {
+      return storageRetryAt;
     }
-    long own = role == Role.LEADER ? leading.dueAt() : electionAt;
-    return Math.min(Math.min(own, homecoming.dueAt()), pieces.dueAt());
+    long own = state.isLeader() ? leaderState.nextDueAt() : state.electionDueAt();
+    return Math.min(Math.min(own, rejoin.nextDueAt()), snapshots.nextDueAt());
   }
 
-  /** Nothing that ran while this process was away is known: it waits before it stands. */
-  public void away(long at) {
-    now = at;
-    if (role == Role.LEADER) {
-      follow(ballot.term(), "");
-    }
-    heardLeaderAt = now;
-    electionLater();
+  /** The process was paused: a leader steps down, and no election starts for a timeout. */
+  public void onPause(long now) {
+    state.setNow(now);
+    stepDown();
+    state.assumeLeaderHeard();
   }
 
-  private void electionLater() {
-    electionAt = now + ELECTION_LEAST + random.nextLong(ELECTION_SPREAD);
-  }
-
-  private void rewrite() {
-    if (role == Role.LEADER) {
-      follow(ballot.term(), "");
-    }
-    if (now < rewriteAt) {
-      return;
+  private void stepDown() {
+    if (state.isLeader()) {
+      state.becomeFollower(context.ballot().term(), VoterState.NO_LEADER);
     }
-    rewriteAt = now + REWRITE_AGAIN;
-    notes.accept(
-        "this voter's disk refused a write: it takes no part until the disk takes writes again");
-    disk.again();
-    ballot.keep();
-    identity.rewrite();
-    log.rewrite();
   }
 
   private void lead() {
-    if (leading.lostMajority(now)) {
-      follow(ballot.term(), "");
-      electionLater();
-      return;
-    }
-    leading.replicate(now, this::sendAppend);
-  }
-
-  // ---- elections ----
-
-  private boolean mayStand() {
-    return isBack()
-        && meetsDuty()
-        && membership.isMember(self, identity.disk())
-        && membership.excluded(commit) != self;
-  }
-
-  private void stand() {
-    electionLater();
-    if (!mayStand()) {
-      return;
-    }
-    role = Role.ASKING;
-    leader = "";
-    ballot.got.clear();
-    count(self);
-    askVotes(true, ballot.term() + 1);
-  }
-
-  private void askVotes(boolean pre, long term) {
-    for (String name : voters.names()) {
-      if (!name.equals(voters.self())) {
-        out.send(name, new AskVote(identity.stamp(), term, log.lastTerm(), log.lastIndex(), pre));
-      }
-    }
-  }
-
-  private void count(int place) {
-    ballot.got.set(place);
-    int excluded = membership.excluded(commit);
-    int votes = ballot.got.cardinality() - (excluded >= 0 && ballot.got.get(excluded) ? 1 : 0);
-    if (votes < voters.quorum()) {
-      return;
-    }
-    if (role == Role.ASKING) {
-      role = Role.CANDIDATE;
-      ballot.termIs(ballot.term() + 1);
-      ballot.vote(voters.self());
-      long term = ballot.term();
-      disk.then(
-          () -> {
-            if (role == Role.CANDIDATE && ballot.term() == term) {
-              askVotes(false, term);
-              count(self);
-            }
-          });
-    } else if (role == Role.CANDIDATE) {
-      role = Role.LEADER;
-      leader = voters.self();
-      leading.start(now);
-      append(0, 0, new Command.Nothing());
-      leading.replicate(now, this::sendAppend);
-    }
-  }
-
-  private void askedVote(String from, int place, AskVote ask) {
-    boolean member = membership.isMember(place, ask.stamp().disk());
-    boolean hears = role == Role.LEADER || now - heardLeaderAt < ELECTION_LEAST;
-    if (!isBack() || !member || hears) {
-      return;
-    }
-    boolean upToDate =
-        Log.reaches(ask.lastTerm(), ask.lastIndex(), log.lastTerm(), log.lastIndex())
-            && (meetsDuty() || Log.reaches(ask.lastTerm(), ask.lastIndex(), dutyTerm, duty));
-    if (ask.pre()) {
-      out.send(
-          from,
-          new Vote(identity.stamp(), ask.term(), true, upToDate && ask.term() > ballot.term()));
-      return;
-    }
-    if (ask.term() > ballot.term()) {
-      follow(ask.term(), "");
-    }
-    boolean given =
-        ask.term() == ballot.term()
-            && upToDate
-            && (ballot.mayVoteFor(from) || terms.has(InjectedFault.VOTES_TWICE));
-    if (given) {
-      ballot.vote(from);
-      electionLater();
-    }
-    long term = ballot.term();
-    disk.then(() -> out.send(from, new Vote(identity.stamp(), term, false, given)));
-  }
-
-  private void voted(int place, Vote vote) {
-    if (!vote.pre() && vote.term() > ballot.term()) {
-      follow(vote.term(), "");
-    }
-    boolean mine =
-        vote.pre()
-            ? role == Role.ASKING && vote.term() == ballot.term() + 1
-            : role == Role.CANDIDATE && vote.term() == ballot.term();
-    if (mine && vote.given() && membership.isMember(place, vote.stamp().disk())) {
-      count(place);
-    }
-  }
-
-  private void follow(long term, String whom) {
-    if (term > ballot.term()) {
-      ballot.termIs(term);
-    }
-    if (role != Role.FOLLOWER) {
-      role = Role.FOLLOWER;
-      electionLater();
-    }
-    leader = whom;
-  }
-
-  // ---- replication ----
-
-  private void sendAppend(String to, Progress progress) {
-    long sequence = leading.nextSequence();
-    progress.sent(now, sequence);
-    if (progress.next <= log.base()) {
-      out.send(
-          to,
-          new Offer(
-              identity.stamp(), ballot.term(), log.snapshot().index(), log.snapshotBytes().length));
-      return;
-    }
-    long before = progress.next - 1;
-    List<Entry> some = log.from(progress.next, log.lastIndex(), progress.maxBytes());
-    out.send(
-        to,
-        new Append(
-            identity.stamp(), ballot.term(), sequence, before, log.term(before), commit, some));
-  }
-
-  private boolean leads(String from, long term) {
-    if (term < ballot.term()) {
-      return false;
-    }
-    Invariant.holds(
-        role != Role.LEADER || term > ballot.term(), () -> "two leaders in term " + term);
-    Invariant.holds(
-        term > ballot.term() || leader.isEmpty() || leader.equals(from),
-        () -> "two leaders in term " + term + ": " + leader + " and " + from);
-    follow(term, from);
-    heardLeaderAt = now;
-    electionLater();
-    return true;
-  }
-
-  private boolean takesEntries() {
-    return isBack() || identity.stage() == Stage.LOST;
-  }
-
-  private void appended(String from, Append append) {
-    if (!takesEntries()) {
-      return;
-    }
-    if (!leads(from, append.term())) {
-      out.send(from, new Appended(identity.stamp(), ballot.term(), append.sequence(), false, 0));
-      return;
-    }
-    long before = append.prevIndex();
-    boolean there =
-        before <= log.base()
-            || log.term(before) == append.prevTerm()
-            || terms.has(InjectedFault.APPENDS_UNCOMPARED) && before <= log.lastIndex();
-    if (!there) {
-      long hint = Math.max(log.base(), Math.min(log.lastIndex(), before - 1));
-      long term = ballot.term();
-      disk.then(
-          () ->
-              out.send(from, new Appended(identity.stamp(), term, append.sequence(), false, hint)));
-      return;
-    }
-    boolean readmits = false;
-    for (Entry entry : append.entries()) {
-      readmits |= take(entry);
-    }
-    if (readmits) {
-      membership.changed();
-    }
-    long match = before + append.entries().size();
-    commit = Math.max(commit, Math.min(append.commit(), match));
-    answer(from, append.sequence(), match);
-  }
-
-  private boolean take(Entry entry) {
-    if (entry.index() <= log.base() || log.term(entry.index()) == entry.term()) {
-      return false;
-    }
-    boolean readmits = entry.command() instanceof Command.Readmit;
-    if (entry.index() <= log.lastIndex()) {
-      Invariant.holds(
-          entry.index() > commit, () -> "what is committed is written over at " + entry.index());
-      readmits = true;
-      log.truncateFrom(entry.index());
-    }
-    if (entry.index() == log.lastIndex() + 1) {
-      log.append(entry);
-    }
-    return readmits;
-  }
-
-  private void answer(String from, long sequence, long match) {
-    long term = ballot.term();
-    disk.then(
-        () -> {
-          if (term == ballot.term()) {
-            out.send(from, new Appended(identity.stamp(), term, sequence, true, match));
-          }
-        });
-  }
-
-  private void acknowledged(int place, Appended ack) {
-    if (ack.term() > ballot.term()) {
-      follow(ack.term(), "");
-      electionLater();
-      return;
-    }
-    if (role == Role.LEADER
-        && ack.term() == ballot.term()
-        && membership.isMember(place, ack.stamp().disk())) {
-      leading.acknowledged(now, place, ack);
-      advance();
-      leading.replicate(now, this::sendAppend);
+    if (leaderState.hasLostMajority(state.now())) {
+      stepDown();
+      state.resetElectionTimer();
+    } else {
+      replication.replicate();
     }
   }
 
-  /** Raises what is committed, and applies what is committed and kept here. */
-  private void advance() {
-    if (role == Role.LEADER) {
-      long most = leading.committed(commit, ballot.term());
-      if (most > commit) {
-        commit = most;
-        leading.beatSoon();
-      }
-    }
-    long upTo = Math.min(commit, log.durable());
-    boolean moved = false;
-    while (machine.applied() < upTo) {
-      Entry entry = log.get(machine.applied() + 1);
-      machine.apply(entry);
-      moved = true;
-    }
-    if (!moved) {
+  /** The storage refused a write: the whole durable state is written again from time to time. */
+  private void retryStorage() {
+    stepDown();
+    if (state.now() < storageRetryAt) {
       return;
     }
-    long applied = machine.applied();
-    if (identity.stage() == Stage.LOST && admitted(applied)) {
-      homecoming.admitted(membership.membersAt(applied));
-    }
-    if (log.isLong(applied)) {
-      log.compact(
-          new Snapshot(
-              applied,
-              log.term(applied),
-              0,
-              0,
-              membership.versionAt(applied),
-              membership.membersAt(applied),
-              machine.state()));
-      membership.changed();
-    }
-    serving.moved(now, applied);
-  }
-
-  private boolean admitted(long applied) {
-    List<Long> then = membership.membersAt(applied);
-    return self < then.size() && then.get(self) == identity.disk();
-  }
-
-  private void install(String from, byte[] whole) {
-    try {
-      Snapshot snapshot = Snapshot.read(whole);
-      if (snapshot.index() <= machine.applied()) {
-        return;
-      }
-      machine.install(snapshot.state());
-      log.install(snapshot);
-      membership.changed();
-      commit = Math.max(commit, snapshot.index());
-      if (identity.stage() == Stage.LOST && admitted(snapshot.index())) {
-        homecoming.admitted(snapshot.members());
-      }
-      answer(from, 0, snapshot.index());
-    } catch (MalformedMessageException e) {
-      notes.accept("a snapshot of " + from + " can't be read: " + e.getMessage());
-    }
+    storageRetryAt = state.now() + RaftTiming.STORAGE_RETRY_INTERVAL;
+    context
+        .warnings()
+        .accept(
+            "this voter's disk refused a write: it takes no part until the disk takes writes"
+                + " again");
+    context.durable().retry();
+    context.ballot().persist();
+    context.identity().persist();
+    context.log().rewrite();
   }
 
   // ---- messages ----
 
-  /**
-   * @return false if it is none of the log's
-   */
-  public boolean told(long at, String from, StatementMessage message) {
-    now = at;
+  /** Takes a message of the log's protocol; others are ignored. */
+  public void onMessage(long now, String from, StatementMessage message) {
+    state.setNow(now);
     if (message instanceof Fetch fetch) {
-      serving.fetched(now, from, fetch, log, machine.applied());
-    } else if (message instanceof AskPiece ask) {
-      out.send(from, SnapshotFetcher.answer(ask, log.snapshot().index(), log.snapshotBytes()));
+      learners.onFetch(now, from, fetch, context.log(), context.machine().applied());
+    } else if (message instanceof AskPiece request) {
+      snapshots.onPieceRequest(from, request);
     } else if (message instanceof Piece piece) {
-      byte[] whole = pieces.took(now, from, piece);
-      if (whole != null) {
-        install(from, whole);
-      }
+      snapshots.onPiece(from, piece);
     } else {
-      return stamped(from, voters.place(from), message);
-    }
-    return true;
-  }
-
-  private boolean stamped(String from, int place, StatementMessage message) {
-    if (place < 0 || place == self || disk.failed()) {
-      return false;
-    }
-    if (message instanceof Hello it && notes(place, it.stamp(), it)) {
-      greeted(from, it);
-    } else if (message instanceof Seen it && notes(place, it.stamp(), null)) {
-      homecoming.answered(place, it);
-    } else if (message instanceof AskVote it && notes(place, it.stamp(), null)) {
-      askedVote(from, place, it);
-    } else if (message instanceof Vote it && notes(place, it.stamp(), null)) {
-      voted(place, it);
-    } else if (message instanceof Append it && notes(place, it.stamp(), null)) {
-      appended(from, it);
-    } else if (message instanceof Appended it && notes(place, it.stamp(), null)) {
-      acknowledged(place, it);
-    } else if (message instanceof Offer it && notes(place, it.stamp(), null)) {
-      offered(from, it);
-    } else {
-      return false;
-    }
-    return true;
-  }
-
-  /**
-   * What the others saw of each other's starts: a voter that started anew has taken back what it
-   * said before.
-   */
-  private boolean notes(int place, Stamp stamp, Hello hello) {
-    if (stamp.voters() != voters.hash() || stamp.seen().size() != voters.count()) {
-      return false;
-    }
-    for (int i = 0; i < voters.count(); i++) {
-      long seen = i == place ? stamp.boots() : stamp.seen().get(i);
-      if (i != self && i != place && seen > identity.boots(i)) {
-        started(i, seen);
+      int voter = context.voters().indexOf(from);
+      if (voter >= 0 && voter != context.self() && !context.durable().hasFailed()) {
+        onRejoinMessage(from, voter, message);
+        onElectionMessage(from, voter, message);
+        onReplicationMessage(from, voter, message);
       }
     }
-    if (hello == null && stamp.boots() > identity.boots(place)) {
-      started(place, stamp.boots());
-    }
-    return hello != null || stamp.boots() >= identity.boots(place);
   }
 
-  private void started(int place, long boots) {
-    identity.bootsAre(place, boots);
-    ballot.got.clear(place);
-    leading.forget(place);
+  private void onRejoinMessage(String from, int voter, StatementMessage message) {
+    if (message instanceof Hello hello && incarnations.acceptGreeting(voter, hello.stamp())) {
+      rejoinResponder.onHello(from, voter, hello);
+    } else if (message instanceof Seen response && incarnations.accept(voter, response.stamp())) {
+      rejoin.onResponse(voter, response);
+    }
   }
 
-  private void greeted(String from, Hello hello) {
-    int place = voters.place(from);
-    long known = homecoming.knownBefore(place, hello, identity.boots(place));
-    if (hello.stamp().boots() > identity.boots(place)) {
-      started(place, hello.stamp().boots());
-    }
-    Seen seen =
-        new Seen(
-            identity.stamp(),
-            hello.nonce(),
-            identity.stage(),
-            known,
-            ballot.term(),
-            leading.matchOf(place),
-            ballot.term(),
-            log.lastTerm(),
-            log.lastIndex(),
-            identity.pledge(),
-            membership.members(),
-            membership.version());
-    disk.then(() -> out.send(from, seen));
-    boolean strange =
-        hello.stage() == Stage.LOST && !membership.isMember(place, hello.stamp().disk());
-    if (role == Role.LEADER && strange && leading.mayReadmit(now, place, commit, ballot.term())) {
-      append(0, 0, new Command.Readmit(from, hello.stamp().disk()));
-      leading.replicate(now, this::sendAppend);
+  private void onElectionMessage(String from, int voter, StatementMessage message) {
+    if (message instanceof AskVote request && incarnations.accept(voter, request.stamp())) {
+      election.onVoteRequest(from, voter, request);
+    } else if (message instanceof Vote vote && incarnations.accept(voter, vote.stamp())) {
+      election.onVote(voter, vote);
     }
   }
 
-  private void offered(String from, Offer offer) {
-    if (takesEntries() && leads(from, offer.term())) {
-      if (offer.index() > machine.applied()) {
-        pieces.start(now, from, offer.index(), offer.size());
-      } else {
-        answer(from, 0, Math.min(offer.index(), machine.applied()));
-      }
+  private void onReplicationMessage(String from, int voter, StatementMessage message) {
+    if (message instanceof Append append && incarnations.accept(voter, append.stamp())) {
+      replication.onAppend(from, append);
+    } else if (message instanceof Appended response
+        && incarnations.accept(voter, response.stamp())) {
+      replication.onResponse(voter, response);
+    } else if (message instanceof Offer offer && incarnations.accept(voter, offer.stamp())) {
+      snapshots.onOffer(from, offer);
     }
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/Snapshot.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Snapshot.java
@@ -7,11 +7,13 @@
 import tillerlink.messages.MalformedMessageException;
 
 /**
- * The state at an index of the log.
+ * The state at an index of the log, with the log's members.
  *
- * @param base entries from behind here on are still in the log
- * @param version the index that the members date from
+ * @param index the last entry that is in the state
+ * @param base the log still has the entries behind this index
+ * @param version the log index that the members date from
  * @param members the disks that vote, in the order of the voters' names; empty before the founding
+ * @param state the state machine's bytes
  */
 record Snapshot(
     long index,
@@ -21,45 +23,63 @@
     long version,
     List<Long> members,
     byte[] state) {
+  private static final int INDEX = 1;
+  private static final int TERM = 2;
+  private static final int BASE = 3;
+  private static final int BASE_TERM = 4;
+  private static final int VERSION = 5;
+  private static final int MEMBERS = 6;
+  private static final int STATE = 7;
+  private static final int MEMBER_DISK = 1;
+  private static final int STATE_BYTES_MAX = 1 << 20;
+
   Snapshot {
     members = List.copyOf(members);
   }
 
-  Snapshot on(long otherBase, long otherTerm) {
+  Snapshot withBase(long otherBase, long otherTerm) {
     return new Snapshot(index, term, otherBase, otherTerm, version, members, state);
   }
 
   byte[] write() {
     FieldWriter to =
         new FieldWriter()
-            .number(1, index)
-            .number(2, term)
-            .number(3, base)
-            .number(4, baseTerm)
-            .number(5, version);
-    members.forEach(disk -> to.within(6, new FieldWriter().fixed(1, disk)));
-    return to.bytes(7, state).done();
+            .number(INDEX, index)
+            .number(TERM, term)
+            .number(BASE, base)
+            .number(BASE_TERM, baseTerm)
+            .number(VERSION, version);
+    members.forEach(disk -> to.within(MEMBERS, new FieldWriter().fixed(MEMBER_DISK, disk)));
+    return to.bytes(STATE, state).done();
   }
 
   static Snapshot read(byte[] bytes) throws MalformedMessageException {
-    long[] numbers = new long[6];
+    long index = 0;
+    long term = 0;
+    long base = 0;
+    long baseTerm = 0;
+    long version = 0;
     List<Long> members = new ArrayList<>();
     byte[] state = {};
     for (FieldReader in = new FieldReader(bytes); in.next(); ) {
       switch (in.field()) {
-        case 1, 2, 3, 4, 5 -> numbers[in.field()] = in.number();
-        case 6 -> members.add(disk(in.within()));
-        case 7 -> state = in.bytes(1 << 20);
+        case INDEX -> index = in.number();
+        case TERM -> term = in.number();
+        case BASE -> base = in.number();
+        case BASE_TERM -> baseTerm = in.number();
+        case VERSION -> version = in.number();
+        case MEMBERS -> members.add(disk(in.within()));
+        case STATE -> state = in.bytes(STATE_BYTES_MAX);
         default -> {}
       }
     }
-    return new Snapshot(numbers[1], numbers[2], numbers[3], numbers[4], numbers[5], members, state);
+    return new Snapshot(index, term, base, baseTerm, version, members, state);
   }
 
   private static long disk(FieldReader in) throws MalformedMessageException {
     long disk = 0;
     while (in.next()) {
-      disk = in.field() == 1 ? in.fixed() : disk;
+      disk = in.field() == MEMBER_DISK ? in.fixed() : disk;
     }
     return disk;
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/SnapshotFetcher.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/SnapshotFetcher.java
@@ -1,112 +1,118 @@
 package tillerlink.statements.consensus;
 
 import java.util.Arrays;
+import java.util.Optional;
 import tillerlink.cluster.KeyValueStore;
-import tillerlink.messages.statements.StatementMessage;
+import tillerlink.messages.statements.StatementMessage.AskPiece;
+import tillerlink.messages.statements.StatementMessage.Piece;
 
 /**
- * Fetches a snapshot by pieces, one after the other; what stays out is asked for again, in smaller
- * pieces.
+ * Fetches a snapshot in pieces, one after the other; a piece that does not come is asked for again,
+ * in smaller ones. Times are in tenths of a millisecond.
  */
 final class SnapshotFetcher {
+  /** Bytes of a piece, or of the entries of an append. */
   static final int LARGE = 8000;
+
+  /** The same over links that carry small messages only. */
   static final int SMALL = 900;
-  private static final long AGAIN = 2500;
-  private static final int TRIES_MOST = 20;
 
-  private final Outbox out;
-  private String from;
+  private static final long RETRY_INTERVAL = 2500;
+  private static final int TRIES_LARGE_MAX = 2;
+  private static final int TRIES_MAX = 20;
+
+  private final Outbox outbox;
+  private String source;
   private long index;
   private byte[] bytes;
-  private int got;
+  private int received;
   private int tries;
-  private int most = LARGE;
-  private long askedAt;
+  private int pieceSize = LARGE;
+  private long requestedAt;
 
-  SnapshotFetcher(Outbox out) {
-    this.out = out;
+  SnapshotFetcher(Outbox outbox) {
+    this.outbox = outbox;
   }
 
   boolean isFetching() {
-    return from != null;
+    return source != null;
   }
 
-  void start(long now, String other, long at, long size) {
-    if (from != null && from.equals(other) && index == at
-        || size > KeyValueStore.VALUE_MOST
-        || size <= 0) {
+  /** Begins to fetch that voter's snapshot, unless it is being fetched already. */
+  void start(long now, String from, long snapshotIndex, long size) {
+    boolean already = isFetching() && source.equals(from) && index == snapshotIndex;
+    if (already || size > KeyValueStore.VALUE_MOST || size <= 0) {
       return;
     }
-    from = other;
-    index = at;
+    source = from;
+    index = snapshotIndex;
     bytes = new byte[(int) size];
-    got = 0;
+    received = 0;
     tries = 0;
-    ask(now);
+    requestPiece(now);
   }
 
-  private void ask(long now) {
-    askedAt = now;
-    out.send(from, new StatementMessage.AskPiece(index, got, most));
+  private void requestPiece(long now) {
+    requestedAt = now;
+    outbox.send(source, new AskPiece(index, received, pieceSize));
   }
 
-  void turn(long now) {
-    if (from == null || now < askedAt + AGAIN) {
+  void tick(long now) {
+    if (!isFetching() || now < requestedAt + RETRY_INTERVAL) {
       return;
     }
     tries++;
-    if (tries > TRIES_MOST) {
+    if (tries > TRIES_MAX) {
       stop();
     } else {
-      most = tries >= 2 ? SMALL : most;
-      ask(now);
+      pieceSize = tries >= TRIES_LARGE_MAX ? SMALL : pieceSize;
+      requestPiece(now);
     }
   }
 
-  long dueAt() {
-    return from == null ? Long.MAX_VALUE : askedAt + AGAIN;
+  long nextDueAt() {
+    return isFetching() ? requestedAt + RETRY_INTERVAL : Long.MAX_VALUE;
   }
 
-  void stop() {
-    from = null;
+  private void stop() {
+    source = null;
     bytes = null;
   }
 
-  /**
-   * @return the whole, once it is there; null otherwise
-   */
-  byte[] took(long now, String other, StatementMessage.Piece piece) {
-    if (!other.equals(from) || piece.index() != index) {
-      return null;
+  /** Takes a piece; returns the whole snapshot once it is complete. */
+  Optional<byte[]> onPiece(long now, String from, Piece piece) {
+    if (!from.equals(source) || piece.index() != index) {
+      return Optional.empty();
     }
     if (piece.size() != bytes.length) {
       stop();
-      return null;
+      return Optional.empty();
     }
-    if (piece.offset() != got
-        || piece.bytes().length == 0
-        || got + piece.bytes().length > bytes.length) {
-      return null;
+    int length = piece.bytes().length;
+    if (piece.offset() != received || length == 0 || received + length > bytes.length) {
+      return Optional.empty();
     }
-    System.arraycopy(piece.bytes(), 0, bytes, got, piece.bytes().length);
-    got += piece.bytes().length;
+    System.arraycopy(piece.bytes(), 0, bytes, received, length);
+    received += length;
     tries = 0;
-    if (got < bytes.length) {
-      ask(now);
-      return null;
+    if (received < bytes.length) {
+      requestPiece(now);
+      return Optional.empty();
     }
     byte[] whole = bytes;
     stop();
-    return whole;
+    return Optional.of(whole);
   }
 
-  static StatementMessage.Piece answer(StatementMessage.AskPiece ask, long index, byte[] whole) {
-    if (ask.index() != index || ask.offset() >= whole.length) {
-      return new StatementMessage.Piece(ask.index(), ask.offset(), 0, new byte[0]);
+  /** The response to a request for a piece of the snapshot at that index. */
+  static Piece respond(AskPiece request, long index, byte[] snapshot) {
+    long offset = request.offset();
+    if (request.index() != index || offset >= snapshot.length) {
+      return new Piece(request.index(), offset, 0, new byte[0]);
     }
     int length =
-        (int) Math.min(whole.length - ask.offset(), Math.max(1, Math.min(ask.most(), LARGE)));
-    byte[] part = Arrays.copyOfRange(whole, (int) ask.offset(), (int) ask.offset() + length);
-    return new StatementMessage.Piece(index, ask.offset(), whole.length, part);
+        (int) Math.min(snapshot.length - offset, Math.max(1, Math.min(request.most(), LARGE)));
+    byte[] part = Arrays.copyOfRange(snapshot, (int) offset, (int) offset + length);
+    return new Piece(index, offset, snapshot.length, part);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/StateMachine.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/StateMachine.java
@@ -3,15 +3,24 @@
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Entry;
 
-/** What the log is for: the same entries in the same order give the same state everywhere. */
+/**
+ * The replicated state machine: the same entries in the same order give the same state on every
+ * gateway.
+ */
 public interface StateMachine {
+  /** Applies the entry behind the last one that was applied. */
   void apply(Entry entry);
 
   /** The index of the last entry that was applied. */
   long applied();
 
+  /** The state as bytes for a snapshot. */
   byte[] state();
 
-  /** Takes a state that is further than the own one. */
+  /**
+   * Replaces the state by a further one from a snapshot.
+   *
+   * @throws MalformedMessageException if the bytes are no state; then the state stays
+   */
   void install(byte[] state) throws MalformedMessageException;
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/VoterRejoin.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/VoterRejoin.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import tillerlink.messages.statements.StatementMessage.Hello;
@@ -11,246 +12,246 @@
 
 /**
  * What a voter does before it takes part. From an empty disk: either all voters' disks are empty,
- * then they found the fleet's log together; or its disk was lost, then the log itself has to admit
- * the new one. From any other disk: it asks the others how far they and it were, as its disk may be
- * an old copy.
+ * then they found the cluster's log together; or its disk was lost, then the log itself has to
+ * readmit it with the new one. From any other disk: it asks the others how far they and it were, as
+ * its disk may be an old copy. Times are in tenths of a millisecond.
  */
 final class VoterRejoin {
-  /** What a voter may rely on once it is back. */
-  interface Host {
-    /** It may vote, but for nobody who is behind that, and in no term up to this one. */
-    void returned(long term, long lastTerm, long lastIndex);
+  /** Is called when the voter may take part. */
+  interface RejoinListener {
+    /**
+     * The voter may vote, but in no term up to that one, and for nobody whose log is behind that
+     * position until its own log reaches it.
+     */
+    void onRejoined(long term, long lastTerm, long lastIndex);
+  }
 
-    void founded(List<Long> disks);
+  /** The furthest that the other voters said they have come. */
+  private record Findings(
+      long term, long lastTerm, long lastIndex, long version, List<Long> members, int responses) {
 
-    void told(String words);
-  }
+    static final Findings NONE = new Findings(0, 0, 0, -1, List.of(), 0);
 
-  private record Greeting(long nonce, long known) {}
+    Findings with(Seen seen, int voters) {
+      // At most one voter has lost its disk at a time: if it is the responder, this voter's disk
+      // is in order.
+      int counted = responses + (seen.stage() == Stage.FRESH ? 0 : 1);
+      if (seen.stage() != Stage.FOUNDED) {
+        return new Findings(term, lastTerm, lastIndex, version, members, counted);
+      }
+      boolean further = Log.isAtLeast(seen.lastTerm(), seen.lastIndex(), lastTerm, lastIndex);
+      boolean newer = seen.version() > version && seen.members().size() == voters;
+      return new Findings(
+          Math.max(term, seen.term()),
+          further ? seen.lastTerm() : lastTerm,
+          further ? seen.lastIndex() : lastIndex,
+          newer ? seen.version() : version,
+          newer ? seen.members() : members,
+          counted);
+    }
+  }
 
-  private static final long AGAIN = 2000;
+  private static final long INQUIRY_INTERVAL = 2000;
 
+  private final RaftContext context;
   private final Voters voters;
   private final Identity identity;
-  private final DurableState disk;
-  private final Outbox out;
   private final RandomGenerator random;
-  private final Host host;
-  private final int self;
-  private final Map<Integer, Seen> answers = new TreeMap<>();
-  private final Map<Integer, Greeting> greetings = new TreeMap<>();
+  private final RejoinListener listener;
+  private final Map<Integer, Seen> responses = new TreeMap<>();
   private long nonce;
-  private long askAt;
-  private boolean back;
+  private long inquiryDueAt;
+  private boolean done;
 
-  VoterRejoin(
-      Voters voters,
-      Identity identity,
-      DurableState disk,
-      Outbox out,
-      RandomGenerator random,
-      Host host) {
-    this.voters = voters;
-    this.identity = identity;
-    this.disk = disk;
-    this.out = out;
+  VoterRejoin(RaftContext context, RandomGenerator random, RejoinListener listener) {
+    this.context = context;
     this.random = random;
-    this.host = host;
-    self = voters.place(voters.self());
+    this.listener = listener;
+    voters = context.voters();
+    identity = context.identity();
     nonce = random.nextLong();
   }
 
-  long dueAt() {
-    return back ? Long.MAX_VALUE : askAt;
+  long nextDueAt() {
+    return done ? Long.MAX_VALUE : inquiryDueAt;
   }
 
-  /** The disk is vouched for by the operator: nobody is asked. */
-  void vouched() {
-    if (identity.stage() == Stage.FOUNDED && !back) {
-      back = true;
-      host.returned(0, 0, 0);
+  /** The operator vouches for the disk: the other voters are not asked about it. */
+  void skipInquiry() {
+    if (identity.stage() == Stage.FOUNDED && !done) {
+      done = true;
+      listener.onRejoined(0, 0, 0);
     }
   }
 
-  void turn(long now) {
-    if (back || now < askAt) {
+  void tick(long now) {
+    if (done || now < inquiryDueAt) {
       return;
     }
-    askAt = now + AGAIN;
-    consider();
-    if (back) {
-      return;
+    inquiryDueAt = now + INQUIRY_INTERVAL;
+    evaluate();
+    if (!done) {
+      context.durable().whenDurable(this::inquire);
     }
-    disk.then(
-        () -> {
-          for (String name : voters.names()) {
-            if (!name.equals(voters.self())) {
-              out.send(name, new Hello(identity.stamp(), nonce, identity.stage()));
-            }
-          }
-        });
   }
 
-  /**
-   * What was known of that voter's starts before this one; the same for a repeat, as the first
-   * answer may be lost.
-   */
-  long knownBefore(int place, Hello hello, long known) {
-    Greeting last = greetings.get(place);
-    if (last == null || last.nonce != hello.nonce()) {
-      last = new Greeting(hello.nonce(), known);
-      greetings.put(place, last);
+  private void inquire() {
+    for (String name : voters.names()) {
+      if (!name.equals(voters.self())) {
+        context.outbox().send(name, new Hello(identity.stamp(), nonce, identity.stage()));
+      }
     }
-    return last.known;
   }
 
-  void answered(int place, Seen seen) {
-    if (back || seen.nonce() != nonce) {
+  private void restartInquiry() {
+    nonce = random.nextLong();
+    responses.clear();
+    inquiryDueAt = 0;
+  }
+
+  void onResponse(int voter, Seen response) {
+    if (done || response.nonce() != nonce) {
       return;
     }
-    if (seen.known() >= identity.boots()) {
+    if (response.known() >= identity.boots()) {
       if (identity.stage() == Stage.FOUNDED) {
-        host.told(
-            "this voter's disk is an older copy: it started " + seen.known() + " times before");
+        context
+            .warnings()
+            .accept(
+                "this voter's disk is an older copy: it started "
+                    + response.known()
+                    + " times before");
       }
-      identity.bootsAre(self, seen.known() + 1);
-      nonce = random.nextLong();
-      answers.clear();
-      askAt = 0;
+      identity.bootsAre(context.self(), response.known() + 1);
+      restartInquiry();
       return;
     }
-    answers.put(place, seen);
-    consider();
+    responses.put(voter, response);
+    evaluate();
   }
 
-  private void consider() {
+  private void evaluate() {
     switch (identity.stage()) {
-      case FRESH -> fresh();
-      case PLEDGED -> pledged();
-      case FOUNDED -> founded();
-      default -> lost();
+      case FRESH -> evaluateEmptyDisk();
+      case PLEDGED -> evaluatePledge();
+      case FOUNDED -> evaluateKnownDisk();
+      default -> evaluateLostDisk();
     }
   }
 
-  private boolean everyone() {
-    return answers.size() == voters.count() - 1;
+  private boolean allResponded() {
+    return responses.size() == voters.count() - 1;
   }
 
-  private void fresh() {
-    for (Seen seen : answers.values()) {
-      if (seen.stage() == Stage.FOUNDED && !seen.pledge().contains(identity.disk())) {
-        host.told("this voter's disk was lost: it waits to be admitted again");
-        identity.stageIs(Stage.LOST, List.of());
-        return;
-      }
-    }
-    if (!everyone()) {
-      return;
+  // ---- founding ----
+
+  private void evaluateEmptyDisk() {
+    boolean lost =
+        responses.values().stream()
+            .anyMatch(
+                seen -> seen.stage() == Stage.FOUNDED && !seen.pledge().contains(identity.disk()));
+    if (lost) {
+      context.warnings().accept("this voter's disk was lost: it waits to be admitted again");
+      identity.stageIs(Stage.LOST, List.of());
+    } else if (allResponded()) {
+      foundingDisks()
+          .ifPresent(
+              disks -> {
+                identity.stageIs(Stage.PLEDGED, disks);
+                restartInquiry();
+              });
     }
-    List<Long> all =
-        voters.names().stream()
-            .map(
-                name ->
-                    name.equals(voters.self())
-                        ? identity.disk()
-                        : answers.get(voters.place(name)).stamp().disk())
-            .toList();
-    for (Seen seen : answers.values()) {
-      boolean pledged = seen.stage() == Stage.PLEDGED || seen.stage() == Stage.FOUNDED;
-      if (pledged
-          && seen.pledge().size() == voters.count()
-          && seen.pledge().get(self) == identity.disk()) {
-        all = seen.pledge();
-        break;
+  }
+
+  /**
+   * The disks to found the log with: those that another voter pledged itself to with this one, else
+   * those that responded; empty if a voter lost its disk.
+   */
+  private Optional<List<Long>> foundingDisks() {
+    for (Seen seen : responses.values()) {
+      if (isPledgedWithSelf(seen)) {
+        return Optional.of(seen.pledge());
       }
       if (seen.stage() == Stage.LOST) {
-        return;
+        return Optional.empty();
       }
     }
-    identity.stageIs(Stage.PLEDGED, all);
-    askAnew();
+    return Optional.of(voters.names().stream().map(this::diskOf).toList());
+  }
+
+  private boolean isPledgedWithSelf(Seen seen) {
+    return (seen.stage() == Stage.PLEDGED || seen.stage() == Stage.FOUNDED)
+        && seen.pledge().size() == voters.count()
+        && seen.pledge().get(context.self()) == identity.disk();
   }
 
-  private void pledged() {
-    boolean same =
-        everyone()
-            && answers.values().stream()
-                .allMatch(
-                    seen ->
-                        seen.stage() != Stage.FRESH
-                            && seen.stage() != Stage.LOST
-                            && seen.pledge().equals(identity.pledge()));
-    if (same) {
+  private long diskOf(String voter) {
+    return voter.equals(voters.self())
+        ? identity.disk()
+        : responses.get(voters.indexOf(voter)).stamp().disk();
+  }
+
+  private void evaluatePledge() {
+    if (allResponded() && responses.values().stream().allMatch(this::hasSamePledge)) {
       identity.stageIs(Stage.FOUNDED, identity.pledge());
-      host.founded(identity.pledge());
-      founded();
+      context.membership().establish(identity.pledge());
+      evaluateKnownDisk();
     }
   }
 
-  private void askAnew() {
-    nonce = random.nextLong();
-    answers.clear();
-    askAt = 0;
+  private boolean hasSamePledge(Seen seen) {
+    return seen.stage() != Stage.FRESH
+        && seen.stage() != Stage.LOST
+        && seen.pledge().equals(identity.pledge());
   }
 
-  private void founded() {
-    long version = -1;
-    List<Long> members = List.of();
-    long term = 0;
-    long lastTerm = 0;
-    long lastIndex = 0;
-    int heard = 0;
-    for (Map.Entry<Integer, Seen> each : answers.entrySet()) {
-      Seen seen = each.getValue();
-      // One that lost its disk is the one in doubt, as there is one at a time: so this one's disk
-      // is in order.
-      heard += seen.stage() == Stage.FRESH ? 0 : 1;
-      if (seen.stage() == Stage.FOUNDED) {
-        term = Math.max(term, seen.term());
-        if (Log.reaches(seen.lastTerm(), seen.lastIndex(), lastTerm, lastIndex)) {
-          lastTerm = seen.lastTerm();
-          lastIndex = seen.lastIndex();
-        }
-        if (seen.version() > version && seen.members().size() == voters.count()) {
-          version = seen.version();
-          members = seen.members();
-        }
-      }
+  // ---- return from a known disk ----
+
+  private void evaluateKnownDisk() {
+    Findings findings = Findings.NONE;
+    for (Seen seen : responses.values()) {
+      findings = findings.with(seen, voters.count());
     }
-    if (!members.isEmpty() && members.get(self) != identity.disk()) {
-      host.told("another disk took this voter's place: it waits to be admitted again");
+    List<Long> members = findings.members();
+    if (!members.isEmpty() && members.get(context.self()) != identity.disk()) {
+      context
+          .warnings()
+          .accept("another disk took this voter's place: it waits to be admitted again");
       identity.startOver(random);
-      askAnew();
-    } else if (heard >= voters.othersToReturn()) {
-      back = true;
-      long highest = term;
-      long theirTerm = lastTerm;
-      long theirIndex = lastIndex;
-      disk.then(() -> host.returned(highest, theirTerm, theirIndex));
+      restartInquiry();
+    } else if (findings.responses() >= voters.rejoinQuorum()) {
+      done = true;
+      Findings known = findings;
+      context
+          .durable()
+          .whenDurable(
+              () -> listener.onRejoined(known.term(), known.lastTerm(), known.lastIndex()));
     }
   }
 
+  // ---- return from a lost disk ----
+
   /**
-   * It goes on saying so until the log has it. Who votes it takes from the others, but not that it
-   * does so itself: that the log has to say.
+   * The inquiry goes on until the log readmits this voter. Who else votes it takes from the other
+   * voters; that it votes itself only the log can say.
    */
-  private void lost() {
-    for (Seen seen : answers.values()) {
+  private void evaluateLostDisk() {
+    for (Seen seen : responses.values()) {
       if (seen.stage() == Stage.FOUNDED && seen.members().size() == voters.count()) {
         List<Long> members = new ArrayList<>(seen.members());
-        members.set(self, 0L);
-        host.founded(members);
+        members.set(context.self(), 0L);
+        context.membership().establish(members);
       }
     }
-    answers.clear();
+    responses.clear();
   }
 
-  /** The log admitted this disk. */
-  void admitted(List<Long> members) {
+  /** The log readmitted this voter with its new disk. */
+  void onReadmitted(List<Long> members) {
     if (identity.stage() == Stage.LOST) {
       identity.stageIs(Stage.FOUNDED, members);
-      back = true;
-      disk.then(() -> host.returned(0, 0, 0));
+      done = true;
+      context.durable().whenDurable(() -> listener.onRejoined(0, 0, 0));
     }
   }
 }
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
@@ -53,7 +53,7 @@
    * @return the answer, or null if this voter can give none
    */
   public Lease asked(long now, AskLease ask, Catalog catalog) {
-    if (!consensus.isSound() || !consensus.isMember(consensus.name(), consensus.disk())) {
+    if (!consensus.isOperational() || !consensus.isMember(consensus.name(), consensus.disk())) {
       return null;
     }
     sweep(now);
@@ -63,7 +63,7 @@
         .forEach(
             (group, version) -> {
               boolean stands =
-                  blocks(catalog, group) && !terms.has(InjectedFault.GRANTS_WHILE_BLOCKED);
+                  blocks(catalog, group) && !terms.injects(InjectedFault.GRANTS_WHILE_BLOCKED);
               if (stands) {
                 blocked.add(group);
               } else if (version == catalog.version(group) && grant(now, ask, group)) {
@@ -82,7 +82,7 @@
   }
 
   private boolean blocks(Catalog catalog, int group) {
-    return catalog.blocked(group) || consensus.announcedBehind(catalog.applied(), group);
+    return catalog.blocked(group) || consensus.hasAnnouncementAfter(catalog.applied(), group);
   }
 
   private boolean grant(long now, AskLease ask, int group) {
@@ -151,14 +151,14 @@
 
   /** From when on leases of an earlier start of this voter have run out. */
   private long soundFrom() {
-    return consensus.backSince() + lease.kept();
+    return consensus.rejoinedAt() + lease.kept();
   }
 
   /** The announced changes that this voter is clear of. */
   public List<Long> clearOf(long now, Catalog catalog) {
     cleared.retainAll(catalog.waiting().keySet());
-    boolean rested = now > soundFrom() || terms.has(InjectedFault.CLEARS_AFTER_START);
-    if (!consensus.isSound() || consensus.backSince() < 0 || !rested) {
+    boolean rested = now > soundFrom() || terms.injects(InjectedFault.CLEARS_AFTER_RESTART);
+    if (!consensus.isOperational() || consensus.rejoinedAt() < 0 || !rested) {
       return List.of();
     }
     catalog
@@ -166,7 +166,7 @@
         .forEach(
             (id, change) -> {
               if (lastUntil(now, change.groups()) == 0
-                  || terms.has(InjectedFault.CLEARS_TOO_EARLY)) {
+                  || terms.injects(InjectedFault.CLEARS_TOO_EARLY)) {
                 cleared.add(id);
               }
             });
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
@@ -158,7 +158,7 @@
         grants++;
       }
     }
-    int needed = voters.quorum() - (terms.has(InjectedFault.LEASE_OF_A_MINORITY) ? 1 : 0);
+    int needed = voters.quorum() - (terms.injects(InjectedFault.LEASE_WITHOUT_MAJORITY) ? 1 : 0);
     if (grants < needed) {
       return NONE;
     }
@@ -187,7 +187,7 @@
    */
   public void running(int group, int by) {
     Group it = groups.get(group);
-    if (it != null && !terms.has(InjectedFault.GIVES_BACK_WITH_ATTEMPTS_OUT)) {
+    if (it != null && !terms.injects(InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT)) {
       Invariant.holds(
           it.running + by >= 0, () -> "more hops of group " + group + " ended than began");
       it.running = Math.max(0, it.running + by);
@@ -204,8 +204,8 @@
   public void inDoubt(long now, int group, long mayRunUntil) {
     Group it = groups.get(group);
     if (it != null
-        && !terms.has(InjectedFault.GIVES_BACK_WITH_ATTEMPTS_OUT)
-        && !terms.has(InjectedFault.TRUSTS_ENDINGS)) {
+        && !terms.injects(InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT)
+        && !terms.injects(InjectedFault.ASSUMES_ATTEMPTS_STOPPED)) {
       it.doubtUntil = Math.max(it.doubtUntil, Math.max(now, mayRunUntil) + lease.kept());
     }
   }
@@ -337,7 +337,8 @@
               if (it != null
                   && it.version == version
                   && ask.groups.getOrDefault(group, -1L) == (long) version) {
-                long since = terms.has(InjectedFault.COUNTS_FROM_ANSWER) ? now : ask.sentAt;
+                long since =
+                    terms.injects(InjectedFault.COUNTS_LEASE_FROM_RESPONSE) ? now : ask.sentAt;
                 Granted old = it.grants[place];
                 if (old == null || old.disk != answer.disk() || old.from < since) {
                   it.grants[place] = new Granted(answer.disk(), since);
@@ -353,7 +354,7 @@
    * may be out.
    */
   public void away(long now) {
-    if (terms.has(InjectedFault.TRUSTS_AFTER_PAUSE)) {
+    if (terms.injects(InjectedFault.TRUSTS_LEASES_AFTER_PAUSE)) {
       return;
     }
     asks.clear();
--- a/statements/src/main/java/tillerlink/statements/testing/InjectedFault.java
+++ b/statements/src/main/java/tillerlink/statements/testing/InjectedFault.java
@@ -1,35 +1,35 @@
 package tillerlink.statements.testing;
 
-/** Faults that tests plant to show that a check can fail. None is on in a gateway. */
+/** Faults that tests inject to show that a check can fail. None is on in a gateway. */
 public enum InjectedFault {
-  /** A voter answers before its disk has kept what it says. */
-  ANSWERS_BEFORE_KEPT,
+  /** A voter responds before what it says is durable. */
+  RESPONDS_BEFORE_DURABLE,
   /** A voter gives a second vote in a term. */
   VOTES_TWICE,
-  /** A leader takes an entry of an earlier term for committed once a majority has it. */
-  COMMITS_OLD_TERMS,
-  /** A leader takes an entry for committed without a majority. */
-  COMMITS_ALONE,
-  /** A gateway counts a lease from when the answer came. */
-  COUNTS_FROM_ANSWER,
+  /** A leader takes an entry of an earlier term as committed once a majority has it. */
+  COMMITS_EARLIER_TERMS,
+  /** A leader takes an entry as committed without a majority. */
+  COMMITS_WITHOUT_MAJORITY,
+  /** A gateway counts a lease from when the response came, not from before it asked. */
+  COUNTS_LEASE_FROM_RESPONSE,
   /** A gateway takes one grant fewer than a majority for a lease. */
-  LEASE_OF_A_MINORITY,
-  /** A voter grants for a group although a change is announced. */
+  LEASE_WITHOUT_MAJORITY,
+  /** A voter grants leases on a group although a change of it is announced. */
   GRANTS_WHILE_BLOCKED,
-  /** A voter says that it is clear while a lease that it granted is alive. */
+  /** A voter confirms that it is clear of a change while a lease that it granted is valid. */
   CLEARS_TOO_EARLY,
-  /** A voter that started again says at once that it is clear. */
-  CLEARS_AFTER_START,
-  /** A leader lets a change take effect without a majority that is clear. */
-  EFFECT_UNASKED,
-  /** A gateway trusts its leases after a pause. */
-  TRUSTS_AFTER_PAUSE,
-  /** A gateway gives leases back though an attempt that runs under them is out. */
-  GIVES_BACK_WITH_ATTEMPTS_OUT,
-  /** A gateway takes every attempt that is over here for one that its engine is no longer at. */
-  TRUSTS_ENDINGS,
-  /** A voter from an old disk takes part without asking what others saw of it. */
-  TRUSTS_OLD_DISK,
-  /** A follower doesn't compare the entry before. */
-  APPENDS_UNCOMPARED
+  /** A voter that restarted confirms at once that it is clear of a change. */
+  CLEARS_AFTER_RESTART,
+  /** A leader puts a change into effect without a majority that is clear of it. */
+  EFFECT_WITHOUT_MAJORITY,
+  /** A gateway relies on its leases after a pause. */
+  TRUSTS_LEASES_AFTER_PAUSE,
+  /** A gateway releases leases while an attempt that runs under them is in flight. */
+  RELEASES_WITH_ATTEMPTS_IN_FLIGHT,
+  /** A gateway assumes that no engine still executes an attempt that ended at the gateway. */
+  ASSUMES_ATTEMPTS_STOPPED,
+  /** A voter with a restored disk takes part without asking the others how far it was. */
+  TRUSTS_RESTORED_DISK,
+  /** A follower does not compare the previous entry. */
+  APPENDS_WITHOUT_CHECK
 }
--- a/statements/src/test/java/tillerlink/statements/History.java
+++ b/statements/src/test/java/tillerlink/statements/History.java
@@ -249,7 +249,7 @@
   private boolean whole() {
     return doubtful == null
         || cluster.isUp(doubtful)
-            && cluster.part(doubtful).voter().orElseThrow().isSound()
+            && cluster.part(doubtful).voter().orElseThrow().isOperational()
             && cluster.fleet.now() > doubtfulUntil;
   }
 
@@ -299,7 +299,8 @@
     String name = any(cluster.voters);
     boolean founded =
         cluster.voters.stream()
-            .allMatch(it -> cluster.isUp(it) && cluster.part(it).voter().orElseThrow().isSound());
+            .allMatch(
+                it -> cluster.isUp(it) && cluster.part(it).voter().orElseThrow().isOperational());
     if (!olds || !over || !cluster.isUp(name) || !founded) {
       return;
     }
--- a/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
+++ b/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
@@ -125,11 +125,11 @@
         InjectedFaultsTest::changeWhileCut,
         "invariant broken: change N took effect while a lease of a clear voter is alive");
     caught(
-        InjectedFault.EFFECT_UNASKED,
+        InjectedFault.EFFECT_WITHOUT_MAJORITY,
         InjectedFaultsTest::changeWhileCut,
         "N ms: gN runs top under version N of group N, in effect is N");
     caught(
-        InjectedFault.LEASE_OF_A_MINORITY,
+        InjectedFault.LEASE_WITHOUT_MAJORITY,
         InjectedFaultsTest::changeWhileCut,
         "invariant broken: a lease on group N without a majority");
   }
@@ -154,7 +154,7 @@
   @Test
   void aVoterThatForgotWhatItGranted() {
     caught(
-        InjectedFault.CLEARS_AFTER_START,
+        InjectedFault.CLEARS_AFTER_RESTART,
         InjectedFaultsTest::allVotersStartAgain,
         "N ms: gN runs top under version N of group N, in effect is N");
   }
@@ -176,7 +176,7 @@
   @Test
   void aGatewayThatCountsFromTheAnswer() {
     caught(
-        InjectedFault.COUNTS_FROM_ANSWER,
+        InjectedFault.COUNTS_LEASE_FROM_RESPONSE,
         InjectedFaultsTest::answersAreLate,
         "N ms: gN runs top under version N of group N, in effect is N");
   }
@@ -207,7 +207,7 @@
   @Test
   void aLeaderThatCommitsAlone() {
     caught(
-        InjectedFault.COMMITS_ALONE,
+        InjectedFault.COMMITS_WITHOUT_MAJORITY,
         InjectedFaultsTest::leaderIsCut,
         "invariant broken: what is committed is written over at N");
   }
@@ -248,7 +248,7 @@
   @Test
   void aVoterThatAnswersBeforeItsDisk() {
     caught(
-        InjectedFault.ANSWERS_BEFORE_KEPT,
+        InjectedFault.RESPONDS_BEFORE_DURABLE,
         InjectedFaultsTest::twoCrash,
         "keptN has two texts in generation N");
   }
@@ -286,7 +286,7 @@
   @Test
   void aVoterThatTrustsAnOldDisk() {
     caught(
-        InjectedFault.TRUSTS_OLD_DISK,
+        InjectedFault.TRUSTS_RESTORED_DISK,
         InjectedFaultsTest::oldDisk,
         "invariant broken: what is committed is written over at N");
   }
@@ -323,10 +323,10 @@
     String words =
         "N ms: group N changes while a hop of gN is at an engine, under a lease until N ms";
     caught(
-        InjectedFault.GIVES_BACK_WITH_ATTEMPTS_OUT,
+        InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT,
         InjectedFaultsTest::changeWhileAttemptIsOut,
         words);
-    caught(InjectedFault.TRUSTS_ENDINGS, InjectedFaultsTest::changeAfterDoubt, words);
+    caught(InjectedFault.ASSUMES_ATTEMPTS_STOPPED, InjectedFaultsTest::changeAfterDoubt, words);
   }
 
   @Test
--- a/statements/src/test/java/tillerlink/statements/StoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/StoriesTest.java
@@ -181,7 +181,8 @@
       cluster.start(leader);
       assertTrue(
           cluster.until(
-              10 * TestCluster.SECOND, () -> cluster.part(leader).voter().orElseThrow().isSound()));
+              10 * TestCluster.SECOND,
+              () -> cluster.part(leader).voter().orElseThrow().isOperational()));
     }
     end("leader-dies");
   }
@@ -229,7 +230,8 @@
     cluster.startOld("v2", copy);
     assertTrue(
         cluster.until(
-            20 * TestCluster.SECOND, () -> cluster.part("v2").voter().orElseThrow().isSound()));
+            20 * TestCluster.SECOND,
+            () -> cluster.part("v2").voter().orElseThrow().isOperational()));
     line.say("v2 takes part again");
     watch(TestCluster.SECOND, 17);
     line.say("v3 starts from an empty disk");
@@ -237,7 +239,8 @@
     announce("g1", "change number 2", TestCluster.untouched(17));
     assertTrue(
         cluster.until(
-            20 * TestCluster.SECOND, () -> cluster.part("v3").voter().orElseThrow().isSound()));
+            20 * TestCluster.SECOND,
+            () -> cluster.part("v3").voter().orElseThrow().isOperational()));
     line.say("v3 takes part again");
     watch(2 * TestCluster.SECOND, 17);
     cluster.notes.forEach(note -> line.say("told: " + note));
--- a/statements/src/test/java/tillerlink/statements/TestCluster.java
+++ b/statements/src/test/java/tillerlink/statements/TestCluster.java
@@ -463,12 +463,12 @@
                     ", term "
                         + it.term()
                         + ", commit "
-                        + it.commit()
+                        + it.commitIndex()
                         + ", leader "
                         + it.leader().orElse("none")
-                        + (it.isSound() ? "" : ", not sound")
-                        + ", back since "
-                        + it.backSince())
+                        + (it.isOperational() ? "" : ", not operational")
+                        + ", rejoined at "
+                        + it.rejoinedAt())
             .orElse("");
   }
 
