--- a/store/src/main/java/tillerlink/store/AsyncTableWriter.java
+++ b/store/src/main/java/tillerlink/store/AsyncTableWriter.java
@@ -8,88 +8,110 @@
 import java.util.Map;
 
 /**
- * Writes to a table on a thread of its own, so that nobody who hands it a change waits for the
- * disk. Of several changes of one key that wait, the last is written: a value that flaps does not
- * wear the disk.
+ * Writes to a table on a thread of its own, so that no caller waits for the disk. Changes queue
+ * until a sync is due; of several changes of one key that are queued, only the last is written, so
+ * that a value that flaps does not wear the disk.
+ *
+ * <p>The writer owns its thread and, from then on, the table: only that thread touches it until it
+ * has ended. The queue is guarded by this object's monitor, and callers may be any threads.
  */
 public final class AsyncTableWriter implements Closeable {
-  /** When a change is surely kept. */
+  /** How soon a change is made durable, the strictest first. */
   public enum Durability {
-    /** Before anybody is told so: synced as soon as it can be. */
+    /** Synced as soon as possible. */
     AT_ONCE,
-    /** Within the group's time, with others. */
+    /** Synced within the group delay, together with others. */
     GROUPED,
-    /** With the next that is synced, or when the lazy time is up. */
+    /** Synced with the next change that is, or when the lazy delay is over. */
     LAZY
   }
 
-  private record Change(byte[] value, Durability durability, List<Runnable> kept) {}
+  /** A change in the queue, and the callbacks of all changes of its key that it stands for. */
+  private record QueuedChange(byte[] value, Durability durability, List<Runnable> callbacks) {}
 
   private static final long NANOS_PER_MS = 1_000_000;
+  private static final long MAX_WAIT_MS = 1000;
+  private static final long CLOSE_TIMEOUT_MS = 1000;
+  private static final long NO_SYNC_DUE = Long.MAX_VALUE;
 
   private final DurableTable table;
-  private final int waitingMost;
-  private final long groupNanos;
-  private final long lazyNanos;
-  private final Thread thread = new Thread(this::run, "keeper");
-  private final Map<String, Change> waiting = new LinkedHashMap<>();
+  private final int maxQueuedKeys;
+  private final long groupDelayNanos;
+  private final long lazyDelayNanos;
+  private final Thread thread = new Thread(this::writeBatches, "table-writer");
+  private final Map<String, QueuedChange> queue = new LinkedHashMap<>();
   private boolean closing;
-  private long syncBy = Long.MAX_VALUE;
+
+  /** By {@link System#nanoTime}, or {@link #NO_SYNC_DUE}. */
+  private long syncDueNanos = NO_SYNC_DUE;
 
   /**
-   * @param waitingMost keys whose changes may wait at once
+   * Starts the thread.
+   *
+   * @param table already opened; closed with this writer
+   * @param maxQueuedKeys keys of which changes may be queued at once
+   * @param groupDelayMs see {@link Durability#GROUPED}
+   * @param lazyDelayMs see {@link Durability#LAZY}
    */
-  public AsyncTableWriter(DurableTable table, int waitingMost, long groupMs, long lazyMs) {
+  public AsyncTableWriter(
+      DurableTable table, int maxQueuedKeys, long groupDelayMs, long lazyDelayMs) {
     this.table = table;
-    this.waitingMost = waitingMost;
-    groupNanos = groupMs * NANOS_PER_MS;
-    lazyNanos = lazyMs * NANOS_PER_MS;
+    this.maxQueuedKeys = maxQueuedKeys;
+    groupDelayNanos = groupDelayMs * NANOS_PER_MS;
+    lazyDelayNanos = lazyDelayMs * NANOS_PER_MS;
     thread.setDaemon(true);
     thread.start();
   }
 
   /**
-   * Hands a change over; never waits.
+   * Queues a change; never waits for the disk.
    *
    * @param value null removes the key
-   * @param kept called on the keeper's thread once it is kept; null if nobody asks
-   * @return false if too many wait: then it is not kept
+   * @param onDurable called on the writer's thread once the change is durable, and never if it
+   *     can't be made so; may be null
+   * @return false if the queue is full or the writer is closing: then the change is dropped
    */
-  public synchronized boolean set(String key, byte[] value, Durability durability, Runnable kept) {
-    Change before = waiting.get(key);
-    if (before == null && waiting.size() >= waitingMost || closing) {
+  public synchronized boolean set(
+      String key, byte[] value, Durability durability, Runnable onDurable) {
+    QueuedChange queued = queue.get(key);
+    boolean full = queued == null && queue.size() >= maxQueuedKeys;
+    if (full || closing) {
       return false;
     }
-    List<Runnable> told = new ArrayList<>(before == null ? List.of() : before.kept);
-    if (kept != null) {
-      told.add(kept);
+    List<Runnable> callbacks = new ArrayList<>(queued == null ? List.of() : queued.callbacks);
+    if (onDurable != null) {
+      callbacks.add(onDurable);
     }
     Durability strictest =
-        before != null && before.durability.compareTo(durability) < 0
-            ? before.durability
+        queued != null && queued.durability.compareTo(durability) < 0
+            ? queued.durability
             : durability;
-    waiting.put(key, new Change(value, strictest, told));
-    long wait =
-        strictest == Durability.AT_ONCE
-            ? 0
-            : strictest == Durability.GROUPED ? groupNanos : lazyNanos;
-    long by = System.nanoTime() + wait;
-    if (syncBy == Long.MAX_VALUE || by - syncBy < 0) {
-      syncBy = by;
+    queue.put(key, new QueuedChange(value, strictest, callbacks));
+    long due = System.nanoTime() + delayNanos(strictest);
+    if (syncDueNanos == NO_SYNC_DUE || due - syncDueNanos < 0) {
+      syncDueNanos = due;
       notifyAll();
     }
     return true;
   }
 
-  private void run() {
+  private long delayNanos(Durability durability) {
+    return switch (durability) {
+      case AT_ONCE -> 0;
+      case GROUPED -> groupDelayNanos;
+      case LAZY -> lazyDelayNanos;
+    };
+  }
+
+  private void writeBatches() {
     try {
-      for (Map<String, Change> batch = take(); batch != null; batch = take()) {
-        boolean set = true;
-        for (Map.Entry<String, Change> change : batch.entrySet()) {
-          set &= table.set(change.getKey(), change.getValue().value);
+      for (Map<String, QueuedChange> batch = takeBatch(); batch != null; batch = takeBatch()) {
+        boolean accepted = true;
+        for (Map.Entry<String, QueuedChange> change : batch.entrySet()) {
+          accepted &= table.set(change.getKey(), change.getValue().value);
         }
-        if (table.sync() && set) {
-          batch.values().forEach(change -> change.kept.forEach(Runnable::run));
+        if (table.sync() && accepted) {
+          batch.values().forEach(change -> change.callbacks.forEach(Runnable::run));
         }
       }
     } catch (InterruptedException e) {
@@ -97,23 +119,32 @@
     }
   }
 
-  /** What is to be written next, once it is time; null at the end. */
-  private synchronized Map<String, Change> take() throws InterruptedException {
-    while (!closing || !waiting.isEmpty()) {
-      long left =
-          closing ? 0 : syncBy == Long.MAX_VALUE ? Long.MAX_VALUE : syncBy - System.nanoTime();
-      if (left <= 0) {
-        Map<String, Change> batch = new LinkedHashMap<>(waiting);
-        waiting.clear();
-        syncBy = Long.MAX_VALUE;
+  /** Waits until a sync is due and takes all queued changes; null once the writer is closed. */
+  private synchronized Map<String, QueuedChange> takeBatch() throws InterruptedException {
+    while (!closing || !queue.isEmpty()) {
+      long remainingNanos = remainingNanos();
+      if (remainingNanos <= 0) {
+        Map<String, QueuedChange> batch = new LinkedHashMap<>(queue);
+        queue.clear();
+        syncDueNanos = NO_SYNC_DUE;
         return batch;
       }
-      wait(Math.max(1, Math.min(left / NANOS_PER_MS + 1, 1000)));
+      wait(Math.max(1, Math.min(remainingNanos / NANOS_PER_MS + 1, MAX_WAIT_MS)));
     }
     return null;
   }
 
-  /** Writes what waits, as far as the disk lets it within a second, and ends. */
+  private long remainingNanos() {
+    if (closing) {
+      return 0;
+    }
+    return syncDueNanos == NO_SYNC_DUE ? Long.MAX_VALUE : syncDueNanos - System.nanoTime();
+  }
+
+  /**
+   * Writes the queued changes, as far as the disk allows within a second, ends the thread and
+   * closes the table.
+   */
   @Override
   public void close() throws IOException {
     synchronized (this) {
@@ -121,7 +152,7 @@
       notifyAll();
     }
     try {
-      thread.join(1000);
+      thread.join(CLOSE_TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/store/src/main/java/tillerlink/store/FileSystemDirectory.java
+++ b/store/src/main/java/tillerlink/store/FileSystemDirectory.java
@@ -12,14 +12,15 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system. */
+/** A directory of the file system, locked by a lock file in it. */
 public final class FileSystemDirectory implements StorageDirectory {
-  private static final String LOCK = "lock";
+  private static final String LOCK_FILE = "lock";
 
   private final Path path;
-  private FileChannel lockFile;
+  private FileChannel lockChannel;
   private FileLock lock;
 
+  /** Creates the directory if it does not exist. */
   public FileSystemDirectory(Path path) throws IOException {
     this.path = Files.createDirectories(path);
   }
@@ -29,21 +30,21 @@
     try (Stream<Path> files = Files.list(path)) {
       return files
           .map(file -> file.getFileName().toString())
-          .filter(name -> !name.equals(LOCK))
+          .filter(name -> !name.equals(LOCK_FILE))
           .sorted()
           .toList();
     }
   }
 
   @Override
-  public Out create(String name) throws IOException {
+  public AppendOnlyFile create(String name) throws IOException {
     FileChannel file =
         FileChannel.open(
             path.resolve(name),
             StandardOpenOption.CREATE,
             StandardOpenOption.TRUNCATE_EXISTING,
             StandardOpenOption.WRITE);
-    return new Out() {
+    return new AppendOnlyFile() {
       @Override
       public void write(byte[] bytes) throws IOException {
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
@@ -65,16 +66,16 @@
   }
 
   @Override
-  public byte[] read(String name, int most) throws IOException {
+  public byte[] read(String name, int maxBytes) throws IOException {
     try (var in = Files.newInputStream(path.resolve(name))) {
-      return in.readNBytes(most);
+      return in.readNBytes(maxBytes);
     }
   }
 
   @Override
-  public void truncate(String name, long size) throws IOException {
+  public void truncate(String name, long bytes) throws IOException {
     try (FileChannel file = FileChannel.open(path.resolve(name), StandardOpenOption.WRITE)) {
-      file.truncate(size);
+      file.truncate(bytes);
       file.force(true);
     }
   }
@@ -94,23 +95,24 @@
   }
 
   @Override
-  public void syncFolder() throws IOException {
-    try (FileChannel folder = FileChannel.open(path, StandardOpenOption.READ)) {
-      folder.force(true);
+  public void syncDirectory() throws IOException {
+    try (FileChannel directory = FileChannel.open(path, StandardOpenOption.READ)) {
+      directory.force(true);
     }
   }
 
   @Override
-  public boolean lock() throws IOException {
-    lockFile =
-        FileChannel.open(path.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+  public boolean tryLock() throws IOException {
+    lockChannel =
+        FileChannel.open(
+            path.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
     try {
-      lock = lockFile.tryLock();
+      lock = lockChannel.tryLock();
     } catch (OverlappingFileLockException e) {
       lock = null;
     }
     if (lock == null) {
-      lockFile.close();
+      lockChannel.close();
     }
     return lock != null;
   }
@@ -119,7 +121,7 @@
   public void close() throws IOException {
     if (lock != null) {
       lock.release();
-      lockFile.close();
+      lockChannel.close();
     }
   }
 }
--- a/store/src/main/java/tillerlink/store/RecoveryReport.java
+++ b/store/src/main/java/tillerlink/store/RecoveryReport.java
@@ -3,26 +3,28 @@
 import java.util.List;
 
 /**
- * What recovery found, in words for the log, and whether the store may be used.
+ * The result of recovery: the state in which the store was, and a line for the log about each thing
+ * that was not in order.
  *
- * @param state what became of it
- * @param told one line for each thing that was not as it should be
+ * @param state whether the store is usable, and if so whether anything was lost
+ * @param told the lines, in the order in which recovery came upon them
  */
 public record RecoveryReport(State state, List<String> told) {
-  /** How the store was found. */
+  /** The state of a store when it was opened. Its constants' names are printed. */
   public enum State {
-    /** Nothing was there. */
+    /** There was no store; an empty one was created. */
     NEW,
-    /** All that was kept is there. */
+    /** Everything was read. */
     WHOLE,
-    /** A tail that was never acknowledged, or what lay behind a damage, was cut off. */
+    /** A tail that was never acknowledged, or what followed a corrupt record, was truncated. */
     CUT,
-    /** Another process has it: nothing was read or touched. */
+    /** Another process holds the lock; nothing was read or changed. */
     LOCKED,
-    /** Of a later version, of another owner, or unreadable: nothing was touched. */
+    /** Of a later version, of another owner, or unreadable. */
     FOREIGN
   }
 
+  /** Whether the table may be read and changed. */
   public boolean usable() {
     return state == State.NEW || state == State.WHOLE || state == State.CUT;
   }
--- a/store/src/main/java/tillerlink/store/StorageDirectory.java
+++ b/store/src/main/java/tillerlink/store/StorageDirectory.java
@@ -5,43 +5,49 @@
 import java.util.List;
 
 /**
- * A folder as the store uses it, so that faults can be put in. Names are plain names of files in
- * it.
+ * The operations that the store needs of a directory, so that tests can inject faults. Names are
+ * plain file names within the directory. Used by one thread at a time.
  */
 public interface StorageDirectory extends Closeable {
-  /** A file that is written to its end. */
-  interface Out extends Closeable {
+  /** A file that is written from its start to its end. */
+  interface AppendOnlyFile extends Closeable {
+    /** Appends all the bytes; they may be lost in a crash until {@link #sync} has returned. */
     void write(byte[] bytes) throws IOException;
 
     /**
-     * All that was written before is kept once this returns. After a fault nothing since the last
-     * good one is.
+     * Flushes the file to the disk (fsync): all that was written before it is durable once it
+     * returns. After an exception nothing written since the last successful sync is.
      */
     void sync() throws IOException;
   }
 
-  /** The names of all files, in order. */
+  /** The names of all files, sorted. */
   List<String> list() throws IOException;
 
-  /** A new file, or one that is emptied. */
-  Out create(String name) throws IOException;
+  /** Creates the file, or empties it if it exists. */
+  AppendOnlyFile create(String name) throws IOException;
 
-  /** All of a file; {@code most} bytes at the most. */
-  byte[] read(String name, int most) throws IOException;
+  /** The first bytes of a file, up to a bound. */
+  byte[] read(String name, int maxBytes) throws IOException;
 
-  void truncate(String name, long size) throws IOException;
+  /** Cuts a file to that many bytes and flushes it. */
+  void truncate(String name, long bytes) throws IOException;
 
+  /** Renames a file atomically, replacing one of the new name. */
   void rename(String from, String to) throws IOException;
 
+  /** Deletes a file; one that does not exist is no error. */
   void delete(String name) throws IOException;
 
-  /** What was created, renamed and deleted before is kept once this returns. */
-  void syncFolder() throws IOException;
+  /**
+   * Flushes the directory itself: files created, renamed and deleted before are durable as such.
+   */
+  void syncDirectory() throws IOException;
 
   /**
-   * Takes the folder for this process; a crash lets it go.
+   * Locks the directory for this process; {@link #close} and the end of the process release it.
    *
-   * @return false if another has it
+   * @return false if another holder has the lock
    */
-  boolean lock() throws IOException;
+  boolean tryLock() throws IOException;
 }
--- /dev/null
+++ b/store/src/main/java/tillerlink/store/TableState.java
@@ -0,0 +1,53 @@
+package tillerlink.store;
+
+import java.util.Collections;
+import java.util.Map;
+import java.util.NavigableMap;
+import java.util.TreeMap;
+
+/** The entries of a table in memory, their size, and the sequence of the last change. */
+final class TableState {
+  private final NavigableMap<String, byte[]> values = new TreeMap<>();
+  private final NavigableMap<String, byte[]> unmodifiableValues =
+      Collections.unmodifiableNavigableMap(values);
+  private long bytes;
+  private long sequence;
+
+  NavigableMap<String, byte[]> values() {
+    return unmodifiableValues;
+  }
+
+  long sequence() {
+    return sequence;
+  }
+
+  /** What the entries would take on disk if that key had that value; null stands for none. */
+  long bytesWith(String key, byte[] value) {
+    return bytes + entryBytes(key, value) - entryBytes(key, values.get(key));
+  }
+
+  /**
+   * Applies the next change.
+   *
+   * @param value null removes the key
+   */
+  void apply(long changeSequence, String key, byte[] value) {
+    sequence = changeSequence;
+    bytes = bytesWith(key, value);
+    if (value == null) {
+      values.remove(key);
+    } else {
+      values.put(key, value);
+    }
+  }
+
+  /** Loads the entries of a snapshot into the empty table. */
+  void load(long snapshotSequence, Map<String, byte[]> entries) {
+    entries.forEach((key, value) -> apply(snapshotSequence, key, value));
+    sequence = snapshotSequence;
+  }
+
+  private static long entryBytes(String key, byte[] value) {
+    return value == null ? 0 : key.length() + value.length + FileFormat.RECORD_OVERHEAD_BYTES;
+  }
+}
--- a/store/src/test/java/tillerlink/store/AsyncTableWriterTest.java
+++ b/store/src/test/java/tillerlink/store/AsyncTableWriterTest.java
@@ -11,16 +11,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Nobody who hands a change over waits for the disk, whatever the disk does. */
+/** No caller waits for the disk, whatever the disk does. */
 class AsyncTableWriterTest {
-  /** A disk that takes its time for a sync, or says EIO from some time on. */
-  private static final class Slow implements StorageDirectory {
+  /** A directory whose syncs are slow, or fail from some time on. */
+  private static final class SlowDirectory implements StorageDirectory {
     private final CrashingDirectory disk = new CrashingDirectory();
     private final long syncMs;
     private final AtomicInteger syncs = new AtomicInteger();
-    private volatile boolean broken;
+    private volatile boolean failing;
 
-    Slow(long syncMs) {
+    SlowDirectory(long syncMs) {
       this.syncMs = syncMs;
     }
 
@@ -30,17 +30,17 @@
     }
 
     @Override
-    public Out create(String name) throws IOException {
-      Out out = disk.create(name);
-      return new Out() {
+    public AppendOnlyFile create(String name) throws IOException {
+      AppendOnlyFile file = disk.create(name);
+      return new AppendOnlyFile() {
         @Override
         public void write(byte[] bytes) throws IOException {
-          out.write(bytes);
+          file.write(bytes);
         }
 
         @Override
         public void sync() throws IOException {
-          if (broken) {
+          if (failing) {
             throw new IOException("input/output error");
           }
           if (syncs.incrementAndGet() > 1) {
@@ -50,19 +50,19 @@
               Thread.currentThread().interrupt();
             }
           }
-          out.sync();
+          file.sync();
         }
 
         @Override
         public void close() throws IOException {
-          out.close();
+          file.close();
         }
       };
     }
 
     @Override
-    public byte[] read(String name, int most) throws IOException {
-      return disk.read(name, most);
+    public byte[] read(String name, int maxBytes) throws IOException {
+      return disk.read(name, maxBytes);
     }
 
     @Override
@@ -81,13 +81,13 @@
     }
 
     @Override
-    public void syncFolder() throws IOException {
-      disk.syncFolder();
+    public void syncDirectory() throws IOException {
+      disk.syncDirectory();
     }
 
     @Override
-    public boolean lock() {
-      return disk.lock();
+    public boolean tryLock() {
+      return disk.tryLock();
     }
 
     @Override
@@ -103,65 +103,66 @@
   }
 
   @Test
-  void aDiskThatTakesTwoSecondsStallsNobody() throws Exception {
-    Slow disk = new Slow(2000);
-    AsyncTableWriter keeper = new AsyncTableWriter(open(disk), 100, 10, 1000);
-    CountDownLatch kept = new CountDownLatch(1);
+  void slowSyncsDoNotBlockCallers() throws Exception {
+    SlowDirectory disk = new SlowDirectory(2000);
+    AsyncTableWriter writer = new AsyncTableWriter(open(disk), 100, 10, 1000);
+    CountDownLatch durable = new CountDownLatch(1);
     long longest = 0;
     int refused = 0;
     for (int i = 0; i < 20_000; i++) {
-      long began = System.nanoTime();
+      long started = System.nanoTime();
       refused +=
-          keeper.set(
+          writer.set(
                   "k" + i % 300,
                   new byte[10],
                   AsyncTableWriter.Durability.AT_ONCE,
-                  i == 0 ? kept::countDown : null)
+                  i == 0 ? durable::countDown : null)
               ? 0
               : 1;
-      longest = Math.max(longest, System.nanoTime() - began);
+      longest = Math.max(longest, System.nanoTime() - started);
     }
     assertTrue(longest < 1_000_000_000L, "the longest call took " + longest / 1e6 + " ms");
-    assertTrue(refused > 0, "beyond a hundred keys that wait, changes are refused");
-    assertTrue(kept.await(10, TimeUnit.SECONDS));
+    assertTrue(refused > 0, "changes are refused beyond a hundred queued keys");
+    assertTrue(durable.await(10, TimeUnit.SECONDS));
   }
 
   @Test
-  void aValueThatFlapsIsWrittenOnce() throws Exception {
-    Slow disk = new Slow(0);
+  void queuedChangesOfOneKeyAreWrittenOnce() throws Exception {
+    SlowDirectory disk = new SlowDirectory(0);
     DurableTable table = open(disk);
-    AsyncTableWriter keeper = new AsyncTableWriter(table, 10, 50, 5000);
-    AtomicInteger told = new AtomicInteger();
+    AsyncTableWriter writer = new AsyncTableWriter(table, 10, 50, 5000);
+    AtomicInteger notified = new AtomicInteger();
     for (int i = 0; i < 1000; i++) {
       assertTrue(
-          keeper.set(
+          writer.set(
               "flaps",
               new byte[] {(byte) i},
               AsyncTableWriter.Durability.LAZY,
-              told::incrementAndGet));
+              notified::incrementAndGet));
     }
-    CountDownLatch kept = new CountDownLatch(1);
+    CountDownLatch durable = new CountDownLatch(1);
     assertTrue(
-        keeper.set("last", new byte[0], AsyncTableWriter.Durability.GROUPED, kept::countDown));
-    assertTrue(kept.await(10, TimeUnit.SECONDS));
-    assertEquals(1000, told.get(), "all who asked were told");
+        writer.set("last", new byte[0], AsyncTableWriter.Durability.GROUPED, durable::countDown));
+    assertTrue(durable.await(10, TimeUnit.SECONDS));
+    assertEquals(1000, notified.get(), "every callback ran");
     assertTrue(disk.syncs.get() < 10, disk.syncs + " syncs");
-    keeper.close();
-    DurableTable again = open(disk);
-    assertEquals((byte) 999, again.values().get("flaps")[0]);
-    assertTrue(again.sequence() <= 4, again.sequence() + " records");
+    writer.close();
+    DurableTable reopened = open(disk);
+    assertEquals((byte) 999, reopened.values().get("flaps")[0]);
+    assertTrue(reopened.sequence() <= 4, reopened.sequence() + " records");
   }
 
   @Test
-  void afterAFaultNobodyIsToldThatItIsKept() throws Exception {
-    Slow disk = new Slow(0);
-    AsyncTableWriter keeper = new AsyncTableWriter(open(disk), 10, 1, 10);
-    disk.broken = true;
-    AtomicInteger told = new AtomicInteger();
+  void noCallbackRunsAfterADiskFault() throws Exception {
+    SlowDirectory disk = new SlowDirectory(0);
+    AsyncTableWriter writer = new AsyncTableWriter(open(disk), 10, 1, 10);
+    disk.failing = true;
+    AtomicInteger notified = new AtomicInteger();
     assertTrue(
-        keeper.set("a", new byte[1], AsyncTableWriter.Durability.AT_ONCE, told::incrementAndGet));
-    keeper.close();
-    assertEquals(0, told.get());
-    assertFalse(keeper.set("b", new byte[1], AsyncTableWriter.Durability.AT_ONCE, null));
+        writer.set(
+            "a", new byte[1], AsyncTableWriter.Durability.AT_ONCE, notified::incrementAndGet));
+    writer.close();
+    assertEquals(0, notified.get());
+    assertFalse(writer.set("b", new byte[1], AsyncTableWriter.Durability.AT_ONCE, null));
   }
 }
--- a/store/src/test/java/tillerlink/store/CrashingDirectory.java
+++ b/store/src/test/java/tillerlink/store/CrashingDirectory.java
@@ -10,16 +10,16 @@
 import java.util.TreeMap;
 
 /**
- * A disk in memory that can crash at any operation. What was synced is kept; of what was not, any
- * prefix, torn at any byte. Names that were created, moved or deleted since the folder was last
- * synced are so in an order that is cut anywhere.
+ * A directory in memory that can crash at any operation. Afterwards, bytes that were synced are
+ * there, and of the others any prefix, torn at any byte. Of the files created, renamed and deleted
+ * since the directory was last synced, any prefix is so too.
  */
 final class CrashingDirectory implements StorageDirectory {
   static final class Crash extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
 
-  /** A file: what was written, and how much of it surely stays. */
+  /** The bytes that were written, and how many of them a crash leaves. */
   private static final class File {
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
     private int synced;
@@ -34,13 +34,13 @@
 
   private final Map<String, File> files = new TreeMap<>();
 
-  /** Folders as they may be found: as last synced, then after each change since. */
-  private final List<Map<String, File>> folders = new ArrayList<>(List.of(new TreeMap<>()));
+  /** The states a crash may leave: as of the last sync, then after each change since. */
+  private final List<Map<String, File>> possibleStates = new ArrayList<>(List.of(new TreeMap<>()));
 
   private long crashAt = Long.MAX_VALUE;
   private long faultAt = Long.MAX_VALUE;
   private long faultsUntil;
-  private boolean syncsNothing;
+  private boolean ignoreSyncs;
   long operations;
   boolean locked;
 
@@ -49,15 +49,15 @@
     return this;
   }
 
-  /** Operations that say EIO, from the first on, so many. */
+  /** That many operations fail, after the given number of them. */
   CrashingDirectory faults(long from, long count) {
     faultAt = from;
     faultsUntil = from + count;
     return this;
   }
 
-  CrashingDirectory syncsNothing() {
-    syncsNothing = true;
+  CrashingDirectory ignoreSyncs() {
+    ignoreSyncs = true;
     return this;
   }
 
@@ -70,33 +70,33 @@
     }
   }
 
-  private void moved() {
-    folders.add(new TreeMap<>(files));
+  private void namesChanged() {
+    possibleStates.add(new TreeMap<>(files));
   }
 
-  /** What a process finds that starts after the crash. */
+  /** The directory as a process finds it that starts after the crash. */
   CrashingDirectory afterCrash(Random random) {
     CrashingDirectory after = new CrashingDirectory();
-    Map<String, File> found = folders.get(random.nextInt(folders.size()));
-    found.forEach(
+    Map<String, File> state = possibleStates.get(random.nextInt(possibleStates.size()));
+    state.forEach(
         (name, file) -> {
-          int more = file.written.size() - file.synced;
-          int kept =
+          int unsynced = file.written.size() - file.synced;
+          int length =
               file.synced
                   + switch (random.nextInt(3)) {
                     case 0 -> 0;
-                    case 1 -> more;
-                    default -> random.nextInt(more + 1);
+                    case 1 -> unsynced;
+                    default -> random.nextInt(unsynced + 1);
                   };
-          after.files.put(name, file.copy(kept));
+          after.files.put(name, file.copy(length));
         });
-    after.folders.clear();
-    after.folders.add(new TreeMap<>(after.files));
+    after.possibleStates.clear();
+    after.possibleStates.add(new TreeMap<>(after.files));
     return after;
   }
 
-  /** Spoils a byte of a file. */
-  void spoil(String name, int at) {
+  /** Corrupts one byte of a file. */
+  void corrupt(String name, int at) {
     byte[] bytes = files.get(name).written.toByteArray();
     bytes[at] ^= 0x55;
     File file = new File();
@@ -108,7 +108,7 @@
   CrashingDirectory copy() {
     CrashingDirectory copy = new CrashingDirectory();
     files.forEach((name, file) -> copy.files.put(name, file.copy(file.written.size())));
-    copy.folders.set(0, new TreeMap<>(copy.files));
+    copy.possibleStates.set(0, new TreeMap<>(copy.files));
     return copy;
   }
 
@@ -118,12 +118,12 @@
   }
 
   @Override
-  public Out create(String name) throws IOException {
+  public AppendOnlyFile create(String name) throws IOException {
     step();
     File file = new File();
     files.put(name, file);
-    moved();
-    return new Out() {
+    namesChanged();
+    return new AppendOnlyFile() {
       @Override
       public void write(byte[] bytes) throws IOException {
         step();
@@ -133,56 +133,56 @@
       @Override
       public void sync() throws IOException {
         step();
-        file.synced = syncsNothing ? file.synced : file.written.size();
+        file.synced = ignoreSyncs ? file.synced : file.written.size();
       }
 
       @Override
       public void close() {
-        // Closing keeps nothing.
+        // Closing makes nothing durable.
       }
     };
   }
 
   @Override
-  public byte[] read(String name, int most) throws IOException {
+  public byte[] read(String name, int maxBytes) throws IOException {
     File file = files.get(name);
     if (file == null) {
       throw new IOException("no such file: " + name);
     }
     byte[] all = file.written.toByteArray();
-    return all.length > most ? Arrays.copyOf(all, most) : all;
+    return all.length > maxBytes ? Arrays.copyOf(all, maxBytes) : all;
   }
 
   @Override
   public void truncate(String name, long size) throws IOException {
     step();
     files.put(name, files.get(name).copy((int) size));
-    moved();
+    namesChanged();
   }
 
   @Override
   public void rename(String from, String to) throws IOException {
     step();
     files.put(to, files.remove(from));
-    moved();
+    namesChanged();
   }
 
   @Override
   public void delete(String name) throws IOException {
     step();
     files.remove(name);
-    moved();
+    namesChanged();
   }
 
   @Override
-  public void syncFolder() throws IOException {
+  public void syncDirectory() throws IOException {
     step();
-    folders.clear();
-    folders.add(new TreeMap<>(files));
+    possibleStates.clear();
+    possibleStates.add(new TreeMap<>(files));
   }
 
   @Override
-  public boolean lock() {
+  public boolean tryLock() {
     return !locked;
   }
 
--- a/store/src/test/java/tillerlink/store/DurableTableTest.java
+++ b/store/src/test/java/tillerlink/store/DurableTableTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Whatever crashes, what was acknowledged is found, and what is found is what some moment had. */
+/** After any crash the table is as it was at some moment, with everything acknowledged in it. */
 class DurableTableTest {
   private static final long OWNER = 77;
 
@@ -34,12 +34,12 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Changes a table at random and remembers what it was after each, and what was acknowledged. */
+  /** Random changes to a table: its state after each, and the last sequence acknowledged. */
   private static final class History {
     private final List<Map<String, String>> states = new ArrayList<>(List.of(new TreeMap<>()));
     private long acknowledged;
 
-    void play(DurableTable table, Random random, int changes) {
+    void apply(DurableTable table, Random random, int changes) {
       for (int i = 0; i < changes; i++) {
         String key = "k" + random.nextInt(8);
         boolean remove = random.nextInt(4) == 0 && table.values().containsKey(key);
@@ -60,36 +60,40 @@
     }
   }
 
-  /** Plays until a crash, recovers, goes on, and so forth; what was wrong, or nothing. */
-  private static String crash(long seed, long point, boolean syncsNothing) {
+  /**
+   * Crashes at one operation, perhaps again during recovery, and checks what is recovered.
+   *
+   * @return what is wrong, empty if nothing is; null if the history ended before the crash
+   */
+  private static String crashAndRecover(long seed, long point, boolean ignoreSyncs) {
     Random random = new Random(seed);
     Random after = new Random(seed * 31 + point);
     CrashingDirectory disk = new CrashingDirectory().crashAt(point);
-    if (syncsNothing) {
-      disk.syncsNothing();
+    if (ignoreSyncs) {
+      disk.ignoreSyncs();
     }
     History history = new History();
     DurableTable table = table(disk);
     try {
       table.open();
-      history.play(table, random, 40);
+      history.apply(table, random, 40);
       return null;
     } catch (CrashingDirectory.Crash e) {
-      // As was wanted.
+      // Expected.
     }
-    CrashingDirectory found = disk.afterCrash(after);
+    CrashingDirectory afterCrash = disk.afterCrash(after);
     if (after.nextInt(4) == 0) {
       try {
-        table(found.crashAt(after.nextInt(6))).open();
+        table(afterCrash.crashAt(after.nextInt(6))).open();
       } catch (CrashingDirectory.Crash e) {
-        // A crash while it recovers.
+        // A crash during recovery.
       }
-      found = found.afterCrash(after);
+      afterCrash = afterCrash.afterCrash(after);
     }
-    DurableTable recovered = table(found);
-    RecoveryReport how = recovered.open();
-    if (!how.usable()) {
-      return "not usable: " + how;
+    DurableTable recovered = table(afterCrash);
+    RecoveryReport report = recovered.open();
+    if (!report.usable()) {
+      return "not usable: " + report;
     }
     long at = recovered.sequence();
     if (at < history.acknowledged || at >= history.states.size()) {
@@ -108,11 +112,11 @@
   }
 
   @Test
-  void everyCrashIsRecoveredFrom() {
+  void recoversFromACrashAtAnyOperation() {
     int points = 0;
     for (int seed = 0; points < 50_000; seed++) {
       for (long point = 0; ; point++) {
-        String wrong = crash(seed, point, false);
+        String wrong = crashAndRecover(seed, point, false);
         if (wrong == null) {
           break;
         }
@@ -123,11 +127,11 @@
   }
 
   @Test
-  void aMissingSyncIsCaught() {
+  void crashTestDetectsAMissingSync() {
     int wrong = 0;
     for (int seed = 0; seed < 5; seed++) {
       for (long point = 0; point < 60; point++) {
-        String what = crash(seed, point, true);
+        String what = crashAndRecover(seed, point, true);
         wrong += what != null && !what.isEmpty() ? 1 : 0;
       }
     }
@@ -135,11 +139,10 @@
   }
 
   /**
-   * A disk that says EIO, once or for good: what is acknowledged is there, and nothing else is
-   * promised.
+   * The disk fails once or for good; what was acknowledged is there, and nothing else is promised.
    */
   @Test
-  void faultsOfTheDisk() throws IOException {
+  void acknowledgedChangesSurviveDiskFaults() throws IOException {
     int failed = 0;
     for (int seed = 0; seed < 300; seed++) {
       Random random = new Random(seed);
@@ -148,7 +151,7 @@
       History history = new History();
       DurableTable table = table(disk);
       table.open();
-      history.play(table, random, 40);
+      history.apply(table, random, 40);
       failed += table.hasFailed() ? 1 : 0;
       DurableTable recovered = table(disk.afterCrash(random));
       assertTrue(recovered.open().usable());
@@ -161,7 +164,7 @@
     assertTrue(failed > 0);
   }
 
-  private static CrashingDirectory kept(int changes) {
+  private static CrashingDirectory written(int changes) {
     CrashingDirectory disk = new CrashingDirectory();
     DurableTable table = new DurableTable(disk, OWNER, 200, 10_000);
     table.open();
@@ -172,10 +175,6 @@
     return disk;
   }
 
-  private static String first(CrashingDirectory disk, String prefix) {
-    return disk.list().stream().filter(name -> name.startsWith(prefix)).findFirst().orElseThrow();
-  }
-
   private static String last(CrashingDirectory disk, String prefix) {
     return disk.list().stream()
         .filter(name -> name.startsWith(prefix))
@@ -183,31 +182,42 @@
         .orElseThrow();
   }
 
-  private static String told(CrashingDirectory disk) {
-    RecoveryReport found = new DurableTable(disk, OWNER, 200, 10_000).open();
-    return found.state() + " " + found.told();
+  private static String recover(CrashingDirectory disk) {
+    RecoveryReport report = new DurableTable(disk, OWNER, 200, 10_000).open();
+    return report.state() + " " + report.told();
+  }
+
+  @Test
+  void anEmptyDirectoryIsANewStore() {
+    assertEquals("NEW []", recover(new CrashingDirectory()));
   }
 
-  /**
-   * Each kind of damage has one stated behaviour, and none of them keeps the gateway from starting.
-   */
   @Test
-  void damage() throws IOException {
-    assertEquals("NEW []", told(new CrashingDirectory()));
-    CrashingDirectory whole = kept(21);
-    assertEquals("WHOLE []", told(whole.copy()));
-    CrashingDirectory torn = whole.copy();
-    String tail = last(torn, FileFormat.LOG);
+  void anIntactStoreIsReadWhole() {
+    assertEquals("WHOLE []", recover(written(21)));
+  }
+
+  @Test
+  void aTornTailIsTruncated() throws IOException {
+    CrashingDirectory torn = written(21);
+    String tail = last(torn, FileFormat.SEGMENT_PREFIX);
     torn.truncate(tail, torn.read(tail, 1 << 20).length - 3);
-    assertEquals("CUT [log-0000000000000004: a tail of 26 bytes was cut off]", told(torn));
-    CrashingDirectory newest = whole.copy();
-    newest.spoil(last(newest, FileFormat.SNAPSHOT), 40);
-    assertEquals(
-        "CUT [" + last(whole, FileFormat.SNAPSHOT) + " is damaged and was passed over]",
-        told(newest));
-    DurableTable older = new DurableTable(newest.copy(), OWNER, 200, 10_000);
+    assertEquals("CUT [log-0000000000000004: a tail of 26 bytes was cut off]", recover(torn));
+  }
+
+  @Test
+  void aCorruptSnapshotIsReplacedByTheOneBefore() {
+    CrashingDirectory corrupt = written(21);
+    String newest = last(corrupt, FileFormat.SNAPSHOT_PREFIX);
+    corrupt.corrupt(newest, 40);
+    assertEquals("CUT [" + newest + " is damaged and was passed over]", recover(corrupt));
+    DurableTable older = new DurableTable(corrupt.copy(), OWNER, 200, 10_000);
     older.open();
     assertEquals(21, older.sequence(), "the older snapshot and the log behind it tell all");
+  }
+
+  @Test
+  void aSegmentIsCutAtItsFirstCorruptRecord() {
     CrashingDirectory middle = new CrashingDirectory();
     DurableTable table = new DurableTable(middle, OWNER, 100_000, 10_000);
     table.open();
@@ -215,46 +225,54 @@
       table.set("k" + i, bytes("v"));
     }
     table.sync();
-    middle.spoil("log-0000000000000001", FileFormat.HEAD + 22 * 4 + 15);
+    middle.corrupt("log-0000000000000001", FileFormat.HEADER_BYTES + 22 * 4 + 15);
     DurableTable cut = new DurableTable(middle, OWNER, 100_000, 10_000);
     assertEquals(
         "[log-0000000000000001: a tail of 132 bytes was cut off]", cut.open().told().toString());
     assertEquals(4, cut.sequence());
+  }
+
+  @Test
+  void segmentsAfterAMissingOneAreSetAside() throws IOException {
     CrashingDirectory gap = new CrashingDirectory();
     for (int i = 0; i < 3; i++) {
-      DurableTable part = new DurableTable(gap, OWNER, 100_000, 10_000);
-      part.open();
-      part.set("k" + i, bytes("v"));
-      part.sync();
+      DurableTable table = new DurableTable(gap, OWNER, 100_000, 10_000);
+      table.open();
+      table.set("k" + i, bytes("v"));
+      table.sync();
     }
     gap.delete("log-0000000000000002");
     assertEquals(
         "CUT [log-0000000000000003 begins at 3 where 2 was wanted; it was set aside with what"
             + " follows it]",
-        told(gap));
+        recover(gap));
     assertTrue(gap.list().contains("aside-log-0000000000000003"));
-    CrashingDirectory noLog = whole.copy();
+  }
+
+  @Test
+  void aSnapshotWithoutSegmentsIsEnough() throws IOException {
+    CrashingDirectory noLog = written(21);
     for (String name : noLog.list()) {
-      if (name.startsWith(FileFormat.LOG)) {
+      if (name.startsWith(FileFormat.SEGMENT_PREFIX)) {
         noLog.delete(name);
       }
     }
-    assertEquals("WHOLE []", told(noLog), "a snapshot alone is newer than any log, and enough");
+    assertEquals("WHOLE []", recover(noLog), "a snapshot alone is newer than any log, and enough");
   }
 
   @Test
-  void whatIsNotOursIsNotTouched() throws IOException {
-    CrashingDirectory disk = kept(3);
+  void foreignOrLockedStoresAreNotTouched() throws IOException {
+    CrashingDirectory disk = written(3);
     List<String> before = disk.list();
     RecoveryReport foreign = new DurableTable(disk, OWNER + 1, 200, 10_000).open();
     assertEquals(
         "FOREIGN [log-0000000000000001 belongs to another store]",
         foreign.state() + " " + foreign.told());
-    StorageDirectory.Out later = disk.create("snap-00000000000000ff");
-    later.write(FileFormat.head(new FileFormat.Head(true, 9, OWNER, 255)));
+    StorageDirectory.AppendOnlyFile later = disk.create("snap-00000000000000ff");
+    later.write(FileFormat.encodeHeader(new FileFormat.Header(true, 9, OWNER, 255)));
     assertEquals(
         "FOREIGN [snap-00000000000000ff is of version 9 of the format; this release reads up to 1]",
-        told(disk));
+        recover(disk));
     disk.delete("snap-00000000000000ff");
     assertEquals(before, disk.list());
     disk.locked = true;
@@ -264,7 +282,7 @@
   }
 
   @Test
-  void theTableAndTheDiskAreBounded() throws IOException {
+  void tableAndDiskUsageAreBounded() throws IOException {
     CrashingDirectory disk = new CrashingDirectory();
     DurableTable table = new DurableTable(disk, OWNER, 2000, 1000);
     table.open();
@@ -284,9 +302,10 @@
     assertTrue(bytes < 12_000, bytes + " bytes in " + disk.list());
   }
 
-  /** A real folder, a real process, killed while it writes. */
+  /** A real process on a real file system, killed while it writes. */
   @Test
-  void aProcessThatIsKilled(@TempDir Path folder, @TempDir Path outside) throws Exception {
+  void aKilledProcessLosesNothingAcknowledged(@TempDir Path folder, @TempDir Path outside)
+      throws Exception {
     Random random = new Random(5);
     long before = 0;
     for (int i = 0; i < 25; i++) {
@@ -309,7 +328,7 @@
       }
       writer.destroyForcibly().waitFor();
       String all = Files.readString(log);
-      String[] lines = all.substring(0, all.lastIndexOf('\n') + 1).split("\n");
+      String[] lines = all.substring(0, all.lastIndexOf('\n')).split("\n", -1);
       long found = Long.parseLong(lines[0]);
       assertTrue(found >= before, "found " + found + " after " + before + " was acknowledged");
       before = Long.parseLong(lines[lines.length - 1]);
@@ -327,16 +346,16 @@
     }
   }
 
-  /** Writes until it is killed, and says what was acknowledged. */
+  /** Writes until it is killed, and prints each acknowledged sequence. */
   static final class Writer {
     private Writer() {}
 
     public static void main(String[] args) throws IOException {
       DurableTable table =
           new DurableTable(new FileSystemDirectory(Path.of(args[0])), OWNER, 4000, 10_000);
-      RecoveryReport found = table.open();
-      if (!found.usable()) {
-        System.out.println("-1 " + found);
+      RecoveryReport report = table.open();
+      if (!report.usable()) {
+        System.out.println("-1 " + report);
         return;
       }
       System.out.println(table.sequence());
--- a/tools/src/main/java/tillerlink/cli/StoreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/StoreCommand.java
@@ -85,7 +85,7 @@
       out.printf(
           Locale.ROOT,
           "%s, %d keys as of record %d%n",
-          table.found().state().name().toLowerCase(Locale.ROOT),
+          table.recoveryReport().state().name().toLowerCase(Locale.ROOT),
           table.values().size(),
           table.sequence());
     }
