--- a/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
@@ -5,15 +5,24 @@
 import tillerlink.net.wire.EndpointEntry;
 
 /**
- * One engine as it was last told, and since when it has been gone; times are Unix milliseconds, 0
- * for never.
+ * An endpoint as discovery last reported it, and its stored form: tab-separated fields, in which
+ * each status has a name of its own that does not follow the constant's.
  *
- * @param entry as discovery told it; {@code GONE} once it told it no more
+ * @param entry {@code GONE} once discovery left it out
+ * @param goneAt since when it has been gone in Unix milliseconds, 0 if it is not
  */
 record CachedEndpoint(EndpointEntry entry, long goneAt) {
-  private static final int FIELDS = 10;
   private static final String SEPARATOR = "\t";
+  private static final int FIELDS = 10;
+
+  /** Written as the last field and not read. */
+  private static final String LAST_FIELD = "1";
+
+  private static final String STORED_READY = "READY";
+  private static final String STORED_DRAINING = "DRAINING";
+  private static final String STORED_GONE = "GONE";
 
+  /** The stored form, in UTF-8; the id is not part of it. */
   byte[] encoded() {
     return String.join(
             SEPARATOR,
@@ -22,52 +31,62 @@
             entry.zone(),
             entry.kind(),
             Integer.toString(entry.cell()),
-            entry.standing().name(),
+            storedName(entry.standing()),
             Double.toString(entry.weight()),
             Long.toString(entry.startedMs()),
             Long.toString(goneAt),
-            "1")
+            LAST_FIELD)
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Null if it can't be read: then that engine is as if it had not been seen. */
-  static CachedEndpoint decoded(String id, byte[] value) {
-    String[] parts = new String(value, StandardCharsets.UTF_8).split(SEPARATOR, -1);
-    if (parts.length < FIELDS) {
+  /** Reads the stored form; null if it is malformed, and then the endpoint counts as unknown. */
+  static CachedEndpoint decoded(String id, byte[] stored) {
+    String[] fields = new String(stored, StandardCharsets.UTF_8).split(SEPARATOR, -1);
+    if (fields.length < FIELDS) {
       return null;
     }
     try {
-      return new CachedEndpoint(
+      EndpointEntry entry =
           new EndpointEntry(
               id,
-              parts[0],
-              Integer.parseInt(parts[1]),
-              parts[2],
-              parts[3],
-              Integer.parseInt(parts[4]),
-              Status.valueOf(parts[5]),
-              Double.parseDouble(parts[6]),
-              Long.parseLong(parts[7])),
-          Long.parseLong(parts[8]));
+              fields[0],
+              Integer.parseInt(fields[1]),
+              fields[2],
+              fields[3],
+              Integer.parseInt(fields[4]),
+              statusOf(fields[5]),
+              Double.parseDouble(fields[6]),
+              Long.parseLong(fields[7]));
+      return new CachedEndpoint(entry, Long.parseLong(fields[8]));
     } catch (IllegalArgumentException e) {
       return null;
     }
   }
 
+  private static String storedName(Status status) {
+    return switch (status) {
+      case READY -> STORED_READY;
+      case DRAINING -> STORED_DRAINING;
+      case GONE -> STORED_GONE;
+    };
+  }
+
+  private static Status statusOf(String storedName) {
+    return switch (storedName) {
+      case STORED_READY -> Status.READY;
+      case STORED_DRAINING -> Status.DRAINING;
+      case STORED_GONE -> Status.GONE;
+      default -> throw new IllegalArgumentException("no status: " + storedName);
+    };
+  }
+
+  /**
+   * The same endpoint, gone.
+   *
+   * @param at Unix milliseconds
+   */
   CachedEndpoint gone(long at) {
-    EndpointEntry e = entry;
-    return new CachedEndpoint(
-        new EndpointEntry(
-            e.id(),
-            e.address(),
-            e.port(),
-            e.zone(),
-            e.kind(),
-            e.cell(),
-            Status.GONE,
-            e.weight(),
-            e.startedMs()),
-        at);
+    return new CachedEndpoint(entry.as(Status.GONE), at);
   }
 
   boolean isGone() {
--- a/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -1,7 +1,7 @@
 package tillerlink.endpointcache;
 
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.HashSet;
 import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
@@ -17,257 +17,227 @@
 import tillerlink.net.wire.EndpointWatchEvent;
 
 /**
- * What is remembered of the engines: the list as last told and when, those seen draining or gone,
- * how fast the fleet changes. It does no I/O: what is to be kept goes to a {@link Sink}, at a
- * bounded rate.
+ * The endpoint list as discovery last reported it and when, the endpoints that were draining or
+ * gone, and how fast the fleet changes. Does no I/O: what is to be persisted goes to a {@link
+ * Sink}, at a bounded rate. Not thread-safe: the event loop owns it. Times are tenths of a
+ * millisecond unless they say otherwise.
  */
 public final class EndpointHistory implements EndpointCache {
-  /** Where what is to be kept goes; it never waits. */
+  /** Takes the changes that are to be persisted; it must not block. */
   @FunctionalInterface
   public interface Sink {
     /**
-     * @param value null removes the key; @param soon it tells of an engine, not only that all is as
-     *     it was
+     * Persists one value.
+     *
+     * @param value null removes the key
+     * @param soon whether an endpoint changed; otherwise the list was only confirmed
      */
-    void keep(String key, byte[] value, boolean soon);
+    void write(String key, byte[] value, boolean soon);
   }
 
-  private static final String ENGINE = "engine/";
-  private static final String LIST = "list";
+  private static final String ENDPOINT_PREFIX = "engine/";
+  private static final String LIST_KEY = "list";
   private static final int TENTHS_PER_MS = 10;
 
-  /** Times of the longest deadline. */
-  private static final double CONFIRMED_EVERY = 1;
+  // Times as multiples of the longest deadline.
+  private static final double CONFIRMATION_INTERVAL = 1;
+  private static final double GONE_RETENTION = 200;
+  private static final double CHANGE_RATE_DECAY = 2000;
 
-  private static final double GONE_KEPT = 200;
-  private static final double RATE_FADES = 2000;
-  private static final double HELD_FOR = 0.2;
-
-  /** A list that lost more than this share at once is believed when it is told again. */
-  private static final double LOST_MOST = 0.5;
-
-  private static final int LOST_LEAST = 2;
-  private static final int TOLD_AGAIN = 3;
-  private static final int ENGINES_MOST = 10_000;
+  private static final int MAX_ENDPOINTS = 10_000;
 
   private final Sink sink;
   private final long longestDeadline;
-  private final long warmWithin;
-  private final long ageMost;
-  private final NavigableMap<String, CachedEndpoint> wanted = new TreeMap<>();
-  private final Map<String, CachedEndpoint> kept = new LinkedHashMap<>();
-  private final DecayingSum changes;
-  private long confirmedAt;
-  private long listKeptAt = Long.MIN_VALUE;
-  private boolean told;
-  private double rateAtStart;
+  private final long warmupTime;
+  private final long maxAge;
 
-  /** Engines that a list has left out, which may be a fault of the list. */
-  private final Set<String> doubted = new LinkedHashSet<>();
+  /** What is known of each endpoint by its id. */
+  private final NavigableMap<String, CachedEndpoint> endpoints = new TreeMap<>();
 
-  private long doubtedSince;
-  private int doubtedTimes;
+  /** What was handed to the sink. */
+  private final Map<String, CachedEndpoint> persisted = new LinkedHashMap<>();
+
+  private final MassLossGuard lossGuard;
+  private final DecayingSum changes;
+  private ListConfirmation confirmationAtStart = ListConfirmation.NONE;
+  private long confirmedAt;
+  private long confirmationWrittenAt = Long.MIN_VALUE;
+  private boolean receivedAny;
 
   /**
-   * @param longestDeadline the longest deadline of any request class
-   * @param warmWithin how long an engine counts as cold
-   * @param ageMost from which age on a list is not trusted at all; all are tenths of a millisecond
+   * @param stored what an earlier process persisted, by key; values that are malformed are ignored
+   * @param longestDeadline of any request class
+   * @param warmupTime how long after its start an engine counts as warming up
+   * @param maxAge the age from which on a list is not used at all
    */
   public EndpointHistory(
       NavigableMap<String, byte[]> stored,
       long longestDeadline,
-      long warmWithin,
-      long ageMost,
+      long warmupTime,
+      long maxAge,
       Sink sink) {
     this.sink = sink;
     this.longestDeadline = longestDeadline;
-    this.warmWithin = warmWithin;
-    this.ageMost = ageMost;
-    changes = new DecayingSum(RATE_FADES * longestDeadline);
-    stored.forEach(
-        (key, value) -> {
-          if (key.startsWith(ENGINE)) {
-            String id = key.substring(ENGINE.length());
-            CachedEndpoint seen = CachedEndpoint.decoded(id, value);
-            if (seen != null) {
-              wanted.put(id, seen);
-              kept.put(id, seen);
-            }
-          } else if (key.equals(LIST)) {
-            read(value);
-          }
-        });
+    this.warmupTime = warmupTime;
+    this.maxAge = maxAge;
+    lossGuard = new MassLossGuard(longestDeadline);
+    changes = new DecayingSum(CHANGE_RATE_DECAY * longestDeadline);
+    stored.forEach(this::load);
   }
 
-  private void read(byte[] value) {
-    String[] parts = new String(value, StandardCharsets.UTF_8).split("\t", -1);
-    try {
-      confirmedAt = Long.parseLong(parts[0]) * TENTHS_PER_MS;
-      rateAtStart = parts.length > 1 ? Double.parseDouble(parts[1]) : 0;
-    } catch (NumberFormatException e) {
-      confirmedAt = 0;
+  private void load(String key, byte[] value) {
+    if (key.startsWith(ENDPOINT_PREFIX)) {
+      String id = key.substring(ENDPOINT_PREFIX.length());
+      CachedEndpoint endpoint = CachedEndpoint.decoded(id, value);
+      if (endpoint != null) {
+        endpoints.put(id, endpoint);
+        persisted.put(id, endpoint);
+      }
+    } else if (key.equals(LIST_KEY)) {
+      confirmationAtStart = ListConfirmation.decoded(value);
+      confirmedAt = confirmationAtStart.confirmedAt();
     }
   }
 
-  // ---- a start with discovery down ----
+  // ---- a start without discovery ----
 
-  /** How far what is remembered is trusted now. */
-  public StalenessModel trust(long now) {
+  /** How stale the list is now. */
+  public StalenessModel staleness(long now) {
     return confirmedAt == 0
         ? StalenessModel.TOO_OLD
-        : StalenessModel.of(now - confirmedAt, rateAtStart, longestDeadline, ageMost);
+        : StalenessModel.of(
+            now - confirmedAt, confirmationAtStart.changeRate(), longestDeadline, maxAge);
   }
 
   @Override
   public Remembered loadAtStart(long now) {
-    StalenessModel trust = trust(now);
-    if (trust == StalenessModel.TOO_OLD) {
+    StalenessModel staleness = staleness(now);
+    if (staleness == StalenessModel.TOO_OLD) {
       return new Remembered(null, Map.of());
     }
     List<EndpointEntry> entries = new ArrayList<>();
-    Map<String, Double> levels = new LinkedHashMap<>();
-    for (CachedEndpoint seen : wanted.values()) {
-      if (!seen.isGone()) {
-        entries.add(coldIfNew(seen.entry(), now));
-        levels.put(seen.entry().id(), trust.level);
+    Map<String, Double> confidence = new LinkedHashMap<>();
+    for (CachedEndpoint endpoint : endpoints.values()) {
+      if (!endpoint.isGone()) {
+        entries.add(warmingUpIfRecent(endpoint.entry(), now));
+        confidence.put(endpoint.entry().id(), staleness.confidence());
       }
     }
-    return new Remembered(new EndpointWatchEvent(0, true, entries), levels);
+    return new Remembered(new EndpointWatchEvent(0, true, entries), confidence);
   }
 
   /**
-   * One that was cold when it was last told may have started anew since: it counts as just started.
+   * An engine that was warming up when the list was confirmed may have been restarted since, so it
+   * counts as just started.
    */
-  private EndpointEntry coldIfNew(EndpointEntry e, long now) {
-    boolean isNew = e.startedMs() > 0 && e.startedMs() * TENTHS_PER_MS + warmWithin > confirmedAt;
-    return isNew
+  private EndpointEntry warmingUpIfRecent(EndpointEntry entry, long now) {
+    boolean warmingUp =
+        entry.startedMs() > 0 && entry.startedMs() * TENTHS_PER_MS + warmupTime > confirmedAt;
+    return warmingUp
         ? new EndpointEntry(
-            e.id(),
-            e.address(),
-            e.port(),
-            e.zone(),
-            e.kind(),
-            e.cell(),
-            e.standing(),
-            e.weight(),
+            entry.id(),
+            entry.address(),
+            entry.port(),
+            entry.zone(),
+            entry.kind(),
+            entry.cell(),
+            entry.standing(),
+            entry.weight(),
             now / TENTHS_PER_MS)
-        : e;
+        : entry;
   }
 
-  // ---- discovery answers ----
+  // ---- events of discovery ----
 
   @Override
-  public EndpointWatchEvent onEndpointsReceived(long now, EndpointWatchEvent news) {
-    Map<String, EndpointEntry> listed = new LinkedHashMap<>();
-    news.entries().forEach(entry -> listed.put(entry.id(), entry));
-    Set<String> lost = new LinkedHashSet<>();
-    for (CachedEndpoint seen : wanted.values()) {
-      if (news.whole() && !seen.isGone() && !listed.containsKey(seen.entry().id())) {
-        lost.add(seen.entry().id());
-      }
-    }
-    boolean held = holdsBack(now, lost);
-    List<EndpointEntry> entries = new ArrayList<>(news.entries());
-    if (held) {
-      // Nothing new goes to those that the list left out, yet nothing that is known of them is
-      // forgotten.
-      lost.forEach(id -> entries.add(draining(wanted.get(id).entry())));
+  public EndpointWatchEvent onEndpointsReceived(long now, EndpointWatchEvent event) {
+    Set<String> lost = lostBy(event);
+    boolean heldBack = lossGuard.holdsBack(now, lost, countPresent());
+    List<EndpointEntry> effective = new ArrayList<>(event.entries());
+    if (heldBack) {
+      // Nothing new is sent to the endpoints left out, yet nothing known of them is dropped.
+      lost.forEach(id -> effective.add(endpoints.get(id).entry().as(Status.DRAINING)));
     } else {
-      lost.forEach(id -> wanted.put(id, wanted.get(id).gone(now / TENTHS_PER_MS)));
+      lost.forEach(id -> endpoints.put(id, endpoints.get(id).gone(now / TENTHS_PER_MS)));
       changes.add(now, lost.size());
     }
-    for (EndpointEntry entry : news.entries()) {
-      CachedEndpoint before = wanted.get(entry.id());
-      boolean another =
-          before == null || before.isGone() || before.entry().startedMs() != entry.startedMs();
-      changes.add(now, told && another ? 1 : 0);
-      if (before != null || wanted.size() < ENGINES_MOST) {
-        wanted.put(
-            entry.id(),
-            entry.standing() == Status.GONE
-                ? new CachedEndpoint(entry, 0).gone(now / TENTHS_PER_MS)
-                : new CachedEndpoint(entry, 0));
-      }
-    }
-    if (!held) {
+    event.entries().forEach(entry -> update(now, entry));
+    if (!heldBack) {
       confirmedAt = now;
     }
-    told = true;
-    forgetOld(now);
-    emit(now);
-    return new EndpointWatchEvent(news.index(), news.whole(), news.partial(), entries);
+    receivedAny = true;
+    forgetLongGone(now);
+    persistChanges(now);
+    return new EndpointWatchEvent(event.index(), event.whole(), event.partial(), effective);
   }
 
-  /** Whether a list that lost much of the fleet at once is not yet believed. */
-  private boolean holdsBack(long now, Set<String> lost) {
-    long known = wanted.values().stream().filter(seen -> !seen.isGone()).count();
-    if (lost.size() < LOST_LEAST || lost.size() <= LOST_MOST * known) {
-      doubted.clear();
-      return false;
+  /** The endpoints known so far that a whole list leaves out. */
+  private Set<String> lostBy(EndpointWatchEvent event) {
+    Set<String> lost = new LinkedHashSet<>();
+    if (event.whole()) {
+      Set<String> listed = new HashSet<>();
+      event.entries().forEach(entry -> listed.add(entry.id()));
+      endpoints.forEach(
+          (id, endpoint) -> {
+            if (!endpoint.isGone() && !listed.contains(id)) {
+              lost.add(id);
+            }
+          });
     }
-    if (!lost.equals(doubted)) {
-      doubted.clear();
-      doubted.addAll(lost);
-      doubtedSince = now;
-      doubtedTimes = 0;
+    return lost;
+  }
+
+  private void update(long now, EndpointEntry entry) {
+    CachedEndpoint known = endpoints.get(entry.id());
+    boolean replaced =
+        known == null || known.isGone() || known.entry().startedMs() != entry.startedMs();
+    changes.add(now, receivedAny && replaced ? 1 : 0);
+    if (known != null || endpoints.size() < MAX_ENDPOINTS) {
+      CachedEndpoint endpoint = new CachedEndpoint(entry, 0);
+      endpoints.put(entry.id(), endpoint.isGone() ? endpoint.gone(now / TENTHS_PER_MS) : endpoint);
     }
-    doubtedTimes++;
-    return doubtedTimes < TOLD_AGAIN || now < doubtedSince + HELD_FOR * longestDeadline;
   }
 
-  private static EndpointEntry draining(EndpointEntry e) {
-    return new EndpointEntry(
-        e.id(),
-        e.address(),
-        e.port(),
-        e.zone(),
-        e.kind(),
-        e.cell(),
-        Status.DRAINING,
-        e.weight(),
-        e.startedMs());
+  private long countPresent() {
+    return endpoints.values().stream().filter(endpoint -> !endpoint.isGone()).count();
   }
 
-  /** Those that have been gone for long can't be brought back by any list that is trusted. */
-  private void forgetOld(long now) {
-    for (Iterator<CachedEndpoint> i = wanted.values().iterator(); i.hasNext(); ) {
-      CachedEndpoint seen = i.next();
-      if (seen.isGone() && now > seen.goneAt() * TENTHS_PER_MS + GONE_KEPT * longestDeadline) {
-        i.remove();
-      }
-    }
+  /** Drops endpoints gone for so long that no list still in use can bring them back. */
+  private void forgetLongGone(long now) {
+    double retention = GONE_RETENTION * longestDeadline;
+    endpoints
+        .values()
+        .removeIf(
+            endpoint -> endpoint.isGone() && now > endpoint.goneAt() * TENTHS_PER_MS + retention);
   }
 
-  /** The one place where what is to be kept and what is kept are compared. */
-  private void emit(long now) {
+  /** The one place that compares what is known with what was persisted. */
+  private void persistChanges(long now) {
     boolean changed = false;
-    for (Map.Entry<String, CachedEndpoint> entry : wanted.entrySet()) {
-      if (!entry.getValue().equals(kept.get(entry.getKey()))) {
-        kept.put(entry.getKey(), entry.getValue());
-        sink.keep(ENGINE + entry.getKey(), entry.getValue().encoded(), true);
+    for (Map.Entry<String, CachedEndpoint> known : endpoints.entrySet()) {
+      if (!known.getValue().equals(persisted.get(known.getKey()))) {
+        persisted.put(known.getKey(), known.getValue());
+        sink.write(ENDPOINT_PREFIX + known.getKey(), known.getValue().encoded(), true);
         changed = true;
       }
     }
-    for (Iterator<String> i = kept.keySet().iterator(); i.hasNext(); ) {
-      String id = i.next();
-      if (!wanted.containsKey(id)) {
-        i.remove();
-        sink.keep(ENGINE + id, null, true);
+    for (Iterator<String> ids = persisted.keySet().iterator(); ids.hasNext(); ) {
+      String id = ids.next();
+      if (!endpoints.containsKey(id)) {
+        ids.remove();
+        sink.write(ENDPOINT_PREFIX + id, null, true);
         changed = true;
       }
     }
-    if (changed || now >= listKeptAt + CONFIRMED_EVERY * longestDeadline) {
-      listKeptAt = now;
-      sink.keep(
-          LIST,
-          (confirmedAt / TENTHS_PER_MS + "\t" + rate(now)).getBytes(StandardCharsets.UTF_8),
-          changed);
+    if (changed || now >= confirmationWrittenAt + CONFIRMATION_INTERVAL * longestDeadline) {
+      confirmationWrittenAt = now;
+      sink.write(LIST_KEY, new ListConfirmation(confirmedAt, changeRate(now)).encoded(), changed);
     }
   }
 
   /** The share of the fleet that changes in a tenth of a millisecond, of late. */
-  private double rate(long now) {
-    long known = Math.max(1, wanted.values().stream().filter(seen -> !seen.isGone()).count());
-    return changes.at(now) / known / (RATE_FADES * longestDeadline);
+  private double changeRate(long now) {
+    long present = Math.max(1, countPresent());
+    return changes.at(now) / present / (CHANGE_RATE_DECAY * longestDeadline);
   }
 }
--- a/endpointcache/src/main/java/tillerlink/endpointcache/StalenessModel.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/StalenessModel.java
@@ -1,54 +1,63 @@
 package tillerlink.endpointcache;
 
 /**
- * How far a remembered list is trusted, by its age and by how fast the fleet was seen to change. It
- * does no I/O. Times are tenths of a millisecond.
+ * How stale a cached endpoint list is, by its age and by how fast the fleet changed. Does no I/O.
+ * Times are tenths of a millisecond.
  */
 public enum StalenessModel {
+  /** At most 2 % of the list is expected to have changed. */
   FRESH(0.9),
+  /** At most 10 %. */
   AGEING(0.6),
+  /** At most half. */
   OLD(0.3),
+  /** More; such a list is not used. */
   TOO_OLD(0);
 
-  /** Share of a list that may have changed since, up to which it counts as so. */
-  private static final double FRESH_MOST = 0.02;
+  private static final double MAX_CHANGED_FRESH = 0.02;
+  private static final double MAX_CHANGED_AGEING = 0.1;
+  private static final double MAX_CHANGED_OLD = 0.5;
 
-  private static final double AGEING_MOST = 0.1;
-  private static final double OLD_MOST = 0.5;
-
-  /** A clock may be off by so many of the longest deadlines before its time is not believed. */
+  /** How far in the future a list may be before the clock is disbelieved, in longest deadlines. */
   private static final double CLOCK_SLACK = 1;
 
-  /** What the module is told: 1 would be a list that was just confirmed. */
-  public final double level;
+  private final double confidence;
+
+  StalenessModel(double confidence) {
+    this.confidence = confidence;
+  }
 
-  StalenessModel(double level) {
-    this.level = level;
+  /** What the dispatch policy is given for each endpoint; 1 would be a list just confirmed. */
+  public double confidence() {
+    return confidence;
   }
 
   /**
-   * Guards against a clock that was set back, by which a list would be from the future: such a one
-   * is old at the best; and against one set forward, which makes any list too old, so that the most
-   * that is lost is the list.
+   * Rates a list. A clock that was set back makes the list one from the future, which counts as old
+   * at best; one that was set forward makes it too old, so that no more than the list is lost.
    *
-   * @param changes the share of the fleet that changes in a tenth of a millisecond, as seen; 0 if
-   *     nothing was
-   * @param longestDeadline the longest deadline of any request class
-   * @param ageMost from which age on nothing is trusted
+   * @param age negative for a list from the future
+   * @param changeRate the share of the fleet that changes in a tenth of a millisecond; 0 if no
+   *     change was observed
+   * @param longestDeadline of any request class
+   * @param maxAge the age from which on no list is used
    */
-  public static StalenessModel of(long age, double changes, long longestDeadline, long ageMost) {
+  public static StalenessModel of(long age, double changeRate, long longestDeadline, long maxAge) {
     if (age < -CLOCK_SLACK * longestDeadline) {
       return OLD;
     }
-    if (age > ageMost) {
+    if (age > maxAge) {
       return TOO_OLD;
     }
-    // With nothing seen, the fleet is taken to change once within the age that is trusted at the
-    // most.
-    double rate = Math.max(changes, 1.0 / ageMost);
+    // Without any observed change, the fleet is taken to change once within the maximal age.
+    double rate = Math.max(changeRate, 1.0 / maxAge);
     double changed = 1 - Math.exp(-rate * Math.max(0, age));
-    return changed <= FRESH_MOST
-        ? FRESH
-        : changed <= AGEING_MOST ? AGEING : changed <= OLD_MOST ? OLD : TOO_OLD;
+    if (changed <= MAX_CHANGED_FRESH) {
+      return FRESH;
+    }
+    if (changed <= MAX_CHANGED_AGEING) {
+      return AGEING;
+    }
+    return changed <= MAX_CHANGED_OLD ? OLD : TOO_OLD;
   }
 }
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
@@ -4,6 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
@@ -14,22 +15,22 @@
 import tillerlink.net.wire.EndpointWatchEvent;
 
 /**
- * What is remembered over a restart, what is written for it, and which lists are not believed at
- * once.
+ * What a restarted gateway knows of the endpoints, what is persisted for it, and which lists are
+ * held back.
  */
 class EndpointHistoryTest {
   private static final long SECOND = 10_000;
-  private static final long STOP = 2 * SECOND;
+  private static final long DEADLINE = 2 * SECOND;
   private static final long HOUR = 3600 * SECOND;
   private static final long NOW = 17_000_000_000_000L;
 
   private final TreeMap<String, byte[]> stored = new TreeMap<>();
   private int writes;
 
-  private EndpointHistory memory() {
+  private EndpointHistory history() {
     return new EndpointHistory(
         new TreeMap<>(stored),
-        STOP,
+        DEADLINE,
         13 * SECOND,
         24 * HOUR,
         (key, value, soon) -> {
@@ -59,16 +60,17 @@
     return new EndpointWatchEvent(index, true, entries);
   }
 
-  private static String print(EndpointWatchEvent news) {
+  private static String print(EndpointWatchEvent event) {
     StringBuilder all = new StringBuilder();
-    news.entries()
+    event
+        .entries()
         .forEach(
             e -> all.append(e.id()).append(e.standing() == Status.DRAINING ? "-" : "").append(' '));
     return all.toString().strip();
   }
 
   @Test
-  void trustFallsWithAgeAndWithTheRateOfChange() {
+  void stalenessGrowsWithAgeAndChangeRate() {
     StringBuilder all = new StringBuilder();
     for (long age :
         new long[] {
@@ -83,7 +85,7 @@
           Long.MAX_VALUE / 2
         }) {
       for (double perHour : new double[] {0, 0.5, 60}) {
-        all.append(StalenessModel.of(age, perHour / HOUR, STOP, 24 * HOUR)).append(' ');
+        all.append(StalenessModel.of(age, perHour / HOUR, DEADLINE, 24 * HOUR)).append(' ');
       }
       all.append('\n');
     }
@@ -103,16 +105,16 @@
   }
 
   @Test
-  void anOldListBringsNobodyBack() {
-    EndpointHistory first = memory();
+  void aCachedListBringsNoEndpointBack() {
+    EndpointHistory first = history();
     first.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
     first.onEndpointsReceived(NOW + SECOND, list(2, "a", "b-", "c"));
-    EndpointCache.Remembered later = memory().loadAtStart(NOW + 60 * SECOND);
-    assertEquals("a b- c", print(later.engines()));
-    assertEquals(0.9, later.trust().get("a"));
-    assertNull(memory().loadAtStart(NOW + 30 * HOUR).engines());
-    EndpointHistory third = memory();
-    third.onEndpointsReceived(NOW + 500 * STOP, list(3, "a", "c"));
+    EndpointCache.Remembered cached = history().loadAtStart(NOW + 60 * SECOND);
+    assertEquals("a b- c", print(cached.engines()));
+    assertEquals(0.9, cached.trust().get("a"));
+    assertNull(history().loadAtStart(NOW + 30 * HOUR).engines());
+    EndpointHistory third = history();
+    third.onEndpointsReceived(NOW + 500 * DEADLINE, list(3, "a", "c"));
     assertEquals(
         "[engine/a, engine/b, engine/c, list]",
         stored.keySet().toString(),
@@ -120,8 +122,8 @@
   }
 
   @Test
-  void oneThatWasColdCountsAsJustStarted() {
-    memory()
+  void anEngineThatWasWarmingUpCountsAsJustStarted() {
+    history()
         .onEndpointsReceived(
             NOW,
             new EndpointWatchEvent(
@@ -131,63 +133,65 @@
                     engine("old", Status.READY, NOW / 10 - 60_000),
                     engine("new", Status.READY, NOW / 10 - 5000))));
     long start = NOW + 100 * SECOND;
-    List<EndpointEntry> found = memory().loadAtStart(start).engines().entries();
+    List<EndpointEntry> entries = history().loadAtStart(start).engines().entries();
     assertEquals(
         "new " + start / 10 + " old " + (NOW / 10 - 60_000),
-        found.get(0).id()
+        entries.get(0).id()
             + " "
-            + found.get(0).startedMs()
+            + entries.get(0).startedMs()
             + " "
-            + found.get(1).id()
+            + entries.get(1).id()
             + " "
-            + found.get(1).startedMs());
+            + entries.get(1).startedMs());
   }
 
   @Test
-  void aListThatLostMuchIsBelievedWhenItIsToldAgain() {
-    EndpointHistory memory = memory();
-    memory.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
-    assertEquals("a b- c- d-", print(memory.onEndpointsReceived(NOW + SECOND, list(2, "a"))));
+  void aMassLossIsAcceptedOnceItIsReportedRepeatedly() {
+    EndpointHistory history = history();
+    history.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
+    assertEquals("a b- c- d-", print(history.onEndpointsReceived(NOW + SECOND, list(2, "a"))));
     assertEquals(
-        "a b- c- d-", print(memory.onEndpointsReceived(NOW + SECOND + 2000, list(2, "a"))));
+        "a b- c- d-", print(history.onEndpointsReceived(NOW + SECOND + 2000, list(2, "a"))));
     assertEquals(
         "a b c d",
-        print(memory.onEndpointsReceived(NOW + SECOND + 4000, list(3, "a", "b", "c", "d"))),
+        print(history.onEndpointsReceived(NOW + SECOND + 4000, list(3, "a", "b", "c", "d"))),
         "it was the list's fault");
     for (int i = 0; i < 2; i++) {
       assertEquals(
-          "a- b- c- d-", print(memory.onEndpointsReceived(NOW + 2 * SECOND + i * 2000, list(4))));
+          "a- b- c- d-", print(history.onEndpointsReceived(NOW + 2 * SECOND + i * 2000L, list(4))));
     }
     assertEquals(
         "",
-        print(memory.onEndpointsReceived(NOW + 3 * SECOND, list(4))),
-        "told three times over a while");
-    assertEquals("", print(memory().loadAtStart(NOW + 4 * SECOND).engines()));
+        print(history.onEndpointsReceived(NOW + 3 * SECOND, list(4))),
+        "reported three times over a while");
+    assertEquals("", print(history().loadAtStart(NOW + 4 * SECOND).engines()));
   }
 
   @Test
-  void aLossOfAFewIsBelievedAtOnce() {
-    EndpointHistory memory = memory();
-    memory.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
-    assertEquals("a b", print(memory.onEndpointsReceived(NOW + SECOND, list(2, "a", "b"))));
+  void aLossOfFewEndpointsIsAcceptedAtOnce() {
+    EndpointHistory history = history();
+    history.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
+    assertEquals("a b", print(history.onEndpointsReceived(NOW + SECOND, list(2, "a", "b"))));
   }
 
   @Test
-  void discoveryThatSaysTheSameDoesNotWearTheDisk() {
-    EndpointHistory memory = memory();
+  void unchangedListsAreWrittenRarely() {
+    EndpointHistory history = history();
     for (int i = 0; i < 1000; i++) {
-      memory.onEndpointsReceived(NOW + i * 2000L, list(i + 1, "a", "b"));
+      history.onEndpointsReceived(NOW + i * 2000L, list(i + 1, "a", "b"));
     }
     assertTrue(writes <= 2 + 1 + 200 / 2 + 1, writes + " writes in 200 s");
   }
 
   @Test
-  void whatCannotBeReadIsAsIfItWasNotThere() {
-    memory().onEndpointsReceived(NOW, list(1, "a", "b"));
+  void malformedValuesAreIgnored() {
+    history().onEndpointsReceived(NOW, list(1, "a", "b"));
     stored.put("engine/a", new byte[] {1, 2, 3});
-    stored.put("engine/x", "127.0.0.1\tport\teast\tstd\t0\tREADY\t1\t0\t0\t1".getBytes());
-    assertEquals("b", print(memory().loadAtStart(NOW + SECOND).engines()));
-    stored.put("list", "soon".getBytes());
-    assertNull(memory().loadAtStart(NOW + SECOND).engines());
+    stored.put(
+        "engine/x",
+        "127.0.0.1\tport\teast\tstd\t0\tREADY\t1\t0\t0\t1".getBytes(StandardCharsets.UTF_8));
+    assertEquals("b", print(history().loadAtStart(NOW + SECOND).engines()));
+    stored.put("list", "soon".getBytes(StandardCharsets.UTF_8));
+    assertNull(history().loadAtStart(NOW + SECOND).engines());
   }
 }
