--- a/http2/src/main/java/tillerlink/net/http2/ErrorCode.java
+++ b/http2/src/main/java/tillerlink/net/http2/ErrorCode.java
@@ -1,6 +1,6 @@
 package tillerlink.net.http2;
 
-/** Error codes of RFC 9113, section 7. */
+/** Error codes of RFC 9113, section 7, in the order of their numbers on the wire. */
 public enum ErrorCode {
   NO_ERROR,
   PROTOCOL_ERROR,
@@ -19,11 +19,12 @@
 
   private static final ErrorCode[] ALL = values();
 
-  /** An unknown code counts as INTERNAL_ERROR, as section 7 allows. */
+  /** The code of a number on the wire; an unknown one counts as INTERNAL_ERROR (section 7). */
   public static ErrorCode of(int code) {
     return code >= 0 && code < ALL.length ? ALL[code] : INTERNAL_ERROR;
   }
 
+  /** The number on the wire. */
   public int code() {
     return ordinal();
   }
--- a/http2/src/main/java/tillerlink/net/http2/Event.java
+++ b/http2/src/main/java/tillerlink/net/http2/Event.java
@@ -3,29 +3,29 @@
 import java.util.List;
 import org.apache.hc.core5.http.Header;
 
-/** What happened on a connection, one typed value for each thing. */
+/** What happened on an HTTP/2 connection, one type for each kind of event. */
 public sealed interface Event {
-  /** The peer's settings came, first or anew: how many streams it lets be open. */
+  /** The peer's settings were received, first or anew; {@code streamsMost} may be open at once. */
   record Limits(long streamsMost) implements Event {}
 
-  /** Word ahead of the answer (1xx). */
+  /** An interim response (1xx), ahead of the final one. */
   record Interim(int stream, List<Header> headers) implements Event {}
 
-  /** The answer began; {@code last} means that it has no body. */
+  /** The headers of the final response; {@code last} if it has no body. */
   record Answer(int stream, int status, List<Header> headers, boolean last) implements Event {}
 
-  /** A part of its body. */
+  /** A part of the response's body, possibly empty; {@code last} if it is the last. */
   record Body(int stream, byte[] bytes, boolean last) implements Event {}
 
-  /** A stream ended otherwise than by its whole answer. */
+  /** A stream ended otherwise than by its whole response. */
   record Ended(int stream, StreamTermination how, ErrorCode code) implements Event {}
 
-  /** The peer takes no streams beyond that id; those above it have been told of as ended. */
+  /** A GOAWAY: the peer takes no stream above {@code last}; those were reported as ended before. */
   record Leaving(int last, ErrorCode code) implements Event {}
 
-  /** The path works. */
+  /** Our latest PING was acknowledged. */
   record Pong() implements Event {}
 
-  /** The connection can't go on; what was written goes out, then it is closed. */
+  /** A connection error: what is ready to be written goes out, then the connection is closed. */
   record Broken(ErrorCode code, String why) implements Event {}
 }
--- a/http2/src/main/java/tillerlink/net/http2/Frame.java
+++ b/http2/src/main/java/tillerlink/net/http2/Frame.java
@@ -1,6 +1,12 @@
 package tillerlink.net.http2;
 
-/** One frame as it stands on the wire (RFC 9113, section 4.1). */
+/**
+ * One frame as it stands on the wire (RFC 9113, section 4.1), with the protocol's numbers.
+ *
+ * @param type its kind, which may be unknown
+ * @param flags eight bits, whose meaning depends on the type
+ * @param stream the stream's id, 0 for the connection
+ */
 public record Frame(int type, int flags, int stream, byte[] payload) {
   public static final int DATA = 0;
   public static final int HEADERS = 1;
@@ -26,15 +32,23 @@
   public static final int SETTINGS_MAX_FRAME_SIZE = 5;
   public static final int SETTINGS_MAX_HEADER_LIST_SIZE = 6;
 
+  /** The initial flow-control window of the connection and of each stream. */
   public static final int WINDOW_AT_START = 65_535;
+
+  /** The largest payload that may be sent while the receiver states no other size. */
   public static final int FRAME_AT_START = 16_384;
+
+  static final int PRIORITY_SIZE = 5;
+  static final int PING_SIZE = 8;
+
   private static final int STREAM_MASK = 0x7fffffff;
 
+  /** Whether a flag is set. */
   public boolean has(int flag) {
     return (flags & flag) != 0;
   }
 
-  /** Four bytes of the payload as a number without a sign. */
+  /** Four bytes of the payload as an unsigned number. */
   public long number(int at) {
     return (payload[at] & 255L) << 24
         | (payload[at + 1] & 255) << 16
@@ -42,36 +56,35 @@
         | payload[at + 3] & 255;
   }
 
-  /**
-   * Four bytes of the payload as a stream's id or a window's growth: the first bit says nothing.
-   */
+  /** Four bytes of the payload as a stream's id or a window's growth: the first bit is reserved. */
   public int id(int at) {
     return (int) (number(at) & STREAM_MASK);
   }
 
-  /** Where what the frame bears begins: after the length of a padding and a priority. */
+  /** Where the content begins in the payload: behind the length of a padding and a priority. */
   public int from() {
-    return (type == DATA || type == HEADERS) && has(PADDED) ? 1 + priority() : priority();
-  }
-
-  private int priority() {
-    return type == HEADERS && has(WITH_PRIORITY) ? 5 : 0;
+    return isPadded() ? 1 + prioritySize() : prioritySize();
   }
 
   /**
-   * Where it ends, before a padding.
+   * Where the content ends in the payload: before a padding.
    *
-   * @throws Http2ConnectionError if the padding is longer than what there is
+   * @throws Http2ConnectionError if the padding is longer than the rest of the payload
    */
   public int to() {
-    int padding =
-        (type == DATA || type == HEADERS) && has(PADDED) && payload.length > 0
-            ? payload[0] & 255
-            : 0;
+    int padding = isPadded() && payload.length > 0 ? payload[0] & 255 : 0;
     int to = payload.length - padding;
     if (to < from()) {
       throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "more padding than frame");
     }
     return to;
   }
+
+  private boolean isPadded() {
+    return (type == DATA || type == HEADERS) && has(PADDED);
+  }
+
+  private int prioritySize() {
+    return type == HEADERS && has(WITH_PRIORITY) ? PRIORITY_SIZE : 0;
+  }
 }
--- a/http2/src/main/java/tillerlink/net/http2/FrameReader.java
+++ b/http2/src/main/java/tillerlink/net/http2/FrameReader.java
@@ -3,42 +3,46 @@
 import java.util.Arrays;
 
 /**
- * Makes frames of bytes as they come; knows no socket. It keeps one frame at the most, and what
- * came with it.
+ * Splits received bytes into frames, without I/O. It stores what it was fed and has not yet handed
+ * out; a frame longer than {@link Frame#FRAME_AT_START} is an error as soon as its length is known.
  */
 public final class FrameReader {
-  private static final int HEAD = 9;
+  private static final int HEADER_SIZE = 9;
+  private static final int FIRST_CAPACITY = 1024;
 
   private final byte[] preface;
   private int prefaceSeen;
-  private byte[] kept = new byte[1024];
+  private byte[] buffer = new byte[FIRST_CAPACITY];
   private int from;
   private int to;
 
   /**
-   * @param preface what must come before the first frame, or nothing
+   * A reader at the start of a connection.
+   *
+   * @param preface what must come before the first frame; empty for nothing
    */
   public FrameReader(byte[] preface) {
     this.preface = preface;
   }
 
+  /** Takes received bytes, which may end anywhere in a frame. */
   public void feed(byte[] more) {
-    if (to + more.length > kept.length) {
+    if (to + more.length > buffer.length) {
       int size = to - from;
       byte[] roomy =
-          size + more.length <= kept.length
-              ? kept
+          size + more.length <= buffer.length
+              ? buffer
               : new byte[Math.max(2 * size, size + more.length)];
-      System.arraycopy(kept, from, roomy, 0, size);
-      kept = roomy;
+      System.arraycopy(buffer, from, roomy, 0, size);
+      buffer = roomy;
       from = 0;
       to = size;
     }
-    System.arraycopy(more, 0, kept, to, more.length);
+    System.arraycopy(more, 0, buffer, to, more.length);
     to += more.length;
   }
 
-  /** Whether a frame has begun to come and is not yet whole. */
+  /** Whether a frame was received in part. */
   public boolean midway() {
     return to > from;
   }
@@ -46,40 +50,45 @@
   /**
    * The next frame, or null while it is not whole.
    *
-   * @throws Http2ConnectionError if it is longer than was allowed, or the preface is another
+   * @throws Http2ConnectionError if it is too long, or the preface is another
    */
   public Frame next() {
-    while (prefaceSeen < preface.length && from < to) {
-      if (kept[from++] != preface[prefaceSeen++]) {
-        throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "not the preface");
-      }
-    }
-    if (to - from < HEAD || prefaceSeen < preface.length) {
+    skipPreface();
+    if (to - from < HEADER_SIZE || prefaceSeen < preface.length) {
       return null;
     }
-    int length = (kept[from] & 255) << 16 | (kept[from + 1] & 255) << 8 | kept[from + 2] & 255;
+    int length =
+        (buffer[from] & 255) << 16 | (buffer[from + 1] & 255) << 8 | buffer[from + 2] & 255;
     if (length > Frame.FRAME_AT_START) {
       throw new Http2ConnectionError(ErrorCode.FRAME_SIZE_ERROR, "a frame of " + length + " bytes");
     }
-    if (to - from < HEAD + length) {
+    if (to - from < HEADER_SIZE + length) {
       return null;
     }
     int stream =
-        (kept[from + 5] & 127) << 24
-            | (kept[from + 6] & 255) << 16
-            | (kept[from + 7] & 255) << 8
-            | kept[from + 8] & 255;
+        (buffer[from + 5] & 127) << 24
+            | (buffer[from + 6] & 255) << 16
+            | (buffer[from + 7] & 255) << 8
+            | buffer[from + 8] & 255;
     Frame frame =
         new Frame(
-            kept[from + 3] & 255,
-            kept[from + 4] & 255,
+            buffer[from + 3] & 255,
+            buffer[from + 4] & 255,
             stream,
-            Arrays.copyOfRange(kept, from + HEAD, from + HEAD + length));
-    from += HEAD + length;
+            Arrays.copyOfRange(buffer, from + HEADER_SIZE, from + HEADER_SIZE + length));
+    from += HEADER_SIZE + length;
     if (from == to) {
       from = 0;
       to = 0;
     }
     return frame;
   }
+
+  private void skipPreface() {
+    while (prefaceSeen < preface.length && from < to) {
+      if (buffer[from++] != preface[prefaceSeen++]) {
+        throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "not the preface");
+      }
+    }
+  }
 }
--- a/http2/src/main/java/tillerlink/net/http2/FrameWriter.java
+++ b/http2/src/main/java/tillerlink/net/http2/FrameWriter.java
@@ -8,56 +8,57 @@
 import org.apache.hc.core5.http2.hpack.HPackEncoder;
 import org.apache.hc.core5.util.ByteArrayBuffer;
 
-/** Encodes frames, one behind the other; what was written is taken once. */
+/** Encodes frames into a buffer, without I/O; the bytes are handed out once. */
 public final class FrameWriter {
-  private static final int TABLE_MOST = 4096;
+  private static final int MAX_TABLE_SIZE = 4096;
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream(512);
-  private final HPackEncoder encoder = new HPackEncoder(TABLE_MOST, StandardCharsets.US_ASCII);
+  private final HPackEncoder encoder = new HPackEncoder(MAX_TABLE_SIZE, StandardCharsets.US_ASCII);
   private final ByteArrayBuffer block = new ByteArrayBuffer(512);
 
+  /** Whether there is nothing to hand out. */
   public boolean isEmpty() {
     return out.size() == 0;
   }
 
+  /** Hands out the bytes encoded since the last call. */
   public byte[] take() {
     byte[] bytes = out.toByteArray();
     out.reset();
     return bytes;
   }
 
+  /** Adds bytes as they are. */
   public void raw(byte[] bytes) {
     out.writeBytes(bytes);
   }
 
+  /** Adds a frame whose payload is a part of an array. */
   public void frame(int type, int flags, int stream, byte[] payload, int from, int length) {
     out.write(length >> 16);
     out.write(length >> 8);
     out.write(length);
     out.write(type);
     out.write(flags);
-    four(stream);
+    out.write(stream >> 24);
+    out.write(stream >> 16);
+    out.write(stream >> 8);
+    out.write(stream);
     out.write(payload, from, length);
   }
 
+  /** Adds a frame whose payload consists of numbers of four bytes. */
   public void frame(int type, int flags, int stream, int... numbers) {
     byte[] payload = new byte[4 * numbers.length];
     for (int i = 0; i < numbers.length; i++) {
-      for (int j = 0; j < 4; j++) {
-        payload[4 * i + j] = (byte) (numbers[i] >> 24 - 8 * j);
-      }
+      putNumber(payload, 4 * i, numbers[i]);
     }
     frame(type, flags, stream, payload, 0, payload.length);
   }
 
-  private void four(int number) {
-    out.write(number >> 24);
-    out.write(number >> 16);
-    out.write(number >> 8);
-    out.write(number);
-  }
-
   /**
+   * Adds a SETTINGS frame.
+   *
    * @param pairs settings and their values, in turn
    */
   public void settings(int... pairs) {
@@ -66,15 +67,26 @@
       int at = 3 * i;
       payload[at] = (byte) (pairs[i] >> 8);
       payload[at + 1] = (byte) pairs[i];
-      for (int j = 0; j < 4; j++) {
-        payload[at + 2 + j] = (byte) (pairs[i + 1] >> 24 - 8 * j);
-      }
+      putNumber(payload, at + 2, pairs[i + 1]);
     }
     frame(Frame.SETTINGS, 0, 0, payload, 0, payload.length);
   }
 
-  /** A header list, in as many frames as it takes. */
-  public void headers(int stream, List<? extends Header> headers, boolean last, int frameMost) {
+  private static void putNumber(byte[] payload, int at, int number) {
+    payload[at] = (byte) (number >> 24);
+    payload[at + 1] = (byte) (number >> 16);
+    payload[at + 2] = (byte) (number >> 8);
+    payload[at + 3] = (byte) number;
+  }
+
+  /**
+   * Adds a header list, as a HEADERS frame and as many CONTINUATION frames as it takes.
+   *
+   * @param last whether it ends the stream
+   * @param maxFrameSize the largest payload of one frame
+   * @throws IllegalArgumentException if a header has characters outside ASCII
+   */
+  public void headers(int stream, List<? extends Header> headers, boolean last, int maxFrameSize) {
     block.clear();
     try {
       encoder.encodeHeaders(block, headers, false);
@@ -84,7 +96,7 @@
     int from = 0;
     int type = Frame.HEADERS;
     do {
-      int length = Math.min(frameMost, block.length() - from);
+      int length = Math.min(maxFrameSize, block.length() - from);
       boolean whole = from + length == block.length();
       int flags =
           (type == Frame.HEADERS && last ? Frame.END_STREAM : 0) | (whole ? Frame.END_HEADERS : 0);
@@ -94,18 +106,17 @@
     } while (from < block.length());
   }
 
-  /**
-   * The peer keeps a smaller table of headers, or a larger one; ours does not grow beyond the
-   * usual.
-   */
+  /** Takes the size of the peer's compression table, which is used up to the default of 4096. */
   public void tableMost(int bytes) {
-    encoder.setMaxTableSize(Math.min(TABLE_MOST, bytes));
+    encoder.setMaxTableSize(Math.min(MAX_TABLE_SIZE, bytes));
   }
 
+  /** Adds a GOAWAY with the last stream that is acted on. */
   public void goAway(int last, ErrorCode code) {
     frame(Frame.GOAWAY, 0, 0, last, code.code());
   }
 
+  /** Adds a RST_STREAM. */
   public void reset(int stream, ErrorCode code) {
     frame(Frame.RST_STREAM, 0, stream, code.code());
   }
