--- a/emulator/src/main/java/tillerlink/baseline/Baseline.java
+++ b/emulator/src/main/java/tillerlink/baseline/Baseline.java
@@ -61,7 +61,7 @@
   @Override
   public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
-      engines.forEach(engine -> engine.standing = Status.GONE);
+      engines.forEach(engine -> engine.status = Status.GONE);
     }
     for (EndpointUpdate entry : entries) {
       Engine engine = entry.engine();
@@ -70,10 +70,10 @@
       }
       engine.kind = entry.kind();
       engine.zone = entry.zone();
-      engine.standing = entry.standing();
+      engine.status = entry.status();
       engine.startedAt = entry.startedAt();
     }
-    engines.removeIf(engine -> engine.standing == Status.GONE);
+    engines.removeIf(engine -> engine.status == Status.GONE);
   }
 
   @Override
@@ -92,7 +92,7 @@
     Engine best = null;
     double least = Double.MAX_VALUE;
     for (Engine engine : engines) {
-      if (engine.standing == Status.READY && (kinds == null || kinds.contains(engine.kind))) {
+      if (engine.status == Status.READY && (kinds == null || kinds.contains(engine.kind))) {
         double load = choice == Choice.RANDOM ? 0 : out.getOrDefault(engine, 0);
         double rating = load + random.nextDouble() / 2;
         if (rating < least) {
@@ -175,7 +175,7 @@
 
   private void cancel(Request s) {
     for (Attempt attempt : s.attempts) {
-      if (attempt.isOut()) {
+      if (attempt.isInFlight()) {
         wanted.add(() -> actions.cancelAttempt(attempt));
       }
     }
--- a/gateway/src/main/java/tillerlink/model/Attempt.java
+++ b/gateway/src/main/java/tillerlink/model/Attempt.java
@@ -8,13 +8,13 @@
   public final long sentAt;
 
   /** Time it is expected to take, as judged when it was placed. */
-  public final long expected;
+  public final long expectedTime;
 
   /** Time it would take alone on an ordinary engine, as judged when it was placed. */
-  public final double nominal;
+  public final double nominalTime;
 
   /** Sent to learn whether a doubtful engine is back. */
-  public final boolean trial;
+  public final boolean healthCheck;
 
   public boolean sent;
   public boolean cancelRequested;
@@ -24,7 +24,7 @@
   public long writtenAt;
 
   /** Share done, as last noted. */
-  public double share;
+  public double completedShare;
 
   /** Null while it is out. */
   public AttemptOutcome outcome;
@@ -35,12 +35,12 @@
     this.engine = engine;
     this.number = request.attempts.size();
     this.sentAt = sentAt;
-    this.expected = expected;
-    this.nominal = nominal;
-    this.trial = trial;
+    this.expectedTime = expected;
+    this.nominalTime = nominal;
+    this.healthCheck = trial;
   }
 
-  public boolean isOut() {
+  public boolean isInFlight() {
     return outcome == null;
   }
 
--- a/gateway/src/main/java/tillerlink/model/AttemptOutcome.java
+++ b/gateway/src/main/java/tillerlink/model/AttemptOutcome.java
@@ -25,11 +25,11 @@
   public final boolean mayStillBeRunning;
 
   /** The engine itself answered. */
-  public final boolean heard;
+  public final boolean engineResponded;
 
   AttemptOutcome(boolean provesNotExecuted, boolean mayStillBeRunning, boolean heard) {
     this.provesNotExecuted = provesNotExecuted;
     this.mayStillBeRunning = mayStillBeRunning;
-    this.heard = heard;
+    this.engineResponded = heard;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/DeduplicationGroup.java
+++ b/gateway/src/main/java/tillerlink/model/DeduplicationGroup.java
@@ -7,7 +7,7 @@
   CELL;
 
   /** Whether a repeat of what one engine may have run is discarded by the other. */
-  public boolean joins(Engine one, Engine other) {
+  public boolean covers(Engine one, Engine other) {
     return switch (this) {
       case ALL -> true;
       case ZONE -> one.zone == other.zone;
--- a/gateway/src/main/java/tillerlink/model/EndpointUpdate.java
+++ b/gateway/src/main/java/tillerlink/model/EndpointUpdate.java
@@ -11,7 +11,7 @@
     int zone,
     int cell,
     double weight,
-    Engine.Status standing,
+    Engine.Status status,
     long startedAt,
     double trust) {
   public EndpointUpdate(
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -19,13 +19,13 @@
   public int kind;
   public int zone;
   public int cell;
-  public Engine.Status standing = Engine.Status.GONE;
+  public Engine.Status status = Engine.Status.GONE;
 
   /**
    * The module counts with it; kept here, since a look-up in a list of a thousand for each of a
    * thousand costs.
    */
-  public boolean known;
+  public boolean registered;
 
   public long startedAt;
 
@@ -33,43 +33,43 @@
   public double trust = 1;
 
   /** Attempts that are out, oldest first. */
-  public final List<Attempt> out = new ArrayList<>();
+  public final List<Attempt> inFlight = new ArrayList<>();
 
   public int[] inFlightByClass = new int[0];
-  public int threadsOut;
-  public int trialsOut;
+  public int threadsInFlight;
+  public int healthChecksInFlight;
 
   /** Table groups sent here lately, latest last. */
-  public final ArrayDeque<Integer> groups = new ArrayDeque<>();
+  public final ArrayDeque<Integer> recentTableGroups = new ArrayDeque<>();
 
   public DecayingSum successes;
   public DecayingSum failures;
 
   /** Threads of attempts that timed out and may run on. */
-  public DecayingSum threadsLost;
+  public DecayingSum abandonedThreads;
 
   public DecayingMean pace;
   public SlidingSum workSent;
 
   /** Cold, and room there for the request last weighed only since it is this gateway's turn. */
-  public boolean byTurn;
+  public boolean usesSlowStartSlot;
 
-  public double boundFactor;
-  public long pressedUntil = Long.MIN_VALUE;
+  public double concurrencyFactor;
+  public long overloadedUntil = Long.MIN_VALUE;
 
   /** When it last dropped a connection with an attempt on it. */
-  public long fellAt = Long.MIN_VALUE;
+  public long restartSeenAt = Long.MIN_VALUE;
 
   /** When an attempt was last cut off here. */
-  public long severedAt = Long.MIN_VALUE;
+  public long connectionLostAt = Long.MIN_VALUE;
 
-  public long boundCutAt = Long.MIN_VALUE;
-  public long heardAt = Long.MIN_VALUE;
+  public long limitReducedAt = Long.MIN_VALUE;
+  public long lastResponseAt = Long.MIN_VALUE;
   public long reportedAt = Long.MIN_VALUE;
   public double reportedQueries;
 
   /** The busiest of what it said of its cores and disks, 1 being all. */
-  public double reportedBusy;
+  public double reportedUtilization;
 
   /** Queries of the class in hand a core, and threads of all a core, as last weighed. */
   public double classLoad;
@@ -84,56 +84,56 @@
   }
 
   /** Counts an attempt that goes out here; of the table groups, only the latest are remembered. */
-  public void enter(Attempt attempt, int groupsKept) {
+  public void attemptStarted(Attempt attempt, int groupsKept) {
     count(attempt, 1);
-    out.add(attempt);
-    groups.remove((Integer) attempt.request.tableGroup);
-    groups.addLast(attempt.request.tableGroup);
-    if (groups.size() > groupsKept) {
-      groups.removeFirst();
+    inFlight.add(attempt);
+    recentTableGroups.remove((Integer) attempt.request.tableGroup);
+    recentTableGroups.addLast(attempt.request.tableGroup);
+    if (recentTableGroups.size() > groupsKept) {
+      recentTableGroups.removeFirst();
     }
   }
 
-  public void leave(Attempt attempt) {
+  public void attemptEnded(Attempt attempt) {
     count(attempt, -1);
-    out.remove(attempt);
+    inFlight.remove(attempt);
   }
 
   /** Whether a load that is out here holds the table group. */
-  public boolean holdsGroup(int tableGroup) {
-    return out.stream()
+  public boolean loadsTableGroup(int tableGroup) {
+    return inFlight.stream()
         .anyMatch(
             attempt ->
                 attempt.request.tableGroup == tableGroup
-                    && attempt.request.requestClass.terms.holdsGroup());
+                    && attempt.request.requestClass.config.loadsTableGroup());
   }
 
   /** The threads out of the class that has most out. */
-  public int widest() {
-    return out.stream()
+  public int threadsOfLargestClass() {
+    return inFlight.stream()
         .mapToInt(
             attempt ->
                 inFlightByClass[attempt.request.classIndex]
-                    * attempt.request.requestClass.terms.width())
+                    * attempt.request.requestClass.config.threadsPerRequest())
         .max()
         .orElse(0);
   }
 
   /** A process that started anew keeps nothing of its predecessor's record. */
-  public void forget(double boundAtStart) {
+  public void resetHistory(double boundAtStart) {
     successes.clear();
     failures.clear();
-    threadsLost.clear();
+    abandonedThreads.clear();
     pace.clear();
-    groups.clear();
-    boundFactor = boundAtStart;
-    pressedUntil = Long.MIN_VALUE;
-    fellAt = Long.MIN_VALUE;
+    recentTableGroups.clear();
+    concurrencyFactor = boundAtStart;
+    overloadedUntil = Long.MIN_VALUE;
+    restartSeenAt = Long.MIN_VALUE;
   }
 
   private void count(Attempt attempt, int by) {
     inFlightByClass[attempt.request.classIndex] += by;
-    threadsOut += by * attempt.request.requestClass.terms.width();
-    trialsOut += attempt.trial ? by : 0;
+    threadsInFlight += by * attempt.request.requestClass.config.threadsPerRequest();
+    healthChecksInFlight += attempt.healthCheck ? by : 0;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/Request.java
+++ b/gateway/src/main/java/tillerlink/model/Request.java
@@ -17,45 +17,45 @@
   public final long clientDeadline;
 
   /** Estimate of the work of all its threads, as time on one; 0 if none was given. */
-  public final double estimate;
+  public final double workEstimate;
 
   /** Estimate of the memory that it needs, in MB; 0 if none was given. */
   public final double memoryEstimate;
 
   /** Those that must run one after another, or null. */
-  public final KeyedRequestQueue line;
+  public final KeyedRequestQueue keyQueue;
 
   public RequestClass requestClass;
   public final List<Attempt> attempts = new ArrayList<>(1);
   public int attemptsInFlight;
-  public boolean held;
+  public boolean queued;
 
   /** Nobody waits for its answer at present. */
   public boolean unattended;
 
   /** The answer has begun to reach the client. */
-  public boolean begun;
+  public boolean responseStarted;
 
   /** Null while an answer is owed. */
   public RequestOutcome outcome;
 
   /** When its client was seen to have left; later than any time while it was not. */
-  public long leftAt = Long.MAX_VALUE;
+  public long disconnectedAt = Long.MAX_VALUE;
 
   /** Why the policy gave it up; null if it did not. */
   public TerminationReason terminationReason;
 
   /** No engine can use it. */
-  public boolean unusable;
+  public boolean unservable;
 
-  public boolean told;
+  public boolean notified;
   public long retryAfter;
-  public int rank = 1;
-  public int rankSent = 1;
+  public int priority = 1;
+  public int prioritySent = 1;
   public long grant;
   public long grantSent;
   public long wakeAt = Long.MAX_VALUE;
-  public boolean changed;
+  public boolean reconcilePending;
 
   public Request(
       Object tag,
@@ -73,18 +73,18 @@
     this.repeat = repeat;
     this.arrivedAt = arrivedAt;
     this.clientDeadline = clientDeadline;
-    this.estimate = estimate;
+    this.workEstimate = estimate;
     this.memoryEstimate = memoryEstimate;
-    this.line = line;
+    this.keyQueue = line;
   }
 
   /** Its request class keeps an order, and it has a key. */
   public boolean ordered() {
-    return line != null && requestClass.terms.keepsOrder();
+    return keyQueue != null && requestClass.config.keepsOrder();
   }
 
   /** The first of the other engines that erred on it, or null. */
-  public Engine erredElsewhere(Engine engine) {
+  public Engine otherFailedEngine(Engine engine) {
     return attempts.stream()
         .filter(attempt -> attempt.outcome == AttemptOutcome.FAILED && attempt.engine != engine)
         .map(attempt -> attempt.engine)
--- a/gateway/src/main/java/tillerlink/model/RequestClass.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClass.java
@@ -5,13 +5,13 @@
 /** A kind of request: its terms, its queue and what was measured of it. */
 public final class RequestClass {
   public final int index;
-  public final RequestClassConfig terms;
+  public final RequestClassConfig config;
 
   /** Held requests, first come first. */
   public final ArrayDeque<Request> queue = new ArrayDeque<>();
 
   /** True work over estimate. */
-  public final DecayingMean bias;
+  public final DecayingMean workBias;
 
   /** True memory over estimate. */
   public final DecayingMean memoryBias;
@@ -25,10 +25,10 @@
   public double bestPace;
 
   /** Work asked for of late. */
-  public DecayingSum workSeen;
+  public DecayingSum offeredWork;
 
   /** Cores of the ready engines open to it, as last summed up. */
-  public double openCores;
+  public double eligibleCores;
 
   public RequestClass(
       int index,
@@ -38,22 +38,22 @@
       DecayingMean work,
       DecayingMean pace) {
     this.index = index;
-    this.terms = terms;
-    this.bias = bias;
+    this.config = terms;
+    this.workBias = bias;
     this.memoryBias = memoryBias;
     this.work = work;
     this.pace = pace;
   }
 
   /** The best pace seen, or that of the estimates while too little was seen. */
-  public double best() {
+  public double bestPaceOrDefault() {
     return bestPace == 0 ? 1 : bestPace;
   }
 
   /** The first held request that is still owed an answer, or null. */
-  public Request head() {
+  public Request firstQueued() {
     while (!queue.isEmpty() && queue.peekFirst().outcome != null) {
-      queue.pollFirst().held = false;
+      queue.pollFirst().queued = false;
     }
     return queue.peekFirst();
   }
--- a/gateway/src/main/java/tillerlink/model/RequestClassConfig.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClassConfig.java
@@ -5,21 +5,21 @@
 /** What the settings say of a request class; a null list binds nothing. */
 public record RequestClassConfig(
     Effect effect,
-    DeduplicationGroup circle,
-    long window,
+    DeduplicationGroup deduplicationGroup,
+    long deduplicationWindow,
     long latencyObjective,
-    double stretch,
+    double objectiveStretch,
     long deadline,
-    double value,
-    double lateValue,
-    int width,
-    boolean holdsGroup,
-    boolean waitsForGroup,
+    double priorityWeight,
+    double latePriorityWeight,
+    int threadsPerRequest,
+    boolean loadsTableGroup,
+    boolean waitsForTableGroupLoad,
     boolean keepsOrder,
     List<Integer> zones,
-    List<Integer> kinds) {
+    List<Integer> engineKinds) {
   public boolean allows(Engine engine) {
     return (zones == null || zones.contains(engine.zone))
-        && (kinds == null || kinds.contains(engine.kind));
+        && (engineKinds == null || engineKinds.contains(engine.kind));
   }
 }
--- a/gateway/src/main/java/tillerlink/model/SlidingSum.java
+++ b/gateway/src/main/java/tillerlink/model/SlidingSum.java
@@ -27,12 +27,12 @@
   }
 
   /** All that may lie within the span. */
-  public double most(long now) {
+  public double upperBound(long now) {
     return since(now / slice - (amounts.length - 2));
   }
 
   /** Only what surely lies within the span. */
-  public double least(long now) {
+  public double lowerBound(long now) {
     return since(now / slice - (amounts.length - 4));
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -302,7 +302,7 @@
   void leave(PendingResponse call) {
     if (!call.settled()) {
       call.left = true;
-      call.request.leftAt = now();
+      call.request.disconnectedAt = now();
       gateway
           .telemetry()
           .log()
@@ -381,7 +381,7 @@
         i.remove();
       }
     }
-    lines.values().removeIf(line -> line.head() == null && now() >= line.cooldownUntil);
+    lines.values().removeIf(line -> line.firstUnfinished() == null && now() >= line.cooldownUntil);
     List.copyOf(clients).forEach(ClientConnection::sweep);
     makeRoom();
   }
--- a/gateway/src/main/java/tillerlink/net/state/Discovery.java
+++ b/gateway/src/main/java/tillerlink/net/state/Discovery.java
@@ -80,7 +80,7 @@
               news.whole(),
               "newer",
               newer);
-      invariants.listed(now, news.whole(), entries);
+      invariants.onEndpointsChanged(now, news.whole(), entries);
       policy.onEndpointsChanged(now, news.whole(), entries);
     }
     if (blind && newer) {
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -96,7 +96,7 @@
         asked.removeFirst();
       }
       telemetry.metrics().add(Counter.DISCOVERY_QUESTIONS);
-      lease.asked(now);
+      lease.onPollSent(now);
       driver.sendDiscoveryQuery(Dns.query(id));
     }
   }
@@ -133,9 +133,9 @@
     EndpointWatchEvent news = Dns.answer(datagram, id);
     logAnswer(now, question, news);
     if (news.index() >= known) {
-      lease.answered(question.askedAt, now);
+      lease.onPollAnswered(question.askedAt, now);
     } else {
-      lease.answeredWithOlder(now);
+      lease.onOutdatedAnswer(now);
     }
     unanswered = 0;
     nextAt = lastAt + (long) (period * (1 - SPREAD * random.nextDouble()));
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -112,7 +112,7 @@
   }
 
   private void logChange(EngineAddress site, EndpointEntry entry, long version) {
-    if (site.engine.standing != entry.standing()) {
+    if (site.engine.status != entry.standing()) {
       telemetry
           .log()
           .event(
@@ -122,7 +122,7 @@
               "engine",
               site.id,
               "from",
-              site.engine.standing,
+              site.engine.status,
               "to",
               entry.standing(),
               "version",
@@ -148,9 +148,9 @@
     for (Iterator<EngineAddress> i = sites.values().iterator(); i.hasNext(); ) {
       EngineAddress site = i.next();
       site.transport.checkTimeouts(connectMost, idleMost);
-      if (site.engine.standing == Status.GONE) {
+      if (site.engine.status == Status.GONE) {
         site.transport.retireConnections();
-        if (site.transport.isEmpty() && site.engine.out.isEmpty()) {
+        if (site.transport.isEmpty() && site.engine.inFlight.isEmpty()) {
           i.remove();
         }
       }
--- a/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -60,6 +60,6 @@
 
   /** Whether new work may go there. */
   public boolean ready() {
-    return engine.standing == Status.READY;
+    return engine.status == Status.READY;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -317,7 +317,7 @@
     GoingOut out = nextWriteDone();
     out.inFlight.place = InFlightAttempt.UNSENT;
     gateway.attemptWithheld(out.inFlight, SendVerdict.WRITE_DELAYED);
-    if (out.inFlight.attempt.isOut()) {
+    if (out.inFlight.attempt.isInFlight()) {
       gateway.attemptEnded(out.inFlight, DisconnectReason.WITHDRAWN.outcome(false));
     }
   }
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -41,7 +41,7 @@
       PendingResponse call = i.next();
       if (call.settled()) {
         i.remove();
-      } else if (call.inFlightAttempts.stream().noneMatch(inFlight -> inFlight.attempt.isOut())
+      } else if (call.inFlightAttempts.stream().noneMatch(inFlight -> inFlight.attempt.isInFlight())
           && !call.guard.holds()) {
         withdrawn.add(call);
         i.remove();
@@ -55,7 +55,7 @@
    * late.
    */
   void written(InFlightAttempt inFlight) {
-    if (inFlight.sound || !inFlight.attempt.isOut()) {
+    if (inFlight.sound || !inFlight.attempt.isInFlight()) {
       return;
     }
     inFlight.sound = inFlight.call.guard.holds();
@@ -107,7 +107,8 @@
       return;
     }
     boolean again =
-        call.request.requestClass != null && call.request.requestClass.terms.effect() == Effect.PURE
+        call.request.requestClass != null
+                && call.request.requestClass.config.effect() == Effect.PURE
             || call.inFlightAttempts.stream()
                 .allMatch(inFlight -> inFlight.refused || !inFlight.attempt.mayHaveRun());
     if (again) {
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -377,7 +377,7 @@
 
   void arrived(PendingResponse call) {
     telemetry.metrics().add(Counter.REQUESTS_TAKEN);
-    invariants.taken(now);
+    invariants.onRequestAccepted(now);
     policy.onRequestArrived(now, call.request);
     unsettled = true;
   }
@@ -424,7 +424,7 @@
 
   @Override
   public void attemptEnded(InFlightAttempt inFlight, AttemptOutcome how) {
-    if (!inFlight.attempt.isOut()) {
+    if (!inFlight.attempt.isInFlight()) {
       return;
     }
     transport(inFlight).release(inFlight);
@@ -570,7 +570,7 @@
    * taken in since, and the attempt is looked at once more.
    */
   private void begin(InFlightAttempt inFlight) {
-    if (!inFlight.attempt.isOut()) {
+    if (!inFlight.attempt.isInFlight()) {
       return;
     }
     SendVerdict verdict = inFlight.mayBePlaced();
@@ -591,7 +591,7 @@
   public void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit) {
     telemetry.metrics().add(Counter.ATTEMPTS_WRITTEN);
     report(
-        invariants.written(
+        invariants.checkWritten(
             new InvariantMonitor.Written(inFlight.attempt, firstByteAt, before, limit)),
         inFlight.call,
         engineId(inFlight));
@@ -604,7 +604,7 @@
       // counted.
       return;
     }
-    report(invariants.answered(now, call.request), call, "none");
+    report(invariants.checkAnswer(now, call.request), call, "none");
   }
 
   private void report(Set<Invariant> broken, PendingResponse call, String engine) {
@@ -654,7 +654,7 @@
   public void cancelAttempt(Attempt attempt) {
     InFlightAttempt inFlight =
         ((PendingResponse) attempt.request.tag).inFlightAttempts.get(attempt.number);
-    if (attempt.isOut()) {
+    if (attempt.isInFlight()) {
       AttemptOutcome outcome = transport(inFlight).abandon(inFlight);
       telemetry
           .log()
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -113,8 +113,8 @@
     boolean mends =
         inFlight.pages != null
             && inFlight.mended < MENDS_MOST
-            && inFlight.attempt.isOut()
-            && site.engine.standing != Status.GONE;
+            && inFlight.attempt.isInFlight()
+            && site.engine.status != Status.GONE;
     EngineConnection link = mends ? linkFor(inFlight) : null;
     if (link != null) {
       inFlight.mended++;
--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -167,10 +167,15 @@
               new DecayingMean(terms.deadline() * 4.0, 1, 4),
               new DecayingMean(terms.deadline() * 4.0, 1, 4),
               new DecayingMean(
-                  terms.deadline() * 4.0, terms.latencyObjective() * terms.width() / FAR, 1),
+                  terms.deadline() * 4.0,
+                  terms.latencyObjective() * terms.threadsPerRequest() / FAR,
+                  1),
               new DecayingMean(terms.latencyObjective() * 4.0, 1, 1e-6)));
     }
-    oneOfEach = requestClasses.stream().mapToInt(requestClass -> requestClass.terms.width()).sum();
+    oneOfEach =
+        requestClasses.stream()
+            .mapToInt(requestClass -> requestClass.config.threadsPerRequest())
+            .sum();
     minLatencyObjective = least;
     maxLatencyObjective = most;
     long budgetSpan = settings.number("guarantees.budget_span", 0);
@@ -179,7 +184,7 @@
     valueSeen = new DecayingSum(maxLatencyObjective * 16.0);
     lately = new DecayingMean(maxLatencyObjective, 1, 2);
     requestClasses.forEach(
-        requestClass -> requestClass.workSeen = new DecayingSum(maxLatencyObjective * 16.0));
+        requestClass -> requestClass.offeredWork = new DecayingSum(maxLatencyObjective * 16.0));
     followWanted = settings.text("discovery").equals("ask");
   }
 
@@ -220,22 +225,22 @@
   @Override
   public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
-      engines.forEach(engine -> engine.standing = Status.GONE);
+      engines.forEach(engine -> engine.status = Status.GONE);
     }
     for (EndpointUpdate entry : entries) {
       Engine engine = entry.engine();
-      if (!engine.known) {
+      if (!engine.registered) {
         prepare(engine);
-        engine.known = true;
+        engine.registered = true;
         engines.add(engine);
       }
       if (entry.startedAt() != engine.startedAt) {
-        engine.forget(BOUND_START);
+        engine.resetHistory(BOUND_START);
       }
       engine.kind = entry.kind();
       engine.zone = entry.zone();
       engine.cell = entry.cell();
-      engine.standing = entry.standing();
+      engine.status = entry.status();
       engine.startedAt = entry.startedAt();
       engine.trust = entry.trust();
     }
@@ -244,18 +249,18 @@
   }
 
   private boolean forgotten(Engine engine) {
-    engine.known = engine.standing != Status.GONE || !engine.out.isEmpty();
-    return !engine.known;
+    engine.registered = engine.status != Status.GONE || !engine.inFlight.isEmpty();
+    return !engine.registered;
   }
 
   private void prepare(Engine engine) {
     engine.inFlightByClass = new int[requestClasses.size()];
     engine.successes = new DecayingSum(maxLatencyObjective * 4.0);
     engine.failures = new DecayingSum(maxLatencyObjective * 4.0);
-    engine.threadsLost = new DecayingSum(maxLatencyObjective * 4.0);
+    engine.abandonedThreads = new DecayingSum(maxLatencyObjective * 4.0);
     engine.pace = new DecayingMean(maxLatencyObjective, 1, 2);
     engine.workSent = new SlidingSum(Math.max(1, fallSpan), SLICES);
-    engine.boundFactor = BOUND_START;
+    engine.concurrencyFactor = BOUND_START;
   }
 
   @Override
@@ -266,7 +271,7 @@
   @Override
   public void onEndpointListStateChanged(long now, EndpointListState state, long usableUntil) {
     listState = state;
-    guard.endpointsUsableUntil(usableUntil);
+    guard.setListUsableUntil(usableUntil);
   }
 
   @Override
@@ -284,12 +289,14 @@
     if (taken != null) {
       taken.add(now, 1);
     }
-    valueSeen.add(now, s.requestClass.terms.value());
-    s.requestClass.workSeen.add(
+    valueSeen.add(now, s.requestClass.config.priorityWeight());
+    s.requestClass.offeredWork.add(
         now,
-        Math.min(work(now, s), s.requestClass.terms.deadline() * s.requestClass.terms.width()));
+        Math.min(
+            work(now, s),
+            s.requestClass.config.deadline() * s.requestClass.config.threadsPerRequest()));
     if (s.ordered()) {
-      s.line.members.addLast(s);
+      s.keyQueue.requests.addLast(s);
       timers.set(s, tooLateAt(now, s));
       advance(now, s);
     } else {
@@ -299,18 +306,18 @@
 
   @Override
   public void onResponseStarted(long now, Attempt attempt) {
-    attempt.request.begun = true;
-    attempt.engine.heardAt = now;
+    attempt.request.responseStarted = true;
+    attempt.engine.lastResponseAt = now;
   }
 
   @Override
   public void onAttemptProgress(long now, Attempt attempt, AttemptProgress note, double level) {
-    if (!attempt.isOut()) {
+    if (!attempt.isInFlight()) {
       return;
     }
-    attempt.engine.heardAt = now;
+    attempt.engine.lastResponseAt = now;
     if (note == AttemptProgress.PROGRESS) {
-      attempt.share = level;
+      attempt.completedShare = level;
       judgeProgress(now, attempt);
     }
   }
@@ -329,7 +336,7 @@
     Engine engine = attempt.engine;
     attempt.outcome = outcome;
     s.attemptsInFlight--;
-    engine.leave(attempt);
+    engine.attemptEnded(attempt);
     judge(now, attempt, outcome);
     read(now, engine, report);
     if (outcome == AttemptOutcome.SUCCEEDED) {
@@ -343,7 +350,7 @@
               : RequestOutcome.CLIENT_DISCONNECTED);
     }
     if (s.ordered() && outcome.mayStillBeRunning) {
-      s.line.cooldownUntil = Math.max(s.line.cooldownUntil, now + settleTime);
+      s.keyQueue.cooldownUntil = Math.max(s.keyQueue.cooldownUntil, now + settleTime);
     }
     if (s.outcome == null && s.attemptsInFlight == 0) {
       onward(now, s);
@@ -365,9 +372,9 @@
   public void onClientAttendanceChanged(long now, Request s, boolean on) {
     s.unattended = on;
     if (on && s.requestClass.queue.remove(s)) {
-      s.held = false;
+      s.queued = false;
       timers.set(s, tooLateAt(now, s));
-    } else if (!on && s.outcome == null && !s.held && s.attemptsInFlight == 0) {
+    } else if (!on && s.outcome == null && !s.queued && s.attemptsInFlight == 0) {
       if (!s.attempts.isEmpty()) {
         onward(now, s);
       } else if (s.ordered()) {
@@ -395,7 +402,7 @@
   private void close(Request s, RequestOutcome outcome) {
     if (s.outcome == null) {
       s.outcome = outcome;
-      s.told = true;
+      s.notified = true;
       cancelAll(s);
     }
   }
@@ -434,26 +441,26 @@
       actions.watchEndpoints();
     }
     for (Request s : changed) {
-      s.changed = false;
-      if (s.outcome != null && !s.told) {
-        s.told = true;
+      s.reconcilePending = false;
+      if (s.outcome != null && !s.notified) {
+        s.notified = true;
         if (s.outcome == RequestOutcome.REJECTED) {
           actions.rejectRequest(s, s.retryAfter);
         } else {
           actions.failRequest(s);
         }
       }
-      if ((s.rank != s.rankSent || s.grant != s.grantSent) && s.attemptsInFlight > 0) {
-        s.rankSent = s.rank;
+      if ((s.priority != s.prioritySent || s.grant != s.grantSent) && s.attemptsInFlight > 0) {
+        s.prioritySent = s.priority;
         s.grantSent = s.grant;
-        actions.updatePriorityAndGrant(s, s.rank, s.grant);
+        actions.updatePriorityAndGrant(s, s.priority, s.grant);
       }
       for (Attempt attempt : s.attempts) {
         if (!attempt.sent) {
           attempt.sent = true;
           actions.sendAttempt(attempt);
         }
-        if (attempt.cancelRequested && !attempt.cancelSent && attempt.isOut()) {
+        if (attempt.cancelRequested && !attempt.cancelSent && attempt.isInFlight()) {
           attempt.cancelSent = true;
           actions.cancelAttempt(attempt);
         }
@@ -468,8 +475,8 @@
   }
 
   private void change(Request s) {
-    if (!s.changed) {
-      s.changed = true;
+    if (!s.reconcilePending) {
+      s.reconcilePending = true;
       changed.add(s);
     }
   }
@@ -480,7 +487,7 @@
     if (s.unattended) {
       return;
     }
-    s.held = true;
+    s.queued = true;
     if (first) {
       s.requestClass.queue.addFirst(s);
     } else {
@@ -499,7 +506,7 @@
       RequestClass next = null;
       double most = -1;
       for (RequestClass requestClass : requestClasses) {
-        Request head = requestClass.head();
+        Request head = requestClass.firstQueued();
         if (head != null && !blocked.get(requestClass.index)) {
           double used = (double) (now - head.arrivedAt) / latencyObjective(now, head);
           if (used > most) {
@@ -522,7 +529,7 @@
         blocked.set(next.index);
       } else {
         next.queue.pollFirst();
-        s.held = false;
+        s.queued = false;
         place(now, s, engine);
       }
     }
@@ -563,11 +570,11 @@
   private void shed(long now) {
     for (int i = 0; i < fresh.size(); i++) {
       Request s = fresh.get(i);
-      if (!s.held || s.outcome != null) {
+      if (!s.queued || s.outcome != null) {
         continue;
       }
       timers.set(s, Math.max(now + tick, hopelessAt(now, s)));
-      Request head = s.requestClass.head();
+      Request head = s.requestClass.firstQueued();
       if (head == s || !s.attempts.isEmpty()) {
         continue;
       }
@@ -597,7 +604,7 @@
   }
 
   private void cancel(Attempt attempt) {
-    if (mayCancel && attempt.sent && attempt.isOut()) {
+    if (mayCancel && attempt.sent && attempt.isInFlight()) {
       attempt.cancelRequested = true;
       change(attempt.request);
     }
@@ -607,14 +614,14 @@
    * Lets the next of a key's requests into its queue when all before it are over and have rested.
    */
   private void advance(long now, Request s) {
-    Request head = s.ordered() ? s.line.head() : null;
-    if (head == null || head.outcome != null || head.held || !head.attempts.isEmpty()) {
+    Request head = s.ordered() ? s.keyQueue.firstUnfinished() : null;
+    if (head == null || head.outcome != null || head.queued || !head.attempts.isEmpty()) {
       return;
     }
-    if (now >= s.line.cooldownUntil) {
+    if (now >= s.keyQueue.cooldownUntil) {
       hold(head, false);
-    } else if (s.line.cooldownUntil < head.wakeAt) {
-      timers.set(head, s.line.cooldownUntil);
+    } else if (s.keyQueue.cooldownUntil < head.wakeAt) {
+      timers.set(head, s.keyQueue.cooldownUntil);
     }
   }
 
@@ -637,7 +644,7 @@
         double drawn =
             BetaDistribution.draw(
                 random, 1 + engine.successes.at(now), 1 + engine.failures.at(now));
-        if (engine.trialsOut == 0 && drawn > chance) {
+        if (engine.healthChecksInFlight == 0 && drawn > chance) {
           chance = drawn;
           likeliest = engine;
         }
@@ -654,7 +661,7 @@
       }
     }
     boolean trial =
-        likeliest != null && s.requestClass.terms.effect() == Effect.PURE && chance > TRIAL_CHANCE;
+        likeliest != null && s.requestClass.config.effect() == Effect.PURE && chance > TRIAL_CHANCE;
     if (likeliest != null && (trial || !sound)) {
       return likeliest;
     }
@@ -662,8 +669,8 @@
       return null;
     }
     stepAside(e -> s.attempts.stream().anyMatch(h -> h.engine == e));
-    if (s.requestClass.terms.holdsGroup() || s.requestClass.terms.waitsForGroup()) {
-      stepAside(e -> e.holdsGroup(s.tableGroup));
+    if (s.requestClass.config.loadsTableGroup() || s.requestClass.config.waitsForTableGroupLoad()) {
+      stepAside(e -> e.loadsTableGroup(s.tableGroup));
     }
     return fewest(now, s);
   }
@@ -674,15 +681,15 @@
    * until it is confirmed. It may hurt a gateway that has little else.
    */
   private boolean proven(Request s, Engine engine) {
-    boolean heard = engine.heardAt >= startedAt;
+    boolean heard = engine.lastResponseAt >= startedAt;
     if (engine.trust >= 1 || heard && engine.trust >= TRUSTED) {
       return true;
     }
-    RequestClassConfig terms = s.requestClass.terms;
+    RequestClassConfig terms = s.requestClass.config;
     return terms.effect() == Effect.PURE
-        && terms.kinds() == null
+        && terms.engineKinds() == null
         && terms.zones() == null
-        && (heard || engine.out.size() < Math.max(1, engine.trust * bound(engine)));
+        && (heard || engine.inFlight.size() < Math.max(1, engine.trust * bound(engine)));
   }
 
   /** Engines of which the test holds step aside while another remains. */
@@ -706,10 +713,10 @@
               + (recent(now, engine) ? engine.reportedQueries / cores(engine) : 0);
       // Guards against a jammed engine that answers nothing: after a while it would look idle.
       engine.load =
-          (engine.threadsOut + s.requestClass.terms.width()) / own
+          (engine.threadsInFlight + s.requestClass.config.threadsPerRequest()) / own
               + (recent(now, engine)
-                  ? engine.reportedBusy
-                  : Math.max(usualBusy, engine.reportedBusy));
+                  ? engine.reportedUtilization
+                  : Math.max(usualBusy, engine.reportedUtilization));
       cores += own;
       queries += engine.classLoad * own;
     }
@@ -729,9 +736,10 @@
       // cores:
       // guards
       // against many gateways that know little and would choose alike. It costs crossings.
-      boolean warm = engine.groups.contains(s.tableGroup) && engine.load <= usualLoad + 1e-9;
+      boolean warm =
+          engine.recentTableGroups.contains(s.tableGroup) && engine.load <= usualLoad + 1e-9;
       double chance = -Math.log(1 - random.nextDouble()) / engine.spareCores;
-      double rating = (engine.byTurn ? -1000 : warm ? 0 : 1000) + engine.load + chance;
+      double rating = (engine.usesSlowStartSlot ? -1000 : warm ? 0 : 1000) + engine.load + chance;
       if (rating < bestRating) {
         bestRating = rating;
         best = engine;
@@ -763,8 +771,8 @@
   private double spare(long now, Engine engine, RequestClass requestClass) {
     double bound = 0;
     for (RequestClass other : requestClasses) {
-      if (other != requestClass && other.openCores < allCores && other.terms.allows(engine)) {
-        bound += other.workSeen.at(now) / other.openCores;
+      if (other != requestClass && other.eligibleCores < allCores && other.config.allows(engine)) {
+        bound += other.offeredWork.at(now) / other.eligibleCores;
       }
     }
     return Math.max(LEAST_SPARE, 1 - bound * allCores / Math.max(1, allWork));
@@ -780,15 +788,16 @@
    */
   private boolean stalled(long now, Engine engine) {
     double ages = 0;
-    for (Attempt attempt : engine.out) {
+    for (Attempt attempt : engine.inFlight) {
       RequestClass requestClass = attempt.request.requestClass;
       double usual =
           requestClass.bestPace > 0
-              ? attempt.nominal * requestClass.bestPace
-              : requestClass.terms.latencyObjective() / FAR;
+              ? attempt.nominalTime * requestClass.bestPace
+              : requestClass.config.latencyObjective() / FAR;
       ages += Math.min(PACE_CAP, (now - attempt.sentAt) / Math.max(1, usual));
     }
-    return ages > STALL * engine.out.size() || engine.threadsOut >= ALL_CLASSES * cores(engine);
+    return ages > STALL * engine.inFlight.size()
+        || engine.threadsInFlight >= ALL_CLASSES * cores(engine);
   }
 
   /** What room an engine has under the bound; those with a better one come first. */
@@ -805,8 +814,8 @@
    * and alone.
    */
   private Room room(long now, Engine engine, RequestClass requestClass) {
-    boolean pressed = now < engine.pressedUntil;
-    int width = requestClass.terms.width();
+    boolean pressed = now < engine.overloadedUntil;
+    int width = requestClass.config.threadsPerRequest();
     int own = engine.inFlightByClass[requestClass.index] * width;
     double bound = bound(engine);
     double threads = threads(now, engine);
@@ -845,13 +854,13 @@
     allCores = 0;
     allWork = 0;
     for (RequestClass requestClass : requestClasses) {
-      allWork += requestClass.workSeen.at(now);
-      requestClass.openCores = 0;
+      allWork += requestClass.offeredWork.at(now);
+      requestClass.eligibleCores = 0;
     }
     Arrays.fill(poolBounds, 0);
     Arrays.fill(poolThreads, 0);
     for (Engine engine : engines) {
-      if (engine.standing != Status.READY) {
+      if (engine.status != Status.READY) {
         continue;
       }
       if (stalled(now, engine)) {
@@ -861,15 +870,15 @@
       ready++;
       allCores += cores(engine);
       for (RequestClass requestClass : requestClasses) {
-        requestClass.openCores += requestClass.terms.allows(engine) ? cores(engine) : 0;
+        requestClass.eligibleCores += requestClass.config.allows(engine) ? cores(engine) : 0;
       }
-      boolean under = now < engine.pressedUntil;
+      boolean under = now < engine.overloadedUntil;
       boolean doubt = doubtful(now, engine);
       pressed += under || doubt ? 1 : 0;
       sound += doubt ? 0 : 1;
       paces += doubt ? 0 : engine.pace.at(now);
       heard += recent(now, engine) ? 1 : 0;
-      usualBusy += recent(now, engine) ? engine.reportedBusy : 0;
+      usualBusy += recent(now, engine) ? engine.reportedUtilization : 0;
       poolBounds[under ? 1 : 0] += bound(engine);
       poolThreads[under ? 1 : 0] += threads(now, engine);
     }
@@ -885,15 +894,15 @@
    * cut nothing may have run.
    */
   private double threads(long now, Engine engine) {
-    return engine.threadsOut + engine.threadsLost.at(now);
+    return engine.threadsInFlight + engine.abandonedThreads.at(now);
   }
 
   private double bound(Engine engine) {
-    return cores(engine) / gateways * engine.boundFactor;
+    return cores(engine) / gateways * engine.concurrencyFactor;
   }
 
   private void press(long now, Engine engine) {
-    engine.pressedUntil = now + maxLatencyObjective;
+    engine.overloadedUntil = now + maxLatencyObjective;
   }
 
   /**
@@ -907,22 +916,23 @@
       cutBound(now, engine);
     } else if (pace < EASY
         && (fullest(engine) + 1 >= bound(engine)
-            || requestClasses.stream().anyMatch(t -> t.head() != null))) {
-      engine.boundFactor = Math.min(gateways * FAR / ALL_CLASSES, engine.boundFactor + BOUND_GROW);
+            || requestClasses.stream().anyMatch(t -> t.firstQueued() != null))) {
+      engine.concurrencyFactor =
+          Math.min(gateways * FAR / ALL_CLASSES, engine.concurrencyFactor + BOUND_GROW);
     }
   }
 
   /** Threads out of the fullest class, or the sum of all in class bounds. */
   private double fullest(Engine engine) {
-    return Math.max(engine.widest(), engine.threadsOut / ALL_CLASSES);
+    return Math.max(engine.threadsOfLargestClass(), engine.threadsInFlight / ALL_CLASSES);
   }
 
   private void cutBound(long now, Engine engine) {
-    if (now >= engine.boundCutAt) {
+    if (now >= engine.limitReducedAt) {
       double used = fullest(engine) / (cores(engine) / gateways);
-      double from = Math.min(engine.boundFactor, Math.max(used, BOUND_START));
-      engine.boundFactor = Math.max(BOUND_LEAST, from * BOUND_CUT);
-      engine.boundCutAt = now + minLatencyObjective;
+      double from = Math.min(engine.concurrencyFactor, Math.max(used, BOUND_START));
+      engine.concurrencyFactor = Math.max(BOUND_LEAST, from * BOUND_CUT);
+      engine.limitReducedAt = now + minLatencyObjective;
     }
   }
 
@@ -939,9 +949,10 @@
   }
 
   private boolean mayReject(Request s) {
-    RequestClassConfig terms = s.requestClass.terms;
+    RequestClassConfig terms = s.requestClass.config;
     return terms.effect() == Effect.PURE
-        || (terms.effect() == Effect.RECEIPTED && terms.circle() == DeduplicationGroup.ALL)
+        || (terms.effect() == Effect.RECEIPTED
+            && terms.deduplicationGroup() == DeduplicationGroup.ALL)
         || s.attempts.stream().noneMatch(Attempt::mayHaveRun);
   }
 
@@ -954,9 +965,9 @@
    */
   private boolean withinBudget(long now, int more) {
     return further == null
-        || further.most(now) + more
+        || further.upperBound(now) + more
             <= settings.amount("guarantees.extra_floor", 0)
-                + settings.amount("guarantees.further_ratio", 0) * taken.least(now);
+                + settings.amount("guarantees.further_ratio", 0) * taken.lowerBound(now);
   }
 
   /**
@@ -964,7 +975,7 @@
    * first.
    */
   private double warmth(long now, Engine engine) {
-    long started = Math.max(engine.startedAt, engine.fellAt);
+    long started = Math.max(engine.startedAt, engine.restartSeenAt);
     if (started <= 0 || now - started >= warmWithin) {
       return 1;
     }
@@ -980,15 +991,15 @@
    */
   private boolean coldRoom(long now, Engine engine, double work) {
     double warmth = warmth(now, engine);
-    engine.byTurn = false;
+    engine.usesSlowStartSlot = false;
     if (warmth >= 1 || fallSpan <= 0) {
       return true;
     }
-    long up = now - Math.max(engine.startedAt, engine.fellAt);
+    long up = now - Math.max(engine.startedAt, engine.restartSeenAt);
     double bears = settings.amount("guarantees.fall_multiple", 1) * warmth * cores(engine);
     double all = bears * Math.max(0, Math.min(up, fallSpan)) * COLD_USE;
-    double left = all / gateways - engine.workSent.most(now);
-    engine.byTurn = work > left;
+    double left = all / gateways - engine.workSent.upperBound(now);
+    engine.usesSlowStartSlot = work > left;
     return now >= startedAt + fallSpan && work <= all && turn(up, now - up) * work <= left;
   }
 
@@ -1007,9 +1018,10 @@
   // ---- attempts ----
 
   private void place(long now, Request s, Engine engine) {
-    double nominal = work(now, s) / s.requestClass.terms.width();
-    long expected = (long) (nominal * s.requestClass.best() * Math.max(1, engine.pace.at(now)));
-    s.rank = rank(now, s);
+    double nominal = work(now, s) / s.requestClass.config.threadsPerRequest();
+    long expected =
+        (long) (nominal * s.requestClass.bestPaceOrDefault() * Math.max(1, engine.pace.at(now)));
+    s.priority = rank(now, s);
     double memory = s.memoryEstimate * s.requestClass.memoryBias.at(now) * GRANT_MARGIN;
     if (settings.flag("family_info.grants") && memory > 0) {
       double most =
@@ -1023,7 +1035,7 @@
     Attempt attempt = new Attempt(s, engine, now, expected, nominal, doubtful(now, engine));
     s.attempts.add(attempt);
     s.attemptsInFlight++;
-    engine.enter(attempt, WARM_GROUPS);
+    engine.attemptStarted(attempt, WARM_GROUPS);
     engine.workSent.add(now, work(now, s));
     change(s);
     timers.set(s, Math.min(lastMoment(s), now + quietLimit(s, attempt)));
@@ -1031,7 +1043,7 @@
 
   private int rank(long now, Request s) {
     double usual = valueSeen.at(now) / Math.max(1, allWork);
-    double dense = s.requestClass.terms.value() / Math.max(1, work(now, s)) / usual;
+    double dense = s.requestClass.config.priorityWeight() / Math.max(1, work(now, s)) / usual;
     return dense >= 4 ? 3 : dense >= 1 ? 2 : dense >= 0.25 ? 1 : 0;
   }
 
@@ -1048,7 +1060,7 @@
   }
 
   private boolean worthAnother(long now, Request s) {
-    return !s.unusable
+    return !s.unservable
         && s.attempts.size() < settings.number("caps.max_attempts", 1)
         && budgetLeft(now)
         && now + usual(now, s) < tooLateAt(now, s)
@@ -1057,7 +1069,7 @@
 
   /** What is due for a request: its end, or a look at the attempt that is out. */
   private void review(long now, Request s) {
-    if (s.begun) {
+    if (s.responseStarted) {
       return;
     }
     if (now >= tooLateAt(now, s)) {
@@ -1066,15 +1078,15 @@
     }
     if (s.attemptsInFlight == 0) {
       advance(now, s);
-      if (s.held && hopeless(now, s)) {
+      if (s.queued && hopeless(now, s)) {
         giveUp(now, s, TerminationReason.NO_TIME_LEFT);
       } else if (s.wakeAt == Long.MAX_VALUE) {
-        timers.set(s, s.held ? Math.max(now + tick, hopelessAt(now, s)) : tooLateAt(now, s));
+        timers.set(s, s.queued ? Math.max(now + tick, hopelessAt(now, s)) : tooLateAt(now, s));
       }
       return;
     }
     Attempt attempt = s.attempts.get(s.attempts.size() - 1);
-    long quiet = now - Math.max(attempt.engine.heardAt, attempt.sentAt);
+    long quiet = now - Math.max(attempt.engine.lastResponseAt, attempt.sentAt);
     if (quiet >= quietLimit(s, attempt)) {
       suspect(now, attempt);
     }
@@ -1096,7 +1108,8 @@
     return (long)
         (noteEvery > 0
             ? Math.max(QUIET_NOTES * noteEvery, minLatencyObjective / 2.0)
-            : Math.max(QUIET * attempt.expected, s.requestClass.terms.latencyObjective() / 2.0));
+            : Math.max(
+                QUIET * attempt.expectedTime, s.requestClass.config.latencyObjective() / 2.0));
   }
 
   private void suspect(long now, Attempt attempt) {
@@ -1111,7 +1124,7 @@
 
   /** Whether another attempt could follow if the one that is out were cancelled now. */
   private boolean mayRetryAfterCancel(long now, Request s) {
-    return s.requestClass.terms.effect() != Effect.EFFECTFUL && worthAnother(now, s);
+    return s.requestClass.config.effect() != Effect.EFFECTFUL && worthAnother(now, s);
   }
 
   /**
@@ -1121,16 +1134,17 @@
    */
   private void judgeProgress(long now, Attempt attempt) {
     long age = now - attempt.sentAt;
-    double projected = age / Math.max(LEAST_SHARE, attempt.share);
+    double projected = age / Math.max(LEAST_SHARE, attempt.completedShare);
     RequestClass requestClass = attempt.request.requestClass;
     double known = requestClass.bestPace > 0 ? 1 : UNKNOWN;
     double usual =
         known
-            * attempt.nominal
+            * attempt.nominalTime
             * Math.max(
                 requestClass.pace.at(now),
-                requestClass.best() * Math.max(1, attempt.engine.pace.at(now)));
-    double pace = projected / attempt.nominal / attempt.request.requestClass.best();
+                requestClass.bestPaceOrDefault() * Math.max(1, attempt.engine.pace.at(now)));
+    double pace =
+        projected / attempt.nominalTime / attempt.request.requestClass.bestPaceOrDefault();
     attempt.engine.pace.add(now, Math.min(PACE_CAP, pace), 0.5);
     adjustBound(now, attempt.engine);
     if (projected > BAD_PLAN * usual
@@ -1145,7 +1159,7 @@
 
   private void judge(long now, Attempt attempt, AttemptOutcome outcome) {
     Engine engine = attempt.engine;
-    engine.heardAt = outcome.heard ? now : engine.heardAt;
+    engine.lastResponseAt = outcome.engineResponded ? now : engine.lastResponseAt;
     switch (outcome) {
       case SUCCEEDED -> count(now, attempt, engine.successes, 1, engine.failures);
       // Guards against an engine that fails or refuses at once: its empty counts would draw its
@@ -1158,8 +1172,8 @@
       // Guards against a request that no engine can use: the second that errs speaks for the
       // first.
       case FAILED -> {
-        Engine before = attempt.request.erredElsewhere(engine);
-        attempt.request.unusable = before != null;
+        Engine before = attempt.request.otherFailedEngine(engine);
+        attempt.request.unservable = before != null;
         if (before == null) {
           count(now, attempt, engine.failures, 1, engine.successes);
         } else {
@@ -1171,16 +1185,16 @@
       // comes
       // back cold. One alone is the network's; two with nothing heard between are the process'.
       case CONNECTION_LOST -> {
-        boolean fell = engine.heardAt < engine.severedAt;
+        boolean fell = engine.lastResponseAt < engine.connectionLostAt;
         count(now, attempt, engine.failures, fell ? SILENCE_WEIGHT : 1, engine.successes);
-        engine.fellAt = fell ? now : engine.fellAt;
-        engine.severedAt = now;
+        engine.restartSeenAt = fell ? now : engine.restartSeenAt;
+        engine.connectionLostAt = now;
       }
       case TIMED_OUT -> {
-        if (engine.heardAt < attempt.sentAt) {
+        if (engine.lastResponseAt < attempt.sentAt) {
           engine.failures.add(now, 1);
         } else if (!mayCancel) {
-          engine.threadsLost.add(now, attempt.request.requestClass.terms.width());
+          engine.abandonedThreads.add(now, attempt.request.requestClass.config.threadsPerRequest());
         }
       }
       default -> {}
@@ -1190,7 +1204,7 @@
   /** A trial tells of now: its outcome wipes out most of what spoke for the other. */
   private void count(long now, Attempt attempt, DecayingSum sum, double weight, DecayingSum other) {
     sum.add(now, weight);
-    if (attempt.trial) {
+    if (attempt.healthCheck) {
       other.add(now, -TRIAL_CLEARS * other.at(now));
     }
   }
@@ -1198,23 +1212,28 @@
   private void learn(long now, Attempt attempt, long lag, double work, double memory) {
     Request s = attempt.request;
     RequestClass requestClass = s.requestClass;
-    if (work > 0 && s.estimate > 0) {
-      requestClass.bias.add(now, Math.min(2 * PACE_CAP, work / s.estimate), 1);
+    if (work > 0 && s.workEstimate > 0) {
+      requestClass.workBias.add(now, Math.min(2 * PACE_CAP, work / s.workEstimate), 1);
     }
     if (memory > 0 && s.memoryEstimate > 0) {
       requestClass.memoryBias.add(now, Math.min(2 * PACE_CAP, memory / s.memoryEstimate), 1);
     }
     requestClass.work.add(
-        now, work > 0 ? work : s.estimate > 0 ? work(now, s) : lag * requestClass.terms.width(), 1);
-    double nominal = work > 0 ? work / requestClass.terms.width() : attempt.nominal;
+        now,
+        work > 0
+            ? work
+            : s.workEstimate > 0 ? work(now, s) : lag * requestClass.config.threadsPerRequest(),
+        1);
+    double nominal =
+        work > 0 ? work / requestClass.config.threadsPerRequest() : attempt.nominalTime;
     double pace = lag / Math.max(1, nominal);
-    requestClass.pace.add(now, Math.min(pace, 2 * PACE_CAP * requestClass.best()), 1);
+    requestClass.pace.add(now, Math.min(pace, 2 * PACE_CAP * requestClass.bestPaceOrDefault()), 1);
     if (requestClass.pace.weight(now) >= ENOUGH) {
       double mean = requestClass.pace.at(now);
       requestClass.bestPace =
           requestClass.bestPace == 0 ? mean : Math.min(requestClass.bestPace, mean);
     }
-    double timesBest = Math.min(PACE_CAP, pace / requestClass.best());
+    double timesBest = Math.min(PACE_CAP, pace / requestClass.bestPaceOrDefault());
     attempt.engine.pace.add(now, timesBest, 1);
     lately.add(now, timesBest, 1);
     adjustBound(now, attempt.engine);
@@ -1225,17 +1244,19 @@
       return;
     }
     engine.reportedAt = now;
-    engine.reportedBusy = 0;
+    engine.reportedUtilization = 0;
     for (int i = 0; i < Math.min(report.length, reportFields.size()); i++) {
       switch (reportFields.get(i)) {
         case "busy_reqs" -> engine.reportedQueries = report[i];
-        case "cpu_share", "x1" -> engine.reportedBusy = Math.max(engine.reportedBusy, report[i]);
+        case "cpu_share", "x1" ->
+            engine.reportedUtilization = Math.max(engine.reportedUtilization, report[i]);
         case "pending" ->
-            engine.reportedBusy = Math.max(engine.reportedBusy, report[i] >= 1 ? 1 : 0);
+            engine.reportedUtilization =
+                Math.max(engine.reportedUtilization, report[i] >= 1 ? 1 : 0);
         default -> {}
       }
     }
-    if (engine.reportedBusy >= BUSY) {
+    if (engine.reportedUtilization >= BUSY) {
       press(now, engine);
     }
   }
@@ -1246,19 +1267,24 @@
   }
 
   private static double work(long now, Request s) {
-    return s.estimate > 0 ? s.estimate * s.requestClass.bias.at(now) : s.requestClass.work.at(now);
+    return s.workEstimate > 0
+        ? s.workEstimate * s.requestClass.workBias.at(now)
+        : s.requestClass.work.at(now);
   }
 
   /** Time that an attempt sent now is expected to take on an ordinary engine. */
   private long usual(long now, Request s) {
     double pace =
-        Math.max(s.requestClass.pace.at(now), s.requestClass.best() * Math.max(1, fleetPace));
-    return (long) (work(now, s) / s.requestClass.terms.width() * pace);
+        Math.max(
+            s.requestClass.pace.at(now),
+            s.requestClass.bestPaceOrDefault() * Math.max(1, fleetPace));
+    return (long) (work(now, s) / s.requestClass.config.threadsPerRequest() * pace);
   }
 
   private static long latencyObjective(long now, Request s) {
-    RequestClassConfig terms = s.requestClass.terms;
-    return terms.latencyObjective() + (long) (terms.stretch() * work(now, s) / terms.width());
+    RequestClassConfig terms = s.requestClass.config;
+    return terms.latencyObjective()
+        + (long) (terms.objectiveStretch() * work(now, s) / terms.threadsPerRequest());
   }
 
   private static long softEnd(long now, Request s) {
@@ -1272,7 +1298,7 @@
 
   /** From here on an answer pays nothing. */
   private long tooLateAt(long now, Request s) {
-    return s.requestClass.terms.lateValue() > 0
+    return s.requestClass.config.latePriorityWeight() > 0
         ? lastMoment(s)
         : Math.min(lastMoment(s), (long) (s.arrivedAt + latencyObjective(now, s) * LATE_MARGIN));
   }
--- a/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
+++ b/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
@@ -10,23 +10,23 @@
  * told when an answer that holds it is sent, whether or not that arrives or is read in time, and at
  * the latest some time after it happened. So knowledge is a lease: an answer to a question asked at
  * {@code t} proves the list as of {@code t}. Anything newer was told no earlier than the first
- * later question that has no answer here, and no earlier than {@link #TOLD_AFTER} after {@code t}.
- * From a grace after that moment on the list is unsafe until another answer comes.
+ * later question that has no answer here, and no earlier than {@link #ASSUMED_NOTIFIED_AFTER} after
+ * {@code t}. From a grace after that moment on the list is unsafe until another answer comes.
  *
  * <p>What is unsafe because this process did not ask or did not run is awaited: a question is out
  * and the answer takes milliseconds. What stays without an answer for several questions in a row is
  * most likely an outage of the discovery service, in which nobody is told anything; then the last
- * list is used up to {@link #TOLD_ANYWAY_AFTER}, after which events count as told whether or not an
- * answer arrived. docs/incidents/incident-1.md has the price of each choice.
+ * list is used up to {@link #ASSUMED_NOTIFIED_IN_OUTAGE_AFTER}, after which events count as told
+ * whether or not an answer arrived. docs/incidents/incident-1.md has the price of each choice.
  *
  * <p>Times are tenths of a millisecond of a clock that never steps.
  */
 public final class DiscoveryLease {
   /** An event counts as told this long after it happened, though nobody asked. */
-  public static final long TOLD_AFTER = 1_500 * Units.TENTHS_PER_MS;
+  public static final long ASSUMED_NOTIFIED_AFTER = 1_500 * Units.TENTHS_PER_MS;
 
   /** The same where answers don't arrive. */
-  public static final long TOLD_ANYWAY_AFTER = 7_000 * Units.TENTHS_PER_MS;
+  public static final long ASSUMED_NOTIFIED_IN_OUTAGE_AFTER = 7_000 * Units.TENTHS_PER_MS;
 
   /** Share of the grace that is used; the rest pays for turns, writes and the way to the engine. */
   private static final double GRACE_USED = 0.8;
@@ -91,7 +91,7 @@
   }
 
   /** A question is sent. */
-  public void asked(long now) {
+  public void onPollSent(long now) {
     outstanding.addLast(now);
     if (outstanding.size() > OUTSTANDING_KEPT) {
       // The second oldest goes: the oldest tells since when something newer may have been told.
@@ -104,7 +104,7 @@
   }
 
   /** The answer to the question asked then was taken in. */
-  public void answered(long askedAt, long now) {
+  public void onPollAnswered(long askedAt, long now) {
     outstanding.removeIf(at -> at <= askedAt);
     confirmedAt = everConfirmed ? Math.max(confirmedAt, askedAt) : askedAt;
     everConfirmed = true;
@@ -118,7 +118,7 @@
    * An answer came whose list is older than the one that is known: the service is there, and proves
    * nothing newer.
    */
-  public void answeredWithOlder(long now) {
+  public void onOutdatedAnswer(long now) {
     aliveAt = now;
   }
 
@@ -158,7 +158,7 @@
   }
 
   private long confirmedUntil() {
-    long newerToldAt = confirmedAt + TOLD_AFTER;
+    long newerToldAt = confirmedAt + ASSUMED_NOTIFIED_AFTER;
     if (!outstanding.isEmpty()) {
       newerToldAt = Math.min(newerToldAt, outstanding.peekFirst());
     }
@@ -170,6 +170,6 @@
   }
 
   private long expiresAt() {
-    return Math.max(confirmedAt, aliveAt) + TOLD_ANYWAY_AFTER + usableGrace;
+    return Math.max(confirmedAt, aliveAt) + ASSUMED_NOTIFIED_IN_OUTAGE_AFTER + usableGrace;
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -81,18 +81,18 @@
   }
 
   /** A request was accepted. */
-  public void taken(long now) {
+  public void onRequestAccepted(long now) {
     taken.add(now, 1);
   }
 
   /** The list was told; {@code whole} means that engines not in it are gone. */
-  public void listed(long now, boolean whole, List<EndpointUpdate> entries) {
+  public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
       ready.forEach(engine -> notReadySince.putIfAbsent(engine, now));
       ready.clear();
     }
     for (EndpointUpdate entry : entries) {
-      if (entry.standing() == Status.READY) {
+      if (entry.status() == Status.READY) {
         ready.add(entry.engine());
         notReadySince.remove(entry.engine());
       } else {
@@ -104,19 +104,19 @@
         .entrySet()
         .removeIf(
             entry ->
-                entry.getKey().standing == Status.GONE && now > entry.getValue() + FORGOTTEN_AFTER);
+                entry.getKey().status == Status.GONE && now > entry.getValue() + FORGOTTEN_AFTER);
     workWritten.keySet().retainAll(ready);
   }
 
   /** A final answer became ready. */
-  public Set<Invariant> answered(long now, Request request) {
+  public Set<Invariant> checkAnswer(long now, Request request) {
     return now > request.clientDeadline + ANSWER_SLACK
         ? EnumSet.of(Invariant.ANSWER_IN_TIME)
         : Set.of();
   }
 
   /** An attempt was written; what that broke. */
-  public Set<Invariant> written(Written written) {
+  public Set<Invariant> checkWritten(Written written) {
     EnumSet<Invariant> broken = EnumSet.noneOf(Invariant.class);
     Attempt attempt = written.attempt;
     Request request = attempt.request;
@@ -131,7 +131,8 @@
     note(
         broken,
         Invariant.CLIENT_WAITS,
-        request.outcome == RequestOutcome.CLIENT_DISCONNECTED && at > request.leftAt + LEFT_SLACK
+        request.outcome == RequestOutcome.CLIENT_DISCONNECTED
+                && at > request.disconnectedAt + LEFT_SLACK
             || at > request.clientDeadline + SLACK);
     note(
         broken,
@@ -149,8 +150,10 @@
     note(
         broken,
         Invariant.ORDER,
-        request.ordered() && request.line.head() != request && request.outcome == null);
-    note(broken, Invariant.PLACEMENT, !request.requestClass.terms.allows(attempt.engine));
+        request.ordered()
+            && request.keyQueue.firstUnfinished() != request
+            && request.outcome == null);
+    note(broken, Invariant.PLACEMENT, !request.requestClass.config.allows(attempt.engine));
     note(broken, Invariant.RETRY_BUDGET, exceedsBudget(attempt, at));
     note(broken, Invariant.SLOW_START, overloadsCold(attempt, at));
     return broken;
@@ -163,7 +166,7 @@
   }
 
   private static boolean runsTwice(Attempt attempt, long at) {
-    RequestClassConfig terms = attempt.request.requestClass.terms;
+    RequestClassConfig terms = attempt.request.requestClass.config;
     if (terms.effect() == Effect.PURE) {
       return false;
     }
@@ -172,8 +175,8 @@
         continue;
       }
       if (terms.effect() == Effect.EFFECTFUL
-          || !terms.circle().joins(other.engine, attempt.engine)
-          || at > other.writtenAt + terms.window() + SLACK) {
+          || !terms.deduplicationGroup().covers(other.engine, attempt.engine)
+          || at > other.writtenAt + terms.deduplicationWindow() + SLACK) {
         return true;
       }
     }
@@ -185,7 +188,8 @@
       return false;
     }
     further.add(at, 1);
-    return further.least(at) > 1 + budgetFloor + BUDGET_SLACK * budgetShare * taken.most(at);
+    return further.lowerBound(at)
+        > 1 + budgetFloor + BUDGET_SLACK * budgetShare * taken.upperBound(at);
   }
 
   /**
@@ -193,7 +197,8 @@
    * mean requests, and 2.
    */
   private boolean overloadsCold(Attempt attempt, long at) {
-    double work = Math.max(1, attempt.nominal * attempt.request.requestClass.terms.width());
+    double work =
+        Math.max(1, attempt.nominalTime * attempt.request.requestClass.config.threadsPerRequest());
     works += work;
     written++;
     if (fallSpan <= 0) {
@@ -211,6 +216,6 @@
     double cores = Math.max(1, settings.nth("family_info.kind_cores", attempt.engine.kind, 1));
     double mean = works / written;
     double requests = fallMultiple * warmth * cores * fallSpan / mean;
-    return sum.least(at) > (requests + 2 * Math.sqrt(requests) + 2) * mean;
+    return sum.lowerBound(at) > (requests + 2 * Math.sqrt(requests) + 2) * mean;
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -17,7 +17,7 @@
    * How long after it was allowed an attempt may still be written: for longer, what it was allowed
    * by may have changed unseen.
    */
-  public static final long WRITE_WITHIN = 1_000;
+  public static final long MAX_WRITE_DELAY = 1_000;
 
   private final long tick;
   private long listUsableUntil = Long.MAX_VALUE;
@@ -30,7 +30,7 @@
   }
 
   /** The endpoint list may be used for new attempts before that moment. */
-  public void endpointsUsableUntil(long until) {
+  public void setListUsableUntil(long until) {
     listUsableUntil = until;
   }
 
@@ -67,7 +67,7 @@
     if (now >= listUsableUntil) {
       return SendVerdict.LIST_UNCONFIRMED;
     }
-    if (request.ordered() && request.line.head() != request) {
+    if (request.ordered() && request.keyQueue.firstUnfinished() != request) {
       return SendVerdict.ORDER;
     }
     return checkEndpoint(now, request, attempt.engine, attempt);
@@ -75,24 +75,25 @@
 
   /** The last moment at which the first byte of an attempt may go out that is allowed now. */
   public long writeDeadline(long now, Attempt attempt) {
-    return Math.min(now + WRITE_WITHIN, Math.min(listUsableUntil, attempt.request.clientDeadline));
+    return Math.min(
+        now + MAX_WRITE_DELAY, Math.min(listUsableUntil, attempt.request.clientDeadline));
   }
 
   /**
    * @param next the attempt that is about to begin there, or null if it has yet to be placed
    */
   private SendVerdict checkEndpoint(long now, Request request, Engine engine, Attempt next) {
-    if (engine.standing != Status.READY) {
+    if (engine.status != Status.READY) {
       return SendVerdict.ENGINE_NOT_READY;
     }
-    if (!request.requestClass.terms.allows(engine)) {
+    if (!request.requestClass.config.allows(engine)) {
       return SendVerdict.PLACEMENT;
     }
     return repeatAllowed(now, request, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
   }
 
   private boolean repeatAllowed(long now, Request request, Engine engine, Attempt next) {
-    RequestClassConfig terms = request.requestClass.terms;
+    RequestClassConfig terms = request.requestClass.config;
     if (request.attempts.isEmpty() || terms.effect() == Effect.PURE) {
       return true;
     }
@@ -101,8 +102,8 @@
         continue;
       }
       if (terms.effect() == Effect.EFFECTFUL
-          || !terms.circle().joins(attempt.engine, engine)
-          || now + tick >= attempt.sentAt + terms.window()) {
+          || !terms.deduplicationGroup().covers(attempt.engine, engine)
+          || now + tick >= attempt.sentAt + terms.deduplicationWindow()) {
         return false;
       }
     }
--- a/gateway/src/main/java/tillerlink/policy/StartTime.java
+++ b/gateway/src/main/java/tillerlink/policy/StartTime.java
@@ -20,7 +20,9 @@
       return told;
     }
     long earliest =
-        confirmedAt == Long.MIN_VALUE ? Long.MIN_VALUE : confirmedAt - DiscoveryLease.TOLD_AFTER;
+        confirmedAt == Long.MIN_VALUE
+            ? Long.MIN_VALUE
+            : confirmedAt - DiscoveryLease.ASSUMED_NOTIFIED_AFTER;
     return Math.min(now, Math.max(told, earliest));
   }
 }
--- a/gateway/src/main/java/tillerlink/wirehost/Instance.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Instance.java
@@ -130,7 +130,7 @@
 
   private void ended(long now, Message event) {
     Attempt attempt = attempt(event.text(2, "tid"), event.number(3, "seq_no"));
-    if (attempt == null || !attempt.isOut()) {
+    if (attempt == null || !attempt.isInFlight()) {
       return;
     }
     long bill = event.numberOr(8, 0);
--- a/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
+++ b/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
@@ -299,7 +299,7 @@
   private static RequestClassConfig terms(Map<String, Object> plain, int requestClass) {
     Request request = request(requestClass, 10);
     new DefaultDispatchPolicy(10, 5, plain, NO_ORDERS).onRequestArrived(10, request);
-    return request.requestClass.terms;
+    return request.requestClass.config;
   }
 
   private static Request request(int requestClass, long now) {
--- a/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
+++ b/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
@@ -154,9 +154,9 @@
     assertEquals(11, arrived.get(7).tableGroup);
     assertEquals(true, arrived.get(7).repeat);
     assertEquals(9000, arrived.get(7).clientDeadline);
-    assertEquals(120.0, arrived.get(7).estimate);
+    assertEquals(120.0, arrived.get(7).workEstimate);
     assertEquals(384.0, arrived.get(7).memoryEstimate);
-    assertSame(arrived.get(0).line, arrived.get(7).line);
+    assertSame(arrived.get(0).keyQueue, arrived.get(7).keyQueue);
   }
 
   private static EndpointUpdate listed(List<Object> given, int place) {
--- a/gateway/src/test/java/tillerlink/SlowStartSimulation.java
+++ b/gateway/src/test/java/tillerlink/SlowStartSimulation.java
@@ -245,7 +245,7 @@
     }
 
     void ended(Attempt attempt, AttemptOutcome outcome) {
-      if (policy != null && job(attempt).life == life && attempt.isOut()) {
+      if (policy != null && job(attempt).life == life && attempt.isInFlight()) {
         policy.onAttemptEnded(
             now,
             attempt,
--- a/gateway/src/test/java/tillerlink/Trace.java
+++ b/gateway/src/test/java/tillerlink/Trace.java
@@ -348,7 +348,7 @@
             + attempt.request.tag
             + " -> "
             + attempt.engine.tag
-            + (attempt.trial ? " (trial)" : ""));
+            + (attempt.healthCheck ? " (trial)" : ""));
   }
 
   @Override
--- a/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
+++ b/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
@@ -20,9 +20,9 @@
   void theListOfTheStartIsAwaitedUntilTheFirstAnswer() {
     assertEquals(EndpointListState.AWAITED, lease.state(START));
     assertEquals(0, lease.usableUntil(START));
-    lease.asked(START + 100);
+    lease.onPollSent(START + 100);
     assertEquals(EndpointListState.AWAITED, lease.state(START + 200));
-    lease.answered(START + 100, START + 200);
+    lease.onPollAnswered(START + 100, START + 200);
     assertEquals(EndpointListState.CONFIRMED, lease.state(START + 200));
   }
 
@@ -33,7 +33,7 @@
   @Test
   void anAnswerHoldsUntilAnEventAfterItCanHaveBeenToldForAGrace() {
     confirm(START);
-    long until = START + DiscoveryLease.TOLD_AFTER + USABLE;
+    long until = START + DiscoveryLease.ASSUMED_NOTIFIED_AFTER + USABLE;
     assertEquals(until, lease.usableUntil(START + SECOND));
     assertEquals(EndpointListState.CONFIRMED, lease.state(until - 1));
     assertEquals(EndpointListState.AWAITED, lease.state(until));
@@ -44,21 +44,22 @@
   @Test
   void aQuestionThatIsOutShortensIt() {
     confirm(START);
-    lease.asked(START + 4_000);
+    lease.onPollSent(START + 4_000);
     assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 4_100));
-    lease.asked(START + 5_250);
+    lease.onPollSent(START + 5_250);
     assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 5_300));
-    lease.answered(START + 5_250, START + 5_300);
+    lease.onPollAnswered(START + 5_250, START + 5_300);
     assertEquals(
-        START + 5_250 + DiscoveryLease.TOLD_AFTER + USABLE, lease.usableUntil(START + 5_300));
+        START + 5_250 + DiscoveryLease.ASSUMED_NOTIFIED_AFTER + USABLE,
+        lease.usableUntil(START + 5_300));
   }
 
   /** An answer that was sent long before it was read proves only the list as of its question. */
   @Test
   void whatComesLateConfirmsAsOfItsQuestion() {
     confirm(START);
-    lease.asked(START + 4_000);
-    lease.answered(START + 4_000, START + 60_000);
+    lease.onPollSent(START + 4_000);
+    lease.onPollAnswered(START + 4_000, START + 60_000);
     assertEquals(EndpointListState.AWAITED, lease.state(START + 60_000));
   }
 
@@ -66,18 +67,18 @@
   void anOutageIsToldFromLossesBySixQuestionsInTwoGraces() {
     confirm(START);
     for (int i = 0; i < 5; i++) {
-      lease.asked(START + 4_000 + i * 1_250);
+      lease.onPollSent(START + 4_000 + i * 1_250);
     }
     assertEquals(EndpointListState.AWAITED, lease.state(START + 40_000));
-    lease.asked(START + 10_250);
+    lease.onPollSent(START + 10_250);
     assertEquals(EndpointListState.AWAITED, lease.state(START + 4_000 + 2 * GRACE - 1));
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 4_000 + 2 * GRACE));
-    long expires = START + DiscoveryLease.TOLD_ANYWAY_AFTER + USABLE;
+    long expires = START + DiscoveryLease.ASSUMED_NOTIFIED_IN_OUTAGE_AFTER + USABLE;
     assertEquals(expires, lease.usableUntil(START + 20_000));
     assertEquals(EndpointListState.EXPIRED, lease.state(expires));
     assertEquals(0, lease.usableUntil(expires));
-    lease.asked(expires);
-    lease.answered(expires, expires + 50);
+    lease.onPollSent(expires);
+    lease.onPollAnswered(expires, expires + 50);
     assertEquals(EndpointListState.CONFIRMED, lease.state(expires + 50));
   }
 
@@ -90,7 +91,7 @@
     confirm(START);
     for (int i = 0; i < 6; i++) {
       lease.observe(START + 4_000 + i * 1_250);
-      lease.asked(START + 4_000 + i * 1_250);
+      lease.onPollSent(START + 4_000 + i * 1_250);
     }
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 20_000));
     assertTrue(lease.observe(START + 40_000));
@@ -104,8 +105,8 @@
     confirm(START);
     for (long at = START + 4_000; at < START + 200_000; at += 2_500) {
       lease.observe(at);
-      lease.asked(at);
-      lease.answeredWithOlder(at + 10);
+      lease.onPollSent(at);
+      lease.onOutdatedAnswer(at + 10);
     }
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 200_000));
   }
@@ -121,10 +122,10 @@
     for (long now = START; now < START + 60 * SECOND; now += 500) {
       lease.observe(now);
       if ((now - START) % 2_500 == 0) {
-        lease.asked(now);
+        lease.onPollSent(now);
       }
       if (now > START + 6_000 && (now - START) % 2_500 == 1_000) {
-        lease.answered(now - 6_000, now);
+        lease.onPollAnswered(now - 6_000, now);
       }
       awaited += lease.state(now) == EndpointListState.AWAITED ? 500 : 0;
     }
@@ -146,12 +147,12 @@
       for (long now = START; now < START + 20 * SECOND; now += 250) {
         own.observe(now);
         if (now >= nextAt) {
-          own.asked(now);
+          own.onPollSent(now);
           boolean lost = random.nextInt(3) == 0;
           if (lost) {
             firstLost = Math.min(firstLost, now);
           } else {
-            own.answered(now, now);
+            own.onPollAnswered(now, now);
             firstLost = Long.MAX_VALUE;
           }
           nextAt = now + 1_250 + random.nextInt(3_000);
@@ -164,7 +165,7 @@
   }
 
   private void confirm(long at) {
-    lease.asked(at);
-    lease.answered(at, at);
+    lease.onPollSent(at);
+    lease.onPollAnswered(at, at);
   }
 }
--- a/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
+++ b/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
@@ -62,18 +62,18 @@
   void theClient() {
     Request left = request(Effect.PURE, null);
     left.outcome = RequestOutcome.CLIENT_DISCONNECTED;
-    left.leftAt = NOW;
+    left.disconnectedAt = NOW;
     assertEquals(Set.of(), written(attempt(left, engine), NOW + 1_000));
     assertEquals(Set.of(Invariant.CLIENT_WAITS), written(attempt(left, engine), NOW + 1_001));
     Attempt late = attempt(request(Effect.PURE, null), engine);
     long at = NOW + DEADLINE + 501;
     assertEquals(
         Set.of(Invariant.CLIENT_WAITS),
-        monitor.written(new InvariantMonitor.Written(late, at, at, 0)));
+        monitor.checkWritten(new InvariantMonitor.Written(late, at, at, 0)));
     Request answered = request(Effect.PURE, null);
-    assertEquals(Set.of(), monitor.answered(NOW + DEADLINE + 5_000, answered));
+    assertEquals(Set.of(), monitor.checkAnswer(NOW + DEADLINE + 5_000, answered));
     assertEquals(
-        Set.of(Invariant.ANSWER_IN_TIME), monitor.answered(NOW + DEADLINE + 5_001, answered));
+        Set.of(Invariant.ANSWER_IN_TIME), monitor.checkAnswer(NOW + DEADLINE + 5_001, answered));
   }
 
   @Test
@@ -82,10 +82,11 @@
     long at = NOW + 10_000;
     long left = DEADLINE - 10_000;
     assertEquals(
-        Set.of(), monitor.written(new InvariantMonitor.Written(attempt, at, at, left + LIMIT)));
+        Set.of(),
+        monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, left + LIMIT)));
     assertEquals(
         Set.of(Invariant.LIMIT),
-        monitor.written(new InvariantMonitor.Written(attempt, at, at, left + LIMIT + 1)));
+        monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, left + LIMIT + 1)));
   }
 
   @Test
@@ -112,7 +113,7 @@
     assertEquals(
         Set.of(Invariant.DRAIN), written(attempt(request(Effect.PURE, null), engine), NOW + 5_501));
     listed(NOW, Status.READY);
-    monitor.listed(NOW + SECOND, true, List.of());
+    monitor.onEndpointsChanged(NOW + SECOND, true, List.of());
     assertEquals(
         Set.of(Invariant.DRAIN),
         written(attempt(request(Effect.PURE, null), engine), NOW + SECOND + 5_501));
@@ -122,10 +123,10 @@
   void whatGoesOutLaterThanAllowed() {
     Attempt attempt = attempt(request(Effect.PURE, null), engine);
     assertEquals(
-        Set.of(), monitor.written(new InvariantMonitor.Written(attempt, NOW + 500, NOW, 0)));
+        Set.of(), monitor.checkWritten(new InvariantMonitor.Written(attempt, NOW + 500, NOW, 0)));
     assertEquals(
         Set.of(Invariant.WRITE_IN_TIME),
-        monitor.written(new InvariantMonitor.Written(attempt, NOW + 501, NOW, 0)));
+        monitor.checkWritten(new InvariantMonitor.Written(attempt, NOW + 501, NOW, 0)));
   }
 
   @Test
@@ -133,8 +134,8 @@
     KeyedRequestQueue line = new KeyedRequestQueue();
     Request before = request(Effect.PURE, null, line);
     Request after = request(Effect.PURE, null, line);
-    line.members.add(before);
-    line.members.add(after);
+    line.requests.add(before);
+    line.requests.add(after);
     assertEquals(Set.of(Invariant.ORDER), written(attempt(after, engine), NOW));
     assertEquals(Set.of(), written(attempt(before, engine), NOW));
   }
@@ -175,7 +176,7 @@
   }
 
   private void listed(long now, Status standing) {
-    monitor.listed(
+    monitor.onEndpointsChanged(
         now,
         true,
         List.of(
@@ -184,7 +185,7 @@
   }
 
   private Set<Invariant> written(Attempt attempt, long at) {
-    return monitor.written(new InvariantMonitor.Written(attempt, at, at, 0));
+    return monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, 0));
   }
 
   private static Request request(Effect effect, List<Integer> zones) {
--- a/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
+++ b/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
@@ -33,10 +33,10 @@
 
   @BeforeEach
   void ready() {
-    engine.standing = Status.READY;
-    other.standing = Status.READY;
+    engine.status = Status.READY;
+    other.status = Status.READY;
     other.zone = 1;
-    guard.endpointsUsableUntil(NOW + DEADLINE);
+    guard.setListUsableUntil(NOW + DEADLINE);
   }
 
   @Test
@@ -57,7 +57,7 @@
     cancelSent.cancelRequested = true;
     assertEquals(SendVerdict.CANCELLED, guard.checkWrite(NOW, cancelSent));
     Attempt late = attempt(request(Effect.PURE, null), engine);
-    guard.endpointsUsableUntil(NOW + 2 * DEADLINE);
+    guard.setListUsableUntil(NOW + 2 * DEADLINE);
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW + DEADLINE - 1, late));
     assertEquals(SendVerdict.NO_TIME_LEFT, guard.checkWrite(NOW + DEADLINE, late));
   }
@@ -65,15 +65,15 @@
   @Test
   void theList() {
     Attempt attempt = attempt(request(Effect.PURE, null), engine);
-    guard.endpointsUsableUntil(NOW);
+    guard.setListUsableUntil(NOW);
     assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.checkWrite(NOW, attempt));
     assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.checkPlacement(NOW, attempt.request, engine));
     assertEquals(SendVerdict.ALLOWED, guard.checkEndpoint(NOW, attempt.request, engine));
-    guard.endpointsUsableUntil(NOW + 1);
+    guard.setListUsableUntil(NOW + 1);
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt));
-    engine.standing = Status.DRAINING;
+    engine.status = Status.DRAINING;
     assertEquals(SendVerdict.ENGINE_NOT_READY, guard.checkWrite(NOW, attempt));
-    engine.standing = Status.GONE;
+    engine.status = Status.GONE;
     assertEquals(SendVerdict.ENGINE_NOT_READY, guard.checkEndpoint(NOW, attempt.request, engine));
   }
 
@@ -108,8 +108,8 @@
     Request after = new Request("b", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
     before.requestClass = requestClass(Effect.PURE, null, true);
     after.requestClass = before.requestClass;
-    line.members.add(before);
-    line.members.add(after);
+    line.requests.add(before);
+    line.requests.add(after);
     Attempt attempt = attempt(after, engine);
     assertEquals(SendVerdict.ORDER, guard.checkWrite(NOW, attempt));
     before.outcome = RequestOutcome.SUCCEEDED;
@@ -120,9 +120,9 @@
   @Test
   void aWriteIsBoundedByListClientAndDelay() {
     Attempt attempt = attempt(request(Effect.PURE, null), engine);
-    assertEquals(NOW + SendGuard.WRITE_WITHIN, guard.writeDeadline(NOW, attempt));
+    assertEquals(NOW + SendGuard.MAX_WRITE_DELAY, guard.writeDeadline(NOW, attempt));
     assertEquals(NOW + DEADLINE, guard.writeDeadline(NOW + DEADLINE - 1, attempt));
-    guard.endpointsUsableUntil(NOW + 10);
+    guard.setListUsableUntil(NOW + 10);
     assertEquals(NOW + 10, guard.writeDeadline(NOW, attempt));
   }
 
--- a/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
+++ b/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
@@ -31,6 +31,7 @@
   @Test
   void aStartBeforeItsProcessWasSeenMissingIsNoEarlierThanThat() {
     assertEquals(
-        NOW - SECOND - DiscoveryLease.TOLD_AFTER, StartTime.bounded(NOW - HOUR, NOW, NOW - SECOND));
+        NOW - SECOND - DiscoveryLease.ASSUMED_NOTIFIED_AFTER,
+        StartTime.bounded(NOW - HOUR, NOW, NOW - SECOND));
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -131,7 +131,7 @@
    * often.
    */
   boolean mend(InFlightAttempt inFlight) {
-    if (!inFlight.begun() || !inFlight.attempt.isOut() || !inFlight.mendAgain(MENDS_MOST)) {
+    if (!inFlight.begun() || !inFlight.attempt.isInFlight() || !inFlight.mendAgain(MENDS_MOST)) {
       return false;
     }
     waiting.addFirst(inFlight);
@@ -166,7 +166,7 @@
     long now = owner.now();
     for (Iterator<InFlightAttempt> i = waiting.iterator(); i.hasNext(); ) {
       InFlightAttempt inFlight = i.next();
-      if (!inFlight.attempt.isOut()) {
+      if (!inFlight.attempt.isInFlight()) {
         i.remove();
       } else if (now >= inFlight.attempt.sentAt + connectMost && !inFlight.begun()) {
         i.remove();
