--- a/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
@@ -69,7 +69,7 @@
 
   /** Puts something beside the module, until it is killed. */
   public void beside(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
-    gateway.beside(made.apply(gateway.door()));
+    gateway.setExtension(made.apply(gateway.extensionContext()));
   }
 
   /** Killed outright: what it would still have done does not happen. */
@@ -90,7 +90,7 @@
 
   /** A client connects. */
   public Channel.Owner accept(Channel channel) {
-    return gateway.accepted(channel);
+    return gateway.onClientConnected(channel);
   }
 
   /** Counts its starts and ends: what was meant for one that was killed does not reach the next. */
@@ -135,7 +135,7 @@
     if (world.meter != null) {
       world.meter.turnBegins();
     }
-    gateway.begin(world.now());
+    gateway.beginIteration(world.now());
     List<Runnable> events = inbox;
     inbox = spare;
     for (Runnable event : events) {
@@ -143,7 +143,7 @@
     }
     events.clear();
     spare = events;
-    gateway.settle();
+    gateway.endIteration();
     if (world.meter != null) {
       world.meter.turnEnds();
     }
@@ -191,7 +191,7 @@
                 world.now() + NAME_DELAY,
                 () -> {
                   if (of == life) {
-                    post(() -> gateway.told(NameAnswer.to(id, answer)));
+                    post(() -> gateway.onDiscoveryDatagram(NameAnswer.to(id, answer)));
                   }
                 });
           }
--- a/gateway/src/main/java/tillerlink/net/lifecycle/EventLoop.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/EventLoop.java
@@ -48,14 +48,14 @@
   }
 
   private void turn(Gateway gateway, Runnable first) {
-    guarded(() -> gateway.begin(clock.getAsLong()));
+    guarded(() -> gateway.beginIteration(clock.getAsLong()));
     int events = 0;
     for (Runnable event = first;
         event != null;
         event = ++events < EVENTS_MOST ? queue.poll() : null) {
       guarded(event);
     }
-    guarded(gateway::settle);
+    guarded(gateway::endIteration);
   }
 
   private Runnable await(long tenths) throws InterruptedException {
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -77,8 +77,8 @@
         new MinaDriver(
             turns.queue,
             assignment.resolver(),
-            bytes -> gateway.told(bytes),
-            (Channel channel) -> gateway.accepted(channel),
+            bytes -> gateway.onDiscoveryDatagram(bytes),
+            (Channel channel) -> gateway.onClientConnected(channel),
             assignment.maxClients(),
             clock::now);
     gateway =
@@ -95,8 +95,8 @@
     GatewayExtension side =
         beside == null
             ? null
-            : beside.start(assignment, gateway.door(), turns.queue::add, clock::now);
-    gateway.beside(side);
+            : beside.start(assignment, gateway.extensionContext(), turns.queue::add, clock::now);
+    gateway.setExtension(side);
     if (!heard) {
       LOG.warn(
           "SIGHUP was ignored by what started this process, so {} is watched for changes instead",
@@ -110,7 +110,7 @@
       driver.listen(assignment.listen());
       LOG.info("{} listens on {}", assignment.name(), assignment.listen());
       turns.run(gateway, () -> shutdown.done(clock.now()));
-      LOG.info("drained, {} requests without an answer", gateway.owed());
+      LOG.info("drained, {} requests without an answer", gateway.pendingRequests());
     } finally {
       if (side != null) {
         side.close();
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
@@ -56,24 +56,24 @@
     long killedAt = since + STILL_COMING + Math.min(LONGEST, gateway.longestDeadline());
     if (!closed) {
       closed = true;
-      turn(now, gateway::close);
+      turn(now, gateway::stopAccepting);
     }
     if (!timeUp && now >= killedAt - MARGIN) {
       timeUp = true;
-      turn(now, gateway::endAll);
+      turn(now, gateway::onShutdownDeadline);
     }
     if (gateway.allAnswered()) {
       answeredAt = Math.min(answeredAt, now);
     } else {
       answeredAt = Long.MAX_VALUE;
     }
-    return answeredAt <= now && (gateway.deserted() || now >= answeredAt + PARTING)
+    return answeredAt <= now && (gateway.hasNoClients() || now >= answeredAt + PARTING)
         || now >= killedAt - SPARE;
   }
 
   private void turn(long now, Runnable what) {
-    gateway.begin(now);
+    gateway.beginIteration(now);
     what.run();
-    gateway.settle();
+    gateway.endIteration();
   }
 }
--- a/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
@@ -56,7 +56,7 @@
       return;
     }
     long until = System.nanoTime() + NANOS_MOST;
-    client = gateway.accepted(new Played());
+    client = gateway.onClientConnected(new Played());
     for (int i = 0; i < ROUNDS && System.nanoTime() < until; i++) {
       String id = String.format("%016x", i);
       say(
@@ -84,9 +84,9 @@
   }
 
   private void turn(Runnable event) {
-    gateway.begin(now);
+    gateway.beginIteration(now);
     event.run();
-    gateway.settle();
+    gateway.endIteration();
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -226,8 +226,8 @@
     lastCall = true;
   }
 
-  void handedIn(PendingResponse call) {
-    handedIn = call;
+  void handedIn(PendingResponse pending) {
+    handedIn = pending;
     handedInSoFar++;
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -10,6 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.function.Consumer;
 import java.util.stream.Stream;
 import tillerlink.model.KeyedRequestQueue;
 import tillerlink.model.Settings;
@@ -38,7 +39,7 @@
 
   private static final long LINGER = 1000 * Units.TENTHS_PER_MS;
 
-  private final Gateway gateway;
+  private final GatewayContext context;
   private final Map<String, Integer> requestClasses = new HashMap<>();
 
   /** The request classes whose requests bear a mark against repeats. */
@@ -62,10 +63,10 @@
   private boolean closing;
 
   /** Takes some calls, or null. */
-  private GatewayExtension side;
+  private GatewayExtension extension;
 
-  ClientRequestHandler(Gateway gateway, Settings terms, int maxClients, long maxBytes) {
-    this.gateway = gateway;
+  ClientRequestHandler(GatewayContext context, Settings terms, int maxClients, long maxBytes) {
+    this.context = context;
     this.maxBytes = maxBytes;
     this.maxClients = maxClients;
     for (int i = 0; i < terms.number("profiles", 0); i++) {
@@ -120,12 +121,12 @@
   /**
    * A connection has ended.
    *
-   * @param call the last that was handed in or waited for on it, or null
+   * @param pending the last that was handed in or waited for on it, or null
    */
-  void connectionEnded(ClientDisconnectReason how, PendingResponse call) {
-    gateway.telemetry().metrics().add(Counter.CLIENT_CONNECTIONS_ENDED, how);
-    if (call != null && !call.settled()) {
-      gateway
+  void connectionEnded(ClientDisconnectReason how, PendingResponse pending) {
+    context.telemetry().metrics().add(Counter.CLIENT_CONNECTIONS_ENDED, how);
+    if (pending != null && !pending.settled()) {
+      context
           .telemetry()
           .log()
           .event(
@@ -133,11 +134,11 @@
               Topic.CONNECTION,
               "client connection ended under a request",
               "id",
-              call.ask.id(),
+              pending.id(),
               "how",
               how,
               "after_ms",
-              (now() - call.request.arrivedAt) / Units.TENTHS_PER_MS);
+              (now() - pending.request.arrivedAt) / Units.TENTHS_PER_MS);
     }
   }
 
@@ -161,12 +162,12 @@
   }
 
   long now() {
-    return gateway.now();
+    return context.now();
   }
 
   /** Calls back once all that could be read of any connection has been told. */
   void afterReading(Runnable then) {
-    gateway.afterReading(then);
+    context.driver().runAfterPendingReads(then);
   }
 
   // ---- calls ----
@@ -181,11 +182,11 @@
       client.lastCall();
     }
     String path = http.path();
-    if (side != null && side.handlesPath(path)) {
+    if (extension != null && extension.handlesPath(path)) {
       if (full() && http.body().length > 0) {
         client.answer(noRoom());
       } else {
-        side.onRequest(http, client.owed());
+        extension.onRequest(http, client.owed());
       }
       return;
     }
@@ -194,23 +195,23 @@
         if (path.equals(HEALTH)) {
           client.answer(draining ? HttpResponse.problem(503, "Draining", 0) : HttpResponse.done());
         } else if (path.equals(METRICS)) {
-          client.answer(HttpResponse.text(gateway.telemetry().metrics().exposition()));
+          client.answer(HttpResponse.text(context.telemetry().metrics().exposition()));
         } else {
           fetch(client, known(path));
         }
       }
       case POST -> {
-        PendingResponse call = submit(http, null, client::answer);
-        if (call != null) {
-          client.handedIn(call);
+        PendingResponse pending = submit(http, null, client::answer);
+        if (pending != null) {
+          client.handedIn(pending);
         }
       }
       case DELETE -> {
-        PendingResponse call = known(path);
-        if (call != null) {
-          leave(call);
+        PendingResponse pending = known(path);
+        if (pending != null) {
+          leave(pending);
         }
-        client.answer(call == null ? HttpResponse.unknown() : HttpResponse.done());
+        client.answer(pending == null ? HttpResponse.unknown() : HttpResponse.done());
       }
       default -> client.refuse(HttpResponse.problem(405, "Method", 0));
     }
@@ -251,12 +252,12 @@
     boolean tooLong = ask.patience() > PATIENCE_MOST * longestDeadline;
     if (tooLong || ask.key() == null && marked.contains(requestClass)) {
       reply.answer(HttpResponse.problem(400, tooLong ? "X-Deadline-Ms" : "X-Operation-Key", 0));
-    } else if (known != null && !known.left && known.ask.same(ask)) {
+    } else if (known != null && !known.left && known.submission.same(ask)) {
       reply.answer(HttpResponse.goOnAt(CALLS + ask.id()));
     } else if (known != null) {
       reply.answer(HttpResponse.problem(409, "Known", 0));
     } else if (calls.size() >= openMost || full()) {
-      gateway.warnRateLimited(
+      context.warnRateLimited(
           "no room for a further submission: " + calls.size() + " with " + bytes + " bytes");
       reply.answer(noRoom());
     } else {
@@ -264,46 +265,46 @@
           ask.subject() == null || !ordered.contains(requestClass)
               ? null
               : lines.computeIfAbsent(ask.subject(), about -> new KeyedRequestQueue());
-      PendingResponse call =
-          new PendingResponse(ask, requestClass, gateway.earliestArrival(), line);
-      call.guard = guard;
-      calls.put(ask.id(), call);
+      PendingResponse pending =
+          new PendingResponse(ask, requestClass, context.pauses().earliestArrival(now()), line);
+      pending.guard = guard;
+      calls.put(ask.id(), pending);
       held(ask.statement().length);
       reply.answer(HttpResponse.goOnAt(CALLS + ask.id()));
-      gateway.arrived(call);
-      return call;
+      context.policyEvents().requestArrived(pending);
+      return pending;
     }
     return null;
   }
 
-  private void fetch(ClientConnection client, PendingResponse call) {
-    if (call == null || call.left) {
+  private void fetch(ClientConnection client, PendingResponse pending) {
+    if (pending == null || pending.left) {
       client.answer(HttpResponse.unknown());
-    } else if (call.answer != null) {
-      handOut(call, client);
+    } else if (pending.answer != null) {
+      handOut(pending, client);
     } else {
-      stopWaiting(call);
-      call.waiting = client;
-      client.waitsFor = call;
-      gateway.unattended(call, false);
+      stopWaiting(pending);
+      pending.waiting = client;
+      client.waitsFor = pending;
+      context.policyEvents().attendanceChanged(pending, false);
     }
   }
 
   /** Another call of the path, or none: the connection that waited is of no use any more. */
-  private static void stopWaiting(PendingResponse call) {
-    if (call.waiting != null) {
-      call.waiting.waitsFor = null;
-      call.waiting.drop(ClientDisconnectReason.SUPERSEDED);
-      call.waiting = null;
+  private static void stopWaiting(PendingResponse pending) {
+    if (pending.waiting != null) {
+      pending.waiting.waitsFor = null;
+      pending.waiting.drop(ClientDisconnectReason.SUPERSEDED);
+      pending.waiting = null;
     }
   }
 
   /** The client has gone; nothing is owed any more. */
-  void leave(PendingResponse call) {
-    if (!call.settled()) {
-      call.left = true;
-      call.request.leftAt = now();
-      gateway
+  void leave(PendingResponse pending) {
+    if (!pending.settled()) {
+      pending.left = true;
+      pending.request.leftAt = now();
+      context
           .telemetry()
           .log()
           .event(
@@ -311,73 +312,78 @@
               Topic.REQUEST,
               "request abandoned by its client",
               "id",
-              call.ask.id(),
+              pending.id(),
               "attempts",
-              call.inFlightAttempts.size(),
+              pending.inFlightAttempts.size(),
               "after_ms",
-              (now() - call.request.arrivedAt) / Units.TENTHS_PER_MS);
-      call.forgetAt = now();
-      stopWaiting(call);
-      gateway.left(call);
+              (now() - pending.request.arrivedAt) / Units.TENTHS_PER_MS);
+      pending.forgetAt = now();
+      stopWaiting(pending);
+      context.policyEvents().clientDisconnected(pending);
     }
   }
 
   /** The connection on which its client waited, or handed it in and was to wait, has ended. */
-  void unattended(PendingResponse call) {
-    if (call.waiting == null) {
-      gateway.unattended(call, true);
+  void unattended(PendingResponse pending) {
+    if (pending.waiting == null) {
+      context.policyEvents().attendanceChanged(pending, true);
     }
   }
 
   // ---- answers ----
 
-  void fulfil(PendingResponse call, byte[] rows) {
-    answer(call, new HttpResponse(200, rows, 0, false));
+  void fulfil(PendingResponse pending, byte[] rows) {
+    answer(pending, new HttpResponse(200, rows, 0, false));
   }
 
-  void reject(PendingResponse call, long stayAway) {
-    answer(call, refusal(stayAway));
+  void reject(PendingResponse pending, long stayAway) {
+    answer(pending, refusal(stayAway));
   }
 
-  void fail(PendingResponse call) {
-    answer(call, HttpResponse.problem(500, "Error", 0));
+  void fail(PendingResponse pending) {
+    answer(pending, HttpResponse.problem(500, "Error", 0));
   }
 
   private static HttpResponse refusal(long stayAway) {
     return HttpResponse.problem(503, "Full", stayAway / Units.TENTHS_PER_MS);
   }
 
-  private void answer(PendingResponse call, HttpResponse answer) {
-    if (call.settled()) {
+  private void answer(PendingResponse pending, HttpResponse answer) {
+    if (pending.settled()) {
       return;
     }
-    call.answer = answer;
-    gateway.answered(call);
+    pending.answer = answer;
+    context.invariants().answerReady(pending);
     held(answer.body().length);
-    if (call.waiting != null) {
-      handOut(call, call.waiting);
-      call.waiting = null;
+    if (pending.waiting != null) {
+      handOut(pending, pending.waiting);
+      pending.waiting = null;
     }
   }
 
   /** The answer stays for a moment: a client whose connection breaks comes again. */
-  private void handOut(PendingResponse call, ClientConnection client) {
-    call.handedOut = true;
-    call.forgetAt = now();
-    client.answer(call.answer);
+  private void handOut(PendingResponse pending, ClientConnection client) {
+    pending.handedOut = true;
+    pending.forgetAt = now();
+    client.answer(pending.answer);
   }
 
   // ---- time ----
 
-  void sweep() {
+  /**
+   * Ends what has waited too long.
+   *
+   * @param timeOut ends the attempts of a request whose deadline has passed
+   */
+  void sweep(Consumer<PendingResponse> timeOut) {
     for (Iterator<PendingResponse> i = calls.values().iterator(); i.hasNext(); ) {
-      PendingResponse call = i.next();
-      if (now() >= call.request.clientDeadline) {
-        gateway.overdue(call);
+      PendingResponse pending = i.next();
+      if (now() >= pending.request.clientDeadline) {
+        timeOut.accept(pending);
       }
-      if (now() >= call.forgetAt + LINGER && call.settled() && call.request.isOver()) {
-        held(-call.ask.statement().length);
-        held(call.answer == null ? 0 : -call.answer.body().length);
+      if (now() >= pending.forgetAt + LINGER && pending.settled() && pending.request.isOver()) {
+        held(-pending.submission.statement().length);
+        held(pending.answer == null ? 0 : -pending.answer.body().length);
         i.remove();
       }
     }
@@ -386,8 +392,8 @@
     makeRoom();
   }
 
-  void beside(GatewayExtension stands) {
-    side = stands;
+  void setExtension(GatewayExtension added) {
+    extension = added;
   }
 
   /** From now on the gateway is on its way out; it goes on serving what comes. */
@@ -416,7 +422,7 @@
 
   /** Whether every answer is out. */
   boolean allAnswered() {
-    return calls.values().stream().allMatch(call -> call.left || call.handedOut)
+    return calls.values().stream().allMatch(pending -> pending.left || pending.handedOut)
         && clients.stream().noneMatch(ClientConnection::busy);
   }
 
--- /dev/null
+++ b/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
@@ -0,0 +1,131 @@
+package tillerlink.net.state;
+
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.Request;
+import tillerlink.plain.Units;
+import tillerlink.policy.SendVerdict;
+import tillerlink.telemetry.Counter;
+import tillerlink.telemetry.EventLog.Topic;
+import tillerlink.telemetry.Telemetry;
+
+/** Counts and logs what becomes of attempts and requests. Owned by the event-loop thread. */
+final class DispatchLog {
+  private final IterationContext iteration;
+  private final Telemetry telemetry;
+
+  DispatchLog(IterationContext iteration, Telemetry telemetry) {
+    this.iteration = iteration;
+    this.telemetry = telemetry;
+  }
+
+  void attemptOrdered(InFlightAttempt inFlight) {
+    telemetry.metrics().add(Counter.ATTEMPTS_ORDERED);
+    int number = inFlight.attempt.number;
+    if (number > 0) {
+      telemetry.metrics().add(Counter.ATTEMPTS_REPEATED);
+      log(
+          Topic.ATTEMPT,
+          "attempt repeated",
+          "id",
+          inFlight.id(),
+          "attempt",
+          number,
+          "engine",
+          inFlight.engineId(),
+          "after",
+          inFlight.attempt.request.attempts.get(number - 1).outcome);
+    }
+  }
+
+  void attemptSent() {
+    telemetry.metrics().add(Counter.ATTEMPTS_WRITTEN);
+  }
+
+  void attemptWithheld(InFlightAttempt inFlight, SendVerdict verdict) {
+    telemetry.metrics().add(Counter.ATTEMPTS_WITHHELD, verdict);
+    log(
+        Topic.ATTEMPT,
+        "attempt withheld",
+        "id",
+        inFlight.id(),
+        "attempt",
+        inFlight.attempt.number,
+        "engine",
+        inFlight.engineId(),
+        "reason",
+        verdict);
+  }
+
+  void attemptCancelled(InFlightAttempt inFlight) {
+    log(
+        Topic.ATTEMPT,
+        "attempt given up",
+        "id",
+        inFlight.id(),
+        "attempt",
+        inFlight.attempt.number,
+        "engine",
+        inFlight.engineId(),
+        "client_left",
+        inFlight.pending.left,
+        "request_ended",
+        inFlight.attempt.request.outcome != null);
+  }
+
+  /**
+   * @param elapsed since it was sent, in tenths of a millisecond
+   */
+  void attemptEnded(InFlightAttempt inFlight, AttemptOutcome outcome, long elapsed) {
+    telemetry.metrics().add(Counter.ATTEMPTS_ENDED, outcome);
+    if (outcome == AttemptOutcome.SUCCEEDED) {
+      telemetry.metrics().add(Counter.REQUESTS_ANSWERED);
+      return;
+    }
+    log(
+        Topic.ATTEMPT,
+        "attempt ended",
+        "id",
+        inFlight.id(),
+        "attempt",
+        inFlight.attempt.number,
+        "engine",
+        inFlight.engineId(),
+        "outcome",
+        outcome,
+        "after_ms",
+        elapsed / Units.TENTHS_PER_MS,
+        "written",
+        inFlight.place != InFlightAttempt.UNSENT);
+  }
+
+  void requestRejected(Request request) {
+    requestTerminated(Counter.REQUESTS_REFUSED, "request refused", request);
+  }
+
+  void requestFailed(Request request) {
+    requestTerminated(Counter.REQUESTS_FAILED, "request failed", request);
+  }
+
+  private void requestTerminated(Counter counter, String event, Request request) {
+    if (request.terminationReason == null) {
+      telemetry.metrics().add(counter);
+    } else {
+      telemetry.metrics().add(counter, request.terminationReason);
+    }
+    log(
+        Topic.REQUEST,
+        event,
+        "id",
+        ((PendingResponse) request.tag).id(),
+        "reason",
+        request.terminationReason,
+        "attempts",
+        request.attempts.size(),
+        "after_ms",
+        (iteration.now() - request.arrivedAt) / Units.TENTHS_PER_MS);
+  }
+
+  private void log(Topic topic, String event, Object... fields) {
+    telemetry.log().event(iteration.now(), topic, event, fields);
+  }
+}
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -18,7 +18,7 @@
   private final Map<String, EngineAddress> sites = new LinkedHashMap<>();
   private final List<?> kinds;
   private final List<?> zones;
-  private long index;
+  private final EndpointListStatus status;
 
   /** The newest news that were not whole. */
   private long partialIndex;
@@ -36,9 +36,11 @@
   EndpointList(
       Settings terms,
       Telemetry telemetry,
+      EndpointListStatus status,
       EngineTransport.Owner owner,
       EngineTransport.Factory transports) {
     this.telemetry = telemetry;
+    this.status = status;
     this.owner = owner;
     this.transports = transports;
     kinds = terms.list("models");
@@ -47,13 +49,13 @@
 
   /** What is new in the news, or null if they are older than what is known. */
   List<EndpointUpdate> take(EndpointWatchEvent news) {
-    if (news.index() <= index || news.index() < partialIndex) {
+    if (news.index() <= index() || news.index() < partialIndex) {
       return null;
     }
     if (news.partial()) {
       partialIndex = news.index();
     } else {
-      index = news.index();
+      status.setVersion(news.index());
     }
     return listed(news, Map.of());
   }
@@ -176,6 +178,6 @@
   }
 
   long index() {
-    return index;
+    return status.version();
   }
 }
--- /dev/null
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -0,0 +1,173 @@
+package tillerlink.net.state;
+
+import java.net.InetSocketAddress;
+import tillerlink.model.AttemptOutcome;
+import tillerlink.model.AttemptProgress;
+import tillerlink.model.Settings;
+import tillerlink.net.wire.ResultEncoder;
+import tillerlink.policy.SendVerdict;
+import tillerlink.telemetry.Telemetry;
+
+/**
+ * What the transports of all engines share: the bound on connections, and the way by which what
+ * becomes of attempts reaches clients and policy. Owns the endpoint list; owned by the event-loop
+ * thread.
+ */
+final class EngineTransportOwner implements EngineTransport.Owner {
+  private final GatewayContext context;
+  private final ClientRequestHandler clients;
+  private final FencedRequests fencedRequests;
+  private final NetworkSettings settings;
+  private final EndpointList endpoints;
+  private int openConnections;
+
+  /**
+   * @param factory how engines are reached, by their kinds; null, or null for an engine: over
+   *     engine lines
+   */
+  EngineTransportOwner(
+      GatewayContext context,
+      ClientRequestHandler clients,
+      FencedRequests fencedRequests,
+      NetworkSettings settings,
+      Settings terms,
+      EngineTransport.Factory factory) {
+    this.context = context;
+    this.clients = clients;
+    this.fencedRequests = fencedRequests;
+    this.settings = settings;
+    endpoints =
+        new EndpointList(
+            terms,
+            context.telemetry(),
+            context.listStatus(),
+            this,
+            (owner, site, kind) -> {
+              EngineTransport transport =
+                  factory == null ? null : factory.create(owner, site, kind);
+              return transport == null
+                  ? new LineProtocolTransport(owner, site, settings.streamsPerConnection())
+                  : transport;
+            });
+  }
+
+  EndpointList endpoints() {
+    return endpoints;
+  }
+
+  @Override
+  public long now() {
+    return context.now();
+  }
+
+  @Override
+  public Telemetry telemetry() {
+    return context.telemetry();
+  }
+
+  @Override
+  public void warnRateLimited(String line) {
+    context.warnRateLimited(line);
+  }
+
+  @Override
+  public void runInNextIteration(Runnable task) {
+    context.iteration().runInNextIteration(task);
+  }
+
+  @Override
+  public void retainedBytesChanged(long more) {
+    clients.held(more);
+  }
+
+  // ---- attempts ----
+
+  @Override
+  public long writeDeadline(InFlightAttempt inFlight) {
+    return context.policyEvents().writeDeadline(inFlight);
+  }
+
+  @Override
+  public void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit) {
+    context.dispatchLog().attemptSent();
+    context.invariants().attemptSent(inFlight, firstByteAt, before, limit);
+  }
+
+  @Override
+  public void attemptWithheld(InFlightAttempt inFlight, SendVerdict verdict) {
+    context.dispatchLog().attemptWithheld(inFlight, verdict);
+  }
+
+  @Override
+  public void attemptWritten(InFlightAttempt inFlight) {
+    fencedRequests.written(inFlight);
+  }
+
+  @Override
+  public void attemptProgressed(InFlightAttempt inFlight, AttemptProgress progress, double level) {
+    context.policyEvents().attemptProgressed(inFlight, progress, level);
+  }
+
+  @Override
+  public void attemptEnded(InFlightAttempt inFlight, AttemptOutcome reported) {
+    if (!inFlight.attempt.isOut()) {
+      return;
+    }
+    inFlight.transport().release(inFlight);
+    AttemptOutcome outcome =
+        inFlight.guarded() ? fencedRequests.ended(inFlight, reported) : reported;
+    if (outcome == AttemptOutcome.SUCCEEDED) {
+      clients.fulfil(inFlight.pending, ResultEncoder.answer(inFlight.pages));
+    }
+    inFlight.forgetAnswer();
+    retainedBytesChanged(-inFlight.bytes);
+    long elapsed = context.now() - inFlight.attempt.sentAt;
+    context.dispatchLog().attemptEnded(inFlight, outcome, elapsed);
+    context.policyEvents().attemptEnded(inFlight, outcome, elapsed);
+  }
+
+  /**
+   * The client's time is up: attempts still in flight time out. The engine knows the deadline and
+   * is not notified.
+   */
+  void timeOut(PendingResponse pending) {
+    pending.inFlightAttempts.forEach(inFlight -> attemptEnded(inFlight, AttemptOutcome.TIMED_OUT));
+  }
+
+  // ---- connections ----
+
+  @Override
+  public Channel connect(InetSocketAddress to, Channel.Owner owner) {
+    return context.driver().connect(to, owner);
+  }
+
+  @Override
+  public int maxConnections() {
+    return settings.maxConnections();
+  }
+
+  @Override
+  public int openConnections() {
+    return openConnections;
+  }
+
+  @Override
+  public boolean reserveConnection() {
+    return openConnections < settings.maxConnections() || endpoints.endIdle();
+  }
+
+  @Override
+  public void connectionCountChanged(int more) {
+    openConnections += more;
+  }
+
+  @Override
+  public long maxWriteDelay() {
+    return settings.maxWriteDelay();
+  }
+
+  @Override
+  public int engineCount() {
+    return endpoints.size();
+  }
+}
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -15,22 +15,22 @@
  * came of the attempt is handed out.
  */
 final class FencedRequests implements GatewayExtension.ExtensionContext {
-  private final Gateway gateway;
+  private final GatewayContext context;
   private final ClientRequestHandler clients;
 
   /** Those that are owed an answer. */
   private final Set<PendingResponse> open = new LinkedHashSet<>();
 
-  FencedRequests(Gateway gateway, ClientRequestHandler clients) {
-    this.gateway = gateway;
+  FencedRequests(GatewayContext context, ClientRequestHandler clients) {
+    this.context = context;
     this.clients = clients;
   }
 
   @Override
   public void submit(HttpRequest http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
-    PendingResponse call = clients.submit(http, guard, reply);
-    if (call != null) {
-      open.add(call);
+    PendingResponse pending = clients.submit(http, guard, reply);
+    if (pending != null) {
+      open.add(pending);
     }
   }
 
@@ -38,12 +38,12 @@
   public void recheckGuards() {
     List<PendingResponse> withdrawn = new ArrayList<>();
     for (Iterator<PendingResponse> i = open.iterator(); i.hasNext(); ) {
-      PendingResponse call = i.next();
-      if (call.settled()) {
+      PendingResponse pending = i.next();
+      if (pending.settled()) {
         i.remove();
-      } else if (call.inFlightAttempts.stream().noneMatch(inFlight -> inFlight.attempt.isOut())
-          && !call.guard.holds()) {
-        withdrawn.add(call);
+      } else if (pending.inFlightAttempts.stream().noneMatch(inFlight -> inFlight.attempt.isOut())
+          && !pending.guard.holds()) {
+        withdrawn.add(pending);
         i.remove();
       }
     }
@@ -58,10 +58,10 @@
     if (inFlight.sound || !inFlight.attempt.isOut()) {
       return;
     }
-    inFlight.sound = inFlight.call.guard.holds();
+    inFlight.sound = inFlight.pending.guard.holds();
     if (!inFlight.sound) {
       inFlight.stale = true;
-      gateway.runInNextIteration(() -> withdraw(inFlight.call));
+      context.iteration().runInNextIteration(() -> withdraw(inFlight.pending));
     }
   }
 
@@ -71,19 +71,19 @@
    */
   AttemptOutcome ended(InFlightAttempt inFlight, AttemptOutcome outcome) {
     if (inFlight.began) {
-      inFlight.call.guard.onAttemptEnded(mayRunUntil(inFlight, outcome));
+      inFlight.pending.guard.onAttemptEnded(mayRunUntil(inFlight, outcome));
     }
     if (inFlight.refused) {
-      withdraw(inFlight.call);
+      withdraw(inFlight.pending);
     } else if (outcome == AttemptOutcome.SUCCEEDED) {
-      inFlight.stale |= !inFlight.sound && !inFlight.call.guard.holds();
+      inFlight.stale |= !inFlight.sound && !inFlight.pending.guard.holds();
       if (inFlight.stale) {
-        withdraw(inFlight.call);
+        withdraw(inFlight.pending);
         return AttemptOutcome.RESPONSE_LOST;
       }
     }
-    if (inFlight.call.settled()) {
-      open.remove(inFlight.call);
+    if (inFlight.pending.settled()) {
+      open.remove(inFlight.pending);
     }
     return outcome;
   }
@@ -94,27 +94,28 @@
    */
   private static long mayRunUntil(InFlightAttempt inFlight, AttemptOutcome outcome) {
     boolean over = !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.begun();
-    return over ? 0 : inFlight.call.request.clientDeadline;
+    return over ? 0 : inFlight.pending.request.clientDeadline;
   }
 
   /**
    * The client is told at once, for it can't be succeeded as it is; the module cancels what is
    * still out.
    */
-  private void withdraw(PendingResponse call) {
-    open.remove(call);
-    if (call.settled()) {
+  private void withdraw(PendingResponse pending) {
+    open.remove(pending);
+    if (pending.settled()) {
       return;
     }
     boolean again =
-        call.request.requestClass != null && call.request.requestClass.terms.effect() == Effect.PURE
-            || call.inFlightAttempts.stream()
+        pending.request.requestClass != null
+                && pending.request.requestClass.terms.effect() == Effect.PURE
+            || pending.inFlightAttempts.stream()
                 .allMatch(inFlight -> inFlight.refused || !inFlight.attempt.mayHaveRun());
     if (again) {
-      clients.reject(call, call.guard.retryAfter());
+      clients.reject(pending, pending.guard.retryAfter());
     } else {
-      clients.fail(call);
+      clients.fail(pending);
     }
-    gateway.left(call);
+    context.policyEvents().clientDisconnected(pending);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -15,7 +15,7 @@
   static final long UNSENT = Long.MAX_VALUE;
 
   public final Attempt attempt;
-  final PendingResponse call;
+  final PendingResponse pending;
   EngineConnection link;
 
   /**
@@ -51,53 +51,67 @@
   /**
    * @param guard whether an attempt may still begin
    */
-  InFlightAttempt(Attempt attempt, PendingResponse call, Function<Attempt, SendVerdict> guard) {
+  InFlightAttempt(Attempt attempt, PendingResponse pending, Function<Attempt, SendVerdict> guard) {
     this.attempt = attempt;
-    this.call = call;
+    this.pending = pending;
     this.guard = guard;
   }
 
   public String id() {
-    return call.ask.id();
+    return pending.id();
+  }
+
+  /** The id of its engine, for the log. */
+  String engineId() {
+    return engineAddress().id;
+  }
+
+  /** How its engine is reached. */
+  EngineTransport transport() {
+    return engineAddress().transport;
+  }
+
+  private EngineAddress engineAddress() {
+    return (EngineAddress) attempt.engine.tag;
   }
 
   public String requestClass() {
-    return call.ask.requestClass();
+    return pending.submission.requestClass();
   }
 
   /** The mark against repeats, or null. */
   public String key() {
-    return call.ask.key();
+    return pending.submission.key();
   }
 
   public byte[] statement() {
-    return call.ask.statement();
+    return pending.submission.statement();
   }
 
   /** Asked before it is handed to a transport; if not, it ends as one that was never sent. */
   SendVerdict mayBePlaced() {
-    refused = call.guard != null && !call.guard.holds();
+    refused = pending.guard != null && !pending.guard.holds();
     return refused ? SendVerdict.SHARED_STATE : guard.apply(attempt);
   }
 
   /** Asked by whoever writes it, right before; if not, it ends as one that was never sent. */
   public SendVerdict mayGo() {
     SendVerdict verdict = mayBePlaced();
-    if (verdict == SendVerdict.ALLOWED && call.guard != null && !began) {
+    if (verdict == SendVerdict.ALLOWED && pending.guard != null && !began) {
       began = true;
-      call.guard.onAttemptStarted();
+      pending.guard.onAttemptStarted();
     }
     return verdict;
   }
 
   /** Whether {@link EngineTransport.Owner#attemptWritten} is waited for. */
   public boolean guarded() {
-    return call.guard != null;
+    return pending.guard != null;
   }
 
   /** How long the client still waits, in milliseconds; 1 at least. */
   public long millisLeft(long now) {
-    return Math.max(1, (call.request.clientDeadline - now) / Units.TENTHS_PER_MS);
+    return Math.max(1, (pending.request.clientDeadline - now) / Units.TENTHS_PER_MS);
   }
 
   // ---- results that come as one body and not in pages ----
--- a/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
+++ b/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
@@ -9,7 +9,7 @@
 
 /** A request as its client sees it: where it waits, and its answer once there is one. */
 final class PendingResponse {
-  final SubmitRequest ask;
+  final SubmitRequest submission;
   final Request request;
   final List<InFlightAttempt> inFlightAttempts = new ArrayList<>(1);
 
@@ -31,22 +31,28 @@
    * @param arrivedAt when it may have come at the earliest: its client's time counts from then
    * @param line those about the same, of request classes that keep their order; or null
    */
-  PendingResponse(SubmitRequest ask, int classIndex, long arrivedAt, KeyedRequestQueue line) {
-    this.ask = ask;
+  PendingResponse(
+      SubmitRequest submission, int classIndex, long arrivedAt, KeyedRequestQueue line) {
+    this.submission = submission;
     request =
         new Request(
             this,
             classIndex,
-            ask.tableGroup(),
-            ask.repeat(),
+            submission.tableGroup(),
+            submission.repeat(),
             arrivedAt,
-            arrivedAt + ask.patience(),
-            ask.estimate(),
-            ask.memory(),
+            arrivedAt + submission.patience(),
+            submission.estimate(),
+            submission.memory(),
             line);
     forgetAt = request.clientDeadline;
   }
 
+  /** The id by which the client correlates its request. */
+  String id() {
+    return submission.id();
+  }
+
   /** Whether the client is owed nothing more. */
   boolean settled() {
     return answer != null || left;
--- a/gateway/src/test/java/tillerlink/SingleWriterTest.java
+++ b/gateway/src/test/java/tillerlink/SingleWriterTest.java
@@ -47,14 +47,16 @@
     assertEquals(1, count(link, "[^.\\w]want\\(inFlight\\);"));
     assertEquals(
         1, count(link, "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+want\\(inFlight\\);"));
-    String gateway = Files.readString(SOURCES.resolve("net/state/Gateway.java"));
-    assertEquals(1, count(gateway, "transport\\(inFlight\\)\\.send\\(inFlight\\)"));
+    String executor = Files.readString(SOURCES.resolve("net/state/ActionExecutor.java"));
+    assertEquals(1, count(executor, "inFlight\\.transport\\(\\)\\.send\\(inFlight\\)"));
+    assertEquals(
+        List.of("net/state/ActionExecutor.java"), filesWith("transport\\(?[^;]*\\)?\\.send\\("));
     assertEquals(
         1,
         count(
-            gateway,
+            executor,
             "if \\(verdict == SendVerdict\\.ALLOWED\\)"
-                + " \\{\\s+transport\\(inFlight\\)\\.send\\(inFlight\\)"));
+                + " \\{\\s+inFlight\\.transport\\(\\)\\.send\\(inFlight\\)"));
     assertEquals(
         List.of("policy/DefaultDispatchPolicy.java", "policy/SendGuard.java"),
         filesWith("guard\\.checkWrite\\(|SendVerdict checkWrite\\(long now, Attempt attempt\\) \\{")
--- a/gateway/src/test/java/tillerlink/TestGateway.java
+++ b/gateway/src/test/java/tillerlink/TestGateway.java
@@ -190,7 +190,7 @@
 
   /** Puts it beside the module, from now on. */
   TestGateway beside(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
-    gateway.beside(made.apply(gateway.door()));
+    gateway.setExtension(made.apply(gateway.extensionContext()));
     return this;
   }
 
@@ -241,7 +241,7 @@
             name,
             n -> {
               Printed made = new Printed(n);
-              made.owner = gateway.accepted(made);
+              made.owner = gateway.onClientConnected(made);
               return made;
             });
     return turn(() -> channel.owner.onBytes(bytes.getBytes(StandardCharsets.UTF_8)));
@@ -269,7 +269,7 @@
   }
 
   TestGateway news(int index, String... engines) {
-    asked().turn(() -> gateway.told(Lists.answer(query, index, engines)));
+    asked().turn(() -> gateway.onDiscoveryDatagram(Lists.answer(query, index, engines)));
     if (index > servedIndex) {
       served = engines;
       servedIndex = index;
@@ -285,7 +285,7 @@
             () -> {
               byte[] bytes = Lists.answer(query, index, engines);
               bytes[2] |= 2;
-              gateway.told(Arrays.copyOf(bytes, Lists.serialEnd(bytes)));
+              gateway.onDiscoveryDatagram(Arrays.copyOf(bytes, Lists.serialEnd(bytes)));
             });
     answering = true;
     return this;
@@ -323,7 +323,7 @@
   }
 
   TestGateway timeUp() {
-    return turn(() -> gateway.endAll());
+    return turn(() -> gateway.onShutdownDeadline());
   }
 
   TestGateway pass(long ms) {
@@ -349,16 +349,16 @@
   }
 
   TestGateway turn(Runnable event) {
-    gateway.begin(now);
+    gateway.beginIteration(now);
     event.run();
-    gateway.settle();
+    gateway.endIteration();
     goOn();
     while (unanswered >= 0) {
       int id = unanswered;
       unanswered = -1;
-      gateway.begin(now);
-      gateway.told(Lists.answer(id, servedIndex, served));
-      gateway.settle();
+      gateway.beginIteration(now);
+      gateway.onDiscoveryDatagram(Lists.answer(id, servedIndex, served));
+      gateway.endIteration();
       goOn();
     }
     return this;
@@ -366,8 +366,8 @@
 
   private void goOn() {
     while (gateway.dueAt() <= now) {
-      gateway.begin(now);
-      gateway.settle();
+      gateway.beginIteration(now);
+      gateway.endIteration();
     }
   }
 
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -45,8 +45,8 @@
     Gateway gateway =
         new Gateway(
             assignment, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
-    gateway.begin(START);
-    gateway.settle();
+    gateway.beginIteration(START);
+    gateway.endIteration();
     now += PAUSE;
     turns.run(gateway, () -> happened.size() > 2);
     assertEquals(
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -110,8 +110,8 @@
         new MinaDriver(
             gate,
             assignment.resolver(),
-            bytes -> gateway.told(bytes),
-            channel -> gateway.accepted(channel),
+            bytes -> gateway.onDiscoveryDatagram(bytes),
+            channel -> gateway.onClientConnected(channel),
             assignment.maxClients(),
             now::get);
     gateway = new Gateway(assignment, DefaultDispatchPolicy::new, driver, now.get());
