--- a/channels/src/main/java/tillerlink/channels/sync/Server.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Server.java
@@ -34,7 +34,8 @@
   }
 
   public void want(String from, Want want) {
-    int most = Math.max(150, Math.min(MessageSender.MAX_MESSAGE_BYTES, want.maxBytes())) - ROOM_FOR_HEAD;
+    int most =
+        Math.max(150, Math.min(MessageSender.MAX_MESSAGE_BYTES, want.maxBytes())) - ROOM_FOR_HEAD;
     int left = Math.min(ENTRIES_MOST, want.maxEntries());
     List<Entry> piece = new ArrayList<>();
     int bytes = 0;
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -98,7 +98,8 @@
         new EnvelopeCodec(
             sharing.fleet(), sharing.secret() == null ? null : Seal.of(sharing.secret()));
     outbox = new Outbox(codec, assignment.name(), life);
-    inbox = new Inbox(codec, assignment.name(), life, MessageSender.MAX_MESSAGE_BYTES, journal::line);
+    inbox =
+        new Inbox(codec, assignment.name(), life, MessageSender.MAX_MESSAGE_BYTES, journal::line);
     keep =
         sharing.folder() == null
             ? new DisabledKeyValueStore()
