--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -107,13 +107,13 @@
     @Override
     public void onAttemptEnded(long mayRunUntil) {
       told.add(
-          mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - TestGateway.STORY) / 10);
+          mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - GatewayFixture.STORY) / 10);
     }
   }
 
   private Aside aside;
 
-  private TestGateway stage(TestGateway fresh, Boolean... answers) {
+  private GatewayFixture stage(GatewayFixture fresh, Boolean... answers) {
     return fresh.beside(
         door -> {
           aside = new Aside(door);
@@ -124,8 +124,8 @@
 
   @Test
   void itsOwnCalls() {
-    TestGateway s =
-        stage(new TestGateway())
+    GatewayFixture s =
+        stage(new GatewayFixture())
             .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
             .say("the next call waits its turn")
             .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -144,7 +144,7 @@
 
   @Test
   void itsPlaceInATurn() {
-    stage(new TestGateway())
+    stage(new GatewayFixture())
         .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
         .drain()
         .timeUp();
@@ -159,7 +159,7 @@
    */
   @Test
   void guards() {
-    TestGateway s = new TestGateway();
+    GatewayFixture s = new GatewayFixture();
     for (String requestClass : List.of("aside/look", "aside/book")) {
       s.say(requestClass + ": it holds").fresh();
       stage(s)
@@ -214,12 +214,12 @@
     s.matches("side-guards");
   }
 
-  private void told(String what, TestGateway s, String... wanted) {
+  private void told(String what, GatewayFixture s, String... wanted) {
     assertEquals(List.of(wanted), aside.told, what);
   }
 
-  private TestGateway out(Boolean... answers) {
-    return stage(new TestGateway(), answers).post("c1", ID, "aside/book").get("c1", ID);
+  private GatewayFixture out(Boolean... answers) {
+    return stage(new GatewayFixture(), answers).post("c1", ID, "aside/book").get("c1", ID);
   }
 
   private static final String DONE = ID + " ok count=1 0||";
@@ -273,7 +273,7 @@
     told("the process ends", out().connected(0).timeUp(), "began", "may run until 4500");
     told(
         "a pure one goes to another engine",
-        stage(new TestGateway())
+        stage(new GatewayFixture())
             .post("c1", ID, "aside/look")
             .get("c1", ID)
             .connected(0)
@@ -289,7 +289,7 @@
   /** Held requests hear of it at once and not only when their turn comes. */
   @Test
   void heldOnes() {
-    TestGateway s = new TestGateway().fleet(0, 1024);
+    GatewayFixture s = new GatewayFixture().fleet(0, 1024);
     stage(s)
         .post("c1", ID, "aside/look")
         .get("c1", ID)
--- a/gateway/src/test/java/tillerlink/TestGateway.java
+++ b/gateway/src/test/java/tillerlink/GatewayFixture.java
@@ -21,7 +21,7 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /** A driver that prints. Times are milliseconds; in what engines say, | is a line's end. */
-final class TestGateway implements NetworkDriver {
+final class GatewayFixture implements NetworkDriver {
   private static final int TENTHS = 10;
   static final long START = 17_000_000_000_000L;
   private static final long CONFIRM_MS = 125;
@@ -54,11 +54,11 @@
   private long origin = START;
   private Gateway gateway;
 
-  TestGateway() {
+  GatewayFixture() {
     fresh();
   }
 
-  TestGateway fresh() {
+  GatewayFixture fresh() {
     dialed.clear();
     clients.clear();
     unsent.clear();
@@ -173,12 +173,12 @@
   }
 
   /** With settings that leave out all that they may. */
-  TestGateway terse() {
+  GatewayFixture terse() {
     terse = true;
     return fresh();
   }
 
-  TestGateway fleet(int engines, int descriptors) {
+  GatewayFixture fleet(int engines, int descriptors) {
     fleet = IntStream.range(1, engines + 1).mapToObj(i -> entry("e" + i, "127.0.0." + i)).toList();
     sockets = descriptors;
     return fresh();
@@ -189,27 +189,27 @@
   }
 
   /** Puts it beside the module, from now on. */
-  TestGateway beside(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
+  GatewayFixture beside(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
     gateway.setExtension(made.apply(gateway.extensionContext()));
     return this;
   }
 
-  TestGateway say(String comment) {
+  GatewayFixture say(String comment) {
     printed.append("# ").append(comment).append('\n');
     return this;
   }
 
-  TestGateway stuck() {
+  GatewayFixture stuck() {
     stuck = true;
     return this;
   }
 
-  TestGateway letGo() {
+  GatewayFixture letGo() {
     stuck = false;
     return turn(() -> {});
   }
 
-  TestGateway post(String client, String id, String requestClass) {
+  GatewayFixture post(String client, String id, String requestClass) {
     return client(
         client,
         "POST /v1/"
@@ -220,7 +220,7 @@
   }
 
   /** Of the request class that keeps its order. */
-  TestGateway ordered(String client, String id, String subject) {
+  GatewayFixture ordered(String client, String id, String subject) {
     return client(
         client,
         "POST /v1/file HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
@@ -231,11 +231,11 @@
             + "\r\nX-Estimate-Ms: 100\r\nContent-Length: 8\r\n\r\nSELECT 1");
   }
 
-  TestGateway get(String client, String id) {
+  GatewayFixture get(String client, String id) {
     return client(client, "GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
   }
 
-  TestGateway client(String name, String bytes) {
+  GatewayFixture client(String name, String bytes) {
     Printed channel =
         clients.computeIfAbsent(
             name,
@@ -247,19 +247,19 @@
     return turn(() -> channel.owner.onBytes(bytes.getBytes(StandardCharsets.UTF_8)));
   }
 
-  TestGateway breaks(String client, DisconnectReason how) {
+  GatewayFixture breaks(String client, DisconnectReason how) {
     return turn(() -> clients.remove(client).owner.onClosed(how));
   }
 
-  TestGateway connected(int link) {
+  GatewayFixture connected(int link) {
     return turn(() -> dialed.get(link).owner.onOpened());
   }
 
-  TestGateway ends(int link, DisconnectReason how) {
+  GatewayFixture ends(int link, DisconnectReason how) {
     return turn(() -> dialed.get(link).owner.onClosed(how));
   }
 
-  TestGateway engine(int link, String says) {
+  GatewayFixture engine(int link, String says) {
     return turn(
         () ->
             dialed
@@ -268,7 +268,7 @@
                 .onBytes(says.replace("|", "\r\n").getBytes(StandardCharsets.UTF_8)));
   }
 
-  TestGateway news(int index, String... engines) {
+  GatewayFixture news(int index, String... engines) {
     asked().turn(() -> gateway.onDiscoveryDatagram(Lists.answer(query, index, engines)));
     if (index > servedIndex) {
       served = engines;
@@ -279,7 +279,7 @@
   }
 
   /** The same, truncated behind its serial. */
-  TestGateway truncated(int index, String... engines) {
+  GatewayFixture truncated(int index, String... engines) {
     asked()
         .turn(
             () -> {
@@ -292,7 +292,7 @@
   }
 
   /** The discovery service answers nothing from now on. */
-  TestGateway silentNames() {
+  GatewayFixture silentNames() {
     answering = false;
     return this;
   }
@@ -303,7 +303,7 @@
   }
 
   /** Time passes until the discovery service is asked. */
-  private TestGateway asked() {
+  private GatewayFixture asked() {
     answering = false;
     query = -1;
     for (int i = 0; i < 20 && query < 0; i++) {
@@ -312,21 +312,21 @@
     return this;
   }
 
-  TestGateway drain() {
+  GatewayFixture drain() {
     gateway.drain();
     return this;
   }
 
-  TestGateway answered() {
+  GatewayFixture answered() {
     print(gateway.allAnswered() ? "all answered" : "not all answered");
     return this;
   }
 
-  TestGateway timeUp() {
+  GatewayFixture timeUp() {
     return turn(() -> gateway.onShutdownDeadline());
   }
 
-  TestGateway pass(long ms) {
+  GatewayFixture pass(long ms) {
     long until = now + ms * TENTHS;
     while (gateway.dueAt() <= until) {
       now = Math.max(now, gateway.dueAt());
@@ -337,18 +337,18 @@
   }
 
   /** Time passes and no turn is taken. */
-  TestGateway stall(long ms) {
+  GatewayFixture stall(long ms) {
     now += ms * TENTHS;
     return this;
   }
 
   /** Leaves what happens out of the trace. */
-  TestGateway quiet(boolean on) {
+  GatewayFixture quiet(boolean on) {
     quiet = on;
     return this;
   }
 
-  TestGateway turn(Runnable event) {
+  GatewayFixture turn(Runnable event) {
     gateway.beginIteration(now);
     event.run();
     gateway.endIteration();
--- a/gateway/src/test/java/tillerlink/GatewayTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayTest.java
@@ -16,8 +16,8 @@
 
   @Test
   void aResultOfThreePages() {
-    TestGateway s =
-        new TestGateway()
+    GatewayFixture s =
+        new GatewayFixture()
             .post("c1", ID, "look")
             .get("c1", ID)
             .connected(0)
@@ -40,7 +40,7 @@
    */
   @Test
   void endings() {
-    TestGateway s = new TestGateway();
+    GatewayFixture s = new GatewayFixture();
     for (DisconnectReason how : List.of(DisconnectReason.REFUSED, DisconnectReason.RESET)) {
       s.say("before it was connected: " + how)
           .fresh()
@@ -115,7 +115,7 @@
   @Test
   void spoiltAnswers() {
     String row = " 6|a\t1\tx\n|";
-    TestGateway s = new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture s = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
     s.say("more than belongs to it")
         .engine(0, "00000000000000ff ok count=1 0||")
         .engine(0, ID + " ok count=2" + row)
@@ -179,7 +179,7 @@
    */
   @Test
   void silence() {
-    TestGateway s = new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture s = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
     s.say("quiet, but it works")
         .pass(200)
         .engine(0, "0 yes - 0||")
@@ -213,7 +213,8 @@
   /** Guards against taking a pause of this machine for a silent engine. */
   @Test
   void stoodStill() {
-    TestGateway s = new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0).stall(3000);
+    GatewayFixture s =
+        new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0).stall(3000);
     s.say("what was said meanwhile is heard first")
         .engine(0, ID + " progress tell=frac,reading=0.9 0||")
         .matches("net-stood-still");
@@ -221,7 +222,7 @@
 
   @Test
   void aFullTableTurnsRequestsBack() {
-    TestGateway s = new TestGateway().quiet(true);
+    GatewayFixture s = new GatewayFixture().quiet(true);
     for (int i = 0; i < 4096; i++) {
       s.post("c1", String.format("%016x", i), "look");
     }
@@ -233,7 +234,7 @@
 
   @Test
   void clientsThatLeave() {
-    TestGateway s = new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture s = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
     s.say("by DELETE").client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n");
     s.say("by a close before the path was out")
         .stuck()
@@ -244,7 +245,7 @@
 
   @Test
   void badCalls() {
-    TestGateway s = new TestGateway();
+    GatewayFixture s = new GatewayFixture();
     String[] heads = {
       "POST /v1/nobody",
       "POST /v2/look",
@@ -306,8 +307,8 @@
   /** Guards usual clients against those that take up connections and say nothing. */
   @Test
   void atTheBoundWhatIsOfLeastUseGoes() {
-    TestGateway s =
-        new TestGateway()
+    GatewayFixture s =
+        new GatewayFixture()
             .post("busy", ID, "look")
             .get("busy", ID)
             .client("idle", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -334,7 +335,7 @@
 
   @Test
   void pipelinedCallsAreReadWhenTheAnswerBeforeIsOut() {
-    TestGateway s = new TestGateway().stuck();
+    GatewayFixture s = new GatewayFixture().stuck();
     s.client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".repeat(3))
         .say("the first answer is out")
         .letGo();
@@ -351,7 +352,7 @@
    */
   @Test
   void newsOfTheNameService() {
-    TestGateway s = new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture s = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
     s.say("the engine restarted under its name, the other is gone: a new connection")
         .news(5, "e1 ready 127.0.0.1:5050 east std 0 1700000000000")
         .engine(0, "0 yes - 0||")
@@ -394,8 +395,8 @@
    */
   @Test
   void whatComesWithoutAGapAfterAPause() {
-    TestGateway s =
-        new TestGateway()
+    GatewayFixture s =
+        new GatewayFixture()
             .pass(500)
             .say("the process stands still, then what had come is read bit by bit")
             .stall(600);
@@ -409,8 +410,8 @@
   /** Guards the drain, and the engines that an answer had no room for. */
   @Test
   void anAnswerThatHeldNotAll() {
-    TestGateway s =
-        new TestGateway()
+    GatewayFixture s =
+        new GatewayFixture()
             .say("e1 drains; its address, and all of e2, had no room")
             .truncated(5, "e1 draining 127.0.0.1:5050 east std 0 0");
     for (int i = 0; i < 3; i++) {
@@ -432,8 +433,8 @@
    */
   @Test
   void givenUpWhileItWaitsToGoOut() {
-    TestGateway s =
-        new TestGateway().post("c1", ID, "look").get("c1", ID).stuck().connected(0).pass(100);
+    GatewayFixture s =
+        new GatewayFixture().post("c1", ID, "look").get("c1", ID).stuck().connected(0).pass(100);
     s.say("the client leaves; the engine has read nothing")
         .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n")
         .pass(150)
@@ -454,8 +455,8 @@
    */
   @Test
   void inOrderBySubject() {
-    TestGateway s =
-        new TestGateway()
+    GatewayFixture s =
+        new GatewayFixture()
             .ordered("c1", "00000000000000a1", "x")
             .ordered("c2", "00000000000000a2", "x")
             .connected(0);
@@ -465,8 +466,8 @@
 
   @Test
   void drained() {
-    TestGateway s =
-        new TestGateway()
+    GatewayFixture s =
+        new GatewayFixture()
             .post("c1", ID, "look")
             .get("c1", ID)
             .connected(0)
@@ -490,8 +491,8 @@
    */
   @Test
   void moreEnginesThanConnections() {
-    TestGateway s =
-        new TestGateway().fleet(40, 12).say("40 engines, four connections: a hop on each");
+    GatewayFixture s =
+        new GatewayFixture().fleet(40, 12).say("40 engines, four connections: a hop on each");
     for (int i = 0; i < 4; i++) {
       s.post("c" + i, "00000000000000b" + i, "look").connected(i);
     }
@@ -510,8 +511,8 @@
    */
   @Test
   void whatIsNotStated() {
-    TestGateway s =
-        new TestGateway()
+    GatewayFixture s =
+        new GatewayFixture()
             .terse()
             .post("c1", ID, "look")
             .get("c1", ID)
--- a/statements/src/test/java/tillerlink/statements/AttemptsTest.java
+++ b/statements/src/test/java/tillerlink/statements/AttemptsTest.java
@@ -11,16 +11,16 @@
  * was announced.
  */
 class AttemptsTest {
-  private static final long LEASE = 3 * TestCluster.SECOND;
-  private final TestCluster cluster = new TestCluster(3, 3, 2);
+  private static final long LEASE = 3 * ClusterFixture.SECOND;
+  private final ClusterFixture cluster = new ClusterFixture(3, 3, 2);
 
   private void settled() {
     cluster.leaseLength = LEASE;
     cluster.startAll();
-    assertTrue(cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none")));
+    assertTrue(cluster.until(10 * ClusterFixture.SECOND, () -> !cluster.leader().equals("none")));
     cluster.prepare(
-        "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
-    assertTrue(cluster.until(5 * TestCluster.SECOND, () -> runs("g1") && runs("g2")));
+        "g1", ClusterFixture.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+    assertTrue(cluster.until(5 * ClusterFixture.SECOND, () -> runs("g1") && runs("g2")));
     // A voter that has just started is clear of nothing.
     cluster.fleet.playFor(2 * LEASE);
   }
@@ -33,10 +33,10 @@
   private long change() {
     long version = cluster.part("g2").catalog().version(17);
     long from = cluster.fleet.now();
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.announce("g2", ClusterFixture.untouched(17), any -> {});
     assertTrue(
         cluster.until(
-            20 * TestCluster.SECOND, () -> cluster.part("g2").catalog().version(17) > version));
+            20 * ClusterFixture.SECOND, () -> cluster.part("g2").catalog().version(17) > version));
     assertEquals(List.of(), cluster.audit.violations);
     return cluster.fleet.now() - from;
   }
@@ -45,22 +45,23 @@
     cluster.worksFor = worksFor;
     cluster.inDoubt = inDoubt;
     cluster.run("g1", "top");
-    cluster.fleet.playFor(20 * TestCluster.MS);
+    cluster.fleet.playFor(20 * ClusterFixture.MS);
     assertEquals(1, cluster.audit.runs);
   }
 
   @Test
   void itTakesEffectRightAfterTheAttemptEnded() {
     settled();
-    run(TestCluster.SECOND, 0);
+    run(ClusterFixture.SECOND, 0);
     long took = change();
-    assertTrue(took >= 950 * TestCluster.MS && took <= 1100 * TestCluster.MS, took / 10 + " ms");
+    assertTrue(
+        took >= 950 * ClusterFixture.MS && took <= 1100 * ClusterFixture.MS, took / 10 + " ms");
   }
 
   @Test
   void itTakesEffectOnceTheLeaseRanOutUnderAnAttemptThatGoesOn() {
     settled();
-    run(10 * TestCluster.SECOND, 0);
+    run(10 * ClusterFixture.SECOND, 0);
     long took = change();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
   }
@@ -68,7 +69,7 @@
   @Test
   void anAttemptThatMayBeOutIsNoReasonToGiveALeaseBack() {
     settled();
-    run(10 * TestCluster.MS, 1);
+    run(10 * ClusterFixture.MS, 1);
     long took = change();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
   }
@@ -76,10 +77,10 @@
   @Test
   void itIsForgottenOnceItCannotBeOutAnyMore() {
     settled();
-    run(10 * TestCluster.MS, 1);
-    cluster.fleet.playFor(LEASE + TestCluster.SECOND);
+    run(10 * ClusterFixture.MS, 1);
+    cluster.fleet.playFor(LEASE + ClusterFixture.SECOND);
     long took = change();
-    assertTrue(took <= 50 * TestCluster.MS, took / 10 + " ms");
+    assertTrue(took <= 50 * ClusterFixture.MS, took / 10 + " ms");
   }
 
   /**
@@ -89,13 +90,14 @@
   @Test
   void aPauseEndsNoAttempt() {
     settled();
-    run(2 * TestCluster.SECOND, 0);
+    run(2 * ClusterFixture.SECOND, 0);
     cluster.pause("g1");
-    cluster.fleet.playFor(400 * TestCluster.MS);
+    cluster.fleet.playFor(400 * ClusterFixture.MS);
     cluster.resume("g1");
-    cluster.fleet.playFor(20 * TestCluster.MS);
+    cluster.fleet.playFor(20 * ClusterFixture.MS);
     long took = change();
-    assertTrue(took >= TestCluster.SECOND && took <= 1700 * TestCluster.MS, took / 10 + " ms");
+    assertTrue(
+        took >= ClusterFixture.SECOND && took <= 1700 * ClusterFixture.MS, took / 10 + " ms");
   }
 
   /** A process that ends gives back what no attempt is out under. */
@@ -104,13 +106,13 @@
     settled();
     cluster.leave("g1");
     long took = change();
-    assertTrue(took <= 50 * TestCluster.MS, took / 10 + " ms");
+    assertTrue(took <= 50 * ClusterFixture.MS, took / 10 + " ms");
   }
 
   @Test
   void whoLeavesWithAnAttemptOutGivesNothingBackUnderIt() {
     settled();
-    run(10 * TestCluster.SECOND, 0);
+    run(10 * ClusterFixture.SECOND, 0);
     cluster.leave("g1");
     long took = change();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
--- a/statements/src/test/java/tillerlink/statements/TestCluster.java
+++ b/statements/src/test/java/tillerlink/statements/ClusterFixture.java
@@ -33,7 +33,7 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /** A fleet of gateways in virtual time that keep prepared statements, with load and an audit. */
-final class TestCluster {
+final class ClusterFixture {
   static final long MS = 10;
   static final long SECOND = 10_000;
   private static final double DRIFT = 0.02;
@@ -64,7 +64,7 @@
   private int starts;
   private long diskTakes = 5;
 
-  TestCluster(long seed, int voterCount, int others, InjectedFault... plants) {
+  ClusterFixture(long seed, int voterCount, int others, InjectedFault... plants) {
     random = new SplittableRandom(seed);
     doubts = new SplittableRandom(~seed);
     this.plants = Set.of(plants);
--- a/statements/src/test/java/tillerlink/statements/HistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/HistoriesTest.java
@@ -27,7 +27,7 @@
       History history = new History(seed + 100_000L * seconds);
       String what;
       try {
-        what = history.play(seconds * TestCluster.SECOND);
+        what = history.play(seconds * ClusterFixture.SECOND);
       } catch (Invariant.Broken e) {
         what = e + " at " + history.cluster.at();
       }
--- a/statements/src/test/java/tillerlink/statements/History.java
+++ b/statements/src/test/java/tillerlink/statements/History.java
@@ -18,7 +18,7 @@
 final class History {
   static final List<String> NAMES = List.of("a", "b", "c", "d");
 
-  final TestCluster cluster;
+  final ClusterFixture cluster;
   final List<String> events = new ArrayList<>();
   private final SplittableRandom random;
   private final Map<String, NavigableMap<String, byte[]>> copies = new HashMap<>();
@@ -39,7 +39,7 @@
   History(long seed, InjectedFault... plants) {
     random = new SplittableRandom(seed * 31 + 7);
     voterCount = random.nextInt(4) == 0 ? 5 : 3;
-    cluster = new TestCluster(seed, voterCount, 2 + random.nextInt(3), plants);
+    cluster = new ClusterFixture(seed, voterCount, 2 + random.nextInt(3), plants);
     cluster.leaseLength = 10 * (300 + random.nextInt(1500));
     cluster.inDoubt = 0.02;
   }
@@ -48,7 +48,7 @@
   History(long seed, int voters, int others) {
     random = new SplittableRandom(seed * 31 + 7);
     voterCount = voters;
-    cluster = new TestCluster(seed, voters, others);
+    cluster = new ClusterFixture(seed, voters, others);
     cluster.leaseLength = 10 * (300 + random.nextInt(1000));
     cluster.inDoubt = 0.02;
   }
@@ -69,13 +69,13 @@
       cluster.clocksDrift();
     }
     cluster.startAll();
-    if (!cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"))) {
+    if (!cluster.until(10 * ClusterFixture.SECOND, () -> !cluster.leader().equals("none"))) {
       return "no leader at the start";
     }
     for (String name : NAMES) {
       prepare(name);
     }
-    cluster.fleet.playFor(TestCluster.SECOND);
+    cluster.fleet.playFor(ClusterFixture.SECOND);
     load();
     long end = cluster.fleet.now() + lasts;
     while (cluster.fleet.now() < end) {
@@ -97,12 +97,12 @@
       cluster.clocksDrift();
     }
     cluster.startAll();
-    if (!cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"))) {
+    if (!cluster.until(10 * ClusterFixture.SECOND, () -> !cluster.leader().equals("none"))) {
       return "no leader at the start";
     }
     prepare(NAMES.get(0));
     prepare(NAMES.get(1));
-    cluster.fleet.playFor(TestCluster.SECOND / 2);
+    cluster.fleet.playFor(ClusterFixture.SECOND / 2);
     load();
     int before = random.nextInt(3);
     for (int i = 0; i < 3; i++) {
@@ -167,8 +167,8 @@
     cluster.prepare(
         at,
         two
-            ? TestCluster.definition(name, text, group, group == 17 ? 18 : 17)
-            : TestCluster.definition(name, text, group),
+            ? ClusterFixture.definition(name, text, group, group == 17 ? 18 : 17)
+            : ClusterFixture.definition(name, text, group),
         this::told);
   }
 
@@ -183,11 +183,11 @@
   private Change change() {
     int group = 17 + random.nextInt(3);
     return switch (random.nextInt(6)) {
-      case 0 -> TestCluster.removed(group);
-      case 1 -> TestCluster.renamed(group, "t" + random.nextInt(100));
-      case 2 -> TestCluster.altered(group);
-      case 3 -> TestCluster.untouched(group, group == 17 ? 18 : 17);
-      default -> TestCluster.untouched(group);
+      case 0 -> ClusterFixture.removed(group);
+      case 1 -> ClusterFixture.renamed(group, "t" + random.nextInt(100));
+      case 2 -> ClusterFixture.altered(group);
+      case 3 -> ClusterFixture.untouched(group, group == 17 ? 18 : 17);
+      default -> ClusterFixture.untouched(group);
     };
   }
 
@@ -305,7 +305,7 @@
       return;
     }
     doubtful = name;
-    doubtfulUntil = cluster.fleet.now() + TestCluster.SECOND;
+    doubtfulUntil = cluster.fleet.now() + ClusterFixture.SECOND;
     cluster.kill(name);
     NavigableMap<String, byte[]> copy = copies.get(name);
     if (copy != null && random.nextBoolean()) {
@@ -328,7 +328,7 @@
       }
       cluster.resume(name);
     }
-    boolean agreed = cluster.until(60 * TestCluster.SECOND, cluster::agree);
+    boolean agreed = cluster.until(60 * ClusterFixture.SECOND, cluster::agree);
     loaded = false;
     if (!cluster.audit.violations.isEmpty()) {
       return cluster.audit.violations.get(0);
@@ -347,7 +347,7 @@
       for (String at : cluster.all) {
         if (ready
             && !cluster.until(
-                5 * TestCluster.SECOND, () -> cluster.mayRun(at, name).startsWith("yes"))) {
+                5 * ClusterFixture.SECOND, () -> cluster.mayRun(at, name).startsWith("yes"))) {
           return at + " can't run " + name + " in a calm fleet: " + cluster.mayRun(at, name);
         }
       }
--- a/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
+++ b/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
@@ -25,7 +25,7 @@
    * What a scene came to, by each check that saw something, numbers aside; empty if all was in
    * order.
    */
-  private static Set<String> of(TestCluster cluster, Function<TestCluster, String> scene) {
+  private static Set<String> of(ClusterFixture cluster, Function<ClusterFixture, String> scene) {
     Set<String> seen = new LinkedHashSet<>();
     String said;
     try {
@@ -45,9 +45,9 @@
   }
 
   private static void caught(
-      InjectedFault plant, Function<TestCluster, String> scene, String words) {
-    assertEquals(Set.of(), of(new TestCluster(5, 3, 2), scene), plant + " without the fault");
-    Set<String> seen = of(new TestCluster(5, 3, 2, plant), scene);
+      InjectedFault plant, Function<ClusterFixture, String> scene, String words) {
+    assertEquals(Set.of(), of(new ClusterFixture(5, 3, 2), scene), plant + " without the fault");
+    Set<String> seen = of(new ClusterFixture(5, 3, 2, plant), scene);
     System.out.println(plant + ": " + seen);
     assertTrue(seen.contains(words), plant + ": " + seen);
   }
@@ -57,7 +57,7 @@
     for (int seed = first; seed < first + SEEDS_MOST; seed++) {
       History history = new History(seed, plant);
       try {
-        String said = history.play(8 * TestCluster.SECOND);
+        String said = history.play(8 * ClusterFixture.SECOND);
         assertNull(said);
       } catch (Invariant.Broken e) {
         System.out.println(plant + ": seed " + seed + ": " + e.getMessage());
@@ -70,33 +70,33 @@
 
   // ---- scenes ----
 
-  private static String settled(TestCluster cluster) {
+  private static String settled(ClusterFixture cluster) {
     cluster.startAll();
-    if (!cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"))) {
+    if (!cluster.until(10 * ClusterFixture.SECOND, () -> !cluster.leader().equals("none"))) {
       return "no leader";
     }
     cluster.prepare(
-        "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+        "g1", ClusterFixture.definition("top", "select 1 from orders_17.orders", 17), any -> {});
     return cluster.until(
-            5 * TestCluster.SECOND, () -> cluster.mayRun("g1", "top").startsWith("yes"))
+            5 * ClusterFixture.SECOND, () -> cluster.mayRun("g1", "top").startsWith("yes"))
         ? null
         : "no run";
   }
 
-  private static void load(TestCluster cluster, String at, long until) {
+  private static void load(ClusterFixture cluster, String at, long until) {
     cluster.run(at, "top");
     if (cluster.fleet.now() < until) {
       cluster.fleet.at(cluster.fleet.now() + 100, () -> load(cluster, at, until));
     }
   }
 
-  private static void alone(TestCluster cluster, String name) {
+  private static void alone(ClusterFixture cluster, String name) {
     cluster.all.stream()
         .filter(other -> !other.equals(name))
         .forEach(other -> cluster.fleet.between(name, other, Fault.CUT));
   }
 
-  private static String calmAgain(TestCluster cluster) {
+  private static String calmAgain(ClusterFixture cluster) {
     cluster.fleet.heal();
     cluster.all.forEach(
         name -> {
@@ -104,17 +104,17 @@
             cluster.start(name);
           }
         });
-    return cluster.until(30 * TestCluster.SECOND, cluster::agree) ? null : "no agreement";
+    return cluster.until(30 * ClusterFixture.SECOND, cluster::agree) ? null : "no agreement";
   }
 
   /** A change while one gateway is cut off with its lease. */
-  private static String changeWhileCut(TestCluster cluster) {
+  private static String changeWhileCut(ClusterFixture cluster) {
     String trouble = settled(cluster);
-    load(cluster, "g1", cluster.fleet.now() + 4 * TestCluster.SECOND);
-    cluster.fleet.playFor(TestCluster.SECOND);
+    load(cluster, "g1", cluster.fleet.now() + 4 * ClusterFixture.SECOND);
+    cluster.fleet.playFor(ClusterFixture.SECOND);
     alone(cluster, "g1");
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
-    cluster.fleet.playFor(4 * TestCluster.SECOND);
+    cluster.announce("g2", ClusterFixture.untouched(17), any -> {});
+    cluster.fleet.playFor(4 * ClusterFixture.SECOND);
     return trouble == null ? calmAgain(cluster) : trouble;
   }
 
@@ -138,16 +138,16 @@
    * All voters start again and forget what they granted, while a gateway that holds a lease is cut
    * off.
    */
-  private static String allVotersStartAgain(TestCluster cluster) {
-    cluster.leaseLength = 6 * TestCluster.SECOND;
+  private static String allVotersStartAgain(ClusterFixture cluster) {
+    cluster.leaseLength = 6 * ClusterFixture.SECOND;
     String trouble = settled(cluster);
-    load(cluster, "g1", cluster.fleet.now() + 8 * TestCluster.SECOND);
-    cluster.fleet.playFor(TestCluster.SECOND);
+    load(cluster, "g1", cluster.fleet.now() + 8 * ClusterFixture.SECOND);
+    cluster.fleet.playFor(ClusterFixture.SECOND);
     alone(cluster, "g1");
     cluster.voters.forEach(cluster::start);
-    cluster.until(5 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
-    cluster.fleet.playFor(8 * TestCluster.SECOND);
+    cluster.until(5 * ClusterFixture.SECOND, () -> !cluster.leader().equals("none"));
+    cluster.announce("g2", ClusterFixture.untouched(17), any -> {});
+    cluster.fleet.playFor(8 * ClusterFixture.SECOND);
     return trouble == null ? calmAgain(cluster) : trouble;
   }
 
@@ -160,16 +160,16 @@
   }
 
   /** Answers to a gateway take longer than half a lease. */
-  private static String answersAreLate(TestCluster cluster) {
-    cluster.leaseLength = 2 * TestCluster.SECOND;
+  private static String answersAreLate(ClusterFixture cluster) {
+    cluster.leaseLength = 2 * ClusterFixture.SECOND;
     String trouble = settled(cluster);
     cluster.voters.forEach(voter -> cluster.fleet.link(voter, "g1", Fault.slow(14_000, 14_000)));
-    cluster.fleet.playFor(4 * TestCluster.SECOND);
-    load(cluster, "g1", cluster.fleet.now() + 5 * TestCluster.SECOND);
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.fleet.playFor(4 * ClusterFixture.SECOND);
+    load(cluster, "g1", cluster.fleet.now() + 5 * ClusterFixture.SECOND);
+    cluster.announce("g2", ClusterFixture.untouched(17), any -> {});
     cluster.fleet.playFor(13_900);
     alone(cluster, "g1");
-    cluster.fleet.playFor(5 * TestCluster.SECOND);
+    cluster.fleet.playFor(5 * ClusterFixture.SECOND);
     return trouble == null ? calmAgain(cluster) : trouble;
   }
 
@@ -182,25 +182,25 @@
   }
 
   /** A leader that is cut off takes in what the others never hear; they go on without it. */
-  private static String leaderIsCut(TestCluster cluster) {
+  private static String leaderIsCut(ClusterFixture cluster) {
     String trouble = settled(cluster);
     String old = cluster.leader();
     alone(cluster, old);
     for (int i = 0; i < 3; i++) {
       cluster.prepare(
           old,
-          TestCluster.definition("mine" + i, "select " + i + " from orders_17.orders", 17),
+          ClusterFixture.definition("mine" + i, "select " + i + " from orders_17.orders", 17),
           any -> {});
-      cluster.fleet.playFor(60 * TestCluster.MS);
+      cluster.fleet.playFor(60 * ClusterFixture.MS);
     }
-    cluster.until(10 * TestCluster.SECOND, () -> cluster.leader().contains("+"));
+    cluster.until(10 * ClusterFixture.SECOND, () -> cluster.leader().contains("+"));
     for (int i = 0; i < 9; i++) {
       cluster.prepare(
           "g2",
-          TestCluster.definition("theirs" + i, "select 5 from orders_17.orders", 17),
+          ClusterFixture.definition("theirs" + i, "select 5 from orders_17.orders", 17),
           any -> {});
     }
-    cluster.fleet.playFor(3 * TestCluster.SECOND);
+    cluster.fleet.playFor(3 * ClusterFixture.SECOND);
     return trouble == null ? calmAgain(cluster) : trouble;
   }
 
@@ -213,35 +213,35 @@
   }
 
   /** What two voters took in is lost with their disks' last writes, if they said so too early. */
-  private static String twoCrash(TestCluster cluster) {
+  private static String twoCrash(ClusterFixture cluster) {
     String trouble = settled(cluster);
-    cluster.fleet.playFor(TestCluster.SECOND);
+    cluster.fleet.playFor(ClusterFixture.SECOND);
     String leader = cluster.leader();
     List<String> others = cluster.voters.stream().filter(name -> !name.equals(leader)).toList();
     alone(cluster, others.get(1));
     cluster.fleet.between("g1", others.get(1), Fault.CUT);
-    cluster.slowDisks(3 * TestCluster.SECOND);
+    cluster.slowDisks(3 * ClusterFixture.SECOND);
     for (int i = 0; i < 4; i++) {
       cluster.prepare(
           "g1",
-          TestCluster.definition("kept" + i, "select 'one' from orders_17.orders", 17),
+          ClusterFixture.definition("kept" + i, "select 'one' from orders_17.orders", 17),
           any -> {});
     }
-    cluster.fleet.playFor(1200 * TestCluster.MS);
+    cluster.fleet.playFor(1200 * ClusterFixture.MS);
     cluster.crash(leader);
     cluster.crash(others.get(0));
     cluster.fleet.heal();
     cluster.slowDisks(5);
     cluster.start(leader);
     cluster.start(others.get(0));
-    cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
+    cluster.until(10 * ClusterFixture.SECOND, () -> !cluster.leader().equals("none"));
     for (int i = 1; i < 4; i++) {
       cluster.prepare(
           "g2",
-          TestCluster.definition("kept" + i, "select 'other' from orders_17.orders", 17),
+          ClusterFixture.definition("kept" + i, "select 'other' from orders_17.orders", 17),
           any -> {});
     }
-    cluster.fleet.playFor(4 * TestCluster.SECOND);
+    cluster.fleet.playFor(4 * ClusterFixture.SECOND);
     return trouble == null ? calmAgain(cluster) : trouble;
   }
 
@@ -257,9 +257,9 @@
    * An entry that two voters hold; one of them comes back from a disk of before, while the other is
    * cut off.
    */
-  private static String oldDisk(TestCluster cluster) {
+  private static String oldDisk(ClusterFixture cluster) {
     String trouble = settled(cluster);
-    cluster.fleet.playFor(TestCluster.SECOND);
+    cluster.fleet.playFor(ClusterFixture.SECOND);
     String leader = cluster.leader();
     List<String> others = cluster.voters.stream().filter(name -> !name.equals(leader)).toList();
     String forgetful = others.get(0);
@@ -267,19 +267,21 @@
     alone(cluster, behind);
     NavigableMap<String, byte[]> copy = cluster.copyOf(forgetful);
     cluster.prepare(
-        "g1", TestCluster.definition("kept", "select 'one' from orders_17.orders", 17), any -> {});
-    cluster.fleet.playFor(TestCluster.SECOND);
+        "g1",
+        ClusterFixture.definition("kept", "select 'one' from orders_17.orders", 17),
+        any -> {});
+    cluster.fleet.playFor(ClusterFixture.SECOND);
     cluster.fleet.heal();
     alone(cluster, leader);
     cluster.startOld(forgetful, copy);
     cluster.until(
-        8 * TestCluster.SECOND,
+        8 * ClusterFixture.SECOND,
         () -> cluster.leader().contains("+") || cluster.leader().equals(forgetful));
     cluster.prepare(
         "g2",
-        TestCluster.definition("kept", "select 'other' from orders_17.orders", 17),
+        ClusterFixture.definition("kept", "select 'other' from orders_17.orders", 17),
         any -> {});
-    cluster.fleet.playFor(3 * TestCluster.SECOND);
+    cluster.fleet.playFor(3 * ClusterFixture.SECOND);
     return trouble == null ? calmAgain(cluster) : trouble;
   }
 
@@ -292,29 +294,29 @@
   }
 
   /** A change while an engine is at an attempt for as long as the lease lasts. */
-  private static String changeWhileAttemptIsOut(TestCluster cluster) {
-    cluster.worksFor = 4 * TestCluster.SECOND;
+  private static String changeWhileAttemptIsOut(ClusterFixture cluster) {
+    cluster.worksFor = 4 * ClusterFixture.SECOND;
     String trouble = settled(cluster);
     // A voter that has just started is clear of nothing.
-    cluster.fleet.playFor(2 * TestCluster.SECOND);
+    cluster.fleet.playFor(2 * ClusterFixture.SECOND);
     cluster.run("g1", "top");
-    cluster.fleet.playFor(10 * TestCluster.MS);
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
-    cluster.fleet.playFor(5 * TestCluster.SECOND);
+    cluster.fleet.playFor(10 * ClusterFixture.MS);
+    cluster.announce("g2", ClusterFixture.untouched(17), any -> {});
+    cluster.fleet.playFor(5 * ClusterFixture.SECOND);
     return trouble == null ? calmAgain(cluster) : trouble;
   }
 
   /** A change after a gateway gave an attempt up, with its engine still at it. */
-  private static String changeAfterDoubt(TestCluster cluster) {
-    cluster.worksFor = 20 * TestCluster.MS;
+  private static String changeAfterDoubt(ClusterFixture cluster) {
+    cluster.worksFor = 20 * ClusterFixture.MS;
     cluster.inDoubt = 1;
     String trouble = settled(cluster);
     // A voter that has just started is clear of nothing.
-    cluster.fleet.playFor(2 * TestCluster.SECOND);
+    cluster.fleet.playFor(2 * ClusterFixture.SECOND);
     cluster.run("g1", "top");
-    cluster.fleet.playFor(50 * TestCluster.MS);
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
-    cluster.fleet.playFor(5 * TestCluster.SECOND);
+    cluster.fleet.playFor(50 * ClusterFixture.MS);
+    cluster.announce("g2", ClusterFixture.untouched(17), any -> {});
+    cluster.fleet.playFor(5 * ClusterFixture.SECOND);
     return trouble == null ? calmAgain(cluster) : trouble;
   }
 
--- a/statements/src/test/java/tillerlink/statements/Measure.java
+++ b/statements/src/test/java/tillerlink/statements/Measure.java
@@ -20,28 +20,28 @@
         "runs at all gateways, hops of 2 to 42 ms",
         cluster -> {
           cluster.all.forEach(name -> load(cluster, name));
-          cluster.fleet.playFor(2 * TestCluster.SECOND);
+          cluster.fleet.playFor(2 * ClusterFixture.SECOND);
         });
     change(
         "the same, one in 1,000 hops in doubt",
         cluster -> {
           cluster.inDoubt = 0.001;
           cluster.all.forEach(name -> load(cluster, name));
-          cluster.fleet.playFor(2 * TestCluster.SECOND);
+          cluster.fleet.playFor(2 * ClusterFixture.SECOND);
         });
     change(
         "a hop that goes on for 500 ms",
         cluster -> {
-          cluster.worksFor = 500 * TestCluster.MS;
+          cluster.worksFor = 500 * ClusterFixture.MS;
           cluster.run("g2", "top");
-          cluster.fleet.playFor(10 * TestCluster.MS);
+          cluster.fleet.playFor(10 * ClusterFixture.MS);
         });
     change(
         "a hop in doubt",
         cluster -> {
           cluster.inDoubt = 1;
           cluster.run("g2", "top");
-          cluster.fleet.playFor(50 * TestCluster.MS);
+          cluster.fleet.playFor(50 * ClusterFixture.MS);
         });
     change("a gateway killed", cluster -> cluster.kill("g2"));
     change("a gateway paused", cluster -> cluster.pause("g2"));
@@ -65,37 +65,40 @@
     cost();
   }
 
-  private static void load(TestCluster cluster, String at) {
+  private static void load(ClusterFixture cluster, String at) {
     cluster.run(at, "top");
-    cluster.fleet.at(cluster.fleet.now() + 10 * TestCluster.MS, () -> load(cluster, at));
+    cluster.fleet.at(cluster.fleet.now() + 10 * ClusterFixture.MS, () -> load(cluster, at));
   }
 
-  private static void change(String words, Consumer<TestCluster> trouble) {
+  private static void change(String words, Consumer<ClusterFixture> trouble) {
     List<Long> effects = new ArrayList<>();
     List<Long> gaps = new ArrayList<>();
     for (int seed = 1; seed <= TIMES; seed++) {
-      TestCluster cluster = new TestCluster(seed, 3, 4);
-      cluster.leaseLength = 3 * TestCluster.SECOND;
+      ClusterFixture cluster = new ClusterFixture(seed, 3, 4);
+      cluster.leaseLength = 3 * ClusterFixture.SECOND;
       cluster.startAll();
-      cluster.until(20 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
+      cluster.until(20 * ClusterFixture.SECOND, () -> !cluster.leader().equals("none"));
       cluster.prepare(
-          "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+          "g1", ClusterFixture.definition("top", "select 1 from orders_17.orders", 17), any -> {});
       for (String name : cluster.all) {
-        cluster.until(5 * TestCluster.SECOND, () -> cluster.mayRun(name, "top").startsWith("yes"));
+        cluster.until(
+            5 * ClusterFixture.SECOND, () -> cluster.mayRun(name, "top").startsWith("yes"));
       }
-      cluster.fleet.playFor(5 * TestCluster.SECOND + seed * 7);
+      cluster.fleet.playFor(5 * ClusterFixture.SECOND + seed * 7);
       trouble.accept(cluster);
       long from = cluster.fleet.now();
-      cluster.announce("g1", TestCluster.untouched(17), any -> {});
+      cluster.announce("g1", ClusterFixture.untouched(17), any -> {});
       cluster.until(
-          60 * TestCluster.SECOND,
+          60 * ClusterFixture.SECOND,
           () ->
               cluster.part("g3").catalog().version(17) == 2
                   || !cluster.mayRun("g3", "top").startsWith("yes"));
       long lost = cluster.fleet.now();
-      cluster.until(60 * TestCluster.SECOND, () -> cluster.part("g1").catalog().version(17) == 2);
+      cluster.until(
+          60 * ClusterFixture.SECOND, () -> cluster.part("g1").catalog().version(17) == 2);
       effects.add(cluster.fleet.now() - from);
-      cluster.until(60 * TestCluster.SECOND, () -> cluster.mayRun("g3", "top").startsWith("yes"));
+      cluster.until(
+          60 * ClusterFixture.SECOND, () -> cluster.mayRun("g3", "top").startsWith("yes"));
       gaps.add(cluster.fleet.now() - lost);
     }
     System.out.println(
@@ -121,13 +124,15 @@
   }
 
   private static void cost() {
-    TestCluster cluster = new TestCluster(1, 3, 1);
-    cluster.leaseLength = 1000 * TestCluster.SECOND;
+    ClusterFixture cluster = new ClusterFixture(1, 3, 1);
+    cluster.leaseLength = 1000 * ClusterFixture.SECOND;
     cluster.startAll();
-    cluster.until(20 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
+    cluster.until(20 * ClusterFixture.SECOND, () -> !cluster.leader().equals("none"));
     cluster.prepare(
-        "g1", TestCluster.definition("top", "select * from orders_17.orders", 17, 18), any -> {});
-    cluster.until(5 * TestCluster.SECOND, () -> cluster.mayRun("g1", "top").startsWith("yes"));
+        "g1",
+        ClusterFixture.definition("top", "select * from orders_17.orders", 17, 18),
+        any -> {});
+    cluster.until(5 * ClusterFixture.SECOND, () -> cluster.mayRun("g1", "top").startsWith("yes"));
     Statements part = cluster.part("g1");
     long now = cluster.fleet.now();
     for (int round = 0; round < 6; round++) {
--- a/statements/src/test/java/tillerlink/statements/Timeline.java
+++ b/statements/src/test/java/tillerlink/statements/Timeline.java
@@ -8,10 +8,10 @@
 
 /** What happened in a story, line by line, compared with what was kept. */
 final class Timeline {
-  private final TestCluster cluster;
+  private final ClusterFixture cluster;
   private final StringBuilder lines = new StringBuilder();
 
-  Timeline(TestCluster cluster) {
+  Timeline(ClusterFixture cluster) {
     this.cluster = cluster;
   }
 
