--- a/messages/src/main/java/tillerlink/messages/members/GossipUpdate.java
+++ b/messages/src/main/java/tillerlink/messages/members/GossipUpdate.java
@@ -1,14 +1,19 @@
 package tillerlink.messages.members;
 
 /**
- * What is told on of a member.
+ * What is gossiped of a member.
  *
  * @param name at most 64 bytes
- * @param standing how it stands
- * @param card the life that this is about
- * @param by who suspects it, or gave it up; empty if it says so itself
- * @param age tenths of a millisecond since its last sign of life if it is alive, since it changed
- *     otherwise: each who tells it on adds the time it lay there
+ * @param status the member's status
+ * @param card the incarnation that the status is of
+ * @param accuser who suspects the member or declared it failed; empty if its word is its own
+ * @param age tenths of a millisecond since its last sign of life if it is alive, since its status
+ *     changed otherwise; each member that passes the update on adds the time that it kept it
  */
 public record GossipUpdate(
-    String name, MemberStatus status, MemberInfo card, String accuser, long age) {}
+    String name, MemberStatus status, MemberInfo card, String accuser, long age) {
+  /** The same update, older by that time. */
+  public GossipUpdate agedBy(long time) {
+    return new GossipUpdate(name, status, card, accuser, age + time);
+  }
+}
--- a/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
@@ -2,18 +2,20 @@
 
 import java.util.List;
 
-/** What members say to each other. The sender's name stands on the envelope. */
+/** A message between two members. The name of its sender is on the envelope. */
 public sealed interface MemberMessage {
-  /** The sender's own. */
+  /** The sender's card. */
   MemberInfo card();
 
+  /** The gossip updates that are attached. */
   List<GossipUpdate> updates();
 
   /**
-   * Are you there?
+   * A probe (SWIM's ping), to be answered with an {@link Ack}.
    *
-   * @param number to be answered with; nobody can guess it
-   * @param target who is asked; empty for whoever has that address
+   * @param number the number to answer with, which nobody can guess
+   * @param target the name of the probed member; empty for whoever has the address
+   * @param suspicion what the receiver has to refute
    */
   record Probe(
       MemberInfo card,
@@ -23,11 +25,23 @@
       List<GossipUpdate> updates)
       implements MemberMessage {}
 
-  /** I am. */
+  /**
+   * The acknowledgement of a {@link Probe}.
+   *
+   * @param number the number of the probe
+   * @param suspicion what the receiver has to refute
+   */
   record Ack(MemberInfo card, long number, SuspicionLevel suspicion, List<GossipUpdate> updates)
       implements MemberMessage {}
 
-  /** Ask somebody for me. */
+  /**
+   * A request of an indirect probe (SWIM's ping-req), to be answered with a {@link Vouch}.
+   *
+   * @param number the number to answer with
+   * @param target the name of the member to be probed
+   * @param address its address, for a receiver that does not know it
+   * @param suspicion what the target has to refute
+   */
   record Ask(
       MemberInfo card,
       long number,
@@ -37,21 +51,31 @@
       List<GossipUpdate> updates)
       implements MemberMessage {}
 
-  /** It answered me, or did not; the one who asked gets its own number back. */
+  /**
+   * The result of an indirect probe.
+   *
+   * @param number the number of the request
+   * @param reached whether the target answered in time
+   */
   record Vouch(MemberInfo card, long number, boolean reached, List<GossipUpdate> updates)
       implements MemberMessage {}
 
-  /** News. */
+  /**
+   * Gossip, not to be answered.
+   *
+   * @param suspicion what the receiver has to refute
+   */
   record Gossip(MemberInfo card, SuspicionLevel suspicion, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /**
-   * All I hold, as one sum for each bucket of names.
+   * The anti-entropy digest of all that the sender knows.
    *
-   * @param salt mixed into the sums, so that two that are the same by chance are not so the next
-   *     time
+   * @param salt mixed into the sums, so that a collision does not repeat in the next comparison
+   * @param sums one for each of the {@link MemberCodec#BUCKETS} buckets of names
    */
   record Digest(MemberInfo card, long salt, List<Integer> sums) implements MemberMessage {
+    /** Copies the sums. */
     public Digest {
       sums = List.copyOf(sums);
     }
@@ -63,11 +87,13 @@
   }
 
   /**
-   * What I hold of a bucket, of the names after one and up to another.
+   * What the sender knows of the members in one bucket, within a range of names.
    *
-   * @param after exclusive; empty from the first on
-   * @param upTo inclusive; empty to the last
-   * @param reply whether the other is asked for what it holds above that
+   * @param bucket the bucket of names
+   * @param after the lower end of the range, exclusive; empty for the first name
+   * @param upTo the upper end of the range, inclusive; empty for the last name
+   * @param reply whether the receiver is to send what takes precedence over the listed updates
+   * @param updates the members in the range
    */
   record Listing(
       MemberInfo card,
--- a/messages/src/main/java/tillerlink/messages/members/MemberStatus.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberStatus.java
@@ -1,19 +1,45 @@
 package tillerlink.messages.members;
 
 /**
- * What is told of a member. The later ones stand above the earlier at one incarnation; the order is
- * that of the numbers on the wire, and never changes.
+ * The status of a member. At one incarnation the later constant takes precedence over the earlier
+ * one. The numbers are sent and are part of anti-entropy digests; they never change.
  */
 public enum MemberStatus {
-  ALIVE,
-  /** Somebody could not reach it, nor could those it asked. */
-  SUSPECTED,
-  /** Suspected for long enough without a word of its own. */
-  GONE,
-  /** It said itself that it goes. */
-  LEFT;
+  /** It takes part. */
+  ALIVE(0),
+  /** Neither its accuser nor the members that probed it in the accuser's place could reach it. */
+  SUSPECTED(1),
+  /** It was suspected for long enough without refuting it: it was declared failed. */
+  GONE(2),
+  /** It announced itself that it leaves. */
+  LEFT(3);
 
-  /** Whether it may still be asked and told things. */
+  /** The greatest number of a status. */
+  static final int MAX_NUMBER = 3;
+
+  private final int number;
+
+  MemberStatus(int number) {
+    this.number = number;
+  }
+
+  /** The number that is sent and that goes into digests. */
+  public int number() {
+    return number;
+  }
+
+  /** The status of a number from 0 to {@link #MAX_NUMBER}. */
+  static MemberStatus ofNumber(int number) {
+    return switch (number) {
+      case 0 -> ALIVE;
+      case 1 -> SUSPECTED;
+      case 2 -> GONE;
+      case MAX_NUMBER -> LEFT;
+      default -> throw new IllegalArgumentException("no status has the number " + number);
+    };
+  }
+
+  /** Whether the member is active: it is still probed and gossiped to. */
   public boolean takesPart() {
     return this == ALIVE || this == SUSPECTED;
   }
