--- a/members/src/main/java/tillerlink/members/ComponentFactories.java
+++ b/members/src/main/java/tillerlink/members/ComponentFactories.java
@@ -5,17 +5,19 @@
 import tillerlink.members.local.LocalMember;
 import tillerlink.members.state.MemberTable;
 
-/** Makes the parts that members are put together of. Tests plant faults by making others. */
+/** Makes the components of {@link Members}; tests override it to inject faults. */
 class ComponentFactories {
-  LocalMember own(Identity identity, long birth) {
-    return new LocalMember(identity.before(), birth, identity.address(), identity.site());
+  LocalMember localMember(Identity identity, long birth) {
+    return new LocalMember(
+        identity.persistedIncarnation(), birth, identity.address(), identity.site());
   }
 
-  MemberTable table(String self, MembershipConfig periods, MemberTable.Changes changes) {
-    return new MemberTable(self, periods, changes);
+  MemberTable memberTable(
+      String self, MembershipConfig config, MemberTable.ChangeListener listener) {
+    return new MemberTable(self, config, listener);
   }
 
-  GossipQueue updates(int most) {
-    return new GossipQueue(most);
+  GossipQueue gossipQueue(int maxSize) {
+    return new GossipQueue(maxSize);
   }
 }
--- a/members/src/main/java/tillerlink/members/FailureDetector.java
+++ b/members/src/main/java/tillerlink/members/FailureDetector.java
@@ -15,186 +15,204 @@
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** Whom this process asks, and what it makes of silence. */
-final class FailureDetector implements ProbeManager.Steps {
-  /** Members to be asked out of their turn that wait at once; the others get their turn. */
-  static final int VERIFY_MOST = 64;
+/** SWIM's failure detector: whom this process probes, and what follows from the answers. */
+final class FailureDetector implements ProbeManager.Actions {
+  /** Members to be probed out of turn at once; those beyond are probed in their turn. */
+  private static final int MAX_UNVERIFIED = 64;
 
-  private static final int VERIFY_AT_ONCE = 2;
+  private static final int VERIFICATIONS_PER_ROUND = 2;
+  private static final int UNKNOWN_ROUND_TRIP = 0;
 
-  private final MembershipState core;
+  private final MembershipState state;
   private final List<String> seeds;
   final LocalHealth health;
   final ProbeManager probes;
-  final IndirectProbes relays;
+  final IndirectProbes indirectProbes;
   private final ProbeRotation rotation;
-  private final Map<String, GossipUpdate> verify = new LinkedHashMap<>();
+
+  /** Gossip updates that are not believed before the member itself was probed, by name. */
+  private final Map<String, GossipUpdate> unverified = new LinkedHashMap<>();
+
   private int nextSeed;
 
-  FailureDetector(MembershipState core, List<String> seeds) {
-    this.core = core;
+  FailureDetector(MembershipState state, List<String> seeds) {
+    this.state = state;
     this.seeds = seeds;
-    health = new LocalHealth(core.periods.maxLocalHealthScore());
-    probes = new ProbeManager(core.periods, health, core.random, this);
-    relays = new IndirectProbes(core.random);
-    rotation = new ProbeRotation(core.random);
+    health = new LocalHealth(state.config.maxLocalHealthScore());
+    probes = new ProbeManager(state.config, health, state.random, this);
+    indirectProbes = new IndirectProbes(state.random);
+    rotation = new ProbeRotation(state.random);
   }
 
-  // ---- whom ----
+  // ---- whom to probe ----
 
+  /** Probes the next member of the rotation that is active and not being probed. */
   void probeNext() {
-    for (int i = 0; i < core.table.size() + 1; i++) {
-      String name = rotation.next(core.table::talkingNames);
-      MemberRecord entry = name == null ? null : core.table.get(name);
+    for (int i = 0; i < state.table.size() + 1; i++) {
+      String name = rotation.next(state.table::activeNames);
       if (name == null) {
         return;
       }
-      if (entry != null && entry.status().takesPart() && !probes.underWay(name)) {
-        member(entry, entry.suspicion());
+      if (state.isActive(name) && !probes.isUnderWay(name)) {
+        MemberRecord member = state.table.get(name);
+        probeMember(member, member.suspicion());
         return;
       }
     }
   }
 
-  private void member(MemberRecord entry, SuspicionLevel doubt) {
+  private void probeMember(MemberRecord member, SuspicionLevel suspicion) {
     probes.start(
         Probe.Kind.MEMBER,
-        entry.name(),
-        entry.card().address(),
-        doubt,
-        entry.roundTrip(),
-        core.now);
+        member.name(),
+        member.card().address(),
+        suspicion,
+        member.roundTrip(),
+        state.now());
+  }
+
+  private void probe(Probe.Kind kind, String name, String address, SuspicionLevel suspicion) {
+    probes.start(kind, name, address, suspicion, UNKNOWN_ROUND_TRIP, state.now());
   }
 
-  void newMember(String name) {
+  void onMemberJoined(String name) {
     rotation.add(name);
   }
 
-  /** Somebody who is gone, or a seed's address: a partition may have healed. */
-  void retry() {
-    MemberRecord gone = core.random.nextBoolean() ? core.table.anyGone(core.random) : null;
-    if (gone != null) {
-      probes.start(
-          Probe.Kind.GONE, gone.name(), gone.card().address(), gone.suspicion(), 0, core.now);
+  /** Probes a failed member or a seed, as a partition may have healed. */
+  void reconnect() {
+    MemberRecord failed = state.random.nextBoolean() ? state.table.pickFailed(state.random) : null;
+    if (failed != null) {
+      probeFailed(failed);
     } else if (!seeds.isEmpty()) {
       String seed = seeds.get(nextSeed++ % seeds.size());
-      if (!seed.equals(core.own.card().address())) {
-        probes.start(Probe.Kind.SEED, "", seed, SuspicionLevel.NONE, 0, core.now);
+      if (!seed.equals(state.localMember.card().address())) {
+        probe(Probe.Kind.SEED, "", seed, SuspicionLevel.NONE);
       }
-    } else if (core.table.anyGone(core.random) != null) {
-      MemberRecord any = core.table.anyGone(core.random);
-      probes.start(Probe.Kind.GONE, any.name(), any.card().address(), any.suspicion(), 0, core.now);
+    } else if (state.table.pickFailed(state.random) != null) {
+      // The second pick is not superfluous: a seeded run depends on the number of draws.
+      probeFailed(state.table.pickFailed(state.random));
     }
   }
 
-  void rival(String address) {
-    probes.start(Probe.Kind.RIVAL, core.self, address, SuspicionLevel.NONE, 0, core.now);
+  private void probeFailed(MemberRecord failed) {
+    probe(Probe.Kind.GONE, failed.name(), failed.card().address(), failed.suspicion());
+  }
+
+  /** Probes whoever has the local member's name at another address. */
+  void probeRival(String address) {
+    probe(Probe.Kind.RIVAL, state.self, address, SuspicionLevel.NONE);
   }
 
-  /** What was told of it is not believed, or may be wrong: it is asked itself soon. */
+  /** Queues a gossip update that is not believed: the member itself is probed soon. */
   void verify(GossipUpdate update) {
-    if (verify.size() < VERIFY_MOST) {
-      verify.put(update.name(), update);
+    if (unverified.size() < MAX_UNVERIFIED) {
+      unverified.put(update.name(), update);
     }
   }
 
-  boolean hasToVerify() {
-    return !verify.isEmpty();
+  boolean hasUnverified() {
+    return !unverified.isEmpty();
   }
 
-  void verifySome() {
-    for (int i = 0; i < VERIFY_AT_ONCE && !verify.isEmpty(); i++) {
-      GossipUpdate update = verify.remove(verify.keySet().iterator().next());
-      SuspicionLevel doubt =
-          update.status() == MemberStatus.ALIVE
-              ? SuspicionLevel.NONE
-              : new SuspicionLevel(
-                  update.status(), update.card().incarnation(), update.card().birth());
-      MemberRecord entry = core.table.get(update.name());
-      if (probes.underWay(update.name())) {
-        continue;
-      }
-      if (entry != null && entry.status().takesPart()) {
-        member(entry, doubt.isPresent() ? doubt : entry.suspicion());
-      } else {
-        probes.start(
-            Probe.Kind.HEARSAY,
-            update.name(),
-            update.card().address(),
-            entry == null ? doubt : entry.suspicion(),
-            0,
-            core.now);
+  /** Probes some members of which gossip updates have to be verified. */
+  void probeUnverified() {
+    for (int i = 0; i < VERIFICATIONS_PER_ROUND && !unverified.isEmpty(); i++) {
+      GossipUpdate update = unverified.remove(unverified.keySet().iterator().next());
+      if (!probes.isUnderWay(update.name())) {
+        probeUnverified(update);
       }
     }
   }
 
-  // ---- steps ----
+  private void probeUnverified(GossipUpdate update) {
+    SuspicionLevel claimed = suspicion(update);
+    MemberRecord member = state.table.get(update.name());
+    if (member != null && member.status().takesPart()) {
+      probeMember(member, claimed.isPresent() ? claimed : member.suspicion());
+    } else {
+      probe(
+          Probe.Kind.UNVERIFIED,
+          update.name(),
+          update.card().address(),
+          member == null ? claimed : member.suspicion());
+    }
+  }
+
+  private static SuspicionLevel suspicion(GossipUpdate update) {
+    return update.status() == MemberStatus.ALIVE
+        ? SuspicionLevel.NONE
+        : new SuspicionLevel(update.status(), update.card().incarnation(), update.card().birth());
+  }
+
+  // ---- actions of probes ----
 
   @Override
-  public void ask(Probe about, boolean bare) {
-    core.send(
-        about.address(),
+  public void sendProbe(Probe probe, boolean bare) {
+    state.send(
+        probe.address(),
         new MemberMessage.Probe(
-            core.own.card(),
-            about.number(),
-            about.name(),
-            doubt(about),
-            bare ? List.of() : core.news(MembershipState.room(MembershipState.BYTES_MOST))));
+            state.localMember.card(),
+            probe.number(),
+            probe.name(),
+            currentSuspicion(probe),
+            bare ? List.of() : state.takeUpdates(MembershipState.UPDATE_BYTES)));
   }
 
-  /** What it has to refute may have changed since it was first asked. */
-  private SuspicionLevel doubt(Probe about) {
-    MemberRecord entry = core.table.get(about.name());
-    return entry == null || about.suspicion().isPresent() ? about.suspicion() : entry.suspicion();
+  /** What the probed member has to refute may have changed since the probe started. */
+  private SuspicionLevel currentSuspicion(Probe probe) {
+    MemberRecord member = state.table.get(probe.name());
+    return member == null || probe.suspicion().isPresent() ? probe.suspicion() : member.suspicion();
   }
 
   @Override
-  public int askOthers(Probe about) {
+  public int requestIndirectProbes(Probe probe) {
     List<MemberRecord> others =
-        core.table.someTalking(core.random, core.periods.indirectProbes(), about.name());
+        state.table.pickActive(state.random, state.config.indirectProbes(), probe.name());
     for (MemberRecord other : others) {
-      core.send(
+      state.send(
           other.card().address(),
           new MemberMessage.Ask(
-              core.own.card(),
-              about.number(),
-              about.name(),
-              about.address(),
-              doubt(about),
+              state.localMember.card(),
+              probe.number(),
+              probe.name(),
+              probe.address(),
+              currentSuspicion(probe),
               List.of()));
     }
     return others.size();
   }
 
   @Override
-  public boolean suspected(Probe about) {
-    MemberRecord entry = core.table.get(about.name());
-    return entry == null || entry.status() != MemberStatus.ALIVE;
+  public boolean isSuspected(Probe probe) {
+    MemberRecord member = state.table.get(probe.name());
+    return member == null || member.status() != MemberStatus.ALIVE;
   }
 
   @Override
-  public void onlyOthers(Probe about) {
-    MemberRecord entry = core.table.get(about.name());
-    if (entry != null && entry.status().takesPart()) {
-      core.table.lived(entry, about.startedAt());
-      core.table.vouched(entry);
-      if (entry.misses() > 0 && entry.reach() != Reachability.THROUGH_OTHERS) {
-        verify(entry.update("", core.now));
+  public void onIndirectAckOnly(Probe probe) {
+    MemberRecord member = state.table.get(probe.name());
+    if (member != null && member.status().takesPart()) {
+      state.table.onAlive(member, probe.startedAt());
+      state.table.onIndirectAck(member);
+      if (member.directMisses() > 0 && member.reachability() != Reachability.THROUGH_OTHERS) {
+        verify(member.toGossipUpdate("", state.now()));
       }
     }
   }
 
   @Override
-  public void missed(Probe about) {
-    MemberRecord entry = core.table.get(about.name());
-    if (entry != null && core.table.suspect(entry, core.self, core.now, core.now)) {
-      core.updates.put(entry.name(), core.self);
+  public void onFailure(Probe probe) {
+    MemberRecord member = state.table.get(probe.name());
+    if (member != null && state.table.suspect(member, state.self, state.now(), state.now())) {
+      state.gossip.put(member.name(), state.self);
     }
   }
 
-  void away() {
-    probes.away();
-    relays.away();
-    verify.clear();
+  /** Drops all that was under way before a pause of this process. */
+  void onPause() {
+    probes.clear();
+    indirectProbes.clear();
+    unverified.clear();
   }
 }
--- a/members/src/main/java/tillerlink/members/Members.java
+++ b/members/src/main/java/tillerlink/members/Members.java
@@ -1,141 +1,125 @@
 package tillerlink.members;
 
 import java.util.List;
-import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import tillerlink.cluster.ClusterComponent;
 import tillerlink.cluster.MembershipView;
 import tillerlink.cluster.Reachability;
-import tillerlink.members.antientropy.AntiEntropy;
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.members.config.MembershipListener;
 import tillerlink.members.config.MembershipTransport;
 import tillerlink.members.config.RateLimitedLog;
-import tillerlink.members.probe.IndirectProbes;
 import tillerlink.members.state.MemberRecord;
 import tillerlink.messages.MalformedMessageException;
-import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.MemberInfo;
-import tillerlink.messages.members.MemberMessage;
 import tillerlink.messages.members.SuspicionLevel;
 
 /**
- * Who takes part in a fleet of gateways, as one of them knows it. See {@code docs/members.md} and
- * the design note beside it. The wall clock decides nothing, but for which of two processes with
- * one name is preferred.
+ * The members of a fleet of gateways as one of them knows them: a SWIM membership protocol with
+ * suspicion, incarnations, local health and anti-entropy. See {@code docs/members.md} and the
+ * design note beside it.
+ *
+ * <p>Every method is called on the gateway's event loop; there is no I/O but through the transport.
+ * Times are tenths of a millisecond. The wall clock decides nothing but which of two processes of
+ * one name keeps it.
  */
 public final class Members implements ClusterComponent, MembershipView {
-  private static final int PIECES_AT_ONCE = 8;
-  private static final int LAST_TO = 6;
-  private static final int LAST_TIMES = 3;
+  private static final long TENTHS_PER_MILLISECOND = 10;
 
-  /**
-   * Between two of them at the most: a process that was told to end takes turns for 700 ms more at
-   * the least.
-   */
-  private static final long LAST_EVERY_MOST = 2000;
+  /** The lowest bits of a process's birth are random, those above its start in milliseconds. */
+  private static final int RANDOM_BIRTH_BITS = 20;
+
+  /** A tick that is late by more probe intervals shows a pause that nobody announced. */
+  private static final int LATE_PROBE_INTERVALS = 2;
 
-  private static final int SMALL_EVERY = 4;
-  private static final int RANDOM_BITS = 20;
+  private static final int HEALTH_POINTS_OF_PAUSE = 2;
+
+  /** How many members learn at once that this process is back after a pause. */
+  private static final int PAUSE_ANNOUNCEMENTS = 6;
 
   private final Identity identity;
-  private final MembershipConfig periods;
-  private final RandomGenerator random;
-  private final MembershipState core;
-  private final FailureDetector asking;
-  private final AntiEntropy digests;
-  private final MessageHandler hearing;
-  private final MembershipListener watcher;
+  private final MembershipListener listener;
+  private final MembershipState state;
+  private final FailureDetector failureDetector;
+  private final Farewell farewell;
+  private final MessageHandler messageHandler;
+  private final PeriodicTasks tasks;
   private boolean started;
-  private long probeAt;
-  private long gossipAt;
-  private long retryAt;
-  private long digestAt;
-  private long forgetAt;
-  private long promised = Long.MAX_VALUE;
-  private int gossipRound;
-  private int lastSaid;
-  private long lastAt = Long.MIN_VALUE;
+
+  /** When the next tick is due, as of the last one. */
+  private long expectedTickAt = Long.MAX_VALUE;
+
   private long malformed;
-  private long awayCount;
+  private long pauses;
 
   /**
-   * @param wire where messages go out
-   * @param random a seeded generator
-   * @param watcher is told of what changes
+   * Makes a member that starts with its first tick or message.
+   *
+   * @param transport sends its messages
+   * @param random a seeded generator, the only source of chance
+   * @param listener is notified of changes
    * @param wall the machine's clock at the start, which tells processes of one name apart
    */
   public Members(
       Identity identity,
-      MembershipConfig periods,
-      MembershipTransport wire,
+      MembershipConfig config,
+      MembershipTransport transport,
       RandomGenerator random,
-      MembershipListener watcher,
+      MembershipListener listener,
       long wall) {
-    this(identity, periods, wire, random, watcher, wall, new ComponentFactories());
+    this(identity, config, transport, random, listener, wall, new ComponentFactories());
   }
 
   Members(
       Identity identity,
-      MembershipConfig periods,
-      MembershipTransport wire,
+      MembershipConfig config,
+      MembershipTransport transport,
       RandomGenerator random,
-      MembershipListener watcher,
+      MembershipListener listener,
       long wall,
-      ComponentFactories makers) {
+      ComponentFactories factories) {
     this.identity = identity;
-    this.periods = periods;
-    this.random = random;
-    this.watcher = watcher;
-    long birth = wall / 10 << RANDOM_BITS | random.nextInt(1 << RANDOM_BITS);
-    core =
-        new MembershipState(identity, periods, wire, watcher, this::changed, random, birth, makers);
-    asking = new FailureDetector(core, identity.seeds());
-    digests = new AntiEntropy(new All());
-    hearing = new MessageHandler(core, asking, digests);
+    this.listener = listener;
+    long birth =
+        ((wall / TENTHS_PER_MILLISECOND) << RANDOM_BIRTH_BITS)
+            | random.nextInt(1 << RANDOM_BIRTH_BITS);
+    state =
+        new MembershipState(
+            identity, config, transport, listener, this::onChange, random, birth, factories);
+    failureDetector = new FailureDetector(state, identity.seeds());
+    farewell = new Farewell(state);
+    LocalNameGuard localName = new LocalNameGuard(state, failureDetector, farewell);
+    messageHandler = new MessageHandler(state, failureDetector, localName, farewell);
+    tasks = new PeriodicTasks(state, failureDetector);
   }
 
-  private final class All implements AntiEntropy.Known {
-    @Override
-    public Iterable<String> names(int bucket) {
-      if (MemberCodec.bucket(core.self) != bucket) {
-        return core.table.bucket(bucket);
-      }
-      TreeSet<String> names = new TreeSet<>(core.table.bucket(bucket));
-      names.add(core.self);
-      return names;
+  private void onChange(MemberRecord member, Reachability previous, MemberInfo previousCard) {
+    Reachability current = member.reachability();
+    MemberInfo card = member.card();
+    if (previous != current) {
+      listener.onReachabilityChanged(member.name(), previous, current);
     }
-
-    @Override
-    public GossipUpdate update(String name) {
-      return core.update(name, "");
-    }
-  }
-
-  private void changed(MemberRecord entry, Reachability was, MemberInfo before) {
-    Reachability is = entry.reach();
-    if (was != is) {
-      watcher.onReachabilityChanged(entry.name(), was, is);
-    }
-    if (!was.isContactable() && is.isContactable()) {
-      asking.newMember(entry.name());
+    if (!current.isContactable()) {
+      return;
     }
-    if (was.isContactable() && is.isContactable() && before.birth() != entry.card().birth()) {
-      watcher.onProcessReplaced(entry.name(), entry.card().incarnation());
+    if (!previous.isContactable()) {
+      failureDetector.onMemberJoined(member.name());
+    } else if (previousCard.birth() != card.birth()) {
+      listener.onProcessReplaced(member.name(), card.incarnation());
     }
   }
 
-  // ---- part ----
+  // ---- component ----
 
   @Override
   public void onMessage(long now, long wall, String from, byte[] body) {
     enter(now, wall);
     try {
-      hearing.told(from, MemberCodec.read(body));
+      messageHandler.onMessage(from, MemberCodec.read(body));
     } catch (MalformedMessageException e) {
       malformed++;
-      core.lines.line(
+      state.log.log(
           RateLimitedLog.Kind.MALFORMED,
           now,
           "members: a message from " + from + " can't be read: " + e.getMessage());
@@ -145,83 +129,24 @@
   @Override
   public void tick(long now, long wall) {
     enter(now, wall);
-    if (core.isOut()) {
-      sayLast();
+    if (farewell.hasEnded()) {
+      farewell.tick();
     } else {
-      doDue();
+      tasks.tick();
     }
-    promised = Math.max(now, nextDueAt());
+    expectedTickAt = Math.max(now, nextDueAt());
   }
 
-  /** A pause that nobody told of shows by what is overdue. */
+  /** Starts the member, or notices a pause that nobody announced. */
   private void enter(long now, long wall) {
-    core.now = now;
+    state.advanceTo(now);
+    long maxLateness = LATE_PROBE_INTERVALS * state.config.probeInterval();
     if (!started) {
-      start();
-    } else if (promised < Long.MAX_VALUE && now - promised > 2 * periods.probeInterval()) {
-      onPause(now, wall, now - promised);
-    }
-  }
-
-  private void start() {
-    started = true;
-    probeAt = core.now + random.nextLong(periods.probeInterval());
-    gossipAt = core.now + random.nextLong(periods.gossipInterval());
-    digestAt = core.now + random.nextLong(periods.antiEntropyInterval()) + 1;
-    retryAt = core.now;
-    forgetAt = core.now + periods.forgetAfter() / 16;
-    core.raised();
-  }
-
-  private void doDue() {
-    long now = core.now;
-    asking.probes.turn(now);
-    for (IndirectProbes.For who : asking.relays.expired(now)) {
-      core.send(
-          who.address(), new MemberMessage.Vouch(core.own.card(), who.number(), false, List.of()));
-    }
-    for (MemberRecord gone = core.table.expire(now); gone != null; gone = core.table.expire(now)) {
-      core.updates.put(gone.name(), core.self);
-    }
-    if (now >= probeAt) {
-      probeAt = now + periods.probeInterval();
-      asking.probeNext();
-    }
-    if (now >= retryAt) {
-      retryAt =
-          now + (core.table.size() == 1 ? periods.probeInterval() : periods.reconnectInterval());
-      asking.retry();
-    }
-    if (now >= gossipAt) {
-      gossipAt = now + periods.gossipInterval();
-      gossip();
-    }
-    if (now >= digestAt) {
-      digestAt =
-          now + periods.antiEntropyInterval() / 2 + random.nextLong(periods.antiEntropyInterval());
-      MemberRecord any = core.table.anyTalking(random);
-      if (any != null) {
-        hearing.compare(any.card().address());
-      }
-    }
-    if (now >= forgetAt) {
-      forgetAt = now + periods.forgetAfter() / 16;
-      core.table.forget(now);
-    }
-  }
-
-  private void gossip() {
-    asking.verifySome();
-    boolean small = gossipRound++ % SMALL_EVERY == SMALL_EVERY - 1;
-    int room =
-        MembershipState.room(small ? MembershipState.BYTES_SMALL : MembershipState.BYTES_MOST);
-    if (!core.updates.isEmpty()) {
-      for (MemberRecord entry : core.table.someTalking(random, periods.gossipFanout(), "")) {
-        core.gossip(entry.card().address(), entry.suspicion(), room);
-      }
-    }
-    for (int i = 0; i < PIECES_AT_ONCE && digests.send(core.own.card(), room, core::send); i++) {
-      // the next piece
+      started = true;
+      tasks.start();
+      state.onIncarnationRaised();
+    } else if (expectedTickAt < Long.MAX_VALUE && now - expectedTickAt > maxLateness) {
+      onPause(now, wall, now - expectedTickAt);
     }
   }
 
@@ -230,166 +155,145 @@
     if (!started) {
       return 0;
     }
-    if (core.isOut()) {
-      return stopped() ? Long.MAX_VALUE : lastAt;
-    }
-    long due = Math.min(Math.min(probeAt, retryAt), Math.min(digestAt, forgetAt));
-    due =
-        Math.min(
-            due,
-            Math.min(asking.probes.dueAt(), Math.min(asking.relays.dueAt(), core.table.dueAt())));
-    boolean hasToSay =
-        !core.updates.isEmpty() && core.table.size() > 1
-            || !digests.isIdle()
-            || asking.hasToVerify();
-    return hasToSay ? Math.min(due, gossipAt) : due;
+    return farewell.hasEnded() ? farewell.nextDueAt() : tasks.nextDueAt();
   }
 
   @Override
-  public void onPause(long now, long wall, long lasted) {
-    core.now = now;
-    promised = Long.MAX_VALUE;
-    if (!started || core.isOut()) {
+  public void onPause(long now, long wall, long duration) {
+    state.advanceTo(now);
+    expectedTickAt = Long.MAX_VALUE;
+    if (!started || farewell.hasEnded()) {
       return;
     }
-    awayCount++;
-    asking.away();
-    core.table.away(lasted);
-    hearing.doubtful(now + periods.probeTimeout(), lasted);
-    core.lines.line(
+    pauses++;
+    failureDetector.onPause();
+    state.table.onPause(duration);
+    messageHandler.onPause(now + state.config.probeTimeout(), duration);
+    state.log.log(
         RateLimitedLog.Kind.AWAY,
         now,
-        "members: this process did nothing for " + lasted / 10 + " ms");
-    core.own.raise(0);
-    core.raised();
-    asking.health.worse(2);
-    probeAt = now + periods.probeTimeout();
-    gossipAt = now;
-    // Some are told at once, before they give this process up.
-    for (MemberRecord entry : core.table.someTalking(random, LAST_TO, "")) {
-      core.gossip(
-          entry.card().address(),
-          SuspicionLevel.NONE,
-          MembershipState.room(MembershipState.BYTES_SMALL));
+        "members: this process did nothing for " + duration / TENTHS_PER_MILLISECOND + " ms");
+    state.localMember.raiseIncarnation(0);
+    state.onIncarnationRaised();
+    failureDetector.health.degrade(HEALTH_POINTS_OF_PAUSE);
+    tasks.onPause();
+    // Some members are told at once, before they declare this process failed.
+    for (MemberRecord member : state.table.pickActive(state.random, PAUSE_ANNOUNCEMENTS, "")) {
+      state.sendGossip(
+          member.card().address(), SuspicionLevel.NONE, MembershipState.SMALL_UPDATE_BYTES);
     }
   }
 
   // ---- leaving ----
 
   /**
-   * This process goes: said to some, several times; {@link #stopped} once that is done, within half
-   * a second.
+   * Announces to some members, several times, that this process leaves; {@link #stopped} once that
+   * is done, within half a second.
    */
   public void leave(long now) {
-    if (!core.isOut()) {
-      core.now = now;
-      core.leave();
-      sayLast();
+    if (!farewell.hasEnded()) {
+      state.advanceTo(now);
+      farewell.onLeave();
+      farewell.tick();
     }
   }
 
-  private void sayLast() {
-    if (stopped() || core.now < lastAt) {
-      return;
-    }
-    lastSaid++;
-    lastAt = core.now + Math.min(periods.probeInterval() / 5, LAST_EVERY_MOST);
-    for (MemberRecord entry : core.table.someTalking(random, LAST_TO, "")) {
-      core.sayLast(entry.card().address());
-    }
-  }
-
-  /** Whether nothing more comes from this process: it left, and said so, or yielded its name. */
+  /** Whether this process sends nothing more: it left, or yielded its name, and announced that. */
   public boolean stopped() {
-    return core.isOut() && lastSaid >= LAST_TIMES;
+    return farewell.isAnnounced();
   }
 
-  // ---- roster ----
+  // ---- view ----
 
   @Override
   public String self() {
-    return core.self;
+    return state.self;
   }
 
+  /** The name of the fleet. */
   public String fleet() {
     return identity.fleet();
   }
 
   @Override
   public String site(String name) {
-    if (name.equals(core.self)) {
+    if (name.equals(state.self)) {
       return identity.site();
     }
-    MemberRecord entry = core.table.get(name);
-    return entry == null ? "" : entry.card().site();
+    MemberRecord member = state.table.get(name);
+    return member == null ? "" : member.card().site();
   }
 
   @Override
   public List<String> names() {
-    return List.copyOf(core.table.all().keySet());
+    return List.copyOf(state.table.all().keySet());
   }
 
   @Override
   public Reachability reachability(String name) {
-    MemberRecord entry = core.table.get(name);
-    return entry == null || core.own.yielded() ? Reachability.GONE : entry.reach();
+    MemberRecord member = state.table.get(name);
+    return member == null || yielded() ? Reachability.GONE : member.reachability();
   }
 
-  /** Where messages to a member go; empty if it is not known. */
+  /** Where messages to another member go, host:port; empty if it is not known. */
   public String address(String name) {
-    MemberRecord entry = core.table.get(name);
-    return entry == null ? "" : entry.card().address();
+    MemberRecord member = state.table.get(name);
+    return member == null ? "" : member.card().address();
   }
 
-  /** The incarnation under which a member is known, the own one too; 0 if it is not known. */
+  /**
+   * The incarnation under which a member is known, the local one included; 0 if it is not known.
+   */
   public long incarnation(String name) {
-    MemberRecord entry = core.table.get(name);
-    return name.equals(core.self)
-        ? core.own.card().incarnation()
-        : entry == null ? 0 : entry.card().incarnation();
+    if (name.equals(state.self)) {
+      return state.localMember.card().incarnation();
+    }
+    MemberRecord member = state.table.get(name);
+    return member == null ? 0 : member.card().incarnation();
   }
 
-  /** Those that take part, oneself counted. */
+  /** How many members are active, the local one included. */
   public int size() {
-    return core.table.size();
+    return state.table.size();
   }
 
-  /** Whether another process keeps the own name. */
+  /** Whether another process keeps the local member's name. */
   public boolean yielded() {
-    return core.own.yielded();
+    return state.localMember.hasYielded();
   }
 
+  /** Counters since the start of this process, for monitoring. */
   public Counts counts() {
     return new Counts(
-        core.sent,
-        core.sentBytes,
+        state.sent(),
+        state.sentBytes(),
         malformed,
-        hearing.refused,
-        core.own.refuted(),
-        awayCount,
-        asking.health.score(),
-        core.updates.size());
+        messageHandler.rejected(),
+        state.localMember.refutations(),
+        pauses,
+        failureDetector.health.score(),
+        state.gossip.size());
   }
 
   /**
-   * For those who watch over it.
+   * Counters for monitoring.
    *
-   * @param sent messages
+   * @param sent messages sent
    * @param sentBytes bytes in them
    * @param malformed messages that could not be read
-   * @param refused members there was no room for
-   * @param refuted how often the own incarnation rose
-   * @param pauses how often this process was held up
-   * @param health local health, 0 is well
-   * @param updates news that wait to be told on
+   * @param rejected gossip updates of members for which the table had no capacity
+   * @param refuted how often the local incarnation rose
+   * @param pauses how often this process was paused
+   * @param health the local health score; 0 is healthy
+   * @param queuedUpdates gossip updates that are still to be sent
    */
   public record Counts(
       long sent,
       long sentBytes,
       long malformed,
-      long refused,
+      long rejected,
       long refuted,
       long pauses,
       int health,
-      int updates) {}
+      int queuedUpdates) {}
 }
--- a/members/src/main/java/tillerlink/members/MembershipState.java
+++ b/members/src/main/java/tillerlink/members/MembershipState.java
@@ -1,10 +1,11 @@
 package tillerlink.members;
 
-import java.util.ArrayList;
 import java.util.List;
+import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import tillerlink.cluster.Invariant;
 import tillerlink.cluster.MessageSender;
+import tillerlink.members.antientropy.AntiEntropy;
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.members.config.MembershipListener;
 import tillerlink.members.config.MembershipTransport;
@@ -20,139 +21,171 @@
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** What asking and hearing share: who is known, what is news, how it is said. */
-final class MembershipState {
-  /** A message with news is no longer, so that it goes in one datagram. */
-  static final int BYTES_MOST = MessageSender.SINGLE_DATAGRAM_BYTES;
+/**
+ * What failure detection and message handling share: the members that are known, the gossip that is
+ * queued, and the way messages are sent.
+ */
+final class MembershipState implements AntiEntropy.Known {
+  /** What a message holds beside its gossip updates, in bytes, at most. */
+  private static final int HEADER_BYTES = 150;
 
-  /** Every so often news go in small messages, for links that carry no others. */
-  static final int BYTES_SMALL = 300;
+  /** A message of this length passes links that carry small messages only. */
+  private static final int SMALL_MESSAGE_BYTES = 300;
+
+  /** The room for gossip updates in a message that fits a single datagram. */
+  static final int UPDATE_BYTES = MessageSender.SINGLE_DATAGRAM_BYTES - HEADER_BYTES;
+
+  /** The room for gossip updates in a small message. */
+  static final int SMALL_UPDATE_BYTES = SMALL_MESSAGE_BYTES - HEADER_BYTES;
 
   final String self;
-  final MembershipConfig periods;
-  final MembershipListener watcher;
-  final RateLimitedLog lines;
+  final MembershipConfig config;
+  final MembershipListener listener;
+  final RateLimitedLog log;
   final RandomGenerator random;
   final MemberTable table;
-  final GossipQueue updates;
-  final LocalMember own;
-  private final MembershipTransport wire;
-  long now;
-  boolean left;
-
-  /** What is said before this process says nothing more; null as long as it takes part. */
-  private List<MemberInfo> lastCards;
-
-  private long lastAt;
-  long sent;
-  long sentBytes;
+  final GossipQueue gossip;
+  final LocalMember localMember;
+  final AntiEntropy antiEntropy;
+  private final MembershipTransport transport;
+  private long now;
+  private boolean left;
+  private long sent;
+  private long sentBytes;
 
   MembershipState(
       Identity identity,
-      MembershipConfig periods,
-      MembershipTransport wire,
-      MembershipListener watcher,
-      MemberTable.Changes changes,
+      MembershipConfig config,
+      MembershipTransport transport,
+      MembershipListener listener,
+      MemberTable.ChangeListener changeListener,
       RandomGenerator random,
       long birth,
-      ComponentFactories makers) {
+      ComponentFactories factories) {
     self = identity.name();
-    this.periods = periods;
-    this.wire = wire;
-    this.watcher = watcher;
+    this.config = config;
+    this.transport = transport;
+    this.listener = listener;
     this.random = random;
-    lines = new RateLimitedLog(watcher::log);
-    table = makers.table(self, periods, changes);
-    updates = makers.updates(2 * periods.maxMembers() + 1);
-    own = makers.own(identity, birth);
+    log = new RateLimitedLog(listener::log);
+    table = factories.memberTable(self, config, changeListener);
+    gossip = factories.gossipQueue(2 * config.maxMembers() + 1);
+    localMember = factories.localMember(identity, birth);
+    antiEntropy = new AntiEntropy(this);
   }
 
-  /** What is told of a name now; null if it is not known. */
-  GossipUpdate update(String name, String by) {
-    if (name.equals(self)) {
-      return new GossipUpdate(
-          self, left ? MemberStatus.LEFT : MemberStatus.ALIVE, own.card(), "", 0);
-    }
-    MemberRecord entry = table.get(name);
-    return entry == null ? null : entry.update(by, now);
+  long now() {
+    return now;
   }
 
-  /** News for a message that has that much room for them. */
-  List<GossipUpdate> news(int room) {
-    return updates.take(room, periods.maxTransmissions(table.size()), this::update);
+  void advanceTo(long time) {
+    now = time;
   }
 
-  void send(String address, MemberMessage message) {
-    if (address.isEmpty()) {
-      return;
+  /** Whether the local member has announced that it leaves. */
+  boolean hasLeft() {
+    return left;
+  }
+
+  void markLeft() {
+    left = true;
+  }
+
+  boolean isActive(String name) {
+    MemberRecord member = table.get(name);
+    return member != null && member.status().takesPart();
+  }
+
+  // ---- what is known ----
+
+  @Override
+  public Iterable<String> names(int bucket) {
+    if (MemberCodec.bucket(self) != bucket) {
+      return table.bucket(bucket);
     }
-    byte[] body = MemberCodec.write(message);
-    Invariant.holds(
-        body.length <= MessageSender.MAX_MESSAGE_BYTES,
-        () -> "a message of " + body.length + " bytes");
-    sent++;
-    sentBytes += body.length;
-    wire.send(address, body);
+    TreeSet<String> names = new TreeSet<>(table.bucket(bucket));
+    names.add(self);
+    return names;
   }
 
-  void gossip(String address, SuspicionLevel doubt, int room) {
-    send(address, new MemberMessage.Gossip(own.card(), doubt, news(room)));
+  @Override
+  public GossipUpdate update(String name) {
+    return update(name, "");
   }
 
-  /**
-   * The room for news in a message of that many bytes, which has the own card and the like in it
-   * already.
-   */
-  static int room(int bytes) {
-    return bytes - 150;
+  /** A member as it is gossiped now, the local one included; null if it is not known. */
+  GossipUpdate update(String name, String accuser) {
+    if (name.equals(self)) {
+      MemberStatus status = left ? MemberStatus.LEFT : MemberStatus.ALIVE;
+      return new GossipUpdate(self, status, localMember.card(), "", 0);
+    }
+    MemberRecord member = table.get(name);
+    return member == null ? null : member.toGossipUpdate(accuser, now);
   }
 
-  /** How a member is held that shows that card, if otherwise than it says. */
-  SuspicionLevel doubt(String name, MemberInfo shown) {
-    MemberRecord entry = table.get(name);
-    if (entry == null) {
+  /**
+   * What a member has to refute that shows that card.
+   *
+   * @return none if the member is held as it says itself
+   */
+  SuspicionLevel suspicionOf(String name, MemberInfo shown) {
+    MemberRecord member = table.get(name);
+    if (member == null) {
       return SuspicionLevel.NONE;
     }
-    int order = shown.compare(entry.card());
+    int order = shown.compare(member.card());
     if (order > 0) {
       return SuspicionLevel.NONE;
     }
+    MemberInfo card = member.card();
     return order == 0
-        ? entry.suspicion()
-        : new SuspicionLevel(entry.status(), entry.card().incarnation(), entry.card().birth());
+        ? member.suspicion()
+        : new SuspicionLevel(member.status(), card.incarnation(), card.birth());
   }
 
-  /** Another process keeps the own name: the last that is said here is where that one is. */
-  void yieldTo(MemberInfo other) {
-    lastCards = List.of(other);
-    lastAt = now;
-    watcher.onNameLost();
+  /** The local incarnation rose: it is gossiped first of all. */
+  void onIncarnationRaised() {
+    gossip.put(self, "");
+    listener.onOwnIncarnationChanged(localMember.card().incarnation());
   }
 
-  /** This process leaves. */
-  void leave() {
-    left = true;
-    lastCards = List.of();
-    lastAt = now;
+  // ---- messages ----
+
+  /** Takes gossip updates for a message that has that many bytes left. */
+  List<GossipUpdate> takeUpdates(int maxBytes) {
+    return gossip.take(maxBytes, config.maxTransmissions(table.size()), this::update);
+  }
+
+  void send(String address, MemberMessage message) {
+    if (address.isEmpty()) {
+      return;
+    }
+    byte[] body = MemberCodec.write(message);
+    Invariant.holds(
+        body.length <= MessageSender.MAX_MESSAGE_BYTES,
+        () -> "a message of " + body.length + " bytes");
+    sent++;
+    sentBytes += body.length;
+    transport.send(address, body);
+  }
+
+  void sendGossip(String address, SuspicionLevel suspicion, int maxUpdateBytes) {
+    send(
+        address,
+        new MemberMessage.Gossip(localMember.card(), suspicion, takeUpdates(maxUpdateBytes)));
   }
 
-  /** Whether this process takes part no more. */
-  boolean isOut() {
-    return lastCards != null;
+  /** Begins an anti-entropy comparison with whoever has that address. */
+  void sendDigest(String address) {
+    long salt = random.nextLong();
+    send(address, new MemberMessage.Digest(localMember.card(), salt, antiEntropy.sums(salt)));
   }
 
-  /** That this process is away, and which other has its name now. */
-  void sayLast(String address) {
-    List<GossipUpdate> words = new ArrayList<>();
-    words.add(new GossipUpdate(self, MemberStatus.LEFT, own.card(), "", now - lastAt));
-    lastCards.forEach(
-        card -> words.add(new GossipUpdate(self, MemberStatus.ALIVE, card, "", now - lastAt)));
-    send(address, new MemberMessage.Gossip(own.card(), SuspicionLevel.NONE, words));
+  long sent() {
+    return sent;
   }
 
-  /** The own incarnation rose: the first thing to be told. */
-  void raised() {
-    updates.put(self, "");
-    watcher.onOwnIncarnationChanged(own.card().incarnation());
+  long sentBytes() {
+    return sentBytes;
   }
 }
--- a/members/src/main/java/tillerlink/members/MessageHandler.java
+++ b/members/src/main/java/tillerlink/members/MessageHandler.java
@@ -2,323 +2,271 @@
 
 import java.util.List;
 import tillerlink.cluster.Reachability;
-import tillerlink.members.antientropy.AntiEntropy;
 import tillerlink.members.config.RateLimitedLog;
-import tillerlink.members.local.LocalMember;
 import tillerlink.members.probe.IndirectProbes;
 import tillerlink.members.probe.Probe;
 import tillerlink.members.state.MemberRecord;
-import tillerlink.members.state.MemberTable;
 import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberMessage;
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** What this process makes of the messages of others. */
+/** Handles the messages of other members. */
 final class MessageHandler {
-  /** Nobody is told of what it has to refute more often than that, but in an answer. */
-  private static final long DOUBTS_APART = 500;
+  /**
+   * Shortest time between two messages that only tell their receivers what to refute, in tenths of
+   * a millisecond; answers tell it always.
+   */
+  private static final long MIN_SUSPICION_INTERVAL = 500;
+
+  private static final int NO_UPDATE_BYTES = 0;
 
-  private final MembershipState core;
-  private final FailureDetector asking;
-  private final AntiEntropy digests;
-  private long doubtToldAt = Long.MIN_VALUE / 2;
-  private long doubtfulUntil = Long.MIN_VALUE;
-  private long lasted;
-  long refused;
+  private final MembershipState state;
+  private final FailureDetector failureDetector;
+  private final LocalNameGuard localName;
+  private final Farewell farewell;
+  private long suspicionSentAt = Long.MIN_VALUE / 2;
+  private long delayedUntil = Long.MIN_VALUE;
+  private long pauseDuration;
+  private long rejected;
+
+  MessageHandler(
+      MembershipState state,
+      FailureDetector failureDetector,
+      LocalNameGuard localName,
+      Farewell farewell) {
+    this.state = state;
+    this.failureDetector = failureDetector;
+    this.localName = localName;
+    this.farewell = farewell;
+  }
 
-  MessageHandler(MembershipState core, FailureDetector asking, AntiEntropy digests) {
-    this.core = core;
-    this.asking = asking;
-    this.digests = digests;
+  /**
+   * This process was paused.
+   *
+   * @param until messages that arrive until then may have waited during the pause
+   * @param duration how long it was paused
+   */
+  void onPause(long until, long duration) {
+    delayedUntil = until;
+    pauseDuration = duration;
   }
 
-  /** What comes until then waited while this process was away. */
-  void doubtful(long until, long away) {
-    doubtfulUntil = until;
-    lasted = away;
+  /** How often a member was rejected since the table was full. */
+  long rejected() {
+    return rejected;
   }
 
-  void told(String from, MemberMessage message) {
-    if (core.isOut()) {
-      if (core.own.yielded() && message instanceof MemberMessage.Probe probe) {
-        // Its address may be a seed of somebody: that is told where the name is now.
-        core.sayLast(probe.card().address());
+  void onMessage(String from, MemberMessage message) {
+    if (farewell.hasEnded()) {
+      if (state.localMember.hasYielded() && message instanceof MemberMessage.Probe probe) {
+        // This address may be a seed of the sender: it learns where the name's keeper is.
+        farewell.announceTo(probe.card().address());
       }
       return;
     }
-    if (from.equals(core.self)) {
-      self(message);
+    if (from.equals(state.self)) {
+      localName.onMessage(message);
       return;
     }
-    boolean known = takesPart(from);
-    met(from, message.card());
+    boolean wasActive = state.isActive(from);
+    mergeSender(from, message.card());
     if (message instanceof MemberMessage.Listing listing) {
-      digests.told(listing, listing.card().address());
+      state.antiEntropy.onListing(listing, listing.card().address());
     }
-    message.updates().forEach(this::update);
-    act(from, message, known);
+    message.updates().forEach(this::merge);
+    dispatch(from, message, wasActive);
   }
 
-  private boolean takesPart(String name) {
-    MemberRecord entry = core.table.get(name);
-    return entry != null && entry.status().takesPart();
-  }
-
-  private void act(String from, MemberMessage message, boolean known) {
+  private void dispatch(String from, MemberMessage message, boolean wasActive) {
     if (message instanceof MemberMessage.Probe probe) {
-      probe(from, probe);
-    } else if (message instanceof MemberMessage.Ack ack) {
-      own(ack.suspicion());
-      ack(from, ack, known);
-    } else if (message instanceof MemberMessage.Ask ask) {
-      relay(from, ask);
-    } else if (message instanceof MemberMessage.Vouch vouch) {
-      asking.probes.vouched(vouch.number(), vouch.reached());
+      onProbe(from, probe);
+      return;
+    }
+    if (message instanceof MemberMessage.Ack ack) {
+      localName.onSuspicion(ack.suspicion());
+      onAck(from, ack, wasActive);
+    } else if (message instanceof MemberMessage.Ask request) {
+      onIndirectProbeRequest(from, request);
+    } else if (message instanceof MemberMessage.Vouch result) {
+      failureDetector.probes.onIndirectResult(result.number(), result.reached());
     } else if (message instanceof MemberMessage.Gossip gossip) {
-      own(gossip.suspicion());
+      localName.onSuspicion(gossip.suspicion());
     } else if (message instanceof MemberMessage.Digest digest) {
-      digests.told(digest, digest.card().address());
-    }
-    if (!(message instanceof MemberMessage.Probe)) {
-      tellDoubt(from, message.card());
+      state.antiEntropy.onDigest(digest, digest.card().address());
     }
+    sendSuspicion(from, message.card());
   }
 
   // ---- the sender ----
 
   /**
-   * A message shows that its sender lived once, not that it does now: it may have been recorded.
+   * A message proves that its sender was alive once, not that it is now: it may be a recorded one.
    */
-  private void met(String from, MemberInfo card) {
-    MemberRecord entry = core.table.get(from);
-    if (entry == null) {
-      asking.verify(new GossipUpdate(from, MemberStatus.ALIVE, card, "", 0));
-    } else if (card.compare(entry.card()) > 0) {
-      update(new GossipUpdate(from, MemberStatus.ALIVE, card, "", 0));
+  private void mergeSender(String from, MemberInfo card) {
+    MemberRecord member = state.table.get(from);
+    GossipUpdate update = new GossipUpdate(from, MemberStatus.ALIVE, card, "", 0);
+    if (member == null) {
+      failureDetector.verify(update);
+    } else if (card.compare(member.card()) > 0) {
+      merge(update);
     }
   }
 
-  private void tellDoubt(String from, MemberInfo card) {
-    SuspicionLevel doubt = core.doubt(from, card);
-    if (doubt.isPresent() && core.now - doubtToldAt >= DOUBTS_APART) {
-      doubtToldAt = core.now;
-      core.gossip(card.address(), doubt, 0);
+  /** Tells the sender what it has to refute. */
+  private void sendSuspicion(String from, MemberInfo card) {
+    SuspicionLevel suspicion = state.suspicionOf(from, card);
+    if (suspicion.isPresent() && state.now() - suspicionSentAt >= MIN_SUSPICION_INTERVAL) {
+      suspicionSentAt = state.now();
+      state.sendGossip(card.address(), suspicion, NO_UPDATE_BYTES);
     }
   }
 
-  // ---- questions and answers ----
+  // ---- probes ----
 
-  private void probe(String from, MemberMessage.Probe probe) {
-    if (!probe.target().isEmpty() && !probe.target().equals(core.self)) {
-      // Another process stands at that address now: nobody answers for it.
-      core.gossip(probe.card().address(), SuspicionLevel.NONE, 0);
+  private void onProbe(String from, MemberMessage.Probe probe) {
+    MemberInfo sender = probe.card();
+    if (!probe.target().isEmpty() && !probe.target().equals(state.self)) {
+      // Another process has the probed address now: it does not answer in the target's place.
+      state.sendGossip(sender.address(), SuspicionLevel.NONE, NO_UPDATE_BYTES);
       return;
     }
-    own(probe.suspicion());
-    core.send(
-        probe.card().address(),
+    localName.onSuspicion(probe.suspicion());
+    // A probe without gossip may have come over a link that carries small messages only.
+    int maxUpdateBytes =
+        probe.updates().isEmpty()
+            ? MembershipState.SMALL_UPDATE_BYTES
+            : MembershipState.UPDATE_BYTES;
+    state.send(
+        sender.address(),
         new MemberMessage.Ack(
-            core.own.card(), probe.number(), core.doubt(from, probe.card()), answerNews(probe)));
-  }
-
-  /**
-   * A question without news may have come over a link that carries small messages only: so is the
-   * answer.
-   */
-  private List<GossipUpdate> answerNews(MemberMessage.Probe probe) {
-    return probe.updates().isEmpty()
-        ? core.news(MembershipState.room(MembershipState.BYTES_SMALL))
-        : core.news(MembershipState.room(MembershipState.BYTES_MOST));
+            state.localMember.card(),
+            probe.number(),
+            state.suspicionOf(from, sender),
+            state.takeUpdates(maxUpdateBytes)));
   }
 
   /**
-   * @param known whether it took part already, for all that was known before this answer
+   * Handles an acknowledgement.
+   *
+   * @param wasActive whether the sender was an active member before this message
    */
-  private void ack(String from, MemberMessage.Ack ack, boolean known) {
-    IndirectProbes.For asker = asking.relays.answered(ack.number(), from);
-    if (asker != null) {
-      core.send(
-          asker.address(),
+  private void onAck(String from, MemberMessage.Ack ack, boolean wasActive) {
+    IndirectProbes.Request request = failureDetector.indirectProbes.onAck(ack.number(), from);
+    if (request != null) {
+      state.send(
+          request.address(),
           new MemberMessage.Vouch(
-              core.own.card(),
-              asker.number(),
+              state.localMember.card(),
+              request.number(),
               true,
-              core.news(MembershipState.room(MembershipState.BYTES_SMALL))));
+              state.takeUpdates(MembershipState.SMALL_UPDATE_BYTES)));
       return;
     }
-    Probe about = asking.probes.answered(ack.number(), from, core.now);
-    if (about == null) {
+    Probe probe = failureDetector.probes.onAck(ack.number(), from, state.now());
+    if (probe == null) {
       return;
     }
-    if (about.kind() == Probe.Kind.MEMBER) {
-      straight(from, about);
+    if (probe.kind() == Probe.Kind.MEMBER) {
+      onDirectAck(from, probe);
       return;
     }
-    update(new GossipUpdate(from, MemberStatus.ALIVE, ack.card(), "", 0));
-    if (!known && takesPart(from)) {
-      straight(from, about);
-      // A partition may have healed: both learn at once who is there on the other's side.
-      compare(ack.card().address());
+    merge(new GossipUpdate(from, MemberStatus.ALIVE, ack.card(), "", 0));
+    if (!wasActive && state.isActive(from)) {
+      onDirectAck(from, probe);
+      // A partition may have healed: both learn at once who is on the other side.
+      state.sendDigest(ack.card().address());
     }
   }
 
-  private void straight(String from, Probe about) {
-    MemberRecord entry = core.table.get(from);
-    if (entry != null && entry.status().takesPart()) {
-      core.table.lived(entry, about.startedAt());
-      core.table.straight(entry, about.took());
+  private void onDirectAck(String from, Probe probe) {
+    MemberRecord member = state.table.get(from);
+    if (member != null && member.status().takesPart()) {
+      state.table.onAlive(member, probe.startedAt());
+      state.table.onDirectAck(member, probe.roundTrip());
     }
   }
 
-  private void relay(String from, MemberMessage.Ask ask) {
-    MemberRecord entry = core.table.get(ask.target());
-    String address = entry == null ? ask.address() : entry.card().address();
+  private void onIndirectProbeRequest(String from, MemberMessage.Ask request) {
+    MemberRecord member = state.table.get(request.target());
     long number =
-        asking.relays.add(
-            new IndirectProbes.For(
+        failureDetector.indirectProbes.add(
+            new IndirectProbes.Request(
                 from,
-                ask.card().address(),
-                ask.number(),
-                ask.target(),
-                core.now + core.periods.probeTimeout()));
-    if (number != 0) {
-      SuspicionLevel doubt =
-          ask.suspicion().isPresent() || entry == null ? ask.suspicion() : entry.suspicion();
-      core.send(
-          address,
-          new MemberMessage.Probe(core.own.card(), number, ask.target(), doubt, List.of()));
+                request.card().address(),
+                request.number(),
+                request.target(),
+                state.now() + state.config.probeTimeout()));
+    if (number == IndirectProbes.NO_NUMBER) {
+      return;
     }
+    String address = member == null ? request.address() : member.card().address();
+    boolean asRequested = request.suspicion().isPresent() || member == null;
+    state.send(
+        address,
+        new MemberMessage.Probe(
+            state.localMember.card(),
+            number,
+            request.target(),
+            asRequested ? request.suspicion() : member.suspicion(),
+            List.of()));
   }
 
-  /** All that both know is compared. */
-  void compare(String address) {
-    long salt = core.random.nextLong();
-    core.send(address, new MemberMessage.Digest(core.own.card(), salt, digests.sums(salt)));
-  }
+  // ---- gossip ----
 
-  // ---- what is told ----
-
-  private void update(GossipUpdate told) {
-    if (told.name().equals(core.self)) {
-      own(told.status(), told.card());
+  private void merge(GossipUpdate received) {
+    if (received.name().equals(state.self)) {
+      localName.onClaim(received.status(), received.card());
       return;
     }
-    boolean doubtful = core.now <= doubtfulUntil;
-    GossipUpdate update =
-        doubtful
-            ? new GossipUpdate(
-                told.name(), told.status(), told.card(), told.accuser(), told.age() + lasted)
-            : told;
-    MemberTable.Outcome outcome = core.table.tell(update, core.now, doubtful);
-    switch (outcome) {
-      case NEWS -> core.updates.put(update.name(), update.accuser());
-      case VERIFY -> asking.verify(update);
-      case REFUSED -> {
-        refused++;
-        core.lines.line(
-            RateLimitedLog.Kind.FULL,
-            core.now,
-            "members: no room for "
-                + update.name()
-                + ", "
-                + core.periods.maxMembers()
-                + " others take part already");
-      }
-      case OUTDATED -> outdated(update);
+    boolean delayedByPause = state.now() <= delayedUntil;
+    GossipUpdate update = delayedByPause ? received.agedBy(pauseDuration) : received;
+    switch (state.table.merge(update, state.now(), delayedByPause)) {
+      case CHANGED -> onChanged(update);
+      case NEEDS_PROBE -> failureDetector.verify(update);
+      case TABLE_FULL -> onTableFull(update);
+      case OUTDATED -> onOutdated(update);
       case KNOWN -> {
-        // nothing new
+        // nothing to gossip
       }
     }
-    if (outcome == MemberTable.Outcome.NEWS
-        && update.status() == MemberStatus.GONE
-        && core.table.get(update.name()).reach() == Reachability.SUSPECTED) {
-      asking.verify(update);
-    }
   }
 
-  private void outdated(GossipUpdate update) {
-    MemberRecord entry = core.table.get(update.name());
-    if (update.status() == MemberStatus.SUSPECTED && !entry.status().takesPart()) {
-      // Whoever suspects it alone would wait long for others to confirm it: they have given it up
-      // already.
-      core.updates.again(update.name(), core.self);
-    }
-    // Another process of the name of one that is away may not know yet what it has to stand above.
-    if (update.status() == MemberStatus.ALIVE
-        && !entry.status().takesPart()
-        && update.card().birth() != entry.card().birth()) {
-      asking.verify(update);
+  private void onChanged(GossipUpdate update) {
+    state.gossip.put(update.name(), update.accuser());
+    // Declared failed by others, but only suspected here: the member is probed.
+    if (update.status() == MemberStatus.GONE
+        && state.table.get(update.name()).reachability() == Reachability.SUSPECTED) {
+      failureDetector.verify(update);
     }
   }
 
-  // ---- the own name ----
-
-  private void own(SuspicionLevel doubt) {
-    own(doubt.status(), new MemberInfo(doubt.incarnation(), doubt.birth(), "", ""));
+  private void onTableFull(GossipUpdate update) {
+    rejected++;
+    state.log.log(
+        RateLimitedLog.Kind.FULL,
+        state.now(),
+        "members: no room for "
+            + update.name()
+            + ", "
+            + state.config.maxMembers()
+            + " others take part already");
   }
 
-  private void own(MemberStatus standing, MemberInfo card) {
-    if (card.incarnation() == 0 || core.left || core.own.yielded()) {
+  private void onOutdated(GossipUpdate update) {
+    MemberRecord member = state.table.get(update.name());
+    if (member.status().takesPart()) {
       return;
     }
-    LocalMember.Answer answer =
-        core.own.told(standing, card.incarnation(), card.birth(), card.address());
-    settle(answer, card);
-    if (answer == LocalMember.Answer.RAISED && card.birth() == core.own.card().birth()) {
-      asking.health.worse(1);
-    }
-  }
-
-  private void settle(LocalMember.Answer answer, MemberInfo other) {
-    switch (answer) {
-      case NOTHING -> {
-        // it says what is so
-      }
-      case RAISED -> core.raised();
-      case RAISED_OVER_RIVAL -> {
-        core.raised();
-        core.lines.line(
-            RateLimitedLog.Kind.RIVAL,
-            core.now,
-            "members: another process is told of under the own name "
-                + core.self
-                + ", at "
-                + other.address());
-        asking.rival(other.address());
-      }
-      case YIELD -> {
-        core.lines.line(
-            RateLimitedLog.Kind.OWN,
-            core.now,
-            "members: another process keeps the name "
-                + core.self
-                + "; this one takes part no more until it is started under another name");
-        core.yieldTo(other);
-      }
-    }
-  }
-
-  /** A message from the own name: an echo, or another process that has it. */
-  private void self(MemberMessage message) {
-    MemberInfo card = message.card();
-    if (card.birth() == core.own.card().birth() || core.left) {
-      return;
-    }
-    if (message instanceof MemberMessage.Ack ack
-        && asking.probes.answered(ack.number(), core.self, core.now) != null) {
-      settle(core.own.lives(card.birth()), card);
-      return;
+    if (update.status() == MemberStatus.SUSPECTED) {
+      // A sole accuser would wait long for confirmations: the others have declared it failed
+      // already.
+      state.gossip.putIfAbsent(update.name(), state.self);
     }
-    own(MemberStatus.ALIVE, card);
-    if (message instanceof MemberMessage.Probe probe) {
-      core.send(
-          card.address(),
-          new MemberMessage.Ack(core.own.card(), probe.number(), SuspicionLevel.NONE, List.of()));
-      if (!core.own.yielded() && !asking.probes.underWay(core.self)) {
-        asking.rival(card.address());
-      }
+    // Another process of the name may not know yet which incarnation it has to exceed.
+    if (update.status() == MemberStatus.ALIVE && update.card().birth() != member.card().birth()) {
+      failureDetector.verify(update);
     }
   }
 }
--- a/members/src/main/java/tillerlink/members/config/MembershipConfig.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipConfig.java
@@ -1,25 +1,26 @@
 package tillerlink.members.config;
 
 /**
- * All times and bounds of membership. Times are tenths of a millisecond.
+ * The intervals, timeouts and bounds of membership. Times are tenths of a millisecond.
  *
- * @param period between two probes
- * @param answerWithin wait for an answer before the next step is tried, at the least
- * @param waitMost the same, at the most, however slow the links
- * @param relays others asked to try a member that does not answer
- * @param suspicionFactor the shortest suspicion, in periods, is this times the logarithm of the
- *     fleet's size
- * @param suspicionSpread the longest suspicion is that many times the shortest
- * @param confirmations that many more accusers make it the shortest
- * @param gossipEvery between two rounds of news, while there is any
- * @param gossipTo members that a round goes to
- * @param updateFactor a gossip update is sent this times the binary logarithm of the fleet's size
- * @param retryEvery between two tries of somebody who is gone, or of a seed
- * @param digestEvery between two comparisons with somebody of all that is known
- * @param updateLife one who is not known is not believed to live by a gossip update older than that
- * @param forgetAfter those gone or left are forgotten after that
- * @param healthMost local health goes from 0 to that; 0 switches it off
- * @param mostMembers others that take part at once; as many again may be gone or left
+ * @param probeInterval between the starts of two probes of members
+ * @param probeTimeout shortest wait for an answer before the next attempt of a probe
+ * @param maxProbeTimeout longest wait for an answer, however slow the links are
+ * @param indirectProbes how many members are requested to probe one that does not answer
+ * @param suspicionMultiplier the shortest suspicion is this times the probe interval times the
+ *     decimal logarithm of the fleet's size
+ * @param maxSuspicionMultiplier the longest suspicion is this times the shortest
+ * @param confirmations how many further accusers shorten a suspicion to the shortest
+ * @param gossipInterval between two rounds of gossip, while there is any
+ * @param gossipFanout how many members a round of gossip goes to
+ * @param retransmitMultiplier each member sends a gossip update this times the binary logarithm of
+ *     the fleet's size
+ * @param reconnectInterval between two probes of a failed member or a seed
+ * @param antiEntropyInterval between two comparisons with another member, on average
+ * @param maxUpdateAge an older gossip update does not make an unknown member known
+ * @param forgetAfter how long members that failed or left are retained
+ * @param maxLocalHealthScore the worst score of local health; 0 switches it off
+ * @param maxMembers how many other members may be active; as many again may have failed or left
  */
 public record MembershipConfig(
     long probeInterval,
@@ -38,33 +39,46 @@
     long forgetAfter,
     int maxLocalHealthScore,
     int maxMembers) {
-  private static final long SECOND = 10_000;
+  private static final long MILLISECOND = 10;
+  private static final long SECOND = 1000 * MILLISECOND;
+  private static final long HOUR = 3600 * SECOND;
+  private static final long MIN_PROBE_INTERVAL = MILLISECOND;
 
+  /**
+   * Checks the bounds of every setting.
+   *
+   * @throws IllegalArgumentException if a setting is out of bounds
+   */
   public MembershipConfig {
-    if (probeInterval < 10
-        || probeTimeout < 1
-        || maxProbeTimeout < probeTimeout
-        || indirectProbes < 0
-        || suspicionMultiplier < 1
-        || maxSuspicionMultiplier < 1
-        || confirmations < 0
-        || gossipInterval < 1
-        || gossipFanout < 0
-        || retransmitMultiplier < 1
-        || reconnectInterval < 1
-        || antiEntropyInterval < 1
-        || maxUpdateAge < 1
-        || forgetAfter <= maxUpdateAge
-        || maxLocalHealthScore < 0
-        || maxMembers < 1) {
+    require(probeInterval >= MIN_PROBE_INTERVAL);
+    require(probeTimeout >= 1);
+    require(maxProbeTimeout >= probeTimeout);
+    require(indirectProbes >= 0);
+    require(suspicionMultiplier >= 1);
+    require(maxSuspicionMultiplier >= 1);
+    require(confirmations >= 0);
+    require(gossipInterval >= 1);
+    require(gossipFanout >= 0);
+    require(retransmitMultiplier >= 1);
+    require(reconnectInterval >= 1);
+    require(antiEntropyInterval >= 1);
+    require(maxUpdateAge >= 1);
+    require(forgetAfter > maxUpdateAge);
+    require(maxLocalHealthScore >= 0);
+    require(maxMembers >= 1);
+  }
+
+  private static void require(boolean withinBounds) {
+    if (!withinBounds) {
       throw new IllegalArgumentException("periods that can't be");
     }
   }
 
+  /** The default settings: a probe each half second, for fleets of up to 1,025 members. */
   public static MembershipConfig usual() {
     return new MembershipConfig(
         SECOND / 2,
-        1500,
+        150 * MILLISECOND,
         2 * SECOND,
         3,
         5,
@@ -75,13 +89,14 @@
         3,
         2 * SECOND,
         10 * SECOND,
-        3600 * SECOND,
-        2 * 3600 * SECOND,
+        HOUR,
+        2 * HOUR,
         8,
         1024);
   }
 
-  public MembershipConfig withMaxLocalHealthScore(int most) {
+  /** These settings with another bound of the local health score; 0 switches it off. */
+  public MembershipConfig withMaxLocalHealthScore(int maxScore) {
     return new MembershipConfig(
         probeInterval,
         probeTimeout,
@@ -97,11 +112,12 @@
         antiEntropyInterval,
         maxUpdateAge,
         forgetAfter,
-        most,
+        maxScore,
         maxMembers);
   }
 
-  public MembershipConfig withMaxMembers(int most) {
+  /** These settings with another bound of the active members. */
+  public MembershipConfig withMaxMembers(int max) {
     return new MembershipConfig(
         probeInterval,
         probeTimeout,
@@ -118,11 +134,11 @@
         maxUpdateAge,
         forgetAfter,
         maxLocalHealthScore,
-        most);
+        max);
   }
 
-  /** How long gossip updates and those gone are remembered. */
-  public MembershipConfig withRetention(long life, long forget) {
+  /** These settings with other bounds of the age of gossip updates and of inactive members. */
+  public MembershipConfig withRetention(long maxAge, long inactiveTime) {
     return new MembershipConfig(
         probeInterval,
         probeTimeout,
@@ -136,24 +152,25 @@
         retransmitMultiplier,
         reconnectInterval,
         antiEntropyInterval,
-        life,
-        forget,
+        maxAge,
+        inactiveTime,
         maxLocalHealthScore,
         maxMembers);
   }
 
-  /** The shortest suspicion in a fleet of that size, oneself counted. */
+  /** The shortest suspicion in a fleet of that size, the local member included. */
   public long minSuspicionTime(int size) {
     return (long)
         (suspicionMultiplier * probeInterval * Math.max(1, Math.log10(Math.max(1, size))));
   }
 
+  /** The longest suspicion in a fleet of that size, the local member included. */
   public long maxSuspicionTime(int size) {
     return minSuspicionTime(size) * maxSuspicionMultiplier;
   }
 
-  /** How often a gossip update is sent by each who has it. */
+  /** How often each member of a fleet of that size sends a gossip update. */
   public int maxTransmissions(int size) {
-    return retransmitMultiplier * (32 - Integer.numberOfLeadingZeros(Math.max(1, size)));
+    return retransmitMultiplier * (Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, size)));
   }
 }
--- a/members/src/main/java/tillerlink/members/config/RateLimitedLog.java
+++ b/members/src/main/java/tillerlink/members/config/RateLimitedLog.java
@@ -5,41 +5,52 @@
 import java.util.function.Consumer;
 
 /**
- * Lines for the log, of each kind at most one in ten seconds; the next one says how many were left
- * out.
+ * A log with at most one line of each kind in ten seconds; the next line of the kind says how many
+ * were suppressed. Times are tenths of a millisecond.
  */
 public final class RateLimitedLog {
   /** What a line is about. */
   public enum Kind {
+    /** A message can't be read. */
     MALFORMED,
+    /** The table of members is full. */
     FULL,
+    /** Another process may have the local member's name. */
     RIVAL,
+    /** This process was paused. */
     AWAY,
+    /** Another process keeps the local member's name. */
     OWN
   }
 
-  private static final long APART = 100_000;
+  private static final long INTERVAL = 100_000;
 
-  private static final class Last {
-    long at = Long.MIN_VALUE / 2;
-    long held;
+  private static final class KindState {
+    long loggedAt = Long.MIN_VALUE / 2;
+    long suppressed;
   }
 
-  private final Map<Kind, Last> lasts = new EnumMap<>(Kind.class);
+  private final Map<Kind, KindState> states = new EnumMap<>(Kind.class);
   private final Consumer<String> log;
 
+  /**
+   * Makes a log.
+   *
+   * @param log takes the lines that are not suppressed
+   */
   public RateLimitedLog(Consumer<String> log) {
     this.log = log;
   }
 
-  public void line(Kind kind, long now, String words) {
-    Last last = lasts.computeIfAbsent(kind, any -> new Last());
-    if (now - last.at < APART) {
-      last.held++;
+  /** Logs a line, or counts it if one of its kind was logged in the last ten seconds. */
+  public void log(Kind kind, long now, String line) {
+    KindState state = states.computeIfAbsent(kind, any -> new KindState());
+    if (now - state.loggedAt < INTERVAL) {
+      state.suppressed++;
       return;
     }
-    last.at = now;
-    log.accept(last.held == 0 ? words : words + " (" + last.held + " like it before)");
-    last.held = 0;
+    state.loggedAt = now;
+    log.accept(state.suppressed == 0 ? line : line + " (" + state.suppressed + " like it before)");
+    state.suppressed = 0;
   }
 }
--- a/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
+++ b/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
@@ -13,96 +13,111 @@
 import tillerlink.messages.members.MemberCodec;
 
 /**
- * News to be told on: at most one of each member, those sent least often first. What it says is
- * looked up when it is sent, so that it is never older than what is known.
+ * The gossip updates that are piggybacked on messages: at most one of each member, those sent least
+ * often first. The queue holds names; the update itself is looked up when it is sent, so that it is
+ * never older than what is known.
+ *
+ * <p>No I/O; owned by the gateway's event loop.
  */
 public class GossipQueue {
-  private record Item(String name, String by, int sent, long order) {}
+  private record Entry(String name, String accuser, int transmissions, long sequence) {}
 
-  private static final Comparator<Item> LEAST_SENT =
-      Comparator.comparingInt(Item::sent)
-          .thenComparing(Comparator.comparingLong(Item::order).reversed());
+  /** Those sent least often first; among them the latest first. */
+  private static final Comparator<Entry> SENDING_ORDER =
+      Comparator.comparingInt(Entry::transmissions)
+          .thenComparing(Comparator.comparingLong(Entry::sequence).reversed());
 
-  private final Map<String, Item> items = new TreeMap<>();
-  private final NavigableSet<Item> queue = new TreeSet<>(LEAST_SENT);
-  private final int most;
-  private long order;
+  private final Map<String, Entry> entries = new TreeMap<>();
+  private final NavigableSet<Entry> queue = new TreeSet<>(SENDING_ORDER);
+  private final int maxSize;
+  private long nextSequence;
 
   /**
-   * @param most that many wait at once; beyond it those sent most often are dropped
+   * An empty queue.
+   *
+   * @param maxSize how many updates are queued; beyond it those sent most often are dropped
    */
-  public GossipQueue(int most) {
-    this.most = most;
+  public GossipQueue(int maxSize) {
+    this.maxSize = maxSize;
   }
 
-  /** News of a member, in place of what was to be told of it before. */
-  public void put(String name, String by) {
+  /**
+   * Queues an update of a member in place of the one that is queued already.
+   *
+   * @param accuser who suspects the member or declared it failed; empty if nobody does
+   */
+  public void put(String name, String accuser) {
     remove(name);
-    Item item = new Item(name, by, 0, order++);
-    items.put(name, item);
-    queue.add(item);
-    if (queue.size() > most) {
+    Entry entry = new Entry(name, accuser, 0, nextSequence++);
+    entries.put(name, entry);
+    queue.add(entry);
+    if (queue.size() > maxSize) {
       remove(queue.last().name());
     }
     Invariant.holds(
-        items.size() == queue.size() && queue.size() <= most, () -> "rumours: " + queue.size());
+        entries.size() == queue.size() && queue.size() <= maxSize,
+        () -> "queued gossip updates: " + queue.size());
   }
 
-  /** News once more, for somebody who missed it; nothing if it is told on anyway. */
-  public void again(String name, String by) {
-    if (!items.containsKey(name)) {
-      put(name, by);
+  /** Queues an update of a member again for somebody who missed it, unless one is queued. */
+  public void putIfAbsent(String name, String accuser) {
+    if (!entries.containsKey(name)) {
+      put(name, accuser);
     }
   }
 
-  public void remove(String name) {
-    Item item = items.remove(name);
-    if (item != null) {
-      queue.remove(item);
+  private void remove(String name) {
+    Entry entry = entries.remove(name);
+    if (entry != null) {
+      queue.remove(entry);
     }
   }
 
+  /** Whether nothing is queued. */
   public boolean isEmpty() {
     return queue.isEmpty();
   }
 
+  /** How many updates are queued. */
   public int size() {
     return queue.size();
   }
 
   /**
-   * What goes with the next message.
+   * Takes the updates for the next message.
    *
-   * @param room bytes
-   * @param sendsMost after that it is no news any more
-   * @param look what is to be said of a name, by whom; null if nothing
+   * @param maxBytes the room for them
+   * @param maxTransmissions an update that was sent so often is removed from the queue
+   * @param lookup the update of a name with an accuser; null if there is nothing to be said
    */
   public List<GossipUpdate> take(
-      int room, int sendsMost, BiFunction<String, String, GossipUpdate> look) {
-    List<GossipUpdate> taken = new ArrayList<>();
-    List<Item> items = new ArrayList<>();
-    int left = room;
-    for (Item item : queue) {
-      GossipUpdate update = look.apply(item.name, item.by);
+      int maxBytes, int maxTransmissions, BiFunction<String, String, GossipUpdate> lookup) {
+    List<GossipUpdate> updates = new ArrayList<>();
+    List<Entry> taken = new ArrayList<>();
+    int remaining = maxBytes;
+    for (Entry entry : queue) {
+      GossipUpdate update = lookup.apply(entry.name, entry.accuser);
       int size = update == null ? 0 : MemberCodec.size(update);
-      if (size > left || taken.size() >= MemberCodec.MAX_UPDATES) {
+      if (size > remaining || updates.size() >= MemberCodec.MAX_UPDATES) {
         break;
       }
-      left -= size;
-      items.add(item);
+      remaining -= size;
+      taken.add(entry);
       if (update != null) {
-        taken.add(update);
+        updates.add(update);
       }
     }
-    items.forEach(item -> sent(item, sendsMost, look));
-    return taken;
+    taken.forEach(entry -> onSent(entry, maxTransmissions, lookup));
+    return updates;
   }
 
-  private void sent(Item item, int sendsMost, BiFunction<String, String, GossipUpdate> look) {
-    remove(item.name);
-    if (item.sent + 1 < sendsMost && look.apply(item.name, item.by) != null) {
-      Item next = new Item(item.name, item.by, item.sent + 1, item.order);
-      items.put(item.name, next);
+  private void onSent(
+      Entry entry, int maxTransmissions, BiFunction<String, String, GossipUpdate> lookup) {
+    remove(entry.name);
+    boolean sendAgain = entry.transmissions + 1 < maxTransmissions;
+    if (sendAgain && lookup.apply(entry.name, entry.accuser) != null) {
+      Entry next = new Entry(entry.name, entry.accuser, entry.transmissions + 1, entry.sequence);
+      entries.put(entry.name, next);
       queue.add(next);
     }
   }
--- a/members/src/main/java/tillerlink/members/local/LocalMember.java
+++ b/members/src/main/java/tillerlink/members/local/LocalMember.java
@@ -5,23 +5,30 @@
 import tillerlink.messages.members.MemberStatus;
 
 /**
- * This process's own life. Whatever is told of the own name that stands above it, or says that it
- * is not there, is refuted by a higher incarnation. If another process has the name too, both see
- * each other rise; the one whose birth is less yields, the same one on both sides.
+ * The local member's own incarnation. Whatever others claim of its name that takes precedence over
+ * it, or says that it is not alive, is refuted by a higher incarnation. If another process has the
+ * same name, each sees the other's incarnation rise; the process with the smaller birth yields, the
+ * same one on both sides.
+ *
+ * <p>No I/O; owned by the gateway's event loop.
  */
 public class LocalMember {
-  /** Rises of a rival after the own ones that prove, without its direct answer, that it lives. */
-  private static final int RISES_PROVE = 3;
+  /**
+   * How often a rival's incarnation has to rise after the local one until that proves, without its
+   * direct answer, that it is alive.
+   */
+  private static final int RISES_THAT_PROVE_RIVAL = 3;
 
-  /** What is to be done after something was told of the own name. */
-  public enum Answer {
-    NOTHING,
-    /** The incarnation rose: to be spread. */
-    RAISED,
-    /** It rose, and whoever has the name too is to be asked whether it lives. */
-    RAISED_OVER_RIVAL,
+  /** What has to be done about a claim of the local member's name. */
+  public enum Reaction {
+    /** Nothing: it is true, or outdated. */
+    NONE,
+    /** The incarnation rose: it has to be gossiped. */
+    REFUTED,
+    /** The incarnation rose, and whoever has the same name has to be probed. */
+    REFUTED_RIVAL,
     /** Another process keeps the name. */
-    YIELD
+    YIELDED
   }
 
   private MemberInfo card;
@@ -29,55 +36,68 @@
   private long rivalBirth;
   private long rivalIncarnation;
   private int rivalRises;
-  private long refuted;
+  private long refutations;
 
   /**
-   * @param before the incarnation that an earlier process under this name had at the most; 0 if
-   *     that is not known
+   * Starts one incarnation above the previous process.
+   *
+   * @param persistedIncarnation the highest incarnation of an earlier process of this name; 0 if it
+   *     is not known
+   * @param birth the number that tells processes of one name apart
    */
-  public LocalMember(long before, long birth, String address, String site) {
-    card = new MemberInfo(Math.max(0, before) + 1, birth, address, site);
+  public LocalMember(long persistedIncarnation, long birth, String address, String site) {
+    card = new MemberInfo(Math.max(0, persistedIncarnation) + 1, birth, address, site);
   }
 
+  /** The local member's incarnation, birth, address and site. */
   public MemberInfo card() {
     return card;
   }
 
-  public boolean yielded() {
+  /** Whether another process keeps the name. */
+  public boolean hasYielded() {
     return yielded;
   }
 
-  /** How often something had to be refuted. */
-  public long refuted() {
-    return refuted;
+  /** How often the incarnation rose. */
+  public long refutations() {
+    return refutations;
   }
 
-  /** One above; also without being asked to, after a pause. */
-  public void raise(long above) {
+  /**
+   * Raises the incarnation above the present one, and above another one.
+   *
+   * @param above 0 for the present one only, as after a pause
+   */
+  public void raiseIncarnation(long above) {
     long next = Math.max(above, card.incarnation()) + 1;
     Invariant.holds(next > card.incarnation(), () -> "the own incarnation falls to " + next);
     card = new MemberInfo(next, card.birth(), card.address(), card.site());
-    refuted++;
+    refutations++;
   }
 
-  /** Something was told of the own name. */
-  public Answer told(MemberStatus standing, long incarnation, long birth, String address) {
+  /** Handles what others claim of the local member's name. */
+  public Reaction onClaim(MemberStatus status, long incarnation, long birth, String address) {
     if (birth == card.birth()) {
-      if (standing == MemberStatus.ALIVE && incarnation <= card.incarnation()
-          || incarnation < card.incarnation()) {
-        return Answer.NOTHING;
+      if (isTrueOrOutdated(status, incarnation)) {
+        return Reaction.NONE;
       }
-      raise(incarnation);
-      return Answer.RAISED;
+      raiseIncarnation(incarnation);
+      return Reaction.REFUTED;
     }
     MemberInfo other = new MemberInfo(incarnation, birth, "", "");
     if (other.compare(card) < 0) {
-      return Answer.NOTHING;
+      return Reaction.NONE;
     }
-    return rival(standing, incarnation, birth, address);
+    return onRivalClaim(status, incarnation, birth, address);
+  }
+
+  private boolean isTrueOrOutdated(MemberStatus status, long incarnation) {
+    return incarnation < card.incarnation()
+        || (incarnation == card.incarnation() && status == MemberStatus.ALIVE);
   }
 
-  private Answer rival(MemberStatus standing, long incarnation, long birth, String address) {
+  private Reaction onRivalClaim(MemberStatus status, long incarnation, long birth, String address) {
     if (birth != rivalBirth) {
       rivalBirth = birth;
       rivalRises = 0;
@@ -85,23 +105,23 @@
       rivalRises++;
     }
     rivalIncarnation = incarnation;
-    if (rivalRises >= RISES_PROVE) {
-      return lives(birth);
+    if (rivalRises >= RISES_THAT_PROVE_RIVAL) {
+      return onRivalAlive(birth);
     }
-    raise(incarnation);
-    // An earlier process of one's own had the same address, or said that it goes.
-    return standing.takesPart() && !address.isEmpty() && !address.equals(card.address())
-        ? Answer.RAISED_OVER_RIVAL
-        : Answer.RAISED;
+    raiseIncarnation(incarnation);
+    // An earlier process of this member had the same address, or has announced that it leaves.
+    boolean mayBeAlive =
+        status.takesPart() && !address.isEmpty() && !address.equals(card.address());
+    return mayBeAlive ? Reaction.REFUTED_RIVAL : Reaction.REFUTED;
   }
 
-  /** Another process of the own name surely lives. */
-  public Answer lives(long birth) {
+  /** Another process of the same name is surely alive: the one with the greater birth keeps it. */
+  public Reaction onRivalAlive(long birth) {
     if (birth > card.birth()) {
       yielded = true;
-      return Answer.YIELD;
+      return Reaction.YIELDED;
     }
-    raise(rivalIncarnation);
-    return Answer.RAISED;
+    raiseIncarnation(rivalIncarnation);
+    return Reaction.REFUTED;
   }
 }
--- a/members/src/main/java/tillerlink/members/probe/IndirectProbes.java
+++ b/members/src/main/java/tillerlink/members/probe/IndirectProbes.java
@@ -7,59 +7,82 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Questions that others asked this process to put for them. Bounded: beyond it others are not
- * helped.
+ * The indirect probes that other members requested of this process (SWIM's ping-req). Bounded:
+ * requests beyond the bound are ignored. Times are tenths of a millisecond; owned by the gateway's
+ * event loop.
  */
 public final class IndirectProbes {
-  public static final int MOST = 256;
+  /** How many are pending at once. */
+  public static final int MAX_PENDING = 256;
 
-  /** For whom, and the number it gave. */
-  public record For(String asker, String address, long number, String target, long until) {}
+  /** No probe has this number. */
+  public static final long NO_NUMBER = 0;
 
-  private final Map<Long, For> open = new LinkedHashMap<>();
+  /**
+   * A request of another member.
+   *
+   * @param requester the member that requested the probe
+   * @param address where the answer goes
+   * @param number the number of the requester's own probe
+   * @param target the member to be probed
+   * @param deadline when the target counts as silent
+   */
+  public record Request(
+      String requester, String address, long number, String target, long deadline) {}
+
+  private final Map<Long, Request> pending = new LinkedHashMap<>();
   private final RandomGenerator random;
 
+  /** Without any request. */
   public IndirectProbes(RandomGenerator random) {
     this.random = random;
   }
 
   /**
-   * @return the number to ask with; 0 if there is no room
+   * Accepts a request.
+   *
+   * @return the number to probe with; {@link #NO_NUMBER} if the request is ignored
    */
-  public long add(For who) {
-    if (open.size() >= MOST) {
-      return 0;
+  public long add(Request request) {
+    if (pending.size() >= MAX_PENDING) {
+      return NO_NUMBER;
     }
     long number = random.nextLong();
-    if (number == 0 || open.containsKey(number)) {
-      return 0;
+    if (number == NO_NUMBER || pending.containsKey(number)) {
+      return NO_NUMBER;
     }
-    open.put(number, who);
+    pending.put(number, request);
     return number;
   }
 
-  /** Null if nobody asked for that, or for another. */
-  public For answered(long number, String from) {
-    For who = open.get(number);
-    return who != null && who.target.equals(from) ? open.remove(number) : null;
+  /**
+   * Handles an acknowledgement.
+   *
+   * @return the request that it fulfils; null if there is none, or if it is for another target
+   */
+  public Request onAck(long number, String from) {
+    Request request = pending.get(number);
+    return request != null && request.target.equals(from) ? pending.remove(number) : null;
   }
 
-  /** Those whose time is up. */
-  public List<For> expired(long now) {
-    List<For> over = new ArrayList<>();
-    open.values().removeIf(who -> who.until <= now && over.add(who));
-    return over;
+  /** Removes and returns the requests whose deadline has passed, the oldest first. */
+  public List<Request> removeExpired(long now) {
+    List<Request> expired = new ArrayList<>();
+    pending.values().removeIf(request -> request.deadline <= now && expired.add(request));
+    return expired;
   }
 
-  public long dueAt() {
-    long due = Long.MAX_VALUE;
-    for (For who : open.values()) {
-      due = Math.min(due, who.until);
+  /** The earliest deadline; {@link Long#MAX_VALUE} if nothing is pending. */
+  public long nextDueAt() {
+    long dueAt = Long.MAX_VALUE;
+    for (Request request : pending.values()) {
+      dueAt = Math.min(dueAt, request.deadline);
     }
-    return due;
+    return dueAt;
   }
 
-  public void away() {
-    open.clear();
+  /** Drops all requests; to be called after a pause of this process. */
+  public void clear() {
+    pending.clear();
   }
 }
--- a/members/src/main/java/tillerlink/members/probe/LocalHealth.java
+++ b/members/src/main/java/tillerlink/members/probe/LocalHealth.java
@@ -3,44 +3,52 @@
 import tillerlink.cluster.Invariant;
 
 /**
- * How well this process itself does, as far as it can tell: answers that stay out though others get
- * them, refutations it had to make, pauses. The worse, the longer it waits before it accuses
- * anybody.
+ * Lifeguard's local health multiplier: how well this process itself does, judged by probes that
+ * time out while others get answers, by refutations it had to make and by pauses. The worse it
+ * does, the longer it waits before it accuses others.
  */
 public final class LocalHealth {
-  /** At that score waits are twice as long. */
-  private static final int STRETCH = 4;
+  /** At this score timeouts are twice as long. */
+  private static final int SCORE_OF_DOUBLE_TIMEOUT = 4;
 
-  private final int most;
+  /** Each time the score rises by that much, a probe has one round more. */
+  private static final int SCORE_OF_EXTRA_ROUND = 2;
+
+  private final int maxScore;
   private int score;
 
   /**
-   * @param most 0: always well
+   * A healthy process.
+   *
+   * @param maxScore the worst score; 0 switches local health off
    */
-  public LocalHealth(int most) {
-    this.most = most;
+  public LocalHealth(int maxScore) {
+    this.maxScore = maxScore;
   }
 
-  /** 0 is well. */
+  /** The score; 0 is healthy. */
   public int score() {
     return score;
   }
 
-  public void worse(int by) {
-    score = Math.min(most, score + by);
-    Invariant.holds(score >= 0 && score <= most, () -> "local health " + score);
+  /** Worsens the score by a number of points, up to the maximum. */
+  public void degrade(int points) {
+    score = Math.min(maxScore, score + points);
+    Invariant.holds(score >= 0 && score <= maxScore, () -> "local health " + score);
   }
 
-  public void better() {
+  /** Improves the score by one point. */
+  public void improve() {
     score = Math.max(0, score - 1);
   }
 
-  public long stretched(long wait) {
-    return wait * (score + STRETCH) / STRETCH;
+  /** A timeout, lengthened according to the score. */
+  public long scaleTimeout(long timeout) {
+    return timeout * (score + SCORE_OF_DOUBLE_TIMEOUT) / SCORE_OF_DOUBLE_TIMEOUT;
   }
 
-  /** That many rounds of questions more before anybody is accused. */
-  public int moreRounds() {
-    return score / 2;
+  /** How many more rounds a probe has before a member is suspected. */
+  public int extraRounds() {
+    return score / SCORE_OF_EXTRA_ROUND;
   }
 }
--- a/members/src/main/java/tillerlink/members/probe/Probe.java
+++ b/members/src/main/java/tillerlink/members/probe/Probe.java
@@ -2,98 +2,116 @@
 
 import tillerlink.messages.members.SuspicionLevel;
 
-/** One question to somebody, with all that is done until it is answered or given up. */
+/**
+ * One probe of somebody, with all its attempts until it is answered or has failed. Times are tenths
+ * of a millisecond; {@link ProbeManager} changes it.
+ */
 public final class Probe {
-  /** Who is asked, and why. */
+  /** Who is probed, and why. */
   public enum Kind {
-    /** A member that takes part, in its turn. */
+    /** An active member, in its turn. */
     MEMBER,
-    /** Whoever has a seed's address. */
+    /** Whoever has the address of a seed. */
     SEED,
-    /** One that was given up. */
+    /** A member that was declared failed. */
     GONE,
-    /** One of whom others say that it lives. */
-    HEARSAY,
-    /** Another process under the own name. */
+    /** A member of which others say that it is alive. */
+    UNVERIFIED,
+    /** Another process under the local member's name. */
     RIVAL
   }
 
   /**
-   * Each time it is sent it has a number of its own, so that an answer shows which one it is to.
+   * How many numbers a probe reserves: each attempt has its own, so that an answer shows which
+   * attempt it is to. A power of two.
    */
-  static final long SENDS = 32;
+  static final long NUMBERS_PER_PROBE = 32;
 
   final Kind kind;
-  final long number;
+  final long baseNumber;
   final String name;
   final String address;
   final SuspicionLevel suspicion;
   final long startedAt;
-  final long trip;
+  final long expectedRoundTrip;
   int step;
-  long nextAt;
-  int relays;
-  int refusals;
-  boolean vouched;
-  boolean done;
-  long took;
-  private final long[] sentAt = new long[(int) SENDS];
-  private int sends;
+  long nextStepAt;
+  int indirectRequests;
+  int indirectNacks;
+  boolean ackedIndirectly;
+  boolean finished;
+  long roundTrip;
+  private final long[] sentAt = new long[(int) NUMBERS_PER_PROBE];
+  private int attempts;
 
   Probe(
       Kind kind,
-      long number,
+      long baseNumber,
       String name,
       String address,
       SuspicionLevel suspicion,
       long now,
-      long trip) {
+      long expectedRoundTrip) {
     this.kind = kind;
-    this.number = number;
+    this.baseNumber = baseNumber;
     this.name = name;
     this.address = address;
     this.suspicion = suspicion;
     startedAt = now;
-    this.trip = trip;
-    nextAt = now;
+    this.expectedRoundTrip = expectedRoundTrip;
+    nextStepAt = now;
   }
 
-  public Kind kind() {
-    return kind;
+  /** The base number of the probe that a number belongs to. */
+  static long baseNumber(long number) {
+    return number & -NUMBERS_PER_PROBE;
   }
 
-  /** Of what is sent now. */
-  public long number() {
-    return number + Math.max(0, sends - 1);
+  /** Which attempt of its probe a number belongs to, from 0 on. */
+  static int attempt(long number) {
+    return (int) (number & (NUMBERS_PER_PROBE - 1));
   }
 
-  void sends(long now) {
-    sentAt[sends++] = now;
-  }
-
-  long sentAt(int send) {
-    return send < sends ? sentAt[send] : startedAt;
+  /** Who is probed, and why. */
+  public Kind kind() {
+    return kind;
   }
 
-  /** How long the answer took. */
-  public long took() {
-    return took;
+  /** The number of the attempt that is sent now. */
+  public long number() {
+    return baseNumber + Math.max(0, attempts - 1);
   }
 
-  /** Empty for a seed. */
+  /** The name of whom is probed; empty for a seed. */
   public String name() {
     return name;
   }
 
+  /** Where the probe is sent, host:port. */
   public String address() {
     return address;
   }
 
+  /** What the probed member has to refute, as it was known at the start. */
   public SuspicionLevel suspicion() {
     return suspicion;
   }
 
+  /** When the first attempt was sent. */
   public long startedAt() {
     return startedAt;
   }
+
+  /** The round-trip time of the answered attempt. */
+  public long roundTrip() {
+    return roundTrip;
+  }
+
+  void onSend(long now) {
+    sentAt[attempts++] = now;
+  }
+
+  long sentAt(int attempt) {
+    return attempt < attempts ? sentAt[attempt] : startedAt;
+  }
 }
--- a/members/src/main/java/tillerlink/members/probe/ProbeManager.java
+++ b/members/src/main/java/tillerlink/members/probe/ProbeManager.java
@@ -11,61 +11,69 @@
 import tillerlink.messages.members.SuspicionLevel;
 
 /**
- * Questions under way. A member is asked with news, then bare (a link may carry small messages
- * only), then through others; if nobody gets an answer all of it is done once more before it is
- * accused.
+ * The probes under way. An active member is probed with gossip attached, then without (a link may
+ * carry small messages only), then through other members as well; if there is no answer that round
+ * is repeated before the member is suspected. Others are probed twice, directly.
+ *
+ * <p>Times are tenths of a millisecond. No I/O; owned by the gateway's event loop.
  */
 public final class ProbeManager {
-  /** That many at once, answered ones counted that may still be answered again. */
-  public static final int MOST = 128;
-
-  /** What is to be done. */
-  public interface Steps {
-    void ask(Probe about, boolean bare);
+  /** How many probes are kept, finished ones counted that may still be answered. */
+  public static final int MAX_PROBES = 128;
 
+  /** What a probe does and results in. */
+  public interface Actions {
     /**
-     * @return how many were asked
+     * Sends an attempt to the probed address.
+     *
+     * @param bare whether no gossip is attached
      */
-    int askOthers(Probe about);
+    void sendProbe(Probe probe, boolean bare);
+
+    /** Requests indirect probes of other members, and returns of how many. */
+    int requestIndirectProbes(Probe probe);
 
-    /** Whether others accuse it already. */
-    boolean suspected(Probe about);
+    /** Whether the member is suspected already, perhaps by others. */
+    boolean isSuspected(Probe probe);
 
-    /** Only others got an answer. */
-    void onlyOthers(Probe about);
+    /** The member did not answer directly, but it answered others. */
+    void onIndirectAckOnly(Probe probe);
 
-    void missed(Probe about);
+    /** The member did not answer at all. */
+    void onFailure(Probe probe);
   }
 
-  private static final int STEPS_EACH_ROUND = 3;
-  private static final int ROUNDS_MOST = 6;
+  private static final int STEPS_PER_ROUND = 3;
+  private static final int MAX_ROUNDS = 6;
+  private static final int ROUNDS = 2;
+  private static final int ROUNDS_IF_SUSPECTED = 1;
 
-  /** Local health gets worse by no more for one question. */
-  private static final int SILENT_MOST = 2;
+  /** How much one probe degrades the local health at most. */
+  private static final int MAX_HEALTH_POINTS = 2;
 
-  private final MembershipConfig periods;
+  private final MembershipConfig config;
   private final LocalHealth health;
   private final RandomGenerator random;
-  private final Steps steps;
-  private final Map<Long, Probe> tries = new LinkedHashMap<>();
-  private long usualTrip;
+  private final Actions actions;
+
+  /** By base number, in the order of their start. */
+  private final Map<Long, Probe> probes = new LinkedHashMap<>();
 
+  private long usualRoundTrip;
+
+  /** Without any probe. */
   public ProbeManager(
-      MembershipConfig periods, LocalHealth health, RandomGenerator random, Steps steps) {
-    this.periods = periods;
+      MembershipConfig config, LocalHealth health, RandomGenerator random, Actions actions) {
+    this.config = config;
     this.health = health;
     this.random = random;
-    this.steps = steps;
-  }
-
-  public int size() {
-    return tries.size();
+    this.actions = actions;
   }
 
-  /** Whether one is under way to that name. */
-  public boolean underWay(String name) {
-    for (Probe any : tries.values()) {
-      if (!any.done && any.name.equals(name)) {
+  /** Whether a probe of that name is under way. */
+  public boolean isUnderWay(String name) {
+    for (Probe probe : probes.values()) {
+      if (!probe.finished && probe.name.equals(name)) {
         return true;
       }
     }
@@ -73,31 +81,38 @@
   }
 
   /**
-   * Starts to ask somebody.
+   * Starts a probe and sends its first attempt; ignored if too many are under way.
    *
-   * @param trip how long its answers took of late; 0 if that is not known
+   * @param name whom; empty for a seed
+   * @param expectedRoundTrip the usual round-trip time of its answers; 0 if that is not known
    */
   public void start(
-      Probe.Kind kind, String name, String address, SuspicionLevel doubt, long trip, long now) {
-    if (tries.size() >= MOST && !dropDone()) {
+      Probe.Kind kind,
+      String name,
+      String address,
+      SuspicionLevel suspicion,
+      long expectedRoundTrip,
+      long now) {
+    if (probes.size() >= MAX_PROBES && !dropOldestFinished()) {
       return;
     }
-    Probe about = new Probe(kind, number(), name, address, doubt, now, trip);
-    tries.put(about.number, about);
-    Invariant.holds(tries.size() <= MOST, () -> "questions under way: " + tries.size());
-    step(about, now);
+    Probe probe =
+        new Probe(kind, drawBaseNumber(), name, address, suspicion, now, expectedRoundTrip);
+    probes.put(probe.baseNumber, probe);
+    Invariant.holds(probes.size() <= MAX_PROBES, () -> "probes under way: " + probes.size());
+    step(probe, now);
   }
 
-  private long number() {
-    long number = random.nextLong() & -Probe.SENDS;
-    return number == 0 || tries.containsKey(number) ? number() : number;
+  private long drawBaseNumber() {
+    long number = Probe.baseNumber(random.nextLong());
+    return number == 0 || probes.containsKey(number) ? drawBaseNumber() : number;
   }
 
-  private boolean dropDone() {
-    Iterator<Probe> all = tries.values().iterator();
-    while (all.hasNext()) {
-      if (all.next().done) {
-        all.remove();
+  private boolean dropOldestFinished() {
+    Iterator<Probe> iterator = probes.values().iterator();
+    while (iterator.hasNext()) {
+      if (iterator.next().finished) {
+        iterator.remove();
         return true;
       }
     }
@@ -105,145 +120,154 @@
   }
 
   /**
-   * An answer came: what it answers, also if it is late; null if nothing, or if another was asked.
+   * Handles an acknowledgement, also a late one.
+   *
+   * @return the probe that it answers; null if there is none, or if somebody else was probed
    */
-  public Probe answered(long number, String from, long now) {
-    Probe about = tries.get(number & -Probe.SENDS);
-    if (about == null || !about.name.isEmpty() && !about.name.equals(from)) {
+  public Probe onAck(long number, String from, long now) {
+    Probe probe = probes.get(Probe.baseNumber(number));
+    boolean isOfOther = probe != null && !probe.name.isEmpty() && !probe.name.equals(from);
+    if (probe == null || isOfOther) {
       return null;
     }
-    if (!about.done && about.kind == Probe.Kind.MEMBER) {
-      health.better();
+    if (!probe.finished && probe.kind == Probe.Kind.MEMBER) {
+      health.improve();
     }
-    finish(about, now);
-    long took =
-        Math.min(now - about.sentAt((int) (number & Probe.SENDS - 1)), periods.maxProbeTimeout());
-    about.took = took;
+    finish(probe, now);
+    long roundTrip = Math.min(now - probe.sentAt(Probe.attempt(number)), config.maxProbeTimeout());
+    probe.roundTrip = roundTrip;
     // Slower links are believed soon, faster ones only after a while.
-    usualTrip = took > usualTrip ? (usualTrip + took) / 2 : (7 * usualTrip + took) / 8;
-    return about;
+    usualRoundTrip =
+        roundTrip > usualRoundTrip
+            ? (usualRoundTrip + roundTrip) / 2
+            : (7 * usualRoundTrip + roundTrip) / 8;
+    return probe;
   }
 
-  /** Another says whether it got an answer; null if nobody asked. */
-  public Probe vouched(long number, boolean reached) {
-    Probe about = tries.get(number & -Probe.SENDS);
-    if (about == null || about.relays == 0) {
-      return null;
+  /** Handles the result of an indirect probe; ignored if none was requested. */
+  public void onIndirectResult(long number, boolean reached) {
+    Probe probe = probes.get(Probe.baseNumber(number));
+    if (probe == null || probe.indirectRequests == 0) {
+      return;
     }
     if (reached) {
-      about.vouched = true;
+      probe.ackedIndirectly = true;
     } else {
-      about.refusals++;
+      probe.indirectNacks++;
     }
-    return about;
   }
 
-  public void turn(long now) {
+  /** Sends the next attempts of the probes whose timeout has expired, or ends them. */
+  public void tick(long now) {
     List<Probe> due = new ArrayList<>();
-    for (Probe about : tries.values()) {
-      if (about.nextAt <= now) {
-        due.add(about);
+    for (Probe probe : probes.values()) {
+      if (probe.nextStepAt <= now) {
+        due.add(probe);
       }
     }
-    due.forEach(about -> step(about, now));
+    due.forEach(probe -> step(probe, now));
   }
 
-  public long dueAt() {
-    long due = Long.MAX_VALUE;
-    for (Probe about : tries.values()) {
-      due = Math.min(due, about.nextAt);
+  /** When {@link #tick} is due; {@link Long#MAX_VALUE} if nothing is under way. */
+  public long nextDueAt() {
+    long dueAt = Long.MAX_VALUE;
+    for (Probe probe : probes.values()) {
+      dueAt = Math.min(dueAt, probe.nextStepAt);
     }
-    return due;
+    return dueAt;
   }
 
   /**
-   * What was under way is not counted for anything: the answers may have waited where this process
-   * did not read.
+   * Drops all probes without a result; to be called after a pause of this process, as answers may
+   * have waited unread.
    */
-  public void away() {
-    tries.clear();
+  public void clear() {
+    probes.clear();
   }
 
-  private void step(Probe about, long now) {
-    if (about.done) {
-      tries.remove(about.number);
+  // ---- steps ----
+
+  private void step(Probe probe, long now) {
+    if (probe.finished) {
+      probes.remove(probe.baseNumber);
       return;
     }
-    if (about.kind != Probe.Kind.MEMBER) {
-      stepOfOthers(about, now);
+    if (probe.kind != Probe.Kind.MEMBER) {
+      stepDirectOnly(probe, now);
       return;
     }
-    switch (about.step % STEPS_EACH_ROUND) {
-      case 0 -> ask(about, now, 1);
+    switch (probe.step % STEPS_PER_ROUND) {
+      case 0 -> beginRound(probe, now);
       case 1 -> {
-        send(about, now, true);
-        next(about, now, 1);
+        send(probe, now, true);
+        scheduleNext(probe, now, 1);
       }
       default -> {
-        about.relays += steps.askOthers(about);
-        send(about, now, true);
-        next(about, now, 2);
+        probe.indirectRequests += actions.requestIndirectProbes(probe);
+        send(probe, now, true);
+        scheduleNext(probe, now, 2);
       }
     }
   }
 
-  /** The first of a round, or the end of the one before. */
-  private void ask(Probe about, long now, int waits) {
-    boolean first = about.step == 0;
-    if (!first && (about.vouched || about.step >= rounds(about) * STEPS_EACH_ROUND)) {
-      end(about, now);
+  /** Begins a round, or ends the probe after its last one. */
+  private void beginRound(Probe probe, long now) {
+    boolean first = probe.step == 0;
+    if (!first && (probe.ackedIndirectly || probe.step >= rounds(probe) * STEPS_PER_ROUND)) {
+      end(probe, now);
       return;
     }
-    send(about, now, !first);
-    next(about, now, waits);
+    send(probe, now, !first);
+    scheduleNext(probe, now, 1);
   }
 
-  /** Rounds in all before it is accused; whoever does not do well itself asks more often. */
-  private int rounds(Probe about) {
-    return Math.min(ROUNDS_MOST, (steps.suspected(about) ? 1 : 2) + health.moreRounds());
+  /** How many rounds a probe has; a process in bad health has more. */
+  private int rounds(Probe probe) {
+    int rounds = actions.isSuspected(probe) ? ROUNDS_IF_SUSPECTED : ROUNDS;
+    return Math.min(MAX_ROUNDS, rounds + health.extraRounds());
   }
 
-  private void stepOfOthers(Probe about, long now) {
-    if (about.step > 1) {
-      finish(about, now);
+  private void stepDirectOnly(Probe probe, long now) {
+    if (probe.step > 1) {
+      finish(probe, now);
       return;
     }
-    send(about, now, about.step == 1);
-    next(about, now, 1 + about.step);
+    send(probe, now, probe.step == 1);
+    scheduleNext(probe, now, 1 + probe.step);
   }
 
-  private void send(Probe about, long now, boolean bare) {
-    about.sends(now);
-    steps.ask(about, bare);
+  private void send(Probe probe, long now, boolean bare) {
+    probe.onSend(now);
+    actions.sendProbe(probe, bare);
   }
 
-  private void next(Probe about, long now, int waits) {
-    about.step++;
-    about.nextAt = now + waits * patience(about);
+  private void scheduleNext(Probe probe, long now, int timeouts) {
+    probe.step++;
+    probe.nextStepAt = now + timeouts * timeout(probe);
   }
 
-  /** How long an answer is waited for before more is tried. */
-  private long patience(Probe about) {
-    long patient = Math.max(periods.probeTimeout(), 2 * Math.max(about.trip, usualTrip));
-    return Math.min(periods.maxProbeTimeout(), health.stretched(patient));
+  private long timeout(Probe probe) {
+    long roundTrip = Math.max(probe.expectedRoundTrip, usualRoundTrip);
+    long timeout = Math.max(config.probeTimeout(), 2 * roundTrip);
+    return Math.min(config.maxProbeTimeout(), health.scaleTimeout(timeout));
   }
 
-  private void end(Probe about, long now) {
-    finish(about, now);
-    if (about.vouched) {
-      steps.onlyOthers(about);
+  private void end(Probe probe, long now) {
+    finish(probe, now);
+    if (probe.ackedIndirectly) {
+      actions.onIndirectAckOnly(probe);
       return;
     }
-    // Others who say that they got no answer either are heard: then it is not this process that
-    // hears nothing.
-    int silent = about.relays - about.refusals;
-    health.worse(about.relays == 0 ? 1 : Math.max(0, Math.min(SILENT_MOST, silent)));
-    steps.missed(about);
+    // Negative acknowledgements arrive too: if all others send them, this process does hear others.
+    int missingNacks = probe.indirectRequests - probe.indirectNacks;
+    health.degrade(
+        probe.indirectRequests == 0 ? 1 : Math.max(0, Math.min(MAX_HEALTH_POINTS, missingNacks)));
+    actions.onFailure(probe);
   }
 
-  /** Kept a little, as an answer may still come. */
-  private void finish(Probe about, long now) {
-    about.done = true;
-    about.nextAt = now + 2 * periods.maxProbeTimeout();
+  /** Keeps a finished probe for a while, as an answer may still arrive. */
+  private void finish(Probe probe, long now) {
+    probe.finished = true;
+    probe.nextStepAt = now + 2 * config.maxProbeTimeout();
   }
 }
--- a/members/src/main/java/tillerlink/members/probe/ProbeRotation.java
+++ b/members/src/main/java/tillerlink/members/probe/ProbeRotation.java
@@ -6,31 +6,41 @@
 import java.util.function.Supplier;
 import java.util.random.RandomGenerator;
 
-/** Whom to ask next: each once a round, in an order that is drawn anew for each round. */
+/**
+ * SWIM's round-robin order of probes: every active member once a round, in an order that is
+ * shuffled for each round.
+ */
 public final class ProbeRotation {
   private final RandomGenerator random;
   private List<String> round = new ArrayList<>();
-  private int next;
+  private int nextIndex;
 
+  /** A rotation whose first round begins with the first call of {@link #next}. */
   public ProbeRotation(RandomGenerator random) {
     this.random = random;
   }
 
-  /** Null if there is nobody. */
-  public String next(Supplier<List<String>> all) {
-    if (next >= round.size()) {
-      round = new ArrayList<>(all.get());
+  /**
+   * The next member to be probed.
+   *
+   * @param activeNames called when a round begins
+   * @return its name, which may have left meanwhile; null if there is no member
+   */
+  public String next(Supplier<List<String>> activeNames) {
+    if (nextIndex >= round.size()) {
+      round = new ArrayList<>(activeNames.get());
       shuffle();
-      next = 0;
+      nextIndex = 0;
     }
-    return next < round.size() ? round.get(next++) : null;
+    return nextIndex < round.size() ? round.get(nextIndex++) : null;
   }
 
-  /** Somebody new takes part: at a place of the round still to come, by chance. */
+  /** Inserts a new member at a random position among those still to be probed in this round. */
   public void add(String name) {
     round.add(name);
-    if (next < round.size()) {
-      Collections.swap(round, next + random.nextInt(round.size() - next), round.size() - 1);
+    if (nextIndex < round.size()) {
+      int position = nextIndex + random.nextInt(round.size() - nextIndex);
+      Collections.swap(round, position, round.size() - 1);
     }
   }
 
--- /dev/null
+++ b/members/src/main/java/tillerlink/members/state/MemberIndex.java
@@ -0,0 +1,180 @@
+package tillerlink.members.state;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.NavigableMap;
+import java.util.NavigableSet;
+import java.util.TreeMap;
+import java.util.TreeSet;
+import java.util.random.RandomGenerator;
+import tillerlink.cluster.Invariant;
+import tillerlink.messages.members.MemberCodec;
+import tillerlink.messages.members.MemberStatus;
+
+/** The records of all other members, by name, by bucket of digests and by status. */
+final class MemberIndex {
+  private static final long DEADLINE_UNKNOWN = -1;
+
+  /** Random picks for each member wanted, before fewer are returned. */
+  private static final int PICKS_PER_MEMBER = 4;
+
+  private final NavigableMap<String, MemberRecord> records = new TreeMap<>();
+
+  /** The same records for the many look-ups of one; nothing depends on its order. */
+  private final Map<String, MemberRecord> byName = new HashMap<>();
+
+  private final List<NavigableSet<String>> buckets = new ArrayList<>();
+  private final Map<String, MemberRecord> suspected = new TreeMap<>();
+  private final RandomPickSet active = new RandomPickSet();
+  private final RandomPickSet failed = new RandomPickSet();
+
+  /** The earliest deadline of a suspicion, computed when it is asked for. */
+  private long firstDeadline = DEADLINE_UNKNOWN;
+
+  MemberIndex() {
+    for (int i = 0; i < MemberCodec.BUCKETS; i++) {
+      buckets.add(new TreeSet<>());
+    }
+  }
+
+  MemberRecord get(String name) {
+    return byName.get(name);
+  }
+
+  NavigableMap<String, MemberRecord> records() {
+    return Collections.unmodifiableNavigableMap(records);
+  }
+
+  NavigableSet<String> bucket(int bucket) {
+    return Collections.unmodifiableNavigableSet(buckets.get(bucket));
+  }
+
+  int size() {
+    return records.size();
+  }
+
+  int activeSize() {
+    return active.size();
+  }
+
+  int inactiveSize() {
+    return records.size() - active.size();
+  }
+
+  MemberRecord pickActive(RandomGenerator random) {
+    return active.pick(random);
+  }
+
+  MemberRecord pickFailed(RandomGenerator random) {
+    return failed.pick(random);
+  }
+
+  List<MemberRecord> pickActive(RandomGenerator random, int max, String excluded) {
+    List<MemberRecord> picked = new ArrayList<>();
+    int maxPicks = PICKS_PER_MEMBER * max;
+    for (int i = 0; picked.size() < max && i < maxPicks && active.size() > 0; i++) {
+      MemberRecord member = active.pick(random);
+      if (!member.name().equals(excluded) && !picked.contains(member)) {
+        picked.add(member);
+      }
+    }
+    return picked;
+  }
+
+  List<String> activeNames() {
+    List<String> names = new ArrayList<>(active.size());
+    for (int i = 0; i < active.size(); i++) {
+      names.add(active.get(i).name());
+    }
+    return names;
+  }
+
+  // ---- suspicions ----
+
+  /** The earliest deadline of a suspicion; {@link Long#MAX_VALUE} if there is none. */
+  long firstDeadline() {
+    if (firstDeadline == DEADLINE_UNKNOWN) {
+      firstDeadline = Long.MAX_VALUE;
+      for (MemberRecord member : suspected.values()) {
+        firstDeadline = Math.min(firstDeadline, member.suspicionTimer().deadline());
+      }
+    }
+    return firstDeadline;
+  }
+
+  /** The first member in the order of names whose suspicion has expired; null if none has. */
+  MemberRecord firstExpired(long now) {
+    if (firstDeadline() > now) {
+      return null;
+    }
+    for (MemberRecord member : suspected.values()) {
+      if (member.suspicionTimer().deadline() <= now) {
+        return member;
+      }
+    }
+    return null;
+  }
+
+  /** Adds an accuser to a suspicion; returns whether it is a new one that counts. */
+  boolean confirmSuspicion(MemberRecord member, String accuser) {
+    firstDeadline = DEADLINE_UNKNOWN;
+    return member.suspicionTimer().confirm(accuser);
+  }
+
+  void extendSuspicions(long duration) {
+    suspected.values().forEach(member -> member.suspicionTimer().extend(duration));
+    firstDeadline = DEADLINE_UNKNOWN;
+  }
+
+  // ---- changes ----
+
+  void add(MemberRecord member) {
+    records.put(member.name(), member);
+    byName.put(member.name(), member);
+    buckets.get(MemberCodec.bucket(member.name())).add(member.name());
+    addToStatusSets(member);
+  }
+
+  void remove(MemberRecord member) {
+    records.remove(member.name());
+    byName.remove(member.name());
+    buckets.get(MemberCodec.bucket(member.name())).remove(member.name());
+    removeFromStatusSets(member);
+  }
+
+  /** Runs a change of a member's status and files the member under the new one. */
+  void changeStatus(MemberRecord member, Runnable change) {
+    removeFromStatusSets(member);
+    change.run();
+    addToStatusSets(member);
+  }
+
+  private void addToStatusSets(MemberRecord member) {
+    if (member.status().takesPart()) {
+      active.add(member);
+    } else if (member.status() == MemberStatus.GONE) {
+      failed.add(member);
+    }
+    if (member.status() == MemberStatus.SUSPECTED) {
+      suspected.put(member.name(), member);
+      firstDeadline = DEADLINE_UNKNOWN;
+    }
+  }
+
+  private void removeFromStatusSets(MemberRecord member) {
+    if (active.contains(member)) {
+      active.remove(member);
+    } else if (failed.contains(member)) {
+      failed.remove(member);
+    }
+    if (suspected.remove(member.name()) != null) {
+      firstDeadline = DEADLINE_UNKNOWN;
+    }
+    Invariant.holds(
+        !active.contains(member) && !failed.contains(member),
+        () -> member.name() + " in two lists");
+  }
+}
--- a/members/src/main/java/tillerlink/members/state/MemberRecord.java
+++ b/members/src/main/java/tillerlink/members/state/MemberRecord.java
@@ -7,130 +7,146 @@
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** One other member, as this process knows it. Only {@link MemberTable} changes what is told on. */
+/**
+ * What the local member knows of one other member. Only {@link MemberTable} changes what is
+ * gossiped. Times are tenths of a millisecond; owned by the gateway's event loop.
+ */
 public final class MemberRecord {
   /**
-   * Straight tries in a row that only others could make good, until it counts as reached through
-   * them.
+   * A member that misses that many direct probes in a row, while others reach it, counts as
+   * reachable only through them.
    */
-  private static final int MISSES_TO_THROUGH = 3;
+  private static final int MISSES_UNTIL_INDIRECT = 3;
 
   private final String name;
   private MemberInfo card;
-  private MemberStatus standing;
-  private long lifeAt;
+  private MemberStatus status;
+  private long lastAliveAt;
   private long changedAt;
-  private SuspicionTimer suspicion;
-  private int misses;
-  private boolean through;
+  private SuspicionTimer suspicionTimer;
+  private int directMisses;
+  private boolean indirectOnly;
   private long roundTrip;
 
-  /** Where it stands among those that take part, or among those gone; for picking one by chance. */
-  int place = -1;
+  /** The index in the {@link RandomPickSet} that holds this record; negative if none does. */
+  int pickIndex = -1;
 
-  MemberRecord(String name, MemberInfo card, MemberStatus standing, long lifeAt, long changedAt) {
+  MemberRecord(
+      String name, MemberInfo card, MemberStatus status, long lastAliveAt, long changedAt) {
     this.name = name;
     this.card = card;
-    this.standing = standing;
-    this.lifeAt = lifeAt;
+    this.status = status;
+    this.lastAliveAt = lastAliveAt;
     this.changedAt = changedAt;
   }
 
+  /** The member's name. */
   public String name() {
     return name;
   }
 
+  /** The incarnation, address and site under which the member is known. */
   public MemberInfo card() {
     return card;
   }
 
+  /** The status as it is gossiped. */
   public MemberStatus status() {
-    return standing;
+    return status;
   }
 
-  /** When it surely lived. */
-  public long lifeAt() {
-    return lifeAt;
-  }
-
-  /** When it came to stand as it does, anywhere. */
+  /** When the status changed, wherever in the fleet that was. */
   public long changedAt() {
     return changedAt;
   }
 
-  public Reachability reach() {
-    return switch (standing) {
-      case ALIVE -> through ? Reachability.THROUGH_OTHERS : Reachability.REACHABLE;
+  /** How the member can be reached from here. */
+  public Reachability reachability() {
+    return switch (status) {
+      case ALIVE -> indirectOnly ? Reachability.THROUGH_OTHERS : Reachability.REACHABLE;
       case SUSPECTED -> Reachability.SUSPECTED;
       case GONE -> Reachability.GONE;
       case LEFT -> Reachability.LEFT;
     };
   }
 
-  /** What it may have to refute. */
+  /** What the member has to refute; none if it is held alive. */
   public SuspicionLevel suspicion() {
-    return standing == MemberStatus.ALIVE
+    return status == MemberStatus.ALIVE
         ? SuspicionLevel.NONE
-        : new SuspicionLevel(standing, card.incarnation(), card.birth());
+        : new SuspicionLevel(status, card.incarnation(), card.birth());
   }
 
-  public boolean accusedBy(String who) {
-    return suspicion != null && suspicion.accusedBy(who);
-  }
-
-  public GossipUpdate update(String by, long now) {
-    long since = standing == MemberStatus.ALIVE ? lifeAt : changedAt;
-    return new GossipUpdate(name, standing, card, by, Math.max(0, now - since));
+  /**
+   * The record as a gossip update.
+   *
+   * @param accuser who suspects the member or declared it failed; empty if nobody does
+   */
+  public GossipUpdate toGossipUpdate(String accuser, long now) {
+    long since = status == MemberStatus.ALIVE ? lastAliveAt : changedAt;
+    return new GossipUpdate(name, status, card, accuser, Math.max(0, now - since));
   }
 
-  // ---- how it answers this process itself ----
+  // ---- answers to the local member's probes ----
 
-  /** Smoothed; 0 if it never answered. */
+  /** The smoothed round-trip time of direct probes; 0 if none was answered. */
   public long roundTrip() {
     return roundTrip;
   }
 
-  public int misses() {
-    return misses;
+  /** How many direct probes in a row were answered only through others. */
+  public int directMisses() {
+    return directMisses;
   }
 
-  /** It answered straight. */
-  public void straight(long tookIt) {
-    roundTrip = tookIt > roundTrip ? (roundTrip + tookIt + 1) / 2 : (7 * roundTrip + tookIt) / 8;
-    misses = 0;
-    through = false;
+  /** A direct probe was answered. */
+  void onDirectAck(long measuredRoundTrip) {
+    // Slower answers are believed soon, faster ones only after a while.
+    roundTrip =
+        measuredRoundTrip > roundTrip
+            ? (roundTrip + measuredRoundTrip + 1) / 2
+            : (7 * roundTrip + measuredRoundTrip) / 8;
+    directMisses = 0;
+    indirectOnly = false;
   }
 
-  /** Others reached it, this process did not. */
-  public void vouched() {
-    misses = Math.min(misses + 1, MISSES_TO_THROUGH);
-    through = misses >= MISSES_TO_THROUGH;
+  /** Others reached the member, the local member did not. */
+  void onIndirectAck() {
+    directMisses = Math.min(directMisses + 1, MISSES_UNTIL_INDIRECT);
+    indirectOnly = directMisses >= MISSES_UNTIL_INDIRECT;
   }
 
-  void lived(long at) {
-    lifeAt = Math.max(lifeAt, at);
+  /** The member was surely alive at that moment. */
+  void onAlive(long at) {
+    lastAliveAt = Math.max(lastAliveAt, at);
   }
 
-  // ---- what is told on ----
+  // ---- the gossiped state ----
 
   SuspicionTimer suspicionTimer() {
-    return suspicion;
+    return suspicionTimer;
   }
 
-  void become(MemberStatus next, MemberInfo of, SuspicionTimer suspected, long at) {
-    Invariant.holds(of.compare(card) >= 0, () -> name + " falls from " + card + " to " + of);
+  /**
+   * Changes the gossiped state.
+   *
+   * @param timer the timer of the suspicion; null if the next status is another
+   */
+  void transitionTo(MemberStatus next, MemberInfo nextCard, SuspicionTimer timer, long at) {
+    Invariant.holds(
+        nextCard.compare(card) >= 0, () -> name + " falls from " + card + " to " + nextCard);
     Invariant.holds(
-        standing.takesPart() || !next.takesPart() || of.compare(card) > 0,
-        () -> name + " came back without a higher incarnation: " + of);
+        status.takesPart() || !next.takesPart() || nextCard.compare(card) > 0,
+        () -> name + " came back without a higher incarnation: " + nextCard);
     Invariant.holds(
-        next == MemberStatus.SUSPECTED == (suspected != null), () -> name + " in two states");
-    card = of;
-    standing = next;
-    suspicion = suspected;
+        next == MemberStatus.SUSPECTED == (timer != null), () -> name + " in two states");
+    card = nextCard;
+    status = next;
+    suspicionTimer = timer;
     changedAt = at;
     if (!next.takesPart()) {
-      misses = 0;
-      through = false;
+      directMisses = 0;
+      indirectOnly = false;
     }
   }
 }
--- a/members/src/main/java/tillerlink/members/state/MemberTable.java
+++ b/members/src/main/java/tillerlink/members/state/MemberTable.java
@@ -1,394 +1,358 @@
 package tillerlink.members.state;
 
 import java.util.ArrayList;
-import java.util.Collections;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.NavigableMap;
 import java.util.NavigableSet;
-import java.util.TreeMap;
-import java.util.TreeSet;
 import java.util.random.RandomGenerator;
 import tillerlink.cluster.Invariant;
 import tillerlink.cluster.Reachability;
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.messages.members.GossipUpdate;
-import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberStatus;
 
 /**
- * All others that are known. Bounded: so many that take part, and as many again that are gone or
- * left. Those are kept for longer than any gossip update of their life is believed, and only then
- * forgotten.
+ * The table of all other members, and the rules by which gossip updates and the results of probes
+ * change it. It is bounded: {@link MembershipConfig#maxMembers()} active members, and as many again
+ * that failed or left. Those are retained until no gossip update of their incarnation is believed
+ * any more.
+ *
+ * <p>Times are tenths of a millisecond. No I/O; owned by the gateway's event loop.
  */
 public class MemberTable {
-  /** What became of a gossip update. */
-  public enum Outcome {
-    /** It changed what is known: to be told on. */
-    NEWS,
-    /** Nothing new in it. */
-    KNOWN,
-    /** What is known stands above it. */
-    OUTDATED,
-    /** Not to be believed without asking the member itself. */
-    VERIFY,
-    /** There is no room for one more. */
-    REFUSED
-  }
-
-  /** Is told of each change. */
+  /** Is notified of each change of a member's reachability or process. */
   @FunctionalInterface
-  public interface Changes {
+  public interface ChangeListener {
     /**
-     * @param before the life it had before; none if it was not known
+     * A member changed.
+     *
+     * @param member the member as it is now
+     * @param previous its reachability before; {@link Reachability#GONE} if it was not known
+     * @param previousCard its card before; {@link MemberInfo#NONE} if it was not known
      */
-    void changed(MemberRecord entry, Reachability was, MemberInfo before);
+    void onChange(MemberRecord member, Reachability previous, MemberInfo previousCard);
   }
 
-  private final String self;
-  private final MembershipConfig periods;
-  private final Changes changes;
-  private final NavigableMap<String, MemberRecord> entries = new TreeMap<>();
-
-  /** The same, for the many questions after one; nothing goes by its order. */
-  private final Map<String, MemberRecord> index = new HashMap<>();
-
-  private final Map<String, MemberRecord> suspected = new TreeMap<>();
-
-  /** When the first suspicion runs out; to be found anew if that is below zero. */
-  private long firstDue = -1;
+  /** In a fleet of that many there is nobody to confirm a suspicion: accuser, accused, oneself. */
+  private static final int MEMBERS_WITHOUT_CONFIRMER = 3;
 
-  private final List<NavigableSet<String>> buckets = new ArrayList<>();
-  private final RandomPickSet talking = new RandomPickSet();
-  private final RandomPickSet gone = new RandomPickSet();
+  private final String self;
+  private final MembershipConfig config;
+  private final ChangeListener listener;
+  private final MemberIndex index = new MemberIndex();
 
-  public MemberTable(String self, MembershipConfig periods, Changes changes) {
+  /**
+   * Makes an empty table.
+   *
+   * @param self the local member's name, which is never in the table
+   */
+  public MemberTable(String self, MembershipConfig config, ChangeListener listener) {
     this.self = self;
-    this.periods = periods;
-    this.changes = changes;
-    for (int i = 0; i < MemberCodec.BUCKETS; i++) {
-      buckets.add(new TreeSet<>());
-    }
+    this.config = config;
+    this.listener = listener;
   }
 
-  // ---- who is there ----
+  // ---- look-up ----
 
-  /** Null if it is not known. */
+  /** The record of a member; null if it is not known. */
   public MemberRecord get(String name) {
     return index.get(name);
   }
 
+  /** All records by name; a read-only view. */
   public NavigableMap<String, MemberRecord> all() {
-    return Collections.unmodifiableNavigableMap(entries);
+    return index.records();
   }
 
-  /** The names that fall into a bucket of digests, in their order. */
+  /** The names in a bucket of the anti-entropy digest, in ascending order; a read-only view. */
   public NavigableSet<String> bucket(int bucket) {
-    return Collections.unmodifiableNavigableSet(buckets.get(bucket));
+    return index.bucket(bucket);
   }
 
-  /** Those that take part, oneself counted. */
+  /** How many members are active, the local one included. */
   public int size() {
-    return talking.size() + 1;
-  }
-
-  public int goneSize() {
-    return entries.size() - talking.size();
+    return index.activeSize() + 1;
   }
 
-  public MemberRecord anyTalking(RandomGenerator random) {
-    return talking.any(random);
+  /** An active member drawn by chance; null if there is none. */
+  public MemberRecord pickActive(RandomGenerator random) {
+    return index.pickActive(random);
   }
 
-  public MemberRecord anyGone(RandomGenerator random) {
-    return gone.any(random);
-  }
-
-  /** Up to so many of those that take part, none twice, and not that one. */
-  public List<MemberRecord> someTalking(RandomGenerator random, int most, String not) {
-    List<MemberRecord> some = new ArrayList<>();
-    for (int tries = 0; some.size() < most && tries < 4 * most && talking.size() > 0; tries++) {
-      MemberRecord any = talking.any(random);
-      if (!any.name().equals(not) && !some.contains(any)) {
-        some.add(any);
-      }
-    }
-    return some;
+  /** A failed member drawn by chance; null if there is none. */
+  public MemberRecord pickFailed(RandomGenerator random) {
+    return index.pickFailed(random);
   }
 
-  public List<String> talkingNames() {
-    List<String> names = new ArrayList<>(talking.size());
-    for (int i = 0; i < talking.size(); i++) {
-      names.add(talking.get(i).name());
-    }
-    return names;
+  /**
+   * Distinct active members drawn by chance.
+   *
+   * @param max at most that many; fewer if there are fewer, or if the draws repeat too often
+   * @param excluded the name of a member that is not drawn
+   */
+  public List<MemberRecord> pickActive(RandomGenerator random, int max, String excluded) {
+    return index.pickActive(random, max, excluded);
   }
 
-  public int suspectedSize() {
-    return suspected.size();
+  /** The names of the active members, in an order that a seeded run repeats. */
+  public List<String> activeNames() {
+    return index.activeNames();
   }
 
-  // ---- what is told ----
+  // ---- gossip ----
 
   /**
-   * Takes in what is told of another.
+   * Merges a gossip update of another member.
    *
-   * @param doubtful it waited while this process was away: nobody is accused by it
+   * @param delayedByPause whether the update may have waited while this process was paused; such an
+   *     update accuses nobody
    */
-  public Outcome tell(GossipUpdate update, long now, boolean doubtful) {
+  public MergeOutcome merge(GossipUpdate update, long now, boolean delayedByPause) {
     Invariant.holds(!update.name().equals(self), () -> "oneself in the table");
-    MemberRecord entry = index.get(update.name());
-    if (entry == null) {
-      return unknown(update, now, doubtful);
+    MemberRecord member = index.get(update.name());
+    if (member == null) {
+      return mergeUnknown(update, now, delayedByPause);
     }
-    int order = update.card().compare(entry.card());
+    int order = update.card().compare(member.card());
     if (order < 0) {
-      return Outcome.OUTDATED;
+      return MergeOutcome.OUTDATED;
     }
-    return order > 0 ? above(entry, update, now, doubtful) : same(entry, update, now, doubtful);
+    return order > 0
+        ? mergeHigher(member, update, now, delayedByPause)
+        : mergeSame(member, update, now, delayedByPause);
   }
 
-  private Outcome unknown(GossipUpdate update, long now, boolean doubtful) {
+  private MergeOutcome mergeUnknown(GossipUpdate update, long now, boolean delayedByPause) {
     long since = now - update.age();
     if (!update.status().takesPart()) {
-      // Without the bound those long gone would be told from one to the other for ever.
-      if (update.age() < periods.forgetAfter() && entries.size() < 2 * periods.maxMembers()) {
+      // Without the bound on its age the update would circulate for ever.
+      if (update.age() < config.forgetAfter() && index.size() < maxRecords()) {
         add(new MemberRecord(update.name(), update.card(), update.status(), since, since));
       }
-      return Outcome.KNOWN;
+      return MergeOutcome.KNOWN;
     }
-    if (update.age() > periods.maxUpdateAge() || doubtful) {
-      return Outcome.VERIFY;
+    if (update.age() > config.maxUpdateAge() || delayedByPause) {
+      return MergeOutcome.NEEDS_PROBE;
     }
     if (isFull()) {
-      return Outcome.REFUSED;
+      return MergeOutcome.TABLE_FULL;
     }
-    MemberRecord entry =
+    MemberRecord member =
         new MemberRecord(update.name(), update.card(), MemberStatus.ALIVE, since, since);
-    add(entry);
-    changes.changed(entry, Reachability.GONE, MemberInfo.NONE);
+    add(member);
+    listener.onChange(member, Reachability.GONE, MemberInfo.NONE);
     if (update.status() == MemberStatus.SUSPECTED) {
-      become(entry, MemberStatus.SUSPECTED, update.card(), suspicion(update.accuser(), now), since);
+      transition(
+          member, MemberStatus.SUSPECTED, update.card(), startTimer(update.accuser(), now), since);
     }
-    return Outcome.NEWS;
+    return MergeOutcome.CHANGED;
   }
 
   private boolean isFull() {
-    return talking.size() >= periods.maxMembers() || entries.size() >= 2 * periods.maxMembers();
+    return index.activeSize() >= config.maxMembers() || index.size() >= maxRecords();
   }
 
-  private Outcome above(MemberRecord entry, GossipUpdate update, long now, boolean doubtful) {
-    boolean comesBack = update.status().takesPart() && !entry.status().takesPart();
-    if (comesBack && talking.size() >= periods.maxMembers()) {
-      return Outcome.REFUSED;
+  private int maxRecords() {
+    return 2 * config.maxMembers();
+  }
+
+  /** Merges an update of a higher incarnation than the known one. */
+  private MergeOutcome mergeHigher(
+      MemberRecord member, GossipUpdate update, long now, boolean delayedByPause) {
+    boolean returns = update.status().takesPart() && !member.status().takesPart();
+    if (returns && index.activeSize() >= config.maxMembers()) {
+      return MergeOutcome.TABLE_FULL;
     }
-    if (comesBack && update.age() > periods.maxUpdateAge()
-        || doubtful
-            && update.status() != MemberStatus.ALIVE
-            && update.status() != MemberStatus.LEFT) {
-      return Outcome.VERIFY;
+    boolean tooOld = returns && update.age() > config.maxUpdateAge();
+    if (tooOld || (delayedByPause && isAccusation(update.status()))) {
+      return MergeOutcome.NEEDS_PROBE;
     }
-    MemberStatus next =
-        update.status() == MemberStatus.GONE && entry.status().takesPart()
-            ? MemberStatus.SUSPECTED
-            : update.status();
     long since = now - update.age();
+    MemberStatus next = statusAfter(member, update);
     if (next == MemberStatus.ALIVE) {
-      entry.lived(since);
+      member.onAlive(since);
     }
-    become(
-        entry,
-        next,
-        update.card(),
-        next == MemberStatus.SUSPECTED ? suspicion(update.accuser(), now) : null,
-        since);
-    return Outcome.NEWS;
+    SuspicionTimer timer =
+        next == MemberStatus.SUSPECTED ? startTimer(update.accuser(), now) : null;
+    transition(member, next, update.card(), timer, since);
+    return MergeOutcome.CHANGED;
+  }
+
+  /** An active member is never declared failed by gossip alone: it is suspected first. */
+  private static MemberStatus statusAfter(MemberRecord member, GossipUpdate update) {
+    boolean suspectFirst = update.status() == MemberStatus.GONE && member.status().takesPart();
+    return suspectFirst ? MemberStatus.SUSPECTED : update.status();
+  }
+
+  private static boolean isAccusation(MemberStatus status) {
+    return status == MemberStatus.SUSPECTED || status == MemberStatus.GONE;
   }
 
-  private Outcome same(MemberRecord entry, GossipUpdate update, long now, boolean doubtful) {
-    int order = update.status().compareTo(entry.status());
+  /** Merges an update of the known incarnation: the later status takes precedence. */
+  private MergeOutcome mergeSame(
+      MemberRecord member, GossipUpdate update, long now, boolean delayedByPause) {
+    int order = update.status().compareTo(member.status());
     if (order < 0) {
-      return Outcome.OUTDATED;
+      return MergeOutcome.OUTDATED;
     }
     long since = now - update.age();
     return switch (update.status()) {
       case ALIVE -> {
-        entry.lived(since);
-        yield Outcome.KNOWN;
-      }
-      case SUSPECTED -> {
-        if (doubtful) {
-          yield Outcome.VERIFY;
-        }
-        yield suspect(entry, update.accuser(), now, since) ? Outcome.NEWS : Outcome.KNOWN;
+        member.onAlive(since);
+        yield MergeOutcome.KNOWN;
       }
-      // Who lives for all that is known here is not given up on hearsay: it is asked, and told what
-      // to refute.
+      case SUSPECTED -> mergeSuspicion(member, update, now, delayedByPause);
       case GONE ->
-          order > 0 && (entry.status() == MemberStatus.ALIVE || doubtful)
-              ? Outcome.VERIFY
-              : settle(entry, update, order, since);
-      case LEFT -> settle(entry, update, order, since);
+          order > 0 && mustProbeFirst(member, delayedByPause)
+              ? MergeOutcome.NEEDS_PROBE
+              : mergeFinal(member, update, order, since);
+      case LEFT -> mergeFinal(member, update, order, since);
     };
   }
 
-  private Outcome settle(MemberRecord entry, GossipUpdate update, int order, long since) {
+  /**
+   * A member that is alive as far as is known here is not declared failed by gossip alone: it is
+   * probed, and learns what it has to refute.
+   */
+  private static boolean mustProbeFirst(MemberRecord member, boolean delayedByPause) {
+    return member.status() == MemberStatus.ALIVE || delayedByPause;
+  }
+
+  private MergeOutcome mergeSuspicion(
+      MemberRecord member, GossipUpdate update, long now, boolean delayedByPause) {
+    if (delayedByPause) {
+      return MergeOutcome.NEEDS_PROBE;
+    }
+    return suspect(member, update.accuser(), now, now - update.age())
+        ? MergeOutcome.CHANGED
+        : MergeOutcome.KNOWN;
+  }
+
+  private MergeOutcome mergeFinal(MemberRecord member, GossipUpdate update, int order, long since) {
     if (order == 0) {
-      return Outcome.KNOWN;
+      return MergeOutcome.KNOWN;
     }
-    become(entry, update.status(), update.card(), null, since);
-    return Outcome.NEWS;
+    transition(member, update.status(), update.card(), null, since);
+    return MergeOutcome.CHANGED;
   }
 
-  // ---- what is found out here ----
+  // ---- suspicion ----
 
-  /** One accuses it, perhaps the own process; true if that is new. */
-  public boolean suspect(MemberRecord entry, String by, long now, long since) {
-    if (entry.status() == MemberStatus.SUSPECTED) {
-      firstDue = -1;
-      return entry.suspicionTimer().confirm(by);
+  /**
+   * Suspects a member, or adds an accuser to a suspicion.
+   *
+   * @param accuser the accusing member, perhaps the local one
+   * @param since when the suspicion began at the accuser
+   * @return whether that is new and to be gossiped
+   */
+  public boolean suspect(MemberRecord member, String accuser, long now, long since) {
+    if (member.status() == MemberStatus.SUSPECTED) {
+      return index.confirmSuspicion(member, accuser);
     }
-    if (entry.status() != MemberStatus.ALIVE) {
+    if (member.status() != MemberStatus.ALIVE) {
       return false;
     }
-    become(entry, MemberStatus.SUSPECTED, entry.card(), suspicion(by, now), since);
+    transition(member, MemberStatus.SUSPECTED, member.card(), startTimer(accuser, now), since);
     return true;
   }
 
-  private SuspicionTimer suspicion(String by, long now) {
-    // In a small fleet there are not that many who could confirm it.
-    int confirmations = Math.max(0, Math.min(periods.confirmations(), size() - 3));
+  private SuspicionTimer startTimer(String accuser, long now) {
+    // In a small fleet there are fewer members who could confirm it.
+    int confirmations =
+        Math.max(0, Math.min(config.confirmations(), size() - MEMBERS_WITHOUT_CONFIRMER));
     return new SuspicionTimer(
-        now, by, confirmations, periods.minSuspicionTime(size()), periods.maxSuspicionTime(size()));
+        now,
+        accuser,
+        confirmations,
+        config.minSuspicionTime(size()),
+        config.maxSuspicionTime(size()));
   }
 
-  /** It answered a question of this process, straight or through another. */
-  public void lived(MemberRecord entry, long at) {
-    entry.lived(at);
+  /** Declares one member failed whose suspicion has expired; null if there is none. */
+  public MemberRecord expire(long now) {
+    MemberRecord member = index.firstExpired(now);
+    if (member != null) {
+      transition(member, MemberStatus.GONE, member.card(), null, now);
+    }
+    return member;
   }
 
-  /** Answered straight. */
-  public void straight(MemberRecord entry, long took) {
-    Reachability was = entry.reach();
-    entry.straight(took);
-    told(entry, was);
+  /** When the first suspicion expires; {@link Long#MAX_VALUE} if there is none. */
+  public long nextDueAt() {
+    return index.firstDeadline();
   }
 
-  public void vouched(MemberRecord entry) {
-    Reachability was = entry.reach();
-    entry.vouched();
-    told(entry, was);
+  /** Extends all suspicions by a pause of this process. */
+  public void onPause(long duration) {
+    index.extendSuspicions(duration);
   }
 
-  private void told(MemberRecord entry, Reachability was) {
-    if (entry.reach() != was) {
-      changes.changed(entry, was, entry.card());
-    }
+  // ---- results of probes ----
+
+  /** A member answered a probe of this process, directly or through another. */
+  public void onAlive(MemberRecord member, long at) {
+    member.onAlive(at);
   }
 
-  /** One whose suspicion has run out is given up; null if there is none more. */
-  public MemberRecord expire(long now) {
-    if (dueAt() > now) {
-      return null;
-    }
-    for (MemberRecord entry : suspected.values()) {
-      if (entry.suspicionTimer().deadline() <= now) {
-        become(entry, MemberStatus.GONE, entry.card(), null, now);
-        return entry;
-      }
-    }
-    return null;
+  /** A member answered directly, after that round trip. */
+  public void onDirectAck(MemberRecord member, long roundTrip) {
+    Reachability previous = member.reachability();
+    member.onDirectAck(roundTrip);
+    notifyIfChanged(member, previous);
   }
 
-  /** When the first suspicion runs out. */
-  public long dueAt() {
-    if (firstDue < 0) {
-      firstDue = Long.MAX_VALUE;
-      suspected
-          .values()
-          .forEach(entry -> firstDue = Math.min(firstDue, entry.suspicionTimer().deadline()));
-    }
-    return firstDue;
+  /** A member answered only through others. */
+  public void onIndirectAck(MemberRecord member) {
+    Reachability previous = member.reachability();
+    member.onIndirectAck();
+    notifyIfChanged(member, previous);
   }
 
-  /** No suspicion runs while the own process is away. */
-  public void away(long lasted) {
-    suspected.values().forEach(entry -> entry.suspicionTimer().later(lasted));
-    firstDue = -1;
+  private void notifyIfChanged(MemberRecord member, Reachability previous) {
+    if (member.reachability() != previous) {
+      listener.onChange(member, previous, member.card());
+    }
   }
 
+  // ---- changes ----
+
   /**
-   * Forgets those gone or left for so long that no gossip update of their life is believed any
-   * more.
+   * Forgets the members that failed or left so long ago that no gossip update of their incarnation
+   * is believed any more.
    */
   public void forget(long now) {
-    if (goneSize() == 0) {
+    if (index.inactiveSize() == 0) {
       return;
     }
     List<MemberRecord> old = new ArrayList<>();
-    for (MemberRecord entry : entries.values()) {
-      if (!entry.status().takesPart() && now - entry.changedAt() > periods.forgetAfter()) {
-        old.add(entry);
+    for (MemberRecord member : index.records().values()) {
+      if (!member.status().takesPart() && now - member.changedAt() > config.forgetAfter()) {
+        old.add(member);
       }
     }
     old.forEach(this::remove);
   }
 
-  void remove(MemberRecord entry) {
-    entries.remove(entry.name());
-    index.remove(entry.name());
-    buckets.get(MemberCodec.bucket(entry.name())).remove(entry.name());
-    unlist(entry);
+  void remove(MemberRecord member) {
+    index.remove(member);
   }
 
-  // ---- the lists ----
-
-  private void add(MemberRecord entry) {
-    entries.put(entry.name(), entry);
-    index.put(entry.name(), entry);
-    buckets.get(MemberCodec.bucket(entry.name())).add(entry.name());
-    list(entry);
-    Invariant.holds(
-        entries.size() <= 2 * periods.maxMembers(), () -> "members known: " + entries.size());
+  private void add(MemberRecord member) {
+    index.add(member);
+    Invariant.holds(index.size() <= maxRecords(), () -> "members known: " + index.size());
   }
 
-  private void become(
-      MemberRecord entry, MemberStatus next, MemberInfo card, SuspicionTimer suspicion, long at) {
-    Reachability was = entry.reach();
-    MemberInfo before = entry.card();
-    unlist(entry);
-    entry.become(next, card, suspicion, at);
-    list(entry);
+  private void transition(
+      MemberRecord member, MemberStatus next, MemberInfo card, SuspicionTimer timer, long at) {
+    Reachability previous = member.reachability();
+    MemberInfo previousCard = member.card();
+    index.changeStatus(member, () -> member.transitionTo(next, card, timer, at));
     Invariant.holds(
-        talking.size() <= periods.maxMembers(), () -> "members that take part: " + talking.size());
-    if (entry.reach() != was || card.birth() != before.birth()) {
-      changes.changed(entry, was, before);
-    }
-  }
-
-  private void list(MemberRecord entry) {
-    if (entry.status().takesPart()) {
-      talking.add(entry);
-    } else if (entry.status() == MemberStatus.GONE) {
-      gone.add(entry);
-    }
-    if (entry.status() == MemberStatus.SUSPECTED) {
-      suspected.put(entry.name(), entry);
-      firstDue = -1;
-    }
-  }
-
-  private void unlist(MemberRecord entry) {
-    if (talking.has(entry)) {
-      talking.remove(entry);
-    } else if (gone.has(entry)) {
-      gone.remove(entry);
-    }
-    if (suspected.remove(entry.name()) != null) {
-      firstDue = -1;
+        index.activeSize() <= config.maxMembers(),
+        () -> "members that take part: " + index.activeSize());
+    if (member.reachability() != previous || card.birth() != previousCard.birth()) {
+      listener.onChange(member, previous, previousCard);
     }
-    Invariant.holds(!talking.has(entry) && !gone.has(entry), () -> entry.name() + " in two lists");
   }
 }
--- a/members/src/main/java/tillerlink/members/state/RandomPickSet.java
+++ b/members/src/main/java/tillerlink/members/state/RandomPickSet.java
@@ -5,39 +5,44 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Entries to pick one from by chance, in constant time; the order is that of what happened, so a
- * seed repeats it.
+ * A set of members with random picks, additions and removals in constant time. The order of its
+ * elements depends only on the sequence of additions and removals, so that a seeded run repeats. A
+ * member is in one such set at a time.
  */
 final class RandomPickSet {
-  private final List<MemberRecord> entries = new ArrayList<>();
+  private static final int IN_NO_SET = -1;
 
-  void add(MemberRecord entry) {
-    entry.place = entries.size();
-    entries.add(entry);
+  private final List<MemberRecord> members = new ArrayList<>();
+
+  void add(MemberRecord member) {
+    member.pickIndex = members.size();
+    members.add(member);
   }
 
-  void remove(MemberRecord entry) {
-    MemberRecord last = entries.remove(entries.size() - 1);
-    if (last != entry) {
-      entries.set(entry.place, last);
-      last.place = entry.place;
+  void remove(MemberRecord member) {
+    MemberRecord last = members.remove(members.size() - 1);
+    if (last != member) {
+      members.set(member.pickIndex, last);
+      last.pickIndex = member.pickIndex;
     }
-    entry.place = -1;
+    member.pickIndex = IN_NO_SET;
   }
 
-  boolean has(MemberRecord entry) {
-    return entry.place >= 0 && entry.place < entries.size() && entries.get(entry.place) == entry;
+  boolean contains(MemberRecord member) {
+    int index = member.pickIndex;
+    return index >= 0 && index < members.size() && members.get(index) == member;
   }
 
   int size() {
-    return entries.size();
+    return members.size();
   }
 
-  MemberRecord get(int i) {
-    return entries.get(i);
+  MemberRecord get(int index) {
+    return members.get(index);
   }
 
-  MemberRecord any(RandomGenerator random) {
-    return entries.isEmpty() ? null : entries.get(random.nextInt(entries.size()));
+  /** A member drawn by chance; null, without a draw, if the set is empty. */
+  MemberRecord pick(RandomGenerator random) {
+    return members.isEmpty() ? null : members.get(random.nextInt(members.size()));
   }
 }
--- a/members/src/main/java/tillerlink/members/state/SuspicionTimer.java
+++ b/members/src/main/java/tillerlink/members/state/SuspicionTimer.java
@@ -5,50 +5,53 @@
 import tillerlink.cluster.Invariant;
 
 /**
- * How long a member is suspected before it is given up: the longest time if one accuses it alone,
- * falling to the shortest as others, who tried it themselves, say so too.
+ * How long a member is suspected before it is declared failed: the longest time while one member
+ * accuses it alone, falling logarithmically to the shortest as independent accusers confirm the
+ * suspicion (Lifeguard's local health aware suspicion). Times are tenths of a millisecond.
  */
 final class SuspicionTimer {
   private final Set<String> accusers = new TreeSet<>();
-  private final int confirmations;
-  private final long least;
-  private final long most;
-  private long since;
-  private long lasts;
-
-  SuspicionTimer(long now, String by, int confirmations, long least, long most) {
-    since = now;
-    accusers.add(by);
-    this.confirmations = confirmations;
-    this.least = least;
-    this.most = most;
-    lasts = lasting();
-  }
-
-  /** Whether that is an accuser more who counts. */
-  boolean confirm(String by) {
-    boolean counts = accusers.size() <= confirmations && accusers.add(by);
-    lasts = lasting();
-    return counts;
+  private final int expectedConfirmations;
+  private final long minTimeout;
+  private final long maxTimeout;
+  private long startedAt;
+  private long timeout;
+
+  SuspicionTimer(
+      long now, String accuser, int expectedConfirmations, long minTimeout, long maxTimeout) {
+    startedAt = now;
+    accusers.add(accuser);
+    this.expectedConfirmations = expectedConfirmations;
+    this.minTimeout = minTimeout;
+    this.maxTimeout = maxTimeout;
+    timeout = computeTimeout();
   }
 
-  boolean accusedBy(String name) {
-    return accusers.contains(name);
+  /** Adds an accuser; returns whether it is a new one that still shortens the timeout. */
+  boolean confirm(String accuser) {
+    boolean isNew = accusers.size() <= expectedConfirmations && accusers.add(accuser);
+    timeout = computeTimeout();
+    return isNew;
   }
 
+  /** When the member is declared failed. */
   long deadline() {
-    return since + lasts;
+    return startedAt + timeout;
   }
 
-  private long lasting() {
-    double share = confirmations == 0 ? 1 : Math.log(accusers.size()) / Math.log(confirmations + 1);
-    long span = Math.round(most - (most - least) * share);
-    Invariant.holds(span >= least && span <= most, () -> "a suspicion of " + span);
-    return span;
+  private long computeTimeout() {
+    double share =
+        expectedConfirmations == 0
+            ? 1
+            : Math.log(accusers.size()) / Math.log(expectedConfirmations + 1);
+    long computed = Math.round(maxTimeout - (maxTimeout - minTimeout) * share);
+    Invariant.holds(
+        computed >= minTimeout && computed <= maxTimeout, () -> "a suspicion of " + computed);
+    return computed;
   }
 
-  /** The own process was away: the time that it was counts for nobody. */
-  void later(long by) {
-    since += by;
+  /** Extends the suspicion by a pause of the local process, during which nobody could refute it. */
+  void extend(long duration) {
+    startedAt += duration;
   }
 }
--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -17,7 +17,7 @@
 import tillerlink.members.config.MembershipListener;
 import tillerlink.members.local.LocalMember;
 import tillerlink.members.state.MemberTable;
-import tillerlink.members.state.MemberTable.Outcome;
+import tillerlink.members.state.MergeOutcome;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
@@ -73,26 +73,28 @@
             "own",
             MembershipConfig.usual().withRetention(LIFE, FORGET),
             (entry, was, before) -> {});
-    assertEquals(Outcome.NEWS, table.tell(update("b", MemberStatus.ALIVE, 1, 0), 0, false));
+    assertEquals(
+        MergeOutcome.CHANGED, table.merge(update("b", MemberStatus.ALIVE, 1, 0), 0, false));
     table.suspect(table.get("b"), "own", 10, 10);
     assertEquals("b", table.expire(40 * Play.SECOND).name());
     long gone = 40 * Play.SECOND;
     assertEquals(
-        Outcome.OUTDATED, table.tell(update("b", MemberStatus.ALIVE, 1, 0), gone + 5, false));
+        MergeOutcome.OUTDATED, table.merge(update("b", MemberStatus.ALIVE, 1, 0), gone + 5, false));
     assertEquals(
-        Outcome.VERIFY, table.tell(update("b", MemberStatus.ALIVE, 2, LIFE + 1), gone + 5, false));
+        MergeOutcome.NEEDS_PROBE,
+        table.merge(update("b", MemberStatus.ALIVE, 2, LIFE + 1), gone + 5, false));
     table.forget(gone + FORGET);
-    assertEquals(Reachability.GONE, table.get("b").reach());
+    assertEquals(Reachability.GONE, table.get("b").reachability());
     table.forget(gone + FORGET + 1);
     assertNull(table.get("b"));
     // It lived before it was given up: whatever is told of that is older than what is believed by
     // now.
     assertEquals(
-        Outcome.VERIFY,
-        table.tell(update("b", MemberStatus.ALIVE, 1, FORGET), gone + FORGET + 1, false));
+        MergeOutcome.NEEDS_PROBE,
+        table.merge(update("b", MemberStatus.ALIVE, 1, FORGET), gone + FORGET + 1, false));
     assertEquals(
-        Outcome.KNOWN,
-        table.tell(update("b", MemberStatus.GONE, 1, FORGET), gone + FORGET + 1, false));
+        MergeOutcome.KNOWN,
+        table.merge(update("b", MemberStatus.GONE, 1, FORGET), gone + FORGET + 1, false));
     assertNull(table.get("b"));
   }
 
@@ -100,10 +102,12 @@
   void whoWaitedIsNotAccusedByMessagesThatWaitedToo() {
     MemberTable table =
         new MemberTable("own", MembershipConfig.usual(), (entry, was, before) -> {});
-    table.tell(update("b", MemberStatus.ALIVE, 1, 0), 0, false);
-    assertEquals(Outcome.VERIFY, table.tell(update("b", MemberStatus.SUSPECTED, 1, 0), 5, true));
-    assertEquals(Outcome.VERIFY, table.tell(update("b", MemberStatus.GONE, 1, 0), 5, false));
-    assertEquals(Reachability.REACHABLE, table.get("b").reach());
+    table.merge(update("b", MemberStatus.ALIVE, 1, 0), 0, false);
+    assertEquals(
+        MergeOutcome.NEEDS_PROBE, table.merge(update("b", MemberStatus.SUSPECTED, 1, 0), 5, true));
+    assertEquals(
+        MergeOutcome.NEEDS_PROBE, table.merge(update("b", MemberStatus.GONE, 1, 0), 5, false));
+    assertEquals(Reachability.REACHABLE, table.get("b").reachability());
   }
 
   @Test
@@ -115,7 +119,7 @@
       members.onMessage(1, 1, "x", gossip(update("g" + i, MemberStatus.GONE, 1, 0)));
     }
     assertEquals(6, members.size());
-    assertEquals(35, members.counts().refused());
+    assertEquals(35, members.counts().rejected());
     assertTrue(members.names().size() <= 10);
     assertEquals(List.of("members: no room for m5, 5 others take part already"), lines);
   }
@@ -202,14 +206,14 @@
     LocalMember older = new LocalMember(4, 100, "h:1", "s");
     LocalMember newer = new LocalMember(0, 200, "h:2", "s");
     assertEquals(
-        LocalMember.Answer.RAISED_OVER_RIVAL, newer.told(MemberStatus.ALIVE, 5, 100, "h:1"));
+        LocalMember.Reaction.REFUTED_RIVAL, newer.onClaim(MemberStatus.ALIVE, 5, 100, "h:1"));
     assertEquals(
-        LocalMember.Answer.RAISED_OVER_RIVAL, older.told(MemberStatus.ALIVE, 6, 200, "h:2"));
-    assertEquals(LocalMember.Answer.YIELD, older.lives(200));
-    assertEquals(LocalMember.Answer.RAISED, newer.lives(100));
+        LocalMember.Reaction.REFUTED_RIVAL, older.onClaim(MemberStatus.ALIVE, 6, 200, "h:2"));
+    assertEquals(LocalMember.Reaction.YIELDED, older.onRivalAlive(200));
+    assertEquals(LocalMember.Reaction.REFUTED, newer.onRivalAlive(100));
     // An earlier process at the own address is no rival, however it is told of.
     LocalMember restarted = new LocalMember(0, 300, "h:3", "s");
-    assertEquals(LocalMember.Answer.RAISED, restarted.told(MemberStatus.ALIVE, 9, 50, "h:3"));
+    assertEquals(LocalMember.Reaction.REFUTED, restarted.onClaim(MemberStatus.ALIVE, 9, 50, "h:3"));
     assertEquals(10, restarted.card().incarnation());
   }
 }
--- a/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
+++ b/members/src/test/java/tillerlink/members/PlantedFaultsTest.java
@@ -27,7 +27,8 @@
   private static ComponentFactories table(FaultyMemberTable.What what) {
     return new ComponentFactories() {
       @Override
-      MemberTable table(String self, MembershipConfig periods, MemberTable.Changes changes) {
+      MemberTable memberTable(
+          String self, MembershipConfig periods, MemberTable.ChangeListener changes) {
         return new FaultyMemberTable(self, periods, changes, what);
       }
     };
@@ -36,7 +37,7 @@
   private static ComponentFactories own(BiFunction<Identity, Long, LocalMember> make) {
     return new ComponentFactories() {
       @Override
-      LocalMember own(Identity identity, long birth) {
+      LocalMember localMember(Identity identity, long birth) {
         return make.apply(identity, birth);
       }
     };
@@ -45,41 +46,44 @@
   private static final ComponentFactories NEVER_REFUTES =
       own(
           (identity, birth) ->
-              new LocalMember(identity.before(), birth, identity.address(), identity.site()) {
+              new LocalMember(
+                  identity.persistedIncarnation(), birth, identity.address(), identity.site()) {
                 @Override
-                public Answer told(
+                public Reaction onClaim(
                     MemberStatus standing, long incarnation, long other, String address) {
                   return other == card().birth()
-                      ? Answer.NOTHING
-                      : super.told(standing, incarnation, other, address);
+                      ? Reaction.NONE
+                      : super.onClaim(standing, incarnation, other, address);
                 }
               });
 
   private static final ComponentFactories NEVER_YIELDS =
       own(
           (identity, birth) ->
-              new LocalMember(identity.before(), birth, identity.address(), identity.site()) {
+              new LocalMember(
+                  identity.persistedIncarnation(), birth, identity.address(), identity.site()) {
                 @Override
-                public Answer lives(long other) {
-                  raise(0);
-                  return Answer.RAISED;
+                public Reaction onRivalAlive(long other) {
+                  raiseIncarnation(0);
+                  return Reaction.REFUTED;
                 }
               });
 
   private static final ComponentFactories FALLS =
       own(
           (identity, birth) ->
-              new LocalMember(identity.before(), birth, identity.address(), identity.site()) {
+              new LocalMember(
+                  identity.persistedIncarnation(), birth, identity.address(), identity.site()) {
                 @Override
-                public void raise(long above) {
-                  super.raise(above == 0 ? -5 : Long.MAX_VALUE);
+                public void raiseIncarnation(long above) {
+                  super.raiseIncarnation(above == 0 ? -5 : Long.MAX_VALUE);
                 }
               });
 
   private static final ComponentFactories TELLS_FOR_EVER =
       new ComponentFactories() {
         @Override
-        GossipQueue updates(int most) {
+        GossipQueue gossipQueue(int most) {
           return new GossipQueue(most) {
             @Override
             public List<GossipUpdate> take(
@@ -107,7 +111,7 @@
                 one ->
                     !one.members.stopped()
                         && one.members.size() > 1
-                        && one.members.counts().updates() > 0)) {
+                        && one.members.counts().queuedUpdates() > 0)) {
           return "news are still told once it is calm";
         }
       } catch (Invariant.Broken e) {
--- a/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
+++ b/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
@@ -16,32 +16,33 @@
   }
 
   private final What what;
-  private final Changes changes;
+  private final ChangeListener changes;
 
-  public FaultyMemberTable(String self, MembershipConfig periods, Changes changes, What what) {
+  public FaultyMemberTable(
+      String self, MembershipConfig periods, ChangeListener changes, What what) {
     super(self, periods, changes);
     this.what = what;
     this.changes = changes;
   }
 
   @Override
-  public Outcome tell(GossipUpdate update, long now, boolean doubtful) {
+  public MergeOutcome merge(GossipUpdate update, long now, boolean doubtful) {
     MemberRecord entry = get(update.name());
     if (entry == null) {
-      return super.tell(update, now, doubtful);
+      return super.merge(update, now, doubtful);
     }
     int order = update.card().compare(entry.card());
     switch (what) {
       case BELIEVES_LOWER -> {
         if (order < 0) {
-          entry.become(update.status(), update.card(), null, now);
+          entry.transitionTo(update.status(), update.card(), null, now);
         }
       }
       case COMES_BACK_AS_IT_WENT -> {
         if (order == 0
             && update.status() == MemberStatus.ALIVE
             && entry.status() == MemberStatus.GONE) {
-          entry.become(MemberStatus.ALIVE, update.card(), null, now);
+          entry.transitionTo(MemberStatus.ALIVE, update.card(), null, now);
         }
       }
       case GIVEN_UP_ON_HEARSAY -> {
@@ -55,7 +56,7 @@
         // another fault
       }
     }
-    return super.tell(update, now, doubtful);
+    return super.merge(update, now, doubtful);
   }
 
   @Override
@@ -63,7 +64,7 @@
     MemberRecord gone = super.expire(now);
     if (gone != null && what == What.FORGETS_AT_ONCE) {
       remove(gone);
-      changes.changed(gone, gone.reach(), MemberInfo.NONE);
+      changes.onChange(gone, gone.reachability(), MemberInfo.NONE);
     }
     return gone;
   }
