--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -26,38 +26,38 @@
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** What is bounded, what is refused, what is forgotten. */
+/** What members bound, reject, forget and refuse to believe. */
 class BoundsTest {
-  private static final long LIFE = 20 * Play.SECOND;
-  private static final long FORGET = 40 * Play.SECOND;
+  private static final long MAX_UPDATE_AGE = 20 * MemberFleet.SECOND;
+  private static final long FORGET_AFTER = 40 * MemberFleet.SECOND;
 
   private final List<String> lines = new ArrayList<>();
   private final List<byte[]> sent = new ArrayList<>();
 
-  private Members members(MembershipConfig periods) {
+  private Members members(MembershipConfig config) {
     return new Members(
         new Identity("f", "own", "s", "h:1", List.of("h:2"), 0),
-        periods,
+        config,
         (address, body) -> sent.add(body),
         new SplittableRandom(1),
         new MembershipListener() {
           @Override
-          public void onReachabilityChanged(String name, Reachability was, Reachability is) {
+          public void onReachabilityChanged(
+              String name, Reachability previous, Reachability current) {
             // counted elsewhere
           }
 
           @Override
-          public void log(String words) {
-            lines.add(words);
+          public void log(String line) {
+            lines.add(line);
           }
         },
         1);
   }
 
-  private static GossipUpdate update(
-      String name, MemberStatus standing, long incarnation, long age) {
+  private static GossipUpdate update(String name, MemberStatus status, long incarnation, long age) {
     return new GossipUpdate(
-        name, standing, new MemberInfo(incarnation, 7, "h:" + name, "s"), "x", age);
+        name, status, new MemberInfo(incarnation, 7, "h:" + name, "s"), "x", age);
   }
 
   private static byte[] gossip(GossipUpdate... updates) {
@@ -67,41 +67,43 @@
   }
 
   @Test
-  void noOldUpdateBringsTheDeadBack() {
+  void noOldGossipRevivesAFailedMember() {
     MemberTable table =
         new MemberTable(
             "own",
-            MembershipConfig.usual().withRetention(LIFE, FORGET),
-            (entry, was, before) -> {});
+            MembershipConfig.usual().withRetention(MAX_UPDATE_AGE, FORGET_AFTER),
+            (member, previous, previousCard) -> {});
     assertEquals(
         MergeOutcome.CHANGED, table.merge(update("b", MemberStatus.ALIVE, 1, 0), 0, false));
     table.suspect(table.get("b"), "own", 10, 10);
-    assertEquals("b", table.expire(40 * Play.SECOND).name());
-    long gone = 40 * Play.SECOND;
+    assertEquals("b", table.expire(40 * MemberFleet.SECOND).name());
+    long gone = 40 * MemberFleet.SECOND;
     assertEquals(
         MergeOutcome.OUTDATED, table.merge(update("b", MemberStatus.ALIVE, 1, 0), gone + 5, false));
     assertEquals(
         MergeOutcome.NEEDS_PROBE,
-        table.merge(update("b", MemberStatus.ALIVE, 2, LIFE + 1), gone + 5, false));
-    table.forget(gone + FORGET);
+        table.merge(update("b", MemberStatus.ALIVE, 2, MAX_UPDATE_AGE + 1), gone + 5, false));
+    table.forget(gone + FORGET_AFTER);
     assertEquals(Reachability.GONE, table.get("b").reachability());
-    table.forget(gone + FORGET + 1);
+    table.forget(gone + FORGET_AFTER + 1);
     assertNull(table.get("b"));
-    // It lived before it was given up: whatever is told of that is older than what is believed by
+    // It was alive before it was declared failed: gossip of that is older than what is believed
     // now.
     assertEquals(
         MergeOutcome.NEEDS_PROBE,
-        table.merge(update("b", MemberStatus.ALIVE, 1, FORGET), gone + FORGET + 1, false));
+        table.merge(
+            update("b", MemberStatus.ALIVE, 1, FORGET_AFTER), gone + FORGET_AFTER + 1, false));
     assertEquals(
         MergeOutcome.KNOWN,
-        table.merge(update("b", MemberStatus.GONE, 1, FORGET), gone + FORGET + 1, false));
+        table.merge(
+            update("b", MemberStatus.GONE, 1, FORGET_AFTER), gone + FORGET_AFTER + 1, false));
     assertNull(table.get("b"));
   }
 
   @Test
-  void whoWaitedIsNotAccusedByMessagesThatWaitedToo() {
+  void gossipDelayedByAPauseAccusesNobody() {
     MemberTable table =
-        new MemberTable("own", MembershipConfig.usual(), (entry, was, before) -> {});
+        new MemberTable("own", MembershipConfig.usual(), (member, previous, previousCard) -> {});
     table.merge(update("b", MemberStatus.ALIVE, 1, 0), 0, false);
     assertEquals(
         MergeOutcome.NEEDS_PROBE, table.merge(update("b", MemberStatus.SUSPECTED, 1, 0), 5, true));
@@ -111,7 +113,7 @@
   }
 
   @Test
-  void moreThanTheMostAreRefused() {
+  void membersBeyondTheBoundAreRejected() {
     Members members = members(MembershipConfig.usual().withMaxMembers(5));
     members.tick(0, 0);
     for (int i = 0; i < 40; i++) {
@@ -124,29 +126,29 @@
     assertEquals(List.of("members: no room for m5, 5 others take part already"), lines);
   }
 
-  /** Garbled and cut off ones, of every kind: a counter and one line. */
+  /** Corrupted and truncated messages of every kind. */
   @Test
-  void whatCantBeReadCostsACounterAndALine() {
+  void malformedMessagesAreCountedAndLoggedOnce() {
     Members members = members(MembershipConfig.usual());
     members.tick(0, 0);
     Random random = new Random(5);
     MemberInfo card = new MemberInfo(3, 4, "h:3", "s");
-    List<GossipUpdate> news = List.of(update("q", MemberStatus.SUSPECTED, 2, 5));
-    List<byte[]> good = new ArrayList<>();
+    List<GossipUpdate> updates = List.of(update("q", MemberStatus.SUSPECTED, 2, 5));
+    List<byte[]> wellFormed = new ArrayList<>();
     for (MemberMessage message :
         List.of(
-            new MemberMessage.Probe(card, 8, "own", SuspicionLevel.NONE, news),
-            new MemberMessage.Ack(card, 8, new SuspicionLevel(MemberStatus.GONE, 1, 2), news),
-            new MemberMessage.Ask(card, 8, "q", "h:q", SuspicionLevel.NONE, news),
-            new MemberMessage.Vouch(card, 8, true, news),
-            new MemberMessage.Gossip(card, SuspicionLevel.NONE, news),
+            new MemberMessage.Probe(card, 8, "own", SuspicionLevel.NONE, updates),
+            new MemberMessage.Ack(card, 8, new SuspicionLevel(MemberStatus.GONE, 1, 2), updates),
+            new MemberMessage.Ask(card, 8, "q", "h:q", SuspicionLevel.NONE, updates),
+            new MemberMessage.Vouch(card, 8, true, updates),
+            new MemberMessage.Gossip(card, SuspicionLevel.NONE, updates),
             new MemberMessage.Digest(card, 5, Collections.nCopies(MemberCodec.BUCKETS, 1)),
-            new MemberMessage.Listing(card, 3, "a", "z", true, news))) {
-      good.add(MemberCodec.write(message));
+            new MemberMessage.Listing(card, 3, "a", "z", true, updates))) {
+      wellFormed.add(MemberCodec.write(message));
       assertEquals(message, read(MemberCodec.write(message)));
     }
     for (int i = 0; i < 20_000; i++) {
-      byte[] bytes = good.get(random.nextInt(good.size())).clone();
+      byte[] bytes = wellFormed.get(random.nextInt(wellFormed.size())).clone();
       if (random.nextBoolean()) {
         bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length));
       }
@@ -171,7 +173,7 @@
   }
 
   @Test
-  void bareProbesAreSmallAndNoMessageIsLongerThanADatagram() {
+  void bareProbesAreSmallAndEveryMessageFitsADatagram() {
     Members members = members(MembershipConfig.usual());
     members.tick(0, 0);
     for (int i = 0; i < 400; i++) {
@@ -188,30 +190,34 @@
                   "",
                   0)));
     }
-    int bare = 0;
-    for (long now = 2; now < 20 * Play.SECOND; now = Math.max(now + 1, members.nextDueAt())) {
+    int bareProbes = 0;
+    for (long now = 2;
+        now < 20 * MemberFleet.SECOND;
+        now = Math.max(now + 1, members.nextDueAt())) {
       members.tick(now, now);
     }
     for (byte[] body : sent) {
       assertTrue(body.length <= 1100, () -> "a message of " + body.length);
       boolean isBare = read(body) instanceof MemberMessage.Probe probe && probe.updates().isEmpty();
       assertFalse(isBare && body.length > 300, () -> "a bare probe of " + body.length);
-      bare += isBare ? 1 : 0;
+      bareProbes += isBare ? 1 : 0;
     }
-    assertTrue(bare > 50, "bare probes: " + bare);
+    assertTrue(bareProbes > 50, "bare probes: " + bareProbes);
   }
 
   @Test
-  void oneOfTwoWithOneNameYieldsOnBothSides() {
-    LocalMember older = new LocalMember(4, 100, "h:1", "s");
-    LocalMember newer = new LocalMember(0, 200, "h:2", "s");
+  void ofTwoProcessesOfOneNameBothLetTheSameOneYield() {
+    LocalMember olderProcess = new LocalMember(4, 100, "h:1", "s");
+    LocalMember newerProcess = new LocalMember(0, 200, "h:2", "s");
     assertEquals(
-        LocalMember.Reaction.REFUTED_RIVAL, newer.onClaim(MemberStatus.ALIVE, 5, 100, "h:1"));
+        LocalMember.Reaction.REFUTED_RIVAL,
+        newerProcess.onClaim(MemberStatus.ALIVE, 5, 100, "h:1"));
     assertEquals(
-        LocalMember.Reaction.REFUTED_RIVAL, older.onClaim(MemberStatus.ALIVE, 6, 200, "h:2"));
-    assertEquals(LocalMember.Reaction.YIELDED, older.onRivalAlive(200));
-    assertEquals(LocalMember.Reaction.REFUTED, newer.onRivalAlive(100));
-    // An earlier process at the own address is no rival, however it is told of.
+        LocalMember.Reaction.REFUTED_RIVAL,
+        olderProcess.onClaim(MemberStatus.ALIVE, 6, 200, "h:2"));
+    assertEquals(LocalMember.Reaction.YIELDED, olderProcess.onRivalAlive(200));
+    assertEquals(LocalMember.Reaction.REFUTED, newerProcess.onRivalAlive(100));
+    // An earlier process at the same address is no rival, whatever is claimed of it.
     LocalMember restarted = new LocalMember(0, 300, "h:3", "s");
     assertEquals(LocalMember.Reaction.REFUTED, restarted.onClaim(MemberStatus.ALIVE, 9, 50, "h:3"));
     assertEquals(10, restarted.card().incarnation());
--- a/members/src/test/java/tillerlink/members/LargeFleetsTest.java
+++ b/members/src/test/java/tillerlink/members/LargeFleetsTest.java
@@ -1,5 +1,6 @@
 package tillerlink.members;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.Set;
@@ -8,69 +9,73 @@
 import tillerlink.cluster.Reachability;
 import tillerlink.members.config.MembershipConfig;
 
-/** Fleets of 30, 120 and 1,000: all know all, one dies, all learn it, nobody else is given up. */
+/**
+ * Fleets of 30, 120 and 1,000 members: all know all, one dies, all learn of it, and no other one is
+ * declared failed.
+ */
 class LargeFleetsTest {
-  private static final long ALL_KNOWN_WITHIN = 60 * Play.SECOND;
+  private static final long MAX_JOIN_TIME = 60 * MemberFleet.SECOND;
 
-  private static void played(int size) {
-    MembershipConfig periods = MembershipConfig.usual();
-    Play play = new Play(size, periods);
-    play.heard =
+  private static void assertJoinsAndDetectsADeath(int size) {
+    MembershipConfig config = MembershipConfig.usual();
+    MemberFleet fleet = new MemberFleet(size, config);
+    fleet.observe(
         change -> {
-          if (change.is() == Reachability.GONE) {
-            play.changes.add(change);
+          if (change.current() == Reachability.GONE) {
+            fleet.changes.add(change);
           }
-        };
+        });
     for (int i = 0; i < size; i++) {
-      play.start("m" + i, Play.at("m0"), Play.at("m1"));
+      fleet.start("m" + i, MemberFleet.address("m0"), MemberFleet.address("m1"));
     }
-    long every = size < 1000 ? Play.SECOND / 2 : 2 * Play.SECOND;
-    long known = play.untilAgreed(ALL_KNOWN_WITHIN, every);
-    assertTrue(
-        known >= 0,
-        size + " members do not all know all within " + ALL_KNOWN_WITHIN / Play.SECOND + " s");
-    assertTrue(play.changes.isEmpty(), () -> "given up though it lives: " + play.changes.get(0));
+    long interval = size < 1000 ? MemberFleet.SECOND / 2 : 2 * MemberFleet.SECOND;
+    long joined = fleet.runUntilConverged(MAX_JOIN_TIME, interval);
+    assertTrue(joined >= 0, size + " members do not know all within " + seconds(MAX_JOIN_TIME));
+    assertTrue(fleet.changes.isEmpty(), () -> "declared failed: " + fleet.changes.get(0));
     String dead = "m" + size / 2;
-    play.kill(dead);
-    long killed = play.fleet.now();
-    // A probe that meets it, the longest suspicion, and the news of it.
-    long within = periods.maxSuspicionTime(size) + 20 * Play.SECOND;
-    long learnt = play.untilAgreed(within, every);
+    fleet.kill(dead);
+    long killedAt = fleet.network.now();
+    // A probe of it, the longest suspicion, and the gossip of its failure.
+    long maxDetectionTime = config.maxSuspicionTime(size) + 20 * MemberFleet.SECOND;
+    long detected = fleet.runUntilConverged(maxDetectionTime, interval);
     assertTrue(
-        learnt >= 0,
-        () -> "not all of " + size + " learnt of a death within " + within / Play.SECOND + " s");
-    Set<String> told = new TreeSet<>();
-    play.changes.forEach(
-        change -> {
-          assertTrue(
-              change.of().equals(dead) && change.at() >= killed,
-              () -> "given up though it lives: " + change);
-          told.add(change.by());
-        });
-    assertTrue(told.size() == size - 1, () -> told.size() + " of " + (size - 1) + " gave it up");
+        detected >= 0,
+        () -> "not all of " + size + " learnt of a death within " + seconds(maxDetectionTime));
+    Set<String> observers = new TreeSet<>();
+    for (MemberFleet.Change change : fleet.changes) {
+      assertTrue(
+          change.member().equals(dead) && change.at() >= killedAt,
+          () -> "declared failed though alive: " + change);
+      observers.add(change.observer());
+    }
+    assertEquals(size - 1, observers.size(), "members that declared it failed");
     System.out.println(
         size
             + " members: all known after "
-            + known / 10
+            + joined / 10
             + " ms, a death known to all after "
-            + learnt / 10
+            + detected / 10
             + " ms, "
-            + play.fleet.sent()
+            + fleet.network.sent()
             + " messages");
   }
 
+  private static String seconds(long time) {
+    return time / MemberFleet.SECOND + " s";
+  }
+
   @Test
-  void thirty() {
-    played(30);
+  void thirtyMembersJoinAndDetectADeath() {
+    assertJoinsAndDetectsADeath(30);
   }
 
   @Test
-  void oneHundredAndTwenty() {
-    played(120);
+  void oneHundredAndTwentyMembersJoinAndDetectADeath() {
+    assertJoinsAndDetectsADeath(120);
   }
 
   @Test
-  void oneThousand() {
-    played(1000);
+  void oneThousandMembersJoinAndDetectADeath() {
+    assertJoinsAndDetectsADeath(1000);
   }
 }
--- a/members/src/test/java/tillerlink/members/MembersTest.java
+++ b/members/src/test/java/tillerlink/members/MembersTest.java
@@ -9,84 +9,87 @@
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
-/** Members in virtual time. */
+/** Joins, failures, cuts and leaves in simulated fleets. */
 class MembersTest {
   private static String[] names(int size) {
     return IntStream.range(0, size).mapToObj(i -> String.format("g%03d", i)).toArray(String[]::new);
   }
 
   @Test
-  void knowEachOtherAndFindOneDead() {
+  void membersOfFleetsOfEverySizeFindEachOtherAndDetectADeath() {
     for (int size : new int[] {2, 3, 12, 30}) {
-      Play play = new Play(size, MembershipConfig.usual());
-      play.startAll(names(size));
-      long joined = play.untilAgreed(20 * Play.SECOND);
+      MemberFleet fleet = new MemberFleet(size, MembershipConfig.usual());
+      fleet.startAll(names(size));
+      long joined = fleet.runUntilConverged(20 * MemberFleet.SECOND);
       assertTrue(joined >= 0, "joined");
-      play.fleet.playFor(20 * Play.SECOND);
-      assertTrue(play.agreed());
+      fleet.network.playFor(20 * MemberFleet.SECOND);
+      assertTrue(fleet.hasConverged());
       assertTrue(
-          play.changes.stream().noneMatch(change -> change.is() != Reachability.REACHABLE),
-          play.changes::toString);
-      play.kill("g001");
-      long found = play.untilAgreed(30 * Play.SECOND);
-      assertTrue(found >= 0, play.changes::toString);
-      play.start("g001", Play.at("g000"));
-      long back = play.untilAgreed(30 * Play.SECOND);
-      assertTrue(back >= 0, play.changes::toString);
+          fleet.changes.stream().noneMatch(change -> change.current() != Reachability.REACHABLE),
+          fleet.changes::toString);
+      fleet.kill("g001");
+      long found = fleet.runUntilConverged(30 * MemberFleet.SECOND);
+      assertTrue(found >= 0, fleet.changes::toString);
+      fleet.start("g001", MemberFleet.address("g000"));
+      long back = fleet.runUntilConverged(30 * MemberFleet.SECOND);
+      assertTrue(back >= 0, fleet.changes::toString);
     }
   }
 
   @Test
-  void cutBetweenTwoThatOthersReachIsThroughOthers() {
-    Play play = new Play(5, MembershipConfig.usual());
-    play.startAll("a", "b", "c");
-    assertTrue(play.untilAgreed(20 * Play.SECOND) >= 0);
-    play.fleet.between(Play.at("a"), Play.at("b"), Fault.CUT);
-    play.changes.clear();
-    play.fleet.playFor(120 * Play.SECOND);
-    assertEquals(Reachability.THROUGH_OTHERS, play.reach("a", "b"));
-    assertEquals(Reachability.THROUGH_OTHERS, play.reach("b", "a"));
-    assertEquals(2, play.changes.size(), play.changes::toString);
-    play.fleet.heal();
-    assertTrue(play.untilAgreed(20 * Play.SECOND) >= 0);
+  void membersBehindACutAreReachedThroughOthers() {
+    MemberFleet fleet = new MemberFleet(5, MembershipConfig.usual());
+    fleet.startAll("a", "b", "c");
+    assertTrue(fleet.runUntilConverged(20 * MemberFleet.SECOND) >= 0);
+    fleet.network.between(MemberFleet.address("a"), MemberFleet.address("b"), Fault.CUT);
+    fleet.changes.clear();
+    fleet.network.playFor(120 * MemberFleet.SECOND);
+    assertEquals(Reachability.THROUGH_OTHERS, fleet.reachability("a", "b"));
+    assertEquals(Reachability.THROUGH_OTHERS, fleet.reachability("b", "a"));
+    assertEquals(2, fleet.changes.size(), fleet.changes::toString);
+    fleet.network.heal();
+    assertTrue(fleet.runUntilConverged(20 * MemberFleet.SECOND) >= 0);
   }
 
   /**
-   * A process that was told to end has said so as often as it should before it goes, however rarely
-   * it probes.
+   * A process that was told to end has announced that as often as it should before it ends, however
+   * rarely it probes.
    */
   @Test
-  void aLeaveIsSaidBeforeTheProcessGoes() {
-    for (long period : new long[] {50 * Play.MS, Play.SECOND / 2, 60 * Play.SECOND}) {
+  void aLeaveIsAnnouncedBeforeTheProcessEnds() {
+    for (long interval :
+        new long[] {50 * MemberFleet.MS, MemberFleet.SECOND / 2, 60 * MemberFleet.SECOND}) {
       MembershipConfig usual = MembershipConfig.usual();
-      Play play =
-          new Play(
+      MemberFleet fleet =
+          new MemberFleet(
               7,
               new MembershipConfig(
-                  period,
-                  period / 4,
-                  period,
+                  interval,
+                  interval / 4,
+                  interval,
                   usual.indirectProbes(),
                   usual.suspicionMultiplier(),
                   usual.maxSuspicionMultiplier(),
                   usual.confirmations(),
-                  period / 2,
+                  interval / 2,
                   usual.gossipFanout(),
                   usual.retransmitMultiplier(),
-                  period,
-                  10 * period,
+                  interval,
+                  10 * interval,
                   usual.maxUpdateAge(),
                   usual.forgetAfter(),
                   usual.maxLocalHealthScore(),
                   usual.maxMembers()));
-      play.startAll("a", "b", "c");
-      assertTrue(play.untilAgreed(40 * period) >= 0);
-      play.leave("c");
-      play.fleet.playFor(650 * Play.MS);
-      assertTrue(play.up.get(Play.at("c")).members.stopped(), period / Play.MS + " ms");
-      play.kill("c");
-      assertEquals(Reachability.LEFT, play.reach("a", "c"));
-      assertEquals(Reachability.LEFT, play.reach("b", "c"));
+      fleet.startAll("a", "b", "c");
+      assertTrue(fleet.runUntilConverged(40 * interval) >= 0);
+      fleet.leave("c");
+      fleet.network.playFor(650 * MemberFleet.MS);
+      assertTrue(
+          fleet.running.get(MemberFleet.address("c")).members.stopped(),
+          interval / MemberFleet.MS + " ms");
+      fleet.kill("c");
+      assertEquals(Reachability.LEFT, fleet.reachability("a", "c"));
+      assertEquals(Reachability.LEFT, fleet.reachability("b", "c"));
     }
   }
 }
--- /dev/null
+++ b/members/src/test/java/tillerlink/members/ShortRandomHistoriesTest.java
@@ -0,0 +1,63 @@
+package tillerlink.members;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import tillerlink.members.config.MembershipConfig;
+import tillerlink.simulation.Seeds;
+
+/** Many short histories: three to five members, one to three faults, then they converge. */
+class ShortRandomHistoriesTest {
+  private static final class ShortHistory implements Seeds.Seeded {
+    private final RandomHistory history;
+    private long convergenceTime;
+
+    ShortHistory(long seed) {
+      int size = 3 + (int) (seed % 3);
+      history = new RandomHistory(seed, MembershipConfig.usual(), new ComponentFactories(), size);
+    }
+
+    @Override
+    public String play() {
+      history.runShortly();
+      convergenceTime = history.fleet.runUntilConverged(RandomHistoriesTest.MAX_CONVERGENCE_TIME);
+      if (convergenceTime < 0) {
+        return "no convergence: " + history.views();
+      }
+      RandomHistoriesTest.assertOneMemberOfEachName(history.fleet);
+      return null;
+    }
+
+    @Override
+    public String trace() {
+      return history.trace() + history.lastEvents();
+    }
+
+    @Override
+    public long[] sums() {
+      return new long[] {
+        history.steps(), history.fleet.changes.size(), history.fleet.network.sent(), convergenceTime
+      };
+    }
+  }
+
+  @Test
+  void everyFleetConvergesAfterTheLastFault() {
+    long[] sums = Seeds.play("members", 8000, ShortHistory::new);
+    long histories = sums[0];
+    long faults = sums[1];
+    long changes = sums[2];
+    System.out.println(
+        histories
+            + " short histories of members: "
+            + faults
+            + " faults and starts, "
+            + changes
+            + " changes told, "
+            + sums[3]
+            + " messages, agreed "
+            + sums[4] / histories / 10
+            + " ms after calm on average");
+    assertTrue(histories < 100 || (faults >= histories && changes >= 6 * histories));
+  }
+}
--- a/members/src/test/java/tillerlink/members/TimelinesTest.java
+++ b/members/src/test/java/tillerlink/members/TimelinesTest.java
@@ -11,6 +11,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
@@ -18,143 +19,164 @@
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
-/** Hard cases as timelines to be read: who took whom for what, compared with the kept ones. */
+/** Hard cases as readable timelines of who saw whom how, compared with the recorded ones. */
 class TimelinesTest {
-  private final StringBuilder out = new StringBuilder();
-  private Play play;
-  private long begun;
+  private static final long HALF_SECOND = MemberFleet.SECOND / 2;
 
-  private void fleet(String... names) {
-    play = new Play(11, MembershipConfig.usual());
-    play.startAll(names);
-    play.fleet.playFor(20 * Play.SECOND);
-    play.changes.clear();
-    play.told.clear();
-    begun = play.fleet.now();
+  /** The time at the beginning of a log line, which the timeline does not repeat. */
+  private static final int TIME_CHARS = 11;
+
+  private final StringBuilder timeline = new StringBuilder();
+  private MemberFleet fleet;
+  private long startedAt;
+
+  private void startFleet(String... names) {
+    fleet = new MemberFleet(11, MembershipConfig.usual());
+    fleet.startAll(names);
+    fleet.network.playFor(20 * MemberFleet.SECOND);
+    fleet.changes.clear();
+    fleet.notices.clear();
+    startedAt = fleet.network.now();
   }
 
-  private void event(String words, Consumer<Play> what, double seconds) {
-    out.append(
-        String.format(
-            "%6.1f s  ## %s%n", (play.fleet.now() - begun) / (double) Play.SECOND, words));
-    what.accept(play);
-    play.fleet.playFor((long) (seconds * Play.SECOND));
-    // Who saw the same within the same half second stands on one line.
-    Map<String, TreeSet<String>> together = new LinkedHashMap<>();
-    play.changes.forEach(
-        change ->
-            together
-                .computeIfAbsent(
-                    String.format(
-                        "%6.1f s  %%s: %s %s, was %s",
-                        (change.at() - begun) / 5000 / 2.0,
-                        change.of(),
-                        word(change.is()),
-                        word(change.was())),
-                    any -> new TreeSet<>())
-                .add(change.by()));
-    together.forEach(
-        (line, by) -> out.append(String.format(line, String.join(" ", by))).append('\n'));
-    play.told.forEach(line -> out.append("         ").append(line.substring(11)).append('\n'));
-    play.changes.clear();
-    play.told.clear();
+  private void event(String description, Consumer<MemberFleet> action, double seconds) {
+    double startSeconds = (fleet.network.now() - startedAt) / (double) MemberFleet.SECOND;
+    timeline.append(String.format("%6.1f s  ## %s%n", startSeconds, description));
+    action.accept(fleet);
+    fleet.network.playFor((long) (seconds * MemberFleet.SECOND));
+    Map<String, Set<String>> observersByChange = new LinkedHashMap<>();
+    for (MemberFleet.Change change : fleet.changes) {
+      observersByChange
+          .computeIfAbsent(lineOf(change), key -> new TreeSet<>())
+          .add(change.observer());
+    }
+    observersByChange.forEach(
+        (line, observers) ->
+            timeline.append(String.format(line, String.join(" ", observers))).append('\n'));
+    fleet.notices.forEach(
+        line -> timeline.append("         ").append(line.substring(TIME_CHARS)).append('\n'));
+    fleet.changes.clear();
+    fleet.notices.clear();
   }
 
-  private static String word(Reachability reach) {
-    return reach.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+  /** A line with a place for the observers: those within the same half second share it. */
+  private String lineOf(MemberFleet.Change change) {
+    long halfSeconds = (change.at() - startedAt) / HALF_SECOND;
+    return String.format(
+        "%6.1f s  %%s: %s %s, was %s",
+        halfSeconds / 2.0, change.member(), word(change.current()), word(change.previous()));
   }
 
-  private void same(String name) {
+  private static String word(Reachability reachability) {
+    return reachability.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+  }
+
+  private void assertTimelineAsRecorded(String name) {
     try (InputStream in = TimelinesTest.class.getResourceAsStream("/timelines/" + name + ".txt")) {
-      assertNotNull(in, () -> name + ":\n" + out);
+      assertNotNull(in, () -> name + ":\n" + timeline);
       assertEquals(
-          new String(in.readAllBytes(), StandardCharsets.UTF_8), out.toString().replace("\r", ""));
+          new String(in.readAllBytes(), StandardCharsets.UTF_8),
+          timeline.toString().replace("\r", ""));
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private static void cut(Play play, List<String> some, List<String> others) {
-    some.forEach(
-        one ->
-            others.forEach(other -> play.fleet.between(Play.at(one), Play.at(other), Fault.CUT)));
-  }
-
   @Test
-  void paused() {
-    fleet("a", "b", "c", "d");
-    event("b is stopped for 1 s", any -> any.fleet.pause(Play.at("b")), 1);
-    event("b goes on", any -> any.fleet.resume(Play.at("b")), 10);
-    event("b is stopped for 12 s", any -> any.fleet.pause(Play.at("b")), 12);
-    event("b goes on", any -> any.fleet.resume(Play.at("b")), 10);
+  void pausedMembersAnnounceTheirReturn() {
+    startFleet("a", "b", "c", "d");
+    event(
+        "b is stopped for 1 s", simulated -> simulated.network.pause(MemberFleet.address("b")), 1);
+    event("b goes on", simulated -> simulated.network.resume(MemberFleet.address("b")), 10);
+    event(
+        "b is stopped for 12 s",
+        simulated -> simulated.network.pause(MemberFleet.address("b")),
+        12);
+    event("b goes on", simulated -> simulated.network.resume(MemberFleet.address("b")), 10);
     event(
         "a, c and d are stopped for 3 s",
-        any -> List.of("a", "c", "d").forEach(one -> any.fleet.pause(Play.at(one))),
+        simulated ->
+            List.of("a", "c", "d")
+                .forEach(one -> simulated.network.pause(MemberFleet.address(one))),
         3);
     event(
         "they go on",
-        any -> List.of("a", "c", "d").forEach(one -> any.fleet.resume(Play.at(one))),
+        simulated ->
+            List.of("a", "c", "d")
+                .forEach(one -> simulated.network.resume(MemberFleet.address(one))),
         10);
-    same("paused");
+    assertTimelineAsRecorded("paused");
   }
 
   @Test
-  void cutOneWay() {
-    fleet("a", "b", "c", "d");
+  void membersBehindOneWayCutsAreReachedThroughOthers() {
+    startFleet("a", "b", "c", "d");
     event(
-        "nothing of a reaches b", any -> any.fleet.link(Play.at("a"), Play.at("b"), Fault.CUT), 60);
-    event("healed", any -> any.fleet.heal(), 10);
+        "nothing of a reaches b",
+        simulated ->
+            simulated.network.link(MemberFleet.address("a"), MemberFleet.address("b"), Fault.CUT),
+        60);
+    event("healed", simulated -> simulated.network.heal(), 10);
     event(
         "a and b cut, only c reaches both",
-        any -> {
-          cut(any, List.of("a"), List.of("b", "d"));
-          cut(any, List.of("b"), List.of("d"));
+        simulated -> {
+          simulated.cut(List.of("a"), List.of("b", "d"));
+          simulated.cut(List.of("b"), List.of("d"));
         },
         60);
     event(
         "healed; small messages only between a and b",
-        any -> {
-          any.fleet.heal();
-          any.fleet.between(Play.at("a"), Play.at("b"), Fault.small(300));
+        simulated -> {
+          simulated.network.heal();
+          simulated.network.between(
+              MemberFleet.address("a"), MemberFleet.address("b"), Fault.small(300));
         },
         60);
-    same("cut-one-way");
+    assertTimelineAsRecorded("cut-one-way");
   }
 
   @Test
-  void partition() {
-    fleet("a", "b", "c", "d", "e");
+  void bothSidesOfAPartitionFindEachOtherAgain() {
+    startFleet("a", "b", "c", "d", "e");
     event(
         "a and b on one side, c, d and e on the other",
-        any -> cut(any, List.of("a", "b"), List.of("c", "d", "e")),
+        simulated -> simulated.cut(List.of("a", "b"), List.of("c", "d", "e")),
         20);
-    event("b is started anew meanwhile", any -> any.start("b", Play.at("a")), 5);
-    event("healed", any -> any.fleet.heal(), 10);
-    event("all are started anew at once", any -> any.startAll("a", "b", "c", "d", "e"), 10);
-    same("partition");
+    event(
+        "b is started anew meanwhile",
+        simulated -> simulated.start("b", MemberFleet.address("a")),
+        5);
+    event("healed", simulated -> simulated.network.heal(), 10);
+    event(
+        "all are started anew at once",
+        simulated -> simulated.startAll("a", "b", "c", "d", "e"),
+        10);
+    assertTimelineAsRecorded("partition");
   }
 
   @Test
-  void names() {
-    fleet("a", "b", "c");
+  void namesMoveBetweenAddressesAndProcesses() {
+    startFleet("a", "b", "c");
     event(
-        "another b is started elsewhere", any -> any.start("b", "elsewhere", 0, Play.at("a")), 10);
+        "another b is started elsewhere",
+        simulated -> simulated.start("b", "elsewhere", 0, MemberFleet.address("a")),
+        10);
     event(
         "d is started at the old address of b",
-        any -> any.start("d", Play.at("b"), 0, Play.at("a")),
+        simulated -> simulated.start("d", MemberFleet.address("b"), 0, MemberFleet.address("a")),
         10);
     event(
         "the clocks of a and c jump by a day",
-        any -> {
-          any.fleet.setClock(Play.at("a"), 86_400 * Play.SECOND);
-          any.fleet.setClock(Play.at("c"), -86_400 * Play.SECOND);
+        simulated -> {
+          simulated.network.setClock(MemberFleet.address("a"), 86_400 * MemberFleet.SECOND);
+          simulated.network.setClock(MemberFleet.address("c"), -86_400 * MemberFleet.SECOND);
         },
         10);
-    event("c leaves", any -> any.leave("c"), 10);
+    event("c leaves", simulated -> simulated.leave("c"), 10);
     event(
         "c is started again without its disk",
-        any -> any.start("c", Play.at("c"), 0, Play.at("a")),
+        simulated -> simulated.start("c", MemberFleet.address("c"), 0, MemberFleet.address("a")),
         10);
-    same("names");
+    assertTimelineAsRecorded("names");
   }
 }
--- a/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
+++ b/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
@@ -8,13 +8,13 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import tillerlink.cluster.Reachability;
-import tillerlink.members.Play;
+import tillerlink.members.MemberFleet;
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
 /**
- * The tables of the design note, from virtual time: {@code make members-tables}. Not part of the
- * checks: nothing is asserted but that fleets come together.
+ * Measures the tables of the design note in virtual time: {@code make members-tables}. Not part of
+ * the checks: nothing is asserted but that fleets converge.
  */
 class MeasureMembers {
   private static final Set<String> ONLY =
@@ -34,19 +34,23 @@
     return IntStream.range(0, size).mapToObj(i -> String.format("g%04d", i)).toArray(String[]::new);
   }
 
-  private static MembershipConfig periods(boolean health) {
-    return health ? MembershipConfig.usual() : MembershipConfig.usual().withMaxLocalHealthScore(0);
+  private static MembershipConfig config(boolean localHealth) {
+    return localHealth
+        ? MembershipConfig.usual()
+        : MembershipConfig.usual().withMaxLocalHealthScore(0);
   }
 
-  /** A fleet that knows all of itself; changes are told to nobody. */
-  static Play fleet(int size, long seed, MembershipConfig periods) {
-    Play play = new Play(seed, periods);
-    play.heard = change -> {};
-    play.startAll(names(size));
-    if (play.untilAgreed(300 * Play.SECOND, size > 200 ? Play.SECOND : 100 * Play.MS) < 0) {
-      throw new AssertionError(size + " did not come together");
+  /** A fleet that has converged; its changes are not recorded. */
+  static MemberFleet fleet(int size, long seed, MembershipConfig config) {
+    MemberFleet fleet = new MemberFleet(seed, config);
+    fleet.observe(change -> {});
+    fleet.startAll(names(size));
+    if (fleet.runUntilConverged(
+            300 * MemberFleet.SECOND, size > 200 ? MemberFleet.SECOND : 100 * MemberFleet.MS)
+        < 0) {
+      throw new AssertionError(size + " did not converge");
     }
-    return play;
+    return fleet;
   }
 
   private static void say(String line) {
@@ -72,10 +76,10 @@
       heal();
     }
     if (ONLY.contains("memory")) {
-      Memory.say(MeasureMembers::say);
+      TableMemory.report(MeasureMembers::say);
     }
     if (ONLY.contains("others")) {
-      Others.say(MeasureMembers::say);
+      OtherDetectors.report(MeasureMembers::say);
     }
   }
 
@@ -96,40 +100,40 @@
   }
 
   private static void detection(int size, double lost, boolean health) {
-    Spread found = new Spread();
-    long[] alarms = new long[2];
+    Percentiles detectionTimes = new Percentiles();
+    long[] falseAlarms = new long[2];
     long watched = 0;
     int plays = size == BIG ? 1 : 4;
     int kills = size == BIG ? 3 : 10;
     for (int seed = 0; seed < plays; seed++) {
-      Play play = fleet(size, seed, periods(health));
-      play.fleet.setDefaultFault(Fault.lossy(lost));
-      play.fleet.playFor(20 * Play.SECOND);
+      MemberFleet fleet = fleet(size, seed, config(health));
+      fleet.network.setDefaultFault(Fault.lossy(lost));
+      fleet.network.playFor(20 * MemberFleet.SECOND);
       Set<String> dead = new HashSet<>();
       long[] killedAt = new long[1];
       String[] last = {""};
-      play.heard =
+      fleet.observe(
           change -> {
-            if (change.of().equals(last[0]) && change.is() == Reachability.GONE) {
-              found.add(change.at() - killedAt[0]);
-            } else if (!dead.contains(change.of()) && change.is() == Reachability.SUSPECTED) {
-              alarms[0]++;
-            } else if (!dead.contains(change.of()) && change.is() == Reachability.GONE) {
-              alarms[1]++;
+            if (change.member().equals(last[0]) && change.current() == Reachability.GONE) {
+              detectionTimes.add(change.at() - killedAt[0]);
+            } else if (!dead.contains(change.member())
+                && change.current() == Reachability.SUSPECTED) {
+              falseAlarms[0]++;
+            } else if (!dead.contains(change.member()) && change.current() == Reachability.GONE) {
+              falseAlarms[1]++;
             }
-          };
-      long start = play.fleet.now();
+          });
+      long start = fleet.network.now();
       for (int i = 0; i < kills; i++) {
         last[0] = names(size)[2 + i * (size - 3) / kills];
-        killedAt[0] = play.fleet.now();
+        killedAt[0] = fleet.network.now();
         dead.add(last[0]);
-        play.kill(last[0]);
-        play.fleet.playFor((size == BIG ? 25 : 30) * Play.SECOND);
+        fleet.kill(last[0]);
+        fleet.network.playFor((size == BIG ? 25 : 30) * MemberFleet.SECOND);
       }
-      watched += play.fleet.now() - start;
+      watched += fleet.network.now() - start;
     }
-    // A suspicion is counted once for each who holds it; told here as suspicions of a member by the
-    // whole fleet.
+    // A suspicion is counted once for each member that holds it; printed is the share of the fleet.
     double memberHours = watched / 36_000_000.0 * size;
     say(
         String.format(
@@ -137,11 +141,11 @@
             size,
             lost * 100,
             health ? "on" : "off",
-            found.seconds(0.5),
-            found.seconds(0.99),
-            found.seconds(1),
-            alarms[0] / memberHours / (size - 1),
-            alarms[1] / memberHours / (size - 1)));
+            detectionTimes.seconds(0.5),
+            detectionTimes.seconds(0.99),
+            detectionTimes.seconds(1),
+            falseAlarms[0] / memberHours / (size - 1),
+            falseAlarms[1] / memberHours / (size - 1)));
   }
 
   // ---- pauses ----
@@ -164,33 +168,33 @@
     int size = 30;
     int times = many == 1 ? 30 : 8;
     long[] counts = new long[4];
-    Spread back = new Spread();
+    Percentiles recoveryTimes = new Percentiles();
     Random random = new Random(many);
-    Play play = fleet(size, many, periods(health));
+    MemberFleet fleet = fleet(size, many, config(health));
     Set<String> paused = new HashSet<>();
     Set<String> suspected = new HashSet<>();
     Set<String> gone = new HashSet<>();
     long[] goneBy = new long[1];
-    play.heard =
+    fleet.observe(
         change -> {
-          if (!paused.contains(change.of())) {
-            counts[3] += change.is() == Reachability.SUSPECTED ? 1 : 0;
-          } else if (change.is() == Reachability.SUSPECTED) {
-            suspected.add(change.of());
-          } else if (change.is() == Reachability.GONE) {
-            gone.add(change.of());
+          if (!paused.contains(change.member())) {
+            counts[3] += change.current() == Reachability.SUSPECTED ? 1 : 0;
+          } else if (change.current() == Reachability.SUSPECTED) {
+            suspected.add(change.member());
+          } else if (change.current() == Reachability.GONE) {
+            gone.add(change.member());
             goneBy[0]++;
           }
-        };
+        });
     for (int i = 0; i < times; i++) {
       while (paused.size() < many) {
         paused.add(names(size)[random.nextInt(size)]);
       }
-      paused.forEach(name -> play.fleet.pause(Play.at(name)));
-      play.fleet.playFor((long) (seconds * Play.SECOND));
-      paused.stream().sorted().forEach(name -> play.fleet.resume(Play.at(name)));
-      back.add(play.untilAgreed(120 * Play.SECOND));
-      play.fleet.playFor(20 * Play.SECOND);
+      paused.forEach(name -> fleet.network.pause(MemberFleet.address(name)));
+      fleet.network.playFor((long) (seconds * MemberFleet.SECOND));
+      paused.stream().sorted().forEach(name -> fleet.network.resume(MemberFleet.address(name)));
+      recoveryTimes.add(fleet.runUntilConverged(120 * MemberFleet.SECOND));
+      fleet.network.playFor(20 * MemberFleet.SECOND);
       counts[0] += suspected.size();
       counts[1] += gone.size();
       counts[2] += goneBy[0];
@@ -208,8 +212,8 @@
             100 * counts[0] / all,
             100 * counts[1] / all,
             100 * counts[2] / all / (size - many),
-            back.seconds(0.5),
-            back.seconds(1),
+            recoveryTimes.seconds(0.5),
+            recoveryTimes.seconds(1),
             counts[3]));
   }
 
@@ -225,20 +229,21 @@
       for (boolean health : new boolean[] {true, false}) {
         long[] counts = new long[2];
         int minutes = 30;
-        Play play = fleet(30, 3, periods(health));
-        String one = names(30)[5];
+        MemberFleet fleet = fleet(30, 3, config(health));
+        String starved = names(30)[5];
         for (String other : names(30)) {
-          play.fleet.between(Play.at(one), Play.at(other), Fault.lossy(lost));
+          fleet.network.between(
+              MemberFleet.address(starved), MemberFleet.address(other), Fault.lossy(lost));
         }
-        // Counted by whom it befell, not by each who was told of it.
-        play.heard =
+        // Counted at the starved member only, not at each that learnt of it.
+        fleet.observe(
             change -> {
-              if (!change.of().equals(one) && change.by().equals(one)) {
-                counts[0] += change.is() == Reachability.SUSPECTED ? 1 : 0;
-                counts[1] += change.is() == Reachability.GONE ? 1 : 0;
+              if (!change.member().equals(starved) && change.observer().equals(starved)) {
+                counts[0] += change.current() == Reachability.SUSPECTED ? 1 : 0;
+                counts[1] += change.current() == Reachability.GONE ? 1 : 0;
               }
-            };
-        play.fleet.playFor(minutes * 60 * Play.SECOND);
+            });
+        fleet.network.playFor(60L * minutes * MemberFleet.SECOND);
         say(
             String.format(
                 "| 30 | %.0f%% | %s | %d | %d |",
@@ -260,15 +265,15 @@
     say("|---|---|---|---|---|");
     for (int size : new int[] {3, 30, 120, BIG}) {
       for (double lost : LOST) {
-        Play play = fleet(size, 1, periods(true));
-        play.fleet.setDefaultFault(Fault.lossy(lost));
-        play.fleet.playFor(40 * Play.SECOND);
-        long messages = play.fleet.sent();
-        long bytes = play.fleet.sentBytes();
+        MemberFleet fleet = fleet(size, 1, config(true));
+        fleet.network.setDefaultFault(Fault.lossy(lost));
+        fleet.network.playFor(40 * MemberFleet.SECOND);
+        long messages = fleet.network.sent();
+        long bytes = fleet.network.sentBytes();
         int seconds = 60;
-        play.fleet.playFor(seconds * Play.SECOND);
-        messages = play.fleet.sent() - messages;
-        bytes = play.fleet.sentBytes() - bytes;
+        fleet.network.playFor(seconds * MemberFleet.SECOND);
+        messages = fleet.network.sent() - messages;
+        bytes = fleet.network.sentBytes() - bytes;
         say(
             String.format(
                 "| %d | %.0f%% | %.1f | %.0f | %.0f |",
@@ -299,21 +304,24 @@
   }
 
   private static void heal(int size, int sides, int seconds) {
-    Play play = fleet(size, sides, periods(true));
+    MemberFleet fleet = fleet(size, sides, config(true));
     String[] names = names(size);
     for (int i = 0; i < size; i++) {
       for (int j = 0; j < size; j++) {
         if (i % sides != j % sides) {
-          play.fleet.link(Play.at(names[i]), Play.at(names[j]), Fault.CUT);
+          fleet.network.link(
+              MemberFleet.address(names[i]), MemberFleet.address(names[j]), Fault.CUT);
         }
       }
     }
-    play.fleet.playFor(seconds * Play.SECOND);
-    play.fleet.heal();
+    fleet.network.playFor(seconds * MemberFleet.SECOND);
+    fleet.network.heal();
     long[] gone = new long[1];
-    play.heard = change -> gone[0] += change.is() == Reachability.GONE ? 1 : 0;
-    long bytes = play.fleet.sentBytes();
-    long took = play.untilAgreed(600 * Play.SECOND, size == BIG ? Play.SECOND : 100 * Play.MS);
+    fleet.observe(change -> gone[0] += change.current() == Reachability.GONE ? 1 : 0);
+    long bytes = fleet.network.sentBytes();
+    long took =
+        fleet.runUntilConverged(
+            600 * MemberFleet.SECOND, size == BIG ? MemberFleet.SECOND : 100 * MemberFleet.MS);
     say(
         String.format(
             "| %d | in %d parts | %d s | %.1f s | %d | %d |",
@@ -321,18 +329,20 @@
             sides,
             seconds,
             took / 10_000.0,
-            (play.fleet.sentBytes() - bytes) / size,
+            (fleet.network.sentBytes() - bytes) / size,
             gone[0]));
   }
 
   private static void restart(int size) {
-    Play play = fleet(size, 9, periods(true));
-    long bytes = play.fleet.sentBytes();
-    play.startAll(names(size));
-    long took = play.untilAgreed(600 * Play.SECOND, size == BIG ? Play.SECOND : 100 * Play.MS);
+    MemberFleet fleet = fleet(size, 9, config(true));
+    long bytes = fleet.network.sentBytes();
+    fleet.startAll(names(size));
+    long took =
+        fleet.runUntilConverged(
+            600 * MemberFleet.SECOND, size == BIG ? MemberFleet.SECOND : 100 * MemberFleet.MS);
     say(
         String.format(
             "| %d | all restarted at once | | %.1f s | %d | |",
-            size, took / 10_000.0, (play.fleet.sentBytes() - bytes) / size));
+            size, took / 10_000.0, (fleet.network.sentBytes() - bytes) / size));
   }
 }
--- a/members/src/test/java/tillerlink/members/measure/Spread.java
+++ b/members/src/test/java/tillerlink/members/measure/Percentiles.java
@@ -2,8 +2,8 @@
 
 import java.util.Arrays;
 
-/** Numbers, and what of them is told. */
-final class Spread {
+/** A sample of times, and its percentiles. */
+final class Percentiles {
   private long[] values = new long[64];
   private int size;
 
@@ -18,13 +18,13 @@
     return size;
   }
 
-  /** Of tenths of a millisecond, as seconds; a dash if there is none. */
+  /** A percentile of times in tenths of a millisecond, in seconds; a dash if there is no time. */
   String seconds(double share) {
     if (size == 0) {
       return "-";
     }
     Arrays.sort(values, 0, size);
-    int at = (int) Math.min(size - 1, Math.max(0, Math.ceil(share * size) - 1));
-    return String.format("%.1f s", values[at] / 10_000.0);
+    int index = (int) Math.min(size - 1, Math.max(0, Math.ceil(share * size) - 1));
+    return String.format("%.1f s", values[index] / 10_000.0);
   }
 }
--- a/members/src/test/java/tillerlink/members/measure/Memory.java
+++ b/members/src/test/java/tillerlink/members/measure/TableMemory.java
@@ -13,21 +13,21 @@
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** What a full table takes of the heap. */
-final class Memory {
+/** How much heap a full table takes. */
+final class TableMemory {
   private static final int MEMBERS = 1024;
   private static final int COPIES = 20;
 
-  private Memory() {}
+  private TableMemory() {}
 
-  private static Members full() {
+  private static Members withFullTable() {
     Members members =
         new Members(
             new Identity("f", "own", "site", "10.0.0.1:7400", List.of(), 0),
             MembershipConfig.usual(),
             (address, body) -> {},
             new SplittableRandom(1),
-            (name, was, is) -> {},
+            (name, previous, current) -> {},
             1);
     members.tick(0, 0);
     for (int i = 0; i < MEMBERS; i++) {
@@ -47,7 +47,7 @@
     return members;
   }
 
-  private static long used() {
+  private static long usedHeap() {
     Runtime runtime = Runtime.getRuntime();
     for (int i = 0; i < 4; i++) {
       System.gc();
@@ -55,23 +55,23 @@
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  static void say(Consumer<String> out) {
-    Members[] kept = new Members[COPIES];
-    full();
-    long before = used();
+  static void report(Consumer<String> out) {
+    Members[] retained = new Members[COPIES];
+    withFullTable();
+    long before = usedHeap();
     for (int i = 0; i < COPIES; i++) {
-      kept[i] = full();
+      retained[i] = withFullTable();
     }
-    long each = (used() - before) / COPIES;
+    long bytesEach = (usedHeap() - before) / COPIES;
     out.accept(
         "\nA table of "
             + MEMBERS
             + " members, all of it news still to be told: "
-            + each / 1024
+            + bytesEach / 1024
             + " KiB, "
-            + each / MEMBERS
+            + bytesEach / MEMBERS
             + " bytes a member ("
-            + kept.length
+            + retained.length
             + " tables measured)");
   }
 }
--- a/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
+++ b/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
@@ -5,67 +5,70 @@
 import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberStatus;
 
-/** Tables with a fault planted in them, each of which has to be caught. */
+/** A table with an injected fault, which the tests have to detect. */
 public final class FaultyMemberTable extends MemberTable {
-  /** What is wrong. */
-  public enum What {
-    BELIEVES_LOWER,
-    COMES_BACK_AS_IT_WENT,
-    GIVEN_UP_ON_HEARSAY,
-    FORGETS_AT_ONCE
+  /** What is wrong with the table. */
+  public enum InjectedFault {
+    ACCEPTS_LOWER_INCARNATION,
+    REVIVES_AT_SAME_INCARNATION,
+    SUSPECTS_WITHOUT_PROBE,
+    FORGETS_FAILED_AT_ONCE
   }
 
-  private final What what;
-  private final ChangeListener changes;
+  private final InjectedFault fault;
+  private final ChangeListener listener;
 
   public FaultyMemberTable(
-      String self, MembershipConfig periods, ChangeListener changes, What what) {
-    super(self, periods, changes);
-    this.what = what;
-    this.changes = changes;
+      String self, MembershipConfig config, ChangeListener listener, InjectedFault fault) {
+    super(self, config, listener);
+    this.fault = fault;
+    this.listener = listener;
   }
 
   @Override
-  public MergeOutcome merge(GossipUpdate update, long now, boolean doubtful) {
-    MemberRecord entry = get(update.name());
-    if (entry == null) {
-      return super.merge(update, now, doubtful);
+  public MergeOutcome merge(GossipUpdate update, long now, boolean delayedByPause) {
+    MemberRecord member = get(update.name());
+    if (member != null) {
+      injectBeforeMerge(member, update, now);
     }
-    int order = update.card().compare(entry.card());
-    switch (what) {
-      case BELIEVES_LOWER -> {
+    return super.merge(update, now, delayedByPause);
+  }
+
+  private void injectBeforeMerge(MemberRecord member, GossipUpdate update, long now) {
+    int order = update.card().compare(member.card());
+    switch (fault) {
+      case ACCEPTS_LOWER_INCARNATION -> {
         if (order < 0) {
-          entry.transitionTo(update.status(), update.card(), null, now);
+          member.transitionTo(update.status(), update.card(), null, now);
         }
       }
-      case COMES_BACK_AS_IT_WENT -> {
+      case REVIVES_AT_SAME_INCARNATION -> {
         if (order == 0
             && update.status() == MemberStatus.ALIVE
-            && entry.status() == MemberStatus.GONE) {
-          entry.transitionTo(MemberStatus.ALIVE, update.card(), null, now);
+            && member.status() == MemberStatus.GONE) {
+          member.transitionTo(MemberStatus.ALIVE, update.card(), null, now);
         }
       }
-      case GIVEN_UP_ON_HEARSAY -> {
+      case SUSPECTS_WITHOUT_PROBE -> {
         if (order == 0
             && update.status() == MemberStatus.GONE
-            && entry.status() == MemberStatus.ALIVE) {
-          suspect(entry, update.accuser(), now, now);
+            && member.status() == MemberStatus.ALIVE) {
+          suspect(member, update.accuser(), now, now);
         }
       }
-      default -> {
-        // another fault
+      case FORGETS_FAILED_AT_ONCE -> {
+        // injected where suspicions expire
       }
     }
-    return super.merge(update, now, doubtful);
   }
 
   @Override
   public MemberRecord expire(long now) {
-    MemberRecord gone = super.expire(now);
-    if (gone != null && what == What.FORGETS_AT_ONCE) {
-      remove(gone);
-      changes.onChange(gone, gone.reachability(), MemberInfo.NONE);
+    MemberRecord failed = super.expire(now);
+    if (failed != null && fault == InjectedFault.FORGETS_FAILED_AT_ONCE) {
+      remove(failed);
+      listener.onChange(failed, failed.reachability(), MemberInfo.NONE);
     }
-    return gone;
+    return failed;
   }
 }
