--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -1,10 +1,9 @@
 package tillerlink.channels;
 
-import java.util.ArrayList;
 import java.util.List;
-import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
+import tillerlink.channels.consensus.ConsensusContext;
 import tillerlink.channels.consensus.EpochConsensus;
 import tillerlink.channels.cue.Cue;
 import tillerlink.channels.entry.AppendRequest;
@@ -13,14 +12,11 @@
 import tillerlink.channels.entry.Incarnations;
 import tillerlink.channels.epoch.Standings;
 import tillerlink.channels.journal.ChannelLog;
-import tillerlink.channels.journal.CompactedState;
-import tillerlink.channels.journal.EventSet;
 import tillerlink.channels.journal.Journal;
-import tillerlink.channels.journal.OrderedEvent;
 import tillerlink.channels.recovery.Store;
 import tillerlink.channels.sync.ChannelTransport;
 import tillerlink.channels.sync.Fetcher;
-import tillerlink.channels.sync.Server;
+import tillerlink.channels.sync.SyncServer;
 import tillerlink.cluster.ClusterComponent;
 import tillerlink.cluster.Invariant;
 import tillerlink.cluster.KeyValueStore;
@@ -37,90 +33,82 @@
 import tillerlink.messages.channels.ChannelsMessage.SumPart;
 import tillerlink.messages.channels.ChannelsMessage.SumWanted;
 import tillerlink.messages.channels.ChannelsMessage.Want;
-import tillerlink.messages.channels.Cut;
-import tillerlink.messages.channels.Entry;
-import tillerlink.messages.channels.Span;
 
 /**
- * The logs of all channels at one gateway. Takes appends at any time, also cut off, and gives a log
- * of which a prefix is stable: agreed on by a majority of the gateways counted in, and from then on
- * the same everywhere and for good.
+ * The replicated logs of all channels at one gateway. It accepts appends at any time, also while
+ * partitioned from the others. A prefix of each log is stable: decided by a majority of the counted
+ * gateways, and from then on the same everywhere and for good.
+ *
+ * <p>Used by the gateway's event loop only; no I/O of its own. Times are tenths of a millisecond:
+ * {@code now} of a clock that never jumps, {@code wall} since 1970.
  */
 public final class Channels implements ClusterComponent {
-  private static final long REPORT_BUSY = 2500;
-  private static final long REPORT_IDLE = 10_000;
-  private static final int REPORT_SPANS = 32;
-  private static final int SHORT_SPANS = 3;
-  private static final int REPORT_OTHERS = 8;
-  private static final long LOG_LEAST = 100_000;
-  private static final int KINDS_MOST = 1024;
+  /** Units of time in a millisecond. */
+  static final int UNITS_PER_MILLI = 10;
 
-  private final Terms terms;
   private final MembershipView membership;
-  private final Consumer<String> log;
+  private final RateLimitedLog log;
   private final Journal journal;
   private final Store store;
-  private final HybridLogicalClock stamps;
-  private final ChannelTransport wire;
+  private final HybridLogicalClock clock;
   private final Fetcher fetcher;
-  private final Server server;
+  private final SyncServer server;
   private final Standings standings = new Standings();
-  private final EpochConsensus agreement;
+  private final EpochConsensus consensus;
   private final Writer writer;
-  private final RandomGenerator random;
+  private final Replicator replicator;
+  private final LossDetector lossDetector;
+  private final Reporter reporter;
+  private final Compactor compactor;
   private final long incarnation;
-  private final TreeMap<String, Long> logged = new TreeMap<>();
-  private long reportedAt = Long.MIN_VALUE / 2;
-  private long now;
-  private long wall;
-  private boolean isShort = true;
-  private long refusedAhead;
   private long malformed;
-  private long ownTakenBack;
-  private long twoContents;
 
   /**
-   * @param log takes lines for the gateway's log, few of each kind
+   * Recovers the logs from what the gateway has stored.
+   *
+   * @param random the source of all random draws
    * @param wall the machine's clock, in tenths of a millisecond since 1970
+   * @param lines takes lines for the gateway's log, few of each kind
    */
   public Channels(
       Terms terms,
       MembershipView membership,
-      MessageSender post,
-      KeyValueStore keep,
+      MessageSender sender,
+      KeyValueStore storage,
       RandomGenerator random,
       long wall,
-      Consumer<String> log) {
-    this.terms = terms;
+      Consumer<String> lines) {
     this.membership = membership;
-    this.random = random;
-    this.log = log;
-    this.wall = wall;
+    log = new RateLimitedLog(lines);
     journal = new Journal(terms.counted());
-    store = new Store(keep);
-    stamps = new HybridLogicalClock(terms.aheadMillis());
-    wire = new ChannelTransport(membership, post, random);
-    fetcher = new Fetcher(journal, wire);
-    server = new Server(journal, wire);
+    store = new Store(storage);
+    clock = new HybridLogicalClock(terms.aheadMillis());
+    ChannelTransport transport = new ChannelTransport(membership, sender, random);
+    fetcher = new Fetcher(journal, transport);
+    server = new SyncServer(journal, transport);
     store.load(journal);
     incarnation = Incarnations.draw(store.foundIncarnation(), wall, random);
     store.incarnation(incarnation);
-    journal.tail().forEach(entry -> stamps.saw(entry.stamp()));
-    stamps.saw(journal.upTo());
-    agreement =
-        new EpochConsensus(
+    journal.tail().forEach(entry -> clock.observe(entry.stamp()));
+    clock.observe(journal.upTo());
+    ConsensusContext context =
+        new ConsensusContext(
             membership.self(),
             incarnation,
             terms.counted(),
             terms.absentAfter(),
             journal,
             store,
-            wire,
+            transport,
             server,
             fetcher,
-            standings,
-            random);
-    writer = new Writer(terms, journal, store, stamps, wire, incarnation, this::say);
+            standings);
+    consensus = new EpochConsensus(context, random);
+    writer = new Writer(terms, journal, store, clock, transport, incarnation, log);
+    replicator = new Replicator(terms, membership, journal, store, clock, log);
+    lossDetector = new LossDetector(journal, log);
+    reporter = new Reporter(incarnation, journal, clock, writer, standings, transport, random);
+    compactor = new Compactor(terms.maxSlots(), writer.quota(), journal, store);
   }
 
   // ---- for clients ----
@@ -128,60 +116,36 @@
   /**
    * Appends an event.
    *
-   * @param answer told in this turn if it is refused or was there already, otherwise once it is
-   *     kept; never told if the disk fails meanwhile
+   * @param onResult called within this call if the event is refused or is there already, otherwise
+   *     once it is durable; never called if the disk fails meanwhile
    */
   public void append(
-      long now, long wall, String channel, AppendRequest draft, Consumer<AppendResult> answer) {
-    time(now, wall);
-    writer.append(now, wall, channel, draft, answer);
+      long now, long wall, String channel, AppendRequest request, Consumer<AppendResult> onResult) {
+    writer.append(now, wall, channel, request, onResult);
   }
 
   /**
-   * @param bytesMost about so many bytes of events, at least one event
+   * Reads a part of a channel's log.
+   *
+   * @param from the number of the first event
+   * @param maxBytes about the bytes of events to return; one event at least is returned
    */
   public Page read(String channel, long from, int maxBytes) {
-    ChannelLog of = journal.logs().get(channel);
-    if (of == null) {
-      return new Page(0, 0, List.of(), false);
-    }
-    List<Page.Line> lines = new ArrayList<>();
-    long bytes = 0;
-    long index = Math.max(from, of.first());
-    for (; index < of.stableCount(); index++) {
-      OrderedEvent placed = of.stable(index);
-      bytes += placed.entry().weight();
-      if (bytes > maxBytes && !lines.isEmpty()) {
-        return new Page(of.first(), of.stableCount(), lines, true);
-      }
-      lines.add(new Page.Line(index, placed.entry(), true, placed.late(), placed.repeat()));
-    }
-    long at = of.stableCount();
-    for (Entry entry : of.tail()) {
-      if (at >= index) {
-        bytes += entry.weight();
-        if (bytes > maxBytes && !lines.isEmpty()) {
-          return new Page(of.first(), of.stableCount(), lines, true);
-        }
-        lines.add(
-            new Page.Line(at, entry, false, entry.stamp() <= journal.upTo(), of.isRepeat(entry)));
-      }
-      at++;
-    }
-    return new Page(of.first(), of.stableCount(), lines, false);
+    return PageReader.read(journal, channel, from, maxBytes);
   }
 
-  /** All cues of a channel as they stand, provisional events counted. */
+  /** Returns all cues of a channel, with the provisional events applied. */
   public List<Cue> cues(String channel) {
-    ChannelLog of = journal.logs().get(channel);
-    return of == null ? List.of() : of.cues(journal.upTo());
+    ChannelLog channelLog = journal.logs().get(channel);
+    return channelLog == null ? List.of() : channelLog.cues(journal.upTo());
   }
 
-  /** Channels that have events. */
+  /** Returns the names of the channels that have events. */
   public List<String> names() {
     return List.copyOf(journal.logs().keySet());
   }
 
+  /** Returns counters and positions, for the gateway's status. */
   public State state() {
     long stable = journal.logs().values().stream().mapToLong(ChannelLog::stableCount).sum();
     return new State(
@@ -193,63 +157,76 @@
         stable,
         journal.bytes(),
         journal.voters(),
-        agreement.votes(),
-        agreement.leads(),
-        refusedAhead + writer.refusedAhead(),
-        malformed,
-        fetcher.again(),
+        consensus.votes(),
+        consensus.leads(),
+        replicator.refusedAhead() + writer.refusedAhead(),
+        malformed + replicator.malformed(),
+        fetcher.timeouts(),
         store.failures(),
-        ownTakenBack,
-        twoContents);
+        replicator.ownTakenBack(),
+        replicator.twoContents());
   }
 
-  // ---- from others ----
+  // ---- messages ----
 
   @Override
   public void onMessage(long now, long wall, String from, byte[] body) {
-    time(now, wall);
     try {
-      onMessage(from, ChannelsCodec.message(body));
+      onMessage(now, wall, from, ChannelsCodec.message(body));
     } catch (MalformedMessageException e) {
       malformed++;
-      say("malformed", "a message of " + from + " about channels can't be read: " + e.getMessage());
+      log.log(
+          now,
+          "malformed",
+          "a message of " + from + " about channels can't be read: " + e.getMessage());
     }
   }
 
-  private void onMessage(String from, ChannelsMessage message) {
-    if (message instanceof Report it) {
-      reported(from, it);
-    } else if (message instanceof Piece it) {
-      long before = journal.held().size();
-      it.entries().forEach(entry -> take(from, entry));
-      fetcher.got(now, from, it, (int) (journal.held().size() - before));
-    } else if (message instanceof Want it) {
-      server.want(from, it);
-    } else if (message instanceof Cuts it) {
-      it.cuts().forEach(this::learn);
-    } else if (message instanceof CutsWanted it) {
-      server.cuts(from, it.from());
-    } else if (message instanceof SumWanted it) {
-      server.sum(from, it);
-    } else if (message instanceof SumPart it) {
-      byte[] whole = fetcher.got(now, from, it);
-      if (whole != null) {
-        startFrom(from, whole);
+  private void onMessage(long now, long wall, String from, ChannelsMessage message) {
+    if (message instanceof Report report) {
+      onReport(now, from, report);
+    } else if (message instanceof Piece piece) {
+      int taken = replicator.take(now, wall, from, piece);
+      fetcher.onPiece(now, from, piece, taken);
+    } else if (message instanceof Want want) {
+      server.sendEntries(from, want);
+    } else if (message instanceof Cuts cuts) {
+      cuts.cuts().forEach(replicator::learn);
+    } else if (message instanceof CutsWanted wanted) {
+      server.sendCuts(from, wanted.from());
+    } else if (message instanceof SumWanted wanted) {
+      server.sendState(from, wanted);
+    } else if (message instanceof SumPart part) {
+      byte[] state = fetcher.onStatePart(now, from, part);
+      if (state != null) {
+        replicator.install(now, from, state);
       }
     } else {
-      agreement.told(now, from, message);
+      consensus.onMessage(now, from, message);
     }
   }
 
-  private void reported(String from, Report report) {
+  private void onReport(long now, String from, Report report) {
     if (!report.own().gateway().equals(from)) {
       malformed++;
       return;
     }
     Report before = fetcher.report(from);
     if (before != null && before.own().incarnation() < report.own().incarnation()) {
-      restarted(from, before.own(), report);
+      lossDetector.onRestart(now, from, before.own(), report);
+    }
+    checkDigest(from, report);
+    clock.onWall(now, from, report.wall());
+    standings.update(now, report.own());
+    for (Standing other : report.others()) {
+      if (!other.gateway().equals(membership.self())) {
+        standings.update(now, other);
+      }
     }
+    fetcher.onReport(now, from, report);
+  }
+
+  private void checkDigest(String from, Report report) {
     Long digest = journal.digest(report.applied());
     Invariant.holds(
         digest == null || digest == report.digest(),
@@ -260,227 +237,31 @@
                 + membership.self()
                 + " and "
                 + from);
-    stamps.heard(now, from, report.wall());
-    standings.take(now, report.own());
-    report
-        .others()
-        .forEach(
-            other -> {
-              if (!other.gateway().equals(membership.self())) {
-                standings.take(now, other);
-              }
-            });
-    fetcher.reported(now, from, report);
-  }
-
-  /**
-   * One that started anew and lacks what it had said to hold of its own: its disk is lost, or an
-   * old copy.
-   */
-  private void restarted(String from, Standing before, Report report) {
-    int told = report.extra().size();
-    if (before.top() == 0 || told == SHORT_SPANS || told >= REPORT_SPANS) {
-      // It holds more than it told: nothing can be said.
-      return;
-    }
-    EventSet theirs = new EventSet();
-    report.extra().forEach(theirs::add);
-    if (report.applied() >= journal.base()) {
-      journal.placed().spans(before.incarnation()).forEach(theirs::add);
-      for (Cut cut :
-          journal.cuts().tailMap(Math.min(report.applied(), journal.applied()), false).values()) {
-        List<Span> back = new ArrayList<>(cut.spans());
-        back.removeIf(span -> span.incarnation() != before.incarnation());
-        back.forEach(theirs::remove);
-      }
-      report.extra().forEach(theirs::add);
-    }
-    List<Span> lacking = new ArrayList<>();
-    theirs.missing(new Span(before.incarnation(), 1, before.top()), lacking);
-    long count = lacking.stream().mapToLong(Span::size).sum();
-    if (count > 0) {
-      say(
-          "lost " + from,
-          from
-              + " came back with a lost or an old disk: it lacks "
-              + count
-              + " events of its own, which it is given back");
-    }
-  }
-
-  private void take(String from, Entry entry) {
-    if (journal.held().has(entry.incarnation(), entry.sequence())) {
-      if (!journal.sameAsHeld(entry)) {
-        twoContents++;
-        say(
-            "two",
-            from + " has another event under the name " + entry.dot().text() + "; it is not taken");
-      }
-      journal.put(entry);
-      return;
-    }
-    if (stamps.isTooFarAhead(now, wall, entry.stamp()) && !isAgreed(entry)) {
-      refusedAhead++;
-      say(
-          "ahead of " + entry.gateway(),
-          "an event of "
-              + entry.gateway()
-              + " is not taken yet: its stamp is"
-              + " further ahead of the time than the "
-              + terms.aheadMillis()
-              + " ms allowed");
-      return;
-    }
-    if (!store.entry(entry, null)) {
-      say("disk", "events of others can't be kept: the disk is full or has failed");
-      return;
-    }
-    stamps.saw(entry.stamp());
-    if (entry.gateway().equals(membership.self())) {
-      ownTakenBack++;
-      say(
-          "own",
-          "events of this gateway's own past are taken back from "
-              + from
-              + ": its disk is lost or an old copy");
-    }
-    journal.put(entry);
-    journal.apply();
-  }
-
-  private boolean isAgreed(Entry entry) {
-    for (Cut cut : journal.cuts().tailMap(journal.applied(), false).values()) {
-      for (Span span : cut.spans()) {
-        if (span.incarnation() == entry.incarnation()
-            && span.from() <= entry.sequence()
-            && span.to() >= entry.sequence()) {
-          return true;
-        }
-      }
-    }
-    return false;
-  }
-
-  private void learn(Cut cut) {
-    if (journal.learn(cut)) {
-      store.cut(cut);
-      stamps.saw(cut.upTo());
-      journal.apply();
-    }
-  }
-
-  private void startFrom(String from, byte[] bytes) {
-    try {
-      CompactedState sum = CompactedState.read(bytes);
-      if (sum.slot() <= journal.applied()) {
-        return;
-      }
-      long before = journal.base();
-      List<Entry> all = new ArrayList<>();
-      journal.held().spans().forEach(span -> all.addAll(journal.entries(span)));
-      List<Entry> rest = journal.startFrom(sum, CompactedState.read(bytes));
-      all.removeAll(rest);
-      store.sum(bytes, sum.slot(), before, all, before + 1);
-      rest.forEach(journal::put);
-      journal.apply();
-      stamps.saw(journal.upTo());
-      say(
-          "sum",
-          "this gateway was far behind and starts from the sum of "
-              + from
-              + " at step "
-              + sum.slot());
-    } catch (MalformedMessageException e) {
-      malformed++;
-    }
   }
 
   // ---- time ----
 
-  private void time(long now, long wall) {
-    this.now = now;
-    this.wall = wall;
-  }
-
   @Override
   public void tick(long now, long wall) {
-    time(now, wall);
     standings.start(now);
-    standings.take(now, standing());
+    standings.update(now, reporter.standing(now, wall));
     journal.apply();
-    fetcher.turn(now);
-    agreement.turn(now);
-    compact();
-    if (now >= reportDue()) {
-      report();
-    }
-  }
-
-  private Standing standing() {
-    long floor = stamps.floor(now, wall);
-    return new Standing(membership.self(), incarnation, writer.floor(floor), writer.top());
-  }
-
-  private long reportDue() {
-    boolean busy = !journal.tail().isEmpty() || journal.applied() < journal.decided();
-    return reportedAt + (busy ? REPORT_BUSY : REPORT_IDLE);
-  }
-
-  private void report() {
-    reportedAt = now;
-    // Every other one is short, for links that carry small messages only.
-    isShort = !isShort;
-    int spans = isShort ? SHORT_SPANS : REPORT_SPANS;
-    List<Span> extra = new ArrayList<>(journal.extra().spans());
-    if (extra.size() > spans) {
-      java.util.Collections.rotate(extra, random.nextInt(extra.size()));
-      extra = extra.subList(0, spans);
-    }
-    Report report =
-        new Report(
-            wall / 10,
-            standing(),
-            journal.applied(),
-            journal.decided(),
-            journal.base(),
-            journal.digest(),
-            extra,
-            isShort ? List.of() : standings.freshest(REPORT_OTHERS));
-    wire.spread(report, journal.voters());
-  }
-
-  private void compact() {
-    long slot = journal.base();
-    if (journal.applied() - journal.base() > terms.cutsMost()) {
-      slot = journal.applied() - terms.cutsMost() + terms.cutsMost() / 8;
-    } else if (journal.bytes() > writer.room().compactBeyond()
-        && journal.applied() > journal.base()) {
-      slot = journal.base() + Math.max(1, (journal.applied() - journal.base()) / 4);
-    }
-    if (slot > journal.base()) {
-      long before = journal.base();
-      List<Entry> gone = journal.compact(slot);
-      store.sum(journal.sum().bytes(), journal.base(), before, gone, before + 1);
+    fetcher.tick(now);
+    consensus.tick(now);
+    compactor.compact();
+    if (now >= reporter.dueAt()) {
+      reporter.report(now, wall);
     }
   }
 
   @Override
   public long nextDueAt() {
-    return Math.min(Math.min(reportDue(), agreement.dueAt()), fetcher.dueAt());
+    return Math.min(Math.min(reporter.dueAt(), consensus.dueAt()), fetcher.dueAt());
   }
 
   @Override
   public void onPause(long now, long wall, long lasted) {
-    time(now, wall);
-    agreement.away();
-    reportedAt = Long.MIN_VALUE / 2;
-  }
-
-  private void say(String kind, String line) {
-    Long last = logged.get(kind);
-    if (last == null ? logged.size() < KINDS_MOST : now - last >= LOG_LEAST) {
-      logged.put(kind, now);
-      log.accept(line);
-    }
+    consensus.onPause();
+    reporter.makeDue();
   }
 }
--- a/channels/src/main/java/tillerlink/channels/Writer.java
+++ b/channels/src/main/java/tillerlink/channels/Writer.java
@@ -2,8 +2,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.TreeMap;
-import java.util.function.BiConsumer;
+import java.util.Optional;
 import java.util.function.Consumer;
 import tillerlink.channels.entry.AppendRequest;
 import tillerlink.channels.entry.AppendResult;
@@ -19,214 +18,251 @@
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Entry;
 
-/** Writes this gateway's own events: what clients append, each answered once it is kept. */
+/**
+ * Writes this gateway's own events: what clients append. Each request gets its result once the
+ * event is durable. Times are tenths of a millisecond.
+ */
 final class Writer {
-  private static final int NAME_MOST = 64;
-  private static final int PENDING_MOST = 1024;
-
-  private record Asker(AppendRequest draft, Consumer<AppendResult> answer) {}
+  private static final int MAX_NAME_LENGTH = 64;
 
   private final Terms terms;
   private final MembershipView membership;
   private final Journal journal;
   private final Store store;
-  private final HybridLogicalClock stamps;
-  private final ChannelTransport wire;
-  private final StorageQuota room;
-  private final BiConsumer<String, String> say;
+  private final HybridLogicalClock clock;
+  private final ChannelTransport transport;
+  private final StorageQuota quota;
+  private final RateLimitedLog log;
   private final long incarnation;
-  private final TreeMap<Long, Entry> pending = new TreeMap<>();
-  private final TreeMap<String, List<Asker>> pendingKeys = new TreeMap<>();
-  private long pendingBytes;
+  private final PendingAppends pending = new PendingAppends();
   private long sequence;
   private long top;
   private long refusedAhead;
-  private Dot[] lastSeen = new Dot[0];
+  private List<Dot> lastSeen = List.of();
 
-  /**
-   * @param say a line for the log, under its kind
-   */
   Writer(
       Terms terms,
       Journal journal,
       Store store,
-      HybridLogicalClock stamps,
-      ChannelTransport wire,
+      HybridLogicalClock clock,
+      ChannelTransport transport,
       long incarnation,
-      BiConsumer<String, String> say) {
+      RateLimitedLog log) {
     this.terms = terms;
-    membership = wire.membership();
+    membership = transport.membership();
     this.journal = journal;
     this.store = store;
-    this.stamps = stamps;
-    this.wire = wire;
+    this.clock = clock;
+    this.transport = transport;
     this.incarnation = incarnation;
-    this.say = say;
-    room = new StorageQuota(terms.bytes());
+    this.log = log;
+    quota = new StorageQuota(terms.bytes());
   }
 
-  /** The last number of its own that is kept. */
+  // ---- state ----
+
+  /** The sequence number of the last own event that is durable. */
   long top() {
     return top;
   }
 
-  /** No own event that is not kept yet, nor a later one, has this stamp or a lower one. */
+  /** No own event that is pending, nor a later one, has this stamp or a lower one. */
   long floor(long floor) {
-    return pending.isEmpty() ? floor : Math.min(floor, pending.firstEntry().getValue().stamp() - 1);
+    return pending.floor(floor);
   }
 
+  /** Appends that were refused because this machine's clock is too far ahead. */
   long refusedAhead() {
     return refusedAhead;
   }
 
-  StorageQuota room() {
-    return room;
+  StorageQuota quota() {
+    return quota;
   }
 
+  // ---- appends ----
+
+  /** See {@link Channels#append}. */
   void append(
-      long now, long wall, String channel, AppendRequest draft, Consumer<AppendResult> answer) {
-    String fault =
-        channel.isEmpty() || channel.length() > NAME_MOST
-            ? "a channel's name has 1 to 64 characters"
-            : draft.fault().orElse(null);
-    if (fault == null
-        && !journal.logs().containsKey(channel)
-        && journal.logs().size() >= terms.most()) {
-      fault = "there are " + terms.most() + " channels already, and no more are allowed";
-    }
-    if (fault != null) {
-      answer.accept(new AppendResult.Refused(fault, 0));
+      long now, long wall, String channel, AppendRequest request, Consumer<AppendResult> onResult) {
+    Optional<String> fault = fault(channel, request);
+    if (fault.isPresent()) {
+      onResult.accept(new AppendResult.Refused(fault.get(), 0));
       return;
     }
-    if (!draft.key().isEmpty() && isAgain(channel, draft, answer)) {
+    if (!request.key().isEmpty() && handleRetry(channel, request, onResult)) {
       return;
     }
-    for (Dot dot : draft.seen() == null ? List.<Dot>of() : draft.seen()) {
-      if (stamps.isTooFarAhead(now, wall, dot.stamp())) {
-        answer.accept(
-            new AppendResult.Refused(
-                "what it names as seen is stamped too far ahead of the time", 0));
-        return;
-      }
-      stamps.saw(dot.stamp());
-    }
-    long tooFarBy = stamps.tooFarBy(now, wall);
-    if (tooFarBy > 0) {
-      refusedAhead++;
-      say.accept(
-          "ahead",
-          "an append was refused: its stamp would be "
-              + tooFarBy
-              + " ms further ahead of the"
-              + " fleet's time than the "
-              + terms.aheadMillis()
-              + " ms allowed; set this machine's clock right");
-      answer.accept(
+    if (!observeSeen(now, wall, request)) {
+      onResult.accept(
           new AppendResult.Refused(
-              "this gateway's clock is too far ahead of the fleet's", tooFarBy * 10));
+              "what it names as seen is stamped too far ahead of the time", 0));
+      return;
+    }
+    long millisTooFarAhead = clock.millisTooFarAhead(now, wall);
+    if (millisTooFarAhead > 0) {
+      onResult.accept(refuseAhead(now, millisTooFarAhead));
       return;
     }
-    write(wall, channel, draft, answer);
+    write(now, wall, channel, request, onResult);
   }
 
-  private boolean isAgain(String channel, AppendRequest draft, Consumer<AppendResult> answer) {
-    List<Asker> waiting = pendingKeys.get(channel + "/" + draft.key());
-    if (waiting != null) {
-      if (waiting.size() >= PENDING_MOST) {
-        answer.accept(
-            new AppendResult.Refused("too many ask with this key", StorageQuota.COME_BACK));
-      } else if (!same(waiting.get(0).draft, draft)) {
-        answer.accept(otherContent());
-      } else {
-        waiting.add(new Asker(draft, answer));
+  private Optional<String> fault(String channel, AppendRequest request) {
+    if (channel.isEmpty() || channel.length() > MAX_NAME_LENGTH) {
+      return Optional.of("a channel's name has 1 to 64 characters");
+    }
+    Optional<String> fault = request.fault();
+    if (fault.isEmpty()
+        && !journal.logs().containsKey(channel)
+        && journal.logs().size() >= terms.maxChannels()) {
+      return Optional.of(
+          "there are " + terms.maxChannels() + " channels already, and no more are allowed");
+    }
+    return fault;
+  }
+
+  /** Observes the stamps that the client has seen; false at one that is too far ahead. */
+  private boolean observeSeen(long now, long wall, AppendRequest request) {
+    if (request.seen() == null) {
+      return true;
+    }
+    for (Dot dot : request.seen()) {
+      if (clock.isTooFarAhead(now, wall, dot.stamp())) {
+        return false;
       }
+      clock.observe(dot.stamp());
+    }
+    return true;
+  }
+
+  private AppendResult refuseAhead(long now, long millis) {
+    refusedAhead++;
+    log.log(
+        now,
+        "ahead",
+        "an append was refused: its stamp would be "
+            + millis
+            + " ms further ahead of the"
+            + " fleet's time than the "
+            + terms.aheadMillis()
+            + " ms allowed; set this machine's clock right");
+    return new AppendResult.Refused(
+        "this gateway's clock is too far ahead of the fleet's", millis * Channels.UNITS_PER_MILLI);
+  }
+
+  // ---- retries ----
+
+  /** Whether a request is the retry of another with its key; then its result is seen to. */
+  private boolean handleRetry(
+      String channel, AppendRequest request, Consumer<AppendResult> onResult) {
+    AppendRequest waiting = pending.waitingWith(channel, request.key());
+    if (waiting != null) {
+      handlePendingRetry(channel, waiting, request, onResult);
       return true;
     }
-    ChannelLog of = journal.logs().get(channel);
-    Dot dot = of == null ? null : of.key(draft.key());
+    ChannelLog channelLog = journal.logs().get(channel);
+    Dot dot = channelLog == null ? null : channelLog.key(request.key());
     if (dot == null) {
       return false;
     }
     Entry entry = journal.entry(dot.incarnation(), dot.sequence());
-    answer.accept(
-        entry == null
-                || entry.kind() == draft.kind()
-                    && entry.cue().equals(draft.cue())
-                    && entry.text().equals(draft.text())
-            ? new AppendResult.Taken(dot, true)
-            : otherContent());
+    boolean same = entry == null || hasSameContent(entry, request);
+    onResult.accept(same ? new AppendResult.Taken(dot, true) : refuseOtherContent());
     return true;
   }
 
-  private static boolean same(AppendRequest one, AppendRequest other) {
+  private void handlePendingRetry(
+      String channel, AppendRequest waiting, AppendRequest retry, Consumer<AppendResult> onResult) {
+    if (pending.isFull(channel, retry.key())) {
+      onResult.accept(
+          new AppendResult.Refused("too many ask with this key", StorageQuota.RETRY_AFTER));
+    } else if (!hasSameContent(waiting, retry)) {
+      onResult.accept(refuseOtherContent());
+    } else {
+      pending.addRetry(channel, retry, onResult);
+    }
+  }
+
+  private static boolean hasSameContent(Entry entry, AppendRequest request) {
+    return entry.kind() == request.kind()
+        && entry.cue().equals(request.cue())
+        && entry.text().equals(request.text());
+  }
+
+  private static boolean hasSameContent(AppendRequest one, AppendRequest other) {
     return one.kind() == other.kind()
         && one.cue().equals(other.cue())
         && one.text().equals(other.text());
   }
 
-  private static AppendResult otherContent() {
+  private static AppendResult refuseOtherContent() {
     return new AppendResult.Refused("this key stands for an event that says otherwise", 0);
   }
 
+  // ---- events ----
+
   private void write(
-      long wall, String channel, AppendRequest draft, Consumer<AppendResult> answer) {
-    Entry entry =
-        new Entry(
-            membership.self(),
-            membership.site(membership.self()),
-            incarnation,
-            sequence + 1,
-            stamps.next(wall),
-            channel,
-            draft.kind(),
-            draft.cue(),
-            draft.text(),
-            draft.airsAt(),
-            draft.key(),
-            over(channel, draft),
-            seen());
-    if (pending.size() >= PENDING_MOST
-        || !room.takes(
-            journal, channel, entry.weight(), membership.names().size() + 1, pendingBytes)) {
-      say.accept(
+      long now, long wall, String channel, AppendRequest request, Consumer<AppendResult> onResult) {
+    Entry entry = event(wall, channel, request);
+    if (pending.isFull() || !isWithinQuota(entry)) {
+      log.log(
+          now,
           "full",
           "channel " + channel + " is full of events that are not agreed on: appends are refused");
-      answer.accept(new AppendResult.Refused("the channel is full", StorageQuota.COME_BACK));
+      onResult.accept(new AppendResult.Refused("the channel is full", StorageQuota.RETRY_AFTER));
       return;
     }
     Invariant.holds(
         !journal.held().has(incarnation, entry.sequence()),
         () -> "an own number is used a second time");
-    if (!store.entry(entry, () -> kept(entry, answer))) {
-      say.accept("disk", "an append could not be kept: the disk is full or has failed");
-      answer.accept(
+    if (!store.entry(entry, () -> onDurable(entry, onResult))) {
+      log.log(now, "disk", "an append could not be kept: the disk is full or has failed");
+      onResult.accept(
           new AppendResult.Refused(
-              "it can't be kept here: the disk is full or has failed", StorageQuota.COME_BACK));
+              "it can't be kept here: the disk is full or has failed", StorageQuota.RETRY_AFTER));
       return;
     }
     sequence++;
-    pending.put(entry.sequence(), entry);
-    pendingBytes += entry.weight();
-    if (!draft.key().isEmpty()) {
-      pendingKeys.put(
-          channel + "/" + draft.key(), new ArrayList<>(List.of(new Asker(draft, answer))));
-    }
+    pending.add(entry, request, onResult);
+  }
+
+  private boolean isWithinQuota(Entry entry) {
+    int gateways = membership.names().size() + 1;
+    return quota.allows(journal, entry.channel(), entry.weight(), gateways, pending.bytes());
   }
 
-  private List<Dot> over(String channel, AppendRequest draft) {
-    if (draft.seen() != null) {
-      return List.copyOf(draft.seen());
+  private Entry event(long wall, String channel, AppendRequest request) {
+    return new Entry(
+        membership.self(),
+        membership.site(membership.self()),
+        incarnation,
+        sequence + 1,
+        clock.next(wall),
+        channel,
+        request.kind(),
+        request.cue(),
+        request.text(),
+        request.airsAt(),
+        request.key(),
+        over(channel, request),
+        seen());
+  }
+
+  /** The events on the cue that the writer had seen: all in effect here if it doesn't say. */
+  private List<Dot> over(String channel, AppendRequest request) {
+    if (request.seen() != null) {
+      return List.copyOf(request.seen());
     }
-    ChannelLog of = journal.logs().get(channel);
-    return of == null || draft.cue().isEmpty()
+    ChannelLog channelLog = journal.logs().get(channel);
+    return channelLog == null || request.cue().isEmpty()
         ? List.of()
-        : of.cue(draft.cue(), journal.upTo()).standing().stream()
-            .limit(AppendRequest.SEEN_MOST)
+        : channelLog.cue(request.cue(), journal.upTo()).standing().stream()
+            .limit(AppendRequest.MAX_SEEN)
             .toList();
   }
 
   /**
-   * What is held of those that wrote of late, as far as it is more than when this gateway wrote
+   * What is held of recently active writers, as far as it is more than when this gateway wrote
    * last.
    */
   private List<Dot> seen() {
@@ -235,17 +271,17 @@
       long prefix = journal.held().prefix(other);
       if (other != incarnation
           && prefix > 0
-          && seen.size() < AppendRequest.SEEN_MOST
-          && isNews(other, prefix)) {
+          && seen.size() < AppendRequest.MAX_SEEN
+          && isNew(other, prefix)) {
         Entry last = journal.entry(other, prefix);
         seen.add(new Dot(other, prefix, last == null ? 0 : last.stamp()));
       }
     }
-    lastSeen = seen.isEmpty() ? lastSeen : seen.toArray(new Dot[0]);
+    lastSeen = seen.isEmpty() ? lastSeen : List.copyOf(seen);
     return seen;
   }
 
-  private boolean isNews(long other, long prefix) {
+  private boolean isNew(long other, long prefix) {
     for (Dot dot : lastSeen) {
       if (dot.incarnation() == other && dot.sequence() == prefix) {
         return false;
@@ -254,21 +290,11 @@
     return true;
   }
 
-  private void kept(Entry entry, Consumer<AppendResult> answer) {
-    pending.remove(entry.sequence());
-    pendingBytes -= entry.weight();
+  private void onDurable(Entry entry, Consumer<AppendResult> onResult) {
+    pending.remove(entry);
     top = entry.sequence();
     journal.put(entry);
-    wire.spread(new Piece(0, true, List.of(entry)), journal.voters());
-    AppendResult taken = new AppendResult.Taken(entry.dot(), false);
-    List<Asker> askers =
-        entry.key().isEmpty() ? null : pendingKeys.remove(entry.channel() + "/" + entry.key());
-    if (askers == null) {
-      answer.accept(taken);
-    } else {
-      for (int i = 0; i < askers.size(); i++) {
-        askers.get(i).answer.accept(i == 0 ? taken : new AppendResult.Taken(entry.dot(), true));
-      }
-    }
+    transport.spread(new Piece(0, true, List.of(entry)), journal.voters());
+    pending.complete(entry, onResult);
   }
 }
--- /dev/null
+++ b/channels/src/main/java/tillerlink/channels/consensus/RejoinProtocol.java
@@ -0,0 +1,59 @@
+package tillerlink.channels.consensus;
+
+import java.util.List;
+import tillerlink.channels.epoch.RejoinCheck;
+import tillerlink.channels.journal.Journal;
+import tillerlink.channels.sync.ChannelTransport;
+import tillerlink.messages.channels.ChannelsMessage.Answer;
+import tillerlink.messages.channels.ChannelsMessage.Ask;
+
+/**
+ * Lets the acceptor of a new process vote only after the other gateways told it what its gateway
+ * may have promised and accepted before.
+ */
+final class RejoinProtocol {
+  /** Between two requests, in tenths of a millisecond. */
+  private static final long RETRY_INTERVAL = 5000;
+
+  private final long incarnation;
+  private final Journal journal;
+  private final ChannelTransport transport;
+  private final AcceptorRole acceptor;
+  private final RejoinCheck check;
+  private long askedAt = Long.MIN_VALUE / 2;
+
+  RejoinProtocol(ConsensusContext context, AcceptorRole acceptor) {
+    incarnation = context.incarnation();
+    journal = context.journal();
+    transport = context.transport();
+    this.acceptor = acceptor;
+    check = new RejoinCheck(context.self(), context.counted());
+  }
+
+  void onAnswer(String from, Answer answer) {
+    if (answer.incarnation() == incarnation && !check.isDone()) {
+      check.onAnswer(from, answer);
+    }
+  }
+
+  /** Does what is due, while the acceptor does not vote. */
+  void tick(long now) {
+    List<String> voters = journal.voters();
+    if (check.completes(voters, journal.applied())) {
+      for (Answer answer : check.answers()) {
+        acceptor.state().merge(answer.promised(), answer.acceptedIn(), answer.accepted());
+      }
+      acceptor.state().markRecovered();
+      askedAt = now - RETRY_INTERVAL - 1;
+    }
+    if (now - askedAt <= RETRY_INTERVAL) {
+      return;
+    }
+    askedAt = now;
+    if (check.isDone()) {
+      acceptor.persist(acceptor::startVoting);
+    } else {
+      check.others(voters).forEach(other -> transport.send(other, new Ask(incarnation)));
+    }
+  }
+}
--- a/channels/src/main/java/tillerlink/channels/cue/Cue.java
+++ b/channels/src/main/java/tillerlink/channels/cue/Cue.java
@@ -1,70 +1,96 @@
 package tillerlink.channels.cue;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.EnumSet;
 import java.util.List;
+import java.util.Set;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.Kind;
 
 /**
- * One cue as its events make it, taken in the order of the log. Bounded: what is more than it holds
- * is in the log.
+ * One cue as its events make it, applied in the order of the log. Bounded: what exceeds the bounds
+ * is in the log only.
  */
 public final class Cue {
-  static final int VERSIONS_MOST = 6;
+  static final int MAX_VERSIONS = 6;
 
-  /** A text that nobody replaced who had seen it. */
+  /**
+   * A text that nobody who had seen it has replaced.
+   *
+   * @param dot names the event that wrote it
+   * @param gateway the gateway that wrote it
+   * @param text the text
+   */
   public record Version(Dot dot, String gateway, String text) {}
 
-  final String name;
-  final List<Version> versions = new ArrayList<>(1);
-  final List<Dot> retractions = new ArrayList<>(0);
-  final EnumSet<Flag> flags = EnumSet.noneOf(Flag.class);
-  Dot air;
-  long airsAt;
+  private final String name;
+  private final List<Version> versions = new ArrayList<>(1);
+  private final List<Dot> retractions = new ArrayList<>(0);
+  private final EnumSet<Flag> flags = EnumSet.noneOf(Flag.class);
+
+  /** Names the air mark in effect, null if there is none. */
+  private Dot air;
+
+  private long airsAt;
 
   Cue(String name) {
     this.name = name;
   }
 
   Cue(Cue other) {
-    this(other.name);
-    versions.addAll(other.versions);
-    retractions.addAll(other.retractions);
-    flags.addAll(other.flags);
-    air = other.air;
-    airsAt = other.airsAt;
+    this(other.name, other.versions, other.retractions, other.flags, other.air, other.airsAt);
+  }
+
+  Cue(
+      String name,
+      List<Version> versions,
+      List<Dot> retractions,
+      Set<Flag> flags,
+      Dot air,
+      long airsAt) {
+    this(name);
+    this.versions.addAll(versions);
+    this.retractions.addAll(retractions);
+    this.flags.addAll(flags);
+    this.air = air;
+    this.airsAt = airsAt;
   }
 
+  // ---- reading ----
+
+  /** Returns the name of the cue. */
   public String name() {
     return name;
   }
 
-  /** Those that stand beside each other; the last one stands. */
+  /** Returns the concurrent texts; the last one is in effect. */
   public List<Version> versions() {
     return List.copyOf(versions);
   }
 
-  /** The text that stands, empty if the cue was taken back or has none. */
+  /** Returns the text in effect, empty if the cue is retracted or has none. */
   public String text() {
     return isRetracted() || versions.isEmpty() ? "" : versions.get(versions.size() - 1).text();
   }
 
+  /** Whether the cue is retracted. */
   public boolean isRetracted() {
     return !retractions.isEmpty();
   }
 
-  /** Milliseconds since 1970; 0 if no air mark stands. */
+  /** Returns when it airs, in milliseconds since 1970; 0 if no air mark is in effect. */
   public long airsAt() {
     return airsAt;
   }
 
-  public EnumSet<Flag> flags() {
+  /** Returns what people should look at. */
+  public Set<Flag> flags() {
     return EnumSet.copyOf(flags);
   }
 
-  /** The events that whoever writes on this cue now has before his eyes. */
+  /** Returns the events in effect: whoever writes on this cue now has seen them. */
   public List<Dot> standing() {
     List<Dot> all = new ArrayList<>();
     versions.forEach(version -> all.add(version.dot));
@@ -75,6 +101,16 @@
     return all;
   }
 
+  List<Dot> retractions() {
+    return Collections.unmodifiableList(retractions);
+  }
+
+  Dot air() {
+    return air;
+  }
+
+  // ---- events ----
+
   private static boolean saw(Entry entry, Dot dot) {
     for (Dot seen : entry.over()) {
       if (seen.same(dot)) {
@@ -94,10 +130,10 @@
   }
 
   /**
-   * Takes the next event.
+   * Applies the next event.
    *
-   * @param at milliseconds since 1970: when it was written, or, if it came late, up to when all
-   *     others were agreed on
+   * @param at milliseconds since 1970: when it was written or, if it came late, up to when the log
+   *     before it was decided
    */
   void take(Entry entry, long at) {
     boolean aired = air != null && at >= airsAt;
@@ -106,26 +142,27 @@
       return;
     }
     switch (entry.kind()) {
-      case CUE -> cue(entry);
-      case CORRECTION -> correction(entry);
-      case RETRACTION -> retraction(entry);
-      case AIR -> air(entry, at);
+      case CUE -> applyCue(entry);
+      case CORRECTION -> applyCorrection(entry);
+      case RETRACTION -> applyRetraction(entry);
+      case AIR -> applyAir(entry);
       default -> {}
     }
   }
 
-  private void cue(Entry entry) {
-    if (air != null && saw(entry, air) || isRetracted() && sawAll(entry, retractions)) {
+  private void applyCue(Entry entry) {
+    boolean sawAir = air != null && saw(entry, air);
+    if (sawAir || (isRetracted() && sawAll(entry, retractions))) {
       versions.clear();
       retractions.clear();
       flags.clear();
       air = null;
       airsAt = 0;
     }
-    text(entry);
+    addVersion(entry);
   }
 
-  private void correction(Entry entry) {
+  private void applyCorrection(Entry entry) {
     if (isRetracted() && sawAll(entry, retractions)) {
       flags.add(Flag.CORRECTED_RETRACTED);
       return;
@@ -133,10 +170,10 @@
     if (versions.isEmpty() && !isRetracted()) {
       flags.add(Flag.NO_CUE);
     }
-    text(entry);
+    addVersion(entry);
   }
 
-  private void text(Entry entry) {
+  private void addVersion(Entry entry) {
     versions.removeIf(version -> saw(entry, version.dot));
     if (isRetracted()) {
       flags.add(Flag.RETRACTED_UNSEEN);
@@ -146,12 +183,12 @@
       flags.add(Flag.CONCURRENT);
     }
     versions.add(new Version(entry.dot(), entry.gateway(), entry.text()));
-    if (versions.size() > VERSIONS_MOST) {
+    if (versions.size() > MAX_VERSIONS) {
       versions.remove(0);
     }
   }
 
-  private void retraction(Entry entry) {
+  private void applyRetraction(Entry entry) {
     if (versions.isEmpty() && !isRetracted()) {
       flags.add(Flag.NO_CUE);
     }
@@ -162,12 +199,12 @@
     flags.remove(Flag.CONCURRENT);
     retractions.removeIf(dot -> saw(entry, dot));
     retractions.add(entry.dot());
-    if (retractions.size() > VERSIONS_MOST) {
+    if (retractions.size() > MAX_VERSIONS) {
       retractions.remove(0);
     }
   }
 
-  private void air(Entry entry, long at) {
+  private void applyAir(Entry entry) {
     if (isRetracted()) {
       flags.add(Flag.AIR_OF_RETRACTED);
       return;
--- a/channels/src/main/java/tillerlink/channels/entry/HybridLogicalClock.java
+++ b/channels/src/main/java/tillerlink/channels/entry/HybridLogicalClock.java
@@ -6,83 +6,100 @@
 import tillerlink.messages.channels.Entry;
 
 /**
- * A hybrid logical clock: follows the wall clock, never goes back, and goes beyond whatever stamp
- * was seen. What the fleet believes the time to be is the median of the walls heard of late, the
- * own one with them; one clock that is off by minutes is so outvoted by two that are not.
+ * A hybrid logical clock: it follows the wall clock, never goes back, and is ahead of every stamp
+ * that was observed. The fleet's time is the median of the wall clocks heard recently, this
+ * machine's included, so that one clock that is off by minutes is outvoted by two that are not.
+ *
+ * <p>Times {@code now} and {@code wall} are tenths of a millisecond.
  */
 public final class HybridLogicalClock {
-  private static final long HEARD_FOR = 100_000;
-  private static final int GATEWAYS_MOST = 1024;
+  /** Wall clocks heard longer ago don't count. */
+  private static final long MAX_WALL_AGE = 100_000;
 
-  private record Heard(long at, long beyond) {}
+  private static final int MAX_GATEWAYS = 1024;
+  private static final int UNITS_PER_MILLI = 10;
 
-  private final long aheadMost;
-  private final TreeMap<String, Heard> walls = new TreeMap<>();
+  /** When a wall clock was heard, and by how many milliseconds it is ahead of {@code now}. */
+  private record Wall(long heardAt, long offsetMillis) {}
+
+  private final long maxAheadMillis;
+  private final TreeMap<String, Wall> walls = new TreeMap<>();
   private long last;
 
   /**
-   * @param aheadMost milliseconds that a stamp may be ahead of what the fleet believes the time to
-   *     be
+   * Makes a clock.
+   *
+   * @param maxAheadMillis milliseconds that a stamp may be ahead of the fleet's time
    */
-  public HybridLogicalClock(long aheadMost) {
-    this.aheadMost = aheadMost;
+  public HybridLogicalClock(long maxAheadMillis) {
+    this.maxAheadMillis = maxAheadMillis;
   }
 
   /**
-   * A gateway said what its wall clock shows, in milliseconds. Held by the clock that never jumps.
+   * Takes the wall clock of another gateway.
+   *
+   * @param wallMillis milliseconds since 1970
    */
-  public void heard(long now, String gateway, long theirs) {
-    if (walls.size() < GATEWAYS_MOST || walls.containsKey(gateway)) {
-      walls.put(gateway, new Heard(now, theirs - now / 10));
+  public void onWall(long now, String gateway, long wallMillis) {
+    if (walls.size() < MAX_GATEWAYS || walls.containsKey(gateway)) {
+      walls.put(gateway, new Wall(now, wallMillis - now / UNITS_PER_MILLI));
     }
   }
 
-  /** Milliseconds since 1970, as most of those heard of late have it. */
-  public long believed(long now, long wall) {
-    walls.values().removeIf(heard -> now - heard.at > HEARD_FOR);
-    List<Long> beyond = new ArrayList<>();
-    beyond.add(wall / 10 - now / 10);
-    walls.values().forEach(heard -> beyond.add(heard.beyond));
-    beyond.sort(null);
-    return now / 10 + beyond.get((beyond.size() - 1) / 2);
+  /** Returns the fleet's time, in milliseconds since 1970. */
+  public long fleetMillis(long now, long wall) {
+    walls.values().removeIf(other -> now - other.heardAt > MAX_WALL_AGE);
+    List<Long> offsets = new ArrayList<>();
+    offsets.add(wall / UNITS_PER_MILLI - now / UNITS_PER_MILLI);
+    walls.values().forEach(other -> offsets.add(other.offsetMillis));
+    offsets.sort(null);
+    return now / UNITS_PER_MILLI + offsets.get((offsets.size() - 1) / 2);
   }
 
-  /** Whether a stamp is further ahead than may be. */
+  /** Whether a stamp is further ahead of the fleet's time than allowed. */
   public boolean isTooFarAhead(long now, long wall, long stamp) {
-    return stamp >> Entry.COUNTER > believed(now, wall) + aheadMost;
+    return stamp >> Entry.COUNTER > fleetMillis(now, wall) + maxAheadMillis;
   }
 
   /**
-   * Milliseconds by which the next own stamp would be too far ahead; zero or less if it would not.
+   * Returns the milliseconds by which the next stamp would be too far ahead; zero or less if it
+   * would not.
    */
-  public long tooFarBy(long now, long wall) {
-    return Math.max(wall / 10, last >> Entry.COUNTER) - believed(now, wall) - aheadMost;
+  public long millisTooFarAhead(long now, long wall) {
+    return Math.max(wall / UNITS_PER_MILLI, last >> Entry.COUNTER)
+        - fleetMillis(now, wall)
+        - maxAheadMillis;
   }
 
-  /** A stamp beyond the wall and beyond all that were seen. */
+  /** Returns a stamp ahead of the wall clock and of all that were observed. */
   public long next(long wall) {
-    last = Math.max(last + 1, wall / 10 << Entry.COUNTER);
+    last = Math.max(last + 1, stampAt(wall));
     return last;
   }
 
-  /** From now on no own stamp is at or below this one. */
-  public void saw(long stamp) {
+  /** Takes a stamp of another gateway: no later stamp of this clock is at or below it. */
+  public void observe(long stamp) {
     last = Math.max(last, stamp);
   }
 
   /**
-   * The last stamp given or seen, brought up to the wall unless that is too far ahead; no later one
-   * is at or below it.
+   * Returns the last stamp given or observed, advanced to the wall clock unless that is too far
+   * ahead; no later stamp of this clock is at or below it.
    */
   public long floor(long now, long wall) {
-    long here = wall / 10 << Entry.COUNTER;
+    long here = stampAt(wall);
     if (!isTooFarAhead(now, wall, here)) {
       last = Math.max(last, here);
     }
     return last;
   }
 
+  /** Returns the last stamp given or observed. */
   public long last() {
     return last;
   }
+
+  private static long stampAt(long wall) {
+    return (wall / UNITS_PER_MILLI) << Entry.COUNTER;
+  }
 }
--- a/channels/src/main/java/tillerlink/channels/epoch/AcceptorState.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/AcceptorState.java
@@ -11,11 +11,26 @@
 import tillerlink.messages.channels.EntryCodec;
 
 /**
- * What a gateway has promised and accepted on the agreed line. All of it is kept before it is said.
- * A promise given never falls: not by a restart, and, as {@link RejoinCheck} ask the others first,
- * not by a lost disk or an old copy of it.
+ * What a gateway's acceptor has promised and accepted. It must be persisted before a response that
+ * rests on it is sent. A promise never falls: not by a restart and, as {@link RejoinCheck} asks the
+ * others first, not by a lost disk or an old copy of it.
  */
 public final class AcceptorState {
+  private static final int PROMISED_ROUND = 1;
+  private static final int PROMISED_PROPOSER = 2;
+  private static final int ACCEPTED_ROUND = 3;
+  private static final int ACCEPTED_PROPOSER = 4;
+  private static final int ACCEPTED_CUT = 5;
+  private static final int LIFE = 6;
+
+  /** Always written, so that the stored value is never empty. */
+  private static final int IS_STORED = 7;
+
+  private static final int LIFE_GATEWAY = 1;
+  private static final int LIFE_INCARNATION = 2;
+
+  private static final int MAX_NAME_BYTES = 255;
+
   private Ballot promised = Ballot.NONE;
   private Ballot acceptedIn = Ballot.NONE;
   private Cut accepted;
@@ -23,49 +38,65 @@
   private final TreeMap<String, Long> lives = new TreeMap<>();
 
   /**
-   * @param kept what was kept, null if nothing
+   * Recovers the state.
+   *
+   * @param stored what {@link #bytes} returned, null if nothing is stored
+   * @throws MalformedMessageException if it can't be read
    */
-  public AcceptorState(byte[] kept) throws MalformedMessageException {
-    if (kept != null) {
+  public AcceptorState(byte[] stored) throws MalformedMessageException {
+    if (stored != null) {
       knows = true;
-      read(new FieldReader(kept));
+      read(new FieldReader(stored));
     }
   }
 
+  // ---- state ----
+
+  /** Returns the highest ballot that it promised. */
   public Ballot promised() {
     return promised;
   }
 
+  /** Returns the ballot in which it accepted {@link #accepted}. */
   public Ballot acceptedIn() {
     return acceptedIn;
   }
 
+  /** Returns the last cut that it accepted, null if none. */
   public Cut accepted() {
     return accepted;
   }
 
-  /** False after a start with nothing kept, until the others have told. */
+  /** False after a start with nothing stored, until the others have answered. */
   public boolean knows() {
     return knows;
   }
 
-  public void knowsNow() {
+  /** The others have answered after a start with nothing stored. */
+  public void markRecovered() {
     knows = true;
   }
 
-  /** The newest incarnations known of the others that vote. */
+  /** Returns the newest incarnations that it knows of other gateways, by name; a live view. */
   public Map<String, Long> lives() {
     return lives;
   }
 
+  // ---- changes ----
+
   /**
-   * A process of a gateway started; promises of its earlier ones are not counted with what is
-   * promised from now on.
+   * A process of a gateway started; promises of its earlier ones are not counted together with what
+   * is promised from now on.
    */
   public void started(String gateway, long incarnation) {
     lives.merge(gateway, incarnation, Math::max);
   }
 
+  /**
+   * Promises a ballot, unless a higher one was promised.
+   *
+   * @return whether it is promised
+   */
   public boolean promise(Ballot ballot) {
     Invariant.holds(promised.compareTo(acceptedIn) >= 0, () -> "promised less than was accepted");
     if (ballot.compareTo(promised) < 0) {
@@ -83,7 +114,9 @@
   }
 
   /**
-   * @return false if another ballot was promised
+   * Accepts a cut in a ballot, unless a higher ballot was promised.
+   *
+   * @return whether it is accepted
    */
   public boolean accept(Ballot ballot, Cut cut) {
     if (ballot.compareTo(promised) < 0) {
@@ -101,61 +134,73 @@
     return true;
   }
 
-  /** What others know of what this gateway may have agreed to and forgotten. */
-  public void recall(Ballot theirs, Ballot in, Cut cut) {
-    if (theirs.compareTo(promised) > 0) {
-      raise(theirs);
+  /** Takes over what another gateway promised and accepted, if that is higher. */
+  public void merge(Ballot otherPromised, Ballot otherAcceptedIn, Cut otherAccepted) {
+    if (otherPromised.compareTo(promised) > 0) {
+      raise(otherPromised);
     }
-    if (cut != null
-        && (accepted == null
-            || cut.slot() > accepted.slot()
-            || cut.slot() == accepted.slot() && in.compareTo(acceptedIn) > 0)) {
-      acceptedIn = in;
-      accepted = cut;
+    if (otherAccepted != null && isLater(otherAccepted, otherAcceptedIn)) {
+      acceptedIn = otherAcceptedIn;
+      accepted = otherAccepted;
     }
   }
 
+  private boolean isLater(Cut cut, Ballot ballot) {
+    return accepted == null
+        || cut.slot() > accepted.slot()
+        || (cut.slot() == accepted.slot() && ballot.compareTo(acceptedIn) > 0);
+  }
+
+  // ---- as bytes ----
+
+  /** Writes the state for storage. */
   public byte[] bytes() {
     FieldWriter out =
         new FieldWriter()
-            .number(1, promised.round())
-            .text(2, promised.proposer())
-            .number(3, acceptedIn.round())
-            .text(4, acceptedIn.proposer());
+            .number(PROMISED_ROUND, promised.round())
+            .text(PROMISED_PROPOSER, promised.proposer())
+            .number(ACCEPTED_ROUND, acceptedIn.round())
+            .text(ACCEPTED_PROPOSER, acceptedIn.proposer());
     if (accepted != null) {
-      out.within(5, EntryCodec.cut(accepted));
+      out.within(ACCEPTED_CUT, EntryCodec.cut(accepted));
     }
     lives.forEach(
         (gateway, incarnation) ->
-            out.within(6, new FieldWriter().text(1, gateway).fixed(2, incarnation)));
-    return out.number(7, 1).done();
+            out.within(
+                LIFE,
+                new FieldWriter()
+                    .text(LIFE_GATEWAY, gateway)
+                    .fixed(LIFE_INCARNATION, incarnation)));
+    return out.number(IS_STORED, 1).done();
   }
 
   private void read(FieldReader in) throws MalformedMessageException {
-    long[] rounds = new long[2];
-    String[] by = {"", ""};
+    long promisedRound = 0;
+    String promisedProposer = "";
+    long acceptedRound = 0;
+    String acceptedProposer = "";
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> rounds[0] = in.number();
-        case 2 -> by[0] = in.text(255);
-        case 3 -> rounds[1] = in.number();
-        case 4 -> by[1] = in.text(255);
-        case 5 -> accepted = EntryCodec.cut(in.within());
-        case 6 -> life(in.within());
+        case PROMISED_ROUND -> promisedRound = in.number();
+        case PROMISED_PROPOSER -> promisedProposer = in.text(MAX_NAME_BYTES);
+        case ACCEPTED_ROUND -> acceptedRound = in.number();
+        case ACCEPTED_PROPOSER -> acceptedProposer = in.text(MAX_NAME_BYTES);
+        case ACCEPTED_CUT -> accepted = EntryCodec.cut(in.within());
+        case LIFE -> readLife(in.within());
         default -> {}
       }
     }
-    promised = new Ballot(rounds[0], by[0]);
-    acceptedIn = new Ballot(rounds[1], by[1]);
+    promised = new Ballot(promisedRound, promisedProposer);
+    acceptedIn = new Ballot(acceptedRound, acceptedProposer);
   }
 
-  private void life(FieldReader in) throws MalformedMessageException {
+  private void readLife(FieldReader in) throws MalformedMessageException {
     String gateway = "";
     long incarnation = 0;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> gateway = in.text(255);
-        case 2 -> incarnation = in.fixed();
+        case LIFE_GATEWAY -> gateway = in.text(MAX_NAME_BYTES);
+        case LIFE_INCARNATION -> incarnation = in.fixed();
         default -> {}
       }
     }
--- a/channels/src/main/java/tillerlink/channels/epoch/Proposer.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/Proposer.java
@@ -11,29 +11,38 @@
 import tillerlink.messages.channels.Cut;
 
 /**
- * One gateway's tries to have the next step agreed on: a ballot that a majority of the voters
- * promises, then a step that a majority accepts in it. Of what a majority promised the step that
- * was accepted in the highest ballot must be taken. A ballot once promised goes on for further
- * steps while the voters stay the same.
+ * The state of one gateway's proposals for the next slot: a ballot that a majority of the voters
+ * promises, then a cut that a majority accepts in it. If acceptors that promised have accepted a
+ * cut for the slot before, the one of the highest ballot must be proposed. A promised ballot serves
+ * for further slots while the voters stay the same. It sends nothing itself; times are tenths of a
+ * millisecond.
  */
 public final class Proposer {
-  /** Asked again after so long. */
-  private static final long AGAIN = 3000;
+  /** Between two requests to acceptors that have not responded. */
+  private static final long RETRY_INTERVAL = 3000;
 
-  /** Given up after so long. */
-  private static final long GIVE_UP = 20_000;
+  /** A proposal that takes longer is abandoned. */
+  private static final long PROPOSAL_TIMEOUT = 20_000;
 
-  /** What a proposer is to do next. */
+  /** After an abandoned proposal nothing is proposed for this long, and a random part of more. */
+  private static final long MIN_BACKOFF = 3000;
+
+  private static final int BACKOFF_JITTER = 10_000;
+
+  /** The phase of the proposal. */
   public enum Stage {
+    /** Nothing is proposed. */
     IDLE,
+    /** Phase 1: promises are collected. */
     PREPARING,
+    /** Phase 2: acceptances are collected. */
     ACCEPTING
   }
 
   private final String name;
   private final RandomGenerator random;
   private final TreeMap<String, Promise> promises = new TreeMap<>();
-  private final TreeMap<String, Long> acks = new TreeMap<>();
+  private final TreeMap<String, Long> acceptances = new TreeMap<>();
   private Stage stage = Stage.IDLE;
   private Ballot ballot = Ballot.NONE;
   private List<String> promisedBy = List.of();
@@ -43,85 +52,69 @@
   private Cut cut;
   private long startedAt;
   private long sentAt;
-  private long restUntil;
+  private long backoffUntil;
 
   /**
-   * The incarnation is part of each ballot, so that one started anew with a lost disk never uses
-   * one a second time.
+   * Makes the proposer of a process. The incarnation is part of each ballot, so that no ballot is
+   * used twice, not even after a restart with a lost disk.
    */
   public Proposer(String self, long incarnation, RandomGenerator random) {
     name = self + "/" + Long.toHexString(incarnation);
     this.random = random;
   }
 
+  /** Returns the gateway that uses a ballot; empty for {@link Ballot#NONE}. */
+  public static String gateway(Ballot ballot) {
+    int end = ballot.proposer().lastIndexOf('/');
+    return end < 0 ? "" : ballot.proposer().substring(0, end);
+  }
+
+  // ---- state ----
+
+  /** Returns the phase of the proposal. */
   public Stage stage() {
     return stage;
   }
 
+  /** Returns the latest ballot. */
   public Ballot ballot() {
     return ballot;
   }
 
+  /** Returns the slot of the latest proposal. */
   public long slot() {
     return slot;
   }
 
-  /** The step that is to be accepted. */
+  /** Returns the cut that is to be accepted. */
   public Cut cut() {
     return cut;
   }
 
-  /** It tries nothing before. */
-  public long restUntil() {
-    return restUntil;
+  /** Returns the time before which nothing is to be proposed. */
+  public long backoffUntil() {
+    return backoffUntil;
   }
 
   /**
-   * Whether a majority of these voters has promised this gateway's ballot, and it was not outbid.
+   * Whether a majority of these voters has promised this gateway's ballot, and no higher one was
+   * seen.
    */
   public boolean leads(List<String> voters) {
     return isPromised && promisedBy.equals(voters);
   }
 
-  /** Another ballot was seen. */
-  public void saw(long now, Ballot other) {
-    highestRound = Math.max(highestRound, other.round());
-    if (other.compareTo(ballot) > 0 && !other.proposer().equals(name)) {
-      isPromised = false;
-      if (stage != Stage.IDLE) {
-        rest(now);
-      }
-    }
-  }
-
-  /** The gateway whose ballot it is. */
-  public static String gateway(Ballot ballot) {
-    int end = ballot.proposer().lastIndexOf('/');
-    return end < 0 ? "" : ballot.proposer().substring(0, end);
-  }
-
-  /**
-   * Another step must never be tried in a ballot in which one was, so the ballot is given up with
-   * the try.
-   */
-  private void rest(long now) {
-    stop();
-    restUntil = now + 3000 + random.nextInt(10_000);
-  }
-
-  /** Nothing that was begun goes on, as after this process was away. */
-  public void stop() {
-    isPromised &= stage == Stage.IDLE;
-    stage = Stage.IDLE;
+  /** Whether a voter has responded in the current phase. */
+  public boolean hasAnswered(String voter) {
+    return stage == Stage.PREPARING ? promises.containsKey(voter) : acceptances.containsKey(voter);
   }
 
-  /** The step is known. */
-  public void done() {
-    stage = Stage.IDLE;
-  }
+  // ---- proposals ----
 
   /**
-   * @param promised what this gateway itself promised last
+   * Starts phase 1 with a new ballot.
+   *
+   * @param promised the highest ballot that this gateway's own acceptor promised
    */
   public void prepare(long now, long forSlot, Ballot promised) {
     highestRound = Math.max(highestRound, promised.round());
@@ -133,79 +126,118 @@
     begin(now, Stage.PREPARING);
   }
 
-  private void begin(long now, Stage what) {
-    stage = what;
+  /** Starts phase 2 with a cut. */
+  public void accept(long now, Cut proposed) {
+    cut = proposed;
+    slot = proposed.slot();
+    acceptances.clear();
+    begin(now, Stage.ACCEPTING);
+  }
+
+  private void begin(long now, Stage phase) {
+    stage = phase;
     startedAt = now;
-    sentAt = now - AGAIN;
+    sentAt = now - RETRY_INTERVAL;
   }
 
-  public void accept(long now, Cut what) {
-    cut = what;
-    slot = what.slot();
-    acks.clear();
-    begin(now, Stage.ACCEPTING);
+  /** Abandons the proposal; its ballot is not used again. */
+  public void stop() {
+    isPromised &= stage == Stage.IDLE;
+    stage = Stage.IDLE;
   }
 
-  /** Whether to send (again) to those that have not answered; gives up after a while. */
-  public boolean isSendDue(long now) {
-    if (stage != Stage.IDLE && now - startedAt > GIVE_UP) {
-      rest(now);
+  /** Ends the proposal, as its slot is decided or nothing is to be proposed. */
+  public void finish() {
+    stage = Stage.IDLE;
+  }
+
+  /**
+   * Abandons the proposal for a while. A second cut must never be proposed in a ballot in which one
+   * was, so the ballot is abandoned too.
+   */
+  private void backOff(long now) {
+    stop();
+    backoffUntil = now + MIN_BACKOFF + random.nextInt(BACKOFF_JITTER);
+  }
+
+  /**
+   * Whether to send the request (again) to those that have not responded; it then counts as sent.
+   * Abandons a proposal that takes too long.
+   */
+  public boolean beginSendIfDue(long now) {
+    if (stage != Stage.IDLE && now - startedAt > PROPOSAL_TIMEOUT) {
+      backOff(now);
     }
-    if (stage == Stage.IDLE || now - sentAt < AGAIN) {
+    if (stage == Stage.IDLE || now - sentAt < RETRY_INTERVAL) {
       return false;
     }
     sentAt = now;
     return true;
   }
 
+  /** Returns when the request is to be sent again. */
   public long dueAt() {
-    return stage == Stage.IDLE ? Long.MAX_VALUE : sentAt + AGAIN;
+    return stage == Stage.IDLE ? Long.MAX_VALUE : sentAt + RETRY_INTERVAL;
   }
 
-  public boolean hasAnswered(String voter) {
-    return stage == Stage.PREPARING ? promises.containsKey(voter) : acks.containsKey(voter);
+  // ---- what acceptors and other proposers sent ----
+
+  /** Another ballot was seen; a higher one of another proposer ends this one's lead. */
+  public void onBallot(long now, Ballot other) {
+    highestRound = Math.max(highestRound, other.round());
+    if (other.compareTo(ballot) > 0 && !other.proposer().equals(name)) {
+      isPromised = false;
+      if (stage != Stage.IDLE) {
+        backOff(now);
+      }
+    }
   }
 
-  public void promised(long now, String from, Promise promise) {
+  /** Takes an acceptor's response to phase 1. */
+  public void onPromise(long now, String from, Promise promise) {
     if (stage == Stage.PREPARING && promise.ballot().equals(ballot) && promise.slot() == slot) {
       if (promise.promised().equals(ballot)) {
         promises.put(from, promise);
       } else {
-        saw(now, promise.promised());
+        onBallot(now, promise.promised());
       }
     }
   }
 
-  public void accepted(long now, String from, Accepted accepted) {
+  /** Takes an acceptor's response to phase 2. */
+  public void onAccepted(long now, String from, Accepted accepted) {
     if (stage == Stage.ACCEPTING && accepted.ballot().equals(ballot) && accepted.slot() == slot) {
       if (accepted.promised().equals(ballot)) {
-        acks.put(from, accepted.incarnation());
+        acceptances.put(from, accepted.incarnation());
       } else {
-        saw(now, accepted.promised());
+        onBallot(now, accepted.promised());
       }
     }
   }
 
   /**
-   * One said which processes it knows to have started: answers of earlier ones of the same gateway
-   * do not count.
+   * Takes what a gateway knows of started processes: responses of earlier processes of the same
+   * gateways do not count.
    */
-  public void lives(List<Life> lives) {
+  public void onLives(List<Life> lives) {
     for (Life life : lives) {
       Promise promise = promises.get(life.gateway());
       if (promise != null && promise.incarnation() < life.incarnation()) {
         promises.remove(life.gateway());
         isPromised = false;
       }
-      acks.computeIfPresent(life.gateway(), (any, was) -> was < life.incarnation() ? null : was);
+      acceptances.computeIfPresent(
+          life.gateway(), (any, accepted) -> accepted < life.incarnation() ? null : accepted);
     }
   }
 
-  private static boolean isMajority(Map<String, ?> of, List<String> voters) {
-    return voters.stream().filter(of::containsKey).count() > voters.size() / 2;
+  // ---- majorities ----
+
+  private static boolean isMajority(Map<String, ?> responses, List<String> voters) {
+    return voters.stream().filter(responses::containsKey).count() > voters.size() / 2;
   }
 
-  /** The ballot is promised by a majority. */
+  /** Whether phase 2 may start: a majority of these voters promised the ballot. */
   public boolean mayAccept(List<String> voters) {
     if (stage != Stage.PREPARING || !isMajority(promises, voters)) {
       return false;
@@ -215,8 +247,8 @@
     return true;
   }
 
-  /** The step that must be taken, null if any may be. */
-  public Cut bound(List<String> voters) {
+  /** Returns the cut that must be proposed in phase 2; null if any may be. */
+  public Cut boundCut(List<String> voters) {
     Promise highest = null;
     for (String voter : voters) {
       Promise promise = promises.get(voter);
@@ -230,7 +262,8 @@
     return highest == null ? null : highest.accepted();
   }
 
-  public boolean isAgreed(List<String> voters) {
-    return stage == Stage.ACCEPTING && isMajority(acks, voters);
+  /** Whether the cut is decided: a majority of these voters accepted it. */
+  public boolean isDecided(List<String> voters) {
+    return stage == Stage.ACCEPTING && isMajority(acceptances, voters);
   }
 }
--- a/channels/src/main/java/tillerlink/channels/epoch/RejoinCheck.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/RejoinCheck.java
@@ -1,14 +1,18 @@
 package tillerlink.channels.epoch;
 
+import java.util.Collection;
+import java.util.Collections;
 import java.util.List;
+import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import tillerlink.messages.channels.ChannelsMessage.Answer;
 
 /**
- * Whether a process that has just started may vote: it asks the others first what it may have
- * agreed to, as its disk may be lost, or an old copy, and can't tell so itself. Of any majority it
- * was ever part of there is one among those that answered: more than half of the others do.
+ * Decides when a process that has just started may vote. Its disk may be lost, or an old copy, and
+ * it can't tell so itself; so the others are asked first what it may have promised and accepted.
+ * More than half of the others must answer: then at least one of any majority that the gateway was
+ * ever part of is among them.
  */
 public final class RejoinCheck {
   private final String self;
@@ -17,25 +21,28 @@
   private boolean done;
 
   /**
-   * @param counted those that the operator counts in: who is not among them any more is not waited
-   *     for
+   * Starts the check for one process.
+   *
+   * @param counted the gateways that the operator counts; others are not waited for
    */
   public RejoinCheck(String self, List<String> counted) {
     this.self = self;
     this.counted = counted;
   }
 
-  public void answered(String from, Answer answer) {
+  /** Takes the answer of another gateway. */
+  public void onAnswer(String from, Answer answer) {
     answers.put(from, answer);
   }
 
+  /** Whether enough have answered. */
   public boolean isDone() {
     return done;
   }
 
-  /** Those whose answers are looked for. */
-  public TreeSet<String> others(List<String> voters) {
-    TreeSet<String> others = new TreeSet<>(voters);
+  /** Returns those whose answers are waited for. */
+  public Set<String> others(List<String> voters) {
+    Set<String> others = new TreeSet<>(voters);
     if (others.stream().anyMatch(other -> !other.equals(self) && counted.contains(other))) {
       others.retainAll(counted);
     }
@@ -44,35 +51,28 @@
   }
 
   /**
-   * @param applied up to where this process holds everything; while anyone told of more, it is not
-   *     enough: a voter that counted as recovered before would leave what was on its disk on too
-   *     few others
+   * Checks whether enough have answered.
+   *
+   * @param applied the slot up to which this process holds everything; while an answer has a later
+   *     one, the check is not done: a voter that counted as recovered before would leave what was
+   *     on its disk on too few others
    * @return true the first time that enough have answered
    */
-  public boolean enough(List<String> voters, long applied) {
+  public boolean completes(List<String> voters, long applied) {
     if (done) {
       return false;
     }
-    int know = 0;
-    int answered = 0;
-    int nothing = 0;
-    TreeSet<String> others = others(voters);
-    boolean behind = false;
-    for (String other : others) {
-      Answer answer = answers.get(other);
-      if (answer != null) {
-        answered++;
-        behind |= answer.decided() > applied;
-        know += answer.knows() ? 1 : 0;
-        nothing += answer.knows() ? 0 : 1;
-      }
-    }
-    boolean founding = answered == others.size() && (nothing == answered || applied == 0);
-    done = !behind && (know > others.size() / 2 || others.isEmpty() || founding);
+    Set<String> others = others(voters);
+    List<Answer> given = others.stream().filter(answers::containsKey).map(answers::get).toList();
+    boolean behind = given.stream().anyMatch(answer -> answer.decided() > applied);
+    long knowing = given.stream().filter(Answer::knows).count();
+    boolean founding = given.size() == others.size() && (knowing == 0 || applied == 0);
+    done = !behind && (knowing > others.size() / 2 || others.isEmpty() || founding);
     return done;
   }
 
-  public Iterable<Answer> answers() {
-    return answers.values();
+  /** Returns all answers, in the order of the gateways' names. */
+  public Collection<Answer> answers() {
+    return Collections.unmodifiableCollection(answers.values());
   }
 }
--- a/channels/src/main/java/tillerlink/channels/epoch/Standings.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/Standings.java
@@ -6,27 +6,35 @@
 import tillerlink.messages.channels.ChannelsMessage.Standing;
 
 /**
- * What is known of each gateway's own writing: up to which stamp it appends nothing any more, and
- * how much it wrote. News comes straight or through others. A gateway whose floor does not rise
- * counts as not heard, be it paused, cut off or unable to keep anything.
+ * How far each gateway's own writing is: the stamp up to which it appends nothing any more, and the
+ * number of its last event. It is learnt from the gateway itself or through others. A gateway whose
+ * floor does not rise counts as silent, be it paused, partitioned or unable to store anything.
+ * Times are tenths of a millisecond.
  */
 public final class Standings {
-  private static final int GATEWAYS_MOST = 1024;
+  private static final int MAX_GATEWAYS = 1024;
+  private static final long NOT_STARTED = Long.MIN_VALUE;
 
-  /** One gateway's, and when it last rose. */
+  /**
+   * One gateway's standing.
+   *
+   * @param standing the latest
+   * @param at when it last rose
+   */
   public record Heard(Standing standing, long at) {}
 
   private final TreeMap<String, Heard> heard = new TreeMap<>();
-  private long startedAt = Long.MIN_VALUE;
+  private long startedAt = NOT_STARTED;
 
-  /** Who was never heard counts as heard when this process started. */
+  /** Starts the time from which gateways that were never heard count as silent. */
   public void start(long now) {
-    startedAt = startedAt == Long.MIN_VALUE ? now : startedAt;
+    startedAt = startedAt == NOT_STARTED ? now : startedAt;
   }
 
-  public void take(long now, Standing standing) {
+  /** Takes a standing if it is newer than the one that is known. */
+  public void update(long now, Standing standing) {
     Heard before = heard.get(standing.gateway());
-    if (before == null ? heard.size() < GATEWAYS_MOST : isNewer(standing, before.standing)) {
+    if (before == null ? heard.size() < MAX_GATEWAYS : isNewer(standing, before.standing)) {
       heard.put(standing.gateway(), new Heard(standing, now));
     }
   }
@@ -37,23 +45,21 @@
         : one.floor() > other.floor() || one.top() > other.top();
   }
 
+  /** Returns the latest standing of a gateway; null if it was never heard. */
   public Heard of(String gateway) {
     return heard.get(gateway);
   }
 
-  public TreeMap<String, Heard> all() {
-    return heard;
-  }
-
+  /** Whether a gateway's standing rose within a time before now. */
   public boolean isHeard(String gateway, long now, long within) {
-    Heard of = heard.get(gateway);
-    return now - (of == null ? startedAt : of.at) <= within;
+    Heard latest = heard.get(gateway);
+    return now - (latest == null ? startedAt : latest.at) <= within;
   }
 
-  /** Those heard last, so many at the most. */
-  public List<Standing> freshest(int most) {
+  /** Returns the standings that rose last, at most {@code max}. */
+  public List<Standing> latest(int max) {
     List<Heard> all = new ArrayList<>(heard.values());
     all.sort((one, other) -> Long.compare(other.at, one.at));
-    return all.stream().limit(most).map(Heard::standing).toList();
+    return all.stream().limit(max).map(Heard::standing).toList();
   }
 }
--- a/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
+++ b/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
@@ -1,11 +1,13 @@
 package tillerlink.channels.journal;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.SortedSet;
 import java.util.TreeSet;
 import tillerlink.channels.cue.Cue;
 import tillerlink.channels.cue.CueProjection;
@@ -14,76 +16,88 @@
 import tillerlink.messages.channels.Entry;
 
 /**
- * One channel: what was compacted as a sum, the stable events after it, and the provisional tail.
+ * The log of one channel: the projection of what is compacted, the stable events after it, and the
+ * provisional tail.
  */
 public final class ChannelLog {
   private final String name;
   private final ArrayList<OrderedEvent> stable = new ArrayList<>();
   private final TreeSet<Entry> tail = new TreeSet<>(Entry.ORDER);
-  private final Map<String, TreeSet<Entry>> tailOf = new HashMap<>();
-  private final Map<String, Entry> tailKeys = new HashMap<>();
+  private final Map<String, TreeSet<Entry>> tailByCue = new HashMap<>();
+  private final Map<String, Entry> tailByKey = new HashMap<>();
   private final CueProjection base;
-  private final CueProjection book;
-  private long bytes;
+  private final CueProjection projection;
   private long tailBytes;
 
-  ChannelLog(String name, CueProjection base, CueProjection book) {
+  /**
+   * Makes a log without events beyond the compacted ones.
+   *
+   * @param base the projection of the compacted events
+   * @param projection another copy of it, to which all stable events are applied
+   */
+  ChannelLog(String name, CueProjection base, CueProjection projection) {
     this.name = name;
     this.base = base;
-    this.book = book;
+    this.projection = projection;
   }
 
+  // ---- changes ----
+
+  /** Adds a provisional event. */
   void put(Entry entry) {
     tail.add(entry);
     if (!entry.cue().isEmpty()) {
-      tailOf.computeIfAbsent(entry.cue(), any -> new TreeSet<>(Entry.ORDER)).add(entry);
+      tailByCue.computeIfAbsent(entry.cue(), any -> new TreeSet<>(Entry.ORDER)).add(entry);
     }
     if (!entry.key().isEmpty()) {
-      tailKeys.merge(
+      tailByKey.merge(
           entry.key(), entry, (one, other) -> Entry.ORDER.compare(one, other) <= 0 ? one : other);
     }
-    bytes += entry.weight();
     tailBytes += entry.weight();
   }
 
-  private void takeFromTail(Entry entry) {
+  private void removeFromTail(Entry entry) {
     tail.remove(entry);
     tailBytes -= entry.weight();
-    TreeSet<Entry> of = tailOf.get(entry.cue());
-    if (of != null && of.remove(entry) && of.isEmpty()) {
-      tailOf.remove(entry.cue());
+    TreeSet<Entry> ofCue = tailByCue.get(entry.cue());
+    if (ofCue != null && ofCue.remove(entry) && ofCue.isEmpty()) {
+      tailByCue.remove(entry.cue());
     }
-    // Another one in the tail with this key is a repeat of this one from now on, which the book
-    // knows.
-    tailKeys.remove(entry.key(), entry);
+    // Another provisional event with this key is a repeat of this one from now on; the projection
+    // knows that.
+    tailByKey.remove(entry.key(), entry);
   }
 
-  /** Puts an event in its final place, behind all that are there. */
+  /**
+   * Makes a provisional event stable, after all that are.
+   *
+   * @param slot the slot whose cut it is in
+   * @param upToBefore the upper bound of the cut before
+   */
   void place(Entry entry, long slot, long upToBefore) {
-    takeFromTail(entry);
+    removeFromTail(entry);
     boolean late = entry.stamp() <= upToBefore;
     long at = late ? upToBefore >> Entry.COUNTER : entry.millis();
     OrderedEvent last = stable.isEmpty() ? null : stable.get(stable.size() - 1);
     Invariant.holds(
         last == null || last.slot() < slot || Entry.ORDER.compare(last.entry(), entry) < 0,
         () -> "the stable prefix of " + name + " is not in order at " + entry.dot().text());
-    boolean repeat = book.take(entry, at);
+    boolean repeat = projection.take(entry, at);
     stable.add(new OrderedEvent(entry, slot, at, late, repeat));
     Invariant.holds(
-        book.count() == base.count() + stable.size(),
+        projection.count() == base.count() + stable.size(),
         () -> "the sum of " + name + " counts otherwise");
   }
 
-  /** Puts the first stable events into the sum. */
+  /** Compacts the first stable events. */
   void compact(int count) {
-    for (OrderedEvent placed : stable.subList(0, count)) {
-      base.take(placed.entry(), placed.at());
-      bytes -= placed.entry().weight();
+    for (OrderedEvent event : stable.subList(0, count)) {
+      base.take(event.entry(), event.at());
     }
     stable.subList(0, count).clear();
   }
 
-  /** How many of the stable events belong to steps up to that one. */
+  /** Returns how many of the stable events are in cuts up to a slot. */
   int upTo(long slot) {
     int count = 0;
     while (count < stable.size() && stable.get(count).slot() <= slot) {
@@ -92,32 +106,34 @@
     return count;
   }
 
+  // ---- reading ----
+
+  /** Returns the name of the channel. */
   public String name() {
     return name;
   }
 
-  /** The number of the first event that can still be read, from 0. */
+  /** Returns the number of the first event that is not compacted, from 0. */
   public long first() {
     return base.count();
   }
 
-  /** How many events are stable, the compacted ones too. */
+  /** Returns the number of stable events, compacted ones included. */
   public long stableCount() {
-    return book.count();
+    return projection.count();
   }
 
+  /** Returns a stable event that is not compacted, by its number. */
   public OrderedEvent stable(long index) {
     return stable.get((int) (index - base.count()));
   }
 
-  public TreeSet<Entry> tail() {
-    return tail;
-  }
-
-  public long bytes() {
-    return bytes;
+  /** Returns the provisional events, in the order of their stamps; a live view. */
+  public SortedSet<Entry> tail() {
+    return Collections.unmodifiableSortedSet(tail);
   }
 
+  /** Returns about the bytes that the provisional events take in memory. */
   public long tailBytes() {
     return tailBytes;
   }
@@ -126,40 +142,46 @@
     return base;
   }
 
-  /** The event that stands for a key, the provisional ones counted; null if none. */
+  /** Returns the event that a key stands for, a provisional one too; null if none. */
   public Dot key(String key) {
-    Dot dot = book.key(key);
-    Entry entry = dot == null ? tailKeys.get(key) : null;
+    Dot dot = projection.key(key);
+    Entry entry = dot == null ? tailByKey.get(key) : null;
     return entry == null ? dot : entry.dot();
   }
 
-  /** Whether a provisional event is the repeat of another, as things stand. */
+  /** Whether a provisional event repeats another, in the order of now. */
   public boolean isRepeat(Entry entry) {
     Dot first = entry.key().isEmpty() ? null : key(entry.key());
     return first != null && !first.same(entry.dot());
   }
 
-  /** A cue as it stands, the provisional events counted. */
+  /**
+   * Returns a cue with the provisional events applied.
+   *
+   * @param upTo the upper bound of the last applied cut
+   */
   public Cue cue(String cue, long upTo) {
-    Cue copy = book.copyOf(cue);
-    for (Entry entry : tailOf.getOrDefault(cue, new TreeSet<>(Entry.ORDER))) {
+    Cue copy = projection.copyOf(cue);
+    for (Entry entry : tailByCue.getOrDefault(cue, new TreeSet<>(Entry.ORDER))) {
       if (!isRepeat(entry)) {
-        CueProjection.take(
-            copy,
-            entry,
-            Math.max(entry.stamp(), entry.stamp() <= upTo ? upTo : 0) >> Entry.COUNTER);
+        long counted = Math.max(entry.stamp(), entry.stamp() <= upTo ? upTo : 0);
+        CueProjection.take(copy, entry, counted >> Entry.COUNTER);
       }
     }
     return copy;
   }
 
-  /** All cues as they stand, the provisional events counted. */
+  /**
+   * Returns all cues with the provisional events applied.
+   *
+   * @param upTo the upper bound of the last applied cut
+   */
   public List<Cue> cues(long upTo) {
     Set<String> done = new HashSet<>();
     List<Cue> all = new ArrayList<>();
-    for (Cue cue : book.cues()) {
+    for (Cue cue : projection.cues()) {
       done.add(cue.name());
-      all.add(tailOf.containsKey(cue.name()) ? cue(cue.name(), upTo) : cue);
+      all.add(tailByCue.containsKey(cue.name()) ? cue(cue.name(), upTo) : cue);
     }
     for (Entry entry : tail) {
       if (!entry.cue().isEmpty() && done.add(entry.cue())) {
--- a/channels/src/main/java/tillerlink/channels/journal/CompactedState.java
+++ b/channels/src/main/java/tillerlink/channels/journal/CompactedState.java
@@ -11,8 +11,15 @@
 import tillerlink.messages.channels.Span;
 
 /**
- * All that was compacted, up to a step: what a gateway far behind starts from, and what is kept in
- * place of events.
+ * All that was compacted up to a slot: it is stored in place of the events, and a gateway that is
+ * far behind starts from it.
+ *
+ * @param slot the last slot that is compacted
+ * @param upTo the upper bound of that slot's cut, a stamp of the hybrid logical clock
+ * @param digest over all events up to that slot
+ * @param voters the gateways that decide on the next slot
+ * @param spans the events that are compacted
+ * @param books by channel: the projection of its compacted events
  */
 public record CompactedState(
     long slot,
@@ -21,22 +28,49 @@
     List<String> voters,
     List<Span> spans,
     Map<String, CueProjection> books) {
+  private static final int SLOT = 1;
+  private static final int UP_TO = 2;
+  private static final int DIGEST = 3;
+  private static final int VOTER = 4;
+  private static final int SPAN = 5;
+  private static final int BOOK = 6;
+
+  private static final int SPAN_INCARNATION = 1;
+  private static final int SPAN_FROM = 2;
+  private static final int SPAN_TO = 3;
+
+  private static final int BOOK_CHANNEL = 1;
+  private static final int BOOK_PROJECTION = 2;
+
+  private static final int MAX_NAME_BYTES = 255;
+
+  /** Writes the state, for storage and for other gateways. */
   public byte[] bytes() {
-    FieldWriter out = new FieldWriter().number(1, slot).fixed(2, upTo).fixed(3, digest);
-    voters.forEach(voter -> out.text(4, voter));
-    spans.forEach(
-        span ->
+    FieldWriter out = new FieldWriter().number(SLOT, slot).fixed(UP_TO, upTo).fixed(DIGEST, digest);
+    voters.forEach(voter -> out.text(VOTER, voter));
+    spans.forEach(span -> out.within(SPAN, writeSpan(span)));
+    books.forEach(
+        (channel, projection) ->
             out.within(
-                5,
+                BOOK,
                 new FieldWriter()
-                    .fixed(1, span.incarnation())
-                    .number(2, span.from())
-                    .number(3, span.to())));
-    books.forEach(
-        (name, book) -> out.within(6, new FieldWriter().text(1, name).within(2, book.written())));
+                    .text(BOOK_CHANNEL, channel)
+                    .within(BOOK_PROJECTION, projection.written())));
     return out.done();
   }
 
+  private static FieldWriter writeSpan(Span span) {
+    return new FieldWriter()
+        .fixed(SPAN_INCARNATION, span.incarnation())
+        .number(SPAN_FROM, span.from())
+        .number(SPAN_TO, span.to());
+  }
+
+  /**
+   * Reads a state.
+   *
+   * @throws MalformedMessageException if the bytes are no such state
+   */
   public static CompactedState read(byte[] bytes) throws MalformedMessageException {
     FieldReader in = new FieldReader(bytes);
     long slot = 0;
@@ -47,12 +81,12 @@
     Map<String, CueProjection> books = new TreeMap<>();
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> slot = in.number();
-        case 2 -> upTo = in.fixed();
-        case 3 -> digest = in.fixed();
-        case 4 -> voters.add(in.text(255));
-        case 5 -> spans.add(span(in.within()));
-        case 6 -> book(in.within(), books);
+        case SLOT -> slot = in.number();
+        case UP_TO -> upTo = in.fixed();
+        case DIGEST -> digest = in.fixed();
+        case VOTER -> voters.add(in.text(MAX_NAME_BYTES));
+        case SPAN -> spans.add(readSpan(in.within()));
+        case BOOK -> readBook(in.within(), books);
         default -> {}
       }
     }
@@ -62,29 +96,32 @@
     return new CompactedState(slot, upTo, digest, List.copyOf(voters), spans, books);
   }
 
-  private static Span span(FieldReader in) throws MalformedMessageException {
-    long[] of = new long[3];
+  private static Span readSpan(FieldReader in) throws MalformedMessageException {
+    long incarnation = 0;
+    long from = 0;
+    long to = 0;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> of[0] = in.fixed();
-        case 2, 3 -> of[in.field() - 1] = in.number();
+        case SPAN_INCARNATION -> incarnation = in.fixed();
+        case SPAN_FROM -> from = in.number();
+        case SPAN_TO -> to = in.number();
         default -> {}
       }
     }
-    return new Span(of[0], of[1], of[2]);
+    return new Span(incarnation, from, to);
   }
 
-  private static void book(FieldReader in, Map<String, CueProjection> to)
+  private static void readBook(FieldReader in, Map<String, CueProjection> books)
       throws MalformedMessageException {
-    String name = "";
-    CueProjection book = new CueProjection();
+    String channel = "";
+    CueProjection projection = new CueProjection();
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> name = in.text(255);
-        case 2 -> book = CueProjection.read(in.within());
+        case BOOK_CHANNEL -> channel = in.text(MAX_NAME_BYTES);
+        case BOOK_PROJECTION -> projection = CueProjection.read(in.within());
         default -> {}
       }
     }
-    to.put(name, book);
+    books.put(channel, projection);
   }
 }
--- a/channels/src/main/java/tillerlink/channels/journal/Journal.java
+++ b/channels/src/main/java/tillerlink/channels/journal/Journal.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
+import java.util.SortedSet;
 import java.util.TreeMap;
-import java.util.TreeSet;
 import tillerlink.channels.cue.CueProjection;
 import tillerlink.cluster.Invariant;
 import tillerlink.messages.channels.Cut;
@@ -16,76 +16,70 @@
 import tillerlink.messages.channels.Span;
 
 /**
- * The set of events held, and their order: step by step as agreed, within a step and after the last
- * one by stamp. What is read of it is a function of the set and the steps alone.
+ * The events that are held, and their order: cut by cut as decided, within a cut and after the last
+ * one by stamp. What is read of it is a function of the set of events and of the cuts alone. No
+ * I/O; used by the gateway's event loop only.
  */
 public final class Journal {
-  /** Further ones are not taken until earlier ones are compacted. */
-  private static final int CUTS_AHEAD = 100_000;
-
-  private final TreeMap<Long, TreeMap<Long, Entry>> entries = new TreeMap<>();
-  private final EventSet held = new EventSet();
-  private final EventSet placed = new EventSet();
-  private final EventSet extra = new EventSet();
-  private final TreeSet<Entry> tail = new TreeSet<>(Entry.ORDER);
+  /** Decided cuts beyond this are not taken until earlier ones are compacted. */
+  private static final int MAX_CUTS = 100_000;
+
+  private static final long DIGEST_FACTOR = 31;
+  private static final long DIGEST_INCARNATION_FACTOR = 7;
+
+  /** The end of what is compacted. */
+  private record Base(long slot, long upTo, long digest, List<String> voters) {}
+
+  private final EventStore events = new EventStore();
   private final TreeMap<String, ChannelLog> logs = new TreeMap<>();
   private final TreeMap<Long, Cut> cuts = new TreeMap<>();
   private final TreeMap<Long, Long> digests = new TreeMap<>();
   private EventSet compacted = new EventSet();
-  private List<String> baseVoters;
-  private long baseUpTo;
-  private long baseDigest;
-  private long base;
+  private Base base;
   private long applied;
   private long decided;
   private long upTo;
   private long digest;
-  private long bytes;
   private List<String> voters;
 
   /**
-   * @param founders the gateways that agree on the first step
+   * Makes an empty journal.
+   *
+   * @param founders the gateways that decide on the first slot
    */
   public Journal(List<String> founders) {
     voters = List.copyOf(founders);
-    baseVoters = voters;
+    base = new Base(0, 0, 0, voters);
   }
 
   // ---- events ----
 
   /**
+   * Adds a provisional event.
+   *
    * @return false if it is held already, or was and is compacted
    */
   public boolean put(Entry entry) {
-    if (held.has(entry.incarnation(), entry.sequence())) {
-      Invariant.holds(sameAsHeld(entry), () -> "two events are called " + entry.dot().text());
+    if (!events.put(entry)) {
       return false;
     }
-    TreeMap<Long, Entry> of = entries.computeIfAbsent(entry.incarnation(), any -> new TreeMap<>());
-    of.put(entry.sequence(), entry);
-    held.add(entry.incarnation(), entry.sequence());
-    extra.add(entry.incarnation(), entry.sequence());
-    tail.add(entry);
     log(entry.channel()).put(entry);
-    bytes += entry.weight();
     return true;
   }
 
-  /** Whether an event of this name is held that says otherwise. */
+  /** Whether no other event is held in memory under the name of this one. */
   public boolean sameAsHeld(Entry entry) {
-    Entry here = entry(entry.incarnation(), entry.sequence());
-    return here == null || here.equals(entry);
+    return events.sameAsHeld(entry);
   }
 
+  /** Returns an event; null if it is not held, or is compacted. */
   public Entry entry(long incarnation, long sequence) {
-    TreeMap<Long, Entry> of = entries.get(incarnation);
-    return of == null ? null : of.get(sequence);
+    return events.entry(incarnation, sequence);
   }
 
-  /** Those of a span that are held and not compacted. */
+  /** Returns the events of a span that are held and not compacted; a live view. */
   public Collection<Entry> entries(Span span) {
-    TreeMap<Long, Entry> of = entries.get(span.incarnation());
-    return of == null ? List.of() : of.subMap(span.from(), true, span.to(), true).values();
+    return events.entries(span);
   }
 
   private ChannelLog log(String channel) {
@@ -93,13 +87,15 @@
         channel, name -> new ChannelLog(name, new CueProjection(), new CueProjection()));
   }
 
-  // ---- the agreed line ----
+  // ---- decided cuts ----
 
   /**
-   * @return false if the step is known, or steps between are not
+   * Takes a decided cut.
+   *
+   * @return false if it is known, or is not the next one
    */
   public boolean learn(Cut cut) {
-    if (cut.slot() != decided + 1 || decided - base > CUTS_AHEAD) {
+    if (cut.slot() != decided + 1 || decided - base.slot > MAX_CUTS) {
       Cut known = cuts.get(cut.slot());
       Invariant.holds(
           known == null || known.equals(cut), () -> "two steps are number " + cut.slot());
@@ -110,95 +106,92 @@
     return true;
   }
 
-  /** Puts in place all that is agreed on and held. @return how many steps */
-  public int apply() {
-    int steps = 0;
-    for (Cut next = cuts.get(applied + 1);
-        next != null && isHeld(next);
-        next = cuts.get(applied + 1)) {
+  /** Applies the decided cuts whose events are all held, up to the first whose are not. */
+  public void apply() {
+    Cut next = cuts.get(applied + 1);
+    while (next != null && isHeld(next)) {
       apply(next);
-      steps++;
+      next = cuts.get(applied + 1);
     }
-    return steps;
   }
 
+  /** Whether all events of a cut are held. */
   public boolean isHeld(Cut cut) {
     for (Span span : cut.spans()) {
-      if (!held.hasAll(span)) {
+      if (!events.held().hasAll(span)) {
         return false;
       }
     }
     return true;
   }
 
-  /** Whether a step may come next: nothing of it is in place, its bound does not fall. */
+  /** Whether a cut may come next: none of its events is stable, and its bound does not fall. */
   public boolean isNext(Cut cut) {
-    List<Span> fresh = new ArrayList<>();
+    List<Span> provisional = new ArrayList<>();
     long size = 0;
     for (Span span : cut.spans()) {
-      placed.missing(span, fresh);
+      events.placed().missing(span, provisional);
       size += span.size();
     }
-    long missing = fresh.stream().mapToLong(Span::size).sum();
-    return cut.slot() == applied + 1 && missing == size && cut.upTo() >= upTo;
+    long provisionalSize = provisional.stream().mapToLong(Span::size).sum();
+    return cut.slot() == applied + 1 && provisionalSize == size && cut.upTo() >= upTo;
   }
 
   private void apply(Cut cut) {
     Invariant.holds(isNext(cut), () -> "step " + cut.slot() + " does not follow " + applied);
-    List<Entry> now = new ArrayList<>();
+    List<Entry> ordered = new ArrayList<>();
     for (Span span : cut.spans()) {
-      now.addAll(entries(span));
-      placed.add(span);
-      extra.remove(span);
+      ordered.addAll(events.place(span));
     }
-    now.sort(Entry.ORDER);
-    for (Entry entry : now) {
-      tail.remove(entry);
+    ordered.sort(Entry.ORDER);
+    for (Entry entry : ordered) {
+      events.removeFromTail(entry);
       log(entry.channel()).place(entry, cut.slot(), upTo);
-      digest = EntryCodec.mix(digest * 31 + entry.incarnation() * 7 + entry.sequence());
+      digest =
+          EntryCodec.mix(
+              digest * DIGEST_FACTOR
+                  + entry.incarnation() * DIGEST_INCARNATION_FACTOR
+                  + entry.sequence());
     }
-    digest = EntryCodec.mix(digest * 31 + cut.slot() + cut.upTo());
+    digest = EntryCodec.mix(digest * DIGEST_FACTOR + cut.slot() + cut.upTo());
     applied = cut.slot();
     upTo = cut.upTo();
     voters = cut.voters();
     digests.put(applied, digest);
-    Invariant.holds(
-        held.size() == placed.size() + extra.size(), () -> "the vectors do not cover what is held");
+    events.checkCovered();
   }
 
-  /** The digest of all stable events up to a step; null if it is not known any more, or not yet. */
+  /** Returns the digest of all stable events up to a slot; null if it is not known. */
   public Long digest(long slot) {
-    return slot == base ? Long.valueOf(baseDigest) : digests.get(slot);
+    return slot == base.slot ? Long.valueOf(base.digest) : digests.get(slot);
   }
 
-  // ---- the sum ----
+  // ---- compaction ----
 
-  /** Puts all up to a step into the sum. @return the events that went */
+  /**
+   * Compacts the log up to a slot, or to the last applied one.
+   *
+   * @return the events that were removed
+   */
   public List<Entry> compact(long slot) {
-    List<Entry> gone = new ArrayList<>();
-    for (long next = base + 1; next <= Math.min(slot, applied); next++) {
+    List<Entry> removed = new ArrayList<>();
+    long last = Math.min(slot, applied);
+    for (long next = base.slot + 1; next <= last; next++) {
       Cut cut = cuts.remove(next);
       for (Span span : cut.spans()) {
         compacted.add(span);
-        for (Entry entry : List.copyOf(entries(span))) {
-          entries.get(span.incarnation()).remove(entry.sequence());
-          bytes -= entry.weight();
-          gone.add(entry);
-        }
+        events.compact(span, removed);
       }
-      base = next;
-      baseUpTo = cut.upTo();
-      baseVoters = cut.voters();
-      baseDigest = digests.remove(next);
+      base = new Base(next, cut.upTo(), digests.remove(next), cut.voters());
     }
-    entries.values().removeIf(TreeMap::isEmpty);
+    events.trim();
     for (ChannelLog log : logs.values()) {
-      log.compact(log.upTo(base));
+      log.compact(log.upTo(base.slot));
     }
-    return gone;
+    return removed;
   }
 
-  /** The sum of all that is compacted. */
+  /** Returns the state of all that is compacted. */
   public CompactedState sum() {
     Map<String, CueProjection> books = new TreeMap<>();
     logs.forEach(
@@ -207,127 +200,110 @@
             books.put(name, log.base());
           }
         });
-    return new CompactedState(base, baseUpTo, baseDigest, baseVoters, compacted.spans(), books);
+    return new CompactedState(
+        base.slot, base.upTo, base.digest, base.voters, compacted.spans(), books);
   }
 
   /**
-   * Starts from a sum; events that are not in it are put again afterwards.
+   * Starts from compacted state; events that are not in it are to be put again afterwards.
    *
-   * @param again the same sum read a second time, for what comes on top of it
-   * @return the events that were held and are not in the sum, in their order
+   * @param state becomes the base
+   * @param copy the same state read a second time, for the events that follow it
+   * @return the events that were held and are not in the state, in their order
    */
-  public List<Entry> startFrom(CompactedState sum, CompactedState again) {
-    Invariant.holds(sum.slot() >= base, () -> "a sum that is older than the own one");
-    EventSet in = new EventSet();
-    sum.spans().forEach(in::add);
-    List<Entry> rest = new ArrayList<>();
-    entries
-        .values()
-        .forEach(
-            of ->
-                of.values()
-                    .forEach(
-                        entry -> {
-                          if (!in.has(entry.incarnation(), entry.sequence())) {
-                            rest.add(entry);
-                          }
-                        }));
-    rest.sort(Entry.ORDER);
-    entries.clear();
-    tail.clear();
+  public List<Entry> startFrom(CompactedState state, CompactedState copy) {
+    Invariant.holds(state.slot() >= base.slot, () -> "a sum that is older than the own one");
+    EventSet covered = new EventSet();
+    state.spans().forEach(covered::add);
+    List<Entry> rest = events.without(covered);
+    events.restart(state.spans());
     logs.clear();
-    digests.clear();
-    clear(held);
-    clear(placed);
-    clear(extra);
-    bytes = 0;
-    compacted = in;
-    sum.spans()
+    state
+        .books()
         .forEach(
-            span -> {
-              held.add(span);
-              placed.add(span);
-            });
-    sum.books()
-        .forEach(
-            (name, book) -> logs.put(name, new ChannelLog(name, book, again.books().get(name))));
-    base = sum.slot();
-    applied = base;
-    upTo = sum.upTo();
-    digest = sum.digest();
-    voters = sum.voters();
-    baseUpTo = upTo;
-    baseDigest = digest;
-    baseVoters = voters;
-    cuts.headMap(base, true).clear();
-    decided = cuts.isEmpty() ? base : cuts.lastKey();
-    if (!cuts.isEmpty() && cuts.firstKey() != base + 1) {
-      cuts.clear();
-      decided = base;
-    }
+            (name, book) -> logs.put(name, new ChannelLog(name, book, copy.books().get(name))));
+    digests.clear();
+    compacted = covered;
+    base = new Base(state.slot(), state.upTo(), state.digest(), state.voters());
+    applied = base.slot;
+    upTo = base.upTo;
+    digest = base.digest;
+    voters = base.voters;
+    keepCutsAfterBase();
     return rest;
   }
 
-  private static void clear(EventSet holdings) {
-    holdings.spans().forEach(holdings::remove);
+  private void keepCutsAfterBase() {
+    cuts.headMap(base.slot, true).clear();
+    if (!cuts.isEmpty() && cuts.firstKey() != base.slot + 1) {
+      cuts.clear();
+    }
+    decided = cuts.isEmpty() ? base.slot : cuts.lastKey();
   }
 
-  // ---- what is read ----
+  // ---- reading ----
 
+  /** Returns the events that are held, compacted ones included. */
   public EventSet held() {
-    return held;
+    return events.held();
   }
 
+  /** Returns the stable events, compacted ones included. */
   public EventSet placed() {
-    return placed;
+    return events.placed();
   }
 
-  /** What is held and not in its final place. */
+  /** Returns the events that are held and provisional. */
   public EventSet extra() {
-    return extra;
+    return events.extra();
   }
 
-  public TreeSet<Entry> tail() {
-    return tail;
+  /** Returns the provisional events, in the order of their stamps; a live view. */
+  public SortedSet<Entry> tail() {
+    return Collections.unmodifiableSortedSet(events.tail());
   }
 
-  /** Channels by name. */
+  /** Returns the logs of the channels, by name; a live view. */
   public NavigableMap<String, ChannelLog> logs() {
     return Collections.unmodifiableNavigableMap(logs);
   }
 
+  /** Returns the decided cuts that are not compacted, by slot; a live view. */
   public NavigableMap<Long, Cut> cuts() {
     return Collections.unmodifiableNavigableMap(cuts);
   }
 
+  /** Returns the slot up to which the log is compacted. */
   public long base() {
-    return base;
+    return base.slot;
   }
 
-  /** The step up to which all is in place. */
+  /** Returns the slot up to which all cuts are applied. */
   public long applied() {
     return applied;
   }
 
-  /** The last step that is known. */
+  /** Returns the last slot whose cut is known. */
   public long decided() {
     return decided;
   }
 
+  /** Returns the upper bound of the last applied cut, a stamp of the hybrid logical clock. */
   public long upTo() {
     return upTo;
   }
 
+  /** Returns the digest of all stable events. */
   public long digest() {
     return digest;
   }
 
-  /** About what the events take in memory, in bytes. */
+  /** Returns about the bytes that the events take in memory. */
   public long bytes() {
-    return bytes;
+    return events.bytes();
   }
 
-  /** Those who agree on the step after the last that is known. */
+  /** Returns the gateways that decide on the slot after the last that is known. */
   public List<String> voters() {
     return decided == applied ? voters : cuts.get(decided).voters();
   }
--- a/channels/src/main/java/tillerlink/channels/quota/StorageQuota.java
+++ b/channels/src/main/java/tillerlink/channels/quota/StorageQuota.java
@@ -4,34 +4,43 @@
 import tillerlink.channels.journal.Journal;
 
 /**
- * How much there is room for, and whose. Half of the room is for events that are not agreed on yet,
- * as those can't be compacted; each gateway may fill an equal part of it, so that all of them
- * together fit in after a cut. When that part is half full, only channels that hold more than their
- * equal share of it are refused, one more channel counted.
+ * Shares the quota for events. Half of it is for provisional events, as those can't be compacted;
+ * each gateway may fill an equal part of that, so that the events of all of them fit after a
+ * partition. Once its part is half full, a gateway refuses appends to channels that hold more than
+ * their equal share of it, one more channel counted.
  */
 public final class StorageQuota {
-  /** Asking again sooner is of no use: nothing is agreed on any faster. */
-  public static final long COME_BACK = 50_000;
+  /** Tenths of a millisecond after which to retry; nothing becomes stable any sooner. */
+  public static final long RETRY_AFTER = 50_000;
+
+  private static final int PROVISIONAL_PARTS = 2;
+  private static final int FREE_PARTS = 4;
 
   private final long bytes;
 
   /**
-   * @param bytes what all events may take in memory, and on disk
+   * Makes a quota.
+   *
+   * @param bytes what all events may take, in memory and on disk
    */
   public StorageQuota(long bytes) {
     this.bytes = bytes;
   }
 
-  /** Stable events go into the sum, oldest first, when all take more than that. */
+  /** Returns the bytes of events beyond which the oldest stable ones are compacted. */
   public long compactBeyond() {
-    return bytes - bytes / 4;
+    return bytes - bytes / FREE_PARTS;
   }
 
   /**
-   * @param gateways how many write, this one counted; @param pending bytes that are being kept
+   * Whether an event of a channel may be appended.
+   *
+   * @param weight bytes of the event
+   * @param gateways how many gateways write, this one included
+   * @param pending bytes of events that are not durable yet
    */
-  public boolean takes(Journal journal, String channel, int weight, int gateways, long pending) {
-    long part = bytes / 2 / Math.max(1, gateways);
+  public boolean allows(Journal journal, String channel, int weight, int gateways, long pending) {
+    long part = bytes / PROVISIONAL_PARTS / Math.max(1, gateways);
     long all = pending + weight;
     int channels = 1;
     long own = pending + weight;
--- a/channels/src/main/java/tillerlink/channels/recovery/Store.java
+++ b/channels/src/main/java/tillerlink/channels/recovery/Store.java
@@ -1,9 +1,10 @@
 package tillerlink.channels.recovery;
 
+import java.io.ByteArrayOutputStream;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Collection;
 import java.util.List;
-import java.util.Map;
 import java.util.NavigableMap;
 import tillerlink.channels.journal.CompactedState;
 import tillerlink.channels.journal.Journal;
@@ -16,170 +17,247 @@
 import tillerlink.messages.channels.EntryCodec;
 
 /**
- * What a gateway keeps, by name: {@code e/INCARNATION/SEQUENCE} events, {@code k/STEP} agreed
- * steps, {@code v} promises, {@code i} its last incarnation, {@code s} which sum holds, {@code
- * s/STEP/PART} the sums. Changes are kept in the order in which they are handed over: a promise
- * never outlives the events it speaks of.
+ * What a gateway stores, by key: {@code e/INCARNATION/SEQUENCE} events, {@code k/SLOT} decided
+ * cuts, {@code v} the acceptor's state, {@code i} its last incarnation, {@code s} which compacted
+ * state is valid, {@code s/SLOT/PART} compacted states. Numbers in keys are 16 hex digits. Changes
+ * become durable in the order in which they are handed over, so that a promise never outlives the
+ * events that it refers to. Nothing here waits for the disk.
  */
 public final class Store {
-  private static final int PART = 1 << 19;
+  private static final String EVENTS = "e/";
+  private static final String CUTS = "k/";
+  private static final String ACCEPTOR = "v";
+  private static final String INCARNATION = "i";
+  private static final String STATE = "s";
+  private static final String STATES = "s/";
 
-  private final KeyValueStore keep;
+  private static final int STATE_SLOT = 1;
+  private static final int STATE_PARTS = 2;
+  private static final int INCARNATION_NUMBER = 1;
+
+  private static final int HEX_DIGITS = 16;
+  private static final int PART_BYTES = 1 << 19;
+
+  private final KeyValueStore storage;
   private long failures;
   private long unreadable;
 
-  public Store(KeyValueStore keep) {
-    this.keep = keep;
+  /** Stores in a table of keys and values. */
+  public Store(KeyValueStore storage) {
+    this.storage = storage;
   }
 
-  private boolean set(String name, byte[] value, Runnable kept) {
-    boolean done = keep.set(name, value, kept);
-    failures += done ? 0 : 1;
-    return done;
-  }
+  // ---- keys ----
 
   private static String hex(long value) {
     String digits = Long.toHexString(value);
-    return "0".repeat(16 - digits.length()) + digits;
+    return "0".repeat(HEX_DIGITS - digits.length()) + digits;
+  }
+
+  private static String eventKey(Entry entry) {
+    return EVENTS + hex(entry.incarnation()) + "/" + hex(entry.sequence());
+  }
+
+  private static String partKey(long slot, int part) {
+    return STATES + hex(slot) + "/" + hex(part);
   }
 
-  private static String name(Entry entry) {
-    return "e/" + hex(entry.incarnation()) + "/" + hex(entry.sequence());
+  /** What was stored at the start under keys with a prefix that ends with a slash. */
+  private NavigableMap<String, byte[]> found(String prefix) {
+    // '0' is the character after the slash.
+    String end = prefix.substring(0, prefix.length() - 1) + "0";
+    return storage.initialEntries().subMap(prefix, true, end, false);
   }
 
-  public boolean entry(Entry entry, Runnable kept) {
-    return set(name(entry), EntryCodec.bytes(entry), kept);
+  // ---- writing ----
+
+  private boolean set(String key, byte[] value, Runnable onDurable) {
+    boolean accepted = storage.set(key, value, onDurable);
+    failures += accepted ? 0 : 1;
+    return accepted;
+  }
+
+  private void remove(String key) {
+    set(key, null, null);
+  }
+
+  /**
+   * Stores an event.
+   *
+   * @param onDurable called once it is durable; may be null
+   * @return false if it is not stored: the disk is full or has failed
+   */
+  public boolean entry(Entry entry, Runnable onDurable) {
+    return set(eventKey(entry), EntryCodec.bytes(entry), onDurable);
   }
 
+  /**
+   * Stores a decided cut.
+   *
+   * @return false if it is not stored: the disk is full or has failed
+   */
   public boolean cut(Cut cut) {
-    return set("k/" + hex(cut.slot()), EntryCodec.cut(cut).done(), null);
+    return set(CUTS + hex(cut.slot()), EntryCodec.cut(cut).done(), null);
   }
 
-  public boolean voting(byte[] bytes, Runnable kept) {
-    return set("v", bytes, kept);
+  /**
+   * Stores the acceptor's state.
+   *
+   * @param onDurable called once it is durable
+   * @return false if it is not stored: the disk is full or has failed
+   */
+  public boolean voting(byte[] bytes, Runnable onDurable) {
+    return set(ACCEPTOR, bytes, onDurable);
   }
 
+  /**
+   * Stores the incarnation of this process.
+   *
+   * @return false if it is not stored: the disk is full or has failed
+   */
   public boolean incarnation(long incarnation) {
-    return set("i", new FieldWriter().fixed(1, incarnation).done(), null);
+    byte[] value = new FieldWriter().fixed(INCARNATION_NUMBER, incarnation).done();
+    return set(INCARNATION, value, null);
   }
 
   /**
-   * Keeps a sum in place of what it stands for.
+   * Stores compacted state in place of the events and cuts that it covers.
    *
-   * @param gone the events that are in it, which go now
-   * @param from the first step that goes
+   * @param bytes the state
+   * @param slot the slot up to which it is compacted
+   * @param before the slot of the state that it replaces, 0 if there is none
+   * @param covered the events that are removed
+   * @param firstSlot the first slot whose cut is removed
+   * @return false if it is not stored: the disk is full or has failed
    */
-  public boolean sum(byte[] bytes, long slot, long before, List<Entry> gone, long from) {
-    int parts = (bytes.length + PART - 1) / PART;
+  public boolean sum(byte[] bytes, long slot, long before, List<Entry> covered, long firstSlot) {
+    int parts = (bytes.length + PART_BYTES - 1) / PART_BYTES;
     for (int i = 0; i < parts; i++) {
-      byte[] part = Arrays.copyOfRange(bytes, i * PART, Math.min(bytes.length, (i + 1) * PART));
-      if (!set("s/" + hex(slot) + "/" + hex(i), part, null)) {
+      int end = Math.min(bytes.length, (i + 1) * PART_BYTES);
+      byte[] part = Arrays.copyOfRange(bytes, i * PART_BYTES, end);
+      if (!set(partKey(slot, i), part, null)) {
         return false;
       }
     }
-    if (!set("s", new FieldWriter().number(1, slot).number(2, parts).done(), null)) {
+    byte[] valid = new FieldWriter().number(STATE_SLOT, slot).number(STATE_PARTS, parts).done();
+    if (!set(STATE, valid, null)) {
       return false;
     }
-    gone.forEach(entry -> set(name(entry), null, null));
-    for (long old = from; old <= slot; old++) {
-      set("k/" + hex(old), null, null);
+    covered.forEach(entry -> remove(eventKey(entry)));
+    for (long old = firstSlot; old <= slot; old++) {
+      remove(CUTS + hex(old));
     }
     if (before > 0 && before != slot) {
-      for (String name :
-          keep.initialEntries()
-              .subMap("s/" + hex(before) + "/", "s/" + hex(before) + "0")
-              .keySet()) {
-        set(name, null, null);
-      }
-      for (int i = 0; i < parts; i++) {
-        set("s/" + hex(before) + "/" + hex(i), null, null);
-      }
+      removeState(before, parts);
     }
     return true;
   }
 
-  /** Changes that could not be kept. */
+  /** Removes the parts of a state: those found at the start, and as many as the new one has. */
+  private void removeState(long slot, int parts) {
+    for (String key : found(STATES + hex(slot) + "/").keySet()) {
+      remove(key);
+    }
+    for (int i = 0; i < parts; i++) {
+      remove(partKey(slot, i));
+    }
+  }
+
+  // ---- counters ----
+
+  /** Returns how many changes could not be stored. */
   public long failures() {
     return failures;
   }
 
-  /** Values found at the start that could not be read; they were passed over. */
+  /** Returns how many stored values could not be read; they were skipped. */
   public long unreadable() {
     return unreadable;
   }
 
-  // ---- found at the start ----
+  // ---- recovery ----
 
-  /** 0 if none is kept. */
+  /** Returns the incarnation of the last process; 0 if none is stored. */
   public long foundIncarnation() {
-    byte[] value = keep.initialEntries().get("i");
+    byte[] value = storage.initialEntries().get(INCARNATION);
     try {
       FieldReader in = new FieldReader(value == null ? new byte[0] : value);
-      return in.next() && in.field() == 1 ? in.fixed() : 0;
+      return in.next() && in.field() == INCARNATION_NUMBER ? in.fixed() : 0;
     } catch (MalformedMessageException e) {
       unreadable++;
       return 0;
     }
   }
 
-  /** Null if nothing was promised. */
+  /** Returns the acceptor's state; null if none is stored. */
   public byte[] foundVoting() {
-    return keep.initialEntries().get("v");
+    return storage.initialEntries().get(ACCEPTOR);
   }
 
-  /** Puts into the journal what is kept. */
+  /** Puts what is stored into a journal, and applies it. */
   public void load(Journal journal) {
-    byte[] sum = foundSum();
-    if (sum != null) {
+    loadState(journal);
+    loadEvents(journal);
+    for (byte[] value : found(CUTS).values()) {
       try {
-        journal.startFrom(CompactedState.read(sum), CompactedState.read(sum));
+        journal.learn(EntryCodec.cut(new FieldReader(value)));
       } catch (MalformedMessageException e) {
         unreadable++;
       }
     }
-    List<Entry> covered = new ArrayList<>();
-    for (byte[] value : keep.initialEntries().subMap("e/", "e0").values()) {
+    journal.apply();
+  }
+
+  private void loadState(Journal journal) {
+    byte[] state = foundState();
+    if (state != null) {
       try {
-        Entry entry = EntryCodec.entry(value);
-        if (!journal.put(entry) && journal.entry(entry.incarnation(), entry.sequence()) == null) {
-          covered.add(entry);
-        }
+        journal.startFrom(CompactedState.read(state), CompactedState.read(state));
       } catch (MalformedMessageException e) {
         unreadable++;
       }
     }
-    covered.forEach(entry -> set(name(entry), null, null));
-    for (byte[] value : keep.initialEntries().subMap("k/", "k0").values()) {
+  }
+
+  /** Puts the events into the journal; those that are compacted are removed from the store. */
+  private void loadEvents(Journal journal) {
+    List<Entry> covered = new ArrayList<>();
+    for (byte[] value : found(EVENTS).values()) {
       try {
-        journal.learn(EntryCodec.cut(new FieldReader(value)));
+        Entry entry = EntryCodec.entry(value);
+        if (!journal.put(entry) && journal.entry(entry.incarnation(), entry.sequence()) == null) {
+          covered.add(entry);
+        }
       } catch (MalformedMessageException e) {
         unreadable++;
       }
     }
-    journal.apply();
+    covered.forEach(entry -> remove(eventKey(entry)));
+  }
+
+  private byte[] foundState() {
+    long slot = foundStateSlot();
+    return slot == 0 ? null : concatenate(found(STATES + hex(slot) + "/").values());
   }
 
-  private byte[] foundSum() {
-    NavigableMap<String, byte[]> found = keep.initialEntries();
+  private long foundStateSlot() {
     long slot = 0;
     try {
-      FieldReader in = new FieldReader(found.getOrDefault("s", new byte[0]));
+      FieldReader in = new FieldReader(storage.initialEntries().getOrDefault(STATE, new byte[0]));
       while (in.next()) {
-        if (in.field() == 1) {
+        if (in.field() == STATE_SLOT) {
           slot = in.number();
         }
       }
     } catch (MalformedMessageException e) {
       unreadable++;
     }
-    if (slot == 0) {
-      return null;
-    }
-    java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
-    for (Map.Entry<String, byte[]> part :
-        found.subMap("s/" + hex(slot) + "/", "s/" + hex(slot) + "0").entrySet()) {
-      all.writeBytes(part.getValue());
-    }
+    return slot;
+  }
+
+  private static byte[] concatenate(Collection<byte[]> parts) {
+    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    parts.forEach(all::writeBytes);
     return all.toByteArray();
   }
 }
--- a/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
+++ b/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
@@ -8,76 +8,66 @@
 import tillerlink.messages.channels.ChannelsCodec;
 import tillerlink.messages.channels.ChannelsMessage;
 
-/** Sends messages to other gateways, and chooses whom to send what is for all. */
+/** Sends messages to other gateways, and selects the recipients of messages for all. */
 public final class ChannelTransport {
   /**
-   * A fleet up to this size is told of everything straight; a larger one in part, and the rest
-   * hears it from those.
+   * Recipients of a message for all, at the most. In a larger fleet the others receive the content
+   * from these.
    */
-  private static final int ALL_MOST = 12;
+  private static final int MAX_RECIPIENTS = 12;
 
   private final MembershipView membership;
-  private final MessageSender post;
+  private final MessageSender sender;
   private final RandomGenerator random;
-  private long sent;
-  private long sentBytes;
 
-  public ChannelTransport(MembershipView membership, MessageSender post, RandomGenerator random) {
+  /** Makes a transport; {@code random} selects the recipients in a large fleet. */
+  public ChannelTransport(MembershipView membership, MessageSender sender, RandomGenerator random) {
     this.membership = membership;
-    this.post = post;
+    this.sender = sender;
     this.random = random;
   }
 
+  /** Sends a message to one gateway; it may be lost. */
   public void send(String to, ChannelsMessage message) {
-    byte[] body = ChannelsCodec.bytes(message);
-    sent++;
-    sentBytes += body.length;
-    post.send(to, body);
+    sender.send(to, ChannelsCodec.bytes(message));
   }
 
   /**
-   * @param always those who are among them in any case
+   * Sends a message to all reachable gateways; in a large fleet to some of them.
+   *
+   * @param always gateways that are among the recipients in any case
    */
   public void spread(ChannelsMessage message, List<String> always) {
     byte[] body = ChannelsCodec.bytes(message);
-    for (String to : some(always)) {
-      sent++;
-      sentBytes += body.length;
-      post.send(to, body);
+    for (String to : recipients(always)) {
+      sender.send(to, body);
     }
   }
 
-  private List<String> some(List<String> always) {
-    List<String> names = new ArrayList<>();
+  private List<String> recipients(List<String> always) {
+    List<String> reachable = new ArrayList<>();
     for (String name : membership.names()) {
       if (membership.reachability(name).talksTo()) {
-        names.add(name);
+        reachable.add(name);
       }
     }
-    if (names.size() <= ALL_MOST) {
-      return names;
+    if (reachable.size() <= MAX_RECIPIENTS) {
+      return reachable;
     }
-    List<String> chosen = new ArrayList<>();
+    List<String> selected = new ArrayList<>();
     for (String name : always) {
-      if (names.remove(name)) {
-        chosen.add(name);
+      if (reachable.remove(name)) {
+        selected.add(name);
       }
     }
-    while (chosen.size() < ALL_MOST && !names.isEmpty()) {
-      chosen.add(names.remove(random.nextInt(names.size())));
+    while (selected.size() < MAX_RECIPIENTS && !reachable.isEmpty()) {
+      selected.add(reachable.remove(random.nextInt(reachable.size())));
     }
-    return chosen;
+    return selected;
   }
 
+  /** Returns the gateways of the fleet. */
   public MembershipView membership() {
     return membership;
   }
-
-  public long sent() {
-    return sent;
-  }
-
-  public long sentBytes() {
-    return sentBytes;
-  }
 }
--- a/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
@@ -6,118 +6,96 @@
 import java.util.TreeMap;
 import tillerlink.channels.journal.EventSet;
 import tillerlink.channels.journal.Journal;
-import tillerlink.cluster.MessageSender;
 import tillerlink.messages.channels.ChannelsMessage.CutsWanted;
 import tillerlink.messages.channels.ChannelsMessage.Piece;
 import tillerlink.messages.channels.ChannelsMessage.Report;
 import tillerlink.messages.channels.ChannelsMessage.SumPart;
-import tillerlink.messages.channels.ChannelsMessage.SumWanted;
 import tillerlink.messages.channels.ChannelsMessage.Want;
 import tillerlink.messages.channels.Cut;
 import tillerlink.messages.channels.Span;
 
 /**
- * Gets what is missing here: asks each gateway that has it for a bounded amount, and for each event
- * only one at a time. What does not come is asked for again, of anyone. Fresh events are sent by
- * their writers at once and wait for none of this.
+ * The requesting side of anti-entropy: fetches what is missing here. It requests a bounded amount
+ * of each gateway that has it, and each event of one gateway at a time. What does not arrive is
+ * requested again, of any. New events are sent by their writers at once and wait for none of this.
+ * Times are tenths of a millisecond.
  */
 public final class Fetcher {
-  private static final long PATIENCE = 6000;
-  private static final long NEVER = Long.MAX_VALUE;
-  private static final int PIECE_LEAST = 180;
-  private static final int GOOD_TO_GROW = 16;
-  private static final long OVERTAKEN = 20;
-  private static final long REST = 10_000;
-  private static final long STEPS_AGAIN = 2000;
-  private static final long HEARD_FOR = 60_000;
-  private static final int SPANS_MOST = 40;
+  /** After this without progress a request has timed out. */
+  static final long TIMEOUT = 6000;
+
+  /** Between two requests for cuts to one gateway. */
+  private static final long CUTS_INTERVAL = 2000;
+
+  /** A gateway whose latest report is older is not asked. */
+  private static final long MAX_REPORT_AGE = 60_000;
+
+  /** Spans of a request at the most, and the bytes that each of them takes in it. */
+  private static final int MAX_SPANS = 40;
+
   private static final int SPAN_BYTES = 25;
-  private static final int CUTS_LOOKED_AT = 500;
-  private static final int WINDOW_LEAST = 8;
-  private static final int WINDOW_MOST = 2048;
-  private static final int GATEWAYS_MOST = 1024;
-  private static final int SUM_MOST = 256 << 20;
 
-  /** One other gateway. */
-  private static final class Source {
-    Report report;
-    long reportAt;
-    long number;
-    long askedAt;
-    List<Span> asked = List.of();
-    int window = 64;
-    int pieceBytes = MessageSender.BYTES_EASY;
-    long stepsAskedAt = Long.MIN_VALUE / 2;
-    boolean heardSince;
-    int taken;
-    int goodInARow;
-    long sentAt;
-    long lateUntil = NEVER;
-    long restUntil = Long.MIN_VALUE;
-  }
+  /** Decided cuts that are searched for missing events at the most. */
+  private static final int MAX_CUTS_SEARCHED = 500;
 
-  private final Journal journal;
-  private final ChannelTransport wire;
-  private final TreeMap<String, Source> sources = new TreeMap<>();
-  private String sumFrom = "";
-  private long sumSlot;
-  private byte[] sum;
-  private int sumGot;
-  private long sumAskedAt;
-  private long numbers;
-  private long again;
+  private static final int MAX_GATEWAYS = 1024;
 
-  public Fetcher(Journal journal, ChannelTransport wire) {
+  private final Journal journal;
+  private final ChannelTransport transport;
+  private final StateTransfer stateTransfer;
+  private final TreeMap<String, SyncSource> sources = new TreeMap<>();
+  private long lastNumber;
+  private long timeouts;
+
+  /** Fetches what is missing in a journal. */
+  public Fetcher(Journal journal, ChannelTransport transport) {
     this.journal = journal;
-    this.wire = wire;
+    this.transport = transport;
+    stateTransfer = new StateTransfer(transport);
   }
 
-  public void reported(long now, String from, Report report) {
-    if (sources.size() < GATEWAYS_MOST || sources.containsKey(from)) {
-      Source source = sources.computeIfAbsent(from, any -> new Source());
-      source.report = report;
-      source.reportAt = now;
+  // ---- reports ----
+
+  /** Takes the report of a gateway. */
+  public void onReport(long now, String from, Report report) {
+    if (sources.size() < MAX_GATEWAYS || sources.containsKey(from)) {
+      sources.computeIfAbsent(from, any -> new SyncSource()).onReport(now, report);
     }
   }
 
-  /** What a gateway said last; null if nothing. */
+  /** Returns the latest report of a gateway; null if there is none. */
   public Report report(String from) {
-    Source source = sources.get(from);
-    return source == null ? null : source.report;
+    SyncSource source = sources.get(from);
+    return source == null ? null : source.report();
   }
 
-  /** When it said that. */
+  /** Returns when that arrived. */
   public long reportAt(String from) {
-    Source source = sources.get(from);
-    return source == null ? Long.MIN_VALUE / 2 : source.reportAt;
+    SyncSource source = sources.get(from);
+    return source == null ? Long.MIN_VALUE / 2 : source.reportAt();
   }
 
+  // ---- events ----
+
   /**
-   * A piece came. Who had nothing of use, since what it holds is refused here for now or is gone
-   * there, is not asked again at once.
+   * Takes note of a piece. A gateway that sent nothing of use, as what it holds is refused here for
+   * now or is compacted there, is not asked again at once.
    *
-   * @param taken how many of its events were taken
+   * @param taken how many of its events were new
    */
-  public void got(long now, String from, Piece piece, int taken) {
-    Source source = sources.get(from);
-    if (source == null || piece.number() == 0 || piece.number() != source.number) {
+  public void onPiece(long now, String from, Piece piece, int taken) {
+    SyncSource source = sources.get(from);
+    if (source == null || !source.awaits(piece.number())) {
       return;
     }
-    source.askedAt = now;
-    source.heardSince = true;
-    source.taken += taken;
-    if (piece.last()) {
-      // Earlier pieces may still be on their way, overtaken by this one: as long as this one took,
-      // they may take.
-      source.lateUntil = now + Math.max(OVERTAKEN, now - source.sentAt);
-    }
-    if (source.lateUntil != NEVER && allHeld(source)) {
-      done(now, source);
+    source.onPiece(now, taken, piece.last());
+    if (source.hasLastPiece() && allHeld(source.requested())) {
+      source.complete(now);
     }
   }
 
-  private boolean allHeld(Source source) {
-    for (Span span : source.asked) {
+  private boolean allHeld(List<Span> spans) {
+    for (Span span : spans) {
       if (!journal.held().hasAll(span)) {
         return false;
       }
@@ -125,170 +103,117 @@
     return true;
   }
 
-  private void done(long now, Source source) {
-    source.restUntil = source.taken == 0 ? now + REST : now;
-    source.number = 0;
-    source.asked = List.of();
-    source.lateUntil = NEVER;
-    source.window = Math.min(WINDOW_MOST, source.window * 2);
-    if (source.taken > 0 && ++source.goodInARow >= GOOD_TO_GROW) {
-      source.goodInARow = 0;
-      source.pieceBytes = Math.min(MessageSender.BYTES_EASY, source.pieceBytes * 2);
-    }
-  }
-
-  /** Asks for what is missing and not asked for. */
-  public void turn(long now) {
-    for (Map.Entry<String, Source> each : sources.entrySet()) {
-      Source source = each.getValue();
-      if (source.number != 0 && source.lateUntil != NEVER && now >= source.lateUntil) {
-        done(now, source);
-      } else if (source.number != 0 && now - source.askedAt > PATIENCE) {
-        again++;
-        source.goodInARow = 0;
-        source.lateUntil = NEVER;
-        source.number = 0;
-        source.asked = List.of();
-        source.window = Math.max(WINDOW_LEAST, source.window / (source.heardSince ? 2 : 4));
-        if (!source.heardSince) {
-          // The link may carry small messages only.
-          source.pieceBytes = Math.max(PIECE_LEAST, source.pieceBytes / 2);
-        }
+  /** Requests what is missing and not requested. */
+  public void tick(long now) {
+    for (SyncSource source : sources.values()) {
+      if (source.isComplete(now)) {
+        source.complete(now);
+      } else if (source.isTimedOut(now)) {
+        timeouts++;
+        source.timeOut();
       }
     }
-    for (Map.Entry<String, Source> each : sources.entrySet()) {
-      if (now - each.getValue().reportAt <= HEARD_FOR
-          && wire.membership().reachability(each.getKey()).talksTo()) {
-        ask(now, each.getKey(), each.getValue());
+    for (Map.Entry<String, SyncSource> each : sources.entrySet()) {
+      if (now - each.getValue().reportAt() <= MAX_REPORT_AGE
+          && transport.membership().reachability(each.getKey()).talksTo()) {
+        request(now, each.getKey(), each.getValue());
       }
     }
   }
 
-  private void ask(long now, String of, Source source) {
-    Report report = source.report;
+  private void request(long now, String from, SyncSource source) {
+    Report report = source.report();
     boolean compactedThere = journal.decided() < report.base();
     if (compactedThere || isStuck(report)) {
-      askSum(now, of, report);
-    } else if (report.decided() > journal.decided() && now - source.stepsAskedAt > STEPS_AGAIN) {
-      source.stepsAskedAt = now;
-      wire.send(of, new CutsWanted(journal.decided() + 1));
+      stateTransfer.request(now, from, report);
+    } else if (report.decided() > journal.decided()
+        && source.beginCutsRequest(now, CUTS_INTERVAL)) {
+      transport.send(from, new CutsWanted(journal.decided() + 1));
     }
-    if (source.number == 0 && now >= source.restUntil) {
-      List<Span> wanted = wanted(source);
-      if (!wanted.isEmpty()) {
-        source.number = ++numbers;
-        source.askedAt = now;
-        source.sentAt = now;
-        wanted = wanted.subList(0, Math.min(wanted.size(), source.pieceBytes / SPAN_BYTES));
-        source.asked = wanted;
-        source.heardSince = false;
-        source.taken = 0;
-        wire.send(of, new Want(source.number, source.pieceBytes, source.window, wanted));
-      }
+    if (source.mayRequest(now)) {
+      requestEvents(now, from, source);
     }
   }
 
-  /** The next step is known, but what is in it was compacted over there. */
+  /** Whether the next cut is known, but its events are compacted over there. */
   private boolean isStuck(Report report) {
     return report.base() > journal.applied() && journal.decided() > journal.applied();
   }
 
-  private List<Span> wanted(Source source) {
-    EventSet taken = new EventSet();
-    for (Source other : sources.values()) {
-      other.asked.forEach(taken::add);
+  private void requestEvents(long now, String from, SyncSource source) {
+    List<Span> wanted = notRequested(missing(source.report()), source.window());
+    if (!wanted.isEmpty()) {
+      int maxSpans = Math.min(wanted.size(), source.pieceBytes() / SPAN_BYTES);
+      List<Span> spans = wanted.subList(0, maxSpans);
+      lastNumber++;
+      source.beginRequest(now, lastNumber, spans);
+      transport.send(from, new Want(lastNumber, source.pieceBytes(), source.window(), spans));
     }
+  }
+
+  /** What a gateway holds, by its report, and this one does not: decided events first. */
+  private List<Span> missing(Report report) {
     List<Span> missing = new ArrayList<>();
-    int looked = 0;
+    int searched = 0;
     for (Cut cut : journal.cuts().tailMap(journal.applied(), false).values()) {
-      if (cut.slot() > source.report.applied()
-          || ++looked > CUTS_LOOKED_AT
-          || missing.size() > SPANS_MOST) {
+      searched++;
+      if (cut.slot() > report.applied()
+          || searched > MAX_CUTS_SEARCHED
+          || missing.size() > MAX_SPANS) {
         break;
       }
       cut.spans().forEach(span -> journal.held().missing(span, missing));
     }
-    source.report.extra().forEach(span -> journal.held().missing(span, missing));
+    report.extra().forEach(span -> journal.held().missing(span, missing));
+    return missing;
+  }
+
+  /** What of the missing events is not requested of any gateway, at most {@code maxEvents}. */
+  private List<Span> notRequested(List<Span> missing, long maxEvents) {
+    EventSet requested = new EventSet();
+    for (SyncSource source : sources.values()) {
+      source.requested().forEach(requested::add);
+    }
     List<Span> wanted = new ArrayList<>();
-    long room = source.window;
+    long left = maxEvents;
     for (Span span : missing) {
       List<Span> free = new ArrayList<>();
-      taken.missing(span, free);
+      requested.missing(span, free);
       for (Span part : free) {
-        if (room > 0 && wanted.size() < SPANS_MOST) {
-          Span some =
-              new Span(
-                  part.incarnation(), part.from(), Math.min(part.to(), part.from() + room - 1));
-          wanted.add(some);
-          taken.add(some);
-          room -= some.size();
+        if (left > 0 && wanted.size() < MAX_SPANS) {
+          long to = Math.min(part.to(), part.from() + left - 1);
+          Span taken = new Span(part.incarnation(), part.from(), to);
+          wanted.add(taken);
+          requested.add(taken);
+          left -= taken.size();
         }
       }
     }
     return wanted;
   }
 
-  // ---- the sum of what was compacted ----
-
-  private void askSum(long now, String of, Report report) {
-    boolean isStale = now - sumAskedAt > PATIENCE;
-    if (sum == null
-        ? isStale
-        : isStale && (sumFrom.equals(of) || now - sumAskedAt > 5 * PATIENCE)) {
-      if (!sumFrom.equals(of) || sumSlot != report.base()) {
-        sum = null;
-        sumGot = 0;
-      }
-      sumFrom = of;
-      sumSlot = report.base();
-      sumAskedAt = now;
-      wire.send(of, new SumWanted(sumSlot, sumGot));
-    }
-  }
+  // ---- compacted state ----
 
   /**
-   * @return the whole sum once the last part is there, otherwise null
+   * Takes a part of the compacted state.
+   *
+   * @return the whole state once the last part is there, otherwise null
    */
-  public byte[] got(long now, String from, SumPart part) {
-    if (!from.equals(sumFrom) || part.size() > SUM_MOST || part.size() <= 0) {
-      return null;
-    }
-    if (part.slot() != sumSlot || sum == null || sum.length != part.size()) {
-      if (part.offset() != 0) {
-        return null;
-      }
-      sumSlot = part.slot();
-      sum = new byte[part.size()];
-      sumGot = 0;
-    }
-    if (part.offset() != sumGot || part.offset() + part.bytes().length > sum.length) {
-      return null;
-    }
-    System.arraycopy(part.bytes(), 0, sum, sumGot, part.bytes().length);
-    sumGot += part.bytes().length;
-    sumAskedAt = now;
-    if (sumGot < sum.length) {
-      wire.send(from, new SumWanted(sumSlot, sumGot));
-      return null;
-    }
-    byte[] whole = sum;
-    sum = null;
-    sumGot = 0;
-    return whole;
+  public byte[] onStatePart(long now, String from, SumPart part) {
+    return stateTransfer.onPart(now, from, part);
   }
 
+  /** Returns when the next tick is due. */
   public long dueAt() {
     long due = Long.MAX_VALUE;
-    for (Source source : sources.values()) {
-      if (source.number != 0) {
-        due = Math.min(due, Math.min(source.askedAt + PATIENCE + 1, source.lateUntil));
-      }
+    for (SyncSource source : sources.values()) {
+      due = Math.min(due, source.dueAt());
     }
     return due;
   }
 
-  /** How often something had to be asked for again. */
-  public long again() {
-    return again;
+  /** Returns how many requests for events timed out. */
+  public long timeouts() {
+    return timeouts;
   }
 }
--- a/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
+++ b/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
@@ -77,7 +77,12 @@
     assertEquals(
         "invariant broken: promised less than was accepted",
         caught(
-            each(channels -> set(get(channels, "agreement", "voting"), "promised", Ballot.NONE))));
+            each(
+                channels ->
+                    set(
+                        get(channels, "consensus", "acceptor", "state"),
+                        "promised",
+                        Ballot.NONE))));
   }
 
   @Test
@@ -135,7 +140,8 @@
             each(
                 channels -> {
                   tillerlink.channels.journal.EventSet extra =
-                      (tillerlink.channels.journal.EventSet) get(channels, "journal", "extra");
+                      (tillerlink.channels.journal.EventSet)
+                          get(channels, "journal", "events", "extra");
                   List<Span> spans = extra.spans();
                   if (spans.size() > 1) {
                     extra.remove(spans.get(0));
@@ -189,7 +195,7 @@
   void aClockThatForgetsWhatItSaw() {
     assertEquals(
         "audit: ID is stamped before what its writer had seen",
-        caught(each(channels -> set(get(channels, "stamps"), "last", 0L))));
+        caught(each(channels -> set(get(channels, "clock"), "last", 0L))));
   }
 
   @Test
@@ -222,7 +228,10 @@
                           history.fleet.kill(name);
                           history.fleet.start(
                               name, new InMemoryKeyValueStore(history.fleet.net, 5));
-                          set(get(history.fleet.running.get(name), "agreement"), "votes", true);
+                          set(
+                              get(history.fleet.running.get(name), "consensus", "acceptor"),
+                              "votes",
+                              true);
                         }
                       }
                     }));
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsJson.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsJson.java
@@ -124,7 +124,7 @@
     while (json.nextToken() != JsonToken.END_ARRAY) {
       String id = text(json, "seen");
       seen.add(Dot.parse(id).orElseThrow(() -> new IOException("'" + id + "' is no event's id")));
-      want(seen.size() <= AppendRequest.SEEN_MOST, "too many in 'seen'");
+      want(seen.size() <= AppendRequest.MAX_SEEN, "too many in 'seen'");
     }
     return seen;
   }
