--- a/channels/src/main/java/tillerlink/channels/journal/EventSet.java
+++ b/channels/src/main/java/tillerlink/channels/journal/EventSet.java
@@ -78,7 +78,7 @@
     return all;
   }
 
-  private static void addSpans(long incarnation, TreeMap<Long, Long> own, List<Span> spans) {
+  private static void addSpans(long incarnation, Map<Long, Long> own, List<Span> spans) {
     own.forEach((from, to) -> spans.add(new Span(incarnation, from, to)));
   }
 
--- a/channels/src/main/java/tillerlink/channels/journal/EventStore.java
+++ b/channels/src/main/java/tillerlink/channels/journal/EventStore.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
+import java.util.SortedSet;
 import java.util.TreeMap;
 import java.util.TreeSet;
 import tillerlink.cluster.Invariant;
@@ -35,7 +36,7 @@
     return extra;
   }
 
-  TreeSet<Entry> tail() {
+  SortedSet<Entry> tail() {
     return tail;
   }
 
--- a/channels/src/test/java/tillerlink/channels/CueRulesTest.java
+++ b/channels/src/test/java/tillerlink/channels/CueRulesTest.java
@@ -25,20 +25,20 @@
     apart.run();
     fleet.net.heal();
     fleet.net.playFor(10 * Fleet.SECOND);
-    return told();
+    return agreedCue();
   }
 
-  /** The cue as all three tell of it once all is stable. */
-  private String told() {
+  /** The cue as all three gateways show it once all is stable. */
+  private String agreedCue() {
     fleet.audit(java.util.Set.of());
     assertEquals(List.of(), fleet.violations);
-    String said = said("n1");
-    assertEquals(said, said("s1"));
-    assertEquals(said, said("w1"));
-    return said;
+    String cue = shown("n1");
+    assertEquals(cue, shown("s1"));
+    assertEquals(cue, shown("w1"));
+    return cue;
   }
 
-  private String said(String gateway) {
+  private String shown(String gateway) {
     Cue cue = fleet.running.get(gateway).cues("news").get(0);
     return "'"
         + cue.text()
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void whoeverSawBothSettlesIt() {
+  void aCorrectionThatSawBothTextsReplacesThem() {
     play(
         () -> {
           write("n1", Kind.CORRECTION, "north");
@@ -85,7 +85,7 @@
         });
     write("w1", Kind.CORRECTION, "settled");
     fleet.net.playFor(5 * Fleet.SECOND);
-    assertEquals("'settled' of [settled] []", told());
+    assertEquals("'settled' of [settled] []", agreedCue());
   }
 
   @Test
@@ -100,7 +100,7 @@
   }
 
   @Test
-  void alsoIfTheCorrectionIsLaterInTheOrder() {
+  void aRetractionStandsOverAConcurrentCorrectionThatIsLaterInTheOrder() {
     assertEquals(
         "'' of [north] retracted [RETRACTED_UNSEEN]",
         play(
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void whatIsWrittenAfterItAiredChangesNothing() {
+  void anEventWrittenAfterTheCueAiredChangesNothing() {
     assertEquals(
         "'one' of [one] airs [AFTER_AIR]",
         play(
@@ -157,7 +157,7 @@
   }
 
   @Test
-  void whatWasWrittenInTimeAndCameAfterItAiredChangesNothingEither() {
+  void anEventThatBecameStableAfterTheCueAiredChangesNothing() {
     assertEquals(
         "'one' of [one] airs [AFTER_AIR]",
         play(
@@ -173,7 +173,7 @@
   }
 
   @Test
-  void anAirMarkThatHasPassedHoldsFromWhenItWasWritten() {
+  void anAirMarkWrittenAfterItsTimeCountsFromWhenItWasWritten() {
     assertEquals(
         "'two' of [two] airs [AIR_PASSED]",
         play(
@@ -206,7 +206,7 @@
   }
 
   @Test
-  void twoCuesOfOneNameStandBesideEachOther() {
+  void twoConcurrentCuesOfOneNameAreBothKept() {
     fleet.startAll();
     fleet.net.playFor(Fleet.SECOND);
     fleet.cut(List.of("s1"));
@@ -214,7 +214,7 @@
     write("s1", Kind.CUE, "south");
     fleet.net.heal();
     fleet.net.playFor(10 * Fleet.SECOND);
-    assertEquals("'south' of [north, south] [CONCURRENT]", told());
+    assertEquals("'south' of [north, south] [CONCURRENT]", agreedCue());
   }
 
   @Test
@@ -222,11 +222,11 @@
     fleet.startAll();
     write("n1", Kind.CORRECTION, "of nothing");
     fleet.net.playFor(5 * Fleet.SECOND);
-    assertEquals("'of nothing' of [of nothing] [NO_CUE]", told());
+    assertEquals("'of nothing' of [of nothing] [NO_CUE]", agreedCue());
   }
 
   @Test
-  void theSameKeyOnTwoSidesOfACutIsOneEventAndItsRepeat() {
+  void theSameKeyOnBothSidesOfAPartitionIsOneEventAndItsRepeat() {
     fleet.startAll();
     fleet.net.playFor(Fleet.SECOND);
     fleet.cut(List.of("s1"));
@@ -235,7 +235,7 @@
     fleet.append("s1", "news", new AppendRequest(Kind.CUE, "c", "once", 0, "key", null));
     fleet.net.heal();
     fleet.net.playFor(10 * Fleet.SECOND);
-    assertEquals("'once' of [once] []", told());
+    assertEquals("'once' of [once] []", agreedCue());
     Page page = fleet.running.get("s1").read("news", 0, Fleet.ALL);
     assertEquals(List.of(false, true), page.lines().stream().map(Page.Line::repeat).toList());
     String[] again = new String[1];
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -3,11 +3,17 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.NavigableMap;
 import java.util.Random;
+import java.util.Set;
 import java.util.TreeMap;
+import java.util.function.Consumer;
+import java.util.function.Function;
+import java.util.function.ToLongFunction;
+import java.util.random.RandomGenerator;
 import tillerlink.channels.entry.AppendRequest;
 import tillerlink.channels.entry.AppendResult;
 import tillerlink.cluster.KeyValueStore;
@@ -21,7 +27,7 @@
 
 /**
  * Gateways with channels in virtual time, and an audit from outside: it knows what was appended and
- * answered, and what readers of each gateway were told over time, and nothing of what is inside.
+ * answered, and what readers of each gateway read over time, and nothing of what is inside.
  */
 final class Fleet {
   static final long SECOND = 10_000;
@@ -36,21 +42,21 @@
   final Map<String, NavigableMap<String, byte[]>> copies = new HashMap<>();
   final List<String> log = new ArrayList<>();
 
-  /** What was told as stable, by channel: the first word on each place holds for good. */
-  final Map<String, TreeMap<Long, String>> told = new TreeMap<>();
+  /** What was read as stable, by channel and place: whatever is read first holds for good. */
+  final Map<String, TreeMap<Long, String>> stableRead = new TreeMap<>();
 
-  /** Answered events, by name: gateway and what they say. */
+  /** Answered events, by name: their content. */
   final Map<String, String> answered = new TreeMap<>();
 
   final Map<String, String> texts = new HashMap<>();
   final List<String> violations = new ArrayList<>();
   int refused;
 
-  /** Replaced where a test plants a fault. */
-  java.util.function.Function<String, Terms> termsOf;
+  /** Replaced where a test injects a fault. */
+  Function<String, Terms> termsOf;
 
-  java.util.function.Function<String, java.util.random.RandomGenerator> chanceOf;
-  java.util.function.ToLongFunction<String> wallOf;
+  Function<String, RandomGenerator> randomOf;
+  ToLongFunction<String> wallOf;
 
   Fleet(long seed, List<String> names, Terms terms) {
     random = new Random(seed);
@@ -58,14 +64,14 @@
     this.names = names;
     this.terms = terms;
     termsOf = name -> terms;
-    chanceOf = name -> random;
+    randomOf = name -> random;
     wallOf = net::wall;
   }
 
-  private final class Names implements MembershipView {
+  private final class TestMembership implements MembershipView {
     final String self;
 
-    Names(String self) {
+    TestMembership(String self) {
       this.self = self;
     }
 
@@ -104,18 +110,18 @@
 
   void start(String name, InMemoryKeyValueStore disk) {
     disks.put(name, disk);
-    Channels channels = made(name, disk);
+    Channels channels = create(name, disk);
     running.put(name, channels);
     net.start(name, channels);
   }
 
-  Channels made(String name, KeyValueStore keep) {
+  Channels create(String name, KeyValueStore storage) {
     return new Channels(
         termsOf.apply(name),
-        new Names(name),
+        new TestMembership(name),
         net.post(name),
-        keep,
-        chanceOf.apply(name),
+        storage,
+        randomOf.apply(name),
         wallOf.applyAsLong(name),
         line -> log.add(name + ": " + line));
   }
@@ -139,12 +145,11 @@
     }
   }
 
-  void append(String name, String channel, AppendRequest draft) {
-    append(name, channel, draft, dot -> {});
+  void append(String name, String channel, AppendRequest request) {
+    append(name, channel, request, dot -> {});
   }
 
-  void append(
-      String name, String channel, AppendRequest draft, java.util.function.Consumer<Dot> taken) {
+  void append(String name, String channel, AppendRequest request, Consumer<Dot> taken) {
     Channels channels = running.get(name);
     if (channels == null) {
       return;
@@ -153,18 +158,19 @@
         net.now(),
         net.wall(name),
         channel,
-        draft,
+        request,
         answer -> {
-          if (answer instanceof AppendResult.Taken it && it.again()) {
-            taken.accept(it.id());
-          } else if (answer instanceof AppendResult.Taken it) {
-            String says = channel + " " + draft.kind() + " " + draft.cue() + " " + draft.text();
-            String was = answered.put(it.id().text(), says);
-            if (was != null && !was.equals(says)) {
-              violations.add(it.id().text() + " stands for two contents");
+          if (answer instanceof AppendResult.Taken result && result.again()) {
+            taken.accept(result.id());
+          } else if (answer instanceof AppendResult.Taken result) {
+            String content =
+                channel + " " + request.kind() + " " + request.cue() + " " + request.text();
+            String was = answered.put(result.id().text(), content);
+            if (was != null && !was.equals(content)) {
+              violations.add(result.id().text() + " stands for two contents");
             }
-            texts.put(it.id().text(), name);
-            taken.accept(it.id());
+            texts.put(result.id().text(), name);
+            taken.accept(result.id());
           } else {
             refused++;
           }
@@ -176,7 +182,7 @@
     return new AppendRequest(Kind.CUE, cue, text, 0, "", null);
   }
 
-  static String says(Page.Line line) {
+  static String content(Page.Line line) {
     return line.entry().channel()
         + " "
         + line.entry().kind()
@@ -187,8 +193,7 @@
   }
 
   /**
-   * A reader of one gateway looks, and what it is told as stable is held against all that was told
-   * before.
+   * Reads all channels of one gateway, and compares what is stable with all that was read before.
    */
   void look(String name) {
     Channels channels = running.get(name);
@@ -196,13 +201,13 @@
       return;
     }
     for (String channel : channels.names()) {
-      TreeMap<Long, String> known = told.computeIfAbsent(channel, any -> new TreeMap<>());
+      TreeMap<Long, String> known = stableRead.computeIfAbsent(channel, any -> new TreeMap<>());
       Page page = channels.read(channel, 0, ALL);
       for (Page.Line line : page.lines()) {
         String id = line.entry().dot().text();
         String what =
-            id + (line.late() ? " late " : " ") + (line.repeat() ? "repeat " : "") + says(line);
-        if (answered.containsKey(id) && !answered.get(id).equals(says(line))) {
+            id + (line.late() ? " late " : " ") + (line.repeat() ? "repeat " : "") + content(line);
+        if (answered.containsKey(id) && !answered.get(id).equals(content(line))) {
           violations.add(id + " says otherwise at " + name);
         }
         if (line.stable()) {
@@ -250,7 +255,7 @@
   }
 
   /** At quiescence: all agree, nothing is provisional, nothing that was answered is missing. */
-  void audit(java.util.Set<String> mayBeLost) {
+  void audit(Set<String> mayBeLost) {
     lookAll();
     List<String> all = null;
     for (String name : names) {
@@ -275,7 +280,7 @@
     List<String> missing = new ArrayList<>();
     for (String id : answered.keySet()) {
       boolean isThere = false;
-      for (TreeMap<Long, String> channel : told.values()) {
+      for (TreeMap<Long, String> channel : stableRead.values()) {
         isThere |= channel.values().stream().anyMatch(what -> what.startsWith(id + " "));
       }
       if (!isThere && !mayBeLost.contains(id)) {
@@ -283,8 +288,8 @@
       }
     }
     // What was compacted before anybody looked can only be counted.
-    long stable = running.get(names.get(0)).state().stable();
-    long unseen = stable - told.values().stream().mapToLong(TreeMap::size).sum();
+    long count = running.get(names.get(0)).state().stable();
+    long unseen = count - stableRead.values().stream().mapToLong(TreeMap::size).sum();
     if (missing.size() > unseen) {
       violations.add("answered and lost: " + missing);
     }
@@ -292,7 +297,7 @@
 
   /** Whether every gateway shows the same events, all stable. */
   boolean isSettled() {
-    java.util.Set<String> all = new java.util.HashSet<>();
+    Set<String> all = new HashSet<>();
     for (String name : names) {
       StringBuilder here = new StringBuilder();
       Channels channels = running.get(name);
--- a/channels/src/test/java/tillerlink/channels/HistoriesTest.java
+++ b/channels/src/test/java/tillerlink/channels/HistoriesTest.java
@@ -12,7 +12,7 @@
  */
 class HistoriesTest {
   @Test
-  void nothingToldAsStableChangesAndAllAgreeInTheEnd() {
+  void noStableEventChangesAndAllGatewaysAgreeInTheEnd() {
     long first = Long.getLong("first", 1);
     int plays = Integer.getInteger("histories", 100);
     List<String> failures = new ArrayList<>();
--- a/channels/src/test/java/tillerlink/channels/History.java
+++ b/channels/src/test/java/tillerlink/channels/History.java
@@ -249,7 +249,7 @@
       return;
     }
     recovering.put(name, fleet.net.now());
-    note(name);
+    noteWhatMayBeLost();
     if (die < 39 && fleet.copies.containsKey(name)) {
       say("old copy " + name);
       fleet.start(name, InMemoryKeyValueStore.of(fleet.net, 5, fleet.copies.get(name)));
@@ -259,8 +259,8 @@
     }
   }
 
-  /** What only the disk that goes now holds can't come back. */
-  private void note(String gone) {
+  /** What only the disk that is lost now holds can't come back. */
+  private void noteWhatMayBeLost() {
     Set<String> elsewhere = new TreeSet<>();
     fleet.running.forEach(
         (name, channels) -> {
--- a/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
+++ b/channels/src/test/java/tillerlink/channels/InjectedFaultsTest.java
@@ -6,17 +6,20 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Map;
+import java.util.NavigableMap;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 import tillerlink.channels.journal.ChannelLog;
+import tillerlink.channels.journal.EventSet;
 import tillerlink.messages.channels.Ballot;
 import tillerlink.messages.channels.Span;
 import tillerlink.simulation.InMemoryKeyValueStore;
 
-/** Each check can fail: faults planted in the machines' insides, and what caught them. */
-class PlantedFaultsTest {
+/** Each check can fail: faults injected into the state of gateways, and what caught them. */
+class InjectedFaultsTest {
   private static final int SEEDS = 40;
 
   private static Object get(Object of, String... path) {
@@ -44,10 +47,10 @@
   }
 
   /** What caught it first, over some seeds: an invariant's first words, or the audit's. */
-  private static String caught(Consumer<History> plant) {
+  private static String caught(Consumer<History> fault) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       History history = new History(seed, 40);
-      plant.accept(history);
+      fault.accept(history);
       try {
         List<String> violations = history.play();
         if (!violations.isEmpty()) {
@@ -73,7 +76,7 @@
   }
 
   @Test
-  void promisesThatAreForgotten() {
+  void aForgottenPromiseIsCaught() {
     assertEquals(
         "invariant broken: promised less than was accepted",
         caught(
@@ -86,7 +89,7 @@
   }
 
   @Test
-  void anOwnNumberUsedTwice() {
+  void aSequenceNumberUsedTwiceIsCaught() {
     assertEquals(
         "invariant broken: an own number is used a second time",
         caught(
@@ -99,7 +102,7 @@
   }
 
   @Test
-  void oneIncarnationForTwoProcesses() {
+  void oneIncarnationOfTwoProcessesIsCaught() {
     assertEquals(
         "invariant broken: two events are called ID",
         caught(
@@ -107,7 +110,7 @@
               RandomGenerator same = new SplittableRandom(1);
               history.fleet.wallOf =
                   name -> 1_000_000_000L * (1 + history.fleet.names.indexOf(name));
-              history.fleet.chanceOf =
+              history.fleet.randomOf =
                   name ->
                       new RandomGenerator() {
                         @Override
@@ -133,15 +136,13 @@
   }
 
   @Test
-  void aVectorThatDoesNotCoverWhatIsHeld() {
+  void anEventSetWithoutAHeldEventIsCaught() {
     assertEquals(
         "invariant broken: the vectors do not cover what is held",
         caught(
             each(
                 channels -> {
-                  tillerlink.channels.journal.EventSet extra =
-                      (tillerlink.channels.journal.EventSet)
-                          get(channels, "journal", "events", "extra");
+                  EventSet extra = (EventSet) get(channels, "journal", "events", "extra");
                   List<Span> spans = extra.spans();
                   if (spans.size() > 1) {
                     extra.remove(spans.get(0));
@@ -150,15 +151,14 @@
   }
 
   @Test
-  void stableEventsThatChangePlaces() {
+  void stableEventsThatChangePlacesAreCaught() {
     assertEquals(
         "audit: stable",
         caught(
             each(
                 channels -> {
                   ChannelLog log =
-                      (ChannelLog)
-                          ((java.util.Map<?, ?>) get(channels, "journal", "logs")).get("news");
+                      (ChannelLog) ((Map<?, ?>) get(channels, "journal", "logs")).get("news");
                   List<?> stable = log == null ? List.of() : (ArrayList<?>) get(log, "stable");
                   if (stable.size() > 3 && stable.size() % 3 == 0) {
                     Collections.swap(stable, 0, 1);
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void anotherOrderAtOneGateway() {
+  void anotherOrderAtOneGatewayIsCaught() {
     assertEquals(
         "invariant broken: stable events up to step N",
         caught(
@@ -180,7 +180,7 @@
   }
 
   @Test
-  void operatorsFilesThatCountOthersIn() {
+  void differentCountedGatewaysAreCaught() {
     assertEquals(
         "invariant broken: stable events up to step N",
         caught(
@@ -192,14 +192,14 @@
   }
 
   @Test
-  void aClockThatForgetsWhatItSaw() {
+  void aClockThatForgetsObservedStampsIsCaught() {
     assertEquals(
         "audit: ID is stamped before what its writer had seen",
         caught(each(channels -> set(get(channels, "clock"), "last", 0L))));
   }
 
   @Test
-  void aDiskThatSaysItKeptAndDidNot() {
+  void aDiskThatLosesDurableEventsIsCaught() {
     assertEquals(
         "audit: n1 news has provisional events",
         caught(
@@ -207,16 +207,15 @@
                 history.each =
                     () -> {
                       for (String name : history.fleet.running.keySet()) {
-                        java.util.NavigableMap<?, ?> disk =
-                            (java.util.NavigableMap<?, ?>)
-                                get(history.fleet.disks.get(name), "disk");
+                        NavigableMap<?, ?> disk =
+                            (NavigableMap<?, ?>) get(history.fleet.disks.get(name), "disk");
                         disk.keySet().removeIf(key -> key.toString().startsWith("e/"));
                       }
                     }));
   }
 
   @Test
-  void aVoteBeforeTheOthersWereAsked() {
+  void aVoteBeforeTheOthersAnsweredIsCaught() {
     assertEquals(
         "audit: stable",
         caught(
--- a/channels/src/test/java/tillerlink/channels/LogTest.java
+++ b/channels/src/test/java/tillerlink/channels/LogTest.java
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void whoIsCutOffGoesOnAndItsEventsComeLate() {
+  void aGatewayThatIsCutOffAcceptsAppendsAndTheyComeLate() {
     Fleet fleet = new Fleet(2, THREE, Terms.of(THREE));
     fleet.startAll();
     fleet.net.playFor(2 * Fleet.SECOND);
--- a/channels/src/test/java/tillerlink/channels/MergeMeasure.java
+++ b/channels/src/test/java/tillerlink/channels/MergeMeasure.java
@@ -85,7 +85,8 @@
   }
 
   private static void memory(int events) {
-    Fleet none = apart(0);
+    // The first run loads the classes, so that they don't count.
+    apart(0);
     long before = used();
     Fleet fleet = apart(events);
     fleet.answered.clear();
--- a/channels/src/test/java/tillerlink/channels/StoriesTest.java
+++ b/channels/src/test/java/tillerlink/channels/ScenarioTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.simulation.InMemoryKeyValueStore;
 
-/** Hard cases as kept timelines: what was done, and what readers of each gateway were told. */
-class StoriesTest {
+/** Hard cases as kept timelines: what was done, and what readers of each gateway read. */
+class ScenarioTest {
   private static final List<String> THREE = List.of("n1", "s1", "w1");
   private static final Path KEPT = Path.of("src/test/resources/stories");
 
@@ -38,29 +38,29 @@
   /**
    * Stable events, a bar, provisional ones; one that came late has its time of origin behind it.
    */
-  private void told() {
+  private void show() {
     for (String name : fleet.names) {
       Channels channels = fleet.running.get(name);
       if (channels == null) {
         lines.add("         " + name + " is down");
         continue;
       }
-      StringBuilder told = new StringBuilder();
+      StringBuilder line = new StringBuilder();
       boolean tail = false;
-      for (Page.Line line : channels.read("news", 0, Fleet.ALL).lines()) {
-        told.append(!line.stable() && !tail ? " |" : "").append(' ').append(line.entry().text());
-        tail |= !line.stable();
-        if (line.late()) {
-          told.append(
+      for (Page.Line event : channels.read("news", 0, Fleet.ALL).lines()) {
+        line.append(!event.stable() && !tail ? " |" : "").append(' ').append(event.entry().text());
+        tail |= !event.stable();
+        if (event.late()) {
+          line.append(
               String.format(
-                  "(late, of %.1f s)", (line.entry().millis() - 1_700_000_000_000L) / 1e3));
+                  "(late, of %.1f s)", (event.entry().millis() - 1_700_000_000_000L) / 1e3));
         }
       }
       lines.add(
           "         "
               + name
               + ":"
-              + told
+              + line
               + (tail ? "" : " |")
               + "   voters "
               + channels.state().voters()
@@ -68,15 +68,15 @@
     }
   }
 
-  private void kept(String name) throws IOException {
+  private void compareWithKept(String name) throws IOException {
     fleet.audit(Set.of());
     assertEquals(List.of(), fleet.violations);
     Path file = KEPT.resolve(name + ".txt");
-    String told = String.join("\n", lines) + "\n";
+    String timeline = String.join("\n", lines) + "\n";
     if (Boolean.getBoolean("keep")) {
-      Files.writeString(file, told);
+      Files.writeString(file, timeline);
     }
-    assertEquals(Files.readString(file), told);
+    assertEquals(Files.readString(file), timeline);
   }
 
   private void begin() {
@@ -84,11 +84,11 @@
     wait(3);
     write("n1", "a");
     wait(2);
-    told();
+    show();
   }
 
   @Test
-  void aSiteThatIsCutOffIsLeftOutAndTakenInAgain() throws IOException {
+  void aSiteThatIsCutOffIsLeftOutAndIncludedAgain() throws IOException {
     begin();
     say("w1 is cut off");
     fleet.cut(List.of("w1"));
@@ -96,22 +96,22 @@
     write("n1", "c");
     write("w1", "w-d");
     wait(3);
-    told();
+    show();
     say("10 s later: left out by agreement, the others go on");
     wait(12);
     write("s1", "e");
     wait(2);
-    told();
+    show();
     say("the cut is over");
     fleet.net.heal();
     write("n1", "f");
     wait(5);
-    told();
-    kept("cut-off");
+    show();
+    compareWithKept("cut-off");
   }
 
   @Test
-  void aVoterWithALostDiskAsksBeforeItVotes() throws IOException {
+  void aVoterWithALostDiskVotesOnlyAfterTheOthersAnswered() throws IOException {
     begin();
     say("w1 is cut off, then s1 is started anew with a lost disk");
     fleet.cut(List.of("w1"));
@@ -121,16 +121,16 @@
     write("n1", "c");
     write("s1", "d");
     wait(20);
-    told();
+    show();
     say("the cut is over: both others tell s1 what it had agreed to");
     fleet.net.heal();
     wait(8);
-    told();
-    kept("lost-disk");
+    show();
+    compareWithKept("lost-disk");
   }
 
   @Test
-  void anOldCopyOfADiskAndAllStartedAtOnce() throws IOException {
+  void anOldCopyOfADiskLosesNothingWhenAllRestart() throws IOException {
     begin();
     say("a copy of n1's disk is made");
     var copy = fleet.disks.get("n1").copy();
@@ -141,16 +141,16 @@
     fleet.names.forEach(fleet::kill);
     fleet.start("n1", InMemoryKeyValueStore.of(fleet.net, 5, copy));
     write("n1", "d");
-    told();
+    show();
     fleet.start("s1");
     fleet.start("w1");
     wait(8);
-    told();
-    kept("old-copy");
+    show();
+    compareWithKept("old-copy");
   }
 
   @Test
-  void twoThatHearEachOtherOnlyThroughTheThird() throws IOException {
+  void twoGatewaysAgreeThroughTheThird() throws IOException {
     begin();
     say("n1 and s1 no longer hear each other, both hear w1");
     fleet.net.between("n1", "s1", tillerlink.simulation.Fault.CUT);
@@ -158,7 +158,7 @@
     write("s1", "c");
     write("w1", "d");
     wait(30);
-    told();
-    kept("through-the-third");
+    show();
+    compareWithKept("through-the-third");
   }
 }
--- a/channels/src/test/java/tillerlink/channels/ShortHistoriesTest.java
+++ b/channels/src/test/java/tillerlink/channels/ShortHistoriesTest.java
@@ -8,13 +8,13 @@
 
 /**
  * Many short histories: a gateway at each of three sites, three to ten appends, one or two faults,
- * then all agree.
+ * then the audit that all agree.
  */
 class ShortHistoriesTest {
-  private static final class Short implements Seeds.Seeded {
+  private static final class ShortHistory implements Seeds.Seeded {
     final History history;
 
-    Short(long seed) {
+    ShortHistory(long seed) {
       // Seeds that are multiples of four stand for fleets of three gateways.
       history = new History(seed * 4, 0);
     }
@@ -41,8 +41,8 @@
   }
 
   @Test
-  void nothingToldAsStableChangesAndAllAgreeInTheEnd() {
-    long[] sums = Seeds.play("channels", 6000, Short::new);
+  void noStableEventChangesAndAllGatewaysAgreeInTheEnd() {
+    long[] sums = Seeds.play("channels", 6000, ShortHistory::new);
     System.out.println(
         sums[0]
             + " short histories of channels: "
@@ -54,6 +54,6 @@
             + " answered, "
             + sums[4]
             + " refused");
-    assertTrue(sums[0] < 100 || sums[1] >= sums[0] && sums[3] >= 3 * sums[0]);
+    assertTrue(sums[0] < 100 || (sums[1] >= sums[0] && sums[3] >= 3 * sums[0]));
   }
 }
--- a/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
+++ b/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
@@ -13,7 +13,7 @@
 import tillerlink.simulation.Fault;
 import tillerlink.simulation.InMemoryKeyValueStore;
 
-/** Compaction, the sum for those far behind, bounds, full disks, links for small messages. */
+/** Compaction, catching up from compacted state, quotas, full disks, links for small messages. */
 class StorageQuotaTest {
   private static final List<String> THREE = List.of("n1", "s1", "w1");
 
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void whoIsFarBehindStartsFromTheSumWithItsOwnOnTop() {
+  void aGatewayFarBehindStartsFromCompactedStateAndKeepsItsOwnEvents() {
     Fleet fleet = fleet(64 << 20, 8);
     fleet.cut(List.of("w1"));
     write(fleet, "w1", 5);
@@ -73,7 +73,7 @@
   }
 
   @Test
-  void aFullChannelRefusesAndOthersGoOnAndNothingIsLost() {
+  void aFullChannelRefusesAppendsWhileOthersAcceptThem() {
     Fleet fleet = fleet(400_000, 1000);
     fleet.cut(List.of("w1"));
     int before = 0;
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void aLostDiskIsGivenBackItsPastAndItIsTold() {
+  void eventsOfALostDiskAreSentBackAndTheLossIsLogged() {
     Fleet fleet = fleet(64 << 20, 1000);
     write(fleet, "w1", 4);
     fleet.kill("w1");
@@ -136,7 +136,7 @@
   }
 
   @Test
-  void linksForSmallMessagesCarryAll() {
+  void linksForSmallMessagesCarryAllEvents() {
     Fleet fleet = fleet(64 << 20, 8);
     fleet.net.usual(Fault.small(MessageSender.BYTES_EASY));
     fleet.cut(List.of("w1"));
@@ -152,7 +152,7 @@
   }
 
   @Test
-  void piecesShrinkForALinkThatCarriesStillLess() {
+  void piecesShrinkForLinksThatCarryStillLess() {
     Fleet fleet = fleet(64 << 20, 1000);
     fleet.cut(List.of("w1"));
     for (int i = 0; i < 300; i++) {
@@ -167,7 +167,7 @@
   }
 
   @Test
-  void aClockThatIsAheadIsRefusedAndSaid() {
+  void appendsAreRefusedWhileTheClockIsTooFarAhead() {
     Fleet fleet = fleet(64 << 20, 1000);
     fleet.net.playFor(3 * Fleet.SECOND);
     fleet.net.setClock("w1", 300 * Fleet.SECOND);
