--- a/channels/src/main/java/tillerlink/channels/consensus/ProposerRole.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/ProposerRole.java
@@ -183,7 +183,8 @@
         caughtUp.add(name);
       }
       Reachability reachability = transport.membership().reachability(name);
-      if (reachability.talksTo() || (reachability == Reachability.GONE && counted.contains(name))) {
+      if (reachability.isContactable()
+          || (reachability == Reachability.GONE && counted.contains(name))) {
         waitedFor.add(name);
       }
     }
--- a/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
+++ b/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
@@ -47,7 +47,7 @@
   private List<String> recipients(List<String> always) {
     List<String> reachable = new ArrayList<>();
     for (String name : membership.names()) {
-      if (membership.reachability(name).talksTo()) {
+      if (membership.reachability(name).isContactable()) {
         reachable.add(name);
       }
     }
--- a/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
+++ b/channels/src/main/java/tillerlink/channels/sync/Fetcher.java
@@ -115,7 +115,7 @@
     }
     for (Map.Entry<String, SyncSource> each : sources.entrySet()) {
       if (now - each.getValue().reportAt() <= MAX_REPORT_AGE
-          && transport.membership().reachability(each.getKey()).talksTo()) {
+          && transport.membership().reachability(each.getKey()).isContactable()) {
         request(now, each.getKey(), each.getValue());
       }
     }
--- a/channels/src/main/java/tillerlink/channels/sync/SyncServer.java
+++ b/channels/src/main/java/tillerlink/channels/sync/SyncServer.java
@@ -28,7 +28,7 @@
 
   private static final int MIN_PIECE_BYTES = 150;
   private static final int MAX_ENTRIES = 4096;
-  private static final int MAX_CUTS_BYTES = MessageSender.BYTES_EASY - 60;
+  private static final int MAX_CUTS_BYTES = MessageSender.SINGLE_DATAGRAM_BYTES - 60;
   private static final int MAX_CUTS_MESSAGES = 24;
   private static final int STATE_PART_BYTES = 1000;
 
@@ -46,7 +46,7 @@
   /** Sends the requested events that are held, in pieces of the requested size. */
   public void sendEntries(String to, Want want) {
     int maxBytes =
-        Math.max(MIN_PIECE_BYTES, Math.min(MessageSender.BYTES_MOST, want.maxBytes()))
+        Math.max(MIN_PIECE_BYTES, Math.min(MessageSender.MAX_MESSAGE_BYTES, want.maxBytes()))
             - HEADER_BYTES;
     int left = Math.min(MAX_ENTRIES, want.maxEntries());
     List<Entry> piece = new ArrayList<>();
--- a/channels/src/main/java/tillerlink/channels/sync/SyncSource.java
+++ b/channels/src/main/java/tillerlink/channels/sync/SyncSource.java
@@ -45,7 +45,7 @@
   private long completeAt = NEVER;
 
   private int window = INITIAL_WINDOW;
-  private int pieceBytes = MessageSender.BYTES_EASY;
+  private int pieceBytes = MessageSender.SINGLE_DATAGRAM_BYTES;
   private int usefulInARow;
   private long backoffUntil = Long.MIN_VALUE;
 
@@ -143,7 +143,7 @@
       usefulInARow++;
       if (usefulInARow >= RESPONSES_TO_GROW) {
         usefulInARow = 0;
-        pieceBytes = Math.min(MessageSender.BYTES_EASY, pieceBytes * 2);
+        pieceBytes = Math.min(MessageSender.SINGLE_DATAGRAM_BYTES, pieceBytes * 2);
       }
     }
   }
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -104,7 +104,7 @@
   void start(String name) {
     InMemoryKeyValueStore before = disks.get(name);
     InMemoryKeyValueStore disk =
-        before == null ? new InMemoryKeyValueStore(net, 5) : before.reopened();
+        before == null ? new InMemoryKeyValueStore(net, 5) : before.reopen();
     start(name, disk);
   }
 
@@ -119,7 +119,7 @@
     return new Channels(
         termsOf.apply(name),
         new TestMembership(name),
-        net.post(name),
+        net.sender(name),
         storage,
         randomOf.apply(name),
         wallOf.applyAsLong(name),
@@ -130,7 +130,7 @@
     InMemoryKeyValueStore disk = disks.get(name);
     if (running.remove(name) != null) {
       net.kill(name);
-      disk.crash(disk.inDoubt() == 0 ? 0 : random.nextInt(disk.inDoubt() + 1));
+      disk.crash(disk.pendingWrites() == 0 ? 0 : random.nextInt(disk.pendingWrites() + 1));
     }
   }
 
@@ -175,7 +175,7 @@
             refused++;
           }
         });
-    net.touched(name);
+    net.reschedule(name);
   }
 
   static AppendRequest cue(String cue, String text) {
