--- a/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
@@ -14,35 +14,41 @@
   private Definitions() {}
 
   /**
+   * Checks a definition of a statement.
+   *
    * @throws IllegalArgumentException if it can't be used; the message names what, for people
    */
-  public static void check(Definition of) {
-    name("name", of.name());
-    name("track", of.requestClass());
-    if (of.text().isBlank()
-        || of.text().getBytes(StandardCharsets.UTF_8).length > Definition.TEXT_MOST) {
+  public static void check(Definition definition) {
+    checkName("name", definition.name());
+    checkName("track", definition.requestClass());
+    if (definition.text().isBlank()
+        || definition.text().getBytes(StandardCharsets.UTF_8).length > Definition.TEXT_MOST) {
       throw new IllegalArgumentException("text: 1 to " + Definition.TEXT_MOST + " bytes");
     }
-    if (of.parameters().size() > Definition.PARAMETERS_MOST) {
+    if (definition.parameters().size() > Definition.PARAMETERS_MOST) {
       throw new IllegalArgumentException("parameters: no more than " + Definition.PARAMETERS_MOST);
     }
-    groups(of.groups());
-    names("uses", of.uses(), Definition.USES_MOST, of.groups());
-    Template.of(of);
+    checkGroups(definition.groups());
+    checkUses("uses", definition.uses(), Definition.USES_MOST, definition.groups());
+    Template.of(definition);
   }
 
   /**
+   * Checks a change of a schema.
+   *
    * @throws IllegalArgumentException if it can't be used; the message names what, for people
    */
-  public static void check(Change of) {
-    groups(of.groups());
-    names("removed", of.removed(), Change.NAMES_MOST, of.groups());
-    names("altered", of.altered(), Change.NAMES_MOST, of.groups());
-    names("renamed", List.copyOf(of.renamed().keySet()), Change.NAMES_MOST, of.groups());
-    names("renamed", List.copyOf(of.renamed().values()), Change.NAMES_MOST, of.groups());
+  public static void check(Change change) {
+    checkGroups(change.groups());
+    checkUses("removed", change.removed(), Change.NAMES_MOST, change.groups());
+    checkUses("altered", change.altered(), Change.NAMES_MOST, change.groups());
+    checkUses(
+        "renamed", List.copyOf(change.renamed().keySet()), Change.NAMES_MOST, change.groups());
+    checkUses(
+        "renamed", List.copyOf(change.renamed().values()), Change.NAMES_MOST, change.groups());
   }
 
-  private static void name(String what, String name) {
+  private static void checkName(String what, String name) {
     if (name.length() > Definition.NAME_MOST || !NAME.matcher(name).matches()) {
       throw new IllegalArgumentException(
           what
@@ -52,7 +58,7 @@
     }
   }
 
-  private static void groups(List<Integer> groups) {
+  private static void checkGroups(List<Integer> groups) {
     if (groups.isEmpty()
         || groups.size() > Definition.GROUPS_MOST
         || groups.stream().anyMatch(group -> group < 1 || group > Definition.GROUP_MOST)) {
@@ -61,7 +67,7 @@
     }
   }
 
-  private static void names(String what, List<String> names, int most, List<Integer> groups) {
+  private static void checkUses(String what, List<String> names, int most, List<Integer> groups) {
     if (names.size() > most) {
       throw new IllegalArgumentException(what + ": no more than " + most);
     }
--- a/statements/src/main/java/tillerlink/statements/prepare/Literal.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Literal.java
@@ -6,13 +6,21 @@
 import java.util.regex.Pattern;
 import tillerlink.messages.statements.ParameterType;
 
-/** Words values so that they can't be taken for anything but a value. */
+/** Renders values as SQL literals that can't be taken for anything but a value. */
 final class Literal {
   private static final Pattern INTEGER = Pattern.compile("-?[0-9]{1,19}");
   private static final Pattern DECIMAL = Pattern.compile("-?[0-9]{1,30}([.][0-9]{1,30})?");
 
+  private static final char DELETE = 0x7f;
+
   private Literal() {}
 
+  /**
+   * The literal of a parameter's value, {@code NULL} for null.
+   *
+   * @param number the parameter's number, for messages
+   * @throws IllegalArgumentException if the value is not of the type; the message is for people
+   */
   static String of(int number, ParameterType type, String value) {
     if (value == null) {
       return "NULL";
@@ -32,9 +40,7 @@
    */
   private static String text(int number, String value) {
     for (int i = 0; i < value.length(); i++) {
-      char c = value.charAt(i);
-      boolean lonely = Character.isSurrogate(c) && !paired(value, i);
-      if (c == '\\' || c < ' ' && c != '\n' && c != '\t' || c == 0x7f || lonely) {
+      if (!isAllowed(value, i)) {
         throw new IllegalArgumentException(
             "parameter $" + number + " has a character that texts may not have");
       }
@@ -42,7 +48,17 @@
     return "'" + value.replace("'", "''") + "'";
   }
 
-  private static boolean paired(String value, int at) {
+  private static boolean isAllowed(String value, int at) {
+    char character = value.charAt(at);
+    if (character == '\n' || character == '\t') {
+      return true;
+    }
+    boolean control = character < ' ' || character == DELETE;
+    boolean unpaired = Character.isSurrogate(character) && !isPaired(value, at);
+    return character != '\\' && !control && !unpaired;
+  }
+
+  private static boolean isPaired(String value, int at) {
     return Character.isHighSurrogate(value.charAt(at))
         ? at + 1 < value.length() && Character.isLowSurrogate(value.charAt(at + 1))
         : at > 0 && Character.isHighSurrogate(value.charAt(at - 1));
