--- a/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
+++ b/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
@@ -25,8 +25,8 @@
   /** By the clock as it is now, since a pause may lie before. */
   @Override
   public boolean holds() {
-    if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
-      retryAfter = no.retryAfter();
+    if (statements.checkRun(clock.getAsLong(), prepared) instanceof Permission.Denied denied) {
+      retryAfter = denied.retryAfter();
       return false;
     }
     return true;
@@ -40,11 +40,11 @@
 
   @Override
   public void onAttemptStarted() {
-    statements.began(prepared);
+    statements.onAttemptStarted(prepared);
   }
 
   @Override
   public void onAttemptEnded(long mayRunUntil) {
-    statements.ended(clock.getAsLong(), prepared, mayRunUntil);
+    statements.onAttemptEnded(clock.getAsLong(), prepared, mayRunUntil);
   }
 }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
@@ -56,21 +56,21 @@
   static HttpResponse outcome(Outcome outcome, String field) {
     return switch (outcome.verdict()) {
       case DONE -> answer(200, 0, json -> json.writeNumberField(field, outcome.id()));
-      case REFUSED -> problem(409, "Refused", outcome.words(), 0);
-      case UNKNOWN -> problem(503, "Unknown", outcome.words(), UNKNOWN_COME_BACK);
+      case REFUSED -> problem(409, "Refused", outcome.message(), 0);
+      case UNKNOWN -> problem(503, "Unknown", outcome.message(), UNKNOWN_COME_BACK);
     };
   }
 
-  static HttpResponse rejected(Permission.No no) {
+  static HttpResponse rejected(Permission.Denied denied) {
     String problem =
-        switch (no.why()) {
+        switch (denied.reason()) {
           case OTHER -> "Other";
           case INVALID -> "Invalid";
           case ANEW, CHANGING -> "Changing";
           case UNKNOWN -> "NoLease";
         };
-    boolean for503 = no.retryAfter() > 0;
-    return problem(for503 ? 503 : 409, problem, no.words(), milliseconds(no.retryAfter()));
+    boolean for503 = denied.retryAfter() > 0;
+    return problem(for503 ? 503 : 409, problem, denied.message(), milliseconds(denied.retryAfter()));
   }
 
   static long milliseconds(long tenths) {
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
@@ -80,12 +80,12 @@
 
   @Override
   public void timeUp(long now, long wall) {
-    statements.timeUp(now);
+    statements.failPendingRequests(now);
   }
 
   @Override
   public void close(long now, long wall) {
-    statements.leave(now);
+    statements.releaseLeases(now);
   }
 
   @Override
@@ -164,7 +164,7 @@
         number.isEmpty()
             ? state.waiting().firstKey()
             : number("change", number, CHANGE_DIGITS_MOST);
-    statements.takeBack(
+    statements.withdraw(
         now, change, outcome -> reply.answer(StatementResponses.outcome(outcome, "change")));
   }
 
@@ -199,8 +199,8 @@
     }
     Prepared prepared = found.get();
     String text = prepared.text(run.values(), fence);
-    if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
-      reply.answer(StatementResponses.rejected(no));
+    if (statements.checkRun(clock.getAsLong(), prepared) instanceof Permission.Denied denied) {
+      reply.answer(StatementResponses.rejected(denied));
       return;
     }
     door.submit(
--- a/peering/src/test/java/tillerlink/peering/together/Story.java
+++ b/peering/src/test/java/tillerlink/peering/together/Story.java
@@ -127,7 +127,7 @@
         .lookUp("q")
         .ifPresent(
             prepared -> {
-              if (host.statements.mayRun(fleet.now(), prepared) instanceof Permission.Yes) {
+              if (host.statements.checkRun(fleet.now(), prepared) instanceof Permission.Granted) {
                 runs++;
                 prepared
                     .versions()
--- a/statements/src/main/java/tillerlink/statements/LeaderTasks.java
+++ b/statements/src/main/java/tillerlink/statements/LeaderTasks.java
@@ -1,103 +1,117 @@
 package tillerlink.statements;
 
 import java.util.List;
+import java.util.SortedMap;
 import java.util.TreeMap;
+import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Command;
 import tillerlink.statements.catalog.Catalog;
+import tillerlink.statements.catalog.CatalogEntry;
 import tillerlink.statements.consensus.RaftVoter;
 import tillerlink.statements.consensus.Voters;
 import tillerlink.statements.prepare.Preparer;
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * What the leader of the log does of itself: it lets a change take effect once a majority of the
- * voters is clear of it, and has statements prepared anew. What a leader of before began is begun
- * again, and is void if it was done.
+ * What the leader of the log does on its own: it puts a change into effect once a majority of the
+ * voters is clear of it, and prepares statements again after changes. A new leader starts such
+ * tasks once more; an entry for a task that is done already has no effect. Times are in tenths of a
+ * millisecond.
  */
 final class LeaderTasks {
-  private static final long AGAIN = 20_000;
+  /** A task that is not done by then is started again. */
+  private static final long TASK_TIMEOUT = 20_000;
 
   private final Voters voters;
-  private final RaftVoter consensus;
+  private final RaftVoter voter;
   private final Preparer preparer;
-  private final boolean unasked;
+  private final boolean skipsConfirmation;
 
-  /** By the numbers of changes. */
+  /** The disks of the voters that are clear of a change, by its number and the voter's name. */
   private final TreeMap<Long, TreeMap<String, Long>> clear = new TreeMap<>();
 
-  private final TreeMap<String, Long> begun = new TreeMap<>();
-  private long preparedAnew;
+  /** When each task was started. */
+  private final TreeMap<String, Long> started = new TreeMap<>();
 
-  LeaderTasks(StatementTerms terms, Voters voters, RaftVoter consensus, Preparer preparer) {
+  private long repreparedCount;
+
+  LeaderTasks(StatementTerms terms, Voters voters, RaftVoter voter, Preparer preparer) {
     this.voters = voters;
-    this.consensus = consensus;
+    this.voter = voter;
     this.preparer = preparer;
-    unasked = terms.terms().injects(InjectedFault.EFFECT_WITHOUT_MAJORITY);
+    skipsConfirmation = terms.terms().injects(InjectedFault.EFFECT_WITHOUT_MAJORITY);
   }
 
-  void cleared(String voter, long disk, List<Long> changes, Catalog catalog) {
-    if (consensus.isMember(voter, disk)) {
+  /** A voter confirms which changes it is clear of. */
+  void onClear(String from, long disk, List<Long> changes, Catalog catalog) {
+    if (voter.isMember(from, disk)) {
       for (long id : changes) {
         if (catalog.waiting().containsKey(id)) {
-          clear.computeIfAbsent(id, any -> new TreeMap<>()).put(voter, disk);
+          clear.computeIfAbsent(id, any -> new TreeMap<>()).put(from, disk);
         }
       }
     }
   }
 
-  /** How many statements this gateway prepared anew for the fleet. */
-  long preparedAnew() {
-    return preparedAnew;
+  /** How many statements this gateway prepared again for the cluster. */
+  long repreparedCount() {
+    return repreparedCount;
   }
 
-  void turn(long now, Catalog catalog) {
+  void tick(long now, Catalog catalog) {
     clear.keySet().retainAll(catalog.waiting().keySet());
-    if (!consensus.isLeader()) {
-      begun.clear();
+    if (!voter.isLeader()) {
+      started.clear();
       return;
     }
-    begun.values().removeIf(at -> now - at > AGAIN);
-    catalog
-        .waitingAnew()
-        .forEach(
-            (standing, change) -> {
-              String name = standing.definition().name();
-              if (begin(now, "anew " + name + " " + standing.generation())) {
-                preparedAnew++;
-                consensus.propose(
-                    now,
-                    0,
-                    0,
-                    new Command.Anew(
-                        name,
-                        standing.generation(),
-                        preparer.anew(standing.definition(), change).orElse(null)));
-              }
-            });
+    started.values().removeIf(at -> now - at > TASK_TIMEOUT);
+    catalog.waitingAnew().forEach((entry, change) -> prepareAgain(now, entry, change));
     for (long id : List.copyOf(catalog.waiting().keySet())) {
-      boolean free =
-          !catalog.isBehindAnother(id)
-              && catalog.waitingAnew().keySet().stream()
-                  .noneMatch(it -> catalog.waiting().get(id).touches(it.definition().groups()));
-      if (free && (isClear(id) || unasked) && begin(now, "effect " + id)) {
-        consensus.propose(now, 0, 0, new Command.Effect(id));
+      if (canTakeEffect(id, catalog) && startTask(now, "effect " + id)) {
+        voter.propose(now, 0, 0, new Command.Effect(id));
       }
     }
   }
 
-  /** A majority of those that are members now. */
+  private void prepareAgain(long now, CatalogEntry entry, Change change) {
+    String name = entry.definition().name();
+    if (startTask(now, "anew " + name + " " + entry.generation())) {
+      repreparedCount++;
+      voter.propose(
+          now,
+          0,
+          0,
+          new Command.Anew(
+              name,
+              entry.generation(),
+              preparer.prepareAgain(entry.definition(), change).orElse(null)));
+    }
+  }
+
+  /** Changes that share a group take effect one after the other, statements prepared in between. */
+  private boolean canTakeEffect(long id, Catalog catalog) {
+    SortedMap<Long, Change> waiting = catalog.waiting();
+    return !catalog.isBehindAnother(id)
+        && catalog.waitingAnew().keySet().stream()
+            .noneMatch(entry -> waiting.get(id).touches(entry.definition().groups()))
+        && (isClear(id) || skipsConfirmation);
+  }
+
+  /** Whether a majority of the current members is clear of the change. */
   private boolean isClear(long id) {
     return clear.getOrDefault(id, new TreeMap<>()).entrySet().stream()
-            .filter(each -> consensus.isMember(each.getKey(), each.getValue()))
+            .filter(each -> voter.isMember(each.getKey(), each.getValue()))
             .count()
         >= voters.quorum();
   }
 
-  private boolean begin(long now, String what) {
-    return begun.putIfAbsent(what, now) == null;
+  private boolean startTask(long now, String task) {
+    return started.putIfAbsent(task, now) == null;
   }
 
-  long dueAt() {
-    return begun.isEmpty() ? Long.MAX_VALUE : begun.values().iterator().next() + AGAIN + 1;
+  long nextDueAt() {
+    return started.isEmpty()
+        ? Long.MAX_VALUE
+        : started.values().iterator().next() + TASK_TIMEOUT + 1;
   }
 }
--- a/statements/src/main/java/tillerlink/statements/SchemaState.java
+++ b/statements/src/main/java/tillerlink/statements/SchemaState.java
@@ -6,10 +6,13 @@
 import tillerlink.messages.statements.Change;
 
 /**
- * How a table group stands, as this gateway knows it.
+ * The schema of a table group, as this gateway knows it.
  *
- * @param waiting changes that are announced, by their numbers
- * @param leaseEnds until when this gateway holds a lease on it; in the past if it holds none
+ * @param version the schema version in effect
+ * @param waiting announced changes that have not taken effect, by their numbers
+ * @param leaseEnds until when this gateway's lease on it is valid, in tenths of a millisecond; in
+ *     the past if it holds none
+ * @param statements the names of the statements that touch it
  */
 public record SchemaState(
     int group,
@@ -17,6 +20,7 @@
     SortedMap<Long, Change> waiting,
     long leaseEnds,
     List<String> statements) {
+  /** Copies the collections. */
   public SchemaState {
     waiting = new TreeMap<>(waiting);
     statements = List.copyOf(statements);
--- a/statements/src/main/java/tillerlink/statements/StatementTerms.java
+++ b/statements/src/main/java/tillerlink/statements/StatementTerms.java
@@ -5,11 +5,14 @@
 import tillerlink.statements.lease.LeaseTerms;
 
 /**
- * How prepared statements are kept.
+ * The configuration of prepared statements.
  *
- * @param voters the stated voters, the same on every gateway
+ * @param voters the names of the gateways that vote, the same on every gateway
+ * @param lease how long leases are
+ * @param terms how the replicated log works
  */
 public record StatementTerms(List<String> voters, LeaseTerms lease, RaftConfig terms) {
+  /** Copies the list. */
   public StatementTerms {
     voters = List.copyOf(voters);
   }
--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -2,511 +2,315 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import tillerlink.cluster.ClusterComponent;
-import tillerlink.cluster.Invariant;
 import tillerlink.cluster.KeyValueStore;
 import tillerlink.cluster.MembershipView;
 import tillerlink.cluster.MessageSender;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Command;
-import tillerlink.messages.statements.CommandCodec;
 import tillerlink.messages.statements.Definition;
-import tillerlink.messages.statements.Entry;
 import tillerlink.messages.statements.StatementCodec;
 import tillerlink.messages.statements.StatementMessage;
-import tillerlink.messages.statements.StatementMessage.AskLease;
-import tillerlink.messages.statements.StatementMessage.Clear;
 import tillerlink.messages.statements.StatementMessage.Lease;
 import tillerlink.messages.statements.StatementMessage.Propose;
-import tillerlink.messages.statements.StatementMessage.Release;
 import tillerlink.statements.catalog.Catalog;
-import tillerlink.statements.catalog.CatalogEntry;
 import tillerlink.statements.catalog.Outcome;
-import tillerlink.statements.catalog.Snapshots;
-import tillerlink.statements.catalog.State;
 import tillerlink.statements.consensus.Learner;
 import tillerlink.statements.consensus.RaftVoter;
-import tillerlink.statements.consensus.StateMachine;
 import tillerlink.statements.consensus.Voters;
 import tillerlink.statements.lease.LeaseGrantor;
 import tillerlink.statements.lease.LeaseHolder;
-import tillerlink.statements.prepare.Definitions;
 import tillerlink.statements.prepare.Preparer;
-import tillerlink.statements.prepare.Template;
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Prepared;
 
 /**
- * Prepared statements of a fleet, kept right while schemas change: the catalog is the same
- * everywhere, and no statement is run under a schema that is no longer in effect. A turn has to
- * follow whatever the durable table says is kept.
+ * Prepared statements of a cluster, kept right while schemas change: the catalog is the same on
+ * every gateway, and no statement is run under a schema that is no longer in effect.
+ *
+ * <p>It does no I/O itself and is owned by the gateway's event loop: every method is called from
+ * that thread alone, and {@link #tick} follows whatever the durable store reports as written. Times
+ * are in tenths of a millisecond, by the gateway's clock.
  */
 public final class Statements implements ClusterComponent {
-  private static final long CLEAR_AGAIN = 3000;
+  /** Stands for any generation in {@link #prepare} and {@link #drop}. */
+  public static final long ANY_GENERATION = -1;
 
-  /** When a come-back is worth it where nothing better is known. */
-  private static final long SOON = 500;
-
-  private final StatementTerms terms;
   private final Voters voters;
-  private final MessageSender post;
-  private final LeaseHolder holding;
-  private final Requests requests;
-  private final RaftVoter consensus;
-  private final LeaseGrantor granting;
-  private final LeaderTasks duties;
-  private final Learner learner;
-  private final Map<String, Prepared> templates = new TreeMap<>();
-  private Catalog catalog = new Catalog();
-  private long now;
-  private int asked;
-  private long clearAt;
-  private List<Long> clearSaid = List.of();
-  private long malformed;
+  private final MessageSender sender;
+  private final EventClock clock = new EventClock();
+  private final LeaseHolder leases;
+  private final RequestQueue queue;
+  private final CatalogReplica replica;
+  private final StatementRequests requests;
+  private final RunAuthorizer runs;
+  private final LogParticipant participant;
+  private int proposalTarget;
+  private long malformedMessages;
   private long pauses;
 
   /**
+   * Restores this gateway's part of the replicated catalog.
+   *
    * @param random seeded
-   * @param notes lines for the operator's log
-   * @throws MalformedMessageException if what the disk holds can't be read
+   * @param warnings lines for the operator's log
+   * @throws MalformedMessageException if the stored state can't be read
    */
   public Statements(
       StatementTerms terms,
       MembershipView membership,
-      MessageSender post,
-      KeyValueStore keep,
+      MessageSender sender,
+      KeyValueStore store,
       RandomGenerator random,
       Preparer preparer,
-      Consumer<String> notes)
+      Consumer<String> warnings)
       throws MalformedMessageException {
-    this.terms = terms;
-    this.post = post;
+    this.sender = sender;
     voters = new Voters(terms.voters(), membership.self());
-    holding = new LeaseHolder(terms.lease(), terms.terms(), voters, this::send, random);
-    requests = new Requests(holding.holder(), this::propose);
-    Applying applying = new Applying();
+    leases = new LeaseHolder(terms.lease(), terms.terms(), voters, this::send, random);
+    queue = new RequestQueue(leases.holderId(), this::propose);
+    replica = new CatalogReplica(clock, leases, queue);
+    requests = new StatementRequests(clock, replica, queue);
+    runs = new RunAuthorizer(clock, terms.lease(), replica, leases);
     if (voters.includesSelf()) {
-      consensus = new RaftVoter(terms.terms(), voters, this::send, keep, random, applying, notes);
-      granting = new LeaseGrantor(terms.lease(), terms.terms(), consensus);
-      duties = new LeaderTasks(terms, voters, consensus, preparer);
-      learner = null;
+      RaftVoter voter =
+          new RaftVoter(terms.terms(), voters, this::send, store, random, replica, warnings);
+      participant =
+          new VoterParticipant(
+              clock,
+              replica,
+              this::send,
+              voter,
+              new LeaseGrantor(terms.lease(), terms.terms(), voter),
+              new LeaderTasks(terms, voters, voter, preparer));
     } else {
-      consensus = null;
-      granting = null;
-      duties = null;
-      learner = new Learner(voters, this::send, applying, notes, random.nextInt(voters.count()));
+      int first = random.nextInt(voters.count());
+      participant =
+          new LearnerParticipant(clock, new Learner(voters, this::send, replica, warnings, first));
     }
   }
 
-  /** The catalog as the log's machine. */
-  private final class Applying implements StateMachine {
-    @Override
-    public void apply(Entry entry) {
-      Change change =
-          entry.command() instanceof Command.Effect it ? catalog.waiting().get(it.change()) : null;
-      boolean effect = catalog.apply(entry).verdict() == Outcome.Verdict.DONE && change != null;
-      if (effect) {
-        holding.tookEffect(now, change.groups());
-        if (granting != null) {
-          granting.tookEffect(now, ((Command.Effect) entry.command()).change(), change);
-        }
-      }
-      requests.applied(now, catalog);
-    }
-
-    @Override
-    public long applied() {
-      return catalog.applied();
-    }
-
-    @Override
-    public byte[] state() {
-      return Snapshots.write(catalog);
-    }
-
-    @Override
-    public void install(byte[] state) throws MalformedMessageException {
-      Catalog next = Snapshots.read(state);
-      for (Map.Entry<Integer, Long> each : next.versions().entrySet()) {
-        if (each.getValue() > catalog.version(each.getKey())) {
-          holding.tookEffect(now, List.of(each.getKey()));
-        }
-      }
-      Catalog old = catalog;
-      next.statements()
-          .forEach(
-              (name, standing) ->
-                  Invariant.holds(
-                      old.find(name).isEmpty()
-                          || old.find(name).get().generation() <= standing.generation(),
-                      () -> name + " falls"));
-      catalog = next;
-      requests.applied(now, catalog);
-    }
-  }
-
-  // ---- what is prepared ----
+  // ---- changes of the catalog ----
 
   /**
-   * Prepares a statement under a name; the same once more changes nothing. The outcome's id is the
-   * generation.
+   * Prepares a statement under a name, whatever stands there; the same once more changes nothing.
+   * The outcome's id is the generation.
    */
-  public void prepare(long at, Definition definition, Consumer<Outcome> told) {
-    prepare(at, definition, -1, told);
+  public void prepare(long now, Definition definition, Consumer<Outcome> onOutcome) {
+    prepare(now, definition, ANY_GENERATION, onOutcome);
   }
 
   /**
-   * @param over the generation that it replaces, 0 if the name must be free, -1 if it doesn't
-   *     matter
+   * Prepares a statement under a name. The outcome's id is the generation.
+   *
+   * @param over the generation that it replaces, 0 if the name must be free, {@link
+   *     #ANY_GENERATION} if it does not matter
    */
-  public void prepare(long at, Definition definition, long over, Consumer<Outcome> told) {
-    now = Math.max(now, at);
-    try {
-      Definitions.check(definition);
-    } catch (IllegalArgumentException e) {
-      told.accept(Outcome.refused(e.getMessage()));
-      return;
-    }
-    TreeMap<Integer, Long> versions = new TreeMap<>();
-    definition.groups().forEach(group -> versions.put(group, catalog.version(group)));
-    ask(new Command.Prepare(definition, versions, over), told);
+  public void prepare(long now, Definition definition, long over, Consumer<Outcome> onOutcome) {
+    clock.advanceTo(now);
+    requests.prepare(definition, over, onOutcome);
   }
 
   /**
-   * @param over the generation that is meant, -1 if it doesn't matter
+   * Drops a statement.
+   *
+   * @param over the generation that is meant, {@link #ANY_GENERATION} if it does not matter
    */
-  public void drop(long at, String name, long over, Consumer<Outcome> told) {
-    now = Math.max(now, at);
-    ask(new Command.Drop(name, over), told);
+  public void drop(long now, String name, long over, Consumer<Outcome> onOutcome) {
+    clock.advanceTo(now);
+    requests.submit(new Command.Drop(name, over), onOutcome);
   }
 
-  /** Announces a change of the schema of some groups. The outcome's id is its number. */
-  public void announce(long at, Change change, Consumer<Outcome> told) {
-    now = Math.max(now, at);
-    try {
-      Definitions.check(change);
-    } catch (IllegalArgumentException e) {
-      told.accept(Outcome.refused(e.getMessage()));
-      return;
-    }
-    ask(new Command.Announce(change), told);
-  }
-
-  /** Takes an announced change back, if it has not taken effect. */
-  public void takeBack(long at, long change, Consumer<Outcome> told) {
-    now = Math.max(now, at);
-    ask(new Command.TakeBack(change), told);
+  /** Announces a change of the schema of some groups. The outcome's id is the change's number. */
+  public void announce(long now, Change change, Consumer<Outcome> onOutcome) {
+    clock.advanceTo(now);
+    requests.announce(change, onOutcome);
   }
 
-  private void ask(Command command, Consumer<Outcome> told) {
-    if (CommandCodec.command(command).done().length > Entry.BYTES_MOST - 100) {
-      told.accept(Outcome.refused("it is too long"));
-      return;
-    }
-    requests.ask(now, command, told);
+  /** Withdraws an announced change, if it has not taken effect. */
+  public void withdraw(long now, long change, Consumer<Outcome> onOutcome) {
+    clock.advanceTo(now);
+    requests.submit(new Command.TakeBack(change), onOutcome);
   }
 
   // ---- runs ----
 
   /**
-   * The statement of that name, as this gateway knows it; leases that a run needs are asked for
+   * The statement of that name, as this gateway knows it; the leases that a run needs are requested
    * from now on.
    */
   public Optional<Prepared> lookUp(String name) {
-    Optional<CatalogEntry> found = catalog.find(name);
-    if (found.isEmpty()) {
-      templates.remove(name);
-      return Optional.empty();
-    }
-    CatalogEntry standing = found.get();
-    standing.definition().groups().forEach(group -> holding.want(now, group, catalog));
-    Prepared last = templates.get(name);
-    if (last == null || last.standing() != standing) {
-      last =
-          new Prepared(
-              standing.definition(),
-              standing.generation(),
-              standing.versions(),
-              standing,
-              Template.of(standing.definition()));
-      if (templates.size() >= Catalog.STATEMENTS_MOST) {
-        templates.clear();
-      }
-      templates.put(name, last);
-    }
-    return Optional.of(last);
+    return runs.lookUp(name);
   }
 
   /**
-   * Whether an attempt of it may be written now. To be asked when the request comes, right before
-   * each attempt is written, and right after with a fresh clock: then it must be yes still, or
-   * before the end that was told.
+   * Whether an attempt of the statement may be written now. To be checked when the request comes,
+   * right before each attempt is written, and right after it with the clock read again: then the
+   * permission must still be granted, or its end must not have passed.
    */
-  public Permission mayRun(long at, Prepared prepared) {
-    String name = prepared.definition().name();
-    CatalogEntry standing = catalog.find(name).orElse(null);
-    if (standing == null) {
-      return no(Permission.Reason.OTHER, name + " is not prepared", 0);
-    }
-    if (standing.generation() != prepared.generation()
-        || !standing.versions().equals(prepared.versions())) {
-      return no(Permission.Reason.OTHER, name + " was prepared anew", 0);
-    }
-    if (standing.state() == State.INVALID) {
-      return no(
-          Permission.Reason.INVALID,
-          "change " + standing.change() + " made " + name + " invalid",
-          0);
-    }
-    if (standing.state() == State.ANEW) {
-      return no(Permission.Reason.ANEW, name + " is being prepared anew", SOON);
-    }
-    long until = Long.MAX_VALUE;
-    for (Map.Entry<Integer, Long> each : prepared.versions().entrySet()) {
-      long end = holding.heldUntil(each.getKey(), each.getValue()) - terms.lease().margin();
-      // None is begun under a change that is announced, though the lease may go on: attempts that
-      // are
-      // out must end.
-      if (end <= at || catalog.blocked(each.getKey())) {
-        return withoutLease(at, each.getKey());
-      }
-      until = Math.min(until, end);
-    }
-    return new Permission.Yes(until);
-  }
-
-  private Permission withoutLease(long at, int group) {
-    holding.want(at, group, catalog);
-    if (catalog.blocked(group)) {
-      return no(
-          Permission.Reason.CHANGING,
-          "the schema of group " + group + " is changing",
-          terms.lease().length() / 4);
-    }
-    holding.askSoon(at);
-    boolean heard = at - holding.heardAt() < terms.lease().length();
-    return no(
-        Permission.Reason.UNKNOWN,
-        "this gateway holds no lease on group " + group,
-        heard ? SOON : terms.lease().length() / 2);
+  public Permission checkRun(long now, Prepared prepared) {
+    return runs.check(now, prepared);
   }
 
-  private static Permission no(Permission.Reason why, String words, long retryAfter) {
-    return new Permission.No(why, words, retryAfter);
-  }
-
-  /** An attempt of it is written: leases are not given back early before it ended. */
-  public void began(Prepared prepared) {
-    prepared.definition().groups().forEach(group -> holding.running(group, 1));
+  /** An attempt of the statement is written: its leases are not released before it ended. */
+  public void onAttemptStarted(Prepared prepared) {
+    runs.onAttemptStarted(prepared);
   }
 
   /**
-   * An attempt that began is over here, and its engine may still be at it.
+   * An attempt that was started ended at this gateway, and its engine may still execute it.
    *
-   * @param mayRunUntil up to when, at the most; 0 if it surely is not
+   * @param mayRunUntil until when, at the most; 0 if it certainly does not
    */
-  public void ended(long at, Prepared prepared, long mayRunUntil) {
-    now = Math.max(now, at);
-    for (int group : prepared.definition().groups()) {
-      if (mayRunUntil > 0) {
-        holding.inDoubt(now, group, mayRunUntil);
-      }
-      holding.running(group, -1);
-    }
+  public void onAttemptEnded(long now, Prepared prepared, long mayRunUntil) {
+    clock.advanceTo(now);
+    runs.onAttemptEnded(prepared, mayRunUntil);
   }
 
-  // ---- how it stands ----
+  // ---- state and statistics ----
 
+  /** The schema of a table group, as this gateway knows it. */
   public SchemaState schema(int group) {
+    Catalog catalog = catalog();
     TreeMap<Long, Change> waiting = new TreeMap<>(catalog.waiting());
     waiting.values().removeIf(change -> !change.groups().contains(group));
     return new SchemaState(
         group,
         catalog.version(group),
         waiting,
-        holding.heldUntil(group, catalog.version(group)),
+        leases.validUntil(group, catalog.version(group)),
         catalog.statements().values().stream()
-            .filter(it -> it.definition().groups().contains(group))
-            .map(it -> it.definition().name())
+            .map(entry -> entry.definition())
+            .filter(definition -> definition.groups().contains(group))
+            .map(Definition::name)
             .toList());
   }
 
-  /** As this gateway knows it; another may be further. */
+  /** The catalog as this gateway knows it; another gateway may be further. */
   public Catalog catalog() {
-    return catalog;
+    return replica.catalog();
+  }
+
+  /** The names of all prepared statements. */
+  public List<String> names() {
+    return new ArrayList<>(catalog().statements().keySet());
   }
 
   /** How often this gateway lost a lease that it held. */
   public long leasesLost() {
-    return holding.losses();
+    return leases.losses();
   }
 
+  /** Whether this gateway leads the log, as far as it knows. */
   public boolean isLeader() {
-    return consensus != null && consensus.isLeader();
+    return participant.voter().map(RaftVoter::isLeader).orElse(false);
   }
 
+  /** This gateway's voter; empty if it does not vote. */
   public Optional<RaftVoter> voter() {
-    return Optional.ofNullable(consensus);
+    return participant.voter();
   }
 
+  /** Whether no request of a client waits for its outcome. */
   public boolean isIdle() {
-    return requests.isIdle();
+    return queue.isIdle();
   }
 
-  /** How many statements this gateway prepared anew for the fleet. */
-  public long preparedAnew() {
-    return duties == null ? 0 : duties.preparedAnew();
+  /** How many statements this gateway prepared again for the cluster after changes. */
+  public long repreparedCount() {
+    return participant.repreparedCount();
   }
 
-  /** Messages that could not be read. */
-  public long malformed() {
-    return malformed;
+  /** How many messages could not be read. */
+  public long malformedMessages() {
+    return malformedMessages;
   }
 
+  /** How often this process was paused. */
   public long pauses() {
     return pauses;
   }
 
-  // ---- the part ----
+  // ---- messages ----
 
   private void send(String to, StatementMessage message) {
     if (to.equals(voters.self())) {
       onMessage(to, message);
     } else {
-      post.send(to, StatementCodec.write(message));
+      sender.send(to, StatementCodec.write(message));
     }
   }
 
+  /** To the leader if it is known, else to one voter after the other. */
+  private void propose(long number, Command command) {
+    send(
+        participant.leader().orElseGet(this::nextVoter),
+        new Propose(leases.holderId(), number, command, false));
+  }
+
+  private String nextVoter() {
+    proposalTarget = (proposalTarget + 1) % voters.count();
+    return voters.names().get(proposalTarget);
+  }
+
   @Override
-  public void onMessage(long at, long wall, String from, byte[] body) {
-    now = at;
+  public void onMessage(long now, long wall, String from, byte[] body) {
+    clock.set(now);
     try {
       onMessage(from, StatementCodec.read(body));
     } catch (MalformedMessageException e) {
-      malformed++;
+      malformedMessages++;
     }
   }
 
   private void onMessage(String from, StatementMessage message) {
-    if (message instanceof Lease it) {
-      holding.granted(now, from, it);
-    } else if (consensus == null) {
-      learner.onMessage(now, from, message);
-    } else if (message instanceof AskLease it) {
-      Lease answer = granting.asked(now, it, catalog);
-      if (answer != null) {
-        consensus.whenDurable(() -> send(from, answer));
-      }
-    } else if (message instanceof Release it) {
-      granting.released(it);
-    } else if (message instanceof Clear it) {
-      duties.cleared(from, it.stamp().disk(), it.changes(), catalog);
-    } else if (message instanceof Propose it) {
-      proposed(it);
+    if (message instanceof Lease response) {
+      leases.onGrant(clock.now(), from, response);
     } else {
-      consensus.onMessage(now, from, message);
+      participant.onMessage(from, message);
     }
   }
 
-  private void proposed(Propose it) {
-    if (catalog.answer(it.origin(), it.number()).isPresent()) {
-      return;
-    }
-    if (!consensus.propose(now, it.origin(), it.number(), it.command()) && !it.onward()) {
-      consensus
-          .leader()
-          .filter(name -> !name.equals(voters.self()))
-          .ifPresent(name -> send(name, new Propose(it.origin(), it.number(), it.command(), true)));
-    }
-  }
-
-  /** To the leader if it is known, else to one voter after the other. */
-  private void propose(long at, long number, Command command) {
-    String to = consensus == null ? null : consensus.leader().orElse(null);
-    if (to == null) {
-      asked = (asked + 1) % voters.count();
-      to = voters.names().get(asked);
-    }
-    send(to, new Propose(holding.holder(), number, command, false));
-  }
+  // ---- time ----
 
   @Override
-  public void tick(long at, long wall) {
-    now = at;
-    if (consensus != null) {
-      consensus.tick(now);
-      duties.turn(now, catalog);
-      sayClear();
-    } else {
-      learner.tick(now);
-    }
-    holding.turn(now, catalog);
-    requests.turn(now);
-  }
-
-  /** Told to every voter that may be the leader, again and again until the change is settled. */
-  private void sayClear() {
-    List<Long> clear = catalog.waiting().isEmpty() ? List.of() : granting.clearOf(now, catalog);
-    if (clear.isEmpty() || clear.equals(clearSaid) && now < clearAt) {
-      return;
-    }
-    clearSaid = clear;
-    clearAt = now + CLEAR_AGAIN;
-    String to = consensus.leader().orElse(null);
-    if (to != null) {
-      consensus.whenDurable(() -> send(to, new Clear(consensus.stamp(), clear)));
-    }
+  public void tick(long now, long wall) {
+    clock.set(now);
+    participant.tick();
+    leases.tick(now, catalog());
+    queue.tick(now);
   }
 
   @Override
   public long nextDueAt() {
-    long due = Math.min(holding.dueAt(), requests.dueAt());
-    if (consensus == null) {
-      return Math.min(due, learner.nextDueAt());
-    }
-    due = Math.min(due, Math.min(consensus.nextDueAt(), duties.dueAt()));
-    return catalog.waiting().isEmpty()
-        ? due
-        : Math.min(
-            due,
-            Math.min(
-                clearSaid.isEmpty() ? Long.MAX_VALUE : clearAt,
-                granting.dueAt(now, catalog.waiting())));
+    return Math.min(Math.min(leases.nextDueAt(), queue.nextDueAt()), participant.nextDueAt());
   }
 
   @Override
-  public void onPause(long at, long wall, long lasted) {
-    now = at;
+  public void onPause(long now, long wall, long lasted) {
+    clock.set(now);
     pauses++;
-    holding.away(now);
-    if (consensus != null) {
-      consensus.onPause(now);
-    }
+    leases.onPause(now);
+    participant.onPause();
   }
 
-  /** This process ends soon: who waits for word of a request is told that none came. */
-  public void timeUp(long at) {
-    now = Math.max(now, at);
-    requests.end(now);
+  /** This process ends soon: the outcome of pending requests is reported as unknown. */
+  public void failPendingRequests(long now) {
+    clock.advanceTo(now);
+    queue.failAll(clock.now());
   }
 
   /**
-   * This process ends, nothing is written any more: leases that no attempt may be out under are
-   * given back.
+   * This process ends and writes no attempt any more: leases are released, but for those that an
+   * attempt may be left under.
    */
-  public void leave(long at) {
-    now = Math.max(now, at);
-    holding.leave(now);
-  }
-
-  /** For a reader of the log: names and what stands under them. */
-  public List<String> names() {
-    return new ArrayList<>(catalog.statements().keySet());
+  public void releaseLeases(long now) {
+    clock.advanceTo(now);
+    leases.onShutdown(clock.now());
   }
 }
--- a/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
@@ -15,75 +15,88 @@
 import tillerlink.messages.statements.Entry;
 
 /**
- * What is prepared, and the schema version of each table group: a pure function of the log. A
- * generation is the index of the entry that gave a statement its text: a name that is dropped needs
- * no tombstone, and no old text comes back.
+ * The prepared statements, and the schema version of each table group: a pure function of the log.
+ * A generation is the index of the entry that gave a statement its text: a name that is dropped
+ * needs no tombstone, and no old text comes back. Owned by the gateway's event loop.
  */
 public final class Catalog {
   /** Statements at the most. */
-  public static final int STATEMENTS_MOST = 1024;
+  public static final int STATEMENTS_MAX = 1024;
 
   /**
    * Bytes of all texts and names; a snapshot stays below what one value of the durable table holds.
    */
-  public static final int BYTES_MOST = 640 * 1024;
+  public static final int BYTES_MAX = 640 * 1024;
 
-  public static final int GROUPS_MOST = 256;
+  /** Table groups with a schema version at the most. */
+  public static final int GROUPS_MAX = 256;
 
-  /** Announced changes of one group that wait for their effect. */
-  public static final int WAITING_MOST = 8;
+  /** Announced changes of one group that have not taken effect, at the most. */
+  public static final int WAITING_PER_GROUP_MAX = 8;
 
-  /** Processes whose last request is remembered, those that asked last. */
-  static final int ORIGINS_MOST = 512;
+  /** Processes whose last request is stored, those that asked last. */
+  static final int ORIGINS_MAX = 512;
 
   /** The schema version of a group of which no change took effect. */
   public static final long FIRST_VERSION = 1;
 
-  /** What the last request of a process came to. */
-  record Answered(long number, Outcome outcome) {}
+  private static final int DEFINITION_OVERHEAD = 64;
+  private static final int GROUP_BYTES = 16;
+  private static final int PARAMETER_BYTES = 4;
+  private static final int USE_OVERHEAD = 4;
+
+  /** Bytes of UTF-8 that a character may take up. */
+  private static final long CHARACTER_BYTES = 3;
+
+  /** The outcome of the last request of a process. */
+  record Answer(long number, Outcome outcome) {}
 
   final TreeMap<String, CatalogEntry> statements = new TreeMap<>();
   final TreeMap<Integer, Long> versions = new TreeMap<>();
   final TreeMap<Long, Change> waiting = new TreeMap<>();
 
-  /** Changes in effect that statements still have to be prepared anew for. */
-  final TreeMap<Long, Change> asking = new TreeMap<>();
+  /** Changes in effect that statements are still to be prepared again for. */
+  final TreeMap<Long, Change> unsettled = new TreeMap<>();
+
+  /** By the numbers of processes. */
+  final LinkedHashMap<Long, Answer> answers = new LinkedHashMap<>();
 
-  final LinkedHashMap<Long, Answered> answered = new LinkedHashMap<>();
   long applied;
   private long bytes;
 
-  // ---- what it says ----
+  // ---- reading ----
 
-  /** The index of the last entry that is in it. */
+  /** The index of the last entry that was applied. */
   public long applied() {
     return applied;
   }
 
+  /** The statement of that name, in any state. */
   public Optional<CatalogEntry> find(String name) {
     return Optional.ofNullable(statements.get(name));
   }
 
+  /** All statements, by their names. */
   public SortedMap<String, CatalogEntry> statements() {
     return Collections.unmodifiableSortedMap(statements);
   }
 
+  /** The schema versions of all groups that a statement or a change has named. */
   public SortedMap<Integer, Long> versions() {
     return Collections.unmodifiableSortedMap(versions);
   }
 
+  /** The schema version of the group that is in effect. */
   public long version(int group) {
     return versions.getOrDefault(group, FIRST_VERSION);
   }
 
-  /**
-   * Changes that are announced and have neither taken effect nor been taken back, by their numbers.
-   */
+  /** Announced changes that have neither taken effect nor been withdrawn, by their numbers. */
   public SortedMap<Long, Change> waiting() {
     return Collections.unmodifiableSortedMap(waiting);
   }
 
-  /** Whether a change waits that touches the group. */
+  /** Whether an announced change of the group waits: no run under it may start. */
   public boolean blocked(int group) {
     return waiting.values().stream().anyMatch(change -> change.groups().contains(group));
   }
@@ -93,23 +106,25 @@
    * order of the log.
    */
   public boolean isBehindAnother(long change) {
-    Change it = waiting.get(change);
-    return it == null
-        || waiting.headMap(change).values().stream().anyMatch(other -> other.touches(it.groups()));
+    Change announced = waiting.get(change);
+    return announced == null
+        || waiting.headMap(change).values().stream()
+            .anyMatch(other -> other.touches(announced.groups()));
   }
 
-  /** What a request of a process came to, if it is in the log. */
+  /** The outcome of a process's request, if it is in the log. */
   public Optional<Outcome> answer(long origin, long number) {
-    Answered last = answered.get(origin);
-    return last == null || last.number < number
-        ? Optional.empty()
-        : Optional.of(
-            last.number == number ? last.outcome : Outcome.unknown("a later request was answered"));
+    Answer last = answers.get(origin);
+    if (last == null || last.number < number) {
+      return Optional.empty();
+    }
+    return Optional.of(
+        last.number == number ? last.outcome : Outcome.unknown("a later request was answered"));
   }
 
-  // ---- the log ----
+  // ---- applying entries ----
 
-  /** Takes the next entry in. */
+  /** Applies the next entry; a request that was applied before changes nothing. */
   public Outcome apply(Entry entry) {
     Invariant.holds(
         entry.index() == applied + 1, () -> "entry " + entry.index() + " comes after " + applied);
@@ -120,201 +135,230 @@
       return before;
     }
     Outcome outcome = run(entry.index(), entry.command());
-    asking
-        .keySet()
-        .removeIf(
-            change ->
-                statements.values().stream()
-                    .noneMatch(it -> it.state() == State.ANEW && it.change() == change));
+    unsettled.keySet().removeIf(change -> !isAwaited(change));
     if (entry.origin() != 0) {
-      answered.remove(entry.origin());
-      answered.put(entry.origin(), new Answered(entry.number(), outcome));
-      if (answered.size() > ORIGINS_MOST) {
-        answered.remove(answered.keySet().iterator().next());
-      }
+      storeAnswer(entry.origin(), new Answer(entry.number(), outcome));
     }
     return outcome;
   }
 
+  /** Whether a statement is still to be prepared again for that change. */
+  private boolean isAwaited(long change) {
+    return statements.values().stream()
+        .anyMatch(entry -> entry.state() == State.ANEW && entry.change() == change);
+  }
+
+  private void storeAnswer(long origin, Answer answer) {
+    answers.remove(origin);
+    answers.put(origin, answer);
+    if (answers.size() > ORIGINS_MAX) {
+      answers.remove(answers.keySet().iterator().next());
+    }
+  }
+
   private Outcome run(long index, Command command) {
-    if (command instanceof Command.Prepare it) {
-      return prepare(index, it);
-    } else if (command instanceof Command.Drop it) {
-      return drop(it);
-    } else if (command instanceof Command.Announce it) {
-      return announce(index, it.change());
-    } else if (command instanceof Command.TakeBack it) {
-      return waiting.remove(it.change()) != null
-          ? Outcome.done(it.change())
-          : Outcome.refused("the change has taken effect, was taken back or was never announced");
-    } else if (command instanceof Command.Effect it) {
-      return effect(it.change());
-    } else if (command instanceof Command.Anew it) {
-      return anew(index, it);
+    if (command instanceof Command.Prepare prepare) {
+      return prepare(index, prepare);
+    } else if (command instanceof Command.Drop drop) {
+      return drop(drop);
+    } else if (command instanceof Command.Announce announce) {
+      return announce(index, announce.change());
+    } else if (command instanceof Command.TakeBack takeBack) {
+      return withdraw(takeBack.change());
+    } else if (command instanceof Command.Effect effect) {
+      return putIntoEffect(effect.change());
+    } else if (command instanceof Command.Anew anew) {
+      return prepareAgain(index, anew);
     }
     return Outcome.done(index);
   }
 
-  private Outcome prepare(long index, Command.Prepare it) {
-    Definition definition = it.definition();
+  private Outcome prepare(long index, Command.Prepare command) {
+    Definition definition = command.definition();
     CatalogEntry old = statements.get(definition.name());
-    for (int group : definition.groups()) {
-      if (it.versions().getOrDefault(group, 0L) != version(group)) {
-        return Outcome.refused("the schema of group " + group + " is at version " + version(group));
-      }
-    }
-    if (it.over() >= 0 && it.over() != (old == null ? 0 : old.generation())) {
-      return Outcome.refused(
-          old == null ? "it is not prepared" : "its generation is " + old.generation());
+    Optional<String> conflict = conflict(command, old);
+    if (conflict.isPresent()) {
+      return Outcome.refused(conflict.get());
     }
     if (old != null && old.state() == State.READY && old.definition().equals(definition)) {
       return Outcome.done(old.generation());
     }
-    if (old == null && statements.size() >= STATEMENTS_MOST) {
-      return Outcome.refused("no more than " + STATEMENTS_MOST + " statements");
+    Optional<String> exceeded = exceededBound(definition, old);
+    if (exceeded.isPresent()) {
+      return Outcome.refused("no more than " + exceeded.get());
     }
-    if (bytes - size(old) + size(definition) > BYTES_MOST) {
-      return Outcome.refused("no more than " + BYTES_MOST + " bytes of statements");
+    put(new CatalogEntry(definition, index, currentVersions(definition), State.READY, 0));
+    return Outcome.done(index);
+  }
+
+  /** Why the catalog is no longer as the client saw it; empty if it is. */
+  private Optional<String> conflict(Command.Prepare command, CatalogEntry old) {
+    for (int group : command.definition().groups()) {
+      if (command.versions().getOrDefault(group, 0L) != version(group)) {
+        return Optional.of("the schema of group " + group + " is at version " + version(group));
+      }
     }
-    if (!roomFor(definition.groups())) {
-      return Outcome.refused("no more than " + GROUPS_MOST + " table groups");
+    if (command.over() >= 0 && command.over() != (old == null ? 0 : old.generation())) {
+      return Optional.of(
+          old == null ? "it is not prepared" : "its generation is " + old.generation());
     }
-    put(new CatalogEntry(definition, index, now(definition), State.READY, 0));
-    return Outcome.done(index);
+    return Optional.empty();
   }
 
-  private boolean roomFor(List<Integer> groups) {
+  /** The bound that the catalog would exceed with the definition; empty if none. */
+  private Optional<String> exceededBound(Definition definition, CatalogEntry old) {
+    if (old == null && statements.size() >= STATEMENTS_MAX) {
+      return Optional.of(STATEMENTS_MAX + " statements");
+    }
+    if (bytes - size(old) + size(definition) > BYTES_MAX) {
+      return Optional.of(BYTES_MAX + " bytes of statements");
+    }
+    return hasCapacityFor(definition.groups())
+        ? Optional.empty()
+        : Optional.of(GROUPS_MAX + " table groups");
+  }
+
+  private boolean hasCapacityFor(List<Integer> groups) {
     return versions.size() + groups.stream().filter(group -> !versions.containsKey(group)).count()
-        <= GROUPS_MOST;
+        <= GROUPS_MAX;
   }
 
-  private SortedMap<Integer, Long> now(Definition definition) {
-    TreeMap<Integer, Long> now = new TreeMap<>();
+  private SortedMap<Integer, Long> currentVersions(Definition definition) {
+    TreeMap<Integer, Long> current = new TreeMap<>();
     for (int group : definition.groups()) {
       versions.putIfAbsent(group, FIRST_VERSION);
-      now.put(group, version(group));
+      current.put(group, version(group));
     }
-    return now;
+    return current;
   }
 
-  private Outcome drop(Command.Drop it) {
-    CatalogEntry old = statements.get(it.name());
+  private Outcome drop(Command.Drop command) {
+    CatalogEntry old = statements.get(command.name());
     if (old == null) {
       return Outcome.refused("it is not prepared");
     }
-    if (it.over() >= 0 && it.over() != old.generation()) {
+    if (command.over() >= 0 && command.over() != old.generation()) {
       return Outcome.refused("its generation is " + old.generation());
     }
-    statements.remove(it.name());
+    statements.remove(command.name());
     bytes -= size(old);
     return Outcome.done(old.generation());
   }
 
   private Outcome announce(long index, Change change) {
     for (int group : change.groups()) {
-      if (waiting.values().stream().filter(other -> other.groups().contains(group)).count()
-          >= WAITING_MOST) {
-        return Outcome.refused(WAITING_MOST + " changes of group " + group + " wait already");
+      long others =
+          waiting.values().stream().filter(other -> other.groups().contains(group)).count();
+      if (others >= WAITING_PER_GROUP_MAX) {
+        return Outcome.refused(
+            WAITING_PER_GROUP_MAX + " changes of group " + group + " wait already");
       }
     }
-    if (waiting.size() >= GROUPS_MOST || !roomFor(change.groups())) {
-      return Outcome.refused("no more than " + GROUPS_MOST + " table groups");
+    if (waiting.size() >= GROUPS_MAX || !hasCapacityFor(change.groups())) {
+      return Outcome.refused("no more than " + GROUPS_MAX + " table groups");
     }
     change.groups().forEach(group -> versions.putIfAbsent(group, FIRST_VERSION));
     waiting.put(index, change);
     return Outcome.done(index);
   }
 
-  private Outcome effect(long id) {
+  private Outcome withdraw(long id) {
+    return waiting.remove(id) != null
+        ? Outcome.done(id)
+        : Outcome.refused("the change has taken effect, was taken back or was never announced");
+  }
+
+  private Outcome putIntoEffect(long id) {
     if (isBehindAnother(id)) {
       return Outcome.refused("it is not its turn");
     }
     Change change = waiting.remove(id);
     change.groups().forEach(group -> versions.merge(group, 1L, Long::sum));
-    asking.put(id, change);
+    unsettled.put(id, change);
     for (CatalogEntry old : new ArrayList<>(statements.values())) {
       if (change.touches(old.definition().groups())) {
-        put(after(old, change, id));
+        put(afterChange(old, change, id));
       }
     }
     return Outcome.done(id);
   }
 
-  /** What is invalid stays so, and keeps the versions that it was last prepared under. */
-  private CatalogEntry after(CatalogEntry old, Change change, long id) {
-    State does = ChangeImpact.of(old.definition(), change);
-    if (old.state() == State.INVALID || does == State.INVALID) {
-      return old.under(
-          old.versions(), State.INVALID, old.state() == State.INVALID ? old.change() : id);
+  /** An invalid statement stays so, and keeps the versions that it was last prepared under. */
+  private CatalogEntry afterChange(CatalogEntry old, Change change, long id) {
+    if (old.state() == State.INVALID) {
+      return old.withState(old.versions(), State.INVALID, old.change());
     }
-    if (old.state() == State.ANEW) {
-      // Two changes before it was prepared anew: what the first asked for is not known to be done
-      // by the second.
-      return old.under(old.versions(), State.INVALID, id);
+    State impact = ChangeImpact.of(old.definition(), change);
+    // A second change before the statement was prepared again for the first invalidates it too:
+    // preparing it for the second would not do what the first asked for.
+    if (impact == State.INVALID || old.state() == State.ANEW) {
+      return old.withState(old.versions(), State.INVALID, id);
     }
-    return does == State.ANEW
-        ? old.under(old.versions(), State.ANEW, id)
-        : old.under(now(old.definition()), State.READY, 0);
+    return impact == State.ANEW
+        ? old.withState(old.versions(), State.ANEW, id)
+        : old.withState(currentVersions(old.definition()), State.READY, 0);
   }
 
-  private Outcome anew(long index, Command.Anew it) {
-    CatalogEntry old = statements.get(it.name());
-    if (old == null || old.generation() != it.generation() || old.state() != State.ANEW) {
+  private Outcome prepareAgain(long index, Command.Anew command) {
+    CatalogEntry old = statements.get(command.name());
+    if (old == null || old.generation() != command.generation() || old.state() != State.ANEW) {
       return Outcome.refused("it stands no more as it did");
     }
-    Definition definition = it.definition();
-    boolean can =
+    Definition definition = command.definition();
+    boolean possible =
         definition != null
-            && definition.name().equals(it.name())
-            && roomFor(definition.groups())
-            && bytes - size(old) + size(definition) <= BYTES_MOST;
+            && definition.name().equals(command.name())
+            && hasCapacityFor(definition.groups())
+            && bytes - size(old) + size(definition) <= BYTES_MAX;
     put(
-        can
-            ? new CatalogEntry(definition, index, now(definition), State.READY, 0)
-            : old.under(old.versions(), State.INVALID, old.change()));
+        possible
+            ? new CatalogEntry(definition, index, currentVersions(definition), State.READY, 0)
+            : old.withState(old.versions(), State.INVALID, old.change()));
     return Outcome.done(index);
   }
 
-  void put(CatalogEntry standing) {
-    String name = standing.definition().name();
-    CatalogEntry old = statements.put(name, standing);
-    bytes += size(standing) - size(old);
+  void put(CatalogEntry entry) {
+    String name = entry.definition().name();
+    CatalogEntry old = statements.put(name, entry);
+    bytes += size(entry) - size(old);
     Invariant.holds(
-        old == null || old.generation() <= standing.generation(),
+        old == null || old.generation() <= entry.generation(),
         () -> "generation of " + name + " falls");
     Invariant.holds(
-        standing.state() != State.READY
-            || standing.versions().entrySet().stream()
-                .allMatch(entry -> version(entry.getKey()) == entry.getValue()),
+        entry.state() != State.READY
+            || entry.versions().entrySet().stream()
+                .allMatch(each -> version(each.getKey()) == each.getValue()),
         () -> name + " is ready under an old schema");
     Invariant.holds(
-        statements.size() <= STATEMENTS_MOST && bytes <= BYTES_MOST,
+        statements.size() <= STATEMENTS_MAX && bytes <= BYTES_MAX,
         () -> "catalog beyond its bounds");
   }
 
-  private static long size(CatalogEntry standing) {
-    return standing == null ? 0 : size(standing.definition());
+  private static long size(CatalogEntry entry) {
+    return entry == null ? 0 : size(entry.definition());
   }
 
-  /** About what it takes up in a snapshot. */
-  private static long size(Definition of) {
-    return of.name().length() * 3L
-        + of.text().length() * 3L
-        + of.requestClass().length()
-        + of.groups().size() * 16L
-        + of.parameters().size() * 4L
-        + of.uses().stream().mapToLong(use -> use.length() * 3L + 4).sum()
-        + 64;
+  /** About how many bytes a definition takes up in a snapshot. */
+  private static long size(Definition definition) {
+    return definition.name().length() * CHARACTER_BYTES
+        + definition.text().length() * CHARACTER_BYTES
+        + definition.requestClass().length()
+        + (long) definition.groups().size() * GROUP_BYTES
+        + (long) definition.parameters().size() * PARAMETER_BYTES
+        + definition.uses().stream()
+            .mapToLong(use -> use.length() * CHARACTER_BYTES + USE_OVERHEAD)
+            .sum()
+        + DEFINITION_OVERHEAD;
   }
 
-  /** Statements that wait for being prepared anew, each with the change that asks for it. */
+  /** Statements that are to be prepared again, each with the change that asks for it. */
   public Map<CatalogEntry, Change> waitingAnew() {
-    LinkedHashMap<CatalogEntry, Change> some = new LinkedHashMap<>();
-    if (!asking.isEmpty()) {
+    LinkedHashMap<CatalogEntry, Change> result = new LinkedHashMap<>();
+    if (!unsettled.isEmpty()) {
       statements.values().stream()
-          .filter(it -> it.state() == State.ANEW)
-          .forEach(it -> some.put(it, asking.get(it.change())));
+          .filter(entry -> entry.state() == State.ANEW)
+          .forEach(entry -> result.put(entry, unsettled.get(entry.change())));
     }
-    return some;
+    return result;
   }
 }
--- a/statements/src/main/java/tillerlink/statements/catalog/CatalogEntry.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/CatalogEntry.java
@@ -6,7 +6,7 @@
 import tillerlink.messages.statements.Definition;
 
 /**
- * A statement as it stands in the catalog.
+ * A statement in the catalog.
  *
  * @param generation the index of the log that last gave it its text: it only grows, for each name
  *     and over all names
@@ -19,11 +19,12 @@
     SortedMap<Integer, Long> versions,
     State state,
     long change) {
+  /** Copies the map. */
   public CatalogEntry {
     versions = Collections.unmodifiableSortedMap(new TreeMap<>(versions));
   }
 
-  CatalogEntry under(SortedMap<Integer, Long> others, State stands, long by) {
-    return new CatalogEntry(definition, generation, others, stands, by);
+  CatalogEntry withState(SortedMap<Integer, Long> newVersions, State newState, long newChange) {
+    return new CatalogEntry(definition, generation, newVersions, newState, newChange);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/catalog/ChangeImpact.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/ChangeImpact.java
@@ -1,25 +1,27 @@
 package tillerlink.statements.catalog;
 
+import java.util.Collection;
 import java.util.List;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 
-/** Tells apart what a change does to a statement. */
+/** Decides what a change of the schema means for a statement. */
 final class ChangeImpact {
   private ChangeImpact() {}
 
-  /** {@link State#READY} is one that the change leaves untouched. */
+  /** The state of a ready statement after the change; ready if the change leaves it untouched. */
   static State of(Definition definition, Change change) {
-    if (meets(definition.uses(), change.removed())) {
+    List<String> uses = definition.uses();
+    if (usesAny(uses, change.removed())) {
       return State.INVALID;
     }
-    boolean anew =
-        meets(definition.uses(), change.altered())
-            || definition.uses().stream().anyMatch(change.renamed()::containsKey);
-    return anew ? State.ANEW : State.READY;
+    boolean touched =
+        usesAny(uses, change.altered())
+            || uses.stream().anyMatch(use -> change.renamed().containsKey(use));
+    return touched ? State.ANEW : State.READY;
   }
 
-  private static boolean meets(List<String> some, List<String> others) {
-    return some.stream().anyMatch(others::contains);
+  private static boolean usesAny(List<String> uses, Collection<String> names) {
+    return uses.stream().anyMatch(names::contains);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/catalog/Snapshots.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Snapshots.java
@@ -12,95 +12,145 @@
 import tillerlink.messages.statements.Definition;
 
 /**
- * Writes a catalog whole, and reads it. Two gateways that have applied the same entries write the
- * same bytes.
+ * The codec of a whole catalog. Two gateways that have applied the same entries write the same
+ * bytes.
  */
 public final class Snapshots {
-  private static final int WORDS_MOST = 256;
+  private static final int MESSAGE_BYTES_MAX = 256;
+
+  /** Fields of a catalog. */
+  private static final int APPLIED = 1;
+
+  private static final int VERSION = 2;
+  private static final int WAITING_CHANGE = 3;
+  private static final int EFFECTIVE_CHANGE = 4;
+  private static final int STATEMENT = 5;
+  private static final int ANSWER = 6;
+
+  /** Fields of a group's schema version. */
+  private static final int VERSION_GROUP = 1;
+
+  private static final int VERSION_NUMBER = 2;
+
+  /** Fields of a change. */
+  private static final int CHANGE_ID = 1;
+
+  private static final int CHANGE_CONTENT = 2;
+
+  /** Fields of a statement. */
+  private static final int STATEMENT_DEFINITION = 1;
+
+  private static final int STATEMENT_GENERATION = 2;
+  private static final int STATEMENT_STATE = 3;
+  private static final int STATEMENT_CHANGE = 4;
+  private static final int STATEMENT_VERSION = 5;
+
+  /** Fields of the answer to a process's last request. */
+  private static final int ANSWER_ORIGIN = 1;
+
+  private static final int ANSWER_NUMBER = 2;
+  private static final int ANSWER_VERDICT = 3;
+  private static final int ANSWER_ID = 4;
+  private static final int ANSWER_MESSAGE = 5;
 
   private Snapshots() {}
 
-  public static byte[] write(Catalog of) {
-    FieldWriter to = new FieldWriter().number(1, of.applied);
-    of.versions.forEach(
-        (group, version) -> to.within(2, new FieldWriter().number(1, group).number(2, version)));
-    of.waiting.forEach((id, change) -> to.within(3, change(id, change)));
-    of.asking.forEach((id, change) -> to.within(4, change(id, change)));
-    of.statements.values().forEach(it -> to.within(5, standing(it)));
-    of.answered.forEach(
-        (origin, it) ->
-            to.within(
-                6,
-                new FieldWriter()
-                    .fixed(1, origin)
-                    .number(2, it.number())
-                    .number(3, it.outcome().verdict().ordinal())
-                    .number(4, it.outcome().id())
-                    .text(5, it.outcome().words())));
+  // ---- writing ----
+
+  /** The catalog as bytes. */
+  public static byte[] write(Catalog catalog) {
+    FieldWriter to = new FieldWriter().number(APPLIED, catalog.applied);
+    catalog.versions.forEach((group, version) -> to.within(VERSION, version(group, version)));
+    catalog.waiting.forEach((id, change) -> to.within(WAITING_CHANGE, change(id, change)));
+    catalog.unsettled.forEach((id, change) -> to.within(EFFECTIVE_CHANGE, change(id, change)));
+    catalog.statements.values().forEach(entry -> to.within(STATEMENT, statement(entry)));
+    catalog.answers.forEach((origin, answer) -> to.within(ANSWER, answer(origin, answer)));
     return to.done();
   }
 
+  private static FieldWriter version(int group, long version) {
+    return new FieldWriter().number(VERSION_GROUP, group).number(VERSION_NUMBER, version);
+  }
+
   private static FieldWriter change(long id, Change change) {
-    return new FieldWriter().number(1, id).within(2, CommandCodec.change(change));
+    return new FieldWriter()
+        .number(CHANGE_ID, id)
+        .within(CHANGE_CONTENT, CommandCodec.change(change));
   }
 
-  private static FieldWriter standing(CatalogEntry of) {
+  private static FieldWriter statement(CatalogEntry entry) {
     FieldWriter to =
         new FieldWriter()
-            .within(1, CommandCodec.definition(of.definition()))
-            .number(2, of.generation())
-            .number(3, of.state().ordinal())
-            .number(4, of.change());
-    of.versions()
-        .forEach(
-            (group, version) ->
-                to.within(5, new FieldWriter().number(1, group).number(2, version)));
+            .within(STATEMENT_DEFINITION, CommandCodec.definition(entry.definition()))
+            .number(STATEMENT_GENERATION, entry.generation())
+            .number(STATEMENT_STATE, entry.state().storedNumber())
+            .number(STATEMENT_CHANGE, entry.change());
+    entry
+        .versions()
+        .forEach((group, version) -> to.within(STATEMENT_VERSION, version(group, version)));
     return to;
   }
 
+  private static FieldWriter answer(long origin, Catalog.Answer answer) {
+    Outcome outcome = answer.outcome();
+    return new FieldWriter()
+        .fixed(ANSWER_ORIGIN, origin)
+        .number(ANSWER_NUMBER, answer.number())
+        .number(ANSWER_VERDICT, outcome.verdict().storedNumber())
+        .number(ANSWER_ID, outcome.id())
+        .text(ANSWER_MESSAGE, outcome.message());
+  }
+
+  // ---- reading ----
+
+  /**
+   * Reads a catalog.
+   *
+   * @throws MalformedMessageException if the bytes are no catalog, or one beyond its bounds
+   */
   public static Catalog read(byte[] bytes) throws MalformedMessageException {
     Catalog to = new Catalog();
-    List<CatalogEntry> standings = new ArrayList<>();
+    List<CatalogEntry> entries = new ArrayList<>();
     for (FieldReader in = new FieldReader(bytes); in.next(); ) {
       switch (in.field()) {
-        case 1 -> to.applied = in.number();
-        case 2 -> version(in.within(), to.versions);
-        case 3 -> change(in.within(), to.waiting);
-        case 4 -> change(in.within(), to.asking);
-        case 5 -> standings.add(standing(in.within()));
-        case 6 -> answered(in.within(), to);
+        case APPLIED -> to.applied = in.number();
+        case VERSION -> readVersion(in.within(), to.versions);
+        case WAITING_CHANGE -> readChange(in.within(), to.waiting);
+        case EFFECTIVE_CHANGE -> readChange(in.within(), to.unsettled);
+        case STATEMENT -> entries.add(readStatement(in.within()));
+        case ANSWER -> readAnswer(in.within(), to);
         default -> {}
       }
     }
-    if (standings.size() > Catalog.STATEMENTS_MOST || to.versions.size() > Catalog.GROUPS_MOST) {
+    if (entries.size() > Catalog.STATEMENTS_MAX || to.versions.size() > Catalog.GROUPS_MAX) {
       throw new MalformedMessageException("a catalog beyond its bounds");
     }
-    standings.forEach(to::put);
+    entries.forEach(to::put);
     return to;
   }
 
-  private static void version(FieldReader in, SortedMap<Integer, Long> to)
+  private static void readVersion(FieldReader in, SortedMap<Integer, Long> to)
       throws MalformedMessageException {
     int group = 0;
     long version = 0;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> group = (int) in.number(Definition.GROUP_MOST);
-        case 2 -> version = in.number();
+        case VERSION_GROUP -> group = (int) in.number(Definition.GROUP_MOST);
+        case VERSION_NUMBER -> version = in.number();
         default -> {}
       }
     }
     to.put(group, version);
   }
 
-  private static void change(FieldReader in, SortedMap<Long, Change> to)
+  private static void readChange(FieldReader in, SortedMap<Long, Change> to)
       throws MalformedMessageException {
     long id = 0;
     Change change = null;
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> id = in.number();
-        case 2 -> change = CommandCodec.change(in.within());
+        case CHANGE_ID -> id = in.number();
+        case CHANGE_CONTENT -> change = CommandCodec.change(in.within());
         default -> {}
       }
     }
@@ -110,7 +160,7 @@
     to.put(id, change);
   }
 
-  private static CatalogEntry standing(FieldReader in) throws MalformedMessageException {
+  private static CatalogEntry readStatement(FieldReader in) throws MalformedMessageException {
     Definition definition = null;
     long generation = 0;
     State state = State.READY;
@@ -118,11 +168,11 @@
     TreeMap<Integer, Long> versions = new TreeMap<>();
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> definition = CommandCodec.definition(in.within());
-        case 2 -> generation = in.number();
-        case 3 -> state = State.values()[(int) in.number(State.values().length - 1)];
-        case 4 -> change = in.number();
-        case 5 -> version(in.within(), versions);
+        case STATEMENT_DEFINITION -> definition = CommandCodec.definition(in.within());
+        case STATEMENT_GENERATION -> generation = in.number();
+        case STATEMENT_STATE -> state = StoredNumbers.read(in, State.values(), State::storedNumber);
+        case STATEMENT_CHANGE -> change = in.number();
+        case STATEMENT_VERSION -> readVersion(in.within(), versions);
         default -> {}
       }
     }
@@ -132,23 +182,24 @@
     return new CatalogEntry(definition, generation, versions, state, change);
   }
 
-  private static void answered(FieldReader in, Catalog to) throws MalformedMessageException {
+  private static void readAnswer(FieldReader in, Catalog to) throws MalformedMessageException {
     long origin = 0;
     long number = 0;
-    int verdict = 0;
+    Outcome.Verdict verdict = Outcome.Verdict.DONE;
     long id = 0;
-    String words = "";
+    String message = "";
     while (in.next()) {
       switch (in.field()) {
-        case 1 -> origin = in.fixed();
-        case 2 -> number = in.number();
-        case 3 -> verdict = (int) in.number(Outcome.Verdict.values().length - 1);
-        case 4 -> id = in.number();
-        case 5 -> words = in.text(WORDS_MOST);
+        case ANSWER_ORIGIN -> origin = in.fixed();
+        case ANSWER_NUMBER -> number = in.number();
+        case ANSWER_VERDICT ->
+            verdict =
+                StoredNumbers.read(in, Outcome.Verdict.values(), Outcome.Verdict::storedNumber);
+        case ANSWER_ID -> id = in.number();
+        case ANSWER_MESSAGE -> message = in.text(MESSAGE_BYTES_MAX);
         default -> {}
       }
     }
-    Outcome outcome = new Outcome(Outcome.Verdict.values()[verdict], id, words);
-    to.answered.put(origin, new Catalog.Answered(number, outcome));
+    to.answers.put(origin, new Catalog.Answer(number, new Outcome(verdict, id, message)));
   }
 }
--- a/statements/src/main/java/tillerlink/statements/catalog/State.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/State.java
@@ -1,16 +1,22 @@
 package tillerlink.statements.catalog;
 
-/**
- * How a statement stands towards the schemas of its groups. The order is that of snapshots: new
- * ones come last.
- */
+/** The state of a catalog entry. The numbers are those of snapshots. */
 public enum State {
-  /** Prepared under the schemas that are in effect. */
-  READY,
-  /**
-   * A change took effect that it has to be prepared anew for, which one gateway of the fleet does.
-   */
-  ANEW,
-  /** A change took effect under which it can't run; only a client can prepare it again. */
-  INVALID
+  /** Prepared under the schema versions that are in effect. */
+  READY(0),
+  /** A change took effect that the statement is to be prepared again for, by the leader. */
+  ANEW(1),
+  /** A change took effect under which it can't be run; only a client can prepare it again. */
+  INVALID(2);
+
+  private final int storedNumber;
+
+  State(int storedNumber) {
+    this.storedNumber = storedNumber;
+  }
+
+  /** The number that stands for it in snapshots. */
+  int storedNumber() {
+    return storedNumber;
+  }
 }
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
@@ -4,6 +4,7 @@
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SortedMap;
 import java.util.TreeMap;
 import java.util.TreeSet;
@@ -18,94 +19,115 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * A voter's side of leases: which it granted, and of which changes it is clear. A voter that says
- * it is clear of a change holds the announcement on its disk, so it grants none on those groups
- * until the change is settled, also after a restart; and of all it granted before none is alive.
+ * A voter's side of leases: which it granted, and which announced changes it is clear of. A voter
+ * that says it is clear of a change has the announcement in its durable log, so it grants no lease
+ * on those groups until the change is settled, also after a restart; and none that it granted
+ * before is valid. It does no I/O itself and is owned by the gateway's event loop. Times are in
+ * tenths of a millisecond.
  */
 public final class LeaseGrantor {
-  private static final int HOLDERS_MOST = 1024;
-  private static final int GRANTS_MOST = 32_768;
+  private static final int HOLDERS_MAX = 1024;
+  private static final int GRANTS_MAX = 32_768;
 
-  private record Grant(long sequence, long until) {}
+  /**
+   * A grant of a lease on one group.
+   *
+   * @param sequence the number of the holder's request
+   */
+  private record Grant(long sequence, long validUntil) {}
 
+  /** What was granted to one process, by groups. */
   private static final class Holder {
-    final TreeMap<Integer, Grant> grants = new TreeMap<>();
-    final TreeMap<Integer, Long> released = new TreeMap<>();
+    private final TreeMap<Integer, Grant> grants = new TreeMap<>();
+
+    /** Up to which request leases were released: late requests of before are not granted. */
+    private final TreeMap<Integer, Long> releasedUpTo = new TreeMap<>();
   }
 
-  private final LeaseTerms lease;
-  private final RaftConfig terms;
-  private final RaftVoter consensus;
+  private final LeaseTerms terms;
+  private final RaftConfig config;
+  private final RaftVoter voter;
 
-  /** By the numbers of the processes that hold. */
+  /** By the numbers of the processes that hold leases. */
   private final TreeMap<Long, Holder> holders = new TreeMap<>();
 
+  /** Announced changes that this voter is clear of. */
   private final TreeSet<Long> cleared = new TreeSet<>();
-  private int count;
 
-  public LeaseGrantor(LeaseTerms lease, RaftConfig terms, RaftVoter consensus) {
-    this.lease = lease;
+  private int grantCount;
+
+  /** Sets up the grantor of a voter; it has granted nothing that it knows of. */
+  public LeaseGrantor(LeaseTerms terms, RaftConfig config, RaftVoter voter) {
     this.terms = terms;
-    this.consensus = consensus;
+    this.config = config;
+    this.voter = voter;
   }
 
+  // ---- requests ----
+
   /**
-   * @return the answer, or null if this voter can give none
+   * Grants what it can of the leases that a gateway requests.
+   *
+   * @return the response, to be sent once it is durable; empty if this voter may grant none
    */
-  public Lease asked(long now, AskLease ask, Catalog catalog) {
-    if (!consensus.isOperational() || !consensus.isMember(consensus.name(), consensus.disk())) {
-      return null;
+  public Optional<Lease> onRequest(long now, AskLease request, Catalog catalog) {
+    if (!voter.isOperational() || !voter.isMember(voter.name(), voter.disk())) {
+      return Optional.empty();
     }
-    sweep(now);
+    removeExpired(now);
     TreeMap<Integer, Long> granted = new TreeMap<>();
     List<Integer> blocked = new ArrayList<>();
-    ask.groups()
+    request
+        .groups()
         .forEach(
             (group, version) -> {
-              boolean stands =
-                  blocks(catalog, group) && !terms.injects(InjectedFault.GRANTS_WHILE_BLOCKED);
-              if (stands) {
+              if (isBlocked(catalog, group)) {
                 blocked.add(group);
-              } else if (version == catalog.version(group) && grant(now, ask, group)) {
+              } else if (version == catalog.version(group) && grant(now, request, group)) {
                 granted.put(group, version);
               }
             });
-    return new Lease(
-        ask.holder(),
-        ask.sequence(),
-        consensus.disk(),
-        consensus.membersVersion(),
-        consensus.members(),
-        granted,
-        blocked,
-        catalog.applied());
+    return Optional.of(
+        new Lease(
+            request.holder(),
+            request.sequence(),
+            voter.disk(),
+            voter.membersVersion(),
+            voter.members(),
+            granted,
+            blocked,
+            catalog.applied()));
   }
 
-  private boolean blocks(Catalog catalog, int group) {
-    return catalog.blocked(group) || consensus.hasAnnouncementAfter(catalog.applied(), group);
+  /** Whether a change of the group is announced in the log, applied or not. */
+  private boolean isBlocked(Catalog catalog, int group) {
+    boolean announced =
+        catalog.blocked(group) || voter.hasAnnouncementAfter(catalog.applied(), group);
+    return announced && !config.injects(InjectedFault.GRANTS_WHILE_BLOCKED);
   }
 
-  private boolean grant(long now, AskLease ask, int group) {
-    Holder holder = holders.get(ask.holder());
+  private boolean grant(long now, AskLease request, int group) {
+    Holder holder = holders.get(request.holder());
     if (holder == null) {
-      if (holders.size() >= HOLDERS_MOST) {
+      if (holders.size() >= HOLDERS_MAX) {
         return false;
       }
       holder = new Holder();
-      holders.put(ask.holder(), holder);
+      holders.put(request.holder(), holder);
     }
     Grant old = holder.grants.get(group);
-    if (old == null && count >= GRANTS_MOST
-        || ask.sequence() <= holder.released.getOrDefault(group, 0L)) {
+    boolean full = old == null && grantCount >= GRANTS_MAX;
+    if (full || request.sequence() <= holder.releasedUpTo.getOrDefault(group, 0L)) {
       return false;
     }
-    count += old == null ? 1 : 0;
-    long sequence = Math.max(ask.sequence(), old == null ? 0 : old.sequence);
-    holder.grants.put(group, new Grant(sequence, now + lease.kept()));
+    grantCount += old == null ? 1 : 0;
+    long sequence = Math.max(request.sequence(), old == null ? 0 : old.sequence);
+    holder.grants.put(group, new Grant(sequence, now + terms.grantorDuration()));
     return true;
   }
 
-  public void released(Release release) {
+  /** A gateway released leases. */
+  public void onRelease(Release release) {
     Holder holder = holders.get(release.holder());
     if (holder == null) {
       return;
@@ -114,87 +136,98 @@
       Grant grant = holder.grants.get(group);
       if (grant != null && grant.sequence <= release.sequence()) {
         holder.grants.remove(group);
-        count--;
+        grantCount--;
       }
-      if (holder.released.size() < Catalog.GROUPS_MOST || holder.released.containsKey(group)) {
-        holder.released.merge(group, release.sequence(), Math::max);
+      if (holder.releasedUpTo.size() < Catalog.GROUPS_MAX
+          || holder.releasedUpTo.containsKey(group)) {
+        holder.releasedUpTo.merge(group, release.sequence(), Math::max);
       }
     }
   }
 
-  private void sweep(long now) {
+  private void removeExpired(long now) {
     for (Iterator<Holder> each = holders.values().iterator(); each.hasNext(); ) {
       Holder holder = each.next();
       int before = holder.grants.size();
-      holder.grants.values().removeIf(grant -> grant.until < now);
-      count -= before - holder.grants.size();
+      holder.grants.values().removeIf(grant -> grant.validUntil < now);
+      grantCount -= before - holder.grants.size();
       if (holder.grants.isEmpty() && before > 0) {
         each.remove();
       }
     }
     Invariant.holds(
-        count >= 0 && count <= GRANTS_MOST && holders.size() <= HOLDERS_MOST,
+        grantCount >= 0 && grantCount <= GRANTS_MAX && holders.size() <= HOLDERS_MAX,
         () -> "grants beyond bounds");
   }
 
-  /** When the last lease on these groups has run out; 0 if none is alive. */
-  private long lastUntil(long now, List<Integer> groups) {
+  // ---- changes ----
+
+  /** When the last lease on these groups has expired; 0 if none is valid. */
+  private long lastExpiry(long now, List<Integer> groups) {
     long last = 0;
     for (Holder holder : holders.values()) {
       for (int group : groups) {
         Grant grant = holder.grants.get(group);
-        last = grant != null && grant.until >= now ? Math.max(last, grant.until) : last;
+        boolean valid = grant != null && grant.validUntil >= now;
+        last = valid ? Math.max(last, grant.validUntil) : last;
       }
     }
     return last;
   }
 
-  /** From when on leases of an earlier start of this voter have run out. */
-  private long soundFrom() {
-    return consensus.rejoinedAt() + lease.kept();
+  /** When the last lease that this voter granted before its restart has expired. */
+  private long earlierGrantsExpiry() {
+    return voter.rejoinedAt() + terms.grantorDuration();
   }
 
-  /** The announced changes that this voter is clear of. */
-  public List<Long> clearOf(long now, Catalog catalog) {
+  /** The announced changes that this voter is clear of, by their numbers. */
+  public List<Long> clearedChanges(long now, Catalog catalog) {
     cleared.retainAll(catalog.waiting().keySet());
-    boolean rested = now > soundFrom() || terms.injects(InjectedFault.CLEARS_AFTER_RESTART);
-    if (!consensus.isOperational() || consensus.rejoinedAt() < 0 || !rested) {
+    boolean expired =
+        now > earlierGrantsExpiry() || config.injects(InjectedFault.CLEARS_AFTER_RESTART);
+    if (!voter.isOperational() || voter.rejoinedAt() < 0 || !expired) {
       return List.of();
     }
     catalog
         .waiting()
         .forEach(
             (id, change) -> {
-              if (lastUntil(now, change.groups()) == 0
-                  || terms.injects(InjectedFault.CLEARS_TOO_EARLY)) {
+              if (lastExpiry(now, change.groups()) == 0
+                  || config.injects(InjectedFault.CLEARS_TOO_EARLY)) {
                 cleared.add(id);
               }
             });
     return List.copyOf(cleared);
   }
 
-  /** When there may be one more to be clear of. */
-  public long dueAt(long now, SortedMap<Long, Change> waiting) {
+  /**
+   * When this voter may be clear of one more change.
+   *
+   * @param waiting the announced changes, by their numbers
+   */
+  public long nextDueAt(long now, SortedMap<Long, Change> waiting) {
     long due = Long.MAX_VALUE;
     for (Map.Entry<Long, Change> each : waiting.entrySet()) {
       if (!cleared.contains(each.getKey())) {
-        due = Math.min(due, Math.max(soundFrom(), lastUntil(now, each.getValue().groups())) + 1);
+        long expiry = lastExpiry(now, each.getValue().groups());
+        due = Math.min(due, Math.max(earlierGrantsExpiry(), expiry) + 1);
       }
     }
     return Math.max(now + 1, due);
   }
 
-  /** A change took effect: if this voter was clear of it, none of its leases may be alive. */
-  public void tookEffect(long now, long id, Change change) {
+  /** A change took effect: if this voter was clear of it, none of its grants may be valid. */
+  public void onChangeEffective(long now, long id, Change change) {
     Invariant.holds(
-        !cleared.contains(id) || lastUntil(now, change.groups()) == 0,
+        !cleared.contains(id) || lastExpiry(now, change.groups()) == 0,
         () -> "change " + id + " took effect while a lease of a clear voter is alive");
     cleared.remove(id);
     for (Holder holder : holders.values()) {
       for (int group : change.groups()) {
-        if (holder.grants.get(group) != null && holder.grants.get(group).until < now) {
+        Grant grant = holder.grants.get(group);
+        if (grant != null && grant.validUntil < now) {
           holder.grants.remove(group);
-          count--;
+          grantCount--;
         }
       }
     }
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseTerms.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseTerms.java
@@ -4,29 +4,38 @@
  * How long leases are, in tenths of a millisecond.
  *
  * @param length what a gateway asks for
- * @param drift how much faster or slower than true time any clock in the fleet may run, as a part
+ * @param drift how much faster or slower than true time any clock in the cluster may run, as a part
  *     of one
  * @param margin a run needs so much of the lease ahead of it when its attempt is written
  */
 public record LeaseTerms(long length, double drift, long margin) {
+  private static final long LENGTH_MIN = 1000;
+  private static final double DRIFT_MAX = 0.2;
+
   /**
+   * Checks the terms.
+   *
    * @throws IllegalArgumentException if the terms leave nothing of a lease
    */
   public LeaseTerms {
-    if (length < 1000 || drift < 0 || drift > 0.2 || margin < 0 || margin * 4 > length) {
+    if (length < LENGTH_MIN
+        || drift < 0
+        || drift > DRIFT_MAX
+        || margin < 0
+        || margin * 4 > length) {
       throw new IllegalArgumentException(
           "a lease lasts 100 ms at least, clocks drift by 0 to 0.2,"
               + " and the margin is a quarter of the lease at most");
     }
   }
 
-  /** How long a gateway relies on a lease, by its own clock, from before it asked. */
-  public long held() {
+  /** How long a gateway relies on a lease, by its own clock, from before it asked for it. */
+  public long holderDuration() {
     return (long) Math.floor(length * (1 - drift));
   }
 
-  /** How long a voter keeps one that it granted, by its own clock, from after it was asked. */
-  public long kept() {
+  /** How long a voter honours a grant, by its own clock, from after it was asked for it. */
+  public long grantorDuration() {
     return (long) Math.ceil(length * (1 + drift)) + 1;
   }
 }
--- a/statements/src/main/java/tillerlink/statements/prepare/Preparer.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Preparer.java
@@ -4,12 +4,9 @@
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 
-/**
- * Prepares a statement anew after a change. Asked at one gateway of the fleet, the leader of the
- * log.
- */
+/** Prepares a statement again after a change. Called on one gateway, the leader of the log. */
 @FunctionalInterface
 public interface Preparer {
-  /** Empty if it can't run under the new schema. */
-  Optional<Definition> anew(Definition old, Change change);
+  /** The statement for the new schema; empty if it can't be run under it. */
+  Optional<Definition> prepareAgain(Definition old, Change change);
 }
--- a/statements/src/main/java/tillerlink/statements/prepare/Renaming.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Renaming.java
@@ -10,49 +10,56 @@
 import tillerlink.messages.statements.Definition;
 
 /**
- * Puts new names in the place of old ones, in the text and in what it uses; what was only altered
- * keeps its text. Where a name in the text may mean one that was renamed or one that wasn't, it is
- * left to people.
+ * Replaces old names by new ones, in the text and in what the statement uses; a statement whose
+ * names were only altered keeps its text. Where a name in the text may mean one that was renamed or
+ * one that was not, the statement is left to people.
  */
 public final class Renaming implements Preparer {
   @Override
-  public Optional<Definition> anew(Definition old, Change change) {
+  public Optional<Definition> prepareAgain(Definition old, Change change) {
     List<String> uses = new ArrayList<>();
-    Map<String, String> words = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
+    Map<String, String> replacements = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
     for (String use : old.uses()) {
-      String now = change.renamed().getOrDefault(use, use);
-      uses.add(now);
-      if (!now.equals(use) && words.putIfAbsent(last(use), last(now)) != null) {
+      String renamed = change.renamed().getOrDefault(use, use);
+      uses.add(renamed);
+      if (!renamed.equals(use)
+          && replacements.putIfAbsent(lastPart(use), lastPart(renamed)) != null) {
         return Optional.empty();
       }
     }
-    boolean unclear =
+    boolean ambiguous =
         old.uses().stream()
-            .anyMatch(use -> !change.renamed().containsKey(use) && words.containsKey(last(use)));
-    if (unclear) {
+            .filter(use -> !change.renamed().containsKey(use))
+            .anyMatch(use -> replacements.containsKey(lastPart(use)));
+    if (ambiguous) {
       return Optional.empty();
     }
-    StringBuilder text = new StringBuilder();
-    for (Token token : Token.all(old.text())) {
-      text.append(token.kind() == Token.Kind.NAME ? renamed(token.text(), words) : token.text());
-    }
-    Definition next = old.withText(text.toString(), uses);
-    return text.toString().getBytes(StandardCharsets.UTF_8).length > Definition.TEXT_MOST
+    String text = replaceNames(old.text(), replacements);
+    return text.getBytes(StandardCharsets.UTF_8).length > Definition.TEXT_MOST
         ? Optional.empty()
-        : Optional.of(next);
+        : Optional.of(old.withText(text, uses));
   }
 
-  /** The part behind the last point or colon: of 17:orders.city it is city. */
-  private static String last(String use) {
+  /** The part behind the last point or colon: of {@code 17:orders.city} it is city. */
+  private static String lastPart(String use) {
     return use.substring(Math.max(use.lastIndexOf('.'), use.lastIndexOf(':')) + 1);
   }
 
-  private static String renamed(String token, Map<String, String> words) {
-    char quote = token.charAt(0);
+  private static String replaceNames(String text, Map<String, String> replacements) {
+    StringBuilder result = new StringBuilder();
+    for (Token token : Token.all(text)) {
+      boolean name = token.kind() == Token.Kind.NAME;
+      result.append(name ? replaceName(token.text(), replacements) : token.text());
+    }
+    return result.toString();
+  }
+
+  private static String replaceName(String name, Map<String, String> replacements) {
+    char quote = name.charAt(0);
     if (quote == '"' || quote == '`') {
-      String within = token.substring(1, token.length() - 1);
-      return words.containsKey(within) ? quote + words.get(within) + quote : token;
+      String within = name.substring(1, name.length() - 1);
+      return replacements.containsKey(within) ? quote + replacements.get(within) + quote : name;
     }
-    return words.getOrDefault(token, token);
+    return replacements.getOrDefault(name, name);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/run/Permission.java
+++ b/statements/src/main/java/tillerlink/statements/run/Permission.java
@@ -1,30 +1,34 @@
 package tillerlink.statements.run;
 
-/** Whether a prepared statement may be run. */
+/** Whether a prepared statement may be run. Times are in tenths of a millisecond. */
 public sealed interface Permission {
   /**
-   * @param until its attempt must be written before then, by the clock that was asked
+   * The run may start.
+   *
+   * @param until its attempt must be written before then, by the gateway's clock
    */
-  record Yes(long until) implements Permission {}
+  record Granted(long until) implements Permission {}
 
   /**
-   * @param why in words for people
-   * @param comeBack in how long another try is worth it; 0 if it isn't, as it has to be looked up
-   *     or prepared again
+   * The run may not start.
+   *
+   * @param message why, for people
+   * @param retryAfter after how long another try is worth it; 0 if none is, as the statement has to
+   *     be looked up or prepared again
    */
-  record No(Reason why, String words, long retryAfter) implements Permission {}
+  record Denied(Reason reason, String message, long retryAfter) implements Permission {}
 
-  /** Why not. */
+  /** Why a run may not start. */
   enum Reason {
-    /** It is not prepared, or another text took its place. */
+    /** The statement is not prepared, or another text has replaced it. */
     OTHER,
-    /** A change took effect under which it can't run. */
+    /** A change took effect under which the statement can't be run. */
     INVALID,
-    /** A change took effect that it is being prepared anew for. */
+    /** A change took effect, and the statement is being prepared again for it. */
     ANEW,
-    /** A change of one of its groups is announced. */
+    /** A change of one of the statement's groups is announced. */
     CHANGING,
-    /** This gateway can't know: it holds no lease on a group. */
+    /** This gateway holds no lease on one of the statement's groups. */
     UNKNOWN
   }
 }
--- a/statements/src/test/java/tillerlink/statements/Measure.java
+++ b/statements/src/test/java/tillerlink/statements/Measure.java
@@ -136,13 +136,13 @@
       int times = 300_000;
       for (int i = 0; i < times; i++) {
         Prepared prepared = part.lookUp("top").orElseThrow();
-        sum += part.mayRun(now, prepared) instanceof Permission.Yes ? 1 : 0;
+        sum += part.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
         sum += prepared.text(List.of("Paris"), true).length();
       }
       long middle = System.nanoTime();
       Prepared prepared = part.lookUp("top").orElseThrow();
       for (int i = 0; i < times; i++) {
-        sum += part.mayRun(now, prepared) instanceof Permission.Yes ? 1 : 0;
+        sum += part.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
       }
       System.out.println(
           "round "
--- a/statements/src/test/java/tillerlink/statements/StoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/StoriesTest.java
@@ -55,7 +55,7 @@
             + " is told: "
             + outcome.verdict()
             + " "
-            + (outcome.id() > 0 ? outcome.id() : outcome.words()));
+            + (outcome.id() > 0 ? outcome.id() : outcome.message()));
   }
 
   /** Says whenever something that people would see is another than before. */
--- a/statements/src/test/java/tillerlink/statements/TestCluster.java
+++ b/statements/src/test/java/tillerlink/statements/TestCluster.java
@@ -244,7 +244,7 @@
   /** It ends as it is told to. */
   void leave(String name) {
     Gateway gateway = gateways.get(name);
-    gateway.part.leave(gateway.local(fleet.now()));
+    gateway.part.releaseLeases(gateway.local(fleet.now()));
     kill(name);
   }
 
@@ -299,7 +299,7 @@
   }
 
   void takeBack(String at, long change, Consumer<Outcome> told) {
-    ask(at, it -> it.part.takeBack(it.local(fleet.now()), change, told));
+    ask(at, it -> it.part.withdraw(it.local(fleet.now()), change, told));
   }
 
   /** What a gateway says of a run now: yes, or why not. */
@@ -313,12 +313,12 @@
     }
     Prepared prepared = gateway.part.lookUp(name).orElse(null);
     Permission permission =
-        prepared == null ? null : gateway.part.mayRun(gateway.local(fleet.now()), prepared);
+        prepared == null ? null : gateway.part.checkRun(gateway.local(fleet.now()), prepared);
     fleet.touched(at);
     return permission == null
         ? "unknown name"
-        : permission instanceof Permission.No no
-            ? no.why().toString().toLowerCase(java.util.Locale.ROOT)
+        : permission instanceof Permission.Denied denied
+            ? denied.reason().toString().toLowerCase(java.util.Locale.ROOT)
             : "yes, generation " + prepared.generation();
   }
 
@@ -334,7 +334,8 @@
     Prepared prepared = gateway.part.lookUp(name).orElse(null);
     fleet.touched(at);
     if (prepared == null
-        || gateway.part.mayRun(gateway.local(fleet.now()), prepared) instanceof Permission.No) {
+        || gateway.part.checkRun(gateway.local(fleet.now()), prepared)
+            instanceof Permission.Denied) {
       audit.turnedBack++;
       return;
     }
@@ -347,11 +348,11 @@
     }
     if (gateway.paused) {
       gateway.held.add(() -> write(gateway, prepared));
-    } else if (gateway.part.mayRun(gateway.local(fleet.now()), prepared)
-        instanceof Permission.Yes yes) {
-      gateway.part.began(prepared);
+    } else if (gateway.part.checkRun(gateway.local(fleet.now()), prepared)
+        instanceof Permission.Granted granted) {
+      gateway.part.onAttemptStarted(prepared);
       audit.ran(fleet.now(), gateway.name, prepared);
-      engineBegins(gateway, prepared, (long) Math.floor(yes.until() / gateway.rate));
+      engineBegins(gateway, prepared, (long) Math.floor(granted.until() / gateway.rate));
     } else {
       audit.calledOff++;
     }
@@ -387,7 +388,7 @@
       return;
     }
     long limit = mayRunUntil == 0 ? 0 : Math.max(1, gateway.local(mayRunUntil));
-    gateway.part.ended(gateway.local(fleet.now()), prepared, limit);
+    gateway.part.onAttemptEnded(gateway.local(fleet.now()), prepared, limit);
     ask(gateway.name, it -> {});
   }
 
