--- a/statements/src/test/java/tillerlink/statements/AttemptsTest.java
+++ b/statements/src/test/java/tillerlink/statements/AttemptsTest.java
@@ -7,112 +7,112 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A change of the schema while an engine is, or may be, at an attempt that was written before it
- * was announced.
+ * A change of the schema while an engine executes, or may execute, an attempt that was written
+ * before the change was announced.
  */
 class AttemptsTest {
   private static final long LEASE = 3 * TestCluster.SECOND;
   private final TestCluster cluster = new TestCluster(3, 3, 2);
 
-  private void settled() {
-    cluster.leaseLength = LEASE;
+  private void startAndPrepare() {
+    cluster.setLeaseLength(LEASE);
     cluster.startAll();
-    assertTrue(cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none")));
+    assertTrue(cluster.playUntil(10 * TestCluster.SECOND, cluster::hasLeader));
     cluster.prepare(
-        "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
-    assertTrue(cluster.until(5 * TestCluster.SECOND, () -> runs("g1") && runs("g2")));
-    // A voter that has just started is clear of nothing.
+        "g1", Fixtures.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+    assertTrue(cluster.playUntil(5 * TestCluster.SECOND, () -> runs("g1") && runs("g2")));
+    // A voter that has just started is clear of no change.
     cluster.fleet.playFor(2 * LEASE);
   }
 
   private boolean runs(String at) {
-    return cluster.mayRun(at, "top").startsWith("yes");
+    return cluster.canRun(at, "top");
   }
 
   /** Announces a change and waits until it is in effect; how long that took. */
-  private long change() {
-    long version = cluster.part("g2").catalog().version(17);
+  private long announceAndAwaitEffect() {
+    long version = cluster.statements("g2").catalog().version(17);
     long from = cluster.fleet.now();
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.announce("g2", Fixtures.untouched(17), any -> {});
     assertTrue(
-        cluster.until(
-            20 * TestCluster.SECOND, () -> cluster.part("g2").catalog().version(17) > version));
-    assertEquals(List.of(), cluster.audit.violations);
+        cluster.playUntil(
+            20 * TestCluster.SECOND,
+            () -> cluster.statements("g2").catalog().version(17) > version));
+    assertEquals(List.of(), cluster.audit.violations());
     return cluster.fleet.now() - from;
   }
 
-  private void run(long worksFor, double inDoubt) {
-    cluster.worksFor = worksFor;
-    cluster.inDoubt = inDoubt;
+  private void run(long executionTime, double uncertainShare) {
+    cluster.setExecutionTime(executionTime);
+    cluster.setUncertainShare(uncertainShare);
     cluster.run("g1", "top");
     cluster.fleet.playFor(20 * TestCluster.MS);
-    assertEquals(1, cluster.audit.runs);
+    assertEquals(1, cluster.audit.runs());
   }
 
   @Test
-  void itTakesEffectRightAfterTheAttemptEnded() {
-    settled();
+  void aChangeTakesEffectOnceTheAttemptEnded() {
+    startAndPrepare();
     run(TestCluster.SECOND, 0);
-    long took = change();
+    long took = announceAndAwaitEffect();
     assertTrue(took >= 950 * TestCluster.MS && took <= 1100 * TestCluster.MS, took / 10 + " ms");
   }
 
   @Test
-  void itTakesEffectOnceTheLeaseRanOutUnderAnAttemptThatGoesOn() {
-    settled();
+  void aChangeTakesEffectOnceTheLeaseExpiredUnderALongAttempt() {
+    startAndPrepare();
     run(10 * TestCluster.SECOND, 0);
-    long took = change();
+    long took = announceAndAwaitEffect();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
   }
 
   @Test
-  void anAttemptThatMayBeOutIsNoReasonToGiveALeaseBack() {
-    settled();
+  void anUncertainAttemptKeepsItsLeaseFromBeingReleased() {
+    startAndPrepare();
     run(10 * TestCluster.MS, 1);
-    long took = change();
+    long took = announceAndAwaitEffect();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
   }
 
   @Test
-  void itIsForgottenOnceItCannotBeOutAnyMore() {
-    settled();
+  void anUncertainAttemptIsForgottenAfterItsDeadline() {
+    startAndPrepare();
     run(10 * TestCluster.MS, 1);
     cluster.fleet.playFor(LEASE + TestCluster.SECOND);
-    long took = change();
+    long took = announceAndAwaitEffect();
     assertTrue(took <= 50 * TestCluster.MS, took / 10 + " ms");
   }
 
   /**
-   * A process that was stopped drops its leases; those that an attempt is out under are not given
-   * back for that.
+   * A process that was paused drops its leases, but does not release those of attempts in flight.
    */
   @Test
-  void aPauseEndsNoAttempt() {
-    settled();
+  void aPauseDoesNotEndAttempts() {
+    startAndPrepare();
     run(2 * TestCluster.SECOND, 0);
     cluster.pause("g1");
     cluster.fleet.playFor(400 * TestCluster.MS);
     cluster.resume("g1");
     cluster.fleet.playFor(20 * TestCluster.MS);
-    long took = change();
+    long took = announceAndAwaitEffect();
     assertTrue(took >= TestCluster.SECOND && took <= 1700 * TestCluster.MS, took / 10 + " ms");
   }
 
-  /** A process that ends gives back what no attempt is out under. */
+  /** A process that ends releases leases that no attempt runs under. */
   @Test
-  void whoLeavesGivesBackWhatNoAttemptIsOutUnder() {
-    settled();
-    cluster.leave("g1");
-    long took = change();
+  void shutdownReleasesLeasesWithoutAttempts() {
+    startAndPrepare();
+    cluster.shutDown("g1");
+    long took = announceAndAwaitEffect();
     assertTrue(took <= 50 * TestCluster.MS, took / 10 + " ms");
   }
 
   @Test
-  void whoLeavesWithAnAttemptOutGivesNothingBackUnderIt() {
-    settled();
+  void shutdownKeepsLeasesOfAttemptsInFlight() {
+    startAndPrepare();
     run(10 * TestCluster.SECOND, 0);
-    cluster.leave("g1");
-    long took = change();
+    cluster.shutDown("g1");
+    long took = announceAndAwaitEffect();
     assertTrue(took >= LEASE / 2 && took <= LEASE * 11 / 10, took / 10 + " ms");
   }
 }
--- a/statements/src/test/java/tillerlink/statements/HistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/HistoriesTest.java
@@ -12,37 +12,37 @@
   private static final int HISTORIES = Integer.getInteger("tillerlink.histories", 40);
 
   @Test
-  void noHistoryRunsAnOldStatementAndAllAgreeInTheEnd() {
+  void noHistoryRunsAnOldStatementAndAllConverge() {
     play(HISTORIES, Integer.getInteger("tillerlink.seconds", 12));
   }
 
   private static void play(int histories, int seconds) {
     long runs = 0;
     long effects = 0;
-    long turnedBack = 0;
-    long calledOff = 0;
+    long rejected = 0;
+    long cancelled = 0;
     List<String> wrong = new ArrayList<>();
     int first = Integer.getInteger("tillerlink.first", 1);
     for (int seed = first; seed < first + histories; seed++) {
       History history = new History(seed + 100_000L * seconds);
-      String what;
+      String failure;
       try {
-        what = history.play(seconds * TestCluster.SECOND);
+        failure = history.play(seconds * TestCluster.SECOND);
       } catch (Invariant.Broken e) {
-        what = e + " at " + history.cluster.at();
+        failure = e + " at " + history.cluster.time();
       }
-      if (what != null) {
-        wrong.add("seed " + seed + ": " + what);
+      if (failure != null) {
+        wrong.add("seed " + seed + ": " + failure);
         if (histories == 1) {
           history.events.forEach(System.out::println);
-          history.cluster.notes.forEach(System.out::println);
-          history.cluster.all.forEach(name -> System.out.println(history.cluster.told(name)));
+          history.cluster.warnings.forEach(System.out::println);
+          history.cluster.all.forEach(name -> System.out.println(history.cluster.describe(name)));
         }
       }
-      runs += history.cluster.audit.runs;
-      effects += history.cluster.audit.effects;
-      turnedBack += history.cluster.audit.turnedBack;
-      calledOff += history.cluster.audit.calledOff;
+      runs += history.cluster.audit.runs();
+      effects += history.cluster.audit.effects();
+      rejected += history.cluster.audit.rejected();
+      cancelled += history.cluster.audit.cancelled();
     }
     System.out.println(
         histories
@@ -51,10 +51,10 @@
             + " s, "
             + runs
             + " runs, "
-            + turnedBack
-            + " turned back, "
-            + calledOff
-            + " called off, "
+            + rejected
+            + " rejected, "
+            + cancelled
+            + " cancelled, "
             + effects
             + " effects, "
             + wrong.size()
--- a/statements/src/test/java/tillerlink/statements/History.java
+++ b/statements/src/test/java/tillerlink/statements/History.java
@@ -13,63 +13,60 @@
 
 /**
  * One seeded history: load, changes and faults at random, then everything heals and all gateways
- * must agree.
+ * must have the same catalog.
  */
 final class History {
   static final List<String> NAMES = List.of("a", "b", "c", "d");
 
+  private static final double UNCERTAIN_SHARE = 0.02;
+
   final TestCluster cluster;
   final List<String> events = new ArrayList<>();
   private final SplittableRandom random;
   private final Map<String, NavigableMap<String, byte[]>> copies = new HashMap<>();
   private final List<Long> changes = new ArrayList<>();
-  private final int voterCount;
 
-  /** A voter whose disk was lost or is an old copy: one at a time. */
-  private String doubtful;
+  /** The voter that was last started from an empty or an old disk: one at a time. */
+  private String restoredVoter;
 
-  private long doubtfulUntil;
-  boolean olds = true;
-  boolean drift = true;
-  int faults;
-  int done;
-  int refused;
-  int unknown;
+  private long restoredUntil;
+  private int faults;
+  private boolean loaded = true;
 
-  History(long seed, InjectedFault... plants) {
+  History(long seed, InjectedFault... injectedFaults) {
     random = new SplittableRandom(seed * 31 + 7);
-    voterCount = random.nextInt(4) == 0 ? 5 : 3;
-    cluster = new TestCluster(seed, voterCount, 2 + random.nextInt(3), plants);
-    cluster.leaseLength = 10 * (300 + random.nextInt(1500));
-    cluster.inDoubt = 0.02;
+    int voterCount = random.nextInt(4) == 0 ? 5 : 3;
+    cluster = new TestCluster(seed, voterCount, 2 + random.nextInt(3), injectedFaults);
+    cluster.setLeaseLength(TestCluster.MS * (300 + random.nextInt(1500)));
+    cluster.setUncertainShare(UNCERTAIN_SHARE);
   }
 
-  /** A short one, of a fleet of a stated size. */
+  /** A short history, of a cluster of a given size. */
   History(long seed, int voters, int others) {
     random = new SplittableRandom(seed * 31 + 7);
-    voterCount = voters;
     cluster = new TestCluster(seed, voters, others);
-    cluster.leaseLength = 10 * (300 + random.nextInt(1000));
-    cluster.inDoubt = 0.02;
+    cluster.setLeaseLength(TestCluster.MS * (300 + random.nextInt(1000)));
+    cluster.setUncertainShare(UNCERTAIN_SHARE);
   }
 
-  private <T> T any(List<T> of) {
-    return of.get(random.nextInt(of.size()));
+  /** Faults that a short history injected. */
+  int faults() {
+    return faults;
   }
 
-  private void say(String words) {
-    events.add(cluster.at() + " " + words);
+  private <T> T any(List<T> values) {
+    return values.get(random.nextInt(values.size()));
   }
 
-  /**
-   * @return what was wrong, or null
-   */
-  String play(long lasts) {
-    if (drift) {
-      cluster.clocksDrift();
-    }
+  private void record(String event) {
+    events.add(cluster.time() + " " + event);
+  }
+
+  /** Plays for that long, then until all is settled; returns what was wrong, or null. */
+  String play(long duration) {
+    cluster.clocksDrift();
     cluster.startAll();
-    if (!cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"))) {
+    if (!cluster.playUntil(10 * TestCluster.SECOND, cluster::hasLeader)) {
       return "no leader at the start";
     }
     for (String name : NAMES) {
@@ -77,12 +74,12 @@
     }
     cluster.fleet.playFor(TestCluster.SECOND);
     load();
-    long end = cluster.fleet.now() + lasts;
+    long end = cluster.fleet.now() + duration;
     while (cluster.fleet.now() < end) {
       step();
-      cluster.fleet.playFor(10 * random.nextInt(10, 400));
-      if (!cluster.audit.violations.isEmpty()) {
-        return cluster.audit.violations.get(0);
+      cluster.fleet.playFor(TestCluster.MS * random.nextInt(10, 400));
+      if (!cluster.audit.violations().isEmpty()) {
+        return cluster.audit.violations().get(0);
       }
     }
     return heal();
@@ -93,11 +90,9 @@
    * the usual end.
    */
   String playShortly() {
-    if (drift) {
-      cluster.clocksDrift();
-    }
+    cluster.clocksDrift();
     cluster.startAll();
-    if (!cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"))) {
+    if (!cluster.playUntil(10 * TestCluster.SECOND, cluster::hasLeader)) {
       return "no leader at the start";
     }
     prepare(NAMES.get(0));
@@ -112,7 +107,7 @@
         faults++;
         fault();
       }
-      cluster.fleet.playFor(10 * random.nextInt(10, 600));
+      cluster.fleet.playFor(TestCluster.MS * random.nextInt(10, 600));
     }
     return heal();
   }
@@ -123,11 +118,11 @@
       case 1 -> kill(any(cluster.all));
       case 2 -> cut(any(cluster.all), any(cluster.all));
       case 3 -> partition();
-      case 4 -> doubtful();
+      case 4 -> restartFromOtherDisk();
       case 5 -> pause(cluster.leader());
       case 6 -> kill(cluster.leader());
       default -> {
-        say("links are bad");
+        record("links are bad");
         cluster.fleet.usual(Fault.bad(0.2, 0.1, 20 + random.nextInt(3000)));
       }
     }
@@ -135,18 +130,10 @@
 
   private void announce() {
     String at = any(cluster.all);
-    say("announce at " + at);
-    cluster.announce(
-        at,
-        change(),
-        outcome -> {
-          told(outcome);
-          changes.add(outcome.id());
-        });
+    record("announce at " + at);
+    cluster.announce(at, change(), outcome -> changes.add(outcome.id()));
   }
 
-  private boolean loaded = true;
-
   private void load() {
     cluster.all.forEach(this::load);
   }
@@ -154,7 +141,8 @@
   private void load(String at) {
     if (loaded) {
       cluster.run(at, any(NAMES));
-      cluster.fleet.at(cluster.fleet.now() + 10 * random.nextInt(5, 60), () -> load(at));
+      cluster.fleet.at(
+          cluster.fleet.now() + TestCluster.MS * random.nextInt(5, 60), () -> load(at));
     }
   }
 
@@ -163,31 +151,23 @@
     String text = "select " + random.nextInt(1000) + " from orders_" + group + ".orders";
     boolean two = random.nextInt(3) == 0;
     String at = any(cluster.all);
-    say("prepare " + name + " at " + at);
+    record("prepare " + name + " at " + at);
     cluster.prepare(
         at,
         two
-            ? TestCluster.definition(name, text, group, group == 17 ? 18 : 17)
-            : TestCluster.definition(name, text, group),
-        this::told);
-  }
-
-  private void told(tillerlink.statements.catalog.Outcome outcome) {
-    switch (outcome.verdict()) {
-      case DONE -> done++;
-      case REFUSED -> refused++;
-      default -> unknown++;
-    }
+            ? Fixtures.definition(name, text, group, group == 17 ? 18 : 17)
+            : Fixtures.definition(name, text, group),
+        any -> {});
   }
 
   private Change change() {
     int group = 17 + random.nextInt(3);
     return switch (random.nextInt(6)) {
-      case 0 -> TestCluster.removed(group);
-      case 1 -> TestCluster.renamed(group, "t" + random.nextInt(100));
-      case 2 -> TestCluster.altered(group);
-      case 3 -> TestCluster.untouched(group, group == 17 ? 18 : 17);
-      default -> TestCluster.untouched(group);
+      case 0 -> Fixtures.removed(group);
+      case 1 -> Fixtures.renamed(group, "t" + random.nextInt(100));
+      case 2 -> Fixtures.altered(group);
+      case 3 -> Fixtures.untouched(group, group == 17 ? 18 : 17);
+      default -> Fixtures.untouched(group);
     };
   }
 
@@ -195,14 +175,14 @@
     switch (random.nextInt(16)) {
       case 0, 1 -> prepare(any(NAMES));
       case 2 -> {
-        say("drop");
-        cluster.drop(any(cluster.all), any(NAMES), this::told);
+        record("drop");
+        cluster.drop(any(cluster.all), any(NAMES), any -> {});
       }
       case 3, 4, 5 -> announce();
       case 6 -> {
         if (!changes.isEmpty()) {
-          say("take back");
-          cluster.takeBack(any(cluster.all), changes.get(changes.size() - 1), this::told);
+          record("take back");
+          cluster.withdraw(any(cluster.all), changes.get(changes.size() - 1), any -> {});
         }
       }
       case 7 -> pause(any(cluster.all));
@@ -210,7 +190,7 @@
       case 9 -> cut(any(cluster.all), any(cluster.all));
       case 10 -> partition();
       case 11 -> {
-        say("links heal");
+        record("links heal");
         cluster.fleet.heal();
         cluster.fleet.usual(
             random.nextInt(3) == 0 ? Fault.bad(0.2, 0.1, 20 + random.nextInt(3000)) : Fault.NONE);
@@ -218,14 +198,14 @@
       case 12 -> {
         String voter = any(cluster.voters);
         if (cluster.isUp(voter)) {
-          copies.put(voter, cluster.copyOf(voter));
+          copies.put(voter, cluster.copyDisk(voter));
         }
       }
-      case 13 -> doubtful();
+      case 13 -> restartFromOtherDisk();
       case 14 -> {
         String leader = cluster.leader();
         if (cluster.isUp(leader)) {
-          say("the leader is hit");
+          record("the leader is hit");
           if (random.nextBoolean()) {
             kill(leader);
           } else {
@@ -233,24 +213,26 @@
           }
         }
       }
-      default -> cluster.fleet.playFor(10 * random.nextInt(500));
+      default -> cluster.fleet.playFor(TestCluster.MS * random.nextInt(500));
     }
   }
 
   private void pause(String name) {
     if (cluster.isUp(name) && !cluster.isPaused(name)) {
-      say("pause " + name);
+      record("pause " + name);
       cluster.pause(name);
       cluster.fleet.at(
-          cluster.fleet.now() + 10 * random.nextInt(10, 4000), () -> cluster.resume(name));
+          cluster.fleet.now() + TestCluster.MS * random.nextInt(10, 4000),
+          () -> cluster.resume(name));
     }
   }
 
-  private boolean whole() {
-    return doubtful == null
-        || cluster.isUp(doubtful)
-            && cluster.part(doubtful).voter().orElseThrow().isOperational()
-            && cluster.fleet.now() > doubtfulUntil;
+  /** Whether the last voter that was started from another disk is as good as the others again. */
+  private boolean isWhole() {
+    return restoredVoter == null
+        || (cluster.isUp(restoredVoter)
+            && cluster.isOperational(restoredVoter)
+            && cluster.fleet.now() > restoredUntil);
   }
 
   /**
@@ -258,14 +240,14 @@
    * two at once.
    */
   private void kill(String name) {
-    if (cluster.isUp(name) && (whole() || !cluster.voters.contains(name))) {
-      say("kill " + name);
+    if (cluster.isUp(name) && (isWhole() || !cluster.voters.contains(name))) {
+      record("kill " + name);
       cluster.kill(name);
       cluster.fleet.at(
-          cluster.fleet.now() + 10 * random.nextInt(10, 3000),
+          cluster.fleet.now() + TestCluster.MS * random.nextInt(10, 3000),
           () -> {
             if (!cluster.isUp(name)) {
-              say("start " + name);
+              record("start " + name);
               cluster.start(name);
             }
           });
@@ -273,14 +255,14 @@
   }
 
   private void cut(String from, String to) {
-    say("cut " + from + " to " + to);
+    record("cut " + from + " to " + to);
     cluster.fleet.link(from, to, Fault.CUT);
   }
 
   private void partition() {
     String one = any(cluster.all);
     boolean both = random.nextBoolean();
-    say("part " + one + (both ? " and another" : ""));
+    record("part " + one + (both ? " and another" : ""));
     String two = both ? any(cluster.all) : one;
     for (String other : cluster.all) {
       if (!other.equals(one) && !other.equals(two)) {
@@ -294,32 +276,31 @@
    * One voter at a time from an empty or an old disk; the next only once it is back and as good as
    * the others.
    */
-  private void doubtful() {
-    boolean over = whole();
+  private void restartFromOtherDisk() {
+    boolean whole = isWhole();
     String name = any(cluster.voters);
-    boolean founded =
+    boolean operational =
         cluster.voters.stream()
-            .allMatch(
-                it -> cluster.isUp(it) && cluster.part(it).voter().orElseThrow().isOperational());
-    if (!olds || !over || !cluster.isUp(name) || !founded) {
+            .allMatch(voter -> cluster.isUp(voter) && cluster.isOperational(voter));
+    if (!whole || !cluster.isUp(name) || !operational) {
       return;
     }
-    doubtful = name;
-    doubtfulUntil = cluster.fleet.now() + TestCluster.SECOND;
+    restoredVoter = name;
+    restoredUntil = cluster.fleet.now() + TestCluster.SECOND;
     cluster.kill(name);
     NavigableMap<String, byte[]> copy = copies.get(name);
     if (copy != null && random.nextBoolean()) {
-      say("start " + name + " from an old disk");
-      cluster.startOld(name, copy);
+      record("start " + name + " from an old disk");
+      cluster.startFromCopy(name, copy);
     } else {
-      say("start " + name + " from an empty disk");
+      record("start " + name + " from an empty disk");
       copies.remove(name);
-      cluster.startEmpty(name);
+      cluster.startFromEmptyDisk(name);
     }
   }
 
   private String heal() {
-    say("all heals");
+    record("all heals");
     cluster.fleet.heal();
     cluster.fleet.usual(Fault.NONE);
     for (String name : cluster.all) {
@@ -328,30 +309,28 @@
       }
       cluster.resume(name);
     }
-    boolean agreed = cluster.until(60 * TestCluster.SECOND, cluster::agree);
+    boolean converged = cluster.playUntil(60 * TestCluster.SECOND, cluster::hasConverged);
     loaded = false;
-    if (!cluster.audit.violations.isEmpty()) {
-      return cluster.audit.violations.get(0);
+    if (!cluster.audit.violations().isEmpty()) {
+      return cluster.audit.violations().get(0);
     }
-    if (!agreed) {
+    if (!converged) {
       return "no agreement: leader " + cluster.leader();
     }
     for (String name : NAMES) {
       boolean ready =
           cluster
-              .part("g1")
+              .statements("g1")
               .catalog()
               .find(name)
-              .filter(it -> it.state() == State.READY)
+              .filter(entry -> entry.state() == State.READY)
               .isPresent();
       for (String at : cluster.all) {
-        if (ready
-            && !cluster.until(
-                5 * TestCluster.SECOND, () -> cluster.mayRun(at, name).startsWith("yes"))) {
-          return at + " can't run " + name + " in a calm fleet: " + cluster.mayRun(at, name);
+        if (ready && !cluster.playUntil(5 * TestCluster.SECOND, () -> cluster.canRun(at, name))) {
+          return at + " can't run " + name + " in a calm fleet: " + cluster.runState(at, name);
         }
       }
     }
-    return cluster.audit.violations.isEmpty() ? null : cluster.audit.violations.get(0);
+    return cluster.audit.violations().isEmpty() ? null : cluster.audit.violations().get(0);
   }
 }
--- a/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
+++ b/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
@@ -15,70 +15,68 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * Each planted fault is caught, by an invariant in the code or by the audit from outside; the same
- * scene without the fault is in order.
+ * Each injected fault is detected, by an invariant in the code or by the audit from outside; the
+ * same scenario without the fault shows no violation.
  */
 class InjectedFaultsTest {
   private static final int SEEDS_MOST = 120;
 
-  /**
-   * What a scene came to, by each check that saw something, numbers aside; empty if all was in
-   * order.
-   */
-  private static Set<String> of(TestCluster cluster, Function<TestCluster, String> scene) {
-    Set<String> seen = new LinkedHashSet<>();
-    String said;
+  /** The violations that the checks found in a scenario, numbers aside; empty if there are none. */
+  private static Set<String> violations(
+      TestCluster cluster, Function<TestCluster, String> scenario) {
+    Set<String> found = new LinkedHashSet<>();
+    String failure;
     try {
-      said = scene.apply(cluster);
+      failure = scenario.apply(cluster);
     } catch (Invariant.Broken e) {
-      said = e.getMessage();
+      failure = e.getMessage();
     }
-    cluster.audit.violations.forEach(it -> seen.add(plain(it)));
-    if (said != null) {
-      seen.add(plain(said));
+    cluster.audit.violations().forEach(violation -> found.add(withoutNumbers(violation)));
+    if (failure != null) {
+      found.add(withoutNumbers(failure));
     }
-    return seen;
+    return found;
   }
 
-  private static String plain(String words) {
-    return words.replaceAll("[0-9]+", "N").replaceAll("v1|v2|v3", "vN");
+  private static String withoutNumbers(String message) {
+    return message.replaceAll("[0-9]+", "N").replaceAll("v1|v2|v3", "vN");
   }
 
-  private static void caught(
-      InjectedFault plant, Function<TestCluster, String> scene, String words) {
-    assertEquals(Set.of(), of(new TestCluster(5, 3, 2), scene), plant + " without the fault");
-    Set<String> seen = of(new TestCluster(5, 3, 2, plant), scene);
-    System.out.println(plant + ": " + seen);
-    assertTrue(seen.contains(words), plant + ": " + seen);
+  private static void assertDetected(
+      InjectedFault fault, Function<TestCluster, String> scenario, String expected) {
+    assertEquals(
+        Set.of(), violations(new TestCluster(5, 3, 2), scenario), fault + " without the fault");
+    Set<String> found = violations(new TestCluster(5, 3, 2, fault), scenario);
+    System.out.println(fault + ": " + found);
+    assertTrue(found.contains(expected), fault + ": " + found);
   }
 
   /** By random histories: so many seeds until one catches it. */
-  private static void caughtByChance(InjectedFault plant, int first, String words) {
+  private static void assertDetectedByHistories(InjectedFault fault, int first, String expected) {
     for (int seed = first; seed < first + SEEDS_MOST; seed++) {
-      History history = new History(seed, plant);
+      History history = new History(seed, fault);
       try {
-        String said = history.play(8 * TestCluster.SECOND);
-        assertNull(said);
+        String failure = history.play(8 * TestCluster.SECOND);
+        assertNull(failure);
       } catch (Invariant.Broken e) {
-        System.out.println(plant + ": seed " + seed + ": " + e.getMessage());
-        assertEquals(words, e.getMessage().replaceAll("[0-9]+", "N").replaceAll(": vN.*", ""));
+        System.out.println(fault + ": seed " + seed + ": " + e.getMessage());
+        assertEquals(expected, e.getMessage().replaceAll("[0-9]+", "N").replaceAll(": vN.*", ""));
         return;
       }
     }
-    throw new AssertionError(plant + " is not caught");
+    throw new AssertionError(fault + " is not detected");
   }
 
-  // ---- scenes ----
+  // ---- scenarios ----
 
-  private static String settled(TestCluster cluster) {
+  private static String startAndPrepare(TestCluster cluster) {
     cluster.startAll();
-    if (!cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"))) {
+    if (!cluster.playUntil(10 * TestCluster.SECOND, cluster::hasLeader)) {
       return "no leader";
     }
     cluster.prepare(
-        "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
-    return cluster.until(
-            5 * TestCluster.SECOND, () -> cluster.mayRun("g1", "top").startsWith("yes"))
+        "g1", Fixtures.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+    return cluster.playUntil(5 * TestCluster.SECOND, () -> cluster.canRun("g1", "top"))
         ? null
         : "no run";
   }
@@ -90,13 +88,13 @@
     }
   }
 
-  private static void alone(TestCluster cluster, String name) {
+  private static void isolate(TestCluster cluster, String name) {
     cluster.all.stream()
         .filter(other -> !other.equals(name))
         .forEach(other -> cluster.fleet.between(name, other, Fault.CUT));
   }
 
-  private static String calmAgain(TestCluster cluster) {
+  private static String healAndConverge(TestCluster cluster) {
     cluster.fleet.heal();
     cluster.all.forEach(
         name -> {
@@ -104,33 +102,35 @@
             cluster.start(name);
           }
         });
-    return cluster.until(30 * TestCluster.SECOND, cluster::agree) ? null : "no agreement";
+    return cluster.playUntil(30 * TestCluster.SECOND, cluster::hasConverged)
+        ? null
+        : "no agreement";
   }
 
   /** A change while one gateway is cut off with its lease. */
-  private static String changeWhileCut(TestCluster cluster) {
-    String trouble = settled(cluster);
+  private static String changeWhileIsolated(TestCluster cluster) {
+    String failure = startAndPrepare(cluster);
     load(cluster, "g1", cluster.fleet.now() + 4 * TestCluster.SECOND);
     cluster.fleet.playFor(TestCluster.SECOND);
-    alone(cluster, "g1");
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    isolate(cluster, "g1");
+    cluster.announce("g2", Fixtures.untouched(17), any -> {});
     cluster.fleet.playFor(4 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(cluster) : trouble;
+    return failure == null ? healAndConverge(cluster) : failure;
   }
 
   @Test
-  void aVoterThatClearsOrALeaderThatLetsItTakeEffectTooEarly() {
-    caught(
+  void effectWhileALeaseIsValidIsDetected() {
+    assertDetected(
         InjectedFault.CLEARS_TOO_EARLY,
-        InjectedFaultsTest::changeWhileCut,
+        InjectedFaultsTest::changeWhileIsolated,
         "invariant broken: change N took effect while a lease of a clear voter is alive");
-    caught(
+    assertDetected(
         InjectedFault.EFFECT_WITHOUT_MAJORITY,
-        InjectedFaultsTest::changeWhileCut,
+        InjectedFaultsTest::changeWhileIsolated,
         "N ms: gN runs top under version N of group N, in effect is N");
-    caught(
+    assertDetected(
         InjectedFault.LEASE_WITHOUT_MAJORITY,
-        InjectedFaultsTest::changeWhileCut,
+        InjectedFaultsTest::changeWhileIsolated,
         "invariant broken: a lease on group N without a majority");
   }
 
@@ -138,118 +138,116 @@
    * All voters start again and forget what they granted, while a gateway that holds a lease is cut
    * off.
    */
-  private static String allVotersStartAgain(TestCluster cluster) {
-    cluster.leaseLength = 6 * TestCluster.SECOND;
-    String trouble = settled(cluster);
+  private static String allVotersRestart(TestCluster cluster) {
+    cluster.setLeaseLength(6 * TestCluster.SECOND);
+    String failure = startAndPrepare(cluster);
     load(cluster, "g1", cluster.fleet.now() + 8 * TestCluster.SECOND);
     cluster.fleet.playFor(TestCluster.SECOND);
-    alone(cluster, "g1");
+    isolate(cluster, "g1");
     cluster.voters.forEach(cluster::start);
-    cluster.until(5 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.playUntil(5 * TestCluster.SECOND, cluster::hasLeader);
+    cluster.announce("g2", Fixtures.untouched(17), any -> {});
     cluster.fleet.playFor(8 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(cluster) : trouble;
+    return failure == null ? healAndConverge(cluster) : failure;
   }
 
   @Test
-  void aVoterThatForgotWhatItGranted() {
-    caught(
+  void confirmationAfterForgottenGrantsIsDetected() {
+    assertDetected(
         InjectedFault.CLEARS_AFTER_RESTART,
-        InjectedFaultsTest::allVotersStartAgain,
+        InjectedFaultsTest::allVotersRestart,
         "N ms: gN runs top under version N of group N, in effect is N");
   }
 
   /** Answers to a gateway take longer than half a lease. */
-  private static String answersAreLate(TestCluster cluster) {
-    cluster.leaseLength = 2 * TestCluster.SECOND;
-    String trouble = settled(cluster);
+  private static String responsesAreLate(TestCluster cluster) {
+    cluster.setLeaseLength(2 * TestCluster.SECOND);
+    String failure = startAndPrepare(cluster);
     cluster.voters.forEach(voter -> cluster.fleet.link(voter, "g1", Fault.slow(14_000, 14_000)));
     cluster.fleet.playFor(4 * TestCluster.SECOND);
     load(cluster, "g1", cluster.fleet.now() + 5 * TestCluster.SECOND);
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.announce("g2", Fixtures.untouched(17), any -> {});
     cluster.fleet.playFor(13_900);
-    alone(cluster, "g1");
+    isolate(cluster, "g1");
     cluster.fleet.playFor(5 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(cluster) : trouble;
+    return failure == null ? healAndConverge(cluster) : failure;
   }
 
   @Test
-  void aGatewayThatCountsFromTheAnswer() {
-    caught(
+  void leaseCountedFromTheResponseIsDetected() {
+    assertDetected(
         InjectedFault.COUNTS_LEASE_FROM_RESPONSE,
-        InjectedFaultsTest::answersAreLate,
+        InjectedFaultsTest::responsesAreLate,
         "N ms: gN runs top under version N of group N, in effect is N");
   }
 
   /** A leader that is cut off takes in what the others never hear; they go on without it. */
-  private static String leaderIsCut(TestCluster cluster) {
-    String trouble = settled(cluster);
+  private static String leaderIsIsolated(TestCluster cluster) {
+    String failure = startAndPrepare(cluster);
     String old = cluster.leader();
-    alone(cluster, old);
+    isolate(cluster, old);
     for (int i = 0; i < 3; i++) {
       cluster.prepare(
           old,
-          TestCluster.definition("mine" + i, "select " + i + " from orders_17.orders", 17),
+          Fixtures.definition("mine" + i, "select " + i + " from orders_17.orders", 17),
           any -> {});
       cluster.fleet.playFor(60 * TestCluster.MS);
     }
-    cluster.until(10 * TestCluster.SECOND, () -> cluster.leader().contains("+"));
+    cluster.playUntil(10 * TestCluster.SECOND, () -> cluster.leader().contains("+"));
     for (int i = 0; i < 9; i++) {
       cluster.prepare(
-          "g2",
-          TestCluster.definition("theirs" + i, "select 5 from orders_17.orders", 17),
-          any -> {});
+          "g2", Fixtures.definition("theirs" + i, "select 5 from orders_17.orders", 17), any -> {});
     }
     cluster.fleet.playFor(3 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(cluster) : trouble;
+    return failure == null ? healAndConverge(cluster) : failure;
   }
 
   @Test
-  void aLeaderThatCommitsAlone() {
-    caught(
+  void commitWithoutAMajorityIsDetected() {
+    assertDetected(
         InjectedFault.COMMITS_WITHOUT_MAJORITY,
-        InjectedFaultsTest::leaderIsCut,
+        InjectedFaultsTest::leaderIsIsolated,
         "invariant broken: what is committed is written over at N");
   }
 
   /** What two voters took in is lost with their disks' last writes, if they said so too early. */
-  private static String twoCrash(TestCluster cluster) {
-    String trouble = settled(cluster);
+  private static String twoVotersCrash(TestCluster cluster) {
+    String failure = startAndPrepare(cluster);
     cluster.fleet.playFor(TestCluster.SECOND);
     String leader = cluster.leader();
     List<String> others = cluster.voters.stream().filter(name -> !name.equals(leader)).toList();
-    alone(cluster, others.get(1));
+    isolate(cluster, others.get(1));
     cluster.fleet.between("g1", others.get(1), Fault.CUT);
-    cluster.slowDisks(3 * TestCluster.SECOND);
+    cluster.setWriteDelay(3 * TestCluster.SECOND);
     for (int i = 0; i < 4; i++) {
       cluster.prepare(
           "g1",
-          TestCluster.definition("kept" + i, "select 'one' from orders_17.orders", 17),
+          Fixtures.definition("kept" + i, "select 'one' from orders_17.orders", 17),
           any -> {});
     }
     cluster.fleet.playFor(1200 * TestCluster.MS);
     cluster.crash(leader);
     cluster.crash(others.get(0));
     cluster.fleet.heal();
-    cluster.slowDisks(5);
+    cluster.resetWriteDelay();
     cluster.start(leader);
     cluster.start(others.get(0));
-    cluster.until(10 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
+    cluster.playUntil(10 * TestCluster.SECOND, cluster::hasLeader);
     for (int i = 1; i < 4; i++) {
       cluster.prepare(
           "g2",
-          TestCluster.definition("kept" + i, "select 'other' from orders_17.orders", 17),
+          Fixtures.definition("kept" + i, "select 'other' from orders_17.orders", 17),
           any -> {});
     }
     cluster.fleet.playFor(4 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(cluster) : trouble;
+    return failure == null ? healAndConverge(cluster) : failure;
   }
 
   @Test
-  void aVoterThatAnswersBeforeItsDisk() {
-    caught(
+  void responseBeforeDurabilityIsDetected() {
+    assertDetected(
         InjectedFault.RESPONDS_BEFORE_DURABLE,
-        InjectedFaultsTest::twoCrash,
+        InjectedFaultsTest::twoVotersCrash,
         "keptN has two texts in generation N");
   }
 
@@ -257,82 +255,84 @@
    * An entry that two voters hold; one of them comes back from a disk of before, while the other is
    * cut off.
    */
-  private static String oldDisk(TestCluster cluster) {
-    String trouble = settled(cluster);
+  private static String voterFromOldDisk(TestCluster cluster) {
+    String failure = startAndPrepare(cluster);
     cluster.fleet.playFor(TestCluster.SECOND);
     String leader = cluster.leader();
     List<String> others = cluster.voters.stream().filter(name -> !name.equals(leader)).toList();
     String forgetful = others.get(0);
     String behind = others.get(1);
-    alone(cluster, behind);
-    NavigableMap<String, byte[]> copy = cluster.copyOf(forgetful);
+    isolate(cluster, behind);
+    NavigableMap<String, byte[]> copy = cluster.copyDisk(forgetful);
     cluster.prepare(
-        "g1", TestCluster.definition("kept", "select 'one' from orders_17.orders", 17), any -> {});
+        "g1", Fixtures.definition("kept", "select 'one' from orders_17.orders", 17), any -> {});
     cluster.fleet.playFor(TestCluster.SECOND);
     cluster.fleet.heal();
-    alone(cluster, leader);
-    cluster.startOld(forgetful, copy);
-    cluster.until(
+    isolate(cluster, leader);
+    cluster.startFromCopy(forgetful, copy);
+    cluster.playUntil(
         8 * TestCluster.SECOND,
         () -> cluster.leader().contains("+") || cluster.leader().equals(forgetful));
     cluster.prepare(
-        "g2",
-        TestCluster.definition("kept", "select 'other' from orders_17.orders", 17),
-        any -> {});
+        "g2", Fixtures.definition("kept", "select 'other' from orders_17.orders", 17), any -> {});
     cluster.fleet.playFor(3 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(cluster) : trouble;
+    return failure == null ? healAndConverge(cluster) : failure;
   }
 
   @Test
-  void aVoterThatTrustsAnOldDisk() {
-    caught(
+  void trustInARestoredDiskIsDetected() {
+    assertDetected(
         InjectedFault.TRUSTS_RESTORED_DISK,
-        InjectedFaultsTest::oldDisk,
+        InjectedFaultsTest::voterFromOldDisk,
         "invariant broken: what is committed is written over at N");
   }
 
   /** A change while an engine is at an attempt for as long as the lease lasts. */
-  private static String changeWhileAttemptIsOut(TestCluster cluster) {
-    cluster.worksFor = 4 * TestCluster.SECOND;
-    String trouble = settled(cluster);
+  private static String changeWhileAttemptExecutes(TestCluster cluster) {
+    cluster.setExecutionTime(4 * TestCluster.SECOND);
+    String failure = startAndPrepare(cluster);
     // A voter that has just started is clear of nothing.
     cluster.fleet.playFor(2 * TestCluster.SECOND);
     cluster.run("g1", "top");
     cluster.fleet.playFor(10 * TestCluster.MS);
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.announce("g2", Fixtures.untouched(17), any -> {});
     cluster.fleet.playFor(5 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(cluster) : trouble;
+    return failure == null ? healAndConverge(cluster) : failure;
   }
 
   /** A change after a gateway gave an attempt up, with its engine still at it. */
-  private static String changeAfterDoubt(TestCluster cluster) {
-    cluster.worksFor = 20 * TestCluster.MS;
-    cluster.inDoubt = 1;
-    String trouble = settled(cluster);
+  private static String changeAfterUncertainEnd(TestCluster cluster) {
+    cluster.setExecutionTime(20 * TestCluster.MS);
+    cluster.setUncertainShare(1);
+    String failure = startAndPrepare(cluster);
     // A voter that has just started is clear of nothing.
     cluster.fleet.playFor(2 * TestCluster.SECOND);
     cluster.run("g1", "top");
     cluster.fleet.playFor(50 * TestCluster.MS);
-    cluster.announce("g2", TestCluster.untouched(17), any -> {});
+    cluster.announce("g2", Fixtures.untouched(17), any -> {});
     cluster.fleet.playFor(5 * TestCluster.SECOND);
-    return trouble == null ? calmAgain(cluster) : trouble;
+    return failure == null ? healAndConverge(cluster) : failure;
   }
 
   @Test
-  void aGatewayThatGivesALeaseBackUnderAnAttempt() {
-    String words =
-        "N ms: group N changes while a hop of gN is at an engine, under a lease until N ms";
-    caught(
+  void releaseUnderAnAttemptIsDetected() {
+    String expected =
+        "N ms: group N changes while an attempt of gN is at an engine, under a lease until N ms";
+    assertDetected(
         InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT,
-        InjectedFaultsTest::changeWhileAttemptIsOut,
-        words);
-    caught(InjectedFault.ASSUMES_ATTEMPTS_STOPPED, InjectedFaultsTest::changeAfterDoubt, words);
+        InjectedFaultsTest::changeWhileAttemptExecutes,
+        expected);
+    assertDetected(
+        InjectedFault.ASSUMES_ATTEMPTS_STOPPED,
+        InjectedFaultsTest::changeAfterUncertainEnd,
+        expected);
   }
 
   @Test
-  void byChance() {
-    caughtByChance(InjectedFault.VOTES_TWICE, 70, "invariant broken: two leaders in term N");
-    caughtByChance(
+  void faultsOfVotesAndGrantsAreDetectedByHistories() {
+    assertDetectedByHistories(
+        InjectedFault.VOTES_TWICE, 70, "invariant broken: two leaders in term N");
+    assertDetectedByHistories(
         InjectedFault.GRANTS_WHILE_BLOCKED,
         1,
         "invariant broken: change N took effect while a lease of a clear voter is alive");
--- a/statements/src/test/java/tillerlink/statements/Measure.java
+++ b/statements/src/test/java/tillerlink/statements/Measure.java
@@ -8,38 +8,38 @@
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Prepared;
 
-/** Prints the tables of docs/statements-design.md: not part of any test. */
+/** Prints the tables of docs/statements-design.md; part of no test. */
 final class Measure {
-  private static final int TIMES = 100;
+  private static final int CLUSTERS = 100;
 
   private Measure() {}
 
   public static void main(String[] args) {
     change("calm", cluster -> {});
     change(
-        "runs at all gateways, hops of 2 to 42 ms",
+        "runs at all gateways, attempts of 2 to 42 ms",
         cluster -> {
           cluster.all.forEach(name -> load(cluster, name));
           cluster.fleet.playFor(2 * TestCluster.SECOND);
         });
     change(
-        "the same, one in 1,000 hops in doubt",
+        "the same, one in 1,000 attempts in doubt",
         cluster -> {
-          cluster.inDoubt = 0.001;
+          cluster.setUncertainShare(0.001);
           cluster.all.forEach(name -> load(cluster, name));
           cluster.fleet.playFor(2 * TestCluster.SECOND);
         });
     change(
-        "a hop that goes on for 500 ms",
+        "an attempt that goes on for 500 ms",
         cluster -> {
-          cluster.worksFor = 500 * TestCluster.MS;
+          cluster.setExecutionTime(500 * TestCluster.MS);
           cluster.run("g2", "top");
           cluster.fleet.playFor(10 * TestCluster.MS);
         });
     change(
-        "a hop in doubt",
+        "an attempt in doubt",
         cluster -> {
-          cluster.inDoubt = 1;
+          cluster.setUncertainShare(1);
           cluster.run("g2", "top");
           cluster.fleet.playFor(50 * TestCluster.MS);
         });
@@ -56,7 +56,7 @@
         cluster ->
             cluster.kill(
                 cluster.voters.stream()
-                    .filter(v -> !v.equals(cluster.leader()))
+                    .filter(voter -> !voter.equals(cluster.leader()))
                     .findFirst()
                     .orElseThrow()));
     change("the leader killed", cluster -> cluster.kill(cluster.leader()));
@@ -70,50 +70,50 @@
     cluster.fleet.at(cluster.fleet.now() + 10 * TestCluster.MS, () -> load(cluster, at));
   }
 
-  private static void change(String words, Consumer<TestCluster> trouble) {
+  private static void change(String title, Consumer<TestCluster> disturbance) {
     List<Long> effects = new ArrayList<>();
     List<Long> gaps = new ArrayList<>();
-    for (int seed = 1; seed <= TIMES; seed++) {
+    for (int seed = 1; seed <= CLUSTERS; seed++) {
       TestCluster cluster = new TestCluster(seed, 3, 4);
-      cluster.leaseLength = 3 * TestCluster.SECOND;
+      cluster.setLeaseLength(3 * TestCluster.SECOND);
       cluster.startAll();
-      cluster.until(20 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
+      cluster.playUntil(20 * TestCluster.SECOND, cluster::hasLeader);
       cluster.prepare(
-          "g1", TestCluster.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+          "g1", Fixtures.definition("top", "select 1 from orders_17.orders", 17), any -> {});
       for (String name : cluster.all) {
-        cluster.until(5 * TestCluster.SECOND, () -> cluster.mayRun(name, "top").startsWith("yes"));
+        cluster.playUntil(5 * TestCluster.SECOND, () -> cluster.canRun(name, "top"));
       }
-      cluster.fleet.playFor(5 * TestCluster.SECOND + seed * 7);
-      trouble.accept(cluster);
+      cluster.fleet.playFor(5 * TestCluster.SECOND + seed * 7L);
+      disturbance.accept(cluster);
       long from = cluster.fleet.now();
-      cluster.announce("g1", TestCluster.untouched(17), any -> {});
-      cluster.until(
+      cluster.announce("g1", Fixtures.untouched(17), any -> {});
+      cluster.playUntil(
           60 * TestCluster.SECOND,
           () ->
-              cluster.part("g3").catalog().version(17) == 2
-                  || !cluster.mayRun("g3", "top").startsWith("yes"));
+              cluster.statements("g3").catalog().version(17) == 2 || !cluster.canRun("g3", "top"));
       long lost = cluster.fleet.now();
-      cluster.until(60 * TestCluster.SECOND, () -> cluster.part("g1").catalog().version(17) == 2);
+      cluster.playUntil(
+          60 * TestCluster.SECOND, () -> cluster.statements("g1").catalog().version(17) == 2);
       effects.add(cluster.fleet.now() - from);
-      cluster.until(60 * TestCluster.SECOND, () -> cluster.mayRun("g3", "top").startsWith("yes"));
+      cluster.playUntil(60 * TestCluster.SECOND, () -> cluster.canRun("g3", "top"));
       gaps.add(cluster.fleet.now() - lost);
     }
     System.out.println(
         "| "
-            + words
+            + title
             + " | "
-            + part(effects, 0.5)
+            + quantile(effects, 0.5)
             + " | "
-            + part(effects, 0.99)
+            + quantile(effects, 0.99)
             + " | "
-            + part(gaps, 0.5)
+            + quantile(gaps, 0.5)
             + " | "
-            + part(gaps, 0.99)
+            + quantile(gaps, 0.99)
             + " |");
   }
 
-  private static String part(List<Long> of, double share) {
-    long[] sorted = of.stream().mapToLong(i -> i).sorted().toArray();
+  private static String quantile(List<Long> values, double share) {
+    long[] sorted = values.stream().mapToLong(Long::longValue).sorted().toArray();
     return String.format(
         "%,d ms",
         Arrays.stream(sorted).skip((long) (share * (sorted.length - 1))).findFirst().orElseThrow()
@@ -122,27 +122,27 @@
 
   private static void cost() {
     TestCluster cluster = new TestCluster(1, 3, 1);
-    cluster.leaseLength = 1000 * TestCluster.SECOND;
+    cluster.setLeaseLength(1000 * TestCluster.SECOND);
     cluster.startAll();
-    cluster.until(20 * TestCluster.SECOND, () -> !cluster.leader().equals("none"));
+    cluster.playUntil(20 * TestCluster.SECOND, cluster::hasLeader);
     cluster.prepare(
-        "g1", TestCluster.definition("top", "select * from orders_17.orders", 17, 18), any -> {});
-    cluster.until(5 * TestCluster.SECOND, () -> cluster.mayRun("g1", "top").startsWith("yes"));
-    Statements part = cluster.part("g1");
+        "g1", Fixtures.definition("top", "select * from orders_17.orders", 17, 18), any -> {});
+    cluster.playUntil(5 * TestCluster.SECOND, () -> cluster.canRun("g1", "top"));
+    Statements statements = cluster.statements("g1");
     long now = cluster.fleet.now();
     for (int round = 0; round < 6; round++) {
       long sum = 0;
       long begin = System.nanoTime();
       int times = 300_000;
       for (int i = 0; i < times; i++) {
-        Prepared prepared = part.lookUp("top").orElseThrow();
-        sum += part.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
+        Prepared prepared = statements.lookUp("top").orElseThrow();
+        sum += statements.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
         sum += prepared.text(List.of("Paris"), true).length();
       }
       long middle = System.nanoTime();
-      Prepared prepared = part.lookUp("top").orElseThrow();
+      Prepared prepared = statements.lookUp("top").orElseThrow();
       for (int i = 0; i < times; i++) {
-        sum += part.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
+        sum += statements.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
       }
       System.out.println(
           "round "
--- a/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
@@ -10,10 +10,10 @@
  * faults, then calm.
  */
 class ShortHistoriesTest {
-  private static final class Short implements Seeds.Seeded {
+  private static final class ShortHistory implements Seeds.Seeded {
     final History history;
 
-    Short(long seed) {
+    ShortHistory(long seed) {
       history = new History(seed, 3, 1);
     }
 
@@ -26,8 +26,8 @@
     public String trace() {
       StringBuilder out = new StringBuilder();
       history.events.forEach(line -> out.append(line).append('\n'));
-      history.cluster.notes.forEach(line -> out.append(line).append('\n'));
-      history.cluster.all.forEach(name -> out.append(history.cluster.told(name)).append('\n'));
+      history.cluster.warnings.forEach(line -> out.append(line).append('\n'));
+      history.cluster.all.forEach(name -> out.append(history.cluster.describe(name)).append('\n'));
       return out.toString();
     }
 
@@ -35,14 +35,14 @@
     public long[] sums() {
       Audit audit = history.cluster.audit;
       return new long[] {
-        history.faults, audit.runs, audit.turnedBack, audit.calledOff, audit.effects
+        history.faults(), audit.runs(), audit.rejected(), audit.cancelled(), audit.effects()
       };
     }
   }
 
   @Test
-  void noHistoryRunsAnOldStatementAndAllAgreeInTheEnd() {
-    long[] sums = Seeds.play("statements", 6000, Short::new);
+  void noShortHistoryRunsAnOldStatementAndAllConverge() {
+    long[] sums = Seeds.play("statements", 6000, ShortHistory::new);
     System.out.println(
         sums[0]
             + " short histories of statements: "
@@ -51,12 +51,12 @@
             + sums[2]
             + " runs, "
             + sums[3]
-            + " turned back, "
+            + " rejected, "
             + sums[4]
-            + " called off, "
+            + " cancelled, "
             + sums[5]
             + " effects");
     assertTrue(
-        sums[0] < 100 || sums[1] >= sums[0] && sums[2] > 10 * sums[0] && sums[5] > sums[0] / 2);
+        sums[0] < 100 || (sums[1] >= sums[0] && sums[2] > 10 * sums[0] && sums[5] > sums[0] / 2));
   }
 }
--- a/statements/src/test/java/tillerlink/statements/StatementsTest.java
+++ b/statements/src/test/java/tillerlink/statements/StatementsTest.java
@@ -10,31 +10,31 @@
 
 class StatementsTest {
   @Test
-  void aCalmFleetPreparesRunsAndChanges() {
+  void aHealthyClusterPreparesRunsAndChangesStatements() {
     TestCluster cluster = new TestCluster(1, 3, 2);
     cluster.startAll();
     List<Outcome> outcomes = new ArrayList<>();
     assertTrue(
-        cluster.until(5 * TestCluster.SECOND, () -> !cluster.leader().equals("none")),
-        cluster.notes.toString());
+        cluster.playUntil(5 * TestCluster.SECOND, cluster::hasLeader), cluster.warnings.toString());
     cluster.prepare(
-        "g1", TestCluster.definition("top", "select * from orders_17.orders", 17), outcomes::add);
-    assertTrue(cluster.until(TestCluster.SECOND, () -> outcomes.size() == 1));
+        "g1", Fixtures.definition("top", "select * from orders_17.orders", 17), outcomes::add);
+    assertTrue(cluster.playUntil(TestCluster.SECOND, () -> outcomes.size() == 1));
     assertEquals(Outcome.Verdict.DONE, outcomes.get(0).verdict(), outcomes.toString());
     assertTrue(
-        cluster.until(TestCluster.SECOND, () -> cluster.mayRun("g2", "top").startsWith("yes")),
-        cluster.mayRun("g2", "top"));
-    cluster.announce("v1", TestCluster.renamed(17, "town"), outcomes::add);
+        cluster.playUntil(TestCluster.SECOND, () -> cluster.canRun("g2", "top")),
+        cluster.runState("g2", "top"));
+    cluster.announce("v1", Fixtures.renamed(17, "town"), outcomes::add);
     assertTrue(
-        cluster.until(5 * TestCluster.SECOND, () -> cluster.part("g2").catalog().version(17) == 2),
+        cluster.playUntil(
+            5 * TestCluster.SECOND, () -> cluster.statements("g2").catalog().version(17) == 2),
         outcomes.toString());
     assertTrue(
-        cluster.until(TestCluster.SECOND, () -> cluster.mayRun("g2", "top").startsWith("yes")),
-        cluster.mayRun("g2", "top"));
+        cluster.playUntil(TestCluster.SECOND, () -> cluster.canRun("g2", "top")),
+        cluster.runState("g2", "top"));
     assertEquals(
         "select * from orders_17.orders where town = $1",
-        cluster.part("g2").lookUp("top").orElseThrow().definition().text());
-    assertTrue(cluster.until(TestCluster.SECOND, cluster::agree));
-    assertEquals(List.of(), cluster.audit.violations);
+        cluster.statements("g2").lookUp("top").orElseThrow().definition().text());
+    assertTrue(cluster.playUntil(TestCluster.SECOND, cluster::hasConverged));
+    assertEquals(List.of(), cluster.audit.violations());
   }
 }
--- a/statements/src/test/java/tillerlink/statements/TestCluster.java
+++ b/statements/src/test/java/tillerlink/statements/TestCluster.java
@@ -1,26 +1,25 @@
 package tillerlink.statements;
 
-import java.util.ArrayDeque;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.NavigableMap;
 import java.util.Random;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import tillerlink.cluster.ClusterComponent;
 import tillerlink.cluster.KeyValueStore;
 import tillerlink.cluster.MembershipView;
 import tillerlink.cluster.Reachability;
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
-import tillerlink.messages.statements.ParameterType;
-import tillerlink.messages.statements.RunEffect;
 import tillerlink.simulation.InMemoryKeyValueStore;
 import tillerlink.simulation.SimulatedFleet;
 import tillerlink.statements.catalog.Outcome;
@@ -32,104 +31,83 @@
 import tillerlink.statements.run.Prepared;
 import tillerlink.statements.testing.InjectedFault;
 
-/** A fleet of gateways in virtual time that keep prepared statements, with load and an audit. */
+/**
+ * A cluster of gateways in virtual time that keep prepared statements, with load and an audit.
+ * Times are in tenths of a millisecond.
+ */
 final class TestCluster {
   static final long MS = 10;
   static final long SECOND = 10_000;
   private static final double DRIFT = 0.02;
+  private static final long LEASE_MARGIN = 50;
+  private static final long WRITE_DELAY = 5;
+  private static final long POLL_INTERVAL = 5 * MS;
 
   final SimulatedFleet fleet;
   final Audit audit = new Audit();
   final List<String> voters = new ArrayList<>();
   final List<String> all = new ArrayList<>();
-  final List<String> notes = new ArrayList<>();
+  final List<String> warnings = new ArrayList<>();
   private final SplittableRandom random;
-  private final Set<InjectedFault> plants;
-  private final Map<String, Gateway> gateways = new TreeMap<>();
+  private final SplittableRandom uncertainty;
+  private final Set<InjectedFault> injectedFaults;
+  private final Map<String, TestGateway> gateways = new TreeMap<>();
   private final Map<String, InMemoryKeyValueStore> disks = new HashMap<>();
-  private final Map<String, Double> rates = new HashMap<>();
-  boolean vouched;
-  long leaseLength = 10 * 1000;
-
-  /**
-   * Which share of attempts is over here while their engines are still at them; by a chance of its
-   * own.
-   */
-  double inDoubt;
-
-  /** How long an engine is at each attempt; 0: 2 to 42 ms. */
-  long worksFor;
-
-  private final SplittableRandom doubts;
+  private final Map<String, Double> clockRates = new HashMap<>();
+  private long leaseLength = SECOND;
+  private double uncertainShare;
+  private long executionTime;
   private int starts;
-  private long diskTakes = 5;
+  private long writeDelay = WRITE_DELAY;
 
-  TestCluster(long seed, int voterCount, int others, InjectedFault... plants) {
+  TestCluster(long seed, int voterCount, int learnerCount, InjectedFault... injectedFaults) {
     random = new SplittableRandom(seed);
-    doubts = new SplittableRandom(~seed);
-    this.plants = Set.of(plants);
+    uncertainty = new SplittableRandom(~seed);
+    this.injectedFaults = Set.of(injectedFaults);
     fleet = new SimulatedFleet(new Random(seed));
     for (int i = 1; i <= voterCount; i++) {
       voters.add("v" + i);
     }
     all.addAll(voters);
-    for (int i = 1; i <= others; i++) {
+    for (int i = 1; i <= learnerCount; i++) {
       all.add("g" + i);
     }
   }
 
+  // ---- settings ----
+
   /** Clocks run at rates of their own, within the bound. */
   void clocksDrift() {
-    all.forEach(name -> rates.put(name, 1 + (random.nextDouble() * 2 - 1) * DRIFT));
+    all.forEach(name -> clockRates.put(name, 1 + (random.nextDouble() * 2 - 1) * DRIFT));
+  }
+
+  void setLeaseLength(long length) {
+    leaseLength = length;
   }
 
   /**
-   * A process: its part by its own clock, and the attempts that wait to be written while it is
-   * paused.
+   * Which share of attempts ends at its gateway while an engine still executes it; drawn from a
+   * random generator of its own.
    */
-  private final class Gateway implements ClusterComponent {
-    final String name;
-    final String process;
-    final double rate;
-    final ArrayDeque<Runnable> held = new ArrayDeque<>();
-    Statements part;
-    boolean paused;
-
-    Gateway(String name) {
-      this.name = name;
-      process = name + "/" + ++starts;
-      rate = rates.getOrDefault(name, 1.0);
-    }
-
-    long local(long at) {
-      return (long) (at * rate);
-    }
-
-    @Override
-    public void onMessage(long now, long wall, String from, byte[] body) {
-      part.onMessage(local(now), wall, from, body);
-      audit.sees(fleet.now(), process, part);
-    }
+  void setUncertainShare(double share) {
+    uncertainShare = share;
+  }
 
-    @Override
-    public void tick(long now, long wall) {
-      part.tick(local(now), wall);
-      audit.sees(fleet.now(), process, part);
-    }
+  /** How long an engine executes each attempt; 0 for 2 to 42 ms. */
+  void setExecutionTime(long time) {
+    executionTime = time;
+  }
 
-    @Override
-    public long nextDueAt() {
-      long due = part.nextDueAt();
-      return due == Long.MAX_VALUE ? due : (long) Math.ceil(due / rate) + 1;
-    }
+  /** From now on what a disk is handed is durable so much later. */
+  void setWriteDelay(long delay) {
+    writeDelay = delay;
+  }
 
-    @Override
-    public void onPause(long now, long wall, long lasted) {
-      part.onPause(local(now), wall, lasted);
-    }
+  void resetWriteDelay() {
+    writeDelay = WRITE_DELAY;
   }
 
-  private record Names(String self, List<String> all) implements MembershipView {
+  private record FixedMembership(String self, List<String> all) implements MembershipView {
     @Override
     public String site(String name) {
       return "";
@@ -155,65 +133,38 @@
   /** With its disk as it was left. */
   void start(String name) {
     InMemoryKeyValueStore disk = disks.get(name);
-    start(name, disk == null ? new InMemoryKeyValueStore(fleet, 5) : disk.reopened());
+    start(name, disk == null ? new InMemoryKeyValueStore(fleet, WRITE_DELAY) : disk.reopened());
   }
 
-  void startEmpty(String name) {
-    start(name, new InMemoryKeyValueStore(fleet, 5));
+  void startFromEmptyDisk(String name) {
+    start(name, new InMemoryKeyValueStore(fleet, WRITE_DELAY));
   }
 
-  void startOld(String name, NavigableMap<String, byte[]> copy) {
-    start(name, InMemoryKeyValueStore.of(fleet, 5, copy));
+  void startFromCopy(String name, NavigableMap<String, byte[]> copy) {
+    start(name, InMemoryKeyValueStore.of(fleet, WRITE_DELAY, copy));
   }
 
-  NavigableMap<String, byte[]> copyOf(String name) {
+  NavigableMap<String, byte[]> copyDisk(String name) {
     return disks.get(name).copy();
   }
 
-  InMemoryKeyValueStore disk(String name) {
-    return disks.get(name);
-  }
-
   private void start(String name, InMemoryKeyValueStore disk) {
     kill(name);
-    Gateway gateway = new Gateway(name);
+    TestGateway gateway =
+        new TestGateway(
+            name, name + "/" + ++starts, clockRates.getOrDefault(name, 1.0), fleet::now, audit);
     disks.put(name, disk);
-    LeaseTerms lease = new LeaseTerms(leaseLength, DRIFT, 50);
-    KeyValueStore keep =
-        new KeyValueStore() {
-          @Override
-          public NavigableMap<String, byte[]> initialEntries() {
-            return disk.initialEntries();
-          }
-
-          @Override
-          public boolean set(String key, byte[] value, Runnable kept) {
-            if (diskTakes > 5 && value != null) {
-              // Handed over, and not kept for long.
-              fleet.at(fleet.now() + diskTakes, () -> disk.set(key, value, kept));
-              return true;
-            }
-            return disk.set(
-                key,
-                value,
-                () -> {
-                  kept.run();
-                  if (gateways.get(name) == gateway) {
-                    fleet.touched(name);
-                  }
-                });
-          }
-        };
+    LeaseTerms lease = new LeaseTerms(leaseLength, DRIFT, LEASE_MARGIN);
     try {
-      gateway.part =
+      gateway.run(
           new Statements(
-              new StatementTerms(voters, lease, new RaftConfig(vouched, plants)),
-              new Names(name, all),
+              new StatementTerms(voters, lease, new RaftConfig(false, injectedFaults)),
+              new FixedMembership(name, all),
               fleet.post(name),
-              keep,
+              storeOf(gateway, disk),
               new Random(random.nextLong()),
               new Renaming(),
-              words -> notes.add(at() + " " + name + ": " + words));
+              warning -> warnings.add(time() + " " + name + ": " + warning)));
     } catch (MalformedMessageException e) {
       throw new IllegalStateException(e);
     }
@@ -221,6 +172,34 @@
     fleet.start(name, gateway);
   }
 
+  private KeyValueStore storeOf(TestGateway gateway, InMemoryKeyValueStore disk) {
+    return new KeyValueStore() {
+      @Override
+      public NavigableMap<String, byte[]> initialEntries() {
+        return disk.initialEntries();
+      }
+
+      @Override
+      public boolean set(String key, byte[] value, Runnable onDurable) {
+        if (writeDelay > WRITE_DELAY && value != null) {
+          // Handed over, and not durable for long.
+          fleet.at(fleet.now() + writeDelay, () -> disk.set(key, value, onDurable));
+          return true;
+        }
+        return disk.set(
+            key,
+            value,
+            () -> {
+              onDurable.run();
+              if (gateways.get(gateway.name()) == gateway) {
+                fleet.touched(gateway.name());
+              }
+            });
+      }
+    };
+  }
+
+  /** Some of what its disk had not written yet is lost. */
   void kill(String name) {
     if (gateways.remove(name) != null) {
       InMemoryKeyValueStore disk = disks.get(name);
@@ -229,22 +208,17 @@
     }
   }
 
-  /** With nothing of what its disk had not kept yet. */
+  /** All of what its disk had not written yet is lost. */
   void crash(String name) {
     gateways.remove(name);
     disks.get(name).crash(0);
     fleet.kill(name);
   }
 
-  /** From now on what a disk is handed is kept so much later. */
-  void slowDisks(long later) {
-    diskTakes = later;
-  }
-
-  /** It ends as it is told to. */
-  void leave(String name) {
-    Gateway gateway = gateways.get(name);
-    gateway.part.releaseLeases(gateway.local(fleet.now()));
+  /** It ends in order. */
+  void shutDown(String name) {
+    TestGateway gateway = gateways.get(name);
+    gateway.statements().releaseLeases(gateway.localNow());
     kill(name);
   }
 
@@ -253,246 +227,226 @@
   }
 
   boolean isPaused(String name) {
-    return isUp(name) && gateways.get(name).paused;
+    return isUp(name) && gateways.get(name).isPaused();
   }
 
   void pause(String name) {
-    gateways.get(name).paused = true;
+    gateways.get(name).pause();
     fleet.pause(name);
   }
 
   void resume(String name) {
-    Gateway gateway = gateways.get(name);
-    if (gateway != null && gateway.paused) {
-      gateway.paused = false;
+    TestGateway gateway = gateways.get(name);
+    if (gateway != null && gateway.isPaused()) {
+      gateway.resume();
       fleet.resume(name);
-      while (!gateway.held.isEmpty()) {
-        gateway.held.poll().run();
-      }
+      gateway.runDeferred();
     }
   }
 
-  Statements part(String name) {
-    return gateways.get(name).part;
+  Statements statements(String name) {
+    return gateways.get(name).statements();
+  }
+
+  /** Whether the gateway's voter has rejoined and caught up. */
+  boolean isOperational(String voter) {
+    return statements(voter).voter().orElseThrow().isOperational();
   }
 
-  // ---- what is asked ----
+  // ---- requests ----
 
-  private void ask(String name, Consumer<Gateway> what) {
-    Gateway gateway = gateways.get(name);
-    if (gateway != null && !gateway.paused) {
-      what.accept(gateway);
+  private void onGateway(String name, Consumer<TestGateway> action) {
+    TestGateway gateway = gateways.get(name);
+    if (gateway != null && !gateway.isPaused()) {
+      action.accept(gateway);
       fleet.touched(name);
     }
   }
 
-  void prepare(String at, Definition definition, Consumer<Outcome> told) {
-    ask(at, it -> it.part.prepare(it.local(fleet.now()), definition, told));
+  void prepare(String at, Definition definition, Consumer<Outcome> onOutcome) {
+    onGateway(
+        at, gateway -> gateway.statements().prepare(gateway.localNow(), definition, onOutcome));
   }
 
-  void drop(String at, String name, Consumer<Outcome> told) {
-    ask(at, it -> it.part.drop(it.local(fleet.now()), name, -1, told));
+  void drop(String at, String name, Consumer<Outcome> onOutcome) {
+    onGateway(
+        at,
+        gateway ->
+            gateway
+                .statements()
+                .drop(gateway.localNow(), name, Statements.ANY_GENERATION, onOutcome));
   }
 
-  void announce(String at, Change change, Consumer<Outcome> told) {
-    ask(at, it -> it.part.announce(it.local(fleet.now()), change, told));
+  void announce(String at, Change change, Consumer<Outcome> onOutcome) {
+    onGateway(at, gateway -> gateway.statements().announce(gateway.localNow(), change, onOutcome));
   }
 
-  void takeBack(String at, long change, Consumer<Outcome> told) {
-    ask(at, it -> it.part.withdraw(it.local(fleet.now()), change, told));
+  void withdraw(String at, long change, Consumer<Outcome> onOutcome) {
+    onGateway(at, gateway -> gateway.statements().withdraw(gateway.localNow(), change, onOutcome));
   }
 
   /** What a gateway says of a run now: yes, or why not. */
-  String mayRun(String at, String name) {
-    Gateway gateway = gateways.get(at);
+  String runState(String at, String name) {
+    TestGateway gateway = gateways.get(at);
     if (gateway == null) {
       return "down";
     }
-    if (gateway.paused) {
+    if (gateway.isPaused()) {
       return "paused";
     }
-    Prepared prepared = gateway.part.lookUp(name).orElse(null);
+    Prepared prepared = gateway.statements().lookUp(name).orElse(null);
     Permission permission =
-        prepared == null ? null : gateway.part.checkRun(gateway.local(fleet.now()), prepared);
+        prepared == null ? null : gateway.statements().checkRun(gateway.localNow(), prepared);
     fleet.touched(at);
-    return permission == null
-        ? "unknown name"
-        : permission instanceof Permission.Denied denied
-            ? denied.reason().toString().toLowerCase(java.util.Locale.ROOT)
-            : "yes, generation " + prepared.generation();
+    if (permission == null) {
+      return "unknown name";
+    }
+    return permission instanceof Permission.Denied denied
+        ? denied.reason().toString().toLowerCase(Locale.ROOT)
+        : "yes, generation " + prepared.generation();
   }
 
-  /**
-   * A request: asked when it comes, its attempt written a little later, asked again after the
-   * write.
-   */
+  boolean canRun(String at, String name) {
+    return runState(at, name).startsWith("yes");
+  }
+
+  // ---- runs ----
+
+  /** A run: checked when it comes, its attempt written a little later, and checked then again. */
   void run(String at, String name) {
-    Gateway gateway = gateways.get(at);
-    if (gateway == null || gateway.paused) {
+    TestGateway gateway = gateways.get(at);
+    if (gateway == null || gateway.isPaused()) {
       return;
     }
-    Prepared prepared = gateway.part.lookUp(name).orElse(null);
+    Prepared prepared = gateway.statements().lookUp(name).orElse(null);
     fleet.touched(at);
     if (prepared == null
-        || gateway.part.checkRun(gateway.local(fleet.now()), prepared)
+        || gateway.statements().checkRun(gateway.localNow(), prepared)
             instanceof Permission.Denied) {
-      audit.turnedBack++;
+      audit.onRejected();
       return;
     }
-    fleet.at(fleet.now() + random.nextInt(30), () -> write(gateway, prepared));
+    fleet.at(fleet.now() + random.nextInt(30), () -> writeAttempt(gateway, prepared));
   }
 
-  private void write(Gateway gateway, Prepared prepared) {
-    if (gateways.get(gateway.name) != gateway) {
+  private void writeAttempt(TestGateway gateway, Prepared prepared) {
+    if (gateways.get(gateway.name()) != gateway) {
       return;
     }
-    if (gateway.paused) {
-      gateway.held.add(() -> write(gateway, prepared));
-    } else if (gateway.part.checkRun(gateway.local(fleet.now()), prepared)
+    if (gateway.isPaused()) {
+      gateway.defer(() -> writeAttempt(gateway, prepared));
+    } else if (gateway.statements().checkRun(gateway.localNow(), prepared)
         instanceof Permission.Granted granted) {
-      gateway.part.onAttemptStarted(prepared);
-      audit.ran(fleet.now(), gateway.name, prepared);
-      engineBegins(gateway, prepared, (long) Math.floor(granted.until() / gateway.rate));
+      gateway.statements().onAttemptStarted(prepared);
+      audit.onRun(fleet.now(), gateway.name(), prepared);
+      execute(gateway, prepared, (long) Math.floor(granted.until() / gateway.clockRate()));
     } else {
-      audit.calledOff++;
+      audit.onCancelled();
     }
   }
 
   /**
-   * Its engine is at an attempt for some time; the gateway hears when that is over, or gives the
-   * attempt up before.
+   * An engine executes an attempt for some time; the gateway hears of its end, or gives the attempt
+   * up before.
    */
-  private void engineBegins(Gateway gateway, Prepared prepared, long leaseUntil) {
-    Audit.Attempt attempt = audit.begins(gateway.name, prepared, leaseUntil);
-    long doneAt = fleet.now() + (worksFor > 0 ? worksFor : 20 + random.nextInt(400));
-    if (inDoubt > 0 && doubts.nextDouble() < inDoubt) {
-      long limit = doneAt + doubts.nextInt(5000);
-      fleet.at(doneAt, () -> over(gateway, prepared, limit));
-      fleet.at(limit, () -> audit.ends(attempt));
+  private void execute(TestGateway gateway, Prepared prepared, long leaseUntil) {
+    Audit.Attempt attempt = audit.onExecutionStarted(gateway.name(), prepared, leaseUntil);
+    long doneAt = fleet.now() + (executionTime > 0 ? executionTime : 20 + random.nextInt(400));
+    if (uncertainShare > 0 && uncertainty.nextDouble() < uncertainShare) {
+      long mayRunUntil = doneAt + uncertainty.nextInt(5000);
+      fleet.at(doneAt, () -> endAttempt(gateway, prepared, mayRunUntil));
+      fleet.at(mayRunUntil, () -> audit.onExecutionEnded(attempt));
     } else {
       fleet.at(
           doneAt,
           () -> {
-            audit.ends(attempt);
-            over(gateway, prepared, 0);
+            audit.onExecutionEnded(attempt);
+            endAttempt(gateway, prepared, 0);
           });
     }
   }
 
-  private void over(Gateway gateway, Prepared prepared, long mayRunUntil) {
-    if (gateways.get(gateway.name) != gateway) {
+  private void endAttempt(TestGateway gateway, Prepared prepared, long mayRunUntil) {
+    if (gateways.get(gateway.name()) != gateway) {
       return;
     }
-    if (gateway.paused) {
-      gateway.held.add(() -> over(gateway, prepared, mayRunUntil));
+    if (gateway.isPaused()) {
+      gateway.defer(() -> endAttempt(gateway, prepared, mayRunUntil));
       return;
     }
-    long limit = mayRunUntil == 0 ? 0 : Math.max(1, gateway.local(mayRunUntil));
-    gateway.part.onAttemptEnded(gateway.local(fleet.now()), prepared, limit);
-    ask(gateway.name, it -> {});
+    long limit = mayRunUntil == 0 ? 0 : Math.max(1, gateway.toLocal(mayRunUntil));
+    gateway.statements().onAttemptEnded(gateway.localNow(), prepared, limit);
+    onGateway(gateway.name(), any -> {});
   }
 
-  // ---- definitions ----
+  // ---- state ----
 
-  static Definition definition(String name, String text, int... groups) {
-    List<Integer> some = new ArrayList<>();
-    for (int group : groups) {
-      some.add(group);
-    }
-    List<String> uses = some.stream().map(group -> group + ":orders.city").toList();
-    return new Definition(
-        name,
-        text + " where city = $1",
-        List.of(ParameterType.TEXT),
-        some,
-        uses,
-        "dash",
-        RunEffect.PURE);
-  }
-
-  static Change untouched(Integer... groups) {
-    return new Change(List.of(groups), List.of(), List.of(), new TreeMap<>());
-  }
-
-  static Change altered(int group) {
-    return new Change(List.of(group), List.of(), List.of(group + ":orders.city"), new TreeMap<>());
-  }
-
-  static Change removed(int group) {
-    return new Change(List.of(group), List.of(group + ":orders.city"), List.of(), new TreeMap<>());
-  }
-
-  static Change renamed(int group, String to) {
-    return new Change(
-        List.of(group),
-        List.of(),
-        List.of(),
-        new TreeMap<>(Map.of(group + ":orders.city", group + ":orders." + to)));
-  }
-
-  // ---- how it stands ----
-
-  String at() {
-    return fleet.now() / 10 + " ms";
+  String time() {
+    return fleet.now() / MS + " ms";
   }
 
+  /** The gateways that take themselves for the leader, joined by +; none if there is none. */
   String leader() {
     return gateways.values().stream()
-        .filter(it -> !it.paused && it.part.isLeader())
-        .map(it -> it.name)
+        .filter(gateway -> !gateway.isPaused() && gateway.statements().isLeader())
+        .map(TestGateway::name)
         .reduce((one, other) -> one + "+" + other)
         .orElse("none");
   }
 
-  String told(String name) {
+  boolean hasLeader() {
+    return !leader().equals("none");
+  }
+
+  String describe(String name) {
     if (!isUp(name)) {
       return name + " is down";
     }
-    Statements part = part(name);
+    Statements statements = statements(name);
     return name
         + ": applied "
-        + part.catalog().applied()
+        + statements.catalog().applied()
         + ", waiting "
-        + part.catalog().waiting().keySet()
+        + statements.catalog().waiting().keySet()
         + ", anew "
-        + part.catalog().waitingAnew().size()
+        + statements.catalog().waitingAnew().size()
         + ", idle "
-        + part.isIdle()
-        + part.voter()
+        + statements.isIdle()
+        + statements
+            .voter()
             .map(
-                it ->
+                voter ->
                     ", term "
-                        + it.term()
+                        + voter.term()
                         + ", commit "
-                        + it.commitIndex()
+                        + voter.commitIndex()
                         + ", leader "
-                        + it.leader().orElse("none")
-                        + (it.isOperational() ? "" : ", not operational")
+                        + voter.leader().orElse("none")
+                        + (voter.isOperational() ? "" : ", not operational")
                         + ", rejoined at "
-                        + it.rejoinedAt())
+                        + voter.rejoinedAt())
             .orElse("");
   }
 
-  /** Plays on until it holds; false if it doesn't in that time. */
-  boolean until(long most, java.util.function.BooleanSupplier holds) {
-    long end = fleet.now() + most;
-    while (!holds.getAsBoolean()) {
+  /** Plays on until the condition holds; false if it does not in that time. */
+  boolean playUntil(long timeout, BooleanSupplier condition) {
+    long end = fleet.now() + timeout;
+    while (!condition.getAsBoolean()) {
       if (fleet.now() >= end) {
         return false;
       }
-      fleet.playFor(5 * MS);
+      fleet.playFor(POLL_INTERVAL);
     }
     return true;
   }
 
-  boolean agree() {
+  /** Whether all gateways have the same catalog, and nothing is pending. */
+  boolean hasConverged() {
     Set<String> states = new HashSet<>();
-    for (Gateway gateway : gateways.values()) {
-      states.add(
-          new String(
-              Snapshots.write(gateway.part.catalog()),
-              java.nio.charset.StandardCharsets.ISO_8859_1));
-      if (!gateway.part.isIdle() || !gateway.part.catalog().waiting().isEmpty()) {
+    for (TestGateway gateway : gateways.values()) {
+      Statements statements = gateway.statements();
+      states.add(new String(Snapshots.write(statements.catalog()), StandardCharsets.ISO_8859_1));
+      if (!statements.isIdle() || !statements.catalog().waiting().isEmpty()) {
         return false;
       }
     }
--- a/statements/src/test/java/tillerlink/statements/Timeline.java
+++ b/statements/src/test/java/tillerlink/statements/Timeline.java
@@ -5,8 +5,13 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
 
-/** What happened in a story, line by line, compared with what was kept. */
+/**
+ * What happened in a scenario, line by line, compared with a stored text. With {@code
+ * -Dtillerlink.keep=true} a text that differs is stored instead.
+ */
 final class Timeline {
   private final TestCluster cluster;
   private final StringBuilder lines = new StringBuilder();
@@ -15,20 +20,23 @@
     this.cluster = cluster;
   }
 
-  void say(String words) {
-    lines.append(String.format("%8s  %s%n", cluster.at(), words));
+  void add(String event) {
+    lines.append(String.format("%8s  %s%n", cluster.time(), event));
   }
 
-  void isAsKept(String name) throws IOException {
-    assertEquals("[]", cluster.audit.violations.toString());
+  void assertMatchesStored(String name) throws IOException {
+    assertEquals("[]", cluster.audit.violations().toString());
+    String stored = read(name);
+    if (!stored.equals(lines.toString()) && Boolean.getBoolean("tillerlink.keep")) {
+      Files.writeString(Path.of("src/test/resources/timelines", name + ".txt"), lines.toString());
+      return;
+    }
+    assertEquals(stored, lines.toString());
+  }
+
+  private static String read(String name) throws IOException {
     try (InputStream in = Timeline.class.getResourceAsStream("/timelines/" + name + ".txt")) {
-      String kept = in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
-      if (!kept.equals(lines.toString()) && Boolean.getBoolean("tillerlink.keep")) {
-        java.nio.file.Files.writeString(
-            java.nio.file.Path.of("src/test/resources/timelines", name + ".txt"), lines.toString());
-        return;
-      }
-      assertEquals(kept, lines.toString());
+      return in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
   }
 }
