--- a/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
@@ -14,35 +14,39 @@
   private Definitions() {}
 
   /**
+   * Checks a definition of a statement.
+   *
    * @throws IllegalArgumentException if it can't be used; the message names what, for people
    */
-  public static void check(Definition of) {
-    name("name", of.name());
-    name("track", of.requestClass());
-    if (of.text().isBlank()
-        || of.text().getBytes(StandardCharsets.UTF_8).length > Definition.MAX_TEXT_BYTES) {
+  public static void check(Definition definition) {
+    checkName("name", definition.name());
+    checkName("track", definition.requestClass());
+    if (definition.text().isBlank()
+        || definition.text().getBytes(StandardCharsets.UTF_8).length > Definition.MAX_TEXT_BYTES) {
       throw new IllegalArgumentException("text: 1 to " + Definition.MAX_TEXT_BYTES + " bytes");
     }
-    if (of.parameters().size() > Definition.MAX_PARAMETERS) {
+    if (definition.parameters().size() > Definition.MAX_PARAMETERS) {
       throw new IllegalArgumentException("parameters: no more than " + Definition.MAX_PARAMETERS);
     }
-    groups(of.groups());
-    names("uses", of.uses(), Definition.MAX_USES, of.groups());
-    Template.of(of);
+    checkGroups(definition.groups());
+    checkUses("uses", definition.uses(), Definition.MAX_USES, definition.groups());
+    Template.of(definition);
   }
 
   /**
+   * Checks a change of a schema.
+   *
    * @throws IllegalArgumentException if it can't be used; the message names what, for people
    */
-  public static void check(Change of) {
-    groups(of.groups());
-    names("removed", of.removed(), Change.MAX_NAMES, of.groups());
-    names("altered", of.altered(), Change.MAX_NAMES, of.groups());
-    names("renamed", List.copyOf(of.renamed().keySet()), Change.MAX_NAMES, of.groups());
-    names("renamed", List.copyOf(of.renamed().values()), Change.MAX_NAMES, of.groups());
+  public static void check(Change change) {
+    checkGroups(change.groups());
+    checkUses("removed", change.removed(), Change.MAX_NAMES, change.groups());
+    checkUses("altered", change.altered(), Change.MAX_NAMES, change.groups());
+    checkUses("renamed", List.copyOf(change.renamed().keySet()), Change.MAX_NAMES, change.groups());
+    checkUses("renamed", List.copyOf(change.renamed().values()), Change.MAX_NAMES, change.groups());
   }
 
-  private static void name(String what, String name) {
+  private static void checkName(String what, String name) {
     if (name.length() > Definition.MAX_NAME_BYTES || !NAME.matcher(name).matches()) {
       throw new IllegalArgumentException(
           what
@@ -52,7 +56,7 @@
     }
   }
 
-  private static void groups(List<Integer> groups) {
+  private static void checkGroups(List<Integer> groups) {
     if (groups.isEmpty()
         || groups.size() > Definition.MAX_GROUPS
         || groups.stream().anyMatch(group -> group < 1 || group > Definition.MAX_GROUP)) {
@@ -61,7 +65,7 @@
     }
   }
 
-  private static void names(String what, List<String> names, int most, List<Integer> groups) {
+  private static void checkUses(String what, List<String> names, int most, List<Integer> groups) {
     if (names.size() > most) {
       throw new IllegalArgumentException(what + ": no more than " + most);
     }
