--- a/peering/src/main/java/tillerlink/peering/AddressBook.java
+++ b/peering/src/main/java/tillerlink/peering/AddressBook.java
@@ -5,33 +5,33 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Where others are reached: at the address that each tells of itself, unless the operator says that
- * this gateway reaches it elsewhere, as behind a translator of addresses.
+ * The addresses of other gateways: the one that each announces, unless the operator configured
+ * another, as for a gateway behind network address translation.
  */
 final class AddressBook {
-  private final Map<String, String> reach;
-  private final UnaryOperator<String> told;
+  private final Map<String, String> overrides;
+  private final UnaryOperator<String> announced;
 
   /**
-   * @param reach by name, the operator's word
-   * @param told by name, what the member says of itself; empty if it is not known
+   * @param overrides configured addresses by the name of a gateway
+   * @param announced the address that the gateway of a name announces; empty if it is not known
    */
-  AddressBook(Map<String, String> reach, UnaryOperator<String> told) {
-    this.reach = new TreeMap<>(reach);
-    this.told = told;
+  AddressBook(Map<String, String> overrides, UnaryOperator<String> announced) {
+    this.overrides = new TreeMap<>(overrides);
+    this.announced = announced;
   }
 
-  /** Empty if it is not known. */
-  String of(String name) {
-    String other = reach.get(name);
-    return other == null ? told.apply(name) : other;
+  /** The address of the gateway of that name; empty if it is not known. */
+  String addressOf(String name) {
+    String override = overrides.get(name);
+    return override == null ? announced.apply(name) : override;
   }
 
-  /** Where that which tells of itself that it is at an address is reached from here. */
-  String instead(String address) {
-    for (Map.Entry<String, String> other : reach.entrySet()) {
-      if (address.equals(told.apply(other.getKey()))) {
-        return other.getValue();
+  /** The configured address of the gateway that announces this one; else the address itself. */
+  String resolve(String address) {
+    for (Map.Entry<String, String> override : overrides.entrySet()) {
+      if (address.equals(announced.apply(override.getKey()))) {
+        return override.getValue();
       }
     }
     return address;
--- a/peering/src/main/java/tillerlink/peering/MembershipLogger.java
+++ b/peering/src/main/java/tillerlink/peering/MembershipLogger.java
@@ -8,37 +8,39 @@
 import tillerlink.members.config.MembershipListener;
 
 /**
- * Logs what changes among the members. Guards the log against a network that makes hundreds come
- * and go at once.
+ * Logs changes of the membership, at a bounded rate: a network fault may make hundreds of members
+ * come and go at once. Used by the event loop's thread.
  */
 final class MembershipLogger {
   private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
-  private static final int AT_ONCE = 40;
-  private static final long EVERY = 100_000;
+  private static final int MAX_LINES_PER_INTERVAL = 40;
 
-  private long since = Long.MIN_VALUE;
-  private int written;
-  private long leftOut;
+  /** Tenths of a millisecond. */
+  private static final long INTERVAL = 100_000;
 
-  /** How another stands now. */
-  void reach(long now, String name, Reachability was, Reachability is) {
-    if (since == Long.MIN_VALUE || now >= since + EVERY) {
-      if (leftOut > 0) {
-        LOG.info("members: {} more changes, not told one by one", leftOut);
+  private long intervalStart = Long.MIN_VALUE;
+  private int lines;
+  private long suppressed;
+
+  /** Logs that another member's reachability changed. */
+  void logReachability(long now, String name, Reachability before, Reachability after) {
+    if (intervalStart == Long.MIN_VALUE || now >= intervalStart + INTERVAL) {
+      if (suppressed > 0) {
+        LOG.info("members: {} more changes, not logged one by one", suppressed);
       }
-      since = now;
-      written = 0;
-      leftOut = 0;
+      intervalStart = now;
+      lines = 0;
+      suppressed = 0;
     }
-    if (written++ < AT_ONCE) {
-      LOG.info("member {} is {}, was {}", name, word(is), word(was));
+    if (lines++ < MAX_LINES_PER_INTERVAL) {
+      LOG.info("member {} is {}, was {}", name, describe(after), describe(before));
     } else {
-      leftOut++;
+      suppressed++;
     }
   }
 
-  private static String word(Reachability reach) {
-    return switch (reach) {
+  private static String describe(Reachability reachability) {
+    return switch (reachability) {
       case REACHABLE -> "reachable";
       case THROUGH_OTHERS -> "reachable through others";
       case SUSPECTED -> "suspected";
@@ -47,38 +49,42 @@
     };
   }
 
-  /** A line that comes at a bounded rate already. */
-  void line(String words) {
-    LOG.warn(words);
+  /** Logs a warning that comes at a bounded rate already. */
+  void warn(String line) {
+    LOG.warn(line);
   }
 
-  /** As members tell of it. */
-  MembershipListener watching(LongSupplier now, LongConsumer incarnation) {
+  /**
+   * The listener that logs.
+   *
+   * @param now the time of the event loop, in tenths of a millisecond
+   * @param onIncarnation takes this gateway's own incarnation when it changes
+   */
+  MembershipListener listener(LongSupplier now, LongConsumer onIncarnation) {
     return new MembershipListener() {
       @Override
-      public void onReachabilityChanged(String name, Reachability was, Reachability is) {
-        MembershipLogger.this.reach(now.getAsLong(), name, was, is);
+      public void onReachabilityChanged(String name, Reachability before, Reachability after) {
+        logReachability(now.getAsLong(), name, before, after);
       }
 
       @Override
-      public void onProcessReplaced(String name, long own) {
-        LOG.info("member {} was started anew, incarnation {}", name, own);
+      public void onProcessReplaced(String name, long incarnation) {
+        LOG.info("member {} was restarted, incarnation {}", name, incarnation);
       }
 
       @Override
-      public void onOwnIncarnationChanged(long own) {
-        incarnation.accept(own);
+      public void onOwnIncarnationChanged(long incarnation) {
+        onIncarnation.accept(incarnation);
       }
 
       @Override
       public void onNameLost() {
-        LOG.error(
-            "another process has this gateway's name and keeps it: this one takes part no more");
+        LOG.error("another process holds this gateway's name: this one has left the fleet");
       }
 
       @Override
-      public void log(String words) {
-        MembershipLogger.this.line(words);
+      public void log(String line) {
+        warn(line);
       }
     };
   }
--- /dev/null
+++ b/peering/src/main/java/tillerlink/peering/PeerTransport.java
@@ -0,0 +1,101 @@
+package tillerlink.peering;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.Consumer;
+import tillerlink.cluster.Invariant;
+import tillerlink.cluster.MessageSender;
+import tillerlink.messages.envelope.Envelope;
+import tillerlink.messages.envelope.EnvelopeCodec;
+import tillerlink.messages.envelope.Inbox;
+import tillerlink.messages.envelope.Outbox;
+import tillerlink.messages.envelope.Refusal;
+import tillerlink.peering.component.HostedComponent;
+import tillerlink.peering.io.Datagrams;
+
+/**
+ * Sends the components' messages to other gateways as sealed datagrams, and passes received ones to
+ * the component that they are for. Used by the event loop's thread.
+ */
+final class PeerTransport implements Closeable {
+  private final ComponentLoop loop;
+  private final Outbox outbox;
+  private final Inbox inbox;
+
+  /** Null until the socket is open; what is sent before is lost. */
+  private Datagrams datagrams;
+
+  /**
+   * @param self the name of this gateway
+   * @param processId tells this process from earlier ones of the same name; never 0
+   * @param log takes lines about refused datagrams, at a bounded rate
+   */
+  PeerTransport(
+      EnvelopeCodec codec, String self, long processId, ComponentLoop loop, Inbox.Lines log) {
+    this.loop = loop;
+    outbox = new Outbox(codec, self, processId);
+    inbox = new Inbox(codec, self, processId, MessageSender.BYTES_MOST, log);
+  }
+
+  /**
+   * Opens the socket.
+   *
+   * @param address host:port, the host as an IP address
+   * @param eventLoop runs tasks on the event loop's thread
+   * @throws IOException in words for the operator
+   */
+  void listen(String address, Consumer<Runnable> eventLoop) throws IOException {
+    datagrams =
+        new Datagrams(
+            address,
+            Envelope.DATAGRAM_MOST,
+            eventLoop,
+            (from, datagram) -> loop.run(() -> receive(from, datagram)));
+  }
+
+  /** A live view of how many datagrams were refused, by reason. */
+  Map<Refusal, Long> refused() {
+    return inbox.refused();
+  }
+
+  /**
+   * Sends a message, which may be lost.
+   *
+   * @param address host:port
+   * @param component the number of the component that it is for
+   */
+  void send(String address, int component, byte[] body) {
+    Invariant.holds(
+        body.length <= MessageSender.BYTES_MOST,
+        () -> "a message of " + body.length + " bytes to " + address);
+    if (datagrams == null || body.length > MessageSender.BYTES_MOST) {
+      return;
+    }
+    for (byte[] datagram : outbox.datagrams(component, body)) {
+      datagrams.send(address, datagram);
+    }
+  }
+
+  private void receive(String from, byte[] datagram) {
+    Inbox.Message message = inbox.take(loop.now(), from, datagram);
+    if (message == null) {
+      return;
+    }
+    Optional<HostedComponent> component = loop.withNumber(message.part());
+    if (component.isPresent()) {
+      component
+          .get()
+          .component()
+          .onMessage(loop.now(), ComponentLoop.wallTime(), message.sender(), message.body());
+    } else {
+      inbox.refuse(loop.now(), from, Refusal.NO_PART);
+    }
+  }
+
+  @Override
+  public void close() {
+    datagrams.close();
+  }
+}
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -1,26 +1,18 @@
 package tillerlink.peering;
 
 import java.io.IOException;
-import java.nio.ByteBuffer;
 import java.security.SecureRandom;
-import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import tillerlink.cluster.Invariant;
 import tillerlink.cluster.KeyValueStore;
 import tillerlink.cluster.MessageSender;
-import tillerlink.members.Identity;
 import tillerlink.members.Members;
-import tillerlink.members.config.MembershipConfig;
-import tillerlink.messages.envelope.Envelope;
 import tillerlink.messages.envelope.EnvelopeCodec;
-import tillerlink.messages.envelope.Inbox;
-import tillerlink.messages.envelope.Outbox;
-import tillerlink.messages.envelope.Refusal;
 import tillerlink.messages.envelope.Seal;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.GatewayConfig;
@@ -29,314 +21,190 @@
 import tillerlink.peering.component.ComponentContext;
 import tillerlink.peering.component.ComponentFactory;
 import tillerlink.peering.component.HostedComponent;
-import tillerlink.peering.io.Datagrams;
 import tillerlink.peering.members.MembersHttpHandler;
 import tillerlink.peering.storage.DisabledKeyValueStore;
 import tillerlink.peering.storage.DiskKeyValueStore;
 import tillerlink.peering.storage.PrefixedKeyValueStore;
 
 /**
- * What this gateway shares with others, on its process: feeds members and the other parts with
- * messages, calls and time, all in turns of the gateway's one thread. Before anything that waited
- * it tells them if the process had been away.
+ * The gateway's part in a fleet: assembles the membership and the other components of shared state
+ * with the event loop, the socket and the store, and passes the gateway's calls on to them.
+ *
+ * <p>Everything runs on the thread of the gateway's event loop. Two more threads are owned here and
+ * end with {@link #close}: the socket's, in {@link PeerTransport}, and the store's, in {@link
+ * DiskKeyValueStore}; both only post tasks to the event loop.
  */
 public final class Peering implements GatewayExtension {
   private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
 
-  /** A turn is taken that often though nothing comes, so that a pause of the process shows. */
-  private static final long BEAT = 1000;
+  /** The store's directory within that of the gateway. */
+  private static final String STORE_DIRECTORY = "shared";
 
-  /** Nothing done for so much longer than that: the process was away. */
-  private static final long AWAY_LEAST = 2000;
+  private static final long YIELDED_RETRY_MS = 1000;
 
-  private static final String INCARNATION = "incarnation";
-  private static final String FOLDER = "shared";
-  private static final long WALL_PER_MS = 10;
-  private static final long COME_BACK_MS = 1000;
-
-  private final PeeringConfig sharing;
-  private final GatewayConfig assignment;
-  private final Consumer<Runnable> turns;
+  private final PeeringConfig config;
+  private final String name;
   private final LongSupplier clock;
-  private final Watchdog watchdog = new Watchdog();
-  private final MembershipLogger journal = new MembershipLogger();
-  private final List<HostedComponent> parts = new ArrayList<>();
-  private final Outbox outbox;
-  private final Inbox inbox;
-  private final KeyValueStore keep;
+  private final GatewayExtension.ExtensionContext gateway;
+  private final ComponentLoop loop;
+  private final PeerTransport transport;
+  private final KeyValueStore store;
   private final Members members;
-  private final AddressBook book;
-  private Datagrams datagrams;
-  private long now;
-
-  /** Something was told to the parts that they have not had a turn for. */
-  private boolean stirred = true;
+  private final AddressBook addressBook;
 
-  /** What makes it when a gateway starts. */
+  /** Joins the fleet when a gateway starts, with these components beside the membership. */
   public static GatewayExtension.Factory factory(
-      PeeringConfig sharing, List<ComponentFactory> others) {
-    return (assignment, door, turns, clock) ->
-        new Peering(sharing, others, assignment, door, turns, clock);
+      PeeringConfig config, List<ComponentFactory> components) {
+    return (assignment, gateway, eventLoop, clock) ->
+        new Peering(config, components, assignment, gateway, eventLoop, clock);
   }
 
   private Peering(
-      PeeringConfig sharing,
-      List<ComponentFactory> others,
+      PeeringConfig config,
+      List<ComponentFactory> components,
       GatewayConfig assignment,
-      GatewayExtension.ExtensionContext door,
-      Consumer<Runnable> turns,
+      GatewayExtension.ExtensionContext gateway,
+      Consumer<Runnable> eventLoop,
       LongSupplier clock)
       throws IOException {
-    this.sharing = sharing;
-    this.assignment = assignment;
-    this.turns = turns;
+    this.config = config;
     this.clock = clock;
-    now = clock.getAsLong();
-    SecureRandom chance = new SecureRandom();
-    long life = chance.nextLong() | 1;
-    EnvelopeCodec codec =
-        new EnvelopeCodec(
-            sharing.fleet(), sharing.secret() == null ? null : Seal.of(sharing.secret()));
-    outbox = new Outbox(codec, assignment.name(), life);
-    inbox = new Inbox(codec, assignment.name(), life, MessageSender.BYTES_MOST, journal::line);
-    keep =
-        sharing.folder() == null
-            ? new DisabledKeyValueStore()
-            : DiskKeyValueStore.open(
-                sharing.folder().resolve(assignment.name()).resolve(FOLDER),
-                assignment.name(),
-                sharing.keepMost(),
-                this::later);
-    members = members(new SplittableRandom(chance.nextLong()));
-    book = new AddressBook(sharing.reach(), members::address);
-    parts.add(new MembersHttpHandler(members, inbox.refused()));
-    for (ComponentFactory other : others) {
-      parts.add(
-          other.attach(
-              new ComponentContext(
-                  assignment.name(),
-                  sharing.site(),
-                  members,
-                  post(other.number()),
-                  new PrefixedKeyValueStore(keep, other.name()),
-                  new SplittableRandom(chance.nextLong()),
-                  new WatchedExtensionContext(door, watchdog),
-                  clock)));
+    name = assignment.name();
+    Watchdog watchdog = new Watchdog();
+    this.gateway = new WatchedExtensionContext(gateway, watchdog);
+    loop = new ComponentLoop(eventLoop, clock, watchdog);
+    SecureRandom random = new SecureRandom();
+    MembershipLogger logger = new MembershipLogger();
+    Seal seal = config.secret() == null ? null : Seal.of(config.secret());
+    EnvelopeCodec codec = new EnvelopeCodec(config.fleet(), seal);
+    long processId = random.nextLong() | 1;
+    transport = new PeerTransport(codec, name, processId, loop, logger::warn);
+    store = openStore();
+    members =
+        LocalMembership.create(
+            config,
+            name,
+            store,
+            this::sendToAddress,
+            new SplittableRandom(random.nextLong()),
+            logger,
+            loop);
+    addressBook = new AddressBook(config.addressOverrides(), members::address);
+    loop.add(new MembersHttpHandler(members, transport.refused()));
+    for (ComponentFactory component : components) {
+      loop.add(component.create(contextFor(component, new SplittableRandom(random.nextLong()))));
     }
-    datagrams = new Datagrams(sharing.listen(), Envelope.DATAGRAM_MOST, turns, this::came);
+    transport.listen(config.listen(), eventLoop);
     LOG.info(
         "{} of fleet {} at site {} is reached by other gateways on {}",
-        assignment.name(),
-        sharing.fleet(),
-        sharing.site(),
-        sharing.listen());
-  }
-
-  private Members members(SplittableRandom random) {
-    KeyValueStore own = new PrefixedKeyValueStore(keep, MembersHttpHandler.NAME);
-    byte[] kept = own.initialEntries().get(INCARNATION);
-    long before = kept == null || kept.length != Long.BYTES ? 0 : ByteBuffer.wrap(kept).getLong();
-    Identity identity =
-        new Identity(
-            sharing.fleet(),
-            assignment.name(),
-            sharing.site(),
-            sharing.listen(),
-            sharing.seeds(),
-            before);
-    return new Members(
-        identity,
-        periods(),
-        (address, body) -> send(book.instead(address), MembersHttpHandler.NUMBER, body),
+        name,
+        config.fleet(),
+        config.site(),
+        config.listen());
+  }
+
+  private KeyValueStore openStore() throws IOException {
+    return config.directory() == null
+        ? new DisabledKeyValueStore()
+        : DiskKeyValueStore.open(
+            config.directory().resolve(name).resolve(STORE_DIRECTORY),
+            name,
+            config.maxStoredBytes(),
+            loop::post);
+  }
+
+  private ComponentContext contextFor(ComponentFactory component, SplittableRandom random) {
+    return new ComponentContext(
+        name,
+        config.site(),
+        members,
+        senderFor(component.number()),
+        new PrefixedKeyValueStore(store, component.name()),
         random,
-        journal.watching(
-            () -> now,
-            incarnation ->
-                own.set(
-                    INCARNATION,
-                    ByteBuffer.allocate(Long.BYTES).putLong(incarnation).array(),
-                    null)),
-        wall());
-  }
-
-  /** All that follows from how often members are probed goes with it. */
-  private MembershipConfig periods() {
-    MembershipConfig usual = MembershipConfig.usual();
-    double share = (double) sharing.probeEvery() / usual.period();
-    return new MembershipConfig(
-        sharing.probeEvery(),
-        scaled(usual.answerWithin(), share),
-        scaled(usual.waitMost(), share),
-        usual.relays(),
-        usual.suspicionFactor(),
-        usual.suspicionSpread(),
-        usual.confirmations(),
-        scaled(usual.gossipEvery(), share),
-        usual.gossipTo(),
-        usual.updateFactor(),
-        scaled(usual.retryEvery(), share),
-        scaled(usual.digestEvery(), share),
-        usual.updateLife(),
-        usual.forgetAfter(),
-        usual.healthMost(),
-        usual.mostMembers());
-  }
-
-  private static long scaled(long span, double share) {
-    return Math.max(1, Math.round(span * share));
+        gateway,
+        clock);
   }
 
   // ---- messages ----
 
-  private MessageSender post(int part) {
+  private MessageSender senderFor(int component) {
     return (to, body) -> {
-      String address = members.yielded() ? "" : book.of(to);
+      String address = members.yielded() ? "" : addressBook.addressOf(to);
       if (!address.isEmpty()) {
-        send(address, part, body);
+        transport.send(address, component, body);
       }
     };
   }
 
-  private void send(String address, int part, byte[] body) {
-    Invariant.holds(
-        body.length <= MessageSender.BYTES_MOST,
-        () -> "a message of " + body.length + " bytes to " + address);
-    if (datagrams == null || body.length > MessageSender.BYTES_MOST) {
-      return;
-    }
-    for (byte[] datagram : outbox.datagrams(part, body)) {
-      datagrams.send(address, datagram);
-    }
+  private void sendToAddress(String address, byte[] body) {
+    transport.send(addressBook.resolve(address), MembersHttpHandler.NUMBER, body);
   }
 
-  /** A datagram came. */
-  private void came(String from, byte[] datagram) {
-    watched(
-        () -> {
-          Inbox.Message message = inbox.take(now, from, datagram);
-          if (message == null) {
-            return;
-          }
-          for (HostedComponent part : parts) {
-            if (part.number() == message.part()) {
-              part.machine().onMessage(now, wall(), message.sender(), message.body());
-              return;
-            }
-          }
-          inbox.refuse(now, from, Refusal.NO_PART);
-        });
-  }
-
-  // ---- turns ----
-
-  private static long wall() {
-    return System.currentTimeMillis() * WALL_PER_MS;
-  }
-
-  /** Something for a later turn, from any thread. */
-  private void later(Runnable what) {
-    turns.accept(() -> watched(what));
-  }
-
-  /** All that reaches the parts goes this way: first they hear of it if the process was away. */
-  private void watched(Runnable what) {
-    watchdog.run(
-        () -> {
-          notice();
-          stirred = true;
-          what.run();
-        });
-  }
-
-  private void notice() {
-    long before = now;
-    now = Math.max(now, clock.getAsLong());
-    if (now - before > BEAT + AWAY_LEAST) {
-      stirred = true;
-      parts.forEach(part -> part.machine().onPause(now, wall(), now - before));
-    }
-  }
+  // ---- event loop ----
 
   @Override
   public void beginIteration(long clockNow) {
-    watchdog.run(this::notice);
+    loop.beginIteration();
   }
 
   @Override
   public void endIteration(long clockNow) {
-    watchdog.run(
-        () -> {
-          notice();
-          for (HostedComponent part : parts) {
-            if (stirred || now >= part.machine().nextDueAt()) {
-              part.machine().tick(now, wall());
-            }
-            part.settled(now, wall());
-          }
-          stirred = false;
-        });
+    loop.endIteration();
   }
 
   @Override
   public long nextDueAt() {
-    long dueAt = now + BEAT;
-    for (HostedComponent part : parts) {
-      dueAt = Math.min(dueAt, part.machine().nextDueAt());
-    }
-    return dueAt;
+    return loop.nextDueAt();
   }
 
   // ---- clients ----
 
   @Override
   public boolean handlesPath(String path) {
-    return part(path) != null;
+    return loop.forPath(path).isPresent();
   }
 
-  private HostedComponent part(String path) {
-    for (HostedComponent part : parts) {
-      if (part.takes(path)) {
-        return part;
-      }
-    }
-    return null;
+  @Override
+  public void onRequest(HttpRequest request, Reply reply) {
+    Optional<HostedComponent> component = loop.forPath(request.path());
+    loop.run(() -> passOn(component.orElseThrow(), request, reply));
   }
 
-  @Override
-  public void onRequest(HttpRequest call, Reply reply) {
-    HostedComponent part = part(call.path());
-    watched(
-        () -> {
-          if (members.yielded() && part.number() != MembersHttpHandler.NUMBER) {
-            reply.answer(HttpResponse.problem(503, "Yielded", COME_BACK_MS));
-          } else {
-            part.called(now, wall(), call, reply);
-          }
-        });
+  private void passOn(HostedComponent component, HttpRequest request, Reply reply) {
+    if (members.yielded() && component.number() != MembersHttpHandler.NUMBER) {
+      reply.answer(HttpResponse.problem(503, "Yielded", YIELDED_RETRY_MS));
+    } else {
+      component.onRequest(loop.now(), ComponentLoop.wallTime(), request, reply);
+    }
   }
 
-  // ---- the end ----
+  // ---- shutdown ----
 
   @Override
   public void onDrain() {
-    watched(() -> parts.forEach(part -> part.drain(now, wall())));
+    loop.run(
+        () -> loop.forEach(component -> component.onDrain(loop.now(), ComponentLoop.wallTime())));
   }
 
   @Override
   public void onShutdownDeadline() {
-    watched(() -> parts.forEach(part -> part.timeUp(now, wall())));
+    loop.run(
+        () ->
+            loop.forEach(
+                component -> component.onShutdownDeadline(loop.now(), ComponentLoop.wallTime())));
   }
 
-  /** What parts say last goes out with the call, as all datagrams do. */
+  /** The components' last messages are sent before it returns, as all messages are at once. */
   @Override
   public void close() {
-    watched(() -> parts.forEach(part -> part.close(now, wall())));
-    datagrams.close();
-    if (keep instanceof DiskKeyValueStore disk) {
+    loop.run(
+        () -> loop.forEach(component -> component.close(loop.now(), ComponentLoop.wallTime())));
+    transport.close();
+    if (store instanceof DiskKeyValueStore disk) {
       try {
         disk.close();
       } catch (IOException e) {
-        LOG.warn("what is kept was not closed: {}", e.toString());
+        LOG.warn("the store of shared state was not closed: {}", e.toString());
       }
     }
   }
--- a/peering/src/main/java/tillerlink/peering/PeeringConfig.java
+++ b/peering/src/main/java/tillerlink/peering/PeeringConfig.java
@@ -9,14 +9,14 @@
  * How this gateway takes part in a fleet.
  *
  * @param fleet the fleet's name
- * @param site where this gateway stands
- * @param listen host:port at which others reach it by UDP; the host is written out
+ * @param site the site of this gateway
+ * @param listen host:port at which other gateways reach it by UDP; the host is an IP address
  * @param seeds addresses of some members; its own may be among them
- * @param secret what messages are sealed with, or null
- * @param reach by name, where another is reached if not at the address that it tells of itself
- * @param probeEvery between two probes, in tenths of a millisecond
- * @param folder where it keeps what outlives it, or null
- * @param keepMost bytes that may be kept there
+ * @param secret the key that messages are sealed with, or null for none
+ * @param addressOverrides addresses by the name of a gateway, in place of the one that it announces
+ * @param probeInterval between two probes, in tenths of a millisecond
+ * @param directory where shared state is persisted, or null for nowhere
+ * @param maxStoredBytes bound of what is persisted there
  */
 public record PeeringConfig(
     String fleet,
@@ -24,13 +24,14 @@
     String listen,
     List<String> seeds,
     byte[] secret,
-    Map<String, String> reach,
-    long probeEvery,
-    Path folder,
-    long keepMost) {
+    Map<String, String> addressOverrides,
+    long probeInterval,
+    Path directory,
+    long maxStoredBytes) {
+  /** Copies what is mutable. */
   public PeeringConfig {
     seeds = List.copyOf(seeds);
-    reach = new TreeMap<>(reach);
+    addressOverrides = new TreeMap<>(addressOverrides);
     secret = secret == null ? null : secret.clone();
   }
 }
--- a/peering/src/main/java/tillerlink/peering/Watchdog.java
+++ b/peering/src/main/java/tillerlink/peering/Watchdog.java
@@ -4,38 +4,40 @@
 import tillerlink.cluster.Invariant;
 
 /**
- * Ends the process when a part breaks its own rules: where the invariants are on, one line tells
- * which, and nothing that may be wrong by then reaches anybody. Where they are off, a fault costs
- * what it was in the middle of, as elsewhere in the gateway.
+ * Ends the process when a component violates an invariant. Where invariants are checked, one line
+ * on standard error names it, and nothing that may be wrong by then reaches anybody. Where they are
+ * not, an exception is passed on, and fails only what was being done.
  */
 final class Watchdog {
-  static final int EXIT = 70;
+  /** The exit code of a process that it ended. */
+  static final int EXIT_CODE = 70;
 
-  void run(Runnable what) {
+  void run(Runnable action) {
     get(
         () -> {
-          what.run();
+          action.run();
           return null;
         });
   }
 
-  <T> T get(Supplier<T> what) {
+  <T> T get(Supplier<T> action) {
     try {
-      return what.get();
+      return action.get();
     } catch (Invariant.Broken e) {
-      throw end(e.getMessage(), e);
+      throw halt(e.getMessage(), e);
     } catch (RuntimeException e) {
       if (!Invariant.ON) {
         throw e;
       }
-      throw end("an internal fault: " + e, e);
+      throw halt("an internal fault: " + e, e);
     }
   }
 
-  private static IllegalStateException end(String words, Throwable why) {
-    System.err.println("INVARIANT " + words.replaceAll("\\s*\\R\\s*", " "));
-    why.printStackTrace();
-    Runtime.getRuntime().halt(EXIT);
+  /** Never returns; the return type lets callers throw. */
+  private static IllegalStateException halt(String message, Throwable cause) {
+    System.err.println("INVARIANT " + message.replaceAll("\\s*\\R\\s*", " "));
+    cause.printStackTrace();
+    Runtime.getRuntime().halt(EXIT_CODE);
     return new IllegalStateException("not reached");
   }
 }
--- a/peering/src/main/java/tillerlink/peering/WatchedExtensionContext.java
+++ b/peering/src/main/java/tillerlink/peering/WatchedExtensionContext.java
@@ -4,12 +4,12 @@
 import tillerlink.net.wire.HttpRequest;
 
 /**
- * The gateway's door as parts get it: their guards are asked under the watchdog, for the gateway
- * asks them itself.
+ * The gateway's interface as components get it: the gateway calls the guards of their requests
+ * under the watchdog.
  */
-record WatchedExtensionContext(GatewayExtension.ExtensionContext door, Watchdog watchdog)
+record WatchedExtensionContext(GatewayExtension.ExtensionContext gateway, Watchdog watchdog)
     implements GatewayExtension.ExtensionContext {
-  private record Watched(GatewayExtension.Guard guard, Watchdog watchdog)
+  private record WatchedGuard(GatewayExtension.Guard guard, Watchdog watchdog)
       implements GatewayExtension.Guard {
     @Override
     public boolean holds() {
@@ -33,12 +33,13 @@
   }
 
   @Override
-  public void submit(HttpRequest call, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
-    door.submit(call, new Watched(guard, watchdog), reply);
+  public void submit(
+      HttpRequest request, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
+    gateway.submit(request, new WatchedGuard(guard, watchdog), reply);
   }
 
   @Override
   public void recheckGuards() {
-    door.recheckGuards();
+    gateway.recheckGuards();
   }
 }
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsHttpHandler.java
@@ -1,15 +1,14 @@
 package tillerlink.peering.channels;
 
-import java.io.IOException;
 import java.util.ArrayDeque;
 import tillerlink.channels.Channels;
 import tillerlink.channels.entry.AppendRequest;
-import tillerlink.channels.entry.AppendResult;
 import tillerlink.cluster.ClusterComponent;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
 import tillerlink.peering.component.HostedComponent;
+import tillerlink.peering.json.MalformedRequestException;
 
 /**
  * The logs of channels, for clients: {@code POST /v1/channels/NAME}, {@code GET
@@ -17,39 +16,40 @@
  */
 public final class ChannelsHttpHandler implements HostedComponent {
   private static final String PATH = "/v1/channels";
-  private static final String KEY = "x-operation-key";
-  private static final String NAME_FORM = "[A-Za-z0-9._-]{1,64}";
-  private static final int PAGE_BYTES = 200_000;
+  private static final String KEY_HEADER = "x-operation-key";
+  private static final String NAME_PATTERN = "[A-Za-z0-9._-]{1,64}";
+  private static final String INDEX_PATTERN = "[0-9]{1,15}";
+  private static final int MAX_PAGE_BYTES = 200_000;
 
   /**
-   * An append that is not kept by then is told to be unknown; asked again under its key it is the
-   * same one.
+   * Tenths of a millisecond after which an append that is not durable yet is answered as unknown;
+   * sent again with its key it is the same event.
    */
-  private static final long KEEP_WITHIN = 100_000;
+  private static final long APPEND_TIMEOUT = 100_000;
 
-  private static final int PER_MS = 10;
+  /** The client's connection for an append that is not durable yet; answers it once. */
+  private static final class PendingAppend {
+    private final long deadline;
+    private final GatewayExtension.Reply reply;
+    private boolean answered;
 
-  /** An append that is being kept. */
-  private static final class Owed {
-    final long until;
-    final GatewayExtension.Reply reply;
-    boolean done;
-
-    Owed(long until, GatewayExtension.Reply reply) {
-      this.until = until;
+    PendingAppend(long deadline, GatewayExtension.Reply reply) {
+      this.deadline = deadline;
       this.reply = reply;
     }
 
-    void answer(HttpResponse answer) {
-      if (!done) {
-        done = true;
-        reply.answer(answer);
+    void answer(HttpResponse response) {
+      if (!answered) {
+        answered = true;
+        reply.answer(response);
       }
     }
   }
 
   private final Channels channels;
-  private final ArrayDeque<Owed> owed = new ArrayDeque<>();
+
+  /** In the order of their deadlines. */
+  private final ArrayDeque<PendingAppend> pendingAppends = new ArrayDeque<>();
 
   ChannelsHttpHandler(Channels channels) {
     this.channels = channels;
@@ -61,98 +61,83 @@
   }
 
   @Override
-  public ClusterComponent machine() {
+  public ClusterComponent component() {
     return channels;
   }
 
   @Override
-  public boolean takes(String path) {
+  public boolean handlesPath(String path) {
     return path.equals(PATH) || path.startsWith(PATH + "/");
   }
 
   @Override
-  public void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply) {
-    String[] words = call.path().split("/", -1);
-    boolean named = words.length > 3 && words[3].matches(NAME_FORM);
-    if (words.length == 3) {
-      read(call, reply, ChannelsJson.state(channels));
-    } else if (named && words.length == 4) {
-      append(now, wall, call, words[3], reply);
-    } else if (named && words.length == 5 && words[4].equals("cues")) {
-      read(call, reply, ChannelsJson.cues(channels, words[3]));
-    } else if (named
-        && words.length == 6
-        && words[4].equals("log")
-        && words[5].matches("[0-9]{1,15}")) {
-      read(
-          call,
-          reply,
-          ChannelsJson.page(channels.read(words[3], Long.parseLong(words[5]), PAGE_BYTES)));
+  public void onRequest(long now, long wall, HttpRequest request, GatewayExtension.Reply reply) {
+    String[] segments = request.path().split("/", -1);
+    if (segments.length == 3) {
+      answerGet(request, reply, ChannelResponses.state(channels));
+    } else if (!segments[3].matches(NAME_PATTERN)) {
+      reply.answer(HttpResponse.unknown());
+    } else if (segments.length == 4) {
+      append(now, wall, request, segments[3], reply);
+    } else if (segments.length == 5 && segments[4].equals("cues")) {
+      answerGet(request, reply, ChannelResponses.cues(channels, segments[3]));
+    } else if (segments.length == 6 && isLogIndex(segments[4], segments[5])) {
+      long from = Long.parseLong(segments[5]);
+      answerGet(
+          request, reply, ChannelResponses.page(channels.read(segments[3], from, MAX_PAGE_BYTES)));
     } else {
       reply.answer(HttpResponse.unknown());
     }
   }
 
-  private static void read(HttpRequest call, GatewayExtension.Reply reply, byte[] body) {
+  private static boolean isLogIndex(String resource, String index) {
+    return resource.equals("log") && index.matches(INDEX_PATTERN);
+  }
+
+  private static void answerGet(
+      HttpRequest request, GatewayExtension.Reply reply, HttpResponse response) {
     reply.answer(
-        call.method() == HttpRequest.Method.GET
-            ? new HttpResponse(200, body, 0, false)
+        request.method() == HttpRequest.Method.GET
+            ? response
             : HttpResponse.problem(405, "Method", 0));
   }
 
   private void append(
-      long now, long wall, HttpRequest call, String channel, GatewayExtension.Reply reply) {
-    if (call.method() != HttpRequest.Method.POST) {
+      long now, long wall, HttpRequest request, String channel, GatewayExtension.Reply reply) {
+    if (request.method() != HttpRequest.Method.POST) {
       reply.answer(HttpResponse.problem(405, "Method", 0));
       return;
     }
-    AppendRequest draft;
+    AppendRequest event;
     try {
-      draft = ChannelsJson.draft(call.body(), call.fields().getOrDefault(KEY, ""));
-    } catch (IOException e) {
-      reply.answer(
-          new HttpResponse(400, ChannelsJson.problem("Malformed", e.getMessage()), 0, false));
+      event =
+          AppendRequestParser.parse(request.body(), request.fields().getOrDefault(KEY_HEADER, ""));
+    } catch (MalformedRequestException e) {
+      reply.answer(ChannelResponses.malformed(e.getMessage()));
       return;
     }
-    Owed one = new Owed(now + KEEP_WITHIN, reply);
-    channels.append(now, wall, channel, draft, appended -> one.answer(answer(appended)));
-    if (!one.done) {
-      owed.add(one);
-    }
-  }
-
-  private static HttpResponse answer(AppendResult appended) {
-    if (appended instanceof AppendResult.Refused it) {
-      return it.retryAfter() > 0
-          ? new HttpResponse(
-              503,
-              ChannelsJson.problem("Refused", it.why()),
-              Math.max(1, it.retryAfter() / PER_MS),
-              false)
-          : new HttpResponse(409, ChannelsJson.problem("Refused", it.why()), 0, false);
+    PendingAppend pending = new PendingAppend(now + APPEND_TIMEOUT, reply);
+    channels.append(
+        now, wall, channel, event, result -> pending.answer(ChannelResponses.appended(result)));
+    if (!pending.answered) {
+      pendingAppends.add(pending);
     }
-    return new HttpResponse(200, ChannelsJson.taken((AppendResult.Taken) appended), 0, false);
   }
 
   @Override
-  public void timeUp(long now, long wall) {
-    answerUntil(Long.MAX_VALUE);
+  public void onShutdownDeadline(long now, long wall) {
+    answerOverdueAppends(Long.MAX_VALUE);
   }
 
   @Override
-  public void settled(long now, long wall) {
-    answerUntil(now);
+  public void onIterationEnd(long now, long wall) {
+    answerOverdueAppends(now);
   }
 
-  private void answerUntil(long due) {
-    while (!owed.isEmpty() && (owed.peek().done || owed.peek().until <= due)) {
-      owed.poll()
-          .answer(
-              new HttpResponse(
-                  503,
-                  ChannelsJson.problem("Unknown", "it is not kept yet; ask again with its key"),
-                  1000,
-                  false));
+  private void answerOverdueAppends(long due) {
+    while (!pendingAppends.isEmpty()
+        && (pendingAppends.peek().answered || pendingAppends.peek().deadline <= due)) {
+      pendingAppends.poll().answer(ChannelResponses.appendOutcomeUnknown());
     }
   }
 }
--- a/peering/src/main/java/tillerlink/peering/channels/HostedChannels.java
+++ b/peering/src/main/java/tillerlink/peering/channels/HostedChannels.java
@@ -8,17 +8,20 @@
 import tillerlink.peering.component.ComponentFactory;
 import tillerlink.peering.component.HostedComponent;
 
-/** The logs of channels on a gateway's process. */
+/** Makes the component that holds the logs of channels. */
 public final class HostedChannels implements ComponentFactory {
-  /** What messages to this part bear. */
+  /** The component's number in messages between gateways. */
   public static final int NUMBER = 2;
 
+  /** The component's name on disk. */
   public static final String NAME = "channels";
+
   private static final Logger LOG = LoggerFactory.getLogger(HostedChannels.class);
-  private static final long WALL_PER_MS = 10;
+  private static final long TENTHS_PER_MS = 10;
 
   private final Terms terms;
 
+  /** A factory for channels with these settings. */
   public HostedChannels(Terms terms) {
     this.terms = terms;
   }
@@ -34,15 +37,15 @@
   }
 
   @Override
-  public HostedComponent attach(ComponentContext ground) {
+  public HostedComponent create(ComponentContext context) {
     Channels channels =
         new Channels(
             terms,
-            ground.roster(),
-            ground.post(),
-            ground.keep(),
-            ground.random(),
-            System.currentTimeMillis() * WALL_PER_MS,
+            context.membership(),
+            context.sender(),
+            context.store(),
+            context.random(),
+            System.currentTimeMillis() * TENTHS_PER_MS,
             line -> LOG.warn("channels: {}", line));
     return new ChannelsHttpHandler(channels);
   }
--- a/peering/src/main/java/tillerlink/peering/component/ComponentContext.java
+++ b/peering/src/main/java/tillerlink/peering/component/ComponentContext.java
@@ -8,23 +8,25 @@
 import tillerlink.net.state.GatewayExtension;
 
 /**
- * What a part stands on in a process.
+ * What a component is given of the process that hosts it. All of it belongs to the event loop's
+ * thread.
  *
- * @param self the own name
- * @param site the own site
- * @param post its messages go to the part of the same number
- * @param keep its own share of the disk
- * @param random seeded, its own
- * @param door requests; may be used from the first turn on
+ * @param self the name of this gateway
+ * @param site the site of this gateway
+ * @param membership the members of the fleet
+ * @param sender sends to the component of the same number at other gateways
+ * @param store its own part of the store on disk
+ * @param random its own generator, seeded
+ * @param gateway takes requests; may be used from the first event-loop iteration on
  * @param clock tenths of a millisecond, read anew each time; it goes on while the process is
  *     stopped
  */
 public record ComponentContext(
     String self,
     String site,
-    MembershipView roster,
-    MessageSender post,
-    KeyValueStore keep,
+    MembershipView membership,
+    MessageSender sender,
+    KeyValueStore store,
     RandomGenerator random,
-    GatewayExtension.ExtensionContext door,
+    GatewayExtension.ExtensionContext gateway,
     LongSupplier clock) {}
--- a/peering/src/main/java/tillerlink/peering/component/ComponentFactory.java
+++ b/peering/src/main/java/tillerlink/peering/component/ComponentFactory.java
@@ -1,18 +1,17 @@
 package tillerlink.peering.component;
 
-/** Makes a part when the process starts. */
+/** Makes a component when the process starts. */
 public interface ComponentFactory {
-  /**
-   * What its messages bear and its share of the disk is named by: see {@link
-   * HostedComponent#number}.
-   */
+  /** The number of its messages; see {@link HostedComponent#number}. */
   int number();
 
-  /** Its share of the disk; letters only. */
+  /** Names its part of the store on disk; letters only, and the same in every release. */
   String name();
 
   /**
-   * @throws IllegalArgumentException in words for the operator, if it can't be as it is told to
+   * Creates the component; called once, before the first event-loop iteration.
+   *
+   * @throws IllegalArgumentException in words for the operator, if it can't run as it is configured
    */
-  HostedComponent attach(ComponentContext ground);
+  HostedComponent create(ComponentContext context);
 }
--- a/peering/src/main/java/tillerlink/peering/component/HostedComponent.java
+++ b/peering/src/main/java/tillerlink/peering/component/HostedComponent.java
@@ -5,47 +5,52 @@
 import tillerlink.net.wire.HttpRequest;
 
 /**
- * A part of the shared state as it hangs on a gateway's process: its machine, and what clients
- * call. All of it is called in turns of the one thread. Before any call its machine was told if the
- * process had been away.
+ * A component of the shared state in a gateway's process, with its HTTP interface. All methods are
+ * called by the event loop's thread, and never before the component was notified of a pause of the
+ * process. Times are tenths of a millisecond: {@code now} by the gateway's monotonic clock, {@code
+ * wall} by the machine's clock.
  */
 public interface HostedComponent {
-  /** What messages to it bear, 2 to 255; the same in every release, and no other part's. */
+  /**
+   * The number that messages to it bear, from 2 to 255 (1 is for the members); the same in every
+   * release, and no other component's.
+   */
   int number();
 
-  ClusterComponent machine();
+  /** The state machine that messages and time are passed to. */
+  ClusterComponent component();
 
-  /** Whether calls of that path are its own; the path has nothing behind a question mark. */
-  boolean takes(String path);
+  /** Whether requests for that path (without a query) are its own. */
+  boolean handlesPath(String path);
 
   /**
-   * A client's call of such a path, of whatever method. It is answered once, now or in a later
-   * turn.
+   * A client's request for such a path, of any method. It is answered once, now or in a later
+   * event-loop iteration.
    */
-  void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply);
+  void onRequest(long now, long wall, HttpRequest request, GatewayExtension.Reply reply);
 
   /**
-   * At the end of every turn, so ten times a second at the least: calls that the machine settled,
-   * or whose time is up, are answered.
+   * At the end of every event-loop iteration, so at least ten times a second: requests whose
+   * outcome is known by now, or whose time is up, are answered.
    */
-  default void settled(long now, long wall) {
-    // Whoever answers at once has nothing to do.
+  default void onIterationEnd(long now, long wall) {
+    // A component that answers at once has nothing to do.
   }
 
-  /** The process goes; some turns follow. */
-  default void drain(long now, long wall) {
-    // Whoever owes nothing has nothing to say.
+  /** The process was told to end; some iterations follow. */
+  default void onDrain(long now, long wall) {
+    // Without state at other gateways there is nothing to hand over.
   }
 
   /**
-   * The process goes now: every call that waits is answered, or its client hears nothing any more.
+   * Requests that are still open are answered now; later their clients are not reached any more.
    */
-  default void timeUp(long now, long wall) {
-    // Whoever answers at once owes nothing.
+  default void onShutdownDeadline(long now, long wall) {
+    // A component that answers at once has no open requests.
   }
 
-  /** No turn follows, and no attempt goes out: the last messages to others. */
+  /** No iteration follows, and no attempt is sent any more: its last messages to others. */
   default void close(long now, long wall) {
-    // Whoever holds nothing has nothing to give back.
+    // Without anything held at other gateways there is nothing to release.
   }
 }
--- a/peering/src/main/java/tillerlink/peering/io/Addresses.java
+++ b/peering/src/main/java/tillerlink/peering/io/Addresses.java
@@ -7,44 +7,48 @@
 import java.util.Map;
 
 /**
- * Addresses as members tell them to each other: host:port with the host written out in digits.
- * Nothing is looked up, for that could wait. Used by one thread.
+ * A cache of parsed addresses, as members send them to each other: host:port with the host as an IP
+ * address. Names of hosts are refused, for looking them up could block. Used by one thread.
  */
 final class Addresses {
-  private static final int KEPT_MOST = 4096;
-  private static final int PORT_MOST = 65_535;
+  private static final int MAX_CACHED = 4096;
+  private static final int MAX_PORT = 65_535;
+  private static final int INITIAL_CAPACITY = 64;
+  private static final float LOAD_FACTOR = 0.75f;
 
-  private final Map<String, InetSocketAddress> known = new LinkedHashMap<>(64, 0.75f, true);
+  private final Map<String, InetSocketAddress> cached =
+      new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
-  /** Null if it is none. */
+  /** The address; null if the text is none. */
   InetSocketAddress of(String text) {
-    InetSocketAddress address = known.get(text);
+    InetSocketAddress address = cached.get(text);
     if (address == null) {
       address = parse(text);
       if (address != null) {
-        if (known.size() >= KEPT_MOST) {
-          known.remove(known.keySet().iterator().next());
+        if (cached.size() >= MAX_CACHED) {
+          cached.remove(cached.keySet().iterator().next());
         }
-        known.put(text, address);
+        cached.put(text, address);
       }
     }
     return address;
   }
 
+  /** The address; null if the text is none. */
   static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
-    String port = text.substring(colon + 1);
-    boolean written =
+    String digits = text.substring(colon + 1);
+    boolean isLiteral =
         host.matches("[0-9]{1,3}([.][0-9]{1,3}){3}") || host.matches("\\[[0-9a-fA-F:.]{2,45}]");
-    if (!written || !port.matches("[0-9]{1,5}")) {
+    if (!isLiteral || !digits.matches("[0-9]{1,5}")) {
       return null;
     }
-    int number = Integer.parseInt(port);
+    int port = Integer.parseInt(digits);
     try {
-      return number < 1 || number > PORT_MOST
+      return port < 1 || port > MAX_PORT
           ? null
-          : new InetSocketAddress(InetAddress.getByName(host), number);
+          : new InetSocketAddress(InetAddress.getByName(host), port);
     } catch (UnknownHostException e) {
       return null;
     }
--- a/peering/src/main/java/tillerlink/peering/io/Datagrams.java
+++ b/peering/src/main/java/tillerlink/peering/io/Datagrams.java
@@ -13,87 +13,98 @@
 import org.apache.mina.transport.socket.nio.NioDatagramAcceptor;
 
 /**
- * Sends and takes datagrams by Apache MINA, over one socket. Its thread only posts what came to the
- * queue of the thread that owns all state; of what comes faster than it is taken, the newest is
- * dropped.
+ * Sends and receives UDP datagrams over one socket, by Apache MINA.
+ *
+ * <p>MINA's thread, which this object owns until it is closed, only posts received datagrams to the
+ * event loop; beyond a bound of posted ones the newest are dropped. Everything else is called by
+ * the event loop's thread, but for the counters.
  */
 public final class Datagrams implements Closeable {
-  /** Datagrams that were read and not yet taken. */
-  private static final int WAITING_MOST = 2048;
+  /** Datagrams that were received and not yet taken by the event loop. */
+  private static final int MAX_QUEUED = 2048;
 
-  /** What the system holds of both ways. */
-  private static final int BUFFER = 1 << 20;
+  /** Bytes that the operating system buffers in each direction. */
+  private static final int SOCKET_BUFFER_BYTES = 1 << 20;
 
-  /** Is told of a datagram, in a turn. */
+  /** Takes received datagrams, on the event loop's thread. */
   @FunctionalInterface
-  public interface Taker {
+  public interface Receiver {
     /**
-     * @param from the address it came from, in words for the log
+     * Takes one.
+     *
+     * @param from the sender's address as host:port
      */
-    void came(String from, byte[] datagram);
+    void onDatagram(String from, byte[] datagram);
   }
 
-  private final Consumer<Runnable> turns;
-  private final Taker taker;
-  private final InetSocketAddress own;
+  private final Consumer<Runnable> eventLoop;
+  private final Receiver receiver;
+  private final InetSocketAddress localAddress;
   private final NioDatagramAcceptor socket = new NioDatagramAcceptor();
   private final Addresses addresses = new Addresses();
-  private final AtomicInteger waiting = new AtomicInteger();
+  private final AtomicInteger queued = new AtomicInteger();
   private final AtomicLong dropped = new AtomicLong();
   private final AtomicLong unsent = new AtomicLong();
 
   /**
-   * Listens from now on.
+   * Binds the socket; datagrams are received from then on.
    *
-   * @param own host:port, written out
-   * @param most bytes of a datagram; a longer one comes one byte longer than this
-   * @param turns what comes is handed to this
+   * @param localAddress host:port, the host as an IP address
+   * @param maxBytes of a datagram; a longer one is received cut to one byte more than this
+   * @param eventLoop runs tasks on the event loop's thread
+   * @throws IOException if the address is malformed or can't be bound, in words for the operator
    */
-  public Datagrams(String own, int most, Consumer<Runnable> turns, Taker taker) throws IOException {
-    this.turns = turns;
-    this.taker = taker;
-    this.own = Addresses.parse(own);
-    if (this.own == null) {
-      throw new IOException("not an address with a port: " + own);
+  public Datagrams(
+      String localAddress, int maxBytes, Consumer<Runnable> eventLoop, Receiver receiver)
+      throws IOException {
+    this.eventLoop = eventLoop;
+    this.receiver = receiver;
+    this.localAddress = Addresses.parse(localAddress);
+    if (this.localAddress == null) {
+      throw new IOException("not an address with a port: " + localAddress);
     }
-    socket.getSessionConfig().setReadBufferSize(most + 1);
-    socket.getSessionConfig().setReceiveBufferSize(BUFFER);
-    socket.getSessionConfig().setSendBufferSize(BUFFER);
-    socket.setSessionRecycler(new Recent());
-    socket.setHandler(new Posting());
+    socket.getSessionConfig().setReadBufferSize(maxBytes + 1);
+    socket.getSessionConfig().setReceiveBufferSize(SOCKET_BUFFER_BYTES);
+    socket.getSessionConfig().setSendBufferSize(SOCKET_BUFFER_BYTES);
+    socket.setSessionRecycler(new RecentSessions());
+    socket.setHandler(new PostingHandler());
     try {
-      socket.bind(this.own);
+      socket.bind(this.localAddress);
     } catch (IOException | RuntimeException e) {
       socket.dispose();
       Throwable cause = e.getCause() == null ? e : e.getCause();
       throw new IOException(
-          "cannot listen for other gateways on " + own + ": " + cause.getMessage(), e);
+          "cannot listen for other gateways on " + localAddress + ": " + cause.getMessage(), e);
     }
   }
 
-  /** It goes out now, or is lost; nobody waits, and nobody says so. False if that is no address. */
+  /**
+   * Sends a datagram without waiting; it may be lost, and nobody is notified.
+   *
+   * @param to host:port, the host as an IP address
+   * @return false if that is no address, or the socket is closed
+   */
   public boolean send(String to, byte[] datagram) {
     InetSocketAddress address = addresses.of(to);
     if (address == null || !socket.isActive()) {
       return false;
     }
     try {
-      socket.newSession(address, own).write(IoBuffer.wrap(datagram));
+      socket.newSession(address, localAddress).write(IoBuffer.wrap(datagram));
     } catch (RuntimeException e) {
-      // MINA's own thread makes a session for whoever a datagram came from, and lets it be found
-      // before it is
-      // ready: what is written in that moment is lost, like any that is lost on the way.
+      // MINA's own thread makes a session for the sender of a received datagram, and publishes it
+      // before it is ready: what is written in that moment is lost, like any lost on the way.
       unsent.incrementAndGet();
     }
     return true;
   }
 
-  /** Datagrams that came faster than they were taken, and were dropped. */
+  /** Received datagrams that were dropped because too many were queued. For any thread. */
   public long dropped() {
     return dropped.get();
   }
 
-  /** Datagrams that could not be handed to the socket. */
+  /** Datagrams that could not be handed to the socket. For any thread. */
   public long unsent() {
     return unsent.get();
   }
@@ -103,11 +114,11 @@
     socket.dispose();
   }
 
-  private final class Posting extends IoHandlerAdapter {
+  private final class PostingHandler extends IoHandlerAdapter {
     @Override
     public void messageReceived(IoSession session, Object message) {
-      if (waiting.incrementAndGet() > WAITING_MOST) {
-        waiting.decrementAndGet();
+      if (queued.incrementAndGet() > MAX_QUEUED) {
+        queued.decrementAndGet();
         dropped.incrementAndGet();
         return;
       }
@@ -115,16 +126,16 @@
       byte[] bytes = new byte[buffer.remaining()];
       buffer.get(bytes);
       SocketAddress from = session.getRemoteAddress();
-      turns.accept(
+      eventLoop.accept(
           () -> {
-            waiting.decrementAndGet();
-            taker.came(from.toString().replaceFirst("^.*/", ""), bytes);
+            queued.decrementAndGet();
+            receiver.onDatagram(from.toString().replaceFirst("^.*/", ""), bytes);
           });
     }
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-      // One that could not be sent is lost, like any that is lost on the way.
+      // A datagram that could not be sent is lost, like any that is lost on the way.
     }
   }
 }
--- a/peering/src/main/java/tillerlink/peering/members/MembersHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/members/MembersHttpHandler.java
@@ -1,10 +1,7 @@
 package tillerlink.peering.members;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.util.Map;
 import tillerlink.cluster.ClusterComponent;
 import tillerlink.members.Members;
@@ -13,21 +10,26 @@
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
 import tillerlink.peering.component.HostedComponent;
+import tillerlink.peering.json.JsonBody;
 
-/** Who is there, for operators: {@code GET /v1/members}. */
+/**
+ * The members of the fleet, for operators: {@code GET /v1/members}. The names of {@link
+ * tillerlink.cluster.Reachability} and {@link Refusal} are part of its JSON.
+ */
 public final class MembersHttpHandler implements HostedComponent {
-  /** What messages to this part bear. */
+  /** The component's number in messages between gateways. */
   public static final int NUMBER = 1;
 
+  /** The component's name on disk. */
   public static final String NAME = "members";
+
   private static final String PATH = "/v1/members";
-  private static final JsonFactory JSON = new JsonFactory();
 
   private final Members members;
   private final Map<Refusal, Long> refused;
 
   /**
-   * @param refused datagrams that were passed over, as they are counted
+   * @param refused a live view of how many datagrams were refused, by reason
    */
   public MembersHttpHandler(Members members, Map<Refusal, Long> refused) {
     this.members = members;
@@ -40,62 +42,54 @@
   }
 
   @Override
-  public ClusterComponent machine() {
+  public ClusterComponent component() {
     return members;
   }
 
   @Override
-  public boolean takes(String path) {
+  public boolean handlesPath(String path) {
     return path.equals(PATH);
   }
 
   @Override
-  public void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply) {
-    if (call.method() == HttpRequest.Method.GET) {
-      reply.answer(new HttpResponse(200, told(), 0, false));
+  public void onRequest(long now, long wall, HttpRequest request, GatewayExtension.Reply reply) {
+    if (request.method() == HttpRequest.Method.GET) {
+      reply.answer(new HttpResponse(200, JsonBody.object(this::writeMembers), 0, false));
     } else {
       reply.answer(HttpResponse.problem(405, "Method", 0));
     }
   }
 
   @Override
-  public void drain(long now, long wall) {
+  public void onDrain(long now, long wall) {
     members.leave(now);
   }
 
-  private byte[] told() {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (JsonGenerator json = JSON.createGenerator(bytes)) {
+  private void writeMembers(JsonGenerator json) throws IOException {
+    json.writeStringField("fleet", members.fleet());
+    json.writeObjectFieldStart("self");
+    writeIdentity(json, members.self());
+    json.writeBooleanField("yielded", members.yielded());
+    json.writeEndObject();
+    json.writeArrayFieldStart("members");
+    for (String name : members.names()) {
       json.writeStartObject();
-      json.writeStringField("fleet", members.fleet());
-      json.writeObjectFieldStart("self");
-      one(json, members.self());
-      json.writeBooleanField("yielded", members.yielded());
-      json.writeEndObject();
-      json.writeArrayFieldStart("members");
-      for (String name : members.names()) {
-        json.writeStartObject();
-        one(json, name);
-        json.writeStringField("reach", members.reachability(name).name());
-        json.writeStringField("address", members.address(name));
-        json.writeEndObject();
-      }
-      json.writeEndArray();
-      counts(json);
+      writeIdentity(json, name);
+      json.writeStringField("reach", members.reachability(name).name());
+      json.writeStringField("address", members.address(name));
       json.writeEndObject();
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
     }
-    return bytes.toByteArray();
+    json.writeEndArray();
+    writeCounts(json);
   }
 
-  private void one(JsonGenerator json, String name) throws IOException {
+  private void writeIdentity(JsonGenerator json, String name) throws IOException {
     json.writeStringField("name", name);
     json.writeStringField("site", members.site(name));
     json.writeNumberField("incarnation", members.incarnation(name));
   }
 
-  private void counts(JsonGenerator json) throws IOException {
+  private void writeCounts(JsonGenerator json) throws IOException {
     Members.Counts counts = members.counts();
     json.writeObjectFieldStart("counts");
     json.writeNumberField("sent", counts.sent());
@@ -106,8 +100,8 @@
     json.writeNumberField("health", counts.health());
     json.writeEndObject();
     json.writeObjectFieldStart("refused");
-    for (Map.Entry<Refusal, Long> kind : refused.entrySet()) {
-      json.writeNumberField(kind.getKey().name(), kind.getValue());
+    for (Map.Entry<Refusal, Long> reason : refused.entrySet()) {
+      json.writeNumberField(reason.getKey().name(), reason.getValue());
     }
     json.writeEndObject();
   }
--- a/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
+++ b/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
@@ -7,8 +7,8 @@
 import tillerlink.statements.run.Prepared;
 
 /**
- * Asked before each attempt of a prepared run is written and after: whether the statement still
- * stands as it was taken.
+ * Checked before and after each attempt of a prepared run is written: whether the statement may
+ * still run as it was prepared. Used by the event loop's thread.
  */
 final class RunGuard implements GatewayExtension.Guard {
   private final Statements statements;
@@ -22,7 +22,7 @@
     this.clock = clock;
   }
 
-  /** By the clock as it is now, since a pause may lie before. */
+  /** Reads the clock anew, since the process may have been paused. */
   @Override
   public boolean holds() {
     if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
@@ -32,7 +32,7 @@
     return true;
   }
 
-  /** In tenths of a millisecond. */
+  /** Tenths of a millisecond; as of the last check that failed. */
   @Override
   public long retryAfter() {
     return retryAfter;
--- a/peering/src/main/java/tillerlink/peering/statements/StatementRequestParser.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementRequestParser.java
@@ -1,244 +1,161 @@
 package tillerlink.peering.statements;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
-import com.fasterxml.jackson.core.JsonProcessingException;
-import com.fasterxml.jackson.core.JsonToken;
-import com.fasterxml.jackson.core.StreamReadConstraints;
 import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Locale;
 import java.util.TreeMap;
+import java.util.stream.Stream;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 import tillerlink.messages.statements.ParameterType;
 import tillerlink.messages.statements.RunEffect;
+import tillerlink.peering.json.JsonBody;
+import tillerlink.peering.json.MalformedRequestException;
 
 /**
- * Reads the bodies of clients' calls; IllegalArgumentException, in words for people, at what it
- * can't use.
+ * Parses the bodies of clients' requests. All methods throw {@link MalformedRequestException} at
+ * what they can't use.
  */
 final class StatementRequestParser {
-  private static final int ITEMS_MOST = 256;
-  private static final JsonFactory JSON =
-      JsonFactory.builder()
-          .streamReadConstraints(
-              StreamReadConstraints.builder()
-                  .maxNestingDepth(4)
-                  .maxStringLength(16 * 1024)
-                  .maxNumberLength(64)
-                  .build())
-          .build();
+  private static final long ANY_GENERATION = -1;
 
   /**
-   * @param over the generation that is to be replaced, 0 if the name must be free, -1 if it doesn't
-   *     matter
+   * A statement to prepare.
+   *
+   * @param replaces the generation that is to be replaced, 0 if the name must be free, -1 if it
+   *     doesn't matter
    */
-  record Preparation(Definition definition, long over) {}
+  record Preparation(Definition definition, long replaces) {}
 
   /**
-   * @param generation the least that is to be run, 0 if it doesn't matter
+   * A prepared statement to run.
+   *
+   * @param values of its parameters; null stands for SQL's null
+   * @param minGeneration the earliest generation to run, 0 if it doesn't matter
    */
-  record Run(List<String> values, long generation) {}
-
-  private interface Field {
-    /**
-     * @return false if the name is none of the object's
-     */
-    boolean take(String name, JsonParser in) throws IOException;
-  }
+  record Run(List<String> values, long minGeneration) {}
 
   private StatementRequestParser() {}
 
-  static Preparation preparation(String name, byte[] body) {
-    String[] texts = {"", "", "pure"};
-    List<String> types = new ArrayList<>();
-    List<String> uses = new ArrayList<>();
-    List<Integer> groups = new ArrayList<>();
-    long[] over = {-1};
-    object(
-        body,
-        (field, in) -> {
-          switch (field) {
-            case "text" -> texts[0] = text(in);
-            case "track" -> texts[1] = text(in);
-            case "effect" -> texts[2] = text(in);
-            case "parameters" -> texts(in, types);
-            case "uses" -> texts(in, uses);
-            case "groups" -> numbers(in, groups);
-            case "over" -> over[0] = number(in, Long.MAX_VALUE);
-            default -> {
-              return false;
-            }
-          }
-          return true;
-        });
-    return new Preparation(
-        new Definition(
-            name,
-            texts[0],
-            types.stream().map(StatementRequestParser::type).toList(),
-            groups,
-            uses,
-            texts[1],
-            word(RunEffect.class, "effect", texts[2])),
-        over[0]);
-  }
-
-  private static ParameterType type(String word) {
-    return word(ParameterType.class, "parameters", word);
-  }
-
-  private static <E extends Enum<E>> E word(Class<E> kind, String field, String word) {
-    for (E each : kind.getEnumConstants()) {
-      if (each.name().toLowerCase(Locale.ROOT).equals(word)) {
-        return each;
-      }
-    }
-    throw new IllegalArgumentException(
-        field
-            + ": "
-            + String.join(
-                ", ",
-                List.of(kind.getEnumConstants()).stream()
-                    .map(each -> each.name().toLowerCase(Locale.ROOT))
-                    .toList()));
+  static Preparation parsePreparation(String name, byte[] body) {
+    PreparationFields fields = new PreparationFields();
+    JsonRequestReader.readObject(body, fields);
+    return fields.toPreparation(name);
   }
 
   /**
-   * @param group the one that the path names; a change may touch more
+   * Parses a change of schemas.
+   *
+   * @param group the table group that the path names; the body may name more
    */
-  static Change change(int group, byte[] body) {
-    List<Integer> groups = new ArrayList<>(List.of(group));
-    List<String> removed = new ArrayList<>();
-    List<String> altered = new ArrayList<>();
-    TreeMap<String, String> renamed = new TreeMap<>();
+  static Change parseChange(int group, byte[] body) {
+    ChangeFields fields = new ChangeFields(group);
     if (body.length > 0) {
-      object(
-          body,
-          (field, in) -> {
-            switch (field) {
-              case "groups" -> numbers(in, groups);
-              case "removed" -> texts(in, removed);
-              case "altered" -> texts(in, altered);
-              case "renamed" -> pairs(in, renamed);
-              default -> {
-                return false;
-              }
-            }
-            return true;
-          });
+      JsonRequestReader.readObject(body, fields);
     }
-    return new Change(groups, removed, altered, renamed);
+    return new Change(fields.groups, fields.removed, fields.altered, fields.renamed);
   }
 
-  static Run run(byte[] body) {
-    List<String> values = new ArrayList<>();
-    long[] generation = {0};
+  static Run parseRun(byte[] body) {
+    RunFields fields = new RunFields();
     if (body.length > 0) {
-      object(
-          body,
-          (field, in) -> {
-            switch (field) {
-              case "parameters" -> values(in, values);
-              case "generation" -> generation[0] = number(in, Long.MAX_VALUE);
-              default -> {
-                return false;
-              }
-            }
-            return true;
-          });
+      JsonRequestReader.readObject(body, fields);
     }
-    return new Run(values, generation[0]);
-  }
-
-  // ---- JSON ----
-
-  private static void object(byte[] body, Field to) {
-    try (JsonParser in = JSON.createParser(body)) {
-      want(in.nextToken() == JsonToken.START_OBJECT, "an object is wanted");
-      while (in.nextToken() == JsonToken.FIELD_NAME) {
-        String name = in.currentName();
-        in.nextToken();
-        want(
-            to.take(name, in),
-            "no field that is known: " + name.substring(0, Math.min(name.length(), 64)));
+    return new Run(fields.values, fields.minGeneration);
+  }
+
+  private static final class PreparationFields implements JsonRequestReader.FieldReader {
+    private String text = "";
+    private String requestClass = "";
+    private String effect = "pure";
+    private final List<String> types = new ArrayList<>();
+    private final List<String> uses = new ArrayList<>();
+    private final List<Integer> groups = new ArrayList<>();
+    private long replaces = ANY_GENERATION;
+
+    @Override
+    public boolean readField(String name, JsonParser json) throws IOException {
+      switch (name) {
+        case "text" -> text = JsonRequestReader.readText(json);
+        case "track" -> requestClass = JsonRequestReader.readText(json);
+        case "effect" -> effect = JsonRequestReader.readText(json);
+        case "parameters" -> JsonRequestReader.readTexts(json, types);
+        case "uses" -> JsonRequestReader.readTexts(json, uses);
+        case "groups" -> JsonRequestReader.readNumbers(json, groups, Definition.GROUP_MOST);
+        case "over" -> replaces = JsonRequestReader.readNumber(json, Long.MAX_VALUE);
+        default -> {
+          return false;
+        }
       }
-      want(
-          in.currentToken() == JsonToken.END_OBJECT && in.nextToken() == null,
-          "more than one object");
-    } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException(
-          "no JSON: line "
-              + e.getLocation().getLineNr()
-              + ", column "
-              + e.getLocation().getColumnNr(),
-          e);
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
+      return true;
     }
-  }
 
-  private static void want(boolean holds, String words) {
-    if (!holds) {
-      throw new IllegalArgumentException(words);
+    Preparation toPreparation(String name) {
+      List<ParameterType> parameters =
+          types.stream().map(word -> constant(ParameterType.class, "parameters", word)).toList();
+      Definition definition =
+          new Definition(
+              name,
+              text,
+              parameters,
+              groups,
+              uses,
+              requestClass,
+              constant(RunEffect.class, "effect", effect));
+      return new Preparation(definition, replaces);
     }
-  }
 
-  private static String text(JsonParser in) throws IOException {
-    want(in.currentToken() == JsonToken.VALUE_STRING, in.currentName() + ": a text is wanted");
-    return in.getText();
-  }
-
-  private static long number(JsonParser in, long most) throws IOException {
-    boolean fits =
-        in.currentToken() == JsonToken.VALUE_NUMBER_INT
-            && in.getText().length() <= 18
-            && in.getLongValue() >= 0
-            && in.getLongValue() <= most;
-    want(fits, "numbers: from 0 to " + most);
-    return in.getLongValue();
+    private static <E extends Enum<E>> E constant(Class<E> type, String field, String word) {
+      for (E constant : type.getEnumConstants()) {
+        if (JsonBody.word(constant).equals(word)) {
+          return constant;
+        }
+      }
+      List<String> words = Stream.of(type.getEnumConstants()).map(JsonBody::word).toList();
+      throw new MalformedRequestException(field + ": " + String.join(", ", words));
+    }
   }
 
-  private interface Item {
-    void take() throws IOException;
-  }
+  private static final class ChangeFields implements JsonRequestReader.FieldReader {
+    private final List<Integer> groups;
+    private final List<String> removed = new ArrayList<>();
+    private final List<String> altered = new ArrayList<>();
+    private final TreeMap<String, String> renamed = new TreeMap<>();
 
-  private static void list(JsonParser in, Item item) throws IOException {
-    want(in.currentToken() == JsonToken.START_ARRAY, "a list is wanted");
-    for (int count = 1; in.nextToken() != JsonToken.END_ARRAY; count++) {
-      want(count <= ITEMS_MOST, "lists: no more than " + ITEMS_MOST);
-      item.take();
+    ChangeFields(int group) {
+      groups = new ArrayList<>(List.of(group));
     }
-  }
 
-  private static void texts(JsonParser in, List<String> to) throws IOException {
-    list(in, () -> to.add(text(in)));
-  }
-
-  private static void numbers(JsonParser in, List<Integer> to) throws IOException {
-    list(in, () -> to.add((int) number(in, Definition.GROUP_MOST)));
+    @Override
+    public boolean readField(String name, JsonParser json) throws IOException {
+      switch (name) {
+        case "groups" -> JsonRequestReader.readNumbers(json, groups, Definition.GROUP_MOST);
+        case "removed" -> JsonRequestReader.readTexts(json, removed);
+        case "altered" -> JsonRequestReader.readTexts(json, altered);
+        case "renamed" -> JsonRequestReader.readRenames(json, renamed);
+        default -> {
+          return false;
+        }
+      }
+      return true;
+    }
   }
 
-  private static void values(JsonParser in, List<String> to) throws IOException {
-    list(
-        in,
-        () -> {
-          want(
-              in.currentToken().isScalarValue(), "parameters: texts, numbers, true, false or null");
-          to.add(in.currentToken() == JsonToken.VALUE_NULL ? null : in.getText());
-        });
-  }
+  private static final class RunFields implements JsonRequestReader.FieldReader {
+    private final List<String> values = new ArrayList<>();
+    private long minGeneration;
 
-  private static void pairs(JsonParser in, TreeMap<String, String> to) throws IOException {
-    want(in.currentToken() == JsonToken.START_OBJECT, "renamed: an object is wanted");
-    while (in.nextToken() == JsonToken.FIELD_NAME) {
-      String name = in.currentName();
-      in.nextToken();
-      to.put(name, text(in));
-      want(to.size() <= ITEMS_MOST, "lists: no more than " + ITEMS_MOST);
+    @Override
+    public boolean readField(String name, JsonParser json) throws IOException {
+      switch (name) {
+        case "parameters" -> JsonRequestReader.readScalars(json, values);
+        case "generation" -> minGeneration = JsonRequestReader.readNumber(json, Long.MAX_VALUE);
+        default -> {
+          return false;
+        }
+      }
+      return true;
     }
   }
 }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
@@ -1,147 +1,121 @@
 package tillerlink.peering.statements;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.ByteArrayOutputStream;
 import java.io.IOException;
-import java.io.UncheckedIOException;
-import java.util.List;
-import java.util.Locale;
 import java.util.Map;
+import java.util.SortedMap;
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 import tillerlink.net.wire.HttpResponse;
+import tillerlink.peering.json.JsonBody;
 import tillerlink.statements.SchemaState;
 import tillerlink.statements.catalog.CatalogEntry;
 import tillerlink.statements.catalog.Outcome;
 import tillerlink.statements.run.Permission;
 
-/** Words answers to clients. */
+/** The responses to requests about prepared statements and schemas. */
 final class StatementResponses {
   private static final long TENTHS_PER_MS = 10;
-  private static final long UNKNOWN_COME_BACK = 1000;
-  private static final JsonFactory JSON = new JsonFactory();
-
-  private interface Body {
-    void write(JsonGenerator json) throws IOException;
-  }
+  private static final long UNKNOWN_RETRY_MS = 1000;
 
   private StatementResponses() {}
 
-  private static HttpResponse answer(int status, long retryAfter, Body body) {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    try (JsonGenerator json = JSON.createGenerator(bytes)) {
-      json.writeStartObject();
-      body.write(json);
-      json.writeEndObject();
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    }
-    return new HttpResponse(status, bytes.toByteArray(), retryAfter, false);
+  private static HttpResponse ok(JsonBody.FieldsWriter fields) {
+    return new HttpResponse(200, JsonBody.object(fields), 0, false);
   }
 
   static HttpResponse problem(int status, String problem, String words, long retryAfterMs) {
-    return answer(
-        status,
-        retryAfterMs,
-        json -> {
-          json.writeStringField("problem", problem);
-          json.writeStringField("words", words);
-        });
+    return new HttpResponse(status, JsonBody.problem(problem, words), retryAfterMs, false);
   }
 
   /**
-   * @param field what the outcome's number is called
+   * What became of a change of the catalog.
+   *
+   * @param field names the outcome's number
    */
   static HttpResponse outcome(Outcome outcome, String field) {
     return switch (outcome.verdict()) {
-      case DONE -> answer(200, 0, json -> json.writeNumberField(field, outcome.id()));
+      case DONE -> ok(json -> json.writeNumberField(field, outcome.id()));
       case REFUSED -> problem(409, "Refused", outcome.words(), 0);
-      case UNKNOWN -> problem(503, "Unknown", outcome.words(), UNKNOWN_COME_BACK);
+      case UNKNOWN -> problem(503, "Unknown", outcome.words(), UNKNOWN_RETRY_MS);
     };
   }
 
-  static HttpResponse rejected(Permission.No no) {
+  static HttpResponse rejected(Permission.No refusal) {
     String problem =
-        switch (no.why()) {
+        switch (refusal.why()) {
           case OTHER -> "Other";
           case INVALID -> "Invalid";
           case ANEW, CHANGING -> "Changing";
           case UNKNOWN -> "NoLease";
         };
-    boolean for503 = no.retryAfter() > 0;
-    return problem(for503 ? 503 : 409, problem, no.words(), milliseconds(no.retryAfter()));
+    int status = refusal.retryAfter() > 0 ? 503 : 409;
+    return problem(status, problem, refusal.words(), toMillisRoundedUp(refusal.retryAfter()));
   }
 
-  static long milliseconds(long tenths) {
+  private static long toMillisRoundedUp(long tenths) {
     return (tenths + TENTHS_PER_MS - 1) / TENTHS_PER_MS;
   }
 
-  static HttpResponse standing(CatalogEntry of) {
-    Definition definition = of.definition();
-    return answer(
-        200,
-        0,
+  static HttpResponse statement(CatalogEntry entry) {
+    Definition definition = entry.definition();
+    return ok(
         json -> {
           json.writeStringField("name", definition.name());
-          json.writeNumberField("generation", of.generation());
-          json.writeStringField("state", low(of.state()));
-          if (of.change() != 0) {
-            json.writeNumberField("change", of.change());
+          json.writeNumberField("generation", entry.generation());
+          json.writeStringField("state", JsonBody.word(entry.state()));
+          if (entry.change() != 0) {
+            json.writeNumberField("change", entry.change());
           }
           json.writeStringField("text", definition.text());
-          texts(
-              json,
-              "parameters",
-              definition.parameters().stream().map(StatementResponses::low).toList());
-          json.writeObjectFieldStart("versions");
-          for (Map.Entry<Integer, Long> each : of.versions().entrySet()) {
-            json.writeNumberField(each.getKey().toString(), each.getValue());
-          }
-          json.writeEndObject();
-          texts(json, "uses", definition.uses());
+          JsonBody.writeStrings(
+              json, "parameters", definition.parameters().stream().map(JsonBody::word).toList());
+          writeVersions(json, entry.versions());
+          JsonBody.writeStrings(json, "uses", definition.uses());
           json.writeStringField("track", definition.requestClass());
-          json.writeStringField("effect", low(definition.effect()));
+          json.writeStringField("effect", JsonBody.word(definition.effect()));
         });
   }
 
+  private static void writeVersions(JsonGenerator json, SortedMap<Integer, Long> versions)
+      throws IOException {
+    json.writeObjectFieldStart("versions");
+    for (Map.Entry<Integer, Long> group : versions.entrySet()) {
+      json.writeNumberField(group.getKey().toString(), group.getValue());
+    }
+    json.writeEndObject();
+  }
+
   /**
-   * @param now by the clock of the leases
+   * The schema of a table group.
+   *
+   * @param now tenths of a millisecond, by the clock of the leases
    */
-  static HttpResponse schema(SchemaState of, long now) {
-    return answer(
-        200,
-        0,
+  static HttpResponse schema(SchemaState schema, long now) {
+    return ok(
         json -> {
-          json.writeNumberField("group", of.group());
-          json.writeNumberField("version", of.version());
-          json.writeNumberField("lease_ms", Math.max(0, (of.leaseEnds() - now) / TENTHS_PER_MS));
+          json.writeNumberField("group", schema.group());
+          json.writeNumberField("version", schema.version());
+          json.writeNumberField(
+              "lease_ms", Math.max(0, (schema.leaseEnds() - now) / TENTHS_PER_MS));
           json.writeArrayFieldStart("waiting");
-          for (Map.Entry<Long, Change> each : of.waiting().entrySet()) {
-            json.writeStartObject();
-            json.writeNumberField("change", each.getKey());
-            json.writeArrayFieldStart("groups");
-            for (int group : each.getValue().groups()) {
-              json.writeNumber(group);
-            }
-            json.writeEndArray();
-            json.writeEndObject();
+          for (Map.Entry<Long, Change> waiting : schema.waiting().entrySet()) {
+            writeWaitingChange(json, waiting.getKey(), waiting.getValue());
           }
           json.writeEndArray();
-          texts(json, "statements", of.statements());
+          JsonBody.writeStrings(json, "statements", schema.statements());
         });
   }
 
-  private static void texts(JsonGenerator json, String field, List<String> texts)
+  private static void writeWaitingChange(JsonGenerator json, long number, Change change)
       throws IOException {
-    json.writeArrayFieldStart(field);
-    for (String text : texts) {
-      json.writeString(text);
+    json.writeStartObject();
+    json.writeNumberField("change", number);
+    json.writeArrayFieldStart("groups");
+    for (int group : change.groups()) {
+      json.writeNumber(group);
     }
     json.writeEndArray();
-  }
-
-  private static String low(Enum<?> word) {
-    return word.name().toLowerCase(Locale.ROOT);
+    json.writeEndObject();
   }
 }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsComponentFactory.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsComponentFactory.java
@@ -14,40 +14,40 @@
 import tillerlink.statements.lease.LeaseTerms;
 import tillerlink.statements.prepare.Renaming;
 
-/** Makes the part of prepared statements on a gateway. */
+/** Makes the component of prepared statements. */
 public final class StatementsComponentFactory implements ComponentFactory {
-  private static final Logger LOG = LoggerFactory.getLogger(StatementsComponentFactory.class);
-
   /**
-   * Bytes on the disk at the most: a snapshot, the entries behind it, and both once more while they
-   * are rewritten.
+   * Bytes that it takes on disk at most: a snapshot, the entries behind it, and both once more
+   * while they are rewritten.
    */
-  public static final long KEEP_MOST = 16L << 20;
+  public static final long MAX_STORED_BYTES = 16L << 20;
+
+  private static final Logger LOG = LoggerFactory.getLogger(StatementsComponentFactory.class);
 
-  private static final long MARGIN_LEAST = 50;
+  /** The least time that a lease must be valid beyond a run's start, in tenths of a millisecond. */
+  private static final long MIN_LEASE_MARGIN = 50;
 
-  /** A part of the lease that has to be ahead of a run. */
-  private static final int MARGIN_PART = 50;
+  /** The same as a part of the lease's length. */
+  private static final int LEASE_MARGIN_DIVISOR = 50;
 
   private final StatementTerms terms;
   private final boolean fence;
 
   /**
    * @param voters names of the gateways of which a majority grants leases
-   * @param lease tenths of a millisecond
-   * @param drift the share by which clocks may run apart
-   * @param vouched disks are never put back from a copy, so a voter that starts need not ask the
+   * @param lease length of a lease in tenths of a millisecond
+   * @param drift the fraction by which clocks may run apart
+   * @param vouched disks are never restored from a copy, so a voter that starts need not ask the
    *     others
-   * @param fence engines are told the schema versions
+   * @param fence engines are sent the schema versions
    * @throws IllegalArgumentException in words for the operator
    */
   public StatementsComponentFactory(
       List<String> voters, long lease, double drift, boolean vouched, boolean fence) {
+    long margin = Math.max(MIN_LEASE_MARGIN, lease / LEASE_MARGIN_DIVISOR);
     terms =
         new StatementTerms(
-            voters,
-            new LeaseTerms(lease, drift, Math.max(MARGIN_LEAST, lease / MARGIN_PART)),
-            new RaftConfig(vouched, Set.of()));
+            voters, new LeaseTerms(lease, drift, margin), new RaftConfig(vouched, Set.of()));
     this.fence = fence;
   }
 
@@ -62,21 +62,21 @@
   }
 
   @Override
-  public HostedComponent attach(ComponentContext ground) {
+  public HostedComponent create(ComponentContext context) {
     try {
       Statements statements =
           new Statements(
               terms,
-              ground.roster(),
-              ground.post(),
-              ground.keep(),
-              ground.random(),
+              context.membership(),
+              context.sender(),
+              context.store(),
+              context.random(),
               new Renaming(),
-              words -> LOG.warn("statements: {}", words));
-      return new StatementsHttpHandler(statements, ground.door(), ground.clock(), fence);
+              line -> LOG.warn("statements: {}", line));
+      return new StatementsHttpHandler(statements, context.gateway(), context.clock(), fence);
     } catch (MalformedMessageException e) {
       throw new IllegalArgumentException(
-          "statements: what is kept can't be read: " + e.getMessage(), e);
+          "statements: the persisted state can't be read: " + e.getMessage(), e);
     }
   }
 }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
@@ -9,6 +9,7 @@
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
 import tillerlink.peering.component.HostedComponent;
+import tillerlink.peering.json.MalformedRequestException;
 import tillerlink.statements.SchemaState;
 import tillerlink.statements.Statements;
 import tillerlink.statements.run.Permission;
@@ -20,31 +21,37 @@
  * with the headers of a request.
  */
 public final class StatementsHttpHandler implements HostedComponent {
-  /** What messages to this part bear. */
+  /** The component's number in messages between gateways. */
   public static final int NUMBER = 3;
 
+  /** The component's name on disk. */
   public static final String NAME = "statements";
-  private static final String STATEMENTS = "/v1/statements/";
-  private static final String SCHEMAS = "/v1/schemas/";
-  private static final String RUN = "/v1/run/";
-  private static final int DIGITS_MOST = 9;
-  private static final int CHANGE_DIGITS_MOST = 18;
-  private static final long BEHIND_COME_BACK = 100;
+
+  private static final String STATEMENTS_PATH = "/v1/statements/";
+  private static final String SCHEMAS_PATH = "/v1/schemas/";
+  private static final String RUN_PATH = "/v1/run/";
+  private static final int MAX_GROUP_DIGITS = 9;
+  private static final int MAX_CHANGE_DIGITS = 18;
+  private static final long ANY_GENERATION = -1;
+  private static final long BEHIND_RETRY_MS = 100;
 
   private final Statements statements;
-  private final GatewayExtension.ExtensionContext door;
+  private final GatewayExtension.ExtensionContext gateway;
   private final LongSupplier clock;
   private final boolean fence;
-  private long applied;
-  private long losses;
+
+  /** The index of the catalog's last entry, and the count of leases lost, at the last recheck. */
+  private long checkedIndex;
+
+  private long checkedLeaseLosses;
 
   StatementsHttpHandler(
       Statements statements,
-      GatewayExtension.ExtensionContext door,
+      GatewayExtension.ExtensionContext gateway,
       LongSupplier clock,
       boolean fence) {
     this.statements = statements;
-    this.door = door;
+    this.gateway = gateway;
     this.clock = clock;
     this.fence = fence;
   }
@@ -55,31 +62,30 @@
   }
 
   @Override
-  public ClusterComponent machine() {
+  public ClusterComponent component() {
     return statements;
   }
 
   @Override
-  public boolean takes(String path) {
-    return path.startsWith(STATEMENTS) || path.startsWith(SCHEMAS) || path.startsWith(RUN);
+  public boolean handlesPath(String path) {
+    return path.startsWith(STATEMENTS_PATH)
+        || path.startsWith(SCHEMAS_PATH)
+        || path.startsWith(RUN_PATH);
   }
 
-  /**
-   * What the catalog or the leases say has changed: runs that wait are asked about anew, and turned
-   * back at once.
-   */
+  /** Rechecks the guards of waiting runs when the catalog or the leases have changed. */
   @Override
-  public void settled(long now, long wall) {
-    long then = statements.catalog().applied();
-    if (then != applied || losses != statements.leasesLost()) {
-      applied = then;
-      losses = statements.leasesLost();
-      door.recheckGuards();
+  public void onIterationEnd(long now, long wall) {
+    long index = statements.catalog().applied();
+    if (index != checkedIndex || checkedLeaseLosses != statements.leasesLost()) {
+      checkedIndex = index;
+      checkedLeaseLosses = statements.leasesLost();
+      gateway.recheckGuards();
     }
   }
 
   @Override
-  public void timeUp(long now, long wall) {
+  public void onShutdownDeadline(long now, long wall) {
     statements.timeUp(now);
   }
 
@@ -89,46 +95,48 @@
   }
 
   @Override
-  public void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply) {
-    String path = call.path();
+  public void onRequest(long now, long wall, HttpRequest request, GatewayExtension.Reply reply) {
+    String path = request.path();
     try {
-      if (path.startsWith(STATEMENTS)) {
-        statement(now, call, path.substring(STATEMENTS.length()), reply);
-      } else if (path.startsWith(SCHEMAS)) {
-        schema(now, call, path.substring(SCHEMAS.length()), reply);
+      if (path.startsWith(STATEMENTS_PATH)) {
+        onStatementRequest(now, request, path.substring(STATEMENTS_PATH.length()), reply);
+      } else if (path.startsWith(SCHEMAS_PATH)) {
+        onSchemaRequest(now, request, path.substring(SCHEMAS_PATH.length()), reply);
       } else {
-        run(call, path.substring(RUN.length()), reply);
+        onRunRequest(request, path.substring(RUN_PATH.length()), reply);
       }
     } catch (IllegalArgumentException e) {
+      // A malformed body, or values that a statement does not take.
       reply.answer(StatementResponses.problem(400, "Malformed", e.getMessage(), 0));
     }
   }
 
   // ---- statements ----
 
-  private void statement(long now, HttpRequest call, String name, GatewayExtension.Reply reply) {
-    switch (call.method()) {
+  private void onStatementRequest(
+      long now, HttpRequest request, String name, GatewayExtension.Reply reply) {
+    switch (request.method()) {
       case POST -> {
-        StatementRequestParser.Preparation it =
-            StatementRequestParser.preparation(name, call.body());
+        StatementRequestParser.Preparation preparation =
+            StatementRequestParser.parsePreparation(name, request.body());
         statements.prepare(
             now,
-            it.definition(),
-            it.over(),
+            preparation.definition(),
+            preparation.replaces(),
             outcome -> reply.answer(StatementResponses.outcome(outcome, "generation")));
       }
       case DELETE ->
           statements.drop(
               now,
               name,
-              -1,
+              ANY_GENERATION,
               outcome -> reply.answer(StatementResponses.outcome(outcome, "generation")));
       case GET ->
           reply.answer(
               statements
                   .catalog()
                   .find(name)
-                  .map(StatementResponses::standing)
+                  .map(StatementResponses::statement)
                   .orElseGet(HttpResponse::unknown));
       default -> reply.answer(HttpResponse.problem(405, "Method", 0));
     }
@@ -136,80 +144,81 @@
 
   // ---- schemas ----
 
-  private void schema(long now, HttpRequest call, String rest, GatewayExtension.Reply reply) {
+  private void onSchemaRequest(
+      long now, HttpRequest request, String rest, GatewayExtension.Reply reply) {
     int slash = rest.indexOf('/');
-    int group = (int) number("group", slash < 0 ? rest : rest.substring(0, slash), DIGITS_MOST);
-    switch (call.method()) {
+    String digits = slash < 0 ? rest : rest.substring(0, slash);
+    int group = (int) parseNumber("group", digits, MAX_GROUP_DIGITS);
+    switch (request.method()) {
       case POST -> {
-        Change change = StatementRequestParser.change(group, call.body());
+        Change change = StatementRequestParser.parseChange(group, request.body());
         statements.announce(
             now, change, outcome -> reply.answer(StatementResponses.outcome(outcome, "change")));
       }
-      case DELETE -> takeBack(now, group, slash < 0 ? "" : rest.substring(slash + 1), reply);
+      case DELETE -> withdrawChange(now, group, slash < 0 ? "" : rest.substring(slash + 1), reply);
       case GET ->
           reply.answer(StatementResponses.schema(statements.schema(group), clock.getAsLong()));
       default -> reply.answer(HttpResponse.problem(405, "Method", 0));
     }
   }
 
-  /** Without a number it is the one change that waits; of several one has to be named. */
-  private void takeBack(long now, int group, String number, GatewayExtension.Reply reply) {
-    SchemaState state = statements.schema(group);
-    if (number.isEmpty() && state.waiting().size() != 1) {
+  /** Without a number it is the one change that waits; of several, one has to be named. */
+  private void withdrawChange(long now, int group, String number, GatewayExtension.Reply reply) {
+    SchemaState schema = statements.schema(group);
+    if (number.isEmpty() && schema.waiting().size() != 1) {
       reply.answer(
-          StatementResponses.problem(409, "Refused", state.waiting().size() + " changes wait", 0));
+          StatementResponses.problem(409, "Refused", schema.waiting().size() + " changes wait", 0));
       return;
     }
     long change =
         number.isEmpty()
-            ? state.waiting().firstKey()
-            : number("change", number, CHANGE_DIGITS_MOST);
+            ? schema.waiting().firstKey()
+            : parseNumber("change", number, MAX_CHANGE_DIGITS);
     statements.takeBack(
         now, change, outcome -> reply.answer(StatementResponses.outcome(outcome, "change")));
   }
 
-  private static long number(String what, String text, int digitsMost) {
-    if (text.isEmpty()
-        || text.length() > digitsMost
-        || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-      throw new IllegalArgumentException(what + ": a number is wanted");
-    }
-    return Long.parseLong(text);
+  private static long parseNumber(String what, String digits, int maxDigits) {
+    MalformedRequestException.require(
+        !digits.isEmpty()
+            && digits.length() <= maxDigits
+            && digits.chars().allMatch(digit -> digit >= '0' && digit <= '9'),
+        what + ": a number is wanted");
+    return Long.parseLong(digits);
   }
 
   // ---- runs ----
 
-  private void run(HttpRequest call, String name, GatewayExtension.Reply reply) {
-    if (call.method() != HttpRequest.Method.POST) {
+  private void onRunRequest(HttpRequest request, String name, GatewayExtension.Reply reply) {
+    if (request.method() != HttpRequest.Method.POST) {
       reply.answer(HttpResponse.problem(405, "Method", 0));
       return;
     }
-    StatementRequestParser.Run run = StatementRequestParser.run(call.body());
-    Optional<Prepared> found = statements.lookUp(name);
-    boolean behind = found.map(Prepared::generation).orElse(0L) < run.generation();
-    if (behind) {
+    StatementRequestParser.Run run = StatementRequestParser.parseRun(request.body());
+    Optional<Prepared> statement = statements.lookUp(name);
+    if (statement.map(Prepared::generation).orElse(0L) < run.minGeneration()) {
       reply.answer(
           StatementResponses.problem(
-              503, "Behind", "this gateway has not heard of that generation", BEHIND_COME_BACK));
+              503, "Behind", "this gateway has not heard of that generation", BEHIND_RETRY_MS));
       return;
     }
-    if (found.isEmpty()) {
+    if (statement.isEmpty()) {
       reply.answer(HttpResponse.unknown());
       return;
     }
-    Prepared prepared = found.get();
+    Prepared prepared = statement.get();
     String text = prepared.text(run.values(), fence);
     if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
       reply.answer(StatementResponses.rejected(no));
       return;
     }
-    door.submit(
+    gateway.submit(
         new HttpRequest(
             HttpRequest.Method.POST,
             "/v1/" + prepared.definition().requestClass(),
-            call.fields(),
+            request.fields(),
             text.getBytes(StandardCharsets.UTF_8),
-            call.last()),
+            request.last()),
         new RunGuard(statements, prepared, clock),
         reply);
   }
--- a/peering/src/main/java/tillerlink/peering/storage/DisabledKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DisabledKeyValueStore.java
@@ -4,7 +4,7 @@
 import java.util.NavigableMap;
 import tillerlink.cluster.KeyValueStore;
 
-/** Where the operator named no folder: nothing is kept, and whoever asks is told so. */
+/** Stands in where the operator configured no directory: refuses every change. */
 public final class DisabledKeyValueStore implements KeyValueStore {
   @Override
   public NavigableMap<String, byte[]> initialEntries() {
@@ -12,7 +12,7 @@
   }
 
   @Override
-  public boolean set(String name, byte[] value, Runnable kept) {
+  public boolean set(String name, byte[] value, Runnable onDurable) {
     return false;
   }
 }
--- a/peering/src/main/java/tillerlink/peering/storage/PrefixedKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/PrefixedKeyValueStore.java
@@ -5,33 +5,41 @@
 import java.util.TreeMap;
 import tillerlink.cluster.KeyValueStore;
 
-/** One part's share of what is kept: its names stand behind a prefix, which it does not see. */
+/**
+ * One component's part of a store: the component's name and a slash stand before each of its names
+ * there, which the component does not see.
+ */
 public final class PrefixedKeyValueStore implements KeyValueStore {
-  private final KeyValueStore all;
+  private static final char SEPARATOR = '/';
+
+  /** Sorts right after the separator. */
+  private static final char AFTER_SEPARATOR = SEPARATOR + 1;
+
+  private final KeyValueStore store;
   private final String prefix;
-  private final NavigableMap<String, byte[]> found;
+  private final NavigableMap<String, byte[]> initialEntries;
 
   /**
-   * @param part no other part's name, and the same after a restart
+   * @param component no other component's name, and the same after a restart
    */
-  public PrefixedKeyValueStore(KeyValueStore all, String part) {
-    this.all = all;
-    prefix = part + "/";
+  public PrefixedKeyValueStore(KeyValueStore store, String component) {
+    this.store = store;
+    prefix = component + SEPARATOR;
     NavigableMap<String, byte[]> own = new TreeMap<>();
-    // '0' comes right after '/'.
-    all.initialEntries()
-        .subMap(prefix, true, part + "0", false)
+    store
+        .initialEntries()
+        .subMap(prefix, true, component + AFTER_SEPARATOR, false)
         .forEach((name, value) -> own.put(name.substring(prefix.length()), value));
-    found = Collections.unmodifiableNavigableMap(own);
+    initialEntries = Collections.unmodifiableNavigableMap(own);
   }
 
   @Override
   public NavigableMap<String, byte[]> initialEntries() {
-    return found;
+    return initialEntries;
   }
 
   @Override
-  public boolean set(String name, byte[] value, Runnable kept) {
-    return all.set(prefix + name, value, kept);
+  public boolean set(String name, byte[] value, Runnable onDurable) {
+    return store.set(prefix + name, value, onDurable);
   }
 }
--- a/peering/src/test/java/tillerlink/peering/Echo.java
+++ b/peering/src/test/java/tillerlink/peering/Echo.java
@@ -12,8 +12,8 @@
 import tillerlink.peering.component.HostedComponent;
 
 /**
- * The smallest part there can be: it sends a body to another and back, keeps a text, and breaks
- * when it is told to.
+ * A minimal component: it sends a body to another gateway and back, persists a text, and violates
+ * an invariant or throws on request.
  */
 final class Echo implements ComponentFactory {
   @Override
@@ -27,14 +27,14 @@
   }
 
   @Override
-  public HostedComponent attach(ComponentContext ground) {
-    return new Machine(ground);
+  public HostedComponent create(ComponentContext context) {
+    return new EchoComponent(context);
   }
 
-  private record Machine(ComponentContext ground, GatewayExtension.Reply[] owed)
+  private record EchoComponent(ComponentContext context, GatewayExtension.Reply[] pending)
       implements HostedComponent, ClusterComponent {
-    Machine(ComponentContext ground) {
-      this(ground, new GatewayExtension.Reply[1]);
+    EchoComponent(ComponentContext context) {
+      this(context, new GatewayExtension.Reply[1]);
     }
 
     @Override
@@ -43,42 +43,42 @@
     }
 
     @Override
-    public ClusterComponent machine() {
+    public ClusterComponent component() {
       return this;
     }
 
     @Override
-    public boolean takes(String path) {
+    public boolean handlesPath(String path) {
       return path.startsWith("/v1/echo/");
     }
 
     @Override
-    public void called(long now, long wall, HttpRequest call, GatewayExtension.Reply reply) {
-      String[] words = call.path().split("/");
+    public void onRequest(long now, long wall, HttpRequest request, GatewayExtension.Reply reply) {
+      String[] words = request.path().split("/");
       switch (words[3]) {
         case "send" -> {
-          owed[0] = reply;
-          byte[] body = Arrays.copyOf(call.body(), call.body().length + 1);
-          ground.post().send(words[4], body);
+          pending[0] = reply;
+          byte[] body = Arrays.copyOf(request.body(), request.body().length + 1);
+          context.sender().send(words[4], body);
         }
         case "keep" -> {
-          if (!ground
-              .keep()
+          if (!context
+              .store()
               .set(
                   "text",
-                  call.body(),
-                  () -> reply.answer(said("kept".getBytes(StandardCharsets.UTF_8))))) {
+                  request.body(),
+                  () -> reply.answer(ok("kept".getBytes(StandardCharsets.UTF_8))))) {
             reply.answer(HttpResponse.problem(503, "Disk", 0));
           }
         }
         case "found" ->
-            reply.answer(said(ground.keep().initialEntries().getOrDefault("text", new byte[0])));
+            reply.answer(ok(context.store().initialEntries().getOrDefault("text", new byte[0])));
         case "break" -> Invariant.holds(false, () -> "planted,\nto be seen");
         default -> throw new IllegalStateException("a fault of this part");
       }
     }
 
-    private static HttpResponse said(byte[] body) {
+    private static HttpResponse ok(byte[] body) {
       return new HttpResponse(200, body, 0, false);
     }
 
@@ -87,9 +87,9 @@
     public void onMessage(long now, long wall, String from, byte[] body) {
       if (body[body.length - 1] == 0) {
         body[body.length - 1] = 1;
-        ground.post().send(from, body);
-      } else if (owed[0] != null) {
-        owed[0].answer(said(Arrays.copyOf(body, body.length - 1)));
+        context.sender().send(from, body);
+      } else if (pending[0] != null) {
+        pending[0].answer(ok(Arrays.copyOf(body, body.length - 1)));
       }
     }
 
--- a/peering/src/test/java/tillerlink/peering/Gateways.java
+++ b/peering/src/test/java/tillerlink/peering/Gateways.java
@@ -86,8 +86,8 @@
   Gateway start(String name, String secret, String seeds) throws IOException {
     Gateway gateway = all.get(name);
     if (gateway == null) {
-      try (ServerSocket http = new ServerSocket(0, 1, InetAddress.getByName(LOOPBACK));
-          DatagramSocket udp = new DatagramSocket(0, InetAddress.getByName(LOOPBACK))) {
+      try (ServerSocket http = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+          DatagramSocket udp = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
         gateway = new Gateway(name, http.getLocalPort(), udp.getLocalPort());
       }
       all.put(name, gateway);
--- a/peering/src/test/java/tillerlink/peering/io/DatagramsTest.java
+++ b/peering/src/test/java/tillerlink/peering/io/DatagramsTest.java
@@ -95,10 +95,10 @@
   /** Guards the memory against ever new addresses. */
   @Test
   void remembersTheLatestAddressesOnly() {
-    Recent recent = new Recent();
+    RecentSessions recent = new RecentSessions();
     List<Integer> closed = new ArrayList<>();
     List<IoSession> sessions = new ArrayList<>();
-    for (int i = 0; i < Recent.MOST + 2; i++) {
+    for (int i = 0; i < RecentSessions.MAX_SESSIONS + 2; i++) {
       int number = i;
       InetSocketAddress at = new InetSocketAddress("127.0.0.1", 1 + i);
       sessions.add(
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/Beside.java
@@ -32,7 +32,7 @@
     long keepMost =
         (store == null ? 0 : store.maxBytes())
             + (file.channels() == null ? 0 : file.channels().diskMost())
-            + (file.statements() == null ? 0 : StatementsComponentFactory.KEEP_MOST);
+            + (file.statements() == null ? 0 : StatementsComponentFactory.MAX_STORED_BYTES);
     return Peering.factory(
         new PeeringConfig(
             members.fleet(),
