--- a/audit/src/main/java/tillerlink/audit/Rule.java
+++ b/audit/src/main/java/tillerlink/audit/Rule.java
@@ -1,19 +1,19 @@
 package tillerlink.audit;
 
-/** The rules that every front keeps, by their numbers. */
+/** The rules that every gateway keeps, in the order of their numbers. Their names are printed. */
 public enum Rule {
-  /** One final answer each, in time, nothing after. */
+  /** Each request has one final answer, in time, and nothing after it. */
   ANSWER,
-  /** No effect twice, and no turn-back of what may have run and must not run twice. */
+  /** No effect happens twice, and what may have run and must not run twice is not rejected. */
   EFFECT,
-  /** No new work to draining or gone engines past the grace. */
+  /** No new work is sent to draining or gone engines after the grace time. */
   DRAIN,
-  /** A cold engine isn't pushed over by all gateways together. */
+  /** All gateways together send an engine that is warming up no more than it can bear. */
   COLD,
-  /** Key order where a request class asks for it. */
+  /** Requests of one key run in their order where the request class asks for it. */
   ORDER,
-  /** Placement on every attempt. */
+  /** Every attempt goes to an engine that the request class is bound to. */
   PLACEMENT,
-  /** Further attempts within the sliding budget. */
+  /** Retries stay within the sliding budget. */
   BUDGET
 }
--- a/audit/src/main/java/tillerlink/audit/Violation.java
+++ b/audit/src/main/java/tillerlink/audit/Violation.java
@@ -1,4 +1,9 @@
 package tillerlink.audit;
 
-/** A rule that was broken: when, in tenths of a millisecond, and what was seen. */
+/**
+ * A violation of a rule.
+ *
+ * @param at tenths of a millisecond
+ * @param what happened, for people
+ */
 public record Violation(Rule rule, long at, String what) {}
--- a/audit/src/test/java/tillerlink/audit/AuditorTest.java
+++ b/audit/src/test/java/tillerlink/audit/AuditorTest.java
@@ -8,7 +8,7 @@
 import tillerlink.model.Effect;
 import tillerlink.workload.RequestClassSpec;
 
-/** A break of each rule is planted, and found; beside each stands the same story without it. */
+/** A violation of each rule is injected and reported, and so is none without one. */
 class AuditorTest {
   private static final long T = 1_000_000;
   private static final int PURE = 0;
@@ -38,63 +38,63 @@
         name, effect, 1, 10_000, 50_000, 1, 0, List.of(kinds), 20_000, 100, List.of());
   }
 
-  private AuditorTest taken(String id, int requestClass, String key) {
+  private AuditorTest accept(String id, int requestClass, String key) {
     auditor.taken(T, 0, id, requestClass, key, T + 50_000);
     return this;
   }
 
-  private AuditorTest ranAt(long at, String engine, String id, double work) {
+  private AuditorTest executeAt(long at, String engine, String id, double work) {
     auditor.sent(at, 0, engine, id);
     auditor.ran(at, engine, id, work);
     return this;
   }
 
-  private void found(String wanted) {
+  private void assertFindings(String expected) {
     StringBuilder all = new StringBuilder();
     auditor
         .violations()
         .forEach(
             violation ->
                 all.append(violation.rule()).append(": ").append(violation.what()).append('\n'));
-    assertEquals(wanted, all.toString());
+    assertEquals(expected, all.toString());
   }
 
   @Test
-  void whatKeepsAllRulesIsNotBlamed() {
-    taken("a", PURE, null).ranAt(T, "e1", "a", 100);
+  void nothingIsReportedWhereAllRulesHold() {
+    accept("a", PURE, null).executeAt(T, "e1", "a", 100);
     auditor.over("a", false);
     auditor.sent(T + 5, 0, "big", "a");
     auditor.ran(T + 5, "big", "a", 100);
     auditor.over("a", false);
     auditor.answered(T + 49_999, "a", Auditor.Answer.FULFILLED);
-    taken("b", EFFECTFUL, null);
+    accept("b", EFFECTFUL, null);
     auditor.sent(T, 0, "e1", "b");
     auditor.over("b", true);
     auditor.sent(T + 9, 0, "big", "b");
     auditor.over("b", true);
     auditor.answered(T + 10, "b", Auditor.Answer.TURNED_BACK);
-    found("");
+    assertFindings("");
     assertEquals(0, auditor.watching());
   }
 
   @Test
-  void answers() {
-    taken("a", PURE, null);
+  void missingLateRepeatedAndWrongAnswersAreReported() {
+    accept("a", PURE, null);
     auditor.answered(T + 10, "a", Auditor.Answer.BROKEN_OFF);
     auditor.answered(T + 11, "a", Auditor.Answer.BROKEN_OFF);
-    taken("b", PURE, null);
+    accept("b", PURE, null);
     auditor.answered(T + 50_501, "b", Auditor.Answer.BROKEN_OFF);
-    taken("c", PURE, null);
+    accept("c", PURE, null);
     auditor.left(T + 50_500, "c", true);
-    taken("d", PURE, null);
+    accept("d", PURE, null);
     auditor.answered(T + 10, "d", Auditor.Answer.FULFILLED);
-    taken("e", PURE, null);
+    accept("e", PURE, null);
     auditor.wrongResult(T, "e");
     auditor.answered(T + 10, "e", Auditor.Answer.BROKEN_OFF);
     auditor.sent(T + 11, 0, "e1", "e");
-    taken("f", PURE, null);
+    accept("f", PURE, null);
     auditor.left(T + 10, "f", false);
-    found(
+    assertFindings(
         """
         ANSWER: a was answered BROKEN_OFF after its end
         ANSWER: b was answered 50 ms too late
@@ -106,16 +106,16 @@
   }
 
   @Test
-  void effects() {
-    taken("a", EFFECTFUL, null).ranAt(T, "e1", "a", 100);
+  void effectsThatMayHappenTwiceAreReported() {
+    accept("a", EFFECTFUL, null).executeAt(T, "e1", "a", 100);
     auditor.over("a", false);
-    ranAt(T + 5, "big", "a", 100);
+    executeAt(T + 5, "big", "a", 100);
     auditor.over("a", false);
     auditor.answered(T + 10, "a", Auditor.Answer.TURNED_BACK);
-    taken("b", RECEIPTED, "k").ranAt(T, "e1", "b", 100);
+    accept("b", RECEIPTED, "k").executeAt(T, "e1", "b", 100);
     auditor.over("b", false);
     auditor.sent(T + 20_000, 0, "big", "b");
-    found(
+    assertFindings(
         """
         EFFECT: a went out again though it may have run
         EFFECT: a ran twice
@@ -125,14 +125,14 @@
   }
 
   @Test
-  void drains() {
-    taken("a", PURE, null).taken("b", PURE, null);
+  void attemptsAtDrainingOrUnknownEnginesAreReported() {
+    accept("a", PURE, null).accept("b", PURE, null);
     auditor.withdrawn(T, 0, "e1");
     auditor.sent(T + 8000, 0, "e1", "a");
     auditor.sent(T + 8001, 0, "e1", "b");
-    taken("c", PURE, null);
+    accept("c", PURE, null);
     auditor.sent(T, 0, "nobody", "c");
-    found(
+    assertFindings(
         """
         DRAIN: b went from n0 to e1 800 ms after it was told to be draining or gone
         DRAIN: a hop of c went to nobody, which nobody knows
@@ -140,36 +140,37 @@
   }
 
   @Test
-  void coldEngines() {
+  void overloadOfAnEngineThatIsWarmingUpIsReported() {
     // A second after its start it can do (0.25 + 0.75 / 10) * 8 cores * 2 s * 3.5 = 18.2 s of work.
-    taken("a", PURE, null).taken("b", PURE, null).ranAt(T, "cold", "a", 170_000);
-    found("");
-    ranAt(T + 10, "cold", "b", 20_000);
-    found("COLD: cold was sent 19000 ms of work within 2000 ms, 1001 ms after its start\n");
+    accept("a", PURE, null).accept("b", PURE, null).executeAt(T, "cold", "a", 170_000);
+    assertFindings("");
+    executeAt(T + 10, "cold", "b", 20_000);
+    assertFindings(
+        "COLD: cold was sent 19000 ms of work within 2000 ms, 1001 ms after its start\n");
   }
 
   @Test
-  void order() {
-    taken("a", ORDERED, "k").taken("b", ORDERED, "k").taken("c", ORDERED, "other");
+  void attemptsOutOfKeyOrderAreReported() {
+    accept("a", ORDERED, "k").accept("b", ORDERED, "k").accept("c", ORDERED, "other");
     auditor.sent(T, 0, "e1", "a");
     auditor.sent(T, 0, "e1", "c");
     auditor.sent(T + 1, 0, "e1", "b");
-    found("ORDER: b went out before a of the same key was over\n");
+    assertFindings("ORDER: b went out before a of the same key was over\n");
   }
 
   @Test
-  void placement() {
-    taken("a", BOUND, null);
+  void attemptsAtEnginesOfAnotherKindAreReported() {
+    accept("a", BOUND, null);
     auditor.sent(T, 0, "e1", "a");
     auditor.over("a", true);
     auditor.sent(T, 0, "big", "a");
-    found("PLACEMENT: a of bound went to big\n");
+    assertFindings("PLACEMENT: a of bound went to big\n");
   }
 
   @Test
-  void budget() {
+  void retriesBeyondTheBudgetAreReported() {
     for (int i = 0; i < 20; i++) {
-      taken("a" + i, PURE, null);
+      accept("a" + i, PURE, null);
       auditor.sent(T, 0, "e1", "a" + i);
       auditor.over("a" + i, true);
     }
@@ -177,7 +178,7 @@
       auditor.sent(T + 119_999, 0, "e1", "a" + i);
     }
     // Four and three twentieths of twenty; a window later the twenty count no more.
-    found("BUDGET: n0 made 8 further hops where 7.0 were allowed\n");
+    assertFindings("BUDGET: n0 made 8 further hops where 7.0 were allowed\n");
     auditor.sent(T + 120_000, 0, "e1", "a8");
     assertEquals(2, auditor.counts().get(Rule.BUDGET));
   }
