--- a/gateway/src/main/java/tillerlink/net/wire/Ascii.java
+++ b/gateway/src/main/java/tillerlink/net/wire/Ascii.java
@@ -4,31 +4,35 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** The checks of characters that the protocols share. */
+/** Checks of characters that the protocols share. */
 final class Ascii {
   private Ascii() {}
 
-  static boolean letterOrDigit(int c) {
-    return digit(c) || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z';
+  static boolean letterOrDigit(int character) {
+    return digit(character)
+        || character >= 'a' && character <= 'z'
+        || character >= 'A' && character <= 'Z';
   }
 
-  /** Whether a text is a whole number in digits alone, of any length. */
+  /** Whether a text consists of one digit or more and nothing else. */
   static boolean digits(String text) {
     return !text.isEmpty() && text.chars().allMatch(Ascii::digit);
   }
 
   /**
-   * @throws IllegalArgumentException if the bytes are no text in UTF-8
+   * Decodes UTF-8.
+   *
+   * @throws MalformedProtocolException if the bytes are none
    */
   static String utf8(byte[] bytes) {
     try {
       return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
     } catch (CharacterCodingException e) {
-      throw new IllegalArgumentException("not UTF-8", e);
+      throw new MalformedProtocolException("not UTF-8", e);
     }
   }
 
-  private static boolean digit(int c) {
-    return c >= '0' && c <= '9';
+  private static boolean digit(int character) {
+    return character >= '0' && character <= '9';
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/ByteAccumulator.java
+++ b/gateway/src/main/java/tillerlink/net/wire/ByteAccumulator.java
@@ -3,31 +3,35 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Bytes that were fed and not yet taken. */
+/**
+ * A queue of received bytes that were not yet consumed. It may hold on to a fed array instead of
+ * copying it. Callers bound its size.
+ */
 final class ByteAccumulator {
-  private byte[] kept = new byte[0];
+  private byte[] buffer = new byte[0];
   private int from;
   private int to;
 
   void feed(byte[] more) {
     if (from == to) {
-      kept = more;
+      buffer = more;
       from = 0;
       to = more.length;
       return;
     }
-    if (kept.length - to < more.length) {
-      // Room for as much again: a message that comes byte by byte must not be copied as often.
-      byte[] roomy = new byte[Math.max(2 * size(), size() + more.length)];
-      System.arraycopy(kept, from, roomy, 0, size());
+    if (buffer.length - to < more.length) {
+      // At least doubled: a message that comes byte by byte must not be copied as often.
+      byte[] larger = new byte[Math.max(2 * size(), size() + more.length)];
+      System.arraycopy(buffer, from, larger, 0, size());
       to = size();
       from = 0;
-      kept = roomy;
+      buffer = larger;
     }
-    System.arraycopy(more, 0, kept, to, more.length);
+    System.arraycopy(more, 0, buffer, to, more.length);
     to += more.length;
   }
 
+  /** The arrays, one behind the other. */
   static byte[] joined(byte[]... parts) {
     byte[] whole = new byte[Arrays.stream(parts).mapToInt(part -> part.length).sum()];
     int at = 0;
@@ -42,34 +46,37 @@
     return to - from;
   }
 
-  byte at(int place) {
-    return kept[from + place];
+  byte at(int index) {
+    return buffer[from + index];
   }
 
-  /** Where a byte stands at or after a place, or -1. */
-  int find(byte wanted, int place) {
-    for (int i = from + place; i < to; i++) {
-      if (kept[i] == wanted) {
+  /** The index of the first occurrence of a byte at or after an index, or -1. */
+  int find(byte wanted, int start) {
+    for (int i = from + start; i < to; i++) {
+      if (buffer[i] == wanted) {
         return i - from;
       }
     }
     return -1;
   }
 
+  /** Consumes bytes. */
   byte[] take(int count) {
-    byte[] taken = Arrays.copyOfRange(kept, from, from + count);
+    byte[] taken = Arrays.copyOfRange(buffer, from, from + count);
     skip(count);
     return taken;
   }
 
+  /** The first bytes as text, each byte one character; they are not consumed. */
   String text(int count) {
-    return new String(kept, from, count, StandardCharsets.ISO_8859_1);
+    return new String(buffer, from, count, StandardCharsets.ISO_8859_1);
   }
 
+  /** Consumes bytes without returning them. */
   void skip(int count) {
     from += count;
     if (from == to) {
-      kept = new byte[0];
+      buffer = new byte[0];
       from = 0;
       to = 0;
     }
--- a/gateway/src/main/java/tillerlink/net/wire/ResultEncoder.java
+++ b/gateway/src/main/java/tillerlink/net/wire/ResultEncoder.java
@@ -4,81 +4,96 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Turns pages as engines send them (tabs between columns, a line feed after each row) into a
- * client's last answer.
+ * Checks the pages of a result as engines send them (text with a tab between columns and a line
+ * feed after each row) and encodes them as the JSON of a client's response.
  */
 public final class ResultEncoder {
   private static final int COLUMNS = 3;
+  private static final String RECORDS_START = "{\"records\":[";
+  private static final String RECORDS_END = "]}";
+  private static final String ROW_START = "[\"";
+  private static final String NEXT_ROW_START = ",[\"";
+  private static final String ROW_END = "\"]";
+  private static final String COLUMN_SEPARATOR = "\",\"";
+  private static final String CONTROL_ESCAPE = "\\u00";
   private static final byte[] DIGITS = "0123456789abcdef".getBytes(StandardCharsets.US_ASCII);
 
   private ResultEncoder() {}
 
   /**
-   * Guards against handing on as whole what was spoilt on the way.
+   * Checks one page, so that damaged data is not passed on as whole.
    *
-   * @throws IllegalArgumentException if a page is not made of whole rows of text in three columns
+   * @throws IllegalArgumentException if it does not consist of whole rows of UTF-8 text in three
+   *     columns; the message says why
    */
   public static void check(byte[] page) {
     int tabs = 0;
-    for (byte b : page) {
-      tabs += b == '\t' ? 1 : 0;
-      if (b == '\n') {
+    for (byte octet : page) {
+      tabs += octet == '\t' ? 1 : 0;
+      if (octet == '\n') {
         if (tabs != COLUMNS - 1) {
-          throw new IllegalArgumentException("a row of " + (tabs + 1) + " columns");
+          throw new MalformedProtocolException("a row of " + (tabs + 1) + " columns");
         }
         tabs = 0;
       }
     }
     if (page.length > 0 && page[page.length - 1] != '\n') {
-      throw new IllegalArgumentException("a row cut off");
+      throw new MalformedProtocolException("a row cut off");
     }
     Ascii.utf8(page);
   }
 
+  /** The JSON of all pages, which must have been checked. */
   public static byte[] answer(byte[][] pages) {
     int size = 32;
     for (byte[] page : pages) {
       size += page.length + page.length / 4;
     }
     ByteArrayOutputStream out = new ByteArrayOutputStream(size);
-    write(out, "{\"records\":[");
+    write(out, RECORDS_START);
     boolean first = true;
-    boolean inRow = false;
     for (byte[] page : pages) {
-      for (byte b : page) {
-        if (!inRow) {
-          write(out, first ? "[\"" : ",[\"");
-          first = false;
-          inRow = true;
-        }
-        if (b == '\n') {
-          write(out, "\"]");
-          inRow = false;
-        } else if (b == '\t') {
-          write(out, "\",\"");
-        } else {
-          escape(out, b);
-        }
+      first = writeRows(out, page, first);
+    }
+    write(out, RECORDS_END);
+    return out.toByteArray();
+  }
+
+  /** Writes a page; tells whether a row that follows is still the first of all. */
+  private static boolean writeRows(ByteArrayOutputStream out, byte[] page, boolean first) {
+    boolean firstRow = first;
+    boolean inRow = false;
+    for (byte octet : page) {
+      if (!inRow) {
+        write(out, firstRow ? ROW_START : NEXT_ROW_START);
+        firstRow = false;
+        inRow = true;
       }
-      if (inRow) {
-        write(out, "\"]");
+      if (octet == '\n') {
+        write(out, ROW_END);
         inRow = false;
+      } else if (octet == '\t') {
+        write(out, COLUMN_SEPARATOR);
+      } else {
+        writeEscaped(out, octet);
       }
     }
-    write(out, "]}");
-    return out.toByteArray();
+    if (inRow) {
+      write(out, ROW_END);
+    }
+    return firstRow;
   }
 
-  private static void escape(ByteArrayOutputStream out, byte b) {
-    if (b == '"' || b == '\\') {
+  private static void writeEscaped(ByteArrayOutputStream out, byte octet) {
+    if (octet == '"' || octet == '\\') {
       out.write('\\');
-      out.write(b);
-    } else if (b >= 0 && b < ' ') {
-      write(out, "\\u00");
-      out.write(DIGITS[b >> 4]);
-      out.write(DIGITS[b & 15]);
+      out.write(octet);
+    } else if (octet >= 0 && octet < ' ') {
+      write(out, CONTROL_ESCAPE);
+      out.write(DIGITS[octet >> 4]);
+      out.write(DIGITS[octet & 15]);
     } else {
-      out.write(b);
+      out.write(octet);
     }
   }
 
