--- a/gateway/src/main/java/tillerlink/net/wire/HttpParseError.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpParseError.java
@@ -1,4 +1,9 @@
 package tillerlink.net.wire;
 
-/** Bytes that are no usable call: the status that says so, after which the connection ends. */
+/**
+ * Received bytes are no usable request; the connection ends after the response that says so.
+ *
+ * @param status the status of that response
+ * @param cause what is wrong, for that response
+ */
 public record HttpParseError(int status, String cause) implements HttpParseResult {}
--- a/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
@@ -4,24 +4,56 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Makes calls of the bytes of one client connection (RFC 9112); knows no socket. */
+/**
+ * Parses the requests of one client connection (RFC 9112), without I/O. The lengths of the request
+ * line, the head and the body and the number of headers are bounded. After an error nothing more is
+ * parsed.
+ */
 public final class HttpRequestParser {
-  private static final int LINE_MOST = 4096;
-  private static final int HEAD_MOST = 16_384;
-  private static final int FIELDS_MOST = 64;
-  private static final int BODY_MOST = 131_072;
-  private static final String MARKS = "!#$%&'*+-.^_`|~";
+  private static final int MAX_REQUEST_LINE = 4096;
+  private static final int MAX_HEAD = 16_384;
+  private static final int MAX_FIELDS = 64;
+  private static final int MAX_BODY = 131_072;
+  private static final int MAX_LENGTH_DIGITS = 9;
+
+  /** What a token may have beside letters and digits (RFC 9110, section 5.6.2). */
+  private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
+
+  private static final String HTTP = "HTTP/";
+  private static final String HTTP_1_0 = "HTTP/1.0";
+  private static final String HTTP_1_1 = "HTTP/1.1";
+  private static final String SCHEME_END = "://";
+
+  private static final String HOST = "host";
+  private static final String CONNECTION = "connection";
+  private static final String KEEP_ALIVE = "keep-alive";
+  private static final String CLOSE = "close";
+  private static final String EXPECT = "expect";
+  private static final String EXPECT_CONTINUE = "100-continue";
+  private static final String TRANSFER_ENCODING = "transfer-encoding";
+  private static final String CONTENT_LENGTH = "content-length";
+
+  /** Headers of these names may come once only. */
+  private static final String CONTENT_PREFIX = "content-";
+
+  private static final String OWN_PREFIX = "x-";
+
+  private static final byte[] NO_BODY = new byte[0];
 
   private final ByteAccumulator bytes = new ByteAccumulator();
   private boolean broken;
 
-  /** The head of a call whose body is still to come. */
+  /** The head of the request whose body is not yet whole, or null. */
   private HttpRequest head;
 
   private int bodyLength;
+
+  /** Where the first line begins that was not yet looked at for the head's end. */
   private int scanned;
-  private boolean goOnWanted;
 
+  private boolean continueExpected;
+
+  /** Takes received bytes, which may end anywhere in a request. */
   public void feed(byte[] more) {
     if (!broken) {
       bytes.feed(more);
@@ -29,28 +61,26 @@
   }
 
   /**
-   * How many bytes wait to be taken; those of one call are bounded, so more than that are
+   * How many bytes were not yet consumed; those of one request are bounded, so more than that are
    * pipelined.
    */
   public int waiting() {
     return bytes.size();
   }
 
-  /** Whether a call has begun to come and is not yet whole. */
+  /** Whether a request was received in part. */
   public boolean midway() {
     return !broken && (head != null || bytes.size() > 0);
   }
 
-  /** Whether the client waits for a word before it sends the body; true once. */
+  /** Whether the client waits for 100 Continue before it sends the body; true once a request. */
   public boolean wantsGoOn() {
-    boolean wanted = goOnWanted;
-    goOnWanted = false;
-    return wanted;
+    boolean expected = continueExpected;
+    continueExpected = false;
+    return expected;
   }
 
-  /**
-   * The next call, or the fault after which nothing more is read, or null while it is not whole.
-   */
+  /** The next request, the error after which nothing more is parsed, or null while not whole. */
   public HttpParseResult next() {
     if (broken) {
       return null;
@@ -63,9 +93,9 @@
       HttpRequest whole =
           new HttpRequest(head.method(), head.path(), head.fields(), body, head.last());
       head = null;
-      goOnWanted = false;
+      continueExpected = false;
       return whole;
-    } catch (Fault e) {
+    } catch (BadRequestException e) {
       broken = true;
       bytes.skip(bytes.size());
       return new HttpParseError(e.status, e.getMessage());
@@ -83,112 +113,135 @@
     String[] lines = bytes.text(end).split("\r?\n");
     bytes.skip(end);
     scanned = 0;
-    String[] words = lines[0].split(" ", -1);
-    if (words.length != 3 || words[0].isEmpty() || words[1].isEmpty()) {
-      throw new Fault(400, "request line");
-    }
-    if (!words[2].equals("HTTP/1.1") && !words[2].equals("HTTP/1.0")) {
-      throw new Fault(words[2].startsWith("HTTP/") ? 505 : 400, "version");
-    }
-    boolean old = words[2].endsWith("0");
+    String[] requestLine = requestLine(lines[0]);
+    boolean http10 = requestLine[2].equals(HTTP_1_0);
     Map<String, String> fields = fields(lines);
-    if (!old && !fields.containsKey("host")) {
-      throw new Fault(400, "no Host");
+    if (!http10 && !fields.containsKey(HOST)) {
+      throw new BadRequestException(HttpStatus.BAD_REQUEST, "no Host");
     }
     bodyLength = bodyLength(fields);
-    String connection = fields.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
     head =
         new HttpRequest(
-            method(words[0]),
-            path(words[1]),
+            method(requestLine[0]),
+            path(requestLine[1]),
             fields,
-            new byte[0],
-            old ? !connection.contains("keep-alive") : connection.contains("close"));
-    goOnWanted = "100-continue".equalsIgnoreCase(fields.get("expect")) && bytes.size() < bodyLength;
+            NO_BODY,
+            wantsClose(http10, fields));
+    continueExpected =
+        EXPECT_CONTINUE.equalsIgnoreCase(fields.get(EXPECT)) && bytes.size() < bodyLength;
     return true;
   }
 
-  /** Where the blank line after the head ends, or -1 while it has not come. */
+  /** The index behind the blank line that ends the head, or -1 while it was not received. */
   private int headEnd() {
     int lineFrom = scanned;
     while (true) {
       int lineTo = bytes.find((byte) '\n', lineFrom);
       int reached = lineTo < 0 ? bytes.size() : lineTo + 1;
-      if (scanned == 0 && lineFrom == 0 && reached > LINE_MOST) {
-        throw new Fault(414, "request line too long");
+      if (lineFrom == 0 && reached > MAX_REQUEST_LINE) {
+        throw new BadRequestException(HttpStatus.URI_TOO_LONG, "request line too long");
       }
-      if (reached > HEAD_MOST) {
-        throw new Fault(431, "head too long");
+      if (reached > MAX_HEAD) {
+        throw new BadRequestException(HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too long");
       }
       if (lineTo < 0) {
         scanned = lineFrom;
         return -1;
       }
-      int length = lineTo - lineFrom;
-      if (lineFrom > 0 && (length == 0 || length == 1 && bytes.at(lineFrom) == '\r')) {
+      if (lineFrom > 0 && isBlankLine(lineFrom, lineTo)) {
         return reached;
       }
       lineFrom = reached;
     }
   }
 
+  private boolean isBlankLine(int from, int to) {
+    return to == from || to == from + 1 && bytes.at(from) == '\r';
+  }
+
+  /** Method, target and version. */
+  private static String[] requestLine(String line) {
+    String[] words = line.split(" ", -1);
+    if (words.length != 3 || words[0].isEmpty() || words[1].isEmpty()) {
+      throw new BadRequestException(HttpStatus.BAD_REQUEST, "request line");
+    }
+    String version = words[2];
+    if (!version.equals(HTTP_1_1) && !version.equals(HTTP_1_0)) {
+      throw new BadRequestException(
+          version.startsWith(HTTP) ? HttpStatus.VERSION_NOT_SUPPORTED : HttpStatus.BAD_REQUEST,
+          "version");
+    }
+    return words;
+  }
+
   private static Map<String, String> fields(String[] lines) {
     Map<String, String> fields = new HashMap<>();
     for (int i = 1; i < lines.length; i++) {
-      int colon = lines[i].indexOf(':');
-      if (colon <= 0 || i > FIELDS_MOST) {
-        throw new Fault(i > FIELDS_MOST ? 431 : 400, "header line");
-      }
-      String name = lines[i].substring(0, colon);
-      String value = lines[i].substring(colon + 1).strip();
-      if (!name.chars().allMatch(HttpRequestParser::inName)
-          || value.chars().anyMatch(c -> c < ' ' && c != '\t')) {
-        throw new Fault(400, "header line");
+      if (i > MAX_FIELDS) {
+        throw new BadRequestException(HttpStatus.HEADER_FIELDS_TOO_LARGE, "header line");
       }
-      String small = name.toLowerCase(Locale.ROOT);
-      boolean single =
-          small.startsWith("x-") || small.equals("host") || small.startsWith("content-");
-      if (single && fields.containsKey(small)) {
-        throw new Fault(400, "doubled header " + small);
-      }
-      fields.merge(small, value, (one, two) -> one + ", " + two);
+      addField(fields, lines[i]);
     }
     return fields;
   }
 
+  private static void addField(Map<String, String> fields, String line) {
+    int colon = line.indexOf(':');
+    if (colon <= 0) {
+      throw new BadRequestException(HttpStatus.BAD_REQUEST, "header line");
+    }
+    String name = line.substring(0, colon);
+    String value = line.substring(colon + 1).strip();
+    if (!isToken(name) || value.chars().anyMatch(HttpRequestParser::isControl)) {
+      throw new BadRequestException(HttpStatus.BAD_REQUEST, "header line");
+    }
+    String lowerCaseName = name.toLowerCase(Locale.ROOT);
+    if (isSingle(lowerCaseName) && fields.containsKey(lowerCaseName)) {
+      throw new BadRequestException(HttpStatus.BAD_REQUEST, "doubled header " + lowerCaseName);
+    }
+    fields.merge(lowerCaseName, value, (first, second) -> first + ", " + second);
+  }
+
+  private static boolean isSingle(String lowerCaseName) {
+    return lowerCaseName.startsWith(OWN_PREFIX)
+        || lowerCaseName.equals(HOST)
+        || lowerCaseName.startsWith(CONTENT_PREFIX);
+  }
+
   private static int bodyLength(Map<String, String> fields) {
-    if (fields.containsKey("transfer-encoding")) {
-      throw new Fault(411, "body without a length");
+    if (fields.containsKey(TRANSFER_ENCODING)) {
+      throw new BadRequestException(HttpStatus.LENGTH_REQUIRED, "body without a length");
     }
-    String text = fields.getOrDefault("content-length", "0");
+    String text = fields.getOrDefault(CONTENT_LENGTH, "0");
     if (!Ascii.digits(text)) {
-      throw new Fault(400, "Content-Length");
+      throw new BadRequestException(HttpStatus.BAD_REQUEST, "Content-Length");
     }
-    if (text.length() > 9 || Integer.parseInt(text) > BODY_MOST) {
-      throw new Fault(413, "body too long");
+    if (text.length() > MAX_LENGTH_DIGITS || Integer.parseInt(text) > MAX_BODY) {
+      throw new BadRequestException(HttpStatus.CONTENT_TOO_LARGE, "body too long");
     }
     return Integer.parseInt(text);
   }
 
+  private static boolean wantsClose(boolean http10, Map<String, String> fields) {
+    String connection = fields.getOrDefault(CONNECTION, "").toLowerCase(Locale.ROOT);
+    return http10 ? !connection.contains(KEEP_ALIVE) : connection.contains(CLOSE);
+  }
+
   private static HttpRequest.Method method(String word) {
-    if (!word.chars().allMatch(HttpRequestParser::inName)) {
-      throw new Fault(400, "method");
+    if (!isToken(word)) {
+      throw new BadRequestException(HttpStatus.BAD_REQUEST, "method");
     }
-    return switch (word) {
-      case "GET" -> HttpRequest.Method.GET;
-      case "POST" -> HttpRequest.Method.POST;
-      case "DELETE" -> HttpRequest.Method.DELETE;
-      default -> HttpRequest.Method.OTHER;
-    };
+    return HttpRequest.Method.ofWire(word);
   }
 
+  /** The path of a target in origin form or absolute form (RFC 9112, section 3.2). */
   private static String path(String target) {
     String path = target;
     if (!path.startsWith("/")) {
-      int authority = path.indexOf("://");
-      int slash = authority < 0 ? -1 : path.indexOf('/', authority + 3);
+      int authority = path.indexOf(SCHEME_END);
+      int slash = authority < 0 ? -1 : path.indexOf('/', authority + SCHEME_END.length());
       if (slash < 0) {
-        throw new Fault(400, "target");
+        throw new BadRequestException(HttpStatus.BAD_REQUEST, "target");
       }
       path = path.substring(slash);
     }
@@ -196,15 +249,24 @@
     return query < 0 ? path : path.substring(0, query);
   }
 
-  private static boolean inName(int c) {
-    return Ascii.letterOrDigit(c) || MARKS.indexOf(c) >= 0;
+  private static boolean isToken(String text) {
+    return text.chars().allMatch(HttpRequestParser::isTokenCharacter);
+  }
+
+  private static boolean isTokenCharacter(int character) {
+    return Ascii.letterOrDigit(character) || TOKEN_MARKS.indexOf(character) >= 0;
+  }
+
+  private static boolean isControl(int character) {
+    return character < ' ' && character != '\t';
   }
 
-  private static final class Fault extends RuntimeException {
+  /** A request that can't be parsed, with the status of its response. */
+  private static final class BadRequestException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final int status;
 
-    Fault(int status, String cause) {
+    BadRequestException(int status, String cause) {
       super(cause, null, false, false);
       this.status = status;
     }
--- a/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
+++ b/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
@@ -1,15 +1,19 @@
 package tillerlink.net.wire;
 
 import java.util.Arrays;
-import java.util.Locale;
 import java.util.Objects;
 import tillerlink.plain.Units;
 
 /**
- * A request as a client words it. Times are tenths of a millisecond, memory is megabytes.
+ * A client's request to run a statement. Times are tenths of a millisecond, memory is megabytes.
  *
- * @param key the mark by which engines know a repeat, or null
+ * @param patience how long the client waits for the result
+ * @param repeat whether the client has sent it before
+ * @param key the idempotency key by which engines recognise a repetition, or null
  * @param subject what it is about, for request classes that keep their order by it, or null
+ * @param estimate the client's estimate of the work; 0 if none
+ * @param memory the client's estimate of the memory needed; 0 if none
+ * @param tableGroup the group of tables that the statement names; 0 if none
  */
 public record SubmitRequest(
     String id,
@@ -22,77 +26,106 @@
     double memory,
     int tableGroup,
     byte[] statement) {
+  private static final String ID_HEADER = "X-Correlation-Id";
+  private static final String KEY_HEADER = "X-Operation-Key";
+  private static final String SUBJECT_HEADER = "X-Subject";
+  private static final String DEADLINE_HEADER = "X-Deadline-Ms";
+  private static final String RESENT_HEADER = "X-Resent";
+  private static final String ESTIMATE_HEADER = "X-Estimate-Ms";
+  private static final String MEMORY_HEADER = "X-Space";
+  private static final String RESENT = "1";
+
   private static final int ID_DIGITS = 16;
-  private static final int KEY_MOST = 64;
-  private static final int SUBJECT_MOST = 256;
-  private static final int DIGITS_MOST = 9;
+  private static final int MAX_KEY_LENGTH = 64;
+  private static final int MAX_SUBJECT_LENGTH = 256;
+  private static final int MAX_NUMBER_LENGTH = 9;
 
   /**
-   * @throws IllegalArgumentException if a header is missing or can't be used; the message names it
+   * Parses a request; its class is the last part of the path.
+   *
+   * @throws IllegalArgumentException if a header is missing or unusable, with its name as the
+   *     message, or the body is no statement
    */
-  public static SubmitRequest of(HttpRequest call) {
-    String id = call.fields().get("x-correlation-id");
-    if (id == null || id.length() != ID_DIGITS || !id.chars().allMatch(SubmitRequest::hexDigit)) {
-      throw new IllegalArgumentException("X-Correlation-Id");
-    }
-    String key = call.fields().get("x-operation-key");
-    if (key != null
-        && (key.isEmpty()
-            || key.length() > KEY_MOST
-            || !key.chars().allMatch(SubmitRequest::plain))) {
-      throw new IllegalArgumentException("X-Operation-Key");
-    }
-    String subject = call.fields().get("x-subject");
-    if (subject != null && subject.length() > SUBJECT_MOST) {
-      throw new IllegalArgumentException("X-Subject");
-    }
-    double patience = amount(call, "X-Deadline-Ms");
+  public static SubmitRequest of(HttpRequest request) {
+    String id = id(request);
+    String key = key(request);
+    String subject = subject(request);
+    double patience = amount(request, DEADLINE_HEADER);
     if (patience <= 0) {
-      throw new IllegalArgumentException("X-Deadline-Ms");
+      throw new MalformedProtocolException(DEADLINE_HEADER);
     }
-    String statement = Ascii.utf8(call.body());
+    String statement = Ascii.utf8(request.body());
     if (statement.isBlank() || statement.indexOf('\0') >= 0) {
-      throw new IllegalArgumentException("no statement");
+      throw new MalformedProtocolException("no statement");
     }
     return new SubmitRequest(
         id,
-        call.path().substring(call.path().lastIndexOf('/') + 1),
+        request.path().substring(request.path().lastIndexOf('/') + 1),
         (long) (patience * Units.TENTHS_PER_MS),
-        "1".equals(call.fields().get("x-resent")),
+        RESENT.equals(request.header(RESENT_HEADER)),
         key,
         subject,
-        amount(call, "X-Estimate-Ms") * Units.TENTHS_PER_MS,
-        amount(call, "X-Space"),
+        amount(request, ESTIMATE_HEADER) * Units.TENTHS_PER_MS,
+        amount(request, MEMORY_HEADER),
         StatementTableScanner.tableGroup(statement),
-        call.body());
+        request.body());
   }
 
-  private static boolean hexDigit(int c) {
-    return c < 128 && Character.digit(c, 16) >= 0;
+  private static String id(HttpRequest request) {
+    String id = request.header(ID_HEADER);
+    if (id == null || id.length() != ID_DIGITS || !id.chars().allMatch(SubmitRequest::isHexDigit)) {
+      throw new MalformedProtocolException(ID_HEADER);
+    }
+    return id;
   }
 
-  private static boolean plain(int c) {
-    return Ascii.letterOrDigit(c) || c == '-' || c == '_' || c == '.';
+  private static String key(HttpRequest request) {
+    String key = request.header(KEY_HEADER);
+    if (key != null
+        && (key.isEmpty()
+            || key.length() > MAX_KEY_LENGTH
+            || !key.chars().allMatch(SubmitRequest::isKeyCharacter))) {
+      throw new MalformedProtocolException(KEY_HEADER);
+    }
+    return key;
+  }
+
+  private static String subject(HttpRequest request) {
+    String subject = request.header(SUBJECT_HEADER);
+    if (subject != null && subject.length() > MAX_SUBJECT_LENGTH) {
+      throw new MalformedProtocolException(SUBJECT_HEADER);
+    }
+    return subject;
+  }
+
+  private static boolean isHexDigit(int character) {
+    return character < 128 && Character.digit(character, 16) >= 0;
+  }
+
+  private static boolean isKeyCharacter(int character) {
+    return Ascii.letterOrDigit(character)
+        || character == '-'
+        || character == '_'
+        || character == '.';
   }
 
   /**
-   * Digits, and a fraction at most: what else a parser would take (1e9, NaN, 0x1p3) no client of
-   * ours sends.
+   * A number in digits, with a fraction at most; 0 if absent. Other forms that Java would parse
+   * (1e9, NaN, 0x1p3) are errors.
    */
-  private static double amount(HttpRequest call, String name) {
-    String text = call.fields().getOrDefault(name.toLowerCase(Locale.ROOT), "0");
+  private static double amount(HttpRequest request, String name) {
+    String stated = request.header(name);
+    String text = stated == null ? "0" : stated;
     int point = text.indexOf('.');
     String whole = point < 0 ? text : text.substring(0, point);
-    String part = point < 0 ? "0" : text.substring(point + 1);
-    if (!Ascii.digits(whole) || !Ascii.digits(part) || text.length() > DIGITS_MOST) {
-      throw new IllegalArgumentException(name);
+    String fraction = point < 0 ? "0" : text.substring(point + 1);
+    if (!Ascii.digits(whole) || !Ascii.digits(fraction) || text.length() > MAX_NUMBER_LENGTH) {
+      throw new MalformedProtocolException(name);
     }
     return Double.parseDouble(text);
   }
 
-  /**
-   * Whether another is the same request once more, made again by a client whose connection broke.
-   */
+  /** Whether another is the same request, sent again by a client whose connection was lost. */
   public boolean same(SubmitRequest other) {
     return requestClass.equals(other.requestClass)
         && Objects.equals(key, other.key)
