--- a/gateway/src/main/java/tillerlink/net/wire/EngineResponseParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineResponseParser.java
@@ -1,90 +1,96 @@
 package tillerlink.net.wire;
 
-/** Makes answers of the bytes of one engine connection; knows no socket. */
+/**
+ * Parses the responses of one engine connection in the line protocol, without I/O: a line of four
+ * words, {@code id word fields length}, then a body of that length, both ended by CR LF. Lines and
+ * bodies are bounded. After an error the connection can't be used any more.
+ */
 public final class EngineResponseParser {
-  private static final int LINE_MOST = 1024;
-  private static final int BODY_MOST = 6000;
+  private static final int MAX_LINE_LENGTH = 1024;
+  private static final int MAX_BODY_LENGTH = 6000;
+  private static final int MAX_DIGITS = 9;
+  private static final int WORDS = 4;
+  private static final String NO_FIELDS = "-";
+  private static final String PAGE_COUNT_FIELD = "count";
+  private static final String PAGE_NUMBER_FIELD = "pos";
+  private static final String ABOUT_FIELD = "tell";
+  private static final String LEVEL_FIELD = "reading";
 
   private final ByteAccumulator bytes = new ByteAccumulator();
+
+  /** The words of the line whose body is not yet whole, or null. */
   private String[] words;
-  private int length;
 
+  private int bodyLength;
+
+  /** Takes received bytes, which may end anywhere in a response. */
   public void feed(byte[] more) {
     bytes.feed(more);
   }
 
-  /** Whether an answer has begun to come and is not yet whole. */
+  /** Whether a response was received in part. */
   public boolean midway() {
     return words != null || bytes.size() > 0;
   }
 
   /**
-   * The next answer, or null while it is not whole.
+   * The next response, or null while it is not whole.
    *
-   * @throws IllegalArgumentException if the bytes are none; the connection can't be used any more
+   * @throws IllegalArgumentException if it is malformed; the message says why
    */
   public EngineResponse next() {
-    if (words == null && !readLine() || bytes.size() < length + 2) {
+    if (words == null && !readLine() || bytes.size() < bodyLength + 2) {
       return null;
     }
-    if (bytes.at(length) != '\r' || bytes.at(length + 1) != '\n') {
-      throw new IllegalArgumentException("a length that does not fit");
+    if (bytes.at(bodyLength) != '\r' || bytes.at(bodyLength + 1) != '\n') {
+      throw new MalformedProtocolException("a length that does not fit");
     }
-    byte[] body = bytes.take(length);
+    byte[] body = bytes.take(bodyLength);
     bytes.skip(2);
-    EngineResponse answer = answer(words, body);
+    EngineResponse response = response(words, body);
     words = null;
-    return answer;
+    return response;
   }
 
   private boolean readLine() {
     int end = bytes.find((byte) '\n', 0);
-    if (end < 0 ? bytes.size() > LINE_MOST : end > LINE_MOST) {
-      throw new IllegalArgumentException("a line too long");
+    if (end < 0 ? bytes.size() > MAX_LINE_LENGTH : end > MAX_LINE_LENGTH) {
+      throw new MalformedProtocolException("a line too long");
     }
     if (end < 0) {
       return false;
     }
     if (end == 0 || bytes.at(end - 1) != '\r') {
-      throw new IllegalArgumentException("a line without CR LF");
+      throw new MalformedProtocolException("a line without CR LF");
     }
     words = bytes.text(end - 1).split(" ", -1);
     bytes.skip(end + 1);
-    if (words.length != 4 || words[0].isEmpty()) {
-      throw new IllegalArgumentException("a line of " + words.length + " words");
+    if (words.length != WORDS || words[0].isEmpty()) {
+      throw new MalformedProtocolException("a line of " + words.length + " words");
     }
-    length = whole(words[3]);
-    if (length > BODY_MOST) {
-      throw new IllegalArgumentException("a body too long");
+    bodyLength = wholeNumber(words[3]);
+    if (bodyLength > MAX_BODY_LENGTH) {
+      throw new MalformedProtocolException("a body too long");
     }
     return true;
   }
 
-  private static EngineResponse answer(String[] words, byte[] body) {
-    EngineResponse.Word word =
-        switch (words[1]) {
-          case "ok" -> EngineResponse.Word.OK;
-          case "refused" -> EngineResponse.Word.REFUSED;
-          case "error" -> EngineResponse.Word.ERROR;
-          case "stale" -> EngineResponse.Word.STALE;
-          case "progress" -> EngineResponse.Word.PROGRESS;
-          case "batch" -> EngineResponse.Word.BATCH;
-          case "yes" -> EngineResponse.Word.YES;
-          default -> throw new IllegalArgumentException("an unknown word");
-        };
+  private static EngineResponse response(String[] words, byte[] body) {
+    EngineResponse.Word word = EngineResponse.Word.ofWire(words[1]);
     int number = -1;
     EngineResponse.About about = null;
     double level = 0;
-    for (String field : words[2].equals("-") ? new String[0] : words[2].split(",")) {
+    for (String field : words[2].equals(NO_FIELDS) ? new String[0] : words[2].split(",")) {
       int sign = field.indexOf('=');
       if (sign <= 0) {
-        throw new IllegalArgumentException("a field without a value");
+        throw new MalformedProtocolException("a field without a value");
       }
       String value = field.substring(sign + 1);
       switch (field.substring(0, sign)) {
-        case "count", "pos" -> number = whole(value);
-        case "tell" -> about = about(value);
-        case "reading" -> level = amount(value);
+        case PAGE_COUNT_FIELD, PAGE_NUMBER_FIELD -> number = wholeNumber(value);
+        case ABOUT_FIELD -> about = EngineResponse.About.ofWire(value);
+        case LEVEL_FIELD -> level = finiteNumber(value);
+        // Unknown fields are ignored.
         default -> {}
       }
     }
@@ -94,26 +100,17 @@
     return new EngineResponse(words[0], word, number, about, level, body);
   }
 
-  private static EngineResponse.About about(String value) {
-    return switch (value) {
-      case "frac" -> EngineResponse.About.SHARE_DONE;
-      case "missing" -> EngineResponse.About.MEGABYTES_MISSING;
-      case "parked" -> EngineResponse.About.PARKED;
-      default -> null;
-    };
-  }
-
-  private static double amount(String text) {
-    double amount = Double.parseDouble(text);
-    if (!Double.isFinite(amount)) {
-      throw new IllegalArgumentException("not a number");
+  private static double finiteNumber(String text) {
+    double number = Double.parseDouble(text);
+    if (!Double.isFinite(number)) {
+      throw new MalformedProtocolException("not a number");
     }
-    return amount;
+    return number;
   }
 
-  private static int whole(String text) {
-    if (text.length() > 9 || !Ascii.digits(text)) {
-      throw new IllegalArgumentException("not a whole number");
+  private static int wholeNumber(String text) {
+    if (text.length() > MAX_DIGITS || !Ascii.digits(text)) {
+      throw new MalformedProtocolException("not a whole number");
     }
     return Integer.parseInt(text);
   }
