--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.Locale;
 import tillerlink.audit.Auditor;
-import tillerlink.emulator.Meter;
-import tillerlink.emulator.World;
+import tillerlink.emulator.CostMeter;
+import tillerlink.emulator.EmulatedCluster;
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
 import tillerlink.policy.DefaultDispatchPolicy;
@@ -39,30 +39,30 @@
     }
   }
 
-  private static World world(boolean http2) {
+  private static EmulatedCluster cluster(boolean http2) {
     Fleet fleet = Fleet.of(1, 30).overHttp2(kind -> http2);
-    return new World(
+    return new EmulatedCluster(
             fleet, List.of(REQUEST_CLASS), new Auditor(fleet, List.of(REQUEST_CLASS)), START)
-        .seat(DefaultDispatchPolicy::new, 1);
+        .startGateways(DefaultDispatchPolicy::new, 1);
   }
 
   private static void inFlight(boolean http2) {
-    World world = world(http2);
+    EmulatedCluster cluster = cluster(http2);
     Front front =
         new Front(
-            world,
-            new GatewayConnections(world),
+            cluster,
+            new GatewayConnections(cluster),
             new Figures(List.of(REQUEST_CLASS)),
             new Wording(1, 0));
     for (int i = 0; i < 1000; i++) {
       Arrival arrival = new Arrival(i * 10, i, 0, 60_000, 1, i % 64, i);
-      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
     }
     int most = 0;
     int outMost = 0;
-    while (world.now() < START + 30_000) {
-      world.timeline.step();
-      most = Math.max(most, world.seats.get(0).links());
+    while (cluster.now() < START + 30_000) {
+      cluster.timeline.step();
+      most = Math.max(most, cluster.gateway(0).engineConnections());
       outMost = Math.max(outMost, front.open());
     }
     System.out.printf(
@@ -74,18 +74,19 @@
   }
 
   private static void atHalfLoad(boolean http2) {
-    World world = world(http2);
-    world.meter = new Meter();
+    EmulatedCluster cluster = cluster(http2);
+    CostMeter meter = new CostMeter();
+    cluster.costMeter(meter);
     Figures figures = new Figures(List.of(REQUEST_CLASS));
-    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(1, 0.2));
-    double gap = 500 / (world.fleet.cores() * 0.5);
+    Front front = new Front(cluster, new GatewayConnections(cluster), figures, new Wording(1, 0.2));
+    double gap = 500 / (cluster.fleet.cores() * 0.5);
     for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival = new Arrival((long) (i * gap), i, 0, 500, 1, i % 64, i);
-      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
     }
     long began = System.nanoTime();
     while (figures.arrived() < REQUESTS || front.open() > 0) {
-      world.timeline.step();
+      cluster.timeline.step();
     }
     double seconds = (System.nanoTime() - began) / 1e9;
     Figures.OfRequestClass of = figures.requestClasses().get(0);
@@ -94,12 +95,12 @@
         "%s: %.1f us and %d bytes of a gateway a submission, %.0f a second with "
             + "all stand-ins, half in %.1f ms, 99 of 100 in %.1f ms, %d connections%n",
         name(http2),
-        world.meter.nanos() / 1e3 / REQUESTS,
-        world.meter.bytes() / REQUESTS,
+        meter.nanos() / 1e3 / REQUESTS,
+        meter.bytes() / REQUESTS,
         REQUESTS / seconds,
         of.timeMs(50),
         of.timeMs(99),
-        world.seats.get(0).links());
+        cluster.gateway(0).engineConnections());
   }
 
   private static String name(boolean http2) {
--- a/emulator/src/main/java/tillerlink/emulator/Meter.java
+++ b/emulator/src/main/java/tillerlink/emulator/CostMeter.java
@@ -4,10 +4,10 @@
 import java.lang.management.ManagementFactory;
 
 /**
- * What gateways cost of what a replay costs: time and memory handed out in their turns, on the
- * thread that plays.
+ * Measures the share of gateways in the cost of a replay: time and allocated memory during their
+ * event-loop iterations, on the thread that plays.
  */
-public final class Meter {
+public final class CostMeter {
   private final ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
   private final long thread = Thread.currentThread().getId();
   private long nanos;
@@ -15,12 +15,12 @@
   private long startNanos;
   private long startBytes;
 
-  void turnBegins() {
+  void iterationBegins() {
     startBytes = threads.getThreadAllocatedBytes(thread);
     startNanos = System.nanoTime();
   }
 
-  void turnEnds() {
+  void iterationEnds() {
     nanos += System.nanoTime() - startNanos;
     bytes += threads.getThreadAllocatedBytes(thread) - startBytes;
   }
@@ -33,6 +33,7 @@
     return bytes;
   }
 
+  /** Starts again at zero. */
   public void reset() {
     nanos = 0;
     bytes = 0;
--- a/emulator/src/main/java/tillerlink/emulator/DeduplicationLog.java
+++ b/emulator/src/main/java/tillerlink/emulator/DeduplicationLog.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashMap;
 
-/** The marks that a group of engines has seen, each for a time. */
+/** The idempotency keys that a deduplication group of engines has seen, each for a time. */
 final class DeduplicationLog {
   private final LinkedHashMap<String, Long> seen = new LinkedHashMap<>();
   private final long window;
@@ -11,11 +11,11 @@
     this.window = window;
   }
 
-  /** Whether a mark is new. */
-  boolean first(long now, String mark) {
+  /** Whether a key is seen for the first time within the window. */
+  boolean isFirst(long now, String key) {
     while (!seen.isEmpty() && seen.values().iterator().next() <= now - window) {
       seen.remove(seen.keySet().iterator().next());
     }
-    return seen.putIfAbsent(mark, now) == null;
+    return seen.putIfAbsent(key, now) == null;
   }
 }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
@@ -3,184 +3,228 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
-import tillerlink.fakes.EngineCommands.Command;
-import tillerlink.fakes.EngineReplies;
+import tillerlink.fakes.EngineCommandParser.Command;
+import tillerlink.fakes.EngineProtocolServer;
+import tillerlink.fakes.EngineReply;
 import tillerlink.fakes.LineProtocolServer;
 import tillerlink.fleet.Kind;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.DisconnectReason;
 
 /**
- * A connection from a gateway to an engine: bytes take a while, in order; a machine that is silent
- * swallows them.
+ * A connection from a gateway to an engine. Bytes arrive in order after a delay; an engine that is
+ * silent loses them.
  */
-final class EmulatedConnection implements Channel, Peer {
-  private static final int LATE_MOST = 200;
-  private static final long WORD_LATE = 1000;
-  private static final long SAID_LATE = 3000;
-
-  private final World world;
-  private final EmulatedGateway seat;
-  private final int life;
+final class EmulatedConnection implements Channel, ServerConnection {
+  // Times in tenths of a millisecond.
+  private static final int MAX_JITTER = 200;
+  private static final long WRITE_CONFIRMATION_DELAY = 1000;
+  private static final long REPLY_DELAY = 3000;
+
+  private static final byte[] GARBAGE = "x\r\n".getBytes(StandardCharsets.US_ASCII);
+
+  /** Faults of a connect; the number is the choice of {@link FaultChooser}. */
+  private static final class ConnectFault {
+    static final int NONE = 0;
+    static final int REFUSED = 1;
+
+    /** How many choices there are; the last one is that the connection never opens. */
+    static final int COUNT = 3;
+  }
+
+  /** Faults of a write to the engine; the number is the choice of {@link FaultChooser}. */
+  private static final class WriteFault {
+    static final int RESET_BEFORE = 1;
+    static final int RESET_AFTER = 2;
+    static final int LOST = 3;
+    static final int COUNT = 4;
+  }
+
+  /** Faults of bytes from the engine; the number is the choice of {@link FaultChooser}. */
+  private static final class ReplyFault {
+    static final int RESET = 1;
+    static final int DELAYED = 2;
+    static final int GARBLED = 3;
+    static final int COUNT = 4;
+  }
+
+  /** Choices on the confirmation of a write: whether it is late. */
+  private static final int CONFIRMATION_CHOICES = 2;
+
+  private final EmulatedCluster cluster;
+  private final EmulatedGateway gateway;
+  private final int incarnation;
   private final Owner owner;
   private final EmulatedEngine engine;
   private final long delay;
   private final AttemptObserver attempts;
-  private final LineProtocolServer side;
+  private final EngineProtocolServer engineProtocol;
 
-  /** What goes out at the gateway: the same reader as at the other end. */
-  private final LineProtocolServer outgoing;
+  /** Parses what the gateway writes, with the same parser as the engine's end. */
+  private final EngineProtocolServer gatewayView;
 
-  private boolean up;
-  private boolean over;
+  private boolean opened;
+  private boolean closed;
 
-  /** Something that the engine said has come to the gateway. */
-  private boolean heard;
+  /** Bytes of the engine have arrived at the gateway. */
+  private boolean receivedByGateway;
 
-  /** Bytes were swallowed on the way: what follows makes no sense any more. */
-  private boolean lost;
+  /** Bytes to the engine were lost, so that what follows can't be parsed. */
+  private boolean bytesLost;
 
-  /** When the last that is on its way arrives, each way: nothing overtakes it. */
-  private long outAt;
+  /** When the last bytes under way to the engine arrive; later ones don't overtake them. */
+  private long lastArrivalAtEngine;
 
-  /** Writes that have gone out and of which the gateway was not told. */
-  private int untold;
+  /** When the last bytes under way to the gateway arrive. */
+  private long lastArrivalAtGateway;
 
-  private long inAt;
+  /** Writes that the driver has not confirmed to the gateway. */
+  private int unconfirmedWrites;
 
   EmulatedConnection(
-      World world, EmulatedGateway seat, Owner owner, EmulatedEngine engine, long delay) {
-    this.world = world;
-    this.seat = seat;
+      EmulatedCluster cluster,
+      EmulatedGateway gateway,
+      Owner owner,
+      EmulatedEngine engine,
+      long delay) {
+    this.cluster = cluster;
+    this.gateway = gateway;
     this.owner = owner;
     this.engine = engine;
     this.delay = delay;
-    life = seat.life();
-    Kind kind = engine == null ? null : world.fleet.kinds().get(engine.spec.kind());
-    side = kind == null ? new LineProtocolServer.Lines() : world.sides.apply(engine.spec);
-    outgoing = kind == null ? new LineProtocolServer.Lines() : kind.side();
+    incarnation = gateway.incarnation();
+    Kind kind = engine == null ? null : cluster.fleet.kinds().get(engine.spec.kind());
+    engineProtocol =
+        kind == null ? new LineProtocolServer() : cluster.newProtocolServer(engine.spec);
+    gatewayView = kind == null ? new LineProtocolServer() : kind.side();
     attempts =
-        new AttemptObserver(world.auditor, seat.place, engine == null ? "?" : engine.spec.name());
-    world.timeline.at(world.now() + 2 * delay, this::comeUp);
+        new AttemptObserver(
+            cluster.auditor, gateway.place, engine == null ? "?" : engine.spec.name());
+    cluster.timeline.at(cluster.now() + 2 * delay, this::open);
   }
 
-  private void comeUp() {
-    if (over) {
+  private void open() {
+    if (closed) {
       return;
     }
-    int way = world.choices.choose("connect", 3);
-    if (engine == null || engine.isEnded() || way == 1) {
-      cut(DisconnectReason.REFUSED);
-    } else if (engine.takesConnections() && way == 0) {
-      up = true;
-      engine.connected(this);
-      seat.post(life, owner::onOpened);
-      travel(side.owed());
+    int fault = cluster.faults().choose("connect", ConnectFault.COUNT);
+    if (engine == null || engine.isEnded() || fault == ConnectFault.REFUSED) {
+      disconnect(DisconnectReason.REFUSED);
+    } else if (engine.takesConnections() && fault == ConnectFault.NONE) {
+      opened = true;
+      engine.onConnected(this);
+      gateway.post(incarnation, owner::onOpened);
+      sendToGateway(engineProtocol.takePendingOutput());
     }
   }
 
   @Override
   public void write(byte[] bytes) {
-    if (over) {
-      // It has ended, and the gateway is about to hear of that: nothing goes out any more.
+    if (closed) {
+      // The gateway is about to learn that the connection has ended.
       return;
     }
-    outgoing.feed(bytes);
-    for (Command command = outgoing.next(); command != null; command = outgoing.next()) {
-      attempts.goesOut(world.now(), command);
+    gatewayView.feed(bytes);
+    for (Command command = gatewayView.next(); command != null; command = gatewayView.next()) {
+      attempts.onCommand(cluster.now(), command);
     }
-    if (heard) {
-      // What the engine had said before that it will not take surely never runs, though it crossed
-      // its word.
-      attempts.disowned(id -> side.leftBehind(outgoing, id));
+    if (receivedByGateway) {
+      // An attempt beyond a GOAWAY that the gateway has received never runs.
+      attempts.onNotExecuted(id -> engineProtocol.isBeyondGoAway(gatewayView, id));
     }
-    int way = world.choices.choose("to the engine", 4);
-    tellWritten(world.choices.choose("word of a write", 2) == 1);
-    if (way == 1) {
-      cut(DisconnectReason.RESET);
+    int fault = cluster.faults().choose("to the engine", WriteFault.COUNT);
+    confirmWrite(cluster.faults().choose("word of a write", CONFIRMATION_CHOICES) == 1);
+    if (fault == WriteFault.RESET_BEFORE) {
+      disconnect(DisconnectReason.RESET);
       return;
     }
-    lost |= way == 3;
+    bytesLost |= fault == WriteFault.LOST;
     for (byte[] part : parts(bytes)) {
-      outAt = Math.max(outAt, world.now() + delay + late());
-      world.timeline.at(outAt, () -> arrive(part));
+      lastArrivalAtEngine = Math.max(lastArrivalAtEngine, cluster.now() + delay + jitter());
+      cluster.timeline.at(lastArrivalAtEngine, () -> arrive(part));
     }
-    if (way == 2) {
-      world.timeline.at(outAt, () -> cut(DisconnectReason.RESET));
+    if (fault == WriteFault.RESET_AFTER) {
+      cluster.timeline.at(lastArrivalAtEngine, () -> disconnect(DisconnectReason.RESET));
     }
   }
 
-  /** Word of a write may wait a while, but never until after the word of the connection's end. */
-  private void tellWritten(boolean later) {
-    if (!later && untold == 0) {
-      seat.post(life, owner::onWritten);
+  /** Confirms a write, possibly late, but never after the end of the connection is reported. */
+  private void confirmWrite(boolean later) {
+    if (!later && unconfirmedWrites == 0) {
+      gateway.post(incarnation, owner::onWritten);
       return;
     }
-    untold++;
-    world.timeline.at(world.now() + WORD_LATE, this::tellUntold);
+    unconfirmedWrites++;
+    cluster.timeline.at(cluster.now() + WRITE_CONFIRMATION_DELAY, this::confirmPendingWrites);
   }
 
-  private void tellUntold() {
-    for (; untold > 0; untold--) {
-      seat.post(life, owner::onWritten);
+  private void confirmPendingWrites() {
+    for (; unconfirmedWrites > 0; unconfirmedWrites--) {
+      gateway.post(incarnation, owner::onWritten);
     }
   }
 
-  private long late() {
-    return world.mischief == null ? 0 : world.mischief.nextInt(LATE_MOST);
+  private long jitter() {
+    return cluster.deliveryJitter() == null ? 0 : cluster.deliveryJitter().nextInt(MAX_JITTER);
   }
 
   private List<byte[]> parts(byte[] bytes) {
-    if (world.mischief == null || bytes.length < 2) {
+    if (cluster.deliveryJitter() == null || bytes.length < 2) {
       return List.of(bytes);
     }
-    int split = 1 + world.mischief.nextInt(bytes.length - 1);
+    int split = 1 + cluster.deliveryJitter().nextInt(bytes.length - 1);
     return List.of(Arrays.copyOf(bytes, split), Arrays.copyOfRange(bytes, split, bytes.length));
   }
 
   private void arrive(byte[] bytes) {
-    if (over) {
+    if (closed) {
       return;
     }
     if (engine.isSilent()) {
-      lost = true;
+      bytesLost = true;
       return;
     }
-    if (lost) {
-      cut(DisconnectReason.RESET);
+    if (bytesLost) {
+      disconnect(DisconnectReason.RESET);
       return;
     }
-    side.feed(bytes);
+    engineProtocol.feed(bytes);
     try {
-      for (Command command = side.next(); command != null; command = side.next()) {
-        engine.heard(this, command);
+      for (Command command = engineProtocol.next();
+          command != null;
+          command = engineProtocol.next()) {
+        engine.onCommand(this, command);
       }
     } catch (IllegalArgumentException e) {
-      cut(DisconnectReason.CLOSED_BY_PEER);
+      disconnect(DisconnectReason.CLOSED_BY_PEER);
     }
-    side.disowned().forEach(attempts::disowned);
-    travel(side.owed());
+    engineProtocol.takeNotExecuted().forEach(attempts::onNotExecuted);
+    sendToGateway(engineProtocol.takePendingOutput());
   }
 
-  private void travel(byte[] bytes) {
-    int way = bytes.length == 0 ? 0 : world.choices.choose("from the engine", 4);
-    if (way == 1) {
-      cut(DisconnectReason.RESET);
+  private void sendToGateway(byte[] bytes) {
+    int fault =
+        bytes.length == 0 ? 0 : cluster.faults().choose("from the engine", ReplyFault.COUNT);
+    if (fault == ReplyFault.RESET) {
+      disconnect(DisconnectReason.RESET);
       return;
     }
-    byte[] said = way == 3 ? "x\r\n".getBytes(StandardCharsets.US_ASCII) : bytes;
-    inAt = way == 2 ? Math.max(inAt, world.now()) + SAID_LATE : inAt;
-    for (byte[] part : bytes.length == 0 ? List.<byte[]>of() : parts(said)) {
-      inAt = Math.max(inAt, world.now() + delay + late());
-      world.timeline.at(
-          inAt,
+    byte[] sent = fault == ReplyFault.GARBLED ? GARBAGE : bytes;
+    lastArrivalAtGateway =
+        fault == ReplyFault.DELAYED
+            ? Math.max(lastArrivalAtGateway, cluster.now()) + REPLY_DELAY
+            : lastArrivalAtGateway;
+    for (byte[] part : bytes.length == 0 ? List.<byte[]>of() : parts(sent)) {
+      lastArrivalAtGateway = Math.max(lastArrivalAtGateway, cluster.now() + delay + jitter());
+      cluster.timeline.at(
+          lastArrivalAtGateway,
           () -> {
-            heard = true;
-            attempts.disowned(id -> side.leftBehind(outgoing, id));
-            seat.post(
-                life,
+            receivedByGateway = true;
+            attempts.onNotExecuted(id -> engineProtocol.isBeyondGoAway(gatewayView, id));
+            gateway.post(
+                incarnation,
                 () -> {
-                  if (!over) {
+                  if (!closed) {
                     owner.onBytes(part);
                   }
                 });
@@ -188,42 +232,42 @@
     }
   }
 
-  /** It reaches the gateway a while later. */
+  /** Sends a reply, which reaches the gateway after the delay. */
   @Override
-  public void say(EngineReplies what) {
-    travel(side.say(what));
-    world.timeline.at(
-        Math.max(inAt, world.now() + delay),
+  public void reply(EngineReply reply) {
+    sendToGateway(engineProtocol.encode(reply));
+    cluster.timeline.at(
+        Math.max(lastArrivalAtGateway, cluster.now() + delay),
         () -> {
-          if (!over) {
-            attempts.comesBack(what);
+          if (!closed) {
+            attempts.onReply(reply);
           }
         });
   }
 
-  /** The gateway hears of it a while later. */
+  /** Breaks the connection, which the gateway learns after the delay. */
   @Override
-  public void cut(DisconnectReason how) {
-    if (!over) {
-      world.timeline.at(
-          Math.max(inAt, world.now() + delay),
+  public void disconnect(DisconnectReason reason) {
+    if (!closed) {
+      cluster.timeline.at(
+          Math.max(lastArrivalAtGateway, cluster.now() + delay),
           () -> {
-            if (!over) {
-              tellUntold();
-              end(how == DisconnectReason.REFUSED);
-              seat.post(life, () -> owner.onClosed(how));
+            if (!closed) {
+              confirmPendingWrites();
+              end(reason == DisconnectReason.REFUSED);
+              gateway.post(incarnation, () -> owner.onClosed(reason));
             }
           });
     }
   }
 
   private void end(boolean provesNotExecuted) {
-    over = true;
-    seat.forget(this);
-    attempts.disowned(id -> side.leftBehind(outgoing, id));
-    attempts.ended(provesNotExecuted);
-    if (up) {
-      engine.disconnected(this);
+    closed = true;
+    gateway.forget(this);
+    attempts.onNotExecuted(id -> engineProtocol.isBeyondGoAway(gatewayView, id));
+    attempts.onConnectionEnded(provesNotExecuted);
+    if (opened) {
+      engine.onDisconnected(this);
     }
   }
 
@@ -234,13 +278,13 @@
 
   @Override
   public void abort() {
-    if (!over) {
-      end(!up);
+    if (!closed) {
+      end(!opened);
     }
   }
 
   @Override
-  public void pauseReading(boolean held) {
-    // Only clients are held.
+  public void pauseReading(boolean paused) {
+    // Only reading from clients is ever paused.
   }
 }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import tillerlink.fakes.EngineCommands.Command;
-import tillerlink.fakes.EngineReplies;
+import tillerlink.fakes.EngineCommandParser.Command;
+import tillerlink.fakes.EngineReply;
 import tillerlink.fakes.Results;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Kind;
@@ -15,46 +15,55 @@
 import tillerlink.net.state.DisconnectReason;
 
 /**
- * One engine process: it runs what it is sent on shared cores, tells now and then how far it is,
- * keeps pages, refuses while it drains or is full, and says nothing that an engine of the platform
- * would not say.
+ * One engine process: it runs requests on shared cores, reports their progress, keeps result pages,
+ * and refuses requests while it drains or is full.
  */
 public final class EmulatedEngine {
+  /** Faults of a request; the number is the choice of {@link FaultChooser}. */
+  private static final class RequestFault {
+    static final int REFUSED = 1;
+    static final int FAILED = 2;
+    static final int NEVER_ANSWERED = 3;
+    static final int COUNT = 4;
+  }
+
   private static final int SESSIONS_PER_CORE = 16;
-  private static final long WARM_STEP = 1000;
-  private static final long PAGES_KEPT = 10 * Fleet.SECOND;
-  private static final long LONG_AGO = 0;
+  private static final int TICKS_PER_MS = 10;
+
+  private static final long WARM_UP_STEP = 1000;
+  private static final long RESULT_RETENTION = 10 * Fleet.SECOND;
+  private static final long ALREADY_WARM = 0;
 
-  /** A request in hand. */
+  /** A running request. */
   private static final class Query {
-    private final Peer link;
+    private final ServerConnection connection;
     private final String id;
-    private final Cores.Load load;
-    private boolean over;
+    private final SharedCpu.Load load;
+    private boolean ended;
 
-    /** Runs, and nothing is ever said of it. */
+    /** Runs without ever sending a reply. */
     private boolean mute;
 
-    Query(Peer link, String id, double work, int threads, double memory) {
-      this.link = link;
+    Query(ServerConnection connection, String id, double work, int threads, double memory) {
+      this.connection = connection;
       this.id = id;
-      load = new Cores.Load(this, threads, memory, work);
+      load = new SharedCpu.Load(this, threads, memory, work);
     }
   }
 
   public final Spec spec;
   public final int place;
   final long startedAt;
-  private final World world;
-  private final Cores cores;
-  private final int sessionsMost;
+  private final EmulatedCluster cluster;
+  private final SharedCpu cores;
+  private final int maxSessions;
 
-  /** In hand by connection and id. */
-  private final Map<Peer, Map<String, Query>> open = new LinkedHashMap<>();
+  /** Running requests by connection and id. */
+  private final Map<ServerConnection, Map<String, Query>> running = new LinkedHashMap<>();
 
-  private final Set<Peer> links = new LinkedHashSet<>();
+  private final Set<ServerConnection> connections = new LinkedHashSet<>();
 
-  /** Results whose pages may still be asked for, and until when. */
+  /** Results whose pages can still be fetched, and until when. */
   private final LinkedHashMap<String, Long> results = new LinkedHashMap<>();
 
   private long checkAt = Long.MAX_VALUE;
@@ -63,237 +72,245 @@
   private boolean ended;
 
   /**
-   * @param startedAt when it came up cold, or 0 for long ago
+   * @param startedAt when it started cold, or 0 if it is warm already
    */
-  EmulatedEngine(World world, Spec spec, int place, long startedAt) {
-    this.world = world;
+  EmulatedEngine(EmulatedCluster cluster, Spec spec, int place, long startedAt) {
+    this.cluster = cluster;
     this.spec = spec;
     this.place = place;
     this.startedAt = startedAt;
-    Kind kind = world.fleet.kinds().get(spec.kind());
-    cores = new Cores(kind.cores(), kind.memory());
-    sessionsMost = kind.cores() * SESSIONS_PER_CORE;
-    cores.advance(world.now());
-    warm();
+    Kind kind = cluster.fleet.kinds().get(spec.kind());
+    cores = new SharedCpu(kind.cores(), kind.memory());
+    maxSessions = kind.cores() * SESSIONS_PER_CORE;
+    cores.advance(cluster.now());
+    warmUp();
   }
 
-  private void warm() {
-    long age = world.now() - startedAt;
-    long within = world.fleet.warmWithin();
-    if (startedAt == LONG_AGO || age >= within || ended) {
+  private void warmUp() {
+    long age = cluster.now() - startedAt;
+    long within = cluster.fleet.warmWithin();
+    if (startedAt == ALREADY_WARM || age >= within || ended) {
       cores.warmth(1);
       return;
     }
-    double start = world.fleet.startCapacity();
-    cores.advance(world.now());
+    double start = cluster.fleet.startCapacity();
+    cores.advance(cluster.now());
     cores.warmth(start + (1 - start) * age / within);
-    look();
-    world.timeline.at(world.now() + WARM_STEP, this::warm);
+    finishEnded();
+    cluster.timeline.at(cluster.now() + WARM_UP_STEP, this::warmUp);
   }
 
   // ---- connections ----
 
+  /** Whether connects to it succeed. */
   public boolean takesConnections() {
     return !silent && !ended;
   }
 
+  /** Whether it neither reads nor writes, as a machine that is cut off. */
   public boolean isSilent() {
     return silent && !ended;
   }
 
-  public void connected(Peer link) {
-    links.add(link);
+  /** A connection to it has opened. */
+  public void onConnected(ServerConnection connection) {
+    connections.add(connection);
   }
 
-  public void disconnected(Peer link) {
-    links.remove(link);
-    Map<String, Query> gone = open.remove(link);
-    if (gone != null) {
-      cores.advance(world.now());
-      gone.values().forEach(this::stop);
-      look();
+  /** A connection to it has ended; its requests stop. */
+  public void onDisconnected(ServerConnection connection) {
+    connections.remove(connection);
+    Map<String, Query> stopped = running.remove(connection);
+    if (stopped != null) {
+      cores.advance(cluster.now());
+      stopped.values().forEach(this::stop);
+      finishEnded();
     }
   }
 
   private void stop(Query query) {
-    query.over = true;
+    query.ended = true;
     cores.remove(query.load);
   }
 
-  /** What a gateway said has come. */
-  public void heard(Peer link, Command command) {
+  /** Handles a command of a gateway. */
+  public void onCommand(ServerConnection connection, Command command) {
     if (silent || ended) {
       return;
     }
     switch (command.word()) {
-      case WANT -> want(link, command);
+      case WANT -> submit(connection, command);
       case NEVER_MIND -> {
-        Query query = query(link, command.id());
+        Query query = query(connection, command.id());
         if (query != null) {
-          cores.advance(world.now());
-          forget(query);
-          stop(query);
-          look();
+          cancel(query);
         }
       }
       case TURN ->
-          link.say(
+          connection.reply(
               results.containsKey(command.id())
-                  ? EngineReplies.batch(
+                  ? EngineReply.batch(
                       command.id(), command.page(), Results.page(command.id(), command.page()))
-                  : EngineReplies.error(command.id()));
+                  : EngineReply.error(command.id()));
       case SHUT -> results.remove(command.id());
-      default -> link.say(EngineReplies.yes(command.id()));
+      default -> connection.reply(EngineReply.yes(command.id()));
     }
   }
 
-  private Query query(Peer link, String id) {
-    Map<String, Query> there = open.get(link);
-    return there == null ? null : there.get(id);
+  private Query query(ServerConnection connection, String id) {
+    Map<String, Query> byId = running.get(connection);
+    return byId == null ? null : byId.get(id);
   }
 
   private void forget(Query query) {
-    Map<String, Query> there = open.get(query.link);
-    if (there != null && there.remove(query.id, query) && there.isEmpty()) {
-      open.remove(query.link);
+    Map<String, Query> byId = running.get(query.connection);
+    if (byId != null && byId.remove(query.id, query) && byId.isEmpty()) {
+      running.remove(query.connection);
     }
   }
 
-  private void want(Peer link, Command command) {
-    World.Job job = world.job(command.id());
-    int way = world.choices.choose("engine", 4);
-    if (way == 2) {
-      link.say(EngineReplies.error(command.id()));
+  private void submit(ServerConnection connection, Command command) {
+    EmulatedCluster.RequestCost cost = cluster.requestCost(command.id());
+    int fault = cluster.faults().choose("engine", RequestFault.COUNT);
+    if (fault == RequestFault.FAILED) {
+      connection.reply(EngineReply.error(command.id()));
       return;
     }
-    if (way == 1 || draining || cores.running() >= sessionsMost) {
-      link.say(EngineReplies.refused(command.id()));
+    if (fault == RequestFault.REFUSED || draining || cores.running() >= maxSessions) {
+      connection.reply(EngineReply.refused(command.id()));
       return;
     }
-    if (job == null) {
-      link.say(EngineReplies.error(command.id()));
+    if (cost == null) {
+      connection.reply(EngineReply.error(command.id()));
       return;
     }
-    double work = job.work();
-    if (command.nonce() != null && !world.receipts.first(world.now(), command.nonce())) {
-      // A repeat: found out at once, and nothing is done again.
+    double work = cost.work();
+    if (command.nonce() != null
+        && !cluster.deduplicationLog.isFirst(cluster.now(), command.nonce())) {
+      // A repeat is recognized at once and does not run again.
       work = 1;
     } else {
-      world.auditor.ran(world.now(), spec.name(), command.id(), work);
+      cluster.auditor.ran(cluster.now(), spec.name(), command.id(), work);
     }
-    cores.advance(world.now());
-    Query query = new Query(link, command.id(), work, job.threads(), job.memory());
-    query.mute = way == 3;
-    open.computeIfAbsent(link, l -> new LinkedHashMap<>()).put(command.id(), query);
+    cores.advance(cluster.now());
+    Query query = new Query(connection, command.id(), work, cost.threads(), cost.memory());
+    query.mute = fault == RequestFault.NEVER_ANSWERED;
+    running.computeIfAbsent(connection, l -> new LinkedHashMap<>()).put(command.id(), query);
     cores.add(query.load);
-    look();
-    world.timeline.at(world.now() + world.fleet.notesEvery(), () -> note(query));
-    world.timeline.at(world.now() + Math.max(1, command.limit()) * 10, () -> expire(query));
+    finishEnded();
+    cluster.timeline.at(cluster.now() + cluster.fleet.notesEvery(), () -> reportProgress(query));
+    cluster.timeline.at(
+        cluster.now() + Math.max(1, command.limit()) * TICKS_PER_MS, () -> expire(query));
   }
 
-  /** The gateway waits no longer: the engine stops by itself. */
+  /** Stops a request by itself when the gateway waits for it no longer. */
   private void expire(Query query) {
-    if (!query.over) {
-      cores.advance(world.now());
-      forget(query);
-      stop(query);
-      look();
+    if (!query.ended) {
+      cancel(query);
     }
   }
 
-  private void note(Query query) {
-    if (query.over || ended) {
+  private void cancel(Query query) {
+    cores.advance(cluster.now());
+    forget(query);
+    stop(query);
+    finishEnded();
+  }
+
+  private void reportProgress(Query query) {
+    if (query.ended || ended) {
       return;
     }
     if (!silent && !query.mute) {
-      cores.advance(world.now());
+      cores.advance(cluster.now());
       double missing = cores.megabytesMissing();
-      double share = Math.rint(cores.shareDone(query.load) * 1000) / 1000;
-      query.link.say(
+      double shareDone = Math.rint(cores.shareDone(query.load) * 1000) / 1000;
+      query.connection.reply(
           missing > 0
-              ? EngineReplies.progress(query.id, "missing", Math.rint(missing))
-              : EngineReplies.progress(query.id, "frac", share));
+              ? EngineReply.progress(query.id, "missing", Math.rint(missing))
+              : EngineReply.progress(query.id, "frac", shareDone));
     }
-    world.timeline.at(world.now() + world.fleet.notesEvery(), () -> note(query));
+    cluster.timeline.at(cluster.now() + cluster.fleet.notesEvery(), () -> reportProgress(query));
   }
 
-  /** Sees to what has ended, and looks again when the next will. */
-  private void look() {
-    for (Cores.Load load : cores.ended()) {
-      finish((Query) load.what);
+  /** Finishes the requests that have ended, and schedules the next check. */
+  private void finishEnded() {
+    for (SharedCpu.Load load : cores.takeEnded()) {
+      finish((Query) load.owner);
     }
     long next = cores.nextEnd();
-    if (next < checkAt || checkAt < world.now()) {
+    if (next < checkAt || checkAt < cluster.now()) {
       checkAt = next;
       if (next != Long.MAX_VALUE) {
-        world.timeline.at(next, this::check);
+        cluster.timeline.at(next, this::check);
       }
     }
   }
 
   private void check() {
-    if (ended || world.now() < checkAt) {
+    if (ended || cluster.now() < checkAt) {
       return;
     }
     checkAt = Long.MAX_VALUE;
-    cores.advance(world.now());
-    look();
+    cores.advance(cluster.now());
+    finishEnded();
   }
 
   private void finish(Query query) {
-    query.over = true;
+    query.ended = true;
     forget(query);
     if (silent || query.mute) {
       return;
     }
     int pages = Results.pages(query.id);
-    if (pages > 1 || world.fleet.kinds().get(spec.kind()).http2()) {
-      keep(query.id);
+    if (pages > 1 || cluster.fleet.kinds().get(spec.kind()).http2()) {
+      keepResult(query.id);
     }
-    query.link.say(EngineReplies.ok(query.id, pages, Results.page(query.id, 0)));
+    query.connection.reply(EngineReply.ok(query.id, pages, Results.page(query.id, 0)));
   }
 
-  private void keep(String id) {
+  private void keepResult(String id) {
     results.remove(id);
-    results.put(id, world.now() + PAGES_KEPT);
-    while (results.values().iterator().next() < world.now()) {
+    results.put(id, cluster.now() + RESULT_RETENTION);
+    while (results.values().iterator().next() < cluster.now()) {
       results.remove(results.keySet().iterator().next());
     }
   }
 
   // ---- troubles ----
 
-  void slow(double times) {
-    cores.advance(world.now());
-    cores.slowness(times);
-    look();
+  void slow(double factor) {
+    cores.advance(cluster.now());
+    cores.slowness(factor);
+    finishEnded();
   }
 
-  void silence(boolean on) {
-    silent = on;
+  void silence(boolean whether) {
+    silent = whether;
   }
 
   void drain() {
     draining = true;
   }
 
-  /** The process ends; its connections are reset. */
+  /** Ends the process; its connections are reset. */
   void end() {
     ended = true;
     cores.clear();
-    open.clear();
-    List<Peer> all = new ArrayList<>(links);
-    links.clear();
-    all.forEach(link -> link.cut(DisconnectReason.RESET));
+    running.clear();
+    List<ServerConnection> open = new ArrayList<>(connections);
+    connections.clear();
+    open.forEach(connection -> connection.disconnect(DisconnectReason.RESET));
   }
 
+  /** Whether the process has ended. */
   public boolean isEnded() {
     return ended;
   }
 
-  double spent() {
-    cores.advance(world.now());
-    return cores.spent();
+  double coreTimeUsed() {
+    cores.advance(cluster.now());
+    return cores.coreTimeUsed();
   }
 
   int running() {
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
@@ -7,7 +7,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Function;
-import tillerlink.fakes.NameAnswer;
+import tillerlink.fakes.DiscoveryResponse;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.Gateway;
@@ -18,72 +18,77 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * A real gateway, its state and its module, on a driver in memory: what comes at one moment is told
- * in one turn, in the order in which it came, as by the turn thread of a process.
+ * A real gateway with its state and its dispatch policy on an in-memory network driver. Events of
+ * one moment are handled in one event-loop iteration in the order in which they came, as by the
+ * event-loop thread of a process.
  */
 public final class EmulatedGateway implements NetworkDriver {
-  private static final long NAME_DELAY = 5;
-  private static final long BYTES_MOST = 16L << 20;
+  /** One-way delay to the discovery service, in tenths of a millisecond. */
+  private static final long DISCOVERY_DELAY = 5;
+
+  private static final long MAX_BYTES_HELD = 16L << 20;
 
   final int place;
-  private final World world;
-  private final DispatchPolicyFactory modules;
+  private final EmulatedCluster cluster;
+  private final DispatchPolicyFactory policies;
   private final Random seeds;
   private Gateway gateway;
   private List<Runnable> inbox = new ArrayList<>();
-  private List<Runnable> spare = new ArrayList<>();
-  private boolean turnDue;
-  private long armedFor = Long.MAX_VALUE;
-  private int life;
-  private final Set<EmulatedConnection> links = new LinkedHashSet<>();
-
-  EmulatedGateway(World world, int place, DispatchPolicyFactory modules, long seed) {
-    this.world = world;
+  private List<Runnable> spareInbox = new ArrayList<>();
+  private boolean iterationDue;
+  private long wakeupAt = Long.MAX_VALUE;
+  private int incarnation;
+  private final Set<EmulatedConnection> connections = new LinkedHashSet<>();
+
+  EmulatedGateway(EmulatedCluster cluster, int place, DispatchPolicyFactory policies, long seed) {
+    this.cluster = cluster;
     this.place = place;
-    this.modules = modules;
+    this.policies = policies;
     seeds = new Random(seed * 1_000_003 + place);
     start();
   }
 
-  /** Comes up with no memory of what was before. */
+  /** Starts a new incarnation, without the state of the one before. */
   void start() {
-    life++;
+    incarnation++;
     inbox.clear();
-    turnDue = false;
-    armedFor = Long.MAX_VALUE;
-    if (!world.namesDown()) {
-      told(world.list());
+    iterationDue = false;
+    wakeupAt = Long.MAX_VALUE;
+    if (!cluster.isDiscoveryDown()) {
+      auditNotReady(cluster.list());
     }
     gateway =
         new Gateway(
-            world.fleet.assignment(place, seeds.nextLong(), world.requestClasses, world.news()),
-            modules,
+            cluster.fleet.assignment(
+                place, seeds.nextLong(), cluster.requestClasses, cluster.watchEvent()),
+            policies,
             this,
-            world.now(),
-            BYTES_MOST,
-            world.fleet.transports(),
-            world.endpointCaches.apply(place),
+            cluster.now(),
+            MAX_BYTES_HELD,
+            cluster.fleet.transports(),
+            cluster.endpointCache(place),
             Telemetry.silent());
     post(() -> {});
   }
 
-  /** Puts something beside the module, until it is killed. */
-  public void beside(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
-    gateway.beside(made.apply(gateway.door()));
+  /** Adds an extension to the gateway, until it is killed. */
+  public void addExtension(Function<GatewayExtension.ExtensionContext, GatewayExtension> factory) {
+    gateway.beside(factory.apply(gateway.door()));
   }
 
-  /** Killed outright: what it would still have done does not happen. */
+  /** Kills the gateway: what it had planned does not happen. */
   void kill() {
-    life++;
+    incarnation++;
     gateway = null;
-    List.copyOf(links).forEach(EmulatedConnection::abort);
+    List.copyOf(connections).forEach(EmulatedConnection::abort);
   }
 
-  /** Connections to engines that it counts as open or coming up. */
-  public int links() {
+  /** How many connections to engines the gateway counts as open or opening. */
+  public int engineConnections() {
     return gateway.openConnections();
   }
 
+  /** Whether it runs. */
   public boolean isUp() {
     return gateway != null;
   }
@@ -93,115 +98,117 @@
     return gateway.accepted(channel);
   }
 
-  /** Counts its starts and ends: what was meant for one that was killed does not reach the next. */
-  public int life() {
-    return life;
+  /** Counts starts and kills, so that events for a killed gateway don't reach the next one. */
+  public int incarnation() {
+    return incarnation;
   }
 
-  /** Its connections to engines, as these see them. */
-  public List<Peer> connections() {
-    return List.copyOf(links);
+  /** Its connections to engines, as the engines see them. */
+  public List<ServerConnection> connections() {
+    return List.copyOf(connections);
   }
 
-  void forget(EmulatedConnection link) {
-    links.remove(link);
+  void forget(EmulatedConnection connection) {
+    connections.remove(connection);
   }
 
-  /** Something has come for it in that life. */
-  public void post(int of, Runnable event) {
-    if (of == life) {
+  /** Posts an event to the event loop, unless that incarnation has ended. */
+  public void post(int forIncarnation, Runnable event) {
+    if (forIncarnation == incarnation) {
       post(event);
     }
   }
 
-  /** Something has come for it; it is told in the turn of this moment. */
+  /** Posts an event for the iteration of this moment. */
   private void post(Runnable event) {
     if (gateway == null) {
       return;
     }
     inbox.add(event);
-    if (!turnDue) {
-      turnDue = true;
-      int of = life;
-      world.timeline.at(world.now(), () -> turn(of));
+    if (!iterationDue) {
+      iterationDue = true;
+      int current = incarnation;
+      cluster.timeline.at(cluster.now(), () -> iterate(current));
     }
   }
 
-  private void turn(int of) {
-    if (of != life || gateway == null) {
+  private void iterate(int forIncarnation) {
+    if (forIncarnation != incarnation || gateway == null) {
       return;
     }
-    turnDue = false;
-    if (world.meter != null) {
-      world.meter.turnBegins();
+    iterationDue = false;
+    CostMeter meter = cluster.costMeter();
+    if (meter != null) {
+      meter.iterationBegins();
     }
-    gateway.begin(world.now());
+    gateway.begin(cluster.now());
     List<Runnable> events = inbox;
-    inbox = spare;
+    inbox = spareInbox;
     for (Runnable event : events) {
       event.run();
     }
     events.clear();
-    spare = events;
+    spareInbox = events;
     gateway.settle();
-    if (world.meter != null) {
-      world.meter.turnEnds();
+    if (meter != null) {
+      meter.iterationEnds();
     }
-    world.turns++;
-    arm();
+    cluster.countLoopIteration();
+    scheduleWakeup();
   }
 
-  private void arm() {
+  private void scheduleWakeup() {
     long due = gateway.dueAt();
-    if (due <= world.now()) {
+    if (due <= cluster.now()) {
       post(() -> {});
-    } else if (due < armedFor || armedFor <= world.now()) {
-      armedFor = due;
-      int of = life;
-      world.timeline.at(due, () -> wake(of, due));
+    } else if (due < wakeupAt || wakeupAt <= cluster.now()) {
+      wakeupAt = due;
+      int current = incarnation;
+      cluster.timeline.at(due, () -> wake(current, due));
     }
   }
 
-  private void wake(int of, long due) {
-    if (of == life && gateway != null && armedFor == due) {
-      armedFor = Long.MAX_VALUE;
+  private void wake(int forIncarnation, long due) {
+    if (forIncarnation == incarnation && gateway != null && wakeupAt == due) {
+      wakeupAt = Long.MAX_VALUE;
       post(() -> {});
     }
   }
 
   @Override
   public Channel connect(InetSocketAddress to, Channel.Owner owner) {
-    EmulatedConnection link =
-        new EmulatedConnection(world, this, owner, world.at(to), world.delay(place, to));
-    links.add(link);
-    return link;
+    EmulatedConnection connection =
+        new EmulatedConnection(
+            cluster, this, owner, cluster.engineAt(to), cluster.delay(place, to));
+    connections.add(connection);
+    return connection;
   }
 
   @Override
   public void sendDiscoveryQuery(byte[] datagram) {
-    int id = (datagram[0] & 255) << 8 | datagram[1] & 255;
-    int of = life;
-    world.timeline.at(
-        world.now() + NAME_DELAY,
+    int id = (datagram[0] & 255) << 8 | (datagram[1] & 255);
+    int current = incarnation;
+    cluster.timeline.at(
+        cluster.now() + DISCOVERY_DELAY,
         () -> {
-          byte[] answer = world.nameAnswer();
-          if (of == life && answer != null) {
-            told(world.list());
-            world.timeline.at(
-                world.now() + NAME_DELAY,
+          byte[] response = cluster.discoveryResponse();
+          if (current == incarnation && response != null) {
+            auditNotReady(cluster.list());
+            cluster.timeline.at(
+                cluster.now() + DISCOVERY_DELAY,
                 () -> {
-                  if (of == life) {
-                    post(() -> gateway.told(NameAnswer.to(id, answer)));
+                  if (current == incarnation) {
+                    post(() -> gateway.told(DiscoveryResponse.withId(id, response)));
                   }
                 });
           }
         });
   }
 
-  private void told(List<EndpointEntry> list) {
-    for (EndpointEntry entry : list) {
+  private void auditNotReady(List<EndpointEntry> endpoints) {
+    for (EndpointEntry entry : endpoints) {
       if (entry.standing() != Status.READY) {
-        world.auditor.withdrawn(world.now(), place, entry.id());
+        cluster.auditor.withdrawn(cluster.now(), place, entry.id());
       }
     }
   }
--- a/emulator/src/test/java/tillerlink/emulator/MachineryTest.java
+++ b/emulator/src/test/java/tillerlink/emulator/EmulatorPartsTest.java
@@ -10,62 +10,63 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The emulator's own parts against plain ones that are easy to believe. */
-class MachineryTest {
+/** The parts of the emulator against simple models of them. */
+class EmulatorPartsTest {
   @Test
-  void theTimelineKeepsTimeAndOrder() {
+  void timelineRunsEventsInOrderOfTimeAndScheduling() {
     for (int seed = 0; seed < 30; seed++) {
       Random random = new Random(seed);
       Timeline timeline = new Timeline(100);
-      PriorityQueue<long[]> plain =
+      PriorityQueue<long[]> model =
           new PriorityQueue<>(
               Comparator.<long[]>comparingLong(e -> e[0]).thenComparingLong(e -> e[1]));
       List<Long> happened = new ArrayList<>();
-      List<Long> wanted = new ArrayList<>();
-      long put = 0;
+      List<Long> expected = new ArrayList<>();
+      long scheduled = 0;
       long now = 100;
       for (int i = 0; i < 4000; i++) {
-        if (random.nextInt(5) < 3 || plain.isEmpty()) {
+        if (random.nextInt(5) < 3 || model.isEmpty()) {
           long at = now + random.nextInt(50) - 5;
-          long number = put++;
-          plain.add(new long[] {Math.max(at, now), number});
+          long number = scheduled++;
+          model.add(new long[] {Math.max(at, now), number});
           timeline.at(at, () -> happened.add(number));
         } else {
-          long[] next = plain.poll();
+          long[] next = model.poll();
           now = next[0];
-          wanted.add(next[1]);
+          expected.add(next[1]);
           assertTrue(timeline.step());
           assertEquals(now, timeline.now());
         }
       }
-      assertEquals(wanted, happened, "seed " + seed);
+      assertEquals(expected, happened, "seed " + seed);
     }
   }
 
-  /** One load after the other reckoned in small steps, each thread getting the same. */
+  /** The model advances each load in small steps with the same rate for each thread. */
   @Test
-  void coresAreShared() {
+  void threadsShareCoresEvenly() {
     for (int seed = 0; seed < 20; seed++) {
       Random random = new Random(seed);
-      Cores cores = new Cores(4, 1000);
+      SharedCpu cores = new SharedCpu(4, 1000);
       double[] left = new double[30];
       int[] threads = new int[30];
       double[] memory = new double[30];
       long[] endedAt = new long[30];
-      long[] plainEnd = new long[30];
-      List<Cores.Load> loads = new ArrayList<>();
+      long[] modelEnd = new long[30];
+      List<SharedCpu.Load> loads = new ArrayList<>();
       double slowness = 1;
       for (long now = 0; now < 60_000; now++) {
         cores.advance(now);
-        for (Cores.Load load : cores.ended()) {
-          endedAt[(Integer) load.what] = now;
+        for (SharedCpu.Load load : cores.takeEnded()) {
+          endedAt[(Integer) load.owner] = now;
         }
         if (now % 700 == 0 && loads.size() < 30) {
           int number = loads.size();
           threads[number] = 1 + random.nextInt(4);
           memory[number] = 1 + random.nextInt(150);
           left[number] = 100 + random.nextInt(5000);
-          Cores.Load load = new Cores.Load(number, threads[number], memory[number], left[number]);
+          SharedCpu.Load load =
+              new SharedCpu.Load(number, threads[number], memory[number], left[number]);
           loads.add(load);
           cores.add(load);
         }
@@ -83,24 +84,24 @@
         for (int i = 0; i < loads.size(); i++) {
           if (left[i] > 0) {
             left[i] -= Math.min(1, 4.0 / all) * spill / slowness * threads[i];
-            plainEnd[i] = left[i] <= 0 ? now + 1 : 0;
+            modelEnd[i] = left[i] <= 0 ? now + 1 : 0;
           }
         }
       }
       for (int i = 0; i < loads.size(); i++) {
         assertTrue(
-            plainEnd[i] > 0 && Math.abs(plainEnd[i] - endedAt[i]) <= 12,
-            seed + ": load " + i + " ended at " + endedAt[i] + ", plainly at " + plainEnd[i]);
+            modelEnd[i] > 0 && Math.abs(modelEnd[i] - endedAt[i]) <= 12,
+            seed + ": load " + i + " ended at " + endedAt[i] + ", modelly at " + modelEnd[i]);
       }
     }
   }
 
   @Test
-  void aMarkIsForgottenAfterItsTime() {
-    DeduplicationLog receipts = new DeduplicationLog(100);
-    assertTrue(receipts.first(0, "a"));
-    assertTrue(!receipts.first(99, "a"));
-    assertTrue(receipts.first(100, "a"));
-    assertTrue(!receipts.first(150, "a"));
+  void idempotencyKeyIsForgottenAfterItsWindow() {
+    DeduplicationLog log = new DeduplicationLog(100);
+    assertTrue(log.isFirst(0, "a"));
+    assertTrue(!log.isFirst(99, "a"));
+    assertTrue(log.isFirst(100, "a"));
+    assertTrue(!log.isFirst(150, "a"));
   }
 }
--- a/fakes/src/main/java/tillerlink/fakes/Http2Server.java
+++ b/fakes/src/main/java/tillerlink/fakes/Http2Server.java
@@ -11,11 +11,10 @@
 import java.util.List;
 import java.util.Map;
 import org.apache.hc.core5.http.Header;
-import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http2.hpack.HPackDecoder;
 import org.apache.hc.core5.http2.hpack.HPackException;
-import tillerlink.fakes.EngineCommands.Command;
-import tillerlink.fakes.EngineCommands.Word;
+import tillerlink.fakes.EngineCommandParser.Command;
+import tillerlink.fakes.EngineCommandParser.Word;
 import tillerlink.net.http2.ErrorCode;
 import tillerlink.net.http2.Frame;
 import tillerlink.net.http2.FrameReader;
@@ -23,65 +22,53 @@
 import tillerlink.net.http2.Http2ConnectionError;
 
 /** A fake engine's side of HTTP/2, worded as docs/http2-wire.md says; tests make it misbehave. */
-public final class Http2Server implements LineProtocolServer {
+public final class Http2Server implements EngineProtocolServer {
   private static final byte[] PREFACE =
       "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
-  private static final int TABLE = 4096;
-  private static final String RUN = "/v1/run/";
-  private static final String RESULTS = "/v1/results/";
-
-  /** A stream, and what of its answer waits for a window. */
-  private static final class Stream {
-    private final int id;
-    private Map<String, String> headers = Map.of();
-    private final ByteArrayOutputStream body = new ByteArrayOutputStream();
-    private long window;
-    private byte[] answer;
-    private int sent;
-
-    Stream(int id, long window) {
-      this.id = id;
-      this.window = window;
-    }
-  }
+  private static final String RANGE_UNIT = "bytes=";
+  private static final int HEADER_TABLE_BYTES = 4096;
+  private static final int SETTING_BYTES = 6;
+  private static final String RUN_PATH = "/v1/run/";
+  private static final String RESULTS_PATH = "/v1/results/";
 
   private final FrameReader reader = new FrameReader(PREFACE);
   private final FrameWriter writer = new FrameWriter();
-  private final HPackDecoder decoder = new HPackDecoder(TABLE, StandardCharsets.US_ASCII);
-  private final Map<Integer, Stream> streams = new LinkedHashMap<>();
+  private final HPackDecoder decoder =
+      new HPackDecoder(HEADER_TABLE_BYTES, StandardCharsets.US_ASCII);
+  private final Map<Integer, Http2ServerStream> streams = new LinkedHashMap<>();
   private final Map<String, Integer> byAttempt = new HashMap<>();
-  private final List<String> disowned = new ArrayList<>();
+  private final List<String> notExecuted = new ArrayList<>();
   private final ArrayDeque<Command> commands = new ArrayDeque<>();
-  private long window = Frame.WINDOW_AT_START;
-  private long windowAtStart = Frame.WINDOW_AT_START;
-  private ByteArrayOutputStream block;
+  private final Http2ResponseWriter responses = new Http2ResponseWriter(writer, this::forget);
+  private long initialWindow = Frame.WINDOW_AT_START;
+  private ByteArrayOutputStream headerBlock;
   private int blockStream;
-  private boolean blockLast;
-  private int highest;
-  private int goneAbove = Integer.MAX_VALUE;
+  private boolean blockEndsStream;
+  private int highestStream;
+  private int goAwayLastStream = Integer.MAX_VALUE;
 
-  /** Limits that were told and not yet acknowledged. */
-  private final ArrayDeque<Integer> limits = new ArrayDeque<>();
+  /** Limits on open streams that were sent and not yet acknowledged. */
+  private final ArrayDeque<Integer> unacknowledgedLimits = new ArrayDeque<>();
 
-  private int limit = Integer.MAX_VALUE;
-  private int overLimit;
+  private int streamLimit = Integer.MAX_VALUE;
+  private int streamsOverLimit;
 
   /**
-   * @param streamsMost how many streams it lets be open
+   * @param maxStreams how many streams may be open at once
    */
-  public Http2Server(int streamsMost) {
-    limit(streamsMost);
+  public Http2Server(int maxStreams) {
+    limitStreams(maxStreams);
   }
 
-  /** Lets so many streams be open from when the peer has acknowledged it. */
-  public void limit(int streamsMost) {
-    writer.settings(Frame.SETTINGS_MAX_CONCURRENT_STREAMS, streamsMost);
-    limits.add(streamsMost);
+  /** Limits the streams that may be open, from when the peer has acknowledged the setting. */
+  public void limitStreams(int maxStreams) {
+    writer.settings(Frame.SETTINGS_MAX_CONCURRENT_STREAMS, maxStreams);
+    unacknowledgedLimits.add(maxStreams);
   }
 
   /** How often a stream was opened beyond a limit that had been acknowledged. */
-  public int overLimit() {
-    return overLimit;
+  public int streamsOverLimit() {
+    return streamsOverLimit;
   }
 
   @Override
@@ -95,7 +82,7 @@
       for (Frame frame = commands.isEmpty() ? reader.next() : null;
           frame != null;
           frame = commands.isEmpty() ? reader.next() : null) {
-        take(frame);
+        handle(frame);
       }
     } catch (Http2ConnectionError | HPackException e) {
       throw new IllegalArgumentException(e.getMessage(), e);
@@ -104,11 +91,11 @@
   }
 
   @Override
-  public byte[] owed() {
+  public byte[] takePendingOutput() {
     return writer.isEmpty() ? new byte[0] : writer.take();
   }
 
-  /** The writer itself, for tests that say what no engine should. */
+  /** The frame writer itself, for tests that break the protocol. */
   public FrameWriter writer() {
     return writer;
   }
@@ -118,135 +105,137 @@
     return byAttempt.get(attempt);
   }
 
-  public int highest() {
-    return highest;
+  /** The highest stream id that was opened. */
+  public int highestStream() {
+    return highestStream;
   }
 
-  /** Says that streams above an id are not acted on, and does not. */
-  public void leave(int last) {
-    goneAbove = last;
+  /** Sends GOAWAY and drops the streams above the last one that it acts on. */
+  public void goAway(int last) {
+    goAwayLastStream = last;
     writer.goAway(last, ErrorCode.NO_ERROR);
-    for (Stream stream : List.copyOf(streams.values())) {
+    for (Http2ServerStream stream : List.copyOf(streams.values())) {
       if (stream.id > last) {
-        disown(stream);
+        declareNotExecuted(stream);
       }
     }
   }
 
   @Override
-  public boolean leftBehind(LineProtocolServer sender, String attempt) {
+  public boolean isBeyondGoAway(EngineProtocolServer sender, String attempt) {
     Integer id = ((Http2Server) sender).byAttempt.get(attempt);
-    return id != null && id > goneAbove;
+    return id != null && id > goAwayLastStream;
   }
 
-  /** Resets a stream, of which nothing more is said. */
+  /** Resets a stream; nothing more is written on it. */
   public void reset(int id, ErrorCode code) {
     writer.reset(id, code);
-    Stream stream = streams.get(id);
+    Http2ServerStream stream = streams.get(id);
     if (stream != null) {
-      over(stream);
+      forget(stream);
     }
   }
 
-  /** Resets a stream that was never acted on. */
+  /** Refuses a stream that was never acted on. */
   public void refuse(int id) {
-    Stream stream = streams.get(id);
+    Http2ServerStream stream = streams.get(id);
     if (stream != null) {
       writer.reset(id, ErrorCode.REFUSED_STREAM);
-      disown(stream);
+      declareNotExecuted(stream);
     }
   }
 
-  private void disown(Stream stream) {
-    over(stream);
-    String attempt = stream.headers.get("hop-id");
+  private void declareNotExecuted(Http2ServerStream stream) {
+    forget(stream);
+    String attempt = stream.header(Http2ServerStream.ATTEMPT_HEADER);
     if (attempt != null) {
-      disowned.add(attempt);
+      notExecuted.add(attempt);
     }
   }
 
   @Override
-  public List<String> disowned() {
-    List<String> all = List.copyOf(disowned);
-    disowned.clear();
-    return all;
+  public List<String> takeNotExecuted() {
+    List<String> taken = List.copyOf(notExecuted);
+    notExecuted.clear();
+    return taken;
   }
 
-  private void take(Frame frame) throws HPackException {
+  private void handle(Frame frame) throws HPackException {
     switch (frame.type()) {
       case Frame.SETTINGS -> settings(frame);
-      case Frame.PING -> {
-        if (!frame.has(Frame.ACK)) {
-          writer.frame(Frame.PING, Frame.ACK, 0, frame.payload(), 0, frame.payload().length);
-        }
-      }
+      case Frame.PING -> ping(frame);
       case Frame.HEADERS -> {
-        block = new ByteArrayOutputStream();
+        headerBlock = new ByteArrayOutputStream();
         blockStream = frame.stream();
-        blockLast = frame.has(Frame.END_STREAM);
+        blockEndsStream = frame.has(Frame.END_STREAM);
         headers(frame, frame.from(), frame.to());
       }
       case Frame.CONTINUATION -> headers(frame, 0, frame.payload().length);
       case Frame.DATA -> data(frame);
-      case Frame.WINDOW_UPDATE -> {
-        Stream stream = streams.get(frame.stream());
-        if (frame.stream() == 0) {
-          window += frame.id(0);
-        } else if (stream != null) {
-          stream.window += frame.id(0);
-        }
-        pump();
-      }
-      case Frame.RST_STREAM -> {
-        Stream stream = streams.remove(frame.stream());
-        if (stream != null) {
-          String attempt = stream.headers.getOrDefault("hop-id", "");
-          if (byAttempt.remove(attempt, stream.id)) {
-            commands.add(new Command(Word.NEVER_MIND, attempt, "", 0, null, 0, new byte[0]));
-          }
-        }
-      }
+      case Frame.WINDOW_UPDATE -> windowUpdate(frame);
+      case Frame.RST_STREAM -> streamReset(frame);
       default -> {}
     }
   }
 
+  private void ping(Frame frame) {
+    if (!frame.has(Frame.ACK)) {
+      writer.frame(Frame.PING, Frame.ACK, 0, frame.payload(), 0, frame.payload().length);
+    }
+  }
+
+  private void windowUpdate(Frame frame) {
+    Http2ServerStream stream = streams.get(frame.stream());
+    if (frame.stream() == 0) {
+      responses.enlargeWindow(frame.id(0));
+    } else if (stream != null) {
+      stream.window += frame.id(0);
+    }
+    responses.writePending(streams.values());
+  }
+
+  private void streamReset(Frame frame) {
+    Http2ServerStream stream = streams.remove(frame.stream());
+    if (stream != null && byAttempt.remove(stream.attempt(), stream.id)) {
+      commands.add(new Command(Word.NEVER_MIND, stream.attempt(), "", 0, null, 0, new byte[0]));
+    }
+  }
+
   private void settings(Frame frame) {
     if (frame.has(Frame.ACK)) {
-      limit = limits.isEmpty() ? limit : limits.poll();
+      streamLimit = unacknowledgedLimits.isEmpty() ? streamLimit : unacknowledgedLimits.poll();
       return;
     }
-    for (int at = 0; at + 6 <= frame.payload().length; at += 6) {
-      int name = (frame.payload()[at] & 255) << 8 | frame.payload()[at + 1] & 255;
+    for (int at = 0; at + SETTING_BYTES <= frame.payload().length; at += SETTING_BYTES) {
+      int name = (frame.payload()[at] & 255) << 8 | (frame.payload()[at + 1] & 255);
       if (name == Frame.SETTINGS_INITIAL_WINDOW_SIZE) {
-        long change = frame.number(at + 2) - windowAtStart;
-        windowAtStart += change;
+        long change = frame.number(at + 2) - initialWindow;
+        initialWindow += change;
         streams.values().forEach(stream -> stream.window += change);
       }
     }
     writer.frame(Frame.SETTINGS, Frame.ACK, 0);
-    pump();
+    responses.writePending(streams.values());
   }
 
   private void headers(Frame frame, int from, int to) throws HPackException {
-    block.write(frame.payload(), from, to - from);
+    headerBlock.write(frame.payload(), from, to - from);
     if (!frame.has(Frame.END_HEADERS)) {
       return;
     }
-    List<Header> list = decoder.decodeHeaders(ByteBuffer.wrap(block.toByteArray()));
-    highest = Math.max(highest, blockStream);
-    if (blockStream > goneAbove) {
+    List<Header> list = decoder.decodeHeaders(ByteBuffer.wrap(headerBlock.toByteArray()));
+    highestStream = Math.max(highestStream, blockStream);
+    if (blockStream > goAwayLastStream) {
       list.stream()
-          .filter(header -> header.getName().equals("hop-id"))
-          .forEach(header -> disowned.add(header.getValue()));
+          .filter(header -> header.getName().equals(Http2ServerStream.ATTEMPT_HEADER))
+          .forEach(header -> notExecuted.add(header.getValue()));
       return;
     }
-    overLimit += streams.size() >= limit ? 1 : 0;
-    Stream stream = new Stream(blockStream, windowAtStart);
-    stream.headers = new HashMap<>();
-    list.forEach(header -> stream.headers.put(header.getName(), header.getValue()));
+    streamsOverLimit += streams.size() >= streamLimit ? 1 : 0;
+    Http2ServerStream stream = new Http2ServerStream(blockStream, initialWindow, list);
     streams.put(blockStream, stream);
-    if (blockLast) {
-      whole(stream);
+    if (blockEndsStream) {
+      requestComplete(stream);
     }
   }
 
@@ -255,157 +244,104 @@
     if (length > 0) {
       writer.frame(Frame.WINDOW_UPDATE, 0, 0, length);
     }
-    Stream stream = streams.get(frame.stream());
+    Http2ServerStream stream = streams.get(frame.stream());
     if (stream == null) {
       return;
     }
-    stream.body.write(frame.payload(), frame.from(), frame.to() - frame.from());
+    stream.requestBody.write(frame.payload(), frame.from(), frame.to() - frame.from());
     if (frame.has(Frame.END_STREAM)) {
-      whole(stream);
+      requestComplete(stream);
     } else if (length > 0) {
       writer.frame(Frame.WINDOW_UPDATE, 0, stream.id, length);
     }
   }
 
   /**
-   * A request has come whole; one whose body is not as long as it says is malformed and not acted
-   * on.
+   * A request is complete; one whose body has another length than its header says is malformed and
+   * not acted on.
    */
-  private void whole(Stream stream) {
-    String path = stream.headers.getOrDefault(":path", "");
-    String attempt = stream.headers.getOrDefault("hop-id", "");
-    String length = stream.headers.get("content-length");
-    if (length != null && Integer.parseInt(length) != stream.body.size()) {
+  private void requestComplete(Http2ServerStream stream) {
+    String path = stream.path();
+    String attempt = stream.attempt();
+    String length = stream.header("content-length");
+    if (length != null && Integer.parseInt(length) != stream.requestBody.size()) {
       writer.reset(stream.id, ErrorCode.PROTOCOL_ERROR);
       streams.remove(stream.id);
-    } else if (path.startsWith(RUN) && !attempt.isEmpty()) {
+    } else if (path.startsWith(RUN_PATH) && !attempt.isEmpty()) {
       byAttempt.put(attempt, stream.id);
       commands.add(
           new Command(
               Word.WANT,
               attempt,
-              path.substring(RUN.length()),
-              Long.parseLong(stream.headers.getOrDefault("hop-limit-ms", "1")),
-              stream.headers.get("idempotency-key"),
+              path.substring(RUN_PATH.length()),
+              Long.parseLong(stream.header("hop-limit-ms", "1")),
+              stream.header("idempotency-key"),
               0,
-              stream.body.toByteArray()));
-    } else if (path.startsWith(RESULTS)) {
-      String id = path.substring(RESULTS.length());
+              stream.requestBody.toByteArray()));
+    } else if (path.startsWith(RESULTS_PATH)) {
+      String id = path.substring(RESULTS_PATH.length());
       byAttempt.put(id, stream.id);
-      String range = stream.headers.getOrDefault("range", "bytes=0-");
-      stream.sent = Integer.parseInt(range.substring(6, range.length() - 1));
+      String range = stream.header("range", RANGE_UNIT + "0-");
+      stream.sent = Integer.parseInt(range.substring(RANGE_UNIT.length(), range.length() - 1));
       commands.add(new Command(Word.TURN, id, "", 0, null, 0, new byte[0]));
     } else {
-      status(stream, 404, true);
+      responses.status(stream, 404);
       streams.remove(stream.id);
     }
   }
 
   @Override
-  public byte[] say(EngineReplies what) {
-    Integer id = byAttempt.get(what.id());
-    Stream stream = id == null ? null : streams.get(id);
-    if (stream == null) {
-      return owed();
+  public byte[] encode(EngineReply reply) {
+    Integer id = byAttempt.get(reply.id());
+    Http2ServerStream stream = id == null ? null : streams.get(id);
+    if (stream != null) {
+      write(stream, reply);
     }
-    switch (what.word()) {
-      case OK -> {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        all.writeBytes(what.body());
-        for (int page = 1; page < what.number(); page++) {
-          all.writeBytes(Results.page(what.id(), page));
-        }
-        answer(stream, 200, all.toByteArray());
-      }
+    return takePendingOutput();
+  }
+
+  private void write(Http2ServerStream stream, EngineReply reply) {
+    switch (reply.word()) {
+      case OK -> respond(stream, 200, wholeResult(reply));
       case BATCH -> {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (int page = 0; page < Results.pages(what.id()); page++) {
-          all.writeBytes(Results.page(what.id(), page));
-        }
-        int from = Math.min(stream.sent, all.size());
+        byte[] result = Results.allPages(reply.id());
+        int from = Math.min(stream.sent, result.length);
         stream.sent = 0;
-        answer(stream, 206, Arrays.copyOfRange(all.toByteArray(), from, all.size()));
+        respond(stream, 206, Arrays.copyOfRange(result, from, result.length));
       }
       case REFUSED -> {
         writer.reset(stream.id, ErrorCode.REFUSED_STREAM);
-        over(stream);
+        forget(stream);
       }
       case ERROR -> {
-        status(stream, stream.headers.get(":path").startsWith(RESULTS) ? 404 : 500, true);
-        over(stream);
+        responses.status(stream, stream.path().startsWith(RESULTS_PATH) ? 404 : 500);
+        forget(stream);
       }
       case PROGRESS -> {
-        if (stream.answer == null) {
-          writer.headers(
-              stream.id,
-              List.of(
-                  new BasicHeader(":status", "102"),
-                  new BasicHeader("note-about", about(what.about())),
-                  new BasicHeader("note-level", Double.toString(what.level()))),
-              false,
-              Frame.FRAME_AT_START);
+        if (stream.responseBody == null) {
+          responses.progress(stream, reply.about(), reply.level());
         }
       }
       default -> {}
     }
-    return owed();
   }
 
-  private static String about(String word) {
-    return switch (word) {
-      case "frac" -> "share-done";
-      case "missing" -> "megabytes-missing";
-      default -> "parked";
-    };
-  }
-
-  private void over(Stream stream) {
-    streams.remove(stream.id);
-    byAttempt.values().remove(stream.id);
-  }
-
-  private void status(Stream stream, int status, boolean last) {
-    writer.headers(
-        stream.id,
-        List.of(new BasicHeader(":status", Integer.toString(status))),
-        last,
-        Frame.FRAME_AT_START);
+  private static byte[] wholeResult(EngineReply reply) {
+    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    all.writeBytes(reply.body());
+    for (int page = 1; page < reply.number(); page++) {
+      all.writeBytes(Results.page(reply.id(), page));
+    }
+    return all.toByteArray();
   }
 
-  private void answer(Stream stream, int status, byte[] body) {
-    List<Header> headers = new ArrayList<>();
-    headers.add(new BasicHeader(":status", Integer.toString(status)));
-    headers.add(new BasicHeader("content-type", "text/tab-separated-values"));
-    headers.add(new BasicHeader("content-length", Integer.toString(body.length)));
-    writer.headers(stream.id, headers, body.length == 0, Frame.FRAME_AT_START);
-    if (body.length == 0) {
-      over(stream);
-    } else {
-      stream.answer = body;
-      pump();
-    }
+  private void respond(Http2ServerStream stream, int status, byte[] body) {
+    responses.start(stream, status, body);
+    responses.writePending(streams.values());
   }
 
-  /** What waits goes out as far as the windows reach. */
-  private void pump() {
-    for (Stream stream : List.copyOf(streams.values())) {
-      while (stream.answer != null && window > 0 && stream.window > 0) {
-        int length =
-            (int)
-                Math.min(
-                    Math.min(window, stream.window),
-                    Math.min(Frame.FRAME_AT_START, stream.answer.length - stream.sent));
-        boolean last = stream.sent + length == stream.answer.length;
-        writer.frame(
-            Frame.DATA, last ? Frame.END_STREAM : 0, stream.id, stream.answer, stream.sent, length);
-        window -= length;
-        stream.window -= length;
-        stream.sent += length;
-        if (last) {
-          stream.answer = null;
-          over(stream);
-        }
-      }
-    }
+  private void forget(Http2ServerStream stream) {
+    streams.remove(stream.id);
+    byAttempt.values().remove(stream.id);
   }
 }
--- /dev/null
+++ b/fakes/src/main/java/tillerlink/fakes/HttpResponseParser.java
@@ -0,0 +1,103 @@
+package tillerlink.fakes;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.Locale;
+
+/**
+ * The client's end of HTTP/1.1: parses the bytes of one connection into responses; has no socket.
+ */
+public final class HttpResponseParser {
+  private static final int MAX_HEAD_BYTES = 16_384;
+  private static final int CONTINUE = 100;
+  private static final String CONTINUATION = "{\"continue\":\"";
+  private static final byte[] HEAD_END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+
+  /**
+   * One response.
+   *
+   * @param retryAfter milliseconds, or 0 if the gateway named none
+   * @param closes whether the gateway closes the connection after it
+   */
+  public record Response(int status, long retryAfter, boolean closes, String body) {
+    /** The path to poll for the result, or null if this is the final response. */
+    public String continuationPath() {
+      return body.startsWith(CONTINUATION)
+          ? body.substring(CONTINUATION.length(), body.indexOf('"', CONTINUATION.length()))
+          : null;
+    }
+  }
+
+  private byte[] buffered = new byte[0];
+
+  /** Takes bytes that the gateway sent. */
+  public void feed(byte[] bytes) {
+    if (buffered.length == 0) {
+      buffered = bytes;
+      return;
+    }
+    byte[] joined = Arrays.copyOf(buffered, buffered.length + bytes.length);
+    System.arraycopy(bytes, 0, joined, buffered.length, bytes.length);
+    buffered = joined;
+  }
+
+  /** Whether a response has begun and is not complete. */
+  public boolean isMidResponse() {
+    return buffered.length > 0;
+  }
+
+  /**
+   * Returns the next response, or null while it is incomplete. Interim responses (100) are skipped.
+   *
+   * @throws IllegalArgumentException if it can't be parsed
+   */
+  public Response next() {
+    int end = headEnd();
+    if (end < 0) {
+      if (buffered.length > MAX_HEAD_BYTES) {
+        throw new IllegalArgumentException("a head too long");
+      }
+      return null;
+    }
+    String[] lines = new String(buffered, 0, end, StandardCharsets.ISO_8859_1).split("\r\n", -1);
+    int status = status(lines[0]);
+    int length = 0;
+    long retryAfter = 0;
+    boolean closes = false;
+    for (int i = 1; i < lines.length; i++) {
+      int colon = lines[i].indexOf(':');
+      String value = lines[i].substring(colon + 1).strip();
+      switch (colon < 0 ? "" : lines[i].substring(0, colon).toLowerCase(Locale.ROOT)) {
+        case "content-length" -> length = Integer.parseInt(value);
+        case "x-pushback-ms" -> retryAfter = Long.parseLong(value);
+        case "connection" -> closes = value.equals("close");
+        default -> {}
+      }
+    }
+    int bodyAt = end + HEAD_END.length;
+    if (buffered.length < bodyAt + length) {
+      return null;
+    }
+    String body = new String(buffered, bodyAt, length, StandardCharsets.UTF_8);
+    buffered = Arrays.copyOfRange(buffered, bodyAt + length, buffered.length);
+    return status == CONTINUE ? next() : new Response(status, retryAfter, closes, body);
+  }
+
+  private static int status(String statusLine) {
+    String[] words = statusLine.split(" ", 3);
+    if (words.length < 2 || !words[0].equals("HTTP/1.1") || !words[1].matches("[1-5][0-9][0-9]")) {
+      throw new IllegalArgumentException("no status line");
+    }
+    return Integer.parseInt(words[1]);
+  }
+
+  private int headEnd() {
+    for (int i = 0; i + HEAD_END.length <= buffered.length; i++) {
+      if (buffered[i] == '\r'
+          && Arrays.equals(buffered, i, i + HEAD_END.length, HEAD_END, 0, HEAD_END.length)) {
+        return i;
+      }
+    }
+    return -1;
+  }
+}
--- a/fakes/src/test/java/tillerlink/fakes/StandInsTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/FakesTest.java
@@ -14,8 +14,8 @@
 import tillerlink.net.wire.EngineResponseParser;
 import tillerlink.net.wire.HttpResponse;
 
-/** What stands in speaks the same language as the product, at every split. */
-class StandInsTest {
+/** The fakes speak the same protocols as the gateway, however the bytes are split. */
+class FakesTest {
   private static byte[] joined(byte[]... parts) {
     return String.join(
             "", Arrays.stream(parts).map(p -> new String(p, StandardCharsets.ISO_8859_1)).toList())
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void commandsAtEverySplit() {
+  void commandsAreParsedAtEverySplit() {
     byte[] all =
         joined(
             EngineCommand.want(
@@ -34,29 +34,31 @@
             EngineCommand.shut("a1"),
             EngineCommand.want("a2", "load", 9, null, "x".getBytes(StandardCharsets.UTF_8)));
     for (int split = 0; split <= all.length; split++) {
-      EngineCommands reader = new EngineCommands();
-      StringBuilder heard = new StringBuilder();
+      EngineCommandParser parser = new EngineCommandParser();
+      StringBuilder parsed = new StringBuilder();
       for (byte[] part :
           List.of(Arrays.copyOf(all, split), Arrays.copyOfRange(all, split, all.length))) {
-        reader.feed(part);
-        for (EngineCommands.Command c = reader.next(); c != null; c = reader.next()) {
-          heard
-              .append(c.word())
+        parser.feed(part);
+        for (EngineCommandParser.Command command = parser.next();
+            command != null;
+            command = parser.next()) {
+          parsed
+              .append(command.word())
               .append(' ')
-              .append(c.id())
+              .append(command.id())
               .append(' ')
-              .append(c.requestClass())
-              .append(c.limit())
-              .append(c.nonce())
-              .append(c.page())
-              .append(c.statement().length)
+              .append(command.requestClass())
+              .append(command.limit())
+              .append(command.nonce())
+              .append(command.page())
+              .append(command.statement().length)
               .append('|');
         }
       }
       assertEquals(
           "WANT a1 look500k010|TURN a1 0null20|THERE 0 0null00|NEVER_MIND a1 0null00|SHUT a1"
               + " 0null00|WANT a2 load9null01|",
-          heard.toString(),
+          parsed.toString(),
           "split " + split);
     }
     for (String bad :
@@ -67,14 +69,14 @@
             "turn a\r\n",
             "want a - 1\r\nxy\r\n",
             "turn a -1\r\n")) {
-      EngineCommands reader = new EngineCommands();
-      reader.feed(bad.getBytes(StandardCharsets.UTF_8));
-      assertThrows(IllegalArgumentException.class, reader::next, bad);
+      EngineCommandParser parser = new EngineCommandParser();
+      parser.feed(bad.getBytes(StandardCharsets.UTF_8));
+      assertThrows(IllegalArgumentException.class, parser::next, bad);
     }
   }
 
   @Test
-  void answersAtEverySplit() {
+  void responsesAreParsedAtEverySplit() {
     byte[] all =
         joined(
             HttpResponse.goOn(),
@@ -82,59 +84,61 @@
             HttpResponse.problem(503, "Full", 250).encoded(),
             HttpResponse.done().closingConnection().encoded());
     for (int split = 0; split <= all.length; split++) {
-      HttpAnswers reader = new HttpAnswers();
-      StringBuilder heard = new StringBuilder();
+      HttpResponseParser parser = new HttpResponseParser();
+      StringBuilder parsed = new StringBuilder();
       for (byte[] part :
           List.of(Arrays.copyOf(all, split), Arrays.copyOfRange(all, split, all.length))) {
-        reader.feed(part);
-        for (HttpAnswers.Answer a = reader.next(); a != null; a = reader.next()) {
-          heard
-              .append(a.status())
+        parser.feed(part);
+        for (HttpResponseParser.Response response = parser.next();
+            response != null;
+            response = parser.next()) {
+          parsed
+              .append(response.status())
               .append(' ')
-              .append(a.retryAfter())
-              .append(a.last())
-              .append(a.goOnAt())
+              .append(response.retryAfter())
+              .append(response.closes())
+              .append(response.continuationPath())
               .append('|');
         }
       }
       assertEquals(
           "200 0false/v1/calls/a|503 250falsenull|200 0truenull|",
-          heard.toString(),
+          parsed.toString(),
           "split " + split);
     }
-    HttpAnswers reader = new HttpAnswers();
-    reader.feed("SMTP\r\n\r\n".getBytes(StandardCharsets.UTF_8));
-    assertThrows(IllegalArgumentException.class, reader::next);
+    HttpResponseParser parser = new HttpResponseParser();
+    parser.feed("SMTP\r\n\r\n".getBytes(StandardCharsets.UTF_8));
+    assertThrows(IllegalArgumentException.class, parser::next);
   }
 
   @Test
-  void wordsOfEnginesAreThoseOfTheProtocol() {
-    EngineResponseParser reader = new EngineResponseParser();
-    reader.feed(
+  void engineRepliesAreUnderstoodByTheGateway() {
+    EngineResponseParser parser = new EngineResponseParser();
+    parser.feed(
         joined(
-            EngineReplies.ok("a", 2, Results.page("a", 0)).line(),
-            EngineReplies.batch("a", 1, Results.page("a", 1)).line(),
-            EngineReplies.refused("a").line(),
-            EngineReplies.error("a").line(),
-            EngineReplies.yes("0").line(),
-            EngineReplies.progress("a", "frac", 0.25).line()));
-    StringBuilder heard = new StringBuilder();
-    for (var answer = reader.next(); answer != null; answer = reader.next()) {
-      heard
-          .append(answer.word())
+            EngineReply.ok("a", 2, Results.page("a", 0)).line(),
+            EngineReply.batch("a", 1, Results.page("a", 1)).line(),
+            EngineReply.refused("a").line(),
+            EngineReply.error("a").line(),
+            EngineReply.yes("0").line(),
+            EngineReply.progress("a", "frac", 0.25).line()));
+    StringBuilder parsed = new StringBuilder();
+    for (var reply = parser.next(); reply != null; reply = parser.next()) {
+      parsed
+          .append(reply.word())
           .append(' ')
-          .append(answer.number())
+          .append(reply.number())
           .append(' ')
-          .append(answer.level())
+          .append(reply.level())
           .append('|');
     }
     assertEquals(
         "OK 2 0.0|BATCH 1 0.0|REFUSED -1 0.0|ERROR -1 0.0|YES -1 0.0|PROGRESS -1 0.25|",
-        heard.toString());
+        parsed.toString());
   }
 
   @Test
-  void theListIsReadAsItWasTold() {
+  void gatewayDecodesTheListThatWasEncoded() {
     List<EndpointEntry> list =
         List.of(
             new EndpointEntry(
@@ -149,7 +153,7 @@
                 1_700_000_000_000L),
             new EndpointEntry("e2", "127.0.0.9", 5051, "west", "big-16", 0, Status.DRAINING, 2, 0),
             new EndpointEntry("e3", "127.0.0.3", 5052, "west", "big-16", 0, Status.GONE, 2, 0));
-    byte[] answer = NameAnswer.to(0xabcd, NameAnswer.of(7, 70_001, list));
+    byte[] answer = DiscoveryResponse.withId(0xabcd, DiscoveryResponse.of(7, 70_001, list));
     assertEquals(list.subList(0, 2), Dns.answer(answer, 0xabcd).entries());
     assertEquals(70_001, Dns.answer(answer, 0xabcd).index());
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpEndpointClient.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpEndpointClient.java
@@ -11,7 +11,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.Map;
-import tillerlink.fakes.HttpAnswers;
+import tillerlink.fakes.HttpResponseParser;
 import tillerlink.plain.Json;
 
 /**
@@ -49,7 +49,7 @@
   /** One connection. */
   private static final class Talk implements Closeable {
     private final Socket socket = new Socket();
-    private final HttpAnswers answers = new HttpAnswers();
+    private final HttpResponseParser answers = new HttpResponseParser();
     private final int port;
 
     Talk(int port, int patienceMs) throws IOException {
@@ -64,8 +64,8 @@
       }
     }
 
-    HttpAnswers.Answer ask(String method, String path, Map<String, String> headers, String body)
-        throws IOException {
+    HttpResponseParser.Response ask(
+        String method, String path, Map<String, String> headers, String body) throws IOException {
       byte[] content = body.getBytes(StandardCharsets.UTF_8);
       StringBuilder head =
           new StringBuilder(method + " " + path + " HTTP/1.1\r\nHost: 127.0.0.1:" + port)
@@ -79,7 +79,7 @@
       InputStream in = socket.getInputStream();
       byte[] piece = new byte[PIECE];
       try {
-        HttpAnswers.Answer answer = answers.next();
+        HttpResponseParser.Response answer = answers.next();
         while (answer == null) {
           int n = in.read(piece);
           if (n < 0) {
@@ -124,9 +124,9 @@
   private Reply ask(String method, String path, Map<String, String> headers, String body)
       throws IOException {
     try (Talk talk = new Talk(port, patienceMs)) {
-      HttpAnswers.Answer answer = talk.ask(method, path, headers, body);
-      while (answer.goOnAt() != null) {
-        answer = talk.ask("GET", answer.goOnAt(), Map.of(), "");
+      HttpResponseParser.Response answer = talk.ask(method, path, headers, body);
+      while (answer.continuationPath() != null) {
+        answer = talk.ask("GET", answer.continuationPath(), Map.of(), "");
       }
       return new Reply(answer.status(), answer.body(), answer.retryAfter());
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeEngine.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeEngine.java
@@ -11,8 +11,8 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BiConsumer;
-import tillerlink.fakes.EngineCommands;
-import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.EngineCommandParser;
+import tillerlink.fakes.EngineCommandParser.Command;
 
 /**
  * An engine of a few lines: it answers every statement with one row, the statement itself, and
@@ -56,7 +56,7 @@
   private void converse(Socket socket) throws IOException {
     try (socket) {
       socket.setTcpNoDelay(true);
-      EngineCommands commands = new EngineCommands();
+      EngineCommandParser commands = new EngineCommandParser();
       InputStream in = socket.getInputStream();
       OutputStream out = socket.getOutputStream();
       byte[] piece = new byte[PIECE];
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeNameService.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeNameService.java
@@ -8,7 +8,7 @@
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
-import tillerlink.fakes.NameAnswer;
+import tillerlink.fakes.DiscoveryResponse;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
@@ -42,7 +42,8 @@
       try {
         socket.receive(packet);
         byte[] question = packet.getData();
-        byte[] answer = NameAnswer.of((question[0] & 255) << 8 | question[1] & 255, 2, entries);
+        byte[] answer =
+            DiscoveryResponse.of((question[0] & 255) << 8 | question[1] & 255, 2, entries);
         socket.send(new DatagramPacket(answer, answer.length, packet.getSocketAddress()));
       } catch (IOException e) {
         // A gateway that was killed; the next question is as good.
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessCluster.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessCluster.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
-import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.EngineCommandParser.Command;
 import tillerlink.faultinjection.client.HttpEndpointClient;
 import tillerlink.faultinjection.engine.FakeEngine;
 import tillerlink.faultinjection.engine.FakeNameService;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/StatementLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/play/StatementLoad.java
@@ -10,7 +10,7 @@
 import java.util.random.RandomGenerator;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.EngineCommandParser.Command;
 import tillerlink.faultinjection.audit.Audit;
 import tillerlink.faultinjection.audit.Rule;
 import tillerlink.faultinjection.client.HttpEndpointClient;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import tillerlink.fakes.EngineCommands;
-import tillerlink.fakes.EngineCommands.Command;
+import tillerlink.fakes.EngineCommandParser;
+import tillerlink.fakes.EngineCommandParser.Command;
 
 /**
  * The engines of a soak, each with a port for every gateway, so that what comes tells whose it is.
@@ -165,7 +165,7 @@
           return;
         }
         socket.setTcpNoDelay(true);
-        EngineCommands commands = new EngineCommands();
+        EngineCommandParser commands = new EngineCommandParser();
         InputStream in = socket.getInputStream();
         byte[] piece = new byte[PIECE];
         for (int n = in.read(piece); n >= 0; n = in.read(piece)) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
-import tillerlink.fakes.HttpAnswers;
+import tillerlink.fakes.HttpResponseParser;
 import tillerlink.faultinjection.soak.SoakTerms.RequestClass;
 
 /**
@@ -176,7 +176,7 @@
           oracle.left(id, clock.now());
           return;
         }
-        HttpAnswers.Answer answer = talk.answer();
+        HttpResponseParser.Response answer = talk.answer();
         if (answer == null && rests) {
           crossed();
           return;
@@ -240,12 +240,12 @@
       }
     }
 
-    private void follow(Talk first, HttpAnswers.Answer submitted) throws IOException {
-      HttpAnswers.Answer answer = submitted;
+    private void follow(Talk first, HttpResponseParser.Response submitted) throws IOException {
+      HttpResponseParser.Response answer = submitted;
       Talk talk = first;
       int fetches = 0;
       try {
-        while (answer == null || answer.goOnAt() != null) {
+        while (answer == null || answer.continuationPath() != null) {
           if (answer == null
               && (fetches++ == FETCHES_MOST || !SoakGateways.listens(gateways.port(gateway)))) {
             failed("its connection ended without an answer");
@@ -253,7 +253,7 @@
           }
           if (answer != null && manner == Manner.CANCELS) {
             SoakGateways.pause(stays / 4);
-            cancel(answer.goOnAt());
+            cancel(answer.continuationPath());
             return;
           }
           if (answer == null) {
@@ -294,7 +294,7 @@
   /** A connection of a client. */
   private static final class Talk implements AutoCloseable {
     private final Socket socket = new Socket();
-    private final HttpAnswers answers = new HttpAnswers();
+    private final HttpResponseParser answers = new HttpResponseParser();
 
     Talk(int port) throws IOException {
       socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
@@ -316,12 +316,12 @@
     }
 
     /** The next answer; null if the connection ended. */
-    HttpAnswers.Answer answer() throws IOException {
+    HttpResponseParser.Response answer() throws IOException {
       InputStream in = socket.getInputStream();
       byte[] piece = new byte[PIECE];
       socket.setSoTimeout((int) Math.max(1, SoakTerms.DEADLINE_MS + 2_000));
       try {
-        HttpAnswers.Answer answer = answers.next();
+        HttpResponseParser.Response answer = answers.next();
         while (answer == null) {
           int n = in.read(piece);
           if (n < 0) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakNames.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakNames.java
@@ -17,7 +17,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import tillerlink.fakes.NameAnswer;
+import tillerlink.fakes.DiscoveryResponse;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
@@ -196,7 +196,8 @@
       list = listAt(index);
     }
     byte[] answer =
-        NameAnswer.of(id, index, list.stream().map(entry -> entryFor.of(entry, gateway)).toList());
+        DiscoveryResponse.of(
+            id, index, list.stream().map(entry -> entryFor.of(entry, gateway)).toList());
     if (truncated) {
       answer = Arrays.copyOf(answer, answer.length / 2);
     } else {
--- a/fleet/src/main/java/tillerlink/fleet/Kind.java
+++ b/fleet/src/main/java/tillerlink/fleet/Kind.java
@@ -1,5 +1,6 @@
 package tillerlink.fleet;
 
+import tillerlink.fakes.EngineProtocolServer;
 import tillerlink.fakes.Http2Server;
 import tillerlink.fakes.LineProtocolServer;
 
@@ -8,7 +9,7 @@
   private static final int STREAMS_MOST = 100;
 
   /** An engine's side of a new connection. */
-  public LineProtocolServer side() {
-    return http2 ? new Http2Server(STREAMS_MOST) : new LineProtocolServer.Lines();
+  public EngineProtocolServer side() {
+    return http2 ? new Http2Server(STREAMS_MOST) : new LineProtocolServer();
   }
 }
--- a/harness/src/main/java/tillerlink/harness/Buffers.java
+++ b/harness/src/main/java/tillerlink/harness/Buffers.java
@@ -2,11 +2,11 @@
 
 import org.apache.mina.core.buffer.IoBuffer;
 
-/** What MINA hands over, as bytes. */
+/** Conversion of the buffers of MINA. */
 final class Buffers {
   private Buffers() {}
 
-  static byte[] taken(Object message) {
+  static byte[] bytes(Object message) {
     IoBuffer buffer = (IoBuffer) message;
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
--- a/harness/src/main/java/tillerlink/harness/ClientSockets.java
+++ b/harness/src/main/java/tillerlink/harness/ClientSockets.java
@@ -118,7 +118,7 @@
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      byte[] bytes = Buffers.taken(message);
+      byte[] bytes = Buffers.bytes(message);
       Connection line = (Connection) session.getAttribute(LINE);
       post.accept(() -> line.heard(bytes));
     }
--- a/harness/src/main/java/tillerlink/harness/EngineSockets.java
+++ b/harness/src/main/java/tillerlink/harness/EngineSockets.java
@@ -19,59 +19,59 @@
 import org.apache.mina.transport.socket.SocketSessionConfig;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import tillerlink.emulator.AttemptObserver;
+import tillerlink.emulator.EmulatedCluster;
 import tillerlink.emulator.EmulatedEngine;
-import tillerlink.emulator.Peer;
-import tillerlink.emulator.World;
-import tillerlink.fakes.EngineCommands.Command;
-import tillerlink.fakes.EngineReplies;
-import tillerlink.fakes.LineProtocolServer;
+import tillerlink.emulator.ServerConnection;
+import tillerlink.fakes.EngineCommandParser.Command;
+import tillerlink.fakes.EngineProtocolServer;
+import tillerlink.fakes.EngineReply;
 import tillerlink.net.state.DisconnectReason;
 
 /**
- * Stand-in engines on loopback: the emulated ones, behind sockets. Each gateway reaches each engine
- * at a port of its own, so that what comes tells whose it is.
+ * Fake engines on loopback: the emulated engines behind sockets. Each gateway reaches each engine
+ * at a port of its own, which identifies the gateway.
  */
 final class EngineSockets implements Closeable {
   private static final String LOOPBACK = "127.0.0.1";
-  private static final int BACKLOG = 256;
-  private static final String PEER = "peer";
+  private static final int ACCEPT_BACKLOG = 256;
+  private static final String CONNECTION = "connection";
 
-  /** Whose port it is. */
-  private record Door(EmulatedEngine engine, int gateway) {}
+  /** The engine behind a port, and the gateway that connects there. */
+  private record Listener(EmulatedEngine engine, int gateway) {}
 
-  private final World world;
+  private final EmulatedCluster cluster;
   private final Consumer<Runnable> post;
   private final NioSocketAcceptor acceptor = new NioSocketAcceptor(1);
-  private final Map<SocketAddress, Door> doors = new ConcurrentHashMap<>();
+  private final Map<SocketAddress, Listener> listeners = new ConcurrentHashMap<>();
   private final Map<String, List<InetSocketAddress>> ports = new HashMap<>();
   private final Set<EmulatedEngine> closed = new HashSet<>();
 
-  EngineSockets(World world, Consumer<Runnable> post) {
-    this.world = world;
+  EngineSockets(EmulatedCluster cluster, Consumer<Runnable> post) {
+    this.cluster = cluster;
     this.post = post;
     acceptor.setReuseAddress(true);
-    acceptor.setBacklog(BACKLOG);
+    acceptor.setBacklog(ACCEPT_BACKLOG);
     acceptor.getSessionConfig().setTcpNoDelay(true);
     acceptor.setHandler(new Handler());
   }
 
-  /** An engine has come up: it listens. */
+  /** Listens for an engine that has come up. */
   void open(EmulatedEngine engine) {
-    List<InetSocketAddress> own = new ArrayList<>();
-    for (int gateway = 0; gateway < world.fleet.gateways(); gateway++) {
+    List<InetSocketAddress> enginePorts = new ArrayList<>();
+    for (int gateway = 0; gateway < cluster.fleet.gateways(); gateway++) {
       try {
         Set<SocketAddress> before = new HashSet<>(acceptor.getLocalAddresses());
         acceptor.bind(new InetSocketAddress(LOOPBACK, 0));
         Set<SocketAddress> after = new HashSet<>(acceptor.getLocalAddresses());
         after.removeAll(before);
         InetSocketAddress port = (InetSocketAddress) after.iterator().next();
-        doors.put(port, new Door(engine, gateway));
-        own.add(port);
+        listeners.put(port, new Listener(engine, gateway));
+        enginePorts.add(port);
       } catch (IOException e) {
         throw new IllegalStateException("an engine can't listen: " + e.getMessage(), e);
       }
     }
-    ports.put(engine.spec.name(), own);
+    ports.put(engine.spec.name(), enginePorts);
   }
 
   /** Where a gateway reaches an engine. */
@@ -79,10 +79,10 @@
     return ports.get(engine).get(gateway);
   }
 
-  /** Looks which engines have ended since: they listen no longer. */
-  void sweep() {
-    for (Map.Entry<SocketAddress, Door> door : doors.entrySet()) {
-      EmulatedEngine engine = door.getValue().engine;
+  /** Closes the ports of engines that have ended since the last call. */
+  void closeEnded() {
+    for (Map.Entry<SocketAddress, Listener> listener : listeners.entrySet()) {
+      EmulatedEngine engine = listener.getValue().engine;
       if (engine.isEnded() && closed.add(engine)) {
         ports.get(engine.spec.name()).forEach(acceptor::unbind);
       }
@@ -95,43 +95,44 @@
   }
 
   /** A gateway's connection to an engine. */
-  private final class SocketPeer implements Peer {
-    private final Door door;
+  private final class SocketConnection implements ServerConnection {
+    private final Listener listener;
     private final IoSession session;
-    private final LineProtocolServer side;
+    private final EngineProtocolServer protocol;
     private final AttemptObserver attempts;
-    private boolean over;
+    private boolean ended;
 
-    SocketPeer(Door door, IoSession session) {
-      this.door = door;
+    SocketConnection(Listener listener, IoSession session) {
+      this.listener = listener;
       this.session = session;
-      side = world.sides.apply(door.engine.spec);
-      attempts = new AttemptObserver(world.auditor, door.gateway, door.engine.spec.name());
+      protocol = cluster.newProtocolServer(listener.engine.spec);
+      attempts =
+          new AttemptObserver(cluster.auditor, listener.gateway, listener.engine.spec.name());
     }
 
-    void opened() {
-      if (door.engine.isEnded()) {
-        cut(DisconnectReason.RESET);
+    void onOpened() {
+      if (listener.engine.isEnded()) {
+        disconnect(DisconnectReason.RESET);
       } else {
-        door.engine.connected(this);
-        write(side.owed());
+        listener.engine.onConnected(this);
+        write(protocol.takePendingOutput());
       }
     }
 
-    void fed(byte[] bytes) {
-      if (over || door.engine.isSilent()) {
+    void onBytes(byte[] bytes) {
+      if (ended || listener.engine.isSilent()) {
         return;
       }
       try {
-        side.feed(bytes);
-        for (Command command = side.next(); command != null; command = side.next()) {
-          attempts.goesOut(world.now(), command);
-          door.engine.heard(this, command);
+        protocol.feed(bytes);
+        for (Command command = protocol.next(); command != null; command = protocol.next()) {
+          attempts.onCommand(cluster.now(), command);
+          listener.engine.onCommand(this, command);
         }
-        side.disowned().forEach(attempts::disowned);
-        write(side.owed());
+        protocol.takeNotExecuted().forEach(attempts::onNotExecuted);
+        write(protocol.takePendingOutput());
       } catch (IllegalArgumentException e) {
-        cut(DisconnectReason.CLOSED_BY_PEER);
+        disconnect(DisconnectReason.CLOSED_BY_PEER);
       }
     }
 
@@ -142,31 +143,31 @@
     }
 
     @Override
-    public void say(EngineReplies what) {
-      if (!over) {
-        attempts.comesBack(what);
-        write(side.say(what));
+    public void reply(EngineReply reply) {
+      if (!ended) {
+        attempts.onReply(reply);
+        write(protocol.encode(reply));
       }
     }
 
     @Override
-    public void cut(DisconnectReason how) {
-      if (how == DisconnectReason.RESET) {
+    public void disconnect(DisconnectReason reason) {
+      if (reason == DisconnectReason.RESET) {
         try {
           ((SocketSessionConfig) session.getConfig()).setSoLinger(0);
         } catch (RuntimeIoException e) {
-          // The gateway has closed it meanwhile.
+          // The gateway closed it in the meantime.
         }
       }
       session.closeNow();
-      ended();
+      onClosed();
     }
 
-    void ended() {
-      if (!over) {
-        over = true;
-        attempts.ended(false);
-        door.engine.disconnected(this);
+    void onClosed() {
+      if (!ended) {
+        ended = true;
+        attempts.onConnectionEnded(false);
+        listener.engine.onDisconnected(this);
       }
     }
   }
@@ -174,23 +175,24 @@
   private final class Handler extends IoHandlerAdapter {
     @Override
     public void sessionOpened(IoSession session) {
-      SocketPeer peer = new SocketPeer(doors.get(session.getLocalAddress()), session);
-      session.setAttribute(PEER, peer);
-      post.accept(peer::opened);
+      SocketConnection connection =
+          new SocketConnection(listeners.get(session.getLocalAddress()), session);
+      session.setAttribute(CONNECTION, connection);
+      post.accept(connection::onOpened);
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      byte[] bytes = Buffers.taken(message);
-      SocketPeer peer = (SocketPeer) session.getAttribute(PEER);
-      post.accept(() -> peer.fed(bytes));
+      byte[] bytes = Buffers.bytes(message);
+      SocketConnection connection = (SocketConnection) session.getAttribute(CONNECTION);
+      post.accept(() -> connection.onBytes(bytes));
     }
 
     @Override
     public void sessionClosed(IoSession session) {
-      SocketPeer peer = (SocketPeer) session.getAttribute(PEER);
-      if (peer != null) {
-        post.accept(peer::ended);
+      SocketConnection connection = (SocketConnection) session.getAttribute(CONNECTION);
+      if (connection != null) {
+        post.accept(connection::onClosed);
       }
     }
 
--- a/harness/src/main/java/tillerlink/harness/ProcessHarness.java
+++ b/harness/src/main/java/tillerlink/harness/ProcessHarness.java
@@ -15,8 +15,8 @@
 import java.util.function.LongConsumer;
 import org.HdrHistogram.Histogram;
 import tillerlink.audit.Auditor;
-import tillerlink.emulator.World;
-import tillerlink.fakes.NameAnswer;
+import tillerlink.emulator.EmulatedCluster;
+import tillerlink.fakes.DiscoveryResponse;
 import tillerlink.fleet.Kind;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.lifecycle.WallClock;
@@ -46,7 +46,7 @@
   private final WallClock clock = new WallClock();
   private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
   private final Auditor auditor;
-  private final World world;
+  private final EmulatedCluster cluster;
   private final EngineSockets engines;
   private final NameSockets names;
   private final ClientSockets clients;
@@ -62,10 +62,10 @@
     int count = job.fleet().gateways();
     seeds = new Random(job.seed());
     auditor = new Auditor(job.fleet(), job.requestClasses());
-    world = new World(job.fleet(), job.requestClasses(), auditor, clock.now());
-    engines = new EngineSockets(world, queue::add);
-    world.onEngine(engines::open);
-    listed = world.list();
+    cluster = new EmulatedCluster(job.fleet(), job.requestClasses(), auditor, clock.now());
+    engines = new EngineSockets(cluster, queue::add);
+    cluster.onEngine(engines::open);
+    listed = cluster.list();
     names = new NameSockets(count, queue::add, this::answer);
     folder = Files.createTempDirectory("tillerlink-harness-");
     InetSocketAddress[] at = new InetSocketAddress[count];
@@ -89,7 +89,7 @@
    * @param progress told now and then how many have arrived
    */
   public static Played play(Job job, Arrivals arrivals, LongConsumer progress) throws IOException {
-    return play(job, arrivals, progress, null, world -> {});
+    return play(job, arrivals, progress, null, cluster -> {});
   }
 
   /**
@@ -98,10 +98,14 @@
    *     misbehave
    */
   public static Played play(
-      Job job, Arrivals arrivals, LongConsumer progress, Path store, Consumer<World> prepared)
+      Job job,
+      Arrivals arrivals,
+      LongConsumer progress,
+      Path store,
+      Consumer<EmulatedCluster> prepared)
       throws IOException {
     try (ProcessHarness rig = new ProcessHarness(job, store)) {
-      prepared.accept(rig.world);
+      prepared.accept(rig.cluster);
       rig.startGateways();
       return rig.run(arrivals, progress);
     } catch (InterruptedException e) {
@@ -151,7 +155,7 @@
   }
 
   private void start(int gateway) throws IOException {
-    boolean down = world.namesDown();
+    boolean down = cluster.isDiscoveryDown();
     if (!down) {
       tell(gateway);
     }
@@ -182,16 +186,16 @@
   // ---- the discovery service ----
 
   private byte[] answer(int gateway, byte[] question) {
-    if (world.namesDown()) {
+    if (cluster.isDiscoveryDown()) {
       return null;
     }
     tell(gateway);
     int id = question.length < 2 ? 0 : (question[0] & 255) << 8 | question[1] & 255;
-    return NameAnswer.of(id, serial(), seen(gateway));
+    return DiscoveryResponse.of(id, serial(), seen(gateway));
   }
 
   private long serial() {
-    List<EndpointEntry> now = world.list();
+    List<EndpointEntry> now = cluster.list();
     if (!now.equals(listed)) {
       listed = now;
       serial++;
@@ -201,7 +205,7 @@
 
   /** The list as one gateway sees it: engines at the ports that are its own. */
   private List<EndpointEntry> seen(int gateway) {
-    return world.list().stream()
+    return cluster.list().stream()
         .map(
             entry -> {
               InetSocketAddress port = engines.port(entry.id(), gateway);
@@ -220,9 +224,9 @@
   }
 
   private void tell(int gateway) {
-    for (EndpointEntry entry : world.list()) {
+    for (EndpointEntry entry : cluster.list()) {
       if (entry.standing() != Status.READY) {
-        auditor.withdrawn(world.now(), gateway, entry.id());
+        auditor.withdrawn(cluster.now(), gateway, entry.id());
       }
     }
   }
@@ -232,14 +236,14 @@
   private Played run(Arrivals arrivals, LongConsumer progress)
       throws IOException, InterruptedException {
     long start = clock.now() + LEAD;
-    world.timeline.follow(clock.now());
+    cluster.timeline.follow(clock.now());
     Figures figures = new Figures(job.requestClasses());
-    Front front = new Front(world, clients, figures, new Wording(job.seed(), job.error()));
+    Front front = new Front(cluster, clients, figures, new Wording(job.seed(), job.error()));
     front.startAt(start);
-    world.onKill(this::killed);
-    world.onStart(this::again);
-    world.startAt(start);
-    job.troubles().forEach(world::plan);
+    cluster.onKill(this::killed);
+    cluster.onStart(this::again);
+    cluster.startIncidentClock(start);
+    job.troubles().forEach(cluster::plan);
     Arrival next = arrivals.next();
     long tellAt = start;
     while (next != null || figures.arrived() < arrivals.arrived() || front.open() > 0) {
@@ -247,7 +251,7 @@
       while (next != null && start + next.at() <= now + AHEAD) {
         Arrival arrival = next;
         long due = start + arrival.at();
-        world.timeline.at(due, () -> send(front, arrival, due));
+        cluster.timeline.at(due, () -> send(front, arrival, due));
         next = arrivals.next();
       }
       turn(now + SWEEP_EVERY);
@@ -262,7 +266,7 @@
       turn(end);
     }
     figures.end();
-    return new Played(job, arrivals, world, auditor, figures, start, lasted, lag);
+    return new Played(job, arrivals, cluster, auditor, figures, start, lasted, lag);
   }
 
   private void send(Front front, Arrival arrival, long due) {
@@ -272,18 +276,18 @@
 
   /** Takes what came and what is due; waits for either until then. */
   private void turn(long until) throws InterruptedException {
-    world.timeline.follow(clock.now());
-    long wait = Math.min(until, world.timeline.next()) - clock.now();
+    cluster.timeline.follow(clock.now());
+    long wait = Math.min(until, cluster.timeline.next()) - clock.now();
     Runnable event =
         wait <= 0
             ? queue.poll()
             : queue.poll(wait * WallClock.NANOS_PER_TENTH, TimeUnit.NANOSECONDS);
     for (; event != null; event = queue.poll()) {
-      world.timeline.follow(clock.now());
+      cluster.timeline.follow(clock.now());
       event.run();
     }
-    world.timeline.follow(clock.now());
-    engines.sweep();
+    cluster.timeline.follow(clock.now());
+    engines.closeEnded();
   }
 
   @Override
--- a/replay/src/main/java/tillerlink/replay/Front.java
+++ b/replay/src/main/java/tillerlink/replay/Front.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Set;
 import tillerlink.audit.Auditor;
-import tillerlink.emulator.World;
-import tillerlink.fakes.HttpAnswers;
+import tillerlink.emulator.EmulatedCluster;
+import tillerlink.fakes.HttpResponseParser;
 import tillerlink.fakes.Results;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.RequestClassSpec;
@@ -45,7 +45,7 @@
     }
   }
 
-  private final World world;
+  private final EmulatedCluster cluster;
   private final Lines lines;
   private final Figures figures;
   private final Wording wording;
@@ -54,17 +54,17 @@
   private final List<ArrayDeque<Conversation>> idle = new ArrayList<>();
   private final List<Set<Conversation>> all = new ArrayList<>();
 
-  public Front(World world, Lines lines, Figures figures, Wording wording) {
-    this.world = world;
+  public Front(EmulatedCluster cluster, Lines lines, Figures figures, Wording wording) {
+    this.cluster = cluster;
     this.lines = lines;
     this.figures = figures;
     this.wording = wording;
-    start = world.now();
-    for (int i = 0; i < world.fleet.gateways(); i++) {
+    start = cluster.now();
+    for (int i = 0; i < cluster.fleet.gateways(); i++) {
       idle.add(new ArrayDeque<>());
       all.add(new LinkedHashSet<>());
     }
-    world.onKill(this::killed);
+    cluster.onKill(this::killed);
   }
 
   /** The run begins then, not now. */
@@ -78,30 +78,33 @@
   }
 
   public void arrive(Arrival arrival) {
-    RequestClassSpec requestClass = world.requestClasses.get(arrival.requestClass());
-    figures.arrived(world.now() - start, arrival.requestClass());
+    RequestClassSpec requestClass = cluster.requestClasses.get(arrival.requestClass());
+    figures.arrived(cluster.now() - start, arrival.requestClass());
     int gateway = gatewayFor(arrival);
-    Request request = new Request(arrival, requestClass, wording.id(arrival), gateway, world.now());
+    Request request =
+        new Request(arrival, requestClass, wording.id(arrival), gateway, cluster.now());
     if (gateway < 0) {
       finish(request, End.KILLED);
       return;
     }
     open.add(request);
-    world.expect(request.id, new World.Job(arrival.work(), requestClass.width(), arrival.memory()));
-    world.auditor.taken(
-        world.now(),
+    cluster.expect(
+        request.id,
+        new EmulatedCluster.RequestCost(arrival.work(), requestClass.width(), arrival.memory()));
+    cluster.auditor.taken(
+        cluster.now(),
         gateway,
         request.id,
         arrival.requestClass(),
         null,
-        world.now() + requestClass.deadline());
+        cluster.now() + requestClass.deadline());
     say(request, wording.request(arrival, requestClass, request.id));
-    world.timeline.at(world.now() + requestClass.deadline() + SLACK, () -> leave(request));
+    cluster.timeline.at(cluster.now() + requestClass.deadline() + SLACK, () -> leave(request));
   }
 
   /** Drawn by the request alone; a front passes over gateways that are down. */
   private int gatewayFor(Arrival arrival) {
-    int count = world.fleet.gateways();
+    int count = cluster.fleet.gateways();
     int first = (int) Long.remainderUnsigned(arrival.key() * 0x9e3779b97f4a7c15L >>> 16, count);
     for (int i = 0; i < count; i++) {
       if (lines.isUp((first + i) % count)) {
@@ -114,7 +117,7 @@
   private void say(Request request, byte[] bytes) {
     ArrayDeque<Conversation> free = idle.get(request.gateway);
     Conversation with = free.pollLast();
-    while (with != null && with.staleAt(world.now())) {
+    while (with != null && with.staleAt(cluster.now())) {
       with.hangUp();
       with = free.pollLast();
     }
@@ -123,11 +126,11 @@
     with.say(bytes);
   }
 
-  private void heard(Conversation on, Request request, HttpAnswers.Answer answer) {
-    String more = answer.status() == 200 ? answer.goOnAt() : null;
+  private void heard(Conversation on, Request request, HttpResponseParser.Response answer) {
+    String more = answer.status() == 200 ? answer.continuationPath() : null;
     if (more != null) {
       request.path = more;
-      switch (request.over ? 0 : world.choices.choose("client", 3)) {
+      switch (request.over ? 0 : cluster.faults().choose("client", 3)) {
         case 1 -> {
           on.hangUp();
           say(request, Wording.fetch(more));
@@ -136,10 +139,10 @@
           on.hangUp();
           new Conversation(request.gateway).say(Wording.leave(more));
           // Until the gateway has heard of it, it does right to go on.
-          world.timeline.at(
-              world.now() + LEAVING_TAKES,
+          cluster.timeline.at(
+              cluster.now() + LEAVING_TAKES,
               () -> {
-                world.auditor.left(world.now(), request.id, false);
+                cluster.auditor.left(cluster.now(), request.id, false);
                 finish(request, End.CLIENT_GONE);
               });
         }
@@ -151,10 +154,10 @@
     if (request.over) {
       return;
     }
-    long took = world.now() - request.askedAt;
+    long took = cluster.now() - request.askedAt;
     if (answer.status() == 200) {
       if (!answer.body().equals(Results.whole(request.id))) {
-        world.auditor.wrongResult(world.now(), request.id);
+        cluster.auditor.wrongResult(cluster.now(), request.id);
       }
       answered(
           request,
@@ -168,19 +171,19 @@
   }
 
   private void answered(Request request, Auditor.Answer answer, End end) {
-    world.auditor.answered(world.now(), request.id, answer);
+    cluster.auditor.answered(cluster.now(), request.id, answer);
     finish(request, end);
   }
 
   private void finish(Request request, End end) {
     request.over = true;
     open.remove(request);
-    world.forget(request.id);
+    cluster.forget(request.id);
     figures.ended(
         request.askedAt - start,
         request.arrival.requestClass(),
         end,
-        world.now() - request.askedAt);
+        cluster.now() - request.askedAt);
   }
 
   /**
@@ -196,7 +199,7 @@
       // It crossed the gateway's close of an idle connection.
       say(request, wording.request(request.arrival, request.requestClass, request.id));
     } else {
-      world.auditor.left(world.now(), request.id, true);
+      cluster.auditor.left(cluster.now(), request.id, true);
       finish(request, End.CLIENT_GONE);
     }
   }
@@ -205,7 +208,7 @@
     if (request.over) {
       return;
     }
-    world.auditor.left(world.now(), request.id, true);
+    cluster.auditor.left(cluster.now(), request.id, true);
     finish(request, End.CLIENT_GONE);
     if (request.path != null) {
       Conversation last = new Conversation(request.gateway);
@@ -225,7 +228,7 @@
   /** A client's connection to a gateway. */
   private final class Conversation implements Lines.Client {
     private final int gateway;
-    private final HttpAnswers reader = new HttpAnswers();
+    private final HttpResponseParser reader = new HttpResponseParser();
     private final Lines.Line line;
     private Request request;
     private boolean over;
@@ -248,7 +251,7 @@
       }
       try {
         reader.feed(bytes);
-        for (HttpAnswers.Answer answer = reader.next();
+        for (HttpResponseParser.Response answer = reader.next();
             answer != null && !over;
             answer = reader.next()) {
           Request of = request;
@@ -266,7 +269,7 @@
 
     void free() {
       request = null;
-      freeSince = world.now();
+      freeSince = cluster.now();
       idle.get(gateway).addLast(this);
     }
 
--- a/replay/src/main/java/tillerlink/replay/GatewayConnections.java
+++ b/replay/src/main/java/tillerlink/replay/GatewayConnections.java
@@ -1,7 +1,7 @@
 package tillerlink.replay;
 
+import tillerlink.emulator.EmulatedCluster;
 import tillerlink.emulator.EmulatedGateway;
-import tillerlink.emulator.World;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.DisconnectReason;
 
@@ -9,20 +9,20 @@
 public final class GatewayConnections implements Lines {
   private static final long DELAY = 2;
 
-  private final World world;
+  private final EmulatedCluster cluster;
 
-  public GatewayConnections(World world) {
-    this.world = world;
+  public GatewayConnections(EmulatedCluster cluster) {
+    this.cluster = cluster;
   }
 
   @Override
   public boolean isUp(int gateway) {
-    return world.seats.get(gateway).isUp();
+    return cluster.gateway(gateway).isUp();
   }
 
   @Override
   public Line open(int gateway, Client client) {
-    return new Connection(world.seats.get(gateway), client);
+    return new Connection(cluster.gateway(gateway), client);
   }
 
   /** What is said takes a while, both ways, and keeps its order. */
@@ -37,12 +37,12 @@
     Connection(EmulatedGateway seat, Client client) {
       this.seat = seat;
       this.client = client;
-      life = seat.life();
+      life = seat.incarnation();
       later(() -> seat.post(life, () -> owner = seat.accept(this)));
     }
 
     private void later(Runnable what) {
-      world.timeline.at(world.now() + DELAY, what);
+      cluster.timeline.at(cluster.now() + DELAY, what);
     }
 
     private void tell(Runnable what) {
--- a/replay/src/main/java/tillerlink/replay/Page.java
+++ b/replay/src/main/java/tillerlink/replay/Page.java
@@ -155,7 +155,7 @@
 
   private void engines() {
     out.print("<h2>Cores given out, as a share, by engine</h2><table>");
-    for (Map.Entry<String, Double> engine : run.world().busy(run.lasted()).entrySet()) {
+    for (Map.Entry<String, Double> engine : run.cluster().utilization(run.lasted()).entrySet()) {
       out.printf(
           Locale.ROOT,
           "<tr><td>%s<td>%.3f<td><svg width=\"300\" height=\"10\"><rect width=\"%.0f\" "
@@ -169,9 +169,9 @@
   }
 
   private void troubles() {
-    if (!run.world().happened().isEmpty()) {
+    if (!run.cluster().incidents().isEmpty()) {
       out.print("<h2>What happened</h2><pre>");
-      run.world().happened().forEach(line -> out.println(escaped(line)));
+      run.cluster().incidents().forEach(line -> out.println(escaped(line)));
       out.println("</pre>");
     }
   }
--- a/replay/src/main/java/tillerlink/replay/Played.java
+++ b/replay/src/main/java/tillerlink/replay/Played.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
 import tillerlink.audit.Auditor;
-import tillerlink.emulator.World;
+import tillerlink.emulator.EmulatedCluster;
 
 /**
  * A replay that has been played.
@@ -17,7 +17,7 @@
 public record Played(
     Job job,
     Arrivals arrivals,
-    World world,
+    EmulatedCluster cluster,
     Auditor auditor,
     Figures figures,
     long start,
--- a/replay/src/main/java/tillerlink/replay/Report.java
+++ b/replay/src/main/java/tillerlink/replay/Report.java
@@ -48,7 +48,7 @@
       service(json, run);
       rules(json, run);
       json.writeArrayFieldStart("timeline");
-      for (String line : run.world().happened()) {
+      for (String line : run.cluster().incidents()) {
         json.writeString(line.strip());
       }
       json.writeEndArray();
@@ -167,7 +167,7 @@
 
   private static void engines(JsonGenerator json, Played run) throws IOException {
     json.writeObjectFieldStart("busy_share_by_engine");
-    for (Map.Entry<String, Double> engine : run.world().busy(run.lasted()).entrySet()) {
+    for (Map.Entry<String, Double> engine : run.cluster().utilization(run.lasted()).entrySet()) {
       number(json, engine.getKey(), engine.getValue());
     }
     json.writeEndObject();
--- a/replay/src/main/java/tillerlink/replay/Run.java
+++ b/replay/src/main/java/tillerlink/replay/Run.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 import java.util.function.LongConsumer;
 import tillerlink.audit.Auditor;
-import tillerlink.emulator.World;
+import tillerlink.emulator.EmulatedCluster;
 import tillerlink.workload.Arrival;
 
 /** Replays in virtual time. */
@@ -20,31 +20,34 @@
   public static Played play(Job job, Arrivals arrivals, LongConsumer progress) throws IOException {
     Auditor auditor = new Auditor(job.fleet(), job.requestClasses());
     Figures figures = new Figures(job.requestClasses());
-    World world =
-        new World(job.fleet(), job.requestClasses(), auditor, UNIX_START)
-            .seat(job.modules(), job.seed());
+    EmulatedCluster cluster =
+        new EmulatedCluster(job.fleet(), job.requestClasses(), auditor, UNIX_START)
+            .startGateways(job.modules(), job.seed());
     Front front =
         new Front(
-            world, new GatewayConnections(world), figures, new Wording(job.seed(), job.error()));
-    job.troubles().forEach(world::plan);
+            cluster,
+            new GatewayConnections(cluster),
+            figures,
+            new Wording(job.seed(), job.error()));
+    job.troubles().forEach(cluster::plan);
     Arrival next = arrivals.next();
     long steps = 0;
     while (next != null || figures.arrived() < arrivals.arrived() || front.open() > 0) {
-      while (next != null && UNIX_START + next.at() <= world.timeline.next()) {
+      while (next != null && UNIX_START + next.at() <= cluster.timeline.next()) {
         Arrival arrival = next;
-        world.timeline.at(UNIX_START + arrival.at(), () -> front.arrive(arrival));
+        cluster.timeline.at(UNIX_START + arrival.at(), () -> front.arrive(arrival));
         next = arrivals.next();
       }
-      world.timeline.step();
+      cluster.timeline.step();
       if (++steps % TELL_EVERY == 0) {
         progress.accept(arrivals.arrived());
       }
     }
-    long lasted = world.now() - UNIX_START;
-    while (world.timeline.next() < UNIX_START + lasted + AFTERWARDS) {
-      world.timeline.step();
+    long lasted = cluster.now() - UNIX_START;
+    while (cluster.timeline.next() < UNIX_START + lasted + AFTERWARDS) {
+      cluster.timeline.step();
     }
     figures.end();
-    return new Played(job, arrivals, world, auditor, figures, UNIX_START, lasted, null);
+    return new Played(job, arrivals, cluster, auditor, figures, UNIX_START, lasted, null);
   }
 }
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tillerlink.baseline.Baseline;
+import tillerlink.baseline.BaselinePolicy;
 import tillerlink.fleet.Fleet;
 import tillerlink.harness.ProcessHarness;
 import tillerlink.operator.OperatorFile;
@@ -247,8 +247,8 @@
   private DispatchPolicyFactory modules() {
     return switch (choice) {
       case MODULE -> DefaultDispatchPolicy::new;
-      case RANDOM -> Baseline.of(Baseline.Choice.RANDOM);
-      default -> Baseline.of(Baseline.Choice.LEAST_OUTSTANDING);
+      case RANDOM -> BaselinePolicy.of(BaselinePolicy.Choice.RANDOM);
+      default -> BaselinePolicy.of(BaselinePolicy.Choice.LEAST_OUTSTANDING);
     };
   }
 
--- a/tools/src/main/java/tillerlink/cli/Summary.java
+++ b/tools/src/main/java/tillerlink/cli/Summary.java
@@ -64,7 +64,7 @@
         run.arrivals().tally().bad(),
         run.auditor().attempts(),
         run.auditor().retries());
-    run.world().happened().forEach(out::println);
+    run.cluster().incidents().forEach(out::println);
     for (Violation violation :
         run.auditor().violations().subList(0, Math.min(5, run.auditor().violations().size()))) {
       out.println("  " + violation.what());
--- a/tools/src/main/java/tillerlink/explore/Player.java
+++ b/tools/src/main/java/tillerlink/explore/Player.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import tillerlink.audit.Auditor;
 import tillerlink.audit.Violation;
-import tillerlink.emulator.Choices;
-import tillerlink.emulator.World;
+import tillerlink.emulator.EmulatedCluster;
+import tillerlink.emulator.FaultChooser;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
 import tillerlink.model.Effect;
@@ -69,12 +69,12 @@
   }
 
   /** Notes what is decided, and takes the way that was asked for. */
-  private static final class Noting implements Choices {
+  private static final class Noting implements FaultChooser {
     private final List<int[]> deviations;
     private final List<String> told;
     private int[] options = new int[256];
     private int points;
-    private World world;
+    private EmulatedCluster cluster;
 
     Noting(List<int[]> deviations, List<String> told) {
       this.deviations = deviations;
@@ -94,7 +94,7 @@
               String.format(
                   Locale.ROOT,
                   "%7.1f ms  %s goes otherwise, way %d",
-                  (world.now() - START) / 10.0,
+                  (cluster.now() - START) / 10.0,
                   point,
                   deviation[1]));
           return deviation[1];
@@ -148,24 +148,24 @@
     List<String> told = new ArrayList<>();
     Telling auditor = new Telling(fleet, told);
     Noting noting = new Noting(deviations, told);
-    World world = new World(fleet, REQUEST_CLASSES, auditor, START);
-    noting.world = world;
-    world.choices = noting;
-    world.seat(modules, 1);
+    EmulatedCluster cluster = new EmulatedCluster(fleet, REQUEST_CLASSES, auditor, START);
+    noting.cluster = cluster;
+    cluster.faultChooser(noting);
+    cluster.startGateways(modules, 1);
     Figures figures = new Figures(REQUEST_CLASSES);
-    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(1, 0));
+    Front front = new Front(cluster, new GatewayConnections(cluster), figures, new Wording(1, 0));
     for (int i = 0; i < requests; i++) {
       Arrival arrival = new Arrival(i * 120L, i, i % REQUEST_CLASSES.size(), 400, 1, i, i);
-      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
     }
-    world.timeline.at(
+    cluster.timeline.at(
         START + 150,
         () -> {
           int way = noting.choose("the list", 3);
           if (way > 0) {
-            world.plan(
+            cluster.plan(
                 new Trouble(
-                    world.now() - START,
+                    cluster.now() - START,
                     way == 1 ? Trouble.What.DRAINED : Trouble.What.GONE,
                     "e1",
                     2 * SECOND,
@@ -173,7 +173,7 @@
           }
         });
     while (figures.arrived() < requests || front.open() > 0) {
-      world.timeline.step();
+      cluster.timeline.step();
     }
     List<String> wrong = new ArrayList<>();
     for (Violation violation : auditor.violations()) {
--- a/tools/src/test/java/tillerlink/cli/VerdictTest.java
+++ b/tools/src/test/java/tillerlink/cli/VerdictTest.java
@@ -72,7 +72,7 @@
     return new Played(
         calm.job(),
         calm.arrivals(),
-        calm.world(),
+        calm.cluster(),
         calm.auditor(),
         calm.figures(),
         calm.start(),
--- a/tools/src/test/java/tillerlink/replay/BlindStartTest.java
+++ b/tools/src/test/java/tillerlink/replay/BlindStartTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 import tillerlink.audit.Auditor;
-import tillerlink.emulator.World;
+import tillerlink.emulator.EmulatedCluster;
 import tillerlink.endpointcache.EndpointHistory;
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
@@ -76,7 +76,7 @@
    * The list as it was so long ago: e2 drained then and e3 had ended a little before; all others
    * stand.
    */
-  private static TreeMap<String, byte[]> remembered(World world, long age) {
+  private static TreeMap<String, byte[]> remembered(EmulatedCluster cluster, long age) {
     TreeMap<String, byte[]> stored = new TreeMap<>();
     EndpointHistory memory =
         new EndpointHistory(
@@ -91,7 +91,7 @@
                 stored.put(key, value);
               }
             });
-    List<EndpointEntry> all = new ArrayList<>(world.list());
+    List<EndpointEntry> all = new ArrayList<>(cluster.list());
     memory.onEndpointsReceived(START - age - SECOND, new EndpointWatchEvent(1, true, all));
     all.removeIf(entry -> entry.id().equals("e3"));
     all.replaceAll(
@@ -119,32 +119,32 @@
         .setLevel(ch.qos.logback.classic.Level.ERROR);
     Fleet fleet = Fleet.of(gateways, 12);
     Counted auditor = new Counted(fleet);
-    World world = new World(fleet, REQUEST_CLASSES, auditor, START);
-    TreeMap<String, byte[]> stored = age == null ? new TreeMap<>() : remembered(world, age);
-    world.namesDownUntil = down ? START + 8 * SECOND : 0;
-    world.endpointCaches =
+    EmulatedCluster cluster = new EmulatedCluster(fleet, REQUEST_CLASSES, auditor, START);
+    TreeMap<String, byte[]> stored = age == null ? new TreeMap<>() : remembered(cluster, age);
+    cluster.discoveryDownUntil(down ? START + 8 * SECOND : 0);
+    cluster.endpointCaches(
         place ->
-            new EndpointHistory(stored, LONGEST, 13 * SECOND, 24 * HOUR, (key, value, soon) -> {});
-    world.seat(DefaultDispatchPolicy::new, 4);
+            new EndpointHistory(stored, LONGEST, 13 * SECOND, 24 * HOUR, (key, value, soon) -> {}));
+    cluster.startGateways(DefaultDispatchPolicy::new, 4);
     Figures figures = new Figures(REQUEST_CLASSES);
-    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(4, 0.2));
+    Front front = new Front(cluster, new GatewayConnections(cluster), figures, new Wording(4, 0.2));
     int count = 6000;
     for (int i = 0; i < count; i++) {
       Arrival arrival = new Arrival(i * 20L, i, i % 3, 1000 + i % 7 * 200, 1, i % 16, i * 31L);
-      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
     }
     StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%-12s", name));
     long before = 0;
     for (int second = 1; second <= 13; second++) {
-      while (world.timeline.next() <= START + second * SECOND) {
-        world.timeline.step();
+      while (cluster.timeline.next() <= START + second * SECOND) {
+        cluster.timeline.step();
       }
       long served = figures.ended(End.IN_TIME);
       line.append(String.format(Locale.ROOT, " %4d", served - before));
       before = served;
     }
     while (figures.arrived() < count || front.open() > 0) {
-      world.timeline.step();
+      cluster.timeline.step();
     }
     assertTrue(auditor.counts().isEmpty(), name + auditor.violations());
     assertTrue(figures.addsUp());
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 import tillerlink.audit.Auditor;
-import tillerlink.emulator.Peer;
-import tillerlink.emulator.World;
+import tillerlink.emulator.EmulatedCluster;
+import tillerlink.emulator.ServerConnection;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
 import tillerlink.model.Effect;
@@ -196,18 +196,19 @@
     Random random = new Random(seed);
     Fleet fleet = http2 ? Fleet.of(1, 2).overHttp2(kind -> true) : Fleet.of(1, 2);
     Watching watching = new Watching(fleet);
-    World world = new World(fleet, REQUEST_CLASSES, watching, START);
-    world.mischief = random;
-    world.seat(DefaultDispatchPolicy::new, seed);
-    world.seats.get(0).beside(door -> new Aside(door, watching, random, planted));
+    EmulatedCluster cluster = new EmulatedCluster(fleet, REQUEST_CLASSES, watching, START);
+    cluster.deliveryJitter(random);
+    cluster.startGateways(DefaultDispatchPolicy::new, seed);
+    cluster.gateway(0).addExtension(door -> new Aside(door, watching, random, planted));
     Figures figures = new Figures(REQUEST_CLASSES);
-    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(seed, 0.2));
+    Front front =
+        new Front(cluster, new GatewayConnections(cluster), figures, new Wording(seed, 0.2));
     for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival =
           new Arrival(
               random.nextInt(1500), i, random.nextInt(3), 100 + random.nextInt(2000), 1, i, i + 7);
-      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
-      world.timeline.at(
+      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(
           START + random.nextInt(12_000),
           () ->
               watching.guards.values().stream()
@@ -216,13 +217,13 @@
                   .forEach(guard -> guard.valid = false));
     }
     for (int i = 0; i < 2; i++) {
-      world.timeline.at(
+      cluster.timeline.at(
           START + random.nextInt(4000),
           () -> {
-            List<Peer> open = world.seats.get(0).connections();
+            List<ServerConnection> open = cluster.gateway(0).connections();
             if (!open.isEmpty()) {
               open.get(random.nextInt(open.size()))
-                  .cut(
+                  .disconnect(
                       random.nextBoolean()
                           ? DisconnectReason.RESET
                           : DisconnectReason.CLOSED_BY_PEER);
@@ -230,7 +231,7 @@
           });
     }
     Trouble.What[] kinds = {Trouble.What.SILENT, Trouble.What.GONE, Trouble.What.DRAINED};
-    world.plan(
+    cluster.plan(
         new Trouble(
             random.nextInt(4000),
             kinds[random.nextInt(3)],
@@ -238,9 +239,9 @@
             3000,
             1));
     while (figures.arrived() < REQUESTS || front.open() > 0) {
-      world.timeline.step();
+      cluster.timeline.step();
     }
-    world.timeline.follow(world.timeline.now() + SETTLE);
+    cluster.timeline.follow(cluster.timeline.now() + SETTLE);
     watching.guards.forEach(
         (id, guard) ->
             watching.wrong.append(
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.LoggerFactory;
 import tillerlink.audit.Auditor;
-import tillerlink.emulator.Peer;
-import tillerlink.emulator.World;
-import tillerlink.fakes.EngineCommands.Command;
-import tillerlink.fakes.EngineCommands.Word;
-import tillerlink.fakes.EngineReplies;
+import tillerlink.emulator.EmulatedCluster;
+import tillerlink.emulator.ServerConnection;
+import tillerlink.fakes.EngineCommandParser.Command;
+import tillerlink.fakes.EngineCommandParser.Word;
+import tillerlink.fakes.EngineProtocolServer;
+import tillerlink.fakes.EngineReply;
 import tillerlink.fakes.Http2Server;
-import tillerlink.fakes.LineProtocolServer;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
 import tillerlink.harness.ProcessHarness;
@@ -116,7 +116,7 @@
   }
 
   /** An engine's side that misbehaves now and then. */
-  private static final class Moody implements LineProtocolServer {
+  private static final class Moody implements EngineProtocolServer {
     private final Http2Server side;
     private final Random random;
     private final Mood mood;
@@ -148,7 +148,7 @@
     private boolean turnsAway(Command command) {
       int stream = side.streamOf(command.id());
       if (lowered > 0 && --lowered == 0) {
-        side.limit(4);
+        side.limitStreams(4);
       }
       switch (random.nextInt(mood == Mood.WILD ? 14 : 10)) {
         case 0 -> {
@@ -166,7 +166,7 @@
           return false;
         }
         case 3 -> {
-          side.limit(random.nextInt(2));
+          side.limitStreams(random.nextInt(2));
           lowered = 1 + random.nextInt(2);
           return false;
         }
@@ -197,35 +197,35 @@
         side.writer().goAway(stream, ErrorCode.NO_ERROR);
         return true;
       }
-      side.leave(Math.max(0, stream - 2));
+      side.goAway(Math.max(0, stream - 2));
       return true;
     }
 
     @Override
-    public byte[] say(EngineReplies what) {
-      if (mood == Mood.WILD && what.word() == EngineReplies.Word.OK && random.nextInt(12) == 0) {
-        Integer stream = side.streamOf(what.id());
+    public byte[] encode(EngineReply reply) {
+      if (mood == Mood.WILD && reply.word() == EngineReply.Word.OK && random.nextInt(12) == 0) {
+        Integer stream = side.streamOf(reply.id());
         if (stream != null) {
           side.reset(stream, random.nextBoolean() ? ErrorCode.CANCEL : ErrorCode.INTERNAL_ERROR);
-          return side.owed();
+          return side.takePendingOutput();
         }
       }
-      return side.say(what);
+      return side.encode(reply);
     }
 
     @Override
-    public byte[] owed() {
-      return side.owed();
+    public byte[] takePendingOutput() {
+      return side.takePendingOutput();
     }
 
     @Override
-    public boolean leftBehind(LineProtocolServer sender, String attempt) {
-      return side.leftBehind(sender, attempt);
+    public boolean isBeyondGoAway(EngineProtocolServer sender, String attempt) {
+      return side.isBeyondGoAway(sender, attempt);
     }
 
     @Override
-    public List<String> disowned() {
-      return side.disowned();
+    public List<String> takeNotExecuted() {
+      return side.takeNotExecuted();
     }
   }
 
@@ -234,34 +234,35 @@
     Random random = new Random(seed);
     Fleet fleet = Fleet.of(1, 2).overHttp2(kind -> true);
     Counted auditor = new Counted(fleet);
-    World world = new World(fleet, REQUEST_CLASSES, auditor, START);
+    EmulatedCluster cluster = new EmulatedCluster(fleet, REQUEST_CLASSES, auditor, START);
     List<Moody> sides = new ArrayList<>();
-    world.sides =
+    cluster.protocolFactory(
         spec -> {
           sides.add(new Moody(random, mood));
           return sides.get(sides.size() - 1);
-        };
-    world.mischief = random;
-    world.seat(DefaultDispatchPolicy::new, seed);
+        });
+    cluster.deliveryJitter(random);
+    cluster.startGateways(DefaultDispatchPolicy::new, seed);
     Figures figures = new Figures(REQUEST_CLASSES);
-    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(seed, 0.2));
+    Front front =
+        new Front(cluster, new GatewayConnections(cluster), figures, new Wording(seed, 0.2));
     List<Arrival> arrivals = new ArrayList<>();
     for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival =
           new Arrival(
               random.nextInt(1500), i, random.nextInt(3), 100 + random.nextInt(2000), 1, i, i + 7);
       arrivals.add(arrival);
-      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
     }
     if (mood == Mood.WILD) {
       for (int i = 0; i < 2; i++) {
-        world.timeline.at(
+        cluster.timeline.at(
             START + random.nextInt(4000),
             () -> {
-              List<Peer> open = world.seats.get(0).connections();
+              List<ServerConnection> open = cluster.gateway(0).connections();
               if (!open.isEmpty()) {
                 open.get(random.nextInt(open.size()))
-                    .cut(
+                    .disconnect(
                         random.nextBoolean()
                             ? DisconnectReason.RESET
                             : DisconnectReason.CLOSED_BY_PEER);
@@ -269,7 +270,7 @@
             });
       }
       Trouble.What[] kinds = {Trouble.What.SILENT, Trouble.What.GONE, Trouble.What.DRAINED};
-      world.plan(
+      cluster.plan(
           new Trouble(
               random.nextInt(4000),
               kinds[random.nextInt(3)],
@@ -278,7 +279,7 @@
               1));
     }
     while (figures.arrived() < REQUESTS || front.open() > 0) {
-      world.timeline.step();
+      cluster.timeline.step();
     }
     StringBuilder wrong = new StringBuilder();
     auditor
@@ -298,7 +299,8 @@
         }
       }
     }
-    sides.forEach(side -> wrong.append(side.side.overLimit() > 0 ? "a limit was passed; " : ""));
+    sides.forEach(
+        side -> wrong.append(side.side.streamsOverLimit() > 0 ? "a limit was passed; " : ""));
     return wrong.toString();
   }
 
@@ -372,7 +374,7 @@
               arrivals,
               arrived -> {},
               null,
-              world -> world.sides = spec -> new Moody(random, Mood.WILD));
+              cluster -> cluster.protocolFactory(spec -> new Moody(random, Mood.WILD)));
       assertTrue(played.auditor().counts().isEmpty(), played.auditor().violations().toString());
       assertTrue(played.figures().addsUp());
       assertEquals(300, played.figures().arrived());
--- a/tools/src/test/java/tillerlink/replay/ReplayTest.java
+++ b/tools/src/test/java/tillerlink/replay/ReplayTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.LoggerFactory;
-import tillerlink.baseline.Baseline;
+import tillerlink.baseline.BaselinePolicy;
 import tillerlink.cli.Tillerlink;
 import tillerlink.fleet.Fleet;
 import tillerlink.fleet.Trouble;
@@ -119,7 +119,7 @@
                 trace,
                 Fleet.builtIn(3),
                 0.9,
-                Baseline.of(Baseline.Choice.RANDOM)));
+                BaselinePolicy.of(BaselinePolicy.Choice.RANDOM)));
     assertTrue(random.auditor().counts().isEmpty(), random.auditor().violations().toString());
     assertTrue(
         module > random.figures().whole() + 0.1, module + " against " + random.figures().whole());
@@ -149,7 +149,7 @@
                 new Trouble(18 * SECOND, Trouble.What.DRAINED, "e4", SECOND, 1)));
     assertTrue(played.sound(), played.auditor().violations().toString());
     StringBuilder print = new StringBuilder();
-    played.world().happened().forEach(line -> print.append(line).append('\n'));
+    played.cluster().incidents().forEach(line -> print.append(line).append('\n'));
     Series series = played.figures().series();
     print.append("second  arrived in_time late turned_back broken_off gone killed\n");
     for (int i = 0; i < series.bins(); i++) {
@@ -233,10 +233,10 @@
               arrivals,
               arrived -> {},
               folder.resolve("store"),
-              world ->
-                  world.timeline.at(
-                      world.now() + 1,
-                      () -> world.onKill(place -> world.namesDownUntil = Long.MAX_VALUE)));
+              cluster ->
+                  cluster.timeline.at(
+                      cluster.now() + 1,
+                      () -> cluster.onKill(place -> cluster.discoveryDownUntil(Long.MAX_VALUE))));
       assertTrue(played.auditor().counts().isEmpty(), played.auditor().violations().toString());
       assertTrue(played.figures().addsUp());
       Series series = played.figures().series();
@@ -276,7 +276,7 @@
       assertTrue(played.figures().addsUp());
       assertEquals(400, played.figures().arrived());
       assertTrue(played.figures().whole() > 0.6, "served " + played.figures().whole());
-      assertEquals(5, played.world().happened().size(), played.world().happened().toString());
+      assertEquals(5, played.cluster().incidents().size(), played.cluster().incidents().toString());
     }
   }
 }
