--- a/audit/src/main/java/tillerlink/audit/Auditor.java
+++ b/audit/src/main/java/tillerlink/audit/Auditor.java
@@ -65,7 +65,7 @@
     private final Map<Integer, Long> withdrawnFor = new HashMap<>();
     private final ArrayDeque<double[]> sent = new ArrayDeque<>();
     private double workSent;
-    private double workMost;
+    private double maxWork;
 
     Watched(int kind, long startedAt) {
       this.kind = kind;
@@ -333,7 +333,7 @@
     while (watched.sent.peekFirst()[0] <= now - fleet.fall()) {
       watched.workSent -= watched.sent.pollFirst()[1];
     }
-    watched.workMost = Math.max(watched.workMost, watched.workSent / able);
+    watched.maxWork = Math.max(watched.maxWork, watched.workSent / able);
     if (watched.workSent > able && fallen.add(engine)) {
       violation(
           Rule.COLD,
@@ -366,7 +366,7 @@
 
   /** How much of what would push it over was sent to a cold engine at the most. */
   public double coldMost() {
-    return engines.values().stream().mapToDouble(engine -> engine.workMost).max().orElse(0);
+    return engines.values().stream().mapToDouble(engine -> engine.maxWork).max().orElse(0);
   }
 
   public Map<Rule, Long> counts() {
--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -27,7 +27,7 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchActions;
 import tillerlink.trace.Layout;
-import tillerlink.workload.BuiltIn;
+import tillerlink.workload.BuiltInRequestClasses;
 
 /**
  * What a list and a decision cost the module in fleets of 36, 300 and 1,024 engines, with a tenth
@@ -55,7 +55,8 @@
   public void start() {
     Fleet fleet = Fleet.of(100, engines);
     Map<String, Object> settings =
-        FlattenedConfig.of(fleet.settings(BuiltIn.requestClasses(Layout.ALIBABA_2018), 0));
+        FlattenedConfig.of(
+            fleet.settings(BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018), 0));
     policy = new DefaultDispatchPolicy(now, 7, settings, new Nobody());
     for (Spec spec : fleet.engines()) {
       list.add(
--- a/bench/src/main/java/tillerlink/jmh/Ordering.java
+++ b/bench/src/main/java/tillerlink/jmh/Ordering.java
@@ -17,8 +17,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
-import tillerlink.trace.Reorder;
-import tillerlink.trace.Tally;
+import tillerlink.trace.ReorderBuffer;
+import tillerlink.trace.RowCounts;
 import tillerlink.trace.Task;
 
 /**
@@ -60,8 +60,9 @@
   @OperationsPerInvocation(TASKS)
   public long wheel() throws IOException {
     int[] at = {0};
-    Reorder reorder =
-        new Reorder(() -> at[0] < TASKS ? tasks[at[0]++] : null, window, TASKS, new Tally());
+    ReorderBuffer reorder =
+        new ReorderBuffer(
+            () -> at[0] < TASKS ? tasks[at[0]++] : null, window, TASKS, new RowCounts());
     long sum = 0;
     for (Task task = reorder.next(); task != null; task = reorder.next()) {
       sum += task.start();
--- a/operator/src/main/java/tillerlink/operator/OperatorFile.java
+++ b/operator/src/main/java/tillerlink/operator/OperatorFile.java
@@ -8,8 +8,8 @@
 import tillerlink.fleet.Trouble;
 import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.trace.Layout;
-import tillerlink.workload.Plan;
 import tillerlink.workload.RequestClassSpec;
+import tillerlink.workload.WorkloadScaling;
 
 /**
  * What the operator has written, checked. Every part is optional; what is absent is null or empty.
@@ -47,7 +47,12 @@
 
   /** What a replay is by default; times are tenths of a millisecond. */
   public record Replaying(
-      double load, Plan.Scale scale, long window, double error, double badMost, long seed) {}
+      double load,
+      WorkloadScaling.Scale scale,
+      long window,
+      double error,
+      double badMost,
+      long seed) {}
 
   /**
    * Where gateways remember what outlives them; the age from which it is not trusted, in tenths of
--- a/operator/src/main/java/tillerlink/operator/ReplayPart.java
+++ b/operator/src/main/java/tillerlink/operator/ReplayPart.java
@@ -1,6 +1,6 @@
 package tillerlink.operator;
 
-import tillerlink.workload.Plan;
+import tillerlink.workload.WorkloadScaling;
 
 /** The part <code>replay</code>. */
 final class ReplayPart {
@@ -13,7 +13,7 @@
     OperatorFile.Replaying replay =
         new OperatorFile.Replaying(
             section.number("load", 0.001, 10, 0.6),
-            section.choice("scale", Plan.Scale.TIME, Plan.Scale.class),
+            section.choice("scale", WorkloadScaling.Scale.TIME, WorkloadScaling.Scale.class),
             Math.round(section.number("window_s", 0, 1e7, 3600) * Units.TENTHS_PER_S),
             section.number("estimate_error", 0, 5, 0.4),
             section.number("bad_most", 0, 1, 0.1),
--- a/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
@@ -15,8 +15,8 @@
 import tillerlink.model.Effect;
 import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.trace.Layout;
-import tillerlink.workload.Plan;
 import tillerlink.workload.RequestClassSpec;
+import tillerlink.workload.WorkloadScaling;
 
 /**
  * Pins the keys, words and units of the operator's file by a copy of the example: every value of
@@ -39,7 +39,8 @@
     assertEquals(
         new OperatorFile.Storing("/var/lib/tillerlink", 864_000_000, 16_777_216), file.store());
     assertEquals(
-        new OperatorFile.Replaying(0.6, Plan.Scale.TIME, 36_000_000, 0.4, 0.1, 1), file.replay());
+        new OperatorFile.Replaying(0.6, WorkloadScaling.Scale.TIME, 36_000_000, 0.4, 0.1, 1),
+        file.replay());
   }
 
   @Test
--- a/replay/src/main/java/tillerlink/replay/Arrivals.java
+++ b/replay/src/main/java/tillerlink/replay/Arrivals.java
@@ -5,16 +5,16 @@
 import java.util.ArrayList;
 import java.util.List;
 import tillerlink.trace.ExternalSort;
-import tillerlink.trace.Reorder;
+import tillerlink.trace.ReorderBuffer;
+import tillerlink.trace.RowCounts;
 import tillerlink.trace.Shard;
-import tillerlink.trace.Tally;
 import tillerlink.trace.Task;
 import tillerlink.trace.TaskReader;
-import tillerlink.trace.Tasks;
+import tillerlink.trace.TaskSource;
 import tillerlink.workload.Arrival;
-import tillerlink.workload.Plan;
 import tillerlink.workload.RequestClassSpec;
-import tillerlink.workload.Survey;
+import tillerlink.workload.TraceSurvey;
+import tillerlink.workload.WorkloadScaling;
 
 /**
  * The requests of a trace in the order of their arrival. A file is read twice, first to learn how
@@ -30,13 +30,13 @@
   private static final double MEGABYTES_PER_SECOND = 400;
 
   private final Job job;
-  private final Tally tally = new Tally();
+  private final RowCounts tally = new RowCounts();
   private final TaskReader reader;
-  private final Tasks ordered;
-  private final Reorder reorder;
+  private final TaskSource ordered;
+  private final ReorderBuffer reorder;
   private final ExternalSort sort;
-  private final Plan plan;
-  private final Survey survey;
+  private final WorkloadScaling plan;
+  private final TraceSurvey survey;
   private long sampledOut;
   private long noRequestClass;
   private long arrived;
@@ -45,16 +45,16 @@
   public Arrivals(Job job) throws IOException {
     this.job = job;
     boolean twice = job.shards().stream().allMatch(Shard::readableAgain);
-    survey = new Survey(job.requestClasses().size());
+    survey = new TraceSurvey(job.requestClasses().size());
     List<Task> prefix = new ArrayList<>();
     reader = reader(tally);
     if (twice) {
-      Tally first = new Tally();
+      RowCounts first = new RowCounts();
       try (TaskReader once = reader(first)) {
         survey.addAll(guarded(once, first), Long.MAX_VALUE);
       }
     } else {
-      Tasks source = guarded(reader, tally);
+      TaskSource source = guarded(reader, tally);
       for (Task task = source.next();
           task != null;
           task = prefix.size() < PREFIX ? source.next() : null) {
@@ -67,7 +67,7 @@
     }
     try {
       plan =
-          Plan.of(
+          WorkloadScaling.of(
               survey,
               job.requestClasses(),
               job.fleet().cores(),
@@ -78,13 +78,13 @@
     } catch (IllegalArgumentException e) {
       throw new BadTraceException(e.getMessage());
     }
-    Tasks source = joined(prefix, guarded(reader, tally));
+    TaskSource source = joined(prefix, guarded(reader, tally));
     sort = job.sortIn() == null ? null : new ExternalSort(source, job.sortIn(), job.sortMost());
-    reorder = sort != null ? null : new Reorder(source, job.window(), WAITING_MOST, tally);
+    reorder = sort != null ? null : new ReorderBuffer(source, job.window(), WAITING_MOST, tally);
     ordered = sort != null ? sort : reorder;
   }
 
-  private TaskReader reader(Tally to) {
+  private TaskReader reader(RowCounts to) {
     return new TaskReader(
         job.layout(),
         job.shards(),
@@ -93,7 +93,7 @@
   }
 
   /** Guards against replaying what is no such trace at all. */
-  private Tasks guarded(Tasks source, Tally rows) {
+  private TaskSource guarded(TaskSource source, RowCounts rows) {
     return () -> {
       Task task = source.next();
       if ((task == null || rows.rowsRead() >= ROWS_LEAST) && rows.badShare() > job.badMost()) {
@@ -110,7 +110,7 @@
     };
   }
 
-  private static Tasks joined(List<Task> prefix, Tasks rest) {
+  private static TaskSource joined(List<Task> prefix, TaskSource rest) {
     int[] at = {0};
     return () -> at[0] < prefix.size() ? prefix.set(at[0]++, null) : rest.next();
   }
@@ -142,15 +142,15 @@
     return null;
   }
 
-  public Tally tally() {
+  public RowCounts tally() {
     return tally;
   }
 
-  public Plan plan() {
+  public WorkloadScaling plan() {
     return plan;
   }
 
-  public Survey survey() {
+  public TraceSurvey survey() {
     return survey;
   }
 
@@ -170,7 +170,7 @@
 
   /** How many went out before the window had passed. */
   public long early() {
-    return reorder == null ? 0 : reorder.early();
+    return reorder == null ? 0 : reorder.releasedEarly();
   }
 
   @Override
--- a/replay/src/main/java/tillerlink/replay/Job.java
+++ b/replay/src/main/java/tillerlink/replay/Job.java
@@ -7,8 +7,8 @@
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
-import tillerlink.workload.Plan;
 import tillerlink.workload.RequestClassSpec;
+import tillerlink.workload.WorkloadScaling;
 
 /**
  * What is to be replayed, and how.
@@ -32,7 +32,7 @@
     Path sortIn,
     long sortMost,
     double load,
-    Plan.Scale scale,
+    WorkloadScaling.Scale scale,
     double jobs,
     double error,
     double badMost,
--- a/replay/src/main/java/tillerlink/replay/Report.java
+++ b/replay/src/main/java/tillerlink/replay/Report.java
@@ -11,8 +11,8 @@
 import tillerlink.audit.Rule;
 import tillerlink.audit.Violation;
 import tillerlink.fleet.Trouble;
-import tillerlink.trace.Skip;
-import tillerlink.trace.Tally;
+import tillerlink.trace.RowCounts;
+import tillerlink.trace.SkipReason;
 
 /** What a replay found, as JSON that is the same to the byte whenever the same is replayed. */
 public final class Report {
@@ -64,20 +64,20 @@
   }
 
   private static void rows(JsonGenerator json, Arrivals arrivals) throws IOException {
-    Tally tally = arrivals.tally();
+    RowCounts tally = arrivals.tally();
     json.writeObjectFieldStart("rows");
     json.writeNumberField("read", tally.rowsRead());
     json.writeNumberField("used", tally.rowsUsed());
     json.writeNumberField("bad", tally.bad());
-    json.writeNumberField("behind_a_later_one", tally.rowsBehind());
+    json.writeNumberField("behind_a_later_one", tally.rowsOutOfOrder());
     json.writeNumberField("went_out_before_the_window", arrivals.early());
     json.writeObjectFieldStart("skipped");
-    for (Skip cause : Skip.values()) {
+    for (SkipReason cause : SkipReason.values()) {
       if (tally.skipped(cause) > 0) {
         json.writeObjectFieldStart(cause.word());
         json.writeNumberField("rows", tally.skipped(cause));
         json.writeArrayFieldStart("first");
-        for (Tally.Place place : tally.places(cause)) {
+        for (RowCounts.Place place : tally.places(cause)) {
           json.writeString(place.toString());
         }
         json.writeEndArray();
@@ -94,8 +94,8 @@
     json.writeObjectFieldStart("scaling");
     number(json, "load_wanted", run.job().load());
     json.writeStringField("by", run.job().scale().name().toLowerCase(Locale.ROOT));
-    number(json, "trace_time_per_time", arrivals.plan().press());
-    number(json, "share_of_jobs", arrivals.plan().share());
+    number(json, "trace_time_per_time", arrivals.plan().timeCompression());
+    number(json, "share_of_jobs", arrivals.plan().jobShare());
     json.writeNumberField("tasks_sampled_out", arrivals.sampledOut());
     json.writeNumberField("tasks_of_no_track", arrivals.noRequestClass());
     json.writeObjectFieldStart("work_times");
--- a/tools/src/main/java/tillerlink/cli/DemoCommand.java
+++ b/tools/src/main/java/tillerlink/cli/DemoCommand.java
@@ -19,9 +19,9 @@
 import tillerlink.replay.Played;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
-import tillerlink.trace.TraceMaker;
-import tillerlink.workload.BuiltIn;
-import tillerlink.workload.Plan;
+import tillerlink.trace.TraceGenerator;
+import tillerlink.workload.BuiltInRequestClasses;
+import tillerlink.workload.WorkloadScaling;
 
 /** Shows the gateway at work on this machine alone. */
 @Command(
@@ -48,21 +48,22 @@
     Path trace = Files.createTempFile("tillerlink-demo-", ".csv");
     try {
       try (OutputStream file = Files.newOutputStream(trace);
-          TraceMaker maker = new TraceMaker(LAYOUT, 1, 0.01, (long) (2 * Words.SECOND), file)) {
+          TraceGenerator maker =
+              new TraceGenerator(LAYOUT, 1, 0.01, (long) (2 * Words.SECOND), file)) {
         maker.make(rows);
       }
       Job job =
           new Job(
               List.of(Shard.of(trace)),
               LAYOUT,
-              BuiltIn.requestClasses(LAYOUT),
+              BuiltInRequestClasses.requestClasses(LAYOUT),
               Fleet.builtIn(2),
               List.of(),
               (long) (60 * Words.SECOND),
               null,
               0,
               LOAD,
-              Plan.Scale.TIME,
+              WorkloadScaling.Scale.TIME,
               0,
               0.4,
               0.1,
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -25,8 +25,8 @@
 import tillerlink.replay.Report;
 import tillerlink.replay.Run;
 import tillerlink.trace.Layout;
-import tillerlink.workload.BuiltIn;
-import tillerlink.workload.Plan;
+import tillerlink.workload.BuiltInRequestClasses;
+import tillerlink.workload.WorkloadScaling;
 
 /** Replays a trace through gateways and tells what it was worth. */
 @Command(
@@ -92,7 +92,7 @@
   @Option(
       names = "--scale",
       description = "what gives way for that: ${COMPLETION-CANDIDATES} (default TIME)")
-  private Plan.Scale scale;
+  private WorkloadScaling.Scale scale;
 
   @Option(
       names = "--jobs",
@@ -197,7 +197,8 @@
     Replaying plain =
         file != null && file.replay() != null
             ? file.replay()
-            : new Replaying(0.6, Plan.Scale.TIME, (long) (3600 * Words.SECOND), 0.4, 0.1, 1);
+            : new Replaying(
+                0.6, WorkloadScaling.Scale.TIME, (long) (3600 * Words.SECOND), 0.4, 0.1, 1);
     double loadWanted = load == null ? plain.load() : load;
     long ordering = window == null ? plain.window() : (long) (window * Words.SECOND);
     check(loadWanted > 0 && loadWanted <= 10, "--load is above 0 and at most 10");
@@ -216,7 +217,7 @@
         chosen,
         file != null && !file.requestClasses().isEmpty()
             ? file.requestClasses()
-            : BuiltIn.requestClasses(chosen),
+            : BuiltInRequestClasses.requestClasses(chosen),
         speaking(gateways == null ? fleet : fleet.behind(gateways), file),
         file == null ? List.of() : file.troubles(),
         ordering,
--- a/tools/src/main/java/tillerlink/cli/TraceCommand.java
+++ b/tools/src/main/java/tillerlink/cli/TraceCommand.java
@@ -17,13 +17,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 import tillerlink.trace.Layout;
-import tillerlink.trace.Skip;
-import tillerlink.trace.Tally;
+import tillerlink.trace.RowCounts;
+import tillerlink.trace.SkipReason;
 import tillerlink.trace.TaskReader;
-import tillerlink.trace.TraceMaker;
-import tillerlink.workload.BuiltIn;
+import tillerlink.trace.TraceGenerator;
+import tillerlink.workload.BuiltInRequestClasses;
 import tillerlink.workload.RequestClassSpec;
-import tillerlink.workload.Survey;
+import tillerlink.workload.TraceSurvey;
 
 /** Makes traces, and looks at them. */
 @Command(
@@ -91,10 +91,10 @@
             spec.commandLine(), "--rows is 1 or more, --bad a share, --shuffle no less than 0");
       }
       Layout chosen = Words.layout(layout, List.of());
-      TraceMaker.Made made;
+      TraceGenerator.Generated made;
       try (OutputStream file = open();
-          TraceMaker maker =
-              new TraceMaker(chosen, seed, bad, (long) (shuffle * Words.SECOND), file)) {
+          TraceGenerator maker =
+              new TraceGenerator(chosen, seed, bad, (long) (shuffle * Words.SECOND), file)) {
         made = maker.make(rows);
       }
       PrintWriter print = spec.commandLine().getOut();
@@ -105,7 +105,7 @@
           made.tasks(),
           made.allBad(),
           made.shuffled());
-      for (Map.Entry<Skip, Long> cause : made.bad().entrySet()) {
+      for (Map.Entry<SkipReason, Long> cause : made.bad().entrySet()) {
         print.printf(Locale.ROOT, "  %s %d%n", cause.getKey().word(), cause.getValue());
       }
       print.flush();
@@ -147,9 +147,9 @@
     @Override
     public Integer call() throws IOException {
       Layout chosen = Words.layout(layout, List.of());
-      List<RequestClassSpec> requestClasses = BuiltIn.requestClasses(chosen);
-      Tally tally = new Tally();
-      Survey survey = new Survey(requestClasses.size());
+      List<RequestClassSpec> requestClasses = BuiltInRequestClasses.requestClasses(chosen);
+      RowCounts tally = new RowCounts();
+      TraceSurvey survey = new TraceSurvey(requestClasses.size());
       try (TaskReader reader =
           new TaskReader(
               chosen,
@@ -166,9 +166,9 @@
           tally.rowsUsed(),
           survey.tasks(),
           tally.bad(),
-          tally.rowsBehind(),
+          tally.rowsOutOfOrder(),
           survey.span() / Words.SECOND);
-      for (Skip cause : Skip.values()) {
+      for (SkipReason cause : SkipReason.values()) {
         if (tally.skipped(cause) > 0) {
           print.printf(
               Locale.ROOT,
--- a/tools/src/test/java/tillerlink/cli/VerdictTest.java
+++ b/tools/src/test/java/tillerlink/cli/VerdictTest.java
@@ -22,9 +22,9 @@
 import tillerlink.replay.Run;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
-import tillerlink.trace.TraceMaker;
-import tillerlink.workload.BuiltIn;
-import tillerlink.workload.Plan;
+import tillerlink.trace.TraceGenerator;
+import tillerlink.workload.BuiltInRequestClasses;
+import tillerlink.workload.WorkloadScaling;
 
 /**
  * What is said of a replay last, and the exit code, by what is wrong with it; played in virtual
@@ -37,22 +37,22 @@
   @BeforeEach
   void play() throws IOException {
     Path trace = folder.resolve("trace");
-    try (TraceMaker maker =
-        new TraceMaker(Layout.ALIBABA_2018, 1, 0.01, 20_000, Files.newOutputStream(trace))) {
+    try (TraceGenerator maker =
+        new TraceGenerator(Layout.ALIBABA_2018, 1, 0.01, 20_000, Files.newOutputStream(trace))) {
       maker.make(200);
     }
     Job job =
         new Job(
             List.of(Shard.of(trace)),
             Layout.ALIBABA_2018,
-            BuiltIn.requestClasses(Layout.ALIBABA_2018),
+            BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018),
             Fleet.builtIn(2),
             List.of(),
             600_000,
             null,
             0,
             0.5,
-            Plan.Scale.TIME,
+            WorkloadScaling.Scale.TIME,
             0,
             0.4,
             0.1,
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -32,11 +32,11 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
-import tillerlink.trace.TraceMaker;
+import tillerlink.trace.TraceGenerator;
 import tillerlink.workload.Arrival;
-import tillerlink.workload.BuiltIn;
-import tillerlink.workload.Plan;
+import tillerlink.workload.BuiltInRequestClasses;
 import tillerlink.workload.RequestClassSpec;
+import tillerlink.workload.WorkloadScaling;
 
 /**
  * Many short histories of a gateway and two engines over HTTP/2, in which engines leave, refuse,
@@ -344,22 +344,22 @@
   @Test
   void overSockets(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("trace");
-    try (TraceMaker maker =
-        new TraceMaker(Layout.ALIBABA_2018, 2, 0, 0, Files.newOutputStream(file))) {
+    try (TraceGenerator maker =
+        new TraceGenerator(Layout.ALIBABA_2018, 2, 0, 0, Files.newOutputStream(file))) {
       maker.make(300);
     }
     Job job =
         new Job(
             List.of(Shard.of(file)),
             Layout.ALIBABA_2018,
-            BuiltIn.requestClasses(Layout.ALIBABA_2018),
+            BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018),
             Fleet.of(1, 4).overHttp2(kind -> true),
             List.of(),
             36_000_000,
             null,
             0,
             0.3,
-            Plan.Scale.TIME,
+            WorkloadScaling.Scale.TIME,
             0,
             0.4,
             0.1,
--- a/tools/src/test/java/tillerlink/replay/ReplayTest.java
+++ b/tools/src/test/java/tillerlink/replay/ReplayTest.java
@@ -25,9 +25,9 @@
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
-import tillerlink.trace.TraceMaker;
-import tillerlink.workload.BuiltIn;
-import tillerlink.workload.Plan;
+import tillerlink.trace.TraceGenerator;
+import tillerlink.workload.BuiltInRequestClasses;
+import tillerlink.workload.WorkloadScaling;
 
 /**
  * Whole replays, small ones: the same every time, every row and request accounted for, no rule
@@ -46,8 +46,8 @@
 
   private Path trace(Layout layout, long rows, double bad) throws IOException {
     Path file = folder.resolve(layout.name() + rows);
-    try (TraceMaker maker =
-        new TraceMaker(layout, 7, bad, 5 * SECOND, Files.newOutputStream(file))) {
+    try (TraceGenerator maker =
+        new TraceGenerator(layout, 7, bad, 5 * SECOND, Files.newOutputStream(file))) {
       maker.make(rows);
     }
     return file;
@@ -63,14 +63,14 @@
     return new Job(
         List.of(Shard.of(trace)),
         layout,
-        BuiltIn.requestClasses(layout),
+        BuiltInRequestClasses.requestClasses(layout),
         fleet,
         List.of(troubles),
         3600 * SECOND,
         null,
         0,
         load,
-        Plan.Scale.TIME,
+        WorkloadScaling.Scale.TIME,
         0,
         0.4,
         0.1,
--- a/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
+++ b/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
@@ -17,9 +17,9 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
-import tillerlink.trace.TraceMaker;
-import tillerlink.workload.BuiltIn;
-import tillerlink.workload.Plan;
+import tillerlink.trace.TraceGenerator;
+import tillerlink.workload.BuiltInRequestClasses;
+import tillerlink.workload.WorkloadScaling;
 
 /**
  * 120 gateways before 300 engines, with fewer connections each than there are engines, through days
@@ -40,8 +40,8 @@
     ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state"))
         .setLevel(ch.qos.logback.classic.Level.ERROR);
     trace = folder.resolve("trace");
-    try (TraceMaker maker =
-        new TraceMaker(Layout.ALIBABA_2018, 7, 0, 5 * SECOND, Files.newOutputStream(trace))) {
+    try (TraceGenerator maker =
+        new TraceGenerator(Layout.ALIBABA_2018, 7, 0, 5 * SECOND, Files.newOutputStream(trace))) {
       maker.make(ROWS);
     }
   }
@@ -70,14 +70,14 @@
         new Job(
             List.of(Shard.of(trace)),
             Layout.ALIBABA_2018,
-            BuiltIn.requestClasses(Layout.ALIBABA_2018),
+            BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018),
             fleet,
             troubles,
             3600 * SECOND,
             null,
             0,
             0.5,
-            Plan.Scale.TIME,
+            WorkloadScaling.Scale.TIME,
             0,
             0.4,
             0.1,
--- a/traces/src/main/java/tillerlink/trace/Columns.java
+++ b/traces/src/main/java/tillerlink/trace/ColumnMapping.java
@@ -4,14 +4,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Where the columns of a layout stand in the rows of one shard, and its tests bound to them. */
-final class Columns {
+/** The indexes of a layout's columns in the rows of one shard, and its tests on them. */
+final class ColumnMapping {
   private static final int NONE = -1;
 
-  /** A test on one column. */
-  private record Bound(
+  /** A test on the column with that index. */
+  private record ColumnTest(
       int column, byte[][] values, boolean not, double least, double most, boolean byNumber) {
-    boolean holds(Row row) {
+    boolean holds(CsvRow row) {
       if (byNumber) {
         double number = row.number(column);
         return (number >= least && number <= most) != not;
@@ -38,16 +38,16 @@
   private final List<String> names;
   private final byte[][] starts;
   private final byte[][] ends;
-  private final byte[][] breaks;
-  private final List<Bound> wanted;
+  private final byte[][] aborts;
+  private final List<ColumnTest> wanted;
 
-  /** Of each kind, tests that must all hold. */
-  private final List<List<Bound>> kinds;
+  /** The tests of each request class, which must all hold. */
+  private final List<List<ColumnTest>> kinds;
 
   /**
-   * @throws IllegalArgumentException if a column that is needed is not there; the message names it
+   * @throws IllegalArgumentException if a required column is missing; the message names it
    */
-  Columns(Layout layout, List<String> names, List<List<Layout.Test>> kinds) {
+  ColumnMapping(Layout layout, List<String> names, List<List<Layout.Test>> kinds) {
     this.names = names;
     width = names.size();
     start = place(layout.start());
@@ -62,13 +62,13 @@
     event = pairing == null ? NONE : place(pairing.column());
     starts = pairing == null ? new byte[0][] : bytes(pairing.starts());
     ends = pairing == null ? new byte[0][] : bytes(pairing.ends());
-    breaks = pairing == null ? new byte[0][] : bytes(pairing.breaks());
-    wanted = bound(layout.wanted());
-    this.kinds = kinds.stream().map(this::bound).toList();
+    aborts = pairing == null ? new byte[0][] : bytes(pairing.breaks());
+    wanted = columnTests(layout.wanted());
+    this.kinds = kinds.stream().map(this::columnTests).toList();
   }
 
   /** The names that a header line gives. */
-  static List<String> header(Row row) {
+  static List<String> header(CsvRow row) {
     List<String> names = new ArrayList<>(row.columns());
     for (int i = 0; i < row.columns(); i++) {
       names.add(row.text(i).strip());
@@ -87,11 +87,11 @@
     return place;
   }
 
-  private List<Bound> bound(List<Layout.Test> tests) {
+  private List<ColumnTest> columnTests(List<Layout.Test> tests) {
     return tests.stream()
         .map(
             test ->
-                new Bound(
+                new ColumnTest(
                     place(test.column()),
                     bytes(test.values()),
                     test.not(),
@@ -105,8 +105,8 @@
     return texts.stream().map(text -> text.getBytes(StandardCharsets.UTF_8)).toArray(byte[][]::new);
   }
 
-  private static boolean all(List<Bound> tests, Row row) {
-    for (Bound test : tests) {
+  private static boolean allHold(List<ColumnTest> tests, CsvRow row) {
+    for (ColumnTest test : tests) {
       if (!test.holds(row)) {
         return false;
       }
@@ -114,21 +114,21 @@
     return true;
   }
 
-  boolean wants(Row row) {
-    return all(wanted, row);
+  boolean isWanted(CsvRow row) {
+    return allHold(wanted, row);
   }
 
-  /** The first kind whose tests all hold, or -1. */
-  int kind(Row row) {
+  /** The first request class whose tests all hold, or -1. */
+  int kind(CsvRow row) {
     for (int i = 0; i < kinds.size(); i++) {
-      if (all(kinds.get(i), row)) {
+      if (allHold(kinds.get(i), row)) {
         return i;
       }
     }
     return NONE;
   }
 
-  private boolean eventIn(byte[][] values, Row row) {
+  private boolean eventIn(byte[][] values, CsvRow row) {
     for (byte[] value : values) {
       if (row.is(event, value)) {
         return true;
@@ -137,15 +137,15 @@
     return false;
   }
 
-  boolean begins(Row row) {
+  boolean isStart(CsvRow row) {
     return eventIn(starts, row);
   }
 
-  boolean ends(Row row) {
+  boolean isEnd(CsvRow row) {
     return eventIn(ends, row);
   }
 
-  boolean breaks(Row row) {
-    return eventIn(breaks, row);
+  boolean isAbort(CsvRow row) {
+    return eventIn(aborts, row);
   }
 }
--- a/traces/src/main/java/tillerlink/trace/Row.java
+++ b/traces/src/main/java/tillerlink/trace/CsvRow.java
@@ -7,33 +7,35 @@
 import java.util.Arrays;
 
 /**
- * The columns of one line as bytes, taken apart in place; one that bears quotes goes through the
- * CSV library.
+ * The columns of one line as bytes, split in place. A line with quotes goes through the CSV
+ * library.
  */
-final class Row {
-  private static final int COLUMNS_MOST = 512;
-  private static final int DIGITS_MOST = 18;
-  private static final long FNV_START = 0xcbf29ce484222325L;
-  private static final long FNV_STEP = 0x100000001b3L;
+final class CsvRow {
+  private static final int MAX_COLUMNS = 512;
+  private static final int MAX_DIGITS = 18;
+  private static final int MAX_DECIMAL_LENGTH = 40;
+  private static final String DECIMAL_CHARACTERS = "0123456789.-+eE";
+  private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+  private static final long FNV_PRIME = 0x100000001b3L;
 
   private final byte delimiter;
   private final CsvReader.CsvReaderBuilder quoted;
-  private final int[] starts = new int[COLUMNS_MOST + 1];
+  private final int[] starts = new int[MAX_COLUMNS + 1];
   private byte[] bytes;
   private int count;
 
-  Row(char delimiter) {
+  CsvRow(char delimiter) {
     this.delimiter = (byte) delimiter;
     quoted =
         CsvReader.builder()
             .fieldSeparator(delimiter)
             .skipEmptyLines(false)
             .allowExtraCharsAfterClosingQuote(false)
-            .maxBufferSize(2 * Lines.LINE_MOST);
+            .maxBufferSize(2 * LineReader.MAX_LINE_BYTES);
   }
 
-  /** Takes a line apart; what is wrong with it, or null. */
-  Skip split(byte[] line, int length) {
+  /** Splits a line; returns what is wrong with it, or null. */
+  SkipReason split(byte[] line, int length) {
     bytes = line;
     count = 0;
     int from = 0;
@@ -42,8 +44,8 @@
         return splitQuoted(new String(line, 0, length, StandardCharsets.UTF_8));
       }
       if (i == length || line[i] == delimiter) {
-        if (count == COLUMNS_MOST) {
-          return Skip.TOO_MANY_COLUMNS;
+        if (count == MAX_COLUMNS) {
+          return SkipReason.TOO_MANY_COLUMNS;
         }
         starts[count++] = from;
         from = i + 1;
@@ -53,23 +55,20 @@
     return null;
   }
 
-  /**
-   * Guards against a quote that does not end: it would take the lines behind it along, so each is
-   * read alone.
-   */
-  private Skip splitQuoted(String line) {
+  /** Parses each line alone, so that an unclosed quote does not swallow the lines after it. */
+  private SkipReason splitQuoted(String line) {
     CsvRecord record;
     try {
-      long marks = line.chars().filter(c -> c == '"').count();
-      if (marks % 2 != 0) {
-        return Skip.QUOTE_OPEN;
+      long quotes = line.chars().filter(c -> c == '"').count();
+      if (quotes % 2 != 0) {
+        return SkipReason.QUOTE_OPEN;
       }
       record = quoted.ofSingleCsvRecord(line);
     } catch (CsvParseException e) {
-      return Skip.QUOTE_OPEN;
+      return SkipReason.QUOTE_OPEN;
     }
-    if (record.getFieldCount() > COLUMNS_MOST) {
-      return Skip.TOO_MANY_COLUMNS;
+    if (record.getFieldCount() > MAX_COLUMNS) {
+      return SkipReason.TOO_MANY_COLUMNS;
     }
     byte[][] parts =
         record.getFields().stream()
@@ -105,51 +104,43 @@
 
   /** A hash of a column's bytes that is the same on every machine (FNV-1a, then mixed). */
   long hash(int column) {
-    long hash = FNV_START;
+    long hash = FNV_OFFSET_BASIS;
     for (int i = starts[column]; i < starts[column + 1] - 1; i++) {
-      hash = (hash ^ (bytes[i] & 255)) * FNV_STEP;
+      hash = (hash ^ (bytes[i] & 255)) * FNV_PRIME;
     }
     return mixed(hash);
   }
 
+  /** The finalizer of MurmurHash3. */
   static long mixed(long hash) {
-    long h = (hash ^ hash >>> 33) * 0xff51afd7ed558ccdL;
-    h = (h ^ h >>> 33) * 0xc4ceb9fe1a85ec53L;
-    return h ^ h >>> 33;
+    long mixed = (hash ^ (hash >>> 33)) * 0xff51afd7ed558ccdL;
+    mixed = (mixed ^ (mixed >>> 33)) * 0xc4ceb9fe1a85ec53L;
+    return mixed ^ (mixed >>> 33);
   }
 
-  /** A number, or NaN if the column holds none; whole ones, the usual, are read in place. */
+  /** A number, or NaN if the column holds none; integers, the usual case, are read in place. */
   double number(int column) {
     int from = starts[column];
     int to = starts[column + 1] - 1;
     boolean minus = from < to && bytes[from] == '-';
     long whole = 0;
-    int i = minus ? from + 1 : from;
-    int first = i;
-    while (i < to && bytes[i] >= '0' && bytes[i] <= '9' && i - first < DIGITS_MOST) {
-      whole = whole * 10 + bytes[i++] - '0';
+    int first = minus ? from + 1 : from;
+    int at = first;
+    while (at < to && bytes[at] >= '0' && bytes[at] <= '9' && at - first < MAX_DIGITS) {
+      whole = whole * 10 + bytes[at++] - '0';
     }
-    if (i == to && i > first) {
+    if (at == to && at > first) {
       return minus ? -whole : whole;
     }
     return decimal(text(column));
   }
 
-  /** Guards against what a parser of numbers would take (0x1p3, 1d, NaN) and no trace means. */
+  /** Rejects what {@link Double#parseDouble} would accept (0x1p3, 1d, NaN) and no trace means. */
   private static double decimal(String text) {
     String plain = text.strip();
     if (plain.isEmpty()
-        || plain.length() > 40
-        || !plain
-            .chars()
-            .allMatch(
-                c ->
-                    c >= '0' && c <= '9'
-                        || c == '.'
-                        || c == '-'
-                        || c == '+'
-                        || c == 'e'
-                        || c == 'E')) {
+        || plain.length() > MAX_DECIMAL_LENGTH
+        || !plain.chars().allMatch(c -> DECIMAL_CHARACTERS.indexOf(c) >= 0)) {
       return Double.NaN;
     }
     try {
--- a/traces/src/main/java/tillerlink/trace/ExternalSort.java
+++ b/traces/src/main/java/tillerlink/trace/ExternalSort.java
@@ -16,17 +16,17 @@
 import java.util.PriorityQueue;
 
 /**
- * Sorts tasks that do not fit into memory: runs are sorted, spilled to a folder of this process'
- * own and merged. The folder goes with the process, also when it is told to end; what a killed one
- * left behind is removed by the next.
+ * External merge sort for tasks that do not fit into memory. Sorted runs are spilled to a temporary
+ * folder and merged. The folder is deleted when the process ends; what a killed process left behind
+ * is deleted by the next sort.
  */
-public final class ExternalSort implements Tasks, Closeable {
+public final class ExternalSort implements TaskSource, Closeable {
   private static final String PREFIX = "tillerlink-sort-";
-  private static final int RUN = 100_000;
+  private static final int RUN_TASKS = 100_000;
   private static final int RECORD_BYTES =
       3 * Long.BYTES + 2 * Double.BYTES + 2 * Long.BYTES + 2 * Integer.BYTES;
   private static final int FAN_IN = 64;
-  private static final int BUFFER = 16_384;
+  private static final int BUFFER_BYTES = 16_384;
   private static final Comparator<Task> ORDER =
       Comparator.comparingLong(Task::start).thenComparingLong(Task::number);
 
@@ -38,7 +38,7 @@
 
     Run(Path file) throws IOException {
       this.file = file;
-      in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), BUFFER));
+      in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), BUFFER_BYTES));
       advance();
     }
 
@@ -73,17 +73,19 @@
   private final PriorityQueue<Run> merged =
       new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
   private final List<Path> runs = new ArrayList<>();
-  private final Tasks source;
+  private final TaskSource source;
   private List<Task> inMemory;
-  private int at;
-  private long bytes;
-  private int files;
+  private int nextInMemory;
+  private long bytesSpilled;
+  private int filesCreated;
 
   /**
-   * @param within where the folder for the runs is made
-   * @param maxBytes how much may be spilled; beyond it the sort fails with a message
+   * Prepares a sort; it reads its source on the first call of {@link #next}.
+   *
+   * @param within the folder in which the temporary one is created
+   * @param maxBytes how much may be spilled; beyond it the sort fails
    */
-  public ExternalSort(Tasks source, Path within, long maxBytes) throws IOException {
+  public ExternalSort(TaskSource source, Path within, long maxBytes) throws IOException {
     this.source = source;
     this.maxBytes = maxBytes;
     removeLeftOvers(within);
@@ -91,11 +93,11 @@
     Runtime.getRuntime().addShutdownHook(cleaner);
   }
 
-  /** A folder names the process that made it; one whose process is gone is nobody's. */
+  /** Deletes folders of processes that no longer run; the name contains the process id. */
   private static void removeLeftOvers(Path within) throws IOException {
     try (DirectoryStream<Path> folders = Files.newDirectoryStream(within, PREFIX + "*")) {
       for (Path left : folders) {
-        String pid = left.getFileName().toString().substring(PREFIX.length()).split("-")[0];
+        String pid = left.getFileName().toString().substring(PREFIX.length()).split("-", -1)[0];
         if (pid.matches("[0-9]{1,9}") && ProcessHandle.of(Long.parseLong(pid)).isEmpty()) {
           delete(left);
         }
@@ -117,8 +119,8 @@
     if (inMemory == null) {
       sort();
     }
-    if (at < inMemory.size()) {
-      return inMemory.get(at++);
+    if (nextInMemory < inMemory.size()) {
+      return inMemory.get(nextInMemory++);
     }
     Run least = merged.poll();
     if (least == null) {
@@ -135,9 +137,9 @@
   }
 
   private void sort() throws IOException {
-    List<Task> run = new ArrayList<>(RUN);
+    List<Task> run = new ArrayList<>(RUN_TASKS);
     for (Task task = source.next(); task != null; task = source.next()) {
-      if (run.size() == RUN) {
+      if (run.size() == RUN_TASKS) {
         spill(run);
         run.clear();
       }
@@ -151,7 +153,7 @@
     spill(run);
     inMemory = List.of();
     while (runs.size() > FAN_IN) {
-      mergeSome();
+      mergeFirstRuns();
     }
     for (Path file : runs) {
       merged.add(new Run(file));
@@ -160,11 +162,11 @@
 
   private void spill(List<Task> run) throws IOException {
     run.sort(ORDER);
-    bytes += (long) run.size() * RECORD_BYTES;
-    if (bytes > maxBytes) {
+    bytesSpilled += (long) run.size() * RECORD_BYTES;
+    if (bytesSpilled > maxBytes) {
       throw new IOException("sorting takes more than " + maxBytes / (1 << 20) + " MB on disk");
     }
-    Path file = folder.resolve("run-" + files++);
+    Path file = folder.resolve("run-" + filesCreated++);
     try (DataOutputStream out = output(file)) {
       for (Task task : run) {
         write(out, task);
@@ -173,19 +175,19 @@
     runs.add(file);
   }
 
-  /** Guards the descriptors: more runs than may be open at once are merged in steps. */
-  private void mergeSome() throws IOException {
-    PriorityQueue<Run> some = new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
+  /** Merges as many runs as may be open at once into one, to bound the open files. */
+  private void mergeFirstRuns() throws IOException {
+    PriorityQueue<Run> heads = new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
     for (Path file : runs.subList(0, FAN_IN)) {
-      some.add(new Run(file));
+      heads.add(new Run(file));
     }
-    Path file = folder.resolve("run-" + files++);
+    Path file = folder.resolve("run-" + filesCreated++);
     try (DataOutputStream out = output(file)) {
-      for (Run run = some.poll(); run != null; run = some.poll()) {
+      for (Run run = heads.poll(); run != null; run = heads.poll()) {
         write(out, run.head);
         run.advance();
         if (run.head != null) {
-          some.add(run);
+          heads.add(run);
         } else {
           run.close();
         }
@@ -196,7 +198,8 @@
   }
 
   private static DataOutputStream output(Path file) throws IOException {
-    return new DataOutputStream(new BufferedOutputStream(Files.newOutputStream(file), BUFFER));
+    return new DataOutputStream(
+        new BufferedOutputStream(Files.newOutputStream(file), BUFFER_BYTES));
   }
 
   private static void write(DataOutputStream out, Task task) throws IOException {
--- a/traces/src/main/java/tillerlink/trace/Layout.java
+++ b/traces/src/main/java/tillerlink/trace/Layout.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * How the columns of a trace are to be read. Columns are named; without a header in the file, the
- * names stand here in the file's order.
+ * How the columns of a trace are read. Columns are named; without a header in the file, the names
+ * stand here in the file's order.
  *
  * @param columns names in order; with a header only those that are used need to be here
  * @param tenthsPer tenths of a millisecond in the file's unit of time
@@ -15,10 +15,10 @@
  * @param memory the column of the memory, or null
  * @param job the column that names the job
  * @param task a column that, with the job, names the task where rows are paired, or null
- * @param owner the column that names whose it is, or null for the job's
+ * @param owner the column that names the user, or null for the job
  * @param copies a column with how often the row ran, or null
- * @param pairing how a row that tells a start and one that tells the end are found, or null
- * @param wanted rows of which one of these does not hold are of no use here
+ * @param pairing how start rows and end rows are recognized, or null
+ * @param wanted tests that a row must pass to be used
  * @param unknownTime a time from which on a row has none that is known, as in traces that mark them
  *     by a huge figure
  */
@@ -40,19 +40,20 @@
     Pairing pairing,
     List<Test> wanted,
     double unknownTime) {
-  /** The events that begin a task, those that end it well, and those that end it otherwise. */
+  /** The events that start a task, those that complete it, and those that abort it. */
   public record Pairing(
       String column, List<String> starts, List<String> ends, List<String> breaks) {}
 
   /**
-   * Whether a column holds, or does not hold, one of some texts; or lies within numbers, both
-   * included.
+   * A test whether a column holds, or does not hold, one of some texts, or lies in a closed range.
    */
   public record Test(String column, List<String> values, boolean not, double least, double most) {
+    /** The column holds one of the texts. */
     public static Test in(String column, String... values) {
       return new Test(column, List.of(values), false, Double.NaN, Double.NaN);
     }
 
+    /** The column holds a number in the closed range. */
     public static Test between(String column, double least, double most) {
       return new Test(column, List.of(), false, least, most);
     }
@@ -62,8 +63,8 @@
     }
   }
 
-  private static final double MICROS = 1e-2;
-  private static final double SECONDS = 10_000;
+  private static final double TICKS_PER_MICROSECOND = 1e-2;
+  private static final double TICKS_PER_SECOND = 10_000;
 
   /** Google ClusterData 2011, table task_events: 13 columns, times in microseconds, no header. */
   public static final Layout GOOGLE_2011 =
@@ -85,7 +86,7 @@
               "memory_request",
               "disk_space_request",
               "different_machines_restriction"),
-          MICROS,
+          TICKS_PER_MICROSECOND,
           "time",
           null,
           "cpu_request",
@@ -118,7 +119,7 @@
               "end_time",
               "plan_cpu",
               "plan_mem"),
-          SECONDS,
+          TICKS_PER_SECOND,
           "start_time",
           "end_time",
           "plan_cpu",
@@ -150,7 +151,7 @@
               "vm_category",
               "vm_core_count_bucket",
               "vm_memory_bucket"),
-          SECONDS,
+          TICKS_PER_SECOND,
           "vm_created",
           "vm_deleted",
           "vm_core_count_bucket",
@@ -164,10 +165,10 @@
           List.of(),
           Double.MAX_VALUE);
 
-  /** Those that are built in, in the order in which help names them. */
+  /** The built-in layouts, in the order in which the help lists them. */
   public static final List<Layout> KNOWN = List.of(GOOGLE_2011, ALIBABA_2018, AZURE_2019);
 
-  /** How many columns a row must have; -1 if a header tells. */
+  /** How many columns a row must have; -1 if a header names them. */
   int width() {
     return header ? -1 : columns.size();
   }
--- a/traces/src/main/java/tillerlink/trace/Skip.java
+++ b/traces/src/main/java/tillerlink/trace/SkipReason.java
@@ -3,10 +3,10 @@
 import java.util.Locale;
 
 /**
- * Why a row of a trace was not used; those that are bad are faults of the file, the others belong
- * to its layout.
+ * Why a row of a trace was skipped. Some reasons are faults of the file, others follow from its
+ * layout.
  */
-public enum Skip {
+public enum SkipReason {
   LINE_TOO_LONG(true),
   QUOTE_OPEN(true),
   NUL(true),
@@ -25,18 +25,23 @@
   OTHER_KIND(false),
   /** An end whose start was never seen, or a start whose end did not come. */
   UNPAIRED(false),
-  /** A start that was pushed out of the bounded join by later ones. */
+  /** A start that was evicted of the bounded join by later ones. */
   EVICTED(false),
   /** Later than the window in which rows are put in order. */
   LATE(false);
 
-  public final boolean bad;
+  private final boolean bad;
 
-  Skip(boolean bad) {
+  SkipReason(boolean bad) {
     this.bad = bad;
   }
 
-  /** As it stands in reports. */
+  /** Whether the row is a fault of the file. */
+  public boolean isBad() {
+    return bad;
+  }
+
+  /** The name in reports. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/traces/src/main/java/tillerlink/trace/Task.java
+++ b/traces/src/main/java/tillerlink/trace/Task.java
@@ -10,10 +10,10 @@
  * @param memory what share of a machine's memory, or how many GB, as the layout has it; for scale
  *     only
  * @param job a hash of the job that it belongs to
- * @param owner a hash of whose it was
- * @param number counts the tasks of a trace in the order of the file; decides ties
- * @param kind place of the request class that the mapping gave it
- * @param rows how many rows of the file tell it
+ * @param owner a hash of the user that it belongs to
+ * @param number counts the tasks of a trace in the order of the file; breaks ties
+ * @param kind index of the request class that it is mapped to, or -1
+ * @param rows how many rows of the file describe it
  */
 public record Task(
     long start,
@@ -25,12 +25,13 @@
     long number,
     int kind,
     int rows) {
-  /** Work of all its cores, as time on one, in tenths of a millisecond. */
+  /** The work of all its cores, as time on one, in tenths of a millisecond. */
   public double work() {
     return span * cores;
   }
 
+  /** Whether it comes first in the order of start and place in the file. */
   public boolean before(Task other) {
-    return start < other.start || start == other.start && number < other.number;
+    return start < other.start || (start == other.start && number < other.number);
   }
 }
--- a/traces/src/main/java/tillerlink/trace/TaskReader.java
+++ b/traces/src/main/java/tillerlink/trace/TaskReader.java
@@ -5,92 +5,122 @@
 import java.util.List;
 
 /**
- * Reads the tasks of a trace out of its shards, in the order of the file. A row that can't be used
- * is counted by its cause and passed over; nothing else is lost with it.
+ * Reads the tasks of a trace from its shards, in the order of the files. A row that can't be used
+ * is counted with its reason and skipped.
  */
-public final class TaskReader implements Tasks, Closeable {
-  /** Times beyond this many tenths of a millisecond, some 30 years, are absurd. */
-  private static final double TIME_MOST = 1e13;
+public final class TaskReader implements TaskSource, Closeable {
+  /** Times beyond this many tenths of a millisecond, some 30 years, are out of range. */
+  private static final double MAX_TIME = 1e13;
 
-  private static final double CORES_MOST = 1e6;
+  private static final double MAX_CORES = 1e6;
 
   /** How many starts may wait for their ends. */
-  public static final int PAIRS_MOST = 1 << 16;
+  public static final int MAX_OPEN_STARTS = 1 << 16;
 
   private final Layout layout;
   private final List<List<Layout.Test>> kinds;
-  private final Lines lines;
-  private final Row row;
-  private final Tally tally;
-  private final Pairs pairs;
-  private Columns columns;
-  private long number;
-  private boolean ended;
-  private double latest = Double.NEGATIVE_INFINITY;
+  private final LineReader lines;
+  private final CsvRow row;
+  private final RowCounts counts;
+  private final StartEndJoin join;
+  private ColumnMapping columns;
+  private long tasksStarted;
+  private boolean endReached;
+  private double latestStart = Double.NEGATIVE_INFINITY;
 
   /**
-   * @param kinds tests that a row must pass to be of a kind, by place; the first that fits counts
+   * Reads the shards one after the other.
+   *
+   * @param kinds the tests of each request class; a row belongs to the first whose tests all hold
    */
-  public TaskReader(Layout layout, List<Shard> shards, List<List<Layout.Test>> kinds, Tally tally) {
+  public TaskReader(
+      Layout layout, List<Shard> shards, List<List<Layout.Test>> kinds, RowCounts counts) {
     this.layout = layout;
     this.kinds = kinds;
-    this.tally = tally;
-    lines = new Lines(shards);
-    row = new Row(layout.delimiter());
-    pairs = layout.pairing() == null ? null : new Pairs(PAIRS_MOST);
+    this.counts = counts;
+    lines = new LineReader(shards);
+    row = new CsvRow(layout.delimiter());
+    join = layout.pairing() == null ? null : new StartEndJoin(MAX_OPEN_STARTS);
     if (!layout.header()) {
-      columns = new Columns(layout, layout.columns(), kinds);
+      columns = new ColumnMapping(layout, layout.columns(), kinds);
     }
   }
 
   @Override
   public Task next() throws IOException {
     while (lines.next()) {
-      if (layout.header() && lines.first) {
+      if (layout.header() && lines.isFirst()) {
         header();
         continue;
       }
-      if (lines.length == 0 && lines.fault == null) {
+      if (lines.length() == 0 && lines.fault() == null) {
         continue;
       }
-      tally.read();
-      Skip fault = lines.fault != null ? lines.fault : row.split(lines.line, lines.length);
-      if (fault == null && row.columns() != columns.width) {
-        fault = row.columns() < columns.width ? Skip.TOO_FEW_COLUMNS : Skip.TOO_MANY_COLUMNS;
-      }
-      Task task = null;
-      if (fault == null) {
-        fault = check();
-      }
-      if (fault == null) {
-        double at = time(columns.start);
-        tally.behind(at < latest);
-        latest = Math.max(latest, at);
-        task = pairs == null ? whole() : paired();
-      } else {
-        tally.skip(fault, lines.shardName(), lines.number());
-      }
+      counts.read();
+      Task task = task();
       if (task != null) {
-        tally.used(task.rows());
+        counts.used(task.rows());
         return task;
       }
     }
-    if (!ended) {
-      ended = true;
-      for (int i = pairs == null ? 0 : pairs.waiting(); i > 0; i--) {
-        tally.skip(Skip.UNPAIRED, "end", 0);
+    countOpenStarts();
+    return null;
+  }
+
+  /** The task that the current line gives or completes, or null; a skipped row is counted. */
+  private Task task() {
+    SkipReason fault = fault();
+    if (fault != null) {
+      counts.skip(fault, lines.shardName(), lines.number());
+      return null;
+    }
+    double start = time(columns.start);
+    counts.outOfOrder(start < latestStart);
+    latestStart = Math.max(latestStart, start);
+    return join == null ? wholeTask() : joinedTask();
+  }
+
+  /** What is wrong with the current line, or null. */
+  private SkipReason fault() {
+    SkipReason fault = split();
+    if (fault != null) {
+      return fault;
+    }
+    if (row.columns() != columns.width) {
+      return row.columns() < columns.width
+          ? SkipReason.TOO_FEW_COLUMNS
+          : SkipReason.TOO_MANY_COLUMNS;
+    }
+    if (!columns.isWanted(row)) {
+      return SkipReason.OTHER_KIND;
+    }
+    fault = startFault();
+    if (fault == null && columns.end >= 0) {
+      fault = endFault();
+    }
+    return fault != null ? fault : sizeFault();
+  }
+
+  private SkipReason split() {
+    return lines.fault() != null ? lines.fault() : row.split(lines.line(), lines.length());
+  }
+
+  private void countOpenStarts() {
+    if (!endReached) {
+      endReached = true;
+      for (int i = join == null ? 0 : join.waiting(); i > 0; i--) {
+        counts.skip(SkipReason.UNPAIRED, "end", 0);
       }
     }
-    return null;
   }
 
   private void header() throws IOException {
-    Skip fault = lines.fault != null ? lines.fault : row.split(lines.line, lines.length);
+    SkipReason fault = split();
     if (fault != null) {
       throw new IOException(lines.shardName() + ": the header can't be read: " + fault.word());
     }
     try {
-      columns = new Columns(layout, Columns.header(row), kinds);
+      columns = new ColumnMapping(layout, ColumnMapping.header(row), kinds);
     } catch (IllegalArgumentException e) {
       throw new IOException(lines.shardName() + ": " + e.getMessage() + " in the header");
     }
@@ -104,46 +134,46 @@
     return row.number(column) >= layout.unknownTime();
   }
 
-  private static boolean absurd(double time) {
-    return time < 0 || time > TIME_MOST;
+  private static boolean outOfRange(double time) {
+    return time < 0 || time > MAX_TIME;
   }
 
-  /** What is wrong with a row's figures, or that it is of no use here; null if neither. */
-  private Skip check() {
-    if (!columns.wants(row)) {
-      return Skip.OTHER_KIND;
-    }
+  private SkipReason startFault() {
     double start = time(columns.start);
     if (Double.isNaN(start)) {
-      return row.length(columns.start) == 0 ? Skip.OTHER_KIND : Skip.NOT_A_NUMBER;
+      return notANumber(columns.start);
     }
     if (unknown(columns.start)) {
-      return Skip.OTHER_KIND;
+      return SkipReason.OTHER_KIND;
     }
-    if (absurd(start)) {
-      return Skip.OUT_OF_RANGE;
+    return outOfRange(start) ? SkipReason.OUT_OF_RANGE : null;
+  }
+
+  private SkipReason endFault() {
+    double end = time(columns.end);
+    if (Double.isNaN(end)) {
+      return notANumber(columns.end);
     }
-    if (columns.end >= 0) {
-      double end = time(columns.end);
-      if (Double.isNaN(end)) {
-        return row.length(columns.end) == 0 ? Skip.OTHER_KIND : Skip.NOT_A_NUMBER;
-      }
-      if (absurd(end)) {
-        return Skip.OUT_OF_RANGE;
-      }
-      if (end < start) {
-        return Skip.ENDS_BEFORE_START;
-      }
+    if (outOfRange(end)) {
+      return SkipReason.OUT_OF_RANGE;
     }
+    return end < time(columns.start) ? SkipReason.ENDS_BEFORE_START : null;
+  }
+
+  private SkipReason notANumber(int column) {
+    return row.length(column) == 0 ? SkipReason.OTHER_KIND : SkipReason.NOT_A_NUMBER;
+  }
+
+  private SkipReason sizeFault() {
     double cores = cores();
     double memory = memory();
     if (Double.isNaN(cores) || Double.isNaN(memory)) {
-      return Skip.NOT_A_NUMBER;
+      return SkipReason.NOT_A_NUMBER;
     }
-    return cores < 0 || cores > CORES_MOST || memory < 0 ? Skip.OUT_OF_RANGE : null;
+    return cores < 0 || cores > MAX_CORES || memory < 0 ? SkipReason.OUT_OF_RANGE : null;
   }
 
-  /** An empty column asks for one core; "8" and the bucket ">24" both tell a number. */
+  /** One core if the column is empty; both "8" and the bucket ">24" are numbers. */
   private double cores() {
     if (columns.cores < 0 || row.length(columns.cores) == 0) {
       return 1;
@@ -174,7 +204,7 @@
     return columns.owner < 0 ? row.hash(columns.job) : row.hash(columns.owner);
   }
 
-  private Task whole() {
+  private Task wholeTask() {
     long start = (long) time(columns.start);
     double copies = columns.copies < 0 ? 1 : row.number(columns.copies);
     return new Task(
@@ -184,42 +214,42 @@
         memory(),
         row.hash(columns.job),
         owner(),
-        number++,
+        tasksStarted++,
         columns.kind(row),
         1);
   }
 
-  /** Keeps a start, or gives the task that this end completes. */
-  private Task paired() {
+  /** Adds a start to the join, or returns the task that this end completes. */
+  private Task joinedTask() {
     long key =
-        Row.mixed(row.hash(columns.job) * 31 + (columns.task < 0 ? 0 : row.hash(columns.task)));
+        CsvRow.mixed(row.hash(columns.job) * 31 + (columns.task < 0 ? 0 : row.hash(columns.task)));
     long at = (long) time(columns.start);
-    if (columns.begins(row)) {
-      skips(pairs.pushesOut(), Skip.EVICTED);
-      boolean replaced = pairs.open(key, at, cores(), memory(), number++, columns.kind(row));
-      skips(replaced ? 1 : 0, Skip.UNPAIRED);
+    if (columns.isStart(row)) {
+      skip(join.evictions(), SkipReason.EVICTED);
+      boolean replaced = join.open(key, at, cores(), memory(), tasksStarted++, columns.kind(row));
+      skip(replaced ? 1 : 0, SkipReason.UNPAIRED);
       return null;
     }
-    if (!columns.ends(row) && !columns.breaks(row)) {
-      skips(1, Skip.OTHER_KIND);
+    if (!columns.isEnd(row) && !columns.isAbort(row)) {
+      skip(1, SkipReason.OTHER_KIND);
       return null;
     }
-    Task task = pairs.close(key, at, row.hash(columns.job), owner());
+    Task task = join.close(key, at, row.hash(columns.job), owner());
     if (task == null) {
-      skips(1, Skip.UNPAIRED);
-    } else if (!columns.ends(row)) {
-      skips(2, Skip.OTHER_KIND);
+      skip(1, SkipReason.UNPAIRED);
+    } else if (!columns.isEnd(row)) {
+      skip(2, SkipReason.OTHER_KIND);
       task = null;
     } else if (task.span() < 0) {
-      skips(2, Skip.ENDS_BEFORE_START);
+      skip(2, SkipReason.ENDS_BEFORE_START);
       task = null;
     }
     return task;
   }
 
-  private void skips(int rows, Skip cause) {
+  private void skip(int rows, SkipReason reason) {
     for (int i = 0; i < rows; i++) {
-      tally.skip(cause, lines.shardName(), lines.number());
+      counts.skip(reason, lines.shardName(), lines.number());
     }
   }
 
--- a/traces/src/main/java/tillerlink/trace/Tasks.java
+++ b/traces/src/main/java/tillerlink/trace/TaskSource.java
@@ -2,9 +2,9 @@
 
 import java.io.IOException;
 
-/** Tasks, one after the other. */
+/** A stream of tasks. */
 @FunctionalInterface
-public interface Tasks {
-  /** The next, or null when there are no more. */
+public interface TaskSource {
+  /** Returns the next task, or null at the end. */
   Task next() throws IOException;
 }
--- a/traces/src/main/java/tillerlink/workload/RequestClassSpec.java
+++ b/traces/src/main/java/tillerlink/workload/RequestClassSpec.java
@@ -10,11 +10,11 @@
  * @param width threads of one request
  * @param latencyObjective tenths of a millisecond, as is deadline
  * @param kinds the kinds of engine that it is bound to, or an empty list for all
- * @param window how long engines remember the mark of an idempotent one, in tenths of a millisecond
+ * @param window how long engines remember an idempotency key, in tenths of a millisecond
  * @param median what the median of its tasks' work is scaled to, in tenths of a millisecond on one
  *     core
- * @param rows tests of a row that must all hold; none takes every row that no request class before
- *     it took
+ * @param rows tests of a row that must all hold; without tests it takes every row that no earlier
+ *     request class took
  */
 public record RequestClassSpec(
     String name,
@@ -28,17 +28,17 @@
     long window,
     double median,
     List<Layout.Test> rows) {
-  private static final int SHARE_OF_SOFT = 2;
+  private static final int OBJECTIVE_PER_WORK = 2;
 
   /**
-   * Beyond this much work a request could hardly be answered within its latency objective on an
-   * idle engine.
+   * The most work of a request: beyond this much work a request could hardly be answered within its
+   * latency objective on an idle engine.
    */
-  public double workMost() {
-    return (double) latencyObjective * width / SHARE_OF_SOFT;
+  public double maxWork() {
+    return (double) latencyObjective * width / OBJECTIVE_PER_WORK;
   }
 
-  /** The word for its effect in the gateway's settings. */
+  /** The value for its effect in the gateway's settings. */
   public String semantics() {
     return switch (effect) {
       case PURE -> "repeatable";
--- a/traces/src/main/java/tillerlink/workload/Survey.java
+++ b/traces/src/main/java/tillerlink/workload/TraceSurvey.java
@@ -6,15 +6,12 @@
 import org.HdrHistogram.DoubleHistogram;
 import org.HdrHistogram.DoubleHistogramIterationValue;
 import tillerlink.trace.Task;
-import tillerlink.trace.Tasks;
+import tillerlink.trace.TaskSource;
 
-/**
- * What a first look at a trace tells: from when to when, how many tasks, and how their work is
- * spread by request class.
- */
-public final class Survey {
-  private static final long RANGE = 1L << 40;
-  private static final int DIGITS = 2;
+/** Statistics of a trace: its time span, the number of tasks, and their work by request class. */
+public final class TraceSurvey {
+  private static final long HISTOGRAM_RANGE = 1L << 40;
+  private static final int SIGNIFICANT_DIGITS = 2;
 
   private final List<DoubleHistogram> work = new ArrayList<>();
   private long first = Long.MAX_VALUE;
@@ -22,14 +19,16 @@
   private long tasks;
   private long noRequestClass;
 
-  public Survey(int requestClasses) {
+  /** An empty survey over that many request classes. */
+  public TraceSurvey(int requestClasses) {
     for (int i = 0; i < requestClasses; i++) {
-      DoubleHistogram histogram = new DoubleHistogram(RANGE, DIGITS);
+      DoubleHistogram histogram = new DoubleHistogram(HISTOGRAM_RANGE, SIGNIFICANT_DIGITS);
       histogram.setAutoResize(true);
       work.add(histogram);
     }
   }
 
+  /** Adds one task. */
   public void add(Task task) {
     first = Math.min(first, task.start());
     last = Math.max(last, task.start());
@@ -41,9 +40,9 @@
     }
   }
 
-  /** Takes in all, or the first so many. */
-  public Survey addAll(Tasks source, long most) throws IOException {
-    for (long i = 0; i < most; i++) {
+  /** Adds all tasks, or the first ones up to a limit. */
+  public TraceSurvey addAll(TaskSource source, long limit) throws IOException {
+    for (long i = 0; i < limit; i++) {
       Task task = source.next();
       if (task == null) {
         break;
@@ -57,7 +56,7 @@
     return tasks == 0 ? 0 : first;
   }
 
-  /** From the first start to the last. */
+  /** The time from the first start to the last. */
   public long span() {
     return tasks == 0 ? 0 : Math.max(1, last - first);
   }
@@ -71,6 +70,7 @@
     return noRequestClass;
   }
 
+  /** The median work of a request class, or 1 if it has no task. */
   public double median(int requestClass) {
     return work.get(requestClass).getTotalCount() == 0
         ? 1
@@ -78,11 +78,11 @@
   }
 
   /** The work of a request class's tasks once each is scaled and bounded. */
-  double scaled(int requestClass, double factor, double least, double most) {
+  double scaled(int requestClass, double factor, double min, double max) {
     double sum = 0;
     for (DoubleHistogramIterationValue value : work.get(requestClass).recordedValues()) {
-      double one = Math.min(most, Math.max(least, value.getValueIteratedTo() * factor));
-      sum += one * value.getCountAddedInThisIterationStep();
+      double bounded = Math.min(max, Math.max(min, value.getValueIteratedTo() * factor));
+      sum += bounded * value.getCountAddedInThisIterationStep();
     }
     return sum;
   }
--- a/traces/src/test/java/tillerlink/trace/OrderingTest.java
+++ b/traces/src/test/java/tillerlink/trace/OrderingTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tasks out of order come out in order, as far as was promised; ties keep the file's order. */
+/** Tasks that are out of order are sorted within the window; ties keep the order of the file. */
 class OrderingTest {
   private static final Comparator<Task> ORDER =
       Comparator.comparingLong(Task::start).thenComparingLong(Task::number);
@@ -30,12 +30,12 @@
     return new Task(start, 10, 1, 0, number, 0, number, 0, 1);
   }
 
-  private static Tasks from(List<Task> tasks) {
+  private static TaskSource from(List<Task> tasks) {
     Iterator<Task> all = tasks.iterator();
     return () -> all.hasNext() ? all.next() : null;
   }
 
-  private static List<Task> all(Tasks source) throws IOException {
+  private static List<Task> all(TaskSource source) throws IOException {
     List<Task> all = new ArrayList<>();
     for (Task task = source.next(); task != null; task = source.next()) {
       all.add(task);
@@ -60,28 +60,29 @@
   }
 
   @Test
-  void withinTheWindowNothingIsLostAndAllIsInOrder() throws IOException {
+  void tasksWithinTheWindowAreAllSorted() throws IOException {
     for (int seed = 0; seed < 60; seed++) {
       Random random = new Random(seed);
-      long window = 1 + random.nextInt(100_000);
+      long window = 1L + random.nextInt(100_000);
       List<Task> tasks = shuffled(random, 2000, window, 1 + random.nextInt(400));
-      Tally tally = new Tally();
+      RowCounts counts = new RowCounts();
       List<Task> sorted = new ArrayList<>(tasks);
       sorted.sort(ORDER);
-      assertEquals(sorted, all(new Reorder(from(tasks), window, 100_000, tally)), "seed " + seed);
-      assertEquals(0, tally.skipped(Skip.LATE));
+      assertEquals(
+          sorted, all(new ReorderBuffer(from(tasks), window, 100_000, counts)), "seed " + seed);
+      assertEquals(0, counts.skipped(SkipReason.LATE));
     }
   }
 
   @Test
-  void beyondTheWindowTheLateAreCountedAndTheRestIsInOrder() throws IOException {
+  void tasksBeyondTheWindowAreCountedAndTheRestSorted() throws IOException {
     for (int seed = 0; seed < 40; seed++) {
       Random random = new Random(seed);
       List<Task> tasks = shuffled(random, 2000, 400_000, 300);
-      Tally tally = new Tally();
-      List<Task> out = all(new Reorder(from(tasks), 20_000, 100_000, tally));
-      assertTrue(tally.skipped(Skip.LATE) > 0, "seed " + seed);
-      assertEquals(2000, out.size() + tally.skipped(Skip.LATE));
+      RowCounts counts = new RowCounts();
+      List<Task> out = all(new ReorderBuffer(from(tasks), 20_000, 100_000, counts));
+      assertTrue(counts.skipped(SkipReason.LATE) > 0, "seed " + seed);
+      assertEquals(2000, out.size() + counts.skipped(SkipReason.LATE));
       List<Task> sorted = new ArrayList<>(out);
       sorted.sort(ORDER);
       assertEquals(sorted, out, "seed " + seed);
@@ -89,66 +90,64 @@
   }
 
   @Test
-  void neverMoreWaitThanMay() throws IOException {
+  void reorderBufferHoldsNoMoreThanItsLimit() throws IOException {
     List<Task> tasks = shuffled(new Random(3), 5000, 50_000, 10);
     long[] taken = {0};
     Iterator<Task> source = tasks.iterator();
-    Reorder reorder =
-        new Reorder(
+    ReorderBuffer reorder =
+        new ReorderBuffer(
             () -> {
               taken[0]++;
               return source.hasNext() ? source.next() : null;
             },
             50_000,
             300,
-            new Tally());
+            new RowCounts());
     long given = 0;
     for (Task task = reorder.next(); task != null; task = reorder.next()) {
       given++;
       assertTrue(taken[0] - given <= 5000);
     }
-    assertTrue(reorder.early() > 0);
+    assertTrue(reorder.releasedEarly() > 0);
     assertTrue(given > 0);
   }
 
   @Test
-  void aJoinIsBoundedAndForgetsTheOldestFirst() {
+  void joinIsBoundedAndEvictsTheOldestFirst() {
     for (int seed = 0; seed < 30; seed++) {
       Random random = new Random(seed);
       int most = 1 + random.nextInt(50);
-      Pairs pairs = new Pairs(most);
+      StartEndJoin join = new StartEndJoin(most);
       Map<Long, Long> kept = new HashMap<>();
-      List<Long> ring = new ArrayList<>();
       for (int i = 0; i < 3000; i++) {
-        long key = Row.mixed(random.nextInt(most * 3));
+        long key = CsvRow.mixed(random.nextInt(most * 3));
         if (random.nextBoolean()) {
-          ring.add(key);
-          pairs.open(key, i, 1, 0, i, 0);
+          join.open(key, i, 1, 0, i, 0);
           kept.put(key, (long) i);
         } else {
-          Task task = pairs.close(key, i, 0, 0);
+          Task task = join.close(key, i, 0, 0);
           if (task != null) {
             assertEquals(kept.remove(key), task.start(), "seed " + seed);
           }
         }
-        assertTrue(pairs.waiting() <= most);
+        assertTrue(join.waiting() <= most);
       }
-      assertTrue(pairs.waiting() <= kept.size());
+      assertTrue(join.waiting() <= kept.size());
     }
   }
 
   @Test
-  void whatDoesNotFitIntoMemoryIsSortedOutside() throws IOException {
+  void externalSortOrdersAllTasksAndLeavesNoFiles() throws IOException {
     int count = 450_000;
     Random random = new Random(4);
     int[] made = {0};
-    Tasks source = () -> made[0] == count ? null : task(random.nextInt(1 << 20), made[0]++);
+    TaskSource source = () -> made[0] == count ? null : task(random.nextInt(1 << 20), made[0]++);
     long last = -1;
     long lastNumber = -1;
     long seen = 0;
     try (ExternalSort sort = new ExternalSort(source, folder, 1L << 30)) {
       for (Task task = sort.next(); task != null; task = sort.next()) {
-        assertTrue(task.start() > last || task.start() == last && task.number() > lastNumber);
+        assertTrue(task.start() > last || (task.start() == last && task.number() > lastNumber));
         last = task.start();
         lastNumber = task.number();
         seen++;
@@ -161,7 +160,7 @@
   }
 
   @Test
-  void theDiskIsCappedAndWhatADeadProcessLeftIsRemoved() throws IOException {
+  void externalSortLimitsDiskAndRemovesFilesOfDeadProcesses() throws IOException {
     Path left = Files.createDirectory(folder.resolve("tillerlink-sort-999999999-x"));
     Files.writeString(left.resolve("run-0"), "x");
     Path own =
--- a/traces/src/test/java/tillerlink/trace/TraceReadingTest.java
+++ b/traces/src/test/java/tillerlink/trace/TraceReadingTest.java
@@ -12,6 +12,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.zip.GZIPOutputStream;
@@ -19,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Rows of the published layouts become tasks, and every kind of bad row is counted by its cause and
- * passed over.
+ * Rows of the published layouts become tasks, and every kind of bad row is counted by its reason
+ * and passed over.
  */
 class TraceReadingTest {
   private static final Layout OWN =
@@ -44,7 +45,7 @@
           Double.MAX_VALUE);
 
   @TempDir private Path folder;
-  private final Tally tally = new Tally();
+  private final RowCounts counts = new RowCounts();
 
   private Shard shard(String name, byte[] bytes) throws IOException {
     return Shard.of(Files.write(folder.resolve(name), bytes));
@@ -56,12 +57,12 @@
 
   private List<Task> read(Layout layout, Shard... shards) throws IOException {
     List<Task> tasks = new ArrayList<>();
-    try (TaskReader reader = new TaskReader(layout, List.of(shards), List.of(List.of()), tally)) {
+    try (TaskReader reader = new TaskReader(layout, List.of(shards), List.of(List.of()), counts)) {
       for (Task task = reader.next(); task != null; task = reader.next()) {
         tasks.add(task);
       }
     }
-    assertTrue(tally.addsUp(), "every row is accounted for");
+    assertTrue(counts.addsUp(), "every row is accounted for");
     return tasks;
   }
 
@@ -79,21 +80,24 @@
   }
 
   @Test
-  void alibaba() throws IOException {
+  void alibabaRowsBecomeTasks() throws IOException {
     List<Task> tasks =
         read(
             Layout.ALIBABA_2018,
             shard(
                 "a.csv",
-                "M1,1,j_1,1,Terminated,10,25,150,0.5\n"
-                    + "M2,3,j_1,2,Running,11,0,100,0.3\r\ntask_Lz,,j_2,1,Terminated,12,12,,\n"));
+                """
+                M1,1,j_1,1,Terminated,10,25,150,0.5
+                M2,3,j_1,2,Running,11,0,100,0.3\r
+                task_Lz,,j_2,1,Terminated,12,12,,
+                """));
     assertEquals("100000+150000x1.5 120000+0x1.0", print(tasks));
-    assertEquals(1, tally.skipped(Skip.OTHER_KIND));
+    assertEquals(1, counts.skipped(SkipReason.OTHER_KIND));
     assertTrue(tasks.get(0).job() != tasks.get(1).job());
   }
 
   @Test
-  void azure() throws IOException {
+  void azureRowsBecomeTasks() throws IOException {
     assertEquals(
         "0+36000000x2.0 3000000+3000000x24.0",
         print(
@@ -101,12 +105,14 @@
                 Layout.AZURE_2019,
                 shard(
                     "v.csv",
-                    "vm1,s1,d1,0,3600,99,3,40,Interactive,2,4\n"
-                        + "\"vm2\",s1,d1,300,600,99,3,40,Delay-insensitive,>24,>64\n"))));
+                    """
+                    vm1,s1,d1,0,3600,99,3,40,Interactive,2,4
+                    "vm2",s1,d1,300,600,99,3,40,Delay-insensitive,>24,>64
+                    """))));
   }
 
   @Test
-  void googleJoinsStartsAndEnds() throws IOException {
+  void googleStartsAndEndsAreJoined() throws IOException {
     String tail = ",u,0,0,0.5,0.1,0,0\n";
     List<Task> tasks =
         read(
@@ -134,13 +140,13 @@
                     + "9223372036854775807,,4,0,5,1"
                     + tail));
     assertEquals("6020000+20000x8.0 6010000+40000x8.0", print(tasks));
-    assertEquals(4, tally.rowsUsed());
-    assertEquals(2, tally.skipped(Skip.UNPAIRED));
-    assertEquals(4, tally.skipped(Skip.OTHER_KIND));
+    assertEquals(4, counts.rowsUsed());
+    assertEquals(2, counts.skipped(SkipReason.UNPAIRED));
+    assertEquals(4, counts.skipped(SkipReason.OTHER_KIND));
   }
 
   @Test
-  void aHeaderNamesTheColumnsOfEachShard() throws IOException {
+  void headerNamesTheColumnsOfEachShard() throws IOException {
     Shard one =
         shard(
             "1.csv", "\ufeffjob;state;begin;finish;cpu;team\nj;done;5;9;200;a\nj;lost;5;9;200;a\n");
@@ -153,10 +159,10 @@
 
   /** Each kind of malformed row, alone between two good ones, which are both used. */
   @Test
-  void everyKindOfBadRow() throws IOException {
+  void eachKindOfBadRowIsCountedWithItsReason() throws IOException {
     String good = "a,1,j,1,Terminated,1,2,100,0.5\n";
     StringBuilder found = new StringBuilder();
-    Map<String, byte[]> rows = new java.util.LinkedHashMap<>();
+    Map<String, byte[]> rows = new LinkedHashMap<>();
     for (String row :
         List.of(
             "a,1,j,1,Terminated,1,2,100",
@@ -183,7 +189,7 @@
             file.writeBytes(good.getBytes(StandardCharsets.UTF_8));
             file.writeBytes(bytes);
             file.writeBytes(("\n" + good).getBytes(StandardCharsets.UTF_8));
-            Tally one = new Tally();
+            RowCounts one = new RowCounts();
             try (TaskReader reader =
                 new TaskReader(
                     Layout.ALIBABA_2018,
@@ -196,12 +202,12 @@
             }
             assertEquals(2, one.rowsUsed(), row);
             assertEquals(1, one.bad(), row);
-            Skip cause =
-                Arrays.stream(Skip.values())
+            SkipReason reason =
+                Arrays.stream(SkipReason.values())
                     .filter(skip -> one.skipped(skip) == 1)
                     .findFirst()
                     .orElseThrow();
-            found.append(cause.word()).append(' ').append(one.places(cause)).append('\n');
+            found.append(reason.word()).append(' ').append(one.places(reason)).append('\n');
           } catch (IOException e) {
             throw new java.io.UncheckedIOException(e);
           }
@@ -228,7 +234,7 @@
   }
 
   @Test
-  void shardsThatBreakOffCostOnlyWhatIsMissing() throws IOException {
+  void truncatedShardLosesOnlyItsMissingRows() throws IOException {
     String good = "a,1,j,1,Terminated,1,2,100,0.5\n";
     ByteArrayOutputStream packed = new ByteArrayOutputStream();
     try (OutputStream out = new GZIPOutputStream(packed)) {
@@ -241,17 +247,17 @@
             shard("cut.csv.gz", cut),
             shard("empty.csv", ""),
             shard("z.csv", good));
-    assertEquals(1, tally.skipped(Skip.CUT_OFF));
-    assertEquals(tally.rowsRead() - 1, tasks.size());
+    assertEquals(1, counts.skipped(SkipReason.CUT_OFF));
+    assertEquals(counts.rowsRead() - 1, tasks.size());
     assertTrue(tasks.size() > 1000, "what came before the cut is used, and the shards behind it");
   }
 
   @Test
-  void aFileThatShrinksWhileItIsRead() throws IOException {
+  void fileThatShrinksWhileReadIsCutOff() throws IOException {
     Shard shard = shard("shrinks.csv", "a,1,j,1,Terminated,1,2,100,0.5\n".repeat(20_000));
     long tasks = 0;
     try (TaskReader reader =
-        new TaskReader(Layout.ALIBABA_2018, List.of(shard), List.of(List.of()), tally)) {
+        new TaskReader(Layout.ALIBABA_2018, List.of(shard), List.of(List.of()), counts)) {
       while (reader.next() != null) {
         if (tasks++ == 0) {
           try (var file =
@@ -262,13 +268,13 @@
         }
       }
     }
-    assertEquals(1, tally.skipped(Skip.CUT_OFF));
+    assertEquals(1, counts.skipped(SkipReason.CUT_OFF));
     assertTrue(tasks > 1000 && tasks < 20_000, tasks + " tasks");
-    assertTrue(tally.addsUp());
+    assertTrue(counts.addsUp());
   }
 
   @Test
-  void aLineOfAHundredMegabytesIsOneBadRow() throws IOException {
+  void overlongLineIsOneBadRow() throws IOException {
     Path file = folder.resolve("long.csv");
     try (OutputStream out = Files.newOutputStream(file)) {
       byte[] piece = "x".repeat(1 << 20).getBytes(StandardCharsets.UTF_8);
@@ -278,20 +284,20 @@
       out.write("\na,1,j,1,Terminated,1,2,100,0.5\n".getBytes(StandardCharsets.UTF_8));
     }
     assertEquals(1, read(Layout.ALIBABA_2018, Shard.of(file)).size());
-    assertEquals(1, tally.skipped(Skip.LINE_TOO_LONG));
+    assertEquals(1, counts.skipped(SkipReason.LINE_TOO_LONG));
   }
 
-  /** What a made trace says of itself is what reading it finds. */
+  /** What a generated trace says of itself is what reading it finds. */
   @Test
-  void whatIsMadeIsFound() throws IOException {
+  void readingFindsWhatTheGeneratorReports() throws IOException {
     for (Layout layout : Layout.KNOWN) {
       Path file = folder.resolve(layout.name());
-      TraceMaker.Made made;
-      try (TraceMaker maker =
-          new TraceMaker(layout, 11, 0.05, 30_000, Files.newOutputStream(file))) {
-        made = maker.make(4000);
+      TraceGenerator.Generated generated;
+      try (TraceGenerator generator =
+          new TraceGenerator(layout, 11, 0.05, 30_000, Files.newOutputStream(file))) {
+        generated = generator.make(4000);
       }
-      Tally found = new Tally();
+      RowCounts found = new RowCounts();
       long tasks = 0;
       try (TaskReader reader =
           new TaskReader(layout, List.of(Shard.of(file)), List.of(List.of()), found)) {
@@ -300,25 +306,26 @@
         }
       }
       assertTrue(found.addsUp(), layout.name());
-      assertEquals(made.rows(), found.rowsRead(), layout.name());
-      assertEquals(made.shuffled(), found.rowsBehind(), layout.name());
-      for (Skip cause : Skip.values()) {
+      assertEquals(generated.rows(), found.rowsRead(), layout.name());
+      assertEquals(generated.shuffled(), found.rowsOutOfOrder(), layout.name());
+      for (SkipReason reason : SkipReason.values()) {
         assertEquals(
-            made.bad().getOrDefault(cause, 0L),
-            cause.bad ? found.skipped(cause) : 0,
-            layout.name() + cause);
+            generated.bad().getOrDefault(reason, 0L),
+            reason.isBad() ? found.skipped(reason) : 0,
+            layout.name() + reason);
       }
-      assertEquals(made.tasks(), tasks + found.skipped(Skip.UNPAIRED) / 2, layout.name());
+      assertEquals(
+          generated.tasks(), tasks + found.skipped(SkipReason.UNPAIRED) / 2, layout.name());
     }
   }
 
   @Test
-  void theSameSeedMakesTheSameTrace() throws IOException {
+  void sameSeedGeneratesTheSameTrace() throws IOException {
     byte[][] files = new byte[2][];
     for (int i = 0; i < 2; i++) {
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      try (TraceMaker maker = new TraceMaker(Layout.GOOGLE_2011, 5, 0.1, 10_000, out)) {
-        maker.make(1000);
+      try (TraceGenerator generator = new TraceGenerator(Layout.GOOGLE_2011, 5, 0.1, 10_000, out)) {
+        generator.make(1000);
       }
       files[i] = out.toByteArray();
     }
