--- a/operator/src/main/java/com/bertramlabs/plugins/hcl4j/Symbols.java
+++ b/operator/src/main/java/com/bertramlabs/plugins/hcl4j/Symbols.java
@@ -6,17 +6,16 @@
 import java.util.List;
 
 /**
- * Hands out what hcl4j's lexer reads, with lines and columns. The parser of the library throws
- * these away, and its lexer is visible from this package only.
+ * Gives access to the symbols of hcl4j's lexer, with lines and columns. The parser of the library
+ * drops these, and its lexer is visible in this package only.
  */
 public final class Symbols {
   private Symbols() {}
 
   /**
-   * The symbols at the top of a file, each with those below it; lines and columns are counted from
-   * 0.
+   * Reads the top-level symbols of a file with those below them; lines and columns count from 0.
    *
-   * @throws HCLParserException if it is not HCL
+   * @throws HCLParserException if the text is not HCL
    */
   public static List<Symbol> read(Reader in) throws IOException, HCLParserException {
     HCLLexer lexer = new HCLLexer(in);
--- a/operator/src/main/java/tillerlink/operator/Addresses.java
+++ b/operator/src/main/java/tillerlink/operator/Addresses.java
@@ -9,18 +9,18 @@
 import java.util.regex.Pattern;
 
 /**
- * Addresses of gateways as host:port. The host is written out, as in 10.0.0.7:7400 or
- * [fd00::7]:7400: nothing is looked up, so that gateways find each other also while no discovery
- * service answers.
+ * Addresses of gateways as host:port. The host is a literal, as in 10.0.0.7:7400 or [fd00::7]:7400:
+ * nothing is looked up, so that gateways find each other also while the discovery service is down.
  */
 public final class Addresses {
+  private static final int MAX_BYTE = 255;
   private static final Pattern FORM =
       Pattern.compile("([0-9]{1,3}(?:[.][0-9]{1,3}){3}|\\[[0-9a-fA-F:.]{2,45}\\]):([0-9]{1,5})");
-  private static final int PORT_MOST = 65_535;
+  private static final int MAX_PORT = 65_535;
 
   private Addresses() {}
 
-  /** The address, or null if it is none, or not that of one gateway. */
+  /** Parses an address; null if it is malformed or not the address of one gateway. */
   public static InetSocketAddress socket(String text) {
     Matcher parts = FORM.matcher(text);
     if (!parts.matches()) {
@@ -30,24 +30,24 @@
     InetAddress host = host(parts.group(1));
     return host == null
             || port < 1
-            || port > PORT_MOST
+            || port > MAX_PORT
             || host.isAnyLocalAddress()
             || host.isMulticastAddress()
         ? null
         : new InetSocketAddress(host, port);
   }
 
-  /** Only literals come here; the JDK looks none of them up. */
+  /** Parses a literal, for which the JDK does no look-up. */
   private static InetAddress host(String literal) {
     try {
       if (literal.startsWith("[")) {
         return InetAddress.getByName(literal);
       }
       byte[] bytes = new byte[4];
-      String[] parts = literal.split("[.]");
+      String[] parts = literal.split("[.]", -1);
       for (int i = 0; i < bytes.length; i++) {
         int part = Integer.parseInt(parts[i]);
-        if (part > 255) {
+        if (part > MAX_BYTE) {
           return null;
         }
         bytes[i] = (byte) part;
@@ -64,24 +64,24 @@
     return given;
   }
 
-  /** Empty where nothing stands. */
-  static List<String> list(Section section, String name, int most) {
-    List<String> given = Names.distinct(section, name, section.texts(name, false), most);
-    List<String> sound = new ArrayList<>();
-    for (String one : given) {
-      if (check(section, name, one)) {
-        sound.add(one);
+  /** A list of addresses; empty if the key is absent. */
+  static List<String> list(Section section, String name, int limit) {
+    List<String> given = NameRules.distinct(section, name, section.texts(name, false), limit);
+    List<String> valid = new ArrayList<>();
+    for (String address : given) {
+      if (check(section, name, address)) {
+        valid.add(address);
       }
     }
-    return List.copyOf(sound);
+    return List.copyOf(valid);
   }
 
   private static boolean check(Section section, String name, String given) {
-    boolean sound = socket(given) != null;
-    if (!sound && !given.isEmpty()) {
+    boolean valid = socket(given) != null;
+    if (!valid && !given.isEmpty()) {
       section.faultAt(
           name, "'" + given + "' is not the address and port of one gateway, as in 10.0.0.7:7400");
     }
-    return sound;
+    return valid;
   }
 }
--- a/operator/src/main/java/tillerlink/operator/HclReader.java
+++ b/operator/src/main/java/tillerlink/operator/HclReader.java
@@ -19,20 +19,17 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/**
- * Reads HCL into sections. Only plain values are taken: texts, numbers, true and false, and lists
- * of these.
- */
+/** Reads HCL into sections. Values are literals: strings, numbers, booleans, and lists of these. */
 final class HclReader {
-  private static final long BYTES_MOST = 1 << 20;
-  private static final int DEEP_MOST = 8;
+  private static final long MAX_BYTES = 1 << 20;
+  private static final int MAX_DEPTH = 8;
   private static final Pattern PLACE = Pattern.compile("[Ll]ine:? (\\d+)");
 
   private HclReader() {}
 
-  static Section read(Path path, List<Fault> faults) throws IOException {
-    if (Files.size(path) > BYTES_MOST) {
-      throw new IOException(path + ": more than " + BYTES_MOST + " bytes");
+  static Section read(Path path, List<ConfigError> faults) throws IOException {
+    if (Files.size(path) > MAX_BYTES) {
+      throw new IOException(path + ": more than " + MAX_BYTES + " bytes");
     }
     String text;
     try {
@@ -48,15 +45,15 @@
   }
 
   /**
-   * What can't be read as HCL at all is one fault, with the place where the braces or quotes go
+   * Reads a text. One that is no HCL gives one error, at the place where the braces or quotes go
    * wrong.
    */
-  static Section of(String text, List<Fault> faults) throws IOException {
+  static Section of(String text, List<ConfigError> faults) throws IOException {
     Section all = new Section("", List.of(), 1, 1, faults);
-    Balance balance = new Balance(text);
-    Fault unbalanced = balance.find();
-    if (unbalanced != null) {
-      faults.add(unbalanced);
+    DelimiterCheck delimiters = new DelimiterCheck(text);
+    ConfigError delimiterError = delimiters.find();
+    if (delimiterError != null) {
+      faults.add(delimiterError);
       return all;
     }
     try {
@@ -64,38 +61,39 @@
       for (Symbol symbol : symbols) {
         put(all, symbol, faults, 0);
       }
-      checkAllRead(symbols, balance.assigned(), faults);
+      checkAllAttributesRead(symbols, delimiters.assignments(), faults);
     } catch (HCLParserException | RuntimeException | Error e) {
-      if (e instanceof VirtualMachineError) {
-        throw (VirtualMachineError) e;
+      if (e instanceof VirtualMachineError fatal) {
+        throw fatal;
       }
       Matcher place = PLACE.matcher(String.valueOf(e.getMessage()));
       faults.add(
-          new Fault(
+          new ConfigError(
               place.find() ? Integer.parseInt(place.group(1)) : 1, 1, "this can't be read as HCL"));
     }
     return all;
   }
 
   /**
-   * Guards against what the library passes over without a word: as many names must have been read
-   * as have values.
+   * Guards against attributes that the library skips silently: as many must have been read as there
+   * are signs of assignment.
    */
-  private static void checkAllRead(List<Symbol> symbols, List<Fault> assigned, List<Fault> faults) {
+  private static void checkAllAttributesRead(
+      List<Symbol> symbols, List<ConfigError> assignments, List<ConfigError> faults) {
     List<Integer> lines = new ArrayList<>();
-    symbols.forEach(symbol -> names(symbol, lines));
-    for (Fault sign : assigned) {
-      if (!lines.remove((Integer) sign.line())) {
-        faults.add(sign);
+    symbols.forEach(symbol -> collectLines(symbol, lines));
+    for (ConfigError assignment : assignments) {
+      if (!lines.remove((Integer) assignment.line())) {
+        faults.add(assignment);
       }
     }
   }
 
-  private static void names(Symbol symbol, List<Integer> lines) {
+  private static void collectLines(Symbol symbol, List<Integer> lines) {
     if (symbol instanceof HCLAttribute) {
       lines.add(line(symbol));
     }
-    children(symbol).forEach(child -> names(child, lines));
+    children(symbol).forEach(child -> collectLines(child, lines));
   }
 
   private static int line(Symbol symbol) {
@@ -106,8 +104,8 @@
     return symbol.getColumn() + 1;
   }
 
-  private static void put(Section into, Symbol symbol, List<Fault> faults, int depth) {
-    if (symbol instanceof HCLBlock block && depth < DEEP_MOST) {
+  private static void put(Section into, Symbol symbol, List<ConfigError> faults, int depth) {
+    if (symbol instanceof HCLBlock block && depth < MAX_DEPTH) {
       List<String> names = block.blockNames;
       Section section =
           new Section(
@@ -122,10 +120,10 @@
       }
     } else if (symbol instanceof HCLAttribute) {
       List<Symbol> value = children(symbol);
-      Object plain = value.size() == 1 ? plain(value.get(0)) : null;
-      if (plain == null) {
+      Object literal = value.size() == 1 ? literal(value.get(0)) : null;
+      if (literal == null) {
         faults.add(
-            new Fault(
+            new ConfigError(
                 line(symbol),
                 column(symbol),
                 "'"
@@ -133,10 +131,10 @@
                     + "' is not a plain value; texts stand in quotes, and nothing is worked out"
                     + " here"));
       }
-      into.put(symbol.getName(), new Section.Value(plain, line(symbol), column(symbol)));
+      into.put(symbol.getName(), new Section.Value(literal, line(symbol), column(symbol)));
     } else {
       faults.add(
-          new Fault(line(symbol), column(symbol), "neither a block nor a value with a name"));
+          new ConfigError(line(symbol), column(symbol), "neither a block nor a value with a name"));
     }
   }
 
@@ -144,12 +142,12 @@
     return symbol.getChildren() == null ? List.of() : symbol.getChildren();
   }
 
-  /** Null if it is none. */
-  private static Object plain(Symbol symbol) {
+  /** The value of a literal; null if it is none. */
+  private static Object literal(Symbol symbol) {
     if (symbol instanceof HCLArray) {
       List<Object> list = new ArrayList<>();
       for (Symbol child : children(symbol)) {
-        list.add(plain(child));
+        list.add(literal(child));
       }
       return list.contains(null) ? null : list;
     }
--- a/operator/src/main/java/tillerlink/operator/Http2Part.java
+++ b/operator/src/main/java/tillerlink/operator/Http2Part.java
@@ -4,11 +4,11 @@
 import java.util.Set;
 import tillerlink.net.http2.Http2TransportFactory;
 
-/** The part <code>http2</code>. */
+/** The block <code>http2</code>. */
 final class Http2Part {
   private Http2Part() {}
 
-  /** Which engines are reached over HTTP/2. */
+  /** The engines that are reached over HTTP/2. */
   static Http2TransportFactory read(Section section) {
     if (section == null) {
       return null;
--- a/operator/src/main/java/tillerlink/operator/LayoutPart.java
+++ b/operator/src/main/java/tillerlink/operator/LayoutPart.java
@@ -6,8 +6,11 @@
 import java.util.List;
 import tillerlink.trace.Layout;
 
-/** The parts <code>layout</code>: how rows of traces look. */
+/** The blocks <code>layout</code>: how the rows of traces are read. */
 final class LayoutPart {
+  private static final String DEFAULT_DELIMITER = ",";
+  private static final char LAST_PRINTABLE = 126;
+
   private LayoutPart() {}
 
   static List<Layout> read(Section all) {
@@ -39,26 +42,12 @@
     String name = section.label();
     boolean header = section.flag("header", false);
     List<String> columns = section.texts("columns", !header);
-    String delimiter = section.text("delimiter", ",");
-    if (delimiter.length() != 1 || "\"\n\r".contains(delimiter) || delimiter.charAt(0) > 126) {
-      section.faultAt("delimiter", "'delimiter' is not one plain character");
-      delimiter = ",";
-    }
-    Section pairs = section.one("pairs");
-    Layout.Pairing pairing = null;
-    if (pairs != null) {
-      pairing =
-          new Layout.Pairing(
-              column(pairs, columns, "column", true),
-              pairs.texts("starts", true),
-              pairs.texts("ends", true),
-              pairs.texts("breaks", false));
-      pairs.close();
-    }
+    char delimiter = delimiter(section);
+    Layout.Pairing pairing = pairing(section, columns);
     Layout layout =
         new Layout(
             name,
-            delimiter.charAt(0),
+            delimiter,
             header,
             columns,
             section.choice("time_unit", TimeUnit.S, TimeUnit.class).tenths,
@@ -80,4 +69,29 @@
     section.close();
     return layout;
   }
+
+  private static char delimiter(Section section) {
+    String given = section.text("delimiter", DEFAULT_DELIMITER);
+    if (given.length() != 1 || "\"\n\r".contains(given) || given.charAt(0) > LAST_PRINTABLE) {
+      section.faultAt("delimiter", "'delimiter' is not one plain character");
+      given = DEFAULT_DELIMITER;
+    }
+    return given.charAt(0);
+  }
+
+  /** How start rows and end rows are paired, or null. */
+  private static Layout.Pairing pairing(Section section, List<String> columns) {
+    Section pairs = section.one("pairs");
+    if (pairs == null) {
+      return null;
+    }
+    Layout.Pairing pairing =
+        new Layout.Pairing(
+            column(pairs, columns, "column", true),
+            pairs.texts("starts", true),
+            pairs.texts("ends", true),
+            pairs.texts("breaks", false));
+    pairs.close();
+    return pairing;
+  }
 }
--- a/operator/src/main/java/tillerlink/operator/LogPart.java
+++ b/operator/src/main/java/tillerlink/operator/LogPart.java
@@ -2,18 +2,18 @@
 
 import tillerlink.operator.OperatorFile.Form;
 import tillerlink.operator.OperatorFile.Level;
-import tillerlink.operator.OperatorFile.Log;
+import tillerlink.operator.OperatorFile.LogConfig;
 
-/** The part <code>log</code>. */
+/** The block <code>log</code>. */
 final class LogPart {
   private LogPart() {}
 
-  static Log read(Section section) {
+  static LogConfig read(Section section) {
     if (section == null) {
       return null;
     }
-    Log log =
-        new Log(
+    LogConfig log =
+        new LogConfig(
             section.choice("form", Form.TEXT, Form.class),
             section.choice("level", Level.INFO, Level.class));
     section.close();
--- a/operator/src/main/java/tillerlink/operator/Members.java
+++ b/operator/src/main/java/tillerlink/operator/MembersConfig.java
@@ -10,19 +10,18 @@
 import java.util.TreeMap;
 
 /**
- * The part <code>members</code>: which fleet this gateway belongs to, and how it finds the others.
+ * The block <code>members</code>: which fleet this gateway belongs to, and how it finds the others.
  *
- * @param fleet the fleet's name: what others of another name send is not taken
- * @param site where this gateway stands
- * @param listen where it is reached by other gateways, over UDP; host:port as {@link Addresses}
- *     takes it
- * @param seeds addresses at which others may be met first; its own may be among them
- * @param secretFile holds what peers are authenticated by; null if they are not
- * @param reach by a gateway's name, the address at which this one reaches it, where that is another
- *     than the one which it tells of itself
- * @param probeEvery between two probes, in tenths of a millisecond
+ * @param fleet the name of the fleet; messages of other fleets are dropped
+ * @param site the site of this gateway
+ * @param listen where other gateways reach it over UDP, as host:port; see {@link Addresses}
+ * @param seeds addresses of gateways to contact first; its own may be among them
+ * @param secretFile the file with the secret that authenticates members; null for none
+ * @param reach by gateway, the address at which this one reaches it, if it differs from the
+ *     advertised one
+ * @param probeEvery the probe interval, in tenths of a millisecond
  */
-public record Members(
+public record MembersConfig(
     String fleet,
     String site,
     String listen,
@@ -30,21 +29,21 @@
     String secretFile,
     Map<String, String> reach,
     long probeEvery) {
-  private static final int SEEDS_MOST = 64;
-  private static final int REACH_MOST = 1024;
-  private static final int SECRET_LEAST = 16;
-  private static final int SECRET_MOST = 4096;
+  private static final int MAX_SEEDS = 64;
+  private static final int MAX_REACH = 1024;
+  private static final int MIN_SECRET_BYTES = 16;
+  private static final int MAX_SECRET_BYTES = 4096;
 
-  static Members read(Section section) {
+  static MembersConfig read(Section section) {
     if (section == null) {
       return null;
     }
-    Members members =
-        new Members(
-            Names.read(section, "fleet"),
-            Names.read(section, "site"),
+    MembersConfig members =
+        new MembersConfig(
+            NameRules.read(section, "fleet"),
+            NameRules.read(section, "site"),
             Addresses.read(section, "listen"),
-            Addresses.list(section, "seeds", SEEDS_MOST),
+            Addresses.list(section, "seeds", MAX_SEEDS),
             section.textOrNull("secret_file"),
             reach(section),
             Math.round(section.number("probe_ms", 50, 60_000, 500) * Units.TENTHS_PER_MS));
@@ -55,24 +54,23 @@
   private static Map<String, String> reach(Section members) {
     Map<String, String> reach = new TreeMap<>();
     for (Section section : members.all("reach")) {
-      String name = Names.label(section);
+      String name = NameRules.label(section);
       if (reach.putIfAbsent(name, Addresses.read(section, "at")) != null) {
         section.fault("a second reach '" + name + "'");
       }
       section.close();
     }
-    if (reach.size() > REACH_MOST) {
-      members.fault("more than " + REACH_MOST + " reach in " + members);
+    if (reach.size() > MAX_REACH) {
+      members.fault("more than " + MAX_REACH + " reach in " + members);
     }
     return Collections.unmodifiableMap(reach);
   }
 
   /**
-   * The fleet's secret, read anew: the file's bytes without line ends and blanks behind them; null
-   * if none is set.
+   * Reads the fleet's secret from its file, without trailing line ends and blanks; null if none is
+   * set.
    *
-   * @throws IOException in words for the operator: it can't be read, or is too short or too long to
-   *     be one
+   * @throws IOException if it can't be read, or is too short or too long
    */
   public byte[] secret() throws IOException {
     if (secretFile == null) {
@@ -82,8 +80,8 @@
     if (!Files.isRegularFile(file) || !Files.isReadable(file)) {
       throw new IOException(secretFile + ": there is no secret to be read there");
     }
-    if (Files.size(file) > SECRET_MOST) {
-      throw new IOException(secretFile + ": a secret of more than " + SECRET_MOST + " bytes");
+    if (Files.size(file) > MAX_SECRET_BYTES) {
+      throw new IOException(secretFile + ": a secret of more than " + MAX_SECRET_BYTES + " bytes");
     }
     byte[] bytes = Files.readAllBytes(file);
     int length = bytes.length;
@@ -91,13 +89,13 @@
         && (bytes[length - 1] == '\n' || bytes[length - 1] == '\r' || bytes[length - 1] == ' ')) {
       length--;
     }
-    if (length < SECRET_LEAST) {
+    if (length < MIN_SECRET_BYTES) {
       throw new IOException(
           secretFile
               + ": a secret of "
               + length
               + " bytes; it wants "
-              + SECRET_LEAST
+              + MIN_SECRET_BYTES
               + " at the least");
     }
     return Arrays.copyOf(bytes, length);
--- a/operator/src/main/java/tillerlink/operator/OperatorFile.java
+++ b/operator/src/main/java/tillerlink/operator/OperatorFile.java
@@ -12,32 +12,32 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * What the operator has written, checked. Every part is optional; what is absent is null or empty.
+ * The operator's file, checked. Every block is optional; what is absent is null or empty.
  *
- * @param requestClasses in the order of the file: the first whose tests a row passes takes it
+ * @param requestClasses in the order of the file; a row belongs to the first whose tests it passes
  */
 public record OperatorFile(
-    Log log,
+    LogConfig log,
     Http2TransportFactory http2,
-    Storing store,
-    Members members,
-    Channels channels,
-    Statements statements,
+    StoreConfig store,
+    MembersConfig members,
+    ChannelsConfig channels,
+    StatementsConfig statements,
     List<Layout> layouts,
     Fleet fleet,
     List<RequestClassSpec> requestClasses,
     List<Trouble> troubles,
-    Replaying replay) {
-  /** How log lines look. */
-  public record Log(Form form, Level level) {}
+    ReplayDefaults replay) {
+  /** The format of the log. */
+  public record LogConfig(Form form, Level level) {}
 
-  /** Plain text, or a JSON object a line. */
+  /** Plain text, or one JSON object per line. */
   public enum Form {
     TEXT,
     JSON
   }
 
-  /** What is logged at the least. */
+  /** The lowest level that is logged. */
   public enum Level {
     DEBUG,
     INFO,
@@ -45,27 +45,28 @@
     ERROR
   }
 
-  /** What a replay is by default; times are tenths of a millisecond. */
-  public record Replaying(
+  /** Defaults of a replay; times are tenths of a millisecond. */
+  public record ReplayDefaults(
       double load,
       WorkloadScaling.Scale scale,
       long window,
       double error,
-      double badMost,
+      double maxBadShare,
       long seed) {}
 
   /**
-   * Where gateways remember what outlives them; the age from which it is not trusted, in tenths of
-   * a millisecond.
+   * Where gateways store what outlives them.
+   *
+   * @param maxAge the age from which stored data is not trusted, in tenths of a millisecond
    */
-  public record Storing(String folder, long ageMost, long maxBytes) {}
+  public record StoreConfig(String folder, long maxAge, long maxBytes) {}
 
-  /** The file as a whole is wrong: all its faults, each with its place. */
-  public static final class FaultyException extends IOException {
+  /** The file is invalid; carries all its errors with their places. */
+  public static final class InvalidFileException extends IOException {
     private static final long serialVersionUID = 1L;
-    private final transient List<Fault> faults;
+    private final transient List<ConfigError> faults;
 
-    FaultyException(Path file, List<Fault> faults) {
+    InvalidFileException(Path file, List<ConfigError> faults) {
       super(
           file
               + ":"
@@ -74,34 +75,37 @@
       this.faults = faults;
     }
 
-    public List<Fault> faults() {
+    /** All errors in the order of the file. */
+    public List<ConfigError> errors() {
       return faults;
     }
   }
 
   /**
-   * @throws FaultyException if anything in it can't be used
+   * Reads and checks a file.
+   *
+   * @throws InvalidFileException if the file has errors
    */
   public static OperatorFile read(Path path) throws IOException {
-    List<Fault> faults = new ArrayList<>();
+    List<ConfigError> faults = new ArrayList<>();
     Section all = HclReader.read(path, faults);
     OperatorFile file =
         new OperatorFile(
             LogPart.read(all.one("log")),
             Http2Part.read(all.one("http2")),
             StorePart.read(all.one("store")),
-            Members.read(all.one("members")),
-            Channels.read(all.one("channels")),
-            Statements.read(all.one("statements")),
+            MembersConfig.read(all.one("members")),
+            ChannelsConfig.read(all.one("channels")),
+            StatementsConfig.read(all.one("statements")),
             LayoutPart.read(all),
             FleetPart.read(all.one("fleet")),
             RequestClassPart.read(all),
             TroublePart.read(all),
             ReplayPart.read(all.one("replay")));
     all.close();
-    NamesCheck.check(all, file);
+    ReferenceCheck.check(all, file);
     if (!faults.isEmpty()) {
-      throw new FaultyException(path, faults.stream().sorted().distinct().toList());
+      throw new InvalidFileException(path, faults.stream().sorted().distinct().toList());
     }
     return file;
   }
--- a/operator/src/main/java/tillerlink/operator/NamesCheck.java
+++ b/operator/src/main/java/tillerlink/operator/ReferenceCheck.java
@@ -2,20 +2,21 @@
 
 import java.util.List;
 import tillerlink.fleet.Fleet;
+import tillerlink.fleet.Trouble;
 
-/** Names that lead from one part to another. */
-final class NamesCheck {
-  private NamesCheck() {}
+/** Checks the names by which one block refers to another. */
+final class ReferenceCheck {
+  private ReferenceCheck() {}
 
   static void check(Section all, OperatorFile file) {
-    shared(all, file);
+    checkSharedState(all, file);
     if (file.fleet() != null) {
-      replayed(all, file.fleet());
+      checkReplay(all, file.fleet());
     }
   }
 
-  /** What gateways share stands on knowing each other and on a disk. */
-  private static void shared(Section all, OperatorFile file) {
+  /** Channels and statements need membership and a store. */
+  private static void checkSharedState(Section all, OperatorFile file) {
     for (String part : List.of("channels", "statements")) {
       Section section = all.one(part);
       if (section != null && (file.members() == null || file.store() == null)) {
@@ -33,8 +34,8 @@
     }
   }
 
-  /** What a replay names must be there. */
-  private static void replayed(Section all, Fleet fleet) {
+  /** Request classes and troubles refer to existing kinds, engines and gateways. */
+  private static void checkReplay(Section all, Fleet fleet) {
     for (Section requestClass : all.all("track")) {
       for (String kind : requestClass.texts("kinds", false)) {
         if (fleet.kindNamed(kind) < 0) {
@@ -44,14 +45,19 @@
     }
     for (Section trouble : all.all("trouble")) {
       String whom = trouble.text("whom", "?");
-      boolean gateway =
-          whom.matches("n[0-9]{1,4}") && Integer.parseInt(whom.substring(1)) < fleet.gateways();
-      boolean killed = trouble.text("what", "?").equalsIgnoreCase("killed");
-      if (killed && !gateway
-          || !killed && fleet.engines().stream().noneMatch(e -> e.name().equals(whom))) {
+      boolean killed = trouble.text("what", "?").equalsIgnoreCase(Trouble.What.KILLED.name());
+      boolean known =
+          killed
+              ? isGateway(whom, fleet)
+              : fleet.engines().stream().anyMatch(engine -> engine.name().equals(whom));
+      if (!known) {
         trouble.faultAt(
             "whom", "there is no " + (killed ? "gateway" : "engine") + " '" + whom + "'");
       }
     }
   }
+
+  private static boolean isGateway(String name, Fleet fleet) {
+    return name.matches("n[0-9]{1,4}") && Integer.parseInt(name.substring(1)) < fleet.gateways();
+  }
 }
--- a/operator/src/main/java/tillerlink/operator/ReplayPart.java
+++ b/operator/src/main/java/tillerlink/operator/ReplayPart.java
@@ -2,16 +2,16 @@
 
 import tillerlink.workload.WorkloadScaling;
 
-/** The part <code>replay</code>. */
+/** The block <code>replay</code>. */
 final class ReplayPart {
   private ReplayPart() {}
 
-  static OperatorFile.Replaying read(Section section) {
+  static OperatorFile.ReplayDefaults read(Section section) {
     if (section == null) {
       return null;
     }
-    OperatorFile.Replaying replay =
-        new OperatorFile.Replaying(
+    OperatorFile.ReplayDefaults replay =
+        new OperatorFile.ReplayDefaults(
             section.number("load", 0.001, 10, 0.6),
             section.choice("scale", WorkloadScaling.Scale.TIME, WorkloadScaling.Scale.class),
             Math.round(section.number("window_s", 0, 1e7, 3600) * Units.TENTHS_PER_S),
--- a/operator/src/main/java/tillerlink/operator/Section.java
+++ b/operator/src/main/java/tillerlink/operator/Section.java
@@ -4,29 +4,30 @@
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * One block of an operator's file while it is read into records: what is asked of it is checked,
- * and what was never asked of it is unknown. Every fault is noted with its place, and reading goes
- * on with a value that will do.
+ * One block of an operator's file while it is read into records. Values are checked when they are
+ * read, and keys that were never read are unknown. Every error is recorded with its place, and
+ * reading goes on with a valid value.
  */
 final class Section {
-  /** A value and where it stands; lists hold plain values. One that can't be used is null. */
+  /** A value and its place; lists hold literals. An unreadable value is null. */
   record Value(Object value, int line, int column) {}
 
-  final String type;
-  final List<String> labels;
+  private final String type;
+  private final List<String> labels;
   private final int line;
   private final int column;
   private final Map<String, Value> values = new LinkedHashMap<>();
   private final List<Section> sections = new ArrayList<>();
-  private final Set<String> asked = new LinkedHashSet<>();
-  private final Set<String> blocksAsked = new LinkedHashSet<>();
-  private final List<Fault> faults;
+  private final Set<String> keysRead = new LinkedHashSet<>();
+  private final Set<String> blocksRead = new LinkedHashSet<>();
+  private final List<ConfigError> faults;
 
-  Section(String type, List<String> labels, int line, int column, List<Fault> faults) {
+  Section(String type, List<String> labels, int line, int column, List<ConfigError> faults) {
     this.type = type;
     this.labels = labels;
     this.line = line;
@@ -36,7 +37,8 @@
 
   void put(String name, Value value) {
     if (values.putIfAbsent(name, value) != null) {
-      faults.add(new Fault(value.line, value.column, "'" + name + "' stands twice in " + this));
+      faults.add(
+          new ConfigError(value.line, value.column, "'" + name + "' stands twice in " + this));
     }
   }
 
@@ -52,23 +54,33 @@
   }
 
   void fault(String what) {
-    faults.add(new Fault(line, column, what));
+    faults.add(new ConfigError(line, column, what));
   }
 
   private void fault(Value at, String what) {
-    faults.add(new Fault(at.line, at.column, what));
+    faults.add(new ConfigError(at.line, at.column, what));
   }
 
-  /** A value that could not be read was told of when it was. */
-  private void faultUnlessTold(Value at, String what) {
+  /** Records an error, unless one was recorded when the value turned out to be unreadable. */
+  private void faultUnlessUnreadable(Value at, String what) {
     if (at.value != null) {
       fault(at, what);
     }
   }
 
-  // ---- what is asked of it ----
+  // ---- reading ----
 
-  /** The one label that a block of this type bears. */
+  /** An empty block, in which every key has its default. */
+  private Section emptyBlock(String blockType) {
+    return new Section(blockType, List.of(), line, column, faults);
+  }
+
+  /** Whether the block has exactly one label. */
+  boolean hasOneLabel() {
+    return labels.size() == 1;
+  }
+
+  /** The one label of a block of this type. */
   String label() {
     if (labels.size() != 1 || labels.get(0).isEmpty()) {
       fault(type + " wants one name in quotes");
@@ -81,29 +93,31 @@
     return values.containsKey(name);
   }
 
-  private Value take(String name, boolean wanted) {
-    asked.add(name);
+  private Value take(String name, boolean required) {
+    keysRead.add(name);
     Value value = values.get(name);
-    if (value == null && wanted) {
+    if (value == null && required) {
       fault("'" + name + "' is missing in " + this);
     }
     return value;
   }
 
   /**
-   * @param otherwise what holds where nothing stands; NaN if something must
+   * Reads a number.
+   *
+   * @param otherwise the default; NaN if the key is required
    */
-  double number(String name, double least, double most, double otherwise) {
+  double number(String name, double min, double max, double otherwise) {
     Value value = take(name, Double.isNaN(otherwise));
     if (value == null) {
-      return Double.isNaN(otherwise) ? least : otherwise;
+      return Double.isNaN(otherwise) ? min : otherwise;
     }
     if (!(value.value instanceof Number number)) {
-      faultUnlessTold(value, "'" + name + "' is not a number");
-      return least;
+      faultUnlessUnreadable(value, "'" + name + "' is not a number");
+      return min;
     }
     double given = number.doubleValue();
-    if (!(given >= least && given <= most)) {
+    if (!(given >= min && given <= max)) {
       fault(
           value,
           "'"
@@ -111,16 +125,16 @@
               + "' is "
               + plain(given)
               + ", not within "
-              + plain(least)
+              + plain(min)
               + " and "
-              + plain(most));
-      return least;
+              + plain(max));
+      return min;
     }
     return given;
   }
 
-  long whole(String name, long least, long most, long otherwise) {
-    double given = number(name, least, most, otherwise);
+  long whole(String name, long min, long max, long otherwise) {
+    double given = number(name, (double) min, (double) max, (double) otherwise);
     if (given != Math.rint(given)) {
       fault(values.get(name), "'" + name + "' is not a whole number");
     }
@@ -134,14 +148,19 @@
   }
 
   /**
-   * @param otherwise what holds where nothing stands; null if something must
+   * Reads a text.
+   *
+   * @param otherwise the default; null if the key is required
    */
   String text(String name, String otherwise) {
     Value value = take(name, otherwise == null);
-    return value == null ? otherwise == null ? "" : otherwise : text(name, value);
+    if (value == null) {
+      return otherwise == null ? "" : otherwise;
+    }
+    return text(name, value);
   }
 
-  /** Null where nothing stands. */
+  /** Reads a text; null if the key is absent. */
   String textOrNull(String name) {
     Value value = take(name, false);
     return value == null ? null : text(name, value);
@@ -151,27 +170,31 @@
     if (value.value instanceof String text && !text.isEmpty()) {
       return text;
     }
-    faultUnlessTold(value, "'" + name + "' is not a text in quotes");
+    faultUnlessUnreadable(value, "'" + name + "' is not a text in quotes");
     return "";
   }
 
-  <E extends Enum<E>> E choice(String name, E otherwise, Class<E> of) {
+  /**
+   * Reads one of the constants of an enum, by its name in any case.
+   *
+   * @param otherwise the default; null if the key is required
+   */
+  <E extends Enum<E>> E choice(String name, E otherwise, Class<E> type) {
     Value value = take(name, otherwise == null);
     String given = value != null && value.value instanceof String text ? text : null;
-    for (E one : of.getEnumConstants()) {
-      if (one.name().equalsIgnoreCase(given)) {
-        return one;
+    for (E constant : type.getEnumConstants()) {
+      if (constant.name().equalsIgnoreCase(given)) {
+        return constant;
       }
     }
     if (value != null && value.value != null) {
       StringBuilder all = new StringBuilder();
-      for (E one : of.getEnumConstants()) {
-        all.append(all.length() == 0 ? "" : ", ")
-            .append(one.name().toLowerCase(java.util.Locale.ROOT));
+      for (E constant : type.getEnumConstants()) {
+        all.append(all.length() == 0 ? "" : ", ").append(constant.name().toLowerCase(Locale.ROOT));
       }
       fault(value, "'" + name + "' is none of " + all);
     }
-    return otherwise == null ? of.getEnumConstants()[0] : otherwise;
+    return otherwise == null ? type.getEnumConstants()[0] : otherwise;
   }
 
   boolean flag(String name, boolean otherwise) {
@@ -180,15 +203,15 @@
       return otherwise;
     }
     if (!(value.value instanceof Boolean flag)) {
-      faultUnlessTold(value, "'" + name + "' is neither true nor false");
+      faultUnlessUnreadable(value, "'" + name + "' is neither true nor false");
       return otherwise;
     }
     return flag;
   }
 
-  /** A list of texts; empty where nothing stands. */
-  List<String> texts(String name, boolean wanted) {
-    Value value = take(name, wanted);
+  /** Reads a list of texts; empty if the key is absent. */
+  List<String> texts(String name, boolean required) {
+    Value value = take(name, required);
     if (value == null) {
       return List.of();
     }
@@ -196,16 +219,16 @@
     if (value.value instanceof List<?> list) {
       list.forEach(one -> texts.add(one instanceof String text ? text : null));
     }
-    if (wanted && value.value instanceof List && texts.isEmpty()) {
+    if (required && value.value instanceof List && texts.isEmpty()) {
       fault(value, "'" + name + "' is empty");
     } else if (!(value.value instanceof List) || texts.contains(null)) {
-      faultUnlessTold(value, "'" + name + "' is not a list of texts in quotes");
+      faultUnlessUnreadable(value, "'" + name + "' is not a list of texts in quotes");
       return List.of();
     }
     return texts;
   }
 
-  /** A fault at the place of a value that was asked for. */
+  /** Records an error at the place of a value that was read. */
   void faultAt(String name, String what) {
     Value value = values.get(name);
     if (value == null) {
@@ -216,33 +239,39 @@
   }
 
   /** All blocks of a type. */
-  List<Section> all(String of) {
-    blocksAsked.add(of);
-    return sections.stream().filter(section -> section.type.equals(of)).toList();
+  List<Section> all(String blockType) {
+    blocksRead.add(blockType);
+    return sections.stream().filter(section -> section.type.equals(blockType)).toList();
   }
 
   /** The one block of a type, or null. */
-  Section one(String of) {
-    List<Section> found = all(of);
+  Section one(String blockType) {
+    List<Section> found = all(blockType);
     if (found.size() > 1) {
-      found.get(1).fault("a second " + of + " in " + this);
+      found.get(1).fault("a second " + blockType + " in " + this);
     }
     return found.isEmpty() ? null : found.get(0);
   }
 
+  /** The one block of a type, or an empty one in its place. */
+  Section oneOrEmpty(String blockType) {
+    Section found = one(blockType);
+    return found == null ? emptyBlock(blockType) : found;
+  }
+
   /**
-   * All that could be asked for has been: the rest is unknown. Blocks in it are closed by whoever
-   * read them.
+   * Ends reading: keys and blocks that were not read are unknown. Each block in it is closed by its
+   * own reader.
    */
   void close() {
     values.forEach(
         (name, value) -> {
-          if (!asked.contains(name)) {
+          if (!keysRead.contains(name)) {
             fault(value, "'" + name + "' is not known in " + this);
           }
         });
     for (Section section : sections) {
-      if (!blocksAsked.contains(section.type)) {
+      if (!blocksRead.contains(section.type)) {
         section.fault("a block '" + section.type + "' is not known in " + this);
       }
     }
--- a/operator/src/main/java/tillerlink/operator/TroublePart.java
+++ b/operator/src/main/java/tillerlink/operator/TroublePart.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import tillerlink.fleet.Trouble;
 
-/** The parts <code>trouble</code>. */
+/** The blocks <code>trouble</code>. */
 final class TroublePart {
   private TroublePart() {}
 
@@ -14,7 +14,7 @@
       Trouble.What what = section.choice("what", null, Trouble.What.class);
       troubles.add(
           new Trouble(
-              Math.round(section.number("at_s", 0, 1e7, Units.NONE) * Units.TENTHS_PER_S),
+              Math.round(section.number("at_s", 0, 1e7, Units.REQUIRED) * Units.TENTHS_PER_S),
               what,
               section.text("whom", null),
               Math.round(section.number("lasts_s", 0, 1e7, 2) * Units.TENTHS_PER_S),
--- a/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
@@ -34,19 +34,20 @@
 
   @Test
   void logHttp2StoreAndReplay() {
-    assertEquals(new OperatorFile.Log(OperatorFile.Form.TEXT, OperatorFile.Level.INFO), file.log());
+    assertEquals(
+        new OperatorFile.LogConfig(OperatorFile.Form.TEXT, OperatorFile.Level.INFO), file.log());
     assertEquals(new Http2TransportFactory(false, Set.of("big-16"), 256), file.http2());
     assertEquals(
-        new OperatorFile.Storing("/var/lib/tillerlink", 864_000_000, 16_777_216), file.store());
+        new OperatorFile.StoreConfig("/var/lib/tillerlink", 864_000_000, 16_777_216), file.store());
     assertEquals(
-        new OperatorFile.Replaying(0.6, WorkloadScaling.Scale.TIME, 36_000_000, 0.4, 0.1, 1),
+        new OperatorFile.ReplayDefaults(0.6, WorkloadScaling.Scale.TIME, 36_000_000, 0.4, 0.1, 1),
         file.replay());
   }
 
   @Test
   void membersChannelsAndStatements() {
     assertEquals(
-        new Members(
+        new MembersConfig(
             "newsroom",
             "north",
             "10.1.0.7:7400",
@@ -56,7 +57,7 @@
             5000),
         file.members());
     assertEquals(
-        new Channels(
+        new ChannelsConfig(
             List.of("north", "south", "studio"),
             List.of("north-1", "south-1", "studio-1"),
             3_000_000,
@@ -66,7 +67,7 @@
             64),
         file.channels());
     assertEquals(
-        new Statements(List.of("north-1", "north-2", "south-1"), 30_000, 0.01, false),
+        new StatementsConfig(List.of("north-1", "north-2", "south-1"), 30_000, 0.01, false),
         file.statements());
   }
 
--- a/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
@@ -14,9 +14,7 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.trace.Layout;
 
-/**
- * Everything that is wrong in an operator's file is told in one run, each with its line and column.
- */
+/** One run reports all errors of an operator's file, each with its line and column. */
 class OperatorFileTest {
   @TempDir private Path folder;
 
@@ -24,16 +22,16 @@
     return OperatorFile.read(Files.writeString(folder.resolve("operator.hcl"), text));
   }
 
-  private String faults(String text) {
+  private String errors(String text) {
     StringBuilder all = new StringBuilder();
-    assertThrows(OperatorFile.FaultyException.class, () -> read(text))
-        .faults()
-        .forEach(fault -> all.append(fault).append('\n'));
+    assertThrows(OperatorFile.InvalidFileException.class, () -> read(text))
+        .errors()
+        .forEach(error -> all.append(error).append('\n'));
     return all.toString();
   }
 
   @Test
-  void allFaultsAreTold() {
+  void allErrorsAreReported() {
     assertEquals(
         """
         2:3: 'form' is none of text, json
@@ -51,7 +49,7 @@
         15:8: a block 'bogus' is not known in fleet
         18:1: 'alone' is not known in the file
         """,
-        faults(
+        errors(
             """
             log {
               form = "xml"
@@ -75,7 +73,7 @@
   }
 
   @Test
-  void namesLeadSomewhere() {
+  void referencesMustExist() {
     assertEquals(
         """
         11:5: there is no kind 'k2'
@@ -86,7 +84,7 @@
         36:3: there is no column 9
         39:7: a test wants one of: in, not_in, or least and most
         """,
-        faults(
+        errors(
             """
             fleet {
               zones = ["z"]
@@ -134,7 +132,7 @@
   }
 
   @Test
-  void whatGatewaysShareIsChecked() {
+  void membersChannelsAndStatementsAreChecked() {
     assertEquals(
         """
         1:8: 'site' is missing in members
@@ -155,7 +153,7 @@
         19:3: an even number of voters bears no more failures than one voter fewer
         20:3: 'fence' is neither true nor false
         """,
-        faults(
+        errors(
             """
             members {
               fleet = "a b"
@@ -182,13 +180,13 @@
   }
 
   @Test
-  void sharingWantsVotersAndTheOwnSite() {
+  void sharedStateRequiresVotersAndTheOwnSite() {
     assertEquals(
         """
         10:3: the site 'west' of this gateway is not among 'sites'
         13:3: 'voters' is empty
         """,
-        faults(
+        errors(
             """
             store {
               folder = "s"
@@ -206,16 +204,18 @@
             }
             """));
     assertEquals(
-        "1:11: 'voters' is missing in statements\n"
-            + "1:11: statements wants the parts members and store too\n",
-        faults("statements {\n}\n"));
+        """
+        1:11: 'voters' is missing in statements
+        1:11: statements wants the parts members and store too
+        """,
+        errors("statements {\n}\n"));
   }
 
   @Test
-  void theExampleHasEveryPart() throws IOException {
+  void exampleHasEveryBlock() throws IOException {
     OperatorFile file = OperatorFile.read(Path.of("../deploy/operator.hcl"));
     assertEquals(
-        new Members(
+        new MembersConfig(
             "newsroom",
             "north",
             "10.1.0.7:7400",
@@ -225,7 +225,7 @@
             5000),
         file.members());
     assertEquals(
-        new Channels(
+        new ChannelsConfig(
             List.of("north", "south", "studio"),
             List.of("north-1", "south-1", "studio-1"),
             3_000_000,
@@ -235,7 +235,7 @@
             64),
         file.channels());
     assertEquals(
-        new Statements(List.of("north-1", "north-2", "south-1"), 30_000, 0.01, false),
+        new StatementsConfig(List.of("north-1", "north-2", "south-1"), 30_000, 0.01, false),
         file.statements());
   }
 
@@ -244,7 +244,7 @@
    * request class's deadline.
    */
   @Test
-  void theExampleSaysWhatHoldsWhereItIsLeftOut() throws IOException {
+  void exampleStatesTheDefaults() throws IOException {
     Fleet said = OperatorFile.read(Path.of("../deploy/operator.hcl")).fleet();
     OperatorFile terse =
         read(
@@ -291,9 +291,10 @@
   }
 
   @Test
-  void aSecretIsReadWhenServing() throws IOException {
+  void secretIsReadWhenServing() throws IOException {
     String file = folder.resolve("secret").toString();
-    Members members = new Members("f", "s", "127.0.0.1:1", List.of(), file, Map.of(), 5000);
+    MembersConfig members =
+        new MembersConfig("f", "s", "127.0.0.1:1", List.of(), file, Map.of(), 5000);
     assertEquals(
         file + ": there is no secret to be read there",
         assertThrows(IOException.class, members::secret).getMessage());
@@ -306,19 +307,19 @@
   }
 
   @Test
-  void whatIsNotHclIsToldWhereItGoesWrong() {
+  void syntaxErrorIsReportedAtItsPlace() {
     assertEquals(
-        "2:10: a quote that does not end on its line\n", faults("log {\n  form = \"te\n}\n"));
-    assertEquals("1:5: '{' is not closed\n", faults("log {\n"));
-    assertEquals("2:1: '}' closes nothing\n", faults("a = 1\n}\n"));
-    assertEquals("3:1: a comment that does not end\n", faults("\n\n/* x\n"));
+        "2:10: a quote that does not end on its line\n", errors("log {\n  form = \"te\n}\n"));
+    assertEquals("1:5: '{' is not closed\n", errors("log {\n"));
+    assertEquals("2:1: '}' closes nothing\n", errors("a = 1\n}\n"));
+    assertEquals("3:1: a comment that does not end\n", errors("\n\n/* x\n"));
     assertEquals(
         "1:1: 'log' is not known in the file\n2:3: '=' gives no name a value here\n",
-        faults("log = 1\n  = 3\n"));
+        errors("log = 1\n  = 3\n"));
   }
 
   @Test
-  void aLayoutOfOnesOwn() throws IOException {
+  void ownLayoutIsRead() throws IOException {
     Layout layout =
         read("""
         layout "mine" {
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/Beside.java
@@ -6,10 +6,10 @@
 import java.util.List;
 import tillerlink.channels.Terms;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.operator.Channels;
-import tillerlink.operator.Members;
+import tillerlink.operator.ChannelsConfig;
+import tillerlink.operator.MembersConfig;
 import tillerlink.operator.OperatorFile;
-import tillerlink.operator.Statements;
+import tillerlink.operator.StatementsConfig;
 import tillerlink.peering.Peering;
 import tillerlink.peering.PeeringConfig;
 import tillerlink.peering.channels.HostedChannels;
@@ -24,14 +24,14 @@
 
   /** Null where the file names no members. */
   static GatewayExtension.Factory of(OperatorFile file) throws IOException {
-    Members members = file.members();
+    MembersConfig members = file.members();
     if (members == null) {
       return null;
     }
-    OperatorFile.Storing store = file.store();
+    OperatorFile.StoreConfig store = file.store();
     long keepMost =
         (store == null ? 0 : store.maxBytes())
-            + (file.channels() == null ? 0 : file.channels().diskMost())
+            + (file.channels() == null ? 0 : file.channels().maxDisk())
             + (file.statements() == null ? 0 : StatementsComponentFactory.KEEP_MOST);
     return Peering.factory(
         new PeeringConfig(
@@ -50,18 +50,18 @@
   /** The parts that gateways share, beside who is there. */
   private static List<ComponentFactory> parts(OperatorFile file) {
     List<ComponentFactory> parts = new ArrayList<>();
-    Channels channels = file.channels();
+    ChannelsConfig channels = file.channels();
     if (channels != null) {
       parts.add(
           new HostedChannels(
               Terms.of(
                   channels.voters(),
                   channels.absentAfter(),
-                  channels.aheadMost() / TENTHS_PER_MS,
-                  Math.min(channels.memoryMost(), channels.diskMost()),
-                  channels.most())));
+                  channels.maxAhead() / TENTHS_PER_MS,
+                  Math.min(channels.maxMemory(), channels.maxDisk()),
+                  channels.maxChannels())));
     }
-    Statements statements = file.statements();
+    StatementsConfig statements = file.statements();
     if (statements != null) {
       parts.add(
           new StatementsComponentFactory(
--- a/tools/src/main/java/tillerlink/cli/CheckCommand.java
+++ b/tools/src/main/java/tillerlink/cli/CheckCommand.java
@@ -8,7 +8,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tillerlink.operator.Fault;
+import tillerlink.operator.ConfigError;
 import tillerlink.operator.OperatorFile;
 
 /** Checks an operator's file and tells all that is wrong in it. */
@@ -41,9 +41,9 @@
               shared(read));
       spec.commandLine().getOut().flush();
       return 0;
-    } catch (OperatorFile.FaultyException e) {
-      for (Fault fault : e.faults()) {
-        spec.commandLine().getErr().println(file + ":" + fault);
+    } catch (OperatorFile.InvalidFileException e) {
+      for (ConfigError error : e.errors()) {
+        spec.commandLine().getErr().println(file + ":" + error);
       }
       return 1;
     }
--- a/tools/src/main/java/tillerlink/cli/Logs.java
+++ b/tools/src/main/java/tillerlink/cli/Logs.java
@@ -13,7 +13,7 @@
 final class Logs {
   private Logs() {}
 
-  static void set(OperatorFile.Log log) {
+  static void set(OperatorFile.LogConfig log) {
     if (log == null || !(LoggerFactory.getILoggerFactory() instanceof LoggerContext context)) {
       return;
     }
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -15,7 +15,7 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.harness.ProcessHarness;
 import tillerlink.operator.OperatorFile;
-import tillerlink.operator.OperatorFile.Replaying;
+import tillerlink.operator.OperatorFile.ReplayDefaults;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.replay.Arrivals;
@@ -194,10 +194,10 @@
 
   /** Options come before the operator's file, and that before what is built in. */
   private Job job(OperatorFile file) throws IOException {
-    Replaying plain =
+    ReplayDefaults plain =
         file != null && file.replay() != null
             ? file.replay()
-            : new Replaying(
+            : new ReplayDefaults(
                 0.6, WorkloadScaling.Scale.TIME, (long) (3600 * Words.SECOND), 0.4, 0.1, 1);
     double loadWanted = load == null ? plain.load() : load;
     long ordering = window == null ? plain.window() : (long) (window * Words.SECOND);
@@ -227,7 +227,7 @@
         scale == null ? plain.scale() : scale,
         jobs,
         error == null ? plain.error() : error,
-        badMost == null ? plain.badMost() : badMost,
+        badMost == null ? plain.maxBadShare() : badMost,
         seed == null ? plain.seed() : seed,
         choice.name().toLowerCase(Locale.ROOT),
         modules());
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -29,7 +29,7 @@
     if (file != null) {
       Logs.set(file.log());
     }
-    OperatorFile.Storing store = file == null ? null : file.store();
+    OperatorFile.StoreConfig store = file == null ? null : file.store();
     new GatewayServer()
         .serve(
             System.getenv(),
@@ -39,7 +39,7 @@
                 store == null
                     ? null
                     : PersistentEndpointCache.open(
-                        Path.of(store.folder()), assignment, store.ageMost(), store.maxBytes()),
+                        Path.of(store.folder()), assignment, store.maxAge(), store.maxBytes()),
             file == null ? null : Beside.of(file));
     return 0;
   }
