--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -4,7 +4,6 @@
 import java.util.EnumSet;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import tillerlink.model.Attempt;
 import tillerlink.model.Effect;
@@ -58,8 +57,8 @@
   private final SlidingSum taken;
   private final SlidingSum further;
   private final Set<Engine> ready = Collections.newSetFromMap(new IdentityHashMap<>());
-  private final Map<Engine, Long> notReadySince = new IdentityHashMap<>();
-  private final Map<Engine, SlidingSum> workWritten = new IdentityHashMap<>();
+  private final IdentityHashMap<Engine, Long> notReadySince = new IdentityHashMap<>();
+  private final IdentityHashMap<Engine, SlidingSum> workWritten = new IdentityHashMap<>();
   private double works;
   private long written;
 
@@ -131,8 +130,8 @@
     note(
         broken,
         Invariant.CLIENT_WAITS,
-        request.outcome == RequestOutcome.CLIENT_DISCONNECTED
-                && at > request.disconnectedAt + LEFT_SLACK
+        (request.outcome == RequestOutcome.CLIENT_DISCONNECTED
+                && at > request.disconnectedAt + LEFT_SLACK)
             || at > request.clientDeadline + SLACK);
     note(
         broken,
--- /dev/null
+++ b/gateway/src/main/java/tillerlink/policy/LoadReports.java
@@ -0,0 +1,53 @@
+package tillerlink.policy;
+
+import tillerlink.model.Engine;
+
+/** Reads the load reports that engines send with their responses. */
+final class LoadReports {
+  /** A reported share of cores or disks from which on an engine is busy. */
+  private static final double BUSY_UTILIZATION = 0.95;
+
+  private final PolicyConfig config;
+
+  LoadReports(PolicyConfig config) {
+    this.config = config;
+  }
+
+  /**
+   * Takes in a load report.
+   *
+   * @param report numbers in the order of the setting {@code report.fields}, or null
+   * @return whether the engine reports that it is busy
+   */
+  boolean record(long now, Engine engine, double[] report) {
+    if (report == null) {
+      return false;
+    }
+    engine.reportedAt = now;
+    engine.reportedUtilization = 0;
+    for (int i = 0; i < Math.min(report.length, config.reportFields.size()); i++) {
+      record(engine, config.reportFields.get(i), report[i]);
+    }
+    return engine.reportedUtilization >= BUSY_UTILIZATION;
+  }
+
+  private static void record(Engine engine, String field, double value) {
+    switch (field) {
+      case "busy_reqs" -> engine.reportedQueries = value;
+      case "cpu_share", "x1" -> reportUtilization(engine, value);
+      case "pending" -> reportUtilization(engine, value >= 1 ? 1 : 0);
+      default -> {
+        // Fields that no decision uses.
+      }
+    }
+  }
+
+  private static void reportUtilization(Engine engine, double utilization) {
+    engine.reportedUtilization = Math.max(engine.reportedUtilization, utilization);
+  }
+
+  /** Whether the last load report of an engine is recent enough to be used. */
+  boolean isRecent(long now, Engine engine) {
+    return now < engine.reportedAt + config.maxLatencyObjective;
+  }
+}
