--- a/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
+++ b/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
@@ -29,18 +29,18 @@
   public static final long ASSUMED_NOTIFIED_IN_OUTAGE_AFTER = 7_000 * Units.TENTHS_PER_MS;
 
   /** Share of the grace that is used; the rest pays for turns, writes and the way to the engine. */
-  private static final double GRACE_USED = 0.8;
+  private static final double USED_GRACE_SHARE = 0.8;
 
   /**
    * So many unanswered questions in a row, over so many graces, are an outage and no chance losses.
    */
-  private static final int OUTAGE_QUESTIONS = 6;
+  private static final int OUTAGE_POLLS = 6;
 
   private static final int OUTAGE_GRACES = 2;
-  private static final int OUTSTANDING_KEPT = 64;
+  private static final int MAX_OUTSTANDING = 64;
 
   /** A gap between two turns below this is none, however short the grace. */
-  private static final long PAUSE_LEAST = 300 * Units.TENTHS_PER_MS;
+  private static final long MIN_PAUSE = 300 * Units.TENTHS_PER_MS;
 
   private final long grace;
   private final long usableGrace;
@@ -54,7 +54,7 @@
   private boolean everConfirmed;
 
   /** When an answer with an older list came last. */
-  private long aliveAt;
+  private long outdatedAnswerAt;
 
   /** Questions since the last timely answer or pause, and when the first of them was asked. */
   private int unanswered;
@@ -68,9 +68,9 @@
    */
   public DiscoveryLease(long now, long grace) {
     this.grace = grace;
-    usableGrace = Math.max(1, (long) (grace * GRACE_USED));
+    usableGrace = Math.max(1, (long) (grace * USED_GRACE_SHARE));
     confirmedAt = now;
-    aliveAt = now;
+    outdatedAnswerAt = now;
     observedAt = now;
   }
 
@@ -81,7 +81,7 @@
    * @return whether it stood still, so that the discovery service is to be asked at once
    */
   public boolean observe(long now) {
-    boolean paused = now > observedAt + Math.max(grace / 2, PAUSE_LEAST);
+    boolean paused = now > observedAt + Math.max(grace / 2, MIN_PAUSE);
     observedAt = now;
     if (paused) {
       unanswered = 0;
@@ -93,7 +93,7 @@
   /** A question is sent. */
   public void onPollSent(long now) {
     outstanding.addLast(now);
-    if (outstanding.size() > OUTSTANDING_KEPT) {
+    if (outstanding.size() > MAX_OUTSTANDING) {
       // The second oldest goes: the oldest tells since when something newer may have been told.
       Long oldest = outstanding.removeFirst();
       outstanding.removeFirst();
@@ -119,7 +119,7 @@
    * nothing newer.
    */
   public void onOutdatedAnswer(long now) {
-    aliveAt = now;
+    outdatedAnswerAt = now;
   }
 
   /** How far the list may be trusted now. */
@@ -166,10 +166,10 @@
   }
 
   private long outageFrom() {
-    return unanswered < OUTAGE_QUESTIONS ? Long.MAX_VALUE : unansweredSince + OUTAGE_GRACES * grace;
+    return unanswered < OUTAGE_POLLS ? Long.MAX_VALUE : unansweredSince + OUTAGE_GRACES * grace;
   }
 
   private long expiresAt() {
-    return Math.max(confirmedAt, aliveAt) + ASSUMED_NOTIFIED_IN_OUTAGE_AFTER + usableGrace;
+    return Math.max(confirmedAt, outdatedAnswerAt) + ASSUMED_NOTIFIED_IN_OUTAGE_AFTER + usableGrace;
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -28,13 +28,13 @@
   private static final long SLACK = 50 * Units.TENTHS_PER_MS;
 
   private static final long ANSWER_SLACK = 500 * Units.TENTHS_PER_MS;
-  private static final long LEFT_SLACK = 100 * Units.TENTHS_PER_MS;
+  private static final long DISCONNECT_SLACK = 100 * Units.TENTHS_PER_MS;
   private static final long LIMIT_SLACK = 150 * Units.TENTHS_PER_MS;
   private static final double BUDGET_SLACK = 1.15;
-  private static final int SLICES = 50;
+  private static final int SUM_SLICES = 50;
 
   /** For longer nothing that was decided before is on its way to an engine that is gone. */
-  private static final long FORGOTTEN_AFTER = 60_000 * Units.TENTHS_PER_MS;
+  private static final long FORGET_GONE_ENGINE_AFTER = 60_000 * Units.TENTHS_PER_MS;
 
   /**
    * An attempt that was written.
@@ -43,24 +43,24 @@
    * @param before when the guard wanted it out by
    * @param limit how long the engine was told that the client waits
    */
-  public record Written(Attempt attempt, long firstByteAt, long before, long limit) {}
+  public record Written(Attempt attempt, long firstByteAt, long writeBefore, long limit) {}
 
   private final long grace;
-  private final long budgetSpan;
+  private final long budgetPeriod;
   private final double budgetFloor;
-  private final double budgetShare;
-  private final long fallSpan;
-  private final double fallMultiple;
+  private final double budgetRatio;
+  private final long slowStartPeriod;
+  private final double slowStartMultiple;
   private final double startCapacity;
-  private final long warmWithin;
+  private final long warmupTime;
   private final Settings settings;
-  private final SlidingSum taken;
-  private final SlidingSum further;
+  private final SlidingSum requests;
+  private final SlidingSum retries;
   private final Set<Engine> ready = Collections.newSetFromMap(new IdentityHashMap<>());
   private final IdentityHashMap<Engine, Long> notReadySince = new IdentityHashMap<>();
   private final IdentityHashMap<Engine, SlidingSum> workWritten = new IdentityHashMap<>();
-  private double works;
-  private long written;
+  private double totalWork;
+  private long writtenAttempts;
 
   /**
    * @param settings as the policy has them
@@ -68,20 +68,20 @@
   public InvariantMonitor(Settings settings) {
     this.settings = settings;
     grace = settings.number("guarantees.drain_grace", 0);
-    budgetSpan = settings.number("guarantees.budget_span", 0);
+    budgetPeriod = settings.number("guarantees.budget_span", 0);
     budgetFloor = settings.amount("guarantees.extra_floor", 0);
-    budgetShare = settings.amount("guarantees.further_ratio", 0);
-    fallSpan = settings.number("guarantees.fall", 0);
-    fallMultiple = settings.amount("guarantees.fall_multiple", 1);
+    budgetRatio = settings.amount("guarantees.further_ratio", 0);
+    slowStartPeriod = settings.number("guarantees.fall", 0);
+    slowStartMultiple = settings.amount("guarantees.fall_multiple", 1);
     startCapacity = settings.amount("guarantees.start_capacity", 1);
-    warmWithin = settings.number("guarantees.warm_within", 0);
-    taken = new SlidingSum(Math.max(1, budgetSpan), SLICES);
-    further = new SlidingSum(Math.max(1, budgetSpan), SLICES);
+    warmupTime = settings.number("guarantees.warm_within", 0);
+    requests = new SlidingSum(Math.max(1, budgetPeriod), SUM_SLICES);
+    retries = new SlidingSum(Math.max(1, budgetPeriod), SUM_SLICES);
   }
 
   /** A request was accepted. */
   public void onRequestAccepted(long now) {
-    taken.add(now, 1);
+    requests.add(now, 1);
   }
 
   /** The list was told; {@code whole} means that engines not in it are gone. */
@@ -103,7 +103,8 @@
         .entrySet()
         .removeIf(
             entry ->
-                entry.getKey().status == Status.GONE && now > entry.getValue() + FORGOTTEN_AFTER);
+                entry.getKey().status == Status.GONE
+                    && now > entry.getValue() + FORGET_GONE_ENGINE_AFTER);
     workWritten.keySet().retainAll(ready);
   }
 
@@ -127,38 +128,38 @@
       // to hold it to.
       return broken;
     }
-    note(
+    addIf(
         broken,
         Invariant.CLIENT_WAITS,
         (request.outcome == RequestOutcome.CLIENT_DISCONNECTED
-                && at > request.disconnectedAt + LEFT_SLACK)
+                && at > request.disconnectedAt + DISCONNECT_SLACK)
             || at > request.clientDeadline + SLACK);
-    note(
+    addIf(
         broken,
         Invariant.LIMIT,
         written.limit > Math.max(0, request.clientDeadline - at) + LIMIT_SLACK);
-    note(broken, Invariant.SINGLE_EFFECT, runsTwice(attempt, at));
-    note(
+    addIf(broken, Invariant.SINGLE_EFFECT, runsTwice(attempt, at));
+    addIf(
         broken,
         Invariant.DRAIN,
         at
             > notReadySince.getOrDefault(attempt.engine, Long.MAX_VALUE - grace - SLACK)
                 + grace
                 + SLACK);
-    note(broken, Invariant.WRITE_IN_TIME, at > written.before + SLACK);
-    note(
+    addIf(broken, Invariant.WRITE_IN_TIME, at > written.writeBefore + SLACK);
+    addIf(
         broken,
         Invariant.ORDER,
         request.ordered()
             && request.keyQueue.firstUnfinished() != request
             && request.outcome == null);
-    note(broken, Invariant.PLACEMENT, !request.requestClass.config.allows(attempt.engine));
-    note(broken, Invariant.RETRY_BUDGET, exceedsBudget(attempt, at));
-    note(broken, Invariant.SLOW_START, overloadsCold(attempt, at));
+    addIf(broken, Invariant.PLACEMENT, !request.requestClass.config.allows(attempt.engine));
+    addIf(broken, Invariant.RETRY_BUDGET, exceedsBudget(attempt, at));
+    addIf(broken, Invariant.SLOW_START, overloadsWarmingEngine(attempt, at));
     return broken;
   }
 
-  private static void note(Set<Invariant> broken, Invariant which, boolean isBroken) {
+  private static void addIf(Set<Invariant> broken, Invariant which, boolean isBroken) {
     if (isBroken) {
       broken.add(which);
     }
@@ -183,38 +184,39 @@
   }
 
   private boolean exceedsBudget(Attempt attempt, long at) {
-    if (budgetSpan <= 0 || attempt.number == 0) {
+    if (budgetPeriod <= 0 || attempt.number == 0) {
       return false;
     }
-    further.add(at, 1);
-    return further.lowerBound(at)
-        > 1 + budgetFloor + BUDGET_SLACK * budgetShare * taken.upperBound(at);
+    retries.add(at, 1);
+    return retries.lowerBound(at)
+        > 1 + budgetFloor + BUDGET_SLACK * budgetRatio * requests.upperBound(at);
   }
 
   /**
    * Whether this gateway alone wrote more to a cold engine than it bears: N and twice its root of
    * mean requests, and 2.
    */
-  private boolean overloadsCold(Attempt attempt, long at) {
+  private boolean overloadsWarmingEngine(Attempt attempt, long at) {
     double work =
         Math.max(1, attempt.nominalTime * attempt.request.requestClass.config.threadsPerRequest());
-    works += work;
-    written++;
-    if (fallSpan <= 0) {
+    totalWork += work;
+    writtenAttempts++;
+    if (slowStartPeriod <= 0) {
       return false;
     }
     SlidingSum sum =
-        workWritten.computeIfAbsent(attempt.engine, engine -> new SlidingSum(fallSpan, SLICES));
+        workWritten.computeIfAbsent(
+            attempt.engine, engine -> new SlidingSum(slowStartPeriod, SUM_SLICES));
     sum.add(at, work);
     long started = attempt.engine.startedAt;
-    if (started <= 0 || at - started >= warmWithin) {
+    if (started <= 0 || at - started >= warmupTime) {
       return false;
     }
-    double gone = Math.max(0, (double) (at - started) / warmWithin);
+    double gone = Math.max(0, (double) (at - started) / warmupTime);
     double warmth = startCapacity + (1 - startCapacity) * gone;
     double cores = Math.max(1, settings.nth("family_info.kind_cores", attempt.engine.kind, 1));
-    double mean = works / written;
-    double requests = fallMultiple * warmth * cores * fallSpan / mean;
-    return sum.lowerBound(at) > (requests + 2 * Math.sqrt(requests) + 2) * mean;
+    double mean = totalWork / writtenAttempts;
+    double allowed = slowStartMultiple * warmth * cores * slowStartPeriod / mean;
+    return sum.lowerBound(at) > (allowed + 2 * Math.sqrt(allowed) + 2) * mean;
   }
 }
--- a/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
+++ b/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
@@ -17,87 +17,98 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each test plays a short story and compares what the module ordered with the trace kept for it.
+ * Each test plays a short scenario and compares the actions of the policy with the kept trace. The
+ * texts of the comments and the words of the traces belong to the kept files.
  */
 class DefaultDispatchPolicyTest {
   @Test
-  void fewestOfTheClassPerCore() {
-    Trace t = new Trace().up("a0", "big0");
+  void engineWithFewestRequestsOfTheClassPerCoreIsChosen() {
+    Trace trace = new Trace().start("a0", "big0");
     for (int i = 1; i <= 6; i++) {
-      t.arrive("s" + i, 0, 100, i, null);
+      trace.arrive("s" + i, 0, 100, i, null);
     }
-    t.matches("fewest");
+    trace.assertMatches("fewest");
   }
 
   @Test
-  void warmGroupBreaksTies() {
-    Trace t = new Trace().requestClass("repeatable").up("a0", "b0", "c0");
-    t.arrive("first", 0, 100, 9, null).pass(100).end("first", SUCCEEDED);
-    t.say("idle again: the group's engine is warm").arrive("second", 0, 100, 9, null);
-    t.pass(100).end("second", SUCCEEDED);
-    t.say("busy with another class: warmth no longer draws")
+  void cachedTableGroupBreaksTies() {
+    Trace trace = new Trace().requestClass("repeatable").start("a0", "b0", "c0");
+    trace.arrive("first", 0, 100, 9, null).advance(100).end("first", SUCCEEDED);
+    trace.comment("idle again: the group's engine is warm").arrive("second", 0, 100, 9, null);
+    trace.advance(100).end("second", SUCCEEDED);
+    trace
+        .comment("busy with another class: warmth no longer draws")
         .arrive("other", 1, 100, 9, null)
         .arrive("third", 0, 100, 9, null);
-    t.matches("warm");
+    trace.assertMatches("warm");
   }
 
   @Test
-  void queueIsFirstComeUnderPressure() {
-    Trace t = new Trace().set("instances", 8L).up("a0", "b0");
-    t.arrive("s1", 0, 300)
+  void queueIsFirstInFirstOutUnderOverload() {
+    Trace trace = new Trace().set("instances", 8L).start("a0", "b0");
+    trace
+        .arrive("s1", 0, 300)
         .arrive("s2", 0, 300)
         .end("s1", REJECTED)
-        .say("pressure: one or two threads an engine");
-    t.arrive("s3", 0, 300).arrive("s4", 0, 300).arrive("s5", 0, 300).arrive("s6", 0, 300);
-    t.pass(300).end("s2", SUCCEEDED).pass(20).end("s1", SUCCEEDED).pass(20).end("s3", SUCCEEDED);
-    t.pass(1500).matches("fifo");
+        .comment("pressure: one or two threads an engine");
+    trace.arrive("s3", 0, 300).arrive("s4", 0, 300).arrive("s5", 0, 300).arrive("s6", 0, 300);
+    trace
+        .advance(300)
+        .end("s2", SUCCEEDED)
+        .advance(20)
+        .end("s1", SUCCEEDED)
+        .advance(20)
+        .end("s3", SUCCEEDED);
+    trace.advance(1500).assertMatches("fifo");
   }
 
   @Test
-  void pressureAtOneEngineBoundsAll() {
-    Trace t = new Trace().set("instances", 8L).up("a0", "b0", "c0");
-    t.arrive("s1", 0, 300)
+  void overloadOfOneEngineLimitsAllEngines() {
+    Trace trace = new Trace().set("instances", 8L).start("a0", "b0", "c0");
+    trace
+        .arrive("s1", 0, 300)
         .end("s1", REJECTED)
-        .say("one engine was full: the others are not flooded");
+        .comment("one engine was full: the others are not flooded");
     for (int i = 2; i <= 8; i++) {
-      t.arrive("s" + i, 0, 300);
+      trace.arrive("s" + i, 0, 300);
     }
-    t.matches("bounds-all");
+    trace.assertMatches("bounds-all");
   }
 
   /**
-   * Guards a gateway with several times the traffic of the others: while its attempts come back at
-   * an easy pace, a sum of threads over its share of the fleet is no reason to hold or reject. At a
-   * pace far above the best, it is.
+   * Guards a gateway with several times the traffic of the others: while its attempts end at an
+   * easy pace, threads over its share of the fleet are no reason to queue or reject. At a pace far
+   * above the best, they are.
    */
   @Test
-  void moreThanAShareMayBeOutWhileThePaceIsEasy() {
-    Trace t = new Trace().set("instances", 8L).up("a0", "b0");
+  void gatewayMayExceedItsShareWhileThePaceIsEasy() {
+    Trace trace = new Trace().set("instances", 8L).start("a0", "b0");
     for (int i = 1; i <= 12; i++) {
-      t.arrive("k" + i, 0, 100, i, null).pass(100).end("k" + i, SUCCEEDED);
+      trace.arrive("k" + i, 0, 100, i, null).advance(100).end("k" + i, SUCCEEDED);
     }
-    t.say("an easy pace: eight are out, of a share of two threads");
+    trace.comment("an easy pace: eight are out, of a share of two threads");
     for (int i = 1; i <= 8; i++) {
-      t.arrive("s" + i, 0, 100, i, null);
+      trace.arrive("s" + i, 0, 100, i, null);
     }
-    t.pass(190);
+    trace.advance(190);
     for (int i = 1; i <= 8; i++) {
-      t.end("s" + i, SUCCEEDED).arrive("t" + i, 0, 100, i, null);
+      trace.end("s" + i, SUCCEEDED).arrive("t" + i, 0, 100, i, null);
     }
-    t.pass(190);
+    trace.advance(190);
     for (int i = 1; i <= 8; i++) {
-      t.end("t" + i, SUCCEEDED);
+      trace.end("t" + i, SUCCEEDED);
     }
-    t.say("all took nearly twice as long, on no engine far too long: now the sum is bounded");
+    trace.comment(
+        "all took nearly twice as long, on no engine far too long: now the sum is bounded");
     for (int i = 1; i <= 8; i++) {
-      t.arrive("u" + i, 0, 100, i, null);
+      trace.arrive("u" + i, 0, 100, i, null);
     }
-    t.matches("easy-pace");
+    trace.assertMatches("easy-pace");
   }
 
   @Test
-  void whereAShareIsLessThanAQueryTheJammedEngineComesLast() {
-    Trace t =
+  void busyEngineComesLastWhenAShareIsLessThanARequest() {
+    Trace trace =
         new Trace()
             .set(
                 "instances",
@@ -107,203 +118,233 @@
                 "report.fields",
                 List.of("cpu_share"))
             .requestClass("repeatable");
-    t.up("a0", "b0", "c0").arrive("s1", 0, 300).pass(300).end("s1", SUCCEEDED, 1);
-    t.say("one engine of three is busy: a heavy query and two look-ups share the other two")
+    trace.start("a0", "b0", "c0").arrive("s1", 0, 300).advance(300).end("s1", SUCCEEDED, 1);
+    trace
+        .comment("one engine of three is busy: a heavy query and two look-ups share the other two")
         .arrive("r1", 1, 900)
         .arrive("s2", 0, 300)
         .arrive("s3", 0, 300);
-    t.say("only then the busy one, for the one query that may always fly")
+    trace
+        .comment("only then the busy one, for the one query that may always fly")
         .arrive("s4", 0, 300)
         .arrive("s5", 0, 300)
-        .matches("jammed-last");
+        .assertMatches("jammed-last");
   }
 
   @Test
-  void doubtAtAQuarterOfTheEnginesBoundsTheRest() {
-    Trace t = new Trace().set("instances", 8L).up("a0", "b0", "c1", "d1");
-    t.arrive("s1", 0, 300)
+  void outliersAmongAQuarterOfTheEnginesLimitTheRest() {
+    Trace trace = new Trace().set("instances", 8L).start("a0", "b0", "c1", "d1");
+    trace
+        .arrive("s1", 0, 300)
         .end("s1", CONNECT_FAILED)
-        .say("one engine of four is in doubt: the others take one thread each");
+        .comment("one engine of four is in doubt: the others take one thread each");
     for (int i = 2; i <= 6; i++) {
-      t.arrive("s" + i, 0, 300, i, null);
+      trace.arrive("s" + i, 0, 300, i, null);
     }
-    t.matches("doubt-bounds");
+    trace.assertMatches("doubt-bounds");
   }
 
   @Test
-  void gatewayJustStartedDoesNotFloodTheFewEnginesItKnows() {
-    Trace t = new Trace().set("family_info.width_by_class", List.of(5)).up("a0");
+  void newlyStartedGatewayDoesNotFloodTheFewEnginesItKnows() {
+    Trace trace = new Trace().set("family_info.width_by_class", List.of(5)).start("a0");
     for (int i = 1; i <= 5; i++) {
-      t.arrive("s" + i, 0, 300, i, null);
+      trace.arrive("s" + i, 0, 300, i, null);
     }
-    t.say(
+    trace
+        .comment(
             "10 threads are over one and a half of this gateway's share and of one query of each"
                 + " class")
-        .matches("flood");
+        .assertMatches("flood");
   }
 
   @Test
-  void effectfulNeverRunsTwice() {
-    Trace t = new Trace().requestClass("once").up("a0", "b0");
-    t.arrive("unseen", 1, 100)
+  void effectfulRequestNeverRunsTwice() {
+    Trace trace = new Trace().requestClass("once").start("a0", "b0");
+    trace
+        .arrive("unseen", 1, 100)
         .end("unseen", CONNECT_FAILED)
-        .pass(50)
+        .advance(50)
         .end("unseen", CONNECTION_LOST);
-    t.arrive("erred", 1, 100).end("erred", FAILED);
-    t.arrive("silent", 1, 100).pass(6000).end("silent", TIMED_OUT);
-    t.matches("effectful");
+    trace.arrive("erred", 1, 100).end("erred", FAILED);
+    trace.arrive("silent", 1, 100).advance(6000).end("silent", TIMED_OUT);
+    trace.assertMatches("effectful");
   }
 
   @Test
-  void receiptedStaysInItsZoneAndWindow() {
-    Trace t =
+  void idempotentRequestIsRetriedInItsDeduplicationZoneAndWindow() {
+    Trace trace =
         new Trace()
             .requestClass("by_key", "group", "zone", "window", 3000L)
-            .up("a0", "b0", "c1", "d1");
-    t.arrive("r1", 1, 100)
+            .start("a0", "b0", "c1", "d1");
+    trace
+        .arrive("r1", 1, 100)
         .end("r1", CONNECTION_LOST)
         .end("r1", CONNECTION_LOST)
-        .pass(350)
-        .say("the window of 300 ms has passed");
-    t.end("r1", CONNECTION_LOST).matches("receipted");
+        .advance(350)
+        .comment("the window of 300 ms has passed");
+    trace.end("r1", CONNECTION_LOST).assertMatches("receipted");
   }
 
   @Test
-  void nothingNewToADrainingEngine() {
-    Trace t = new Trace().up("a0", "b0").list("b0", DRAINING, 0);
-    t.arrive("s1", 0, 100).arrive("s2", 0, 100).list("a0", GONE, 0).arrive("s3", 0, 100);
-    t.list("c0", READY, 0).pass(10).matches("drain");
+  void drainingEngineGetsNoNewAttempts() {
+    Trace trace = new Trace().start("a0", "b0").endpointChanged("b0", DRAINING, 0);
+    trace
+        .arrive("s1", 0, 100)
+        .arrive("s2", 0, 100)
+        .endpointChanged("a0", GONE, 0)
+        .arrive("s3", 0, 100);
+    trace.endpointChanged("c0", READY, 0).advance(10).assertMatches("drain");
   }
 
   @Test
-  void coldEngineGetsOnlyItsShare() {
-    Trace t = new Trace().up("a0").pass(5000).list("b0", READY, 1000);
-    t.say("b0 started a second ago: 8 cores x 0.3 x 2.5 x 1.5 s / 2 gateways, a third of it used");
+  void warmingEngineGetsOnlyItsShare() {
+    Trace trace = new Trace().start("a0").advance(5000).endpointChanged("b0", READY, 1000);
+    trace.comment(
+        "b0 started a second ago: 8 cores x 0.3 x 2.5 x 1.5 s / 2 gateways, a third of it used");
     for (int i = 1; i <= 8; i++) {
-      t.arrive("s" + i, 0, 400, i, null);
+      trace.arrive("s" + i, 0, 400, i, null);
     }
-    t.matches("cold");
+    trace.assertMatches("cold");
   }
 
   /**
-   * Guards a cold engine that each of many gateways has less than an attempt for: all together they
-   * use it, and send in a span what it may have, to the attempt. Without turns nobody uses it until
-   * it is warm, with draws it is more or less.
+   * Guards a warming engine for which each of many gateways has less than an attempt: together they
+   * use it, and send in a period exactly as many attempts as it may have. Without slots nobody
+   * would use it until it is warm; with random draws it would be more or less.
    */
   @Test
-  void manyGatewaysTakeTurnsAtAColdEngine() {
+  void gatewaysTakeSlowStartSlotsInTurn() {
     for (long ago : new long[] {1500, 1717, 2500, 4000}) {
       long sent = 0;
-      for (long me = 0; me < 200; me++) {
-        Trace t =
-            new Trace().set("instances", 200L, "me", me).up().pass(5000).list("b0", READY, ago);
-        sent += t.arrive("s1", 0, 100).sends();
+      for (long index = 0; index < 200; index++) {
+        Trace trace =
+            new Trace()
+                .set("instances", 200L, "me", index)
+                .start()
+                .advance(5000)
+                .endpointChanged("b0", READY, ago);
+        sent += trace.arrive("s1", 0, 100).attemptsSent();
       }
       // 8 cores x 2.5 x 1.5 s is 30 s of work, times the warmth; of that 0.35, in attempts of 0.1
       // s.
-      double may = 300 * 0.35 * (0.3 + 0.7 * ago * ago / 1e8);
+      double allowed = 300 * 0.35 * (0.3 + 0.7 * ago * ago / 1e8);
       assertTrue(
-          Math.abs(sent - may) <= 2, sent + " hops of " + may + ", " + ago + " ms after the start");
+          Math.abs(sent - allowed) <= 2,
+          sent + " attempts of " + allowed + ", " + ago + " ms after the start");
     }
   }
 
   /**
-   * Guards where a gateway does not know its number among the others: its turns are as good as
-   * drawn.
+   * Guards a gateway that does not know its index among the others: its slots are spread like
+   * random draws.
    */
   @Test
-  void withoutANumberTurnsAreAsGoodAsDrawn() {
+  void slowStartSlotsWithoutAGatewayIndexAreSpreadLikeRandomDraws() {
     for (long seed : new long[] {1, 2, 3}) {
       Random seeds = new Random(seed);
       long sent = 0;
       for (int i = 0; i < 200; i++) {
-        Trace t =
+        Trace trace =
             new Trace()
                 .set("instances", 200L)
                 .seed(seeds.nextLong())
-                .up()
-                .pass(5000)
-                .list("b0", READY, 1500);
-        sent += t.arrive("s1", 0, 100).sends();
+                .start()
+                .advance(5000)
+                .endpointChanged("b0", READY, 1500);
+        sent += trace.arrive("s1", 0, 100).attemptsSent();
       }
       // 32 as above, and twice its root either way.
-      assertTrue(sent >= 20 && sent <= 44, sent + " hops at seed " + seed);
+      assertTrue(sent >= 20 && sent <= 44, sent + " attempts at seed " + seed);
     }
   }
 
   /**
-   * Guards a cold engine of which others may not have been told: in its first span the sum grows
-   * from nothing.
+   * Guards a warming engine of which other gateways may not have been notified: in its first period
+   * the sum grows from nothing.
    */
   @Test
-  void aColdEngineIsGivenLittleAtFirst() {
+  void warmingEngineGetsLittleInItsFirstPeriod() {
     long sent = 0;
-    for (long me = 0; me < 200; me++) {
-      Trace t = new Trace().set("instances", 200L, "me", me).up().pass(5000).list("b0", READY, 150);
-      sent += t.arrive("s1", 0, 100).sends();
+    for (long index = 0; index < 200; index++) {
+      Trace trace =
+          new Trace()
+              .set("instances", 200L, "me", index)
+              .start()
+              .advance(5000)
+              .endpointChanged("b0", READY, 150);
+      sent += trace.arrive("s1", 0, 100).attemptsSent();
     }
-    assertTrue(sent >= 2 && sent <= 5, sent + " hops, a tenth of a span after the start");
+    assertTrue(sent >= 2 && sent <= 5, sent + " attempts, a tenth of a period after the start");
   }
 
   /**
-   * Guards the cold engine whose turn it is: among engines that hold as little, it comes first, or
-   * the turn is lost.
+   * Guards the warming engine whose slow-start slot it is: among engines with as few attempts, it
+   * comes first, or the slot is lost.
    */
   @Test
-  void aColdEngineWhoseTurnItIsComesFirst() {
+  void warmingEngineWithASlowStartSlotComesFirst() {
     long sent = 0;
-    for (long me = 0; me < 200; me++) {
-      Trace t = new Trace().set("instances", 200L, "me", me).up("a0", "b0", "c0", "d0").pass(5000);
-      sent += t.list("x0", READY, 1500).arrive("s1", 0, 100).sendsTo("x0");
+    for (long index = 0; index < 200; index++) {
+      Trace trace =
+          new Trace()
+              .set("instances", 200L, "me", index)
+              .start("a0", "b0", "c0", "d0")
+              .advance(5000);
+      sent += trace.endpointChanged("x0", READY, 1500).arrive("s1", 0, 100).attemptsSentTo("x0");
     }
-    assertTrue(sent >= 30 && sent <= 34, sent + " hops");
+    assertTrue(sent >= 30 && sent <= 34, sent + " attempts");
   }
 
   @Test
-  void restartedGatewayLeavesColdEnginesAloneAtFirst() {
-    Trace t = new Trace().up().list("a0", READY, 1000);
-    t.arrive("s1", 0, 100)
-        .pass(1600)
-        .say("the stated span of 1.5 s has passed")
+  void restartedGatewayAvoidsWarmingEnginesAtFirst() {
+    Trace trace = new Trace().start().endpointChanged("a0", READY, 1000);
+    trace
+        .arrive("s1", 0, 100)
+        .advance(1600)
+        .comment("the stated span of 1.5 s has passed")
         .arrive("s2", 0, 100)
-        .matches("cold-restart");
+        .assertMatches("cold-restart");
   }
 
   @Test
-  void keysTakeTurnsAndRestAfterDoubt() {
-    Trace t =
+  void requestsOfAKeyRunInOrderWithACooldownAfterAnUncertainEnd() {
+    Trace trace =
         new Trace()
             .requestClass("repeatable", "keep_order", true)
             .set("guarantees.settle_after_doubt", 3000L);
-    t.up("a0", "b0")
+    trace
+        .start("a0", "b0")
         .arrive("k1", 1, 100, 1, "x")
         .arrive("k2", 1, 100, 1, "x")
         .arrive("other", 1, 100, 1, "y");
-    t.pass(100)
+    trace
+        .advance(100)
         .end("k1", SUCCEEDED)
-        .pass(100)
+        .advance(100)
         .end("k2", CONNECTION_LOST)
-        .pass(50)
+        .advance(50)
         .end("k2", SUCCEEDED)
         .arrive("k3", 1, 100, 1, "x")
-        .pass(400)
-        .matches("order");
+        .advance(400)
+        .assertMatches("order");
   }
 
   @Test
-  void placementIsKeptEvenWhenAllAllowedAreDown() {
-    Trace t = new Trace().requestClass("repeatable", "zones_open", List.of(1)).up("a0", "b1");
-    t.arrive("s1", 1, 100)
+  void placementRulesHoldWhenAllAllowedEnginesAreDown() {
+    Trace trace =
+        new Trace().requestClass("repeatable", "zones_open", List.of(1)).start("a0", "b1");
+    trace
+        .arrive("s1", 1, 100)
         .end("s1", CONNECT_FAILED)
-        .pass(100)
-        .list("b1", GONE, 0)
+        .advance(100)
+        .endpointChanged("b1", GONE, 0)
         .arrive("s2", 1, 100);
-    t.pass(2000).matches("placement");
+    trace.advance(2000).assertMatches("placement");
   }
 
   @Test
-  void furtherAttemptsStayInTheBudget() {
-    Trace t =
+  void retriesStayWithinTheBudget() {
+    Trace trace =
         new Trace()
             .set(
                 "guarantees.budget_span",
@@ -312,118 +353,133 @@
                 1.0,
                 "guarantees.further_ratio",
                 0.0)
-            .up("a0", "b0");
-    t.arrive("s1", 0, 100).end("s1", FAILED).arrive("s2", 0, 100).end("s2", FAILED);
-    t.pass(6000)
-        .say("the span has passed")
+            .start("a0", "b0");
+    trace.arrive("s1", 0, 100).end("s1", FAILED).arrive("s2", 0, 100).end("s2", FAILED);
+    trace
+        .advance(6000)
+        .comment("the span has passed")
         .end("s1", SUCCEEDED)
         .arrive("s3", 0, 100)
         .end("s3", FAILED);
-    t.matches("budget");
+    trace.assertMatches("budget");
   }
 
   @Test
-  void listIsFollowedAgainAfterAFailure() {
+  void endpointListIsWatchedAgainAfterAFailure() {
     new Trace()
         .set("discovery", "ask", "guarantees.ask_within", 100000L)
-        .up("a0")
-        .listFails()
-        .pass(3000)
-        .matches("ask");
+        .start("a0")
+        .endpointPollFails()
+        .advance(3000)
+        .assertMatches("ask");
   }
 
   @Test
-  void silentEngineLosesItsWorkAndIsTriedAgain() {
-    Trace t = new Trace().up("a0", "b0");
-    t.arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 2, null).pass(100).end("s2", SUCCEEDED);
-    t.pass(500).say("s1 is called off and sent anew").end("s1", CANCELLED);
+  void silentEngineLosesItsAttemptAndGetsAHealthCheckLater() {
+    Trace trace = new Trace().start("a0", "b0");
+    trace
+        .arrive("s1", 0, 100, 1, null)
+        .arrive("s2", 0, 100, 2, null)
+        .advance(100)
+        .end("s2", SUCCEEDED);
+    trace.advance(500).comment("s1 is called off and sent anew").end("s1", CANCELLED);
     for (int i = 3; i <= 6; i++) {
-      t.arrive("s" + i, 0, 100, i, null);
+      trace.arrive("s" + i, 0, 100, i, null);
     }
-    t.pass(9000)
-        .say("it is never quite forgotten")
+    trace
+        .advance(9000)
+        .comment("it is never quite forgotten")
         .arrive("s7", 0, 100, 7, null)
         .arrive("s8", 0, 100, 8, null);
-    t.matches("silent");
+    trace.assertMatches("silent");
   }
 
   @Test
-  void crashedEngineCountsAsColdWhenItReturns() {
-    Trace t = new Trace().up("a0").pass(5000);
-    t.arrive("s0", 0, 100, 1, null)
+  void crashedEngineCountsAsWarmingWhenItReturns() {
+    Trace trace = new Trace().start("a0").advance(5000);
+    trace
+        .arrive("s0", 0, 100, 1, null)
         .arrive("s1", 0, 100, 1, null)
-        .list("b0", READY, 0)
+        .endpointChanged("b0", READY, 0)
         .end("s0", CONNECTION_LOST)
         .end("s1", CONNECTION_LOST);
-    t.pass(100).end("s0", SUCCEEDED).end("s1", SUCCEEDED).pass(7000);
-    t.say("in doubt no more, but perhaps cold: room there for 3 s of work once, then for 100 ms");
+    trace.advance(100).end("s0", SUCCEEDED).end("s1", SUCCEEDED).advance(7000);
+    trace.comment(
+        "in doubt no more, but perhaps cold: room there for 3 s of work once, then for 100 ms");
     for (int i = 2; i <= 5; i++) {
-      t.arrive("big" + i, 0, 3000, i, null);
+      trace.arrive("big" + i, 0, 3000, i, null);
     }
-    t.arrive("small", 0, 100, 6, null).matches("crashed");
+    trace.arrive("small", 0, 100, 6, null).assertMatches("crashed");
   }
 
   /** Guards against taking a connection that the network dropped for a process that died. */
   @Test
-  void oneDroppedConnectionIsNoCrash() {
-    Trace t =
-        new Trace().up("a0").pass(5000).arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 1, null);
-    t.list("b0", READY, 0)
+  void singleLostConnectionIsNoCrash() {
+    Trace trace =
+        new Trace()
+            .start("a0")
+            .advance(5000)
+            .arrive("s1", 0, 100, 1, null)
+            .arrive("s2", 0, 100, 1, null);
+    trace
+        .endpointChanged("b0", READY, 0)
         .end("s1", CONNECTION_LOST)
         .end("s2", SUCCEEDED)
         .end("s1", SUCCEEDED)
-        .pass(7000);
+        .advance(7000);
     for (int i = 3; i <= 6; i++) {
-      t.arrive("big" + i, 0, 2000, i, null);
+      trace.arrive("big" + i, 0, 2000, i, null);
     }
-    t.say("both are warm: 2 s of work goes to either").matches("dropped");
+    trace.comment("both are warm: 2 s of work goes to either").assertMatches("dropped");
   }
 
   /**
-   * Guards against an engine that errs at once and draws what the others can't take, trial after
-   * trial.
+   * Guards against an engine that fails at once and attracts what the others can't take, one health
+   * check after another.
    */
   @Test
-  void aFailedTrialSpeaksForTheFailures() {
-    Trace t = new Trace().up("a0", "b0");
+  void failedHealthCheckConfirmsTheOutlier() {
+    Trace trace = new Trace().start("a0", "b0");
     for (int i = 1; i <= 16; i++) {
-      t.arrive("s" + i, 0, 100, i, null).pass(10).end("s" + i, SUCCEEDED);
+      trace.arrive("s" + i, 0, 100, i, null).advance(10).end("s" + i, SUCCEEDED);
     }
-    t.say("from now on a0 errs at once");
+    trace.comment("from now on a0 errs at once");
     for (int i = 17; i <= 40; i++) {
-      t.arrive("t" + i, 0, 100, i, null).pass(10).endAll("t" + i, "a0");
+      trace.arrive("t" + i, 0, 100, i, null).advance(10).endAll("t" + i, "a0");
     }
-    t.matches("trials");
+    trace.assertMatches("trials");
   }
 
-  /** Guards the engines' record, and the budget, against what no engine can use. */
+  /** Guards the engines' record, and the budget, against a request that no engine can serve. */
   @Test
-  void whatTwoEnginesErrOnIsGivenUp() {
-    Trace t = new Trace().up("a0", "b0", "c0");
+  void requestThatFailsOnTwoEnginesIsGivenUp() {
+    Trace trace = new Trace().start("a0", "b0", "c0");
     for (int i = 1; i <= 3; i++) {
-      t.arrive("bad" + i, 0, 100, i, null).end("bad" + i, FAILED).end("bad" + i, FAILED);
+      trace.arrive("bad" + i, 0, 100, i, null).end("bad" + i, FAILED).end("bad" + i, FAILED);
     }
-    t.say("none is in doubt")
+    trace
+        .comment("none is in doubt")
         .arrive("s1", 0, 100, 1, null)
         .arrive("s2", 0, 100, 2, null)
         .arrive("s3", 0, 100, 3, null);
-    t.matches("unusable");
+    trace.assertMatches("unusable");
   }
 
-  /** Guards against pressure seen where only estimates are low, before anything is known. */
+  /** Guards against overload seen where only estimates are low, before anything is known. */
   @Test
-  void beforeARequestClassesPaceIsKnownItsSoftLimitTellsAStall() {
-    Trace t = new Trace().up("a0", "b0").arrive("s1", 0, 30, 1, null).arrive("s2", 0, 30, 2, null);
-    t.pass(200).say("six estimates old: no pressure yet");
+  void latencyObjectiveDetectsAStallBeforeThePaceIsKnown() {
+    Trace trace =
+        new Trace().start("a0", "b0").arrive("s1", 0, 30, 1, null).arrive("s2", 0, 30, 2, null);
+    trace.advance(200).comment("six estimates old: no pressure yet");
     for (int i = 3; i <= 12; i++) {
-      t.arrive("s" + i, 0, 30, i, null);
+      trace.arrive("s" + i, 0, 30, i, null);
     }
-    t.matches("unknown-pace");
+    trace.assertMatches("unknown-pace");
   }
 
   @Test
-  void workThatTimedOutStillCountsWhereItCannotBeCalledOff() {
-    Trace t =
+  void timedOutWorkCountsWhereItCannotBeCancelled() {
+    Trace trace =
         new Trace()
             .set(
                 "instances",
@@ -432,127 +488,159 @@
                 false,
                 "family_info.width_by_class",
                 List.of(2));
-    t.up("a0").arrive("s1", 0, 300);
+    trace.start("a0").arrive("s1", 0, 300);
     for (int i = 0; i < 15; i++) {
-      t.pass(200).note("s1", 0.1);
+      trace.advance(200).reportProgress("s1", 0.1);
     }
-    t.end("s1", TIMED_OUT).say("a0 is slow, and s1 runs on there: no more for now");
-    t.arrive("s2", 0, 100).pass(2000).matches("lost-threads");
-  }
-
-  @Test
-  void engineIsUsedAgainAfterACut() {
-    Trace t = new Trace().set("instances", 8L, "caps.may_cancel", false).up("a0", "b0");
-    t.arrive("s1", 0, 300, 1, null).arrive("s2", 0, 300, 2, null).pass(5000).end("s1", TIMED_OUT);
-    t.end("s2", TIMED_OUT).say("nothing was heard: what timed out does not count as running there");
-    t.arrive("s3", 0, 100, 3, null)
-        .pass(100)
+    trace.end("s1", TIMED_OUT).comment("a0 is slow, and s1 runs on there: no more for now");
+    trace.arrive("s2", 0, 100).advance(2000).assertMatches("lost-threads");
+  }
+
+  @Test
+  void engineIsUsedAgainAfterANetworkInterruption() {
+    Trace trace = new Trace().set("instances", 8L, "caps.may_cancel", false).start("a0", "b0");
+    trace
+        .arrive("s1", 0, 300, 1, null)
+        .arrive("s2", 0, 300, 2, null)
+        .advance(5000)
+        .end("s1", TIMED_OUT);
+    trace
+        .end("s2", TIMED_OUT)
+        .comment("nothing was heard: what timed out does not count as running there");
+    trace
+        .arrive("s3", 0, 100, 3, null)
+        .advance(100)
         .end("s3", SUCCEEDED)
         .arrive("s4", 0, 100, 4, null)
         .arrive("s5", 0, 100, 5, null)
-        .matches("cut");
+        .assertMatches("cut");
   }
 
   @Test
-  void jamThatAnswersNothingIsSeenByTheAgeOfWhatIsOut() {
-    Trace t =
+  void stallWithoutResponsesIsDetectedByTheAgeOfAttempts() {
+    Trace trace =
         new Trace()
             .set("instances", 8L)
             .requestClass("repeatable", "late_worth", 0.3)
-            .up("a0", "b0");
+            .start("a0", "b0");
     for (int i = 1; i <= 8; i++) {
-      t.arrive("k" + i, 1, 100, i, null).pass(100).end("k" + i, SUCCEEDED);
+      trace.arrive("k" + i, 1, 100, i, null).advance(100).end("k" + i, SUCCEEDED);
     }
-    t.arrive("s1", 1, 100, 1, null)
+    trace
+        .arrive("s1", 1, 100, 1, null)
         .arrive("s2", 1, 100, 2, null)
-        .pass(350)
-        .say("both are out three times too long");
-    t.arrive("s3", 1, 100, 3, null).arrive("s4", 1, 100, 4, null).pass(3000).matches("stall");
+        .advance(350)
+        .comment("both are out three times too long");
+    trace
+        .arrive("s3", 1, 100, 3, null)
+        .arrive("s4", 1, 100, 4, null)
+        .advance(3000)
+        .assertMatches("stall");
   }
 
   @Test
-  void whereNotesComeAnUnderratedAttemptIsNotCalledSilent() {
-    Trace t =
+  void underratedAttemptIsNotSilentWhereProgressIsReported() {
+    Trace trace =
         new Trace()
             .set("family_info.tells_every", 20000L)
-            .up("a0", "b0")
+            .start("a0", "b0")
             .arrive("s1", 0, 80)
-            .pass(900);
-    t.say("ten times its estimate, but a note is not due before 2 s").end("s1", SUCCEEDED);
-    t.matches("notes-due");
+            .advance(900);
+    trace.comment("ten times its estimate, but a note is not due before 2 s").end("s1", SUCCEEDED);
+    trace.assertMatches("notes-due");
   }
 
   @Test
-  void underPressureNothingIsSentThatItsClientLeavesBefore() {
-    Trace t =
-        new Trace().set("instances", 8L).up("a0", "b0").arrive("s1", 0, 300).end("s1", REJECTED);
-    t.say("pressure: of two clients that wait 400 ms, one has work for longer").patience(400);
-    t.arrive("s2", 0, 500)
+  void overloadedGatewaySendsNothingThatItsClientAbandonsFirst() {
+    Trace trace =
+        new Trace().set("instances", 8L).start("a0", "b0").arrive("s1", 0, 300).end("s1", REJECTED);
+    trace
+        .comment("pressure: of two clients that wait 400 ms, one has work for longer")
+        .clientTimeout(400);
+    trace
+        .arrive("s2", 0, 500)
         .arrive("s3", 0, 100)
-        .pass(50)
+        .advance(50)
         .end("s1", SUCCEEDED)
-        .matches("little-time");
+        .assertMatches("little-time");
   }
 
   @Test
-  void anEngineNotHeardForLongIsNotIdle() {
-    Trace t = new Trace().set("report.fields", List.of("cpu_share")).up("a0", "b0");
-    t.arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 2, null).end("s1", SUCCEEDED, 0.9);
-    t.end("s2", SUCCEEDED, 0.4)
-        .say("one said 90% busy, the other 40%, and goes on saying so")
-        .pass(900);
+  void engineWithoutRecentReportsIsNotIdle() {
+    Trace trace = new Trace().set("report.fields", List.of("cpu_share")).start("a0", "b0");
+    trace.arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 2, null).end("s1", SUCCEEDED, 0.9);
+    trace
+        .end("s2", SUCCEEDED, 0.4)
+        .comment("one said 90% busy, the other 40%, and goes on saying so")
+        .advance(900);
     for (int i = 3; i <= 7; i++) {
-      t.arrive("s" + i, 0, 100, i, null).pass(100).end("s" + i, SUCCEEDED, 0.4);
+      trace.arrive("s" + i, 0, 100, i, null).advance(100).end("s" + i, SUCCEEDED, 0.4);
     }
-    t.matches("unheard");
+    trace.assertMatches("unheard");
   }
 
   @Test
-  void afterAStallOutcomesCountFirstAndLateOnesAreAnsweredOnce() {
-    Trace t =
+  void outcomesCountFirstAfterAPauseAndLateRequestsAreAnsweredOnce() {
+    Trace trace =
         new Trace()
-            .up("a0", "b0")
+            .start("a0", "b0")
             .arrive("s1", 0, 100, 1, null)
             .arrive("s2", 0, 100, 2, null)
-            .stall(900);
-    t.say("nothing could be heard for 900 ms: s1's end comes before any age is judged")
+            .pauseGateway(900);
+    trace
+        .comment("nothing could be heard for 900 ms: s1's end comes before any age is judged")
         .end("s1", SUCCEEDED);
-    t.arrive("s3", 0, 100, 3, null)
-        .stall(1600)
+    trace
+        .arrive("s3", 0, 100, 3, null)
+        .pauseGateway(1600)
         .arrive("s4", 0, 100, 4, null)
-        .pass(100)
-        .matches("stood-still");
+        .advance(100)
+        .assertMatches("stood-still");
   }
 
   @Test
-  void ofARequestClassNotYetKnownMoreIsAskedOfABadPlan() {
-    Trace t = new Trace().up("a0", "b0").arrive("s1", 0, 200).pass(300).note("s1", 0.25);
-    t.say("projected at six times its estimate: not yet");
-    t.arrive("s2", 0, 200)
-        .pass(300)
-        .note("s2", 0.1)
-        .say("fifteen times: sent anew")
+  void badPlanOfAnUnknownRequestClassNeedsALargerMargin() {
+    Trace trace =
+        new Trace().start("a0", "b0").arrive("s1", 0, 200).advance(300).reportProgress("s1", 0.25);
+    trace.comment("projected at six times its estimate: not yet");
+    trace
+        .arrive("s2", 0, 200)
+        .advance(300)
+        .reportProgress("s2", 0.1)
+        .comment("fifteen times: sent anew")
         .end("s2", CANCELLED);
-    t.matches("plan-unknown");
+    trace.assertMatches("plan-unknown");
   }
 
   @Test
-  void enginesThatARequestClassIsBoundToAreLeftToIt() {
-    Trace t =
-        new Trace().requestClass("repeatable", "models_allowed", List.of(0)).up("a0", "b0", "big0");
-    t.arrive("r1", 1, 900).arrive("r2", 1, 900).pass(900).end("r1", SUCCEEDED).end("r2", SUCCEEDED);
-    t.say(
+  void enginesOfARestrictedRequestClassAreLeftToIt() {
+    Trace trace =
+        new Trace()
+            .requestClass("repeatable", "models_allowed", List.of(0))
+            .start("a0", "b0", "big0");
+    trace
+        .arrive("r1", 1, 900)
+        .arrive("r2", 1, 900)
+        .advance(900)
+        .end("r1", SUCCEEDED)
+        .end("r2", SUCCEEDED);
+    trace.comment(
         "the bound track takes most of a0 and b0: others count them with the cores that it leaves");
     for (int i = 1; i <= 6; i++) {
-      t.arrive("s" + i, 0, 300, i, null);
+      trace.arrive("s" + i, 0, 300, i, null);
     }
-    t.matches("bound-kind");
+    trace.assertMatches("bound-kind");
   }
 
   @Test
-  void badPlanIsSentAnew() {
-    Trace t = new Trace().requestClass("repeatable", "late_worth", 0.3).up("a0", "b0");
-    t.arrive("fine", 1, 400).arrive("bad", 1, 400).pass(300).note("fine", 0.7).note("bad", 0.02);
-    t.end("bad", CANCELLED).matches("bad-plan");
+  void attemptWithABadPlanIsSentAgain() {
+    Trace trace = new Trace().requestClass("repeatable", "late_worth", 0.3).start("a0", "b0");
+    trace
+        .arrive("fine", 1, 400)
+        .arrive("bad", 1, 400)
+        .advance(300)
+        .reportProgress("fine", 0.7)
+        .reportProgress("bad", 0.02);
+    trace.end("bad", CANCELLED).assertMatches("bad-plan");
   }
 }
--- a/gateway/src/test/java/tillerlink/OtherSettingsTest.java
+++ b/gateway/src/test/java/tillerlink/OtherSettingsTest.java
@@ -9,33 +9,33 @@
 import org.junit.platform.commons.support.ReflectionSupport;
 
 /**
- * Plays each of the module's stories under other settings: under other names, and with all times,
- * works and values a few times as large. What it orders must be the same, at times as much larger:
- * no figure of one site decides anything.
+ * Plays each scenario of the policy under other settings: under other names, and with all times,
+ * works and priority weights a few times as large. Its actions must be the same, at times as much
+ * larger: no figure of one site decides anything.
  */
 class OtherSettingsTest {
   @TestFactory
-  List<DynamicTest> stories() {
-    List<DynamicTest> stories = new ArrayList<>();
-    for (Method story : DefaultDispatchPolicyTest.class.getDeclaredMethods()) {
-      if (story.isAnnotationPresent(Test.class)) {
-        stories.add(retold(story, 1, true));
-        stories.add(retold(story, 2, false));
-        stories.add(retold(story, 3, true));
-        stories.add(retold(story, 7, false));
+  List<DynamicTest> scenarios() {
+    List<DynamicTest> scenarios = new ArrayList<>();
+    for (Method scenario : DefaultDispatchPolicyTest.class.getDeclaredMethods()) {
+      if (scenario.isAnnotationPresent(Test.class)) {
+        scenarios.add(replayed(scenario, 1, true));
+        scenarios.add(replayed(scenario, 2, false));
+        scenarios.add(replayed(scenario, 3, true));
+        scenarios.add(replayed(scenario, 7, false));
       }
     }
-    return stories;
+    return scenarios;
   }
 
-  private static DynamicTest retold(Method story, int scale, boolean renamed) {
+  private static DynamicTest replayed(Method scenario, int scale, boolean renamed) {
     return DynamicTest.dynamicTest(
-        story.getName() + " x " + scale + (renamed ? " renamed" : ""),
+        scenario.getName() + " x " + scale + (renamed ? " renamed" : ""),
         () -> {
           Trace.scale = scale;
           Trace.renamed = renamed;
           try {
-            ReflectionSupport.invokeMethod(story, new DefaultDispatchPolicyTest());
+            ReflectionSupport.invokeMethod(scenario, new DefaultDispatchPolicyTest());
           } finally {
             Trace.scale = 1;
             Trace.renamed = false;
--- a/gateway/src/test/java/tillerlink/RetryBudgetTest.java
+++ b/gateway/src/test/java/tillerlink/RetryBudgetTest.java
@@ -19,21 +19,21 @@
 import tillerlink.port.DispatchActions;
 
 /**
- * The budget of retries by when they are written, which is later than they are placed where a dial
- * takes time.
+ * The retry budget counts retries by when they are written, which is later than they are placed
+ * where connecting takes time.
  */
 class RetryBudgetTest {
   private static final long START = 17_000_000_000_000L;
   private static final long SECOND = 10_000;
-  private static final long DIAL = SECOND / 2;
+  private static final long CONNECT_TIME = SECOND / 2;
   private static final int FLOOR = 3;
 
   private final List<Attempt> sent = new ArrayList<>();
   private final Engine engine = new Engine("e1");
 
-  /** Guards the budget: what was placed over ten seconds ago may have been written since. */
+  /** Guards the budget: what was placed over ten seconds ago may have been written since then. */
   @Test
-  void whatWasWrittenLateCountsFromItsWrite() {
+  void retryWrittenLateCountsFromItsWrite() {
     DefaultDispatchPolicy policy =
         new DefaultDispatchPolicy(
             START,
@@ -52,18 +52,18 @@
     policy.onEndpointsChanged(
         START, true, List.of(new EndpointUpdate(engine, 0, 0, 0, 1, Status.READY, 0)));
     for (int i = 0; i < FLOOR; i++) {
-      Attempt further = further(policy, START);
-      assertEquals(SendVerdict.ALLOWED, policy.checkWrite(START + DIAL, further));
-      policy.writeDeadline(START + DIAL, further);
+      Attempt retry = placeRetry(policy, START);
+      assertEquals(SendVerdict.ALLOWED, policy.checkWrite(START + CONNECT_TIME, retry));
+      policy.writeDeadline(START + CONNECT_TIME, retry);
     }
-    long later = START + 10 * SECOND + DIAL / 2;
-    Attempt fourth = further(policy, later);
+    long later = START + 10 * SECOND + CONNECT_TIME / 2;
+    Attempt fourth = placeRetry(policy, later);
     assertEquals(SendVerdict.RETRY_BUDGET, policy.checkWrite(later, fourth));
     assertEquals(SendVerdict.ALLOWED, policy.checkWrite(later + SECOND, fourth));
   }
 
-  /** A request whose first attempt never ran, and that is placed again. */
-  private Attempt further(DefaultDispatchPolicy policy, long now) {
+  /** Sends a request whose first attempt is lost, and returns its retry. */
+  private Attempt placeRetry(DefaultDispatchPolicy policy, long now) {
     policy.onRequestArrived(
         now, new Request("a", 0, 0, false, now, now + 30 * SECOND, 100, 0, null));
     policy.applyDecisions(now);
--- a/gateway/src/test/java/tillerlink/SlowStartSimulation.java
+++ b/gateway/src/test/java/tillerlink/SlowStartSimulation.java
@@ -21,9 +21,10 @@
 import tillerlink.port.DispatchActions;
 
 /**
- * One engine of a fleet starts cold, in virtual time: what many gateways, each a module of its own,
- * send it together. Traffic is Poisson and uneven by gateway, each is told of the start after a
- * time of its own, and a tenth of them restart meanwhile. Times are tenths of a millisecond.
+ * One engine of a fleet starts cold, in virtual time: what many gateways, each with a policy of its
+ * own, send it together. Traffic is Poisson and uneven by gateway, each is notified of the start
+ * after a time of its own, and a tenth of them restart meanwhile. Times are tenths of a
+ * millisecond.
  */
 final class SlowStartSimulation {
   /** How the engine comes to be cold. */
@@ -31,8 +32,8 @@
     /** It was never there before. */
     NEW,
     /**
-     * Its process is replaced: connections break, and gateways not yet told send it what a warm one
-     * gets.
+     * Its process is replaced: connections break, and gateways not yet notified send it what a warm
+     * one gets.
      */
     REPLACED,
     /**
@@ -45,39 +46,43 @@
   /**
    * What came of one start.
    *
-   * @param most the largest sum in any span over what the settings allow in it, N
-   * @param bound the same over N + 2 root N + 2
-   * @param given what the engine was given from a span after the start on, over what it can do
-   * @param told the largest sum over its bound of what gateways sent that had been told
+   * @param maxOverAllowed the largest sum in any period over what the settings allow in it, N
+   * @param maxOverBound the same over N + 2 root N + 2
+   * @param usedShare what the engine was given from a period after the start on, over what it can
+   *     do
+   * @param maxOverBoundNotified the largest sum over its bound of what gateways sent after they had
+   *     been notified
    */
-  record Start(double most, double bound, double given, double told) {}
+  record Start(
+      double maxOverAllowed, double maxOverBound, double usedShare, double maxOverBoundNotified) {}
 
   private static final long SECOND = 10_000;
-  private static final long FALL = 3 * SECOND;
-  private static final long WARM = 13 * SECOND;
-  private static final double COLD = 0.3;
+  private static final long SLOW_START_PERIOD = 3 * SECOND;
+  private static final long WARMUP_TIME = 13 * SECOND;
+  private static final double START_CAPACITY = 0.3;
   private static final double MULTIPLE = 2.5;
   private static final int CORES = 4;
   private static final int ENGINES = 12;
   private static final long SILENCE = 8 * SECOND;
-  private static final long QUIET = 3 * SECOND / 4;
-  private static final long BEFORE = 12 * SECOND;
-  private static final double BUSY = 0.6;
+  private static final long GIVE_UP_AFTER = 3 * SECOND / 4;
+  private static final long LEAD_TIME = 12 * SECOND;
+  private static final double UTILIZATION = 0.6;
   private static final double HEAVY_SHARE = 0.1;
-  private static final double HEAVY =
-      4; // the heavy request class's work, in times of the light one's
+
+  /** The work of the heavy request class, in multiples of the light one. */
+  private static final double HEAVY_FACTOR = 4;
 
   private final int gateways;
   private final double meanWork;
-  private final long latestNews;
+  private final long latestNotification;
   private final Random random;
   private final Kind kind;
-  private final long startAt = 1_000_000_000L + BEFORE;
+  private final long startAt = 1_000_000_000L + LEAD_TIME;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final Server[] servers = new Server[ENGINES + 1];
-  private final Server cold;
-  private final List<Sent> sent = new ArrayList<>();
-  private final Node[] nodes;
+  private final SimulatedEngine[] simulatedEngines = new SimulatedEngine[ENGINES + 1];
+  private final SimulatedEngine cold;
+  private final List<Sent> attemptsToColdEngine = new ArrayList<>();
+  private final SimulatedGateway[] simulatedGateways;
   private long order;
   private long now;
 
@@ -88,13 +93,13 @@
     }
   }
 
-  private record Sent(long at, double work, boolean told) {}
+  private record Sent(long at, double work, boolean notified) {}
 
   /** An engine: attempts share its cores. */
-  private final class Server {
-    final Map<Attempt, Double> left = new LinkedHashMap<>();
-    long since;
-    long turn;
+  private final class SimulatedEngine {
+    final Map<Attempt, Double> workLeft = new LinkedHashMap<>();
+    long updatedAt;
+    long generation;
 
     /**
      * Works off what was done since the last change, and comes back when the next attempt is
@@ -102,16 +107,16 @@
      */
     void change(Runnable what) {
       double each = rate();
-      left.replaceAll((attempt, work) -> work - (now - since) * each);
-      since = now;
+      workLeft.replaceAll((attempt, work) -> work - (now - updatedAt) * each);
+      updatedAt = now;
       what.run();
-      long own = ++turn;
-      double least = left.values().stream().mapToDouble(w -> w).min().orElse(-1);
-      if (!left.isEmpty() && rate() > 0) {
+      long scheduledIn = ++generation;
+      double least = workLeft.values().stream().mapToDouble(work -> work).min().orElse(-1);
+      if (!workLeft.isEmpty() && rate() > 0) {
         at(
             now + 1 + (long) Math.max(0, least / rate()),
             () -> {
-              if (own == turn) {
+              if (scheduledIn == generation) {
                 finish();
               }
             });
@@ -122,71 +127,71 @@
       List<Attempt> through = new ArrayList<>();
       change(
           () -> {
-            left.forEach(
+            workLeft.forEach(
                 (attempt, work) -> {
                   if (work <= 1) {
                     through.add(attempt);
                   }
                 });
-            through.forEach(left::remove);
+            through.forEach(workLeft::remove);
           });
-      through.forEach(attempt -> nodeOf(attempt).ended(attempt, AttemptOutcome.SUCCEEDED));
+      through.forEach(attempt -> gatewayOf(attempt).ended(attempt, AttemptOutcome.SUCCEEDED));
     }
 
     private double rate() {
       double all = CORES;
       if (this == cold) {
-        all *= now < startAt ? silent() ? 0 : 1 : warmth(now);
+        all *= now < startAt ? isSilent() ? 0 : 1 : warmCapacity(now);
       }
-      return left.isEmpty() ? 0 : Math.min(1, all / left.size());
+      return workLeft.isEmpty() ? 0 : Math.min(1, all / workLeft.size());
     }
   }
 
   /**
-   * What the settings say of the engine's warmth for sure, and in between the curve that the module
+   * What the settings say of the engine's warmth for sure, and in between the curve that the policy
    * takes.
    */
-  private double warmth(long at) {
-    double gone = Math.min(1, Math.max(0, (double) (at - startAt) / WARM));
-    return COLD + (1 - COLD) * gone * gone;
+  private double warmCapacity(long at) {
+    double gone = Math.min(1, Math.max(0, (double) (at - startAt) / WARMUP_TIME));
+    return START_CAPACITY + (1 - START_CAPACITY) * gone * gone;
   }
 
-  private boolean silent() {
+  private boolean isSilent() {
     return kind == Kind.SILENT && now >= startAt - SILENCE && now < startAt;
   }
 
-  /** One gateway; a restart replaces its module. */
-  private final class Node implements DispatchActions {
-    final int me;
+  /** One gateway; a restart replaces its policy. */
+  private final class SimulatedGateway implements DispatchActions {
+    final int index;
     final double rate;
-    final Map<Engine, Server> engines = new IdentityHashMap<>();
+    final Map<Engine, SimulatedEngine> engines = new IdentityHashMap<>();
     Engine coldEngine;
     DefaultDispatchPolicy policy;
-    boolean told;
+    boolean notified;
     long wakeAt;
-    int life;
+    int incarnation;
 
-    Node(int me, double rate) {
-      this.me = me;
+    SimulatedGateway(int index, double rate) {
+      this.index = index;
       this.rate = rate;
-      up();
+      start();
     }
 
-    void up() {
-      life++;
+    void start() {
+      incarnation++;
       wakeAt = Long.MAX_VALUE;
       engines.clear();
       Map<String, Object> values = settings();
-      values.put("me", (long) me);
+      values.put("me", (long) index);
       policy = new DefaultDispatchPolicy(now, random.nextLong(), values, this);
       List<EndpointUpdate> list = new ArrayList<>();
-      for (Server server : servers) {
-        Engine engine = new Engine(server);
-        engines.put(engine, server);
-        if (server == cold) {
+      for (SimulatedEngine simulatedEngine : simulatedEngines) {
+        Engine engine = new Engine(simulatedEngine);
+        engines.put(engine, simulatedEngine);
+        if (simulatedEngine == cold) {
           coldEngine = engine;
         }
-        if (server != cold || kind != Kind.NEW || now >= startAt) {
+        if (simulatedEngine != cold || kind != Kind.NEW || now >= startAt) {
           list.add(
               new EndpointUpdate(
                   engine,
@@ -195,42 +200,49 @@
                   0,
                   1,
                   Status.READY,
-                  server == cold && now >= startAt ? startAt : 0));
+                  simulatedEngine == cold && now >= startAt ? startAt : 0));
         }
       }
-      told = now >= startAt;
+      notified = now >= startAt;
       policy.onEndpointsChanged(now, true, list);
-      settle();
+      applyDecisions();
     }
 
-    void down() {
-      for (Server server : servers) {
-        if (server.left.keySet().stream().anyMatch(attempt -> nodeOf(attempt) == this)) {
-          server.change(() -> server.left.keySet().removeIf(attempt -> nodeOf(attempt) == this));
+    void stop() {
+      for (SimulatedEngine simulatedEngine : simulatedEngines) {
+        if (simulatedEngine.workLeft.keySet().stream()
+            .anyMatch(attempt -> gatewayOf(attempt) == this)) {
+          simulatedEngine.change(
+              () ->
+                  simulatedEngine
+                      .workLeft
+                      .keySet()
+                      .removeIf(attempt -> gatewayOf(attempt) == this));
         }
       }
       policy = null;
     }
 
-    void tell() {
-      if (policy != null && !told) {
-        told = true;
+    void notifyOfStart() {
+      if (policy != null && !notified) {
+        notified = true;
         policy.onEndpointsChanged(
             now, false, List.of(new EndpointUpdate(coldEngine, 0, 0, 0, 1, Status.READY, startAt)));
-        settle();
+        applyDecisions();
       }
     }
 
     void arrive() {
       if (policy != null) {
         boolean heavy = random.nextDouble() < HEAVY_SHARE;
-        double work = -Math.log(1 - random.nextDouble()) * light() * (heavy ? HEAVY : 1) + 10;
+        double work =
+            -Math.log(1 - random.nextDouble()) * lightWork() * (heavy ? HEAVY_FACTOR : 1) + 10;
         double estimate = work * Math.exp(0.4 * random.nextGaussian());
         long patience = (long) (40 * meanWork);
         policy.onRequestArrived(
             now,
             new Request(
-                new Job(this, life, work),
+                new Job(this, incarnation, work),
                 heavy ? 1 : 0,
                 random.nextInt(50),
                 false,
@@ -239,13 +251,13 @@
                 estimate,
                 0,
                 null));
-        settle();
+        applyDecisions();
       }
       at(now + (long) (-Math.log(1 - random.nextDouble()) / rate), this::arrive);
     }
 
     void ended(Attempt attempt, AttemptOutcome outcome) {
-      if (policy != null && job(attempt).life == life && attempt.isInFlight()) {
+      if (policy != null && job(attempt).incarnation == incarnation && attempt.isInFlight()) {
         policy.onAttemptEnded(
             now,
             attempt,
@@ -255,30 +267,30 @@
             0,
             0,
             null);
-        settle();
+        applyDecisions();
       }
     }
 
-    private void settle() {
+    private void applyDecisions() {
       policy.applyDecisions(now);
     }
 
     @Override
     public void sendAttempt(Attempt attempt) {
-      Server server = engines.get(attempt.engine);
-      if (server == cold && now >= startAt) {
-        sent.add(new Sent(now, job(attempt).work, told));
+      SimulatedEngine simulatedEngine = engines.get(attempt.engine);
+      if (simulatedEngine == cold && now >= startAt) {
+        attemptsToColdEngine.add(new Sent(now, job(attempt).work, notified));
       }
-      server.change(() -> server.left.put(attempt, job(attempt).work));
-      if (server == cold && silent()) {
+      simulatedEngine.change(() -> simulatedEngine.workLeft.put(attempt, job(attempt).work));
+      if (simulatedEngine == cold && isSilent()) {
         giveUpLater(attempt);
       }
     }
 
     @Override
     public void cancelAttempt(Attempt attempt) {
-      Server server = engines.get(attempt.engine);
-      server.change(() -> server.left.remove(attempt));
+      SimulatedEngine simulatedEngine = engines.get(attempt.engine);
+      simulatedEngine.change(() -> simulatedEngine.workLeft.remove(attempt));
       at(now + 10, () -> ended(attempt, AttemptOutcome.CANCELLED));
     }
 
@@ -286,27 +298,27 @@
     public void scheduleWakeup(long at) {
       if (at < wakeAt) {
         wakeAt = at;
-        int own = life;
+        int scheduledIn = incarnation;
         at(
             Math.max(at, now),
             () -> {
-              if (policy != null && own == life && wakeAt == at) {
+              if (policy != null && scheduledIn == incarnation && wakeAt == at) {
                 wakeAt = Long.MAX_VALUE;
                 policy.onWakeup(now);
-                settle();
+                applyDecisions();
               }
             });
       }
     }
 
     @Override
-    public void updatePriorityAndGrant(Request s, int rank, long grant) {}
+    public void updatePriorityAndGrant(Request request, int priority, long grant) {}
 
     @Override
-    public void rejectRequest(Request s, long retryAfter) {}
+    public void rejectRequest(Request request, long retryAfter) {}
 
     @Override
-    public void failRequest(Request s) {}
+    public void failRequest(Request request) {}
 
     @Override
     public void watchEndpoints() {}
@@ -315,44 +327,46 @@
     public void log(String line) {}
   }
 
-  private record Job(Node node, int life, double work) {}
+  private record Job(SimulatedGateway gateway, int incarnation, double work) {}
 
   private static Job job(Attempt attempt) {
     return (Job) attempt.request.tag;
   }
 
-  private static Node nodeOf(Attempt attempt) {
-    return job(attempt).node;
+  private static SimulatedGateway gatewayOf(Attempt attempt) {
+    return job(attempt).gateway;
   }
 
   /**
    * @param meanWork the mean work of a request; with it N is 90,000 / meanWork at first
-   * @param latestNews after this time the last gateway is told of the start
+   * @param latestNotification after this time the last gateway is notified of the start
    */
-  SlowStartSimulation(int gateways, double meanWork, long latestNews, Kind kind, long seed) {
-    this.latestNews = latestNews;
+  SlowStartSimulation(
+      int gateways, double meanWork, long latestNotification, Kind kind, long seed) {
+    this.latestNotification = latestNotification;
     this.gateways = gateways;
     this.meanWork = meanWork;
     this.kind = kind;
     random = new Random(seed);
-    now = startAt - BEFORE;
-    for (int i = 0; i < servers.length; i++) {
-      servers[i] = new Server();
-      servers[i].since = now;
+    now = startAt - LEAD_TIME;
+    for (int i = 0; i < simulatedEngines.length; i++) {
+      simulatedEngines[i] = new SimulatedEngine();
+      simulatedEngines[i].updatedAt = now;
     }
-    cold = servers[ENGINES];
+    cold = simulatedEngines[ENGINES];
     double[] parts = new double[gateways];
     Arrays.setAll(parts, i -> Math.exp(0.8 * random.nextGaussian()));
     double all = Arrays.stream(parts).sum();
-    nodes = new Node[gateways];
+    simulatedGateways = new SimulatedGateway[gateways];
     for (int i = 0; i < gateways; i++) {
-      nodes[i] = new Node(i, parts[i] / all * BUSY * ENGINES * CORES / meanWork);
-      at(now + random.nextInt((int) SECOND), nodes[i]::arrive);
+      simulatedGateways[i] =
+          new SimulatedGateway(i, parts[i] / all * UTILIZATION * ENGINES * CORES / meanWork);
+      at(now + random.nextInt((int) SECOND), simulatedGateways[i]::arrive);
     }
   }
 
-  private double light() {
-    return meanWork / (1 - HEAVY_SHARE + HEAVY_SHARE * HEAVY);
+  private double lightWork() {
+    return meanWork / (1 - HEAVY_SHARE + HEAVY_SHARE * HEAVY_FACTOR);
   }
 
   private Map<String, Object> settings() {
@@ -362,11 +376,11 @@
                 "guarantees.fall_multiple",
                 MULTIPLE,
                 "guarantees.fall",
-                FALL,
+                SLOW_START_PERIOD,
                 "guarantees.start_capacity",
-                COLD,
+                START_CAPACITY,
                 "guarantees.warm_within",
-                WARM,
+                WARMUP_TIME,
                 "guarantees.drain_grace",
                 5000L));
     all.putAll(
@@ -389,7 +403,7 @@
       all.put(at + "group", "all");
       all.put(at + "aim", (long) (10 * meanWork));
       all.put(at + "hard_limit", (long) (40 * meanWork));
-      all.put(at + "worth", i == 0 ? 1.0 : HEAVY);
+      all.put(at + "worth", i == 0 ? 1.0 : HEAVY_FACTOR);
     }
     return all;
   }
@@ -403,81 +417,92 @@
       at(startAt - SILENCE - 1, this::fallSilent);
     }
     at(startAt, this::start);
-    for (Node node : nodes) {
-      at(startAt + 1 + random.nextInt((int) latestNews), node::tell);
+    for (SimulatedGateway gateway : simulatedGateways) {
+      at(startAt + 1 + random.nextInt((int) latestNotification), gateway::notifyOfStart);
       if (random.nextInt(10) == 0) {
         long down = startAt - SECOND + random.nextInt(9 * (int) SECOND);
-        at(down, node::down);
-        at(down + SECOND / 2, node::up);
+        at(down, gateway::stop);
+        at(down + SECOND / 2, gateway::start);
       }
     }
-    while (!events.isEmpty() && events.peek().at <= startAt + WARM) {
+    while (!events.isEmpty() && events.peek().at <= startAt + WARMUP_TIME) {
       Event next = events.poll();
       now = next.at;
       next.what.run();
     }
-    return weigh();
+    return evaluate();
   }
 
-  /** What is out on the engine stands still; what is sent to it from now on waits on the way. */
+  /** What is in flight on the engine stands still; what is sent from now on waits on the way. */
   private void fallSilent() {
     cold.change(() -> {});
-    cold.turn++;
-    List<Attempt> out = new ArrayList<>(cold.left.keySet());
-    out.forEach(this::giveUpLater);
+    cold.generation++;
+    List<Attempt> inFlight = new ArrayList<>(cold.workLeft.keySet());
+    inFlight.forEach(this::giveUpLater);
   }
 
-  /** As the connections do with an engine that answers no question. */
+  /** As the connections do with an engine that answers no probe. */
   private void giveUpLater(Attempt attempt) {
     at(
-        now + QUIET,
+        now + GIVE_UP_AFTER,
         () -> {
-          if (silent() && cold.left.remove(attempt) != null) {
-            nodeOf(attempt).ended(attempt, AttemptOutcome.CONNECTION_LOST);
+          if (isSilent() && cold.workLeft.remove(attempt) != null) {
+            gatewayOf(attempt).ended(attempt, AttemptOutcome.CONNECTION_LOST);
           }
         });
   }
 
   private void start() {
-    List<Attempt> out = new ArrayList<>(cold.left.keySet());
+    List<Attempt> inFlight = new ArrayList<>(cold.workLeft.keySet());
     if (kind == Kind.REPLACED) {
-      cold.left.clear();
-      cold.turn++;
-      out.forEach(attempt -> nodeOf(attempt).ended(attempt, AttemptOutcome.CONNECTION_LOST));
+      cold.workLeft.clear();
+      cold.generation++;
+      inFlight.forEach(
+          attempt -> gatewayOf(attempt).ended(attempt, AttemptOutcome.CONNECTION_LOST));
     } else {
-      out.forEach(attempt -> sent.add(new Sent(now, job(attempt).work, false)));
-      cold.since = now;
+      inFlight.forEach(
+          attempt -> attemptsToColdEngine.add(new Sent(now, job(attempt).work, false)));
+      cold.updatedAt = now;
       cold.change(() -> {});
     }
   }
 
-  /** In requests of mean work; N of a span as the engine bears at its beginning. */
-  private Start weigh() {
-    double most = 0;
-    double bound = 0;
-    double told = 0;
+  /** In requests of mean work; N of a period as the engine bears at its beginning. */
+  private Start evaluate() {
+    double maxOverAllowed = 0;
+    double maxOverBound = 0;
+    double notified = 0;
     double given = 0;
-    Deque<Sent> span = new ArrayDeque<>();
-    for (Sent s : sent) {
-      span.addLast(s);
-      while (span.peekFirst().at <= s.at - FALL) {
-        span.pollFirst();
+    Deque<Sent> period = new ArrayDeque<>();
+    for (Sent attempt : attemptsToColdEngine) {
+      period.addLast(attempt);
+      while (period.peekFirst().at <= attempt.at - SLOW_START_PERIOD) {
+        period.pollFirst();
       }
-      double sum = span.stream().mapToDouble(Sent::work).sum() / meanWork;
-      double n = MULTIPLE * CORES * FALL * warmth(s.at - FALL) / meanWork;
-      double may = n + 2 * Math.sqrt(n) + 2;
-      most = Math.max(most, sum / n);
-      bound = Math.max(bound, sum / may);
-      told =
+      double sum = period.stream().mapToDouble(Sent::work).sum() / meanWork;
+      double allowed =
+          MULTIPLE
+              * CORES
+              * SLOW_START_PERIOD
+              * warmCapacity(attempt.at - SLOW_START_PERIOD)
+              / meanWork;
+      double bound = allowed + 2 * Math.sqrt(allowed) + 2;
+      maxOverAllowed = Math.max(maxOverAllowed, sum / allowed);
+      maxOverBound = Math.max(maxOverBound, sum / bound);
+      notified =
           Math.max(
-              told,
-              span.stream().filter(Sent::told).mapToDouble(Sent::work).sum() / meanWork / may);
-      given += s.at > startAt + FALL ? s.work : 0;
+              notified,
+              period.stream().filter(Sent::notified).mapToDouble(Sent::work).sum()
+                  / meanWork
+                  / bound);
+      given += attempt.at > startAt + SLOW_START_PERIOD ? attempt.work : 0;
     }
-    double can = 0;
-    for (long t = startAt + FALL; t < startAt + WARM; t += SECOND / 10) {
-      can += CORES * warmth(t) * SECOND / 10;
+    double possible = 0;
+    for (long time = startAt + SLOW_START_PERIOD;
+        time < startAt + WARMUP_TIME;
+        time += SECOND / 10) {
+      possible += CORES * warmCapacity(time) * SECOND / 10;
     }
-    return new Start(most, bound, given / can, told);
+    return new Start(maxOverAllowed, maxOverBound, given / possible, notified);
   }
 }
--- a/gateway/src/test/java/tillerlink/TestGateway.java
+++ b/gateway/src/test/java/tillerlink/TestGateway.java
@@ -372,7 +372,7 @@
   }
 
   void matches(String kept) {
-    Trace.same(kept, printed.toString());
+    Trace.assertMatchesKept(kept, printed.toString());
   }
 
   private void print(String line) {
--- a/gateway/src/test/java/tillerlink/Trace.java
+++ b/gateway/src/test/java/tillerlink/Trace.java
@@ -24,34 +24,34 @@
 import tillerlink.port.DispatchActions;
 
 /**
- * A door for tests: plays events to one module and prints what it orders, a line each. Times are
- * milliseconds.
+ * Plays events to one policy and prints its actions, a line each, in the words of the kept traces.
+ * Times are milliseconds unless said otherwise.
  */
 final class Trace implements DispatchActions {
   /**
-   * The form in which all stories are played: so many times the times and values, and other names
-   * or not.
+   * The form in which all scenarios are played: the factor of all times and weights, and whether
+   * under other names.
    */
   static int scale = 1;
 
   static boolean renamed;
 
-  private static final String TIMES =
+  private static final String TIME_SETTINGS =
       "tick|.*[.](max_retry_after|drain_grace|fall|warm_within|settle_after_doubt"
           + "|budget_span|ask_within|tells_every|aim|hard_limit|window)";
-  private static final int OTHER_ZONES = 5;
+  private static final int ZONE_OFFSET = 5;
 
-  private final int tenths = 10 * scale;
-  private final long start = 1_000_000L * scale;
+  private final int tenthsPerMs = 10 * scale;
+  private final long startTime = 1_000_000L * scale;
   private final Map<String, Object> settings = new LinkedHashMap<>();
   private final Map<String, Engine> engines = new LinkedHashMap<>();
   private final Map<String, Request> requests = new LinkedHashMap<>();
-  private final Map<String, KeyedRequestQueue> lines = new LinkedHashMap<>();
+  private final Map<String, KeyedRequestQueue> keyQueues = new LinkedHashMap<>();
   private final StringBuilder printed = new StringBuilder();
   private DefaultDispatchPolicy policy;
   private long seed = 7;
-  private long now = start;
-  private long patience = 50000L * scale;
+  private long now = startTime;
+  private long clientTimeout = 50000L * scale;
   private long wakeAt = Long.MAX_VALUE;
 
   /**
@@ -127,11 +127,11 @@
   }
 
   /** How many attempts were sent so far. */
-  long sends() {
+  long attemptsSent() {
     return printed.toString().lines().filter(line -> line.contains("  send ")).count();
   }
 
-  long sendsTo(String engine) {
+  long attemptsSentTo(String engine) {
     return printed
         .toString()
         .lines()
@@ -139,19 +139,20 @@
         .count();
   }
 
-  Trace up(String... ready) {
-    policy = new DefaultDispatchPolicy(now, seed, renamed ? otherwise() : scaled(), this);
+  Trace start(String... ready) {
+    policy =
+        new DefaultDispatchPolicy(now, seed, renamed ? renamedSettings() : scaledSettings(), this);
     for (String name : ready) {
-      list(name, Status.READY, 0);
+      endpointChanged(name, Status.READY, 0);
     }
     return this;
   }
 
-  private Map<String, Object> scaled() {
+  private Map<String, Object> scaledSettings() {
     Map<String, Object> all = new LinkedHashMap<>(settings);
     all.replaceAll(
         (name, value) ->
-            name.matches(TIMES)
+            name.matches(TIME_SETTINGS)
                 ? (Object) ((Long) value * scale)
                 : name.endsWith(".worth") ? (Object) ((Double) value * scale) : value);
     return all;
@@ -161,7 +162,7 @@
    * The same under other names: these are places in lists. In another order, and with more that
    * nobody knows.
    */
-  private Map<String, Object> otherwise() {
+  private Map<String, Object> renamedSettings() {
     Map<String, Object> all =
         new LinkedHashMap<>(
             Map.of(
@@ -175,7 +176,7 @@
                 "a name",
                 "profiles.0.new_key",
                 List.of(1, 2)));
-    scaled().entrySet().stream()
+    scaledSettings().entrySet().stream()
         .sorted(Map.Entry.<String, Object>comparingByKey().reversed())
         .forEach(one -> all.put(one.getKey(), one.getValue()));
     all.computeIfPresent(
@@ -184,12 +185,12 @@
     all.replaceAll(
         (name, value) ->
             name.endsWith(".zones_open")
-                ? places(value, zone -> zone + OTHER_ZONES)
-                : name.endsWith(".models_allowed") ? places(value, kind -> 1 - kind) : value);
+                ? mapIndices(value, zone -> zone + ZONE_OFFSET)
+                : name.endsWith(".models_allowed") ? mapIndices(value, kind -> 1 - kind) : value);
     return all;
   }
 
-  private static List<Integer> places(Object list, UnaryOperator<Integer> other) {
+  private static List<Integer> mapIndices(Object list, UnaryOperator<Integer> other) {
     return ((List<?>) list).stream().map(place -> other.apply((Integer) place)).toList();
   }
 
@@ -197,7 +198,7 @@
    * An engine's zone is the digit at the end of its name; names that begin with "big" are of kind
    * 1.
    */
-  Trace list(String name, Status standing, long startedAgo) {
+  Trace endpointChanged(String name, Status standing, long startedAgo) {
     Engine engine = engines.computeIfAbsent(name, Engine::new);
     int kind = name.startsWith("big") ? 1 : 0;
     int zone = name.charAt(name.length() - 1) - '0';
@@ -208,23 +209,23 @@
             new EndpointUpdate(
                 engine,
                 renamed ? 1 - kind : kind,
-                renamed ? zone + OTHER_ZONES : zone,
+                renamed ? zone + ZONE_OFFSET : zone,
                 0,
                 1,
                 standing,
-                startedAgo == 0 ? 0 : now - startedAgo * tenths)));
-    return settle();
+                startedAgo == 0 ? 0 : now - startedAgo * tenthsPerMs)));
+    return applyDecisions();
   }
 
   /** How long clients wait from now on. */
-  Trace patience(long ms) {
-    patience = ms * tenths;
+  Trace clientTimeout(long ms) {
+    clientTimeout = ms * tenthsPerMs;
     return this;
   }
 
-  Trace listFails() {
+  Trace endpointPollFails() {
     policy.onEndpointPollFailed(now);
-    return settle();
+    return applyDecisions();
   }
 
   Trace arrive(String id, int requestClass, double workMs) {
@@ -232,20 +233,28 @@
   }
 
   Trace arrive(String id, int requestClass, double workMs, int tableGroup, String key) {
-    KeyedRequestQueue line =
-        key == null ? null : lines.computeIfAbsent(key, k -> new KeyedRequestQueue());
-    Request s =
+    KeyedRequestQueue keyQueue =
+        key == null ? null : keyQueues.computeIfAbsent(key, name -> new KeyedRequestQueue());
+    Request request =
         new Request(
-            id, requestClass, tableGroup, false, now, now + patience, workMs * tenths, 0, line);
-    requests.put(id, s);
-    policy.onRequestArrived(now, s);
-    return settle();
+            id,
+            requestClass,
+            tableGroup,
+            false,
+            now,
+            now + clientTimeout,
+            workMs * tenthsPerMs,
+            0,
+            keyQueue);
+    requests.put(id, request);
+    policy.onRequestArrived(now, request);
+    return applyDecisions();
   }
 
   /** The newest attempt of a request ends, at times with a load report. */
   Trace end(String id, AttemptOutcome outcome, double... report) {
-    Request s = requests.get(id);
-    Attempt attempt = s.attempts.get(s.attempts.size() - 1);
+    Request request = requests.get(id);
+    Attempt attempt = request.attempts.get(request.attempts.size() - 1);
     print(id + " " + outcome + " at " + attempt.engine.tag);
     policy.onAttemptEnded(
         now,
@@ -256,63 +265,63 @@
         0,
         0,
         report.length == 0 ? null : report);
-    return settle();
+    return applyDecisions();
   }
 
   /** Attempt by attempt, until it is over: one engine errs, the others fulfil. */
   Trace endAll(String id, String erring) {
-    Request s = requests.get(id);
-    while (s.attemptsInFlight > 0) {
+    Request request = requests.get(id);
+    while (request.attemptsInFlight > 0) {
       end(
           id,
-          s.attempts.get(s.attempts.size() - 1).engine.tag.equals(erring)
+          request.attempts.get(request.attempts.size() - 1).engine.tag.equals(erring)
               ? AttemptOutcome.FAILED
               : AttemptOutcome.SUCCEEDED);
     }
     return this;
   }
 
-  Trace note(String id, double share) {
-    Request s = requests.get(id);
+  Trace reportProgress(String id, double share) {
+    Request request = requests.get(id);
     policy.onAttemptProgress(
-        now, s.attempts.get(s.attempts.size() - 1), AttemptProgress.PROGRESS, share);
-    return settle();
+        now, request.attempts.get(request.attempts.size() - 1), AttemptProgress.PROGRESS, share);
+    return applyDecisions();
   }
 
-  /** Lets time pass, waking the module when it asked for it. */
-  Trace pass(long ms) {
-    long until = now + ms * tenths;
+  /** Lets time pass, waking the policy when it asked for it. */
+  Trace advance(long ms) {
+    long until = now + ms * tenthsPerMs;
     while (wakeAt <= until) {
       now = Math.max(now, wakeAt);
       wakeAt = Long.MAX_VALUE;
       policy.onWakeup(now);
-      settle();
+      applyDecisions();
     }
     now = until;
     return this;
   }
 
-  /** The gateway stands still: time passes and nothing wakes the module. */
-  Trace stall(long ms) {
-    now += ms * tenths;
+  /** The gateway stands still: time passes and nothing wakes the policy. */
+  Trace pauseGateway(long ms) {
+    now += ms * tenthsPerMs;
     return this;
   }
 
-  Trace say(String comment) {
+  Trace comment(String comment) {
     printed.append("# ").append(comment).append('\n');
     return this;
   }
 
   /** Compares with the kept trace. */
-  void matches(String kept) {
-    same(kept, printed.toString());
+  void assertMatches(String kept) {
+    assertMatchesKept(kept, printed.toString());
   }
 
   /**
    * Compares any print with a kept trace; with {@code -Dkeep=folder} writes it there for people to
    * read and keep.
    */
-  static void same(String kept, String printed) {
+  static void assertMatchesKept(String kept, String printed) {
     String folder = System.getProperty("keep");
     try (InputStream in = Trace.class.getResourceAsStream("/traces/" + kept + ".txt")) {
       String wanted =
@@ -326,18 +335,18 @@
     }
   }
 
-  private Trace settle() {
+  private Trace applyDecisions() {
     policy.applyDecisions(now);
     return this;
   }
 
   private void print(String line) {
-    long ms = (now - start) / tenths;
+    long ms = (now - startTime) / tenthsPerMs;
     printed.append(String.format("%5d  %s%n", ms, line));
   }
 
   @Override
-  public void updatePriorityAndGrant(Request s, int rank, long grant) {
+  public void updatePriorityAndGrant(Request request, int priority, long grant) {
     // Ranks and grants are left out of the traces.
   }
 
@@ -357,13 +366,13 @@
   }
 
   @Override
-  public void rejectRequest(Request s, long retryAfter) {
-    print("turn back " + s.tag + ", come back in " + retryAfter / tenths);
+  public void rejectRequest(Request request, long retryAfter) {
+    print("turn back " + request.tag + ", come back in " + retryAfter / tenthsPerMs);
   }
 
   @Override
-  public void failRequest(Request s) {
-    print("break off " + s.tag);
+  public void failRequest(Request request) {
+    print("break off " + request.tag);
   }
 
   @Override
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -145,7 +145,7 @@
           .append(" -> ")
           .append(read(WireTest::http, bytes(bad)));
     }
-    Trace.same("net-http", printed.toString());
+    Trace.assertMatchesKept("net-http", printed.toString());
   }
 
   @Test
@@ -183,7 +183,7 @@
         text(
             ResultEncoder.answer(
                 new byte[][] {bytes("a\t1\tq\"\\\u0002\nb\t\tz\n"), {}, bytes("c\t2\té\n")})));
-    Trace.same("net-engine", printed.append('\n').toString());
+    Trace.assertMatchesKept("net-engine", printed.append('\n').toString());
   }
 
   @Test
@@ -206,7 +206,7 @@
           .append(statement)
           .append('\n');
     }
-    Trace.same("net-statement", printed.toString());
+    Trace.assertMatchesKept("net-statement", printed.toString());
   }
 
   @Test
@@ -250,7 +250,7 @@
         .append(
             assertThrows(IllegalArgumentException.class, () -> Dns.answer(message, 78))
                 .getMessage());
-    Trace.same("net-dns", printed.append('\n').toString());
+    Trace.assertMatchesKept("net-dns", printed.append('\n').toString());
   }
 
   /**
--- a/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
+++ b/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
@@ -17,7 +17,7 @@
   private final DiscoveryLease lease = new DiscoveryLease(START, GRACE);
 
   @Test
-  void theListOfTheStartIsAwaitedUntilTheFirstAnswer() {
+  void initialListIsAwaitedUntilTheFirstAnswer() {
     assertEquals(EndpointListState.AWAITED, lease.state(START));
     assertEquals(0, lease.usableUntil(START));
     lease.onPollSent(START + 100);
@@ -27,11 +27,11 @@
   }
 
   /**
-   * With nothing asked since, something newer counts as told 1.5 s after the question at the
+   * With no poll since, something newer counts as notified 1.5 s after the last one at the
    * earliest.
    */
   @Test
-  void anAnswerHoldsUntilAnEventAfterItCanHaveBeenToldForAGrace() {
+  void answerHoldsUntilANewerEventCanBeAGraceOld() {
     confirm(START);
     long until = START + DiscoveryLease.ASSUMED_NOTIFIED_AFTER + USABLE;
     assertEquals(until, lease.usableUntil(START + SECOND));
@@ -40,9 +40,9 @@
     assertEquals(until, lease.changesAt(START));
   }
 
-  /** A question may have been answered at once, and the answer lost. */
+  /** A poll may have been answered at once, and the answer lost. */
   @Test
-  void aQuestionThatIsOutShortensIt() {
+  void outstandingPollShortensTheLease() {
     confirm(START);
     lease.onPollSent(START + 4_000);
     assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 4_100));
@@ -54,9 +54,9 @@
         lease.usableUntil(START + 5_300));
   }
 
-  /** An answer that was sent long before it was read proves only the list as of its question. */
+  /** An answer that was sent long before it was read proves only the list as of its poll. */
   @Test
-  void whatComesLateConfirmsAsOfItsQuestion() {
+  void lateAnswerConfirmsAsOfItsPoll() {
     confirm(START);
     lease.onPollSent(START + 4_000);
     lease.onPollAnswered(START + 4_000, START + 60_000);
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void anOutageIsToldFromLossesBySixQuestionsInTwoGraces() {
+  void sixUnansweredPollsInTwoGracesAreAnOutage() {
     confirm(START);
     for (int i = 0; i < 5; i++) {
       lease.onPollSent(START + 4_000 + i * 1_250);
@@ -83,11 +83,11 @@
   }
 
   /**
-   * A process that stood still asked nobody meanwhile: silence before the pause is no outage after
+   * A process that was paused sent no polls meanwhile: silence before the pause is no outage after
    * it.
    */
   @Test
-  void aPauseBeginsTheCountAnew() {
+  void pauseResetsTheCountOfUnansweredPolls() {
     confirm(START);
     for (int i = 0; i < 6; i++) {
       lease.observe(START + 4_000 + i * 1_250);
@@ -101,7 +101,7 @@
 
   /** A service that is there and lags proves nothing newer, but is no reason to refuse all. */
   @Test
-  void anOlderListConfirmsNothingAndKeepsTheLastOneInUse() {
+  void outdatedAnswerConfirmsNothingAndKeepsTheListInUse() {
     confirm(START);
     for (long at = START + 4_000; at < START + 200_000; at += 2_500) {
       lease.observe(at);
@@ -113,10 +113,10 @@
 
   /**
    * A service whose every answer takes longer than the grace costs one wait and not one for each
-   * question.
+   * poll.
    */
   @Test
-  void answersThatAllComeLateAreAnOutageThatNeverExpires() {
+  void onlyLateAnswersAreAnOutageThatNeverExpires() {
     confirm(START);
     int awaited = 0;
     for (long now = START; now < START + 60 * SECOND; now += 500) {
@@ -134,11 +134,11 @@
 
   /**
    * While an answer comes now and then and nothing else is awaited for long, no moment is usable
-   * that lies a grace after the first answer that was sent and not read: checked against every
+   * that lies a grace after the first answer that was sent and not received: checked against every
    * answer that was sent, in random histories.
    */
   @Test
-  void noConfirmedMomentLiesAGraceAfterAnAnswerThatWasLost() {
+  void noConfirmedMomentIsAGraceAfterALostAnswer() {
     for (int seed = 0; seed < 300; seed++) {
       Random random = new Random(seed);
       DiscoveryLease own = new DiscoveryLease(START, GRACE);
--- a/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
+++ b/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
@@ -24,7 +24,7 @@
 import tillerlink.model.Settings;
 
 /**
- * Each invariant is broken on purpose, and just that one is told. Times are tenths of a
+ * Each invariant is broken on purpose, and just that one is reported. Times are tenths of a
  * millisecond.
  */
 class InvariantMonitorTest {
@@ -50,21 +50,22 @@
     settings.put("guarantees.warm_within", 100_000L);
     settings.put("family_info.kind_cores", List.of(4L));
     monitor = new InvariantMonitor(new Settings(settings));
-    listed(NOW, Status.READY);
+    endpointsChanged(NOW, Status.READY);
   }
 
   @Test
-  void whatIsAsItShouldBe() {
-    assertEquals(Set.of(), written(attempt(request(Effect.EFFECTFUL, null), engine), NOW));
+  void correctAttemptBreaksNoInvariant() {
+    assertEquals(Set.of(), writeAttempt(attempt(request(Effect.EFFECTFUL, null), engine), NOW));
   }
 
   @Test
-  void theClient() {
-    Request left = request(Effect.PURE, null);
-    left.outcome = RequestOutcome.CLIENT_DISCONNECTED;
-    left.disconnectedAt = NOW;
-    assertEquals(Set.of(), written(attempt(left, engine), NOW + 1_000));
-    assertEquals(Set.of(Invariant.CLIENT_WAITS), written(attempt(left, engine), NOW + 1_001));
+  void attemptsAndAnswersAfterTheClientsTimeAreReported() {
+    Request disconnected = request(Effect.PURE, null);
+    disconnected.outcome = RequestOutcome.CLIENT_DISCONNECTED;
+    disconnected.disconnectedAt = NOW;
+    assertEquals(Set.of(), writeAttempt(attempt(disconnected, engine), NOW + 1_000));
+    assertEquals(
+        Set.of(Invariant.CLIENT_WAITS), writeAttempt(attempt(disconnected, engine), NOW + 1_001));
     Attempt late = attempt(request(Effect.PURE, null), engine);
     long at = NOW + DEADLINE + 501;
     assertEquals(
@@ -77,50 +78,51 @@
   }
 
   @Test
-  void theLimitThatIsPassedOn() {
+  void limitBeyondTheClientsTimeIsReported() {
     Attempt attempt = attempt(request(Effect.PURE, null), engine);
     long at = NOW + 10_000;
-    long left = DEADLINE - 10_000;
+    long timeLeft = DEADLINE - 10_000;
     assertEquals(
         Set.of(),
-        monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, left + LIMIT)));
+        monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, timeLeft + LIMIT)));
     assertEquals(
         Set.of(Invariant.LIMIT),
-        monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, left + LIMIT + 1)));
+        monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, timeLeft + LIMIT + 1)));
   }
 
   @Test
-  void effects() {
+  void secondRunOfAnEffectfulRequestIsReported() {
     Request effectful = request(Effect.EFFECTFUL, null);
     Attempt first = attempt(effectful, engine);
-    written(first, NOW);
+    writeAttempt(first, NOW);
     first.outcome = AttemptOutcome.CONNECTION_LOST;
-    assertEquals(Set.of(Invariant.SINGLE_EFFECT), written(attempt(effectful, other), NOW));
+    assertEquals(Set.of(Invariant.SINGLE_EFFECT), writeAttempt(attempt(effectful, other), NOW));
     Request again = request(Effect.EFFECTFUL, null);
     Attempt refused = attempt(again, engine);
-    written(refused, NOW);
+    writeAttempt(refused, NOW);
     refused.outcome = AttemptOutcome.REJECTED;
-    assertEquals(Set.of(), written(attempt(again, other), NOW));
+    assertEquals(Set.of(), writeAttempt(attempt(again, other), NOW));
     Request neverWritten = request(Effect.EFFECTFUL, null);
     attempt(neverWritten, engine).outcome = AttemptOutcome.CONNECTION_LOST;
-    assertEquals(Set.of(), written(attempt(neverWritten, other), NOW));
+    assertEquals(Set.of(), writeAttempt(attempt(neverWritten, other), NOW));
   }
 
   @Test
-  void drainsAndEnginesThatAreGone() {
-    listed(NOW, Status.DRAINING);
-    assertEquals(Set.of(), written(attempt(request(Effect.PURE, null), engine), NOW + 5_500));
+  void attemptsToDrainingAndGoneEnginesAreReported() {
+    endpointsChanged(NOW, Status.DRAINING);
+    assertEquals(Set.of(), writeAttempt(attempt(request(Effect.PURE, null), engine), NOW + 5_500));
     assertEquals(
-        Set.of(Invariant.DRAIN), written(attempt(request(Effect.PURE, null), engine), NOW + 5_501));
-    listed(NOW, Status.READY);
+        Set.of(Invariant.DRAIN),
+        writeAttempt(attempt(request(Effect.PURE, null), engine), NOW + 5_501));
+    endpointsChanged(NOW, Status.READY);
     monitor.onEndpointsChanged(NOW + SECOND, true, List.of());
     assertEquals(
         Set.of(Invariant.DRAIN),
-        written(attempt(request(Effect.PURE, null), engine), NOW + SECOND + 5_501));
+        writeAttempt(attempt(request(Effect.PURE, null), engine), NOW + SECOND + 5_501));
   }
 
   @Test
-  void whatGoesOutLaterThanAllowed() {
+  void lateWriteIsReported() {
     Attempt attempt = attempt(request(Effect.PURE, null), engine);
     assertEquals(
         Set.of(), monitor.checkWritten(new InvariantMonitor.Written(attempt, NOW + 500, NOW, 0)));
@@ -130,34 +132,34 @@
   }
 
   @Test
-  void order() {
-    KeyedRequestQueue line = new KeyedRequestQueue();
-    Request before = request(Effect.PURE, null, line);
-    Request after = request(Effect.PURE, null, line);
-    line.requests.add(before);
-    line.requests.add(after);
-    assertEquals(Set.of(Invariant.ORDER), written(attempt(after, engine), NOW));
-    assertEquals(Set.of(), written(attempt(before, engine), NOW));
+  void requestsOutOfOrderAreReported() {
+    KeyedRequestQueue keyQueue = new KeyedRequestQueue();
+    Request before = request(Effect.PURE, null, keyQueue);
+    Request after = request(Effect.PURE, null, keyQueue);
+    keyQueue.requests.add(before);
+    keyQueue.requests.add(after);
+    assertEquals(Set.of(Invariant.ORDER), writeAttempt(attempt(after, engine), NOW));
+    assertEquals(Set.of(), writeAttempt(attempt(before, engine), NOW));
   }
 
   @Test
-  void placement() {
+  void forbiddenPlacementIsReported() {
     other.zone = 1;
     assertEquals(
         Set.of(Invariant.PLACEMENT),
-        written(attempt(request(Effect.PURE, List.of(0)), other), NOW));
+        writeAttempt(attempt(request(Effect.PURE, List.of(0)), other), NOW));
   }
 
   @Test
-  void theRetryBudget() {
+  void retriesBeyondTheBudgetAreReported() {
     Request request = request(Effect.PURE, null);
-    written(attempt(request, engine), NOW);
+    writeAttempt(attempt(request, engine), NOW);
     Set<Invariant> broken = Set.of();
     for (int i = 0; i < 3; i++) {
-      broken = written(attempt(request, engine), NOW);
+      broken = writeAttempt(attempt(request, engine), NOW);
       assertEquals(Set.of(), broken);
     }
-    assertEquals(Set.of(Invariant.RETRY_BUDGET), written(attempt(request, engine), NOW));
+    assertEquals(Set.of(Invariant.RETRY_BUDGET), writeAttempt(attempt(request, engine), NOW));
   }
 
   /**
@@ -165,26 +167,27 @@
    * and 2 they are 54.
    */
   @Test
-  void aColdEngineThatThisGatewayAloneOverloads() {
+  void overloadOfAWarmingEngineIsReported() {
     engine.startedAt = NOW;
     for (int i = 0; i < 54; i++) {
       assertEquals(
-          Set.of(), written(attempt(request(Effect.PURE, null), engine), NOW), "request " + i);
+          Set.of(), writeAttempt(attempt(request(Effect.PURE, null), engine), NOW), "request " + i);
     }
     assertEquals(
-        Set.of(Invariant.SLOW_START), written(attempt(request(Effect.PURE, null), engine), NOW));
+        Set.of(Invariant.SLOW_START),
+        writeAttempt(attempt(request(Effect.PURE, null), engine), NOW));
   }
 
-  private void listed(long now, Status standing) {
+  private void endpointsChanged(long now, Status status) {
     monitor.onEndpointsChanged(
         now,
         true,
         List.of(
-            new EndpointUpdate(engine, 0, 0, 0, 1, standing, 0, 1),
+            new EndpointUpdate(engine, 0, 0, 0, 1, status, 0, 1),
             new EndpointUpdate(other, 0, 1, 0, 1, Status.READY, 0, 1)));
   }
 
-  private Set<Invariant> written(Attempt attempt, long at) {
+  private Set<Invariant> writeAttempt(Attempt attempt, long at) {
     return monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, 0));
   }
 
@@ -192,8 +195,8 @@
     return request(effect, zones, null);
   }
 
-  private static Request request(Effect effect, List<Integer> zones, KeyedRequestQueue line) {
-    Request request = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
+  private static Request request(Effect effect, List<Integer> zones, KeyedRequestQueue keyQueue) {
+    Request request = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, keyQueue);
     request.requestClass =
         new RequestClass(
             0,
@@ -209,7 +212,7 @@
                 1,
                 false,
                 false,
-                line != null,
+                keyQueue != null,
                 zones,
                 null),
             new DecayingMean(1, 1, 1),
--- a/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
+++ b/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
@@ -19,7 +19,7 @@
 import tillerlink.model.RequestOutcome;
 
 /**
- * Every reason for which the guard does not let an attempt go, one by one. Times are tenths of a
+ * Every reason for which the guard denies an attempt, one by one. Times are tenths of a
  * millisecond.
  */
 class SendGuardTest {
@@ -32,7 +32,7 @@
   private final Engine other = new Engine("e2");
 
   @BeforeEach
-  void ready() {
+  void makeEnginesReady() {
     engine.status = Status.READY;
     other.status = Status.READY;
     other.zone = 1;
@@ -40,22 +40,22 @@
   }
 
   @Test
-  void whatNothingSpeaksAgainstGoes() {
+  void attemptWithoutObjectionIsAllowed() {
     Attempt attempt = attempt(request(Effect.EFFECTFUL, null), engine);
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt));
   }
 
   @Test
-  void theRequest() {
+  void endedAbandonedCancelledAndLateRequestsAreDenied() {
     Request ended = request(Effect.PURE, null);
     ended.outcome = RequestOutcome.CLIENT_DISCONNECTED;
     assertEquals(SendVerdict.REQUEST_ENDED, guard.checkWrite(NOW, attempt(ended, engine)));
     Request unattended = request(Effect.PURE, null);
     unattended.unattended = true;
     assertEquals(SendVerdict.CLIENT_GONE, guard.checkWrite(NOW, attempt(unattended, engine)));
-    Attempt cancelSent = attempt(request(Effect.PURE, null), engine);
-    cancelSent.cancelRequested = true;
-    assertEquals(SendVerdict.CANCELLED, guard.checkWrite(NOW, cancelSent));
+    Attempt cancelled = attempt(request(Effect.PURE, null), engine);
+    cancelled.cancelRequested = true;
+    assertEquals(SendVerdict.CANCELLED, guard.checkWrite(NOW, cancelled));
     Attempt late = attempt(request(Effect.PURE, null), engine);
     guard.setListUsableUntil(NOW + 2 * DEADLINE);
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW + DEADLINE - 1, late));
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void theList() {
+  void unconfirmedListsAndEnginesThatAreNotReadyAreDenied() {
     Attempt attempt = attempt(request(Effect.PURE, null), engine);
     guard.setListUsableUntil(NOW);
     assertEquals(SendVerdict.LIST_UNCONFIRMED, guard.checkWrite(NOW, attempt));
@@ -78,14 +78,14 @@
   }
 
   @Test
-  void placement() {
+  void forbiddenPlacementIsDenied() {
     Request bound = request(Effect.PURE, List.of(0));
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt(bound, engine)));
     assertEquals(SendVerdict.PLACEMENT, guard.checkWrite(NOW, attempt(bound, other)));
   }
 
   @Test
-  void repeats() {
+  void repeatsThatMayRunTwiceAreDenied() {
     Request effectful = request(Effect.EFFECTFUL, null);
     Attempt first = attempt(effectful, engine);
     Attempt second = attempt(effectful, other);
@@ -102,23 +102,23 @@
   }
 
   @Test
-  void order() {
-    KeyedRequestQueue line = new KeyedRequestQueue();
-    Request before = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
-    Request after = new Request("b", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, line);
+  void requestsOutOfOrderAreDenied() {
+    KeyedRequestQueue keyQueue = new KeyedRequestQueue();
+    Request before = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, keyQueue);
+    Request after = new Request("b", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, keyQueue);
     before.requestClass = requestClass(Effect.PURE, null, true);
     after.requestClass = before.requestClass;
-    line.requests.add(before);
-    line.requests.add(after);
+    keyQueue.requests.add(before);
+    keyQueue.requests.add(after);
     Attempt attempt = attempt(after, engine);
     assertEquals(SendVerdict.ORDER, guard.checkWrite(NOW, attempt));
     before.outcome = RequestOutcome.SUCCEEDED;
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt));
   }
 
-  /** What waits longer on its way out than this is decided on anew. */
+  /** What waits longer before it is written is decided on anew. */
   @Test
-  void aWriteIsBoundedByListClientAndDelay() {
+  void writeDeadlineIsBoundedByListClientAndDelay() {
     Attempt attempt = attempt(request(Effect.PURE, null), engine);
     assertEquals(NOW + SendGuard.MAX_WRITE_DELAY, guard.writeDeadline(NOW, attempt));
     assertEquals(NOW + DEADLINE, guard.writeDeadline(NOW + DEADLINE - 1, attempt));
--- a/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
+++ b/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
@@ -14,22 +14,22 @@
   private static final long SECOND = 10_000;
 
   @Test
-  void aStartThatIsKnownWithinBoundsIsTakenAsTold() {
+  void reportedStartWithinBoundsIsKept() {
     assertEquals(NOW - SECOND, StartTime.bounded(NOW - SECOND, NOW, NOW - SECOND));
     assertEquals(NOW - HOUR, StartTime.bounded(NOW - HOUR, NOW, Long.MIN_VALUE));
     assertEquals(0, StartTime.bounded(0, NOW, NOW - SECOND));
   }
 
-  /** Else it would be held for cold, and get nothing, for an hour. */
+  /** Otherwise it would pass for cold, and get nothing, for an hour. */
   @Test
-  void aStartInTheFutureIsNow() {
+  void startInTheFutureBecomesNow() {
     assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, Long.MIN_VALUE));
     assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, NOW - SECOND));
   }
 
-  /** Else one that has just started would be held for warm, and be overloaded. */
+  /** Otherwise one that has just started would pass for warm, and be overloaded. */
   @Test
-  void aStartBeforeItsProcessWasSeenMissingIsNoEarlierThanThat() {
+  void startIsNoEarlierThanTheProcessWasSeenMissing() {
     assertEquals(
         NOW - SECOND - DiscoveryLease.ASSUMED_NOTIFIED_AFTER,
         StartTime.bounded(NOW - HOUR, NOW, NOW - SECOND));
