--- a/gateway/src/main/java/tillerlink/model/Attempt.java
+++ b/gateway/src/main/java/tillerlink/model/Attempt.java
@@ -1,34 +1,47 @@
 package tillerlink.model;
 
-/** One sending of a request to an engine. */
+/**
+ * One sending of a request to an engine. Times are tenths of a millisecond; used by the event loop
+ * alone.
+ */
 public final class Attempt {
   public final Request request;
   public final Engine engine;
+
+  /** Its position among the attempts of the request, from 0. */
   public final int number;
+
+  /** When it was placed on the engine. */
   public final long sentAt;
 
-  /** Time it is expected to take, as judged when it was placed. */
+  /** Time that it is expected to take, as estimated when it was placed. */
   public final long expectedTime;
 
-  /** Time it would take alone on an ordinary engine, as judged when it was placed. */
+  /** Time that it would take alone on an ordinary engine, as estimated when it was placed. */
   public final double nominalTime;
 
-  /** Sent to learn whether a doubtful engine is back. */
+  /** Sent to learn whether an outlier has recovered. */
   public final boolean healthCheck;
 
+  /** The action to send it was emitted. */
   public boolean sent;
+
+  /** It is to be cancelled. */
   public boolean cancelRequested;
+
+  /** The action to cancel it was emitted. */
   public boolean cancelSent;
 
-  /** When its first byte went out; 0 while none has. */
+  /** When its first byte was sent; 0 before. */
   public long writtenAt;
 
-  /** Share done, as last noted. */
+  /** Share done, 0 to 1, as last reported. */
   public double completedShare;
 
-  /** Null while it is out. */
+  /** Null while it is in flight. */
   public AttemptOutcome outcome;
 
+  /** Creates the next attempt of a request; the caller adds it to the request and the engine. */
   public Attempt(
       Request request, Engine engine, long sentAt, long expected, double nominal, boolean trial) {
     this.request = request;
@@ -40,10 +53,12 @@
     this.healthCheck = trial;
   }
 
+  /** Whether it has not ended. */
   public boolean isInFlight() {
     return outcome == null;
   }
 
+  /** Whether the request may have been executed by it, now or later. */
   public boolean mayHaveRun() {
     return outcome == null || !outcome.provesNotExecuted;
   }
--- a/gateway/src/main/java/tillerlink/model/BetaDistribution.java
+++ b/gateway/src/main/java/tillerlink/model/BetaDistribution.java
@@ -2,11 +2,11 @@
 
 import java.util.Random;
 
-/** Draws from a beta distribution, as the share of one gamma in the sum of two. */
+/** Draws from a beta distribution, as the share of one gamma variable in the sum of two. */
 public final class BetaDistribution {
   private BetaDistribution() {}
 
-  /** Both shapes must be one or more. */
+  /** Draws a number between 0 and 1; both shapes must be one or more. */
   public static double draw(Random random, double one, double other) {
     double first = gamma(random, one);
     return first / (first + gamma(random, other));
@@ -17,13 +17,15 @@
    * one or more.
    */
   private static double gamma(Random random, double shape) {
-    double d = shape - 1.0 / 3;
-    double c = 1 / Math.sqrt(9 * d);
+    double offset = shape - 1.0 / 3;
+    double factor = 1 / Math.sqrt(9 * offset);
     while (true) {
-      double x = random.nextGaussian();
-      double v = Math.pow(1 + c * x, 3);
-      if (v > 0 && Math.log(1 - random.nextDouble()) < x * x / 2 + d - d * v + d * Math.log(v)) {
-        return d * v;
+      double normal = random.nextGaussian();
+      double cube = Math.pow(1 + factor * normal, 3);
+      if (cube > 0
+          && Math.log(1 - random.nextDouble())
+              < normal * normal / 2 + offset - offset * cube + offset * Math.log(cube)) {
+        return offset * cube;
       }
     }
   }
--- a/gateway/src/main/java/tillerlink/model/DecayingSum.java
+++ b/gateway/src/main/java/tillerlink/model/DecayingSum.java
@@ -7,21 +7,26 @@
   private long asOf;
 
   /**
+   * Creates an empty sum.
+   *
    * @param span the age at which a part has faded to 1/e
    */
   public DecayingSum(double span) {
     this.span = span;
   }
 
+  /** Adds an amount, which may be negative. */
   public void add(long now, double amount) {
     sum = at(now) + amount;
     asOf = now;
   }
 
+  /** The sum as of now. */
   public double at(long now) {
     return sum == 0 ? 0 : sum * Math.exp((asOf - now) / span);
   }
 
+  /** Sets the sum to zero. */
   public void clear() {
     sum = 0;
   }
--- a/gateway/src/main/java/tillerlink/model/DeduplicationGroup.java
+++ b/gateway/src/main/java/tillerlink/model/DeduplicationGroup.java
@@ -2,8 +2,11 @@
 
 /** The group of engines that discards the repeats of an idempotent request. */
 public enum DeduplicationGroup {
+  /** All engines. */
   ALL,
+  /** The engines of a zone. */
   ZONE,
+  /** The engines of a cell. */
   CELL;
 
   /** Whether a repeat of what one engine may have run is discarded by the other. */
--- a/gateway/src/main/java/tillerlink/model/Effect.java
+++ b/gateway/src/main/java/tillerlink/model/Effect.java
@@ -1,11 +1,14 @@
 package tillerlink.model;
 
-/** What running a request of a request class a second time would do. */
+/**
+ * What executing a request of a request class a second time would do. The operator's file names
+ * these constants.
+ */
 public enum Effect {
-  /** Running it again is fine. */
+  /** Nothing: it may be executed again. */
   PURE,
-  /** It bears a mark by which a group of engines discards a repeat, for a time. */
+  /** It has an idempotency key by which a group of engines discards a repeat, for a time. */
   RECEIPTED,
-  /** It must never run twice. */
+  /** It must never be executed twice. */
   EFFECTFUL
 }
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -4,16 +4,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One engine as this gateway knows it: what it was told, and what it counted itself. */
+/**
+ * One engine as this gateway knows it: the endpoint list's entry, and what the policy counts. Times
+ * are tenths of a millisecond; used by the event loop alone.
+ */
 public final class Engine {
-  /** What the list says of an engine's process. */
+  /** What the endpoint list says of an engine's process. */
   public enum Status {
+    /** It takes new attempts. */
     READY,
+    /** It ends what it has and takes nothing new. */
     DRAINING,
+    /** It is not on the list any more. */
     GONE
   }
 
-  /** The door's own handle; the module never looks at it. */
+  /** The handle of the code that runs the policy, which never looks at it. */
   public final Object tag;
 
   public int kind;
@@ -22,24 +28,24 @@
   public Engine.Status status = Engine.Status.GONE;
 
   /**
-   * The module counts with it; kept here, since a look-up in a list of a thousand for each of a
-   * thousand costs.
+   * The policy knows it. Stored here, since looking up each of a thousand engines in a list of a
+   * thousand is slow.
    */
   public boolean registered;
 
   public long startedAt;
 
-  /** Below 1 while it is only remembered from before this gateway's start. */
+  /** Below 1 while it is only known from a cached endpoint list. */
   public double trust = 1;
 
-  /** Attempts that are out, oldest first. */
+  /** Attempts in flight, oldest first. */
   public final List<Attempt> inFlight = new ArrayList<>();
 
   public int[] inFlightByClass = new int[0];
   public int threadsInFlight;
   public int healthChecksInFlight;
 
-  /** Table groups sent here lately, latest last. */
+  /** Table groups of the most recent attempts, latest last. */
   public final ArrayDeque<Integer> recentTableGroups = new ArrayDeque<>();
 
   public DecayingSum successes;
@@ -51,16 +57,18 @@
   public DecayingMean pace;
   public SlidingSum workSent;
 
-  /** Cold, and room there for the request last weighed only since it is this gateway's turn. */
+  /**
+   * It is warming up, and has quota for the last request only by this gateway's slow-start slot.
+   */
   public boolean usesSlowStartSlot;
 
   public double concurrencyFactor;
   public long overloadedUntil = Long.MIN_VALUE;
 
-  /** When it last dropped a connection with an attempt on it. */
+  /** When it last seemed to have restarted. */
   public long restartSeenAt = Long.MIN_VALUE;
 
-  /** When an attempt was last cut off here. */
+  /** When a connection with an attempt was last lost. */
   public long connectionLostAt = Long.MIN_VALUE;
 
   public long limitReducedAt = Long.MIN_VALUE;
@@ -68,22 +76,28 @@
   public long reportedAt = Long.MIN_VALUE;
   public double reportedQueries;
 
-  /** The busiest of what it said of its cores and disks, 1 being all. */
+  /** The highest utilization that it reported of its cores and disks, 0 to 1. */
   public double reportedUtilization;
 
-  /** Queries of the class in hand a core, and threads of all a core, as last weighed. */
+  /** Requests for each core of the class that was placed last, as last measured. */
   public double classLoad;
 
+  /** Threads for each core of all classes, and utilization, as last measured. */
   public double load;
 
-  /** Cores that it seems to have for the class last weighed. */
+  /** Cores that it seems to have for the class that was placed last. */
   public double spareCores;
 
+  /** Creates an engine that is not on the list yet. */
   public Engine(Object tag) {
     this.tag = tag;
   }
 
-  /** Counts an attempt that goes out here; of the table groups, only the latest are remembered. */
+  /**
+   * Counts an attempt that is sent here.
+   *
+   * @param groupsKept number of recent table groups that are kept
+   */
   public void attemptStarted(Attempt attempt, int groupsKept) {
     count(attempt, 1);
     inFlight.add(attempt);
@@ -94,12 +108,13 @@
     }
   }
 
+  /** Counts an attempt that ended. */
   public void attemptEnded(Attempt attempt) {
     count(attempt, -1);
     inFlight.remove(attempt);
   }
 
-  /** Whether a load that is out here holds the table group. */
+  /** Whether an attempt in flight here loads the table group. */
   public boolean loadsTableGroup(int tableGroup) {
     return inFlight.stream()
         .anyMatch(
@@ -108,7 +123,7 @@
                     && attempt.request.requestClass.config.loadsTableGroup());
   }
 
-  /** The threads out of the class that has most out. */
+  /** Threads in flight of the class that has the most. */
   public int threadsOfLargestClass() {
     return inFlight.stream()
         .mapToInt(
@@ -119,7 +134,7 @@
         .orElse(0);
   }
 
-  /** A process that started anew keeps nothing of its predecessor's record. */
+  /** Forgets what was counted of the previous process. */
   public void resetHistory(double boundAtStart) {
     successes.clear();
     failures.clear();
--- a/gateway/src/main/java/tillerlink/model/RequestClass.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClass.java
@@ -2,12 +2,12 @@
 
 import java.util.ArrayDeque;
 
-/** A kind of request: its terms, its queue and what was measured of it. */
+/** A class of requests: its configuration, its queue and what was measured of it. */
 public final class RequestClass {
   public final int index;
   public final RequestClassConfig config;
 
-  /** Held requests, first come first. */
+  /** Queued requests, first in first out. */
   public final ArrayDeque<Request> queue = new ArrayDeque<>();
 
   /** True work over estimate. */
@@ -19,17 +19,19 @@
   /** Work of a request. */
   public final DecayingMean work;
 
-  /** Time taken over the time alone. */
+  /** Time taken over the time that the attempt would take alone. */
   public final DecayingMean pace;
 
+  /** The lowest mean pace seen; 0 while too little was seen. */
   public double bestPace;
 
-  /** Work asked for of late. */
+  /** Work that was asked for recently. */
   public DecayingSum offeredWork;
 
-  /** Cores of the ready engines open to it, as last summed up. */
+  /** Cores of the ready engines that it may run on, as of the last survey. */
   public double eligibleCores;
 
+  /** Creates a request class with an empty queue. */
   public RequestClass(
       int index,
       RequestClassConfig terms,
@@ -50,7 +52,7 @@
     return bestPace == 0 ? 1 : bestPace;
   }
 
-  /** The first held request that is still owed an answer, or null. */
+  /** Removes the ended requests at the front, and returns the first of the others, or null. */
   public Request firstQueued() {
     while (!queue.isEmpty() && queue.peekFirst().outcome != null) {
       queue.pollFirst().queued = false;
--- a/gateway/src/main/java/tillerlink/model/SlidingSum.java
+++ b/gateway/src/main/java/tillerlink/model/SlidingSum.java
@@ -1,14 +1,20 @@
 package tillerlink.model;
 
 /**
- * A sum over a sliding span, kept in slices: never off by more than the oldest slice, on the side
- * asked for.
+ * A sum over a sliding period, kept in slices: the bounds are off by the oldest slice at most.
+ * Times are tenths of a millisecond.
  */
 public final class SlidingSum {
   private final long slice;
   private final double[] amounts;
   private final long[] numbers;
 
+  /**
+   * Creates an empty sum.
+   *
+   * @param span length of the period
+   * @param slices number of slices that it is divided into
+   */
   public SlidingSum(long span, int slices) {
     slice = Math.max(1, (span + slices - 1) / slices);
     amounts = new double[slices + 2];
@@ -16,6 +22,7 @@
     java.util.Arrays.fill(numbers, Long.MIN_VALUE);
   }
 
+  /** Adds an amount. */
   public void add(long now, double amount) {
     long number = now / slice;
     int at = (int) (number % amounts.length);
@@ -26,12 +33,12 @@
     amounts[at] += amount;
   }
 
-  /** All that may lie within the span. */
+  /** All that may lie within the period. */
   public double upperBound(long now) {
     return since(now / slice - (amounts.length - 2));
   }
 
-  /** Only what surely lies within the span. */
+  /** Only what surely lies within the period. */
   public double lowerBound(long now) {
     return since(now / slice - (amounts.length - 4));
   }
--- a/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
+++ b/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
@@ -6,49 +6,52 @@
 /**
  * Until when the endpoint list may be used for new attempts, given what this process can know.
  *
- * <p>An event (an engine drains or is gone) must be obeyed a grace after it was told. It counts as
- * told when an answer that holds it is sent, whether or not that arrives or is read in time, and at
- * the latest some time after it happened. So knowledge is a lease: an answer to a question asked at
- * {@code t} proves the list as of {@code t}. Anything newer was told no earlier than the first
- * later question that has no answer here, and no earlier than {@link #ASSUMED_NOTIFIED_AFTER} after
- * {@code t}. From a grace after that moment on the list is unsafe until another answer comes.
+ * <p>A watch event (an engine drains or is gone) must be obeyed a grace after this gateway was
+ * notified of it. It counts as notified when an answer with the event is sent, whether or not that
+ * arrives or is read in time, and at the latest some time after it happened. So knowledge is a
+ * lease: an answer to a poll sent at {@code t} proves the list as of {@code t}. The notification of
+ * anything newer was sent no earlier than the first later poll that has no answer here, and no
+ * earlier than {@link #ASSUMED_NOTIFIED_AFTER} after {@code t}. From a grace after that moment on
+ * the list is unsafe until another answer comes.
  *
- * <p>What is unsafe because this process did not ask or did not run is awaited: a question is out
- * and the answer takes milliseconds. What stays without an answer for several questions in a row is
- * most likely an outage of the discovery service, in which nobody is told anything; then the last
- * list is used up to {@link #ASSUMED_NOTIFIED_IN_OUTAGE_AFTER}, after which events count as told
- * whether or not an answer arrived. docs/incidents/incident-1.md has the price of each choice.
+ * <p>What is unsafe because this process did not poll or did not run is awaited: a poll is
+ * outstanding and the answer takes milliseconds. What stays without an answer for several polls in
+ * a row is most likely an outage of the discovery service, in which nobody is notified of anything;
+ * then the last list is used up to {@link #ASSUMED_NOTIFIED_IN_OUTAGE_AFTER}, after which events
+ * count as notified whether or not an answer arrived. docs/incidents/incident-1.md has the price of
+ * each choice.
  *
  * <p>Times are tenths of a millisecond of a clock that never steps.
  */
 public final class DiscoveryLease {
-  /** An event counts as told this long after it happened, though nobody asked. */
+  /** An event counts as notified this long after it happened, even without a poll. */
   public static final long ASSUMED_NOTIFIED_AFTER = 1_500 * Units.TENTHS_PER_MS;
 
-  /** The same where answers don't arrive. */
+  /** The same while answers don't arrive. */
   public static final long ASSUMED_NOTIFIED_IN_OUTAGE_AFTER = 7_000 * Units.TENTHS_PER_MS;
 
-  /** Share of the grace that is used; the rest pays for turns, writes and the way to the engine. */
-  private static final double USED_GRACE_SHARE = 0.8;
-
   /**
-   * So many unanswered questions in a row, over so many graces, are an outage and no chance losses.
+   * Share of the grace that is used; the rest is for event-loop iterations, writes and the way to
+   * the engine.
    */
+  private static final double USED_GRACE_SHARE = 0.8;
+
+  /** So many unanswered polls in a row, over so many graces, are an outage and no random losses. */
   private static final int OUTAGE_POLLS = 6;
 
   private static final int OUTAGE_GRACES = 2;
   private static final int MAX_OUTSTANDING = 64;
 
-  /** A gap between two turns below this is none, however short the grace. */
+  /** A shorter gap between two event-loop iterations is no pause, however short the grace. */
   private static final long MIN_PAUSE = 300 * Units.TENTHS_PER_MS;
 
   private final long grace;
   private final long usableGrace;
 
-  /** When the questions without an answer were asked, oldest first. */
+  /** When the polls without an answer were sent, oldest first. */
   private final ArrayDeque<Long> outstanding = new ArrayDeque<>();
 
-  /** When the newest question was asked that has an answer; the start, while none has. */
+  /** When the newest poll with an answer was sent; the start, while there is none. */
   private long confirmedAt;
 
   private boolean everConfirmed;
@@ -56,7 +59,7 @@
   /** When an answer with an older list came last. */
   private long outdatedAnswerAt;
 
-  /** Questions since the last timely answer or pause, and when the first of them was asked. */
+  /** Polls since the last timely answer or pause, and when the first of them was sent. */
   private int unanswered;
 
   private long unansweredSince = Long.MAX_VALUE;
@@ -64,7 +67,7 @@
 
   /**
    * @param now the start of the gateway; its first list may be of any age
-   * @param grace how long after an event was told it must be obeyed
+   * @param grace how long after its notification an event must be obeyed
    */
   public DiscoveryLease(long now, long grace) {
     this.grace = grace;
@@ -75,10 +78,10 @@
   }
 
   /**
-   * Called in every turn. A gap means that this process stood still: questions asked before it
-   * prove nothing of an outage.
+   * Called in every event-loop iteration. A gap means that this process was paused: polls sent
+   * before it prove nothing of an outage.
    *
-   * @return whether it stood still, so that the discovery service is to be asked at once
+   * @return whether it was paused, so that the discovery service is to be polled at once
    */
   public boolean observe(long now) {
     boolean paused = now > observedAt + Math.max(grace / 2, MIN_PAUSE);
@@ -90,11 +93,11 @@
     return paused;
   }
 
-  /** A question is sent. */
+  /** A poll is sent. */
   public void onPollSent(long now) {
     outstanding.addLast(now);
     if (outstanding.size() > MAX_OUTSTANDING) {
-      // The second oldest goes: the oldest tells since when something newer may have been told.
+      // The second oldest goes: the oldest shows since when a notification may have been sent.
       Long oldest = outstanding.removeFirst();
       outstanding.removeFirst();
       outstanding.addFirst(oldest);
@@ -103,20 +106,20 @@
     unansweredSince = Math.min(unansweredSince, now);
   }
 
-  /** The answer to the question asked then was taken in. */
-  public void onPollAnswered(long askedAt, long now) {
-    outstanding.removeIf(at -> at <= askedAt);
-    confirmedAt = everConfirmed ? Math.max(confirmedAt, askedAt) : askedAt;
+  /** The answer to the poll sent at that time was taken in. */
+  public void onPollAnswered(long polledAt, long now) {
+    outstanding.removeIf(at -> at <= polledAt);
+    confirmedAt = everConfirmed ? Math.max(confirmedAt, polledAt) : polledAt;
     everConfirmed = true;
-    if (now - askedAt < usableGrace) {
+    if (now - polledAt < usableGrace) {
       unanswered = outstanding.size();
       unansweredSince = outstanding.isEmpty() ? Long.MAX_VALUE : outstanding.peekFirst();
     }
   }
 
   /**
-   * An answer came whose list is older than the one that is known: the service is there, and proves
-   * nothing newer.
+   * An answer came with a list older than the known one: the service is there, and proves nothing
+   * newer.
    */
   public void onOutdatedAnswer(long now) {
     outdatedAnswerAt = now;
@@ -142,7 +145,7 @@
     };
   }
 
-  /** When the state changes next though nothing comes. */
+  /** When the state changes next without any event. */
   public long changesAt(long now) {
     return switch (state(now)) {
       case CONFIRMED -> confirmedUntil();
@@ -152,17 +155,17 @@
     };
   }
 
-  /** How old the list is at least that is in force. */
+  /** Age of the list in use, at the least. */
   public long age(long now) {
     return now - confirmedAt;
   }
 
   private long confirmedUntil() {
-    long newerToldAt = confirmedAt + ASSUMED_NOTIFIED_AFTER;
+    long newerNotifiedAt = confirmedAt + ASSUMED_NOTIFIED_AFTER;
     if (!outstanding.isEmpty()) {
-      newerToldAt = Math.min(newerToldAt, outstanding.peekFirst());
+      newerNotifiedAt = Math.min(newerNotifiedAt, outstanding.peekFirst());
     }
-    return newerToldAt + usableGrace;
+    return newerNotifiedAt + usableGrace;
   }
 
   private long outageFrom() {
--- a/gateway/src/main/java/tillerlink/policy/Invariant.java
+++ b/gateway/src/main/java/tillerlink/policy/Invariant.java
@@ -1,14 +1,14 @@
 package tillerlink.policy;
 
-/** What must hold of everything that goes out, whatever was decided before. */
+/** What must hold of everything that is written, whatever was decided before. */
 public enum Invariant {
   /** A final answer is ready within half a second after its client's time. */
   ANSWER_IN_TIME,
-  /** Nothing is written for a client that left more than 0.1 s before, or whose time is over. */
+  /** Nothing is written for a client that disconnected over 0.1 s ago, or whose time is over. */
   CLIENT_WAITS,
-  /** The limit that an engine is told is at most what the client has left, and 0.15 s. */
+  /** The time limit passed to an engine is at most what the client has left, and 0.15 s. */
   LIMIT,
-  /** What must not run twice is not written again while an earlier attempt may have run. */
+  /** A request that must not run twice is not written again while an attempt may have run. */
   SINGLE_EFFECT,
   /**
    * Nothing new is written to an engine that was known to drain or to be gone for longer than the
@@ -17,12 +17,12 @@
   DRAIN,
   /** Nothing is written later than the guard allowed. */
   WRITE_IN_TIME,
-  /** What this gateway alone sends to a cold engine is below what all may send. */
+  /** What this gateway alone sends to a warming engine is below what all may send. */
   SLOW_START,
   /** Requests of a key are written in their order, one at a time. */
   ORDER,
   /** An attempt goes only where its class may run. */
   PLACEMENT,
-  /** Further attempts stay within the retry budget. */
+  /** Retries stay within the retry budget. */
   RETRY_BUDGET
 }
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -18,13 +18,13 @@
 import tillerlink.plain.Units;
 
 /**
- * Checks what was written, by when its first byte went out and not by what was decided, and shares
+ * Checks what was written, by when its first byte was sent and not by what was decided, and shares
  * no state with the guard. It finds violations that are certain; what only might be one (a drain of
- * which this process has not heard) can be seen from outside alone. Times are tenths of a
- * millisecond.
+ * which this process was not notified) is visible from outside alone. Times are tenths of a
+ * millisecond. Used by the event loop alone.
  */
 public final class InvariantMonitor {
-  /** What a rule on sockets allows beyond its limit. */
+  /** What a rule on sockets allows beyond its limit; the next ones have slacks of their own. */
   private static final long SLACK = 50 * Units.TENTHS_PER_MS;
 
   private static final long ANSWER_SLACK = 500 * Units.TENTHS_PER_MS;
@@ -33,15 +33,16 @@
   private static final double BUDGET_SLACK = 1.15;
   private static final int SUM_SLICES = 50;
 
-  /** For longer nothing that was decided before is on its way to an engine that is gone. */
+  /** After this time nothing that was decided earlier is on its way to an engine that is gone. */
   private static final long FORGET_GONE_ENGINE_AFTER = 60_000 * Units.TENTHS_PER_MS;
 
   /**
    * An attempt that was written.
    *
-   * @param firstByteAt when its first byte went out
-   * @param before when the guard wanted it out by
-   * @param limit how long the engine was told that the client waits
+   * @param attempt the attempt
+   * @param firstByteAt when its first byte was sent
+   * @param writeBefore when the guard wanted it sent by
+   * @param limit how long the client waits, as passed to the engine
    */
   public record Written(Attempt attempt, long firstByteAt, long writeBefore, long limit) {}
 
@@ -63,6 +64,8 @@
   private long writtenAttempts;
 
   /**
+   * Creates a monitor of a gateway that has written nothing yet.
+   *
    * @param settings as the policy has them
    */
   public InvariantMonitor(Settings settings) {
@@ -84,7 +87,7 @@
     requests.add(now, 1);
   }
 
-  /** The list was told; {@code whole} means that engines not in it are gone. */
+  /** The endpoint list changed; {@code whole} means that engines not in it are gone. */
   public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
       ready.forEach(engine -> notReadySince.putIfAbsent(engine, now));
@@ -108,14 +111,14 @@
     workWritten.keySet().retainAll(ready);
   }
 
-  /** A final answer became ready. */
+  /** A final answer became ready; returns what that breaks. */
   public Set<Invariant> checkAnswer(long now, Request request) {
     return now > request.clientDeadline + ANSWER_SLACK
         ? EnumSet.of(Invariant.ANSWER_IN_TIME)
         : Set.of();
   }
 
-  /** An attempt was written; what that broke. */
+  /** An attempt was written; returns what that breaks. */
   public Set<Invariant> checkWritten(Written written) {
     EnumSet<Invariant> broken = EnumSet.noneOf(Invariant.class);
     Attempt attempt = written.attempt;
@@ -123,36 +126,16 @@
     long at = written.firstByteAt;
     attempt.writtenAt = at;
     if (request.requestClass == null) {
-      // A policy that knows no request classes, as those that others are measured against: it has
-      // no terms
-      // to hold it to.
+      // A policy without request classes, as the baselines have: there is nothing to check.
       return broken;
     }
-    addIf(
-        broken,
-        Invariant.CLIENT_WAITS,
-        (request.outcome == RequestOutcome.CLIENT_DISCONNECTED
-                && at > request.disconnectedAt + DISCONNECT_SLACK)
-            || at > request.clientDeadline + SLACK);
-    addIf(
-        broken,
-        Invariant.LIMIT,
-        written.limit > Math.max(0, request.clientDeadline - at) + LIMIT_SLACK);
+    long timeLeft = Math.max(0, request.clientDeadline - at);
+    addIf(broken, Invariant.CLIENT_WAITS, isTooLateForClient(request, at));
+    addIf(broken, Invariant.LIMIT, written.limit > timeLeft + LIMIT_SLACK);
     addIf(broken, Invariant.SINGLE_EFFECT, runsTwice(attempt, at));
-    addIf(
-        broken,
-        Invariant.DRAIN,
-        at
-            > notReadySince.getOrDefault(attempt.engine, Long.MAX_VALUE - grace - SLACK)
-                + grace
-                + SLACK);
+    addIf(broken, Invariant.DRAIN, isAfterDrainGrace(attempt.engine, at));
     addIf(broken, Invariant.WRITE_IN_TIME, at > written.writeBefore + SLACK);
-    addIf(
-        broken,
-        Invariant.ORDER,
-        request.ordered()
-            && request.keyQueue.firstUnfinished() != request
-            && request.outcome == null);
+    addIf(broken, Invariant.ORDER, isOutOfOrder(request));
     addIf(broken, Invariant.PLACEMENT, !request.requestClass.config.allows(attempt.engine));
     addIf(broken, Invariant.RETRY_BUDGET, exceedsBudget(attempt, at));
     addIf(broken, Invariant.SLOW_START, overloadsWarmingEngine(attempt, at));
@@ -165,18 +148,35 @@
     }
   }
 
+  private static boolean isTooLateForClient(Request request, long at) {
+    return (request.outcome == RequestOutcome.CLIENT_DISCONNECTED
+            && at > request.disconnectedAt + DISCONNECT_SLACK)
+        || at > request.clientDeadline + SLACK;
+  }
+
+  private boolean isAfterDrainGrace(Engine engine, long at) {
+    long since = notReadySince.getOrDefault(engine, Long.MAX_VALUE - grace - SLACK);
+    return at > since + grace + SLACK;
+  }
+
+  private static boolean isOutOfOrder(Request request) {
+    return request.ordered()
+        && request.keyQueue.firstUnfinished() != request
+        && request.outcome == null;
+  }
+
   private static boolean runsTwice(Attempt attempt, long at) {
-    RequestClassConfig terms = attempt.request.requestClass.config;
-    if (terms.effect() == Effect.PURE) {
+    RequestClassConfig classConfig = attempt.request.requestClass.config;
+    if (classConfig.effect() == Effect.PURE) {
       return false;
     }
     for (Attempt other : attempt.request.attempts) {
       if (other == attempt || other.writtenAt == 0 || !other.mayHaveRun()) {
         continue;
       }
-      if (terms.effect() == Effect.EFFECTFUL
-          || !terms.deduplicationGroup().covers(other.engine, attempt.engine)
-          || at > other.writtenAt + terms.deduplicationWindow() + SLACK) {
+      if (classConfig.effect() == Effect.EFFECTFUL
+          || !classConfig.deduplicationGroup().covers(other.engine, attempt.engine)
+          || at > other.writtenAt + classConfig.deduplicationWindow() + SLACK) {
         return true;
       }
     }
@@ -193,8 +193,8 @@
   }
 
   /**
-   * Whether this gateway alone wrote more to a cold engine than it bears: N and twice its root of
-   * mean requests, and 2.
+   * Whether this gateway alone wrote more to a warming engine than that bears: with N mean requests
+   * allowed in a period, over N + 2 root N + 2 of them.
    */
   private boolean overloadsWarmingEngine(Attempt attempt, long at) {
     double work =
@@ -212,11 +212,11 @@
     if (started <= 0 || at - started >= warmupTime) {
       return false;
     }
-    double gone = Math.max(0, (double) (at - started) / warmupTime);
-    double warmth = startCapacity + (1 - startCapacity) * gone;
+    double progress = Math.max(0, (double) (at - started) / warmupTime);
+    double warmCapacity = startCapacity + (1 - startCapacity) * progress;
     double cores = Math.max(1, settings.nth("family_info.kind_cores", attempt.engine.kind, 1));
     double mean = totalWork / writtenAttempts;
-    double allowed = slowStartMultiple * warmth * cores * slowStartPeriod / mean;
+    double allowed = slowStartMultiple * warmCapacity * cores * slowStartPeriod / mean;
     return sum.lowerBound(at) > (allowed + 2 * Math.sqrt(allowed) + 2) * mean;
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/LoadEstimator.java
+++ b/gateway/src/main/java/tillerlink/policy/LoadEstimator.java
@@ -83,8 +83,8 @@
   void recordArrival(long now, Request request) {
     RequestClassConfig config = request.requestClass.config;
     offeredWeight.add(now, config.priorityWeight());
-    request.requestClass.offeredWork.add(
-        now, Math.min(work(now, request), config.deadline() * config.threadsPerRequest()));
+    double largest = (double) (config.deadline() * config.threadsPerRequest());
+    request.requestClass.offeredWork.add(now, Math.min(work(now, request), largest));
   }
 
   /**
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -8,14 +8,14 @@
 import tillerlink.model.RequestClassConfig;
 
 /**
- * The one guard in front of every attempt. It is asked when an engine is chosen and again right
- * before the bytes are handed to a connection, since a dial, a turn or a pause of the process may
- * lie between the two.
+ * The one guard in front of every attempt. It is called when an engine is chosen and again right
+ * before the bytes are passed to a connection, since connecting, an event-loop iteration or a pause
+ * of the process may lie between the two. Times are tenths of a millisecond.
  */
 public final class SendGuard {
   /**
-   * How long after it was allowed an attempt may still be written: for longer, what it was allowed
-   * by may have changed unseen.
+   * How long after it was allowed an attempt may still be written: later, the reasons for it may
+   * have changed unseen.
    */
   public static final long MAX_WRITE_DELAY = 1_000;
 
@@ -23,6 +23,8 @@
   private long listUsableUntil = Long.MAX_VALUE;
 
   /**
+   * Creates a guard to which the endpoint list is usable at any time.
+   *
    * @param tick the resolution of the settings' times
    */
   public SendGuard(long tick) {
@@ -89,21 +91,21 @@
     if (!request.requestClass.config.allows(engine)) {
       return SendVerdict.PLACEMENT;
     }
-    return repeatAllowed(now, request, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
+    return mayRepeat(now, request, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
   }
 
-  private boolean repeatAllowed(long now, Request request, Engine engine, Attempt next) {
-    RequestClassConfig terms = request.requestClass.config;
-    if (request.attempts.isEmpty() || terms.effect() == Effect.PURE) {
+  private boolean mayRepeat(long now, Request request, Engine engine, Attempt next) {
+    RequestClassConfig classConfig = request.requestClass.config;
+    if (request.attempts.isEmpty() || classConfig.effect() == Effect.PURE) {
       return true;
     }
     for (Attempt attempt : request.attempts) {
       if (attempt == next || !attempt.mayHaveRun()) {
         continue;
       }
-      if (terms.effect() == Effect.EFFECTFUL
-          || !terms.deduplicationGroup().covers(attempt.engine, engine)
-          || now + tick >= attempt.sentAt + terms.deduplicationWindow()) {
+      if (classConfig.effect() == Effect.EFFECTFUL
+          || !classConfig.deduplicationGroup().covers(attempt.engine, engine)
+          || now + tick >= attempt.sentAt + classConfig.deduplicationWindow()) {
         return false;
       }
     }
--- a/gateway/src/main/java/tillerlink/policy/StartTime.java
+++ b/gateway/src/main/java/tillerlink/policy/StartTime.java
@@ -5,24 +5,24 @@
   private StartTime() {}
 
   /**
-   * What the list says, within what can be: clocks of other machines and a wall clock here may
-   * step, by an hour too. A start is not in the future, and not long before its process was seen to
-   * be missing from the list; told earlier, it would pass for warm. What is bounded so counts as
-   * colder than it may be.
+   * The reported start, within what is possible: the clocks of other machines and the wall clock
+   * here may step, by an hour too. A start is not in the future, and not long before its process
+   * was seen to be missing from the list; reported earlier, the engine would pass for warm. A
+   * bounded start makes an engine colder than it may be.
    *
-   * @param told as the list tells it, by clocks of other machines; 0 for long ago
-   * @param now the time at which it is told
-   * @param confirmedAt up to when it is known not to have been there; {@link Long#MIN_VALUE} if
-   *     that is not
+   * @param reported as the list has it, by clocks of other machines; 0 for long ago
+   * @param now the time at which it is reported
+   * @param confirmedAt up to when the process is known to have been missing; {@link Long#MIN_VALUE}
+   *     if that is not known
    */
-  public static long bounded(long told, long now, long confirmedAt) {
-    if (told <= 0) {
-      return told;
+  public static long bounded(long reported, long now, long confirmedAt) {
+    if (reported <= 0) {
+      return reported;
     }
     long earliest =
         confirmedAt == Long.MIN_VALUE
             ? Long.MIN_VALUE
             : confirmedAt - DiscoveryLease.ASSUMED_NOTIFIED_AFTER;
-    return Math.min(now, Math.max(told, earliest));
+    return Math.min(now, Math.max(reported, earliest));
   }
 }
--- a/gateway/src/test/java/tillerlink/SlowStartSimulation.java
+++ b/gateway/src/test/java/tillerlink/SlowStartSimulation.java
@@ -164,7 +164,7 @@
   private final class SimulatedGateway implements DispatchActions {
     final int index;
     final double rate;
-    final Map<Engine, SimulatedEngine> engines = new IdentityHashMap<>();
+    final IdentityHashMap<Engine, SimulatedEngine> engines = new IdentityHashMap<>();
     Engine coldEngine;
     DefaultDispatchPolicy policy;
     boolean notified;
--- a/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
+++ b/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
@@ -67,7 +67,7 @@
   void sixUnansweredPollsInTwoGracesAreAnOutage() {
     confirm(START);
     for (int i = 0; i < 5; i++) {
-      lease.onPollSent(START + 4_000 + i * 1_250);
+      lease.onPollSent(START + 4_000 + i * 1_250L);
     }
     assertEquals(EndpointListState.AWAITED, lease.state(START + 40_000));
     lease.onPollSent(START + 10_250);
@@ -90,8 +90,8 @@
   void pauseResetsTheCountOfUnansweredPolls() {
     confirm(START);
     for (int i = 0; i < 6; i++) {
-      lease.observe(START + 4_000 + i * 1_250);
-      lease.onPollSent(START + 4_000 + i * 1_250);
+      lease.observe(START + 4_000 + i * 1_250L);
+      lease.onPollSent(START + 4_000 + i * 1_250L);
     }
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 20_000));
     assertTrue(lease.observe(START + 40_000));
