--- a/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
+++ b/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
@@ -62,7 +62,7 @@
     if (!inFlight.attempt.isOut()) {
       return;
     }
-    SendVerdict verdict = inFlight.mayBePlaced();
+    SendVerdict verdict = inFlight.checkSend();
     if (verdict == SendVerdict.ALLOWED) {
       inFlight.transport().send(inFlight);
     } else {
--- a/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
+++ b/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
@@ -95,7 +95,7 @@
         "after_ms",
         elapsed / Units.TENTHS_PER_MS,
         "written",
-        inFlight.place != InFlightAttempt.UNSENT);
+        inFlight.handedOver());
   }
 
   void requestRejected(Request request) {
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -15,7 +15,7 @@
 
 /** The engines as last told. */
 final class EndpointList {
-  private final Map<String, EngineAddress> sites = new LinkedHashMap<>();
+  private final Map<String, EngineAddress> engines = new LinkedHashMap<>();
   private final List<?> kinds;
   private final List<?> zones;
   private final EndpointListStatus status;
@@ -70,11 +70,11 @@
     }
     List<EndpointEntry> entries = new ArrayList<>();
     for (EndpointEntry entry : news.entries()) {
-      EngineAddress site = sites.get(entry.id());
+      EngineAddress engineAddress = engines.get(entry.id());
       if (entry.address() != null) {
         entries.add(entry);
-      } else if (site != null && site.entry != null) {
-        entries.add(site.entry.as(entry.standing()));
+      } else if (engineAddress != null && engineAddress.entry != null) {
+        entries.add(engineAddress.entry.as(entry.standing()));
       }
     }
     return new EndpointWatchEvent(news.index(), false, true, entries);
@@ -88,23 +88,23 @@
   private List<EndpointUpdate> listed(EndpointWatchEvent news, Map<String, Double> trust) {
     List<EndpointUpdate> listed = new ArrayList<>(news.entries().size());
     for (EndpointEntry entry : news.entries()) {
-      EngineAddress site = sites.get(entry.id());
-      if (site == null) {
-        site = new EngineAddress(entry.id());
-        site.transport = transports.create(owner, site, entry.kind());
-        sites.put(entry.id(), site);
+      EngineAddress engineAddress = engines.get(entry.id());
+      if (engineAddress == null) {
+        engineAddress = new EngineAddress(entry.id());
+        engineAddress.transport = transports.create(owner, engineAddress, entry.kind());
+        engines.put(entry.id(), engineAddress);
       }
-      site.at(entry, owner.now(), listedAt);
-      logChange(site, entry, news.index());
+      engineAddress.update(entry, owner.now(), listedAt);
+      logChange(engineAddress, entry, news.index());
       listed.add(
           new EndpointUpdate(
-              site.engine,
+              engineAddress.engine,
               place(kinds, entry.kind()),
               place(zones, entry.zone()),
               entry.cell(),
               entry.weight(),
               entry.standing(),
-              site.startedAt(),
+              engineAddress.startedAt(),
               trust.getOrDefault(entry.id(), 1.0)));
     }
     if (news.whole()) {
@@ -113,8 +113,8 @@
     return listed;
   }
 
-  private void logChange(EngineAddress site, EndpointEntry entry, long version) {
-    if (site.engine.standing != entry.standing()) {
+  private void logChange(EngineAddress engineAddress, EndpointEntry entry, long version) {
+    if (engineAddress.engine.standing != entry.standing()) {
       telemetry
           .log()
           .event(
@@ -122,15 +122,15 @@
               Topic.ENGINE,
               "engine state changed",
               "engine",
-              site.id,
+              engineAddress.id,
               "from",
-              site.engine.standing,
+              engineAddress.engine.standing,
               "to",
               entry.standing(),
               "version",
               version,
               "address",
-              site.address());
+              engineAddress.socketAddress());
     }
   }
 
@@ -147,12 +147,12 @@
 
   /** Looks after the connections; closes what leads to engines that are gone, and forgets these. */
   void sweep(long connectMost, long idleMost) {
-    for (Iterator<EngineAddress> i = sites.values().iterator(); i.hasNext(); ) {
-      EngineAddress site = i.next();
-      site.transport.checkTimeouts(connectMost, idleMost);
-      if (site.engine.standing == Status.GONE) {
-        site.transport.retireConnections();
-        if (site.transport.isEmpty() && site.engine.out.isEmpty()) {
+    for (Iterator<EngineAddress> i = engines.values().iterator(); i.hasNext(); ) {
+      EngineAddress engineAddress = i.next();
+      engineAddress.transport.checkTimeouts(connectMost, idleMost);
+      if (engineAddress.engine.standing == Status.GONE) {
+        engineAddress.transport.retireConnections();
+        if (engineAddress.transport.isEmpty() && engineAddress.engine.out.isEmpty()) {
           i.remove();
         }
       }
@@ -162,9 +162,10 @@
   /** Ends the connection that has been idle longest; false if none is idle. */
   boolean endIdle() {
     EngineTransport longest = null;
-    for (EngineAddress site : sites.values()) {
-      if (site.transport.idleSince() < (longest == null ? Long.MAX_VALUE : longest.idleSince())) {
-        longest = site.transport;
+    for (EngineAddress engineAddress : engines.values()) {
+      if (engineAddress.transport.idleSince()
+          < (longest == null ? Long.MAX_VALUE : longest.idleSince())) {
+        longest = engineAddress.transport;
       }
     }
     if (longest != null) {
@@ -174,7 +175,7 @@
   }
 
   int size() {
-    return Math.max(1, sites.size());
+    return Math.max(1, engines.size());
   }
 
   long index() {
--- a/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -16,7 +16,7 @@
   /** As it was last told whole, or null. */
   EndpointEntry entry;
 
-  private InetSocketAddress address;
+  private InetSocketAddress socketAddress;
   private long startedMs;
 
   /** The same on this gateway's clock, within what can be. */
@@ -26,8 +26,8 @@
     this.id = id;
   }
 
-  public InetSocketAddress address() {
-    return address;
+  public InetSocketAddress socketAddress() {
+    return socketAddress;
   }
 
   /**
@@ -36,18 +36,18 @@
    *
    * @param missingAt up to when this process is known not to have been there, if it is new
    */
-  void at(EndpointEntry entry, long now, long missingAt) {
-    if (entry.standing() != Status.GONE) {
-      InetSocketAddress told = new InetSocketAddress(entry.address(), entry.port());
-      if (!told.equals(address) || entry.startedMs() != startedMs) {
+  void update(EndpointEntry published, long now, long missingAt) {
+    if (published.standing() != Status.GONE) {
+      InetSocketAddress address = new InetSocketAddress(published.address(), published.port());
+      if (!address.equals(socketAddress) || published.startedMs() != startedMs) {
         transport.retireConnections();
       }
-      if (entry.startedMs() != startedMs || this.entry == null) {
-        startedAt = StartTime.bounded(entry.startedMs() * Units.TENTHS_PER_MS, now, missingAt);
+      if (published.startedMs() != startedMs || entry == null) {
+        startedAt = StartTime.bounded(published.startedMs() * Units.TENTHS_PER_MS, now, missingAt);
       }
-      address = told;
-      startedMs = entry.startedMs();
-      this.entry = entry;
+      socketAddress = address;
+      startedMs = published.startedMs();
+      entry = published;
     }
   }
 
@@ -59,7 +59,7 @@
   }
 
   /** Whether new work may go there. */
-  public boolean ready() {
+  public boolean isReady() {
     return engine.standing == Status.READY;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -1,13 +1,11 @@
 package tillerlink.net.state;
 
-import java.util.ArrayDeque;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import tillerlink.model.AttemptOutcome;
-import tillerlink.model.AttemptProgress;
 import tillerlink.net.wire.EngineCommand;
 import tillerlink.net.wire.EngineResponse;
 import tillerlink.net.wire.EngineResponseParser;
@@ -16,234 +14,112 @@
 import tillerlink.telemetry.Counter;
 import tillerlink.telemetry.EventLog.Topic;
 
-/** A connection to an engine, which bears many attempts. */
+/**
+ * A connection to an engine by the platform's line protocol, which carries many attempts. Owned by
+ * the event-loop thread.
+ */
 final class EngineConnection implements Channel.Owner {
   /**
-   * Attempts that ended here lately: an answer to one of these crossed our word and is no fault.
+   * Attempts that ended here last: an answer to one of these crossed our command and is no fault.
    */
-  private static final int ENDED_KEPT = 64;
+  private static final int RECENTLY_ENDED = 64;
 
-  private static final int PAGES_MOST = 64;
-  private static final int RESULT_MOST = 48_000;
-  private static final String TAG = "0";
+  private static final String PROBE_ID = "0";
 
   private final LineProtocolTransport transport;
-  private final EngineAddress site;
-  private final EngineTransport.Owner gateway;
-  private final long dialedAt;
-  private final EngineResponseParser reader = new EngineResponseParser();
+  private final EngineAddress engineAddress;
+  private final EngineTransport.Owner owner;
+  private final EngineResponseParser parser = new EngineResponseParser();
+  private final EngineResponseHandler responses;
+  private final AttemptWrites writes = new AttemptWrites();
+  private final ConnectionLiveness liveness;
   private final Map<String, InFlightAttempt> inFlightAttempts = new LinkedHashMap<>();
-  private final Set<String> ended = new LinkedHashSet<>();
-
-  /**
-   * An attempt on its way out.
-   *
-   * @param place its place among the writes here
-   * @param before when its first byte is to be out by
-   * @param limit how long the engine is told that the client waits
-   */
-  private record GoingOut(InFlightAttempt inFlight, long place, long before, long limit) {}
-
-  /** Attempts that are on their way out, in that order. */
-  private final ArrayDeque<GoingOut> goingOut = new ArrayDeque<>(1);
-
+  private final Set<String> recentlyEnded = new LinkedHashSet<>();
   private Channel channel;
-  private boolean open;
-  private boolean over;
-  private long writes;
-  private long writesDone;
+  private boolean closed;
 
-  /** Takes no new attempts; ends once those on it have. */
+  /** Takes no new attempts; closes once those on it have ended. */
   private boolean retired;
 
-  /** Closed because it held back what must not go out any more. */
-  private boolean dropped;
-
-  /** The last place among the writes of what was given up before all of it had gone out. */
-  private long givenUp;
-
-  private long heardAt;
-
-  /** When an attempt was last sent over it. */
-  private long sentAt;
-
-  /** Quiet for so long after both, it is asked whether it works. */
-  private long askAfter;
+  /** Aborted because it held back what must not be written any more. */
+  private boolean aborted;
 
-  private long idleSince;
-
-  /** When it was asked whether it works and has not said anything since; 0 if it was not. */
-  private long askedAt;
-
-  /** It did not say that it works. */
-  private boolean silent;
-
-  /** Since when half an answer waits for the rest; 0 if none does. */
-  private long midwaySince;
+  /** Since when half a response waits for the rest; 0 if none does. */
+  private long partialSince;
 
   EngineConnection(LineProtocolTransport transport, long now) {
     this.transport = transport;
-    gateway = transport.owner;
-    site = transport.site;
-    dialedAt = now;
-    heardAt = now;
-    idleSince = now;
+    owner = transport.owner;
+    engineAddress = transport.engineAddress;
+    responses = new EngineResponseHandler(this, owner);
+    liveness = new ConnectionLiveness(now, true);
   }
 
   void dial() {
-    channel = gateway.connect(site.address(), this);
+    channel = owner.connect(engineAddress.socketAddress(), this);
   }
 
-  boolean takes(String id, int most) {
-    return !retired
-        && !silent
-        && !over
-        && inFlightAttempts.size() < most
-        && !inFlightAttempts.containsKey(id)
-        && !ended.contains(id);
-  }
+  // ---- attempts ----
 
-  /**
-   * Takes no new attempts. One that is still coming up would send to whoever is at its address by
-   * then: it ends.
-   */
-  void retire() {
-    retired = true;
-    if (inFlightAttempts.isEmpty() || !open) {
-      end(DisconnectReason.CLOSED_BY_US);
-    }
-  }
-
-  /**
-   * Ends what did not come up or lies idle, sooner than the engine would: an attempt must not meet
-   * its close. Guards also against a machine that vanished, behind which connections stay open and
-   * silent: one with attempts on which nothing is heard is asked whether it works. If it does not
-   * say so, within one connect time-out in all, it takes no more attempts and a new connection is
-   * tried; if that fails as well, nobody is there, and the attempts end in doubt. If another
-   * connection to that engine works, this one alone is dead: its attempts are over and their
-   * answers lost. The same holds for half an answer whose rest does not come. What still waits to
-   * go out to an engine that drains, or was given up, is never sent. It should hold against any
-   * cut; it may hurt where a network loses everything for half a second.
-   */
-  void sweep(long connectMost, long idleMost) {
-    long now = gateway.now();
-    if (over) {
-      return;
-    }
-    if (!open && now >= dialedAt + connectMost) {
-      end(DisconnectReason.NEVER_UP);
-    } else if (inFlightAttempts.isEmpty() && now >= idleSince + idleMost) {
-      retire();
-    } else if (open
-        && askedAt == 0
-        && !inFlightAttempts.isEmpty()
-        && now >= Math.max(heardAt, sentAt) + Math.max(askAfter, connectMost / 2)) {
-      // What has said once that it works is asked half as often until the next attempt: all
-      // gateways
-      // ask all engines.
-      askAfter = connectMost;
-      askedAt = now;
-      write(EngineCommand.there(TAG));
-    } else if (midwaySince > 0 && now >= midwaySince + connectMost) {
-      end(DisconnectReason.GARBLED);
-    } else if (!dropped
-        && (givenUp > writesDone || !site.ready() && holdsBack(now - gateway.maxWriteDelay()))) {
-      // What went out of it is known once the connection has ended.
-      dropped = true;
-      retired = true;
-      channel.abort();
-    } else if (askedAt > 0 && !silent && now >= askedAt + connectMost / 2) {
-      silent = true;
-    }
-    if (!silent || over) {
-      return;
-    }
-    if (!transport.heardSince(askedAt)) {
-      transport.tryAnew();
-    } else if (now >= askedAt + connectMost) {
-      end(DisconnectReason.MUTE);
-    }
+  String engineId() {
+    return engineAddress.id;
   }
 
-  /**
-   * A new connection to its engine failed: if this one does not say that it works, its attempts end
-   * in doubt.
-   */
-  void nobodyThere() {
-    if (silent) {
-      gateway.warnRateLimited(
-          "engine " + site.id + " is silent, " + inFlightAttempts.size() + " hops end in doubt");
-      end(DisconnectReason.SILENT);
-    } else if (inFlightAttempts.isEmpty()) {
-      retire();
-    }
+  /** Whether it can carry one more attempt, of that id. */
+  boolean accepts(String id, int maxAttempts) {
+    return !retired
+        && !liveness.isSilent()
+        && !closed
+        && inFlightAttempts.size() < maxAttempts
+        && !inFlightAttempts.containsKey(id)
+        && !recentlyEnded.contains(id);
   }
 
-  /** How many attempts it bears. */
-  int bears() {
+  /** How many attempts it carries. */
+  int attemptCount() {
     return inFlightAttempts.size();
   }
 
-  /** Since when it bears nothing; {@link Long#MAX_VALUE} if it bears something or is coming up. */
-  long idleSince() {
-    return open && inFlightAttempts.isEmpty() ? idleSince : Long.MAX_VALUE;
-  }
-
-  /** Whether it is still coming up. */
-  boolean dialing() {
-    return !open;
+  /** The attempt of that id, or null if it carries none. */
+  InFlightAttempt attempt(String id) {
+    return inFlightAttempts.get(id);
   }
 
-  /** Whether it came up, or the engine said something on it, since then. */
-  boolean heardSince(long then) {
-    return open && heardAt >= then;
+  boolean recentlyEnded(String id) {
+    return recentlyEnded.contains(id);
   }
 
   void send(InFlightAttempt inFlight) {
-    inFlight.link = this;
+    inFlight.connection = this;
     inFlightAttempts.put(inFlight.id(), inFlight);
-    sentAt = gateway.now();
-    askAfter = 0;
-    if (open) {
+    liveness.onAttemptSent(owner.now());
+    if (liveness.isOpen()) {
       start(inFlight);
     }
   }
 
   /**
-   * Asks for its result, or for what it lacks of it. Guards the drain: an attempt that waited for
-   * the connection to come up is not sent to an engine that was said to drain meanwhile, for that
-   * may be past the grace. Pages are no new work.
+   * Requests its result, or what is missing of it. Guards the drain: an attempt that waited for the
+   * connection to open is not sent to an engine that began to drain meanwhile, for that may be past
+   * the grace. Pages are no new work.
    */
   private void start(InFlightAttempt inFlight) {
     if (inFlight.pages != null) {
-      turnPages(inFlight);
+      responses.requestMissingPages(inFlight);
       return;
     }
-    SendVerdict verdict = inFlight.mayGo();
+    SendVerdict verdict = inFlight.checkWrite();
     if (verdict == SendVerdict.ALLOWED) {
       want(inFlight);
     } else {
-      gateway.attemptWithheld(inFlight, verdict);
-      transport.unsent(inFlight, DisconnectReason.WITHDRAWN);
+      owner.attemptWithheld(inFlight, verdict);
+      transport.endUnsent(inFlight, DisconnectReason.WITHDRAWN);
     }
   }
 
-  /**
-   * Whether part of an attempt has waited longer than that to go out to a peer that does not read.
-   */
-  private boolean holdsBack(long since) {
-    return inFlightAttempts.values().stream()
-        .anyMatch(
-            inFlight ->
-                inFlight.pages == null
-                    && inFlight.place != InFlightAttempt.UNSENT
-                    && inFlight.place > writesDone
-                    && inFlight.attempt.sentAt <= since);
-  }
-
   private void want(InFlightAttempt inFlight) {
-    long millisLeft = inFlight.millisLeft(gateway.now());
-    long before = gateway.writeDeadline(inFlight);
+    long millisLeft = inFlight.millisLeft(owner.now());
+    long before = owner.writeDeadline(inFlight);
     channel.writeUntil(
         EngineCommand.want(
             inFlight.id(),
@@ -252,248 +128,263 @@
             inFlight.key(),
             inFlight.statement()),
         before);
-    inFlight.place = ++writes;
-    goingOut.add(new GoingOut(inFlight, writes, before, millisLeft * Units.TENTHS_PER_MS));
+    writes.onAttemptWrite(inFlight, before, millisLeft * Units.TENTHS_PER_MS);
   }
 
-  private long write(byte[] bytes) {
+  /** Writes a command that is no attempt. */
+  void write(byte[] bytes) {
     channel.write(bytes);
-    return ++writes;
+    writes.onWrite();
   }
 
-  /** Gives an attempt up; what that proves. */
-  AttemptOutcome giveUp(InFlightAttempt inFlight) {
-    boolean sent = inFlight.place != InFlightAttempt.UNSENT;
-    if (sent && !over) {
-      givenUp = inFlight.pages == null && inFlight.place > writesDone ? inFlight.place : givenUp;
+  /** Cancels an attempt; what that proves about its execution. */
+  AttemptOutcome cancel(InFlightAttempt inFlight) {
+    boolean sent = inFlight.handedOver();
+    if (sent && !closed) {
+      writes.onCancelled(inFlight);
       write(EngineCommand.cancel(inFlight.id()));
     }
     return DisconnectReason.CLOSED_BY_US.outcome(sent);
   }
 
-  /** An attempt is over: nothing more of it is expected here. */
+  /** An attempt has ended: nothing more of it is expected here. */
   void release(InFlightAttempt inFlight) {
     if (inFlightAttempts.remove(inFlight.id(), inFlight)) {
-      ended.add(inFlight.id());
-      if (ended.size() > ENDED_KEPT) {
-        ended.remove(ended.iterator().next());
+      recentlyEnded.add(inFlight.id());
+      if (recentlyEnded.size() > RECENTLY_ENDED) {
+        recentlyEnded.remove(recentlyEnded.iterator().next());
       }
     }
-    idleSince = gateway.now();
+    liveness.onAttemptEnded(owner.now());
     if (retired && inFlightAttempts.isEmpty()) {
       end(DisconnectReason.CLOSED_BY_US);
     }
   }
 
+  // ---- events of the channel ----
+
   @Override
   public void onOpened() {
-    if (over) {
+    if (closed) {
       return;
     }
-    open = true;
-    heardAt = gateway.now();
+    liveness.onOpened(owner.now());
     inFlightAttempts.values().forEach(this::start);
   }
 
   @Override
   public void onWritten() {
-    onWritten(gateway.now());
+    onWritten(owner.now());
   }
 
   @Override
   public void onWritten(long firstByteAt) {
-    GoingOut out = nextWriteDone();
-    if (out != null) {
-      gateway.attemptSent(out.inFlight, firstByteAt, out.before, out.limit);
-      if (out.inFlight.guarded()) {
-        gateway.attemptWritten(out.inFlight);
+    AttemptWrites.OutgoingAttempt written = writes.completeNext();
+    if (written != null) {
+      InFlightAttempt inFlight = written.inFlight();
+      owner.attemptSent(inFlight, firstByteAt, written.before(), written.limit());
+      if (inFlight.fenced()) {
+        owner.attemptWritten(inFlight);
       }
     }
   }
 
-  /** Nothing of the attempt has gone out, though it was handed over: it surely never ran. */
+  /** Nothing of the attempt was written, though it was handed over: it surely was not executed. */
   @Override
   public void onWithheld() {
-    GoingOut out = nextWriteDone();
-    out.inFlight.place = InFlightAttempt.UNSENT;
-    gateway.attemptWithheld(out.inFlight, SendVerdict.WRITE_DELAYED);
-    if (out.inFlight.attempt.isOut()) {
-      gateway.attemptEnded(out.inFlight, DisconnectReason.WITHDRAWN.outcome(false));
+    InFlightAttempt inFlight = writes.completeNext().inFlight();
+    inFlight.writeNumber = InFlightAttempt.UNSENT;
+    owner.attemptWithheld(inFlight, SendVerdict.WRITE_DELAYED);
+    if (inFlight.attempt.isOut()) {
+      owner.attemptEnded(inFlight, DisconnectReason.WITHDRAWN.outcome(false));
     }
   }
 
-  /** Counts a write that is done; the attempt that it was, or null. */
-  private GoingOut nextWriteDone() {
-    writesDone++;
-    boolean attempt = !goingOut.isEmpty() && goingOut.peek().place <= writesDone;
-    return attempt ? goingOut.poll() : null;
-  }
-
   @Override
   public void onBytes(byte[] bytes) {
-    if (over) {
+    if (closed) {
       return;
     }
-    heardAt = gateway.now();
-    askedAt = 0;
-    silent = false;
+    long now = owner.now();
+    liveness.onHeard(now);
     try {
-      reader.feed(bytes);
-      for (EngineResponse answer = reader.next(); answer != null && !over; answer = reader.next()) {
-        take(answer);
+      parser.feed(bytes);
+      for (EngineResponse response = parser.next();
+          response != null && !closed;
+          response = parser.next()) {
+        responses.handle(response);
       }
-      midwaySince = !reader.midway() ? 0 : midwaySince == 0 ? heardAt : midwaySince;
+      partialSince = !parser.midway() ? 0 : partialSince == 0 ? now : partialSince;
     } catch (IllegalArgumentException e) {
-      gateway.warnRateLimited("engine " + site.id + " said what can't be read: " + e.getMessage());
+      owner.warnRateLimited("engine " + engineId() + " said what can't be read: " + e.getMessage());
       end(DisconnectReason.GARBLED);
     }
   }
 
+  /** If it closed in the middle of a response, the attempts on it were executed. */
+  @Override
+  public void onClosed(DisconnectReason how) {
+    end(
+        aborted ? DisconnectReason.HELD_BACK : parser.midway() ? DisconnectReason.GARBLED : how,
+        true);
+  }
+
+  // ---- time ----
+
+  /** Whether it is still being opened. */
+  boolean dialing() {
+    return !liveness.isOpen();
+  }
+
+  /** Whether it opened, or the engine was heard on it, since then. */
+  boolean heardSince(long then) {
+    return liveness.heardSince(then);
+  }
+
+  /** Since when it is idle; {@link Long#MAX_VALUE} if it carries attempts or is being opened. */
+  long idleSince() {
+    return liveness.isOpen() && inFlightAttempts.isEmpty() ? liveness.idleSince() : Long.MAX_VALUE;
+  }
+
   /**
-   * Guards the attempts beside it against an answer that belongs to none here, or that comes twice:
-   * its framing is sound, so it is passed over and the connection goes on.
+   * Takes no new attempts. One that is still being opened would send to whoever is at its address
+   * by then: it closes.
    */
-  private void take(EngineResponse answer) {
-    InFlightAttempt inFlight = inFlightAttempts.get(answer.id());
-    if (inFlight == null) {
-      if (answer.word() != EngineResponse.Word.YES && !ended.contains(answer.id())) {
-        gateway.warnRateLimited("engine " + site.id + " answered what was not asked");
-      }
-      return;
-    }
-    switch (answer.word()) {
-      case OK -> begin(inFlight, answer);
-      case BATCH -> {
-        if (inFlight.lacks(answer.number())) {
-          inFlight.take(answer.number(), answer.body());
-          keep(inFlight, answer);
-        }
-      }
-      case REFUSED -> gateway.attemptEnded(inFlight, AttemptOutcome.REJECTED);
-      // A page that the engine no longer has says nothing against what it runs.
-      case ERROR ->
-          gateway.attemptEnded(
-              inFlight,
-              inFlight.pages == null ? AttemptOutcome.FAILED : AttemptOutcome.RESPONSE_LOST);
-      case STALE -> gateway.attemptEnded(inFlight, AttemptOutcome.NOT_SENT);
-      case PROGRESS -> {
-        if (answer.about() != null) {
-          gateway.attemptProgressed(inFlight, note(answer.about()), answer.level());
-        }
-      }
-      default -> throw new IllegalArgumentException("a word that is no answer to a submission");
+  void retire() {
+    retired = true;
+    if (inFlightAttempts.isEmpty() || !liveness.isOpen()) {
+      end(DisconnectReason.CLOSED_BY_US);
     }
   }
 
-  private static AttemptProgress note(EngineResponse.About about) {
-    return switch (about) {
-      case SHARE_DONE -> AttemptProgress.PROGRESS;
-      case MEGABYTES_MISSING -> AttemptProgress.SPILLS;
-      case PARKED -> AttemptProgress.WAITS;
-    };
-  }
-
-  /** The first page is there: the others are asked for at once. */
-  private void begin(InFlightAttempt inFlight, EngineResponse answer) {
-    if (inFlight.pages != null) {
+  /**
+   * Closes a connection that did not open, or that is idle, sooner than the engine would: an
+   * attempt must not meet its close. Guards also against a machine that vanished ({@link
+   * ConnectionLiveness}): if no new connection opens either, nobody is there and the attempts end
+   * with their outcome unknown; if another connection to that engine works, this one alone is dead:
+   * its attempts were executed and their responses are lost. The same holds for half a response
+   * whose rest does not come. An attempt that still waits to be written to a draining engine, or
+   * was cancelled, is never sent.
+   */
+  void checkTimeouts(long connectTimeout, long idleTimeout) {
+    if (closed) {
       return;
     }
-    int pages = Math.max(1, answer.number());
-    if (pages > PAGES_MOST) {
-      throw new IllegalArgumentException("a result of " + pages + " pages");
+    long now = owner.now();
+    boolean idle = inFlightAttempts.isEmpty();
+    if (!liveness.isOpen() && liveness.openTimedOut(now, connectTimeout)) {
+      end(DisconnectReason.NEVER_UP);
+    } else if (idle && liveness.idleTimedOut(now, idleTimeout)) {
+      retire();
+    } else if (liveness.isOpen() && !idle && liveness.probeDue(now, connectTimeout)) {
+      liveness.onProbeSent(now, connectTimeout);
+      write(EngineCommand.there(PROBE_ID));
+    } else if (partialSince > 0 && now >= partialSince + connectTimeout) {
+      end(DisconnectReason.GARBLED);
+    } else if (!aborted && holdsObsoleteWrite(now)) {
+      // What was written is known once the connection has closed.
+      aborted = true;
+      retired = true;
+      channel.abort();
+    } else {
+      liveness.checkProbe(now, connectTimeout);
     }
-    inFlight.pages = new byte[pages][];
-    inFlight.missing = pages;
-    inFlight.take(0, answer.body());
-    turnPages(inFlight);
-    keep(inFlight, answer);
-  }
-
-  private void turnPages(InFlightAttempt inFlight) {
-    for (int page = 1; page < inFlight.pages.length; page++) {
-      if (inFlight.lacks(page)) {
-        write(EngineCommand.turn(inFlight.id(), page));
-      }
+    if (!closed && liveness.isSilent()) {
+      handleSilence(now, connectTimeout);
     }
   }
 
-  /** A page was taken: counts it, and ends the attempt with the last. */
-  private void keep(InFlightAttempt inFlight, EngineResponse answer) {
-    gateway.retainedBytesChanged(answer.body().length);
-    if (inFlight.bytes > RESULT_MOST) {
-      inFlight.pages = null;
-      throw new IllegalArgumentException("a result too long");
-    }
-    if (inFlight.missing == 0) {
-      if (inFlight.pages.length > 1) {
-        write(EngineCommand.shut(inFlight.id()));
-      }
-      gateway.attemptEnded(inFlight, AttemptOutcome.SUCCEEDED);
+  private void handleSilence(long now, long connectTimeout) {
+    boolean engineHeard = transport.heardSince(liveness.probedAt());
+    switch (liveness.silenceAction(now, connectTimeout, engineHeard)) {
+      case OPEN_ANOTHER -> transport.openAnother();
+      case GIVE_UP -> end(DisconnectReason.MUTE);
+      default -> {}
     }
   }
 
-  /** It went in the middle of an answer: what it bore has run. */
-  @Override
-  public void onClosed(DisconnectReason how) {
-    end(
-        dropped ? DisconnectReason.HELD_BACK : reader.midway() ? DisconnectReason.GARBLED : how,
-        true);
+  /**
+   * Whether it holds an attempt that must not be written any more: cancelled, or kept for too long
+   * by a peer that does not read while its engine drains.
+   */
+  private boolean holdsObsoleteWrite(long now) {
+    return writes.cancelledAttemptPending()
+        || !engineAddress.isReady() && holdsWriteSince(now - owner.maxWriteDelay());
   }
 
-  /** Ends the connection from here. */
-  void end(DisconnectReason how) {
-    end(how, false);
+  private boolean holdsWriteSince(long sentAt) {
+    return inFlightAttempts.values().stream()
+        .anyMatch(inFlight -> writes.isPending(inFlight) && inFlight.attempt.sentAt <= sentAt);
   }
 
-  private void countEnd(DisconnectReason how) {
-    gateway.telemetry().metrics().add(Counter.ENGINE_CONNECTIONS_ENDED, how);
-    if (how != DisconnectReason.CLOSED_BY_US || !inFlightAttempts.isEmpty()) {
-      gateway
-          .telemetry()
-          .log()
-          .event(
-              gateway.now(),
-              Topic.CONNECTION,
-              "engine connection ended",
-              "engine",
-              site.id,
-              "how",
-              how,
-              "attempts",
-              inFlightAttempts.size(),
-              "up",
-              open);
+  /**
+   * A new connection to its engine failed: if this one does not answer its probe, its attempts end
+   * with their outcome unknown.
+   */
+  void onEngineUnreachable() {
+    if (liveness.isSilent()) {
+      owner.warnRateLimited(
+          "engine " + engineId() + " is silent, " + inFlightAttempts.size() + " hops end in doubt");
+      end(DisconnectReason.SILENT);
+    } else if (inFlightAttempts.isEmpty()) {
+      retire();
     }
   }
 
+  // ---- the end ----
+
+  private void end(DisconnectReason how) {
+    end(how, false);
+  }
+
   /**
-   * Ends the connection; each attempt on it ends as that means for it. Only once the connection has
-   * ended by itself is it known what was written: while it is open, an attempt that was handed over
-   * may be on its way though nobody said so yet.
+   * Ends the connection; each attempt on it ends as that means for it.
+   *
+   * @param writesKnown whether the channel has closed, so that it is known what was written: while
+   *     it is open, an attempt that was handed over may be on its way though nobody said so yet
    */
-  private void end(DisconnectReason how, boolean exact) {
-    if (over) {
+  private void end(DisconnectReason how, boolean writesKnown) {
+    if (closed) {
       return;
     }
-    over = true;
+    closed = true;
     countEnd(how);
-    transport.linkEnded(this);
+    transport.onConnectionEnded(this);
     if (how == DisconnectReason.CLOSED_BY_US) {
       channel.close();
     } else {
       channel.abort();
     }
+    boolean resumable = how != DisconnectReason.CLOSED_BY_US && how != DisconnectReason.SILENT;
     for (InFlightAttempt inFlight : List.copyOf(inFlightAttempts.values())) {
-      if (how == DisconnectReason.CLOSED_BY_US
-          || how == DisconnectReason.SILENT
-          || !transport.mend(inFlight)) {
-        boolean whole =
-            exact ? inFlight.place <= writesDone : inFlight.place != InFlightAttempt.UNSENT;
-        gateway.attemptEnded(inFlight, how.outcome(whole || inFlight.pages != null));
+      if (!resumable || !transport.resume(inFlight)) {
+        boolean whole = writesKnown ? writes.isCompleted(inFlight) : inFlight.handedOver();
+        owner.attemptEnded(inFlight, how.outcome(whole || inFlight.pages != null));
       }
     }
     if (how == DisconnectReason.REFUSED || how == DisconnectReason.NEVER_UP) {
-      transport.nobodyThere();
+      transport.onConnectFailed();
+    }
+  }
+
+  private void countEnd(DisconnectReason how) {
+    owner.telemetry().metrics().add(Counter.ENGINE_CONNECTIONS_ENDED, how);
+    if (how != DisconnectReason.CLOSED_BY_US || !inFlightAttempts.isEmpty()) {
+      owner
+          .telemetry()
+          .log()
+          .event(
+              owner.now(),
+              Topic.CONNECTION,
+              "engine connection ended",
+              "engine",
+              engineId(),
+              "how",
+              how,
+              "attempts",
+              inFlightAttempts.size(),
+              "up",
+              liveness.isOpen());
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
@@ -17,7 +17,7 @@
     long now();
 
     /** Word on an attempt that is still out. */
-    void attemptProgressed(InFlightAttempt inFlight, AttemptProgress note, double level);
+    void attemptProgressed(InFlightAttempt inFlight, AttemptProgress progress, double level);
 
     /**
      * An attempt is over; told once. One that was taken in this turn ends by {@link
@@ -26,7 +26,7 @@
     void attemptEnded(InFlightAttempt inFlight, AttemptOutcome outcome);
 
     /**
-     * All of an attempt that is {@link InFlightAttempt#guarded} has gone out; told before anything
+     * All of an attempt that is {@link InFlightAttempt#fenced} has gone out; told before anything
      * that comes of it.
      */
     void attemptWritten(InFlightAttempt inFlight);
@@ -46,7 +46,7 @@
     void attemptWithheld(InFlightAttempt inFlight, SendVerdict verdict);
 
     /** Something of the next turn. */
-    void runInNextIteration(Runnable what);
+    void runInNextIteration(Runnable task);
 
     /** Bytes that are kept for a client, or no longer. */
     void retainedBytesChanged(long more);
@@ -96,7 +96,7 @@
   void release(InFlightAttempt inFlight);
 
   /** Looks after what time brings. */
-  void checkTimeouts(long connectMost, long idleMost);
+  void checkTimeouts(long connectTimeout, long idleTimeout);
 
   /**
    * Takes no new attempts over what is open now: that leads to a process which is not the one
@@ -126,6 +126,6 @@
     /**
      * @param kind the engine's kind, by its name
      */
-    EngineTransport create(Owner owner, EngineAddress site, String kind);
+    EngineTransport create(Owner owner, EngineAddress engineAddress, String kind);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -42,11 +42,11 @@
             context.telemetry(),
             context.listStatus(),
             this,
-            (owner, site, kind) -> {
+            (owner, engineAddress, kind) -> {
               EngineTransport transport =
-                  factory == null ? null : factory.create(owner, site, kind);
+                  factory == null ? null : factory.create(owner, engineAddress, kind);
               return transport == null
-                  ? new LineProtocolTransport(owner, site, settings.streamsPerConnection())
+                  ? new LineProtocolTransport(owner, engineAddress, settings.streamsPerConnection())
                   : transport;
             });
   }
@@ -115,11 +115,11 @@
     }
     inFlight.transport().release(inFlight);
     AttemptOutcome outcome =
-        inFlight.guarded() ? fencedRequests.ended(inFlight, reported) : reported;
+        inFlight.fenced() ? fencedRequests.ended(inFlight, reported) : reported;
     if (outcome == AttemptOutcome.SUCCEEDED) {
       clients.fulfil(inFlight.pending, ResultEncoder.answer(inFlight.pages));
     }
-    inFlight.forgetAnswer();
+    inFlight.releaseResult();
     retainedBytesChanged(-inFlight.bytes);
     long elapsed = context.now() - inFlight.attempt.sentAt;
     context.dispatchLog().attemptEnded(inFlight, outcome, elapsed);
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -55,12 +55,12 @@
    * late.
    */
   void written(InFlightAttempt inFlight) {
-    if (inFlight.sound || !inFlight.attempt.isOut()) {
+    if (inFlight.confirmedByGuard || !inFlight.attempt.isOut()) {
       return;
     }
-    inFlight.sound = inFlight.pending.guard.holds();
-    if (!inFlight.sound) {
-      inFlight.stale = true;
+    inFlight.confirmedByGuard = inFlight.pending.guard.holds();
+    if (!inFlight.confirmedByGuard) {
+      inFlight.fencedOff = true;
       context.iteration().runInNextIteration(() -> withdraw(inFlight.pending));
     }
   }
@@ -70,14 +70,14 @@
    * is lost.
    */
   AttemptOutcome ended(InFlightAttempt inFlight, AttemptOutcome outcome) {
-    if (inFlight.began) {
+    if (inFlight.startNotified) {
       inFlight.pending.guard.onAttemptEnded(mayRunUntil(inFlight, outcome));
     }
-    if (inFlight.refused) {
+    if (inFlight.refusedByGuard) {
       withdraw(inFlight.pending);
     } else if (outcome == AttemptOutcome.SUCCEEDED) {
-      inFlight.stale |= !inFlight.sound && !inFlight.pending.guard.holds();
-      if (inFlight.stale) {
+      inFlight.fencedOff |= !inFlight.confirmedByGuard && !inFlight.pending.guard.holds();
+      if (inFlight.fencedOff) {
         withdraw(inFlight.pending);
         return AttemptOutcome.RESPONSE_LOST;
       }
@@ -93,7 +93,7 @@
    * run, whatever became of the rest.
    */
   private static long mayRunUntil(InFlightAttempt inFlight, AttemptOutcome outcome) {
-    boolean over = !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.begun();
+    boolean over = !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.resultStarted();
     return over ? 0 : inFlight.pending.request.clientDeadline;
   }
 
@@ -110,7 +110,7 @@
         pending.request.requestClass != null
                 && pending.request.requestClass.terms.effect() == Effect.PURE
             || pending.inFlightAttempts.stream()
-                .allMatch(inFlight -> inFlight.refused || !inFlight.attempt.mayHaveRun());
+                .allMatch(inFlight -> inFlight.refusedByGuard || !inFlight.attempt.mayHaveRun());
     if (again) {
       clients.reject(pending, pending.guard.retryAfter());
     } else {
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -8,55 +8,61 @@
 import tillerlink.policy.SendVerdict;
 
 /**
- * An attempt on its way: the connection that bears it, and the pages of its result that have come.
+ * An attempt in flight: the connection that carries it, and what has come of its result. Owned by
+ * the event-loop thread.
  */
 public final class InFlightAttempt {
-  /** While its connection is not up. */
+  /** The number of its write while it was not handed to a channel. */
   static final long UNSENT = Long.MAX_VALUE;
 
   public final Attempt attempt;
   final PendingResponse pending;
-  EngineConnection link;
 
-  /**
-   * Its place among the writes of its connection; none of it has been written before that one is.
-   */
-  long place = UNSENT;
+  /** Its line-protocol connection, or null. */
+  EngineConnection connection;
+
+  /** The number of its write on that connection; none of it is written before that one is. */
+  long writeNumber = UNSENT;
 
+  /** The pages of its result, null where one is missing; null before the first has come. */
   byte[][] pages;
-  int missing;
 
-  /** Bytes of the pages that have come. */
+  int missingPages;
+
+  /** Bytes of its result that have come. */
   int bytes;
 
-  /** Its guard was told that it is out. */
-  boolean began;
+  /** Its guard was notified that it may be written. */
+  boolean startNotified;
 
   /** It was not written, for its guard did not hold. */
-  boolean refused;
+  boolean refusedByGuard;
 
   /** Its guard held after all of it was written. */
-  boolean sound;
+  boolean confirmedByGuard;
 
-  /** Its guard did not: nothing that comes of it is handed out. */
-  boolean stale;
+  /** Its guard did not hold any more after the write: nothing that comes of it is handed out. */
+  boolean fencedOff;
 
-  /** How often its pages were asked for on a further connection. */
-  int mended;
+  /** How often the rest of its result was requested on a further connection. */
+  private int resumptions;
 
-  private ByteArrayOutputStream answer;
+  /** A result that comes as one body, from its first byte on; null before. */
+  private ByteArrayOutputStream result;
 
-  private final Function<Attempt, SendVerdict> guard;
+  private final Function<Attempt, SendVerdict> policyCheck;
 
   /**
-   * @param guard whether an attempt may still begin
+   * @param policyCheck whether an attempt may still be written
    */
-  InFlightAttempt(Attempt attempt, PendingResponse pending, Function<Attempt, SendVerdict> guard) {
+  InFlightAttempt(
+      Attempt attempt, PendingResponse pending, Function<Attempt, SendVerdict> policyCheck) {
     this.attempt = attempt;
     this.pending = pending;
-    this.guard = guard;
+    this.policyCheck = policyCheck;
   }
 
+  /** The id by which the client correlates its request. */
   public String id() {
     return pending.id();
   }
@@ -75,80 +81,99 @@
     return (EngineAddress) attempt.engine.tag;
   }
 
+  /** The name of its request class. */
   public String requestClass() {
     return pending.submission.requestClass();
   }
 
-  /** The mark against repeats, or null. */
+  /** The idempotency key, or null. */
   public String key() {
     return pending.submission.key();
   }
 
+  /** The statement to execute. */
   public byte[] statement() {
     return pending.submission.statement();
   }
 
-  /** Asked before it is handed to a transport; if not, it ends as one that was never sent. */
-  SendVerdict mayBePlaced() {
-    refused = pending.guard != null && !pending.guard.holds();
-    return refused ? SendVerdict.SHARED_STATE : guard.apply(attempt);
+  /** How long the client still waits, in milliseconds; 1 at least. */
+  public long millisLeft(long now) {
+    return Math.max(1, (pending.request.clientDeadline - now) / Units.TENTHS_PER_MS);
+  }
+
+  // ---- whether it may be written ----
+
+  /**
+   * Checked before it is handed to a transport; unless it is allowed it ends as one that was never
+   * sent.
+   */
+  SendVerdict checkSend() {
+    refusedByGuard = pending.guard != null && !pending.guard.holds();
+    return refusedByGuard ? SendVerdict.SHARED_STATE : policyCheck.apply(attempt);
   }
 
-  /** Asked by whoever writes it, right before; if not, it ends as one that was never sent. */
-  public SendVerdict mayGo() {
-    SendVerdict verdict = mayBePlaced();
-    if (verdict == SendVerdict.ALLOWED && pending.guard != null && !began) {
-      began = true;
+  /**
+   * Checked by the connection right before it writes the attempt; unless it is allowed it ends as
+   * one that was never sent.
+   */
+  public SendVerdict checkWrite() {
+    SendVerdict verdict = checkSend();
+    if (verdict == SendVerdict.ALLOWED && pending.guard != null && !startNotified) {
+      startNotified = true;
       pending.guard.onAttemptStarted();
     }
     return verdict;
   }
 
-  /** Whether {@link EngineTransport.Owner#attemptWritten} is waited for. */
-  public boolean guarded() {
+  /** Whether a guard decides on its result, so that its write has to be reported. */
+  public boolean fenced() {
     return pending.guard != null;
   }
 
-  /** How long the client still waits, in milliseconds; 1 at least. */
-  public long millisLeft(long now) {
-    return Math.max(1, (pending.request.clientDeadline - now) / Units.TENTHS_PER_MS);
+  /** Whether it was handed to a line-protocol connection's channel. */
+  boolean handedOver() {
+    return writeNumber != UNSENT;
   }
 
-  // ---- results that come as one body and not in pages ----
+  // ---- results that come as pages ----
 
-  /** The engine has succeeded it and its result has begun to come. */
-  public void answerBegins() {
-    answer = new ByteArrayOutputStream();
+  /** Whether a page is one that was requested and has not come. */
+  boolean lacks(int number) {
+    return pages != null && number >= 1 && number < pages.length && pages[number] == null;
   }
 
-  /** Whether it has begun: then it has run, whatever becomes of what is asked for since. */
-  public boolean begun() {
-    return answer != null;
+  void addPage(int number, byte[] page) {
+    pages[number] = page;
+    bytes += page.length;
+    missingPages--;
   }
 
-  /** How many bytes of it have come. */
-  public int answerSize() {
-    return answer.size();
+  // ---- results that come as one body ----
+
+  /** Its engine has executed it, and its result begins to come. */
+  public void startResult() {
+    result = new ByteArrayOutputStream();
   }
 
-  public void answerGrows(byte[] more) {
-    answer.writeBytes(more);
-    bytes += more.length;
+  /** Whether its result has begun to come: then it was executed, whatever happens afterwards. */
+  public boolean resultStarted() {
+    return result != null;
   }
 
-  void forgetAnswer() {
-    pages = null;
-    answer = null;
+  /** How many bytes of the body have come. */
+  public int resultSize() {
+    return result.size();
   }
 
-  /** Counts that the rest is asked for on a further connection; false beyond so many times. */
-  public boolean mendAgain(int most) {
-    return mended++ < most;
+  /** A part of the body has come. */
+  public void appendResult(byte[] more) {
+    result.writeBytes(more);
+    bytes += more.length;
   }
 
-  /** It has come whole; false if it is no result. */
-  public boolean completeAnswer() {
-    byte[] rows = answer.toByteArray();
+  /** The body has come whole; false if it is no result. */
+  public boolean completeResult() {
+    byte[] rows = result.toByteArray();
     try {
       ResultEncoder.check(rows);
     } catch (IllegalArgumentException e) {
@@ -158,14 +183,25 @@
     return true;
   }
 
-  /** Whether a page is one that was asked for and has not come. */
-  boolean lacks(int number) {
-    return pages != null && number >= 1 && number < pages.length && pages[number] == null;
+  // ---- both ----
+
+  /** Whether the rest of the result may be requested once more on a further connection. */
+  boolean mayResume(int limit) {
+    return resumptions < limit;
   }
 
-  void take(int number, byte[] page) {
-    pages[number] = page;
-    bytes += page.length;
-    missing--;
+  /** Counts that the rest of the result is requested on a further connection. */
+  void countResumption() {
+    resumptions++;
+  }
+
+  /** Counts that the rest is requested on a further connection; false beyond so many times. */
+  public boolean tryResume(int limit) {
+    return resumptions++ < limit;
+  }
+
+  void releaseResult() {
+    pages = null;
+    result = null;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -11,27 +11,30 @@
  * settings allow.
  */
 final class LineProtocolTransport implements EngineTransport {
-  private static final int MENDS_MOST = 3;
+  private static final int MAX_RESUMPTIONS = 3;
 
   final Owner owner;
-  final EngineAddress site;
-  private final int streams;
-  private final List<EngineConnection> links = new ArrayList<>(2);
+  final EngineAddress engineAddress;
 
-  LineProtocolTransport(Owner owner, EngineAddress site, int streams) {
+  /** Attempts that one connection carries at once. */
+  private final int maxAttempts;
+
+  private final List<EngineConnection> connections = new ArrayList<>(2);
+
+  LineProtocolTransport(Owner owner, EngineAddress engineAddress, int maxAttempts) {
     this.owner = owner;
-    this.site = site;
-    this.streams = streams;
+    this.engineAddress = engineAddress;
+    this.maxAttempts = maxAttempts;
   }
 
   @Override
   public void send(InFlightAttempt inFlight) {
-    EngineConnection link = linkFor(inFlight);
-    if (link == null) {
+    EngineConnection connection = connectionFor(inFlight);
+    if (connection == null) {
       owner.warnRateLimited("no room for a further engine connection");
-      unsent(inFlight, DisconnectReason.NO_ROOM);
+      endUnsent(inFlight, DisconnectReason.NO_ROOM);
     } else {
-      link.send(inFlight);
+      connection.send(inFlight);
     }
   }
 
@@ -39,8 +42,8 @@
    * Nothing of an attempt was written, and nothing will be: the module hears of it in the next
    * turn.
    */
-  void unsent(InFlightAttempt inFlight, DisconnectReason why) {
-    owner.runInNextIteration(() -> owner.attemptEnded(inFlight, why.outcome(false)));
+  void endUnsent(InFlightAttempt inFlight, DisconnectReason reason) {
+    owner.runInNextIteration(() -> owner.attemptEnded(inFlight, reason.outcome(false)));
   }
 
   /**
@@ -48,18 +51,19 @@
    * spoilt answer, after which a connection can't be read any more, that takes the attempts beside
    * it along.
    */
-  private EngineConnection linkFor(InFlightAttempt inFlight) {
-    EngineConnection link = roomy(inFlight.id());
-    EngineConnection fresh = link == null || link.bears() > 0 ? dial() : null;
-    return fresh == null ? link : fresh;
+  private EngineConnection connectionFor(InFlightAttempt inFlight) {
+    EngineConnection connection = leastLoaded(inFlight.id());
+    EngineConnection opened = connection == null || connection.attemptCount() > 0 ? dial() : null;
+    return opened == null ? connection : opened;
   }
 
   /** Of the connections with room for one more, the one that bears least, or null. */
-  private EngineConnection roomy(String request) {
+  private EngineConnection leastLoaded(String requestId) {
     EngineConnection best = null;
-    for (EngineConnection link : links) {
-      if (link.takes(request, streams) && (best == null || link.bears() < best.bears())) {
-        best = link;
+    for (EngineConnection connection : connections) {
+      if (connection.accepts(requestId, maxAttempts)
+          && (best == null || connection.attemptCount() < best.attemptCount())) {
+        best = connection;
       }
     }
     return best;
@@ -70,38 +74,38 @@
     // Each engine has its part, and one connection at the least: with more engines than
     // connections, those that
     // are in use pass from engine to engine.
-    if (links.size() >= Math.max(1, owner.maxConnections() / owner.engineCount())
+    if (connections.size() >= Math.max(1, owner.maxConnections() / owner.engineCount())
         || !owner.reserveConnection()) {
       return null;
     }
-    EngineConnection link = new EngineConnection(this, owner.now());
+    EngineConnection connection = new EngineConnection(this, owner.now());
     owner.connectionCountChanged(1);
-    links.add(link);
-    link.dial();
-    return link;
+    connections.add(connection);
+    connection.dial();
+    return connection;
   }
 
   /** Shows whether anybody is there, unless a new connection is about to. */
-  void tryAnew() {
-    if (links.stream().noneMatch(EngineConnection::dialing)) {
+  void openAnother() {
+    if (connections.stream().noneMatch(EngineConnection::dialing)) {
       dial();
     }
   }
 
   /** One has ended; if it did not come up, others hear of it. */
-  void linkEnded(EngineConnection link) {
-    links.remove(link);
+  void onConnectionEnded(EngineConnection connection) {
+    connections.remove(connection);
     owner.connectionCountChanged(-1);
   }
 
   /** A new connection failed. */
-  void nobodyThere() {
-    List.copyOf(links).forEach(EngineConnection::nobodyThere);
+  void onConnectFailed() {
+    List.copyOf(connections).forEach(EngineConnection::onEngineUnreachable);
   }
 
   /** Whether the engine was seen to be there since then, on any connection. */
   boolean heardSince(long then) {
-    return links.stream().anyMatch(link -> link.heardSince(then));
+    return connections.stream().anyMatch(connection -> connection.heardSince(then));
   }
 
   /**
@@ -109,58 +113,59 @@
    * on another. The engine keeps pages, so nothing runs again. False if it can't be, or was tried
    * too often.
    */
-  boolean mend(InFlightAttempt inFlight) {
-    boolean mends =
+  boolean resume(InFlightAttempt inFlight) {
+    boolean resumable =
         inFlight.pages != null
-            && inFlight.mended < MENDS_MOST
+            && inFlight.mayResume(MAX_RESUMPTIONS)
             && inFlight.attempt.isOut()
-            && site.engine.standing != Status.GONE;
-    EngineConnection link = mends ? linkFor(inFlight) : null;
-    if (link != null) {
-      inFlight.mended++;
-      link.send(inFlight);
+            && engineAddress.engine.standing != Status.GONE;
+    EngineConnection connection = resumable ? connectionFor(inFlight) : null;
+    if (connection != null) {
+      inFlight.countResumption();
+      connection.send(inFlight);
     }
-    return link != null;
+    return connection != null;
   }
 
   @Override
   public AttemptOutcome abandon(InFlightAttempt inFlight) {
-    return inFlight.link == null
+    return inFlight.connection == null
         ? DisconnectReason.NO_ROOM.outcome(false)
-        : inFlight.link.giveUp(inFlight);
+        : inFlight.connection.cancel(inFlight);
   }
 
   @Override
   public void release(InFlightAttempt inFlight) {
-    if (inFlight.link != null) {
-      inFlight.link.release(inFlight);
+    if (inFlight.connection != null) {
+      inFlight.connection.release(inFlight);
     }
   }
 
   @Override
-  public void checkTimeouts(long connectMost, long idleMost) {
-    List.copyOf(links).forEach(link -> link.sweep(connectMost, idleMost));
+  public void checkTimeouts(long connectTimeout, long idleTimeout) {
+    List.copyOf(connections)
+        .forEach(connection -> connection.checkTimeouts(connectTimeout, idleTimeout));
   }
 
   @Override
   public long idleSince() {
-    return links.stream().mapToLong(EngineConnection::idleSince).min().orElse(Long.MAX_VALUE);
+    return connections.stream().mapToLong(EngineConnection::idleSince).min().orElse(Long.MAX_VALUE);
   }
 
   @Override
   public void closeIdle() {
-    links.stream()
+    connections.stream()
         .min(Comparator.comparing(EngineConnection::idleSince))
         .ifPresent(EngineConnection::retire);
   }
 
   @Override
   public void retireConnections() {
-    List.copyOf(links).forEach(EngineConnection::retire);
+    List.copyOf(connections).forEach(EngineConnection::retire);
   }
 
   @Override
   public boolean isEmpty() {
-    return links.isEmpty();
+    return connections.isEmpty();
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -1,17 +1,15 @@
 package tillerlink.net.http2;
 
 import java.util.ArrayDeque;
-import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import org.apache.hc.core5.http.Header;
-import org.apache.hc.core5.http.message.BasicHeader;
 import tillerlink.model.AttemptOutcome;
-import tillerlink.model.AttemptProgress;
 import tillerlink.net.pool.StreamPool;
 import tillerlink.net.state.Channel;
+import tillerlink.net.state.ConnectionLiveness;
 import tillerlink.net.state.DisconnectReason;
 import tillerlink.net.state.EngineAddress;
 import tillerlink.net.state.EngineTransport;
@@ -19,174 +17,125 @@
 import tillerlink.policy.SendVerdict;
 
 /**
- * One HTTP/2 connection to an engine: attempts are streams on it, worded as docs/http2-wire.md
- * says.
+ * One HTTP/2 connection to an engine: attempts are streams on it, as docs/http2-wire.md defines
+ * them. Owned by the event-loop thread.
  */
 final class Http2EngineConnection implements Channel.Owner, StreamPool.Member {
-  private static final int RESULT_MOST = 48_000;
-  private static final int FULL_1 = 429;
-  private static final int FULL_2 = 503;
-
-  /** An attempt on a stream. */
-  private static final class Ride {
-    private final InFlightAttempt inFlight;
-    private final int stream;
-
-    /**
-     * The place of the write that bears the request's last byte; none while that was not written.
-     */
-    private long place = Long.MAX_VALUE;
-
-    private boolean answered;
-
-    /** When the window was found shut for its body; 0 if it is not. */
-    private long shutSince;
-
-    Ride(InFlightAttempt inFlight, int stream) {
-      this.inFlight = inFlight;
-      this.stream = stream;
-    }
-  }
+  private static final int MAX_RESULT_BYTES = 48_000;
+  private static final byte[] NO_BODY = {};
 
   private final Http2Transport transport;
   private final EngineTransport.Owner owner;
-  private final EngineAddress site;
-  private final Http2ClientConnection connection = new Http2ClientConnection();
-  private final Map<Integer, Ride> rides = new LinkedHashMap<>();
-  private final Map<InFlightAttempt, Ride> byFlight = new IdentityHashMap<>();
+  private final EngineAddress engineAddress;
+  private final Http2ClientConnection protocol = new Http2ClientConnection();
+  private final ConnectionLiveness liveness;
+  private final Map<Integer, AttemptStream> streams = new LinkedHashMap<>();
+  private final Map<InFlightAttempt, AttemptStream> byAttempt = new IdentityHashMap<>();
 
-  /** Guarded attempts whose last byte is on its way out, in that order. */
-  private final ArrayDeque<Ride> guarded = new ArrayDeque<>(0);
+  /** Fenced attempts whose last byte is being written, in that order. */
+  private final ArrayDeque<AttemptStream> fencedWrites = new ArrayDeque<>(0);
 
-  private final long dialedAt;
   private Channel channel;
-  private boolean open;
-  private boolean over;
+  private boolean closed;
+
+  /** Takes no new attempts; closes once those on it have ended. */
   private boolean retired;
 
-  /** The connection is being ended, with what was written known or not. */
-  private boolean closing;
+  /** The channel has closed, so that it is known what was written. */
+  private boolean writesKnown;
 
-  private boolean exact;
-  private boolean silent;
-  private long writes;
-  private long writesDone;
-  private long heardAt;
-  private long idleSince;
-  private long askedAt;
-  private long answered;
+  private long writesBegun;
+  private long writesCompleted;
+  private long responses;
 
   Http2EngineConnection(Http2Transport transport, long now) {
     this.transport = transport;
     owner = transport.owner;
-    site = transport.site;
-    dialedAt = now;
-    heardAt = now;
-    idleSince = now;
+    engineAddress = transport.engineAddress;
+    liveness = new ConnectionLiveness(now, false);
   }
 
   void dial() {
-    channel = owner.connect(site.address(), this);
+    channel = owner.connect(engineAddress.socketAddress(), this);
   }
 
-  // ---- as the pool sees it ----
+  // ---- for the pool ----
 
   @Override
   public boolean up() {
-    return open && connection.settingsSeen();
+    return liveness.isOpen() && protocol.settingsSeen();
   }
 
   @Override
   public boolean dialing() {
-    return !open;
+    return !liveness.isOpen();
   }
 
   @Override
   public boolean sound() {
-    return !over && !retired && !silent && !connection.isSpent();
+    return !closed && !retired && !liveness.isSilent() && !protocol.isSpent();
   }
 
   @Override
   public int bears() {
-    return connection.open();
+    return protocol.open();
   }
 
   @Override
   public long most() {
-    return connection.streamsMost();
+    return protocol.streamsMost();
   }
 
   @Override
   public long answered() {
-    return answered;
+    return responses;
   }
 
   @Override
   public long openedAt() {
-    return dialedAt;
+    return liveness.dialedAt();
   }
 
   @Override
   public long idleSince() {
-    return idleSince;
+    return liveness.idleSince();
   }
 
   // ---- attempts ----
 
   void send(InFlightAttempt inFlight) {
-    SendVerdict verdict = inFlight.begun() ? SendVerdict.ALLOWED : inFlight.mayGo();
+    boolean resumed = inFlight.resultStarted();
+    SendVerdict verdict = resumed ? SendVerdict.ALLOWED : inFlight.checkWrite();
     if (verdict != SendVerdict.ALLOWED) {
       owner.attemptWithheld(inFlight, verdict);
-      owner.runInNextIteration(
-          () -> owner.attemptEnded(inFlight, StreamTermination.WITHDRAWN.outcome(false, false)));
+      endInNextIteration(inFlight, StreamTermination.WITHDRAWN.outcome(false, false));
       return;
     }
-    List<Header> headers = new ArrayList<>(8);
-    byte[] body;
-    if (!inFlight.begun()) {
-      body = inFlight.statement();
-      headers.add(new BasicHeader(":method", "POST"));
-      headers.add(new BasicHeader(":scheme", "http"));
-      headers.add(new BasicHeader(":authority", "engine"));
-      headers.add(new BasicHeader(":path", "/v1/run/" + inFlight.requestClass()));
-      headers.add(new BasicHeader("content-type", "application/sql"));
-      headers.add(new BasicHeader("content-length", Integer.toString(body.length)));
-      headers.add(new BasicHeader("hop-id", inFlight.id()));
-      headers.add(new BasicHeader("hop-limit-ms", Long.toString(inFlight.millisLeft(owner.now()))));
-      if (inFlight.key() != null) {
-        headers.add(new BasicHeader("idempotency-key", inFlight.key()));
-      }
-    } else {
-      body = new byte[0];
-      headers.add(new BasicHeader(":method", "GET"));
-      headers.add(new BasicHeader(":scheme", "http"));
-      headers.add(new BasicHeader(":authority", "engine"));
-      headers.add(new BasicHeader(":path", "/v1/results/" + inFlight.id()));
-      headers.add(new BasicHeader("range", "bytes=" + inFlight.answerSize() + "-"));
-    }
-    int stream;
+    byte[] body = resumed ? NO_BODY : inFlight.statement();
+    List<Header> headers =
+        resumed
+            ? EngineRequests.resume(inFlight)
+            : EngineRequests.execute(inFlight, body.length, owner.now());
+    int streamId;
     try {
-      stream = connection.open(headers, body);
+      streamId = protocol.open(headers, body);
     } catch (IllegalArgumentException e) {
-      owner.warnRateLimited("engine " + site.id + " takes no header lists that long");
-      owner.runInNextIteration(
-          () ->
-              owner.attemptEnded(
-                  inFlight, StreamTermination.NO_ROOM.outcome(false, inFlight.begun())));
+      owner.warnRateLimited("engine " + engineAddress.id + " takes no header lists that long");
+      endInNextIteration(inFlight, StreamTermination.NO_ROOM.outcome(false, resumed));
       return;
     }
-    Ride ride = new Ride(inFlight, stream);
-    rides.put(stream, ride);
-    byFlight.put(inFlight, ride);
+    AttemptStream stream = new AttemptStream(inFlight, streamId);
+    streams.put(streamId, stream);
+    byAttempt.put(inFlight, stream);
     flush();
   }
 
-  boolean bears(InFlightAttempt inFlight) {
-    return ride(inFlight) != null;
+  private void endInNextIteration(InFlightAttempt inFlight, AttemptOutcome outcome) {
+    owner.runInNextIteration(() -> owner.attemptEnded(inFlight, outcome));
   }
 
-  private Ride ride(InFlightAttempt inFlight) {
-    return byFlight.get(inFlight);
+  boolean carries(InFlightAttempt inFlight) {
+    return byAttempt.containsKey(inFlight);
   }
 
   /**
@@ -194,213 +143,176 @@
    * after we heard that it was written, and so does the connection's own end. Where we end the
    * connection that is not so: what was handed over may be on its way though nobody said so yet.
    */
-  private boolean whole(Ride ride) {
-    return closing && !exact ? ride.place != Long.MAX_VALUE : ride.place <= writesDone;
+  private boolean maybeReceivedWhole(AttemptStream stream) {
+    return closed && !writesKnown ? stream.handedOver() : stream.lastWriteNumber <= writesCompleted;
   }
 
   /**
-   * Gives an attempt up; a request of which a part was written may come whole while the reset is on
+   * Cancels an attempt; a request of which a part was written may come whole while the reset is on
    * its way.
    */
-  AttemptOutcome giveUp(InFlightAttempt inFlight) {
-    Ride ride = ride(inFlight);
-    connection.cancel(ride.stream, ErrorCode.CANCEL);
-    boolean sent = ride.place != Long.MAX_VALUE;
-    drop(ride);
-    flush();
-    return StreamTermination.CANCELLED.outcome(sent || inFlight.begun(), inFlight.begun());
+  AttemptOutcome cancel(InFlightAttempt inFlight) {
+    boolean sent = byAttempt.get(inFlight).handedOver();
+    release(inFlight);
+    boolean started = inFlight.resultStarted();
+    return StreamTermination.CANCELLED.outcome(sent || started, started);
   }
 
   /** An attempt is over, by whatever ended it. */
   void release(InFlightAttempt inFlight) {
-    Ride ride = ride(inFlight);
-    connection.cancel(ride.stream, ErrorCode.CANCEL);
-    drop(ride);
+    AttemptStream stream = byAttempt.get(inFlight);
+    protocol.cancel(stream.streamId, ErrorCode.CANCEL);
+    forget(stream);
+    if (isSpentAndEmpty()) {
+      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
+    }
     flush();
   }
 
-  private void forget(Ride ride) {
-    rides.remove(ride.stream);
-    byFlight.remove(ride.inFlight, ride);
+  private void forget(AttemptStream stream) {
+    streams.remove(stream.streamId);
+    byAttempt.remove(stream.inFlight, stream);
+    liveness.onAttemptEnded(owner.now());
   }
 
-  private void drop(Ride ride) {
-    forget(ride);
-    idleSince = owner.now();
-    if (rides.isEmpty() && (retired || connection.isSpent())) {
-      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
-    }
+  private boolean isSpentAndEmpty() {
+    return streams.isEmpty() && (retired || protocol.isSpent());
   }
 
-  /** What is said before the connection is up waits in the machine. */
+  /** What is to be sent before the connection is open waits in the protocol's state. */
   private void flush() {
-    byte[] bytes = open && !over ? connection.take() : new byte[0];
-    if (bytes.length > 0) {
-      channel.write(bytes);
-      writes++;
-      for (int stream : connection.sentWhole()) {
-        Ride ride = rides.get(stream);
-        if (ride != null) {
-          ride.place = writes;
-          if (ride.inFlight.guarded()) {
-            guarded.add(ride);
-          }
+    byte[] bytes = liveness.isOpen() && !closed ? protocol.take() : NO_BODY;
+    if (bytes.length == 0) {
+      return;
+    }
+    channel.write(bytes);
+    writesBegun++;
+    for (int streamId : protocol.sentWhole()) {
+      AttemptStream stream = streams.get(streamId);
+      if (stream != null) {
+        stream.lastWriteNumber = writesBegun;
+        if (stream.inFlight.fenced()) {
+          fencedWrites.add(stream);
         }
       }
     }
   }
 
-  // ---- the channel ----
+  // ---- events of the channel ----
 
   @Override
   public void onOpened() {
-    if (over) {
+    if (closed) {
       return;
     }
-    open = true;
-    heardAt = owner.now();
+    liveness.onOpened(owner.now());
     flush();
   }
 
   @Override
   public void onWritten() {
-    writesDone++;
-    while (!guarded.isEmpty() && guarded.peek().place <= writesDone) {
-      owner.attemptWritten(guarded.poll().inFlight);
+    writesCompleted++;
+    while (!fencedWrites.isEmpty() && fencedWrites.peek().lastWriteNumber <= writesCompleted) {
+      owner.attemptWritten(fencedWrites.poll().inFlight);
     }
   }
 
   @Override
   public void onBytes(byte[] bytes) {
-    if (over) {
+    if (closed) {
       return;
     }
-    heardAt = owner.now();
-    askedAt = 0;
-    silent = false;
-    connection.feed(bytes);
-    for (Event event = connection.next(); event != null && !over; event = connection.next()) {
-      take(event);
+    liveness.onHeard(owner.now());
+    protocol.feed(bytes);
+    for (Event event = protocol.next(); event != null && !closed; event = protocol.next()) {
+      handle(event);
     }
     flush();
-    if (!over) {
+    if (!closed) {
       transport.serve();
     }
   }
 
   @Override
   public void onClosed(DisconnectReason how) {
-    exact = true;
+    writesKnown = true;
     end(StreamTermination.CUT, how);
   }
 
-  private void take(Event event) {
-    if (event instanceof Event.Interim note) {
-      noted(rides.get(note.stream()), note.headers());
-    } else if (event instanceof Event.Answer answer) {
-      answer(rides.get(answer.stream()), answer);
+  // ---- events of the protocol ----
+
+  private void handle(Event event) {
+    if (event instanceof Event.Interim interim) {
+      onProgress(streams.get(interim.stream()), EngineResponses.progress(interim.headers()));
+    } else if (event instanceof Event.Answer response) {
+      onResponse(streams.get(response.stream()), response);
     } else if (event instanceof Event.Body body) {
-      body(rides.get(body.stream()), body);
+      onBody(streams.get(body.stream()), body);
     } else if (event instanceof Event.Ended ended) {
-      onClosed(rides.get(ended.stream()), ended.how());
+      onStreamEnded(streams.get(ended.stream()), ended.how());
     } else if (event instanceof Event.Broken broken) {
-      owner.warnRateLimited("engine " + site.id + " broke HTTP/2: " + broken.why());
+      owner.warnRateLimited("engine " + engineAddress.id + " broke HTTP/2: " + broken.why());
       flush();
       end(StreamTermination.GARBLED, DisconnectReason.GARBLED);
-    } else if (event instanceof Event.Leaving && rides.isEmpty()) {
+    } else if (event instanceof Event.Leaving && streams.isEmpty()) {
       end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
-  private void onClosed(Ride ride, StreamTermination how) {
-    if (ride != null) {
-      finish(ride, how);
+  private void onStreamEnded(AttemptStream stream, StreamTermination how) {
+    if (stream != null) {
+      finish(stream, how);
     }
   }
 
-  private void noted(Ride ride, List<Header> headers) {
-    AttemptProgress note = null;
-    double level = 0;
-    for (Header header : headers) {
-      switch (header.getName()) {
-        case "note-about" -> note = about(header.getValue());
-        case "note-level" -> level = amount(header.getValue());
-        default -> {}
-      }
-    }
-    if (ride != null && note != null && !Double.isNaN(level)) {
-      owner.attemptProgressed(ride.inFlight, note, level);
+  private void onProgress(AttemptStream stream, EngineResponses.Progress progress) {
+    if (stream != null && progress.isValid()) {
+      owner.attemptProgressed(stream.inFlight, progress.kind(), progress.level());
     }
   }
 
-  private static AttemptProgress about(String text) {
-    return switch (text) {
-      case "share-done" -> AttemptProgress.PROGRESS;
-      case "megabytes-missing" -> AttemptProgress.SPILLS;
-      case "parked" -> AttemptProgress.WAITS;
-      default -> null;
-    };
-  }
-
-  private static double amount(String text) {
-    return text.matches("[0-9]{1,9}([.][0-9]{1,9})?") ? Double.parseDouble(text) : Double.NaN;
-  }
-
-  private void answer(Ride ride, Event.Answer answer) {
-    if (ride == null) {
+  private void onResponse(AttemptStream stream, Event.Answer response) {
+    if (stream == null) {
       return;
     }
-    boolean ran =
-        answer.headers().stream()
-            .noneMatch(
-                header -> header.getName().equals("hop-ran") && header.getValue().equals("no"));
-    boolean first = !ride.inFlight.begun();
-    if (first && answer.status() == 200) {
-      ride.answered = true;
-      ride.inFlight.answerBegins();
-    } else if (!first && answer.status() == 206) {
-      ride.answered = true;
-    } else if (!first) {
-      finish(ride, StreamTermination.GARBLED);
-      return;
-    } else {
-      boolean full = answer.status() == FULL_1 || answer.status() == FULL_2;
-      finish(
-          ride,
-          ran
-              ? StreamTermination.ANSWERED_ERROR
-              : full ? StreamTermination.ANSWERED_FULL : StreamTermination.ANSWERED_STALE);
+    boolean resumed = stream.inFlight.resultStarted();
+    if (!EngineResponses.bringsResult(response, resumed)) {
+      finish(stream, EngineResponses.termination(response, resumed));
       return;
     }
-    if (answer.last()) {
-      complete(ride);
+    stream.responseAccepted = true;
+    if (!resumed) {
+      stream.inFlight.startResult();
+    }
+    if (response.last()) {
+      complete(stream);
     }
   }
 
-  private void body(Ride ride, Event.Body body) {
-    if (ride == null || !ride.answered) {
+  private void onBody(AttemptStream stream, Event.Body body) {
+    if (stream == null || !stream.responseAccepted) {
       return;
     }
-    if (ride.inFlight.answerSize() + body.bytes().length > RESULT_MOST) {
-      owner.warnRateLimited("engine " + site.id + " sent a result too long");
-      finish(ride, StreamTermination.GARBLED);
+    InFlightAttempt inFlight = stream.inFlight;
+    if (inFlight.resultSize() + body.bytes().length > MAX_RESULT_BYTES) {
+      owner.warnRateLimited("engine " + engineAddress.id + " sent a result too long");
+      finish(stream, StreamTermination.GARBLED);
       return;
     }
-    ride.inFlight.answerGrows(body.bytes());
+    inFlight.appendResult(body.bytes());
     owner.retainedBytesChanged(body.bytes().length);
     if (body.last()) {
-      complete(ride);
+      complete(stream);
     }
   }
 
-  private void complete(Ride ride) {
-    answered++;
-    forget(ride);
-    idleSince = owner.now();
-    boolean sound = ride.inFlight.completeAnswer();
+  private void complete(AttemptStream stream) {
+    responses++;
+    forget(stream);
+    boolean valid = stream.inFlight.completeResult();
     owner.attemptEnded(
-        ride.inFlight,
-        (sound ? StreamTermination.ANSWERED : StreamTermination.GARBLED).outcome(true, true));
+        stream.inFlight,
+        (valid ? StreamTermination.ANSWERED : StreamTermination.GARBLED).outcome(true, true));
     closeIfSpent();
   }
 
@@ -408,22 +320,21 @@
    * A stream is over and its attempt with it, unless the rest of its result can be had on another
    * connection.
    */
-  private void finish(Ride ride, StreamTermination how) {
-    connection.cancel(ride.stream, ErrorCode.CANCEL);
-    forget(ride);
-    idleSince = owner.now();
-    boolean begun = ride.inFlight.begun();
+  private void finish(AttemptStream stream, StreamTermination how) {
+    protocol.cancel(stream.streamId, ErrorCode.CANCEL);
+    forget(stream);
+    boolean started = stream.inFlight.resultStarted();
     if (how == StreamTermination.ANSWERED_ERROR || how == StreamTermination.ANSWERED_FULL) {
-      answered++;
+      responses++;
     }
-    if (!(begun && how.mayBeMended() && transport.mend(ride.inFlight))) {
-      owner.attemptEnded(ride.inFlight, how.outcome(whole(ride), begun));
+    if (!(started && how.isResumable() && transport.resume(stream.inFlight))) {
+      owner.attemptEnded(stream.inFlight, how.outcome(maybeReceivedWhole(stream), started));
     }
     closeIfSpent();
   }
 
   private void closeIfSpent() {
-    if (!over && rides.isEmpty() && (retired || connection.isSpent())) {
+    if (!closed && isSpentAndEmpty()) {
       end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
@@ -431,115 +342,133 @@
   // ---- time ----
 
   boolean heardSince(long then) {
-    return open && heardAt >= then;
+    return liveness.heardSince(then);
   }
 
   /**
-   * Takes no new attempts. One that is still coming up leads to whoever is at its address by then:
-   * it ends.
+   * Takes no new attempts. One that is still being opened leads to whoever is at its address by
+   * then: it closes.
    */
   void retire() {
-    if (over) {
+    if (closed) {
       return;
     }
     retired = true;
-    if (rides.isEmpty() || !open) {
-      connection.goAway();
+    if (streams.isEmpty() || !liveness.isOpen()) {
+      protocol.goAway();
       flush();
       end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
   /**
-   * Guards against a machine that vanished: a connection with attempts on which nothing is heard is
-   * pinged. If that is not answered within a connect time-out in all, it takes no more attempts and
-   * a new connection is tried; if that fails as well nobody is there, if it works this one alone is
-   * dead. Guards also against a window that stays shut while the path works, which is no slow
-   * engine; and the drain, while a request is not wholly sent.
+   * Guards against a machine that vanished ({@link ConnectionLiveness}), against a window that
+   * stays shut while the path works, which is no slow engine; and the drain, while a request is not
+   * wholly sent.
    */
-  void sweep(long connectMost) {
+  void checkTimeouts(long connectTimeout) {
     long now = owner.now();
-    if (over) {
+    if (closed) {
       return;
     }
-    if (!up() && now >= dialedAt + connectMost) {
+    if (!up() && liveness.openTimedOut(now, connectTimeout)) {
       end(StreamTermination.CUT, DisconnectReason.NEVER_UP);
       return;
     }
-    for (Ride ride : List.copyOf(rides.values())) {
-      boolean held = !whole(ride) && !ride.inFlight.begun() && !site.ready();
-      if (held && ride.place == Long.MAX_VALUE) {
-        finish(ride, StreamTermination.WITHDRAWN);
-      } else if (held && now >= ride.inFlight.attempt.sentAt + owner.maxWriteDelay()) {
-        // What went out of it is known once the connection has ended.
+    for (AttemptStream stream : List.copyOf(streams.values())) {
+      if (holdsObsoleteWrite(stream, now)) {
+        // What was written is known once the connection has closed.
         retired = true;
         channel.abort();
         return;
-      } else if (!connection.isWhole(ride.stream)) {
-        ride.shutSince = ride.shutSince == 0 ? now : ride.shutSince;
-        if (now >= ride.shutSince + connectMost) {
-          owner.warnRateLimited("engine " + site.id + " keeps its window shut");
-          finish(ride, StreamTermination.WINDOW_SHUT);
-        }
       }
+      checkStream(stream, now, connectTimeout);
     }
     flush();
-    if (over) {
-      return;
+    if (!closed) {
+      checkSilence(now, connectTimeout);
+    }
+  }
+
+  /** Whether its engine drains, and the request has not wholly come there. */
+  private boolean mustNotBeWritten(AttemptStream stream) {
+    return !maybeReceivedWhole(stream)
+        && !stream.inFlight.resultStarted()
+        && !engineAddress.isReady();
+  }
+
+  /** Whether a request that must not be written any more has been kept too long by the peer. */
+  private boolean holdsObsoleteWrite(AttemptStream stream, long now) {
+    return stream.handedOver()
+        && mustNotBeWritten(stream)
+        && now >= stream.inFlight.attempt.sentAt + owner.maxWriteDelay();
+  }
+
+  private void checkStream(AttemptStream stream, long now, long connectTimeout) {
+    if (!stream.handedOver() && mustNotBeWritten(stream)) {
+      finish(stream, StreamTermination.WITHDRAWN);
+    } else if (!protocol.isWhole(stream.streamId)) {
+      stream.windowShutSince = stream.windowShutSince == 0 ? now : stream.windowShutSince;
+      if (now >= stream.windowShutSince + connectTimeout) {
+        owner.warnRateLimited("engine " + engineAddress.id + " keeps its window shut");
+        finish(stream, StreamTermination.WINDOW_SHUT);
+      }
     }
-    if (askedAt == 0 && !rides.isEmpty() && now >= heardAt + connectMost / 2) {
-      askedAt = now;
-      connection.ping();
+  }
+
+  private void checkSilence(long now, long connectTimeout) {
+    if (!streams.isEmpty() && liveness.probeDue(now, connectTimeout)) {
+      liveness.onProbeSent(now, connectTimeout);
+      protocol.ping();
       flush();
-    } else if (askedAt > 0 && !silent && now >= askedAt + connectMost / 2) {
-      silent = true;
+    } else {
+      liveness.checkProbe(now, connectTimeout);
     }
-    if (!silent) {
+    if (!liveness.isSilent()) {
       return;
     }
-    if (!transport.heardSince(askedAt)) {
-      transport.tryAnew();
-    } else if (now >= askedAt + connectMost) {
-      end(StreamTermination.MUTE, DisconnectReason.MUTE);
+    boolean engineHeard = transport.heardSince(liveness.probedAt());
+    switch (liveness.silenceAction(now, connectTimeout, engineHeard)) {
+      case OPEN_ANOTHER -> transport.openAnother();
+      case GIVE_UP -> end(StreamTermination.MUTE, DisconnectReason.MUTE);
+      default -> {}
     }
   }
 
   /**
-   * A new connection to its engine failed: if this one does not say that it works, its attempts end
-   * in doubt.
+   * A new connection to its engine failed: if this one does not answer its probe, its attempts end
+   * with their outcome unknown.
    */
-  void nobodyThere() {
-    if (over) {
+  void onEngineUnreachable() {
+    if (closed) {
       return;
     }
-    if (silent) {
+    if (liveness.isSilent()) {
       owner.warnRateLimited(
-          "engine " + site.id + " is silent, " + rides.size() + " hops end in doubt");
+          "engine " + engineAddress.id + " is silent, " + streams.size() + " hops end in doubt");
       end(StreamTermination.SILENT, DisconnectReason.SILENT);
-    } else if (rides.isEmpty()) {
+    } else if (streams.isEmpty()) {
       retire();
     }
   }
 
   /** The connection is over; each attempt on it ends as that means for it. */
-  private void end(StreamTermination how, DisconnectReason connectionEnd) {
-    if (over) {
+  private void end(StreamTermination how, DisconnectReason reason) {
+    if (closed) {
       return;
     }
-    over = true;
-    closing = true;
-    transport.linkEnded(this);
-    if (connectionEnd == DisconnectReason.CLOSED_BY_US
-        || connectionEnd == DisconnectReason.GARBLED) {
+    closed = true;
+    transport.onConnectionEnded(this);
+    if (reason == DisconnectReason.CLOSED_BY_US || reason == DisconnectReason.GARBLED) {
       channel.close();
     } else {
       channel.abort();
     }
-    for (Ride ride : List.copyOf(rides.values())) {
-      finish(ride, how);
+    for (AttemptStream stream : List.copyOf(streams.values())) {
+      finish(stream, how);
     }
-    if (connectionEnd == DisconnectReason.REFUSED || connectionEnd == DisconnectReason.NEVER_UP) {
-      transport.nobodyThere(connectionEnd.outcome(false));
+    if (reason == DisconnectReason.REFUSED || reason == DisconnectReason.NEVER_UP) {
+      transport.onConnectFailed(reason.outcome(false));
     }
     transport.serve();
   }
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -16,38 +16,38 @@
  * to the module as an outcome.
  */
 public final class Http2Transport implements EngineTransport {
-  private static final int CONNECTIONS_MOST = 4;
-  private static final int STREAMS_MOST = 256;
+  private static final int MAX_CONNECTIONS = 4;
+  private static final int MAX_STREAMS = 256;
 
   /** Attempts that wait for room, in times of what one connection bears. */
-  private static final int WAITING_TIMES = 2;
+  private static final int WAITING_FACTOR = 2;
 
-  private static final int MENDS_MOST = 3;
+  private static final int MAX_RESUMPTIONS = 3;
 
   final Owner owner;
-  final EngineAddress site;
+  final EngineAddress engineAddress;
   private final StreamPool pool;
-  private final int waitingMost;
-  private final List<Http2EngineConnection> links = new ArrayList<>(2);
+  private final int maxWaiting;
+  private final List<Http2EngineConnection> connections = new ArrayList<>(2);
   private final ArrayDeque<InFlightAttempt> waiting = new ArrayDeque<>();
   private boolean serving;
 
   /**
-   * @param streamsMost streams on one connection; 0 for a bound of our own
+   * @param maxStreams streams on one connection; 0 for a bound of our own
    */
-  public Http2Transport(Owner owner, EngineAddress site, int streamsMost) {
+  public Http2Transport(Owner owner, EngineAddress engineAddress, int maxStreams) {
     this.owner = owner;
-    this.site = site;
-    int streams = streamsMost > 0 ? Math.min(streamsMost, STREAMS_MOST) : STREAMS_MOST;
-    pool = new StreamPool(streams, CONNECTIONS_MOST);
-    waitingMost = WAITING_TIMES * streams;
+    this.engineAddress = engineAddress;
+    int streams = maxStreams > 0 ? Math.min(maxStreams, MAX_STREAMS) : MAX_STREAMS;
+    pool = new StreamPool(streams, MAX_CONNECTIONS);
+    maxWaiting = WAITING_FACTOR * streams;
   }
 
   @Override
   public void send(InFlightAttempt inFlight) {
-    if (waiting.size() >= waitingMost) {
-      owner.warnRateLimited("no room for a further stream to engine " + site.id);
-      unsent(inFlight, StreamTermination.NO_ROOM);
+    if (waiting.size() >= maxWaiting) {
+      owner.warnRateLimited("no room for a further stream to engine " + engineAddress.id);
+      endUnsent(inFlight, StreamTermination.NO_ROOM);
       return;
     }
     waiting.add(inFlight);
@@ -55,7 +55,7 @@
   }
 
   /** Nothing of an attempt was written, and nothing will be. */
-  private void unsent(InFlightAttempt inFlight, StreamTermination how) {
+  private void endUnsent(InFlightAttempt inFlight, StreamTermination how) {
     owner.runInNextIteration(() -> owner.attemptEnded(inFlight, how.outcome(false, false)));
   }
 
@@ -66,14 +66,17 @@
     }
     serving = true;
     while (!waiting.isEmpty()) {
-      if (!site.ready() && !waiting.peek().begun()) {
-        unsent(waiting.poll(), StreamTermination.WITHDRAWN);
+      if (!engineAddress.isReady() && !waiting.peek().resultStarted()) {
+        endUnsent(waiting.poll(), StreamTermination.WITHDRAWN);
         continue;
       }
-      int part =
+      int quota =
           StreamPool.part(
-              owner.maxConnections(), owner.openConnections(), owner.engineCount(), links.size());
-      StreamPool.Choice choice = pool.choose(links, waiting.size() - 1, part);
+              owner.maxConnections(),
+              owner.openConnections(),
+              owner.engineCount(),
+              connections.size());
+      StreamPool.Choice choice = pool.choose(connections, waiting.size() - 1, quota);
       if (choice.verdict() == StreamPool.Verdict.USE) {
         ((Http2EngineConnection) choice.member()).send(waiting.poll());
       } else if (choice.verdict() == StreamPool.Verdict.DIAL) {
@@ -86,22 +89,22 @@
   }
 
   private void dial() {
-    Http2EngineConnection link = new Http2EngineConnection(this, owner.now());
+    Http2EngineConnection connection = new Http2EngineConnection(this, owner.now());
     owner.connectionCountChanged(1);
-    links.add(link);
-    link.dial();
+    connections.add(connection);
+    connection.dial();
   }
 
   /** Shows whether anybody is there, unless a new connection is about to. */
-  void tryAnew() {
-    if (links.stream().noneMatch(Http2EngineConnection::dialing)
+  void openAnother() {
+    if (connections.stream().noneMatch(Http2EngineConnection::dialing)
         && owner.openConnections() < owner.maxConnections()) {
       dial();
     }
   }
 
-  void linkEnded(Http2EngineConnection link) {
-    links.remove(link);
+  void onConnectionEnded(Http2EngineConnection connection) {
+    connections.remove(connection);
     owner.connectionCountChanged(-1);
   }
 
@@ -109,29 +112,31 @@
    * A new connection failed: those that do not say that they work end, and what waits has nowhere
    * to go.
    */
-  void nobodyThere(AttemptOutcome outcome) {
-    List.copyOf(links).forEach(Http2EngineConnection::nobodyThere);
-    if (links.stream().noneMatch(link -> link.up() && link.sound())) {
+  void onConnectFailed(AttemptOutcome outcome) {
+    List.copyOf(connections).forEach(Http2EngineConnection::onEngineUnreachable);
+    if (connections.stream().noneMatch(connection -> connection.up() && connection.sound())) {
       while (!waiting.isEmpty()) {
         InFlightAttempt inFlight = waiting.poll();
         owner.runInNextIteration(
             () ->
                 owner.attemptEnded(
-                    inFlight, inFlight.begun() ? AttemptOutcome.RESPONSE_LOST : outcome));
+                    inFlight, inFlight.resultStarted() ? AttemptOutcome.RESPONSE_LOST : outcome));
       }
     }
   }
 
   boolean heardSince(long then) {
-    return links.stream().anyMatch(link -> link.heardSince(then));
+    return connections.stream().anyMatch(connection -> connection.heardSince(then));
   }
 
   /**
    * Asks for what a result lacks on another connection; false if it can't be, or was tried too
    * often.
    */
-  boolean mend(InFlightAttempt inFlight) {
-    if (!inFlight.begun() || !inFlight.attempt.isOut() || !inFlight.mendAgain(MENDS_MOST)) {
+  boolean resume(InFlightAttempt inFlight) {
+    if (!inFlight.resultStarted()
+        || !inFlight.attempt.isOut()
+        || !inFlight.tryResume(MAX_RESUMPTIONS)) {
       return false;
     }
     waiting.addFirst(inFlight);
@@ -140,21 +145,21 @@
 
   @Override
   public AttemptOutcome abandon(InFlightAttempt inFlight) {
-    for (Http2EngineConnection link : links) {
-      if (link.bears(inFlight)) {
-        return link.giveUp(inFlight);
+    for (Http2EngineConnection connection : connections) {
+      if (connection.carries(inFlight)) {
+        return connection.cancel(inFlight);
       }
     }
     waiting.remove(inFlight);
-    return StreamTermination.CANCELLED.outcome(inFlight.begun(), inFlight.begun());
+    return StreamTermination.CANCELLED.outcome(inFlight.resultStarted(), inFlight.resultStarted());
   }
 
   @Override
   public void release(InFlightAttempt inFlight) {
     waiting.remove(inFlight);
-    for (Http2EngineConnection link : links) {
-      if (link.bears(inFlight)) {
-        link.release(inFlight);
+    for (Http2EngineConnection connection : connections) {
+      if (connection.carries(inFlight)) {
+        connection.release(inFlight);
         break;
       }
     }
@@ -162,21 +167,21 @@
   }
 
   @Override
-  public void checkTimeouts(long connectMost, long idleMost) {
+  public void checkTimeouts(long connectTimeout, long idleTimeout) {
     long now = owner.now();
     for (Iterator<InFlightAttempt> i = waiting.iterator(); i.hasNext(); ) {
       InFlightAttempt inFlight = i.next();
       if (!inFlight.attempt.isOut()) {
         i.remove();
-      } else if (now >= inFlight.attempt.sentAt + connectMost && !inFlight.begun()) {
+      } else if (now >= inFlight.attempt.sentAt + connectTimeout && !inFlight.resultStarted()) {
         i.remove();
-        unsent(inFlight, StreamTermination.NO_ROOM);
+        endUnsent(inFlight, StreamTermination.NO_ROOM);
       }
     }
-    for (Http2EngineConnection link : List.copyOf(links)) {
-      link.sweep(connectMost);
-      if (link.up() && pool.over(link, now, idleMost)) {
-        link.retire();
+    for (Http2EngineConnection connection : List.copyOf(connections)) {
+      connection.checkTimeouts(connectTimeout);
+      if (connection.up() && pool.over(connection, now, idleTimeout)) {
+        connection.retire();
       }
     }
     serve();
@@ -184,11 +189,11 @@
 
   @Override
   public void retireConnections() {
-    List.copyOf(links).forEach(Http2EngineConnection::retire);
+    List.copyOf(connections).forEach(Http2EngineConnection::retire);
   }
 
   @Override
   public boolean isEmpty() {
-    return links.isEmpty() && waiting.isEmpty();
+    return connections.isEmpty() && waiting.isEmpty();
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
@@ -55,7 +55,7 @@
   }
 
   /** Whether what a result lacks may be asked for on another connection. */
-  boolean mayBeMended() {
+  boolean isResumable() {
     return switch (this) {
       case CUT, MUTE, REFUSED, ABOVE_GOAWAY, RESET_BEFORE_ANSWER, RESET_IN_ANSWER -> true;
       default -> false;
