--- a/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
+++ b/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
@@ -10,20 +10,20 @@
 
 /**
  * Executes the policy's actions: attempts go to the transports of their engines, rejections and
- * failures to the clients. Owned by the event-loop thread.
+ * failures to the requests. Owned by the event-loop thread.
  */
 final class ActionExecutor implements DispatchActions {
   private final GatewayContext context;
-  private final ClientRequestHandler clients;
+  private final RequestRegistry requests;
   private final EngineTransportOwner transports;
 
   /** Attempts ordered in this iteration. */
   private List<InFlightAttempt> ordered = new ArrayList<>();
 
   ActionExecutor(
-      GatewayContext context, ClientRequestHandler clients, EngineTransportOwner transports) {
+      GatewayContext context, RequestRegistry requests, EngineTransportOwner transports) {
     this.context = context;
-    this.clients = clients;
+    this.requests = requests;
     this.transports = transports;
   }
 
@@ -87,13 +87,13 @@
   @Override
   public void rejectRequest(Request request, long retryAfter) {
     context.dispatchLog().requestRejected(request);
-    clients.reject((PendingResponse) request.tag, retryAfter);
+    requests.reject((PendingResponse) request.tag, retryAfter);
   }
 
   @Override
   public void failRequest(Request request) {
     context.dispatchLog().requestFailed(request);
-    clients.fail((PendingResponse) request.tag);
+    requests.fail((PendingResponse) request.tag);
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -7,8 +7,9 @@
 import tillerlink.plain.Units;
 
 /**
- * A client's connection: one call at a time, and the next is read when the answer to the one before
- * is out.
+ * A client's connection: one HTTP request at a time, and the next is read when the answer to the
+ * one before has been written. Owned by the event-loop thread; all times are tenths of a
+ * millisecond.
  */
 final class ClientConnection implements Channel.Owner {
   /** Of how much use a connection is, least first. */
@@ -20,13 +21,13 @@
   }
 
   /**
-   * How long the first whole call may take from the connect on, and a later one from its first byte
-   * on.
+   * How long the first whole request may take from the connect on, and a later one from its first
+   * byte on.
    */
-  private static final long CALL_MOST = 2500 * Units.TENTHS_PER_MS;
+  private static final long MAX_REQUEST_TIME = 2500 * Units.TENTHS_PER_MS;
 
   /** Clients close what they leave idle for 4 s. */
-  private static final long IDLE_MOST = 5000 * Units.TENTHS_PER_MS;
+  private static final long MAX_IDLE = 5000 * Units.TENTHS_PER_MS;
 
   /**
    * How long none is closed to make room for others: its first bytes may still wait here to be
@@ -34,91 +35,101 @@
    */
   private static final long GRACE = 100 * Units.TENTHS_PER_MS;
 
-  private static final long STALLED_MOST = 5000 * Units.TENTHS_PER_MS;
+  private static final long MAX_STALL = 5000 * Units.TENTHS_PER_MS;
 
   /**
-   * How long, and how much, is read and thrown away after a refusal: an early close might overtake
+   * How long, and how much, is read and discarded after a refusal: an early close might overtake
    * it.
    */
   private static final long LINGER = 1000 * Units.TENTHS_PER_MS;
 
-  private static final int DISCARDED_MOST = 262_144;
+  private static final int MAX_DISCARDED = 262_144;
 
   /**
-   * More than this beside a call in hand, where memory is short, and nothing further is read until
-   * that is answered; else a whole call. Where nothing is read, its end is not seen either.
+   * More than this beside a request in progress, where memory is short, and nothing further is read
+   * until that is answered; else a whole request. Where nothing is read, its end is not seen
+   * either.
    */
-  private static final int PIPELINED_MOST = 16_384;
+  private static final int MAX_PIPELINED_WHEN_FULL = 16_384;
 
-  private static final int PIPELINED_WITH_ROOM = 131_072 + PIPELINED_MOST;
+  private static final int MAX_PIPELINED = 131_072 + MAX_PIPELINED_WHEN_FULL;
 
-  private final ClientRequestHandler door;
+  private final ClientRequestHandler handler;
+  private final RequestRegistry requests;
+  private final RetainedBytes retained;
   private final Channel channel;
-  private final HttpRequestParser reader = new HttpRequestParser();
+  private final HttpRequestParser parser = new HttpRequestParser();
 
-  /** Sizes of what was written and is not yet out. */
-  private final ArrayDeque<Integer> unsent = new ArrayDeque<>();
+  /** Sizes of what is being written. */
+  private final ArrayDeque<Integer> unwritten = new ArrayDeque<>();
 
-  private boolean inHand;
-  private boolean lastCall;
-  private boolean held;
-  private boolean over;
+  private boolean requestInProgress;
+  private boolean closeAfterAnswer;
+  private boolean readingPaused;
+  private boolean closed;
 
-  /** It is to end unless something turns out to have come. */
-  private boolean endPending;
+  /** It is to be closed unless something turns out to have come. */
+  private boolean closePending;
 
-  /** Why it was ended from here; null while it was not. */
-  private ClientDisconnectReason ourEnd;
+  /** Why it was closed from here; null while it was not. */
+  private ClientDisconnectReason localReason;
 
-  /** A whole call has come. */
+  /** A whole request has come. */
   private boolean spoken;
 
-  private int handedInSoFar;
+  /** How many requests for execution were accepted on it. */
+  private int submissions;
 
-  /** When the call that is being read began to come: the first with the connect. */
-  private long callSince;
+  /** When the request that is being read began to come: the first with the connect. */
+  private long requestSince;
 
-  /** Bytes of it that are counted as kept. */
+  /** Bytes of it that are counted as retained. */
   private int counted;
 
   private int discarded;
 
-  /** What it waits for, or null. */
-  PendingResponse waitsFor;
+  /** The request whose answer it waits for, or null. */
+  private PendingResponse waitsFor;
 
-  /** Another than this door answers the call in hand, in its time. */
-  private boolean owed;
+  /** The extension answers the request in progress, in its time. */
+  private boolean answeredLater;
 
-  /** What it handed in by its latest call, or null. */
-  private PendingResponse handedIn;
+  /** What was accepted by its latest request, or null. */
+  private PendingResponse submitted;
 
   private long quietSince;
 
-  ClientConnection(ClientRequestHandler door, Channel channel) {
-    this.door = door;
+  ClientConnection(ClientRequestHandler handler, Channel channel) {
+    this.handler = handler;
     this.channel = channel;
-    quietSince = door.now();
-    callSince = quietSince;
+    requests = handler.requests();
+    retained = handler.retained();
+    quietSince = handler.now();
+    requestSince = quietSince;
   }
 
+  // ---- for the bound on connections ----
+
   Use use() {
-    boolean open = inHand || sending() || handedIn != null && !handedIn.settled();
-    return open ? Use.OPEN : !spoken ? Use.UNSPOKEN : handedInSoFar < 2 ? Use.ONCE : Use.IDLE;
+    boolean open = requestInProgress || writing() || submitted != null && !submitted.settled();
+    return open ? Use.OPEN : !spoken ? Use.UNSPOKEN : submissions < 2 ? Use.ONCE : Use.IDLE;
   }
 
   long quietSince() {
     return quietSince;
   }
 
-  /** Whether it may go at the bound: not before its client had time to speak. */
-  boolean mayGo() {
-    return (over || use() != Use.OPEN) && door.now() >= quietSince + GRACE;
+  /** Whether it may be closed at the bound: not before its client had time to send something. */
+  boolean mayBeClosed() {
+    return (closed || use() != Use.OPEN) && handler.now() >= quietSince + GRACE;
   }
 
-  boolean over() {
-    return over;
+  boolean isClosed() {
+    return closed;
   }
 
+  // ---- events of the channel ----
+
   @Override
   public void onOpened() {
     // It was accepted open.
@@ -126,39 +137,42 @@
 
   @Override
   public void onBytes(byte[] bytes) {
-    if (over) {
+    if (closed) {
       discard(bytes.length);
       return;
     }
-    if (!reader.midway()) {
-      quietSince = door.now();
-      callSince = spoken ? quietSince : callSince;
+    if (!parser.midway()) {
+      quietSince = handler.now();
+      requestSince = spoken ? quietSince : requestSince;
     }
-    reader.feed(bytes);
-    read();
-    if (!inHand && !over && door.full() && reader.waiting() > PIPELINED_MOST) {
-      refuse(door.noRoom());
+    parser.feed(bytes);
+    parse();
+    if (!requestInProgress
+        && !closed
+        && retained.isFull()
+        && parser.waiting() > MAX_PIPELINED_WHEN_FULL) {
+      refuse(requests.overloaded());
     }
   }
 
   private void discard(int more) {
     discarded += more;
-    if (discarded > DISCARDED_MOST && !held) {
-      held = true;
+    if (discarded > MAX_DISCARDED && !readingPaused) {
+      readingPaused = true;
       channel.pauseReading(true);
     }
   }
 
   @Override
   public void onWritten() {
-    door.held(-unsent.poll());
-    if (unsent.isEmpty()) {
-      quietSince = door.now();
-      if (inHand && waitsFor == null && !owed) {
-        inHand = false;
-        read();
-        if (door.closing()) {
-          endResting();
+    retained.add(-unwritten.poll());
+    if (unwritten.isEmpty()) {
+      quietSince = handler.now();
+      if (requestInProgress && waitsFor == null && !answeredLater) {
+        requestInProgress = false;
+        parse();
+        if (handler.closing()) {
+          closeIfUnused();
         }
       }
     }
@@ -166,218 +180,244 @@
 
   @Override
   public void onClosed(DisconnectReason how) {
-    ClientDisconnectReason theirs =
+    ClientDisconnectReason remoteReason =
         how == DisconnectReason.RESET
             ? ClientDisconnectReason.RESET_BY_CLIENT
             : ClientDisconnectReason.CLOSED_BY_CLIENT;
-    door.connectionEnded(ourEnd == null ? theirs : ourEnd, waitsFor == null ? handedIn : waitsFor);
-    over = true;
+    handler
+        .connections()
+        .onEnded(
+            localReason == null ? remoteReason : localReason,
+            waitsFor == null ? submitted : waitsFor);
+    closed = true;
     if (waitsFor != null) {
       waitsFor.waiting = null;
-      door.unattended(waitsFor);
+      requests.onConnectionLost(waitsFor);
     }
-    if (handedIn != null && !unsent.isEmpty()) {
-      door.leave(handedIn);
-    } else if (handedIn != null) {
-      door.unattended(handedIn);
+    if (submitted != null && !unwritten.isEmpty()) {
+      requests.cancel(submitted);
+    } else if (submitted != null) {
+      requests.onConnectionLost(submitted);
     }
-    unsent.forEach(size -> door.held(-size));
-    unsent.clear();
+    unwritten.forEach(size -> retained.add(-size));
+    unwritten.clear();
     count(0);
-    door.forget(this);
+    handler.connections().remove(this);
   }
 
-  private void count(int kept) {
-    door.held(kept - counted);
-    counted = kept;
+  private void count(int bytes) {
+    retained.add(bytes - counted);
+    counted = bytes;
   }
 
-  private void read() {
-    if (!inHand && !over) {
-      HttpParseResult item = reader.next();
-      if (reader.wantsGoOn()) {
+  private void parse() {
+    if (!requestInProgress && !closed) {
+      HttpParseResult item = parser.next();
+      if (parser.wantsGoOn()) {
         write(HttpResponse.goOn());
       }
       if (item != null) {
-        inHand = true;
+        requestInProgress = true;
         spoken = true;
-        callSince = door.now();
-        handedIn = null;
-        door.called(this, item);
+        requestSince = handler.now();
+        submitted = null;
+        handler.handle(this, item);
       }
     }
-    count(reader.waiting());
-    boolean hold =
-        inHand && reader.waiting() > (door.full() ? PIPELINED_MOST : PIPELINED_WITH_ROOM);
-    if (hold != held && !over) {
-      held = hold;
-      channel.pauseReading(hold);
+    count(parser.waiting());
+    int limit = retained.isFull() ? MAX_PIPELINED_WHEN_FULL : MAX_PIPELINED;
+    boolean pause = requestInProgress && parser.waiting() > limit;
+    if (pause != readingPaused && !closed) {
+      readingPaused = pause;
+      channel.pauseReading(pause);
     }
   }
 
   private void write(byte[] bytes) {
-    unsent.add(bytes.length);
-    door.held(bytes.length);
+    unwritten.add(bytes.length);
+    retained.add(bytes.length);
     channel.write(bytes);
   }
 
-  /** The connection ends after the answer to the call in hand. */
-  void lastCall() {
-    lastCall = true;
+  // ---- the request in progress ----
+
+  /** The connection closes after the answer to the request in progress. */
+  void closeAfterAnswer() {
+    closeAfterAnswer = true;
+  }
+
+  /** The request in progress was accepted for execution. */
+  void onSubmitted(PendingResponse pending) {
+    submitted = pending;
+    submissions++;
   }
 
-  void handedIn(PendingResponse pending) {
-    handedIn = pending;
-    handedInSoFar++;
+  /** The request in progress is answered once that one is. */
+  void waitFor(PendingResponse pending) {
+    waitsFor = pending;
   }
 
+  /** Its client waits for the same answer on another connection, or for none any more. */
+  void supersede() {
+    waitsFor = null;
+    abort(ClientDisconnectReason.SUPERSEDED);
+  }
+
+  /** Answers the request in progress. */
   void answer(HttpResponse answer) {
-    if (over) {
+    if (closed) {
       return;
     }
     waitsFor = null;
-    quietSince = door.now();
-    write((lastCall ? answer.closingConnection() : answer).encoded());
-    if (lastCall) {
-      over = true;
-      ourEnd = ClientDisconnectReason.AFTER_ANSWER;
+    quietSince = handler.now();
+    write((closeAfterAnswer ? answer.closingConnection() : answer).encoded());
+    if (closeAfterAnswer) {
+      closed = true;
+      localReason = ClientDisconnectReason.AFTER_ANSWER;
       channel.close();
     }
   }
 
   /** Answers what can't be read on from; the client may be sending still. */
   void refuse(HttpResponse answer) {
-    quietSince = door.now();
+    quietSince = handler.now();
     write(answer.closingConnection().encoded());
-    over = true;
-    ourEnd = ClientDisconnectReason.AFTER_REFUSAL;
+    closed = true;
+    localReason = ClientDisconnectReason.AFTER_REFUSAL;
   }
 
-  /** The call in hand is answered by another, once, now or later. */
-  GatewayExtension.Reply owed() {
-    owed = true;
-    return new Owed();
+  /** The request in progress is answered by the extension, once, now or later. */
+  GatewayExtension.Reply answerLater() {
+    answeredLater = true;
+    return new OnceReply();
   }
 
-  private final class Owed implements GatewayExtension.Reply {
+  /** Takes the first answer and drops the others. */
+  private final class OnceReply implements GatewayExtension.Reply {
     private boolean given;
 
     @Override
     public void answer(HttpResponse answer) {
       if (!given) {
         given = true;
-        owed = false;
+        answeredLater = false;
         ClientConnection.this.answer(answer);
       }
     }
   }
 
   /**
-   * Whether this connection alone waits for an answer: one not out yet, or at the end that to a
-   * half-read call.
+   * Whether this connection alone waits for an answer: one not written yet, or during shutdown that
+   * to a half-read request.
    */
   boolean busy() {
-    return sending() || !over && (owed || door.closing() && reader.midway());
+    return writing() || !closed && (answeredLater || handler.closing() && parser.midway());
   }
 
-  boolean sending() {
-    return !unsent.isEmpty();
+  private boolean writing() {
+    return !unwritten.isEmpty();
   }
 
+  // ---- time ----
+
   /**
-   * Guards against clients that come and say nothing, send half a call, trickle, stay after one, or
-   * don't read. A call that waits for its answer may take its time.
+   * Guards against clients that connect and send nothing, send half a request, trickle, stay after
+   * one, or don't read. A request that waits for its answer may take its time.
    */
-  void sweep() {
-    long now = door.now();
-    if (over || sending()) {
-      if (now >= quietSince + (over && !sending() ? LINGER : STALLED_MOST)) {
-        drop(ClientDisconnectReason.STALLED);
+  void checkTimeouts() {
+    if (closed || writing()) {
+      long limit = closed && !writing() ? LINGER : MAX_STALL;
+      if (handler.now() >= quietSince + limit) {
+        abort(ClientDisconnectReason.STALLED);
       }
-    } else if (!inHand && reader.midway() && now >= callSince + CALL_MOST) {
-      afterReading(this::refuseHalf);
+    } else if (halfRequest() && handler.now() >= requestSince + MAX_REQUEST_TIME) {
+      afterPendingReads(this::refuseHalfRequest);
     } else if (idle()) {
-      afterReading(this::endIdle);
-    } else if (door.closing()) {
-      endResting();
+      afterPendingReads(this::closeIfIdle);
+    } else if (handler.closing()) {
+      closeIfUnused();
     }
   }
 
   /**
-   * Guards what has come and was not read yet, for instance while this process stood still: a
-   * connection is ended for its client's silence only once all that can be read of it has been
+   * Guards what has come and was not read yet, for instance while this process was paused: a
+   * connection is closed for its client's silence only once all that can be read of it has been
    * read.
    */
-  private void afterReading(Runnable end) {
-    if (!endPending) {
-      endPending = true;
-      door.afterReading(
+  private void afterPendingReads(Runnable close) {
+    if (!closePending) {
+      closePending = true;
+      handler.afterPendingReads(
           () -> {
-            endPending = false;
-            if (!over) {
-              end.run();
+            closePending = false;
+            if (!closed) {
+              close.run();
             }
           });
     }
   }
 
+  private boolean halfRequest() {
+    return !requestInProgress && parser.midway();
+  }
+
   private boolean idle() {
-    return !inHand
-        && !reader.midway()
-        && door.now() >= quietSince + (spoken ? IDLE_MOST : CALL_MOST);
+    return !requestInProgress
+        && !parser.midway()
+        && handler.now() >= quietSince + (spoken ? MAX_IDLE : MAX_REQUEST_TIME);
   }
 
-  private void endIdle() {
+  private void closeIfIdle() {
     if (idle()) {
-      end(ClientDisconnectReason.IDLE);
+      close(ClientDisconnectReason.IDLE);
     }
   }
 
-  private void refuseHalf() {
-    if (!inHand && reader.midway()) {
+  private void refuseHalfRequest() {
+    if (halfRequest()) {
       refuse(HttpResponse.problem(408, "Timeout", 0));
     }
   }
 
   /**
-   * Ends it if no call is open on it, none has begun to come and its client is not about to make
-   * one.
+   * Closes it if no request is in progress on it, none has begun to come and its client is not
+   * about to make one.
    */
-  private void endResting() {
-    if (resting()) {
-      afterReading(
+  private void closeIfUnused() {
+    if (unused()) {
+      afterPendingReads(
           () -> {
-            if (resting()) {
-              end(ClientDisconnectReason.SHUTDOWN);
+            if (unused()) {
+              close(ClientDisconnectReason.SHUTDOWN);
             }
           });
     }
   }
 
-  private boolean resting() {
-    boolean fetches = handedIn != null && !handedIn.left && !handedIn.handedOut;
-    return !over && !inHand && !reader.midway() && !fetches;
+  private boolean unused() {
+    boolean fetches = submitted != null && !submitted.left && !submitted.handedOut;
+    return !closed && !requestInProgress && !parser.midway() && !fetches;
   }
 
-  /** The door takes nothing more: what waits is the last call, and one that rests ends. */
-  void closing() {
-    lastCall |= inHand;
-    endResting();
+  /** No further request is accepted: the one in progress is the last, and an unused one closes. */
+  void onClosing() {
+    closeAfterAnswer |= requestInProgress;
+    closeIfUnused();
   }
 
-  /** Ends it with no word; what its client may be saying in this moment is read and not taken. */
-  void end(ClientDisconnectReason why) {
-    over = true;
-    ourEnd = why;
-    quietSince = door.now();
+  /** Closes it with no answer; what its client may be sending in this moment is discarded. */
+  void close(ClientDisconnectReason reason) {
+    closed = true;
+    localReason = reason;
+    quietSince = handler.now();
     channel.close();
   }
 
-  /** Ends it at once, with no word. */
-  void drop(ClientDisconnectReason why) {
-    over = true;
-    ourEnd = ourEnd == null ? why : ourEnd;
+  /** Ends it at once, with no answer. */
+  void abort(ClientDisconnectReason reason) {
+    closed = true;
+    localReason = localReason == null ? reason : localReason;
     channel.abort();
-    door.forget(this);
+    handler.connections().remove(this);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -15,7 +15,8 @@
  */
 final class EngineTransportOwner implements EngineTransport.Owner {
   private final GatewayContext context;
-  private final ClientRequestHandler clients;
+  private final RequestRegistry requests;
+  private final RetainedBytes retained;
   private final FencedRequests fencedRequests;
   private final NetworkSettings settings;
   private final EndpointList endpoints;
@@ -27,13 +28,15 @@
    */
   EngineTransportOwner(
       GatewayContext context,
-      ClientRequestHandler clients,
+      RequestRegistry requests,
+      RetainedBytes retained,
       FencedRequests fencedRequests,
       NetworkSettings settings,
       Settings terms,
       EngineTransport.Factory factory) {
     this.context = context;
-    this.clients = clients;
+    this.requests = requests;
+    this.retained = retained;
     this.fencedRequests = fencedRequests;
     this.settings = settings;
     endpoints =
@@ -77,7 +80,7 @@
 
   @Override
   public void retainedBytesChanged(long more) {
-    clients.held(more);
+    retained.add(more);
   }
 
   // ---- attempts ----
@@ -117,7 +120,7 @@
     AttemptOutcome outcome =
         inFlight.fenced() ? fencedRequests.ended(inFlight, reported) : reported;
     if (outcome == AttemptOutcome.SUCCEEDED) {
-      clients.fulfil(inFlight.pending, ResultEncoder.answer(inFlight.pages));
+      requests.succeed(inFlight.pending, ResultEncoder.answer(inFlight.pages));
     }
     inFlight.releaseResult();
     retainedBytesChanged(-inFlight.bytes);
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -16,19 +16,19 @@
  */
 final class FencedRequests implements GatewayExtension.ExtensionContext {
   private final GatewayContext context;
-  private final ClientRequestHandler clients;
+  private final RequestRegistry requests;
 
   /** Those that are owed an answer. */
   private final Set<PendingResponse> open = new LinkedHashSet<>();
 
-  FencedRequests(GatewayContext context, ClientRequestHandler clients) {
+  FencedRequests(GatewayContext context, RequestRegistry requests) {
     this.context = context;
-    this.clients = clients;
+    this.requests = requests;
   }
 
   @Override
   public void submit(HttpRequest http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
-    PendingResponse pending = clients.submit(http, guard, reply);
+    PendingResponse pending = requests.submit(http, guard, reply);
     if (pending != null) {
       open.add(pending);
     }
@@ -112,9 +112,9 @@
             || pending.inFlightAttempts.stream()
                 .allMatch(inFlight -> inFlight.refusedByGuard || !inFlight.attempt.mayHaveRun());
     if (again) {
-      clients.reject(pending, pending.guard.retryAfter());
+      requests.reject(pending, pending.guard.retryAfter());
     } else {
-      clients.fail(pending);
+      requests.fail(pending);
     }
     context.policyEvents().clientDisconnected(pending);
   }
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -81,16 +81,24 @@
     Map<String, Object> flattened = FlattenedConfig.of(config.terms());
     Settings terms = new Settings(flattened);
     context = GatewayContext.create(driver, now, terms, telemetry);
-    clients = new ClientRequestHandler(context, terms, config.maxClients(), maxBytes);
-    fencedRequests = new FencedRequests(context, clients);
-    NetworkSettings settings = NetworkSettings.of(config, terms, clients.longestDeadline());
+    clients =
+        new ClientRequestHandler(context, terms, config.maxClients(), new RetainedBytes(maxBytes));
+    fencedRequests = new FencedRequests(context, clients.requests());
+    NetworkSettings settings =
+        NetworkSettings.of(config, terms, clients.requests().longestDeadline());
     transports =
         new EngineTransportOwner(
-            context, clients, fencedRequests, settings, terms, transportFactory);
+            context,
+            clients.requests(),
+            clients.retained(),
+            fencedRequests,
+            settings,
+            terms,
+            transportFactory);
     EndpointList endpoints = transports.endpoints();
     DiscoveryClient discoveryClient =
         new DiscoveryClient(driver, config.seed(), now, settings.drainGrace(), telemetry);
-    ActionExecutor actions = new ActionExecutor(context, clients, transports);
+    ActionExecutor actions = new ActionExecutor(context, clients.requests(), transports);
     DispatchPolicy policy = factory.create(now, config.seed(), flattened, actions);
     context.policyEvents().setPolicy(policy);
     Discovery discovery =
@@ -111,7 +119,9 @@
     metrics.gauge(
         "engine_connections", "Engine connections open or coming up.", transports::openConnections);
     metrics.gauge(
-        "requests_owed", "Requests taken and not yet answered.", () -> clients.owed().size());
+        "requests_owed",
+        "Requests taken and not yet answered.",
+        () -> clients.requests().unanswered().size());
   }
 
   /** Adds the extension of this gateway, before its first client; null: it has none. */
@@ -153,7 +163,7 @@
   /** A client has connected. */
   public Channel.Owner onClientConnected(Channel channel) {
     context.pauses().onClientActivity(context.now());
-    return clients.accepted(channel);
+    return clients.onConnected(channel);
   }
 
   /** A datagram of the discovery service has come. */
@@ -188,7 +198,7 @@
 
   /** The longest that any client waits for an answer. */
   public long longestDeadline() {
-    return clients.longestDeadline();
+    return clients.requests().longestDeadline();
   }
 
   /** Whether every answer has been written. */
@@ -203,7 +213,7 @@
 
   /** Whether no client is connected any more. */
   public boolean hasNoClients() {
-    return clients.deserted();
+    return clients.connections().size() == 0;
   }
 
   /** Time is up: the policy decides the final answer to what is still pending. */
@@ -211,12 +221,12 @@
     if (extension != null) {
       extension.onShutdownDeadline();
     }
-    clients.owed().forEach(context.policyEvents()::shutdownDeadline);
+    clients.requests().unanswered().forEach(context.policyEvents()::shutdownDeadline);
     context.policyEvents().requireDecisions();
   }
 
   /** How many requests were accepted and have no final answer. */
   public int pendingRequests() {
-    return clients.owed().size();
+    return clients.requests().unanswered().size();
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -83,17 +83,17 @@
 
   /** The name of its request class. */
   public String requestClass() {
-    return pending.submission.requestClass();
+    return pending.submitted.requestClass();
   }
 
   /** The idempotency key, or null. */
   public String key() {
-    return pending.submission.key();
+    return pending.submitted.key();
   }
 
   /** The statement to execute. */
   public byte[] statement() {
-    return pending.submission.statement();
+    return pending.submitted.statement();
   }
 
   /** How long the client still waits, in milliseconds; 1 at least. */
--- a/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
+++ b/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
@@ -9,7 +9,7 @@
 
 /** A request as its client sees it: where it waits, and its answer once there is one. */
 final class PendingResponse {
-  final SubmitRequest submission;
+  final SubmitRequest submitted;
   final Request request;
   final List<InFlightAttempt> inFlightAttempts = new ArrayList<>(1);
 
@@ -31,26 +31,25 @@
    * @param arrivedAt when it may have come at the earliest: its client's time counts from then
    * @param line those about the same, of request classes that keep their order; or null
    */
-  PendingResponse(
-      SubmitRequest submission, int classIndex, long arrivedAt, KeyedRequestQueue line) {
-    this.submission = submission;
+  PendingResponse(SubmitRequest submitted, int classIndex, long arrivedAt, KeyedRequestQueue line) {
+    this.submitted = submitted;
     request =
         new Request(
             this,
             classIndex,
-            submission.tableGroup(),
-            submission.repeat(),
+            submitted.tableGroup(),
+            submitted.repeat(),
             arrivedAt,
-            arrivedAt + submission.patience(),
-            submission.estimate(),
-            submission.memory(),
+            arrivedAt + submitted.patience(),
+            submitted.estimate(),
+            submitted.memory(),
             line);
     forgetAt = request.clientDeadline;
   }
 
   /** The id by which the client correlates its request. */
   String id() {
-    return submission.id();
+    return submitted.id();
   }
 
   /** Whether the client is owed nothing more. */
