--- a/gateway/src/main/java/tillerlink/net/io/ConnectionLimiter.java
+++ b/gateway/src/main/java/tillerlink/net/io/ConnectionLimiter.java
@@ -8,22 +8,22 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Guards the descriptors: beyond the bound newcomers wait in the backlog until others have been
- * closed.
+ * Accepts client connections up to a bound. Guards the descriptors: beyond it newcomers wait in the
+ * backlog until others have been closed.
  */
 final class ConnectionLimiter extends NioSocketAcceptor {
   private static final long WAIT_MS = 20;
-  private final Semaphore room;
+  private final Semaphore permits;
 
-  ConnectionLimiter(IoProcessor<NioSession> processor, int most) {
+  ConnectionLimiter(IoProcessor<NioSession> processor, int limit) {
     super(processor);
-    room = new Semaphore(most);
+    permits = new Semaphore(limit);
   }
 
   @Override
   protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel listening)
       throws Exception {
-    if (!room.tryAcquire(WAIT_MS, TimeUnit.MILLISECONDS)) {
+    if (!permits.tryAcquire(WAIT_MS, TimeUnit.MILLISECONDS)) {
       return null;
     }
     NioSession session = null;
@@ -31,11 +31,11 @@
       session = super.accept(processor, listening);
     } finally {
       if (session == null) {
-        room.release();
+        permits.release();
       }
     }
     if (session != null) {
-      session.getCloseFuture().addListener(closed -> room.release());
+      session.getCloseFuture().addListener(closed -> permits.release());
     }
     return session;
   }
--- a/gateway/src/main/java/tillerlink/net/io/DeadlineWrite.java
+++ b/gateway/src/main/java/tillerlink/net/io/DeadlineWrite.java
@@ -28,15 +28,15 @@
   }
 
   /** Whether its first byte has gone out. */
-  boolean begun() {
+  boolean started() {
     return firstByteAt != 0;
   }
 
-  boolean isDue(long now) {
+  boolean isInTime(long now) {
     return now < before;
   }
 
-  void began(long now) {
+  void onStarted(long now) {
     firstByteAt = now;
   }
 
--- a/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
+++ b/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
@@ -16,7 +16,6 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.core.session.IoSessionConfig;
-import org.apache.mina.transport.socket.nio.NioDatagramConnector;
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import tillerlink.net.state.Channel;
@@ -28,19 +27,19 @@
  * owns the state.
  */
 public final class MinaDriver implements NetworkDriver, Closeable {
-  private static final int READ_MOST = 8192;
+  private static final int MAX_READ = 8192;
 
   /**
    * No datagram is longer; one that is longer than the buffer it is read into would come cut, and
    * be of no use.
    */
-  private static final int DATAGRAM_MOST = 65_535;
+  private static final int MAX_DATAGRAM = 65_535;
 
   private static final int BACKLOG = 256;
-  private static final String CHANNEL = "pipe";
+  private static final String CHANNEL = "channel";
 
   /** Room beyond the bound of clients, for those that are just being accepted or closed. */
-  private static final int NEWCOMERS_LEAST = 8;
+  private static final int MIN_NEWCOMERS = 8;
 
   private static final int NEWCOMERS_SHARE = 10;
 
@@ -48,7 +47,7 @@
    * Pieces read from a connection and not yet taken; the other events are bounded by what was
    * written.
    */
-  private static final int UNREAD_MOST = 2;
+  private static final int MAX_UNREAD = 2;
 
   /** How long what a peer says is read after we have ended. */
   private static final long LINGER_NANOS = 1_000_000_000;
@@ -58,60 +57,50 @@
 
   private final Queue<HalfClosed> halfClosed = new ConcurrentLinkedQueue<>();
   private final Queue<Runnable> queue;
-  private final ReadProcessor reading;
-  private final Consumer<byte[]> datagrams;
-  private InetSocketAddress nameService;
+  private final ReadProcessor processor;
   private final NioSocketAcceptor acceptor;
   private final NioSocketConnector connector;
-  private final NioDatagramConnector asker;
+  private final DiscoverySocket discovery;
   private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
-  private IoSession asking;
-
-  /** Asked over before that one; an answer may still come there. */
-  private IoSession askedBefore;
-
-  /** The question that goes out once the way to the discovery service is there, or null. */
-  private byte[] question;
-
-  private boolean askerDialing;
 
   /**
    * @param clock the gateway's, in tenths of a millisecond; for any thread
    */
   public MinaDriver(
       Queue<Runnable> queue,
-      InetSocketAddress nameService,
+      InetSocketAddress discoveryAddress,
       Consumer<byte[]> datagrams,
       Function<Channel, Channel.Owner> accepted,
       int maxClients,
       LongSupplier clock) {
     this.queue = queue;
-    reading = new ReadProcessor(clock);
-    this.nameService = nameService;
-    this.datagrams = datagrams;
+    processor = new ReadProcessor(clock);
     acceptor =
         new ConnectionLimiter(
-            reading, maxClients + Math.max(NEWCOMERS_LEAST, maxClients / NEWCOMERS_SHARE));
+            processor, maxClients + Math.max(MIN_NEWCOMERS, maxClients / NEWCOMERS_SHARE));
     acceptor.setReuseAddress(true);
     acceptor.setBacklog(BACKLOG);
     acceptor.getSessionConfig().setTcpNoDelay(true);
-    bound(acceptor.getSessionConfig(), READ_MOST);
-    acceptor.setHandler(new Accepting(accepted));
-    connector = new NioSocketConnector(reading);
+    limitReads(acceptor.getSessionConfig(), MAX_READ);
+    acceptor.setHandler(new AcceptedPoster(accepted));
+    connector = new NioSocketConnector(processor);
     connector.getSessionConfig().setTcpNoDelay(true);
-    bound(connector.getSessionConfig(), READ_MOST);
-    connector.setHandler(new Posting());
-    asker = new NioDatagramConnector(reading);
-    bound(asker.getSessionConfig(), DATAGRAM_MOST);
-    asker.setHandler(new Asking());
+    limitReads(connector.getSessionConfig(), MAX_READ);
+    connector.setHandler(new EventPoster());
+    discovery = new DiscoverySocket(queue, processor, discoveryAddress, datagrams, MAX_DATAGRAM);
   }
 
-  private static void bound(IoSessionConfig config, int most) {
-    config.setMaxReadBufferSize(most);
-    config.setReadBufferSize(most);
-    config.setMinReadBufferSize(Math.min(2048, most));
+  static void limitReads(IoSessionConfig config, int limit) {
+    config.setMaxReadBufferSize(limit);
+    config.setReadBufferSize(limit);
+    config.setMinReadBufferSize(Math.min(2048, limit));
   }
 
+  /**
+   * Accepts clients from now on.
+   *
+   * @throws IOException if that address is not to be had; the message says why
+   */
   public void listen(InetSocketAddress address) throws IOException {
     try {
       acceptor.bind(address);
@@ -143,56 +132,22 @@
 
   @Override
   public void runAfterPendingReads(Runnable then) {
-    reading.afterPass(() -> queue.add(then));
+    processor.afterPass(() -> queue.add(then));
   }
 
   @Override
   public void sendDiscoveryQuery(byte[] datagram) {
-    if (asking != null && asking.isConnected()) {
-      asking.write(IoBuffer.wrap(datagram));
-    } else {
-      question = datagram;
-      dialNameService();
-    }
-  }
-
-  private void dialNameService() {
-    if (!askerDialing) {
-      InetSocketAddress to = nameService;
-      ConnectFuture dialing = asker.connect(to);
-      askerDialing = true;
-      dialing.addListener(done -> queue.add(() -> dialed((ConnectFuture) done, to)));
-    }
-  }
-
-  private void dialed(ConnectFuture future, InetSocketAddress to) {
-    askerDialing = false;
-    if (future.isConnected() && to.equals(nameService)) {
-      asking = future.getSession();
-      asking.write(IoBuffer.wrap(question));
-    } else if (future.isConnected()) {
-      // It moved meanwhile: the question is for where it is now.
-      future.getSession().closeNow();
-      dialNameService();
-    }
+    discovery.send(datagram);
   }
 
   @Override
   public void replaceDiscoverySocket() {
-    if (askedBefore != null) {
-      askedBefore.closeNow();
-    }
-    askedBefore = asking;
-    asking = null;
+    discovery.replace();
   }
 
-  /** From now on the discovery service is asked at that address; called in a turn. */
-  public void askAt(InetSocketAddress address) {
-    if (!address.equals(nameService)) {
-      replaceDiscoverySocket();
-      replaceDiscoverySocket();
-    }
-    nameService = address;
+  /** From now on discovery queries are sent to that address; called within an iteration. */
+  public void setDiscoveryAddress(InetSocketAddress address) {
+    discovery.moveTo(address);
   }
 
   /** Nothing is read or written any more. */
@@ -200,8 +155,8 @@
   public void close() {
     acceptor.dispose();
     connector.dispose();
-    asker.dispose();
-    reading.dispose();
+    discovery.dispose();
+    processor.dispose();
   }
 
   @Override
@@ -215,7 +170,7 @@
     }
   }
 
-  private static byte[] taken(Object message) {
+  static byte[] copy(Object message) {
     IoBuffer buffer = (IoBuffer) message;
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
@@ -227,7 +182,7 @@
     private ConnectFuture future;
     private final AtomicInteger unread = new AtomicInteger();
     private volatile IoSession session;
-    private volatile boolean held;
+    private volatile boolean paused;
 
     /** The last that was written, or null. */
     private WriteFuture last;
@@ -253,8 +208,8 @@
     }
 
     @Override
-    public void pauseReading(boolean on) {
-      held = on;
+    public void pauseReading(boolean pause) {
+      paused = pause;
       regulate();
     }
 
@@ -264,7 +219,7 @@
       regulate();
       queue.add(
           () -> {
-            if (unread.getAndDecrement() == UNREAD_MOST) {
+            if (unread.getAndDecrement() == MAX_UNREAD) {
               regulate();
             }
             owner.onBytes(bytes);
@@ -276,9 +231,9 @@
      * read further, and none waits for it.
      */
     private void regulate() {
-      reading.run(
+      processor.run(
           () -> {
-            boolean stop = held || unread.get() >= UNREAD_MOST;
+            boolean stop = paused || unread.get() >= MAX_UNREAD;
             if (stop && !session.isReadSuspended()) {
               session.suspendRead();
             } else if (!stop && session.isReadSuspended()) {
@@ -315,12 +270,12 @@
 
   /** On any thread: what was written is out. */
   private void endOutput(IoSession session) {
-    reading.run(() -> reading.endOutput(session));
+    processor.run(() -> processor.endOutput(session));
     halfClosed.add(new HalfClosed(session, System.nanoTime() + LINGER_NANOS));
   }
 
   /** Posts what happens on a connection. */
-  private class Posting extends IoHandlerAdapter {
+  private class EventPoster extends IoHandlerAdapter {
     private static final String CAUSE = "cause";
 
     @Override
@@ -332,7 +287,7 @@
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      channel(session).read(taken(message));
+      channel(session).read(copy(message));
     }
 
     @Override
@@ -368,10 +323,10 @@
     }
   }
 
-  private final class Accepting extends Posting {
+  private final class AcceptedPoster extends EventPoster {
     private final Function<Channel, Channel.Owner> accepted;
 
-    Accepting(Function<Channel, Channel.Owner> accepted) {
+    AcceptedPoster(Function<Channel, Channel.Owner> accepted) {
       this.accepted = accepted;
     }
 
@@ -383,19 +338,4 @@
       queue.add(() -> channel.owner = accepted.apply(channel));
     }
   }
-
-  private final class Asking extends IoHandlerAdapter {
-    @Override
-    public void messageReceived(IoSession session, Object message) {
-      byte[] bytes = taken(message);
-      queue.add(() -> datagrams.accept(bytes));
-    }
-
-    @Override
-    public void exceptionCaught(IoSession session, Throwable cause) {
-      // A lost question is asked again; a session that can't go on is replaced by the next
-      // question.
-      session.closeNow();
-    }
-  }
 }
--- a/gateway/src/main/java/tillerlink/net/io/ReadProcessor.java
+++ b/gateway/src/main/java/tillerlink/net/io/ReadProcessor.java
@@ -19,10 +19,10 @@
  */
 final class ReadProcessor extends NioProcessor {
   private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-  private final Queue<Runnable> passes = new ConcurrentLinkedQueue<>();
+  private final Queue<Runnable> afterPass = new ConcurrentLinkedQueue<>();
 
   /** To be called once what is readable now has been read. */
-  private List<Runnable> reading = List.of();
+  private List<Runnable> duringPass = List.of();
 
   private volatile Thread thread;
   private final LongSupplier clock;
@@ -44,17 +44,17 @@
   /** The one place where bytes are handed to the system for a connection. */
   @Override
   protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
-    if (!(buffer instanceof DeadlineWrite timed) || timed.begun()) {
+    if (!(buffer instanceof DeadlineWrite timed) || timed.started()) {
       return super.write(session, buffer, length);
     }
-    if (!timed.isDue(clock.getAsLong())) {
+    if (!timed.isInTime(clock.getAsLong())) {
       int all = timed.remaining();
       timed.withhold();
       return all;
     }
     int written = super.write(session, buffer, length);
     if (written > 0) {
-      timed.began(clock.getAsLong());
+      timed.onStarted(clock.getAsLong());
     }
     return written;
   }
@@ -73,7 +73,7 @@
    * posted.
    */
   void afterPass(Runnable then) {
-    passes.add(then);
+    afterPass.add(then);
     wakeup();
   }
 
@@ -99,14 +99,14 @@
       task.run();
     }
     // All that the last selection found has been read.
-    reading.forEach(Runnable::run);
-    reading = List.of();
-    if (passes.isEmpty()) {
+    duringPass.forEach(Runnable::run);
+    duringPass = List.of();
+    if (afterPass.isEmpty()) {
       return super.select(timeout);
     }
-    reading = new ArrayList<>();
-    for (Runnable pass = passes.poll(); pass != null; pass = passes.poll()) {
-      reading.add(pass);
+    duringPass = new ArrayList<>();
+    for (Runnable callback = afterPass.poll(); callback != null; callback = afterPass.poll()) {
+      duringPass.add(callback);
     }
     int selected = selector.selectNow();
     // MINA takes a selection that finds nothing at once for a fault of the selector, unless it was
--- a/gateway/src/main/java/tillerlink/net/lifecycle/ConfigFileWatcher.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/ConfigFileWatcher.java
@@ -7,18 +7,18 @@
 import java.util.Objects;
 
 /**
- * Tells when a file was replaced or written anew; looks at it from time to time, on a thread of its
- * own.
+ * Notifies when a file was replaced or rewritten; polls it on a daemon thread of its own, on which
+ * it also calls back.
  */
 final class ConfigFileWatcher {
-  private static final long LOOK_EVERY_MS = 250;
+  private static final long POLL_INTERVAL_MS = 250;
 
   /** What tells one state of the file from another; of a file that is missing, nothing is known. */
-  private record Seen(Object file, Object changed, long size) {
-    static Seen of(Path path) {
+  private record FileState(Object file, Object changed, long size) {
+    static FileState of(Path path) {
       try {
         BasicFileAttributes now = Files.readAttributes(path, BasicFileAttributes.class);
-        return new Seen(now.fileKey(), now.lastModifiedTime(), now.size());
+        return new FileState(now.fileKey(), now.lastModifiedTime(), now.size());
       } catch (IOException e) {
         return null;
       }
@@ -27,26 +27,26 @@
 
   private final Path path;
   private final Runnable changed;
-  private Seen seen;
+  private FileState seen;
 
   ConfigFileWatcher(Path path, Runnable changed) {
     this.path = path;
     this.changed = changed;
-    seen = Seen.of(path);
+    seen = FileState.of(path);
   }
 
   void start() {
-    Thread thread = new Thread(this::look, "watch");
+    Thread thread = new Thread(this::poll, "watch");
     thread.setDaemon(true);
     thread.start();
   }
 
   /** A file that is missing for a moment is being replaced: what it was is remembered. */
-  private void look() {
+  private void poll() {
     try {
       while (true) {
-        Thread.sleep(LOOK_EVERY_MS);
-        Seen now = Seen.of(path);
+        Thread.sleep(POLL_INTERVAL_MS);
+        FileState now = FileState.of(path);
         if (now != null && !Objects.equals(now, seen)) {
           seen = now;
           changed.run();
--- a/gateway/src/main/java/tillerlink/net/lifecycle/EventLoop.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/EventLoop.java
@@ -10,11 +10,11 @@
 import tillerlink.net.state.Gateway;
 import tillerlink.plain.Units;
 
-/** The one thread that owns module and state, and its queue. */
+/** The loop of the one thread that owns policy and state, and the queue of its events. */
 final class EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-  private static final int EVENTS_MOST = 256;
-  private static final long STOOD_STILL = 100 * Units.TENTHS_PER_MS;
+  private static final int MAX_EVENTS = 256;
+  private static final long MIN_PAUSE = 100 * Units.TENTHS_PER_MS;
   private static final long CATCH_UP = 20 * Units.TENTHS_PER_MS;
 
   final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
@@ -24,7 +24,7 @@
     this.clock = clock;
   }
 
-  /** Takes turns until told that it is done. */
+  /** Runs iterations until {@code done}. */
   void run(Gateway gateway, BooleanSupplier done) throws InterruptedException {
     while (!done.getAsBoolean()) {
       long dueAt = gateway.dueAt();
@@ -32,30 +32,30 @@
       // Guards against taking a pause of this machine for a silent engine: what engines said
       // meanwhile may
       // still be unread, and is heard before anything that is due.
-      if (first == null && clock.getAsLong() > dueAt + STOOD_STILL) {
+      if (first == null && clock.getAsLong() > dueAt + MIN_PAUSE) {
         first = await(CATCH_UP);
       }
-      turn(gateway, first);
+      iterate(gateway, first);
     }
   }
 
-  /** Takes a turn if something came or is due, and waits for nothing. */
-  void takeDue(Gateway gateway) {
+  /** Runs an iteration if an event has come or something is due; waits for nothing. */
+  void runIfDue(Gateway gateway) {
     Runnable first = queue.poll();
     if (first != null || clock.getAsLong() >= gateway.dueAt()) {
-      turn(gateway, first);
+      iterate(gateway, first);
     }
   }
 
-  private void turn(Gateway gateway, Runnable first) {
-    guarded(() -> gateway.beginIteration(clock.getAsLong()));
+  private void iterate(Gateway gateway, Runnable first) {
+    runSafely(() -> gateway.beginIteration(clock.getAsLong()));
     int events = 0;
     for (Runnable event = first;
         event != null;
-        event = ++events < EVENTS_MOST ? queue.poll() : null) {
-      guarded(event);
+        event = ++events < MAX_EVENTS ? queue.poll() : null) {
+      runSafely(event);
     }
-    guarded(gateway::endIteration);
+    runSafely(gateway::endIteration);
   }
 
   private Runnable await(long tenths) throws InterruptedException {
@@ -69,7 +69,7 @@
    * since the jar was replaced under the process, or that went too deep. Other errors say that the
    * process is at its end.
    */
-  private static void guarded(Runnable event) {
+  private static void runSafely(Runnable event) {
     try {
       event.run();
     } catch (RuntimeException | LinkageError | StackOverflowError e) {
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -18,7 +18,10 @@
 import tillerlink.net.wire.GatewayConfig;
 import tillerlink.port.DispatchPolicyFactory;
 
-/** One gateway process: start, turns, drain, stop. */
+/**
+ * One gateway process: start, event loop, drain, stop. The calling thread becomes the event-loop
+ * thread; signals come on threads of their own and only post to its queue.
+ */
 public final class GatewayServer {
   private static final Logger LOG = LoggerFactory.getLogger(GatewayServer.class);
 
@@ -30,90 +33,119 @@
   private static final int DESCRIPTORS_KEPT = 24;
 
   private final WallClock clock = new WallClock();
-  private final EventLoop turns = new EventLoop(clock::now);
+  private final EventLoop eventLoop = new EventLoop(clock::now);
   private final CountDownLatch ended = new CountDownLatch(1);
   private MinaDriver driver;
   private Gateway gateway;
   private GracefulShutdown shutdown;
 
-  /** Serves until it is told to end. */
-  public void serve(Map<String, String> environment, DispatchPolicyFactory modules)
+  /** Serves until the process is told to end, with the line protocol and no extension. */
+  public void serve(Map<String, String> environment, DispatchPolicyFactory policies)
       throws IOException, InterruptedException {
-    serve(environment, modules, null, assignment -> null, null);
+    serve(environment, policies, null, config -> null, null);
   }
 
   /**
+   * Serves until the process is told to end.
+   *
    * @param transports how engines are reached, by their kinds; null: over engine lines
-   * @param endpointCaches what is remembered across restarts, for what it is told to be; it may
-   *     give null
-   * @param beside makes what stands beside the module, or null
+   * @param endpointCaches creates what is cached across restarts, by the configuration; may return
+   *     null
+   * @param extensions creates the gateway's extension; null: it has none
    */
   public void serve(
       Map<String, String> environment,
-      DispatchPolicyFactory modules,
+      DispatchPolicyFactory policies,
       EngineTransport.Factory transports,
       Function<GatewayConfig, EndpointCache> endpointCaches,
-      GatewayExtension.Factory beside)
+      GatewayExtension.Factory extensions)
       throws IOException, InterruptedException {
+    Path path = configPath(environment);
+    // From the first moment on, for a JVM that nobody told otherwise ends on this signal.
+    boolean signalled = onHangUp(() -> reload(path));
+    // Before it is read: a file that is replaced from then on is read again.
+    ConfigFileWatcher watcher = new ConfigFileWatcher(path, () -> reload(path));
+    GatewayConfig config = readConfig(path);
+    createGateway(config, policies, transports, endpointCaches.apply(config));
+    warmUp(config, policies);
+    GatewayExtension extension =
+        extensions == null
+            ? null
+            : extensions.start(
+                config, gateway.extensionContext(), eventLoop.queue::add, clock::now);
+    gateway.setExtension(extension);
+    if (!signalled) {
+      LOG.warn(
+          "SIGHUP was ignored by what started this process, so {} is watched for changes instead",
+          path);
+      watcher.start();
+    }
+    run(config, extension);
+  }
+
+  private static Path configPath(Map<String, String> environment) throws IOException {
     String file = environment.get("EDGE_CONFIG");
     if (file == null) {
       throw new IOException("EDGE_CONFIG names no file");
     }
-    Path path = Path.of(file);
-    // From the first moment on, for a JVM that nobody told otherwise ends on this signal.
-    boolean heard = onHangUp(() -> reload(path));
-    // Before it is read: a file that is replaced from then on is read again.
-    ConfigFileWatcher watch = new ConfigFileWatcher(path, () -> reload(path));
-    GatewayConfig told = GatewayConfig.read(path);
-    int inUse = descriptorsInUse() + DESCRIPTORS_KEPT;
-    GatewayConfig assignment = told.without(inUse);
+    return Path.of(file);
+  }
+
+  /** The configuration, with the descriptors left that the process needs for itself. */
+  private static GatewayConfig readConfig(Path path) throws IOException {
+    GatewayConfig whole = GatewayConfig.read(path);
+    int reserved = descriptorsInUse() + DESCRIPTORS_KEPT;
+    GatewayConfig config = whole.without(reserved);
     LOG.info(
         "{} starts with {} engines known, {} descriptors, {} of them kept",
-        assignment.name(),
-        assignment.known().stream().mapToInt(news -> news.entries().size()).sum(),
-        told.sockets(),
-        inUse);
+        config.name(),
+        config.known().stream().mapToInt(list -> list.entries().size()).sum(),
+        whole.sockets(),
+        reserved);
+    return config;
+  }
+
+  private void createGateway(
+      GatewayConfig config,
+      DispatchPolicyFactory policies,
+      EngineTransport.Factory transports,
+      EndpointCache endpointCache) {
     driver =
         new MinaDriver(
-            turns.queue,
-            assignment.resolver(),
+            eventLoop.queue,
+            config.resolver(),
             bytes -> gateway.onDiscoveryDatagram(bytes),
             (Channel channel) -> gateway.onClientConnected(channel),
-            assignment.maxClients(),
+            config.maxClients(),
             clock::now);
-    gateway =
-        new Gateway(
-            assignment, modules, driver, clock.now(), transports, endpointCaches.apply(assignment));
-    // The discovery service is asked meanwhile, so that the list is confirmed by the time that
-    // clients
-    // come.
+    gateway = new Gateway(config, policies, driver, clock.now(), transports, endpointCache);
+  }
+
+  /**
+   * The discovery service is polled meanwhile, so that the endpoint list is confirmed by the time
+   * that clients come.
+   */
+  private void warmUp(GatewayConfig config, DispatchPolicyFactory policies) {
     try {
-      new JvmWarmup(assignment, modules, clock.now()).play(() -> turns.takeDue(gateway));
+      new JvmWarmup(config, policies, clock.now()).play(() -> eventLoop.runIfDue(gateway));
     } catch (RuntimeException e) {
       LOG.warn("the rehearsal broke off; the gateway starts without", e);
     }
-    GatewayExtension side =
-        beside == null
-            ? null
-            : beside.start(assignment, gateway.extensionContext(), turns.queue::add, clock::now);
-    gateway.setExtension(side);
-    if (!heard) {
-      LOG.warn(
-          "SIGHUP was ignored by what started this process, so {} is watched for changes instead",
-          path);
-      watch.start();
-    }
+  }
+
+  private void run(GatewayConfig config, GatewayExtension extension)
+      throws IOException, InterruptedException {
     shutdown = new GracefulShutdown(gateway);
     try {
       // Before anybody can connect, for whoever does is owed an answer.
       Runtime.getRuntime().addShutdownHook(new Thread(this::drain, "drain"));
-      driver.listen(assignment.listen());
-      LOG.info("{} listens on {}", assignment.name(), assignment.listen());
-      turns.run(gateway, () -> shutdown.done(clock.now()));
+      driver.listen(config.listen());
+      LOG.info("{} listens on {}", config.name(), config.listen());
+      eventLoop.run(gateway, () -> shutdown.isComplete(clock.now()));
       LOG.info("drained, {} requests without an answer", gateway.pendingRequests());
     } finally {
-      if (side != null) {
-        side.close();
+      if (extension != null) {
+        extension.close();
       }
       ended.countDown();
     }
@@ -147,9 +179,9 @@
   private synchronized void reload(Path path) {
     try {
       InetSocketAddress resolver = GatewayConfig.read(path).resolver();
-      turns.queue.add(
+      eventLoop.queue.add(
           () -> {
-            driver.askAt(resolver);
+            driver.setDiscoveryAddress(resolver);
             gateway.discoveryAddressChanged();
           });
       LOG.info("configuration read again, the name service is asked at {}", resolver);
@@ -161,7 +193,7 @@
   /** SIGTERM came: waits until the last answer is out. */
   private void drain() {
     LOG.info("draining");
-    turns.queue.add(() -> shutdown.begin(clock.now()));
+    eventLoop.queue.add(() -> shutdown.begin(clock.now()));
     try {
       ended.await();
     } catch (InterruptedException e) {
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
@@ -11,13 +11,13 @@
  */
 final class GracefulShutdown {
   /** Clients may go on coming for this long. */
-  private static final long STILL_COMING = 700 * Units.TENTHS_PER_MS;
+  private static final long STILL_SERVING = 700 * Units.TENTHS_PER_MS;
 
   /**
    * The process is killed no sooner than the longest deadline after that, which counts as this at
    * most.
    */
-  private static final long LONGEST = 3000 * Units.TENTHS_PER_MS;
+  private static final long MAX_DEADLINE = 3000 * Units.TENTHS_PER_MS;
 
   /** What is kept of that time for the last answers to be called for and to go out. */
   private static final long MARGIN = 350 * Units.TENTHS_PER_MS;
@@ -26,9 +26,9 @@
    * How long clients may take to end their side, once all is answered; and what of the margin is
    * never used.
    */
-  private static final long PARTING = 200 * Units.TENTHS_PER_MS;
+  private static final long CLIENTS_CLOSE = 200 * Units.TENTHS_PER_MS;
 
-  private static final long SPARE = 150 * Units.TENTHS_PER_MS;
+  private static final long UNUSED_MARGIN = 150 * Units.TENTHS_PER_MS;
 
   private final Gateway gateway;
   private long since = Long.MAX_VALUE;
@@ -40,7 +40,7 @@
     this.gateway = gateway;
   }
 
-  /** The process was told to end; told again, nothing changes. */
+  /** The process was told to end; a second time changes nothing. */
   void begin(long now) {
     if (since == Long.MAX_VALUE) {
       since = now;
@@ -48,32 +48,32 @@
     }
   }
 
-  /** Between turns: does what is due, and tells whether the process may go. */
-  boolean done(long now) {
-    if (since == Long.MAX_VALUE || now < since + STILL_COMING) {
+  /** Between iterations: does what is due; whether the process may end. */
+  boolean isComplete(long now) {
+    if (since == Long.MAX_VALUE || now < since + STILL_SERVING) {
       return false;
     }
-    long killedAt = since + STILL_COMING + Math.min(LONGEST, gateway.longestDeadline());
+    long killedAt = since + STILL_SERVING + Math.min(MAX_DEADLINE, gateway.longestDeadline());
     if (!closed) {
       closed = true;
-      turn(now, gateway::stopAccepting);
+      inIteration(now, gateway::stopAccepting);
     }
     if (!timeUp && now >= killedAt - MARGIN) {
       timeUp = true;
-      turn(now, gateway::onShutdownDeadline);
+      inIteration(now, gateway::onShutdownDeadline);
     }
     if (gateway.allAnswered()) {
       answeredAt = Math.min(answeredAt, now);
     } else {
       answeredAt = Long.MAX_VALUE;
     }
-    return answeredAt <= now && (gateway.hasNoClients() || now >= answeredAt + PARTING)
-        || now >= killedAt - SPARE;
+    return answeredAt <= now && (gateway.hasNoClients() || now >= answeredAt + CLIENTS_CLOSE)
+        || now >= killedAt - UNUSED_MARGIN;
   }
 
-  private void turn(long now, Runnable what) {
+  private void inIteration(long now, Runnable task) {
     gateway.beginIteration(now);
-    what.run();
+    task.run();
     gateway.endIteration();
   }
 }
--- a/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
@@ -13,32 +13,32 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * Plays made-up requests through a gateway of its own, of which nobody hears, before the real one
- * listens. Guards the first seconds: code that was not yet called is not compiled and takes many
- * times as long, on part of a core.
+ * Runs simulated requests through a gateway of its own, which has no network, before the real one
+ * listens. Runs on the event-loop thread. Guards the first seconds: code that was not yet called is
+ * not compiled and takes many times as long, on part of a core.
  */
 final class JvmWarmup implements NetworkDriver {
   private static final int HEAP_SHARE = 4;
   private static final int ROUNDS = 600;
   private static final long STEP = 20 * Units.TENTHS_PER_MS;
-  private static final long NANOS_MOST = 1_500_000_000;
+  private static final long MAX_NANOS = 1_500_000_000;
   private static final String STATEMENT =
       "SELECT day, count(*) FROM a_1.b WHERE t = 'x' GROUP BY day";
   private static final String ROW = "a\tb\tc\n";
 
   private final ArrayDeque<Runnable> next = new ArrayDeque<>();
   private final Gateway gateway;
-  private final GatewayConfig assignment;
+  private final GatewayConfig config;
   private Channel.Owner client;
   private long now;
 
-  JvmWarmup(GatewayConfig assignment, DispatchPolicyFactory modules, long now) {
-    this.assignment = assignment;
+  JvmWarmup(GatewayConfig config, DispatchPolicyFactory policies, long now) {
+    this.config = config;
     this.now = now;
     gateway =
         new Gateway(
-            assignment,
-            modules,
+            config,
+            policies,
             this,
             now,
             Runtime.getRuntime().maxMemory() / HEAP_SHARE,
@@ -48,18 +48,18 @@
   }
 
   /**
-   * @param between called between two rounds, for what can't wait until it is over
+   * @param betweenRounds called between two rounds, for what can't wait until it is over
    */
-  void play(Runnable between) {
-    List<String> requestClasses = assignment.requestClasses();
+  void play(Runnable betweenRounds) {
+    List<String> requestClasses = config.requestClasses();
     if (requestClasses.isEmpty()) {
       return;
     }
-    long until = System.nanoTime() + NANOS_MOST;
-    client = gateway.onClientConnected(new Played());
+    long until = System.nanoTime() + MAX_NANOS;
+    client = gateway.onClientConnected(new SimulatedChannel());
     for (int i = 0; i < ROUNDS && System.nanoTime() < until; i++) {
       String id = String.format("%016x", i);
-      say(
+      send(
           "POST /v1/"
               + requestClasses.get(i % requestClasses.size())
               + " HTTP/1.1\r\nHost: app\r\nX-Correlation-Id: "
@@ -70,20 +70,20 @@
               + STATEMENT.length()
               + "\r\n\r\n"
               + STATEMENT);
-      say("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: app\r\n\r\n");
+      send("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: app\r\n\r\n");
       now += STEP;
-      between.run();
+      betweenRounds.run();
     }
   }
 
-  private void say(String text) {
-    turn(() -> client.onBytes(text.getBytes(StandardCharsets.ISO_8859_1)));
+  private void send(String text) {
+    inIteration(() -> client.onBytes(text.getBytes(StandardCharsets.ISO_8859_1)));
     while (!next.isEmpty()) {
-      turn(next.poll());
+      inIteration(next.poll());
     }
   }
 
-  private void turn(Runnable event) {
+  private void inIteration(Runnable event) {
     gateway.beginIteration(now);
     event.run();
     gateway.endIteration();
@@ -91,7 +91,7 @@
 
   @Override
   public Channel connect(InetSocketAddress to, Channel.Owner owner) {
-    Played channel = new Played();
+    SimulatedChannel channel = new SimulatedChannel();
     channel.engine = owner;
     next.add(owner::onOpened);
     return channel;
@@ -108,7 +108,7 @@
   }
 
   /** A connection at whose other end an engine answers at once, or a client reads. */
-  private final class Played implements Channel {
+  private final class SimulatedChannel implements Channel {
     private Owner engine;
 
     @Override
@@ -149,7 +149,7 @@
     }
 
     @Override
-    public void pauseReading(boolean held) {
+    public void pauseReading(boolean paused) {
       // Nothing more comes.
     }
   }
--- a/gateway/src/main/java/tillerlink/net/lifecycle/WallClock.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/WallClock.java
@@ -7,7 +7,9 @@
  * not show.
  */
 public final class WallClock {
+  /** One unit of the clock, in nanoseconds. */
   public static final long NANOS_PER_TENTH = 100_000;
+
   private static final long TENTHS_PER_SECOND = 10_000;
 
   private final long startNanos = System.nanoTime();
@@ -18,6 +20,7 @@
     start = unix.getEpochSecond() * TENTHS_PER_SECOND + unix.getNano() / NANOS_PER_TENTH;
   }
 
+  /** Tenths of a millisecond since 1970; for any thread. */
   public long now() {
     return start + (System.nanoTime() - startNanos) / NANOS_PER_TENTH;
   }
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -271,27 +271,48 @@
       return;
     }
     long now = owner.now();
-    boolean idle = inFlightAttempts.isEmpty();
+    if (!checkUse(now, connectTimeout, idleTimeout) && !checkInput(now, connectTimeout)) {
+      if (!aborted && holdsObsoleteWrite(now)) {
+        // What was written is known once the connection has closed.
+        aborted = true;
+        retired = true;
+        channel.abort();
+      } else {
+        liveness.checkProbe(now, connectTimeout);
+      }
+    }
+    if (!closed && liveness.isSilent()) {
+      handleSilence(now, connectTimeout);
+    }
+  }
+
+  /** Ends it if it did not open or is idle for too long; whether that is so. */
+  private boolean checkUse(long now, long connectTimeout, long idleTimeout) {
     if (!liveness.isOpen() && liveness.openTimedOut(now, connectTimeout)) {
       end(DisconnectReason.NEVER_UP);
-    } else if (idle && liveness.idleTimedOut(now, idleTimeout)) {
+      return true;
+    }
+    if (inFlightAttempts.isEmpty() && liveness.idleTimedOut(now, idleTimeout)) {
       retire();
-    } else if (liveness.isOpen() && !idle && liveness.probeDue(now, connectTimeout)) {
+      return true;
+    }
+    return false;
+  }
+
+  /** Sends a probe, or ends it for half a response, if either is due; whether one was. */
+  private boolean checkInput(long now, long connectTimeout) {
+    if (liveness.isOpen()
+        && !inFlightAttempts.isEmpty()
+        && liveness.probeDue(now, connectTimeout)) {
       liveness.onProbeSent(now, connectTimeout);
       write(EngineCommand.there(PROBE_ID));
-    } else if (partialSince > 0 && now >= partialSince + connectTimeout) {
-      end(DisconnectReason.GARBLED);
-    } else if (!aborted && holdsObsoleteWrite(now)) {
-      // What was written is known once the connection has closed.
-      aborted = true;
-      retired = true;
-      channel.abort();
-    } else {
-      liveness.checkProbe(now, connectTimeout);
+      return true;
     }
-    if (!closed && liveness.isSilent()) {
-      handleSilence(now, connectTimeout);
+    if (partialSince > 0 && now >= partialSince + connectTimeout) {
+      end(DisconnectReason.GARBLED);
+      return true;
     }
+    return false;
   }
 
   private void handleSilence(long now, long connectTimeout) {
@@ -355,18 +376,22 @@
     } else {
       channel.abort();
     }
-    boolean resumable = how != DisconnectReason.CLOSED_BY_US && how != DisconnectReason.SILENT;
     for (InFlightAttempt inFlight : List.copyOf(inFlightAttempts.values())) {
-      if (!resumable || !transport.resume(inFlight)) {
-        boolean whole = writesKnown ? writes.isCompleted(inFlight) : inFlight.handedOver();
-        owner.attemptEnded(inFlight, how.outcome(whole || inFlight.pages != null));
-      }
+      endAttempt(inFlight, how, writesKnown);
     }
     if (how == DisconnectReason.REFUSED || how == DisconnectReason.NEVER_UP) {
       transport.onConnectFailed();
     }
   }
 
+  private void endAttempt(InFlightAttempt inFlight, DisconnectReason how, boolean writesKnown) {
+    boolean resumable = how != DisconnectReason.CLOSED_BY_US && how != DisconnectReason.SILENT;
+    if (!resumable || !transport.resume(inFlight)) {
+      boolean whole = writesKnown ? writes.isCompleted(inFlight) : inFlight.handedOver();
+      owner.attemptEnded(inFlight, how.outcome(whole || inFlight.pages != null));
+    }
+  }
+
   private void countEnd(DisconnectReason how) {
     owner.telemetry().metrics().add(Counter.ENGINE_CONNECTIONS_ENDED, how);
     if (how != DisconnectReason.CLOSED_BY_US || !inFlightAttempts.isEmpty()) {
--- a/gateway/src/test/java/tillerlink/SingleWriterTest.java
+++ b/gateway/src/test/java/tillerlink/SingleWriterTest.java
@@ -22,9 +22,14 @@
   void socketsAreOpenedAndWrittenInTheDriverAlone() throws IOException {
     assertEquals(
         List.of("net/io/MinaDriver.java", "net/io/ReadProcessor.java"),
-        filesWith(
-            "NioSocketConnector|NioDatagramConnector|\\bSocketChannel\\b|DatagramChannel\\b|java\\.net\\.(Datagram)?Socket\\b"
-                + "|session\\.write\\("));
+        filesWith("NioSocketConnector|\\bSocketChannel\\b|java\\.net\\.Socket\\b"));
+    assertEquals(
+        List.of("net/io/DiscoverySocket.java"),
+        filesWith("NioDatagramConnector|DatagramChannel\\b|java\\.net\\.DatagramSocket\\b"));
+    assertEquals(
+        List.of("net/io/DiscoverySocket.java", "net/io/MinaDriver.java"),
+        filesWith("session\\.write\\("),
+        "one for datagrams, one for connections");
     assertEquals(
         2,
         occurrences("net/io/ReadProcessor.java", "super\\.write\\("),
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -194,16 +194,17 @@
     loopback.ask(
         gateway -> {
           shutdown.begin(told);
-          return shutdown.done(told + 7000);
+          return shutdown.isComplete(told + 7000);
         });
-    boolean gone = loopback.ask(gateway -> shutdown.done(told + 12_000));
+    boolean gone = loopback.ask(gateway -> shutdown.isComplete(told + 12_000));
     assertFalse(gone);
     client.say(text.substring(60));
     client.heard("{\"problem\":\"Full\"}");
     client.endedAndRead();
     loopback.nobodyElse(0);
     client.close();
-    Loopback.await(() -> loopback.ask(gateway -> shutdown.done(told + 13_000)), "it does not end");
+    Loopback.await(
+        () -> loopback.ask(gateway -> shutdown.isComplete(told + 13_000)), "it does not end");
   }
 
   // ---- the discovery service ----
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -260,7 +260,7 @@
   void resolver(InetSocketAddress moved) {
     turns.queue.add(
         () -> {
-          driver.askAt(moved);
+          driver.setDiscoveryAddress(moved);
           gateway.discoveryAddressChanged();
         });
     turn();
