--- a/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -2,7 +2,6 @@
 
 import java.util.ArrayDeque;
 import tillerlink.net.wire.HttpParseResult;
-import tillerlink.net.wire.HttpRequestParser;
 import tillerlink.net.wire.HttpResponse;
 import tillerlink.plain.Units;
 
@@ -37,35 +36,20 @@
 
   private static final long MAX_STALL = 5000 * Units.TENTHS_PER_MS;
 
-  /**
-   * How long, and how much, is read and discarded after a refusal: an early close might overtake
-   * it.
-   */
+  /** How long input is read and discarded after a refusal: an early close might overtake it. */
   private static final long LINGER = 1000 * Units.TENTHS_PER_MS;
 
-  private static final int MAX_DISCARDED = 262_144;
-
-  /**
-   * More than this beside a request in progress, where memory is short, and nothing further is read
-   * until that is answered; else a whole request. Where nothing is read, its end is not seen
-   * either.
-   */
-  private static final int MAX_PIPELINED_WHEN_FULL = 16_384;
-
-  private static final int MAX_PIPELINED = 131_072 + MAX_PIPELINED_WHEN_FULL;
-
   private final ClientRequestHandler handler;
   private final RequestRegistry requests;
   private final RetainedBytes retained;
   private final Channel channel;
-  private final HttpRequestParser parser = new HttpRequestParser();
+  private final ClientInput input;
 
   /** Sizes of what is being written. */
   private final ArrayDeque<Integer> unwritten = new ArrayDeque<>();
 
   private boolean requestInProgress;
   private boolean closeAfterAnswer;
-  private boolean readingPaused;
   private boolean closed;
 
   /** It is to be closed unless something turns out to have come. */
@@ -83,11 +67,6 @@
   /** When the request that is being read began to come: the first with the connect. */
   private long requestSince;
 
-  /** Bytes of it that are counted as retained. */
-  private int counted;
-
-  private int discarded;
-
   /** The request whose answer it waits for, or null. */
   private PendingResponse waitsFor;
 
@@ -104,6 +83,7 @@
     this.channel = channel;
     requests = handler.requests();
     retained = handler.retained();
+    input = new ClientInput(channel, retained);
     quietSince = handler.now();
     requestSince = quietSince;
   }
@@ -138,31 +118,20 @@
   @Override
   public void onBytes(byte[] bytes) {
     if (closed) {
-      discard(bytes.length);
+      input.discard(bytes.length);
       return;
     }
-    if (!parser.midway()) {
+    if (!input.midway()) {
       quietSince = handler.now();
       requestSince = spoken ? quietSince : requestSince;
     }
-    parser.feed(bytes);
+    input.add(bytes);
     parse();
-    if (!requestInProgress
-        && !closed
-        && retained.isFull()
-        && parser.waiting() > MAX_PIPELINED_WHEN_FULL) {
+    if (!requestInProgress && !closed && input.exceedsLimit()) {
       refuse(requests.overloaded());
     }
   }
 
-  private void discard(int more) {
-    discarded += more;
-    if (discarded > MAX_DISCARDED && !readingPaused) {
-      readingPaused = true;
-      channel.pauseReading(true);
-    }
-  }
-
   @Override
   public void onWritten() {
     retained.add(-unwritten.poll());
@@ -201,19 +170,14 @@
     }
     unwritten.forEach(size -> retained.add(-size));
     unwritten.clear();
-    count(0);
+    input.release();
     handler.connections().remove(this);
   }
 
-  private void count(int bytes) {
-    retained.add(bytes - counted);
-    counted = bytes;
-  }
-
   private void parse() {
     if (!requestInProgress && !closed) {
-      HttpParseResult item = parser.next();
-      if (parser.wantsGoOn()) {
+      HttpParseResult item = input.next();
+      if (input.wantsContinue()) {
         write(HttpResponse.goOn());
       }
       if (item != null) {
@@ -224,13 +188,7 @@
         handler.handle(this, item);
       }
     }
-    count(parser.waiting());
-    int limit = retained.isFull() ? MAX_PIPELINED_WHEN_FULL : MAX_PIPELINED;
-    boolean pause = requestInProgress && parser.waiting() > limit;
-    if (pause != readingPaused && !closed) {
-      readingPaused = pause;
-      channel.pauseReading(pause);
-    }
+    input.regulate(requestInProgress, closed);
   }
 
   private void write(byte[] bytes) {
@@ -311,7 +269,7 @@
    * to a half-read request.
    */
   boolean busy() {
-    return writing() || !closed && (answeredLater || handler.closing() && parser.midway());
+    return writing() || !closed && (answeredLater || handler.closing() && input.midway());
   }
 
   private boolean writing() {
@@ -358,12 +316,12 @@
   }
 
   private boolean halfRequest() {
-    return !requestInProgress && parser.midway();
+    return !requestInProgress && input.midway();
   }
 
   private boolean idle() {
     return !requestInProgress
-        && !parser.midway()
+        && !input.midway()
         && handler.now() >= quietSince + (spoken ? MAX_IDLE : MAX_REQUEST_TIME);
   }
 
@@ -396,7 +354,7 @@
 
   private boolean unused() {
     boolean fetches = submitted != null && !submitted.left && !submitted.handedOut;
-    return !closed && !requestInProgress && !parser.midway() && !fetches;
+    return !closed && !requestInProgress && !input.midway() && !fetches;
   }
 
   /** No further request is accepted: the one in progress is the last, and an unused one closes. */
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -1,10 +1,5 @@
 package tillerlink.net.state;
 
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
-import java.util.List;
-import java.util.Map;
-import java.util.Set;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.net.wire.EngineCommand;
 import tillerlink.net.wire.EngineResponse;
@@ -19,11 +14,6 @@
  * the event-loop thread.
  */
 final class EngineConnection implements Channel.Owner {
-  /**
-   * Attempts that ended here last: an answer to one of these crossed our command and is no fault.
-   */
-  private static final int RECENTLY_ENDED = 64;
-
   private static final String PROBE_ID = "0";
 
   private final LineProtocolTransport transport;
@@ -33,8 +23,7 @@
   private final EngineResponseHandler responses;
   private final AttemptWrites writes = new AttemptWrites();
   private final ConnectionLiveness liveness;
-  private final Map<String, InFlightAttempt> inFlightAttempts = new LinkedHashMap<>();
-  private final Set<String> recentlyEnded = new LinkedHashSet<>();
+  private final CarriedAttempts attempts = new CarriedAttempts();
   private Channel channel;
   private boolean closed;
 
@@ -70,28 +59,27 @@
     return !retired
         && !liveness.isSilent()
         && !closed
-        && inFlightAttempts.size() < maxAttempts
-        && !inFlightAttempts.containsKey(id)
-        && !recentlyEnded.contains(id);
+        && attempts.size() < maxAttempts
+        && !attempts.knows(id);
   }
 
   /** How many attempts it carries. */
   int attemptCount() {
-    return inFlightAttempts.size();
+    return attempts.size();
   }
 
   /** The attempt of that id, or null if it carries none. */
   InFlightAttempt attempt(String id) {
-    return inFlightAttempts.get(id);
+    return attempts.get(id);
   }
 
   boolean recentlyEnded(String id) {
-    return recentlyEnded.contains(id);
+    return attempts.recentlyEnded(id);
   }
 
   void send(InFlightAttempt inFlight) {
     inFlight.connection = this;
-    inFlightAttempts.put(inFlight.id(), inFlight);
+    attempts.add(inFlight);
     liveness.onAttemptSent(owner.now());
     if (liveness.isOpen()) {
       start(inFlight);
@@ -149,14 +137,9 @@
 
   /** An attempt has ended: nothing more of it is expected here. */
   void release(InFlightAttempt inFlight) {
-    if (inFlightAttempts.remove(inFlight.id(), inFlight)) {
-      recentlyEnded.add(inFlight.id());
-      if (recentlyEnded.size() > RECENTLY_ENDED) {
-        recentlyEnded.remove(recentlyEnded.iterator().next());
-      }
-    }
+    attempts.remove(inFlight);
     liveness.onAttemptEnded(owner.now());
-    if (retired && inFlightAttempts.isEmpty()) {
+    if (retired && attempts.isEmpty()) {
       end(DisconnectReason.CLOSED_BY_US);
     }
   }
@@ -169,7 +152,7 @@
       return;
     }
     liveness.onOpened(owner.now());
-    inFlightAttempts.values().forEach(this::start);
+    attempts.all().forEach(this::start);
   }
 
   @Override
@@ -243,7 +226,7 @@
 
   /** Since when it is idle; {@link Long#MAX_VALUE} if it carries attempts or is being opened. */
   long idleSince() {
-    return liveness.isOpen() && inFlightAttempts.isEmpty() ? liveness.idleSince() : Long.MAX_VALUE;
+    return liveness.isOpen() && attempts.isEmpty() ? liveness.idleSince() : Long.MAX_VALUE;
   }
 
   /**
@@ -252,7 +235,7 @@
    */
   void retire() {
     retired = true;
-    if (inFlightAttempts.isEmpty() || !liveness.isOpen()) {
+    if (attempts.isEmpty() || !liveness.isOpen()) {
       end(DisconnectReason.CLOSED_BY_US);
     }
   }
@@ -292,7 +275,7 @@
       end(DisconnectReason.NEVER_UP);
       return true;
     }
-    if (inFlightAttempts.isEmpty() && liveness.idleTimedOut(now, idleTimeout)) {
+    if (attempts.isEmpty() && liveness.idleTimedOut(now, idleTimeout)) {
       retire();
       return true;
     }
@@ -301,9 +284,7 @@
 
   /** Sends a probe, or ends it for half a response, if either is due; whether one was. */
   private boolean checkInput(long now, long connectTimeout) {
-    if (liveness.isOpen()
-        && !inFlightAttempts.isEmpty()
-        && liveness.probeDue(now, connectTimeout)) {
+    if (liveness.isOpen() && !attempts.isEmpty() && liveness.probeDue(now, connectTimeout)) {
       liveness.onProbeSent(now, connectTimeout);
       write(EngineCommand.there(PROBE_ID));
       return true;
@@ -334,7 +315,7 @@
   }
 
   private boolean holdsWriteSince(long sentAt) {
-    return inFlightAttempts.values().stream()
+    return attempts.all().stream()
         .anyMatch(inFlight -> writes.isPending(inFlight) && inFlight.attempt.sentAt <= sentAt);
   }
 
@@ -345,9 +326,9 @@
   void onEngineUnreachable() {
     if (liveness.isSilent()) {
       owner.warnRateLimited(
-          "engine " + engineId() + " is silent, " + inFlightAttempts.size() + " hops end in doubt");
+          "engine " + engineId() + " is silent, " + attempts.size() + " hops end in doubt");
       end(DisconnectReason.SILENT);
-    } else if (inFlightAttempts.isEmpty()) {
+    } else if (attempts.isEmpty()) {
       retire();
     }
   }
@@ -376,7 +357,7 @@
     } else {
       channel.abort();
     }
-    for (InFlightAttempt inFlight : List.copyOf(inFlightAttempts.values())) {
+    for (InFlightAttempt inFlight : attempts.copy()) {
       endAttempt(inFlight, how, writesKnown);
     }
     if (how == DisconnectReason.REFUSED || how == DisconnectReason.NEVER_UP) {
@@ -394,7 +375,7 @@
 
   private void countEnd(DisconnectReason how) {
     owner.telemetry().metrics().add(Counter.ENGINE_CONNECTIONS_ENDED, how);
-    if (how != DisconnectReason.CLOSED_BY_US || !inFlightAttempts.isEmpty()) {
+    if (how != DisconnectReason.CLOSED_BY_US || !attempts.isEmpty()) {
       owner
           .telemetry()
           .log()
@@ -407,7 +388,7 @@
               "how",
               how,
               "attempts",
-              inFlightAttempts.size(),
+              attempts.size(),
               "up",
               liveness.isOpen());
     }
