--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -15,7 +15,8 @@
  */
 final class EngineTransportOwner implements EngineTransport.Owner {
   private final GatewayContext context;
-  private final ClientRequestHandler clients;
+  private final RequestRegistry requests;
+  private final RetainedBytes retained;
   private final FencedRequests fencedRequests;
   private final NetworkSettings settings;
   private final EndpointList endpoints;
@@ -27,13 +28,15 @@
    */
   EngineTransportOwner(
       GatewayContext context,
-      ClientRequestHandler clients,
+      RequestRegistry requests,
+      RetainedBytes retained,
       FencedRequests fencedRequests,
       NetworkSettings settings,
       Settings terms,
       EngineTransport.Factory factory) {
     this.context = context;
-    this.clients = clients;
+    this.requests = requests;
+    this.retained = retained;
     this.fencedRequests = fencedRequests;
     this.settings = settings;
     endpoints =
@@ -42,11 +45,11 @@
             context.telemetry(),
             context.listStatus(),
             this,
-            (owner, site, kind) -> {
+            (owner, engineAddress, kind) -> {
               EngineTransport transport =
-                  factory == null ? null : factory.create(owner, site, kind);
+                  factory == null ? null : factory.create(owner, engineAddress, kind);
               return transport == null
-                  ? new LineProtocolTransport(owner, site, settings.streamsPerConnection())
+                  ? new LineProtocolTransport(owner, engineAddress, settings.streamsPerConnection())
                   : transport;
             });
   }
@@ -77,7 +80,7 @@
 
   @Override
   public void retainedBytesChanged(long more) {
-    clients.held(more);
+    retained.add(more);
   }
 
   // ---- attempts ----
@@ -115,11 +118,11 @@
     }
     inFlight.transport().release(inFlight);
     AttemptOutcome outcome =
-        inFlight.guarded() ? fencedRequests.ended(inFlight, reported) : reported;
+        inFlight.fenced() ? fencedRequests.ended(inFlight, reported) : reported;
     if (outcome == AttemptOutcome.SUCCEEDED) {
-      clients.fulfil(inFlight.pending, ResultEncoder.answer(inFlight.pages));
+      requests.succeed(inFlight.pending, ResultEncoder.answer(inFlight.pages));
     }
-    inFlight.forgetAnswer();
+    inFlight.releaseResult();
     retainedBytesChanged(-inFlight.bytes);
     long elapsed = context.now() - inFlight.attempt.sentAt;
     context.dispatchLog().attemptEnded(inFlight, outcome, elapsed);
