--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -16,19 +16,19 @@
  */
 final class FencedRequests implements GatewayExtension.ExtensionContext {
   private final GatewayContext context;
-  private final ClientRequestHandler clients;
+  private final RequestRegistry requests;
 
   /** Those that are owed an answer. */
   private final Set<PendingResponse> open = new LinkedHashSet<>();
 
-  FencedRequests(GatewayContext context, ClientRequestHandler clients) {
+  FencedRequests(GatewayContext context, RequestRegistry requests) {
     this.context = context;
-    this.clients = clients;
+    this.requests = requests;
   }
 
   @Override
   public void submit(HttpRequest http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
-    PendingResponse pending = clients.submit(http, guard, reply);
+    PendingResponse pending = requests.submit(http, guard, reply);
     if (pending != null) {
       open.add(pending);
     }
@@ -56,12 +56,12 @@
    * late.
    */
   void written(InFlightAttempt inFlight) {
-    if (inFlight.sound || !inFlight.attempt.isInFlight()) {
+    if (inFlight.confirmedByGuard || !inFlight.attempt.isInFlight()) {
       return;
     }
-    inFlight.sound = inFlight.pending.guard.holds();
-    if (!inFlight.sound) {
-      inFlight.stale = true;
+    inFlight.confirmedByGuard = inFlight.pending.guard.holds();
+    if (!inFlight.confirmedByGuard) {
+      inFlight.fencedOff = true;
       context.iteration().runInNextIteration(() -> withdraw(inFlight.pending));
     }
   }
@@ -71,14 +71,14 @@
    * is lost.
    */
   AttemptOutcome ended(InFlightAttempt inFlight, AttemptOutcome outcome) {
-    if (inFlight.began) {
+    if (inFlight.startNotified) {
       inFlight.pending.guard.onAttemptEnded(mayRunUntil(inFlight, outcome));
     }
-    if (inFlight.refused) {
+    if (inFlight.refusedByGuard) {
       withdraw(inFlight.pending);
     } else if (outcome == AttemptOutcome.SUCCEEDED) {
-      inFlight.stale |= !inFlight.sound && !inFlight.pending.guard.holds();
-      if (inFlight.stale) {
+      inFlight.fencedOff |= !inFlight.confirmedByGuard && !inFlight.pending.guard.holds();
+      if (inFlight.fencedOff) {
         withdraw(inFlight.pending);
         return AttemptOutcome.RESPONSE_LOST;
       }
@@ -94,7 +94,7 @@
    * run, whatever became of the rest.
    */
   private static long mayRunUntil(InFlightAttempt inFlight, AttemptOutcome outcome) {
-    boolean over = !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.begun();
+    boolean over = !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.resultStarted();
     return over ? 0 : inFlight.pending.request.clientDeadline;
   }
 
@@ -111,11 +111,11 @@
         pending.request.requestClass != null
                 && pending.request.requestClass.config.effect() == Effect.PURE
             || pending.inFlightAttempts.stream()
-                .allMatch(inFlight -> inFlight.refused || !inFlight.attempt.mayHaveRun());
+                .allMatch(inFlight -> inFlight.refusedByGuard || !inFlight.attempt.mayHaveRun());
     if (again) {
-      clients.reject(pending, pending.guard.retryAfter());
+      requests.reject(pending, pending.guard.retryAfter());
     } else {
-      clients.fail(pending);
+      requests.fail(pending);
     }
     context.policyEvents().clientDisconnected(pending);
   }
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -4,7 +4,6 @@
 import java.util.EnumSet;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import tillerlink.model.Attempt;
 import tillerlink.model.Effect;
@@ -19,73 +18,76 @@
 import tillerlink.plain.Units;
 
 /**
- * Checks what was written, by when its first byte went out and not by what was decided, and shares
+ * Checks what was written, by when its first byte was sent and not by what was decided, and shares
  * no state with the guard. It finds violations that are certain; what only might be one (a drain of
- * which this process has not heard) can be seen from outside alone. Times are tenths of a
- * millisecond.
+ * which this process was not notified) is visible from outside alone. Times are tenths of a
+ * millisecond. Used by the event loop alone.
  */
 public final class InvariantMonitor {
-  /** What a rule on sockets allows beyond its limit. */
+  /** What a rule on sockets allows beyond its limit; the next ones have slacks of their own. */
   private static final long SLACK = 50 * Units.TENTHS_PER_MS;
 
   private static final long ANSWER_SLACK = 500 * Units.TENTHS_PER_MS;
-  private static final long LEFT_SLACK = 100 * Units.TENTHS_PER_MS;
+  private static final long DISCONNECT_SLACK = 100 * Units.TENTHS_PER_MS;
   private static final long LIMIT_SLACK = 150 * Units.TENTHS_PER_MS;
   private static final double BUDGET_SLACK = 1.15;
-  private static final int SLICES = 50;
+  private static final int SUM_SLICES = 50;
 
-  /** For longer nothing that was decided before is on its way to an engine that is gone. */
-  private static final long FORGOTTEN_AFTER = 60_000 * Units.TENTHS_PER_MS;
+  /** After this time nothing that was decided earlier is on its way to an engine that is gone. */
+  private static final long FORGET_GONE_ENGINE_AFTER = 60_000 * Units.TENTHS_PER_MS;
 
   /**
    * An attempt that was written.
    *
-   * @param firstByteAt when its first byte went out
-   * @param before when the guard wanted it out by
-   * @param limit how long the engine was told that the client waits
+   * @param attempt the attempt
+   * @param firstByteAt when its first byte was sent
+   * @param writeBefore when the guard wanted it sent by
+   * @param limit how long the client waits, as passed to the engine
    */
-  public record Written(Attempt attempt, long firstByteAt, long before, long limit) {}
+  public record Written(Attempt attempt, long firstByteAt, long writeBefore, long limit) {}
 
   private final long grace;
-  private final long budgetSpan;
+  private final long budgetPeriod;
   private final double budgetFloor;
-  private final double budgetShare;
-  private final long fallSpan;
-  private final double fallMultiple;
+  private final double budgetRatio;
+  private final long slowStartPeriod;
+  private final double slowStartMultiple;
   private final double startCapacity;
-  private final long warmWithin;
+  private final long warmupTime;
   private final Settings settings;
-  private final SlidingSum taken;
-  private final SlidingSum further;
+  private final SlidingSum requests;
+  private final SlidingSum retries;
   private final Set<Engine> ready = Collections.newSetFromMap(new IdentityHashMap<>());
-  private final Map<Engine, Long> notReadySince = new IdentityHashMap<>();
-  private final Map<Engine, SlidingSum> workWritten = new IdentityHashMap<>();
-  private double works;
-  private long written;
+  private final IdentityHashMap<Engine, Long> notReadySince = new IdentityHashMap<>();
+  private final IdentityHashMap<Engine, SlidingSum> workWritten = new IdentityHashMap<>();
+  private double totalWork;
+  private long writtenAttempts;
 
   /**
+   * Creates a monitor of a gateway that has written nothing yet.
+   *
    * @param settings as the policy has them
    */
   public InvariantMonitor(Settings settings) {
     this.settings = settings;
     grace = settings.number("guarantees.drain_grace", 0);
-    budgetSpan = settings.number("guarantees.budget_span", 0);
+    budgetPeriod = settings.number("guarantees.budget_span", 0);
     budgetFloor = settings.amount("guarantees.extra_floor", 0);
-    budgetShare = settings.amount("guarantees.further_ratio", 0);
-    fallSpan = settings.number("guarantees.fall", 0);
-    fallMultiple = settings.amount("guarantees.fall_multiple", 1);
+    budgetRatio = settings.amount("guarantees.further_ratio", 0);
+    slowStartPeriod = settings.number("guarantees.fall", 0);
+    slowStartMultiple = settings.amount("guarantees.fall_multiple", 1);
     startCapacity = settings.amount("guarantees.start_capacity", 1);
-    warmWithin = settings.number("guarantees.warm_within", 0);
-    taken = new SlidingSum(Math.max(1, budgetSpan), SLICES);
-    further = new SlidingSum(Math.max(1, budgetSpan), SLICES);
+    warmupTime = settings.number("guarantees.warm_within", 0);
+    requests = new SlidingSum(Math.max(1, budgetPeriod), SUM_SLICES);
+    retries = new SlidingSum(Math.max(1, budgetPeriod), SUM_SLICES);
   }
 
   /** A request was accepted. */
   public void onRequestAccepted(long now) {
-    taken.add(now, 1);
+    requests.add(now, 1);
   }
 
-  /** The list was told; {@code whole} means that engines not in it are gone. */
+  /** The endpoint list changed; {@code whole} means that engines not in it are gone. */
   public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
     if (whole) {
       ready.forEach(engine -> notReadySince.putIfAbsent(engine, now));
@@ -104,18 +106,19 @@
         .entrySet()
         .removeIf(
             entry ->
-                entry.getKey().status == Status.GONE && now > entry.getValue() + FORGOTTEN_AFTER);
+                entry.getKey().status == Status.GONE
+                    && now > entry.getValue() + FORGET_GONE_ENGINE_AFTER);
     workWritten.keySet().retainAll(ready);
   }
 
-  /** A final answer became ready. */
+  /** A final answer became ready; returns what that breaks. */
   public Set<Invariant> checkAnswer(long now, Request request) {
     return now > request.clientDeadline + ANSWER_SLACK
         ? EnumSet.of(Invariant.ANSWER_IN_TIME)
         : Set.of();
   }
 
-  /** An attempt was written; what that broke. */
+  /** An attempt was written; returns what that breaks. */
   public Set<Invariant> checkWritten(Written written) {
     EnumSet<Invariant> broken = EnumSet.noneOf(Invariant.class);
     Attempt attempt = written.attempt;
@@ -123,60 +126,57 @@
     long at = written.firstByteAt;
     attempt.writtenAt = at;
     if (request.requestClass == null) {
-      // A policy that knows no request classes, as those that others are measured against: it has
-      // no terms
-      // to hold it to.
+      // A policy without request classes, as the baselines have: there is nothing to check.
       return broken;
     }
-    note(
-        broken,
-        Invariant.CLIENT_WAITS,
-        request.outcome == RequestOutcome.CLIENT_DISCONNECTED
-                && at > request.disconnectedAt + LEFT_SLACK
-            || at > request.clientDeadline + SLACK);
-    note(
-        broken,
-        Invariant.LIMIT,
-        written.limit > Math.max(0, request.clientDeadline - at) + LIMIT_SLACK);
-    note(broken, Invariant.SINGLE_EFFECT, runsTwice(attempt, at));
-    note(
-        broken,
-        Invariant.DRAIN,
-        at
-            > notReadySince.getOrDefault(attempt.engine, Long.MAX_VALUE - grace - SLACK)
-                + grace
-                + SLACK);
-    note(broken, Invariant.WRITE_IN_TIME, at > written.before + SLACK);
-    note(
-        broken,
-        Invariant.ORDER,
-        request.ordered()
-            && request.keyQueue.firstUnfinished() != request
-            && request.outcome == null);
-    note(broken, Invariant.PLACEMENT, !request.requestClass.config.allows(attempt.engine));
-    note(broken, Invariant.RETRY_BUDGET, exceedsBudget(attempt, at));
-    note(broken, Invariant.SLOW_START, overloadsCold(attempt, at));
+    long timeLeft = Math.max(0, request.clientDeadline - at);
+    addIf(broken, Invariant.CLIENT_WAITS, isTooLateForClient(request, at));
+    addIf(broken, Invariant.LIMIT, written.limit > timeLeft + LIMIT_SLACK);
+    addIf(broken, Invariant.SINGLE_EFFECT, runsTwice(attempt, at));
+    addIf(broken, Invariant.DRAIN, isAfterDrainGrace(attempt.engine, at));
+    addIf(broken, Invariant.WRITE_IN_TIME, at > written.writeBefore + SLACK);
+    addIf(broken, Invariant.ORDER, isOutOfOrder(request));
+    addIf(broken, Invariant.PLACEMENT, !request.requestClass.config.allows(attempt.engine));
+    addIf(broken, Invariant.RETRY_BUDGET, exceedsBudget(attempt, at));
+    addIf(broken, Invariant.SLOW_START, overloadsWarmingEngine(attempt, at));
     return broken;
   }
 
-  private static void note(Set<Invariant> broken, Invariant which, boolean isBroken) {
+  private static void addIf(Set<Invariant> broken, Invariant which, boolean isBroken) {
     if (isBroken) {
       broken.add(which);
     }
   }
 
+  private static boolean isTooLateForClient(Request request, long at) {
+    return (request.outcome == RequestOutcome.CLIENT_DISCONNECTED
+            && at > request.disconnectedAt + DISCONNECT_SLACK)
+        || at > request.clientDeadline + SLACK;
+  }
+
+  private boolean isAfterDrainGrace(Engine engine, long at) {
+    long since = notReadySince.getOrDefault(engine, Long.MAX_VALUE - grace - SLACK);
+    return at > since + grace + SLACK;
+  }
+
+  private static boolean isOutOfOrder(Request request) {
+    return request.ordered()
+        && request.keyQueue.firstUnfinished() != request
+        && request.outcome == null;
+  }
+
   private static boolean runsTwice(Attempt attempt, long at) {
-    RequestClassConfig terms = attempt.request.requestClass.config;
-    if (terms.effect() == Effect.PURE) {
+    RequestClassConfig classConfig = attempt.request.requestClass.config;
+    if (classConfig.effect() == Effect.PURE) {
       return false;
     }
     for (Attempt other : attempt.request.attempts) {
       if (other == attempt || other.writtenAt == 0 || !other.mayHaveRun()) {
         continue;
       }
-      if (terms.effect() == Effect.EFFECTFUL
-          || !terms.deduplicationGroup().covers(other.engine, attempt.engine)
-          || at > other.writtenAt + terms.deduplicationWindow() + SLACK) {
+      if (classConfig.effect() == Effect.EFFECTFUL
+          || !classConfig.deduplicationGroup().covers(other.engine, attempt.engine)
+          || at > other.writtenAt + classConfig.deduplicationWindow() + SLACK) {
         return true;
       }
     }
@@ -184,38 +184,39 @@
   }
 
   private boolean exceedsBudget(Attempt attempt, long at) {
-    if (budgetSpan <= 0 || attempt.number == 0) {
+    if (budgetPeriod <= 0 || attempt.number == 0) {
       return false;
     }
-    further.add(at, 1);
-    return further.lowerBound(at)
-        > 1 + budgetFloor + BUDGET_SLACK * budgetShare * taken.upperBound(at);
+    retries.add(at, 1);
+    return retries.lowerBound(at)
+        > 1 + budgetFloor + BUDGET_SLACK * budgetRatio * requests.upperBound(at);
   }
 
   /**
-   * Whether this gateway alone wrote more to a cold engine than it bears: N and twice its root of
-   * mean requests, and 2.
+   * Whether this gateway alone wrote more to a warming engine than that bears: with N mean requests
+   * allowed in a period, over N + 2 root N + 2 of them.
    */
-  private boolean overloadsCold(Attempt attempt, long at) {
+  private boolean overloadsWarmingEngine(Attempt attempt, long at) {
     double work =
         Math.max(1, attempt.nominalTime * attempt.request.requestClass.config.threadsPerRequest());
-    works += work;
-    written++;
-    if (fallSpan <= 0) {
+    totalWork += work;
+    writtenAttempts++;
+    if (slowStartPeriod <= 0) {
       return false;
     }
     SlidingSum sum =
-        workWritten.computeIfAbsent(attempt.engine, engine -> new SlidingSum(fallSpan, SLICES));
+        workWritten.computeIfAbsent(
+            attempt.engine, engine -> new SlidingSum(slowStartPeriod, SUM_SLICES));
     sum.add(at, work);
     long started = attempt.engine.startedAt;
-    if (started <= 0 || at - started >= warmWithin) {
+    if (started <= 0 || at - started >= warmupTime) {
       return false;
     }
-    double gone = Math.max(0, (double) (at - started) / warmWithin);
-    double warmth = startCapacity + (1 - startCapacity) * gone;
+    double progress = Math.max(0, (double) (at - started) / warmupTime);
+    double warmCapacity = startCapacity + (1 - startCapacity) * progress;
     double cores = Math.max(1, settings.nth("family_info.kind_cores", attempt.engine.kind, 1));
-    double mean = works / written;
-    double requests = fallMultiple * warmth * cores * fallSpan / mean;
-    return sum.lowerBound(at) > (requests + 2 * Math.sqrt(requests) + 2) * mean;
+    double mean = totalWork / writtenAttempts;
+    double allowed = slowStartMultiple * warmCapacity * cores * slowStartPeriod / mean;
+    return sum.lowerBound(at) > (allowed + 2 * Math.sqrt(allowed) + 2) * mean;
   }
 }
