--- a/channels/src/main/java/tillerlink/channels/Terms.java
+++ b/channels/src/main/java/tillerlink/channels/ChannelLogConfig.java
@@ -14,7 +14,7 @@
  * @param maxSlots applied slots after which the oldest are compacted
  * @param maxChannels channels at the most
  */
-public record Terms(
+public record ChannelLogConfig(
     List<String> counted,
     long absentAfter,
     long aheadMillis,
@@ -33,16 +33,16 @@
    *
    * @throws IllegalArgumentException if none is counted, or too many are
    */
-  public Terms {
-    counted = counted.stream().map(Terms::gateway).distinct().sorted().toList();
+  public ChannelLogConfig {
+    counted = counted.stream().map(ChannelLogConfig::gateway).distinct().sorted().toList();
     if (counted.isEmpty() || counted.size() > MAX_COUNTED) {
       throw new IllegalArgumentException("1 to 64 gateways are counted in");
     }
   }
 
   /** Returns the default settings for some counted gateways. */
-  public static Terms of(List<String> counted) {
-    return new Terms(
+  public static ChannelLogConfig of(List<String> counted) {
+    return new ChannelLogConfig(
         counted,
         DEFAULT_ABSENT_AFTER,
         DEFAULT_AHEAD_MILLIS,
@@ -52,9 +52,10 @@
   }
 
   /** Returns settings with the default number of slots that are not compacted. */
-  public static Terms of(
+  public static ChannelLogConfig of(
       List<String> counted, long absentAfter, long aheadMillis, long bytes, int maxChannels) {
-    return new Terms(counted, absentAfter, aheadMillis, bytes, DEFAULT_MAX_SLOTS, maxChannels);
+    return new ChannelLogConfig(
+        counted, absentAfter, aheadMillis, bytes, DEFAULT_MAX_SLOTS, maxChannels);
   }
 
   private static String gateway(String counted) {
--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -71,7 +71,7 @@
    * @param lines takes lines for the gateway's log, few of each kind
    */
   public Channels(
-      Terms terms,
+      ChannelLogConfig config,
       MembershipView membership,
       MessageSender sender,
       KeyValueStore storage,
@@ -80,9 +80,9 @@
       Consumer<String> lines) {
     this.membership = membership;
     log = new RateLimitedLog(lines);
-    journal = new Journal(terms.counted());
+    journal = new Journal(config.counted());
     store = new Store(storage);
-    clock = new HybridLogicalClock(terms.aheadMillis());
+    clock = new HybridLogicalClock(config.aheadMillis());
     ChannelTransport transport = new ChannelTransport(membership, sender, random);
     fetcher = new Fetcher(journal, transport);
     server = new SyncServer(journal, transport);
@@ -95,8 +95,8 @@
         new ConsensusContext(
             membership.self(),
             incarnation,
-            terms.counted(),
-            terms.absentAfter(),
+            config.counted(),
+            config.absentAfter(),
             journal,
             store,
             transport,
@@ -104,11 +104,11 @@
             fetcher,
             standings);
     consensus = new EpochConsensus(context, random);
-    writer = new Writer(terms, journal, store, clock, transport, incarnation, log);
-    replicator = new Replicator(terms, membership, journal, store, clock, log);
+    writer = new Writer(config, journal, store, clock, transport, incarnation, log);
+    replicator = new Replicator(config, membership, journal, store, clock, log);
     lossDetector = new LossDetector(journal, log);
     reporter = new Reporter(incarnation, journal, clock, writer, standings, transport, random);
-    compactor = new Compactor(terms.maxSlots(), writer.quota(), journal, store);
+    compactor = new Compactor(config.maxSlots(), writer.quota(), journal, store);
   }
 
   // ---- for clients ----
--- a/channels/src/main/java/tillerlink/channels/LossDetector.java
+++ b/channels/src/main/java/tillerlink/channels/LossDetector.java
@@ -57,7 +57,7 @@
     EventSet held = new EventSet();
     report.extra().forEach(held::add);
     if (report.applied() >= journal.base()) {
-      journal.placed().spans(incarnation).forEach(held::add);
+      journal.stable().spans(incarnation).forEach(held::add);
       long applied = Math.min(report.applied(), journal.applied());
       for (Cut cut : journal.cuts().tailMap(applied, false).values()) {
         List<Span> notApplied = new ArrayList<>(cut.spans());
--- a/channels/src/main/java/tillerlink/channels/Replicator.java
+++ b/channels/src/main/java/tillerlink/channels/Replicator.java
@@ -15,7 +15,7 @@
 
 /** Takes in what other gateways replicate: events, decided cuts and compacted state. */
 final class Replicator {
-  private final Terms terms;
+  private final ChannelLogConfig config;
   private final MembershipView membership;
   private final Journal journal;
   private final Store store;
@@ -27,13 +27,13 @@
   private long twoContents;
 
   Replicator(
-      Terms terms,
+      ChannelLogConfig config,
       MembershipView membership,
       Journal journal,
       Store store,
       HybridLogicalClock clock,
       RateLimitedLog log) {
-    this.terms = terms;
+    this.config = config;
     this.membership = membership;
     this.journal = journal;
     this.store = store;
@@ -97,7 +97,7 @@
             + entry.gateway()
             + " is not taken yet: its stamp is"
             + " further ahead of the time than the "
-            + terms.aheadMillis()
+            + config.aheadMillis()
             + " ms allowed");
   }
 
@@ -145,9 +145,9 @@
       log.log(
           now,
           "sum",
-          "this gateway was far behind and starts from the sum of "
+          "this gateway was far behind and starts from the compacted state of "
               + from
-              + " at step "
+              + " at slot "
               + state.slot());
     } catch (MalformedMessageException e) {
       malformed++;
--- a/channels/src/main/java/tillerlink/channels/Reporter.java
+++ b/channels/src/main/java/tillerlink/channels/Reporter.java
@@ -99,7 +99,7 @@
 
   /** Some of the spans beyond the applied slot, other ones each time. */
   private List<Span> extra(int max) {
-    List<Span> extra = new ArrayList<>(journal.extra().spans());
+    List<Span> extra = new ArrayList<>(journal.provisional().spans());
     if (extra.size() <= max) {
       return extra;
     }
--- a/channels/src/main/java/tillerlink/channels/Writer.java
+++ b/channels/src/main/java/tillerlink/channels/Writer.java
@@ -25,7 +25,7 @@
 final class Writer {
   private static final int MAX_NAME_LENGTH = 64;
 
-  private final Terms terms;
+  private final ChannelLogConfig config;
   private final MembershipView membership;
   private final Journal journal;
   private final Store store;
@@ -41,14 +41,14 @@
   private List<Dot> lastSeen = List.of();
 
   Writer(
-      Terms terms,
+      ChannelLogConfig config,
       Journal journal,
       Store store,
       HybridLogicalClock clock,
       ChannelTransport transport,
       long incarnation,
       RateLimitedLog log) {
-    this.terms = terms;
+    this.config = config;
     membership = transport.membership();
     this.journal = journal;
     this.store = store;
@@ -56,7 +56,7 @@
     this.transport = transport;
     this.incarnation = incarnation;
     this.log = log;
-    quota = new StorageQuota(terms.bytes());
+    quota = new StorageQuota(config.bytes());
   }
 
   // ---- state ----
@@ -114,9 +114,9 @@
     Optional<String> fault = request.fault();
     if (fault.isEmpty()
         && !journal.logs().containsKey(channel)
-        && journal.logs().size() >= terms.maxChannels()) {
+        && journal.logs().size() >= config.maxChannels()) {
       return Optional.of(
-          "there are " + terms.maxChannels() + " channels already, and no more are allowed");
+          "there are " + config.maxChannels() + " channels already, and no more are allowed");
     }
     return fault;
   }
@@ -144,7 +144,7 @@
             + millis
             + " ms further ahead of the"
             + " fleet's time than the "
-            + terms.aheadMillis()
+            + config.aheadMillis()
             + " ms allowed; set this machine's clock right");
     return new AppendResult.Refused(
         "this gateway's clock is too far ahead of the fleet's", millis * Channels.UNITS_PER_MILLI);
@@ -267,7 +267,7 @@
    */
   private List<Dot> seen() {
     List<Dot> seen = new ArrayList<>();
-    for (long other : journal.extra().incarnations()) {
+    for (long other : journal.provisional().incarnations()) {
       long prefix = journal.held().prefix(other);
       if (other != incarnation
           && prefix > 0
--- a/channels/src/main/java/tillerlink/channels/consensus/RejoinProtocol.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/RejoinProtocol.java
@@ -8,7 +8,7 @@
 import tillerlink.messages.channels.ChannelsMessage.Ask;
 
 /**
- * Lets the acceptor of a new process vote only after the other gateways told it what its gateway
+ * Lets the acceptor of a new process vote only after the other gateways answered what its gateway
  * may have promised and accepted before.
  */
 final class RejoinProtocol {
--- a/channels/src/main/java/tillerlink/channels/cue/Cue.java
+++ b/channels/src/main/java/tillerlink/channels/cue/Cue.java
@@ -135,7 +135,7 @@
    * @param at milliseconds since 1970: when it was written or, if it came late, up to when the log
    *     before it was decided
    */
-  void take(Entry entry, long at) {
+  void apply(Entry entry, long at) {
     boolean aired = air != null && at >= airsAt;
     if (aired && !(entry.kind() == Kind.CUE && saw(entry, air))) {
       flags.add(Flag.AFTER_AIR);
--- a/channels/src/main/java/tillerlink/channels/cue/CueProjection.java
+++ b/channels/src/main/java/tillerlink/channels/cue/CueProjection.java
@@ -42,10 +42,10 @@
   /**
    * Applies the next event of the log.
    *
-   * @param at see {@link Cue#take}
+   * @param at see {@link Cue#apply}
    * @return whether it has the key of an earlier event, and so changes nothing
    */
-  public boolean take(Entry entry, long at) {
+  public boolean apply(Entry entry, long at) {
     count++;
     if (!entry.key().isEmpty()) {
       if (keys.containsKey(entry.key())) {
@@ -57,7 +57,7 @@
     if (!entry.cue().isEmpty()) {
       Cue known = cues.remove(entry.cue());
       Cue cue = known == null ? new Cue(entry.cue()) : known;
-      cue.take(entry, at);
+      cue.apply(entry, at);
       cues.put(cue.name(), cue);
       trim(cues, MAX_CUES);
     }
@@ -73,10 +73,10 @@
   /**
    * Applies an event to a cue that is not part of a projection.
    *
-   * @param at see {@link Cue#take}
+   * @param at see {@link Cue#apply}
    */
-  public static void take(Cue cue, Entry entry, long at) {
-    cue.take(entry, at);
+  public static void apply(Cue cue, Entry entry, long at) {
+    cue.apply(entry, at);
   }
 
   // ---- reading ----
--- a/channels/src/main/java/tillerlink/channels/epoch/Planner.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/Planner.java
@@ -121,7 +121,7 @@
     long bound = Long.MAX_VALUE;
     Map<Long, Long> before = new TreeMap<>(gapsSince);
     gapsSince.clear();
-    for (long incarnation : journal.extra().incarnations()) {
+    for (long incarnation : journal.provisional().incarnations()) {
       List<Span> held = journal.held().spans(incarnation);
       Span last = held.get(held.size() - 1);
       if (held.size() > 1 || last.from() > 1) {
@@ -139,7 +139,7 @@
   private static long firstAfterGap(Journal journal, List<Span> held) {
     for (Span span : held) {
       Entry first = span.from() == 1 ? null : journal.entry(span.incarnation(), span.from());
-      if (first != null && !journal.placed().has(span.incarnation(), span.from())) {
+      if (first != null && !journal.stable().has(span.incarnation(), span.from())) {
         return first.stamp();
       }
     }
--- a/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
+++ b/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
@@ -74,7 +74,7 @@
    * @param slot the slot whose cut it is in
    * @param upToBefore the upper bound of the cut before
    */
-  void place(Entry entry, long slot, long upToBefore) {
+  void makeStable(Entry entry, long slot, long upToBefore) {
     removeFromTail(entry);
     boolean late = entry.stamp() <= upToBefore;
     long at = late ? upToBefore >> Entry.COUNTER : entry.millis();
@@ -82,7 +82,7 @@
     Invariant.holds(
         last == null || last.slot() < slot || Entry.ORDER.compare(last.entry(), entry) < 0,
         () -> "the stable prefix of " + name + " is not in order at " + entry.dot().text());
-    boolean repeat = projection.take(entry, at);
+    boolean repeat = projection.apply(entry, at);
     stable.add(new OrderedEvent(entry, slot, at, late, repeat));
     Invariant.holds(
         projection.count() == base.count() + stable.size(),
@@ -92,7 +92,7 @@
   /** Compacts the first stable events. */
   void compact(int count) {
     for (OrderedEvent event : stable.subList(0, count)) {
-      base.take(event.entry(), event.at());
+      base.apply(event.entry(), event.at());
     }
     stable.subList(0, count).clear();
   }
@@ -165,7 +165,7 @@
     for (Entry entry : tailByCue.getOrDefault(cue, new TreeSet<>(Entry.ORDER))) {
       if (!isRepeat(entry)) {
         long counted = Math.max(entry.stamp(), entry.stamp() <= upTo ? upTo : 0);
-        CueProjection.take(copy, entry, counted >> Entry.COUNTER);
+        CueProjection.apply(copy, entry, counted >> Entry.COUNTER);
       }
     }
     return copy;
--- a/channels/src/main/java/tillerlink/channels/journal/EventStore.java
+++ b/channels/src/main/java/tillerlink/channels/journal/EventStore.java
@@ -17,8 +17,8 @@
 final class EventStore {
   private final TreeMap<Long, TreeMap<Long, Entry>> entries = new TreeMap<>();
   private final EventSet held = new EventSet();
-  private final EventSet placed = new EventSet();
-  private final EventSet extra = new EventSet();
+  private final EventSet stable = new EventSet();
+  private final EventSet provisional = new EventSet();
   private final TreeSet<Entry> tail = new TreeSet<>(Entry.ORDER);
   private long bytes;
 
@@ -28,12 +28,12 @@
     return held;
   }
 
-  EventSet placed() {
-    return placed;
+  EventSet stable() {
+    return stable;
   }
 
-  EventSet extra() {
-    return extra;
+  EventSet provisional() {
+    return provisional;
   }
 
   SortedSet<Entry> tail() {
@@ -74,16 +74,16 @@
         .computeIfAbsent(entry.incarnation(), any -> new TreeMap<>())
         .put(entry.sequence(), entry);
     held.add(entry.incarnation(), entry.sequence());
-    extra.add(entry.incarnation(), entry.sequence());
+    provisional.add(entry.incarnation(), entry.sequence());
     tail.add(entry);
     bytes += entry.weight();
     return true;
   }
 
   /** Makes the events of a span stable, and returns them. */
-  Collection<Entry> place(Span span) {
-    placed.add(span);
-    extra.remove(span);
+  Collection<Entry> makeStable(Span span) {
+    stable.add(span);
+    provisional.remove(span);
     return entries(span);
   }
 
@@ -124,17 +124,18 @@
     entries.clear();
     tail.clear();
     held.clear();
-    placed.clear();
-    extra.clear();
+    stable.clear();
+    provisional.clear();
     bytes = 0;
     for (Span span : compacted) {
       held.add(span);
-      placed.add(span);
+      stable.add(span);
     }
   }
 
   void checkCovered() {
     Invariant.holds(
-        held.size() == placed.size() + extra.size(), () -> "the vectors do not cover what is held");
+        held.size() == stable.size() + provisional.size(),
+        () -> "the vectors do not cover what is held");
   }
 }
--- a/channels/src/main/java/tillerlink/channels/journal/Journal.java
+++ b/channels/src/main/java/tillerlink/channels/journal/Journal.java
@@ -130,7 +130,7 @@
     List<Span> provisional = new ArrayList<>();
     long size = 0;
     for (Span span : cut.spans()) {
-      events.placed().missing(span, provisional);
+      events.stable().missing(span, provisional);
       size += span.size();
     }
     long provisionalSize = provisional.stream().mapToLong(Span::size).sum();
@@ -141,12 +141,12 @@
     Invariant.holds(isNext(cut), () -> "step " + cut.slot() + " does not follow " + applied);
     List<Entry> ordered = new ArrayList<>();
     for (Span span : cut.spans()) {
-      ordered.addAll(events.place(span));
+      ordered.addAll(events.makeStable(span));
     }
     ordered.sort(Entry.ORDER);
     for (Entry entry : ordered) {
       events.removeFromTail(entry);
-      log(entry.channel()).place(entry, cut.slot(), upTo);
+      log(entry.channel()).makeStable(entry, cut.slot(), upTo);
       digest =
           EntryCodec.mix(
               digest * DIGEST_FACTOR
@@ -249,13 +249,13 @@
   }
 
   /** Returns the stable events, compacted ones included. */
-  public EventSet placed() {
-    return events.placed();
+  public EventSet stable() {
+    return events.stable();
   }
 
   /** Returns the events that are held and provisional. */
-  public EventSet extra() {
-    return events.extra();
+  public EventSet provisional() {
+    return events.provisional();
   }
 
   /** Returns the provisional events, in the order of their stamps; a live view. */
--- a/channels/src/main/java/tillerlink/channels/sync/SyncServer.java
+++ b/channels/src/main/java/tillerlink/channels/sync/SyncServer.java
@@ -20,10 +20,10 @@
  * they request, in messages of bounded size. Sizes are bytes.
  */
 public final class SyncServer {
-  /** What a message takes beside its elements. */
+  /** What a message takes in addition to its elements. */
   private static final int HEADER_BYTES = 40;
 
-  /** What an element takes beside its own bytes. */
+  /** What an element takes in addition to its own bytes. */
   private static final int ELEMENT_HEADER_BYTES = 4;
 
   private static final int MIN_PIECE_BYTES = 150;
--- a/channels/src/test/java/tillerlink/channels/CueRulesTest.java
+++ b/channels/src/test/java/tillerlink/channels/CueRulesTest.java
@@ -14,7 +14,7 @@
  */
 class CueRulesTest {
   private final Fleet fleet =
-      new Fleet(5, List.of("n1", "s1", "w1"), Terms.of(List.of("n1", "s1", "w1")));
+      new Fleet(5, List.of("n1", "s1", "w1"), ChannelLogConfig.of(List.of("n1", "s1", "w1")));
 
   private String play(Runnable apart) {
     fleet.startAll();
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -36,7 +36,7 @@
   final Random random;
   final SimulatedFleet net;
   final List<String> names;
-  final Terms terms;
+  final ChannelLogConfig config;
   final Map<String, Channels> running = new TreeMap<>();
   final Map<String, InMemoryKeyValueStore> disks = new HashMap<>();
   final Map<String, NavigableMap<String, byte[]>> copies = new HashMap<>();
@@ -53,17 +53,17 @@
   int refused;
 
   /** Replaced where a test injects a fault. */
-  Function<String, Terms> termsOf;
+  Function<String, ChannelLogConfig> configOf;
 
   Function<String, RandomGenerator> randomOf;
   ToLongFunction<String> wallOf;
 
-  Fleet(long seed, List<String> names, Terms terms) {
+  Fleet(long seed, List<String> names, ChannelLogConfig config) {
     random = new Random(seed);
     net = new SimulatedFleet(random);
     this.names = names;
-    this.terms = terms;
-    termsOf = name -> terms;
+    this.config = config;
+    configOf = name -> config;
     randomOf = name -> random;
     wallOf = net::wall;
   }
@@ -117,7 +117,7 @@
 
   Channels create(String name, KeyValueStore storage) {
     return new Channels(
-        termsOf.apply(name),
+        configOf.apply(name),
         new TestMembership(name),
         net.sender(name),
         storage,
--- a/channels/src/test/java/tillerlink/channels/History.java
+++ b/channels/src/test/java/tillerlink/channels/History.java
@@ -43,7 +43,8 @@
     return new Fleet(
         seed,
         names,
-        new Terms(List.of("n1", "s1", "w1"), 50_000, 30_000, 64 << 20, seed % 3 == 0 ? 5 : 40, 8));
+        new ChannelLogConfig(
+            List.of("n1", "s1", "w1"), 50_000, 30_000, 64 << 20, seed % 3 == 0 ? 5 : 40, 8));
   }
 
   List<String> play() {
--- a/channels/src/test/java/tillerlink/channels/InjectedFaultsTest.java
+++ b/channels/src/test/java/tillerlink/channels/InjectedFaultsTest.java
@@ -142,10 +142,11 @@
         caught(
             each(
                 channels -> {
-                  EventSet extra = (EventSet) get(channels, "journal", "events", "extra");
-                  List<Span> spans = extra.spans();
+                  EventSet provisional =
+                      (EventSet) get(channels, "journal", "events", "provisional");
+                  List<Span> spans = provisional.spans();
                   if (spans.size() > 1) {
-                    extra.remove(spans.get(0));
+                    provisional.remove(spans.get(0));
                   }
                 })));
   }
@@ -185,8 +186,9 @@
         "invariant broken: stable events up to step N",
         caught(
             history -> {
-              history.fleet.termsOf =
-                  name -> name.equals("s1") ? Terms.of(List.of("s1")) : history.fleet.terms;
+              history.fleet.configOf =
+                  name ->
+                      name.equals("s1") ? ChannelLogConfig.of(List.of("s1")) : history.fleet.config;
               history.each = () -> history.fleet.cut(List.of("s1"));
             }));
   }
--- a/channels/src/test/java/tillerlink/channels/LogTest.java
+++ b/channels/src/test/java/tillerlink/channels/LogTest.java
@@ -12,7 +12,7 @@
 
   @Test
   void appendsBecomeStableEverywhereInOneOrder() {
-    Fleet fleet = new Fleet(1, List.of("n1", "n2", "s1", "w1"), Terms.of(THREE));
+    Fleet fleet = new Fleet(1, List.of("n1", "n2", "s1", "w1"), ChannelLogConfig.of(THREE));
     fleet.startAll();
     fleet.net.playFor(2 * Fleet.SECOND);
     for (int i = 0; i < 40; i++) {
@@ -28,7 +28,7 @@
 
   @Test
   void aGatewayThatIsCutOffAcceptsAppendsAndTheyComeLate() {
-    Fleet fleet = new Fleet(2, THREE, Terms.of(THREE));
+    Fleet fleet = new Fleet(2, THREE, ChannelLogConfig.of(THREE));
     fleet.startAll();
     fleet.net.playFor(2 * Fleet.SECOND);
     fleet.append("n1", "news", Fleet.cue("a", "before"));
--- a/channels/src/test/java/tillerlink/channels/MergeMeasure.java
+++ b/channels/src/test/java/tillerlink/channels/MergeMeasure.java
@@ -30,7 +30,7 @@
   }
 
   private static Fleet apart(int events) {
-    Fleet fleet = new Fleet(1, THREE, Terms.of(THREE, 100_000, 60_000, 1L << 30, 64));
+    Fleet fleet = new Fleet(1, THREE, ChannelLogConfig.of(THREE, 100_000, 60_000, 1L << 30, 64));
     fleet.startAll();
     fleet.net.playFor(3 * Fleet.SECOND);
     fleet.cut(List.of("w1"));
--- a/channels/src/test/java/tillerlink/channels/ScenarioTest.java
+++ b/channels/src/test/java/tillerlink/channels/ScenarioTest.java
@@ -17,7 +17,7 @@
   private static final Path KEPT = Path.of("src/test/resources/stories");
 
   private final Fleet fleet =
-      new Fleet(11, THREE, new Terms(THREE, 100_000, 60_000, 64 << 20, 1000, 8));
+      new Fleet(11, THREE, new ChannelLogConfig(THREE, 100_000, 60_000, 64 << 20, 1000, 8));
   private final List<String> lines = new ArrayList<>();
 
   private void say(String what) {
--- a/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
+++ b/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
@@ -22,7 +22,7 @@
   }
 
   private static Fleet fleet(List<String> names, long bytes, int cuts) {
-    Fleet fleet = new Fleet(3, names, new Terms(THREE, 50_000, 60_000, bytes, cuts, 8));
+    Fleet fleet = new Fleet(3, names, new ChannelLogConfig(THREE, 50_000, 60_000, bytes, cuts, 8));
     fleet.startAll();
     fleet.net.playFor(Fleet.SECOND);
     return fleet;
--- a/peering/src/main/java/tillerlink/peering/channels/HostedChannels.java
+++ b/peering/src/main/java/tillerlink/peering/channels/HostedChannels.java
@@ -2,8 +2,8 @@
 
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
+import tillerlink.channels.ChannelLogConfig;
 import tillerlink.channels.Channels;
-import tillerlink.channels.Terms;
 import tillerlink.peering.component.ComponentContext;
 import tillerlink.peering.component.ComponentFactory;
 import tillerlink.peering.component.HostedComponent;
@@ -19,10 +19,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(HostedChannels.class);
   private static final long TENTHS_PER_MS = 10;
 
-  private final Terms terms;
+  private final ChannelLogConfig terms;
 
   /** A factory for channels with these settings. */
-  public HostedChannels(Terms terms) {
+  public HostedChannels(ChannelLogConfig terms) {
     this.terms = terms;
   }
 
--- a/peering/src/test/java/tillerlink/peering/TestCluster.java
+++ b/peering/src/test/java/tillerlink/peering/TestCluster.java
@@ -19,7 +19,7 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
-import tillerlink.channels.Terms;
+import tillerlink.channels.ChannelLogConfig;
 import tillerlink.net.lifecycle.GatewayServer;
 import tillerlink.peering.channels.HostedChannels;
 import tillerlink.peering.statements.StatementsComponentFactory;
@@ -77,7 +77,7 @@
                 config,
                 List.of(
                     new EchoComponentFactory(),
-                    new HostedChannels(Terms.of(List.of("n1", "n2", "n3"))),
+                    new HostedChannels(ChannelLogConfig.of(List.of("n1", "n2", "n3"))),
                     new StatementsComponentFactory(
                         List.of("n1", "n2", "n3"), 20_000, 0.01, false, false))));
     System.exit(0);
--- a/peering/src/test/java/tillerlink/peering/together/SimulatedGateway.java
+++ b/peering/src/test/java/tillerlink/peering/together/SimulatedGateway.java
@@ -88,7 +88,7 @@
             fleet.wall(name));
     channels =
         new Channels(
-            new tillerlink.channels.Terms(VOTERS, 50_000, 30_000, 64 << 20, 40, 8),
+            new tillerlink.channels.ChannelLogConfig(VOTERS, 50_000, 30_000, 64 << 20, 40, 8),
             members,
             (to, body) -> sender.send(to, prefixed(CHANNELS, body)),
             new PrefixedKeyValueStore(store, "channels"),
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/Beside.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import tillerlink.channels.Terms;
+import tillerlink.channels.ChannelLogConfig;
 import tillerlink.net.state.GatewayExtension;
 import tillerlink.operator.ChannelsConfig;
 import tillerlink.operator.MembersConfig;
@@ -54,7 +54,7 @@
     if (channels != null) {
       parts.add(
           new HostedChannels(
-              Terms.of(
+              ChannelLogConfig.of(
                   channels.voters(),
                   channels.absentAfter(),
                   channels.maxAhead() / TENTHS_PER_MS,
