--- a/channels/src/test/java/tillerlink/channels/CueRulesTest.java
+++ b/channels/src/test/java/tillerlink/channels/CueRulesTest.java
@@ -30,8 +30,7 @@
 
   /** The cue as all three gateways show it once all is stable. */
   private String agreedCue() {
-    fleet.audit(java.util.Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     String cue = shown("n1");
     assertEquals(cue, shown("s1"));
     assertEquals(cue, shown("w1"));
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -1,5 +1,7 @@
 package tillerlink.channels;
 
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.HashMap;
@@ -295,6 +297,12 @@
     }
   }
 
+  /** Audits when all is quiet and nothing may be lost, and fails on any violation so far. */
+  void assertAuditPasses() {
+    audit(Set.of());
+    assertEquals(List.of(), violations);
+  }
+
   /** Whether every gateway shows the same events, all stable. */
   boolean isSettled() {
     Set<String> all = new HashSet<>();
--- a/channels/src/test/java/tillerlink/channels/LogTest.java
+++ b/channels/src/test/java/tillerlink/channels/LogTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 class LogTest {
@@ -21,8 +20,7 @@
       fleet.lookAll();
     }
     fleet.net.playFor(5 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertEquals(40, fleet.running.get("n2").read("news", 0, Fleet.ALL).stable());
   }
 
@@ -50,8 +48,7 @@
         "it alone agrees on nothing");
     fleet.net.heal();
     fleet.net.playFor(10 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertEquals(THREE, fleet.running.get("n1").state().voters());
     assertTrue(
         fleet.running.get("n1").read("news", 0, Fleet.ALL).lines().stream()
--- a/channels/src/test/java/tillerlink/channels/ScenarioTest.java
+++ b/channels/src/test/java/tillerlink/channels/ScenarioTest.java
@@ -7,7 +7,6 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
 import tillerlink.simulation.InMemoryKeyValueStore;
 
@@ -69,8 +68,7 @@
   }
 
   private void compareWithKept(String name) throws IOException {
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     Path file = KEPT.resolve(name + ".txt");
     String timeline = String.join("\n", lines) + "\n";
     if (Boolean.getBoolean("keep")) {
--- a/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
+++ b/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
 import tillerlink.channels.entry.AppendRequest;
 import tillerlink.cluster.MessageSender;
@@ -49,8 +48,7 @@
     assertTrue(fleet.running.get("n1").state().compacted() > 20, "the two others have compacted");
     fleet.net.heal();
     fleet.net.playFor(20 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     Page page = fleet.running.get("w1").read("news", 0, Fleet.ALL);
     assertEquals(65, page.stable());
     assertEquals(
@@ -68,8 +66,7 @@
         fleet.running.get("w1").read("news", 0, Fleet.ALL).stable(),
         "what it started from is kept");
     fleet.net.playFor(5 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
   }
 
   @Test
@@ -94,8 +91,7 @@
     fleet.append("w1", "loud", note("again"));
     fleet.net.playFor(10 * Fleet.SECOND);
     assertEquals(1, fleet.refused, "once all is agreed on there is room again");
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertTrue(
         fleet.running.values().stream().allMatch(one -> one.state().bytes() <= 400_000),
         "bounds hold");
@@ -112,8 +108,7 @@
     assertEquals(6, fleet.running.get("n1").read("news", 0, Fleet.ALL).lines().size());
     fleet.disks.get("w1").full(false);
     fleet.net.playFor(10 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
   }
 
   @Test
@@ -125,8 +120,7 @@
     fleet.net.playFor(10 * Fleet.SECOND);
     write(fleet, "w1", 2);
     fleet.net.playFor(10 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertEquals(4, fleet.running.get("w1").state().ownTakenBack());
     assertTrue(
         fleet.log.contains(
@@ -147,8 +141,7 @@
     }
     fleet.net.heal();
     fleet.net.playFor(30 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
   }
 
   @Test
@@ -162,8 +155,7 @@
     fleet.net.heal();
     fleet.net.setDefaultFault(Fault.small(280));
     fleet.net.playFor(60 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
   }
 
   @Test
@@ -176,8 +168,7 @@
     fleet.net.setClock("w1", -300 * Fleet.SECOND);
     write(fleet, "w1", 2);
     fleet.net.playFor(10 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertFalse(fleet.running.get("n1").read("news", 0, Fleet.ALL).lines().get(1).late());
   }
 }
