--- a/members/src/main/java/tillerlink/members/config/MembershipConfig.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipConfig.java
@@ -17,7 +17,8 @@
  *     the fleet's size
  * @param reconnectInterval between two probes of a failed member or a seed
  * @param antiEntropyInterval between two comparisons with another member, on average
- * @param maxUpdateAge an older gossip update does not make an unknown member known
+ * @param maxUpdateAge an older gossip update does not show that an unknown or failed member is
+ *     alive
  * @param forgetAfter how long members that failed or left are retained
  * @param maxLocalHealthScore the worst score of local health; 0 switches it off
  * @param maxMembers how many other members may be active; as many again may have failed or left
@@ -97,48 +98,20 @@
 
   /** These settings with another bound of the local health score; 0 switches it off. */
   public MembershipConfig withMaxLocalHealthScore(int maxScore) {
-    return new MembershipConfig(
-        probeInterval,
-        probeTimeout,
-        maxProbeTimeout,
-        indirectProbes,
-        suspicionMultiplier,
-        maxSuspicionMultiplier,
-        confirmations,
-        gossipInterval,
-        gossipFanout,
-        retransmitMultiplier,
-        reconnectInterval,
-        antiEntropyInterval,
-        maxUpdateAge,
-        forgetAfter,
-        maxScore,
-        maxMembers);
+    return copyWith(maxUpdateAge, forgetAfter, maxScore, maxMembers);
   }
 
   /** These settings with another bound of the active members. */
   public MembershipConfig withMaxMembers(int max) {
-    return new MembershipConfig(
-        probeInterval,
-        probeTimeout,
-        maxProbeTimeout,
-        indirectProbes,
-        suspicionMultiplier,
-        maxSuspicionMultiplier,
-        confirmations,
-        gossipInterval,
-        gossipFanout,
-        retransmitMultiplier,
-        reconnectInterval,
-        antiEntropyInterval,
-        maxUpdateAge,
-        forgetAfter,
-        maxLocalHealthScore,
-        max);
+    return copyWith(maxUpdateAge, forgetAfter, maxLocalHealthScore, max);
   }
 
   /** These settings with other bounds of the age of gossip updates and of inactive members. */
   public MembershipConfig withRetention(long maxAge, long inactiveTime) {
+    return copyWith(maxAge, inactiveTime, maxLocalHealthScore, maxMembers);
+  }
+
+  private MembershipConfig copyWith(long maxAge, long inactiveTime, int maxScore, int max) {
     return new MembershipConfig(
         probeInterval,
         probeTimeout,
@@ -154,8 +127,8 @@
         antiEntropyInterval,
         maxAge,
         inactiveTime,
-        maxLocalHealthScore,
-        maxMembers);
+        maxScore,
+        max);
   }
 
   /** The shortest suspicion in a fleet of that size, the local member included. */
