--- a/fleet/src/main/java/tillerlink/fleet/Fleet.java
+++ b/fleet/src/main/java/tillerlink/fleet/Fleet.java
@@ -1,5 +1,6 @@
 package tillerlink.fleet;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -16,17 +17,27 @@
 import tillerlink.workload.RequestClassSpec;
 
 /**
- * Gateways and engines, and the terms under which they meet. Times are tenths of a millisecond.
+ * Gateways and engines of a replay, and the guarantees between them. Times are tenths of a
+ * millisecond.
  *
- * @param sockets descriptors of one gateway
- * @param notesEvery how often engines tell how far an attempt is
- * @param startCapacity the share of its cores that an engine just started has
- * @param warmWithin when it has all of them
- * @param fallMultiple sent more than so many times what it can do, for {@code fall}, a cold one
- *     falls over
- * @param drainGrace how long after a gateway was told new work may still go to a draining engine
+ * @param gateways how many there are
+ * @param sockets file descriptors of one gateway
+ * @param kinds the kinds of engine; engines name them by index
+ * @param zones the names of the zones; engines name them by index
+ * @param engines the engines at the start
+ * @param notesEvery how often engines report the progress of an attempt
+ * @param startCapacity the fraction of its cores that an engine has when it was just started
+ * @param warmWithin how long an engine is warming up, until it has all of them
+ * @param fallMultiple an engine that is warming up fails if it is sent more than this many times
+ *     what it can do within {@code fall}
+ * @param fall see {@code fallMultiple}; 0 if engines never fail so
+ * @param drainGrace how long after a gateway was notified new work may still go to a draining
+ *     engine
  * @param extraFloor retries that are always allowed within {@code budgetSpan}
- * @param furtherRatio and those for each request taken in it
+ * @param furtherRatio further retries for each request accepted in it
+ * @param budgetSpan the retry budget's sliding window
+ * @param attemptsMost attempts of one request, at most
+ * @param retryAfter the longest time that clients are asked to stay away; 0 for never
  */
 public record Fleet(
     int gateways,
@@ -45,11 +56,16 @@
     long budgetSpan,
     int attemptsMost,
     long retryAfter) {
+  /** Microseconds in a tenth of a millisecond. */
   private static final long MICROS = 100;
-  private static final int HOSTS = 250;
-  private static final int PORT = 5050;
-  private static final int SEATS = 4096;
-  private static final InetSocketAddress NOWHERE = new InetSocketAddress("127.0.0.1", 1);
+
+  private static final int HOSTS_PER_SUBNET = 250;
+  private static final int FIRST_PORT = 5050;
+  private static final int FILE_DESCRIPTORS = 4096;
+  private static final InetSocketAddress UNUSED =
+      new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+
+  /** In tenths of a millisecond. */
   public static final long SECOND = 10_000;
 
   /** Twelve engines of two kinds in three zones, 128 cores, behind three gateways. */
@@ -58,7 +74,7 @@
   }
 
   /**
-   * A third of the engines have 16 cores, the others 8. Its terms are made up: they are no
+   * A third of the engines have 16 cores, the others 8. Its guarantees are invented: they are no
    * deployment's.
    */
   public static Fleet of(int gateways, int engines) {
@@ -68,7 +84,7 @@
     }
     return new Fleet(
         gateways,
-        SEATS,
+        FILE_DESCRIPTORS,
         List.of(new Kind("small-8", 8, 20_000, false), new Kind("big-16", 16, 40_000, false)),
         List.of("east", "middle", "west"),
         specs,
@@ -85,7 +101,7 @@
         4 * SECOND / 5);
   }
 
-  /** The same fleet behind so many gateways. */
+  /** The same engines behind that many gateways. */
   public Fleet behind(int count) {
     return new Fleet(
         count,
@@ -107,7 +123,8 @@
   }
 
   /**
-   * The same fleet with engines of those kinds reached over HTTP/2, the others over engine lines.
+   * The same fleet with engines of those kinds reached over HTTP/2, the others over the line
+   * protocol.
    */
   public Fleet overHttp2(Predicate<Kind> which) {
     return new Fleet(
@@ -139,20 +156,25 @@
         0);
   }
 
+  /** The cores of all engines. */
   public double cores() {
     return engines.stream().mapToInt(engine -> kinds.get(engine.kind()).cores()).sum();
   }
 
   /**
-   * An engine's address, by its place among all that ever were: ports and hosts of the loopback
-   * range.
+   * The address of an engine, by its index among all that were ever started: hosts and ports of the
+   * loopback range.
    */
-  public static InetSocketAddress address(int place) {
+  public static InetSocketAddress address(int index) {
     return new InetSocketAddress(
-        "127.77." + place / HOSTS % HOSTS + "." + (place % HOSTS + 1),
-        PORT + place / HOSTS / HOSTS);
+        "127.77."
+            + index / HOSTS_PER_SUBNET % HOSTS_PER_SUBNET
+            + "."
+            + (index % HOSTS_PER_SUBNET + 1),
+        FIRST_PORT + index / HOSTS_PER_SUBNET / HOSTS_PER_SUBNET);
   }
 
+  /** An engine as discovery reports it. */
   public EndpointEntry entry(
       Spec engine, InetSocketAddress at, Engine.Status standing, long startedMs) {
     Kind kind = kinds.get(engine.kind());
@@ -168,13 +190,13 @@
         startedMs);
   }
 
-  /** What a gateway is told at its start. */
+  /** The configuration of a gateway at its start. */
   public GatewayConfig assignment(
       int gateway, long seed, List<RequestClassSpec> requestClasses, EndpointWatchEvent known) {
     return new GatewayConfig(
         "n" + gateway,
-        NOWHERE,
-        NOWHERE,
+        UNUSED,
+        UNUSED,
         seed,
         sockets,
         settings(requestClasses, gateway),
@@ -238,7 +260,7 @@
     return profile;
   }
 
-  /** The place of a kind, or -1. */
+  /** The index of a kind, or -1 if there is none of that name. */
   public int kindNamed(String name) {
     for (int i = 0; i < kinds.size(); i++) {
       if (kinds.get(i).name().equals(name)) {
--- a/fleet/src/main/java/tillerlink/fleet/Kind.java
+++ b/fleet/src/main/java/tillerlink/fleet/Kind.java
@@ -3,12 +3,17 @@
 import tillerlink.fakes.Http2Server;
 import tillerlink.fakes.LineProtocolServer;
 
-/** A kind of engine; memory is megabytes. */
+/**
+ * A kind of engine.
+ *
+ * @param memory megabytes
+ * @param http2 whether its engines speak HTTP/2 instead of the line protocol
+ */
 public record Kind(String name, int cores, double memory, boolean http2) {
-  private static final int STREAMS_MOST = 100;
+  private static final int MAX_STREAMS = 100;
 
-  /** An engine's side of a new connection. */
+  /** The server's end of a new connection to an engine of this kind. */
   public LineProtocolServer side() {
-    return http2 ? new Http2Server(STREAMS_MOST) : new LineProtocolServer.Lines();
+    return http2 ? new Http2Server(MAX_STREAMS) : new LineProtocolServer.Lines();
   }
 }
--- a/fleet/src/main/java/tillerlink/fleet/Spec.java
+++ b/fleet/src/main/java/tillerlink/fleet/Spec.java
@@ -1,7 +1,9 @@
 package tillerlink.fleet;
 
 /**
- * One engine of a fleet as it stands at the start: places of its kind and zone in the fleet's
- * lists.
+ * One engine of a fleet at the start.
+ *
+ * @param kind an index of the fleet's kinds
+ * @param zone an index of the fleet's zones
  */
 public record Spec(String name, int kind, int zone) {}
--- a/fleet/src/main/java/tillerlink/fleet/Trouble.java
+++ b/fleet/src/main/java/tillerlink/fleet/Trouble.java
@@ -1,28 +1,27 @@
 package tillerlink.fleet;
 
 /**
- * Something that goes wrong, or is done, at a set time of a replay. Times are tenths of a
- * millisecond.
+ * A fault or an operation at a set time of a replay. Times are tenths of a millisecond.
  *
- * @param whom an engine's name, or a gateway's: n0, n1, and so on
- * @param lasts how long, where it passes; how long a drained engine goes on, a killed gateway stays
- *     away
+ * @param whom the name of an engine, or of a gateway: n0, n1, and so on
+ * @param lasts how long, where it passes; how long a drained engine goes on, or a killed gateway
+ *     stays down
  * @param factor how many times slower
  */
 public record Trouble(long at, What what, String whom, long lasts, double factor) {
-  /** What it is. */
+  /** What happens; the operator's file names it by the constant. */
   public enum What {
-    /** All that runs there takes that many times as long. */
+    /** Everything that runs on the engine takes that many times as long. */
     SLOW,
-    /** It says nothing, nothing reaches it, and it comes back as it was. */
+    /** The engine is cut off, and comes back as it was. */
     SILENT,
-    /** Its process ends: connections are reset, the list tells it after a while. */
+    /** The engine's process ends: connections are reset, discovery reports it after a while. */
     GONE,
-    /** The list says that it drains; it refuses new work, and ends. */
+    /** Discovery reports the engine as draining; it refuses new work, and ends. */
     DRAINED,
-    /** It drains and ends, and one of another name takes its place, cold. */
+    /** The engine drains and ends, and one of another name, warming up, takes its place. */
     REPLACED,
-    /** A gateway is killed outright, and started anew. */
+    /** A gateway is killed without warning, and started again. */
     KILLED
   }
 }
