--- a/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -235,7 +235,7 @@
     }
   }
 
-  /** The share of the fleet that changes in a tenth of a millisecond, of late. */
+  /** The fraction of the fleet that changes in a tenth of a millisecond, of late. */
   private double changeRate(long now) {
     long present = Math.max(1, countPresent());
     return changes.at(now) / present / (CHANGE_RATE_DECAY * longestDeadline);
--- a/endpointcache/src/main/java/tillerlink/endpointcache/ListConfirmation.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/ListConfirmation.java
@@ -7,7 +7,7 @@
  * stored form: milliseconds, a tab, the rate.
  *
  * @param confirmedAt Unix time in tenths of a millisecond; 0 if it never was
- * @param changeRate the share of the fleet that changes in a tenth of a millisecond
+ * @param changeRate the fraction of the fleet that changes in a tenth of a millisecond
  */
 record ListConfirmation(long confirmedAt, double changeRate) {
   /** No list was confirmed. */
--- a/endpointcache/src/main/java/tillerlink/endpointcache/StalenessModel.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/StalenessModel.java
@@ -37,7 +37,7 @@
    * at best; one that was set forward makes it too old, so that no more than the list is lost.
    *
    * @param age negative for a list from the future
-   * @param changeRate the share of the fleet that changes in a tenth of a millisecond; 0 if no
+   * @param changeRate the fraction of the fleet that changes in a tenth of a millisecond; 0 if no
    *     change was observed
    * @param longestDeadline of any request class
    * @param maxAge the age from which on no list is used
--- a/store/src/main/java/tillerlink/store/TableState.java
+++ b/store/src/main/java/tillerlink/store/TableState.java
@@ -32,13 +32,9 @@
    * @param value null removes the key
    */
   void apply(long changeSequence, String key, byte[] value) {
+    byte[] previous = value == null ? values.remove(key) : values.put(key, value);
+    bytes += entryBytes(key, value) - entryBytes(key, previous);
     sequence = changeSequence;
-    bytes = bytesWith(key, value);
-    if (value == null) {
-      values.remove(key);
-    } else {
-      values.put(key, value);
-    }
   }
 
   /** Loads the entries of a snapshot into the empty table. */
