--- a/fleet/src/main/java/tillerlink/fleet/Kind.java
+++ b/fleet/src/main/java/tillerlink/fleet/Kind.java
@@ -1,5 +1,6 @@
 package tillerlink.fleet;
 
+import tillerlink.fakes.EngineProtocolServer;
 import tillerlink.fakes.Http2Server;
 import tillerlink.fakes.LineProtocolServer;
 
@@ -13,7 +14,7 @@
   private static final int MAX_STREAMS = 100;
 
   /** The server's end of a new connection to an engine of this kind. */
-  public LineProtocolServer side() {
-    return http2 ? new Http2Server(MAX_STREAMS) : new LineProtocolServer.Lines();
+  public EngineProtocolServer side() {
+    return http2 ? new Http2Server(MAX_STREAMS) : new LineProtocolServer();
   }
 }
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -4,136 +4,151 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One engine as this gateway knows it: what it was told, and what it counted itself. */
+/**
+ * One engine as this gateway knows it: the endpoint list's entry, and what the policy counts. Times
+ * are tenths of a millisecond; used by the event loop alone.
+ */
 public final class Engine {
-  /** What the list says of an engine's process. */
+  /** What the endpoint list says of an engine's process. */
   public enum Status {
+    /** It takes new attempts. */
     READY,
+    /** It ends what it has and takes nothing new. */
     DRAINING,
+    /** It is not on the list any more. */
     GONE
   }
 
-  /** The door's own handle; the module never looks at it. */
+  /** The handle of the code that runs the policy, which never looks at it. */
   public final Object tag;
 
   public int kind;
   public int zone;
   public int cell;
-  public Engine.Status standing = Engine.Status.GONE;
+  public Engine.Status status = Engine.Status.GONE;
 
   /**
-   * The module counts with it; kept here, since a look-up in a list of a thousand for each of a
-   * thousand costs.
+   * The policy knows it. Stored here, since looking up each of a thousand engines in a list of a
+   * thousand is slow.
    */
-  public boolean known;
+  public boolean registered;
 
   public long startedAt;
 
-  /** Below 1 while it is only remembered from before this gateway's start. */
+  /** Below 1 while it is only known from a cached endpoint list. */
   public double trust = 1;
 
-  /** Attempts that are out, oldest first. */
-  public final List<Attempt> out = new ArrayList<>();
+  /** Attempts in flight, oldest first. */
+  public final List<Attempt> inFlight = new ArrayList<>();
 
   public int[] inFlightByClass = new int[0];
-  public int threadsOut;
-  public int trialsOut;
+  public int threadsInFlight;
+  public int healthChecksInFlight;
 
-  /** Table groups sent here lately, latest last. */
-  public final ArrayDeque<Integer> groups = new ArrayDeque<>();
+  /** Table groups of the most recent attempts, latest last. */
+  public final ArrayDeque<Integer> recentTableGroups = new ArrayDeque<>();
 
   public DecayingSum successes;
   public DecayingSum failures;
 
   /** Threads of attempts that timed out and may run on. */
-  public DecayingSum threadsLost;
+  public DecayingSum abandonedThreads;
 
   public DecayingMean pace;
   public SlidingSum workSent;
 
-  /** Cold, and room there for the request last weighed only since it is this gateway's turn. */
-  public boolean byTurn;
+  /**
+   * It is warming up, and has quota for the last request only by this gateway's slow-start slot.
+   */
+  public boolean usesSlowStartSlot;
 
-  public double boundFactor;
-  public long pressedUntil = Long.MIN_VALUE;
+  public double concurrencyFactor;
+  public long overloadedUntil = Long.MIN_VALUE;
 
-  /** When it last dropped a connection with an attempt on it. */
-  public long fellAt = Long.MIN_VALUE;
+  /** When it last seemed to have restarted. */
+  public long restartSeenAt = Long.MIN_VALUE;
 
-  /** When an attempt was last cut off here. */
-  public long severedAt = Long.MIN_VALUE;
+  /** When a connection with an attempt was last lost. */
+  public long connectionLostAt = Long.MIN_VALUE;
 
-  public long boundCutAt = Long.MIN_VALUE;
-  public long heardAt = Long.MIN_VALUE;
+  public long limitReducedAt = Long.MIN_VALUE;
+  public long lastResponseAt = Long.MIN_VALUE;
   public long reportedAt = Long.MIN_VALUE;
   public double reportedQueries;
 
-  /** The busiest of what it said of its cores and disks, 1 being all. */
-  public double reportedBusy;
+  /** The highest utilization that it reported of its cores and disks, 0 to 1. */
+  public double reportedUtilization;
 
-  /** Queries of the class in hand a core, and threads of all a core, as last weighed. */
+  /** Requests for each core of the class that was placed last, as last measured. */
   public double classLoad;
 
+  /** Threads for each core of all classes, and utilization, as last measured. */
   public double load;
 
-  /** Cores that it seems to have for the class last weighed. */
+  /** Cores that it seems to have for the class that was placed last. */
   public double spareCores;
 
+  /** Creates an engine that is not on the list yet. */
   public Engine(Object tag) {
     this.tag = tag;
   }
 
-  /** Counts an attempt that goes out here; of the table groups, only the latest are remembered. */
-  public void enter(Attempt attempt, int groupsKept) {
+  /**
+   * Counts an attempt that is sent here.
+   *
+   * @param groupsKept number of recent table groups that are kept
+   */
+  public void attemptStarted(Attempt attempt, int groupsKept) {
     count(attempt, 1);
-    out.add(attempt);
-    groups.remove((Integer) attempt.request.tableGroup);
-    groups.addLast(attempt.request.tableGroup);
-    if (groups.size() > groupsKept) {
-      groups.removeFirst();
+    inFlight.add(attempt);
+    recentTableGroups.remove((Integer) attempt.request.tableGroup);
+    recentTableGroups.addLast(attempt.request.tableGroup);
+    if (recentTableGroups.size() > groupsKept) {
+      recentTableGroups.removeFirst();
     }
   }
 
-  public void leave(Attempt attempt) {
+  /** Counts an attempt that ended. */
+  public void attemptEnded(Attempt attempt) {
     count(attempt, -1);
-    out.remove(attempt);
+    inFlight.remove(attempt);
   }
 
-  /** Whether a load that is out here holds the table group. */
-  public boolean holdsGroup(int tableGroup) {
-    return out.stream()
+  /** Whether an attempt in flight here loads the table group. */
+  public boolean loadsTableGroup(int tableGroup) {
+    return inFlight.stream()
         .anyMatch(
             attempt ->
                 attempt.request.tableGroup == tableGroup
-                    && attempt.request.requestClass.terms.holdsGroup());
+                    && attempt.request.requestClass.config.loadsTableGroup());
   }
 
-  /** The threads out of the class that has most out. */
-  public int widest() {
-    return out.stream()
+  /** Threads in flight of the class that has the most. */
+  public int threadsOfLargestClass() {
+    return inFlight.stream()
         .mapToInt(
             attempt ->
                 inFlightByClass[attempt.request.classIndex]
-                    * attempt.request.requestClass.terms.width())
+                    * attempt.request.requestClass.config.threadsPerRequest())
         .max()
         .orElse(0);
   }
 
-  /** A process that started anew keeps nothing of its predecessor's record. */
-  public void forget(double boundAtStart) {
+  /** Forgets what was counted of the previous process. */
+  public void resetHistory(double boundAtStart) {
     successes.clear();
     failures.clear();
-    threadsLost.clear();
+    abandonedThreads.clear();
     pace.clear();
-    groups.clear();
-    boundFactor = boundAtStart;
-    pressedUntil = Long.MIN_VALUE;
-    fellAt = Long.MIN_VALUE;
+    recentTableGroups.clear();
+    concurrencyFactor = boundAtStart;
+    overloadedUntil = Long.MIN_VALUE;
+    restartSeenAt = Long.MIN_VALUE;
   }
 
   private void count(Attempt attempt, int by) {
     inFlightByClass[attempt.request.classIndex] += by;
-    threadsOut += by * attempt.request.requestClass.terms.width();
-    trialsOut += attempt.trial ? by : 0;
+    threadsInFlight += by * attempt.request.requestClass.config.threadsPerRequest();
+    healthChecksInFlight += attempt.healthCheck ? by : 0;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/RequestClass.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClass.java
@@ -2,16 +2,16 @@
 
 import java.util.ArrayDeque;
 
-/** A kind of request: its terms, its queue and what was measured of it. */
+/** A class of requests: its configuration, its queue and what was measured of it. */
 public final class RequestClass {
   public final int index;
-  public final RequestClassConfig terms;
+  public final RequestClassConfig config;
 
-  /** Held requests, first come first. */
+  /** Queued requests, first in first out. */
   public final ArrayDeque<Request> queue = new ArrayDeque<>();
 
   /** True work over estimate. */
-  public final DecayingMean bias;
+  public final DecayingMean workBias;
 
   /** True memory over estimate. */
   public final DecayingMean memoryBias;
@@ -19,17 +19,19 @@
   /** Work of a request. */
   public final DecayingMean work;
 
-  /** Time taken over the time alone. */
+  /** Time taken over the time that the attempt would take alone. */
   public final DecayingMean pace;
 
+  /** The lowest mean pace seen; 0 while too little was seen. */
   public double bestPace;
 
-  /** Work asked for of late. */
-  public DecayingSum workSeen;
+  /** Work that was asked for recently. */
+  public DecayingSum offeredWork;
 
-  /** Cores of the ready engines open to it, as last summed up. */
-  public double openCores;
+  /** Cores of the ready engines that it may run on, as of the last survey. */
+  public double eligibleCores;
 
+  /** Creates a request class with an empty queue. */
   public RequestClass(
       int index,
       RequestClassConfig terms,
@@ -38,22 +40,22 @@
       DecayingMean work,
       DecayingMean pace) {
     this.index = index;
-    this.terms = terms;
-    this.bias = bias;
+    this.config = terms;
+    this.workBias = bias;
     this.memoryBias = memoryBias;
     this.work = work;
     this.pace = pace;
   }
 
   /** The best pace seen, or that of the estimates while too little was seen. */
-  public double best() {
+  public double bestPaceOrDefault() {
     return bestPace == 0 ? 1 : bestPace;
   }
 
-  /** The first held request that is still owed an answer, or null. */
-  public Request head() {
+  /** Removes the ended requests at the front, and returns the first of the others, or null. */
+  public Request firstQueued() {
     while (!queue.isEmpty() && queue.peekFirst().outcome != null) {
-      queue.pollFirst().held = false;
+      queue.pollFirst().queued = false;
     }
     return queue.peekFirst();
   }
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -15,22 +15,22 @@
  * came of the attempt is handed out.
  */
 final class FencedRequests implements GatewayExtension.ExtensionContext {
-  private final Gateway gateway;
-  private final ClientRequestHandler clients;
+  private final GatewayContext context;
+  private final RequestRegistry requests;
 
   /** Those that are owed an answer. */
   private final Set<PendingResponse> open = new LinkedHashSet<>();
 
-  FencedRequests(Gateway gateway, ClientRequestHandler clients) {
-    this.gateway = gateway;
-    this.clients = clients;
+  FencedRequests(GatewayContext context, RequestRegistry requests) {
+    this.context = context;
+    this.requests = requests;
   }
 
   @Override
   public void submit(HttpRequest http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
-    PendingResponse call = clients.submit(http, guard, reply);
-    if (call != null) {
-      open.add(call);
+    PendingResponse pending = requests.submit(http, guard, reply);
+    if (pending != null) {
+      open.add(pending);
     }
   }
 
@@ -38,12 +38,13 @@
   public void recheckGuards() {
     List<PendingResponse> withdrawn = new ArrayList<>();
     for (Iterator<PendingResponse> i = open.iterator(); i.hasNext(); ) {
-      PendingResponse call = i.next();
-      if (call.settled()) {
+      PendingResponse pending = i.next();
+      if (pending.settled()) {
         i.remove();
-      } else if (call.inFlightAttempts.stream().noneMatch(inFlight -> inFlight.attempt.isOut())
-          && !call.guard.holds()) {
-        withdrawn.add(call);
+      } else if (pending.inFlightAttempts.stream()
+              .noneMatch(inFlight -> inFlight.attempt.isInFlight())
+          && !pending.guard.holds()) {
+        withdrawn.add(pending);
         i.remove();
       }
     }
@@ -55,13 +56,13 @@
    * late.
    */
   void written(InFlightAttempt inFlight) {
-    if (inFlight.sound || !inFlight.attempt.isOut()) {
+    if (inFlight.confirmedByGuard || !inFlight.attempt.isInFlight()) {
       return;
     }
-    inFlight.sound = inFlight.call.guard.holds();
-    if (!inFlight.sound) {
-      inFlight.stale = true;
-      gateway.runInNextIteration(() -> withdraw(inFlight.call));
+    inFlight.confirmedByGuard = inFlight.pending.guard.holds();
+    if (!inFlight.confirmedByGuard) {
+      inFlight.fencedOff = true;
+      context.iteration().runInNextIteration(() -> withdraw(inFlight.pending));
     }
   }
 
@@ -70,20 +71,20 @@
    * is lost.
    */
   AttemptOutcome ended(InFlightAttempt inFlight, AttemptOutcome outcome) {
-    if (inFlight.began) {
-      inFlight.call.guard.onAttemptEnded(mayRunUntil(inFlight, outcome));
+    if (inFlight.startNotified) {
+      inFlight.pending.guard.onAttemptEnded(mayRunUntil(inFlight, outcome));
     }
-    if (inFlight.refused) {
-      withdraw(inFlight.call);
+    if (inFlight.refusedByGuard) {
+      withdraw(inFlight.pending);
     } else if (outcome == AttemptOutcome.SUCCEEDED) {
-      inFlight.stale |= !inFlight.sound && !inFlight.call.guard.holds();
-      if (inFlight.stale) {
-        withdraw(inFlight.call);
+      inFlight.fencedOff |= !inFlight.confirmedByGuard && !inFlight.pending.guard.holds();
+      if (inFlight.fencedOff) {
+        withdraw(inFlight.pending);
         return AttemptOutcome.RESPONSE_LOST;
       }
     }
-    if (inFlight.call.settled()) {
-      open.remove(inFlight.call);
+    if (inFlight.pending.settled()) {
+      open.remove(inFlight.pending);
     }
     return outcome;
   }
@@ -93,28 +94,29 @@
    * run, whatever became of the rest.
    */
   private static long mayRunUntil(InFlightAttempt inFlight, AttemptOutcome outcome) {
-    boolean over = !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.begun();
-    return over ? 0 : inFlight.call.request.clientDeadline;
+    boolean over = !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.resultStarted();
+    return over ? 0 : inFlight.pending.request.clientDeadline;
   }
 
   /**
    * The client is told at once, for it can't be succeeded as it is; the module cancels what is
    * still out.
    */
-  private void withdraw(PendingResponse call) {
-    open.remove(call);
-    if (call.settled()) {
+  private void withdraw(PendingResponse pending) {
+    open.remove(pending);
+    if (pending.settled()) {
       return;
     }
     boolean again =
-        call.request.requestClass != null && call.request.requestClass.terms.effect() == Effect.PURE
-            || call.inFlightAttempts.stream()
-                .allMatch(inFlight -> inFlight.refused || !inFlight.attempt.mayHaveRun());
+        pending.request.requestClass != null
+                && pending.request.requestClass.config.effect() == Effect.PURE
+            || pending.inFlightAttempts.stream()
+                .allMatch(inFlight -> inFlight.refusedByGuard || !inFlight.attempt.mayHaveRun());
     if (again) {
-      clients.reject(call, call.guard.retryAfter());
+      requests.reject(pending, pending.guard.retryAfter());
     } else {
-      clients.fail(call);
+      requests.fail(pending);
     }
-    gateway.left(call);
+    context.policyEvents().clientDisconnected(pending);
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -8,21 +8,23 @@
 import tillerlink.model.RequestClassConfig;
 
 /**
- * The one guard in front of every attempt. It is asked when an engine is chosen and again right
- * before the bytes are handed to a connection, since a dial, a turn or a pause of the process may
- * lie between the two.
+ * The one guard in front of every attempt. It is called when an engine is chosen and again right
+ * before the bytes are passed to a connection, since connecting, an event-loop iteration or a pause
+ * of the process may lie between the two. Times are tenths of a millisecond.
  */
 public final class SendGuard {
   /**
-   * How long after it was allowed an attempt may still be written: for longer, what it was allowed
-   * by may have changed unseen.
+   * How long after it was allowed an attempt may still be written: later, the reasons for it may
+   * have changed unseen.
    */
-  public static final long WRITE_WITHIN = 1_000;
+  public static final long MAX_WRITE_DELAY = 1_000;
 
   private final long tick;
   private long listUsableUntil = Long.MAX_VALUE;
 
   /**
+   * Creates a guard to which the endpoint list is usable at any time.
+   *
    * @param tick the resolution of the settings' times
    */
   public SendGuard(long tick) {
@@ -30,7 +32,7 @@
   }
 
   /** The endpoint list may be used for new attempts before that moment. */
-  public void endpointsUsableUntil(long until) {
+  public void setListUsableUntil(long until) {
     listUsableUntil = until;
   }
 
@@ -67,7 +69,7 @@
     if (now >= listUsableUntil) {
       return SendVerdict.LIST_UNCONFIRMED;
     }
-    if (request.ordered() && request.line.head() != request) {
+    if (request.ordered() && request.keyQueue.firstUnfinished() != request) {
       return SendVerdict.ORDER;
     }
     return checkEndpoint(now, request, attempt.engine, attempt);
@@ -75,34 +77,35 @@
 
   /** The last moment at which the first byte of an attempt may go out that is allowed now. */
   public long writeDeadline(long now, Attempt attempt) {
-    return Math.min(now + WRITE_WITHIN, Math.min(listUsableUntil, attempt.request.clientDeadline));
+    return Math.min(
+        now + MAX_WRITE_DELAY, Math.min(listUsableUntil, attempt.request.clientDeadline));
   }
 
   /**
    * @param next the attempt that is about to begin there, or null if it has yet to be placed
    */
   private SendVerdict checkEndpoint(long now, Request request, Engine engine, Attempt next) {
-    if (engine.standing != Status.READY) {
+    if (engine.status != Status.READY) {
       return SendVerdict.ENGINE_NOT_READY;
     }
-    if (!request.requestClass.terms.allows(engine)) {
+    if (!request.requestClass.config.allows(engine)) {
       return SendVerdict.PLACEMENT;
     }
-    return repeatAllowed(now, request, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
+    return mayRepeat(now, request, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
   }
 
-  private boolean repeatAllowed(long now, Request request, Engine engine, Attempt next) {
-    RequestClassConfig terms = request.requestClass.terms;
-    if (request.attempts.isEmpty() || terms.effect() == Effect.PURE) {
+  private boolean mayRepeat(long now, Request request, Engine engine, Attempt next) {
+    RequestClassConfig classConfig = request.requestClass.config;
+    if (request.attempts.isEmpty() || classConfig.effect() == Effect.PURE) {
       return true;
     }
     for (Attempt attempt : request.attempts) {
       if (attempt == next || !attempt.mayHaveRun()) {
         continue;
       }
-      if (terms.effect() == Effect.EFFECTFUL
-          || !terms.circle().joins(attempt.engine, engine)
-          || now + tick >= attempt.sentAt + terms.window()) {
+      if (classConfig.effect() == Effect.EFFECTFUL
+          || !classConfig.deduplicationGroup().covers(attempt.engine, engine)
+          || now + tick >= attempt.sentAt + classConfig.deduplicationWindow()) {
         return false;
       }
     }
--- a/gateway/src/test/java/tillerlink/SingleWriterTest.java
+++ b/gateway/src/test/java/tillerlink/SingleWriterTest.java
@@ -22,9 +22,14 @@
   void socketsAreOpenedAndWrittenInTheDriverAlone() throws IOException {
     assertEquals(
         List.of("net/io/MinaDriver.java", "net/io/ReadProcessor.java"),
-        filesWith(
-            "NioSocketConnector|NioDatagramConnector|\\bSocketChannel\\b|DatagramChannel\\b|java\\.net\\.(Datagram)?Socket\\b"
-                + "|session\\.write\\("));
+        filesWith("NioSocketConnector|\\bSocketChannel\\b|java\\.net\\.Socket\\b"));
+    assertEquals(
+        List.of("net/io/DiscoverySocket.java"),
+        filesWith("NioDatagramConnector|DatagramChannel\\b|java\\.net\\.DatagramSocket\\b"));
+    assertEquals(
+        List.of("net/io/DiscoverySocket.java", "net/io/MinaDriver.java"),
+        filesWith("session\\.write\\("),
+        "one for datagrams, one for connections");
     assertEquals(
         2,
         occurrences("net/io/ReadProcessor.java", "super\\.write\\("),
@@ -47,14 +52,16 @@
     assertEquals(1, count(link, "[^.\\w]want\\(inFlight\\);"));
     assertEquals(
         1, count(link, "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+want\\(inFlight\\);"));
-    String gateway = Files.readString(SOURCES.resolve("net/state/Gateway.java"));
-    assertEquals(1, count(gateway, "transport\\(inFlight\\)\\.send\\(inFlight\\)"));
+    String executor = Files.readString(SOURCES.resolve("net/state/ActionExecutor.java"));
+    assertEquals(1, count(executor, "inFlight\\.transport\\(\\)\\.send\\(inFlight\\)"));
+    assertEquals(
+        List.of("net/state/ActionExecutor.java"), filesWith("transport\\(?[^;]*\\)?\\.send\\("));
     assertEquals(
         1,
         count(
-            gateway,
+            executor,
             "if \\(verdict == SendVerdict\\.ALLOWED\\)"
-                + " \\{\\s+transport\\(inFlight\\)\\.send\\(inFlight\\)"));
+                + " \\{\\s+inFlight\\.transport\\(\\)\\.send\\(inFlight\\)"));
     assertEquals(
         List.of("policy/DefaultDispatchPolicy.java", "policy/SendGuard.java"),
         filesWith("guard\\.checkWrite\\(|SendVerdict checkWrite\\(long now, Attempt attempt\\) \\{")
--- a/peering/src/main/java/tillerlink/peering/LocalMembership.java
+++ b/peering/src/main/java/tillerlink/peering/LocalMembership.java
@@ -59,24 +59,24 @@
   /** The usual configuration, with the times that follow from the probe interval scaled to it. */
   private static MembershipConfig scaledTo(long probeInterval) {
     MembershipConfig usual = MembershipConfig.usual();
-    double factor = (double) probeInterval / usual.period();
+    double factor = (double) probeInterval / usual.probeInterval();
     return new MembershipConfig(
         probeInterval,
-        scaled(usual.answerWithin(), factor),
-        scaled(usual.waitMost(), factor),
-        usual.relays(),
-        usual.suspicionFactor(),
-        usual.suspicionSpread(),
+        scaled(usual.probeTimeout(), factor),
+        scaled(usual.maxProbeTimeout(), factor),
+        usual.indirectProbes(),
+        usual.suspicionMultiplier(),
+        usual.maxSuspicionMultiplier(),
         usual.confirmations(),
-        scaled(usual.gossipEvery(), factor),
-        usual.gossipTo(),
-        usual.updateFactor(),
-        scaled(usual.retryEvery(), factor),
-        scaled(usual.digestEvery(), factor),
-        usual.updateLife(),
+        scaled(usual.gossipInterval(), factor),
+        usual.gossipFanout(),
+        usual.retransmitMultiplier(),
+        scaled(usual.reconnectInterval(), factor),
+        scaled(usual.antiEntropyInterval(), factor),
+        usual.maxUpdateAge(),
         usual.forgetAfter(),
-        usual.healthMost(),
-        usual.mostMembers());
+        usual.maxLocalHealthScore(),
+        usual.maxMembers());
   }
 
   private static long scaled(long duration, double factor) {
--- a/peering/src/main/java/tillerlink/peering/PeerTransport.java
+++ b/peering/src/main/java/tillerlink/peering/PeerTransport.java
@@ -36,7 +36,7 @@
       EnvelopeCodec codec, String self, long processId, ComponentLoop loop, Inbox.Lines log) {
     this.loop = loop;
     outbox = new Outbox(codec, self, processId);
-    inbox = new Inbox(codec, self, processId, MessageSender.BYTES_MOST, log);
+    inbox = new Inbox(codec, self, processId, MessageSender.MAX_MESSAGE_BYTES, log);
   }
 
   /**
@@ -50,7 +50,7 @@
     datagrams =
         new Datagrams(
             address,
-            Envelope.DATAGRAM_MOST,
+            Envelope.MAX_DATAGRAM_BYTES,
             eventLoop,
             (from, datagram) -> loop.run(() -> receive(from, datagram)));
   }
@@ -68,9 +68,9 @@
    */
   void send(String address, int component, byte[] body) {
     Invariant.holds(
-        body.length <= MessageSender.BYTES_MOST,
+        body.length <= MessageSender.MAX_MESSAGE_BYTES,
         () -> "a message of " + body.length + " bytes to " + address);
-    if (datagrams == null || body.length > MessageSender.BYTES_MOST) {
+    if (datagrams == null || body.length > MessageSender.MAX_MESSAGE_BYTES) {
       return;
     }
     for (byte[] datagram : outbox.datagrams(component, body)) {
--- a/peering/src/main/java/tillerlink/peering/Watchdog.java
+++ b/peering/src/main/java/tillerlink/peering/Watchdog.java
@@ -26,7 +26,7 @@
     } catch (Invariant.Broken e) {
       throw halt(e.getMessage(), e);
     } catch (RuntimeException e) {
-      if (!Invariant.ON) {
+      if (!Invariant.ENABLED) {
         throw e;
       }
       throw halt("an internal fault: " + e, e);
--- a/peering/src/main/java/tillerlink/peering/channels/AppendRequestParser.java
+++ b/peering/src/main/java/tillerlink/peering/channels/AppendRequestParser.java
@@ -99,7 +99,7 @@
       seen.add(
           Dot.parse(id)
               .orElseThrow(() -> new MalformedRequestException("'" + id + "' is no event's id")));
-      require(seen.size() <= AppendRequest.SEEN_MOST, "too many in 'seen'");
+      require(seen.size() <= AppendRequest.MAX_SEEN, "too many in 'seen'");
     }
     return seen;
   }
--- a/peering/src/main/java/tillerlink/peering/statements/StatementRequestParser.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementRequestParser.java
@@ -82,7 +82,7 @@
         case "effect" -> effect = JsonRequestReader.readText(json);
         case "parameters" -> JsonRequestReader.readTexts(json, types);
         case "uses" -> JsonRequestReader.readTexts(json, uses);
-        case "groups" -> JsonRequestReader.readNumbers(json, groups, Definition.GROUP_MOST);
+        case "groups" -> JsonRequestReader.readNumbers(json, groups, Definition.MAX_GROUP);
         case "over" -> replaces = JsonRequestReader.readNumber(json, Long.MAX_VALUE);
         default -> {
           return false;
@@ -130,7 +130,7 @@
     @Override
     public boolean readField(String name, JsonParser json) throws IOException {
       switch (name) {
-        case "groups" -> JsonRequestReader.readNumbers(json, groups, Definition.GROUP_MOST);
+        case "groups" -> JsonRequestReader.readNumbers(json, groups, Definition.MAX_GROUP);
         case "removed" -> JsonRequestReader.readTexts(json, removed);
         case "altered" -> JsonRequestReader.readTexts(json, altered);
         case "renamed" -> JsonRequestReader.readRenames(json, renamed);
--- a/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
@@ -36,21 +36,21 @@
   static HttpResponse outcome(Outcome outcome, String field) {
     return switch (outcome.verdict()) {
       case DONE -> ok(json -> json.writeNumberField(field, outcome.id()));
-      case REFUSED -> problem(409, "Refused", outcome.words(), 0);
-      case UNKNOWN -> problem(503, "Unknown", outcome.words(), UNKNOWN_RETRY_MS);
+      case REFUSED -> problem(409, "Refused", outcome.message(), 0);
+      case UNKNOWN -> problem(503, "Unknown", outcome.message(), UNKNOWN_RETRY_MS);
     };
   }
 
-  static HttpResponse rejected(Permission.No refusal) {
+  static HttpResponse rejected(Permission.Denied refusal) {
     String problem =
-        switch (refusal.why()) {
+        switch (refusal.reason()) {
           case OTHER -> "Other";
           case INVALID -> "Invalid";
           case ANEW, CHANGING -> "Changing";
           case UNKNOWN -> "NoLease";
         };
     int status = refusal.retryAfter() > 0 ? 503 : 409;
-    return problem(status, problem, refusal.words(), toMillisRoundedUp(refusal.retryAfter()));
+    return problem(status, problem, refusal.message(), toMillisRoundedUp(refusal.retryAfter()));
   }
 
   private static long toMillisRoundedUp(long tenths) {
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
@@ -86,12 +86,12 @@
 
   @Override
   public void onShutdownDeadline(long now, long wall) {
-    statements.timeUp(now);
+    statements.failPendingRequests(now);
   }
 
   @Override
   public void close(long now, long wall) {
-    statements.leave(now);
+    statements.releaseLeases(now);
   }
 
   @Override
@@ -174,7 +174,7 @@
         number.isEmpty()
             ? schema.waiting().firstKey()
             : parseNumber("change", number, MAX_CHANGE_DIGITS);
-    statements.takeBack(
+    statements.withdraw(
         now, change, outcome -> reply.answer(StatementResponses.outcome(outcome, "change")));
   }
 
@@ -208,7 +208,7 @@
     }
     Prepared prepared = statement.get();
     String text = prepared.text(run.values(), fence);
-    if (statements.mayRun(clock.getAsLong(), prepared) instanceof Permission.No no) {
+    if (statements.checkRun(clock.getAsLong(), prepared) instanceof Permission.Denied no) {
       reply.answer(StatementResponses.rejected(no));
       return;
     }
--- a/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
@@ -104,7 +104,7 @@
 
   @Override
   public boolean set(String name, byte[] value, Runnable onDurable) {
-    if (name.length() > MAX_NAME_LENGTH || (value != null && value.length > VALUE_MOST)) {
+    if (name.length() > MAX_NAME_LENGTH || (value != null && value.length > MAX_VALUE_BYTES)) {
       throw new IllegalArgumentException("more than can be kept: " + name);
     }
     Change change = new Change(name, value, onDurable);
--- a/peering/src/test/java/tillerlink/peering/storage/DiskKeyValueStoreTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeyValueStoreTest.java
@@ -113,7 +113,7 @@
       assertTrue(store.set("b", new byte[6000], () -> durable.add("b again")));
       assertThrows(
           IllegalArgumentException.class,
-          () -> store.set("c", new byte[KeyValueStore.VALUE_MOST + 1], null));
+          () -> store.set("c", new byte[KeyValueStore.MAX_VALUE_BYTES + 1], null));
       runTasksUntil(durable, 4);
     }
     assertEquals(List.of("a", "a again", "no a", "b again"), durable);
--- a/peering/src/test/java/tillerlink/peering/together/PartitionScenario.java
+++ b/peering/src/test/java/tillerlink/peering/together/PartitionScenario.java
@@ -62,7 +62,7 @@
 
   private void start(String name) {
     InMemoryKeyValueStore was = disks.get(name);
-    InMemoryKeyValueStore disk = was == null ? new InMemoryKeyValueStore(fleet, 5) : was.reopened();
+    InMemoryKeyValueStore disk = was == null ? new InMemoryKeyValueStore(fleet, 5) : was.reopen();
     disks.put(name, disk);
     SimulatedGateway gateway =
         new SimulatedGateway(name, fleet, disk, random, this::recordVersions);
@@ -75,7 +75,7 @@
     running.remove(name).detach();
     fleet.kill(name);
     InMemoryKeyValueStore disk = disks.get(name);
-    disk.crash(disk.inDoubt() == 0 ? 0 : random.nextInt(disk.inDoubt() + 1));
+    disk.crash(disk.pendingWrites() == 0 ? 0 : random.nextInt(disk.pendingWrites() + 1));
   }
 
   /** Records the newest schema version that any gateway has applied. */
@@ -119,7 +119,7 @@
                   answered.add(taken.id().text());
                 }
               });
-      fleet.touched(name);
+      fleet.reschedule(name);
     }
   }
 
@@ -133,7 +133,8 @@
         .lookUp("q")
         .ifPresent(
             prepared -> {
-              if (gateway.statements.mayRun(fleet.now(), prepared) instanceof Permission.Yes) {
+              if (gateway.statements.checkRun(fleet.now(), prepared)
+                  instanceof Permission.Granted) {
                 runs++;
                 prepared
                     .versions()
@@ -154,7 +155,7 @@
                 rejected++;
               }
             });
-    fleet.touched(name);
+    fleet.reschedule(name);
   }
 
   private final Set<String> paused = new HashSet<>();
@@ -241,7 +242,7 @@
             fleet.now(),
             new Change(List.of(17), List.of(), List.of(), new TreeMap<>()),
             outcome -> log("announced: " + outcome));
-    fleet.touched(at);
+    fleet.reschedule(at);
   }
 
   private void pauseOrKill(String name) {
--- a/peering/src/test/java/tillerlink/peering/together/SimulatedGateway.java
+++ b/peering/src/test/java/tillerlink/peering/together/SimulatedGateway.java
@@ -50,7 +50,7 @@
       Random random,
       Runnable onStep) {
     this.onStep = onStep;
-    MessageSender sender = fleet.post(name);
+    MessageSender sender = fleet.sender(name);
     KeyValueStore store =
         new KeyValueStore() {
           @Override
@@ -68,7 +68,7 @@
                     onDurable.run();
                   }
                   if (!components.isEmpty()) {
-                    fleet.touched(name);
+                    fleet.reschedule(name);
                   }
                 });
           }
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -11,11 +11,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
-import tillerlink.baseline.Baseline;
+import tillerlink.baseline.BaselinePolicy;
 import tillerlink.fleet.Fleet;
 import tillerlink.harness.ProcessHarness;
 import tillerlink.operator.OperatorFile;
-import tillerlink.operator.OperatorFile.Replaying;
+import tillerlink.operator.OperatorFile.ReplayDefaults;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.replay.Arrivals;
@@ -25,8 +25,8 @@
 import tillerlink.replay.Report;
 import tillerlink.replay.Run;
 import tillerlink.trace.Layout;
-import tillerlink.workload.BuiltIn;
-import tillerlink.workload.Plan;
+import tillerlink.workload.BuiltInRequestClasses;
+import tillerlink.workload.WorkloadScaling;
 
 /** Replays a trace through gateways and tells what it was worth. */
 @Command(
@@ -92,7 +92,7 @@
   @Option(
       names = "--scale",
       description = "what gives way for that: ${COMPLETION-CANDIDATES} (default TIME)")
-  private Plan.Scale scale;
+  private WorkloadScaling.Scale scale;
 
   @Option(
       names = "--jobs",
@@ -194,10 +194,11 @@
 
   /** Options come before the operator's file, and that before what is built in. */
   private Job job(OperatorFile file) throws IOException {
-    Replaying plain =
+    ReplayDefaults plain =
         file != null && file.replay() != null
             ? file.replay()
-            : new Replaying(0.6, Plan.Scale.TIME, (long) (3600 * Words.SECOND), 0.4, 0.1, 1);
+            : new ReplayDefaults(
+                0.6, WorkloadScaling.Scale.TIME, (long) (3600 * Words.SECOND), 0.4, 0.1, 1);
     double loadWanted = load == null ? plain.load() : load;
     long ordering = window == null ? plain.window() : (long) (window * Words.SECOND);
     check(loadWanted > 0 && loadWanted <= 10, "--load is above 0 and at most 10");
@@ -216,7 +217,7 @@
         chosen,
         file != null && !file.requestClasses().isEmpty()
             ? file.requestClasses()
-            : BuiltIn.requestClasses(chosen),
+            : BuiltInRequestClasses.requestClasses(chosen),
         speaking(gateways == null ? fleet : fleet.behind(gateways), file),
         file == null ? List.of() : file.troubles(),
         ordering,
@@ -226,7 +227,7 @@
         scale == null ? plain.scale() : scale,
         jobs,
         error == null ? plain.error() : error,
-        badMost == null ? plain.badMost() : badMost,
+        badMost == null ? plain.maxBadShare() : badMost,
         seed == null ? plain.seed() : seed,
         choice.name().toLowerCase(Locale.ROOT),
         modules());
@@ -247,8 +248,8 @@
   private DispatchPolicyFactory modules() {
     return switch (choice) {
       case MODULE -> DefaultDispatchPolicy::new;
-      case RANDOM -> Baseline.of(Baseline.Choice.RANDOM);
-      default -> Baseline.of(Baseline.Choice.LEAST_OUTSTANDING);
+      case RANDOM -> BaselinePolicy.of(BaselinePolicy.Choice.RANDOM);
+      default -> BaselinePolicy.of(BaselinePolicy.Choice.LEAST_OUTSTANDING);
     };
   }
 
