--- a/peering/src/main/java/tillerlink/peering/statements/StatementsComponentFactory.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsComponentFactory.java
@@ -8,10 +8,10 @@
 import tillerlink.peering.component.ComponentContext;
 import tillerlink.peering.component.ComponentFactory;
 import tillerlink.peering.component.HostedComponent;
-import tillerlink.statements.StatementTerms;
+import tillerlink.statements.StatementsConfig;
 import tillerlink.statements.Statements;
 import tillerlink.statements.consensus.RaftConfig;
-import tillerlink.statements.lease.LeaseTerms;
+import tillerlink.statements.lease.LeaseConfig;
 import tillerlink.statements.prepare.Renaming;
 
 /** Makes the part of prepared statements on a gateway. */
@@ -29,7 +29,7 @@
   /** A part of the lease that has to be ahead of a run. */
   private static final int MARGIN_PART = 50;
 
-  private final StatementTerms terms;
+  private final StatementsConfig config;
   private final boolean fence;
 
   /**
@@ -43,10 +43,10 @@
    */
   public StatementsComponentFactory(
       List<String> voters, long lease, double drift, boolean vouched, boolean fence) {
-    terms =
-        new StatementTerms(
+    config =
+        new StatementsConfig(
             voters,
-            new LeaseTerms(lease, drift, Math.max(MARGIN_LEAST, lease / MARGIN_PART)),
+            new LeaseConfig(lease, drift, Math.max(MARGIN_LEAST, lease / MARGIN_PART)),
             new RaftConfig(vouched, Set.of()));
     this.fence = fence;
   }
@@ -66,7 +66,7 @@
     try {
       Statements statements =
           new Statements(
-              terms,
+              config,
               ground.roster(),
               ground.post(),
               ground.keep(),
--- a/peering/src/test/java/tillerlink/peering/together/Host.java
+++ b/peering/src/test/java/tillerlink/peering/together/Host.java
@@ -18,10 +18,10 @@
 import tillerlink.peering.storage.PrefixedKeyValueStore;
 import tillerlink.simulation.InMemoryKeyValueStore;
 import tillerlink.simulation.SimulatedFleet;
-import tillerlink.statements.StatementTerms;
+import tillerlink.statements.StatementsConfig;
 import tillerlink.statements.Statements;
 import tillerlink.statements.consensus.RaftConfig;
-import tillerlink.statements.lease.LeaseTerms;
+import tillerlink.statements.lease.LeaseConfig;
 import tillerlink.statements.prepare.Renaming;
 
 /**
@@ -98,8 +98,8 @@
     try {
       statements =
           new Statements(
-              new StatementTerms(
-                  COUNTED, new LeaseTerms(10_000, 0.02, 50), new RaftConfig(false, Set.of())),
+              new StatementsConfig(
+                  COUNTED, new LeaseConfig(10_000, 0.02, 50), new RaftConfig(false, Set.of())),
               members,
               (to, body) -> post.send(to, marked(STATEMENTS, body)),
               new PrefixedKeyValueStore(keep, "statements"),
--- a/statements/src/main/java/tillerlink/statements/LeaderTasks.java
+++ b/statements/src/main/java/tillerlink/statements/LeaderTasks.java
@@ -35,11 +35,11 @@
 
   private long repreparedCount;
 
-  LeaderTasks(StatementTerms terms, Voters voters, RaftVoter voter, Preparer preparer) {
+  LeaderTasks(StatementsConfig config, Voters voters, RaftVoter voter, Preparer preparer) {
     this.voters = voters;
     this.voter = voter;
     this.preparer = preparer;
-    skipsConfirmation = terms.terms().injects(InjectedFault.EFFECT_WITHOUT_MAJORITY);
+    skipsConfirmation = config.raft().injects(InjectedFault.EFFECT_WITHOUT_MAJORITY);
   }
 
   /** A voter confirms which changes it is clear of. */
--- a/statements/src/main/java/tillerlink/statements/RunAuthorizer.java
+++ b/statements/src/main/java/tillerlink/statements/RunAuthorizer.java
@@ -5,8 +5,8 @@
 import java.util.TreeMap;
 import tillerlink.statements.catalog.Catalog;
 import tillerlink.statements.catalog.CatalogEntry;
+import tillerlink.statements.lease.LeaseConfig;
 import tillerlink.statements.lease.LeaseHolder;
-import tillerlink.statements.lease.LeaseTerms;
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Permission.Reason;
 import tillerlink.statements.run.Prepared;
@@ -20,14 +20,14 @@
   private static final long RETRY_SOON = 500;
 
   private final EventClock clock;
-  private final LeaseTerms terms;
+  private final LeaseConfig config;
   private final CatalogReplica replica;
   private final LeaseHolder leases;
   private final Map<String, Prepared> cache = new TreeMap<>();
 
-  RunAuthorizer(EventClock clock, LeaseTerms terms, CatalogReplica replica, LeaseHolder leases) {
+  RunAuthorizer(EventClock clock, LeaseConfig config, CatalogReplica replica, LeaseHolder leases) {
     this.clock = clock;
-    this.terms = terms;
+    this.config = config;
     this.replica = replica;
     this.leases = leases;
   }
@@ -76,7 +76,7 @@
     long until = Long.MAX_VALUE;
     for (Map.Entry<Integer, Long> each : prepared.versions().entrySet()) {
       int group = each.getKey();
-      long validUntil = leases.validUntil(group, each.getValue()) - terms.margin();
+      long validUntil = leases.validUntil(group, each.getValue()) - config.margin();
       // No attempt is started while a change is announced, though the lease may still be valid:
       // those in flight must end.
       if (validUntil <= now || replica.catalog().blocked(group)) {
@@ -92,14 +92,14 @@
     leases.onGroupNeeded(now, group, catalog);
     if (catalog.blocked(group)) {
       return deny(
-          Reason.CHANGING, "the schema of group " + group + " is changing", terms.length() / 4);
+          Reason.CHANGING, "the schema of group " + group + " is changing", config.length() / 4);
     }
     leases.expediteRequest(now);
-    boolean connected = now - leases.heardAt() < terms.length();
+    boolean connected = now - leases.heardAt() < config.length();
     return deny(
         Reason.UNKNOWN,
         "this gateway holds no lease on group " + group,
-        connected ? RETRY_SOON : terms.length() / 2);
+        connected ? RETRY_SOON : config.length() / 2);
   }
 
   private static Permission deny(Reason reason, String message, long retryAfter) {
--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -62,7 +62,7 @@
    * @throws MalformedMessageException if the stored state can't be read
    */
   public Statements(
-      StatementTerms terms,
+      StatementsConfig config,
       MembershipView membership,
       MessageSender sender,
       KeyValueStore store,
@@ -71,23 +71,23 @@
       Consumer<String> warnings)
       throws MalformedMessageException {
     this.sender = sender;
-    voters = new Voters(terms.voters(), membership.self());
-    leases = new LeaseHolder(terms.lease(), terms.terms(), voters, this::send, random);
+    voters = new Voters(config.voters(), membership.self());
+    leases = new LeaseHolder(config.lease(), config.raft(), voters, this::send, random);
     queue = new RequestQueue(leases.holderId(), this::propose);
     replica = new CatalogReplica(clock, leases, queue);
     requests = new StatementRequests(clock, replica, queue);
-    runs = new RunAuthorizer(clock, terms.lease(), replica, leases);
+    runs = new RunAuthorizer(clock, config.lease(), replica, leases);
     if (voters.includesSelf()) {
       RaftVoter voter =
-          new RaftVoter(terms.terms(), voters, this::send, store, random, replica, warnings);
+          new RaftVoter(config.raft(), voters, this::send, store, random, replica, warnings);
       participant =
           new VoterParticipant(
               clock,
               replica,
               this::send,
               voter,
-              new LeaseGrantor(terms.lease(), terms.terms(), voter),
-              new LeaderTasks(terms, voters, voter, preparer));
+              new LeaseGrantor(config.lease(), config.raft(), voter),
+              new LeaderTasks(config, voters, voter, preparer));
     } else {
       int first = random.nextInt(voters.count());
       participant =
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseTerms.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseConfig.java
@@ -8,16 +8,16 @@
  *     of one
  * @param margin a run needs so much of the lease ahead of it when its attempt is written
  */
-public record LeaseTerms(long length, double drift, long margin) {
+public record LeaseConfig(long length, double drift, long margin) {
   private static final long LENGTH_MIN = 1000;
   private static final double DRIFT_MAX = 0.2;
 
   /**
-   * Checks the terms.
+   * Checks the durations.
    *
-   * @throws IllegalArgumentException if the terms leave nothing of a lease
+   * @throws IllegalArgumentException if the durations leave nothing of a lease
    */
-  public LeaseTerms {
+  public LeaseConfig {
     if (length < LENGTH_MIN
         || drift < 0
         || drift > DRIFT_MAX
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
@@ -44,8 +44,8 @@
     private final TreeMap<Integer, Long> releasedUpTo = new TreeMap<>();
   }
 
-  private final LeaseTerms terms;
-  private final RaftConfig config;
+  private final LeaseConfig config;
+  private final RaftConfig raft;
   private final RaftVoter voter;
 
   /** By the numbers of the processes that hold leases. */
@@ -57,9 +57,9 @@
   private int grantCount;
 
   /** Sets up the grantor of a voter; it has granted nothing that it knows of. */
-  public LeaseGrantor(LeaseTerms terms, RaftConfig config, RaftVoter voter) {
-    this.terms = terms;
+  public LeaseGrantor(LeaseConfig config, RaftConfig raft, RaftVoter voter) {
     this.config = config;
+    this.raft = raft;
     this.voter = voter;
   }
 
@@ -103,7 +103,7 @@
   private boolean isBlocked(Catalog catalog, int group) {
     boolean announced =
         catalog.blocked(group) || voter.hasAnnouncementAfter(catalog.applied(), group);
-    return announced && !config.injects(InjectedFault.GRANTS_WHILE_BLOCKED);
+    return announced && !raft.injects(InjectedFault.GRANTS_WHILE_BLOCKED);
   }
 
   private boolean grant(long now, AskLease request, int group) {
@@ -122,7 +122,7 @@
     }
     grantCount += old == null ? 1 : 0;
     long sequence = Math.max(request.sequence(), old == null ? 0 : old.sequence);
-    holder.grants.put(group, new Grant(sequence, now + terms.grantorDuration()));
+    holder.grants.put(group, new Grant(sequence, now + config.grantorDuration()));
     return true;
   }
 
@@ -177,14 +177,14 @@
 
   /** When the last lease that this voter granted before its restart has expired. */
   private long earlierGrantsExpiry() {
-    return voter.rejoinedAt() + terms.grantorDuration();
+    return voter.rejoinedAt() + config.grantorDuration();
   }
 
   /** The announced changes that this voter is clear of, by their numbers. */
   public List<Long> clearedChanges(long now, Catalog catalog) {
     cleared.retainAll(catalog.waiting().keySet());
     boolean expired =
-        now > earlierGrantsExpiry() || config.injects(InjectedFault.CLEARS_AFTER_RESTART);
+        now > earlierGrantsExpiry() || raft.injects(InjectedFault.CLEARS_AFTER_RESTART);
     if (!voter.isOperational() || voter.rejoinedAt() < 0 || !expired) {
       return List.of();
     }
@@ -193,7 +193,7 @@
         .forEach(
             (id, change) -> {
               if (lastExpiry(now, change.groups()) == 0
-                  || config.injects(InjectedFault.CLEARS_TOO_EARLY)) {
+                  || raft.injects(InjectedFault.CLEARS_TOO_EARLY)) {
                 cleared.add(id);
               }
             });
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
@@ -36,8 +36,8 @@
     }
   }
 
-  private final LeaseTerms terms;
-  private final RaftConfig config;
+  private final LeaseConfig config;
+  private final RaftConfig raft;
   private final Voters voters;
   private final Outbox outbox;
   private final long holderId;
@@ -63,9 +63,9 @@
    * @param random gives this process its number among the holders
    */
   public LeaseHolder(
-      LeaseTerms terms, RaftConfig config, Voters voters, Outbox outbox, RandomGenerator random) {
-    this.terms = terms;
+      LeaseConfig config, RaftConfig raft, Voters voters, Outbox outbox, RandomGenerator random) {
     this.config = config;
+    this.raft = raft;
     this.voters = voters;
     this.outbox = outbox;
     holderId = random.nextLong() | 1;
@@ -98,8 +98,8 @@
     if (members.isEmpty()) {
       return GroupLease.NOT_HELD;
     }
-    int needed = voters.quorum() - (config.injects(InjectedFault.LEASE_WITHOUT_MAJORITY) ? 1 : 0);
-    return lease.validUntil(members, needed, terms.holderDuration());
+    int needed = voters.quorum() - (raft.injects(InjectedFault.LEASE_WITHOUT_MAJORITY) ? 1 : 0);
+    return lease.validUntil(members, needed, config.holderDuration());
   }
 
   // ---- runs ----
@@ -135,7 +135,7 @@
 
   private void countAttempt(int group, int change) {
     GroupLease lease = leases.get(group);
-    if (lease != null && !config.injects(InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT)) {
+    if (lease != null && !raft.injects(InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT)) {
       lease.addInFlight(change);
       releaseReady |= lease.isReadyForRelease();
     }
@@ -150,9 +150,9 @@
   public void onAttemptUncertain(long now, int group, long mayRunUntil) {
     GroupLease lease = leases.get(group);
     if (lease != null
-        && !config.injects(InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT)
-        && !config.injects(InjectedFault.ASSUMES_ATTEMPTS_STOPPED)) {
-      lease.onAttemptUncertain(Math.max(now, mayRunUntil) + terms.grantorDuration());
+        && !raft.injects(InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT)
+        && !raft.injects(InjectedFault.ASSUMES_ATTEMPTS_STOPPED)) {
+      lease.onAttemptUncertain(Math.max(now, mayRunUntil) + config.grantorDuration());
     }
   }
 
@@ -165,7 +165,7 @@
     if (now < requestDueAt || leases.isEmpty()) {
       return;
     }
-    requestDueAt = now + terms.length() / 4;
+    requestDueAt = now + config.length() / 4;
     leases
         .values()
         .removeIf(lease -> now - lease.neededAt() > INTEREST_DURATION && !lease.mayHaveAttempts());
@@ -189,7 +189,7 @@
     List<Integer> released = new ArrayList<>();
     leases.forEach(
         (group, lease) -> {
-          switch (lease.onTick(now, catalog, terms.length())) {
+          switch (lease.onTick(now, catalog, config.length())) {
             case REQUEST -> requestDueAt = Math.min(requestDueAt, now);
             case RELEASE -> released.add(group);
             case NONE -> {}
@@ -201,7 +201,7 @@
   private void updateValidity(long now) {
     nextExpiryAt = Long.MAX_VALUE;
     for (GroupLease lease : leases.values()) {
-      long until = validUntil(lease) - terms.margin();
+      long until = validUntil(lease) - config.margin();
       boolean valid = until > now;
       losses += lease.updateValidity(valid) ? 1 : 0;
       nextExpiryAt = valid ? Math.min(nextExpiryAt, until) : nextExpiryAt;
@@ -255,7 +255,7 @@
       membersVersion = response.version();
       members = response.members();
     }
-    boolean fromResponse = config.injects(InjectedFault.COUNTS_LEASE_FROM_RESPONSE);
+    boolean fromResponse = raft.injects(InjectedFault.COUNTS_LEASE_FROM_RESPONSE);
     long since = fromResponse ? now : request.sentAt;
     response
         .granted()
@@ -272,7 +272,7 @@
 
   /** The process was paused: all leases are dropped, and released where no attempt may be left. */
   public void onPause(long now) {
-    if (config.injects(InjectedFault.TRUSTS_LEASES_AFTER_PAUSE)) {
+    if (raft.injects(InjectedFault.TRUSTS_LEASES_AFTER_PAUSE)) {
       return;
     }
     requests.clear();
--- a/statements/src/test/java/tillerlink/statements/TestCluster.java
+++ b/statements/src/test/java/tillerlink/statements/TestCluster.java
@@ -25,7 +25,7 @@
 import tillerlink.statements.catalog.Outcome;
 import tillerlink.statements.catalog.Snapshots;
 import tillerlink.statements.consensus.RaftConfig;
-import tillerlink.statements.lease.LeaseTerms;
+import tillerlink.statements.lease.LeaseConfig;
 import tillerlink.statements.prepare.Renaming;
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Prepared;
@@ -154,11 +154,11 @@
         new TestGateway(
             name, name + "/" + ++starts, clockRates.getOrDefault(name, 1.0), fleet::now, audit);
     disks.put(name, disk);
-    LeaseTerms lease = new LeaseTerms(leaseLength, DRIFT, LEASE_MARGIN);
+    LeaseConfig lease = new LeaseConfig(leaseLength, DRIFT, LEASE_MARGIN);
     try {
       gateway.run(
           new Statements(
-              new StatementTerms(voters, lease, new RaftConfig(false, injectedFaults)),
+              new StatementsConfig(voters, lease, new RaftConfig(false, injectedFaults)),
               new FixedMembership(name, all),
               fleet.post(name),
               storeOf(gateway, disk),
