--- a/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
@@ -70,7 +70,8 @@
           case UNKNOWN -> "NoLease";
         };
     boolean for503 = denied.retryAfter() > 0;
-    return problem(for503 ? 503 : 409, problem, denied.message(), milliseconds(denied.retryAfter()));
+    return problem(
+        for503 ? 503 : 409, problem, denied.message(), milliseconds(denied.retryAfter()));
   }
 
   static long milliseconds(long tenths) {
