--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -8,10 +8,10 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
 import tillerlink.policy.DefaultDispatchPolicy;
-import tillerlink.replay.Figures;
-import tillerlink.replay.Front;
 import tillerlink.replay.GatewayConnections;
-import tillerlink.replay.Wording;
+import tillerlink.replay.ReplayClients;
+import tillerlink.replay.ReplayMetrics;
+import tillerlink.replay.RequestEncoder;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.RequestClassSpec;
 
@@ -48,22 +48,22 @@
 
   private static void inFlight(boolean http2) {
     EmulatedCluster cluster = cluster(http2);
-    Front front =
-        new Front(
+    ReplayClients clients =
+        new ReplayClients(
             cluster,
             new GatewayConnections(cluster),
-            new Figures(List.of(REQUEST_CLASS)),
-            new Wording(1, 0));
+            new ReplayMetrics(List.of(REQUEST_CLASS)),
+            new RequestEncoder(1, 0));
     for (int i = 0; i < 1000; i++) {
       Arrival arrival = new Arrival(i * 10, i, 0, 60_000, 1, i % 64, i);
-      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
     int most = 0;
     int outMost = 0;
     while (cluster.now() < START + 30_000) {
       cluster.timeline.step();
       most = Math.max(most, cluster.gateway(0).engineConnections());
-      outMost = Math.max(outMost, front.open());
+      outMost = Math.max(outMost, clients.open());
     }
     System.out.printf(
         Locale.ROOT,
@@ -77,19 +77,21 @@
     EmulatedCluster cluster = cluster(http2);
     CostMeter meter = new CostMeter();
     cluster.costMeter(meter);
-    Figures figures = new Figures(List.of(REQUEST_CLASS));
-    Front front = new Front(cluster, new GatewayConnections(cluster), figures, new Wording(1, 0.2));
+    ReplayMetrics metrics = new ReplayMetrics(List.of(REQUEST_CLASS));
+    ReplayClients clients =
+        new ReplayClients(
+            cluster, new GatewayConnections(cluster), metrics, new RequestEncoder(1, 0.2));
     double gap = 500 / (cluster.fleet.cores() * 0.5);
     for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival = new Arrival((long) (i * gap), i, 0, 500, 1, i % 64, i);
-      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
     long began = System.nanoTime();
-    while (figures.arrived() < REQUESTS || front.open() > 0) {
+    while (metrics.arrived() < REQUESTS || clients.open() > 0) {
       cluster.timeline.step();
     }
     double seconds = (System.nanoTime() - began) / 1e9;
-    Figures.OfRequestClass of = figures.requestClasses().get(0);
+    ReplayMetrics.RequestClassMetrics of = metrics.requestClasses().get(0);
     System.out.printf(
         Locale.ROOT,
         "%s: %.1f us and %d bytes of a gateway a submission, %.0f a second with "
--- a/harness/src/main/java/tillerlink/harness/ClientSockets.java
+++ b/harness/src/main/java/tillerlink/harness/ClientSockets.java
@@ -9,11 +9,11 @@
 import org.apache.mina.core.service.IoHandlerAdapter;
 import org.apache.mina.core.session.IoSession;
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
-import tillerlink.replay.Lines;
+import tillerlink.replay.ClientTransport;
 
-/** Connections of clients to gateway processes. */
-final class ClientSockets implements Lines, Closeable {
-  private static final String LINE = "line";
+/** Socket connections of clients to gateway processes. */
+final class ClientSockets implements ClientTransport, Closeable {
+  private static final String CONNECTION = "connection";
 
   private final Consumer<Runnable> post;
   private final InetSocketAddress[] gateways;
@@ -28,8 +28,8 @@
     connector.setHandler(new Handler());
   }
 
-  void up(int gateway, boolean is) {
-    up[gateway] = is;
+  void setUp(int gateway, boolean isUp) {
+    up[gateway] = isUp;
   }
 
   @Override
@@ -38,15 +38,16 @@
   }
 
   @Override
-  public Line open(int gateway, Client client) {
-    Connection connection = new Connection(client);
+  public Connection open(int gateway, Listener listener) {
+    SocketConnection connection = new SocketConnection(listener);
     ConnectFuture future =
         connector.connect(
-            gateways[gateway], (session, connecting) -> session.setAttribute(LINE, connection));
+            gateways[gateway],
+            (session, connecting) -> session.setAttribute(CONNECTION, connection));
     future.addListener(
         done -> {
           if (future.getException() != null) {
-            post.accept(connection::ended);
+            post.accept(connection::onClosed);
           }
         });
     return connection;
@@ -57,20 +58,20 @@
     connector.dispose(false);
   }
 
-  /** What is said before it is up waits. */
-  private static final class Connection implements Line {
-    private final Client client;
+  /** What is sent before the connection is open waits. */
+  private static final class SocketConnection implements Connection {
+    private final Listener listener;
     private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
     private IoSession session;
-    private boolean over;
+    private boolean closed;
 
-    Connection(Client client) {
-      this.client = client;
+    SocketConnection(Listener listener) {
+      this.listener = listener;
     }
 
-    void opened(IoSession on) {
-      session = on;
-      if (over) {
+    void onOpened(IoSession openSession) {
+      session = openSession;
+      if (closed) {
         session.closeNow();
       }
       for (byte[] bytes = waiting.poll(); bytes != null; bytes = waiting.poll()) {
@@ -79,7 +80,7 @@
     }
 
     @Override
-    public void say(byte[] bytes) {
+    public void send(byte[] bytes) {
       if (session == null) {
         waiting.add(bytes);
       } else {
@@ -88,23 +89,23 @@
     }
 
     @Override
-    public void hangUp() {
-      over = true;
+    public void disconnect() {
+      closed = true;
       if (session != null) {
         session.closeOnFlush();
       }
     }
 
-    void heard(byte[] bytes) {
-      if (!over) {
-        client.heard(bytes);
+    void onBytes(byte[] bytes) {
+      if (!closed) {
+        listener.onBytes(bytes);
       }
     }
 
-    void ended() {
-      if (!over) {
-        over = true;
-        client.ended();
+    void onClosed() {
+      if (!closed) {
+        closed = true;
+        listener.onClosed();
       }
     }
   }
@@ -112,21 +113,21 @@
   private final class Handler extends IoHandlerAdapter {
     @Override
     public void sessionOpened(IoSession session) {
-      Connection line = (Connection) session.getAttribute(LINE);
-      post.accept(() -> line.opened(session));
+      SocketConnection connection = (SocketConnection) session.getAttribute(CONNECTION);
+      post.accept(() -> connection.onOpened(session));
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
       byte[] bytes = Buffers.bytes(message);
-      Connection line = (Connection) session.getAttribute(LINE);
-      post.accept(() -> line.heard(bytes));
+      SocketConnection connection = (SocketConnection) session.getAttribute(CONNECTION);
+      post.accept(() -> connection.onBytes(bytes));
     }
 
     @Override
     public void sessionClosed(IoSession session) {
-      Connection line = (Connection) session.getAttribute(LINE);
-      post.accept(line::ended);
+      SocketConnection connection = (SocketConnection) session.getAttribute(CONNECTION);
+      post.accept(connection::onClosed);
     }
 
     @Override
--- a/harness/src/main/java/tillerlink/harness/GatewayProcess.java
+++ b/harness/src/main/java/tillerlink/harness/GatewayProcess.java
@@ -16,33 +16,35 @@
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
-/** One gateway as a process of its own, as the platform runs it. */
+/** One gateway in a process of its own, as in production. */
 final class GatewayProcess {
-  private static final long READY_WITHIN_NANOS = 30_000_000_000L;
-  private static final int CONNECT_MS = 500;
-  private static final long PAUSE_MS = 20;
+  private static final long READY_TIMEOUT_NANOS = 30_000_000_000L;
+  private static final int CONNECT_TIMEOUT_MS = 500;
+  private static final long POLL_INTERVAL_MS = 20;
 
   private final Path folder;
   private final String name;
   private final InetSocketAddress listen;
-  private final List<String> http2;
+  private final List<String> http2Kinds;
   private final Path store;
   private Process process;
 
   /**
-   * @param http2 the kinds of engines that are reached over HTTP/2
-   * @param store where it remembers what outlives it, or null
+   * Describes a gateway; it is not started.
+   *
+   * @param http2Kinds the kinds of engines that are reached over HTTP/2
+   * @param store the folder in which it stores what outlives it, or null
    */
   GatewayProcess(
-      Path folder, String name, InetSocketAddress listen, List<String> http2, Path store) {
-    this.http2 = http2;
+      Path folder, String name, InetSocketAddress listen, List<String> http2Kinds, Path store) {
+    this.http2Kinds = http2Kinds;
     this.store = store;
     this.folder = folder;
     this.name = name;
     this.listen = listen;
   }
 
-  /** Writes its configuration and starts it; it is not ready yet. */
+  /** Writes its configuration and starts it, without waiting until it is ready. */
   void start(
       long seed,
       InetSocketAddress resolver,
@@ -61,12 +63,12 @@
       json.writeObjectFieldStart("limits");
       json.writeNumberField("sockets", sockets);
       json.writeEndObject();
-      known(json, index, engines);
+      writeEndpoints(json, index, engines);
       json.writeFieldName("settings");
       write(json, settings);
       json.writeEndObject();
     }
-    List<String> line =
+    List<String> command =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -77,12 +79,12 @@
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path")));
-    line.addAll(
-        http2.isEmpty() && store == null
+    command.addAll(
+        http2Kinds.isEmpty() && store == null
             ? List.of("tillerlink.Main", "serve")
             : List.of(
                 "tillerlink.cli.Tillerlink", "serve", "--operator", operatorFile().toString()));
-    ProcessBuilder builder = new ProcessBuilder(line);
+    ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("EDGE_CONFIG", file.toString());
     builder.redirectErrorStream(true);
     builder.redirectOutput(
@@ -92,16 +94,18 @@
 
   private Path operatorFile() throws IOException {
     String kinds =
-        http2.isEmpty() ? "" : "http2 {\n  kinds = [\"" + String.join("\", \"", http2) + "\"]\n}\n";
-    String remembered = store == null ? "" : "store {\n  folder = \"" + store + "\"\n}\n";
-    return Files.writeString(folder.resolve(name + ".hcl"), kinds + remembered);
+        http2Kinds.isEmpty()
+            ? ""
+            : "http2 {\n  kinds = [\"" + String.join("\", \"", http2Kinds) + "\"]\n}\n";
+    String storeBlock = store == null ? "" : "store {\n  folder = \"" + store + "\"\n}\n";
+    return Files.writeString(folder.resolve(name + ".hcl"), kinds + storeBlock);
   }
 
   private static String text(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static void known(JsonGenerator json, long index, List<EndpointEntry> engines)
+  private static void writeEndpoints(JsonGenerator json, long index, List<EndpointEntry> engines)
       throws IOException {
     json.writeObjectFieldStart("known");
     json.writeNumberField("index", index);
@@ -119,11 +123,7 @@
       json.writeStringField("zone", engine.zone());
       json.writeStringField("type", engine.kind());
       json.writeNumberField("group", engine.cell());
-      json.writeStringField(
-          "status",
-          engine.standing() == Status.READY
-              ? "SERVING"
-              : engine.standing() == Status.DRAINING ? "DRAINING" : "DELETED");
+      json.writeStringField("status", statusOnWire(engine.standing()));
       json.writeNumberField("weight", engine.weight());
       json.writeNumberField("since_ms", engine.startedMs());
       json.writeEndObject();
@@ -135,6 +135,14 @@
     json.writeEndObject();
   }
 
+  private static String statusOnWire(Status status) {
+    return switch (status) {
+      case READY -> "SERVING";
+      case DRAINING -> "DRAINING";
+      default -> "DELETED";
+    };
+  }
+
   private static void write(JsonGenerator json, Object value) throws IOException {
     if (value instanceof Map<?, ?> map) {
       json.writeStartObject();
@@ -145,8 +153,8 @@
       json.writeEndObject();
     } else if (value instanceof List<?> list) {
       json.writeStartArray();
-      for (Object one : list) {
-        write(json, one);
+      for (Object element : list) {
+        write(json, element);
       }
       json.writeEndArray();
     } else if (value instanceof Long number) {
@@ -160,13 +168,13 @@
     }
   }
 
-  /** Waits until it answers that it is healthy. */
+  /** Waits until its health check succeeds. */
   void awaitReady() throws IOException {
-    long until = System.nanoTime() + READY_WITHIN_NANOS;
+    long until = System.nanoTime() + READY_TIMEOUT_NANOS;
     while (System.nanoTime() < until && process.isAlive()) {
       try (Socket socket = new Socket()) {
-        socket.connect(listen, CONNECT_MS);
-        socket.setSoTimeout(CONNECT_MS);
+        socket.connect(listen, CONNECT_TIMEOUT_MS);
+        socket.setSoTimeout(CONNECT_TIMEOUT_MS);
         socket
             .getOutputStream()
             .write(
@@ -180,7 +188,7 @@
         // Not yet.
       }
       try {
-        Thread.sleep(PAUSE_MS);
+        Thread.sleep(POLL_INTERVAL_MS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         break;
--- a/harness/src/main/java/tillerlink/harness/NameSockets.java
+++ b/harness/src/main/java/tillerlink/harness/NameSockets.java
@@ -10,22 +10,23 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** A fake discovery service on loopback, with a port for each gateway. */
+/** A fake discovery service on loopback, with one port for each gateway. */
 final class NameSockets implements Closeable {
-  private static final int DATAGRAM_MOST = 512;
+  private static final int MAX_DATAGRAM_BYTES = 512;
 
-  /** Who answers: for a gateway's question, the datagram that goes back, or null for none. */
-  interface Answers {
-    byte[] answer(int gateway, byte[] question);
+  /** Answers queries. */
+  interface Responder {
+    /** The response datagram to a query of a gateway, or null for none. */
+    byte[] respond(int gateway, byte[] query);
   }
 
   private final DatagramSocket[] sockets;
   private final Consumer<Runnable> post;
-  private final Answers answers;
+  private final Responder responder;
 
-  NameSockets(int gateways, Consumer<Runnable> post, Answers answers) throws IOException {
+  NameSockets(int gateways, Consumer<Runnable> post, Responder responder) throws IOException {
     this.post = post;
-    this.answers = answers;
+    this.responder = responder;
     sockets = new DatagramSocket[gateways];
     for (int i = 0; i < gateways; i++) {
       sockets[i] = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -41,28 +42,28 @@
   }
 
   private void listen(int gateway) {
-    DatagramPacket packet = new DatagramPacket(new byte[DATAGRAM_MOST], DATAGRAM_MOST);
+    DatagramPacket packet = new DatagramPacket(new byte[MAX_DATAGRAM_BYTES], MAX_DATAGRAM_BYTES);
     while (!sockets[gateway].isClosed()) {
       try {
         sockets[gateway].receive(packet);
-        byte[] question = Arrays.copyOf(packet.getData(), packet.getLength());
+        byte[] query = Arrays.copyOf(packet.getData(), packet.getLength());
         SocketAddress from = packet.getSocketAddress();
-        post.accept(() -> reply(gateway, question, from));
+        post.accept(() -> reply(gateway, query, from));
       } catch (IOException e) {
-        // A question whose asker has gone; the next is as good.
+        // The sender has gone; wait for the next query.
       }
     }
   }
 
-  private void reply(int gateway, byte[] question, SocketAddress to) {
-    byte[] answer = answers.answer(gateway, question);
-    if (answer == null) {
+  private void reply(int gateway, byte[] query, SocketAddress to) {
+    byte[] response = responder.respond(gateway, query);
+    if (response == null) {
       return;
     }
     try {
-      sockets[gateway].send(new DatagramPacket(answer, answer.length, to));
+      sockets[gateway].send(new DatagramPacket(response, response.length, to));
     } catch (IOException e) {
-      // The gateway asks again.
+      // The gateway repeats its query.
     }
   }
 
--- a/harness/src/main/java/tillerlink/harness/ProcessHarness.java
+++ b/harness/src/main/java/tillerlink/harness/ProcessHarness.java
@@ -21,43 +21,44 @@
 import tillerlink.model.Engine.Status;
 import tillerlink.net.lifecycle.WallClock;
 import tillerlink.net.wire.EndpointEntry;
-import tillerlink.replay.Arrivals;
-import tillerlink.replay.Figures;
-import tillerlink.replay.Front;
-import tillerlink.replay.Job;
-import tillerlink.replay.Played;
-import tillerlink.replay.Wording;
+import tillerlink.replay.ArrivalSource;
+import tillerlink.replay.ReplayClients;
+import tillerlink.replay.ReplayConfig;
+import tillerlink.replay.ReplayMetrics;
+import tillerlink.replay.ReplayResult;
+import tillerlink.replay.RequestEncoder;
 import tillerlink.workload.Arrival;
 
 /**
- * Replays in real time over loopback sockets, through gateway processes. One thread owns engines,
- * clients and auditor; the sockets' threads only post to its queue. The load keeps the trace's
- * times whatever becomes of it; how late it was sent is measured.
+ * Replays a trace in real time over loopback sockets, through gateway processes. One thread owns
+ * engines, clients and auditor; the threads of the sockets only post to its queue. The load is open
+ * loop: it keeps the times of the trace, and how late requests were sent is measured.
  */
 public final class ProcessHarness implements AutoCloseable {
-  private static final long AHEAD = 10_000;
-  private static final long SWEEP_EVERY = 500;
-  private static final long LEAD = 2000;
-  private static final long AFTERWARDS = 10_000;
-  private static final long TELL_EVERY = 10_000;
-  private static final long LAG_MOST = 600_000;
+  // Times in tenths of a millisecond.
+  private static final long LOOKAHEAD = 10_000;
+  private static final long POLL_INTERVAL = 500;
+  private static final long START_DELAY = 2000;
+  private static final long SETTLING_TIME = 10_000;
+  private static final long PROGRESS_INTERVAL = 10_000;
+  private static final long MAX_LAG = 600_000;
 
-  private final Job job;
+  private final ReplayConfig job;
   private final WallClock clock = new WallClock();
   private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
   private final Auditor auditor;
   private final EmulatedCluster cluster;
   private final EngineSockets engines;
-  private final NameSockets names;
-  private final ClientSockets clients;
+  private final NameSockets discovery;
+  private final ClientSockets transport;
   private final Path folder;
   private final GatewayProcess[] gateways;
   private final Random seeds;
-  private final Histogram lag = new Histogram(1, LAG_MOST, 2);
-  private long serial = 1;
-  private List<EndpointEntry> listed;
+  private final Histogram lag = new Histogram(1, MAX_LAG, 2);
+  private long listVersion = 1;
+  private List<EndpointEntry> lastList;
 
-  private ProcessHarness(Job job, Path store) throws IOException {
+  private ProcessHarness(ReplayConfig job, Path store) throws IOException {
     this.job = job;
     int count = job.fleet().gateways();
     seeds = new Random(job.seed());
@@ -65,49 +66,54 @@
     cluster = new EmulatedCluster(job.fleet(), job.requestClasses(), auditor, clock.now());
     engines = new EngineSockets(cluster, queue::add);
     cluster.onEngine(engines::open);
-    listed = cluster.list();
-    names = new NameSockets(count, queue::add, this::answer);
+    lastList = cluster.list();
+    discovery = new NameSockets(count, queue::add, this::respond);
     folder = Files.createTempDirectory("tillerlink-harness-");
-    InetSocketAddress[] at = new InetSocketAddress[count];
+    InetSocketAddress[] addresses = new InetSocketAddress[count];
     gateways = new GatewayProcess[count];
     for (int i = 0; i < count; i++) {
       try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-        at[i] = (InetSocketAddress) free.getLocalSocketAddress();
+        addresses[i] = (InetSocketAddress) free.getLocalSocketAddress();
       }
       gateways[i] =
           new GatewayProcess(
               folder,
               "n" + i,
-              at[i],
+              addresses[i],
               job.fleet().kinds().stream().filter(Kind::http2).map(Kind::name).toList(),
               store);
     }
-    clients = new ClientSockets(at, queue::add);
+    transport = new ClientSockets(addresses, queue::add);
   }
 
   /**
-   * @param progress told now and then how many have arrived
+   * Runs a replay.
+   *
+   * @param progress called from time to time with the number of requests that have arrived
    */
-  public static Played play(Job job, Arrivals arrivals, LongConsumer progress) throws IOException {
+  public static ReplayResult play(ReplayConfig job, ArrivalSource arrivals, LongConsumer progress)
+      throws IOException {
     return play(job, arrivals, progress, null, cluster -> {});
   }
 
   /**
-   * @param store where gateways remember what outlives them, or null
-   * @param prepared given the engines before any gateway starts, so that some can be made to
-   *     misbehave
+   * Runs a replay on a cluster that is preparation first.
+   *
+   * @param progress called from time to time with the number of requests that have arrived
+   * @param store the folder in which gateways store what outlives them, or null
+   * @param preparation changes the cluster before any gateway starts
    */
-  public static Played play(
-      Job job,
-      Arrivals arrivals,
+  public static ReplayResult play(
+      ReplayConfig job,
+      ArrivalSource arrivals,
       LongConsumer progress,
       Path store,
-      Consumer<EmulatedCluster> prepared)
+      Consumer<EmulatedCluster> preparation)
       throws IOException {
-    try (ProcessHarness rig = new ProcessHarness(job, store)) {
-      prepared.accept(rig.cluster);
-      rig.startGateways();
-      return rig.run(arrivals, progress);
+    try (ProcessHarness harness = new ProcessHarness(job, store)) {
+      preparation.accept(harness.cluster);
+      harness.startGateways();
+      return harness.run(arrivals, progress);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
@@ -116,36 +122,36 @@
 
   // ---- gateways ----
 
-  /** The discovery service is asked while they start, so that its thread is this one. */
+  /** Runs the event loop while they start, because they query the discovery service. */
   private void startGateways() throws IOException, InterruptedException {
     for (int i = 0; i < gateways.length; i++) {
       start(i);
     }
     for (int i = 0; i < gateways.length; i++) {
       int gateway = i;
-      Thread waiting = waitFor(gateway);
+      Thread waiting = waitUntilReady(gateway);
       while (waiting.isAlive()) {
-        turn(clock.now() + SWEEP_EVERY);
+        runEvents(clock.now() + POLL_INTERVAL);
       }
-      if (!clients.isUp(gateway)) {
-        turn(clock.now());
+      if (!transport.isUp(gateway)) {
+        runEvents(clock.now());
       }
-      if (!clients.isUp(gateway)) {
+      if (!transport.isUp(gateway)) {
         gateways[gateway].awaitReady();
-        clients.up(gateway, true);
+        transport.setUp(gateway, true);
       }
     }
   }
 
-  private Thread waitFor(int gateway) {
+  private Thread waitUntilReady(int gateway) {
     Thread waiting =
         new Thread(
             () -> {
               try {
                 gateways[gateway].awaitReady();
-                queue.add(() -> clients.up(gateway, true));
+                queue.add(() -> transport.setUp(gateway, true));
               } catch (IOException e) {
-                // Those who need it find it down.
+                // Clients find it down.
               }
             },
             "ready-" + gateway);
@@ -155,28 +161,28 @@
   }
 
   private void start(int gateway) throws IOException {
-    boolean down = cluster.isDiscoveryDown();
-    if (!down) {
-      tell(gateway);
+    boolean discoveryDown = cluster.isDiscoveryDown();
+    if (!discoveryDown) {
+      auditNotReady(gateway);
     }
     gateways[gateway].start(
         seeds.nextLong(),
-        names.address(gateway),
+        discovery.address(gateway),
         job.fleet().sockets(),
         job.fleet().settings(job.requestClasses(), gateway),
-        down ? 0 : serial(),
-        down ? List.of() : seen(gateway));
+        discoveryDown ? 0 : listVersion(),
+        discoveryDown ? List.of() : endpointsFor(gateway));
   }
 
-  private void killed(int gateway) {
-    clients.up(gateway, false);
+  private void onKilled(int gateway) {
+    transport.setUp(gateway, false);
     gateways[gateway].kill();
   }
 
-  private void again(int gateway) {
+  private void restart(int gateway) {
     try {
       start(gateway);
-      waitFor(gateway);
+      waitUntilReady(gateway);
     } catch (IOException e) {
       throw new IllegalStateException(
           "gateway n" + gateway + " can't be started again: " + e.getMessage(), e);
@@ -185,26 +191,26 @@
 
   // ---- the discovery service ----
 
-  private byte[] answer(int gateway, byte[] question) {
+  private byte[] respond(int gateway, byte[] query) {
     if (cluster.isDiscoveryDown()) {
       return null;
     }
-    tell(gateway);
-    int id = question.length < 2 ? 0 : (question[0] & 255) << 8 | question[1] & 255;
-    return DiscoveryResponse.of(id, serial(), seen(gateway));
+    auditNotReady(gateway);
+    int id = query.length < 2 ? 0 : (query[0] & 255) << 8 | (query[1] & 255);
+    return DiscoveryResponse.of(id, listVersion(), endpointsFor(gateway));
   }
 
-  private long serial() {
+  private long listVersion() {
     List<EndpointEntry> now = cluster.list();
-    if (!now.equals(listed)) {
-      listed = now;
-      serial++;
+    if (!now.equals(lastList)) {
+      lastList = now;
+      listVersion++;
     }
-    return serial;
+    return listVersion;
   }
 
-  /** The list as one gateway sees it: engines at the ports that are its own. */
-  private List<EndpointEntry> seen(int gateway) {
+  /** The endpoint list of one gateway, with the ports at which it reaches the engines. */
+  private List<EndpointEntry> endpointsFor(int gateway) {
     return cluster.list().stream()
         .map(
             entry -> {
@@ -223,7 +229,7 @@
         .toList();
   }
 
-  private void tell(int gateway) {
+  private void auditNotReady(int gateway) {
     for (EndpointEntry entry : cluster.list()) {
       if (entry.standing() != Status.READY) {
         auditor.withdrawn(cluster.now(), gateway, entry.id());
@@ -233,49 +239,51 @@
 
   // ---- the run ----
 
-  private Played run(Arrivals arrivals, LongConsumer progress)
+  private ReplayResult run(ArrivalSource arrivals, LongConsumer progress)
       throws IOException, InterruptedException {
-    long start = clock.now() + LEAD;
+    long start = clock.now() + START_DELAY;
     cluster.timeline.follow(clock.now());
-    Figures figures = new Figures(job.requestClasses());
-    Front front = new Front(cluster, clients, figures, new Wording(job.seed(), job.error()));
-    front.startAt(start);
-    cluster.onKill(this::killed);
-    cluster.onStart(this::again);
+    ReplayMetrics metrics = new ReplayMetrics(job.requestClasses());
+    ReplayClients clients =
+        new ReplayClients(
+            cluster, transport, metrics, new RequestEncoder(job.seed(), job.estimateSigma()));
+    clients.startAt(start);
+    cluster.onKill(this::onKilled);
+    cluster.onStart(this::restart);
     cluster.startIncidentClock(start);
     job.troubles().forEach(cluster::plan);
     Arrival next = arrivals.next();
-    long tellAt = start;
-    while (next != null || figures.arrived() < arrivals.arrived() || front.open() > 0) {
+    long progressAt = start;
+    while (next != null || metrics.arrived() < arrivals.arrived() || clients.open() > 0) {
       long now = clock.now();
-      while (next != null && start + next.at() <= now + AHEAD) {
+      while (next != null && start + next.at() <= now + LOOKAHEAD) {
         Arrival arrival = next;
         long due = start + arrival.at();
-        cluster.timeline.at(due, () -> send(front, arrival, due));
+        cluster.timeline.at(due, () -> send(clients, arrival, due));
         next = arrivals.next();
       }
-      turn(now + SWEEP_EVERY);
-      if (now >= tellAt) {
-        tellAt = now + TELL_EVERY;
+      runEvents(now + POLL_INTERVAL);
+      if (now >= progressAt) {
+        progressAt = now + PROGRESS_INTERVAL;
         progress.accept(arrivals.arrived());
       }
     }
     long lasted = clock.now() - start;
-    long end = clock.now() + AFTERWARDS;
+    long end = clock.now() + SETTLING_TIME;
     while (clock.now() < end) {
-      turn(end);
+      runEvents(end);
     }
-    figures.end();
-    return new Played(job, arrivals, cluster, auditor, figures, start, lasted, lag);
+    metrics.end();
+    return new ReplayResult(job, arrivals, cluster, auditor, metrics, start, lasted, lag);
   }
 
-  private void send(Front front, Arrival arrival, long due) {
-    lag.recordValue(Math.min(LAG_MOST, Math.max(1, clock.now() - due)));
-    front.arrive(arrival);
+  private void send(ReplayClients clients, Arrival arrival, long due) {
+    lag.recordValue(Math.min(MAX_LAG, Math.max(1, clock.now() - due)));
+    clients.arrive(arrival);
   }
 
-  /** Takes what came and what is due; waits for either until then. */
-  private void turn(long until) throws InterruptedException {
+  /** Runs posted and due events; waits for the next one until then. */
+  private void runEvents(long until) throws InterruptedException {
     cluster.timeline.follow(clock.now());
     long wait = Math.min(until, cluster.timeline.next()) - clock.now();
     Runnable event =
@@ -295,8 +303,8 @@
     for (GatewayProcess gateway : gateways) {
       gateway.end();
     }
-    clients.close();
-    names.close();
+    transport.close();
+    discovery.close();
     engines.close();
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
       for (Path file : files) {
--- /dev/null
+++ b/replay/src/main/java/tillerlink/replay/ArrivalSource.java
@@ -0,0 +1,199 @@
+package tillerlink.replay;
+
+import java.io.Closeable;
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import tillerlink.trace.ExternalSort;
+import tillerlink.trace.ReorderBuffer;
+import tillerlink.trace.RowCounts;
+import tillerlink.trace.Shard;
+import tillerlink.trace.Task;
+import tillerlink.trace.TaskReader;
+import tillerlink.trace.TaskSource;
+import tillerlink.workload.Arrival;
+import tillerlink.workload.RequestClassSpec;
+import tillerlink.workload.TraceSurvey;
+import tillerlink.workload.WorkloadScaling;
+
+/**
+ * The requests of a trace in the order of their arrival. Files are read twice, first to compute the
+ * scaling; of standard input the first rows are buffered for that.
+ */
+public final class ArrivalSource implements Closeable {
+  private static final int TABLE_GROUPS = 64;
+  private static final int MAX_WAITING = 100_000;
+  private static final int SURVEY_TASKS = 20_000;
+  private static final long MIN_ROWS = 1000;
+
+  /** The assumed memory of one second of work on a core. */
+  private static final double MEGABYTES_PER_SECOND = 400;
+
+  private final ReplayConfig job;
+  private final RowCounts counts = new RowCounts();
+  private final TaskReader reader;
+  private final TaskSource ordered;
+  private final ReorderBuffer reorder;
+  private final ExternalSort sort;
+  private final WorkloadScaling scaling;
+  private final TraceSurvey survey;
+  private long sampledOut;
+  private long noRequestClass;
+  private long arrived;
+  private long latestArrival;
+
+  /** Opens the trace of a replay and computes its scaling. */
+  public ArrivalSource(ReplayConfig job) throws IOException {
+    this.job = job;
+    survey = new TraceSurvey(job.requestClasses().size());
+    reader = reader(counts);
+    List<Task> prefix = new ArrayList<>();
+    if (job.shards().stream().allMatch(Shard::readableAgain)) {
+      surveyFiles();
+    } else {
+      surveyPrefix(prefix);
+    }
+    if (survey.tasks() == 0) {
+      throw new InvalidTraceException("the trace has no row of use");
+    }
+    scaling = computeScaling();
+    TaskSource source = joined(prefix, guarded(reader, counts));
+    sort =
+        job.sortFolder() == null
+            ? null
+            : new ExternalSort(source, job.sortFolder(), job.maxSortBytes());
+    reorder = sort != null ? null : new ReorderBuffer(source, job.window(), MAX_WAITING, counts);
+    ordered = sort != null ? sort : reorder;
+  }
+
+  private void surveyFiles() throws IOException {
+    RowCounts surveyCounts = new RowCounts();
+    try (TaskReader surveyReader = reader(surveyCounts)) {
+      survey.addAll(guarded(surveyReader, surveyCounts), Long.MAX_VALUE);
+    }
+  }
+
+  /** Surveys the first tasks, and keeps them for the replay. */
+  private void surveyPrefix(List<Task> prefix) throws IOException {
+    TaskSource source = guarded(reader, counts);
+    for (Task task = source.next();
+        task != null;
+        task = prefix.size() < SURVEY_TASKS ? source.next() : null) {
+      prefix.add(task);
+      survey.add(task);
+    }
+  }
+
+  private WorkloadScaling computeScaling() throws InvalidTraceException {
+    try {
+      return WorkloadScaling.of(
+          survey,
+          job.requestClasses(),
+          job.fleet().cores(),
+          job.load(),
+          job.scale(),
+          job.jobs(),
+          MEGABYTES_PER_SECOND);
+    } catch (IllegalArgumentException e) {
+      throw new InvalidTraceException(e.getMessage());
+    }
+  }
+
+  private TaskReader reader(RowCounts rowCounts) {
+    return new TaskReader(
+        job.layout(),
+        job.shards(),
+        job.requestClasses().stream().map(RequestClassSpec::rows).toList(),
+        rowCounts);
+  }
+
+  /** Stops when too many rows are bad, as the file is probably no such trace. */
+  private TaskSource guarded(TaskSource source, RowCounts rows) {
+    return () -> {
+      Task task = source.next();
+      if ((task == null || rows.rowsRead() >= MIN_ROWS) && rows.badShare() > job.maxBadShare()) {
+        throw new InvalidTraceException(
+            String.format(
+                Locale.ROOT,
+                "%d of %d rows are bad, a share of %.4f where %.4f is allowed",
+                rows.bad(),
+                rows.rowsRead(),
+                rows.badShare(),
+                job.maxBadShare()));
+      }
+      return task;
+    };
+  }
+
+  private static TaskSource joined(List<Task> prefix, TaskSource rest) {
+    int[] index = {0};
+    return () -> index[0] < prefix.size() ? prefix.set(index[0]++, null) : rest.next();
+  }
+
+  /** Returns the next request, or null at the end; arrival times never decrease. */
+  public Arrival next() throws IOException {
+    for (Task task = ordered.next(); task != null; task = ordered.next()) {
+      Arrival arrival = scaling.map(task, TABLE_GROUPS);
+      if (arrival != null) {
+        arrived++;
+        latestArrival = Math.max(latestArrival, arrival.at());
+        return arrival.at() == latestArrival
+            ? arrival
+            : new Arrival(
+                latestArrival,
+                arrival.number(),
+                arrival.requestClass(),
+                arrival.work(),
+                arrival.memory(),
+                arrival.tableGroup(),
+                arrival.key());
+      }
+      if (task.kind() < 0) {
+        noRequestClass++;
+      } else {
+        sampledOut++;
+      }
+    }
+    return null;
+  }
+
+  public RowCounts counts() {
+    return counts;
+  }
+
+  public WorkloadScaling scaling() {
+    return scaling;
+  }
+
+  public TraceSurvey survey() {
+    return survey;
+  }
+
+  /** How many tasks have jobs outside the sample. */
+  public long sampledOut() {
+    return sampledOut;
+  }
+
+  /** How many tasks fit no request class. */
+  public long noRequestClass() {
+    return noRequestClass;
+  }
+
+  public long arrived() {
+    return arrived;
+  }
+
+  /** How many tasks were released before the window had passed. */
+  public long releasedEarly() {
+    return reorder == null ? 0 : reorder.releasedEarly();
+  }
+
+  @Override
+  public void close() throws IOException {
+    reader.close();
+    if (sort != null) {
+      sort.close();
+    }
+  }
+}
--- a/replay/src/main/java/tillerlink/replay/End.java
+++ b/replay/src/main/java/tillerlink/replay/End.java
@@ -1,19 +1,22 @@
 package tillerlink.replay;
 
-/** How a request ended for its client. */
+/** How a request ended for its client; reports print the names. */
 public enum End {
-  /** Fulfilled within the latency objective. */
+  /** Succeeded within the latency objective. */
   IN_TIME,
-  /** Fulfilled, but later. */
+  /** Succeeded, but later. */
   LATE,
+  /** Rejected by the gateway. */
   TURNED_BACK,
+  /** Failed. */
   BROKEN_OFF,
-  /** The client's time was up and nothing had come. */
+  /** The client disconnected at its deadline without a response. */
   CLIENT_GONE,
-  /** Its gateway was killed with it. */
+  /** Lost with its gateway, which was killed. */
   KILLED;
 
-  public boolean fulfilled() {
+  /** Whether the client got its result. */
+  public boolean isSuccess() {
     return this == IN_TIME || this == LATE;
   }
 }
--- a/replay/src/main/java/tillerlink/replay/GatewayConnections.java
+++ b/replay/src/main/java/tillerlink/replay/GatewayConnections.java
@@ -5,12 +5,14 @@
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.DisconnectReason;
 
-/** Connections of clients to gateways in memory. */
-public final class GatewayConnections implements Lines {
+/** In-memory connections of clients to gateways. */
+public final class GatewayConnections implements ClientTransport {
+  /** One-way delay, in tenths of a millisecond. */
   private static final long DELAY = 2;
 
   private final EmulatedCluster cluster;
 
+  /** Connections to the gateways of that cluster. */
   public GatewayConnections(EmulatedCluster cluster) {
     this.cluster = cluster;
   }
@@ -21,64 +23,64 @@
   }
 
   @Override
-  public Line open(int gateway, Client client) {
-    return new Connection(cluster.gateway(gateway), client);
+  public Connection open(int gateway, Listener listener) {
+    return new InMemoryConnection(cluster.gateway(gateway), listener);
   }
 
-  /** What is said takes a while, both ways, and keeps its order. */
-  private final class Connection implements Line, Channel {
-    private final EmulatedGateway seat;
-    private final Client client;
-    private final int life;
+  /** Bytes arrive after the delay, in order, both ways. */
+  private final class InMemoryConnection implements Connection, Channel {
+    private final EmulatedGateway gateway;
+    private final Listener listener;
+    private final int incarnation;
     private Owner owner;
-    private boolean hungUp;
-    private boolean over;
-
-    Connection(EmulatedGateway seat, Client client) {
-      this.seat = seat;
-      this.client = client;
-      life = seat.incarnation();
-      later(() -> seat.post(life, () -> owner = seat.accept(this)));
+    private boolean closedByClient;
+    private boolean closed;
+
+    InMemoryConnection(EmulatedGateway gateway, Listener listener) {
+      this.gateway = gateway;
+      this.listener = listener;
+      incarnation = gateway.incarnation();
+      afterDelay(() -> gateway.post(incarnation, () -> owner = gateway.accept(this)));
     }
 
-    private void later(Runnable what) {
-      cluster.timeline.at(cluster.now() + DELAY, what);
+    private void afterDelay(Runnable event) {
+      cluster.timeline.at(cluster.now() + DELAY, event);
     }
 
-    private void tell(Runnable what) {
-      seat.post(
-          life,
+    private void postToGateway(Runnable event) {
+      gateway.post(
+          incarnation,
           () -> {
-            if (!over && owner != null) {
-              what.run();
+            if (!closed && owner != null) {
+              event.run();
             }
           });
     }
 
     @Override
-    public void say(byte[] bytes) {
-      later(() -> tell(() -> owner.onBytes(bytes)));
+    public void send(byte[] bytes) {
+      afterDelay(() -> postToGateway(() -> owner.onBytes(bytes)));
     }
 
     @Override
-    public void hangUp() {
-      hungUp = true;
-      later(
+    public void disconnect() {
+      closedByClient = true;
+      afterDelay(
           () ->
-              tell(
+              postToGateway(
                   () -> {
-                    over = true;
+                    closed = true;
                     owner.onClosed(DisconnectReason.CLOSED_BY_PEER);
                   }));
     }
 
     @Override
     public void write(byte[] bytes) {
-      tell(() -> owner.onWritten());
-      later(
+      postToGateway(() -> owner.onWritten());
+      afterDelay(
           () -> {
-            if (!hungUp) {
-              client.heard(bytes);
+            if (!closedByClient) {
+              listener.onBytes(bytes);
             }
           });
     }
@@ -88,24 +90,24 @@
       abort();
     }
 
-    /** What was written before still comes. */
+    /** What was written before still arrives. */
     @Override
     public void abort() {
-      if (!over) {
-        over = true;
-        later(
+      if (!closed) {
+        closed = true;
+        afterDelay(
             () -> {
-              if (!hungUp) {
-                hungUp = true;
-                client.ended();
+              if (!closedByClient) {
+                closedByClient = true;
+                listener.onClosed();
               }
             });
       }
     }
 
     @Override
-    public void pauseReading(boolean held) {
-      // Clients of a replay never send ahead.
+    public void pauseReading(boolean paused) {
+      // Clients of a replay never pipeline requests.
     }
   }
 }
--- a/replay/src/main/java/tillerlink/replay/Played.java
+++ b/replay/src/main/java/tillerlink/replay/ReplayResult.java
@@ -8,81 +8,82 @@
 import tillerlink.emulator.EmulatedCluster;
 
 /**
- * A replay that has been played.
+ * The result of a replay.
  *
- * @param start when it began, and how long it lasted: tenths of a millisecond
+ * @param start when it began, in tenths of a millisecond
+ * @param lasted how long it lasted, in tenths of a millisecond
  * @param lag how late requests were sent over sockets, in tenths of a millisecond; null in virtual
  *     time
  */
-public record Played(
-    Job job,
-    Arrivals arrivals,
+public record ReplayResult(
+    ReplayConfig job,
+    ArrivalSource arrivals,
     EmulatedCluster cluster,
     Auditor auditor,
-    Figures figures,
+    ReplayMetrics metrics,
     long start,
     long lasted,
     Histogram lag) {
-  private static final double LAG_99_MOST = 200;
-  private static final double LAG_MOST = 5000;
-  private static final int TENTHS_PER_MS = 10;
+  private static final double MAX_LAG_99 = 200;
+  private static final double MAX_LAG = 5000;
+  private static final int TICKS_PER_MS = 10;
 
-  /** Seconds since the start. */
-  String sinceStart(long at) {
-    return String.format(Locale.ROOT, "%.3f", (at - start) / (double) Figures.SECOND);
+  /** A time as seconds since the start. */
+  String sinceStart(long time) {
+    return String.format(Locale.ROOT, "%.3f", (time - start) / (double) ReplayMetrics.SECOND);
   }
 
   /**
    * Whether the load was sent as the trace has it: of 100 requests 99 within 20 ms, all within half
    * a second.
    */
-  public boolean inTime() {
+  public boolean loadWasInTime() {
     return lag == null
-        || lag.getValueAtPercentile(99) <= LAG_99_MOST && lag.getMaxValue() <= LAG_MOST;
+        || (lag.getValueAtPercentile(99) <= MAX_LAG_99 && lag.getMaxValue() <= MAX_LAG);
   }
 
   /**
-   * What is wrong, in words, whatever the machine was busy with: rules that broke, rows or requests
-   * that are not accounted for. Empty if nothing is.
+   * Faults of the gateways or the replay, independent of the load of the machine: violated rules,
+   * and rows or requests that are not accounted for.
    */
   public List<String> faults() {
     List<String> faults = new ArrayList<>();
     auditor
         .counts()
         .forEach(
-            (rule, times) ->
+            (rule, count) ->
                 faults.add(
                     String.format(
                         Locale.ROOT,
                         "rule broken: %s, %d times",
                         rule.name().toLowerCase(Locale.ROOT),
-                        times)));
-    if (!arrivals.tally().addsUp()) {
+                        count)));
+    if (!arrivals.counts().addsUp()) {
       faults.add("rows are not all accounted for");
     }
-    if (!figures.addsUp()) {
+    if (!metrics.addsUp()) {
       faults.add("submissions are not all accounted for");
     }
     return faults;
   }
 
-  /** Whether the figure counts: the load was in time, and nothing is wrong. */
-  public boolean sound() {
-    return inTime() && faults().isEmpty();
+  /** Whether the figures are valid: the load was in time, and there are no faults. */
+  public boolean isValid() {
+    return loadWasInTime() && faults().isEmpty();
   }
 
-  /** In one line, why the figure counts or does not. */
+  /** One line on why the figures are valid or not. */
   public String verdict() {
     List<String> faults = faults();
-    String told =
+    String summary =
         faults.isEmpty() ? "no rule broke, and all is accounted for" : String.join("; ", faults);
-    return inTime()
-        ? told
+    return loadWasInTime()
+        ? summary
         : String.format(
             Locale.ROOT,
             "%s; the figure does not count: the load was sent late, by "
                 + "%.1f ms at the most, as the machine was busy",
-            told,
-            lag.getMaxValue() / (double) TENTHS_PER_MS);
+            summary,
+            lag.getMaxValue() / (double) TICKS_PER_MS);
   }
 }
--- a/replay/src/main/java/tillerlink/replay/Windows.java
+++ b/replay/src/main/java/tillerlink/replay/WorstWindow.java
@@ -3,14 +3,14 @@
 import java.util.ArrayDeque;
 
 /**
- * The worst window of a run: value answered in time over value asked for, by when it was asked.
- * Windows are closed once everything of them must have ended, so that only a few are ever kept.
+ * The worst window of a run: value served in time over value requested, by time of request. Windows
+ * are closed once all their requests must have ended, so that few are kept.
  */
-final class Windows {
+final class WorstWindow {
   private static final class Window {
     private final long number;
-    private double asked;
-    private double got;
+    private double requested;
+    private double served;
     private long count;
 
     Window(long number) {
@@ -20,33 +20,33 @@
 
   private final long span;
   private final long closedAfter;
-  private final long countLeast;
+  private final long minCount;
   private final ArrayDeque<Window> open = new ArrayDeque<>();
   private double worst = Double.NaN;
   private long worstNumber;
 
   /**
-   * @param countLeast windows with fewer requests say nothing
+   * @param minCount windows with fewer requests are ignored
    */
-  Windows(long span, long closedAfter, long countLeast) {
+  WorstWindow(long span, long closedAfter, long minCount) {
     this.span = span;
     this.closedAfter = closedAfter;
-    this.countLeast = countLeast;
+    this.minCount = minCount;
   }
 
-  void asked(long at, double value) {
-    close(at);
-    Window window = at(at);
-    window.asked += value;
+  void requested(long time, double value) {
+    close(time);
+    Window window = windowAt(time);
+    window.requested += value;
     window.count++;
   }
 
-  void got(long askedAt, double value) {
-    at(askedAt).got += value;
+  void served(long requestedAt, double value) {
+    windowAt(requestedAt).served += value;
   }
 
-  private Window at(long at) {
-    long number = at / span;
+  private Window windowAt(long time) {
+    long number = time / span;
     for (Window window : open) {
       if (window.number == number) {
         return window;
@@ -64,8 +64,8 @@
   }
 
   private void judge(Window window) {
-    if (window.count >= countLeast) {
-      double share = window.got / window.asked;
+    if (window.count >= minCount) {
+      double share = window.served / window.requested;
       if (Double.isNaN(worst) || share < worst) {
         worst = share;
         worstNumber = window.number;
@@ -78,12 +78,12 @@
     open.clear();
   }
 
-  /** NaN if no window had enough. */
+  /** The worst share; NaN if no window had enough requests. */
   double worst() {
     return worst;
   }
 
-  long worstFrom() {
+  long worstStart() {
     return worstNumber * span;
   }
 }
--- a/tools/src/main/java/tillerlink/cli/CheckCommand.java
+++ b/tools/src/main/java/tillerlink/cli/CheckCommand.java
@@ -38,7 +38,7 @@
               read.fleet() == null
                   ? ""
                   : ", a fleet of " + read.fleet().engines().size() + " engines",
-              shared(read));
+              sharedState(read));
       spec.commandLine().getOut().flush();
       return 0;
     } catch (OperatorFile.InvalidFileException e) {
@@ -49,8 +49,8 @@
     }
   }
 
-  /** What it has of what gateways share. */
-  private static String shared(OperatorFile read) {
+  /** Describes the blocks of state that gateways share. */
+  private static String sharedState(OperatorFile read) {
     StringBuilder all = new StringBuilder();
     if (read.members() != null) {
       all.append("; a member of '")
--- a/tools/src/main/java/tillerlink/cli/DemoCommand.java
+++ b/tools/src/main/java/tillerlink/cli/DemoCommand.java
@@ -14,16 +14,16 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.harness.ProcessHarness;
 import tillerlink.policy.DefaultDispatchPolicy;
-import tillerlink.replay.Arrivals;
-import tillerlink.replay.Job;
-import tillerlink.replay.Played;
+import tillerlink.replay.ArrivalSource;
+import tillerlink.replay.ReplayConfig;
+import tillerlink.replay.ReplayResult;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 import tillerlink.trace.TraceGenerator;
 import tillerlink.workload.BuiltInRequestClasses;
 import tillerlink.workload.WorkloadScaling;
 
-/** Shows the gateway at work on this machine alone. */
+/** Demonstrates the gateway on this machine alone. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
@@ -48,52 +48,56 @@
     Path trace = Files.createTempFile("tillerlink-demo-", ".csv");
     try {
       try (OutputStream file = Files.newOutputStream(trace);
-          TraceGenerator maker =
-              new TraceGenerator(LAYOUT, 1, 0.01, (long) (2 * Words.SECOND), file)) {
-        maker.make(rows);
+          TraceGenerator generator =
+              new TraceGenerator(
+                  LAYOUT, 1, 0.01, (long) (2 * OptionValues.TICKS_PER_SECOND), file)) {
+        generator.make(rows);
       }
-      Job job =
-          new Job(
-              List.of(Shard.of(trace)),
-              LAYOUT,
-              BuiltInRequestClasses.requestClasses(LAYOUT),
-              Fleet.builtIn(2),
-              List.of(),
-              (long) (60 * Words.SECOND),
-              null,
-              0,
-              LOAD,
-              WorkloadScaling.Scale.TIME,
-              0,
-              0.4,
-              0.1,
-              1,
-              "module",
-              DefaultDispatchPolicy::new);
-      try (Arrivals arrivals = new Arrivals(job)) {
+      ReplayConfig job = job(trace);
+      try (ArrivalSource arrivals = new ArrivalSource(job)) {
         spec.commandLine()
             .getErr()
             .println("two gateways are starting; the replay takes some ten seconds");
         spec.commandLine().getErr().flush();
-        Played played =
+        ReplayResult result =
             ProcessHarness.play(
                 job,
                 arrivals,
                 arrived ->
                     spec.commandLine().getErr().printf(Locale.ROOT, "%d submissions%n", arrived));
-        Summary.print(played, spec.commandLine().getOut());
-        return exitCode(played);
+        Summary.print(result, spec.commandLine().getOut());
+        return exitCode(result);
       }
     } finally {
       Files.deleteIfExists(trace);
     }
   }
 
+  private static ReplayConfig job(Path trace) {
+    return new ReplayConfig(
+        List.of(Shard.of(trace)),
+        LAYOUT,
+        BuiltInRequestClasses.requestClasses(LAYOUT),
+        Fleet.builtIn(2),
+        List.of(),
+        (long) (60 * OptionValues.TICKS_PER_SECOND),
+        null,
+        0,
+        LOAD,
+        WorkloadScaling.Scale.TIME,
+        0,
+        0.4,
+        0.1,
+        1,
+        "module",
+        DefaultDispatchPolicy::new);
+  }
+
   /**
-   * It shows that nothing breaks, and that it shows on a busy machine too; only the figure wants a
-   * quiet one.
+   * The demonstration fails only on faults. A busy machine, which makes the figures invalid, is
+   * none.
    */
-  static int exitCode(Played played) {
-    return played.faults().isEmpty() ? 0 : 1;
+  static int exitCode(ReplayResult result) {
+    return result.faults().isEmpty() ? 0 : 1;
   }
 }
--- a/tools/src/main/java/tillerlink/cli/ExploreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ExploreCommand.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 import tillerlink.explore.Explorer;
-import tillerlink.explore.Player;
+import tillerlink.explore.HistoryPlayer;
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /** Explores small histories exhaustively. */
@@ -51,21 +51,14 @@
 
   @Override
   public Integer call() {
-    if (engines < 1
-        || engines > 20
-        || requests < 1
-        || requests > 50
-        || failures < 0
-        || failures > 10) {
-      throw new CommandLine.ParameterException(
-          spec.commandLine(), "--engines is 1 to 20, --submissions 1 to 50, --failures 0 to 10");
-    }
-    Logs.hushGateways();
-    PrintWriter out = spec.commandLine().getOut();
+    checkOptions();
+    LogSetup.muteGateways();
     PrintWriter err = spec.commandLine().getErr();
-    Explorer.Found found =
+    Explorer.Result result =
         new Explorer(
-                new Player(engines, requests, http2, DefaultDispatchPolicy::new), failures, minutes)
+                new HistoryPlayer(engines, requests, http2, DefaultDispatchPolicy::new),
+                failures,
+                minutes)
             .explore(
                 (histories, distinct, depth) -> {
                   err.printf(
@@ -76,20 +69,41 @@
                       depth);
                   err.flush();
                 });
+    print(result);
+    return result.violation() == null ? 0 : 1;
+  }
+
+  private void checkOptions() {
+    if (!within(engines, 1, 20) || !within(requests, 1, 50) || !within(failures, 0, 10)) {
+      throw new CommandLine.ParameterException(
+          spec.commandLine(), "--engines is 1 to 20, --submissions 1 to 50, --failures 0 to 10");
+    }
+  }
+
+  private static boolean within(int value, int min, int max) {
+    return value >= min && value <= max;
+  }
+
+  private void print(Explorer.Result result) {
+    PrintWriter out = spec.commandLine().getOut();
     out.printf(
         Locale.ROOT,
         "%d histories, %d that differ, %d deep, %s%n",
-        found.histories(),
-        found.distinct(),
-        found.deviations(),
-        found.wrong() != null
-            ? "a rule broken"
-            : found.closed() ? "all of them, no rule broken" : "not all of them: the time was up");
-    if (found.wrong() != null) {
-      found.wrong().told().forEach(out::println);
-      found.wrong().wrong().forEach(line -> out.println("broken: " + line));
+        result.histories(),
+        result.distinct(),
+        result.deviations(),
+        verdict(result));
+    if (result.violation() != null) {
+      result.violation().events().forEach(out::println);
+      result.violation().violations().forEach(line -> out.println("broken: " + line));
     }
     out.flush();
-    return found.wrong() == null ? 0 : 1;
+  }
+
+  private static String verdict(Explorer.Result result) {
+    if (result.violation() != null) {
+      return "a rule broken";
+    }
+    return result.complete() ? "all of them, no rule broken" : "not all of them: the time was up";
   }
 }
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/ExtensionBuilder.java
@@ -16,20 +16,20 @@
 import tillerlink.peering.component.ComponentFactory;
 import tillerlink.peering.statements.StatementsComponentFactory;
 
-/** What stands beside the module of a gateway, as the operator's file names it. */
-final class Beside {
-  private static final long TENTHS_PER_MS = 10;
+/** Builds the extension of a gateway that the operator's file configures. */
+final class ExtensionBuilder {
+  private static final long TICKS_PER_MS = 10;
 
-  private Beside() {}
+  private ExtensionBuilder() {}
 
-  /** Null where the file names no members. */
+  /** The factory of the extension; null if the file has no block members. */
   static GatewayExtension.Factory of(OperatorFile file) throws IOException {
     MembersConfig members = file.members();
     if (members == null) {
       return null;
     }
     OperatorFile.StoreConfig store = file.store();
-    long keepMost =
+    long maxStoreBytes =
         (store == null ? 0 : store.maxBytes())
             + (file.channels() == null ? 0 : file.channels().maxDisk())
             + (file.statements() == null ? 0 : StatementsComponentFactory.KEEP_MOST);
@@ -43,27 +43,27 @@
             members.reach(),
             members.probeEvery(),
             store == null ? null : Path.of(store.folder()),
-            keepMost),
-        parts(file));
+            maxStoreBytes),
+        components(file));
   }
 
-  /** The parts that gateways share, beside who is there. */
-  private static List<ComponentFactory> parts(OperatorFile file) {
-    List<ComponentFactory> parts = new ArrayList<>();
+  /** The components of state shared by gateways, in addition to membership. */
+  private static List<ComponentFactory> components(OperatorFile file) {
+    List<ComponentFactory> components = new ArrayList<>();
     ChannelsConfig channels = file.channels();
     if (channels != null) {
-      parts.add(
+      components.add(
           new HostedChannels(
               Terms.of(
                   channels.voters(),
                   channels.absentAfter(),
-                  channels.maxAhead() / TENTHS_PER_MS,
+                  channels.maxAhead() / TICKS_PER_MS,
                   Math.min(channels.maxMemory(), channels.maxDisk()),
                   channels.maxChannels())));
     }
     StatementsConfig statements = file.statements();
     if (statements != null) {
-      parts.add(
+      components.add(
           new StatementsComponentFactory(
               statements.voters(),
               statements.lease(),
@@ -71,6 +71,6 @@
               false,
               statements.fence()));
     }
-    return parts;
+    return components;
   }
 }
--- a/tools/src/main/java/tillerlink/cli/Logs.java
+++ b/tools/src/main/java/tillerlink/cli/LogSetup.java
@@ -9,11 +9,11 @@
 import org.slf4j.LoggerFactory;
 import tillerlink.operator.OperatorFile;
 
-/** Sets the log as the operator's file says; with none it stays plain text. */
-final class Logs {
-  private Logs() {}
+/** Configures the log from the operator's file; without one it stays plain text. */
+final class LogSetup {
+  private LogSetup() {}
 
-  static void set(OperatorFile.LogConfig log) {
+  static void apply(OperatorFile.LogConfig log) {
     if (log == null || !(LoggerFactory.getILoggerFactory() instanceof LoggerContext context)) {
       return;
     }
@@ -39,8 +39,8 @@
     }
   }
 
-  /** Guards a replay's output against what hundreds of emulated gateways would log. */
-  static void hushGateways() {
+  /** Keeps the logs of hundreds of emulated gateways out of the output of a replay. */
+  static void muteGateways() {
     if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
       context.getLogger("tillerlink.net.state").setLevel(Level.ERROR);
     }
--- a/tools/src/main/java/tillerlink/cli/Words.java
+++ b/tools/src/main/java/tillerlink/cli/OptionValues.java
@@ -7,13 +7,14 @@
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 
-/** What options mean. */
-final class Words {
-  static final double SECOND = 10_000;
+/** Conversion of the values of options. */
+final class OptionValues {
+  /** Tenths of a millisecond in a second. */
+  static final double TICKS_PER_SECOND = 10_000;
 
-  private Words() {}
+  private OptionValues() {}
 
-  /** The layouts' names, for help. */
+  /** The names of the layouts, for the help. */
   static final class LayoutNames implements Iterable<String> {
     @Override
     public Iterator<String> iterator() {
@@ -22,11 +23,13 @@
   }
 
   /**
-   * @throws IllegalArgumentException if there is none of that name
+   * Finds a layout by its name.
+   *
+   * @throws IllegalArgumentException if there is no layout of that name
    */
-  static Layout layout(String name, List<Layout> more) {
+  static Layout layout(String name, List<Layout> ownLayouts) {
     List<Layout> all = new ArrayList<>(Layout.KNOWN);
-    all.addAll(more);
+    all.addAll(ownLayouts);
     return all.stream()
         .filter(layout -> layout.name().equals(name))
         .findFirst()
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -18,17 +18,17 @@
 import tillerlink.operator.OperatorFile.ReplayDefaults;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
-import tillerlink.replay.Arrivals;
-import tillerlink.replay.Job;
-import tillerlink.replay.Page;
-import tillerlink.replay.Played;
-import tillerlink.replay.Report;
-import tillerlink.replay.Run;
+import tillerlink.replay.ArrivalSource;
+import tillerlink.replay.HtmlReport;
+import tillerlink.replay.JsonReport;
+import tillerlink.replay.ReplayConfig;
+import tillerlink.replay.ReplayResult;
+import tillerlink.replay.VirtualTimeReplay;
 import tillerlink.trace.Layout;
 import tillerlink.workload.BuiltInRequestClasses;
 import tillerlink.workload.WorkloadScaling;
 
-/** Replays a trace through gateways and tells what it was worth. */
+/** Replays a trace through gateways and prints its metrics. */
 @Command(
     name = "replay",
     mixinStandardHelpOptions = true,
@@ -40,21 +40,31 @@
       "(vmtable). The figure is the value answered within the soft limit over the value asked for."
     })
 final class ReplayCommand implements Callable<Integer> {
-  /** What decides. */
-  enum Choice {
+  /** The dispatch policy. */
+  enum Policy {
     MODULE,
     RANDOM,
     LEAST_OUTSTANDING
   }
 
-  /** What engines speak. */
-  enum Speech {
+  /** The protocol of engines. */
+  enum Protocol {
     LINES,
     H2,
     MIXED
   }
 
-  private static final long TELL_EVERY_NANOS = 1_000_000_000L;
+  private static final int DEFAULT_GATEWAYS = 3;
+  private static final int DEFAULT_ENGINES = 12;
+  private static final ReplayDefaults BUILT_IN_DEFAULTS =
+      new ReplayDefaults(
+          0.6,
+          WorkloadScaling.Scale.TIME,
+          (long) (3600 * OptionValues.TICKS_PER_SECOND),
+          0.4,
+          0.1,
+          1);
+  private static final long PROGRESS_INTERVAL_NANOS = 1_000_000_000L;
 
   @Spec private CommandSpec spec;
 
@@ -67,7 +77,7 @@
   @Option(
       names = "--layout",
       required = true,
-      completionCandidates = Words.LayoutNames.class,
+      completionCandidates = OptionValues.LayoutNames.class,
       description = "one of ${COMPLETION-CANDIDATES}")
   private String layout;
 
@@ -113,7 +123,7 @@
       description =
           "what they speak: ${COMPLETION-CANDIDATES}, mixed being every second kind over HTTP/2"
               + " (default ${DEFAULT-VALUE}, or as in the operator's file)")
-  private Speech speech;
+  private Protocol protocol;
 
   @Option(
       names = "--window",
@@ -124,22 +134,22 @@
       names = "--sort",
       paramLabel = "FOLDER",
       description = "sort outside memory first, in this folder")
-  private Path sortIn;
+  private Path sortFolder;
 
   @Option(
       names = "--sort-most",
       defaultValue = "4096",
       paramLabel = "MB",
       description = "how much that may take there (default ${DEFAULT-VALUE})")
-  private long sortMost;
+  private long maxSortMegabytes;
 
   @Option(names = "--estimate-error", description = "sigma by which estimates miss (default 0.4)")
-  private Double error;
+  private Double estimateSigma;
 
   @Option(
       names = "--bad-most",
       description = "share of bad rows above which it ends with 1 (default 0.1)")
-  private Double badMost;
+  private Double maxBadShare;
 
   @Option(names = "--seed", description = "what is drawn (default 1)")
   private Long seed;
@@ -148,7 +158,7 @@
       names = "--policy",
       defaultValue = "MODULE",
       description = "what decides: ${COMPLETION-CANDIDATES} (default ${DEFAULT-VALUE})")
-  private Choice choice;
+  private Policy policy;
 
   @Option(
       names = "--sockets",
@@ -160,81 +170,97 @@
   @Option(names = "--quiet", description = "no progress")
   private boolean quiet;
 
-  private long toldAt = System.nanoTime();
+  private long lastProgress = System.nanoTime();
 
   @Override
   public Integer call() throws IOException {
-    Logs.hushGateways();
-    Job job = job(operator == null ? null : OperatorFile.read(operator));
-    try (Arrivals arrivals = new Arrivals(job)) {
-      long began = System.nanoTime();
-      Played run =
+    LogSetup.muteGateways();
+    ReplayConfig job = job(operator == null ? null : OperatorFile.read(operator));
+    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+      long startNanos = System.nanoTime();
+      ReplayResult result =
           sockets
               ? ProcessHarness.play(job, arrivals, this::progress)
-              : Run.play(job, arrivals, this::progress);
+              : VirtualTimeReplay.play(job, arrivals, this::progress);
       if (report != null) {
-        Report.write(run, report);
+        JsonReport.write(result, report);
       }
       if (html != null) {
-        Page.write(run, html);
+        HtmlReport.write(result, html);
       }
-      Summary.print(run, spec.commandLine().getOut());
+      Summary.print(result, spec.commandLine().getOut());
       if (!quiet) {
         spec.commandLine()
             .getErr()
             .printf(
                 Locale.ROOT,
                 "%.1f s of replay took %.1f s%n",
-                run.lasted() / Words.SECOND,
-                (System.nanoTime() - began) / 1e9);
+                result.lasted() / OptionValues.TICKS_PER_SECOND,
+                (System.nanoTime() - startNanos) / 1e9);
       }
-      return run.sound() ? 0 : 1;
+      return result.isValid() ? 0 : 1;
     }
   }
 
-  /** Options come before the operator's file, and that before what is built in. */
-  private Job job(OperatorFile file) throws IOException {
-    ReplayDefaults plain =
-        file != null && file.replay() != null
-            ? file.replay()
-            : new ReplayDefaults(
-                0.6, WorkloadScaling.Scale.TIME, (long) (3600 * Words.SECOND), 0.4, 0.1, 1);
-    double loadWanted = load == null ? plain.load() : load;
-    long ordering = window == null ? plain.window() : (long) (window * Words.SECOND);
-    check(loadWanted > 0 && loadWanted <= 10, "--load is above 0 and at most 10");
-    check(jobs >= 0 && jobs <= 1, "--jobs is a share");
-    check(gateways == null || gateways >= 1 && gateways <= 1000, "--gateways is 1 to 1000");
-    check(engines == null || engines >= 1 && engines <= 5000, "--engine-count is 1 to 5000");
-    check(
-        ordering >= 0 && (error == null || error >= 0) && (badMost == null || badMost >= 0),
-        "nothing is below 0");
-    check(!sockets || choice == Choice.MODULE, "--sockets plays the module only");
-    Layout chosen = Words.layout(layout, file == null ? List.of() : file.layouts());
-    boolean own = file != null && file.fleet() != null && engines == null;
-    Fleet fleet = own ? file.fleet() : Fleet.of(3, engines == null ? 12 : engines);
-    return new Job(
-        Words.shards(files),
-        chosen,
+  /** Options take precedence over the operator's file, and that over built-in defaults. */
+  private ReplayConfig job(OperatorFile file) throws IOException {
+    ReplayDefaults defaults =
+        file != null && file.replay() != null ? file.replay() : BUILT_IN_DEFAULTS;
+    ReplayDefaults chosen = withOptions(defaults);
+    checkOptions(chosen);
+    Layout tableLayout = OptionValues.layout(layout, file == null ? List.of() : file.layouts());
+    return new ReplayConfig(
+        OptionValues.shards(files),
+        tableLayout,
         file != null && !file.requestClasses().isEmpty()
             ? file.requestClasses()
-            : BuiltInRequestClasses.requestClasses(chosen),
-        speaking(gateways == null ? fleet : fleet.behind(gateways), file),
+            : BuiltInRequestClasses.requestClasses(tableLayout),
+        withProtocol(fleet(file), file),
         file == null ? List.of() : file.troubles(),
-        ordering,
-        sortIn,
-        sortMost << 20,
-        loadWanted,
-        scale == null ? plain.scale() : scale,
+        chosen.window(),
+        sortFolder,
+        maxSortMegabytes << 20,
+        chosen.load(),
+        chosen.scale(),
         jobs,
-        error == null ? plain.error() : error,
-        badMost == null ? plain.maxBadShare() : badMost,
-        seed == null ? plain.seed() : seed,
-        choice.name().toLowerCase(Locale.ROOT),
-        modules());
+        chosen.error(),
+        chosen.maxBadShare(),
+        chosen.seed(),
+        policy.name().toLowerCase(Locale.ROOT),
+        policies());
+  }
+
+  private ReplayDefaults withOptions(ReplayDefaults defaults) {
+    return new ReplayDefaults(
+        load == null ? defaults.load() : load,
+        scale == null ? defaults.scale() : scale,
+        window == null ? defaults.window() : (long) (window * OptionValues.TICKS_PER_SECOND),
+        estimateSigma == null ? defaults.error() : estimateSigma,
+        maxBadShare == null ? defaults.maxBadShare() : maxBadShare,
+        seed == null ? defaults.seed() : seed);
+  }
+
+  private void checkOptions(ReplayDefaults chosen) {
+    check(chosen.load() > 0 && chosen.load() <= 10, "--load is above 0 and at most 10");
+    check(jobs >= 0 && jobs <= 1, "--jobs is a share");
+    check(gateways == null || (gateways >= 1 && gateways <= 1000), "--gateways is 1 to 1000");
+    check(engines == null || (engines >= 1 && engines <= 5000), "--engine-count is 1 to 5000");
+    check(
+        chosen.window() >= 0 && chosen.error() >= 0 && chosen.maxBadShare() >= 0,
+        "nothing is below 0");
+    check(!sockets || policy == Policy.MODULE, "--sockets plays the module only");
+  }
+
+  private Fleet fleet(OperatorFile file) {
+    Fleet fleet =
+        file != null && file.fleet() != null && engines == null
+            ? file.fleet()
+            : Fleet.of(DEFAULT_GATEWAYS, engines == null ? DEFAULT_ENGINES : engines);
+    return gateways == null ? fleet : fleet.behind(gateways);
   }
 
-  private Fleet speaking(Fleet fleet, OperatorFile file) {
-    return switch (speech) {
+  private Fleet withProtocol(Fleet fleet, OperatorFile file) {
+    return switch (protocol) {
       case H2 -> fleet.overHttp2(kind -> true);
       case MIXED -> fleet.overHttp2(kind -> fleet.kindNamed(kind.name()) % 2 == 1);
       default ->
@@ -245,8 +271,8 @@
     };
   }
 
-  private DispatchPolicyFactory modules() {
-    return switch (choice) {
+  private DispatchPolicyFactory policies() {
+    return switch (policy) {
       case MODULE -> DefaultDispatchPolicy::new;
       case RANDOM -> BaselinePolicy.of(BaselinePolicy.Choice.RANDOM);
       default -> BaselinePolicy.of(BaselinePolicy.Choice.LEAST_OUTSTANDING);
@@ -261,8 +287,8 @@
 
   private void progress(long arrived) {
     long now = System.nanoTime();
-    if (!quiet && now - toldAt >= TELL_EVERY_NANOS) {
-      toldAt = now;
+    if (!quiet && now - lastProgress >= PROGRESS_INTERVAL_NANOS) {
+      lastProgress = now;
       spec.commandLine().getErr().printf(Locale.ROOT, "%d submissions%n", arrived);
       spec.commandLine().getErr().flush();
     }
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -9,7 +9,7 @@
 import tillerlink.operator.OperatorFile;
 import tillerlink.policy.DefaultDispatchPolicy;
 
-/** One gateway on sockets. */
+/** Runs one gateway on sockets. */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
@@ -27,7 +27,7 @@
   public Integer call() throws Exception {
     OperatorFile file = operator == null ? null : OperatorFile.read(operator);
     if (file != null) {
-      Logs.set(file.log());
+      LogSetup.apply(file.log());
     }
     OperatorFile.StoreConfig store = file == null ? null : file.store();
     new GatewayServer()
@@ -40,7 +40,7 @@
                     ? null
                     : PersistentEndpointCache.open(
                         Path.of(store.folder()), assignment, store.maxAge(), store.maxBytes()),
-            file == null ? null : Beside.of(file));
+            file == null ? null : ExtensionBuilder.of(file));
     return 0;
   }
 }
--- a/tools/src/main/java/tillerlink/cli/StoreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/StoreCommand.java
@@ -17,15 +17,15 @@
 import tillerlink.store.FileSystemDirectory;
 import tillerlink.store.RecoveryReport;
 
-/** Looks at what a gateway remembers, while that gateway is stopped. */
+/** Inspects or compacts the store of a stopped gateway. */
 @Command(
     name = "store",
     mixinStandardHelpOptions = true,
     description = "Look at, or compact, what a stopped gateway remembers.",
     subcommands = {StoreCommand.Check.class, StoreCommand.Show.class, StoreCommand.Compact.class})
 final class StoreCommand implements Runnable {
-  private static final long SEGMENT_MOST = 1 << 20;
-  private static final long BYTES_MOST = 1L << 30;
+  private static final long MAX_SEGMENT_BYTES = 1 << 20;
+  private static final long MAX_STORE_BYTES = 1L << 30;
 
   @Spec private CommandSpec spec;
 
@@ -36,10 +36,10 @@
   }
 
   /**
-   * What the three have in common: the folder is opened as its gateway would, which cuts off a torn
+   * Common to the three commands: opens the folder as its gateway would, which truncates a torn
    * tail.
    */
-  private abstract static class OnFolder implements Callable<Integer> {
+  private abstract static class FolderCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Parameters(
@@ -57,31 +57,31 @@
           new DurableTable(
               new FileSystemDirectory(folder),
               PersistentEndpointCache.owner(name),
-              SEGMENT_MOST,
-              BYTES_MOST)) {
-        RecoveryReport found = table.open();
+              MAX_SEGMENT_BYTES,
+              MAX_STORE_BYTES)) {
+        RecoveryReport report = table.open();
         PrintWriter out = spec.commandLine().getOut();
-        found.told().forEach(out::println);
-        if (!found.usable()) {
+        report.told().forEach(out::println);
+        if (!report.usable()) {
           out.flush();
           throw new IOException(folder + ": the store can't be used");
         }
-        act(table, out);
+        run(table, out);
         out.flush();
         return 0;
       }
     }
 
-    abstract void act(DurableTable table, PrintWriter out) throws IOException;
+    abstract void run(DurableTable table, PrintWriter out) throws IOException;
   }
 
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
       description = "Tell whether it is whole.")
-  static final class Check extends OnFolder {
+  static final class Check extends FolderCommand {
     @Override
-    void act(DurableTable table, PrintWriter out) {
+    void run(DurableTable table, PrintWriter out) {
       out.printf(
           Locale.ROOT,
           "%s, %d keys as of record %d%n",
@@ -95,9 +95,9 @@
       name = "show",
       mixinStandardHelpOptions = true,
       description = "Print every key and its value.")
-  static final class Show extends OnFolder {
+  static final class Show extends FolderCommand {
     @Override
-    void act(DurableTable table, PrintWriter out) {
+    void run(DurableTable table, PrintWriter out) {
       table
           .values()
           .forEach(
@@ -111,9 +111,9 @@
       name = "compact",
       mixinStandardHelpOptions = true,
       description = "Write a snapshot and drop the log that it makes needless.")
-  static final class Compact extends OnFolder {
+  static final class Compact extends FolderCommand {
     @Override
-    void act(DurableTable table, PrintWriter out) throws IOException {
+    void run(DurableTable table, PrintWriter out) throws IOException {
       table.snapshot();
       out.printf(
           Locale.ROOT,
--- a/tools/src/main/java/tillerlink/cli/Tillerlink.java
+++ b/tools/src/main/java/tillerlink/cli/Tillerlink.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.io.PrintWriter;
+import java.nio.file.NoSuchFileException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ExitCode;
@@ -10,8 +11,7 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line. Exit codes: 0 fine, 1 a fault, 2 wrong usage. A fault is told in one plain
- * line.
+ * The command line. Exit codes: 0 success, 1 a failure, 2 wrong usage. A failure prints one line.
  */
 @Command(
     name = "tillerlink",
@@ -33,11 +33,12 @@
 public final class Tillerlink implements Runnable {
   @Spec private CommandSpec spec;
 
+  /** Runs the command that the arguments name, and exits with its code. */
   public static void main(String[] args) {
     System.exit(execute(args));
   }
 
-  /** Runs one command; its exit code. */
+  /** Runs one command and returns its exit code. */
   public static int execute(String... args) {
     CommandLine line = new CommandLine(new Tillerlink());
     line.setCaseInsensitiveEnumValuesAllowed(true);
@@ -65,9 +66,7 @@
           .println(
               "tillerlink: "
                   + oneLine(
-                      e instanceof java.nio.file.NoSuchFileException
-                          ? message + ": no such file"
-                          : message));
+                      e instanceof NoSuchFileException ? message + ": no such file" : message));
     } else {
       e.printStackTrace(line.getErr());
     }
--- a/tools/src/main/java/tillerlink/cli/TraceCommand.java
+++ b/tools/src/main/java/tillerlink/cli/TraceCommand.java
@@ -25,7 +25,7 @@
 import tillerlink.workload.RequestClassSpec;
 import tillerlink.workload.TraceSurvey;
 
-/** Makes traces, and looks at them. */
+/** Generates traces, and checks them. */
 @Command(
     name = "trace",
     mixinStandardHelpOptions = true,
@@ -43,14 +43,14 @@
   @Command(
       name = "make",
       mixinStandardHelpOptions = true,
-      description = "Write a made-up trace in a published layout, and tell what was written.")
+      description = "Write a generated-up trace in a published layout, and tell what was written.")
   static final class Make implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
     @Option(
         names = "--layout",
         required = true,
-        completionCandidates = Words.LayoutNames.class,
+        completionCandidates = OptionValues.LayoutNames.class,
         description = "one of ${COMPLETION-CANDIDATES}")
     private String layout;
 
@@ -90,23 +90,24 @@
         throw new CommandLine.ParameterException(
             spec.commandLine(), "--rows is 1 or more, --bad a share, --shuffle no less than 0");
       }
-      Layout chosen = Words.layout(layout, List.of());
-      TraceGenerator.Generated made;
+      Layout chosen = OptionValues.layout(layout, List.of());
+      TraceGenerator.Generated generated;
       try (OutputStream file = open();
-          TraceGenerator maker =
-              new TraceGenerator(chosen, seed, bad, (long) (shuffle * Words.SECOND), file)) {
-        made = maker.make(rows);
+          TraceGenerator generator =
+              new TraceGenerator(
+                  chosen, seed, bad, (long) (shuffle * OptionValues.TICKS_PER_SECOND), file)) {
+        generated = generator.make(rows);
       }
       PrintWriter print = spec.commandLine().getOut();
       print.printf(
           Locale.ROOT,
           "rows %d, tasks %d, bad %d, shuffled %d%n",
-          made.rows(),
-          made.tasks(),
-          made.allBad(),
-          made.shuffled());
-      for (Map.Entry<SkipReason, Long> cause : made.bad().entrySet()) {
-        print.printf(Locale.ROOT, "  %s %d%n", cause.getKey().word(), cause.getValue());
+          generated.rows(),
+          generated.tasks(),
+          generated.allBad(),
+          generated.shuffled());
+      for (Map.Entry<SkipReason, Long> reason : generated.bad().entrySet()) {
+        print.printf(Locale.ROOT, "  %s %d%n", reason.getKey().word(), reason.getValue());
       }
       print.flush();
       return 0;
@@ -134,7 +135,7 @@
     @Option(
         names = "--layout",
         required = true,
-        completionCandidates = Words.LayoutNames.class,
+        completionCandidates = OptionValues.LayoutNames.class,
         description = "one of ${COMPLETION-CANDIDATES}")
     private String layout;
 
@@ -142,55 +143,59 @@
         names = "--bad-most",
         defaultValue = "0.1",
         description = "share of bad rows above which the exit code is 1 (default ${DEFAULT-VALUE})")
-    private double badMost;
+    private double maxBadShare;
 
     @Override
     public Integer call() throws IOException {
-      Layout chosen = Words.layout(layout, List.of());
+      Layout chosen = OptionValues.layout(layout, List.of());
       List<RequestClassSpec> requestClasses = BuiltInRequestClasses.requestClasses(chosen);
-      RowCounts tally = new RowCounts();
+      RowCounts counts = new RowCounts();
       TraceSurvey survey = new TraceSurvey(requestClasses.size());
       try (TaskReader reader =
           new TaskReader(
               chosen,
-              Words.shards(files),
+              OptionValues.shards(files),
               requestClasses.stream().map(RequestClassSpec::rows).toList(),
-              tally)) {
+              counts)) {
         survey.addAll(reader, Long.MAX_VALUE);
       }
+      print(counts, survey);
+      if (counts.rowsUsed() == 0) {
+        throw new IOException("the trace has no row of use");
+      }
+      if (counts.badShare() > maxBadShare) {
+        throw new IOException(
+            String.format(
+                Locale.ROOT,
+                "a share of %.4f of the rows is bad where %.4f is allowed",
+                counts.badShare(),
+                maxBadShare));
+      }
+      return 0;
+    }
+
+    private void print(RowCounts counts, TraceSurvey survey) {
       PrintWriter print = spec.commandLine().getOut();
       print.printf(
           Locale.ROOT,
           "rows %d, used %d, tasks %d, bad %d, behind a later one %d, %.1f s%n",
-          tally.rowsRead(),
-          tally.rowsUsed(),
+          counts.rowsRead(),
+          counts.rowsUsed(),
           survey.tasks(),
-          tally.bad(),
-          tally.rowsOutOfOrder(),
-          survey.span() / Words.SECOND);
-      for (SkipReason cause : SkipReason.values()) {
-        if (tally.skipped(cause) > 0) {
+          counts.bad(),
+          counts.rowsOutOfOrder(),
+          survey.span() / OptionValues.TICKS_PER_SECOND);
+      for (SkipReason reason : SkipReason.values()) {
+        if (counts.skipped(reason) > 0) {
           print.printf(
               Locale.ROOT,
               "  %s %d, first at %s%n",
-              cause.word(),
-              tally.skipped(cause),
-              tally.places(cause));
+              reason.word(),
+              counts.skipped(reason),
+              counts.places(reason));
         }
       }
       print.flush();
-      if (tally.rowsUsed() == 0) {
-        throw new IOException("the trace has no row of use");
-      }
-      if (tally.badShare() > badMost) {
-        throw new IOException(
-            String.format(
-                Locale.ROOT,
-                "a share of %.4f of the rows is bad where %.4f is" + " allowed",
-                tally.badShare(),
-                badMost));
-      }
-      return 0;
     }
   }
 }
--- a/tools/src/main/java/tillerlink/cli/WireHostCommand.java
+++ b/tools/src/main/java/tillerlink/cli/WireHostCommand.java
@@ -1,12 +1,13 @@
 package tillerlink.cli;
 
+import java.io.IOException;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.wirehost.MalformedWireException;
 import tillerlink.wirehost.WireHost;
 
-/** Many gateways on the simulator's wire. */
+/** Runs many gateways on the simulator's wire. */
 @Command(
     name = "wirehost",
     mixinStandardHelpOptions = true,
@@ -19,7 +20,7 @@
       new WireHost(DefaultDispatchPolicy::new).serve(System.in, System.out);
       return 0;
     } catch (MalformedWireException e) {
-      throw new java.io.IOException(e.getMessage(), e);
+      throw new IOException(e.getMessage(), e);
     }
   }
 }
--- a/tools/src/main/java/tillerlink/explore/Explorer.java
+++ b/tools/src/main/java/tillerlink/explore/Explorer.java
@@ -7,71 +7,79 @@
 import java.util.Set;
 
 /**
- * Explores all histories in which at most so many things go otherwise than usual, fewest first:
- * each point of a history at which something may is tried in every way, behind those that went
- * otherwise before. A history is rebuilt from its deviations. Two whose people would read the same
- * are one: only the first is gone on from.
+ * Explores, breadth first, all histories with at most a given number of faults (deviations). Every
+ * choice at every point after the last deviation is tried. A history is rebuilt from its
+ * deviations. Of histories with the same events only the first is expanded.
  */
 public final class Explorer {
   /**
-   * How many histories, how many that differ, how deep, whether all were played, and the first
-   * wrong one.
+   * The result of an exploration.
+   *
+   * @param distinct how many histories have different events
+   * @param deviations the greatest number of deviations in a history
+   * @param complete whether all histories were played
+   * @param violation the first history that violates a rule, or null
    */
-  public record Found(long histories, long distinct, int deviations, boolean closed, Story wrong) {}
+  public record Result(
+      long histories, long distinct, int deviations, boolean complete, History violation) {}
 
-  /** Told how far it is. */
+  /** Receives progress. */
   @FunctionalInterface
   public interface Progress {
+    /** Called from time to time. */
     void at(long histories, long distinct, int deviations);
   }
 
-  private static final int TELL_EVERY = 1000;
+  private static final double NANOS_PER_MINUTE = 60e9;
+  private static final int HISTORIES_PER_PROGRESS = 1000;
 
-  private final Player player;
-  private final int deviationsMost;
-  private final long nanosMost;
+  private final HistoryPlayer player;
+  private final int maxDeviations;
+  private final long maxNanos;
 
-  public Explorer(Player player, int deviationsMost, double minutes) {
+  /** An exploration that ends after that time. */
+  public Explorer(HistoryPlayer player, int maxDeviations, double minutes) {
     this.player = player;
-    this.deviationsMost = deviationsMost;
-    nanosMost = (long) (minutes * 60e9);
+    this.maxDeviations = maxDeviations;
+    maxNanos = (long) (minutes * NANOS_PER_MINUTE);
   }
 
-  public Found explore(Progress progress) {
-    long until = System.nanoTime() + nanosMost;
+  /** Runs the exploration. */
+  public Result explore(Progress progress) {
+    long deadline = System.nanoTime() + maxNanos;
     ArrayDeque<List<int[]>> waiting = new ArrayDeque<>();
     waiting.add(List.of());
     Set<Integer> seen = new HashSet<>();
     long histories = 0;
     int depth = 0;
     while (!waiting.isEmpty()) {
-      if (System.nanoTime() > until) {
-        return new Found(histories, seen.size(), depth, false, null);
+      if (System.nanoTime() > deadline) {
+        return new Result(histories, seen.size(), depth, false, null);
       }
       List<int[]> deviations = waiting.poll();
-      Story story = player.play(deviations);
+      History history = player.play(deviations);
       histories++;
       depth = Math.max(depth, deviations.size());
-      if (!story.wrong().isEmpty()) {
-        return new Found(histories, seen.size(), depth, false, story);
+      if (!history.violations().isEmpty()) {
+        return new Result(histories, seen.size(), depth, false, history);
       }
-      if (histories % TELL_EVERY == 0) {
+      if (histories % HISTORIES_PER_PROGRESS == 0) {
         progress.at(histories, seen.size(), depth);
       }
-      if (seen.add(story.told().hashCode()) && deviations.size() < deviationsMost) {
-        goOn(story, waiting);
+      if (seen.add(history.events().hashCode()) && deviations.size() < maxDeviations) {
+        expand(history, waiting);
       }
     }
-    return new Found(histories, seen.size(), depth, true, null);
+    return new Result(histories, seen.size(), depth, true, null);
   }
 
-  private static void goOn(Story story, ArrayDeque<List<int[]>> waiting) {
-    List<int[]> before = story.deviations();
+  private static void expand(History history, ArrayDeque<List<int[]>> waiting) {
+    List<int[]> before = history.deviations();
     int from = before.isEmpty() ? 0 : before.get(before.size() - 1)[0] + 1;
-    for (int point = from; point < story.options().length; point++) {
-      for (int way = 1; way < story.options()[point]; way++) {
+    for (int point = from; point < history.options().length; point++) {
+      for (int choice = 1; choice < history.options()[point]; choice++) {
         List<int[]> next = new ArrayList<>(before);
-        next.add(new int[] {point, way});
+        next.add(new int[] {point, choice});
         waiting.add(next);
       }
     }
--- a/tools/src/main/java/tillerlink/explore/Player.java
+++ b/tools/src/main/java/tillerlink/explore/HistoryPlayer.java
@@ -14,15 +14,15 @@
 import tillerlink.fleet.Trouble;
 import tillerlink.model.Effect;
 import tillerlink.port.DispatchPolicyFactory;
-import tillerlink.replay.Figures;
-import tillerlink.replay.Front;
 import tillerlink.replay.GatewayConnections;
-import tillerlink.replay.Wording;
+import tillerlink.replay.ReplayClients;
+import tillerlink.replay.ReplayMetrics;
+import tillerlink.replay.RequestEncoder;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.RequestClassSpec;
 
-/** Plays one history of the real gateway and module from its deviations, always the same way. */
-public final class Player {
+/** Plays one history of the real gateway and policy from its deviations, deterministically. */
+public final class HistoryPlayer {
   private static final long START = 17_000_000_000_000L;
   private static final long SECOND = 10_000;
   private static final List<RequestClassSpec> REQUEST_CLASSES =
@@ -56,41 +56,43 @@
 
   private final Fleet fleet;
   private final int requests;
-  private final DispatchPolicyFactory modules;
+  private final DispatchPolicyFactory policies;
 
   /**
+   * Plays histories of one gateway with that many engines and requests.
+   *
    * @param http2 whether engines speak HTTP/2, else engine lines
    */
-  public Player(int engines, int requests, boolean http2, DispatchPolicyFactory modules) {
+  public HistoryPlayer(int engines, int requests, boolean http2, DispatchPolicyFactory policies) {
     Fleet plain = Fleet.of(1, engines);
     fleet = plain.overHttp2(kind -> http2);
     this.requests = requests;
-    this.modules = modules;
+    this.policies = policies;
   }
 
-  /** Notes what is decided, and takes the way that was asked for. */
-  private static final class Noting implements FaultChooser {
+  /** Records the points, and takes the choices of the deviations. */
+  private static final class RecordingChooser implements FaultChooser {
     private final List<int[]> deviations;
-    private final List<String> told;
+    private final List<String> events;
     private int[] options = new int[256];
     private int points;
     private EmulatedCluster cluster;
 
-    Noting(List<int[]> deviations, List<String> told) {
+    RecordingChooser(List<int[]> deviations, List<String> events) {
       this.deviations = deviations;
-      this.told = told;
+      this.events = events;
     }
 
     @Override
-    public int choose(String point, int ways) {
-      int place = points++;
-      if (place >= options.length) {
-        options = Arrays.copyOf(options, 2 * place);
+    public int choose(String point, int choices) {
+      int index = points++;
+      if (index >= options.length) {
+        options = Arrays.copyOf(options, 2 * index);
       }
-      options[place] = ways;
+      options[index] = choices;
       for (int[] deviation : deviations) {
-        if (deviation[0] == place) {
-          told.add(
+        if (deviation[0] == index) {
+          events.add(
               String.format(
                   Locale.ROOT,
                   "%7.1f ms  %s goes otherwise, way %d",
@@ -104,84 +106,88 @@
     }
   }
 
-  /** Tells what an auditor hears. */
-  private static final class Telling extends Auditor {
-    private final List<String> told;
+  /** Records the events that the auditor receives. */
+  private static final class RecordingAuditor extends Auditor {
+    private final List<String> events;
     private final Set<String> ran = new HashSet<>();
 
-    Telling(Fleet fleet, List<String> told) {
+    RecordingAuditor(Fleet fleet, List<String> events) {
       super(fleet, REQUEST_CLASSES);
-      this.told = told;
+      this.events = events;
     }
 
-    private void tell(long now, String what) {
-      told.add(String.format(Locale.ROOT, "%7.1f ms  %s", (now - START) / 10.0, what));
+    private void record(long now, String what) {
+      events.add(String.format(Locale.ROOT, "%7.1f ms  %s", (now - START) / 10.0, what));
     }
 
     @Override
     public void taken(
         long now, int gateway, String id, int requestClass, String key, long clientDeadline) {
-      tell(now, "a " + REQUEST_CLASSES.get(requestClass).name() + " is handed in: " + id);
+      record(now, "a " + REQUEST_CLASSES.get(requestClass).name() + " is handed in: " + id);
       super.taken(now, gateway, id, requestClass, key, clientDeadline);
     }
 
     @Override
     public void sent(long now, int gateway, String engine, String id) {
-      tell(now, id + " goes out to " + engine);
+      record(now, id + " goes out to " + engine);
       super.sent(now, gateway, engine, id);
     }
 
     @Override
     public void ran(long now, String engine, String id, double work) {
-      tell(now, id + " runs at " + engine + (ran.add(id) ? "" : " again"));
+      record(now, id + " runs at " + engine + (ran.add(id) ? "" : " again"));
       super.ran(now, engine, id, work);
     }
 
     @Override
     public void answered(long now, String id, Answer answer) {
-      tell(now, id + " is answered: " + answer.name().toLowerCase(Locale.ROOT).replace('_', ' '));
+      record(now, id + " is answered: " + answer.name().toLowerCase(Locale.ROOT).replace('_', ' '));
       super.answered(now, id, answer);
     }
   }
 
-  public Story play(List<int[]> deviations) {
-    List<String> told = new ArrayList<>();
-    Telling auditor = new Telling(fleet, told);
-    Noting noting = new Noting(deviations, told);
+  /** Plays the history with these deviations. */
+  public History play(List<int[]> deviations) {
+    List<String> events = new ArrayList<>();
+    RecordingAuditor auditor = new RecordingAuditor(fleet, events);
+    RecordingChooser chooser = new RecordingChooser(deviations, events);
     EmulatedCluster cluster = new EmulatedCluster(fleet, REQUEST_CLASSES, auditor, START);
-    noting.cluster = cluster;
-    cluster.faultChooser(noting);
-    cluster.startGateways(modules, 1);
-    Figures figures = new Figures(REQUEST_CLASSES);
-    Front front = new Front(cluster, new GatewayConnections(cluster), figures, new Wording(1, 0));
+    chooser.cluster = cluster;
+    cluster.faultChooser(chooser);
+    cluster.startGateways(policies, 1);
+    ReplayMetrics metrics = new ReplayMetrics(REQUEST_CLASSES);
+    ReplayClients clients =
+        new ReplayClients(
+            cluster, new GatewayConnections(cluster), metrics, new RequestEncoder(1, 0));
     for (int i = 0; i < requests; i++) {
       Arrival arrival = new Arrival(i * 120L, i, i % REQUEST_CLASSES.size(), 400, 1, i, i);
-      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
     cluster.timeline.at(
         START + 150,
         () -> {
-          int way = noting.choose("the list", 3);
-          if (way > 0) {
+          int choice = chooser.choose("the list", 3);
+          if (choice > 0) {
             cluster.plan(
                 new Trouble(
                     cluster.now() - START,
-                    way == 1 ? Trouble.What.DRAINED : Trouble.What.GONE,
+                    choice == 1 ? Trouble.What.DRAINED : Trouble.What.GONE,
                     "e1",
                     2 * SECOND,
                     1));
           }
         });
-    while (figures.arrived() < requests || front.open() > 0) {
+    while (metrics.arrived() < requests || clients.open() > 0) {
       cluster.timeline.step();
     }
-    List<String> wrong = new ArrayList<>();
+    List<String> violations = new ArrayList<>();
     for (Violation violation : auditor.violations()) {
-      wrong.add(violation.rule() + ": " + violation.what());
+      violations.add(violation.rule() + ": " + violation.what());
     }
-    if (!figures.addsUp()) {
-      wrong.add("ANSWER: submissions and endings do not add up");
+    if (!metrics.addsUp()) {
+      violations.add("ANSWER: submissions and endings do not add up");
     }
-    return new Story(deviations, told, wrong, Arrays.copyOf(noting.options, noting.points));
+    return new History(
+        deviations, events, violations, Arrays.copyOf(chooser.options, chooser.points));
   }
 }
--- a/tools/src/test/java/tillerlink/cli/TillerlinkTest.java
+++ b/tools/src/test/java/tillerlink/cli/TillerlinkTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Exit codes: 0 fine, 1 a fault, 2 wrong usage. */
+/** Exit codes: 0 success, 1 a failure, 2 wrong usage. */
 class TillerlinkTest {
   @TempDir private Path folder;
 
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void makesChecksAndReplays() throws IOException {
+  void generatesChecksAndReplaysATrace() throws IOException {
     assertEquals(
         0,
         Tillerlink.execute(
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void usageAndFaults() throws IOException {
+  void exitCodesTellUsageFromFailures() throws IOException {
     assertEquals(2, Tillerlink.execute());
     assertEquals(2, Tillerlink.execute("nothing"));
     assertEquals(2, Tillerlink.execute("replay", "x"));
--- a/tools/src/test/java/tillerlink/cli/VerdictTest.java
+++ b/tools/src/test/java/tillerlink/cli/VerdictTest.java
@@ -16,10 +16,10 @@
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.fleet.Fleet;
 import tillerlink.policy.DefaultDispatchPolicy;
-import tillerlink.replay.Arrivals;
-import tillerlink.replay.Job;
-import tillerlink.replay.Played;
-import tillerlink.replay.Run;
+import tillerlink.replay.ArrivalSource;
+import tillerlink.replay.ReplayConfig;
+import tillerlink.replay.ReplayResult;
+import tillerlink.replay.VirtualTimeReplay;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 import tillerlink.trace.TraceGenerator;
@@ -27,22 +27,22 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * What is said of a replay last, and the exit code, by what is wrong with it; played in virtual
- * time.
+ * The last line of a replay's summary and its exit code, for valid, late and faulty replays in
+ * virtual time.
  */
 class VerdictTest {
   @TempDir private Path folder;
-  private Played calm;
+  private ReplayResult inTime;
 
   @BeforeEach
   void play() throws IOException {
     Path trace = folder.resolve("trace");
-    try (TraceGenerator maker =
+    try (TraceGenerator generator =
         new TraceGenerator(Layout.ALIBABA_2018, 1, 0.01, 20_000, Files.newOutputStream(trace))) {
-      maker.make(200);
+      generator.make(200);
     }
-    Job job =
-        new Job(
+    ReplayConfig job =
+        new ReplayConfig(
             List.of(Shard.of(trace)),
             Layout.ALIBABA_2018,
             BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018),
@@ -59,57 +59,57 @@
             1,
             "module",
             DefaultDispatchPolicy::new);
-    try (Arrivals arrivals = new Arrivals(job)) {
-      calm = Run.play(job, arrivals, arrived -> {});
+    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+      inTime = VirtualTimeReplay.play(job, arrivals, arrived -> {});
     }
   }
 
-  /** As if it had been sent over sockets that late. */
-  private Played sent(int tenthsLate) {
+  /** The same result, as if it had been sent over sockets with that lag. */
+  private ReplayResult sent(int lagTicks) {
     Histogram lag = new Histogram(3);
     lag.recordValueWithCount(5, 10);
-    lag.recordValueWithCount(tenthsLate, 10);
-    return new Played(
-        calm.job(),
-        calm.arrivals(),
-        calm.cluster(),
-        calm.auditor(),
-        calm.figures(),
-        calm.start(),
-        calm.lasted(),
+    lag.recordValueWithCount(lagTicks, 10);
+    return new ReplayResult(
+        inTime.job(),
+        inTime.arrivals(),
+        inTime.cluster(),
+        inTime.auditor(),
+        inTime.metrics(),
+        inTime.start(),
+        inTime.lasted(),
         lag);
   }
 
-  private static String lastLine(Played played) {
+  private static String lastLine(ReplayResult played) {
     StringWriter out = new StringWriter();
     Summary.print(played, new PrintWriter(out));
     return out.toString().strip().lines().reduce("", (before, line) -> line);
   }
 
   @Test
-  void aLateLoadIsToldAndBreaksNothing() {
-    Played late = sent(680);
+  void lateLoadIsReportedButNoFault() {
+    ReplayResult late = sent(680);
     assertEquals(
         "no rule broke, and all is accounted for; the figure does not count: the load was sent"
             + " late, by 68.0 ms at the most, as the machine was busy",
         lastLine(late));
-    assertFalse(late.sound());
+    assertFalse(late.isValid());
     assertEquals(0, DemoCommand.exitCode(late));
     assertEquals("no rule broke, and all is accounted for", lastLine(sent(6)));
-    assertEquals("no rule broke, and all is accounted for", lastLine(calm));
-    assertTrue(sent(6).sound());
+    assertEquals("no rule broke, and all is accounted for", lastLine(inTime));
+    assertTrue(sent(6).isValid());
   }
 
   @Test
-  void aBrokenRuleEndsItWithAFault() {
-    calm.auditor().wrongResult(calm.start(), "q1");
-    calm.figures().arrived(calm.start(), 0);
-    for (int late : new int[] {6, 680}) {
-      assertTrue(lastLine(sent(late)).startsWith("rule broken: "), lastLine(sent(late)));
+  void violatedRuleIsAFault() {
+    inTime.auditor().wrongResult(inTime.start(), "q1");
+    inTime.metrics().arrived(inTime.start(), 0);
+    for (int lag : new int[] {6, 680}) {
+      assertTrue(lastLine(sent(lag)).startsWith("rule broken: "), lastLine(sent(lag)));
       assertTrue(
-          lastLine(sent(late)).contains("; submissions are not all accounted for"),
-          lastLine(sent(late)));
-      assertEquals(1, DemoCommand.exitCode(sent(late)));
+          lastLine(sent(lag)).contains("; submissions are not all accounted for"),
+          lastLine(sent(lag)));
+      assertEquals(1, DemoCommand.exitCode(sent(lag)));
     }
   }
 }
--- a/tools/src/test/java/tillerlink/explore/ExplorerTest.java
+++ b/tools/src/test/java/tillerlink/explore/ExplorerTest.java
@@ -16,45 +16,43 @@
 import tillerlink.port.DispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
 
-/**
- * All small histories keep the rules; each planted fault is found, with a history that people can
- * read.
- */
+/** All small histories keep the rules; each injected fault is result, with a readable history. */
 class ExplorerTest {
   @BeforeAll
-  static void hush() {
+  static void muteGateways() {
     ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state"))
         .setLevel(ch.qos.logback.classic.Level.ERROR);
   }
 
-  private static Explorer.Found explore(
-      int failures, boolean http2, DispatchPolicyFactory modules) {
-    return new Explorer(new Player(2, 3, http2, modules), failures, 2)
+  private static Explorer.Result explore(
+      int failures, boolean http2, DispatchPolicyFactory policies) {
+    return new Explorer(new HistoryPlayer(2, 3, http2, policies), failures, 2)
         .explore((histories, distinct, depth) -> {});
   }
 
   @Test
-  void allHistoriesWithTwoFailures() {
+  void allHistoriesWithTwoFailuresKeepTheRules() {
     for (boolean http2 : new boolean[] {false, true}) {
-      Explorer.Found found = explore(2, http2, DefaultDispatchPolicy::new);
+      Explorer.Result result = explore(2, http2, DefaultDispatchPolicy::new);
       assertNull(
-          found.wrong(), () -> String.join("\n", found.wrong().told()) + found.wrong().wrong());
-      assertTrue(found.closed());
-      assertTrue(found.histories() > 2000, found.histories() + " histories");
+          result.violation(),
+          () -> String.join("\n", result.violation().events()) + result.violation().violations());
+      assertTrue(result.complete());
+      assertTrue(result.histories() > 2000, result.histories() + " histories");
     }
   }
 
   @Test
-  void theSameDeviationsTellTheSameStory() {
-    Player player = new Player(2, 3, false, DefaultDispatchPolicy::new);
+  void sameDeviationsGiveTheSameHistory() {
+    HistoryPlayer player = new HistoryPlayer(2, 3, false, DefaultDispatchPolicy::new);
     List<int[]> deviations = List.of(new int[] {3, 1}, new int[] {9, 2});
-    assertEquals(player.play(deviations).told(), player.play(deviations).told());
+    assertEquals(player.play(deviations).events(), player.play(deviations).events());
   }
 
-  /** The module is told of every cut attempt that it never ran. */
+  /** The policy is told that attempts on a lost connection never ran. */
   @Test
-  void aWrongMappingIsFound() {
-    Explorer.Found found =
+  void wrongOutcomeMappingIsFound() {
+    Explorer.Result result =
         explore(
             1,
             false,
@@ -75,14 +73,15 @@
                       });
             });
     assertTrue(
-        found.wrong().wrong().get(0).startsWith("EFFECT: "), found.wrong().wrong().toString());
-    assertEquals(1, found.deviations());
+        result.violation().violations().get(0).startsWith("EFFECT: "),
+        result.violation().violations().toString());
+    assertEquals(1, result.deviations());
   }
 
-  /** What the module gives up is never told to the client. */
+  /** Requests that the policy fails are never answered. */
   @Test
-  void aLostAnswerIsFound() {
-    Explorer.Found found =
+  void missingResponseIsFound() {
+    Explorer.Result result =
         explore(
             1,
             false,
@@ -100,6 +99,7 @@
                                     ? null
                                     : method.invoke(actions, args))));
     assertTrue(
-        found.wrong().wrong().get(0).startsWith("ANSWER: "), found.wrong().wrong().toString());
+        result.violation().violations().get(0).startsWith("ANSWER: "),
+        result.violation().violations().toString());
   }
 }
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -25,16 +25,16 @@
 import tillerlink.workload.RequestClassSpec;
 
 /**
- * Many short histories of requests whose guards cease to hold at any moment, also between the
- * question and the write, as where the process is stopped there; over engine lines and HTTP/2, with
- * engines and connections that fail.
+ * Many short histories of requests whose guards cease to hold at any moment, also between the check
+ * and the write, as if the process had been stopped there. They run over both protocols, with
+ * failing engines and connections.
  */
 class GuardedHistoriesTest {
   private static final long START = 17_000_000_000_000L;
   private static final int REQUESTS = 6;
 
-  /** After the last answer, for attempts that are cancelled: tenths of a millisecond. */
-  private static final long SETTLE = 20;
+  /** Time after the last response for cancelled attempts, in tenths of a millisecond. */
+  private static final long SETTLING_TIME = 20;
 
   private static final List<RequestClassSpec> REQUEST_CLASSES =
       List.of(
@@ -45,34 +45,35 @@
           new RequestClassSpec(
               "look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
 
-  /** What is planted to see that it is caught. */
-  private enum Planted {
-    NOTHING,
-    ASKED_BEFORE_ONLY,
-    NEVER_ASKED
+  /** A fault that is injected to see that it is detected. */
+  private enum InjectedFault {
+    NONE,
+    CHECKED_BEFORE_WRITE_ONLY,
+    NEVER_CHECKED
   }
 
   /**
-   * Sees what went out when its guard did not hold, and whose results were handed out all the same.
+   * Detects attempts that were written although their guard did not hold, and results of these that
+   * were delivered.
    */
-  private static final class Watching extends Auditor {
-    private final Map<String, Fickle> guards = new HashMap<>();
-    private final Map<String, Boolean> soundAtWrite = new HashMap<>();
-    private final Set<String> unsound = new HashSet<>();
+  private static final class GuardAuditor extends Auditor {
+    private final Map<String, RandomGuard> guards = new HashMap<>();
+    private final Map<String, Boolean> validAtWrite = new HashMap<>();
+    private final Set<String> writtenInvalid = new HashSet<>();
     private final StringBuilder wrong = new StringBuilder();
     private final Map<Answer, Integer> answers = new HashMap<>();
 
-    Watching(Fleet fleet) {
+    GuardAuditor(Fleet fleet) {
       super(fleet, REQUEST_CLASSES);
     }
 
     @Override
     public void sent(long now, int gateway, String engine, String id) {
-      Fickle guard = guards.get(id);
-      soundAtWrite.put(id, guard.valid);
+      RandomGuard guard = guards.get(id);
+      validAtWrite.put(id, guard.valid);
       if (!guard.valid) {
-        unsound.add(id);
-        if (!guard.ceasedAfterAsking) {
+        writtenInvalid.add(id);
+        if (!guard.ceasedAfterCheck) {
           wrong.append(id).append(" was written though its guard had said no; ");
         }
       }
@@ -81,7 +82,7 @@
 
     @Override
     public void answered(long now, String id, Answer answer) {
-      if (answer == Answer.FULFILLED && !soundAtWrite.getOrDefault(id, false)) {
+      if (answer == Answer.FULFILLED && !validAtWrite.getOrDefault(id, false)) {
         wrong.append(id).append(" was fulfilled by a hop that was written too late; ");
       }
       answers.merge(answer, 1, Integer::sum);
@@ -89,33 +90,35 @@
     }
   }
 
-  private static final class Fickle implements GatewayExtension.Guard {
+  private static final class RandomGuard implements GatewayExtension.Guard {
     private final Random random;
-    private final Planted planted;
+    private final InjectedFault fault;
     private boolean valid = true;
-    private boolean asked;
-    private boolean ceasedAfterAsking;
+    private boolean checked;
+    private boolean ceasedAfterCheck;
 
     /** Attempts that began and did not end. */
-    private int out;
+    private int inFlight;
 
-    private boolean endedTooOften;
+    private boolean endedWithoutStart;
 
-    Fickle(Random random, Planted planted) {
+    RandomGuard(Random random, InjectedFault fault) {
       this.random = random;
-      this.planted = planted;
+      this.fault = fault;
     }
 
     @Override
     public boolean holds() {
-      boolean says =
-          valid || planted == Planted.NEVER_ASKED || planted == Planted.ASKED_BEFORE_ONLY && asked;
-      asked = true;
+      boolean answer =
+          valid
+              || fault == InjectedFault.NEVER_CHECKED
+              || (fault == InjectedFault.CHECKED_BEFORE_WRITE_ONLY && checked);
+      checked = true;
       if (valid && random.nextInt(8) == 0) {
         valid = false;
-        ceasedAfterAsking = true;
+        ceasedAfterCheck = true;
       }
-      return says;
+      return answer;
     }
 
     @Override
@@ -125,29 +128,32 @@
 
     @Override
     public void onAttemptStarted() {
-      out++;
+      inFlight++;
     }
 
     @Override
     public void onAttemptEnded(long mayRunUntil) {
-      out--;
-      endedTooOften |= out < 0;
+      inFlight--;
+      endedWithoutStart |= inFlight < 0;
     }
   }
 
-  /** Takes every call of a request class, and hands it in under a guard of its own. */
-  private record Aside(
-      GatewayExtension.ExtensionContext door, Watching watching, Random random, Planted planted)
+  /** Handles the requests of all classes and submits each under its own guard. */
+  private record GuardingExtension(
+      GatewayExtension.ExtensionContext context,
+      GuardAuditor auditor,
+      Random random,
+      InjectedFault fault)
       implements GatewayExtension {
     @Override
     public void beginIteration(long now) {
-      // Nothing of it waits.
+      // Nothing is queued.
     }
 
     @Override
     public void endIteration(long now) {
       if (random.nextInt(4) == 0) {
-        door.recheckGuards();
+        context.recheckGuards();
       }
     }
 
@@ -163,55 +169,58 @@
     }
 
     @Override
-    public void onRequest(HttpRequest call, Reply reply) {
-      Fickle guard =
-          watching.guards.computeIfAbsent(
-              call.fields().get("x-correlation-id"), id -> new Fickle(random, planted));
-      door.submit(call, guard, reply);
+    public void onRequest(HttpRequest request, Reply reply) {
+      RandomGuard guard =
+          auditor.guards.computeIfAbsent(
+              request.fields().get("x-correlation-id"), id -> new RandomGuard(random, fault));
+      context.submit(request, guard, reply);
     }
 
     @Override
     public void onDrain() {
-      // It owes nothing.
+      // Nothing is pending.
     }
 
     @Override
     public void onShutdownDeadline() {
-      // It owes nothing.
+      // Nothing is pending.
     }
 
     @Override
     public void close() {
-      // It has nothing open.
+      // There is nothing to close.
     }
   }
 
-  /** One history; what was wrong with it, or nothing. */
+  /** Plays one history; returns what was wrong with it, or an empty text. */
   private static String play(
       long seed,
       boolean http2,
-      Planted planted,
+      InjectedFault fault,
       Map<Auditor.Answer, Integer> answers,
-      Set<String> unsound) {
+      Set<String> writtenInvalid) {
     Random random = new Random(seed);
     Fleet fleet = http2 ? Fleet.of(1, 2).overHttp2(kind -> true) : Fleet.of(1, 2);
-    Watching watching = new Watching(fleet);
-    EmulatedCluster cluster = new EmulatedCluster(fleet, REQUEST_CLASSES, watching, START);
+    GuardAuditor auditor = new GuardAuditor(fleet);
+    EmulatedCluster cluster = new EmulatedCluster(fleet, REQUEST_CLASSES, auditor, START);
     cluster.deliveryJitter(random);
     cluster.startGateways(DefaultDispatchPolicy::new, seed);
-    cluster.gateway(0).addExtension(door -> new Aside(door, watching, random, planted));
-    Figures figures = new Figures(REQUEST_CLASSES);
-    Front front =
-        new Front(cluster, new GatewayConnections(cluster), figures, new Wording(seed, 0.2));
+    cluster
+        .gateway(0)
+        .addExtension(context -> new GuardingExtension(context, auditor, random, fault));
+    ReplayMetrics metrics = new ReplayMetrics(REQUEST_CLASSES);
+    ReplayClients clients =
+        new ReplayClients(
+            cluster, new GatewayConnections(cluster), metrics, new RequestEncoder(seed, 0.2));
     for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival =
           new Arrival(
               random.nextInt(1500), i, random.nextInt(3), 100 + random.nextInt(2000), 1, i, i + 7);
-      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
       cluster.timeline.at(
           START + random.nextInt(12_000),
           () ->
-              watching.guards.values().stream()
+              auditor.guards.values().stream()
                   .skip(random.nextInt(REQUESTS))
                   .limit(1)
                   .forEach(guard -> guard.valid = false));
@@ -238,75 +247,77 @@
             "e" + (1 + random.nextInt(2)),
             3000,
             1));
-    while (figures.arrived() < REQUESTS || front.open() > 0) {
+    while (metrics.arrived() < REQUESTS || clients.open() > 0) {
       cluster.timeline.step();
     }
-    cluster.timeline.follow(cluster.timeline.now() + SETTLE);
-    watching.guards.forEach(
+    cluster.timeline.follow(cluster.timeline.now() + SETTLING_TIME);
+    auditor.guards.forEach(
         (id, guard) ->
-            watching.wrong.append(
-                guard.out == 0 && !guard.endedTooOften
+            auditor.wrong.append(
+                guard.inFlight == 0 && !guard.endedWithoutStart
                     ? ""
                     : id + " has hops that began and did not end, or the other way round; "));
-    watching
+    auditor
         .violations()
         .forEach(
             violation ->
-                watching
+                auditor
                     .wrong
                     .append(violation.rule())
                     .append(' ')
                     .append(violation.what())
                     .append("; "));
-    if (!figures.addsUp()) {
-      watching.wrong.append("submissions do not add up; ");
+    if (!metrics.addsUp()) {
+      auditor.wrong.append("submissions do not add up; ");
     }
-    watching.answers.forEach((answer, count) -> answers.merge(answer, count, Integer::sum));
-    watching.unsound.forEach(id -> unsound.add(seed + "/" + id));
-    return watching.wrong.toString();
+    auditor.answers.forEach((answer, count) -> answers.merge(answer, count, Integer::sum));
+    auditor.writtenInvalid.forEach(id -> writtenInvalid.add(seed + "/" + id));
+    return auditor.wrong.toString();
   }
 
-  private static int wrongOf(int histories, boolean http2, Planted planted) {
+  private static int countWrong(int histories, boolean http2, InjectedFault fault) {
     int wrong = 0;
     for (int seed = 0; seed < histories; seed++) {
-      wrong += play(seed, http2, planted, new HashMap<>(), new HashSet<>()).isEmpty() ? 0 : 1;
+      wrong += play(seed, http2, fault, new HashMap<>(), new HashSet<>()).isEmpty() ? 0 : 1;
     }
     return wrong;
   }
 
-  private static void hush() {
+  private static void muteGateways() {
     ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state"))
         .setLevel(ch.qos.logback.classic.Level.ERROR);
   }
 
   @Test
-  void nothingWrittenTooLateIsHandedOut() {
-    hush();
+  void resultOfAttemptWrittenWithoutValidGuardIsNotDelivered() {
+    muteGateways();
     for (boolean http2 : new boolean[] {false, true}) {
       Map<Auditor.Answer, Integer> answers = new HashMap<>();
-      Set<String> unsound = new HashSet<>();
+      Set<String> writtenInvalid = new HashSet<>();
       for (int seed = 0; seed < 4000; seed++) {
         assertEquals(
             "",
-            play(seed, http2, Planted.NOTHING, answers, unsound),
+            play(seed, http2, InjectedFault.NONE, answers, writtenInvalid),
             "seed " + seed + (http2 ? " over HTTP/2" : ""));
       }
       assertTrue(
           answers.get(Auditor.Answer.FULFILLED) > 5000
               && answers.get(Auditor.Answer.TURNED_BACK) > 1000
               && answers.get(Auditor.Answer.BROKEN_OFF) > 100
-              && unsound.size() > 1000,
-          answers + " " + unsound.size());
+              && writtenInvalid.size() > 1000,
+          answers + " " + writtenInvalid.size());
     }
   }
 
-  /** The same check fails where the guard is not asked, or asked before the write only. */
+  /** The same check fails where the guard is not checked, or checked before the write only. */
   @Test
-  void plantedFaultsAreCaught() {
-    hush();
+  void injectedFaultsAreDetected() {
+    muteGateways();
     for (boolean http2 : new boolean[] {false, true}) {
-      assertTrue(wrongOf(100, http2, Planted.ASKED_BEFORE_ONLY) > 0, "asked before the write only");
-      assertTrue(wrongOf(100, http2, Planted.NEVER_ASKED) > 0, "never asked");
+      assertTrue(
+          countWrong(100, http2, InjectedFault.CHECKED_BEFORE_WRITE_ONLY) > 0,
+          "checked before the write only");
+      assertTrue(countWrong(100, http2, InjectedFault.NEVER_CHECKED) > 0, "never checked");
     }
   }
 }
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -39,14 +39,13 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * Many short histories of a gateway and two engines over HTTP/2, in which engines leave, refuse,
- * reset and lower limits, connections break, bytes come split and late, and clients wait. The real
- * gateway, module and machines, in memory.
+ * Many short in-memory histories of a real gateway and two engines over HTTP/2, in which engines
+ * send GOAWAY, refuse, reset and lower limits, connections break, and bytes come split and late.
  */
 class Http2HistoriesTest {
   private static final long START = 17_000_000_000_000L;
   private static final int REQUESTS = 5;
-  private static final boolean TOLD = System.getProperty("story") != null;
+  private static final boolean PRINTED = System.getProperty("story") != null;
   private static final List<RequestClassSpec> REQUEST_CLASSES =
       List.of(
           new RequestClassSpec(
@@ -56,58 +55,57 @@
           new RequestClassSpec(
               "look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
 
-  /** What engines may do. */
-  private enum Mood {
-    /** Only what proves that nothing ran: refusals, GOAWAY, limits. */
-    CERTAIN,
-    /** Anything. */
-    WILD,
-    /** They say GOAWAY with an id two too low, and run that stream all the same. */
-    LIES_LOW,
+  /** How engines misbehave. */
+  private enum Behaviour {
+    /** Only in ways that prove that a request never ran: refusals, GOAWAY, limits. */
+    PROVABLE,
+    /** In any way. */
+    ARBITRARY,
+    /** They send GOAWAY with an id two too low, and run that stream all the same. */
+    GOAWAY_TOO_LOW,
     /**
-     * They say GOAWAY with an id two too high: of a stream that they never run it says that it may
-     * have run.
+     * They send GOAWAY with an id two too high, so that a stream that they never run may have run.
      */
-    LIES_HIGH
+    GOAWAY_TOO_HIGH
   }
 
-  private static final class Counted extends Auditor {
+  private static final class RecordingAuditor extends Auditor {
     private final Set<String> ran = new HashSet<>();
     private final Set<String> failed = new HashSet<>();
 
-    Counted(Fleet fleet) {
+    RecordingAuditor(Fleet fleet) {
       super(fleet, REQUEST_CLASSES);
     }
 
-    /** With {@code -Dstory=SEED} the history of that seed is told. */
-    private void tell(long now, String what) {
-      if (TOLD) {
+    /** With {@code -Dstory=SEED} the history of that seed is printed. */
+    private void print(long now, String what) {
+      if (PRINTED) {
         System.out.println((now - START) + " " + what);
       }
     }
 
     @Override
     public void sent(long now, int gateway, String engine, String id) {
-      tell(now, id + " goes out to " + engine);
+      print(now, id + " goes out to " + engine);
       super.sent(now, gateway, engine, id);
     }
 
     @Override
     public void over(String id, boolean provesNotExecuted) {
-      tell(START, id + (provesNotExecuted ? " never ran" : " is over"));
+      print(START, id + (provesNotExecuted ? " never ran" : " is over"));
       super.over(id, provesNotExecuted);
     }
 
     @Override
     public void ran(long now, String engine, String id, double work) {
-      tell(now, id + " runs at " + engine);
+      print(now, id + " runs at " + engine);
       super.ran(now, engine, id, work);
       ran.add(id);
     }
 
     @Override
     public void answered(long now, String id, Answer answer) {
-      tell(now, id + " " + answer);
+      print(now, id + " " + answer);
       super.answered(now, id, answer);
       if (answer == Answer.BROKEN_OFF) {
         failed.add(id);
@@ -115,71 +113,71 @@
     }
   }
 
-  /** An engine's side that misbehaves now and then. */
-  private static final class Moody implements EngineProtocolServer {
-    private final Http2Server side;
+  /** An engine's end of a connection that misbehaves now and then. */
+  private static final class MisbehavingServer implements EngineProtocolServer {
+    private final Http2Server server;
     private final Random random;
-    private final Mood mood;
-    private int lowered;
-    private boolean left;
+    private final Behaviour behaviour;
+    private int attemptsUntilLimitRises;
+    private boolean goAwayAnnounced;
 
-    Moody(Random random, Mood mood) {
+    MisbehavingServer(Random random, Behaviour behaviour) {
       this.random = random;
-      this.mood = mood;
-      side = new Http2Server(1 + random.nextInt(6));
+      this.behaviour = behaviour;
+      server = new Http2Server(1 + random.nextInt(6));
     }
 
     @Override
     public void feed(byte[] bytes) {
-      side.feed(bytes);
+      server.feed(bytes);
     }
 
     @Override
     public Command next() {
-      for (Command command = side.next(); command != null; command = side.next()) {
-        if (command.word() != Word.WANT || !turnsAway(command)) {
+      for (Command command = server.next(); command != null; command = server.next()) {
+        if (command.word() != Word.WANT || !refuses(command)) {
           return command;
         }
       }
       return null;
     }
 
-    /** True if it never runs. */
-    private boolean turnsAway(Command command) {
-      int stream = side.streamOf(command.id());
-      if (lowered > 0 && --lowered == 0) {
-        side.limitStreams(4);
+    /** Misbehaves on a request; true if it never runs. */
+    private boolean refuses(Command command) {
+      int stream = server.streamOf(command.id());
+      if (attemptsUntilLimitRises > 0 && --attemptsUntilLimitRises == 0) {
+        server.limitStreams(4);
       }
-      switch (random.nextInt(mood == Mood.WILD ? 14 : 10)) {
+      switch (random.nextInt(behaviour == Behaviour.ARBITRARY ? 14 : 10)) {
         case 0 -> {
-          side.refuse(stream);
+          server.refuse(stream);
           return true;
         }
         case 1 -> {
-          return leave(stream);
+          return goAway(stream);
         }
         case 2 -> {
-          if (!left) {
-            left = true;
-            side.writer().goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
+          if (!goAwayAnnounced) {
+            goAwayAnnounced = true;
+            server.writer().goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
           }
           return false;
         }
         case 3 -> {
-          side.limitStreams(random.nextInt(2));
-          lowered = 1 + random.nextInt(2);
+          server.limitStreams(random.nextInt(2));
+          attemptsUntilLimitRises = 1 + random.nextInt(2);
           return false;
         }
         case 10 -> {
-          side.reset(stream, ErrorCode.INTERNAL_ERROR);
+          server.reset(stream, ErrorCode.INTERNAL_ERROR);
           return random.nextBoolean();
         }
         case 11 -> {
-          side.writer().frame(Frame.DATA, 0, stream, 1);
+          server.writer().frame(Frame.DATA, 0, stream, 1);
           return random.nextBoolean();
         }
         case 12 -> {
-          side.writer().frame(Frame.WINDOW_UPDATE, 0, 0, 0);
+          server.writer().frame(Frame.WINDOW_UPDATE, 0, 0, 0);
           return random.nextBoolean();
         }
         default -> {
@@ -188,73 +186,76 @@
       }
     }
 
-    private boolean leave(int stream) {
-      if (mood == Mood.LIES_LOW) {
-        side.writer().goAway(Math.max(0, stream - 2), ErrorCode.NO_ERROR);
+    private boolean goAway(int stream) {
+      if (behaviour == Behaviour.GOAWAY_TOO_LOW) {
+        server.writer().goAway(Math.max(0, stream - 2), ErrorCode.NO_ERROR);
         return false;
       }
-      if (mood == Mood.LIES_HIGH) {
-        side.writer().goAway(stream, ErrorCode.NO_ERROR);
+      if (behaviour == Behaviour.GOAWAY_TOO_HIGH) {
+        server.writer().goAway(stream, ErrorCode.NO_ERROR);
         return true;
       }
-      side.goAway(Math.max(0, stream - 2));
+      server.goAway(Math.max(0, stream - 2));
       return true;
     }
 
     @Override
     public byte[] encode(EngineReply reply) {
-      if (mood == Mood.WILD && reply.word() == EngineReply.Word.OK && random.nextInt(12) == 0) {
-        Integer stream = side.streamOf(reply.id());
+      if (behaviour == Behaviour.ARBITRARY
+          && reply.word() == EngineReply.Word.OK
+          && random.nextInt(12) == 0) {
+        Integer stream = server.streamOf(reply.id());
         if (stream != null) {
-          side.reset(stream, random.nextBoolean() ? ErrorCode.CANCEL : ErrorCode.INTERNAL_ERROR);
-          return side.takePendingOutput();
+          server.reset(stream, random.nextBoolean() ? ErrorCode.CANCEL : ErrorCode.INTERNAL_ERROR);
+          return server.takePendingOutput();
         }
       }
-      return side.encode(reply);
+      return server.encode(reply);
     }
 
     @Override
     public byte[] takePendingOutput() {
-      return side.takePendingOutput();
+      return server.takePendingOutput();
     }
 
     @Override
     public boolean isBeyondGoAway(EngineProtocolServer sender, String attempt) {
-      return side.isBeyondGoAway(sender, attempt);
+      return server.isBeyondGoAway(sender, attempt);
     }
 
     @Override
     public List<String> takeNotExecuted() {
-      return side.takeNotExecuted();
+      return server.takeNotExecuted();
     }
   }
 
-  /** One history; what was wrong with it, or nothing. */
-  private static String play(long seed, Mood mood) {
+  /** Plays one history; returns what was wrong with it, or an empty text. */
+  private static String play(long seed, Behaviour behaviour) {
     Random random = new Random(seed);
     Fleet fleet = Fleet.of(1, 2).overHttp2(kind -> true);
-    Counted auditor = new Counted(fleet);
+    RecordingAuditor auditor = new RecordingAuditor(fleet);
     EmulatedCluster cluster = new EmulatedCluster(fleet, REQUEST_CLASSES, auditor, START);
-    List<Moody> sides = new ArrayList<>();
+    List<MisbehavingServer> servers = new ArrayList<>();
     cluster.protocolFactory(
         spec -> {
-          sides.add(new Moody(random, mood));
-          return sides.get(sides.size() - 1);
+          servers.add(new MisbehavingServer(random, behaviour));
+          return servers.get(servers.size() - 1);
         });
     cluster.deliveryJitter(random);
     cluster.startGateways(DefaultDispatchPolicy::new, seed);
-    Figures figures = new Figures(REQUEST_CLASSES);
-    Front front =
-        new Front(cluster, new GatewayConnections(cluster), figures, new Wording(seed, 0.2));
+    ReplayMetrics metrics = new ReplayMetrics(REQUEST_CLASSES);
+    ReplayClients clients =
+        new ReplayClients(
+            cluster, new GatewayConnections(cluster), metrics, new RequestEncoder(seed, 0.2));
     List<Arrival> arrivals = new ArrayList<>();
     for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival =
           new Arrival(
               random.nextInt(1500), i, random.nextInt(3), 100 + random.nextInt(2000), 1, i, i + 7);
       arrivals.add(arrival);
-      cluster.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
-    if (mood == Mood.WILD) {
+    if (behaviour == Behaviour.ARBITRARY) {
       for (int i = 0; i < 2; i++) {
         cluster.timeline.at(
             START + random.nextInt(4000),
@@ -278,7 +279,7 @@
               3000,
               1));
     }
-    while (figures.arrived() < REQUESTS || front.open() > 0) {
+    while (metrics.arrived() < REQUESTS || clients.open() > 0) {
       cluster.timeline.step();
     }
     StringBuilder wrong = new StringBuilder();
@@ -287,69 +288,69 @@
         .forEach(
             violation ->
                 wrong.append(violation.rule()).append(' ').append(violation.what()).append("; "));
-    if (!figures.addsUp()) {
+    if (!metrics.addsUp()) {
       wrong.append("submissions do not add up; ");
     }
-    if (mood != Mood.WILD) {
-      Wording wording = new Wording(seed, 0.2);
+    if (behaviour != Behaviour.ARBITRARY) {
+      RequestEncoder encoder = new RequestEncoder(seed, 0.2);
       for (Arrival arrival : arrivals) {
-        String id = wording.id(arrival);
+        String id = encoder.id(arrival);
         if (auditor.failed.contains(id) && !auditor.ran.contains(id)) {
           wrong.append(id).append(" was lost though it never ran; ");
         }
       }
     }
-    sides.forEach(
-        side -> wrong.append(side.side.streamsOverLimit() > 0 ? "a limit was passed; " : ""));
+    servers.forEach(
+        side -> wrong.append(side.server.streamsOverLimit() > 0 ? "a limit was passed; " : ""));
     return wrong.toString();
   }
 
-  private static void hush() {
+  private static void muteGateways() {
     ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state"))
         .setLevel(ch.qos.logback.classic.Level.ERROR);
   }
 
-  private static int wrongOf(int from, int to, Mood mood) {
+  private static int countWrong(int from, int to, Behaviour behaviour) {
     int wrong = 0;
     for (int seed = from; seed < to; seed++) {
-      wrong += play(seed, mood).isEmpty() ? 0 : 1;
+      wrong += play(seed, behaviour).isEmpty() ? 0 : 1;
     }
     return wrong;
   }
 
   @Test
-  void whatNeverRanIsNeverLost() {
-    hush();
+  void requestThatNeverRanIsNeverFailed() {
+    muteGateways();
     for (int seed = Integer.getInteger("story", 0);
-        seed < (TOLD ? Integer.getInteger("story") + 1 : 12_000);
+        seed < (PRINTED ? Integer.getInteger("story") + 1 : 12_000);
         seed++) {
-      assertEquals("", play(seed, Mood.CERTAIN), "seed " + seed);
+      assertEquals("", play(seed, Behaviour.PROVABLE), "seed " + seed);
     }
   }
 
   @Test
-  void whateverHappensTheRulesHold() {
-    hush();
+  void rulesHoldUnderArbitraryMisbehaviour() {
+    muteGateways();
     for (int seed = Integer.getInteger("story", 0);
-        seed < (TOLD ? Integer.getInteger("story") + 1 : 12_000);
+        seed < (PRINTED ? Integer.getInteger("story") + 1 : 12_000);
         seed++) {
-      assertEquals("", play(seed, Mood.WILD), "seed " + seed);
+      assertEquals("", play(seed, Behaviour.ARBITRARY), "seed " + seed);
     }
   }
 
   /**
-   * The same moods over loopback, with a gateway process: what fails at any frame ends what it
+   * The same misbehaviour over loopback with a gateway process: a failure at any frame ends what it
    * must, and no more.
    */
   @Test
-  void overSockets(@TempDir Path folder) throws IOException {
+  void rulesHoldOverSockets(@TempDir Path folder) throws IOException {
     Path file = folder.resolve("trace");
-    try (TraceGenerator maker =
+    try (TraceGenerator generator =
         new TraceGenerator(Layout.ALIBABA_2018, 2, 0, 0, Files.newOutputStream(file))) {
-      maker.make(300);
+      generator.make(300);
     }
-    Job job =
-        new Job(
+    ReplayConfig job =
+        new ReplayConfig(
             List.of(Shard.of(file)),
             Layout.ALIBABA_2018,
             BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018),
@@ -367,28 +368,32 @@
             "wild",
             DefaultDispatchPolicy::new);
     Random random = new Random(9);
-    try (Arrivals arrivals = new Arrivals(job)) {
-      Played played =
+    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+      ReplayResult result =
           ProcessHarness.play(
               job,
               arrivals,
               arrived -> {},
               null,
-              cluster -> cluster.protocolFactory(spec -> new Moody(random, Mood.WILD)));
-      assertTrue(played.auditor().counts().isEmpty(), played.auditor().violations().toString());
-      assertTrue(played.figures().addsUp());
-      assertEquals(300, played.figures().arrived());
-      assertTrue(played.figures().whole() > 0.1, "served " + played.figures().whole());
+              cluster ->
+                  cluster.protocolFactory(
+                      spec -> new MisbehavingServer(random, Behaviour.ARBITRARY)));
+      assertTrue(result.auditor().counts().isEmpty(), result.auditor().violations().toString());
+      assertTrue(result.metrics().addsUp());
+      assertEquals(300, result.metrics().arrived());
+      assertTrue(result.metrics().whole() > 0.1, "served " + result.metrics().whole());
     }
   }
 
-  /** The same checks fail where a GOAWAY's id and what ran are apart by one stream, either way. */
+  /** The same checks fail where the id of a GOAWAY is off by one stream, either way. */
   @Test
-  void anIdOffByOneIsCaught() {
-    hush();
+  void goAwayIdOffByOneIsDetected() {
+    muteGateways();
     assertTrue(
-        wrongOf(0, 600, Mood.LIES_LOW) > 0, "a stream that ran taken for one that never did");
+        countWrong(0, 600, Behaviour.GOAWAY_TOO_LOW) > 0,
+        "a stream that ran taken for one that never did");
     assertTrue(
-        wrongOf(0, 600, Mood.LIES_HIGH) > 0, "a stream that never ran taken for one that may have");
+        countWrong(0, 600, Behaviour.GOAWAY_TOO_HIGH) > 0,
+        "a stream that never ran taken for one that may have");
   }
 }
--- a/tools/src/test/java/tillerlink/replay/ReplayTest.java
+++ b/tools/src/test/java/tillerlink/replay/ReplayTest.java
@@ -30,8 +30,8 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * Whole replays, small ones: the same every time, every row and request accounted for, no rule
- * broken.
+ * Small whole replays: deterministic, with every row and request accounted for and no rule
+ * violated.
  */
 class ReplayTest {
   private static final long SECOND = 10_000;
@@ -39,28 +39,28 @@
   @TempDir private Path folder;
 
   @BeforeEach
-  void hush() {
+  void muteGateways() {
     ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state"))
         .setLevel(ch.qos.logback.classic.Level.ERROR);
   }
 
   private Path trace(Layout layout, long rows, double bad) throws IOException {
     Path file = folder.resolve(layout.name() + rows);
-    try (TraceGenerator maker =
+    try (TraceGenerator generator =
         new TraceGenerator(layout, 7, bad, 5 * SECOND, Files.newOutputStream(file))) {
-      maker.make(rows);
+      generator.make(rows);
     }
     return file;
   }
 
-  private static Job job(
+  private static ReplayConfig job(
       Layout layout,
       Path trace,
       Fleet fleet,
       double load,
-      DispatchPolicyFactory modules,
+      DispatchPolicyFactory policies,
       Trouble... troubles) {
-    return new Job(
+    return new ReplayConfig(
         List.of(Shard.of(trace)),
         layout,
         BuiltInRequestClasses.requestClasses(layout),
@@ -76,27 +76,28 @@
         0.1,
         3,
         "test",
-        modules);
+        policies);
   }
 
-  private static Played play(Job job) throws IOException {
-    try (Arrivals arrivals = new Arrivals(job)) {
-      return Run.play(job, arrivals, arrived -> {});
+  private static ReplayResult play(ReplayConfig job) throws IOException {
+    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+      return VirtualTimeReplay.play(job, arrivals, arrived -> {});
     }
   }
 
   @Test
-  void twiceAlikeAndAllAccountedFor() throws IOException {
+  void sameReplayGivesTheSameReportAndAccountsForAllRows() throws IOException {
     for (Layout layout : Layout.KNOWN) {
       Path trace = trace(layout, 1500, 0.05);
       List<byte[]> reports = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
-        Played played = play(job(layout, trace, Fleet.builtIn(3), 1.1, DefaultDispatchPolicy::new));
-        assertTrue(played.sound(), layout.name() + played.auditor().violations());
-        assertEquals(0, played.auditor().watching());
+        ReplayResult result =
+            play(job(layout, trace, Fleet.builtIn(3), 1.1, DefaultDispatchPolicy::new));
+        assertTrue(result.isValid(), layout.name() + result.auditor().violations());
+        assertEquals(0, result.auditor().watching());
         Path report = folder.resolve("report");
-        Report.write(played, report);
-        Page.write(played, folder.resolve("page"));
+        JsonReport.write(result, report);
+        HtmlReport.write(result, folder.resolve("page"));
         reports.add(Files.readAllBytes(report));
       }
       assertEquals(
@@ -106,13 +107,13 @@
   }
 
   @Test
-  void theModuleDoesBetterThanChance() throws IOException {
+  void defaultPolicyServesMoreThanRandomChoice() throws IOException {
     Path trace = trace(Layout.ALIBABA_2018, 3000, 0);
     double module =
         play(job(Layout.ALIBABA_2018, trace, Fleet.builtIn(3), 0.9, DefaultDispatchPolicy::new))
-            .figures()
+            .metrics()
             .whole();
-    Played random =
+    ReplayResult random =
         play(
             job(
                 Layout.ALIBABA_2018,
@@ -122,17 +123,17 @@
                 BaselinePolicy.of(BaselinePolicy.Choice.RANDOM)));
     assertTrue(random.auditor().counts().isEmpty(), random.auditor().violations().toString());
     assertTrue(
-        module > random.figures().whole() + 0.1, module + " against " + random.figures().whole());
+        module > random.metrics().whole() + 0.1, module + " against " + random.metrics().whole());
   }
 
   /**
-   * Everything that can be scripted, once: what happened, and what it cost, second by second, as
-   * people can read it.
+   * Every kind of trouble once: the incidents and, second by second, how requests ended, in
+   * readable form.
    */
   @Test
-  void troubles() throws IOException {
+  void troublesGiveTheKeptTrace() throws IOException {
     Path trace = trace(Layout.ALIBABA_2018, 6000, 0);
-    Played played =
+    ReplayResult result =
         play(
             job(
                 Layout.ALIBABA_2018,
@@ -147,26 +148,24 @@
                 new Trouble(13 * SECOND, Trouble.What.REPLACED, "e6", 2 * SECOND, 1),
                 new Trouble(17 * SECOND, Trouble.What.KILLED, "n1", SECOND, 1),
                 new Trouble(18 * SECOND, Trouble.What.DRAINED, "e4", SECOND, 1)));
-    assertTrue(played.sound(), played.auditor().violations().toString());
+    assertTrue(result.isValid(), result.auditor().violations().toString());
     StringBuilder print = new StringBuilder();
-    played.cluster().incidents().forEach(line -> print.append(line).append('\n'));
-    Series series = played.figures().series();
+    result.cluster().incidents().forEach(line -> print.append(line).append('\n'));
+    TimeSeries series = result.metrics().series();
     print.append("second  arrived in_time late turned_back broken_off gone killed\n");
     for (int i = 0; i < series.bins(); i++) {
       print.append(String.format(Locale.ROOT, "%4d %8d", i, series.count(0, i)));
-      for (End how : End.values()) {
-        print.append(String.format(Locale.ROOT, " %5d", series.count(1 + how.ordinal(), i)));
+      for (End end : End.values()) {
+        print.append(
+            String.format(Locale.ROOT, " %5d", series.count(ReplayMetrics.seriesOf(end), i)));
       }
       print.append('\n');
     }
-    kept("replay-troubles", print.toString());
+    assertKept("replay-troubles", print.toString());
   }
 
-  /**
-   * Compares with the kept trace; with {@code -Dkeep=folder} writes it there for people to read and
-   * keep.
-   */
-  static void kept(String name, String printed) throws IOException {
+  /** Compares with the kept trace; with {@code -Dkeep=folder} writes the new one to that folder. */
+  static void assertKept(String name, String printed) throws IOException {
     String keep = System.getProperty("keep");
     if (keep != null) {
       Files.writeString(Path.of(keep, name + ".txt"), printed);
@@ -179,11 +178,11 @@
   }
 
   @Test
-  void aTraceThatIsNoneIsNotReplayed() throws IOException {
+  void traceInAnotherLayoutIsRejected() throws IOException {
     Path wrong = trace(Layout.AZURE_2019, 2000, 0);
     assertTrue(
         assertThrows(
-                BadTraceException.class,
+                InvalidTraceException.class,
                 () ->
                     play(
                         job(
@@ -198,7 +197,7 @@
     assertEquals(
         "the trace has no row of use",
         assertThrows(
-                BadTraceException.class,
+                InvalidTraceException.class,
                 () ->
                     play(
                         job(
@@ -211,13 +210,13 @@
   }
 
   /**
-   * A gateway that is killed while discovery is down starts anew from what it remembers on disk,
-   * and serves; the engine that it had seen draining is sent nothing.
+   * A gateway that is killed while discovery is down starts from its endpoint cache on disk and
+   * serves; the engine that it had seen draining gets no request.
    */
   @Test
-  void aBlindStartOverSockets() throws IOException {
+  void gatewayStartsFromItsStoreWhileDiscoveryIsDown() throws IOException {
     Path trace = trace(Layout.ALIBABA_2018, 700, 0);
-    Job job =
+    ReplayConfig job =
         job(
             Layout.ALIBABA_2018,
             trace,
@@ -226,8 +225,8 @@
             DefaultDispatchPolicy::new,
             new Trouble(SECOND, Trouble.What.DRAINED, "e1", 60 * SECOND, 1),
             new Trouble(3 * SECOND, Trouble.What.KILLED, "n0", SECOND / 10, 1));
-    try (Arrivals arrivals = new Arrivals(job)) {
-      Played played =
+    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+      ReplayResult result =
           ProcessHarness.play(
               job,
               arrivals,
@@ -237,14 +236,14 @@
                   cluster.timeline.at(
                       cluster.now() + 1,
                       () -> cluster.onKill(place -> cluster.discoveryDownUntil(Long.MAX_VALUE))));
-      assertTrue(played.auditor().counts().isEmpty(), played.auditor().violations().toString());
-      assertTrue(played.figures().addsUp());
-      Series series = played.figures().series();
-      long late = 0;
+      assertTrue(result.auditor().counts().isEmpty(), result.auditor().violations().toString());
+      assertTrue(result.metrics().addsUp());
+      TimeSeries series = result.metrics().series();
+      long servedAfterRestart = 0;
       for (int i = 6; i < series.bins(); i++) {
-        late += series.count(1 + End.IN_TIME.ordinal(), i);
+        servedAfterRestart += series.count(ReplayMetrics.seriesOf(End.IN_TIME), i);
       }
-      assertTrue(late > 50, "served after the blind start: " + late);
+      assertTrue(servedAfterRestart > 50, "served after the restart: " + servedAfterRestart);
       assertEquals(0, Tillerlink.execute("store", "check", folder.resolve("store/n0").toString()));
       assertEquals(0, Tillerlink.execute("store", "show", folder.resolve("store/n0").toString()));
       assertEquals(
@@ -253,14 +252,14 @@
   }
 
   /**
-   * Real processes, real time: engines on lines and on HTTP/2, one drained, one killed, and one of
+   * Real processes in real time: engines over both protocols, one drained, one killed, and one of
    * two gateways killed.
    */
   @Test
-  void overSockets() throws IOException {
+  void replayOverSocketsKeepsTheRules() throws IOException {
     Path trace = trace(Layout.ALIBABA_2018, 400, 0);
     Fleet mixed = Fleet.of(2, 4).overHttp2(kind -> kind.name().startsWith("big"));
-    Job job =
+    ReplayConfig job =
         job(
             Layout.ALIBABA_2018,
             trace,
@@ -270,13 +269,13 @@
             new Trouble(SECOND / 2, Trouble.What.GONE, "e3", 0, 1),
             new Trouble(SECOND, Trouble.What.DRAINED, "e1", SECOND, 1),
             new Trouble(2 * SECOND, Trouble.What.KILLED, "n1", SECOND / 2, 1));
-    try (Arrivals arrivals = new Arrivals(job)) {
-      Played played = ProcessHarness.play(job, arrivals, arrived -> {});
-      assertTrue(played.auditor().counts().isEmpty(), played.auditor().violations().toString());
-      assertTrue(played.figures().addsUp());
-      assertEquals(400, played.figures().arrived());
-      assertTrue(played.figures().whole() > 0.6, "served " + played.figures().whole());
-      assertEquals(5, played.cluster().incidents().size(), played.cluster().incidents().toString());
+    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+      ReplayResult result = ProcessHarness.play(job, arrivals, arrived -> {});
+      assertTrue(result.auditor().counts().isEmpty(), result.auditor().violations().toString());
+      assertTrue(result.metrics().addsUp());
+      assertEquals(400, result.metrics().arrived());
+      assertTrue(result.metrics().whole() > 0.6, "served " + result.metrics().whole());
+      assertEquals(5, result.cluster().incidents().size(), result.cluster().incidents().toString());
     }
   }
 }
--- a/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
+++ b/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
@@ -22,8 +22,8 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * 120 gateways before 300 engines, with fewer connections each than there are engines, through days
- * of the whole fleet.
+ * 120 gateways in front of 300 engines, with fewer connections each than there are engines, through
+ * events that hit the whole fleet.
  */
 class WholeFleetTest {
   private static final long SECOND = 10_000;
@@ -36,38 +36,38 @@
   private Path trace;
 
   @BeforeEach
-  void traceAndHush() throws IOException {
+  void generateTraceAndMuteGateways() throws IOException {
     ((ch.qos.logback.classic.Logger) LoggerFactory.getLogger("tillerlink.net.state"))
         .setLevel(ch.qos.logback.classic.Level.ERROR);
     trace = folder.resolve("trace");
-    try (TraceGenerator maker =
+    try (TraceGenerator generator =
         new TraceGenerator(Layout.ALIBABA_2018, 7, 0, 5 * SECOND, Files.newOutputStream(trace))) {
-      maker.make(ROWS);
+      generator.make(ROWS);
     }
   }
 
-  private Played play(List<Trouble> troubles) throws IOException {
-    Fleet f = Fleet.of(GATEWAYS, ENGINES);
+  private ReplayResult play(List<Trouble> troubles) throws IOException {
+    Fleet defaults = Fleet.of(GATEWAYS, ENGINES);
     Fleet fleet =
         new Fleet(
             GATEWAYS,
             DESCRIPTORS,
-            f.kinds(),
-            f.zones(),
-            f.engines(),
-            f.notesEvery(),
-            f.startCapacity(),
-            f.warmWithin(),
-            f.fallMultiple(),
-            f.fall(),
-            f.drainGrace(),
-            f.extraFloor(),
-            f.furtherRatio(),
-            f.budgetSpan(),
-            f.attemptsMost(),
-            f.retryAfter());
-    Job job =
-        new Job(
+            defaults.kinds(),
+            defaults.zones(),
+            defaults.engines(),
+            defaults.notesEvery(),
+            defaults.startCapacity(),
+            defaults.warmWithin(),
+            defaults.fallMultiple(),
+            defaults.fall(),
+            defaults.drainGrace(),
+            defaults.extraFloor(),
+            defaults.furtherRatio(),
+            defaults.budgetSpan(),
+            defaults.attemptsMost(),
+            defaults.retryAfter());
+    ReplayConfig job =
+        new ReplayConfig(
             List.of(Shard.of(trace)),
             Layout.ALIBABA_2018,
             BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018),
@@ -84,56 +84,56 @@
             3,
             "test",
             DefaultDispatchPolicy::new);
-    try (Arrivals arrivals = new Arrivals(job)) {
-      return Run.play(job, arrivals, arrived -> {});
+    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+      return VirtualTimeReplay.play(job, arrivals, arrived -> {});
     }
   }
 
   @Test
-  void calmAndTwiceAlike() throws IOException {
-    Played first = play(List.of());
-    assertTrue(first.sound(), first.auditor().violations().toString());
-    assertTrue(first.figures().whole() > 0.9, "served " + first.figures().whole());
-    assertEquals(first.figures().whole(), play(List.of()).figures().whole());
+  void undisturbedReplayIsDeterministicAndServesWell() throws IOException {
+    ReplayResult first = play(List.of());
+    assertTrue(first.isValid(), first.auditor().violations().toString());
+    assertTrue(first.metrics().whole() > 0.9, "served " + first.metrics().whole());
+    assertEquals(first.metrics().whole(), play(List.of()).metrics().whole());
   }
 
-  /** Seven in ten gateways at one moment: they come back knowing nothing, all at once. */
+  /** Seven in ten gateways restart at one moment, without state. */
   @Test
-  void massRestart() throws IOException {
+  void massRestartKeepsTheRules() throws IOException {
     List<Trouble> troubles = new ArrayList<>();
     for (int i = 0; i < GATEWAYS * 7 / 10; i++) {
       troubles.add(new Trouble(SECOND, Trouble.What.KILLED, "n" + i, SECOND, 1));
     }
-    Played played = play(troubles);
-    assertTrue(played.sound(), played.auditor().violations().toString());
+    ReplayResult result = play(troubles);
+    assertTrue(result.isValid(), result.auditor().violations().toString());
   }
 
   /**
-   * Six in ten engines within seconds: the cold ones are used, and none is pushed over by all
-   * gateways together.
+   * Six in ten engines are replaced within seconds: cold ones are used, and none is overloaded by
+   * all gateways together.
    */
   @Test
-  void massReplacement() throws IOException {
+  void massReplacementKeepsTheRules() throws IOException {
     List<Trouble> troubles = new ArrayList<>();
     for (int i = 0; i < ENGINES * 6 / 10; i++) {
       troubles.add(
           new Trouble(
               SECOND / 10 + i * SECOND / 100, Trouble.What.REPLACED, "e" + (i + 1), SECOND, 1));
     }
-    Played played = play(troubles);
-    assertTrue(played.sound(), played.auditor().violations().toString());
+    ReplayResult result = play(troubles);
+    assertTrue(result.isValid(), result.auditor().violations().toString());
   }
 
-  /** A third of the engines says nothing for two seconds. */
+  /** A third of the engines is silent for two seconds. */
   @Test
-  void aZoneIsCutOff() throws IOException {
+  void zoneOutageKeepsTheRules() throws IOException {
     List<Trouble> troubles = new ArrayList<>();
     for (int i = 0; i < ENGINES; i++) {
       if (i / 3 % 3 == 1) {
         troubles.add(new Trouble(SECOND, Trouble.What.SILENT, "e" + (i + 1), 2 * SECOND, 1));
       }
     }
-    Played played = play(troubles);
-    assertTrue(played.sound(), played.auditor().violations().toString());
+    ReplayResult result = play(troubles);
+    assertTrue(result.isValid(), result.auditor().violations().toString());
   }
 }
