--- a/bench/src/main/java/tillerlink/jmh/LogLines.java
+++ b/bench/src/main/java/tillerlink/jmh/LogLines.java
@@ -40,7 +40,10 @@
     Logger log = context.getLogger("tillerlink.net.state.Gateway");
     long began = System.nanoTime();
     for (int i = 0; i < LINES; i++) {
-      log.atInfo().addKeyValue("links", i).addKeyValue("list", 7).log("{} submissions", i);
+      log.atInfo()
+          .addKeyValue("engine_connections", i)
+          .addKeyValue("endpoint_list_version", 7)
+          .log("{} requests", i);
     }
     return (System.nanoTime() - began) / 1e3 / LINES;
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
@@ -30,7 +30,12 @@
   private static final double STILL_COMING_MS = 250;
 
   private static final List<String> ILL =
-      List.of("invariant violated", "an internal fault", "Exception in thread", "died");
+      List.of(
+          "invariant violated",
+          "internal error",
+          "an internal fault",
+          "Exception in thread",
+          "died");
 
   private static final class Gateway {
     private final String name;
--- a/gateway/src/main/java/tillerlink/net/io/DeadlineWrite.java
+++ b/gateway/src/main/java/tillerlink/net/io/DeadlineWrite.java
@@ -11,7 +11,7 @@
 final class DeadlineWrite extends IoBufferWrapper {
   private final long before;
   private volatile long firstByteAt;
-  private volatile boolean withheld;
+  private volatile boolean expired;
 
   DeadlineWrite(byte[] bytes, long before) {
     super(IoBuffer.wrap(bytes));
@@ -41,13 +41,13 @@
   }
 
   /** None of it goes out; for MINA it is written. */
-  void withhold() {
-    withheld = true;
+  void expire() {
+    expired = true;
     position(limit());
   }
 
-  boolean withheld() {
-    return withheld;
+  boolean expired() {
+    return expired;
   }
 
   long firstByteAt() {
--- a/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
+++ b/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
@@ -295,8 +295,8 @@
       MinaChannel channel = channel(session);
       if (!(message instanceof DeadlineWrite timed)) {
         queue.add(() -> channel.owner.onWritten());
-      } else if (timed.withheld()) {
-        queue.add(() -> channel.owner.onWithheld());
+      } else if (timed.expired()) {
+        queue.add(() -> channel.owner.onWriteExpired());
       } else {
         queue.add(() -> channel.owner.onWritten(timed.firstByteAt()));
       }
--- a/gateway/src/main/java/tillerlink/net/io/ReadProcessor.java
+++ b/gateway/src/main/java/tillerlink/net/io/ReadProcessor.java
@@ -49,7 +49,7 @@
     }
     if (!timed.isInTime(clock.getAsLong())) {
       int all = timed.remaining();
-      timed.withhold();
+      timed.expire();
       return all;
     }
     int written = super.write(session, buffer, length);
--- a/gateway/src/main/java/tillerlink/net/lifecycle/EventLoop.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/EventLoop.java
@@ -73,7 +73,7 @@
     try {
       event.run();
     } catch (RuntimeException | LinkageError | StackOverflowError e) {
-      LOG.error("an internal fault; the gateway goes on", e);
+      LOG.error("internal error; the gateway continues", e);
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -30,7 +30,7 @@
    * service and one that is being replaced, the door, three selectors of three each, the
    * configuration read again, some of the system's.
    */
-  private static final int DESCRIPTORS_KEPT = 24;
+  private static final int RESERVED_DESCRIPTORS = 24;
 
   private final WallClock clock = new WallClock();
   private final EventLoop eventLoop = new EventLoop(clock::now);
@@ -76,7 +76,7 @@
     gateway.setExtension(extension);
     if (!signalled) {
       LOG.warn(
-          "SIGHUP was ignored by what started this process, so {} is watched for changes instead",
+          "SIGHUP is ignored as inherited from the parent process; polling {} for changes instead",
           path);
       watcher.start();
     }
@@ -94,10 +94,10 @@
   /** The configuration, with the descriptors left that the process needs for itself. */
   private static GatewayConfig readConfig(Path path) throws IOException {
     GatewayConfig whole = GatewayConfig.read(path);
-    int reserved = descriptorsInUse() + DESCRIPTORS_KEPT;
+    int reserved = descriptorsInUse() + RESERVED_DESCRIPTORS;
     GatewayConfig config = whole.without(reserved);
     LOG.info(
-        "{} starts with {} engines known, {} descriptors, {} of them kept",
+        "{} starting with {} engines in the configuration, {} descriptors, {} of them reserved",
         config.name(),
         config.known().stream().mapToInt(list -> list.entries().size()).sum(),
         whole.sockets(),
@@ -129,7 +129,7 @@
     try {
       new JvmWarmup(config, policies, clock.now()).play(() -> eventLoop.runIfDue(gateway));
     } catch (RuntimeException e) {
-      LOG.warn("the rehearsal broke off; the gateway starts without", e);
+      LOG.warn("JVM warm-up failed; starting without it", e);
     }
   }
 
@@ -142,7 +142,7 @@
       driver.listen(config.listen());
       LOG.info("{} listens on {}", config.name(), config.listen());
       eventLoop.run(gateway, () -> shutdown.isComplete(clock.now()));
-      LOG.info("drained, {} requests without an answer", gateway.pendingRequests());
+      LOG.info("drained; {} requests unanswered", gateway.pendingRequests());
     } finally {
       if (extension != null) {
         extension.close();
@@ -184,9 +184,9 @@
             driver.setDiscoveryAddress(resolver);
             gateway.discoveryAddressChanged();
           });
-      LOG.info("configuration read again, the name service is asked at {}", resolver);
+      LOG.info("configuration reloaded; discovery service at {}", resolver);
     } catch (IOException e) {
-      LOG.warn("configuration not taken, all stays as it was: {}", e.toString());
+      LOG.warn("configuration rejected; keeping the previous one: {}", e.toString());
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
+++ b/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
@@ -66,7 +66,7 @@
     if (verdict == SendVerdict.ALLOWED) {
       inFlight.transport().send(inFlight);
     } else {
-      context.dispatchLog().attemptWithheld(inFlight, verdict);
+      context.dispatchLog().attemptBlocked(inFlight, verdict);
       context
           .iteration()
           .runInNextIteration(() -> transports.attemptEnded(inFlight, AttemptOutcome.NOT_SENT));
--- a/gateway/src/main/java/tillerlink/net/state/Channel.java
+++ b/gateway/src/main/java/tillerlink/net/state/Channel.java
@@ -6,7 +6,7 @@
 
   /**
    * The same, but none of it goes out if its first byte can't before that moment; then the owner
-   * hears {@link Owner#onWithheld} in place of {@link Owner#onWritten}.
+   * hears {@link Owner#onWriteExpired} in place of {@link Owner#onWritten}.
    */
   default void writeUntil(byte[] bytes, long before) {
     write(bytes);
@@ -42,7 +42,7 @@
     }
 
     /** The oldest write that was not yet told of was late, and nothing of it has gone out. */
-    default void onWithheld() {
+    default void onWriteExpired() {
       onWritten();
     }
 
--- a/gateway/src/main/java/tillerlink/net/state/ClientConnections.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnections.java
@@ -72,10 +72,10 @@
           .event(
               now,
               Topic.CONNECTION,
-              "client connection ended under a request",
+              "client connection closed with a request pending",
               "id",
               pending.id(),
-              "how",
+              "reason",
               how,
               "after_ms",
               (now - pending.request.arrivedAt) / Units.TENTHS_PER_MS);
--- a/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -158,10 +158,10 @@
   @Override
   public String toString() {
     return requests.size()
-        + " submissions, "
+        + " requests, "
         + connections.size()
-        + " clients, "
+        + " client connections, "
         + retained.bytes() / 1024
-        + " KB held";
+        + " KB retained";
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/Discovery.java
+++ b/gateway/src/main/java/tillerlink/net/state/Discovery.java
@@ -71,7 +71,7 @@
           .event(
               now,
               Topic.DISCOVERY,
-              "engine list taken in",
+              "endpoint list updated",
               "version",
               news.index(),
               "engines",
@@ -86,7 +86,7 @@
     if (blind && newer) {
       blind = false;
       policy.onEndpointsUnknown(now, false);
-      LOG.info("discovery answers, list {}", news.index());
+      LOG.info("discovery service answers; endpoint list version {}", news.index());
     }
     return entries != null;
   }
@@ -98,14 +98,14 @@
     if (remembered.engines() == null) {
       policy.onEndpointsUnknown(now, true);
       LOG.warn(
-          "discovery told nothing, and nothing that can be trusted is remembered: all is turned"
-              + " back");
+          "no endpoint list from the discovery service and no usable cached one; rejecting all"
+              + " requests");
     } else {
       policy.onEndpointsChanged(now, true, engines.remember(remembered));
       LOG.atWarn()
           .addKeyValue("engines", remembered.engines().entries().size())
           .addKeyValue("trust", remembered.trust().values().stream().findFirst().orElse(0.0))
-          .log("discovery told nothing: starting from what is remembered");
+          .log("no endpoint list from the discovery service; starting from the cached one");
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -82,7 +82,7 @@
             .event(
                 now,
                 Topic.DISCOVERY,
-                "name service does not answer",
+                "discovery service does not answer",
                 "unanswered",
                 MANY_UNANSWERED,
                 "list_age_ms",
@@ -95,7 +95,7 @@
       if (asked.size() > KEPT) {
         asked.removeFirst();
       }
-      telemetry.metrics().add(Counter.DISCOVERY_QUESTIONS);
+      telemetry.metrics().add(Counter.DISCOVERY_QUERIES);
       lease.asked(now);
       driver.sendDiscoveryQuery(Dns.query(id));
     }
@@ -127,7 +127,7 @@
     int id = Dns.id(datagram);
     Question question = asked.stream().filter(one -> one.id == id).findFirst().orElse(null);
     if (question == null) {
-      throw new IllegalArgumentException("an answer to no question of ours");
+      throw new IllegalArgumentException("an answer to no query of ours");
     }
     asked.remove(question);
     EndpointWatchEvent news = Dns.answer(datagram, id);
@@ -150,7 +150,9 @@
           .event(
               now,
               Topic.DISCOVERY,
-              answeredBefore ? "name service answers again" : "first answer",
+              answeredBefore
+                  ? "discovery service answers again"
+                  : "first answer of the discovery service",
               "version",
               news.index(),
               "unanswered",
--- a/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
+++ b/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
@@ -41,11 +41,11 @@
     telemetry.metrics().add(Counter.ATTEMPTS_WRITTEN);
   }
 
-  void attemptWithheld(InFlightAttempt inFlight, SendVerdict verdict) {
-    telemetry.metrics().add(Counter.ATTEMPTS_WITHHELD, verdict);
+  void attemptBlocked(InFlightAttempt inFlight, SendVerdict verdict) {
+    telemetry.metrics().add(Counter.ATTEMPTS_BLOCKED, verdict);
     log(
         Topic.ATTEMPT,
-        "attempt withheld",
+        "attempt blocked",
         "id",
         inFlight.id(),
         "attempt",
@@ -59,14 +59,14 @@
   void attemptCancelled(InFlightAttempt inFlight) {
     log(
         Topic.ATTEMPT,
-        "attempt given up",
+        "attempt cancelled",
         "id",
         inFlight.id(),
         "attempt",
         inFlight.attempt.number,
         "engine",
         inFlight.engineId(),
-        "client_left",
+        "client_cancelled",
         inFlight.pending.left,
         "request_ended",
         inFlight.attempt.request.outcome != null);
@@ -99,7 +99,7 @@
   }
 
   void requestRejected(Request request) {
-    requestTerminated(Counter.REQUESTS_REFUSED, "request refused", request);
+    requestTerminated(Counter.REQUESTS_REJECTED, "request rejected", request);
   }
 
   void requestFailed(Request request) {
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
@@ -56,7 +56,7 @@
           .event(
               now,
               Topic.DISCOVERY,
-              "trust in the engine list changed",
+              "endpoint list state changed",
               "from",
               status.state(),
               "to",
@@ -87,7 +87,7 @@
       }
     } catch (IllegalArgumentException e) {
       context.telemetry().metrics().add(Counter.DISCOVERY_UNUSABLE_ANSWERS);
-      context.warnRateLimited("name service: " + e.getMessage());
+      context.warnRateLimited("discovery service: " + e.getMessage());
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -100,7 +100,7 @@
     if (verdict == SendVerdict.ALLOWED) {
       want(inFlight);
     } else {
-      owner.attemptWithheld(inFlight, verdict);
+      owner.attemptBlocked(inFlight, verdict);
       transport.endUnsent(inFlight, DisconnectReason.WITHDRAWN);
     }
   }
@@ -174,10 +174,10 @@
 
   /** Nothing of the attempt was written, though it was handed over: it surely was not executed. */
   @Override
-  public void onWithheld() {
+  public void onWriteExpired() {
     InFlightAttempt inFlight = writes.completeNext().inFlight();
     inFlight.writeNumber = InFlightAttempt.UNSENT;
-    owner.attemptWithheld(inFlight, SendVerdict.WRITE_DELAYED);
+    owner.attemptBlocked(inFlight, SendVerdict.WRITE_DELAYED);
     if (inFlight.attempt.isOut()) {
       owner.attemptEnded(inFlight, DisconnectReason.WITHDRAWN.outcome(false));
     }
@@ -199,7 +199,8 @@
       }
       partialSince = !parser.midway() ? 0 : partialSince == 0 ? now : partialSince;
     } catch (IllegalArgumentException e) {
-      owner.warnRateLimited("engine " + engineId() + " said what can't be read: " + e.getMessage());
+      owner.warnRateLimited(
+          "unreadable response from engine " + engineId() + ": " + e.getMessage());
       end(DisconnectReason.GARBLED);
     }
   }
@@ -326,7 +327,11 @@
   void onEngineUnreachable() {
     if (liveness.isSilent()) {
       owner.warnRateLimited(
-          "engine " + engineId() + " is silent, " + attempts.size() + " hops end in doubt");
+          "engine "
+              + engineId()
+              + " is silent; "
+              + attempts.size()
+              + " attempts end with unknown outcome");
       end(DisconnectReason.SILENT);
     } else if (attempts.isEmpty()) {
       retire();
@@ -382,14 +387,14 @@
           .event(
               owner.now(),
               Topic.CONNECTION,
-              "engine connection ended",
+              "engine connection closed",
               "engine",
               engineId(),
-              "how",
+              "reason",
               how,
               "attempts",
               attempts.size(),
-              "up",
+              "opened",
               liveness.isOpen());
     }
   }
--- a/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
@@ -31,7 +31,8 @@
     InFlightAttempt inFlight = connection.attempt(response.id());
     if (inFlight == null) {
       if (response.word() != EngineResponse.Word.YES && !connection.recentlyEnded(response.id())) {
-        owner.warnRateLimited("engine " + connection.engineId() + " answered what was not asked");
+        owner.warnRateLimited(
+            "engine " + connection.engineId() + " responded to an unknown attempt");
       }
       return;
     }
@@ -42,7 +43,7 @@
       case ERROR -> owner.attemptEnded(inFlight, outcomeOfError(inFlight));
       case STALE -> owner.attemptEnded(inFlight, AttemptOutcome.NOT_SENT);
       case PROGRESS -> reportProgress(inFlight, response);
-      default -> throw new IllegalArgumentException("a word that is no answer to a submission");
+      default -> throw new IllegalArgumentException("a word that is no response to an attempt");
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
@@ -43,7 +43,7 @@
     void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit);
 
     /** An attempt was not written, for the guard did not allow it. */
-    void attemptWithheld(InFlightAttempt inFlight, SendVerdict verdict);
+    void attemptBlocked(InFlightAttempt inFlight, SendVerdict verdict);
 
     /** Something of the next turn. */
     void runInNextIteration(Runnable task);
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -97,8 +97,8 @@
   }
 
   @Override
-  public void attemptWithheld(InFlightAttempt inFlight, SendVerdict verdict) {
-    context.dispatchLog().attemptWithheld(inFlight, verdict);
+  public void attemptBlocked(InFlightAttempt inFlight, SendVerdict verdict) {
+    context.dispatchLog().attemptBlocked(inFlight, verdict);
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
+++ b/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
@@ -91,8 +91,8 @@
     if (now >= summaryAt) {
       summaryAt = now + SUMMARY_INTERVAL;
       LOG.atInfo()
-          .addKeyValue("links", transports.openConnections())
-          .addKeyValue("list", transports.endpoints().index())
+          .addKeyValue("engine_connections", transports.openConnections())
+          .addKeyValue("endpoint_list_version", transports.endpoints().index())
           .log("{}", clients);
     }
   }
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -113,14 +113,16 @@
   private void registerGauges() {
     Metrics metrics = context.telemetry().metrics();
     metrics.gauge(
-        "engine_list_version",
-        "Number of the last event of the engine list.",
+        "endpoint_list_version",
+        "Number of the last event of the endpoint list.",
         transports.endpoints()::index);
     metrics.gauge(
-        "engine_connections", "Engine connections open or coming up.", transports::openConnections);
+        "engine_connections",
+        "Engine connections open or being opened.",
+        transports::openConnections);
     metrics.gauge(
-        "requests_owed",
-        "Requests taken and not yet answered.",
+        "requests_pending",
+        "Requests accepted and not yet answered.",
         () -> clients.requests().unanswered().size());
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/InvariantReporter.java
+++ b/gateway/src/main/java/tillerlink/net/state/InvariantReporter.java
@@ -76,7 +76,7 @@
               engine,
               "attempts",
               pending.inFlightAttempts.size(),
-              "list",
+              "list_state",
               listStatus.state(),
               "version",
               listStatus.version());
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -31,7 +31,7 @@
   public void send(InFlightAttempt inFlight) {
     EngineConnection connection = connectionFor(inFlight);
     if (connection == null) {
-      owner.warnRateLimited("no room for a further engine connection");
+      owner.warnRateLimited("engine connection limit reached");
       endUnsent(inFlight, DisconnectReason.NO_ROOM);
     } else {
       connection.send(inFlight);
--- a/gateway/src/main/java/tillerlink/net/state/PauseDetector.java
+++ b/gateway/src/main/java/tillerlink/net/state/PauseDetector.java
@@ -55,11 +55,7 @@
     telemetry
         .log()
         .event(
-            clock,
-            Topic.PROCESS,
-            "process stood still",
-            "ms",
-            (clock - previous) / Units.TENTHS_PER_MS);
+            clock, Topic.PROCESS, "process paused", "ms", (clock - previous) / Units.TENTHS_PER_MS);
     pausedFrom = previous < unreadUntil ? pausedFrom : previous;
     resumedAt = clock;
     unreadUntil = clock + CATCH_UP;
--- a/gateway/src/main/java/tillerlink/net/state/PolicyEvents.java
+++ b/gateway/src/main/java/tillerlink/net/state/PolicyEvents.java
@@ -39,7 +39,7 @@
   // ---- requests ----
 
   void requestArrived(PendingResponse pending) {
-    telemetry.metrics().add(Counter.REQUESTS_TAKEN);
+    telemetry.metrics().add(Counter.REQUESTS_ACCEPTED);
     invariants.requestAccepted();
     policy.onRequestArrived(iteration.now(), pending.request);
     decisionsPending = true;
@@ -47,7 +47,7 @@
 
   /** The client cancelled the request, or nothing is owed to it any more. */
   void clientDisconnected(PendingResponse pending) {
-    telemetry.metrics().add(Counter.REQUESTS_ABANDONED);
+    telemetry.metrics().add(Counter.REQUESTS_CANCELLED);
     policy.onClientDisconnected(iteration.now(), pending.request);
     decisionsPending = true;
   }
--- a/gateway/src/main/java/tillerlink/net/state/RateLimitedWarning.java
+++ b/gateway/src/main/java/tillerlink/net/state/RateLimitedWarning.java
@@ -10,15 +10,15 @@
   private static final long EVERY = 1000 * Units.TENTHS_PER_MS;
 
   private long nextAt;
-  private long leftOut;
+  private long suppressed;
 
   void warn(long now, String line) {
     if (now < nextAt) {
-      leftOut++;
+      suppressed++;
       return;
     }
-    LOG.warn(leftOut == 0 ? line : line + " (" + leftOut + " lines left out)");
+    LOG.warn(suppressed == 0 ? line : line + " (" + suppressed + " lines suppressed)");
     nextAt = now + EVERY;
-    leftOut = 0;
+    suppressed = 0;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
+++ b/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
@@ -102,11 +102,11 @@
     }
     if (byId.size() >= maxOpen || retained.isFull()) {
       context.warnRateLimited(
-          "no room for a further submission: "
+          "request limit reached: "
               + byId.size()
-              + " with "
+              + " requests with "
               + retained.bytes()
-              + " bytes");
+              + " bytes retained");
       return overloaded();
     }
     return null;
@@ -186,7 +186,7 @@
           .event(
               now,
               Topic.REQUEST,
-              "request abandoned by its client",
+              "request cancelled by its client",
               "id",
               pending.id(),
               "attempts",
--- a/gateway/src/main/java/tillerlink/telemetry/Counter.java
+++ b/gateway/src/main/java/tillerlink/telemetry/Counter.java
@@ -2,32 +2,35 @@
 
 /** What a gateway counts, by the names and help texts under which monitoring reads it. */
 public enum Counter {
-  REQUESTS_TAKEN("requests_taken_total", "Requests accepted from clients."),
+  REQUESTS_ACCEPTED("requests_accepted_total", "Requests accepted from clients."),
   REQUESTS_ANSWERED(
       "requests_answered_total", "Requests whose result was made ready for the client."),
-  REQUESTS_REFUSED("requests_refused_total", "Requests refused, by reason."),
+  REQUESTS_REJECTED("requests_rejected_total", "Requests rejected, by reason."),
   REQUESTS_FAILED("requests_failed_total", "Requests failed, by reason."),
-  REQUESTS_ABANDONED(
-      "requests_abandoned_total", "Requests whose client cancelled or left before the answer."),
+  REQUESTS_CANCELLED(
+      "requests_cancelled_total",
+      "Requests whose client cancelled or disconnected before the answer."),
   ATTEMPTS_ORDERED("attempts_ordered_total", "Attempts that the policy ordered."),
   ATTEMPTS_REPEATED("attempts_repeated_total", "Attempts after a request's first."),
   ATTEMPTS_WRITTEN("attempts_written_total", "Attempts written to a connection."),
-  ATTEMPTS_WITHHELD("attempts_withheld_total", "Attempts not written, by the reason of the guard."),
+  ATTEMPTS_BLOCKED(
+      "attempts_blocked_total", "Attempts not written, by the verdict that forbade it."),
   ATTEMPTS_ENDED("attempts_ended_total", "Attempts that ended, by outcome."),
   CLIENT_CONNECTIONS_ENDED(
       "client_connections_ended_total", "Client connections that ended, by cause."),
   ENGINE_CONNECTIONS_ENDED(
       "engine_connections_ended_total", "Engine connections that ended, by cause."),
-  DISCOVERY_QUESTIONS("discovery_questions_total", "Questions sent to the name service."),
-  DISCOVERY_ANSWERS("discovery_answers_total", "Usable answers of the name service."),
+  DISCOVERY_QUERIES("discovery_queries_total", "Queries sent to the discovery service."),
+  DISCOVERY_ANSWERS("discovery_answers_total", "Usable answers of the discovery service."),
   DISCOVERY_UNUSABLE_ANSWERS(
-      "discovery_unusable_answers_total", "Datagrams of the name service that were dropped."),
+      "discovery_unusable_answers_total", "Datagrams of the discovery service that were dropped."),
   DISCOVERY_SOCKETS_REPLACED(
-      "discovery_sockets_replaced_total", "Times the socket to the name service was replaced."),
-  PAUSES("process_pauses_total", "Times the process stood still for over 0.1 s."),
+      "discovery_sockets_replaced_total",
+      "Times the socket to the discovery service was replaced."),
+  PAUSES("process_pauses_total", "Times the process was paused for over 0.1 s."),
   INVARIANT_VIOLATIONS(
       "invariant_violations_total",
-      "Writes and answers that broke a rule, by rule; expected to stay 0.");
+      "Writes and answers that violated an invariant, by invariant; expected to stay 0.");
 
   private static final String PREFIX = "tillerlink_";
 
--- a/gateway/src/main/java/tillerlink/telemetry/EventLog.java
+++ b/gateway/src/main/java/tillerlink/telemetry/EventLog.java
@@ -11,8 +11,8 @@
 /**
  * Structured lines on what happened and why: a topic, an event, and fields as {@code key=value}.
  * Each topic has a token bucket of its own, so that trouble which repeats fills neither the log nor
- * the processor; what was left out is counted and told with the next line of that topic. Owned by
- * the thread that owns the state.
+ * the processor; suppressed lines are counted, and the count is part of the next line of that
+ * topic. Owned by the thread that owns the state.
  */
 public final class EventLog {
   /** What a line is about. */
@@ -30,11 +30,11 @@
   private static final int BURST = 40;
   private static final long TENTHS_PER_LINE = 2_000;
 
-  /** Lines that a topic may still write, and those that it left out. */
+  /** Lines that a topic may still write, and those that it suppressed. */
   private static final class Bucket {
     private double tokens = BURST;
     private long filledAt = Long.MIN_VALUE;
-    private long leftOut;
+    private long suppressed;
 
     boolean take(long now) {
       if (filledAt != Long.MIN_VALUE) {
@@ -42,7 +42,7 @@
       }
       filledAt = now;
       if (tokens < 1) {
-        leftOut++;
+        suppressed++;
         return false;
       }
       tokens--;
@@ -80,9 +80,9 @@
     for (int i = 0; i + 1 < fields.length; i += 2) {
       line = line.addKeyValue(String.valueOf(fields[i]), fields[i + 1]);
     }
-    if (bucket.leftOut > 0) {
-      line = line.addKeyValue("left_out", bucket.leftOut);
-      bucket.leftOut = 0;
+    if (bucket.suppressed > 0) {
+      line = line.addKeyValue("suppressed", bucket.suppressed);
+      bucket.suppressed = 0;
     }
     line.log(what);
   }
--- a/gateway/src/test/java/tillerlink/ServeTest.java
+++ b/gateway/src/test/java/tillerlink/ServeTest.java
@@ -126,7 +126,7 @@
     assertEquals(
         "text/plain; version=0.0.4; charset=utf-8",
         metrics.headers().firstValue("Content-Type").orElse(""));
-    assertTrue(metrics.body().contains("tillerlink_requests_taken_total 2\n"), metrics.body());
+    assertTrue(metrics.body().contains("tillerlink_requests_accepted_total 2\n"), metrics.body());
     assertTrue(metrics.body().contains("tillerlink_requests_answered_total 1\n"), metrics.body());
     assertTrue(
         metrics.body().contains("tillerlink_invariant_violations_total 0\n"), metrics.body());
@@ -237,7 +237,7 @@
     hangUp(gateway);
     BufferedReader log = gateway.errorReader(StandardCharsets.UTF_8);
     String line = log.readLine();
-    while (!line.contains("all stays as it was")) {
+    while (!line.contains("keeping the previous one")) {
       line = log.readLine();
     }
     names.receive(new DatagramPacket(new byte[512], 512));
--- a/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
+++ b/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
@@ -92,7 +92,7 @@
               "soon",
               new String(accepted.getInputStream().readNBytes(4), StandardCharsets.US_ASCII));
           take(queue, () -> heard.events.size() == 4);
-          assertEquals(List.of("opened", "written", "withheld", "written at 100"), heard.events);
+          assertEquals(List.of("opened", "written", "expired", "written at 100"), heard.events);
         }
       }
     }
@@ -132,8 +132,8 @@
     }
 
     @Override
-    public void onWithheld() {
-      events.add("withheld");
+    public void onWriteExpired() {
+      events.add("expired");
     }
 
     @Override
--- a/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
@@ -136,7 +136,7 @@
     taken.heard(ROWS);
     taken.endedAndRead();
     assertEquals(Engine.OVER, engine.wanted());
-    gone("0 requests without an answer");
+    gone("0 requests unanswered");
   }
 
   /**
@@ -157,7 +157,7 @@
     long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told);
     assertTrue(ms >= 3000, "given up after " + ms + " ms already");
     waits.endedAndRead();
-    gone("0 requests without an answer");
+    gone("0 requests unanswered");
   }
 
   /**
--- a/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
+++ b/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
@@ -20,14 +20,14 @@
     metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.NOT_SENT);
     metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.NOT_SENT);
     metrics.add(Counter.ATTEMPTS_ENDED, AttemptOutcome.FAILED);
-    metrics.gauge("engine_list_version", "Number of the last event.", () -> 7);
+    metrics.gauge("endpoint_list_version", "Number of the last event.", () -> 7);
     String text = metrics.exposition();
     assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"not_sent\"} 2\n"), text);
     assertTrue(text.contains("tillerlink_attempts_ended_total{reason=\"failed\"} 1\n"), text);
     assertTrue(text.contains("tillerlink_invariant_violations_total 0\n"), text);
     assertTrue(
         text.contains(
-            "# TYPE tillerlink_engine_list_version gauge\ntillerlink_engine_list_version 7\n"),
+            "# TYPE tillerlink_endpoint_list_version gauge\ntillerlink_endpoint_list_version 7\n"),
         text);
     for (Counter counter : Counter.values()) {
       assertTrue(text.contains("# TYPE " + counter.exposedName + " counter\n"), counter::name);
@@ -57,7 +57,7 @@
     String text = written.toString(StandardCharsets.UTF_8);
     assertEquals(42, text.lines().count(), text);
     assertTrue(text.contains("topic=engine engine=e1"), text);
-    assertTrue(text.contains("id=later left_out=960"), text);
+    assertTrue(text.contains("id=later suppressed=960"), text);
   }
 
   @Test
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -107,7 +107,7 @@
     boolean resumed = inFlight.resultStarted();
     SendVerdict verdict = resumed ? SendVerdict.ALLOWED : inFlight.checkWrite();
     if (verdict != SendVerdict.ALLOWED) {
-      owner.attemptWithheld(inFlight, verdict);
+      owner.attemptBlocked(inFlight, verdict);
       endInNextIteration(inFlight, StreamTermination.WITHDRAWN.outcome(false, false));
       return;
     }
@@ -120,7 +120,8 @@
     try {
       streamId = protocol.open(headers, body);
     } catch (IllegalArgumentException e) {
-      owner.warnRateLimited("engine " + engineAddress.id + " takes no header lists that long");
+      owner.warnRateLimited(
+          "engine " + engineAddress.id + " does not accept header lists of that length");
       endInNextIteration(inFlight, StreamTermination.NO_ROOM.outcome(false, resumed));
       return;
     }
@@ -251,7 +252,8 @@
     } else if (event instanceof Event.Ended ended) {
       onStreamEnded(streams.get(ended.stream()), ended.how());
     } else if (event instanceof Event.Broken broken) {
-      owner.warnRateLimited("engine " + engineAddress.id + " broke HTTP/2: " + broken.why());
+      owner.warnRateLimited(
+          "HTTP/2 protocol error from engine " + engineAddress.id + ": " + broken.why());
       flush();
       end(StreamTermination.GARBLED, DisconnectReason.GARBLED);
     } else if (event instanceof Event.Leaving && streams.isEmpty()) {
@@ -295,7 +297,7 @@
     }
     InFlightAttempt inFlight = stream.inFlight;
     if (inFlight.resultSize() + body.bytes().length > MAX_RESULT_BYTES) {
-      owner.warnRateLimited("engine " + engineAddress.id + " sent a result too long");
+      owner.warnRateLimited("result from engine " + engineAddress.id + " is too long");
       finish(stream, StreamTermination.GARBLED);
       return;
     }
@@ -410,7 +412,8 @@
     } else if (!protocol.isWhole(stream.streamId)) {
       stream.windowShutSince = stream.windowShutSince == 0 ? now : stream.windowShutSince;
       if (now >= stream.windowShutSince + connectTimeout) {
-        owner.warnRateLimited("engine " + engineAddress.id + " keeps its window shut");
+        owner.warnRateLimited(
+            "engine " + engineAddress.id + " keeps its flow-control window closed");
         finish(stream, StreamTermination.WINDOW_SHUT);
       }
     }
@@ -445,7 +448,11 @@
     }
     if (liveness.isSilent()) {
       owner.warnRateLimited(
-          "engine " + engineAddress.id + " is silent, " + streams.size() + " hops end in doubt");
+          "engine "
+              + engineAddress.id
+              + " is silent; "
+              + streams.size()
+              + " attempts end with unknown outcome");
       end(StreamTermination.SILENT, DisconnectReason.SILENT);
     } else if (streams.isEmpty()) {
       retire();
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -46,7 +46,7 @@
   @Override
   public void send(InFlightAttempt inFlight) {
     if (waiting.size() >= maxWaiting) {
-      owner.warnRateLimited("no room for a further stream to engine " + engineAddress.id);
+      owner.warnRateLimited("stream limit to engine " + engineAddress.id + " reached");
       endUnsent(inFlight, StreamTermination.NO_ROOM);
       return;
     }
