--- a/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -119,10 +119,10 @@
   }
 
   @Override
-  public Remembered loadAtStart(long now) {
+  public CachedList loadAtStart(long now) {
     StalenessModel trust = trust(now);
     if (trust == StalenessModel.TOO_OLD) {
-      return new Remembered(null, Map.of());
+      return new CachedList(null, Map.of());
     }
     List<EndpointEntry> entries = new ArrayList<>();
     Map<String, Double> levels = new LinkedHashMap<>();
@@ -132,7 +132,7 @@
         levels.put(seen.entry().id(), trust.level);
       }
     }
-    return new Remembered(new EndpointWatchEvent(0, true, entries), levels);
+    return new CachedList(new EndpointWatchEvent(0, true, entries), levels);
   }
 
   /**
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
@@ -107,7 +107,7 @@
     EndpointHistory first = memory();
     first.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
     first.onEndpointsReceived(NOW + SECOND, list(2, "a", "b-", "c"));
-    EndpointCache.Remembered later = memory().loadAtStart(NOW + 60 * SECOND);
+    EndpointCache.CachedList later = memory().loadAtStart(NOW + 60 * SECOND);
     assertEquals("a b- c", print(later.engines()));
     assertEquals(0.9, later.trust().get("a"));
     assertNull(memory().loadAtStart(NOW + 30 * HOUR).engines());
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
@@ -155,7 +155,7 @@
   @Test
   void aGatewayStartsFromTheListOfTheReleaseBefore() throws IOException {
     copy();
-    EndpointCache.Remembered remembered = open().loadAtStart(TOLD_AT + 10_000);
+    EndpointCache.CachedList remembered = open().loadAtStart(TOLD_AT + 10_000);
     assertEquals(
         new EndpointWatchEvent(0, true, List.of(drains(), serves())), remembered.engines());
     assertEquals(Set.of("drains", "serves"), remembered.trust().keySet());
--- a/gateway/src/main/java/tillerlink/net/state/EndpointCache.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointCache.java
@@ -4,24 +4,26 @@
 import tillerlink.net.wire.EndpointWatchEvent;
 
 /**
- * What a gateway remembers of the engines across restarts, for a start with discovery down. Called
- * in turns, it never waits.
+ * What a gateway caches of the endpoint list across restarts, for a start while the discovery
+ * service is unavailable. Called on the event-loop thread, within iterations; it never blocks. All
+ * times are tenths of a millisecond.
  */
 public interface EndpointCache {
   /**
-   * What is remembered, weighed by its age.
+   * The cached list, weighed by its age.
    *
-   * @param engines the engines, or null if nothing is, or it is too old to trust at all
+   * @param engines the engines, or null if none are cached, or the list is too old to be trusted at
+   *     all
    * @param trust of each engine by id, above 0 and below 1
    */
-  record Remembered(EndpointWatchEvent engines, Map<String, Double> trust) {}
+  record CachedList(EndpointWatchEvent engines, Map<String, Double> trust) {}
 
-  /** Asked once, at a start for which discovery told nothing. Times are tenths of a millisecond. */
-  Remembered loadAtStart(long now);
+  /** Called once, at a start at which the discovery service has published nothing. */
+  CachedList loadAtStart(long now);
 
   /**
-   * Discovery told the list; what is to be taken for it. Guards against one that lost half of the
-   * fleet at once.
+   * The discovery service has published a list; the list to apply instead. Guards against one that
+   * lost half of the fleet at once.
    */
-  EndpointWatchEvent onEndpointsReceived(long now, EndpointWatchEvent news);
+  EndpointWatchEvent onEndpointsReceived(long now, EndpointWatchEvent received);
 }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -13,21 +13,24 @@
 import tillerlink.telemetry.EventLog.Topic;
 import tillerlink.telemetry.Telemetry;
 
-/** The engines as last told. */
+/**
+ * The engines by their ids as last published, each with its transport. Owned by the event-loop
+ * thread; all times are tenths of a millisecond.
+ */
 final class EndpointList {
   private final Map<String, EngineAddress> engines = new LinkedHashMap<>();
   private final List<?> kinds;
   private final List<?> zones;
   private final EndpointListStatus status;
 
-  /** The newest news that were not whole. */
+  /** Number of the newest watch event that was not complete. */
   private long partialIndex;
 
   /**
-   * When a whole list was told last: what is new in a later one was not there then; never, at
+   * When a whole list was last published: what is new in a later one was not there then; never, at
    * first.
    */
-  private long listedAt = Long.MIN_VALUE;
+  private long wholeListAt = Long.MIN_VALUE;
 
   private final Telemetry telemetry;
   private final EngineTransport.Owner owner;
@@ -47,29 +50,29 @@
     zones = terms.list("zones");
   }
 
-  /** What is new in the news, or null if they are older than what is known. */
-  List<EndpointUpdate> take(EndpointWatchEvent news) {
-    if (news.index() <= index() || news.index() < partialIndex) {
+  /** Applies a watch event; what it updates, or null if it is older than the list. */
+  List<EndpointUpdate> apply(EndpointWatchEvent event) {
+    if (event.index() <= index() || event.index() < partialIndex) {
       return null;
     }
-    if (news.partial()) {
-      partialIndex = news.index();
+    if (event.partial()) {
+      partialIndex = event.index();
     } else {
-      status.setVersion(news.index());
+      status.setVersion(event.index());
     }
-    return listed(news, Map.of());
+    return update(event, Map.of());
   }
 
   /**
-   * Partial news with what is known put in where only the standing was told. Guards the drain: it
-   * is obeyed though the rest of the answer was lost. What is not known yet can wait.
+   * A partial watch event, completed by what is known where only the status was published. Guards
+   * the drain: it is obeyed though the rest of the answer was lost. What is not known yet can wait.
    */
-  EndpointWatchEvent filled(EndpointWatchEvent news) {
-    if (!news.partial()) {
-      return news;
+  EndpointWatchEvent complete(EndpointWatchEvent event) {
+    if (!event.partial()) {
+      return event;
     }
     List<EndpointEntry> entries = new ArrayList<>();
-    for (EndpointEntry entry : news.entries()) {
+    for (EndpointEntry entry : event.entries()) {
       EngineAddress engineAddress = engines.get(entry.id());
       if (entry.address() != null) {
         entries.add(entry);
@@ -77,40 +80,40 @@
         entries.add(engineAddress.entry.as(entry.standing()));
       }
     }
-    return new EndpointWatchEvent(news.index(), false, true, entries);
+    return new EndpointWatchEvent(event.index(), false, true, entries);
   }
 
-  /** What was remembered; any news are newer. */
-  List<EndpointUpdate> remember(EndpointCache.Remembered remembered) {
-    return listed(remembered.engines(), remembered.trust());
+  /** Takes over the cached list; any watch event is newer. */
+  List<EndpointUpdate> restore(EndpointCache.CachedList cached) {
+    return update(cached.engines(), cached.trust());
   }
 
-  private List<EndpointUpdate> listed(EndpointWatchEvent news, Map<String, Double> trust) {
-    List<EndpointUpdate> listed = new ArrayList<>(news.entries().size());
-    for (EndpointEntry entry : news.entries()) {
+  private List<EndpointUpdate> update(EndpointWatchEvent event, Map<String, Double> trust) {
+    List<EndpointUpdate> updates = new ArrayList<>(event.entries().size());
+    for (EndpointEntry entry : event.entries()) {
       EngineAddress engineAddress = engines.get(entry.id());
       if (engineAddress == null) {
         engineAddress = new EngineAddress(entry.id());
         engineAddress.transport = transports.create(owner, engineAddress, entry.kind());
         engines.put(entry.id(), engineAddress);
       }
-      engineAddress.update(entry, owner.now(), listedAt);
-      logChange(engineAddress, entry, news.index());
-      listed.add(
+      engineAddress.update(entry, owner.now(), wholeListAt);
+      logChange(engineAddress, entry, event.index());
+      updates.add(
           new EndpointUpdate(
               engineAddress.engine,
-              place(kinds, entry.kind()),
-              place(zones, entry.zone()),
+              indexOf(kinds, entry.kind()),
+              indexOf(zones, entry.zone()),
               entry.cell(),
               entry.weight(),
               entry.standing(),
               engineAddress.startedAt(),
               trust.getOrDefault(entry.id(), 1.0)));
     }
-    if (news.whole()) {
-      listedAt = owner.now();
+    if (event.whole()) {
+      wholeListAt = owner.now();
     }
-    return listed;
+    return updates;
   }
 
   private void logChange(EngineAddress engineAddress, EndpointEntry entry, long version) {
@@ -134,22 +137,22 @@
     }
   }
 
-  /** What was told so far may be of any age: it does not say when a process was not there yet. */
-  void listedLongAgo() {
-    listedAt = Long.MIN_VALUE;
+  /** What was published so far may be of any age: it does not say when a process was missing. */
+  void forgetListTime() {
+    wholeListAt = Long.MIN_VALUE;
   }
 
-  /** A name that the settings don't know stands behind all that they do. */
-  private static int place(List<?> names, String name) {
-    int place = names.indexOf(name);
-    return place < 0 ? names.size() : place;
+  /** The index of a name in the settings; one that they do not contain follows all others. */
+  private static int indexOf(List<?> names, String name) {
+    int index = names.indexOf(name);
+    return index < 0 ? names.size() : index;
   }
 
-  /** Looks after the connections; closes what leads to engines that are gone, and forgets these. */
-  void sweep(long connectMost, long idleMost) {
+  /** Checks connections; retires those to engines that are gone, and forgets these once empty. */
+  void checkTimeouts(long connectTimeout, long idleTimeout) {
     for (Iterator<EngineAddress> i = engines.values().iterator(); i.hasNext(); ) {
       EngineAddress engineAddress = i.next();
-      engineAddress.transport.checkTimeouts(connectMost, idleMost);
+      engineAddress.transport.checkTimeouts(connectTimeout, idleTimeout);
       if (engineAddress.engine.standing == Status.GONE) {
         engineAddress.transport.retireConnections();
         if (engineAddress.transport.isEmpty() && engineAddress.engine.out.isEmpty()) {
@@ -159,8 +162,8 @@
     }
   }
 
-  /** Ends the connection that has been idle longest; false if none is idle. */
-  boolean endIdle() {
+  /** Closes the connection that has been idle longest; false if none is idle. */
+  boolean closeLongestIdle() {
     EngineTransport longest = null;
     for (EngineAddress engineAddress : engines.values()) {
       if (engineAddress.transport.idleSince()
--- /dev/null
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
@@ -0,0 +1,115 @@
+package tillerlink.net.state;
+
+import java.util.List;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+import tillerlink.model.EndpointUpdate;
+import tillerlink.net.wire.EndpointWatchEvent;
+import tillerlink.policy.InvariantMonitor;
+import tillerlink.port.DispatchPolicy;
+import tillerlink.telemetry.EventLog.Topic;
+import tillerlink.telemetry.Telemetry;
+
+/**
+ * Applies watch events of the discovery service to the endpoint list and notifies the policy of
+ * what changed. Starts from the endpoint cache where the discovery service is unavailable at the
+ * start. Owned by the event-loop thread; all times are tenths of a millisecond.
+ */
+final class EndpointListUpdater {
+  private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
+
+  private final EndpointList endpoints;
+  private final DispatchPolicy policy;
+  private final InvariantMonitor invariants;
+  private final EndpointCache endpointCache;
+  private final Telemetry telemetry;
+
+  /** The discovery service has published no list since the start. */
+  private boolean startedWithoutList;
+
+  /**
+   * @param endpointCache what is cached across restarts; null: nothing
+   */
+  EndpointListUpdater(
+      EndpointList endpoints,
+      DispatchPolicy policy,
+      InvariantMonitor invariants,
+      EndpointCache endpointCache,
+      Telemetry telemetry) {
+    this.invariants = invariants;
+    this.endpoints = endpoints;
+    this.policy = policy;
+    this.endpointCache = endpointCache;
+    this.telemetry = telemetry;
+  }
+
+  /**
+   * Whether the list in force is the cached one, whose trust the policy weighs, or none, until the
+   * discovery service answers.
+   */
+  boolean usesCachedList() {
+    return startedWithoutList;
+  }
+
+  /** Applies the lists that are known at the start, or the cached one if these are empty. */
+  void start(long now, List<EndpointWatchEvent> known) {
+    known.forEach(event -> apply(now, event));
+    endpoints.forgetListTime();
+    if (endpointCache != null && known.stream().allMatch(event -> event.entries().isEmpty())) {
+      startWithoutList(now);
+    }
+  }
+
+  /** Applies a watch event; whether the policy was notified of anything. */
+  boolean apply(long now, EndpointWatchEvent received) {
+    EndpointWatchEvent completed = endpoints.complete(received);
+    boolean newer = completed.index() > endpoints.index();
+    EndpointWatchEvent event =
+        endpointCache != null && newer
+            ? endpointCache.onEndpointsReceived(now, completed)
+            : completed;
+    List<EndpointUpdate> updates = endpoints.apply(event);
+    if (updates != null) {
+      telemetry
+          .log()
+          .event(
+              now,
+              Topic.DISCOVERY,
+              "endpoint list updated",
+              "version",
+              event.index(),
+              "engines",
+              updates.size(),
+              "whole",
+              event.whole(),
+              "newer",
+              newer);
+      invariants.listed(now, event.whole(), updates);
+      policy.onEndpointsChanged(now, event.whole(), updates);
+    }
+    if (startedWithoutList && newer) {
+      startedWithoutList = false;
+      policy.onEndpointsUnknown(now, false);
+      LOG.info("discovery service answers; endpoint list version {}", event.index());
+    }
+    return updates != null;
+  }
+
+  /** The discovery service is unavailable: the cached list is used, or none at all. */
+  private void startWithoutList(long now) {
+    EndpointCache.CachedList cached = endpointCache.loadAtStart(now);
+    startedWithoutList = true;
+    if (cached.engines() == null) {
+      policy.onEndpointsUnknown(now, true);
+      LOG.warn(
+          "no endpoint list from the discovery service and no usable cached one; rejecting all"
+              + " requests");
+    } else {
+      policy.onEndpointsChanged(now, true, endpoints.restore(cached));
+      LOG.atWarn()
+          .addKeyValue("engines", cached.engines().entries().size())
+          .addKeyValue("trust", cached.trust().values().stream().findFirst().orElse(0.0))
+          .log("no endpoint list from the discovery service; starting from the cached one");
+    }
+  }
+}
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
@@ -14,16 +14,19 @@
 final class EndpointListWatch {
   private final GatewayContext context;
   private final DiscoveryClient client;
-  private final Discovery discovery;
+  private final EndpointListUpdater updater;
   private final EndpointList endpoints;
   private final EndpointListStatus status;
   private long usableUntil = -1;
 
   EndpointListWatch(
-      GatewayContext context, DiscoveryClient client, Discovery discovery, EndpointList endpoints) {
+      GatewayContext context,
+      DiscoveryClient client,
+      EndpointListUpdater updater,
+      EndpointList endpoints) {
     this.context = context;
     this.client = client;
-    this.discovery = discovery;
+    this.updater = updater;
     this.endpoints = endpoints;
     status = context.listStatus();
   }
@@ -34,19 +37,19 @@
    * @param known the endpoint lists that the configuration contains
    */
   void start(List<EndpointWatchEvent> known) {
-    discovery.start(context.now(), known);
+    updater.start(context.now(), known);
   }
 
   /** Polls the discovery service if that is due, and notifies the policy of the list's state. */
   void checkTimeouts() {
-    client.sweep(context.now());
+    client.pollIfDue(context.now());
     updateState();
   }
 
   private void updateState() {
     long now = context.now();
     // A cached list is known to be old, and the policy weighs how far it trusts each engine of it.
-    boolean cached = discovery.goesByMemory();
+    boolean cached = updater.usesCachedList();
     EndpointListState state = cached ? EndpointListState.DEGRADED : client.lease().state(now);
     long until = cached ? Long.MAX_VALUE : client.lease().usableUntil(now);
     if (state != status.state()) {
@@ -82,7 +85,7 @@
   void onDatagram(byte[] datagram) {
     long now = context.now();
     try {
-      if (discovery.listed(now, client.take(now, datagram, endpoints.index()))) {
+      if (updater.apply(now, client.onAnswer(now, datagram, endpoints.index()))) {
         context.policyEvents().requireDecisions();
       }
     } catch (IllegalArgumentException e) {
@@ -93,7 +96,7 @@
 
   /** The discovery service is to be polled at another address. */
   void onAddressChanged() {
-    client.moved(context.now());
+    client.onAddressChanged(context.now());
   }
 
   /** Whether an answer of the discovery service confirms the list in force. */
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -156,7 +156,7 @@
 
   @Override
   public boolean reserveConnection() {
-    return openConnections < settings.maxConnections() || endpoints.endIdle();
+    return openConnections < settings.maxConnections() || endpoints.closeLongestIdle();
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
+++ b/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
@@ -86,7 +86,7 @@
   }
 
   private void sweep(long now) {
-    transports.endpoints().sweep(settings.connectTimeout(), settings.idleTimeout());
+    transports.endpoints().checkTimeouts(settings.connectTimeout(), settings.idleTimeout());
     clients.sweep(transports::timeOut);
     if (now >= summaryAt) {
       summaryAt = now + SUMMARY_INTERVAL;
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -101,9 +101,9 @@
     ActionExecutor actions = new ActionExecutor(context, clients.requests(), transports);
     DispatchPolicy policy = factory.create(now, config.seed(), flattened, actions);
     context.policyEvents().setPolicy(policy);
-    Discovery discovery =
-        new Discovery(endpoints, policy, context.monitor(), endpointCache, telemetry);
-    endpointWatch = new EndpointListWatch(context, discoveryClient, discovery, endpoints);
+    EndpointListUpdater updater =
+        new EndpointListUpdater(endpoints, policy, context.monitor(), endpointCache, telemetry);
+    endpointWatch = new EndpointListWatch(context, discoveryClient, updater, endpoints);
     endpointWatch.start(config.known());
     eventLoop =
         new EventLoopIteration(context, clients, transports, endpointWatch, actions, settings);
--- a/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
+++ b/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
@@ -27,7 +27,7 @@
     for (long now = 0; now < 20 * SECOND; now += STEP) {
       int before = asked.ids.size();
       for (DiscoveryClient one : fleet) {
-        one.sweep(now);
+        one.pollIfDue(now);
         answer(one, now, asked, true);
       }
       most = Math.max(most, asked.ids.size() - before);
@@ -50,7 +50,7 @@
       int losses = 0;
       for (long now = 0; now < 20 * SECOND; now += STEP) {
         int before = asked.ids.size();
-        one.sweep(now);
+        one.pollIfDue(now);
         if (asked.ids.size() == before) {
           continue;
         }
@@ -73,7 +73,7 @@
     List<DiscoveryClient> fleet = fleet(asked);
     for (long now = 0; now < 20 * SECOND; now += STEP) {
       for (DiscoveryClient one : fleet) {
-        one.sweep(now);
+        one.pollIfDue(now);
       }
     }
     double each = asked.ids.size() / 20.0 / GATEWAYS;
@@ -89,7 +89,7 @@
     Asked asked = new Asked();
     DiscoveryClient one = new DiscoveryClient(asked, 7, 0, GRACE, Telemetry.silent());
     for (long now = 0; now < 5 * SECOND; now += STEP) {
-      one.sweep(now);
+      one.pollIfDue(now);
       if (asked.unanswered >= 0) {
         byte[] cut =
             Arrays.copyOf(
@@ -97,7 +97,7 @@
                     asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"),
                 60);
         long at = now;
-        assertThrows(IllegalArgumentException.class, () -> one.take(at, cut, 1));
+        assertThrows(IllegalArgumentException.class, () -> one.onAnswer(at, cut, 1));
         asked.unanswered = -1;
       }
     }
@@ -115,7 +115,7 @@
 
   private static void answer(DiscoveryClient one, long now, Asked asked, boolean arrives) {
     if (asked.unanswered >= 0 && arrives) {
-      one.take(
+      one.onAnswer(
           now,
           tillerlink.Lists.answer(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"),
           1);
