--- a/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -26,8 +26,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(GatewayServer.class);
 
   /**
-   * Kept in reserve beside those that the process has open when it starts: two ways to the name
-   * service and one that is being replaced, the door, three selectors of three each, the
+   * Reserved beside those that the process has open when it starts: two sockets to the discovery
+   * service and one that is being replaced, the listening one, three selectors of three each, the
    * configuration read again, some of the system's.
    */
   private static final int RESERVED_DESCRIPTORS = 24;
--- a/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
@@ -104,7 +104,7 @@
 
   @Override
   public void flush() {
-    // What was written is taken in the turns that follow.
+    // What was written is taken in the iterations that follow.
   }
 
   /** A connection at whose other end an engine answers at once, or a client reads. */
--- a/gateway/src/main/java/tillerlink/net/state/Channel.java
+++ b/gateway/src/main/java/tillerlink/net/state/Channel.java
@@ -1,52 +1,61 @@
 package tillerlink.net.state;
 
-/** One connection as seen from here; what is written goes out at the end of the turn, in order. */
+/**
+ * One connection as seen from here. Used on the event-loop thread alone; what is written goes out
+ * at the end of the iteration, in order.
+ */
 public interface Channel {
+  /** Writes bytes. */
   void write(byte[] bytes);
 
   /**
-   * The same, but none of it goes out if its first byte can't before that moment; then the owner
-   * hears {@link Owner#onWriteExpired} in place of {@link Owner#onWritten}.
+   * Writes bytes, but none of them if the first can't be written before that moment; then the owner
+   * gets {@link Owner#onWriteExpired} in place of {@link Owner#onWritten}.
+   *
+   * @param before tenths of a millisecond
    */
   default void writeUntil(byte[] bytes, long before) {
     write(bytes);
   }
 
   /**
-   * Nothing more is written: once all that was has gone out, the peer is told so. What it still
-   * says is told until it ends the connection as well, or a second has passed.
+   * Nothing more is written: once everything has been written, the output ends. What the peer still
+   * sends is passed on until it ends the connection as well, or a second has passed.
    */
   void close();
 
   /** Ends it at once. */
   void abort();
 
-  /** Stops or resumes reading from it. */
-  void pauseReading(boolean held);
+  /** Pauses or resumes reading from it. */
+  void pauseReading(boolean paused);
 
-  /** Told of what happens on a channel, always by the one thread that owns the state. */
+  /** Notified of what happens on a channel, always on the event-loop thread. */
   interface Owner {
+    /** The connection has opened. */
     void onOpened();
 
+    /** Bytes were received. */
     void onBytes(byte[] bytes);
 
-    /** The oldest write that was not yet told of has gone out whole. */
+    /** The oldest write that was not yet reported has been written whole. */
     void onWritten();
 
     /**
-     * The same, told with the time at which its first byte went out; of what was written with a
-     * bound.
+     * The same, for a write with a bound.
+     *
+     * @param firstByteAt when its first byte was written, in tenths of a millisecond
      */
     default void onWritten(long firstByteAt) {
       onWritten();
     }
 
-    /** The oldest write that was not yet told of was late, and nothing of it has gone out. */
+    /** The oldest write that was not yet reported was late, and nothing of it was written. */
     default void onWriteExpired() {
       onWritten();
     }
 
-    /** Told once; nothing follows. */
+    /** The connection has ended; called once, and nothing follows. */
     void onClosed(DisconnectReason how);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/DisconnectReason.java
+++ b/gateway/src/main/java/tillerlink/net/state/DisconnectReason.java
@@ -2,35 +2,38 @@
 
 import tillerlink.model.AttemptOutcome;
 
-/** Every way a connection can end, and what each means for an attempt that was on it. */
+/**
+ * Every way a connection can end, and what each means for an attempt that was on it. The names are
+ * labels of metrics.
+ */
 public enum DisconnectReason {
   /** Nobody listens at the other end. */
   REFUSED,
   /** It did not come up in time. */
   NEVER_UP,
-  /** It did not say that it works, and a new one to the same place failed. */
+  /** It did not answer a probe, and a new one to the same address failed. */
   SILENT,
   RESET,
   CLOSED_BY_PEER,
   /**
-   * The peer said what can't be read, or half an answer and no more: what it bore has run, its
-   * answer is lost.
+   * The peer sent what can't be read, or half a response and no more: its attempts were executed,
+   * their responses are lost.
    */
   GARBLED,
   /**
-   * It did not say that it works, while the engine answers elsewhere: the connection alone is dead.
+   * It did not answer a probe, while the engine answers on another: the connection alone is dead.
    */
   MUTE,
   /** No descriptor or no room was left for it here. */
   NO_ROOM,
-  /** Its engine was said to drain, or to be gone, before a word of the attempt was written. */
+  /** Its engine drains, or is gone, and nothing of the attempt was written. */
   WITHDRAWN,
   /** The same, with a part of what was written still waiting here for a peer that does not read. */
   HELD_BACK,
   CLOSED_BY_US;
 
   /**
-   * @param whole the attempt may have come whole to the engine; else it surely never ran
+   * @param whole the attempt may have come whole to the engine; else it surely was not executed
    */
   public AttemptOutcome outcome(boolean whole) {
     return switch (this) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -7,32 +7,33 @@
 import tillerlink.plain.Units;
 import tillerlink.policy.StartTime;
 
-/** Where an engine is, and how it is reached. */
+/** Where an engine is, and how it is reached. Owned by the event-loop thread. */
 public final class EngineAddress {
   public final String id;
   public final Engine engine = new Engine(this);
   EngineTransport transport;
 
-  /** As it was last told whole, or null. */
+  /** As it was last published whole, or null. */
   EndpointEntry entry;
 
   private InetSocketAddress socketAddress;
   private long startedMs;
 
-  /** The same on this gateway's clock, within what can be. */
+  /** The same on this gateway's clock, bounded by what is possible. */
   private long startedAt;
 
   EngineAddress(String id) {
     this.id = id;
   }
 
+  /** Where its process listens. */
   public InetSocketAddress socketAddress() {
     return socketAddress;
   }
 
   /**
-   * What the list says now. Another address or start is another process: nothing meant for it goes
-   * to the old.
+   * Applies what the endpoint list contains now. Another address or start is another process:
+   * nothing meant for it goes to the old.
    *
    * @param missingAt up to when this process is known not to have been there, if it is new
    */
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
@@ -7,123 +7,125 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * How attempts reach one engine and what it says of them comes back: its connections, in whatever
- * protocol it speaks.
+ * How attempts reach one engine and its responses come back: its connections, in whatever protocol
+ * it speaks. Called on the event-loop thread; all times are tenths of a millisecond.
  */
 public interface EngineTransport {
-  /** What the state is told by a transport, in the turn in which it happened. */
+  /** What transports use of the gateway, and notify it of in the iteration in which it happened. */
   interface Owner {
-    /** Tenths of a millisecond; the clock of the turn. */
+    /** The time of this iteration. */
     long now();
 
-    /** Word on an attempt that is still out. */
+    /** An attempt in flight has made progress. */
     void attemptProgressed(InFlightAttempt inFlight, AttemptProgress progress, double level);
 
     /**
-     * An attempt is over; told once. One that was taken in this turn ends by {@link
-     * #runInNextIteration} at the soonest.
+     * An attempt has ended; called once for each. One that was sent in this iteration ends by
+     * {@link #runInNextIteration} at the soonest.
      */
     void attemptEnded(InFlightAttempt inFlight, AttemptOutcome outcome);
 
     /**
-     * All of an attempt that is {@link InFlightAttempt#fenced} has gone out; told before anything
-     * that comes of it.
+     * All of an attempt that is {@link InFlightAttempt#fenced} has been written; called before
+     * anything that comes of it.
      */
     void attemptWritten(InFlightAttempt inFlight);
 
-    /** An attempt is written in this turn; until when its first byte may go out. */
+    /** An attempt is written in this iteration; until when its first byte may be written. */
     long writeDeadline(InFlightAttempt inFlight);
 
     /**
-     * An attempt has gone out.
+     * An attempt was written.
      *
-     * @param before what {@link #writeDeadline} said
+     * @param before what {@link #writeDeadline} returned
      * @param limit how long its engine was told that the client waits
      */
     void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit);
 
-    /** An attempt was not written, for the guard did not allow it. */
+    /** An attempt was not written, for the verdict did not allow it. */
     void attemptBlocked(InFlightAttempt inFlight, SendVerdict verdict);
 
-    /** Something of the next turn. */
+    /** Runs a task at the beginning of the next iteration. */
     void runInNextIteration(Runnable task);
 
-    /** Bytes that are kept for a client, or no longer. */
+    /** Bytes are retained for a client, or no longer. */
     void retainedBytesChanged(long more);
 
-    /** What is counted and logged of attempts and connections. */
+    /** The counters and the event log. */
     Telemetry telemetry();
 
-    /** Warns, at a bounded rate. */
+    /** Logs a warning, at a bounded rate. */
     void warnRateLimited(String line);
 
-    /** Begins a connection. */
+    /** Opens a connection. */
     Channel connect(InetSocketAddress to, Channel.Owner owner);
 
     /** Connections to engines that may be open at once, by all transports together. */
     int maxConnections();
 
-    /** How many are open or coming up now. */
+    /** How many are open or being opened now. */
     int openConnections();
 
     /**
      * Whether one more may be opened. At the bound the one that has been idle longest, to any
-     * engine, ends for it: guards a fleet of more engines than connections, where those that are
-     * idle would lock the others out.
+     * engine, is closed for it: guards a fleet of more engines than connections, where those that
+     * are idle would lock the others out.
      */
     boolean reserveConnection();
 
-    /** How long what must not go out later may wait here for a peer that does not read. */
+    /** How long what must not be written later may wait here for a peer that does not read. */
     long maxWriteDelay();
 
     /** How many engines are known. */
     int engineCount();
 
-    /** One was dialed, or is over. */
+    /** Connections are being opened, or have ended. */
     void connectionCountChanged(int more);
   }
 
   /**
-   * An attempt is to go out. If there is no way to, it ends as one that never ran, in the next
-   * turn.
+   * Sends an attempt. If that is not possible, it ends as one that was never sent, in the next
+   * iteration.
    */
   void send(InFlightAttempt inFlight);
 
-  /** Gives an attempt up that is out; what that proves. The state ends it. */
+  /** Cancels an attempt in flight; what that proves about its execution. The caller ends it. */
   AttemptOutcome abandon(InFlightAttempt inFlight);
 
-  /** An attempt is over and is expected here no more. */
+  /** An attempt has ended and is expected here no more. */
   void release(InFlightAttempt inFlight);
 
-  /** Looks after what time brings. */
+  /** Does what is due. */
   void checkTimeouts(long connectTimeout, long idleTimeout);
 
   /**
-   * Takes no new attempts over what is open now: that leads to a process which is not the one
-   * listed.
+   * Sends no new attempts over what is open now: that leads to a process which is not the one that
+   * was published.
    */
   void retireConnections();
 
   /**
-   * Since when its connection that has been idle longest bears nothing; {@link Long#MAX_VALUE} if
+   * Since when its connection that has been idle longest carries nothing; {@link Long#MAX_VALUE} if
    * none is idle.
    */
   default long idleSince() {
     return Long.MAX_VALUE;
   }
 
-  /** Ends that connection. */
+  /** Closes that connection. */
   default void closeIdle() {
-    // Where none is idle, none is ended.
+    // Where none is idle, none is closed.
   }
 
-  /** Whether nothing is left of it. */
+  /** Whether it has neither connections nor attempts. */
   boolean isEmpty();
 
-  /** Makes the transport of an engine. */
+  /** Creates the transport of an engine. */
   @FunctionalInterface
   interface Factory {
     /**
+     * Creates one.
+     *
      * @param kind the engine's kind, by its name
      */
     EngineTransport create(Owner owner, EngineAddress engineAddress, String kind);
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -10,9 +10,9 @@
 import tillerlink.net.wire.HttpRequest;
 
 /**
- * Requests whose attempts go out only while a guard holds. It is asked before each write and after
- * it: a pause of this process between the two shows in the second answer, and then nothing that
- * came of the attempt is handed out.
+ * Requests of the extension, whose attempts are written only while a guard holds. It is checked
+ * before each write and after it: a pause of this process between the two shows in the second
+ * check, and then nothing that came of the attempt is handed out. Owned by the event-loop thread.
  */
 final class FencedRequests implements GatewayExtension.ExtensionContext {
   private final GatewayContext context;
@@ -98,8 +98,8 @@
   }
 
   /**
-   * The client is told at once, for it can't be succeeded as it is; the module cancels what is
-   * still out.
+   * The client is answered at once, for the request can't succeed any more; the policy cancels what
+   * is still in flight.
    */
   private void withdraw(PendingResponse pending) {
     open.remove(pending);
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -7,8 +7,8 @@
 import tillerlink.model.Engine.Status;
 
 /**
- * Carries attempts over the platform's engine lines: connections of which each bears as many as the
- * settings allow.
+ * Carries attempts to one engine by the platform's line protocol: over connections of which each
+ * carries as many as the settings allow. Owned by the event-loop thread.
  */
 final class LineProtocolTransport implements EngineTransport {
   private static final int MAX_RESUMPTIONS = 3;
@@ -38,18 +38,14 @@
     }
   }
 
-  /**
-   * Nothing of an attempt was written, and nothing will be: the module hears of it in the next
-   * turn.
-   */
+  /** Nothing of an attempt was written, and nothing will be: it ends in the next iteration. */
   void endUnsent(InFlightAttempt inFlight, DisconnectReason reason) {
     owner.runInNextIteration(() -> owner.attemptEnded(inFlight, reason.outcome(false)));
   }
 
   /**
    * One that bears nothing, else a new one, else the one that bears least. Guards against one
-   * spoilt answer, after which a connection can't be read any more, that takes the attempts beside
-   * it along.
+   * unreadable response, which ends its connection, that takes other attempts along.
    */
   private EngineConnection connectionFor(InFlightAttempt inFlight) {
     EngineConnection connection = leastLoaded(inFlight.id());
--- a/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
+++ b/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
@@ -7,7 +7,10 @@
 import tillerlink.net.wire.HttpResponse;
 import tillerlink.net.wire.SubmitRequest;
 
-/** A request as its client sees it: where it waits, and its answer once there is one. */
+/**
+ * A request as its client sees it: where it waits, and its answer once there is one. Owned by the
+ * event-loop thread.
+ */
 final class PendingResponse {
   final SubmitRequest submitted;
   final Request request;
@@ -16,12 +19,12 @@
   /** The client's connection that waits for the answer, or null. */
   ClientConnection waiting;
 
-  /** The final answer, kept for a while for a client whose connection broke. */
+  /** The final answer, retained for a while for a client whose connection broke. */
   HttpResponse answer;
 
   boolean handedOut;
 
-  /** What its attempts wait on before they go out, or null. */
+  /** Decides whether its attempts may be written, or null. */
   GatewayExtension.Guard guard;
 
   boolean left;
--- a/gateway/src/main/java/tillerlink/net/state/RateLimitedWarning.java
+++ b/gateway/src/main/java/tillerlink/net/state/RateLimitedWarning.java
@@ -4,7 +4,10 @@
 import org.slf4j.LoggerFactory;
 import tillerlink.plain.Units;
 
-/** Warns, but at most a line a second: trouble that repeats must not fill the log. */
+/**
+ * Logs warnings, but at most a line a second: trouble that repeats must not fill the log. Owned by
+ * the event-loop thread.
+ */
 final class RateLimitedWarning {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
   private static final long EVERY = 1000 * Units.TENTHS_PER_MS;
