--- a/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -110,10 +110,10 @@
   }
 
   @Override
-  public Remembered loadAtStart(long now) {
+  public CachedList loadAtStart(long now) {
     StalenessModel staleness = staleness(now);
     if (staleness == StalenessModel.TOO_OLD) {
-      return new Remembered(null, Map.of());
+      return new CachedList(null, Map.of());
     }
     List<EndpointEntry> entries = new ArrayList<>();
     Map<String, Double> confidence = new LinkedHashMap<>();
@@ -123,7 +123,7 @@
         confidence.put(endpoint.entry().id(), staleness.confidence());
       }
     }
-    return new Remembered(new EndpointWatchEvent(0, true, entries), confidence);
+    return new CachedList(new EndpointWatchEvent(0, true, entries), confidence);
   }
 
   /**
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -97,8 +97,8 @@
   }
 
   @Override
-  public void attemptWithheld(InFlightAttempt inFlight, SendVerdict verdict) {
-    context.dispatchLog().attemptWithheld(inFlight, verdict);
+  public void attemptBlocked(InFlightAttempt inFlight, SendVerdict verdict) {
+    context.dispatchLog().attemptBlocked(inFlight, verdict);
   }
 
   @Override
@@ -156,7 +156,7 @@
 
   @Override
   public boolean reserveConnection() {
-    return openConnections < settings.maxConnections() || endpoints.endIdle();
+    return openConnections < settings.maxConnections() || endpoints.closeLongestIdle();
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
+++ b/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
@@ -86,13 +86,13 @@
   }
 
   private void sweep(long now) {
-    transports.endpoints().sweep(settings.connectTimeout(), settings.idleTimeout());
+    transports.endpoints().checkTimeouts(settings.connectTimeout(), settings.idleTimeout());
     clients.sweep(transports::timeOut);
     if (now >= summaryAt) {
       summaryAt = now + SUMMARY_INTERVAL;
       LOG.atInfo()
-          .addKeyValue("links", transports.openConnections())
-          .addKeyValue("list", transports.endpoints().index())
+          .addKeyValue("engine_connections", transports.openConnections())
+          .addKeyValue("endpoint_list_version", transports.endpoints().index())
           .log("{}", clients);
     }
   }
