--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
@@ -109,7 +109,7 @@
     EndpointHistory first = history();
     first.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
     first.onEndpointsReceived(NOW + SECOND, list(2, "a", "b-", "c"));
-    EndpointCache.Remembered cached = history().loadAtStart(NOW + 60 * SECOND);
+    EndpointCache.CachedList cached = history().loadAtStart(NOW + 60 * SECOND);
     assertEquals("a b- c", print(cached.engines()));
     assertEquals(0.9, cached.trust().get("a"));
     assertNull(history().loadAtStart(NOW + 30 * HOUR).engines());
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -101,9 +101,9 @@
     ActionExecutor actions = new ActionExecutor(context, clients.requests(), transports);
     DispatchPolicy policy = factory.create(now, config.seed(), flattened, actions);
     context.policyEvents().setPolicy(policy);
-    Discovery discovery =
-        new Discovery(endpoints, policy, context.monitor(), endpointCache, telemetry);
-    endpointWatch = new EndpointListWatch(context, discoveryClient, discovery, endpoints);
+    EndpointListUpdater updater =
+        new EndpointListUpdater(endpoints, policy, context.monitor(), endpointCache, telemetry);
+    endpointWatch = new EndpointListWatch(context, discoveryClient, updater, endpoints);
     endpointWatch.start(config.known());
     eventLoop =
         new EventLoopIteration(context, clients, transports, endpointWatch, actions, settings);
@@ -113,14 +113,16 @@
   private void registerGauges() {
     Metrics metrics = context.telemetry().metrics();
     metrics.gauge(
-        "engine_list_version",
-        "Number of the last event of the engine list.",
+        "endpoint_list_version",
+        "Number of the last event of the endpoint list.",
         transports.endpoints()::index);
     metrics.gauge(
-        "engine_connections", "Engine connections open or coming up.", transports::openConnections);
+        "engine_connections",
+        "Engine connections open or being opened.",
+        transports::openConnections);
     metrics.gauge(
-        "requests_owed",
-        "Requests taken and not yet answered.",
+        "requests_pending",
+        "Requests accepted and not yet answered.",
         () -> clients.requests().unanswered().size());
   }
 
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsComponentFactory.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsComponentFactory.java
@@ -8,10 +8,10 @@
 import tillerlink.peering.component.ComponentContext;
 import tillerlink.peering.component.ComponentFactory;
 import tillerlink.peering.component.HostedComponent;
-import tillerlink.statements.StatementTerms;
 import tillerlink.statements.Statements;
+import tillerlink.statements.StatementsConfig;
 import tillerlink.statements.consensus.RaftConfig;
-import tillerlink.statements.lease.LeaseTerms;
+import tillerlink.statements.lease.LeaseConfig;
 import tillerlink.statements.prepare.Renaming;
 
 /** Makes the component of prepared statements. */
@@ -30,7 +30,7 @@
   /** The same as a part of the lease's length. */
   private static final int LEASE_MARGIN_DIVISOR = 50;
 
-  private final StatementTerms terms;
+  private final StatementsConfig config;
   private final boolean fence;
 
   /**
@@ -45,9 +45,9 @@
   public StatementsComponentFactory(
       List<String> voters, long lease, double drift, boolean vouched, boolean fence) {
     long margin = Math.max(MIN_LEASE_MARGIN, lease / LEASE_MARGIN_DIVISOR);
-    terms =
-        new StatementTerms(
-            voters, new LeaseTerms(lease, drift, margin), new RaftConfig(vouched, Set.of()));
+    config =
+        new StatementsConfig(
+            voters, new LeaseConfig(lease, drift, margin), new RaftConfig(vouched, Set.of()));
     this.fence = fence;
   }
 
@@ -66,7 +66,7 @@
     try {
       Statements statements =
           new Statements(
-              terms,
+              config,
               context.membership(),
               context.sender(),
               context.store(),
--- a/peering/src/test/java/tillerlink/peering/together/SimulatedGateway.java
+++ b/peering/src/test/java/tillerlink/peering/together/SimulatedGateway.java
@@ -18,10 +18,10 @@
 import tillerlink.peering.storage.PrefixedKeyValueStore;
 import tillerlink.simulation.InMemoryKeyValueStore;
 import tillerlink.simulation.SimulatedFleet;
-import tillerlink.statements.StatementTerms;
 import tillerlink.statements.Statements;
+import tillerlink.statements.StatementsConfig;
 import tillerlink.statements.consensus.RaftConfig;
-import tillerlink.statements.lease.LeaseTerms;
+import tillerlink.statements.lease.LeaseConfig;
 import tillerlink.statements.prepare.Renaming;
 
 /**
@@ -98,8 +98,8 @@
     try {
       statements =
           new Statements(
-              new StatementTerms(
-                  VOTERS, new LeaseTerms(10_000, 0.02, 50), new RaftConfig(false, Set.of())),
+              new StatementsConfig(
+                  VOTERS, new LeaseConfig(10_000, 0.02, 50), new RaftConfig(false, Set.of())),
               members,
               (to, body) -> sender.send(to, prefixed(STATEMENTS, body)),
               new PrefixedKeyValueStore(store, "statements"),
