--- a/statements/src/main/java/tillerlink/statements/StatementRequests.java
+++ b/statements/src/main/java/tillerlink/statements/StatementRequests.java
@@ -13,7 +13,7 @@
 
 /** Checks clients' requests to change the catalog, and queues those that are in order. */
 final class StatementRequests {
-  /** Bytes of an entry besides its command, at the most. */
+  /** Bytes of an entry besides its command, at most. */
   private static final int ENTRY_OVERHEAD = 100;
 
   private final EventClock clock;
--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -165,7 +165,7 @@
   /**
    * An attempt that was started ended at this gateway, and its engine may still execute it.
    *
-   * @param mayRunUntil until when, at the most; 0 if it certainly does not
+   * @param mayRunUntil until when, at most; 0 if it certainly does not
    */
   public void onAttemptEnded(long now, Prepared prepared, long mayRunUntil) {
     clock.advanceTo(now);
--- a/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
@@ -20,7 +20,7 @@
  * needs no tombstone, and no old text comes back. Owned by the gateway's event loop.
  */
 public final class Catalog {
-  /** Statements at the most. */
+  /** Statements at most. */
   public static final int STATEMENTS_MAX = 1024;
 
   /**
@@ -28,10 +28,10 @@
    */
   public static final int BYTES_MAX = 640 * 1024;
 
-  /** Table groups with a schema version at the most. */
+  /** Table groups with a schema version at most. */
   public static final int GROUPS_MAX = 256;
 
-  /** Announced changes of one group that have not taken effect, at the most. */
+  /** Announced changes of one group that have not taken effect, at most. */
   public static final int WAITING_PER_GROUP_MAX = 8;
 
   /** Processes whose last request is stored, those that asked last. */
--- a/statements/src/main/java/tillerlink/statements/consensus/LeaderState.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/LeaderState.java
@@ -12,7 +12,7 @@
 final class LeaderState {
   private static final int UNCOMMITTED_MAX = 512;
 
-  /** A voter that was silent for so long may be replaced by its new disk. */
+  /** How long a voter must be silent before its new disk may replace it. */
   private static final long SILENCE_BEFORE_READMISSION = 15_000;
 
   private final Voters voters;
--- a/statements/src/main/java/tillerlink/statements/consensus/Learner.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Learner.java
@@ -16,7 +16,7 @@
 public final class Learner {
   private static final long FETCH_INTERVAL = 2500;
 
-  /** A voter that was silent for so long is not asked again before all others were. */
+  /** How long a voter may be silent before the next one is asked. */
   private static final long VOTER_TIMEOUT = 3000;
 
   /** After so many fetches another voter is asked: one that responds may itself be behind. */
--- a/statements/src/main/java/tillerlink/statements/consensus/LearnerService.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/LearnerService.java
@@ -11,7 +11,7 @@
 final class LearnerService {
   private static final int LEARNERS_MAX = 1024;
 
-  /** A learner that has not fetched for so long is no longer notified. */
+  /** How long after its last fetch a learner is still notified. */
   private static final long LEARNER_TIMEOUT = 50_000;
 
   private static final int BYTES_MAX = 8000;
--- a/statements/src/main/java/tillerlink/statements/consensus/Log.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Log.java
@@ -27,7 +27,7 @@
 
   private static final int ENTRIES_PER_APPEND_MAX = 128;
 
-  /** Bytes around an entry in a message, at the most. */
+  /** Bytes around an entry in a message, at most. */
   private static final int ENTRY_OVERHEAD = 8;
 
   private static final long UNKNOWN_TERM = -1;
--- a/statements/src/main/java/tillerlink/statements/consensus/Membership.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Membership.java
@@ -38,7 +38,7 @@
   }
 
   /**
-   * Reads the members anew; called when readmissions were appended or truncated, and after a
+   * Reads the members again; called when readmissions were appended or truncated, and after a
    * snapshot.
    */
   void refresh() {
--- a/statements/src/main/java/tillerlink/statements/consensus/PeerIncarnations.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/PeerIncarnations.java
@@ -3,8 +3,8 @@
 import tillerlink.messages.statements.Stamp;
 
 /**
- * Tracks how often each voter started. A voter that restarted has withdrawn its votes and
- * acknowledgements of before; messages of an earlier start are dropped.
+ * Tracks how often each voter started. A voter that restarted has withdrawn its votes and earlier
+ * acknowledgements; messages of an earlier start are dropped.
  */
 final class PeerIncarnations {
   private final RaftContext context;
--- a/statements/src/main/java/tillerlink/statements/consensus/Voters.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Voters.java
@@ -4,7 +4,7 @@
 
 /** The configured voters, the same list on every gateway of the cluster. */
 public final class Voters {
-  /** Voters at the most. */
+  /** Voters at most. */
   public static final int COUNT_MAX = 15;
 
   private static final long HASH_SEED = 17;
--- a/statements/src/main/java/tillerlink/statements/lease/GroupLease.java
+++ b/statements/src/main/java/tillerlink/statements/lease/GroupLease.java
@@ -23,7 +23,7 @@
     NONE,
     /** The schema version changed: the lease is to be requested for the new one. */
     REQUEST,
-    /** The voters are to be told that the lease is released. */
+    /** The voters are to be notified that the lease is released. */
     RELEASE
   }
 
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
@@ -23,7 +23,7 @@
 public final class LeaseHolder {
   private static final int REQUESTS_MAX = 16;
 
-  /** Leases are requested for so long after a run last needed the group. */
+  /** How long after a run last needed the group its lease is still requested. */
   private static final long INTEREST_DURATION = 6_000_000;
 
   private static final long EXPEDITED_REQUEST_DELAY = 500;
@@ -145,7 +145,7 @@
    * An attempt that runs under a lease on the group ends at this gateway while an engine may still
    * execute it; to be called before {@link #onAttemptEnded}. An engine stops at the deadline that
    * it was given, by its own clock and from when the attempt reached it; so a whole lease is added,
-   * which an announced change waits for at the most.
+   * which an announced change waits for at most.
    */
   public void onAttemptUncertain(long now, int group, long mayRunUntil) {
     GroupLease lease = leases.get(group);
--- a/statements/src/main/java/tillerlink/statements/prepare/Template.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Template.java
@@ -7,10 +7,10 @@
 
 /** The text of a statement, cut at its parameters: a run puts values between the pieces. */
 public final class Template {
-  /** Characters of a rendered text at the most. */
+  /** Characters of a rendered text at most. */
   private static final int RENDERED_MAX = 64 * 1024;
 
-  /** Characters of a parameter's mark at the most, with its {@code $}. */
+  /** Characters of a parameter's mark at most, with its {@code $}. */
   private static final int MARK_MAX = 4;
 
   private final Definition definition;
--- /dev/null
+++ b/statements/src/test/java/tillerlink/statements/SimulatedRuns.java
@@ -0,0 +1,121 @@
+package tillerlink.statements;
+
+import java.util.Map;
+import java.util.SplittableRandom;
+import tillerlink.simulation.SimulatedFleet;
+import tillerlink.statements.run.Permission;
+import tillerlink.statements.run.Prepared;
+
+/**
+ * Runs of prepared statements on a test cluster, from the request over the attempt to its end on
+ * the engine. Times are in tenths of a millisecond.
+ */
+final class SimulatedRuns {
+  private static final int WRITE_DELAY_MAX = 30;
+  private static final int EXECUTION_MIN = 20;
+  private static final int EXECUTION_SPREAD = 400;
+  private static final int UNCERTAINTY_MAX = 5000;
+
+  private final SimulatedFleet fleet;
+  private final Map<String, TestGateway> gateways;
+  private final Audit audit;
+  private final SplittableRandom random;
+  private final SplittableRandom uncertainty;
+  private double uncertainShare;
+  private long executionTime;
+
+  /**
+   * Sets up runs on gateways that may come and go.
+   *
+   * @param uncertainty draws which attempts end at their gateways before their engines are done
+   */
+  SimulatedRuns(
+      SimulatedFleet fleet,
+      Map<String, TestGateway> gateways,
+      Audit audit,
+      SplittableRandom random,
+      SplittableRandom uncertainty) {
+    this.fleet = fleet;
+    this.gateways = gateways;
+    this.audit = audit;
+    this.random = random;
+    this.uncertainty = uncertainty;
+  }
+
+  void setUncertainShare(double share) {
+    uncertainShare = share;
+  }
+
+  void setExecutionTime(long time) {
+    executionTime = time;
+  }
+
+  /** A run: checked when it comes, its attempt written a little later, and checked then again. */
+  void run(String at, String name) {
+    TestGateway gateway = gateways.get(at);
+    if (gateway == null || gateway.isPaused()) {
+      return;
+    }
+    Prepared prepared = gateway.statements().lookUp(name).orElse(null);
+    fleet.touched(at);
+    if (prepared == null
+        || gateway.statements().checkRun(gateway.localNow(), prepared)
+            instanceof Permission.Denied) {
+      audit.onRejected();
+      return;
+    }
+    fleet.at(fleet.now() + random.nextInt(WRITE_DELAY_MAX), () -> writeAttempt(gateway, prepared));
+  }
+
+  private void writeAttempt(TestGateway gateway, Prepared prepared) {
+    if (gateways.get(gateway.name()) != gateway) {
+      return;
+    }
+    if (gateway.isPaused()) {
+      gateway.defer(() -> writeAttempt(gateway, prepared));
+    } else if (gateway.statements().checkRun(gateway.localNow(), prepared)
+        instanceof Permission.Granted granted) {
+      gateway.statements().onAttemptStarted(prepared);
+      audit.onRun(fleet.now(), gateway.name(), prepared);
+      execute(gateway, prepared, (long) Math.floor(granted.until() / gateway.clockRate()));
+    } else {
+      audit.onCancelled();
+    }
+  }
+
+  /**
+   * An engine executes an attempt for some time; the gateway hears of its end, or gives the attempt
+   * up before.
+   */
+  private void execute(TestGateway gateway, Prepared prepared, long leaseUntil) {
+    Audit.Attempt attempt = audit.onExecutionStarted(gateway.name(), prepared, leaseUntil);
+    long time =
+        executionTime > 0 ? executionTime : EXECUTION_MIN + random.nextInt(EXECUTION_SPREAD);
+    long doneAt = fleet.now() + time;
+    if (uncertainShare > 0 && uncertainty.nextDouble() < uncertainShare) {
+      long mayRunUntil = doneAt + uncertainty.nextInt(UNCERTAINTY_MAX);
+      fleet.at(doneAt, () -> endAttempt(gateway, prepared, mayRunUntil));
+      fleet.at(mayRunUntil, () -> audit.onExecutionEnded(attempt));
+    } else {
+      fleet.at(
+          doneAt,
+          () -> {
+            audit.onExecutionEnded(attempt);
+            endAttempt(gateway, prepared, 0);
+          });
+    }
+  }
+
+  private void endAttempt(TestGateway gateway, Prepared prepared, long mayRunUntil) {
+    if (gateways.get(gateway.name()) != gateway) {
+      return;
+    }
+    if (gateway.isPaused()) {
+      gateway.defer(() -> endAttempt(gateway, prepared, mayRunUntil));
+      return;
+    }
+    long limit = mayRunUntil == 0 ? 0 : Math.max(1, gateway.toLocal(mayRunUntil));
+    gateway.statements().onAttemptEnded(gateway.localNow(), prepared, limit);
+    fleet.touched(gateway.name());
+  }
+}
--- a/statements/src/test/java/tillerlink/statements/TestCluster.java
+++ b/statements/src/test/java/tillerlink/statements/TestCluster.java
@@ -49,22 +49,20 @@
   final List<String> all = new ArrayList<>();
   final List<String> warnings = new ArrayList<>();
   private final SplittableRandom random;
-  private final SplittableRandom uncertainty;
   private final Set<InjectedFault> injectedFaults;
   private final Map<String, TestGateway> gateways = new TreeMap<>();
   private final Map<String, InMemoryKeyValueStore> disks = new HashMap<>();
+  private final SimulatedRuns runs;
   private final Map<String, Double> clockRates = new HashMap<>();
   private long leaseLength = SECOND;
-  private double uncertainShare;
-  private long executionTime;
   private int starts;
   private long writeDelay = WRITE_DELAY;
 
   TestCluster(long seed, int voterCount, int learnerCount, InjectedFault... injectedFaults) {
     random = new SplittableRandom(seed);
-    uncertainty = new SplittableRandom(~seed);
     this.injectedFaults = Set.of(injectedFaults);
     fleet = new SimulatedFleet(new Random(seed));
+    runs = new SimulatedRuns(fleet, gateways, audit, random, new SplittableRandom(~seed));
     for (int i = 1; i <= voterCount; i++) {
       voters.add("v" + i);
     }
@@ -90,12 +88,12 @@
    * random generator of its own.
    */
   void setUncertainShare(double share) {
-    uncertainShare = share;
+    runs.setUncertainShare(share);
   }
 
   /** How long an engine executes each attempt; 0 for 2 to 42 ms. */
   void setExecutionTime(long time) {
-    executionTime = time;
+    runs.setExecutionTime(time);
   }
 
   /** From now on what a disk is handed is durable so much later. */
@@ -310,73 +308,9 @@
     return runState(at, name).startsWith("yes");
   }
 
-  // ---- runs ----
-
-  /** A run: checked when it comes, its attempt written a little later, and checked then again. */
+  /** Requests a run of a statement now; what becomes of it the audit counts. */
   void run(String at, String name) {
-    TestGateway gateway = gateways.get(at);
-    if (gateway == null || gateway.isPaused()) {
-      return;
-    }
-    Prepared prepared = gateway.statements().lookUp(name).orElse(null);
-    fleet.touched(at);
-    if (prepared == null
-        || gateway.statements().checkRun(gateway.localNow(), prepared)
-            instanceof Permission.Denied) {
-      audit.onRejected();
-      return;
-    }
-    fleet.at(fleet.now() + random.nextInt(30), () -> writeAttempt(gateway, prepared));
-  }
-
-  private void writeAttempt(TestGateway gateway, Prepared prepared) {
-    if (gateways.get(gateway.name()) != gateway) {
-      return;
-    }
-    if (gateway.isPaused()) {
-      gateway.defer(() -> writeAttempt(gateway, prepared));
-    } else if (gateway.statements().checkRun(gateway.localNow(), prepared)
-        instanceof Permission.Granted granted) {
-      gateway.statements().onAttemptStarted(prepared);
-      audit.onRun(fleet.now(), gateway.name(), prepared);
-      execute(gateway, prepared, (long) Math.floor(granted.until() / gateway.clockRate()));
-    } else {
-      audit.onCancelled();
-    }
-  }
-
-  /**
-   * An engine executes an attempt for some time; the gateway hears of its end, or gives the attempt
-   * up before.
-   */
-  private void execute(TestGateway gateway, Prepared prepared, long leaseUntil) {
-    Audit.Attempt attempt = audit.onExecutionStarted(gateway.name(), prepared, leaseUntil);
-    long doneAt = fleet.now() + (executionTime > 0 ? executionTime : 20 + random.nextInt(400));
-    if (uncertainShare > 0 && uncertainty.nextDouble() < uncertainShare) {
-      long mayRunUntil = doneAt + uncertainty.nextInt(5000);
-      fleet.at(doneAt, () -> endAttempt(gateway, prepared, mayRunUntil));
-      fleet.at(mayRunUntil, () -> audit.onExecutionEnded(attempt));
-    } else {
-      fleet.at(
-          doneAt,
-          () -> {
-            audit.onExecutionEnded(attempt);
-            endAttempt(gateway, prepared, 0);
-          });
-    }
-  }
-
-  private void endAttempt(TestGateway gateway, Prepared prepared, long mayRunUntil) {
-    if (gateways.get(gateway.name()) != gateway) {
-      return;
-    }
-    if (gateway.isPaused()) {
-      gateway.defer(() -> endAttempt(gateway, prepared, mayRunUntil));
-      return;
-    }
-    long limit = mayRunUntil == 0 ? 0 : Math.max(1, gateway.toLocal(mayRunUntil));
-    gateway.statements().onAttemptEnded(gateway.localNow(), prepared, limit);
-    onGateway(gateway.name(), any -> {});
+    runs.run(at, name);
   }
 
   // ---- state ----
