--- a/emulator/src/main/java/tillerlink/baseline/Baseline.java
+++ b/emulator/src/main/java/tillerlink/baseline/Baseline.java
@@ -106,7 +106,7 @@
       return;
     }
     Attempt attempt = new Attempt(s, best, now, 0, 0, false);
-    attempt.sent = true;
+    attempt.setSent(true);
     s.attempts.add(attempt);
     s.attemptsInFlight++;
     out.merge(best, 1, Integer::sum);
--- a/gateway/src/main/java/tillerlink/model/Attempt.java
+++ b/gateway/src/main/java/tillerlink/model/Attempt.java
@@ -24,19 +24,19 @@
   public final boolean healthCheck;
 
   /** The action to send it was emitted. */
-  public boolean sent;
+  private boolean sent;
 
   /** It is to be cancelled. */
-  public boolean cancelRequested;
+  private boolean cancelRequested;
 
   /** The action to cancel it was emitted. */
-  public boolean cancelSent;
+  private boolean cancelSent;
 
   /** When its first byte was sent; 0 before. */
-  public long writtenAt;
+  private long writtenAt;
 
   /** Share done, 0 to 1, as last reported. */
-  public double completedShare;
+  private double completedShare;
 
   /** Null while it is in flight. */
   public AttemptOutcome outcome;
@@ -62,4 +62,44 @@
   public boolean mayHaveRun() {
     return outcome == null || !outcome.provesNotExecuted;
   }
+
+  public boolean isSent() {
+    return sent;
+  }
+
+  public void setSent(boolean sent) {
+    this.sent = sent;
+  }
+
+  public boolean isCancelRequested() {
+    return cancelRequested;
+  }
+
+  public void setCancelRequested(boolean cancelRequested) {
+    this.cancelRequested = cancelRequested;
+  }
+
+  public boolean isCancelSent() {
+    return cancelSent;
+  }
+
+  public void setCancelSent(boolean cancelSent) {
+    this.cancelSent = cancelSent;
+  }
+
+  public double completedShare() {
+    return completedShare;
+  }
+
+  public void setCompletedShare(double completedShare) {
+    this.completedShare = completedShare;
+  }
+
+  public long writtenAt() {
+    return writtenAt;
+  }
+
+  public void setWrittenAt(long writtenAt) {
+    this.writtenAt = writtenAt;
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -31,7 +31,7 @@
    * The policy knows it. Stored here, since looking up each of a thousand engines in a list of a
    * thousand is slow.
    */
-  public boolean registered;
+  private boolean registered;
 
   public long startedAt;
 
@@ -41,52 +41,52 @@
   /** Attempts in flight, oldest first. */
   public final List<Attempt> inFlight = new ArrayList<>();
 
-  public int[] inFlightByClass = new int[0];
-  public int threadsInFlight;
-  public int healthChecksInFlight;
+  private int[] inFlightByClass = new int[0];
+  private int threadsInFlight;
+  private int healthChecksInFlight;
 
   /** Table groups of the most recent attempts, latest last. */
-  public final ArrayDeque<Integer> recentTableGroups = new ArrayDeque<>();
+  private final ArrayDeque<Integer> recentTableGroups = new ArrayDeque<>();
 
-  public DecayingSum successes;
-  public DecayingSum failures;
+  private DecayingSum successes;
+  private DecayingSum failures;
 
   /** Threads of attempts that timed out and may run on. */
-  public DecayingSum abandonedThreads;
+  private DecayingSum abandonedThreads;
 
-  public DecayingMean pace;
-  public SlidingSum workSent;
+  private DecayingMean pace;
+  private SlidingSum workSent;
 
   /**
    * It is warming up, and has quota for the last request only by this gateway's slow-start slot.
    */
-  public boolean usesSlowStartSlot;
+  private boolean usesSlowStartSlot;
 
-  public double concurrencyFactor;
-  public long overloadedUntil = Long.MIN_VALUE;
+  private double concurrencyFactor;
+  private long overloadedUntil = Long.MIN_VALUE;
 
   /** When it last seemed to have restarted. */
-  public long restartSeenAt = Long.MIN_VALUE;
+  private long restartSeenAt = Long.MIN_VALUE;
 
   /** When a connection with an attempt was last lost. */
-  public long connectionLostAt = Long.MIN_VALUE;
+  private long connectionLostAt = Long.MIN_VALUE;
 
-  public long limitReducedAt = Long.MIN_VALUE;
-  public long lastResponseAt = Long.MIN_VALUE;
-  public long reportedAt = Long.MIN_VALUE;
-  public double reportedQueries;
+  private long limitReducedAt = Long.MIN_VALUE;
+  private long lastResponseAt = Long.MIN_VALUE;
+  private long reportedAt = Long.MIN_VALUE;
+  private double reportedQueries;
 
   /** The highest utilization that it reported of its cores and disks, 0 to 1. */
-  public double reportedUtilization;
+  private double reportedUtilization;
 
   /** Requests for each core of the class that was placed last, as last measured. */
-  public double classLoad;
+  private double classLoad;
 
   /** Threads for each core of all classes, and utilization, as last measured. */
-  public double load;
+  private double load;
 
   /** Cores that it seems to have for the class that was placed last. */
-  public double spareCores;
+  private double spareCores;
 
   /** Creates an engine that is not on the list yet. */
   public Engine(Object tag) {
@@ -114,6 +114,16 @@
     inFlight.remove(attempt);
   }
 
+  /** Requests of a class that are in flight here. */
+  public int inFlightOfClass(int classIndex) {
+    return inFlightByClass[classIndex];
+  }
+
+  /** Whether one of the most recent attempts used the table group. */
+  public boolean hasRecentTableGroup(int tableGroup) {
+    return recentTableGroups.contains(tableGroup);
+  }
+
   /** Whether an attempt in flight here loads the table group. */
   public boolean loadsTableGroup(int tableGroup) {
     return inFlight.stream()
@@ -134,14 +144,42 @@
         .orElse(0);
   }
 
-  /** Forgets what was counted of the previous process. */
-  public void resetHistory(double boundAtStart) {
+  /**
+   * Begins to count when the engine becomes known to the policy.
+   *
+   * @param requestClasses number of request classes
+   * @param recordTime age at which successes and failures have faded to 1/e
+   * @param paceTime the same for the pace
+   * @param sentWork an empty sum of the work that is sent here
+   * @param initialFactor the concurrency factor to begin with
+   */
+  public void startCounting(
+      int requestClasses,
+      double recordTime,
+      double paceTime,
+      SlidingSum sentWork,
+      double initialFactor) {
+    inFlightByClass = new int[requestClasses];
+    successes = new DecayingSum(recordTime);
+    failures = new DecayingSum(recordTime);
+    abandonedThreads = new DecayingSum(recordTime);
+    pace = new DecayingMean(paceTime, 1, 2);
+    workSent = sentWork;
+    concurrencyFactor = initialFactor;
+  }
+
+  /**
+   * Forgets what was counted of the previous process.
+   *
+   * @param initialFactor the concurrency factor to begin with
+   */
+  public void resetHistory(double initialFactor) {
     successes.clear();
     failures.clear();
     abandonedThreads.clear();
     pace.clear();
     recentTableGroups.clear();
-    concurrencyFactor = boundAtStart;
+    concurrencyFactor = initialFactor;
     overloadedUntil = Long.MIN_VALUE;
     restartSeenAt = Long.MIN_VALUE;
   }
@@ -151,4 +189,144 @@
     threadsInFlight += by * attempt.request.requestClass.config.threadsPerRequest();
     healthChecksInFlight += attempt.healthCheck ? by : 0;
   }
+
+  public boolean isRegistered() {
+    return registered;
+  }
+
+  public void setRegistered(boolean registered) {
+    this.registered = registered;
+  }
+
+  public int threadsInFlight() {
+    return threadsInFlight;
+  }
+
+  public int healthChecksInFlight() {
+    return healthChecksInFlight;
+  }
+
+  public DecayingSum successes() {
+    return successes;
+  }
+
+  public DecayingSum failures() {
+    return failures;
+  }
+
+  public DecayingSum abandonedThreads() {
+    return abandonedThreads;
+  }
+
+  public DecayingMean pace() {
+    return pace;
+  }
+
+  public SlidingSum workSent() {
+    return workSent;
+  }
+
+  public boolean usesSlowStartSlot() {
+    return usesSlowStartSlot;
+  }
+
+  public void setUsesSlowStartSlot(boolean usesSlowStartSlot) {
+    this.usesSlowStartSlot = usesSlowStartSlot;
+  }
+
+  public double concurrencyFactor() {
+    return concurrencyFactor;
+  }
+
+  public void setConcurrencyFactor(double concurrencyFactor) {
+    this.concurrencyFactor = concurrencyFactor;
+  }
+
+  public long overloadedUntil() {
+    return overloadedUntil;
+  }
+
+  public void setOverloadedUntil(long overloadedUntil) {
+    this.overloadedUntil = overloadedUntil;
+  }
+
+  public long restartSeenAt() {
+    return restartSeenAt;
+  }
+
+  public void setRestartSeenAt(long restartSeenAt) {
+    this.restartSeenAt = restartSeenAt;
+  }
+
+  public long connectionLostAt() {
+    return connectionLostAt;
+  }
+
+  public void setConnectionLostAt(long connectionLostAt) {
+    this.connectionLostAt = connectionLostAt;
+  }
+
+  public long limitReducedAt() {
+    return limitReducedAt;
+  }
+
+  public void setLimitReducedAt(long limitReducedAt) {
+    this.limitReducedAt = limitReducedAt;
+  }
+
+  public long lastResponseAt() {
+    return lastResponseAt;
+  }
+
+  public void setLastResponseAt(long lastResponseAt) {
+    this.lastResponseAt = lastResponseAt;
+  }
+
+  public long reportedAt() {
+    return reportedAt;
+  }
+
+  public void setReportedAt(long reportedAt) {
+    this.reportedAt = reportedAt;
+  }
+
+  public double reportedQueries() {
+    return reportedQueries;
+  }
+
+  public void setReportedQueries(double reportedQueries) {
+    this.reportedQueries = reportedQueries;
+  }
+
+  public double reportedUtilization() {
+    return reportedUtilization;
+  }
+
+  public void setReportedUtilization(double reportedUtilization) {
+    this.reportedUtilization = reportedUtilization;
+  }
+
+  public double classLoad() {
+    return classLoad;
+  }
+
+  public void setClassLoad(double classLoad) {
+    this.classLoad = classLoad;
+  }
+
+  public double load() {
+    return load;
+  }
+
+  public void setLoad(double load) {
+    this.load = load;
+  }
+
+  public double spareCores() {
+    return spareCores;
+  }
+
+  public void setSpareCores(double spareCores) {
+    this.spareCores = spareCores;
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/Request.java
+++ b/gateway/src/main/java/tillerlink/model/Request.java
@@ -36,13 +36,13 @@
   public int attemptsInFlight;
 
   /** It is in the queue of its request class. */
-  public boolean queued;
+  private boolean queued;
 
   /** Nobody waits for its answer at present, but the client may ask again. */
   public boolean unattended;
 
   /** The response has begun to reach the client. */
-  public boolean responseStarted;
+  private boolean responseStarted;
 
   /** Null until it has ended for the client. */
   public RequestOutcome outcome;
@@ -54,26 +54,26 @@
   public TerminationReason terminationReason;
 
   /** No engine can serve it. */
-  public boolean unservable;
+  private boolean unservable;
 
   /** Its client has an answer, or the action for it was emitted. */
-  public boolean notified;
+  private boolean notified;
 
   /** How long a rejected client should stay away. */
-  public long retryAfter;
+  private long retryAfter;
 
   /** The wanted priority and grant, and those that were sent last. */
-  public int priority = 1;
+  private int priority = 1;
 
-  public int prioritySent = 1;
-  public long grant;
-  public long grantSent;
+  private int prioritySent = 1;
+  private long grant;
+  private long grantSent;
 
   /** When it is to be reviewed next. */
-  public long wakeAt = Long.MAX_VALUE;
+  private long wakeAt = Long.MAX_VALUE;
 
   /** It may have changed since the actions were reconciled last. */
-  public boolean reconcilePending;
+  private boolean reconcilePending;
 
   /** Creates a request that has just arrived. */
   public Request(
@@ -115,4 +115,92 @@
   public boolean isOver() {
     return outcome != null && attemptsInFlight == 0;
   }
+
+  public boolean isQueued() {
+    return queued;
+  }
+
+  public void setQueued(boolean queued) {
+    this.queued = queued;
+  }
+
+  public boolean isResponseStarted() {
+    return responseStarted;
+  }
+
+  public void setResponseStarted(boolean responseStarted) {
+    this.responseStarted = responseStarted;
+  }
+
+  public boolean isUnservable() {
+    return unservable;
+  }
+
+  public void setUnservable(boolean unservable) {
+    this.unservable = unservable;
+  }
+
+  public boolean isNotified() {
+    return notified;
+  }
+
+  public void setNotified(boolean notified) {
+    this.notified = notified;
+  }
+
+  public int priority() {
+    return priority;
+  }
+
+  public void setPriority(int priority) {
+    this.priority = priority;
+  }
+
+  public int prioritySent() {
+    return prioritySent;
+  }
+
+  public void setPrioritySent(int prioritySent) {
+    this.prioritySent = prioritySent;
+  }
+
+  public long grant() {
+    return grant;
+  }
+
+  public void setGrant(long grant) {
+    this.grant = grant;
+  }
+
+  public long grantSent() {
+    return grantSent;
+  }
+
+  public void setGrantSent(long grantSent) {
+    this.grantSent = grantSent;
+  }
+
+  public long wakeAt() {
+    return wakeAt;
+  }
+
+  public void setWakeAt(long wakeAt) {
+    this.wakeAt = wakeAt;
+  }
+
+  public boolean isReconcilePending() {
+    return reconcilePending;
+  }
+
+  public void setReconcilePending(boolean reconcilePending) {
+    this.reconcilePending = reconcilePending;
+  }
+
+  public long retryAfter() {
+    return retryAfter;
+  }
+
+  public void setRetryAfter(long retryAfter) {
+    this.retryAfter = retryAfter;
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/RequestClass.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClass.java
@@ -23,13 +23,13 @@
   public final DecayingMean pace;
 
   /** The lowest mean pace seen; 0 while too little was seen. */
-  public double bestPace;
+  private double bestPace;
 
   /** Work that was asked for recently. */
-  public DecayingSum offeredWork;
+  private DecayingSum offeredWork;
 
   /** Cores of the ready engines that it may run on, as of the last survey. */
-  public double eligibleCores;
+  private double eligibleCores;
 
   /** Creates a request class with an empty queue. */
   public RequestClass(
@@ -55,8 +55,32 @@
   /** Removes the ended requests at the front, and returns the first of the others, or null. */
   public Request firstQueued() {
     while (!queue.isEmpty() && queue.peekFirst().outcome != null) {
-      queue.pollFirst().queued = false;
+      queue.pollFirst().setQueued(false);
     }
     return queue.peekFirst();
   }
+
+  public double bestPace() {
+    return bestPace;
+  }
+
+  public void setBestPace(double bestPace) {
+    this.bestPace = bestPace;
+  }
+
+  public DecayingSum offeredWork() {
+    return offeredWork;
+  }
+
+  public void setOfferedWork(DecayingSum offeredWork) {
+    this.offeredWork = offeredWork;
+  }
+
+  public double eligibleCores() {
+    return eligibleCores;
+  }
+
+  public void setEligibleCores(double eligibleCores) {
+    this.eligibleCores = eligibleCores;
+  }
 }
--- a/gateway/src/main/java/tillerlink/model/RequestTimers.java
+++ b/gateway/src/main/java/tillerlink/model/RequestTimers.java
@@ -16,7 +16,7 @@
 
   /** Sets the time of the next review of a request. */
   public void set(Request request, long at) {
-    request.wakeAt = at;
+    request.setWakeAt(at);
     timers.add(new Timer(at, timersSet++, request));
   }
 
@@ -25,8 +25,8 @@
     while (!timers.isEmpty() && timers.peek().at <= now) {
       Timer timer = timers.poll();
       Request request = timer.request;
-      if (request.wakeAt == timer.at && request.outcome == null) {
-        request.wakeAt = Long.MAX_VALUE;
+      if (request.wakeAt() == timer.at && request.outcome == null) {
+        request.setWakeAt(Long.MAX_VALUE);
         return request;
       }
     }
--- a/gateway/src/main/java/tillerlink/policy/ActionReconciler.java
+++ b/gateway/src/main/java/tillerlink/policy/ActionReconciler.java
@@ -30,16 +30,16 @@
 
   /** The wanted state of a request may have changed. */
   void markChanged(Request request) {
-    if (!request.reconcilePending) {
-      request.reconcilePending = true;
+    if (!request.isReconcilePending()) {
+      request.setReconcilePending(true);
       changed.add(request);
     }
   }
 
   /** Wants an attempt cancelled, if it was sent and engines can do that. */
   void cancel(Attempt attempt) {
-    if (mayCancel && attempt.sent && attempt.isInFlight()) {
-      attempt.cancelRequested = true;
+    if (mayCancel && attempt.isSent() && attempt.isInFlight()) {
+      attempt.setCancelRequested(true);
       markChanged(attempt.request);
     }
   }
@@ -79,7 +79,7 @@
       actions.watchEndpoints();
     }
     for (Request request : changed) {
-      request.reconcilePending = false;
+      request.setReconcilePending(false);
       reconcileOutcome(request);
       reconcilePriorityAndGrant(request);
       request.attempts.forEach(this::reconcileAttempt);
@@ -93,10 +93,10 @@
   }
 
   private void reconcileOutcome(Request request) {
-    if (request.outcome != null && !request.notified) {
-      request.notified = true;
+    if (request.outcome != null && !request.isNotified()) {
+      request.setNotified(true);
       if (request.outcome == RequestOutcome.REJECTED) {
-        actions.rejectRequest(request, request.retryAfter);
+        actions.rejectRequest(request, request.retryAfter());
       } else {
         actions.failRequest(request);
       }
@@ -105,21 +105,21 @@
 
   private void reconcilePriorityAndGrant(Request request) {
     boolean differs =
-        request.priority != request.prioritySent || request.grant != request.grantSent;
+        request.priority() != request.prioritySent() || request.grant() != request.grantSent();
     if (differs && request.attemptsInFlight > 0) {
-      request.prioritySent = request.priority;
-      request.grantSent = request.grant;
-      actions.updatePriorityAndGrant(request, request.priority, request.grant);
+      request.setPrioritySent(request.priority());
+      request.setGrantSent(request.grant());
+      actions.updatePriorityAndGrant(request, request.priority(), request.grant());
     }
   }
 
   private void reconcileAttempt(Attempt attempt) {
-    if (!attempt.sent) {
-      attempt.sent = true;
+    if (!attempt.isSent()) {
+      attempt.setSent(true);
       actions.sendAttempt(attempt);
     }
-    if (attempt.cancelRequested && !attempt.cancelSent && attempt.isInFlight()) {
-      attempt.cancelSent = true;
+    if (attempt.isCancelRequested() && !attempt.isCancelSent() && attempt.isInFlight()) {
+      attempt.setCancelSent(true);
       actions.cancelAttempt(attempt);
     }
   }
--- a/gateway/src/main/java/tillerlink/policy/AdmissionController.java
+++ b/gateway/src/main/java/tillerlink/policy/AdmissionController.java
@@ -96,12 +96,12 @@
    */
   void reviewWaiting(long now, Request request) {
     ordering.advance(now, request);
-    if (request.queued && isUnableToMeetDeadline(now, request)) {
+    if (request.isQueued() && isUnableToMeetDeadline(now, request)) {
       terminate(now, request, TerminationReason.NO_TIME_LEFT);
-    } else if (request.wakeAt == Long.MAX_VALUE) {
+    } else if (request.wakeAt() == Long.MAX_VALUE) {
       timers.set(
           request,
-          request.queued ? nextQueueReview(now, request) : deadlines.tooLateAt(now, request));
+          request.isQueued() ? nextQueueReview(now, request) : deadlines.tooLateAt(now, request));
     }
   }
 
@@ -119,7 +119,7 @@
     // Terminating one may queue the next of its key, which is looked at as well.
     for (int i = 0; i < recent.size(); i++) {
       Request request = recent.get(i);
-      if (request.queued && request.outcome == null) {
+      if (request.isQueued() && request.outcome == null) {
         timers.set(request, nextQueueReview(now, request));
         if (isQueueTooLongFor(now, request)) {
           terminate(now, request, TerminationReason.QUEUE_TOO_LONG);
@@ -148,7 +148,7 @@
     boolean rejected = mayReject(request);
     request.outcome = rejected ? RequestOutcome.REJECTED : RequestOutcome.FAILED;
     if (rejected) {
-      request.retryAfter = config.retryAfter;
+      request.setRetryAfter(config.retryAfter);
     }
     reconciler.markChanged(request);
     reconciler.cancelAll(request);
--- a/gateway/src/main/java/tillerlink/policy/AttemptPlacer.java
+++ b/gateway/src/main/java/tillerlink/policy/AttemptPlacer.java
@@ -41,7 +41,7 @@
 
   /** Places an attempt; it is sent when the actions are reconciled. */
   void place(long now, Request request, Engine engine) {
-    request.priority = estimator.priority(now, request);
+    request.setPriority(estimator.priority(now, request));
     grants.update(now, request, engine);
     if (!request.attempts.isEmpty()) {
       budget.recordRetry(now);
--- a/gateway/src/main/java/tillerlink/policy/AttemptSupervisor.java
+++ b/gateway/src/main/java/tillerlink/policy/AttemptSupervisor.java
@@ -45,7 +45,7 @@
 
   /** An engine reported which share of an attempt is done. */
   void recordProgress(long now, Attempt attempt, double completedShare) {
-    attempt.completedShare = completedShare;
+    attempt.setCompletedShare(completedShare);
     boolean badPlan = RetryPolicy.hasBadPlan(now, attempt);
     LoadEstimator.recordProgress(now, attempt, RetryPolicy.projectedTime(now, attempt));
     limiter.adjustLimit(now, attempt.engine);
@@ -86,7 +86,7 @@
   /** Looks at the attempt of a request that is in flight, and sets the time of the next look. */
   void review(long now, Request request) {
     Attempt attempt = request.attempts.get(request.attempts.size() - 1);
-    long silentFor = now - Math.max(attempt.engine.lastResponseAt, attempt.sentAt);
+    long silentFor = now - Math.max(attempt.engine.lastResponseAt(), attempt.sentAt);
     long limit = outliers.silenceLimit(attempt);
     if (silentFor >= limit) {
       outliers.recordSilence(now, attempt.engine);
@@ -96,7 +96,7 @@
     }
     long shortest = config.minLatencyObjective / REVIEWS_PER_OBJECTIVE;
     long pause =
-        attempt.cancelRequested
+        attempt.isCancelRequested()
             ? config.minLatencyObjective
             : Math.max(limit - Math.max(0, silentFor), shortest);
     timers.set(request, Math.min(deadlines.tooLateAt(now, request), now + pause));
--- a/gateway/src/main/java/tillerlink/policy/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/tillerlink/policy/ConcurrencyLimiter.java
@@ -71,8 +71,8 @@
   void surveyFleet(long now) {
     survey.reset();
     for (RequestClass requestClass : estimator.requestClasses()) {
-      survey.offeredWork += requestClass.offeredWork.at(now);
-      requestClass.eligibleCores = 0;
+      survey.offeredWork += requestClass.offeredWork().at(now);
+      requestClass.setEligibleCores(0);
     }
     for (Engine engine : registry.engines()) {
       if (engine.status == Status.READY) {
@@ -95,13 +95,15 @@
     survey.ready++;
     survey.cores += cores;
     for (RequestClass requestClass : estimator.requestClasses()) {
-      requestClass.eligibleCores += requestClass.config.allows(engine) ? cores : 0;
+      if (requestClass.config.allows(engine)) {
+        requestClass.setEligibleCores(requestClass.eligibleCores() + cores);
+      }
     }
     boolean overloaded = isOverloaded(now, engine);
-    survey.addHealth(overloaded, outliers.isOutlier(now, engine), engine.pace.at(now));
+    survey.addHealth(overloaded, outliers.isOutlier(now, engine), engine.pace().at(now));
     if (reports.isRecent(now, engine)) {
       survey.reporting++;
-      survey.utilization += engine.reportedUtilization;
+      survey.utilization += engine.reportedUtilization();
     }
     survey.addToPool(overloaded, limit(engine), threads(now, engine));
   }
@@ -117,13 +119,13 @@
     for (Attempt attempt : engine.inFlight) {
       RequestClass requestClass = attempt.request.requestClass;
       double usual =
-          requestClass.bestPace > 0
-              ? attempt.nominalTime * requestClass.bestPace
+          requestClass.bestPace() > 0
+              ? attempt.nominalTime * requestClass.bestPace()
               : requestClass.config.latencyObjective() / LoadEstimator.SLOW_PACE;
       ages += Math.min(LoadEstimator.MAX_PACE, (now - attempt.sentAt) / Math.max(1, usual));
     }
     return ages > STALLED_PACE * engine.inFlight.size()
-        || engine.threadsInFlight >= ALL_CLASSES * config.cores(engine);
+        || engine.threadsInFlight() >= ALL_CLASSES * config.cores(engine);
   }
 
   /**
@@ -134,7 +136,7 @@
   Capacity capacity(long now, Engine engine, RequestClass requestClass) {
     boolean overloaded = isOverloaded(now, engine);
     int threadsPerRequest = requestClass.config.threadsPerRequest();
-    int ownThreads = engine.inFlightByClass[requestClass.index] * threadsPerRequest;
+    int ownThreads = engine.inFlightOfClass(requestClass.index) * threadsPerRequest;
     double limit = limit(engine);
     double threads = threads(now, engine);
     boolean classFits = ownThreads > 0 ? ownThreads < limit : threadsPerRequest <= limit;
@@ -173,7 +175,7 @@
 
   /** Threads of this gateway that an engine may have in use. */
   double limit(Engine engine) {
-    return config.cores(engine) / config.gateways * engine.concurrencyFactor;
+    return config.cores(engine) / config.gateways * engine.concurrencyFactor();
   }
 
   /**
@@ -182,16 +184,16 @@
    * meanwhile: after a lost connection nothing may have run.
    */
   private static double threads(long now, Engine engine) {
-    return engine.threadsInFlight + engine.abandonedThreads.at(now);
+    return engine.threadsInFlight() + engine.abandonedThreads().at(now);
   }
 
   private static boolean isOverloaded(long now, Engine engine) {
-    return now < engine.overloadedUntil;
+    return now < engine.overloadedUntil();
   }
 
   /** An engine counts as overloaded for a latency objective from now on. */
   void markOverloaded(long now, Engine engine) {
-    engine.overloadedUntil = now + config.maxLatencyObjective;
+    engine.setOverloadedUntil(now + config.maxLatencyObjective);
   }
 
   /** Takes in how an attempt ended. */
@@ -202,20 +204,22 @@
     } else if (outcome == AttemptOutcome.TIMED_OUT
         && !OutlierDetector.isSilentSince(attempt)
         && !config.mayCancel) {
-      attempt.engine.abandonedThreads.add(
-          now, attempt.request.requestClass.config.threadsPerRequest());
+      attempt
+          .engine
+          .abandonedThreads()
+          .add(now, attempt.request.requestClass.config.threadsPerRequest());
     }
   }
 
   /** Reduces the limit while the pace is far above the best, and raises it while it is easy. */
   void adjustLimit(long now, Engine engine) {
-    double pace = engine.pace.at(now);
+    double pace = engine.pace().at(now);
     if (pace > LoadEstimator.SLOW_PACE) {
       markOverloaded(now, engine);
       reduceLimit(now, engine);
     } else if (pace < LoadEstimator.EASY_PACE && (isLimitReached(engine) || hasQueuedRequest())) {
       double largest = config.gateways * LoadEstimator.SLOW_PACE / ALL_CLASSES;
-      engine.concurrencyFactor = Math.min(largest, engine.concurrencyFactor + FACTOR_INCREASE);
+      engine.setConcurrencyFactor(Math.min(largest, engine.concurrencyFactor() + FACTOR_INCREASE));
     }
   }
 
@@ -230,15 +234,15 @@
 
   /** Threads in flight of the class with the most, or those of all in limits of one class. */
   private static double limitedThreads(Engine engine) {
-    return Math.max(engine.threadsOfLargestClass(), engine.threadsInFlight / ALL_CLASSES);
+    return Math.max(engine.threadsOfLargestClass(), engine.threadsInFlight() / ALL_CLASSES);
   }
 
   private void reduceLimit(long now, Engine engine) {
-    if (now >= engine.limitReducedAt) {
+    if (now >= engine.limitReducedAt()) {
       double used = limitedThreads(engine) / (config.cores(engine) / config.gateways);
-      double factor = Math.min(engine.concurrencyFactor, Math.max(used, INITIAL_FACTOR));
-      engine.concurrencyFactor = Math.max(MIN_FACTOR, factor * FACTOR_DECREASE);
-      engine.limitReducedAt = now + config.minLatencyObjective;
+      double factor = Math.min(engine.concurrencyFactor(), Math.max(used, INITIAL_FACTOR));
+      engine.setConcurrencyFactor(Math.max(MIN_FACTOR, factor * FACTOR_DECREASE));
+      engine.setLimitReducedAt(now + config.minLatencyObjective);
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -120,8 +120,8 @@
 
   @Override
   public void onResponseStarted(long now, Attempt attempt) {
-    attempt.request.responseStarted = true;
-    attempt.engine.lastResponseAt = now;
+    attempt.request.setResponseStarted(true);
+    attempt.engine.setLastResponseAt(now);
   }
 
   @Override
@@ -129,7 +129,7 @@
     if (!attempt.isInFlight()) {
       return;
     }
-    attempt.engine.lastResponseAt = now;
+    attempt.engine.setLastResponseAt(now);
     if (progress == AttemptProgress.PROGRESS) {
       supervisor.recordProgress(now, attempt, level);
     }
@@ -187,7 +187,7 @@
       timers.set(request, deadlines.tooLateAt(now, request));
     } else if (!unattended
         && request.outcome == null
-        && !request.queued
+        && !request.isQueued()
         && request.attemptsInFlight == 0) {
       resume(now, request);
     }
@@ -220,7 +220,7 @@
   private void close(Request request, RequestOutcome outcome) {
     if (request.outcome == null) {
       request.outcome = outcome;
-      request.notified = true;
+      request.setNotified(true);
       reconciler.cancelAll(request);
     }
   }
@@ -272,7 +272,7 @@
    * What is due for a request: its end, its turn in the queue, or a look at the attempt in flight.
    */
   private void review(long now, Request request) {
-    if (request.responseStarted) {
+    if (request.isResponseStarted()) {
       return;
     }
     if (now >= deadlines.tooLateAt(now, request)) {
--- a/gateway/src/main/java/tillerlink/policy/EngineRegistry.java
+++ b/gateway/src/main/java/tillerlink/policy/EngineRegistry.java
@@ -3,8 +3,6 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import tillerlink.model.DecayingMean;
-import tillerlink.model.DecayingSum;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Engine;
 import tillerlink.model.Engine.Status;
@@ -51,9 +49,9 @@
 
   private void update(EndpointUpdate entry) {
     Engine engine = entry.engine();
-    if (!engine.registered) {
+    if (!engine.isRegistered()) {
       initialize(engine);
-      engine.registered = true;
+      engine.setRegistered(true);
       engines.add(engine);
     }
     if (entry.startedAt() != engine.startedAt) {
@@ -68,18 +66,17 @@
   }
 
   private boolean unregisterIfUnused(Engine engine) {
-    engine.registered = engine.status != Status.GONE || !engine.inFlight.isEmpty();
-    return !engine.registered;
+    engine.setRegistered(engine.status != Status.GONE || !engine.inFlight.isEmpty());
+    return !engine.isRegistered();
   }
 
   private void initialize(Engine engine) {
     double recordTime = config.maxLatencyObjective * RECORD_OBJECTIVES;
-    engine.inFlightByClass = new int[config.requestClasses.size()];
-    engine.successes = new DecayingSum(recordTime);
-    engine.failures = new DecayingSum(recordTime);
-    engine.abandonedThreads = new DecayingSum(recordTime);
-    engine.pace = new DecayingMean(config.maxLatencyObjective, 1, 2);
-    engine.workSent = new SlidingSum(Math.max(1, config.slowStartPeriod), SUM_SLICES);
-    engine.concurrencyFactor = ConcurrencyLimiter.INITIAL_FACTOR;
+    engine.startCounting(
+        config.requestClasses.size(),
+        recordTime,
+        (double) config.maxLatencyObjective,
+        new SlidingSum(Math.max(1, config.slowStartPeriod), SUM_SLICES),
+        ConcurrencyLimiter.INITIAL_FACTOR);
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/EngineSelector.java
+++ b/gateway/src/main/java/tillerlink/policy/EngineSelector.java
@@ -130,8 +130,9 @@
    */
   private void considerOutlier(long now, Engine engine) {
     double chance =
-        BetaDistribution.draw(random, 1 + engine.successes.at(now), 1 + engine.failures.at(now));
-    if (engine.healthChecksInFlight == 0 && chance > outlierChance) {
+        BetaDistribution.draw(
+            random, 1 + engine.successes().at(now), 1 + engine.failures().at(now));
+    if (engine.healthChecksInFlight() == 0 && chance > outlierChance) {
       outlierChance = chance;
       likeliestOutlier = engine;
     }
@@ -153,7 +154,7 @@
    * wait until it is confirmed. It may hurt a gateway that has little else.
    */
   private boolean isProven(Request request, Engine engine) {
-    boolean responded = engine.lastResponseAt >= gatewayStartedAt;
+    boolean responded = engine.lastResponseAt() >= gatewayStartedAt;
     if (engine.trust >= 1 || (responded && engine.trust >= TRUSTED_AFTER_RESPONSE)) {
       return true;
     }
@@ -181,30 +182,30 @@
     double queries = 1;
     for (Engine engine : candidates) {
       measureLoad(now, request, engine);
-      cores += engine.spareCores;
-      queries += engine.classLoad * engine.spareCores;
+      cores += engine.spareCores();
+      queries += engine.classLoad() * engine.spareCores();
     }
     double average = queries / cores;
-    removeUnlessAll(engine -> engine.classLoad > average);
-    double least = candidates.stream().mapToDouble(engine -> engine.classLoad).min().orElse(0);
-    candidates.removeIf(engine -> engine.classLoad > least + TOLERANCE);
+    removeUnlessAll(engine -> engine.classLoad() > average);
+    double least = candidates.stream().mapToDouble(engine -> engine.classLoad()).min().orElse(0);
+    candidates.removeIf(engine -> engine.classLoad() > least + TOLERANCE);
     return breakTie(request);
   }
 
   private void measureLoad(long now, Request request, Engine engine) {
     boolean recent = reports.isRecent(now, engine);
     double cores = effectiveCores(now, engine) * spareShare(now, engine, request.requestClass);
-    engine.spareCores = cores;
-    engine.classLoad =
-        engine.inFlightByClass[request.classIndex] / cores
-            + (recent ? engine.reportedQueries / config.cores(engine) : 0);
+    engine.setSpareCores(cores);
+    engine.setClassLoad(
+        engine.inFlightOfClass(request.classIndex) / cores
+            + (recent ? engine.reportedQueries() / config.cores(engine) : 0));
     // Guards against a stalled engine that answers nothing: after a while it would look idle.
     double utilization =
         recent
-            ? engine.reportedUtilization
-            : Math.max(survey.utilization, engine.reportedUtilization);
-    int threads = engine.threadsInFlight + request.requestClass.config.threadsPerRequest();
-    engine.load = threads / cores + utilization;
+            ? engine.reportedUtilization()
+            : Math.max(survey.utilization, engine.reportedUtilization());
+    int threads = engine.threadsInFlight() + request.requestClass.config.threadsPerRequest();
+    engine.setLoad(threads / cores + utilization);
   }
 
   /**
@@ -215,16 +216,15 @@
    * and would choose alike. It costs some choices between engines of different load.
    */
   private Engine breakTie(Request request) {
-    double usualLoad = candidates.stream().mapToDouble(engine -> engine.load).average().orElse(0);
+    double usualLoad = candidates.stream().mapToDouble(engine -> engine.load()).average().orElse(0);
     Engine best = null;
     double bestRating = Double.MAX_VALUE;
     for (Engine engine : candidates) {
       boolean tablesCached =
-          engine.recentTableGroups.contains(request.tableGroup)
-              && engine.load <= usualLoad + TOLERANCE;
-      double draw = -Math.log(1 - random.nextDouble()) / engine.spareCores;
-      double preference = engine.usesSlowStartSlot ? -TIE_BREAK : tablesCached ? 0 : TIE_BREAK;
-      double rating = preference + engine.load + draw;
+          engine.hasRecentTableGroup(request.tableGroup) && engine.load() <= usualLoad + TOLERANCE;
+      double draw = -Math.log(1 - random.nextDouble()) / engine.spareCores();
+      double preference = engine.usesSlowStartSlot() ? -TIE_BREAK : tablesCached ? 0 : TIE_BREAK;
+      double rating = preference + engine.load() + draw;
       if (rating < bestRating) {
         bestRating = rating;
         best = engine;
@@ -237,7 +237,7 @@
    * An engine slower than the fleet, or still warming up, counts with the cores it seems to have.
    */
   private double effectiveCores(long now, Engine engine) {
-    double slowness = engine.pace.at(now) / survey.pace;
+    double slowness = engine.pace().at(now) / survey.pace;
     return config.cores(engine)
         * slowStart.warmCapacity(now, engine)
         / (slowness > SLOW_ENGINE ? slowness : 1);
@@ -253,9 +253,9 @@
     double boundWork = 0;
     for (RequestClass other : estimator.requestClasses()) {
       if (other != requestClass
-          && other.eligibleCores < survey.cores
+          && other.eligibleCores() < survey.cores
           && other.config.allows(engine)) {
-        boundWork += other.offeredWork.at(now) / other.eligibleCores;
+        boundWork += other.offeredWork().at(now) / other.eligibleCores();
       }
     }
     return Math.max(
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -124,7 +124,7 @@
     Attempt attempt = written.attempt;
     Request request = attempt.request;
     long at = written.firstByteAt;
-    attempt.writtenAt = at;
+    attempt.setWrittenAt(at);
     if (request.requestClass == null) {
       // A policy without request classes, as the baselines have: there is nothing to check.
       return broken;
@@ -171,12 +171,12 @@
       return false;
     }
     for (Attempt other : attempt.request.attempts) {
-      if (other == attempt || other.writtenAt == 0 || !other.mayHaveRun()) {
+      if (other == attempt || other.writtenAt() == 0 || !other.mayHaveRun()) {
         continue;
       }
       if (classConfig.effect() == Effect.EFFECTFUL
           || !classConfig.deduplicationGroup().covers(other.engine, attempt.engine)
-          || at > other.writtenAt + classConfig.deduplicationWindow() + SLACK) {
+          || at > other.writtenAt() + classConfig.deduplicationWindow() + SLACK) {
         return true;
       }
     }
--- a/gateway/src/main/java/tillerlink/policy/KeyOrdering.java
+++ b/gateway/src/main/java/tillerlink/policy/KeyOrdering.java
@@ -25,13 +25,13 @@
    */
   void advance(long now, Request request) {
     Request next = request.ordered() ? request.keyQueue.firstUnfinished() : null;
-    if (next == null || next.outcome != null || next.queued || !next.attempts.isEmpty()) {
+    if (next == null || next.outcome != null || next.isQueued() || !next.attempts.isEmpty()) {
       return;
     }
     long cooldownUntil = request.keyQueue.cooldownUntil;
     if (now >= cooldownUntil) {
       queues.addLast(next);
-    } else if (cooldownUntil < next.wakeAt) {
+    } else if (cooldownUntil < next.wakeAt()) {
       timers.set(next, cooldownUntil);
     }
   }
--- a/gateway/src/main/java/tillerlink/policy/LoadEstimator.java
+++ b/gateway/src/main/java/tillerlink/policy/LoadEstimator.java
@@ -56,7 +56,7 @@
     List<RequestClass> created = new ArrayList<>();
     for (RequestClassConfig classConfig : config.requestClasses) {
       RequestClass requestClass = requestClass(created.size(), classConfig);
-      requestClass.offeredWork = new DecayingSum(offeredLoadTime);
+      requestClass.setOfferedWork(new DecayingSum(offeredLoadTime));
       created.add(requestClass);
     }
     requestClasses = Collections.unmodifiableList(created);
@@ -84,7 +84,7 @@
     RequestClassConfig config = request.requestClass.config;
     offeredWeight.add(now, config.priorityWeight());
     double largest = (double) (config.deadline() * config.threadsPerRequest());
-    request.requestClass.offeredWork.add(now, Math.min(work(now, request), largest));
+    request.requestClass.offeredWork().add(now, Math.min(work(now, request), largest));
   }
 
   /**
@@ -111,7 +111,7 @@
     double pace = duration / Math.max(1, nominal);
     recordPace(now, requestClass, pace);
     double timesBest = Math.min(MAX_PACE, pace / requestClass.bestPaceOrDefault());
-    attempt.engine.pace.add(now, timesBest, 1);
+    attempt.engine.pace().add(now, timesBest, 1);
     recentPace.add(now, timesBest, 1);
   }
 
@@ -119,8 +119,8 @@
     requestClass.pace.add(now, Math.min(pace, MAX_RATIO * requestClass.bestPaceOrDefault()), 1);
     if (requestClass.pace.weight(now) >= MIN_ATTEMPTS) {
       double mean = requestClass.pace.at(now);
-      requestClass.bestPace =
-          requestClass.bestPace == 0 ? mean : Math.min(requestClass.bestPace, mean);
+      requestClass.setBestPace(
+          requestClass.bestPace() == 0 ? mean : Math.min(requestClass.bestPace(), mean));
     }
   }
 
@@ -128,7 +128,7 @@
   static void recordProgress(long now, Attempt attempt, double projectedTime) {
     double pace =
         projectedTime / attempt.nominalTime / attempt.request.requestClass.bestPaceOrDefault();
-    attempt.engine.pace.add(now, Math.min(MAX_PACE, pace), PROGRESS_WEIGHT);
+    attempt.engine.pace().add(now, Math.min(MAX_PACE, pace), PROGRESS_WEIGHT);
   }
 
   /** Whether the attempts that ended recently took little more than the best time. */
@@ -153,7 +153,7 @@
     return (long)
         (nominalTime(now, request)
             * request.requestClass.bestPaceOrDefault()
-            * Math.max(1, engine.pace.at(now)));
+            * Math.max(1, engine.pace().at(now)));
   }
 
   /** Time that an attempt sent now is expected to take on an ordinary engine. */
--- a/gateway/src/main/java/tillerlink/policy/LoadReports.java
+++ b/gateway/src/main/java/tillerlink/policy/LoadReports.java
@@ -23,17 +23,17 @@
     if (report == null) {
       return false;
     }
-    engine.reportedAt = now;
-    engine.reportedUtilization = 0;
+    engine.setReportedAt(now);
+    engine.setReportedUtilization(0);
     for (int i = 0; i < Math.min(report.length, config.reportFields.size()); i++) {
       record(engine, config.reportFields.get(i), report[i]);
     }
-    return engine.reportedUtilization >= BUSY_UTILIZATION;
+    return engine.reportedUtilization() >= BUSY_UTILIZATION;
   }
 
   private static void record(Engine engine, String field, double value) {
     switch (field) {
-      case "busy_reqs" -> engine.reportedQueries = value;
+      case "busy_reqs" -> engine.setReportedQueries(value);
       case "cpu_share", "x1" -> reportUtilization(engine, value);
       case "pending" -> reportUtilization(engine, value >= 1 ? 1 : 0);
       default -> {
@@ -43,11 +43,11 @@
   }
 
   private static void reportUtilization(Engine engine, double utilization) {
-    engine.reportedUtilization = Math.max(engine.reportedUtilization, utilization);
+    engine.setReportedUtilization(Math.max(engine.reportedUtilization(), utilization));
   }
 
   /** Whether the last load report of an engine is recent enough to be used. */
   boolean isRecent(long now, Engine engine) {
-    return now < engine.reportedAt + config.maxLatencyObjective;
+    return now < engine.reportedAt() + config.maxLatencyObjective;
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/MemoryGrants.java
+++ b/gateway/src/main/java/tillerlink/policy/MemoryGrants.java
@@ -19,7 +19,7 @@
     double memory = request.memoryEstimate * request.requestClass.memoryBias.at(now) * MARGIN;
     if (config.grantsMemory && memory > 0) {
       double largest = config.maxGrantShare * config.memory(engine);
-      request.grant = (long) Math.ceil(largest > 0 ? Math.min(memory, largest) : memory);
+      request.setGrant((long) Math.ceil(largest > 0 ? Math.min(memory, largest) : memory));
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/OutlierDetector.java
+++ b/gateway/src/main/java/tillerlink/policy/OutlierDetector.java
@@ -37,13 +37,13 @@
 
   /** Whether an engine failed so often recently that it gets health-check attempts only. */
   boolean isOutlier(long now, Engine engine) {
-    double failed = engine.failures.at(now);
-    return failed > MIN_FAILURES && failed > FAILURE_RATIO * engine.successes.at(now);
+    double failed = engine.failures().at(now);
+    return failed > MIN_FAILURES && failed > FAILURE_RATIO * engine.successes().at(now);
   }
 
   /** Whether an engine has sent nothing since an attempt was sent there. */
   static boolean isSilentSince(Attempt attempt) {
-    return attempt.engine.lastResponseAt < attempt.sentAt;
+    return attempt.engine.lastResponseAt() < attempt.sentAt;
   }
 
   /**
@@ -65,7 +65,7 @@
   /** An engine was silent for too long: it counts as an outlier from now on. */
   void recordSilence(long now, Engine engine) {
     if (!isOutlier(now, engine)) {
-      engine.failures.add(now, SILENCE_WEIGHT + FAILURE_RATIO * engine.successes.at(now));
+      engine.failures().add(now, SILENCE_WEIGHT + FAILURE_RATIO * engine.successes().at(now));
     }
   }
 
@@ -73,10 +73,10 @@
   void recordOutcome(long now, Attempt attempt, AttemptOutcome outcome) {
     Engine engine = attempt.engine;
     if (outcome.engineResponded) {
-      engine.lastResponseAt = now;
+      engine.setLastResponseAt(now);
     }
     switch (outcome) {
-      case SUCCEEDED -> count(now, attempt, engine.successes, 1, engine.failures);
+      case SUCCEEDED -> count(now, attempt, engine.successes(), 1, engine.failures());
       // Guards against an engine that refuses at once: its low counts would attract its class.
       case REJECTED -> countFailure(now, attempt, 1);
       case FAILED -> recordFailed(now, attempt);
@@ -95,11 +95,11 @@
    */
   private static void recordFailed(long now, Attempt attempt) {
     Engine other = attempt.request.otherFailedEngine(attempt.engine);
-    attempt.request.unservable = other != null;
+    attempt.request.setUnservable(other != null);
     if (other == null) {
       countFailure(now, attempt, 1);
     } else {
-      other.failures.add(now, -1);
+      other.failures().add(now, -1);
     }
   }
 
@@ -110,22 +110,22 @@
    */
   private static void recordConnectionLost(long now, Attempt attempt) {
     Engine engine = attempt.engine;
-    boolean restarted = engine.lastResponseAt < engine.connectionLostAt;
+    boolean restarted = engine.lastResponseAt() < engine.connectionLostAt();
     countFailure(now, attempt, restarted ? SILENCE_WEIGHT : 1);
     if (restarted) {
-      engine.restartSeenAt = now;
+      engine.setRestartSeenAt(now);
     }
-    engine.connectionLostAt = now;
+    engine.setConnectionLostAt(now);
   }
 
   private static void recordTimedOut(long now, Attempt attempt) {
     if (isSilentSince(attempt)) {
-      attempt.engine.failures.add(now, 1);
+      attempt.engine.failures().add(now, 1);
     }
   }
 
   private static void countFailure(long now, Attempt attempt, double weight) {
-    count(now, attempt, attempt.engine.failures, weight, attempt.engine.successes);
+    count(now, attempt, attempt.engine.failures(), weight, attempt.engine.successes());
   }
 
   /** A health-check attempt shows the present: it wipes out most of the opposite record. */
--- a/gateway/src/main/java/tillerlink/policy/RequestQueues.java
+++ b/gateway/src/main/java/tillerlink/policy/RequestQueues.java
@@ -34,7 +34,7 @@
     if (request.unattended) {
       return false;
     }
-    request.queued = true;
+    request.setQueued(true);
     recentlyQueued.add(request);
     return true;
   }
@@ -44,13 +44,13 @@
     if (!request.requestClass.queue.remove(request)) {
       return false;
     }
-    request.queued = false;
+    request.setQueued(false);
     return true;
   }
 
   /** Takes out the first request of a class. */
   void removeFirst(RequestClass requestClass) {
-    requestClass.queue.pollFirst().queued = false;
+    requestClass.queue.pollFirst().setQueued(false);
   }
 
   /**
--- a/gateway/src/main/java/tillerlink/policy/RetryPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/RetryPolicy.java
@@ -44,7 +44,7 @@
 
   /** Whether the rules, the retry budget and the time left allow another attempt. */
   boolean isAnotherAttemptWorthwhile(long now, Request request) {
-    return !request.unservable
+    return !request.isUnservable()
         && request.attempts.size() < config.maxAttempts
         && budget.allowsAnother(now)
         && now + estimator.usualTime(now, request) < deadlines.tooLateAt(now, request)
@@ -64,7 +64,7 @@
 
   /** Time that an attempt will have taken in all, as its reported progress projects it. */
   static double projectedTime(long now, Attempt attempt) {
-    return (now - attempt.sentAt) / Math.max(MIN_COMPLETED_SHARE, attempt.completedShare);
+    return (now - attempt.sentAt) / Math.max(MIN_COMPLETED_SHARE, attempt.completedShare());
   }
 
   /**
@@ -74,8 +74,8 @@
    */
   static boolean hasBadPlan(long now, Attempt attempt) {
     RequestClass requestClass = attempt.request.requestClass;
-    double margin = requestClass.bestPace > 0 ? 1 : UNKNOWN_CLASS_MARGIN;
-    double enginePace = Math.max(1, attempt.engine.pace.at(now));
+    double margin = requestClass.bestPace() > 0 ? 1 : UNKNOWN_CLASS_MARGIN;
+    double enginePace = Math.max(1, attempt.engine.pace().at(now));
     double usual =
         margin
             * attempt.nominalTime
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -60,7 +60,7 @@
     if (request.unattended) {
       return SendVerdict.CLIENT_GONE;
     }
-    if (attempt.cancelRequested) {
+    if (attempt.isCancelRequested()) {
       return SendVerdict.CANCELLED;
     }
     if (now >= request.clientDeadline) {
--- a/gateway/src/main/java/tillerlink/policy/SlowStart.java
+++ b/gateway/src/main/java/tillerlink/policy/SlowStart.java
@@ -40,7 +40,7 @@
   }
 
   private static long startedAt(Engine engine) {
-    return Math.max(engine.startedAt, engine.restartSeenAt);
+    return Math.max(engine.startedAt, engine.restartSeenAt());
   }
 
   /**
@@ -51,15 +51,15 @@
    */
   boolean hasQuota(long now, Engine engine, double work) {
     double warm = warmCapacity(now, engine);
-    engine.usesSlowStartSlot = false;
+    engine.setUsesSlowStartSlot(false);
     if (warm >= 1 || config.slowStartPeriod <= 0) {
       return true;
     }
     long uptime = now - startedAt(engine);
     double rate = config.slowStartMultiple * warm * config.cores(engine);
     double all = rate * Math.max(0, Math.min(uptime, config.slowStartPeriod)) * USED_SHARE;
-    double left = all / config.gateways - engine.workSent.upperBound(now);
-    engine.usesSlowStartSlot = work > left;
+    double left = all / config.gateways - engine.workSent().upperBound(now);
+    engine.setUsesSlowStartSlot(work > left);
     return now >= gatewayStartedAt + config.slowStartPeriod
         && work <= all
         && roundingThreshold(uptime, now - uptime) * work <= left;
@@ -81,6 +81,6 @@
 
   /** Counts work that is sent to an engine. */
   void recordSent(long now, Engine engine, double work) {
-    engine.workSent.add(now, work);
+    engine.workSent().add(now, work);
   }
 }
--- a/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
+++ b/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
@@ -54,7 +54,7 @@
     unattended.unattended = true;
     assertEquals(SendVerdict.CLIENT_GONE, guard.checkWrite(NOW, attempt(unattended, engine)));
     Attempt cancelled = attempt(request(Effect.PURE, null), engine);
-    cancelled.cancelRequested = true;
+    cancelled.setCancelRequested(true);
     assertEquals(SendVerdict.CANCELLED, guard.checkWrite(NOW, cancelled));
     Attempt late = attempt(request(Effect.PURE, null), engine);
     guard.setListUsableUntil(NOW + 2 * DEADLINE);
