--- a/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
+++ b/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
@@ -108,7 +108,7 @@
       return;
     }
     Attempt attempt = new Attempt(request, best, now, 0, 0, false);
-    attempt.sent = true;
+    attempt.setSent(true);
     request.attempts.add(attempt);
     request.attemptsInFlight++;
     outstanding.merge(best, 1, Integer::sum);
