--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -27,6 +27,12 @@
  */
 @Timeout(120)
 class StaleListTest {
+  /**
+   * Between bursts of five: an answer is kept for a second after it was fetched, and 4,096 requests
+   * at most, so that more of them a second are rejected for want of capacity.
+   */
+  private static final long BURST_PAUSE_MS = 3;
+
   private static final String DRAINS = "e1";
   private static final String STAYS = "e2";
   private static final long GRACE_MS = 1000;
@@ -180,6 +186,7 @@
     while (System.nanoTime() < began + TimeUnit.MILLISECONDS.toNanos(4000)) {
       burst(5);
       asked += 5;
+      Thread.sleep(BURST_PAUSE_MS);
     }
     judge(asked);
   }
