--- a/gateway/src/main/java/tillerlink/model/Attempt.java
+++ b/gateway/src/main/java/tillerlink/model/Attempt.java
@@ -43,14 +43,19 @@
 
   /** Creates the next attempt of a request; the caller adds it to the request and the engine. */
   public Attempt(
-      Request request, Engine engine, long sentAt, long expected, double nominal, boolean trial) {
+      Request request,
+      Engine engine,
+      long sentAt,
+      long expectedTime,
+      double nominalTime,
+      boolean healthCheck) {
     this.request = request;
     this.engine = engine;
     this.number = request.attempts.size();
     this.sentAt = sentAt;
-    this.expectedTime = expected;
-    this.nominalTime = nominal;
-    this.healthCheck = trial;
+    this.expectedTime = expectedTime;
+    this.nominalTime = nominalTime;
+    this.healthCheck = healthCheck;
   }
 
   /** Whether it has not ended. */
--- a/gateway/src/main/java/tillerlink/model/AttemptOutcome.java
+++ b/gateway/src/main/java/tillerlink/model/AttemptOutcome.java
@@ -33,9 +33,9 @@
   /** The engine itself responded. */
   public final boolean engineResponded;
 
-  AttemptOutcome(boolean provesNotExecuted, boolean mayStillBeRunning, boolean heard) {
+  AttemptOutcome(boolean provesNotExecuted, boolean mayStillBeRunning, boolean engineResponded) {
     this.provesNotExecuted = provesNotExecuted;
     this.mayStillBeRunning = mayStillBeRunning;
-    this.engineResponded = heard;
+    this.engineResponded = engineResponded;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/DecayingMean.java
+++ b/gateway/src/main/java/tillerlink/model/DecayingMean.java
@@ -10,13 +10,13 @@
   /**
    * Creates a mean of no values.
    *
-   * @param span the age at which the weight of a value has faded to 1/e
+   * @param fadeTime the age at which the weight of a value has faded to 1/e
    * @param prior the mean of no values
    * @param priorWeight the weight of the prior, against 1 for a value
    */
-  public DecayingMean(double span, double prior, double priorWeight) {
-    values = new DecayingSum(span);
-    weights = new DecayingSum(span);
+  public DecayingMean(double fadeTime, double prior, double priorWeight) {
+    values = new DecayingSum(fadeTime);
+    weights = new DecayingSum(fadeTime);
     this.prior = prior;
     this.priorWeight = priorWeight;
   }
--- a/gateway/src/main/java/tillerlink/model/DecayingSum.java
+++ b/gateway/src/main/java/tillerlink/model/DecayingSum.java
@@ -2,17 +2,17 @@
 
 /** A sum whose parts fade with age; brought up to date when read. */
 public final class DecayingSum {
-  private final double span;
+  private final double fadeTime;
   private double sum;
   private long asOf;
 
   /**
    * Creates an empty sum.
    *
-   * @param span the age at which a part has faded to 1/e
+   * @param fadeTime the age at which a part has faded to 1/e
    */
-  public DecayingSum(double span) {
-    this.span = span;
+  public DecayingSum(double fadeTime) {
+    this.fadeTime = fadeTime;
   }
 
   /** Adds an amount, which may be negative. */
@@ -23,7 +23,7 @@
 
   /** The sum as of now. */
   public double at(long now) {
-    return sum == 0 ? 0 : sum * Math.exp((asOf - now) / span);
+    return sum == 0 ? 0 : sum * Math.exp((asOf - now) / fadeTime);
   }
 
   /** Sets the sum to zero. */
--- a/gateway/src/main/java/tillerlink/model/Request.java
+++ b/gateway/src/main/java/tillerlink/model/Request.java
@@ -83,18 +83,18 @@
       boolean repeat,
       long arrivedAt,
       long clientDeadline,
-      double estimate,
+      double workEstimate,
       double memoryEstimate,
-      KeyedRequestQueue line) {
+      KeyedRequestQueue keyQueue) {
     this.tag = tag;
     this.classIndex = classIndex;
     this.tableGroup = tableGroup;
     this.repeat = repeat;
     this.arrivedAt = arrivedAt;
     this.clientDeadline = clientDeadline;
-    this.workEstimate = estimate;
+    this.workEstimate = workEstimate;
     this.memoryEstimate = memoryEstimate;
-    this.keyQueue = line;
+    this.keyQueue = keyQueue;
   }
 
   /** Whether it has a key, and its request class keeps the order of a key's requests. */
--- a/gateway/src/main/java/tillerlink/model/RequestClass.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClass.java
@@ -34,14 +34,14 @@
   /** Creates a request class with an empty queue. */
   public RequestClass(
       int index,
-      RequestClassConfig terms,
-      DecayingMean bias,
+      RequestClassConfig config,
+      DecayingMean workBias,
       DecayingMean memoryBias,
       DecayingMean work,
       DecayingMean pace) {
     this.index = index;
-    this.config = terms;
-    this.workBias = bias;
+    this.config = config;
+    this.workBias = workBias;
     this.memoryBias = memoryBias;
     this.work = work;
     this.pace = pace;
--- a/gateway/src/main/java/tillerlink/model/SlidingSum.java
+++ b/gateway/src/main/java/tillerlink/model/SlidingSum.java
@@ -12,11 +12,11 @@
   /**
    * Creates an empty sum.
    *
-   * @param span length of the period
+   * @param period length of the period
    * @param slices number of slices that it is divided into
    */
-  public SlidingSum(long span, int slices) {
-    slice = Math.max(1, (span + slices - 1) / slices);
+  public SlidingSum(long period, int slices) {
+    slice = Math.max(1, (period + slices - 1) / slices);
     amounts = new double[slices + 2];
     numbers = new long[slices + 2];
     java.util.Arrays.fill(numbers, Long.MIN_VALUE);
--- a/gateway/src/main/java/tillerlink/policy/AdmissionController.java
+++ b/gateway/src/main/java/tillerlink/policy/AdmissionController.java
@@ -11,9 +11,9 @@
 import tillerlink.model.TerminationReason;
 
 /**
- * Decides which requests wait for an engine, and ends those that are not worth it: load shedding,
- * and requests that are unable to meet their deadline. Times are tenths of a millisecond. Used by
- * the event loop alone.
+ * Decides which requests wait for an engine, and terminates those that would come too late: load
+ * shedding, and requests that are unable to meet their deadline. Times are tenths of a millisecond.
+ * Used by the event loop alone.
  */
 final class AdmissionController {
   /** Share of the time that the first request has used up, counted at the least. */
@@ -155,7 +155,7 @@
     ordering.advance(now, request);
   }
 
-  /** Whether a client may be told to send a request again. */
+  /** Whether a request may be rejected, so that its client may send it again. */
   private static boolean mayReject(Request request) {
     RequestClassConfig classConfig = request.requestClass.config;
     return classConfig.effect() == Effect.PURE
--- a/gateway/src/main/java/tillerlink/policy/SlowStart.java
+++ b/gateway/src/main/java/tillerlink/policy/SlowStart.java
@@ -73,10 +73,10 @@
   private double roundingThreshold(long uptime, long startedAt) {
     double period = (double) config.slowStartPeriod;
     double periods = Math.floor(uptime / period + config.gatewayIndex * GOLDEN_RATIO % 1);
-    double turn =
+    double position =
         (config.gatewayIndex + 0.5) / config.gateways
             + (periods + startedAt / period * PERIOD_PARTS) * GOLDEN_RATIO % 1;
-    return 1 - turn % 1;
+    return 1 - position % 1;
   }
 
   /** Counts work that is sent to an engine. */
