--- a/audit/src/main/java/tillerlink/audit/Auditor.java
+++ b/audit/src/main/java/tillerlink/audit/Auditor.java
@@ -25,9 +25,9 @@
 
   /** How a request was answered, as its client saw it. Its constants' names are printed. */
   public enum Answer {
-    FULFILLED,
-    TURNED_BACK,
-    BROKEN_OFF
+    SUCCEEDED,
+    REJECTED,
+    FAILED
   }
 
   private final Fleet fleet;
@@ -66,7 +66,7 @@
    * @param requestClass an index of the request classes
    * @param key the idempotency key, or null
    */
-  public void taken(
+  public void onRequestAccepted(
       long now, int gateway, String id, int requestClass, String key, long clientDeadline) {
     requests.put(
         id, new AuditedRequest(gateway, requestClasses.get(requestClass), clientDeadline, key));
@@ -77,7 +77,7 @@
   }
 
   /** A client has got an answer. */
-  public void answered(long now, String id, Answer answer) {
+  public void onAnswer(long now, String id, Answer answer) {
     AuditedRequest request = requests.get(id);
     if (request == null || request.isAnswered()) {
       findings.report(
@@ -91,17 +91,17 @@
       long lateMs = (now - request.clientDeadline()) / TENTHS_PER_MS;
       findings.report(Rule.ANSWER, now, id + " was answered " + lateMs + " ms too late");
     }
-    if (answer == Answer.TURNED_BACK && request.isEffectful() && request.mayHaveRun()) {
-      findings.report(Rule.EFFECT, now, id + " was turned back though it may have run");
+    if (answer == Answer.REJECTED && request.isEffectful() && request.mayHaveRun()) {
+      findings.report(Rule.EFFECT, now, id + " was rejected though it may have run");
     }
-    if (answer == Answer.FULFILLED && request.executions() == 0) {
-      findings.report(Rule.ANSWER, now, id + " was fulfilled though no engine ran it");
+    if (answer == Answer.SUCCEEDED && request.executions() == 0) {
+      findings.report(Rule.ANSWER, now, id + " succeeded though no engine ran it");
     }
     forgetIfOver(id, request);
   }
 
   /** A client was given another result than its engine's. */
-  public void wrongResult(long now, String id) {
+  public void onWrongResult(long now, String id) {
     findings.report(Rule.ANSWER, now, id + " was given another result than its engine's");
   }
 
@@ -110,7 +110,7 @@
    *
    * @param timeUp whether its deadline had passed, so that it should have had one
    */
-  public void left(long now, String id, boolean timeUp) {
+  public void onClientDisconnected(long now, String id, boolean timeUp) {
     AuditedRequest request = requests.get(id);
     if (request == null) {
       return;
@@ -123,7 +123,7 @@
   }
 
   /** A gateway was killed: its requests are not audited any more. */
-  public void gatewayKilled(int gateway) {
+  public void onGatewayKilled(int gateway) {
     retryBudgets.get(gateway).clear();
     engines.values().forEach(engine -> engine.forgetGateway(gateway));
     requests.values().removeIf(request -> request.gateway() == gateway);
@@ -145,12 +145,12 @@
    * @param kind an index of the fleet's kinds
    * @param startedAt long ago if not above 0
    */
-  public void engineUp(String engine, int kind, long startedAt) {
+  public void onEngineStarted(String engine, int kind, long startedAt) {
     engines.put(engine, new AuditedEngine(fleet, kind, startedAt));
   }
 
   /** A gateway was notified that an engine is draining or gone. */
-  public void withdrawn(long now, int gateway, String engine) {
+  public void onEndpointWithdrawn(long now, int gateway, String engine) {
     AuditedEngine withdrawn = engines.get(engine);
     if (withdrawn != null) {
       withdrawn.withdraw(gateway, now);
@@ -158,28 +158,28 @@
   }
 
   /** An engine ended for good, and all gateways were notified. */
-  public void engineForgotten(String engine) {
+  public void onEngineForgotten(String engine) {
     engines.remove(engine);
   }
 
   // ---- attempts ----
 
   /** The first byte of an attempt was sent. */
-  public void sent(long now, int gateway, String engine, String id) {
+  public void onAttemptSent(long now, int gateway, String engine, String id) {
     AuditedEngine target = engines.get(engine);
     AuditedRequest request = requests.get(id);
     if (request == null) {
       findings.report(
-          Rule.ANSWER, now, "a hop of " + id + " went to " + engine + " though it was over");
+          Rule.ANSWER, now, "an attempt of " + id + " went to " + engine + " though it was over");
       return;
     }
     if (target == null) {
       findings.report(
-          Rule.DRAIN, now, "a hop of " + id + " went to " + engine + ", which nobody knows");
+          Rule.DRAIN, now, "an attempt of " + id + " went to " + engine + ", which nobody knows");
       return;
     }
     if (request.isClosedForClient()) {
-      findings.report(Rule.ANSWER, now, "a hop of " + id + " went out after its answer");
+      findings.report(Rule.ANSWER, now, "an attempt of " + id + " went out after its answer");
     }
     checkDrain(now, gateway, engine, target, id);
     checkPlacement(now, engine, target, id, request);
@@ -211,7 +211,7 @@
               + engine
               + " "
               + (now - since.getAsLong()) / TENTHS_PER_MS
-              + " ms after it was told to be draining or gone");
+              + " ms after it was reported as draining or gone");
     }
   }
 
@@ -229,7 +229,8 @@
       findings.report(Rule.EFFECT, now, id + " went out again though it may have run");
     }
     if (request.isDeduplicationWindowOver(now)) {
-      findings.report(Rule.EFFECT, now, id + " went out again after engines forgot its mark");
+      findings.report(
+          Rule.EFFECT, now, id + " went out again after engines forgot its idempotency key");
     }
   }
 
@@ -244,7 +245,7 @@
               + gateway
               + " made "
               + budget.retries()
-              + " further hops where "
+              + " retries where "
               + Math.floor(budget.allowedRetries())
               + " were allowed");
     }
@@ -255,7 +256,7 @@
    *
    * @param work what it takes on one core
    */
-  public void ran(long now, String engine, String id, double work) {
+  public void onAttemptExecuted(long now, String engine, String id, double work) {
     AuditedRequest request = requests.get(id);
     if (request != null) {
       request.onExecuted();
@@ -264,7 +265,7 @@
       }
     }
     AuditedEngine target = engines.get(engine);
-    if (target != null && fleet.fall() > 0) {
+    if (target != null && fleet.overloadWindow() > 0) {
       checkSlowStart(now, engine, target.slowStart(), work);
     }
   }
@@ -278,7 +279,7 @@
               + " was sent "
               + Math.round(slowStart.workInWindow() / TENTHS_PER_MS)
               + " ms of work within "
-              + fleet.fall() / TENTHS_PER_MS
+              + fleet.overloadWindow() / TENTHS_PER_MS
               + " ms, "
               + slowStart.age(now) / TENTHS_PER_MS
               + " ms after its start");
@@ -290,7 +291,7 @@
    *
    * @param provesNotExecuted whether it is known that the engine did not execute it
    */
-  public void over(String id, boolean provesNotExecuted) {
+  public void onAttemptEnded(String id, boolean provesNotExecuted) {
     AuditedRequest request = requests.get(id);
     if (request != null) {
       request.onAttemptEnded(provesNotExecuted);
@@ -301,7 +302,7 @@
   // ---- results ----
 
   /** The most work sent to an engine that was warming up, as a fraction of what it could bear. */
-  public double coldMost() {
+  public double maxSlowStartLoad() {
     return engines.values().stream()
         .mapToDouble(engine -> engine.slowStart().maxLoad())
         .max()
@@ -329,7 +330,7 @@
   }
 
   /** How many requests are not over. */
-  public int watching() {
+  public int openRequests() {
     return requests.size();
   }
 }
--- a/audit/src/main/java/tillerlink/audit/RetryBudgetWindow.java
+++ b/audit/src/main/java/tillerlink/audit/RetryBudgetWindow.java
@@ -30,7 +30,7 @@
 
   /** How many retries the requests in the window allow. */
   double allowedRetries() {
-    return fleet.extraFloor() + fleet.furtherRatio() * requests.size();
+    return fleet.minRetries() + fleet.retryRatio() * requests.size();
   }
 
   void clear() {
@@ -39,7 +39,7 @@
   }
 
   private void expire(ArrayDeque<Long> times, long now) {
-    while (!times.isEmpty() && times.peekFirst() <= now - fleet.budgetSpan()) {
+    while (!times.isEmpty() && times.peekFirst() <= now - fleet.retryBudgetWindow()) {
       times.pollFirst();
     }
   }
--- a/audit/src/main/java/tillerlink/audit/SlowStartWindow.java
+++ b/audit/src/main/java/tillerlink/audit/SlowStartWindow.java
@@ -42,13 +42,13 @@
    * @return whether the engine is warming up and was sent more than it can bear
    */
   boolean add(long now, double work) {
-    if (startedAt <= 0 || age(now) > fleet.warmWithin() + fleet.fall()) {
+    if (startedAt <= 0 || age(now) > fleet.warmupTime() + fleet.overloadWindow()) {
       sent.clear();
       return false;
     }
     sent.add(new SentWork(now, work));
     workInWindow += work;
-    while (sent.peekFirst().at <= now - fleet.fall()) {
+    while (sent.peekFirst().at <= now - fleet.overloadWindow()) {
       workInWindow -= sent.pollFirst().work;
     }
     double bearable = bearableWork(now);
@@ -59,7 +59,10 @@
   private double bearableWork(long now) {
     double warmth =
         Math.min(
-            1, fleet.startCapacity() + (1 - fleet.startCapacity()) * age(now) / fleet.warmWithin());
-    return warmth * fleet.kinds().get(kind).cores() * fleet.fall() * fleet.fallMultiple();
+            1, fleet.startCapacity() + (1 - fleet.startCapacity()) * age(now) / fleet.warmupTime());
+    return warmth
+        * fleet.kinds().get(kind).cores()
+        * fleet.overloadWindow()
+        * fleet.overloadFactor();
   }
 }
--- a/audit/src/test/java/tillerlink/audit/AuditorTest.java
+++ b/audit/src/test/java/tillerlink/audit/AuditorTest.java
@@ -28,9 +28,9 @@
             requestClass("bound", Effect.PURE, "small-8"),
             requestClass("ordered", Effect.PURE));
     auditor = new Auditor(Fleet.builtIn(2), requestClasses, false, false, false, false, true);
-    auditor.engineUp("e1", 0, 0);
-    auditor.engineUp("big", 1, 0);
-    auditor.engineUp("cold", 0, T - 10_000);
+    auditor.onEngineStarted("e1", 0, 0);
+    auditor.onEngineStarted("big", 1, 0);
+    auditor.onEngineStarted("cold", 0, T - 10_000);
   }
 
   private static RequestClassSpec requestClass(String name, Effect effect, String... kinds) {
@@ -39,13 +39,13 @@
   }
 
   private AuditorTest accept(String id, int requestClass, String key) {
-    auditor.taken(T, 0, id, requestClass, key, T + 50_000);
+    auditor.onRequestAccepted(T, 0, id, requestClass, key, T + 50_000);
     return this;
   }
 
   private AuditorTest executeAt(long at, String engine, String id, double work) {
-    auditor.sent(at, 0, engine, id);
-    auditor.ran(at, engine, id, work);
+    auditor.onAttemptSent(at, 0, engine, id);
+    auditor.onAttemptExecuted(at, engine, id, work);
     return this;
   }
 
@@ -62,80 +62,80 @@
   @Test
   void nothingIsReportedWhereAllRulesHold() {
     accept("a", PURE, null).executeAt(T, "e1", "a", 100);
-    auditor.over("a", false);
-    auditor.sent(T + 5, 0, "big", "a");
-    auditor.ran(T + 5, "big", "a", 100);
-    auditor.over("a", false);
-    auditor.answered(T + 49_999, "a", Auditor.Answer.FULFILLED);
+    auditor.onAttemptEnded("a", false);
+    auditor.onAttemptSent(T + 5, 0, "big", "a");
+    auditor.onAttemptExecuted(T + 5, "big", "a", 100);
+    auditor.onAttemptEnded("a", false);
+    auditor.onAnswer(T + 49_999, "a", Auditor.Answer.SUCCEEDED);
     accept("b", EFFECTFUL, null);
-    auditor.sent(T, 0, "e1", "b");
-    auditor.over("b", true);
-    auditor.sent(T + 9, 0, "big", "b");
-    auditor.over("b", true);
-    auditor.answered(T + 10, "b", Auditor.Answer.TURNED_BACK);
+    auditor.onAttemptSent(T, 0, "e1", "b");
+    auditor.onAttemptEnded("b", true);
+    auditor.onAttemptSent(T + 9, 0, "big", "b");
+    auditor.onAttemptEnded("b", true);
+    auditor.onAnswer(T + 10, "b", Auditor.Answer.REJECTED);
     assertFindings("");
-    assertEquals(0, auditor.watching());
+    assertEquals(0, auditor.openRequests());
   }
 
   @Test
   void missingLateRepeatedAndWrongAnswersAreReported() {
     accept("a", PURE, null);
-    auditor.answered(T + 10, "a", Auditor.Answer.BROKEN_OFF);
-    auditor.answered(T + 11, "a", Auditor.Answer.BROKEN_OFF);
+    auditor.onAnswer(T + 10, "a", Auditor.Answer.FAILED);
+    auditor.onAnswer(T + 11, "a", Auditor.Answer.FAILED);
     accept("b", PURE, null);
-    auditor.answered(T + 50_501, "b", Auditor.Answer.BROKEN_OFF);
+    auditor.onAnswer(T + 50_501, "b", Auditor.Answer.FAILED);
     accept("c", PURE, null);
-    auditor.left(T + 50_500, "c", true);
+    auditor.onClientDisconnected(T + 50_500, "c", true);
     accept("d", PURE, null);
-    auditor.answered(T + 10, "d", Auditor.Answer.FULFILLED);
+    auditor.onAnswer(T + 10, "d", Auditor.Answer.SUCCEEDED);
     accept("e", PURE, null);
-    auditor.wrongResult(T, "e");
-    auditor.answered(T + 10, "e", Auditor.Answer.BROKEN_OFF);
-    auditor.sent(T + 11, 0, "e1", "e");
+    auditor.onWrongResult(T, "e");
+    auditor.onAnswer(T + 10, "e", Auditor.Answer.FAILED);
+    auditor.onAttemptSent(T + 11, 0, "e1", "e");
     accept("f", PURE, null);
-    auditor.left(T + 10, "f", false);
+    auditor.onClientDisconnected(T + 10, "f", false);
     assertFindings(
         """
-        ANSWER: a was answered BROKEN_OFF after its end
+        ANSWER: a was answered FAILED after its end
         ANSWER: b was answered 50 ms too late
         ANSWER: c was not answered in time
-        ANSWER: d was fulfilled though no engine ran it
+        ANSWER: d succeeded though no engine ran it
         ANSWER: e was given another result than its engine's
-        ANSWER: a hop of e went to e1 though it was over
+        ANSWER: an attempt of e went to e1 though it was over
         """);
   }
 
   @Test
   void effectsThatMayHappenTwiceAreReported() {
     accept("a", EFFECTFUL, null).executeAt(T, "e1", "a", 100);
-    auditor.over("a", false);
+    auditor.onAttemptEnded("a", false);
     executeAt(T + 5, "big", "a", 100);
-    auditor.over("a", false);
-    auditor.answered(T + 10, "a", Auditor.Answer.TURNED_BACK);
+    auditor.onAttemptEnded("a", false);
+    auditor.onAnswer(T + 10, "a", Auditor.Answer.REJECTED);
     accept("b", RECEIPTED, "k").executeAt(T, "e1", "b", 100);
-    auditor.over("b", false);
-    auditor.sent(T + 20_000, 0, "big", "b");
+    auditor.onAttemptEnded("b", false);
+    auditor.onAttemptSent(T + 20_000, 0, "big", "b");
     assertFindings(
         """
         EFFECT: a went out again though it may have run
         EFFECT: a ran twice
-        EFFECT: a was turned back though it may have run
-        EFFECT: b went out again after engines forgot its mark
+        EFFECT: a was rejected though it may have run
+        EFFECT: b went out again after engines forgot its idempotency key
         """);
   }
 
   @Test
   void attemptsAtDrainingOrUnknownEnginesAreReported() {
     accept("a", PURE, null).accept("b", PURE, null);
-    auditor.withdrawn(T, 0, "e1");
-    auditor.sent(T + 8000, 0, "e1", "a");
-    auditor.sent(T + 8001, 0, "e1", "b");
+    auditor.onEndpointWithdrawn(T, 0, "e1");
+    auditor.onAttemptSent(T + 8000, 0, "e1", "a");
+    auditor.onAttemptSent(T + 8001, 0, "e1", "b");
     accept("c", PURE, null);
-    auditor.sent(T, 0, "nobody", "c");
+    auditor.onAttemptSent(T, 0, "nobody", "c");
     assertFindings(
         """
-        DRAIN: b went from n0 to e1 800 ms after it was told to be draining or gone
-        DRAIN: a hop of c went to nobody, which nobody knows
+        DRAIN: b went from n0 to e1 800 ms after it was reported as draining or gone
+        DRAIN: an attempt of c went to nobody, which nobody knows
         """);
   }
 
@@ -152,18 +152,18 @@
   @Test
   void attemptsOutOfKeyOrderAreReported() {
     accept("a", ORDERED, "k").accept("b", ORDERED, "k").accept("c", ORDERED, "other");
-    auditor.sent(T, 0, "e1", "a");
-    auditor.sent(T, 0, "e1", "c");
-    auditor.sent(T + 1, 0, "e1", "b");
+    auditor.onAttemptSent(T, 0, "e1", "a");
+    auditor.onAttemptSent(T, 0, "e1", "c");
+    auditor.onAttemptSent(T + 1, 0, "e1", "b");
     assertFindings("ORDER: b went out before a of the same key was over\n");
   }
 
   @Test
   void attemptsAtEnginesOfAnotherKindAreReported() {
     accept("a", BOUND, null);
-    auditor.sent(T, 0, "e1", "a");
-    auditor.over("a", true);
-    auditor.sent(T, 0, "big", "a");
+    auditor.onAttemptSent(T, 0, "e1", "a");
+    auditor.onAttemptEnded("a", true);
+    auditor.onAttemptSent(T, 0, "big", "a");
     assertFindings("PLACEMENT: a of bound went to big\n");
   }
 
@@ -171,15 +171,15 @@
   void retriesBeyondTheBudgetAreReported() {
     for (int i = 0; i < 20; i++) {
       accept("a" + i, PURE, null);
-      auditor.sent(T, 0, "e1", "a" + i);
-      auditor.over("a" + i, true);
+      auditor.onAttemptSent(T, 0, "e1", "a" + i);
+      auditor.onAttemptEnded("a" + i, true);
     }
     for (int i = 0; i < 8; i++) {
-      auditor.sent(T + 119_999, 0, "e1", "a" + i);
+      auditor.onAttemptSent(T + 119_999, 0, "e1", "a" + i);
     }
     // Four and three twentieths of twenty; a window later the twenty count no more.
-    assertFindings("BUDGET: n0 made 8 further hops where 7.0 were allowed\n");
-    auditor.sent(T + 120_000, 0, "e1", "a8");
+    assertFindings("BUDGET: n0 made 8 retries where 7.0 were allowed\n");
+    auditor.onAttemptSent(T + 120_000, 0, "e1", "a8");
     assertEquals(2, auditor.counts().get(Rule.BUDGET));
   }
 }
--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -15,8 +15,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
+import tillerlink.fleet.EngineSpec;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Spec;
 import tillerlink.model.Attempt;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.EndpointUpdate;
@@ -58,7 +58,7 @@
         FlattenedConfig.of(
             fleet.settings(BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018), 0));
     policy = new DefaultDispatchPolicy(now, 7, settings, new Nobody());
-    for (Spec spec : fleet.engines()) {
+    for (EngineSpec spec : fleet.engines()) {
       list.add(
           new EndpointUpdate(
               new Engine(spec.name()), spec.kind(), spec.zone(), 0, 1, Status.READY, 0));
--- a/emulator/src/main/java/tillerlink/emulator/AttemptObserver.java
+++ b/emulator/src/main/java/tillerlink/emulator/AttemptObserver.java
@@ -26,7 +26,7 @@
     switch (command.word()) {
       case WANT -> {
         attempts.add(command.id());
-        auditor.sent(now, gateway, engine, command.id());
+        auditor.onAttemptSent(now, gateway, engine, command.id());
       }
       case NEVER_MIND -> attemptEnded(command.id(), false);
       default -> {}
@@ -35,7 +35,7 @@
 
   private void attemptEnded(String id, boolean provesNotExecuted) {
     if (attempts.remove(id)) {
-      auditor.over(id, provesNotExecuted);
+      auditor.onAttemptEnded(id, provesNotExecuted);
     }
   }
 
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
@@ -15,9 +15,9 @@
 import tillerlink.audit.Auditor;
 import tillerlink.fakes.DiscoveryResponse;
 import tillerlink.fakes.EngineProtocolServer;
+import tillerlink.fleet.EngineSpec;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Spec;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.state.EndpointCache;
 import tillerlink.net.wire.EndpointEntry;
@@ -50,7 +50,7 @@
   public final Auditor auditor;
   private final List<EmulatedGateway> gateways = new ArrayList<>();
 
-  private Function<Spec, EngineProtocolServer> protocolFactory;
+  private Function<EngineSpec, EngineProtocolServer> protocolFactory;
   private IntFunction<EndpointCache> endpointCaches = place -> null;
   private long discoveryDownUntil;
   private CostMeter costMeter;
@@ -76,7 +76,7 @@
   public EmulatedCluster(
       Fleet fleet, List<RequestClassSpec> requestClasses, Auditor auditor, long start) {
     this.fleet = fleet;
-    protocolFactory = spec -> fleet.kinds().get(spec.kind()).side();
+    protocolFactory = spec -> fleet.kinds().get(spec.kind()).newServer();
     this.requestClasses = requestClasses;
     this.auditor = auditor;
     incidentClockStart = start;
@@ -84,7 +84,7 @@
     deduplicationLog =
         new DeduplicationLog(
             requestClasses.stream().mapToLong(RequestClassSpec::window).max().orElse(0));
-    for (Spec spec : fleet.engines()) {
+    for (EngineSpec spec : fleet.engines()) {
       startEngine(spec, 0);
     }
   }
@@ -120,12 +120,12 @@
   // ---- how the cluster behaves ----
 
   /** Sets which protocol engines speak on a new connection; tests put in some that misbehave. */
-  public void protocolFactory(Function<Spec, EngineProtocolServer> factory) {
+  public void protocolFactory(Function<EngineSpec, EngineProtocolServer> factory) {
     protocolFactory = factory;
   }
 
   /** The engine's end of the protocol on a new connection to it. */
-  public EngineProtocolServer newProtocolServer(Spec engine) {
+  public EngineProtocolServer newProtocolServer(EngineSpec engine) {
     return protocolFactory.apply(engine);
   }
 
@@ -178,13 +178,13 @@
     return gateways.get(place);
   }
 
-  private EmulatedEngine startEngine(Spec spec, long startedAt) {
+  private EmulatedEngine startEngine(EngineSpec spec, long startedAt) {
     EmulatedEngine engine = new EmulatedEngine(this, spec, enginesStarted++, startedAt);
     InetSocketAddress address = Fleet.address(engine.place);
     byAddress.put(address, engine);
     byName.put(spec.name(), engine);
     endpoints.put(spec.name(), fleet.entry(spec, address, Status.READY, startedAt / TICKS_PER_MS));
-    auditor.engineUp(spec.name(), spec.kind(), startedAt);
+    auditor.onEngineStarted(spec.name(), spec.kind(), startedAt);
     engineListeners.forEach(listener -> listener.accept(engine));
     listChanged();
     return engine;
@@ -285,12 +285,12 @@
   /**
    * Plans a trouble. If what it names does not exist by then, the incident list says so instead.
    */
-  public void plan(Trouble trouble) {
+  public void plan(ScheduledFault trouble) {
     timeline.at(incidentClockStart + trouble.at(), () -> begin(trouble));
   }
 
-  private void begin(Trouble trouble) {
-    if (trouble.what() == Trouble.What.KILLED) {
+  private void begin(ScheduledFault trouble) {
+    if (trouble.what() == ScheduledFault.What.KILLED) {
       killGateway(trouble);
       return;
     }
@@ -357,27 +357,27 @@
     updateEndpoint(name, Status.GONE);
     endpoints.remove(name);
     for (int gateway = 0; gateway < fleet.gateways(); gateway++) {
-      auditor.withdrawn(now() + LIST_DELAY, gateway, name);
+      auditor.onEndpointWithdrawn(now() + LIST_DELAY, gateway, name);
     }
     timeline.at(
         now() + 10 * LIST_DELAY,
         () -> {
           byName.remove(name);
           byAddress.remove(Fleet.address(engine.place));
-          auditor.engineForgotten(name);
+          auditor.onEngineForgotten(name);
         });
   }
 
-  private void replace(Spec old) {
+  private void replace(EngineSpec old) {
     String name =
         old.name().replaceFirst("-[0-9]+$", "")
             + "-"
             + (enginesStarted - fleet.engines().size() + 1);
-    startEngine(new Spec(name, old.kind(), old.zone()), now());
+    startEngine(new EngineSpec(name, old.kind(), old.zone()), now());
     logIncident(name + " takes its place, cold");
   }
 
-  private void killGateway(Trouble trouble) {
+  private void killGateway(ScheduledFault trouble) {
     int place =
         trouble.whom().matches("n[0-9]{1,6}") ? Integer.parseInt(trouble.whom().substring(1)) : -1;
     if (place < 0 || place >= fleet.gateways()) {
@@ -385,7 +385,7 @@
       return;
     }
     killListeners.forEach(listener -> listener.accept(place));
-    auditor.gatewayKilled(place);
+    auditor.onGatewayKilled(place);
     logIncident(trouble.whom() + " is killed");
     timeline.at(
         now() + trouble.lasts(),
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
@@ -7,7 +7,7 @@
 import tillerlink.fakes.EngineProtocolServer;
 import tillerlink.fakes.EngineReply;
 import tillerlink.fakes.LineProtocolServer;
-import tillerlink.fleet.Kind;
+import tillerlink.fleet.EngineKind;
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.DisconnectReason;
 
@@ -93,10 +93,10 @@
     this.engine = engine;
     this.delay = delay;
     incarnation = gateway.incarnation();
-    Kind kind = engine == null ? null : cluster.fleet.kinds().get(engine.spec.kind());
+    EngineKind kind = engine == null ? null : cluster.fleet.kinds().get(engine.spec.kind());
     engineProtocol =
         kind == null ? new LineProtocolServer() : cluster.newProtocolServer(engine.spec);
-    gatewayView = kind == null ? new LineProtocolServer() : kind.side();
+    gatewayView = kind == null ? new LineProtocolServer() : kind.newServer();
     attempts =
         new AttemptObserver(
             cluster.auditor, gateway.place, engine == null ? "?" : engine.spec.name());
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
@@ -9,9 +9,9 @@
 import tillerlink.fakes.EngineCommandParser.Command;
 import tillerlink.fakes.EngineReply;
 import tillerlink.fakes.Results;
+import tillerlink.fleet.EngineKind;
+import tillerlink.fleet.EngineSpec;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Kind;
-import tillerlink.fleet.Spec;
 import tillerlink.net.state.DisconnectReason;
 
 /**
@@ -51,7 +51,7 @@
     }
   }
 
-  public final Spec spec;
+  public final EngineSpec spec;
   public final int place;
   final long startedAt;
   private final EmulatedCluster cluster;
@@ -74,12 +74,12 @@
   /**
    * @param startedAt when it started cold, or 0 if it is warm already
    */
-  EmulatedEngine(EmulatedCluster cluster, Spec spec, int place, long startedAt) {
+  EmulatedEngine(EmulatedCluster cluster, EngineSpec spec, int place, long startedAt) {
     this.cluster = cluster;
     this.spec = spec;
     this.place = place;
     this.startedAt = startedAt;
-    Kind kind = cluster.fleet.kinds().get(spec.kind());
+    EngineKind kind = cluster.fleet.kinds().get(spec.kind());
     cores = new SharedCpu(kind.cores(), kind.memory());
     maxSessions = kind.cores() * SESSIONS_PER_CORE;
     cores.advance(cluster.now());
@@ -88,7 +88,7 @@
 
   private void warmUp() {
     long age = cluster.now() - startedAt;
-    long within = cluster.fleet.warmWithin();
+    long within = cluster.fleet.warmupTime();
     if (startedAt == ALREADY_WARM || age >= within || ended) {
       cores.warmth(1);
       return;
@@ -190,7 +190,7 @@
       // A repeat is recognized at once and does not run again.
       work = 1;
     } else {
-      cluster.auditor.ran(cluster.now(), spec.name(), command.id(), work);
+      cluster.auditor.onAttemptExecuted(cluster.now(), spec.name(), command.id(), work);
     }
     cores.advance(cluster.now());
     Query query = new Query(connection, command.id(), work, cost.threads(), cost.memory());
@@ -198,7 +198,8 @@
     running.computeIfAbsent(connection, l -> new LinkedHashMap<>()).put(command.id(), query);
     cores.add(query.load);
     finishEnded();
-    cluster.timeline.at(cluster.now() + cluster.fleet.notesEvery(), () -> reportProgress(query));
+    cluster.timeline.at(
+        cluster.now() + cluster.fleet.progressInterval(), () -> reportProgress(query));
     cluster.timeline.at(
         cluster.now() + Math.max(1, command.limit()) * TICKS_PER_MS, () -> expire(query));
   }
@@ -230,7 +231,8 @@
               ? EngineReply.progress(query.id, "missing", Math.rint(missing))
               : EngineReply.progress(query.id, "frac", shareDone));
     }
-    cluster.timeline.at(cluster.now() + cluster.fleet.notesEvery(), () -> reportProgress(query));
+    cluster.timeline.at(
+        cluster.now() + cluster.fleet.progressInterval(), () -> reportProgress(query));
   }
 
   /** Finishes the requests that have ended, and schedules the next check. */
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
@@ -208,7 +208,7 @@
   private void auditNotReady(List<EndpointEntry> endpoints) {
     for (EndpointEntry entry : endpoints) {
       if (entry.standing() != Status.READY) {
-        cluster.auditor.withdrawn(cluster.now(), place, entry.id());
+        cluster.auditor.onEndpointWithdrawn(cluster.now(), place, entry.id());
       }
     }
   }
--- a/fleet/src/main/java/tillerlink/fleet/Kind.java
+++ b/fleet/src/main/java/tillerlink/fleet/EngineKind.java
@@ -10,11 +10,11 @@
  * @param memory megabytes
  * @param http2 whether its engines speak HTTP/2 instead of the line protocol
  */
-public record Kind(String name, int cores, double memory, boolean http2) {
+public record EngineKind(String name, int cores, double memory, boolean http2) {
   private static final int MAX_STREAMS = 100;
 
   /** The server's end of a new connection to an engine of this kind. */
-  public EngineProtocolServer side() {
+  public EngineProtocolServer newServer() {
     return http2 ? new Http2Server(MAX_STREAMS) : new LineProtocolServer();
   }
 }
--- a/fleet/src/main/java/tillerlink/fleet/Spec.java
+++ b/fleet/src/main/java/tillerlink/fleet/EngineSpec.java
@@ -6,4 +6,4 @@
  * @param kind an index of the fleet's kinds
  * @param zone an index of the fleet's zones
  */
-public record Spec(String name, int kind, int zone) {}
+public record EngineSpec(String name, int kind, int zone) {}
--- a/fleet/src/main/java/tillerlink/fleet/Fleet.java
+++ b/fleet/src/main/java/tillerlink/fleet/Fleet.java
@@ -25,37 +25,37 @@
  * @param kinds the kinds of engine; engines name them by index
  * @param zones the names of the zones; engines name them by index
  * @param engines the engines at the start
- * @param notesEvery how often engines report the progress of an attempt
+ * @param progressInterval how often engines report the progress of an attempt
  * @param startCapacity the fraction of its cores that an engine has when it was just started
- * @param warmWithin how long an engine is warming up, until it has all of them
- * @param fallMultiple an engine that is warming up fails if it is sent more than this many times
- *     what it can do within {@code fall}
- * @param fall see {@code fallMultiple}; 0 if engines never fail so
+ * @param warmupTime how long an engine is warming up, until it has all of them
+ * @param overloadFactor an engine that is warming up fails if it is sent more than this many times
+ *     what it can do within {@code overloadWindow}
+ * @param overloadWindow see {@code overloadFactor}; 0 if engines never fail so
  * @param drainGrace how long after a gateway was notified new work may still go to a draining
  *     engine
- * @param extraFloor retries that are always allowed within {@code budgetSpan}
- * @param furtherRatio further retries for each request accepted in it
- * @param budgetSpan the retry budget's sliding window
- * @param attemptsMost attempts of one request, at most
- * @param retryAfter the longest time that clients are asked to stay away; 0 for never
+ * @param minRetries retries that are always allowed within {@code retryBudgetWindow}
+ * @param retryRatio further retries for each request accepted in it
+ * @param retryBudgetWindow the retry budget's sliding window
+ * @param maxAttempts attempts of one request, at most
+ * @param maxRetryAfter the longest time that clients are asked to stay away; 0 for never
  */
 public record Fleet(
     int gateways,
     int sockets,
-    List<Kind> kinds,
+    List<EngineKind> kinds,
     List<String> zones,
-    List<Spec> engines,
-    long notesEvery,
+    List<EngineSpec> engines,
+    long progressInterval,
     double startCapacity,
-    long warmWithin,
-    double fallMultiple,
-    long fall,
+    long warmupTime,
+    double overloadFactor,
+    long overloadWindow,
     long drainGrace,
-    double extraFloor,
-    double furtherRatio,
-    long budgetSpan,
-    int attemptsMost,
-    long retryAfter) {
+    double minRetries,
+    double retryRatio,
+    long retryBudgetWindow,
+    int maxAttempts,
+    long maxRetryAfter) {
   /** Microseconds in a tenth of a millisecond. */
   private static final long MICROS = 100;
 
@@ -78,14 +78,16 @@
    * deployment's.
    */
   public static Fleet of(int gateways, int engines) {
-    List<Spec> specs = new ArrayList<>();
+    List<EngineSpec> specs = new ArrayList<>();
     for (int i = 0; i < engines; i++) {
-      specs.add(new Spec("e" + (i + 1), i % 3 == 2 ? 1 : 0, i / 3 % 3));
+      specs.add(new EngineSpec("e" + (i + 1), i % 3 == 2 ? 1 : 0, i / 3 % 3));
     }
     return new Fleet(
         gateways,
         FILE_DESCRIPTORS,
-        List.of(new Kind("small-8", 8, 20_000, false), new Kind("big-16", 16, 40_000, false)),
+        List.of(
+            new EngineKind("small-8", 8, 20_000, false),
+            new EngineKind("big-16", 16, 40_000, false)),
         List.of("east", "middle", "west"),
         specs,
         3 * SECOND / 2,
@@ -102,57 +104,60 @@
   }
 
   /** The same engines behind that many gateways. */
-  public Fleet behind(int count) {
+  public Fleet withGateways(int count) {
     return new Fleet(
         count,
         sockets,
         kinds,
         zones,
         engines,
-        notesEvery,
+        progressInterval,
         startCapacity,
-        warmWithin,
-        fallMultiple,
-        fall,
+        warmupTime,
+        overloadFactor,
+        overloadWindow,
         drainGrace,
-        extraFloor,
-        furtherRatio,
-        budgetSpan,
-        attemptsMost,
-        retryAfter);
+        minRetries,
+        retryRatio,
+        retryBudgetWindow,
+        maxAttempts,
+        maxRetryAfter);
   }
 
   /**
    * The same fleet with engines of those kinds reached over HTTP/2, the others over the line
    * protocol.
    */
-  public Fleet overHttp2(Predicate<Kind> which) {
+  public Fleet overHttp2(Predicate<EngineKind> which) {
     return new Fleet(
         gateways,
         sockets,
         kinds.stream()
-            .map(kind -> new Kind(kind.name(), kind.cores(), kind.memory(), which.test(kind)))
+            .map(kind -> new EngineKind(kind.name(), kind.cores(), kind.memory(), which.test(kind)))
             .toList(),
         zones,
         engines,
-        notesEvery,
+        progressInterval,
         startCapacity,
-        warmWithin,
-        fallMultiple,
-        fall,
+        warmupTime,
+        overloadFactor,
+        overloadWindow,
         drainGrace,
-        extraFloor,
-        furtherRatio,
-        budgetSpan,
-        attemptsMost,
-        retryAfter);
+        minRetries,
+        retryRatio,
+        retryBudgetWindow,
+        maxAttempts,
+        maxRetryAfter);
   }
 
   /** How gateways reach its engines. */
   public EngineTransport.Factory transports() {
     return new Http2TransportFactory(
         false,
-        kinds.stream().filter(Kind::http2).map(Kind::name).collect(Collectors.toUnmodifiableSet()),
+        kinds.stream()
+            .filter(EngineKind::http2)
+            .map(EngineKind::name)
+            .collect(Collectors.toUnmodifiableSet()),
         0);
   }
 
@@ -176,8 +181,8 @@
 
   /** An engine as discovery reports it. */
   public EndpointEntry entry(
-      Spec engine, InetSocketAddress at, Engine.Status standing, long startedMs) {
-    Kind kind = kinds.get(engine.kind());
+      EngineSpec engine, InetSocketAddress at, Engine.Status standing, long startedMs) {
+    EngineKind kind = kinds.get(engine.kind());
     return new EndpointEntry(
         engine.name(),
         at.getAddress().getHostAddress(),
@@ -206,25 +211,25 @@
   /** The settings in the form in which a gateway's configuration holds them. */
   public Map<String, Object> settings(List<RequestClassSpec> requestClasses, int gateway) {
     Map<String, Object> caps = new LinkedHashMap<>();
-    caps.put("max_attempts", (long) attemptsMost);
+    caps.put("max_attempts", (long) maxAttempts);
     caps.put("may_cancel", true);
-    caps.put("retry_after", retryAfter > 0);
-    caps.put("max_retry_after_us", retryAfter * MICROS);
+    caps.put("retry_after", maxRetryAfter > 0);
+    caps.put("max_retry_after_us", maxRetryAfter * MICROS);
     caps.put("streams_per_conn", 32L);
     caps.put("connect_timeout_us", 400_000L);
     caps.put("conn_idle_us", 20_000_000L);
     Map<String, Object> guarantees = new LinkedHashMap<>();
     guarantees.put("drain_grace_us", drainGrace * MICROS);
-    guarantees.put("extra_floor", extraFloor);
-    guarantees.put("further_ratio", furtherRatio);
-    guarantees.put("budget_span_us", budgetSpan * MICROS);
-    guarantees.put("fall_multiple", fallMultiple);
-    guarantees.put("fall_us", fall * MICROS);
+    guarantees.put("extra_floor", minRetries);
+    guarantees.put("further_ratio", retryRatio);
+    guarantees.put("budget_span_us", retryBudgetWindow * MICROS);
+    guarantees.put("fall_multiple", overloadFactor);
+    guarantees.put("fall_us", overloadWindow * MICROS);
     guarantees.put("start_capacity", startCapacity);
-    guarantees.put("warm_within_us", warmWithin * MICROS);
+    guarantees.put("warm_within_us", warmupTime * MICROS);
     Map<String, Object> info = new LinkedHashMap<>();
     info.put("kind_cores", kinds.stream().map(kind -> (long) kind.cores()).toList());
-    info.put("tells_every_us", notesEvery * MICROS);
+    info.put("tells_every_us", progressInterval * MICROS);
     info.put(
         "width_by_class",
         requestClasses.stream().map(requestClass -> (long) requestClass.width()).toList());
@@ -233,7 +238,7 @@
     all.put("me", (long) gateway);
     all.put("tick_us", 5000L);
     all.put("discovery", "push");
-    all.put("models", kinds.stream().map(Kind::name).toList());
+    all.put("models", kinds.stream().map(EngineKind::name).toList());
     all.put("zones", zones);
     all.put("caps", caps);
     all.put("guarantees", guarantees);
--- a/fleet/src/main/java/tillerlink/fleet/Trouble.java
+++ b/fleet/src/main/java/tillerlink/fleet/ScheduledFault.java
@@ -8,7 +8,7 @@
  *     stays down
  * @param factor how many times slower
  */
-public record Trouble(long at, What what, String whom, long lasts, double factor) {
+public record ScheduledFault(long at, What what, String whom, long lasts, double factor) {
   /** What happens; the operator's file names it by the constant. */
   public enum What {
     /** Everything that runs on the engine takes that many times as long. */
--- a/harness/src/main/java/tillerlink/harness/ProcessHarness.java
+++ b/harness/src/main/java/tillerlink/harness/ProcessHarness.java
@@ -17,7 +17,7 @@
 import tillerlink.audit.Auditor;
 import tillerlink.emulator.EmulatedCluster;
 import tillerlink.fakes.DiscoveryResponse;
-import tillerlink.fleet.Kind;
+import tillerlink.fleet.EngineKind;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.lifecycle.WallClock;
 import tillerlink.net.wire.EndpointEntry;
@@ -80,7 +80,7 @@
               folder,
               "n" + i,
               addresses[i],
-              job.fleet().kinds().stream().filter(Kind::http2).map(Kind::name).toList(),
+              job.fleet().kinds().stream().filter(EngineKind::http2).map(EngineKind::name).toList(),
               store);
     }
     transport = new ClientSockets(addresses, queue::add);
@@ -232,7 +232,7 @@
   private void auditNotReady(int gateway) {
     for (EndpointEntry entry : cluster.list()) {
       if (entry.standing() != Status.READY) {
-        auditor.withdrawn(cluster.now(), gateway, entry.id());
+        auditor.onEndpointWithdrawn(cluster.now(), gateway, entry.id());
       }
     }
   }
--- a/operator/src/main/java/tillerlink/operator/FleetPart.java
+++ b/operator/src/main/java/tillerlink/operator/FleetPart.java
@@ -2,9 +2,9 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import tillerlink.fleet.EngineKind;
+import tillerlink.fleet.EngineSpec;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Kind;
-import tillerlink.fleet.Spec;
 
 /** The block <code>fleet</code>: the emulated fleet of a replay. */
 final class FleetPart {
@@ -14,9 +14,9 @@
     if (section == null) {
       return null;
     }
-    List<Kind> kinds = kinds(section);
+    List<EngineKind> kinds = kinds(section);
     List<String> zones = section.texts("zones", true);
-    List<Spec> specs = engines(section, kinds, zones);
+    List<EngineSpec> specs = engines(section, kinds, zones);
     if (kinds.isEmpty() || specs.isEmpty()) {
       section.fault("a fleet wants kinds and engines");
     }
@@ -30,28 +30,28 @@
             kinds,
             zones,
             specs,
-            seconds(section, "notes_every_s", 0.01, defaults.notesEvery()),
+            seconds(section, "notes_every_s", 0.01, defaults.progressInterval()),
             cold.number("start_capacity", 0.01, 1, defaults.startCapacity()),
-            seconds(cold, "warm_within_s", 0, defaults.warmWithin()),
-            cold.number("fall_multiple", 1, 100, defaults.fallMultiple()),
-            seconds(cold, "fall_s", 0, defaults.fall()),
+            seconds(cold, "warm_within_s", 0, defaults.warmupTime()),
+            cold.number("fall_multiple", 1, 100, defaults.overloadFactor()),
+            seconds(cold, "fall_s", 0, defaults.overloadWindow()),
             seconds(section, "drain_grace_s", 0, defaults.drainGrace()),
-            budget.number("floor", 0, 1e6, defaults.extraFloor()),
-            budget.number("ratio", 0, 10, defaults.furtherRatio()),
-            seconds(budget, "span_s", 0.1, defaults.budgetSpan()),
-            (int) section.whole("hops_most", 1, 100, defaults.attemptsMost()),
-            seconds(section, "come_back_s", 0, defaults.retryAfter()));
+            budget.number("floor", 0, 1e6, defaults.minRetries()),
+            budget.number("ratio", 0, 10, defaults.retryRatio()),
+            seconds(budget, "span_s", 0.1, defaults.retryBudgetWindow()),
+            (int) section.whole("hops_most", 1, 100, defaults.maxAttempts()),
+            seconds(section, "come_back_s", 0, defaults.maxRetryAfter()));
     cold.close();
     budget.close();
     section.close();
     return fleet;
   }
 
-  private static List<Kind> kinds(Section fleet) {
-    List<Kind> kinds = new ArrayList<>();
+  private static List<EngineKind> kinds(Section fleet) {
+    List<EngineKind> kinds = new ArrayList<>();
     for (Section kind : fleet.all("kind")) {
       kinds.add(
-          new Kind(
+          new EngineKind(
               kind.label(),
               (int) kind.number("cores", 1, 1024, Units.REQUIRED),
               kind.number("memory_mb", 1, 1e9, Units.REQUIRED),
@@ -66,20 +66,21 @@
     return Math.round(seconds * Units.TENTHS_PER_S);
   }
 
-  private static List<Spec> engines(Section fleet, List<Kind> kinds, List<String> zones) {
-    List<Spec> specs = new ArrayList<>();
-    List<String> kindNames = kinds.stream().map(Kind::name).toList();
+  private static List<EngineSpec> engines(
+      Section fleet, List<EngineKind> kinds, List<String> zones) {
+    List<EngineSpec> specs = new ArrayList<>();
+    List<String> kindNames = kinds.stream().map(EngineKind::name).toList();
     for (Section group : fleet.all("engines")) {
       String name = group.label();
       int kind = index(group, "kind", kindNames);
       int zone = index(group, "zone", zones);
       long count = group.whole("count", 1, 5000, 1);
       for (long i = 1; i <= count; i++) {
-        specs.add(new Spec(name + i, kind, zone));
+        specs.add(new EngineSpec(name + i, kind, zone));
       }
       group.close();
     }
-    if (specs.stream().map(Spec::name).distinct().count() < specs.size()) {
+    if (specs.stream().map(EngineSpec::name).distinct().count() < specs.size()) {
       fleet.fault("two engines have the same name");
     }
     return specs;
--- a/operator/src/main/java/tillerlink/operator/OperatorFile.java
+++ b/operator/src/main/java/tillerlink/operator/OperatorFile.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.trace.Layout;
 import tillerlink.workload.RequestClassSpec;
@@ -26,7 +26,7 @@
     List<Layout> layouts,
     Fleet fleet,
     List<RequestClassSpec> requestClasses,
-    List<Trouble> troubles,
+    List<ScheduledFault> troubles,
     ReplayDefaults replay) {
   /** The format of the log. */
   public record LogConfig(Form form, Level level) {}
--- a/operator/src/main/java/tillerlink/operator/ReferenceCheck.java
+++ b/operator/src/main/java/tillerlink/operator/ReferenceCheck.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 
 /** Checks the names by which one block refers to another. */
 final class ReferenceCheck {
@@ -45,7 +45,8 @@
     }
     for (Section trouble : all.all("trouble")) {
       String whom = trouble.text("whom", "?");
-      boolean killed = trouble.text("what", "?").equalsIgnoreCase(Trouble.What.KILLED.name());
+      boolean killed =
+          trouble.text("what", "?").equalsIgnoreCase(ScheduledFault.What.KILLED.name());
       boolean known =
           killed
               ? isGateway(whom, fleet)
--- a/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import tillerlink.fleet.EngineKind;
+import tillerlink.fleet.EngineSpec;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Kind;
-import tillerlink.fleet.Spec;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.model.Effect;
 import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.trace.Layout;
@@ -121,21 +121,23 @@
         new Fleet(
             3,
             4096,
-            List.of(new Kind("small-8", 8, 20_000, false), new Kind("big-16", 16, 40_000, false)),
+            List.of(
+                new EngineKind("small-8", 8, 20_000, false),
+                new EngineKind("big-16", 16, 40_000, false)),
             List.of("east", "west"),
             List.of(
-                new Spec("a1", 0, 0),
-                new Spec("a2", 0, 0),
-                new Spec("a3", 0, 0),
-                new Spec("a4", 0, 0),
-                new Spec("a5", 0, 0),
-                new Spec("b1", 0, 1),
-                new Spec("b2", 0, 1),
-                new Spec("b3", 0, 1),
-                new Spec("b4", 0, 1),
-                new Spec("c1", 1, 1),
-                new Spec("c2", 1, 1),
-                new Spec("c3", 1, 1)),
+                new EngineSpec("a1", 0, 0),
+                new EngineSpec("a2", 0, 0),
+                new EngineSpec("a3", 0, 0),
+                new EngineSpec("a4", 0, 0),
+                new EngineSpec("a5", 0, 0),
+                new EngineSpec("b1", 0, 1),
+                new EngineSpec("b2", 0, 1),
+                new EngineSpec("b3", 0, 1),
+                new EngineSpec("b4", 0, 1),
+                new EngineSpec("c1", 1, 1),
+                new EngineSpec("c2", 1, 1),
+                new EngineSpec("c3", 1, 1)),
             15_000,
             0.25,
             100_000,
@@ -189,8 +191,8 @@
   void troubles() {
     assertEquals(
         List.of(
-            new Trouble(200_000, Trouble.What.SLOW, "a2", 100_000, 4),
-            new Trouble(400_000, Trouble.What.REPLACED, "b1", 30_000, 1)),
+            new ScheduledFault(200_000, ScheduledFault.What.SLOW, "a2", 100_000, 4),
+            new ScheduledFault(400_000, ScheduledFault.What.REPLACED, "b1", 30_000, 1)),
         file.troubles());
   }
 }
--- a/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
@@ -276,17 +276,17 @@
             said.kinds(),
             said.zones(),
             said.engines(),
-            left.notesEvery(),
+            left.progressInterval(),
             left.startCapacity(),
-            left.warmWithin(),
-            left.fallMultiple(),
-            left.fall(),
+            left.warmupTime(),
+            left.overloadFactor(),
+            left.overloadWindow(),
             left.drainGrace(),
-            left.extraFloor(),
-            left.furtherRatio(),
-            left.budgetSpan(),
-            left.attemptsMost(),
-            left.retryAfter()));
+            left.minRetries(),
+            left.retryRatio(),
+            left.retryBudgetWindow(),
+            left.maxAttempts(),
+            left.maxRetryAfter()));
     assertEquals(700, terse.requestClasses().get(0).window());
   }
 
--- a/replay/src/main/java/tillerlink/replay/JsonReport.java
+++ b/replay/src/main/java/tillerlink/replay/JsonReport.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import tillerlink.audit.Rule;
 import tillerlink.audit.Violation;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.trace.RowCounts;
 import tillerlink.trace.SkipReason;
 
@@ -154,9 +154,9 @@
       json.writeString(result.sinceStart(violation.at()) + " s " + violation.what());
     }
     json.writeEndArray();
-    number(json, "cold_engine_most", result.auditor().coldMost());
+    number(json, "cold_engine_most", result.auditor().maxSlowStartLoad());
     json.writeArrayFieldStart("troubles");
-    for (Trouble trouble : result.job().troubles()) {
+    for (ScheduledFault trouble : result.job().troubles()) {
       json.writeString(
           String.format(
               Locale.ROOT,
--- a/replay/src/main/java/tillerlink/replay/ReplayClients.java
+++ b/replay/src/main/java/tillerlink/replay/ReplayClients.java
@@ -112,7 +112,7 @@
     cluster.expect(
         request.id,
         new EmulatedCluster.RequestCost(arrival.work(), requestClass.width(), arrival.memory()));
-    cluster.auditor.taken(
+    cluster.auditor.onRequestAccepted(
         cluster.now(),
         gateway,
         request.id,
@@ -176,7 +176,7 @@
         cluster.timeline.at(
             cluster.now() + DISCONNECT_DELAY,
             () -> {
-              cluster.auditor.left(cluster.now(), request.id, false);
+              cluster.auditor.onClientDisconnected(cluster.now(), request.id, false);
               finish(request, End.CLIENT_GONE);
             });
       }
@@ -188,21 +188,21 @@
     long took = cluster.now() - request.sentAt;
     if (response.status() == OK) {
       if (!response.body().equals(Results.whole(request.id))) {
-        cluster.auditor.wrongResult(cluster.now(), request.id);
+        cluster.auditor.onWrongResult(cluster.now(), request.id);
       }
       answered(
           request,
-          Auditor.Answer.FULFILLED,
+          Auditor.Answer.SUCCEEDED,
           took <= request.requestClass.latencyObjective() ? End.IN_TIME : End.LATE);
     } else if (response.status() == UNAVAILABLE || response.status() == TOO_MANY_REQUESTS) {
-      answered(request, Auditor.Answer.TURNED_BACK, End.TURNED_BACK);
+      answered(request, Auditor.Answer.REJECTED, End.TURNED_BACK);
     } else {
-      answered(request, Auditor.Answer.BROKEN_OFF, End.BROKEN_OFF);
+      answered(request, Auditor.Answer.FAILED, End.BROKEN_OFF);
     }
   }
 
   private void answered(Request request, Auditor.Answer answer, End end) {
-    cluster.auditor.answered(cluster.now(), request.id, answer);
+    cluster.auditor.onAnswer(cluster.now(), request.id, answer);
     finish(request, end);
   }
 
@@ -231,7 +231,7 @@
       // The request crossed the gateway's close of an idle connection.
       send(request, encoder.submit(request.arrival, request.requestClass, request.id));
     } else {
-      cluster.auditor.left(cluster.now(), request.id, true);
+      cluster.auditor.onClientDisconnected(cluster.now(), request.id, true);
       finish(request, End.CLIENT_GONE);
     }
   }
@@ -241,7 +241,7 @@
     if (request.over) {
       return;
     }
-    cluster.auditor.left(cluster.now(), request.id, true);
+    cluster.auditor.onClientDisconnected(cluster.now(), request.id, true);
     finish(request, End.CLIENT_GONE);
     if (request.path != null) {
       new HttpConnection(request.gateway).send(RequestEncoder.cancel(request.path));
--- a/replay/src/main/java/tillerlink/replay/ReplayConfig.java
+++ b/replay/src/main/java/tillerlink/replay/ReplayConfig.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
@@ -27,7 +27,7 @@
     Layout layout,
     List<RequestClassSpec> requestClasses,
     Fleet fleet,
-    List<Trouble> troubles,
+    List<ScheduledFault> troubles,
     long window,
     Path sortFolder,
     long maxSortBytes,
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -256,7 +256,7 @@
         file != null && file.fleet() != null && engines == null
             ? file.fleet()
             : Fleet.of(DEFAULT_GATEWAYS, engines == null ? DEFAULT_ENGINES : engines);
-    return gateways == null ? fleet : fleet.behind(gateways);
+    return gateways == null ? fleet : fleet.withGateways(gateways);
   }
 
   private Fleet withProtocol(Fleet fleet, OperatorFile file) {
--- a/tools/src/main/java/tillerlink/explore/HistoryPlayer.java
+++ b/tools/src/main/java/tillerlink/explore/HistoryPlayer.java
@@ -11,7 +11,7 @@
 import tillerlink.emulator.EmulatedCluster;
 import tillerlink.emulator.FaultChooser;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.model.Effect;
 import tillerlink.port.DispatchPolicyFactory;
 import tillerlink.replay.GatewayConnections;
@@ -121,28 +121,28 @@
     }
 
     @Override
-    public void taken(
+    public void onRequestAccepted(
         long now, int gateway, String id, int requestClass, String key, long clientDeadline) {
       record(now, "a " + REQUEST_CLASSES.get(requestClass).name() + " is handed in: " + id);
-      super.taken(now, gateway, id, requestClass, key, clientDeadline);
+      super.onRequestAccepted(now, gateway, id, requestClass, key, clientDeadline);
     }
 
     @Override
-    public void sent(long now, int gateway, String engine, String id) {
+    public void onAttemptSent(long now, int gateway, String engine, String id) {
       record(now, id + " goes out to " + engine);
-      super.sent(now, gateway, engine, id);
+      super.onAttemptSent(now, gateway, engine, id);
     }
 
     @Override
-    public void ran(long now, String engine, String id, double work) {
+    public void onAttemptExecuted(long now, String engine, String id, double work) {
       record(now, id + " runs at " + engine + (ran.add(id) ? "" : " again"));
-      super.ran(now, engine, id, work);
+      super.onAttemptExecuted(now, engine, id, work);
     }
 
     @Override
-    public void answered(long now, String id, Answer answer) {
+    public void onAnswer(long now, String id, Answer answer) {
       record(now, id + " is answered: " + answer.name().toLowerCase(Locale.ROOT).replace('_', ' '));
-      super.answered(now, id, answer);
+      super.onAnswer(now, id, answer);
     }
   }
 
@@ -169,9 +169,9 @@
           int choice = chooser.choose("the list", 3);
           if (choice > 0) {
             cluster.plan(
-                new Trouble(
+                new ScheduledFault(
                     cluster.now() - START,
-                    choice == 1 ? Trouble.What.DRAINED : Trouble.What.GONE,
+                    choice == 1 ? ScheduledFault.What.DRAINED : ScheduledFault.What.GONE,
                     "e1",
                     2 * SECOND,
                     1));
--- a/tools/src/test/java/tillerlink/cli/VerdictTest.java
+++ b/tools/src/test/java/tillerlink/cli/VerdictTest.java
@@ -102,7 +102,7 @@
 
   @Test
   void violatedRuleIsAFault() {
-    inTime.auditor().wrongResult(inTime.start(), "q1");
+    inTime.auditor().onWrongResult(inTime.start(), "q1");
     inTime.metrics().arrived(inTime.start(), 0);
     for (int lag : new int[] {6, 680}) {
       assertTrue(lastLine(sent(lag)).startsWith("rule broken: "), lastLine(sent(lag)));
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -15,7 +15,7 @@
 import tillerlink.emulator.EmulatedCluster;
 import tillerlink.emulator.ServerConnection;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.model.Effect;
 import tillerlink.net.state.DisconnectReason;
 import tillerlink.net.state.GatewayExtension;
@@ -68,7 +68,7 @@
     }
 
     @Override
-    public void sent(long now, int gateway, String engine, String id) {
+    public void onAttemptSent(long now, int gateway, String engine, String id) {
       RandomGuard guard = guards.get(id);
       validAtWrite.put(id, guard.valid);
       if (!guard.valid) {
@@ -77,16 +77,16 @@
           wrong.append(id).append(" was written though its guard had said no; ");
         }
       }
-      super.sent(now, gateway, engine, id);
+      super.onAttemptSent(now, gateway, engine, id);
     }
 
     @Override
-    public void answered(long now, String id, Answer answer) {
-      if (answer == Answer.FULFILLED && !validAtWrite.getOrDefault(id, false)) {
+    public void onAnswer(long now, String id, Answer answer) {
+      if (answer == Answer.SUCCEEDED && !validAtWrite.getOrDefault(id, false)) {
         wrong.append(id).append(" was fulfilled by a hop that was written too late; ");
       }
       answers.merge(answer, 1, Integer::sum);
-      super.answered(now, id, answer);
+      super.onAnswer(now, id, answer);
     }
   }
 
@@ -239,9 +239,11 @@
             }
           });
     }
-    Trouble.What[] kinds = {Trouble.What.SILENT, Trouble.What.GONE, Trouble.What.DRAINED};
+    ScheduledFault.What[] kinds = {
+      ScheduledFault.What.SILENT, ScheduledFault.What.GONE, ScheduledFault.What.DRAINED
+    };
     cluster.plan(
-        new Trouble(
+        new ScheduledFault(
             random.nextInt(4000),
             kinds[random.nextInt(3)],
             "e" + (1 + random.nextInt(2)),
@@ -301,9 +303,9 @@
             "seed " + seed + (http2 ? " over HTTP/2" : ""));
       }
       assertTrue(
-          answers.get(Auditor.Answer.FULFILLED) > 5000
-              && answers.get(Auditor.Answer.TURNED_BACK) > 1000
-              && answers.get(Auditor.Answer.BROKEN_OFF) > 100
+          answers.get(Auditor.Answer.SUCCEEDED) > 5000
+              && answers.get(Auditor.Answer.REJECTED) > 1000
+              && answers.get(Auditor.Answer.FAILED) > 100
               && writtenInvalid.size() > 1000,
           answers + " " + writtenInvalid.size());
     }
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -23,7 +23,7 @@
 import tillerlink.fakes.EngineReply;
 import tillerlink.fakes.Http2Server;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.harness.ProcessHarness;
 import tillerlink.model.Effect;
 import tillerlink.net.http2.ErrorCode;
@@ -85,29 +85,29 @@
     }
 
     @Override
-    public void sent(long now, int gateway, String engine, String id) {
+    public void onAttemptSent(long now, int gateway, String engine, String id) {
       print(now, id + " goes out to " + engine);
-      super.sent(now, gateway, engine, id);
+      super.onAttemptSent(now, gateway, engine, id);
     }
 
     @Override
-    public void over(String id, boolean provesNotExecuted) {
+    public void onAttemptEnded(String id, boolean provesNotExecuted) {
       print(START, id + (provesNotExecuted ? " never ran" : " is over"));
-      super.over(id, provesNotExecuted);
+      super.onAttemptEnded(id, provesNotExecuted);
     }
 
     @Override
-    public void ran(long now, String engine, String id, double work) {
+    public void onAttemptExecuted(long now, String engine, String id, double work) {
       print(now, id + " runs at " + engine);
-      super.ran(now, engine, id, work);
+      super.onAttemptExecuted(now, engine, id, work);
       ran.add(id);
     }
 
     @Override
-    public void answered(long now, String id, Answer answer) {
+    public void onAnswer(long now, String id, Answer answer) {
       print(now, id + " " + answer);
-      super.answered(now, id, answer);
-      if (answer == Answer.BROKEN_OFF) {
+      super.onAnswer(now, id, answer);
+      if (answer == Answer.FAILED) {
         failed.add(id);
       }
     }
@@ -270,9 +270,11 @@
               }
             });
       }
-      Trouble.What[] kinds = {Trouble.What.SILENT, Trouble.What.GONE, Trouble.What.DRAINED};
+      ScheduledFault.What[] kinds = {
+        ScheduledFault.What.SILENT, ScheduledFault.What.GONE, ScheduledFault.What.DRAINED
+      };
       cluster.plan(
-          new Trouble(
+          new ScheduledFault(
               random.nextInt(4000),
               kinds[random.nextInt(3)],
               "e" + (1 + random.nextInt(2)),
--- a/tools/src/test/java/tillerlink/replay/ReplayTest.java
+++ b/tools/src/test/java/tillerlink/replay/ReplayTest.java
@@ -19,7 +19,7 @@
 import tillerlink.baseline.BaselinePolicy;
 import tillerlink.cli.Tillerlink;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.harness.ProcessHarness;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
@@ -59,7 +59,7 @@
       Fleet fleet,
       double load,
       DispatchPolicyFactory policies,
-      Trouble... troubles) {
+      ScheduledFault... troubles) {
     return new ReplayConfig(
         List.of(Shard.of(trace)),
         layout,
@@ -94,7 +94,7 @@
         ReplayResult result =
             play(job(layout, trace, Fleet.builtIn(3), 1.1, DefaultDispatchPolicy::new));
         assertTrue(result.isValid(), layout.name() + result.auditor().violations());
-        assertEquals(0, result.auditor().watching());
+        assertEquals(0, result.auditor().openRequests());
         Path report = folder.resolve("report");
         JsonReport.write(result, report);
         HtmlReport.write(result, folder.resolve("page"));
@@ -141,13 +141,13 @@
                 Fleet.builtIn(3),
                 0.6,
                 DefaultDispatchPolicy::new,
-                new Trouble(2 * SECOND, Trouble.What.SLOW, "e2", 4 * SECOND, 5),
-                new Trouble(5 * SECOND, Trouble.What.SILENT, "e3", 4 * SECOND, 1),
-                new Trouble(8 * SECOND, Trouble.What.GONE, "e4", 0, 1),
-                new Trouble(10 * SECOND, Trouble.What.DRAINED, "e5", 2 * SECOND, 1),
-                new Trouble(13 * SECOND, Trouble.What.REPLACED, "e6", 2 * SECOND, 1),
-                new Trouble(17 * SECOND, Trouble.What.KILLED, "n1", SECOND, 1),
-                new Trouble(18 * SECOND, Trouble.What.DRAINED, "e4", SECOND, 1)));
+                new ScheduledFault(2 * SECOND, ScheduledFault.What.SLOW, "e2", 4 * SECOND, 5),
+                new ScheduledFault(5 * SECOND, ScheduledFault.What.SILENT, "e3", 4 * SECOND, 1),
+                new ScheduledFault(8 * SECOND, ScheduledFault.What.GONE, "e4", 0, 1),
+                new ScheduledFault(10 * SECOND, ScheduledFault.What.DRAINED, "e5", 2 * SECOND, 1),
+                new ScheduledFault(13 * SECOND, ScheduledFault.What.REPLACED, "e6", 2 * SECOND, 1),
+                new ScheduledFault(17 * SECOND, ScheduledFault.What.KILLED, "n1", SECOND, 1),
+                new ScheduledFault(18 * SECOND, ScheduledFault.What.DRAINED, "e4", SECOND, 1)));
     assertTrue(result.isValid(), result.auditor().violations().toString());
     StringBuilder print = new StringBuilder();
     result.cluster().incidents().forEach(line -> print.append(line).append('\n'));
@@ -223,8 +223,8 @@
             Fleet.of(1, 4),
             0.4,
             DefaultDispatchPolicy::new,
-            new Trouble(SECOND, Trouble.What.DRAINED, "e1", 60 * SECOND, 1),
-            new Trouble(3 * SECOND, Trouble.What.KILLED, "n0", SECOND / 10, 1));
+            new ScheduledFault(SECOND, ScheduledFault.What.DRAINED, "e1", 60 * SECOND, 1),
+            new ScheduledFault(3 * SECOND, ScheduledFault.What.KILLED, "n0", SECOND / 10, 1));
     try (ArrivalSource arrivals = new ArrivalSource(job)) {
       ReplayResult result =
           ProcessHarness.play(
@@ -266,9 +266,9 @@
             mixed,
             0.3,
             DefaultDispatchPolicy::new,
-            new Trouble(SECOND / 2, Trouble.What.GONE, "e3", 0, 1),
-            new Trouble(SECOND, Trouble.What.DRAINED, "e1", SECOND, 1),
-            new Trouble(2 * SECOND, Trouble.What.KILLED, "n1", SECOND / 2, 1));
+            new ScheduledFault(SECOND / 2, ScheduledFault.What.GONE, "e3", 0, 1),
+            new ScheduledFault(SECOND, ScheduledFault.What.DRAINED, "e1", SECOND, 1),
+            new ScheduledFault(2 * SECOND, ScheduledFault.What.KILLED, "n1", SECOND / 2, 1));
     try (ArrivalSource arrivals = new ArrivalSource(job)) {
       ReplayResult result = ProcessHarness.play(job, arrivals, arrived -> {});
       assertTrue(result.auditor().counts().isEmpty(), result.auditor().violations().toString());
--- a/tools/src/test/java/tillerlink/replay/StartWithoutDiscoveryTest.java
+++ b/tools/src/test/java/tillerlink/replay/StartWithoutDiscoveryTest.java
@@ -66,8 +66,8 @@
     }
 
     @Override
-    public void sent(long now, int gateway, String engine, String id) {
-      super.sent(now, gateway, engine, id);
+    public void onAttemptSent(long now, int gateway, String engine, String id) {
+      super.onAttemptSent(now, gateway, engine, id);
       sent.merge(engine, 1, Integer::sum);
       sentToUnavailable += now < START + 8 * SECOND && Set.of("e2", "e3").contains(engine) ? 1 : 0;
       gateways.add(gateway);
--- a/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
+++ b/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.slf4j.LoggerFactory;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
@@ -46,7 +46,7 @@
     }
   }
 
-  private ReplayResult play(List<Trouble> troubles) throws IOException {
+  private ReplayResult play(List<ScheduledFault> troubles) throws IOException {
     Fleet defaults = Fleet.of(GATEWAYS, ENGINES);
     Fleet fleet =
         new Fleet(
@@ -55,17 +55,17 @@
             defaults.kinds(),
             defaults.zones(),
             defaults.engines(),
-            defaults.notesEvery(),
+            defaults.progressInterval(),
             defaults.startCapacity(),
-            defaults.warmWithin(),
-            defaults.fallMultiple(),
-            defaults.fall(),
+            defaults.warmupTime(),
+            defaults.overloadFactor(),
+            defaults.overloadWindow(),
             defaults.drainGrace(),
-            defaults.extraFloor(),
-            defaults.furtherRatio(),
-            defaults.budgetSpan(),
-            defaults.attemptsMost(),
-            defaults.retryAfter());
+            defaults.minRetries(),
+            defaults.retryRatio(),
+            defaults.retryBudgetWindow(),
+            defaults.maxAttempts(),
+            defaults.maxRetryAfter());
     ReplayConfig job =
         new ReplayConfig(
             List.of(Shard.of(trace)),
@@ -100,9 +100,9 @@
   /** Seven in ten gateways restart at one moment, without state. */
   @Test
   void massRestartKeepsTheRules() throws IOException {
-    List<Trouble> troubles = new ArrayList<>();
+    List<ScheduledFault> troubles = new ArrayList<>();
     for (int i = 0; i < GATEWAYS * 7 / 10; i++) {
-      troubles.add(new Trouble(SECOND, Trouble.What.KILLED, "n" + i, SECOND, 1));
+      troubles.add(new ScheduledFault(SECOND, ScheduledFault.What.KILLED, "n" + i, SECOND, 1));
     }
     ReplayResult result = play(troubles);
     assertTrue(result.isValid(), result.auditor().violations().toString());
@@ -114,11 +114,15 @@
    */
   @Test
   void massReplacementKeepsTheRules() throws IOException {
-    List<Trouble> troubles = new ArrayList<>();
+    List<ScheduledFault> troubles = new ArrayList<>();
     for (int i = 0; i < ENGINES * 6 / 10; i++) {
       troubles.add(
-          new Trouble(
-              SECOND / 10 + i * SECOND / 100, Trouble.What.REPLACED, "e" + (i + 1), SECOND, 1));
+          new ScheduledFault(
+              SECOND / 10 + i * SECOND / 100,
+              ScheduledFault.What.REPLACED,
+              "e" + (i + 1),
+              SECOND,
+              1));
     }
     ReplayResult result = play(troubles);
     assertTrue(result.isValid(), result.auditor().violations().toString());
@@ -127,10 +131,11 @@
   /** A third of the engines is silent for two seconds. */
   @Test
   void zoneOutageKeepsTheRules() throws IOException {
-    List<Trouble> troubles = new ArrayList<>();
+    List<ScheduledFault> troubles = new ArrayList<>();
     for (int i = 0; i < ENGINES; i++) {
       if (i / 3 % 3 == 1) {
-        troubles.add(new Trouble(SECOND, Trouble.What.SILENT, "e" + (i + 1), 2 * SECOND, 1));
+        troubles.add(
+            new ScheduledFault(SECOND, ScheduledFault.What.SILENT, "e" + (i + 1), 2 * SECOND, 1));
       }
     }
     ReplayResult result = play(troubles);
