--- a/faultinjection/src/main/java/tillerlink/faultinjection/FaultInjectionRunner.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/FaultInjectionRunner.java
@@ -14,41 +14,44 @@
 import java.util.stream.Stream;
 import tillerlink.faultinjection.audit.Rule;
 import tillerlink.faultinjection.audit.Violation;
-import tillerlink.faultinjection.play.Cutter;
-import tillerlink.faultinjection.play.Play;
-import tillerlink.faultinjection.play.Played;
-import tillerlink.faultinjection.play.Schedule;
-import tillerlink.faultinjection.play.Step;
-import tillerlink.faultinjection.process.Plan;
+import tillerlink.faultinjection.process.GatewaySpec;
+import tillerlink.faultinjection.schedule.RunResult;
+import tillerlink.faultinjection.schedule.Schedule;
+import tillerlink.faultinjection.schedule.ScheduleRunner;
+import tillerlink.faultinjection.schedule.ScheduleShrinker;
+import tillerlink.faultinjection.schedule.Step;
 
 /**
- * Plays random schedules of faults over processes of the program for some minutes. It ends with 0
- * only if nothing broke; a schedule in which something did is cut down, and the shortest that still
- * fails is told.
+ * Runs random schedules of faults on clusters of gateway processes for some minutes. The exit code
+ * is 0 only if no rule was violated. A schedule with a violation is shrunk, and the shortest that
+ * still fails is printed.
  */
 public final class FaultInjectionRunner {
-  private static final int TRIES = 10;
-  private static final long LENGTH_MS = 8_000;
+  private static final double NANOS_PER_MINUTE = 60e9;
+  private static final int MAX_SHRINK_RUNS = 10;
+  private static final long SCHEDULE_MS = 8_000;
 
   private final Path folder;
-  private final Plan.Shared shared;
+  private final GatewaySpec.Shared shared;
   private final PrintStream out;
   private final Map<Step.Kind, Integer> faults = new TreeMap<>();
-  private int plays;
+  private int schedulesRun;
   private int requests;
   private int appends;
   private int runs;
   private int violationCount;
 
-  private FaultInjectionRunner(Path folder, Plan.Shared shared, PrintStream out) {
+  private FaultInjectionRunner(Path folder, GatewaySpec.Shared shared, PrintStream out) {
     this.folder = folder;
     this.shared = shared;
     this.out = out;
   }
 
   /**
-   * @param args the seed, and how many minutes at the most a play may begin in; with a third, only
-   *     the play of exactly that seed, which a fault-injection run has told
+   * Runs from the command line.
+   *
+   * @param args the seed, and for how many minutes runs may begin; with a third argument, only the
+   *     one run of exactly that seed
    */
   public static void main(String[] args) throws IOException {
     if (args.length < 2) {
@@ -56,25 +59,26 @@
           "SEED MINUTES, or SEED 0 once for one play of a seed that an earlier run has named");
       System.exit(2);
     }
-    FaultInjectionRunner storm =
+    FaultInjectionRunner runner =
         new FaultInjectionRunner(
             Files.createTempDirectory("fault-injection"),
-            Plan.Shared.valueOf(System.getProperty("faultinjection.parts", "STATEMENTS")),
+            GatewaySpec.Shared.valueOf(System.getProperty("faultinjection.parts", "STATEMENTS")),
             System.out);
-    boolean quiet = storm.go(Long.parseLong(args[0]), Double.parseDouble(args[1]), args.length > 2);
-    System.exit(quiet ? 0 : 1);
+    boolean passed =
+        runner.run(Long.parseLong(args[0]), Double.parseDouble(args[1]), args.length > 2);
+    System.exit(passed ? 0 : 1);
   }
 
-  private boolean go(long seed, double minutes, boolean once) throws IOException {
+  private boolean run(long seed, double minutes, boolean once) throws IOException {
     RandomGenerator chance = new SplittableRandom(seed);
-    long until = System.nanoTime() + (long) (minutes * 60e9);
+    long deadline = System.nanoTime() + (long) (minutes * NANOS_PER_MINUTE);
     do {
-      one(Schedule.of(once ? seed : chance.nextLong(1L << 48), LENGTH_MS));
-    } while (!once && violationCount == 0 && System.nanoTime() < until);
+      runOne(Schedule.of(once ? seed : chance.nextLong(1L << 48), SCHEDULE_MS));
+    } while (!once && violationCount == 0 && System.nanoTime() < deadline);
     out.printf(
         Locale.ROOT,
         "%d plays; faults: %s; %d submissions, %d appends, %d prepared runs; %d violations%n",
-        plays,
+        schedulesRun,
         faults,
         requests,
         appends,
@@ -83,39 +87,44 @@
     return violationCount == 0;
   }
 
-  private void one(Schedule schedule) throws IOException {
-    Played played = play(schedule);
-    plays++;
-    requests += played.requests();
-    appends += played.appends();
-    runs += played.runs();
-    violationCount += played.violationCount();
-    played.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
+  private void runOne(Schedule schedule) throws IOException {
+    RunResult result = run(schedule);
+    schedulesRun++;
+    requests += result.requests();
+    appends += result.appends();
+    runs += result.runs();
+    violationCount += result.violationCount();
+    result.faults().forEach((kind, count) -> faults.merge(kind, count, Integer::sum));
     out.printf(
         Locale.ROOT,
         "play %d: seed %d, %d gateways, %d faults, %d submissions, %d appends, %d runs: %s%n",
-        plays,
+        schedulesRun,
         schedule.seed(),
         schedule.gateways(),
         schedule.steps().size(),
-        played.requests(),
-        played.appends(),
-        played.runs(),
-        played.violations().isEmpty() ? "fine" : "BROKEN");
-    if (!played.violations().isEmpty()) {
-      played.violations().forEach(out::println);
-      Rule rule = played.violations().get(0).rule();
+        result.requests(),
+        result.appends(),
+        result.runs(),
+        result.violations().isEmpty() ? "fine" : "BROKEN");
+    if (!result.violations().isEmpty()) {
+      result.violations().forEach(out::println);
+      Rule rule = result.violations().get(0).rule();
       out.println(
-          "cutting it down to what still breaks " + rule + ", " + TRIES + " plays at the most");
-      Schedule shortest = Cutter.cut(schedule, shorter -> breaks(shorter, rule), TRIES);
+          "cutting it down to what still breaks "
+              + rule
+              + ", "
+              + MAX_SHRINK_RUNS
+              + " plays at the most");
+      Schedule shortest =
+          ScheduleShrinker.shrink(schedule, shorter -> violates(shorter, rule), MAX_SHRINK_RUNS);
       out.println("the shortest that still does:");
       out.print(shortest);
     }
   }
 
-  private boolean breaks(Schedule schedule, Rule rule) {
+  private boolean violates(Schedule schedule, Rule rule) {
     try {
-      List<Violation> violations = play(schedule).violations();
+      List<Violation> violations = run(schedule).violations();
       return violations.stream().anyMatch(violation -> violation.rule() == rule);
     } catch (IOException e) {
       out.println("a shorter one could not be played: " + e.getMessage());
@@ -123,18 +132,19 @@
     }
   }
 
-  private Played play(Schedule schedule) throws IOException {
-    Path own = Files.createTempDirectory(folder, "play");
-    Played played = new Play(own, System.getProperty("java.class.path"), shared).play(schedule);
-    if (played.violations().isEmpty()) {
-      try (Stream<Path> all = Files.walk(own)) {
-        for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-          Files.delete(one);
+  private RunResult run(Schedule schedule) throws IOException {
+    Path runFolder = Files.createTempDirectory(folder, "play");
+    RunResult result =
+        new ScheduleRunner(runFolder, System.getProperty("java.class.path"), shared).run(schedule);
+    if (result.violations().isEmpty()) {
+      try (Stream<Path> all = Files.walk(runFolder)) {
+        for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+          Files.delete(path);
         }
       }
     } else {
-      out.println("its logs are kept in " + own);
+      out.println("its logs are kept in " + runFolder);
     }
-    return played;
+    return result;
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Audit.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Audit.java
@@ -3,35 +3,37 @@
 import java.util.List;
 
 /**
- * What clients and engines saw, held against what must hold. It knows nothing that is inside the
- * processes but what their logs say about themselves. Told from any thread.
+ * Checks the observations of clients and engines against the rules. Of the inside of processes it
+ * knows only what their logs report. Thread-safe.
  */
 public final class Audit {
   private final Violations violations = new Violations();
-  private final Requests requests = new Requests(violations);
-  private final Logs logs = new Logs(violations);
-  private final Prepared prepared = new Prepared(violations);
+  private final RequestChecker requests = new RequestChecker(violations);
+  private final ChannelLogChecker logs = new ChannelLogChecker(violations);
+  private final PreparedStatementChecker prepared = new PreparedStatementChecker(violations);
 
   // ---- plain requests ----
 
   /**
-   * @param statement one of a kind, so that what an engine ran tells whose it was
+   * A request is submitted.
+   *
+   * @param statement a unique one, so that what an engine ran identifies its request
    */
-  public synchronized void handedIn(String id, String statement, boolean effectful) {
-    requests.handedIn(id, statement, effectful);
+  public synchronized void submitted(String id, String statement, boolean effectful) {
+    requests.submitted(id, statement, effectful);
   }
 
+  /** A request got its final response. */
   public synchronized void answered(String id, int status) {
     requests.answered(id, status);
   }
 
-  /**
-   * Nobody knows what became of it, and somebody may not: its connection broke, or its gateway did.
-   */
+  /** A request may rightly stay without a response: its connection or its gateway broke. */
   public synchronized void excused(String id) {
     requests.excused(id);
   }
 
+  /** An engine runs a statement. */
   public synchronized void ran(String engine, String statement) {
     requests.ran(engine, statement);
   }
@@ -39,71 +41,72 @@
   // ---- channels ----
 
   /**
-   * A gateway took an append.
+   * A gateway accepted an append.
    *
-   * @param life counts the disks that the gateway had
+   * @param incarnation the number of disks that the gateway had before
    * @param key the client's, or null
    * @param id the event's
    */
-  public synchronized void taken(String channel, String gateway, int life, String key, String id) {
-    logs.taken(channel, gateway, life, key, id);
+  public synchronized void appended(
+      String channel, String gateway, int incarnation, String key, String id) {
+    logs.appended(channel, gateway, incarnation, key, id);
   }
 
   /**
-   * A gateway starts with less on its disk than it had: what no other was seen to have may be gone.
+   * A gateway starts with less on its disk than it had: entries that no other gateway had may be
+   * lost.
    */
   public synchronized void diskLost(String gateway) {
     logs.diskLost(gateway);
   }
 
-  /** A piece of a gateway's log. */
-  public synchronized void read(String channel, String gateway, List<LogLine> lines) {
+  /** A client read a part of a gateway's log. */
+  public synchronized void read(String channel, String gateway, List<ChannelLogEntry> lines) {
     logs.read(channel, gateway, lines);
   }
 
-  /** The whole log of a gateway at rest. */
-  public synchronized void last(String channel, String gateway, List<LogLine> lines) {
+  /** A client read the whole log of a gateway at rest. */
+  public synchronized void last(String channel, String gateway, List<ChannelLogEntry> lines) {
     logs.last(channel, gateway, lines);
   }
 
   // ---- prepared statements ----
 
   /**
-   * A client was told at that time, in nanoseconds, that a group is at that version; earlier ones
-   * are over.
+   * A client learned at that time, in nanoseconds, that a version of a group's schema is in effect.
    */
-  public synchronized void effect(String group, long version, long at) {
-    prepared.effect(group, version, at);
+  public synchronized void schemaInEffect(String group, long version, long nanos) {
+    prepared.inEffect(group, version, nanos);
   }
 
   /**
-   * @param mark a parameter of the run, one of a kind
+   * A client runs a prepared statement.
+   *
+   * @param marker a unique parameter of the run
    */
-  public synchronized void runAsked(String mark, String gateway, String group, long at) {
-    prepared.asked(mark, gateway, group, at);
+  public synchronized void runRequested(String marker, String gateway, String group, long nanos) {
+    prepared.requested(marker, gateway, group, nanos);
   }
 
-  /**
-   * An engine was sent a prepared statement with that mark; its text says under which version it
-   * was prepared.
-   */
-  public synchronized void preparedRan(String mark, String engine, long version) {
-    prepared.ran(mark, engine, version);
+  /** An engine received a prepared statement with that marker, prepared under that version. */
+  public synchronized void preparedRan(String marker, String engine, long version) {
+    prepared.ran(marker, engine, version);
   }
 
-  public synchronized void stands(
-      String gateway, int life, String name, long generation, String text) {
-    prepared.stands(gateway, life, name, generation, text);
+  /** A gateway reported the generation and text of a prepared statement. */
+  public synchronized void reported(
+      String gateway, int incarnation, String name, long generation, String text) {
+    prepared.reported(gateway, incarnation, name, generation, text);
   }
 
   // ---- in general ----
 
-  /** Something that the rig itself saw. */
-  public synchronized void broken(Rule rule, String words) {
-    violations.add(rule, words);
+  /** Records a violation that the harness itself found. */
+  public synchronized void violation(Rule rule, String description) {
+    violations.add(rule, description);
   }
 
-  /** All is at rest: what must be true by now is looked at. */
+  /** Checks what must hold at rest, and returns all violations. */
   public synchronized List<Violation> end() {
     requests.end();
     logs.end();
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Prepared.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/PreparedStatementChecker.java
@@ -4,53 +4,53 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Prepared statements and schema changes, as clients and engines saw them. */
-final class Prepared {
-  private record Asked(String gateway, String group, long at) {}
+/** Checks prepared statements and schema changes, as clients and engines saw them. */
+final class PreparedStatementChecker {
+  private record RequestedRun(String gateway, String group, long nanos) {}
 
   private final Violations violations;
   private final Map<String, TreeMap<Long, Long>> effects = new HashMap<>();
-  private final Map<String, Asked> asked = new HashMap<>();
+  private final Map<String, RequestedRun> requestedRuns = new HashMap<>();
   private final Map<String, String> texts = new HashMap<>();
   private final Map<String, Long> generations = new HashMap<>();
   private int runs;
 
-  Prepared(Violations violations) {
+  PreparedStatementChecker(Violations violations) {
     this.violations = violations;
   }
 
-  /** A client was told that a group's schema is of that version now. */
-  void effect(String group, long version, long at) {
-    effects.computeIfAbsent(group, g -> new TreeMap<>()).merge(version, at, Math::min);
+  /** A client learned that a version of a group's schema is in effect. */
+  void inEffect(String group, long version, long nanos) {
+    effects.computeIfAbsent(group, g -> new TreeMap<>()).merge(version, nanos, Math::min);
   }
 
-  /** A client asks for a run, which bears a mark of its own. */
-  void asked(String mark, String gateway, String group, long at) {
-    asked.put(mark, new Asked(gateway, group, at));
+  /** A client requests a run with a unique marker. */
+  void requested(String marker, String gateway, String group, long nanos) {
+    requestedRuns.put(marker, new RequestedRun(gateway, group, nanos));
     runs++;
   }
 
-  /** An engine was sent the statement of a run that was prepared under that version. */
-  void ran(String mark, String engine, long version) {
-    Asked one = asked.get(mark);
-    if (one == null) {
+  /** An engine received the statement of a run, prepared under that version. */
+  void ran(String marker, String engine, long version) {
+    RequestedRun run = requestedRuns.get(marker);
+    if (run == null) {
       return;
     }
     effects
-        .getOrDefault(one.group, new TreeMap<>())
+        .getOrDefault(run.group, new TreeMap<>())
         .tailMap(version, false)
         .forEach(
-            (later, at) -> {
-              if (at < one.at) {
+            (later, since) -> {
+              if (since < run.nanos) {
                 violations.add(
                     Rule.OLD_SCHEMA,
                     engine
                         + " was sent "
-                        + mark
+                        + marker
                         + " of "
-                        + one.gateway
+                        + run.gateway
                         + ", prepared under "
-                        + one.group
+                        + run.group
                         + " "
                         + version
                         + ", asked for after "
@@ -60,13 +60,13 @@
             });
   }
 
-  /** A gateway told what stands under a name. */
-  void stands(String gateway, int life, String name, long generation, String text) {
+  /** A gateway reported the text of a name. */
+  void reported(String gateway, int incarnation, String name, long generation, String text) {
     String before = texts.putIfAbsent(name + "/" + generation, text);
     if (before != null && !before.equals(text)) {
       violations.add(Rule.GENERATION_FELL, name + " has two texts of generation " + generation);
     }
-    Long was = generations.put(gateway + "/" + life + "/" + name, generation);
+    Long was = generations.put(gateway + "/" + incarnation + "/" + name, generation);
     if (was != null && was > generation) {
       violations.add(
           Rule.GENERATION_FELL,
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Rule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Rule.java
@@ -1,33 +1,33 @@
 package tillerlink.faultinjection.audit;
 
-/** What must hold, as clients and engines see it from outside. */
+/** The rules, as clients and engines see them from outside. */
 public enum Rule {
-  /** A request has one last answer, and it has one if its gateway was there all the time. */
+  /** A request has at most one final response, and exactly one if its gateway ran all the time. */
   ONE_ANSWER,
-  /** What has effects runs once at most. */
+  /** A request with effects runs at most once. */
   RUN_TWICE,
-  /** What was rejected as never run did not run; what was succeeded ran. */
+  /** A request that was rejected as never executed did not run; one that succeeded ran. */
   ANSWER_UNTRUE,
-  /** An append that was taken is in every log in the end, once. */
+  /** An accepted append is in every log exactly once in the end. */
   APPEND_LOST,
-  /** No id stands for two contents. */
+  /** No id has two contents. */
   TWO_CONTENTS,
-  /** What was told as stable at a place is told so at that place for ever, by every gateway. */
+  /** An entry that was reported as stable keeps its place, at every gateway. */
   STABLE_CHANGED,
   /** In the end every gateway has the same log. */
   LOGS_DIFFER,
-  /** At rest nothing is outstanding: all that is in the logs is stable. */
+  /** At rest all entries are stable. */
   NOT_SETTLED,
-  /** The same key at the same gateway gives the same event. */
+  /** The same idempotency key at the same gateway gives the same event. */
   KEY_TWICE,
-  /** What a writer appended after another of its own stands behind it. */
+  /** The appends of one writer keep their order. */
   ORDER_OF_CAUSE,
-  /** Nothing that was prepared under an older schema is run after a change was seen in effect. */
+  /** No statement that was prepared under an older schema runs after a change is in effect. */
   OLD_SCHEMA,
-  /** A name's generation never falls, and no generation has two texts. */
+  /** The generation of a name never decreases, and no generation has two texts. */
   GENERATION_FELL,
-  /** At rest every gateway says of every other that it reaches it. */
+  /** At rest every gateway reports every other as reachable. */
   NOT_TOGETHER,
-  /** Nothing inside a process broke. */
+  /** No process reports a violated invariant or a crash. */
   INSIDE
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Violation.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Violation.java
@@ -1,9 +1,9 @@
 package tillerlink.faultinjection.audit;
 
-/** What did not hold, in words. */
-public record Violation(Rule rule, String words) {
+/** A rule that was violated, with a description. */
+public record Violation(Rule rule, String description) {
   @Override
   public String toString() {
-    return rule + ": " + words;
+    return rule + ": " + description;
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Violations.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Violations.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** What did not hold so far: all counted, the first few of each rule kept in words. */
+/** Counts the violations so far, and keeps the first ones of each rule. */
 final class Violations {
-  private static final int WORDS_MOST = 8;
+  private static final int MAX_PER_RULE = 8;
   private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
-  private final List<Violation> words = new ArrayList<>();
+  private final List<Violation> kept = new ArrayList<>();
 
-  void add(Rule rule, String what) {
-    if (counts.merge(rule, 1, Integer::sum) <= WORDS_MOST) {
-      words.add(new Violation(rule, what));
+  void add(Rule rule, String description) {
+    if (counts.merge(rule, 1, Integer::sum) <= MAX_PER_RULE) {
+      kept.add(new Violation(rule, description));
     }
   }
 
   List<Violation> all() {
-    return List.copyOf(words);
+    return List.copyOf(kept);
   }
 
   int count() {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/Channels.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/ChannelsClient.java
@@ -5,23 +5,23 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import tillerlink.faultinjection.audit.LogLine;
+import tillerlink.faultinjection.audit.ChannelLogEntry;
 
-/** The logs of channels as a client of one gateway uses them. */
-public final class Channels {
+/** Appends to channel logs and reads them, as a client of one gateway. */
+public final class ChannelsClient {
   private static final String PATH = "/v1/channels/";
 
-  private Channels() {}
+  private ChannelsClient() {}
 
   /**
    * Appends.
    *
    * @param kind cue, correction, retraction, air or note
-   * @return the event's id; null if it was refused for now
-   * @throws IOException if nobody knows whether it was taken, or it can't be
+   * @return the event's id; null if it was rejected for now
+   * @throws IOException if it is unknown whether it was appended, or it can't be
    */
   public static String append(
-      HttpEndpointClient door,
+      HttpEndpointClient client,
       String channel,
       String key,
       String kind,
@@ -37,7 +37,7 @@
       body.append(",\"airs_ms\":").append(airsMs);
     }
     HttpEndpointClient.Reply reply =
-        door.post(PATH + channel, Map.of("X-Operation-Key", key), body.append('}').toString());
+        client.post(PATH + channel, Map.of("X-Operation-Key", key), body.append('}').toString());
     if (reply.status() == 503) {
       return null;
     }
@@ -47,18 +47,18 @@
     return id;
   }
 
-  /** The log from a place on, to its end. */
-  public static List<LogLine> log(HttpEndpointClient door, String channel, long from)
+  /** Reads the log from a place to its end. */
+  public static List<ChannelLogEntry> log(HttpEndpointClient client, String channel, long from)
       throws IOException {
-    List<LogLine> lines = new ArrayList<>();
+    List<ChannelLogEntry> lines = new ArrayList<>();
     long next = from;
     for (boolean more = true; more; ) {
-      HttpEndpointClient.Reply reply = door.get(PATH + channel + "/log/" + next);
+      HttpEndpointClient.Reply reply = client.get(PATH + channel + "/log/" + next);
       if (reply.status() != 200 || !(reply.object().get("events") instanceof List<?> events)) {
         throw new IOException("log of " + channel + ": " + reply.status() + " " + reply.body());
       }
-      for (Object one : events) {
-        lines.add(line((Map<?, ?>) one));
+      for (Object event : events) {
+        lines.add(line((Map<?, ?>) event));
       }
       next = lines.isEmpty() ? next : lines.get(lines.size() - 1).place() + 1;
       more = Boolean.TRUE.equals(reply.object().get("more")) && !events.isEmpty();
@@ -66,11 +66,11 @@
     return lines;
   }
 
-  private static LogLine line(Map<?, ?> event) {
+  private static ChannelLogEntry line(Map<?, ?> event) {
     Map<Object, Object> content = new LinkedHashMap<>(event);
     content.keySet().removeAll(List.of("index", "stable", "late", "repeat"));
     long place = event.get("index") instanceof Number number ? number.longValue() : -1;
-    return new LogLine(
+    return new ChannelLogEntry(
         place,
         String.valueOf(event.get("id")),
         Boolean.TRUE.equals(event.get("stable")),
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpEndpointClient.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpEndpointClient.java
@@ -15,15 +15,17 @@
 import tillerlink.plain.Json;
 
 /**
- * A client of one gateway. Each question has a connection of its own, so that no answer hangs on an
- * older one.
+ * An HTTP client of one gateway. Each request has its own connection, so that no response waits for
+ * an earlier one.
  */
 public final class HttpEndpointClient {
-  private static final int CONNECT_MS = 2000;
-  private static final int PIECE = 8192;
+  private static final int CONNECT_TIMEOUT_MS = 2000;
+  private static final int BUFFER_BYTES = 8192;
 
   /**
-   * @param retryAfterMs what it was told, 0 if nothing
+   * A final response.
+   *
+   * @param retryAfterMs the retry delay that the gateway named, or 0
    */
   public record Reply(int status, String body, long retryAfterMs) {
     /** The body as JSON: maps, lists, texts, numbers. */
@@ -47,16 +49,17 @@
   }
 
   /** One connection. */
-  private static final class Talk implements Closeable {
+  private static final class HttpConnection implements Closeable {
     private final Socket socket = new Socket();
-    private final HttpResponseParser answers = new HttpResponseParser();
+    private final HttpResponseParser parser = new HttpResponseParser();
     private final int port;
 
-    Talk(int port, int patienceMs) throws IOException {
+    HttpConnection(int port, int timeoutMs) throws IOException {
       this.port = port;
       try {
-        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
-        socket.setSoTimeout(patienceMs);
+        socket.connect(
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_TIMEOUT_MS);
+        socket.setSoTimeout(timeoutMs);
         socket.setTcpNoDelay(true);
       } catch (IOException e) {
         socket.close();
@@ -64,7 +67,7 @@
       }
     }
 
-    HttpResponseParser.Response ask(
+    HttpResponseParser.Response send(
         String method, String path, Map<String, String> headers, String body) throws IOException {
       byte[] content = body.getBytes(StandardCharsets.UTF_8);
       StringBuilder head =
@@ -77,19 +80,19 @@
       System.arraycopy(content, 0, all, start.length, content.length);
       socket.getOutputStream().write(all);
       InputStream in = socket.getInputStream();
-      byte[] piece = new byte[PIECE];
+      byte[] buffer = new byte[BUFFER_BYTES];
       try {
-        HttpResponseParser.Response answer = answers.next();
-        while (answer == null) {
-          int n = in.read(piece);
-          if (n < 0) {
+        HttpResponseParser.Response response = parser.next();
+        while (response == null) {
+          int count = in.read(buffer);
+          if (count < 0) {
             throw new IOException(
                 "the connection ended before the answer to " + method + " " + path);
           }
-          answers.feed(Arrays.copyOf(piece, n));
-          answer = answers.next();
+          parser.feed(Arrays.copyOf(buffer, count));
+          response = parser.next();
         }
-        return answer;
+        return response;
       } catch (IllegalArgumentException e) {
         throw new IOException("no answer that can be read", e);
       }
@@ -102,37 +105,40 @@
   }
 
   private final int port;
-  private final int patienceMs;
+  private final int timeoutMs;
 
   /**
-   * @param patienceMs how long an answer is waited for
+   * A client of the gateway at that port of loopback.
+   *
+   * @param timeoutMs how long it waits for a response
    */
-  public HttpEndpointClient(int port, long patienceMs) {
+  public HttpEndpointClient(int port, long timeoutMs) {
     this.port = port;
-    this.patienceMs = (int) patienceMs;
+    this.timeoutMs = (int) timeoutMs;
   }
 
+  /** Sends a GET and follows the paths to the final response. */
   public Reply get(String path) throws IOException {
-    return ask("GET", path, Map.of(), "");
+    return send("GET", path, Map.of(), "");
   }
 
-  /** Asks, and follows the paths to the last answer. */
+  /** Sends a POST and follows the paths to the final response. */
   public Reply post(String path, Map<String, String> headers, String body) throws IOException {
-    return ask("POST", path, headers, body);
+    return send("POST", path, headers, body);
   }
 
-  private Reply ask(String method, String path, Map<String, String> headers, String body)
+  private Reply send(String method, String path, Map<String, String> headers, String body)
       throws IOException {
-    try (Talk talk = new Talk(port, patienceMs)) {
-      HttpResponseParser.Response answer = talk.ask(method, path, headers, body);
-      while (answer.continuationPath() != null) {
-        answer = talk.ask("GET", answer.continuationPath(), Map.of(), "");
+    try (HttpConnection connection = new HttpConnection(port, timeoutMs)) {
+      HttpResponseParser.Response response = connection.send(method, path, headers, body);
+      while (response.continuationPath() != null) {
+        response = connection.send("GET", response.continuationPath(), Map.of(), "");
       }
-      return new Reply(answer.status(), answer.body(), answer.retryAfter());
+      return new Reply(response.status(), response.body(), response.retryAfter());
     }
   }
 
-  /** Whether it says that it is well. */
+  /** Whether its health check succeeds. */
   public boolean healthy() {
     try {
       return get("/healthz").status() == 200;
@@ -142,10 +148,10 @@
   }
 
   /**
-   * Hands in a statement and follows the paths to its last answer.
+   * Submits a statement and follows the paths to its final response.
    *
    * @param id 16 hexadecimal digits
-   * @throws IOException if the connection broke: what became of it is not known
+   * @throws IOException if the connection broke: the outcome is unknown
    */
   public Reply submit(String requestClass, String id, String statement, long deadlineMs)
       throws IOException {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/Statements.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/StatementsClient.java
@@ -4,22 +4,28 @@
 import java.util.Map;
 
 /**
- * Prepared statements and schemas as a client of one gateway uses them. All are of one table group.
+ * Prepares and runs statements and changes schemas, as a client of one gateway. All statements are
+ * of one table group.
  */
-public final class Statements {
-  private Statements() {}
+public final class StatementsClient {
+  private StatementsClient() {}
 
   /**
    * Prepares a statement with one parameter, a text.
    *
-   * @param uses what of the group it relies on, as 17:orders.city
-   * @return its generation; 0 if it was refused for now, or nobody knows
+   * @param uses the names of the group that it depends on, as 17:orders.city
+   * @return its generation; 0 if it was rejected for now, or the outcome is unknown
    */
   public static long prepare(
-      HttpEndpointClient door, String name, String text, int group, String uses, boolean effectful)
+      HttpEndpointClient client,
+      String name,
+      String text,
+      int group,
+      String uses,
+      boolean effectful)
       throws IOException {
     HttpEndpointClient.Reply reply =
-        door.post(
+        client.post(
             "/v1/statements/" + name,
             Map.of(),
             "{\"text\":\""
@@ -40,10 +46,10 @@
    * Announces that a name of a group is another from now on; the number of the change, 0 if nobody
    * knows.
    */
-  public static long rename(HttpEndpointClient door, int group, String from, String to)
+  public static long rename(HttpEndpointClient client, int group, String from, String to)
       throws IOException {
     HttpEndpointClient.Reply reply =
-        door.post(
+        client.post(
             "/v1/schemas/" + group, Map.of(), "{\"renamed\":{\"" + from + "\":\"" + to + "\"}}");
     return number(reply, "change");
   }
@@ -52,19 +58,19 @@
    * The version of a group's schema that is in effect as the gateway knows it; below 0 while a
    * change is awaited.
    */
-  public static long version(HttpEndpointClient door, int group) throws IOException {
-    HttpEndpointClient.Reply reply = door.get("/v1/schemas/" + group);
+  public static long version(HttpEndpointClient client, int group) throws IOException {
+    HttpEndpointClient.Reply reply = client.get("/v1/schemas/" + group);
     if (reply.status() != 200) {
       throw new IOException("schema " + group + ": " + reply.status() + " " + reply.body());
     }
     return number(reply, "version");
   }
 
-  /** Runs by name, with the mark as the one parameter. */
+  /** Runs a prepared statement by its name, with the marker as its only parameter. */
   public static HttpEndpointClient.Reply run(
-      HttpEndpointClient door, String name, String id, String mark, long deadlineMs)
+      HttpEndpointClient client, String name, String id, String marker, long deadlineMs)
       throws IOException {
-    return door.post(
+    return client.post(
         "/v1/run/" + name,
         Map.of(
             "X-Correlation-Id",
@@ -73,7 +79,7 @@
             Long.toString(deadlineMs),
             "X-Estimate-Ms",
             "5"),
-        "{\"parameters\":[\"" + mark + "\"]}");
+        "{\"parameters\":[\"" + marker + "\"]}");
   }
 
   private static long number(HttpEndpointClient.Reply reply, String name) throws IOException {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeEngine.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeEngine.java
@@ -8,6 +8,7 @@
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.BiConsumer;
@@ -15,53 +16,57 @@
 import tillerlink.fakes.EngineCommandParser.Command;
 
 /**
- * An engine of a few lines: it answers every statement with one row, the statement itself, and
- * tells what it ran at the moment that it begins.
+ * A minimal engine: it answers every statement with one row, the statement itself, and reports what
+ * it runs when it begins.
  */
 public final class FakeEngine implements Closeable {
-  private static final int PIECE = 8192;
+  private static final int BUFFER_BYTES = 8192;
 
-  private final ServerSocket door = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
+  private final ServerSocket listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
   private final Set<Socket> open = ConcurrentHashMap.newKeySet();
   private final String name;
-  private final BiConsumer<String, Command> ran;
+  private final BiConsumer<String, Command> onRun;
   private final long workMs;
 
   /**
-   * @param ran told the engine's name and each request before it is answered, from any thread
-   * @param workMs how long each takes
+   * Starts an engine.
+   *
+   * @param onRun called from any thread with the name of the engine and each request that it runs
+   * @param workMs how long each request takes
    */
-  public FakeEngine(String name, long workMs, BiConsumer<String, Command> ran) throws IOException {
+  public FakeEngine(String name, long workMs, BiConsumer<String, Command> onRun)
+      throws IOException {
     this.name = name;
-    this.ran = ran;
+    this.onRun = onRun;
     this.workMs = workMs;
     daemon(
         () -> {
-          while (!door.isClosed()) {
-            Socket socket = door.accept();
+          while (!listener.isClosed()) {
+            Socket socket = listener.accept();
             open.add(socket);
-            daemon(() -> converse(socket));
+            daemon(() -> serve(socket));
           }
         });
   }
 
+  /** The port at which it listens. */
   public int port() {
-    return door.getLocalPort();
+    return listener.getLocalPort();
   }
 
   /**
-   * All that can fail on a connection fails here: one that was reset as it came must not end the
-   * door for all.
+   * Serves one connection. Its failures end here, so that a connection that is reset at once does
+   * not end the listener.
    */
-  private void converse(Socket socket) throws IOException {
+  private void serve(Socket socket) throws IOException {
     try (socket) {
       socket.setTcpNoDelay(true);
       EngineCommandParser commands = new EngineCommandParser();
       InputStream in = socket.getInputStream();
       OutputStream out = socket.getOutputStream();
-      byte[] piece = new byte[PIECE];
-      for (int n = in.read(piece); n >= 0; n = in.read(piece)) {
-        commands.feed(java.util.Arrays.copyOf(piece, n));
+      byte[] buffer = new byte[BUFFER_BYTES];
+      for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+        commands.feed(Arrays.copyOf(buffer, count));
         for (Command command = commands.next(); command != null; command = commands.next()) {
           answer(command, out);
         }
@@ -74,7 +79,7 @@
   private void answer(Command command, OutputStream out) throws IOException {
     switch (command.word()) {
       case WANT -> {
-        ran.accept(name, command);
+        onRun.accept(name, command);
         pause();
         String row =
             new String(command.statement(), StandardCharsets.UTF_8).replaceAll("[\\t\\n\\r]", " ")
@@ -82,16 +87,16 @@
                 + name
                 + "\t\n";
         byte[] body = row.getBytes(StandardCharsets.UTF_8);
-        say(out, command.id() + " ok count=1 " + body.length + "\r\n" + row + "\r\n");
+        write(out, command.id() + " ok count=1 " + body.length + "\r\n" + row + "\r\n");
       }
-      case THERE -> say(out, command.id() + " yes - 0\r\n\r\n");
+      case THERE -> write(out, command.id() + " yes - 0\r\n\r\n");
       default -> {
-        // It has no further pages, and takes nothing back.
+        // It has no further pages, and never cancels.
       }
     }
   }
 
-  private static void say(OutputStream out, String text) throws IOException {
+  private static void write(OutputStream out, String text) throws IOException {
     out.write(text.getBytes(StandardCharsets.UTF_8));
     out.flush();
   }
@@ -115,7 +120,7 @@
               try {
                 work.run();
               } catch (IOException | IllegalArgumentException e) {
-                // The connection broke, or all is over.
+                // The connection broke, or the engine was closed.
               }
             },
             name);
@@ -125,7 +130,7 @@
 
   @Override
   public void close() throws IOException {
-    door.close();
+    listener.close();
     for (Socket socket : open) {
       socket.close();
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeNameService.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeNameService.java
@@ -13,14 +13,18 @@
 import tillerlink.net.wire.EndpointEntry;
 
 /**
- * The discovery service of one gateway: engines e1, e2, ... at the ports at which that gateway
- * reaches them.
+ * The discovery service of one gateway, which lists engines e1, e2, ... at the ports at which that
+ * gateway reaches them.
  */
 public final class FakeNameService implements Closeable {
+  private static final int MAX_QUERY_BYTES = 512;
+  private static final int LIST_VERSION = 2;
+
   private final DatagramSocket socket =
       new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   private final List<EndpointEntry> entries = new ArrayList<>();
 
+  /** Starts a service that lists engines at these ports. */
   public FakeNameService(List<Integer> engines) throws IOException {
     for (int i = 0; i < engines.size(); i++) {
       entries.add(
@@ -32,21 +36,22 @@
     thread.start();
   }
 
+  /** The port at which it listens. */
   public int port() {
     return socket.getLocalPort();
   }
 
   private void run() {
-    DatagramPacket packet = new DatagramPacket(new byte[512], 512);
+    DatagramPacket packet = new DatagramPacket(new byte[MAX_QUERY_BYTES], MAX_QUERY_BYTES);
     while (!socket.isClosed()) {
       try {
         socket.receive(packet);
-        byte[] question = packet.getData();
-        byte[] answer =
-            DiscoveryResponse.of((question[0] & 255) << 8 | question[1] & 255, 2, entries);
-        socket.send(new DatagramPacket(answer, answer.length, packet.getSocketAddress()));
+        byte[] query = packet.getData();
+        byte[] response =
+            DiscoveryResponse.of((query[0] & 255) << 8 | (query[1] & 255), LIST_VERSION, entries);
+        socket.send(new DatagramPacket(response, response.length, packet.getSocketAddress()));
       } catch (IOException e) {
-        // A gateway that was killed; the next question is as good.
+        // The gateway was killed; wait for the next query.
       }
     }
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessCluster.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessCluster.java
@@ -14,96 +14,110 @@
 import tillerlink.faultinjection.client.HttpEndpointClient;
 import tillerlink.faultinjection.engine.FakeEngine;
 import tillerlink.faultinjection.engine.FakeNameService;
-import tillerlink.faultinjection.fabric.Door;
-import tillerlink.faultinjection.fabric.Fabric;
-import tillerlink.faultinjection.fabric.Fault;
+import tillerlink.faultinjection.network.FaultyNetwork;
+import tillerlink.faultinjection.network.LinkBehaviour;
+import tillerlink.faultinjection.network.TcpProxy;
 import tillerlink.faultinjection.process.GatewayProcess;
-import tillerlink.faultinjection.process.Plan;
+import tillerlink.faultinjection.process.GatewaySpec;
 import tillerlink.faultinjection.process.Ports;
 
 /**
- * A fleet of gateways n0, n1, ... as processes, engines e1, e2, ... behind them, and the fabric
+ * A cluster of gateway processes n0, n1, ..., the engines e1, e2, ... behind them, and the network
  * between all.
  */
 public final class ProcessCluster implements Closeable {
-  private static final long READY_MS = 60_000;
-  private static final long PAUSE_MS = 20;
-  private static final long PATIENCE_MS = 5_000;
-  private static final int VOTERS_MOST = 5;
+  private static final long READY_TIMEOUT_MS = 60_000;
+  private static final long POLL_INTERVAL_MS = 20;
+  private static final long RESPONSE_TIMEOUT_MS = 5_000;
+  private static final int MAX_VOTERS = 5;
 
   /**
+   * The size of a cluster.
+   *
    * @param gateways how many processes
-   * @param sites how many sites they stand at, in turn
+   * @param sites over how many sites they are spread, round robin
    * @param engines how many engines each reaches
-   * @param workMs how long an engine works at each statement
-   * @param shared which parts are on
+   * @param workMs how long an engine takes for each statement
+   * @param shared which components of shared state are on
    */
-  public record Shape(int gateways, int sites, int engines, long workMs, Plan.Shared shared) {}
+  public record Topology(
+      int gateways, int sites, int engines, long workMs, GatewaySpec.Shared shared) {}
 
-  public final Fabric fabric;
+  private final FaultyNetwork network;
   private final List<FakeEngine> engines = new ArrayList<>();
-  private final List<FakeNameService> names = new ArrayList<>();
-  private final Map<String, List<Door>> engineDoors = new TreeMap<>();
-  private final Map<String, Door> clientDoors = new TreeMap<>();
+  private final List<FakeNameService> discoveryServices = new ArrayList<>();
+  private final Map<String, List<TcpProxy>> engineProxies = new TreeMap<>();
+  private final Map<String, TcpProxy> clientProxies = new TreeMap<>();
   private final Map<String, GatewayProcess> gateways = new LinkedHashMap<>();
 
   /**
-   * @param ran told the engine and each request that it runs
+   * Sets up a cluster; its gateways are not started.
+   *
+   * @param onRun called with the name of the engine and each request that it runs
    */
   public ProcessCluster(
-      Path folder, long seed, Shape shape, String classPath, BiConsumer<String, Command> ran)
+      Path folder,
+      long seed,
+      Topology topology,
+      String classPath,
+      BiConsumer<String, Command> onRun)
       throws IOException {
-    fabric = new Fabric(seed);
-    for (int i = 1; i <= shape.engines(); i++) {
-      engines.add(new FakeEngine("e" + i, shape.workMs(), ran));
+    network = new FaultyNetwork(seed);
+    for (int i = 1; i <= topology.engines(); i++) {
+      engines.add(new FakeEngine("e" + i, topology.workMs(), onRun));
     }
-    List<String> all = new ArrayList<>();
-    for (int i = 0; i < shape.gateways(); i++) {
-      all.add("n" + i);
+    List<String> gatewayNames = new ArrayList<>();
+    for (int i = 0; i < topology.gateways(); i++) {
+      gatewayNames.add("n" + i);
     }
-    // Each site bears the name of its first gateway, which speaks for it where sites agree.
-    List<String> sites = all.subList(0, shape.sites());
-    // An odd number, so that one more than half is the fewest.
-    int voters = Math.min(VOTERS_MOST, shape.gateways() - 1 + shape.gateways() % 2);
-    for (String name : all) {
+    // A site is named after its first gateway, which represents it in the agreement of sites.
+    List<String> sites = gatewayNames.subList(0, topology.sites());
+    // An odd number, so that a majority is as small as possible.
+    int voters = Math.min(MAX_VOTERS, topology.gateways() - 1 + topology.gateways() % 2);
+    for (String name : gatewayNames) {
       Map<String, Integer> reach = new TreeMap<>();
-      all.stream()
+      gatewayNames.stream()
           .filter(other -> !other.equals(name))
-          .forEach(o -> reach.put(o, fabric.port(name, o)));
+          .forEach(other -> reach.put(other, network.port(name, other)));
       int members = Ports.free();
-      fabric.place(name, members);
-      int service = namesFor(name);
-      List<Integer> ports = engineDoors.get(name).stream().map(Door::port).toList();
-      Plan plan =
-          new Plan(
+      network.register(name, members);
+      int discovery = startDiscovery(name);
+      List<Integer> ports = engineProxies.get(name).stream().map(TcpProxy::port).toList();
+      GatewaySpec spec =
+          new GatewaySpec(
               Files.createDirectories(folder.resolve(name)),
               name,
-              sites.get(all.indexOf(name) % sites.size()),
+              sites.get(gatewayNames.indexOf(name) % sites.size()),
               Ports.free(),
               members,
               reach,
               sites,
-              all.subList(0, voters),
-              service,
+              gatewayNames.subList(0, voters),
+              discovery,
               ports,
-              shape.shared());
-      gateways.put(name, new GatewayProcess(plan, classPath));
-      clientDoors.put(name, new Door(plan.http(), fabric.tally()));
+              topology.shared());
+      gateways.put(name, new GatewayProcess(spec, classPath));
+      clientProxies.put(name, new TcpProxy(spec.http(), network.counters()));
     }
   }
 
-  private int namesFor(String gateway) throws IOException {
-    List<Door> doors = new ArrayList<>();
+  private int startDiscovery(String gateway) throws IOException {
+    List<TcpProxy> proxies = new ArrayList<>();
     for (FakeEngine engine : engines) {
-      doors.add(new Door(engine.port(), fabric.tally()));
+      proxies.add(new TcpProxy(engine.port(), network.counters()));
     }
-    engineDoors.put(gateway, doors);
-    FakeNameService service = new FakeNameService(doors.stream().map(Door::port).toList());
-    names.add(service);
+    engineProxies.put(gateway, proxies);
+    FakeNameService service = new FakeNameService(proxies.stream().map(TcpProxy::port).toList());
+    discoveryServices.add(service);
     return service.port();
   }
 
-  /** Starts all and waits until they say that they are well. */
+  /** The network between the gateways. */
+  public FaultyNetwork network() {
+    return network;
+  }
+
+  /** Starts all gateways and waits until they are healthy. */
   public void start() throws IOException {
     for (GatewayProcess gateway : gateways.values()) {
       gateway.start();
@@ -113,63 +127,69 @@
     }
   }
 
-  /** Waits until a gateway says that it is well; a machine that is busy only makes this longer. */
+  /** Waits until a gateway is healthy. */
   public void awaitHealthy(String name) throws IOException {
-    long until = System.nanoTime() + READY_MS * 1_000_000;
+    long deadline = System.nanoTime() + READY_TIMEOUT_MS * 1_000_000;
     HttpEndpointClient client = client(name);
     while (!client.healthy()) {
-      if (System.nanoTime() > until || !gateways.get(name).isAlive()) {
+      if (System.nanoTime() > deadline || !gateways.get(name).isAlive()) {
         throw new IOException(
             name + " did not come up; its log: " + Files.readString(gateways.get(name).log()));
       }
-      pause(PAUSE_MS);
+      pause(POLL_INTERVAL_MS);
     }
   }
 
+  /** The names of the gateways. */
   public List<String> names() {
     return List.copyOf(gateways.keySet());
   }
 
+  /** A gateway by its name. */
   public GatewayProcess gateway(String name) {
     return gateways.get(name);
   }
 
-  /** A client that comes through the fabric's door to that gateway. */
+  /** A client that comes through the fabric's proxy to that gateway. */
   public HttpEndpointClient client(String name) {
-    return new HttpEndpointClient(clientDoors.get(name).port(), PATIENCE_MS);
+    return new HttpEndpointClient(clientProxies.get(name).port(), RESPONSE_TIMEOUT_MS);
   }
 
-  public HttpEndpointClient client(String name, long patienceMs) {
-    return new HttpEndpointClient(clientDoors.get(name).port(), patienceMs);
+  /** A client with another timeout. */
+  public HttpEndpointClient client(String name, long timeoutMs) {
+    return new HttpEndpointClient(clientProxies.get(name).port(), timeoutMs);
   }
 
-  public Door clientDoor(String name) {
-    return clientDoors.get(name);
+  /** The proxy between clients and a gateway. */
+  public TcpProxy clientProxy(String name) {
+    return clientProxies.get(name);
   }
 
-  /** The doors through which a gateway reaches the engines. */
-  public List<Door> engineDoors(String name) {
-    return engineDoors.get(name);
+  /** The proxies between a gateway and the engines. */
+  public List<TcpProxy> engineProxies(String name) {
+    return engineProxies.get(name);
   }
 
-  /** Nothing gets from any of these to any of those, nor back. */
-  public void part(List<String> these, List<String> those) {
-    for (String a : these) {
-      for (String b : those) {
-        fabric.set(a, b, Fault.CUT);
-        fabric.set(b, a, Fault.CUT);
+  /** Cuts all links between two groups of gateways. */
+  public void partition(List<String> group, List<String> others) {
+    for (String one : group) {
+      for (String other : others) {
+        network.set(one, other, LinkBehaviour.CUT);
+        network.set(other, one, LinkBehaviour.CUT);
       }
     }
   }
 
-  /** Every way and door is as it should be. */
+  /** Removes the faults of all links and proxies. */
   public void heal() {
-    fabric.heal();
-    clientDoors.values().forEach(door -> door.set(Fault.NONE));
-    engineDoors.values().forEach(doors -> doors.forEach(door -> door.set(Fault.NONE)));
+    network.heal();
+    clientProxies.values().forEach(proxy -> proxy.set(LinkBehaviour.NONE));
+    engineProxies
+        .values()
+        .forEach(proxies -> proxies.forEach(proxy -> proxy.set(LinkBehaviour.NONE)));
   }
 
-  /** What went wrong inside the processes. */
+  /** Violations inside the processes. */
   public List<String> violations() throws IOException {
     List<String> all = new ArrayList<>();
     for (GatewayProcess gateway : gateways.values()) {
@@ -189,16 +209,16 @@
   @Override
   public void close() throws IOException {
     gateways.values().forEach(GatewayProcess::kill);
-    fabric.close();
-    for (Door door : clientDoors.values()) {
-      door.close();
+    network.close();
+    for (TcpProxy proxy : clientProxies.values()) {
+      proxy.close();
     }
-    for (List<Door> doors : engineDoors.values()) {
-      for (Door door : doors) {
-        door.close();
+    for (List<TcpProxy> proxies : engineProxies.values()) {
+      for (TcpProxy proxy : proxies) {
+        proxy.close();
       }
     }
-    names.forEach(FakeNameService::close);
+    discoveryServices.forEach(FakeNameService::close);
     for (FakeEngine engine : engines) {
       engine.close();
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessIncarnations.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessIncarnations.java
@@ -3,16 +3,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts the disks that each gateway had: what was on an earlier one it does not remember. */
+/** Counts the disks that each gateway had; it does not know what was on earlier ones. */
 public final class ProcessIncarnations {
-  private final Map<String, Integer> lives = new HashMap<>();
+  private final Map<String, Integer> incarnations = new HashMap<>();
 
+  /** The number of disks that a gateway has lost. */
   public synchronized int of(String gateway) {
-    return lives.getOrDefault(gateway, 0);
+    return incarnations.getOrDefault(gateway, 0);
   }
 
-  /** It starts with less than it had. */
+  /** A gateway starts with less on its disk than it had. */
   public synchronized void diskLost(String gateway) {
-    lives.merge(gateway, 1, Integer::sum);
+    incarnations.merge(gateway, 1, Integer::sum);
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/Own.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/ChildProcesses.java
@@ -4,10 +4,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The processes that this one has started: none outlives it, stopped ones neither. No other process
- * is ever ended.
+ * The processes that this one has started. All are ended with it, also stopped ones; no other
+ * process is ever ended.
  */
-final class Own {
+final class ChildProcesses {
   private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
 
   static {
@@ -15,7 +15,7 @@
         .addShutdownHook(new Thread(() -> STARTED.forEach(Process::destroyForcibly), "end-own"));
   }
 
-  private Own() {}
+  private ChildProcesses() {}
 
   static Process add(Process process) {
     STARTED.add(process);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/ConfigurationFiles.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/ConfigurationFiles.java
@@ -9,35 +9,37 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** The files that a gateway is started with. */
+/** Writes the files that a gateway is started with. */
 final class ConfigurationFiles {
   private static final String LOOPBACK = "127.0.0.1:";
 
-  /** Short ones, so that a play of seconds sees what takes minutes in the open. */
+  // Short intervals, so that a run of seconds covers what takes minutes in production.
   private static final int PROBE_MS = 200;
 
+  private static final long SEED = 0x8c1f30d2L;
+  private static final int MAX_SOCKETS = 512;
   private static final int ABSENT_AFTER_S = 5;
   private static final int LEASE_MS = 1000;
 
-  private final Plan plan;
+  private final GatewaySpec spec;
 
-  ConfigurationFiles(Plan plan) {
-    this.plan = plan;
+  ConfigurationFiles(GatewaySpec spec) {
+    this.spec = spec;
   }
 
-  /** What the platform tells it. */
+  /** Writes the configuration of the platform. */
   Path configuration() throws IOException {
-    Path file = plan.folder().resolve("configuration.json");
+    Path file = spec.folder().resolve("configuration.json");
     try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
       json.writeStartObject();
-      json.writeStringField("name", plan.name());
-      json.writeStringField("listen", LOOPBACK + plan.http());
-      json.writeStringField("resolver", LOOPBACK + plan.names());
-      json.writeStringField("seed", Long.toHexString(0x8c1f30d2L + plan.name().hashCode()));
+      json.writeStringField("name", spec.name());
+      json.writeStringField("listen", LOOPBACK + spec.http());
+      json.writeStringField("resolver", LOOPBACK + spec.discovery());
+      json.writeStringField("seed", Long.toHexString(SEED + spec.name().hashCode()));
       json.writeObjectFieldStart("limits");
-      json.writeNumberField("sockets", 512);
+      json.writeNumberField("sockets", MAX_SOCKETS);
       json.writeEndObject();
-      known(json);
+      writeEndpoints(json);
       json.writeFieldName("settings");
       json.writeRawValue(
           "{\"tick_us\":5000,\"guarantees\":{\"drain_grace_us\":400000},"
@@ -61,7 +63,7 @@
         + "\",\"aim_us\":2000000,\"hard_limit_us\":4000000,\"worth\":1,\"late_worth\":0.5}";
   }
 
-  private void known(JsonGenerator json) throws IOException {
+  private void writeEndpoints(JsonGenerator json) throws IOException {
     json.writeObjectFieldStart("known");
     json.writeNumberField("index", 1);
     json.writeArrayFieldStart("updates");
@@ -71,10 +73,10 @@
     json.writeNumberField("index", 1);
     json.writeBooleanField("snapshot", true);
     json.writeArrayFieldStart("endpoints");
-    for (int i = 0; i < plan.engines().size(); i++) {
+    for (int i = 0; i < spec.engines().size(); i++) {
       json.writeStartObject();
       json.writeStringField("name", "e" + (i + 1));
-      json.writeStringField("address", LOOPBACK + plan.engines().get(i));
+      json.writeStringField("address", LOOPBACK + spec.engines().get(i));
       json.writeStringField("zone", "east");
       json.writeStringField("type", "std");
       json.writeNumberField("group", 0);
@@ -90,61 +92,61 @@
     json.writeEndObject();
   }
 
-  /** What the operator has written: the parts that gateways share. */
+  /** Writes the operator's file with the components of shared state. */
   Path operatorFile() throws IOException {
     StringBuilder text = new StringBuilder();
     text.append("log {\n  form = \"text\"\n}\n");
     text.append("store {\n  folder = \"").append(store()).append("\"\n}\n");
-    if (plan.shared().compareTo(Plan.Shared.MEMBERS) >= 0) {
+    if (spec.shared().compareTo(GatewaySpec.Shared.MEMBERS) >= 0) {
       members(text);
     }
-    if (plan.shared().compareTo(Plan.Shared.CHANNELS) >= 0) {
+    if (spec.shared().compareTo(GatewaySpec.Shared.CHANNELS) >= 0) {
       text.append("channels {\n  sites = ")
-          .append(listed(plan.counted()))
+          .append(hclList(spec.channelVoters()))
           .append("\n  voters = ")
-          .append(listed(plan.counted()))
+          .append(hclList(spec.channelVoters()))
           .append("\n  absent_after_s = ")
           .append(ABSENT_AFTER_S)
           .append("\n}\n");
     }
-    if (plan.shared().compareTo(Plan.Shared.STATEMENTS) >= 0) {
+    if (spec.shared().compareTo(GatewaySpec.Shared.STATEMENTS) >= 0) {
       text.append("statements {\n  voters = ")
-          .append(listed(plan.voters()))
+          .append(hclList(spec.voters()))
           .append("\n  lease_ms = ")
           .append(LEASE_MS)
           .append("\n}\n");
     }
-    return Files.writeString(plan.folder().resolve("operator.hcl"), text);
+    return Files.writeString(spec.folder().resolve("operator.hcl"), text);
   }
 
   private void members(StringBuilder text) {
     text.append("members {\n  fleet = \"storm\"\n  listen = \"")
         .append(LOOPBACK)
-        .append(plan.members())
+        .append(spec.members())
         .append("\"\n  site = \"")
-        .append(plan.site())
+        .append(spec.site())
         .append("\"\n  probe_ms = ")
         .append(PROBE_MS)
         .append("\n  seeds = ")
-        .append(listed(plan.reach().values().stream().map(port -> LOOPBACK + port).toList()))
+        .append(hclList(spec.reach().values().stream().map(port -> LOOPBACK + port).toList()))
         .append('\n');
-    for (Map.Entry<String, Integer> way : plan.reach().entrySet()) {
+    for (Map.Entry<String, Integer> address : spec.reach().entrySet()) {
       text.append("  reach \"")
-          .append(way.getKey())
+          .append(address.getKey())
           .append("\" {\n    at = \"")
           .append(LOOPBACK)
-          .append(way.getValue())
+          .append(address.getValue())
           .append("\"\n  }\n");
     }
     text.append("}\n");
   }
 
-  private static String listed(List<String> all) {
-    return all.stream().map(one -> '"' + one + '"').collect(Collectors.joining(", ", "[", "]"));
+  private static String hclList(List<String> texts) {
+    return texts.stream().map(text -> '"' + text + '"').collect(Collectors.joining(", ", "[", "]"));
   }
 
-  /** Where it keeps what outlives it. */
+  /** The folder of its store. */
   Path store() {
-    return plan.folder().resolve("store");
+    return spec.folder().resolve("store");
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewayProcess.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewayProcess.java
@@ -9,43 +9,46 @@
 import java.util.stream.Stream;
 
 /**
- * One gateway as a process of its own, which can be stopped, killed, started again, and robbed of
- * its disk.
+ * One gateway in its own process, which can be stopped, killed and restarted, also with a lost or
+ * an old disk.
  */
 public final class GatewayProcess {
-  /** With this a process ends in which an invariant did not hold. */
-  private static final int BROKEN = 70;
+  /** The exit value of a process in which an invariant was violated. */
+  private static final int INVARIANT_VIOLATED = 70;
 
   private static final List<String> ILL =
       List.of("INVARIANT", "invariant broken", "Exception in thread");
 
-  private final Plan plan;
-  private final ConfigurationFiles papers;
+  private final GatewaySpec spec;
+  private final ConfigurationFiles files;
   private final String classPath;
   private final ControlledProcess process;
 
   /**
-   * @param classPath of the program
+   * Describes a gateway; it is not started.
+   *
+   * @param classPath the class path of the program
    */
-  public GatewayProcess(Plan plan, String classPath) {
-    this.plan = plan;
+  public GatewayProcess(GatewaySpec spec, String classPath) {
+    this.spec = spec;
     this.classPath = classPath;
-    process = new ControlledProcess(plan.name());
-    papers = new ConfigurationFiles(plan);
+    process = new ControlledProcess(spec.name());
+    files = new ConfigurationFiles(spec);
   }
 
+  /** Its name. */
   public String name() {
-    return plan.name();
+    return spec.name();
   }
 
-  public Plan plan() {
-    return plan;
+  public GatewaySpec spec() {
+    return spec;
   }
 
-  /** Starts it with the disk that is there; it is not ready yet. */
+  /** Starts it with its present disk, without waiting until it is ready. */
   public synchronized void start() throws IOException {
-    Files.createDirectories(papers.store());
-    List<String> line =
+    Files.createDirectories(files.store());
+    List<String> command =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -64,85 +67,84 @@
                 "tillerlink.cli.Tillerlink",
                 "serve",
                 "--operator",
-                papers.operatorFile().toString()));
-    ProcessBuilder builder = new ProcessBuilder(line);
-    builder.environment().put("EDGE_CONFIG", papers.configuration().toString());
+                files.operatorFile().toString()));
+    ProcessBuilder builder = new ProcessBuilder(command);
+    builder.environment().put("EDGE_CONFIG", files.configuration().toString());
     builder.redirectErrorStream(true);
     builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
     process.start(builder);
   }
 
-  /** The process, to be signalled and ended. */
+  /** The process itself. */
   public ControlledProcess process() {
     return process;
   }
 
+  /** Whether it exists, stopped or not. */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Whether it is there and not stopped. */
+  /** Whether it exists and is not stopped. */
   public boolean isRunning() {
     return process.isRunning();
   }
 
-  /** SIGSTOP: from now on it does nothing. */
+  /** Sends SIGSTOP. */
   public void stop() throws IOException {
     process.stop();
   }
 
-  /** SIGCONT. */
-  public void goOn() throws IOException {
-    process.goOn();
+  /** Sends SIGCONT. */
+  public void resume() throws IOException {
+    process.resume();
   }
 
-  /** SIGKILL, and its end; a stopped one ends as well. */
+  /** Sends SIGKILL and waits for the end, also of a stopped process. */
   public void kill() {
     process.kill();
   }
 
-  /** SIGTERM, and its end: it says that it leaves. */
-  public void leave() throws IOException {
+  /** Sends SIGTERM, upon which it leaves the fleet, and waits for the end. */
+  public void terminate() throws IOException {
     process.terminate();
   }
 
-  /** Its disk is lost; it must not be there. */
+  /** Deletes its disk; it must not run. */
   public synchronized void loseDisk() throws IOException {
-    mustBeDown();
-    delete(papers.store());
+    requireDown();
+    delete(files.store());
   }
 
-  /** Copies its disk as it is now, as a back-up would; it must not be there. */
+  /** Copies its present disk, like a backup; it must not run. */
   public synchronized void copyDisk() throws IOException {
-    mustBeDown();
-    delete(plan.folder().resolve("copy"));
-    copy(papers.store(), plan.folder().resolve("copy"));
+    requireDown();
+    delete(spec.folder().resolve("copy"));
+    copy(files.store(), spec.folder().resolve("copy"));
   }
 
-  /**
-   * Puts the copy of before in the place of its disk; it must not be there. False if there is none.
-   */
-  public synchronized boolean putBackCopy() throws IOException {
-    mustBeDown();
-    if (!Files.isDirectory(plan.folder().resolve("copy"))) {
+  /** Restores the copy of its disk; it must not run. False if there is no copy. */
+  public synchronized boolean restoreDisk() throws IOException {
+    requireDown();
+    if (!Files.isDirectory(spec.folder().resolve("copy"))) {
       return false;
     }
-    delete(papers.store());
-    copy(plan.folder().resolve("copy"), papers.store());
+    delete(files.store());
+    copy(spec.folder().resolve("copy"), files.store());
     return true;
   }
 
-  private void mustBeDown() throws IOException {
+  private void requireDown() throws IOException {
     if (isAlive()) {
-      throw new IOException(plan.name() + " is still there");
+      throw new IOException(spec.name() + " is still there");
     }
   }
 
   private static void delete(Path folder) throws IOException {
     if (Files.exists(folder)) {
       try (Stream<Path> all = Files.walk(folder)) {
-        for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-          Files.delete(one);
+        for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+          Files.delete(path);
         }
       }
     }
@@ -150,26 +152,27 @@
 
   private static void copy(Path from, Path to) throws IOException {
     try (Stream<Path> all = Files.walk(from)) {
-      for (Path one : all.sorted().toList()) {
-        Files.copy(one, to.resolve(from.relativize(one).toString()));
+      for (Path path : all.sorted().toList()) {
+        Files.copy(path, to.resolve(from.relativize(path).toString()));
       }
     }
   }
 
+  /** Its log file. */
   public Path log() {
-    return plan.folder().resolve("log.txt");
+    return spec.folder().resolve("log.txt");
   }
 
-  /** What went wrong inside it, as its log and its end tell; empty if nothing did. */
+  /** Violations inside the process, by its log and its exit value. */
   public synchronized List<String> violations() throws IOException {
     List<String> found = new ArrayList<>(process.complaints());
-    if (process.exitValue() == BROKEN) {
-      found.add(plan.name() + " ended with " + BROKEN);
+    if (process.exitValue() == INVARIANT_VIOLATED) {
+      found.add(spec.name() + " ended with " + INVARIANT_VIOLATED);
     }
     if (Files.exists(log())) {
       for (String line : Files.readString(log()).split("\n")) {
         if (ILL.stream().anyMatch(line::contains)) {
-          found.add(plan.name() + " says: " + line.strip());
+          found.add(spec.name() + " says: " + line.strip());
         }
       }
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/RequestLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/RequestLoad.java
@@ -1,6 +1,7 @@
-package tillerlink.faultinjection.play;
+package tillerlink.faultinjection.schedule;
 
 import java.io.IOException;
+import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.random.RandomGenerator;
 import tillerlink.faultinjection.audit.Audit;
@@ -8,20 +9,21 @@
 import tillerlink.faultinjection.client.HttpEndpointClient;
 import tillerlink.faultinjection.harness.ProcessCluster;
 
-/** Plain requests, half of them effectful. */
+/** Plain requests, half of them with effects. */
 final class RequestLoad extends Load {
   private static final long DEADLINE_MS = 3500;
 
   /**
-   * Far more than the deadline: a busy machine makes no client give up on a gateway that was left
-   * in peace.
+   * Far above the deadline, so that on a busy machine no client gives up on an undisturbed gateway.
    */
-  private static final long PATIENCE_MS = 30_000;
+  private static final long RESPONSE_TIMEOUT_MS = 30_000;
+
+  private static final List<Integer> FINAL_STATUSES = List.of(200, 500, 503);
 
   private final AtomicLong ids = new AtomicLong(0x5100);
 
-  RequestLoad(ProcessCluster rig, Audit audit, Disturbed disturbed, long seed) {
-    super(rig, audit, disturbed, seed);
+  RequestLoad(ProcessCluster cluster, Audit audit, DisruptionTracker disruptions, long seed) {
+    super(cluster, audit, disruptions, seed);
   }
 
   @Override
@@ -35,24 +37,25 @@
     String id = String.format("%016x", ids.incrementAndGet());
     String statement =
         (effectful ? "UPDATE air SET mark = " : "SELECT * FROM air WHERE mark = ") + id;
-    if (!rig.gateway(gateway).isRunning()) {
+    if (!cluster.gateway(gateway).isRunning()) {
       return;
     }
-    long began = System.nanoTime();
-    audit.handedIn(id, statement, effectful);
+    long sentAt = System.nanoTime();
+    audit.submitted(id, statement, effectful);
     try {
       HttpEndpointClient.Reply reply =
-          rig.client(gateway, PATIENCE_MS)
+          cluster
+              .client(gateway, RESPONSE_TIMEOUT_MS)
               .submit(effectful ? "book" : "look", id, statement, DEADLINE_MS);
-      if (reply.status() == 200 || reply.status() == 500 || reply.status() == 503) {
+      if (FINAL_STATUSES.contains(reply.status())) {
         audit.answered(id, reply.status());
       } else {
-        audit.broken(
+        audit.violation(
             Rule.ONE_ANSWER,
             gateway + " answered " + id + " with " + reply.status() + " " + reply.body());
       }
     } catch (IOException e) {
-      if (disturbed.since(gateway, began)) {
+      if (disruptions.disruptedSince(gateway, sentAt)) {
         audit.excused(id);
       }
       throw e;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/Played.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/RunResult.java
@@ -1,11 +1,11 @@
-package tillerlink.faultinjection.play;
+package tillerlink.faultinjection.schedule;
 
 import java.util.List;
 import java.util.Map;
 import tillerlink.faultinjection.audit.Violation;
 
-/** What came of one play. */
-public record Played(
+/** The result of one run of a schedule. */
+public record RunResult(
     Schedule schedule,
     List<Violation> violations,
     Map<Step.Kind, Integer> faults,
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/Schedule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Schedule.java
@@ -1,4 +1,4 @@
-package tillerlink.faultinjection.play;
+package tillerlink.faultinjection.schedule;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -6,23 +6,24 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-/** What befalls a fleet in one play: all of it follows from the seed. */
+/** The faults that hit a cluster in one run; all follow from the seed. */
 public record Schedule(long seed, int gateways, int sites, long lengthMs, List<Step> steps) {
-  private static final int GATEWAYS_LEAST = 3;
-  private static final int GATEWAYS_MOST = 12;
-  private static final long FIRST_MS = 500;
+  private static final int MIN_GATEWAYS = 3;
+  private static final int MAX_GATEWAYS = 12;
+  private static final long FIRST_FAULT_MS = 500;
 
+  /** Copies the steps. */
   public Schedule {
     steps = List.copyOf(steps);
   }
 
-  /** The schedule of a seed: mostly small fleets, for these meet the most cases in a minute. */
+  /** The schedule of a seed; mostly with few gateways, which covers the most cases per minute. */
   public static Schedule of(long seed, long lengthMs) {
     RandomGenerator chance = new SplittableRandom(seed);
     int gateways =
         chance.nextInt(4) == 0
-            ? chance.nextInt(GATEWAYS_LEAST, GATEWAYS_MOST + 1)
-            : chance.nextInt(GATEWAYS_LEAST, GATEWAYS_LEAST + 3);
+            ? chance.nextInt(MIN_GATEWAYS, MAX_GATEWAYS + 1)
+            : chance.nextInt(MIN_GATEWAYS, MIN_GATEWAYS + 3);
     int sites = chance.nextInt(2, Math.min(4, gateways) + 1);
     List<Step> steps = new ArrayList<>();
     int count = chance.nextInt(3, 10);
@@ -35,10 +36,10 @@
 
   private static Step step(RandomGenerator chance, int gateways, long lengthMs) {
     Step.Kind kind = Step.Kind.values()[chance.nextInt(Step.Kind.values().length)];
-    long at = chance.nextLong(FIRST_MS, lengthMs);
+    long at = chance.nextLong(FIRST_FAULT_MS, lengthMs);
     int who = chance.nextInt(gateways);
     int other = (who + 1 + chance.nextInt(gateways - 1)) % gateways;
-    long lasts = chance.nextLong(200, Math.max(201, lengthMs / 2));
+    long duration = chance.nextLong(200, Math.max(201, lengthMs / 2));
     double draw = chance.nextDouble();
     double amount =
         switch (kind) {
@@ -54,14 +55,14 @@
           case CUT, CUT_ONE_WAY, SLOW, SMALL -> true;
           default -> false;
         };
-    // Those from n0 up to one before this are on the one side: at least one on each.
-    String named = "n" + (kind == Step.Kind.PARTED ? Math.max(1, who) : who);
-    return new Step(at, kind, named, pair ? "n" + other : "", lasts, amount);
+    // The gateways before this one are on one side of the partition, so that each side has one.
+    String name = "n" + (kind == Step.Kind.PARTED ? Math.max(1, who) : who);
+    return new Step(at, kind, name, pair ? "n" + other : "", duration, amount);
   }
 
-  /** The same with other steps. */
-  public Schedule with(List<Step> others) {
-    return new Schedule(seed, gateways, sites, lengthMs, others);
+  /** The same schedule with other steps. */
+  public Schedule with(List<Step> otherSteps) {
+    return new Schedule(seed, gateways, sites, lengthMs, otherSteps);
   }
 
   @Override
--- a/faultinjection/src/main/java/tillerlink/faultinjection/play/StatementLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/StatementLoad.java
@@ -1,6 +1,7 @@
-package tillerlink.faultinjection.play;
+package tillerlink.faultinjection.schedule;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -14,7 +15,7 @@
 import tillerlink.faultinjection.audit.Audit;
 import tillerlink.faultinjection.audit.Rule;
 import tillerlink.faultinjection.client.HttpEndpointClient;
-import tillerlink.faultinjection.client.Statements;
+import tillerlink.faultinjection.client.StatementsClient;
 import tillerlink.faultinjection.harness.ProcessCluster;
 
 /**
@@ -23,26 +24,26 @@
  * an engine is sent tells under which schema it was prepared.
  */
 final class StatementLoad extends Load {
-  private static final long SETTLED_WITHIN_NANOS = 60_000_000_000L;
+  private static final long SETTLE_TIMEOUT_NANOS = 60_000_000_000L;
   private static final int GROUP = 17;
   private static final int GROUPS = 2;
   private static final int NAMES = 4;
   private static final long DEADLINE_MS = 3500;
-  private static final long PATIENCE_MS = 30_000;
-  private static final long EFFECT_MS = 30_000;
+  private static final long RESPONSE_TIMEOUT_MS = 30_000;
+  private static final long EFFECT_TIMEOUT_MS = 30_000;
   private static final Pattern SENT = Pattern.compile("v([0-9]+) = 1 AND mark = '(m[0-9]+)'");
 
   private final AtomicLong ids = new AtomicLong(0x9100);
-  private final AtomicLong marks = new AtomicLong();
+  private final AtomicLong markers = new AtomicLong();
 
-  /** By group, what v stands at; only whoever holds the lock prepares or changes. */
+  /** By group, the number of the column v; below 0 while a change is not known to be in effect. */
   private final Map<Integer, Integer> columns = new TreeMap<>();
 
   private final Set<String> prepared = ConcurrentHashMap.newKeySet();
   private volatile boolean ending;
 
-  StatementLoad(ProcessCluster rig, Audit audit, Disturbed disturbed, long seed) {
-    super(rig, audit, disturbed, seed);
+  StatementLoad(ProcessCluster cluster, Audit audit, DisruptionTracker disruptions, long seed) {
+    super(cluster, audit, disruptions, seed);
     for (int group = GROUP; group < GROUP + GROUPS; group++) {
       columns.put(group, 1);
     }
@@ -53,10 +54,9 @@
     return 40;
   }
 
-  /** What an engine was sent: told to the audit if it is a prepared statement. */
-  static void sent(Audit audit, String engine, Command command) {
-    Matcher matcher =
-        SENT.matcher(new String(command.statement(), java.nio.charset.StandardCharsets.UTF_8));
+  /** Reports a command of an engine to the audit if it runs a prepared statement. */
+  static void onRun(Audit audit, String engine, Command command) {
+    Matcher matcher = SENT.matcher(new String(command.statement(), StandardCharsets.UTF_8));
     if (matcher.find()) {
       audit.ran(engine, matcher.group(2));
       audit.preparedRan(matcher.group(2), engine, Long.parseLong(matcher.group(1)));
@@ -75,7 +75,7 @@
   void once(String gateway, RandomGenerator chance) throws IOException {
     int name = chance.nextInt(NAMES);
     int drawn = chance.nextInt(100);
-    if (!rig.gateway(gateway).isRunning() || ending) {
+    if (!cluster.gateway(gateway).isRunning() || ending) {
       return;
     }
     if (!prepared.contains("s" + name)) {
@@ -100,8 +100,8 @@
           (effectful(name) ? "UPDATE air SET seen = 1 WHERE " : "SELECT * FROM air WHERE ")
               + column
               + " = 1 AND mark = $1";
-      if (Statements.prepare(
-              rig.client(gateway, PATIENCE_MS),
+      if (StatementsClient.prepare(
+              cluster.client(gateway, RESPONSE_TIMEOUT_MS),
               "s" + name,
               text,
               group,
@@ -114,24 +114,25 @@
   }
 
   /**
-   * Announces a change and waits until it is in effect; if that is not heard of, the group changes
-   * no more.
+   * Announces a change and waits until it is in effect; if it does not learn that, the group is not
+   * changed again.
    */
   private void change(String gateway, int group) throws IOException {
     synchronized (columns) {
-      int at = columns.get(group);
-      if (at < 0) {
+      int column = columns.get(group);
+      if (column < 0) {
         return;
       }
-      columns.put(group, -at);
+      columns.put(group, -column);
       String name = group + ":air.v";
       long before = version(group);
-      Statements.rename(rig.client(gateway, PATIENCE_MS), group, name + at, name + (at + 1));
-      long until = System.nanoTime() + EFFECT_MS * 1_000_000;
+      StatementsClient.rename(
+          cluster.client(gateway, RESPONSE_TIMEOUT_MS), group, name + column, name + (column + 1));
+      long until = System.nanoTime() + EFFECT_TIMEOUT_MS * 1_000_000;
       while (System.nanoTime() < until && !ending) {
         if (version(group) > before) {
-          audit.effect("g" + group, at + 1, System.nanoTime());
-          columns.put(group, at + 1);
+          audit.schemaInEffect("g" + group, column + 1, System.nanoTime());
+          columns.put(group, column + 1);
           return;
         }
         pause(50);
@@ -139,17 +140,17 @@
     }
   }
 
-  /** The highest version that any gateway tells: what one has seen in effect is so for good. */
+  /** The highest schema version that any gateway reports; one seen in effect stays in effect. */
   private long version(int group) {
     long highest = -1;
-    for (String name : rig.names()) {
+    for (String name : cluster.names()) {
       try {
         highest =
-            rig.gateway(name).isRunning()
-                ? Math.max(highest, Statements.version(rig.client(name, 2000), group))
+            cluster.gateway(name).isRunning()
+                ? Math.max(highest, StatementsClient.version(cluster.client(name, 2000), group))
                 : highest;
       } catch (IOException e) {
-        // Stopped a moment ago, or not there; another knows.
+        // Stopped or not running; another gateway knows.
       }
     }
     return highest;
@@ -157,51 +158,51 @@
 
   private void run(String gateway, int name) throws IOException {
     String id = String.format("%016x", ids.incrementAndGet());
-    String mark = "m" + marks.incrementAndGet();
-    long began = System.nanoTime();
-    audit.handedIn(id, mark, effectful(name));
-    audit.runAsked(mark, gateway, "g" + group(name), began);
+    String marker = "m" + markers.incrementAndGet();
+    long sentAt = System.nanoTime();
+    audit.submitted(id, marker, effectful(name));
+    audit.runRequested(marker, gateway, "g" + group(name), sentAt);
     try {
       HttpEndpointClient.Reply reply =
-          Statements.run(rig.client(gateway, PATIENCE_MS), "s" + name, id, mark, DEADLINE_MS);
+          StatementsClient.run(
+              cluster.client(gateway, RESPONSE_TIMEOUT_MS), "s" + name, id, marker, DEADLINE_MS);
       if (List.of(200, 500, 503).contains(reply.status())) {
         audit.answered(id, reply.status());
       } else if (List.of(404, 409).contains(reply.status())) {
-        // Not known here yet, or invalid: rejected, and not run.
+        // Unknown here yet, or invalid: rejected, and not run.
         audit.answered(id, 503);
       } else {
-        audit.broken(
+        audit.violation(
             Rule.ONE_ANSWER,
             gateway + " answered " + id + " with " + reply.status() + " " + reply.body());
       }
     } catch (IOException e) {
-      if (disturbed.since(gateway, began)) {
+      if (disruptions.disruptedSince(gateway, sentAt)) {
         audit.excused(id);
       }
       throw e;
     }
   }
 
-  /** No more changes are begun or waited for. */
+  /** Begins no further changes, and stops waiting for the present one. */
   void ending() {
     ending = true;
   }
 
   /**
-   * Waits until every gateway runs every statement, and runs it under the schema that was last seen
-   * in effect.
+   * Waits until every gateway runs every statement under the schema that was last seen in effect.
    */
   void settle() {
     ending = false;
-    for (String gateway : rig.names()) {
+    for (String gateway : cluster.names()) {
       for (int name = 0; name < NAMES; name++) {
-        // Of its own: the first run of a group only asks for its lease, so one try tells nothing.
-        long until = System.nanoTime() + SETTLED_WITHIN_NANOS;
-        String trouble = "never tried";
-        while (!trouble.isEmpty() && prepared.contains("s" + name)) {
-          trouble = tried(gateway, name);
-          if (!trouble.isEmpty() && System.nanoTime() > until) {
-            audit.broken(Rule.NOT_SETTLED, gateway + " runs s" + name + " no more: " + trouble);
+        // A timeout per statement: the first run of a group only requests its lease.
+        long until = System.nanoTime() + SETTLE_TIMEOUT_NANOS;
+        String problem = "never tried";
+        while (!problem.isEmpty() && prepared.contains("s" + name)) {
+          problem = tryRun(gateway, name);
+          if (!problem.isEmpty() && System.nanoTime() > until) {
+            audit.violation(Rule.NOT_SETTLED, gateway + " runs s" + name + " no more: " + problem);
             return;
           }
           pause(100);
@@ -210,14 +211,15 @@
     }
   }
 
-  private String tried(String gateway, int name) {
+  private String tryRun(String gateway, int name) {
     String id = String.format("%016x", ids.incrementAndGet());
-    String mark = "m" + marks.incrementAndGet();
-    audit.handedIn(id, mark, effectful(name));
-    audit.runAsked(mark, gateway, "g" + group(name), System.nanoTime());
+    String marker = "m" + markers.incrementAndGet();
+    audit.submitted(id, marker, effectful(name));
+    audit.runRequested(marker, gateway, "g" + group(name), System.nanoTime());
     try {
       HttpEndpointClient.Reply reply =
-          Statements.run(rig.client(gateway, PATIENCE_MS), "s" + name, id, mark, DEADLINE_MS);
+          StatementsClient.run(
+              cluster.client(gateway, RESPONSE_TIMEOUT_MS), "s" + name, id, marker, DEADLINE_MS);
       audit.answered(id, reply.status() == 404 || reply.status() == 409 ? 503 : reply.status());
       return reply.status() == 200
           ? ""
@@ -227,7 +229,7 @@
               + ", come back in "
               + reply.retryAfterMs()
               + " ms; schema "
-              + rig.client(gateway).get("/v1/schemas/" + group(name)).body();
+              + cluster.client(gateway).get("/v1/schemas/" + group(name)).body();
     } catch (IOException e) {
       audit.excused(id);
       return e.toString();
--- /dev/null
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/ServiceHistory.java
@@ -0,0 +1,73 @@
+package tillerlink.faultinjection.soak;
+
+import java.util.function.Supplier;
+import tillerlink.model.Engine.Status;
+
+/** What gateways know of engines, by the record of the discovery service of what it sent. */
+final class ServiceHistory implements SoakOracle.DiscoveryHistory {
+  private final Supplier<SoakDiscovery> discovery;
+  private final Supplier<SoakGateways> gateways;
+
+  /** The suppliers are used on the first question, when all parts of the run exist. */
+  ServiceHistory(Supplier<SoakDiscovery> discovery, Supplier<SoakGateways> gateways) {
+    this.discovery = discovery;
+    this.gateways = gateways;
+  }
+
+  private Iterable<SoakDiscovery.Event> eventsOf(int engine) {
+    return discovery.get().eventsOf("e" + engine);
+  }
+
+  private double knownAt(int gateway, SoakDiscovery.Event event) {
+    SoakGateways processes = gateways.get();
+    return discovery
+        .get()
+        .knownAt(gateway, event, processes.startedAt(gateway), processes.indexAtStart(gateway));
+  }
+
+  private static boolean isStart(SoakDiscovery.Event event) {
+    return event.entry().standing() == Status.READY && event.entry().startedMs() > 0;
+  }
+
+  @Override
+  public double notReadyAt(int gateway, int engine, double at) {
+    double since = Double.MAX_VALUE;
+    for (SoakDiscovery.Event event : eventsOf(engine)) {
+      double knownAt = knownAt(gateway, event);
+      if (event.entry().standing() == Status.READY) {
+        // A gateway that knows this, or could know it, may send there again.
+        since = event.at() <= at ? Double.MAX_VALUE : since;
+      } else {
+        since = Math.min(since, knownAt);
+      }
+    }
+    return since;
+  }
+
+  @Override
+  public double startedAt(int engine, double at) {
+    double started = 0;
+    for (SoakDiscovery.Event event : eventsOf(engine)) {
+      if (event.at() <= at && isStart(event)) {
+        started = event.at();
+      }
+    }
+    return started;
+  }
+
+  @Override
+  public double startToldAt(int gateway, int engine, double at) {
+    double knownAt = Double.MAX_VALUE;
+    for (SoakDiscovery.Event event : eventsOf(engine)) {
+      if (event.at() <= at && isStart(event)) {
+        knownAt = knownAt(gateway, event);
+      }
+    }
+    return knownAt;
+  }
+
+  @Override
+  public boolean inFirstZone(int engine) {
+    return SoakSettings.ZONES.get(engine % 2).equals(SoakSettings.ZONES.get(0));
+  }
+}
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/Soak.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/Soak.java
@@ -13,24 +13,25 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 import java.util.stream.Stream;
-import tillerlink.faultinjection.play.Cutter;
+import tillerlink.faultinjection.schedule.ScheduleShrinker;
 
 /**
- * Plays random schedules of overlapping faults over real gateway processes for some minutes, judged
- * from outside by the seven rules. It ends with 0 only if nothing broke; a schedule in which
- * something did is printed, and cut down.
+ * Runs random schedules of overlapping faults on real gateway processes for some minutes, and
+ * checks the rules from outside. The exit code is 0 only if no rule was violated. A schedule with a
+ * violation is printed and shrunk.
  */
 public final class Soak {
-  private static final long LENGTH_MS = 20_000;
-  private static final int TRIES = 6;
+  private static final long SCHEDULE_MS = 20_000;
+  private static final int MAX_SHRINK_RUNS = 6;
+  private static final double NANOS_PER_MINUTE = 60e9;
   private static final double MS_PER_HOUR = 3_600_000;
 
   private final Path folder;
   private final PrintStream out;
   private final Map<SoakFault.Kind, Integer> faults = new EnumMap<>(SoakFault.Kind.class);
   private final Map<String, Integer> pairs = new TreeMap<>();
-  private int runs;
-  private int broken;
+  private int schedulesRun;
+  private int schedulesFailed;
   private long requests;
   private long attempts;
   private double processMs;
@@ -41,8 +42,10 @@
   }
 
   /**
-   * @param args the seed, for how many minutes a run may begin, and how many processes; with a
-   *     fourth, just the one run of that very seed
+   * Runs from the command line.
+   *
+   * @param args the seed, for how many minutes runs may begin, and how many processes; with a
+   *     fourth argument, only the one run of exactly that seed
    */
   public static void main(String[] args) throws IOException {
     if (args.length < 3) {
@@ -50,21 +53,21 @@
       System.exit(2);
     }
     Soak soak = new Soak(Files.createTempDirectory("soak"), System.out);
-    boolean quiet =
-        soak.go(
+    boolean passed =
+        soak.run(
             Long.parseLong(args[0]),
             Double.parseDouble(args[1]),
             Integer.parseInt(args[2]),
             args.length > 3);
-    System.exit(quiet ? 0 : 1);
+    System.exit(passed ? 0 : 1);
   }
 
-  private boolean go(long seed, double minutes, int processes, boolean once) throws IOException {
+  private boolean run(long seed, double minutes, int processes, boolean once) throws IOException {
     RandomGenerator chance = new SplittableRandom(seed);
-    long until = System.nanoTime() + (long) (minutes * 60e9);
+    long deadline = System.nanoTime() + (long) (minutes * NANOS_PER_MINUTE);
     do {
-      one(SoakSchedule.of(once ? seed : chance.nextLong(1L << 40), processes, LENGTH_MS));
-    } while (!once && System.nanoTime() < until);
+      runOne(SoakSchedule.of(once ? seed : chance.nextLong(1L << 40), processes, SCHEDULE_MS));
+    } while (!once && System.nanoTime() < deadline);
     out.printf(Locale.ROOT, "faults by kind: %s%n", faults);
     out.printf(
         Locale.ROOT,
@@ -74,29 +77,29 @@
     out.printf(
         Locale.ROOT,
         "%d runs, %d broken; %.2f process-hours, %d requests, %d attempts%n",
-        runs,
-        broken,
+        schedulesRun,
+        schedulesFailed,
         processMs / MS_PER_HOUR,
         requests,
         attempts);
-    return broken == 0;
+    return schedulesFailed == 0;
   }
 
-  private void one(SoakSchedule schedule) throws IOException {
-    SoakPlay.Result result = play(schedule);
-    runs++;
+  private void runOne(SoakSchedule schedule) throws IOException {
+    SoakRun.Result result = run(schedule);
+    schedulesRun++;
     requests += result.requests();
     attempts += result.attempts();
     processMs += (double) schedule.gateways() * schedule.lengthMs();
-    result.faults().forEach((kind, n) -> faults.merge(kind, n, Integer::sum));
-    result.pairs().forEach((pair, n) -> pairs.merge(pair, n, Integer::sum));
-    boolean fine = result.violations().isEmpty();
-    broken += fine ? 0 : 1;
+    result.faults().forEach((kind, count) -> faults.merge(kind, count, Integer::sum));
+    result.pairs().forEach((pair, count) -> pairs.merge(pair, count, Integer::sum));
+    boolean passed = result.violations().isEmpty();
+    schedulesFailed += passed ? 0 : 1;
     out.printf(
         Locale.ROOT,
         "run %d: seed %d, %d faults, %d requests (%d served, %d refused), %d attempts, rig late by"
             + " %.0f ms at most: %s%n",
-        runs,
+        schedulesRun,
         schedule.seed(),
         schedule.faults().size(),
         result.requests(),
@@ -104,43 +107,49 @@
         result.refused(),
         result.attempts(),
         result.worstLag(),
-        fine ? "fine" : "BROKEN " + result.counts());
-    if (!fine) {
+        passed ? "fine" : "BROKEN " + result.counts());
+    if (!passed) {
       result.violations().forEach(out::println);
       out.print(schedule);
       SoakRule rule = result.violations().get(0).rule();
       out.println(
-          "cutting it down to what still breaks " + rule + ", " + TRIES + " runs at the most");
+          "cutting it down to what still breaks "
+              + rule
+              + ", "
+              + MAX_SHRINK_RUNS
+              + " runs at the most");
       List<SoakFault> shortest =
-          Cutter.cut(schedule.faults(), steps -> breaks(schedule.with(steps), rule), TRIES);
+          ScheduleShrinker.shrink(
+              schedule.faults(), steps -> violates(schedule.with(steps), rule), MAX_SHRINK_RUNS);
       out.println("the shortest that still does:");
       out.print(schedule.with(shortest));
     }
   }
 
-  private boolean breaks(SoakSchedule schedule, SoakRule rule) {
+  private boolean violates(SoakSchedule schedule, SoakRule rule) {
     try {
-      return play(schedule).counts().containsKey(rule);
+      return run(schedule).counts().containsKey(rule);
     } catch (IOException e) {
       out.println("a shorter one could not be played: " + e.getMessage());
       return false;
     }
   }
 
-  private SoakPlay.Result play(SoakSchedule schedule) throws IOException {
-    Path own = Files.createTempDirectory(folder, "run");
-    SoakPlay.Result result;
-    try (SoakPlay play = new SoakPlay(schedule, own, System.getProperty("java.class.path"))) {
-      result = play.play();
+  private SoakRun.Result run(SoakSchedule schedule) throws IOException {
+    Path runFolder = Files.createTempDirectory(folder, "run");
+    SoakRun.Result result;
+    try (SoakRun soakRun =
+        new SoakRun(schedule, runFolder, System.getProperty("java.class.path"))) {
+      result = soakRun.run();
     }
     if (result.violations().isEmpty()) {
-      try (Stream<Path> all = Files.walk(own)) {
-        for (Path one : all.sorted(Comparator.reverseOrder()).toList()) {
-          Files.delete(one);
+      try (Stream<Path> all = Files.walk(runFolder)) {
+        for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+          Files.delete(path);
         }
       }
     } else {
-      out.println("its logs are kept in " + own);
+      out.println("its logs are kept in " + runFolder);
     }
     return result;
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakClock.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakClock.java
@@ -1,56 +1,56 @@
 package tillerlink.faultinjection.soak;
 
 /**
- * The one clock of a run, in milliseconds since its start, and how far the rig itself was behind:
- * what it sees late it must not hold against a gateway.
+ * The clock of a run, in milliseconds since its start, which also measures how far the harness
+ * itself lags, so that its own delays are not counted against a gateway.
  */
 final class SoakClock {
-  private static final long BEAT_MS = 10;
-  private static final int KEPT = 512;
+  private static final long INTERVAL_MS = 10;
+  private static final int LAGS_KEPT = 512;
 
-  private final long began = System.nanoTime();
-  private final double[] lags = new double[KEPT];
+  private final long startNanos = System.nanoTime();
+  private final double[] lags = new double[LAGS_KEPT];
   private volatile boolean ended;
   private double worst;
-  private int beats;
+  private int measurements;
 
   SoakClock() {
-    Thread thread = new Thread(this::beat, "soak-clock");
+    Thread thread = new Thread(this::measure, "soak-clock");
     thread.setDaemon(true);
     thread.start();
   }
 
   double now() {
-    return (System.nanoTime() - began) / 1e6;
+    return (System.nanoTime() - startNanos) / 1e6;
   }
 
-  private void beat() {
+  private void measure() {
     while (!ended) {
-      double due = now() + BEAT_MS;
+      double due = now() + INTERVAL_MS;
       try {
-        Thread.sleep(BEAT_MS);
+        Thread.sleep(INTERVAL_MS);
       } catch (InterruptedException e) {
         return;
       }
-      note(now() - due);
+      record(now() - due);
     }
   }
 
-  private synchronized void note(double lag) {
-    lags[beats++ % KEPT] = lag;
+  private synchronized void record(double lag) {
+    lags[measurements++ % LAGS_KEPT] = lag;
     worst = Math.max(worst, lag);
   }
 
-  /** The most by which the rig was late in the last seconds. */
+  /** The greatest lag in the last seconds. */
   synchronized double lag() {
-    double most = 0;
+    double max = 0;
     for (double lag : lags) {
-      most = Math.max(most, lag);
+      max = Math.max(max, lag);
     }
-    return most;
+    return max;
   }
 
-  /** The most of the whole run. */
+  /** The greatest lag of the whole run. */
   synchronized double worstLag() {
     return worst;
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
@@ -6,6 +6,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.channels.ClosedSelectorException;
 import java.nio.channels.SelectionKey;
 import java.nio.channels.Selector;
 import java.nio.channels.ServerSocketChannel;
@@ -24,20 +25,24 @@
 import tillerlink.fakes.EngineCommandParser.Command;
 
 /**
- * The engines of a soak, each with a port for every gateway, so that what comes tells whose it is.
- * What comes is read and noted at once, whatever the fault; a fault decides what is said to it, and
- * when.
+ * The engines of a soak, each with one port per gateway, which identifies the gateway. Requests are
+ * read and recorded at once whatever the fault; a fault decides the reply and its time.
  */
 final class SoakEngines implements Closeable {
-  private static final int PIECE = 4096;
-  private static final long WORK_LEAST_MS = 10;
-  private static final long WORK_MORE_MS = 90;
-  private static final int STACK = 128 * 1024;
+  private static final int BUFFER_BYTES = 4096;
+  private static final long MIN_WORK_MS = 10;
+  private static final long WORK_SPREAD_MS = 90;
+  private static final double RESET_SHARE = 0.3;
+  private static final double FAILURE_SHARE = 0.7;
+  private static final double MAX_DIAL_DELAY_MS = 700;
+  private static final double MAX_IDLE_MS = 200;
+  private static final int ACCEPT_BACKLOG = 64;
+  private static final int STACK_BYTES = 128 * 1024;
 
-  /** The port of an engine that a gateway reaches it at. */
+  /** The port at which a gateway reaches an engine. */
   private record Port(int engine, int gateway) {}
 
-  /** How an engine is at present. */
+  /** The present state of an engine. */
   private static final class State {
     private final Set<SoakFault.Kind> faults = ConcurrentHashMap.newKeySet();
     private final Set<Connection> open = ConcurrentHashMap.newKeySet();
@@ -46,13 +51,13 @@
 
   private final SoakOracle oracle;
   private final SoakClock clock;
-  private final ScheduledExecutorService later;
+  private final ScheduledExecutorService timer;
   private final Random random;
   private final List<State> states = new ArrayList<>();
   private final int[][] ports;
 
-  /** What befalls the ways from each gateway. */
-  private final List<Set<SoakFault.Kind>> ways = new ArrayList<>();
+  /** The active faults of the links from each gateway. */
+  private final List<Set<SoakFault.Kind>> linkFaults = new ArrayList<>();
 
   private final Selector selector = Selector.open();
   private volatile boolean closed;
@@ -62,59 +67,63 @@
       int gateways,
       SoakOracle oracle,
       SoakClock clock,
-      ScheduledExecutorService later,
+      ScheduledExecutorService timer,
       long seed)
       throws IOException {
     this.oracle = oracle;
     this.clock = clock;
-    this.later = later;
+    this.timer = timer;
     random = new Random(seed);
     ports = new int[engines][gateways];
-    for (int g = 0; g < gateways; g++) {
-      ways.add(ConcurrentHashMap.newKeySet());
+    for (int gateway = 0; gateway < gateways; gateway++) {
+      linkFaults.add(ConcurrentHashMap.newKeySet());
     }
-    for (int e = 0; e < engines; e++) {
+    for (int engine = 0; engine < engines; engine++) {
       states.add(new State());
-      for (int g = 0; g < gateways; g++) {
-        ServerSocketChannel door = ServerSocketChannel.open();
-        door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 64);
-        door.configureBlocking(false);
-        door.register(selector, SelectionKey.OP_ACCEPT, new Port(e, g));
-        ports[e][g] = door.socket().getLocalPort();
+      for (int gateway = 0; gateway < gateways; gateway++) {
+        ports[engine][gateway] = listen(new Port(engine, gateway));
       }
     }
     daemon(this::accept, "engines");
   }
 
+  private int listen(Port port) throws IOException {
+    ServerSocketChannel listener = ServerSocketChannel.open();
+    listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), ACCEPT_BACKLOG);
+    listener.configureBlocking(false);
+    listener.register(selector, SelectionKey.OP_ACCEPT, port);
+    return listener.socket().getLocalPort();
+  }
+
   /** The port at which a gateway reaches an engine. */
   int port(int engine, int gateway) {
     return ports[engine][gateway];
   }
 
-  void set(int engine, SoakFault.Kind kind, boolean on) {
+  void set(int engine, SoakFault.Kind kind, boolean active) {
     State state = states.get(engine);
-    if (on) {
+    if (active) {
       state.faults.add(kind);
     } else {
       state.faults.remove(kind);
     }
   }
 
-  void setWay(int gateway, SoakFault.Kind kind, boolean on) {
-    if (on) {
-      ways.get(gateway).add(kind);
+  void setLink(int gateway, SoakFault.Kind kind, boolean active) {
+    if (active) {
+      linkFaults.get(gateway).add(kind);
     } else {
-      ways.get(gateway).remove(kind);
+      linkFaults.get(gateway).remove(kind);
     }
   }
 
-  /** Its process is gone: connections are reset, and so are new ones. */
+  /** Ends the process of an engine: connections are reset, also new ones. */
   void down(int engine) {
     states.get(engine).down = true;
     states.get(engine).open.forEach(Connection::reset);
   }
 
-  /** A new process takes its place, at the same address. */
+  /** Starts a new process of an engine at the same address. */
   void up(int engine) {
     states.get(engine).down = false;
   }
@@ -127,18 +136,18 @@
           SocketChannel channel = ((ServerSocketChannel) key.channel()).accept();
           if (channel != null) {
             Connection connection = new Connection(channel.socket(), (Port) key.attachment());
-            daemon(connection::converse, "engine");
+            daemon(connection::serve, "engine");
           }
         }
         selector.selectedKeys().clear();
-      } catch (IOException | java.nio.channels.ClosedSelectorException e) {
-        // One that was reset as it came, or the end.
+      } catch (IOException | ClosedSelectorException e) {
+        // A connection was reset at once, or the engines are closed.
       }
     }
   }
 
   private static void daemon(Runnable work, String name) {
-    Thread thread = new Thread(null, work, name, STACK);
+    Thread thread = new Thread(null, work, name, STACK_BYTES);
     thread.setDaemon(true);
     thread.start();
   }
@@ -149,7 +158,7 @@
     private final Port port;
     private final State state;
     private final Set<String> running = ConcurrentHashMap.newKeySet();
-    private volatile boolean served;
+    private volatile boolean answered;
 
     Connection(Socket socket, Port port) {
       this.socket = socket;
@@ -157,46 +166,54 @@
       state = states.get(port.engine);
     }
 
-    void converse() {
+    void serve() {
       state.open.add(this);
       try (socket) {
-        if (state.down || state.faults.contains(SoakFault.Kind.ENGINE_RESETS) && chance(0.3)) {
+        if (state.down || (hasFault(SoakFault.Kind.ENGINE_RESETS) && chance(RESET_SHARE))) {
           reset();
           return;
         }
         socket.setTcpNoDelay(true);
-        EngineCommandParser commands = new EngineCommandParser();
-        InputStream in = socket.getInputStream();
-        byte[] piece = new byte[PIECE];
-        for (int n = in.read(piece); n >= 0; n = in.read(piece)) {
-          double at = clock.now();
-          commands.feed(Arrays.copyOf(piece, n));
-          for (Command command = commands.next(); command != null; command = commands.next()) {
-            take(command, at);
-          }
-        }
+        readCommands();
       } catch (IOException | IllegalArgumentException e) {
-        // It broke; what was out on it is given up.
+        // The connection broke; its attempts are given up.
       } finally {
         state.open.remove(this);
         running.forEach(id -> oracle.attemptEnded(port.engine, id, SoakOracle.End.GIVEN_UP));
       }
     }
 
-    private void take(Command command, double at) throws IOException {
+    private boolean hasFault(SoakFault.Kind kind) {
+      return state.faults.contains(kind);
+    }
+
+    private void readCommands() throws IOException {
+      EngineCommandParser parser = new EngineCommandParser();
+      InputStream in = socket.getInputStream();
+      byte[] buffer = new byte[BUFFER_BYTES];
+      for (int count = in.read(buffer); count >= 0; count = in.read(buffer)) {
+        double at = clock.now();
+        parser.feed(Arrays.copyOf(buffer, count));
+        for (Command command = parser.next(); command != null; command = parser.next()) {
+          onCommand(command, at);
+        }
+      }
+    }
+
+    private void onCommand(Command command, double at) throws IOException {
       switch (command.word()) {
-        case WANT -> want(command, at);
+        case WANT -> submit(command, at);
         case NEVER_MIND -> {
           if (running.remove(command.id())) {
             oracle.attemptEnded(port.engine, command.id(), SoakOracle.End.GIVEN_UP);
           }
         }
-        case THERE -> say(command.id() + " yes - 0\r\n\r\n");
+        case THERE -> write(command.id() + " yes - 0\r\n\r\n");
         default -> {}
       }
     }
 
-    private void want(Command command, double at) {
+    private void submit(Command command, double at) {
       oracle.attempt(
           new SoakOracle.Attempt(
               command.id(),
@@ -206,49 +223,56 @@
               command.limit(),
               at));
       running.add(command.id());
-      double ms = WORK_LEAST_MS + WORK_MORE_MS * draw();
-      if (ways.get(port.gateway).contains(SoakFault.Kind.DIAL_LATE) && !served) {
-        ms += 700 * draw();
+      double ms = MIN_WORK_MS + WORK_SPREAD_MS * draw();
+      if (linkFaults.get(port.gateway).contains(SoakFault.Kind.DIAL_LATE) && !answered) {
+        ms += MAX_DIAL_DELAY_MS * draw();
       }
-      if (state.faults.contains(SoakFault.Kind.ENGINE_RESETS) && chance(0.3)) {
-        later.schedule(this::reset, (long) (ms / 2), TimeUnit.MILLISECONDS);
+      if (hasFault(SoakFault.Kind.ENGINE_RESETS) && chance(RESET_SHARE)) {
+        timer.schedule(this::reset, (long) (ms / 2), TimeUnit.MILLISECONDS);
       }
-      later.schedule(() -> end(command), (long) ms, TimeUnit.MILLISECONDS);
+      timer.schedule(() -> end(command), (long) ms, TimeUnit.MILLISECONDS);
     }
 
     private void end(Command command) {
       if (silent() || !running.contains(command.id())) {
         return;
       }
-      boolean refuses = state.faults.contains(SoakFault.Kind.ENGINE_REFUSES) && chance(0.7);
-      boolean errs = !refuses && state.faults.contains(SoakFault.Kind.ENGINE_ERRS) && chance(0.7);
+      SoakOracle.End end = drawEnd();
       running.remove(command.id());
-      oracle.attemptEnded(
-          port.engine,
-          command.id(),
-          refuses ? SoakOracle.End.REFUSED : errs ? SoakOracle.End.ERRED : SoakOracle.End.ANSWERED);
-      String row = command.id() + "\t" + port.engine + "\t\n";
+      oracle.attemptEnded(port.engine, command.id(), end);
       try {
-        say(
-            refuses
-                ? command.id() + " refused - 0\r\n\r\n"
-                : errs
-                    ? command.id() + " error - 0\r\n\r\n"
-                    : command.id() + " ok count=1 " + row.length() + "\r\n" + row + "\r\n");
-        served = true;
-        if (state.faults.contains(SoakFault.Kind.ENGINE_CLOSES_IDLE) && running.isEmpty()) {
-          later.schedule(this::closeIfIdle, (long) (200 * draw()), TimeUnit.MILLISECONDS);
+        write(command.id() + reply(end, command.id() + "\t" + port.engine + "\t\n"));
+        answered = true;
+        if (hasFault(SoakFault.Kind.ENGINE_CLOSES_IDLE) && running.isEmpty()) {
+          timer.schedule(this::closeIfIdle, (long) (MAX_IDLE_MS * draw()), TimeUnit.MILLISECONDS);
         }
       } catch (IOException e) {
-        // It broke under the answer, which is lost.
+        // The connection broke during the reply, which is lost.
+      }
+    }
+
+    private SoakOracle.End drawEnd() {
+      if (hasFault(SoakFault.Kind.ENGINE_REFUSES) && chance(FAILURE_SHARE)) {
+        return SoakOracle.End.REFUSED;
       }
+      return hasFault(SoakFault.Kind.ENGINE_ERRS) && chance(FAILURE_SHARE)
+          ? SoakOracle.End.ERRED
+          : SoakOracle.End.ANSWERED;
+    }
+
+    private static String reply(SoakOracle.End end, String row) {
+      return switch (end) {
+        case REFUSED -> " refused - 0\r\n\r\n";
+        case ERRED -> " error - 0\r\n\r\n";
+        default -> " ok count=1 " + row.length() + "\r\n" + row + "\r\n";
+      };
     }
 
     private boolean silent() {
       return state.down
-          || ways.get(port.gateway).contains(SoakFault.Kind.PARTED)
+          || linkFaults.get(port.gateway).contains(SoakFault.Kind.PARTED)
           || EnumSet.of(SoakFault.Kind.ENGINE_HANGS, SoakFault.Kind.ENGINE_VANISHES).stream()
-              .anyMatch(state.faults::contains);
+              .anyMatch(this::hasFault);
     }
 
     private void closeIfIdle() {
@@ -256,12 +280,12 @@
         try {
           socket.close();
         } catch (IOException e) {
-          // It is closed.
+          // It is closed already.
         }
       }
     }
 
-    private synchronized void say(String text) throws IOException {
+    private synchronized void write(String text) throws IOException {
       if (!silent()) {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
       }
@@ -272,7 +296,7 @@
         socket.setSoLinger(true, 0);
         socket.close();
       } catch (IOException e) {
-        // It is gone.
+        // It is closed already.
       }
     }
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakFault.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakFault.java
@@ -7,55 +7,56 @@
  *
  * @param atMs when it begins
  * @param lastsMs how long it lasts
- * @param who the gateway or the engine that it befalls, by its number
- * @param amount what the kind says: a chance, milliseconds
+ * @param who the number of the gateway or engine that it hits
+ * @param amount depending on the kind, a chance or a share of the greatest delay
  */
 public record SoakFault(long atMs, long lastsMs, Kind kind, int who, double amount) {
-  /** What a fault befalls. */
+  /** What a fault hits. */
   public enum Target {
     GATEWAY,
     ENGINE
   }
 
-  /** What may befall. */
+  /** The kinds of fault; schedules and reports print the names. */
   public enum Kind {
     STOPPED(Target.GATEWAY),
     KILLED(Target.GATEWAY),
     TERMINATED(Target.GATEWAY),
-    /** A new configuration and SIGHUP, by which the discovery service moves. */
+    /** The discovery service moves, which a new configuration and SIGHUP announce. */
     RELOADED(Target.GATEWAY),
     /** Three in a row, 50 ms apart. */
     RELOADED_THRICE(Target.GATEWAY),
-    /** The discovery service takes questions and sends no answer. */
+    /** The discovery service receives queries and sends no responses. */
     NAMES_DOWN(Target.GATEWAY),
-    /** Answers are worked out and sent late. */
+    /** Responses are computed and sent late. */
     NAMES_SLOW(Target.GATEWAY),
-    /** Questions and answers are lost. */
+    /** Queries and responses are lost. */
     NAMES_LOSSY(Target.GATEWAY),
-    /** Answers come a second time, later. */
+    /** Responses are repeated later. */
     NAMES_REORDERED(Target.GATEWAY),
-    /** Answers hold the list as it was some time ago. */
+    /** Responses contain an older list. */
     NAMES_OLDER(Target.GATEWAY),
-    /** Answers are cut short and can't be read. */
+    /** Responses are truncated. */
     NAMES_TRUNCATED(Target.GATEWAY),
-    /** Nothing arrives any more at the port that the gateway asks from now. */
+    /** Responses to the port from which the gateway now sends are lost. */
     NAMES_WAY_SILENT(Target.GATEWAY),
-    /** Connections to engines come up, and are served, late. */
+    /** Connections to engines are served late at first. */
     DIAL_LATE(Target.GATEWAY),
-    /** Nothing gets between a gateway and its engines; open connections are silent. */
+    /** A network partition between a gateway and its engines; open connections are silent. */
     PARTED(Target.GATEWAY),
+    /** Many clients at once. */
     CLIENTS_FLOOD(Target.GATEWAY),
     ENGINE_DRAINS(Target.ENGINE),
-    /** It is gone without a drain, and its connections are silent. */
+    /** It is removed without a drain, and its connections are silent. */
     ENGINE_VANISHES(Target.ENGINE),
     ENGINE_HANGS(Target.ENGINE),
-    /** Its connections are reset; it comes back cold at the same address. */
+    /** Its connections are reset; it restarts cold at the same address. */
     ENGINE_CRASHES(Target.ENGINE),
     ENGINE_REFUSES(Target.ENGINE),
     ENGINE_ERRS(Target.ENGINE),
-    /** It resets connections before, under and after requests. */
+    /** It resets connections before, during and after requests. */
     ENGINE_RESETS(Target.ENGINE),
-    /** It closes connections that rest, without a word. */
+    /** It closes idle connections. */
     ENGINE_CLOSES_IDLE(Target.ENGINE);
 
     final Target target;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
@@ -16,18 +16,16 @@
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
-/**
- * The gateways of a soak as processes, started as the platform starts them, with their
- * configurations.
- */
+/** The gateway processes of a soak, started as in production, with their configurations. */
 final class SoakGateways {
   private static final int TERMINATED = 143;
   private static final int KILLED = 137;
-  private static final double READY_MS = 60_000;
-  private static final long PAUSE_MS = 20;
+  private static final double READY_TIMEOUT_MS = 60_000;
+  private static final int CONNECT_TIMEOUT_MS = 500;
+  private static final long POLL_INTERVAL_MS = 20;
 
-  /** New connections come for so long after SIGTERM. */
-  private static final double STILL_COMING_MS = 250;
+  /** For how long clients open connections after SIGTERM. */
+  private static final double CLIENTS_AFTER_SIGTERM_MS = 250;
 
   private static final List<String> ILL =
       List.of("invariant violated", "an internal fault", "Exception in thread", "died");
@@ -37,13 +35,13 @@
     private final int port = Ports.free();
     private final ControlledProcess process;
 
-    /** Clients may come from then on; not while it is down. */
+    /** Clients connect from then on, but not while it is down. */
     private volatile double servesFrom = Double.MAX_VALUE;
 
     private volatile double servesUntil = Double.MAX_VALUE;
     private volatile double startedAt;
     private volatile long indexAtStart;
-    private volatile int life;
+    private volatile int incarnation;
 
     Gateway(String name) {
       this.name = name;
@@ -53,15 +51,12 @@
 
   private final Path folder;
   private final String classPath;
-  private final SoakNames names;
+  private final SoakDiscovery discovery;
   private final SoakOracle oracle;
   private final SoakClock clock;
   private final List<Gateway> gateways = new ArrayList<>();
 
-  /**
-   * How an entry of the list is written for a gateway, since each reaches engines at ports of its
-   * own.
-   */
+  /** The ports of engines; each gateway reaches them at its own ones. */
   private final PortOf ports;
 
   /** The port at which a gateway reaches an engine. */
@@ -73,13 +68,13 @@
       int count,
       Path folder,
       String classPath,
-      SoakNames names,
+      SoakDiscovery discovery,
       PortOf ports,
       SoakOracle oracle,
       SoakClock clock) {
     this.folder = folder;
     this.classPath = classPath;
-    this.names = names;
+    this.discovery = discovery;
     this.ports = ports;
     this.oracle = oracle;
     this.clock = clock;
@@ -104,12 +99,12 @@
     return gateways.get(gateway).indexAtStart;
   }
 
-  /** Counts its processes; what was handed to an earlier one is not owed by a later. */
-  int life(int gateway) {
-    return gateways.get(gateway).life;
+  /** Counts its processes: a later one does not answer requests to an earlier one. */
+  int incarnation(int gateway) {
+    return gateways.get(gateway).incarnation;
   }
 
-  /** Whether clients come to it now. */
+  /** Whether clients connect to it now. */
   boolean serves(int gateway) {
     Gateway one = gateways.get(gateway);
     double now = clock.now();
@@ -120,13 +115,13 @@
     return gateways.get(gateway).process.isRunning();
   }
 
-  // ---- start and end ----
+  // ---- start ----
 
   void start(int gateway) throws IOException {
     Gateway one = gateways.get(gateway);
     one.servesFrom = Double.MAX_VALUE;
     one.servesUntil = Double.MAX_VALUE;
-    one.life++;
+    one.incarnation++;
     configure(gateway);
     one.startedAt = clock.now();
     oracle.started(gateway);
@@ -152,17 +147,17 @@
     one.process.start(builder);
   }
 
-  /** Waits until it answers that it is well; a machine that is busy only makes this longer. */
+  /** Waits until it is healthy. */
   void awaitReady(int gateway) throws IOException {
     Gateway one = gateways.get(gateway);
-    double until = clock.now() + READY_MS;
-    while (!new HttpEndpointClient(one.port, (long) READY_MS).healthy()) {
-      if (!one.process.isAlive() || clock.now() > until) {
+    double deadline = clock.now() + READY_TIMEOUT_MS;
+    while (!new HttpEndpointClient(one.port, (long) READY_TIMEOUT_MS).healthy()) {
+      if (!one.process.isAlive() || clock.now() > deadline) {
         oracle.inside(one.name + " did not come up");
         throw new IOException(
             one.name + " did not come up; its log: " + Files.readString(log(gateway)));
       }
-      pause(PAUSE_MS);
+      pause(POLL_INTERVAL_MS);
     }
     one.servesFrom = clock.now();
   }
@@ -170,10 +165,12 @@
   private void configure(int gateway) throws IOException {
     Gateway one = gateways.get(gateway);
     String entries;
-    synchronized (names) {
-      one.indexAtStart = names.index();
+    synchronized (discovery) {
+      one.indexAtStart = discovery.index();
       entries =
-          names.list().stream().map(entry -> json(entry, gateway)).collect(Collectors.joining(","));
+          discovery.list().stream()
+              .map(entry -> json(entry, gateway))
+              .collect(Collectors.joining(","));
     }
     String text =
         "{\"name\":\""
@@ -181,9 +178,9 @@
             + "\",\"listen\":\"127.0.0.1:"
             + one.port
             + "\",\"seed\":\""
-            + Long.toHexString(0x5c1f30d2L + gateway * 7919L + one.life)
+            + Long.toHexString(0x5c1f30d2L + gateway * 7919L + one.incarnation)
             + "\",\"limits\":{\"sockets\":608},\"resolver\":\"127.0.0.1:"
-            + names.port(gateway)
+            + discovery.port(gateway)
             + "\",\"known\":{\"index\":"
             + one.indexAtStart
             + ",\"updates\":[{\"index\":"
@@ -191,12 +188,15 @@
             + ",\"endpoints\":{\"snapshot\":true,\"endpoints\":["
             + entries
             + "]}}]},\"settings\":"
-            + SoakTerms.settings(gateways.size(), gateway)
+            + SoakSettings.settings(gateways.size(), gateway)
             + "}";
-    Path fresh = folder.resolve(one.name + ".json.new");
-    Files.writeString(fresh, text);
+    Path newFile = folder.resolve(one.name + ".json.new");
+    Files.writeString(newFile, text);
     Files.move(
-        fresh, file(gateway), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        newFile,
+        file(gateway),
+        StandardCopyOption.REPLACE_EXISTING,
+        StandardCopyOption.ATOMIC_MOVE);
   }
 
   private String json(EndpointEntry entry, int gateway) {
@@ -225,12 +225,12 @@
 
   // ---- faults ----
 
-  /** A new configuration with where the discovery service is now, and SIGHUP. */
+  /** Writes a configuration with the present port of the discovery service, and sends SIGHUP. */
   void reload(int gateway) throws IOException {
     Gateway one = gateways.get(gateway);
     long index = one.indexAtStart;
     configure(gateway);
-    // Only where the discovery service is changes for a process that runs.
+    // A running process takes over the port of the discovery service only.
     one.indexAtStart = index;
     one.process.signal("HUP");
   }
@@ -240,24 +240,24 @@
     oracle.interrupted(gateway, Double.MAX_VALUE);
   }
 
-  void goOn(int gateway) throws IOException {
-    gateways.get(gateway).process.goOn();
+  void resume(int gateway) throws IOException {
+    gateways.get(gateway).process.resume();
     oracle.interrupted(gateway, clock.now());
   }
 
   void kill(int gateway) {
     Gateway one = gateways.get(gateway);
     one.servesFrom = Double.MAX_VALUE;
-    // Before it is killed: clients see their connections end at once.
-    one.life++;
+    // Before the kill, because clients see their connections end at once.
+    one.incarnation++;
     one.process.kill();
     oracle.interrupted(gateway, clock.now());
   }
 
-  /** SIGTERM; clients come for a moment more, and the end is waited for. */
+  /** Sends SIGTERM, while clients connect for a moment more, and waits for the end. */
   void terminate(int gateway) throws IOException {
     Gateway one = gateways.get(gateway);
-    one.servesUntil = clock.now() + STILL_COMING_MS;
+    one.servesUntil = clock.now() + CLIENTS_AFTER_SIGTERM_MS;
     one.process.terminate();
     int exit = one.process.exitValue();
     if (exit != TERMINATED) {
@@ -265,8 +265,8 @@
     }
   }
 
-  /** Whether any ended by itself. */
-  void lookForCrashes() {
+  /** Reports processes that ended by themselves. */
+  void reportCrashes() {
     for (Gateway one : gateways) {
       int exit = one.process.exitValue();
       if (exit != ControlledProcess.NONE && exit != TERMINATED && exit != KILLED) {
@@ -275,8 +275,8 @@
     }
   }
 
-  /** What the processes say of themselves: their counters of violations, and their logs. */
-  void lookInside() throws IOException {
+  /** Reports violations that the processes count or log themselves. */
+  void reportInside() throws IOException {
     for (int i = 0; i < gateways.size(); i++) {
       Gateway one = gateways.get(i);
       one.process.complaints().forEach(oracle::inside);
@@ -287,7 +287,10 @@
       }
       if (one.process.isRunning()) {
         for (String line :
-            new HttpEndpointClient(one.port, (long) READY_MS).get("/metrics").body().split("\n")) {
+            new HttpEndpointClient(one.port, (long) READY_TIMEOUT_MS)
+                .get("/metrics")
+                .body()
+                .split("\n")) {
           if (line.startsWith("tillerlink_invariant_violations_total") && !line.endsWith(" 0")) {
             oracle.inside(one.name + " counts: " + line);
           }
@@ -300,9 +303,10 @@
     gateways.forEach(one -> one.process.kill());
   }
 
-  static boolean listens(int port) {
+  static boolean isListening(int port) {
     try (Socket socket = new Socket()) {
-      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 500);
+      socket.connect(
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_TIMEOUT_MS);
       return true;
     } catch (IOException e) {
       return false;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
@@ -15,30 +15,33 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
 import tillerlink.fakes.HttpResponseParser;
-import tillerlink.faultinjection.soak.SoakTerms.RequestClass;
+import tillerlink.faultinjection.soak.SoakSettings.RequestClass;
 
 /**
- * The clients of a soak: usual ones, and such that leave, pipeline, write slowly, rest, or come all
- * at once.
+ * The clients of a soak: regular ones, and some that disconnect, cancel, pipeline, write slowly,
+ * keep connections idle, or come all at once.
  */
 final class SoakLoad {
-  /** What each request is said to need, in milliseconds on one core. */
+  /** The estimate of each request, in milliseconds on one core. */
   static final double ESTIMATE_MS = 50;
 
-  private static final int FETCHES_MOST = 3;
-  private static final int FLOOD = 40;
-  private static final int CONNECT_MS = 2_000;
-  private static final int PIECE = 4096;
+  private static final int MAX_RECONNECTS = 3;
+  private static final int FLOOD_REQUESTS = 40;
+  private static final int CONNECT_TIMEOUT_MS = 2_000;
+  private static final int BUFFER_BYTES = 4096;
+  private static final int PIPELINED = 3;
+  private static final long SLOW_WRITE_PAUSE_MS = 60;
+  private static final String HEALTH_CHECK = "GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n";
   private static final int SUBJECTS = 4;
 
   /** How a client behaves. */
-  enum Manner {
-    USUAL,
-    LEAVES_AT_ONCE,
+  enum ClientBehaviour {
+    REGULAR,
+    DISCONNECTS_AT_ONCE,
     CANCELS,
     PIPELINES,
     WRITES_SLOWLY,
-    RESTS
+    KEEPS_IDLE
   }
 
   private final SoakGateways gateways;
@@ -46,7 +49,7 @@
   private final SoakClock clock;
   private final double perSecond;
   private final long seed;
-  private final AtomicInteger ids = new AtomicInteger();
+  private final AtomicInteger requestIds = new AtomicInteger();
   private final ExecutorService clients =
       Executors.newCachedThreadPool(
           work -> {
@@ -67,246 +70,253 @@
   void begin() {
     for (int i = 0; i < gateways.count(); i++) {
       int gateway = i;
-      clients.execute(() -> feed(gateway, new SplittableRandom(seed * 31 + gateway)));
+      clients.execute(() -> generate(gateway, new SplittableRandom(seed * 31 + gateway)));
     }
   }
 
-  private void feed(int gateway, RandomGenerator chance) {
+  private void generate(int gateway, RandomGenerator chance) {
     while (!ended) {
       SoakGateways.pause((long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1000));
       if (!ended && gateways.serves(gateway)) {
         RequestClass requestClass =
             RequestClass.values()[chance.nextInt(RequestClass.values().length)];
-        Manner manner =
+        ClientBehaviour behaviour =
             chance.nextInt(3) > 0
-                ? Manner.USUAL
-                : Manner.values()[chance.nextInt(Manner.values().length)];
-        one(gateway, requestClass, manner, chance.nextInt(SUBJECTS), chance.nextLong(50, 1500));
+                ? ClientBehaviour.REGULAR
+                : ClientBehaviour.values()[chance.nextInt(ClientBehaviour.values().length)];
+        start(
+            gateway, requestClass, behaviour, chance.nextInt(SUBJECTS), chance.nextLong(50, 1500));
       }
     }
   }
 
-  /** Many at once. */
+  /** Sends many requests at once. */
   void flood(int gateway) {
-    for (int i = 0; i < FLOOD && gateways.serves(gateway); i++) {
-      one(gateway, RequestClass.LOOK, Manner.USUAL, 0, 0);
+    for (int i = 0; i < FLOOD_REQUESTS && gateways.serves(gateway); i++) {
+      start(gateway, RequestClass.LOOK, ClientBehaviour.REGULAR, 0, 0);
     }
   }
 
-  private void one(int gateway, RequestClass requestClass, Manner manner, int subject, long stays) {
-    String id = String.format("%016x", ids.incrementAndGet());
-    Client client = new Client(id, gateway, requestClass, "s" + subject, manner, stays);
+  private void start(
+      int gateway,
+      RequestClass requestClass,
+      ClientBehaviour behaviour,
+      int subject,
+      long pauseMs) {
+    String id = String.format("%016x", requestIds.incrementAndGet());
+    Client client = new Client(id, gateway, requestClass, "s" + subject, behaviour, pauseMs);
     clients.execute(client::run);
   }
 
-  /** Those that are out have their time; then nobody comes any more. */
+  /** Starts no further clients, and waits for the present ones. */
   void end() {
     ended = true;
     clients.shutdown();
     try {
-      clients.awaitTermination(SoakTerms.DEADLINE_MS + 4_000, TimeUnit.MILLISECONDS);
+      clients.awaitTermination(SoakSettings.DEADLINE_MS + 4_000, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** One request, from its connection to its answer. */
+  /** A client with one request, from its connection to its response. */
   private final class Client {
     private final String id;
     private final int gateway;
     private final RequestClass requestClass;
     private final String subject;
-    private final Manner manner;
-    private final long stays;
-    private final int life;
-    private double until;
-    private boolean handedIn;
+    private final ClientBehaviour behaviour;
+    private final long pauseMs;
+    private final int incarnation;
+    private boolean submitted;
 
     Client(
         String id,
         int gateway,
         RequestClass requestClass,
         String subject,
-        Manner manner,
-        long stays) {
+        ClientBehaviour behaviour,
+        long pauseMs) {
       this.id = id;
       this.gateway = gateway;
       this.requestClass = requestClass;
       this.subject = subject;
-      this.manner = manner;
-      this.stays = stays;
-      life = gateways.life(gateway);
+      this.behaviour = behaviour;
+      this.pauseMs = pauseMs;
+      incarnation = gateways.incarnation(gateway);
     }
 
     void run() {
       try {
-        submit(manner == Manner.RESTS);
+        submit(behaviour == ClientBehaviour.KEEPS_IDLE);
       } catch (IOException e) {
         failed(e.toString());
       }
     }
 
-    /**
-     * What broke a connection: its gateway was killed meanwhile, or it has cut the connection
-     * itself.
-     */
-    private void failed(String words) {
-      if (!handedIn) {
+    /** Reports a lost connection; it is excused if its gateway was killed in the meantime. */
+    private void failed(String description) {
+      if (!submitted) {
         return;
       }
-      if (gateways.life(gateway) != life) {
+      if (gateways.incarnation(gateway) != incarnation) {
         oracle.excused(id);
       } else {
-        oracle.cut(id, words);
+        oracle.connectionLost(id, description);
       }
     }
 
-    private void submit(boolean rests) throws IOException {
-      try (Talk talk = new Talk(gateways.port(gateway))) {
-        if (rests) {
-          talk.say("GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n");
-          talk.answer();
-          SoakGateways.pause(4 * stays);
+    private void submit(boolean keepsIdle) throws IOException {
+      try (HttpConnection connection = new HttpConnection(gateways.port(gateway))) {
+        if (keepsIdle) {
+          connection.write(HEALTH_CHECK);
+          connection.read();
+          SoakGateways.pause(4 * pauseMs);
         }
-        if (rests && talk.ended() || !rests && !gateways.serves(gateway)) {
+        if (keepsIdle ? connection.isClosedByPeer() : !gateways.serves(gateway)) {
           return;
         }
-        handIn(talk);
-        if (manner == Manner.LEAVES_AT_ONCE) {
-          oracle.left(id, clock.now());
+        send(connection);
+        if (behaviour == ClientBehaviour.DISCONNECTS_AT_ONCE) {
+          oracle.clientDisconnected(id, clock.now());
           return;
         }
-        HttpResponseParser.Response answer = talk.answer();
-        if (answer == null && rests) {
-          crossed();
+        HttpResponseParser.Response response = connection.read();
+        if (response == null && keepsIdle) {
+          retryAfterIdleClose();
           return;
         }
-        follow(talk, answer);
+        follow(connection, response);
       }
     }
 
     /**
-     * It crossed the end of a connection that rested: once more, on a new one, if its gateway takes
-     * any.
+     * The request crossed the gateway's close of the idle connection: sends it again on a new one,
+     * if the gateway accepts any.
      */
-    private void crossed() throws IOException {
+    private void retryAfterIdleClose() throws IOException {
       oracle.excused(id);
       if (gateways.serves(gateway)) {
-        handedIn = false;
-        try (Talk talk = new Talk(gateways.port(gateway))) {
-          handIn(talk);
-          follow(talk, talk.answer());
+        submitted = false;
+        try (HttpConnection connection = new HttpConnection(gateways.port(gateway))) {
+          send(connection);
+          follow(connection, connection.read());
         }
       }
     }
 
-    private void handIn(Talk talk) throws IOException {
-      String body = "SELECT a FROM t_" + subject.substring(1) + ".x";
-      String head =
-          (manner == Manner.PIPELINES
-                  ? "GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n".repeat(3)
-                  : "")
-              + "POST /v1/"
-              + requestClass.wireName()
-              + " HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: "
-              + id
-              + "\r\nX-Deadline-Ms: "
-              + SoakTerms.DEADLINE_MS
-              + "\r\nX-Estimate-Ms: "
-              + ESTIMATE_MS
-              + (requestClass.ordered ? "\r\nX-Subject: " + subject : "")
-              + "\r\nX-Operation-Key: k"
-              + id
-              + "\r\nContent-Length: "
-              + body.length()
-              + "\r\n\r\n"
-              + body;
-      if (manner == Manner.WRITES_SLOWLY) {
-        for (int at = 0; at < head.length() - 1; at += head.length() / 5) {
-          talk.say(head.substring(at, Math.min(head.length() - 1, at + head.length() / 5)));
-          SoakGateways.pause(60);
+    private void send(HttpConnection connection) throws IOException {
+      String request = request();
+      if (behaviour == ClientBehaviour.WRITES_SLOWLY) {
+        for (int at = 0; at < request.length() - 1; at += request.length() / 5) {
+          connection.write(
+              request.substring(at, Math.min(request.length() - 1, at + request.length() / 5)));
+          SoakGateways.pause(SLOW_WRITE_PAUSE_MS);
         }
-        head = head.substring(head.length() - 1);
+        request = request.substring(request.length() - 1);
       }
       double at = clock.now();
-      until = at + SoakTerms.DEADLINE_MS;
-      if (!handedIn) {
-        oracle.handedIn(id, gateway, requestClass, subject, at, SoakTerms.DEADLINE_MS);
+      if (!submitted) {
+        oracle.submitted(id, gateway, requestClass, subject, at, SoakSettings.DEADLINE_MS);
       }
-      handedIn = true;
-      talk.say(head);
-      for (int i = 0; manner == Manner.PIPELINES && i < 3; i++) {
-        talk.answer();
+      submitted = true;
+      connection.write(request);
+      for (int i = 0; behaviour == ClientBehaviour.PIPELINES && i < PIPELINED; i++) {
+        connection.read();
       }
     }
 
-    private void follow(Talk first, HttpResponseParser.Response submitted) throws IOException {
-      HttpResponseParser.Response answer = submitted;
-      Talk talk = first;
-      int fetches = 0;
+    private String request() {
+      String body = "SELECT a FROM t_" + subject.substring(1) + ".x";
+      return (behaviour == ClientBehaviour.PIPELINES ? HEALTH_CHECK.repeat(PIPELINED) : "")
+          + "POST /v1/"
+          + requestClass.wireName()
+          + " HTTP/1.1\r\nHost: soak\r\nX-Correlation-Id: "
+          + id
+          + "\r\nX-Deadline-Ms: "
+          + SoakSettings.DEADLINE_MS
+          + "\r\nX-Estimate-Ms: "
+          + ESTIMATE_MS
+          + (requestClass.ordered ? "\r\nX-Subject: " + subject : "")
+          + "\r\nX-Operation-Key: k"
+          + id
+          + "\r\nContent-Length: "
+          + body.length()
+          + "\r\n\r\n"
+          + body;
+    }
+
+    /** Polls until the final response, over new connections where one is lost. */
+    private void follow(HttpConnection first, HttpResponseParser.Response submitResponse)
+        throws IOException {
+      HttpResponseParser.Response response = submitResponse;
+      HttpConnection connection = first;
+      int reconnects = 0;
       try {
-        while (answer == null || answer.continuationPath() != null) {
-          if (answer == null
-              && (fetches++ == FETCHES_MOST || !SoakGateways.listens(gateways.port(gateway)))) {
-            failed("its connection ended without an answer");
-            return;
-          }
-          if (answer != null && manner == Manner.CANCELS) {
-            SoakGateways.pause(stays / 4);
-            cancel(answer.continuationPath());
-            return;
-          }
-          if (answer == null) {
-            if (talk != first) {
-              talk.close();
+        while (response == null || response.continuationPath() != null) {
+          if (response == null) {
+            if (reconnects++ == MAX_RECONNECTS
+                || !SoakGateways.isListening(gateways.port(gateway))) {
+              failed("its connection ended without an answer");
+              return;
             }
-            talk = new Talk(gateways.port(gateway));
+            if (connection != first) {
+              connection.close();
+            }
+            connection = new HttpConnection(gateways.port(gateway));
+          } else if (behaviour == ClientBehaviour.CANCELS) {
+            SoakGateways.pause(pauseMs / 4);
+            cancel(response.continuationPath());
+            return;
           }
-          talk.say("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: soak\r\n\r\n");
-          answer = talk.answer();
+          connection.write("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: soak\r\n\r\n");
+          response = connection.read();
         }
-        oracle.answered(
-            id,
-            answer.status() == 200
-                ? SoakOracle.Answer.SERVED
-                : answer.status() == 503
-                        || answer.status() == 429
-                        || answer.body().contains("\"Full\"")
-                    ? SoakOracle.Answer.REFUSED
-                    : SoakOracle.Answer.FAILED,
-            clock.now());
+        oracle.answered(id, answer(response), clock.now());
       } finally {
-        if (talk != first) {
-          talk.close();
+        if (connection != first) {
+          connection.close();
         }
       }
     }
 
+    private static SoakOracle.Answer answer(HttpResponseParser.Response response) {
+      if (response.status() == 200) {
+        return SoakOracle.Answer.SERVED;
+      }
+      return response.status() == 503
+              || response.status() == 429
+              || response.body().contains("\"Full\"")
+          ? SoakOracle.Answer.REFUSED
+          : SoakOracle.Answer.FAILED;
+    }
+
     private void cancel(String path) throws IOException {
-      try (Talk talk = new Talk(gateways.port(gateway))) {
-        oracle.left(id, clock.now());
-        talk.say("DELETE " + path + " HTTP/1.1\r\nHost: soak\r\n\r\n");
-        talk.answer();
+      try (HttpConnection connection = new HttpConnection(gateways.port(gateway))) {
+        oracle.clientDisconnected(id, clock.now());
+        connection.write("DELETE " + path + " HTTP/1.1\r\nHost: soak\r\n\r\n");
+        connection.read();
       }
     }
   }
 
   /** A connection of a client. */
-  private static final class Talk implements AutoCloseable {
+  private static final class HttpConnection implements AutoCloseable {
     private final Socket socket = new Socket();
-    private final HttpResponseParser answers = new HttpResponseParser();
+    private final HttpResponseParser parser = new HttpResponseParser();
 
-    Talk(int port) throws IOException {
-      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_MS);
+    HttpConnection(int port) throws IOException {
+      socket.connect(
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), port), CONNECT_TIMEOUT_MS);
       socket.setTcpNoDelay(true);
     }
 
-    void say(String text) throws IOException {
+    void write(String text) throws IOException {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Whether the other side has ended it, while it rested. */
-    boolean ended() throws IOException {
+    /** Whether the gateway has closed the idle connection. */
+    boolean isClosedByPeer() throws IOException {
       socket.setSoTimeout(1);
       try {
         return socket.getInputStream().read() < 0;
@@ -315,22 +325,22 @@
       }
     }
 
-    /** The next answer; null if the connection ended. */
-    HttpResponseParser.Response answer() throws IOException {
+    /** Reads the next response; null if the connection ended. */
+    HttpResponseParser.Response read() throws IOException {
       InputStream in = socket.getInputStream();
-      byte[] piece = new byte[PIECE];
-      socket.setSoTimeout((int) Math.max(1, SoakTerms.DEADLINE_MS + 2_000));
+      byte[] buffer = new byte[BUFFER_BYTES];
+      socket.setSoTimeout((int) Math.max(1, SoakSettings.DEADLINE_MS + 2_000));
       try {
-        HttpResponseParser.Response answer = answers.next();
-        while (answer == null) {
-          int n = in.read(piece);
-          if (n < 0) {
+        HttpResponseParser.Response response = parser.next();
+        while (response == null) {
+          int count = in.read(buffer);
+          if (count < 0) {
             return null;
           }
-          answers.feed(Arrays.copyOf(piece, n));
-          answer = answers.next();
+          parser.feed(Arrays.copyOf(buffer, count));
+          response = parser.next();
         }
-        return answer;
+        return response;
       } catch (SocketTimeoutException e) {
         throw new IOException("nothing came in time", e);
       }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRule.java
@@ -6,33 +6,32 @@
  */
 public enum SoakRule {
   /**
-   * A request that was taken gets one whole final answer, half a second after its client's time at
-   * the latest.
+   * An accepted request gets a complete final response, at most half a second after its deadline.
    */
   LOST,
-  /** A second final answer, or one that says served though no engine answered it. */
+  /** A second final response, or a success without a response of an engine. */
   ANSWER_UNTRUE,
   /**
-   * What must not run twice comes to an engine again after it may have run; or, with a key, after
-   * its window.
+   * A request that must not run twice reaches an engine again after it may have run; with a key,
+   * after its window.
    */
   DUPLICATE,
-  /** An attempt to an engine later than the grace after its drain or its end was told. */
+  /** An attempt at an engine after the grace period since its drain or end was announced. */
   DRAIN,
   /**
-   * A cold engine gets more than it bears, most of it from gateways that were told of its start.
+   * A cold engine gets more than its slow-start capacity, mostly from gateways that knew its start.
    */
   SLOW_START,
-  /** Two requests of a subject are out at once at a gateway, or out of order. */
+  /** Two requests of one subject are in flight at a gateway at once, or out of order. */
   ORDER,
   /** An attempt at an engine where its class may not run. */
   PLACEMENT,
   /** More retries than the budget allows. */
   RETRY_BUDGET,
-  /** An attempt that begins over 0.1 s after its client left. */
+  /** An attempt that begins more than 0.1 s after its client disconnected. */
   CANCELLED,
-  /** The limit passed on is more than the client has left. */
+  /** The time limit of an attempt is more than the client has left. */
   LIMIT,
-  /** A process crashed, did not end, did not come up, or says that an invariant broke. */
+  /** A process crashed, did not end, did not start, or reports a violated invariant. */
   INSIDE
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakPlay.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRun.java
@@ -8,6 +8,8 @@
 import java.util.EnumMap;
 import java.util.List;
 import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -16,17 +18,16 @@
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
-/** Plays one schedule over real processes with load, and judges it. */
-final class SoakPlay implements Closeable {
+/** Runs one schedule on real processes under load, and checks the rules. */
+final class SoakRun implements Closeable {
   private static final int TIMERS = 4;
+  private static final long RELOAD_INTERVAL_MS = 50;
   private static final double REQUESTS_PER_SECOND = 8;
 
-  /**
-   * How long an engine that is replaced or has drained is still there after its drain was listed.
-   */
-  private static final long STAYS_MS = 3_000;
+  /** How long an engine that is replaced or drained still runs after its drain was listed. */
+  private static final long DRAIN_STAY_MS = 3_000;
 
-  /** What came of a schedule. */
+  /** The result of a run. */
   record Result(
       List<SoakViolation> violations,
       Map<SoakRule, Integer> counts,
@@ -38,40 +39,40 @@
       int attempts,
       double worstLag) {}
 
-  /** One of a pair: when a fault begins, and when it ends. */
+  /** The begin or the end of a fault. */
   private record Moment(double atMs, SoakFault fault, boolean begins) {}
 
   private final SoakSchedule schedule;
   private final SoakClock clock = new SoakClock();
-  private final ScheduledExecutorService later =
+  private final ScheduledExecutorService timer =
       new ScheduledThreadPoolExecutor(TIMERS, work -> daemon(work, "soak-timer"));
-  private final ExecutorService doing =
+  private final ExecutorService faultExecutor =
       Executors.newCachedThreadPool(work -> daemon(work, "soak-fault"));
   private final SoakOracle oracle;
-  private final SoakNames names;
+  private final SoakDiscovery discovery;
   private final SoakEngines engines;
   private final SoakGateways gateways;
   private final SoakLoad load;
-  private final Map<String, Object> locks = new java.util.concurrent.ConcurrentHashMap<>();
+  private final Map<String, Object> locks = new ConcurrentHashMap<>();
   private final List<SoakFault> active = new ArrayList<>();
   private final Map<SoakFault.Kind, Integer> faults = new EnumMap<>(SoakFault.Kind.class);
-  private final Map<String, Integer> pairs = new java.util.TreeMap<>();
+  private final Map<String, Integer> pairs = new TreeMap<>();
 
-  SoakPlay(SoakSchedule schedule, Path folder, String classPath) throws IOException {
+  SoakRun(SoakSchedule schedule, Path folder, String classPath) throws IOException {
     this.schedule = schedule;
-    oracle = new SoakOracle(clock, new Knowledge());
-    names = new SoakNames(schedule.gateways(), clock, later, schedule.seed());
+    oracle = new SoakOracle(clock, new ServiceHistory(this::discovery, this::gateways));
+    discovery = new SoakDiscovery(schedule.gateways(), clock, timer, schedule.seed());
     engines =
         new SoakEngines(
-            schedule.engines(), schedule.gateways(), oracle, clock, later, schedule.seed());
+            schedule.engines(), schedule.gateways(), oracle, clock, timer, schedule.seed());
     gateways =
         new SoakGateways(
-            schedule.gateways(), folder, classPath, names, engines::port, oracle, clock);
+            schedule.gateways(), folder, classPath, discovery, engines::port, oracle, clock);
     load = new SoakLoad(gateways, oracle, clock, REQUESTS_PER_SECOND, schedule.seed());
-    for (int e = 0; e < schedule.engines(); e++) {
-      names.happens(entry(e, Status.READY, 0));
+    for (int engine = 0; engine < schedule.engines(); engine++) {
+      discovery.update(entry(engine, Status.READY, 0));
     }
-    names.listFor(
+    discovery.adaptEntries(
         (entry, gateway) ->
             new EndpointEntry(
                 entry.id(),
@@ -85,6 +86,14 @@
                 entry.startedMs()));
   }
 
+  private SoakDiscovery discovery() {
+    return discovery;
+  }
+
+  private SoakGateways gateways() {
+    return gateways;
+  }
+
   private static Thread daemon(Runnable work, String name) {
     Thread thread = new Thread(work, name);
     thread.setDaemon(true);
@@ -96,7 +105,7 @@
         "e" + engine,
         "127.0.0.1",
         1,
-        SoakTerms.ZONES.get(engine % 2),
+        SoakSettings.ZONES.get(engine % 2),
         "std",
         0,
         standing,
@@ -108,7 +117,7 @@
     return Integer.parseInt(engine.substring(1));
   }
 
-  Result play() throws IOException {
+  Result run() throws IOException {
     for (int i = 0; i < gateways.count(); i++) {
       gateways.start(i);
     }
@@ -116,47 +125,51 @@
       gateways.awaitReady(i);
     }
     load.begin();
-    double began = clock.now();
+    injectFaults(clock.now());
+    load.end();
+    gateways.reportCrashes();
+    gateways.reportInside();
+    List<SoakViolation> violations = oracle.end();
+    return new Result(
+        violations,
+        oracle.counts(),
+        faults,
+        pairs,
+        oracle.requests(),
+        oracle.served(),
+        oracle.refused(),
+        oracle.attempts(),
+        clock.worstLag());
+  }
+
+  /** Begins and ends all faults at their times, and waits until the last one has ended. */
+  private void injectFaults(double start) {
     List<Moment> moments = new ArrayList<>();
     for (SoakFault fault : schedule.faults()) {
       moments.add(new Moment(fault.atMs(), fault, true));
       moments.add(new Moment(fault.atMs() + fault.lastsMs(), fault, false));
     }
     moments.sort(Comparator.comparingDouble(Moment::atMs));
-    CountDownLatch left = new CountDownLatch(moments.size());
+    CountDownLatch unfinished = new CountDownLatch(moments.size());
     for (Moment moment : moments) {
-      pauseUntil(began + moment.atMs);
-      doing.execute(
+      pauseUntil(start + moment.atMs);
+      faultExecutor.execute(
           () -> {
             try {
-              befall(moment);
+              beginOrEnd(moment);
             } catch (IOException | RuntimeException e) {
               oracle.inside(moment.fault + " could not be brought about: " + e);
             } finally {
-              left.countDown();
+              unfinished.countDown();
             }
           });
     }
-    pauseUntil(began + schedule.lengthMs());
-    await(left);
-    load.end();
-    gateways.lookForCrashes();
-    gateways.lookInside();
-    List<SoakViolation> violations = oracle.end();
-    return new Result(
-        violations,
-        oracle.counts(),
-        faults,
-        pairs,
-        oracle.requests(),
-        oracle.served(),
-        oracle.refused(),
-        oracle.attempts(),
-        clock.worstLag());
+    pauseUntil(start + schedule.lengthMs());
+    await(unfinished);
   }
 
-  private void pauseUntil(double at) {
-    double left = at - clock.now();
+  private void pauseUntil(double time) {
+    double left = time - clock.now();
     if (left > 0) {
       SoakGateways.pause((long) left);
     }
@@ -172,18 +185,17 @@
 
   // ---- faults ----
 
-  private void befall(Moment moment) throws IOException {
+  private void beginOrEnd(Moment moment) throws IOException {
     SoakFault fault = moment.fault;
-    if (!mayBefall(moment)) {
+    if (!mayProceed(moment)) {
       return;
     }
-    // What takes its time, as an end by SIGTERM, is over before the next that needs the same
-    // process.
+    // Faults that need the same process run one after the other.
     synchronized (lockOf(fault)) {
       if (fault.kind().target == SoakFault.Target.ENGINE) {
-        befallEngine(fault, moment.begins);
+        engineFault(fault, moment.begins);
       } else {
-        befallGateway(fault, moment.begins);
+        gatewayFault(fault, moment.begins);
       }
     }
     if (!moment.begins) {
@@ -194,10 +206,10 @@
   }
 
   /**
-   * Whether a fault can begin beside those of now, which is counted; or whether it had begun, so
+   * Whether a fault can begin together with the active ones, which is counted; or has begun, so
    * that it can end.
    */
-  private boolean mayBefall(Moment moment) {
+  private boolean mayProceed(Moment moment) {
     SoakFault fault = moment.fault;
     synchronized (active) {
       if (!moment.begins) {
@@ -223,8 +235,8 @@
   }
 
   /**
-   * Two that can't be brought about together: of the same kind at the same place, or that need the
-   * process both.
+   * Whether an active fault excludes it: one of the same kind at the same place, or another one
+   * that needs the process.
    */
   private boolean clashes(SoakFault fault) {
     return active.stream()
@@ -233,7 +245,7 @@
                 other.who() == fault.who()
                     && other.kind().target == fault.kind().target
                     && (other.kind() == fault.kind()
-                        || needsProcess(other) && needsProcess(fault)));
+                        || (needsProcess(other) && needsProcess(fault))));
   }
 
   private static boolean needsProcess(SoakFault fault) {
@@ -251,151 +263,109 @@
     };
   }
 
-  private void befallGateway(SoakFault fault, boolean begins) throws IOException {
+  private void gatewayFault(SoakFault fault, boolean begins) throws IOException {
     int who = fault.who();
     switch (fault.kind()) {
-      case STOPPED -> {
-        if (begins) {
-          gateways.stop(who);
-        } else {
-          gateways.goOn(who);
-        }
-      }
-      case KILLED, TERMINATED -> {
-        if (!begins) {
-          gateways.start(who);
-          gateways.awaitReady(who);
-        } else if (fault.kind() == SoakFault.Kind.KILLED) {
-          gateways.kill(who);
-        } else {
-          gateways.terminate(who);
-        }
-      }
+      case STOPPED, KILLED, TERMINATED -> processFault(fault.kind(), who, begins);
       case RELOADED, RELOADED_THRICE -> {
-        for (int i = 0; begins && i < (fault.kind() == SoakFault.Kind.RELOADED ? 1 : 3); i++) {
-          names.moves(who);
-          gateways.reload(who);
-          SoakGateways.pause(50);
+        if (begins) {
+          reload(who, fault.kind() == SoakFault.Kind.RELOADED ? 1 : 3);
         }
       }
-      case NAMES_LOSSY -> names.set(who, fault.kind(), 0.05 + 0.15 * fault.amount(), begins);
-      case NAMES_SLOW -> names.set(who, fault.kind(), 50 + 300 * fault.amount(), begins);
-      case NAMES_DOWN, NAMES_REORDERED, NAMES_OLDER, NAMES_TRUNCATED, NAMES_WAY_SILENT ->
-          names.set(who, fault.kind(), fault.amount(), begins);
       case CLIENTS_FLOOD -> {
         if (begins) {
           load.flood(who);
         }
       }
-      default -> engines.setWay(who, fault.kind(), begins);
+      case DIAL_LATE, PARTED -> engines.setLink(who, fault.kind(), begins);
+      default -> discovery.set(who, fault.kind(), discoveryAmount(fault), begins);
+    }
+  }
+
+  /** A share of losses, or a delay in milliseconds. */
+  private static double discoveryAmount(SoakFault fault) {
+    return switch (fault.kind()) {
+      case NAMES_LOSSY -> 0.05 + 0.15 * fault.amount();
+      case NAMES_SLOW -> 50 + 300 * fault.amount();
+      default -> fault.amount();
+    };
+  }
+
+  private void processFault(SoakFault.Kind kind, int gateway, boolean begins) throws IOException {
+    if (kind == SoakFault.Kind.STOPPED) {
+      if (begins) {
+        gateways.stop(gateway);
+      } else {
+        gateways.resume(gateway);
+      }
+    } else if (!begins) {
+      gateways.start(gateway);
+      gateways.awaitReady(gateway);
+    } else if (kind == SoakFault.Kind.KILLED) {
+      gateways.kill(gateway);
+    } else {
+      gateways.terminate(gateway);
+    }
+  }
+
+  private void reload(int gateway, int times) throws IOException {
+    for (int i = 0; i < times; i++) {
+      discovery.move(gateway);
+      gateways.reload(gateway);
+      SoakGateways.pause(RELOAD_INTERVAL_MS);
     }
   }
 
-  private void befallEngine(SoakFault fault, boolean begins) {
+  private void engineFault(SoakFault fault, boolean begins) {
     int who = fault.who();
     switch (fault.kind()) {
       case ENGINE_DRAINS -> {
         if (begins) {
-          names.happens(entry(who, Status.DRAINING, 0));
+          discovery.update(entry(who, Status.DRAINING, 0));
         } else {
-          SoakGateways.pause(STAYS_MS);
-          replaced(who, Status.GONE);
+          SoakGateways.pause(DRAIN_STAY_MS);
+          replace(who, Status.GONE);
         }
       }
       case ENGINE_CRASHES -> {
         if (begins) {
           engines.down(who);
         } else {
-          replaced(who, Status.READY);
+          replace(who, Status.READY);
         }
       }
       case ENGINE_VANISHES -> {
         engines.set(who, fault.kind(), begins);
         if (begins) {
-          names.happens(entry(who, Status.GONE, 0));
+          discovery.update(entry(who, Status.GONE, 0));
         } else {
-          replaced(who, Status.READY);
+          replace(who, Status.READY);
         }
       }
       default -> engines.set(who, fault.kind(), begins);
     }
   }
 
-  /** A new process at its address, after it was listed as gone for a moment if it is to be. */
-  private void replaced(int engine, Status first) {
+  /** Starts a new process at the address of an engine, possibly listed as gone for a moment. */
+  private void replace(int engine, Status first) {
     if (first == Status.GONE) {
-      names.happens(entry(engine, Status.GONE, 0));
+      discovery.update(entry(engine, Status.GONE, 0));
       engines.down(engine);
-      SoakGateways.pause(STAYS_MS / 3);
+      SoakGateways.pause(DRAIN_STAY_MS / 3);
     } else {
       engines.down(engine);
     }
     engines.up(engine);
-    names.happens(entry(engine, Status.READY, System.currentTimeMillis()));
-  }
-
-  // ---- what the oracle may know ----
-
-  /** From the discovery service's record of what it sent. */
-  private final class Knowledge implements SoakOracle.Told {
-    @Override
-    public double notReadyAt(int gateway, int engine, double at) {
-      double since = Double.MAX_VALUE;
-      for (SoakNames.Event event : names.eventsOf("e" + engine)) {
-        double toldAt =
-            names.toldAt(
-                gateway, event, gateways.startedAt(gateway), gateways.indexAtStart(gateway));
-        if (event.entry().standing() == Status.READY) {
-          // Whoever was told, or could have been, may send there again.
-          since = event.at() <= at ? Double.MAX_VALUE : since;
-        } else {
-          since = Math.min(since, toldAt);
-        }
-      }
-      return since;
-    }
-
-    @Override
-    public double startedAt(int engine, double at) {
-      double started = 0;
-      for (SoakNames.Event event : names.eventsOf("e" + engine)) {
-        if (event.at() <= at
-            && event.entry().standing() == Status.READY
-            && event.entry().startedMs() > 0) {
-          started = event.at();
-        }
-      }
-      return started;
-    }
-
-    @Override
-    public double startToldAt(int gateway, int engine, double at) {
-      double told = Double.MAX_VALUE;
-      for (SoakNames.Event event : names.eventsOf("e" + engine)) {
-        if (event.at() <= at
-            && event.entry().standing() == Status.READY
-            && event.entry().startedMs() > 0) {
-          told =
-              names.toldAt(
-                  gateway, event, gateways.startedAt(gateway), gateways.indexAtStart(gateway));
-        }
-      }
-      return told;
-    }
-
-    @Override
-    public boolean inFirstZone(int engine) {
-      return SoakTerms.ZONES.get(engine % 2).equals(SoakTerms.ZONES.get(0));
-    }
+    discovery.update(entry(engine, Status.READY, System.currentTimeMillis()));
   }
 
   @Override
   public void close() throws IOException {
     gateways.close();
-    names.close();
+    discovery.close();
     engines.close();
-    later.shutdownNow();
-    doing.shutdownNow();
+    timer.shutdownNow();
+    faultExecutor.shutdownNow();
     clock.end();
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakSchedule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakSchedule.java
@@ -6,44 +6,45 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-/** What befalls a fleet in one run of a soak: all of it follows from the seed. */
+/** The faults of one run of a soak; all follow from the seed. */
 public record SoakSchedule(
     long seed, int gateways, int engines, long lengthMs, List<SoakFault> faults) {
-  /** Quiet in the beginning: some faults show only after it. */
-  private static final long QUIET_LEAST_MS = 1_000;
+  /** The least time without faults at the start; some bugs show only after it. */
+  private static final long MIN_QUIET_MS = 1_000;
 
-  private static final int ENGINES_LEAST = 5;
-  private static final int ENGINES_MORE = 5;
+  private static final int MIN_ENGINES = 5;
+  private static final int ENGINES_SPREAD = 5;
 
+  /** Copies the faults. */
   public SoakSchedule {
     faults = List.copyOf(faults);
   }
 
   /**
-   * A run draws which kinds of fault exist in it, and then faults of these kinds that overlap in
-   * time.
+   * The schedule of a seed: it draws which kinds of fault exist, and then overlapping faults of
+   * these kinds.
    */
   public static SoakSchedule of(long seed, int gateways, long lengthMs) {
     RandomGenerator chance = new SplittableRandom(seed);
-    int engines = ENGINES_LEAST + chance.nextInt(ENGINES_MORE);
+    int engines = MIN_ENGINES + chance.nextInt(ENGINES_SPREAD);
     List<SoakFault.Kind> kinds = new ArrayList<>(List.of(SoakFault.Kind.values()));
     while (kinds.size() > 6 + chance.nextInt(6)) {
       kinds.remove(chance.nextInt(kinds.size()));
     }
-    long quiet = QUIET_LEAST_MS + chance.nextLong(lengthMs / 4);
+    long quiet = MIN_QUIET_MS + chance.nextLong(lengthMs / 4);
     int count = (int) (gateways * lengthMs / 12_000) + 6;
     List<SoakFault> faults = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       SoakFault.Kind kind = kinds.get(chance.nextInt(kinds.size()));
       int who = chance.nextInt(kind.target == SoakFault.Target.GATEWAY ? gateways : engines);
       long at = chance.nextLong(quiet, lengthMs);
-      faults.add(new SoakFault(at, lasts(kind, chance), kind, who, chance.nextDouble()));
+      faults.add(new SoakFault(at, duration(kind, chance), kind, who, chance.nextDouble()));
     }
     faults.sort(Comparator.comparingLong(SoakFault::atMs));
     return new SoakSchedule(seed, gateways, engines, lengthMs, faults);
   }
 
-  private static long lasts(SoakFault.Kind kind, RandomGenerator chance) {
+  private static long duration(SoakFault.Kind kind, RandomGenerator chance) {
     return switch (kind) {
       case STOPPED ->
           chance.nextBoolean() ? chance.nextLong(200, 3_000) : chance.nextLong(200, 10_000);
@@ -54,9 +55,9 @@
     };
   }
 
-  /** The same with other faults. */
-  public SoakSchedule with(List<SoakFault> others) {
-    return new SoakSchedule(seed, gateways, engines, lengthMs, others);
+  /** The same schedule with other faults. */
+  public SoakSchedule with(List<SoakFault> otherFaults) {
+    return new SoakSchedule(seed, gateways, engines, lengthMs, otherFaults);
   }
 
   @Override
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakTerms.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakSettings.java
@@ -1,19 +1,19 @@
 package tillerlink.faultinjection.soak;
 
 import java.util.List;
+import java.util.Locale;
 
 /**
- * The terms that the gateways of a soak are given, and that it judges them by. Times are
- * milliseconds.
+ * The settings of the gateways of a soak, by which the oracle checks them. Times are milliseconds.
  */
-final class SoakTerms {
+final class SoakSettings {
   static final long GRACE_MS = 500;
 
-  /** What a rule allows beyond its limit on sockets. */
+  /** What every rule allows beyond its limit for the sockets. */
   static final long SLACK_MS = 50;
 
-  static final long TOLD_AFTER_MS = 1_500;
-  static final long TOLD_ANYWAY_AFTER_MS = 7_000;
+  static final long LEARNS_AFTER_MS = 1_500;
+  static final long LEARNS_AT_LATEST_AFTER_MS = 7_000;
   static final long ANSWER_SLACK_MS = 500;
   static final long CANCELLED_SLACK_MS = 100;
   static final long LIMIT_SLACK_MS = 150;
@@ -30,7 +30,8 @@
   static final List<String> ZONES = List.of("east", "west");
 
   /**
-   * The classes of requests: what a second run would do, and where and in which order they may run.
+   * The request classes, with the effect of a repetition, and where and in which order they may
+   * run.
    */
   enum RequestClass {
     LOOK("repeatable", false, false),
@@ -42,7 +43,7 @@
     final String semantics;
     final boolean ordered;
 
-    /** It may run in the first zone alone. */
+    /** Whether it may run in the first zone only. */
     final boolean bound;
 
     RequestClass(String semantics, boolean ordered, boolean bound) {
@@ -52,14 +53,54 @@
     }
 
     String wireName() {
-      return name().toLowerCase(java.util.Locale.ROOT);
+      return name().toLowerCase(Locale.ROOT);
     }
   }
 
-  private SoakTerms() {}
+  private static final long MICROS_PER_MS = 1000;
 
-  /** The settings as JSON. */
-  static String settings(int instances, int me) {
+  private SoakSettings() {}
+
+  /** The settings of one of the gateways as JSON. */
+  static String settings(int instances, int instance) {
+    return "{\"tick_us\":5000,\"instances\":"
+        + instances
+        + ",\"me\":"
+        + instance
+        + ",\"guarantees\":"
+        + guarantees()
+        + ",\"caps\":{\"max_attempts\":3,"
+        + "\"streams_per_conn\":16,\"may_cancel\":true,"
+        + "\"connect_timeout_us\":500000,\"conn_idle_us\":8000000,\"retry_after\":true,"
+        + "\"max_retry_after_us\":500000},"
+        + "\"models\":[\"std\"],\"zones\":[\"east\",\"west\"],\"family_info\":{\"kind_cores\":["
+        + CORES
+        + "],\"tells_every_us\":2000000},\"profiles\":["
+        + requestClasses()
+        + "]}";
+  }
+
+  private static String guarantees() {
+    return "{\"drain_grace_us\":"
+        + GRACE_MS * MICROS_PER_MS
+        + ",\"budget_span_us\":"
+        + BUDGET_SPAN_MS * MICROS_PER_MS
+        + ",\"extra_floor\":"
+        + BUDGET_FLOOR
+        + ",\"further_ratio\":"
+        + BUDGET_SHARE
+        + ",\"fall_us\":"
+        + FALL_MS * MICROS_PER_MS
+        + ",\"fall_multiple\":"
+        + FALL_MULTIPLE
+        + ",\"start_capacity\":"
+        + START_CAPACITY
+        + ",\"warm_within_us\":"
+        + WARM_WITHIN_MS * MICROS_PER_MS
+        + ",\"settle_after_doubt_us\":500000}";
+  }
+
+  private static String requestClasses() {
     StringBuilder requestClasses = new StringBuilder();
     for (RequestClass requestClass : RequestClass.values()) {
       requestClasses
@@ -69,42 +110,14 @@
           .append("\",\"semantics\":\"")
           .append(requestClass.semantics)
           .append("\",\"group\":\"all\",\"window_us\":")
-          .append(WINDOW_MS * 1000)
+          .append(WINDOW_MS * MICROS_PER_MS)
           .append(",\"aim_us\":1500000,\"hard_limit_us\":")
-          .append(DEADLINE_MS * 1000)
+          .append(DEADLINE_MS * MICROS_PER_MS)
           .append(",\"worth\":1,\"late_worth\":0.5")
           .append(requestClass.ordered ? ",\"keep_order\":true" : "")
           .append(requestClass.bound ? ",\"zones_open\":[0]" : "")
           .append('}');
     }
-    return "{\"tick_us\":5000,\"instances\":"
-        + instances
-        + ",\"me\":"
-        + me
-        + ",\"guarantees\":{\"drain_grace_us\":"
-        + GRACE_MS * 1000
-        + ",\"budget_span_us\":"
-        + BUDGET_SPAN_MS * 1000
-        + ",\"extra_floor\":"
-        + BUDGET_FLOOR
-        + ",\"further_ratio\":"
-        + BUDGET_SHARE
-        + ",\"fall_us\":"
-        + FALL_MS * 1000
-        + ",\"fall_multiple\":"
-        + FALL_MULTIPLE
-        + ",\"start_capacity\":"
-        + START_CAPACITY
-        + ",\"warm_within_us\":"
-        + WARM_WITHIN_MS * 1000
-        + ",\"settle_after_doubt_us\":500000},\"caps\":{\"max_attempts\":3,"
-        + "\"streams_per_conn\":16,\"may_cancel\":true,"
-        + "\"connect_timeout_us\":500000,\"conn_idle_us\":8000000,\"retry_after\":true,"
-        + "\"max_retry_after_us\":500000},"
-        + "\"models\":[\"std\"],\"zones\":[\"east\",\"west\"],\"family_info\":{\"kind_cores\":["
-        + CORES
-        + "],\"tells_every_us\":2000000},\"profiles\":["
-        + requestClasses
-        + "]}";
+    return requestClasses.toString();
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakViolation.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakViolation.java
@@ -1,9 +1,9 @@
 package tillerlink.faultinjection.soak;
 
-/** A rule that did not hold, and what was seen. */
-public record SoakViolation(SoakRule rule, String words) {
+/** A rule that was violated, with a description. */
+public record SoakViolation(SoakRule rule, String description) {
   @Override
   public String toString() {
-    return "BROKEN " + rule + ": " + words;
+    return "BROKEN " + rule + ": " + description;
   }
 }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/audit/AuditTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/audit/AuditTest.java
@@ -7,95 +7,100 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Each rule of the outside audit, broken once on purpose beside a history that keeps it. */
+/** Each rule of the audit is violated once on purpose, after a history that keeps all rules. */
 class AuditTest {
-  private static LogLine stable(long place, String id) {
-    return new LogLine(place, id, true, "text of " + id);
+  private static ChannelLogEntry stable(long place, String id) {
+    return new ChannelLogEntry(place, id, true, "text of " + id);
   }
 
-  private static LogLine tail(long place, String id) {
-    return new LogLine(place, id, false, "text of " + id);
+  private static ChannelLogEntry tail(long place, String id) {
+    return new ChannelLogEntry(place, id, false, "text of " + id);
   }
 
   /** A history in which all rules hold. */
-  private static void fair(Audit audit) {
-    audit.handedIn("a1", "UPDATE 1", true);
+  private static void keepRules(Audit audit) {
+    audit.submitted("a1", "UPDATE 1", true);
     audit.ran("e1", "UPDATE 1");
     audit.answered("a1", 200);
-    audit.handedIn("a2", "SELECT 2", false);
+    audit.submitted("a2", "SELECT 2", false);
     audit.ran("e1", "SELECT 2");
     audit.ran("e2", "SELECT 2");
     audit.answered("a2", 200);
-    audit.handedIn("a3", "UPDATE 3", true);
+    audit.submitted("a3", "UPDATE 3", true);
     audit.answered("a3", 503);
-    audit.taken("c", "n0", 0, "k1", "s0.1");
-    audit.taken("c", "n0", 0, "k1", "s0.1");
-    audit.taken("c", "n1", 0, null, "s1.1");
+    audit.appended("c", "n0", 0, "k1", "s0.1");
+    audit.appended("c", "n0", 0, "k1", "s0.1");
+    audit.appended("c", "n1", 0, null, "s1.1");
     audit.read("c", "n0", List.of(tail(0, "s0.1")));
     audit.read("c", "n1", List.of(stable(0, "s1.1"), tail(1, "s0.1")));
     audit.last("c", "n0", List.of(stable(0, "s1.1"), stable(1, "s0.1")));
     audit.last("c", "n1", List.of(stable(0, "s1.1"), tail(1, "s0.1")));
-    audit.effect("cues", 2, 100);
-    audit.runAsked("m1", "n0", "cues", 50);
+    audit.schemaInEffect("cues", 2, 100);
+    audit.runRequested("m1", "n0", "cues", 50);
     audit.preparedRan("m1", "e1", 1);
-    audit.runAsked("m2", "n0", "cues", 150);
+    audit.runRequested("m2", "n0", "cues", 150);
     audit.preparedRan("m2", "e1", 2);
-    audit.stands("n0", 0, "find", 1, "SELECT 1");
-    audit.stands("n0", 0, "find", 2, "SELECT 2");
+    audit.reported("n0", 0, "find", 1, "SELECT 1");
+    audit.reported("n0", 0, "find", 2, "SELECT 2");
   }
 
-  private static String play(Consumer<Audit> planted) {
+  private static String violatedRules(Consumer<Audit> injected) {
     Audit audit = new Audit();
-    fair(audit);
-    planted.accept(audit);
+    keepRules(audit);
+    injected.accept(audit);
     return String.join(
         "; ", audit.end().stream().map(violation -> violation.rule().name()).distinct().toList());
   }
 
   @Test
-  void aFairHistoryPasses() {
-    assertEquals("", play(audit -> {}));
+  void historyThatKeepsAllRulesPasses() {
+    assertEquals("", violatedRules(audit -> {}));
   }
 
   @Test
-  void whatIsPlantedIsCaught() {
-    List<String> caught = new ArrayList<>();
-    caught.add(play(a -> a.answered("a2", 503)));
-    caught.add(play(a -> a.handedIn("b1", "UPDATE 9", true)));
-    caught.add(play(a -> a.ran("e2", "UPDATE 1")));
-    caught.add(play(a -> a.ran("e2", "UPDATE 3")));
-    caught.add(
-        play(
-            a -> {
-              a.handedIn("b2", "SELECT 9", false);
-              a.answered("b2", 200);
+  void eachInjectedViolationIsDetected() {
+    List<String> detected = new ArrayList<>();
+    detected.add(violatedRules(audit -> audit.answered("a2", 503)));
+    detected.add(violatedRules(audit -> audit.submitted("b1", "UPDATE 9", true)));
+    detected.add(violatedRules(audit -> audit.ran("e2", "UPDATE 1")));
+    detected.add(violatedRules(audit -> audit.ran("e2", "UPDATE 3")));
+    detected.add(
+        violatedRules(
+            audit -> {
+              audit.submitted("b2", "SELECT 9", false);
+              audit.answered("b2", 200);
             }));
-    caught.add(play(a -> a.taken("c", "n1", 0, null, "s1.2")));
-    caught.add(
-        play(
-            a ->
-                a.last("c", "n1", List.of(stable(0, "s1.1"), stable(1, "s0.1"), tail(2, "s0.1")))));
-    caught.add(
-        play(a -> a.read("c", "n1", List.of(new LogLine(1, "s0.1", false, "another text")))));
-    caught.add(play(a -> a.read("c", "n1", List.of(stable(0, "s0.1")))));
-    caught.add(
-        play(
-            a ->
-                a.last("c", "n1", List.of(stable(0, "s1.1"), stable(1, "s0.1"), tail(2, "s0.7")))));
-    caught.add(play(a -> a.taken("c", "n0", 0, "k1", "s1.1")));
-    caught.add(
-        play(
-            a -> {
-              a.taken("c", "n0", 0, null, "s1.1");
+    detected.add(violatedRules(audit -> audit.appended("c", "n1", 0, null, "s1.2")));
+    detected.add(
+        violatedRules(
+            audit ->
+                audit.last(
+                    "c", "n1", List.of(stable(0, "s1.1"), stable(1, "s0.1"), tail(2, "s0.1")))));
+    detected.add(
+        violatedRules(
+            audit ->
+                audit.read(
+                    "c", "n1", List.of(new ChannelLogEntry(1, "s0.1", false, "another text")))));
+    detected.add(violatedRules(audit -> audit.read("c", "n1", List.of(stable(0, "s0.1")))));
+    detected.add(
+        violatedRules(
+            audit ->
+                audit.last(
+                    "c", "n1", List.of(stable(0, "s1.1"), stable(1, "s0.1"), tail(2, "s0.7")))));
+    detected.add(violatedRules(audit -> audit.appended("c", "n0", 0, "k1", "s1.1")));
+    detected.add(
+        violatedRules(
+            audit -> {
+              audit.appended("c", "n0", 0, null, "s1.1");
             }));
-    caught.add(
-        play(
-            a -> {
-              a.runAsked("m3", "n1", "cues", 150);
-              a.preparedRan("m3", "e1", 1);
+    detected.add(
+        violatedRules(
+            audit -> {
+              audit.runRequested("m3", "n1", "cues", 150);
+              audit.preparedRan("m3", "e1", 1);
             }));
-    caught.add(play(a -> a.stands("n0", 0, "find", 1, "SELECT 1")));
-    caught.add(play(a -> a.stands("n1", 0, "find", 2, "SELECT 1")));
+    detected.add(violatedRules(audit -> audit.reported("n0", 0, "find", 1, "SELECT 1")));
+    detected.add(violatedRules(audit -> audit.reported("n1", 0, "find", 2, "SELECT 1")));
     assertEquals(
         List.of(
             "ONE_ANSWER",
@@ -113,21 +118,21 @@
             "OLD_SCHEMA",
             "GENERATION_FELL",
             "GENERATION_FELL"),
-        caught);
+        detected);
   }
 
-  /** Guards the audit against taking for a fault what nobody could know. */
+  /** The audit does not report what no gateway could know. */
   @Test
-  void whatNobodyCouldKnowIsExcused() {
+  void unknowableOutcomesAreExcused() {
     assertEquals(
         "",
-        play(
+        violatedRules(
             audit -> {
-              audit.handedIn("b3", "UPDATE 7", true);
+              audit.submitted("b3", "UPDATE 7", true);
               audit.ran("e1", "UPDATE 7");
               audit.excused("b3");
-              audit.taken("c", "n0", 1, "k1", "s0.1");
-              audit.taken("c", "n0", 1, null, "s0.2");
+              audit.appended("c", "n0", 1, "k1", "s0.1");
+              audit.appended("c", "n0", 1, null, "s0.2");
               audit.diskLost("n0");
             }));
   }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/RequestStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/scenario/RequestScenarioTest.java
@@ -1,4 +1,4 @@
-package tillerlink.faultinjection.story;
+package tillerlink.faultinjection.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -8,31 +8,33 @@
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.faultinjection.audit.Audit;
 import tillerlink.faultinjection.harness.ProcessCluster;
-import tillerlink.faultinjection.process.Plan;
+import tillerlink.faultinjection.process.GatewaySpec;
 
-/** Guards the rig itself: a gateway alone carries requests to engines and ends in peace. */
-class RequestStoryTest {
+/**
+ * Checks the harness itself: a single gateway forwards requests to engines and terminates cleanly.
+ */
+class RequestScenarioTest {
   @TempDir private Path folder;
 
   @Test
-  void one() throws Exception {
+  void singleGatewayForwardsRequests() throws Exception {
     Audit audit = new Audit();
-    try (ProcessCluster rig =
+    try (ProcessCluster cluster =
         new ProcessCluster(
             folder,
             1,
-            new ProcessCluster.Shape(1, 1, 2, 1, Plan.Shared.NOTHING),
+            new ProcessCluster.Topology(1, 1, 2, 1, GatewaySpec.Shared.NOTHING),
             System.getProperty("java.class.path"),
             (engine, command) -> audit.ran(engine, new String(command.statement())))) {
-      rig.start();
+      cluster.start();
       for (int i = 0; i < 20; i++) {
         String id = String.format("%016x", i);
         String statement = "UPDATE t SET x = " + i;
-        audit.handedIn(id, statement, true);
-        audit.answered(id, rig.client("n0").submit("book", id, statement, 3000).status());
+        audit.submitted(id, statement, true);
+        audit.answered(id, cluster.client("n0").submit("book", id, statement, 3000).status());
       }
-      rig.gateway("n0").leave();
-      assertEquals(List.of(), rig.violations());
+      cluster.gateway("n0").terminate();
+      assertEquals(List.of(), cluster.violations());
     }
     assertEquals(List.of(), audit.end());
     assertEquals(20, audit.requests());
--- a/faultinjection/src/test/java/tillerlink/faultinjection/story/StatementStoryTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/scenario/StatementScenarioTest.java
@@ -1,4 +1,4 @@
-package tillerlink.faultinjection.story;
+package tillerlink.faultinjection.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -24,23 +24,24 @@
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.faultinjection.audit.Audit;
 import tillerlink.faultinjection.client.HttpEndpointClient;
-import tillerlink.faultinjection.client.Statements;
+import tillerlink.faultinjection.client.StatementsClient;
 import tillerlink.faultinjection.harness.ProcessCluster;
-import tillerlink.faultinjection.process.Plan;
+import tillerlink.faultinjection.process.GatewaySpec;
 
 /**
- * Prepared statements while a schema changes: three processes, all of them voters; each story has a
- * group of its own.
+ * Prepared statements while a schema changes, on three processes that are all voters; each scenario
+ * has its own group.
  */
-class StatementStoryTest {
+class StatementScenarioTest {
   private static final Pattern SENT = Pattern.compile("v([0-9]+) = 1 AND mark = '(m[0-9]+)'");
-  private static final AtomicInteger MARKS = new AtomicInteger();
+  private static final AtomicInteger MARKERS = new AtomicInteger();
+  private static final AtomicInteger GROUPS = new AtomicInteger(100);
   @TempDir private static Path folder;
-  private static ProcessCluster rig;
+  private static ProcessCluster cluster;
   private static final Audit AUDIT = new Audit();
 
   /**
-   * For so long a lease that was just renewed is sure to last; the rig's are of a second, renewed
+   * The least time for which a lease that was just renewed lasts: it is of a second and renewed
    * four times in it.
    */
   private static final long LEASE_LEFT_MS = 600;
@@ -48,23 +49,23 @@
   private static final long WATCHED_MS = 300;
 
   /**
-   * Where an engine that begins with a run waits for two others: that it is seen, and that it may
-   * go on.
+   * Where an engine that begins a run waits twice for the scenario: when it is seen, and until it
+   * may go on.
    */
-  private static final AtomicReference<CyclicBarrier> HELD = new AtomicReference<>();
+  private static final AtomicReference<CyclicBarrier> ENGINE_BARRIER = new AtomicReference<>();
 
-  private Told told;
+  private Scenario scenario;
   private String name;
   private int group;
   private long before;
 
   @BeforeAll
   static void start() throws IOException {
-    rig =
+    cluster =
         new ProcessCluster(
             folder,
             3,
-            new ProcessCluster.Shape(3, 3, 2, 1, Plan.Shared.STATEMENTS),
+            new ProcessCluster.Topology(3, 3, 2, 1, GatewaySpec.Shared.STATEMENTS),
             System.getProperty("java.class.path"),
             (engine, command) -> {
               Matcher matcher =
@@ -72,23 +73,23 @@
               if (matcher.find()) {
                 AUDIT.ran(engine, matcher.group(2));
                 AUDIT.preparedRan(matcher.group(2), engine, Long.parseLong(matcher.group(1)));
-                engineIsAtIt();
+                holdEngine();
               }
             });
-    rig.start();
+    cluster.start();
   }
 
-  private static void engineIsAtIt() {
-    CyclicBarrier held = HELD.getAndSet(null);
-    if (held != null) {
-      meet(held);
-      meet(held);
+  private static void holdEngine() {
+    CyclicBarrier barrier = ENGINE_BARRIER.getAndSet(null);
+    if (barrier != null) {
+      meet(barrier);
+      meet(barrier);
     }
   }
 
-  private static void meet(CyclicBarrier held) {
+  private static void meet(CyclicBarrier barrier) {
     try {
-      held.await(30, TimeUnit.SECONDS);
+      barrier.await(30, TimeUnit.SECONDS);
     } catch (InterruptedException | BrokenBarrierException | TimeoutException e) {
       throw new IllegalStateException(e);
     }
@@ -96,45 +97,45 @@
 
   @AfterAll
   static void end() throws IOException {
-    rig.close();
+    cluster.close();
   }
 
   @BeforeEach
   void begin(TestInfo info) {
     name = info.getTestMethod().orElseThrow().getName();
-    group = 100 + name.length();
-    told = new Told(rig);
-    told.together();
-    told.timeline.until(
+    group = GROUPS.incrementAndGet();
+    scenario = new Scenario(cluster);
+    scenario.awaitConvergence();
+    scenario.log.until(
         "n0 prepares a statement under the schema v1",
         () ->
-            Statements.prepare(
-                    rig.client("n0"),
+            StatementsClient.prepare(
+                    cluster.client("n0"),
                     name,
                     "UPDATE air SET seen = 1 WHERE v1 = 1 AND mark = $1",
                     group,
                     group + ":air.v1",
                     true)
                 > 0);
-    for (String gateway : rig.names()) {
-      runs(gateway, 1);
+    for (String gateway : cluster.names()) {
+      awaitRun(gateway, 1);
     }
   }
 
   private HttpEndpointClient.Reply run(String gateway) throws IOException {
-    String mark = "m" + MARKS.incrementAndGet();
-    String id = String.format("%016x", 0x7000 + MARKS.get());
-    AUDIT.handedIn(id, mark, true);
-    AUDIT.runAsked(mark, gateway, "g" + group, System.nanoTime());
+    String marker = "m" + MARKERS.incrementAndGet();
+    String id = String.format("%016x", 0x7000 + MARKERS.get());
+    AUDIT.submitted(id, marker, true);
+    AUDIT.runRequested(marker, gateway, "g" + group, System.nanoTime());
     HttpEndpointClient.Reply reply =
-        Statements.run(rig.client(gateway, 60_000), name, id, mark, 3500);
+        StatementsClient.run(cluster.client(gateway, 60_000), name, id, marker, 3500);
     AUDIT.answered(id, reply.status() == 404 || reply.status() == 409 ? 503 : reply.status());
     return reply;
   }
 
-  /** Waits until a run there is succeeded under that schema. */
-  private void runs(String gateway, int column) {
-    told.timeline.until(
+  /** Waits until a run at a gateway succeeds under that schema. */
+  private void awaitRun(String gateway, int column) {
+    scenario.log.until(
         gateway + " runs it under v" + column,
         () -> {
           HttpEndpointClient.Reply reply = run(gateway);
@@ -142,8 +143,8 @@
         });
   }
 
-  private void turnsBack(String gateway) {
-    told.timeline.until(
+  private void awaitRejection(String gateway) {
+    scenario.log.until(
         gateway + " turns it back, with a time to come again",
         () -> {
           HttpEndpointClient.Reply reply = run(gateway);
@@ -151,42 +152,45 @@
         });
   }
 
-  private void changes() throws IOException {
-    before = Statements.version(rig.client("n0"), group);
-    told.timeline.until(
+  private void changeSchema() throws IOException {
+    before = StatementsClient.version(cluster.client("n0"), group);
+    scenario.log.until(
         "n0 is told that v1 is v2 from now on",
-        () -> Statements.rename(rig.client("n0"), group, group + ":air.v1", group + ":air.v2") > 0);
-    inEffect("n0");
+        () ->
+            StatementsClient.rename(
+                    cluster.client("n0"), group, group + ":air.v1", group + ":air.v2")
+                > 0);
+    awaitEffect("n0");
   }
 
-  private void inEffect(String gateway) {
-    told.timeline.until(
+  private void awaitEffect(String gateway) {
+    scenario.log.until(
         gateway + " says that the change is in effect",
-        () -> Statements.version(rig.client(gateway), group) > before);
-    AUDIT.effect("g" + group, 2, System.nanoTime());
+        () -> StatementsClient.version(cluster.client(gateway), group) > before);
+    AUDIT.schemaInEffect("g" + group, 2, System.nanoTime());
   }
 
-  private void kept(String story) throws IOException {
+  private void assertKept(String scenarioName) throws IOException {
     assertEquals(List.of(), AUDIT.end());
-    told.kept(story);
+    scenario.assertKept(scenarioName);
   }
 
   @Test
-  void aChangeWhileOneIsStopped() throws Exception {
-    rig.gateway("n2").stop();
-    told.timeline.note("n2 is stopped");
+  void stoppedGatewayRunsUnderTheNewSchema() throws Exception {
+    cluster.gateway("n2").stop();
+    scenario.log.record("n2 is stopped");
     CompletableFuture<Integer> early = CompletableFuture.supplyAsync(() -> status("n2"));
-    changes();
-    runs("n0", 2);
-    runs("n1", 2);
+    changeSchema();
+    awaitRun("n0", 2);
+    awaitRun("n1", 2);
     CompletableFuture<Integer> late = CompletableFuture.supplyAsync(() -> status("n2"));
-    Told.pause(200);
-    rig.gateway("n2").goOn();
-    told.timeline.note(
+    Scenario.pause(200);
+    cluster.gateway("n2").resume();
+    scenario.log.record(
         "n2 goes on, and finds what clients asked of it before and after the change");
-    told.timeline.until("both are answered", () -> early.get() > 0 && late.get() > 0);
-    runs("n2", 2);
-    kept("statements-stopped");
+    scenario.log.until("both are answered", () -> early.get() > 0 && late.get() > 0);
+    awaitRun("n2", 2);
+    assertKept("statements-stopped");
   }
 
   private int status(String gateway) {
@@ -198,14 +202,14 @@
   }
 
   /**
-   * The engine holds a run of another gateway until the change was announced and had time to take
-   * effect.
+   * The engine holds a run of another gateway until the change is announced and has had time to
+   * take effect.
    */
   @Test
-  void aChangeWhileARunIsAtAnEngine() throws Exception {
-    before = Statements.version(rig.client("n0"), group);
-    CyclicBarrier held = new CyclicBarrier(2);
-    HELD.set(held);
+  void changeWaitsForARunAtAnEngine() throws Exception {
+    before = StatementsClient.version(cluster.client("n0"), group);
+    CyclicBarrier barrier = new CyclicBarrier(2);
+    ENGINE_BARRIER.set(barrier);
     CompletableFuture<HttpEndpointClient.Reply> run =
         CompletableFuture.supplyAsync(
             () -> {
@@ -215,34 +219,38 @@
                 throw new UncheckedIOException(e);
               }
             });
-    meet(held);
-    told.timeline.note("an engine is at a run of n1 under v1");
+    meet(barrier);
+    scenario.log.record("an engine is at a run of n1 under v1");
     long asked = System.nanoTime();
-    told.timeline.until(
+    scenario.log.until(
         "n0 is told that v1 is v2 from now on",
-        () -> Statements.rename(rig.client("n0"), group, group + ":air.v1", group + ":air.v2") > 0);
-    turnsBack("n1");
+        () ->
+            StatementsClient.rename(
+                    cluster.client("n0"), group, group + ":air.v1", group + ":air.v2")
+                > 0);
+    awaitRejection("n1");
     long effectAt = 0;
     for (long end = System.nanoTime() + millis(WATCHED_MS);
         System.nanoTime() < end && effectAt == 0;
-        Told.pause(5)) {
-      effectAt = Statements.version(rig.client("n0"), group) > before ? System.nanoTime() : 0;
+        Scenario.pause(5)) {
+      effectAt =
+          StatementsClient.version(cluster.client("n0"), group) > before ? System.nanoTime() : 0;
     }
     boolean early = effectAt > 0 && effectAt - asked < millis(LEASE_LEFT_MS);
-    told.timeline.note(
+    scenario.log.record(
         "while the engine is at it the change does not take effect"
             + (early ? ", BUT IT DID" : ""));
-    meet(held);
-    told.timeline.until(
+    meet(barrier);
+    scenario.log.until(
         "the engine goes on, and the run is fulfilled under v1",
         () -> {
           HttpEndpointClient.Reply reply = run.get(30, TimeUnit.SECONDS);
           return reply.status() == 200 && reply.body().contains(" v1 = 1 ");
         });
-    inEffect("n0");
-    runs("n0", 2);
-    runs("n1", 2);
-    kept("statements-at-an-engine");
+    awaitEffect("n0");
+    awaitRun("n0", 2);
+    awaitRun("n1", 2);
+    assertKept("statements-at-an-engine");
   }
 
   private static long millis(long ms) {
@@ -250,27 +258,28 @@
   }
 
   @Test
-  void aChangeWhileOneIsCutOff() throws Exception {
-    rig.part(List.of("n0", "n1"), List.of("n2"));
-    told.timeline.note("n0 and n1 are parted from n2");
-    turnsBack("n2");
-    told.timeline.until(
+  void cutOffGatewayRejectsUntilItIsBack() throws Exception {
+    cluster.partition(List.of("n0", "n1"), List.of("n2"));
+    scenario.log.record("n0 and n1 are parted from n2");
+    awaitRejection("n2");
+    scenario.log.until(
         "n2 runs what is not prepared",
         () ->
-            rig.client("n2")
+            cluster
+                    .client("n2")
                     .submit(
                         "look",
-                        String.format("%016x", 0x8000 + MARKS.incrementAndGet()),
+                        String.format("%016x", 0x8000 + MARKERS.incrementAndGet()),
                         "SELECT 1",
                         3500)
                     .status()
                 == 200);
-    changes();
-    runs("n0", 2);
-    turnsBack("n2");
-    rig.heal();
-    told.timeline.note("the partition is healed");
-    runs("n2", 2);
-    kept("statements-cut-off");
+    changeSchema();
+    awaitRun("n0", 2);
+    awaitRejection("n2");
+    cluster.heal();
+    scenario.log.record("the partition is healed");
+    awaitRun("n2", 2);
+    assertKept("statements-cut-off");
   }
 }
