--- a/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakOracleTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakOracleTest.java
@@ -8,15 +8,15 @@
 import tillerlink.faultinjection.soak.SoakOracle.Answer;
 import tillerlink.faultinjection.soak.SoakOracle.Attempt;
 import tillerlink.faultinjection.soak.SoakOracle.End;
-import tillerlink.faultinjection.soak.SoakTerms.RequestClass;
+import tillerlink.faultinjection.soak.SoakSettings.RequestClass;
 
-/** A fault is planted for each rule, and just that rule is found broken. Times are milliseconds. */
+/** A violation of each rule is detected, and no other rule is. Times are milliseconds. */
 class SoakOracleTest {
-  private static final long DEADLINE = SoakTerms.DEADLINE_MS;
+  private static final long DEADLINE = SoakSettings.DEADLINE_MS;
   private static final String ONE = "00000000000000a1";
   private static final String TWO = "00000000000000a2";
 
-  /** More than a busy machine makes of the allowance for what the rig sees late. */
+  /** More than the allowance for the lag of the harness on a busy machine. */
   private static final double FAR = 5_000;
 
   private final SoakClock clock = new SoakClock();
@@ -26,7 +26,7 @@
   private final SoakOracle oracle =
       new SoakOracle(
           clock,
-          new SoakOracle.Told() {
+          new SoakOracle.DiscoveryHistory() {
             @Override
             public double notReadyAt(int gateway, int engine, double at) {
               return notReadyAt;
@@ -54,78 +54,78 @@
   }
 
   @Test
-  void allIsAsItShouldBe() {
-    handedIn(ONE, RequestClass.BOOK);
+  void requestThatKeepsAllRulesPasses() {
+    submit(ONE, RequestClass.BOOK);
     attempt(ONE, 0, 1010, 2990);
     oracle.attemptEnded(0, ONE, End.ANSWERED);
     oracle.answered(ONE, Answer.SERVED, 1100);
-    broken();
+    assertViolations();
   }
 
   @Test
-  void aRequestThatIsNeverAnsweredOrTooLateOrCut() {
-    handedIn(ONE, RequestClass.LOOK);
-    broken(SoakRule.LOST);
-    handedIn(TWO, RequestClass.LOOK);
+  void unansweredLateAndDisconnectedRequestsAreLost() {
+    submit(ONE, RequestClass.LOOK);
+    assertViolations(SoakRule.LOST);
+    submit(TWO, RequestClass.LOOK);
     oracle.answered(TWO, Answer.REFUSED, 1000 + DEADLINE + FAR);
     assertEquals(2, oracle.counts().get(SoakRule.LOST));
-    handedIn("00000000000000a3", RequestClass.LOOK);
-    oracle.cut("00000000000000a3", "its connection ended without an answer");
+    submit("00000000000000a3", RequestClass.LOOK);
+    oracle.connectionLost("00000000000000a3", "its connection ended without an answer");
     assertEquals(3, oracle.counts().get(SoakRule.LOST));
   }
 
   @Test
-  void aSecondAnswerAndServedByNobodyAndRefusedThoughItMayHaveRun() {
-    handedIn(ONE, RequestClass.LOOK);
+  void contradictingAnswersAreUntrue() {
+    submit(ONE, RequestClass.LOOK);
     oracle.answered(ONE, Answer.REFUSED, 1100);
     oracle.answered(ONE, Answer.FAILED, 1200);
     assertEquals(1, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
-    handedIn(TWO, RequestClass.LOOK);
+    submit(TWO, RequestClass.LOOK);
     oracle.answered(TWO, Answer.SERVED, 1100);
     assertEquals(2, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
-    handedIn("00000000000000a3", RequestClass.BOOK);
+    submit("00000000000000a3", RequestClass.BOOK);
     attempt("00000000000000a3", 0, 1010, 100);
     oracle.answered("00000000000000a3", Answer.REFUSED, 1100);
     assertEquals(3, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
   }
 
   @Test
-  void whatMustNotRunTwice() {
-    handedIn(ONE, RequestClass.BOOK);
+  void requestWithEffectsMustNotRunTwice() {
+    submit(ONE, RequestClass.BOOK);
     attempt(ONE, 0, 1010, 100);
     oracle.attemptEnded(0, ONE, End.REFUSED);
     attempt(ONE, 2, 1020, 100);
     answered(ONE);
-    broken();
-    handedIn(TWO, RequestClass.BOOK);
+    assertViolations();
+    submit(TWO, RequestClass.BOOK);
     attempt(TWO, 0, 1010, 100);
     attempt(TWO, 2, 1020, 100);
     answered(TWO);
-    broken(SoakRule.DUPLICATE);
+    assertViolations(SoakRule.DUPLICATE);
   }
 
   @Test
-  void aKeyAfterItsWindow() {
-    handedIn(ONE, RequestClass.LOAD);
+  void keyedRequestMustNotRunAfterItsWindow() {
+    submit(ONE, RequestClass.LOAD);
     attempt(ONE, 0, 1010, 100);
     attempt(ONE, 2, 1020, 100);
     answered(ONE);
-    broken();
-    attempt(ONE, 0, 1010 + SoakTerms.WINDOW_MS + FAR, 0);
+    assertViolations();
+    attempt(ONE, 0, 1010 + SoakSettings.WINDOW_MS + FAR, 0);
     assertEquals(true, oracle.counts().containsKey(SoakRule.DUPLICATE));
   }
 
   @Test
-  void anEngineThatDrains() {
+  void drainingEngineGetsNoRequests() {
     notReadyAt = 1000;
-    handedIn(ONE, RequestClass.LOOK);
-    attempt(ONE, 0, 1000 + SoakTerms.GRACE_MS, 100);
+    submit(ONE, RequestClass.LOOK);
+    attempt(ONE, 0, 1000 + SoakSettings.GRACE_MS, 100);
     answered(ONE);
-    broken();
-    handedIn(TWO, RequestClass.LOOK);
-    oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakTerms.GRACE_MS + FAR));
+    assertViolations();
+    submit(TWO, RequestClass.LOOK);
+    oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakSettings.GRACE_MS + FAR));
     answered(TWO);
-    broken(SoakRule.DRAIN);
+    assertViolations(SoakRule.DRAIN);
   }
 
   /**
@@ -133,82 +133,82 @@
    * 400.
    */
   @Test
-  void aColdEngine() {
+  void coldEngineIsNotOverloaded() {
     startedAt = 1000;
     startToldAt = 1000;
     for (int i = 0; i < 420; i++) {
       String id = String.format("%016x", i);
-      handedIn(id, RequestClass.LOOK);
+      submit(id, RequestClass.LOOK);
       attempt(id, 0, 1010, 100);
       answered(id);
     }
-    broken(SoakRule.SLOW_START);
+    assertViolations(SoakRule.SLOW_START);
   }
 
   @Test
-  void aColdEngineThatNobodyWasToldOf() {
+  void unknownColdEngineIsExcused() {
     startedAt = 1000;
     startToldAt = 9000;
     for (int i = 0; i < 420; i++) {
       String id = String.format("%016x", i);
-      handedIn(id, RequestClass.LOOK);
+      submit(id, RequestClass.LOOK);
       attempt(id, 0, 1010, 100);
       answered(id);
     }
-    broken();
+    assertViolations();
   }
 
   @Test
-  void twoOfASubjectAtOnce() {
-    handedIn(ONE, RequestClass.FILE);
-    handedIn(TWO, RequestClass.FILE);
+  void requestsOfASubjectRunOneAfterTheOther() {
+    submit(ONE, RequestClass.FILE);
+    submit(TWO, RequestClass.FILE);
     attempt(ONE, 0, 1010, 100);
     attempt(TWO, 2, 1020, 100);
     answered(ONE);
     answered(TWO);
-    broken(SoakRule.ORDER);
+    assertViolations(SoakRule.ORDER);
   }
 
   @Test
-  void aClassWhereItMayNotRun() {
-    handedIn(ONE, RequestClass.LOCAL);
+  void requestClassRunsInItsZoneOnly() {
+    submit(ONE, RequestClass.LOCAL);
     attempt(ONE, 1, 1010, 100);
     answered(ONE);
-    broken(SoakRule.PLACEMENT);
+    assertViolations(SoakRule.PLACEMENT);
   }
 
   @Test
-  void moreFurtherAttemptsThanTheBudget() {
-    handedIn(ONE, RequestClass.LOOK);
+  void retriesStayWithinTheBudget() {
+    submit(ONE, RequestClass.LOOK);
     for (int i = 0; i < 5; i++) {
       attempt(ONE, 0, 1010 + i, 100);
     }
-    broken(SoakRule.LOST);
+    assertViolations(SoakRule.LOST);
     attempt(ONE, 0, 1020, 100);
     answered(ONE);
     assertEquals(true, oracle.counts().containsKey(SoakRule.RETRY_BUDGET));
   }
 
   @Test
-  void anAttemptForAClientThatLeft() {
-    handedIn(ONE, RequestClass.LOOK);
-    oracle.left(ONE, 1050);
+  void noAttemptAfterTheClientDisconnected() {
+    submit(ONE, RequestClass.LOOK);
+    oracle.clientDisconnected(ONE, 1050);
     attempt(ONE, 0, 1050 + FAR, 0);
-    broken(SoakRule.CANCELLED);
+    assertViolations(SoakRule.CANCELLED);
   }
 
   @Test
-  void aLimitBeyondTheClients() {
-    handedIn(ONE, RequestClass.LOOK);
+  void limitDoesNotExceedTheDeadline() {
+    submit(ONE, RequestClass.LOOK);
     attempt(ONE, 0, 2000, DEADLINE + (long) FAR);
     answered(ONE);
-    broken(SoakRule.LIMIT);
+    assertViolations(SoakRule.LIMIT);
   }
 
   @Test
-  void whatAProcessSaysOfItself() {
+  void violationInsideAProcessIsReported() {
     oracle.inside("n1 counts: tillerlink_invariant_violations_total{reason=\"drain\"} 1");
-    broken(SoakRule.INSIDE);
+    assertViolations(SoakRule.INSIDE);
   }
 
   /**
@@ -216,20 +216,20 @@
    * sends is.
    */
   @Test
-  void aGatewayThatStoodStill() {
-    handedIn(ONE, RequestClass.LOOK);
+  void stoppedGatewayIsExcused() {
+    submit(ONE, RequestClass.LOOK);
     oracle.interrupted(0, 1500);
     oracle.answered(ONE, Answer.REFUSED, 1000 + DEADLINE + FAR);
-    broken();
+    assertViolations();
     notReadyAt = 1000;
-    handedIn(TWO, RequestClass.LOOK);
-    oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakTerms.GRACE_MS + FAR));
+    submit(TWO, RequestClass.LOOK);
+    oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakSettings.GRACE_MS + FAR));
     answered(TWO);
-    broken(SoakRule.DRAIN);
+    assertViolations(SoakRule.DRAIN);
   }
 
-  private void handedIn(String id, RequestClass requestClass) {
-    oracle.handedIn(id, 0, requestClass, "s1", 1000, DEADLINE);
+  private void submit(String id, RequestClass requestClass) {
+    oracle.submitted(id, 0, requestClass, "s1", 1000, DEADLINE);
   }
 
   private void attempt(String id, int engine, double at, long limit) {
@@ -243,7 +243,7 @@
     oracle.answered(id, Answer.SERVED, 1200);
   }
 
-  private void broken(SoakRule... rules) {
+  private void assertViolations(SoakRule... rules) {
     oracle.end();
     assertEquals(Set.of(rules), oracle.counts().keySet());
   }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a seed gives, and one bounded run over processes. */
+/** Schedules of seeds, and one bounded run on processes. */
 class SoakTest {
   private static final int GATEWAYS = 10;
 
   @TempDir private Path folder;
 
   @Test
-  void aSeedGivesItsScheduleAndAnotherOneAnother() {
+  void scheduleFollowsFromTheSeed() {
     assertEquals(SoakSchedule.of(7, GATEWAYS, 20_000), SoakSchedule.of(7, GATEWAYS, 20_000));
     assertNotEquals(SoakSchedule.of(7, GATEWAYS, 20_000), SoakSchedule.of(8, GATEWAYS, 20_000));
   }
@@ -33,10 +33,10 @@
     assertEquals(EnumSet.allOf(SoakFault.Kind.class), drawn);
   }
 
-  /** The faults of incident 1 and some beside them, over ten processes: the run in CI. */
+  /** The faults of incident 1 and some more on ten processes: the run in CI. */
   @Test
   @Timeout(180)
-  void tenGatewaysUnderOverlappingFaults() throws Exception {
+  void rulesHoldUnderOverlappingFaultsOfTenGateways() throws Exception {
     List<SoakFault> faults =
         List.of(
             new SoakFault(500, 2_500, SoakFault.Kind.STOPPED, 0, 0),
@@ -50,12 +50,12 @@
             new SoakFault(2_000, 3_000, SoakFault.Kind.NAMES_DOWN, 6, 0),
             new SoakFault(2_500, 1_500, SoakFault.Kind.ENGINE_CRASHES, 2, 0),
             new SoakFault(3_000, 10, SoakFault.Kind.CLIENTS_FLOOD, 7, 0));
-    try (SoakPlay play =
-        new SoakPlay(
+    try (SoakRun run =
+        new SoakRun(
             new SoakSchedule(1, GATEWAYS, 6, 7_000, faults),
             folder,
             System.getProperty("java.class.path"))) {
-      SoakPlay.Result result = play.play();
+      SoakRun.Result result = run.run();
       assertEquals(List.of(), result.violations());
       assertEquals(
           faults.size(), result.faults().values().stream().mapToInt(Integer::intValue).sum());
--- a/tools/src/main/java/tillerlink/cli/TraceCommand.java
+++ b/tools/src/main/java/tillerlink/cli/TraceCommand.java
@@ -43,7 +43,7 @@
   @Command(
       name = "make",
       mixinStandardHelpOptions = true,
-      description = "Write a generated-up trace in a published layout, and tell what was written.")
+      description = "Write a made-up trace in a published layout, and tell what was written.")
   static final class Make implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
--- a/traces/src/main/java/tillerlink/trace/TraceGenerator.java
+++ b/traces/src/main/java/tillerlink/trace/TraceGenerator.java
@@ -86,7 +86,7 @@
    */
   public TraceGenerator(Layout layout, long seed, double badShare, long shuffle, OutputStream out) {
     if (!Layout.KNOWN.contains(layout)) {
-      throw new IllegalArgumentException("only the layouts that are built in can be tasksMade");
+      throw new IllegalArgumentException("only the layouts that are built in can be made");
     }
     this.layout = layout;
     this.random = new Random(seed);
