--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/ChildProcesses.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/ChildProcesses.java
@@ -1,6 +1,7 @@
 package tillerlink.faultinjection.process;
 
 import java.util.Set;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
@@ -19,7 +20,7 @@
 
   static Process add(Process process) {
     STARTED.add(process);
-    process.onExit().thenAccept(STARTED::remove);
+    CompletableFuture<Void> unused = process.onExit().thenAccept(STARTED::remove);
     return process;
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewayProcess.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewayProcess.java
@@ -170,7 +170,7 @@
       found.add(spec.name() + " ended with " + INVARIANT_VIOLATED);
     }
     if (Files.exists(log())) {
-      for (String line : Files.readString(log()).split("\n")) {
+      for (String line : Files.readString(log()).split("\n", -1)) {
         if (ILL.stream().anyMatch(line::contains)) {
           found.add(spec.name() + " says: " + line.strip());
         }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Schedule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Schedule.java
@@ -8,6 +8,7 @@
 
 /** The faults that hit a cluster in one run; all follow from the seed. */
 public record Schedule(long seed, int gateways, int sites, long lengthMs, List<Step> steps) {
+  private static final List<Step.Kind> KINDS = List.of(Step.Kind.values());
   private static final int MIN_GATEWAYS = 3;
   private static final int MAX_GATEWAYS = 12;
   private static final long FIRST_FAULT_MS = 500;
@@ -35,7 +36,7 @@
   }
 
   private static Step step(RandomGenerator chance, int gateways, long lengthMs) {
-    Step.Kind kind = Step.Kind.values()[chance.nextInt(Step.Kind.values().length)];
+    Step.Kind kind = KINDS.get(chance.nextInt(KINDS.size()));
     long at = chance.nextLong(FIRST_FAULT_MS, lengthMs);
     int who = chance.nextInt(gateways);
     int other = (who + 1 + chance.nextInt(gateways - 1)) % gateways;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakDiscovery.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakDiscovery.java
@@ -15,8 +15,6 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.TimeUnit;
 import tillerlink.fakes.DiscoveryResponse;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
@@ -51,7 +49,7 @@
   }
 
   private final SoakClock clock;
-  private final ScheduledExecutorService timer;
+  private final SoakTimer timer;
   private final Random random;
   private final List<Link> links = new ArrayList<>();
   private final Map<String, EndpointEntry> engines = new TreeMap<>();
@@ -59,8 +57,7 @@
   private EntryAdapter adapter = (entry, gateway) -> entry;
   private volatile boolean closed;
 
-  SoakDiscovery(int gateways, SoakClock clock, ScheduledExecutorService timer, long seed)
-      throws IOException {
+  SoakDiscovery(int gateways, SoakClock clock, SoakTimer timer, long seed) throws IOException {
     this.clock = clock;
     this.timer = timer;
     random = new Random(seed);
@@ -172,8 +169,7 @@
     }
     double delay =
         link.faults.contains(SoakFault.Kind.NAMES_SLOW) ? link.maxDelayMs * random.nextDouble() : 0;
-    timer.schedule(
-        () -> respond(gateway, socket, query, from), (long) delay, TimeUnit.MILLISECONDS);
+    timer.after(delay, () -> respond(gateway, socket, query, from));
   }
 
   private boolean lost(Link link) {
@@ -210,10 +206,8 @@
     send(socket, response, to);
     if (link.faults.contains(SoakFault.Kind.NAMES_REORDERED)) {
       byte[] repetition = response;
-      timer.schedule(
-          () -> send(socket, repetition, to),
-          (long) (REPETITION_DELAY_MS * (1 + 10 * random.nextDouble())),
-          TimeUnit.MILLISECONDS);
+      timer.after(
+          REPETITION_DELAY_MS * (1 + 10 * random.nextDouble()), () -> send(socket, repetition, to));
     }
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
@@ -19,8 +19,6 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
-import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.TimeUnit;
 import tillerlink.fakes.EngineCommandParser;
 import tillerlink.fakes.EngineCommandParser.Command;
 
@@ -51,7 +49,7 @@
 
   private final SoakOracle oracle;
   private final SoakClock clock;
-  private final ScheduledExecutorService timer;
+  private final SoakTimer timer;
   private final Random random;
   private final List<State> states = new ArrayList<>();
   private final int[][] ports;
@@ -63,12 +61,7 @@
   private volatile boolean closed;
 
   SoakEngines(
-      int engines,
-      int gateways,
-      SoakOracle oracle,
-      SoakClock clock,
-      ScheduledExecutorService timer,
-      long seed)
+      int engines, int gateways, SoakOracle oracle, SoakClock clock, SoakTimer timer, long seed)
       throws IOException {
     this.oracle = oracle;
     this.clock = clock;
@@ -228,9 +221,9 @@
         ms += MAX_DIAL_DELAY_MS * draw();
       }
       if (hasFault(SoakFault.Kind.ENGINE_RESETS) && chance(RESET_SHARE)) {
-        timer.schedule(this::reset, (long) (ms / 2), TimeUnit.MILLISECONDS);
+        timer.after(ms / 2, this::reset);
       }
-      timer.schedule(() -> end(command), (long) ms, TimeUnit.MILLISECONDS);
+      timer.after(ms, () -> end(command));
     }
 
     private void end(Command command) {
@@ -244,7 +237,7 @@
         write(command.id() + reply(end, command.id() + "\t" + port.engine + "\t\n"));
         answered = true;
         if (hasFault(SoakFault.Kind.ENGINE_CLOSES_IDLE) && running.isEmpty()) {
-          timer.schedule(this::closeIfIdle, (long) (MAX_IDLE_MS * draw()), TimeUnit.MILLISECONDS);
+          timer.after(MAX_IDLE_MS * draw(), this::closeIfIdle);
         }
       } catch (IOException e) {
         // The connection broke during the reply, which is lost.
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
@@ -9,6 +9,7 @@
 import java.nio.file.StandardCopyOption;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.concurrent.atomic.AtomicInteger;
 import java.util.stream.Collectors;
 import tillerlink.faultinjection.client.HttpEndpointClient;
 import tillerlink.faultinjection.process.ControlledProcess;
@@ -41,7 +42,7 @@
     private volatile double servesUntil = Double.MAX_VALUE;
     private volatile double startedAt;
     private volatile long indexAtStart;
-    private volatile int incarnation;
+    private final AtomicInteger incarnation = new AtomicInteger();
 
     Gateway(String name) {
       this.name = name;
@@ -101,7 +102,7 @@
 
   /** Counts its processes: a later one does not answer requests to an earlier one. */
   int incarnation(int gateway) {
-    return gateways.get(gateway).incarnation;
+    return gateways.get(gateway).incarnation.get();
   }
 
   /** Whether clients connect to it now. */
@@ -121,7 +122,7 @@
     Gateway one = gateways.get(gateway);
     one.servesFrom = Double.MAX_VALUE;
     one.servesUntil = Double.MAX_VALUE;
-    one.incarnation++;
+    one.incarnation.incrementAndGet();
     configure(gateway);
     one.startedAt = clock.now();
     oracle.started(gateway);
@@ -178,7 +179,7 @@
             + "\",\"listen\":\"127.0.0.1:"
             + one.port
             + "\",\"seed\":\""
-            + Long.toHexString(0x5c1f30d2L + gateway * 7919L + one.incarnation)
+            + Long.toHexString(0x5c1f30d2L + gateway * 7919L + one.incarnation.get())
             + "\",\"limits\":{\"sockets\":608},\"resolver\":\"127.0.0.1:"
             + discovery.port(gateway)
             + "\",\"known\":{\"index\":"
@@ -249,7 +250,7 @@
     Gateway one = gateways.get(gateway);
     one.servesFrom = Double.MAX_VALUE;
     // Before the kill, because clients see their connections end at once.
-    one.incarnation++;
+    one.incarnation.incrementAndGet();
     one.process.kill();
     oracle.interrupted(gateway, clock.now());
   }
@@ -280,7 +281,7 @@
     for (int i = 0; i < gateways.size(); i++) {
       Gateway one = gateways.get(i);
       one.process.complaints().forEach(oracle::inside);
-      for (String line : Files.readString(log(i)).split("\n")) {
+      for (String line : Files.readString(log(i)).split("\n", -1)) {
         if (ILL.stream().anyMatch(line::contains)) {
           oracle.inside(one.name + " says: " + line.strip());
         }
@@ -290,7 +291,7 @@
             new HttpEndpointClient(one.port, (long) READY_TIMEOUT_MS)
                 .get("/metrics")
                 .body()
-                .split("\n")) {
+                .split("\n", -1)) {
           if (line.startsWith("tillerlink_invariant_violations_total") && !line.endsWith(" 0")) {
             oracle.inside(one.name + " counts: " + line);
           }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
@@ -8,6 +8,7 @@
 import java.net.SocketTimeoutException;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
+import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
@@ -29,6 +30,8 @@
   private static final int FLOOD_REQUESTS = 40;
   private static final int CONNECT_TIMEOUT_MS = 2_000;
   private static final int BUFFER_BYTES = 4096;
+  private static final List<RequestClass> REQUEST_CLASSES = List.of(RequestClass.values());
+  private static final List<ClientBehaviour> BEHAVIOURS = List.of(ClientBehaviour.values());
   private static final int PIPELINED = 3;
   private static final long SLOW_WRITE_PAUSE_MS = 60;
   private static final String HEALTH_CHECK = "GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n";
@@ -78,12 +81,11 @@
     while (!ended) {
       SoakGateways.pause((long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1000));
       if (!ended && gateways.serves(gateway)) {
-        RequestClass requestClass =
-            RequestClass.values()[chance.nextInt(RequestClass.values().length)];
+        RequestClass requestClass = REQUEST_CLASSES.get(chance.nextInt(REQUEST_CLASSES.size()));
         ClientBehaviour behaviour =
             chance.nextInt(3) > 0
                 ? ClientBehaviour.REGULAR
-                : ClientBehaviour.values()[chance.nextInt(ClientBehaviour.values().length)];
+                : BEHAVIOURS.get(chance.nextInt(BEHAVIOURS.size()));
         start(
             gateway, requestClass, behaviour, chance.nextInt(SUBJECTS), chance.nextLong(50, 1500));
       }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRun.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRun.java
@@ -13,14 +13,11 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import java.util.concurrent.ScheduledExecutorService;
-import java.util.concurrent.ScheduledThreadPoolExecutor;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
 /** Runs one schedule on real processes under load, and checks the rules. */
 final class SoakRun implements Closeable {
-  private static final int TIMERS = 4;
   private static final long RELOAD_INTERVAL_MS = 50;
   private static final double REQUESTS_PER_SECOND = 8;
 
@@ -44,8 +41,7 @@
 
   private final SoakSchedule schedule;
   private final SoakClock clock = new SoakClock();
-  private final ScheduledExecutorService timer =
-      new ScheduledThreadPoolExecutor(TIMERS, work -> daemon(work, "soak-timer"));
+  private final SoakTimer timer = new SoakTimer();
   private final ExecutorService faultExecutor =
       Executors.newCachedThreadPool(work -> daemon(work, "soak-fault"));
   private final SoakOracle oracle;
@@ -364,7 +360,7 @@
     gateways.close();
     discovery.close();
     engines.close();
-    timer.shutdownNow();
+    timer.close();
     faultExecutor.shutdownNow();
     clock.end();
   }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/scenario/RequestScenarioTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/scenario/RequestScenarioTest.java
@@ -2,6 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -25,7 +26,8 @@
             1,
             new ProcessCluster.Topology(1, 1, 2, 1, GatewaySpec.Shared.NOTHING),
             System.getProperty("java.class.path"),
-            (engine, command) -> audit.ran(engine, new String(command.statement())))) {
+            (engine, command) ->
+                audit.ran(engine, new String(command.statement(), StandardCharsets.UTF_8)))) {
       cluster.start();
       for (int i = 0; i < 20; i++) {
         String id = String.format("%016x", i);
