--- a/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
+++ b/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
@@ -22,7 +22,7 @@
 
 /**
  * Simple policies to compare with. They send each request once and at once, and answer just before
- * the client'request deadline. They respect placement and drains, and nothing else.
+ * the client's deadline. They respect placement and drains, and nothing else.
  */
 public final class BaselinePolicy implements DispatchPolicy {
   /** How an engine is selected. */
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
@@ -51,7 +51,7 @@
   private final List<EmulatedGateway> gateways = new ArrayList<>();
 
   private Function<Spec, EngineProtocolServer> protocolFactory;
-  private IntFunction<EndpointCache> endpointCaches = place -> null;
+  private IntFunction<EndpointCache> endpointCaches = index -> null;
   private long discoveryDownUntil;
   private CostMeter costMeter;
   private FaultChooser faults = FaultChooser.NONE;
@@ -94,8 +94,8 @@
     for (int i = 0; i < fleet.gateways(); i++) {
       gateways.add(new EmulatedGateway(this, i, policies, seed));
     }
-    onKill(place -> gateways.get(place).kill());
-    onStart(place -> gateways.get(place).start());
+    onKill(index -> gateways.get(index).kill());
+    onStart(index -> gateways.get(index).start());
     return this;
   }
 
@@ -129,13 +129,13 @@
     return protocolFactory.apply(engine);
   }
 
-  /** Sets the endpoint cache of each gateway, by its place, which survives restarts. */
+  /** Sets the endpoint cache of each gateway, by its index, which survives restarts. */
   public void endpointCaches(IntFunction<EndpointCache> caches) {
     endpointCaches = caches;
   }
 
-  EndpointCache endpointCache(int place) {
-    return endpointCaches.apply(place);
+  EndpointCache endpointCache(int index) {
+    return endpointCaches.apply(index);
   }
 
   /** Until then the discovery service answers nobody, and a starting gateway gets no list. */
@@ -173,14 +173,14 @@
     return deliveryJitter;
   }
 
-  /** A gateway by its place. */
-  public EmulatedGateway gateway(int place) {
-    return gateways.get(place);
+  /** A gateway by its index. */
+  public EmulatedGateway gateway(int index) {
+    return gateways.get(index);
   }
 
   private EmulatedEngine startEngine(Spec spec, long startedAt) {
     EmulatedEngine engine = new EmulatedEngine(this, spec, enginesStarted++, startedAt);
-    InetSocketAddress address = Fleet.address(engine.place);
+    InetSocketAddress address = Fleet.address(engine.index);
     byAddress.put(address, engine);
     byName.put(spec.name(), engine);
     endpoints.put(spec.name(), fleet.entry(spec, address, Status.READY, startedAt / TICKS_PER_MS));
@@ -363,7 +363,7 @@
         now() + 10 * LIST_DELAY,
         () -> {
           byName.remove(name);
-          byAddress.remove(Fleet.address(engine.place));
+          byAddress.remove(Fleet.address(engine.index));
           auditor.engineForgotten(name);
         });
   }
@@ -378,29 +378,29 @@
   }
 
   private void killGateway(Trouble trouble) {
-    int place =
+    int index =
         trouble.whom().matches("n[0-9]{1,6}") ? Integer.parseInt(trouble.whom().substring(1)) : -1;
-    if (place < 0 || place >= fleet.gateways()) {
+    if (index < 0 || index >= fleet.gateways()) {
       logIncident(trouble.whom() + " is not there");
       return;
     }
-    killListeners.forEach(listener -> listener.accept(place));
-    auditor.gatewayKilled(place);
+    killListeners.forEach(listener -> listener.accept(index));
+    auditor.gatewayKilled(index);
     logIncident(trouble.whom() + " is killed");
     timeline.at(
         now() + trouble.lasts(),
         () -> {
-          startListeners.forEach(listener -> listener.accept(place));
+          startListeners.forEach(listener -> listener.accept(index));
           logIncident(trouble.whom() + " starts anew");
         });
   }
 
-  /** Calls the listener with a gateway's place just before it is killed. */
+  /** Calls the listener with a gateway's index just before it is killed. */
   public void onKill(IntConsumer listener) {
     killListeners.add(listener);
   }
 
-  /** Calls the listener with a gateway's place when it starts again. */
+  /** Calls the listener with a gateway's index when it starts again. */
   public void onStart(IntConsumer listener) {
     startListeners.add(listener);
   }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
@@ -99,7 +99,7 @@
     gatewayView = kind == null ? new LineProtocolServer() : kind.side();
     attempts =
         new AttemptObserver(
-            cluster.auditor, gateway.place, engine == null ? "?" : engine.spec.name());
+            cluster.auditor, gateway.index, engine == null ? "?" : engine.spec.name());
     cluster.timeline.at(cluster.now() + 2 * delay, this::open);
   }
 
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
@@ -52,7 +52,7 @@
   }
 
   public final Spec spec;
-  public final int place;
+  public final int index;
   final long startedAt;
   private final EmulatedCluster cluster;
   private final SharedCpu cores;
@@ -74,10 +74,10 @@
   /**
    * @param startedAt when it started cold, or 0 if it is warm already
    */
-  EmulatedEngine(EmulatedCluster cluster, Spec spec, int place, long startedAt) {
+  EmulatedEngine(EmulatedCluster cluster, Spec spec, int index, long startedAt) {
     this.cluster = cluster;
     this.spec = spec;
-    this.place = place;
+    this.index = index;
     this.startedAt = startedAt;
     Kind kind = cluster.fleet.kinds().get(spec.kind());
     cores = new SharedCpu(kind.cores(), kind.memory());
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
@@ -28,7 +28,7 @@
 
   private static final long MAX_BYTES_HELD = 16L << 20;
 
-  final int place;
+  final int index;
   private final EmulatedCluster cluster;
   private final DispatchPolicyFactory policies;
   private final Random seeds;
@@ -40,11 +40,11 @@
   private int incarnation;
   private final Set<EmulatedConnection> connections = new LinkedHashSet<>();
 
-  EmulatedGateway(EmulatedCluster cluster, int place, DispatchPolicyFactory policies, long seed) {
+  EmulatedGateway(EmulatedCluster cluster, int index, DispatchPolicyFactory policies, long seed) {
     this.cluster = cluster;
-    this.place = place;
+    this.index = index;
     this.policies = policies;
-    seeds = new Random(seed * 1_000_003 + place);
+    seeds = new Random(seed * 1_000_003 + index);
     start();
   }
 
@@ -60,13 +60,13 @@
     gateway =
         new Gateway(
             cluster.fleet.assignment(
-                place, seeds.nextLong(), cluster.requestClasses, cluster.watchEvent()),
+                index, seeds.nextLong(), cluster.requestClasses, cluster.watchEvent()),
             policies,
             this,
             cluster.now(),
             MAX_BYTES_HELD,
             cluster.fleet.transports(),
-            cluster.endpointCache(place),
+            cluster.endpointCache(index),
             Telemetry.silent());
     post(() -> {});
   }
@@ -179,7 +179,7 @@
   public Channel connect(InetSocketAddress to, Channel.Owner owner) {
     EmulatedConnection connection =
         new EmulatedConnection(
-            cluster, this, owner, cluster.engineAt(to), cluster.delay(place, to));
+            cluster, this, owner, cluster.engineAt(to), cluster.delay(index, to));
     connections.add(connection);
     return connection;
   }
@@ -208,7 +208,7 @@
   private void auditNotReady(List<EndpointEntry> endpoints) {
     for (EndpointEntry entry : endpoints) {
       if (entry.standing() != Status.READY) {
-        cluster.auditor.withdrawn(cluster.now(), place, entry.id());
+        cluster.auditor.withdrawn(cluster.now(), index, entry.id());
       }
     }
   }
--- a/emulator/src/main/java/tillerlink/emulator/SharedCpu.java
+++ b/emulator/src/main/java/tillerlink/emulator/SharedCpu.java
@@ -7,8 +7,8 @@
 
 /**
  * The cores of an engine under processor sharing: each thread gets the same rate. Progress is
- * counted in the core-time that one thread has coreTimePerThread so far, so that a change of rate
- * touches nothing else. When memory is exceeded all run slower, as if pages were swapped out.
+ * counted in the core-time that one thread has got so far, so that a change of rate touches nothing
+ * else. When memory is exceeded all run slower, as if pages were swapped out.
  */
 final class SharedCpu {
   /** A running piece of work. */
--- a/fakes/src/main/java/tillerlink/fakes/Http2Server.java
+++ b/fakes/src/main/java/tillerlink/fakes/Http2Server.java
@@ -21,7 +21,7 @@
 import tillerlink.net.http2.FrameWriter;
 import tillerlink.net.http2.Http2ConnectionError;
 
-/** A fake engine's side of HTTP/2, worded as docs/http2-wire.md says; tests make it misbehave. */
+/** A fake engine's end of HTTP/2, as docs/http2-wire.md specifies it; tests make it misbehave. */
 public final class Http2Server implements EngineProtocolServer {
   private static final byte[] PREFACE =
       "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/ChannelLogChecker.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/ChannelLogChecker.java
@@ -13,7 +13,7 @@
   /** An append that a gateway accepted. */
   private record Append(String gateway, int incarnation, String id) {}
 
-  /** The observations of entry channel. */
+  /** The observations of one channel. */
   private static final class Channel {
     private final List<Append> appended = new ArrayList<>();
     private final Map<String, String> contents = new HashMap<>();
@@ -21,7 +21,7 @@
     private final Map<Long, String> reportedBy = new HashMap<>();
     private final Map<String, String> keys = new HashMap<>();
 
-    /** By id, the gateways in firstGateway logs the entry was seen. */
+    /** By id, the gateways in whose logs the entry was seen. */
     private final Map<String, Set<String>> seenAt = new HashMap<>();
 
     private final Set<String> excused = new HashSet<>();
@@ -223,7 +223,7 @@
         });
   }
 
-  /** What entry gateway took later stands later, as it had seen what it took before. */
+  /** The appends of one gateway keep their order, as it had seen the earlier ones. */
   private void checkOrder(String name, Channel channel, List<String> log) {
     Map<String, Integer> places = new HashMap<>();
     for (int i = 0; i < log.size(); i++) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessCluster.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessCluster.java
@@ -150,7 +150,7 @@
     return gateways.get(name);
   }
 
-  /** A client that comes through the fabric's proxy to that gateway. */
+  /** A client that comes through its proxy to that gateway. */
   public HttpEndpointClient client(String name) {
     return new HttpEndpointClient(clientProxies.get(name).port(), RESPONSE_TIMEOUT_MS);
   }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/network/FaultyNetworkTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/network/FaultyNetworkTest.java
@@ -64,7 +64,7 @@
   }
 
   /**
-   * A reply to the address from which a datagram received takes the link on which its sender is
+   * A reply to the address from which a datagram came takes the link on which its sender is
    * reached.
    */
   @Test
--- a/harness/src/main/java/tillerlink/harness/ProcessHarness.java
+++ b/harness/src/main/java/tillerlink/harness/ProcessHarness.java
@@ -43,7 +43,7 @@
   private static final long PROGRESS_INTERVAL = 10_000;
   private static final long MAX_LAG = 600_000;
 
-  private final ReplayConfig job;
+  private final ReplayConfig config;
   private final WallClock clock = new WallClock();
   private final LinkedBlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
   private final Auditor auditor;
@@ -58,12 +58,12 @@
   private long listVersion = 1;
   private List<EndpointEntry> lastList;
 
-  private ProcessHarness(ReplayConfig job, Path store) throws IOException {
-    this.job = job;
-    int count = job.fleet().gateways();
-    seeds = new Random(job.seed());
-    auditor = new Auditor(job.fleet(), job.requestClasses());
-    cluster = new EmulatedCluster(job.fleet(), job.requestClasses(), auditor, clock.now());
+  private ProcessHarness(ReplayConfig config, Path store) throws IOException {
+    this.config = config;
+    int count = config.fleet().gateways();
+    seeds = new Random(config.seed());
+    auditor = new Auditor(config.fleet(), config.requestClasses());
+    cluster = new EmulatedCluster(config.fleet(), config.requestClasses(), auditor, clock.now());
     engines = new EngineSockets(cluster, queue::add);
     cluster.onEngine(engines::open);
     lastList = cluster.list();
@@ -80,7 +80,7 @@
               folder,
               "n" + i,
               addresses[i],
-              job.fleet().kinds().stream().filter(Kind::http2).map(Kind::name).toList(),
+              config.fleet().kinds().stream().filter(Kind::http2).map(Kind::name).toList(),
               store);
     }
     transport = new ClientSockets(addresses, queue::add);
@@ -91,26 +91,26 @@
    *
    * @param progress called from time to time with the number of requests that have arrived
    */
-  public static ReplayResult play(ReplayConfig job, ArrivalSource arrivals, LongConsumer progress)
-      throws IOException {
-    return play(job, arrivals, progress, null, cluster -> {});
+  public static ReplayResult play(
+      ReplayConfig config, ArrivalSource arrivals, LongConsumer progress) throws IOException {
+    return play(config, arrivals, progress, null, cluster -> {});
   }
 
   /**
-   * Runs a replay on a cluster that is preparation first.
+   * Runs a replay on a cluster that is prepared first.
    *
    * @param progress called from time to time with the number of requests that have arrived
    * @param store the folder in which gateways store what outlives them, or null
    * @param preparation changes the cluster before any gateway starts
    */
   public static ReplayResult play(
-      ReplayConfig job,
+      ReplayConfig config,
       ArrivalSource arrivals,
       LongConsumer progress,
       Path store,
       Consumer<EmulatedCluster> preparation)
       throws IOException {
-    try (ProcessHarness harness = new ProcessHarness(job, store)) {
+    try (ProcessHarness harness = new ProcessHarness(config, store)) {
       preparation.accept(harness.cluster);
       harness.startGateways();
       return harness.run(arrivals, progress);
@@ -168,8 +168,8 @@
     gateways[gateway].start(
         seeds.nextLong(),
         discovery.address(gateway),
-        job.fleet().sockets(),
-        job.fleet().settings(job.requestClasses(), gateway),
+        config.fleet().sockets(),
+        config.fleet().settings(config.requestClasses(), gateway),
         discoveryDown ? 0 : listVersion(),
         discoveryDown ? List.of() : endpointsFor(gateway));
   }
@@ -243,15 +243,15 @@
       throws IOException, InterruptedException {
     long start = clock.now() + START_DELAY;
     cluster.timeline.follow(clock.now());
-    ReplayMetrics metrics = new ReplayMetrics(job.requestClasses());
+    ReplayMetrics metrics = new ReplayMetrics(config.requestClasses());
     ReplayClients clients =
         new ReplayClients(
-            cluster, transport, metrics, new RequestEncoder(job.seed(), job.estimateSigma()));
+            cluster, transport, metrics, new RequestEncoder(config.seed(), config.estimateSigma()));
     clients.startAt(start);
     cluster.onKill(this::onKilled);
     cluster.onStart(this::restart);
     cluster.startIncidentClock(start);
-    job.troubles().forEach(cluster::plan);
+    config.troubles().forEach(cluster::plan);
     Arrival next = arrivals.next();
     long progressAt = start;
     while (next != null || metrics.arrived() < arrivals.arrived() || clients.open() > 0) {
@@ -274,7 +274,7 @@
       runEvents(end);
     }
     metrics.end();
-    return new ReplayResult(job, arrivals, cluster, auditor, metrics, start, lasted, lag);
+    return new ReplayResult(config, arrivals, cluster, auditor, metrics, start, lasted, lag);
   }
 
   private void send(ReplayClients clients, Arrival arrival, long due) {
--- a/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
@@ -240,8 +240,8 @@
   }
 
   /**
-   * What the example says of a fleet is what holds where it is left out, and a mark is kept for its
-   * request class's deadline.
+   * What the example states of a fleet is the default, and a mark is kept for its request class's
+   * deadline.
    */
   @Test
   void exampleStatesTheDefaults() throws IOException {
--- a/replay/src/main/java/tillerlink/replay/ArrivalSource.java
+++ b/replay/src/main/java/tillerlink/replay/ArrivalSource.java
@@ -30,7 +30,7 @@
   /** The assumed memory of one second of work on a core. */
   private static final double MEGABYTES_PER_SECOND = 400;
 
-  private final ReplayConfig job;
+  private final ReplayConfig config;
   private final RowCounts counts = new RowCounts();
   private final TaskReader reader;
   private final TaskSource ordered;
@@ -44,12 +44,12 @@
   private long latestArrival;
 
   /** Opens the trace of a replay and computes its scaling. */
-  public ArrivalSource(ReplayConfig job) throws IOException {
-    this.job = job;
-    survey = new TraceSurvey(job.requestClasses().size());
+  public ArrivalSource(ReplayConfig config) throws IOException {
+    this.config = config;
+    survey = new TraceSurvey(config.requestClasses().size());
     reader = reader(counts);
     List<Task> prefix = new ArrayList<>();
-    if (job.shards().stream().allMatch(Shard::readableAgain)) {
+    if (config.shards().stream().allMatch(Shard::readableAgain)) {
       surveyFiles();
     } else {
       surveyPrefix(prefix);
@@ -60,10 +60,10 @@
     scaling = computeScaling();
     TaskSource source = joined(prefix, guarded(reader, counts));
     sort =
-        job.sortFolder() == null
+        config.sortFolder() == null
             ? null
-            : new ExternalSort(source, job.sortFolder(), job.maxSortBytes());
-    reorder = sort != null ? null : new ReorderBuffer(source, job.window(), MAX_WAITING, counts);
+            : new ExternalSort(source, config.sortFolder(), config.maxSortBytes());
+    reorder = sort != null ? null : new ReorderBuffer(source, config.window(), MAX_WAITING, counts);
     ordered = sort != null ? sort : reorder;
   }
 
@@ -89,11 +89,11 @@
     try {
       return WorkloadScaling.of(
           survey,
-          job.requestClasses(),
-          job.fleet().cores(),
-          job.load(),
-          job.scale(),
-          job.jobs(),
+          config.requestClasses(),
+          config.fleet().cores(),
+          config.load(),
+          config.scale(),
+          config.jobs(),
           MEGABYTES_PER_SECOND);
     } catch (IllegalArgumentException e) {
       throw new InvalidTraceException(e.getMessage());
@@ -102,9 +102,9 @@
 
   private TaskReader reader(RowCounts rowCounts) {
     return new TaskReader(
-        job.layout(),
-        job.shards(),
-        job.requestClasses().stream().map(RequestClassSpec::rows).toList(),
+        config.layout(),
+        config.shards(),
+        config.requestClasses().stream().map(RequestClassSpec::rows).toList(),
         rowCounts);
   }
 
@@ -112,7 +112,7 @@
   private TaskSource guarded(TaskSource source, RowCounts rows) {
     return () -> {
       Task task = source.next();
-      if ((task == null || rows.rowsRead() >= MIN_ROWS) && rows.badShare() > job.maxBadShare()) {
+      if ((task == null || rows.rowsRead() >= MIN_ROWS) && rows.badShare() > config.maxBadShare()) {
         throw new InvalidTraceException(
             String.format(
                 Locale.ROOT,
@@ -120,7 +120,7 @@
                 rows.bad(),
                 rows.rowsRead(),
                 rows.badShare(),
-                job.maxBadShare()));
+                config.maxBadShare()));
       }
       return task;
     };
--- a/replay/src/main/java/tillerlink/replay/HtmlReport.java
+++ b/replay/src/main/java/tillerlink/replay/HtmlReport.java
@@ -57,8 +57,8 @@
     out.printf(
         Locale.ROOT,
         "<h1>Replay of a %s trace, %s</h1>",
-        escaped(result.job().layout().name()),
-        escaped(result.job().policyName()));
+        escaped(result.config().layout().name()),
+        escaped(result.config().policyName()));
     out.printf(
         Locale.ROOT,
         "<p>Served <b>%.4f</b> of the value asked for, %.4f in the worst 10 s (from %.0f s), %.4f"
@@ -67,9 +67,9 @@
         metrics.worstWindow(),
         metrics.worstWindowStart() / (double) ReplayMetrics.SECOND,
         metrics.worstRequestClass(),
-        result.job().fleet().gateways(),
-        result.job().fleet().engines().size(),
-        result.job().fleet().cores(),
+        result.config().fleet().gateways(),
+        result.config().fleet().engines().size(),
+        result.config().fleet().cores(),
         result.lasted() / (double) ReplayMetrics.SECOND);
     for (Violation violation : result.auditor().violations()) {
       out.printf(
--- a/replay/src/main/java/tillerlink/replay/JsonReport.java
+++ b/replay/src/main/java/tillerlink/replay/JsonReport.java
@@ -33,12 +33,12 @@
           result.lag() == null
               ? "emulated engines, in virtual time"
               : "stand-in engines, over sockets");
-      json.writeStringField("policy", result.job().policyName());
-      json.writeStringField("layout", result.job().layout().name());
-      json.writeNumberField("seed", result.job().seed());
-      json.writeNumberField("gateways", result.job().fleet().gateways());
-      json.writeNumberField("engines", result.job().fleet().engines().size());
-      json.writeNumberField("cores", (long) result.job().fleet().cores());
+      json.writeStringField("policy", result.config().policyName());
+      json.writeStringField("layout", result.config().layout().name());
+      json.writeNumberField("seed", result.config().seed());
+      json.writeNumberField("gateways", result.config().fleet().gateways());
+      json.writeNumberField("engines", result.config().fleet().engines().size());
+      json.writeNumberField("cores", (long) result.config().fleet().cores());
       if (result.lag() != null) {
         json.writeObjectFieldStart("lag_ms");
         number(json, "half", result.lag().getValueAtPercentile(50) / TICKS_PER_MS);
@@ -96,15 +96,15 @@
   private static void scaling(JsonGenerator json, ReplayResult result) throws IOException {
     ArrivalSource arrivals = result.arrivals();
     json.writeObjectFieldStart("scaling");
-    number(json, "load_wanted", result.job().load());
-    json.writeStringField("by", result.job().scale().name().toLowerCase(Locale.ROOT));
+    number(json, "load_wanted", result.config().load());
+    json.writeStringField("by", result.config().scale().name().toLowerCase(Locale.ROOT));
     number(json, "trace_time_per_time", arrivals.scaling().timeCompression());
     number(json, "share_of_jobs", arrivals.scaling().jobShare());
     json.writeNumberField("tasks_sampled_out", arrivals.sampledOut());
     json.writeNumberField("tasks_of_no_track", arrivals.noRequestClass());
     json.writeObjectFieldStart("work_times");
-    for (int i = 0; i < result.job().requestClasses().size(); i++) {
-      json.writeFieldName(result.job().requestClasses().get(i).name());
+    for (int i = 0; i < result.config().requestClasses().size(); i++) {
+      json.writeFieldName(result.config().requestClasses().get(i).name());
       json.writeNumber(String.format(Locale.ROOT, "%.6f", arrivals.scaling().factor(i)));
     }
     json.writeEndObject();
@@ -156,7 +156,7 @@
     json.writeEndArray();
     number(json, "cold_engine_most", result.auditor().coldMost());
     json.writeArrayFieldStart("troubles");
-    for (Trouble trouble : result.job().troubles()) {
+    for (Trouble trouble : result.config().troubles()) {
       json.writeString(
           String.format(
               Locale.ROOT,
--- a/replay/src/main/java/tillerlink/replay/ReplayResult.java
+++ b/replay/src/main/java/tillerlink/replay/ReplayResult.java
@@ -16,7 +16,7 @@
  *     time
  */
 public record ReplayResult(
-    ReplayConfig job,
+    ReplayConfig config,
     ArrivalSource arrivals,
     EmulatedCluster cluster,
     Auditor auditor,
--- a/replay/src/main/java/tillerlink/replay/VirtualTimeReplay.java
+++ b/replay/src/main/java/tillerlink/replay/VirtualTimeReplay.java
@@ -19,20 +19,20 @@
    *
    * @param progress called from time to time with the number of requests that have arrived
    */
-  public static ReplayResult play(ReplayConfig job, ArrivalSource arrivals, LongConsumer progress)
-      throws IOException {
-    Auditor auditor = new Auditor(job.fleet(), job.requestClasses());
-    ReplayMetrics metrics = new ReplayMetrics(job.requestClasses());
+  public static ReplayResult play(
+      ReplayConfig config, ArrivalSource arrivals, LongConsumer progress) throws IOException {
+    Auditor auditor = new Auditor(config.fleet(), config.requestClasses());
+    ReplayMetrics metrics = new ReplayMetrics(config.requestClasses());
     EmulatedCluster cluster =
-        new EmulatedCluster(job.fleet(), job.requestClasses(), auditor, START)
-            .startGateways(job.policies(), job.seed());
+        new EmulatedCluster(config.fleet(), config.requestClasses(), auditor, START)
+            .startGateways(config.policies(), config.seed());
     ReplayClients clients =
         new ReplayClients(
             cluster,
             new GatewayConnections(cluster),
             metrics,
-            new RequestEncoder(job.seed(), job.estimateSigma()));
-    job.troubles().forEach(cluster::plan);
+            new RequestEncoder(config.seed(), config.estimateSigma()));
+    config.troubles().forEach(cluster::plan);
     Arrival next = arrivals.next();
     long steps = 0;
     while (next != null || metrics.arrived() < arrivals.arrived() || clients.open() > 0) {
@@ -51,6 +51,6 @@
       cluster.timeline.step();
     }
     metrics.end();
-    return new ReplayResult(job, arrivals, cluster, auditor, metrics, START, lasted, null);
+    return new ReplayResult(config, arrivals, cluster, auditor, metrics, START, lasted, null);
   }
 }
--- a/tools/src/main/java/tillerlink/cli/DemoCommand.java
+++ b/tools/src/main/java/tillerlink/cli/DemoCommand.java
@@ -53,15 +53,15 @@
                   LAYOUT, 1, 0.01, (long) (2 * OptionValues.TICKS_PER_SECOND), file)) {
         generator.make(rows);
       }
-      ReplayConfig job = job(trace);
-      try (ArrivalSource arrivals = new ArrivalSource(job)) {
+      ReplayConfig config = config(trace);
+      try (ArrivalSource arrivals = new ArrivalSource(config)) {
         spec.commandLine()
             .getErr()
             .println("two gateways are starting; the replay takes some ten seconds");
         spec.commandLine().getErr().flush();
         ReplayResult result =
             ProcessHarness.play(
-                job,
+                config,
                 arrivals,
                 arrived ->
                     spec.commandLine().getErr().printf(Locale.ROOT, "%d submissions%n", arrived));
@@ -73,7 +73,7 @@
     }
   }
 
-  private static ReplayConfig job(Path trace) {
+  private static ReplayConfig config(Path trace) {
     return new ReplayConfig(
         List.of(Shard.of(trace)),
         LAYOUT,
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -175,13 +175,13 @@
   @Override
   public Integer call() throws IOException {
     LogSetup.muteGateways();
-    ReplayConfig job = job(operator == null ? null : OperatorFile.read(operator));
-    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+    ReplayConfig config = config(operator == null ? null : OperatorFile.read(operator));
+    try (ArrivalSource arrivals = new ArrivalSource(config)) {
       long startNanos = System.nanoTime();
       ReplayResult result =
           sockets
-              ? ProcessHarness.play(job, arrivals, this::progress)
-              : VirtualTimeReplay.play(job, arrivals, this::progress);
+              ? ProcessHarness.play(config, arrivals, this::progress)
+              : VirtualTimeReplay.play(config, arrivals, this::progress);
       if (report != null) {
         JsonReport.write(result, report);
       }
@@ -203,7 +203,7 @@
   }
 
   /** Options take precedence over the operator's file, and that over built-in defaults. */
-  private ReplayConfig job(OperatorFile file) throws IOException {
+  private ReplayConfig config(OperatorFile file) throws IOException {
     ReplayDefaults defaults =
         file != null && file.replay() != null ? file.replay() : BUILT_IN_DEFAULTS;
     ReplayDefaults chosen = withOptions(defaults);
--- a/tools/src/main/java/tillerlink/cli/Summary.java
+++ b/tools/src/main/java/tillerlink/cli/Summary.java
@@ -43,7 +43,7 @@
         metrics.whole(),
         metrics.worstWindow(),
         metrics.worstRequestClass(),
-        result.job().policyName(),
+        result.config().policyName(),
         result.lag() == null ? "emulated" : "stand-in");
   }
 
--- a/tools/src/test/java/tillerlink/cli/VerdictTest.java
+++ b/tools/src/test/java/tillerlink/cli/VerdictTest.java
@@ -41,7 +41,7 @@
         new TraceGenerator(Layout.ALIBABA_2018, 1, 0.01, 20_000, Files.newOutputStream(trace))) {
       generator.make(200);
     }
-    ReplayConfig job =
+    ReplayConfig config =
         new ReplayConfig(
             List.of(Shard.of(trace)),
             Layout.ALIBABA_2018,
@@ -59,8 +59,8 @@
             1,
             "module",
             DefaultDispatchPolicy::new);
-    try (ArrivalSource arrivals = new ArrivalSource(job)) {
-      inTime = VirtualTimeReplay.play(job, arrivals, arrived -> {});
+    try (ArrivalSource arrivals = new ArrivalSource(config)) {
+      inTime = VirtualTimeReplay.play(config, arrivals, arrived -> {});
     }
   }
 
@@ -70,7 +70,7 @@
     lag.recordValueWithCount(5, 10);
     lag.recordValueWithCount(lagTicks, 10);
     return new ReplayResult(
-        inTime.job(),
+        inTime.config(),
         inTime.arrivals(),
         inTime.cluster(),
         inTime.auditor(),
--- a/tools/src/test/java/tillerlink/explore/ExplorerTest.java
+++ b/tools/src/test/java/tillerlink/explore/ExplorerTest.java
@@ -16,7 +16,7 @@
 import tillerlink.port.DispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
 
-/** All small histories keep the rules; each injected fault is result, with a readable history. */
+/** All small histories keep the rules; each injected fault is found, with a readable history. */
 class ExplorerTest {
   @BeforeAll
   static void muteGateways() {
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -349,7 +349,7 @@
         new TraceGenerator(Layout.ALIBABA_2018, 2, 0, 0, Files.newOutputStream(file))) {
       generator.make(300);
     }
-    ReplayConfig job =
+    ReplayConfig config =
         new ReplayConfig(
             List.of(Shard.of(file)),
             Layout.ALIBABA_2018,
@@ -368,10 +368,10 @@
             "wild",
             DefaultDispatchPolicy::new);
     Random random = new Random(9);
-    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+    try (ArrivalSource arrivals = new ArrivalSource(config)) {
       ReplayResult result =
           ProcessHarness.play(
-              job,
+              config,
               arrivals,
               arrived -> {},
               null,
--- a/tools/src/test/java/tillerlink/replay/ReplayTest.java
+++ b/tools/src/test/java/tillerlink/replay/ReplayTest.java
@@ -53,7 +53,7 @@
     return file;
   }
 
-  private static ReplayConfig job(
+  private static ReplayConfig config(
       Layout layout,
       Path trace,
       Fleet fleet,
@@ -79,9 +79,9 @@
         policies);
   }
 
-  private static ReplayResult play(ReplayConfig job) throws IOException {
-    try (ArrivalSource arrivals = new ArrivalSource(job)) {
-      return VirtualTimeReplay.play(job, arrivals, arrived -> {});
+  private static ReplayResult play(ReplayConfig config) throws IOException {
+    try (ArrivalSource arrivals = new ArrivalSource(config)) {
+      return VirtualTimeReplay.play(config, arrivals, arrived -> {});
     }
   }
 
@@ -92,7 +92,7 @@
       List<byte[]> reports = new ArrayList<>();
       for (int i = 0; i < 2; i++) {
         ReplayResult result =
-            play(job(layout, trace, Fleet.builtIn(3), 1.1, DefaultDispatchPolicy::new));
+            play(config(layout, trace, Fleet.builtIn(3), 1.1, DefaultDispatchPolicy::new));
         assertTrue(result.isValid(), layout.name() + result.auditor().violations());
         assertEquals(0, result.auditor().watching());
         Path report = folder.resolve("report");
@@ -110,12 +110,12 @@
   void defaultPolicyServesMoreThanRandomChoice() throws IOException {
     Path trace = trace(Layout.ALIBABA_2018, 3000, 0);
     double module =
-        play(job(Layout.ALIBABA_2018, trace, Fleet.builtIn(3), 0.9, DefaultDispatchPolicy::new))
+        play(config(Layout.ALIBABA_2018, trace, Fleet.builtIn(3), 0.9, DefaultDispatchPolicy::new))
             .metrics()
             .whole();
     ReplayResult random =
         play(
-            job(
+            config(
                 Layout.ALIBABA_2018,
                 trace,
                 Fleet.builtIn(3),
@@ -135,7 +135,7 @@
     Path trace = trace(Layout.ALIBABA_2018, 6000, 0);
     ReplayResult result =
         play(
-            job(
+            config(
                 Layout.ALIBABA_2018,
                 trace,
                 Fleet.builtIn(3),
@@ -185,7 +185,7 @@
                 InvalidTraceException.class,
                 () ->
                     play(
-                        job(
+                        config(
                             Layout.ALIBABA_2018,
                             wrong,
                             Fleet.builtIn(1),
@@ -200,7 +200,7 @@
                 InvalidTraceException.class,
                 () ->
                     play(
-                        job(
+                        config(
                             Layout.ALIBABA_2018,
                             empty,
                             Fleet.builtIn(1),
@@ -216,8 +216,8 @@
   @Test
   void gatewayStartsFromItsStoreWhileDiscoveryIsDown() throws IOException {
     Path trace = trace(Layout.ALIBABA_2018, 700, 0);
-    ReplayConfig job =
-        job(
+    ReplayConfig config =
+        config(
             Layout.ALIBABA_2018,
             trace,
             Fleet.of(1, 4),
@@ -225,10 +225,10 @@
             DefaultDispatchPolicy::new,
             new Trouble(SECOND, Trouble.What.DRAINED, "e1", 60 * SECOND, 1),
             new Trouble(3 * SECOND, Trouble.What.KILLED, "n0", SECOND / 10, 1));
-    try (ArrivalSource arrivals = new ArrivalSource(job)) {
+    try (ArrivalSource arrivals = new ArrivalSource(config)) {
       ReplayResult result =
           ProcessHarness.play(
-              job,
+              config,
               arrivals,
               arrived -> {},
               folder.resolve("store"),
@@ -259,8 +259,8 @@
   void replayOverSocketsKeepsTheRules() throws IOException {
     Path trace = trace(Layout.ALIBABA_2018, 400, 0);
     Fleet mixed = Fleet.of(2, 4).overHttp2(kind -> kind.name().startsWith("big"));
-    ReplayConfig job =
-        job(
+    ReplayConfig config =
+        config(
             Layout.ALIBABA_2018,
             trace,
             mixed,
@@ -269,8 +269,8 @@
             new Trouble(SECOND / 2, Trouble.What.GONE, "e3", 0, 1),
             new Trouble(SECOND, Trouble.What.DRAINED, "e1", SECOND, 1),
             new Trouble(2 * SECOND, Trouble.What.KILLED, "n1", SECOND / 2, 1));
-    try (ArrivalSource arrivals = new ArrivalSource(job)) {
-      ReplayResult result = ProcessHarness.play(job, arrivals, arrived -> {});
+    try (ArrivalSource arrivals = new ArrivalSource(config)) {
+      ReplayResult result = ProcessHarness.play(config, arrivals, arrived -> {});
       assertTrue(result.auditor().counts().isEmpty(), result.auditor().violations().toString());
       assertTrue(result.metrics().addsUp());
       assertEquals(400, result.metrics().arrived());
--- a/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
+++ b/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
@@ -66,7 +66,7 @@
             defaults.budgetSpan(),
             defaults.attemptsMost(),
             defaults.retryAfter());
-    ReplayConfig job =
+    ReplayConfig config =
         new ReplayConfig(
             List.of(Shard.of(trace)),
             Layout.ALIBABA_2018,
@@ -84,8 +84,8 @@
             3,
             "test",
             DefaultDispatchPolicy::new);
-    try (ArrivalSource arrivals = new ArrivalSource(job)) {
-      return VirtualTimeReplay.play(job, arrivals, arrived -> {});
+    try (ArrivalSource arrivals = new ArrivalSource(config)) {
+      return VirtualTimeReplay.play(config, arrivals, arrived -> {});
     }
   }
 
--- a/traces/src/main/java/tillerlink/trace/SkipReason.java
+++ b/traces/src/main/java/tillerlink/trace/SkipReason.java
@@ -25,7 +25,7 @@
   OTHER_KIND(false),
   /** An end whose start was never seen, or a start whose end did not come. */
   UNPAIRED(false),
-  /** A start that was evicted of the bounded join by later ones. */
+  /** A start that later ones evicted from the bounded join. */
   EVICTED(false),
   /** Later than the window in which rows are put in order. */
   LATE(false);
--- a/traces/src/test/java/tillerlink/trace/TraceReadingTest.java
+++ b/traces/src/test/java/tillerlink/trace/TraceReadingTest.java
@@ -287,7 +287,7 @@
     assertEquals(1, counts.skipped(SkipReason.LINE_TOO_LONG));
   }
 
-  /** What a generated trace says of itself is what reading it finds. */
+  /** Reading a generated trace finds what the generator reported. */
   @Test
   void readingFindsWhatTheGeneratorReports() throws IOException {
     for (Layout layout : Layout.KNOWN) {
