--- a/traces/src/main/java/tillerlink/trace/TraceGenerator.java
+++ b/traces/src/main/java/tillerlink/trace/TraceGenerator.java
@@ -150,25 +150,30 @@
               cores,
               memory));
     } else {
-      int size = (int) (AZURE_CORES.size() * Math.pow(random.nextDouble(), 4));
-      add(
-          start,
-          startSecond,
-          String.format(
-              Locale.ROOT,
-              "vm%d/%d,sub%d,dep%d,%d,%d,90.5,12.25,60.0,%s,%s,%d",
-              job,
-              index,
-              user,
-              job,
-              startSecond,
-              endSecond,
-              azureCategory(importance),
-              AZURE_CORES.get(size),
-              4 << size));
+      azure(job, index, user, importance, start, startSecond, endSecond);
     }
   }
 
+  private void azure(
+      long job, int index, int user, int importance, long start, long startSecond, long endSecond) {
+    int size = (int) (AZURE_CORES.size() * Math.pow(random.nextDouble(), 4));
+    add(
+        start,
+        startSecond,
+        String.format(
+            Locale.ROOT,
+            "vm%d/%d,sub%d,dep%d,%d,%d,90.5,12.25,60.0,%s,%s,%d",
+            job,
+            index,
+            user,
+            job,
+            startSecond,
+            endSecond,
+            azureCategory(importance),
+            AZURE_CORES.get(size),
+            4 << size));
+  }
+
   private void google(long job, int index, int user, int importance, long start, long end) {
     double cpu = 0.01 + 0.05 * random.nextInt(5);
     String memory = decimal(0.005 + 0.1 * random.nextDouble());
