--- a/tools/src/main/java/tillerlink/explore/HistoryPlayer.java
+++ b/tools/src/main/java/tillerlink/explore/HistoryPlayer.java
@@ -163,20 +163,7 @@
       Arrival arrival = new Arrival(i * 120L, i, i % REQUEST_CLASSES.size(), 400, 1, i, i);
       cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
-    cluster.timeline.at(
-        START + 150,
-        () -> {
-          int choice = chooser.choose("the list", 3);
-          if (choice > 0) {
-            cluster.plan(
-                new ScheduledFault(
-                    cluster.now() - START,
-                    choice == 1 ? ScheduledFault.What.DRAINED : ScheduledFault.What.GONE,
-                    "e1",
-                    2 * SECOND,
-                    1));
-          }
-        });
+    cluster.timeline.at(START + 150, () -> withdrawEngineIfChosen(cluster, chooser));
     while (metrics.arrived() < requests || clients.open() > 0) {
       cluster.timeline.step();
     }
@@ -190,4 +177,14 @@
     return new History(
         deviations, events, violations, Arrays.copyOf(chooser.options, chooser.points));
   }
+
+  /** One of the choices of a history: an engine stays, drains or ends. */
+  private static void withdrawEngineIfChosen(EmulatedCluster cluster, RecordingChooser chooser) {
+    int choice = chooser.choose("the list", 3);
+    if (choice > 0) {
+      ScheduledFault.What what =
+          choice == 1 ? ScheduledFault.What.DRAINED : ScheduledFault.What.GONE;
+      cluster.plan(new ScheduledFault(cluster.now() - START, what, "e1", 2 * SECOND, 1));
+    }
+  }
 }
