--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -12,38 +12,39 @@
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
 
-/** What stands beside the module: its calls, and requests whose attempts wait on a guard. */
+/** An extension of the gateway: its requests, and requests whose attempts are guarded. */
 class GatewayExtensionTest {
   private static final String ID = "00000000000000a1";
 
   /**
-   * Takes /v1/aside/TRACK and hands it in under a guard; answers /v1/later when told to, in a later
-   * turn.
+   * Handles /v1/aside/CLASS by submitting it under a guard; answers /v1/later when the test does,
+   * in a later iteration.
    */
-  private static final class Aside implements GatewayExtension, GatewayExtension.Guard {
-    private final GatewayExtension.ExtensionContext door;
+  private static final class RecordingExtension
+      implements GatewayExtension, GatewayExtension.Guard {
+    private final GatewayExtension.ExtensionContext context;
     private final List<Reply> owed = new ArrayList<>();
 
     /** What the guard answers next; then that it holds. */
     private final ArrayDeque<Boolean> answers = new ArrayDeque<>();
 
-    private final List<String> turns = new ArrayList<>();
+    private final List<String> calls = new ArrayList<>();
 
-    /** What the guard was told of its attempts. */
-    private final List<String> told = new ArrayList<>();
+    /** What the guard was notified of. */
+    private final List<String> notifications = new ArrayList<>();
 
-    Aside(GatewayExtension.ExtensionContext door) {
-      this.door = door;
+    RecordingExtension(GatewayExtension.ExtensionContext context) {
+      this.context = context;
     }
 
     @Override
     public void beginIteration(long now) {
-      turns.add("begin");
+      calls.add("begin");
     }
 
     @Override
     public void endIteration(long now) {
-      turns.add("settle");
+      calls.add("settle");
     }
 
     @Override
@@ -58,12 +59,12 @@
 
     @Override
     public void onRequest(HttpRequest call, Reply reply) {
-      turns.add("called");
+      calls.add("called");
       if (call.path().equals("/v1/later")) {
         owed.add(reply);
         return;
       }
-      door.submit(
+      context.submit(
           new HttpRequest(
               call.method(),
               call.path().replace("aside/", ""),
@@ -76,17 +77,17 @@
 
     @Override
     public void onDrain() {
-      turns.add("drain");
+      calls.add("drain");
     }
 
     @Override
     public void onShutdownDeadline() {
-      turns.add("time up");
+      calls.add("time up");
     }
 
     @Override
     public void close() {
-      turns.add("close");
+      calls.add("close");
     }
 
     @Override
@@ -101,56 +102,58 @@
 
     @Override
     public void onAttemptStarted() {
-      told.add("began");
+      notifications.add("began");
     }
 
     @Override
     public void onAttemptEnded(long mayRunUntil) {
-      told.add(
+      notifications.add(
           mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - TestGateway.STORY) / 10);
     }
   }
 
-  private Aside aside;
+  private RecordingExtension extension;
 
-  private TestGateway stage(TestGateway fresh, Boolean... answers) {
-    return fresh.beside(
-        door -> {
-          aside = new Aside(door);
-          aside.answers.addAll(List.of(answers));
-          return aside;
+  private TestGateway withExtension(TestGateway gateway, Boolean... answers) {
+    return gateway.withExtension(
+        context -> {
+          extension = new RecordingExtension(context);
+          extension.answers.addAll(List.of(answers));
+          return extension;
         });
   }
 
   @Test
-  void itsOwnCalls() {
-    TestGateway s =
-        stage(new TestGateway())
+  void itsRequestsAreAnsweredOnceAndInOrder() {
+    TestGateway gateway =
+        withExtension(new TestGateway())
             .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
             .say("the next call waits its turn")
             .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
             .pass(2000)
             .answered();
-    s.turn(() -> aside.owed.get(0).answer(HttpResponse.done()))
+    gateway
+        .turn(() -> extension.owed.get(0).answer(HttpResponse.done()))
         .say("told twice")
-        .turn(() -> aside.owed.get(0).answer(HttpResponse.done()));
-    s.say("the client goes before the answer")
+        .turn(() -> extension.owed.get(0).answer(HttpResponse.done()));
+    gateway
+        .say("the client goes before the answer")
         .client("c2", "PUT /v1/later HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
         .breaks("c2", DisconnectReason.CLOSED_BY_PEER)
-        .turn(() -> aside.owed.get(1).answer(HttpResponse.done()))
+        .turn(() -> extension.owed.get(1).answer(HttpResponse.done()))
         .answered();
-    s.matches("side-calls");
+    gateway.matches("side-calls");
   }
 
   @Test
-  void itsPlaceInATurn() {
-    stage(new TestGateway())
+  void itIsCalledAtEachStepOfAnIteration() {
+    withExtension(new TestGateway())
         .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
         .drain()
         .timeUp();
     assertEquals(
         List.of("begin", "called", "settle", "drain", "time up"),
-        aside.turns.stream().distinct().toList());
+        extension.calls.stream().distinct().toList());
   }
 
   /**
@@ -158,122 +161,136 @@
    * that must not.
    */
   @Test
-  void guards() {
-    TestGateway s = new TestGateway();
+  void anAttemptIsWrittenOnlyWhileItsGuardHolds() {
+    TestGateway gateway = new TestGateway();
     for (String requestClass : List.of("aside/look", "aside/book")) {
-      s.say(requestClass + ": it holds").fresh();
-      stage(s)
+      gateway.say(requestClass + ": it holds").fresh();
+      withExtension(gateway)
           .post("c1", ID, requestClass)
           .get("c1", ID)
           .connected(0)
           .engine(0, ID + " ok count=1 0||");
-      s.say(requestClass + ": not before anything is written").fresh();
-      stage(s, false).post("c1", ID, requestClass).get("c1", ID);
-      s.say(requestClass + ": not any more once the connection is up").fresh();
-      stage(s, true, false).post("c1", ID, requestClass).get("c1", ID).connected(0);
-      s.say(requestClass + ": not any more once it was written").fresh();
-      stage(s, true, true, false)
+      gateway.say(requestClass + ": not before anything is written").fresh();
+      withExtension(gateway, false).post("c1", ID, requestClass).get("c1", ID);
+      gateway.say(requestClass + ": not any more once the connection is up").fresh();
+      withExtension(gateway, true, false).post("c1", ID, requestClass).get("c1", ID).connected(0);
+      gateway.say(requestClass + ": not any more once it was written").fresh();
+      withExtension(gateway, true, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
           .connected(0)
           .engine(0, ID + " ok count=1 0||");
-      s.say(
+      gateway
+          .say(
               requestClass
                   + ": the answer comes before it is known to be written, and it does not hold")
           .fresh()
           .stuck();
-      stage(s, true, true, false)
+      withExtension(gateway, true, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
           .connected(0)
           .engine(0, ID + " ok count=1 0||")
           .letGo();
-      s.say(requestClass + ": an earlier hop may have run, the next does not go").fresh();
-      stage(s, true, true, true, false)
+      gateway.say(requestClass + ": an earlier hop may have run, the next does not go").fresh();
+      withExtension(gateway, true, true, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
           .connected(0)
           .ends(0, DisconnectReason.RESET);
-      s.say(requestClass + ": an earlier hop surely did not run, the next does not go").fresh();
-      stage(s, true, false)
+      gateway
+          .say(requestClass + ": an earlier hop surely did not run, the next does not go")
+          .fresh();
+      withExtension(gateway, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
           .ends(0, DisconnectReason.REFUSED);
-      s.say(requestClass + ": written in time, it may end").fresh();
-      stage(s)
+      gateway.say(requestClass + ": written in time, it may end").fresh();
+      withExtension(gateway)
           .post("c1", ID, requestClass)
           .get("c1", ID)
           .connected(0)
           .turn(
               () -> {
-                aside.answers.add(false);
-                aside.door.recheckGuards();
+                extension.answers.add(false);
+                extension.context.recheckGuards();
               })
           .engine(0, ID + " ok count=1 0||");
     }
-    s.matches("side-guards");
+    gateway.matches("side-guards");
   }
 
-  private void told(String what, TestGateway s, String... wanted) {
-    assertEquals(List.of(wanted), aside.told, what);
+  private void assertNotified(String what, TestGateway gateway, String... wanted) {
+    assertEquals(List.of(wanted), extension.notifications, what);
   }
 
-  private TestGateway out(Boolean... answers) {
-    return stage(new TestGateway(), answers).post("c1", ID, "aside/book").get("c1", ID);
+  private TestGateway withAttempt(Boolean... answers) {
+    return withExtension(new TestGateway(), answers).post("c1", ID, "aside/book").get("c1", ID);
   }
 
   private static final String DONE = ID + " ok count=1 0||";
 
   /** Every ending of an attempt that was written, and whether its engine may still be at it. */
   @Test
-  void endsAreTold() {
-    told("answered", out().connected(0).engine(0, DONE), "began", "over");
-    told("its engine erred", out().connected(0).engine(0, ID + " error - 0||"), "began", "over");
-    told(
+  void theGuardIsNotifiedOfEveryEnding() {
+    assertNotified("answered", withAttempt().connected(0).engine(0, DONE), "began", "over");
+    assertNotified(
+        "its engine erred",
+        withAttempt().connected(0).engine(0, ID + " error - 0||"),
+        "began",
+        "over");
+    assertNotified(
         "of two pages one came, and the client's time is up",
-        out().connected(0).engine(0, ID + " ok count=2 0||").pass(5000),
+        withAttempt().connected(0).engine(0, ID + " ok count=2 0||").pass(5000),
         "began",
         "over");
-    told("not written yet", out(), new String[0]);
-    told("the guard does not hold", out(false), new String[0]);
-    told(
+    assertNotified("not written yet", withAttempt(), new String[0]);
+    assertNotified("the guard does not hold", withAttempt(false), new String[0]);
+    assertNotified(
         "the guard does not hold once the connection is up",
-        out(true, false).connected(0),
+        withAttempt(true, false).connected(0),
         new String[0]);
-    told(
+    assertNotified(
         "never connected",
-        out().ends(0, DisconnectReason.REFUSED).ends(1, DisconnectReason.REFUSED),
+        withAttempt().ends(0, DisconnectReason.REFUSED).ends(1, DisconnectReason.REFUSED),
         new String[0]);
-    told(
+    assertNotified(
         "the connection broke",
-        out().connected(0).ends(0, DisconnectReason.RESET),
+        withAttempt().connected(0).ends(0, DisconnectReason.RESET),
         "began",
         "may run until 4500");
-    told(
+    assertNotified(
         "the connection broke before it was written whole",
-        out().stuck().connected(0).ends(0, DisconnectReason.RESET),
+        withAttempt().stuck().connected(0).ends(0, DisconnectReason.RESET),
         "began",
         "over");
-    told(
+    assertNotified(
         "the guard does not hold after the write",
-        out(true, true, false).connected(0),
+        withAttempt(true, true, false).connected(0),
         "began",
         "may run until 4500");
-    told(
+    assertNotified(
         "it does not hold any more when the answer is there",
-        out(true, true, false).stuck().connected(0).engine(0, DONE),
+        withAttempt(true, true, false).stuck().connected(0).engine(0, DONE),
         "began",
         "over");
-    told(
+    assertNotified(
         "the client goes",
-        out().connected(0).client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n"),
+        withAttempt()
+            .connected(0)
+            .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n"),
+        "began",
+        "may run until 4500");
+    assertNotified(
+        "the client's time is up",
+        withAttempt().connected(0).pass(5000),
         "began",
         "may run until 4500");
-    told("the client's time is up", out().connected(0).pass(5000), "began", "may run until 4500");
-    told("the process ends", out().connected(0).timeUp(), "began", "may run until 4500");
-    told(
+    assertNotified(
+        "the process ends", withAttempt().connected(0).timeUp(), "began", "may run until 4500");
+    assertNotified(
         "a pure one goes to another engine",
-        stage(new TestGateway())
+        withExtension(new TestGateway())
             .post("c1", ID, "aside/look")
             .get("c1", ID)
             .connected(0)
@@ -286,17 +303,17 @@
         "over");
   }
 
-  /** Held requests hear of it at once and not only when their turn comes. */
+  /** Queued requests are rejected at once and not only when they would be sent. */
   @Test
-  void heldOnes() {
-    TestGateway s = new TestGateway().fleet(0, 1024);
-    stage(s)
+  void queuedRequestsAreRejectedOnceTheirGuardFails() {
+    TestGateway gateway = new TestGateway().fleet(0, 1024);
+    withExtension(gateway)
         .post("c1", ID, "aside/look")
         .get("c1", ID)
         .turn(
             () -> {
-              aside.answers.add(false);
-              aside.door.recheckGuards();
+              extension.answers.add(false);
+              extension.context.recheckGuards();
             })
         .matches("side-held");
   }
--- a/gateway/src/test/java/tillerlink/ServeTest.java
+++ b/gateway/src/test/java/tillerlink/ServeTest.java
@@ -116,7 +116,7 @@
 
   /** What monitoring reads beside the health path. */
   @Test
-  void tellsMonitoringWhatItDid() throws Exception {
+  void metricsCountRequests() throws Exception {
     start(configuration());
     awaitHealth();
     ask("00000000000000a1", "SELECT 1", 200);
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void manyAtOnce() throws Exception {
+  void servesManyClientsAtOnce() throws Exception {
     start(configuration());
     awaitHealth();
     List<CompletableFuture<String>> answers = new ArrayList<>();
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void cannotStart() throws Exception {
+  void reportsWhyItCannotStart() throws Exception {
     assertEquals(
         "1: tillerlink: 'seed' is missing or not a text",
         failure(configuration().replace("\"seed\"", "\"speed\"")));
@@ -165,7 +165,7 @@
 
   /** Guards the start: signals that come before it listens neither end it nor are lost. */
   @Test
-  void hangUpsWhileItStarts() throws Exception {
+  void survivesHangUpsWhileItStarts() throws Exception {
     Process gateway = start(configuration());
     gateway.errorReader(StandardCharsets.UTF_8).readLine();
     names.close();
@@ -182,7 +182,7 @@
 
   /** Guards the same where SIGHUP was ignored: a file that is replaced before it is watched. */
   @Test
-  void itsConfigurationChangesWhileItStartsAndNobodyHearsSignals() throws Exception {
+  void reloadsAConfigurationThatChangesDuringAStartWithSignalsIgnored() throws Exception {
     Process gateway = start(configuration(), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     gateway.errorReader(StandardCharsets.UTF_8).readLine();
     names.close();
@@ -198,7 +198,7 @@
    * serves, as once.
    */
   @Test
-  void endsWheneverItIsTold() throws Exception {
+  void endsOnATerminationSignalAtAnyMoment() throws Exception {
     Process early = start(configuration());
     early.errorReader(StandardCharsets.UTF_8).readLine();
     early.destroy();
@@ -223,7 +223,7 @@
    * more.
    */
   @Test
-  void readsItsConfigurationAgain() throws Exception {
+  void reloadsItsConfiguration() throws Exception {
     Process gateway = start(configuration());
     awaitHealth();
     names.close();
@@ -249,7 +249,7 @@
    * service has moved.
    */
   @Test
-  void readsItsConfigurationAgainWhereTheSignalIsIgnored() throws Exception {
+  void reloadsItsConfigurationWhereTheSignalIsIgnored() throws Exception {
     start(configuration(), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     awaitHealth();
     names.close();
--- a/gateway/src/test/java/tillerlink/SingleWriterTest.java
+++ b/gateway/src/test/java/tillerlink/SingleWriterTest.java
@@ -47,7 +47,7 @@
 
   /** Right before the one write: the guard's verdict; before the transport gets it: the same. */
   @Test
-  void eachOfThemAsksTheGuard() throws IOException {
+  void eachWriteIsCheckedByTheGuard() throws IOException {
     String link = Files.readString(SOURCES.resolve("net/state/EngineConnection.java"));
     assertEquals(1, count(link, "[^.\\w]want\\(inFlight\\);"));
     assertEquals(
--- a/gateway/src/test/java/tillerlink/TestGateway.java
+++ b/gateway/src/test/java/tillerlink/TestGateway.java
@@ -63,24 +63,7 @@
     clients.clear();
     unsent.clear();
     stuck = false;
-    Map<String, Object> caps =
-        terse
-            ? Map.of("max_attempts", 3L)
-            : Map.of(
-                "max_attempts",
-                3L,
-                "may_cancel",
-                true,
-                "retry_after",
-                true,
-                "max_retry_after_us",
-                1_000_000L,
-                "streams_per_conn",
-                32L,
-                "connect_timeout_us",
-                250_000L,
-                "conn_idle_us",
-                30_000_000L);
+    Map<String, Object> caps = terse ? Map.of("max_attempts", 3L) : TestSettings.caps();
     Map<String, Object> look =
         Map.of(
             "name",
@@ -188,8 +171,8 @@
     return new EndpointEntry(id, address, 5050, "east", "std", 0, Status.READY, 1, 0);
   }
 
-  /** Puts it beside the module, from now on. */
-  TestGateway beside(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
+  /** Adds an extension, from now on. */
+  TestGateway withExtension(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
     gateway.setExtension(made.apply(gateway.extensionContext()));
     return this;
   }
--- a/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
+++ b/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
@@ -29,7 +29,7 @@
    * answers before it must not shrink the room for it.
    */
   @Test
-  void anAnswerOfTheNameServiceComesWholeWhateverCameBefore() throws Exception {
+  void aLongDiscoveryAnswerIsReceivedWholeWhateverCameBefore() throws Exception {
     BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     List<Integer> came = new ArrayList<>();
     try (DatagramSocket names =
@@ -59,7 +59,7 @@
    * time has passed, and what was written before it is not torn by that.
    */
   @Test
-  void aWriteThatIsLateIsWithheldWhole() throws Exception {
+  void aLateWriteExpiresWhole() throws Exception {
     BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     AtomicLong clock = new AtomicLong(1);
     InetAddress here = InetAddress.getLoopbackAddress();
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -144,7 +144,7 @@
    * is served.
    */
   @Test
-  void aCallThatIsUnreadWhenItsIdleConnectionEnds() throws Exception {
+  void aRequestThatIsUnreadWhenItsIdleConnectionCloses() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
     client.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -162,7 +162,7 @@
    * and nothing is sent on.
    */
   @Test
-  void anIdleCloseMeetsACall() throws Exception {
+  void anIdleCloseMeetsARequest() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
     client.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -180,7 +180,7 @@
    * it is waited for.
    */
   @Test
-  void theEndWaitsForACallThatIsHalfRead() throws Exception {
+  void shutdownWaitsForARequestThatIsHalfRead() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
     loopback.turn();
@@ -214,7 +214,7 @@
    * taken within the grace.
    */
   @Test
-  void theNameServiceFallsSilentAfterAnAnswer() throws Exception {
+  void theDiscoveryServiceFallsSilentAfterAnAnswer() throws Exception {
     loopback = new Loopback(1);
     SocketAddress first = answered(2);
     // For a whole grace at the most, and an eighth of it to notice in.
@@ -234,7 +234,7 @@
    * Guards a new configuration: what was asked at the old address is asked at the new one at once.
    */
   @Test
-  void theNameServiceMovesWhileAQuestionIsOut() throws Exception {
+  void theDiscoveryServiceMovesWhileAQueryIsOutstanding() throws Exception {
     loopback = new Loopback(1);
     SocketAddress asker = answered(2);
     loopback.pass(400, 25);
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -38,7 +38,7 @@
 
   /** Guards against taking a pause of this machine for a silent engine. */
   @Test
-  void whatWasSaidDuringAPauseIsHeardBeforeWhatIsDue() throws InterruptedException {
+  void inputOfAPauseIsProcessedBeforeWhatIsDue() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
     GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
     turns = new EventLoop(this::clock);
@@ -60,7 +60,7 @@
    * not be loaded.
    */
   @Test
-  void anEventThatFailsTakesNothingElseWithIt() throws InterruptedException {
+  void aFailingEventDoesNotStopTheOthers() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
     GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
     turns = new EventLoop(() -> now);
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -29,6 +29,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import tillerlink.Lists;
+import tillerlink.TestSettings;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.io.MinaDriver;
 import tillerlink.net.state.Gateway;
@@ -380,23 +381,7 @@
 
     static Map<String, Object> plain() {
       Map<String, Object> terms = new java.util.HashMap<>();
-      terms.put(
-          "caps",
-          Map.of(
-              "max_attempts",
-              3L,
-              "may_cancel",
-              true,
-              "retry_after",
-              true,
-              "max_retry_after_us",
-              1_000_000L,
-              "streams_per_conn",
-              32L,
-              "connect_timeout_us",
-              250_000L,
-              "conn_idle_us",
-              30_000_000L));
+      terms.put("caps", TestSettings.caps());
       terms.put(
           "profiles",
           List.of(
--- a/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
@@ -113,7 +113,7 @@
    * not sent on; what was taken before is answered; no connection is cut.
    */
   @Test
-  void whatIsHalfReadAtTheEndIsRefusedAndWhatRestsEnds() throws Exception {
+  void shutdownRefusesHalfRequestsAndClosesIdleConnections() throws Exception {
     start(folder.resolve("log").toFile(), 1024);
     Peer rests = client();
     rests.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -144,7 +144,7 @@
    * it is told.
    */
   @Test
-  void whatHangsAtTheEndIsAnswered() throws Exception {
+  void shutdownAnswersWhatIsPending() throws Exception {
     start(folder.resolve("log").toFile(), 1024);
     Peer waits = client();
     Engine engine = waitsFor(waits);
@@ -165,7 +165,7 @@
    * tells of engines.
    */
   @Test
-  void idleClientsHoldAllTheyCan() throws Exception {
+  void idleClientsTakeNoPlaceFromOthers() throws Exception {
     start(folder.resolve("log").toFile(), 72, "sh", "-c", "ulimit -n 72; exec \"$@\"", "sh");
     List<Peer> idle = new ArrayList<>();
     for (int i = 0; i < 150; i++) {
@@ -180,7 +180,7 @@
 
   /** Guards against taking a log that can't be written for a reason not to serve. */
   @Test
-  void whoseLogCannotBeWritten() throws Exception {
+  void servesThoughItsLogCannotBeWritten() throws Exception {
     start(new File("/dev/full"), 1024);
     served();
     process.destroy();
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -77,7 +77,7 @@
    * up.
    */
   @Test
-  void aStartThatTakesLong() throws Exception {
+  void aSlowStart() throws Exception {
     names.delay(300);
     start();
     process.errorReader(StandardCharsets.UTF_8).readLine();
@@ -94,7 +94,7 @@
    * Requests wait for a process that stands still; when it goes on, they are read before any news.
    */
   @Test
-  void aProcessThatStoodStill() throws Exception {
+  void aProcessThatWasPaused() throws Exception {
     names.delay(300);
     start();
     awaitListening();
@@ -137,7 +137,7 @@
    * when it was read.
    */
   @Test
-  void theLimitAfterAPause() throws Exception {
+  void theDeadlineAfterAPause() throws Exception {
     start();
     awaitListening();
     burst(10);
--- a/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
+++ b/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
@@ -20,7 +20,7 @@
 
   /** Guards the service: no more than the drain rule needs, and never all at once. */
   @Test
-  void aFleetAsksOnceInAGraceAndNotInStep() {
+  void aFleetSendsOneQueryPerGraceAndNotInStep() {
     Asked asked = new Asked();
     List<DiscoveryClient> fleet = fleet(asked);
     int most = 0;
@@ -42,7 +42,7 @@
    * sent.
    */
   @Test
-  void aLostAnswerIsAskedForAgainWithinTheGrace() {
+  void aLostAnswerIsQueriedAgainWithinTheGrace() {
     Random lost = new Random(5);
     Asked asked = new Asked();
     for (DiscoveryClient one : fleet(asked)) {
@@ -85,7 +85,7 @@
    * gateway either.
    */
   @Test
-  void answersOfNoUseInARow() {
+  void unusableAnswersCountAsUnanswered() {
     Asked asked = new Asked();
     DiscoveryClient one = new DiscoveryClient(asked, 7, 0, GRACE, Telemetry.silent());
     for (long now = 0; now < 5 * SECOND; now += STEP) {
--- a/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
+++ b/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
@@ -40,7 +40,7 @@
    * counted.
    */
   @Test
-  void aTopicIsBoundedInRateAndTellsWhatItLeftOut() {
+  void aTopicIsRateLimitedAndCountsSuppressedLines() {
     PrintStream before = System.err;
     ByteArrayOutputStream written = new ByteArrayOutputStream();
     System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void aSilentOneWritesNothing() {
+  void silentTelemetryWritesNothing() {
     PrintStream before = System.err;
     ByteArrayOutputStream written = new ByteArrayOutputStream();
     System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
