--- a/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
+++ b/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
@@ -23,8 +23,8 @@
 import tillerlink.net.state.NetworkDriver;
 
 /**
- * Reads and writes by Apache MINA. Its threads only post what came to the queue of the thread that
- * owns the state.
+ * Reads and writes by Apache MINA. Its methods are called on the event-loop thread; MINA's threads
+ * only post what came to that thread's queue.
  */
 public final class MinaDriver implements NetworkDriver, Closeable {
   private static final int MAX_READ = 8192;
@@ -44,7 +44,7 @@
   private static final int NEWCOMERS_SHARE = 10;
 
   /**
-   * Pieces read from a connection and not yet taken; the other events are bounded by what was
+   * Pieces read from a connection and not yet processed; the other events are bounded by what was
    * written.
    */
   private static final int MAX_UNREAD = 2;
--- a/gateway/src/main/java/tillerlink/net/io/ReadProcessor.java
+++ b/gateway/src/main/java/tillerlink/net/io/ReadProcessor.java
@@ -41,7 +41,7 @@
     this.clock = clock;
   }
 
-  /** The one place where bytes are handed to the system for a connection. */
+  /** The one place where bytes of a connection are handed to the operating system. */
   @Override
   protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
     if (!(buffer instanceof DeadlineWrite timed) || timed.started()) {
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
@@ -4,13 +4,14 @@
 import tillerlink.plain.Units;
 
 /**
- * The end of a gateway that was told to end. It first goes on serving, for its clients hear of it
- * late. Then it takes nothing further: what comes is refused, connections at rest end, and those
- * that wait end with their answers. Time is kept for the last answers to go out, and for clients to
- * end their side: a process that goes with bytes unread resets their connections.
+ * The shutdown of a gateway. It first goes on serving, for its clients are notified of it late.
+ * Then nothing further is accepted: requests are refused, idle connections close, and those that
+ * wait close with their answers. Time is reserved for the last answers to be written, and for
+ * clients to close their side: a process that ends with bytes unread resets their connections. Used
+ * on the event-loop thread; all times are tenths of a millisecond.
  */
 final class GracefulShutdown {
-  /** Clients may go on coming for this long. */
+  /** New requests are accepted for this long. */
   private static final long STILL_SERVING = 700 * Units.TENTHS_PER_MS;
 
   /**
@@ -19,11 +20,11 @@
    */
   private static final long MAX_DEADLINE = 3000 * Units.TENTHS_PER_MS;
 
-  /** What is kept of that time for the last answers to be called for and to go out. */
+  /** What is reserved of that time for the last answers to be requested and written. */
   private static final long MARGIN = 350 * Units.TENTHS_PER_MS;
 
   /**
-   * How long clients may take to end their side, once all is answered; and what of the margin is
+   * How long clients may take to close their side, once all is answered; and what of the margin is
    * never used.
    */
   private static final long CLIENTS_CLOSE = 200 * Units.TENTHS_PER_MS;
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -44,7 +44,7 @@
   }
 
   /**
-   * One that bears nothing, else a new one, else the one that bears least. Guards against one
+   * One that carries nothing, else a new one, else the one that carries least. Guards against one
    * unreadable response, which ends its connection, that takes other attempts along.
    */
   private EngineConnection connectionFor(InFlightAttempt inFlight) {
@@ -53,7 +53,7 @@
     return opened == null ? connection : opened;
   }
 
-  /** Of the connections with room for one more, the one that bears least, or null. */
+  /** Of the connections that accept one more, the one that carries least, or null. */
   private EngineConnection leastLoaded(String requestId) {
     EngineConnection best = null;
     for (EngineConnection connection : connections) {
@@ -65,7 +65,7 @@
     return best;
   }
 
-  /** A new connection, or null if there is no room for it. */
+  /** A new connection, or null at the limit. */
   private EngineConnection dial() {
     // Each engine has its part, and one connection at the least: with more engines than
     // connections, those that
@@ -81,14 +81,14 @@
     return connection;
   }
 
-  /** Shows whether anybody is there, unless a new connection is about to. */
+  /** Opens a connection to show whether the engine is there, unless one is being opened already. */
   void openAnother() {
     if (connections.stream().noneMatch(EngineConnection::dialing)) {
       dial();
     }
   }
 
-  /** One has ended; if it did not come up, others hear of it. */
+  /** One has ended. */
   void onConnectionEnded(EngineConnection connection) {
     connections.remove(connection);
     owner.connectionCountChanged(-1);
@@ -99,7 +99,7 @@
     List.copyOf(connections).forEach(EngineConnection::onEngineUnreachable);
   }
 
-  /** Whether the engine was seen to be there since then, on any connection. */
+  /** Whether the engine was heard since then, on any connection. */
   boolean heardSince(long then) {
     return connections.stream().anyMatch(connection -> connection.heardSince(then));
   }
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -12,14 +12,14 @@
 
 /**
  * Carries attempts to one engine over HTTP/2: many on few connections, within the engine's limit of
- * streams. An attempt that finds no room waits, for a bounded time; what its ending proves is told
- * to the module as an outcome.
+ * streams. An attempt that finds no stream free waits, for a bounded time; what its ending proves
+ * is its outcome. Owned by the event-loop thread.
  */
 public final class Http2Transport implements EngineTransport {
   private static final int MAX_CONNECTIONS = 4;
   private static final int MAX_STREAMS = 256;
 
-  /** Attempts that wait for room, in times of what one connection bears. */
+  /** How many attempts wait for a stream, in multiples of what one connection carries. */
   private static final int WAITING_FACTOR = 2;
 
   private static final int MAX_RESUMPTIONS = 3;
@@ -33,7 +33,9 @@
   private boolean serving;
 
   /**
-   * @param maxStreams streams on one connection; 0 for a bound of our own
+   * Creates a transport without connections.
+   *
+   * @param maxStreams streams on one connection; 0 for the built-in limit
    */
   public Http2Transport(Owner owner, EngineAddress engineAddress, int maxStreams) {
     this.owner = owner;
@@ -59,7 +61,7 @@
     owner.runInNextIteration(() -> owner.attemptEnded(inFlight, how.outcome(false, false)));
   }
 
-  /** Sends what waits, as far as there is room; opens connections for the rest. */
+  /** Sends what waits, as far as streams are free; opens connections for the rest. */
   void serve() {
     if (serving) {
       return;
@@ -95,7 +97,7 @@
     connection.dial();
   }
 
-  /** Shows whether anybody is there, unless a new connection is about to. */
+  /** Opens a connection to show whether the engine is there, unless one is being opened already. */
   void openAnother() {
     if (connections.stream().noneMatch(Http2EngineConnection::dialing)
         && owner.openConnections() < owner.maxConnections()) {
@@ -109,8 +111,7 @@
   }
 
   /**
-   * A new connection failed: those that do not say that they work end, and what waits has nowhere
-   * to go.
+   * A new connection failed: silent ones end, and what waits ends unless one that works is left.
    */
   void onConnectFailed(AttemptOutcome outcome) {
     List.copyOf(connections).forEach(Http2EngineConnection::onEngineUnreachable);
@@ -130,8 +131,8 @@
   }
 
   /**
-   * Asks for what a result lacks on another connection; false if it can't be, or was tried too
-   * often.
+   * Requests what is missing of a result on another connection; false if that is not possible, or
+   * was tried too often.
    */
   boolean resume(InFlightAttempt inFlight) {
     if (!inFlight.resultStarted()
--- a/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
@@ -3,17 +3,17 @@
 import tillerlink.model.AttemptOutcome;
 
 /**
- * Every way a stream can end, and what each means for the attempt that it bore. Which of them prove
- * that nothing ran is argued line by line in docs/http2-design.md.
+ * Every way a stream can end, and what each means for the attempt on it. Which of them prove that
+ * nothing was executed is argued line by line in docs/http2-design.md.
  */
 public enum StreamTermination {
-  /** Its answer came whole. */
+  /** Its response came whole. */
   ANSWERED,
-  /** The answer says that the engine was full and did not run it. */
+  /** The response says that the engine was full and did not execute it. */
   ANSWERED_FULL,
   /** The answer says that it was over already and was not run. */
   ANSWERED_STALE,
-  /** Any other answer but a good one. */
+  /** Any other response but a result. */
   ANSWERED_ERROR,
   /** Its id is above the last that a GOAWAY names: not acted on (RFC 9113, 6.8). */
   ABOVE_GOAWAY,
@@ -27,20 +27,22 @@
   GARBLED,
   /** The connection ended with the stream open. */
   CUT,
-  /** The connection does not say that it works, and a new one failed too. */
+  /** The connection does not answer a probe, and a new one failed too. */
   SILENT,
-  /** The connection alone does not say that it works. */
+  /** The connection does not answer a probe, while the engine is heard on another. */
   MUTE,
   /** The engine's window stayed shut for a body that was not wholly sent. */
   WINDOW_SHUT,
-  /** Its engine was said to drain before the last byte of the request was handed over. */
+  /** Its engine began to drain before the last byte of the request was handed over. */
   WITHDRAWN,
-  /** No connection had room for it in time. */
+  /** No connection had a stream free for it in time. */
   NO_ROOM,
-  /** Given up here. */
+  /** Cancelled here. */
   CANCELLED;
 
   /**
+   * What it means for the attempt.
+   *
    * @param whole the request may have come whole to the engine: its last byte was written. An
    *     engine acts on a request only when it has come whole (docs/http2-wire.md; a shorter body is
    *     malformed, 8.1.1)
@@ -54,7 +56,7 @@
         : outcome;
   }
 
-  /** Whether what a result lacks may be asked for on another connection. */
+  /** Whether what is missing of a result may be requested on another connection. */
   boolean isResumable() {
     return switch (this) {
       case CUT, MUTE, REFUSED, ABOVE_GOAWAY, RESET_BEFORE_ANSWER, RESET_IN_ANSWER -> true;
