--- a/gateway/src/main/java/tillerlink/Main.java
+++ b/gateway/src/main/java/tillerlink/Main.java
@@ -28,6 +28,7 @@
     Runtime.getRuntime().halt(FAULT);
   }
 
+  @SuppressWarnings("CatchAndPrintStackTrace") // There may be no log yet; the process ends.
   private static int run(String[] args) {
     try {
       switch (args.length == 1 ? args[0] : "") {
--- a/gateway/src/main/java/tillerlink/net/state/DisconnectReason.java
+++ b/gateway/src/main/java/tillerlink/net/state/DisconnectReason.java
@@ -33,6 +33,8 @@
   CLOSED_BY_US;
 
   /**
+   * What it means for an attempt.
+   *
    * @param whole the attempt may have come whole to the engine; else it surely was not executed
    */
   public AttemptOutcome outcome(boolean whole) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -338,8 +338,6 @@
     }
   }
 
-  // ---- the end ----
-
   private void end(DisconnectReason how) {
     end(how, false);
   }
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -106,9 +106,11 @@
     if (pending.settled()) {
       return;
     }
-    boolean again =
+    boolean pure =
         pending.request.requestClass != null
-                && pending.request.requestClass.terms.effect() == Effect.PURE
+            && pending.request.requestClass.terms.effect() == Effect.PURE;
+    boolean again =
+        pure
             || pending.inFlightAttempts.stream()
                 .allMatch(inFlight -> inFlight.refusedByGuard || !inFlight.attempt.mayHaveRun());
     if (again) {
--- a/gateway/src/main/java/tillerlink/net/state/GatewayExtension.java
+++ b/gateway/src/main/java/tillerlink/net/state/GatewayExtension.java
@@ -110,6 +110,8 @@
   @FunctionalInterface
   interface Factory {
     /**
+     * Creates it.
+     *
      * @param context may be used from the first iteration on
      * @param events takes what other threads hand to the event-loop thread
      * @param clock the gateway's clock, read anew; for any thread
--- a/gateway/src/main/java/tillerlink/telemetry/Metrics.java
+++ b/gateway/src/main/java/tillerlink/telemetry/Metrics.java
@@ -43,6 +43,8 @@
   }
 
   /**
+   * Adds a gauge.
+   *
    * @param name without the program's prefix, in snake case and with its unit
    */
   public void gauge(String name, String help, LongSupplier value) {
