--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -83,7 +83,7 @@
    * up.
    */
   @Test
-  void aStartThatTakesLong() throws Exception {
+  void aSlowStart() throws Exception {
     names.delay(300);
     start();
     process.errorReader(StandardCharsets.UTF_8).readLine();
@@ -100,7 +100,7 @@
    * Requests wait for a process that stands still; when it goes on, they are read before any news.
    */
   @Test
-  void aProcessThatStoodStill() throws Exception {
+  void aProcessThatWasPaused() throws Exception {
     names.delay(300);
     start();
     awaitListening();
@@ -143,7 +143,7 @@
    * when it was read.
    */
   @Test
-  void theLimitAfterAPause() throws Exception {
+  void theDeadlineAfterAPause() throws Exception {
     start();
     awaitListening();
     burst(10);
