--- a/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
+++ b/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
@@ -5,8 +5,8 @@
 import tillerlink.model.Attempt;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.Request;
-import tillerlink.policy.SendVerdict;
 import tillerlink.port.DispatchActions;
+import tillerlink.port.SendVerdict;
 
 /**
  * Executes the policy's actions: attempts go to the transports of their engines, rejections and
--- a/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
+++ b/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
@@ -3,7 +3,7 @@
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.Request;
 import tillerlink.plain.Units;
-import tillerlink.policy.SendVerdict;
+import tillerlink.port.SendVerdict;
 import tillerlink.telemetry.Counter;
 import tillerlink.telemetry.EventLog.Topic;
 import tillerlink.telemetry.Telemetry;
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
@@ -1,6 +1,6 @@
 package tillerlink.net.state;
 
-import tillerlink.policy.EndpointListState;
+import tillerlink.port.EndpointListState;
 
 /**
  * Version and state of the endpoint list in force, for whoever logs them. {@link EndpointList}
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import tillerlink.net.wire.EndpointWatchEvent;
 import tillerlink.plain.Units;
-import tillerlink.policy.EndpointListState;
+import tillerlink.port.EndpointListState;
 import tillerlink.telemetry.Counter;
 import tillerlink.telemetry.EventLog.Topic;
 
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -5,7 +5,7 @@
 import tillerlink.net.wire.EngineResponse;
 import tillerlink.net.wire.EngineResponseParser;
 import tillerlink.plain.Units;
-import tillerlink.policy.SendVerdict;
+import tillerlink.port.SendVerdict;
 import tillerlink.telemetry.Counter;
 import tillerlink.telemetry.EventLog.Topic;
 
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
@@ -3,7 +3,7 @@
 import java.net.InetSocketAddress;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.AttemptProgress;
-import tillerlink.policy.SendVerdict;
+import tillerlink.port.SendVerdict;
 import tillerlink.telemetry.Telemetry;
 
 /**
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -5,7 +5,7 @@
 import tillerlink.model.AttemptProgress;
 import tillerlink.model.Settings;
 import tillerlink.net.wire.ResultEncoder;
-import tillerlink.policy.SendVerdict;
+import tillerlink.port.SendVerdict;
 import tillerlink.telemetry.Telemetry;
 
 /**
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -5,7 +5,7 @@
 import tillerlink.model.Attempt;
 import tillerlink.net.wire.ResultEncoder;
 import tillerlink.plain.Units;
-import tillerlink.policy.SendVerdict;
+import tillerlink.port.SendVerdict;
 
 /**
  * An attempt in flight: the connection that carries it, and what has come of its result. Owned by
--- a/gateway/src/main/java/tillerlink/net/state/PolicyEvents.java
+++ b/gateway/src/main/java/tillerlink/net/state/PolicyEvents.java
@@ -3,9 +3,9 @@
 import tillerlink.model.Attempt;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.AttemptProgress;
-import tillerlink.policy.EndpointListState;
-import tillerlink.policy.SendVerdict;
 import tillerlink.port.DispatchPolicy;
+import tillerlink.port.EndpointListState;
+import tillerlink.port.SendVerdict;
 import tillerlink.telemetry.Counter;
 import tillerlink.telemetry.Telemetry;
 
--- a/gateway/src/main/java/tillerlink/policy/AdmissionController.java
+++ b/gateway/src/main/java/tillerlink/policy/AdmissionController.java
@@ -9,6 +9,7 @@
 import tillerlink.model.RequestOutcome;
 import tillerlink.model.RequestTimers;
 import tillerlink.model.TerminationReason;
+import tillerlink.port.EndpointListState;
 
 /**
  * Decides which requests wait for an engine, and terminates those that would come too late: load
--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -16,6 +16,8 @@
 import tillerlink.model.TerminationReason;
 import tillerlink.port.DispatchActions;
 import tillerlink.port.DispatchPolicy;
+import tillerlink.port.EndpointListState;
+import tillerlink.port.SendVerdict;
 
 /**
  * All decisions of one gateway: what runs, where, and with how much memory.
--- a/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
+++ b/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
@@ -2,6 +2,7 @@
 
 import java.util.ArrayDeque;
 import tillerlink.plain.Units;
+import tillerlink.port.EndpointListState;
 
 /**
  * Until when the endpoint list may be used for new attempts, given what this process can know.
--- a/gateway/src/main/java/tillerlink/policy/EngineSelector.java
+++ b/gateway/src/main/java/tillerlink/policy/EngineSelector.java
@@ -11,6 +11,7 @@
 import tillerlink.model.RequestClass;
 import tillerlink.model.RequestClassConfig;
 import tillerlink.policy.ConcurrencyLimiter.Capacity;
+import tillerlink.port.SendVerdict;
 
 /**
  * Chooses the engine for a request: the one with the fewest requests of its class for each core,
--- a/gateway/src/main/java/tillerlink/policy/RetryPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/RetryPolicy.java
@@ -5,6 +5,7 @@
 import tillerlink.model.Engine;
 import tillerlink.model.Request;
 import tillerlink.model.RequestClass;
+import tillerlink.port.SendVerdict;
 
 /**
  * Decides whether a request is worth another attempt, and whether a running attempt is slow enough
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -6,6 +6,7 @@
 import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.model.RequestClassConfig;
+import tillerlink.port.SendVerdict;
 
 /**
  * The one guard in front of every attempt. It is called when an engine is chosen and again right
--- a/gateway/src/main/java/tillerlink/port/DispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/port/DispatchPolicy.java
@@ -6,8 +6,6 @@
 import tillerlink.model.AttemptProgress;
 import tillerlink.model.EndpointUpdate;
 import tillerlink.model.Request;
-import tillerlink.policy.EndpointListState;
-import tillerlink.policy.SendVerdict;
 
 /**
  * The events of one gateway, passed to its policy in the order in which they happened, on the event
--- a/gateway/src/main/java/tillerlink/policy/EndpointListState.java
+++ b/gateway/src/main/java/tillerlink/port/EndpointListState.java
@@ -1,4 +1,4 @@
-package tillerlink.policy;
+package tillerlink.port;
 
 /** How far the endpoint list may be trusted for new attempts. */
 public enum EndpointListState {
--- a/gateway/src/main/java/tillerlink/policy/SendVerdict.java
+++ b/gateway/src/main/java/tillerlink/port/SendVerdict.java
@@ -1,4 +1,4 @@
-package tillerlink.policy;
+package tillerlink.port;
 
 /** What the guard says of an attempt that is about to be sent, with its reason. */
 public enum SendVerdict {
--- a/gateway/src/test/java/tillerlink/RetryBudgetTest.java
+++ b/gateway/src/test/java/tillerlink/RetryBudgetTest.java
@@ -15,8 +15,8 @@
 import tillerlink.model.Engine.Status;
 import tillerlink.model.Request;
 import tillerlink.policy.DefaultDispatchPolicy;
-import tillerlink.policy.SendVerdict;
 import tillerlink.port.DispatchActions;
+import tillerlink.port.SendVerdict;
 
 /**
  * The retry budget counts retries by when they are written, which is later than they are placed
--- a/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
+++ b/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
@@ -6,6 +6,7 @@
 
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import tillerlink.port.EndpointListState;
 
 /** Times are tenths of a millisecond; the grace is half a second. */
 class DiscoveryLeaseTest {
--- a/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
+++ b/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
@@ -17,6 +17,7 @@
 import tillerlink.model.RequestClass;
 import tillerlink.model.RequestClassConfig;
 import tillerlink.model.RequestOutcome;
+import tillerlink.port.SendVerdict;
 
 /**
  * Every reason for which the guard denies an attempt, one by one. Times are tenths of a
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -14,7 +14,7 @@
 import tillerlink.net.state.EngineAddress;
 import tillerlink.net.state.EngineTransport;
 import tillerlink.net.state.InFlightAttempt;
-import tillerlink.policy.SendVerdict;
+import tillerlink.port.SendVerdict;
 
 /**
  * One HTTP/2 connection to an engine: attempts are streams on it, as docs/http2-wire.md defines
