--- a/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
@@ -5,7 +5,6 @@
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
@@ -56,17 +55,14 @@
   private CostMeter costMeter;
   private FaultChooser faults = FaultChooser.NONE;
   private Random deliveryJitter;
-
   final DeduplicationLog deduplicationLog;
   private final Map<String, RequestCost> requestCosts = new HashMap<>();
   private final Map<InetSocketAddress, EmulatedEngine> byAddress = new HashMap<>();
   private final Map<String, EmulatedEngine> byName = new LinkedHashMap<>();
   private final Map<String, EndpointEntry> endpoints = new LinkedHashMap<>();
-  private final List<String> incidents = new ArrayList<>();
-  private final List<IntConsumer> killListeners = new ArrayList<>();
-  private final List<IntConsumer> startListeners = new ArrayList<>();
+  private final IncidentLog incidents;
+  private final GatewayKills gatewayKills = new GatewayKills(this);
   private final List<Consumer<EmulatedEngine>> engineListeners = new ArrayList<>();
-  private long incidentClockStart;
   private byte[] discoveryResponse;
   private long listVersion = 1;
   private int enginesStarted;
@@ -79,7 +75,7 @@
     protocolFactory = spec -> fleet.kinds().get(spec.kind()).newServer();
     this.requestClasses = requestClasses;
     this.auditor = auditor;
-    incidentClockStart = start;
+    incidents = new IncidentLog(start);
     timeline = new Timeline(start);
     deduplicationLog =
         new DeduplicationLog(
@@ -101,7 +97,7 @@
 
   /** Sets the moment from which the times of planned troubles count. */
   public void startIncidentClock(long at) {
-    incidentClockStart = at;
+    incidents.startClock(at);
   }
 
   public long now() {
@@ -280,18 +276,16 @@
     }
   }
 
-  // ---- troubles ----
-
   /**
    * Plans a trouble. If what it names does not exist by then, the incident list says so instead.
    */
   public void plan(ScheduledFault trouble) {
-    timeline.at(incidentClockStart + trouble.at(), () -> begin(trouble));
+    timeline.at(incidents.clockStart() + trouble.at(), () -> begin(trouble));
   }
 
   private void begin(ScheduledFault trouble) {
     if (trouble.what() == ScheduledFault.What.KILLED) {
-      killGateway(trouble);
+      gatewayKills.kill(trouble);
       return;
     }
     EmulatedEngine engine = byName.get(trouble.whom());
@@ -323,16 +317,16 @@
     }
   }
 
-  private void endSlowness(EmulatedEngine engine) {
-    engine.slow(1);
-    logIncident(engine.spec.name() + " is as fast as before");
-  }
-
   private void endSilence(EmulatedEngine engine) {
     engine.silence(false);
     logIncident(engine.spec.name() + " is heard again");
   }
 
+  private void endSlowness(EmulatedEngine engine) {
+    engine.slow(1);
+    logIncident(engine.spec.name() + " is as fast as before");
+  }
+
   private void drain(EmulatedEngine engine, long until) {
     updateEndpoint(engine.spec.name(), Status.DRAINING);
     engine.drain();
@@ -377,56 +371,30 @@
     logIncident(name + " takes its place, cold");
   }
 
-  private void killGateway(ScheduledFault trouble) {
-    int index =
-        trouble.whom().matches("n[0-9]{1,6}") ? Integer.parseInt(trouble.whom().substring(1)) : -1;
-    if (index < 0 || index >= fleet.gateways()) {
-      logIncident(trouble.whom() + " is not there");
-      return;
-    }
-    killListeners.forEach(listener -> listener.accept(index));
-    auditor.onGatewayKilled(index);
-    logIncident(trouble.whom() + " is killed");
-    timeline.at(
-        now() + trouble.lasts(),
-        () -> {
-          startListeners.forEach(listener -> listener.accept(index));
-          logIncident(trouble.whom() + " starts anew");
-        });
-  }
-
   /** Calls the listener with a gateway's index just before it is killed. */
   public void onKill(IntConsumer listener) {
-    killListeners.add(listener);
+    gatewayKills.onKill(listener);
   }
 
   /** Calls the listener with a gateway's index when it starts again. */
   public void onStart(IntConsumer listener) {
-    startListeners.add(listener);
+    gatewayKills.onStart(listener);
   }
 
-  private void logIncident(String what) {
-    incidents.add(
-        String.format(
-            Locale.ROOT,
-            "%8.1f s  %s",
-            (now() - incidentClockStart) / (double) Fleet.SECOND,
-            what));
+  /** Adds a line to the incidents, with the time since they are counted. */
+  void logIncident(String what) {
+    incidents.add(now(), what);
   }
 
   /** The incidents so far, a line each. */
   public List<String> incidents() {
-    return incidents;
+    return incidents.lines();
   }
 
   /** The share of its cores that each present engine has used over that time. */
   public Map<String, Double> utilization(long time) {
     Map<String, Double> utilization = new LinkedHashMap<>();
-    byName.forEach(
-        (name, engine) ->
-            utilization.put(
-                name,
-                engine.coreTimeUsed() / time / fleet.kinds().get(engine.spec.kind()).cores()));
+    byName.forEach((name, engine) -> utilization.put(name, engine.utilization(time)));
     return utilization;
   }
 }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
@@ -318,4 +318,9 @@
   int running() {
     return cores.running();
   }
+
+  /** The share of its cores that it has used over that time. */
+  double utilization(long time) {
+    return coreTimeUsed() / time / cluster.fleet.kinds().get(spec.kind()).cores();
+  }
 }
