--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -15,8 +15,8 @@
 import org.openjdk.jmh.annotations.Setup;
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
+import tillerlink.fleet.EngineSpec;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Spec;
 import tillerlink.model.Attempt;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.model.EndpointUpdate;
@@ -27,7 +27,7 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 import tillerlink.port.DispatchActions;
 import tillerlink.trace.Layout;
-import tillerlink.workload.BuiltIn;
+import tillerlink.workload.BuiltInRequestClasses;
 
 /**
  * What a list and a decision cost the module in fleets of 36, 300 and 1,024 engines, with a tenth
@@ -55,9 +55,10 @@
   public void start() {
     Fleet fleet = Fleet.of(100, engines);
     Map<String, Object> settings =
-        FlattenedConfig.of(fleet.settings(BuiltIn.requestClasses(Layout.ALIBABA_2018), 0));
+        FlattenedConfig.of(
+            fleet.settings(BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018), 0));
     policy = new DefaultDispatchPolicy(now, 7, settings, new Nobody());
-    for (Spec spec : fleet.engines()) {
+    for (EngineSpec spec : fleet.engines()) {
       list.add(
           new EndpointUpdate(
               new Engine(spec.name()), spec.kind(), spec.zone(), 0, 1, Status.READY, 0));
--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -3,15 +3,15 @@
 import java.util.List;
 import java.util.Locale;
 import tillerlink.audit.Auditor;
-import tillerlink.emulator.Meter;
-import tillerlink.emulator.World;
+import tillerlink.emulator.CostMeter;
+import tillerlink.emulator.EmulatedCluster;
 import tillerlink.fleet.Fleet;
 import tillerlink.model.Effect;
 import tillerlink.policy.DefaultDispatchPolicy;
-import tillerlink.replay.Figures;
-import tillerlink.replay.Front;
 import tillerlink.replay.GatewayConnections;
-import tillerlink.replay.Wording;
+import tillerlink.replay.ReplayClients;
+import tillerlink.replay.ReplayMetrics;
+import tillerlink.replay.RequestEncoder;
 import tillerlink.workload.Arrival;
 import tillerlink.workload.RequestClassSpec;
 
@@ -39,31 +39,31 @@
     }
   }
 
-  private static World world(boolean http2) {
+  private static EmulatedCluster cluster(boolean http2) {
     Fleet fleet = Fleet.of(1, 30).overHttp2(kind -> http2);
-    return new World(
+    return new EmulatedCluster(
             fleet, List.of(REQUEST_CLASS), new Auditor(fleet, List.of(REQUEST_CLASS)), START)
-        .seat(DefaultDispatchPolicy::new, 1);
+        .startGateways(DefaultDispatchPolicy::new, 1);
   }
 
   private static void inFlight(boolean http2) {
-    World world = world(http2);
-    Front front =
-        new Front(
-            world,
-            new GatewayConnections(world),
-            new Figures(List.of(REQUEST_CLASS)),
-            new Wording(1, 0));
+    EmulatedCluster cluster = cluster(http2);
+    ReplayClients clients =
+        new ReplayClients(
+            cluster,
+            new GatewayConnections(cluster),
+            new ReplayMetrics(List.of(REQUEST_CLASS)),
+            new RequestEncoder(1, 0));
     for (int i = 0; i < 1000; i++) {
       Arrival arrival = new Arrival(i * 10, i, 0, 60_000, 1, i % 64, i);
-      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
     int most = 0;
     int outMost = 0;
-    while (world.now() < START + 30_000) {
-      world.timeline.step();
-      most = Math.max(most, world.seats.get(0).links());
-      outMost = Math.max(outMost, front.open());
+    while (cluster.now() < START + 30_000) {
+      cluster.timeline.step();
+      most = Math.max(most, cluster.gateway(0).engineConnections());
+      outMost = Math.max(outMost, clients.open());
     }
     System.out.printf(
         Locale.ROOT,
@@ -74,32 +74,35 @@
   }
 
   private static void atHalfLoad(boolean http2) {
-    World world = world(http2);
-    world.meter = new Meter();
-    Figures figures = new Figures(List.of(REQUEST_CLASS));
-    Front front = new Front(world, new GatewayConnections(world), figures, new Wording(1, 0.2));
-    double gap = 500 / (world.fleet.cores() * 0.5);
+    EmulatedCluster cluster = cluster(http2);
+    CostMeter meter = new CostMeter();
+    cluster.costMeter(meter);
+    ReplayMetrics metrics = new ReplayMetrics(List.of(REQUEST_CLASS));
+    ReplayClients clients =
+        new ReplayClients(
+            cluster, new GatewayConnections(cluster), metrics, new RequestEncoder(1, 0.2));
+    double gap = 500 / (cluster.fleet.cores() * 0.5);
     for (int i = 0; i < REQUESTS; i++) {
       Arrival arrival = new Arrival((long) (i * gap), i, 0, 500, 1, i % 64, i);
-      world.timeline.at(START + arrival.at(), () -> front.arrive(arrival));
+      cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
     long began = System.nanoTime();
-    while (figures.arrived() < REQUESTS || front.open() > 0) {
-      world.timeline.step();
+    while (metrics.arrived() < REQUESTS || clients.open() > 0) {
+      cluster.timeline.step();
     }
     double seconds = (System.nanoTime() - began) / 1e9;
-    Figures.OfRequestClass of = figures.requestClasses().get(0);
+    ReplayMetrics.RequestClassMetrics of = metrics.requestClasses().get(0);
     System.out.printf(
         Locale.ROOT,
         "%s: %.1f us and %d bytes of a gateway a submission, %.0f a second with "
             + "all stand-ins, half in %.1f ms, 99 of 100 in %.1f ms, %d connections%n",
         name(http2),
-        world.meter.nanos() / 1e3 / REQUESTS,
-        world.meter.bytes() / REQUESTS,
+        meter.nanos() / 1e3 / REQUESTS,
+        meter.bytes() / REQUESTS,
         REQUESTS / seconds,
         of.timeMs(50),
         of.timeMs(99),
-        world.seats.get(0).links());
+        cluster.gateway(0).engineConnections());
   }
 
   private static String name(boolean http2) {
--- a/channels/src/test/java/tillerlink/channels/History.java
+++ b/channels/src/test/java/tillerlink/channels/History.java
@@ -43,7 +43,8 @@
     return new Fleet(
         seed,
         names,
-        new Terms(List.of("n1", "s1", "w1"), 50_000, 30_000, 64 << 20, seed % 3 == 0 ? 5 : 40, 8));
+        new ChannelLogConfig(
+            List.of("n1", "s1", "w1"), 50_000, 30_000, 64 << 20, seed % 3 == 0 ? 5 : 40, 8));
   }
 
   List<String> play() {
@@ -119,7 +120,7 @@
       }
       case 3 -> {
         say("bad");
-        fleet.net.usual(Fault.bad(0.2, 0.1, 5000));
+        fleet.net.setDefaultFault(Fault.bad(0.2, 0.1, 5000));
       }
       case 4 -> {
         say("pause " + name);
@@ -140,7 +141,7 @@
 
   private void heal() {
     say("calm");
-    fleet.net.usual(Fault.NONE);
+    fleet.net.setDefaultFault(Fault.NONE);
     fleet.net.heal();
     for (String name : fleet.names) {
       fleet.net.setClock(name, 0);
@@ -182,10 +183,10 @@
     } else if (die < 26) {
       say("heal");
       fleet.net.heal();
-      fleet.net.usual(Fault.NONE);
+      fleet.net.setDefaultFault(Fault.NONE);
     } else if (die < 27) {
       say("bad");
-      fleet.net.usual(Fault.bad(0.2, 0.1, 5000));
+      fleet.net.setDefaultFault(Fault.bad(0.2, 0.1, 5000));
     } else if (die < 30) {
       if (fleet.running.containsKey(name)) {
         say("pause " + name);
@@ -249,7 +250,7 @@
       return;
     }
     recovering.put(name, fleet.net.now());
-    note(name);
+    noteWhatMayBeLost();
     if (die < 39 && fleet.copies.containsKey(name)) {
       say("old copy " + name);
       fleet.start(name, InMemoryKeyValueStore.of(fleet.net, 5, fleet.copies.get(name)));
@@ -259,8 +260,8 @@
     }
   }
 
-  /** What only the disk that goes now holds can't come back. */
-  private void note(String gone) {
+  /** What only the disk that is lost now holds can't come back. */
+  private void noteWhatMayBeLost() {
     Set<String> elsewhere = new TreeSet<>();
     fleet.running.forEach(
         (name, channels) -> {
--- a/channels/src/test/java/tillerlink/channels/PlantedFaultsTest.java
+++ b/channels/src/test/java/tillerlink/channels/InjectedFaultsTest.java
@@ -6,17 +6,20 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
+import java.util.Map;
+import java.util.NavigableMap;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
 import java.util.random.RandomGenerator;
 import org.junit.jupiter.api.Test;
 import tillerlink.channels.journal.ChannelLog;
+import tillerlink.channels.journal.EventSet;
 import tillerlink.messages.channels.Ballot;
 import tillerlink.messages.channels.Span;
 import tillerlink.simulation.InMemoryKeyValueStore;
 
-/** Each check can fail: faults planted in the machines' insides, and what caught them. */
-class PlantedFaultsTest {
+/** Each check can fail: faults injected into the state of gateways, and what caught them. */
+class InjectedFaultsTest {
   private static final int SEEDS = 40;
 
   private static Object get(Object of, String... path) {
@@ -44,10 +47,10 @@
   }
 
   /** What caught it first, over some seeds: an invariant's first words, or the audit's. */
-  private static String caught(Consumer<History> plant) {
+  private static String caught(Consumer<History> fault) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       History history = new History(seed, 40);
-      plant.accept(history);
+      fault.accept(history);
       try {
         List<String> violations = history.play();
         if (!violations.isEmpty()) {
@@ -73,15 +76,20 @@
   }
 
   @Test
-  void promisesThatAreForgotten() {
+  void aForgottenPromiseIsCaught() {
     assertEquals(
         "invariant broken: promised less than was accepted",
         caught(
-            each(channels -> set(get(channels, "agreement", "voting"), "promised", Ballot.NONE))));
+            each(
+                channels ->
+                    set(
+                        get(channels, "consensus", "acceptor", "state"),
+                        "promised",
+                        Ballot.NONE))));
   }
 
   @Test
-  void anOwnNumberUsedTwice() {
+  void aSequenceNumberUsedTwiceIsCaught() {
     assertEquals(
         "invariant broken: an own number is used a second time",
         caught(
@@ -94,7 +102,7 @@
   }
 
   @Test
-  void oneIncarnationForTwoProcesses() {
+  void oneIncarnationOfTwoProcessesIsCaught() {
     assertEquals(
         "invariant broken: two events are called ID",
         caught(
@@ -102,7 +110,7 @@
               RandomGenerator same = new SplittableRandom(1);
               history.fleet.wallOf =
                   name -> 1_000_000_000L * (1 + history.fleet.names.indexOf(name));
-              history.fleet.chanceOf =
+              history.fleet.randomOf =
                   name ->
                       new RandomGenerator() {
                         @Override
@@ -128,31 +136,30 @@
   }
 
   @Test
-  void aVectorThatDoesNotCoverWhatIsHeld() {
+  void anEventSetWithoutAHeldEventIsCaught() {
     assertEquals(
         "invariant broken: the vectors do not cover what is held",
         caught(
             each(
                 channels -> {
-                  tillerlink.channels.journal.EventSet extra =
-                      (tillerlink.channels.journal.EventSet) get(channels, "journal", "extra");
-                  List<Span> spans = extra.spans();
+                  EventSet provisional =
+                      (EventSet) get(channels, "journal", "events", "provisional");
+                  List<Span> spans = provisional.spans();
                   if (spans.size() > 1) {
-                    extra.remove(spans.get(0));
+                    provisional.remove(spans.get(0));
                   }
                 })));
   }
 
   @Test
-  void stableEventsThatChangePlaces() {
+  void stableEventsThatChangePlacesAreCaught() {
     assertEquals(
         "audit: stable",
         caught(
             each(
                 channels -> {
                   ChannelLog log =
-                      (ChannelLog)
-                          ((java.util.Map<?, ?>) get(channels, "journal", "logs")).get("news");
+                      (ChannelLog) ((Map<?, ?>) get(channels, "journal", "logs")).get("news");
                   List<?> stable = log == null ? List.of() : (ArrayList<?>) get(log, "stable");
                   if (stable.size() > 3 && stable.size() % 3 == 0) {
                     Collections.swap(stable, 0, 1);
@@ -161,7 +168,7 @@
   }
 
   @Test
-  void anotherOrderAtOneGateway() {
+  void anotherOrderAtOneGatewayIsCaught() {
     assertEquals(
         "invariant broken: stable events up to step N",
         caught(
@@ -174,26 +181,27 @@
   }
 
   @Test
-  void operatorsFilesThatCountOthersIn() {
+  void differentCountedGatewaysAreCaught() {
     assertEquals(
         "invariant broken: stable events up to step N",
         caught(
             history -> {
-              history.fleet.termsOf =
-                  name -> name.equals("s1") ? Terms.of(List.of("s1")) : history.fleet.terms;
+              history.fleet.configOf =
+                  name ->
+                      name.equals("s1") ? ChannelLogConfig.of(List.of("s1")) : history.fleet.config;
               history.each = () -> history.fleet.cut(List.of("s1"));
             }));
   }
 
   @Test
-  void aClockThatForgetsWhatItSaw() {
+  void aClockThatForgetsObservedStampsIsCaught() {
     assertEquals(
         "audit: ID is stamped before what its writer had seen",
-        caught(each(channels -> set(get(channels, "stamps"), "last", 0L))));
+        caught(each(channels -> set(get(channels, "clock"), "last", 0L))));
   }
 
   @Test
-  void aDiskThatSaysItKeptAndDidNot() {
+  void aDiskThatLosesDurableEventsIsCaught() {
     assertEquals(
         "audit: n1 news has provisional events",
         caught(
@@ -201,16 +209,15 @@
                 history.each =
                     () -> {
                       for (String name : history.fleet.running.keySet()) {
-                        java.util.NavigableMap<?, ?> disk =
-                            (java.util.NavigableMap<?, ?>)
-                                get(history.fleet.disks.get(name), "disk");
+                        NavigableMap<?, ?> disk =
+                            (NavigableMap<?, ?>) get(history.fleet.disks.get(name), "disk");
                         disk.keySet().removeIf(key -> key.toString().startsWith("e/"));
                       }
                     }));
   }
 
   @Test
-  void aVoteBeforeTheOthersWereAsked() {
+  void aVoteBeforeTheOthersAnsweredIsCaught() {
     assertEquals(
         "audit: stable",
         caught(
@@ -222,7 +229,10 @@
                           history.fleet.kill(name);
                           history.fleet.start(
                               name, new InMemoryKeyValueStore(history.fleet.net, 5));
-                          set(get(history.fleet.running.get(name), "agreement"), "votes", true);
+                          set(
+                              get(history.fleet.running.get(name), "consensus", "acceptor"),
+                              "votes",
+                              true);
                         }
                       }
                     }));
--- a/channels/src/test/java/tillerlink/channels/LogTest.java
+++ b/channels/src/test/java/tillerlink/channels/LogTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 class LogTest {
@@ -12,7 +11,7 @@
 
   @Test
   void appendsBecomeStableEverywhereInOneOrder() {
-    Fleet fleet = new Fleet(1, List.of("n1", "n2", "s1", "w1"), Terms.of(THREE));
+    Fleet fleet = new Fleet(1, List.of("n1", "n2", "s1", "w1"), ChannelLogConfig.of(THREE));
     fleet.startAll();
     fleet.net.playFor(2 * Fleet.SECOND);
     for (int i = 0; i < 40; i++) {
@@ -21,14 +20,13 @@
       fleet.lookAll();
     }
     fleet.net.playFor(5 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertEquals(40, fleet.running.get("n2").read("news", 0, Fleet.ALL).stable());
   }
 
   @Test
-  void whoIsCutOffGoesOnAndItsEventsComeLate() {
-    Fleet fleet = new Fleet(2, THREE, Terms.of(THREE));
+  void aGatewayThatIsCutOffAcceptsAppendsAndTheyComeLate() {
+    Fleet fleet = new Fleet(2, THREE, ChannelLogConfig.of(THREE));
     fleet.startAll();
     fleet.net.playFor(2 * Fleet.SECOND);
     fleet.append("n1", "news", Fleet.cue("a", "before"));
@@ -50,8 +48,7 @@
         "it alone agrees on nothing");
     fleet.net.heal();
     fleet.net.playFor(10 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertEquals(THREE, fleet.running.get("n1").state().voters());
     assertTrue(
         fleet.running.get("n1").read("news", 0, Fleet.ALL).lines().stream()
--- a/channels/src/test/java/tillerlink/channels/MergeMeasure.java
+++ b/channels/src/test/java/tillerlink/channels/MergeMeasure.java
@@ -30,7 +30,7 @@
   }
 
   private static Fleet apart(int events) {
-    Fleet fleet = new Fleet(1, THREE, Terms.of(THREE, 100_000, 60_000, 1L << 30, 64));
+    Fleet fleet = new Fleet(1, THREE, ChannelLogConfig.of(THREE, 100_000, 60_000, 1L << 30, 64));
     fleet.startAll();
     fleet.net.playFor(3 * Fleet.SECOND);
     fleet.cut(List.of("w1"));
@@ -52,7 +52,7 @@
       Entry entry = line.entry();
       missing += 2L * EntryCodec.bytes(entry).length;
     }
-    fleet.net.usual(fault);
+    fleet.net.setDefaultFault(fault);
     fleet.net.heal();
     long began = fleet.net.now();
     long bytes = fleet.net.sentBytes();
@@ -85,7 +85,8 @@
   }
 
   private static void memory(int events) {
-    Fleet none = apart(0);
+    // The first run loads the classes, so that they don't count.
+    apart(0);
     long before = used();
     Fleet fleet = apart(events);
     fleet.answered.clear();
--- a/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
+++ b/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
@@ -5,7 +5,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import java.util.Set;
 import org.junit.jupiter.api.Test;
 import tillerlink.channels.entry.AppendRequest;
 import tillerlink.cluster.MessageSender;
@@ -13,7 +12,7 @@
 import tillerlink.simulation.Fault;
 import tillerlink.simulation.InMemoryKeyValueStore;
 
-/** Compaction, the sum for those far behind, bounds, full disks, links for small messages. */
+/** Compaction, catching up from compacted state, quotas, full disks, links for small messages. */
 class StorageQuotaTest {
   private static final List<String> THREE = List.of("n1", "s1", "w1");
 
@@ -22,7 +21,7 @@
   }
 
   private static Fleet fleet(List<String> names, long bytes, int cuts) {
-    Fleet fleet = new Fleet(3, names, new Terms(THREE, 50_000, 60_000, bytes, cuts, 8));
+    Fleet fleet = new Fleet(3, names, new ChannelLogConfig(THREE, 50_000, 60_000, bytes, cuts, 8));
     fleet.startAll();
     fleet.net.playFor(Fleet.SECOND);
     return fleet;
@@ -41,7 +40,7 @@
   }
 
   @Test
-  void whoIsFarBehindStartsFromTheSumWithItsOwnOnTop() {
+  void aGatewayFarBehindStartsFromCompactedStateAndKeepsItsOwnEvents() {
     Fleet fleet = fleet(64 << 20, 8);
     fleet.cut(List.of("w1"));
     write(fleet, "w1", 5);
@@ -49,8 +48,7 @@
     assertTrue(fleet.running.get("n1").state().compacted() > 20, "the two others have compacted");
     fleet.net.heal();
     fleet.net.playFor(20 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     Page page = fleet.running.get("w1").read("news", 0, Fleet.ALL);
     assertEquals(65, page.stable());
     assertEquals(
@@ -68,12 +66,11 @@
         fleet.running.get("w1").read("news", 0, Fleet.ALL).stable(),
         "what it started from is kept");
     fleet.net.playFor(5 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
   }
 
   @Test
-  void aFullChannelRefusesAndOthersGoOnAndNothingIsLost() {
+  void aFullChannelRefusesAppendsWhileOthersAcceptThem() {
     Fleet fleet = fleet(400_000, 1000);
     fleet.cut(List.of("w1"));
     int before = 0;
@@ -94,8 +91,7 @@
     fleet.append("w1", "loud", note("again"));
     fleet.net.playFor(10 * Fleet.SECOND);
     assertEquals(1, fleet.refused, "once all is agreed on there is room again");
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertTrue(
         fleet.running.values().stream().allMatch(one -> one.state().bytes() <= 400_000),
         "bounds hold");
@@ -112,12 +108,11 @@
     assertEquals(6, fleet.running.get("n1").read("news", 0, Fleet.ALL).lines().size());
     fleet.disks.get("w1").full(false);
     fleet.net.playFor(10 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
   }
 
   @Test
-  void aLostDiskIsGivenBackItsPastAndItIsTold() {
+  void eventsOfALostDiskAreSentBackAndTheLossIsLogged() {
     Fleet fleet = fleet(64 << 20, 1000);
     write(fleet, "w1", 4);
     fleet.kill("w1");
@@ -125,8 +120,7 @@
     fleet.net.playFor(10 * Fleet.SECOND);
     write(fleet, "w1", 2);
     fleet.net.playFor(10 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertEquals(4, fleet.running.get("w1").state().ownTakenBack());
     assertTrue(
         fleet.log.contains(
@@ -136,9 +130,9 @@
   }
 
   @Test
-  void linksForSmallMessagesCarryAll() {
+  void linksForSmallMessagesCarryAllEvents() {
     Fleet fleet = fleet(64 << 20, 8);
-    fleet.net.usual(Fault.small(MessageSender.BYTES_EASY));
+    fleet.net.setDefaultFault(Fault.small(MessageSender.SINGLE_DATAGRAM_BYTES));
     fleet.cut(List.of("w1"));
     for (int i = 0; i < 300; i++) {
       fleet.append("w1", "news", Fleet.cue("c".repeat(60) + i % 7, "x".repeat(400)));
@@ -147,12 +141,11 @@
     }
     fleet.net.heal();
     fleet.net.playFor(30 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
   }
 
   @Test
-  void piecesShrinkForALinkThatCarriesStillLess() {
+  void piecesShrinkForLinksThatCarryStillLess() {
     Fleet fleet = fleet(64 << 20, 1000);
     fleet.cut(List.of("w1"));
     for (int i = 0; i < 300; i++) {
@@ -160,14 +153,13 @@
       fleet.net.playFor(100);
     }
     fleet.net.heal();
-    fleet.net.usual(Fault.small(280));
+    fleet.net.setDefaultFault(Fault.small(280));
     fleet.net.playFor(60 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
   }
 
   @Test
-  void aClockThatIsAheadIsRefusedAndSaid() {
+  void appendsAreRefusedWhileTheClockIsTooFarAhead() {
     Fleet fleet = fleet(64 << 20, 1000);
     fleet.net.playFor(3 * Fleet.SECOND);
     fleet.net.setClock("w1", 300 * Fleet.SECOND);
@@ -176,8 +168,7 @@
     fleet.net.setClock("w1", -300 * Fleet.SECOND);
     write(fleet, "w1", 2);
     fleet.net.playFor(10 * Fleet.SECOND);
-    fleet.audit(Set.of());
-    assertEquals(List.of(), fleet.violations);
+    fleet.assertAuditPasses();
     assertFalse(fleet.running.get("n1").read("news", 0, Fleet.ALL).lines().get(1).late());
   }
 }
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -4,136 +4,329 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One engine as this gateway knows it: what it was told, and what it counted itself. */
+/**
+ * One engine as this gateway knows it: the endpoint list's entry, and what the policy counts. Times
+ * are tenths of a millisecond; used by the event loop alone.
+ */
 public final class Engine {
-  /** What the list says of an engine's process. */
+  /** What the endpoint list says of an engine's process. */
   public enum Status {
+    /** It takes new attempts. */
     READY,
+    /** It ends what it has and takes nothing new. */
     DRAINING,
+    /** It is not on the list any more. */
     GONE
   }
 
-  /** The door's own handle; the module never looks at it. */
+  /** The handle of the code that runs the policy, which never looks at it. */
   public final Object tag;
 
   public int kind;
   public int zone;
   public int cell;
-  public Engine.Status standing = Engine.Status.GONE;
+  public Engine.Status status = Engine.Status.GONE;
 
   /**
-   * The module counts with it; kept here, since a look-up in a list of a thousand for each of a
-   * thousand costs.
+   * The policy knows it. Stored here, since looking up each of a thousand engines in a list of a
+   * thousand is slow.
    */
-  public boolean known;
+  private boolean registered;
 
   public long startedAt;
 
-  /** Below 1 while it is only remembered from before this gateway's start. */
+  /** Below 1 while it is only known from a cached endpoint list. */
   public double trust = 1;
 
-  /** Attempts that are out, oldest first. */
-  public final List<Attempt> out = new ArrayList<>();
+  /** Attempts in flight, oldest first. */
+  public final List<Attempt> inFlight = new ArrayList<>();
 
-  public int[] inFlightByClass = new int[0];
-  public int threadsOut;
-  public int trialsOut;
+  private int[] inFlightByClass = new int[0];
+  private int threadsInFlight;
+  private int healthChecksInFlight;
 
-  /** Table groups sent here lately, latest last. */
-  public final ArrayDeque<Integer> groups = new ArrayDeque<>();
+  /** Table groups of the most recent attempts, latest last. */
+  private final ArrayDeque<Integer> recentTableGroups = new ArrayDeque<>();
 
-  public DecayingSum successes;
-  public DecayingSum failures;
+  private DecayingSum successes;
+  private DecayingSum failures;
 
   /** Threads of attempts that timed out and may run on. */
-  public DecayingSum threadsLost;
+  private DecayingSum abandonedThreads;
 
-  public DecayingMean pace;
-  public SlidingSum workSent;
+  private DecayingMean pace;
+  private SlidingSum workSent;
 
-  /** Cold, and room there for the request last weighed only since it is this gateway's turn. */
-  public boolean byTurn;
+  /**
+   * It is warming up, and has quota for the last request only by this gateway's slow-start slot.
+   */
+  private boolean usesSlowStartSlot;
 
-  public double boundFactor;
-  public long pressedUntil = Long.MIN_VALUE;
+  private double concurrencyFactor;
+  private long overloadedUntil = Long.MIN_VALUE;
 
-  /** When it last dropped a connection with an attempt on it. */
-  public long fellAt = Long.MIN_VALUE;
+  /** When it last seemed to have restarted. */
+  private long restartSeenAt = Long.MIN_VALUE;
 
-  /** When an attempt was last cut off here. */
-  public long severedAt = Long.MIN_VALUE;
+  /** When a connection with an attempt was last lost. */
+  private long connectionLostAt = Long.MIN_VALUE;
 
-  public long boundCutAt = Long.MIN_VALUE;
-  public long heardAt = Long.MIN_VALUE;
-  public long reportedAt = Long.MIN_VALUE;
-  public double reportedQueries;
+  private long limitReducedAt = Long.MIN_VALUE;
+  private long lastResponseAt = Long.MIN_VALUE;
+  private long reportedAt = Long.MIN_VALUE;
+  private double reportedQueries;
 
-  /** The busiest of what it said of its cores and disks, 1 being all. */
-  public double reportedBusy;
+  /** The highest utilization that it reported of its cores and disks, 0 to 1. */
+  private double reportedUtilization;
 
-  /** Queries of the class in hand a core, and threads of all a core, as last weighed. */
-  public double classLoad;
+  /** Requests for each core of the class that was placed last, as last measured. */
+  private double classLoad;
 
-  public double load;
+  /** Threads for each core of all classes, and utilization, as last measured. */
+  private double load;
 
-  /** Cores that it seems to have for the class last weighed. */
-  public double spareCores;
+  /** Cores that it seems to have for the class that was placed last. */
+  private double spareCores;
 
+  /** Creates an engine that is not on the list yet. */
   public Engine(Object tag) {
     this.tag = tag;
   }
 
-  /** Counts an attempt that goes out here; of the table groups, only the latest are remembered. */
-  public void enter(Attempt attempt, int groupsKept) {
+  /**
+   * Counts an attempt that is sent here.
+   *
+   * @param groupsKept number of recent table groups that are kept
+   */
+  public void attemptStarted(Attempt attempt, int groupsKept) {
     count(attempt, 1);
-    out.add(attempt);
-    groups.remove((Integer) attempt.request.tableGroup);
-    groups.addLast(attempt.request.tableGroup);
-    if (groups.size() > groupsKept) {
-      groups.removeFirst();
+    inFlight.add(attempt);
+    recentTableGroups.remove((Integer) attempt.request.tableGroup);
+    recentTableGroups.addLast(attempt.request.tableGroup);
+    if (recentTableGroups.size() > groupsKept) {
+      recentTableGroups.removeFirst();
     }
   }
 
-  public void leave(Attempt attempt) {
+  /** Counts an attempt that ended. */
+  public void attemptEnded(Attempt attempt) {
     count(attempt, -1);
-    out.remove(attempt);
+    inFlight.remove(attempt);
+  }
+
+  /** Requests of a class that are in flight here. */
+  public int inFlightOfClass(int classIndex) {
+    return inFlightByClass[classIndex];
   }
 
-  /** Whether a load that is out here holds the table group. */
-  public boolean holdsGroup(int tableGroup) {
-    return out.stream()
+  /** Whether one of the most recent attempts used the table group. */
+  public boolean hasRecentTableGroup(int tableGroup) {
+    return recentTableGroups.contains(tableGroup);
+  }
+
+  /** Whether an attempt in flight here loads the table group. */
+  public boolean loadsTableGroup(int tableGroup) {
+    return inFlight.stream()
         .anyMatch(
             attempt ->
                 attempt.request.tableGroup == tableGroup
-                    && attempt.request.requestClass.terms.holdsGroup());
+                    && attempt.request.requestClass.config.loadsTableGroup());
   }
 
-  /** The threads out of the class that has most out. */
-  public int widest() {
-    return out.stream()
+  /** Threads in flight of the class that has the most. */
+  public int threadsOfLargestClass() {
+    return inFlight.stream()
         .mapToInt(
             attempt ->
                 inFlightByClass[attempt.request.classIndex]
-                    * attempt.request.requestClass.terms.width())
+                    * attempt.request.requestClass.config.threadsPerRequest())
         .max()
         .orElse(0);
   }
 
-  /** A process that started anew keeps nothing of its predecessor's record. */
-  public void forget(double boundAtStart) {
+  /**
+   * Begins to count when the engine becomes known to the policy.
+   *
+   * @param requestClasses number of request classes
+   * @param recordTime age at which successes and failures have faded to 1/e
+   * @param paceTime the same for the pace
+   * @param sentWork an empty sum of the work that is sent here
+   * @param initialFactor the concurrency factor to begin with
+   */
+  public void startCounting(
+      int requestClasses,
+      double recordTime,
+      double paceTime,
+      SlidingSum sentWork,
+      double initialFactor) {
+    inFlightByClass = new int[requestClasses];
+    successes = new DecayingSum(recordTime);
+    failures = new DecayingSum(recordTime);
+    abandonedThreads = new DecayingSum(recordTime);
+    pace = new DecayingMean(paceTime, 1, 2);
+    workSent = sentWork;
+    concurrencyFactor = initialFactor;
+  }
+
+  /**
+   * Forgets what was counted of the previous process.
+   *
+   * @param initialFactor the concurrency factor to begin with
+   */
+  public void resetHistory(double initialFactor) {
     successes.clear();
     failures.clear();
-    threadsLost.clear();
+    abandonedThreads.clear();
     pace.clear();
-    groups.clear();
-    boundFactor = boundAtStart;
-    pressedUntil = Long.MIN_VALUE;
-    fellAt = Long.MIN_VALUE;
+    recentTableGroups.clear();
+    concurrencyFactor = initialFactor;
+    overloadedUntil = Long.MIN_VALUE;
+    restartSeenAt = Long.MIN_VALUE;
   }
 
   private void count(Attempt attempt, int by) {
     inFlightByClass[attempt.request.classIndex] += by;
-    threadsOut += by * attempt.request.requestClass.terms.width();
-    trialsOut += attempt.trial ? by : 0;
+    threadsInFlight += by * attempt.request.requestClass.config.threadsPerRequest();
+    healthChecksInFlight += attempt.healthCheck ? by : 0;
+  }
+
+  public boolean isRegistered() {
+    return registered;
+  }
+
+  public void setRegistered(boolean registered) {
+    this.registered = registered;
+  }
+
+  public int threadsInFlight() {
+    return threadsInFlight;
+  }
+
+  public int healthChecksInFlight() {
+    return healthChecksInFlight;
+  }
+
+  public DecayingSum successes() {
+    return successes;
+  }
+
+  public DecayingSum failures() {
+    return failures;
+  }
+
+  public DecayingSum abandonedThreads() {
+    return abandonedThreads;
+  }
+
+  public DecayingMean pace() {
+    return pace;
+  }
+
+  public SlidingSum workSent() {
+    return workSent;
+  }
+
+  public boolean usesSlowStartSlot() {
+    return usesSlowStartSlot;
+  }
+
+  public void setUsesSlowStartSlot(boolean usesSlowStartSlot) {
+    this.usesSlowStartSlot = usesSlowStartSlot;
+  }
+
+  public double concurrencyFactor() {
+    return concurrencyFactor;
+  }
+
+  public void setConcurrencyFactor(double concurrencyFactor) {
+    this.concurrencyFactor = concurrencyFactor;
+  }
+
+  public long overloadedUntil() {
+    return overloadedUntil;
+  }
+
+  public void setOverloadedUntil(long overloadedUntil) {
+    this.overloadedUntil = overloadedUntil;
+  }
+
+  public long restartSeenAt() {
+    return restartSeenAt;
+  }
+
+  public void setRestartSeenAt(long restartSeenAt) {
+    this.restartSeenAt = restartSeenAt;
+  }
+
+  public long connectionLostAt() {
+    return connectionLostAt;
+  }
+
+  public void setConnectionLostAt(long connectionLostAt) {
+    this.connectionLostAt = connectionLostAt;
+  }
+
+  public long limitReducedAt() {
+    return limitReducedAt;
+  }
+
+  public void setLimitReducedAt(long limitReducedAt) {
+    this.limitReducedAt = limitReducedAt;
+  }
+
+  public long lastResponseAt() {
+    return lastResponseAt;
+  }
+
+  public void setLastResponseAt(long lastResponseAt) {
+    this.lastResponseAt = lastResponseAt;
+  }
+
+  public long reportedAt() {
+    return reportedAt;
+  }
+
+  public void setReportedAt(long reportedAt) {
+    this.reportedAt = reportedAt;
+  }
+
+  public double reportedQueries() {
+    return reportedQueries;
+  }
+
+  public void setReportedQueries(double reportedQueries) {
+    this.reportedQueries = reportedQueries;
+  }
+
+  public double reportedUtilization() {
+    return reportedUtilization;
+  }
+
+  public void setReportedUtilization(double reportedUtilization) {
+    this.reportedUtilization = reportedUtilization;
+  }
+
+  public double classLoad() {
+    return classLoad;
+  }
+
+  public void setClassLoad(double classLoad) {
+    this.classLoad = classLoad;
+  }
+
+  public double load() {
+    return load;
+  }
+
+  public void setLoad(double load) {
+    this.load = load;
+  }
+
+  public double spareCores() {
+    return spareCores;
+  }
+
+  public void setSpareCores(double spareCores) {
+    this.spareCores = spareCores;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
+++ b/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
@@ -59,7 +59,7 @@
    * been processed since, and the attempt is checked once more.
    */
   private void start(InFlightAttempt inFlight) {
-    if (!inFlight.attempt.isOut()) {
+    if (!inFlight.attempt.isInFlight()) {
       return;
     }
     SendVerdict verdict = inFlight.checkSend();
@@ -77,7 +77,7 @@
   public void cancelAttempt(Attempt attempt) {
     InFlightAttempt inFlight =
         ((PendingResponse) attempt.request.tag).inFlightAttempts.get(attempt.number);
-    if (attempt.isOut()) {
+    if (attempt.isInFlight()) {
       AttemptOutcome outcome = inFlight.transport().abandon(inFlight);
       context.dispatchLog().attemptCancelled(inFlight);
       context.iteration().runInNextIteration(() -> transports.attemptEnded(inFlight, outcome));
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -112,7 +112,7 @@
       outstanding.removeFirst();
     }
     telemetry.metrics().add(Counter.DISCOVERY_QUERIES);
-    lease.asked(now);
+    lease.onPollSent(now);
     driver.sendDiscoveryQuery(Dns.query(id));
   }
 
@@ -150,9 +150,9 @@
     EndpointWatchEvent event = Dns.answer(datagram, id);
     logAnswer(now, query, event);
     if (event.index() >= known) {
-      lease.answered(query.sentAt, now);
+      lease.onPollAnswered(query.sentAt, now);
     } else {
-      lease.answeredWithOlder(now);
+      lease.onOutdatedAnswer(now);
     }
     unanswered = 0;
     nextAt = lastAt + (long) (period * (1 - SPREAD * random.nextDouble()));
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -117,7 +117,7 @@
   }
 
   private void logChange(EngineAddress engineAddress, EndpointEntry entry, long version) {
-    if (engineAddress.engine.standing != entry.standing()) {
+    if (engineAddress.engine.status != entry.standing()) {
       telemetry
           .log()
           .event(
@@ -127,7 +127,7 @@
               "engine",
               engineAddress.id,
               "from",
-              engineAddress.engine.standing,
+              engineAddress.engine.status,
               "to",
               entry.standing(),
               "version",
@@ -153,9 +153,9 @@
     for (Iterator<EngineAddress> i = engines.values().iterator(); i.hasNext(); ) {
       EngineAddress engineAddress = i.next();
       engineAddress.transport.checkTimeouts(connectTimeout, idleTimeout);
-      if (engineAddress.engine.standing == Status.GONE) {
+      if (engineAddress.engine.status == Status.GONE) {
         engineAddress.transport.retireConnections();
-        if (engineAddress.transport.isEmpty() && engineAddress.engine.out.isEmpty()) {
+        if (engineAddress.transport.isEmpty() && engineAddress.engine.inFlight.isEmpty()) {
           i.remove();
         }
       }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
@@ -84,7 +84,7 @@
               event.whole(),
               "newer",
               newer);
-      invariants.listed(now, event.whole(), updates);
+      invariants.onEndpointsChanged(now, event.whole(), updates);
       policy.onEndpointsChanged(now, event.whole(), updates);
     }
     if (startedWithoutList && newer) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -61,6 +61,6 @@
 
   /** Whether new work may go there. */
   public boolean isReady() {
-    return engine.standing == Status.READY;
+    return engine.status == Status.READY;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -178,7 +178,7 @@
     InFlightAttempt inFlight = writes.completeNext().inFlight();
     inFlight.writeNumber = InFlightAttempt.UNSENT;
     owner.attemptBlocked(inFlight, SendVerdict.WRITE_DELAYED);
-    if (inFlight.attempt.isOut()) {
+    if (inFlight.attempt.isInFlight()) {
       owner.attemptEnded(inFlight, DisconnectReason.WITHDRAWN.outcome(false));
     }
   }
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -113,7 +113,7 @@
 
   @Override
   public void attemptEnded(InFlightAttempt inFlight, AttemptOutcome reported) {
-    if (!inFlight.attempt.isOut()) {
+    if (!inFlight.attempt.isInFlight()) {
       return;
     }
     inFlight.transport().release(inFlight);
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -41,7 +41,8 @@
       PendingResponse pending = i.next();
       if (pending.settled()) {
         i.remove();
-      } else if (pending.inFlightAttempts.stream().noneMatch(inFlight -> inFlight.attempt.isOut())
+      } else if (pending.inFlightAttempts.stream()
+              .noneMatch(inFlight -> inFlight.attempt.isInFlight())
           && !pending.guard.holds()) {
         withdrawn.add(pending);
         i.remove();
@@ -55,7 +56,7 @@
    * late.
    */
   void written(InFlightAttempt inFlight) {
-    if (inFlight.confirmedByGuard || !inFlight.attempt.isOut()) {
+    if (inFlight.confirmedByGuard || !inFlight.attempt.isInFlight()) {
       return;
     }
     inFlight.confirmedByGuard = inFlight.pending.guard.holds();
@@ -108,7 +109,7 @@
     }
     boolean pure =
         pending.request.requestClass != null
-            && pending.request.requestClass.terms.effect() == Effect.PURE;
+            && pending.request.requestClass.config.effect() == Effect.PURE;
     boolean again =
         pure
             || pending.inFlightAttempts.stream()
--- a/gateway/src/main/java/tillerlink/net/state/InvariantReporter.java
+++ b/gateway/src/main/java/tillerlink/net/state/InvariantReporter.java
@@ -33,7 +33,7 @@
 
   /** A request was accepted. */
   void requestAccepted() {
-    monitor.taken(iteration.now());
+    monitor.onRequestAccepted(iteration.now());
   }
 
   /**
@@ -44,7 +44,8 @@
    */
   void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit) {
     report(
-        monitor.written(new InvariantMonitor.Written(inFlight.attempt, firstByteAt, before, limit)),
+        monitor.checkWritten(
+            new InvariantMonitor.Written(inFlight.attempt, firstByteAt, before, limit)),
         inFlight.pending,
         inFlight.engineId());
   }
@@ -56,7 +57,7 @@
       // No program can answer in time while it is paused; the pause itself is counted.
       return;
     }
-    report(monitor.answered(now, pending.request), pending, "none");
+    report(monitor.checkAnswer(now, pending.request), pending, "none");
   }
 
   private void report(Set<Invariant> broken, PendingResponse pending, String engine) {
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -113,8 +113,8 @@
     boolean resumable =
         inFlight.pages != null
             && inFlight.mayResume(MAX_RESUMPTIONS)
-            && inFlight.attempt.isOut()
-            && engineAddress.engine.standing != Status.GONE;
+            && inFlight.attempt.isInFlight()
+            && engineAddress.engine.status != Status.GONE;
     EngineConnection connection = resumable ? connectionFor(inFlight) : null;
     if (connection != null) {
       inFlight.countResumption();
--- a/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
+++ b/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
@@ -179,7 +179,7 @@
     if (!pending.settled()) {
       long now = context.now();
       pending.left = true;
-      pending.request.leftAt = now;
+      pending.request.disconnectedAt = now;
       context
           .telemetry()
           .log()
@@ -263,7 +263,9 @@
         i.remove();
       }
     }
-    queues.values().removeIf(queue -> queue.head() == null && now >= queue.cooldownUntil);
+    queues
+        .values()
+        .removeIf(queue -> queue.firstUnfinished() == null && now >= queue.cooldownUntil);
   }
 
   /** Nothing further is accepted. */
--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -108,13 +108,13 @@
     @Override
     public void onAttemptEnded(long mayRunUntil) {
       notifications.add(
-          mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - TestGateway.STORY) / 10);
+          mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - GatewayFixture.STORY) / 10);
     }
   }
 
   private RecordingExtension extension;
 
-  private TestGateway withExtension(TestGateway gateway, Boolean... answers) {
+  private GatewayFixture withExtension(GatewayFixture gateway, Boolean... answers) {
     return gateway.withExtension(
         context -> {
           extension = new RecordingExtension(context);
@@ -125,8 +125,8 @@
 
   @Test
   void itsRequestsAreAnsweredOnceAndInOrder() {
-    TestGateway gateway =
-        withExtension(new TestGateway())
+    GatewayFixture gateway =
+        withExtension(new GatewayFixture())
             .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
             .say("the next call waits its turn")
             .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -147,7 +147,7 @@
 
   @Test
   void itIsCalledAtEachStepOfAnIteration() {
-    withExtension(new TestGateway())
+    withExtension(new GatewayFixture())
         .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
         .drain()
         .timeUp();
@@ -162,7 +162,7 @@
    */
   @Test
   void anAttemptIsWrittenOnlyWhileItsGuardHolds() {
-    TestGateway gateway = new TestGateway();
+    GatewayFixture gateway = new GatewayFixture();
     for (String requestClass : List.of("aside/look", "aside/book")) {
       gateway.say(requestClass + ": it holds").fresh();
       withExtension(gateway)
@@ -220,12 +220,12 @@
     gateway.matches("side-guards");
   }
 
-  private void assertNotified(String what, TestGateway gateway, String... wanted) {
+  private void assertNotified(String what, GatewayFixture gateway, String... wanted) {
     assertEquals(List.of(wanted), extension.notifications, what);
   }
 
-  private TestGateway withAttempt(Boolean... answers) {
-    return withExtension(new TestGateway(), answers).post("c1", ID, "aside/book").get("c1", ID);
+  private GatewayFixture withAttempt(Boolean... answers) {
+    return withExtension(new GatewayFixture(), answers).post("c1", ID, "aside/book").get("c1", ID);
   }
 
   private static final String DONE = ID + " ok count=1 0||";
@@ -290,7 +290,7 @@
         "the process ends", withAttempt().connected(0).timeUp(), "began", "may run until 4500");
     assertNotified(
         "a pure one goes to another engine",
-        withExtension(new TestGateway())
+        withExtension(new GatewayFixture())
             .post("c1", ID, "aside/look")
             .get("c1", ID)
             .connected(0)
@@ -306,7 +306,7 @@
   /** Queued requests are rejected at once and not only when they would be sent. */
   @Test
   void queuedRequestsAreRejectedOnceTheirGuardFails() {
-    TestGateway gateway = new TestGateway().fleet(0, 1024);
+    GatewayFixture gateway = new GatewayFixture().fleet(0, 1024);
     withExtension(gateway)
         .post("c1", ID, "aside/look")
         .get("c1", ID)
--- a/gateway/src/test/java/tillerlink/GatewayTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayTest.java
@@ -16,8 +16,8 @@
 
   @Test
   void aResultOfThreePagesIsAssembled() {
-    TestGateway gateway =
-        new TestGateway()
+    GatewayFixture gateway =
+        new GatewayFixture()
             .post("c1", ID, "look")
             .get("c1", ID)
             .connected(0)
@@ -42,7 +42,7 @@
    */
   @Test
   void everyEndingProvesWhatItMay() {
-    TestGateway gateway = new TestGateway();
+    GatewayFixture gateway = new GatewayFixture();
     for (DisconnectReason how : List.of(DisconnectReason.REFUSED, DisconnectReason.RESET)) {
       gateway
           .say("before it was connected: " + how)
@@ -124,7 +124,7 @@
   @Test
   void unreadableResponsesSpareOtherAttempts() {
     String row = " 6|a\t1\tx\n|";
-    TestGateway gateway = new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture gateway = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
     gateway
         .say("more than belongs to it")
         .engine(0, "00000000000000ff ok count=1 0||")
@@ -195,7 +195,7 @@
    */
   @Test
   void aSilentConnectionIsProbedAndReplaced() {
-    TestGateway gateway = new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture gateway = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
     gateway
         .say("quiet, but it works")
         .pass(200)
@@ -234,8 +234,8 @@
   /** Guards against taking a pause of this machine for a silent engine. */
   @Test
   void aPauseOfThisProcessIsNoSilentEngine() {
-    TestGateway gateway =
-        new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0).stall(3000);
+    GatewayFixture gateway =
+        new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0).stall(3000);
     gateway
         .say("what was said meanwhile is heard first")
         .engine(0, ID + " progress tell=frac,reading=0.9 0||")
@@ -244,7 +244,7 @@
 
   @Test
   void aFullTableRejectsRequests() {
-    TestGateway gateway = new TestGateway().quiet(true);
+    GatewayFixture gateway = new GatewayFixture().quiet(true);
     for (int i = 0; i < 4096; i++) {
       gateway.post("c1", String.format("%016x", i), "look");
     }
@@ -257,7 +257,7 @@
 
   @Test
   void clientsThatDisconnectOrCancelAreOwedNothing() {
-    TestGateway gateway = new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture gateway = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
     gateway
         .say("by DELETE")
         .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -271,7 +271,7 @@
 
   @Test
   void invalidRequestsAreRefused() {
-    TestGateway gateway = new TestGateway();
+    GatewayFixture gateway = new GatewayFixture();
     String[] heads = {
       "POST /v1/nobody",
       "POST /v2/look",
@@ -342,8 +342,8 @@
   /** Guards usual clients against those that take up connections and say nothing. */
   @Test
   void atTheBoundTheLeastUsefulConnectionIsClosed() {
-    TestGateway gateway =
-        new TestGateway()
+    GatewayFixture gateway =
+        new GatewayFixture()
             .post("busy", ID, "look")
             .get("busy", ID)
             .client("idle", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -372,7 +372,7 @@
 
   @Test
   void pipelinedRequestsAreReadOnceTheAnswerBeforeIsWritten() {
-    TestGateway gateway = new TestGateway().stuck();
+    GatewayFixture gateway = new GatewayFixture().stuck();
     gateway
         .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".repeat(3))
         .say("the first answer is out")
@@ -391,7 +391,7 @@
    */
   @Test
   void endpointListUpdatesReplaceProcesses() {
-    TestGateway gateway = new TestGateway().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture gateway = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
     gateway
         .say("the engine restarted under its name, the other is gone: a new connection")
         .news(5, "e1 ready 127.0.0.1:5050 east std 0 1700000000000")
@@ -440,8 +440,8 @@
    */
   @Test
   void inputWithoutAGapAfterAPauseCountsFromThePause() {
-    TestGateway gateway =
-        new TestGateway()
+    GatewayFixture gateway =
+        new GatewayFixture()
             .pass(500)
             .say("the process stands still, then what had come is read bit by bit")
             .stall(600);
@@ -455,8 +455,8 @@
   /** Guards the drain, and the engines that an answer had no room for. */
   @Test
   void aTruncatedAnswerStillDrainsEngines() {
-    TestGateway gateway =
-        new TestGateway()
+    GatewayFixture gateway =
+        new GatewayFixture()
             .say("e1 drains; its address, and all of e2, had no room")
             .truncated(5, "e1 draining 127.0.0.1:5050 east std 0 0");
     for (int i = 0; i < 3; i++) {
@@ -480,8 +480,8 @@
    */
   @Test
   void aCancelledAttemptIsNotWrittenLater() {
-    TestGateway gateway =
-        new TestGateway().post("c1", ID, "look").get("c1", ID).stuck().connected(0).pass(100);
+    GatewayFixture gateway =
+        new GatewayFixture().post("c1", ID, "look").get("c1", ID).stuck().connected(0).pass(100);
     gateway
         .say("the client leaves; the engine has read nothing")
         .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -504,8 +504,8 @@
    */
   @Test
   void requestsOfASubjectKeepTheirOrder() {
-    TestGateway gateway =
-        new TestGateway()
+    GatewayFixture gateway =
+        new GatewayFixture()
             .ordered("c1", "00000000000000a1", "x")
             .ordered("c2", "00000000000000a2", "x")
             .connected(0);
@@ -521,8 +521,8 @@
 
   @Test
   void aDrainServesAndThenRefuses() {
-    TestGateway gateway =
-        new TestGateway()
+    GatewayFixture gateway =
+        new GatewayFixture()
             .post("c1", ID, "look")
             .get("c1", ID)
             .connected(0)
@@ -548,8 +548,8 @@
    */
   @Test
   void withMoreEnginesThanConnectionsTheLongestIdleIsClosed() {
-    TestGateway gateway =
-        new TestGateway().fleet(40, 12).say("40 engines, four connections: a hop on each");
+    GatewayFixture gateway =
+        new GatewayFixture().fleet(40, 12).say("40 engines, four connections: a hop on each");
     for (int i = 0; i < 4; i++) {
       gateway.post("c" + i, "00000000000000b" + i, "look").connected(i);
     }
@@ -569,8 +569,8 @@
    */
   @Test
   void settingsThatAreLeftOutHaveDefaults() {
-    TestGateway gateway =
-        new TestGateway()
+    GatewayFixture gateway =
+        new GatewayFixture()
             .terse()
             .post("c1", ID, "look")
             .get("c1", ID)
--- a/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
+++ b/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
@@ -17,80 +17,81 @@
   private final DiscoveryLease lease = new DiscoveryLease(START, GRACE);
 
   @Test
-  void theListOfTheStartIsAwaitedUntilTheFirstAnswer() {
+  void initialListIsAwaitedUntilTheFirstAnswer() {
     assertEquals(EndpointListState.AWAITED, lease.state(START));
     assertEquals(0, lease.usableUntil(START));
-    lease.asked(START + 100);
+    lease.onPollSent(START + 100);
     assertEquals(EndpointListState.AWAITED, lease.state(START + 200));
-    lease.answered(START + 100, START + 200);
+    lease.onPollAnswered(START + 100, START + 200);
     assertEquals(EndpointListState.CONFIRMED, lease.state(START + 200));
   }
 
   /**
-   * With nothing asked since, something newer counts as told 1.5 s after the question at the
+   * With no poll since, something newer counts as notified 1.5 s after the last one at the
    * earliest.
    */
   @Test
-  void anAnswerHoldsUntilAnEventAfterItCanHaveBeenToldForAGrace() {
+  void answerHoldsUntilANewerEventCanBeAGraceOld() {
     confirm(START);
-    long until = START + DiscoveryLease.TOLD_AFTER + USABLE;
+    long until = START + DiscoveryLease.ASSUMED_NOTIFIED_AFTER + USABLE;
     assertEquals(until, lease.usableUntil(START + SECOND));
     assertEquals(EndpointListState.CONFIRMED, lease.state(until - 1));
     assertEquals(EndpointListState.AWAITED, lease.state(until));
     assertEquals(until, lease.changesAt(START));
   }
 
-  /** A question may have been answered at once, and the answer lost. */
+  /** A poll may have been answered at once, and the answer lost. */
   @Test
-  void aQuestionThatIsOutShortensIt() {
+  void outstandingPollShortensTheLease() {
     confirm(START);
-    lease.asked(START + 4_000);
+    lease.onPollSent(START + 4_000);
     assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 4_100));
-    lease.asked(START + 5_250);
+    lease.onPollSent(START + 5_250);
     assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 5_300));
-    lease.answered(START + 5_250, START + 5_300);
+    lease.onPollAnswered(START + 5_250, START + 5_300);
     assertEquals(
-        START + 5_250 + DiscoveryLease.TOLD_AFTER + USABLE, lease.usableUntil(START + 5_300));
+        START + 5_250 + DiscoveryLease.ASSUMED_NOTIFIED_AFTER + USABLE,
+        lease.usableUntil(START + 5_300));
   }
 
-  /** An answer that was sent long before it was read proves only the list as of its question. */
+  /** An answer that was sent long before it was read proves only the list as of its poll. */
   @Test
-  void whatComesLateConfirmsAsOfItsQuestion() {
+  void lateAnswerConfirmsAsOfItsPoll() {
     confirm(START);
-    lease.asked(START + 4_000);
-    lease.answered(START + 4_000, START + 60_000);
+    lease.onPollSent(START + 4_000);
+    lease.onPollAnswered(START + 4_000, START + 60_000);
     assertEquals(EndpointListState.AWAITED, lease.state(START + 60_000));
   }
 
   @Test
-  void anOutageIsToldFromLossesBySixQuestionsInTwoGraces() {
+  void sixUnansweredPollsInTwoGracesAreAnOutage() {
     confirm(START);
     for (int i = 0; i < 5; i++) {
-      lease.asked(START + 4_000 + i * 1_250);
+      lease.onPollSent(START + 4_000 + i * 1_250L);
     }
     assertEquals(EndpointListState.AWAITED, lease.state(START + 40_000));
-    lease.asked(START + 10_250);
+    lease.onPollSent(START + 10_250);
     assertEquals(EndpointListState.AWAITED, lease.state(START + 4_000 + 2 * GRACE - 1));
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 4_000 + 2 * GRACE));
-    long expires = START + DiscoveryLease.TOLD_ANYWAY_AFTER + USABLE;
+    long expires = START + DiscoveryLease.ASSUMED_NOTIFIED_IN_OUTAGE_AFTER + USABLE;
     assertEquals(expires, lease.usableUntil(START + 20_000));
     assertEquals(EndpointListState.EXPIRED, lease.state(expires));
     assertEquals(0, lease.usableUntil(expires));
-    lease.asked(expires);
-    lease.answered(expires, expires + 50);
+    lease.onPollSent(expires);
+    lease.onPollAnswered(expires, expires + 50);
     assertEquals(EndpointListState.CONFIRMED, lease.state(expires + 50));
   }
 
   /**
-   * A process that stood still asked nobody meanwhile: silence before the pause is no outage after
+   * A process that was paused sent no polls meanwhile: silence before the pause is no outage after
    * it.
    */
   @Test
-  void aPauseBeginsTheCountAnew() {
+  void pauseResetsTheCountOfUnansweredPolls() {
     confirm(START);
     for (int i = 0; i < 6; i++) {
-      lease.observe(START + 4_000 + i * 1_250);
-      lease.asked(START + 4_000 + i * 1_250);
+      lease.observe(START + 4_000 + i * 1_250L);
+      lease.onPollSent(START + 4_000 + i * 1_250L);
     }
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 20_000));
     assertTrue(lease.observe(START + 40_000));
@@ -100,31 +101,31 @@
 
   /** A service that is there and lags proves nothing newer, but is no reason to refuse all. */
   @Test
-  void anOlderListConfirmsNothingAndKeepsTheLastOneInUse() {
+  void outdatedAnswerConfirmsNothingAndKeepsTheListInUse() {
     confirm(START);
     for (long at = START + 4_000; at < START + 200_000; at += 2_500) {
       lease.observe(at);
-      lease.asked(at);
-      lease.answeredWithOlder(at + 10);
+      lease.onPollSent(at);
+      lease.onOutdatedAnswer(at + 10);
     }
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 200_000));
   }
 
   /**
    * A service whose every answer takes longer than the grace costs one wait and not one for each
-   * question.
+   * poll.
    */
   @Test
-  void answersThatAllComeLateAreAnOutageThatNeverExpires() {
+  void onlyLateAnswersAreAnOutageThatNeverExpires() {
     confirm(START);
     int awaited = 0;
     for (long now = START; now < START + 60 * SECOND; now += 500) {
       lease.observe(now);
       if ((now - START) % 2_500 == 0) {
-        lease.asked(now);
+        lease.onPollSent(now);
       }
       if (now > START + 6_000 && (now - START) % 2_500 == 1_000) {
-        lease.answered(now - 6_000, now);
+        lease.onPollAnswered(now - 6_000, now);
       }
       awaited += lease.state(now) == EndpointListState.AWAITED ? 500 : 0;
     }
@@ -133,11 +134,11 @@
 
   /**
    * While an answer comes now and then and nothing else is awaited for long, no moment is usable
-   * that lies a grace after the first answer that was sent and not read: checked against every
+   * that lies a grace after the first answer that was sent and not received: checked against every
    * answer that was sent, in random histories.
    */
   @Test
-  void noConfirmedMomentLiesAGraceAfterAnAnswerThatWasLost() {
+  void noConfirmedMomentIsAGraceAfterALostAnswer() {
     for (int seed = 0; seed < 300; seed++) {
       Random random = new Random(seed);
       DiscoveryLease own = new DiscoveryLease(START, GRACE);
@@ -146,12 +147,12 @@
       for (long now = START; now < START + 20 * SECOND; now += 250) {
         own.observe(now);
         if (now >= nextAt) {
-          own.asked(now);
+          own.onPollSent(now);
           boolean lost = random.nextInt(3) == 0;
           if (lost) {
             firstLost = Math.min(firstLost, now);
           } else {
-            own.answered(now, now);
+            own.onPollAnswered(now, now);
             firstLost = Long.MAX_VALUE;
           }
           nextAt = now + 1_250 + random.nextInt(3_000);
@@ -164,7 +165,7 @@
   }
 
   private void confirm(long at) {
-    lease.asked(at);
-    lease.answered(at, at);
+    lease.onPollSent(at);
+    lease.onPollAnswered(at, at);
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -136,7 +136,7 @@
    */
   boolean resume(InFlightAttempt inFlight) {
     if (!inFlight.resultStarted()
-        || !inFlight.attempt.isOut()
+        || !inFlight.attempt.isInFlight()
         || !inFlight.tryResume(MAX_RESUMPTIONS)) {
       return false;
     }
@@ -172,7 +172,7 @@
     long now = owner.now();
     for (Iterator<InFlightAttempt> i = waiting.iterator(); i.hasNext(); ) {
       InFlightAttempt inFlight = i.next();
-      if (!inFlight.attempt.isOut()) {
+      if (!inFlight.attempt.isInFlight()) {
         i.remove();
       } else if (now >= inFlight.attempt.sentAt + connectTimeout && !inFlight.resultStarted()) {
         i.remove();
--- a/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
@@ -8,15 +8,15 @@
 import java.util.Set;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
+import tillerlink.fleet.EngineKind;
+import tillerlink.fleet.EngineSpec;
 import tillerlink.fleet.Fleet;
-import tillerlink.fleet.Kind;
-import tillerlink.fleet.Spec;
-import tillerlink.fleet.Trouble;
+import tillerlink.fleet.ScheduledFault;
 import tillerlink.model.Effect;
 import tillerlink.net.http2.Http2TransportFactory;
 import tillerlink.trace.Layout;
-import tillerlink.workload.Plan;
 import tillerlink.workload.RequestClassSpec;
+import tillerlink.workload.WorkloadScaling;
 
 /**
  * Pins the keys, words and units of the operator's file by a copy of the example: every value of
@@ -34,18 +34,20 @@
 
   @Test
   void logHttp2StoreAndReplay() {
-    assertEquals(new OperatorFile.Log(OperatorFile.Form.TEXT, OperatorFile.Level.INFO), file.log());
+    assertEquals(
+        new OperatorFile.LogConfig(OperatorFile.Form.TEXT, OperatorFile.Level.INFO), file.log());
     assertEquals(new Http2TransportFactory(false, Set.of("big-16"), 256), file.http2());
     assertEquals(
-        new OperatorFile.Storing("/var/lib/tillerlink", 864_000_000, 16_777_216), file.store());
+        new OperatorFile.StoreConfig("/var/lib/tillerlink", 864_000_000, 16_777_216), file.store());
     assertEquals(
-        new OperatorFile.Replaying(0.6, Plan.Scale.TIME, 36_000_000, 0.4, 0.1, 1), file.replay());
+        new OperatorFile.ReplayDefaults(0.6, WorkloadScaling.Scale.TIME, 36_000_000, 0.4, 0.1, 1),
+        file.replay());
   }
 
   @Test
   void membersChannelsAndStatements() {
     assertEquals(
-        new Members(
+        new MembersConfig(
             "newsroom",
             "north",
             "10.1.0.7:7400",
@@ -55,7 +57,7 @@
             5000),
         file.members());
     assertEquals(
-        new Channels(
+        new ChannelsConfig(
             List.of("north", "south", "studio"),
             List.of("north-1", "south-1", "studio-1"),
             3_000_000,
@@ -65,7 +67,7 @@
             64),
         file.channels());
     assertEquals(
-        new Statements(List.of("north-1", "north-2", "south-1"), 30_000, 0.01, false),
+        new StatementsConfig(List.of("north-1", "north-2", "south-1"), 30_000, 0.01, false),
         file.statements());
   }
 
@@ -119,21 +121,23 @@
         new Fleet(
             3,
             4096,
-            List.of(new Kind("small-8", 8, 20_000, false), new Kind("big-16", 16, 40_000, false)),
+            List.of(
+                new EngineKind("small-8", 8, 20_000, false),
+                new EngineKind("big-16", 16, 40_000, false)),
             List.of("east", "west"),
             List.of(
-                new Spec("a1", 0, 0),
-                new Spec("a2", 0, 0),
-                new Spec("a3", 0, 0),
-                new Spec("a4", 0, 0),
-                new Spec("a5", 0, 0),
-                new Spec("b1", 0, 1),
-                new Spec("b2", 0, 1),
-                new Spec("b3", 0, 1),
-                new Spec("b4", 0, 1),
-                new Spec("c1", 1, 1),
-                new Spec("c2", 1, 1),
-                new Spec("c3", 1, 1)),
+                new EngineSpec("a1", 0, 0),
+                new EngineSpec("a2", 0, 0),
+                new EngineSpec("a3", 0, 0),
+                new EngineSpec("a4", 0, 0),
+                new EngineSpec("a5", 0, 0),
+                new EngineSpec("b1", 0, 1),
+                new EngineSpec("b2", 0, 1),
+                new EngineSpec("b3", 0, 1),
+                new EngineSpec("b4", 0, 1),
+                new EngineSpec("c1", 1, 1),
+                new EngineSpec("c2", 1, 1),
+                new EngineSpec("c3", 1, 1)),
             15_000,
             0.25,
             100_000,
@@ -187,8 +191,8 @@
   void troubles() {
     assertEquals(
         List.of(
-            new Trouble(200_000, Trouble.What.SLOW, "a2", 100_000, 4),
-            new Trouble(400_000, Trouble.What.REPLACED, "b1", 30_000, 1)),
+            new ScheduledFault(200_000, ScheduledFault.What.SLOW, "a2", 100_000, 4),
+            new ScheduledFault(400_000, ScheduledFault.What.REPLACED, "b1", 30_000, 1)),
         file.troubles());
   }
 }
--- a/tools/src/main/java/tillerlink/cli/Beside.java
+++ b/tools/src/main/java/tillerlink/cli/ExtensionBuilder.java
@@ -4,35 +4,35 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import tillerlink.channels.Terms;
+import tillerlink.channels.ChannelLogConfig;
 import tillerlink.net.state.GatewayExtension;
-import tillerlink.operator.Channels;
-import tillerlink.operator.Members;
+import tillerlink.operator.ChannelsConfig;
+import tillerlink.operator.MembersConfig;
 import tillerlink.operator.OperatorFile;
-import tillerlink.operator.Statements;
+import tillerlink.operator.StatementsConfig;
 import tillerlink.peering.Peering;
 import tillerlink.peering.PeeringConfig;
 import tillerlink.peering.channels.HostedChannels;
 import tillerlink.peering.component.ComponentFactory;
 import tillerlink.peering.statements.StatementsComponentFactory;
 
-/** What stands beside the module of a gateway, as the operator's file names it. */
-final class Beside {
-  private static final long TENTHS_PER_MS = 10;
+/** Builds the extension of a gateway that the operator's file configures. */
+final class ExtensionBuilder {
+  private static final long TICKS_PER_MS = 10;
 
-  private Beside() {}
+  private ExtensionBuilder() {}
 
-  /** Null where the file names no members. */
+  /** The factory of the extension; null if the file has no block members. */
   static GatewayExtension.Factory of(OperatorFile file) throws IOException {
-    Members members = file.members();
+    MembersConfig members = file.members();
     if (members == null) {
       return null;
     }
-    OperatorFile.Storing store = file.store();
-    long keepMost =
+    OperatorFile.StoreConfig store = file.store();
+    long maxStoreBytes =
         (store == null ? 0 : store.maxBytes())
-            + (file.channels() == null ? 0 : file.channels().diskMost())
-            + (file.statements() == null ? 0 : StatementsComponentFactory.KEEP_MOST);
+            + (file.channels() == null ? 0 : file.channels().maxDisk())
+            + (file.statements() == null ? 0 : StatementsComponentFactory.MAX_STORED_BYTES);
     return Peering.factory(
         new PeeringConfig(
             members.fleet(),
@@ -43,27 +43,27 @@
             members.reach(),
             members.probeEvery(),
             store == null ? null : Path.of(store.folder()),
-            keepMost),
-        parts(file));
+            maxStoreBytes),
+        components(file));
   }
 
-  /** The parts that gateways share, beside who is there. */
-  private static List<ComponentFactory> parts(OperatorFile file) {
-    List<ComponentFactory> parts = new ArrayList<>();
-    Channels channels = file.channels();
+  /** The components of state shared by gateways, in addition to membership. */
+  private static List<ComponentFactory> components(OperatorFile file) {
+    List<ComponentFactory> components = new ArrayList<>();
+    ChannelsConfig channels = file.channels();
     if (channels != null) {
-      parts.add(
+      components.add(
           new HostedChannels(
-              Terms.of(
+              ChannelLogConfig.of(
                   channels.voters(),
                   channels.absentAfter(),
-                  channels.aheadMost() / TENTHS_PER_MS,
-                  Math.min(channels.memoryMost(), channels.diskMost()),
-                  channels.most())));
+                  channels.maxAhead() / TICKS_PER_MS,
+                  Math.min(channels.maxMemory(), channels.maxDisk()),
+                  channels.maxChannels())));
     }
-    Statements statements = file.statements();
+    StatementsConfig statements = file.statements();
     if (statements != null) {
-      parts.add(
+      components.add(
           new StatementsComponentFactory(
               statements.voters(),
               statements.lease(),
@@ -71,6 +71,6 @@
               false,
               statements.fence()));
     }
-    return parts;
+    return components;
   }
 }
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -9,7 +9,7 @@
 import tillerlink.operator.OperatorFile;
 import tillerlink.policy.DefaultDispatchPolicy;
 
-/** One gateway on sockets. */
+/** Runs one gateway on sockets. */
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
@@ -27,9 +27,9 @@
   public Integer call() throws Exception {
     OperatorFile file = operator == null ? null : OperatorFile.read(operator);
     if (file != null) {
-      Logs.set(file.log());
+      LogSetup.apply(file.log());
     }
-    OperatorFile.Storing store = file == null ? null : file.store();
+    OperatorFile.StoreConfig store = file == null ? null : file.store();
     new GatewayServer()
         .serve(
             System.getenv(),
@@ -39,8 +39,8 @@
                 store == null
                     ? null
                     : PersistentEndpointCache.open(
-                        Path.of(store.folder()), assignment, store.ageMost(), store.maxBytes()),
-            file == null ? null : Beside.of(file));
+                        Path.of(store.folder()), assignment, store.maxAge(), store.maxBytes()),
+            file == null ? null : ExtensionBuilder.of(file));
     return 0;
   }
 }
