--- a/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
@@ -68,7 +68,7 @@
     } else {
       answeredAt = Long.MAX_VALUE;
     }
-    return answeredAt <= now && (gateway.hasNoClients() || now >= answeredAt + CLIENTS_CLOSE)
+    return (answeredAt <= now && (gateway.hasNoClients() || now >= answeredAt + CLIENTS_CLOSE))
         || now >= killedAt - UNUSED_MARGIN;
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -91,7 +91,7 @@
   // ---- for the bound on connections ----
 
   Use use() {
-    boolean open = requestInProgress || writing() || submitted != null && !submitted.settled();
+    boolean open = requestInProgress || writing() || (submitted != null && !submitted.settled());
     return open ? Use.OPEN : !spoken ? Use.UNSPOKEN : submissions < 2 ? Use.ONCE : Use.IDLE;
   }
 
@@ -269,7 +269,7 @@
    * to a half-read request.
    */
   boolean busy() {
-    return writing() || !closed && (answeredLater || handler.closing() && input.midway());
+    return writing() || (!closed && (answeredLater || (handler.closing() && input.midway())));
   }
 
   private boolean writing() {
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -83,7 +83,7 @@
   /** Until the next query if this one is not answered; counts it as unanswered. */
   private long nextWait() {
     int doublings = Math.max(0, Math.min(2 * QUICK_RETRIES, unanswered++) - QUICK_RETRIES);
-    return Math.min(period, period / QUICK_RETRIES << doublings);
+    return Math.min(period, (period / QUICK_RETRIES) << doublings);
   }
 
   private void warnIfUnanswered(long now) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -312,7 +312,7 @@
    */
   private boolean holdsObsoleteWrite(long now) {
     return writes.cancelledAttemptPending()
-        || !engineAddress.isReady() && holdsWriteSince(now - owner.maxWriteDelay());
+        || (!engineAddress.isReady() && holdsWriteSince(now - owner.maxWriteDelay()));
   }
 
   private boolean holdsWriteSince(long sentAt) {
