--- a/gateway/src/test/java/tillerlink/GatewayFixture.java
+++ b/gateway/src/test/java/tillerlink/GatewayFixture.java
@@ -63,7 +63,7 @@
     clients.clear();
     unsent.clear();
     stuck = false;
-    Map<String, Object> caps = terse ? Map.of("max_attempts", 3L) : TestSettings.caps();
+    Map<String, Object> caps = terse ? Map.of("max_attempts", 3L) : SharedSettings.caps();
     Map<String, Object> look =
         Map.of(
             "name",
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -29,7 +29,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 import tillerlink.Lists;
-import tillerlink.TestSettings;
+import tillerlink.SharedSettings;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.io.MinaDriver;
 import tillerlink.net.state.Gateway;
@@ -381,7 +381,7 @@
 
     static Map<String, Object> plain() {
       Map<String, Object> terms = new java.util.HashMap<>();
-      terms.put("caps", TestSettings.caps());
+      terms.put("caps", SharedSettings.caps());
       terms.put(
           "profiles",
           List.of(
--- a/peering/src/test/java/tillerlink/peering/ChannelsTest.java
+++ b/peering/src/test/java/tillerlink/peering/ChannelsTest.java
@@ -7,20 +7,20 @@
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.peering.TestCluster.TestGateway;
+import tillerlink.peering.GatewayCluster.TestGateway;
 
 /** Channels over several processes and their HTTP interface. */
 class ChannelsTest {
   @TempDir private Path folder;
 
-  private static String append(TestCluster cluster, TestGateway gateway, String json)
+  private static String append(GatewayCluster cluster, TestGateway gateway, String json)
       throws InterruptedException {
     return cluster.call(gateway, "/v1/channels/news", json.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
   void anAppendBecomesStableEverywhereAndSurvivesAKill() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       TestGateway n1 = cluster.start("n1", "-", "");
       String seed = "127.0.0.1:" + n1.udp;
       TestGateway n2 = cluster.start("n2", "-", seed);
@@ -53,7 +53,7 @@
 
   @Test
   void malformedAppendsAreRejectedWithAReason() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       TestGateway n1 = cluster.start("n1", "-", "");
       cluster.awaitMembers(n1, "");
       cluster.await(n1, "/v1/channels", state -> state.contains("\"channels\":[]"));
--- a/peering/src/test/java/tillerlink/peering/TestCluster.java
+++ b/peering/src/test/java/tillerlink/peering/GatewayCluster.java
@@ -26,7 +26,7 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /** Gateways in processes of their own on loopback; none of them has an engine. */
-final class TestCluster implements AutoCloseable {
+final class GatewayCluster implements AutoCloseable {
   static final int EXIT_CODE_VIOLATION = 70;
   private static final long AWAIT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(90);
   private static final String LOOPBACK = "127.0.0.1";
@@ -50,7 +50,7 @@
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
   private final Map<String, TestGateway> gateways = new TreeMap<>();
 
-  TestCluster(Path folder) {
+  GatewayCluster(Path folder) {
     this.folder = folder;
   }
 
--- a/peering/src/test/java/tillerlink/peering/PeeringTest.java
+++ b/peering/src/test/java/tillerlink/peering/PeeringTest.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.peering.TestCluster.TestGateway;
+import tillerlink.peering.GatewayCluster.TestGateway;
 
 /** Membership and components over several processes on loopback. */
 class PeeringTest {
@@ -26,7 +26,7 @@
 
   @Test
   void membersJoinPauseAndLeave() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       TestGateway n1 = cluster.start("n1", "-", "");
       TestGateway n2 = cluster.start("n2", "-", at(n1));
       TestGateway n3 = cluster.start("n3", "-", at(n1));
@@ -34,10 +34,10 @@
       cluster.awaitMembers(n2, "n1 REACHABLE n3 REACHABLE");
       cluster.awaitMembers(n3, "n1 REACHABLE n2 REACHABLE");
       sendGarbage(n1);
-      TestCluster.signal(n2, "STOP");
+      GatewayCluster.signal(n2, "STOP");
       cluster.awaitMembers(n1, "n2 (SUSPECTED|GONE) n3 REACHABLE");
       cluster.awaitMembers(n3, "n1 REACHABLE n2 (SUSPECTED|GONE)");
-      TestCluster.signal(n2, "CONT");
+      GatewayCluster.signal(n2, "CONT");
       cluster.awaitMembers(n1, "n2 REACHABLE n3 REACHABLE");
       String back = cluster.await(n2, "/v1/members", body -> !body.contains("\"away\":0"));
       assertFalse(back.contains("\"incarnation\":1,\"yielded\""), back);
@@ -67,7 +67,7 @@
 
   @Test
   void onlyGatewaysWithTheSecretJoin() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       TestGateway n1 = cluster.start("n1", "the secret of this fleet", "");
       cluster.start("n2", "the secret of another", at(n1));
       cluster.start("n3", "-", at(n1));
@@ -87,7 +87,7 @@
    */
   @Test
   void componentsSendMessagesAndPersistValues() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       TestGateway n1 = cluster.start("n1", "the secret of this fleet", "");
       TestGateway n2 = cluster.start("n2", "the secret of this fleet", at(n1));
       cluster.awaitMembers(n1, "n2 REACHABLE");
@@ -115,14 +115,14 @@
    */
   @Test
   void aViolatedInvariantEndsTheProcess() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       for (String how : new String[] {"break", "fault"}) {
         TestGateway n1 = cluster.start("n1", "-", "");
         cluster.awaitMembers(n1, "");
         cluster.await(n1, "/v1/members", body -> body.contains("\"self\""));
         cluster.call(n1, "/v1/echo/" + how, null);
         assertTrue(n1.process.waitFor(30, TimeUnit.SECONDS));
-        assertEquals(TestCluster.EXIT_CODE_VIOLATION, n1.process.exitValue());
+        assertEquals(GatewayCluster.EXIT_CODE_VIOLATION, n1.process.exitValue());
       }
       String log = cluster.log(cluster.start("n1", "-", ""));
       assertTrue(log.contains("INVARIANT invariant broken: planted, to be seen\n"), log);
--- a/peering/src/test/java/tillerlink/peering/StatementsTest.java
+++ b/peering/src/test/java/tillerlink/peering/StatementsTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import tillerlink.peering.TestCluster.TestGateway;
+import tillerlink.peering.GatewayCluster.TestGateway;
 
 /** Prepared statements over several processes and their HTTP interface. */
 class StatementsTest {
@@ -23,14 +23,14 @@
 
   @TempDir private Path folder;
 
-  private static String call(TestCluster cluster, TestGateway gateway, String path, String json)
+  private static String call(GatewayCluster cluster, TestGateway gateway, String path, String json)
       throws InterruptedException {
     return cluster.call(gateway, path, json == null ? null : json.getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
   void aStatementIsKnownEverywhereAndRepreparedOnceAfterAChange() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       TestGateway n1 = cluster.start("n1", "-", "");
       String seed = "127.0.0.1:" + n1.udp;
       TestGateway n2 = cluster.start("n2", "-", seed);
@@ -64,7 +64,7 @@
   }
 
   /** Prepares the statement, trying again until all voters are up. */
-  private static void prepare(TestCluster cluster, TestGateway gateway)
+  private static void prepare(GatewayCluster cluster, TestGateway gateway)
       throws InterruptedException {
     String body = "";
     for (int i = 0; i < 20 && !body.contains("generation"); i++) {
@@ -83,7 +83,7 @@
    */
   @Test
   void aGatewayThatLeavesReleasesItsLease() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       TestGateway n1 = cluster.start("n1", "-", "");
       String seed = "127.0.0.1:" + n1.udp;
       cluster.start("n2", "-", seed);
@@ -125,7 +125,7 @@
    */
   @Test
   void waitingRequestsAreAnsweredBeforeTheProcessEnds() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       TestGateway n1 = cluster.start("n1", "-", "");
       cluster.await(n1, "/v1/schemas/17", body -> body.contains("\"version\":1,"));
       CompletableFuture<String> response =
@@ -149,7 +149,7 @@
 
   @Test
   void malformedRequestsAreRejectedWithAReason() throws Exception {
-    try (TestCluster cluster = new TestCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(folder)) {
       TestGateway n1 = cluster.start("n1", "-", "");
       cluster.await(n1, "/v1/schemas/17", body -> body.contains("\"version\":1,"));
       assertEquals(
