--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ScheduleRunner.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ScheduleRunner.java
@@ -94,7 +94,7 @@
       audit.violation(Rule.INSIDE, e.getMessage());
     }
     cluster.heal();
-    statements.ending();
+    statements.stopChanges();
     loads.forEach(Load::end);
     awaitConvergence(cluster, audit, "after the play");
     if (has(GatewaySpec.Shared.CHANNELS)) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/StatementLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/StatementLoad.java
@@ -40,7 +40,7 @@
   private final Map<Integer, Integer> columns = new TreeMap<>();
 
   private final Set<String> prepared = ConcurrentHashMap.newKeySet();
-  private volatile boolean ending;
+  private volatile boolean changesStopped;
 
   StatementLoad(ProcessCluster cluster, Audit audit, DisruptionTracker disruptions, long seed) {
     super(cluster, audit, disruptions, seed);
@@ -75,7 +75,7 @@
   void once(String gateway, RandomGenerator chance) throws IOException {
     int name = chance.nextInt(NAMES);
     int drawn = chance.nextInt(100);
-    if (!cluster.gateway(gateway).isRunning() || ending) {
+    if (!cluster.gateway(gateway).isRunning() || changesStopped) {
       return;
     }
     if (!prepared.contains("s" + name)) {
@@ -129,7 +129,7 @@
       StatementsClient.rename(
           cluster.client(gateway, RESPONSE_TIMEOUT_MS), group, name + column, name + (column + 1));
       long until = System.nanoTime() + EFFECT_TIMEOUT_MS * 1_000_000;
-      while (System.nanoTime() < until && !ending) {
+      while (System.nanoTime() < until && !changesStopped) {
         if (version(group) > before) {
           audit.schemaInEffect("g" + group, column + 1, System.nanoTime());
           columns.put(group, column + 1);
@@ -185,15 +185,15 @@
   }
 
   /** Begins no further changes, and stops waiting for the present one. */
-  void ending() {
-    ending = true;
+  void stopChanges() {
+    changesStopped = true;
   }
 
   /**
    * Waits until every gateway runs every statement under the schema that was last seen in effect.
    */
   void settle() {
-    ending = false;
+    changesStopped = false;
     for (String gateway : cluster.names()) {
       for (int name = 0; name < NAMES; name++) {
         // A timeout per statement: the first run of a group only requests its lease.
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/ServiceHistory.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/ServiceHistory.java
@@ -56,7 +56,7 @@
   }
 
   @Override
-  public double startToldAt(int gateway, int engine, double at) {
+  public double startKnownAt(int gateway, int engine, double at) {
     double knownAt = Double.MAX_VALUE;
     for (SoakDiscovery.Event event : eventsOf(engine)) {
       if (event.at() <= at && isStart(event)) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SlowStartRule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SlowStartRule.java
@@ -49,7 +49,8 @@
   }
 
   private boolean knewStart(SoakOracle.Attempt attempt) {
-    return discovery.startToldAt(attempt.gateway(), attempt.engine(), attempt.at()) <= attempt.at();
+    return discovery.startKnownAt(attempt.gateway(), attempt.engine(), attempt.at())
+        <= attempt.at();
   }
 
   private static double limit(double age) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
@@ -112,9 +112,9 @@
 
   /** Whether clients connect to it now. */
   boolean serves(int gateway) {
-    Gateway one = gateways.get(gateway);
+    Gateway instance = gateways.get(gateway);
     double now = clock.now();
-    return now >= one.servesFrom && now < one.servesUntil;
+    return now >= instance.servesFrom && now < instance.servesUntil;
   }
 
   boolean isRunning(int gateway) {
@@ -124,12 +124,12 @@
   // ---- start ----
 
   void start(int gateway) throws IOException {
-    Gateway one = gateways.get(gateway);
-    one.servesFrom = Double.MAX_VALUE;
-    one.servesUntil = Double.MAX_VALUE;
-    one.incarnation.incrementAndGet();
+    Gateway instance = gateways.get(gateway);
+    instance.servesFrom = Double.MAX_VALUE;
+    instance.servesUntil = Double.MAX_VALUE;
+    instance.incarnation.incrementAndGet();
     configure(gateway);
-    one.startedAt = clock.now();
+    instance.startedAt = clock.now();
     oracle.started(gateway);
     ProcessBuilder builder =
         new ProcessBuilder(
@@ -150,29 +150,29 @@
     builder.environment().put("EDGE_CONFIG", file(gateway).toString());
     builder.redirectErrorStream(true);
     builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log(gateway).toFile()));
-    one.process.start(builder);
+    instance.process.start(builder);
   }
 
   /** Waits until it is healthy. */
   void awaitReady(int gateway) throws IOException {
-    Gateway one = gateways.get(gateway);
+    Gateway instance = gateways.get(gateway);
     double deadline = clock.now() + READY_TIMEOUT_MS;
-    while (!new HttpEndpointClient(one.port, (long) READY_TIMEOUT_MS).healthy()) {
-      if (!one.process.isAlive() || clock.now() > deadline) {
-        oracle.inside(one.name + " did not come up");
+    while (!new HttpEndpointClient(instance.port, (long) READY_TIMEOUT_MS).healthy()) {
+      if (!instance.process.isAlive() || clock.now() > deadline) {
+        oracle.inside(instance.name + " did not come up");
         throw new IOException(
-            one.name + " did not come up; its log: " + Files.readString(log(gateway)));
+            instance.name + " did not come up; its log: " + Files.readString(log(gateway)));
       }
       pause(POLL_INTERVAL_MS);
     }
-    one.servesFrom = clock.now();
+    instance.servesFrom = clock.now();
   }
 
   private void configure(int gateway) throws IOException {
-    Gateway one = gateways.get(gateway);
+    Gateway instance = gateways.get(gateway);
     String entries;
     synchronized (discovery) {
-      one.indexAtStart = discovery.index();
+      instance.indexAtStart = discovery.index();
       entries =
           discovery.list().stream()
               .map(entry -> json(entry, gateway))
@@ -180,23 +180,23 @@
     }
     String text =
         "{\"name\":\""
-            + one.name
+            + instance.name
             + "\",\"listen\":\"127.0.0.1:"
-            + one.port
+            + instance.port
             + "\",\"seed\":\""
-            + Long.toHexString(0x5c1f30d2L + gateway * 7919L + one.incarnation.get())
+            + Long.toHexString(0x5c1f30d2L + gateway * 7919L + instance.incarnation.get())
             + "\",\"limits\":{\"sockets\":608},\"resolver\":\"127.0.0.1:"
             + discovery.port(gateway)
             + "\",\"known\":{\"index\":"
-            + one.indexAtStart
+            + instance.indexAtStart
             + ",\"updates\":[{\"index\":"
-            + one.indexAtStart
+            + instance.indexAtStart
             + ",\"endpoints\":{\"snapshot\":true,\"endpoints\":["
             + entries
             + "]}}]},\"settings\":"
             + SoakSettings.settings(gateways.size(), gateway)
             + "}";
-    Path newFile = folder.resolve(one.name + ".json.new");
+    Path newFile = folder.resolve(instance.name + ".json.new");
     Files.writeString(newFile, text);
     Files.move(
         newFile,
@@ -233,12 +233,12 @@
 
   /** Writes a configuration with the present port of the discovery service, and sends SIGHUP. */
   void reload(int gateway) throws IOException {
-    Gateway one = gateways.get(gateway);
-    long index = one.indexAtStart;
+    Gateway instance = gateways.get(gateway);
+    long index = instance.indexAtStart;
     configure(gateway);
     // A running process takes over the port of the discovery service only.
-    one.indexAtStart = index;
-    one.process.signal("HUP");
+    instance.indexAtStart = index;
+    instance.process.signal("HUP");
   }
 
   void stop(int gateway) throws IOException {
@@ -252,31 +252,31 @@
   }
 
   void kill(int gateway) {
-    Gateway one = gateways.get(gateway);
-    one.servesFrom = Double.MAX_VALUE;
+    Gateway instance = gateways.get(gateway);
+    instance.servesFrom = Double.MAX_VALUE;
     // Before the kill, because clients see their connections end at once.
-    one.incarnation.incrementAndGet();
-    one.process.kill();
+    instance.incarnation.incrementAndGet();
+    instance.process.kill();
     oracle.interrupted(gateway, clock.now());
   }
 
   /** Sends SIGTERM, while clients connect for a moment more, and waits for the end. */
   void terminate(int gateway) throws IOException {
-    Gateway one = gateways.get(gateway);
-    one.servesUntil = clock.now() + CLIENTS_AFTER_SIGTERM_MS;
-    one.process.terminate();
-    int exit = one.process.exitValue();
+    Gateway instance = gateways.get(gateway);
+    instance.servesUntil = clock.now() + CLIENTS_AFTER_SIGTERM_MS;
+    instance.process.terminate();
+    int exit = instance.process.exitValue();
     if (exit != TERMINATED) {
-      oracle.inside(one.name + " ended with " + exit + " on SIGTERM");
+      oracle.inside(instance.name + " ended with " + exit + " on SIGTERM");
     }
   }
 
   /** Reports processes that ended by themselves. */
   void reportCrashes() {
-    for (Gateway one : gateways) {
-      int exit = one.process.exitValue();
+    for (Gateway instance : gateways) {
+      int exit = instance.process.exitValue();
       if (exit != ControlledProcess.NONE && exit != TERMINATED && exit != KILLED) {
-        oracle.inside(one.name + " ended with " + exit);
+        oracle.inside(instance.name + " ended with " + exit);
       }
     }
   }
@@ -284,21 +284,21 @@
   /** Reports violations that the processes count or log themselves. */
   void reportInside() throws IOException {
     for (int i = 0; i < gateways.size(); i++) {
-      Gateway one = gateways.get(i);
-      one.process.complaints().forEach(oracle::inside);
+      Gateway instance = gateways.get(i);
+      instance.process.complaints().forEach(oracle::inside);
       for (String line : Files.readString(log(i)).split("\n", -1)) {
         if (ILL.stream().anyMatch(line::contains)) {
-          oracle.inside(one.name + " says: " + line.strip());
+          oracle.inside(instance.name + " says: " + line.strip());
         }
       }
-      if (one.process.isRunning()) {
+      if (instance.process.isRunning()) {
         for (String line :
-            new HttpEndpointClient(one.port, (long) READY_TIMEOUT_MS)
+            new HttpEndpointClient(instance.port, (long) READY_TIMEOUT_MS)
                 .get("/metrics")
                 .body()
                 .split("\n", -1)) {
           if (line.startsWith("tillerlink_invariant_violations_total") && !line.endsWith(" 0")) {
-            oracle.inside(one.name + " counts: " + line);
+            oracle.inside(instance.name + " counts: " + line);
           }
         }
       }
@@ -306,7 +306,7 @@
   }
 
   void close() {
-    gateways.forEach(one -> one.process.kill());
+    gateways.forEach(instance -> instance.process.kill());
   }
 
   static boolean isListening(int port) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakOracle.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakOracle.java
@@ -52,7 +52,7 @@
     double startedAt(int engine, double at);
 
     /** When a gateway learnt of that start. */
-    double startToldAt(int gateway, int engine, double at);
+    double startKnownAt(int gateway, int engine, double at);
 
     /** Whether the engine is in the first zone. */
     boolean inFirstZone(int engine);
@@ -61,7 +61,7 @@
   private final SoakClock clock;
   private final DiscoveryHistory discovery;
   private final Map<String, SoakRequest> requests = new HashMap<>();
-  private final Map<Integer, Deque<Double>> submissions = new HashMap<>();
+  private final Map<Integer, Deque<Double>> requestTimes = new HashMap<>();
   private final Map<Integer, Deque<Double>> retries = new HashMap<>();
   private final SlowStartRule slowStart;
   private final Map<String, SoakRequest> lastBySubject = new HashMap<>();
@@ -90,7 +90,7 @@
       double at,
       long deadlineMs) {
     requests.put(id, new SoakRequest(gateway, requestClass, subject, at, at + deadlineMs));
-    submissions.computeIfAbsent(gateway, g -> new ArrayDeque<>()).addLast(at);
+    requestTimes.computeIfAbsent(gateway, g -> new ArrayDeque<>()).addLast(at);
   }
 
   /** A request got its final response. */
@@ -163,7 +163,7 @@
 
   /** A new process of a gateway starts: budgets and orders count from now. */
   synchronized void started(int gateway) {
-    submissions.remove(gateway);
+    requestTimes.remove(gateway);
     retries.remove(gateway);
     lastBySubject.keySet().removeIf(key -> key.startsWith(gateway + "s"));
   }
@@ -292,11 +292,11 @@
     recentRetries.addLast(attempt.at);
     double spanStart = attempt.at - SoakSettings.BUDGET_SPAN_MS;
     recentRetries.removeIf(at -> at < spanStart);
-    Deque<Double> recentSubmissions =
-        submissions.computeIfAbsent(attempt.gateway, g -> new ArrayDeque<>());
-    recentSubmissions.removeIf(at -> at < spanStart - SoakSettings.BUDGET_SPAN_MS);
+    Deque<Double> recentRequests =
+        requestTimes.computeIfAbsent(attempt.gateway, g -> new ArrayDeque<>());
+    recentRequests.removeIf(at -> at < spanStart - SoakSettings.BUDGET_SPAN_MS);
     long recent =
-        recentSubmissions.stream().filter(at -> at >= spanStart - SoakSettings.SLACK_MS).count();
+        recentRequests.stream().filter(at -> at >= spanStart - SoakSettings.SLACK_MS).count();
     double limit =
         BUDGET_TOLERANCE * (SoakSettings.BUDGET_FLOOR + SoakSettings.BUDGET_SHARE * recent) + 1;
     if (recentRetries.size() > limit) {
--- a/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakOracleTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakOracleTest.java
@@ -22,7 +22,7 @@
   private final SoakClock clock = new SoakClock();
   private double notReadyAt = Double.MAX_VALUE;
   private double startedAt;
-  private double startToldAt;
+  private double startKnownAt;
   private final SoakOracle oracle =
       new SoakOracle(
           clock,
@@ -38,8 +38,8 @@
             }
 
             @Override
-            public double startToldAt(int gateway, int engine, double at) {
-              return startToldAt;
+            public double startKnownAt(int gateway, int engine, double at) {
+              return startKnownAt;
             }
 
             @Override
@@ -135,7 +135,7 @@
   @Test
   void coldEngineIsNotOverloaded() {
     startedAt = 1000;
-    startToldAt = 1000;
+    startKnownAt = 1000;
     for (int i = 0; i < 420; i++) {
       String id = String.format("%016x", i);
       submit(id, RequestClass.LOOK);
@@ -148,7 +148,7 @@
   @Test
   void unknownColdEngineIsExcused() {
     startedAt = 1000;
-    startToldAt = 9000;
+    startKnownAt = 9000;
     for (int i = 0; i < 420; i++) {
       String id = String.format("%016x", i);
       submit(id, RequestClass.LOOK);
--- a/replay/src/main/java/tillerlink/replay/ReplayClients.java
+++ b/replay/src/main/java/tillerlink/replay/ReplayClients.java
@@ -121,7 +121,8 @@
         cluster.now() + requestClass.deadline());
     send(request, encoder.submit(arrival, requestClass, request.id));
     cluster.timeline.at(
-        cluster.now() + requestClass.deadline() + DEADLINE_SLACK, () -> giveUp(request));
+        cluster.now() + requestClass.deadline() + DEADLINE_SLACK,
+        () -> disconnectAtDeadline(request));
   }
 
   /** The gateway follows from the request alone, skipping gateways that are down. */
@@ -237,7 +238,7 @@
   }
 
   /** The deadline has passed: the client disconnects. */
-  private void giveUp(Request request) {
+  private void disconnectAtDeadline(Request request) {
     if (request.over) {
       return;
     }
