--- a/peering/src/test/java/tillerlink/peering/GatewayCluster.java
+++ b/peering/src/test/java/tillerlink/peering/GatewayCluster.java
@@ -112,7 +112,7 @@
                 "-Dtillerlink.invariants=true",
                 "-cp",
                 System.getProperty("java.class.path"),
-                "tillerlink.peering.TestCluster",
+                "tillerlink.peering.GatewayCluster",
                 "fleet",
                 "site-" + name,
                 LOOPBACK + ":" + gateway.udp,
