--- a/gateway/src/main/java/tillerlink/plain/Json.java
+++ b/gateway/src/main/java/tillerlink/plain/Json.java
@@ -8,11 +8,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Plain values from Jackson's token stream. */
+/**
+ * Builds values of the JDK from Jackson's token stream: maps (in the order of the text), lists,
+ * strings, numbers, booleans and null.
+ */
 public final class Json {
   private Json() {}
 
-  /** The value that begins at the parser's current token. */
+  /**
+   * The value that begins at the parser's current token; the parser stands at its last token then.
+   *
+   * @throws IOException if the text is no JSON
+   */
   public static Object value(JsonParser parser) throws IOException {
     return switch (parser.currentToken()) {
       case START_ARRAY -> array(parser);
