--- a/gateway/src/main/java/tillerlink/wirehost/Instance.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Instance.java
@@ -1,8 +1,5 @@
 package tillerlink.wirehost;
 
-import com.fasterxml.jackson.core.JsonGenerator;
-import java.io.IOException;
-import java.io.UncheckedIOException;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -20,27 +17,20 @@
 import tillerlink.port.DispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
 
-/** One gateway's door: ids become objects on the way in, objects ids on the way out. */
+/** One gateway on the simulator's wire: maps ids of the wire to objects of its policy and back. */
 final class Instance implements DispatchActions {
-  private static final int MODE_FAILED = 0;
-  private static final int MODE_CACHED = 1;
-  private static final int MODE_FULL = 3;
-
-  private final int number;
-  private final JsonGenerator actions;
+  private final ActionWriter actions;
   private final Map<String, Engine> engines = new HashMap<>();
   private final Map<String, Request> requests = new HashMap<>();
-  private final Map<String, KeyedRequestQueue> lines = new HashMap<>();
+  private final Map<String, KeyedRequestQueue> queues = new HashMap<>();
   private final DispatchPolicy policy;
 
   Instance(
-      int number,
       long now,
       long seed,
       Map<String, Object> settings,
       DispatchPolicyFactory factory,
-      JsonGenerator actions) {
-    this.number = number;
+      ActionWriter actions) {
     this.actions = actions;
     policy = factory.create(now, seed, FlattenedConfig.of(settings), this);
   }
@@ -49,22 +39,25 @@
     return policy;
   }
 
-  /** Takes an event; false if it is none that this door knows. */
-  boolean take(long now, Message event, List<Row> rows) {
+  // ---- events ----
+
+  /**
+   * Passes an event to the policy.
+   *
+   * @param rows the entries of the list that the event names; empty if it names none
+   * @return whether the event is known
+   * @throws MalformedWireException if it lacks a value, or one has another type
+   */
+  boolean handle(long now, Message event, List<Row> rows) {
     switch (event.name()) {
-      case "BackendsChanged" -> listed(now, event, rows);
-      case "Incoming" -> arrived(now, event);
-      case "HeadReceived" -> {
-        Attempt attempt = attempt(event.text(2, "tid"), event.number(5, "seq_no"));
-        if (attempt != null) {
-          policy.onResponseStarted(now, attempt);
-        }
-      }
-      case "Change" -> noted(now, event);
-      case "Reply" -> ended(now, event);
-      case "Expired" -> left(now, event.text(2, "tid"));
-      case "Timer" -> policy.onWakeup(now);
-      case "Memo", "Pong" -> {}
+      case SimulatorWire.ENDPOINTS_CHANGED -> endpointsChanged(now, event, rows);
+      case SimulatorWire.REQUEST_ARRIVED -> requestArrived(now, event);
+      case SimulatorWire.RESPONSE_STARTED -> responseStarted(now, event);
+      case SimulatorWire.ATTEMPT_PROGRESS -> attemptProgress(now, event);
+      case SimulatorWire.ATTEMPT_ENDED -> attemptEnded(now, event);
+      case SimulatorWire.CLIENT_DISCONNECTED -> clientDisconnected(now, requestId(event));
+      case SimulatorWire.WAKEUP -> policy.onWakeup(now);
+      case SimulatorWire.MEMO, SimulatorWire.PONG -> {}
       default -> {
         return false;
       }
@@ -72,94 +65,105 @@
     return true;
   }
 
-  private void listed(long now, Message event, List<Row> rows) {
-    int mode = (int) event.number(2, "mode");
-    if (mode == MODE_FAILED) {
+  private void endpointsChanged(long now, Message event, List<Row> rows) {
+    int mode = (int) event.number(SimulatorWire.EndpointsChanged.MODE, SimulatorWire.MODE_NAME);
+    if (mode == SimulatorWire.EndpointsChanged.MODE_FAILED) {
       policy.onEndpointPollFailed(now);
       return;
     }
-    List<EndpointUpdate> entries = new ArrayList<>(rows.size());
+    List<EndpointUpdate> updates = new ArrayList<>(rows.size());
     for (Row row : rows) {
       Engine engine = engines.computeIfAbsent(row.engine(), Engine::new);
-      entries.add(
+      updates.add(
           new EndpointUpdate(
               engine,
               row.kind(),
               row.zone(),
               row.cell(),
               row.weight(),
-              row.standing(),
+              row.status(),
               row.startedAt()));
     }
-    policy.onEndpointsChanged(now, mode == MODE_CACHED || mode == MODE_FULL, entries);
+    boolean whole =
+        mode == SimulatorWire.EndpointsChanged.MODE_CACHED
+            || mode == SimulatorWire.EndpointsChanged.MODE_FULL;
+    policy.onEndpointsChanged(now, whole, updates);
   }
 
-  private void arrived(long now, Message event) {
-    String id = event.text(2, "tid");
-    String key = event.textOr(9, null);
-    KeyedRequestQueue line =
-        key == null ? null : lines.computeIfAbsent(key, k -> new KeyedRequestQueue());
+  private void requestArrived(long now, Message event) {
+    String id = requestId(event);
+    String key = event.textOr(SimulatorWire.RequestArrived.KEY, null);
+    KeyedRequestQueue queue =
+        key == null ? null : queues.computeIfAbsent(key, absent -> new KeyedRequestQueue());
     Request request =
         new Request(
             id,
-            (int) event.number(6, "band"),
-            (int) event.numberOr(3, 0),
-            event.flag(5),
+            (int) event.number(SimulatorWire.RequestArrived.REQUEST_CLASS, "band"),
+            (int) event.numberOr(SimulatorWire.RequestArrived.TABLE_GROUP, 0),
+            event.flag(SimulatorWire.RequestArrived.REPEAT),
             now,
-            Units.toTenths(event.number(7, "deadline_us")),
-            event.amountOr(10, 0) / Units.toMicros(1),
-            event.amountOr(11, 0),
-            line);
+            Units.toTenths(event.number(SimulatorWire.RequestArrived.DEADLINE, "deadline_us")),
+            event.amountOr(SimulatorWire.RequestArrived.ESTIMATE, 0) / Units.toMicros(1),
+            event.amountOr(SimulatorWire.RequestArrived.MEMORY, 0),
+            queue);
     requests.put(id, request);
     policy.onRequestArrived(now, request);
   }
 
-  private void noted(long now, Message event) {
-    Attempt attempt = attempt(event.text(2, "tid"), event.number(6, "seq_no"));
-    AttemptProgress note =
-        switch ((int) event.numberOr(5, 0)) {
-          case 1 -> AttemptProgress.PROGRESS;
-          case 2 -> AttemptProgress.SPILLS;
-          case 3 -> AttemptProgress.WAITS;
+  private void responseStarted(long now, Message event) {
+    Attempt attempt = attempt(event, SimulatorWire.ResponseStarted.ATTEMPT);
+    if (attempt != null) {
+      policy.onResponseStarted(now, attempt);
+    }
+  }
+
+  private void attemptProgress(long now, Message event) {
+    Attempt attempt = attempt(event, SimulatorWire.Progress.ATTEMPT);
+    AttemptProgress progress =
+        switch ((int) event.numberOr(SimulatorWire.Progress.KIND, 0)) {
+          case SimulatorWire.Progress.KIND_PROGRESS -> AttemptProgress.PROGRESS;
+          case SimulatorWire.Progress.KIND_SPILLS -> AttemptProgress.SPILLS;
+          case SimulatorWire.Progress.KIND_WAITS -> AttemptProgress.WAITS;
           default -> null;
         };
-    if (attempt != null && note != null) {
-      policy.onAttemptProgress(now, attempt, note, event.amountOr(3, 0));
+    if (attempt != null && progress != null) {
+      double level = event.amountOr(SimulatorWire.Progress.LEVEL, 0);
+      policy.onAttemptProgress(now, attempt, progress, level);
     }
   }
 
-  private void ended(long now, Message event) {
-    Attempt attempt = attempt(event.text(2, "tid"), event.number(3, "seq_no"));
+  private void attemptEnded(long now, Message event) {
+    Attempt attempt = attempt(event, SimulatorWire.AttemptEnded.ATTEMPT);
     if (attempt == null || !attempt.isOut()) {
       return;
     }
-    long bill = event.numberOr(8, 0);
+    long bill = event.numberOr(SimulatorWire.AttemptEnded.BILL, 0);
     policy.onAttemptEnded(
         now,
         attempt,
-        outcome(event.text(5, "how")),
-        Units.toTenths(event.numberOr(6, 0)),
-        event.flag(7),
+        outcome(event.text(SimulatorWire.AttemptEnded.OUTCOME, "how")),
+        Units.toTenths(event.numberOr(SimulatorWire.AttemptEnded.LAG, 0)),
+        event.flag(SimulatorWire.AttemptEnded.ANSWERED),
         Units.billedWork(bill),
         Units.billedMemory(bill),
-        event.report(9));
+        event.report(SimulatorWire.AttemptEnded.LOAD_REPORT));
     forgetIfOver(attempt.request);
   }
 
-  private static AttemptOutcome outcome(String how) {
-    return switch (how) {
-      case "completed" -> AttemptOutcome.SUCCEEDED;
-      case "saturated" -> AttemptOutcome.REJECTED;
-      case "overdue" -> AttemptOutcome.TIMED_OUT;
-      case "refused_conn" -> AttemptOutcome.CONNECT_FAILED;
-      case "severed" -> AttemptOutcome.CONNECTION_LOST;
-      case "recalled" -> AttemptOutcome.CANCELLED;
-      case "superseded" -> AttemptOutcome.NOT_SENT;
+  private static AttemptOutcome outcome(String word) {
+    return switch (word) {
+      case SimulatorWire.AttemptEnded.COMPLETED -> AttemptOutcome.SUCCEEDED;
+      case SimulatorWire.AttemptEnded.SATURATED -> AttemptOutcome.REJECTED;
+      case SimulatorWire.AttemptEnded.OVERDUE -> AttemptOutcome.TIMED_OUT;
+      case SimulatorWire.AttemptEnded.REFUSED_CONNECTION -> AttemptOutcome.CONNECT_FAILED;
+      case SimulatorWire.AttemptEnded.SEVERED -> AttemptOutcome.CONNECTION_LOST;
+      case SimulatorWire.AttemptEnded.RECALLED -> AttemptOutcome.CANCELLED;
+      case SimulatorWire.AttemptEnded.SUPERSEDED -> AttemptOutcome.NOT_SENT;
       default -> AttemptOutcome.FAILED;
     };
   }
 
-  private void left(long now, String id) {
+  private void clientDisconnected(long now, String id) {
     Request request = requests.get(id);
     if (request != null) {
       policy.onClientDisconnected(now, request);
@@ -167,109 +171,75 @@
     }
   }
 
-  private Attempt attempt(String id, long place) {
-    Request request = requests.get(id);
-    return request == null || place < 0 || place >= request.attempts.size()
+  private static String requestId(Message event) {
+    return event.text(SimulatorWire.REQUEST_ID, SimulatorWire.REQUEST_ID_NAME);
+  }
+
+  /** The attempt that an event names, or null if it is not known. */
+  private Attempt attempt(Message event, int place) {
+    Request request = requests.get(requestId(event));
+    long number = event.number(place, SimulatorWire.ATTEMPT_NAME);
+    return request == null || number < 0 || number >= request.attempts.size()
         ? null
-        : request.attempts.get((int) place);
+        : request.attempts.get((int) number);
   }
 
   private void forgetIfOver(Request request) {
     if (request.isOver()) {
-      requests.remove((String) request.tag);
+      requests.remove(id(request));
     }
   }
 
-  private interface Writing {
-    void write() throws IOException;
-  }
-
-  private void write(String name, Writing rest) {
-    try {
-      actions.writeStartArray();
-      actions.writeString(name);
-      actions.writeNumber(number);
-      rest.write();
-      actions.writeEndArray();
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    }
-  }
+  // ---- actions ----
 
-  private void writeTag(Object tag) throws IOException {
-    actions.writeString((String) tag);
+  private static String id(Request request) {
+    return (String) request.tag;
   }
 
   @Override
   public void updatePriorityAndGrant(Request request, int rank, long grant) {
-    write(
-        "Provide",
-        () -> {
-          writeTag(request.tag);
-          actions.writeNumber(rank);
-          actions.writeNumber(grant);
-        });
+    actions.updatePriorityAndGrant(id(request), rank, grant);
   }
 
   @Override
   public void sendAttempt(Attempt attempt) {
-    write(
-        "Try",
-        () -> {
-          writeTag(attempt.request.tag);
-          actions.writeNumber(0);
-          writeTag(attempt.engine.tag);
-        });
+    actions.sendAttempt(id(attempt.request), (String) attempt.engine.tag);
   }
 
   @Override
   public void cancelAttempt(Attempt attempt) {
-    write(
-        "CallOff",
-        () -> {
-          writeTag(attempt.request.tag);
-          actions.writeNumber(attempt.number);
-        });
+    actions.cancelAttempt(id(attempt.request), attempt.number);
   }
 
   @Override
   public void rejectRequest(Request request, long retryAfter) {
-    write(
-        "Decline",
-        () -> {
-          writeTag(request.tag);
-          actions.writeNumber(Units.toMicros(retryAfter));
-        });
+    actions.rejectRequest(id(request), Units.toMicros(retryAfter));
     forgetIfOver(request);
   }
 
   @Override
   public void failRequest(Request request) {
-    write("RespondError", () -> writeTag(request.tag));
+    actions.failRequest(id(request));
     forgetIfOver(request);
   }
 
   @Override
   public void scheduleWakeup(long at) {
-    write(
-        "Arm",
-        () -> {
-          actions.writeNumber(Units.toMicros(at));
-          actions.writeNumber(0);
-        });
+    actions.scheduleWakeup(Units.toMicros(at));
   }
 
   @Override
   public void watchEndpoints() {
-    write("KeepInformed", () -> actions.writeBoolean(true));
+    actions.watchEndpoints();
   }
 
   @Override
   public void log(String line) {
-    write("Log", () -> actions.writeString(line));
+    actions.log(line);
   }
 
-  void panic(String line) {
-    write("Panic", () -> actions.writeString(line));
+  /** Reports an internal error. */
+  void panic(String cause) {
+    actions.panic(cause);
   }
 }
--- a/gateway/src/main/java/tillerlink/wirehost/Message.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Message.java
@@ -4,10 +4,16 @@
 import java.util.Map;
 
 /**
- * One event as it came in: its name, then its values in the wire's order; what is absent reads as
- * null.
+ * One event of the wire.
+ *
+ * @param values all values of its array, the name first; those that are absent count as null
  */
 record Message(String name, List<Object> values) {
+  /**
+   * The event that a parsed value is.
+   *
+   * @throws MalformedWireException if it is none
+   */
   static Message of(Object raw) {
     if (!(raw instanceof List<?> list) || list.isEmpty() || !(list.get(0) instanceof String name)) {
       throw new MalformedWireException(
@@ -22,57 +28,82 @@
     return place < values.size() && values.get(place) != null;
   }
 
+  /**
+   * A whole number.
+   *
+   * @param what the value's name, for the error
+   * @throws MalformedWireException if it is absent or no number
+   */
   long number(int place, String what) {
     if (has(place) && values.get(place) instanceof Number number) {
       return number.longValue();
     }
-    throw wrong(place, what, "a number");
+    throw malformed(place, what, "a number");
   }
 
+  /** A whole number, or another if it is absent or none. */
   long numberOr(int place, long otherwise) {
     return has(place) && values.get(place) instanceof Number number
         ? number.longValue()
         : otherwise;
   }
 
+  /** A number with a fraction, or another if it is absent or none. */
   double amountOr(int place, double otherwise) {
     return has(place) && values.get(place) instanceof Number number
         ? number.doubleValue()
         : otherwise;
   }
 
+  /**
+   * A text.
+   *
+   * @throws MalformedWireException if it is absent or none
+   */
   String text(int place, String what) {
     if (has(place) && values.get(place) instanceof String text) {
       return text;
     }
-    throw wrong(place, what, "a text");
+    throw malformed(place, what, "a text");
   }
 
+  /** A text, or another if it is absent or none. */
   String textOr(int place, String otherwise) {
     return has(place) && values.get(place) instanceof String text ? text : otherwise;
   }
 
+  /** Whether a value is true; false if it is absent. */
   boolean flag(int place) {
     return has(place) && Boolean.TRUE.equals(values.get(place));
   }
 
+  /**
+   * An array.
+   *
+   * @throws MalformedWireException if it is absent or none
+   */
   @SuppressWarnings("unchecked")
   List<Object> list(int place, String what) {
     if (has(place) && values.get(place) instanceof List<?> list) {
       return (List<Object>) list;
     }
-    throw wrong(place, what, "an array");
+    throw malformed(place, what, "an array");
   }
 
+  /**
+   * An object.
+   *
+   * @throws MalformedWireException if it is absent or none
+   */
   @SuppressWarnings("unchecked")
   Map<String, Object> object(int place, String what) {
     if (has(place) && values.get(place) instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
-    throw wrong(place, what, "an object");
+    throw malformed(place, what, "an object");
   }
 
-  /** The numbers of a load report, or null when none came. */
+  /** The numbers of a load report, where NaN stands for what is none; null if it is absent. */
   double[] report(int place) {
     if (!has(place) || !(values.get(place) instanceof List<?> row)) {
       return null;
@@ -84,7 +115,7 @@
     return report;
   }
 
-  private MalformedWireException wrong(int place, String what, String wanted) {
+  private MalformedWireException malformed(int place, String what, String wanted) {
     return new MalformedWireException(
         "event " + name + ": value " + place + " (" + what + ") is not " + wanted);
   }
--- a/gateway/src/main/java/tillerlink/wirehost/WireHost.java
+++ b/gateway/src/main/java/tillerlink/wirehost/WireHost.java
@@ -24,24 +24,44 @@
 import tillerlink.port.DispatchPolicyFactory;
 
 /**
- * Hosts many gateways on the simulator's wire: a line of events in, a line of actions out. They
- * share nothing.
+ * Hosts many gateways on the simulator's wire: each line of input is a batch of events, each line
+ * of output the actions that answer it. The gateways share nothing but the endpoint lists that
+ * events define for them. One thread runs all of it.
  */
 public final class WireHost {
+  /** In place of a list's number: the event names none. */
+  private static final int NO_PAGE = -1;
+
+  /** The events of one line, and the clock in tenths of a millisecond. */
+  private record Batch(long now, List<Message> events) {}
+
   private final DispatchPolicyFactory policies;
   private final JsonFactory factory = new JsonFactory();
   private final ByteArrayOutputStream reply = new ByteArrayOutputStream();
   private final JsonGenerator actions;
   private final Map<Integer, Instance> instances = new HashMap<>();
+
+  /** The endpoint lists under their numbers, which may be defined anew. */
   private final Map<Integer, List<Row>> pages = new HashMap<>();
+
+  /** The gateways that had events in this batch, whose decisions are due at its end. */
   private final Set<Integer> touched = new LinkedHashSet<>();
 
+  /**
+   * A host without gateways.
+   *
+   * @param policies makes the dispatch policy of each gateway
+   */
   public WireHost(DispatchPolicyFactory policies) throws IOException {
     this.policies = policies;
     actions = factory.createGenerator(reply).setRootValueSeparator(new SerializedString(""));
   }
 
-  /** Answers batches until the input ends. */
+  /**
+   * Answers batches until the input ends. Errors inside a gateway become actions that report them.
+   *
+   * @throws MalformedWireException if a line is no batch
+   */
   public void serve(InputStream in, OutputStream out) throws IOException {
     BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
     long lineNumber = 0;
@@ -61,12 +81,12 @@
     }
   }
 
-  /** The reply to one batch, with the line's end. */
+  /** Writes the reply to one batch. */
   private void answer(String line, OutputStream out) throws IOException {
     try (JsonParser parser = factory.createParser(line)) {
       actions.writeStartObject();
-      actions.writeArrayFieldStart("do");
-      batch(parser);
+      actions.writeArrayFieldStart(SimulatorWire.ACTIONS);
+      handle(readBatch(parser));
       actions.writeEndArray();
       actions.writeEndObject();
     }
@@ -77,97 +97,109 @@
     out.flush();
   }
 
-  private void batch(JsonParser parser) throws IOException {
+  private static Batch readBatch(JsonParser parser) throws IOException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
       throw new MalformedWireException("a batch is not an object");
     }
     Long clock = null;
-    List<Message> inbox = null;
+    List<Message> events = null;
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String name = parser.currentName();
       JsonToken token = parser.nextToken();
-      if (name.equals("wall_us") && token == JsonToken.VALUE_NUMBER_INT) {
+      if (name.equals(SimulatorWire.CLOCK) && token == JsonToken.VALUE_NUMBER_INT) {
         clock = parser.getLongValue();
-      } else if (name.equals("inbox") && token == JsonToken.START_ARRAY) {
-        inbox = new ArrayList<>();
-        while (parser.nextToken() != JsonToken.END_ARRAY) {
-          inbox.add(Message.of(Json.value(parser)));
-        }
+      } else if (name.equals(SimulatorWire.EVENTS) && token == JsonToken.START_ARRAY) {
+        events = readEvents(parser);
       } else {
         parser.skipChildren();
       }
     }
-    if (clock == null || inbox == null) {
+    if (clock == null || events == null) {
       throw new MalformedWireException("a batch lacks its clock (wall_us) or its inbox (an array)");
     }
     if (parser.nextToken() != null) {
       throw new MalformedWireException("more than one value on a line");
     }
-    long now = Units.toTenths(clock);
-    for (Message event : inbox) {
-      take(now, event);
+    return new Batch(Units.toTenths(clock), events);
+  }
+
+  private static List<Message> readEvents(JsonParser parser) throws IOException {
+    List<Message> events = new ArrayList<>();
+    while (parser.nextToken() != JsonToken.END_ARRAY) {
+      events.add(Message.of(Json.value(parser)));
+    }
+    return events;
+  }
+
+  private void handle(Batch batch) {
+    for (Message event : batch.events) {
+      handle(batch.now, event);
     }
-    for (int number : touched) {
-      Instance instance = instances.get(number);
+    for (int gateway : touched) {
+      Instance instance = instances.get(gateway);
       if (instance != null) {
-        guarded(instance, () -> instance.policy().applyDecisions(now));
+        guarded(instance, () -> instance.policy().applyDecisions(batch.now));
       }
     }
     touched.clear();
   }
 
-  private void take(long now, Message event) throws IOException {
-    if (event.name().equals("DefineList")) {
+  private void handle(long now, Message event) {
+    if (event.name().equals(SimulatorWire.DEFINE_LIST)) {
       List<Row> rows = new ArrayList<>();
-      event.list(2, "rows").forEach(raw -> rows.add(Row.of(raw)));
-      pages.put((int) event.number(1, "page"), rows);
+      event.list(SimulatorWire.DefineList.ROWS, "rows").forEach(entry -> rows.add(Row.of(entry)));
+      pages.put((int) event.number(SimulatorWire.DefineList.PAGE, "page"), rows);
       return;
     }
-    int number = (int) event.number(1, "gateway_id");
+    int gateway = (int) event.number(SimulatorWire.GATEWAY, "gateway_id");
     switch (event.name()) {
-      case "Up" -> start(now, number, event);
-      case "Retire" -> {
-        instances.remove(number);
-        touched.remove(number);
+      case SimulatorWire.UP -> start(now, gateway, event);
+      case SimulatorWire.RETIRE -> {
+        instances.remove(gateway);
+        touched.remove(gateway);
       }
-      default -> pass(now, number, event);
+      default -> pass(now, gateway, event);
     }
   }
 
-  private void start(long now, int number, Message event) throws IOException {
-    long seed = event.number(2, "rng_seed");
-    Map<String, Object> settings = event.object(3, "settings");
-    touched.remove(number);
-    touched.add(number);
+  private void start(long now, int gateway, Message event) {
+    long seed = event.number(SimulatorWire.Up.SEED, "rng_seed");
+    Map<String, Object> settings = event.object(SimulatorWire.Up.SETTINGS, "settings");
+    touched.remove(gateway);
+    touched.add(gateway);
+    ActionWriter writer = new ActionWriter(actions, gateway);
     try {
-      instances.put(number, new Instance(number, now, seed, settings, policies, actions));
+      instances.put(gateway, new Instance(now, seed, settings, policies, writer));
     } catch (RuntimeException e) {
-      panic(number, e);
+      e.printStackTrace();
+      writer.panic(cause(e));
     }
   }
 
-  private void pass(long now, int number, Message event) {
-    Instance instance = instances.get(number);
+  private void pass(long now, int gateway, Message event) {
+    Instance instance = instances.get(gateway);
     if (instance == null) {
       System.err.println(
-          "tillerlink: event " + event.name() + " for gateway " + number + ", which is not up");
+          "tillerlink: event " + event.name() + " for gateway " + gateway + ", which is not up");
       return;
     }
-    touched.add(number);
+    touched.add(gateway);
     List<Row> rows =
-        event.name().equals("BackendsChanged")
-            ? pages.getOrDefault((int) event.numberOr(4, -1), List.of())
+        event.name().equals(SimulatorWire.ENDPOINTS_CHANGED)
+            ? pages.getOrDefault(
+                (int) event.numberOr(SimulatorWire.EndpointsChanged.PAGE, NO_PAGE), List.of())
             : List.of();
     guarded(
         instance,
         () -> {
-          if (!instance.take(now, event, rows)) {
+          if (!instance.handle(now, event, rows)) {
             instance.log("unknown event " + event.name() + " ignored");
           }
         });
   }
 
-  private void guarded(Instance instance, Runnable work) {
+  /** Runs work of one gateway, whose errors must not end the others. */
+  private static void guarded(Instance instance, Runnable work) {
     try {
       work.run();
     } catch (MalformedWireException e) {
@@ -178,15 +210,6 @@
     }
   }
 
-  private void panic(int number, RuntimeException e) throws IOException {
-    e.printStackTrace();
-    actions.writeStartArray();
-    actions.writeString("Panic");
-    actions.writeNumber(number);
-    actions.writeString(cause(e));
-    actions.writeEndArray();
-  }
-
   private static String cause(RuntimeException e) {
     StackTraceElement[] trace = e.getStackTrace();
     return trace.length == 0 ? e.toString() : e + " at " + trace[0];
