--- a/http2/src/main/java/tillerlink/net/http2/Frame.java
+++ b/http2/src/main/java/tillerlink/net/http2/Frame.java
@@ -50,10 +50,10 @@
 
   /** Four bytes of the payload as an unsigned number. */
   public long number(int at) {
-    return (payload[at] & 255L) << 24
-        | (payload[at + 1] & 255) << 16
-        | (payload[at + 2] & 255) << 8
-        | payload[at + 3] & 255;
+    return ((payload[at] & 255L) << 24)
+        | ((payload[at + 1] & 255) << 16)
+        | ((payload[at + 2] & 255) << 8)
+        | (payload[at + 3] & 255);
   }
 
   /** Four bytes of the payload as a stream's id or a window's growth: the first bit is reserved. */
--- a/http2/src/main/java/tillerlink/net/http2/FrameReader.java
+++ b/http2/src/main/java/tillerlink/net/http2/FrameReader.java
@@ -58,7 +58,7 @@
       return null;
     }
     int length =
-        (buffer[from] & 255) << 16 | (buffer[from + 1] & 255) << 8 | buffer[from + 2] & 255;
+        ((buffer[from] & 255) << 16) | ((buffer[from + 1] & 255) << 8) | (buffer[from + 2] & 255);
     if (length > Frame.FRAME_AT_START) {
       throw new Http2ConnectionError(ErrorCode.FRAME_SIZE_ERROR, "a frame of " + length + " bytes");
     }
@@ -66,10 +66,10 @@
       return null;
     }
     int stream =
-        (buffer[from + 5] & 127) << 24
-            | (buffer[from + 6] & 255) << 16
-            | (buffer[from + 7] & 255) << 8
-            | buffer[from + 8] & 255;
+        ((buffer[from + 5] & 127) << 24)
+            | ((buffer[from + 6] & 255) << 16)
+            | ((buffer[from + 7] & 255) << 8)
+            | (buffer[from + 8] & 255);
     Frame frame =
         new Frame(
             buffer[from + 3] & 255,
--- a/http2/src/main/java/tillerlink/net/http2/HeaderBlockReader.java
+++ b/http2/src/main/java/tillerlink/net/http2/HeaderBlockReader.java
@@ -40,7 +40,7 @@
 
   /** Whether a frame may come now: within a block, only that block's continuation may. */
   boolean allows(Frame frame) {
-    return stream == 0 || frame.type() == Frame.CONTINUATION && frame.stream() == stream;
+    return stream == 0 || (frame.type() == Frame.CONTINUATION && frame.stream() == stream);
   }
 
   /**
--- a/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
@@ -168,7 +168,7 @@
   private void dispatch(Frame frame) {
     FrameChecks.require(headerBlocks.allows(frame), "a header block was not ended");
     FrameChecks.require(
-        peerSettings.received() || frame.type() == Frame.SETTINGS && !frame.has(Frame.ACK),
+        peerSettings.received() || (frame.type() == Frame.SETTINGS && !frame.has(Frame.ACK)),
         "the first frame is no settings");
     switch (frame.type()) {
       case Frame.DATA -> receiver.data(frame);
@@ -241,7 +241,7 @@
     FrameChecks.require(frame.stream() == 0, "a ping on a stream");
     FrameChecks.requireSize(frame.payload().length == Frame.PING_SIZE, "a ping");
     boolean acknowledgement = frame.has(Frame.ACK);
-    if (acknowledgement && pingUnanswered && (frame.number(0) << 32 | frame.number(4)) == pings) {
+    if (acknowledgement && pingUnanswered && ((frame.number(0) << 32) | frame.number(4)) == pings) {
       pingUnanswered = false;
       events.add(new Event.Pong());
       return;
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -145,7 +145,9 @@
    * connection that is not so: what was handed over may be on its way though nobody said so yet.
    */
   private boolean maybeReceivedWhole(AttemptStream stream) {
-    return closed && !writesKnown ? stream.handedOver() : stream.lastWriteNumber <= writesCompleted;
+    return (closed && !writesKnown)
+        ? stream.handedOver()
+        : stream.lastWriteNumber <= writesCompleted;
   }
 
   /**
--- a/http2/src/main/java/tillerlink/net/http2/PeerSettings.java
+++ b/http2/src/main/java/tillerlink/net/http2/PeerSettings.java
@@ -43,7 +43,7 @@
   void apply(Frame frame) {
     received = true;
     for (int at = 0; at < frame.payload().length; at += ENTRY_SIZE) {
-      int name = (frame.payload()[at] & 255) << 8 | frame.payload()[at + 1] & 255;
+      int name = ((frame.payload()[at] & 255) << 8) | (frame.payload()[at + 1] & 255);
       apply(name, frame.number(at + 2));
     }
   }
--- a/http2/src/main/java/tillerlink/net/http2/ResponseReceiver.java
+++ b/http2/src/main/java/tillerlink/net/http2/ResponseReceiver.java
@@ -108,7 +108,7 @@
     flood.countUseful();
     long length = ResponseHeaders.contentLength(list.headers());
     stream.startResponse(length);
-    if (length == ResponseHeaders.BAD_CONTENT_LENGTH || list.last() && stream.lacksBody()) {
+    if (length == ResponseHeaders.BAD_CONTENT_LENGTH || (list.last() && stream.lacksBody())) {
       fail(stream, ErrorCode.PROTOCOL_ERROR);
       return;
     }
--- a/http2/src/main/java/tillerlink/net/pool/StreamPool.java
+++ b/http2/src/main/java/tillerlink/net/pool/StreamPool.java
@@ -134,7 +134,7 @@
 
   /** Whether a connection should be retired: without streams for too long, or too old. */
   public boolean over(Member member, long now, long idleMost) {
-    return member.bears() == 0 && now >= member.idleSince() + idleMost
+    return (member.bears() == 0 && now >= member.idleSince() + idleMost)
         || now >= member.openedAt() + MAX_AGE_IN_IDLE_TIMEOUTS * idleMost;
   }
 }
