--- a/http2/src/main/java/tillerlink/net/http2/ErrorCode.java
+++ b/http2/src/main/java/tillerlink/net/http2/ErrorCode.java
@@ -1,31 +1,42 @@
 package tillerlink.net.http2;
 
-/** Error codes of RFC 9113, section 7, in the order of their numbers on the wire. */
+/** Error codes of RFC 9113, section 7, each with its number on the wire. */
 public enum ErrorCode {
-  NO_ERROR,
-  PROTOCOL_ERROR,
-  INTERNAL_ERROR,
-  FLOW_CONTROL_ERROR,
-  SETTINGS_TIMEOUT,
-  STREAM_CLOSED,
-  FRAME_SIZE_ERROR,
-  REFUSED_STREAM,
-  CANCEL,
-  COMPRESSION_ERROR,
-  CONNECT_ERROR,
-  ENHANCE_YOUR_CALM,
-  INADEQUATE_SECURITY,
-  HTTP_1_1_REQUIRED;
+  NO_ERROR(0x0),
+  PROTOCOL_ERROR(0x1),
+  INTERNAL_ERROR(0x2),
+  FLOW_CONTROL_ERROR(0x3),
+  SETTINGS_TIMEOUT(0x4),
+  STREAM_CLOSED(0x5),
+  FRAME_SIZE_ERROR(0x6),
+  REFUSED_STREAM(0x7),
+  CANCEL(0x8),
+  COMPRESSION_ERROR(0x9),
+  CONNECT_ERROR(0xa),
+  ENHANCE_YOUR_CALM(0xb),
+  INADEQUATE_SECURITY(0xc),
+  HTTP_1_1_REQUIRED(0xd);
 
   private static final ErrorCode[] ALL = values();
 
+  private final int code;
+
+  ErrorCode(int code) {
+    this.code = code;
+  }
+
   /** The code of a number on the wire; an unknown one counts as INTERNAL_ERROR (section 7). */
   public static ErrorCode of(int code) {
-    return code >= 0 && code < ALL.length ? ALL[code] : INTERNAL_ERROR;
+    for (ErrorCode candidate : ALL) {
+      if (candidate.code == code) {
+        return candidate;
+      }
+    }
+    return INTERNAL_ERROR;
   }
 
   /** The number on the wire. */
   public int code() {
-    return ordinal();
+    return code;
   }
 }
