--- a/gateway/src/main/java/tillerlink/net/wire/Ascii.java
+++ b/gateway/src/main/java/tillerlink/net/wire/Ascii.java
@@ -10,8 +10,8 @@
 
   static boolean letterOrDigit(int character) {
     return digit(character)
-        || character >= 'a' && character <= 'z'
-        || character >= 'A' && character <= 'Z';
+        || (character >= 'a' && character <= 'z')
+        || (character >= 'A' && character <= 'Z');
   }
 
   /** Whether a text consists of one digit or more and nothing else. */
--- a/gateway/src/main/java/tillerlink/net/wire/Dns.java
+++ b/gateway/src/main/java/tillerlink/net/wire/Dns.java
@@ -26,7 +26,7 @@
     for (int octet : header) {
       out.write(octet);
     }
-    for (String label : POOL.split("\\.")) {
+    for (String label : POOL.split("\\.", 0)) {
       out.write(label.length());
       out.writeBytes(label.getBytes(StandardCharsets.US_ASCII));
     }
--- a/gateway/src/main/java/tillerlink/net/wire/DnsAnswerParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/DnsAnswerParser.java
@@ -128,7 +128,7 @@
   /** An entry without its address or attributes states the engine's status only. */
   private static EndpointEntry entry(
       Service service, String address, Map<String, String> attributes) {
-    String[] labels = service.target.split("\\.");
+    String[] labels = service.target.split("\\.", 0);
     if (labels.length < 2) {
       throw new MalformedProtocolException("no zone in " + service.target);
     }
--- a/gateway/src/main/java/tillerlink/net/wire/DnsReader.java
+++ b/gateway/src/main/java/tillerlink/net/wire/DnsReader.java
@@ -44,7 +44,7 @@
   }
 
   int unsignedShortAt(int position) {
-    return (message[position] & 255) << 8 | message[position + 1] & 255;
+    return ((message[position] & 255) << 8) | (message[position + 1] & 255);
   }
 
   int unsignedShort() {
--- a/gateway/src/main/java/tillerlink/net/wire/EngineResponseParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineResponseParser.java
@@ -39,7 +39,7 @@
    * @throws IllegalArgumentException if it is malformed; the message says why
    */
   public EngineResponse next() {
-    if (words == null && !readLine() || bytes.size() < bodyLength + 2) {
+    if ((words == null && !readLine()) || bytes.size() < bodyLength + 2) {
       return null;
     }
     if (bytes.at(bodyLength) != '\r' || bytes.at(bodyLength + 1) != '\n') {
--- a/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
@@ -86,7 +86,7 @@
       return null;
     }
     try {
-      if (head == null && !readHead() || bytes.size() < bodyLength) {
+      if ((head == null && !readHead()) || bytes.size() < bodyLength) {
         return null;
       }
       byte[] body = bytes.take(bodyLength);
@@ -156,7 +156,7 @@
   }
 
   private boolean isBlankLine(int from, int to) {
-    return to == from || to == from + 1 && bytes.at(from) == '\r';
+    return to == from || (to == from + 1 && bytes.at(from) == '\r');
   }
 
   /** Method, target and version. */
--- a/gateway/src/main/java/tillerlink/net/wire/StatementTableScanner.java
+++ b/gateway/src/main/java/tillerlink/net/wire/StatementTableScanner.java
@@ -42,7 +42,7 @@
       groupElsewhere = groupElsewhere == 0 ? group : groupElsewhere;
       inTableList =
           KEYWORDS_BEFORE_TABLES.contains(token)
-              || inTableList && (schema || continuesTableList(tokens, i));
+              || (inTableList && (schema || continuesTableList(tokens, i)));
     }
     return groupElsewhere;
   }
@@ -59,7 +59,7 @@
     String token = tokens.get(index);
     return token.equals(DOT)
         || token.equals(COMMA)
-        || index > 0 && tokens.get(index - 1).equals(DOT);
+        || (index > 0 && tokens.get(index - 1).equals(DOT));
   }
 
   private static int group(String name) {
--- a/gateway/src/main/java/tillerlink/plain/Json.java
+++ b/gateway/src/main/java/tillerlink/plain/Json.java
@@ -27,8 +27,8 @@
       case VALUE_STRING -> parser.getText();
       case VALUE_NUMBER_INT -> parser.getNumberValue();
       case VALUE_NUMBER_FLOAT -> parser.getDoubleValue();
-      case VALUE_TRUE -> Boolean.TRUE;
-      case VALUE_FALSE -> Boolean.FALSE;
+      case VALUE_TRUE -> true;
+      case VALUE_FALSE -> false;
       default -> null;
     };
   }
