--- a/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
@@ -13,7 +13,6 @@
 import java.util.function.IntConsumer;
 import java.util.function.IntFunction;
 import tillerlink.audit.Auditor;
-import tillerlink.fakes.DiscoveryResponse;
 import tillerlink.fakes.EngineProtocolServer;
 import tillerlink.fleet.EngineSpec;
 import tillerlink.fleet.Fleet;
@@ -61,14 +60,12 @@
   private final Map<String, RequestCost> requestCosts = new HashMap<>();
   private final Map<InetSocketAddress, EmulatedEngine> byAddress = new HashMap<>();
   private final Map<String, EmulatedEngine> byName = new LinkedHashMap<>();
-  private final Map<String, EndpointEntry> endpoints = new LinkedHashMap<>();
+  private final EmulatedDiscovery discovery = new EmulatedDiscovery();
   private final List<String> incidents = new ArrayList<>();
   private final List<IntConsumer> killListeners = new ArrayList<>();
   private final List<IntConsumer> startListeners = new ArrayList<>();
   private final List<Consumer<EmulatedEngine>> engineListeners = new ArrayList<>();
   private long incidentClockStart;
-  private byte[] discoveryResponse;
-  private long listVersion = 1;
   private int enginesStarted;
   private long loopIterations;
 
@@ -183,18 +180,12 @@
     InetSocketAddress address = Fleet.address(engine.index);
     byAddress.put(address, engine);
     byName.put(spec.name(), engine);
-    endpoints.put(spec.name(), fleet.entry(spec, address, Status.READY, startedAt / TICKS_PER_MS));
+    discovery.put(fleet.entry(spec, address, Status.READY, startedAt / TICKS_PER_MS));
     auditor.onEngineStarted(spec.name(), spec.kind(), startedAt);
     engineListeners.forEach(listener -> listener.accept(engine));
-    listChanged();
     return engine;
   }
 
-  private void listChanged() {
-    listVersion++;
-    discoveryResponse = null;
-  }
-
   // ---- requests ----
 
   /** Announces a request to engines, before it is sent. */
@@ -235,15 +226,12 @@
 
   /** The current endpoint list. */
   public List<EndpointEntry> list() {
-    return List.copyOf(endpoints.values());
+    return discovery.list();
   }
 
   /** The full list as a watch event; empty while the discovery service is down. */
   public EndpointWatchEvent watchEvent() {
-    if (isDiscoveryDown()) {
-      return new EndpointWatchEvent(0, true, List.of());
-    }
-    return new EndpointWatchEvent(listVersion, true, list());
+    return isDiscoveryDown() ? new EndpointWatchEvent(0, true, List.of()) : discovery.watchEvent();
   }
 
   /** Whether the discovery service is down. */
@@ -251,33 +239,9 @@
     return now() < discoveryDownUntil;
   }
 
+  /** The response to a query, or null while the discovery service is down. */
   byte[] discoveryResponse() {
-    if (isDiscoveryDown()) {
-      return null;
-    }
-    if (discoveryResponse == null) {
-      discoveryResponse = DiscoveryResponse.of(0, listVersion, list());
-    }
-    return discoveryResponse;
-  }
-
-  private void updateEndpoint(String name, Status status) {
-    EndpointEntry entry = endpoints.get(name);
-    if (entry != null) {
-      endpoints.put(
-          name,
-          new EndpointEntry(
-              entry.id(),
-              entry.address(),
-              entry.port(),
-              entry.zone(),
-              entry.kind(),
-              entry.cell(),
-              status,
-              entry.weight(),
-              entry.startedMs()));
-      listChanged();
-    }
+    return isDiscoveryDown() ? null : discovery.response();
   }
 
   // ---- troubles ----
@@ -334,7 +298,7 @@
   }
 
   private void drain(EmulatedEngine engine, long until) {
-    updateEndpoint(engine.spec.name(), Status.DRAINING);
+    discovery.update(engine.spec.name(), Status.DRAINING);
     engine.drain();
     logIncident(engine.spec.name() + " drains");
     timeline.at(
@@ -354,8 +318,7 @@
 
   private void delist(EmulatedEngine engine) {
     String name = engine.spec.name();
-    updateEndpoint(name, Status.GONE);
-    endpoints.remove(name);
+    discovery.remove(name);
     for (int gateway = 0; gateway < fleet.gateways(); gateway++) {
       auditor.onEndpointWithdrawn(now() + LIST_DELAY, gateway, name);
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ScheduleRunner.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ScheduleRunner.java
@@ -88,11 +88,7 @@
             });
     awaitConvergence(cluster, audit, "before the play");
     loads.forEach(Load::begin);
-    try {
-      executor.run(schedule);
-    } catch (IOException e) {
-      audit.violation(Rule.INSIDE, e.getMessage());
-    }
+    execute(executor, schedule, audit);
     cluster.heal();
     statements.stopChanges();
     loads.forEach(Load::end);
@@ -106,6 +102,14 @@
     return result(schedule, audit, endOf(cluster, audit), executor.counts());
   }
 
+  private static void execute(StepExecutor executor, Schedule schedule, Audit audit) {
+    try {
+      executor.run(schedule);
+    } catch (IOException e) {
+      audit.violation(Rule.INSIDE, e.getMessage());
+    }
+  }
+
   private static List<Violation> endOf(ProcessCluster cluster, Audit audit) throws IOException {
     cluster.violations().forEach(words -> audit.violation(Rule.INSIDE, words));
     return audit.end();
