--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -1,10 +1,6 @@
 package tillerlink.net.http2;
 
-import java.util.ArrayDeque;
-import java.util.IdentityHashMap;
-import java.util.LinkedHashMap;
 import java.util.List;
-import java.util.Map;
 import org.apache.hc.core5.http.Header;
 import tillerlink.model.AttemptOutcome;
 import tillerlink.net.pool.StreamPool;
@@ -21,7 +17,6 @@
  * them. Owned by the event-loop thread.
  */
 final class Http2EngineConnection implements Channel.Owner, StreamPool.Member {
-  private static final int MAX_RESULT_BYTES = 48_000;
   private static final byte[] NO_BODY = {};
 
   private final Http2Transport transport;
@@ -29,11 +24,10 @@
   private final EngineAddress engineAddress;
   private final Http2ClientConnection protocol = new Http2ClientConnection();
   private final ConnectionLiveness liveness;
-  private final Map<Integer, AttemptStream> streams = new LinkedHashMap<>();
-  private final Map<InFlightAttempt, AttemptStream> byAttempt = new IdentityHashMap<>();
-
-  /** Fenced attempts whose last byte is being written, in that order. */
-  private final ArrayDeque<AttemptStream> fencedWrites = new ArrayDeque<>(0);
+  private final AttemptStreams streams = new AttemptStreams();
+  private final RequestWrites writes;
+  private final ResultReceiver results;
+  private final UnsentRequestChecks unsentRequests;
 
   private Channel channel;
   private boolean closed;
@@ -41,11 +35,6 @@
   /** Takes no new attempts; closes once those on it have ended. */
   private boolean retired;
 
-  /** The channel has closed, so that it is known what was written. */
-  private boolean writesKnown;
-
-  private long writesBegun;
-  private long writesCompleted;
   private long responses;
 
   Http2EngineConnection(Http2Transport transport, long now) {
@@ -53,6 +42,9 @@
     owner = transport.owner;
     engineAddress = transport.engineAddress;
     liveness = new ConnectionLiveness(now, false);
+    writes = new RequestWrites(owner);
+    results = new ResultReceiver(owner, engineAddress);
+    unsentRequests = new UnsentRequestChecks(owner, engineAddress, protocol, writes);
   }
 
   void dial() {
@@ -108,7 +100,7 @@
     SendVerdict verdict = resumed ? SendVerdict.ALLOWED : inFlight.checkWrite();
     if (verdict != SendVerdict.ALLOWED) {
       owner.attemptBlocked(inFlight, verdict);
-      endInNextIteration(inFlight, StreamTermination.WITHDRAWN.outcome(false, false));
+      transport.endInNextIteration(inFlight, StreamTermination.WITHDRAWN.outcome(false, false));
       return;
     }
     byte[] body = resumed ? NO_BODY : inFlight.statement();
@@ -122,32 +114,15 @@
     } catch (IllegalArgumentException e) {
       owner.warnRateLimited(
           "engine " + engineAddress.id + " does not accept header lists of that length");
-      endInNextIteration(inFlight, StreamTermination.NO_ROOM.outcome(false, resumed));
+      transport.endInNextIteration(inFlight, StreamTermination.NO_ROOM.outcome(false, resumed));
       return;
     }
-    AttemptStream stream = new AttemptStream(inFlight, streamId);
-    streams.put(streamId, stream);
-    byAttempt.put(inFlight, stream);
+    streams.add(new AttemptStream(inFlight, streamId));
     flush();
   }
 
-  private void endInNextIteration(InFlightAttempt inFlight, AttemptOutcome outcome) {
-    owner.runInNextIteration(() -> owner.attemptEnded(inFlight, outcome));
-  }
-
   boolean carries(InFlightAttempt inFlight) {
-    return byAttempt.containsKey(inFlight);
-  }
-
-  /**
-   * Whether a request may have come whole to the engine. What the engine says of a stream comes
-   * after we heard that it was written, and so does the connection's own end. Where we end the
-   * connection that is not so: what was handed over may be on its way though nobody said so yet.
-   */
-  private boolean maybeReceivedWhole(AttemptStream stream) {
-    return (closed && !writesKnown)
-        ? stream.handedOver()
-        : stream.lastWriteNumber <= writesCompleted;
+    return streams.find(inFlight) != null;
   }
 
   /**
@@ -155,7 +130,7 @@
    * its way.
    */
   AttemptOutcome cancel(InFlightAttempt inFlight) {
-    boolean sent = byAttempt.get(inFlight).handedOver();
+    boolean sent = streams.find(inFlight).handedOver();
     release(inFlight);
     boolean started = inFlight.resultStarted();
     return StreamTermination.CANCELLED.outcome(sent || started, started);
@@ -163,18 +138,15 @@
 
   /** An attempt is over, by whatever ended it. */
   void release(InFlightAttempt inFlight) {
-    AttemptStream stream = byAttempt.get(inFlight);
+    AttemptStream stream = streams.find(inFlight);
     protocol.cancel(stream.streamId, ErrorCode.CANCEL);
     forget(stream);
-    if (isSpentAndEmpty()) {
-      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
-    }
+    closeIfSpent();
     flush();
   }
 
   private void forget(AttemptStream stream) {
-    streams.remove(stream.streamId);
-    byAttempt.remove(stream.inFlight, stream);
+    streams.remove(stream);
     liveness.onAttemptEnded(owner.now());
   }
 
@@ -189,14 +161,11 @@
       return;
     }
     channel.write(bytes);
-    writesBegun++;
+    writes.onWriteBegun();
     for (int streamId : protocol.sentWhole()) {
-      AttemptStream stream = streams.get(streamId);
+      AttemptStream stream = streams.find(streamId);
       if (stream != null) {
-        stream.lastWriteNumber = writesBegun;
-        if (stream.inFlight.fenced()) {
-          fencedWrites.add(stream);
-        }
+        writes.onLastByteHandedOver(stream);
       }
     }
   }
@@ -214,10 +183,7 @@
 
   @Override
   public void onWritten() {
-    writesCompleted++;
-    while (!fencedWrites.isEmpty() && fencedWrites.peek().lastWriteNumber <= writesCompleted) {
-      owner.attemptWritten(fencedWrites.poll().inFlight);
-    }
+    writes.onWriteCompleted();
   }
 
   @Override
@@ -238,7 +204,7 @@
 
   @Override
   public void onClosed(DisconnectReason how) {
-    writesKnown = true;
+    writes.onChannelClosed();
     end(StreamTermination.CUT, how);
   }
 
@@ -246,13 +212,15 @@
 
   private void handle(Event event) {
     if (event instanceof Event.Interim interim) {
-      onProgress(streams.get(interim.stream()), EngineResponses.progress(interim.headers()));
+      results.onInterim(streams.find(interim.stream()), interim);
     } else if (event instanceof Event.Answer response) {
-      onResponse(streams.get(response.stream()), response);
+      AttemptStream stream = streams.find(response.stream());
+      conclude(stream, results.onResponse(stream, response));
     } else if (event instanceof Event.Body body) {
-      onBody(streams.get(body.stream()), body);
+      AttemptStream stream = streams.find(body.stream());
+      conclude(stream, results.onBody(stream, body));
     } else if (event instanceof Event.Ended ended) {
-      onStreamEnded(streams.get(ended.stream()), ended.how());
+      conclude(streams.find(ended.stream()), ended.how());
     } else if (event instanceof Event.Broken broken) {
       owner.warnRateLimited(
           "HTTP/2 protocol error from engine " + engineAddress.id + ": " + broken.why());
@@ -263,50 +231,20 @@
     }
   }
 
-  private void onStreamEnded(AttemptStream stream, StreamTermination how) {
-    if (stream != null) {
-      finish(stream, how);
-    }
-  }
-
-  private void onProgress(AttemptStream stream, EngineResponses.Progress progress) {
-    if (stream != null && progress.isValid()) {
-      owner.attemptProgressed(stream.inFlight, progress.kind(), progress.level());
-    }
-  }
-
-  private void onResponse(AttemptStream stream, Event.Answer response) {
-    if (stream == null) {
-      return;
-    }
-    boolean resumed = stream.inFlight.resultStarted();
-    if (!EngineResponses.bringsResult(response, resumed)) {
-      finish(stream, EngineResponses.termination(response, resumed));
-      return;
-    }
-    stream.responseAccepted = true;
-    if (!resumed) {
-      stream.inFlight.startResult();
-    }
-    if (response.last()) {
-      complete(stream);
-    }
-  }
-
-  private void onBody(AttemptStream stream, Event.Body body) {
-    if (stream == null || !stream.responseAccepted) {
-      return;
-    }
-    InFlightAttempt inFlight = stream.inFlight;
-    if (inFlight.resultSize() + body.bytes().length > MAX_RESULT_BYTES) {
-      owner.warnRateLimited("result from engine " + engineAddress.id + " is too long");
-      finish(stream, StreamTermination.GARBLED);
+  /**
+   * Ends a stream.
+   *
+   * @param stream null if it is over already
+   * @param how null if it goes on
+   */
+  private void conclude(AttemptStream stream, StreamTermination how) {
+    if (stream == null || how == null) {
       return;
     }
-    inFlight.appendResult(body.bytes());
-    owner.retainedBytesChanged(body.bytes().length);
-    if (body.last()) {
+    if (how == StreamTermination.ANSWERED) {
       complete(stream);
+    } else {
+      finish(stream, how);
     }
   }
 
@@ -332,7 +270,7 @@
       responses++;
     }
     if (!(started && how.isResumable() && transport.resume(stream.inFlight))) {
-      owner.attemptEnded(stream.inFlight, how.outcome(maybeReceivedWhole(stream), started));
+      owner.attemptEnded(stream.inFlight, how.outcome(writes.maybeReceivedWhole(stream), started));
     }
     closeIfSpent();
   }
@@ -379,14 +317,14 @@
       end(StreamTermination.CUT, DisconnectReason.NEVER_UP);
       return;
     }
-    for (AttemptStream stream : List.copyOf(streams.values())) {
-      if (holdsObsoleteWrite(stream, now)) {
+    for (AttemptStream stream : streams.copy()) {
+      if (unsentRequests.holdsObsoleteWrite(stream, now)) {
         // What was written is known once the connection has closed.
         retired = true;
         channel.abort();
         return;
       }
-      checkStream(stream, now, connectTimeout);
+      conclude(stream, unsentRequests.check(stream, now, connectTimeout));
     }
     flush();
     if (!closed) {
@@ -394,33 +332,6 @@
     }
   }
 
-  /** Whether its engine drains, and the request has not wholly come there. */
-  private boolean mustNotBeWritten(AttemptStream stream) {
-    return !maybeReceivedWhole(stream)
-        && !stream.inFlight.resultStarted()
-        && !engineAddress.isReady();
-  }
-
-  /** Whether a request that must not be written any more has been kept too long by the peer. */
-  private boolean holdsObsoleteWrite(AttemptStream stream, long now) {
-    return stream.handedOver()
-        && mustNotBeWritten(stream)
-        && now >= stream.inFlight.attempt.sentAt + owner.maxWriteDelay();
-  }
-
-  private void checkStream(AttemptStream stream, long now, long connectTimeout) {
-    if (!stream.handedOver() && mustNotBeWritten(stream)) {
-      finish(stream, StreamTermination.WITHDRAWN);
-    } else if (!protocol.isWhole(stream.streamId)) {
-      stream.windowShutSince = stream.windowShutSince == 0 ? now : stream.windowShutSince;
-      if (now >= stream.windowShutSince + connectTimeout) {
-        owner.warnRateLimited(
-            "engine " + engineAddress.id + " keeps its flow-control window closed");
-        finish(stream, StreamTermination.WINDOW_SHUT);
-      }
-    }
-  }
-
   private void checkSilence(long now, long connectTimeout) {
     if (!streams.isEmpty() && liveness.probeDue(now, connectTimeout)) {
       liveness.onProbeSent(now, connectTimeout);
@@ -467,13 +378,14 @@
       return;
     }
     closed = true;
+    writes.onConnectionEnded();
     transport.onConnectionEnded(this);
     if (reason == DisconnectReason.CLOSED_BY_US || reason == DisconnectReason.GARBLED) {
       channel.close();
     } else {
       channel.abort();
     }
-    for (AttemptStream stream : List.copyOf(streams.values())) {
+    for (AttemptStream stream : streams.copy()) {
       finish(stream, how);
     }
     if (reason == DisconnectReason.REFUSED || reason == DisconnectReason.NEVER_UP) {
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -58,7 +58,11 @@
 
   /** Nothing of an attempt was written, and nothing will be. */
   private void endUnsent(InFlightAttempt inFlight, StreamTermination how) {
-    owner.runInNextIteration(() -> owner.attemptEnded(inFlight, how.outcome(false, false)));
+    endInNextIteration(inFlight, how.outcome(false, false));
+  }
+
+  void endInNextIteration(InFlightAttempt inFlight, AttemptOutcome outcome) {
+    owner.runInNextIteration(() -> owner.attemptEnded(inFlight, outcome));
   }
 
   /** Sends what waits, as far as streams are free; opens connections for the rest. */
