--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -220,7 +220,8 @@
     gateway.matches("side-guards");
   }
 
-  private void assertNotified(String what, GatewayFixture gateway, String... wanted) {
+  private void assertNotified(String what, Runnable scenario, String... wanted) {
+    scenario.run();
     assertEquals(List.of(wanted), extension.notifications, what);
   }
 
@@ -233,70 +234,75 @@
   /** Every ending of an attempt that was written, and whether its engine may still be at it. */
   @Test
   void theGuardIsNotifiedOfEveryEnding() {
-    assertNotified("answered", withAttempt().connected(0).engine(0, DONE), "began", "over");
+    assertNotified("answered", () -> withAttempt().connected(0).engine(0, DONE), "began", "over");
     assertNotified(
         "its engine erred",
-        withAttempt().connected(0).engine(0, ID + " error - 0||"),
+        () -> withAttempt().connected(0).engine(0, ID + " error - 0||"),
         "began",
         "over");
     assertNotified(
         "of two pages one came, and the client's time is up",
-        withAttempt().connected(0).engine(0, ID + " ok count=2 0||").pass(5000),
+        () -> withAttempt().connected(0).engine(0, ID + " ok count=2 0||").pass(5000),
         "began",
         "over");
-    assertNotified("not written yet", withAttempt(), new String[0]);
-    assertNotified("the guard does not hold", withAttempt(false), new String[0]);
+    assertNotified("not written yet", () -> withAttempt(), new String[0]);
+    assertNotified("the guard does not hold", () -> withAttempt(false), new String[0]);
     assertNotified(
         "the guard does not hold once the connection is up",
-        withAttempt(true, false).connected(0),
+        () -> withAttempt(true, false).connected(0),
         new String[0]);
     assertNotified(
         "never connected",
-        withAttempt().ends(0, DisconnectReason.REFUSED).ends(1, DisconnectReason.REFUSED),
+        () -> withAttempt().ends(0, DisconnectReason.REFUSED).ends(1, DisconnectReason.REFUSED),
         new String[0]);
     assertNotified(
         "the connection broke",
-        withAttempt().connected(0).ends(0, DisconnectReason.RESET),
+        () -> withAttempt().connected(0).ends(0, DisconnectReason.RESET),
         "began",
         "may run until 4500");
     assertNotified(
         "the connection broke before it was written whole",
-        withAttempt().stuck().connected(0).ends(0, DisconnectReason.RESET),
+        () -> withAttempt().stuck().connected(0).ends(0, DisconnectReason.RESET),
         "began",
         "over");
     assertNotified(
         "the guard does not hold after the write",
-        withAttempt(true, true, false).connected(0),
+        () -> withAttempt(true, true, false).connected(0),
         "began",
         "may run until 4500");
     assertNotified(
         "it does not hold any more when the answer is there",
-        withAttempt(true, true, false).stuck().connected(0).engine(0, DONE),
+        () -> withAttempt(true, true, false).stuck().connected(0).engine(0, DONE),
         "began",
         "over");
     assertNotified(
         "the client goes",
-        withAttempt()
-            .connected(0)
-            .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n"),
+        () ->
+            withAttempt()
+                .connected(0)
+                .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n"),
         "began",
         "may run until 4500");
     assertNotified(
         "the client's time is up",
-        withAttempt().connected(0).pass(5000),
+        () -> withAttempt().connected(0).pass(5000),
         "began",
         "may run until 4500");
     assertNotified(
-        "the process ends", withAttempt().connected(0).timeUp(), "began", "may run until 4500");
+        "the process ends",
+        () -> withAttempt().connected(0).timeUp(),
+        "began",
+        "may run until 4500");
     assertNotified(
         "a pure one goes to another engine",
-        withExtension(new GatewayFixture())
-            .post("c1", ID, "aside/look")
-            .get("c1", ID)
-            .connected(0)
-            .ends(0, DisconnectReason.RESET)
-            .connected(1)
-            .engine(1, DONE),
+        () ->
+            withExtension(new GatewayFixture())
+                .post("c1", ID, "aside/look")
+                .get("c1", ID)
+                .connected(0)
+                .ends(0, DisconnectReason.RESET)
+                .connected(1)
+                .engine(1, DONE),
         "began",
         "may run until 4500",
         "began",
--- a/gateway/src/test/java/tillerlink/GatewayFixture.java
+++ b/gateway/src/test/java/tillerlink/GatewayFixture.java
@@ -1,5 +1,6 @@
 package tillerlink;
 
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -133,7 +134,7 @@
             "family_info",
             Map.of("kind_cores", List.of(8L), "tells_every_us", 2_000_000L));
     EndpointWatchEvent known = new EndpointWatchEvent(1, true, fleet);
-    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
+    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     served =
         fleet.stream()
             .map(e -> e.id() + " ready " + e.address() + ":5050 east std 0 0")
@@ -377,7 +378,7 @@
   @Override
   public void sendDiscoveryQuery(byte[] datagram) {
     questions++;
-    query = (datagram[0] & 255) << 8 | datagram[1] & 255;
+    query = Lists.queryId(datagram);
     unanswered = answering ? query : -1;
   }
 
--- a/gateway/src/test/java/tillerlink/Lists.java
+++ b/gateway/src/test/java/tillerlink/Lists.java
@@ -19,7 +19,7 @@
     out.writeBytes(Arrays.copyOfRange(Dns.query(id), 12, Dns.query(id).length));
     int[] targets = new int[engines.length];
     for (int i = 0; i < engines.length; i++) {
-      String[] e = engines[i].split(" ");
+      String[] e = engines[i].split(" ", -1);
       put(
           out,
           0xc00c,
@@ -30,16 +30,16 @@
           6 + e[0].length() + 1 + e[3].length() + 1 + 7,
           e[1].equals("ready") ? 0 : 1,
           10,
-          Integer.parseInt(e[2].split(":")[1]));
+          Integer.parseInt(e[2].split(":", -1)[1]));
       targets[i] = out.size();
       name(out, e);
     }
     put(out, 0xc00c, 6, 1, 0, 5, 24, 0xc00c, 0xc00c, serial >> 16, serial, 0, 0, 0, 0, 0, 0, 0, 0);
     for (int i = 0; i < engines.length; i++) {
-      String[] e = engines[i].split(" ");
+      String[] e = engines[i].split(" ", -1);
       owner(out, targets[i], e);
       put(out, 1, 1, 0, 5, 4);
-      for (String part : e[2].split(":")[0].split("\\.")) {
+      for (String part : e[2].split(":", -1)[0].split("\\.", -1)) {
         out.write(Integer.parseInt(part));
       }
       ByteArrayOutputStream texts = new ByteArrayOutputStream();
@@ -56,10 +56,19 @@
   /** Where the record ends that holds the serial of an answer about one engine. */
   public static int serialEnd(byte[] answer) {
     int head = Dns.query(0).length;
-    int service = head + 12 + ((answer[head + 10] & 255) << 8 | answer[head + 11] & 255);
+    int service = head + 12 + shortAt(answer, head + 10);
     return service + 12 + 24;
   }
 
+  /** The number of a query, as its answer has to repeat it. */
+  public static int queryId(byte[] query) {
+    return shortAt(query, 0);
+  }
+
+  private static int shortAt(byte[] bytes, int at) {
+    return ((bytes[at] & 255) << 8) | (bytes[at + 1] & 255);
+  }
+
   /** A pointer to the name, or the name itself where a pointer can't reach. */
   private static void owner(ByteArrayOutputStream out, int target, String[] engine) {
     if (target < 0x4000) {
--- a/gateway/src/test/java/tillerlink/ServeTest.java
+++ b/gateway/src/test/java/tillerlink/ServeTest.java
@@ -36,7 +36,7 @@
  */
 class ServeTest {
   private static final Duration PATIENCE = Duration.ofSeconds(10);
-  private static final String LOOPBACK = "127.0.0.1";
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
   @TempDir private Path folder;
   private final HttpClient client =
@@ -48,10 +48,9 @@
 
   @BeforeEach
   void standIns() throws IOException {
-    InetAddress loopback = InetAddress.getByName(LOOPBACK);
-    engine = new ServerSocket(0, 50, loopback);
-    names = new DatagramSocket(new InetSocketAddress(loopback, 0));
-    try (ServerSocket free = new ServerSocket(0, 1, loopback)) {
+    engine = new ServerSocket(0, 50, LOOPBACK);
+    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
+    try (ServerSocket free = new ServerSocket(0, 1, LOOPBACK)) {
       port = free.getLocalPort();
     }
     daemon(
@@ -69,10 +68,9 @@
           while (true) {
             DatagramPacket packet = new DatagramPacket(new byte[512], 512);
             asked.receive(packet);
-            byte[] q = packet.getData();
             byte[] list =
                 Lists.answer(
-                    (q[0] & 255) << 8 | q[1] & 255,
+                    Lists.queryId(packet.getData()),
                     2,
                     "e1 ready 127.0.0.1:" + engine.getLocalPort() + " east std 0 0");
             asked.send(new DatagramPacket(list, list.length, packet.getSocketAddress()));
@@ -156,7 +154,7 @@
         "1: tillerlink: 'seed' is missing or not a text",
         failure(configuration().replace("\"seed\"", "\"speed\"")));
     assertTrue(failure("{").startsWith("1: tillerlink: "));
-    try (ServerSocket taken = new ServerSocket(port, 1, InetAddress.getByName(LOOPBACK))) {
+    try (ServerSocket taken = new ServerSocket(port, 1, LOOPBACK)) {
       assertTrue(
           failure(configuration()).contains("Address already in use"),
           "port " + taken.getLocalPort());
@@ -169,7 +167,7 @@
     Process gateway = start(configuration());
     gateway.errorReader(StandardCharsets.UTF_8).readLine();
     names.close();
-    names = new DatagramSocket(new InetSocketAddress(InetAddress.getByName(LOOPBACK), 0));
+    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
     names.setSoTimeout((int) PATIENCE.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
     for (int i = 0; i < 3; i++) {
@@ -186,7 +184,7 @@
     Process gateway = start(configuration(), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     gateway.errorReader(StandardCharsets.UTF_8).readLine();
     names.close();
-    names = new DatagramSocket(new InetSocketAddress(InetAddress.getByName(LOOPBACK), 0));
+    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
     names.setSoTimeout((int) PATIENCE.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
     names.receive(new DatagramPacket(new byte[512], 512));
@@ -227,7 +225,7 @@
     Process gateway = start(configuration());
     awaitHealth();
     names.close();
-    names = new DatagramSocket(new InetSocketAddress(InetAddress.getByName(LOOPBACK), 0));
+    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
     names.setSoTimeout((int) PATIENCE.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
     hangUp(gateway);
@@ -253,7 +251,7 @@
     start(configuration(), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     awaitHealth();
     names.close();
-    names = new DatagramSocket(new InetSocketAddress(InetAddress.getByName(LOOPBACK), 0));
+    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
     names.setSoTimeout((int) PATIENCE.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
     hangUp(started.get(0));
@@ -336,7 +334,7 @@
       while (answer.body().startsWith("{\"continue\":\"")) {
         answer =
             client.send(
-                to(answer.body().split("\"")[3]).build(), HttpResponse.BodyHandlers.ofString());
+                to(answer.body().split("\"", -1)[3]).build(), HttpResponse.BodyHandlers.ofString());
       }
       assertEquals(status, answer.statusCode());
       return answer.body();
@@ -346,7 +344,8 @@
   }
 
   private HttpRequest.Builder to(String path) {
-    return HttpRequest.newBuilder(URI.create("http://" + LOOPBACK + ":" + port + path))
+    return HttpRequest.newBuilder(
+            URI.create("http://" + LOOPBACK.getHostAddress() + ":" + port + path))
         .timeout(PATIENCE);
   }
 
@@ -359,7 +358,7 @@
         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
     OutputStream out = socket.getOutputStream();
     for (String line = in.readLine(); line != null; line = in.readLine()) {
-      String[] words = line.split(" ");
+      String[] words = line.split(" ", -1);
       if (words[0].equals("want")) {
         String statement = in.readLine();
         String row = statement + "\tlook\t\n";
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -30,9 +30,22 @@
  */
 class WireTest {
   private static final String CALLS =
-      "POST /v1/look HTTP/1.1\r\nHost: a\r\nX-Deadline-Ms: 1500\r\nContent-Length: 8\r\n\r\n"
-          + "SELECT 1GET http://a/v1/calls/9?x=1 HTTP/1.1\r\nhost: a\r\nConnection: close\r\n\r\n"
-          + "\r\nDELETE /v1/calls/9 HTTP/1.0\n\nGET  / HTTP/1.1\r\n\r\n";
+      """
+      POST /v1/look HTTP/1.1\r
+      Host: a\r
+      X-Deadline-Ms: 1500\r
+      Content-Length: 8\r
+      \r
+      SELECT 1GET http://a/v1/calls/9?x=1 HTTP/1.1\r
+      host: a\r
+      Connection: close\r
+      \r
+      \r
+      DELETE /v1/calls/9 HTTP/1.0
+
+      GET  / HTTP/1.1\r
+      \r
+      """;
 
   interface Machine {
     String read(byte[] bytes);
@@ -155,13 +168,21 @@
             readAnyhow(
                 WireTest::engine,
                 bytes(
-                    "9b ok count=2 6\r\n"
-                        + "a\tb\tc\n\r\n"
-                        + "0 yes - 0\r\n\r\n"
-                        + "9b batch pos=1,novel=x 0\r\n\r\n"
-                        + "7c progress tell=frac,reading=0.45 0\r\n\r\n"
-                        + "7c progress - 0\r\n\r\n"
-                        + "7c refused - 0\r\n\r\n")));
+                    """
+                    9b ok count=2 6\r
+                    a\tb\tc
+                    \r
+                    0 yes - 0\r
+                    \r
+                    9b batch pos=1,novel=x 0\r
+                    \r
+                    7c progress tell=frac,reading=0.45 0\r
+                    \r
+                    7c progress - 0\r
+                    \r
+                    7c refused - 0\r
+                    \r
+                    """)));
     for (String bad :
         List.of(
             "9b ok count=1 3\r\nabcd\r\n",
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -254,10 +254,9 @@
   private SocketAddress answered(int index) throws Exception {
     loopback.pass(400, 25);
     DatagramPacket question = loopback.question(loopback.names);
-    byte[] q = question.getData();
     byte[] list =
         Lists.answer(
-            (q[0] & 255) << 8 | q[1] & 255,
+            Lists.queryId(question.getData()),
             index,
             "e1 ready 127.0.0.1:" + loopback.engines.get(0).getLocalPort() + " east std 0 0");
     loopback.hold();
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -5,6 +5,7 @@
 
 import java.io.IOException;
 import java.lang.reflect.Proxy;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.URISyntaxException;
 import java.nio.file.Files;
@@ -39,7 +40,7 @@
   /** Guards against taking a pause of this machine for a silent engine. */
   @Test
   void inputOfAPauseIsProcessedBeforeWhatIsDue() throws InterruptedException {
-    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
+    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
     turns = new EventLoop(this::clock);
     Gateway gateway =
@@ -61,7 +62,7 @@
    */
   @Test
   void aFailingEventDoesNotStopTheOthers() throws InterruptedException {
-    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
+    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
     turns = new EventLoop(() -> now);
     Gateway gateway =
@@ -93,7 +94,7 @@
     Set<String> listed =
         Set.copyOf(
             Files.readAllLines(Path.of("..", "deploy", "classes.lst")).stream()
-                .map(line -> line.split(" ")[0])
+                .map(line -> line.split(" ", -1)[0])
                 .collect(Collectors.toSet()));
     Path classes =
         Path.of(EventLoop.class.getProtectionDomain().getCodeSource().getLocation().toURI());
@@ -115,7 +116,7 @@
    */
   @Test
   void theWarmupPlaysRequestsToTheirEnd() {
-    InetSocketAddress any = new InetSocketAddress("127.0.0.1", 1);
+    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     Map<String, Object> terms =
         Map.of(
             "profiles",
--- a/gateway/src/test/java/tillerlink/net/lifecycle/FakeEngine.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/FakeEngine.java
@@ -40,7 +40,7 @@
 
   private void converse(Peer peer) throws IOException {
     for (String line = peer.line(); line != null; line = peer.line()) {
-      String[] words = line.split(" ");
+      String[] words = line.split(" ", -1);
       if (words[0].equals("want")) {
         synchronized (attempts) {
           long limit = Long.parseLong(words[2].replaceAll(".*limit=([0-9]+).*", "$1"));
--- a/gateway/src/test/java/tillerlink/net/lifecycle/FakeNameService.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/FakeNameService.java
@@ -9,6 +9,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.concurrent.Executors;
+import java.util.concurrent.Future;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import tillerlink.Lists;
@@ -90,7 +91,6 @@
   }
 
   private synchronized void answer(DatagramPacket question) throws IOException {
-    byte[] bytes = question.getData();
     String[] lines =
         engines.entrySet().stream()
             .map(
@@ -100,7 +100,7 @@
                         + engine.getValue()
                         + " east std 0 0")
             .toArray(String[]::new);
-    byte[] list = Lists.answer((bytes[0] & 255) << 8 | bytes[1] & 255, version, lines);
+    byte[] list = Lists.answer(Lists.queryId(question.getData()), version, lines);
     long now = System.nanoTime();
     told.replaceAll((engine, at) -> Math.min(at, now));
     if (silentMs > 0) {
@@ -109,13 +109,15 @@
     }
     if (now >= lossyUntil) {
       DatagramPacket answer = new DatagramPacket(list, list.length, question.getSocketAddress());
-      late.schedule(
-          () -> {
-            socket.send(answer);
-            return null;
-          },
-          delayMs,
-          TimeUnit.MILLISECONDS);
+      // One that could not be sent is as good as lost.
+      Future<?> unused =
+          late.schedule(
+              () -> {
+                socket.send(answer);
+                return null;
+              },
+              delayMs,
+              TimeUnit.MILLISECONDS);
     }
   }
 
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -139,13 +139,12 @@
       }
     }
     names.setSoTimeout(PATIENCE_MS);
-    byte[] bytes = question.getData();
     String[] lines = new String[engines.size()];
     for (int i = 0; i < lines.length; i++) {
       lines[i] =
           "e" + (i + 1) + " ready 127.0.0.1:" + engines.get(i).getLocalPort() + " east std 0 0";
     }
-    byte[] list = Lists.answer((bytes[0] & 255) << 8 | bytes[1] & 255, 1, lines);
+    byte[] list = Lists.answer(Lists.queryId(question.getData()), 1, lines);
     names.send(new DatagramPacket(list, list.length, question.getSocketAddress()));
     await(() -> ask(Gateway::listConfirmed), "the list is not confirmed");
   }
@@ -484,7 +483,7 @@
         line = line();
       }
       String statement = line == null ? null : line();
-      return statement == null ? null : line.split(" ")[1];
+      return statement == null ? null : line.split(" ", -1)[1];
     }
 
     /** The other end said all that it had to say, and ended without a reset. */
--- a/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
@@ -147,7 +147,7 @@
   void shutdownAnswersWhatIsPending() throws Exception {
     start(folder.resolve("log").toFile(), 1024);
     Peer waits = client();
-    Engine engine = waitsFor(waits);
+    waitsFor(waits);
     long told = System.nanoTime();
     process.destroy();
     assertEquals(
@@ -229,7 +229,7 @@
     private void listen() {
       try {
         for (String line = peer.line(); line != null; line = peer.line()) {
-          String[] words = line.split(" ");
+          String[] words = line.split(" ", -1);
           if (words[0].equals("there")) {
             say(words[1] + " yes - 0\r\n\r\n");
           } else if (words[0].equals("want")) {
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -314,7 +314,7 @@
   }
 
   private static void fetch(Peer client) throws IOException {
-    String path = client.body().split("\"")[3];
+    String path = client.body().split("\"", -1)[3];
     client.say("GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
     client.heard("{\"records\":[]}");
     client.close();
--- a/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
+++ b/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
+import tillerlink.Lists;
 import tillerlink.telemetry.Telemetry;
 
 /** Questions of a whole fleet that was started at one moment. Times are tenths of a millisecond. */
@@ -93,9 +94,7 @@
       if (asked.unanswered >= 0) {
         byte[] cut =
             Arrays.copyOf(
-                tillerlink.Lists.answer(
-                    asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"),
-                60);
+                Lists.answer(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"), 60);
         long at = now;
         assertThrows(IllegalArgumentException.class, () -> one.onAnswer(at, cut, 1));
         asked.unanswered = -1;
@@ -116,9 +115,7 @@
   private static void answer(DiscoveryClient one, long now, Asked asked, boolean arrives) {
     if (asked.unanswered >= 0 && arrives) {
       one.onAnswer(
-          now,
-          tillerlink.Lists.answer(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"),
-          1);
+          now, Lists.answer(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"), 1);
     }
     asked.unanswered = -1;
   }
@@ -135,7 +132,7 @@
 
     @Override
     public void sendDiscoveryQuery(byte[] datagram) {
-      unanswered = (datagram[0] & 255) << 8 | datagram[1] & 255;
+      unanswered = Lists.queryId(datagram);
       ids.add(unanswered);
     }
 
