--- a/harness/src/main/java/tillerlink/harness/EngineSockets.java
+++ b/harness/src/main/java/tillerlink/harness/EngineSockets.java
@@ -2,6 +2,7 @@
 
 import java.io.Closeable;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -32,7 +33,7 @@
  * at a port of its own, which identifies the gateway.
  */
 final class EngineSockets implements Closeable {
-  private static final String LOOPBACK = "127.0.0.1";
+  private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
   private static final int ACCEPT_BACKLOG = 256;
   private static final String CONNECTION = "connection";
 
