--- a/http2/src/main/java/tillerlink/net/http2/AttemptStream.java
+++ b/http2/src/main/java/tillerlink/net/http2/AttemptStream.java
@@ -17,7 +17,7 @@
   boolean responseAccepted;
 
   /** When the engine's window was found shut for its body; 0 if it is not. */
-  long windowShutSince;
+  long windowClosedSince;
 
   AttemptStream(InFlightAttempt inFlight, int streamId) {
     this.inFlight = inFlight;
--- a/http2/src/main/java/tillerlink/net/http2/EngineResponses.java
+++ b/http2/src/main/java/tillerlink/net/http2/EngineResponses.java
@@ -66,10 +66,10 @@
             .noneMatch(
                 header -> header.getName().equals("hop-ran") && header.getValue().equals("no"));
     if (executed) {
-      return StreamTermination.ANSWERED_ERROR;
+      return StreamTermination.ENGINE_ERROR;
     }
     boolean full =
         response.status() == TOO_MANY_REQUESTS || response.status() == SERVICE_UNAVAILABLE;
-    return full ? StreamTermination.ANSWERED_FULL : StreamTermination.ANSWERED_STALE;
+    return full ? StreamTermination.ENGINE_FULL : StreamTermination.NOT_EXECUTED;
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/Event.java
+++ b/http2/src/main/java/tillerlink/net/http2/Event.java
@@ -5,8 +5,11 @@
 
 /** What happened on an HTTP/2 connection, one type for each kind of event. */
 public sealed interface Event {
-  /** The peer's settings were received, first or anew; {@code streamsMost} may be open at once. */
-  record Limits(long streamsMost) implements Event {}
+  /**
+   * The peer's settings were received, first or anew; {@code maxConcurrentStreams} may be open at
+   * once.
+   */
+  record Limits(long maxConcurrentStreams) implements Event {}
 
   /** An interim response (1xx), ahead of the final one. */
   record Interim(int stream, List<Header> headers) implements Event {}
--- a/http2/src/main/java/tillerlink/net/http2/Frame.java
+++ b/http2/src/main/java/tillerlink/net/http2/Frame.java
@@ -49,16 +49,16 @@
   }
 
   /** Four bytes of the payload as an unsigned number. */
-  public long number(int at) {
-    return ((payload[at] & 255L) << 24)
-        | ((payload[at + 1] & 255) << 16)
-        | ((payload[at + 2] & 255) << 8)
-        | (payload[at + 3] & 255);
+  public long number(int offset) {
+    return ((payload[offset] & 255L) << 24)
+        | ((payload[offset + 1] & 255) << 16)
+        | ((payload[offset + 2] & 255) << 8)
+        | (payload[offset + 3] & 255);
   }
 
   /** Four bytes of the payload as a stream's id or a window's growth: the first bit is reserved. */
-  public int id(int at) {
-    return (int) (number(at) & STREAM_MASK);
+  public int id(int offset) {
+    return (int) (number(offset) & STREAM_MASK);
   }
 
   /** Where the content begins in the payload: behind the length of a padding and a priority. */
--- a/http2/src/main/java/tillerlink/net/http2/FrameWriter.java
+++ b/http2/src/main/java/tillerlink/net/http2/FrameWriter.java
@@ -64,19 +64,19 @@
   public void settings(int... pairs) {
     byte[] payload = new byte[3 * pairs.length];
     for (int i = 0; i < pairs.length; i += 2) {
-      int at = 3 * i;
-      payload[at] = (byte) (pairs[i] >> 8);
-      payload[at + 1] = (byte) pairs[i];
-      putNumber(payload, at + 2, pairs[i + 1]);
+      int offset = 3 * i;
+      payload[offset] = (byte) (pairs[i] >> 8);
+      payload[offset + 1] = (byte) pairs[i];
+      putNumber(payload, offset + 2, pairs[i + 1]);
     }
     frame(Frame.SETTINGS, 0, 0, payload, 0, payload.length);
   }
 
-  private static void putNumber(byte[] payload, int at, int number) {
-    payload[at] = (byte) (number >> 24);
-    payload[at + 1] = (byte) (number >> 16);
-    payload[at + 2] = (byte) (number >> 8);
-    payload[at + 3] = (byte) number;
+  private static void putNumber(byte[] payload, int offset, int number) {
+    payload[offset] = (byte) (number >> 24);
+    payload[offset + 1] = (byte) (number >> 16);
+    payload[offset + 2] = (byte) (number >> 8);
+    payload[offset + 3] = (byte) number;
   }
 
   /**
@@ -107,7 +107,7 @@
   }
 
   /** Takes the size of the peer's compression table, which is used up to the default of 4096. */
-  public void tableMost(int bytes) {
+  public void setMaxTableSize(int bytes) {
     encoder.setMaxTableSize(Math.min(MAX_TABLE_SIZE, bytes));
   }
 
--- a/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
@@ -81,7 +81,7 @@
   }
 
   /** The streams whose last byte is in what {@link #take} handed out last. */
-  public List<Integer> sentWhole() {
+  public List<Integer> takeSentRequests() {
     return sender.takeCompleted();
   }
 
@@ -96,12 +96,12 @@
   }
 
   /** How many streams the peer lets be open; {@code Long.MAX_VALUE} if it states none. */
-  public long streamsMost() {
+  public long maxConcurrentStreams() {
     return peerSettings.maxConcurrentStreams();
   }
 
   /** Whether the peer's settings were received. */
-  public boolean settingsSeen() {
+  public boolean settingsReceived() {
     return peerSettings.received();
   }
 
@@ -111,7 +111,7 @@
   }
 
   /** Whether the request of a stream was sent to its end; true for a stream that is over. */
-  public boolean isWhole(int id) {
+  public boolean isRequestSent(int id) {
     Http2Stream stream = streams.find(id);
     return stream == null || !stream.hasUnsentBody();
   }
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -35,7 +35,7 @@
   /** Takes no new attempts; closes once those on it have ended. */
   private boolean retired;
 
-  private long responses;
+  private long responseCount;
 
   Http2EngineConnection(Http2Transport transport, long now) {
     this.transport = transport;
@@ -54,37 +54,37 @@
   // ---- for the pool ----
 
   @Override
-  public boolean up() {
-    return liveness.isOpen() && protocol.settingsSeen();
+  public boolean isUp() {
+    return liveness.isOpen() && protocol.settingsReceived();
   }
 
   @Override
-  public boolean dialing() {
+  public boolean isDialing() {
     return !liveness.isOpen();
   }
 
   @Override
-  public boolean sound() {
+  public boolean acceptsStreams() {
     return !closed && !retired && !liveness.isSilent() && !protocol.isSpent();
   }
 
   @Override
-  public int bears() {
+  public int openStreams() {
     return protocol.open();
   }
 
   @Override
-  public long most() {
-    return protocol.streamsMost();
+  public long maxConcurrentStreams() {
+    return protocol.maxConcurrentStreams();
   }
 
   @Override
-  public long answered() {
-    return responses;
+  public long responses() {
+    return responseCount;
   }
 
   @Override
-  public long openedAt() {
+  public long dialedAt() {
     return liveness.dialedAt();
   }
 
@@ -162,7 +162,7 @@
     }
     channel.write(bytes);
     writes.onWriteBegun();
-    for (int streamId : protocol.sentWhole()) {
+    for (int streamId : protocol.takeSentRequests()) {
       AttemptStream stream = streams.find(streamId);
       if (stream != null) {
         writes.onLastByteHandedOver(stream);
@@ -241,7 +241,7 @@
     if (stream == null || how == null) {
       return;
     }
-    if (how == StreamTermination.ANSWERED) {
+    if (how == StreamTermination.COMPLETED) {
       complete(stream);
     } else {
       finish(stream, how);
@@ -249,12 +249,12 @@
   }
 
   private void complete(AttemptStream stream) {
-    responses++;
+    responseCount++;
     forget(stream);
     boolean valid = stream.inFlight.completeResult();
     owner.attemptEnded(
         stream.inFlight,
-        (valid ? StreamTermination.ANSWERED : StreamTermination.GARBLED).outcome(true, true));
+        (valid ? StreamTermination.COMPLETED : StreamTermination.GARBLED).outcome(true, true));
     closeIfSpent();
   }
 
@@ -266,11 +266,11 @@
     protocol.cancel(stream.streamId, ErrorCode.CANCEL);
     forget(stream);
     boolean started = stream.inFlight.resultStarted();
-    if (how == StreamTermination.ANSWERED_ERROR || how == StreamTermination.ANSWERED_FULL) {
-      responses++;
+    if (how == StreamTermination.ENGINE_ERROR || how == StreamTermination.ENGINE_FULL) {
+      responseCount++;
     }
     if (!(started && how.isResumable() && transport.resume(stream.inFlight))) {
-      owner.attemptEnded(stream.inFlight, how.outcome(writes.maybeReceivedWhole(stream), started));
+      owner.attemptEnded(stream.inFlight, how.outcome(writes.mayHaveBeenReceived(stream), started));
     }
     closeIfSpent();
   }
@@ -313,7 +313,7 @@
     if (closed) {
       return;
     }
-    if (!up() && liveness.openTimedOut(now, connectTimeout)) {
+    if (!isUp() && liveness.openTimedOut(now, connectTimeout)) {
       end(StreamTermination.CUT, DisconnectReason.NEVER_UP);
       return;
     }
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -77,7 +77,7 @@
         continue;
       }
       int quota =
-          StreamPool.part(
+          StreamPool.connectionQuota(
               owner.maxConnections(),
               owner.openConnections(),
               owner.engineCount(),
@@ -103,7 +103,7 @@
 
   /** Opens a connection to show whether the engine is there, unless one is being opened already. */
   void openAnother() {
-    if (connections.stream().noneMatch(Http2EngineConnection::dialing)
+    if (connections.stream().noneMatch(Http2EngineConnection::isDialing)
         && owner.openConnections() < owner.maxConnections()) {
       dial();
     }
@@ -119,7 +119,8 @@
    */
   void onConnectFailed(AttemptOutcome outcome) {
     List.copyOf(connections).forEach(Http2EngineConnection::onEngineUnreachable);
-    if (connections.stream().noneMatch(connection -> connection.up() && connection.sound())) {
+    if (connections.stream()
+        .noneMatch(connection -> connection.isUp() && connection.acceptsStreams())) {
       while (!waiting.isEmpty()) {
         InFlightAttempt inFlight = waiting.poll();
         owner.runInNextIteration(
@@ -174,18 +175,18 @@
   @Override
   public void checkTimeouts(long connectTimeout, long idleTimeout) {
     long now = owner.now();
-    for (Iterator<InFlightAttempt> i = waiting.iterator(); i.hasNext(); ) {
-      InFlightAttempt inFlight = i.next();
+    for (Iterator<InFlightAttempt> attempts = waiting.iterator(); attempts.hasNext(); ) {
+      InFlightAttempt inFlight = attempts.next();
       if (!inFlight.attempt.isInFlight()) {
-        i.remove();
+        attempts.remove();
       } else if (now >= inFlight.attempt.sentAt + connectTimeout && !inFlight.resultStarted()) {
-        i.remove();
+        attempts.remove();
         endUnsent(inFlight, StreamTermination.NO_ROOM);
       }
     }
     for (Http2EngineConnection connection : List.copyOf(connections)) {
       connection.checkTimeouts(connectTimeout);
-      if (connection.up() && pool.over(connection, now, idleTimeout)) {
+      if (connection.isUp() && pool.shouldRetire(connection, now, idleTimeout)) {
         connection.retire();
       }
     }
--- a/http2/src/main/java/tillerlink/net/http2/PeerSettings.java
+++ b/http2/src/main/java/tillerlink/net/http2/PeerSettings.java
@@ -42,9 +42,9 @@
    */
   void apply(Frame frame) {
     received = true;
-    for (int at = 0; at < frame.payload().length; at += ENTRY_SIZE) {
-      int name = ((frame.payload()[at] & 255) << 8) | (frame.payload()[at + 1] & 255);
-      apply(name, frame.number(at + 2));
+    for (int offset = 0; offset < frame.payload().length; offset += ENTRY_SIZE) {
+      int name = ((frame.payload()[offset] & 255) << 8) | (frame.payload()[offset + 1] & 255);
+      apply(name, frame.number(offset + 2));
     }
   }
 
@@ -56,7 +56,7 @@
   private void apply(int name, long value) {
     switch (name) {
       case Frame.SETTINGS_HEADER_TABLE_SIZE ->
-          writer.tableMost((int) Math.min(Integer.MAX_VALUE, value));
+          writer.setMaxTableSize((int) Math.min(Integer.MAX_VALUE, value));
       case Frame.SETTINGS_ENABLE_PUSH ->
           FrameChecks.require(value == 0, "an engine that enables push");
       case Frame.SETTINGS_MAX_CONCURRENT_STREAMS -> maxConcurrentStreams = value;
--- a/http2/src/main/java/tillerlink/net/http2/RequestWrites.java
+++ b/http2/src/main/java/tillerlink/net/http2/RequestWrites.java
@@ -61,7 +61,7 @@
    * connection was ended here, that is not so: what was handed over may be on its way although its
    * completion was not reported yet.
    */
-  boolean maybeReceivedWhole(AttemptStream stream) {
+  boolean mayHaveBeenReceived(AttemptStream stream) {
     return (connectionEnded && !channelClosed)
         ? stream.handedOver()
         : stream.lastWriteNumber <= completed;
--- a/http2/src/main/java/tillerlink/net/http2/ResultReceiver.java
+++ b/http2/src/main/java/tillerlink/net/http2/ResultReceiver.java
@@ -52,7 +52,7 @@
     if (!resumed) {
       stream.inFlight.startResult();
     }
-    return response.last() ? StreamTermination.ANSWERED : null;
+    return response.last() ? StreamTermination.COMPLETED : null;
   }
 
   /**
@@ -72,6 +72,6 @@
     }
     inFlight.appendResult(body.bytes());
     owner.retainedBytesChanged(body.bytes().length);
-    return body.last() ? StreamTermination.ANSWERED : null;
+    return body.last() ? StreamTermination.COMPLETED : null;
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
@@ -9,13 +9,13 @@
  */
 public enum StreamTermination {
   /** The response was received whole. */
-  ANSWERED(AttemptOutcome.SUCCEEDED),
+  COMPLETED(AttemptOutcome.SUCCEEDED),
   /** The response states that the engine was full and did not execute it. */
-  ANSWERED_FULL(AttemptOutcome.REJECTED),
+  ENGINE_FULL(AttemptOutcome.REJECTED),
   /** The response states that its deadline had passed already and that it was not executed. */
-  ANSWERED_STALE(AttemptOutcome.NOT_SENT),
+  NOT_EXECUTED(AttemptOutcome.NOT_SENT),
   /** Any other response but a result. */
-  ANSWERED_ERROR(AttemptOutcome.FAILED),
+  ENGINE_ERROR(AttemptOutcome.FAILED),
   /** Its id is above the last that a GOAWAY names: not acted on (RFC 9113, 6.8). */
   ABOVE_GOAWAY(AttemptOutcome.NOT_SENT),
   /** Reset with REFUSED_STREAM: not acted on (8.7). */
@@ -33,7 +33,7 @@
   /** The connection does not answer a probe, while the engine is heard on another. */
   MUTE(AttemptOutcome.RESPONSE_LOST, AttemptOutcome.NOT_SENT),
   /** The engine's window stayed closed for a body that was not wholly sent. */
-  WINDOW_SHUT(AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT),
+  WINDOW_CLOSED(AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT),
   /** Its engine began to drain before the last byte of the request was handed over. */
   WITHDRAWN(AttemptOutcome.NOT_SENT),
   /** No connection had a stream free for it in time. */
--- a/http2/src/main/java/tillerlink/net/http2/UnsentRequestChecks.java
+++ b/http2/src/main/java/tillerlink/net/http2/UnsentRequestChecks.java
@@ -27,7 +27,7 @@
 
   /** Whether its engine drains, and the request was not wholly received there. */
   private boolean mustNotBeWritten(AttemptStream stream) {
-    return !writes.maybeReceivedWhole(stream)
+    return !writes.mayHaveBeenReceived(stream)
         && !stream.inFlight.resultStarted()
         && !engineAddress.isReady();
   }
@@ -48,14 +48,14 @@
     if (!stream.handedOver() && mustNotBeWritten(stream)) {
       return StreamTermination.WITHDRAWN;
     }
-    if (protocol.isWhole(stream.streamId)) {
+    if (protocol.isRequestSent(stream.streamId)) {
       return null;
     }
-    stream.windowShutSince = stream.windowShutSince == 0 ? now : stream.windowShutSince;
-    if (now < stream.windowShutSince + connectTimeout) {
+    stream.windowClosedSince = stream.windowClosedSince == 0 ? now : stream.windowClosedSince;
+    if (now < stream.windowClosedSince + connectTimeout) {
       return null;
     }
     owner.warnRateLimited("engine " + engineAddress.id + " keeps its flow-control window closed");
-    return StreamTermination.WINDOW_SHUT;
+    return StreamTermination.WINDOW_CLOSED;
   }
 }
--- a/http2/src/main/java/tillerlink/net/pool/StreamPool.java
+++ b/http2/src/main/java/tillerlink/net/pool/StreamPool.java
@@ -10,25 +10,25 @@
   /** A connection as the pool sees it. */
   public interface Member {
     /** Whether it is connected and the engine's settings were received. */
-    boolean up();
+    boolean isUp();
 
     /** Whether it is still being connected. */
-    boolean dialing();
+    boolean isDialing();
 
     /** Whether it may take further streams: not retired, not silent, not spent. */
-    boolean sound();
+    boolean acceptsStreams();
 
     /** How many streams are open on it. */
-    int bears();
+    int openStreams();
 
     /** How many streams the engine lets be open on it at once. */
-    long most();
+    long maxConcurrentStreams();
 
     /** How many streams were answered on it so far. */
-    long answered();
+    long responses();
 
     /** When it was dialed. */
-    long openedAt();
+    long dialedAt();
 
     /** When its last stream ended. */
     long idleSince();
@@ -48,32 +48,33 @@
   private static final Choice WAIT = new Choice(Verdict.WAIT, null);
 
   /** Until it has answered once, a connection takes only so many: it may lead to no engine. */
-  private static final int STREAMS_BEFORE_FIRST_ANSWER = 32;
+  private static final int STREAMS_BEFORE_FIRST_RESPONSE = 32;
 
   /** Each answer lets it take so many more. */
-  private static final int STREAMS_PER_ANSWER = 2;
+  private static final int STREAMS_PER_RESPONSE = 2;
 
   /** The age at which a connection is retired, so that new ones follow the engine's address. */
   private static final int MAX_AGE_IN_IDLE_TIMEOUTS = 20;
 
-  private final int streamsMost;
-  private final int connectionsMost;
+  private final int maxStreams;
+  private final int maxConnections;
 
   /**
    * A pool with the bounds of one engine.
    *
-   * @param streamsMost streams on one connection, whatever the engine allows
-   * @param connectionsMost connections to one engine, whatever the fleet's bound leaves
+   * @param maxStreams streams on one connection, whatever the engine allows
+   * @param maxConnections connections to one engine, whatever the fleet's bound leaves
    */
-  public StreamPool(int streamsMost, int connectionsMost) {
-    this.streamsMost = streamsMost;
-    this.connectionsMost = connectionsMost;
+  public StreamPool(int maxStreams, int maxConnections) {
+    this.maxStreams = maxStreams;
+    this.maxConnections = maxConnections;
   }
 
   /** How many streams may be open on a connection now. */
-  public long room(Member member) {
-    long earned = STREAMS_BEFORE_FIRST_ANSWER + STREAMS_PER_ANSWER * member.answered();
-    return Math.min(Math.min(streamsMost, member.most()), earned);
+  public long streamQuota(Member member) {
+    long responseBasedLimit =
+        STREAMS_BEFORE_FIRST_RESPONSE + STREAMS_PER_RESPONSE * member.responses();
+    return Math.min(Math.min(maxStreams, member.maxConcurrentStreams()), responseBasedLimit);
   }
 
   /**
@@ -83,34 +84,34 @@
    * it would state the same.
    *
    * @param waiting how many attempts wait for a stream already
-   * @param part how many connections this engine may have by the fleet's bound
+   * @param quota how many connections this engine may have by the fleet's bound
    */
-  public Choice choose(List<? extends Member> members, int waiting, int part) {
+  public Choice choose(List<? extends Member> members, int waiting, int quota) {
     Member best = leastLoaded(members);
     if (best != null) {
       return new Choice(Verdict.USE, best);
     }
-    int coming = 0;
-    boolean closed = false;
-    int alive = 0;
+    int expectedCapacity = 0;
+    boolean limitIsZero = false;
+    int usedConnections = 0;
     for (Member member : members) {
-      alive += member.sound() || member.bears() > 0 ? 1 : 0;
+      usedConnections += member.acceptsStreams() || member.openStreams() > 0 ? 1 : 0;
       if (isReady(member)) {
-        closed |= member.most() == 0;
-      } else if (member.sound()) {
-        coming += Math.min(streamsMost, STREAMS_BEFORE_FIRST_ANSWER);
+        limitIsZero |= member.maxConcurrentStreams() == 0;
+      } else if (member.acceptsStreams()) {
+        expectedCapacity += Math.min(maxStreams, STREAMS_BEFORE_FIRST_RESPONSE);
       }
     }
-    boolean mayDial = alive < Math.min(connectionsMost, part) && !closed;
-    return mayDial && waiting >= coming ? DIAL : WAIT;
+    boolean mayDial = usedConnections < Math.min(maxConnections, quota) && !limitIsZero;
+    return mayDial && waiting >= expectedCapacity ? DIAL : WAIT;
   }
 
   private Member leastLoaded(List<? extends Member> members) {
     Member best = null;
     for (Member member : members) {
       if (isReady(member)
-          && member.bears() < room(member)
-          && (best == null || member.bears() < best.bears())) {
+          && member.openStreams() < streamQuota(member)
+          && (best == null || member.openStreams() < best.openStreams())) {
         best = member;
       }
     }
@@ -118,23 +119,26 @@
   }
 
   private static boolean isReady(Member member) {
-    return member.sound() && !member.dialing() && member.up();
+    return member.acceptsStreams() && !member.isDialing() && member.isUp();
   }
 
   /**
    * How many connections an engine may have: its part of the fleet's bound, at least one while the
    * bound is not reached.
    *
-   * @param links how many connections the gateway has to all engines
-   * @param own how many of them lead to this engine
+   * @param openConnections how many connections the gateway has to all engines
+   * @param ownConnections how many of them lead to this engine
    */
-  public static int part(int maxConnections, int links, int engines, int own) {
-    return links >= maxConnections ? own : Math.max(1, maxConnections / Math.max(1, engines));
+  public static int connectionQuota(
+      int maxConnections, int openConnections, int engines, int ownConnections) {
+    return openConnections >= maxConnections
+        ? ownConnections
+        : Math.max(1, maxConnections / Math.max(1, engines));
   }
 
   /** Whether a connection should be retired: without streams for too long, or too old. */
-  public boolean over(Member member, long now, long idleMost) {
-    return (member.bears() == 0 && now >= member.idleSince() + idleMost)
-        || now >= member.openedAt() + MAX_AGE_IN_IDLE_TIMEOUTS * idleMost;
+  public boolean shouldRetire(Member member, long now, long idleTimeout) {
+    return (member.openStreams() == 0 && now >= member.idleSince() + idleTimeout)
+        || now >= member.dialedAt() + MAX_AGE_IN_IDLE_TIMEOUTS * idleTimeout;
   }
 }
--- a/http2/src/test/java/tillerlink/net/http2/Http2ClientConnectionTest.java
+++ b/http2/src/test/java/tillerlink/net/http2/Http2ClientConnectionTest.java
@@ -21,7 +21,7 @@
     Peer.open(c, "");
     assertFalse(c.takesStreams());
     assertEquals("HEADERS1/p DATA1:5. HEADERS3./p", peer.heard(c));
-    assertEquals("[1, 3]", c.sentWhole().toString());
+    assertEquals("[1, 3]", c.takeSentRequests().toString());
     assertEquals(
         "interim1 answer1:200 body1:ab body1:c. answer3:404.",
         peer.answer(1, 102, false)
@@ -109,14 +109,14 @@
         "ACK HEADERS1/p DATA1:16384 DATA1:13616 HEADERS3/p DATA3:16384 DATA3:13616 HEADERS5/p"
             + " DATA5:10.",
         peer.heard(c));
-    assertEquals("[5]", c.sentWhole().toString());
+    assertEquals("[5]", c.takeSentRequests().toString());
     peer.say.frame(Frame.WINDOW_UPDATE, 0, 1, 100_000);
     peer.to(c);
     assertEquals("DATA1:5525", peer.heard(c));
     peer.say.frame(Frame.WINDOW_UPDATE, 0, 0, 100_000);
     peer.to(c);
     assertEquals("DATA1:4475.", peer.heard(c));
-    assertFalse(c.isWhole(3));
+    assertFalse(c.isRequestSent(3));
     peer.settings(4, 20_000).to(c);
     peer.say.frame(Frame.WINDOW_UPDATE, 0, 3, 10_000);
     peer.to(c);
--- a/http2/src/test/java/tillerlink/net/http2/Peer.java
+++ b/http2/src/test/java/tillerlink/net/http2/Peer.java
@@ -106,7 +106,10 @@
     for (Event event = connection.next(); event != null; event = connection.next()) {
       if (event instanceof Event.Limits limits) {
         all.add(
-            "limit=" + (limits.streamsMost() == Long.MAX_VALUE ? "none" : limits.streamsMost()));
+            "limit="
+                + (limits.maxConcurrentStreams() == Long.MAX_VALUE
+                    ? "none"
+                    : limits.maxConcurrentStreams()));
       } else if (event instanceof Event.Interim interim) {
         all.add("interim" + interim.stream());
       } else if (event instanceof Event.Answer answer) {
