--- a/http2/src/main/java/tillerlink/net/http2/AttemptStream.java
+++ b/http2/src/main/java/tillerlink/net/http2/AttemptStream.java
@@ -16,7 +16,7 @@
   /** Its response has begun with a status that stands for a result. */
   boolean responseAccepted;
 
-  /** When the engine's window was found shut for its body; 0 if it is not. */
+  /** When the engine's window was found closed for its body; 0 if it is open. */
   long windowClosedSince;
 
   AttemptStream(InFlightAttempt inFlight, int streamId) {
--- a/http2/src/main/java/tillerlink/net/http2/BodySender.java
+++ b/http2/src/main/java/tillerlink/net/http2/BodySender.java
@@ -19,7 +19,7 @@
     this.flow = flow;
   }
 
-  /** Sends what the windows let out. */
+  /** Sends as much as the windows allow. */
   void send() {
     boolean progress = streams.hasUnsentBodies() && flow.sendWindow() > 0;
     while (progress) {
--- a/http2/src/main/java/tillerlink/net/http2/Event.java
+++ b/http2/src/main/java/tillerlink/net/http2/Event.java
@@ -20,7 +20,7 @@
   /** A part of the response's body, possibly empty; {@code last} if it is the last. */
   record Body(int stream, byte[] bytes, boolean last) implements Event {}
 
-  /** A stream ended otherwise than by its whole response. */
+  /** A stream ended before its response was complete. */
   record Ended(int stream, StreamTermination how, ErrorCode code) implements Event {}
 
   /** A GOAWAY: the peer takes no stream above {@code last}; those were reported as ended before. */
--- a/http2/src/main/java/tillerlink/net/http2/FloodGuard.java
+++ b/http2/src/main/java/tillerlink/net/http2/FloodGuard.java
@@ -1,6 +1,6 @@
 package tillerlink.net.http2;
 
-/** Bounds the frames that cost work and carry nothing, in relation to those that carry data. */
+/** Limits the frames without content, which cost work, in relation to those that carry data. */
 final class FloodGuard {
   /** Useless frames that are tolerated beyond those that useful ones have made up for. */
   private static final int MAX_USELESS = 1000;
@@ -10,7 +10,7 @@
   private int useless;
 
   /**
-   * Counts a frame that carried nothing.
+   * Counts a frame without content.
    *
    * @throws Http2ConnectionError of ENHANCE_YOUR_CALM if there were too many
    */
--- a/http2/src/main/java/tillerlink/net/http2/FrameReader.java
+++ b/http2/src/main/java/tillerlink/net/http2/FrameReader.java
@@ -19,7 +19,7 @@
   /**
    * A reader at the start of a connection.
    *
-   * @param preface what must come before the first frame; empty for nothing
+   * @param preface the bytes required before the first frame; empty for nothing
    */
   public FrameReader(byte[] preface) {
     this.preface = preface;
@@ -48,7 +48,7 @@
   }
 
   /**
-   * The next frame, or null while it is not whole.
+   * The next frame, or null while it is incomplete.
    *
    * @throws Http2ConnectionError if it is too long, or the preface is another
    */
--- a/http2/src/main/java/tillerlink/net/http2/HeaderBlockReader.java
+++ b/http2/src/main/java/tillerlink/net/http2/HeaderBlockReader.java
@@ -38,7 +38,7 @@
     decoder.setMaxListSize(MAX_LIST_SIZE);
   }
 
-  /** Whether a frame may come now: within a block, only that block's continuation may. */
+  /** Whether a frame is allowed now: within a block, only that block's continuation may. */
   boolean allows(Frame frame) {
     return stream == 0 || (frame.type() == Frame.CONTINUATION && frame.stream() == stream);
   }
--- a/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
@@ -14,7 +14,7 @@
   private static final byte[] PREFACE =
       "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-  /** What RFC 9113, section 6.5.2, counts for each header beside its name and value. */
+  /** What RFC 9113, section 6.5.2, counts for each header in addition to its name and value. */
   private static final int HEADER_OVERHEAD = 32;
 
   /** In place of the last id that the peer accepts: no GOAWAY was received. */
@@ -95,7 +95,7 @@
     return broken || lastAcceptedId != NO_GOAWAY || streams.isExhausted();
   }
 
-  /** How many streams the peer lets be open; {@code Long.MAX_VALUE} if it states none. */
+  /** How many streams the peer allows to be open; {@code Long.MAX_VALUE} if it states none. */
   public long maxConcurrentStreams() {
     return peerSettings.maxConcurrentStreams();
   }
--- a/http2/src/main/java/tillerlink/net/http2/Http2ConnectionError.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2ConnectionError.java
@@ -6,9 +6,9 @@
   private final ErrorCode code;
 
   /**
-   * An error without a stack trace: it tells of the peer's bytes, not of a place in this program.
+   * An error without a stack trace: its cause is in the peer's bytes, not in this program.
    *
-   * @param code what the peer is told in the GOAWAY
+   * @param code the code of the GOAWAY sent to the peer
    * @param why what is logged
    */
   public Http2ConnectionError(ErrorCode code, String why) {
@@ -16,7 +16,7 @@
     this.code = code;
   }
 
-  /** What the peer is told in the GOAWAY. */
+  /** The code of the GOAWAY sent to the peer. */
   public ErrorCode code() {
     return code;
   }
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Cancels an attempt; a request of which a part was written may come whole while the reset is on
-   * its way.
+   * Cancels an attempt; a request of which a part was written may be received whole before the
+   * reset.
    */
   AttemptOutcome cancel(InFlightAttempt inFlight) {
     boolean sent = streams.find(inFlight).handedOver();
@@ -259,8 +259,8 @@
   }
 
   /**
-   * A stream is over and its attempt with it, unless the rest of its result can be had on another
-   * connection.
+   * A stream is over and its attempt with it, unless the rest of its result can be requested on
+   * another connection.
    */
   private void finish(AttemptStream stream, StreamTermination how) {
     protocol.cancel(stream.streamId, ErrorCode.CANCEL);
@@ -288,8 +288,8 @@
   }
 
   /**
-   * Takes no new attempts. One that is still being opened leads to whoever is at its address by
-   * then: it closes.
+   * Takes no new attempts. One that is still being opened would lead to whichever process then
+   * listens at its address: it closes.
    */
   void retire() {
     if (closed) {
@@ -304,9 +304,9 @@
   }
 
   /**
-   * Guards against a machine that vanished ({@link ConnectionLiveness}), against a window that
-   * stays shut while the path works, which is no slow engine; and the drain, while a request is not
-   * wholly sent.
+   * Guards against a machine that vanished ({@link ConnectionLiveness}) and against a flow-control
+   * window that stays closed while the path works, which does not mean a slow engine; applies a
+   * drain to requests that were not wholly sent.
    */
   void checkTimeouts(long connectTimeout) {
     long now = owner.now();
--- a/http2/src/main/java/tillerlink/net/http2/Http2Stream.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Stream.java
@@ -38,7 +38,7 @@
     return body != null;
   }
 
-  /** Whether there is a body to send and the stream's window lets some of it out. */
+  /** Whether there is a body to send and the stream's window allows some of it. */
   boolean canSend() {
     return body != null && sendWindow > 0;
   }
@@ -46,7 +46,7 @@
   /**
    * Writes the next DATA frame; {@link #canSend} must hold.
    *
-   * @param connectionWindow what the connection's window lets out, at least 1
+   * @param connectionWindow what the connection's window allows, at least 1
    * @return how many bytes were sent
    */
   int sendFrame(FrameWriter writer, long connectionWindow) {
@@ -100,7 +100,7 @@
     return receiveWindow >= 0;
   }
 
-  /** Takes a part of the body; false if none may come, or it differs from the stated length. */
+  /** Takes a part of the body; false if none is allowed, or it differs from the stated length. */
   boolean acceptBody(int length, boolean last) {
     if (!responseStarted) {
       return false;
--- a/http2/src/main/java/tillerlink/net/http2/PeerSettings.java
+++ b/http2/src/main/java/tillerlink/net/http2/PeerSettings.java
@@ -25,7 +25,7 @@
     return received;
   }
 
-  /** How many streams the peer lets be open; {@code Long.MAX_VALUE} if it states none. */
+  /** How many streams the peer allows to be open; {@code Long.MAX_VALUE} if it states none. */
   long maxConcurrentStreams() {
     return maxConcurrentStreams;
   }
--- a/http2/src/main/java/tillerlink/net/http2/ResponseHeaders.java
+++ b/http2/src/main/java/tillerlink/net/http2/ResponseHeaders.java
@@ -28,7 +28,7 @@
   /**
    * The status of a response.
    *
-   * @param trailers whether the list comes behind the response's own headers
+   * @param trailers whether the list follows the response's own headers
    * @return {@link #TRAILERS} for trailers, {@link #MALFORMED} if the list is malformed
    */
   static int status(List<Header> headers, boolean trailers) {
--- a/http2/src/main/java/tillerlink/net/http2/ResponseReceiver.java
+++ b/http2/src/main/java/tillerlink/net/http2/ResponseReceiver.java
@@ -32,7 +32,7 @@
   /**
    * Takes a DATA frame.
    *
-   * @throws Http2ConnectionError if it may not come on that stream, or exceeds the window
+   * @throws Http2ConnectionError if it is not allowed on that stream, or exceeds the window
    */
   void data(Frame frame) {
     FrameChecks.require(frame.stream() != 0, "data on no stream");
@@ -121,7 +121,7 @@
   /**
    * Takes a RST_STREAM frame.
    *
-   * @throws Http2ConnectionError if it is malformed or may not come on that stream
+   * @throws Http2ConnectionError if it is malformed or not allowed on that stream
    */
   void reset(Frame frame) {
     FrameChecks.require(frame.stream() != 0, "a reset of no stream");
--- a/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
@@ -12,7 +12,7 @@
   COMPLETED(AttemptOutcome.SUCCEEDED),
   /** The response states that the engine was full and did not execute it. */
   ENGINE_FULL(AttemptOutcome.REJECTED),
-  /** The response states that its deadline had passed already and that it was not executed. */
+  /** The response states that the request was over already and was not executed. */
   NOT_EXECUTED(AttemptOutcome.NOT_SENT),
   /** Any other response but a result. */
   ENGINE_ERROR(AttemptOutcome.FAILED),
--- a/http2/src/main/java/tillerlink/net/pool/StreamPool.java
+++ b/http2/src/main/java/tillerlink/net/pool/StreamPool.java
@@ -21,10 +21,10 @@
     /** How many streams are open on it. */
     int openStreams();
 
-    /** How many streams the engine lets be open on it at once. */
+    /** How many streams the engine allows to be open on it at once. */
     long maxConcurrentStreams();
 
-    /** How many streams were answered on it so far. */
+    /** How many responses were received on it so far. */
     long responses();
 
     /** When it was dialed. */
@@ -47,10 +47,10 @@
   private static final Choice DIAL = new Choice(Verdict.DIAL, null);
   private static final Choice WAIT = new Choice(Verdict.WAIT, null);
 
-  /** Until it has answered once, a connection takes only so many: it may lead to no engine. */
+  /** How many streams a connection takes before its first response: it may lead to no engine. */
   private static final int STREAMS_BEFORE_FIRST_RESPONSE = 32;
 
-  /** Each answer lets it take so many more. */
+  /** How many more it takes for each response. */
   private static final int STREAMS_PER_RESPONSE = 2;
 
   /** The age at which a connection is retired, so that new ones follow the engine's address. */
@@ -79,7 +79,7 @@
 
   /**
    * Where the next stream goes: to the connection with the fewest open streams of those with
-   * capacity; if there is none, over a new one, unless one that comes up will have capacity for it.
+   * capacity; if there is none, over a new one, unless one being opened will have capacity for it.
    * Guards against an engine that lowered its limit to 0: no further connection is opened then, for
    * it would state the same.
    *
