--- a/http2/src/test/java/tillerlink/net/http2/MalformedTest.java
+++ b/http2/src/test/java/tillerlink/net/http2/MalformedTest.java
@@ -7,17 +7,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What RFC 9113 says ends by a malformed input, ends: the stream alone, or the connection. Two
- * streams are open.
+ * Malformed input ends what RFC 9113 demands: the stream alone, or the connection. Two streams are
+ * open.
  */
 class MalformedTest {
   private final StringBuilder printed = new StringBuilder();
 
-  private void says(String section, String what, Consumer<Peer> says) {
+  private void printReaction(String section, String what, Consumer<Peer> input) {
     Peer peer = new Peer();
-    Http2ClientConnection c = Peer.connected(peer, 2);
-    says.accept(peer);
-    String events = peer.to(c);
+    Http2ClientConnection connection = Peer.connected(peer, 2);
+    input.accept(peer);
+    String events = peer.sendTo(connection);
     printed
         .append(section)
         .append(' ')
@@ -25,97 +25,128 @@
         .append(": ")
         .append(events.isEmpty() ? "nothing" : events)
         .append(" / ")
-        .append(peer.heard(c))
+        .append(peer.receivedFrames(connection))
         .append('\n');
   }
 
   @Test
   void bySection() {
-    says("4.1", "an unknown frame", p -> p.raw(77, 255, 1, 1, 2, 3));
-    says(
-        "4.2", "a frame too long", p -> p.say.frame(Frame.DATA, 0, 1, new byte[16_385], 0, 16_385));
-    says(
+    printReaction("4.1", "an unknown frame", peer -> peer.raw(77, 255, 1, 1, 2, 3));
+    printReaction(
+        "4.2",
+        "a frame too long",
+        peer -> peer.writer.frame(Frame.DATA, 0, 1, new byte[16_385], 0, 16_385));
+    printReaction(
         "4.3",
         "headers that can't be decoded",
-        p -> p.raw(Frame.HEADERS, 4, 1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff));
-    says(
+        peer -> peer.raw(Frame.HEADERS, 4, 1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff));
+    printReaction(
         "4.3",
         "a block interrupted",
-        p -> p.raw(Frame.HEADERS, 0, 1).raw(Frame.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
-    says("5.1", "data on an idle stream", p -> p.data(9, "x", false));
-    says("5.1", "headers on a stream of the peer's", p -> p.answer(2, 200, true));
-    says("5.1", "data after the end", p -> p.answer(1, 200, true).data(1, "x", false));
-    says("5.1", "headers after the end", p -> p.answer(1, 200, true).answer(1, 200, true));
-    says("6.1", "data on no stream", p -> p.data(0, "x", false));
-    says("6.1", "more padding than frame", p -> p.raw(Frame.DATA, Frame.PADDED, 1, 5, 0, 0));
-    says(
+        peer -> peer.raw(Frame.HEADERS, 0, 1).raw(Frame.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
+    printReaction("5.1", "data on an idle stream", peer -> peer.data(9, "x", false));
+    printReaction("5.1", "headers on a stream of the peer's", peer -> peer.response(2, 200, true));
+    printReaction(
+        "5.1", "data after the end", peer -> peer.response(1, 200, true).data(1, "x", false));
+    printReaction(
+        "5.1", "headers after the end", peer -> peer.response(1, 200, true).response(1, 200, true));
+    printReaction("6.1", "data on no stream", peer -> peer.data(0, "x", false));
+    printReaction(
+        "6.1", "more padding than frame", peer -> peer.raw(Frame.DATA, Frame.PADDED, 1, 5, 0, 0));
+    printReaction(
         "6.1",
         "padded data",
-        p -> p.answer(1, 200, false).raw(Frame.DATA, Frame.PADDED | 1, 1, 2, 'o', 'k', 0, 0));
-    says("6.2", "headers on no stream", p -> p.answer(0, 200, true));
-    says("6.3", "a priority of a wrong size", p -> p.raw(Frame.PRIORITY, 0, 1, 0, 0));
-    says("6.3", "a priority on no stream", p -> p.raw(Frame.PRIORITY, 0, 0, 0, 0, 0, 0, 0));
-    says("6.4", "a reset of an idle stream", p -> p.say.reset(9, ErrorCode.CANCEL));
-    says("6.4", "a reset of a wrong size", p -> p.raw(Frame.RST_STREAM, 0, 1, 0, 0, 0));
-    says("6.5", "settings on a stream", p -> p.raw(Frame.SETTINGS, 0, 1));
-    says("6.5", "settings of a wrong size", p -> p.raw(Frame.SETTINGS, 0, 0, 0, 1, 0));
-    says(
+        peer ->
+            peer.response(1, 200, false).raw(Frame.DATA, Frame.PADDED | 1, 1, 2, 'o', 'k', 0, 0));
+    printReaction("6.2", "headers on no stream", peer -> peer.response(0, 200, true));
+    printReaction(
+        "6.3", "a priority of a wrong size", peer -> peer.raw(Frame.PRIORITY, 0, 1, 0, 0));
+    printReaction(
+        "6.3", "a priority on no stream", peer -> peer.raw(Frame.PRIORITY, 0, 0, 0, 0, 0, 0, 0));
+    printReaction(
+        "6.4", "a reset of an idle stream", peer -> peer.writer.reset(9, ErrorCode.CANCEL));
+    printReaction(
+        "6.4", "a reset of a wrong size", peer -> peer.raw(Frame.RST_STREAM, 0, 1, 0, 0, 0));
+    printReaction("6.5", "settings on a stream", peer -> peer.raw(Frame.SETTINGS, 0, 1));
+    printReaction(
+        "6.5", "settings of a wrong size", peer -> peer.raw(Frame.SETTINGS, 0, 0, 0, 1, 0));
+    printReaction(
         "6.5",
         "a receipt with settings",
-        p -> p.raw(Frame.SETTINGS, Frame.ACK, 0, 0, 1, 0, 0, 0, 0));
-    says("6.5.2", "push enabled by an engine", p -> p.settings(2, 1));
-    says("6.5.2", "a window too large", p -> p.settings(4, -1));
-    says("6.5.2", "a frame size too small", p -> p.settings(5, 100));
-    says("6.5.2", "an unknown setting", p -> p.settings(99, 1));
-    says("6.6", "a push", p -> p.raw(Frame.PUSH_PROMISE, 4, 1, 0, 0, 0, 2));
-    says("6.7", "a ping on a stream", p -> p.raw(Frame.PING, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
-    says("6.7", "a ping of a wrong size", p -> p.raw(Frame.PING, 0, 0, 1));
-    says("6.8", "a GOAWAY on a stream", p -> p.raw(Frame.GOAWAY, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
-    says("6.8", "a GOAWAY of a wrong size", p -> p.raw(Frame.GOAWAY, 0, 0, 0));
-    says("6.9", "a window grown by nothing", p -> p.say.frame(Frame.WINDOW_UPDATE, 0, 1, 0));
-    says(
-        "6.9", "the connection's grown by nothing", p -> p.say.frame(Frame.WINDOW_UPDATE, 0, 0, 0));
-    says("6.9", "an update of a wrong size", p -> p.raw(Frame.WINDOW_UPDATE, 0, 1, 0, 0));
-    says(
+        peer -> peer.raw(Frame.SETTINGS, Frame.ACK, 0, 0, 1, 0, 0, 0, 0));
+    printReaction("6.5.2", "push enabled by an engine", peer -> peer.settings(2, 1));
+    printReaction("6.5.2", "a window too large", peer -> peer.settings(4, -1));
+    printReaction("6.5.2", "a frame size too small", peer -> peer.settings(5, 100));
+    printReaction("6.5.2", "an unknown setting", peer -> peer.settings(99, 1));
+    printReaction("6.6", "a push", peer -> peer.raw(Frame.PUSH_PROMISE, 4, 1, 0, 0, 0, 2));
+    printReaction(
+        "6.7", "a ping on a stream", peer -> peer.raw(Frame.PING, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
+    printReaction("6.7", "a ping of a wrong size", peer -> peer.raw(Frame.PING, 0, 0, 1));
+    printReaction(
+        "6.8",
+        "a GOAWAY on a stream",
+        peer -> peer.raw(Frame.GOAWAY, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
+    printReaction("6.8", "a GOAWAY of a wrong size", peer -> peer.raw(Frame.GOAWAY, 0, 0, 0));
+    printReaction(
+        "6.9",
+        "a window grown by nothing",
+        peer -> peer.writer.frame(Frame.WINDOW_UPDATE, 0, 1, 0));
+    printReaction(
+        "6.9",
+        "the connection's grown by nothing",
+        peer -> peer.writer.frame(Frame.WINDOW_UPDATE, 0, 0, 0));
+    printReaction(
+        "6.9", "an update of a wrong size", peer -> peer.raw(Frame.WINDOW_UPDATE, 0, 1, 0, 0));
+    printReaction(
         "6.9.1",
         "a stream's window overflows",
-        p -> p.say.frame(Frame.WINDOW_UPDATE, 0, 1, Integer.MAX_VALUE));
-    says(
+        peer -> peer.writer.frame(Frame.WINDOW_UPDATE, 0, 1, Integer.MAX_VALUE));
+    printReaction(
         "6.9.1",
         "the connection's window overflows",
-        p -> p.say.frame(Frame.WINDOW_UPDATE, 0, 0, Integer.MAX_VALUE));
-    says(
+        peer -> peer.writer.frame(Frame.WINDOW_UPDATE, 0, 0, Integer.MAX_VALUE));
+    printReaction(
         "6.9.1",
         "more data than a window lets through",
-        p -> {
-          p.answer(1, 200, false);
+        peer -> {
+          peer.response(1, 200, false);
           for (int i = 0; i < 5; i++) {
-            p.data(1, "x".repeat(16_000), false);
+            peer.data(1, "x".repeat(16_000), false);
           }
         });
-    says("6.10", "a continuation of nothing", p -> p.raw(Frame.CONTINUATION, 4, 1));
-    says("8.1", "data before headers", p -> p.data(1, "x", false));
-    says(
+    printReaction("6.10", "a continuation of nothing", peer -> peer.raw(Frame.CONTINUATION, 4, 1));
+    printReaction("8.1", "data before headers", peer -> peer.data(1, "x", false));
+    printReaction(
         "8.1.1",
         "a body longer than stated",
-        p -> p.answer(1, 200, false, "content-length", "1").data(1, "xy", true));
-    says(
+        peer -> peer.response(1, 200, false, "content-length", "1").data(1, "xy", true));
+    printReaction(
         "8.1.1",
         "a body shorter than stated",
-        p -> p.answer(1, 200, false, "content-length", "3").data(1, "xy", true));
-    says("8.1.1", "a length that is none", p -> p.answer(1, 200, false, "content-length", "-3"));
-    says(
+        peer -> peer.response(1, 200, false, "content-length", "3").data(1, "xy", true));
+    printReaction(
+        "8.1.1",
+        "a length that is none",
+        peer -> peer.response(1, 200, false, "content-length", "-3"));
+    printReaction(
         "8.1",
         "trailers",
-        p -> p.answer(1, 200, false).data(1, "x", false).raw(Frame.HEADERS, 5, 1));
-    says("8.1", "headers in the middle", p -> p.answer(1, 200, false).raw(Frame.HEADERS, 4, 1));
-    says("8.1", "an interim that ends the stream", p -> p.answer(1, 103, true));
-    says("8.2.1", "a name in capitals", p -> p.answer(1, 200, true, "Upper", "x"));
-    says("8.2.2", "a header of the connection", p -> p.answer(1, 200, true, "connection", "close"));
-    says("8.3.2", "no status", p -> p.raw(Frame.HEADERS, 5, 1));
-    says("8.3.2", "a status that is none", p -> p.answer(1, 99, true));
-    says("8.3", "a pseudo-header twice", p -> p.answer(1, 200, true, ":status", "200"));
-    says("8.6", "an upgrade", p -> p.answer(1, 101, true));
+        peer -> peer.response(1, 200, false).data(1, "x", false).raw(Frame.HEADERS, 5, 1));
+    printReaction(
+        "8.1",
+        "headers in the middle",
+        peer -> peer.response(1, 200, false).raw(Frame.HEADERS, 4, 1));
+    printReaction("8.1", "an interim that ends the stream", peer -> peer.response(1, 103, true));
+    printReaction("8.2.1", "a name in capitals", peer -> peer.response(1, 200, true, "Upper", "x"));
+    printReaction(
+        "8.2.2",
+        "a header of the connection",
+        peer -> peer.response(1, 200, true, "connection", "close"));
+    printReaction("8.3.2", "no status", peer -> peer.raw(Frame.HEADERS, 5, 1));
+    printReaction("8.3.2", "a status that is none", peer -> peer.response(1, 99, true));
+    printReaction(
+        "8.3", "a pseudo-header twice", peer -> peer.response(1, 200, true, ":status", "200"));
+    printReaction("8.6", "an upgrade", peer -> peer.response(1, 101, true));
     assertEquals(
         """
         4.1 an unknown frame: nothing /\s
@@ -178,7 +209,7 @@
         rest);
   }
 
-  /** Floods end the connection after bounded work, and while they last nothing is kept for them. */
+  /** Floods end the connection after bounded work, and nothing is stored for them meanwhile. */
   @Test
   void floods() {
     String[] names = {
@@ -194,30 +225,38 @@
     StringBuilder found = new StringBuilder();
     for (String name : names) {
       Peer peer = new Peer();
-      Http2ClientConnection c = Peer.connected(peer, 2);
-      int said = 0;
+      Http2ClientConnection connection = Peer.connected(peer, 2);
+      int sentFrames = 0;
       String events = "";
-      while (said < 20_000 && !events.contains("broken") && !events.contains("ended1")) {
-        said++;
+      while (sentFrames < 20_000 && !events.contains("broken") && !events.contains("ended1")) {
+        sentFrames++;
         switch (name) {
-          case "settings" -> peer.settings(3, said);
-          case "pings" -> peer.say.frame(Frame.PING, 0, 0, 1, said);
-          case "resets" -> peer.say.reset(1, ErrorCode.CANCEL);
-          case "empty data" -> (said == 1 ? peer.answer(3, 200, false) : peer).data(3, "", false);
+          case "settings" -> peer.settings(3, sentFrames);
+          case "pings" -> peer.writer.frame(Frame.PING, 0, 0, 1, sentFrames);
+          case "resets" -> peer.writer.reset(1, ErrorCode.CANCEL);
+          case "empty data" ->
+              (sentFrames == 1 ? peer.response(3, 200, false) : peer).data(3, "", false);
           case "unknown frames" -> peer.raw(88, 0, 0, 1);
-          case "window updates" -> peer.say.frame(Frame.WINDOW_UPDATE, 0, 0, 1);
-          case "continuations" -> peer.raw(said == 1 ? Frame.HEADERS : Frame.CONTINUATION, 0, 1, 0);
-          default -> peer.answer(1, 103, false);
+          case "window updates" -> peer.writer.frame(Frame.WINDOW_UPDATE, 0, 0, 1);
+          case "continuations" ->
+              peer.raw(sentFrames == 1 ? Frame.HEADERS : Frame.CONTINUATION, 0, 1, 0);
+          default -> peer.response(1, 103, false);
         }
-        if (said == 1 && name.equals("resets")) {
-          peer.to(c);
+        if (sentFrames == 1 && name.equals("resets")) {
+          peer.sendTo(connection);
           continue;
         }
-        events = peer.to(c);
-        peer.heard(c);
+        events = peer.sendTo(connection);
+        peer.receivedFrames(connection);
       }
-      found.append(name).append(" after ").append(said).append(": ").append(events).append('\n');
-      assertTrue(said < 20_000, name);
+      found
+          .append(name)
+          .append(" after ")
+          .append(sentFrames)
+          .append(": ")
+          .append(events)
+          .append('\n');
+      assertTrue(sentFrames < 20_000, name);
     }
     assertEquals(
         """
@@ -236,23 +275,23 @@
   @Test
   void aHeaderListThatGrowsWhenItIsDecoded() {
     Peer peer = new Peer();
-    Http2ClientConnection c = Peer.connected(peer, 2);
-    // One long header put into the table, then named again and again by a byte.
+    Http2ClientConnection connection = Peer.connected(peer, 2);
+    // One long header put into the table, then referred to by one byte each time.
     byte[] bomb = new byte[6000];
-    int at = 0;
-    bomb[at++] = 0x40;
-    bomb[at++] = 1;
-    bomb[at++] = 'a';
-    bomb[at++] = 127;
-    bomb[at++] = (byte) 0xff;
-    bomb[at++] = 6;
+    int length = 0;
+    bomb[length++] = 0x40;
+    bomb[length++] = 1;
+    bomb[length++] = 'a';
+    bomb[length++] = 127;
+    bomb[length++] = (byte) 0xff;
+    bomb[length++] = 6;
     for (int i = 0; i < 1022; i++) {
-      bomb[at++] = 'x';
+      bomb[length++] = 'x';
     }
-    while (at < bomb.length) {
-      bomb[at++] = (byte) 0xbe;
+    while (length < bomb.length) {
+      bomb[length++] = (byte) 0xbe;
     }
-    peer.say.frame(Frame.HEADERS, Frame.END_HEADERS, 1, bomb, 0, bomb.length);
-    assertTrue(peer.to(c).startsWith("broken:"));
+    peer.writer.frame(Frame.HEADERS, Frame.END_HEADERS, 1, bomb, 0, bomb.length);
+    assertTrue(peer.sendTo(connection).startsWith("broken:"));
   }
 }
--- a/http2/src/test/java/tillerlink/net/http2/Peer.java
+++ b/http2/src/test/java/tillerlink/net/http2/Peer.java
@@ -8,43 +8,41 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http2.hpack.HPackDecoder;
 
-/**
- * The other end of a connection for tests: it says any frame, at will, and prints those that come.
- */
+/** The other end of a connection for tests: it sends any frames and prints those it receives. */
 final class Peer {
-  final FrameWriter say = new FrameWriter();
+  final FrameWriter writer = new FrameWriter();
   private final FrameReader reader;
   private final HPackDecoder decoder = new HPackDecoder(4096, StandardCharsets.US_ASCII);
-  private final List<String> seen = new ArrayList<>();
+  private final List<String> printed = new ArrayList<>();
 
   Peer() {
     reader =
         new FrameReader("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** Frames that came, one after the other, since that was last asked. */
-  String heard(Http2ClientConnection connection) {
+  /** The frames received since the last call, in their order, printed. */
+  String receivedFrames(Http2ClientConnection connection) {
     reader.feed(connection.take());
     for (Frame frame = reader.next(); frame != null; frame = reader.next()) {
-      seen.add(print(frame));
+      printed.add(print(frame));
     }
-    String all = String.join(" ", seen);
-    seen.clear();
+    String all = String.join(" ", printed);
+    printed.clear();
     return all;
   }
 
   private String print(Frame frame) {
-    String on = frame.stream() == 0 ? "" : Integer.toString(frame.stream());
+    String streamId = frame.stream() == 0 ? "" : Integer.toString(frame.stream());
     String last = frame.has(Frame.END_STREAM) && frame.type() < 2 ? "." : "";
     return switch (frame.type()) {
-      case Frame.DATA -> "DATA" + on + ":" + frame.payload().length + last;
-      case Frame.HEADERS -> "HEADERS" + on + last + decoded(frame);
-      case Frame.CONTINUATION -> "CONTINUATION" + on;
-      case Frame.RST_STREAM -> "RST" + on + ":" + ErrorCode.of((int) frame.number(0));
+      case Frame.DATA -> "DATA" + streamId + ":" + frame.payload().length + last;
+      case Frame.HEADERS -> "HEADERS" + streamId + last + decoded(frame);
+      case Frame.CONTINUATION -> "CONTINUATION" + streamId;
+      case Frame.RST_STREAM -> "RST" + streamId + ":" + ErrorCode.of((int) frame.number(0));
       case Frame.SETTINGS -> frame.has(Frame.ACK) ? "ACK" : "SETTINGS";
       case Frame.PING -> frame.has(Frame.ACK) ? "PONG" : "PING";
       case Frame.GOAWAY -> "GOAWAY:" + ErrorCode.of((int) frame.number(4));
-      case Frame.WINDOW_UPDATE -> "WINDOW" + on + "+" + frame.id(0);
+      case Frame.WINDOW_UPDATE -> "WINDOW" + streamId + "+" + frame.id(0);
       default -> "?" + frame.type();
     };
   }
@@ -66,17 +64,17 @@
   }
 
   Peer settings(int... pairs) {
-    say.settings(pairs);
+    writer.settings(pairs);
     return this;
   }
 
-  Peer answer(int stream, int status, boolean last, String... more) {
+  Peer response(int stream, int status, boolean last, String... moreHeaders) {
     List<Header> headers =
         new ArrayList<>(List.of(new BasicHeader(":status", Integer.toString(status))));
-    for (int i = 0; i < more.length; i += 2) {
-      headers.add(new BasicHeader(more[i], more[i + 1]));
+    for (int i = 0; i < moreHeaders.length; i += 2) {
+      headers.add(new BasicHeader(moreHeaders[i], moreHeaders[i + 1]));
     }
-    say.headers(stream, headers, last, Frame.FRAME_AT_START);
+    writer.headers(stream, headers, last, Frame.FRAME_AT_START);
     return this;
   }
 
@@ -85,19 +83,19 @@
     for (int i = 0; i < bytes.length; i++) {
       payload[i] = (byte) bytes[i];
     }
-    say.frame(type, flags, stream, payload, 0, payload.length);
+    writer.frame(type, flags, stream, payload, 0, payload.length);
     return this;
   }
 
   Peer data(int stream, String body, boolean last) {
     byte[] bytes = body.getBytes(StandardCharsets.US_ASCII);
-    say.frame(Frame.DATA, last ? Frame.END_STREAM : 0, stream, bytes, 0, bytes.length);
+    writer.frame(Frame.DATA, last ? Frame.END_STREAM : 0, stream, bytes, 0, bytes.length);
     return this;
   }
 
-  /** What was said goes to the connection; what happened there, printed. */
-  String to(Http2ClientConnection connection) {
-    connection.feed(say.take());
+  /** Sends what was written to the connection; returns its events, printed. */
+  String sendTo(Http2ClientConnection connection) {
+    connection.feed(writer.take());
     return events(connection);
   }
 
@@ -135,16 +133,16 @@
   }
 
   /**
-   * A connection on which so many streams were opened, each with a small body, and a peer that has
-   * said its settings.
+   * A connection on which so many streams were opened, each with a small body, and whose peer has
+   * sent its settings.
    */
   static Http2ClientConnection connected(Peer peer, int streams) {
     Http2ClientConnection connection = new Http2ClientConnection();
-    peer.settings().to(connection);
+    peer.settings().sendTo(connection);
     for (int i = 0; i < streams; i++) {
       open(connection, "x");
     }
-    peer.heard(connection);
+    peer.receivedFrames(connection);
     return connection;
   }
 
