--- a/http2/src/main/java/tillerlink/net/http2/Event.java
+++ b/http2/src/main/java/tillerlink/net/http2/Event.java
@@ -5,8 +5,11 @@
 
 /** What happened on an HTTP/2 connection, one type for each kind of event. */
 public sealed interface Event {
-  /** The peer's settings were received, first or anew; {@code streamsMost} may be open at once. */
-  record Limits(long streamsMost) implements Event {}
+  /**
+   * The peer's settings were received, first or anew; {@code maxConcurrentStreams} may be open at
+   * once.
+   */
+  record Limits(long maxConcurrentStreams) implements Event {}
 
   /** An interim response (1xx), ahead of the final one. */
   record Interim(int stream, List<Header> headers) implements Event {}
@@ -17,7 +20,7 @@
   /** A part of the response's body, possibly empty; {@code last} if it is the last. */
   record Body(int stream, byte[] bytes, boolean last) implements Event {}
 
-  /** A stream ended otherwise than by its whole response. */
+  /** A stream ended before its response was complete. */
   record Ended(int stream, StreamTermination how, ErrorCode code) implements Event {}
 
   /** A GOAWAY: the peer takes no stream above {@code last}; those were reported as ended before. */
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -35,7 +35,7 @@
   /** Takes no new attempts; closes once those on it have ended. */
   private boolean retired;
 
-  private long responses;
+  private long responseCount;
 
   Http2EngineConnection(Http2Transport transport, long now) {
     this.transport = transport;
@@ -54,37 +54,37 @@
   // ---- for the pool ----
 
   @Override
-  public boolean up() {
-    return liveness.isOpen() && protocol.settingsSeen();
+  public boolean isUp() {
+    return liveness.isOpen() && protocol.settingsReceived();
   }
 
   @Override
-  public boolean dialing() {
+  public boolean isDialing() {
     return !liveness.isOpen();
   }
 
   @Override
-  public boolean sound() {
+  public boolean acceptsStreams() {
     return !closed && !retired && !liveness.isSilent() && !protocol.isSpent();
   }
 
   @Override
-  public int bears() {
+  public int openStreams() {
     return protocol.open();
   }
 
   @Override
-  public long most() {
-    return protocol.streamsMost();
+  public long maxConcurrentStreams() {
+    return protocol.maxConcurrentStreams();
   }
 
   @Override
-  public long answered() {
-    return responses;
+  public long responses() {
+    return responseCount;
   }
 
   @Override
-  public long openedAt() {
+  public long dialedAt() {
     return liveness.dialedAt();
   }
 
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Cancels an attempt; a request of which a part was written may come whole while the reset is on
-   * its way.
+   * Cancels an attempt; a request of which a part was written may be received whole before the
+   * reset.
    */
   AttemptOutcome cancel(InFlightAttempt inFlight) {
     boolean sent = streams.find(inFlight).handedOver();
@@ -162,7 +162,7 @@
     }
     channel.write(bytes);
     writes.onWriteBegun();
-    for (int streamId : protocol.sentWhole()) {
+    for (int streamId : protocol.takeSentRequests()) {
       AttemptStream stream = streams.find(streamId);
       if (stream != null) {
         writes.onLastByteHandedOver(stream);
@@ -241,7 +241,7 @@
     if (stream == null || how == null) {
       return;
     }
-    if (how == StreamTermination.ANSWERED) {
+    if (how == StreamTermination.COMPLETED) {
       complete(stream);
     } else {
       finish(stream, how);
@@ -249,28 +249,28 @@
   }
 
   private void complete(AttemptStream stream) {
-    responses++;
+    responseCount++;
     forget(stream);
     boolean valid = stream.inFlight.completeResult();
     owner.attemptEnded(
         stream.inFlight,
-        (valid ? StreamTermination.ANSWERED : StreamTermination.GARBLED).outcome(true, true));
+        (valid ? StreamTermination.COMPLETED : StreamTermination.GARBLED).outcome(true, true));
     closeIfSpent();
   }
 
   /**
-   * A stream is over and its attempt with it, unless the rest of its result can be had on another
-   * connection.
+   * A stream is over and its attempt with it, unless the rest of its result can be requested on
+   * another connection.
    */
   private void finish(AttemptStream stream, StreamTermination how) {
     protocol.cancel(stream.streamId, ErrorCode.CANCEL);
     forget(stream);
     boolean started = stream.inFlight.resultStarted();
-    if (how == StreamTermination.ANSWERED_ERROR || how == StreamTermination.ANSWERED_FULL) {
-      responses++;
+    if (how == StreamTermination.ENGINE_ERROR || how == StreamTermination.ENGINE_FULL) {
+      responseCount++;
     }
     if (!(started && how.isResumable() && transport.resume(stream.inFlight))) {
-      owner.attemptEnded(stream.inFlight, how.outcome(writes.maybeReceivedWhole(stream), started));
+      owner.attemptEnded(stream.inFlight, how.outcome(writes.mayHaveBeenReceived(stream), started));
     }
     closeIfSpent();
   }
@@ -288,8 +288,8 @@
   }
 
   /**
-   * Takes no new attempts. One that is still being opened leads to whoever is at its address by
-   * then: it closes.
+   * Takes no new attempts. One that is still being opened would lead to whichever process then
+   * listens at its address: it closes.
    */
   void retire() {
     if (closed) {
@@ -304,16 +304,16 @@
   }
 
   /**
-   * Guards against a machine that vanished ({@link ConnectionLiveness}), against a window that
-   * stays shut while the path works, which is no slow engine; and the drain, while a request is not
-   * wholly sent.
+   * Guards against a machine that vanished ({@link ConnectionLiveness}) and against a flow-control
+   * window that stays closed while the path works, which does not mean a slow engine; applies a
+   * drain to requests that were not wholly sent.
    */
   void checkTimeouts(long connectTimeout) {
     long now = owner.now();
     if (closed) {
       return;
     }
-    if (!up() && liveness.openTimedOut(now, connectTimeout)) {
+    if (!isUp() && liveness.openTimedOut(now, connectTimeout)) {
       end(StreamTermination.CUT, DisconnectReason.NEVER_UP);
       return;
     }
