--- a/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
+++ b/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
@@ -23,7 +23,7 @@
 class DefaultDispatchPolicyTest {
   @Test
   void engineWithFewestRequestsOfTheClassPerCoreIsChosen() {
-    Trace trace = new Trace().start("a0", "big0");
+    PolicyTrace trace = new PolicyTrace().start("a0", "big0");
     for (int i = 1; i <= 6; i++) {
       trace.arrive("s" + i, 0, 100, i, null);
     }
@@ -32,7 +32,7 @@
 
   @Test
   void cachedTableGroupBreaksTies() {
-    Trace trace = new Trace().requestClass("repeatable").start("a0", "b0", "c0");
+    PolicyTrace trace = new PolicyTrace().requestClass("repeatable").start("a0", "b0", "c0");
     trace.arrive("first", 0, 100, 9, null).advance(100).end("first", SUCCEEDED);
     trace.comment("idle again: the group's engine is warm").arrive("second", 0, 100, 9, null);
     trace.advance(100).end("second", SUCCEEDED);
@@ -45,7 +45,7 @@
 
   @Test
   void queueIsFirstInFirstOutUnderOverload() {
-    Trace trace = new Trace().set("instances", 8L).start("a0", "b0");
+    PolicyTrace trace = new PolicyTrace().set("instances", 8L).start("a0", "b0");
     trace
         .arrive("s1", 0, 300)
         .arrive("s2", 0, 300)
@@ -64,7 +64,7 @@
 
   @Test
   void overloadOfOneEngineLimitsAllEngines() {
-    Trace trace = new Trace().set("instances", 8L).start("a0", "b0", "c0");
+    PolicyTrace trace = new PolicyTrace().set("instances", 8L).start("a0", "b0", "c0");
     trace
         .arrive("s1", 0, 300)
         .end("s1", REJECTED)
@@ -82,7 +82,7 @@
    */
   @Test
   void gatewayMayExceedItsShareWhileThePaceIsEasy() {
-    Trace trace = new Trace().set("instances", 8L).start("a0", "b0");
+    PolicyTrace trace = new PolicyTrace().set("instances", 8L).start("a0", "b0");
     for (int i = 1; i <= 12; i++) {
       trace.arrive("k" + i, 0, 100, i, null).advance(100).end("k" + i, SUCCEEDED);
     }
@@ -108,8 +108,8 @@
 
   @Test
   void busyEngineComesLastWhenAShareIsLessThanARequest() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .set(
                 "instances",
                 10L,
@@ -133,7 +133,7 @@
 
   @Test
   void outliersAmongAQuarterOfTheEnginesLimitTheRest() {
-    Trace trace = new Trace().set("instances", 8L).start("a0", "b0", "c1", "d1");
+    PolicyTrace trace = new PolicyTrace().set("instances", 8L).start("a0", "b0", "c1", "d1");
     trace
         .arrive("s1", 0, 300)
         .end("s1", CONNECT_FAILED)
@@ -146,7 +146,7 @@
 
   @Test
   void newlyStartedGatewayDoesNotFloodTheFewEnginesItKnows() {
-    Trace trace = new Trace().set("family_info.width_by_class", List.of(5)).start("a0");
+    PolicyTrace trace = new PolicyTrace().set("family_info.width_by_class", List.of(5)).start("a0");
     for (int i = 1; i <= 5; i++) {
       trace.arrive("s" + i, 0, 300, i, null);
     }
@@ -159,7 +159,7 @@
 
   @Test
   void effectfulRequestNeverRunsTwice() {
-    Trace trace = new Trace().requestClass("once").start("a0", "b0");
+    PolicyTrace trace = new PolicyTrace().requestClass("once").start("a0", "b0");
     trace
         .arrive("unseen", 1, 100)
         .end("unseen", CONNECT_FAILED)
@@ -172,8 +172,8 @@
 
   @Test
   void idempotentRequestIsRetriedInItsDeduplicationZoneAndWindow() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .requestClass("by_key", "group", "zone", "window", 3000L)
             .start("a0", "b0", "c1", "d1");
     trace
@@ -187,7 +187,7 @@
 
   @Test
   void drainingEngineGetsNoNewAttempts() {
-    Trace trace = new Trace().start("a0", "b0").endpointChanged("b0", DRAINING, 0);
+    PolicyTrace trace = new PolicyTrace().start("a0", "b0").endpointChanged("b0", DRAINING, 0);
     trace
         .arrive("s1", 0, 100)
         .arrive("s2", 0, 100)
@@ -198,7 +198,8 @@
 
   @Test
   void warmingEngineGetsOnlyItsShare() {
-    Trace trace = new Trace().start("a0").advance(5000).endpointChanged("b0", READY, 1000);
+    PolicyTrace trace =
+        new PolicyTrace().start("a0").advance(5000).endpointChanged("b0", READY, 1000);
     trace.comment(
         "b0 started a second ago: 8 cores x 0.3 x 2.5 x 1.5 s / 2 gateways, a third of it used");
     for (int i = 1; i <= 8; i++) {
@@ -217,8 +218,8 @@
     for (long ago : new long[] {1500, 1717, 2500, 4000}) {
       long sent = 0;
       for (long index = 0; index < 200; index++) {
-        Trace trace =
-            new Trace()
+        PolicyTrace trace =
+            new PolicyTrace()
                 .set("instances", 200L, "me", index)
                 .start()
                 .advance(5000)
@@ -244,8 +245,8 @@
       Random seeds = new Random(seed);
       long sent = 0;
       for (int i = 0; i < 200; i++) {
-        Trace trace =
-            new Trace()
+        PolicyTrace trace =
+            new PolicyTrace()
                 .set("instances", 200L)
                 .seed(seeds.nextLong())
                 .start()
@@ -266,8 +267,8 @@
   void warmingEngineGetsLittleInItsFirstPeriod() {
     long sent = 0;
     for (long index = 0; index < 200; index++) {
-      Trace trace =
-          new Trace()
+      PolicyTrace trace =
+          new PolicyTrace()
               .set("instances", 200L, "me", index)
               .start()
               .advance(5000)
@@ -285,8 +286,8 @@
   void warmingEngineWithASlowStartSlotComesFirst() {
     long sent = 0;
     for (long index = 0; index < 200; index++) {
-      Trace trace =
-          new Trace()
+      PolicyTrace trace =
+          new PolicyTrace()
               .set("instances", 200L, "me", index)
               .start("a0", "b0", "c0", "d0")
               .advance(5000);
@@ -297,7 +298,7 @@
 
   @Test
   void restartedGatewayAvoidsWarmingEnginesAtFirst() {
-    Trace trace = new Trace().start().endpointChanged("a0", READY, 1000);
+    PolicyTrace trace = new PolicyTrace().start().endpointChanged("a0", READY, 1000);
     trace
         .arrive("s1", 0, 100)
         .advance(1600)
@@ -308,8 +309,8 @@
 
   @Test
   void requestsOfAKeyRunInOrderWithACooldownAfterAnUncertainEnd() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .requestClass("repeatable", "keep_order", true)
             .set("guarantees.settle_after_doubt", 3000L);
     trace
@@ -331,8 +332,8 @@
 
   @Test
   void placementRulesHoldWhenAllAllowedEnginesAreDown() {
-    Trace trace =
-        new Trace().requestClass("repeatable", "zones_open", List.of(1)).start("a0", "b1");
+    PolicyTrace trace =
+        new PolicyTrace().requestClass("repeatable", "zones_open", List.of(1)).start("a0", "b1");
     trace
         .arrive("s1", 1, 100)
         .end("s1", CONNECT_FAILED)
@@ -344,8 +345,8 @@
 
   @Test
   void retriesStayWithinTheBudget() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .set(
                 "guarantees.budget_span",
                 50000L,
@@ -366,7 +367,7 @@
 
   @Test
   void endpointListIsWatchedAgainAfterAFailure() {
-    new Trace()
+    new PolicyTrace()
         .set("discovery", "ask", "guarantees.ask_within", 100000L)
         .start("a0")
         .endpointPollFails()
@@ -376,7 +377,7 @@
 
   @Test
   void silentEngineLosesItsAttemptAndGetsAHealthCheckLater() {
-    Trace trace = new Trace().start("a0", "b0");
+    PolicyTrace trace = new PolicyTrace().start("a0", "b0");
     trace
         .arrive("s1", 0, 100, 1, null)
         .arrive("s2", 0, 100, 2, null)
@@ -396,7 +397,7 @@
 
   @Test
   void crashedEngineCountsAsWarmingWhenItReturns() {
-    Trace trace = new Trace().start("a0").advance(5000);
+    PolicyTrace trace = new PolicyTrace().start("a0").advance(5000);
     trace
         .arrive("s0", 0, 100, 1, null)
         .arrive("s1", 0, 100, 1, null)
@@ -415,8 +416,8 @@
   /** Guards against taking a connection that the network dropped for a process that died. */
   @Test
   void singleLostConnectionIsNoCrash() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .start("a0")
             .advance(5000)
             .arrive("s1", 0, 100, 1, null)
@@ -439,7 +440,7 @@
    */
   @Test
   void failedHealthCheckConfirmsTheOutlier() {
-    Trace trace = new Trace().start("a0", "b0");
+    PolicyTrace trace = new PolicyTrace().start("a0", "b0");
     for (int i = 1; i <= 16; i++) {
       trace.arrive("s" + i, 0, 100, i, null).advance(10).end("s" + i, SUCCEEDED);
     }
@@ -453,7 +454,7 @@
   /** Guards the engines' record, and the budget, against a request that no engine can serve. */
   @Test
   void requestThatFailsOnTwoEnginesIsGivenUp() {
-    Trace trace = new Trace().start("a0", "b0", "c0");
+    PolicyTrace trace = new PolicyTrace().start("a0", "b0", "c0");
     for (int i = 1; i <= 3; i++) {
       trace.arrive("bad" + i, 0, 100, i, null).end("bad" + i, FAILED).end("bad" + i, FAILED);
     }
@@ -468,8 +469,11 @@
   /** Guards against overload seen where only estimates are low, before anything is known. */
   @Test
   void latencyObjectiveDetectsAStallBeforeThePaceIsKnown() {
-    Trace trace =
-        new Trace().start("a0", "b0").arrive("s1", 0, 30, 1, null).arrive("s2", 0, 30, 2, null);
+    PolicyTrace trace =
+        new PolicyTrace()
+            .start("a0", "b0")
+            .arrive("s1", 0, 30, 1, null)
+            .arrive("s2", 0, 30, 2, null);
     trace.advance(200).comment("six estimates old: no pressure yet");
     for (int i = 3; i <= 12; i++) {
       trace.arrive("s" + i, 0, 30, i, null);
@@ -479,8 +483,8 @@
 
   @Test
   void timedOutWorkCountsWhereItCannotBeCancelled() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .set(
                 "instances",
                 8L,
@@ -498,7 +502,8 @@
 
   @Test
   void engineIsUsedAgainAfterANetworkInterruption() {
-    Trace trace = new Trace().set("instances", 8L, "caps.may_cancel", false).start("a0", "b0");
+    PolicyTrace trace =
+        new PolicyTrace().set("instances", 8L, "caps.may_cancel", false).start("a0", "b0");
     trace
         .arrive("s1", 0, 300, 1, null)
         .arrive("s2", 0, 300, 2, null)
@@ -518,8 +523,8 @@
 
   @Test
   void stallWithoutResponsesIsDetectedByTheAgeOfAttempts() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .set("instances", 8L)
             .requestClass("repeatable", "late_worth", 0.3)
             .start("a0", "b0");
@@ -540,8 +545,8 @@
 
   @Test
   void underratedAttemptIsNotSilentWhereProgressIsReported() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .set("family_info.tells_every", 20000L)
             .start("a0", "b0")
             .arrive("s1", 0, 80)
@@ -552,8 +557,12 @@
 
   @Test
   void overloadedGatewaySendsNothingThatItsClientAbandonsFirst() {
-    Trace trace =
-        new Trace().set("instances", 8L).start("a0", "b0").arrive("s1", 0, 300).end("s1", REJECTED);
+    PolicyTrace trace =
+        new PolicyTrace()
+            .set("instances", 8L)
+            .start("a0", "b0")
+            .arrive("s1", 0, 300)
+            .end("s1", REJECTED);
     trace
         .comment("pressure: of two clients that wait 400 ms, one has work for longer")
         .clientTimeout(400);
@@ -567,7 +576,8 @@
 
   @Test
   void engineWithoutRecentReportsIsNotIdle() {
-    Trace trace = new Trace().set("report.fields", List.of("cpu_share")).start("a0", "b0");
+    PolicyTrace trace =
+        new PolicyTrace().set("report.fields", List.of("cpu_share")).start("a0", "b0");
     trace.arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 2, null).end("s1", SUCCEEDED, 0.9);
     trace
         .end("s2", SUCCEEDED, 0.4)
@@ -581,8 +591,8 @@
 
   @Test
   void outcomesCountFirstAfterAPauseAndLateRequestsAreAnsweredOnce() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .start("a0", "b0")
             .arrive("s1", 0, 100, 1, null)
             .arrive("s2", 0, 100, 2, null)
@@ -600,8 +610,12 @@
 
   @Test
   void badPlanOfAnUnknownRequestClassNeedsALargerMargin() {
-    Trace trace =
-        new Trace().start("a0", "b0").arrive("s1", 0, 200).advance(300).reportProgress("s1", 0.25);
+    PolicyTrace trace =
+        new PolicyTrace()
+            .start("a0", "b0")
+            .arrive("s1", 0, 200)
+            .advance(300)
+            .reportProgress("s1", 0.25);
     trace.comment("projected at six times its estimate: not yet");
     trace
         .arrive("s2", 0, 200)
@@ -614,8 +628,8 @@
 
   @Test
   void enginesOfARestrictedRequestClassAreLeftToIt() {
-    Trace trace =
-        new Trace()
+    PolicyTrace trace =
+        new PolicyTrace()
             .requestClass("repeatable", "models_allowed", List.of(0))
             .start("a0", "b0", "big0");
     trace
@@ -634,7 +648,8 @@
 
   @Test
   void attemptWithABadPlanIsSentAgain() {
-    Trace trace = new Trace().requestClass("repeatable", "late_worth", 0.3).start("a0", "b0");
+    PolicyTrace trace =
+        new PolicyTrace().requestClass("repeatable", "late_worth", 0.3).start("a0", "b0");
     trace
         .arrive("fine", 1, 400)
         .arrive("bad", 1, 400)
--- a/gateway/src/test/java/tillerlink/Lists.java
+++ b/gateway/src/test/java/tillerlink/DiscoveryAnswers.java
@@ -6,20 +6,20 @@
 import tillerlink.net.wire.Dns;
 
 /** Answers of a discovery service, for tests. */
-public final class Lists {
-  private Lists() {}
+public final class DiscoveryAnswers {
+  private DiscoveryAnswers() {}
 
   /**
    * An answer of the discovery service, names compressed; engines as "id ready|draining
    * address:port zone kind cell started".
    */
-  public static byte[] answer(int id, int serial, String... engines) {
+  public static byte[] of(int id, int serial, String... engines) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     put(out, id, 0x8400, 1, engines.length, 1, 2 * engines.length);
     out.writeBytes(Arrays.copyOfRange(Dns.query(id), 12, Dns.query(id).length));
     int[] targets = new int[engines.length];
     for (int i = 0; i < engines.length; i++) {
-      String[] e = engines[i].split(" ", -1);
+      String[] engine = engines[i].split(" ", -1);
       put(
           out,
           0xc00c,
@@ -27,26 +27,26 @@
           1,
           0,
           5,
-          6 + e[0].length() + 1 + e[3].length() + 1 + 7,
-          e[1].equals("ready") ? 0 : 1,
+          6 + engine[0].length() + 1 + engine[3].length() + 1 + 7,
+          engine[1].equals("ready") ? 0 : 1,
           10,
-          Integer.parseInt(e[2].split(":", -1)[1]));
+          Integer.parseInt(engine[2].split(":", -1)[1]));
       targets[i] = out.size();
-      name(out, e);
+      name(out, engine);
     }
     put(out, 0xc00c, 6, 1, 0, 5, 24, 0xc00c, 0xc00c, serial >> 16, serial, 0, 0, 0, 0, 0, 0, 0, 0);
     for (int i = 0; i < engines.length; i++) {
-      String[] e = engines[i].split(" ", -1);
-      owner(out, targets[i], e);
+      String[] engine = engines[i].split(" ", -1);
+      owner(out, targets[i], engine);
       put(out, 1, 1, 0, 5, 4);
-      for (String part : e[2].split(":", -1)[0].split("\\.", -1)) {
+      for (String part : engine[2].split(":", -1)[0].split("\\.", -1)) {
         out.write(Integer.parseInt(part));
       }
       ByteArrayOutputStream texts = new ByteArrayOutputStream();
-      label(texts, "kind=" + e[4]);
-      label(texts, "cell=" + e[5]);
-      label(texts, "started=" + e[6]);
-      owner(out, targets[i], e);
+      label(texts, "kind=" + engine[4]);
+      label(texts, "cell=" + engine[5]);
+      label(texts, "started=" + engine[6]);
+      owner(out, targets[i], engine);
       put(out, 16, 1, 0, 5, texts.size());
       out.writeBytes(texts.toByteArray());
     }
--- a/gateway/src/test/java/tillerlink/GatewayFixture.java
+++ b/gateway/src/test/java/tillerlink/GatewayFixture.java
@@ -64,7 +64,7 @@
     clients.clear();
     unsent.clear();
     stuck = false;
-    Map<String, Object> caps = terse ? Map.of("max_attempts", 3L) : TestSettings.caps();
+    Map<String, Object> caps = terse ? Map.of("max_attempts", 3L) : SharedSettings.caps();
     Map<String, Object> look =
         Map.of(
             "name",
@@ -253,7 +253,7 @@
   }
 
   GatewayFixture news(int index, String... engines) {
-    asked().turn(() -> gateway.onDiscoveryDatagram(Lists.answer(query, index, engines)));
+    asked().turn(() -> gateway.onDiscoveryDatagram(DiscoveryAnswers.of(query, index, engines)));
     if (index > servedIndex) {
       served = engines;
       servedIndex = index;
@@ -267,9 +267,9 @@
     asked()
         .turn(
             () -> {
-              byte[] bytes = Lists.answer(query, index, engines);
+              byte[] bytes = DiscoveryAnswers.of(query, index, engines);
               bytes[2] |= 2;
-              gateway.onDiscoveryDatagram(Arrays.copyOf(bytes, Lists.serialEnd(bytes)));
+              gateway.onDiscoveryDatagram(Arrays.copyOf(bytes, DiscoveryAnswers.serialEnd(bytes)));
             });
     answering = true;
     return this;
@@ -341,7 +341,7 @@
       int id = unanswered;
       unanswered = -1;
       gateway.beginIteration(now);
-      gateway.onDiscoveryDatagram(Lists.answer(id, servedIndex, served));
+      gateway.onDiscoveryDatagram(DiscoveryAnswers.of(id, servedIndex, served));
       gateway.endIteration();
       goOn();
     }
@@ -356,7 +356,7 @@
   }
 
   void matches(String kept) {
-    Trace.assertMatchesKept(kept, printed.toString());
+    KeptTraces.assertMatches(kept, printed.toString());
   }
 
   private void print(String line) {
@@ -378,7 +378,7 @@
   @Override
   public void sendDiscoveryQuery(byte[] datagram) {
     questions++;
-    query = Lists.queryId(datagram);
+    query = DiscoveryAnswers.queryId(datagram);
     unanswered = answering ? query : -1;
   }
 
--- a/gateway/src/test/java/tillerlink/OtherSettingsTest.java
+++ b/gateway/src/test/java/tillerlink/OtherSettingsTest.java
@@ -32,13 +32,13 @@
     return DynamicTest.dynamicTest(
         scenario.getName() + " x " + scale + (renamed ? " renamed" : ""),
         () -> {
-          Trace.scale = scale;
-          Trace.renamed = renamed;
+          PolicyTrace.scale = scale;
+          PolicyTrace.renamed = renamed;
           try {
             ReflectionSupport.invokeMethod(scenario, new DefaultDispatchPolicyTest());
           } finally {
-            Trace.scale = 1;
-            Trace.renamed = false;
+            PolicyTrace.scale = 1;
+            PolicyTrace.renamed = false;
           }
         });
   }
--- a/gateway/src/test/java/tillerlink/Trace.java
+++ b/gateway/src/test/java/tillerlink/PolicyTrace.java
@@ -1,13 +1,5 @@
 package tillerlink;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
-
-import java.io.IOException;
-import java.io.InputStream;
-import java.io.UncheckedIOException;
-import java.nio.charset.StandardCharsets;
-import java.nio.file.Files;
-import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
@@ -27,7 +19,7 @@
  * Plays events to one policy and prints its actions, a line each, in the words of the kept traces.
  * Times are milliseconds unless said otherwise.
  */
-final class Trace implements DispatchActions {
+final class PolicyTrace implements DispatchActions {
   /**
    * The form in which all scenarios are played: the factor of all times and weights, and whether
    * under other names.
@@ -58,7 +50,7 @@
    * Two gateways, 8-core engines, one pure request class of width 1 unless changed; times are
    * tenths.
    */
-  Trace() {
+  PolicyTrace() {
     set(
         "instances",
         2L,
@@ -89,7 +81,7 @@
     requestClass("repeatable");
   }
 
-  Trace set(Object... namesAndValues) {
+  PolicyTrace set(Object... namesAndValues) {
     for (int i = 0; i < namesAndValues.length; i += 2) {
       settings.put((String) namesAndValues[i], namesAndValues[i + 1]);
     }
@@ -97,7 +89,7 @@
   }
 
   /** Adds a request class: latency objective 1 s, deadline 5 s, value 1. */
-  Trace requestClass(String semantics, Object... more) {
+  PolicyTrace requestClass(String semantics, Object... more) {
     long place = (Long) settings.get("profiles");
     String at = "profiles." + place + ".";
     set(
@@ -121,7 +113,7 @@
     return this;
   }
 
-  Trace seed(long other) {
+  PolicyTrace seed(long other) {
     seed = other;
     return this;
   }
@@ -139,7 +131,7 @@
         .count();
   }
 
-  Trace start(String... ready) {
+  PolicyTrace start(String... ready) {
     policy =
         new DefaultDispatchPolicy(now, seed, renamed ? renamedSettings() : scaledSettings(), this);
     for (String name : ready) {
@@ -198,7 +190,7 @@
    * An engine's zone is the digit at the end of its name; names that begin with "big" are of kind
    * 1.
    */
-  Trace endpointChanged(String name, Status standing, long startedAgo) {
+  PolicyTrace endpointChanged(String name, Status standing, long startedAgo) {
     Engine engine = engines.computeIfAbsent(name, Engine::new);
     int kind = name.startsWith("big") ? 1 : 0;
     int zone = name.charAt(name.length() - 1) - '0';
@@ -218,21 +210,21 @@
   }
 
   /** How long clients wait from now on. */
-  Trace clientTimeout(long ms) {
+  PolicyTrace clientTimeout(long ms) {
     clientTimeout = ms * tenthsPerMs;
     return this;
   }
 
-  Trace endpointPollFails() {
+  PolicyTrace endpointPollFails() {
     policy.onEndpointPollFailed(now);
     return applyDecisions();
   }
 
-  Trace arrive(String id, int requestClass, double workMs) {
+  PolicyTrace arrive(String id, int requestClass, double workMs) {
     return arrive(id, requestClass, workMs, 0, null);
   }
 
-  Trace arrive(String id, int requestClass, double workMs, int tableGroup, String key) {
+  PolicyTrace arrive(String id, int requestClass, double workMs, int tableGroup, String key) {
     KeyedRequestQueue keyQueue =
         key == null ? null : keyQueues.computeIfAbsent(key, name -> new KeyedRequestQueue());
     Request request =
@@ -252,7 +244,7 @@
   }
 
   /** The newest attempt of a request ends, at times with a load report. */
-  Trace end(String id, AttemptOutcome outcome, double... report) {
+  PolicyTrace end(String id, AttemptOutcome outcome, double... report) {
     Request request = requests.get(id);
     Attempt attempt = request.attempts.get(request.attempts.size() - 1);
     print(id + " " + outcome + " at " + attempt.engine.tag);
@@ -269,7 +261,7 @@
   }
 
   /** Attempt by attempt, until it is over: one engine errs, the others fulfil. */
-  Trace endAll(String id, String erring) {
+  PolicyTrace endAll(String id, String erring) {
     Request request = requests.get(id);
     while (request.attemptsInFlight > 0) {
       end(
@@ -281,7 +273,7 @@
     return this;
   }
 
-  Trace reportProgress(String id, double share) {
+  PolicyTrace reportProgress(String id, double share) {
     Request request = requests.get(id);
     policy.onAttemptProgress(
         now, request.attempts.get(request.attempts.size() - 1), AttemptProgress.PROGRESS, share);
@@ -289,7 +281,7 @@
   }
 
   /** Lets time pass, waking the policy when it asked for it. */
-  Trace advance(long ms) {
+  PolicyTrace advance(long ms) {
     long until = now + ms * tenthsPerMs;
     while (wakeAt <= until) {
       now = Math.max(now, wakeAt);
@@ -302,40 +294,22 @@
   }
 
   /** The gateway stands still: time passes and nothing wakes the policy. */
-  Trace pauseGateway(long ms) {
+  PolicyTrace pauseGateway(long ms) {
     now += ms * tenthsPerMs;
     return this;
   }
 
-  Trace comment(String comment) {
+  PolicyTrace comment(String comment) {
     printed.append("# ").append(comment).append('\n');
     return this;
   }
 
   /** Compares with the kept trace. */
   void assertMatches(String kept) {
-    assertMatchesKept(kept, printed.toString());
+    KeptTraces.assertMatches(kept, printed.toString());
   }
 
-  /**
-   * Compares any print with a kept trace; with {@code -Dkeep=folder} writes it there for people to
-   * read and keep.
-   */
-  static void assertMatchesKept(String kept, String printed) {
-    String folder = System.getProperty("keep");
-    try (InputStream in = Trace.class.getResourceAsStream("/traces/" + kept + ".txt")) {
-      String wanted =
-          in == null ? "(no kept trace)" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
-      if (folder != null) {
-        Files.writeString(Path.of(folder, kept + ".txt"), printed);
-      }
-      assertEquals(wanted, printed);
-    } catch (IOException e) {
-      throw new UncheckedIOException(e);
-    }
-  }
-
-  private Trace applyDecisions() {
+  private PolicyTrace applyDecisions() {
     policy.applyDecisions(now);
     return this;
   }
--- a/gateway/src/test/java/tillerlink/ServeTest.java
+++ b/gateway/src/test/java/tillerlink/ServeTest.java
@@ -69,8 +69,8 @@
             DatagramPacket packet = new DatagramPacket(new byte[512], 512);
             asked.receive(packet);
             byte[] list =
-                Lists.answer(
-                    Lists.queryId(packet.getData()),
+                DiscoveryAnswers.of(
+                    DiscoveryAnswers.queryId(packet.getData()),
                     2,
                     "e1 ready 127.0.0.1:" + engine.getLocalPort() + " east std 0 0");
             asked.send(new DatagramPacket(list, list.length, packet.getSocketAddress()));
--- a/gateway/src/test/java/tillerlink/TestSettings.java
+++ b/gateway/src/test/java/tillerlink/SharedSettings.java
@@ -3,8 +3,8 @@
 import java.util.Map;
 
 /** Settings that the tests of a whole gateway have in common. */
-public final class TestSettings {
-  private TestSettings() {}
+public final class SharedSettings {
+  private SharedSettings() {}
 
   /**
    * Capabilities with three attempts, cancellation, 32 streams and a connect time-out of 250 ms.
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -158,7 +158,7 @@
           .append(" -> ")
           .append(read(WireTest::http, bytes(bad)));
     }
-    Trace.assertMatchesKept("net-http", printed.toString());
+    KeptTraces.assertMatches("net-http", printed.toString());
   }
 
   @Test
@@ -204,7 +204,7 @@
         text(
             ResultEncoder.answer(
                 new byte[][] {bytes("a\t1\tq\"\\\u0002\nb\t\tz\n"), {}, bytes("c\t2\té\n")})));
-    Trace.assertMatchesKept("net-engine", printed.append('\n').toString());
+    KeptTraces.assertMatches("net-engine", printed.append('\n').toString());
   }
 
   @Test
@@ -227,13 +227,13 @@
           .append(statement)
           .append('\n');
     }
-    Trace.assertMatchesKept("net-statement", printed.toString());
+    KeptTraces.assertMatches("net-statement", printed.toString());
   }
 
   @Test
   void listsOfTheNameService() {
     byte[] message =
-        Lists.answer(
+        DiscoveryAnswers.of(
             77,
             41,
             "s-1 ready 127.0.0.1:5050 east std 2 0",
@@ -271,7 +271,7 @@
         .append(
             assertThrows(IllegalArgumentException.class, () -> Dns.answer(message, 78))
                 .getMessage());
-    Trace.assertMatchesKept("net-dns", printed.append('\n').toString());
+    KeptTraces.assertMatches("net-dns", printed.append('\n').toString());
   }
 
   /**
@@ -293,7 +293,7 @@
                         + (1 + i % 250)
                         + ":5050 east std 1 0")
             .toArray(String[]::new);
-    byte[] message = Lists.answer(9, 7, engines);
+    byte[] message = DiscoveryAnswers.of(9, 7, engines);
     assertEquals(1024, Dns.answer(message, 9).entries().size());
     assertEquals("127.0.4.24", Dns.answer(message, 9).entries().get(1023).address());
     message[2] |= 2;
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import tillerlink.Lists;
+import tillerlink.DiscoveryAnswers;
 import tillerlink.net.lifecycle.Loopback.Peer;
 
 /**
@@ -255,8 +255,8 @@
     loopback.pass(400, 25);
     DatagramPacket question = loopback.question(loopback.names);
     byte[] list =
-        Lists.answer(
-            Lists.queryId(question.getData()),
+        DiscoveryAnswers.of(
+            DiscoveryAnswers.queryId(question.getData()),
             index,
             "e1 ready 127.0.0.1:" + loopback.engines.get(0).getLocalPort() + " east std 0 0");
     loopback.hold();
--- a/gateway/src/test/java/tillerlink/net/lifecycle/FakeNameService.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/FakeNameService.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import tillerlink.Lists;
+import tillerlink.DiscoveryAnswers;
 
 /**
  * A discovery service for one gateway, with a way to it that delays or loses answers. It notes when
@@ -100,7 +100,7 @@
                         + engine.getValue()
                         + " east std 0 0")
             .toArray(String[]::new);
-    byte[] list = Lists.answer(Lists.queryId(question.getData()), version, lines);
+    byte[] list = DiscoveryAnswers.of(DiscoveryAnswers.queryId(question.getData()), version, lines);
     long now = System.nanoTime();
     told.replaceAll((engine, at) -> Math.min(at, now));
     if (silentMs > 0) {
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -28,8 +28,8 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import tillerlink.Lists;
-import tillerlink.TestSettings;
+import tillerlink.DiscoveryAnswers;
+import tillerlink.SharedSettings;
 import tillerlink.model.Engine.Status;
 import tillerlink.net.io.MinaDriver;
 import tillerlink.net.state.Gateway;
@@ -144,7 +144,7 @@
       lines[i] =
           "e" + (i + 1) + " ready 127.0.0.1:" + engines.get(i).getLocalPort() + " east std 0 0";
     }
-    byte[] list = Lists.answer(Lists.queryId(question.getData()), 1, lines);
+    byte[] list = DiscoveryAnswers.of(DiscoveryAnswers.queryId(question.getData()), 1, lines);
     names.send(new DatagramPacket(list, list.length, question.getSocketAddress()));
     await(() -> ask(Gateway::listConfirmed), "the list is not confirmed");
   }
@@ -380,7 +380,7 @@
 
     static Map<String, Object> plain() {
       Map<String, Object> terms = new java.util.HashMap<>();
-      terms.put("caps", TestSettings.caps());
+      terms.put("caps", SharedSettings.caps());
       terms.put(
           "profiles",
           List.of(
--- a/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
+++ b/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Random;
 import org.junit.jupiter.api.Test;
-import tillerlink.Lists;
+import tillerlink.DiscoveryAnswers;
 import tillerlink.telemetry.Telemetry;
 
 /** Questions of a whole fleet that was started at one moment. Times are tenths of a millisecond. */
@@ -94,7 +94,8 @@
       if (asked.unanswered >= 0) {
         byte[] cut =
             Arrays.copyOf(
-                Lists.answer(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"), 60);
+                DiscoveryAnswers.of(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"),
+                60);
         long at = now;
         assertThrows(IllegalArgumentException.class, () -> one.onAnswer(at, cut, 1));
         asked.unanswered = -1;
@@ -115,7 +116,7 @@
   private static void answer(DiscoveryClient one, long now, Asked asked, boolean arrives) {
     if (asked.unanswered >= 0 && arrives) {
       one.onAnswer(
-          now, Lists.answer(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"), 1);
+          now, DiscoveryAnswers.of(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"), 1);
     }
     asked.unanswered = -1;
   }
@@ -132,7 +133,7 @@
 
     @Override
     public void sendDiscoveryQuery(byte[] datagram) {
-      unanswered = Lists.queryId(datagram);
+      unanswered = DiscoveryAnswers.queryId(datagram);
       ids.add(unanswered);
     }
 
