--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -108,7 +108,9 @@
     @Override
     public void onAttemptEnded(long mayRunUntil) {
       notifications.add(
-          mayRunUntil == 0 ? "over" : "may run until " + (mayRunUntil - GatewayFixture.STORY) / 10);
+          mayRunUntil == 0
+              ? "over"
+              : "may run until " + (mayRunUntil - GatewayFixture.SCENARIO_START) / 10);
     }
   }
 
@@ -127,30 +129,30 @@
   void itsRequestsAreAnsweredOnceAndInOrder() {
     GatewayFixture gateway =
         withExtension(new GatewayFixture())
-            .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
-            .say("the next call waits its turn")
-            .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-            .pass(2000)
-            .answered();
+            .clientSends("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
+            .comment("the next call waits its turn")
+            .clientSends("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+            .advance(2000)
+            .printWhetherAllAnswered();
     gateway
-        .turn(() -> extension.owed.get(0).answer(HttpResponse.done()))
-        .say("told twice")
-        .turn(() -> extension.owed.get(0).answer(HttpResponse.done()));
+        .iterate(() -> extension.owed.get(0).answer(HttpResponse.done()))
+        .comment("told twice")
+        .iterate(() -> extension.owed.get(0).answer(HttpResponse.done()));
     gateway
-        .say("the client goes before the answer")
-        .client("c2", "PUT /v1/later HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
-        .breaks("c2", DisconnectReason.CLOSED_BY_PEER)
-        .turn(() -> extension.owed.get(1).answer(HttpResponse.done()))
-        .answered();
-    gateway.matches("side-calls");
+        .comment("the client goes before the answer")
+        .clientSends("c2", "PUT /v1/later HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
+        .clientDisconnects("c2", DisconnectReason.CLOSED_BY_PEER)
+        .iterate(() -> extension.owed.get(1).answer(HttpResponse.done()))
+        .printWhetherAllAnswered();
+    gateway.assertMatches("side-calls");
   }
 
   @Test
   void itIsCalledAtEachStepOfAnIteration() {
     withExtension(new GatewayFixture())
-        .client("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
+        .clientSends("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
         .drain()
-        .timeUp();
+        .passShutdownDeadline();
     assertEquals(
         List.of("begin", "called", "settle", "drain", "time up"),
         extension.calls.stream().distinct().toList());
@@ -164,60 +166,65 @@
   void anAttemptIsWrittenOnlyWhileItsGuardHolds() {
     GatewayFixture gateway = new GatewayFixture();
     for (String requestClass : List.of("aside/look", "aside/book")) {
-      gateway.say(requestClass + ": it holds").fresh();
+      gateway.comment(requestClass + ": it holds").restart();
       withExtension(gateway)
           .post("c1", ID, requestClass)
           .get("c1", ID)
-          .connected(0)
-          .engine(0, ID + " ok count=1 0||");
-      gateway.say(requestClass + ": not before anything is written").fresh();
+          .engineConnects(0)
+          .engineSends(0, ID + " ok count=1 0||");
+      gateway.comment(requestClass + ": not before anything is written").restart();
       withExtension(gateway, false).post("c1", ID, requestClass).get("c1", ID);
-      gateway.say(requestClass + ": not any more once the connection is up").fresh();
-      withExtension(gateway, true, false).post("c1", ID, requestClass).get("c1", ID).connected(0);
-      gateway.say(requestClass + ": not any more once it was written").fresh();
+      gateway.comment(requestClass + ": not any more once the connection is up").restart();
+      withExtension(gateway, true, false)
+          .post("c1", ID, requestClass)
+          .get("c1", ID)
+          .engineConnects(0);
+      gateway.comment(requestClass + ": not any more once it was written").restart();
       withExtension(gateway, true, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
-          .connected(0)
-          .engine(0, ID + " ok count=1 0||");
+          .engineConnects(0)
+          .engineSends(0, ID + " ok count=1 0||");
       gateway
-          .say(
+          .comment(
               requestClass
                   + ": the answer comes before it is known to be written, and it does not hold")
-          .fresh()
-          .stuck();
+          .restart()
+          .blockWrites();
       withExtension(gateway, true, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
-          .connected(0)
-          .engine(0, ID + " ok count=1 0||")
-          .letGo();
-      gateway.say(requestClass + ": an earlier hop may have run, the next does not go").fresh();
+          .engineConnects(0)
+          .engineSends(0, ID + " ok count=1 0||")
+          .unblockWrites();
+      gateway
+          .comment(requestClass + ": an earlier hop may have run, the next does not go")
+          .restart();
       withExtension(gateway, true, true, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
-          .connected(0)
-          .ends(0, DisconnectReason.RESET);
+          .engineConnects(0)
+          .engineDisconnects(0, DisconnectReason.RESET);
       gateway
-          .say(requestClass + ": an earlier hop surely did not run, the next does not go")
-          .fresh();
+          .comment(requestClass + ": an earlier hop surely did not run, the next does not go")
+          .restart();
       withExtension(gateway, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
-          .ends(0, DisconnectReason.REFUSED);
-      gateway.say(requestClass + ": written in time, it may end").fresh();
+          .engineDisconnects(0, DisconnectReason.REFUSED);
+      gateway.comment(requestClass + ": written in time, it may end").restart();
       withExtension(gateway)
           .post("c1", ID, requestClass)
           .get("c1", ID)
-          .connected(0)
-          .turn(
+          .engineConnects(0)
+          .iterate(
               () -> {
                 extension.answers.add(false);
                 extension.context.recheckGuards();
               })
-          .engine(0, ID + " ok count=1 0||");
+          .engineSends(0, ID + " ok count=1 0||");
     }
-    gateway.matches("side-guards");
+    gateway.assertMatches("side-guards");
   }
 
   private void assertNotified(String what, Runnable scenario, String... wanted) {
@@ -234,63 +241,71 @@
   /** Every ending of an attempt that was written, and whether its engine may still be at it. */
   @Test
   void theGuardIsNotifiedOfEveryEnding() {
-    assertNotified("answered", () -> withAttempt().connected(0).engine(0, DONE), "began", "over");
+    assertNotified(
+        "answered", () -> withAttempt().engineConnects(0).engineSends(0, DONE), "began", "over");
     assertNotified(
         "its engine erred",
-        () -> withAttempt().connected(0).engine(0, ID + " error - 0||"),
+        () -> withAttempt().engineConnects(0).engineSends(0, ID + " error - 0||"),
         "began",
         "over");
     assertNotified(
         "of two pages one came, and the client's time is up",
-        () -> withAttempt().connected(0).engine(0, ID + " ok count=2 0||").pass(5000),
+        () -> withAttempt().engineConnects(0).engineSends(0, ID + " ok count=2 0||").advance(5000),
         "began",
         "over");
     assertNotified("not written yet", () -> withAttempt(), new String[0]);
     assertNotified("the guard does not hold", () -> withAttempt(false), new String[0]);
     assertNotified(
         "the guard does not hold once the connection is up",
-        () -> withAttempt(true, false).connected(0),
+        () -> withAttempt(true, false).engineConnects(0),
         new String[0]);
     assertNotified(
         "never connected",
-        () -> withAttempt().ends(0, DisconnectReason.REFUSED).ends(1, DisconnectReason.REFUSED),
+        () ->
+            withAttempt()
+                .engineDisconnects(0, DisconnectReason.REFUSED)
+                .engineDisconnects(1, DisconnectReason.REFUSED),
         new String[0]);
     assertNotified(
         "the connection broke",
-        () -> withAttempt().connected(0).ends(0, DisconnectReason.RESET),
+        () -> withAttempt().engineConnects(0).engineDisconnects(0, DisconnectReason.RESET),
         "began",
         "may run until 4500");
     assertNotified(
         "the connection broke before it was written whole",
-        () -> withAttempt().stuck().connected(0).ends(0, DisconnectReason.RESET),
+        () ->
+            withAttempt()
+                .blockWrites()
+                .engineConnects(0)
+                .engineDisconnects(0, DisconnectReason.RESET),
         "began",
         "over");
     assertNotified(
         "the guard does not hold after the write",
-        () -> withAttempt(true, true, false).connected(0),
+        () -> withAttempt(true, true, false).engineConnects(0),
         "began",
         "may run until 4500");
     assertNotified(
         "it does not hold any more when the answer is there",
-        () -> withAttempt(true, true, false).stuck().connected(0).engine(0, DONE),
+        () -> withAttempt(true, true, false).blockWrites().engineConnects(0).engineSends(0, DONE),
         "began",
         "over");
     assertNotified(
         "the client goes",
         () ->
             withAttempt()
-                .connected(0)
-                .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n"),
+                .engineConnects(0)
+                .clientSends("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n"),
         "began",
         "may run until 4500");
     assertNotified(
         "the client's time is up",
-        () -> withAttempt().connected(0).pass(5000),
+        () -> withAttempt().engineConnects(0).advance(5000),
         "began",
         "may run until 4500");
     assertNotified(
         "the process ends",
-        () -> withAttempt().connected(0).timeUp(),
+        () -> withAttempt().engineConnects(0).passShutdownDeadline(),
         "began",
         "may run until 4500");
     assertNotified(
@@ -299,10 +314,10 @@
             withExtension(new GatewayFixture())
                 .post("c1", ID, "aside/look")
                 .get("c1", ID)
-                .connected(0)
-                .ends(0, DisconnectReason.RESET)
-                .connected(1)
-                .engine(1, DONE),
+                .engineConnects(0)
+                .engineDisconnects(0, DisconnectReason.RESET)
+                .engineConnects(1)
+                .engineSends(1, DONE),
         "began",
         "may run until 4500",
         "began",
@@ -316,11 +331,11 @@
     withExtension(gateway)
         .post("c1", ID, "aside/look")
         .get("c1", ID)
-        .turn(
+        .iterate(
             () -> {
               extension.answers.add(false);
               extension.context.recheckGuards();
             })
-        .matches("side-held");
+        .assertMatches("side-held");
   }
 }
--- a/gateway/src/test/java/tillerlink/GatewayFixture.java
+++ b/gateway/src/test/java/tillerlink/GatewayFixture.java
@@ -21,50 +21,53 @@
 import tillerlink.net.wire.GatewayConfig;
 import tillerlink.policy.DefaultDispatchPolicy;
 
-/** A driver that prints. Times are milliseconds; in what engines say, | is a line's end. */
+/**
+ * A gateway on a driver that prints. Times are milliseconds; in what engines send, | is a line's
+ * end.
+ */
 final class GatewayFixture implements NetworkDriver {
   private static final int TENTHS = 10;
   static final long START = 17_000_000_000_000L;
   private static final long CONFIRM_MS = 125;
 
-  /** When the story of a new stage begins: the list was confirmed by then. */
-  static final long STORY = START + CONFIRM_MS * TENTHS;
+  /** When the scenario of a started gateway begins: the list was confirmed by then. */
+  static final long SCENARIO_START = START + CONFIRM_MS * TENTHS;
 
   private final StringBuilder printed = new StringBuilder();
-  private final List<Printed> dialed = new ArrayList<>();
-  private final List<Printed> unsent = new ArrayList<>();
-  private final Map<String, Printed> clients = new LinkedHashMap<>();
+  private final List<PrintingChannel> engineConnections = new ArrayList<>();
+  private final List<PrintingChannel> unwritten = new ArrayList<>();
+  private final Map<String, PrintingChannel> clients = new LinkedHashMap<>();
   private List<EndpointEntry> fleet = List.of(entry("e1", "127.0.0.1"), entry("e2", "127.0.0.2"));
-  private int sockets = 1024;
+  private int descriptorLimit = 1024;
   private long now = START;
-  private int query;
-  private int questions;
-  private boolean terse;
-  private boolean stuck;
-  private boolean quiet;
+  private int lastQueryId;
+  private int discoveryQueries;
+  private boolean minimalSettings;
+  private boolean writesBlocked;
+  private boolean traceMuted;
 
   /**
-   * What the discovery service answers unless a test has news of it, and the question that waits
-   * for it.
+   * What the discovery service answers unless a test gives an answer of its own, and the query that
+   * waits for it.
    */
-  private String[] served;
+  private String[] servedEngines;
 
   private int servedIndex;
-  private boolean answering;
-  private int unanswered;
+  private boolean discoveryAnswering;
+  private int unansweredQueryId;
   private long origin = START;
   private Gateway gateway;
 
   GatewayFixture() {
-    fresh();
+    restart();
   }
 
-  GatewayFixture fresh() {
-    dialed.clear();
+  GatewayFixture restart() {
+    engineConnections.clear();
     clients.clear();
-    unsent.clear();
-    stuck = false;
-    Map<String, Object> caps = terse ? Map.of("max_attempts", 3L) : SharedSettings.caps();
+    unwritten.clear();
+    writesBlocked = false;
+    Map<String, Object> caps = minimalSettings ? Map.of("max_attempts", 3L) : SharedSettings.caps();
     Map<String, Object> look =
         Map.of(
             "name",
@@ -72,7 +75,7 @@
             "semantics",
             "repeatable",
             "aim_us",
-            terse ? 400_000L : 1_000_000L,
+            minimalSettings ? 400_000L : 1_000_000L,
             "hard_limit_us",
             5_000_000L,
             "worth",
@@ -130,42 +133,42 @@
             "tick_us",
             5000L,
             "guarantees",
-            terse ? Map.of() : Map.of("drain_grace_us", 100_000L),
+            minimalSettings ? Map.of() : Map.of("drain_grace_us", 100_000L),
             "family_info",
             Map.of("kind_cores", List.of(8L), "tells_every_us", 2_000_000L));
     EndpointWatchEvent known = new EndpointWatchEvent(1, true, fleet);
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    served =
+    servedEngines =
         fleet.stream()
             .map(e -> e.id() + " ready " + e.address() + ":5050 east std 0 0")
             .toArray(String[]::new);
     servedIndex = 1;
-    answering = true;
-    unanswered = -1;
+    discoveryAnswering = true;
+    unansweredQueryId = -1;
     gateway =
         new Gateway(
-            new GatewayConfig("n0", any, any, 7, sockets, terms, List.of(known)),
+            new GatewayConfig("n0", any, any, 7, descriptorLimit, terms, List.of(known)),
             DefaultDispatchPolicy::new,
             this,
             now);
-    turn(() -> {});
-    // A whole number of sweeps, in which the list is confirmed; stories begin then.
+    iterate(() -> {});
+    // A whole number of sweeps, in which the list is confirmed; scenarios begin then.
     long before = now;
-    pass(terse ? 300 : CONFIRM_MS);
+    advance(minimalSettings ? 300 : CONFIRM_MS);
     origin += now - before;
     return this;
   }
 
   /** With settings that leave out all that they may. */
-  GatewayFixture terse() {
-    terse = true;
-    return fresh();
+  GatewayFixture withMinimalSettings() {
+    minimalSettings = true;
+    return restart();
   }
 
   GatewayFixture fleet(int engines, int descriptors) {
     fleet = IntStream.range(1, engines + 1).mapToObj(i -> entry("e" + i, "127.0.0." + i)).toList();
-    sockets = descriptors;
-    return fresh();
+    descriptorLimit = descriptors;
+    return restart();
   }
 
   private static EndpointEntry entry(String id, String address) {
@@ -178,23 +181,23 @@
     return this;
   }
 
-  GatewayFixture say(String comment) {
+  GatewayFixture comment(String comment) {
     printed.append("# ").append(comment).append('\n');
     return this;
   }
 
-  GatewayFixture stuck() {
-    stuck = true;
+  GatewayFixture blockWrites() {
+    writesBlocked = true;
     return this;
   }
 
-  GatewayFixture letGo() {
-    stuck = false;
-    return turn(() -> {});
+  GatewayFixture unblockWrites() {
+    writesBlocked = false;
+    return iterate(() -> {});
   }
 
   GatewayFixture post(String client, String id, String requestClass) {
-    return client(
+    return clientSends(
         client,
         "POST /v1/"
             + requestClass
@@ -204,8 +207,8 @@
   }
 
   /** Of the request class that keeps its order. */
-  GatewayFixture ordered(String client, String id, String subject) {
-    return client(
+  GatewayFixture postOrdered(String client, String id, String subject) {
+    return clientSends(
         client,
         "POST /v1/file HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
             + id
@@ -216,82 +219,84 @@
   }
 
   GatewayFixture get(String client, String id) {
-    return client(client, "GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
+    return clientSends(client, "GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
   }
 
-  GatewayFixture client(String name, String bytes) {
-    Printed channel =
+  GatewayFixture clientSends(String name, String bytes) {
+    PrintingChannel channel =
         clients.computeIfAbsent(
             name,
-            n -> {
-              Printed made = new Printed(n);
+            newName -> {
+              PrintingChannel made = new PrintingChannel(newName);
               made.owner = gateway.onClientConnected(made);
               return made;
             });
-    return turn(() -> channel.owner.onBytes(bytes.getBytes(StandardCharsets.UTF_8)));
+    return iterate(() -> channel.owner.onBytes(bytes.getBytes(StandardCharsets.UTF_8)));
   }
 
-  GatewayFixture breaks(String client, DisconnectReason how) {
-    return turn(() -> clients.remove(client).owner.onClosed(how));
+  GatewayFixture clientDisconnects(String client, DisconnectReason how) {
+    return iterate(() -> clients.remove(client).owner.onClosed(how));
   }
 
-  GatewayFixture connected(int link) {
-    return turn(() -> dialed.get(link).owner.onOpened());
+  GatewayFixture engineConnects(int connection) {
+    return iterate(() -> engineConnections.get(connection).owner.onOpened());
   }
 
-  GatewayFixture ends(int link, DisconnectReason how) {
-    return turn(() -> dialed.get(link).owner.onClosed(how));
+  GatewayFixture engineDisconnects(int connection, DisconnectReason how) {
+    return iterate(() -> engineConnections.get(connection).owner.onClosed(how));
   }
 
-  GatewayFixture engine(int link, String says) {
-    return turn(
+  GatewayFixture engineSends(int connection, String lines) {
+    return iterate(
         () ->
-            dialed
-                .get(link)
+            engineConnections
+                .get(connection)
                 .owner
-                .onBytes(says.replace("|", "\r\n").getBytes(StandardCharsets.UTF_8)));
+                .onBytes(lines.replace("|", "\r\n").getBytes(StandardCharsets.UTF_8)));
   }
 
-  GatewayFixture news(int index, String... engines) {
-    asked().turn(() -> gateway.onDiscoveryDatagram(DiscoveryAnswers.of(query, index, engines)));
+  GatewayFixture discoveryAnswers(int index, String... engines) {
+    awaitDiscoveryQuery()
+        .iterate(
+            () -> gateway.onDiscoveryDatagram(DiscoveryAnswers.of(lastQueryId, index, engines)));
     if (index > servedIndex) {
-      served = engines;
+      servedEngines = engines;
       servedIndex = index;
     }
-    answering = true;
+    discoveryAnswering = true;
     return this;
   }
 
   /** The same, truncated behind its serial. */
-  GatewayFixture truncated(int index, String... engines) {
-    asked()
-        .turn(
+  GatewayFixture discoveryAnswersTruncated(int index, String... engines) {
+    awaitDiscoveryQuery()
+        .iterate(
             () -> {
-              byte[] bytes = DiscoveryAnswers.of(query, index, engines);
+              byte[] bytes = DiscoveryAnswers.of(lastQueryId, index, engines);
               bytes[2] |= 2;
               gateway.onDiscoveryDatagram(Arrays.copyOf(bytes, DiscoveryAnswers.serialEnd(bytes)));
             });
-    answering = true;
+    discoveryAnswering = true;
     return this;
   }
 
   /** The discovery service answers nothing from now on. */
-  GatewayFixture silentNames() {
-    answering = false;
+  GatewayFixture silenceDiscovery() {
+    discoveryAnswering = false;
     return this;
   }
 
-  /** Of the discovery service, so far. */
-  int questions() {
-    return questions;
+  /** How many queries the discovery service got so far. */
+  int discoveryQueries() {
+    return discoveryQueries;
   }
 
-  /** Time passes until the discovery service is asked. */
-  private GatewayFixture asked() {
-    answering = false;
-    query = -1;
-    for (int i = 0; i < 20 && query < 0; i++) {
-      pass(25);
+  /** Time passes until the discovery service is queried. */
+  private GatewayFixture awaitDiscoveryQuery() {
+    discoveryAnswering = false;
+    lastQueryId = -1;
+    for (int i = 0; i < 20 && lastQueryId < 0; i++) {
+      advance(25);
     }
     return this;
   }
@@ -301,66 +306,66 @@
     return this;
   }
 
-  GatewayFixture answered() {
+  GatewayFixture printWhetherAllAnswered() {
     print(gateway.allAnswered() ? "all answered" : "not all answered");
     return this;
   }
 
-  GatewayFixture timeUp() {
-    return turn(() -> gateway.onShutdownDeadline());
+  GatewayFixture passShutdownDeadline() {
+    return iterate(() -> gateway.onShutdownDeadline());
   }
 
-  GatewayFixture pass(long ms) {
+  GatewayFixture advance(long ms) {
     long until = now + ms * TENTHS;
     while (gateway.dueAt() <= until) {
       now = Math.max(now, gateway.dueAt());
-      turn(() -> {});
+      iterate(() -> {});
     }
     now = until;
     return this;
   }
 
-  /** Time passes and no turn is taken. */
-  GatewayFixture stall(long ms) {
+  /** Time passes and no iteration is run. */
+  GatewayFixture pauseGateway(long ms) {
     now += ms * TENTHS;
     return this;
   }
 
-  /** Leaves what happens out of the trace. */
-  GatewayFixture quiet(boolean on) {
-    quiet = on;
+  /** Leaves what happens out of the trace, until it is called with false. */
+  GatewayFixture muteTrace(boolean muted) {
+    traceMuted = muted;
     return this;
   }
 
-  GatewayFixture turn(Runnable event) {
+  GatewayFixture iterate(Runnable event) {
     gateway.beginIteration(now);
     event.run();
     gateway.endIteration();
-    goOn();
-    while (unanswered >= 0) {
-      int id = unanswered;
-      unanswered = -1;
+    runDueIterations();
+    while (unansweredQueryId >= 0) {
+      int id = unansweredQueryId;
+      unansweredQueryId = -1;
       gateway.beginIteration(now);
-      gateway.onDiscoveryDatagram(DiscoveryAnswers.of(id, servedIndex, served));
+      gateway.onDiscoveryDatagram(DiscoveryAnswers.of(id, servedIndex, servedEngines));
       gateway.endIteration();
-      goOn();
+      runDueIterations();
     }
     return this;
   }
 
-  private void goOn() {
+  private void runDueIterations() {
     while (gateway.dueAt() <= now) {
       gateway.beginIteration(now);
       gateway.endIteration();
     }
   }
 
-  void matches(String kept) {
+  void assertMatches(String kept) {
     KeptTraces.assertMatches(kept, printed.toString());
   }
 
   private void print(String line) {
-    if (quiet) {
+    if (traceMuted) {
       return;
     }
     printed.append(String.format("%5d  %s%n", (now - origin) / TENTHS, line));
@@ -368,32 +373,33 @@
 
   @Override
   public Channel connect(InetSocketAddress to, Channel.Owner owner) {
-    Printed channel = new Printed("e" + to.getHostString().substring(8) + "/" + dialed.size());
+    PrintingChannel channel =
+        new PrintingChannel("e" + to.getHostString().substring(8) + "/" + engineConnections.size());
     channel.owner = owner;
-    dialed.add(channel);
+    engineConnections.add(channel);
     print("dial " + channel.name);
     return channel;
   }
 
   @Override
   public void sendDiscoveryQuery(byte[] datagram) {
-    questions++;
-    query = DiscoveryAnswers.queryId(datagram);
-    unanswered = answering ? query : -1;
+    discoveryQueries++;
+    lastQueryId = DiscoveryAnswers.queryId(datagram);
+    unansweredQueryId = discoveryAnswering ? lastQueryId : -1;
   }
 
   @Override
   public void flush() {
-    while (!stuck && !unsent.isEmpty()) {
-      unsent.remove(0).owner.onWritten();
+    while (!writesBlocked && !unwritten.isEmpty()) {
+      unwritten.remove(0).owner.onWritten();
     }
   }
 
-  private final class Printed implements Channel {
+  private final class PrintingChannel implements Channel {
     private final String name;
     private Owner owner;
 
-    Printed(String name) {
+    PrintingChannel(String name) {
       this.name = name;
     }
 
@@ -405,7 +411,7 @@
               + new String(bytes, StandardCharsets.UTF_8)
                   .replaceAll("\r\n(Content-[^\r]*\r\n)*", "|")
                   .replaceAll("\\|\\|$", "|"));
-      unsent.add(this);
+      unwritten.add(this);
     }
 
     @Override
--- a/gateway/src/test/java/tillerlink/GatewayTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayTest.java
@@ -7,8 +7,8 @@
 import tillerlink.net.state.DisconnectReason;
 
 /**
- * Requests from bytes to orders and back, on a driver that only prints; each story is compared with
- * its kept trace.
+ * Requests from bytes to actions and back, on a driver that only prints; each scenario is compared
+ * with its kept trace.
  */
 class GatewayTest {
   private static final String ID = "00000000000000a1";
@@ -20,20 +20,20 @@
         new GatewayFixture()
             .post("c1", ID, "look")
             .get("c1", ID)
-            .connected(0)
-            .engine(0, ID + " progress tell=frac,reading=0.5 0||");
+            .engineConnects(0)
+            .engineSends(0, ID + " progress tell=frac,reading=0.5 0||");
     gateway
-        .engine(0, ID + " ok count=3 8|a\t1\tx\n|".replace("8", "6"))
-        .say("pages in any order")
-        .engine(0, ID + " batch pos=2 6|c\t3\tz\n|")
-        .engine(0, ID + " batch pos=1 6|b\t2\ty\n|");
+        .engineSends(0, ID + " ok count=3 8|a\t1\tx\n|".replace("8", "6"))
+        .comment("pages in any order")
+        .engineSends(0, ID + " batch pos=2 6|c\t3\tz\n|")
+        .engineSends(0, ID + " batch pos=1 6|b\t2\ty\n|");
     gateway
-        .say("the same again after a broken connection")
-        .breaks("c1", DisconnectReason.RESET)
+        .comment("the same again after a broken connection")
+        .clientDisconnects("c1", DisconnectReason.RESET)
         .get("c2", ID)
-        .pass(2500)
+        .advance(2500)
         .get("c2", ID);
-    gateway.matches("net-pages");
+    gateway.assertMatches("net-pages");
   }
 
   /**
@@ -45,47 +45,52 @@
     GatewayFixture gateway = new GatewayFixture();
     for (DisconnectReason how : List.of(DisconnectReason.REFUSED, DisconnectReason.RESET)) {
       gateway
-          .say("before it was connected: " + how)
-          .fresh()
+          .comment("before it was connected: " + how)
+          .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
-          .ends(0, how);
+          .engineDisconnects(0, how);
     }
-    gateway.say("it never comes up").fresh().post("c1", ID, "book").get("c1", ID).pass(300);
     gateway
-        .say("reset before it was wholly written")
-        .fresh()
-        .stuck()
+        .comment("it never comes up")
+        .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
-        .connected(0)
-        .ends(0, DisconnectReason.RESET);
+        .advance(300);
+    gateway
+        .comment("reset before it was wholly written")
+        .restart()
+        .blockWrites()
+        .post("c1", ID, "book")
+        .get("c1", ID)
+        .engineConnects(0)
+        .engineDisconnects(0, DisconnectReason.RESET);
     for (DisconnectReason how : List.of(DisconnectReason.RESET, DisconnectReason.CLOSED_BY_PEER)) {
       gateway
-          .say("after it was written: " + how)
-          .fresh()
+          .comment("after it was written: " + how)
+          .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
-          .connected(0)
-          .ends(0, how);
+          .engineConnects(0)
+          .engineDisconnects(0, how);
     }
     for (String word : List.of("refused", "stale", "error")) {
       gateway
-          .say("the engine says " + word)
-          .fresh()
+          .comment("the engine says " + word)
+          .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
-          .connected(0)
-          .engine(0, ID + " " + word + " - 0||");
+          .engineConnects(0)
+          .engineSends(0, ID + " " + word + " - 0||");
     }
     gateway
-        .say("a page is lost")
-        .fresh()
+        .comment("a page is lost")
+        .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
-        .connected(0)
-        .engine(0, ID + " ok count=2 0||")
-        .engine(0, ID + " error - 0||");
+        .engineConnects(0)
+        .engineSends(0, ID + " ok count=2 0||")
+        .engineSends(0, ID + " error - 0||");
     for (String bad :
         List.of(
             "x|",
@@ -94,27 +99,35 @@
             ID + " ok count=1 1|ab|",
             ID + " batch pos=1 0||")) {
       gateway
-          .say("it can't be read")
-          .fresh()
+          .comment("it can't be read")
+          .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
-          .connected(0)
-          .engine(0, bad);
+          .engineConnects(0)
+          .engineSends(0, bad);
     }
     gateway
-        .say("nobody is there any more")
-        .fresh()
+        .comment("nobody is there any more")
+        .restart()
+        .post("c1", ID, "book")
+        .get("c1", ID)
+        .engineConnects(0)
+        .advance(800);
+    gateway
+        .comment("a result too long")
+        .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
-        .connected(0)
-        .pass(800);
-    gateway.say("a result too long").fresh().post("c1", ID, "book").get("c1", ID).connected(0);
+        .engineConnects(0);
     String page = " 6000|" + ("x".repeat(1997) + "\t\t\n").repeat(3) + "|";
-    gateway.quiet(true).engine(0, ID + " ok count=9" + page);
+    gateway.muteTrace(true).engineSends(0, ID + " ok count=9" + page);
     for (int i = 1; i < 8; i++) {
-      gateway.engine(0, ID + " batch pos=" + i + page);
+      gateway.engineSends(0, ID + " batch pos=" + i + page);
     }
-    gateway.quiet(false).engine(0, ID + " batch pos=8" + page).matches("net-endings");
+    gateway
+        .muteTrace(false)
+        .engineSends(0, ID + " batch pos=8" + page)
+        .assertMatches("net-endings");
   }
 
   /**
@@ -124,69 +137,70 @@
   @Test
   void unreadableResponsesSpareOtherAttempts() {
     String row = " 6|a\t1\tx\n|";
-    GatewayFixture gateway = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
-    gateway
-        .say("more than belongs to it")
-        .engine(0, "00000000000000ff ok count=1 0||")
-        .engine(0, ID + " ok count=2" + row)
-        .engine(0, ID + " ok count=2" + row)
-        .say("a page spoilt: asked for again")
-        .engine(0, ID + " batch pos=1 4|a\tb\n|")
-        .connected(1);
-    gateway.engine(1, ID + " batch pos=1" + row).engine(1, ID + " batch pos=1" + row);
-    gateway
-        .say("the first page spoilt beside another hop")
-        .fresh()
+    GatewayFixture gateway =
+        new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
+    gateway
+        .comment("more than belongs to it")
+        .engineSends(0, "00000000000000ff ok count=1 0||")
+        .engineSends(0, ID + " ok count=2" + row)
+        .engineSends(0, ID + " ok count=2" + row)
+        .comment("a page spoilt: asked for again")
+        .engineSends(0, ID + " batch pos=1 4|a\tb\n|")
+        .engineConnects(1);
+    gateway.engineSends(1, ID + " batch pos=1" + row).engineSends(1, ID + " batch pos=1" + row);
+    gateway
+        .comment("the first page spoilt beside another hop")
+        .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
-        .connected(0)
+        .engineConnects(0)
         .post("c2", "00000000000000a2", "look")
         .post("c3", "00000000000000a3", "look")
-        .engine(0, ID + " ok count=1 6|a\t1\u0001x\n|");
+        .engineSends(0, ID + " ok count=1 6|a\t1\u0001x\n|");
     gateway
-        .say("no end comes")
-        .fresh()
+        .comment("no end comes")
+        .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
-        .connected(0)
-        .engine(0, ID + " ok count=1 60|a\t1")
-        .pass(300);
+        .engineConnects(0)
+        .engineSends(0, ID + " ok count=1 60|a\t1")
+        .advance(300);
     gateway
-        .say("it breaks off on the way")
-        .fresh()
+        .comment("it breaks off on the way")
+        .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
-        .connected(0)
-        .engine(0, ID + " ok cou")
-        .ends(0, DisconnectReason.CLOSED_BY_PEER);
+        .engineConnects(0)
+        .engineSends(0, ID + " ok cou")
+        .engineDisconnects(0, DisconnectReason.CLOSED_BY_PEER);
     gateway
-        .say("the connection alone is dead")
-        .fresh()
+        .comment("the connection alone is dead")
+        .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
-        .connected(0)
-        .pass(350)
-        .connected(1)
-        .pass(100);
+        .engineConnects(0)
+        .advance(350)
+        .engineConnects(1)
+        .advance(100);
     for (String how : List.of("nobody is there any more", "no connection comes up any more")) {
       gateway
-          .say("it has run, its connection breaks while its result comes, and " + how)
-          .fresh()
+          .comment("it has run, its connection breaks while its result comes, and " + how)
+          .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
-          .connected(0)
-          .engine(0, ID + " ok count=2" + row)
-          .ends(0, DisconnectReason.RESET);
+          .engineConnects(0)
+          .engineSends(0, ID + " ok count=2" + row)
+          .engineDisconnects(0, DisconnectReason.RESET);
       gateway =
           how.startsWith("nobody")
               ? gateway
-                  .ends(1, DisconnectReason.REFUSED)
-                  .ends(2, DisconnectReason.REFUSED)
-                  .ends(3, DisconnectReason.REFUSED)
-              : gateway.pass(900);
+                  .engineDisconnects(1, DisconnectReason.REFUSED)
+                  .engineDisconnects(2, DisconnectReason.REFUSED)
+                  .engineDisconnects(3, DisconnectReason.REFUSED)
+              : gateway.advance(900);
       gateway.get("c1", ID);
     }
-    gateway.matches("net-spoilt");
+    gateway.assertMatches("net-spoilt");
   }
 
   /**
@@ -195,78 +209,89 @@
    */
   @Test
   void aSilentConnectionIsProbedAndReplaced() {
-    GatewayFixture gateway = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture gateway =
+        new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
-        .say("quiet, but it works")
-        .pass(200)
-        .engine(0, "0 yes - 0||")
-        .say("quiet again, for longer, and nobody is there")
-        .pass(750);
-    gateway.connected(2).engine(2, ID + " ok count=1 6|a\t1\tx\n|");
+        .comment("quiet, but it works")
+        .advance(200)
+        .engineSends(0, "0 yes - 0||")
+        .comment("quiet again, for longer, and nobody is there")
+        .advance(750);
+    gateway.engineConnects(2).engineSends(2, ID + " ok count=1 6|a\t1\tx\n|");
     gateway
-        .say("quiet, and nobody listens any more")
-        .fresh()
+        .comment("quiet, and nobody listens any more")
+        .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
-        .connected(0)
-        .pass(350)
-        .ends(1, DisconnectReason.REFUSED);
+        .engineConnects(0)
+        .advance(350)
+        .engineDisconnects(1, DisconnectReason.REFUSED);
     gateway
-        .say("it does not say that it works, but a new connection comes up")
-        .fresh()
+        .comment("it does not say that it works, but a new connection comes up")
+        .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
-        .connected(0)
-        .pass(350)
-        .connected(1);
+        .engineConnects(0)
+        .advance(350)
+        .engineConnects(1);
     gateway
         .post("c2", "00000000000000a2", "look")
         .post("c2", "00000000000000a3", "look")
         .post("c2", "00000000000000a4", "look");
     gateway
-        .say("a late answer is as good")
-        .engine(0, ID + " ok count=1 0||")
-        .say("a later answer to what is over is no fault")
-        .engine(0, ID + " progress - 0||")
-        .matches("net-silence");
+        .comment("a late answer is as good")
+        .engineSends(0, ID + " ok count=1 0||")
+        .comment("a later answer to what is over is no fault")
+        .engineSends(0, ID + " progress - 0||")
+        .assertMatches("net-silence");
   }
 
   /** Guards against taking a pause of this machine for a silent engine. */
   @Test
   void aPauseOfThisProcessIsNoSilentEngine() {
     GatewayFixture gateway =
-        new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0).stall(3000);
+        new GatewayFixture()
+            .post("c1", ID, "look")
+            .get("c1", ID)
+            .engineConnects(0)
+            .pauseGateway(3000);
     gateway
-        .say("what was said meanwhile is heard first")
-        .engine(0, ID + " progress tell=frac,reading=0.9 0||")
-        .matches("net-stood-still");
+        .comment("what was said meanwhile is heard first")
+        .engineSends(0, ID + " progress tell=frac,reading=0.9 0||")
+        .assertMatches("net-stood-still");
   }
 
   @Test
   void aFullTableRejectsRequests() {
-    GatewayFixture gateway = new GatewayFixture().quiet(true);
+    GatewayFixture gateway = new GatewayFixture().muteTrace(true);
     for (int i = 0; i < 4096; i++) {
       gateway.post("c1", String.format("%016x", i), "look");
     }
     gateway
-        .quiet(false)
+        .muteTrace(false)
         .post("c1", "00000000000f00a1", "look")
-        .say("answers that nobody fetches are kept until their clients have gone");
-    gateway.quiet(true).pass(6000).quiet(false).post("c2", ID, "look").matches("net-full");
+        .comment("answers that nobody fetches are kept until their clients have gone");
+    gateway
+        .muteTrace(true)
+        .advance(6000)
+        .muteTrace(false)
+        .post("c2", ID, "look")
+        .assertMatches("net-full");
   }
 
   @Test
   void clientsThatDisconnectOrCancelAreOwedNothing() {
-    GatewayFixture gateway = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture gateway =
+        new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
-        .say("by DELETE")
-        .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n");
+        .comment("by DELETE")
+        .clientSends("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n");
     gateway
-        .say("by a close before the path was out")
-        .stuck()
+        .comment("by a close before the path was out")
+        .blockWrites()
         .post("c3", "00000000000000a2", "look")
-        .breaks("c3", DisconnectReason.CLOSED_BY_PEER);
-    gateway.matches("net-leave");
+        .clientDisconnects("c3", DisconnectReason.CLOSED_BY_PEER);
+    gateway.assertMatches("net-leave");
   }
 
   @Test
@@ -281,8 +306,8 @@
     };
     for (String head : heads) {
       gateway
-          .client("c1", head + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
-          .breaks("c1", DisconnectReason.CLOSED_BY_PEER);
+          .clientSends("c1", head + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
+          .clientDisconnects("c1", DisconnectReason.CLOSED_BY_PEER);
     }
     for (String fields :
         List.of(
@@ -295,48 +320,49 @@
             "X-Correlation-Id: " + ID + "\r\nX-Deadline-Ms: 5\r\nX-Estimate-Ms: 1e9\r\n",
             "X-Correlation-Id: " + ID + "\r\nX-Deadline-Ms: 5\r\nX-Estimate-Ms: 5d\r\n",
             "X-Correlation-Id: " + ID + "\r\nX-Deadline-Ms: 5\r\nX-Operation-Key: a,b\r\n")) {
-      gateway.client(
+      gateway.clientSends(
           "c2",
           "POST /v1/look HTTP/1.1\r\nHost: a\r\n" + fields + "Content-Length: 8\r\n\r\nSELECT 1");
     }
-    gateway.say("a load without its mark, nothing to run, no text").post("c2", ID, "load");
+    gateway.comment("a load without its mark, nothing to run, no text").post("c2", ID, "load");
     String usable =
         "POST /v1/look HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: " + ID + "\r\nX-Deadline-Ms: 5\r\n";
     gateway
-        .client("c2", usable + "Content-Length: 0\r\n\r\n")
-        .client("c2", usable + "Content-Length: 1\r\n\r\n\0");
+        .clientSends("c2", usable + "Content-Length: 0\r\n\r\n")
+        .clientSends("c2", usable + "Content-Length: 1\r\n\r\n\0");
     gateway
-        .say("a body that waits to be asked for")
-        .client(
+        .comment("a body that waits to be asked for")
+        .clientSends(
             "c3",
             "POST /v1/look HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
                 + "X-Correlation-Id: "
                 + ID
                 + "\r\nX-Deadline-Ms: 50\r\nContent-Length: 8\r\n\r\n")
-        .client("c3", "SELECT 1");
+        .clientSends("c3", "SELECT 1");
     gateway
-        .say(
+        .comment(
             "the same once more, for a client whose connection broke; the id with another"
                 + " statement")
         .post("c2", ID, "look")
-        .client("c2", usable + "Content-Length: 8\r\n\r\nSELECT 2");
+        .clientSends("c2", usable + "Content-Length: 8\r\n\r\nSELECT 2");
     gateway
-        .say("a body that hides a call")
-        .client(
+        .comment("a body that hides a call")
+        .clientSends(
             "c5", usable + "Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET ");
     gateway
-        .say("60 MB to come: refused, what comes is thrown away for a while, then no longer read")
-        .client("c6", usable + "Content-Length: 60000000\r\n\r\n")
-        .client("c6", "x".repeat(200_000))
-        .client("c6", "x".repeat(200_000));
-    gateway
-        .say("half a call")
-        .client("c4", "POST /v1/lo")
-        .pass(1000)
-        .say("and a little more")
-        .client("c4", "ok")
-        .pass(10000);
-    gateway.matches("net-bad-calls");
+        .comment(
+            "60 MB to come: refused, what comes is thrown away for a while, then no longer read")
+        .clientSends("c6", usable + "Content-Length: 60000000\r\n\r\n")
+        .clientSends("c6", "x".repeat(200_000))
+        .clientSends("c6", "x".repeat(200_000));
+    gateway
+        .comment("half a call")
+        .clientSends("c4", "POST /v1/lo")
+        .advance(1000)
+        .comment("and a little more")
+        .clientSends("c4", "ok")
+        .advance(10000);
+    gateway.assertMatches("net-bad-calls");
   }
 
   /** Guards usual clients against those that take up connections and say nothing. */
@@ -346,43 +372,48 @@
         new GatewayFixture()
             .post("busy", ID, "look")
             .get("busy", ID)
-            .client("idle", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-    gateway.quiet(true).pass(500).client("mute0", "").pass(10);
+            .clientSends("idle", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+    gateway.muteTrace(true).advance(500).clientSends("mute0", "").advance(10);
     for (int i = 3; i < 409; i++) {
-      gateway.client("mute" + i, i % 2 == 0 ? "" : "POST");
+      gateway.clientSends("mute" + i, i % 2 == 0 ? "" : "POST");
     }
     gateway
-        .quiet(false)
-        .say("409 are connected, and had time to speak")
-        .pass(150)
-        .client("late1", "")
-        .client("late2", "");
-    gateway.quiet(true);
+        .muteTrace(false)
+        .comment("409 are connected, and had time to speak")
+        .advance(150)
+        .clientSends("late1", "")
+        .clientSends("late2", "");
+    gateway.muteTrace(true);
     for (int i = 0; i < 409; i++) {
-      gateway.client("burst" + i, "");
+      gateway.clientSends("burst" + i, "");
     }
     gateway
-        .quiet(false)
-        .say("those who asked once go next; nobody who had no time to speak")
-        .pass(1)
-        .client("last", "")
-        .quiet(true);
-    gateway.pass(150).quiet(false).say("now they had").client("later", "").matches("net-bound");
+        .muteTrace(false)
+        .comment("those who asked once go next; nobody who had no time to speak")
+        .advance(1)
+        .clientSends("last", "")
+        .muteTrace(true);
+    gateway
+        .advance(150)
+        .muteTrace(false)
+        .comment("now they had")
+        .clientSends("later", "")
+        .assertMatches("net-bound");
   }
 
   @Test
   void pipelinedRequestsAreReadOnceTheAnswerBeforeIsWritten() {
-    GatewayFixture gateway = new GatewayFixture().stuck();
+    GatewayFixture gateway = new GatewayFixture().blockWrites();
     gateway
-        .client("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".repeat(3))
-        .say("the first answer is out")
-        .letGo();
+        .clientSends("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".repeat(3))
+        .comment("the first answer is out")
+        .unblockWrites();
     gateway
-        .say("a client that does not read")
-        .stuck()
-        .client("c2", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-        .pass(10050);
-    gateway.matches("net-pipelined");
+        .comment("a client that does not read")
+        .blockWrites()
+        .clientSends("c2", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+        .advance(10050);
+    gateway.assertMatches("net-pipelined");
   }
 
   /**
@@ -391,48 +422,52 @@
    */
   @Test
   void endpointListUpdatesReplaceProcesses() {
-    GatewayFixture gateway = new GatewayFixture().post("c1", ID, "look").get("c1", ID).connected(0);
+    GatewayFixture gateway =
+        new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
-        .say("the engine restarted under its name, the other is gone: a new connection")
-        .news(5, "e1 ready 127.0.0.1:5050 east std 0 1700000000000")
-        .engine(0, "0 yes - 0||")
+        .comment("the engine restarted under its name, the other is gone: a new connection")
+        .discoveryAnswers(5, "e1 ready 127.0.0.1:5050 east std 0 1700000000000")
+        .engineSends(0, "0 yes - 0||")
         .post("c2", "00000000000000a2", "look")
-        .connected(1);
+        .engineConnects(1);
     gateway
-        .say("older news are dropped")
-        .news(4, "e9 ready 127.0.0.9:5050 east std 0 0")
-        .engine(1, "0 yes - 0||")
+        .comment("older news are dropped")
+        .discoveryAnswers(4, "e9 ready 127.0.0.9:5050 east std 0 0")
+        .engineSends(1, "0 yes - 0||")
         .post("c2", "00000000000000a3", "look");
     gateway
-        .say("another engine under its address")
-        .news(6, "e2 ready 127.0.0.1:5050 east std 0 0")
+        .comment("another engine under its address")
+        .discoveryAnswers(6, "e2 ready 127.0.0.1:5050 east std 0 0")
         .post("c3", "00000000000000a4", "look")
-        .connected(2);
+        .engineConnects(2);
     gateway
-        .say("restarted elsewhere while a connection to it comes up: what waits for that goes anew")
-        .fresh()
+        .comment(
+            "restarted elsewhere while a connection to it comes up: what waits for that goes anew")
+        .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
-        .news(5, "e1 ready 127.0.0.3:5050 east std 0 1700000000000")
-        .connected(1);
+        .discoveryAnswers(5, "e1 ready 127.0.0.3:5050 east std 0 1700000000000")
+        .engineConnects(1);
     gateway
-        .say("drains while a connection to it comes up: nothing is written there")
-        .fresh()
+        .comment("drains while a connection to it comes up: nothing is written there")
+        .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
-        .news(5, "e1 draining 127.0.0.1:5050 east std 0 0", "e2 ready 127.0.0.2:5050 east std 0 0")
-        .connected(0);
+        .discoveryAnswers(
+            5, "e1 draining 127.0.0.1:5050 east std 0 0", "e2 ready 127.0.0.2:5050 east std 0 0")
+        .engineConnects(0);
     gateway
-        .say("drains while what was said still waits here for a peer that does not read")
-        .fresh()
-        .stuck()
+        .comment("drains while what was said still waits here for a peer that does not read")
+        .restart()
+        .blockWrites()
         .post("c1", ID, "book")
         .get("c1", ID)
-        .connected(0)
-        .news(5, "e1 draining 127.0.0.1:5050 east std 0 0", "e2 ready 127.0.0.2:5050 east std 0 0")
-        .pass(250)
-        .ends(0, DisconnectReason.RESET);
-    gateway.matches("net-news");
+        .engineConnects(0)
+        .discoveryAnswers(
+            5, "e1 draining 127.0.0.1:5050 east std 0 0", "e2 ready 127.0.0.2:5050 east std 0 0")
+        .advance(250)
+        .engineDisconnects(0, DisconnectReason.RESET);
+    gateway.assertMatches("net-news");
   }
 
   /**
@@ -442,14 +477,22 @@
   void inputWithoutAGapAfterAPauseCountsFromThePause() {
     GatewayFixture gateway =
         new GatewayFixture()
-            .pass(500)
-            .say("the process stands still, then what had come is read bit by bit")
-            .stall(600);
+            .advance(500)
+            .comment("the process stands still, then what had come is read bit by bit")
+            .pauseGateway(600);
     for (int i = 1; i <= 4; i++) {
-      gateway.post("c" + i, "00000000000000a" + i, "look").pass(40);
+      gateway.post("c" + i, "00000000000000a" + i, "look").advance(40);
     }
-    gateway.say("a gap, and what comes after it").pass(100).post("c5", "00000000000000a5", "look");
-    gateway.connected(1).connected(2).connected(3).connected(5).matches("net-paused");
+    gateway
+        .comment("a gap, and what comes after it")
+        .advance(100)
+        .post("c5", "00000000000000a5", "look");
+    gateway
+        .engineConnects(1)
+        .engineConnects(2)
+        .engineConnects(3)
+        .engineConnects(5)
+        .assertMatches("net-paused");
   }
 
   /** Guards the drain, and the engines that an answer had no room for. */
@@ -457,21 +500,22 @@
   void aTruncatedAnswerStillDrainsEngines() {
     GatewayFixture gateway =
         new GatewayFixture()
-            .say("e1 drains; its address, and all of e2, had no room")
-            .truncated(5, "e1 draining 127.0.0.1:5050 east std 0 0");
+            .comment("e1 drains; its address, and all of e2, had no room")
+            .discoveryAnswersTruncated(5, "e1 draining 127.0.0.1:5050 east std 0 0");
     for (int i = 0; i < 3; i++) {
-      gateway.post("c" + i, "00000000000000a" + i, "look").connected(i);
+      gateway.post("c" + i, "00000000000000a" + i, "look").engineConnects(i);
     }
     gateway
-        .say("older news in part")
-        .truncated(4, "e2 draining 127.0.0.2:5050 east std 0 0")
+        .comment("older news in part")
+        .discoveryAnswersTruncated(4, "e2 draining 127.0.0.2:5050 east std 0 0")
         .post("c4", "00000000000000a4", "look")
-        .connected(3);
+        .engineConnects(3);
     gateway
-        .say("the whole of the same number")
-        .news(5, "e2 ready 127.0.0.2:5050 east std 0 0", "e3 ready 127.0.0.3:5050 east std 0 0")
+        .comment("the whole of the same number")
+        .discoveryAnswers(
+            5, "e2 ready 127.0.0.2:5050 east std 0 0", "e3 ready 127.0.0.3:5050 east std 0 0")
         .post("c5", "00000000000000a5", "look");
-    gateway.matches("net-partial");
+    gateway.assertMatches("net-partial");
   }
 
   /**
@@ -481,21 +525,26 @@
   @Test
   void aCancelledAttemptIsNotWrittenLater() {
     GatewayFixture gateway =
-        new GatewayFixture().post("c1", ID, "look").get("c1", ID).stuck().connected(0).pass(100);
+        new GatewayFixture()
+            .post("c1", ID, "look")
+            .get("c1", ID)
+            .blockWrites()
+            .engineConnects(0)
+            .advance(100);
     gateway
-        .say("the client leaves; the engine has read nothing")
-        .client("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n")
-        .pass(150)
-        .ends(0, DisconnectReason.RESET);
+        .comment("the client leaves; the engine has read nothing")
+        .clientSends("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n")
+        .advance(150)
+        .engineDisconnects(0, DisconnectReason.RESET);
     gateway
-        .say("one that has read all")
-        .letGo()
+        .comment("one that has read all")
+        .unblockWrites()
         .post("c3", "00000000000000a2", "look")
         .get("c3", "00000000000000a2")
-        .connected(1)
-        .client("c4", "DELETE /v1/calls/00000000000000a2 HTTP/1.1\r\nHost: a\r\n\r\n")
-        .pass(200);
-    gateway.matches("net-given-up");
+        .engineConnects(1)
+        .clientSends("c4", "DELETE /v1/calls/00000000000000a2 HTTP/1.1\r\nHost: a\r\n\r\n")
+        .advance(200);
+    gateway.assertMatches("net-given-up");
   }
 
   /**
@@ -506,17 +555,17 @@
   void requestsOfASubjectKeepTheirOrder() {
     GatewayFixture gateway =
         new GatewayFixture()
-            .ordered("c1", "00000000000000a1", "x")
-            .ordered("c2", "00000000000000a2", "x")
-            .connected(0);
+            .postOrdered("c1", "00000000000000a1", "x")
+            .postOrdered("c2", "00000000000000a2", "x")
+            .engineConnects(0);
     gateway
-        .say("another subject does not wait")
-        .ordered("c3", "00000000000000a3", "y")
-        .connected(1);
+        .comment("another subject does not wait")
+        .postOrdered("c3", "00000000000000a3", "y")
+        .engineConnects(1);
     gateway
-        .say("the first is over")
-        .engine(0, "00000000000000a1 ok count=1 0||")
-        .matches("net-order");
+        .comment("the first is over")
+        .engineSends(0, "00000000000000a1 ok count=1 0||")
+        .assertMatches("net-order");
   }
 
   @Test
@@ -525,21 +574,21 @@
         new GatewayFixture()
             .post("c1", ID, "look")
             .get("c1", ID)
-            .connected(0)
-            .say("told to end")
+            .engineConnects(0)
+            .comment("told to end")
             .drain();
     gateway
-        .client("c2", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
-        .answered()
+        .clientSends("c2", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
+        .printWhetherAllAnswered()
         .post("c2", "00000000000000a2", "look");
     gateway
-        .engine(0, ID + " ok count=1 0||")
-        .answered()
-        .say("time is up")
-        .timeUp()
+        .engineSends(0, ID + " ok count=1 0||")
+        .printWhetherAllAnswered()
+        .comment("time is up")
+        .passShutdownDeadline()
         .get("c2", "00000000000000a2")
-        .answered()
-        .matches("net-drain");
+        .printWhetherAllAnswered()
+        .assertMatches("net-drain");
   }
 
   /**
@@ -549,18 +598,18 @@
   @Test
   void withMoreEnginesThanConnectionsTheLongestIdleIsClosed() {
     GatewayFixture gateway =
-        new GatewayFixture().fleet(40, 12).say("40 engines, four connections: a hop on each");
+        new GatewayFixture().fleet(40, 12).comment("40 engines, four connections: a hop on each");
     for (int i = 0; i < 4; i++) {
-      gateway.post("c" + i, "00000000000000b" + i, "look").connected(i);
+      gateway.post("c" + i, "00000000000000b" + i, "look").engineConnects(i);
     }
     gateway
-        .say("none is idle")
+        .comment("none is idle")
         .post("c4", "00000000000000b4", "look")
-        .say("the second is idle longer than the first")
-        .engine(1, "00000000000000b1 ok count=1 0||")
-        .pass(20)
-        .engine(0, "00000000000000b0 ok count=1 0||");
-    gateway.post("c5", "00000000000000b5", "look").matches("net-many-engines");
+        .comment("the second is idle longer than the first")
+        .engineSends(1, "00000000000000b1 ok count=1 0||")
+        .advance(20)
+        .engineSends(0, "00000000000000b0 ok count=1 0||");
+    gateway.post("c5", "00000000000000b5", "look").assertMatches("net-many-engines");
   }
 
   /**
@@ -571,27 +620,27 @@
   void settingsThatAreLeftOutHaveDefaults() {
     GatewayFixture gateway =
         new GatewayFixture()
-            .terse()
+            .withMinimalSettings()
             .post("c1", ID, "look")
             .get("c1", ID)
-            .say("not up for a soft limit")
-            .pass(399)
-            .pass(2);
+            .comment("not up for a soft limit")
+            .advance(399)
+            .advance(2);
     gateway
-        .say("the next is up")
+        .comment("the next is up")
         .post("c2", OTHER, "look")
         .get("c2", OTHER)
-        .connected(1)
-        .engine(1, OTHER + " ok count=1 6|a\t1\tx\n|");
-    gateway
-        .say("idle for a deadline")
-        .pass(4_800)
-        .say("and no longer")
-        .pass(400)
-        .matches("net-unstated");
-    int before = gateway.silentNames().questions();
-    gateway.pass(40_000);
-    int asked = gateway.questions() - before;
+        .engineConnects(1)
+        .engineSends(1, OTHER + " ok count=1 6|a\t1\tx\n|");
+    gateway
+        .comment("idle for a deadline")
+        .advance(4_800)
+        .comment("and no longer")
+        .advance(400)
+        .assertMatches("net-unstated");
+    int before = gateway.silenceDiscovery().discoveryQueries();
+    gateway.advance(40_000);
+    int asked = gateway.discoveryQueries() - before;
     assertTrue(asked >= 95 && asked <= 105, asked + " questions in a hundred soft limits");
   }
 }
