--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ChannelLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ChannelLoad.java
@@ -40,6 +40,11 @@
     this.incarnations = incarnations;
   }
 
+  @Override
+  String seedName() {
+    return "ChannelLoad";
+  }
+
   @Override
   long paceMs() {
     return 30;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Load.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Load.java
@@ -30,13 +30,15 @@
   /** Sends one request to a gateway, and reports to the audit. */
   abstract void once(String gateway, RandomGenerator chance) throws IOException;
 
+  /** A part of the seed that stays when the class is renamed, so that old seeds can be replayed. */
+  abstract String seedName();
+
   /** The average pause of a client between requests, in milliseconds. */
   abstract long paceMs();
 
   final void begin() {
     for (String gateway : cluster.names()) {
-      // The name of the class is part of the seed.
-      String clientName = getClass().getSimpleName() + "-" + gateway;
+      String clientName = seedName() + "-" + gateway;
       RandomGenerator chance =
           new SplittableRandom(seed ^ (clientName.hashCode() * 0x9e3779b97f4a7c15L));
       Thread thread = new Thread(() -> sendUntilEnd(gateway, chance, () -> !ended), clientName);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/RequestLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/RequestLoad.java
@@ -26,6 +26,11 @@
     super(cluster, audit, disruptions, seed);
   }
 
+  @Override
+  String seedName() {
+    return "SubmissionLoad";
+  }
+
   @Override
   long paceMs() {
     return 40;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/StatementLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/StatementLoad.java
@@ -49,6 +49,11 @@
     }
   }
 
+  @Override
+  String seedName() {
+    return "StatementLoad";
+  }
+
   @Override
   long paceMs() {
     return 40;
