--- a/http2/src/main/java/tillerlink/net/http2/EngineResponses.java
+++ b/http2/src/main/java/tillerlink/net/http2/EngineResponses.java
@@ -52,12 +52,12 @@
   }
 
   /** Whether a response brings a result, or the rest of one that was resumed. */
-  static boolean bringsResult(Event.Answer response, boolean resumed) {
+  static boolean bringsResult(Event.Response response, boolean resumed) {
     return response.status() == (resumed ? PARTIAL_CONTENT : OK);
   }
 
   /** What a response that brings no result means for its attempt. */
-  static StreamTermination termination(Event.Answer response, boolean resumed) {
+  static StreamTermination termination(Event.Response response, boolean resumed) {
     if (resumed) {
       return StreamTermination.GARBLED;
     }
--- a/http2/src/main/java/tillerlink/net/http2/Event.java
+++ b/http2/src/main/java/tillerlink/net/http2/Event.java
@@ -15,7 +15,7 @@
   record Interim(int stream, List<Header> headers) implements Event {}
 
   /** The headers of the final response; {@code last} if it has no body. */
-  record Answer(int stream, int status, List<Header> headers, boolean last) implements Event {}
+  record Response(int stream, int status, List<Header> headers, boolean last) implements Event {}
 
   /** A part of the response's body, possibly empty; {@code last} if it is the last. */
   record Body(int stream, byte[] bytes, boolean last) implements Event {}
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -213,7 +213,7 @@
   private void handle(Event event) {
     if (event instanceof Event.Interim interim) {
       results.onInterim(streams.find(interim.stream()), interim);
-    } else if (event instanceof Event.Answer response) {
+    } else if (event instanceof Event.Response response) {
       AttemptStream stream = streams.find(response.stream());
       conclude(stream, results.onResponse(stream, response));
     } else if (event instanceof Event.Body body) {
--- a/http2/src/main/java/tillerlink/net/http2/ResponseReceiver.java
+++ b/http2/src/main/java/tillerlink/net/http2/ResponseReceiver.java
@@ -115,7 +115,7 @@
     if (list.last()) {
       finish(stream);
     }
-    events.add(new Event.Answer(stream.id(), status, list.headers(), list.last()));
+    events.add(new Event.Response(stream.id(), status, list.headers(), list.last()));
   }
 
   /**
--- a/http2/src/main/java/tillerlink/net/http2/ResultReceiver.java
+++ b/http2/src/main/java/tillerlink/net/http2/ResultReceiver.java
@@ -40,7 +40,7 @@
    * @param stream null if it is over already
    * @return how the stream ends by them; null if it goes on
    */
-  StreamTermination onResponse(AttemptStream stream, Event.Answer response) {
+  StreamTermination onResponse(AttemptStream stream, Event.Response response) {
     if (stream == null) {
       return null;
     }
--- a/http2/src/test/java/tillerlink/net/http2/Peer.java
+++ b/http2/src/test/java/tillerlink/net/http2/Peer.java
@@ -110,8 +110,9 @@
                     : limits.maxConcurrentStreams()));
       } else if (event instanceof Event.Interim interim) {
         all.add("interim" + interim.stream());
-      } else if (event instanceof Event.Answer answer) {
-        all.add("answer" + answer.stream() + ":" + answer.status() + (answer.last() ? "." : ""));
+      } else if (event instanceof Event.Response response) {
+        all.add(
+            "answer" + response.stream() + ":" + response.status() + (response.last() ? "." : ""));
       } else if (event instanceof Event.Body body) {
         all.add(
             "body"
