--- a/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -41,19 +41,19 @@
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "look", 4500);
     Peer engine = hasIt(client);
-    loopback.hold();
+    loopback.holdIteration();
     client.close();
-    loopback.came(1);
-    engine.say(ONE + " refused - 0\r\n\r\n");
-    loopback.came(2);
-    loopback.letGo();
+    loopback.awaitEvents(1);
+    engine.send(ONE + " refused - 0\r\n\r\n");
+    loopback.awaitEvents(2);
+    loopback.releaseIteration();
     othersAreServed(engine, TWO);
     Peer again = loopback.client();
     again.get(ONE);
     Peer anew = loopback.engine(0);
-    assertEquals(ONE, anew.wanted());
-    anew.say(ONE + " ok count=1 0\r\n\r\n");
-    again.heard(ROWS);
+    assertEquals(ONE, anew.nextAttemptId());
+    anew.send(ONE + " ok count=1 0\r\n\r\n");
+    again.expectBody(ROWS);
   }
 
   /**
@@ -65,14 +65,14 @@
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "look", 4500);
     Peer engine = hasIt(client);
-    loopback.turn();
-    loopback.hold();
-    loopback.tellOnly(1);
-    engine.say(ONE + " refused - 0\r\n\r\n");
-    loopback.came(1);
+    loopback.runIterations();
+    loopback.holdIteration();
+    loopback.deliverOnly(1);
+    engine.send(ONE + " refused - 0\r\n\r\n");
+    loopback.awaitEvents(1);
     client.close();
-    loopback.letGo();
-    loopback.tellAll();
+    loopback.releaseIteration();
+    loopback.deliverAll();
     othersAreServed(engine, TWO);
   }
 
@@ -82,15 +82,15 @@
     loopback = new Loopback(1);
     // The client's connection, its call, the pass before the attempt, the written answer: then the
     // engine's connection.
-    loopback.keepBackAfter(4);
+    loopback.delayEventAfter(4);
     Peer client = loopback.posted(ONE, "look", 4500);
     Peer engine = loopback.engine(0);
-    Loopback.await(loopback::keptBack, "the connection does not come up");
-    loopback.hold();
+    Loopback.await(loopback::hasDelayedEvent, "the connection does not come up");
+    loopback.holdIteration();
     client.close();
-    loopback.came(1);
-    loopback.tellKeptBack();
-    loopback.letGo();
+    loopback.awaitEvents(1);
+    loopback.deliverDelayedEvent();
+    loopback.releaseIteration();
     othersAreServed(engine, TWO);
   }
 
@@ -103,18 +103,18 @@
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "load", 4500);
     Peer engine = hasIt(client);
-    loopback.turn();
-    loopback.hold();
+    loopback.runIterations();
+    loopback.holdIteration();
     // The reset, then the pass before the repeat: then the connection for it.
-    loopback.keepBackAfter(2);
+    loopback.delayEventAfter(2);
     engine.reset();
-    loopback.came(1);
-    loopback.letGo();
+    loopback.awaitEvents(1);
+    loopback.releaseIteration();
     Peer anew = loopback.engine(0);
-    Loopback.await(loopback::keptBack, "the connection does not come up");
-    loopback.pass(200, 50);
-    loopback.tellKeptBack();
-    client.heard("{\"problem\":\"Full\"}");
+    Loopback.await(loopback::hasDelayedEvent, "the connection does not come up");
+    loopback.advance(200, 50);
+    loopback.deliverDelayedEvent();
+    client.expectBody("{\"problem\":\"Full\"}");
     othersAreServed(anew, TWO);
   }
 
@@ -127,16 +127,16 @@
   void aCloseOverUnreadBytes() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
-    loopback.turn();
-    loopback.hold();
-    loopback.tellOnly(1);
-    client.say(
+    loopback.runIterations();
+    loopback.holdIteration();
+    loopback.deliverOnly(1);
+    client.send(
         "GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n" + "x".repeat(60_000));
-    loopback.came(1);
-    loopback.letGo();
-    loopback.tellAll();
-    client.heard("{}");
-    client.endedAndRead();
+    loopback.awaitEvents(1);
+    loopback.releaseIteration();
+    loopback.deliverAll();
+    client.expectBody("{}");
+    client.expectHalfClose();
   }
 
   /**
@@ -147,14 +147,14 @@
   void aRequestThatIsUnreadWhenItsIdleConnectionCloses() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
-    client.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-    client.heard("{}");
-    loopback.turn();
-    loopback.tellOnly(0);
+    client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+    client.expectBody("{}");
+    loopback.runIterations();
+    loopback.deliverOnly(0);
     client.post(ONE, "look", 4500);
-    loopback.pass(5125, 125);
-    loopback.tellAll();
-    client.heard("{\"continue\":\"/v1/calls/" + ONE + "\"}");
+    loopback.advance(5125, 125);
+    loopback.deliverAll();
+    client.expectBody("{\"continue\":\"/v1/calls/" + ONE + "\"}");
   }
 
   /**
@@ -165,14 +165,14 @@
   void anIdleCloseMeetsARequest() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
-    client.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-    client.heard("{}");
-    loopback.turn();
-    loopback.pass(5125, 125);
+    client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+    client.expectBody("{}");
+    loopback.runIterations();
+    loopback.advance(5125, 125);
     client.post(ONE, "look", 4500);
-    client.ended();
-    loopback.turn();
-    loopback.nobodyElse(0);
+    client.expectEnd();
+    loopback.runIterations();
+    loopback.assertNoFurtherConnection(0);
   }
 
   /**
@@ -183,28 +183,28 @@
   void shutdownWaitsForARequestThatIsHalfRead() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
-    loopback.turn();
-    loopback.hold();
-    String text = Peer.posting(ONE, "look", 4500);
-    client.say(text.substring(0, 60));
-    loopback.came(1);
-    loopback.letGo();
+    loopback.runIterations();
+    loopback.holdIteration();
+    String text = Peer.postRequest(ONE, "look", 4500);
+    client.send(text.substring(0, 60));
+    loopback.awaitEvents(1);
+    loopback.releaseIteration();
     GracefulShutdown shutdown = loopback.ask(GracefulShutdown::new);
-    long told = loopback.now();
+    long shutdownAt = loopback.now();
     loopback.ask(
         gateway -> {
-          shutdown.begin(told);
-          return shutdown.isComplete(told + 7000);
+          shutdown.begin(shutdownAt);
+          return shutdown.isComplete(shutdownAt + 7000);
         });
-    boolean gone = loopback.ask(gateway -> shutdown.isComplete(told + 12_000));
-    assertFalse(gone);
-    client.say(text.substring(60));
-    client.heard("{\"problem\":\"Full\"}");
-    client.endedAndRead();
-    loopback.nobodyElse(0);
+    boolean complete = loopback.ask(gateway -> shutdown.isComplete(shutdownAt + 12_000));
+    assertFalse(complete);
+    client.send(text.substring(60));
+    client.expectBody("{\"problem\":\"Full\"}");
+    client.expectHalfClose();
+    loopback.assertNoFurtherConnection(0);
     client.close();
     Loopback.await(
-        () -> loopback.ask(gateway -> shutdown.isComplete(told + 13_000)), "it does not end");
+        () -> loopback.ask(gateway -> shutdown.isComplete(shutdownAt + 13_000)), "it does not end");
   }
 
   // ---- the discovery service ----
@@ -219,13 +219,13 @@
     SocketAddress first = answered(2);
     // For a whole grace at the most, and an eighth of it to notice in.
     for (int ms = 0; ms < 850; ms += 25) {
-      loopback.pass(25, 25);
+      loopback.advance(25, 25);
     }
-    loopback.names.setSoTimeout(1);
+    loopback.discoveryService.setSoTimeout(1);
     DatagramPacket question = new DatagramPacket(new byte[512], 512);
     question.setSocketAddress(first);
     while (first.equals(question.getSocketAddress())) {
-      loopback.names.receive(question);
+      loopback.discoveryService.receive(question);
     }
     assertNotEquals(first, question.getSocketAddress());
   }
@@ -237,14 +237,14 @@
   void theDiscoveryServiceMovesWhileAQueryIsOutstanding() throws Exception {
     loopback = new Loopback(1);
     SocketAddress asker = answered(2);
-    loopback.pass(400, 25);
-    DatagramPacket out = loopback.question(loopback.names);
+    loopback.advance(400, 25);
+    DatagramPacket out = loopback.receiveQuery(loopback.discoveryService);
     assertEquals(asker, out.getSocketAddress());
     try (DatagramSocket moved =
         new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
       moved.setSoTimeout(Loopback.PATIENCE_MS);
-      loopback.resolver((InetSocketAddress) moved.getLocalSocketAddress());
-      loopback.question(moved);
+      loopback.moveDiscoveryService((InetSocketAddress) moved.getLocalSocketAddress());
+      loopback.receiveQuery(moved);
     }
   }
 
@@ -252,17 +252,18 @@
    * Answers the next question with that number and the engine as it is; from where it was asked.
    */
   private SocketAddress answered(int index) throws Exception {
-    loopback.pass(400, 25);
-    DatagramPacket question = loopback.question(loopback.names);
+    loopback.advance(400, 25);
+    DatagramPacket question = loopback.receiveQuery(loopback.discoveryService);
     byte[] list =
         DiscoveryAnswers.of(
             DiscoveryAnswers.queryId(question.getData()),
             index,
             "e1 ready 127.0.0.1:" + loopback.engines.get(0).getLocalPort() + " east std 0 0");
-    loopback.hold();
-    loopback.names.send(new DatagramPacket(list, list.length, question.getSocketAddress()));
-    loopback.came(1);
-    loopback.letGo();
+    loopback.holdIteration();
+    loopback.discoveryService.send(
+        new DatagramPacket(list, list.length, question.getSocketAddress()));
+    loopback.awaitEvents(1);
+    loopback.releaseIteration();
     return question.getSocketAddress();
   }
 
@@ -270,7 +271,7 @@
   private Peer hasIt(Peer client) throws IOException {
     client.get(ONE);
     Peer engine = loopback.engine(0);
-    assertEquals(ONE, engine.wanted());
+    assertEquals(ONE, engine.nextAttemptId());
     return engine;
   }
 
@@ -281,9 +282,9 @@
   private void othersAreServed(Peer engine, String id) throws IOException {
     Peer other = loopback.posted(id, "look", 4500);
     other.get(id);
-    assertEquals(id, engine.wanted());
-    engine.say(id + " ok count=1 0\r\n\r\n");
-    other.heard(ROWS);
-    loopback.nobodyElse(0);
+    assertEquals(id, engine.nextAttemptId());
+    engine.send(id + " ok count=1 0\r\n\r\n");
+    other.expectBody(ROWS);
+    loopback.assertNoFurtherConnection(0);
   }
 }
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -35,21 +35,21 @@
   private final List<String> happened = new ArrayList<>();
   private long now = START;
   private int reads;
-  private EventLoop turns;
+  private EventLoop eventLoop;
 
   /** Guards against taking a pause of this machine for a silent engine. */
   @Test
   void inputOfAPauseIsProcessedBeforeWhatIsDue() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
-    turns = new EventLoop(this::clock);
+    eventLoop = new EventLoop(this::clock);
     Gateway gateway =
         new Gateway(
             assignment, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
     gateway.beginIteration(START);
     gateway.endIteration();
     now += PAUSE;
-    turns.run(gateway, () -> happened.size() > 2);
+    eventLoop.run(gateway, () -> happened.size() > 2);
     assertEquals(
         List.of(
             "onEndpointListStateChanged", "applyDecisions", "heard", "onWakeup", "applyDecisions"),
@@ -64,24 +64,24 @@
   void aFailingEventDoesNotStopTheOthers() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
-    turns = new EventLoop(() -> now);
+    eventLoop = new EventLoop(() -> now);
     Gateway gateway =
         new Gateway(
             assignment, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
-    turns.queue.add(
+    eventLoop.queue.add(
         () -> {
           throw new NoClassDefFoundError("Late");
         });
-    turns.queue.add(
+    eventLoop.queue.add(
         () -> {
           throw new StackOverflowError();
         });
-    turns.queue.add(
+    eventLoop.queue.add(
         () -> {
           throw new IllegalStateException();
         });
-    turns.queue.add(() -> happened.add("the next"));
-    turns.run(gateway, () -> happened.contains("the next"));
+    eventLoop.queue.add(() -> happened.add("the next"));
+    eventLoop.run(gateway, () -> happened.contains("the next"));
   }
 
   /**
@@ -91,7 +91,7 @@
    */
   @Test
   void everyClassIsInTheArchive() throws IOException, URISyntaxException {
-    Set<String> listed =
+    Set<String> archived =
         Set.copyOf(
             Files.readAllLines(Path.of("..", "deploy", "classes.lst")).stream()
                 .map(line -> line.split(" ", -1)[0])
@@ -104,7 +104,7 @@
               .map(file -> classes.relativize(file).toString().replace('\\', '/'))
               .filter(name -> name.endsWith(".class") && !name.contains("wirehost"))
               .map(name -> name.substring(0, name.length() - ".class".length()))
-              .filter(name -> !listed.contains(name))
+              .filter(name -> !archived.contains(name))
               .toList();
       assertEquals(List.of(), missing);
     }
@@ -169,7 +169,7 @@
    */
   private long clock() {
     if (++reads == 2) {
-      turns.queue.add(() -> happened.add("heard"));
+      eventLoop.queue.add(() -> happened.add("heard"));
     }
     return now;
   }
--- a/gateway/src/test/java/tillerlink/net/lifecycle/FakeEngine.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/FakeEngine.java
@@ -11,7 +11,7 @@
 
 /** An engine that answers each attempt at once with no rows, and notes when attempts came. */
 final class FakeEngine implements Closeable {
-  private final ServerSocket door = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+  private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
   /**
    * An attempt that came.
@@ -27,7 +27,7 @@
     daemon(
         () -> {
           while (true) {
-            Socket socket = door.accept();
+            Socket socket = listener.accept();
             socket.setTcpNoDelay(true);
             daemon(() -> converse(new Peer(socket)));
           }
@@ -35,21 +35,21 @@
   }
 
   int port() {
-    return door.getLocalPort();
+    return listener.getLocalPort();
   }
 
   private void converse(Peer peer) throws IOException {
-    for (String line = peer.line(); line != null; line = peer.line()) {
+    for (String line = peer.readLine(); line != null; line = peer.readLine()) {
       String[] words = line.split(" ", -1);
       if (words[0].equals("want")) {
         synchronized (attempts) {
           long limit = Long.parseLong(words[2].replaceAll(".*limit=([0-9]+).*", "$1"));
           attempts.add(new Attempt(System.nanoTime(), limit));
         }
-        peer.line();
-        peer.say(words[1] + " ok count=1 0\r\n\r\n");
+        peer.readLine();
+        peer.send(words[1] + " ok count=1 0\r\n\r\n");
       } else if (words[0].equals("there")) {
-        peer.say(words[1] + " yes - 0\r\n\r\n");
+        peer.send(words[1] + " yes - 0\r\n\r\n");
       }
     }
   }
@@ -82,6 +82,6 @@
 
   @Override
   public void close() throws IOException {
-    door.close();
+    listener.close();
   }
 }
--- a/gateway/src/test/java/tillerlink/net/lifecycle/FakeNameService.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/FakeNameService.java
@@ -16,20 +16,21 @@
 
 /**
  * A discovery service for one gateway, with a way to it that delays or loses answers. It notes when
- * each drain counts as told: when an answer that holds it was sent, and 1.5 s after it happened at
- * the latest.
+ * each drain counts as notified: when an answer that holds it was sent, and 1.5 s after it happened
+ * at the latest.
  */
 final class FakeNameService implements Closeable {
-  private static final long TOLD_AT_THE_LATEST = TimeUnit.MILLISECONDS.toNanos(1500);
+  private static final long NOTIFIED_AT_THE_LATEST = TimeUnit.MILLISECONDS.toNanos(1500);
 
   private final DatagramSocket socket;
-  private final ScheduledExecutorService late = Executors.newSingleThreadScheduledExecutor();
+  private final ScheduledExecutorService delayedAnswers =
+      Executors.newSingleThreadScheduledExecutor();
 
   /** Address by engine. */
   private final Map<String, String> engines = new TreeMap<>();
 
-  /** When the drain of an engine counts as told, in nanoseconds. */
-  private final Map<String, Long> told = new TreeMap<>();
+  /** When the drain of an engine counts as notified, in nanoseconds. */
+  private final Map<String, Long> notifiedAt = new TreeMap<>();
 
   private int version = 1;
   private long delayMs;
@@ -62,7 +63,7 @@
    * An engine begins to drain now, and for so long from the first answer that tells it none
    * arrives.
    */
-  synchronized void drainsUnheard(String engine, long ms) {
+  synchronized void drainsWithAnswersLost(String engine, long ms) {
     drains(engine);
     silentMs = ms;
   }
@@ -70,12 +71,12 @@
   /** An engine begins to drain now. */
   synchronized void drains(String engine) {
     version++;
-    told.put(engine, System.nanoTime() + TOLD_AT_THE_LATEST);
+    notifiedAt.put(engine, System.nanoTime() + NOTIFIED_AT_THE_LATEST);
   }
 
-  /** When its drain counts as told; {@link Long#MAX_VALUE} if it does not drain. */
-  synchronized long toldAt(String engine) {
-    return told.getOrDefault(engine, Long.MAX_VALUE);
+  /** When its drain counts as notified; {@link Long#MAX_VALUE} if it does not drain. */
+  synchronized long notifiedAt(String engine) {
+    return notifiedAt.getOrDefault(engine, Long.MAX_VALUE);
   }
 
   private void run() {
@@ -96,13 +97,13 @@
             .map(
                 engine ->
                     engine.getKey()
-                        + (told.containsKey(engine.getKey()) ? " draining " : " ready ")
+                        + (notifiedAt.containsKey(engine.getKey()) ? " draining " : " ready ")
                         + engine.getValue()
                         + " east std 0 0")
             .toArray(String[]::new);
     byte[] list = DiscoveryAnswers.of(DiscoveryAnswers.queryId(question.getData()), version, lines);
     long now = System.nanoTime();
-    told.replaceAll((engine, at) -> Math.min(at, now));
+    notifiedAt.replaceAll((engine, at) -> Math.min(at, now));
     if (silentMs > 0) {
       lossyUntil = now + TimeUnit.MILLISECONDS.toNanos(silentMs);
       silentMs = 0;
@@ -111,7 +112,7 @@
       DatagramPacket answer = new DatagramPacket(list, list.length, question.getSocketAddress());
       // One that could not be sent is as good as lost.
       Future<?> unused =
-          late.schedule(
+          delayedAnswers.schedule(
               () -> {
                 socket.send(answer);
                 return null;
@@ -123,7 +124,7 @@
 
   @Override
   public void close() {
-    late.shutdownNow();
+    delayedAnswers.shutdownNow();
     socket.close();
   }
 }
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -40,9 +40,9 @@
 
 /**
  * A gateway on real loopback connections whose peers a test plays line by line. Time stands still
- * until the test lets it pass, and a turn can be held open until all that is to be in it has come:
- * so an order that is rare happens each time. Every wait is for something that is seen, and
- * bounded.
+ * until the test lets it pass, and an iteration of the event loop can be held open until all that
+ * is to be in it has come: so an order that is rare happens each time. Every wait is for something
+ * that is seen, and bounded.
  */
 final class Loopback implements Closeable {
   static final int PATIENCE_MS = 10_000;
@@ -52,21 +52,21 @@
   private static final InetAddress HERE = InetAddress.getLoopbackAddress();
 
   final List<ServerSocket> engines = new ArrayList<>();
-  final DatagramSocket names;
+  final DatagramSocket discoveryService;
   private final List<Closeable> open = new ArrayList<>();
   private final AtomicLong now = new AtomicLong(START);
-  private final AtomicLong turnsDone = new AtomicLong();
-  private final EventLoop turns = new EventLoop(now::get);
+  private final AtomicLong iterationsDone = new AtomicLong();
+  private final EventLoop eventLoop = new EventLoop(now::get);
   private final MinaDriver driver;
   private final InetSocketAddress listen;
   private final Thread thread;
   private final Gate gate = new Gate();
   private volatile boolean end;
   private Gateway gateway;
-  private CountDownLatch held;
+  private CountDownLatch heldIteration;
 
   Loopback(int engineCount) throws IOException {
-    this(engineCount, terms -> {});
+    this(engineCount, settings -> {});
   }
 
   /**
@@ -74,8 +74,8 @@
    *     but for the request classes
    */
   Loopback(int engineCount, Consumer<Map<String, Object>> changed) throws IOException {
-    names = new DatagramSocket(new InetSocketAddress(HERE, 0));
-    names.setSoTimeout(PATIENCE_MS);
+    discoveryService = new DatagramSocket(new InetSocketAddress(HERE, 0));
+    discoveryService.setSoTimeout(PATIENCE_MS);
     List<EndpointEntry> known = new ArrayList<>();
     for (int i = 0; i < engineCount; i++) {
       ServerSocket engine = new ServerSocket(0, 50, HERE);
@@ -93,8 +93,8 @@
               1,
               0));
     }
-    Map<String, Object> terms = Terms.plain();
-    changed.accept(terms);
+    Map<String, Object> settings = TestedSettings.plain();
+    changed.accept(settings);
     try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
       listen = new InetSocketAddress(HERE, free.getLocalPort());
     }
@@ -102,10 +102,10 @@
         new GatewayConfig(
             "n0",
             listen,
-            (InetSocketAddress) names.getLocalSocketAddress(),
+            (InetSocketAddress) discoveryService.getLocalSocketAddress(),
             7,
             1024,
-            terms,
+            settings,
             List.of(new EndpointWatchEvent(1, true, known)));
     driver =
         new MinaDriver(
@@ -117,44 +117,44 @@
             now::get);
     gateway = new Gateway(assignment, DefaultDispatchPolicy::new, driver, now.get());
     driver.listen(listen);
-    thread = new Thread(this::run, "turns");
+    thread = new Thread(this::run, "event loop");
     thread.setDaemon(true);
     thread.start();
-    confirmList();
+    confirmEndpointList();
   }
 
   /**
    * The discovery service answers the first question with what is known, so that attempts may go
    * out.
    */
-  private void confirmList() throws IOException {
-    names.setSoTimeout(1);
+  private void confirmEndpointList() throws IOException {
+    discoveryService.setSoTimeout(1);
     DatagramPacket question = null;
     while (question == null) {
-      pass(CONFIRM_STEP_MS, CONFIRM_STEP_MS);
+      advance(CONFIRM_STEP_MS, CONFIRM_STEP_MS);
       try {
-        question = question(names);
+        question = receiveQuery(discoveryService);
       } catch (SocketTimeoutException e) {
         assertTrue(now.get() < START + PATIENCE_MS * TENTHS, "no question comes");
       }
     }
-    names.setSoTimeout(PATIENCE_MS);
+    discoveryService.setSoTimeout(PATIENCE_MS);
     String[] lines = new String[engines.size()];
     for (int i = 0; i < lines.length; i++) {
       lines[i] =
           "e" + (i + 1) + " ready 127.0.0.1:" + engines.get(i).getLocalPort() + " east std 0 0";
     }
     byte[] list = DiscoveryAnswers.of(DiscoveryAnswers.queryId(question.getData()), 1, lines);
-    names.send(new DatagramPacket(list, list.length, question.getSocketAddress()));
+    discoveryService.send(new DatagramPacket(list, list.length, question.getSocketAddress()));
     await(() -> ask(Gateway::listConfirmed), "the list is not confirmed");
   }
 
   private void run() {
     try {
-      turns.run(
+      eventLoop.run(
           gateway,
           () -> {
-            turnsDone.incrementAndGet();
+            iterationsDone.incrementAndGet();
             return end;
           });
     } catch (InterruptedException e) {
@@ -162,17 +162,17 @@
     }
   }
 
-  // ---- turns and time ----
+  // ---- iterations and time ----
 
   /**
-   * Holds the turn that begins now: what comes from here on is told in it, once {@link #letGo} is
-   * called.
+   * Holds the iteration that begins now: what comes from here on is processed in it, once {@link
+   * #releaseIteration} is called.
    */
-  void hold() throws InterruptedException {
+  void holdIteration() throws InterruptedException {
     CountDownLatch entered = new CountDownLatch(1);
     CountDownLatch latch = new CountDownLatch(1);
-    held = latch;
-    turns.queue.add(
+    heldIteration = latch;
+    eventLoop.queue.add(
         () -> {
           entered.countDown();
           try {
@@ -184,65 +184,67 @@
     assertTrue(entered.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
   }
 
-  /** Waits until so many events wait for the turn that is held. */
-  void came(int events) {
-    await(() -> turns.queue.size() >= events, "only " + turns.queue.size() + " events came");
+  /** Waits until so many events wait for the iteration that is held. */
+  void awaitEvents(int events) {
+    await(
+        () -> eventLoop.queue.size() >= events, "only " + eventLoop.queue.size() + " events came");
   }
 
-  void letGo() {
-    held.countDown();
-    turn();
+  void releaseIteration() {
+    heldIteration.countDown();
+    runIterations();
   }
 
-  /** Only so many further events are told; whoever reads or connects waits with the next. */
-  void tellOnly(int events) {
-    gate.left.drainPermits();
-    gate.left.release(events);
+  /** Only so many further events are delivered; whoever reads or connects waits with the next. */
+  void deliverOnly(int events) {
+    gate.deliverable.drainPermits();
+    gate.deliverable.release(events);
   }
 
-  /** The others are told. */
-  void tellAll() {
-    gate.left.release(Gate.ALL);
-    turn();
+  /** The others are delivered. */
+  void deliverAll() {
+    gate.deliverable.release(Gate.ALL);
+    runIterations();
   }
 
   /**
-   * After so many events the next is kept back, and those behind it are told, as if it came late.
+   * After so many events the next is delayed, and those behind it are delivered, as if it came
+   * late.
    */
-  void keepBackAfter(int events) {
+  void delayEventAfter(int events) {
     gate.until.set(events);
   }
 
-  /** What was kept back has come; true if there was anything. */
-  boolean keptBack() {
-    return gate.late != null;
+  /** Whether the event that is delayed has come. */
+  boolean hasDelayedEvent() {
+    return gate.delayed != null;
   }
 
-  /** It comes now. */
-  void tellKeptBack() {
-    turns.queue.add(gate.late);
+  /** The delayed event comes now. */
+  void deliverDelayedEvent() {
+    eventLoop.queue.add(gate.delayed);
   }
 
-  /** Two turns are taken, so that what the first ordered has been done. */
-  void turn() {
+  /** Runs two iterations, so that what the first ordered has been done. */
+  void runIterations() {
     for (int i = 0; i < 2; i++) {
-      CountDownLatch in = new CountDownLatch(1);
-      turns.queue.add(in::countDown);
+      CountDownLatch entered = new CountDownLatch(1);
+      eventLoop.queue.add(entered::countDown);
       try {
-        assertTrue(in.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(entered.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
       } catch (InterruptedException e) {
         throw new IllegalStateException(e);
       }
-      long done = turnsDone.get();
-      await(() -> turnsDone.get() > done, "the turn does not end");
+      long done = iterationsDone.get();
+      await(() -> iterationsDone.get() > done, "the iteration does not end");
     }
   }
 
-  /** Time passes, with a turn at the end of each so many milliseconds. */
-  void pass(long ms, long step) {
+  /** Time passes, with iterations at the end of each so many milliseconds. */
+  void advance(long ms, long step) {
     for (long gone = 0; gone < ms; gone += step) {
       now.addAndGet(step * TENTHS);
-      turn();
+      runIterations();
     }
   }
 
@@ -252,18 +254,18 @@
 
   <T> T ask(Function<Gateway, T> question) {
     List<T> answer = new ArrayList<>();
-    turns.queue.add(() -> answer.add(question.apply(gateway)));
-    turn();
+    eventLoop.queue.add(() -> answer.add(question.apply(gateway)));
+    runIterations();
     return answer.get(0);
   }
 
-  void resolver(InetSocketAddress moved) {
-    turns.queue.add(
+  void moveDiscoveryService(InetSocketAddress moved) {
+    eventLoop.queue.add(
         () -> {
           driver.setDiscoveryAddress(moved);
           gateway.discoveryAddressChanged();
         });
-    turn();
+    runIterations();
   }
 
   static void await(BooleanSupplier what, String otherwise) {
@@ -285,7 +287,7 @@
   Peer posted(String id, String requestClass, int deadlineMs) throws IOException {
     Peer client = client();
     client.post(id, requestClass, deadlineMs);
-    client.heard("{\"continue\":\"/v1/calls/" + id + "\"}");
+    client.expectBody("{\"continue\":\"/v1/calls/" + id + "\"}");
     return client;
   }
 
@@ -295,7 +297,7 @@
   }
 
   /** No further connection has come up to an engine. */
-  void nobodyElse(int place) throws IOException {
+  void assertNoFurtherConnection(int place) throws IOException {
     engines.get(place).setSoTimeout(1);
     assertThrows(SocketTimeoutException.class, () -> engines.get(place).accept());
     engines.get(place).setSoTimeout(PATIENCE_MS);
@@ -308,49 +310,49 @@
     return new Peer(socket);
   }
 
-  /** The next question to the discovery service. */
-  DatagramPacket question(DatagramSocket at) throws IOException {
+  /** The next query to the discovery service. */
+  DatagramPacket receiveQuery(DatagramSocket service) throws IOException {
     DatagramPacket packet = new DatagramPacket(new byte[512], 512);
-    at.receive(packet);
+    service.receive(packet);
     return packet;
   }
 
   @Override
   public void close() throws IOException {
     end = true;
-    if (held != null) {
-      held.countDown();
+    if (heldIteration != null) {
+      heldIteration.countDown();
     }
-    turns.queue.add(() -> {});
+    eventLoop.queue.add(() -> {});
     for (Closeable one : open) {
       one.close();
     }
     for (ServerSocket one : engines) {
       one.close();
     }
-    names.close();
+    discoveryService.close();
     driver.close();
   }
 
-  /** Where what was read or came up is told to the turns. */
+  /** Where what was read or came up is handed to the event loop. */
   private final class Gate extends AbstractQueue<Runnable> {
     private static final int ALL = 1 << 20;
-    private final Semaphore left = new Semaphore(ALL);
+    private final Semaphore deliverable = new Semaphore(ALL);
     private final AtomicInteger until = new AtomicInteger(-1);
-    private volatile Runnable late;
+    private volatile Runnable delayed;
 
     @Override
     public boolean offer(Runnable event) {
       try {
-        left.tryAcquire(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        deliverable.tryAcquire(PATIENCE_MS, TimeUnit.MILLISECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
       if (until.getAndUpdate(n -> n < 0 ? n : n - 1) == 0) {
-        late = event;
+        delayed = event;
         return true;
       }
-      return turns.queue.add(event);
+      return eventLoop.queue.add(event);
     }
 
     @Override
@@ -370,29 +372,29 @@
 
     @Override
     public int size() {
-      return turns.queue.size();
+      return eventLoop.queue.size();
     }
   }
 
   /** What these tests set. */
-  static final class Terms {
-    private Terms() {}
+  static final class TestedSettings {
+    private TestedSettings() {}
 
     static Map<String, Object> plain() {
-      Map<String, Object> terms = new java.util.HashMap<>();
-      terms.put("caps", SharedSettings.caps());
-      terms.put(
+      Map<String, Object> settings = new java.util.HashMap<>();
+      settings.put("caps", SharedSettings.caps());
+      settings.put(
           "profiles",
           List.of(
               requestClass("look", "repeatable", 0),
               requestClass("book", "once", 0),
               requestClass("load", "by_key", 150_000L)));
-      terms.put("models", List.of("std"));
-      terms.put("zones", List.of("east"));
-      terms.put("tick_us", 5000L);
-      terms.put("guarantees", Map.of("drain_grace_us", 400_000L));
-      terms.put("family_info", Map.of("kind_cores", List.of(8L), "tells_every_us", 2_000_000L));
-      return terms;
+      settings.put("models", List.of("std"));
+      settings.put("zones", List.of("east"));
+      settings.put("tick_us", 5000L);
+      settings.put("guarantees", Map.of("drain_grace_us", 400_000L));
+      settings.put("family_info", Map.of("kind_cores", List.of(8L), "tells_every_us", 2_000_000L));
+      return settings;
     }
 
     static Map<String, Object> requestClass(String name, String semantics, long windowUs) {
@@ -426,15 +428,15 @@
       in = socket.getInputStream();
     }
 
-    void say(String text) throws IOException {
+    void send(String text) throws IOException {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
     }
 
     void post(String id, String requestClass, int deadlineMs) throws IOException {
-      say(posting(id, requestClass, deadlineMs));
+      send(postRequest(id, requestClass, deadlineMs));
     }
 
-    static String posting(String id, String requestClass, int deadlineMs) {
+    static String postRequest(String id, String requestClass, int deadlineMs) {
       return "POST /v1/"
           + requestClass
           + " HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "
@@ -447,47 +449,47 @@
     }
 
     void get(String id) throws IOException {
-      say("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
+      send("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
     }
 
     /** The next line, without its end; null where the connection has ended. */
-    String line() throws IOException {
+    String readLine() throws IOException {
       StringBuilder line = new StringBuilder();
-      for (int c = in.read(); c != '\n'; c = in.read()) {
-        if (c < 0) {
+      for (int next = in.read(); next != '\n'; next = in.read()) {
+        if (next < 0) {
           return line.length() == 0 ? null : line.toString();
         }
-        line.append((char) c);
+        line.append((char) next);
       }
       return line.toString().strip();
     }
 
     /** The body of the next answer. */
-    String body() throws IOException {
+    String readBody() throws IOException {
       int length = 0;
-      for (String line = line(); !line.isEmpty(); line = line()) {
+      for (String line = readLine(); !line.isEmpty(); line = readLine()) {
         length =
             line.startsWith("Content-Length: ") ? Integer.parseInt(line.substring(16)) : length;
       }
       return new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
-    void heard(String body) throws IOException {
-      assertEquals(body, body());
+    void expectBody(String body) throws IOException {
+      assertEquals(body, readBody());
     }
 
-    /** The statement of the next attempt; what else is said on the way is passed over. */
-    String wanted() throws IOException {
-      String line = line();
+    /** The id of the next attempt; what else is said on the way is passed over. */
+    String nextAttemptId() throws IOException {
+      String line = readLine();
       while (line != null && !line.startsWith("want ")) {
-        line = line();
+        line = readLine();
       }
-      String statement = line == null ? null : line();
+      String statement = line == null ? null : readLine();
       return statement == null ? null : line.split(" ", -1)[1];
     }
 
     /** The other end said all that it had to say, and ended without a reset. */
-    void ended() throws IOException {
+    void expectEnd() throws IOException {
       assertEquals(-1, in.read());
     }
 
@@ -495,10 +497,10 @@
      * The same, and it was no close of both ways: what is said goes on being read, where a reset
      * would break it.
      */
-    void endedAndRead() throws IOException {
-      ended();
+    void expectHalfClose() throws IOException {
+      expectEnd();
       for (int i = 0; i < 20; i++) {
-        say("more");
+        send("more");
       }
     }
 
--- a/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
@@ -116,26 +116,26 @@
   void shutdownRefusesHalfRequestsAndClosesIdleConnections() throws Exception {
     start(folder.resolve("log").toFile(), 1024);
     Peer rests = client();
-    rests.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-    rests.heard("{}");
+    rests.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+    rests.expectBody("{}");
     Peer taken = client();
     Engine engine = waitsFor(taken);
-    String text = Peer.posting(TWO, "look", 8000);
+    String text = Peer.postRequest(TWO, "look", 8000);
     Peer half = client();
-    half.say(text.substring(0, 60));
+    half.send(text.substring(0, 60));
     process.destroy();
-    rests.endedAndRead();
-    half.say(text.substring(60));
-    half.heard(REFUSED);
-    half.endedAndRead();
+    rests.expectHalfClose();
+    half.send(text.substring(60));
+    half.expectBody(REFUSED);
+    half.expectHalfClose();
     Peer late = client();
-    late.say(text);
-    late.heard(REFUSED);
-    late.endedAndRead();
-    engine.say(ONE + " ok count=1 0\r\n\r\n");
-    taken.heard(ROWS);
-    taken.endedAndRead();
-    assertEquals(Engine.OVER, engine.wanted());
+    late.send(text);
+    late.expectBody(REFUSED);
+    late.expectHalfClose();
+    engine.send(ONE + " ok count=1 0\r\n\r\n");
+    taken.expectBody(ROWS);
+    taken.expectHalfClose();
+    assertEquals(Engine.OVER, engine.nextAttemptId());
     gone("0 requests unanswered");
   }
 
@@ -148,15 +148,15 @@
     start(folder.resolve("log").toFile(), 1024);
     Peer waits = client();
     waitsFor(waits);
-    long told = System.nanoTime();
+    long terminatedAt = System.nanoTime();
     process.destroy();
     assertEquals(
         0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
     process.destroy();
-    waits.heard(REFUSED);
-    long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - told);
+    waits.expectBody(REFUSED);
+    long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - terminatedAt);
     assertTrue(ms >= 3000, "given up after " + ms + " ms already");
-    waits.endedAndRead();
+    waits.expectHalfClose();
     gone("0 requests unanswered");
   }
 
@@ -191,17 +191,17 @@
   private void served() throws Exception {
     Peer waits = client();
     Engine engine = waitsFor(waits);
-    engine.say(ONE + " ok count=1 0\r\n\r\n");
-    waits.heard(ROWS);
+    engine.send(ONE + " ok count=1 0\r\n\r\n");
+    waits.expectBody(ROWS);
   }
 
   /** A client hands a statement in and waits for its result; the engine that has it. */
   private Engine waitsFor(Peer client) throws Exception {
     client.post(ONE, "look", 8000);
-    client.heard("{\"continue\":\"/v1/calls/" + ONE + "\"}");
+    client.expectBody("{\"continue\":\"/v1/calls/" + ONE + "\"}");
     client.get(ONE);
     Engine engine = new Engine(engines.accept());
-    assertEquals(ONE, engine.wanted());
+    assertEquals(ONE, engine.nextAttemptId());
     return engine;
   }
 
@@ -228,10 +228,10 @@
 
     private void listen() {
       try {
-        for (String line = peer.line(); line != null; line = peer.line()) {
+        for (String line = peer.readLine(); line != null; line = peer.readLine()) {
           String[] words = line.split(" ", -1);
           if (words[0].equals("there")) {
-            say(words[1] + " yes - 0\r\n\r\n");
+            send(words[1] + " yes - 0\r\n\r\n");
           } else if (words[0].equals("want")) {
             wanted.add(words[1]);
           }
@@ -242,11 +242,11 @@
       wanted.add(OVER);
     }
 
-    synchronized void say(String text) throws IOException {
-      peer.say(text);
+    synchronized void send(String text) throws IOException {
+      peer.send(text);
     }
 
-    String wanted() throws InterruptedException {
+    String nextAttemptId() throws InterruptedException {
       return wanted.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS);
     }
   }
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -40,13 +40,13 @@
   /** How much later than the grace a send on sockets may be. */
   private static final long SLACK_MS = 50;
 
-  private static final long TOLD_MS = 1500;
+  private static final long NOTIFIED_MS = 1500;
   private static final int DEADLINE_MS = 8000;
 
   /** How much more than the client has left an engine may be told. */
   private static final long LIMIT_SLACK_MS = 150;
 
-  private static final long PAST_THE_GRACE_MS = TOLD_MS + GRACE_MS + 300;
+  private static final long PAST_THE_GRACE_MS = NOTIFIED_MS + GRACE_MS + 300;
 
   /** How long a client may take for its first call. */
   private static final long FIRST_CALL_MS = 2500;
@@ -180,7 +180,7 @@
     start();
     awaitListening();
     burst(10);
-    names.drainsUnheard(DRAINS, TOLD_MS);
+    names.drainsWithAnswersLost(DRAINS, NOTIFIED_MS);
     long began = System.nanoTime();
     int asked = 10;
     while (System.nanoTime() < began + TimeUnit.MILLISECONDS.toNanos(4000)) {
@@ -196,7 +196,7 @@
    * for was served.
    */
   private void judge(int asked) {
-    long until = names.toldAt(DRAINS) + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + SLACK_MS);
+    long until = names.notifiedAt(DRAINS) + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + SLACK_MS);
     List<Long> late =
         draining.attempts().stream().map(FakeEngine.Attempt::at).filter(at -> at > until).toList();
     assertEquals(
@@ -204,7 +204,7 @@
         late.size(),
         () ->
             "attempts after the grace, the first "
-                + TimeUnit.NANOSECONDS.toMillis(late.get(0) - names.toldAt(DRAINS))
+                + TimeUnit.NANOSECONDS.toMillis(late.get(0) - names.notifiedAt(DRAINS))
                 + " ms after the drain was told");
     assertTrue(
         draining.attempts().size() + staying.attempts().size() >= asked,
@@ -226,9 +226,9 @@
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"resolver\":\"127.0.0.1:"
                 + names.port()
                 + "\",\"known\":{\"index\":1,\"updates\":[{\"index\":1,\"endpoints\":{\"snapshot\":true,\"endpoints\":["
-                + listed(DRAINS, draining)
+                + endpointJson(DRAINS, draining)
                 + ","
-                + listed(STAYS, staying)
+                + endpointJson(STAYS, staying)
                 + "]}}]},\"settings\":{\"tick_us\":5000,"
                 + "\"caps\":{\"max_attempts\":3,\"streams_per_conn\":8,\"connect_timeout_us\":1000000,\"may_cancel\":true},"
                 + "\"models\":[\"std\"],\"zones\":[\"east\"],\"guarantees\":{\"drain_grace_us\":"
@@ -250,7 +250,7 @@
     process = builder.start();
   }
 
-  private static String listed(String name, FakeEngine engine) {
+  private static String endpointJson(String name, FakeEngine engine) {
     return "{\"name\":\""
         + name
         + "\",\"address\":\"127.0.0.1:"
@@ -277,8 +277,8 @@
    */
   private void awaitAccepted() throws IOException {
     Peer last = clients(1).get(0);
-    last.say("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-    last.heard("{}");
+    last.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+    last.expectBody("{}");
     last.close();
   }
 
@@ -314,9 +314,9 @@
   }
 
   private static void fetch(Peer client) throws IOException {
-    String path = client.body().split("\"", -1)[3];
-    client.say("GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
-    client.heard("{\"records\":[]}");
+    String path = client.readBody().split("\"", -1)[3];
+    client.send("GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n");
+    client.expectBody("{\"records\":[]}");
     client.close();
   }
 }
