--- a/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
+++ b/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
@@ -106,7 +106,7 @@
                 (input.append(replies) + "]}").getBytes(StandardCharsets.UTF_8)),
             new ByteArrayOutputStream());
 
-    EndpointUpdate first = listed(given, 0);
+    EndpointUpdate first = endpointUpdate(given, 0);
     List<Object> expected =
         new ArrayList<>(
             List.of(
@@ -114,8 +114,10 @@
                 true,
                 List.of(
                     new EndpointUpdate(first.engine(), 1, 2, 4, 0.5, Status.READY, 2500),
-                    new EndpointUpdate(listed(given, 1).engine(), 0, 0, 0, 1, Status.DRAINING, 0),
-                    new EndpointUpdate(listed(given, 2).engine(), 0, 0, 0, 1, Status.GONE, 0)),
+                    new EndpointUpdate(
+                        endpointUpdate(given, 1).engine(), 0, 0, 0, 1, Status.DRAINING, 0),
+                    new EndpointUpdate(
+                        endpointUpdate(given, 2).engine(), 0, 0, 0, 1, Status.GONE, 0)),
                 10L,
                 false,
                 List.of(),
@@ -159,7 +161,7 @@
     assertSame(arrived.get(0).keyQueue, arrived.get(7).keyQueue);
   }
 
-  private static EndpointUpdate listed(List<Object> given, int place) {
+  private static EndpointUpdate endpointUpdate(List<Object> given, int place) {
     return (EndpointUpdate) ((List<?>) given.get(2)).get(place);
   }
 
--- a/gateway/src/test/java/tillerlink/SlowStartSimulation.java
+++ b/gateway/src/test/java/tillerlink/SlowStartSimulation.java
@@ -64,7 +64,7 @@
   private static final int CORES = 4;
   private static final int ENGINES = 12;
   private static final long SILENCE = 8 * SECOND;
-  private static final long GIVE_UP_AFTER = 3 * SECOND / 4;
+  private static final long CONNECTION_LOST_AFTER = 3 * SECOND / 4;
   private static final long LEAD_TIME = 12 * SECOND;
   private static final double UTILIZATION = 0.6;
   private static final double HEAVY_SHARE = 0.1;
@@ -283,7 +283,7 @@
       }
       simulatedEngine.change(() -> simulatedEngine.workLeft.put(attempt, job(attempt).work));
       if (simulatedEngine == cold && isSilent()) {
-        giveUpLater(attempt);
+        loseConnectionLater(attempt);
       }
     }
 
@@ -438,13 +438,13 @@
     cold.change(() -> {});
     cold.generation++;
     List<Attempt> inFlight = new ArrayList<>(cold.workLeft.keySet());
-    inFlight.forEach(this::giveUpLater);
+    inFlight.forEach(this::loseConnectionLater);
   }
 
   /** As the connections do with an engine that answers no probe. */
-  private void giveUpLater(Attempt attempt) {
+  private void loseConnectionLater(Attempt attempt) {
     at(
-        now + GIVE_UP_AFTER,
+        now + CONNECTION_LOST_AFTER,
         () -> {
           if (isSilent() && cold.workLeft.remove(attempt) != null) {
             gatewayOf(attempt).ended(attempt, AttemptOutcome.CONNECTION_LOST);
--- a/gateway/src/test/java/tillerlink/WireHostTest.java
+++ b/gateway/src/test/java/tillerlink/WireHostTest.java
@@ -88,8 +88,8 @@
 
   private static String played(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    byte[] in = String.join("\n", lines).getBytes(StandardCharsets.UTF_8);
-    new WireHost(DefaultDispatchPolicy::new).serve(new ByteArrayInputStream(in), out);
+    byte[] input = String.join("\n", lines).getBytes(StandardCharsets.UTF_8);
+    new WireHost(DefaultDispatchPolicy::new).serve(new ByteArrayInputStream(input), out);
     return out.toString(StandardCharsets.UTF_8);
   }
 
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -51,10 +51,10 @@
     String read(byte[] bytes);
   }
 
-  /** What a fresh machine reads of the bytes in these pieces. */
+  /** What a new machine reads of the bytes in these pieces. */
   private static String read(
-      java.util.function.Supplier<Machine> fresh, byte[] bytes, int... cuts) {
-    Machine machine = fresh.get();
+      java.util.function.Supplier<Machine> machines, byte[] bytes, int... cuts) {
+    Machine machine = machines.get();
     StringBuilder read = new StringBuilder();
     int from = 0;
     for (int cut : cuts) {
@@ -64,14 +64,14 @@
     return read.append(machine.read(Arrays.copyOfRange(bytes, from, bytes.length))).toString();
   }
 
-  private static String readAnyhow(java.util.function.Supplier<Machine> fresh, byte[] bytes) {
-    String whole = read(fresh, bytes);
+  private static String readAnyhow(java.util.function.Supplier<Machine> machines, byte[] bytes) {
+    String whole = read(machines, bytes);
     for (int i = 0; i <= bytes.length; i++) {
-      assertEquals(whole, read(fresh, bytes, i), "split at " + i);
+      assertEquals(whole, read(machines, bytes, i), "split at " + i);
     }
     int[] every = new int[bytes.length];
     Arrays.setAll(every, i -> i);
-    assertEquals(whole, read(fresh, bytes, every), "byte by byte");
+    assertEquals(whole, read(machines, bytes, every), "byte by byte");
     return whole;
   }
 
@@ -107,19 +107,19 @@
       StringBuilder read = new StringBuilder();
       try {
         reader.feed(bytes);
-        for (EngineResponse a = reader.next(); a != null; a = reader.next()) {
+        for (EngineResponse response = reader.next(); response != null; response = reader.next()) {
           read.append(
-              a.id()
+              response.id()
                   + " "
-                  + a.word()
+                  + response.word()
                   + " "
-                  + a.number()
+                  + response.number()
                   + " "
-                  + a.about()
+                  + response.about()
                   + " "
-                  + a.level()
+                  + response.level()
                   + " '"
-                  + text(a.body()).replace("\n", "\\n").replace("\t", "\\t")
+                  + text(response.body()).replace("\n", "\\n").replace("\t", "\\t")
                   + "'\n");
         }
       } catch (IllegalArgumentException e) {
@@ -297,22 +297,23 @@
     assertEquals(1024, Dns.answer(message, 9).entries().size());
     assertEquals("127.0.4.24", Dns.answer(message, 9).entries().get(1023).address());
     message[2] |= 2;
-    int told = 0;
+    int readable = 0;
     for (int end = 0;
         end <= message.length;
         end += end < 30_000 ? 211 : end < message.length - 2000 ? 71 : 1) {
       byte[] shorter = Arrays.copyOf(message, end);
       try {
-        EndpointWatchEvent news = Dns.answer(shorter, 9);
-        assertTrue(news.partial() && !news.whole());
+        EndpointWatchEvent update = Dns.answer(shorter, 9);
+        assertTrue(update.partial() && !update.whole());
         assertEquals(
-            341 + 1, news.entries().stream().filter(e -> e.standing() == Status.DRAINING).count());
-        told++;
+            341 + 1,
+            update.entries().stream().filter(e -> e.standing() == Status.DRAINING).count());
+        readable++;
       } catch (IllegalArgumentException e) {
         assertTrue(e.getMessage() != null);
       }
     }
-    assertTrue(told > 40, "at the ends of records: " + told);
+    assertTrue(readable > 40, "at the ends of records: " + readable);
   }
 
   private static byte[] bytes(String text) {
