--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -126,7 +126,7 @@
   }
 
   @Test
-  void itsRequestsAreAnsweredOnceAndInOrder() {
+  void extensionRequestsAreAnsweredOnceAndInOrder() {
     GatewayFixture gateway =
         withExtension(new GatewayFixture())
             .clientSends("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -148,7 +148,7 @@
   }
 
   @Test
-  void itIsCalledAtEachStepOfAnIteration() {
+  void extensionIsCalledAtEachStepOfAnIteration() {
     withExtension(new GatewayFixture())
         .clientSends("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
         .drain()
--- a/gateway/src/test/java/tillerlink/GatewayTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayTest.java
@@ -41,7 +41,7 @@
    * or it is failed.
    */
   @Test
-  void everyEndingProvesWhatItMay() {
+  void effectfulRequestIsSentAgainOnlyIfItsEndingProvesItDidNotRun() {
     GatewayFixture gateway = new GatewayFixture();
     for (DisconnectReason how : List.of(DisconnectReason.REFUSED, DisconnectReason.RESET)) {
       gateway
@@ -248,7 +248,7 @@
 
   /** Guards against taking a pause of this machine for a silent engine. */
   @Test
-  void aPauseOfThisProcessIsNoSilentEngine() {
+  void pauseOfTheProcessIsNotTakenForASilentEngine() {
     GatewayFixture gateway =
         new GatewayFixture()
             .post("c1", ID, "look")
@@ -367,7 +367,7 @@
 
   /** Guards usual clients against those that take up connections and say nothing. */
   @Test
-  void atTheBoundTheLeastUsefulConnectionIsClosed() {
+  void leastUsefulConnectionIsClosedAtTheConnectionLimit() {
     GatewayFixture gateway =
         new GatewayFixture()
             .post("busy", ID, "look")
@@ -421,7 +421,7 @@
    * place.
    */
   @Test
-  void endpointListUpdatesReplaceProcesses() {
+  void nothingIsSentToAReplacedOrDrainingProcess() {
     GatewayFixture gateway =
         new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
@@ -569,7 +569,7 @@
   }
 
   @Test
-  void aDrainServesAndThenRefuses() {
+  void drainAnswersPendingRequestsAndRefusesNewOnes() {
     GatewayFixture gateway =
         new GatewayFixture()
             .post("c1", ID, "look")
--- a/gateway/src/test/java/tillerlink/WireHostTest.java
+++ b/gateway/src/test/java/tillerlink/WireHostTest.java
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void saysWhatIsWrong() {
+  void malformedInputIsReported() {
     assertEquals("line 2 is not JSON", refusal(batch(""), "{oops").substring(0, 18));
     assertEquals("line 1: a batch is not an object", refusal("[]"));
     assertEquals(
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -130,7 +130,7 @@
   }
 
   @Test
-  void callsOfClients() {
+  void clientRequestsReadTheSameHoweverTheyAreSplit() {
     StringBuilder printed = new StringBuilder(readAnyhow(WireTest::http, bytes(CALLS)));
     String head = "POST /v1/look HTTP/1.1\r\nHost: a\r\n";
     for (String bad :
@@ -162,7 +162,7 @@
   }
 
   @Test
-  void answersOfEngines() {
+  void engineResponsesReadTheSameHoweverTheyAreSplit() {
     StringBuilder printed =
         new StringBuilder(
             readAnyhow(
@@ -208,7 +208,7 @@
   }
 
   @Test
-  void tableGroups() {
+  void statementsBelongToTheGroupOfTheirTables() {
     StringBuilder printed = new StringBuilder();
     for (String statement :
         List.of(
@@ -231,7 +231,7 @@
   }
 
   @Test
-  void listsOfTheNameService() {
+  void discoveryAnswersAreReadAndMalformedOnesRefused() {
     byte[] message =
         DiscoveryAnswers.of(
             77,
@@ -279,7 +279,7 @@
    * hold all, what it tells is taken for a part, cut wherever it may be.
    */
   @Test
-  void listsOfLargeFleets() {
+  void discoveryAnswersOfLargeFleetsAreReadWholeOrInPart() {
     String[] engines =
         IntStream.range(0, 1024)
             .mapToObj(
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -61,7 +61,7 @@
    * read yet.
    */
   @Test
-  void aCloseThatIsUnreadWhenTheAttemptIsDecided() throws Exception {
+  void noAttemptIsWrittenForAClientWhoseCloseIsUnread() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "look", 4500);
     Peer engine = hasIt(client);
@@ -78,7 +78,7 @@
 
   /** Guards against a connection to an engine that comes up after its client has left. */
   @Test
-  void aClientLeavesWhileTheConnectionComesUp() throws Exception {
+  void noAttemptIsWrittenForAClientThatLeftDuringTheConnect() throws Exception {
     loopback = new Loopback(1);
     // The client's connection, its call, the pass before the attempt, the written answer: then the
     // engine's connection.
@@ -99,7 +99,7 @@
    * the repeat comes up.
    */
   @Test
-  void theTimeForRepeatsEndsWhileTheConnectionComesUp() throws Exception {
+  void noRetryIsWrittenOnceItsWindowEndedDuringTheConnect() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "load", 4500);
     Peer engine = hasIt(client);
@@ -124,7 +124,7 @@
    * Guards the last answer: a close over bytes that are still unread would reset the connection.
    */
   @Test
-  void aCloseOverUnreadBytes() throws Exception {
+  void closeOverUnreadBytesResetsNoConnection() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
     loopback.runIterations();
@@ -144,7 +144,7 @@
    * is served.
    */
   @Test
-  void aRequestThatIsUnreadWhenItsIdleConnectionCloses() throws Exception {
+  void requestUnreadAtTheIdleTimeoutIsServed() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
     client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -162,7 +162,7 @@
    * and nothing is sent on.
    */
   @Test
-  void anIdleCloseMeetsARequest() throws Exception {
+  void requestAfterAnIdleCloseIsNotSentOn() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
     client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -214,7 +214,7 @@
    * taken within the grace.
    */
   @Test
-  void theDiscoveryServiceFallsSilentAfterAnAnswer() throws Exception {
+  void silentPathToTheDiscoveryServiceIsReplacedWithinTheGrace() throws Exception {
     loopback = new Loopback(1);
     SocketAddress first = answered(2);
     // For a whole grace at the most, and an eighth of it to notice in.
@@ -234,7 +234,7 @@
    * Guards a new configuration: what was asked at the old address is asked at the new one at once.
    */
   @Test
-  void theDiscoveryServiceMovesWhileAQueryIsOutstanding() throws Exception {
+  void outstandingQueryIsRepeatedAtTheNewDiscoveryAddress() throws Exception {
     loopback = new Loopback(1);
     SocketAddress asker = answered(2);
     loopback.advance(400, 25);
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -83,7 +83,7 @@
    * up.
    */
   @Test
-  void aSlowStart() throws Exception {
+  void drainDuringASlowStartIsHonoured() throws Exception {
     names.delay(300);
     start();
     process.errorReader(StandardCharsets.UTF_8).readLine();
@@ -100,7 +100,7 @@
    * Requests wait for a process that stands still; when it goes on, they are read before any news.
    */
   @Test
-  void aProcessThatWasPaused() throws Exception {
+  void drainDuringAPauseIsHonoured() throws Exception {
     names.delay(300);
     start();
     awaitListening();
@@ -143,7 +143,7 @@
    * when it was read.
    */
   @Test
-  void theDeadlineAfterAPause() throws Exception {
+  void deadlinesCountFromTheClientsWriteAfterAPause() throws Exception {
     start();
     awaitListening();
     burst(10);
@@ -176,7 +176,7 @@
 
   /** Several answers in a row that tell of the drain are lost on their way. */
   @Test
-  void answersLostInARow() throws Exception {
+  void drainIsHonouredThoughAnswersAreLostInARow() throws Exception {
     start();
     awaitListening();
     burst(10);
--- a/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
+++ b/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
@@ -69,7 +69,7 @@
 
   /** Guards a service that is down: each gateway asks ever less often, down to once in a grace. */
   @Test
-  void nobodyHammersAServiceThatIsDown() {
+  void queriesBackOffWhileTheServiceIsDown() {
     Asked asked = new Asked();
     List<DiscoveryClient> fleet = fleet(asked);
     for (long now = 0; now < 20 * SECOND; now += STEP) {
--- a/gateway/src/test/java/tillerlink/net/wire/GatewayConfigTest.java
+++ b/gateway/src/test/java/tillerlink/net/wire/GatewayConfigTest.java
@@ -20,7 +20,7 @@
    * more.
    */
   @Test
-  void withNoLimitStatedTheProcessHasWhatItsSystemGivesIt() throws IOException {
+  void descriptorLimitDefaultsToThatOfTheSystem() throws IOException {
     long given =
         ((UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean())
             .getMaxFileDescriptorCount();
@@ -30,7 +30,7 @@
 
   /** Guards a gateway that runs: what it can't use is told in words, and nothing of it is taken. */
   @Test
-  void whatIsOfNoUseIsTold() {
+  void unusableConfigurationIsReported() {
     assertEquals("the configuration is empty", fault(""));
     assertEquals("'limits.sockets' is not a number above 0", fault(with("\"sockets\":\"many\"")));
     assertEquals("'limits.sockets' is not a number above 0", fault(with("\"sockets\":0")));
