--- a/gateway/src/test/java/tillerlink/ServeTest.java
+++ b/gateway/src/test/java/tillerlink/ServeTest.java
@@ -43,13 +43,13 @@
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(PATIENCE).build();
   private final List<Process> started = new ArrayList<>();
   private ServerSocket engine;
-  private DatagramSocket names;
+  private DatagramSocket discoveryService;
   private int port;
 
   @BeforeEach
-  void standIns() throws IOException {
+  void startFakes() throws IOException {
     engine = new ServerSocket(0, 50, LOOPBACK);
-    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
+    discoveryService = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
     try (ServerSocket free = new ServerSocket(0, 1, LOOPBACK)) {
       port = free.getLocalPort();
     }
@@ -62,18 +62,18 @@
         });
     // Not the field: a test that puts another discovery service there is to hear its questions
     // itself.
-    DatagramSocket asked = names;
+    DatagramSocket firstService = discoveryService;
     daemon(
         () -> {
           while (true) {
             DatagramPacket packet = new DatagramPacket(new byte[512], 512);
-            asked.receive(packet);
-            byte[] list =
+            firstService.receive(packet);
+            byte[] answer =
                 DiscoveryAnswers.of(
                     DiscoveryAnswers.queryId(packet.getData()),
                     2,
                     "e1 ready 127.0.0.1:" + engine.getLocalPort() + " east std 0 0");
-            asked.send(new DatagramPacket(list, list.length, packet.getSocketAddress()));
+            firstService.send(new DatagramPacket(answer, answer.length, packet.getSocketAddress()));
           }
         });
   }
@@ -82,7 +82,7 @@
   void end() throws IOException {
     started.forEach(Process::destroyForcibly);
     engine.close();
-    names.close();
+    discoveryService.close();
   }
 
   @Test
@@ -166,15 +166,15 @@
   void survivesHangUpsWhileItStarts() throws Exception {
     Process gateway = start(configuration());
     gateway.errorReader(StandardCharsets.UTF_8).readLine();
-    names.close();
-    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
-    names.setSoTimeout((int) PATIENCE.toMillis());
+    discoveryService.close();
+    discoveryService = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
+    discoveryService.setSoTimeout((int) PATIENCE.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
     for (int i = 0; i < 3; i++) {
       hangUp(gateway);
     }
     awaitHealth();
-    names.receive(new DatagramPacket(new byte[512], 512));
+    discoveryService.receive(new DatagramPacket(new byte[512], 512));
     assertTrue(gateway.isAlive());
   }
 
@@ -183,11 +183,11 @@
   void reloadsAConfigurationThatChangesDuringAStartWithSignalsIgnored() throws Exception {
     Process gateway = start(configuration(), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     gateway.errorReader(StandardCharsets.UTF_8).readLine();
-    names.close();
-    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
-    names.setSoTimeout((int) PATIENCE.toMillis());
+    discoveryService.close();
+    discoveryService = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
+    discoveryService.setSoTimeout((int) PATIENCE.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
-    names.receive(new DatagramPacket(new byte[512], 512));
+    discoveryService.receive(new DatagramPacket(new byte[512], 512));
     assertTrue(gateway.isAlive());
   }
 
@@ -224,13 +224,13 @@
   void reloadsItsConfiguration() throws Exception {
     Process gateway = start(configuration());
     awaitHealth();
-    names.close();
-    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
-    names.setSoTimeout((int) PATIENCE.toMillis());
+    discoveryService.close();
+    discoveryService = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
+    discoveryService.setSoTimeout((int) PATIENCE.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
     hangUp(gateway);
     hangUp(gateway);
-    names.receive(new DatagramPacket(new byte[512], 512));
+    discoveryService.receive(new DatagramPacket(new byte[512], 512));
     Files.writeString(folder.resolve("configuration.json"), "{");
     hangUp(gateway);
     BufferedReader log = gateway.errorReader(StandardCharsets.UTF_8);
@@ -238,7 +238,7 @@
     while (!line.contains("keeping the previous one")) {
       line = log.readLine();
     }
-    names.receive(new DatagramPacket(new byte[512], 512));
+    discoveryService.receive(new DatagramPacket(new byte[512], 512));
     awaitHealth();
   }
 
@@ -250,12 +250,12 @@
   void reloadsItsConfigurationWhereTheSignalIsIgnored() throws Exception {
     start(configuration(), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     awaitHealth();
-    names.close();
-    names = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
-    names.setSoTimeout((int) PATIENCE.toMillis());
+    discoveryService.close();
+    discoveryService = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
+    discoveryService.setSoTimeout((int) PATIENCE.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
     hangUp(started.get(0));
-    names.receive(new DatagramPacket(new byte[512], 512));
+    discoveryService.receive(new DatagramPacket(new byte[512], 512));
     awaitHealth();
   }
 
@@ -295,7 +295,7 @@
         + port
         + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},"
         + "\"resolver\":\"127.0.0.1:"
-        + names.getLocalPort()
+        + discoveryService.getLocalPort()
         + "\",\"known\":{\"index\":0,\"updates\":[]},\"settings\":{"
         + "\"tick_us\":5000,\"guarantees\":{\"drain_grace_us\":400000},"
         + "\"caps\":{\"max_attempts\":2,\"streams_per_conn\":8,\"connect_timeout_us\":5000000},"
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -9,6 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
+import java.util.function.Supplier;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 import tillerlink.model.Engine.Status;
@@ -52,8 +53,7 @@
   }
 
   /** What a new machine reads of the bytes in these pieces. */
-  private static String read(
-      java.util.function.Supplier<Machine> machines, byte[] bytes, int... cuts) {
+  private static String read(Supplier<Machine> machines, byte[] bytes, int... cuts) {
     Machine machine = machines.get();
     StringBuilder read = new StringBuilder();
     int from = 0;
@@ -64,7 +64,7 @@
     return read.append(machine.read(Arrays.copyOfRange(bytes, from, bytes.length))).toString();
   }
 
-  private static String readAnyhow(java.util.function.Supplier<Machine> machines, byte[] bytes) {
+  private static String readAnyhow(Supplier<Machine> machines, byte[] bytes) {
     String whole = read(machines, bytes);
     for (int i = 0; i <= bytes.length; i++) {
       assertEquals(whole, read(machines, bytes, i), "split at " + i);
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -40,20 +40,20 @@
   void noAttemptBeginsWhileNobodyWaits() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "look", 4500);
-    Peer engine = hasIt(client);
+    Peer engine = awaitAttempt(client);
     loopback.holdIteration();
     client.close();
     loopback.awaitEvents(1);
     engine.send(ONE + " refused - 0\r\n\r\n");
     loopback.awaitEvents(2);
     loopback.releaseIteration();
-    othersAreServed(engine, TWO);
-    Peer again = loopback.client();
-    again.get(ONE);
-    Peer anew = loopback.engine(0);
-    assertEquals(ONE, anew.nextAttemptId());
-    anew.send(ONE + " ok count=1 0\r\n\r\n");
-    again.expectBody(ROWS);
+    assertOthersServed(engine, TWO);
+    Peer returningClient = loopback.client();
+    returningClient.get(ONE);
+    Peer nextEngine = loopback.engine(0);
+    assertEquals(ONE, nextEngine.nextAttemptId());
+    nextEngine.send(ONE + " ok count=1 0\r\n\r\n");
+    returningClient.expectBody(ROWS);
   }
 
   /**
@@ -64,7 +64,7 @@
   void noAttemptIsWrittenForAClientWhoseCloseIsUnread() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "look", 4500);
-    Peer engine = hasIt(client);
+    Peer engine = awaitAttempt(client);
     loopback.runIterations();
     loopback.holdIteration();
     loopback.deliverOnly(1);
@@ -73,7 +73,7 @@
     client.close();
     loopback.releaseIteration();
     loopback.deliverAll();
-    othersAreServed(engine, TWO);
+    assertOthersServed(engine, TWO);
   }
 
   /** Guards against a connection to an engine that comes up after its client has left. */
@@ -91,7 +91,7 @@
     loopback.awaitEvents(1);
     loopback.deliverDelayedEvent();
     loopback.releaseIteration();
-    othersAreServed(engine, TWO);
+    assertOthersServed(engine, TWO);
   }
 
   /**
@@ -102,7 +102,7 @@
   void noRetryIsWrittenOnceItsWindowEndedDuringTheConnect() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "load", 4500);
-    Peer engine = hasIt(client);
+    Peer engine = awaitAttempt(client);
     loopback.runIterations();
     loopback.holdIteration();
     // The reset, then the pass before the repeat: then the connection for it.
@@ -110,12 +110,12 @@
     engine.reset();
     loopback.awaitEvents(1);
     loopback.releaseIteration();
-    Peer anew = loopback.engine(0);
+    Peer nextEngine = loopback.engine(0);
     Loopback.await(loopback::hasDelayedEvent, "the connection does not come up");
     loopback.advance(200, 50);
     loopback.deliverDelayedEvent();
     client.expectBody("{\"problem\":\"Full\"}");
-    othersAreServed(anew, TWO);
+    assertOthersServed(nextEngine, TWO);
   }
 
   // ---- connections that close ----
@@ -216,7 +216,7 @@
   @Test
   void silentPathToTheDiscoveryServiceIsReplacedWithinTheGrace() throws Exception {
     loopback = new Loopback(1);
-    SocketAddress first = answered(2);
+    SocketAddress first = answerNextQuery(2);
     // For a whole grace at the most, and an eighth of it to notice in.
     for (int ms = 0; ms < 850; ms += 25) {
       loopback.advance(25, 25);
@@ -236,7 +236,7 @@
   @Test
   void outstandingQueryIsRepeatedAtTheNewDiscoveryAddress() throws Exception {
     loopback = new Loopback(1);
-    SocketAddress asker = answered(2);
+    SocketAddress asker = answerNextQuery(2);
     loopback.advance(400, 25);
     DatagramPacket out = loopback.receiveQuery(loopback.discoveryService);
     assertEquals(asker, out.getSocketAddress());
@@ -251,7 +251,7 @@
   /**
    * Answers the next question with that number and the engine as it is; from where it was asked.
    */
-  private SocketAddress answered(int index) throws Exception {
+  private SocketAddress answerNextQuery(int index) throws Exception {
     loopback.advance(400, 25);
     DatagramPacket question = loopback.receiveQuery(loopback.discoveryService);
     byte[] list =
@@ -268,7 +268,7 @@
   }
 
   /** The client waits; the engine that has what it asked for. */
-  private Peer hasIt(Peer client) throws IOException {
+  private Peer awaitAttempt(Peer client) throws IOException {
     client.get(ONE);
     Peer engine = loopback.engine(0);
     assertEquals(ONE, engine.nextAttemptId());
@@ -279,7 +279,7 @@
    * Another client is served on that connection, and meanwhile nothing else was sent there, nor
    * over a further one.
    */
-  private void othersAreServed(Peer engine, String id) throws IOException {
+  private void assertOthersServed(Peer engine, String id) throws IOException {
     Peer other = loopback.posted(id, "look", 4500);
     other.get(id);
     assertEquals(id, engine.nextAttemptId());
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -41,11 +41,10 @@
   @Test
   void inputOfAPauseIsProcessedBeforeWhatIsDue() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
+    GatewayConfig config = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
     eventLoop = new EventLoop(this::clock);
     Gateway gateway =
-        new Gateway(
-            assignment, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
+        new Gateway(config, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
     gateway.beginIteration(START);
     gateway.endIteration();
     now += PAUSE;
@@ -63,11 +62,10 @@
   @Test
   void aFailingEventDoesNotStopTheOthers() throws InterruptedException {
     InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    GatewayConfig assignment = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
+    GatewayConfig config = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
     eventLoop = new EventLoop(() -> now);
     Gateway gateway =
-        new Gateway(
-            assignment, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
+        new Gateway(config, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
     eventLoop.queue.add(
         () -> {
           throw new NoClassDefFoundError("Late");
@@ -134,7 +132,7 @@
             Map.of("max_attempts", 2L));
     EndpointEntry engine =
         new EndpointEntry("e1", "127.0.0.1", 2, "east", "std", 0, Status.READY, 1, 0);
-    GatewayConfig assignment =
+    GatewayConfig config =
         new GatewayConfig(
             "n0",
             any,
@@ -144,7 +142,7 @@
             terms,
             List.of(new EndpointWatchEvent(1, true, List.of(engine))));
     new JvmWarmup(
-            assignment,
+            config,
             (now, seed, settings, actions) -> {
               DispatchPolicy module = new DefaultDispatchPolicy(now, seed, settings, actions);
               return (DispatchPolicy)
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -17,6 +17,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.AbstractQueue;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
@@ -98,7 +99,7 @@
     try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
       listen = new InetSocketAddress(HERE, free.getLocalPort());
     }
-    GatewayConfig assignment =
+    GatewayConfig config =
         new GatewayConfig(
             "n0",
             listen,
@@ -110,12 +111,12 @@
     driver =
         new MinaDriver(
             gate,
-            assignment.resolver(),
+            config.resolver(),
             bytes -> gateway.onDiscoveryDatagram(bytes),
             channel -> gateway.onClientConnected(channel),
-            assignment.maxClients(),
+            config.maxClients(),
             now::get);
-    gateway = new Gateway(assignment, DefaultDispatchPolicy::new, driver, now.get());
+    gateway = new Gateway(config, DefaultDispatchPolicy::new, driver, now.get());
     driver.listen(listen);
     thread = new Thread(this::run, "event loop");
     thread.setDaemon(true);
@@ -381,7 +382,7 @@
     private TestedSettings() {}
 
     static Map<String, Object> plain() {
-      Map<String, Object> settings = new java.util.HashMap<>();
+      Map<String, Object> settings = new HashMap<>();
       settings.put("caps", SharedSettings.caps());
       settings.put(
           "profiles",
--- a/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
@@ -115,28 +115,28 @@
   @Test
   void shutdownRefusesHalfRequestsAndClosesIdleConnections() throws Exception {
     start(folder.resolve("log").toFile(), 1024);
-    Peer rests = client();
-    rests.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
-    rests.expectBody("{}");
-    Peer taken = client();
-    Engine engine = waitsFor(taken);
+    Peer idleClient = client();
+    idleClient.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
+    idleClient.expectBody("{}");
+    Peer acceptedClient = client();
+    Engine engine = awaitAttempt(acceptedClient);
     String text = Peer.postRequest(TWO, "look", 8000);
-    Peer half = client();
-    half.send(text.substring(0, 60));
+    Peer halfReadClient = client();
+    halfReadClient.send(text.substring(0, 60));
     process.destroy();
-    rests.expectHalfClose();
-    half.send(text.substring(60));
-    half.expectBody(REFUSED);
-    half.expectHalfClose();
-    Peer late = client();
-    late.send(text);
-    late.expectBody(REFUSED);
-    late.expectHalfClose();
+    idleClient.expectHalfClose();
+    halfReadClient.send(text.substring(60));
+    halfReadClient.expectBody(REFUSED);
+    halfReadClient.expectHalfClose();
+    Peer lateClient = client();
+    lateClient.send(text);
+    lateClient.expectBody(REFUSED);
+    lateClient.expectHalfClose();
     engine.send(ONE + " ok count=1 0\r\n\r\n");
-    taken.expectBody(ROWS);
-    taken.expectHalfClose();
+    acceptedClient.expectBody(ROWS);
+    acceptedClient.expectHalfClose();
     assertEquals(Engine.OVER, engine.nextAttemptId());
-    gone("0 requests unanswered");
+    assertTerminated("0 requests unanswered");
   }
 
   /**
@@ -146,18 +146,18 @@
   @Test
   void shutdownAnswersWhatIsPending() throws Exception {
     start(folder.resolve("log").toFile(), 1024);
-    Peer waits = client();
-    waitsFor(waits);
+    Peer waitingClient = client();
+    awaitAttempt(waitingClient);
     long terminatedAt = System.nanoTime();
     process.destroy();
     assertEquals(
         0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
     process.destroy();
-    waits.expectBody(REFUSED);
+    waitingClient.expectBody(REFUSED);
     long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - terminatedAt);
     assertTrue(ms >= 3000, "given up after " + ms + " ms already");
-    waits.expectHalfClose();
-    gone("0 requests unanswered");
+    waitingClient.expectHalfClose();
+    assertTerminated("0 requests unanswered");
   }
 
   /**
@@ -171,7 +171,7 @@
     for (int i = 0; i < 150; i++) {
       idle.add(client());
     }
-    served();
+    assertServed();
     assertFalse(Files.readString(folder.resolve("log")).contains("Too many open files"));
     for (Peer one : idle) {
       one.close();
@@ -182,21 +182,21 @@
   @Test
   void servesThoughItsLogCannotBeWritten() throws Exception {
     start(new File("/dev/full"), 1024);
-    served();
+    assertServed();
     process.destroy();
     assertTrue(process.waitFor(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS));
     assertEquals(TERMINATED, process.exitValue());
   }
 
-  private void served() throws Exception {
-    Peer waits = client();
-    Engine engine = waitsFor(waits);
+  private void assertServed() throws Exception {
+    Peer waitingClient = client();
+    Engine engine = awaitAttempt(waitingClient);
     engine.send(ONE + " ok count=1 0\r\n\r\n");
-    waits.expectBody(ROWS);
+    waitingClient.expectBody(ROWS);
   }
 
   /** A client hands a statement in and waits for its result; the engine that has it. */
-  private Engine waitsFor(Peer client) throws Exception {
+  private Engine awaitAttempt(Peer client) throws Exception {
     client.post(ONE, "look", 8000);
     client.expectBody("{\"continue\":\"/v1/calls/" + ONE + "\"}");
     client.get(ONE);
@@ -251,7 +251,7 @@
     }
   }
 
-  private void gone(String lastWord) throws Exception {
+  private void assertTerminated(String lastWord) throws Exception {
     assertTrue(process.waitFor(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS));
     assertEquals(TERMINATED, process.exitValue());
     String log = Files.readString(folder.resolve("log"), StandardCharsets.UTF_8);
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -54,7 +54,7 @@
   private static final InetAddress HERE = InetAddress.getLoopbackAddress();
 
   @TempDir private Path folder;
-  private FakeNameService names;
+  private FakeNameService discoveryService;
   private FakeEngine draining;
   private FakeEngine staying;
   private Process process;
@@ -62,18 +62,18 @@
   private int ids;
 
   @BeforeEach
-  void standIns() throws IOException {
-    names = new FakeNameService();
+  void startFakes() throws IOException {
+    discoveryService = new FakeNameService();
     draining = new FakeEngine();
     staying = new FakeEngine();
-    names.ready(DRAINS, draining.port());
-    names.ready(STAYS, staying.port());
+    discoveryService.ready(DRAINS, draining.port());
+    discoveryService.ready(STAYS, staying.port());
   }
 
   @AfterEach
   void end() throws IOException {
     process.destroyForcibly();
-    names.close();
+    discoveryService.close();
     draining.close();
     staying.close();
   }
@@ -84,16 +84,16 @@
    */
   @Test
   void drainDuringASlowStartIsHonoured() throws Exception {
-    names.delay(300);
+    discoveryService.delay(300);
     start();
     process.errorReader(StandardCharsets.UTF_8).readLine();
     signal("STOP");
-    names.drains(DRAINS);
+    discoveryService.drains(DRAINS);
     Thread.sleep(PAST_THE_GRACE_MS);
     signal("CONT");
     awaitListening();
     burst(40);
-    judge(40);
+    assertDrainHonoured(40);
   }
 
   /**
@@ -101,12 +101,12 @@
    */
   @Test
   void drainDuringAPauseIsHonoured() throws Exception {
-    names.delay(300);
+    discoveryService.delay(300);
     start();
     awaitListening();
     burst(10);
     signal("STOP");
-    names.drains(DRAINS);
+    discoveryService.drains(DRAINS);
     Thread.sleep(PAST_THE_GRACE_MS);
     List<Peer> waiting = clients(40);
     for (Peer client : waiting) {
@@ -116,7 +116,7 @@
     for (Peer client : waiting) {
       fetch(client);
     }
-    judge(50);
+    assertDrainHonoured(50);
   }
 
   /** Clients that had only connected hand their requests in while the process stands still. */
@@ -180,7 +180,7 @@
     start();
     awaitListening();
     burst(10);
-    names.drainsWithAnswersLost(DRAINS, NOTIFIED_MS);
+    discoveryService.drainsWithAnswersLost(DRAINS, NOTIFIED_MS);
     long began = System.nanoTime();
     int asked = 10;
     while (System.nanoTime() < began + TimeUnit.MILLISECONDS.toNanos(4000)) {
@@ -188,15 +188,16 @@
       asked += 5;
       Thread.sleep(BURST_PAUSE_MS);
     }
-    judge(asked);
+    assertDrainHonoured(asked);
   }
 
   /**
    * No attempt came to the engine that drains later than the rule allows, and all that was asked
    * for was served.
    */
-  private void judge(int asked) {
-    long until = names.notifiedAt(DRAINS) + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + SLACK_MS);
+  private void assertDrainHonoured(int asked) {
+    long until =
+        discoveryService.notifiedAt(DRAINS) + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + SLACK_MS);
     List<Long> late =
         draining.attempts().stream().map(FakeEngine.Attempt::at).filter(at -> at > until).toList();
     assertEquals(
@@ -204,7 +205,7 @@
         late.size(),
         () ->
             "attempts after the grace, the first "
-                + TimeUnit.NANOSECONDS.toMillis(late.get(0) - names.notifiedAt(DRAINS))
+                + TimeUnit.NANOSECONDS.toMillis(late.get(0) - discoveryService.notifiedAt(DRAINS))
                 + " ms after the drain was told");
     assertTrue(
         draining.attempts().size() + staying.attempts().size() >= asked,
@@ -224,7 +225,7 @@
             "{\"name\":\"n0\",\"listen\":\"127.0.0.1:"
                 + port
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"resolver\":\"127.0.0.1:"
-                + names.port()
+                + discoveryService.port()
                 + "\",\"known\":{\"index\":1,\"updates\":[{\"index\":1,\"endpoints\":{\"snapshot\":true,\"endpoints\":["
                 + endpointJson(DRAINS, draining)
                 + ","
