--- a/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EndingsTest.java
@@ -40,20 +40,20 @@
   void noAttemptBeginsWhileNobodyWaits() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "look", 4500);
-    Peer engine = hasIt(client);
+    Peer engine = awaitAttempt(client);
     loopback.holdIteration();
     client.close();
     loopback.awaitEvents(1);
     engine.send(ONE + " refused - 0\r\n\r\n");
     loopback.awaitEvents(2);
     loopback.releaseIteration();
-    othersAreServed(engine, TWO);
-    Peer again = loopback.client();
-    again.get(ONE);
-    Peer anew = loopback.engine(0);
-    assertEquals(ONE, anew.nextAttemptId());
-    anew.send(ONE + " ok count=1 0\r\n\r\n");
-    again.expectBody(ROWS);
+    assertOthersServed(engine, TWO);
+    Peer returningClient = loopback.client();
+    returningClient.get(ONE);
+    Peer nextEngine = loopback.engine(0);
+    assertEquals(ONE, nextEngine.nextAttemptId());
+    nextEngine.send(ONE + " ok count=1 0\r\n\r\n");
+    returningClient.expectBody(ROWS);
   }
 
   /**
@@ -61,10 +61,10 @@
    * read yet.
    */
   @Test
-  void aCloseThatIsUnreadWhenTheAttemptIsDecided() throws Exception {
+  void noAttemptIsWrittenForAClientWhoseCloseIsUnread() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "look", 4500);
-    Peer engine = hasIt(client);
+    Peer engine = awaitAttempt(client);
     loopback.runIterations();
     loopback.holdIteration();
     loopback.deliverOnly(1);
@@ -73,12 +73,12 @@
     client.close();
     loopback.releaseIteration();
     loopback.deliverAll();
-    othersAreServed(engine, TWO);
+    assertOthersServed(engine, TWO);
   }
 
   /** Guards against a connection to an engine that comes up after its client has left. */
   @Test
-  void aClientLeavesWhileTheConnectionComesUp() throws Exception {
+  void noAttemptIsWrittenForAClientThatLeftDuringTheConnect() throws Exception {
     loopback = new Loopback(1);
     // The client's connection, its call, the pass before the attempt, the written answer: then the
     // engine's connection.
@@ -91,7 +91,7 @@
     loopback.awaitEvents(1);
     loopback.deliverDelayedEvent();
     loopback.releaseIteration();
-    othersAreServed(engine, TWO);
+    assertOthersServed(engine, TWO);
   }
 
   /**
@@ -99,10 +99,10 @@
    * the repeat comes up.
    */
   @Test
-  void theTimeForRepeatsEndsWhileTheConnectionComesUp() throws Exception {
+  void noRetryIsWrittenOnceItsWindowEndedDuringTheConnect() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.posted(ONE, "load", 4500);
-    Peer engine = hasIt(client);
+    Peer engine = awaitAttempt(client);
     loopback.runIterations();
     loopback.holdIteration();
     // The reset, then the pass before the repeat: then the connection for it.
@@ -110,12 +110,12 @@
     engine.reset();
     loopback.awaitEvents(1);
     loopback.releaseIteration();
-    Peer anew = loopback.engine(0);
+    Peer nextEngine = loopback.engine(0);
     Loopback.await(loopback::hasDelayedEvent, "the connection does not come up");
     loopback.advance(200, 50);
     loopback.deliverDelayedEvent();
     client.expectBody("{\"problem\":\"Full\"}");
-    othersAreServed(anew, TWO);
+    assertOthersServed(nextEngine, TWO);
   }
 
   // ---- connections that close ----
@@ -124,7 +124,7 @@
    * Guards the last answer: a close over bytes that are still unread would reset the connection.
    */
   @Test
-  void aCloseOverUnreadBytes() throws Exception {
+  void closeOverUnreadBytesResetsNoConnection() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
     loopback.runIterations();
@@ -144,7 +144,7 @@
    * is served.
    */
   @Test
-  void aRequestThatIsUnreadWhenItsIdleConnectionCloses() throws Exception {
+  void requestUnreadAtTheIdleTimeoutIsServed() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
     client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -162,7 +162,7 @@
    * and nothing is sent on.
    */
   @Test
-  void anIdleCloseMeetsARequest() throws Exception {
+  void requestAfterAnIdleCloseIsNotSentOn() throws Exception {
     loopback = new Loopback(1);
     Peer client = loopback.client();
     client.send("GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -214,9 +214,9 @@
    * taken within the grace.
    */
   @Test
-  void theDiscoveryServiceFallsSilentAfterAnAnswer() throws Exception {
+  void silentPathToTheDiscoveryServiceIsReplacedWithinTheGrace() throws Exception {
     loopback = new Loopback(1);
-    SocketAddress first = answered(2);
+    SocketAddress first = answerNextQuery(2);
     // For a whole grace at the most, and an eighth of it to notice in.
     for (int ms = 0; ms < 850; ms += 25) {
       loopback.advance(25, 25);
@@ -234,9 +234,9 @@
    * Guards a new configuration: what was asked at the old address is asked at the new one at once.
    */
   @Test
-  void theDiscoveryServiceMovesWhileAQueryIsOutstanding() throws Exception {
+  void outstandingQueryIsRepeatedAtTheNewDiscoveryAddress() throws Exception {
     loopback = new Loopback(1);
-    SocketAddress asker = answered(2);
+    SocketAddress asker = answerNextQuery(2);
     loopback.advance(400, 25);
     DatagramPacket out = loopback.receiveQuery(loopback.discoveryService);
     assertEquals(asker, out.getSocketAddress());
@@ -251,7 +251,7 @@
   /**
    * Answers the next question with that number and the engine as it is; from where it was asked.
    */
-  private SocketAddress answered(int index) throws Exception {
+  private SocketAddress answerNextQuery(int index) throws Exception {
     loopback.advance(400, 25);
     DatagramPacket question = loopback.receiveQuery(loopback.discoveryService);
     byte[] list =
@@ -268,7 +268,7 @@
   }
 
   /** The client waits; the engine that has what it asked for. */
-  private Peer hasIt(Peer client) throws IOException {
+  private Peer awaitAttempt(Peer client) throws IOException {
     client.get(ONE);
     Peer engine = loopback.engine(0);
     assertEquals(ONE, engine.nextAttemptId());
@@ -279,7 +279,7 @@
    * Another client is served on that connection, and meanwhile nothing else was sent there, nor
    * over a further one.
    */
-  private void othersAreServed(Peer engine, String id) throws IOException {
+  private void assertOthersServed(Peer engine, String id) throws IOException {
     Peer other = loopback.posted(id, "look", 4500);
     other.get(id);
     assertEquals(id, engine.nextAttemptId());
