--- a/bench/src/main/java/tillerlink/jmh/HeldEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/HeldEvents.java
@@ -5,6 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
@@ -52,14 +53,14 @@
   private Entry[] events;
   private EventSet ranges;
   private Set<Name> names;
-  private Map<Long, TreeSet<Long>> numbers;
+  private Map<Long, NavigableSet<Long>> numbers;
 
   @Setup
   public void make() {
     Random random = new Random(1);
     TreeMap<Double, Entry> shuffled = new TreeMap<>();
     for (int i = 0; i < EVENTS; i++) {
-      long sequence = 1 + i / WRITERS;
+      long sequence = 1 + (long) i / WRITERS;
       // One in a hundred is missing: gaps.
       if (random.nextInt(100) > 0) {
         shuffled.put(i + random.nextDouble() * mixed, event(1 + i % WRITERS, sequence, i));
@@ -121,8 +122,8 @@
 
   @Benchmark
   @OperationsPerInvocation(EVENTS)
-  public Map<Long, TreeSet<Long>> numbers() {
-    Map<Long, TreeSet<Long>> held = new TreeMap<>();
+  public Map<Long, NavigableSet<Long>> numbers() {
+    Map<Long, NavigableSet<Long>> held = new TreeMap<>();
     for (Entry event : events) {
       held.computeIfAbsent(event.incarnation(), any -> new TreeSet<>()).add(event.sequence());
     }
--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -55,7 +55,7 @@
             new ReplayMetrics(List.of(REQUEST_CLASS)),
             new RequestEncoder(1, 0));
     for (int i = 0; i < 1000; i++) {
-      Arrival arrival = new Arrival(i * 10, i, 0, 60_000, 1, i % 64, i);
+      Arrival arrival = new Arrival(i * 10L, i, 0, 60_000, 1, i % 64, i);
       cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
     int most = 0;
--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -60,7 +60,7 @@
               new MemberInfo(
                   3 + i, 0x9e3779b97f4a7c15L * (i + 1), "10.1.0." + i + ":7400", "north"),
               i % 2 == 0 ? "" : "south-1",
-              1200 * i));
+              1200L * i));
     }
     probe =
         new MemberMessage.Probe(
