--- a/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
@@ -22,6 +22,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import tillerlink.messages.MalformedMessageException;
+import tillerlink.messages.Numbered;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.EntryCodec;
@@ -39,6 +40,7 @@
 @Measurement(iterations = 5, time = 1)
 public class ChannelEvents {
   private static final JsonFactory JSON = new JsonFactory();
+  private static final Kind[] KINDS = Kind.values();
 
   private Entry event;
   private byte[] fields;
@@ -93,7 +95,7 @@
     put(out, event.site());
     out.putLong(event.incarnation()).putLong(event.sequence()).putLong(event.stamp());
     put(out, event.channel());
-    out.put((byte) event.kind().ordinal());
+    out.put((byte) event.kind().number());
     put(out, event.cue());
     put(out, event.text());
     out.putLong(event.airsAt());
@@ -135,7 +137,7 @@
         in.getLong(),
         in.getLong(),
         text(in).intern(),
-        Kind.values()[in.get()],
+        Numbered.of(KINDS, in.get()),
         text(in),
         text(in),
         in.getLong(),
@@ -172,7 +174,7 @@
       out.writeNumberField("sequence", event.sequence());
       out.writeNumberField("stamp", event.stamp());
       out.writeStringField("channel", event.channel());
-      out.writeNumberField("kind", event.kind().ordinal());
+      out.writeNumberField("kind", event.kind().number());
       out.writeStringField("cue", event.cue());
       out.writeStringField("text", event.text());
       out.writeStringField("key", event.key());
@@ -230,7 +232,7 @@
         numbers[1],
         numbers[2],
         texts[2],
-        Kind.values()[(int) numbers[3]],
+        Numbered.of(KINDS, (int) numbers[3]),
         texts[3],
         texts[4],
         0,
--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -43,6 +43,7 @@
 public class MemberMessages {
   private static final int UPDATES = 6;
   private static final JsonFactory JSON = new JsonFactory();
+  private static final MemberStatus[] STATUSES = MemberStatus.values();
 
   private MemberMessage.Probe probe;
   private byte[] fields;
@@ -89,6 +90,15 @@
     return MemberCodec.read(fields);
   }
 
+  private static MemberStatus status(int number) {
+    for (MemberStatus status : STATUSES) {
+      if (status.number() == number) {
+        return status;
+      }
+    }
+    throw new IllegalArgumentException("no status has the number " + number);
+  }
+
   // ---- at fixed places ----
 
   @Benchmark
@@ -101,7 +111,7 @@
     out.put((byte) probe.updates().size());
     for (GossipUpdate update : probe.updates()) {
       put(out, update.name());
-      out.put((byte) update.status().ordinal());
+      out.put((byte) update.status().number());
       put(out, update.card());
       put(out, update.accuser());
       out.putLong(update.age());
@@ -132,9 +142,7 @@
     int count = in.get();
     List<GossipUpdate> updates = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      updates.add(
-          new GossipUpdate(
-              text(in), MemberStatus.values()[in.get()], card(in), text(in), in.getLong()));
+      updates.add(new GossipUpdate(text(in), status(in.get()), card(in), text(in), in.getLong()));
     }
     return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, updates);
   }
@@ -164,7 +172,7 @@
       for (GossipUpdate update : probe.updates()) {
         out.writeStartObject();
         out.writeStringField("name", update.name());
-        out.writeNumberField("standing", update.status().ordinal());
+        out.writeNumberField("standing", update.status().number());
         card(out, update.card());
         out.writeStringField("by", update.accuser());
         out.writeNumberField("age", update.age());
@@ -230,7 +238,7 @@
         default -> in.skipChildren();
       }
     }
-    return new GossipUpdate(called, MemberStatus.values()[standing], card, by, age);
+    return new GossipUpdate(called, status(standing), card, by, age);
   }
 
   private static MemberInfo card(JsonParser in) throws IOException {
