--- a/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
@@ -199,49 +199,86 @@
 
   @Benchmark
   public Entry readJson() throws IOException {
-    String[] texts = {"", "", "", "", "", ""};
-    long[] numbers = new long[4];
-    List<Dot> over = List.of();
-    List<Dot> seen = List.of();
+    ReadEntry read = new ReadEntry();
     try (JsonParser in = JSON.createParser(json)) {
       in.nextToken();
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String name = in.currentName();
-        in.nextToken();
-        switch (name) {
-          case "gateway" -> texts[0] = in.getText().intern();
-          case "site" -> texts[1] = in.getText().intern();
-          case "channel" -> texts[2] = in.getText().intern();
-          case "cue" -> texts[3] = in.getText();
-          case "text" -> texts[4] = in.getText();
-          case "key" -> texts[5] = in.getText();
-          case "incarnation" -> numbers[0] = in.getLongValue();
-          case "sequence" -> numbers[1] = in.getLongValue();
-          case "stamp" -> numbers[2] = in.getLongValue();
-          case "kind" -> numbers[3] = in.getLongValue();
-          case "over" -> over = dots(in);
-          case "seen" -> seen = dots(in);
+        switch (in.nextToken()) {
+          case VALUE_STRING -> read.text(name, in);
+          case VALUE_NUMBER_INT -> read.number(name, in);
+          case START_ARRAY -> read.dots(name, in);
           default -> in.skipChildren();
         }
       }
     }
-    return new Entry(
-        texts[0],
-        texts[1],
-        numbers[0],
-        numbers[1],
-        numbers[2],
-        texts[2],
-        Numbered.of(KINDS, (int) numbers[3]),
-        texts[3],
-        texts[4],
-        0,
-        texts[5],
-        over,
-        seen);
+    return read.entry();
+  }
+
+  /** The fields of an entry that were read so far, in any order. */
+  private static final class ReadEntry {
+    private String gateway = "";
+    private String site = "";
+    private String channel = "";
+    private String cue = "";
+    private String text = "";
+    private String key = "";
+    private long incarnation;
+    private long sequence;
+    private long stamp;
+    private int kind;
+    private List<Dot> over = List.of();
+    private List<Dot> seen = List.of();
+
+    void text(String name, JsonParser in) throws IOException {
+      switch (name) {
+        case "gateway" -> gateway = in.getText().intern();
+        case "site" -> site = in.getText().intern();
+        case "channel" -> channel = in.getText().intern();
+        case "cue" -> cue = in.getText();
+        case "text" -> text = in.getText();
+        case "key" -> key = in.getText();
+        default -> in.skipChildren();
+      }
+    }
+
+    void number(String name, JsonParser in) throws IOException {
+      switch (name) {
+        case "incarnation" -> incarnation = in.getLongValue();
+        case "sequence" -> sequence = in.getLongValue();
+        case "stamp" -> stamp = in.getLongValue();
+        case "kind" -> kind = in.getIntValue();
+        default -> in.skipChildren();
+      }
+    }
+
+    void dots(String name, JsonParser in) throws IOException {
+      switch (name) {
+        case "over" -> over = readDots(in);
+        case "seen" -> seen = readDots(in);
+        default -> in.skipChildren();
+      }
+    }
+
+    Entry entry() {
+      return new Entry(
+          gateway,
+          site,
+          incarnation,
+          sequence,
+          stamp,
+          channel,
+          Numbered.of(KINDS, kind),
+          cue,
+          text,
+          0,
+          key,
+          over,
+          seen);
+    }
   }
 
-  private static List<Dot> dots(JsonParser in) throws IOException {
+  private static List<Dot> readDots(JsonParser in) throws IOException {
     List<Dot> dots = new ArrayList<>();
     while (in.nextToken() == JsonToken.START_ARRAY) {
       dots.add(new Dot(in.nextLongValue(0), in.nextLongValue(0), in.nextLongValue(0)));
--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -70,10 +70,10 @@
   }
 
   private void submit() {
-    Request s = new Request(next, 0, next++ % 16, false, now, now + 100_000, 2000, 0, null);
-    policy.onRequestArrived(now, s);
+    Request request = new Request(next, 0, next++ % 16, false, now, now + 100_000, 2000, 0, null);
+    policy.onRequestArrived(now, request);
     policy.applyDecisions(now);
-    out.add(s);
+    out.add(request);
   }
 
   /** A whole list that changes nothing, and the turn that settles it. */
--- a/bench/src/main/java/tillerlink/jmh/HeldEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/HeldEvents.java
@@ -79,16 +79,16 @@
     numbers = numbers();
   }
 
-  private static Entry event(long writer, long sequence, int i) {
+  private static Entry event(long writer, long sequence, int index) {
     return new Entry(
         "gateway-" + writer,
         "site-" + writer % 3,
         writer,
         sequence,
-        ((long) i + 1) << Entry.COUNTER,
+        ((long) index + 1) << Entry.COUNTER,
         "news",
         Kind.CUE,
-        "cue-" + i % 1000,
+        "cue-" + index % 1000,
         "A line of subtitles, as long as they are",
         0,
         "",
