--- a/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
@@ -47,6 +47,7 @@
   private byte[] places;
   private byte[] json;
 
+  /** Writes the message in each form, and checks that each reads back as it was. */
   @Setup
   public void make() throws IOException, MalformedMessageException {
     long incarnation = 0x51d2c3b4a5968778L;
@@ -88,6 +89,7 @@
 
   // ---- at fixed places ----
 
+  /** Writes the message with each field at its place, without numbers. */
   @Benchmark
   public byte[] writePlaces() {
     ByteBuffer out = ByteBuffer.allocate(1400);
@@ -121,6 +123,7 @@
         dot -> out.putLong(dot.incarnation()).putLong(dot.sequence()).putLong(dot.stamp()));
   }
 
+  /** Reads fields at fixed places, after the sum over them was compared. */
   @Benchmark
   public Entry readPlaces() {
     ByteBuffer in = ByteBuffer.wrap(places);
@@ -163,6 +166,7 @@
 
   // ---- as JSON ----
 
+  /** Writes the message by Jackson's generator. */
   @Benchmark
   public byte[] writeJson() throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(1400);
@@ -197,6 +201,7 @@
     out.writeEndArray();
   }
 
+  /** Reads JSON by Jackson's parser, its fields in any order. */
   @Benchmark
   public Entry readJson() throws IOException {
     ReadEntry read = new ReadEntry();
--- a/bench/src/main/java/tillerlink/jmh/Envelopes.java
+++ b/bench/src/main/java/tillerlink/jmh/Envelopes.java
@@ -30,9 +30,11 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class Envelopes {
+  /** The length of a message's body. */
   @Param({"100", "1100", "12000"})
   private int bytes;
 
+  /** Whether datagrams carry a seal. */
   @Param({"false", "true"})
   private boolean sealed;
 
@@ -40,6 +42,7 @@
   private Inbox inbox;
   private byte[] body;
 
+  /** Opens an outbox and an inbox between two gateways. */
   @Setup
   public void make() {
     body = new byte[bytes];
@@ -57,6 +60,7 @@
     return outbox.datagrams(1, body);
   }
 
+  /** Writes a message as datagrams and reads it back from them. */
   @Benchmark
   public Inbox.Message writtenAndRead() {
     Inbox.Message message = null;
--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -42,6 +42,7 @@
 public class FleetSizes {
   private static final long LAG = 3000;
 
+  /** How many engines the fleet has. */
   @Param({"36", "300", "1024"})
   public int engines;
 
@@ -51,6 +52,7 @@
   private long now = 17_000_000_000_000L;
   private int next;
 
+  /** Starts the module with the fleet and submits a request for every ten engines. */
   @Setup
   public void start() {
     Fleet fleet = Fleet.of(100, engines);
--- a/bench/src/main/java/tillerlink/jmh/HeldEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/HeldEvents.java
@@ -55,6 +55,7 @@
   private Set<Name> names;
   private Map<Long, NavigableSet<Long>> numbers;
 
+  /** Shuffles the events, leaves gaps, and fills each of the three sets. */
   @Setup
   public void make() {
     Random random = new Random(1);
@@ -98,6 +99,7 @@
 
   // ---- taking all in ----
 
+  /** Takes all events in as ranges with gaps. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public EventSet ranges() {
@@ -110,6 +112,7 @@
     return held;
   }
 
+  /** Takes all events in as a set of names. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Set<Name> names() {
@@ -120,6 +123,7 @@
     return held;
   }
 
+  /** Takes all events in as a sorted set of numbers for each writer. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Map<Long, NavigableSet<Long>> numbers() {
@@ -132,6 +136,7 @@
 
   // ---- what is missing of all that a peer could have: once for all events ----
 
+  /** Lists the spans that are missing of all that a peer could have. */
   @Benchmark
   public List<Span> missingByRanges() {
     List<Span> missing = new ArrayList<>();
@@ -141,6 +146,7 @@
     return missing;
   }
 
+  /** Lists the events that are missing, asking for each name. */
   @Benchmark
   public List<Name> missingByNames() {
     List<Name> missing = new ArrayList<>();
@@ -155,6 +161,7 @@
     return missing;
   }
 
+  /** Lists the events that are missing, by the gaps between sorted numbers. */
   @Benchmark
   public List<Name> missingByNumbers() {
     List<Name> missing = new ArrayList<>();
@@ -172,6 +179,7 @@
 
   // ---- events themselves ----
 
+  /** Puts all events into a journal. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Journal journal() {
@@ -182,6 +190,7 @@
     return journal;
   }
 
+  /** Puts all events into a map by name and a set in order. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Object plainMapAndOrder() {
--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -30,6 +30,7 @@
 
   private LinesAgainstHttp2() {}
 
+  /** Prints each measurement for both protocols in turn, in several rounds. */
   public static void main(String[] args) {
     for (int round = 0; round < ROUNDS; round++) {
       for (boolean http2 : new boolean[] {false, true}) {
--- a/bench/src/main/java/tillerlink/jmh/LogLines.java
+++ b/bench/src/main/java/tillerlink/jmh/LogLines.java
@@ -16,6 +16,7 @@
 
   private LogLines() {}
 
+  /** Prints the time for a line in both formats, in several rounds. */
   public static void main(String[] args) {
     for (int round = 0; round < 4; round++) {
       LoggerContext context = new LoggerContext();
--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -50,6 +50,7 @@
   private byte[] places;
   private byte[] json;
 
+  /** Writes the message in each form, and checks that each reads back as it was. */
   @Setup
   public void make() throws IOException, MalformedMessageException {
     List<GossipUpdate> updates = new ArrayList<>();
@@ -101,6 +102,7 @@
 
   // ---- at fixed places ----
 
+  /** Writes the message with each field at its place, without numbers. */
   @Benchmark
   public byte[] writePlaces() {
     ByteBuffer out = ByteBuffer.allocate(1400);
@@ -132,6 +134,7 @@
     out.put((byte) bytes.length).put(bytes);
   }
 
+  /** Reads fields at fixed places. */
   @Benchmark
   public MemberMessage readPlaces() {
     ByteBuffer in = ByteBuffer.wrap(places);
@@ -159,6 +162,7 @@
 
   // ---- as JSON ----
 
+  /** Writes the message by Jackson's generator. */
   @Benchmark
   public byte[] writeJson() throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(1400);
@@ -193,6 +197,7 @@
     out.writeEndObject();
   }
 
+  /** Reads JSON by Jackson's parser, its fields in any order. */
   @Benchmark
   public MemberMessage readJson() throws IOException {
     try (JsonParser in = JSON.createParser(json)) {
--- a/bench/src/main/java/tillerlink/jmh/Ordering.java
+++ b/bench/src/main/java/tillerlink/jmh/Ordering.java
@@ -41,6 +41,7 @@
   private Task[] tasks;
   private long window;
 
+  /** Makes the tasks, out of order by up to a window. */
   @Setup
   public void make() {
     Random random = new Random(1);
@@ -56,6 +57,7 @@
     }
   }
 
+  /** Puts the tasks in order with the wheel that traces are read with. */
   @Benchmark
   @OperationsPerInvocation(TASKS)
   public long wheel() throws IOException {
@@ -70,6 +72,7 @@
     return sum;
   }
 
+  /** Puts the tasks in order with a heap that holds a window of them. */
   @Benchmark
   @OperationsPerInvocation(TASKS)
   public long priorityQueue() {
--- a/bench/src/main/java/tillerlink/jmh/StoreAppends.java
+++ b/bench/src/main/java/tillerlink/jmh/StoreAppends.java
@@ -19,6 +19,7 @@
 
   private StoreAppends() {}
 
+  /** Prints the appends a second of both stores, then recovery by number of engines. */
   public static void main(String[] args) throws IOException {
     for (int round = 0; round < 2; round++) {
       for (int group : new int[] {1, 100, 10_000}) {
