--- a/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
@@ -1,13 +1,11 @@
 package tillerlink.jmh;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -39,7 +37,6 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class ChannelEvents {
-  private static final JsonFactory JSON = new JsonFactory();
   private static final Kind[] KINDS = Kind.values();
 
   private Entry event;
@@ -70,11 +67,9 @@
     fields = writeFields();
     places = writePlaces();
     json = writeJson();
-    if (!event.equals(readFields()) || !event.equals(readPlaces()) || !event.equals(readJson())) {
-      throw new IllegalStateException("one of them does not give back what was written");
-    }
-    System.out.println(
-        "bytes: fields " + fields.length + ", places " + places.length + ", json " + json.length);
+    boolean readBack =
+        event.equals(readFields()) && event.equals(readPlaces()) && event.equals(readJson());
+    Encodings.check(readBack, fields, places, json);
   }
 
   @Benchmark
@@ -92,7 +87,7 @@
   /** Writes the message with each field at its place, without numbers. */
   @Benchmark
   public byte[] writePlaces() {
-    ByteBuffer out = ByteBuffer.allocate(1400);
+    ByteBuffer out = ByteBuffer.allocate(Encodings.BUFFER_SIZE);
     put(out, event.gateway());
     put(out, event.site());
     out.putLong(event.incarnation()).putLong(event.sequence()).putLong(event.stamp());
@@ -104,8 +99,7 @@
     put(out, event.key());
     put(out, event.over());
     put(out, event.seen());
-    byte[] body = new byte[out.position()];
-    out.flip().get(body);
+    byte[] body = Encodings.written(out);
     return ByteBuffer.allocate(Long.BYTES + body.length)
         .putLong(EntryCodec.checksum(body))
         .put(body)
@@ -113,7 +107,7 @@
   }
 
   private static void put(ByteBuffer out, String text) {
-    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    byte[] bytes = Encodings.utf8(text);
     out.putShort((short) bytes.length).put(bytes);
   }
 
@@ -150,9 +144,7 @@
   }
 
   private static String text(ByteBuffer in) {
-    byte[] bytes = new byte[in.getShort()];
-    in.get(bytes);
-    return new String(bytes, StandardCharsets.UTF_8);
+    return Encodings.text(in, in.getShort());
   }
 
   private static List<Dot> dots(ByteBuffer in) {
@@ -169,8 +161,8 @@
   /** Writes the message by Jackson's generator. */
   @Benchmark
   public byte[] writeJson() throws IOException {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(1400);
-    try (JsonGenerator out = JSON.createGenerator(bytes)) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(Encodings.BUFFER_SIZE);
+    try (JsonGenerator out = Encodings.JSON.createGenerator(bytes)) {
       out.writeStartObject();
       out.writeStringField("gateway", event.gateway());
       out.writeStringField("site", event.site());
@@ -205,7 +197,7 @@
   @Benchmark
   public Entry readJson() throws IOException {
     ReadEntry read = new ReadEntry();
-    try (JsonParser in = JSON.createParser(json)) {
+    try (JsonParser in = Encodings.JSON.createParser(json)) {
       in.nextToken();
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String name = in.currentName();
--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -1,13 +1,11 @@
 package tillerlink.jmh;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -42,7 +40,6 @@
 @Measurement(iterations = 5, time = 1)
 public class MemberMessages {
   private static final int UPDATES = 6;
-  private static final JsonFactory JSON = new JsonFactory();
   private static final MemberStatus[] STATUSES = MemberStatus.values();
 
   private MemberMessage.Probe probe;
@@ -74,11 +71,9 @@
     fields = writeFields();
     places = writePlaces();
     json = writeJson();
-    if (!probe.equals(readFields()) || !probe.equals(readPlaces()) || !probe.equals(readJson())) {
-      throw new IllegalStateException("one of them does not give back what was written");
-    }
-    System.out.println(
-        "bytes: fields " + fields.length + ", places " + places.length + ", json " + json.length);
+    boolean readBack =
+        probe.equals(readFields()) && probe.equals(readPlaces()) && probe.equals(readJson());
+    Encodings.check(readBack, fields, places, json);
   }
 
   @Benchmark
@@ -105,7 +100,7 @@
   /** Writes the message with each field at its place, without numbers. */
   @Benchmark
   public byte[] writePlaces() {
-    ByteBuffer out = ByteBuffer.allocate(1400);
+    ByteBuffer out = ByteBuffer.allocate(Encodings.BUFFER_SIZE);
     out.put((byte) 1);
     put(out, probe.card());
     out.putLong(probe.number());
@@ -118,9 +113,7 @@
       put(out, update.accuser());
       out.putLong(update.age());
     }
-    byte[] bytes = new byte[out.position()];
-    out.flip().get(bytes);
-    return bytes;
+    return Encodings.written(out);
   }
 
   private static void put(ByteBuffer out, MemberInfo card) {
@@ -130,7 +123,7 @@
   }
 
   private static void put(ByteBuffer out, String text) {
-    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    byte[] bytes = Encodings.utf8(text);
     out.put((byte) bytes.length).put(bytes);
   }
 
@@ -155,9 +148,7 @@
   }
 
   private static String text(ByteBuffer in) {
-    byte[] bytes = new byte[in.get() & 0xff];
-    in.get(bytes);
-    return new String(bytes, StandardCharsets.UTF_8);
+    return Encodings.text(in, in.get() & 0xff);
   }
 
   // ---- as JSON ----
@@ -165,8 +156,8 @@
   /** Writes the message by Jackson's generator. */
   @Benchmark
   public byte[] writeJson() throws IOException {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(1400);
-    try (JsonGenerator out = JSON.createGenerator(bytes)) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(Encodings.BUFFER_SIZE);
+    try (JsonGenerator out = Encodings.JSON.createGenerator(bytes)) {
       out.writeStartObject();
       out.writeNumberField("kind", 1);
       card(out, probe.card());
@@ -200,7 +191,7 @@
   /** Reads JSON by Jackson's parser, its fields in any order. */
   @Benchmark
   public MemberMessage readJson() throws IOException {
-    try (JsonParser in = JSON.createParser(json)) {
+    try (JsonParser in = Encodings.JSON.createParser(json)) {
       MemberInfo card = null;
       long number = 0;
       String target = "";
