--- a/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
@@ -128,26 +128,26 @@
       throw new IllegalStateException("garbled");
     }
     return new Entry(
-        text(in).intern(),
-        text(in).intern(),
+        readText(in).intern(),
+        readText(in).intern(),
         in.getLong(),
         in.getLong(),
         in.getLong(),
-        text(in).intern(),
+        readText(in).intern(),
         Numbered.of(KINDS, in.get()),
-        text(in),
-        text(in),
+        readText(in),
+        readText(in),
         in.getLong(),
-        text(in),
-        dots(in),
-        dots(in));
+        readText(in),
+        readDots(in),
+        readDots(in));
   }
 
-  private static String text(ByteBuffer in) {
+  private static String readText(ByteBuffer in) {
     return Encodings.text(in, in.getShort());
   }
 
-  private static List<Dot> dots(ByteBuffer in) {
+  private static List<Dot> readDots(ByteBuffer in) {
     int count = in.get();
     List<Dot> dots = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -174,14 +174,14 @@
       out.writeStringField("cue", event.cue());
       out.writeStringField("text", event.text());
       out.writeStringField("key", event.key());
-      dots(out, "over", event.over());
-      dots(out, "seen", event.seen());
+      writeDots(out, "over", event.over());
+      writeDots(out, "seen", event.seen());
       out.writeEndObject();
     }
     return bytes.toByteArray();
   }
 
-  private static void dots(JsonGenerator out, String name, List<Dot> dots) throws IOException {
+  private static void writeDots(JsonGenerator out, String name, List<Dot> dots) throws IOException {
     out.writeArrayFieldStart(name);
     for (Dot dot : dots) {
       out.writeStartArray();
--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -86,7 +86,7 @@
     return MemberCodec.read(fields);
   }
 
-  private static MemberStatus status(int number) {
+  private static MemberStatus statusOf(int number) {
     for (MemberStatus status : STATUSES) {
       if (status.number() == number) {
         return status;
@@ -116,10 +116,10 @@
     return Encodings.written(out);
   }
 
-  private static void put(ByteBuffer out, MemberInfo card) {
-    out.putLong(card.incarnation()).putLong(card.birth());
-    put(out, card.address());
-    put(out, card.site());
+  private static void put(ByteBuffer out, MemberInfo info) {
+    out.putLong(info.incarnation()).putLong(info.birth());
+    put(out, info.address());
+    put(out, info.site());
   }
 
   private static void put(ByteBuffer out, String text) {
@@ -132,22 +132,24 @@
   public MemberMessage readPlaces() {
     ByteBuffer in = ByteBuffer.wrap(places);
     in.get();
-    MemberInfo card = card(in);
+    MemberInfo info = readInfo(in);
     long number = in.getLong();
-    String target = text(in);
+    String target = readText(in);
     int count = in.get();
     List<GossipUpdate> updates = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      updates.add(new GossipUpdate(text(in), status(in.get()), card(in), text(in), in.getLong()));
+      updates.add(
+          new GossipUpdate(
+              readText(in), statusOf(in.get()), readInfo(in), readText(in), in.getLong()));
     }
-    return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, updates);
+    return new MemberMessage.Probe(info, number, target, SuspicionLevel.NONE, updates);
   }
 
-  private static MemberInfo card(ByteBuffer in) {
-    return new MemberInfo(in.getLong(), in.getLong(), text(in), text(in));
+  private static MemberInfo readInfo(ByteBuffer in) {
+    return new MemberInfo(in.getLong(), in.getLong(), readText(in), readText(in));
   }
 
-  private static String text(ByteBuffer in) {
+  private static String readText(ByteBuffer in) {
     return Encodings.text(in, in.get() & 0xff);
   }
 
@@ -160,7 +162,7 @@
     try (JsonGenerator out = Encodings.JSON.createGenerator(bytes)) {
       out.writeStartObject();
       out.writeNumberField("kind", 1);
-      card(out, probe.card());
+      writeInfo(out, probe.card());
       out.writeNumberField("number", probe.number());
       out.writeStringField("target", probe.target());
       out.writeArrayFieldStart("rumours");
@@ -168,7 +170,7 @@
         out.writeStartObject();
         out.writeStringField("name", update.name());
         out.writeNumberField("standing", update.status().number());
-        card(out, update.card());
+        writeInfo(out, update.card());
         out.writeStringField("by", update.accuser());
         out.writeNumberField("age", update.age());
         out.writeEndObject();
@@ -179,12 +181,12 @@
     return bytes.toByteArray();
   }
 
-  private static void card(JsonGenerator out, MemberInfo card) throws IOException {
+  private static void writeInfo(JsonGenerator out, MemberInfo info) throws IOException {
     out.writeObjectFieldStart("card");
-    out.writeNumberField("incarnation", card.incarnation());
-    out.writeNumberField("birth", card.birth());
-    out.writeStringField("address", card.address());
-    out.writeStringField("site", card.site());
+    out.writeNumberField("incarnation", info.incarnation());
+    out.writeNumberField("birth", info.birth());
+    out.writeStringField("address", info.address());
+    out.writeStringField("site", info.site());
     out.writeEndObject();
   }
 
@@ -192,7 +194,7 @@
   @Benchmark
   public MemberMessage readJson() throws IOException {
     try (JsonParser in = Encodings.JSON.createParser(json)) {
-      MemberInfo card = null;
+      MemberInfo info = null;
       long number = 0;
       String target = "";
       List<GossipUpdate> updates = new ArrayList<>();
@@ -201,43 +203,43 @@
         String name = in.currentName();
         in.nextToken();
         switch (name) {
-          case "card" -> card = card(in);
+          case "card" -> info = readInfo(in);
           case "number" -> number = in.getLongValue();
           case "target" -> target = in.getText();
           case "rumours" -> {
             while (in.nextToken() == JsonToken.START_OBJECT) {
-              updates.add(update(in));
+              updates.add(readUpdate(in));
             }
           }
           default -> in.skipChildren();
         }
       }
-      return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, updates);
+      return new MemberMessage.Probe(info, number, target, SuspicionLevel.NONE, updates);
     }
   }
 
-  private static GossipUpdate update(JsonParser in) throws IOException {
+  private static GossipUpdate readUpdate(JsonParser in) throws IOException {
     String called = "";
-    int standing = 0;
-    MemberInfo card = null;
-    String by = "";
+    int status = 0;
+    MemberInfo info = null;
+    String accuser = "";
     long age = 0;
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String name = in.currentName();
       in.nextToken();
       switch (name) {
         case "name" -> called = in.getText();
-        case "standing" -> standing = in.getIntValue();
-        case "card" -> card = card(in);
-        case "by" -> by = in.getText();
+        case "standing" -> status = in.getIntValue();
+        case "card" -> info = readInfo(in);
+        case "by" -> accuser = in.getText();
         case "age" -> age = in.getLongValue();
         default -> in.skipChildren();
       }
     }
-    return new GossipUpdate(called, status(standing), card, by, age);
+    return new GossipUpdate(called, statusOf(status), info, accuser, age);
   }
 
-  private static MemberInfo card(JsonParser in) throws IOException {
+  private static MemberInfo readInfo(JsonParser in) throws IOException {
     long incarnation = 0;
     long birth = 0;
     String address = "";
--- a/bench/src/main/java/tillerlink/jmh/StoreAppends.java
+++ b/bench/src/main/java/tillerlink/jmh/StoreAppends.java
@@ -14,8 +14,8 @@
  * The store against H2 MVStore in one run: appends by durability, recovery, and what lies on disk.
  */
 public final class StoreAppends {
-  private static final int VALUE = 90;
-  private static final long NANOS = 2_000_000_000L;
+  private static final int VALUE_BYTES = 90;
+  private static final long RUN_NANOS = 2_000_000_000L;
 
   private StoreAppends() {}
 
@@ -23,12 +23,12 @@
   public static void main(String[] args) throws IOException {
     for (int round = 0; round < 2; round++) {
       for (int group : new int[] {1, 100, 10_000}) {
-        table(group);
-        mvStore(group);
+        appendToTable(group);
+        appendToMvStore(group);
       }
     }
     for (int engines : new int[] {10, 100, 1000, 100_000}) {
-      kept(engines);
+      measureRecovery(engines);
     }
   }
 
@@ -38,16 +38,16 @@
     }
   }
 
-  private static void table(int group) throws IOException {
+  private static void appendToTable(int group) throws IOException {
     Path folder = Files.createTempDirectory("appends-");
     long count = 0;
     try (DurableTable table =
         new DurableTable(new FileSystemDirectory(folder), 1, 4 << 20, 1 << 24)) {
       table.open();
-      long until = System.nanoTime() + NANOS;
+      long until = System.nanoTime() + RUN_NANOS;
       while (System.nanoTime() < until) {
         for (int i = 0; i < group; i++) {
-          table.set("engine/e" + count++ % 1000, new byte[VALUE]);
+          table.set("engine/e" + count++ % 1000, new byte[VALUE_BYTES]);
         }
         table.sync();
       }
@@ -56,20 +56,20 @@
         Locale.ROOT,
         "store,   %5d a sync: %8.0f appends a second, %d KB on disk%n",
         group,
-        count / (NANOS / 1e9),
+        count / (RUN_NANOS / 1e9),
         bytes(folder) / 1024);
   }
 
-  private static void mvStore(int group) throws IOException {
+  private static void appendToMvStore(int group) throws IOException {
     Path folder = Files.createTempDirectory("appends-");
     long count = 0;
     MVStore store =
         new MVStore.Builder().fileName(folder.resolve("mv").toString()).autoCommitDisabled().open();
     MVMap<String, byte[]> map = store.openMap("engines");
-    long until = System.nanoTime() + NANOS;
+    long until = System.nanoTime() + RUN_NANOS;
     while (System.nanoTime() < until) {
       for (int i = 0; i < group; i++) {
-        map.put("engine/e" + count++ % 1000, new byte[VALUE]);
+        map.put("engine/e" + count++ % 1000, new byte[VALUE_BYTES]);
       }
       store.commit();
       store.sync();
@@ -79,11 +79,11 @@
         Locale.ROOT,
         "MVStore, %5d a sync: %8.0f appends a second, %d KB on disk%n",
         group,
-        count / (NANOS / 1e9),
+        count / (RUN_NANOS / 1e9),
         bytes(folder) / 1024);
   }
 
-  private static void kept(int engines) throws IOException {
+  private static void measureRecovery(int engines) throws IOException {
     Path folder = Files.createTempDirectory("kept-");
     long written = 0;
     try (DurableTable table =
@@ -91,8 +91,8 @@
       table.open();
       for (int turn = 0; turn < 5; turn++) {
         for (int i = 0; i < engines; i++) {
-          table.set("engine/e" + i, new byte[VALUE]);
-          written += VALUE;
+          table.set("engine/e" + i, new byte[VALUE_BYTES]);
+          written += VALUE_BYTES;
         }
         table.sync();
       }
