--- a/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
@@ -1,13 +1,11 @@
 package tillerlink.jmh;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -22,6 +20,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import tillerlink.messages.MalformedMessageException;
+import tillerlink.messages.Numbered;
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.EntryCodec;
@@ -38,13 +37,14 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class ChannelEvents {
-  private static final JsonFactory JSON = new JsonFactory();
+  private static final Kind[] KINDS = Kind.values();
 
   private Entry event;
   private byte[] fields;
   private byte[] places;
   private byte[] json;
 
+  /** Writes the message in each form, and checks that each reads back as it was. */
   @Setup
   public void make() throws IOException, MalformedMessageException {
     long incarnation = 0x51d2c3b4a5968778L;
@@ -67,11 +67,9 @@
     fields = writeFields();
     places = writePlaces();
     json = writeJson();
-    if (!event.equals(readFields()) || !event.equals(readPlaces()) || !event.equals(readJson())) {
-      throw new IllegalStateException("one of them does not give back what was written");
-    }
-    System.out.println(
-        "bytes: fields " + fields.length + ", places " + places.length + ", json " + json.length);
+    boolean readBack =
+        event.equals(readFields()) && event.equals(readPlaces()) && event.equals(readJson());
+    Encodings.check(readBack, fields, places, json);
   }
 
   @Benchmark
@@ -86,22 +84,22 @@
 
   // ---- at fixed places ----
 
+  /** Writes the message with each field at its place, without numbers. */
   @Benchmark
   public byte[] writePlaces() {
-    ByteBuffer out = ByteBuffer.allocate(1400);
+    ByteBuffer out = ByteBuffer.allocate(Encodings.BUFFER_SIZE);
     put(out, event.gateway());
     put(out, event.site());
     out.putLong(event.incarnation()).putLong(event.sequence()).putLong(event.stamp());
     put(out, event.channel());
-    out.put((byte) event.kind().ordinal());
+    out.put((byte) event.kind().number());
     put(out, event.cue());
     put(out, event.text());
     out.putLong(event.airsAt());
     put(out, event.key());
     put(out, event.over());
     put(out, event.seen());
-    byte[] body = new byte[out.position()];
-    out.flip().get(body);
+    byte[] body = Encodings.written(out);
     return ByteBuffer.allocate(Long.BYTES + body.length)
         .putLong(EntryCodec.checksum(body))
         .put(body)
@@ -109,7 +107,7 @@
   }
 
   private static void put(ByteBuffer out, String text) {
-    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    byte[] bytes = Encodings.utf8(text);
     out.putShort((short) bytes.length).put(bytes);
   }
 
@@ -119,6 +117,7 @@
         dot -> out.putLong(dot.incarnation()).putLong(dot.sequence()).putLong(dot.stamp()));
   }
 
+  /** Reads fields at fixed places, after the sum over them was compared. */
   @Benchmark
   public Entry readPlaces() {
     ByteBuffer in = ByteBuffer.wrap(places);
@@ -129,28 +128,26 @@
       throw new IllegalStateException("garbled");
     }
     return new Entry(
-        text(in).intern(),
-        text(in).intern(),
+        readText(in).intern(),
+        readText(in).intern(),
         in.getLong(),
         in.getLong(),
         in.getLong(),
-        text(in).intern(),
-        Kind.values()[in.get()],
-        text(in),
-        text(in),
+        readText(in).intern(),
+        Numbered.of(KINDS, in.get()),
+        readText(in),
+        readText(in),
         in.getLong(),
-        text(in),
-        dots(in),
-        dots(in));
+        readText(in),
+        readDots(in),
+        readDots(in));
   }
 
-  private static String text(ByteBuffer in) {
-    byte[] bytes = new byte[in.getShort()];
-    in.get(bytes);
-    return new String(bytes, StandardCharsets.UTF_8);
+  private static String readText(ByteBuffer in) {
+    return Encodings.text(in, in.getShort());
   }
 
-  private static List<Dot> dots(ByteBuffer in) {
+  private static List<Dot> readDots(ByteBuffer in) {
     int count = in.get();
     List<Dot> dots = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -161,10 +158,11 @@
 
   // ---- as JSON ----
 
+  /** Writes the message by Jackson's generator. */
   @Benchmark
   public byte[] writeJson() throws IOException {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(1400);
-    try (JsonGenerator out = JSON.createGenerator(bytes)) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(Encodings.BUFFER_SIZE);
+    try (JsonGenerator out = Encodings.JSON.createGenerator(bytes)) {
       out.writeStartObject();
       out.writeStringField("gateway", event.gateway());
       out.writeStringField("site", event.site());
@@ -172,18 +170,18 @@
       out.writeNumberField("sequence", event.sequence());
       out.writeNumberField("stamp", event.stamp());
       out.writeStringField("channel", event.channel());
-      out.writeNumberField("kind", event.kind().ordinal());
+      out.writeNumberField("kind", event.kind().number());
       out.writeStringField("cue", event.cue());
       out.writeStringField("text", event.text());
       out.writeStringField("key", event.key());
-      dots(out, "over", event.over());
-      dots(out, "seen", event.seen());
+      writeDots(out, "over", event.over());
+      writeDots(out, "seen", event.seen());
       out.writeEndObject();
     }
     return bytes.toByteArray();
   }
 
-  private static void dots(JsonGenerator out, String name, List<Dot> dots) throws IOException {
+  private static void writeDots(JsonGenerator out, String name, List<Dot> dots) throws IOException {
     out.writeArrayFieldStart(name);
     for (Dot dot : dots) {
       out.writeStartArray();
@@ -195,51 +193,89 @@
     out.writeEndArray();
   }
 
+  /** Reads JSON by Jackson's parser, its fields in any order. */
   @Benchmark
   public Entry readJson() throws IOException {
-    String[] texts = {"", "", "", "", "", ""};
-    long[] numbers = new long[4];
-    List<Dot> over = List.of();
-    List<Dot> seen = List.of();
-    try (JsonParser in = JSON.createParser(json)) {
+    ReadEntry read = new ReadEntry();
+    try (JsonParser in = Encodings.JSON.createParser(json)) {
       in.nextToken();
       while (in.nextToken() == JsonToken.FIELD_NAME) {
         String name = in.currentName();
-        in.nextToken();
-        switch (name) {
-          case "gateway" -> texts[0] = in.getText().intern();
-          case "site" -> texts[1] = in.getText().intern();
-          case "channel" -> texts[2] = in.getText().intern();
-          case "cue" -> texts[3] = in.getText();
-          case "text" -> texts[4] = in.getText();
-          case "key" -> texts[5] = in.getText();
-          case "incarnation" -> numbers[0] = in.getLongValue();
-          case "sequence" -> numbers[1] = in.getLongValue();
-          case "stamp" -> numbers[2] = in.getLongValue();
-          case "kind" -> numbers[3] = in.getLongValue();
-          case "over" -> over = dots(in);
-          case "seen" -> seen = dots(in);
+        switch (in.nextToken()) {
+          case VALUE_STRING -> read.text(name, in);
+          case VALUE_NUMBER_INT -> read.number(name, in);
+          case START_ARRAY -> read.dots(name, in);
           default -> in.skipChildren();
         }
       }
     }
-    return new Entry(
-        texts[0],
-        texts[1],
-        numbers[0],
-        numbers[1],
-        numbers[2],
-        texts[2],
-        Kind.values()[(int) numbers[3]],
-        texts[3],
-        texts[4],
-        0,
-        texts[5],
-        over,
-        seen);
+    return read.entry();
+  }
+
+  /** The fields of an entry that were read so far, in any order. */
+  private static final class ReadEntry {
+    private String gateway = "";
+    private String site = "";
+    private String channel = "";
+    private String cue = "";
+    private String text = "";
+    private String key = "";
+    private long incarnation;
+    private long sequence;
+    private long stamp;
+    private int kind;
+    private List<Dot> over = List.of();
+    private List<Dot> seen = List.of();
+
+    void text(String name, JsonParser in) throws IOException {
+      switch (name) {
+        case "gateway" -> gateway = in.getText().intern();
+        case "site" -> site = in.getText().intern();
+        case "channel" -> channel = in.getText().intern();
+        case "cue" -> cue = in.getText();
+        case "text" -> text = in.getText();
+        case "key" -> key = in.getText();
+        default -> in.skipChildren();
+      }
+    }
+
+    void number(String name, JsonParser in) throws IOException {
+      switch (name) {
+        case "incarnation" -> incarnation = in.getLongValue();
+        case "sequence" -> sequence = in.getLongValue();
+        case "stamp" -> stamp = in.getLongValue();
+        case "kind" -> kind = in.getIntValue();
+        default -> in.skipChildren();
+      }
+    }
+
+    void dots(String name, JsonParser in) throws IOException {
+      switch (name) {
+        case "over" -> over = readDots(in);
+        case "seen" -> seen = readDots(in);
+        default -> in.skipChildren();
+      }
+    }
+
+    Entry entry() {
+      return new Entry(
+          gateway,
+          site,
+          incarnation,
+          sequence,
+          stamp,
+          channel,
+          Numbered.of(KINDS, kind),
+          cue,
+          text,
+          0,
+          key,
+          over,
+          seen);
+    }
   }
 
-  private static List<Dot> dots(JsonParser in) throws IOException {
+  private static List<Dot> readDots(JsonParser in) throws IOException {
     List<Dot> dots = new ArrayList<>();
     while (in.nextToken() == JsonToken.START_ARRAY) {
       dots.add(new Dot(in.nextLongValue(0), in.nextLongValue(0), in.nextLongValue(0)));
--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -42,6 +42,7 @@
 public class FleetSizes {
   private static final long LAG = 3000;
 
+  /** How many engines the fleet has. */
   @Param({"36", "300", "1024"})
   public int engines;
 
@@ -51,6 +52,7 @@
   private long now = 17_000_000_000_000L;
   private int next;
 
+  /** Starts the module with the fleet and submits a request for every ten engines. */
   @Setup
   public void start() {
     Fleet fleet = Fleet.of(100, engines);
@@ -70,10 +72,10 @@
   }
 
   private void submit() {
-    Request s = new Request(next, 0, next++ % 16, false, now, now + 100_000, 2000, 0, null);
-    policy.onRequestArrived(now, s);
+    Request request = new Request(next, 0, next++ % 16, false, now, now + 100_000, 2000, 0, null);
+    policy.onRequestArrived(now, request);
     policy.applyDecisions(now);
-    out.add(s);
+    out.add(request);
   }
 
   /** A whole list that changes nothing, and the turn that settles it. */
--- a/bench/src/main/java/tillerlink/jmh/HeldEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/HeldEvents.java
@@ -5,6 +5,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableSet;
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
@@ -52,14 +53,15 @@
   private Entry[] events;
   private EventSet ranges;
   private Set<Name> names;
-  private Map<Long, TreeSet<Long>> numbers;
+  private Map<Long, NavigableSet<Long>> numbers;
 
+  /** Shuffles the events, leaves gaps, and fills each of the three sets. */
   @Setup
   public void make() {
     Random random = new Random(1);
     TreeMap<Double, Entry> shuffled = new TreeMap<>();
     for (int i = 0; i < EVENTS; i++) {
-      long sequence = 1 + i / WRITERS;
+      long sequence = 1 + (long) i / WRITERS;
       // One in a hundred is missing: gaps.
       if (random.nextInt(100) > 0) {
         shuffled.put(i + random.nextDouble() * mixed, event(1 + i % WRITERS, sequence, i));
@@ -78,16 +80,16 @@
     numbers = numbers();
   }
 
-  private static Entry event(long writer, long sequence, int i) {
+  private static Entry event(long writer, long sequence, int index) {
     return new Entry(
         "gateway-" + writer,
         "site-" + writer % 3,
         writer,
         sequence,
-        ((long) i + 1) << Entry.COUNTER,
+        ((long) index + 1) << Entry.COUNTER,
         "news",
         Kind.CUE,
-        "cue-" + i % 1000,
+        "cue-" + index % 1000,
         "A line of subtitles, as long as they are",
         0,
         "",
@@ -97,6 +99,7 @@
 
   // ---- taking all in ----
 
+  /** Takes all events in as ranges with gaps. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public EventSet ranges() {
@@ -109,6 +112,7 @@
     return held;
   }
 
+  /** Takes all events in as a set of names. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Set<Name> names() {
@@ -119,10 +123,11 @@
     return held;
   }
 
+  /** Takes all events in as a sorted set of numbers for each writer. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
-  public Map<Long, TreeSet<Long>> numbers() {
-    Map<Long, TreeSet<Long>> held = new TreeMap<>();
+  public Map<Long, NavigableSet<Long>> numbers() {
+    Map<Long, NavigableSet<Long>> held = new TreeMap<>();
     for (Entry event : events) {
       held.computeIfAbsent(event.incarnation(), any -> new TreeSet<>()).add(event.sequence());
     }
@@ -131,6 +136,7 @@
 
   // ---- what is missing of all that a peer could have: once for all events ----
 
+  /** Lists the spans that are missing of all that a peer could have. */
   @Benchmark
   public List<Span> missingByRanges() {
     List<Span> missing = new ArrayList<>();
@@ -140,6 +146,7 @@
     return missing;
   }
 
+  /** Lists the events that are missing, asking for each name. */
   @Benchmark
   public List<Name> missingByNames() {
     List<Name> missing = new ArrayList<>();
@@ -154,6 +161,7 @@
     return missing;
   }
 
+  /** Lists the events that are missing, by the gaps between sorted numbers. */
   @Benchmark
   public List<Name> missingByNumbers() {
     List<Name> missing = new ArrayList<>();
@@ -171,6 +179,7 @@
 
   // ---- events themselves ----
 
+  /** Puts all events into a journal. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Journal journal() {
@@ -181,6 +190,7 @@
     return journal;
   }
 
+  /** Puts all events into a map by name and a set in order. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Object plainMapAndOrder() {
--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -30,6 +30,7 @@
 
   private LinesAgainstHttp2() {}
 
+  /** Prints each measurement for both protocols in turn, in several rounds. */
   public static void main(String[] args) {
     for (int round = 0; round < ROUNDS; round++) {
       for (boolean http2 : new boolean[] {false, true}) {
@@ -55,7 +56,7 @@
             new ReplayMetrics(List.of(REQUEST_CLASS)),
             new RequestEncoder(1, 0));
     for (int i = 0; i < 1000; i++) {
-      Arrival arrival = new Arrival(i * 10, i, 0, 60_000, 1, i % 64, i);
+      Arrival arrival = new Arrival(i * 10L, i, 0, 60_000, 1, i % 64, i);
       cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
     int most = 0;
--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -1,13 +1,11 @@
 package tillerlink.jmh;
 
-import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -42,13 +40,14 @@
 @Measurement(iterations = 5, time = 1)
 public class MemberMessages {
   private static final int UPDATES = 6;
-  private static final JsonFactory JSON = new JsonFactory();
+  private static final MemberStatus[] STATUSES = MemberStatus.values();
 
   private MemberMessage.Probe probe;
   private byte[] fields;
   private byte[] places;
   private byte[] json;
 
+  /** Writes the message in each form, and checks that each reads back as it was. */
   @Setup
   public void make() throws IOException, MalformedMessageException {
     List<GossipUpdate> updates = new ArrayList<>();
@@ -60,7 +59,7 @@
               new MemberInfo(
                   3 + i, 0x9e3779b97f4a7c15L * (i + 1), "10.1.0." + i + ":7400", "north"),
               i % 2 == 0 ? "" : "south-1",
-              1200 * i));
+              1200L * i));
     }
     probe =
         new MemberMessage.Probe(
@@ -72,11 +71,9 @@
     fields = writeFields();
     places = writePlaces();
     json = writeJson();
-    if (!probe.equals(readFields()) || !probe.equals(readPlaces()) || !probe.equals(readJson())) {
-      throw new IllegalStateException("one of them does not give back what was written");
-    }
-    System.out.println(
-        "bytes: fields " + fields.length + ", places " + places.length + ", json " + json.length);
+    boolean readBack =
+        probe.equals(readFields()) && probe.equals(readPlaces()) && probe.equals(readJson());
+    Encodings.check(readBack, fields, places, json);
   }
 
   @Benchmark
@@ -89,11 +86,21 @@
     return MemberCodec.read(fields);
   }
 
+  private static MemberStatus statusOf(int number) {
+    for (MemberStatus status : STATUSES) {
+      if (status.number() == number) {
+        return status;
+      }
+    }
+    throw new IllegalArgumentException("no status has the number " + number);
+  }
+
   // ---- at fixed places ----
 
+  /** Writes the message with each field at its place, without numbers. */
   @Benchmark
   public byte[] writePlaces() {
-    ByteBuffer out = ByteBuffer.allocate(1400);
+    ByteBuffer out = ByteBuffer.allocate(Encodings.BUFFER_SIZE);
     out.put((byte) 1);
     put(out, probe.card());
     out.putLong(probe.number());
@@ -101,71 +108,69 @@
     out.put((byte) probe.updates().size());
     for (GossipUpdate update : probe.updates()) {
       put(out, update.name());
-      out.put((byte) update.status().ordinal());
+      out.put((byte) update.status().number());
       put(out, update.card());
       put(out, update.accuser());
       out.putLong(update.age());
     }
-    byte[] bytes = new byte[out.position()];
-    out.flip().get(bytes);
-    return bytes;
+    return Encodings.written(out);
   }
 
-  private static void put(ByteBuffer out, MemberInfo card) {
-    out.putLong(card.incarnation()).putLong(card.birth());
-    put(out, card.address());
-    put(out, card.site());
+  private static void put(ByteBuffer out, MemberInfo info) {
+    out.putLong(info.incarnation()).putLong(info.birth());
+    put(out, info.address());
+    put(out, info.site());
   }
 
   private static void put(ByteBuffer out, String text) {
-    byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
+    byte[] bytes = Encodings.utf8(text);
     out.put((byte) bytes.length).put(bytes);
   }
 
+  /** Reads fields at fixed places. */
   @Benchmark
   public MemberMessage readPlaces() {
     ByteBuffer in = ByteBuffer.wrap(places);
     in.get();
-    MemberInfo card = card(in);
+    MemberInfo info = readInfo(in);
     long number = in.getLong();
-    String target = text(in);
+    String target = readText(in);
     int count = in.get();
     List<GossipUpdate> updates = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       updates.add(
           new GossipUpdate(
-              text(in), MemberStatus.values()[in.get()], card(in), text(in), in.getLong()));
+              readText(in), statusOf(in.get()), readInfo(in), readText(in), in.getLong()));
     }
-    return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, updates);
+    return new MemberMessage.Probe(info, number, target, SuspicionLevel.NONE, updates);
   }
 
-  private static MemberInfo card(ByteBuffer in) {
-    return new MemberInfo(in.getLong(), in.getLong(), text(in), text(in));
+  private static MemberInfo readInfo(ByteBuffer in) {
+    return new MemberInfo(in.getLong(), in.getLong(), readText(in), readText(in));
   }
 
-  private static String text(ByteBuffer in) {
-    byte[] bytes = new byte[in.get() & 0xff];
-    in.get(bytes);
-    return new String(bytes, StandardCharsets.UTF_8);
+  private static String readText(ByteBuffer in) {
+    return Encodings.text(in, in.get() & 0xff);
   }
 
   // ---- as JSON ----
 
+  /** Writes the message by Jackson's generator. */
   @Benchmark
   public byte[] writeJson() throws IOException {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream(1400);
-    try (JsonGenerator out = JSON.createGenerator(bytes)) {
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream(Encodings.BUFFER_SIZE);
+    try (JsonGenerator out = Encodings.JSON.createGenerator(bytes)) {
       out.writeStartObject();
       out.writeNumberField("kind", 1);
-      card(out, probe.card());
+      writeInfo(out, probe.card());
       out.writeNumberField("number", probe.number());
       out.writeStringField("target", probe.target());
       out.writeArrayFieldStart("rumours");
       for (GossipUpdate update : probe.updates()) {
         out.writeStartObject();
         out.writeStringField("name", update.name());
-        out.writeNumberField("standing", update.status().ordinal());
-        card(out, update.card());
+        out.writeNumberField("standing", update.status().number());
+        writeInfo(out, update.card());
         out.writeStringField("by", update.accuser());
         out.writeNumberField("age", update.age());
         out.writeEndObject();
@@ -176,19 +181,20 @@
     return bytes.toByteArray();
   }
 
-  private static void card(JsonGenerator out, MemberInfo card) throws IOException {
+  private static void writeInfo(JsonGenerator out, MemberInfo info) throws IOException {
     out.writeObjectFieldStart("card");
-    out.writeNumberField("incarnation", card.incarnation());
-    out.writeNumberField("birth", card.birth());
-    out.writeStringField("address", card.address());
-    out.writeStringField("site", card.site());
+    out.writeNumberField("incarnation", info.incarnation());
+    out.writeNumberField("birth", info.birth());
+    out.writeStringField("address", info.address());
+    out.writeStringField("site", info.site());
     out.writeEndObject();
   }
 
+  /** Reads JSON by Jackson's parser, its fields in any order. */
   @Benchmark
   public MemberMessage readJson() throws IOException {
-    try (JsonParser in = JSON.createParser(json)) {
-      MemberInfo card = null;
+    try (JsonParser in = Encodings.JSON.createParser(json)) {
+      MemberInfo info = null;
       long number = 0;
       String target = "";
       List<GossipUpdate> updates = new ArrayList<>();
@@ -197,43 +203,43 @@
         String name = in.currentName();
         in.nextToken();
         switch (name) {
-          case "card" -> card = card(in);
+          case "card" -> info = readInfo(in);
           case "number" -> number = in.getLongValue();
           case "target" -> target = in.getText();
           case "rumours" -> {
             while (in.nextToken() == JsonToken.START_OBJECT) {
-              updates.add(update(in));
+              updates.add(readUpdate(in));
             }
           }
           default -> in.skipChildren();
         }
       }
-      return new MemberMessage.Probe(card, number, target, SuspicionLevel.NONE, updates);
+      return new MemberMessage.Probe(info, number, target, SuspicionLevel.NONE, updates);
     }
   }
 
-  private static GossipUpdate update(JsonParser in) throws IOException {
+  private static GossipUpdate readUpdate(JsonParser in) throws IOException {
     String called = "";
-    int standing = 0;
-    MemberInfo card = null;
-    String by = "";
+    int status = 0;
+    MemberInfo info = null;
+    String accuser = "";
     long age = 0;
     while (in.nextToken() == JsonToken.FIELD_NAME) {
       String name = in.currentName();
       in.nextToken();
       switch (name) {
         case "name" -> called = in.getText();
-        case "standing" -> standing = in.getIntValue();
-        case "card" -> card = card(in);
-        case "by" -> by = in.getText();
+        case "standing" -> status = in.getIntValue();
+        case "card" -> info = readInfo(in);
+        case "by" -> accuser = in.getText();
         case "age" -> age = in.getLongValue();
         default -> in.skipChildren();
       }
     }
-    return new GossipUpdate(called, MemberStatus.values()[standing], card, by, age);
+    return new GossipUpdate(called, statusOf(status), info, accuser, age);
   }
 
-  private static MemberInfo card(JsonParser in) throws IOException {
+  private static MemberInfo readInfo(JsonParser in) throws IOException {
     long incarnation = 0;
     long birth = 0;
     String address = "";
