--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -20,6 +20,7 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 import tillerlink.messages.MalformedMessageException;
+import tillerlink.messages.Numbered;
 import tillerlink.messages.members.GossipUpdate;
 import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.MemberInfo;
@@ -86,15 +87,6 @@
     return MemberCodec.read(fields);
   }
 
-  private static MemberStatus statusOf(int number) {
-    for (MemberStatus status : STATUSES) {
-      if (status.number() == number) {
-        return status;
-      }
-    }
-    throw new IllegalArgumentException("no status has the number " + number);
-  }
-
   // ---- at fixed places ----
 
   /** Writes the message with each field at its place, without numbers. */
@@ -140,7 +132,11 @@
     for (int i = 0; i < count; i++) {
       updates.add(
           new GossipUpdate(
-              readText(in), statusOf(in.get()), readInfo(in), readText(in), in.getLong()));
+              readText(in),
+              Numbered.of(STATUSES, in.get()),
+              readInfo(in),
+              readText(in),
+              in.getLong()));
     }
     return new MemberMessage.Probe(info, number, target, SuspicionLevel.NONE, updates);
   }
@@ -236,7 +232,7 @@
         default -> in.skipChildren();
       }
     }
-    return new GossipUpdate(called, statusOf(status), info, accuser, age);
+    return new GossipUpdate(called, Numbered.of(STATUSES, status), info, accuser, age);
   }
 
   private static MemberInfo readInfo(JsonParser in) throws IOException {
--- a/fakes/src/main/java/tillerlink/fakes/HttpResponseParser.java
+++ b/fakes/src/main/java/tillerlink/fakes/HttpResponseParser.java
@@ -41,11 +41,6 @@
     buffered = joined;
   }
 
-  /** Whether a response has begun and is not complete. */
-  public boolean isMidResponse() {
-    return buffered.length > 0;
-  }
-
   /**
    * Returns the next response, or null while it is incomplete. Interim responses (100) are skipped.
    *
--- a/messages/src/main/java/tillerlink/messages/members/MemberMessageReader.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberMessageReader.java
@@ -5,12 +5,15 @@
 import java.util.List;
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.MalformedMessageException;
+import tillerlink.messages.Numbered;
 
 /**
  * Reads one message between members: collects the fields, whatever the kind is, and makes the
  * message of them. Fields of later releases are skipped.
  */
 final class MemberMessageReader {
+  private static final MemberStatus[] STATUSES = MemberStatus.values();
+
   /** Higher incarnations are malformed, so that a forged one leaves room to refute it. */
   private static final long MAX_INCARNATION = Long.MAX_VALUE / 2;
 
@@ -161,6 +164,6 @@
   }
 
   private static MemberStatus readStatus(FieldReader in) throws MalformedMessageException {
-    return MemberStatus.ofNumber((int) in.number(MemberStatus.MAX_NUMBER));
+    return Numbered.of(STATUSES, (int) in.number(MemberStatus.MAX_NUMBER));
   }
 }
