--- a/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Definitions.java
@@ -6,17 +6,19 @@
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 
-/** Checks what clients ask to be prepared or announced, before it goes into the log. */
+/** A validator for clients' definitions and changes, used before they are appended to the log. */
 public final class Definitions {
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9_.-]*");
-  private static final Pattern USE = Pattern.compile("([1-9][0-9]{0,8}):[A-Za-z0-9_.]{1,64}");
+  private static final Pattern QUALIFIED_NAME =
+      Pattern.compile("([1-9][0-9]{0,8}):[A-Za-z0-9_.]{1,64}");
 
   private Definitions() {}
 
   /**
-   * Checks a definition of a statement.
+   * Validates the definition of a statement.
    *
-   * @throws IllegalArgumentException if it can't be used; the message names what, for people
+   * @throws IllegalArgumentException if the definition is invalid; the message describes the
+   *     problem and is sent to the client
    */
   public static void check(Definition definition) {
     checkName("name", definition.name());
@@ -34,9 +36,10 @@
   }
 
   /**
-   * Checks a change of a schema.
+   * Validates a change of a schema.
    *
-   * @throws IllegalArgumentException if it can't be used; the message names what, for people
+   * @throws IllegalArgumentException if the change is invalid; the message starts with the name of
+   *     the field and is sent to the client
    */
   public static void check(Change change) {
     checkGroups(change.groups());
@@ -46,10 +49,10 @@
     checkUses("renamed", List.copyOf(change.renamed().values()), Change.MAX_NAMES, change.groups());
   }
 
-  private static void checkName(String what, String name) {
+  private static void checkName(String field, String name) {
     if (name.length() > Definition.MAX_NAME_BYTES || !NAME.matcher(name).matches()) {
       throw new IllegalArgumentException(
-          what
+          field
               + ": 1 to "
               + Definition.MAX_NAME_BYTES
               + " letters, digits, points, dashes and underscores");
@@ -65,17 +68,17 @@
     }
   }
 
-  private static void checkUses(String what, List<String> names, int most, List<Integer> groups) {
-    if (names.size() > most) {
-      throw new IllegalArgumentException(what + ": no more than " + most);
+  private static void checkUses(String field, List<String> names, int max, List<Integer> groups) {
+    if (names.size() > max) {
+      throw new IllegalArgumentException(field + ": no more than " + max);
     }
     for (String name : names) {
-      boolean fits =
-          USE.matcher(name).matches()
+      boolean valid =
+          QUALIFIED_NAME.matcher(name).matches()
               && groups.contains(Integer.parseInt(name.substring(0, name.indexOf(':'))));
-      if (!fits) {
+      if (!valid) {
         throw new IllegalArgumentException(
-            what + ": names as 17:orders.city, of a group that is named");
+            field + ": names as 17:orders.city, of a group that is named");
       }
     }
   }
--- a/statements/src/main/java/tillerlink/statements/prepare/Literal.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Literal.java
@@ -6,89 +6,95 @@
 import java.util.regex.Pattern;
 import tillerlink.messages.statements.ParameterType;
 
-/** Renders values as SQL literals that can't be taken for anything but a value. */
+/** SQL literals of parameter values that no engine can interpret as anything but values. */
 final class Literal {
   private static final Pattern INTEGER = Pattern.compile("-?[0-9]{1,19}");
   private static final Pattern DECIMAL = Pattern.compile("-?[0-9]{1,30}([.][0-9]{1,30})?");
 
-  private static final char DELETE = 0x7f;
+  private static final char DELETE_CHARACTER = 0x7f;
 
   private Literal() {}
 
   /**
-   * The literal of a parameter's value, {@code NULL} for null.
+   * Returns the literal of a parameter's value.
    *
-   * @param number the parameter's number, for messages
-   * @throws IllegalArgumentException if the value is not of the type; the message is for people
+   * @param parameterNumber the number of the parameter from 1, for error messages
+   * @param value the value as text; null is rendered as {@code NULL}
+   * @throws IllegalArgumentException if the value is not of the type; the message is sent to the
+   *     client
    */
-  static String of(int number, ParameterType type, String value) {
+  static String of(int parameterNumber, ParameterType type, String value) {
     if (value == null) {
       return "NULL";
     }
     return switch (type) {
-      case TEXT -> text(number, value);
-      case INTEGER -> signed(matching(number, type, INTEGER, value));
-      case DECIMAL -> signed(matching(number, type, DECIMAL, value));
-      case FLAG -> flag(number, value);
-      case DAY -> day(number, value);
+      case TEXT -> text(parameterNumber, value);
+      case INTEGER -> parenthesizeIfNegative(requireMatch(parameterNumber, type, INTEGER, value));
+      case DECIMAL -> parenthesizeIfNegative(requireMatch(parameterNumber, type, DECIMAL, value));
+      case FLAG -> flag(parameterNumber, value);
+      case DAY -> day(parameterNumber, value);
     };
   }
 
   /**
-   * Quotes are doubled. A backslash is refused, as it stands for itself with some engines and is an
-   * escape for others; so are characters that can't be seen.
+   * Returns a string literal with quotes doubled. A backslash is refused, because some engines
+   * treat it as a literal character and others as an escape. Unpaired surrogates and control
+   * characters other than newline and tab are refused because they are not visible.
    */
-  private static String text(int number, String value) {
+  private static String text(int parameterNumber, String value) {
     for (int i = 0; i < value.length(); i++) {
       if (!isAllowed(value, i)) {
         throw new IllegalArgumentException(
-            "parameter $" + number + " has a character that texts may not have");
+            "parameter $" + parameterNumber + " has a character that texts may not have");
       }
     }
     return "'" + value.replace("'", "''") + "'";
   }
 
-  private static boolean isAllowed(String value, int at) {
-    char character = value.charAt(at);
+  private static boolean isAllowed(String value, int index) {
+    char character = value.charAt(index);
     if (character == '\n' || character == '\t') {
       return true;
     }
-    boolean control = character < ' ' || character == DELETE;
-    boolean unpaired = Character.isSurrogate(character) && !isPaired(value, at);
+    boolean control = character < ' ' || character == DELETE_CHARACTER;
+    boolean unpaired = Character.isSurrogate(character) && !isPaired(value, index);
     return character != '\\' && !control && !unpaired;
   }
 
-  private static boolean isPaired(String value, int at) {
-    return Character.isHighSurrogate(value.charAt(at))
-        ? at + 1 < value.length() && Character.isLowSurrogate(value.charAt(at + 1))
-        : at > 0 && Character.isHighSurrogate(value.charAt(at - 1));
+  private static boolean isPaired(String value, int index) {
+    return Character.isHighSurrogate(value.charAt(index))
+        ? index + 1 < value.length() && Character.isLowSurrogate(value.charAt(index + 1))
+        : index > 0 && Character.isHighSurrogate(value.charAt(index - 1));
   }
 
-  private static String matching(int number, ParameterType type, Pattern pattern, String value) {
+  private static String requireMatch(
+      int parameterNumber, ParameterType type, Pattern pattern, String value) {
     if (!pattern.matcher(value).matches()) {
       throw new IllegalArgumentException(
-          "parameter $" + number + " is no " + type.name().toLowerCase(Locale.ROOT));
+          "parameter $" + parameterNumber + " is no " + type.name().toLowerCase(Locale.ROOT));
     }
     return value;
   }
 
-  /** A minus behind another would begin a comment. */
-  private static String signed(String value) {
+  /** Parenthesizes a negative number, because a minus after another minus begins a comment. */
+  private static String parenthesizeIfNegative(String value) {
     return value.startsWith("-") ? "(" + value + ")" : value;
   }
 
-  private static String flag(int number, String value) {
+  private static String flag(int parameterNumber, String value) {
     if (!value.equals("true") && !value.equals("false")) {
-      throw new IllegalArgumentException("parameter $" + number + " is neither true nor false");
+      throw new IllegalArgumentException(
+          "parameter $" + parameterNumber + " is neither true nor false");
     }
     return value.equals("true") ? "TRUE" : "FALSE";
   }
 
-  private static String day(int number, String value) {
+  private static String day(int parameterNumber, String value) {
     try {
       return "DATE '" + LocalDate.parse(value) + "'";
     } catch (DateTimeException e) {
-      throw new IllegalArgumentException("parameter $" + number + " is no day as 2026-12-02");
+      throw new IllegalArgumentException(
+          "parameter $" + parameterNumber + " is no day as 2026-12-02");
     }
   }
 }
--- a/statements/src/main/java/tillerlink/statements/prepare/Preparer.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Preparer.java
@@ -4,9 +4,9 @@
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 
-/** Prepares a statement again after a change. Called on one gateway, the leader of the log. */
+/** A preparer of statements after a change. It is called only on the leader of the log. */
 @FunctionalInterface
 public interface Preparer {
-  /** The statement for the new schema; empty if it can't be run under it. */
+  /** Returns the statement for the new schema; empty if it can't be run under that schema. */
   Optional<Definition> prepareAgain(Definition old, Change change);
 }
--- a/statements/src/main/java/tillerlink/statements/prepare/Renaming.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Renaming.java
@@ -10,9 +10,10 @@
 import tillerlink.messages.statements.Definition;
 
 /**
- * Replaces old names by new ones, in the text and in what the statement uses; a statement whose
- * names were only altered keeps its text. Where a name in the text may mean one that was renamed or
- * one that was not, the statement is left to people.
+ * A preparer that replaces renamed names in the text and in the list of used names. A statement
+ * whose names were only altered keeps its text. If a name in the text could refer both to a renamed
+ * name and to one that was not renamed, the statement is not prepared again, and a client has to
+ * prepare it.
  */
 public final class Renaming implements Preparer {
   @Override
@@ -23,14 +24,14 @@
       String renamed = change.renamed().getOrDefault(use, use);
       uses.add(renamed);
       if (!renamed.equals(use)
-          && replacements.putIfAbsent(lastPart(use), lastPart(renamed)) != null) {
+          && replacements.putIfAbsent(unqualifiedName(use), unqualifiedName(renamed)) != null) {
         return Optional.empty();
       }
     }
     boolean ambiguous =
         old.uses().stream()
             .filter(use -> !change.renamed().containsKey(use))
-            .anyMatch(use -> replacements.containsKey(lastPart(use)));
+            .anyMatch(use -> replacements.containsKey(unqualifiedName(use)));
     if (ambiguous) {
       return Optional.empty();
     }
@@ -40,16 +41,16 @@
         : Optional.of(old.withText(text, uses));
   }
 
-  /** The part behind the last point or colon: of {@code 17:orders.city} it is city. */
-  private static String lastPart(String use) {
+  /** Returns the part after the last dot or colon, such as city for {@code 17:orders.city}. */
+  private static String unqualifiedName(String use) {
     return use.substring(Math.max(use.lastIndexOf('.'), use.lastIndexOf(':')) + 1);
   }
 
   private static String replaceNames(String text, Map<String, String> replacements) {
     StringBuilder result = new StringBuilder();
-    for (Token token : Token.all(text)) {
-      boolean name = token.kind() == Token.Kind.NAME;
-      result.append(name ? replaceName(token.text(), replacements) : token.text());
+    for (Token token : Token.tokenize(text)) {
+      boolean isName = token.kind() == Token.Kind.NAME;
+      result.append(isName ? replaceName(token.text(), replacements) : token.text());
     }
     return result.toString();
   }
@@ -57,8 +58,8 @@
   private static String replaceName(String name, Map<String, String> replacements) {
     char quote = name.charAt(0);
     if (quote == '"' || quote == '`') {
-      String within = name.substring(1, name.length() - 1);
-      return replacements.containsKey(within) ? quote + replacements.get(within) + quote : name;
+      String unquoted = name.substring(1, name.length() - 1);
+      return replacements.containsKey(unquoted) ? quote + replacements.get(unquoted) + quote : name;
     }
     return replacements.getOrDefault(name, name);
   }
--- a/statements/src/main/java/tillerlink/statements/prepare/Template.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Template.java
@@ -5,76 +5,82 @@
 import java.util.TreeSet;
 import tillerlink.messages.statements.Definition;
 
-/** The text of a statement, cut at its parameters: a run puts values between the pieces. */
+/**
+ * The text of a statement, split at its parameter placeholders. A run is rendered by inserting the
+ * values between the fragments.
+ */
 public final class Template {
-  /** Characters of a rendered text at most. */
+  /** The maximum length of a rendered text, in characters. */
   private static final int RENDERED_MAX = 64 * 1024;
 
-  /** Characters of a parameter's mark at most, with its {@code $}. */
-  private static final int MARK_MAX = 4;
+  /** The maximum length of a placeholder including its {@code $}, in characters. */
+  private static final int PLACEHOLDER_MAX = 4;
 
   private final Definition definition;
 
-  /** One more than there are slots. */
-  private final List<String> pieces;
+  /** The fragments of text around the placeholders, one more than there are placeholders. */
+  private final List<String> fragments;
 
-  /** The index of the parameter in each slot. */
-  private final int[] slots;
+  /** The index of the parameter for each placeholder, from 0. */
+  private final int[] parameterIndexes;
 
-  private Template(Definition definition, List<String> pieces, List<Integer> slots) {
+  private Template(Definition definition, List<String> fragments, List<Integer> parameterIndexes) {
     this.definition = definition;
-    this.pieces = List.copyOf(pieces);
-    this.slots = slots.stream().mapToInt(Integer::intValue).toArray();
+    this.fragments = List.copyOf(fragments);
+    this.parameterIndexes = parameterIndexes.stream().mapToInt(Integer::intValue).toArray();
   }
 
   /**
-   * Cuts a definition's text. A mark in a string, a quoted name or a comment is no parameter.
+   * Splits a definition's text at its placeholders. A placeholder within a string, a quoted name or
+   * a comment is ordinary text.
    *
-   * @throws IllegalArgumentException if a parameter that the text names has no type, or one with a
-   *     type isn't named; the message is for people
+   * @throws IllegalArgumentException if a placeholder has no parameter type, a parameter type has
+   *     no placeholder, or a string, quoted name or comment is not terminated; the message is sent
+   *     to the client
    */
   public static Template of(Definition definition) {
-    List<String> pieces = new ArrayList<>();
-    List<Integer> slots = new ArrayList<>();
-    StringBuilder piece = new StringBuilder();
-    for (Token token : Token.all(definition.text())) {
+    List<String> fragments = new ArrayList<>();
+    List<Integer> parameterIndexes = new ArrayList<>();
+    StringBuilder fragment = new StringBuilder();
+    for (Token token : Token.tokenize(definition.text())) {
       if (token.kind() == Token.Kind.PARAMETER) {
-        pieces.add(piece.toString());
-        piece.setLength(0);
-        slots.add(parameterNumber(token.text(), definition.parameters().size()) - 1);
+        fragments.add(fragment.toString());
+        fragment.setLength(0);
+        parameterIndexes.add(parameterNumber(token.text(), definition.parameters().size()) - 1);
       } else {
-        piece.append(token.text());
+        fragment.append(token.text());
       }
     }
-    pieces.add(piece.toString());
-    int named = new TreeSet<>(slots).size();
-    if (named != definition.parameters().size()) {
+    fragments.add(fragment.toString());
+    int placeholderCount = new TreeSet<>(parameterIndexes).size();
+    if (placeholderCount != definition.parameters().size()) {
       throw new IllegalArgumentException(
           "parameters: "
               + definition.parameters().size()
               + " have a type, "
-              + named
+              + placeholderCount
               + " are in the text");
     }
-    return new Template(definition, pieces, slots);
+    return new Template(definition, fragments, parameterIndexes);
   }
 
-  private static int parameterNumber(String mark, int highest) {
-    int number = mark.length() > MARK_MAX ? 0 : Integer.parseInt(mark.substring(1));
-    if (number < 1 || number > highest) {
-      throw new IllegalArgumentException("parameter " + mark + " has no type");
+  private static int parameterNumber(String placeholder, int parameterCount) {
+    int number =
+        placeholder.length() > PLACEHOLDER_MAX ? 0 : Integer.parseInt(placeholder.substring(1));
+    if (number < 1 || number > parameterCount) {
+      throw new IllegalArgumentException("parameter " + placeholder + " has no type");
     }
     return number;
   }
 
   /**
-   * The text with values in the place of the parameters.
+   * Returns the text with the placeholders replaced by literals of the values.
    *
-   * @param values null stands for no value
-   * @param prefix put before the text, as a comment for engines that check schema versions; may be
+   * @param values the values of the parameters in order; null renders as {@code NULL}
+   * @param prefix a comment to put before the text for engines that check schema versions; may be
    *     empty
-   * @throws IllegalArgumentException if a value is not of its type, or there are too few or too
-   *     many; the message names the parameter
+   * @throws IllegalArgumentException if a value is not of its type, there are too few or too many
+   *     values, or the rendered text is too long; the message is sent to the client
    */
   public String render(List<String> values, String prefix) {
     if (values.size() != definition.parameters().size()) {
@@ -90,13 +96,13 @@
       literals[i] = Literal.of(i + 1, definition.parameters().get(i), values.get(i));
     }
     StringBuilder text = new StringBuilder(prefix);
-    for (int i = 0; i < slots.length; i++) {
-      text.append(pieces.get(i)).append(literals[slots[i]]);
+    for (int i = 0; i < parameterIndexes.length; i++) {
+      text.append(fragments.get(i)).append(literals[parameterIndexes[i]]);
       if (text.length() > RENDERED_MAX) {
         throw new IllegalArgumentException(
             "parameters: the text would be longer than " + RENDERED_MAX);
       }
     }
-    return text.append(pieces.get(slots.length)).toString();
+    return text.append(fragments.get(parameterIndexes.length)).toString();
   }
 }
--- a/statements/src/main/java/tillerlink/statements/prepare/Token.java
+++ b/statements/src/main/java/tillerlink/statements/prepare/Token.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A piece of a statement's text; all of them in a row are the text again. */
+/** A token of a statement's text. The tokens of a text, concatenated in order, form the text. */
 record Token(Kind kind, String text) {
-  /** What a piece of text is; names include keywords, and quoted names with their quotes. */
+  /** The kind of a token. Names include keywords, and quoted names with their quotes. */
   enum Kind {
     NAME,
     PARAMETER,
@@ -19,68 +19,69 @@
   private static final String COMMENT_END = "*/";
 
   /**
-   * Cuts a text into tokens.
+   * Splits a text into tokens.
    *
-   * @throws IllegalArgumentException if a string, a quoted name or a comment has no end
+   * @throws IllegalArgumentException if a string, a quoted name or a comment is not terminated
    */
-  static List<Token> all(String text) {
+  static List<Token> tokenize(String text) {
     List<Token> tokens = new ArrayList<>();
-    for (int at = 0; at < text.length(); ) {
-      Token token = tokenAt(text, at);
+    for (int start = 0; start < text.length(); ) {
+      Token token = tokenAt(text, start);
       tokens.add(token);
-      at += token.text.length();
+      start += token.text.length();
     }
     return tokens;
   }
 
-  private static Token tokenAt(String text, int at) {
-    if (text.startsWith(LINE_COMMENT, at)) {
-      int end = text.indexOf('\n', at);
-      return new Token(Kind.COMMENT, text.substring(at, end < 0 ? text.length() : end));
+  private static Token tokenAt(String text, int start) {
+    if (text.startsWith(LINE_COMMENT, start)) {
+      int end = text.indexOf('\n', start);
+      return new Token(Kind.COMMENT, text.substring(start, end < 0 ? text.length() : end));
     }
-    if (text.startsWith(COMMENT_START, at)) {
-      int end = endOf(text, COMMENT_END, at + COMMENT_START.length());
-      return new Token(Kind.COMMENT, text.substring(at, end));
+    if (text.startsWith(COMMENT_START, start)) {
+      int end = endOf(text, COMMENT_END, start + COMMENT_START.length());
+      return new Token(Kind.COMMENT, text.substring(start, end));
     }
-    char first = text.charAt(at);
+    char first = text.charAt(start);
     return switch (first) {
-      case '\'' -> new Token(Kind.STRING, text.substring(at, endOf(text, "'", at + 1)));
+      case '\'' -> new Token(Kind.STRING, text.substring(start, endOf(text, "'", start + 1)));
       case '"', '`' ->
-          new Token(Kind.NAME, text.substring(at, endOf(text, String.valueOf(first), at + 1)));
-      default -> unquotedAt(text, at);
+          new Token(
+              Kind.NAME, text.substring(start, endOf(text, String.valueOf(first), start + 1)));
+      default -> unquotedAt(text, start);
     };
   }
 
-  private static Token unquotedAt(String text, int at) {
-    if (text.charAt(at) == '$' && isDigit(text, at + 1)) {
-      int end = at + 1;
+  private static Token unquotedAt(String text, int start) {
+    if (text.charAt(start) == '$' && isDigit(text, start + 1)) {
+      int end = start + 1;
       while (isDigit(text, end)) {
         end++;
       }
-      return new Token(Kind.PARAMETER, text.substring(at, end));
+      return new Token(Kind.PARAMETER, text.substring(start, end));
     }
-    int end = at;
-    while (end < text.length() && isNamePart(text.charAt(end))) {
+    int end = start;
+    while (end < text.length() && isIdentifierPart(text.charAt(end))) {
       end++;
     }
-    return end > at
-        ? new Token(Kind.NAME, text.substring(at, end))
-        : new Token(Kind.OTHER, text.substring(at, at + 1));
+    return end > start
+        ? new Token(Kind.NAME, text.substring(start, end))
+        : new Token(Kind.OTHER, text.substring(start, start + 1));
   }
 
-  private static int endOf(String text, String mark, int from) {
-    int found = text.indexOf(mark, from);
+  private static int endOf(String text, String delimiter, int from) {
+    int found = text.indexOf(delimiter, from);
     if (found < 0) {
-      throw new IllegalArgumentException("the text ends before " + mark);
+      throw new IllegalArgumentException("the text ends before " + delimiter);
     }
-    return found + mark.length();
+    return found + delimiter.length();
   }
 
-  private static boolean isDigit(String text, int at) {
-    return at < text.length() && text.charAt(at) >= '0' && text.charAt(at) <= '9';
+  private static boolean isDigit(String text, int index) {
+    return index < text.length() && text.charAt(index) >= '0' && text.charAt(index) <= '9';
   }
 
-  private static boolean isNamePart(char character) {
+  private static boolean isIdentifierPart(char character) {
     return Character.isLetterOrDigit(character) || character == '_';
   }
 }
