--- a/statements/src/main/java/tillerlink/statements/CatalogReplica.java
+++ b/statements/src/main/java/tillerlink/statements/CatalogReplica.java
@@ -14,9 +14,12 @@
 import tillerlink.statements.consensus.StateMachine;
 import tillerlink.statements.lease.LeaseHolder;
 
-/** This gateway's copy of the catalog: the state machine of the replicated log. */
+/** The gateway's copy of the catalog; it is the state machine of the replicated log. */
 final class CatalogReplica implements StateMachine {
-  /** Is called when a change took effect by an entry of the log. */
+  /**
+   * A listener that is called when a log entry has put a change into effect. It is not called for a
+   * change that arrives in a snapshot.
+   */
   interface EffectListener {
     void onChangeEffective(long now, long id, Change change);
   }
@@ -72,20 +75,30 @@
 
   @Override
   public void install(byte[] state) throws MalformedMessageException {
-    Catalog next = Snapshots.read(state);
-    for (Map.Entry<Integer, Long> each : next.versions().entrySet()) {
-      if (each.getValue() > catalog.version(each.getKey())) {
-        leases.onChangeEffective(clock.now(), List.of(each.getKey()));
+    Catalog installed = Snapshots.read(state);
+    for (Map.Entry<Integer, Long> groupVersion : installed.versions().entrySet()) {
+      if (groupVersion.getValue() > catalog.version(groupVersion.getKey())) {
+        leases.onChangeEffective(clock.now(), List.of(groupVersion.getKey()));
       }
     }
-    next.statements().values().forEach(this::checkGeneration);
-    catalog = next;
+    installed.statements().values().forEach(this::checkGeneration);
+    catalog = installed;
     requests.onCatalogChanged(clock.now(), catalog);
   }
 
-  private void checkGeneration(CatalogEntry next) {
-    String name = next.definition().name();
-    long before = catalog.find(name).map(CatalogEntry::generation).orElse(0L);
-    Invariant.holds(before <= next.generation(), () -> name + " falls");
+  /** Checks that a snapshot does not replace a statement by an earlier generation of it. */
+  private void checkGeneration(CatalogEntry installed) {
+    String name = installed.definition().name();
+    long previousGeneration = catalog.find(name).map(CatalogEntry::generation).orElse(0L);
+    Invariant.holds(
+        previousGeneration <= installed.generation(),
+        () ->
+            "generation of statement "
+                + name
+                + " decreases from "
+                + previousGeneration
+                + " to "
+                + installed.generation()
+                + " in a snapshot");
   }
 }
--- a/statements/src/main/java/tillerlink/statements/EventClock.java
+++ b/statements/src/main/java/tillerlink/statements/EventClock.java
@@ -1,6 +1,8 @@
 package tillerlink.statements;
 
-/** The time of the current event, in tenths of a millisecond by the gateway's clock. */
+/**
+ * The time of the event that is being handled, in tenths of a millisecond by the gateway's clock.
+ */
 final class EventClock {
   private long now;
 
@@ -8,15 +10,16 @@
     return now;
   }
 
-  /** An event of the event loop begins. */
-  void set(long at) {
-    now = at;
+  /** Sets the time time the start of an event of the event loop. */
+  void set(long time) {
+    now = time;
   }
 
   /**
-   * A call from within an iteration may carry a time that is behind: the clock does not go back.
+   * Advances the clock, and leaves it unchanged if the given time is earlier. A call made within an
+   * event-loop iteration may carry an earlier time, and the clock must not go back.
    */
-  void advanceTo(long at) {
-    now = Math.max(now, at);
+  void advanceTo(long time) {
+    now = Math.max(now, time);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/LearnerParticipant.java
+++ b/statements/src/main/java/tillerlink/statements/LearnerParticipant.java
@@ -5,7 +5,7 @@
 import tillerlink.statements.consensus.Learner;
 import tillerlink.statements.consensus.RaftVoter;
 
-/** A gateway that does not vote: it follows the log, and knows no leader. */
+/** The participation of a gateway without a vote: it follows the log and never knows the leader. */
 final class LearnerParticipant implements LogParticipant {
   private final EventClock clock;
   private final Learner learner;
--- a/statements/src/main/java/tillerlink/statements/LogParticipant.java
+++ b/statements/src/main/java/tillerlink/statements/LogParticipant.java
@@ -4,22 +4,30 @@
 import tillerlink.messages.statements.StatementMessage;
 import tillerlink.statements.consensus.RaftVoter;
 
-/** How this gateway takes part in the replicated log: as a voter or as a learner. */
+/** The role of this gateway in the replicated log: voter or learner. */
 interface LogParticipant {
+  /** Handles a message of another gateway or of this one. */
   void onMessage(String from, StatementMessage message);
 
+  /** Does what is due at the time of the current event. */
   void tick();
 
+  /**
+   * Returns when {@link #tick} must be called next at the latest.
+   *
+   * @return a time in tenths of a millisecond
+   */
   long nextDueAt();
 
+  /** Handles the end of a pause of this process. */
   void onPause();
 
-  /** The leader of the log; empty if it is not known here. */
+  /** Returns the name of the log's leader; empty if this gateway does not know it. */
   Optional<String> leader();
 
-  /** The voter of this gateway; empty if it is none. */
+  /** Returns the voter of this gateway; empty if this gateway is a learner. */
   Optional<RaftVoter> voter();
 
-  /** How many statements this gateway prepared again as the leader, after changes. */
+  /** Returns how many statements this gateway, as the leader, prepared again after changes. */
   long repreparedCount();
 }
--- a/statements/src/main/java/tillerlink/statements/SchemaState.java
+++ b/statements/src/main/java/tillerlink/statements/SchemaState.java
@@ -6,13 +6,14 @@
 import tillerlink.messages.statements.Change;
 
 /**
- * The schema of a table group, as this gateway knows it.
+ * The state of a table group's schema, as known to this gateway.
  *
+ * @param group the number of the table group
  * @param version the schema version in effect
  * @param waiting announced changes that have not taken effect, by their numbers
- * @param leaseEnds until when this gateway's lease on it is valid, in tenths of a millisecond; in
- *     the past if it holds none
- * @param statements the names of the statements that touch it
+ * @param leaseEnds the end of this gateway's lease on the group, in tenths of a millisecond; a time
+ *     in the past if this gateway has no lease
+ * @param statements the names of the statements that read or write the group
  */
 public record SchemaState(
     int group,
@@ -20,7 +21,7 @@
     SortedMap<Long, Change> waiting,
     long leaseEnds,
     List<String> statements) {
-  /** Copies the collections. */
+  /** Creates a state with copies of the collections. */
   public SchemaState {
     waiting = new TreeMap<>(waiting);
     statements = List.copyOf(statements);
--- a/statements/src/main/java/tillerlink/statements/StatementRequests.java
+++ b/statements/src/main/java/tillerlink/statements/StatementRequests.java
@@ -11,10 +11,10 @@
 import tillerlink.statements.catalog.Outcome;
 import tillerlink.statements.prepare.Definitions;
 
-/** Checks clients' requests to change the catalog, and queues those that are in order. */
+/** The validation of clients' requests to change the catalog; valid requests are queued. */
 final class StatementRequests {
-  /** Bytes of an entry besides its command, at most. */
-  private static final int ENTRY_OVERHEAD = 100;
+  /** The maximum size in bytes of an encoded entry without its command. */
+  private static final int ENTRY_OVERHEAD_BYTES = 100;
 
   private final EventClock clock;
   private final CatalogReplica replica;
@@ -26,7 +26,13 @@
     this.queue = queue;
   }
 
-  void prepare(Definition definition, long over, Consumer<Outcome> onOutcome) {
+  /**
+   * Requests that a statement is prepared under the schema versions known to this gateway.
+   *
+   * @param expectedGeneration the generation that it replaces, 0 if the name must be free, -1 for
+   *     any
+   */
+  void prepare(Definition definition, long expectedGeneration, Consumer<Outcome> onOutcome) {
     try {
       Definitions.check(definition);
     } catch (IllegalArgumentException e) {
@@ -36,9 +42,10 @@
     Catalog catalog = replica.catalog();
     TreeMap<Integer, Long> versions = new TreeMap<>();
     definition.groups().forEach(group -> versions.put(group, catalog.version(group)));
-    submit(new Command.Prepare(definition, versions, over), onOutcome);
+    submit(new Command.Prepare(definition, versions, expectedGeneration), onOutcome);
   }
 
+  /** Requests that a change of the schema is announced. */
   void announce(Change change, Consumer<Outcome> onOutcome) {
     try {
       Definitions.check(change);
@@ -49,8 +56,9 @@
     submit(new Command.Announce(change), onOutcome);
   }
 
+  /** Queues a command, or refuses it if it does not fit into a log entry. */
   void submit(Command command, Consumer<Outcome> onOutcome) {
-    if (CommandCodec.command(command).done().length > Entry.MAX_BYTES - ENTRY_OVERHEAD) {
+    if (CommandCodec.command(command).done().length > Entry.MAX_BYTES - ENTRY_OVERHEAD_BYTES) {
       onOutcome.accept(Outcome.refused("it is too long"));
     } else {
       queue.add(clock.now(), command, onOutcome);
--- a/statements/src/main/java/tillerlink/statements/Statements.java
+++ b/statements/src/main/java/tillerlink/statements/Statements.java
@@ -30,15 +30,15 @@
 import tillerlink.statements.run.Prepared;
 
 /**
- * Prepared statements of a cluster, kept right while schemas change: the catalog is the same on
- * every gateway, and no statement is run under a schema that is no longer in effect.
+ * The prepared statements of a cluster, kept correct while schemas change: all gateways replicate
+ * the same catalog, and no statement is run under a schema that is no longer in effect.
  *
- * <p>It does no I/O itself and is owned by the gateway's event loop: every method is called from
- * that thread alone, and {@link #tick} follows whatever the durable store reports as written. Times
- * are in tenths of a millisecond, by the gateway's clock.
+ * <p>This class does no I/O and is owned by the gateway's event loop: all methods are called on
+ * that thread only, and {@link #tick} is called after the durable store has reported a write as
+ * durable. Times are in tenths of a millisecond, by the gateway's clock.
  */
 public final class Statements implements ClusterComponent {
-  /** Stands for any generation in {@link #prepare} and {@link #drop}. */
+  /** The value that matches any generation in {@link #prepare} and {@link #drop}. */
   public static final long ANY_GENERATION = -1;
 
   private final Voters voters;
@@ -48,17 +48,18 @@
   private final RequestQueue queue;
   private final CatalogReplica replica;
   private final StatementRequests requests;
-  private final RunAuthorizer runs;
+  private final RunAuthorizer runAuthorizer;
   private final LogParticipant participant;
-  private int proposalTarget;
+  private int lastProposedVoter;
   private long malformedMessages;
   private long pauses;
 
   /**
-   * Restores this gateway's part of the replicated catalog.
+   * Restores this gateway's participant in the replicated catalog from the store.
    *
-   * @param random seeded
-   * @param warnings lines for the operator's log
+   * @param random a seeded generator, so that simulated runs can be reproduced
+   * @param preparer prepares statements again after changes
+   * @param warnings receives lines for the operator's log
    * @throws MalformedMessageException if the stored state can't be read
    */
   public Statements(
@@ -76,7 +77,7 @@
     queue = new RequestQueue(leases.holderId(), this::propose);
     replica = new CatalogReplica(clock, leases, queue);
     requests = new StatementRequests(clock, replica, queue);
-    runs = new RunAuthorizer(clock, config.lease(), replica, leases);
+    runAuthorizer = new RunAuthorizer(clock, config.lease(), replica, leases);
     if (voters.includesSelf()) {
       RaftVoter voter =
           new RaftVoter(config.raft(), voters, this::send, store, random, replica, warnings);
@@ -98,41 +99,55 @@
   // ---- changes of the catalog ----
 
   /**
-   * Prepares a statement under a name, whatever stands there; the same once more changes nothing.
-   * The outcome's id is the generation.
+   * Prepares a statement and replaces any statement of that name. Preparing an equal definition
+   * again changes nothing.
+   *
+   * @param onOutcome receives the outcome; its id is the generation
    */
   public void prepare(long now, Definition definition, Consumer<Outcome> onOutcome) {
     prepare(now, definition, ANY_GENERATION, onOutcome);
   }
 
   /**
-   * Prepares a statement under a name. The outcome's id is the generation.
+   * Prepares a statement if its name has the expected generation.
    *
-   * @param over the generation that it replaces, 0 if the name must be free, {@link
-   *     #ANY_GENERATION} if it does not matter
+   * @param expectedGeneration the generation that it replaces, 0 if the name must be free, {@link
+   *     #ANY_GENERATION} for any
+   * @param onOutcome receives the outcome; its id is the generation
    */
-  public void prepare(long now, Definition definition, long over, Consumer<Outcome> onOutcome) {
+  public void prepare(
+      long now, Definition definition, long expectedGeneration, Consumer<Outcome> onOutcome) {
     clock.advanceTo(now);
-    requests.prepare(definition, over, onOutcome);
+    requests.prepare(definition, expectedGeneration, onOutcome);
   }
 
   /**
    * Drops a statement.
    *
-   * @param over the generation that is meant, {@link #ANY_GENERATION} if it does not matter
+   * @param expectedGeneration the generation to drop, {@link #ANY_GENERATION} for any
+   * @param onOutcome receives the outcome; its id is the dropped generation
    */
-  public void drop(long now, String name, long over, Consumer<Outcome> onOutcome) {
+  public void drop(long now, String name, long expectedGeneration, Consumer<Outcome> onOutcome) {
     clock.advanceTo(now);
-    requests.submit(new Command.Drop(name, over), onOutcome);
+    requests.submit(new Command.Drop(name, expectedGeneration), onOutcome);
   }
 
-  /** Announces a change of the schema of some groups. The outcome's id is the change's number. */
+  /**
+   * Announces a change of the schema of some groups.
+   *
+   * @param onOutcome receives the outcome; its id is the number of the change
+   */
   public void announce(long now, Change change, Consumer<Outcome> onOutcome) {
     clock.advanceTo(now);
     requests.announce(change, onOutcome);
   }
 
-  /** Withdraws an announced change, if it has not taken effect. */
+  /**
+   * Withdraws an announced change; refused if it has taken effect.
+   *
+   * @param change the number of the change
+   * @param onOutcome receives the outcome; its id is the number of the change
+   */
   public void withdraw(long now, long change, Consumer<Outcome> onOutcome) {
     clock.advanceTo(now);
     requests.submit(new Command.TakeBack(change), onOutcome);
@@ -141,40 +156,44 @@
   // ---- runs ----
 
   /**
-   * The statement of that name, as this gateway knows it; the leases that a run needs are requested
-   * from now on.
+   * Returns the statement of that name, as known to this gateway, and starts to request the leases
+   * that a run of it needs.
+   *
+   * @return empty if this gateway knows no statement of that name
    */
   public Optional<Prepared> lookUp(String name) {
-    return runs.lookUp(name);
+    return runAuthorizer.lookUp(name);
   }
 
   /**
-   * Whether an attempt of the statement may be written now. To be checked when the request comes,
-   * right before each attempt is written, and right after it with the clock read again: then the
-   * permission must still be granted, or its end must not have passed.
+   * Checks whether an attempt of the statement may be written now. The caller checks when the
+   * request arrives, immediately before it writes each attempt, and immediately after the write
+   * with the clock read again, because the process may have been paused during the write. After the
+   * write, the permission must still be granted, or its end must not have passed.
    */
   public Permission checkRun(long now, Prepared prepared) {
-    return runs.check(now, prepared);
+    return runAuthorizer.check(now, prepared);
   }
 
-  /** An attempt of the statement is written: its leases are not released before it ended. */
+  /** Records that an attempt is written, so that its leases are not released before it ends. */
   public void onAttemptStarted(Prepared prepared) {
-    runs.onAttemptStarted(prepared);
+    runAuthorizer.onAttemptStarted(prepared);
   }
 
   /**
-   * An attempt that was started ended at this gateway, and its engine may still execute it.
+   * Records that a started attempt ended at this gateway. Its engine may still execute it.
    *
-   * @param mayRunUntil until when, at most; 0 if it certainly does not
+   * @param mayRunUntil the latest time at which the engine may execute the attempt; 0 if it
+   *     certainly does not execute it any more
    */
   public void onAttemptEnded(long now, Prepared prepared, long mayRunUntil) {
     clock.advanceTo(now);
-    runs.onAttemptEnded(prepared, mayRunUntil);
+    runAuthorizer.onAttemptEnded(prepared, mayRunUntil);
   }
 
   // ---- state and statistics ----
 
-  /** The schema of a table group, as this gateway knows it. */
+  /** Returns the state of a table group's schema, as known to this gateway. */
   public SchemaState schema(int group) {
     Catalog catalog = catalog();
     TreeMap<Long, Change> waiting = new TreeMap<>(catalog.waiting());
@@ -191,53 +210,54 @@
             .toList());
   }
 
-  /** The catalog as this gateway knows it; another gateway may be further. */
+  /** Returns this gateway's catalog; another gateway may have applied later log entries. */
   public Catalog catalog() {
     return replica.catalog();
   }
 
-  /** The names of all prepared statements. */
+  /** Returns the names of all prepared statements, in order. */
   public List<String> names() {
     return new ArrayList<>(catalog().statements().keySet());
   }
 
-  /** How often this gateway lost a lease that it held. */
+  /** Returns how often a lease of this gateway expired, was released or was dropped. */
   public long leasesLost() {
     return leases.losses();
   }
 
-  /** Whether this gateway leads the log, as far as it knows. */
+  /** Returns whether this gateway considers itself the leader of the log. */
   public boolean isLeader() {
     return participant.voter().map(RaftVoter::isLeader).orElse(false);
   }
 
-  /** This gateway's voter; empty if it does not vote. */
+  /** Returns this gateway's voter; empty if this gateway is a learner. */
   public Optional<RaftVoter> voter() {
     return participant.voter();
   }
 
-  /** Whether no request of a client waits for its outcome. */
+  /** Returns whether no client's request is waiting for its outcome. */
   public boolean isIdle() {
     return queue.isIdle();
   }
 
-  /** How many statements this gateway prepared again for the cluster after changes. */
+  /** Returns how many statements this gateway prepared again for the cluster after changes. */
   public long repreparedCount() {
     return participant.repreparedCount();
   }
 
-  /** How many messages could not be read. */
+  /** Returns how many received messages were malformed. */
   public long malformedMessages() {
     return malformedMessages;
   }
 
-  /** How often this process was paused. */
+  /** Returns how often this process was paused. */
   public long pauses() {
     return pauses;
   }
 
   // ---- messages ----
 
+  /** Sends a message to a gateway; handles it immediately if that is this gateway. */
   private void send(String to, StatementMessage message) {
     if (to.equals(voters.self())) {
       onMessage(to, message);
@@ -246,7 +266,7 @@
     }
   }
 
-  /** To the leader if it is known, else to one voter after the other. */
+  /** Sends a proposal to the leader if it is known, otherwise to the voters in turn. */
   private void propose(long number, Command command) {
     send(
         participant.leader().orElseGet(this::nextVoter),
@@ -254,8 +274,8 @@
   }
 
   private String nextVoter() {
-    proposalTarget = (proposalTarget + 1) % voters.count();
-    return voters.names().get(proposalTarget);
+    lastProposedVoter = (lastProposedVoter + 1) % voters.count();
+    return voters.names().get(lastProposedVoter);
   }
 
   @Override
@@ -292,22 +312,22 @@
   }
 
   @Override
-  public void onPause(long now, long wall, long lasted) {
+  public void onPause(long now, long wall, long duration) {
     clock.set(now);
     pauses++;
     leases.onPause(now);
     participant.onPause();
   }
 
-  /** This process ends soon: the outcome of pending requests is reported as unknown. */
+  /** Reports the outcome of all pending requests as unknown, because this process ends soon. */
   public void failPendingRequests(long now) {
     clock.advanceTo(now);
     queue.failAll(clock.now());
   }
 
   /**
-   * This process ends and writes no attempt any more: leases are released, but for those that an
-   * attempt may be left under.
+   * Releases all leases, because this process ends and writes no further attempts. A lease under
+   * which an attempt may still be executed is not released and expires.
    */
   public void releaseLeases(long now) {
     clock.advanceTo(now);
--- a/statements/src/main/java/tillerlink/statements/StatementsConfig.java
+++ b/statements/src/main/java/tillerlink/statements/StatementsConfig.java
@@ -7,12 +7,12 @@
 /**
  * The configuration of prepared statements.
  *
- * @param voters the names of the gateways that vote, the same on every gateway
- * @param lease how long leases are
- * @param raft how the replicated log works
+ * @param voters the names of the gateways that vote; the list must be equal on all gateways
+ * @param lease the durations of leases
+ * @param raft the configuration of the replicated log
  */
 public record StatementsConfig(List<String> voters, LeaseConfig lease, RaftConfig raft) {
-  /** Copies the list. */
+  /** Creates a configuration with a copy of the list. */
   public StatementsConfig {
     voters = List.copyOf(voters);
   }
--- a/statements/src/main/java/tillerlink/statements/VoterParticipant.java
+++ b/statements/src/main/java/tillerlink/statements/VoterParticipant.java
@@ -13,8 +13,9 @@
 import tillerlink.statements.lease.LeaseGrantor;
 
 /**
- * A gateway that votes: besides the log it grants leases, confirms to the leader which announced
- * changes it is clear of, and runs the leader's tasks. Times are in tenths of a millisecond.
+ * The participation of a gateway with a vote. Besides replicating the log, it grants leases,
+ * confirms to the leader which announced changes it is clear of, and runs the leader's tasks while
+ * it leads. Times are in tenths of a millisecond.
  */
 final class VoterParticipant implements LogParticipant {
   private static final long CONFIRMATION_INTERVAL = 3000;
@@ -26,8 +27,8 @@
   private final LeaseGrantor grantor;
   private final LeaderTasks leaderTasks;
 
-  /** The changes that were last confirmed to be clear. */
-  private List<Long> confirmed = List.of();
+  /** The numbers of the changes that this voter last confirmed to be clear of. */
+  private List<Long> confirmedChanges = List.of();
 
   private long confirmationDueAt;
 
@@ -64,7 +65,10 @@
     }
   }
 
-  /** Appends a proposal that is not in the log yet, or forwards it once to the leader. */
+  /**
+   * Appends a proposal that is not in the log yet, or forwards it to the leader. A proposal that
+   * was already forwarded is not forwarded again, so that it can't circulate between voters.
+   */
   private void onProposal(Propose proposal) {
     long origin = proposal.origin();
     long number = proposal.number();
@@ -87,16 +91,19 @@
     confirmClear();
   }
 
-  /** Tells the leader what this voter is clear of, repeatedly until the changes are settled. */
+  /**
+   * Sends the leader the changes that this voter is clear of, repeatedly until they have taken
+   * effect or are withdrawn.
+   */
   private void confirmClear() {
     Catalog catalog = replica.catalog();
     List<Long> cleared =
         catalog.waiting().isEmpty() ? List.of() : grantor.clearedChanges(clock.now(), catalog);
-    boolean due = !cleared.equals(confirmed) || clock.now() >= confirmationDueAt;
+    boolean due = !cleared.equals(confirmedChanges) || clock.now() >= confirmationDueAt;
     if (cleared.isEmpty() || !due) {
       return;
     }
-    confirmed = cleared;
+    confirmedChanges = cleared;
     confirmationDueAt = clock.now() + CONFIRMATION_INTERVAL;
     voter
         .leader()
@@ -111,7 +118,7 @@
     if (waiting.isEmpty()) {
       return due;
     }
-    long confirmation = confirmed.isEmpty() ? Long.MAX_VALUE : confirmationDueAt;
+    long confirmation = confirmedChanges.isEmpty() ? Long.MAX_VALUE : confirmationDueAt;
     return Math.min(due, Math.min(confirmation, grantor.nextDueAt(clock.now(), waiting)));
   }
 
--- a/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Catalog.java
@@ -15,50 +15,55 @@
 import tillerlink.messages.statements.Entry;
 
 /**
- * The prepared statements, and the schema version of each table group: a pure function of the log.
- * A generation is the index of the entry that gave a statement its text: a name that is dropped
- * needs no tombstone, and no old text comes back. Owned by the gateway's event loop.
+ * The catalog of prepared statements, with the schema version of each table group. Its state is a
+ * pure function of the log. The generation of a statement is the index of the log entry that set
+ * its text. Because indexes only grow, a dropped name needs no tombstone, and an old text can't
+ * become current again. Owned by the gateway's event loop.
  */
 public final class Catalog {
-  /** Statements at most. */
+  /** The maximum number of statements. */
   public static final int STATEMENTS_MAX = 1024;
 
   /**
-   * Bytes of all texts and names; a snapshot stays below what one value of the durable table holds.
+   * The maximum estimated size in bytes of all definitions. The limit keeps a snapshot below the
+   * maximum size of one value in the durable table.
    */
   public static final int BYTES_MAX = 640 * 1024;
 
-  /** Table groups with a schema version at most. */
+  /** The maximum number of table groups with a schema version. */
   public static final int GROUPS_MAX = 256;
 
-  /** Announced changes of one group that have not taken effect, at most. */
+  /** The maximum number of announced changes of one group that have not taken effect. */
   public static final int WAITING_PER_GROUP_MAX = 8;
 
-  /** Processes whose last request is stored, those that asked last. */
+  /**
+   * The maximum number of processes whose last outcome is stored; the process whose last request is
+   * the oldest is evicted first.
+   */
   static final int ORIGINS_MAX = 512;
 
-  /** The schema version of a group of which no change took effect. */
+  /** The schema version of a group before any change of it has taken effect. */
   public static final long FIRST_VERSION = 1;
 
-  private static final int DEFINITION_OVERHEAD = 64;
-  private static final int GROUP_BYTES = 16;
-  private static final int PARAMETER_BYTES = 4;
-  private static final int USE_OVERHEAD = 4;
+  private static final int DEFINITION_OVERHEAD_BYTES = 64;
+  private static final int BYTES_PER_GROUP = 16;
+  private static final int BYTES_PER_PARAMETER = 4;
+  private static final int USE_OVERHEAD_BYTES = 4;
 
-  /** Bytes of UTF-8 that a character may take up. */
-  private static final long CHARACTER_BYTES = 3;
+  /** The maximum number of UTF-8 bytes per {@code char} of a string. */
+  private static final long MAX_BYTES_PER_CHARACTER = 3;
 
-  /** The outcome of the last request of a process. */
+  /** The number of the last request of a process, and its outcome. */
   record Answer(long number, Outcome outcome) {}
 
   final TreeMap<String, CatalogEntry> statements = new TreeMap<>();
   final TreeMap<Integer, Long> versions = new TreeMap<>();
   final TreeMap<Long, Change> waiting = new TreeMap<>();
 
-  /** Changes in effect that statements are still to be prepared again for. */
-  final TreeMap<Long, Change> unsettled = new TreeMap<>();
+  /** Changes in effect for which some statements are not prepared again yet, by their numbers. */
+  final TreeMap<Long, Change> awaitingRepreparation = new TreeMap<>();
 
-  /** By the numbers of processes. */
+  /** The outcomes of the last requests by the numbers of processes, the oldest request first. */
   final LinkedHashMap<Long, Answer> answers = new LinkedHashMap<>();
 
   long applied;
@@ -66,53 +71,66 @@
 
   // ---- reading ----
 
-  /** The index of the last entry that was applied. */
+  /** Returns the index of the last applied log entry; 0 if none was applied. */
   public long applied() {
     return applied;
   }
 
-  /** The statement of that name, in any state. */
+  /** Returns the statement of that name, in any state. */
   public Optional<CatalogEntry> find(String name) {
     return Optional.ofNullable(statements.get(name));
   }
 
-  /** All statements, by their names. */
+  /** Returns an unmodifiable view of all statements, by their names. */
   public SortedMap<String, CatalogEntry> statements() {
     return Collections.unmodifiableSortedMap(statements);
   }
 
-  /** The schema versions of all groups that a statement or a change has named. */
+  /** Returns the schema versions of all groups that a statement or a change has named. */
   public SortedMap<Integer, Long> versions() {
     return Collections.unmodifiableSortedMap(versions);
   }
 
-  /** The schema version of the group that is in effect. */
+  /** Returns the schema version of the group that is in effect. */
   public long version(int group) {
     return versions.getOrDefault(group, FIRST_VERSION);
   }
 
-  /** Announced changes that have neither taken effect nor been withdrawn, by their numbers. */
+  /** Returns the announced changes that have neither taken effect nor been withdrawn, by number. */
   public SortedMap<Long, Change> waiting() {
     return Collections.unmodifiableSortedMap(waiting);
   }
 
-  /** Whether an announced change of the group waits: no run under it may start. */
+  /**
+   * Returns whether an announced change of the group has not taken effect yet. While that is so, no
+   * run that uses the group may start.
+   */
   public boolean blocked(int group) {
     return waiting.values().stream().anyMatch(change -> change.groups().contains(group));
   }
 
   /**
-   * Whether an earlier change waits that shares a group with this one: they take effect in the
-   * order of the log.
+   * Returns whether a change can't take effect yet because an earlier change that shares a group
+   * with it has not taken effect. Such changes take effect in the order of the log.
+   *
+   * @param change the number of the change
+   * @return true also if no announced change of that number is waiting
    */
-  public boolean isBehindAnother(long change) {
+  public boolean isBlockedByEarlierChange(long change) {
     Change announced = waiting.get(change);
     return announced == null
         || waiting.headMap(change).values().stream()
             .anyMatch(other -> other.touches(announced.groups()));
   }
 
-  /** The outcome of a process's request, if it is in the log. */
+  /**
+   * Returns the outcome of a process's request.
+   *
+   * @param origin the number of the process
+   * @param number the number of the request at its process
+   * @return empty if the request has not been applied; an unknown outcome if a later request of the
+   *     process has been applied, because only the outcome of the last one is stored
+   */
   public Optional<Outcome> answer(long origin, long number) {
     Answer last = answers.get(origin);
     if (last == null || last.number < number) {
@@ -124,26 +142,31 @@
 
   // ---- applying entries ----
 
-  /** Applies the next entry; a request that was applied before changes nothing. */
+  /**
+   * Applies the next log entry. A request that was applied before changes nothing.
+   *
+   * @return the outcome of the request; the stored one if it was applied before
+   */
   public Outcome apply(Entry entry) {
     Invariant.holds(
-        entry.index() == applied + 1, () -> "entry " + entry.index() + " comes after " + applied);
-    Outcome before =
+        entry.index() == applied + 1,
+        () -> "entry " + entry.index() + " does not directly follow applied entry " + applied);
+    Outcome previousOutcome =
         entry.origin() == 0 ? null : answer(entry.origin(), entry.number()).orElse(null);
     applied = entry.index();
-    if (before != null) {
-      return before;
+    if (previousOutcome != null) {
+      return previousOutcome;
     }
-    Outcome outcome = run(entry.index(), entry.command());
-    unsettled.keySet().removeIf(change -> !isAwaited(change));
+    Outcome outcome = execute(entry.index(), entry.command());
+    awaitingRepreparation.keySet().removeIf(change -> !isRepreparationPending(change));
     if (entry.origin() != 0) {
       storeAnswer(entry.origin(), new Answer(entry.number(), outcome));
     }
     return outcome;
   }
 
-  /** Whether a statement is still to be prepared again for that change. */
-  private boolean isAwaited(long change) {
+  /** Returns whether a statement is not prepared again yet for that change. */
+  private boolean isRepreparationPending(long change) {
     return statements.values().stream()
         .anyMatch(entry -> entry.state() == State.ANEW && entry.change() == change);
   }
@@ -156,7 +179,7 @@
     }
   }
 
-  private Outcome run(long index, Command command) {
+  private Outcome execute(long index, Command command) {
     if (command instanceof Command.Prepare prepare) {
       return prepare(index, prepare);
     } else if (command instanceof Command.Drop drop) {
@@ -183,7 +206,7 @@
     if (old != null && old.state() == State.READY && old.definition().equals(definition)) {
       return Outcome.done(old.generation());
     }
-    Optional<String> exceeded = exceededBound(definition, old);
+    Optional<String> exceeded = exceededLimit(definition, old);
     if (exceeded.isPresent()) {
       return Outcome.refused("no more than " + exceeded.get());
     }
@@ -191,7 +214,7 @@
     return Outcome.done(index);
   }
 
-  /** Why the catalog is no longer as the client saw it; empty if it is. */
+  /** Returns how the catalog differs from what the client expected; empty if it does not. */
   private Optional<String> conflict(Command.Prepare command, CatalogEntry old) {
     for (int group : command.definition().groups()) {
       if (command.versions().getOrDefault(group, 0L) != version(group)) {
@@ -205,8 +228,8 @@
     return Optional.empty();
   }
 
-  /** The bound that the catalog would exceed with the definition; empty if none. */
-  private Optional<String> exceededBound(Definition definition, CatalogEntry old) {
+  /** Returns a text for the limit that the definition would exceed; empty if it fits. */
+  private Optional<String> exceededLimit(Definition definition, CatalogEntry old) {
     if (old == null && statements.size() >= STATEMENTS_MAX) {
       return Optional.of(STATEMENTS_MAX + " statements");
     }
@@ -269,12 +292,12 @@
   }
 
   private Outcome putIntoEffect(long id) {
-    if (isBehindAnother(id)) {
+    if (isBlockedByEarlierChange(id)) {
       return Outcome.refused("it is not its turn");
     }
     Change change = waiting.remove(id);
     change.groups().forEach(group -> versions.merge(group, 1L, Long::sum));
-    unsettled.put(id, change);
+    awaitingRepreparation.put(id, change);
     for (CatalogEntry old : new ArrayList<>(statements.values())) {
       if (change.touches(old.definition().groups())) {
         put(afterChange(old, change, id));
@@ -283,14 +306,17 @@
     return Outcome.done(id);
   }
 
-  /** An invalid statement stays so, and keeps the versions that it was last prepared under. */
+  /**
+   * Returns the entry of a statement after a change of one of its groups. An invalid statement
+   * stays invalid and keeps the versions that it was last prepared under.
+   */
   private CatalogEntry afterChange(CatalogEntry old, Change change, long id) {
     if (old.state() == State.INVALID) {
       return old.withState(old.versions(), State.INVALID, old.change());
     }
     State impact = ChangeImpact.of(old.definition(), change);
-    // A second change before the statement was prepared again for the first invalidates it too:
-    // preparing it for the second would not do what the first asked for.
+    // A second change also invalidates a statement that has not been prepared again for the first,
+    // because preparing it for the second change alone would omit the effects of the first.
     if (impact == State.INVALID || old.state() == State.ANEW) {
       return old.withState(old.versions(), State.INVALID, id);
     }
@@ -317,47 +343,54 @@
     return Outcome.done(index);
   }
 
+  /** Stores an entry under its name, and checks the invariants of the catalog. */
   void put(CatalogEntry entry) {
     String name = entry.definition().name();
     CatalogEntry old = statements.put(name, entry);
     bytes += size(entry) - size(old);
     Invariant.holds(
         old == null || old.generation() <= entry.generation(),
-        () -> "generation of " + name + " falls");
+        () -> "generation of " + name + " decreases to " + entry.generation());
     Invariant.holds(
         entry.state() != State.READY
             || entry.versions().entrySet().stream()
-                .allMatch(each -> version(each.getKey()) == each.getValue()),
-        () -> name + " is ready under an old schema");
+                .allMatch(
+                    groupVersion -> version(groupVersion.getKey()) == groupVersion.getValue()),
+        () -> "statement " + name + " is ready under schema versions that are not in effect");
     Invariant.holds(
         statements.size() <= STATEMENTS_MAX && bytes <= BYTES_MAX,
-        () -> "catalog beyond its bounds");
+        () ->
+            "catalog exceeds its limits: "
+                + statements.size()
+                + " statements, "
+                + bytes
+                + " bytes");
   }
 
   private static long size(CatalogEntry entry) {
     return entry == null ? 0 : size(entry.definition());
   }
 
-  /** About how many bytes a definition takes up in a snapshot. */
+  /** Returns an estimate of a definition's size in a snapshot, in bytes. */
   private static long size(Definition definition) {
-    return definition.name().length() * CHARACTER_BYTES
-        + definition.text().length() * CHARACTER_BYTES
+    return definition.name().length() * MAX_BYTES_PER_CHARACTER
+        + definition.text().length() * MAX_BYTES_PER_CHARACTER
         + definition.requestClass().length()
-        + (long) definition.groups().size() * GROUP_BYTES
-        + (long) definition.parameters().size() * PARAMETER_BYTES
+        + (long) definition.groups().size() * BYTES_PER_GROUP
+        + (long) definition.parameters().size() * BYTES_PER_PARAMETER
         + definition.uses().stream()
-            .mapToLong(use -> use.length() * CHARACTER_BYTES + USE_OVERHEAD)
+            .mapToLong(use -> use.length() * MAX_BYTES_PER_CHARACTER + USE_OVERHEAD_BYTES)
             .sum()
-        + DEFINITION_OVERHEAD;
+        + DEFINITION_OVERHEAD_BYTES;
   }
 
-  /** Statements that are to be prepared again, each with the change that asks for it. */
+  /** Returns the statements to be prepared again, each with the change that requires it. */
   public Map<CatalogEntry, Change> waitingAnew() {
     LinkedHashMap<CatalogEntry, Change> result = new LinkedHashMap<>();
-    if (!unsettled.isEmpty()) {
+    if (!awaitingRepreparation.isEmpty()) {
       statements.values().stream()
           .filter(entry -> entry.state() == State.ANEW)
-          .forEach(entry -> result.put(entry, unsettled.get(entry.change())));
+          .forEach(entry -> result.put(entry, awaitingRepreparation.get(entry.change())));
     }
     return result;
   }
--- a/statements/src/main/java/tillerlink/statements/catalog/CatalogEntry.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/CatalogEntry.java
@@ -8,10 +8,12 @@
 /**
  * A statement in the catalog.
  *
- * @param generation the index of the log that last gave it its text: it only grows, for each name
- *     and over all names
- * @param versions the schema version of each of its groups that it is prepared under
- * @param change the change that made it other than ready; 0 if it is ready
+ * @param definition the statement's definition
+ * @param generation the index of the log entry that last set its text; it only grows, for each name
+ *     and across all names
+ * @param versions the schema versions that it is prepared under, by the groups that it uses
+ * @param state whether it can be run
+ * @param change the number of the change that made it other than ready; 0 if it is ready
  */
 public record CatalogEntry(
     Definition definition,
@@ -19,7 +21,7 @@
     SortedMap<Integer, Long> versions,
     State state,
     long change) {
-  /** Copies the map. */
+  /** Creates an entry with an unmodifiable copy of the versions. */
   public CatalogEntry {
     versions = Collections.unmodifiableSortedMap(new TreeMap<>(versions));
   }
--- a/statements/src/main/java/tillerlink/statements/catalog/ChangeImpact.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/ChangeImpact.java
@@ -5,11 +5,11 @@
 import tillerlink.messages.statements.Change;
 import tillerlink.messages.statements.Definition;
 
-/** Decides what a change of the schema means for a statement. */
+/** The effect of a schema change on a statement. */
 final class ChangeImpact {
   private ChangeImpact() {}
 
-  /** The state of a ready statement after the change; ready if the change leaves it untouched. */
+  /** Returns the state of a ready statement after the change; ready if it is not affected. */
   static State of(Definition definition, Change change) {
     List<String> uses = definition.uses();
     if (usesAny(uses, change.removed())) {
--- a/statements/src/main/java/tillerlink/statements/catalog/Outcome.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Outcome.java
@@ -1,21 +1,22 @@
 package tillerlink.statements.catalog;
 
 /**
- * What became of a request to change the catalog.
+ * The outcome of a request to change the catalog.
  *
- * @param id the generation, or the number of the change; 0 unless done
- * @param message why not, for people
+ * @param verdict whether the request was done
+ * @param id the generation of the statement or the number of the change; 0 unless done
+ * @param message a readable reason why the request was not done; empty if it was done
  */
 public record Outcome(Verdict verdict, long id, String message) {
-  /** Whether a request was done. The numbers are those of snapshots. */
+  /** The verdict on a request. Each constant has a fixed number that is stored in snapshots. */
   public enum Verdict {
     /** The request is in the log and took effect. */
     DONE(0),
-    /** The request was checked and changed nothing. */
+    /** The request was refused and changed nothing. */
     REFUSED(1),
     /**
-     * The gateway learned nothing in time: the request may be done, be done later or never.
-     * Repeating it is safe.
+     * The gateway did not learn the outcome in time. The request may have taken effect, may take
+     * effect later or may never do so. Repeating it is safe.
      */
     UNKNOWN(2);
 
@@ -25,23 +26,23 @@
       this.storedNumber = storedNumber;
     }
 
-    /** The number that stands for it in snapshots. */
+    /** Returns the number of this verdict in snapshots. */
     int storedNumber() {
       return storedNumber;
     }
   }
 
-  /** The request was done. */
+  /** Returns the outcome of a request that took effect. */
   public static Outcome done(long id) {
     return new Outcome(Verdict.DONE, id, "");
   }
 
-  /** The request was refused. */
+  /** Returns the outcome of a refused request. */
   public static Outcome refused(String message) {
     return new Outcome(Verdict.REFUSED, 0, message);
   }
 
-  /** It is not known what became of the request. */
+  /** Returns the outcome of a request whose result is not known to this gateway. */
   public static Outcome unknown(String message) {
     return new Outcome(Verdict.UNKNOWN, 0, message);
   }
--- a/statements/src/main/java/tillerlink/statements/catalog/Snapshots.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/Snapshots.java
@@ -12,13 +12,13 @@
 import tillerlink.messages.statements.Definition;
 
 /**
- * The codec of a whole catalog. Two gateways that have applied the same entries write the same
- * bytes.
+ * The codec for snapshots of a whole catalog. Two gateways that have applied the same log entries
+ * write the same bytes.
  */
 public final class Snapshots {
   private static final int MESSAGE_BYTES_MAX = 256;
 
-  /** Fields of a catalog. */
+  /** The field numbers of a catalog. */
   private static final int APPLIED = 1;
 
   private static final int VERSION = 2;
@@ -27,17 +27,17 @@
   private static final int STATEMENT = 5;
   private static final int ANSWER = 6;
 
-  /** Fields of a group's schema version. */
+  /** The field numbers of a group's schema version. */
   private static final int VERSION_GROUP = 1;
 
   private static final int VERSION_NUMBER = 2;
 
-  /** Fields of a change. */
+  /** The field numbers of a change. */
   private static final int CHANGE_ID = 1;
 
   private static final int CHANGE_CONTENT = 2;
 
-  /** Fields of a statement. */
+  /** The field numbers of a statement. */
   private static final int STATEMENT_DEFINITION = 1;
 
   private static final int STATEMENT_GENERATION = 2;
@@ -45,7 +45,7 @@
   private static final int STATEMENT_CHANGE = 4;
   private static final int STATEMENT_VERSION = 5;
 
-  /** Fields of the answer to a process's last request. */
+  /** The field numbers of the outcome of a process's last request. */
   private static final int ANSWER_ORIGIN = 1;
 
   private static final int ANSWER_NUMBER = 2;
@@ -57,15 +57,16 @@
 
   // ---- writing ----
 
-  /** The catalog as bytes. */
+  /** Encodes the catalog. */
   public static byte[] write(Catalog catalog) {
-    FieldWriter to = new FieldWriter().number(APPLIED, catalog.applied);
-    catalog.versions.forEach((group, version) -> to.within(VERSION, version(group, version)));
-    catalog.waiting.forEach((id, change) -> to.within(WAITING_CHANGE, change(id, change)));
-    catalog.unsettled.forEach((id, change) -> to.within(EFFECTIVE_CHANGE, change(id, change)));
-    catalog.statements.values().forEach(entry -> to.within(STATEMENT, statement(entry)));
-    catalog.answers.forEach((origin, answer) -> to.within(ANSWER, answer(origin, answer)));
-    return to.done();
+    FieldWriter out = new FieldWriter().number(APPLIED, catalog.applied);
+    catalog.versions.forEach((group, version) -> out.within(VERSION, version(group, version)));
+    catalog.waiting.forEach((id, change) -> out.within(WAITING_CHANGE, change(id, change)));
+    catalog.awaitingRepreparation.forEach(
+        (id, change) -> out.within(EFFECTIVE_CHANGE, change(id, change)));
+    catalog.statements.values().forEach(entry -> out.within(STATEMENT, statement(entry)));
+    catalog.answers.forEach((origin, answer) -> out.within(ANSWER, answer(origin, answer)));
+    return out.done();
   }
 
   private static FieldWriter version(int group, long version) {
@@ -79,7 +80,7 @@
   }
 
   private static FieldWriter statement(CatalogEntry entry) {
-    FieldWriter to =
+    FieldWriter out =
         new FieldWriter()
             .within(STATEMENT_DEFINITION, CommandCodec.definition(entry.definition()))
             .number(STATEMENT_GENERATION, entry.generation())
@@ -87,8 +88,8 @@
             .number(STATEMENT_CHANGE, entry.change());
     entry
         .versions()
-        .forEach((group, version) -> to.within(STATEMENT_VERSION, version(group, version)));
-    return to;
+        .forEach((group, version) -> out.within(STATEMENT_VERSION, version(group, version)));
+    return out;
   }
 
   private static FieldWriter answer(long origin, Catalog.Answer answer) {
@@ -104,32 +105,41 @@
   // ---- reading ----
 
   /**
-   * Reads a catalog.
+   * Decodes a catalog.
    *
-   * @throws MalformedMessageException if the bytes are no catalog, or one beyond its bounds
+   * @throws MalformedMessageException if the bytes are malformed, or the catalog exceeds its limits
+   *     on statements or table groups
    */
   public static Catalog read(byte[] bytes) throws MalformedMessageException {
-    Catalog to = new Catalog();
+    Catalog catalog = new Catalog();
     List<CatalogEntry> entries = new ArrayList<>();
     for (FieldReader in = new FieldReader(bytes); in.next(); ) {
       switch (in.field()) {
-        case APPLIED -> to.applied = in.number();
-        case VERSION -> readVersion(in.within(), to.versions);
-        case WAITING_CHANGE -> readChange(in.within(), to.waiting);
-        case EFFECTIVE_CHANGE -> readChange(in.within(), to.unsettled);
+        case APPLIED -> catalog.applied = in.number();
+        case VERSION -> readVersion(in.within(), catalog.versions);
+        case WAITING_CHANGE -> readChange(in.within(), catalog.waiting);
+        case EFFECTIVE_CHANGE -> readChange(in.within(), catalog.awaitingRepreparation);
         case STATEMENT -> entries.add(readStatement(in.within()));
-        case ANSWER -> readAnswer(in.within(), to);
+        case ANSWER -> readAnswer(in.within(), catalog);
         default -> {}
       }
     }
-    if (entries.size() > Catalog.STATEMENTS_MAX || to.versions.size() > Catalog.GROUPS_MAX) {
-      throw new MalformedMessageException("a catalog beyond its bounds");
+    if (entries.size() > Catalog.STATEMENTS_MAX || catalog.versions.size() > Catalog.GROUPS_MAX) {
+      throw new MalformedMessageException(
+          "catalog snapshot has "
+              + entries.size()
+              + " statements and "
+              + catalog.versions.size()
+              + " table groups, maximum is "
+              + Catalog.STATEMENTS_MAX
+              + " and "
+              + Catalog.GROUPS_MAX);
     }
-    entries.forEach(to::put);
-    return to;
+    entries.forEach(catalog::put);
+    return catalog;
   }
 
-  private static void readVersion(FieldReader in, SortedMap<Integer, Long> to)
+  private static void readVersion(FieldReader in, SortedMap<Integer, Long> versions)
       throws MalformedMessageException {
     int group = 0;
     long version = 0;
@@ -140,10 +150,10 @@
         default -> {}
       }
     }
-    to.put(group, version);
+    versions.put(group, version);
   }
 
-  private static void readChange(FieldReader in, SortedMap<Long, Change> to)
+  private static void readChange(FieldReader in, SortedMap<Long, Change> changes)
       throws MalformedMessageException {
     long id = 0;
     Change change = null;
@@ -155,9 +165,9 @@
       }
     }
     if (change == null) {
-      throw new MalformedMessageException("a change without its groups");
+      throw new MalformedMessageException("change " + id + " in catalog snapshot has no content");
     }
-    to.put(id, change);
+    changes.put(id, change);
   }
 
   private static CatalogEntry readStatement(FieldReader in) throws MalformedMessageException {
@@ -177,12 +187,13 @@
       }
     }
     if (definition == null) {
-      throw new MalformedMessageException("a statement without its text");
+      throw new MalformedMessageException(
+          "statement of generation " + generation + " in catalog snapshot has no definition");
     }
     return new CatalogEntry(definition, generation, versions, state, change);
   }
 
-  private static void readAnswer(FieldReader in, Catalog to) throws MalformedMessageException {
+  private static void readAnswer(FieldReader in, Catalog catalog) throws MalformedMessageException {
     long origin = 0;
     long number = 0;
     Outcome.Verdict verdict = Outcome.Verdict.DONE;
@@ -200,6 +211,6 @@
         default -> {}
       }
     }
-    to.answers.put(origin, new Catalog.Answer(number, new Outcome(verdict, id, message)));
+    catalog.answers.put(origin, new Catalog.Answer(number, new Outcome(verdict, id, message)));
   }
 }
--- a/statements/src/main/java/tillerlink/statements/catalog/State.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/State.java
@@ -1,12 +1,15 @@
 package tillerlink.statements.catalog;
 
-/** The state of a catalog entry. The numbers are those of snapshots. */
+/** The state of a catalog entry. Each constant has a fixed number that is stored in snapshots. */
 public enum State {
-  /** Prepared under the schema versions that are in effect. */
+  /** The statement is prepared under the schema versions in effect. */
   READY(0),
-  /** A change took effect that the statement is to be prepared again for, by the leader. */
+  /** A change took effect, and the leader has to prepare the statement again for it. */
   ANEW(1),
-  /** A change took effect under which it can't be run; only a client can prepare it again. */
+  /**
+   * A change took effect after which the statement can't be run. Only a client can prepare it
+   * again.
+   */
   INVALID(2);
 
   private final int storedNumber;
@@ -15,7 +18,7 @@
     this.storedNumber = storedNumber;
   }
 
-  /** The number that stands for it in snapshots. */
+  /** Returns the number of this state in snapshots. */
   int storedNumber() {
     return storedNumber;
   }
--- a/statements/src/main/java/tillerlink/statements/catalog/StoredNumbers.java
+++ b/statements/src/main/java/tillerlink/statements/catalog/StoredNumbers.java
@@ -5,14 +5,16 @@
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.MalformedMessageException;
 
-/** Reads constants that snapshots store by explicit numbers. */
+/** A reader of enum constants that snapshots store as explicit numbers. */
 final class StoredNumbers {
   private StoredNumbers() {}
 
   /**
-   * The constant that the current field's number stands for.
+   * Returns the constant whose stored number is the value of the current field.
    *
-   * @throws MalformedMessageException if the number stands for none
+   * @param constants all constants of the enum
+   * @param storedNumber returns the stored number of a constant
+   * @throws MalformedMessageException if no constant has that number
    */
   static <E> E read(FieldReader in, E[] constants, ToIntFunction<E> storedNumber)
       throws MalformedMessageException {
@@ -20,6 +22,8 @@
     return Arrays.stream(constants)
         .filter(constant -> storedNumber.applyAsInt(constant) == number)
         .findFirst()
-        .orElseThrow(() -> new MalformedMessageException("no constant of number " + number));
+        .orElseThrow(
+            () ->
+                new MalformedMessageException("no enum constant has the stored number " + number));
   }
 }
--- a/statements/src/main/java/tillerlink/statements/run/Permission.java
+++ b/statements/src/main/java/tillerlink/statements/run/Permission.java
@@ -1,34 +1,35 @@
 package tillerlink.statements.run;
 
-/** Whether a prepared statement may be run. Times are in tenths of a millisecond. */
+/** The result of checking whether a statement may be run. Times are in tenths of a millisecond. */
 public sealed interface Permission {
   /**
    * The run may start.
    *
-   * @param until its attempt must be written before then, by the gateway's clock
+   * @param until the time before which its attempt must be written, by the gateway's clock
    */
   record Granted(long until) implements Permission {}
 
   /**
    * The run may not start.
    *
-   * @param message why, for people
-   * @param retryAfter after how long another try is worth it; 0 if none is, as the statement has to
-   *     be looked up or prepared again
+   * @param reason why the run may not start
+   * @param message a readable description of the reason, which is sent to the client
+   * @param retryAfter the delay after which a retry may succeed; 0 if a retry can't succeed because
+   *     the statement has to be looked up or prepared again
    */
   record Denied(Reason reason, String message, long retryAfter) implements Permission {}
 
-  /** Why a run may not start. */
+  /** The reason why a run may not start. */
   enum Reason {
     /** The statement is not prepared, or another text has replaced it. */
     OTHER,
-    /** A change took effect under which the statement can't be run. */
+    /** A change took effect after which the statement can't be run. */
     INVALID,
     /** A change took effect, and the statement is being prepared again for it. */
     ANEW,
-    /** A change of one of the statement's groups is announced. */
+    /** A change of one of the statement's groups is announced and has not taken effect. */
     CHANGING,
-    /** This gateway holds no lease on one of the statement's groups. */
+    /** This gateway has no valid lease on one of the statement's groups. */
     UNKNOWN
   }
 }
--- a/statements/src/main/java/tillerlink/statements/run/Prepared.java
+++ b/statements/src/main/java/tillerlink/statements/run/Prepared.java
@@ -7,12 +7,14 @@
 import tillerlink.statements.prepare.Template;
 
 /**
- * A prepared statement as it was looked up. It may be run as long as its catalog entry has the same
- * generation and versions.
+ * A prepared statement as it was when it was looked up. It may be run as long as its catalog entry
+ * has the same generation and versions.
  *
- * @param generation which text of the name it is
- * @param versions the schema version of each group that it is prepared under
- * @param entry the catalog entry that it was made of
+ * @param definition the statement's definition
+ * @param generation the generation of the statement's text
+ * @param versions the schema versions that it is prepared under, by the groups that it uses
+ * @param entry the catalog entry from which it was created
+ * @param template the parsed text of the statement
  */
 public record Prepared(
     Definition definition,
@@ -21,7 +23,7 @@
     CatalogEntry entry,
     Template template) {
 
-  /** A statement ready to be rendered. */
+  /** Creates a prepared statement from a catalog entry. */
   public static Prepared of(CatalogEntry entry) {
     return new Prepared(
         entry.definition(),
@@ -31,28 +33,34 @@
         Template.of(entry.definition()));
   }
 
-  /** Whether it was made of that very entry. */
-  // A catalog entry is replaced as a whole, so that comparing references is enough for a cache.
+  /** Returns whether this statement was created from that same entry object. */
+  // Catalog entries are replaced as a whole, so comparing references is sufficient for a cache.
   @SuppressWarnings("ReferenceEquality")
-  public boolean isOf(CatalogEntry other) {
+  public boolean wasCreatedFrom(CatalogEntry other) {
     return entry == other;
   }
 
   /**
-   * The text of a run.
+   * Returns the text of a run.
    *
-   * @param fence whether the text carries the schema versions, for engines that check them
-   * @throws IllegalArgumentException if a value is not of its type; the message is for people
+   * @param values the values of the parameters in order; null renders as {@code NULL}
+   * @param includeVersions whether the text starts with a comment that contains the schema
+   *     versions, for engines that check them
+   * @throws IllegalArgumentException if a value is not of its type, there are too few or too many
+   *     values, or the rendered text is too long; the message is sent to the client
    */
-  public String text(List<String> values, boolean fence) {
-    return template.render(values, fence ? fence() : "");
+  public String text(List<String> values, boolean includeVersions) {
+    return template.render(values, includeVersions ? versionsComment() : "");
   }
 
-  /** The versions as a comment: {@code 17=4} is a group and its version. */
-  private String fence() {
-    StringBuilder words = new StringBuilder("/*+ schema");
+  /**
+   * Returns the schema versions as a comment, in which {@code 17=4} means that group 17 has version
+   * 4.
+   */
+  private String versionsComment() {
+    StringBuilder comment = new StringBuilder("/*+ schema");
     versions.forEach(
-        (group, version) -> words.append(' ').append(group).append('=').append(version));
-    return words.append(" */ ").toString();
+        (group, version) -> comment.append(' ').append(group).append('=').append(version));
+    return comment.append(" */ ").toString();
   }
 }
