--- a/statements/src/test/java/tillerlink/statements/AttemptsTest.java
+++ b/statements/src/test/java/tillerlink/statements/AttemptsTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A change of the schema while an engine executes, or may execute, an attempt that was written
+ * Tests of a schema change while an engine executes, or may execute, an attempt that was written
  * before the change was announced.
  */
 class AttemptsTest {
@@ -19,29 +19,34 @@
     cluster.startAll();
     assertTrue(cluster.playUntil(10 * ClusterFixture.SECOND, cluster::hasLeader));
     cluster.prepare(
-        "g1", Fixtures.definition("top", "select 1 from orders_17.orders", 17), any -> {});
-    assertTrue(cluster.playUntil(5 * ClusterFixture.SECOND, () -> runs("g1") && runs("g2")));
-    // A voter that has just started is clear of no change.
+        "g1", Fixtures.definition("top", "select 1 from orders_17.orders", 17), outcome -> {});
+    assertTrue(cluster.playUntil(5 * ClusterFixture.SECOND, () -> canRun("g1") && canRun("g2")));
+    // A voter confirms no change until leases granted before its start have expired.
     cluster.fleet.playFor(2 * LEASE);
   }
 
-  private boolean runs(String at) {
+  private boolean canRun(String at) {
     return cluster.canRun(at, "top");
   }
 
-  /** Announces a change and waits until it is in effect; how long that took. */
+  /**
+   * Announces a change, waits until it is in effect and checks that no run violated a rule.
+   *
+   * @return the time from the announcement to the effect, in tenths of a millisecond
+   */
   private long announceAndAwaitEffect() {
     long version = cluster.statements("g2").catalog().version(17);
-    long from = cluster.fleet.now();
-    cluster.announce("g2", Fixtures.untouched(17), any -> {});
+    long announcedAt = cluster.fleet.now();
+    cluster.announce("g2", Fixtures.untouched(17), outcome -> {});
     assertTrue(
         cluster.playUntil(
             20 * ClusterFixture.SECOND,
             () -> cluster.statements("g2").catalog().version(17) > version));
     assertEquals(List.of(), cluster.audit.violations());
-    return cluster.fleet.now() - from;
+    return cluster.fleet.now() - announcedAt;
   }
 
+  /** Writes one attempt at g1, and waits until it is written. */
   private void run(long executionTime, double uncertainShare) {
     cluster.setExecutionTime(executionTime);
     cluster.setUncertainShare(uncertainShare);
@@ -51,7 +56,7 @@
   }
 
   @Test
-  void aChangeTakesEffectOnceTheAttemptEnded() {
+  void changeTakesEffectOnceTheAttemptHasEnded() {
     startAndPrepare();
     run(ClusterFixture.SECOND, 0);
     long took = announceAndAwaitEffect();
@@ -60,7 +65,7 @@
   }
 
   @Test
-  void aChangeTakesEffectOnceTheLeaseExpiredUnderALongAttempt() {
+  void changeTakesEffectOnceTheLeaseOfALongAttemptHasExpired() {
     startAndPrepare();
     run(10 * ClusterFixture.SECOND, 0);
     long took = announceAndAwaitEffect();
@@ -68,7 +73,7 @@
   }
 
   @Test
-  void anUncertainAttemptKeepsItsLeaseFromBeingReleased() {
+  void leaseOfAnUncertainAttemptIsNotReleased() {
     startAndPrepare();
     run(10 * ClusterFixture.MS, 1);
     long took = announceAndAwaitEffect();
@@ -76,7 +81,7 @@
   }
 
   @Test
-  void anUncertainAttemptIsForgottenAfterItsDeadline() {
+  void uncertainAttemptNoLongerDelaysChangesAfterItsDeadline() {
     startAndPrepare();
     run(10 * ClusterFixture.MS, 1);
     cluster.fleet.playFor(LEASE + ClusterFixture.SECOND);
@@ -85,10 +90,11 @@
   }
 
   /**
-   * A process that was paused drops its leases, but does not release those of attempts in flight.
+   * A process drops its leases after a pause. If it also released those of attempts in flight, a
+   * change could take effect while an engine still executes an attempt.
    */
   @Test
-  void aPauseDoesNotEndAttempts() {
+  void pauseKeepsLeasesOfAttemptsInFlight() {
     startAndPrepare();
     run(2 * ClusterFixture.SECOND, 0);
     cluster.pause("g1");
@@ -100,7 +106,7 @@
         took >= ClusterFixture.SECOND && took <= 1700 * ClusterFixture.MS, took / 10 + " ms");
   }
 
-  /** A process that ends releases leases that no attempt runs under. */
+  /** A process releases leases without attempts at shutdown, so that changes need not wait. */
   @Test
   void shutdownReleasesLeasesWithoutAttempts() {
     startAndPrepare();
--- a/statements/src/test/java/tillerlink/statements/Audit.java
+++ b/statements/src/test/java/tillerlink/statements/Audit.java
@@ -11,8 +11,9 @@
 import tillerlink.statements.run.Prepared;
 
 /**
- * Watches a cluster from outside: which runs were written when, and when a change was first seen in
- * effect. Times are true time, in tenths of a millisecond.
+ * An audit of a cluster from outside. It records which attempts were written when and when each
+ * change was first in effect on any gateway, and collects violations of the rules. Times are true
+ * time, in tenths of a millisecond.
  */
 final class Audit {
   private final List<String> violations = new ArrayList<>();
@@ -28,7 +29,9 @@
   /**
    * An attempt that an engine executes.
    *
-   * @param leaseUntil when the lease expires that it was written under
+   * @param gateway the gateway that wrote the attempt
+   * @param prepared the statement that it runs
+   * @param leaseUntil the end of the lease under which it was written
    */
   record Attempt(String gateway, Prepared prepared, long leaseUntil) {}
 
@@ -36,22 +39,22 @@
     return violations;
   }
 
-  /** Runs that were written. */
+  /** Returns the number of attempts that were written. */
   long runs() {
     return runs;
   }
 
-  /** Schema versions that took effect. */
+  /** Returns the number of schema versions that took effect. */
   long effects() {
     return effects;
   }
 
-  /** Runs that were rejected when they came. */
+  /** Returns the number of runs that were rejected on arrival. */
   long rejected() {
     return rejected;
   }
 
-  /** Runs that were cancelled when they were to be written. */
+  /** Returns the number of runs that were cancelled just before their attempt was written. */
   long cancelled() {
     return cancelled;
   }
@@ -70,13 +73,18 @@
     return attempt;
   }
 
-  /** An engine is done, whether its gateway learns of it or not. */
+  /** Records that an engine finished an attempt, whether its gateway learns of it or not. */
   void onExecutionEnded(Attempt attempt) {
     executing.remove(attempt);
   }
 
-  /** A gateway took a step: checks what its catalog says. */
-  void onStep(long now, String process, Statements statements) {
+  /**
+   * Checks a gateway's catalog after the gateway handled a message or a tick. The generation of a
+   * name must not decrease, and a generation must have one text.
+   *
+   * @param process the name of the process, which differs after each restart
+   */
+  void onCatalogUpdated(long now, String process, Statements statements) {
     Catalog catalog = statements.catalog();
     catalog.versions().forEach((group, version) -> onVersion(now, group, version));
     catalog
@@ -97,6 +105,7 @@
     }
   }
 
+  /** Checks that no engine executes an attempt under a valid lease when a version takes effect. */
   private void checkExecuting(long now, int group, long version) {
     executing.stream()
         .filter(attempt -> attempt.leaseUntil > now)
@@ -108,9 +117,9 @@
                     now / ClusterFixture.MS
                         + " ms: group "
                         + group
-                        + " changes while an attempt of "
+                        + " changes while an engine executes an attempt of "
                         + attempt.gateway
-                        + " is at an engine, under a lease until "
+                        + ", lease valid until "
                         + attempt.leaseUntil / ClusterFixture.MS
                         + " ms"));
   }
@@ -118,7 +127,7 @@
   private void onGeneration(String key, long generation) {
     long last = generations.getOrDefault(key, 0L);
     if (generation < last) {
-      violations.add(key + ": generation falls from " + last + " to " + generation);
+      violations.add(key + ": generation decreases from " + last + " to " + generation);
     }
     generations.put(key, generation);
   }
@@ -130,7 +139,7 @@
     }
   }
 
-  /** An attempt was written: no group's schema version may be an earlier one than in effect. */
+  /** Checks that a written attempt runs under schema versions that no later one has replaced. */
   void onRun(long now, String gateway, Prepared prepared) {
     runs++;
     String name = prepared.definition().name();
@@ -147,11 +156,11 @@
                         + gateway
                         + " runs "
                         + name
-                        + " under version "
+                        + " under schema version "
                         + version
                         + " of group "
                         + group
-                        + ", in effect is "
+                        + ", in effect is version "
                         + newest);
               }
             });
--- a/statements/src/test/java/tillerlink/statements/ClusterFixture.java
+++ b/statements/src/test/java/tillerlink/statements/ClusterFixture.java
@@ -32,8 +32,8 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * A cluster of gateways in virtual time that keep prepared statements, with load and an audit.
- * Times are in tenths of a millisecond.
+ * A simulated cluster of gateways with prepared statements, with load and an audit. It runs in
+ * virtual time. Times are in tenths of a millisecond.
  */
 final class ClusterFixture {
   static final long MS = 10;
@@ -46,7 +46,7 @@
   final SimulatedFleet fleet;
   final Audit audit = new Audit();
   final List<String> voters = new ArrayList<>();
-  final List<String> all = new ArrayList<>();
+  final List<String> gatewayNames = new ArrayList<>();
   final List<String> warnings = new ArrayList<>();
   private final SplittableRandom random;
   private final Set<InjectedFault> injectedFaults;
@@ -55,7 +55,7 @@
   private final SimulatedRuns runs;
   private final Map<String, Double> clockRates = new HashMap<>();
   private long leaseLength = SECOND;
-  private int starts;
+  private int startCount;
   private long writeDelay = WRITE_DELAY;
 
   ClusterFixture(long seed, int voterCount, int learnerCount, InjectedFault... injectedFaults) {
@@ -66,17 +66,17 @@
     for (int i = 1; i <= voterCount; i++) {
       voters.add("v" + i);
     }
-    all.addAll(voters);
+    gatewayNames.addAll(voters);
     for (int i = 1; i <= learnerCount; i++) {
-      all.add("g" + i);
+      gatewayNames.add("g" + i);
     }
   }
 
   // ---- settings ----
 
-  /** Clocks run at rates of their own, within the bound. */
-  void clocksDrift() {
-    all.forEach(name -> clockRates.put(name, 1 + (random.nextDouble() * 2 - 1) * DRIFT));
+  /** Gives each gateway's clock its own random rate within the configured drift. */
+  void randomizeClockRates() {
+    gatewayNames.forEach(name -> clockRates.put(name, 1 + (random.nextDouble() * 2 - 1) * DRIFT));
   }
 
   void setLeaseLength(long length) {
@@ -84,19 +84,21 @@
   }
 
   /**
-   * Which share of attempts ends at its gateway while an engine still executes it; drawn from a
-   * random generator of its own.
+   * Sets the share of attempts that end at their gateway while an engine still executes them. They
+   * are drawn from a separate random generator, so that the share does not change other draws.
+   *
+   * @param share from 0 to 1
    */
   void setUncertainShare(double share) {
     runs.setUncertainShare(share);
   }
 
-  /** How long an engine executes each attempt; 0 for 2 to 42 ms. */
+  /** Sets how long an engine executes each attempt; 0 draws 2 to 42 ms for each. */
   void setExecutionTime(long time) {
     runs.setExecutionTime(time);
   }
 
-  /** From now on what a disk is handed is durable so much later. */
+  /** Delays the durability of values that are written to disks from now on. */
   void setWriteDelay(long delay) {
     writeDelay = delay;
   }
@@ -105,7 +107,7 @@
     writeDelay = WRITE_DELAY;
   }
 
-  private record FixedMembership(String self, List<String> all) implements MembershipView {
+  private record FixedMembership(String self, List<String> gatewayNames) implements MembershipView {
     @Override
     public String site(String name) {
       return "";
@@ -113,7 +115,7 @@
 
     @Override
     public List<String> names() {
-      return all.stream().filter(name -> !name.equals(self)).sorted().toList();
+      return gatewayNames.stream().filter(name -> !name.equals(self)).sorted().toList();
     }
 
     @Override
@@ -125,10 +127,10 @@
   // ---- processes ----
 
   void startAll() {
-    all.forEach(this::start);
+    gatewayNames.forEach(this::start);
   }
 
-  /** With its disk as it was left. */
+  /** Starts a gateway with its disk as its last process left it, or with an empty one. */
   void start(String name) {
     InMemoryKeyValueStore disk = disks.get(name);
     start(name, disk == null ? new InMemoryKeyValueStore(fleet, WRITE_DELAY) : disk.reopen());
@@ -150,16 +152,16 @@
     kill(name);
     GatewayFixture gateway =
         new GatewayFixture(
-            name, name + "/" + ++starts, clockRates.getOrDefault(name, 1.0), fleet::now, audit);
+            name, name + "/" + ++startCount, clockRates.getOrDefault(name, 1.0), fleet::now, audit);
     disks.put(name, disk);
     LeaseConfig lease = new LeaseConfig(leaseLength, DRIFT, LEASE_MARGIN);
     try {
-      gateway.run(
+      gateway.setStatements(
           new Statements(
               new StatementsConfig(voters, lease, new RaftConfig(false, injectedFaults)),
-              new FixedMembership(name, all),
+              new FixedMembership(name, gatewayNames),
               fleet.sender(name),
-              storeOf(gateway, disk),
+              storeFor(gateway, disk),
               new Random(random.nextLong()),
               new Renaming(),
               warning -> warnings.add(time() + " " + name + ": " + warning)));
@@ -170,7 +172,7 @@
     fleet.start(name, gateway);
   }
 
-  private KeyValueStore storeOf(GatewayFixture gateway, InMemoryKeyValueStore disk) {
+  private KeyValueStore storeFor(GatewayFixture gateway, InMemoryKeyValueStore disk) {
     return new KeyValueStore() {
       @Override
       public NavigableMap<String, byte[]> initialEntries() {
@@ -180,7 +182,7 @@
       @Override
       public boolean set(String key, byte[] value, Runnable onDurable) {
         if (writeDelay > WRITE_DELAY && value != null) {
-          // Handed over, and not durable for long.
+          // The write is accepted now and reaches the simulated disk after the delay.
           fleet.at(fleet.now() + writeDelay, () -> disk.set(key, value, onDurable));
           return true;
         }
@@ -197,7 +199,7 @@
     };
   }
 
-  /** Some of what its disk had not written yet is lost. */
+  /** Kills a gateway; a random number of its pending disk writes is lost. */
   void kill(String name) {
     if (gateways.remove(name) != null) {
       InMemoryKeyValueStore disk = disks.get(name);
@@ -206,14 +208,14 @@
     }
   }
 
-  /** All of what its disk had not written yet is lost. */
+  /** Kills a gateway; all of its pending disk writes are lost. */
   void crash(String name) {
     gateways.remove(name);
     disks.get(name).crash(0);
     fleet.kill(name);
   }
 
-  /** It ends in order. */
+  /** Shuts a gateway down in order, so that it releases its leases first. */
   void shutDown(String name) {
     GatewayFixture gateway = gateways.get(name);
     gateway.statements().releaseLeases(gateway.localNow());
@@ -246,14 +248,14 @@
     return gateways.get(name).statements();
   }
 
-  /** Whether the gateway's voter has rejoined and caught up. */
+  /** Returns whether the gateway's voter has rejoined and caught up. */
   boolean isOperational(String voter) {
     return statements(voter).voter().orElseThrow().isOperational();
   }
 
   // ---- requests ----
 
-  private void onGateway(String name, Consumer<GatewayFixture> action) {
+  private void runOnGateway(String name, Consumer<GatewayFixture> action) {
     GatewayFixture gateway = gateways.get(name);
     if (gateway != null && !gateway.isPaused()) {
       action.accept(gateway);
@@ -262,12 +264,12 @@
   }
 
   void prepare(String at, Definition definition, Consumer<Outcome> onOutcome) {
-    onGateway(
+    runOnGateway(
         at, gateway -> gateway.statements().prepare(gateway.localNow(), definition, onOutcome));
   }
 
   void drop(String at, String name, Consumer<Outcome> onOutcome) {
-    onGateway(
+    runOnGateway(
         at,
         gateway ->
             gateway
@@ -276,14 +278,16 @@
   }
 
   void announce(String at, Change change, Consumer<Outcome> onOutcome) {
-    onGateway(at, gateway -> gateway.statements().announce(gateway.localNow(), change, onOutcome));
+    runOnGateway(
+        at, gateway -> gateway.statements().announce(gateway.localNow(), change, onOutcome));
   }
 
   void withdraw(String at, long change, Consumer<Outcome> onOutcome) {
-    onGateway(at, gateway -> gateway.statements().withdraw(gateway.localNow(), change, onOutcome));
+    runOnGateway(
+        at, gateway -> gateway.statements().withdraw(gateway.localNow(), change, onOutcome));
   }
 
-  /** What a gateway says of a run now: yes, or why not. */
+  /** Returns whether a gateway permits a run now: "yes" with the generation, or the reason. */
   String runState(String at, String name) {
     GatewayFixture gateway = gateways.get(at);
     if (gateway == null) {
@@ -308,7 +312,7 @@
     return runState(at, name).startsWith("yes");
   }
 
-  /** Requests a run of a statement now; what becomes of it the audit counts. */
+  /** Requests a run of a statement now; the audit counts its outcome. */
   void run(String at, String name) {
     runs.run(at, name);
   }
@@ -319,12 +323,12 @@
     return fleet.now() / MS + " ms";
   }
 
-  /** The gateways that take themselves for the leader, joined by +; none if there is none. */
+  /** Returns the gateways that consider themselves leaders, joined by +; "none" without one. */
   String leader() {
     return gateways.values().stream()
         .filter(gateway -> !gateway.isPaused() && gateway.statements().isLeader())
         .map(GatewayFixture::name)
-        .reduce((one, other) -> one + "+" + other)
+        .reduce((names, name) -> names + "+" + name)
         .orElse("none");
   }
 
@@ -340,9 +344,9 @@
     return name
         + ": applied "
         + statements.catalog().applied()
-        + ", waiting "
+        + ", waiting changes "
         + statements.catalog().waiting().keySet()
-        + ", anew "
+        + ", to be prepared again "
         + statements.catalog().waitingAnew().size()
         + ", idle "
         + statements.isIdle()
@@ -362,7 +366,11 @@
             .orElse("");
   }
 
-  /** Plays on until the condition holds; false if it does not in that time. */
+  /**
+   * Continues the simulation until the condition is true.
+   *
+   * @return whether the condition became true within the timeout
+   */
   boolean playUntil(long timeout, BooleanSupplier condition) {
     long end = fleet.now() + timeout;
     while (!condition.getAsBoolean()) {
@@ -374,7 +382,7 @@
     return true;
   }
 
-  /** Whether all gateways have the same catalog, and nothing is pending. */
+  /** Returns whether all gateways have the same catalog, and no request or change is pending. */
   boolean hasConverged() {
     Set<String> states = new HashSet<>();
     for (GatewayFixture gateway : gateways.values()) {
--- a/statements/src/test/java/tillerlink/statements/GatewayFixture.java
+++ b/statements/src/test/java/tillerlink/statements/GatewayFixture.java
@@ -5,8 +5,8 @@
 import tillerlink.cluster.ClusterComponent;
 
 /**
- * One process of a test cluster: its part of prepared statements by its own clock, and the attempts
- * that wait to be written while it is paused.
+ * One gateway process of a test cluster. It drives its prepared statements by its own clock, and
+ * defers actions on attempts while it is paused.
  */
 final class GatewayFixture implements ClusterComponent {
   private final String name;
@@ -19,10 +19,11 @@
   private boolean paused;
 
   /**
-   * Sets up a process.
+   * Creates a process without prepared statements; {@link #setStatements} sets them.
    *
-   * @param process tells it apart from other processes of the same gateway
-   * @param clockRate how much faster than true time its clock runs
+   * @param name the name of the gateway
+   * @param process a name that differs from those of other processes of the same gateway
+   * @param clockRate the rate of its clock relative to true time
    */
   GatewayFixture(
       String name, String process, double clockRate, LongSupplier trueTime, Audit audit) {
@@ -33,7 +34,7 @@
     this.audit = audit;
   }
 
-  void run(Statements component) {
+  void setStatements(Statements component) {
     statements = component;
   }
 
@@ -49,12 +50,12 @@
     return clockRate;
   }
 
-  /** What its clock shows at that true time. */
+  /** Converts a true time to the time of this process's clock. */
   long toLocal(long time) {
     return (long) (time * clockRate);
   }
 
-  /** What its clock shows now. */
+  /** Returns the current time of this process's clock. */
   long localNow() {
     return toLocal(trueTime.getAsLong());
   }
@@ -71,7 +72,7 @@
     paused = false;
   }
 
-  /** Runs the action once the process is resumed. */
+  /** Defers the action until the process is resumed. */
   void defer(Runnable action) {
     deferred.add(action);
   }
@@ -85,13 +86,13 @@
   @Override
   public void onMessage(long now, long wall, String from, byte[] body) {
     statements.onMessage(toLocal(now), wall, from, body);
-    audit.onStep(trueTime.getAsLong(), process, statements);
+    audit.onCatalogUpdated(trueTime.getAsLong(), process, statements);
   }
 
   @Override
   public void tick(long now, long wall) {
     statements.tick(toLocal(now), wall);
-    audit.onStep(trueTime.getAsLong(), process, statements);
+    audit.onCatalogUpdated(trueTime.getAsLong(), process, statements);
   }
 
   @Override
@@ -101,7 +102,7 @@
   }
 
   @Override
-  public void onPause(long now, long wall, long lasted) {
-    statements.onPause(toLocal(now), wall, lasted);
+  public void onPause(long now, long wall, long duration) {
+    statements.onPause(toLocal(now), wall, duration);
   }
 }
--- a/statements/src/test/java/tillerlink/statements/HistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/HistoriesTest.java
@@ -11,8 +11,12 @@
 class HistoriesTest {
   private static final int HISTORIES = Integer.getInteger("tillerlink.histories", 40);
 
+  /**
+   * Plays random histories with load, changes and faults. The test fails if a run used an old
+   * schema, or if catalogs still differ after the faults are healed.
+   */
   @Test
-  void noHistoryRunsAnOldStatementAndAllConverge() {
+  void historiesRunNoStatementUnderAnOldSchemaAndConverge() {
     play(HISTORIES, Integer.getInteger("tillerlink.seconds", 12));
   }
 
@@ -21,7 +25,7 @@
     long effects = 0;
     long rejected = 0;
     long cancelled = 0;
-    List<String> wrong = new ArrayList<>();
+    List<String> failures = new ArrayList<>();
     int first = Integer.getInteger("tillerlink.first", 1);
     for (int seed = first; seed < first + histories; seed++) {
       History history = new History(seed + 100_000L * seconds);
@@ -32,11 +36,12 @@
         failure = e + " at " + history.cluster.time();
       }
       if (failure != null) {
-        wrong.add("seed " + seed + ": " + failure);
+        failures.add("seed " + seed + ": " + failure);
         if (histories == 1) {
           history.events.forEach(System.out::println);
           history.cluster.warnings.forEach(System.out::println);
-          history.cluster.all.forEach(name -> System.out.println(history.cluster.describe(name)));
+          history.cluster.gatewayNames.forEach(
+              name -> System.out.println(history.cluster.describe(name)));
         }
       }
       runs += history.cluster.audit.runs();
@@ -57,9 +62,9 @@
             + " cancelled, "
             + effects
             + " effects, "
-            + wrong.size()
-            + " wrong");
-    assertEquals(List.of(), wrong);
+            + failures.size()
+            + " failed");
+    assertEquals(List.of(), failures);
     assertTrue(runs > histories * 20L && effects > histories / 4);
   }
 }
--- a/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
+++ b/statements/src/test/java/tillerlink/statements/InjectedFaultsTest.java
@@ -15,13 +15,13 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * Each injected fault is detected, by an invariant in the code or by the audit from outside; the
- * same scenario without the fault shows no violation.
+ * Tests that each injected fault is detected, by an invariant in the code or by the audit, and that
+ * the same scenario without the fault shows no violation.
  */
 class InjectedFaultsTest {
-  private static final int SEEDS_MOST = 120;
+  private static final int SEEDS_MAX = 120;
 
-  /** The violations that the checks found in a scenario, numbers aside; empty if there are none. */
+  /** Returns the violations found in a scenario, with numbers replaced by N; empty without any. */
   private static Set<String> violations(
       ClusterFixture cluster, Function<ClusterFixture, String> scenario) {
     Set<String> found = new LinkedHashSet<>();
@@ -51,9 +51,9 @@
     assertTrue(found.contains(expected), fault + ": " + found);
   }
 
-  /** By random histories: so many seeds until one catches it. */
+  /** Asserts that one of the histories of successive seeds detects the fault. */
   private static void assertDetectedByHistories(InjectedFault fault, int first, String expected) {
-    for (int seed = first; seed < first + SEEDS_MOST; seed++) {
+    for (int seed = first; seed < first + SEEDS_MAX; seed++) {
       History history = new History(seed, fault);
       try {
         String failure = history.play(8 * ClusterFixture.SECOND);
@@ -75,10 +75,10 @@
       return "no leader";
     }
     cluster.prepare(
-        "g1", Fixtures.definition("top", "select 1 from orders_17.orders", 17), any -> {});
+        "g1", Fixtures.definition("top", "select 1 from orders_17.orders", 17), outcome -> {});
     return cluster.playUntil(5 * ClusterFixture.SECOND, () -> cluster.canRun("g1", "top"))
         ? null
-        : "no run";
+        : "g1 can't run the statement";
   }
 
   private static void load(ClusterFixture cluster, String at, long until) {
@@ -89,14 +89,14 @@
   }
 
   private static void isolate(ClusterFixture cluster, String name) {
-    cluster.all.stream()
+    cluster.gatewayNames.stream()
         .filter(other -> !other.equals(name))
         .forEach(other -> cluster.fleet.between(name, other, Fault.CUT));
   }
 
   private static String healAndConverge(ClusterFixture cluster) {
     cluster.fleet.heal();
-    cluster.all.forEach(
+    cluster.gatewayNames.forEach(
         name -> {
           if (!cluster.isUp(name)) {
             cluster.start(name);
@@ -104,22 +104,22 @@
         });
     return cluster.playUntil(30 * ClusterFixture.SECOND, cluster::hasConverged)
         ? null
-        : "no agreement";
+        : "gateways did not converge";
   }
 
-  /** A change while one gateway is cut off with its lease. */
+  /** Announces a change while a gateway is isolated and its lease is valid. */
   private static String changeWhileIsolated(ClusterFixture cluster) {
     String failure = startAndPrepare(cluster);
     load(cluster, "g1", cluster.fleet.now() + 4 * ClusterFixture.SECOND);
     cluster.fleet.playFor(ClusterFixture.SECOND);
     isolate(cluster, "g1");
-    cluster.announce("g2", Fixtures.untouched(17), any -> {});
+    cluster.announce("g2", Fixtures.untouched(17), outcome -> {});
     cluster.fleet.playFor(4 * ClusterFixture.SECOND);
     return failure == null ? healAndConverge(cluster) : failure;
   }
 
   @Test
-  void effectWhileALeaseIsValidIsDetected() {
+  void effectUnderAValidLeaseIsDetected() {
     assertDetected(
         InjectedFault.CLEARS_TOO_EARLY,
         InjectedFaultsTest::changeWhileIsolated,
@@ -127,7 +127,7 @@
     assertDetected(
         InjectedFault.EFFECT_WITHOUT_MAJORITY,
         InjectedFaultsTest::changeWhileIsolated,
-        "N ms: gN runs top under version N of group N, in effect is N");
+        "N ms: gN runs top under schema version N of group N, in effect is version N");
     assertDetected(
         InjectedFault.LEASE_WITHOUT_MAJORITY,
         InjectedFaultsTest::changeWhileIsolated,
@@ -135,8 +135,8 @@
   }
 
   /**
-   * All voters start again and forget what they granted, while a gateway that holds a lease is cut
-   * off.
+   * Restarts all voters, so that they lose the record of their grants, while a gateway with a valid
+   * lease is isolated; then announces a change.
    */
   private static String allVotersRestart(ClusterFixture cluster) {
     cluster.setLeaseLength(6 * ClusterFixture.SECOND);
@@ -146,7 +146,7 @@
     isolate(cluster, "g1");
     cluster.voters.forEach(cluster::start);
     cluster.playUntil(5 * ClusterFixture.SECOND, cluster::hasLeader);
-    cluster.announce("g2", Fixtures.untouched(17), any -> {});
+    cluster.announce("g2", Fixtures.untouched(17), outcome -> {});
     cluster.fleet.playFor(8 * ClusterFixture.SECOND);
     return failure == null ? healAndConverge(cluster) : failure;
   }
@@ -156,17 +156,17 @@
     assertDetected(
         InjectedFault.CLEARS_AFTER_RESTART,
         InjectedFaultsTest::allVotersRestart,
-        "N ms: gN runs top under version N of group N, in effect is N");
+        "N ms: gN runs top under schema version N of group N, in effect is version N");
   }
 
-  /** Answers to a gateway take longer than half a lease. */
+  /** Delays the responses to a gateway by more than half a lease, and announces a change. */
   private static String responsesAreLate(ClusterFixture cluster) {
     cluster.setLeaseLength(2 * ClusterFixture.SECOND);
     String failure = startAndPrepare(cluster);
     cluster.voters.forEach(voter -> cluster.fleet.link(voter, "g1", Fault.slow(14_000, 14_000)));
     cluster.fleet.playFor(4 * ClusterFixture.SECOND);
     load(cluster, "g1", cluster.fleet.now() + 5 * ClusterFixture.SECOND);
-    cluster.announce("g2", Fixtures.untouched(17), any -> {});
+    cluster.announce("g2", Fixtures.untouched(17), outcome -> {});
     cluster.fleet.playFor(13_900);
     isolate(cluster, "g1");
     cluster.fleet.playFor(5 * ClusterFixture.SECOND);
@@ -178,10 +178,13 @@
     assertDetected(
         InjectedFault.COUNTS_LEASE_FROM_RESPONSE,
         InjectedFaultsTest::responsesAreLate,
-        "N ms: gN runs top under version N of group N, in effect is N");
+        "N ms: gN runs top under schema version N of group N, in effect is version N");
   }
 
-  /** A leader that is cut off takes in what the others never hear; they go on without it. */
+  /**
+   * Sends requests to an isolated leader, whose entries never reach the other voters, while those
+   * elect another leader and append other entries.
+   */
   private static String leaderIsIsolated(ClusterFixture cluster) {
     String failure = startAndPrepare(cluster);
     String old = cluster.leader();
@@ -189,14 +192,16 @@
     for (int i = 0; i < 3; i++) {
       cluster.prepare(
           old,
-          Fixtures.definition("mine" + i, "select " + i + " from orders_17.orders", 17),
-          any -> {});
+          Fixtures.definition("isolated" + i, "select " + i + " from orders_17.orders", 17),
+          outcome -> {});
       cluster.fleet.playFor(60 * ClusterFixture.MS);
     }
     cluster.playUntil(10 * ClusterFixture.SECOND, () -> cluster.leader().contains("+"));
     for (int i = 0; i < 9; i++) {
       cluster.prepare(
-          "g2", Fixtures.definition("theirs" + i, "select 5 from orders_17.orders", 17), any -> {});
+          "g2",
+          Fixtures.definition("majority" + i, "select 5 from orders_17.orders", 17),
+          outcome -> {});
     }
     cluster.fleet.playFor(3 * ClusterFixture.SECOND);
     return failure == null ? healAndConverge(cluster) : failure;
@@ -210,7 +215,10 @@
         "invariant broken: what is committed is written over at N");
   }
 
-  /** What two voters took in is lost with their disks' last writes, if they said so too early. */
+  /**
+   * Crashes two voters that have appended entries whose disk writes are pending. If they had
+   * acknowledged the entries before the writes were durable, committed entries would be lost.
+   */
   private static String twoVotersCrash(ClusterFixture cluster) {
     String failure = startAndPrepare(cluster);
     cluster.fleet.playFor(ClusterFixture.SECOND);
@@ -223,7 +231,7 @@
       cluster.prepare(
           "g1",
           Fixtures.definition("kept" + i, "select 'one' from orders_17.orders", 17),
-          any -> {});
+          outcome -> {});
     }
     cluster.fleet.playFor(1200 * ClusterFixture.MS);
     cluster.crash(leader);
@@ -237,7 +245,7 @@
       cluster.prepare(
           "g2",
           Fixtures.definition("kept" + i, "select 'other' from orders_17.orders", 17),
-          any -> {});
+          outcome -> {});
     }
     cluster.fleet.playFor(4 * ClusterFixture.SECOND);
     return failure == null ? healAndConverge(cluster) : failure;
@@ -252,29 +260,31 @@
   }
 
   /**
-   * An entry that two voters hold; one of them comes back from a disk of before, while the other is
-   * cut off.
+   * Commits an entry on two of three voters, restarts one of them from an older copy of its disk
+   * and isolates the other, so that the remaining majority lacks the entry.
    */
   private static String voterFromOldDisk(ClusterFixture cluster) {
     String failure = startAndPrepare(cluster);
     cluster.fleet.playFor(ClusterFixture.SECOND);
     String leader = cluster.leader();
     List<String> others = cluster.voters.stream().filter(name -> !name.equals(leader)).toList();
-    String forgetful = others.get(0);
-    String behind = others.get(1);
-    isolate(cluster, behind);
-    NavigableMap<String, byte[]> copy = cluster.copyDisk(forgetful);
+    String restored = others.get(0);
+    String lagging = others.get(1);
+    isolate(cluster, lagging);
+    NavigableMap<String, byte[]> copy = cluster.copyDisk(restored);
     cluster.prepare(
-        "g1", Fixtures.definition("kept", "select 'one' from orders_17.orders", 17), any -> {});
+        "g1", Fixtures.definition("kept", "select 'one' from orders_17.orders", 17), outcome -> {});
     cluster.fleet.playFor(ClusterFixture.SECOND);
     cluster.fleet.heal();
     isolate(cluster, leader);
-    cluster.startFromCopy(forgetful, copy);
+    cluster.startFromCopy(restored, copy);
     cluster.playUntil(
         8 * ClusterFixture.SECOND,
-        () -> cluster.leader().contains("+") || cluster.leader().equals(forgetful));
+        () -> cluster.leader().contains("+") || cluster.leader().equals(restored));
     cluster.prepare(
-        "g2", Fixtures.definition("kept", "select 'other' from orders_17.orders", 17), any -> {});
+        "g2",
+        Fixtures.definition("kept", "select 'other' from orders_17.orders", 17),
+        outcome -> {});
     cluster.fleet.playFor(3 * ClusterFixture.SECOND);
     return failure == null ? healAndConverge(cluster) : failure;
   }
@@ -287,29 +297,29 @@
         "invariant broken: what is committed is written over at N");
   }
 
-  /** A change while an engine is at an attempt for as long as the lease lasts. */
+  /** Announces a change while an engine executes an attempt for longer than the lease lasts. */
   private static String changeWhileAttemptExecutes(ClusterFixture cluster) {
     cluster.setExecutionTime(4 * ClusterFixture.SECOND);
     String failure = startAndPrepare(cluster);
-    // A voter that has just started is clear of nothing.
+    // A voter confirms no change until leases granted before its start have expired.
     cluster.fleet.playFor(2 * ClusterFixture.SECOND);
     cluster.run("g1", "top");
     cluster.fleet.playFor(10 * ClusterFixture.MS);
-    cluster.announce("g2", Fixtures.untouched(17), any -> {});
+    cluster.announce("g2", Fixtures.untouched(17), outcome -> {});
     cluster.fleet.playFor(5 * ClusterFixture.SECOND);
     return failure == null ? healAndConverge(cluster) : failure;
   }
 
-  /** A change after a gateway gave an attempt up, with its engine still at it. */
+  /** Announces a change after an attempt ended at its gateway while its engine may execute it. */
   private static String changeAfterUncertainEnd(ClusterFixture cluster) {
     cluster.setExecutionTime(20 * ClusterFixture.MS);
     cluster.setUncertainShare(1);
     String failure = startAndPrepare(cluster);
-    // A voter that has just started is clear of nothing.
+    // A voter confirms no change until leases granted before its start have expired.
     cluster.fleet.playFor(2 * ClusterFixture.SECOND);
     cluster.run("g1", "top");
     cluster.fleet.playFor(50 * ClusterFixture.MS);
-    cluster.announce("g2", Fixtures.untouched(17), any -> {});
+    cluster.announce("g2", Fixtures.untouched(17), outcome -> {});
     cluster.fleet.playFor(5 * ClusterFixture.SECOND);
     return failure == null ? healAndConverge(cluster) : failure;
   }
@@ -317,7 +327,7 @@
   @Test
   void releaseUnderAnAttemptIsDetected() {
     String expected =
-        "N ms: group N changes while an attempt of gN is at an engine, under a lease until N ms";
+        "N ms: group N changes while an engine executes an attempt of gN, lease valid until N ms";
     assertDetected(
         InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT,
         InjectedFaultsTest::changeWhileAttemptExecutes,
@@ -329,7 +339,7 @@
   }
 
   @Test
-  void faultsOfVotesAndGrantsAreDetectedByHistories() {
+  void faultsInVotesAndGrantsAreDetectedByHistories() {
     assertDetectedByHistories(
         InjectedFault.VOTES_TWICE, 70, "invariant broken: two leaders in term N");
     assertDetectedByHistories(
--- a/statements/src/test/java/tillerlink/statements/Measure.java
+++ b/statements/src/test/java/tillerlink/statements/Measure.java
@@ -8,50 +8,50 @@
 import tillerlink.statements.run.Permission;
 import tillerlink.statements.run.Prepared;
 
-/** Prints the tables of docs/statements-design.md; part of no test. */
+/** A program, not a test, that prints the tables of docs/statements-design.md. */
 final class Measure {
   private static final int CLUSTERS = 100;
 
   private Measure() {}
 
   public static void main(String[] args) {
-    change("calm", cluster -> {});
-    change(
+    measureChange("no disturbance", cluster -> {});
+    measureChange(
         "runs at all gateways, attempts of 2 to 42 ms",
         cluster -> {
-          cluster.all.forEach(name -> load(cluster, name));
+          cluster.gatewayNames.forEach(name -> load(cluster, name));
           cluster.fleet.playFor(2 * ClusterFixture.SECOND);
         });
-    change(
-        "the same, one in 1,000 attempts in doubt",
+    measureChange(
+        "the same, one in 1,000 attempts uncertain",
         cluster -> {
           cluster.setUncertainShare(0.001);
-          cluster.all.forEach(name -> load(cluster, name));
+          cluster.gatewayNames.forEach(name -> load(cluster, name));
           cluster.fleet.playFor(2 * ClusterFixture.SECOND);
         });
-    change(
-        "an attempt that goes on for 500 ms",
+    measureChange(
+        "an attempt of 500 ms",
         cluster -> {
           cluster.setExecutionTime(500 * ClusterFixture.MS);
           cluster.run("g2", "top");
           cluster.fleet.playFor(10 * ClusterFixture.MS);
         });
-    change(
-        "an attempt in doubt",
+    measureChange(
+        "an uncertain attempt",
         cluster -> {
           cluster.setUncertainShare(1);
           cluster.run("g2", "top");
           cluster.fleet.playFor(50 * ClusterFixture.MS);
         });
-    change("a gateway killed", cluster -> cluster.kill("g2"));
-    change("a gateway paused", cluster -> cluster.pause("g2"));
-    change(
+    measureChange("a gateway killed", cluster -> cluster.kill("g2"));
+    measureChange("a gateway paused", cluster -> cluster.pause("g2"));
+    measureChange(
         "a gateway cut off",
         cluster ->
-            cluster.all.stream()
+            cluster.gatewayNames.stream()
                 .filter(other -> !other.equals("g2"))
                 .forEach(other -> cluster.fleet.between("g2", other, Fault.CUT)));
-    change(
+    measureChange(
         "a voter killed",
         cluster ->
             cluster.kill(
@@ -59,10 +59,11 @@
                     .filter(voter -> !voter.equals(cluster.leader()))
                     .findFirst()
                     .orElseThrow()));
-    change("the leader killed", cluster -> cluster.kill(cluster.leader()));
-    change("links of 40 ms", cluster -> cluster.fleet.setDefaultFault(Fault.slow(400, 420)));
-    change("20% of messages lost", cluster -> cluster.fleet.setDefaultFault(Fault.lossy(0.2)));
-    cost();
+    measureChange("the leader killed", cluster -> cluster.kill(cluster.leader()));
+    measureChange("links of 40 ms", cluster -> cluster.fleet.setDefaultFault(Fault.slow(400, 420)));
+    measureChange(
+        "20% of messages lost", cluster -> cluster.fleet.setDefaultFault(Fault.lossy(0.2)));
+    measureRunCost();
   }
 
   private static void load(ClusterFixture cluster, String at) {
@@ -70,7 +71,14 @@
     cluster.fleet.at(cluster.fleet.now() + 10 * ClusterFixture.MS, () -> load(cluster, at));
   }
 
-  private static void change(String title, Consumer<ClusterFixture> disturbance) {
+  /**
+   * Measures, over many simulated clusters, how long an announced change takes until it is in
+   * effect and for how long a gateway can't run a statement meanwhile, and prints a row of the
+   * table.
+   *
+   * @param disturbance is applied to the cluster before the announcement
+   */
+  private static void measureChange(String title, Consumer<ClusterFixture> disturbance) {
     List<Long> effects = new ArrayList<>();
     List<Long> gaps = new ArrayList<>();
     for (int seed = 1; seed <= CLUSTERS; seed++) {
@@ -79,24 +87,24 @@
       cluster.startAll();
       cluster.playUntil(20 * ClusterFixture.SECOND, cluster::hasLeader);
       cluster.prepare(
-          "g1", Fixtures.definition("top", "select 1 from orders_17.orders", 17), any -> {});
-      for (String name : cluster.all) {
+          "g1", Fixtures.definition("top", "select 1 from orders_17.orders", 17), outcome -> {});
+      for (String name : cluster.gatewayNames) {
         cluster.playUntil(5 * ClusterFixture.SECOND, () -> cluster.canRun(name, "top"));
       }
       cluster.fleet.playFor(5 * ClusterFixture.SECOND + seed * 7L);
       disturbance.accept(cluster);
-      long from = cluster.fleet.now();
-      cluster.announce("g1", Fixtures.untouched(17), any -> {});
+      long announcedAt = cluster.fleet.now();
+      cluster.announce("g1", Fixtures.untouched(17), outcome -> {});
       cluster.playUntil(
           60 * ClusterFixture.SECOND,
           () ->
               cluster.statements("g3").catalog().version(17) == 2 || !cluster.canRun("g3", "top"));
-      long lost = cluster.fleet.now();
+      long blockedAt = cluster.fleet.now();
       cluster.playUntil(
           60 * ClusterFixture.SECOND, () -> cluster.statements("g1").catalog().version(17) == 2);
-      effects.add(cluster.fleet.now() - from);
+      effects.add(cluster.fleet.now() - announcedAt);
       cluster.playUntil(60 * ClusterFixture.SECOND, () -> cluster.canRun("g3", "top"));
-      gaps.add(cluster.fleet.now() - lost);
+      gaps.add(cluster.fleet.now() - blockedAt);
     }
     System.out.println(
         "| "
@@ -120,39 +128,40 @@
             / 10);
   }
 
-  private static void cost() {
+  /** Measures and prints the cost of looking up, checking and rendering a run. */
+  private static void measureRunCost() {
     ClusterFixture cluster = new ClusterFixture(1, 3, 1);
     cluster.setLeaseLength(1000 * ClusterFixture.SECOND);
     cluster.startAll();
     cluster.playUntil(20 * ClusterFixture.SECOND, cluster::hasLeader);
     cluster.prepare(
-        "g1", Fixtures.definition("top", "select * from orders_17.orders", 17, 18), any -> {});
+        "g1", Fixtures.definition("top", "select * from orders_17.orders", 17, 18), outcome -> {});
     cluster.playUntil(5 * ClusterFixture.SECOND, () -> cluster.canRun("g1", "top"));
     Statements statements = cluster.statements("g1");
     long now = cluster.fleet.now();
     for (int round = 0; round < 6; round++) {
-      long sum = 0;
-      long begin = System.nanoTime();
-      int times = 300_000;
-      for (int i = 0; i < times; i++) {
+      long checksum = 0;
+      long startNanos = System.nanoTime();
+      int iterations = 300_000;
+      for (int i = 0; i < iterations; i++) {
         Prepared prepared = statements.lookUp("top").orElseThrow();
-        sum += statements.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
-        sum += prepared.text(List.of("Paris"), true).length();
+        checksum += statements.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
+        checksum += prepared.text(List.of("Paris"), true).length();
       }
-      long middle = System.nanoTime();
+      long renderedNanos = System.nanoTime();
       Prepared prepared = statements.lookUp("top").orElseThrow();
-      for (int i = 0; i < times; i++) {
-        sum += statements.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
+      for (int i = 0; i < iterations; i++) {
+        checksum += statements.checkRun(now, prepared) instanceof Permission.Granted ? 1 : 0;
       }
       System.out.println(
           "round "
               + round
-              + ": look up, ask, render "
-              + (middle - begin) / times
-              + " ns; ask "
-              + (System.nanoTime() - middle) / times
+              + ": look up, check, render "
+              + (renderedNanos - startNanos) / iterations
+              + " ns; check "
+              + (System.nanoTime() - renderedNanos) / iterations
               + " ns; "
-              + sum);
+              + checksum);
     }
   }
 }
--- a/statements/src/test/java/tillerlink/statements/ScenariosTest.java
+++ b/statements/src/test/java/tillerlink/statements/ScenariosTest.java
@@ -11,7 +11,7 @@
 import tillerlink.simulation.Fault;
 import tillerlink.statements.catalog.Outcome;
 
-/** The hard cases of prepared statements, each compared with a stored timeline. */
+/** Tests of difficult cases of prepared statements, each compared with a stored timeline. */
 class ScenariosTest {
   private final ClusterFixture cluster = new ClusterFixture(3, 3, 2);
   private final Timeline timeline = new Timeline(cluster);
@@ -23,13 +23,13 @@
     assertTrue(cluster.playUntil(10 * ClusterFixture.SECOND, cluster::hasLeader));
     timeline.add(cluster.leader() + " leads");
     prepare("g1", "top", "select 1 from orders_17.orders", 17);
-    assertTrue(cluster.playUntil(5 * ClusterFixture.SECOND, () -> runs("g1") && runs("g2")));
+    assertTrue(cluster.playUntil(5 * ClusterFixture.SECOND, () -> canRun("g1") && canRun("g2")));
     timeline.add("g1 and g2 run top: " + cluster.runState("g1", "top"));
     load("g1");
     load("g2");
   }
 
-  private boolean runs(String at) {
+  private boolean canRun(String at) {
     return cluster.canRun(at, "top");
   }
 
@@ -58,12 +58,12 @@
             + (outcome.id() > 0 ? outcome.id() : outcome.message()));
   }
 
-  /** Adds to the timeline whatever of the visible state is another than before. */
+  /** Plays for the duration, and adds each change of the observable state to the timeline. */
   private void watch(long duration, int... groups) {
     long end = cluster.fleet.now() + duration;
     while (cluster.fleet.now() < end) {
       List<String> state = new ArrayList<>();
-      for (String name : cluster.all) {
+      for (String name : cluster.gatewayNames) {
         if (cluster.isUp(name) && !cluster.isPaused(name)) {
           for (int group : groups) {
             state.add(
@@ -89,7 +89,7 @@
   private void assertConverged(String name) throws IOException {
     assertTrue(
         cluster.playUntil(30 * ClusterFixture.SECOND, cluster::hasConverged),
-        () -> cluster.all.stream().map(cluster::describe).toList().toString());
+        () -> cluster.gatewayNames.stream().map(cluster::describe).toList().toString());
     timeline.add(
         "all agree; "
             + (cluster.audit.violations().isEmpty() ? "no run under an old schema" : "violations"));
@@ -98,7 +98,7 @@
 
   private void isolate(String name) {
     timeline.add(name + " is cut off");
-    cluster.all.stream()
+    cluster.gatewayNames.stream()
         .filter(other -> !other.equals(name))
         .forEach(other -> cluster.fleet.between(name, other, Fault.CUT));
   }
@@ -128,7 +128,7 @@
   }
 
   @Test
-  void aGatewayPausedThroughAChangeRunsNothingOld() throws IOException {
+  void gatewayPausedDuringAChangeRunsNoStatementUnderTheOldSchema() throws IOException {
     startAndPrepare();
     timeline.add("g2 is stopped");
     cluster.pause("g2");
@@ -141,7 +141,7 @@
   }
 
   @Test
-  void aGatewayRestartedDuringAChangeCatchesUp() throws IOException {
+  void gatewayRestartedDuringAChangeCatchesUp() throws IOException {
     startAndPrepare();
     announce("g1", "a change that leaves top untouched", Fixtures.untouched(17));
     timeline.add("g2 is killed and starts again");
@@ -157,11 +157,11 @@
     for (int step = 0; step < 5; step++) {
       announce("g1", "change number " + (step + 1), Fixtures.untouched(17));
       long version = cluster.statements("g1").catalog().version(17);
-      int at = step;
+      int killedAfter = step;
       cluster.playUntil(
           ClusterFixture.SECOND,
           () ->
-              switch (at) {
+              switch (killedAfter) {
                 case 0 -> true;
                 case 1 ->
                     cluster.voters.stream()
@@ -211,7 +211,8 @@
   void changesTakeEffectFasterThanASlowGatewayFollows() throws IOException {
     startAndPrepare();
     timeline.add("all links to and from g2 take half a second to a second");
-    cluster.all.forEach(other -> cluster.fleet.between("g2", other, Fault.slow(5000, 10_000)));
+    cluster.gatewayNames.forEach(
+        other -> cluster.fleet.between("g2", other, Fault.slow(5000, 10_000)));
     for (int i = 0; i < 5; i++) {
       announce("g1", "change number " + (i + 1), Fixtures.untouched(17));
       watch(600 * ClusterFixture.MS, 17);
@@ -243,12 +244,12 @@
   }
 
   @Test
-  void oneNamePreparedAtTwoGatewaysAtOnceHasOneText() throws IOException {
+  void namePreparedAtTwoGatewaysConcurrentlyHasOneText() throws IOException {
     startAndPrepare();
     prepare("g1", "both", "select 1 from orders_17.orders", 17);
     prepare("g2", "both", "select 2 from orders_17.orders", 17);
     watch(ClusterFixture.SECOND, 17);
-    cluster.all.forEach(
+    cluster.gatewayNames.forEach(
         name ->
             timeline.add(
                 name
--- a/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
+++ b/statements/src/test/java/tillerlink/statements/ShortHistoriesTest.java
@@ -6,8 +6,9 @@
 import tillerlink.simulation.Seeds;
 
 /**
- * Many short histories: three voters and one more, a statement prepared, runs, a change, one or two
- * faults, then calm.
+ * A test with many short histories of three voters and one learner: statements are prepared and
+ * run, one change is announced, one or two faults occur, and the cluster must converge after they
+ * are healed.
  */
 class ShortHistoriesTest {
   private static final class ShortHistory implements Seeds.Seeded {
@@ -27,7 +28,8 @@
       StringBuilder out = new StringBuilder();
       history.events.forEach(line -> out.append(line).append('\n'));
       history.cluster.warnings.forEach(line -> out.append(line).append('\n'));
-      history.cluster.all.forEach(name -> out.append(history.cluster.describe(name)).append('\n'));
+      history.cluster.gatewayNames.forEach(
+          name -> out.append(history.cluster.describe(name)).append('\n'));
       return out.toString();
     }
 
@@ -41,7 +43,7 @@
   }
 
   @Test
-  void noShortHistoryRunsAnOldStatementAndAllConverge() {
+  void shortHistoriesRunNoStatementUnderAnOldSchemaAndConverge() {
     long[] sums = Seeds.play("statements", 6000, ShortHistory::new);
     System.out.println(
         sums[0]
--- a/statements/src/test/java/tillerlink/statements/SimulatedRuns.java
+++ b/statements/src/test/java/tillerlink/statements/SimulatedRuns.java
@@ -7,8 +7,8 @@
 import tillerlink.statements.run.Prepared;
 
 /**
- * Runs of prepared statements on a test cluster, from the request over the attempt to its end on
- * the engine. Times are in tenths of a millisecond.
+ * The simulated runs of prepared statements on a test cluster, from the request to the end of the
+ * attempt on the engine. Times are in tenths of a millisecond.
  */
 final class SimulatedRuns {
   private static final int WRITE_DELAY_MAX = 30;
@@ -25,9 +25,12 @@
   private long executionTime;
 
   /**
-   * Sets up runs on gateways that may come and go.
+   * Creates runs for gateways that may start and stop.
    *
-   * @param uncertainty draws which attempts end at their gateways before their engines are done
+   * @param gateways the running gateways by name; changes of the map are followed
+   * @param uncertainty draws which attempts end at their gateways before their engines are done; it
+   *     is separate from the other generator so that the share of such attempts changes no other
+   *     draw
    */
   SimulatedRuns(
       SimulatedFleet fleet,
@@ -50,7 +53,10 @@
     executionTime = time;
   }
 
-  /** A run: checked when it comes, its attempt written a little later, and checked then again. */
+  /**
+   * Requests a run of a statement. The permission is checked on arrival and again when the attempt
+   * is written, up to 3 ms later.
+   */
   void run(String at, String name) {
     GatewayFixture gateway = gateways.get(at);
     if (gateway == null || gateway.isPaused()) {
@@ -84,14 +90,14 @@
   }
 
   /**
-   * An engine executes an attempt for some time; the gateway hears of its end, or gives the attempt
-   * up before.
+   * Simulates the execution of an attempt by an engine. The gateway either learns of its end, or
+   * ends the attempt earlier while the engine may still execute it.
    */
   private void execute(GatewayFixture gateway, Prepared prepared, long leaseUntil) {
     Audit.Attempt attempt = audit.onExecutionStarted(gateway.name(), prepared, leaseUntil);
-    long time =
+    long duration =
         executionTime > 0 ? executionTime : EXECUTION_MIN + random.nextInt(EXECUTION_SPREAD);
-    long doneAt = fleet.now() + time;
+    long doneAt = fleet.now() + duration;
     if (uncertainShare > 0 && uncertainty.nextDouble() < uncertainShare) {
       long mayRunUntil = doneAt + uncertainty.nextInt(UNCERTAINTY_MAX);
       fleet.at(doneAt, () -> endAttempt(gateway, prepared, mayRunUntil));
--- a/statements/src/test/java/tillerlink/statements/StatementsTest.java
+++ b/statements/src/test/java/tillerlink/statements/StatementsTest.java
@@ -10,7 +10,7 @@
 
 class StatementsTest {
   @Test
-  void aHealthyClusterPreparesRunsAndChangesStatements() {
+  void healthyClusterPreparesRunsAndChangesStatements() {
     ClusterFixture cluster = new ClusterFixture(1, 3, 2);
     cluster.startAll();
     List<Outcome> outcomes = new ArrayList<>();
--- a/statements/src/test/java/tillerlink/statements/Timeline.java
+++ b/statements/src/test/java/tillerlink/statements/Timeline.java
@@ -9,8 +9,8 @@
 import java.nio.file.Path;
 
 /**
- * What happened in a scenario, line by line, compared with a stored text. With {@code
- * -Dtillerlink.keep=true} a text that differs is stored instead.
+ * The events of a scenario, one per line, for comparison with a stored timeline. With {@code
+ * -Dtillerlink.keep=true} a timeline that differs is stored instead of failing the test.
  */
 final class Timeline {
   private final ClusterFixture cluster;
@@ -26,7 +26,7 @@
 
   void assertMatchesStored(String name) throws IOException {
     assertEquals("[]", cluster.audit.violations().toString());
-    String stored = read(name);
+    String stored = readStored(name);
     if (!stored.equals(lines.toString()) && Boolean.getBoolean("tillerlink.keep")) {
       Files.writeString(Path.of("src/test/resources/timelines", name + ".txt"), lines.toString());
       return;
@@ -34,7 +34,7 @@
     assertEquals(stored, lines.toString());
   }
 
-  private static String read(String name) throws IOException {
+  private static String readStored(String name) throws IOException {
     try (InputStream in = Timeline.class.getResourceAsStream("/timelines/" + name + ".txt")) {
       return in == null ? "" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
     }
