--- a/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
+++ b/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
@@ -5,130 +5,160 @@
 import tillerlink.port.EndpointListState;
 
 /**
- * Until when the endpoint list may be used for new attempts, given what this process can know.
+ * Determines until when the endpoint list may be used for new attempts, from the polls that this
+ * process has sent and the answers that it has received.
  *
- * <p>A watch event (an engine drains or is gone) must be obeyed a grace after this gateway was
- * notified of it. It counts as notified when an answer with the event is sent, whether or not that
- * arrives or is read in time, and at the latest some time after it happened. So knowledge is a
- * lease: an answer to a poll sent at {@code t} proves the list as of {@code t}. The notification of
- * anything newer was sent no earlier than the first later poll that has no answer here, and no
- * earlier than {@link #ASSUMED_NOTIFIED_AFTER} after {@code t}. From a grace after that moment on
- * the list is unsafe until another answer comes.
+ * <p>A gateway must obey a watch event (an engine drains or leaves) within a grace after it was
+ * notified of the event. It counts as notified when an answer with the event is sent to it, whether
+ * or not that answer arrives or is read in time, and at the latest a fixed time after the event
+ * happened. The known list is therefore a lease: an answer to a poll sent at {@code t} proves the
+ * list as of {@code t}. The notification of anything newer was sent no earlier than the first later
+ * poll without an answer, or {@link #ASSUMED_NOTIFIED_AFTER} after {@code t} if that is earlier.
+ * One grace after that moment the list becomes unsafe, until another answer arrives.
  *
- * <p>What is unsafe because this process did not poll or did not run is awaited: a poll is
- * outstanding and the answer takes milliseconds. What stays without an answer for several polls in
- * a row is most likely an outage of the discovery service, in which nobody is notified of anything;
- * then the last list is used up to {@link #ASSUMED_NOTIFIED_IN_OUTAGE_AFTER}, after which events
- * count as notified whether or not an answer arrived. docs/incidents/incident-1.md has the price of
- * each choice.
+ * <p>A list that is unsafe because this process did not poll or did not run is {@link
+ * EndpointListState#AWAITED}: a poll is outstanding, and its answer takes milliseconds. If several
+ * polls in a row stay unanswered, the cause is most likely an outage of the discovery service, in
+ * which no gateway is notified of anything. The last list is then used up to {@link
+ * #ASSUMED_NOTIFIED_IN_OUTAGE_AFTER}, after which events count as notified whether or not an answer
+ * arrived. The cost of each choice is described in docs/incidents/incident-1.md.
  *
- * <p>Times are tenths of a millisecond of a clock that never steps.
+ * <p>Times are tenths of a millisecond of a monotonic clock.
  */
 public final class DiscoveryLease {
-  /** An event counts as notified this long after it happened, even without a poll. */
+  /**
+   * Time after an event at which it counts as notified even without a poll, in tenths of a
+   * millisecond.
+   */
   public static final long ASSUMED_NOTIFIED_AFTER = 1_500 * Units.TENTHS_PER_MS;
 
-  /** The same while answers don't arrive. */
+  /**
+   * Time after an event at which it counts as notified while answers do not arrive, in tenths of a
+   * millisecond.
+   */
   public static final long ASSUMED_NOTIFIED_IN_OUTAGE_AFTER = 7_000 * Units.TENTHS_PER_MS;
 
   /**
-   * Share of the grace that is used; the rest is for event-loop iterations, writes and the way to
-   * the engine.
+   * Share of the grace that is used. The rest is left for event-loop iterations, writes and the
+   * transmission to the engine.
    */
   private static final double USED_GRACE_SHARE = 0.8;
 
-  /** So many unanswered polls in a row, over so many graces, are an outage and no random losses. */
-  private static final int OUTAGE_POLLS = 6;
+  /**
+   * Minimum number of unanswered polls in a row that count as an outage. Fewer may be random
+   * losses.
+   */
+  private static final int MIN_OUTAGE_POLLS = 6;
+
+  /** Minimum time without an answer that counts as an outage, in graces. */
+  private static final int MIN_OUTAGE_GRACES = 2;
 
-  private static final int OUTAGE_GRACES = 2;
-  private static final int MAX_OUTSTANDING = 64;
+  private static final int MAX_OUTSTANDING_POLLS = 64;
 
-  /** A shorter gap between two event-loop iterations is no pause, however short the grace. */
+  /**
+   * Longest gap between two event-loop iterations that never counts as a pause, however short the
+   * grace is.
+   */
   private static final long MIN_PAUSE = 300 * Units.TENTHS_PER_MS;
 
   private final long grace;
   private final long usableGrace;
 
-  /** When the polls without an answer were sent, oldest first. */
-  private final ArrayDeque<Long> outstanding = new ArrayDeque<>();
+  /** Times at which the polls without an answer were sent, oldest first. */
+  private final ArrayDeque<Long> outstandingPolls = new ArrayDeque<>();
 
-  /** When the newest poll with an answer was sent; the start, while there is none. */
+  /**
+   * Time at which the newest answered poll was sent; the time of the start before the first answer.
+   */
   private long confirmedAt;
 
-  private boolean everConfirmed;
+  private boolean hasBeenConfirmed;
 
-  /** When an answer with an older list came last. */
+  /** Time at which the last answer with an older list was received. */
   private long outdatedAnswerAt;
 
-  /** Polls since the last timely answer or pause, and when the first of them was sent. */
-  private int unanswered;
+  /** Number of polls since the last timely answer or pause. */
+  private int unansweredPolls;
 
+  /** Time at which the first of the {@link #unansweredPolls} was sent. */
   private long unansweredSince = Long.MAX_VALUE;
-  private long observedAt;
+
+  private long lastIterationAt;
 
   /**
-   * @param now the start of the gateway; its first list may be of any age
-   * @param grace how long after its notification an event must be obeyed
+   * Creates a lease that has not been confirmed yet.
+   *
+   * @param now the time of the gateway's start; its first list may be of any age
+   * @param grace time within which an event must be obeyed after its notification, in tenths of a
+   *     millisecond
    */
   public DiscoveryLease(long now, long grace) {
     this.grace = grace;
     usableGrace = Math.max(1, (long) (grace * USED_GRACE_SHARE));
     confirmedAt = now;
     outdatedAnswerAt = now;
-    observedAt = now;
+    lastIterationAt = now;
   }
 
   /**
-   * Called in every event-loop iteration. A gap means that this process was paused: polls sent
-   * before it prove nothing of an outage.
+   * Detects pauses of this process. To be called in every event-loop iteration. After a gap between
+   * iterations the polls sent before it no longer indicate an outage.
    *
-   * @return whether it was paused, so that the discovery service is to be polled at once
+   * @return whether the process was paused, in which case the discovery service is to be polled at
+   *     once
    */
   public boolean observe(long now) {
-    boolean paused = now > observedAt + Math.max(grace / 2, MIN_PAUSE);
-    observedAt = now;
+    boolean paused = now > lastIterationAt + Math.max(grace / 2, MIN_PAUSE);
+    lastIterationAt = now;
     if (paused) {
-      unanswered = 0;
+      unansweredPolls = 0;
       unansweredSince = Long.MAX_VALUE;
     }
     return paused;
   }
 
-  /** A poll is sent. */
+  /** Records that a poll was sent. */
   public void onPollSent(long now) {
-    outstanding.addLast(now);
-    if (outstanding.size() > MAX_OUTSTANDING) {
-      // The second oldest goes: the oldest shows since when a notification may have been sent.
-      Long oldest = outstanding.removeFirst();
-      outstanding.removeFirst();
-      outstanding.addFirst(oldest);
+    outstandingPolls.addLast(now);
+    if (outstandingPolls.size() > MAX_OUTSTANDING_POLLS) {
+      // Removes the second oldest: the oldest determines since when a notification may have been
+      // sent.
+      Long oldestPoll = outstandingPolls.removeFirst();
+      outstandingPolls.removeFirst();
+      outstandingPolls.addFirst(oldestPoll);
     }
-    unanswered++;
+    unansweredPolls++;
     unansweredSince = Math.min(unansweredSince, now);
   }
 
-  /** The answer to the poll sent at that time was taken in. */
+  /**
+   * Records that the answer to a poll was processed.
+   *
+   * @param polledAt the time at which the poll was sent
+   * @param now the present time; an answer that took a usable grace or longer does not end a series
+   *     of unanswered polls
+   */
   public void onPollAnswered(long polledAt, long now) {
-    outstanding.removeIf(at -> at <= polledAt);
-    confirmedAt = everConfirmed ? Math.max(confirmedAt, polledAt) : polledAt;
-    everConfirmed = true;
+    outstandingPolls.removeIf(sentAt -> sentAt <= polledAt);
+    confirmedAt = hasBeenConfirmed ? Math.max(confirmedAt, polledAt) : polledAt;
+    hasBeenConfirmed = true;
     if (now - polledAt < usableGrace) {
-      unanswered = outstanding.size();
-      unansweredSince = outstanding.isEmpty() ? Long.MAX_VALUE : outstanding.peekFirst();
+      unansweredPolls = outstandingPolls.size();
+      unansweredSince = outstandingPolls.isEmpty() ? Long.MAX_VALUE : outstandingPolls.peekFirst();
     }
   }
 
   /**
-   * An answer came with a list older than the known one: the service is there, and proves nothing
-   * newer.
+   * Records an answer with a list older than the known one: the discovery service is reachable, but
+   * the answer confirms nothing newer.
    */
   public void onOutdatedAnswer(long now) {
     outdatedAnswerAt = now;
   }
 
-  /** How far the list may be trusted now. */
+  /** Returns how far the list can be trusted now. */
   public EndpointListState state(long now) {
-    if (everConfirmed && now < confirmedUntil()) {
+    if (hasBeenConfirmed && now < confirmedUntil()) {
       return EndpointListState.CONFIRMED;
     }
     if (now < outageFrom()) {
@@ -137,7 +167,10 @@
     return now < expiresAt() ? EndpointListState.DEGRADED : EndpointListState.EXPIRED;
   }
 
-  /** New attempts may be written before this moment; in the past if none may. */
+  /**
+   * Returns the time before which new attempts may be written. It lies in the past if none may be
+   * written.
+   */
   public long usableUntil(long now) {
     return switch (state(now)) {
       case CONFIRMED -> confirmedUntil();
@@ -146,7 +179,10 @@
     };
   }
 
-  /** When the state changes next without any event. */
+  /**
+   * Returns the time at which the state changes next without any event, or {@link Long#MAX_VALUE}
+   * if it does not change.
+   */
   public long changesAt(long now) {
     return switch (state(now)) {
       case CONFIRMED -> confirmedUntil();
@@ -156,21 +192,23 @@
     };
   }
 
-  /** Age of the list in use, at the least. */
+  /** Returns a lower bound of the age of the list in use, in tenths of a millisecond. */
   public long age(long now) {
     return now - confirmedAt;
   }
 
   private long confirmedUntil() {
     long newerNotifiedAt = confirmedAt + ASSUMED_NOTIFIED_AFTER;
-    if (!outstanding.isEmpty()) {
-      newerNotifiedAt = Math.min(newerNotifiedAt, outstanding.peekFirst());
+    if (!outstandingPolls.isEmpty()) {
+      newerNotifiedAt = Math.min(newerNotifiedAt, outstandingPolls.peekFirst());
     }
     return newerNotifiedAt + usableGrace;
   }
 
   private long outageFrom() {
-    return unanswered < OUTAGE_POLLS ? Long.MAX_VALUE : unansweredSince + OUTAGE_GRACES * grace;
+    return unansweredPolls < MIN_OUTAGE_POLLS
+        ? Long.MAX_VALUE
+        : unansweredSince + MIN_OUTAGE_GRACES * grace;
   }
 
   private long expiresAt() {
--- a/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
+++ b/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
@@ -8,11 +8,14 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.port.EndpointListState;
 
-/** Times are tenths of a millisecond; the grace is half a second. */
+/**
+ * Tests how far the endpoint list is trusted as polls are answered, lost or delayed. Times are
+ * tenths of a millisecond; the grace is half a second.
+ */
 class DiscoveryLeaseTest {
   private static final long START = 17_000_000_000_000L;
   private static final long GRACE = 5_000;
-  private static final long USABLE = 4_000;
+  private static final long USABLE_GRACE = 4_000;
   private static final long SECOND = 10_000;
 
   private final DiscoveryLease lease = new DiscoveryLease(START, GRACE);
@@ -28,36 +31,36 @@
   }
 
   /**
-   * With no poll since, something newer counts as notified 1.5 s after the last one at the
+   * Without a later poll, a newer event counts as notified 1.5 s after the answered poll at the
    * earliest.
    */
   @Test
-  void answerHoldsUntilANewerEventCanBeAGraceOld() {
+  void answerConfirmsTheListUntilANewerEventCanBeAGraceOld() {
     confirm(START);
-    long until = START + DiscoveryLease.ASSUMED_NOTIFIED_AFTER + USABLE;
+    long until = START + DiscoveryLease.ASSUMED_NOTIFIED_AFTER + USABLE_GRACE;
     assertEquals(until, lease.usableUntil(START + SECOND));
     assertEquals(EndpointListState.CONFIRMED, lease.state(until - 1));
     assertEquals(EndpointListState.AWAITED, lease.state(until));
     assertEquals(until, lease.changesAt(START));
   }
 
-  /** A poll may have been answered at once, and the answer lost. */
+  /** An outstanding poll may have been answered at once, with the answer lost on its way. */
   @Test
-  void outstandingPollShortensTheLease() {
+  void oldestOutstandingPollShortensTheLease() {
     confirm(START);
     lease.onPollSent(START + 4_000);
-    assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 4_100));
+    assertEquals(START + 4_000 + USABLE_GRACE, lease.usableUntil(START + 4_100));
     lease.onPollSent(START + 5_250);
-    assertEquals(START + 4_000 + USABLE, lease.usableUntil(START + 5_300));
+    assertEquals(START + 4_000 + USABLE_GRACE, lease.usableUntil(START + 5_300));
     lease.onPollAnswered(START + 5_250, START + 5_300);
     assertEquals(
-        START + 5_250 + DiscoveryLease.ASSUMED_NOTIFIED_AFTER + USABLE,
+        START + 5_250 + DiscoveryLease.ASSUMED_NOTIFIED_AFTER + USABLE_GRACE,
         lease.usableUntil(START + 5_300));
   }
 
   /** An answer that was sent long before it was read proves only the list as of its poll. */
   @Test
-  void lateAnswerConfirmsAsOfItsPoll() {
+  void lateAnswerConfirmsTheListAsOfItsPoll() {
     confirm(START);
     lease.onPollSent(START + 4_000);
     lease.onPollAnswered(START + 4_000, START + 60_000);
@@ -74,18 +77,18 @@
     lease.onPollSent(START + 10_250);
     assertEquals(EndpointListState.AWAITED, lease.state(START + 4_000 + 2 * GRACE - 1));
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 4_000 + 2 * GRACE));
-    long expires = START + DiscoveryLease.ASSUMED_NOTIFIED_IN_OUTAGE_AFTER + USABLE;
-    assertEquals(expires, lease.usableUntil(START + 20_000));
-    assertEquals(EndpointListState.EXPIRED, lease.state(expires));
-    assertEquals(0, lease.usableUntil(expires));
-    lease.onPollSent(expires);
-    lease.onPollAnswered(expires, expires + 50);
-    assertEquals(EndpointListState.CONFIRMED, lease.state(expires + 50));
+    long expiresAt = START + DiscoveryLease.ASSUMED_NOTIFIED_IN_OUTAGE_AFTER + USABLE_GRACE;
+    assertEquals(expiresAt, lease.usableUntil(START + 20_000));
+    assertEquals(EndpointListState.EXPIRED, lease.state(expiresAt));
+    assertEquals(0, lease.usableUntil(expiresAt));
+    lease.onPollSent(expiresAt);
+    lease.onPollAnswered(expiresAt, expiresAt + 50);
+    assertEquals(EndpointListState.CONFIRMED, lease.state(expiresAt + 50));
   }
 
   /**
-   * A process that was paused sent no polls meanwhile: silence before the pause is no outage after
-   * it.
+   * A process that was paused sent no polls in the meantime, so unanswered polls from before the
+   * pause do not indicate an outage after it.
    */
   @Test
   void pauseResetsTheCountOfUnansweredPolls() {
@@ -100,26 +103,29 @@
     assertFalse(lease.observe(START + 41_000));
   }
 
-  /** A service that is there and lags proves nothing newer, but is no reason to refuse all. */
+  /**
+   * A discovery service that is reachable but lags behind confirms nothing newer, but this is no
+   * reason to reject all requests.
+   */
   @Test
-  void outdatedAnswerConfirmsNothingAndKeepsTheListInUse() {
+  void outdatedAnswersDoNotConfirmTheListButPostponeItsExpiry() {
     confirm(START);
-    for (long at = START + 4_000; at < START + 200_000; at += 2_500) {
-      lease.observe(at);
-      lease.onPollSent(at);
-      lease.onOutdatedAnswer(at + 10);
+    for (long polledAt = START + 4_000; polledAt < START + 200_000; polledAt += 2_500) {
+      lease.observe(polledAt);
+      lease.onPollSent(polledAt);
+      lease.onOutdatedAnswer(polledAt + 10);
     }
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 200_000));
   }
 
   /**
-   * A service whose every answer takes longer than the grace costs one wait and not one for each
-   * poll.
+   * A discovery service whose answers all take longer than the grace causes a single wait, instead
+   * of one for each poll.
    */
   @Test
-  void onlyLateAnswersAreAnOutageThatNeverExpires() {
+  void lateAnswersAloneAreAnOutageThatNeverExpires() {
     confirm(START);
-    int awaited = 0;
+    int awaitedTime = 0;
     for (long now = START; now < START + 60 * SECOND; now += 500) {
       lease.observe(now);
       if ((now - START) % 2_500 == 0) {
@@ -128,45 +134,49 @@
       if (now > START + 6_000 && (now - START) % 2_500 == 1_000) {
         lease.onPollAnswered(now - 6_000, now);
       }
-      awaited += lease.state(now) == EndpointListState.AWAITED ? 500 : 0;
+      awaitedTime += lease.state(now) == EndpointListState.AWAITED ? 500 : 0;
     }
-    assertTrue(awaited <= 2 * GRACE, awaited + " tenths of a millisecond awaited in a minute");
+    assertTrue(
+        awaitedTime <= 2 * GRACE,
+        awaitedTime + " tenths of a millisecond awaited in a minute, expected at most 2 graces");
   }
 
   /**
-   * While an answer comes now and then and nothing else is awaited for long, no moment is usable
-   * that lies a grace after the first answer that was sent and not received: checked against every
-   * answer that was sent, in random histories.
+   * Draws random histories in which some answers are lost. While answers arrive now and then, the
+   * list must not be confirmed at any time that is a grace or more after the first answer that was
+   * sent but not received.
    */
   @Test
-  void noConfirmedMomentIsAGraceAfterALostAnswer() {
+  void listIsNeverConfirmedAGraceAfterALostAnswer() {
     for (int seed = 0; seed < 300; seed++) {
       Random random = new Random(seed);
-      DiscoveryLease own = new DiscoveryLease(START, GRACE);
-      long firstLost = Long.MAX_VALUE;
-      long nextAt = START;
+      DiscoveryLease randomLease = new DiscoveryLease(START, GRACE);
+      long firstLostAt = Long.MAX_VALUE;
+      long nextPollAt = START;
       for (long now = START; now < START + 20 * SECOND; now += 250) {
-        own.observe(now);
-        if (now >= nextAt) {
-          own.onPollSent(now);
+        randomLease.observe(now);
+        if (now >= nextPollAt) {
+          randomLease.onPollSent(now);
           boolean lost = random.nextInt(3) == 0;
           if (lost) {
-            firstLost = Math.min(firstLost, now);
+            firstLostAt = Math.min(firstLostAt, now);
           } else {
-            own.onPollAnswered(now, now);
-            firstLost = Long.MAX_VALUE;
+            randomLease.onPollAnswered(now, now);
+            firstLostAt = Long.MAX_VALUE;
           }
-          nextAt = now + 1_250 + random.nextInt(3_000);
+          nextPollAt = now + 1_250 + random.nextInt(3_000);
         }
-        if (own.state(now) == EndpointListState.CONFIRMED) {
-          assertTrue(firstLost == Long.MAX_VALUE || now < firstLost + GRACE, "seed " + seed);
+        if (randomLease.state(now) == EndpointListState.CONFIRMED) {
+          assertTrue(
+              firstLostAt == Long.MAX_VALUE || now < firstLostAt + GRACE,
+              "list confirmed a grace after a lost answer, seed " + seed);
         }
       }
     }
   }
 
-  private void confirm(long at) {
-    lease.onPollSent(at);
-    lease.onPollAnswered(at, at);
+  private void confirm(long polledAt) {
+    lease.onPollSent(polledAt);
+    lease.onPollAnswered(polledAt, polledAt);
   }
 }
--- a/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
+++ b/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards slow starts against a wall clock that was stepped, here or at the engine. Times are tenths
+ * Guards slow start against a wall clock that was stepped, here or at the engine. Times are tenths
  * of a millisecond.
  */
 class StartTimeTest {
@@ -14,22 +14,22 @@
   private static final long SECOND = 10_000;
 
   @Test
-  void reportedStartWithinBoundsIsKept() {
+  void possibleReportedStartIsReturnedUnchanged() {
     assertEquals(NOW - SECOND, StartTime.bounded(NOW - SECOND, NOW, NOW - SECOND));
     assertEquals(NOW - HOUR, StartTime.bounded(NOW - HOUR, NOW, Long.MIN_VALUE));
     assertEquals(0, StartTime.bounded(0, NOW, NOW - SECOND));
   }
 
-  /** Otherwise it would pass for cold, and get nothing, for an hour. */
+  /** Otherwise the engine would count as cold, and get no attempts, for an hour. */
   @Test
   void startInTheFutureBecomesNow() {
     assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, Long.MIN_VALUE));
     assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, NOW - SECOND));
   }
 
-  /** Otherwise one that has just started would pass for warm, and be overloaded. */
+  /** Otherwise an engine that has just started would count as warm, and be overloaded. */
   @Test
-  void startIsNoEarlierThanTheProcessWasSeenMissing() {
+  void startLongBeforeTheProcessWasSeenMissingIsLimited() {
     assertEquals(
         NOW - SECOND - DiscoveryLease.ASSUMED_NOTIFIED_AFTER,
         StartTime.bounded(NOW - HOUR, NOW, NOW - SECOND));
