--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -18,14 +18,18 @@
 import tillerlink.plain.Units;
 
 /**
- * Checks what was written, by when its first byte was sent and not by what was decided, and shares
- * no state with the guard. It finds violations that are certain; what only might be one (a drain of
- * which this process was not notified) is visible from outside alone. Times are tenths of a
- * millisecond. Used by the event loop alone.
+ * Checks what was written against the invariants, by the time at which its first byte was sent and
+ * not by what was decided. It shares no state with {@link SendGuard}. It reports certain violations
+ * only: one that is merely possible, such as a write after a drain of which this process was not
+ * notified, can only be detected from outside. Times are tenths of a millisecond. Used only by the
+ * event loop's thread.
  */
 public final class InvariantMonitor {
-  /** What a rule on sockets allows beyond its limit; the next ones have slacks of their own. */
-  private static final long SLACK = 50 * Units.TENTHS_PER_MS;
+  /**
+   * Tolerance beyond the limits that apply to writes on sockets, unless a rule has its own slack
+   * below.
+   */
+  private static final long DEFAULT_SLACK = 50 * Units.TENTHS_PER_MS;
 
   private static final long ANSWER_SLACK = 500 * Units.TENTHS_PER_MS;
   private static final long DISCONNECT_SLACK = 100 * Units.TENTHS_PER_MS;
@@ -33,18 +37,21 @@
   private static final double BUDGET_SLACK = 1.15;
   private static final int SUM_SLICES = 50;
 
-  /** After this time nothing that was decided earlier is on its way to an engine that is gone. */
+  /**
+   * Time after which no attempt that was decided on earlier can still be on its way to an engine
+   * that has left the endpoint list.
+   */
   private static final long FORGET_GONE_ENGINE_AFTER = 60_000 * Units.TENTHS_PER_MS;
 
   /**
-   * An attempt that was written.
+   * A written attempt. Times are tenths of a millisecond.
    *
    * @param attempt the attempt
    * @param firstByteAt when its first byte was sent
-   * @param writeBefore when the guard wanted it sent by
-   * @param limit how long the client waits, as passed to the engine
+   * @param writeDeadline the time by which the send guard required its first byte to be sent
+   * @param timeLimit time that the client still waits, as passed to the engine
    */
-  public record Written(Attempt attempt, long firstByteAt, long writeBefore, long limit) {}
+  public record Written(Attempt attempt, long firstByteAt, long writeDeadline, long timeLimit) {}
 
   private final long grace;
   private final long budgetPeriod;
@@ -57,7 +64,7 @@
   private final Settings settings;
   private final SlidingSum requests;
   private final SlidingSum retries;
-  private final Set<Engine> ready = Collections.newSetFromMap(new IdentityHashMap<>());
+  private final Set<Engine> readyEngines = Collections.newSetFromMap(new IdentityHashMap<>());
   private final IdentityHashMap<Engine, Long> notReadySince = new IdentityHashMap<>();
   private final IdentityHashMap<Engine, SlidingSum> workWritten = new IdentityHashMap<>();
   private double totalWork;
@@ -66,7 +73,7 @@
   /**
    * Creates a monitor of a gateway that has written nothing yet.
    *
-   * @param settings as the policy has them
+   * @param settings the settings that the policy uses, with times in tenths of a millisecond
    */
   public InvariantMonitor(Settings settings) {
     this.settings = settings;
@@ -82,23 +89,29 @@
     retries = new SlidingSum(Math.max(1, budgetPeriod), SUM_SLICES);
   }
 
-  /** A request was accepted. */
+  /** Counts an accepted request towards the retry budget. */
   public void onRequestAccepted(long now) {
     requests.add(now, 1);
   }
 
-  /** The endpoint list changed; {@code whole} means that engines not in it are gone. */
-  public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
-    if (whole) {
-      ready.forEach(engine -> notReadySince.putIfAbsent(engine, now));
-      ready.clear();
+  /**
+   * Applies a change of the endpoint list.
+   *
+   * @param complete whether the update contains all engines, so that those without an entry have
+   *     left the list
+   * @param entries the new state of engines
+   */
+  public void onEndpointsChanged(long now, boolean complete, List<EndpointUpdate> entries) {
+    if (complete) {
+      readyEngines.forEach(engine -> notReadySince.putIfAbsent(engine, now));
+      readyEngines.clear();
     }
     for (EndpointUpdate entry : entries) {
       if (entry.status() == Status.READY) {
-        ready.add(entry.engine());
+        readyEngines.add(entry.engine());
         notReadySince.remove(entry.engine());
       } else {
-        ready.remove(entry.engine());
+        readyEngines.remove(entry.engine());
         notReadySince.putIfAbsent(entry.engine(), now);
       }
     }
@@ -108,55 +121,63 @@
             entry ->
                 entry.getKey().status == Status.GONE
                     && now > entry.getValue() + FORGET_GONE_ENGINE_AFTER);
-    workWritten.keySet().retainAll(ready);
+    workWritten.keySet().retainAll(readyEngines);
   }
 
-  /** A final answer became ready; returns what that breaks. */
+  /**
+   * Checks a final answer that has become ready.
+   *
+   * @return the violated invariants
+   */
   public Set<Invariant> checkAnswer(long now, Request request) {
     return now > request.clientDeadline + ANSWER_SLACK
         ? EnumSet.of(Invariant.ANSWER_IN_TIME)
         : Set.of();
   }
 
-  /** An attempt was written; returns what that breaks. */
+  /**
+   * Checks an attempt that was written.
+   *
+   * @return the violated invariants
+   */
   public Set<Invariant> checkWritten(Written written) {
-    EnumSet<Invariant> broken = EnumSet.noneOf(Invariant.class);
+    EnumSet<Invariant> violations = EnumSet.noneOf(Invariant.class);
     Attempt attempt = written.attempt;
     Request request = attempt.request;
-    long at = written.firstByteAt;
-    attempt.setWrittenAt(at);
+    long writtenAt = written.firstByteAt;
+    attempt.setWrittenAt(writtenAt);
     if (request.requestClass == null) {
-      // A policy without request classes, as the baselines have: there is nothing to check.
-      return broken;
+      // The baseline policies have no request classes, so there is nothing to check.
+      return violations;
     }
-    long timeLeft = Math.max(0, request.clientDeadline - at);
-    addIf(broken, Invariant.CLIENT_WAITS, isTooLateForClient(request, at));
-    addIf(broken, Invariant.LIMIT, written.limit > timeLeft + LIMIT_SLACK);
-    addIf(broken, Invariant.SINGLE_EFFECT, runsTwice(attempt, at));
-    addIf(broken, Invariant.DRAIN, isAfterDrainGrace(attempt.engine, at));
-    addIf(broken, Invariant.WRITE_IN_TIME, at > written.writeBefore + SLACK);
-    addIf(broken, Invariant.ORDER, isOutOfOrder(request));
-    addIf(broken, Invariant.PLACEMENT, !request.requestClass.config.allows(attempt.engine));
-    addIf(broken, Invariant.RETRY_BUDGET, exceedsBudget(attempt, at));
-    addIf(broken, Invariant.SLOW_START, overloadsWarmingEngine(attempt, at));
-    return broken;
+    long timeLeft = Math.max(0, request.clientDeadline - writtenAt);
+    addIf(violations, Invariant.CLIENT_WAITS, isTooLateForClient(request, writtenAt));
+    addIf(violations, Invariant.LIMIT, written.timeLimit > timeLeft + LIMIT_SLACK);
+    addIf(violations, Invariant.SINGLE_EFFECT, mayRunTwice(attempt, writtenAt));
+    addIf(violations, Invariant.DRAIN, isAfterDrainGrace(attempt.engine, writtenAt));
+    addIf(violations, Invariant.WRITE_IN_TIME, writtenAt > written.writeDeadline + DEFAULT_SLACK);
+    addIf(violations, Invariant.ORDER, isOutOfOrder(request));
+    addIf(violations, Invariant.PLACEMENT, !request.requestClass.config.allows(attempt.engine));
+    addIf(violations, Invariant.RETRY_BUDGET, exceedsBudget(attempt, writtenAt));
+    addIf(violations, Invariant.SLOW_START, overloadsWarmingEngine(attempt, writtenAt));
+    return violations;
   }
 
-  private static void addIf(Set<Invariant> broken, Invariant which, boolean isBroken) {
-    if (isBroken) {
-      broken.add(which);
+  private static void addIf(Set<Invariant> violations, Invariant invariant, boolean violated) {
+    if (violated) {
+      violations.add(invariant);
     }
   }
 
-  private static boolean isTooLateForClient(Request request, long at) {
+  private static boolean isTooLateForClient(Request request, long writtenAt) {
     return (request.outcome == RequestOutcome.CLIENT_DISCONNECTED
-            && at > request.disconnectedAt + DISCONNECT_SLACK)
-        || at > request.clientDeadline + SLACK;
+            && writtenAt > request.disconnectedAt + DISCONNECT_SLACK)
+        || writtenAt > request.clientDeadline + DEFAULT_SLACK;
   }
 
-  private boolean isAfterDrainGrace(Engine engine, long at) {
-    long since = notReadySince.getOrDefault(engine, Long.MAX_VALUE - grace - SLACK);
-    return at > since + grace + SLACK;
+  private boolean isAfterDrainGrace(Engine engine, long writtenAt) {
+    long knownSince = notReadySince.getOrDefault(engine, Long.MAX_VALUE - grace - DEFAULT_SLACK);
+    return writtenAt > knownSince + grace + DEFAULT_SLACK;
   }
 
   private static boolean isOutOfOrder(Request request) {
@@ -165,7 +186,7 @@
         && request.outcome == null;
   }
 
-  private static boolean runsTwice(Attempt attempt, long at) {
+  private static boolean mayRunTwice(Attempt attempt, long writtenAt) {
     RequestClassConfig classConfig = attempt.request.requestClass.config;
     if (classConfig.effect() == Effect.PURE) {
       return false;
@@ -176,27 +197,28 @@
       }
       if (classConfig.effect() == Effect.EFFECTFUL
           || !classConfig.deduplicationGroup().covers(other.engine, attempt.engine)
-          || at > other.writtenAt() + classConfig.deduplicationWindow() + SLACK) {
+          || writtenAt > other.writtenAt() + classConfig.deduplicationWindow() + DEFAULT_SLACK) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean exceedsBudget(Attempt attempt, long at) {
+  private boolean exceedsBudget(Attempt attempt, long writtenAt) {
     if (budgetPeriod <= 0 || attempt.number == 0) {
       return false;
     }
-    retries.add(at, 1);
-    return retries.lowerBound(at)
-        > 1 + budgetFloor + BUDGET_SLACK * budgetRatio * requests.upperBound(at);
+    retries.add(writtenAt, 1);
+    return retries.lowerBound(writtenAt)
+        > 1 + budgetFloor + BUDGET_SLACK * budgetRatio * requests.upperBound(writtenAt);
   }
 
   /**
-   * Whether this gateway alone wrote more to a warming engine than that bears: with N mean requests
-   * allowed in a period, over N + 2 root N + 2 of them.
+   * Returns whether this gateway alone wrote more work to a warming engine than the limit for all
+   * gateways allows. If the limit allows N requests of mean work in a period, more than N + 2
+   * sqrt(N) + 2 of them violate it.
    */
-  private boolean overloadsWarmingEngine(Attempt attempt, long at) {
+  private boolean overloadsWarmingEngine(Attempt attempt, long writtenAt) {
     double work =
         Math.max(1, attempt.nominalTime * attempt.request.requestClass.config.threadsPerRequest());
     totalWork += work;
@@ -204,19 +226,20 @@
     if (slowStartPeriod <= 0) {
       return false;
     }
-    SlidingSum sum =
+    SlidingSum recentWork =
         workWritten.computeIfAbsent(
             attempt.engine, engine -> new SlidingSum(slowStartPeriod, SUM_SLICES));
-    sum.add(at, work);
-    long started = attempt.engine.startedAt;
-    if (started <= 0 || at - started >= warmupTime) {
+    recentWork.add(writtenAt, work);
+    long startedAt = attempt.engine.startedAt;
+    if (startedAt <= 0 || writtenAt - startedAt >= warmupTime) {
       return false;
     }
-    double progress = Math.max(0, (double) (at - started) / warmupTime);
+    double progress = Math.max(0, (double) (writtenAt - startedAt) / warmupTime);
     double warmCapacity = startCapacity + (1 - startCapacity) * progress;
     double cores = Math.max(1, settings.nth("family_info.kind_cores", attempt.engine.kind, 1));
-    double mean = totalWork / writtenAttempts;
-    double allowed = slowStartMultiple * warmCapacity * cores * slowStartPeriod / mean;
-    return sum.lowerBound(at) > (allowed + 2 * Math.sqrt(allowed) + 2) * mean;
+    double meanWork = totalWork / writtenAttempts;
+    double allowedRequests = slowStartMultiple * warmCapacity * cores * slowStartPeriod / meanWork;
+    return recentWork.lowerBound(writtenAt)
+        > (allowedRequests + 2 * Math.sqrt(allowedRequests) + 2) * meanWork;
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -9,14 +9,14 @@
 import tillerlink.port.SendVerdict;
 
 /**
- * The one guard in front of every attempt. It is called when an engine is chosen and again right
+ * Guard that every attempt must pass. It is called when an engine is selected and again right
  * before the bytes are passed to a connection, since connecting, an event-loop iteration or a pause
  * of the process may lie between the two. Times are tenths of a millisecond.
  */
 public final class SendGuard {
   /**
-   * How long after it was allowed an attempt may still be written: later, the reasons for it may
-   * have changed unseen.
+   * Time after its permission within which an attempt may be written, in tenths of a millisecond.
+   * Later, the reasons for the permission may have changed unnoticed.
    */
   public static final long MAX_WRITE_DELAY = 1_000;
 
@@ -24,35 +24,45 @@
   private long listUsableUntil = Long.MAX_VALUE;
 
   /**
-   * Creates a guard to which the endpoint list is usable at any time.
+   * Creates a guard that allows the use of the endpoint list at any time.
    *
-   * @param tick the resolution of the settings' times
+   * @param tick the resolution of the times in the settings, in tenths of a millisecond
    */
   public SendGuard(long tick) {
     this.tick = tick;
   }
 
-  /** The endpoint list may be used for new attempts before that moment. */
-  public void setListUsableUntil(long until) {
-    listUsableUntil = until;
+  /** Sets the time before which the endpoint list may be used for new attempts. */
+  public void setListUsableUntil(long usableUntil) {
+    listUsableUntil = usableUntil;
   }
 
   /**
-   * Whether a request may be sent to an engine once the list is confirmed: its state, placement and
-   * repeats.
+   * Checks whether a request may be sent to an engine once the endpoint list is confirmed. This
+   * depends on the engine's status, the placement and the earlier attempts of the request.
+   *
+   * @return {@link SendVerdict#ALLOWED}, or the reason why it may not be sent
    */
   public SendVerdict checkEndpoint(long now, Request request, Engine engine) {
     return checkEndpoint(now, request, engine, null);
   }
 
-  /** Whether a request may be sent to an engine now. */
+  /**
+   * Checks whether a request may be sent to an engine now.
+   *
+   * @return {@link SendVerdict#ALLOWED}, or the reason why it may not be sent
+   */
   public SendVerdict checkPlacement(long now, Request request, Engine engine) {
     return now < listUsableUntil
         ? checkEndpoint(now, request, engine)
         : SendVerdict.LIST_UNCONFIRMED;
   }
 
-  /** Whether an attempt that was placed may be written now. */
+  /**
+   * Checks whether an attempt that was placed may be written now.
+   *
+   * @return {@link SendVerdict#ALLOWED}, or the reason why it may not be written
+   */
   public SendVerdict checkWrite(long now, Attempt attempt) {
     Request request = attempt.request;
     if (request.outcome != null) {
@@ -76,32 +86,38 @@
     return checkEndpoint(now, request, attempt.engine, attempt);
   }
 
-  /** The last moment at which the first byte of an attempt may go out that is allowed now. */
+  /**
+   * Returns the last time at which the first byte of an attempt that is allowed now may be sent.
+   */
   public long writeDeadline(long now, Attempt attempt) {
     return Math.min(
         now + MAX_WRITE_DELAY, Math.min(listUsableUntil, attempt.request.clientDeadline));
   }
 
   /**
-   * @param next the attempt that is about to begin there, or null if it has yet to be placed
+   * Checks whether a request may be sent to an engine.
+   *
+   * @param nextAttempt the attempt that is about to start there, or null if it has not been placed
+   *     yet
+   * @return {@link SendVerdict#ALLOWED}, or the reason why it may not be sent
    */
-  private SendVerdict checkEndpoint(long now, Request request, Engine engine, Attempt next) {
+  private SendVerdict checkEndpoint(long now, Request request, Engine engine, Attempt nextAttempt) {
     if (engine.status != Status.READY) {
       return SendVerdict.ENGINE_NOT_READY;
     }
     if (!request.requestClass.config.allows(engine)) {
       return SendVerdict.PLACEMENT;
     }
-    return mayRepeat(now, request, engine, next) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
+    return mayRepeat(now, request, engine, nextAttempt) ? SendVerdict.ALLOWED : SendVerdict.REPEAT;
   }
 
-  private boolean mayRepeat(long now, Request request, Engine engine, Attempt next) {
+  private boolean mayRepeat(long now, Request request, Engine engine, Attempt nextAttempt) {
     RequestClassConfig classConfig = request.requestClass.config;
     if (request.attempts.isEmpty() || classConfig.effect() == Effect.PURE) {
       return true;
     }
     for (Attempt attempt : request.attempts) {
-      if (attempt == next || !attempt.mayHaveRun()) {
+      if (attempt == nextAttempt || !attempt.mayHaveRun()) {
         continue;
       }
       if (classConfig.effect() == Effect.EFFECTFUL
--- a/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
+++ b/gateway/src/test/java/tillerlink/policy/InvariantMonitorTest.java
@@ -24,22 +24,22 @@
 import tillerlink.model.Settings;
 
 /**
- * Each invariant is broken on purpose, and just that one is reported. Times are tenths of a
- * millisecond.
+ * Violates each invariant on purpose and checks that only this one is reported. Times are tenths of
+ * a millisecond.
  */
 class InvariantMonitorTest {
   private static final long NOW = 17_000_000_000_000L;
   private static final long DEADLINE = 50_000;
-  private static final long LIMIT = 1_500;
+  private static final long LIMIT_SLACK = 1_500;
   private static final long SECOND = 10_000;
 
   private final Map<String, Object> settings = new HashMap<>();
   private final Engine engine = new Engine("e1");
-  private final Engine other = new Engine("e2");
+  private final Engine otherEngine = new Engine("e2");
   private InvariantMonitor monitor;
 
   @BeforeEach
-  void start() {
+  void createMonitor() {
     settings.put("guarantees.drain_grace", 5_000L);
     settings.put("guarantees.budget_span", 100_000L);
     settings.put("guarantees.extra_floor", 2.0);
@@ -54,12 +54,12 @@
   }
 
   @Test
-  void correctAttemptBreaksNoInvariant() {
+  void correctAttemptViolatesNoInvariant() {
     assertEquals(Set.of(), writeAttempt(attempt(request(Effect.EFFECTFUL, null), engine), NOW));
   }
 
   @Test
-  void attemptsAndAnswersAfterTheClientsTimeAreReported() {
+  void attemptsAndAnswersAfterTheClientStoppedWaitingAreReported() {
     Request disconnected = request(Effect.PURE, null);
     disconnected.outcome = RequestOutcome.CLIENT_DISCONNECTED;
     disconnected.disconnectedAt = NOW;
@@ -78,33 +78,36 @@
   }
 
   @Test
-  void limitBeyondTheClientsTimeIsReported() {
+  void timeLimitBeyondTheClientsRemainingTimeIsReported() {
     Attempt attempt = attempt(request(Effect.PURE, null), engine);
     long at = NOW + 10_000;
     long timeLeft = DEADLINE - 10_000;
     assertEquals(
         Set.of(),
-        monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, timeLeft + LIMIT)));
+        monitor.checkWritten(
+            new InvariantMonitor.Written(attempt, at, at, timeLeft + LIMIT_SLACK)));
     assertEquals(
         Set.of(Invariant.LIMIT),
-        monitor.checkWritten(new InvariantMonitor.Written(attempt, at, at, timeLeft + LIMIT + 1)));
+        monitor.checkWritten(
+            new InvariantMonitor.Written(attempt, at, at, timeLeft + LIMIT_SLACK + 1)));
   }
 
   @Test
-  void secondRunOfAnEffectfulRequestIsReported() {
+  void possibleSecondRunOfAnEffectfulRequestIsReported() {
     Request effectful = request(Effect.EFFECTFUL, null);
     Attempt first = attempt(effectful, engine);
     writeAttempt(first, NOW);
     first.outcome = AttemptOutcome.CONNECTION_LOST;
-    assertEquals(Set.of(Invariant.SINGLE_EFFECT), writeAttempt(attempt(effectful, other), NOW));
-    Request again = request(Effect.EFFECTFUL, null);
-    Attempt refused = attempt(again, engine);
-    writeAttempt(refused, NOW);
-    refused.outcome = AttemptOutcome.REJECTED;
-    assertEquals(Set.of(), writeAttempt(attempt(again, other), NOW));
+    assertEquals(
+        Set.of(Invariant.SINGLE_EFFECT), writeAttempt(attempt(effectful, otherEngine), NOW));
+    Request retryable = request(Effect.EFFECTFUL, null);
+    Attempt rejected = attempt(retryable, engine);
+    writeAttempt(rejected, NOW);
+    rejected.outcome = AttemptOutcome.REJECTED;
+    assertEquals(Set.of(), writeAttempt(attempt(retryable, otherEngine), NOW));
     Request neverWritten = request(Effect.EFFECTFUL, null);
     attempt(neverWritten, engine).outcome = AttemptOutcome.CONNECTION_LOST;
-    assertEquals(Set.of(), writeAttempt(attempt(neverWritten, other), NOW));
+    assertEquals(Set.of(), writeAttempt(attempt(neverWritten, otherEngine), NOW));
   }
 
   @Test
@@ -134,37 +137,38 @@
   @Test
   void requestsOutOfOrderAreReported() {
     KeyedRequestQueue keyQueue = new KeyedRequestQueue();
-    Request before = request(Effect.PURE, null, keyQueue);
-    Request after = request(Effect.PURE, null, keyQueue);
-    keyQueue.requests.add(before);
-    keyQueue.requests.add(after);
-    assertEquals(Set.of(Invariant.ORDER), writeAttempt(attempt(after, engine), NOW));
-    assertEquals(Set.of(), writeAttempt(attempt(before, engine), NOW));
+    Request earlier = request(Effect.PURE, null, keyQueue);
+    Request later = request(Effect.PURE, null, keyQueue);
+    keyQueue.requests.add(earlier);
+    keyQueue.requests.add(later);
+    assertEquals(Set.of(Invariant.ORDER), writeAttempt(attempt(later, engine), NOW));
+    assertEquals(Set.of(), writeAttempt(attempt(earlier, engine), NOW));
   }
 
   @Test
   void forbiddenPlacementIsReported() {
-    other.zone = 1;
+    otherEngine.zone = 1;
     assertEquals(
         Set.of(Invariant.PLACEMENT),
-        writeAttempt(attempt(request(Effect.PURE, List.of(0)), other), NOW));
+        writeAttempt(attempt(request(Effect.PURE, List.of(0)), otherEngine), NOW));
   }
 
   @Test
   void retriesBeyondTheBudgetAreReported() {
     Request request = request(Effect.PURE, null);
     writeAttempt(attempt(request, engine), NOW);
-    Set<Invariant> broken = Set.of();
+    Set<Invariant> violations = Set.of();
     for (int i = 0; i < 3; i++) {
-      broken = writeAttempt(attempt(request, engine), NOW);
-      assertEquals(Set.of(), broken);
+      violations = writeAttempt(attempt(request, engine), NOW);
+      assertEquals(Set.of(), violations);
     }
     assertEquals(Set.of(Invariant.RETRY_BUDGET), writeAttempt(attempt(request, engine), NOW));
   }
 
   /**
-   * 2 times a quarter of 4 cores for 2 s are 4 s of work, 40 requests of 0.1 s; with twice the root
-   * and 2 they are 54.
+   * The limit is 2 (the slow-start multiple) times a quarter of 4 cores times 2 s, which is 4 s of
+   * work or 40 requests of 0.1 s. With the tolerance of 2 sqrt(40) + 2, up to 54 requests are
+   * accepted.
    */
   @Test
   void overloadOfAWarmingEngineIsReported() {
@@ -184,7 +188,7 @@
         true,
         List.of(
             new EndpointUpdate(engine, 0, 0, 0, 1, status, 0, 1),
-            new EndpointUpdate(other, 0, 1, 0, 1, Status.READY, 0, 1)));
+            new EndpointUpdate(otherEngine, 0, 1, 0, 1, Status.READY, 0, 1)));
   }
 
   private Set<Invariant> writeAttempt(Attempt attempt, long at) {
@@ -222,8 +226,8 @@
     return request;
   }
 
-  private static Attempt attempt(Request request, Engine to) {
-    Attempt attempt = new Attempt(request, to, NOW, 1_000, 1_000, false);
+  private static Attempt attempt(Request request, Engine engine) {
+    Attempt attempt = new Attempt(request, engine, NOW, 1_000, 1_000, false);
     request.attempts.add(attempt);
     return attempt;
   }
--- a/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
+++ b/gateway/src/test/java/tillerlink/policy/SendGuardTest.java
@@ -19,10 +19,7 @@
 import tillerlink.model.RequestOutcome;
 import tillerlink.port.SendVerdict;
 
-/**
- * Every reason for which the guard denies an attempt, one by one. Times are tenths of a
- * millisecond.
- */
+/** Tests each reason for which the guard denies an attempt. Times are tenths of a millisecond. */
 class SendGuardTest {
   private static final long NOW = 1_000_000;
   private static final long DEADLINE = 50_000;
@@ -30,24 +27,24 @@
 
   private final SendGuard guard = new SendGuard(TICK);
   private final Engine engine = new Engine("e1");
-  private final Engine other = new Engine("e2");
+  private final Engine otherEngine = new Engine("e2");
 
   @BeforeEach
   void makeEnginesReady() {
     engine.status = Status.READY;
-    other.status = Status.READY;
-    other.zone = 1;
+    otherEngine.status = Status.READY;
+    otherEngine.zone = 1;
     guard.setListUsableUntil(NOW + DEADLINE);
   }
 
   @Test
-  void attemptWithoutObjectionIsAllowed() {
+  void attemptThatBreaksNoRuleIsAllowed() {
     Attempt attempt = attempt(request(Effect.EFFECTFUL, null), engine);
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt));
   }
 
   @Test
-  void endedAbandonedCancelledAndLateRequestsAreDenied() {
+  void endedUnattendedCancelledAndLateRequestsAreDenied() {
     Request ended = request(Effect.PURE, null);
     ended.outcome = RequestOutcome.CLIENT_DISCONNECTED;
     assertEquals(SendVerdict.REQUEST_ENDED, guard.checkWrite(NOW, attempt(ended, engine)));
@@ -80,16 +77,16 @@
 
   @Test
   void forbiddenPlacementIsDenied() {
-    Request bound = request(Effect.PURE, List.of(0));
-    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt(bound, engine)));
-    assertEquals(SendVerdict.PLACEMENT, guard.checkWrite(NOW, attempt(bound, other)));
+    Request restricted = request(Effect.PURE, List.of(0));
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt(restricted, engine)));
+    assertEquals(SendVerdict.PLACEMENT, guard.checkWrite(NOW, attempt(restricted, otherEngine)));
   }
 
   @Test
-  void repeatsThatMayRunTwiceAreDenied() {
+  void retriesThatMayRunTwiceAreDenied() {
     Request effectful = request(Effect.EFFECTFUL, null);
     Attempt first = attempt(effectful, engine);
-    Attempt second = attempt(effectful, other);
+    Attempt second = attempt(effectful, otherEngine);
     assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW, second));
     first.outcome = AttemptOutcome.CONNECTION_LOST;
     assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW, second));
@@ -97,27 +94,27 @@
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, second));
     Request keyed = request(Effect.RECEIPTED, null);
     attempt(keyed, engine).outcome = AttemptOutcome.CONNECTION_LOST;
-    Attempt repeat = attempt(keyed, other);
-    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW + 10_000 - TICK - 1, repeat));
-    assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW + 10_000 - TICK, repeat));
+    Attempt retry = attempt(keyed, otherEngine);
+    assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW + 10_000 - TICK - 1, retry));
+    assertEquals(SendVerdict.REPEAT, guard.checkWrite(NOW + 10_000 - TICK, retry));
   }
 
   @Test
   void requestsOutOfOrderAreDenied() {
     KeyedRequestQueue keyQueue = new KeyedRequestQueue();
-    Request before = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, keyQueue);
-    Request after = new Request("b", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, keyQueue);
-    before.requestClass = requestClass(Effect.PURE, null, true);
-    after.requestClass = before.requestClass;
-    keyQueue.requests.add(before);
-    keyQueue.requests.add(after);
-    Attempt attempt = attempt(after, engine);
+    Request earlier = new Request("a", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, keyQueue);
+    Request later = new Request("b", 0, 0, false, NOW, NOW + DEADLINE, 1, 0, keyQueue);
+    earlier.requestClass = requestClass(Effect.PURE, null, true);
+    later.requestClass = earlier.requestClass;
+    keyQueue.requests.add(earlier);
+    keyQueue.requests.add(later);
+    Attempt attempt = attempt(later, engine);
     assertEquals(SendVerdict.ORDER, guard.checkWrite(NOW, attempt));
-    before.outcome = RequestOutcome.SUCCEEDED;
+    earlier.outcome = RequestOutcome.SUCCEEDED;
     assertEquals(SendVerdict.ALLOWED, guard.checkWrite(NOW, attempt));
   }
 
-  /** What waits longer before it is written is decided on anew. */
+  /** An attempt that is still not written by its deadline is decided on again. */
   @Test
   void writeDeadlineIsBoundedByListClientAndDelay() {
     Attempt attempt = attempt(request(Effect.PURE, null), engine);
@@ -157,8 +154,8 @@
         new DecayingMean(1, 1, 1));
   }
 
-  private static Attempt attempt(Request request, Engine to) {
-    Attempt attempt = new Attempt(request, to, NOW, 1, 1, false);
+  private static Attempt attempt(Request request, Engine engine) {
+    Attempt attempt = new Attempt(request, engine, NOW, 1, 1, false);
     request.attempts.add(attempt);
     return attempt;
   }
