--- a/gateway/src/main/java/tillerlink/policy/ActionReconciler.java
+++ b/gateway/src/main/java/tillerlink/policy/ActionReconciler.java
@@ -9,15 +9,16 @@
 import tillerlink.port.DispatchActions;
 
 /**
- * The one place that compares the wanted state with the present one, and emits the actions that
- * make up the difference. Times are tenths of a millisecond. Used by the event loop alone.
+ * Compares the wanted state with the present one and emits the actions that make up the difference.
+ * No other class emits actions. Times are tenths of a millisecond. Used only by the event loop's
+ * thread.
  */
 final class ActionReconciler {
   private final DispatchActions actions;
   private final RequestTimers timers;
   private final boolean mayCancel;
-  private final List<Request> changed = new ArrayList<>();
-  private boolean watchWanted;
+  private final List<Request> changedRequests = new ArrayList<>();
+  private boolean watchRequested;
   private long watchRetryAt = Long.MAX_VALUE;
   private long wakeupScheduledFor = Long.MAX_VALUE;
 
@@ -25,18 +26,24 @@
     this.actions = actions;
     this.timers = timers;
     mayCancel = config.mayCancel;
-    watchWanted = config.watchesEndpoints;
+    watchRequested = config.watchesEndpoints;
   }
 
-  /** The wanted state of a request may have changed. */
+  /**
+   * Marks a request whose wanted state may have changed, so that the next reconciliation includes
+   * it.
+   */
   void markChanged(Request request) {
     if (!request.isReconcilePending()) {
       request.setReconcilePending(true);
-      changed.add(request);
+      changedRequests.add(request);
     }
   }
 
-  /** Wants an attempt cancelled, if it was sent and engines can do that. */
+  /**
+   * Requests the cancellation of an attempt that was sent and is in flight. Does nothing if engines
+   * can't cancel attempts.
+   */
   void cancel(Attempt attempt) {
     if (mayCancel && attempt.isSent() && attempt.isInFlight()) {
       attempt.setCancelRequested(true);
@@ -44,50 +51,57 @@
     }
   }
 
-  /** Wants all attempts of a request cancelled. */
+  /** Requests the cancellation of all attempts of a request that are in flight. */
   void cancelAll(Request request) {
     request.attempts.forEach(this::cancel);
   }
 
-  /** Wants the endpoint list watched again, from that moment on. */
-  void retryWatchAt(long at) {
-    watchRetryAt = at;
+  /**
+   * Schedules the next attempt to watch the endpoint list.
+   *
+   * @param retryAt the time from which on the watch is requested again, in tenths of a millisecond
+   */
+  void scheduleWatchRetry(long retryAt) {
+    watchRetryAt = retryAt;
   }
 
-  /** The watch of the endpoint list works. */
-  void clearWatchRetry() {
+  /** Cancels the scheduled retry, because the watch of the endpoint list works. */
+  void cancelWatchRetry() {
     watchRetryAt = Long.MAX_VALUE;
   }
 
-  /** The watch of the endpoint list is wanted if its retry is due. */
-  void reviewWatch(long now) {
+  /** Requests a watch of the endpoint list if its scheduled retry is due. */
+  void requestWatchIfDue(long now) {
     if (watchRetryAt <= now) {
       watchRetryAt = Long.MAX_VALUE;
-      watchWanted = true;
+      watchRequested = true;
     }
   }
 
-  /** The scheduled wakeup has come. */
+  /** Records that the scheduled wakeup has occurred, so that another one can be scheduled. */
   void onWakeup() {
     wakeupScheduledFor = Long.MAX_VALUE;
   }
 
-  /** Emits the actions that lead from the present state to the wanted one. */
+  /**
+   * Emits the actions that lead from the present state to the wanted one, and schedules a wakeup
+   * for the next timer or watch retry unless an earlier one is scheduled.
+   */
   void reconcile(long now) {
-    if (watchWanted) {
-      watchWanted = false;
+    if (watchRequested) {
+      watchRequested = false;
       actions.watchEndpoints();
     }
-    for (Request request : changed) {
+    for (Request request : changedRequests) {
       request.setReconcilePending(false);
       reconcileOutcome(request);
       reconcilePriorityAndGrant(request);
       request.attempts.forEach(this::reconcileAttempt);
     }
-    changed.clear();
-    long next = Math.min(timers.next(), watchRetryAt);
-    if (next < wakeupScheduledFor) {
-      wakeupScheduledFor = Math.max(next, now + 1);
+    changedRequests.clear();
+    long nextWakeupAt = Math.min(timers.next(), watchRetryAt);
+    if (nextWakeupAt < wakeupScheduledFor) {
+      wakeupScheduledFor = Math.max(nextWakeupAt, now + 1);
       actions.scheduleWakeup(wakeupScheduledFor);
     }
   }
--- a/gateway/src/main/java/tillerlink/policy/AdmissionController.java
+++ b/gateway/src/main/java/tillerlink/policy/AdmissionController.java
@@ -12,12 +12,14 @@
 import tillerlink.port.EndpointListState;
 
 /**
- * Decides which requests wait for an engine, and terminates those that would come too late: load
- * shedding, and requests that are unable to meet their deadline. Times are tenths of a millisecond.
- * Used by the event loop alone.
+ * Decides which requests wait for an engine, terminates those that would be answered too late, and
+ * sheds load. Times are tenths of a millisecond. Used only by the event loop's thread.
  */
 final class AdmissionController {
-  /** Share of the time that the first request has used up, counted at the least. */
+  /**
+   * Lower bound of the share of its waiting time that the first queued request has used up. It
+   * prevents a division by zero.
+   */
   private static final double MIN_USED_SHARE = 1e-3;
 
   private final PolicyConfig config;
@@ -53,25 +55,34 @@
     this.reconciler = reconciler;
   }
 
-  /** Whether there is no endpoint list, or none recent enough. */
+  /**
+   * Sets whether the endpoint list is unknown.
+   *
+   * @param unknown true if there is no endpoint list or the last one is not recent enough
+   */
   void setEndpointsUnknown(boolean unknown) {
     endpointsUnknown = unknown;
   }
 
-  /** How far the endpoint list may be trusted. */
+  /**
+   * Sets how far the endpoint list can be trusted. While it is {@link EndpointListState#EXPIRED},
+   * queued requests are terminated.
+   */
   void setEndpointListState(EndpointListState state) {
     endpointListExpired = state == EndpointListState.EXPIRED;
   }
 
   /**
-   * Why a queued request can't be sent to any engine, now or later; null if it can. The order of
-   * the reasons decides which of several is reported.
+   * Returns the reason why a queued request can't be sent to any engine, now or later. If several
+   * reasons apply, their order in this method determines which one is reported.
+   *
+   * @return the reason, or null if the request can be sent
    */
-  TerminationReason reasonToTerminate(long now, Request request) {
+  TerminationReason terminationReason(long now, Request request) {
     if (endpointsUnknown || endpointListExpired) {
       return TerminationReason.ENGINES_UNKNOWN;
     }
-    if (isUnableToMeetDeadline(now, request)) {
+    if (isObjectiveUnreachable(now, request)) {
       return TerminationReason.NO_TIME_LEFT;
     }
     return !request.attempts.isEmpty() && !budget.allowsAnother(now)
@@ -80,48 +91,51 @@
   }
 
   /**
-   * Whether a queued request can't be answered within its latency objective any more. Guards
-   * against clients that come with little time: while the limit applies to all engines, what they
-   * abandon before it can end is not even sent once.
+   * Returns whether a queued request can't be answered within its latency objective any more. While
+   * the concurrency limit applies to all engines, this includes a request that has just arrived and
+   * can't be answered before its client stops waiting. Guards against clients that allow little
+   * time: a request that its client would abandon before its end is not sent even once.
    */
-  private boolean isUnableToMeetDeadline(long now, Request request) {
-    return now >= deadlines.unableToMeetAt(now, request)
+  private boolean isObjectiveUnreachable(long now, Request request) {
+    return now >= deadlines.objectiveUnreachableAt(now, request)
         && (now > request.arrivedAt
             || (limiter.limitsAllEngines()
                 && now + estimator.usualTime(now, request) >= deadlines.lastAnswerAt(request)));
   }
 
   /**
-   * Looks at a request that has no attempt in flight: ends it if it can't be answered in time, and
-   * sets the time of the next look.
+   * Reviews a request that has no attempt in flight: terminates it if it can't be answered in time,
+   * and otherwise sets the time of its next review.
    */
   void reviewWaiting(long now, Request request) {
     ordering.advance(now, request);
-    if (request.isQueued() && isUnableToMeetDeadline(now, request)) {
+    if (request.isQueued() && isObjectiveUnreachable(now, request)) {
       terminate(now, request, TerminationReason.NO_TIME_LEFT);
     } else if (request.wakeAt() == Long.MAX_VALUE) {
       timers.set(
           request,
-          request.isQueued() ? nextQueueReview(now, request) : deadlines.tooLateAt(now, request));
+          request.isQueued() ? nextQueueReviewAt(now, request) : deadlines.tooLateAt(now, request));
     }
   }
 
-  private long nextQueueReview(long now, Request request) {
-    return Math.max(now + config.tick, deadlines.unableToMeetAt(now, request));
+  private long nextQueueReviewAt(long now, Request request) {
+    return Math.max(now + config.tick, deadlines.objectiveUnreachableAt(now, request));
   }
 
   /**
-   * Guards against a queue in which all wait too long to be of use: the longer the first request
-   * has waited, the smaller a new one must be, against the mean of its request class, to be kept.
-   * It may hurt when one long wait is no queue.
+   * Terminates newly queued requests that are too large for the present length of their queue. The
+   * longer the first request of a queue has waited, the smaller a new one must be, relative to the
+   * mean work of its request class, to remain queued. Guards against a queue in which every request
+   * waits until its answer is too late. Requests are rejected needlessly where one long wait does
+   * not mean that the queue is long.
    */
   void shedLoad(long now) {
-    List<Request> recent = queues.recentlyQueued();
-    // Terminating one may queue the next of its key, which is looked at as well.
-    for (int i = 0; i < recent.size(); i++) {
-      Request request = recent.get(i);
+    List<Request> recentlyQueued = queues.recentlyQueued();
+    // Terminating a request may append the next request of its key, which is reviewed as well.
+    for (int i = 0; i < recentlyQueued.size(); i++) {
+      Request request = recentlyQueued.get(i);
       if (request.isQueued() && request.outcome == null) {
-        timers.set(request, nextQueueReview(now, request));
+        timers.set(request, nextQueueReviewAt(now, request));
         if (isQueueTooLongFor(now, request)) {
           terminate(now, request, TerminationReason.QUEUE_TOO_LONG);
         }
@@ -135,15 +149,20 @@
     if (first == request || !request.attempts.isEmpty()) {
       return false;
     }
-    double longestWait =
+    double maxWait =
         Math.max(1, LoadEstimator.latencyObjective(now, first) - estimator.usualTime(now, first));
-    double used = (now - first.arrivedAt) / longestWait;
-    double largestWork =
-        request.requestClass.work.at(now) * Math.max(0, 1 - used) / Math.max(MIN_USED_SHARE, used);
-    return LoadEstimator.work(now, request) > largestWork;
+    double usedShare = (now - first.arrivedAt) / maxWait;
+    double maxWork =
+        request.requestClass.work.at(now)
+            * Math.max(0, 1 - usedShare)
+            / Math.max(MIN_USED_SHARE, usedShare);
+    return LoadEstimator.work(now, request) > maxWork;
   }
 
-  /** Ends a request without success: rejected if it certainly has no effect, failed otherwise. */
+  /**
+   * Terminates a request without success: it is rejected if it certainly has no effect or may be
+   * sent again, and fails otherwise.
+   */
   void terminate(long now, Request request, TerminationReason reason) {
     request.terminationReason = reason;
     boolean rejected = mayReject(request);
@@ -156,7 +175,7 @@
     ordering.advance(now, request);
   }
 
-  /** Whether a request may be rejected, so that its client may send it again. */
+  /** Returns whether a request may be rejected, which allows its client to send it again. */
   private static boolean mayReject(Request request) {
     RequestClassConfig classConfig = request.requestClass.config;
     return classConfig.effect() == Effect.PURE
--- a/gateway/src/main/java/tillerlink/policy/AttemptPlacer.java
+++ b/gateway/src/main/java/tillerlink/policy/AttemptPlacer.java
@@ -6,11 +6,12 @@
 import tillerlink.model.RequestTimers;
 
 /**
- * Places an attempt on the engine that was chosen for it, and counts it everywhere it counts. Times
- * are tenths of a millisecond. Used by the event loop alone.
+ * Places an attempt on the engine that was selected for it, and records it at the request, the
+ * engine, the retry budget and slow start. Times are tenths of a millisecond. Used only by the
+ * event loop's thread.
  */
 final class AttemptPlacer {
-  /** Table groups that an engine is taken to have cached. */
+  /** Number of most recently used table groups that an engine is assumed to have in its cache. */
   private static final int CACHED_TABLE_GROUPS = 4;
 
   private final LoadEstimator estimator;
@@ -39,7 +40,10 @@
     this.reconciler = reconciler;
   }
 
-  /** Places an attempt; it is sent when the actions are reconciled. */
+  /**
+   * Places an attempt of a request on an engine. The attempt is sent when the actions are
+   * reconciled.
+   */
   void place(long now, Request request, Engine engine) {
     request.setPriority(estimator.priority(now, request));
     grants.update(now, request, engine);
--- a/gateway/src/main/java/tillerlink/policy/AttemptSupervisor.java
+++ b/gateway/src/main/java/tillerlink/policy/AttemptSupervisor.java
@@ -6,12 +6,12 @@
 import tillerlink.model.RequestTimers;
 
 /**
- * Watches the attempts in flight: gives those up that are silent or slow if another attempt is
- * worth it, and learns from those that end. Times are tenths of a millisecond. Used by the event
- * loop alone.
+ * Supervises attempts in flight: cancels silent or slow ones if another attempt is worthwhile, and
+ * updates the estimates from those that end. Times are tenths of a millisecond. Used only by the
+ * event loop's thread.
  */
 final class AttemptSupervisor {
-  /** An attempt in flight is reviewed at most so many times in the smallest latency objective. */
+  /** Maximum number of reviews of an attempt in flight during the smallest latency objective. */
   private static final int REVIEWS_PER_OBJECTIVE = 4;
 
   private final PolicyConfig config;
@@ -43,13 +43,18 @@
     this.reconciler = reconciler;
   }
 
-  /** An engine reported which share of an attempt is done. */
+  /**
+   * Records the progress of an attempt that its engine reported. Cancels the attempt if it is
+   * projected to be too slow and another attempt is worthwhile.
+   *
+   * @param completedShare the share of the attempt that is done, 0 to 1
+   */
   void recordProgress(long now, Attempt attempt, double completedShare) {
     attempt.setCompletedShare(completedShare);
-    boolean badPlan = RetryPolicy.hasBadPlan(now, attempt);
+    boolean tooSlow = RetryPolicy.isProjectedTooSlow(now, attempt);
     LoadEstimator.recordProgress(now, attempt, RetryPolicy.projectedTime(now, attempt));
     limiter.adjustLimit(now, attempt.engine);
-    if (badPlan
+    if (tooSlow
         && attempt.request.outcome == null
         && retryPolicy.mayRetryAfterCancel(now, attempt.request)) {
       reconciler.cancel(attempt);
@@ -57,10 +62,11 @@
   }
 
   /**
-   * An attempt ended.
+   * Updates the estimates, the concurrency limit and the outlier detection from an attempt that
+   * ended.
    *
-   * @param duration time from the sending to the end
-   * @param work true work, 0 if the engine did not report it
+   * @param duration time from the sending to the end, in tenths of a millisecond
+   * @param work true work in tenths of a millisecond, 0 if the engine did not report it
    * @param memory memory that was needed in MB, 0 if the engine did not report it
    * @param report load report of the engine, or null
    */
@@ -83,22 +89,26 @@
     }
   }
 
-  /** Looks at the attempt of a request that is in flight, and sets the time of the next look. */
+  /**
+   * Reviews the latest attempt of a request, which is in flight, and sets the time of the next
+   * review. An engine that has been silent for too long is recorded as such, and the attempt is
+   * cancelled if another one is worthwhile.
+   */
   void review(long now, Request request) {
     Attempt attempt = request.attempts.get(request.attempts.size() - 1);
-    long silentFor = now - Math.max(attempt.engine.lastResponseAt(), attempt.sentAt);
-    long limit = outliers.silenceLimit(attempt);
-    if (silentFor >= limit) {
+    long silence = now - Math.max(attempt.engine.lastResponseAt(), attempt.sentAt);
+    long silenceLimit = outliers.silenceLimit(attempt);
+    if (silence >= silenceLimit) {
       outliers.recordSilence(now, attempt.engine);
       if (retryPolicy.mayRetryAfterCancel(now, request)) {
         reconciler.cancel(attempt);
       }
     }
-    long shortest = config.minLatencyObjective / REVIEWS_PER_OBJECTIVE;
-    long pause =
+    long minReviewDelay = config.minLatencyObjective / REVIEWS_PER_OBJECTIVE;
+    long reviewDelay =
         attempt.isCancelRequested()
             ? config.minLatencyObjective
-            : Math.max(limit - Math.max(0, silentFor), shortest);
-    timers.set(request, Math.min(deadlines.tooLateAt(now, request), now + pause));
+            : Math.max(silenceLimit - Math.max(0, silence), minReviewDelay);
+    timers.set(request, Math.min(deadlines.tooLateAt(now, request), now + reviewDelay));
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/tillerlink/policy/ConcurrencyLimiter.java
@@ -8,39 +8,53 @@
 
 /**
  * Limits the threads that this gateway has in use on each engine. The limit is the engine's cores,
- * divided by the number of gateways, times a factor that falls while the engine's pace is far above
- * the best and grows again while it is not. It applies to an overloaded engine, and to all while
- * many are impaired. Times are tenths of a millisecond. Used by the event loop alone.
+ * divided by the number of gateways, times a factor that is reduced while the engine's pace is far
+ * above the best one and raised again while it is not. The limit applies to an overloaded engine,
+ * and to all engines while many are impaired. Times are tenths of a millisecond. Used only by the
+ * event loop's thread.
  */
 final class ConcurrencyLimiter {
   /**
-   * Threads for each core at which the limit starts: a thread is on its core for part of its time
-   * only.
+   * Initial limit in threads for each core. A thread occupies its core for only part of its time.
    */
   static final double INITIAL_FACTOR = 1;
 
+  /** Lower bound of an engine's factor. */
   private static final double MIN_FACTOR = 0.27;
+
+  /** Multiplier of the factor at each reduction. */
   private static final double FACTOR_DECREASE = 0.85;
+
+  /** Increment of the factor each time it is raised. */
   private static final double FACTOR_INCREASE = 0.05;
 
-  /** Mean age of the attempts in flight, in multiples of the best time, of a stalled engine. */
+  /**
+   * Mean age of the attempts in flight, in multiples of their best time, above which an engine
+   * counts as stalled.
+   */
   private static final double STALLED_PACE = 2.6;
 
-  /** Share of impaired engines from which on the limit applies to all. */
-  private static final double IMPAIRED_SHARE = 0.25;
+  /** Share of impaired engines from which on the limit applies to all engines. */
+  private static final double MIN_IMPAIRED_SHARE = 0.25;
 
-  /** All request classes together, in limits of one: they share the cores. */
-  private static final double ALL_CLASSES = 1.5;
+  /**
+   * Limit of all request classes together, as a multiple of the limit of one class. It does not
+   * grow with the number of classes, because they share the cores.
+   */
+  private static final double ALL_CLASSES_MULTIPLE = 1.5;
 
-  /** The capacity that an engine has for a request class, the most desirable first. */
+  /** Capacity that an engine has for a request class, in descending order of preference. */
   enum Capacity {
-    /** Within the limit, or no limit applies. */
+    /** The engine is within its limit, or no limit applies. */
     WITHIN_LIMIT,
-    /** Above the limit, but the one request of a class that is always allowed. */
+    /**
+     * The engine is above its limit, but may take the single request of a class that is always
+     * allowed.
+     */
     SINGLE_REQUEST,
-    /** The same on an overloaded engine, which comes last. */
+    /** The same as {@link #SINGLE_REQUEST} on an overloaded engine, which is the last choice. */
     SINGLE_REQUEST_OVERLOADED,
-    /** None. */
+    /** The engine has no capacity for the request class. */
     NONE
   }
 
@@ -62,11 +76,13 @@
   }
 
   /**
-   * Sums up the ready engines. If a quarter of them are overloaded or outliers, the limit applies
-   * to all, and so it does if a pool is exhausted; but not while recent attempts ended at an easy
-   * pace, for a gateway may have several times its share of the traffic. Guards against cascading
-   * overload: what the impaired engines may not take would all go to the next one that shows
-   * nothing yet. It may hurt while the rest are idle.
+   * Sums up the ready engines and determines whether the limit applies to all of them. It does if a
+   * quarter of them are overloaded or outliers, or if a pool of engines is exhausted. An exhausted
+   * pool does not count while the pace of recent attempts is below {@link LoadEstimator#EASY_PACE},
+   * because a gateway may have several times its share of the traffic. Guards against cascading
+   * overload: the requests that impaired engines may not take would otherwise all go to the next
+   * engine that shows no overload yet. The cost is that requests may wait while the other engines
+   * are idle.
    */
   void surveyFleet(long now) {
     survey.reset();
@@ -80,10 +96,10 @@
       }
     }
     limitsAllEngines =
-        survey.impaired >= IMPAIRED_SHARE * survey.ready
+        survey.impairedEngines >= MIN_IMPAIRED_SHARE * survey.readyEngines
             || (!estimator.isRecentPaceEasy(now)
                 && (isPoolExhausted(false) || isPoolExhausted(true)));
-    survey.finish();
+    survey.computeMeans();
   }
 
   private void surveyEngine(long now, Engine engine) {
@@ -92,7 +108,7 @@
       reduceLimit(now, engine);
     }
     double cores = config.cores(engine);
-    survey.ready++;
+    survey.readyEngines++;
     survey.cores += cores;
     for (RequestClass requestClass : estimator.requestClasses()) {
       if (requestClass.config.allows(engine)) {
@@ -102,36 +118,39 @@
     boolean overloaded = isOverloaded(now, engine);
     survey.addHealth(overloaded, outliers.isOutlier(now, engine), engine.pace().at(now));
     if (reports.isRecent(now, engine)) {
-      survey.reporting++;
-      survey.utilization += engine.reportedUtilization();
+      survey.reportingEngines++;
+      survey.meanUtilization += engine.reportedUtilization();
     }
     survey.addToPool(overloaded, limit(engine), threads(now, engine));
   }
 
   /**
-   * Guards against an overload that hides itself: an engine that answers little shows no pace, so
-   * the age of the attempts in flight there counts too, and so do 1.5 times its cores in threads
-   * from here alone: a gateway that just started sends these before it learns. It should hold
-   * against any stall; it may hurt where estimates are poor.
+   * Returns whether an engine seems to be stalled. Guards against an overload that hides itself: an
+   * engine that answers few requests provides no pace, so the age of the attempts in flight there
+   * counts as well. An engine also counts as stalled if this gateway alone has threads in flight
+   * there for 1.5 times its cores, because a gateway that has just started sends that many before
+   * it has any measurements. This detects any kind of stall, but may limit a healthy engine where
+   * estimates are poor.
    */
   private boolean isStalled(long now, Engine engine) {
-    double ages = 0;
+    double paceSum = 0;
     for (Attempt attempt : engine.inFlight) {
       RequestClass requestClass = attempt.request.requestClass;
-      double usual =
+      double usualTime =
           requestClass.bestPace() > 0
               ? attempt.nominalTime * requestClass.bestPace()
               : requestClass.config.latencyObjective() / LoadEstimator.SLOW_PACE;
-      ages += Math.min(LoadEstimator.MAX_PACE, (now - attempt.sentAt) / Math.max(1, usual));
+      paceSum += Math.min(LoadEstimator.MAX_PACE, (now - attempt.sentAt) / Math.max(1, usualTime));
     }
-    return ages > STALLED_PACE * engine.inFlight.size()
-        || engine.threadsInFlight() >= ALL_CLASSES * config.cores(engine);
+    return paceSum > STALLED_PACE * engine.inFlight.size()
+        || engine.threadsInFlight() >= ALL_CLASSES_MULTIPLE * config.cores(engine);
   }
 
   /**
-   * The capacity of an engine for a request class: within its limit, or that of the single request
-   * that is always allowed. Guards against an overload that never drains: one request of each
-   * gateway may be more than the engine bears, so on an overloaded engine it comes last, and alone.
+   * Returns the capacity of an engine for a request class: within its limit, or that of the single
+   * request that is always allowed. On an overloaded engine the single request is the last choice,
+   * and it has to run alone there unless the limit leaves room. Guards against an overload that
+   * never drains, because one request of each gateway may be more than the engine can process.
    */
   Capacity capacity(long now, Engine engine, RequestClass requestClass) {
     boolean overloaded = isOverloaded(now, engine);
@@ -140,48 +159,58 @@
     double limit = limit(engine);
     double threads = threads(now, engine);
     boolean classFits = ownThreads > 0 ? ownThreads < limit : threadsPerRequest <= limit;
-    if ((classFits && threads < ALL_CLASSES * limit) || (!limitsAllEngines && !overloaded)) {
+    if ((classFits && threads < ALL_CLASSES_MULTIPLE * limit)
+        || (!limitsAllEngines && !overloaded)) {
       return Capacity.WITHIN_LIMIT;
     }
-    double allowed =
+    double allowedThreads =
         Math.max(
-            ALL_CLASSES * limit, overloaded ? threadsPerRequest : config.threadsOfOneRequestEach);
-    if (ownThreads > 0 || threads + threadsPerRequest > allowed) {
+            ALL_CLASSES_MULTIPLE * limit,
+            overloaded ? threadsPerRequest : config.threadsOfOneRequestPerClass);
+    if (ownThreads > 0 || threads + threadsPerRequest > allowedThreads) {
       return Capacity.NONE;
     }
     return overloaded ? Capacity.SINGLE_REQUEST_OVERLOADED : Capacity.SINGLE_REQUEST;
   }
 
-  /** Whether a pool of engines has no threads left for a request with such a capacity. */
+  /**
+   * Returns whether the pool of engines with such a capacity has no threads left for another
+   * request.
+   */
   boolean isExhausted(Capacity capacity) {
     return capacity != Capacity.WITHIN_LIMIT
         && isPoolExhausted(capacity == Capacity.SINGLE_REQUEST_OVERLOADED);
   }
 
   /**
-   * Whether the threads in use on the overloaded engines, or on the others, are above their limits
-   * together. Guards against an overload that the single requests keep up; it may hurt a gateway
-   * with most of the traffic.
+   * Returns whether the threads in use on a pool of engines reach the sum of its limits. Guards
+   * against an overload that is sustained by the single requests that are always allowed. A gateway
+   * with most of the traffic may be limited more than necessary.
+   *
+   * @param overloaded true for the pool of overloaded engines, false for that of the other engines
    */
   private boolean isPoolExhausted(boolean overloaded) {
     return survey.poolThreads(overloaded)
-        >= ALL_CLASSES * Math.max(survey.poolLimit(overloaded), config.threadsOfOneRequestEach);
+        >= ALL_CLASSES_MULTIPLE
+            * Math.max(survey.poolLimit(overloaded), config.threadsOfOneRequestPerClass);
   }
 
-  /** Whether the limit applies to all engines, as of the last survey. */
+  /** Returns whether the limit applies to all engines, as of the last survey. */
   boolean limitsAllEngines() {
     return limitsAllEngines;
   }
 
-  /** Threads of this gateway that an engine may have in use. */
+  /** Returns the number of threads of this gateway that an engine may have in use. */
   double limit(Engine engine) {
-    return config.cores(engine) / config.gateways * engine.concurrencyFactor();
+    return config.cores(engine) / config.gatewayCount * engine.concurrencyFactor();
   }
 
   /**
-   * Threads in flight, and those of attempts that timed out where nothing can be cancelled. Guards
-   * against work that runs on unseen and keeps an overload alive, on an engine that has responded
-   * meanwhile: after a lost connection nothing may have run.
+   * Returns the number of threads of this gateway that an engine is assumed to have in use: those
+   * of attempts in flight, and those of attempts that timed out where engines can't cancel. Guards
+   * against work that continues unseen and sustains an overload. Attempts that timed out count only
+   * on an engine that has responded since they were sent, because after a lost connection nothing
+   * may have run.
    */
   private static double threads(long now, Engine engine) {
     return engine.threadsInFlight() + engine.abandonedThreads().at(now);
@@ -191,12 +220,15 @@
     return now < engine.overloadedUntil();
   }
 
-  /** An engine counts as overloaded for a latency objective from now on. */
+  /** Marks an engine as overloaded for the duration of the largest latency objective. */
   void markOverloaded(long now, Engine engine) {
     engine.setOverloadedUntil(now + config.maxLatencyObjective);
   }
 
-  /** Takes in how an attempt ended. */
+  /**
+   * Adjusts the limit of an engine to the outcome of an attempt: a rejection reduces it, and an
+   * attempt that timed out but can't be cancelled continues to count.
+   */
   void recordOutcome(long now, Attempt attempt, AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.REJECTED) {
       markOverloaded(now, attempt.engine);
@@ -211,15 +243,20 @@
     }
   }
 
-  /** Reduces the limit while the pace is far above the best, and raises it while it is easy. */
+  /**
+   * Reduces the limit while the engine's pace is far above the best one. Raises it while the pace
+   * is below {@link LoadEstimator#EASY_PACE} and either the limit is reached or requests are
+   * queued.
+   */
   void adjustLimit(long now, Engine engine) {
     double pace = engine.pace().at(now);
     if (pace > LoadEstimator.SLOW_PACE) {
       markOverloaded(now, engine);
       reduceLimit(now, engine);
     } else if (pace < LoadEstimator.EASY_PACE && (isLimitReached(engine) || hasQueuedRequest())) {
-      double largest = config.gateways * LoadEstimator.SLOW_PACE / ALL_CLASSES;
-      engine.setConcurrencyFactor(Math.min(largest, engine.concurrencyFactor() + FACTOR_INCREASE));
+      double maxFactor = config.gatewayCount * LoadEstimator.SLOW_PACE / ALL_CLASSES_MULTIPLE;
+      engine.setConcurrencyFactor(
+          Math.min(maxFactor, engine.concurrencyFactor() + FACTOR_INCREASE));
     }
   }
 
@@ -232,15 +269,21 @@
         .anyMatch(requestClass -> requestClass.firstQueued() != null);
   }
 
-  /** Threads in flight of the class with the most, or those of all in limits of one class. */
+  /**
+   * Returns the number of threads in flight to compare with the limit: those of the request class
+   * with the most, or those of all classes divided by {@link #ALL_CLASSES_MULTIPLE} if that is
+   * more.
+   */
   private static double limitedThreads(Engine engine) {
-    return Math.max(engine.threadsOfLargestClass(), engine.threadsInFlight() / ALL_CLASSES);
+    return Math.max(
+        engine.threadsOfLargestClass(), engine.threadsInFlight() / ALL_CLASSES_MULTIPLE);
   }
 
+  /** Reduces the limit of an engine, at most once per smallest latency objective. */
   private void reduceLimit(long now, Engine engine) {
     if (now >= engine.limitReducedAt()) {
-      double used = limitedThreads(engine) / (config.cores(engine) / config.gateways);
-      double factor = Math.min(engine.concurrencyFactor(), Math.max(used, INITIAL_FACTOR));
+      double usedFactor = limitedThreads(engine) / (config.cores(engine) / config.gatewayCount);
+      double factor = Math.min(engine.concurrencyFactor(), Math.max(usedFactor, INITIAL_FACTOR));
       engine.setConcurrencyFactor(Math.max(MIN_FACTOR, factor * FACTOR_DECREASE));
       engine.setLimitReducedAt(now + config.minLatencyObjective);
     }
--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -20,13 +20,15 @@
 import tillerlink.port.SendVerdict;
 
 /**
- * All decisions of one gateway: what runs, where, and with how much memory.
+ * Makes all decisions of one gateway: which requests run, on which engine, and with how much
+ * memory.
  *
- * <p>It takes the events of {@link DispatchPolicy} and owns the order of work. Events only change
- * what is known and wanted; {@link #applyDecisions} then reviews what is due and places what may
- * go, and {@link ActionReconciler} alone emits the difference between the wanted and the present
- * state through {@link DispatchActions}. Times are tenths of a millisecond; all methods belong to
- * the event loop's thread. The design is in docs/design.md.
+ * <p>It receives the events of {@link DispatchPolicy} and determines the order in which they are
+ * processed. Events only change the known and the wanted state. {@link #applyDecisions} then
+ * reviews what is due and places the requests that may be sent, and only {@link ActionReconciler}
+ * emits the difference between the wanted and the present state through {@link DispatchActions}.
+ * Times are tenths of a millisecond. All methods are called on the event loop's thread. The design
+ * is described in docs/design.md.
  */
 public final class DefaultDispatchPolicy implements DispatchPolicy {
   private final PolicyConfig config;
@@ -48,12 +50,13 @@
   private final AttemptSupervisor supervisor;
 
   /**
-   * Starts the decisions of one gateway.
+   * Creates the policy of one gateway.
    *
-   * @param now the time of the start
+   * @param now the time of the start, in tenths of a millisecond
    * @param seed the seed of all random draws
-   * @param values the settings by name, as {@link tillerlink.port.DispatchPolicyFactory} has them
-   * @param actions takes what is decided
+   * @param values the settings by name, as described at {@link
+   *     tillerlink.port.DispatchPolicyFactory}
+   * @param actions receives the actions that the policy decides on
    */
   public DefaultDispatchPolicy(
       long now, long seed, Map<String, Object> values, DispatchActions actions) {
@@ -85,7 +88,7 @@
   @Override
   public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
     registry.update(whole, entries);
-    reconciler.clearWatchRetry();
+    reconciler.cancelWatchRetry();
   }
 
   @Override
@@ -102,7 +105,8 @@
   @Override
   public void onEndpointPollFailed(long now) {
     if (config.watchesEndpoints) {
-      reconciler.retryWatchAt(now + (long) (config.watchRetryPause * (0.5 + random.nextDouble())));
+      reconciler.scheduleWatchRetry(
+          now + (long) (config.watchRetryPause * (0.5 + random.nextDouble())));
     }
   }
 
@@ -163,7 +167,10 @@
     ordering.advance(now, request);
   }
 
-  /** After an attempt without success: another, if the rules, the budget and the time allow it. */
+  /**
+   * Queues a request for another attempt after one without success, or terminates it if the rules,
+   * the retry budget or the time left do not allow another attempt.
+   */
   private void retryOrTerminate(long now, Request request) {
     if (retryPolicy.isAnotherAttemptWorthwhile(now, request)) {
       queues.addFirst(request);
@@ -179,8 +186,9 @@
   }
 
   /**
-   * Guards engines against work that nobody waits for: no attempt begins until the client asks
-   * again.
+   * Removes a request from its queue while no client waits for its answer, and resumes it when the
+   * client asks again. Guards engines against work whose result no client waits for, since no
+   * attempt begins in the meantime.
    */
   @Override
   public void onClientAttendanceChanged(long now, Request request, boolean unattended) {
@@ -208,7 +216,7 @@
   @Override
   public SendVerdict checkWrite(long now, Attempt attempt) {
     SendVerdict verdict = guard.checkWrite(now, attempt);
-    if (verdict == SendVerdict.ALLOWED && attempt.number > 0 && !budget.isKept(now)) {
+    if (verdict == SendVerdict.ALLOWED && attempt.number > 0 && !budget.isWithinBudget(now)) {
       return SendVerdict.RETRY_BUDGET;
     }
     return verdict;
@@ -241,37 +249,40 @@
 
   @Override
   public void applyDecisions(long now) {
-    for (Request due = timers.due(now); due != null; due = timers.due(now)) {
-      review(now, due);
+    for (Request dueRequest = timers.due(now); dueRequest != null; dueRequest = timers.due(now)) {
+      review(now, dueRequest);
     }
-    reconciler.reviewWatch(now);
+    reconciler.requestWatchIfDue(now);
     limiter.surveyFleet(now);
     placeQueued(now);
     admission.shedLoad(now);
     reconciler.reconcile(now);
   }
 
-  /** Places what may go, while any engine has capacity for it. */
+  /** Places queued requests as long as any engine has capacity for them. */
   private void placeQueued(long now) {
-    BitSet blocked = new BitSet(config.requestClasses.size());
-    for (Request next = queues.next(now, blocked); next != null; next = queues.next(now, blocked)) {
-      TerminationReason reason = admission.reasonToTerminate(now, next);
+    BitSet blockedClasses = new BitSet(config.requestClasses.size());
+    for (Request request = queues.next(now, blockedClasses);
+        request != null;
+        request = queues.next(now, blockedClasses)) {
+      TerminationReason reason = admission.terminationReason(now, request);
       if (reason != null) {
-        admission.terminate(now, next, reason);
+        admission.terminate(now, request, reason);
         continue;
       }
-      Engine engine = selector.select(now, next);
+      Engine engine = selector.select(now, request);
       if (engine == null) {
-        blocked.set(next.classIndex);
+        blockedClasses.set(request.classIndex);
       } else {
-        queues.removeFirst(next.requestClass);
-        placer.place(now, next, engine);
+        queues.removeFirst(request.requestClass);
+        placer.place(now, request, engine);
       }
     }
   }
 
   /**
-   * What is due for a request: its end, its turn in the queue, or a look at the attempt in flight.
+   * Performs the review that is due for a request: terminates it if it is too late, reviews its
+   * place in the queue, or reviews its attempt in flight.
    */
   private void review(long now, Request request) {
     if (request.isResponseStarted()) {
--- a/gateway/src/main/java/tillerlink/policy/EngineRegistry.java
+++ b/gateway/src/main/java/tillerlink/policy/EngineRegistry.java
@@ -9,36 +9,38 @@
 import tillerlink.model.SlidingSum;
 
 /**
- * The engines that the decisions know: those on the endpoint list, and those that left it while
- * attempts are still in flight there. Used by the event loop alone.
+ * Registry of the engines that the policy knows: those on the endpoint list, and those that have
+ * left it while attempts are still in flight there. Used only by the event loop's thread.
  */
 final class EngineRegistry {
-  /** Slices of the sums over a sliding period. */
+  /** Number of slices of a sum over a sliding period. */
   static final int SUM_SLICES = 50;
 
-  /** Successes and failures fade over so many of the largest latency objective. */
-  private static final double RECORD_OBJECTIVES = 4.0;
+  /** Time over which successes and failures fade, in multiples of the largest latency objective. */
+  private static final double OUTCOME_FADE_OBJECTIVES = 4.0;
 
   private final PolicyConfig config;
   private final List<Engine> engines = new ArrayList<>();
-  private final List<Engine> readOnly = Collections.unmodifiableList(engines);
+  private final List<Engine> unmodifiableEngines = Collections.unmodifiableList(engines);
 
   EngineRegistry(PolicyConfig config) {
     this.config = config;
   }
 
-  /** The engines in the order in which they became known. */
+  /** Returns an unmodifiable view of the engines, in the order in which they became known. */
   List<Engine> engines() {
-    return readOnly;
+    return unmodifiableEngines;
   }
 
   /**
-   * Takes in an update of the endpoint list.
+   * Applies an update of the endpoint list.
    *
-   * @param whole engines without an entry are gone
+   * @param complete whether the update contains all engines, so that those without an entry have
+   *     left the list
+   * @param entries the new state of engines
    */
-  void update(boolean whole, List<EndpointUpdate> entries) {
-    if (whole) {
+  void update(boolean complete, List<EndpointUpdate> entries) {
+    if (complete) {
       engines.forEach(engine -> engine.status = Status.GONE);
     }
     for (EndpointUpdate entry : entries) {
@@ -71,10 +73,10 @@
   }
 
   private void initialize(Engine engine) {
-    double recordTime = config.maxLatencyObjective * RECORD_OBJECTIVES;
+    double outcomeFadeTime = config.maxLatencyObjective * OUTCOME_FADE_OBJECTIVES;
     engine.startCounting(
         config.requestClasses.size(),
-        recordTime,
+        outcomeFadeTime,
         (double) config.maxLatencyObjective,
         new SlidingSum(Math.max(1, config.slowStartPeriod), SUM_SLICES),
         ConcurrencyLimiter.INITIAL_FACTOR);
--- a/gateway/src/main/java/tillerlink/policy/EngineSelector.java
+++ b/gateway/src/main/java/tillerlink/policy/EngineSelector.java
@@ -14,27 +14,41 @@
 import tillerlink.port.SendVerdict;
 
 /**
- * Chooses the engine for a request: the one with the fewest requests of its class for each core,
- * among those with the best capacity. Used by the event loop alone.
+ * Selects the engine for a request: the one with the fewest requests of its class for each core,
+ * among those with the best capacity. Used only by the event loop's thread.
  */
 final class EngineSelector {
-  /** Drawn chance of success from which on an outlier gets a health-check attempt. */
-  private static final double HEALTH_CHECK_CHANCE = 0.7;
+  /**
+   * Randomly drawn chance of success above which an outlier gets a health-check attempt even if
+   * healthy engines are available.
+   */
+  private static final double MIN_HEALTH_CHECK_CHANCE = 0.7;
 
-  /** Trust from which on one response makes up for a cached endpoint list. */
-  private static final double TRUSTED_AFTER_RESPONSE = 0.5;
+  /**
+   * Trust from which on one response of an engine makes up for its entry coming from a cached
+   * endpoint list.
+   */
+  private static final double MIN_TRUST_AFTER_RESPONSE = 0.5;
 
-  /** An engine this many times slower than the fleet counts with fewer cores. */
-  private static final double SLOW_ENGINE = 1.4;
+  /**
+   * Ratio of an engine's pace to that of the fleet above which the engine is treated as having
+   * fewer cores.
+   */
+  private static final double MIN_SLOWNESS = 1.4;
 
-  /** Share of an engine that request classes bound to it leave to others, at the least. */
+  /**
+   * Lower bound of the share of an engine that request classes restricted to it leave to others.
+   */
   private static final double MIN_SPARE_SHARE = 0.1;
 
-  /** Loads closer than this are equal. */
-  private static final double TOLERANCE = 1e-9;
+  /** Difference up to which two loads are equal. */
+  private static final double LOAD_TOLERANCE = 1e-9;
 
-  /** Larger than any load: decides before the load does. */
-  private static final double TIE_BREAK = 1000;
+  /**
+   * Weight of a preference in the rating of an engine. It is larger than any load, so that
+   * preferences take precedence over the load.
+   */
+  private static final double PREFERENCE_WEIGHT = 1000;
 
   private final PolicyConfig config;
   private final Random random;
@@ -48,16 +62,16 @@
   private final ConcurrencyLimiter limiter;
   private final FleetSurvey survey;
 
-  /** Of the engines looked at for the present request: the healthy ones with the best capacity. */
+  /** Healthy engines with the best capacity among those examined for the present request. */
   private final List<Engine> candidates = new ArrayList<>();
 
   private Capacity bestCapacity;
   private boolean healthyFound;
 
-  /** Of the outliers, the one with the highest drawn chance of success, or null. */
+  /** Outlier with the highest drawn chance of success, or null. */
   private Engine likeliestOutlier;
 
-  private double outlierChance;
+  private double likeliestOutlierChance;
 
   EngineSelector(
       PolicyConfig config,
@@ -79,12 +93,13 @@
     survey = measurements.survey();
   }
 
-  /** The engine for a request, or null if it must wait. */
+  /** Returns the engine for a request, or null if the request must wait. */
   Engine select(long now, Request request) {
     limiter.surveyFleet(now);
     collectCandidates(now, request);
     boolean healthCheck =
-        request.requestClass.config.effect() == Effect.PURE && outlierChance > HEALTH_CHECK_CHANCE;
+        request.requestClass.config.effect() == Effect.PURE
+            && likeliestOutlierChance > MIN_HEALTH_CHECK_CHANCE;
     if (likeliestOutlier != null && (healthCheck || !healthyFound)) {
       return likeliestOutlier;
     }
@@ -105,7 +120,7 @@
     bestCapacity = Capacity.NONE;
     healthyFound = false;
     likeliestOutlier = null;
-    outlierChance = -1;
+    likeliestOutlierChance = -1;
     for (Engine engine : registry.engines()) {
       if (!isEligible(now, request, engine)) {
         continue;
@@ -122,19 +137,19 @@
   private boolean isEligible(long now, Request request, Engine engine) {
     return guard.checkPlacement(now, request, engine) == SendVerdict.ALLOWED
         && slowStart.hasQuota(now, engine, LoadEstimator.work(now, request))
-        && isProven(request, engine);
+        && isTrusted(request, engine);
   }
 
   /**
-   * Draws from the posterior of an outlier's chance of success, so that it is never quite
-   * forgotten.
+   * Draws a chance of success from an outlier's posterior distribution, so that no outlier is
+   * excluded permanently, and remembers the outlier with the highest one.
    */
   private void considerOutlier(long now, Engine engine) {
     double chance =
         BetaDistribution.draw(
             random, 1 + engine.successes().at(now), 1 + engine.failures().at(now));
-    if (engine.healthChecksInFlight() == 0 && chance > outlierChance) {
-      outlierChance = chance;
+    if (engine.healthChecksInFlight() == 0 && chance > likeliestOutlierChance) {
+      likeliestOutlierChance = chance;
       likeliestOutlier = engine;
     }
   }
@@ -150,13 +165,15 @@
   }
 
   /**
-   * Guards a start from a cached endpoint list: until an engine of it has responded, few attempts
-   * go there, and none that must not run twice or is bound to some engines; with an old list these
-   * wait until it is confirmed. It may hurt a gateway that has little else.
+   * Returns whether an engine is trusted enough for a request. Guards a gateway that starts from a
+   * cached endpoint list: until an engine of that list has responded, it gets few attempts, and
+   * none of a request that must not run twice or is restricted to some engines. With an old list,
+   * such requests wait until the list is confirmed. The cost is borne by a gateway that has few
+   * other requests.
    */
-  private boolean isProven(Request request, Engine engine) {
+  private boolean isTrusted(Request request, Engine engine) {
     boolean responded = engine.lastResponseAt() >= gatewayStartedAt;
-    if (engine.trust >= 1 || (responded && engine.trust >= TRUSTED_AFTER_RESPONSE)) {
+    if (engine.trust >= 1 || (responded && engine.trust >= MIN_TRUST_AFTER_RESPONSE)) {
       return true;
     }
     RequestClassConfig classConfig = request.requestClass.config;
@@ -167,7 +184,7 @@
             || engine.inFlight.size() < Math.max(1, engine.trust * limiter.limit(engine)));
   }
 
-  /** Removes the candidates that match, unless none would remain. */
+  /** Removes the candidates that match, unless all of them do. */
   private void removeUnlessAll(Predicate<Engine> matches) {
     if (!candidates.stream().allMatch(matches)) {
       candidates.removeIf(matches);
@@ -175,57 +192,62 @@
   }
 
   /**
-   * Load-balanced query placement: the fewest requests of the class for each core; those above the
-   * expected average are left out; cached tables break ties.
+   * Selects a candidate by load-balanced query placement: the candidates with the fewest requests
+   * of the class for each core remain, those above the expected average are excluded, and cached
+   * tables break ties.
    */
   private Engine leastLoaded(long now, Request request) {
     double cores = 0;
-    double queries = 1;
+    double requestCount = 1;
     for (Engine engine : candidates) {
       measureLoad(now, request, engine);
       cores += engine.spareCores();
-      queries += engine.classLoad() * engine.spareCores();
+      requestCount += engine.classLoad() * engine.spareCores();
     }
-    double average = queries / cores;
+    double average = requestCount / cores;
     removeUnlessAll(engine -> engine.classLoad() > average);
-    double least = candidates.stream().mapToDouble(engine -> engine.classLoad()).min().orElse(0);
-    candidates.removeIf(engine -> engine.classLoad() > least + TOLERANCE);
+    double minLoad = candidates.stream().mapToDouble(engine -> engine.classLoad()).min().orElse(0);
+    candidates.removeIf(engine -> engine.classLoad() > minLoad + LOAD_TOLERANCE);
     return breakTie(request);
   }
 
   private void measureLoad(long now, Request request, Engine engine) {
-    boolean recent = reports.isRecent(now, engine);
+    boolean hasRecentReport = reports.isRecent(now, engine);
     double cores = effectiveCores(now, engine) * spareShare(now, engine, request.requestClass);
     engine.setSpareCores(cores);
     engine.setClassLoad(
         engine.inFlightOfClass(request.classIndex) / cores
-            + (recent ? engine.reportedQueries() / config.cores(engine) : 0));
-    // Guards against a stalled engine that answers nothing: after a while it would look idle.
+            + (hasRecentReport ? engine.reportedQueries() / config.cores(engine) : 0));
+    // Guards against a stalled engine, which sends no reports: after a while it would look idle.
     double utilization =
-        recent
+        hasRecentReport
             ? engine.reportedUtilization()
-            : Math.max(survey.utilization, engine.reportedUtilization());
+            : Math.max(survey.meanUtilization, engine.reportedUtilization());
     int threads = engine.threadsInFlight() + request.requestClass.config.threadsPerRequest();
     engine.setLoad(threads / cores + utilization);
   }
 
   /**
-   * Cached tables break ties, but not towards an engine that other classes keep busier than the
-   * rest: a popular table group would pile up its long queries there. Before them comes a warming
-   * engine whose slow-start slot it is: a slot without an attempt leaves it idle. Then the least
-   * load decides, with a random draw by cores, which guards against many gateways that know little
-   * and would choose alike. It costs some choices between engines of different load.
+   * Selects one of several candidates with equal numbers of requests. A warming engine comes first
+   * if the attempt would use its slow-start slot, because a slot without an attempt leaves the
+   * engine idle. Engines with cached tables come next, unless other classes keep them busier than
+   * the average candidate: a popular table group would otherwise accumulate its long queries there.
+   * Then the lowest sum of the load and a random draw, which is smaller for more cores, decides.
+   * The draw guards against many gateways with little information making the same choice. Its cost
+   * is that it sometimes outweighs a difference in load.
    */
   private Engine breakTie(Request request) {
-    double usualLoad = candidates.stream().mapToDouble(engine -> engine.load()).average().orElse(0);
+    double meanLoad = candidates.stream().mapToDouble(engine -> engine.load()).average().orElse(0);
     Engine best = null;
     double bestRating = Double.MAX_VALUE;
     for (Engine engine : candidates) {
       boolean tablesCached =
-          engine.hasRecentTableGroup(request.tableGroup) && engine.load() <= usualLoad + TOLERANCE;
-      double draw = -Math.log(1 - random.nextDouble()) / engine.spareCores();
-      double preference = engine.usesSlowStartSlot() ? -TIE_BREAK : tablesCached ? 0 : TIE_BREAK;
-      double rating = preference + engine.load() + draw;
+          engine.hasRecentTableGroup(request.tableGroup)
+              && engine.load() <= meanLoad + LOAD_TOLERANCE;
+      double randomDraw = -Math.log(1 - random.nextDouble()) / engine.spareCores();
+      double preference =
+          engine.usesSlowStartSlot() ? -PREFERENCE_WEIGHT : tablesCached ? 0 : PREFERENCE_WEIGHT;
+      double rating = preference + engine.load() + randomDraw;
       if (rating < bestRating) {
         bestRating = rating;
         best = engine;
@@ -235,31 +257,35 @@
   }
 
   /**
-   * An engine slower than the fleet, or still warming up, counts with the cores it seems to have.
+   * Returns the number of cores that an engine seems to have, which is lower for one that is slower
+   * than the fleet or still warming up.
    */
   private double effectiveCores(long now, Engine engine) {
-    double slowness = engine.pace().at(now) / survey.pace;
+    double slowness = engine.pace().at(now) / survey.meanPace;
     return config.cores(engine)
         * slowStart.warmCapacity(now, engine)
-        / (slowness > SLOW_ENGINE ? slowness : 1);
+        / (slowness > MIN_SLOWNESS ? slowness : 1);
   }
 
   /**
-   * The share of an engine that the other request classes bound to a part of the fleet leave, by
-   * the work seen of each. Guards against that part being filled twice: counts of one class do not
-   * show it, and where a gateway's counts are mostly zero nothing does. It may hurt while estimates
-   * are far off by request class.
+   * Returns the share of an engine that is left by the other request classes that are restricted to
+   * a part of the fleet, estimated from the offered work of each. Guards against that part being
+   * filled twice: the request counts of one class do not show the load of the others, and where
+   * most counts of a gateway are zero, no count does. The share is wrong while the estimates of
+   * some request classes are far off.
+   *
+   * @return the share, {@link #MIN_SPARE_SHARE} to 1
    */
   private double spareShare(long now, Engine engine, RequestClass requestClass) {
-    double boundWork = 0;
+    double boundWorkPerCore = 0;
     for (RequestClass other : estimator.requestClasses()) {
       if (other != requestClass
           && other.eligibleCores() < survey.cores
           && other.config.allows(engine)) {
-        boundWork += other.offeredWork().at(now) / other.eligibleCores();
+        boundWorkPerCore += other.offeredWork().at(now) / other.eligibleCores();
       }
     }
     return Math.max(
-        MIN_SPARE_SHARE, 1 - boundWork * survey.cores / Math.max(1, survey.offeredWork));
+        MIN_SPARE_SHARE, 1 - boundWorkPerCore * survey.cores / Math.max(1, survey.offeredWork));
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/FleetMeasurements.java
+++ b/gateway/src/main/java/tillerlink/policy/FleetMeasurements.java
@@ -1,14 +1,14 @@
 package tillerlink.policy;
 
 /**
- * What is known and measured of the engines and of the load, as one gateway sees it.
+ * Measurements of the engines and of the load, as seen by one gateway.
  *
  * @param registry the known engines
  * @param survey sums over the ready engines
- * @param estimator work and time of requests
+ * @param estimator estimates of the work and time of requests
  * @param reports load reports of engines
  * @param outliers successes and failures of engines
- * @param slowStart warm-up of engines
+ * @param slowStart limits for engines that are warming up
  */
 record FleetMeasurements(
     EngineRegistry registry,
@@ -19,8 +19,9 @@
     SlowStart slowStart) {
 
   /**
-   * Measurements of a gateway that knows no engines yet.
+   * Creates the measurements of a gateway that does not know any engine yet.
    *
+   * @param config the policy's settings
    * @param now the time of the gateway's start, in tenths of a millisecond
    */
   static FleetMeasurements create(PolicyConfig config, long now) {
--- a/gateway/src/main/java/tillerlink/policy/FleetSurvey.java
+++ b/gateway/src/main/java/tillerlink/policy/FleetSurvey.java
@@ -3,82 +3,95 @@
 import java.util.Arrays;
 
 /**
- * Sums over the ready engines, as of the last survey of {@link ConcurrencyLimiter}. Used by the
- * event loop alone.
+ * Sums over the ready engines, as of the last survey by {@link ConcurrencyLimiter}. Used only by
+ * the event loop's thread.
  */
 final class FleetSurvey {
-  /** Ready engines. */
-  int ready;
+  /** Number of ready engines. */
+  int readyEngines;
 
-  /** Ready engines that are no outliers. */
-  int healthy;
+  /** Number of ready engines that are not outliers. */
+  int healthyEngines;
 
-  /** Ready engines that are overloaded or outliers. */
-  int impaired;
+  /** Number of ready engines that are overloaded or outliers. */
+  int impairedEngines;
 
-  /** Ready engines with a recent load report. */
-  int reporting;
+  /** Number of ready engines with a recent load report. */
+  int reportingEngines;
 
   /** Cores of all ready engines. */
   double cores;
 
-  /** Work that was asked for recently, of all request classes. */
+  /**
+   * Work that clients recently requested, of all request classes, in tenths of a millisecond of
+   * thread time.
+   */
   double offeredWork;
 
-  /** Mean pace of the healthy engines, in multiples of the best; 1 while there is none. */
-  double pace = 1;
+  /**
+   * Mean pace of the healthy engines, in multiples of the best pace; 1 if there are no healthy
+   * engines.
+   */
+  double meanPace = 1;
 
-  /** Mean utilization of the engines with a recent report, 0 to 1. */
-  double utilization;
+  /**
+   * Mean utilization of the engines with a recent report, 0 to 1; their sum until {@link
+   * #computeMeans} is called.
+   */
+  double meanUtilization;
 
-  private double paces;
-  private final double[] limits = new double[2];
-  private final double[] threads = new double[2];
+  private double paceSum;
+  private final double[] limitsByPool = new double[2];
+  private final double[] threadsByPool = new double[2];
 
-  /** Begins a new survey. */
+  /** Starts a new survey. */
   void reset() {
-    ready = 0;
-    healthy = 0;
-    impaired = 0;
-    reporting = 0;
-    paces = 0;
-    utilization = 0;
+    readyEngines = 0;
+    healthyEngines = 0;
+    impairedEngines = 0;
+    reportingEngines = 0;
+    paceSum = 0;
+    meanUtilization = 0;
     cores = 0;
     offeredWork = 0;
-    Arrays.fill(limits, 0);
-    Arrays.fill(threads, 0);
+    Arrays.fill(limitsByPool, 0);
+    Arrays.fill(threadsByPool, 0);
   }
 
-  /** Counts the health of a ready engine. */
+  /**
+   * Counts a ready engine by its health.
+   *
+   * @param enginePace its pace in multiples of the best pace
+   */
   void addHealth(boolean overloaded, boolean outlier, double enginePace) {
-    impaired += overloaded || outlier ? 1 : 0;
-    healthy += outlier ? 0 : 1;
-    paces += outlier ? 0 : enginePace;
+    impairedEngines += overloaded || outlier ? 1 : 0;
+    healthyEngines += outlier ? 0 : 1;
+    paceSum += outlier ? 0 : enginePace;
   }
 
-  /** Counts the concurrency limit and the threads in use of a ready engine in its pool. */
+  /** Adds the concurrency limit and the threads in use of a ready engine to its pool. */
   void addToPool(boolean overloaded, double limit, double threadsInUse) {
-    limits[pool(overloaded)] += limit;
-    threads[pool(overloaded)] += threadsInUse;
+    limitsByPool[poolIndex(overloaded)] += limit;
+    threadsByPool[poolIndex(overloaded)] += threadsInUse;
   }
 
-  /** Works out the means. */
-  void finish() {
-    pace = healthy == 0 ? 1 : paces / healthy;
-    utilization /= Math.max(1, reporting);
+  /** Computes the means from the sums, at the end of a survey. */
+  void computeMeans() {
+    meanPace = healthyEngines == 0 ? 1 : paceSum / healthyEngines;
+    meanUtilization /= Math.max(1, reportingEngines);
   }
 
-  /** The limits of the overloaded engines, or those of the others, together. */
+  /** Returns the sum of the concurrency limits of the overloaded engines, or of the others. */
   double poolLimit(boolean overloaded) {
-    return limits[pool(overloaded)];
+    return limitsByPool[poolIndex(overloaded)];
   }
 
-  /** The threads in use on the overloaded engines, or on the others, together. */
+  /** Returns the number of threads in use on the overloaded engines, or on the others. */
   double poolThreads(boolean overloaded) {
-    return threads[pool(overloaded)];
+    return threadsByPool[poolIndex(overloaded)];
   }
 
-  private static int pool(boolean overloaded) {
+  private static int poolIndex(boolean overloaded) {
     return overloaded ? 1 : 0;
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/KeyOrdering.java
+++ b/gateway/src/main/java/tillerlink/policy/KeyOrdering.java
@@ -5,8 +5,8 @@
 import tillerlink.model.RequestTimers;
 
 /**
- * Keeps the requests of a key in order, one at a time. Times are tenths of a millisecond. Used by
- * the event loop alone.
+ * Runs the requests of a key in order, one at a time. Times are tenths of a millisecond. Used only
+ * by the event loop's thread.
  */
 final class KeyOrdering {
   private final PolicyConfig config;
@@ -20,19 +20,19 @@
   }
 
   /**
-   * Queues the next of a key's requests when all before it are over and their cooldown has passed;
-   * does nothing for a request without order.
+   * Queues the next request of a key once all earlier ones have ended and their cooldown has
+   * passed. Does nothing for a request that is not ordered.
    */
   void advance(long now, Request request) {
-    Request next = request.ordered() ? request.keyQueue.firstUnfinished() : null;
-    if (next == null || next.outcome != null || next.isQueued() || !next.attempts.isEmpty()) {
+    Request first = request.ordered() ? request.keyQueue.firstUnfinished() : null;
+    if (first == null || first.outcome != null || first.isQueued() || !first.attempts.isEmpty()) {
       return;
     }
     long cooldownUntil = request.keyQueue.cooldownUntil;
     if (now >= cooldownUntil) {
-      queues.addLast(next);
-    } else if (cooldownUntil < next.wakeAt()) {
-      timers.set(next, cooldownUntil);
+      queues.addLast(first);
+    } else if (cooldownUntil < first.wakeAt()) {
+      timers.set(first, cooldownUntil);
     }
   }
 
--- a/gateway/src/main/java/tillerlink/policy/LoadReports.java
+++ b/gateway/src/main/java/tillerlink/policy/LoadReports.java
@@ -2,9 +2,11 @@
 
 import tillerlink.model.Engine;
 
-/** Reads the load reports that engines send with their responses. */
+/**
+ * Reads the load reports that engines send with their responses. Times are tenths of a millisecond.
+ */
 final class LoadReports {
-  /** A reported share of cores or disks from which on an engine is busy. */
+  /** Reported share of cores or disks in use from which on an engine counts as busy. */
   private static final double BUSY_UTILIZATION = 0.95;
 
   private final PolicyConfig config;
@@ -14,7 +16,7 @@
   }
 
   /**
-   * Takes in a load report.
+   * Records a load report of an engine.
    *
    * @param report numbers in the order of the setting {@code report.fields}, or null
    * @return whether the engine reports that it is busy
@@ -37,7 +39,7 @@
       case "cpu_share", "x1" -> reportUtilization(engine, value);
       case "pending" -> reportUtilization(engine, value >= 1 ? 1 : 0);
       default -> {
-        // Fields that no decision uses.
+        // No decision uses the other fields.
       }
     }
   }
@@ -46,7 +48,10 @@
     engine.setReportedUtilization(Math.max(engine.reportedUtilization(), utilization));
   }
 
-  /** Whether the last load report of an engine is recent enough to be used. */
+  /**
+   * Returns whether the last load report of an engine is recent enough to be used, which is for the
+   * duration of the largest latency objective.
+   */
   boolean isRecent(long now, Engine engine) {
     return now < engine.reportedAt() + config.maxLatencyObjective;
   }
--- a/gateway/src/main/java/tillerlink/policy/OutlierDetector.java
+++ b/gateway/src/main/java/tillerlink/policy/OutlierDetector.java
@@ -6,27 +6,29 @@
 import tillerlink.model.Engine;
 
 /**
- * Detects engines that fail, refuse or are silent, from the outcomes of attempts. An outlier gets
- * health-check attempts only, until one of them succeeds. Times are tenths of a millisecond. Used
- * by the event loop alone.
+ * Detects engines that fail, reject or are silent, from the outcomes of attempts. An outlier gets
+ * only health-check attempts until one of them succeeds. Times are tenths of a millisecond. Used
+ * only by the event loop's thread.
  */
 final class OutlierDetector {
-  /** Failures that an outlier has at the least. */
+  /** Number of failures, faded with age, that an outlier must exceed. */
   private static final double MIN_FAILURES = 0.7;
 
-  /** Failures for each success that make an engine an outlier. */
+  /** Failures for each success that an outlier must exceed. */
   private static final double FAILURE_RATIO = 0.25;
 
-  /** What a silence counts for, in failures. */
+  /**
+   * Weight of a silence, a failure to connect or a restart, compared with 1 for a failed attempt.
+   */
   private static final double SILENCE_WEIGHT = 3;
 
-  /** Share of the opposite record that the outcome of a health-check attempt wipes out. */
-  private static final double HEALTH_CHECK_CLEARS = 0.8;
+  /** Share of the opposite outcomes that the outcome of a health-check attempt clears. */
+  private static final double HEALTH_CHECK_CLEARED_SHARE = 0.8;
 
-  /** Silence of this many expected times is suspicious. */
+  /** Length of a suspicious silence, in multiples of the expected time of an attempt. */
   private static final double SILENCE_EXPECTED_TIMES = 4;
 
-  /** Silence of this many periods of progress messages is suspicious. */
+  /** Length of a suspicious silence, in periods of progress messages. */
   private static final double SILENCE_PROGRESS_PERIODS = 1.3;
 
   private final PolicyConfig config;
@@ -35,41 +37,43 @@
     this.config = config;
   }
 
-  /** Whether an engine failed so often recently that it gets health-check attempts only. */
+  /** Returns whether an engine failed so often recently that it gets only health-check attempts. */
   boolean isOutlier(long now, Engine engine) {
-    double failed = engine.failures().at(now);
-    return failed > MIN_FAILURES && failed > FAILURE_RATIO * engine.successes().at(now);
+    double recentFailures = engine.failures().at(now);
+    return recentFailures > MIN_FAILURES
+        && recentFailures > FAILURE_RATIO * engine.successes().at(now);
   }
 
-  /** Whether an engine has sent nothing since an attempt was sent there. */
+  /** Returns whether an engine has sent nothing since an attempt was sent there. */
   static boolean isSilentSince(Attempt attempt) {
     return attempt.engine.lastResponseAt() < attempt.sentAt;
   }
 
   /**
-   * How long an engine may send nothing before it is suspected because of an attempt there. Where
-   * it sends progress messages, these decide: that guards against cancelling what was only
-   * underrated, where a gateway with little traffic gets nothing else from the engine. It may hurt
-   * short request classes on an engine that fell silent.
+   * Returns how long an engine may send nothing before it is suspected because of an attempt there,
+   * in tenths of a millisecond. If engines send progress messages, the limit depends on their
+   * period alone. Guards against the cancellation of an attempt whose time was merely
+   * underestimated, on a gateway with little traffic that receives nothing else from the engine.
+   * The cost is a late detection of silence for short request classes.
    */
   long silenceLimit(Attempt attempt) {
     long latencyObjective = attempt.request.requestClass.config.latencyObjective();
-    double limit =
+    double silenceLimit =
         config.progressPeriod > 0
             ? Math.max(
                 SILENCE_PROGRESS_PERIODS * config.progressPeriod, config.minLatencyObjective / 2.0)
             : Math.max(SILENCE_EXPECTED_TIMES * attempt.expectedTime, latencyObjective / 2.0);
-    return (long) limit;
+    return (long) silenceLimit;
   }
 
-  /** An engine was silent for too long: it counts as an outlier from now on. */
+  /** Records that an engine was silent for too long, and makes it an outlier. */
   void recordSilence(long now, Engine engine) {
     if (!isOutlier(now, engine)) {
       engine.failures().add(now, SILENCE_WEIGHT + FAILURE_RATIO * engine.successes().at(now));
     }
   }
 
-  /** Counts the outcome of an attempt for or against its engine. */
+  /** Counts the outcome of an attempt in favour of its engine or against it. */
   void recordOutcome(long now, Attempt attempt, AttemptOutcome outcome) {
     Engine engine = attempt.engine;
     if (outcome.engineResponded) {
@@ -77,36 +81,39 @@
     }
     switch (outcome) {
       case SUCCEEDED -> count(now, attempt, engine.successes(), 1, engine.failures());
-      // Guards against an engine that refuses at once: its low counts would attract its class.
+      // Guards against an engine that rejects at once: its low counts would attract more requests
+      // of the class.
       case REJECTED -> countFailure(now, attempt, 1);
-      case FAILED -> recordFailed(now, attempt);
+      case FAILED -> recordFailure(now, attempt);
       case CONNECT_FAILED -> countFailure(now, attempt, SILENCE_WEIGHT);
       case CONNECTION_LOST -> recordConnectionLost(now, attempt);
       case TIMED_OUT -> recordTimedOut(now, attempt);
       default -> {
-        // The other outcomes tell nothing of the engine.
+        // The other outcomes indicate nothing about the engine's health.
       }
     }
   }
 
   /**
-   * Guards against a request that no engine can serve: a failure on a second engine clears the
-   * first one.
+   * Counts a failed attempt against its engine, unless another engine has already failed on the
+   * same request. In that case one failure of the other engine is cleared instead, and the request
+   * is marked as unservable. Guards healthy engines against a request that no engine can execute.
    */
-  private static void recordFailed(long now, Attempt attempt) {
-    Engine other = attempt.request.otherFailedEngine(attempt.engine);
-    attempt.request.setUnservable(other != null);
-    if (other == null) {
+  private static void recordFailure(long now, Attempt attempt) {
+    Engine otherFailedEngine = attempt.request.otherFailedEngine(attempt.engine);
+    attempt.request.setUnservable(otherFailedEngine != null);
+    if (otherFailedEngine == null) {
       countFailure(now, attempt, 1);
     } else {
-      other.failures().add(now, -1);
+      otherFailedEngine.failures().add(now, -1);
     }
   }
 
   /**
-   * Guards against a restart that the endpoint list reports late: a process that dropped its
-   * connections comes back cold. One lost connection alone is the network's fault; two without a
-   * response between them are the fault of the process.
+   * Counts a lost connection against the engine. One lost connection alone is attributed to the
+   * network, and a second one without a response in between to a restart of the process. Guards
+   * against a restart that the endpoint list reports late: a process that dropped its connections
+   * is cold when it returns.
    */
   private static void recordConnectionLost(long now, Attempt attempt) {
     Engine engine = attempt.engine;
@@ -128,12 +135,19 @@
     count(now, attempt, attempt.engine.failures(), weight, attempt.engine.successes());
   }
 
-  /** A health-check attempt shows the present: it wipes out most of the opposite record. */
+  /**
+   * Adds an outcome to the successes or the failures of an engine. The outcome of a health-check
+   * attempt shows the engine's present state, so it clears most of the opposite outcomes.
+   */
   private static void count(
-      long now, Attempt attempt, DecayingSum record, double weight, DecayingSum opposite) {
-    record.add(now, weight);
+      long now,
+      Attempt attempt,
+      DecayingSum outcomes,
+      double weight,
+      DecayingSum oppositeOutcomes) {
+    outcomes.add(now, weight);
     if (attempt.healthCheck) {
-      opposite.add(now, -HEALTH_CHECK_CLEARS * opposite.at(now));
+      oppositeOutcomes.add(now, -HEALTH_CHECK_CLEARED_SHARE * oppositeOutcomes.at(now));
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/PolicyConfig.java
+++ b/gateway/src/main/java/tillerlink/policy/PolicyConfig.java
@@ -12,80 +12,88 @@
 import tillerlink.model.Settings;
 
 /**
- * The settings that the decisions depend on, read once when a gateway starts and immutable after
- * that. Times are tenths of a millisecond, memory is megabytes.
+ * Settings of the policy, read once when a gateway starts and immutable from then on. Times are
+ * tenths of a millisecond, memory is in megabytes.
  */
 final class PolicyConfig {
-  /** Resolution of the times of the settings. */
+  /** Resolution of the times in the settings. */
   final long tick;
 
-  /** Gateways that share the engines. */
-  final int gateways;
+  /** Number of gateways that share the engines. */
+  final int gatewayCount;
 
-  /** The position of this gateway among them, from 0; derived from the seed if none is set. */
+  /**
+   * Index of this gateway among those that share the engines, from 0; derived from the seed if none
+   * is set.
+   */
   final int gatewayIndex;
 
   /** Whether engines can cancel a running attempt. */
   final boolean mayCancel;
 
-  /** Attempts of one request, the first included. */
+  /** Maximum number of attempts of one request, including the first. */
   final long maxAttempts;
 
-  /** How long a rejected client is asked to stay away; 0 gives no advice. */
+  /** Time after which a rejected client is advised to retry; 0 for no advice. */
   final long retryAfter;
 
-  /** How long the requests of a key wait after an attempt that may still be running. */
+  /** Time for which the requests of a key wait after an attempt that may still be running. */
   final long keyCooldown;
 
-  /** Period over which the work sent to a warming engine is limited; 0 turns the limit off. */
+  /** Period over which the work sent to a warming engine is limited; 0 disables the limit. */
   final long slowStartPeriod;
 
-  /** Work for each warm core and unit of time that a warming engine bears. */
+  /** Work for each warm core and unit of time that a warming engine can process. */
   final double slowStartMultiple;
 
   /** Time that an engine takes to warm up. */
   final long warmupTime;
 
-  /** Share of its capacity that an engine has when it starts. */
+  /** Share of its capacity that an engine has when it starts, 0 to 1. */
   final double startCapacity;
 
-  /** Period of the retry budget; 0 turns the budget off. */
+  /** Period of the retry budget; 0 disables the budget. */
   final long retryBudgetPeriod;
 
-  /** Retries that are allowed in a period whatever the number of requests. */
+  /** Number of retries that are allowed in a period regardless of the number of requests. */
   final double retryBudgetFloor;
 
-  /** Retries that are allowed for each request of a period. */
+  /** Number of retries that are allowed for each request of a period. */
   final double retryBudgetRatio;
 
-  /** Whether the endpoint list has to be asked for. */
+  /**
+   * Whether the gateway must request a watch of the endpoint list, because lists are not pushed.
+   */
   final boolean watchesEndpoints;
 
-  /** Mean pause before a failed watch of the endpoint list is started again. */
+  /** Mean pause before a failed watch of the endpoint list is retried. */
   final long watchRetryPause;
 
-  /** Meaning of the numbers of a load report, by position. */
+  /** Names of the numbers in a load report, by position. */
   final List<String> reportFields;
 
-  /** Period in which engines report the progress of an attempt; 0 if they don't. */
+  /** Period in which engines report the progress of an attempt; 0 if they do not. */
   final long progressPeriod;
 
-  /** Whether memory is granted to an attempt. */
+  /** Whether attempts are granted memory. */
   final boolean grantsMemory;
 
-  /** Share of the memory of an engine that one attempt may be granted at most. */
+  /** Maximum share of an engine's memory that one attempt may be granted. */
   final double maxGrantShare;
 
-  /** The request classes, by index. */
+  /** Request classes by index. */
   final List<RequestClassConfig> requestClasses;
 
-  /** The smallest and the largest latency objective of a request class. */
+  /**
+   * Smallest latency objective of a request class; {@link Long#MAX_VALUE} without request classes.
+   */
   final long minLatencyObjective;
 
+  /** Largest latency objective of a request class, at least 1. */
   final long maxLatencyObjective;
 
-  /** Threads of one request of each request class together. */
-  final int threadsOfOneRequestEach;
+  /** Number of threads of one request of each request class together. */
+  final int threadsOfOneRequestPerClass;
 
   private final List<Double> coresByKind;
   private final List<Double> memoryByKind;
@@ -93,12 +101,12 @@
   /**
    * Reads the settings.
    *
-   * @param seed the seed of this gateway, from which its index is taken if none is set
+   * @param seed the seed of this gateway, from which its index is derived if none is set
    */
   PolicyConfig(Settings settings, long seed) {
     tick = settings.number("tick", 1);
-    gateways = (int) Math.max(1, settings.number("instances", 1));
-    gatewayIndex = Math.floorMod(settings.number("me", seed), gateways);
+    gatewayCount = (int) Math.max(1, settings.number("instances", 1));
+    gatewayIndex = Math.floorMod(settings.number("me", seed), gatewayCount);
     mayCancel = settings.flag("caps.may_cancel");
     maxAttempts = settings.number("caps.max_attempts", 1);
     retryAfter = settings.flag("caps.retry_after") ? settings.number("caps.max_retry_after", 0) : 0;
@@ -120,18 +128,18 @@
     requestClasses = requestClasses(settings);
     minLatencyObjective = latencyObjectives().min().orElse(Long.MAX_VALUE);
     maxLatencyObjective = Math.max(1, latencyObjectives().max().orElse(1));
-    threadsOfOneRequestEach =
+    threadsOfOneRequestPerClass =
         requestClasses.stream().mapToInt(RequestClassConfig::threadsPerRequest).sum();
     watchRetryPause =
         Math.max(tick, settings.number("guarantees.ask_within", 10 * minLatencyObjective) / 10);
   }
 
-  /** Cores of an engine, one at least. */
+  /** Returns the number of cores of an engine, at least 1. */
   double cores(Engine engine) {
     return Math.max(1, engine.kind < coresByKind.size() ? coresByKind.get(engine.kind) : 1);
   }
 
-  /** Memory of an engine in megabytes, 0 if it is not known. */
+  /** Returns the memory of an engine in megabytes, 0 if it is unknown. */
   double memory(Engine engine) {
     return engine.kind < memoryByKind.size() ? memoryByKind.get(engine.kind) : 0;
   }
@@ -140,38 +148,38 @@
     return requestClasses.stream().mapToLong(RequestClassConfig::latencyObjective);
   }
 
-  private static List<Double> amounts(Settings settings, String name, double otherwise) {
+  private static List<Double> amounts(Settings settings, String name, double defaultValue) {
     return IntStream.range(0, settings.list(name).size())
-        .mapToObj(index -> settings.nth(name, index, otherwise))
+        .mapToObj(index -> settings.nth(name, index, defaultValue))
         .collect(Collectors.toCollection(ArrayList::new));
   }
 
   private static List<RequestClassConfig> requestClasses(Settings settings) {
-    List<RequestClassConfig> read = new ArrayList<>();
+    List<RequestClassConfig> configs = new ArrayList<>();
     for (int i = 0; i < settings.number("profiles", 0); i++) {
-      read.add(requestClass(settings, i));
+      configs.add(requestClass(settings, i));
     }
-    return List.copyOf(read);
+    return List.copyOf(configs);
   }
 
   private static RequestClassConfig requestClass(Settings settings, int index) {
-    String at = "profiles." + index + ".";
-    long deadline = settings.number(at + "hard_limit", 1);
+    String prefix = "profiles." + index + ".";
+    long deadline = settings.number(prefix + "hard_limit", 1);
     return new RequestClassConfig(
-        effect(settings.text(at + "semantics")),
-        deduplicationGroup(settings.text(at + "group")),
-        settings.number(at + "window", 0),
-        Math.max(1, settings.number(at + "aim", deadline)),
-        settings.amount(at + "aim_stretch", 0),
+        effect(settings.text(prefix + "semantics")),
+        deduplicationGroup(settings.text(prefix + "group")),
+        settings.number(prefix + "window", 0),
+        Math.max(1, settings.number(prefix + "aim", deadline)),
+        settings.amount(prefix + "aim_stretch", 0),
         deadline,
-        settings.amount(at + "worth", 1),
-        settings.amount(at + "late_worth", 0),
+        settings.amount(prefix + "worth", 1),
+        settings.amount(prefix + "late_worth", 0),
         (int) Math.max(1, settings.nth("family_info.width_by_class", index, 1)),
         settings.nthFlag("family_info.loads", index),
         settings.nthFlag("family_info.waits_for_loads", index),
-        settings.flag(at + "keep_order"),
-        settings.numbers(at + "zones_open"),
-        settings.numbers(at + "models_allowed"));
+        settings.flag(prefix + "keep_order"),
+        settings.numbers(prefix + "zones_open"),
+        settings.numbers(prefix + "models_allowed"));
   }
 
   private static Effect effect(String semantics) {
--- a/gateway/src/main/java/tillerlink/policy/RequestDeadlines.java
+++ b/gateway/src/main/java/tillerlink/policy/RequestDeadlines.java
@@ -3,11 +3,14 @@
 import tillerlink.model.Request;
 
 /**
- * The moments that matter to a request, as times of the event loop's clock in tenths of a
+ * Computes the deadlines of requests, as times of the event loop's clock in tenths of a
  * millisecond.
  */
 final class RequestDeadlines {
-  /** Margin on an estimated latency objective before a response is too late. */
+  /**
+   * Factor on the latency objective, which may depend on estimated work, after which an answer is
+   * too late.
+   */
   private static final double LATE_MARGIN = 1.25;
 
   private final long tick;
@@ -18,12 +21,16 @@
     this.estimator = estimator;
   }
 
-  /** The last moment at which a final answer is surely in time. */
+  /** Returns the last time at which a final answer is certainly in time for the client. */
   long lastAnswerAt(Request request) {
     return request.clientDeadline - 2 * tick;
   }
 
-  /** From this moment on an answer is of no use. */
+  /**
+   * Returns the time from which on an answer is worthless: the last time that is in time for the
+   * client or, if the request class gives no weight to late answers and this is earlier, the end of
+   * the latency objective with a margin.
+   */
   long tooLateAt(long now, Request request) {
     return request.requestClass.config.latePriorityWeight() > 0
         ? lastAnswerAt(request)
@@ -33,8 +40,11 @@
                 (request.arrivedAt + LoadEstimator.latencyObjective(now, request) * LATE_MARGIN));
   }
 
-  /** From this moment on a queued request can't meet its latency objective even if sent at once. */
-  long unableToMeetAt(long now, Request request) {
+  /**
+   * Returns the time from which on a queued request can't meet its latency objective even if it is
+   * sent at once.
+   */
+  long objectiveUnreachableAt(long now, Request request) {
     long objectiveEnd =
         Math.min(
             request.clientDeadline,
--- a/gateway/src/main/java/tillerlink/policy/RequestQueues.java
+++ b/gateway/src/main/java/tillerlink/policy/RequestQueues.java
@@ -6,7 +6,7 @@
 import tillerlink.model.Request;
 import tillerlink.model.RequestClass;
 
-/** The queues of the request classes. Used by the event loop alone. */
+/** Queues of the requests of each request class. Used only by the event loop's thread. */
 final class RequestQueues {
   private final List<RequestClass> requestClasses;
   private final List<Request> recentlyQueued = new ArrayList<>();
@@ -15,21 +15,25 @@
     this.requestClasses = requestClasses;
   }
 
-  /** Queues a request behind the others of its class. */
+  /** Queues a request behind the others of its class, unless it is unattended. */
   void addLast(Request request) {
     if (markQueued(request)) {
       request.requestClass.queue.addLast(request);
     }
   }
 
-  /** Queues a request before the others of its class. */
+  /** Queues a request before the others of its class, unless it is unattended. */
   void addFirst(Request request) {
     if (markQueued(request)) {
       request.requestClass.queue.addFirst(request);
     }
   }
 
-  /** A request is not queued while its client is away. */
+  /**
+   * Marks a request as queued, unless no client waits for it at present.
+   *
+   * @return whether the request is to be queued
+   */
   private boolean markQueued(Request request) {
     if (request.unattended) {
       return false;
@@ -39,7 +43,11 @@
     return true;
   }
 
-  /** Takes a request out of its queue, and returns whether it was there. */
+  /**
+   * Removes a request from its queue.
+   *
+   * @return whether it was queued
+   */
   boolean remove(Request request) {
     if (!request.requestClass.queue.remove(request)) {
       return false;
@@ -48,39 +56,43 @@
     return true;
   }
 
-  /** Takes out the first request of a class. */
+  /** Removes the first request from the queue of a class. */
   void removeFirst(RequestClass requestClass) {
     requestClass.queue.pollFirst().setQueued(false);
   }
 
   /**
-   * Of the first requests of the classes, the one that has used most of its latency objective; or
-   * null if there is none.
+   * Returns the first request of a queue that has used the largest share of its latency objective.
    *
-   * @param blocked indices of the request classes that are left out
+   * @param blocked indices of the request classes to skip
+   * @return the request, or null if all queues that are not skipped are empty
    */
   Request next(long now, BitSet blocked) {
-    Request next = null;
-    double mostUsed = -1;
+    Request nextRequest = null;
+    double maxUsedShare = -1;
     for (RequestClass requestClass : requestClasses) {
       Request first = requestClass.firstQueued();
       if (first != null && !blocked.get(requestClass.index)) {
-        double used = (double) (now - first.arrivedAt) / LoadEstimator.latencyObjective(now, first);
-        if (used > mostUsed) {
-          mostUsed = used;
-          next = first;
+        double usedShare =
+            (double) (now - first.arrivedAt) / LoadEstimator.latencyObjective(now, first);
+        if (usedShare > maxUsedShare) {
+          maxUsedShare = usedShare;
+          nextRequest = first;
         }
       }
     }
-    return next;
+    return nextRequest;
   }
 
-  /** What was queued since the last call of {@link #clearRecentlyQueued}; grows as it is read. */
+  /**
+   * Returns the requests queued since the last call of {@link #clearRecentlyQueued}. The list is
+   * live: it grows if requests are queued while it is read.
+   */
   List<Request> recentlyQueued() {
     return recentlyQueued;
   }
 
-  /** Forgets which requests were queued recently. */
+  /** Clears the list of recently queued requests. */
   void clearRecentlyQueued() {
     recentlyQueued.clear();
   }
--- a/gateway/src/main/java/tillerlink/policy/RetryBudget.java
+++ b/gateway/src/main/java/tillerlink/policy/RetryBudget.java
@@ -3,16 +3,17 @@
 import tillerlink.model.SlidingSum;
 
 /**
- * The share of attempts that may be retries, over a sliding period. Times are tenths of a
- * millisecond. Used by the event loop alone.
+ * Limits the share of attempts that may be retries, over a sliding period. Times are tenths of a
+ * millisecond. Used only by the event loop's thread.
  */
 final class RetryBudget {
   private final double floor;
   private final double ratio;
 
-  /** Both null if no budget is set. */
+  /** Number of requests in the period; null if no budget is set. */
   private final SlidingSum requests;
 
+  /** Number of retries in the period; null if no budget is set. */
   private final SlidingSum retries;
 
   RetryBudget(PolicyConfig config) {
@@ -40,18 +41,18 @@
     }
   }
 
-  /** Whether one more retry may be placed. */
+  /** Returns whether the budget allows one more retry to be placed. */
   boolean allowsAnother(long now) {
     return allows(now, 1);
   }
 
-  /** Whether the retries that were placed are within the budget. */
-  boolean isKept(long now) {
+  /** Returns whether the retries that were placed are within the budget. */
+  boolean isWithinBudget(long now) {
     return allows(now, 0);
   }
 
-  private boolean allows(long now, int more) {
+  private boolean allows(long now, int additionalRetries) {
     return retries == null
-        || retries.upperBound(now) + more <= floor + ratio * requests.lowerBound(now);
+        || retries.upperBound(now) + additionalRetries <= floor + ratio * requests.lowerBound(now);
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/RetryPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/RetryPolicy.java
@@ -8,17 +8,21 @@
 import tillerlink.port.SendVerdict;
 
 /**
- * Decides whether a request is worth another attempt, and whether a running attempt is slow enough
- * to be given up for one. Times are tenths of a millisecond. Used by the event loop alone.
+ * Decides whether another attempt of a request is worthwhile, and whether an attempt in flight is
+ * slow enough to be cancelled for it. Times are tenths of a millisecond. Used only by the event
+ * loop's thread.
  */
 final class RetryPolicy {
-  /** An attempt projected at this many times the usual time has a bad plan or hangs. */
-  private static final double BAD_PLAN_PACE = 4;
+  /**
+   * Projected time of an attempt, in multiples of the usual time, above which it has a bad query
+   * plan or hangs.
+   */
+  private static final double TOO_SLOW_PACE = 4;
 
-  /** The same counts for more times the usual while too little of a request class was seen. */
-  private static final double UNKNOWN_CLASS_MARGIN = 2;
+  /** Factor on the usual time while too few attempts of a request class have been measured. */
+  private static final double UNMEASURED_CLASS_MARGIN = 2;
 
-  /** Share that an attempt counts as done at the least. */
+  /** Lower bound of the share of an attempt that counts as done. */
   private static final double MIN_COMPLETED_SHARE = 0.005;
 
   private final PolicyConfig config;
@@ -43,7 +47,7 @@
     this.deadlines = deadlines;
   }
 
-  /** Whether the rules, the retry budget and the time left allow another attempt. */
+  /** Returns whether the rules, the retry budget and the time left allow another attempt. */
   boolean isAnotherAttemptWorthwhile(long now, Request request) {
     return !request.isUnservable()
         && request.attempts.size() < config.maxAttempts
@@ -52,37 +56,44 @@
         && registry.engines().stream().anyMatch(engine -> mayRunOn(now, request, engine));
   }
 
-  /** Whether it may go there now, or once the endpoint list is confirmed or the engine is warm. */
+  /**
+   * Returns whether a request may be sent to an engine now, or once the endpoint list is confirmed
+   * or the engine is warm.
+   */
   private boolean mayRunOn(long now, Request request, Engine engine) {
     return guard.checkEndpoint(now, request, engine) == SendVerdict.ALLOWED;
   }
 
-  /** Whether another attempt could follow if the one in flight were cancelled now. */
+  /** Returns whether another attempt could follow if the one in flight were cancelled now. */
   boolean mayRetryAfterCancel(long now, Request request) {
     return request.requestClass.config.effect() != Effect.EFFECTFUL
         && isAnotherAttemptWorthwhile(now, request);
   }
 
-  /** Time that an attempt will have taken in all, as its reported progress projects it. */
+  /**
+   * Returns the total time of an attempt as projected from its reported progress, in tenths of a
+   * millisecond.
+   */
   static double projectedTime(long now, Attempt attempt) {
     return (now - attempt.sentAt) / Math.max(MIN_COMPLETED_SHARE, attempt.completedShare());
   }
 
   /**
-   * Guards against bad plans, and against an attempt that hangs alone: what its progress projects
-   * far beyond the usual time is sent anew; for an unknown request class the margin is larger. It
-   * may hurt where single estimates are far too low.
+   * Returns whether an attempt is projected to take so far beyond the usual time that another
+   * attempt should replace it. Guards against bad query plans and against a single attempt that
+   * hangs. The margin is larger for a request class without measurements. Attempts are cancelled
+   * needlessly where single estimates are far too low.
    */
-  static boolean hasBadPlan(long now, Attempt attempt) {
+  static boolean isProjectedTooSlow(long now, Attempt attempt) {
     RequestClass requestClass = attempt.request.requestClass;
-    double margin = requestClass.bestPace() > 0 ? 1 : UNKNOWN_CLASS_MARGIN;
+    double margin = requestClass.bestPace() > 0 ? 1 : UNMEASURED_CLASS_MARGIN;
     double enginePace = Math.max(1, attempt.engine.pace().at(now));
-    double usual =
+    double usualTime =
         margin
             * attempt.nominalTime
             * Math.max(requestClass.pace.at(now), requestClass.bestPaceOrDefault() * enginePace);
-    double projected = projectedTime(now, attempt);
-    return projected > BAD_PLAN_PACE * usual
-        && projected - (now - attempt.sentAt) > LoadEstimator.SLOW_PACE * usual;
+    double projectedTime = projectedTime(now, attempt);
+    return projectedTime > TOO_SLOW_PACE * usualTime
+        && projectedTime - (now - attempt.sentAt) > LoadEstimator.SLOW_PACE * usualTime;
   }
 }
--- a/gateway/src/test/java/tillerlink/RetryBudgetTest.java
+++ b/gateway/src/test/java/tillerlink/RetryBudgetTest.java
@@ -19,8 +19,8 @@
 import tillerlink.port.SendVerdict;
 
 /**
- * The retry budget counts retries by when they are written, which is later than they are placed
- * where connecting takes time.
+ * Tests that the retry budget counts a retry from the time at which it is written. That is later
+ * than the time at which it is placed if connecting takes time.
  */
 class RetryBudgetTest {
   private static final long START = 17_000_000_000_000L;
@@ -31,7 +31,11 @@
   private final List<Attempt> sent = new ArrayList<>();
   private final Engine engine = new Engine("e1");
 
-  /** Guards the budget: what was placed over ten seconds ago may have been written since then. */
+  /**
+   * Places three retries, which use up the budget of 10 s, and writes them half a second later. A
+   * fourth one, placed 10.25 s after the first three, must be denied, because only 9.75 s have
+   * passed since they were written.
+   */
   @Test
   void retryWrittenLateCountsFromItsWrite() {
     DefaultDispatchPolicy policy =
@@ -62,7 +66,7 @@
     assertEquals(SendVerdict.ALLOWED, policy.checkWrite(later + SECOND, fourth));
   }
 
-  /** Sends a request whose first attempt is lost, and returns its retry. */
+  /** Sends a request whose first attempt loses its response, and returns its retry. */
   private Attempt placeRetry(DefaultDispatchPolicy policy, long now) {
     policy.onRequestArrived(
         now, new Request("a", 0, 0, false, now, now + 30 * SECOND, 100, 0, null));
