--- a/cluster/src/main/java/tillerlink/cluster/Invariant.java
+++ b/cluster/src/main/java/tillerlink/cluster/Invariant.java
@@ -3,15 +3,18 @@
 import java.util.function.Supplier;
 
 /**
- * Checks of invariants next to the state that they guard. They are enabled in tests, in simulations
- * and in processes started by the test harness ({@code -Dtillerlink.invariants=true}), and disabled
- * otherwise.
+ * Run-time checks of invariants, placed next to the state that they guard. They are enabled in
+ * tests, in simulations and in processes started by the test harness ({@code
+ * -Dtillerlink.invariants=true}), and disabled otherwise.
  */
 public final class Invariant {
-  /** Whether invariants are checked in this process. */
+  /** True if invariants are checked in this process. */
   public static final boolean ENABLED = Boolean.getBoolean("tillerlink.invariants");
 
-  /** An invariant does not hold: a fault of the program, which no input from outside may cause. */
+  /**
+   * Thrown if an invariant does not hold. It indicates a bug in the program; no external input may
+   * cause it.
+   */
   public static final class Broken extends AssertionError {
     private static final long serialVersionUID = 1L;
 
@@ -23,11 +26,11 @@
   private Invariant() {}
 
   /**
-   * Checks an invariant, if checks are enabled.
+   * Checks an invariant if checks are enabled.
    *
-   * @param condition whether the invariant holds
-   * @param description evaluated only if it does not hold
-   * @throws Broken if it does not hold
+   * @param condition true if the invariant holds
+   * @param description describes the violation; evaluated only if the condition is false
+   * @throws Broken if checks are enabled and the condition is false
    */
   public static void holds(boolean condition, Supplier<String> description) {
     if (ENABLED && !condition) {
--- a/cluster/src/main/java/tillerlink/cluster/MembershipView.java
+++ b/cluster/src/main/java/tillerlink/cluster/MembershipView.java
@@ -3,19 +3,32 @@
 import java.util.List;
 
 /**
- * What this gateway knows of the members of its fleet. Every method is called on the gateway's
- * event loop and answers at once from memory.
+ * A read-only view of the fleet's members, as this gateway knows them. Every method is called on
+ * the gateway's event loop and returns immediately from memory.
  */
 public interface MembershipView {
-  /** The name of the local member; it survives a restart. */
+  /** Returns the name of the local member, which is the same after a restart. */
   String self();
 
-  /** The site of a member, the local one included; empty if the member is not known. */
+  /**
+   * Returns the site of a member.
+   *
+   * @param name the name of any member, the local one included
+   * @return the site; empty if the member is unknown
+   */
   String site(String name);
 
-  /** The names of all other known members in ascending order, failed and departed ones included. */
+  /**
+   * Returns the names of all other known members in ascending order, including members that failed
+   * or left.
+   */
   List<String> names();
 
-  /** How another member can be reached; {@link Reachability#GONE} if it is not known. */
+  /**
+   * Returns how another member can be reached.
+   *
+   * @param name the name of the other member
+   * @return its reachability; {@link Reachability#GONE} if the member is unknown
+   */
   Reachability reachability(String name);
 }
--- a/cluster/src/main/java/tillerlink/cluster/Reachability.java
+++ b/cluster/src/main/java/tillerlink/cluster/Reachability.java
@@ -1,22 +1,25 @@
 package tillerlink.cluster;
 
 /**
- * How another member of the fleet can be reached, as far as this gateway knows. The names of the
- * constants are part of the HTTP interface for operators.
+ * The reachability of another member of the fleet, as far as this gateway knows. The names of the
+ * constants are part of the operators' HTTP interface, so they must not change.
  */
 public enum Reachability {
-  /** It answered this gateway's own probes recently. */
+  /** The member answered this gateway's own probes recently. */
   REACHABLE,
-  /** It does not answer this gateway, but members that do answer can reach it. */
+  /** The member does not answer this gateway, but other reachable members can reach it. */
   THROUGH_OTHERS,
-  /** Nobody reached it recently; it may still refute the suspicion. */
+  /**
+   * No member reached it recently, so it is suspected to have failed; it may still refute the
+   * suspicion.
+   */
   SUSPECTED,
-  /** It was declared failed; only a higher incarnation of its own brings it back. */
+  /** The member was declared failed; it returns only with a higher incarnation of its own. */
   GONE,
-  /** It announced itself that it leaves. */
+  /** The member announced that it left the fleet. */
   LEFT;
 
-  /** Whether messages to the member are worth sending. */
+  /** Returns whether messages to the member may still arrive and should be sent. */
   public boolean isContactable() {
     return this == REACHABLE || this == THROUGH_OTHERS || this == SUSPECTED;
   }
