--- a/members/src/main/java/tillerlink/members/Identity.java
+++ b/members/src/main/java/tillerlink/members/Identity.java
@@ -38,7 +38,7 @@
     int bytes = text.getBytes(StandardCharsets.UTF_8).length;
     if (bytes < min || bytes > max) {
       throw new IllegalArgumentException(
-          field + " has " + bytes + " bytes, not " + min + " to " + max);
+          field + " has " + bytes + " bytes, expected " + min + " to " + max);
     }
   }
 }
--- a/members/src/main/java/tillerlink/members/Members.java
+++ b/members/src/main/java/tillerlink/members/Members.java
@@ -122,7 +122,7 @@
       state.log.log(
           RateLimitedLog.Kind.MALFORMED,
           now,
-          "members: a message from " + from + " can't be read: " + e.getMessage());
+          "members: malformed message from " + from + ": " + e.getMessage());
     }
   }
 
--- a/members/src/main/java/tillerlink/members/MembershipState.java
+++ b/members/src/main/java/tillerlink/members/MembershipState.java
@@ -163,7 +163,7 @@
     byte[] body = MemberCodec.write(message);
     Invariant.holds(
         body.length <= MessageSender.MAX_MESSAGE_BYTES,
-        () -> "a message of " + body.length + " bytes");
+        () -> "message of " + body.length + " bytes exceeds " + MessageSender.MAX_MESSAGE_BYTES);
     sent++;
     sentBytes += body.length;
     transport.send(address, body);
--- a/members/src/main/java/tillerlink/members/MessageHandler.java
+++ b/members/src/main/java/tillerlink/members/MessageHandler.java
@@ -247,11 +247,11 @@
     state.log.log(
         RateLimitedLog.Kind.FULL,
         state.now(),
-        "members: no room for "
+        "members: table is full, rejected "
             + update.name()
-            + ", "
+            + "; the limit is "
             + state.config.maxMembers()
-            + " others take part already");
+            + " other active members");
   }
 
   private void onOutdated(GossipUpdate update) {
--- a/members/src/main/java/tillerlink/members/antientropy/AntiEntropy.java
+++ b/members/src/main/java/tillerlink/members/antientropy/AntiEntropy.java
@@ -123,7 +123,8 @@
       pending.add(listing);
     }
     Invariant.holds(
-        pending.size() <= MAX_PENDING_LISTINGS, () -> "pending listings: " + pending.size());
+        pending.size() <= MAX_PENDING_LISTINGS,
+        () -> "pending listings: " + pending.size() + " exceed " + MAX_PENDING_LISTINGS);
   }
 
   // ---- listings ----
--- a/members/src/main/java/tillerlink/members/config/MembershipConfig.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipConfig.java
@@ -71,7 +71,7 @@
 
   private static void require(boolean withinBounds) {
     if (!withinBounds) {
-      throw new IllegalArgumentException("periods that can't be");
+      throw new IllegalArgumentException("membership setting out of bounds");
     }
   }
 
--- a/members/src/main/java/tillerlink/members/config/RateLimitedLog.java
+++ b/members/src/main/java/tillerlink/members/config/RateLimitedLog.java
@@ -50,7 +50,10 @@
       return;
     }
     state.loggedAt = now;
-    log.accept(state.suppressed == 0 ? line : line + " (" + state.suppressed + " like it before)");
+    log.accept(
+        state.suppressed == 0
+            ? line
+            : line + " (" + state.suppressed + " similar lines suppressed)");
     state.suppressed = 0;
   }
 }
--- a/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
+++ b/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
@@ -56,7 +56,13 @@
     }
     Invariant.holds(
         entries.size() == queue.size() && queue.size() <= maxSize,
-        () -> "queued gossip updates: " + queue.size());
+        () ->
+            "queued gossip updates: "
+                + queue.size()
+                + " for "
+                + entries.size()
+                + " members, the limit is "
+                + maxSize);
   }
 
   /** Queues an update of a member again for somebody who missed it, unless one is queued. */
--- a/members/src/main/java/tillerlink/members/local/LocalMember.java
+++ b/members/src/main/java/tillerlink/members/local/LocalMember.java
@@ -71,7 +71,7 @@
    */
   public void raiseIncarnation(long above) {
     long next = Math.max(above, card.incarnation()) + 1;
-    Invariant.holds(next > card.incarnation(), () -> "the own incarnation falls to " + next);
+    Invariant.holds(next > card.incarnation(), () -> "local incarnation decreases to " + next);
     card = new MemberInfo(next, card.birth(), card.address(), card.site());
     refutations++;
   }
--- a/members/src/main/java/tillerlink/members/probe/LocalHealth.java
+++ b/members/src/main/java/tillerlink/members/probe/LocalHealth.java
@@ -34,7 +34,9 @@
   /** Worsens the score by a number of points, up to the maximum. */
   public void degrade(int points) {
     score = Math.min(maxScore, score + points);
-    Invariant.holds(score >= 0 && score <= maxScore, () -> "local health " + score);
+    Invariant.holds(
+        score >= 0 && score <= maxScore,
+        () -> "local health score " + score + " is outside 0 to " + maxScore);
   }
 
   /** Improves the score by one point. */
--- a/members/src/main/java/tillerlink/members/probe/ProbeManager.java
+++ b/members/src/main/java/tillerlink/members/probe/ProbeManager.java
@@ -99,7 +99,8 @@
     Probe probe =
         new Probe(kind, drawBaseNumber(), name, address, suspicion, now, expectedRoundTrip);
     probes.put(probe.baseNumber, probe);
-    Invariant.holds(probes.size() <= MAX_PROBES, () -> "probes under way: " + probes.size());
+    Invariant.holds(
+        probes.size() <= MAX_PROBES, () -> "probes: " + probes.size() + " exceed " + MAX_PROBES);
     step(probe, now);
   }
 
--- a/members/src/main/java/tillerlink/members/state/MemberIndex.java
+++ b/members/src/main/java/tillerlink/members/state/MemberIndex.java
@@ -175,6 +175,6 @@
     }
     Invariant.holds(
         !active.contains(member) && !failed.contains(member),
-        () -> member.name() + " in two lists");
+        () -> member.name() + " is in two status sets");
   }
 }
--- a/members/src/main/java/tillerlink/members/state/MemberRecord.java
+++ b/members/src/main/java/tillerlink/members/state/MemberRecord.java
@@ -134,12 +134,14 @@
    */
   void transitionTo(MemberStatus next, MemberInfo nextCard, SuspicionTimer timer, long at) {
     Invariant.holds(
-        nextCard.compare(card) >= 0, () -> name + " falls from " + card + " to " + nextCard);
+        nextCard.compare(card) >= 0,
+        () -> name + ": incarnation decreases from " + card + " to " + nextCard);
     Invariant.holds(
         status.takesPart() || !next.takesPart() || nextCard.compare(card) > 0,
-        () -> name + " came back without a higher incarnation: " + nextCard);
+        () -> name + " rejoined without a higher incarnation: " + nextCard);
     Invariant.holds(
-        next == MemberStatus.SUSPECTED == (timer != null), () -> name + " in two states");
+        next == MemberStatus.SUSPECTED == (timer != null),
+        () -> name + ": suspicion timer does not match status " + next);
     card = nextCard;
     status = next;
     suspicionTimer = timer;
--- a/members/src/main/java/tillerlink/members/state/MemberTable.java
+++ b/members/src/main/java/tillerlink/members/state/MemberTable.java
@@ -109,7 +109,7 @@
    *     update accuses nobody
    */
   public MergeOutcome merge(GossipUpdate update, long now, boolean delayedByPause) {
-    Invariant.holds(!update.name().equals(self), () -> "oneself in the table");
+    Invariant.holds(!update.name().equals(self), () -> "local member in the member table");
     MemberRecord member = index.get(update.name());
     if (member == null) {
       return mergeUnknown(update, now, delayedByPause);
@@ -340,7 +340,9 @@
 
   private void add(MemberRecord member) {
     index.add(member);
-    Invariant.holds(index.size() <= maxRecords(), () -> "members known: " + index.size());
+    Invariant.holds(
+        index.size() <= maxRecords(),
+        () -> "member records: " + index.size() + " exceed " + maxRecords());
   }
 
   private void transition(
@@ -350,7 +352,7 @@
     index.changeStatus(member, () -> member.transitionTo(next, card, timer, at));
     Invariant.holds(
         index.activeSize() <= config.maxMembers(),
-        () -> "members that take part: " + index.activeSize());
+        () -> "active members: " + index.activeSize() + " exceed " + config.maxMembers());
     if (member.reachability() != previous || card.birth() != previousCard.birth()) {
       listener.onChange(member, previous, previousCard);
     }
--- a/members/src/main/java/tillerlink/members/state/SuspicionTimer.java
+++ b/members/src/main/java/tillerlink/members/state/SuspicionTimer.java
@@ -46,7 +46,8 @@
             : Math.log(accusers.size()) / Math.log(expectedConfirmations + 1);
     long computed = Math.round(maxTimeout - (maxTimeout - minTimeout) * share);
     Invariant.holds(
-        computed >= minTimeout && computed <= maxTimeout, () -> "a suspicion of " + computed);
+        computed >= minTimeout && computed <= maxTimeout,
+        () -> "suspicion timeout " + computed + " is outside " + minTimeout + " to " + maxTimeout);
     return computed;
   }
 
--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -123,7 +123,8 @@
     assertEquals(6, members.size());
     assertEquals(35, members.counts().rejected());
     assertTrue(members.names().size() <= 10);
-    assertEquals(List.of("members: no room for m5, 5 others take part already"), lines);
+    assertEquals(
+        List.of("members: table is full, rejected m5; the limit is 5 other active members"), lines);
   }
 
   /** Corrupted and truncated messages of every kind. */
@@ -160,7 +161,7 @@
     }
     assertTrue(members.counts().malformed() > 5000, () -> "malformed: " + members.counts());
     assertTrue(
-        lines.stream().filter(line -> line.contains("can't be read")).count() <= 1,
+        lines.stream().filter(line -> line.contains("malformed message")).count() <= 1,
         lines::toString);
   }
 
--- a/members/src/test/java/tillerlink/members/InjectedFaultsTest.java
+++ b/members/src/test/java/tillerlink/members/InjectedFaultsTest.java
@@ -127,7 +127,7 @@
     } catch (Invariant.Broken e) {
       return e.getMessage()
           .replaceAll("m\\d", "one")
-          .replaceAll("(from|incarnation:|falls to) .*", "$1");
+          .replaceAll("(from|incarnation:|decreases to) .*", "$1");
     }
     return UNDETECTED;
   }
@@ -210,13 +210,13 @@
   private static final String EXPECTED =
       """
       no fault: not detected
-      ACCEPTS_LOWER_INCARNATION: invariant broken: one falls from
-      REVIVES_AT_SAME_INCARNATION: invariant broken: one came back without a higher incarnation:
+      ACCEPTS_LOWER_INCARNATION: invariant broken: one: incarnation decreases from
+      REVIVES_AT_SAME_INCARNATION: invariant broken: one rejoined without a higher incarnation:
       SUSPECTS_WITHOUT_PROBE: live member suspected after a partition healed
       FORGETS_FAILED_AT_ONCE: dead member returns
       never refutes: no convergence
       never yields its name: two members of one name
-      lowers its incarnation: invariant broken: the own incarnation falls to
+      lowers its incarnation: invariant broken: local incarnation decreases to
       retransmits for ever: gossip after convergence
       suspicion of half a second: live member declared failed for lost messages
       never probes failed members: no convergence
