--- a/members/src/main/java/tillerlink/members/ComponentFactories.java
+++ b/members/src/main/java/tillerlink/members/ComponentFactories.java
@@ -5,7 +5,7 @@
 import tillerlink.members.local.LocalMember;
 import tillerlink.members.state.MemberTable;
 
-/** Makes the components of {@link Members}; tests override it to inject faults. */
+/** Factory of the components of {@link Members}. Tests override it to inject faults. */
 class ComponentFactories {
   LocalMember localMember(Identity identity, long birth) {
     return new LocalMember(
--- a/members/src/main/java/tillerlink/members/FailureDetector.java
+++ b/members/src/main/java/tillerlink/members/FailureDetector.java
@@ -15,9 +15,15 @@
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** SWIM's failure detector: whom this process probes, and what follows from the answers. */
+/**
+ * SWIM's failure detector. It decides which members and seeds this process probes, and updates the
+ * member table with the results.
+ */
 final class FailureDetector implements ProbeManager.Actions {
-  /** Members to be probed out of turn at once; those beyond are probed in their turn. */
+  /**
+   * Maximum number of members that wait for a probe out of turn. Further members are probed in
+   * their turn of the rotation.
+   */
   private static final int MAX_UNVERIFIED = 64;
 
   private static final int VERIFICATIONS_PER_ROUND = 2;
@@ -30,7 +36,7 @@
   final IndirectProbes indirectProbes;
   private final ProbeRotation rotation;
 
-  /** Gossip updates that are not believed before the member itself was probed, by name. */
+  /** Gossip updates that are not accepted until the member itself has been probed, by name. */
   private final Map<String, GossipUpdate> unverified = new LinkedHashMap<>();
 
   private int nextSeed;
@@ -44,9 +50,9 @@
     rotation = new ProbeRotation(state.random);
   }
 
-  // ---- whom to probe ----
+  // ---- selection of probe targets ----
 
-  /** Probes the next member of the rotation that is active and not being probed. */
+  /** Probes the next member of the rotation that is active and is not being probed already. */
   void probeNext() {
     for (int i = 0; i < state.table.size() + 1; i++) {
       String name = rotation.next(state.table::activeNames);
@@ -79,7 +85,7 @@
     rotation.add(name);
   }
 
-  /** Probes a failed member or a seed, as a partition may have healed. */
+  /** Probes a failed member or a seed, because a partition may have healed. */
   void reconnect() {
     MemberRecord failed = state.random.nextBoolean() ? state.table.pickFailed(state.random) : null;
     if (failed != null) {
@@ -90,7 +96,7 @@
         probe(Probe.Kind.SEED, "", seed, SuspicionLevel.NONE);
       }
     } else if (state.table.pickFailed(state.random) != null) {
-      // The second pick is not superfluous: a seeded run depends on the number of draws.
+      // The second pick is needed because a seeded run depends on the number of random draws.
       probeFailed(state.table.pickFailed(state.random));
     }
   }
@@ -99,12 +105,19 @@
     probe(Probe.Kind.GONE, failed.name(), failed.card().address(), failed.suspicion());
   }
 
-  /** Probes whoever has the local member's name at another address. */
+  /**
+   * Probes another process that may use the local member's name.
+   *
+   * @param address the address of that process, host:port
+   */
   void probeRival(String address) {
     probe(Probe.Kind.RIVAL, state.self, address, SuspicionLevel.NONE);
   }
 
-  /** Queues a gossip update that is not believed: the member itself is probed soon. */
+  /**
+   * Queues a gossip update that must be verified by a probe of the member. The update is dropped if
+   * {@link #MAX_UNVERIFIED} are queued.
+   */
   void verify(GossipUpdate update) {
     if (unverified.size() < MAX_UNVERIFIED) {
       unverified.put(update.name(), update);
@@ -115,7 +128,7 @@
     return !unverified.isEmpty();
   }
 
-  /** Probes some members of which gossip updates have to be verified. */
+  /** Probes up to {@link #VERIFICATIONS_PER_ROUND} members with unverified gossip updates. */
   void probeUnverified() {
     for (int i = 0; i < VERIFICATIONS_PER_ROUND && !unverified.isEmpty(); i++) {
       GossipUpdate update = unverified.remove(unverified.keySet().iterator().next());
@@ -145,10 +158,10 @@
         : new SuspicionLevel(update.status(), update.card().incarnation(), update.card().birth());
   }
 
-  // ---- actions of probes ----
+  // ---- callbacks of probes ----
 
   @Override
-  public void sendProbe(Probe probe, boolean bare) {
+  public void sendProbe(Probe probe, boolean withoutGossip) {
     state.send(
         probe.address(),
         new MemberMessage.Probe(
@@ -156,10 +169,13 @@
             probe.number(),
             probe.name(),
             currentSuspicion(probe),
-            bare ? List.of() : state.takeUpdates(MembershipState.UPDATE_BYTES)));
+            withoutGossip ? List.of() : state.takeUpdates(MembershipState.UPDATE_BYTES)));
   }
 
-  /** What the probed member has to refute may have changed since the probe started. */
+  /**
+   * Returns the suspicion that the probed member has to refute. If there was none when the probe
+   * started, the table is consulted again, because a suspicion may have begun since.
+   */
   private SuspicionLevel currentSuspicion(Probe probe) {
     MemberRecord member = state.table.get(probe.name());
     return member == null || probe.suspicion().isPresent() ? probe.suspicion() : member.suspicion();
@@ -209,7 +225,10 @@
     }
   }
 
-  /** Drops all that was under way before a pause of this process. */
+  /**
+   * Drops all probes and unverified updates from before a pause of this process, because answers to
+   * them may have arrived unread.
+   */
   void onPause() {
     probes.clear();
     indirectProbes.clear();
--- a/members/src/main/java/tillerlink/members/Farewell.java
+++ b/members/src/main/java/tillerlink/members/Farewell.java
@@ -10,8 +10,8 @@
 import tillerlink.messages.members.SuspicionLevel;
 
 /**
- * The end of this process as a member: it leaves, or another process keeps its name. That is
- * announced to some members, several times.
+ * Ends this process's membership, because it leaves or because another process keeps its name, and
+ * announces the end to several members in several rounds.
  */
 final class Farewell {
   private static final int FANOUT = 6;
@@ -19,52 +19,59 @@
   private static final int ROUNDS_PER_PROBE_INTERVAL = 5;
 
   /**
-   * Longest time between two rounds, in tenths of a millisecond: a process that was told to end
-   * runs its event loop for at least 700 ms more.
+   * Maximum time between two rounds, in tenths of a millisecond. A process that was asked to shut
+   * down runs its event loop for at least 700 ms more, and all rounds must fit into that time.
    */
   private static final long MAX_INTERVAL = 2000;
 
   private final MembershipState state;
 
-  /** The process that keeps the name, if one does; null as long as this one is a member. */
+  /**
+   * The other process that keeps the name; empty if this process left. Null while this process is
+   * still a member.
+   */
   private List<MemberInfo> successors;
 
   private long endedAt;
-  private int rounds;
+  private int roundsSent;
   private long nextRoundAt = Long.MIN_VALUE;
 
   Farewell(MembershipState state) {
     this.state = state;
   }
 
-  /** Whether this process is no member any more. */
+  /** Returns whether this process has left or has lost its name to another process. */
   boolean hasEnded() {
     return successors != null;
   }
 
-  /** This process leaves. */
+  /** Ends the membership because this process leaves. */
   void onLeave() {
     state.markLeft();
     end(List.of());
   }
 
-  /** Another process keeps the local member's name. */
+  /**
+   * Ends the membership because another process keeps the local member's name.
+   *
+   * @param successor the card of that process
+   */
   void onNameLost(MemberInfo successor) {
     end(List.of(successor));
     state.listener.onNameLost();
   }
 
-  private void end(List<MemberInfo> keepers) {
-    successors = keepers;
+  private void end(List<MemberInfo> nameHolders) {
+    successors = nameHolders;
     endedAt = state.now();
   }
 
-  /** Announces the end to some members, if a round is due. */
+  /** Announces the end to up to {@link #FANOUT} members, if a round is due. */
   void tick() {
     if (isAnnounced() || state.now() < nextRoundAt) {
       return;
     }
-    rounds++;
+    roundsSent++;
     nextRoundAt =
         state.now()
             + Math.min(state.config.probeInterval() / ROUNDS_PER_PROBE_INTERVAL, MAX_INTERVAL);
@@ -73,7 +80,11 @@
     }
   }
 
-  /** Announces that this process has left, and which other one keeps its name. */
+  /**
+   * Announces that this process has left, and which other process keeps its name, if any.
+   *
+   * @param address the address to send to, host:port
+   */
   void announceTo(String address) {
     long age = state.now() - endedAt;
     MemberInfo card = state.localMember.card();
@@ -85,12 +96,15 @@
     state.send(address, new MemberMessage.Gossip(card, SuspicionLevel.NONE, updates));
   }
 
-  /** Whether this process has ended and announced it often enough. */
+  /** Returns whether the membership has ended and all rounds of announcements were sent. */
   boolean isAnnounced() {
-    return hasEnded() && rounds >= ROUNDS;
+    return hasEnded() && roundsSent >= ROUNDS;
   }
 
-  /** When {@link #tick} is due, once this process has ended. */
+  /**
+   * Returns when {@link #tick} is due once the membership has ended, in tenths of a millisecond;
+   * {@link Long#MAX_VALUE} if nothing is left to announce.
+   */
   long nextDueAt() {
     return isAnnounced() ? Long.MAX_VALUE : nextRoundAt;
   }
--- a/members/src/main/java/tillerlink/members/Identity.java
+++ b/members/src/main/java/tillerlink/members/Identity.java
@@ -5,15 +5,14 @@
 import tillerlink.messages.members.MemberCodec;
 
 /**
- * Who the local member is.
+ * The identity of the local member.
  *
- * @param fleet name of the fleet; messages of other fleets are dropped by the reader of the
- *     envelope
- * @param name the member's name, the same after a restart; 1 to 64 bytes
- * @param site at most 64 bytes
- * @param address host:port where others reach it; 1 to 100 bytes
- * @param seeds addresses of some members
- * @param persistedIncarnation the incarnation that an earlier process persisted; 0 if none did
+ * @param fleet the name of the fleet; the envelope reader drops messages from other fleets
+ * @param name the member's name, which is the same after a restart; 1 to 64 bytes
+ * @param site the member's site; at most 64 bytes
+ * @param address host:port at which other members reach this one; 1 to 100 bytes
+ * @param seeds the addresses of members to contact at the start, host:port
+ * @param persistedIncarnation the incarnation that an earlier process persisted; 0 if there is none
  */
 public record Identity(
     String fleet,
@@ -23,9 +22,10 @@
     List<String> seeds,
     long persistedIncarnation) {
   /**
-   * Checks the lengths.
+   * Copies the seeds and checks the lengths.
    *
-   * @throws IllegalArgumentException if a text is too long, or the name or address is empty
+   * @throws IllegalArgumentException if the name, site or address is too long, or the name or
+   *     address is empty
    */
   public Identity {
     seeds = List.copyOf(seeds);
--- a/members/src/main/java/tillerlink/members/LocalNameGuard.java
+++ b/members/src/main/java/tillerlink/members/LocalNameGuard.java
@@ -8,7 +8,10 @@
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** Refutes wrong claims of the local member's name, and settles who keeps it if two have it. */
+/**
+ * Refutes false claims about the local member, and resolves the conflict if two processes use its
+ * name.
+ */
 final class LocalNameGuard {
   private final MembershipState state;
   private final FailureDetector failureDetector;
@@ -20,12 +23,17 @@
     this.farewell = farewell;
   }
 
-  /** Handles a suspicion that another member holds against the local one. */
+  /** Handles another member's suspicion against the local member. */
   void onSuspicion(SuspicionLevel suspicion) {
     onClaim(suspicion.status(), new MemberInfo(suspicion.incarnation(), suspicion.birth(), "", ""));
   }
 
-  /** Handles what another member claims of the local member's name. */
+  /**
+   * Handles another member's claim about the local member's name.
+   *
+   * @param status the claimed status
+   * @param card the claimed incarnation, birth, address and site; ignored if the incarnation is 0
+   */
   void onClaim(MemberStatus status, MemberInfo card) {
     LocalMember local = state.localMember;
     if (card.incarnation() == 0 || state.hasLeft() || local.hasYielded()) {
@@ -34,8 +42,8 @@
     LocalMember.Reaction reaction =
         local.onClaim(status, card.incarnation(), card.birth(), card.address());
     react(reaction, card);
-    boolean ofThisProcess = card.birth() == local.card().birth();
-    if (reaction == LocalMember.Reaction.REFUTED && ofThisProcess) {
+    boolean aboutThisProcess = card.birth() == local.card().birth();
+    if (reaction == LocalMember.Reaction.REFUTED && aboutThisProcess) {
       failureDetector.health.degrade(1);
     }
   }
@@ -43,7 +51,7 @@
   private void react(LocalMember.Reaction reaction, MemberInfo other) {
     switch (reaction) {
       case NONE -> {
-        // the claim is true or outdated
+        // The claim is true or outdated.
       }
       case REFUTED -> state.onIncarnationRaised();
       case REFUTED_RIVAL -> {
@@ -69,7 +77,10 @@
     }
   }
 
-  /** Handles a message from the local member's name: an echo, or another process that has it. */
+  /**
+   * Handles a message whose sender has the local member's name: either a message of this process
+   * that came back, which is ignored, or a message from another process that uses the same name.
+   */
   void onMessage(MemberMessage message) {
     LocalMember local = state.localMember;
     MemberInfo card = message.card();
--- a/members/src/main/java/tillerlink/members/Members.java
+++ b/members/src/main/java/tillerlink/members/Members.java
@@ -16,26 +16,32 @@
 import tillerlink.messages.members.SuspicionLevel;
 
 /**
- * The members of a fleet of gateways as one of them knows them: a SWIM membership protocol with
+ * The local member's view of its fleet of gateways, maintained by a SWIM membership protocol with
  * suspicion, incarnations, local health and anti-entropy. See {@code docs/members.md} and the
  * design note beside it.
  *
- * <p>Every method is called on the gateway's event loop; there is no I/O but through the transport.
- * Times are tenths of a millisecond. The wall clock decides nothing but which of two processes of
- * one name keeps it.
+ * <p>Every method is called on the gateway's event loop; all I/O goes through the transport. Times
+ * are tenths of a millisecond. The wall clock is used only to decide which of two processes with
+ * the same name keeps it.
  */
 public final class Members implements ClusterComponent, MembershipView {
   private static final long TENTHS_PER_MILLISECOND = 10;
 
-  /** The lowest bits of a process's birth are random, those above its start in milliseconds. */
+  /**
+   * Number of random low bits in a process's birth; the bits above them are its start time in
+   * milliseconds.
+   */
   private static final int RANDOM_BIRTH_BITS = 20;
 
-  /** A tick that is late by more probe intervals shows a pause that nobody announced. */
-  private static final int LATE_PROBE_INTERVALS = 2;
+  /**
+   * Lateness of a tick, in probe intervals, beyond which the process is assumed to have been paused
+   * without a call of {@link #onPause}.
+   */
+  private static final int MAX_LATE_PROBE_INTERVALS = 2;
 
   private static final int HEALTH_POINTS_OF_PAUSE = 2;
 
-  /** How many members learn at once that this process is back after a pause. */
+  /** Number of members that are notified at once that this process runs again after a pause. */
   private static final int PAUSE_ANNOUNCEMENTS = 6;
 
   private final Identity identity;
@@ -47,19 +53,20 @@
   private final PeriodicTasks tasks;
   private boolean started;
 
-  /** When the next tick is due, as of the last one. */
+  /** When the next tick is due, as computed by the last tick. */
   private long expectedTickAt = Long.MAX_VALUE;
 
   private long malformed;
   private long pauses;
 
   /**
-   * Makes a member that starts with its first tick or message.
+   * Creates a member, which starts with its first tick or message.
    *
-   * @param transport sends its messages
-   * @param random a seeded generator, the only source of chance
+   * @param transport sends the member's messages
+   * @param random a seeded generator, the only source of randomness
    * @param listener is notified of changes
-   * @param wall the machine's clock at the start, which tells processes of one name apart
+   * @param wall the wall clock at the start, in tenths of a millisecond, which distinguishes
+   *     processes with the same name
    */
   public Members(
       Identity identity,
@@ -89,8 +96,8 @@
             identity, config, transport, listener, this::onChange, random, birth, factories);
     failureDetector = new FailureDetector(state, identity.seeds());
     farewell = new Farewell(state);
-    LocalNameGuard localName = new LocalNameGuard(state, failureDetector, farewell);
-    messageHandler = new MessageHandler(state, failureDetector, localName, farewell);
+    LocalNameGuard localNameGuard = new LocalNameGuard(state, failureDetector, farewell);
+    messageHandler = new MessageHandler(state, failureDetector, localNameGuard, farewell);
     tasks = new PeriodicTasks(state, failureDetector);
   }
 
@@ -114,7 +121,7 @@
 
   @Override
   public void onMessage(long now, long wall, String from, byte[] body) {
-    enter(now, wall);
+    advanceTo(now, wall);
     try {
       messageHandler.onMessage(from, MemberCodec.read(body));
     } catch (MalformedMessageException e) {
@@ -128,7 +135,7 @@
 
   @Override
   public void tick(long now, long wall) {
-    enter(now, wall);
+    advanceTo(now, wall);
     if (farewell.hasEnded()) {
       farewell.tick();
     } else {
@@ -137,10 +144,10 @@
     expectedTickAt = Math.max(now, nextDueAt());
   }
 
-  /** Starts the member, or notices a pause that nobody announced. */
-  private void enter(long now, long wall) {
+  /** Starts the member, or detects a pause that was not announced by {@link #onPause}. */
+  private void advanceTo(long now, long wall) {
     state.advanceTo(now);
-    long maxLateness = LATE_PROBE_INTERVALS * state.config.probeInterval();
+    long maxLateness = MAX_LATE_PROBE_INTERVALS * state.config.probeInterval();
     if (!started) {
       started = true;
       tasks.start();
@@ -177,7 +184,7 @@
     state.onIncarnationRaised();
     failureDetector.health.degrade(HEALTH_POINTS_OF_PAUSE);
     tasks.onPause();
-    // Some members are told at once, before they declare this process failed.
+    // Some members are notified at once, to refute their suspicion before it expires.
     for (MemberRecord member : state.table.pickActive(state.random, PAUSE_ANNOUNCEMENTS, "")) {
       state.sendGossip(
           member.card().address(), SuspicionLevel.NONE, MembershipState.SMALL_UPDATE_BYTES);
@@ -187,8 +194,10 @@
   // ---- leaving ----
 
   /**
-   * Announces to some members, several times, that this process leaves; {@link #stopped} once that
-   * is done, within half a second.
+   * Announces to several members, in several rounds, that this process leaves. {@link #stopped}
+   * returns true once that is done, within half a second.
+   *
+   * @param now the monotonic time, in tenths of a millisecond
    */
   public void leave(long now) {
     if (!farewell.hasEnded()) {
@@ -198,7 +207,10 @@
     }
   }
 
-  /** Whether this process sends nothing more: it left, or yielded its name, and announced that. */
+  /**
+   * Returns whether this process sends no further messages, because it left or yielded its name and
+   * has announced that.
+   */
   public boolean stopped() {
     return farewell.isAnnounced();
   }
@@ -210,7 +222,7 @@
     return state.self;
   }
 
-  /** The name of the fleet. */
+  /** Returns the name of the fleet. */
   public String fleet() {
     return identity.fleet();
   }
@@ -235,14 +247,14 @@
     return member == null || yielded() ? Reachability.GONE : member.reachability();
   }
 
-  /** Where messages to another member go, host:port; empty if it is not known. */
+  /** Returns the address of another member, host:port; empty if the member is unknown. */
   public String address(String name) {
     MemberRecord member = state.table.get(name);
     return member == null ? "" : member.card().address();
   }
 
   /**
-   * The incarnation under which a member is known, the local one included; 0 if it is not known.
+   * Returns the known incarnation of a member, the local one included; 0 if the member is unknown.
    */
   public long incarnation(String name) {
     if (name.equals(state.self)) {
@@ -252,17 +264,17 @@
     return member == null ? 0 : member.card().incarnation();
   }
 
-  /** How many members are active, the local one included. */
+  /** Returns the number of active members, the local one included. */
   public int size() {
     return state.table.size();
   }
 
-  /** Whether another process keeps the local member's name. */
+  /** Returns whether this process yielded its name to another process. */
   public boolean yielded() {
     return state.localMember.hasYielded();
   }
 
-  /** Counters since the start of this process, for monitoring. */
+  /** Returns the counters since the start of this process, for monitoring. */
   public Counts counts() {
     return new Counts(
         state.sent(),
@@ -278,14 +290,14 @@
   /**
    * Counters for monitoring.
    *
-   * @param sent messages sent
-   * @param sentBytes bytes in them
-   * @param malformed messages that could not be read
-   * @param rejected gossip updates of members for which the table had no capacity
-   * @param refuted how often the local incarnation rose
-   * @param pauses how often this process was paused
+   * @param sent number of messages sent
+   * @param sentBytes total length of the messages sent, in bytes
+   * @param malformed number of messages received that could not be decoded
+   * @param rejected number of gossip updates rejected because the member table was full
+   * @param refuted number of times the local incarnation was raised
+   * @param pauses number of pauses of this process
    * @param health the local health score; 0 is healthy
-   * @param queuedUpdates gossip updates that are still to be sent
+   * @param queuedUpdates number of gossip updates waiting to be sent
    */
   public record Counts(
       long sent,
--- a/members/src/main/java/tillerlink/members/MembershipState.java
+++ b/members/src/main/java/tillerlink/members/MembershipState.java
@@ -22,20 +22,20 @@
 import tillerlink.messages.members.SuspicionLevel;
 
 /**
- * What failure detection and message handling share: the members that are known, the gossip that is
- * queued, and the way messages are sent.
+ * State shared by failure detection and message handling: the member table, the gossip queue, the
+ * local member, and the transport.
  */
-final class MembershipState implements AntiEntropy.Known {
-  /** What a message holds beside its gossip updates, in bytes, at most. */
+final class MembershipState implements AntiEntropy.KnownMembers {
+  /** Maximum length of a message without its gossip updates, in bytes. */
   private static final int HEADER_BYTES = 150;
 
-  /** A message of this length passes links that carry small messages only. */
+  /** Maximum length, in bytes, of a message that passes links that carry only small messages. */
   private static final int SMALL_MESSAGE_BYTES = 300;
 
-  /** The room for gossip updates in a message that fits a single datagram. */
+  /** Capacity for gossip updates, in bytes, in a message that fits a single datagram. */
   static final int UPDATE_BYTES = MessageSender.SINGLE_DATAGRAM_BYTES - HEADER_BYTES;
 
-  /** The room for gossip updates in a small message. */
+  /** Capacity for gossip updates, in bytes, in a small message. */
   static final int SMALL_UPDATE_BYTES = SMALL_MESSAGE_BYTES - HEADER_BYTES;
 
   final String self;
@@ -82,7 +82,7 @@
     now = time;
   }
 
-  /** Whether the local member has announced that it leaves. */
+  /** Returns whether the local member has announced that it leaves. */
   boolean hasLeft() {
     return left;
   }
@@ -96,7 +96,7 @@
     return member != null && member.status().takesPart();
   }
 
-  // ---- what is known ----
+  // ---- known members ----
 
   @Override
   public Iterable<String> names(int bucket) {
@@ -113,7 +113,13 @@
     return update(name, "");
   }
 
-  /** A member as it is gossiped now, the local one included; null if it is not known. */
+  /**
+   * Returns the current gossip update of a member.
+   *
+   * @param name the name of any member, the local one included
+   * @param accuser the member that suspects it or declared it failed; empty if there is none
+   * @return the update; null if the member is unknown
+   */
   GossipUpdate update(String name, String accuser) {
     if (name.equals(self)) {
       MemberStatus status = left ? MemberStatus.LEFT : MemberStatus.ALIVE;
@@ -124,16 +130,19 @@
   }
 
   /**
-   * What a member has to refute that shows that card.
+   * Returns the suspicion that a member has to refute.
    *
-   * @return none if the member is held as it says itself
+   * @param name the name of the member
+   * @param presentedCard the card that the member sent with its last message
+   * @return the suspicion; {@link SuspicionLevel#NONE} if the member is unknown, is considered
+   *     alive, or has a newer card than the table
    */
-  SuspicionLevel suspicionOf(String name, MemberInfo shown) {
+  SuspicionLevel suspicionOf(String name, MemberInfo presentedCard) {
     MemberRecord member = table.get(name);
     if (member == null) {
       return SuspicionLevel.NONE;
     }
-    int order = shown.compare(member.card());
+    int order = presentedCard.compare(member.card());
     if (order > 0) {
       return SuspicionLevel.NONE;
     }
@@ -143,7 +152,10 @@
         : new SuspicionLevel(member.status(), card.incarnation(), card.birth());
   }
 
-  /** The local incarnation rose: it is gossiped first of all. */
+  /**
+   * Queues the raised local incarnation for gossip, ahead of all other updates, and notifies the
+   * listener of it.
+   */
   void onIncarnationRaised() {
     gossip.put(self, "");
     listener.onOwnIncarnationChanged(localMember.card().incarnation());
@@ -151,7 +163,7 @@
 
   // ---- messages ----
 
-  /** Takes gossip updates for a message that has that many bytes left. */
+  /** Returns the next gossip updates to send, at most {@code maxBytes} long in total. */
   List<GossipUpdate> takeUpdates(int maxBytes) {
     return gossip.take(maxBytes, config.maxTransmissions(table.size()), this::update);
   }
@@ -175,7 +187,7 @@
         new MemberMessage.Gossip(localMember.card(), suspicion, takeUpdates(maxUpdateBytes)));
   }
 
-  /** Begins an anti-entropy comparison with whoever has that address. */
+  /** Starts an anti-entropy comparison with the member at an address. */
   void sendDigest(String address) {
     long salt = random.nextLong();
     send(address, new MemberMessage.Digest(localMember.card(), salt, antiEntropy.sums(salt)));
--- a/members/src/main/java/tillerlink/members/MessageHandler.java
+++ b/members/src/main/java/tillerlink/members/MessageHandler.java
@@ -15,8 +15,9 @@
 /** Handles the messages of other members. */
 final class MessageHandler {
   /**
-   * Shortest time between two messages that only tell their receivers what to refute, in tenths of
-   * a millisecond; answers tell it always.
+   * Minimum time between two messages whose only purpose is to inform the receiver of a suspicion
+   * that it has to refute, in tenths of a millisecond. Acknowledgements always carry the suspicion,
+   * so they are not limited.
    */
   private static final long MIN_SUSPICION_INTERVAL = 500;
 
@@ -24,7 +25,7 @@
 
   private final MembershipState state;
   private final FailureDetector failureDetector;
-  private final LocalNameGuard localName;
+  private final LocalNameGuard localNameGuard;
   private final Farewell farewell;
   private long suspicionSentAt = Long.MIN_VALUE / 2;
   private long delayedUntil = Long.MIN_VALUE;
@@ -34,26 +35,28 @@
   MessageHandler(
       MembershipState state,
       FailureDetector failureDetector,
-      LocalNameGuard localName,
+      LocalNameGuard localNameGuard,
       Farewell farewell) {
     this.state = state;
     this.failureDetector = failureDetector;
-    this.localName = localName;
+    this.localNameGuard = localNameGuard;
     this.farewell = farewell;
   }
 
   /**
-   * This process was paused.
+   * Handles a pause of this process. Gossip in messages that may have waited during the pause is
+   * treated as older than its stated age, and accuses no member.
    *
-   * @param until messages that arrive until then may have waited during the pause
-   * @param duration how long it was paused
+   * @param until the time until which an arriving message may have waited during the pause, in
+   *     tenths of a millisecond
+   * @param duration the length of the pause, in tenths of a millisecond
    */
   void onPause(long until, long duration) {
     delayedUntil = until;
     pauseDuration = duration;
   }
 
-  /** How often a member was rejected since the table was full. */
+  /** Returns how many gossip updates were rejected because the member table was full. */
   long rejected() {
     return rejected;
   }
@@ -61,13 +64,14 @@
   void onMessage(String from, MemberMessage message) {
     if (farewell.hasEnded()) {
       if (state.localMember.hasYielded() && message instanceof MemberMessage.Probe probe) {
-        // This address may be a seed of the sender: it learns where the name's keeper is.
+        // This address may be a seed of the sender. The announcement contains the address of the
+        // process that keeps the name.
         farewell.announceTo(probe.card().address());
       }
       return;
     }
     if (from.equals(state.self)) {
-      localName.onMessage(message);
+      localNameGuard.onMessage(message);
       return;
     }
     boolean wasActive = state.isActive(from);
@@ -85,14 +89,14 @@
       return;
     }
     if (message instanceof MemberMessage.Ack ack) {
-      localName.onSuspicion(ack.suspicion());
+      localNameGuard.onSuspicion(ack.suspicion());
       onAck(from, ack, wasActive);
     } else if (message instanceof MemberMessage.Ask request) {
       onIndirectProbeRequest(from, request);
     } else if (message instanceof MemberMessage.Vouch result) {
       failureDetector.probes.onIndirectResult(result.number(), result.reached());
     } else if (message instanceof MemberMessage.Gossip gossip) {
-      localName.onSuspicion(gossip.suspicion());
+      localNameGuard.onSuspicion(gossip.suspicion());
     } else if (message instanceof MemberMessage.Digest digest) {
       state.antiEntropy.onDigest(digest, digest.card().address());
     }
@@ -102,7 +106,9 @@
   // ---- the sender ----
 
   /**
-   * A message proves that its sender was alive once, not that it is now: it may be a recorded one.
+   * Merges the sender's card. A message proves that its sender was alive at some time, but not that
+   * it is alive now, because the message may be a replay of a recorded one. An unknown sender is
+   * therefore probed before it is added.
    */
   private void mergeSender(String from, MemberInfo card) {
     MemberRecord member = state.table.get(from);
@@ -114,7 +120,7 @@
     }
   }
 
-  /** Tells the sender what it has to refute. */
+  /** Informs the sender of the suspicion that it has to refute, if there is one. */
   private void sendSuspicion(String from, MemberInfo card) {
     SuspicionLevel suspicion = state.suspicionOf(from, card);
     if (suspicion.isPresent() && state.now() - suspicionSentAt >= MIN_SUSPICION_INTERVAL) {
@@ -128,12 +134,13 @@
   private void onProbe(String from, MemberMessage.Probe probe) {
     MemberInfo sender = probe.card();
     if (!probe.target().isEmpty() && !probe.target().equals(state.self)) {
-      // Another process has the probed address now: it does not answer in the target's place.
+      // This process now has the address of the probed member. It must not acknowledge the probe
+      // on behalf of that member.
       state.sendGossip(sender.address(), SuspicionLevel.NONE, NO_UPDATE_BYTES);
       return;
     }
-    localName.onSuspicion(probe.suspicion());
-    // A probe without gossip may have come over a link that carries small messages only.
+    localNameGuard.onSuspicion(probe.suspicion());
+    // A probe without gossip may have arrived over a link that carries only small messages.
     int maxUpdateBytes =
         probe.updates().isEmpty()
             ? MembershipState.SMALL_UPDATE_BYTES
@@ -148,8 +155,10 @@
   }
 
   /**
-   * Handles an acknowledgement.
+   * Handles an acknowledgement of a probe, either of this process or at the request of another.
    *
+   * @param from the name of the sender
+   * @param ack the acknowledgement
    * @param wasActive whether the sender was an active member before this message
    */
   private void onAck(String from, MemberMessage.Ack ack, boolean wasActive) {
@@ -175,7 +184,8 @@
     merge(new GossipUpdate(from, MemberStatus.ALIVE, ack.card(), "", 0));
     if (!wasActive && state.isActive(from)) {
       onDirectAck(from, probe);
-      // A partition may have healed: both learn at once who is on the other side.
+      // A partition may have healed. The comparison informs both members at once of the members on
+      // the other side.
       state.sendDigest(ack.card().address());
     }
   }
@@ -217,7 +227,7 @@
 
   private void merge(GossipUpdate received) {
     if (received.name().equals(state.self)) {
-      localName.onClaim(received.status(), received.card());
+      localNameGuard.onClaim(received.status(), received.card());
       return;
     }
     boolean delayedByPause = state.now() <= delayedUntil;
@@ -228,14 +238,14 @@
       case TABLE_FULL -> onTableFull(update);
       case OUTDATED -> onOutdated(update);
       case KNOWN -> {
-        // nothing to gossip
+        // There is nothing to gossip.
       }
     }
   }
 
   private void onChanged(GossipUpdate update) {
     state.gossip.put(update.name(), update.accuser());
-    // Declared failed by others, but only suspected here: the member is probed.
+    // Others declared the member failed, but it is only suspected here, so it is probed first.
     if (update.status() == MemberStatus.GONE
         && state.table.get(update.name()).reachability() == Reachability.SUSPECTED) {
       failureDetector.verify(update);
@@ -260,11 +270,11 @@
       return;
     }
     if (update.status() == MemberStatus.SUSPECTED) {
-      // A sole accuser would wait long for confirmations: the others have declared it failed
-      // already.
+      // The sender is the only accuser and would wait long for confirmations, because the others
+      // have declared the member failed already.
       state.gossip.putIfAbsent(update.name(), state.self);
     }
-    // Another process of the name may not know yet which incarnation it has to exceed.
+    // Another process with this name may not know yet which incarnation it has to exceed.
     if (update.status() == MemberStatus.ALIVE && update.card().birth() != member.card().birth()) {
       failureDetector.verify(update);
     }
--- a/members/src/main/java/tillerlink/members/PeriodicTasks.java
+++ b/members/src/main/java/tillerlink/members/PeriodicTasks.java
@@ -5,14 +5,20 @@
 import tillerlink.members.state.MemberRecord;
 import tillerlink.messages.members.MemberMessage;
 
-/** What a member does as time passes: probes, gossip, anti-entropy, expiry of suspicions. */
+/**
+ * The periodic tasks of a member: probes, gossip, anti-entropy, and the expiry of suspicions and of
+ * inactive members.
+ */
 final class PeriodicTasks {
   private static final int LISTINGS_PER_ROUND = 8;
 
-  /** One round of gossip in that many is of small messages, for links that carry no others. */
+  /**
+   * One gossip round out of this many sends small messages, because some links carry only small
+   * ones.
+   */
   private static final int SMALL_ROUND_EVERY = 4;
 
-  /** How often members are forgotten within the time that they are retained. */
+  /** Number of times that old inactive members are removed within one retention period. */
   private static final int FORGET_ROUNDS = 16;
 
   private final MembershipState state;
@@ -29,7 +35,10 @@
     this.failureDetector = failureDetector;
   }
 
-  /** Draws the first times, so that members started together do not act together. */
+  /**
+   * Draws the times of the first tasks at random, so that members started at the same time do not
+   * act at the same time.
+   */
   void start() {
     long now = state.now();
     probeAt = now + state.random.nextLong(state.config.probeInterval());
@@ -43,13 +52,16 @@
     return state.config.forgetAfter() / FORGET_ROUNDS;
   }
 
-  /** After a pause of this process others have a moment to answer before it probes them. */
+  /**
+   * Delays the next probe by the probe timeout after a pause of this process, so that other members
+   * have time to answer, and makes gossip due at once.
+   */
   void onPause() {
     probeAt = state.now() + state.config.probeTimeout();
     gossipAt = state.now();
   }
 
-  /** Does what is due. */
+  /** Runs the tasks that are due. */
   void tick() {
     long now = state.now();
     failureDetector.probes.tick(now);
@@ -69,7 +81,7 @@
     }
     if (now >= antiEntropyAt) {
       antiEntropyAt = now + drawAntiEntropyInterval();
-      compareWithOne();
+      startAntiEntropy();
     }
     if (now >= forgetAt) {
       forgetAt = now + forgetInterval();
@@ -77,7 +89,7 @@
     }
   }
 
-  /** A member that knows no other one tries more often. */
+  /** Returns the reconnect interval, which is shorter while no other member is active. */
   private long reconnectInterval() {
     return state.table.size() == 1
         ? state.config.probeInterval()
@@ -89,7 +101,7 @@
     return interval / 2 + state.random.nextLong(interval);
   }
 
-  /** Answers the requests of indirect probes whose target was silent. */
+  /** Sends negative answers to requests for indirect probes whose target did not answer. */
   private void sendNacks(long now) {
     for (IndirectProbes.Request request : failureDetector.indirectProbes.removeExpired(now)) {
       state.send(
@@ -106,7 +118,7 @@
     }
   }
 
-  private void compareWithOne() {
+  private void startAntiEntropy() {
     MemberRecord member = state.table.pickActive(state.random);
     if (member != null) {
       state.sendDigest(member.card().address());
@@ -130,7 +142,7 @@
     }
   }
 
-  /** When {@link #tick} is due. */
+  /** Returns when {@link #tick} is due, in tenths of a millisecond. */
   long nextDueAt() {
     long dueAt = Math.min(Math.min(probeAt, reconnectAt), Math.min(antiEntropyAt, forgetAt));
     dueAt = Math.min(dueAt, failureDetector.probes.nextDueAt());
--- a/members/src/main/java/tillerlink/members/antientropy/AntiEntropy.java
+++ b/members/src/main/java/tillerlink/members/antientropy/AntiEntropy.java
@@ -13,64 +13,69 @@
 import tillerlink.messages.members.MemberMessage;
 
 /**
- * Anti-entropy between two members: one sends a digest with a sum for each bucket of names, the
- * other sends listings of the buckets that differ, in pieces, and gets back what it lacks.
+ * Anti-entropy between two members. One member sends a digest with a checksum for each bucket of
+ * names. The other member replies with listings of the buckets that differ, split into several
+ * messages, and receives the updates that it lacks.
  *
- * <p>No I/O; owned by the gateway's event loop.
+ * <p>This class does no I/O and is confined to the gateway's event loop.
  */
 public final class AntiEntropy {
-  /** How many listings are pending at once; what is beyond is left to the next comparison. */
+  /** Maximum number of pending listings; further listings are left to the next comparison. */
   public static final int MAX_PENDING_LISTINGS = 128;
 
-  /** What the local member knows, itself included. */
-  public interface Known {
-    /** The names in a bucket, in ascending order. */
+  /** The members that the local member knows, itself included. */
+  public interface KnownMembers {
+    /** Returns the names in a bucket, in ascending order. */
     Iterable<String> names(int bucket);
 
-    /** A member as it is gossiped now; null if it is not known. */
+    /** Returns the current gossip update of a member; null if the member is unknown. */
     GossipUpdate update(String name);
   }
 
-  /** Sends messages to an address. */
+  /** Sender of messages to an address. */
   @FunctionalInterface
   public interface Sender {
-    /** Sends a message; it may be lost. */
+    /** Sends a message, which may be lost. */
     void send(String address, MemberMessage message);
   }
 
   /**
    * A listing to be sent.
    *
+   * @param address the receiver's address, host:port
+   * @param bucket the number of the listed bucket
    * @param after the name that was sent last; empty at the start
-   * @param only the names to be listed; null for the whole bucket, with the request to reply
+   * @param selectedNames the names to be listed; null for the whole bucket, which also requests a
+   *     reply
    */
-  private record Listing(String address, int bucket, String after, List<String> only) {
+  private record Listing(String address, int bucket, String after, List<String> selectedNames) {
     boolean isWholeBucket() {
-      return only == null;
+      return selectedNames == null;
     }
 
     Listing continuedAfter(String name) {
-      return new Listing(address, bucket, name, only);
+      return new Listing(address, bucket, name, selectedNames);
     }
   }
 
   /**
-   * The updates that fit one message.
+   * The part of a listing that fits one message.
    *
-   * @param last the last name that was looked at
-   * @param complete whether nothing remains to be listed
+   * @param updates the updates in the message
+   * @param last the last name that this part covers
+   * @param complete whether this is the last part of the listing
    */
   private record Piece(List<GossipUpdate> updates, String last, boolean complete) {}
 
-  private final Known known;
+  private final KnownMembers knownMembers;
   private final Deque<Listing> pending = new ArrayDeque<>();
 
-  /** Without any pending listing. */
-  public AntiEntropy(Known known) {
-    this.known = known;
+  /** Creates an instance without pending listings. */
+  public AntiEntropy(KnownMembers knownMembers) {
+    this.knownMembers = knownMembers;
   }
 
-  /** Whether no listing is pending. */
+  /** Returns whether no listing is pending. */
   public boolean isIdle() {
     return pending.isEmpty();
   }
@@ -78,16 +83,16 @@
   // ---- digests ----
 
   /**
-   * The digest of all that is known: one sum for each bucket.
+   * Returns the digest of all known members: one checksum for each bucket.
    *
-   * @param salt mixed into the sums, so that a collision does not repeat in the next comparison
+   * @param salt mixed into the checksums, so that a collision does not recur in the next comparison
    */
   public List<Integer> sums(long salt) {
     List<Integer> sums = new ArrayList<>(MemberCodec.BUCKETS);
     for (int bucket = 0; bucket < MemberCodec.BUCKETS; bucket++) {
       int sum = 0;
-      for (String name : known.names(bucket)) {
-        sum += hash(known.update(name), salt);
+      for (String name : knownMembers.names(bucket)) {
+        sum += hash(knownMembers.update(name), salt);
       }
       sums.add(sum);
     }
@@ -101,14 +106,19 @@
     return (int) (mix(mixed + update.status().number()) >>> 32);
   }
 
-  /** The finalizer of SplitMix64. */
+  /** Applies the finalizer of SplitMix64. */
   private static long mix(long bits) {
     long mixed = (bits ^ (bits >>> 30)) * 0xbf58476d1ce4e5b9L;
     mixed = (mixed ^ (mixed >>> 27)) * 0x94d049bb133111ebL;
     return mixed ^ (mixed >>> 31);
   }
 
-  /** Handles the digest of another member: the buckets that differ will be listed to it. */
+  /**
+   * Handles the digest of another member by queueing a listing of each bucket that differs.
+   *
+   * @param digest the received digest
+   * @param address the address of its sender, host:port
+   */
   public void onDigest(MemberMessage.Digest digest, String address) {
     List<Integer> sums = sums(digest.salt());
     for (int bucket = 0; bucket < sums.size(); bucket++) {
@@ -130,8 +140,11 @@
   // ---- listings ----
 
   /**
-   * Handles the listing of another member: what it lacks will be sent to it. To be called before
-   * the listed updates are merged.
+   * Handles the listing of another member by queueing the updates that it lacks. This must be
+   * called before the listed updates are merged, because the merge would hide the differences.
+   *
+   * @param listing the received listing
+   * @param address the address of its sender, host:port
    */
   public void onListing(MemberMessage.Listing listing, String address) {
     if (!listing.reply()) {
@@ -140,8 +153,8 @@
     Map<String, GossipUpdate> theirs = new HashMap<>();
     listing.updates().forEach(update -> theirs.put(update.name(), update));
     List<String> lacking = new ArrayList<>();
-    for (String name : known.names(listing.bucket())) {
-      if (isListed(listing, name) && takesPrecedence(known.update(name), theirs.get(name))) {
+    for (String name : knownMembers.names(listing.bucket())) {
+      if (isListed(listing, name) && takesPrecedence(knownMembers.update(name), theirs.get(name))) {
         lacking.add(name);
       }
     }
@@ -150,7 +163,7 @@
     }
   }
 
-  /** Whether a name is within the range that a listing covers. */
+  /** Returns whether a name is within the range that a listing covers. */
   private static boolean isListed(MemberMessage.Listing listing, String name) {
     return name.compareTo(listing.after()) > 0
         && (listing.upTo().isEmpty() || name.compareTo(listing.upTo()) <= 0);
@@ -168,8 +181,9 @@
    * Sends one message of the next pending listing.
    *
    * @param card the local member's card
-   * @param maxBytes the room for gossip updates; a single update that is longer is sent
+   * @param maxBytes the capacity for gossip updates, in bytes; a single longer update is sent
    *     nevertheless
+   * @param sender sends the message
    * @return false if no listing was pending
    */
   public boolean sendNext(MemberInfo card, int maxBytes, Sender sender) {
@@ -197,11 +211,12 @@
     List<GossipUpdate> updates = new ArrayList<>();
     String last = listing.after;
     int remaining = maxBytes;
-    for (String name : listing.isWholeBucket() ? known.names(listing.bucket) : listing.only) {
+    for (String name :
+        listing.isWholeBucket() ? knownMembers.names(listing.bucket) : listing.selectedNames) {
       if (name.compareTo(listing.after) <= 0) {
         continue;
       }
-      GossipUpdate update = known.update(name);
+      GossipUpdate update = knownMembers.update(name);
       int size = update == null ? 0 : MemberCodec.size(update);
       if (!updates.isEmpty() && (size > remaining || updates.size() >= MemberCodec.MAX_UPDATES)) {
         return new Piece(updates, last, false);
--- a/members/src/main/java/tillerlink/members/config/MembershipConfig.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipConfig.java
@@ -1,27 +1,28 @@
 package tillerlink.members.config;
 
 /**
- * The intervals, timeouts and bounds of membership. Times are tenths of a millisecond.
+ * The intervals, timeouts and limits of the membership protocol. Times are tenths of a millisecond.
  *
- * @param probeInterval between the starts of two probes of members
- * @param probeTimeout shortest wait for an answer before the next attempt of a probe
- * @param maxProbeTimeout longest wait for an answer, however slow the links are
- * @param indirectProbes how many members are requested to probe one that does not answer
- * @param suspicionMultiplier the shortest suspicion is this times the probe interval times the
- *     decimal logarithm of the fleet's size
- * @param maxSuspicionMultiplier the longest suspicion is this times the shortest
- * @param confirmations how many further accusers shorten a suspicion to the shortest
- * @param gossipInterval between two rounds of gossip, while there is any
- * @param gossipFanout how many members a round of gossip goes to
- * @param retransmitMultiplier each member sends a gossip update this times the binary logarithm of
- *     the fleet's size
- * @param reconnectInterval between two probes of a failed member or a seed
- * @param antiEntropyInterval between two comparisons with another member, on average
- * @param maxUpdateAge an older gossip update does not show that an unknown or failed member is
- *     alive
- * @param forgetAfter how long members that failed or left are retained
- * @param maxLocalHealthScore the worst score of local health; 0 switches it off
- * @param maxMembers how many other members may be active; as many again may have failed or left
+ * @param probeInterval the time between the starts of two probes of members
+ * @param probeTimeout the minimum time to wait for an answer before the next attempt of a probe
+ * @param maxProbeTimeout the maximum time to wait for an answer, however slow the links are
+ * @param indirectProbes the number of members requested to probe a member that does not answer
+ * @param suspicionMultiplier factor of the minimum suspicion time, which is this value times the
+ *     probe interval times the decimal logarithm of the fleet's size
+ * @param maxSuspicionMultiplier the ratio of the maximum to the minimum suspicion time
+ * @param confirmations the number of further accusers that shorten a suspicion to the minimum time
+ * @param gossipInterval the time between two gossip rounds while gossip is queued
+ * @param gossipFanout the number of members to which each gossip round is sent
+ * @param retransmitMultiplier factor of the number of times that each member sends a gossip update,
+ *     which is this value times the binary logarithm of the fleet's size
+ * @param reconnectInterval the time between two probes of a failed member or a seed
+ * @param antiEntropyInterval the average time between two comparisons with another member
+ * @param maxUpdateAge the maximum age at which a gossip update shows that an unknown or failed
+ *     member is alive
+ * @param forgetAfter the time for which members that failed or left are retained
+ * @param maxLocalHealthScore the worst local health score; 0 disables local health
+ * @param maxMembers the maximum number of other active members; as many again may have failed or
+ *     left
  */
 public record MembershipConfig(
     long probeInterval,
@@ -75,7 +76,9 @@
     }
   }
 
-  /** The default settings: a probe each half second, for fleets of up to 1,025 members. */
+  /**
+   * Returns the default settings: one probe every half second, for fleets of up to 1,025 members.
+   */
   public static MembershipConfig usual() {
     return new MembershipConfig(
         SECOND / 2,
@@ -96,22 +99,31 @@
         1024);
   }
 
-  /** These settings with another bound of the local health score; 0 switches it off. */
+  /**
+   * Returns these settings with another maximum of the local health score; 0 disables local health.
+   */
   public MembershipConfig withMaxLocalHealthScore(int maxScore) {
     return copyWith(maxUpdateAge, forgetAfter, maxScore, maxMembers);
   }
 
-  /** These settings with another bound of the active members. */
+  /** Returns these settings with another maximum number of other active members. */
   public MembershipConfig withMaxMembers(int max) {
     return copyWith(maxUpdateAge, forgetAfter, maxLocalHealthScore, max);
   }
 
-  /** These settings with other bounds of the age of gossip updates and of inactive members. */
-  public MembershipConfig withRetention(long maxAge, long inactiveTime) {
-    return copyWith(maxAge, inactiveTime, maxLocalHealthScore, maxMembers);
+  /**
+   * Returns these settings with other maximum ages of gossip updates and of inactive members.
+   *
+   * @param newMaxUpdateAge the new {@link #maxUpdateAge}, in tenths of a millisecond
+   * @param newForgetAfter the new {@link #forgetAfter}, in tenths of a millisecond; greater than
+   *     {@code newMaxUpdateAge}
+   */
+  public MembershipConfig withRetention(long newMaxUpdateAge, long newForgetAfter) {
+    return copyWith(newMaxUpdateAge, newForgetAfter, maxLocalHealthScore, maxMembers);
   }
 
-  private MembershipConfig copyWith(long maxAge, long inactiveTime, int maxScore, int max) {
+  private MembershipConfig copyWith(
+      long newMaxUpdateAge, long newForgetAfter, int maxScore, int max) {
     return new MembershipConfig(
         probeInterval,
         probeTimeout,
@@ -125,24 +137,36 @@
         retransmitMultiplier,
         reconnectInterval,
         antiEntropyInterval,
-        maxAge,
-        inactiveTime,
+        newMaxUpdateAge,
+        newForgetAfter,
         maxScore,
         max);
   }
 
-  /** The shortest suspicion in a fleet of that size, the local member included. */
+  /**
+   * Returns the minimum time of a suspicion, in tenths of a millisecond.
+   *
+   * @param size the number of active members, the local one included
+   */
   public long minSuspicionTime(int size) {
     return (long)
         (suspicionMultiplier * probeInterval * Math.max(1, Math.log10(Math.max(1, size))));
   }
 
-  /** The longest suspicion in a fleet of that size, the local member included. */
+  /**
+   * Returns the maximum time of a suspicion, in tenths of a millisecond.
+   *
+   * @param size the number of active members, the local one included
+   */
   public long maxSuspicionTime(int size) {
     return minSuspicionTime(size) * maxSuspicionMultiplier;
   }
 
-  /** How often each member of a fleet of that size sends a gossip update. */
+  /**
+   * Returns how many times each member sends a gossip update.
+   *
+   * @param size the number of active members, the local one included
+   */
   public int maxTransmissions(int size) {
     return retransmitMultiplier * (Integer.SIZE - Integer.numberOfLeadingZeros(Math.max(1, size)));
   }
--- a/members/src/main/java/tillerlink/members/config/MembershipListener.java
+++ b/members/src/main/java/tillerlink/members/config/MembershipListener.java
@@ -3,30 +3,41 @@
 import tillerlink.cluster.Reachability;
 
 /**
- * Is notified of changes of the membership, on the gateway's event loop and at once. It must not
- * call back into the members.
+ * Listener for membership changes. It is called synchronously on the gateway's event loop and must
+ * not call back into the membership component.
  */
 public interface MembershipListener {
   /**
-   * Another member can be reached in another way than before.
+   * Handles a change of another member's reachability.
    *
-   * @param previous how it was; {@link Reachability#GONE} also if it was not known
-   * @param current how it is now
+   * @param name the name of the member
+   * @param previous the previous reachability; {@link Reachability#GONE} also if the member was
+   *     unknown
+   * @param current the current reachability
    */
   void onReachabilityChanged(String name, Reachability previous, Reachability current);
 
-  /** A new process of a member replaced the previous one, which had not been declared failed. */
+  /**
+   * Handles the replacement of a member's process by a new one, when the previous process had not
+   * been declared failed.
+   *
+   * @param name the name of the member
+   * @param incarnation the incarnation of the new process
+   */
   default void onProcessReplaced(String name, long incarnation) {}
 
   /**
-   * The local member has a new incarnation, also at the start. It should be persisted; nothing
-   * breaks if it is not.
+   * Handles a new incarnation of the local member, including the first one at the start. The
+   * incarnation should be persisted; the protocol stays correct if it is not.
    */
   default void onOwnIncarnationChanged(long incarnation) {}
 
-  /** Another process keeps the local member's name: this process takes part no more. */
+  /**
+   * Handles the loss of the local member's name to another process. This process is not a member
+   * any more.
+   */
   default void onNameLost() {}
 
-  /** A line for the log; lines of one kind come at most every ten seconds. */
+  /** Logs a line. At most one line of each kind is passed to this method in ten seconds. */
   default void log(String line) {}
 }
--- a/members/src/main/java/tillerlink/members/config/RateLimitedLog.java
+++ b/members/src/main/java/tillerlink/members/config/RateLimitedLog.java
@@ -5,17 +5,17 @@
 import java.util.function.Consumer;
 
 /**
- * A log with at most one line of each kind in ten seconds; the next line of the kind says how many
- * were suppressed. Times are tenths of a millisecond.
+ * A log that writes at most one line of each kind in ten seconds. The next line of the same kind
+ * reports how many lines were suppressed. Times are tenths of a millisecond.
  */
 public final class RateLimitedLog {
-  /** What a line is about. */
+  /** The subject of a log line. */
   public enum Kind {
-    /** A message can't be read. */
+    /** A message could not be decoded. */
     MALFORMED,
-    /** The table of members is full. */
+    /** The member table is full. */
     FULL,
-    /** Another process may have the local member's name. */
+    /** Another process may use the local member's name. */
     RIVAL,
     /** This process was paused. */
     AWAY,
@@ -34,15 +34,20 @@
   private final Consumer<String> log;
 
   /**
-   * Makes a log.
+   * Creates a log.
    *
-   * @param log takes the lines that are not suppressed
+   * @param log receives the lines that are not suppressed
    */
   public RateLimitedLog(Consumer<String> log) {
     this.log = log;
   }
 
-  /** Logs a line, or counts it if one of its kind was logged in the last ten seconds. */
+  /**
+   * Logs a line, or counts it as suppressed if a line of its kind was logged in the last ten
+   * seconds.
+   *
+   * @param now the monotonic time, in tenths of a millisecond
+   */
   public void log(Kind kind, long now, String line) {
     KindState state = states.computeIfAbsent(kind, any -> new KindState());
     if (now - state.loggedAt < INTERVAL) {
--- a/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
+++ b/members/src/main/java/tillerlink/members/gossip/GossipQueue.java
@@ -13,16 +13,16 @@
 import tillerlink.messages.members.MemberCodec;
 
 /**
- * The gossip updates that are piggybacked on messages: at most one of each member, those sent least
- * often first. The queue holds names; the update itself is looked up when it is sent, so that it is
- * never older than what is known.
+ * The queue of gossip updates to be piggybacked on messages. It contains at most one update for
+ * each member and returns those sent least often first. The queue stores only names; the update
+ * itself is looked up when it is sent, so that it always reflects the member table.
  *
- * <p>No I/O; owned by the gateway's event loop.
+ * <p>This class does no I/O and is confined to the gateway's event loop.
  */
 public class GossipQueue {
   private record Entry(String name, String accuser, int transmissions, long sequence) {}
 
-  /** Those sent least often first; among them the latest first. */
+  /** Orders entries by number of transmissions, and the most recently queued first among equals. */
   private static final Comparator<Entry> SENDING_ORDER =
       Comparator.comparingInt(Entry::transmissions)
           .thenComparing(Comparator.comparingLong(Entry::sequence).reversed());
@@ -33,18 +33,19 @@
   private long nextSequence;
 
   /**
-   * An empty queue.
+   * Creates an empty queue.
    *
-   * @param maxSize how many updates are queued; beyond it those sent most often are dropped
+   * @param maxSize maximum number of queued updates; beyond it those sent most often are dropped
    */
   public GossipQueue(int maxSize) {
     this.maxSize = maxSize;
   }
 
   /**
-   * Queues an update of a member in place of the one that is queued already.
+   * Queues an update of a member, replacing any update of that member that is already queued.
    *
-   * @param accuser who suspects the member or declared it failed; empty if nobody does
+   * @param name the name of the member
+   * @param accuser the member that suspects it or declared it failed; empty if there is none
    */
   public void put(String name, String accuser) {
     remove(name);
@@ -65,7 +66,13 @@
                 + maxSize);
   }
 
-  /** Queues an update of a member again for somebody who missed it, unless one is queued. */
+  /**
+   * Queues an update of a member unless one is already queued. Used to repeat an update for a
+   * member that missed it.
+   *
+   * @param name the name of the member
+   * @param accuser the member that suspects it or declared it failed; empty if there is none
+   */
   public void putIfAbsent(String name, String accuser) {
     if (!entries.containsKey(name)) {
       put(name, accuser);
@@ -79,22 +86,22 @@
     }
   }
 
-  /** Whether nothing is queued. */
+  /** Returns whether no update is queued. */
   public boolean isEmpty() {
     return queue.isEmpty();
   }
 
-  /** How many updates are queued. */
+  /** Returns the number of queued updates. */
   public int size() {
     return queue.size();
   }
 
   /**
-   * Takes the updates for the next message.
+   * Returns the updates for the next message and counts them as sent.
    *
-   * @param maxBytes the room for them
-   * @param maxTransmissions an update that was sent so often is removed from the queue
-   * @param lookup the update of a name with an accuser; null if there is nothing to be said
+   * @param maxBytes the maximum total length of the updates, in bytes
+   * @param maxTransmissions the number of transmissions after which an update is removed
+   * @param lookup returns the update for a name and an accuser; null if the member is unknown
    */
   public List<GossipUpdate> take(
       int maxBytes, int maxTransmissions, BiFunction<String, String, GossipUpdate> lookup) {
--- a/members/src/main/java/tillerlink/members/local/LocalMember.java
+++ b/members/src/main/java/tillerlink/members/local/LocalMember.java
@@ -5,29 +5,29 @@
 import tillerlink.messages.members.MemberStatus;
 
 /**
- * The local member's own incarnation. Whatever others claim of its name that takes precedence over
- * it, or says that it is not alive, is refuted by a higher incarnation. If another process has the
- * same name, each sees the other's incarnation rise; the process with the smaller birth yields, the
- * same one on both sides.
+ * The local member and its incarnation. A claim by another member that takes precedence over the
+ * local state, or that the local member is not alive, is refuted with a higher incarnation. If
+ * another process uses the same name, each process sees the other's incarnation rise. The process
+ * with the smaller birth then yields, so that both processes reach the same decision.
  *
- * <p>No I/O; owned by the gateway's event loop.
+ * <p>This class does no I/O and is confined to the gateway's event loop.
  */
 public class LocalMember {
   /**
-   * How often a rival's incarnation has to rise after the local one until that proves, without its
-   * direct answer, that it is alive.
+   * Number of times that a rival's incarnation must rise in response to the local one before the
+   * rival is considered alive even without a direct answer.
    */
-  private static final int RISES_THAT_PROVE_RIVAL = 3;
+  private static final int MIN_RISES_OF_LIVE_RIVAL = 3;
 
-  /** What has to be done about a claim of the local member's name. */
+  /** The action that a claim about the local member's name requires. */
   public enum Reaction {
-    /** Nothing: it is true, or outdated. */
+    /** None, because the claim is true or outdated. */
     NONE,
-    /** The incarnation rose: it has to be gossiped. */
+    /** The incarnation was raised and must be gossiped. */
     REFUTED,
-    /** The incarnation rose, and whoever has the same name has to be probed. */
+    /** The incarnation was raised, and the other process with the same name must be probed. */
     REFUTED_RIVAL,
-    /** Another process keeps the name. */
+    /** This process yielded the name to another process. */
     YIELDED
   }
 
@@ -39,35 +39,38 @@
   private long refutations;
 
   /**
-   * Starts one incarnation above the previous process.
+   * Creates the local member, one incarnation above that of the previous process.
    *
-   * @param persistedIncarnation the highest incarnation of an earlier process of this name; 0 if it
-   *     is not known
-   * @param birth the number that tells processes of one name apart
+   * @param persistedIncarnation the highest incarnation of an earlier process with this name; 0 if
+   *     it is unknown
+   * @param birth the number that distinguishes processes with the same name
+   * @param address host:port at which other members reach this one
+   * @param site the member's site
    */
   public LocalMember(long persistedIncarnation, long birth, String address, String site) {
     card = new MemberInfo(Math.max(0, persistedIncarnation) + 1, birth, address, site);
   }
 
-  /** The local member's incarnation, birth, address and site. */
+  /** Returns the local member's incarnation, birth, address and site. */
   public MemberInfo card() {
     return card;
   }
 
-  /** Whether another process keeps the name. */
+  /** Returns whether this process yielded the name to another process. */
   public boolean hasYielded() {
     return yielded;
   }
 
-  /** How often the incarnation rose. */
+  /** Returns how many times the incarnation was raised. */
   public long refutations() {
     return refutations;
   }
 
   /**
-   * Raises the incarnation above the present one, and above another one.
+   * Raises the incarnation above its current value and above another incarnation.
    *
-   * @param above 0 for the present one only, as after a pause
+   * @param above the other incarnation to exceed; 0 to exceed only the current value, for example
+   *     after a pause
    */
   public void raiseIncarnation(long above) {
     long next = Math.max(above, card.incarnation()) + 1;
@@ -76,7 +79,15 @@
     refutations++;
   }
 
-  /** Handles what others claim of the local member's name. */
+  /**
+   * Handles another member's claim about the local member's name.
+   *
+   * @param status the claimed status
+   * @param incarnation the claimed incarnation
+   * @param birth the birth of the process that the claim is about
+   * @param address the claimed address, host:port; empty if the claim has none
+   * @return the action that is required
+   */
   public Reaction onClaim(MemberStatus status, long incarnation, long birth, String address) {
     if (birth == card.birth()) {
       if (isTrueOrOutdated(status, incarnation)) {
@@ -105,17 +116,24 @@
       rivalRises++;
     }
     rivalIncarnation = incarnation;
-    if (rivalRises >= RISES_THAT_PROVE_RIVAL) {
+    if (rivalRises >= MIN_RISES_OF_LIVE_RIVAL) {
       return onRivalAlive(birth);
     }
     raiseIncarnation(incarnation);
-    // An earlier process of this member had the same address, or has announced that it leaves.
+    // An earlier process of this member is not probed: it had the same address, or it announced
+    // that it left.
     boolean mayBeAlive =
         status.takesPart() && !address.isEmpty() && !address.equals(card.address());
     return mayBeAlive ? Reaction.REFUTED_RIVAL : Reaction.REFUTED;
   }
 
-  /** Another process of the same name is surely alive: the one with the greater birth keeps it. */
+  /**
+   * Resolves the conflict with another process that has the same name and is known to be alive. The
+   * process with the greater birth keeps the name.
+   *
+   * @param birth the birth of the other process
+   * @return the action that is required
+   */
   public Reaction onRivalAlive(long birth) {
     if (birth > card.birth()) {
       yielded = true;
--- a/members/src/main/java/tillerlink/members/probe/IndirectProbes.java
+++ b/members/src/main/java/tillerlink/members/probe/IndirectProbes.java
@@ -7,25 +7,25 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The indirect probes that other members requested of this process (SWIM's ping-req). Bounded:
- * requests beyond the bound are ignored. Times are tenths of a millisecond; owned by the gateway's
- * event loop.
+ * The pending indirect probes that other members requested from this process (SWIM's ping-req).
+ * Their number is bounded; further requests are ignored. Times are tenths of a millisecond. This
+ * class is confined to the gateway's event loop.
  */
 public final class IndirectProbes {
-  /** How many are pending at once. */
+  /** Maximum number of pending requests. */
   public static final int MAX_PENDING = 256;
 
-  /** No probe has this number. */
+  /** A number that is never used for a probe. */
   public static final long NO_NUMBER = 0;
 
   /**
-   * A request of another member.
+   * A request from another member.
    *
-   * @param requester the member that requested the probe
-   * @param address where the answer goes
+   * @param requester the name of the member that requested the probe
+   * @param address the address to send the answer to, host:port
    * @param number the number of the requester's own probe
-   * @param target the member to be probed
-   * @param deadline when the target counts as silent
+   * @param target the name of the member to be probed
+   * @param deadline when the target is considered not to have answered, in tenths of a millisecond
    */
   public record Request(
       String requester, String address, long number, String target, long deadline) {}
@@ -33,15 +33,15 @@
   private final Map<Long, Request> pending = new LinkedHashMap<>();
   private final RandomGenerator random;
 
-  /** Without any request. */
+  /** Creates an instance without pending requests. */
   public IndirectProbes(RandomGenerator random) {
     this.random = random;
   }
 
   /**
-   * Accepts a request.
+   * Adds a request, and draws a random number for its probe.
    *
-   * @return the number to probe with; {@link #NO_NUMBER} if the request is ignored
+   * @return the number to use for the probe; {@link #NO_NUMBER} if the request is ignored
    */
   public long add(Request request) {
     if (pending.size() >= MAX_PENDING) {
@@ -56,9 +56,11 @@
   }
 
   /**
-   * Handles an acknowledgement.
+   * Handles an acknowledgement and removes the request that it fulfils.
    *
-   * @return the request that it fulfils; null if there is none, or if it is for another target
+   * @param number the number of the acknowledged probe
+   * @param from the name of the sender
+   * @return the fulfilled request; null if none has this number, or if the sender is not its target
    */
   public Request onAck(long number, String from) {
     Request request = pending.get(number);
@@ -72,7 +74,10 @@
     return expired;
   }
 
-  /** The earliest deadline; {@link Long#MAX_VALUE} if nothing is pending. */
+  /**
+   * Returns the earliest deadline, in tenths of a millisecond; {@link Long#MAX_VALUE} if no request
+   * is pending.
+   */
   public long nextDueAt() {
     long dueAt = Long.MAX_VALUE;
     for (Request request : pending.values()) {
@@ -81,7 +86,7 @@
     return dueAt;
   }
 
-  /** Drops all requests; to be called after a pause of this process. */
+  /** Drops all requests. This must be called after a pause of this process. */
   public void clear() {
     pending.clear();
   }
--- a/members/src/main/java/tillerlink/members/probe/LocalHealth.java
+++ b/members/src/main/java/tillerlink/members/probe/LocalHealth.java
@@ -3,30 +3,31 @@
 import tillerlink.cluster.Invariant;
 
 /**
- * Lifeguard's local health multiplier: how well this process itself does, judged by probes that
- * time out while others get answers, by refutations it had to make and by pauses. The worse it
- * does, the longer it waits before it accuses others.
+ * Lifeguard's local health multiplier, a score of this process's own health. It is derived from
+ * probes that time out while other members get answers, from refutations that this process had to
+ * send, and from its pauses. The worse the score, the longer this process waits before it suspects
+ * other members.
  */
 public final class LocalHealth {
-  /** At this score timeouts are twice as long. */
+  /** Score at which timeouts are twice as long as those of a healthy process. */
   private static final int SCORE_OF_DOUBLE_TIMEOUT = 4;
 
-  /** Each time the score rises by that much, a probe has one round more. */
+  /** Number of points of the score for which a probe has one additional round. */
   private static final int SCORE_OF_EXTRA_ROUND = 2;
 
   private final int maxScore;
   private int score;
 
   /**
-   * A healthy process.
+   * Creates the score of a healthy process.
    *
-   * @param maxScore the worst score; 0 switches local health off
+   * @param maxScore the worst score; 0 disables local health
    */
   public LocalHealth(int maxScore) {
     this.maxScore = maxScore;
   }
 
-  /** The score; 0 is healthy. */
+  /** Returns the score; 0 is healthy. */
   public int score() {
     return score;
   }
@@ -44,12 +45,12 @@
     score = Math.max(0, score - 1);
   }
 
-  /** A timeout, lengthened according to the score. */
+  /** Returns a timeout lengthened according to the score, in the unit of the argument. */
   public long scaleTimeout(long timeout) {
     return timeout * (score + SCORE_OF_DOUBLE_TIMEOUT) / SCORE_OF_DOUBLE_TIMEOUT;
   }
 
-  /** How many more rounds a probe has before a member is suspected. */
+  /** Returns the number of additional rounds of a probe before a member is suspected. */
   public int extraRounds() {
     return score / SCORE_OF_EXTRA_ROUND;
   }
--- a/members/src/main/java/tillerlink/members/probe/Probe.java
+++ b/members/src/main/java/tillerlink/members/probe/Probe.java
@@ -3,27 +3,27 @@
 import tillerlink.messages.members.SuspicionLevel;
 
 /**
- * One probe of somebody, with all its attempts until it is answered or has failed. Times are tenths
- * of a millisecond; {@link ProbeManager} changes it.
+ * A probe of one member or address, with all its attempts until it is answered or has failed. Only
+ * {@link ProbeManager} changes its state. Times are tenths of a millisecond.
  */
 public final class Probe {
-  /** Who is probed, and why. */
+  /** The target of a probe, and the reason for it. */
   public enum Kind {
-    /** An active member, in its turn. */
+    /** An active member, in its turn or to verify gossip about it. */
     MEMBER,
-    /** Whoever has the address of a seed. */
+    /** The unknown member at the address of a seed. */
     SEED,
     /** A member that was declared failed. */
     GONE,
-    /** A member of which others say that it is alive. */
+    /** An inactive or unknown member that others reported, to verify the report. */
     UNVERIFIED,
-    /** Another process under the local member's name. */
+    /** Another process that uses the local member's name. */
     RIVAL
   }
 
   /**
-   * How many numbers a probe reserves: each attempt has its own, so that an answer shows which
-   * attempt it is to. A power of two.
+   * Number of sequence numbers that a probe reserves. Each attempt has its own number, so that an
+   * answer identifies the attempt it belongs to. Must be a power of two.
    */
   static final long NUMBERS_PER_PROBE = 32;
 
@@ -62,47 +62,47 @@
     nextStepAt = now;
   }
 
-  /** The base number of the probe that a number belongs to. */
+  /** Returns the base number of the probe that a number belongs to. */
   static long baseNumber(long number) {
     return number & -NUMBERS_PER_PROBE;
   }
 
-  /** Which attempt of its probe a number belongs to, from 0 on. */
+  /** Returns the index of the attempt that a number belongs to, starting at 0. */
   static int attempt(long number) {
     return (int) (number & (NUMBERS_PER_PROBE - 1));
   }
 
-  /** Who is probed, and why. */
+  /** Returns the target of the probe and the reason for it. */
   public Kind kind() {
     return kind;
   }
 
-  /** The number of the attempt that is sent now. */
+  /** Returns the number of the latest attempt. */
   public long number() {
     return baseNumber + Math.max(0, attempts - 1);
   }
 
-  /** The name of whom is probed; empty for a seed. */
+  /** Returns the name of the probed member; empty for a seed. */
   public String name() {
     return name;
   }
 
-  /** Where the probe is sent, host:port. */
+  /** Returns the address that the probe is sent to, host:port. */
   public String address() {
     return address;
   }
 
-  /** What the probed member has to refute, as it was known at the start. */
+  /** Returns the suspicion that the probed member has to refute, as known at the start. */
   public SuspicionLevel suspicion() {
     return suspicion;
   }
 
-  /** When the first attempt was sent. */
+  /** Returns when the first attempt was sent, in tenths of a millisecond. */
   public long startedAt() {
     return startedAt;
   }
 
-  /** The round-trip time of the answered attempt. */
+  /** Returns the round-trip time of the answered attempt, in tenths of a millisecond. */
   public long roundTrip() {
     return roundTrip;
   }
--- a/members/src/main/java/tillerlink/members/probe/ProbeManager.java
+++ b/members/src/main/java/tillerlink/members/probe/ProbeManager.java
@@ -11,35 +11,41 @@
 import tillerlink.messages.members.SuspicionLevel;
 
 /**
- * The probes under way. An active member is probed with gossip attached, then without (a link may
- * carry small messages only), then through other members as well; if there is no answer that round
- * is repeated before the member is suspected. Others are probed twice, directly.
+ * Manages the probes under way. An active member is probed first with gossip attached, then without
+ * gossip because a link may carry only small messages, and then also through other members. If no
+ * answer arrives, this round is repeated before the member is suspected. All other targets are
+ * probed twice, directly.
  *
- * <p>Times are tenths of a millisecond. No I/O; owned by the gateway's event loop.
+ * <p>Times are tenths of a millisecond. This class does no I/O and is confined to the gateway's
+ * event loop.
  */
 public final class ProbeManager {
-  /** How many probes are kept, finished ones counted that may still be answered. */
+  /** Maximum number of probes, including finished ones that may still be answered. */
   public static final int MAX_PROBES = 128;
 
-  /** What a probe does and results in. */
+  /** Callbacks for the messages and results of probes. */
   public interface Actions {
     /**
      * Sends an attempt to the probed address.
      *
-     * @param bare whether no gossip is attached
+     * @param withoutGossip whether the message must contain no gossip
      */
-    void sendProbe(Probe probe, boolean bare);
+    void sendProbe(Probe probe, boolean withoutGossip);
 
-    /** Requests indirect probes of other members, and returns of how many. */
+    /**
+     * Requests indirect probes from other members.
+     *
+     * @return the number of members that were sent a request
+     */
     int requestIndirectProbes(Probe probe);
 
-    /** Whether the member is suspected already, perhaps by others. */
+    /** Returns whether the member is not known to be alive, for example suspected by others. */
     boolean isSuspected(Probe probe);
 
-    /** The member did not answer directly, but it answered others. */
+    /** Handles a probe that was answered only through other members. */
     void onIndirectAckOnly(Probe probe);
 
-    /** The member did not answer at all. */
+    /** Handles a probe that was answered neither directly nor through other members. */
     void onFailure(Probe probe);
   }
 
@@ -48,7 +54,7 @@
   private static final int ROUNDS = 2;
   private static final int ROUNDS_IF_SUSPECTED = 1;
 
-  /** How much one probe degrades the local health at most. */
+  /** Maximum number of points by which one probe degrades the local health. */
   private static final int MAX_HEALTH_POINTS = 2;
 
   private final MembershipConfig config;
@@ -56,12 +62,12 @@
   private final RandomGenerator random;
   private final Actions actions;
 
-  /** By base number, in the order of their start. */
+  /** The probes by base number, in the order of their start. */
   private final Map<Long, Probe> probes = new LinkedHashMap<>();
 
-  private long usualRoundTrip;
+  private long smoothedRoundTrip;
 
-  /** Without any probe. */
+  /** Creates an instance without probes. */
   public ProbeManager(
       MembershipConfig config, LocalHealth health, RandomGenerator random, Actions actions) {
     this.config = config;
@@ -70,7 +76,7 @@
     this.actions = actions;
   }
 
-  /** Whether a probe of that name is under way. */
+  /** Returns whether a probe of the member with that name is under way. */
   public boolean isUnderWay(String name) {
     for (Probe probe : probes.values()) {
       if (!probe.finished && probe.name.equals(name)) {
@@ -81,10 +87,16 @@
   }
 
   /**
-   * Starts a probe and sends its first attempt; ignored if too many are under way.
+   * Starts a probe and sends its first attempt. The call is ignored if {@link #MAX_PROBES} are
+   * under way.
    *
-   * @param name whom; empty for a seed
-   * @param expectedRoundTrip the usual round-trip time of its answers; 0 if that is not known
+   * @param kind the target of the probe and the reason for it
+   * @param name the name of the probed member; empty for a seed
+   * @param address the address to send the probe to, host:port
+   * @param suspicion the suspicion that the member has to refute
+   * @param expectedRoundTrip the usual round-trip time of its answers, in tenths of a millisecond;
+   *     0 if it is unknown
+   * @param now the monotonic time, in tenths of a millisecond
    */
   public void start(
       Probe.Kind kind,
@@ -121,14 +133,17 @@
   }
 
   /**
-   * Handles an acknowledgement, also a late one.
+   * Handles an acknowledgement, including one that arrives after its probe has finished.
    *
-   * @return the probe that it answers; null if there is none, or if somebody else was probed
+   * @param number the number of the acknowledged attempt
+   * @param from the name of the sender
+   * @param now the monotonic time, in tenths of a millisecond
+   * @return the acknowledged probe; null if there is none, or if another member was probed
    */
   public Probe onAck(long number, String from, long now) {
     Probe probe = probes.get(Probe.baseNumber(number));
-    boolean isOfOther = probe != null && !probe.name.isEmpty() && !probe.name.equals(from);
-    if (probe == null || isOfOther) {
+    boolean isFromOther = probe != null && !probe.name.isEmpty() && !probe.name.equals(from);
+    if (probe == null || isFromOther) {
       return null;
     }
     if (!probe.finished && probe.kind == Probe.Kind.MEMBER) {
@@ -137,15 +152,20 @@
     finish(probe, now);
     long roundTrip = Math.min(now - probe.sentAt(Probe.attempt(number)), config.maxProbeTimeout());
     probe.roundTrip = roundTrip;
-    // Slower links are believed soon, faster ones only after a while.
-    usualRoundTrip =
-        roundTrip > usualRoundTrip
-            ? (usualRoundTrip + roundTrip) / 2
-            : (7 * usualRoundTrip + roundTrip) / 8;
+    // The estimate follows an increase quickly and a decrease slowly.
+    smoothedRoundTrip =
+        roundTrip > smoothedRoundTrip
+            ? (smoothedRoundTrip + roundTrip) / 2
+            : (7 * smoothedRoundTrip + roundTrip) / 8;
     return probe;
   }
 
-  /** Handles the result of an indirect probe; ignored if none was requested. */
+  /**
+   * Handles the result of an indirect probe. It is ignored if none was requested.
+   *
+   * @param number the number of the probe for which indirect probes were requested
+   * @param reached whether the target answered
+   */
   public void onIndirectResult(long number, boolean reached) {
     Probe probe = probes.get(Probe.baseNumber(number));
     if (probe == null || probe.indirectRequests == 0) {
@@ -158,7 +178,7 @@
     }
   }
 
-  /** Sends the next attempts of the probes whose timeout has expired, or ends them. */
+  /** Sends the next attempt of each probe whose timeout has expired, or ends the probe. */
   public void tick(long now) {
     List<Probe> due = new ArrayList<>();
     for (Probe probe : probes.values()) {
@@ -169,7 +189,10 @@
     due.forEach(probe -> step(probe, now));
   }
 
-  /** When {@link #tick} is due; {@link Long#MAX_VALUE} if nothing is under way. */
+  /**
+   * Returns when {@link #tick} is due, in tenths of a millisecond; {@link Long#MAX_VALUE} if there
+   * are no probes.
+   */
   public long nextDueAt() {
     long dueAt = Long.MAX_VALUE;
     for (Probe probe : probes.values()) {
@@ -179,8 +202,8 @@
   }
 
   /**
-   * Drops all probes without a result; to be called after a pause of this process, as answers may
-   * have waited unread.
+   * Drops all probes without a result. This must be called after a pause of this process, because
+   * answers may have arrived and not been read yet.
    */
   public void clear() {
     probes.clear();
@@ -222,7 +245,7 @@
     scheduleNext(probe, now, 1);
   }
 
-  /** How many rounds a probe has; a process in bad health has more. */
+  /** Returns the number of rounds of a probe, which is higher if this process is unhealthy. */
   private int rounds(Probe probe) {
     int rounds = actions.isSuspected(probe) ? ROUNDS_IF_SUSPECTED : ROUNDS;
     return Math.min(MAX_ROUNDS, rounds + health.extraRounds());
@@ -237,9 +260,9 @@
     scheduleNext(probe, now, 1 + probe.step);
   }
 
-  private void send(Probe probe, long now, boolean bare) {
+  private void send(Probe probe, long now, boolean withoutGossip) {
     probe.onSend(now);
-    actions.sendProbe(probe, bare);
+    actions.sendProbe(probe, withoutGossip);
   }
 
   private void scheduleNext(Probe probe, long now, int timeouts) {
@@ -248,7 +271,7 @@
   }
 
   private long timeout(Probe probe) {
-    long roundTrip = Math.max(probe.expectedRoundTrip, usualRoundTrip);
+    long roundTrip = Math.max(probe.expectedRoundTrip, smoothedRoundTrip);
     long timeout = Math.max(config.probeTimeout(), 2 * roundTrip);
     return Math.min(config.maxProbeTimeout(), health.scaleTimeout(timeout));
   }
@@ -259,14 +282,15 @@
       actions.onIndirectAckOnly(probe);
       return;
     }
-    // Negative acknowledgements arrive too: if all others send them, this process does hear others.
+    // Members that fail to reach the target send negative acknowledgements. If all of them arrive,
+    // this process does receive messages, so the probe does not degrade its own health.
     int missingNacks = probe.indirectRequests - probe.indirectNacks;
     health.degrade(
         probe.indirectRequests == 0 ? 1 : Math.max(0, Math.min(MAX_HEALTH_POINTS, missingNacks)));
     actions.onFailure(probe);
   }
 
-  /** Keeps a finished probe for a while, as an answer may still arrive. */
+  /** Marks a probe as finished and retains it for a while, because an answer may still arrive. */
   private void finish(Probe probe, long now) {
     probe.finished = true;
     probe.nextStepAt = now + 2 * config.maxProbeTimeout();
--- a/members/src/main/java/tillerlink/members/probe/ProbeRotation.java
+++ b/members/src/main/java/tillerlink/members/probe/ProbeRotation.java
@@ -7,24 +7,25 @@
 import java.util.random.RandomGenerator;
 
 /**
- * SWIM's round-robin order of probes: every active member once a round, in an order that is
- * shuffled for each round.
+ * SWIM's round-robin selection of probe targets. Every active member is selected once in each
+ * round, in an order that is shuffled for each round.
  */
 public final class ProbeRotation {
   private final RandomGenerator random;
   private List<String> round = new ArrayList<>();
   private int nextIndex;
 
-  /** A rotation whose first round begins with the first call of {@link #next}. */
+  /** Creates a rotation whose first round begins with the first call of {@link #next}. */
   public ProbeRotation(RandomGenerator random) {
     this.random = random;
   }
 
   /**
-   * The next member to be probed.
+   * Returns the next member to be probed.
    *
-   * @param activeNames called when a round begins
-   * @return its name, which may have left meanwhile; null if there is no member
+   * @param activeNames supplies the names of the active members when a round begins
+   * @return the name of a member that may have failed or left since the round began; null if no
+   *     other member is active
    */
   public String next(Supplier<List<String>> activeNames) {
     if (nextIndex >= round.size()) {
--- a/members/src/main/java/tillerlink/members/state/MemberIndex.java
+++ b/members/src/main/java/tillerlink/members/state/MemberIndex.java
@@ -14,16 +14,16 @@
 import tillerlink.messages.members.MemberCodec;
 import tillerlink.messages.members.MemberStatus;
 
-/** The records of all other members, by name, by bucket of digests and by status. */
+/** Index of the records of all other members by name, by anti-entropy bucket and by status. */
 final class MemberIndex {
   private static final long DEADLINE_UNKNOWN = -1;
 
-  /** Random picks for each member wanted, before fewer are returned. */
+  /** Maximum number of random draws per requested member, after which fewer are returned. */
   private static final int PICKS_PER_MEMBER = 4;
 
   private final NavigableMap<String, MemberRecord> records = new TreeMap<>();
 
-  /** The same records for the many look-ups of one; nothing depends on its order. */
+  /** The same records in a hash map, because look-ups by name are frequent; its order is unused. */
   private final Map<String, MemberRecord> byName = new HashMap<>();
 
   private final List<NavigableSet<String>> buckets = new ArrayList<>();
@@ -31,7 +31,7 @@
   private final RandomPickSet active = new RandomPickSet();
   private final RandomPickSet failed = new RandomPickSet();
 
-  /** The earliest deadline of a suspicion, computed when it is asked for. */
+  /** The earliest deadline of a suspicion; computed on demand. */
   private long firstDeadline = DEADLINE_UNKNOWN;
 
   MemberIndex() {
@@ -94,7 +94,7 @@
 
   // ---- suspicions ----
 
-  /** The earliest deadline of a suspicion; {@link Long#MAX_VALUE} if there is none. */
+  /** Returns the earliest deadline of a suspicion; {@link Long#MAX_VALUE} if there is none. */
   long firstDeadline() {
     if (firstDeadline == DEADLINE_UNKNOWN) {
       firstDeadline = Long.MAX_VALUE;
@@ -105,7 +105,7 @@
     return firstDeadline;
   }
 
-  /** The first member in the order of names whose suspicion has expired; null if none has. */
+  /** Returns the first member by name whose suspicion has expired; null if there is none. */
   MemberRecord firstExpired(long now) {
     if (firstDeadline() > now) {
       return null;
@@ -118,7 +118,11 @@
     return null;
   }
 
-  /** Adds an accuser to a suspicion; returns whether it is a new one that counts. */
+  /**
+   * Adds an accuser to a suspicion.
+   *
+   * @return whether the accuser is new and shortens the suspicion
+   */
   boolean confirmSuspicion(MemberRecord member, String accuser) {
     firstDeadline = DEADLINE_UNKNOWN;
     return member.suspicionTimer().confirm(accuser);
@@ -145,7 +149,7 @@
     removeFromStatusSets(member);
   }
 
-  /** Runs a change of a member's status and files the member under the new one. */
+  /** Runs a change of a member's status and moves the member to the sets of the new status. */
   void changeStatus(MemberRecord member, Runnable change) {
     removeFromStatusSets(member);
     change.run();
--- a/members/src/main/java/tillerlink/members/state/MemberRecord.java
+++ b/members/src/main/java/tillerlink/members/state/MemberRecord.java
@@ -8,13 +8,13 @@
 import tillerlink.messages.members.SuspicionLevel;
 
 /**
- * What the local member knows of one other member. Only {@link MemberTable} changes what is
- * gossiped. Times are tenths of a millisecond; owned by the gateway's event loop.
+ * The local member's record of one other member. Only {@link MemberTable} changes the gossiped
+ * state. Times are tenths of a millisecond. This class is confined to the gateway's event loop.
  */
 public final class MemberRecord {
   /**
-   * A member that misses that many direct probes in a row, while others reach it, counts as
-   * reachable only through them.
+   * Number of consecutive direct probes that a member must miss, while others reach it, before it
+   * counts as reachable only through others.
    */
   private static final int MISSES_UNTIL_INDIRECT = 3;
 
@@ -28,7 +28,7 @@
   private boolean indirectOnly;
   private long roundTrip;
 
-  /** The index in the {@link RandomPickSet} that holds this record; negative if none does. */
+  /** The index in the {@link RandomPickSet} that contains this record; negative if none does. */
   int pickIndex = -1;
 
   MemberRecord(
@@ -40,27 +40,30 @@
     this.changedAt = changedAt;
   }
 
-  /** The member's name. */
+  /** Returns the member's name. */
   public String name() {
     return name;
   }
 
-  /** The incarnation, address and site under which the member is known. */
+  /** Returns the last known incarnation, birth, address and site of the member. */
   public MemberInfo card() {
     return card;
   }
 
-  /** The status as it is gossiped. */
+  /** Returns the status that is gossiped. */
   public MemberStatus status() {
     return status;
   }
 
-  /** When the status changed, wherever in the fleet that was. */
+  /**
+   * Returns when the status changed at the member of the fleet that first noticed it, in tenths of
+   * a millisecond.
+   */
   public long changedAt() {
     return changedAt;
   }
 
-  /** How the member can be reached from here. */
+  /** Returns how the local member can reach this member. */
   public Reachability reachability() {
     return switch (status) {
       case ALIVE -> indirectOnly ? Reachability.THROUGH_OTHERS : Reachability.REACHABLE;
@@ -70,7 +73,7 @@
     };
   }
 
-  /** What the member has to refute; none if it is held alive. */
+  /** Returns the suspicion that the member has to refute; none if it is considered alive. */
   public SuspicionLevel suspicion() {
     return status == MemberStatus.ALIVE
         ? SuspicionLevel.NONE
@@ -78,9 +81,10 @@
   }
 
   /**
-   * The record as a gossip update.
+   * Returns the record as a gossip update.
    *
-   * @param accuser who suspects the member or declared it failed; empty if nobody does
+   * @param accuser the member that suspects it or declared it failed; empty if there is none
+   * @param now the monotonic time, in tenths of a millisecond
    */
   public GossipUpdate toGossipUpdate(String accuser, long now) {
     long since = status == MemberStatus.ALIVE ? lastAliveAt : changedAt;
@@ -89,19 +93,26 @@
 
   // ---- answers to the local member's probes ----
 
-  /** The smoothed round-trip time of direct probes; 0 if none was answered. */
+  /**
+   * Returns the smoothed round-trip time of direct probes, in tenths of a millisecond; 0 if none
+   * was answered.
+   */
   public long roundTrip() {
     return roundTrip;
   }
 
-  /** How many direct probes in a row were answered only through others. */
+  /** Returns the number of consecutive direct probes that were answered only through others. */
   public int directMisses() {
     return directMisses;
   }
 
-  /** A direct probe was answered. */
+  /**
+   * Records the answer to a direct probe.
+   *
+   * @param measuredRoundTrip its round-trip time, in tenths of a millisecond
+   */
   void onDirectAck(long measuredRoundTrip) {
-    // Slower answers are believed soon, faster ones only after a while.
+    // The estimate follows an increase quickly and a decrease slowly.
     roundTrip =
         measuredRoundTrip > roundTrip
             ? (roundTrip + measuredRoundTrip + 1) / 2
@@ -110,13 +121,13 @@
     indirectOnly = false;
   }
 
-  /** Others reached the member, the local member did not. */
+  /** Records that other members reached this member and the local member did not. */
   void onIndirectAck() {
     directMisses = Math.min(directMisses + 1, MISSES_UNTIL_INDIRECT);
     indirectOnly = directMisses >= MISSES_UNTIL_INDIRECT;
   }
 
-  /** The member was surely alive at that moment. */
+  /** Records that the member was alive at a time, in tenths of a millisecond. */
   void onAlive(long at) {
     lastAliveAt = Math.max(lastAliveAt, at);
   }
@@ -130,7 +141,10 @@
   /**
    * Changes the gossiped state.
    *
-   * @param timer the timer of the suspicion; null if the next status is another
+   * @param next the new status
+   * @param nextCard the new card
+   * @param timer the timer of the suspicion; null unless the new status is {@code SUSPECTED}
+   * @param at when the status changed, in tenths of a millisecond
    */
   void transitionTo(MemberStatus next, MemberInfo nextCard, SuspicionTimer timer, long at) {
     Invariant.holds(
--- a/members/src/main/java/tillerlink/members/state/MemberTable.java
+++ b/members/src/main/java/tillerlink/members/state/MemberTable.java
@@ -13,29 +13,33 @@
 import tillerlink.messages.members.MemberStatus;
 
 /**
- * The table of all other members, and the rules by which gossip updates and the results of probes
- * change it. It is bounded: {@link MembershipConfig#maxMembers()} active members, and as many again
- * that failed or left. Those are retained until no gossip update of their incarnation is believed
- * any more.
+ * The table of all other members, with the rules by which gossip updates and the results of probes
+ * change it. It is bounded to {@link MembershipConfig#maxMembers()} active members, and as many
+ * again that failed or left. Inactive members are retained until any gossip update of their
+ * incarnation is too old to be accepted.
  *
- * <p>Times are tenths of a millisecond. No I/O; owned by the gateway's event loop.
+ * <p>Times are tenths of a millisecond. This class does no I/O and is confined to the gateway's
+ * event loop.
  */
 public class MemberTable {
-  /** Is notified of each change of a member's reachability or process. */
+  /** Listener for each change of a member's reachability or process. */
   @FunctionalInterface
   public interface ChangeListener {
     /**
-     * A member changed.
+     * Handles a change of a member.
      *
-     * @param member the member as it is now
-     * @param previous its reachability before; {@link Reachability#GONE} if it was not known
-     * @param previousCard its card before; {@link MemberInfo#NONE} if it was not known
+     * @param member the member after the change
+     * @param previous its previous reachability; {@link Reachability#GONE} if it was unknown
+     * @param previousCard its previous card; {@link MemberInfo#NONE} if it was unknown
      */
     void onChange(MemberRecord member, Reachability previous, MemberInfo previousCard);
   }
 
-  /** In a fleet of that many there is nobody to confirm a suspicion: accuser, accused, oneself. */
-  private static final int MEMBERS_WITHOUT_CONFIRMER = 3;
+  /**
+   * Number of members in a suspicion that cannot confirm it: the accuser, the accused member and
+   * the local member.
+   */
+  private static final int NON_CONFIRMING_MEMBERS = 3;
 
   private final String self;
   private final MembershipConfig config;
@@ -43,9 +47,11 @@
   private final MemberIndex index = new MemberIndex();
 
   /**
-   * Makes an empty table.
+   * Creates an empty table.
    *
    * @param self the local member's name, which is never in the table
+   * @param config the limits of the table and the times of suspicions
+   * @param listener is notified of changes
    */
   public MemberTable(String self, MembershipConfig config, ChangeListener listener) {
     this.self = self;
@@ -55,47 +61,52 @@
 
   // ---- look-up ----
 
-  /** The record of a member; null if it is not known. */
+  /** Returns the record of a member; null if the member is unknown. */
   public MemberRecord get(String name) {
     return index.get(name);
   }
 
-  /** All records by name; a read-only view. */
+  /** Returns a read-only view of all records by name. */
   public NavigableMap<String, MemberRecord> all() {
     return index.records();
   }
 
-  /** The names in a bucket of the anti-entropy digest, in ascending order; a read-only view. */
+  /**
+   * Returns a read-only view of the names in a bucket of the anti-entropy digest, in ascending
+   * order.
+   */
   public NavigableSet<String> bucket(int bucket) {
     return index.bucket(bucket);
   }
 
-  /** How many members are active, the local one included. */
+  /** Returns the number of active members, the local one included. */
   public int size() {
     return index.activeSize() + 1;
   }
 
-  /** An active member drawn by chance; null if there is none. */
+  /** Returns a random active member; null if there is none. */
   public MemberRecord pickActive(RandomGenerator random) {
     return index.pickActive(random);
   }
 
-  /** A failed member drawn by chance; null if there is none. */
+  /** Returns a random failed member; null if there is none. */
   public MemberRecord pickFailed(RandomGenerator random) {
     return index.pickFailed(random);
   }
 
   /**
-   * Distinct active members drawn by chance.
+   * Returns distinct random active members.
    *
-   * @param max at most that many; fewer if there are fewer, or if the draws repeat too often
-   * @param excluded the name of a member that is not drawn
+   * @param random the source of the draws
+   * @param max the maximum number of members; fewer are returned if fewer are active, or if the
+   *     draws repeat too often
+   * @param excluded the name of a member that is not returned; empty if there is none
    */
   public List<MemberRecord> pickActive(RandomGenerator random, int max, String excluded) {
     return index.pickActive(random, max, excluded);
   }
 
-  /** The names of the active members, in an order that a seeded run repeats. */
+  /** Returns the names of the active members, in an order that is the same in a repeated run. */
   public List<String> activeNames() {
     return index.activeNames();
   }
@@ -105,8 +116,11 @@
   /**
    * Merges a gossip update of another member.
    *
+   * @param update the update, which must not be of the local member
+   * @param now the monotonic time, in tenths of a millisecond
    * @param delayedByPause whether the update may have waited while this process was paused; such an
-   *     update accuses nobody
+   *     update is not accepted as an accusation
+   * @return the effect of the update
    */
   public MergeOutcome merge(GossipUpdate update, long now, boolean delayedByPause) {
     Invariant.holds(!update.name().equals(self), () -> "local member in the member table");
@@ -119,14 +133,14 @@
       return MergeOutcome.OUTDATED;
     }
     return order > 0
-        ? mergeHigher(member, update, now, delayedByPause)
-        : mergeSame(member, update, now, delayedByPause);
+        ? mergeHigherIncarnation(member, update, now, delayedByPause)
+        : mergeSameIncarnation(member, update, now, delayedByPause);
   }
 
   private MergeOutcome mergeUnknown(GossipUpdate update, long now, boolean delayedByPause) {
     long since = now - update.age();
     if (!update.status().takesPart()) {
-      // Without the bound on its age the update would circulate for ever.
+      // Without the limit on its age, the update would circulate forever.
       if (update.age() < config.forgetAfter() && index.size() < maxRecords()) {
         add(new MemberRecord(update.name(), update.card(), update.status(), since, since));
       }
@@ -157,19 +171,19 @@
     return 2 * config.maxMembers();
   }
 
-  /** Merges an update of a higher incarnation than the known one. */
-  private MergeOutcome mergeHigher(
+  /** Merges an update whose incarnation is higher than the known one. */
+  private MergeOutcome mergeHigherIncarnation(
       MemberRecord member, GossipUpdate update, long now, boolean delayedByPause) {
-    boolean returns = update.status().takesPart() && !member.status().takesPart();
-    if (returns && index.activeSize() >= config.maxMembers()) {
+    boolean rejoins = update.status().takesPart() && !member.status().takesPart();
+    if (rejoins && index.activeSize() >= config.maxMembers()) {
       return MergeOutcome.TABLE_FULL;
     }
-    boolean tooOld = returns && update.age() > config.maxUpdateAge();
+    boolean tooOld = rejoins && update.age() > config.maxUpdateAge();
     if (tooOld || (delayedByPause && isAccusation(update.status()))) {
       return MergeOutcome.NEEDS_PROBE;
     }
     long since = now - update.age();
-    MemberStatus next = statusAfter(member, update);
+    MemberStatus next = nextStatus(member, update);
     if (next == MemberStatus.ALIVE) {
       member.onAlive(since);
     }
@@ -179,8 +193,11 @@
     return MergeOutcome.CHANGED;
   }
 
-  /** An active member is never declared failed by gossip alone: it is suspected first. */
-  private static MemberStatus statusAfter(MemberRecord member, GossipUpdate update) {
+  /**
+   * Returns the status after an update with a higher incarnation. An active member is never
+   * declared failed by gossip alone; it is suspected first.
+   */
+  private static MemberStatus nextStatus(MemberRecord member, GossipUpdate update) {
     boolean suspectFirst = update.status() == MemberStatus.GONE && member.status().takesPart();
     return suspectFirst ? MemberStatus.SUSPECTED : update.status();
   }
@@ -189,8 +206,11 @@
     return status == MemberStatus.SUSPECTED || status == MemberStatus.GONE;
   }
 
-  /** Merges an update of the known incarnation: the later status takes precedence. */
-  private MergeOutcome mergeSame(
+  /**
+   * Merges an update whose incarnation is the known one. Of two statuses, the one declared later in
+   * {@link MemberStatus} takes precedence.
+   */
+  private MergeOutcome mergeSameIncarnation(
       MemberRecord member, GossipUpdate update, long now, boolean delayedByPause) {
     int order = update.status().compareTo(member.status());
     if (order < 0) {
@@ -206,14 +226,15 @@
       case GONE ->
           order > 0 && mustProbeFirst(member, delayedByPause)
               ? MergeOutcome.NEEDS_PROBE
-              : mergeFinal(member, update, order, since);
-      case LEFT -> mergeFinal(member, update, order, since);
+              : mergeFailedOrLeft(member, update, order, since);
+      case LEFT -> mergeFailedOrLeft(member, update, order, since);
     };
   }
 
   /**
-   * A member that is alive as far as is known here is not declared failed by gossip alone: it is
-   * probed, and learns what it has to refute.
+   * Returns whether a member must be probed before it is declared failed. A member that is
+   * considered alive here is never declared failed by gossip alone; the probe informs it of the
+   * suspicion that it has to refute.
    */
   private static boolean mustProbeFirst(MemberRecord member, boolean delayedByPause) {
     return member.status() == MemberStatus.ALIVE || delayedByPause;
@@ -229,7 +250,8 @@
         : MergeOutcome.KNOWN;
   }
 
-  private MergeOutcome mergeFinal(MemberRecord member, GossipUpdate update, int order, long since) {
+  private MergeOutcome mergeFailedOrLeft(
+      MemberRecord member, GossipUpdate update, int order, long since) {
     if (order == 0) {
       return MergeOutcome.KNOWN;
     }
@@ -240,11 +262,13 @@
   // ---- suspicion ----
 
   /**
-   * Suspects a member, or adds an accuser to a suspicion.
+   * Suspects a member, or adds an accuser to an existing suspicion.
    *
-   * @param accuser the accusing member, perhaps the local one
-   * @param since when the suspicion began at the accuser
-   * @return whether that is new and to be gossiped
+   * @param member the suspected member
+   * @param accuser the name of the accusing member, which may be the local one
+   * @param now the monotonic time, in tenths of a millisecond
+   * @param since when the suspicion began at the accuser, in tenths of a millisecond
+   * @return whether the suspicion or its accuser is new and must be gossiped
    */
   public boolean suspect(MemberRecord member, String accuser, long now, long since) {
     if (member.status() == MemberStatus.SUSPECTED) {
@@ -258,9 +282,9 @@
   }
 
   private SuspicionTimer startTimer(String accuser, long now) {
-    // In a small fleet there are fewer members who could confirm it.
+    // In a small fleet, fewer members can confirm the suspicion.
     int confirmations =
-        Math.max(0, Math.min(config.confirmations(), size() - MEMBERS_WITHOUT_CONFIRMER));
+        Math.max(0, Math.min(config.confirmations(), size() - NON_CONFIRMING_MEMBERS));
     return new SuspicionTimer(
         now,
         accuser,
@@ -269,7 +293,12 @@
         config.maxSuspicionTime(size()));
   }
 
-  /** Declares one member failed whose suspicion has expired; null if there is none. */
+  /**
+   * Declares one member failed whose suspicion has expired.
+   *
+   * @param now the monotonic time, in tenths of a millisecond
+   * @return the record of that member; null if no suspicion has expired
+   */
   public MemberRecord expire(long now) {
     MemberRecord member = index.firstExpired(now);
     if (member != null) {
@@ -278,31 +307,36 @@
     return member;
   }
 
-  /** When the first suspicion expires; {@link Long#MAX_VALUE} if there is none. */
+  /**
+   * Returns when the first suspicion expires, in tenths of a millisecond; {@link Long#MAX_VALUE} if
+   * there is none.
+   */
   public long nextDueAt() {
     return index.firstDeadline();
   }
 
-  /** Extends all suspicions by a pause of this process. */
+  /** Extends all suspicions by the length of a pause of this process. */
   public void onPause(long duration) {
     index.extendSuspicions(duration);
   }
 
   // ---- results of probes ----
 
-  /** A member answered a probe of this process, directly or through another. */
+  /**
+   * Records that a member answered a probe, directly or through others, and was alive at a time.
+   */
   public void onAlive(MemberRecord member, long at) {
     member.onAlive(at);
   }
 
-  /** A member answered directly, after that round trip. */
+  /** Records that a member answered a probe directly, after the given round-trip time. */
   public void onDirectAck(MemberRecord member, long roundTrip) {
     Reachability previous = member.reachability();
     member.onDirectAck(roundTrip);
     notifyIfChanged(member, previous);
   }
 
-  /** A member answered only through others. */
+  /** Records that a member answered a probe only through other members. */
   public void onIndirectAck(MemberRecord member) {
     Reachability previous = member.reachability();
     member.onIndirectAck();
@@ -318,20 +352,22 @@
   // ---- changes ----
 
   /**
-   * Forgets the members that failed or left so long ago that no gossip update of their incarnation
-   * is believed any more.
+   * Removes the members that failed or left so long ago that any gossip update of their incarnation
+   * is too old to be accepted.
+   *
+   * @param now the monotonic time, in tenths of a millisecond
    */
   public void forget(long now) {
     if (index.inactiveSize() == 0) {
       return;
     }
-    List<MemberRecord> old = new ArrayList<>();
+    List<MemberRecord> removable = new ArrayList<>();
     for (MemberRecord member : index.records().values()) {
       if (!member.status().takesPart() && now - member.changedAt() > config.forgetAfter()) {
-        old.add(member);
+        removable.add(member);
       }
     }
-    old.forEach(this::remove);
+    removable.forEach(this::remove);
   }
 
   void remove(MemberRecord member) {
--- a/members/src/main/java/tillerlink/members/state/MergeOutcome.java
+++ b/members/src/main/java/tillerlink/members/state/MergeOutcome.java
@@ -1,15 +1,15 @@
 package tillerlink.members.state;
 
-/** What became of a gossip update that was merged into the {@link MemberTable}. */
+/** The outcome of merging a gossip update into the {@link MemberTable}. */
 public enum MergeOutcome {
-  /** It changed the table: to be gossiped further. */
+  /** The update changed the table and must be gossiped further. */
   CHANGED,
-  /** It says what is known already. */
+  /** The update contains nothing new to gossip. */
   KNOWN,
-  /** What is known takes precedence over it. */
+  /** The known state takes precedence over the update. */
   OUTDATED,
-  /** It is not to be believed before the member itself was probed. */
+  /** The update is not accepted until the member itself has been probed. */
   NEEDS_PROBE,
-  /** It is of a member for which the table has no capacity. */
+  /** The update was rejected because the table has no capacity for the member. */
   TABLE_FULL
 }
--- a/members/src/main/java/tillerlink/members/state/RandomPickSet.java
+++ b/members/src/main/java/tillerlink/members/state/RandomPickSet.java
@@ -6,8 +6,8 @@
 
 /**
  * A set of members with random picks, additions and removals in constant time. The order of its
- * elements depends only on the sequence of additions and removals, so that a seeded run repeats. A
- * member is in one such set at a time.
+ * elements depends only on the sequence of additions and removals, so that a seeded run is
+ * repeatable. A member is in at most one such set at a time.
  */
 final class RandomPickSet {
   private static final int IN_NO_SET = -1;
@@ -41,7 +41,7 @@
     return members.get(index);
   }
 
-  /** A member drawn by chance; null, without a draw, if the set is empty. */
+  /** Returns a random member; returns null without drawing a number if the set is empty. */
   MemberRecord pick(RandomGenerator random) {
     return members.isEmpty() ? null : members.get(random.nextInt(members.size()));
   }
--- a/members/src/main/java/tillerlink/members/state/SuspicionTimer.java
+++ b/members/src/main/java/tillerlink/members/state/SuspicionTimer.java
@@ -5,9 +5,9 @@
 import tillerlink.cluster.Invariant;
 
 /**
- * How long a member is suspected before it is declared failed: the longest time while one member
- * accuses it alone, falling logarithmically to the shortest as independent accusers confirm the
- * suspicion (Lifeguard's local health aware suspicion). Times are tenths of a millisecond.
+ * The timer after which a suspected member is declared failed. The timeout is longest while only
+ * one member accuses it, and falls logarithmically to the minimum as independent accusers confirm
+ * the suspicion (Lifeguard's local health aware suspicion). Times are tenths of a millisecond.
  */
 final class SuspicionTimer {
   private final Set<String> accusers = new TreeSet<>();
@@ -27,14 +27,18 @@
     timeout = computeTimeout();
   }
 
-  /** Adds an accuser; returns whether it is a new one that still shortens the timeout. */
+  /**
+   * Adds an accuser.
+   *
+   * @return whether the accuser is new and shortens the timeout
+   */
   boolean confirm(String accuser) {
     boolean isNew = accusers.size() <= expectedConfirmations && accusers.add(accuser);
     timeout = computeTimeout();
     return isNew;
   }
 
-  /** When the member is declared failed. */
+  /** Returns when the member is declared failed, in tenths of a millisecond. */
   long deadline() {
     return startedAt + timeout;
   }
@@ -51,7 +55,12 @@
     return computed;
   }
 
-  /** Extends the suspicion by a pause of the local process, during which nobody could refute it. */
+  /**
+   * Extends the suspicion by a pause of this process, because it could receive no refutation during
+   * the pause.
+   *
+   * @param duration the length of the pause, in tenths of a millisecond
+   */
   void extend(long duration) {
     startedAt += duration;
   }
--- a/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
+++ b/members/src/test/java/tillerlink/members/MembersFormatGuardTest.java
@@ -21,14 +21,15 @@
 import tillerlink.messages.members.MemberStatus;
 
 /**
- * Guards what members of two releases must agree on beyond the bytes of their messages: the sums of
- * what each knows, and the incarnation that is handed over to be kept.
+ * Guards two formats that members of different releases must share beyond the bytes of their
+ * messages: the checksums of the anti-entropy digest, and the incarnation that is persisted for the
+ * next process.
  */
 class MembersFormatGuardTest {
-  /** One member of every standing, by name. */
-  private static TreeMap<String, GossipUpdate> known() {
-    TreeMap<String, GossipUpdate> all = new TreeMap<>();
-    for (GossipUpdate each :
+  /** Returns one member of every status, by name. */
+  private static TreeMap<String, GossipUpdate> knownMembers() {
+    TreeMap<String, GossipUpdate> updates = new TreeMap<>();
+    for (GossipUpdate update :
         List.of(
             new GossipUpdate(
                 "n1",
@@ -41,53 +42,56 @@
             new GossipUpdate(
                 "größe", MemberStatus.GONE, new MemberInfo(1, 9, "h3:3", "c"), "n1", 7),
             new GossipUpdate("s1", MemberStatus.LEFT, new MemberInfo(2, 10, "h4:4", "d"), "", 8))) {
-      all.put(each.name(), each);
+      updates.put(update.name(), update);
     }
-    return all;
+    return updates;
   }
 
-  /** The sums under two salts, one line for each bucket: its number and the two sums. */
-  static String written() {
-    TreeMap<String, GossipUpdate> known = known();
-    AntiEntropy digests =
+  /**
+   * Returns the checksums with two salts, one line for each bucket: its number and the two
+   * checksums.
+   */
+  static String formatDigests() {
+    TreeMap<String, GossipUpdate> knownMembers = knownMembers();
+    AntiEntropy antiEntropy =
         new AntiEntropy(
-            new AntiEntropy.Known() {
+            new AntiEntropy.KnownMembers() {
               @Override
               public Iterable<String> names(int bucket) {
-                return known.keySet().stream()
+                return knownMembers.keySet().stream()
                     .filter(name -> MemberCodec.bucket(name) == bucket)
                     .toList();
               }
 
               @Override
               public GossipUpdate update(String name) {
-                return known.get(name);
+                return knownMembers.get(name);
               }
             });
-    List<Integer> one = digests.sums(0);
-    List<Integer> other = digests.sums(0x0123456789abcdefL);
+    List<Integer> firstSums = antiEntropy.sums(0);
+    List<Integer> secondSums = antiEntropy.sums(0x0123456789abcdefL);
     StringBuilder text = new StringBuilder();
     for (int bucket = 0; bucket < MemberCodec.BUCKETS; bucket++) {
       text.append(
-          String.format("%d %08x%08x%n", bucket, one.get(bucket), other.get(bucket))
+          String.format("%d %08x%08x%n", bucket, firstSums.get(bucket), secondSums.get(bucket))
               .replace("\r", ""));
     }
     return text.toString();
   }
 
   @Test
-  void theSumsOfWhatIsKnownAreAsBefore() throws IOException {
+  void digestChecksumsAreUnchanged() throws IOException {
     try (InputStream in = getClass().getResourceAsStream("/guards/member-sums.hex")) {
-      assertEquals(new String(in.readAllBytes(), StandardCharsets.UTF_8), written());
+      assertEquals(new String(in.readAllBytes(), StandardCharsets.UTF_8), formatDigests());
     }
   }
 
   @Test
-  void aProcessStartsOneAboveTheIncarnationThatWasKept() {
+  void processStartsOneAboveThePersistedIncarnation() {
     assertEquals(
         new MemberInfo(7, 9, "h1:1", "north"), new LocalMember(6, 9, "h1:1", "north").card());
     assertEquals(1, new LocalMember(0, 9, "h1:1", "north").card().incarnation());
-    List<Long> handed = new ArrayList<>();
+    List<Long> reportedIncarnations = new ArrayList<>();
     Members members =
         new Members(
             new Identity("fleet", "n1", "north", "h1:1", List.of(), 6),
@@ -96,17 +100,18 @@
             new SplittableRandom(1),
             new MembershipListener() {
               @Override
-              public void onReachabilityChanged(String name, Reachability was, Reachability is) {
-                // nobody else is there
+              public void onReachabilityChanged(
+                  String name, Reachability previous, Reachability current) {
+                // The fleet has no other members.
               }
 
               @Override
-              public void onOwnIncarnationChanged(long own) {
-                handed.add(own);
+              public void onOwnIncarnationChanged(long incarnation) {
+                reportedIncarnations.add(incarnation);
               }
             },
             1);
     members.tick(0, 0);
-    assertEquals(List.of(7L), handed);
+    assertEquals(List.of(7L), reportedIncarnations);
   }
 }
