--- a/members/src/test/java/tillerlink/members/BoundsTest.java
+++ b/members/src/test/java/tillerlink/members/BoundsTest.java
@@ -26,12 +26,12 @@
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** What members bound, reject, forget and refuse to believe. */
+/** Tests the limits of members, and which messages and gossip updates they reject or forget. */
 class BoundsTest {
   private static final long MAX_UPDATE_AGE = 20 * MemberFleet.SECOND;
   private static final long FORGET_AFTER = 40 * MemberFleet.SECOND;
 
-  private final List<String> lines = new ArrayList<>();
+  private final List<String> logLines = new ArrayList<>();
   private final List<byte[]> sent = new ArrayList<>();
 
   private Members members(MembershipConfig config) {
@@ -44,12 +44,12 @@
           @Override
           public void onReachabilityChanged(
               String name, Reachability previous, Reachability current) {
-            // counted elsewhere
+            // The tests check the member table instead.
           }
 
           @Override
           public void log(String line) {
-            lines.add(line);
+            logLines.add(line);
           }
         },
         1);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void noOldGossipRevivesAFailedMember() {
+  void oldGossipDoesNotReviveAFailedMember() {
     MemberTable table =
         new MemberTable(
             "own",
@@ -77,31 +77,32 @@
         MergeOutcome.CHANGED, table.merge(update("b", MemberStatus.ALIVE, 1, 0), 0, false));
     table.suspect(table.get("b"), "own", 10, 10);
     assertEquals("b", table.expire(40 * MemberFleet.SECOND).name());
-    long gone = 40 * MemberFleet.SECOND;
+    long failedAt = 40 * MemberFleet.SECOND;
     assertEquals(
-        MergeOutcome.OUTDATED, table.merge(update("b", MemberStatus.ALIVE, 1, 0), gone + 5, false));
+        MergeOutcome.OUTDATED,
+        table.merge(update("b", MemberStatus.ALIVE, 1, 0), failedAt + 5, false));
     assertEquals(
         MergeOutcome.NEEDS_PROBE,
-        table.merge(update("b", MemberStatus.ALIVE, 2, MAX_UPDATE_AGE + 1), gone + 5, false));
-    table.forget(gone + FORGET_AFTER);
+        table.merge(update("b", MemberStatus.ALIVE, 2, MAX_UPDATE_AGE + 1), failedAt + 5, false));
+    table.forget(failedAt + FORGET_AFTER);
     assertEquals(Reachability.GONE, table.get("b").reachability());
-    table.forget(gone + FORGET_AFTER + 1);
+    table.forget(failedAt + FORGET_AFTER + 1);
     assertNull(table.get("b"));
-    // It was alive before it was declared failed: gossip of that is older than what is believed
-    // now.
+    // The member was alive before it was declared failed, so gossip from that time is older than
+    // the maximum age of an accepted update.
     assertEquals(
         MergeOutcome.NEEDS_PROBE,
         table.merge(
-            update("b", MemberStatus.ALIVE, 1, FORGET_AFTER), gone + FORGET_AFTER + 1, false));
+            update("b", MemberStatus.ALIVE, 1, FORGET_AFTER), failedAt + FORGET_AFTER + 1, false));
     assertEquals(
         MergeOutcome.KNOWN,
         table.merge(
-            update("b", MemberStatus.GONE, 1, FORGET_AFTER), gone + FORGET_AFTER + 1, false));
+            update("b", MemberStatus.GONE, 1, FORGET_AFTER), failedAt + FORGET_AFTER + 1, false));
     assertNull(table.get("b"));
   }
 
   @Test
-  void gossipDelayedByAPauseAccusesNobody() {
+  void gossipDelayedByAPauseDoesNotChangeTheStatus() {
     MemberTable table =
         new MemberTable("own", MembershipConfig.usual(), (member, previous, previousCard) -> {});
     table.merge(update("b", MemberStatus.ALIVE, 1, 0), 0, false);
@@ -113,7 +114,7 @@
   }
 
   @Test
-  void membersBeyondTheBoundAreRejected() {
+  void membersBeyondTheLimitAreRejected() {
     Members members = members(MembershipConfig.usual().withMaxMembers(5));
     members.tick(0, 0);
     for (int i = 0; i < 40; i++) {
@@ -124,10 +125,11 @@
     assertEquals(35, members.counts().rejected());
     assertTrue(members.names().size() <= 10);
     assertEquals(
-        List.of("members: table is full, rejected m5; the limit is 5 other active members"), lines);
+        List.of("members: table is full, rejected m5; the limit is 5 other active members"),
+        logLines);
   }
 
-  /** Corrupted and truncated messages of every kind. */
+  /** Feeds corrupted and truncated messages of every kind. */
   @Test
   void malformedMessagesAreCountedAndLoggedOnce() {
     Members members = members(MembershipConfig.usual());
@@ -161,8 +163,8 @@
     }
     assertTrue(members.counts().malformed() > 5000, () -> "malformed: " + members.counts());
     assertTrue(
-        lines.stream().filter(line -> line.contains("malformed message")).count() <= 1,
-        lines::toString);
+        logLines.stream().filter(line -> line.contains("malformed message")).count() <= 1,
+        logLines::toString);
   }
 
   private static MemberMessage read(byte[] bytes) {
@@ -174,7 +176,7 @@
   }
 
   @Test
-  void bareProbesAreSmallAndEveryMessageFitsADatagram() {
+  void probesWithoutGossipAreSmallAndEveryMessageFitsADatagram() {
     Members members = members(MembershipConfig.usual());
     members.tick(0, 0);
     for (int i = 0; i < 400; i++) {
@@ -191,23 +193,26 @@
                   "",
                   0)));
     }
-    int bareProbes = 0;
+    int probesWithoutGossip = 0;
     for (long now = 2;
         now < 20 * MemberFleet.SECOND;
         now = Math.max(now + 1, members.nextDueAt())) {
       members.tick(now, now);
     }
     for (byte[] body : sent) {
-      assertTrue(body.length <= 1100, () -> "a message of " + body.length);
-      boolean isBare = read(body) instanceof MemberMessage.Probe probe && probe.updates().isEmpty();
-      assertFalse(isBare && body.length > 300, () -> "a bare probe of " + body.length);
-      bareProbes += isBare ? 1 : 0;
+      assertTrue(body.length <= 1100, () -> "message length: " + body.length);
+      boolean isProbeWithoutGossip =
+          read(body) instanceof MemberMessage.Probe probe && probe.updates().isEmpty();
+      assertFalse(
+          isProbeWithoutGossip && body.length > 300,
+          () -> "length of a probe without gossip: " + body.length);
+      probesWithoutGossip += isProbeWithoutGossip ? 1 : 0;
     }
-    assertTrue(bareProbes > 50, "bare probes: " + bareProbes);
+    assertTrue(probesWithoutGossip > 50, "probes without gossip: " + probesWithoutGossip);
   }
 
   @Test
-  void ofTwoProcessesOfOneNameBothLetTheSameOneYield() {
+  void bothProcessesWithOneNameDecideThatTheOlderYields() {
     LocalMember olderProcess = new LocalMember(4, 100, "h:1", "s");
     LocalMember newerProcess = new LocalMember(0, 200, "h:2", "s");
     assertEquals(
@@ -218,7 +223,7 @@
         olderProcess.onClaim(MemberStatus.ALIVE, 6, 200, "h:2"));
     assertEquals(LocalMember.Reaction.YIELDED, olderProcess.onRivalAlive(200));
     assertEquals(LocalMember.Reaction.REFUTED, newerProcess.onRivalAlive(100));
-    // An earlier process at the same address is no rival, whatever is claimed of it.
+    // An earlier process at the same address is not a rival, whatever is claimed about it.
     LocalMember restarted = new LocalMember(0, 300, "h:3", "s");
     assertEquals(LocalMember.Reaction.REFUTED, restarted.onClaim(MemberStatus.ALIVE, 9, 50, "h:3"));
     assertEquals(10, restarted.card().incarnation());
--- a/members/src/test/java/tillerlink/members/InjectedFaultsTest.java
+++ b/members/src/test/java/tillerlink/members/InjectedFaultsTest.java
@@ -18,8 +18,8 @@
 import tillerlink.simulation.Fault;
 
 /**
- * Faults injected into members, and what detects each: an invariant inside the code, or the view
- * from outside.
+ * Injects faults into members and checks how each fault is detected: by an invariant in the code,
+ * or by the observed behaviour of the fleet.
  */
 class InjectedFaultsTest {
   private static final int HISTORIES = 40;
@@ -45,7 +45,7 @@
     };
   }
 
-  /** A local member as it should be, for the faulty ones to override. */
+  /** A correct local member, of which the faulty ones override single methods. */
   private abstract static class FaultyLocalMember extends LocalMember {
     FaultyLocalMember(Identity identity, long birth) {
       super(identity.persistedIncarnation(), birth, identity.address(), identity.site());
@@ -86,7 +86,7 @@
                 }
               });
 
-  private static final ComponentFactories RETRANSMITS_FOR_EVER =
+  private static final ComponentFactories RETRANSMITS_FOREVER =
       new ComponentFactories() {
         @Override
         GossipQueue gossipQueue(int maxSize) {
@@ -102,7 +102,11 @@
         }
       };
 
-  /** Runs some histories of members that all have the fault; returns what detected it first. */
+  /**
+   * Runs several histories, and then a fixed scenario, of members that all have the same fault.
+   *
+   * @return what detected the fault first
+   */
   private static String detect(ComponentFactories factories, MembershipConfig config) {
     for (long seed = 0; seed < HISTORIES; seed++) {
       String detected = runHistory(new RandomHistory(seed, config, factories));
@@ -118,7 +122,7 @@
     try {
       history.run();
       if (fleet.runUntilConverged(RandomHistoriesTest.MAX_CONVERGENCE_TIME) < 0) {
-        return hasTwoOfOneName(fleet) ? "two members of one name" : "no convergence";
+        return hasDuplicateName(fleet) ? "two members with one name" : "no convergence";
       }
       fleet.network.playFor(20 * MemberFleet.SECOND);
       if (fleet.running.values().stream().anyMatch(InjectedFaultsTest::stillGossips)) {
@@ -132,7 +136,7 @@
     return UNDETECTED;
   }
 
-  private static boolean hasTwoOfOneName(MemberFleet fleet) {
+  private static boolean hasDuplicateName(MemberFleet fleet) {
     return fleet.persistedIncarnations.keySet().stream()
         .anyMatch(name -> fleet.processesKeeping(name) > 1);
   }
@@ -143,8 +147,11 @@
   }
 
   /**
-   * Lost messages, a partition that heals, and a member that was paused while another one died: no
-   * live member is declared failed or suspected, no dead one returns.
+   * Runs a scenario with lost messages, then a partition that heals, then a member that is paused
+   * while another one dies. No live member may be declared failed because of lost messages, or be
+   * suspected after the partition healed, and the dead member must not return.
+   *
+   * @return what detected the fault
    */
   private static String runScenario(ComponentFactories factories, MembershipConfig config) {
     MemberFleet fleet = new MemberFleet(4, config, factories);
@@ -154,7 +161,7 @@
     fleet.changes.clear();
     fleet.network.playFor(300 * MemberFleet.SECOND);
     if (hasChangeTo(fleet, Reachability.GONE)) {
-      return "live member declared failed for lost messages";
+      return "live member declared failed because of lost messages";
     }
     fleet.network.setDefaultFault(Fault.NONE);
     fleet.cut(List.of("a", "b", "c"), List.of("d", "e", "f"));
@@ -165,7 +172,7 @@
     if (hasChangeTo(fleet, Reachability.SUSPECTED) || hasChangeTo(fleet, Reachability.GONE)) {
       return "live member suspected after a partition healed";
     }
-    // The paused member still holds the dead one for alive, and gossips that.
+    // The paused member still considers the dead member alive, and gossips that.
     fleet.network.pause(MemberFleet.address("a"));
     fleet.kill("f");
     fleet.network.playFor(30 * MemberFleet.SECOND);
@@ -177,7 +184,7 @@
             .anyMatch(
                 change ->
                     change.member().equals("f") && change.current() == Reachability.REACHABLE);
-    return returned ? "dead member returns" : UNDETECTED;
+    return returned ? "dead member returned" : UNDETECTED;
   }
 
   private static boolean hasChangeTo(MemberFleet fleet, Reachability reachability) {
@@ -206,19 +213,22 @@
         usual.maxMembers());
   }
 
-  /** What detects each fault; those that the rest of the protocol makes up for are listed, too. */
+  /**
+   * The detection of each fault. A fault that the rest of the protocol compensates is listed as not
+   * detected.
+   */
   private static final String EXPECTED =
       """
       no fault: not detected
       ACCEPTS_LOWER_INCARNATION: invariant broken: one: incarnation decreases from
       REVIVES_AT_SAME_INCARNATION: invariant broken: one rejoined without a higher incarnation:
       SUSPECTS_WITHOUT_PROBE: live member suspected after a partition healed
-      FORGETS_FAILED_AT_ONCE: dead member returns
+      FORGETS_FAILED_AT_ONCE: dead member returned
       never refutes: no convergence
-      never yields its name: two members of one name
+      never yields its name: two members with one name
       lowers its incarnation: invariant broken: local incarnation decreases to
-      retransmits for ever: gossip after convergence
-      suspicion of half a second: live member declared failed for lost messages
+      retransmits forever: gossip after convergence
+      suspicion of half a second: live member declared failed because of lost messages
       never probes failed members: no convergence
       no periodic anti-entropy: not detected
       """;
@@ -230,19 +240,20 @@
     long antiEntropy = usual.antiEntropyInterval();
     long never = Long.MAX_VALUE / 4;
     ComponentFactories faultless = new ComponentFactories();
-    List<String> found = new ArrayList<>();
-    found.add("no fault: " + detect(faultless, usual));
+    List<String> detections = new ArrayList<>();
+    detections.add("no fault: " + detect(faultless, usual));
     for (FaultyMemberTable.InjectedFault fault : FaultyMemberTable.InjectedFault.values()) {
-      found.add(fault + ": " + detect(withTable(fault), usual));
+      detections.add(fault + ": " + detect(withTable(fault), usual));
     }
-    found.add("never refutes: " + detect(NEVER_REFUTES, usual));
-    found.add("never yields its name: " + detect(NEVER_YIELDS, usual));
-    found.add("lowers its incarnation: " + detect(LOWERS_INCARNATION, usual));
-    found.add("retransmits for ever: " + detect(RETRANSMITS_FOR_EVER, usual));
-    found.add(
+    detections.add("never refutes: " + detect(NEVER_REFUTES, usual));
+    detections.add("never yields its name: " + detect(NEVER_YIELDS, usual));
+    detections.add("lowers its incarnation: " + detect(LOWERS_INCARNATION, usual));
+    detections.add("retransmits forever: " + detect(RETRANSMITS_FOREVER, usual));
+    detections.add(
         "suspicion of half a second: " + detect(faultless, config(1, reconnect, antiEntropy)));
-    found.add("never probes failed members: " + detect(faultless, config(5, never, antiEntropy)));
-    found.add("no periodic anti-entropy: " + detect(faultless, config(5, reconnect, never)));
-    assertEquals(EXPECTED, String.join("\n", found) + "\n");
+    detections.add(
+        "never probes failed members: " + detect(faultless, config(5, never, antiEntropy)));
+    detections.add("no periodic anti-entropy: " + detect(faultless, config(5, reconnect, never)));
+    assertEquals(EXPECTED, String.join("\n", detections) + "\n");
   }
 }
--- a/members/src/test/java/tillerlink/members/LargeFleetsTest.java
+++ b/members/src/test/java/tillerlink/members/LargeFleetsTest.java
@@ -10,8 +10,8 @@
 import tillerlink.members.config.MembershipConfig;
 
 /**
- * Fleets of 30, 120 and 1,000 members: all know all, one dies, all learn of it, and no other one is
- * declared failed.
+ * Tests fleets of 30, 120 and 1,000 members: all members join, one dies, all others detect its
+ * death, and no live member is declared failed.
  */
 class LargeFleetsTest {
   private static final long MAX_JOIN_TIME = 60 * MemberFleet.SECOND;
@@ -30,30 +30,31 @@
     }
     long interval = size < 1000 ? MemberFleet.SECOND / 2 : 2 * MemberFleet.SECOND;
     long joined = fleet.runUntilConverged(MAX_JOIN_TIME, interval);
-    assertTrue(joined >= 0, size + " members do not know all within " + seconds(MAX_JOIN_TIME));
+    assertTrue(joined >= 0, size + " members did not converge within " + seconds(MAX_JOIN_TIME));
     assertTrue(fleet.changes.isEmpty(), () -> "declared failed: " + fleet.changes.get(0));
     String dead = "m" + size / 2;
     fleet.kill(dead);
     long killedAt = fleet.network.now();
-    // A probe of it, the longest suspicion, and the gossip of its failure.
+    // The time allows for a probe of the member, the longest suspicion, and the gossip of its
+    // failure.
     long maxDetectionTime = config.maxSuspicionTime(size) + 20 * MemberFleet.SECOND;
     long detected = fleet.runUntilConverged(maxDetectionTime, interval);
     assertTrue(
         detected >= 0,
-        () -> "not all of " + size + " learnt of a death within " + seconds(maxDetectionTime));
+        () -> "not all of " + size + " detected a death within " + seconds(maxDetectionTime));
     Set<String> observers = new TreeSet<>();
     for (MemberFleet.Change change : fleet.changes) {
       assertTrue(
           change.member().equals(dead) && change.at() >= killedAt,
-          () -> "declared failed though alive: " + change);
+          () -> "live member declared failed: " + change);
       observers.add(change.observer());
     }
     assertEquals(size - 1, observers.size(), "members that declared it failed");
     System.out.println(
         size
-            + " members: all known after "
+            + " members: converged after "
             + joined / 10
-            + " ms, a death known to all after "
+            + " ms, a death detected by all after "
             + detected / 10
             + " ms, "
             + fleet.network.sent()
--- a/members/src/test/java/tillerlink/members/MemberFleet.java
+++ b/members/src/test/java/tillerlink/members/MemberFleet.java
@@ -17,14 +17,14 @@
 import tillerlink.simulation.SimulatedFleet;
 
 /**
- * A simulated fleet of members. A host of the simulation is named by its address; the name of the
- * sending member is put before each message, as the envelope would carry it.
+ * A simulated fleet of members. The simulation identifies a host by the address of its member. Each
+ * message is preceded by the name of the sending member, which the envelope contains in production.
  */
 public final class MemberFleet {
-  /** A millisecond of virtual time. */
+  /** A millisecond of virtual time, in tenths of a millisecond. */
   public static final long MS = 10;
 
-  /** A second of virtual time. */
+  /** A second of virtual time, in tenths of a millisecond. */
   public static final long SECOND = 1000 * MS;
 
   /** One process of a member. */
@@ -42,19 +42,19 @@
               new Identity(
                   "f", name, "site-" + name.charAt(0), address, seeds, persistedIncarnation),
               config,
-              (to, body) -> network.sender(address).send(to, sealed(name, body)),
+              (to, body) -> network.sender(address).send(to, withSenderName(name, body)),
               new SplittableRandom(random.nextLong()),
               this,
               network.wall(address),
               factories);
     }
 
-    /** Whether the process was told to leave. */
+    /** Returns whether {@link MemberFleet#leave} was called for this process. */
     boolean isLeaving() {
       return leaving;
     }
 
-    /** Whether the process is a member, as it did not yield its name. */
+    /** Returns whether the process is still a member, because it did not yield its name. */
     boolean keepsName() {
       return !members.yielded();
     }
@@ -106,7 +106,13 @@
     }
   }
 
-  /** One member sees another in another state of reachability than before. */
+  /**
+   * A change of a member's reachability as seen by another member.
+   *
+   * @param at when the change was observed, in tenths of a millisecond
+   * @param observer the name of the observing member
+   * @param member the name of the observed member
+   */
   public record Change(
       long at, String observer, String member, Reachability previous, Reachability current) {
     @Override
@@ -125,7 +131,7 @@
   public final List<Change> changes = new ArrayList<>();
   private Consumer<Change> observer = changes::add;
 
-  /** Log lines and other notifications. */
+  /** Log lines and notifications other than reachability changes, in the order of arrival. */
   final List<String> notices = new ArrayList<>();
 
   public MemberFleet(long seed, MembershipConfig config) {
@@ -139,25 +145,25 @@
     this.factories = factories;
   }
 
-  /** Sets who is notified of each change, in place of the list of all changes. */
+  /** Sets the consumer of changes, which replaces the recording in {@link #changes}. */
   public void observe(Consumer<Change> newObserver) {
     observer = newObserver;
   }
 
-  private static byte[] sealed(String name, byte[] body) {
+  private static byte[] withSenderName(String name, byte[] body) {
     byte[] bytes = name.getBytes(StandardCharsets.UTF_8);
-    byte[] all = new byte[1 + bytes.length + body.length];
-    all[0] = (byte) bytes.length;
-    System.arraycopy(bytes, 0, all, 1, bytes.length);
-    System.arraycopy(body, 0, all, 1 + bytes.length, body.length);
-    return all;
+    byte[] message = new byte[1 + bytes.length + body.length];
+    message[0] = (byte) bytes.length;
+    System.arraycopy(bytes, 0, message, 1, bytes.length);
+    System.arraycopy(body, 0, message, 1 + bytes.length, body.length);
+    return message;
   }
 
   String time() {
     return String.format("%7.2f s ", network.now() / (double) SECOND);
   }
 
-  /** The default address of a member. */
+  /** Returns the default address of a member. */
   public static String address(String name) {
     return "10.0.0." + name;
   }
@@ -174,7 +180,7 @@
     return process;
   }
 
-  /** Starts members whose seeds are the first two of them. */
+  /** Starts members that have the first two of them as seeds. */
   public void startAll(String... names) {
     for (String name : names) {
       start(name, address(names[0]), address(names[1 % names.length]));
@@ -196,7 +202,7 @@
     return running.get(address(observingName)).members.reachability(name);
   }
 
-  /** Cuts both directions of the links between two sides. */
+  /** Cuts both directions of all links between two groups of members. */
   void cut(List<String> side, List<String> otherSide) {
     for (String one : side) {
       for (String other : otherSide) {
@@ -205,7 +211,10 @@
     }
   }
 
-  /** Whether all running processes see each other, and no others, as reachable. */
+  /**
+   * Returns whether all running processes that keep their names see each other as reachable, and
+   * see no other members as contactable.
+   */
   public boolean hasConverged() {
     for (MemberProcess process : running.values()) {
       if (process.keepsName() && !seesExactlyTheOthers(process)) {
@@ -231,7 +240,7 @@
         == others;
   }
 
-  /** How many running processes of a name are members. */
+  /** Returns the number of running processes with a name that have not yielded it. */
   long processesKeeping(String name) {
     return running.values().stream()
         .filter(process -> process.name.equals(name) && process.keepsName())
@@ -239,15 +248,22 @@
   }
 
   /**
-   * Runs the simulation until the fleet has converged.
+   * Runs the simulation until the fleet has converged, checking every 100 ms of virtual time.
    *
-   * @return how long that took; -1 if it did not within the given time
+   * @param max the maximum time to run, in tenths of a millisecond
+   * @return the time to convergence, in tenths of a millisecond; -1 if it exceeds the maximum
    */
   public long runUntilConverged(long max) {
     return runUntilConverged(max, 100 * MS);
   }
 
-  /** The same, checked at other intervals. */
+  /**
+   * Runs the simulation until the fleet has converged.
+   *
+   * @param max the maximum time to run, in tenths of a millisecond
+   * @param interval the time between two checks, in tenths of a millisecond
+   * @return the time to convergence, in tenths of a millisecond; -1 if it exceeds the maximum
+   */
   public long runUntilConverged(long max, long interval) {
     long start = network.now();
     while (network.now() - start <= max) {
--- a/members/src/test/java/tillerlink/members/MembersTest.java
+++ b/members/src/test/java/tillerlink/members/MembersTest.java
@@ -9,35 +9,35 @@
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
-/** Joins, failures, cuts and leaves in simulated fleets. */
+/** Tests joins, failures, cut links and leaves in simulated fleets. */
 class MembersTest {
   private static String[] names(int size) {
     return IntStream.range(0, size).mapToObj(i -> String.format("g%03d", i)).toArray(String[]::new);
   }
 
   @Test
-  void membersOfFleetsOfEverySizeFindEachOtherAndDetectADeath() {
+  void fleetsOfDifferentSizesConvergeAndDetectADeathAndARejoin() {
     for (int size : new int[] {2, 3, 12, 30}) {
       MemberFleet fleet = new MemberFleet(size, MembershipConfig.usual());
       fleet.startAll(names(size));
       long joined = fleet.runUntilConverged(20 * MemberFleet.SECOND);
-      assertTrue(joined >= 0, "joined");
+      assertTrue(joined >= 0, () -> size + " members did not converge: " + fleet.changes);
       fleet.network.playFor(20 * MemberFleet.SECOND);
       assertTrue(fleet.hasConverged());
       assertTrue(
           fleet.changes.stream().noneMatch(change -> change.current() != Reachability.REACHABLE),
           fleet.changes::toString);
       fleet.kill("g001");
-      long found = fleet.runUntilConverged(30 * MemberFleet.SECOND);
-      assertTrue(found >= 0, fleet.changes::toString);
+      long detected = fleet.runUntilConverged(30 * MemberFleet.SECOND);
+      assertTrue(detected >= 0, fleet.changes::toString);
       fleet.start("g001", MemberFleet.address("g000"));
-      long back = fleet.runUntilConverged(30 * MemberFleet.SECOND);
-      assertTrue(back >= 0, fleet.changes::toString);
+      long rejoined = fleet.runUntilConverged(30 * MemberFleet.SECOND);
+      assertTrue(rejoined >= 0, fleet.changes::toString);
     }
   }
 
   @Test
-  void membersBehindACutAreReachedThroughOthers() {
+  void membersBehindACutLinkAreReachableThroughOthers() {
     MemberFleet fleet = new MemberFleet(5, MembershipConfig.usual());
     fleet.startAll("a", "b", "c");
     assertTrue(fleet.runUntilConverged(20 * MemberFleet.SECOND) >= 0);
@@ -52,11 +52,11 @@
   }
 
   /**
-   * A process that was told to end has announced that as often as it should before it ends, however
-   * rarely it probes.
+   * Guards against a leaving process that ends before it has sent all its announcements. That would
+   * happen if a long probe interval also delayed the announcements.
    */
   @Test
-  void aLeaveIsAnnouncedBeforeTheProcessEnds() {
+  void leaveIsAnnouncedBeforeTheProcessEnds() {
     for (long interval :
         new long[] {50 * MemberFleet.MS, MemberFleet.SECOND / 2, 60 * MemberFleet.SECOND}) {
       MembershipConfig usual = MembershipConfig.usual();
--- a/members/src/test/java/tillerlink/members/RandomHistoriesTest.java
+++ b/members/src/test/java/tillerlink/members/RandomHistoriesTest.java
@@ -9,18 +9,18 @@
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
-/** Seeded random histories: whatever befalls a fleet, it converges once the faults have ended. */
+/** Runs seeded random histories and checks that each fleet converges once its faults have ended. */
 class RandomHistoriesTest {
   private static final int HISTORIES = Integer.getInteger("tillerlink.histories", 2000);
-  private static final long FIRST = Long.getLong("tillerlink.first", 0);
+  private static final long FIRST_SEED = Long.getLong("tillerlink.first", 0);
 
-  /** From the end of the last fault. */
+  /** Maximum time from the end of the last fault, in tenths of a millisecond. */
   static final long MAX_CONVERGENCE_TIME = 60 * MemberFleet.SECOND;
 
   @Test
   void everyFleetConvergesAfterTheLastFault() {
     long longest = 0;
-    for (long seed = FIRST; seed < FIRST + HISTORIES; seed++) {
+    for (long seed = FIRST_SEED; seed < FIRST_SEED + HISTORIES; seed++) {
       RandomHistory history = new RandomHistory(seed, MembershipConfig.usual());
       try {
         history.run();
@@ -34,19 +34,21 @@
             e);
       }
     }
-    System.out.println(HISTORIES + " histories, all agreed within " + longest / 10 + " ms of calm");
+    System.out.println(
+        HISTORIES + " histories, all converged within " + longest / 10 + " ms of the last fault");
   }
 
-  /** Of several processes of one name at most one is a member. */
+  /** Asserts that at most one of several processes with the same name is a member. */
   static void assertOneMemberOfEachName(MemberFleet fleet) {
     for (String name : fleet.persistedIncarnations.keySet()) {
       long members = fleet.processesKeeping(name);
-      assertTrue(members <= 1, () -> name + " takes part " + members + " times");
+      assertTrue(
+          members <= 1, () -> name + " has " + members + " member processes, expected at most 1");
     }
   }
 
   @Test
-  void noLiveMemberIsDeclaredFailedForPausesUnderTwoSecondsAndLostMessages() {
+  void pausesUnderTwoSecondsAndLostMessagesCauseNoFalseFailure() {
     for (long seed = 0; seed < HISTORIES / 8; seed++) {
       MemberFleet fleet = new MemberFleet(seed, MembershipConfig.usual());
       Random random = new Random(seed);
@@ -66,7 +68,10 @@
       }
       long declaredFailed =
           fleet.changes.stream().filter(change -> change.current() == Reachability.GONE).count();
-      assertEquals(0, declaredFailed, "seed " + seed + fleet.changes);
+      assertEquals(
+          0,
+          declaredFailed,
+          "live members declared failed with seed " + seed + ": " + fleet.changes);
     }
   }
 }
--- a/members/src/test/java/tillerlink/members/RandomHistory.java
+++ b/members/src/test/java/tillerlink/members/RandomHistory.java
@@ -5,7 +5,7 @@
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
-/** A history of a fleet: its size and the faults that befall it are drawn from a seed. */
+/** A history of a simulated fleet. The size of the fleet and its faults are drawn from a seed. */
 final class RandomHistory {
   private static final int MAX_SMALL_MESSAGE_BYTES = 320;
 
@@ -13,7 +13,7 @@
   private final Random random;
   private final int size;
   private final StringBuilder trace = new StringBuilder();
-  private int steps;
+  private int faults;
 
   RandomHistory(long seed, MembershipConfig config) {
     this(seed, config, new ComponentFactories());
@@ -24,9 +24,9 @@
   }
 
   /**
-   * A history whose fleet is started, but nothing else.
+   * Creates a history and starts its fleet.
    *
-   * @param fixedSize how many members; 0 if that is drawn, too
+   * @param fixedSize the number of members; 0 to draw the number at random
    */
   RandomHistory(long seed, MembershipConfig config, ComponentFactories factories, int fixedSize) {
     fleet = new MemberFleet(seed, config, factories);
@@ -37,14 +37,14 @@
     }
   }
 
-  /** What befell the fleet so far, one line each. */
+  /** Returns the events so far, one line each. */
   String trace() {
     return trace.toString();
   }
 
-  /** How many faults were drawn. */
-  int steps() {
-    return steps;
+  /** Returns the number of faults of a short run. */
+  int faults() {
+    return faults;
   }
 
   private String[] seeds() {
@@ -65,31 +65,34 @@
 
   // ---- runs ----
 
-  /** One to three faults within a few seconds, then calm. */
-  void runShortly() {
+  /** Runs one to three faults within a few seconds, and then ends all faults. */
+  void runShort() {
     fleet.network.playFor(random.nextInt(30_000));
     for (int i = random.nextInt(3); i >= 0; i--) {
-      steps++;
-      step();
+      faults++;
+      injectFault();
       fleet.network.playFor(random.nextInt(40_000));
     }
-    calmDown();
+    endFaults();
   }
 
-  /** Up to a dozen faults, some of them far apart, then calm. */
+  /** Runs up to a dozen faults, some of them far apart, and then ends all faults. */
   void run() {
     for (int i = 0; i < 4 + random.nextInt(8); i++) {
       fleet.network.playFor(
           random.nextInt(6) == 0 ? random.nextInt(300_000) : random.nextInt(30_000));
-      step();
+      injectFault();
     }
     fleet.network.playFor(random.nextInt(100_000));
-    calmDown();
+    endFaults();
   }
 
-  /** Ends all faults: links are healthy, paused processes resume, leaving ones end. */
-  private void calmDown() {
-    log("calm");
+  /**
+   * Ends all faults: links become healthy, paused processes resume, and processes that are leaving
+   * are ended.
+   */
+  private void endFaults() {
+    log("all faults end");
     fleet.network.heal();
     fleet.network.setDefaultFault(Fault.NONE);
     for (MemberFleet.MemberProcess process : List.copyOf(fleet.running.values())) {
@@ -99,7 +102,8 @@
         fleet.network.kill(process.address);
       }
     }
-    // Without any seed a process at another address can't be found.
+    // The first members are the seeds. Without a running seed, a process at another address cannot
+    // be found.
     for (int i = 0; i < Math.min(size, 2); i++) {
       String name = "m" + i;
       if (!fleet.running.containsKey(MemberFleet.address(name))) {
@@ -110,7 +114,7 @@
 
   // ---- faults ----
 
-  private void step() {
+  private void injectFault() {
     String one = drawMember();
     String other = drawMember();
     switch (random.nextInt(12)) {
@@ -123,12 +127,12 @@
       case 7 -> cutBetween(one, other);
       case 8 -> degradeAllLinks();
       case 9 -> partition();
-      case 10 -> leaveOrStartTwin(one);
-      default -> stepOfClockOrLink(one, other);
+      case 10 -> leaveOrStartDuplicate(one);
+      default -> injectClockOrLinkFault(one, other);
     }
   }
 
-  private void stepOfClockOrLink(String one, String other) {
+  private void injectClockOrLinkFault(String one, String other) {
     switch (random.nextInt(4)) {
       case 0 -> {
         log("clock of " + one + " jumps");
@@ -140,7 +144,7 @@
       }
       case 2 -> link(one, other, Fault.slow(5000, 20_000), "slow");
       default -> {
-        log("all links are as usual");
+        log("all links are healthy");
         fleet.network.heal();
         fleet.network.setDefaultFault(Fault.NONE);
       }
@@ -184,7 +188,7 @@
   private void degradeAllLinks() {
     double loss = random.nextInt(4) / 10.0;
     long maxDelay = random.nextBoolean() ? 10 : 10 + random.nextInt(30_000);
-    log("all links lose " + loss + ", late by up to " + maxDelay / 10 + " ms");
+    log("all links lose " + loss + ", delayed by up to " + maxDelay / 10 + " ms");
     fleet.network.setDefaultFault(Fault.bad(loss, random.nextInt(3) / 10.0, maxDelay));
   }
 
@@ -193,26 +197,28 @@
     log("partition " + Integer.toBinaryString(sides));
     for (int i = 0; i < size; i++) {
       for (int j = 0; j < size; j++) {
-        boolean apart = (sides >> i & 1) != (sides >> j & 1);
+        boolean separated = (sides >> i & 1) != (sides >> j & 1);
         fleet.network.link(
-            MemberFleet.address("m" + i), MemberFleet.address("m" + j), apart ? Fault.CUT : null);
+            MemberFleet.address("m" + i),
+            MemberFleet.address("m" + j),
+            separated ? Fault.CUT : null);
       }
     }
   }
 
-  private void leaveOrStartTwin(String name) {
+  private void leaveOrStartDuplicate(String name) {
     if (random.nextBoolean() && fleet.running.containsKey(MemberFleet.address(name))) {
       log("leave " + name);
       fleet.leave(name);
     } else {
-      log("another " + name);
+      log("start a second process with the name " + name);
       fleet.start(name, MemberFleet.address("twin-" + name), random.nextInt(3), seeds());
     }
   }
 
   // ---- reports ----
 
-  /** What the members see of each other, for a failure's message. */
+  /** Returns how the members see each other, for the message of a failure. */
   String views() {
     StringBuilder out = new StringBuilder();
     for (MemberFleet.MemberProcess process : fleet.running.values()) {
@@ -235,7 +241,7 @@
     return out.toString();
   }
 
-  /** The notices and the last changes, for a failure's message. */
+  /** Returns all notices and the last 40 changes, for the message of a failure. */
   String lastEvents() {
     StringBuilder out = new StringBuilder();
     fleet.notices.forEach(line -> out.append(line).append('\n'));
--- a/members/src/test/java/tillerlink/members/ShortRandomHistoriesTest.java
+++ b/members/src/test/java/tillerlink/members/ShortRandomHistoriesTest.java
@@ -6,7 +6,7 @@
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Seeds;
 
-/** Many short histories: three to five members, one to three faults, then they converge. */
+/** Runs many short histories of three to five members that converge after one to three faults. */
 class ShortRandomHistoriesTest {
   private static final class ShortHistory implements Seeds.Seeded {
     private final RandomHistory history;
@@ -19,7 +19,7 @@
 
     @Override
     public String play() {
-      history.runShortly();
+      history.runShort();
       convergenceTime = history.fleet.runUntilConverged(RandomHistoriesTest.MAX_CONVERGENCE_TIME);
       if (convergenceTime < 0) {
         return "no convergence: " + history.views();
@@ -36,7 +36,10 @@
     @Override
     public long[] sums() {
       return new long[] {
-        history.steps(), history.fleet.changes.size(), history.fleet.network.sent(), convergenceTime
+        history.faults(),
+        history.fleet.changes.size(),
+        history.fleet.network.sent(),
+        convergenceTime
       };
     }
   }
@@ -53,11 +56,11 @@
             + faults
             + " faults and starts, "
             + changes
-            + " changes told, "
+            + " changes observed, "
             + sums[3]
-            + " messages, agreed "
+            + " messages, converged "
             + sums[4] / histories / 10
-            + " ms after calm on average");
+            + " ms after the last fault on average");
     assertTrue(histories < 100 || (faults >= histories && changes >= 6 * histories));
   }
 }
--- a/members/src/test/java/tillerlink/members/TimelinesTest.java
+++ b/members/src/test/java/tillerlink/members/TimelinesTest.java
@@ -19,11 +19,14 @@
 import tillerlink.members.config.MembershipConfig;
 import tillerlink.simulation.Fault;
 
-/** Hard cases as readable timelines of who saw whom how, compared with the recorded ones. */
+/**
+ * Runs difficult scenarios and compares the resulting timelines, which show how the members saw
+ * each other, with recorded ones.
+ */
 class TimelinesTest {
   private static final long HALF_SECOND = MemberFleet.SECOND / 2;
 
-  /** The time at the beginning of a log line, which the timeline does not repeat. */
+  /** Length of the time at the beginning of a log line, which the timeline omits. */
   private static final int TIME_CHARS = 11;
 
   private final StringBuilder timeline = new StringBuilder();
@@ -59,15 +62,18 @@
     fleet.notices.clear();
   }
 
-  /** A line with a place for the observers: those within the same half second share it. */
+  /**
+   * Returns the line of a change, with a format specifier for its observers. Observers within the
+   * same half second share a line.
+   */
   private String lineOf(MemberFleet.Change change) {
     long halfSeconds = (change.at() - startedAt) / HALF_SECOND;
     return String.format(
         "%6.1f s  %%s: %s %s, was %s",
-        halfSeconds / 2.0, change.member(), word(change.current()), word(change.previous()));
+        halfSeconds / 2.0, change.member(), toText(change.current()), toText(change.previous()));
   }
 
-  private static String word(Reachability reachability) {
+  private static String toText(Reachability reachability) {
     return reachability.name().toLowerCase(Locale.ROOT).replace('_', ' ');
   }
 
@@ -109,7 +115,7 @@
   }
 
   @Test
-  void membersBehindOneWayCutsAreReachedThroughOthers() {
+  void membersBehindOneWayCutsAreReachableThroughOthers() {
     startFleet("a", "b", "c", "d");
     event(
         "nothing of a reaches b",
@@ -136,7 +142,7 @@
   }
 
   @Test
-  void bothSidesOfAPartitionFindEachOtherAgain() {
+  void bothSidesOfAPartitionRejoin() {
     startFleet("a", "b", "c", "d", "e");
     event(
         "a and b on one side, c, d and e on the other",
--- a/members/src/test/java/tillerlink/members/measure/HeartbeatDetector.java
+++ b/members/src/test/java/tillerlink/members/measure/HeartbeatDetector.java
@@ -9,8 +9,9 @@
 import tillerlink.simulation.SimulatedFleet;
 
 /**
- * All-to-all heartbeats, with a fixed time or with an accrual detector (phi of the gaps peers,
- * taken as exponential after the mean, given up at 8): for comparison only.
+ * A failure detector with all-to-all heartbeats, measured only for comparison. It uses either a
+ * fixed timeout or an accrual detector, which assumes that the gaps between heartbeats are
+ * exponentially distributed with the measured mean, and declares a failure if phi exceeds 8.
  */
 final class HeartbeatDetector implements ClusterComponent {
   private static final long INTERVAL = MemberFleet.SECOND / 2;
@@ -24,11 +25,11 @@
     boolean failed;
   }
 
-  /** What one simulation counts. */
+  /** The measurements of one simulation. */
   private static final class Counts {
     final Percentiles detectionTimes = new Percentiles();
     long falseAlarms;
-    String dead = "";
+    String deadName = "";
     long diedAt;
   }
 
@@ -87,7 +88,7 @@
       return;
     }
     peer.failed = true;
-    if (other.equals(counts.dead)) {
+    if (other.equals(counts.deadName)) {
       counts.detectionTimes.add(now - counts.diedAt);
     } else if (fleet.isUp(other)) {
       counts.falseAlarms++;
@@ -101,10 +102,10 @@
 
   @Override
   public void onPause(long now, long wall, long duration) {
-    // expired timeouts are trusted
+    // This detector trusts timeouts that expired during a pause.
   }
 
-  static String measure(int size, double lost, boolean accrual) {
+  static String measure(int size, double lossRate, boolean accrual) {
     SimulatedFleet fleet = new SimulatedFleet(new Random(size));
     Counts counts = new Counts();
     Random random = new Random(1);
@@ -114,23 +115,23 @@
           new HeartbeatDetector(
               fleet, "h" + i, size, accrual, counts, random.nextInt((int) INTERVAL)));
     }
-    fleet.setDefaultFault(Fault.lossy(lost));
+    fleet.setDefaultFault(Fault.lossy(lossRate));
     fleet.playFor(30 * MemberFleet.SECOND);
     counts.falseAlarms = 0;
     long bytes = fleet.sentBytes();
     long start = fleet.now();
     for (int i = 0; i < 4; i++) {
-      counts.dead = "h" + (2 + 5 * i);
+      counts.deadName = "h" + (2 + 5 * i);
       counts.diedAt = fleet.now();
-      fleet.kill(counts.dead);
+      fleet.kill(counts.deadName);
       fleet.playFor(30 * MemberFleet.SECOND);
     }
     double seconds = (fleet.now() - start) / (double) MemberFleet.SECOND;
     return String.format(
         "| %s | %d | %.0f%% | %s | %s | %s | %.1f | %.0f |",
-        accrual ? "accrual, phi 8" : "gone after 2.5 s",
+        accrual ? "accrual, phi 8" : "failed after 2.5 s",
         size,
-        lost * 100,
+        lossRate * 100,
         counts.detectionTimes.seconds(0.5),
         counts.detectionTimes.seconds(0.99),
         counts.detectionTimes.seconds(1),
--- a/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
+++ b/members/src/test/java/tillerlink/members/measure/MeasureMembers.java
@@ -13,22 +13,24 @@
 import tillerlink.simulation.Fault;
 
 /**
- * Measures the tables of the design note in virtual time: {@code make members-tables}. Not part of
- * the checks: nothing is asserted but that fleets converge.
+ * Measures the tables of the design note in virtual time, run by {@code make members-tables}. It is
+ * not part of the regular tests and asserts only that fleets converge.
  */
 class MeasureMembers {
-  private static final Set<String> ONLY =
+  private static final Set<String> SELECTED_TABLES =
       Set.of(
           System.getProperty("tables", "detection,pauses,starved,bytes,heal,memory,others")
               .split(","));
-  private static final int BIG = Integer.getInteger("big", 1000);
+  private static final int LARGEST_SIZE = Integer.getInteger("big", 1000);
 
-  private static final double[] LOST =
+  private static final double[] LOSS_RATES =
       Stream.of(System.getProperty("lost", "0,0.05,0.2,0.3").split(","))
           .mapToDouble(Double::parseDouble)
           .toArray();
   private static final int[] SIZES =
-      IntStream.of(30, 120, BIG).filter(size -> size >= Integer.getInteger("from", 0)).toArray();
+      IntStream.of(30, 120, LARGEST_SIZE)
+          .filter(size -> size >= Integer.getInteger("from", 0))
+          .toArray();
 
   private static String[] names(int size) {
     return IntStream.range(0, size).mapToObj(i -> String.format("g%04d", i)).toArray(String[]::new);
@@ -40,81 +42,81 @@
         : MembershipConfig.usual().withMaxLocalHealthScore(0);
   }
 
-  /** A fleet that has converged; its changes are not recorded. */
-  static MemberFleet fleet(int size, long seed, MembershipConfig config) {
+  /** Returns a fleet that has converged and does not record its changes. */
+  static MemberFleet convergedFleet(int size, long seed, MembershipConfig config) {
     MemberFleet fleet = new MemberFleet(seed, config);
     fleet.observe(change -> {});
     fleet.startAll(names(size));
     if (fleet.runUntilConverged(
             300 * MemberFleet.SECOND, size > 200 ? MemberFleet.SECOND : 100 * MemberFleet.MS)
         < 0) {
-      throw new AssertionError(size + " did not converge");
+      throw new AssertionError(size + " members did not converge");
     }
     return fleet;
   }
 
-  private static void say(String line) {
+  private static void print(String line) {
     System.out.println(line);
     System.out.flush();
   }
 
   @Test
-  void tables() {
-    if (ONLY.contains("detection")) {
-      detection();
+  void printTables() {
+    if (SELECTED_TABLES.contains("detection")) {
+      measureDetection();
     }
-    if (ONLY.contains("pauses")) {
-      pauses();
+    if (SELECTED_TABLES.contains("pauses")) {
+      measurePauses();
     }
-    if (ONLY.contains("starved")) {
-      starved();
+    if (SELECTED_TABLES.contains("starved")) {
+      measureStarvedMember();
     }
-    if (ONLY.contains("bytes")) {
-      bytes();
+    if (SELECTED_TABLES.contains("bytes")) {
+      measureBytes();
     }
-    if (ONLY.contains("heal")) {
-      heal();
+    if (SELECTED_TABLES.contains("heal")) {
+      measureHealing();
     }
-    if (ONLY.contains("memory")) {
-      TableMemory.report(MeasureMembers::say);
+    if (SELECTED_TABLES.contains("memory")) {
+      TableMemory.report(MeasureMembers::print);
     }
-    if (ONLY.contains("others")) {
-      OtherDetectors.report(MeasureMembers::say);
+    if (SELECTED_TABLES.contains("others")) {
+      OtherDetectors.report(MeasureMembers::print);
     }
   }
 
   // ---- a member dies ----
 
-  private static void detection() {
-    say(
+  private static void measureDetection() {
+    print(
         "\n"
-            + "| members | lost | local health | given up by each: p50 | p99 | max | living"
-            + " suspected, each hour and member | living given up |");
-    say("|---|---|---|---|---|---|---|---|");
+            + "| members | lost | local health | detected by each: p50 | p99 | max | live members"
+            + " suspected, per hour and member | live members declared failed |");
+    print("|---|---|---|---|---|---|---|---|");
     for (int size : SIZES) {
-      for (double lost : LOST) {
-        detection(size, lost, true);
-        detection(size, lost, false);
+      for (double lossRate : LOSS_RATES) {
+        measureDetection(size, lossRate, true);
+        measureDetection(size, lossRate, false);
       }
     }
   }
 
-  private static void detection(int size, double lost, boolean health) {
+  private static void measureDetection(int size, double lossRate, boolean localHealth) {
     Percentiles detectionTimes = new Percentiles();
     long[] falseAlarms = new long[2];
-    long watched = 0;
-    int plays = size == BIG ? 1 : 4;
-    int kills = size == BIG ? 3 : 10;
-    for (int seed = 0; seed < plays; seed++) {
-      MemberFleet fleet = fleet(size, seed, config(health));
-      fleet.network.setDefaultFault(Fault.lossy(lost));
+    long observedTime = 0;
+    int runs = size == LARGEST_SIZE ? 1 : 4;
+    int kills = size == LARGEST_SIZE ? 3 : 10;
+    for (int seed = 0; seed < runs; seed++) {
+      MemberFleet fleet = convergedFleet(size, seed, config(localHealth));
+      fleet.network.setDefaultFault(Fault.lossy(lossRate));
       fleet.network.playFor(20 * MemberFleet.SECOND);
       Set<String> dead = new HashSet<>();
       long[] killedAt = new long[1];
-      String[] last = {""};
+      String[] victim = {""};
       fleet.observe(
           change -> {
-            if (change.member().equals(last[0]) && change.current() == Reachability.GONE) {
+            if (change.member().equals(victim[0]) && change.current() == Reachability.GONE) {
               detectionTimes.add(change.at() - killedAt[0]);
             } else if (!dead.contains(change.member())
                 && change.current() == Reachability.SUSPECTED) {
@@ -125,22 +127,23 @@
           });
       long start = fleet.network.now();
       for (int i = 0; i < kills; i++) {
-        last[0] = names(size)[2 + i * (size - 3) / kills];
+        victim[0] = names(size)[2 + i * (size - 3) / kills];
         killedAt[0] = fleet.network.now();
-        dead.add(last[0]);
-        fleet.kill(last[0]);
-        fleet.network.playFor((size == BIG ? 25 : 30) * MemberFleet.SECOND);
+        dead.add(victim[0]);
+        fleet.kill(victim[0]);
+        fleet.network.playFor((size == LARGEST_SIZE ? 25 : 30) * MemberFleet.SECOND);
       }
-      watched += fleet.network.now() - start;
+      observedTime += fleet.network.now() - start;
     }
-    // A suspicion is counted once for each member that holds it; printed is the share of the fleet.
-    double memberHours = watched / 36_000_000.0 * size;
-    say(
+    // A suspicion is counted once for each member that observes it; the table contains the average
+    // over the observers.
+    double memberHours = observedTime / 36_000_000.0 * size;
+    print(
         String.format(
             "| %d | %.0f%% | %s | %s | %s | %s | %.2f | %.2f |",
             size,
-            lost * 100,
-            health ? "on" : "off",
+            lossRate * 100,
+            localHealth ? "on" : "off",
             detectionTimes.seconds(0.5),
             detectionTimes.seconds(0.99),
             detectionTimes.seconds(1),
@@ -150,31 +153,31 @@
 
   // ---- pauses ----
 
-  private static void pauses() {
-    say(
+  private static void measurePauses() {
+    print(
         "\n"
-            + "| paused | for | local health | suspected by somebody | given up by somebody | by"
-            + " all | known to all again: p50 | max | others suspected |");
-    say("|---|---|---|---|---|---|---|---|---|");
-    for (int many : new int[] {1, 10}) {
+            + "| paused | for | local health | suspected by any | declared failed by any | by"
+            + " all | converged after: p50 | max | others suspected |");
+    print("|---|---|---|---|---|---|---|---|---|");
+    for (int pausedCount : new int[] {1, 10}) {
       for (double seconds : new double[] {0.5, 1, 2, 3, 5, 10, 30}) {
-        pauses(many, seconds, true);
-        pauses(many, seconds, false);
+        measurePauses(pausedCount, seconds, true);
+        measurePauses(pausedCount, seconds, false);
       }
     }
   }
 
-  private static void pauses(int many, double seconds, boolean health) {
+  private static void measurePauses(int pausedCount, double seconds, boolean localHealth) {
     int size = 30;
-    int times = many == 1 ? 30 : 8;
+    int times = pausedCount == 1 ? 30 : 8;
     long[] counts = new long[4];
     Percentiles recoveryTimes = new Percentiles();
-    Random random = new Random(many);
-    MemberFleet fleet = fleet(size, many, config(health));
+    Random random = new Random(pausedCount);
+    MemberFleet fleet = convergedFleet(size, pausedCount, config(localHealth));
     Set<String> paused = new HashSet<>();
     Set<String> suspected = new HashSet<>();
-    Set<String> gone = new HashSet<>();
-    long[] goneBy = new long[1];
+    Set<String> declaredFailed = new HashSet<>();
+    long[] failureReports = new long[1];
     fleet.observe(
         change -> {
           if (!paused.contains(change.member())) {
@@ -182,12 +185,12 @@
           } else if (change.current() == Reachability.SUSPECTED) {
             suspected.add(change.member());
           } else if (change.current() == Reachability.GONE) {
-            gone.add(change.member());
-            goneBy[0]++;
+            declaredFailed.add(change.member());
+            failureReports[0]++;
           }
         });
     for (int i = 0; i < times; i++) {
-      while (paused.size() < many) {
+      while (paused.size() < pausedCount) {
         paused.add(names(size)[random.nextInt(size)]);
       }
       paused.forEach(name -> fleet.network.pause(MemberFleet.address(name)));
@@ -196,46 +199,46 @@
       recoveryTimes.add(fleet.runUntilConverged(120 * MemberFleet.SECOND));
       fleet.network.playFor(20 * MemberFleet.SECOND);
       counts[0] += suspected.size();
-      counts[1] += gone.size();
-      counts[2] += goneBy[0];
-      List.of(paused, suspected, gone).forEach(Set::clear);
-      goneBy[0] = 0;
+      counts[1] += declaredFailed.size();
+      counts[2] += failureReports[0];
+      List.of(paused, suspected, declaredFailed).forEach(Set::clear);
+      failureReports[0] = 0;
     }
-    double all = times * many;
-    say(
+    double all = times * pausedCount;
+    print(
         String.format(
             "| %d of %d | %.1f s | %s | %.0f%% | %.0f%% | %.0f%% | %s | %s | %d |",
-            many,
+            pausedCount,
             size,
             seconds,
-            health ? "on" : "off",
+            localHealth ? "on" : "off",
             100 * counts[0] / all,
             100 * counts[1] / all,
-            100 * counts[2] / all / (size - many),
+            100 * counts[2] / all / (size - pausedCount),
             recoveryTimes.seconds(0.5),
             recoveryTimes.seconds(1),
             counts[3]));
   }
 
-  // ---- one that starves: what it sends and gets is lost more often than not ----
+  // ---- a starved member, which loses half or more of the messages it sends and receives ----
 
-  private static void starved() {
-    say(
+  private static void measureStarvedMember() {
+    print(
         "\n"
-            + "| members | of 1 the messages lost | local health | others suspected, an hour |"
-            + " others given up, an hour |");
-    say("|---|---|---|---|---|");
-    for (double lost : new double[] {0.5, 0.7, 0.85}) {
-      for (boolean health : new boolean[] {true, false}) {
+            + "| members | lost messages of 1 member | local health | others suspected per hour |"
+            + " others declared failed per hour |");
+    print("|---|---|---|---|---|");
+    for (double lossRate : new double[] {0.5, 0.7, 0.85}) {
+      for (boolean localHealth : new boolean[] {true, false}) {
         long[] counts = new long[2];
         int minutes = 30;
-        MemberFleet fleet = fleet(30, 3, config(health));
+        MemberFleet fleet = convergedFleet(30, 3, config(localHealth));
         String starved = names(30)[5];
         for (String other : names(30)) {
           fleet.network.between(
-              MemberFleet.address(starved), MemberFleet.address(other), Fault.lossy(lost));
+              MemberFleet.address(starved), MemberFleet.address(other), Fault.lossy(lossRate));
         }
-        // Counted at the starved member only, not at each that learnt of it.
+        // Suspicions are counted only at the starved member, not at members that hear of them.
         fleet.observe(
             change -> {
               if (!change.member().equals(starved) && change.observer().equals(starved)) {
@@ -244,11 +247,11 @@
               }
             });
         fleet.network.playFor(60L * minutes * MemberFleet.SECOND);
-        say(
+        print(
             String.format(
                 "| 30 | %.0f%% | %s | %d | %d |",
-                lost * 100,
-                health ? "on" : "off",
+                lossRate * 100,
+                localHealth ? "on" : "off",
                 counts[0] * 60 / minutes,
                 counts[1] * 60 / minutes));
       }
@@ -257,16 +260,16 @@
 
   // ---- bytes ----
 
-  private static void bytes() {
-    say(
+  private static void measureBytes() {
+    print(
         "\n"
-            + "| members | lost | messages a second, each sent | bytes a second, each sent | bytes"
-            + " of a message |");
-    say("|---|---|---|---|---|");
-    for (int size : new int[] {3, 30, 120, BIG}) {
-      for (double lost : LOST) {
-        MemberFleet fleet = fleet(size, 1, config(true));
-        fleet.network.setDefaultFault(Fault.lossy(lost));
+            + "| members | lost | messages sent per second and member | bytes sent per second and"
+            + " member | bytes per message |");
+    print("|---|---|---|---|---|");
+    for (int size : new int[] {3, 30, 120, LARGEST_SIZE}) {
+      for (double lossRate : LOSS_RATES) {
+        MemberFleet fleet = convergedFleet(size, 1, config(true));
+        fleet.network.setDefaultFault(Fault.lossy(lossRate));
         fleet.network.playFor(40 * MemberFleet.SECOND);
         long messages = fleet.network.sent();
         long bytes = fleet.network.sentBytes();
@@ -274,11 +277,11 @@
         fleet.network.playFor(seconds * MemberFleet.SECOND);
         messages = fleet.network.sent() - messages;
         bytes = fleet.network.sentBytes() - bytes;
-        say(
+        print(
             String.format(
                 "| %d | %.0f%% | %.1f | %.0f | %.0f |",
                 size,
-                lost * 100,
+                lossRate * 100,
                 messages / (double) seconds / size,
                 bytes / (double) seconds / size,
                 bytes / (double) messages));
@@ -288,23 +291,23 @@
 
   // ---- healing ----
 
-  private static void heal() {
-    say(
+  private static void measureHealing() {
+    print(
         "\n"
-            + "| members | what | for | all know all again after | bytes each, until then | living"
-            + " given up meanwhile |");
-    say("|---|---|---|---|---|---|");
+            + "| members | scenario | for | converged after | bytes per member until then | live"
+            + " members declared failed meanwhile |");
+    print("|---|---|---|---|---|---|");
     for (int size : SIZES) {
-      heal(size, 2, 60);
-      if (size != BIG) {
-        heal(size, 3, 60);
+      measureHealing(size, 2, 60);
+      if (size != LARGEST_SIZE) {
+        measureHealing(size, 3, 60);
       }
-      restart(size);
+      measureRestart(size);
     }
   }
 
-  private static void heal(int size, int sides, int seconds) {
-    MemberFleet fleet = fleet(size, sides, config(true));
+  private static void measureHealing(int size, int sides, int seconds) {
+    MemberFleet fleet = convergedFleet(size, sides, config(true));
     String[] names = names(size);
     for (int i = 0; i < size; i++) {
       for (int j = 0; j < size; j++) {
@@ -316,33 +319,35 @@
     }
     fleet.network.playFor(seconds * MemberFleet.SECOND);
     fleet.network.heal();
-    long[] gone = new long[1];
-    fleet.observe(change -> gone[0] += change.current() == Reachability.GONE ? 1 : 0);
+    long[] declaredFailed = new long[1];
+    fleet.observe(change -> declaredFailed[0] += change.current() == Reachability.GONE ? 1 : 0);
     long bytes = fleet.network.sentBytes();
-    long took =
+    long convergenceTime =
         fleet.runUntilConverged(
-            600 * MemberFleet.SECOND, size == BIG ? MemberFleet.SECOND : 100 * MemberFleet.MS);
-    say(
+            600 * MemberFleet.SECOND,
+            size == LARGEST_SIZE ? MemberFleet.SECOND : 100 * MemberFleet.MS);
+    print(
         String.format(
             "| %d | in %d parts | %d s | %.1f s | %d | %d |",
             size,
             sides,
             seconds,
-            took / 10_000.0,
+            convergenceTime / 10_000.0,
             (fleet.network.sentBytes() - bytes) / size,
-            gone[0]));
+            declaredFailed[0]));
   }
 
-  private static void restart(int size) {
-    MemberFleet fleet = fleet(size, 9, config(true));
+  private static void measureRestart(int size) {
+    MemberFleet fleet = convergedFleet(size, 9, config(true));
     long bytes = fleet.network.sentBytes();
     fleet.startAll(names(size));
-    long took =
+    long convergenceTime =
         fleet.runUntilConverged(
-            600 * MemberFleet.SECOND, size == BIG ? MemberFleet.SECOND : 100 * MemberFleet.MS);
-    say(
+            600 * MemberFleet.SECOND,
+            size == LARGEST_SIZE ? MemberFleet.SECOND : 100 * MemberFleet.MS);
+    print(
         String.format(
             "| %d | all restarted at once | | %.1f s | %d | |",
-            size, took / 10_000.0, (fleet.network.sentBytes() - bytes) / size));
+            size, convergenceTime / 10_000.0, (fleet.network.sentBytes() - bytes) / size));
   }
 }
--- a/members/src/test/java/tillerlink/members/measure/OtherDetectors.java
+++ b/members/src/test/java/tillerlink/members/measure/OtherDetectors.java
@@ -2,20 +2,20 @@
 
 import java.util.function.Consumer;
 
-/** Other failure detectors, as far as they are measured cheaply. */
+/** Measures other failure detectors that are cheap to simulate. */
 final class OtherDetectors {
   private OtherDetectors() {}
 
   static void report(Consumer<String> out) {
     out.accept(
         "\n"
-            + "| every 500 ms to all | members | lost | given up by each: p50 | p99 | max | living"
-            + " given up, each hour and member | bytes a second, each sent |");
+            + "| heartbeat every 500 ms | members | lost | detected by each: p50 | p99 | max | live"
+            + " members declared failed, per hour and member | bytes sent per second and member |");
     out.accept("|---|---|---|---|---|---|---|---|");
     for (int size : new int[] {30, 120}) {
-      for (double loss : new double[] {0, 0.3}) {
-        out.accept(HeartbeatDetector.measure(size, loss, false));
-        out.accept(HeartbeatDetector.measure(size, loss, true));
+      for (double lossRate : new double[] {0, 0.3}) {
+        out.accept(HeartbeatDetector.measure(size, lossRate, false));
+        out.accept(HeartbeatDetector.measure(size, lossRate, true));
       }
     }
   }
--- a/members/src/test/java/tillerlink/members/measure/Percentiles.java
+++ b/members/src/test/java/tillerlink/members/measure/Percentiles.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** A sample of times, and its percentiles. */
+/** A sample of times in tenths of a millisecond, with its percentiles. */
 final class Percentiles {
   private long[] values = new long[64];
   private int size;
@@ -18,7 +18,11 @@
     return size;
   }
 
-  /** A percentile of times in tenths of a millisecond, in seconds; a dash if there is no time. */
+  /**
+   * Returns a percentile in seconds, as text; a dash if the sample is empty.
+   *
+   * @param share the percentile as a fraction, from 0 to 1
+   */
   String seconds(double share) {
     if (size == 0) {
       return "-";
--- a/members/src/test/java/tillerlink/members/measure/TableMemory.java
+++ b/members/src/test/java/tillerlink/members/measure/TableMemory.java
@@ -13,10 +13,10 @@
 import tillerlink.messages.members.MemberStatus;
 import tillerlink.messages.members.SuspicionLevel;
 
-/** How much heap a full table takes. */
+/** Measures the heap that a full member table occupies. */
 final class TableMemory {
-  private static final int MEMBERS = 1024;
-  private static final int COPIES = 20;
+  private static final int TABLE_SIZE = 1024;
+  private static final int TABLES = 20;
 
   private TableMemory() {}
 
@@ -30,7 +30,7 @@
             (name, previous, current) -> {},
             1);
     members.tick(0, 0);
-    for (int i = 0; i < MEMBERS; i++) {
+    for (int i = 0; i < TABLE_SIZE; i++) {
       String name = "gateway-at-some-site-" + i;
       MemberInfo card =
           new MemberInfo(3, i, "10.1." + i / 256 + "." + i % 256 + ":7400", "site-" + i % 12);
@@ -41,7 +41,7 @@
           "another",
           MemberCodec.write(new MemberMessage.Gossip(card, SuspicionLevel.NONE, List.of(update))));
     }
-    if (members.size() != MEMBERS + 1) {
+    if (members.size() != TABLE_SIZE + 1) {
       throw new AssertionError("members: " + members.size());
     }
     return members;
@@ -56,21 +56,21 @@
   }
 
   static void report(Consumer<String> out) {
-    Members[] retained = new Members[COPIES];
+    Members[] retained = new Members[TABLES];
     withFullTable();
     long before = usedHeap();
-    for (int i = 0; i < COPIES; i++) {
+    for (int i = 0; i < TABLES; i++) {
       retained[i] = withFullTable();
     }
-    long bytesEach = (usedHeap() - before) / COPIES;
+    long bytesEach = (usedHeap() - before) / TABLES;
     out.accept(
         "\nA table of "
-            + MEMBERS
-            + " members, all of it news still to be told: "
+            + TABLE_SIZE
+            + " members, with an update of each still queued for gossip: "
             + bytesEach / 1024
             + " KiB, "
-            + bytesEach / MEMBERS
-            + " bytes a member ("
+            + bytesEach / TABLE_SIZE
+            + " bytes per member ("
             + retained.length
             + " tables measured)");
   }
--- a/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
+++ b/members/src/test/java/tillerlink/members/state/FaultyMemberTable.java
@@ -5,9 +5,9 @@
 import tillerlink.messages.members.MemberInfo;
 import tillerlink.messages.members.MemberStatus;
 
-/** A table with an injected fault, which the tests have to detect. */
+/** A member table with an injected fault, which the tests must detect. */
 public final class FaultyMemberTable extends MemberTable {
-  /** What is wrong with the table. */
+  /** The fault of the table. */
   public enum InjectedFault {
     ACCEPTS_LOWER_INCARNATION,
     REVIVES_AT_SAME_INCARNATION,
@@ -57,7 +57,7 @@
         }
       }
       case FORGETS_FAILED_AT_ONCE -> {
-        // injected where suspicions expire
+        // This fault is injected in expire().
       }
     }
   }
