--- a/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -95,7 +95,7 @@
   private static GatewayConfig readConfig(Path path) throws IOException {
     GatewayConfig whole = GatewayConfig.read(path);
     int reserved = descriptorsInUse() + RESERVED_DESCRIPTORS;
-    GatewayConfig config = whole.without(reserved);
+    GatewayConfig config = whole.withoutDescriptors(reserved);
     LOG.info(
         "{} starting with {} engines in the configuration, {} descriptors, {} of them reserved",
         config.name(),
--- a/gateway/src/main/java/tillerlink/net/wire/Ascii.java
+++ b/gateway/src/main/java/tillerlink/net/wire/Ascii.java
@@ -4,27 +4,27 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Checks of characters that the protocols share. */
+/** Character checks and decoding shared by the parsers of this package. */
 final class Ascii {
   private Ascii() {}
 
-  static boolean letterOrDigit(int character) {
-    return digit(character)
+  static boolean isLetterOrDigit(int character) {
+    return isDigit(character)
         || (character >= 'a' && character <= 'z')
         || (character >= 'A' && character <= 'Z');
   }
 
-  /** Whether a text consists of one digit or more and nothing else. */
-  static boolean digits(String text) {
-    return !text.isEmpty() && text.chars().allMatch(Ascii::digit);
+  /** Returns whether a text consists of one or more ASCII digits and nothing else. */
+  static boolean isDigits(String text) {
+    return !text.isEmpty() && text.chars().allMatch(Ascii::isDigit);
   }
 
   /**
    * Decodes UTF-8.
    *
-   * @throws MalformedProtocolException if the bytes are none
+   * @throws MalformedProtocolException if the bytes are not valid UTF-8
    */
-  static String utf8(byte[] bytes) {
+  static String decodeUtf8(byte[] bytes) {
     try {
       return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
     } catch (CharacterCodingException e) {
@@ -32,7 +32,7 @@
     }
   }
 
-  private static boolean digit(int character) {
+  private static boolean isDigit(int character) {
     return character >= '0' && character <= '9';
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/ByteAccumulator.java
+++ b/gateway/src/main/java/tillerlink/net/wire/ByteAccumulator.java
@@ -4,81 +4,88 @@
 import java.util.Arrays;
 
 /**
- * A queue of received bytes that were not yet consumed. It may hold on to a fed array instead of
- * copying it. Callers bound its size.
+ * A queue of received bytes that have not been consumed yet. It may keep a reference to an appended
+ * array instead of copying it, so callers must not modify the array afterwards. Callers bound the
+ * size of the queue.
  */
 final class ByteAccumulator {
   private byte[] buffer = new byte[0];
-  private int from;
-  private int to;
+  private int head;
+  private int tail;
 
-  void feed(byte[] more) {
-    if (from == to) {
+  void append(byte[] more) {
+    if (head == tail) {
       buffer = more;
-      from = 0;
-      to = more.length;
+      head = 0;
+      tail = more.length;
       return;
     }
-    if (buffer.length - to < more.length) {
-      // At least doubled: a message that comes byte by byte must not be copied as often.
+    if (buffer.length - tail < more.length) {
+      // The capacity is at least doubled, so that a message that arrives byte by byte is not copied
+      // once per byte.
       byte[] larger = new byte[Math.max(2 * size(), size() + more.length)];
-      System.arraycopy(buffer, from, larger, 0, size());
-      to = size();
-      from = 0;
+      System.arraycopy(buffer, head, larger, 0, size());
+      tail = size();
+      head = 0;
       buffer = larger;
     }
-    System.arraycopy(more, 0, buffer, to, more.length);
-    to += more.length;
+    System.arraycopy(more, 0, buffer, tail, more.length);
+    tail += more.length;
   }
 
-  /** The arrays, one behind the other. */
-  static byte[] joined(byte[]... parts) {
-    byte[] whole = new byte[Arrays.stream(parts).mapToInt(part -> part.length).sum()];
-    int at = 0;
+  /** Returns a new array with the contents of all parts in order. */
+  static byte[] concat(byte[]... parts) {
+    byte[] result = new byte[Arrays.stream(parts).mapToInt(part -> part.length).sum()];
+    int offset = 0;
     for (byte[] part : parts) {
-      System.arraycopy(part, 0, whole, at, part.length);
-      at += part.length;
+      System.arraycopy(part, 0, result, offset, part.length);
+      offset += part.length;
     }
-    return whole;
+    return result;
   }
 
   int size() {
-    return to - from;
+    return tail - head;
   }
 
   byte at(int index) {
-    return buffer[from + index];
+    return buffer[head + index];
   }
 
-  /** The index of the first occurrence of a byte at or after an index, or -1. */
-  int find(byte wanted, int start) {
-    for (int i = from + start; i < to; i++) {
+  /**
+   * Returns the index of the first occurrence of a byte.
+   *
+   * @param start the index at which the search starts
+   * @return the index, or -1 if the byte does not occur at or after {@code start}
+   */
+  int indexOf(byte wanted, int start) {
+    for (int i = head + start; i < tail; i++) {
       if (buffer[i] == wanted) {
-        return i - from;
+        return i - head;
       }
     }
     return -1;
   }
 
-  /** Consumes bytes. */
-  byte[] take(int count) {
-    byte[] taken = Arrays.copyOfRange(buffer, from, from + count);
+  /** Consumes the first {@code count} bytes and returns them. */
+  byte[] consume(int count) {
+    byte[] consumed = Arrays.copyOfRange(buffer, head, head + count);
     skip(count);
-    return taken;
+    return consumed;
   }
 
-  /** The first bytes as text, each byte one character; they are not consumed. */
-  String text(int count) {
-    return new String(buffer, from, count, StandardCharsets.ISO_8859_1);
+  /** Returns the first {@code count} bytes as ISO 8859-1 text, without consuming them. */
+  String peekText(int count) {
+    return new String(buffer, head, count, StandardCharsets.ISO_8859_1);
   }
 
-  /** Consumes bytes without returning them. */
+  /** Consumes the first {@code count} bytes without returning them. */
   void skip(int count) {
-    from += count;
-    if (from == to) {
+    head += count;
+    if (head == tail) {
       buffer = new byte[0];
-      from = 0;
-      to = 0;
+      head = 0;
+      tail = 0;
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/DnsAnswerParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/DnsAnswerParser.java
@@ -8,27 +8,31 @@
 import tillerlink.model.Engine.Status;
 
 /**
- * Parses one answer to the query for the endpoint list. An SRV record names each engine; the A and
- * TXT records of its target give its address and attributes; the SOA record gives the serial number
- * of the list.
+ * Parser of one answer to the query for the endpoint list. Each engine is named by an SRV record;
+ * the A and TXT records of its target give its address and attributes; the SOA record gives the
+ * serial number of the list.
  */
 final class DnsAnswerParser {
   private static final int RESPONSE_FLAG = 0x8000;
   private static final int TRUNCATED_FLAG = 0x0200;
   private static final int RESPONSE_CODE_MASK = 15;
 
-  /** Type and class of a question, behind its name. */
+  /** The size of the type and class that follow the name of a question, in bytes. */
   private static final int QUESTION_TAIL_SIZE = 4;
 
-  /** Type, class, time to live and length of a record, behind its name. */
+  /**
+   * The size of the type, class, time to live and length that follow the name of a record, in
+   * bytes.
+   */
   private static final int RECORD_HEADER_SIZE = 10;
 
+  /** The offset of the length within those fields, in bytes. */
   private static final int RECORD_LENGTH_OFFSET = 8;
 
-  /** The priority of an SRV record whose engine drains. */
+  /** The priority of the SRV record of a draining engine. */
   private static final int DRAINING_PRIORITY = 1;
 
-  /** The weight of an SRV record whose engine has weight 1. */
+  /** The weight in the SRV record of an engine with the default weight 1. */
   private static final double WEIGHT_UNIT = 10;
 
   private static final String KIND_ATTRIBUTE = "kind";
@@ -36,7 +40,11 @@
   private static final String STARTED_ATTRIBUTE = "started";
   private static final long NO_SERIAL = -1;
 
-  /** An SRV record. */
+  /**
+   * The data of an SRV record.
+   *
+   * @param weight the weight of the engine in units of 1 / {@link #WEIGHT_UNIT}
+   */
   private record Service(String target, int priority, int weight, int port) {}
 
   private final byte[] message;
@@ -52,85 +60,96 @@
   }
 
   /**
-   * Parses the answer; to be called once.
+   * Parses the answer. May be called only once.
    *
-   * @throws IllegalArgumentException if it is no usable answer to the query of that id
-   * @throws IndexOutOfBoundsException if it ends too early
+   * @param id the id of the query that the message must answer
+   * @throws IllegalArgumentException if the message is not a usable answer to that query
+   * @throws IndexOutOfBoundsException if the message ends within a value
    */
   EndpointWatchEvent parse(int id) {
     if (reader.unsignedShortAt(0) != id) {
-      throw new MalformedProtocolException("a foreign id");
+      throw new MalformedProtocolException(
+          "expected query id " + id + ", got " + reader.unsignedShortAt(0));
     }
     int flags = reader.unsignedShortAt(2);
     if ((flags & RESPONSE_FLAG) == 0 || (flags & RESPONSE_CODE_MASK) != 0) {
-      throw new MalformedProtocolException("no answer, or a fault code: flags " + flags);
+      throw new MalformedProtocolException(
+          "not a successful response: flags 0x" + Integer.toHexString(flags));
     }
     boolean truncated = (flags & TRUNCATED_FLAG) != 0;
-    for (int left = reader.unsignedShortAt(4); left > 0; left--) {
-      reader.name();
+    for (int remaining = reader.unsignedShortAt(4); remaining > 0; remaining--) {
+      reader.readName();
       reader.skip(QUESTION_TAIL_SIZE);
     }
     int records =
         reader.unsignedShortAt(6) + reader.unsignedShortAt(8) + reader.unsignedShortAt(10);
-    // A truncated answer may leave out whole records of any section, whatever its counts say.
-    for (int left = records; left > 0 && !(truncated && reader.atEnd()); left--) {
+    // A truncated answer may lack whole records of any section, although its counts include them.
+    for (int remaining = records; remaining > 0 && !(truncated && reader.atEnd()); remaining--) {
       readRecord();
     }
     if (serial == NO_SERIAL) {
-      throw new MalformedProtocolException(truncated ? "truncated before its serial" : "no serial");
+      throw new MalformedProtocolException(
+          truncated ? "truncated before its serial" : "no SOA record with the serial");
     }
-    return event(truncated);
+    return toEvent(truncated);
   }
 
   private void readRecord() {
-    String owner = reader.name().toLowerCase(Locale.ROOT);
+    String owner = reader.readName().toLowerCase(Locale.ROOT);
     int start = reader.position();
     int type = reader.unsignedShortAt(start);
     int end = start + RECORD_HEADER_SIZE + reader.unsignedShortAt(start + RECORD_LENGTH_OFFSET);
     reader.skip(RECORD_HEADER_SIZE);
     if (end > message.length) {
-      throw new MalformedProtocolException("a record past the end");
+      throw new MalformedProtocolException(
+          "record ends at byte " + end + " of a message of " + message.length);
     }
     switch (type) {
-      case Dns.TYPE_SRV -> services.add(service());
-      case Dns.TYPE_A -> addresses.put(owner, reader.address());
-      case Dns.TYPE_TXT -> attributes.put(owner, reader.attributes(end));
+      case Dns.TYPE_SRV -> services.add(readService());
+      case Dns.TYPE_A -> addresses.put(owner, reader.readAddress());
+      case Dns.TYPE_TXT -> attributes.put(owner, reader.readAttributes(end));
       case Dns.TYPE_SOA -> {
-        reader.name();
-        reader.name();
-        serial = reader.unsignedInt();
+        reader.readName();
+        reader.readName();
+        serial = reader.readUnsignedInt();
       }
-      // Other records are ignored.
+      // Records of other types are ignored.
       default -> {}
     }
     reader.moveTo(end);
   }
 
-  private Service service() {
-    int priority = reader.unsignedShort();
-    int weight = reader.unsignedShort();
-    int port = reader.unsignedShort();
-    return new Service(reader.name(), priority, weight, port);
+  private Service readService() {
+    int priority = reader.readUnsignedShort();
+    int weight = reader.readUnsignedShort();
+    int port = reader.readUnsignedShort();
+    return new Service(reader.readName(), priority, weight, port);
   }
 
-  private EndpointWatchEvent event(boolean truncated) {
+  private EndpointWatchEvent toEvent(boolean truncated) {
     boolean partial = truncated;
     List<EndpointEntry> entries = new ArrayList<>();
     for (Service service : services) {
       String owner = service.target.toLowerCase(Locale.ROOT);
-      EndpointEntry entry = entry(service, addresses.get(owner), attributes.get(owner));
+      EndpointEntry entry = toEntry(service, addresses.get(owner), attributes.get(owner));
       partial |= entry.address() == null;
       entries.add(entry);
     }
     return new EndpointWatchEvent(serial, !partial, partial, entries);
   }
 
-  /** An entry without its address or attributes states the engine's status only. */
-  private static EndpointEntry entry(
+  /**
+   * Creates the entry of an engine. Without an address or without attributes, the entry has the
+   * status of the engine only.
+   *
+   * @param address null if the answer has no A record of the engine
+   * @param attributes null if the answer has no TXT record of the engine
+   */
+  private static EndpointEntry toEntry(
       Service service, String address, Map<String, String> attributes) {
     String[] labels = service.target.split("\\.", 0);
     if (labels.length < 2) {
-      throw new MalformedProtocolException("no zone in " + service.target);
+      throw new MalformedProtocolException("no zone in SRV target '" + service.target + "'");
     }
     boolean complete = address != null && attributes != null;
     return new EndpointEntry(
@@ -139,13 +158,13 @@
         service.port,
         labels[1],
         complete ? attributes.getOrDefault(KIND_ATTRIBUTE, "") : "",
-        complete ? (int) number(attributes.get(CELL_ATTRIBUTE)) : 0,
+        complete ? (int) longOrZero(attributes.get(CELL_ATTRIBUTE)) : 0,
         service.priority == DRAINING_PRIORITY ? Status.DRAINING : Status.READY,
         service.weight / WEIGHT_UNIT,
-        complete ? number(attributes.get(STARTED_ATTRIBUTE)) : 0);
+        complete ? longOrZero(attributes.get(STARTED_ATTRIBUTE)) : 0);
   }
 
-  private static long number(String text) {
+  private static long longOrZero(String text) {
     return text == null ? 0 : Long.parseLong(text);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/EndpointEntry.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EndpointEntry.java
@@ -3,12 +3,15 @@
 import tillerlink.model.Engine;
 
 /**
- * One engine in the discovery service's endpoint list.
+ * One engine in the endpoint list of the discovery service.
  *
- * @param address its IPv4 address; null in a partial list that states the status only
- * @param standing whether it takes requests
- * @param weight its share of requests, where 1 is usual
- * @param startedMs when it started, in Unix milliseconds; 0 for long ago
+ * @param id the name of the engine
+ * @param address the IPv4 address; null in an entry of a partial list that has only the status
+ * @param kind the engine kind
+ * @param standing whether the engine is ready, draining or removed
+ * @param weight the relative share of requests; 1 is the default
+ * @param startedMs the start time of the engine, in milliseconds since the Unix epoch; 0 if it is
+ *     unknown or long ago
  */
 public record EndpointEntry(
     String id,
@@ -20,8 +23,8 @@
     Engine.Status standing,
     double weight,
     long startedMs) {
-  /** The same engine with another status. */
-  public EndpointEntry as(Engine.Status other) {
-    return new EndpointEntry(id, address, port, zone, kind, cell, other, weight, startedMs);
+  /** Returns a copy of this entry with another status. */
+  public EndpointEntry as(Engine.Status status) {
+    return new EndpointEntry(id, address, port, zone, kind, cell, status, weight, startedMs);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/EndpointWatchEvent.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EndpointWatchEvent.java
@@ -3,17 +3,19 @@
 import java.util.List;
 
 /**
- * The endpoint list or a change of it, as the discovery service states it.
+ * The endpoint list, or a change to it, as received from the discovery service.
  *
  * @param index the serial number of the list
- * @param whole whether the entries are all engines; otherwise they are those that changed
- * @param partial whether the answer lacked a part of what it should hold: its entries apply,
- *     engines it does not name stay as they were, and a whole answer of the same index is still to
- *     be taken
+ * @param whole whether the entries are the complete list; otherwise they are the engines that
+ *     changed
+ * @param partial whether the answer was incomplete, for example truncated: its entries apply,
+ *     engines that it does not name stay unchanged, and a complete answer with the same index must
+ *     still be applied when it arrives
+ * @param entries the engines
  */
 public record EndpointWatchEvent(
     long index, boolean whole, boolean partial, List<EndpointEntry> entries) {
-  /** An event that lacks nothing. */
+  /** Creates an event from a complete answer, which is not partial. */
   public EndpointWatchEvent(long index, boolean whole, List<EndpointEntry> entries) {
     this(index, whole, false, entries);
   }
--- a/gateway/src/main/java/tillerlink/net/wire/EngineCommand.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineCommand.java
@@ -2,25 +2,26 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Encodes the commands of the engines' line protocol. */
+/** Encoder of the commands of the engines' line protocol. */
 public final class EngineCommand {
-  private static final String WANT = "want ";
+  private static final String RUN = "want ";
   private static final String CANCEL = "never_mind ";
-  private static final String TURN = "turn ";
-  private static final String SHUT = "shut ";
-  private static final String THERE = "there ";
+  private static final String FETCH_PAGE = "turn ";
+  private static final String RELEASE = "shut ";
+  private static final String LIVENESS_CHECK = "there ";
   private static final String CLASS_FIELD = "cls=";
   private static final String LIMIT_FIELD = "limit=";
   private static final String KEY_FIELD = "nonce=";
-  private static final String END = "\r\n";
+  private static final String CRLF = "\r\n";
 
   private EngineCommand() {}
 
   /**
-   * Runs a statement.
+   * Encodes the command that runs a statement as one attempt.
    *
-   * @param limit how long the response is waited for, in milliseconds
-   * @param key the idempotency key, or null
+   * @param id the id of the attempt
+   * @param limit the time for which the gateway waits for the response, in milliseconds
+   * @param key the idempotency key, or null if there is none
    */
   public static byte[] want(
       String id, String requestClass, long limit, String key, byte[] statement) {
@@ -31,28 +32,37 @@
             + LIMIT_FIELD
             + limit
             + (key == null ? "" : "," + KEY_FIELD + key);
-    byte[] head = ascii(WANT + id + " " + fields + " " + statement.length + END);
-    return ByteAccumulator.joined(head, statement, ascii(END));
+    byte[] head = ascii(RUN + id + " " + fields + " " + statement.length + CRLF);
+    return ByteAccumulator.concat(head, statement, ascii(CRLF));
   }
 
-  /** Cancels an attempt, whose result is not wanted any more. */
+  /** Encodes the command that cancels an attempt whose result is no longer needed. */
   public static byte[] cancel(String id) {
-    return ascii(CANCEL + id + END);
+    return ascii(CANCEL + id + CRLF);
   }
 
-  /** Asks for a further page of a result. */
+  /**
+   * Encodes the command that requests a further page of a result.
+   *
+   * @param id the id of the attempt
+   * @param page the number of the page; the first page is part of the response itself
+   */
   public static byte[] turn(String id, int page) {
-    return ascii(TURN + id + " " + page + END);
+    return ascii(FETCH_PAGE + id + " " + page + CRLF);
   }
 
-  /** Says that the result was read and can be dropped. */
+  /** Encodes the command that releases a result that was read completely. */
   public static byte[] shut(String id) {
-    return ascii(SHUT + id + END);
+    return ascii(RELEASE + id + CRLF);
   }
 
-  /** Asks whether the engine is there; it repeats the tag. */
+  /**
+   * Encodes a liveness check.
+   *
+   * @param tag the text that the engine repeats in its response
+   */
   public static byte[] there(String tag) {
-    return ascii(THERE + tag + END);
+    return ascii(LIVENESS_CHECK + tag + CRLF);
   }
 
   private static byte[] ascii(String text) {
--- a/gateway/src/main/java/tillerlink/net/wire/EngineResponse.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineResponse.java
@@ -3,15 +3,17 @@
 /**
  * One response in the engines' line protocol.
  *
- * @param id the attempt that it is about, or the tag of a check
- * @param number how many pages the result has with {@code OK}, the page's number with {@code
- *     BATCH}; -1 if not stated
- * @param about what an attempt's progress is about; null if not stated or unknown
- * @param level the measure of the progress
+ * @param id the id of the attempt, or the tag of a liveness check
+ * @param word the type of the response
+ * @param number the number of pages of the result with {@code OK}, the number of the page with
+ *     {@code BATCH}; -1 if the response does not state it
+ * @param about the measure that the attempt progress is given in; null if it is missing or unknown
+ * @param level the value of that measure; 0 if it is missing
+ * @param body one page of the result with {@code OK} and {@code BATCH}
  */
 public record EngineResponse(
     String id, Word word, int number, About about, double level, byte[] body) {
-  /** The kind of a response. */
+  /** The type of a response. */
   public enum Word {
     OK("ok"),
     REFUSED("refused"),
@@ -22,40 +24,44 @@
     YES("yes");
 
     private static final Word[] ALL = values();
-    private final String wire;
+    private final String wireName;
 
-    Word(String wire) {
-      this.wire = wire;
+    Word(String wireName) {
+      this.wireName = wireName;
     }
 
-    /** The word of that spelling on the wire. */
-    static Word ofWire(String wire) {
+    /**
+     * Returns the type with that name on the wire.
+     *
+     * @throws MalformedProtocolException if there is no such type
+     */
+    static Word ofWire(String wireName) {
       for (Word word : ALL) {
-        if (word.wire.equals(wire)) {
+        if (word.wireName.equals(wireName)) {
           return word;
         }
       }
-      throw new MalformedProtocolException("an unknown word");
+      throw new MalformedProtocolException("unknown response type '" + wireName + "'");
     }
   }
 
-  /** What an attempt's progress is about. */
+  /** The measure in which attempt progress is reported. */
   public enum About {
     SHARE_DONE("frac"),
     MEGABYTES_MISSING("missing"),
     PARKED("parked");
 
     private static final About[] ALL = values();
-    private final String wire;
+    private final String wireName;
 
-    About(String wire) {
-      this.wire = wire;
+    About(String wireName) {
+      this.wireName = wireName;
     }
 
-    /** What is spelt so on the wire; null if it is unknown. */
-    static About ofWire(String wire) {
+    /** Returns the measure with that name on the wire, or null if it is unknown. */
+    static About ofWire(String wireName) {
       for (About about : ALL) {
-        if (about.wire.equals(wire)) {
+        if (about.wireName.equals(wireName)) {
           return about;
         }
       }
--- a/gateway/src/main/java/tillerlink/net/wire/GatewayConfigReader.java
+++ b/gateway/src/main/java/tillerlink/net/wire/GatewayConfigReader.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import tillerlink.model.Engine.Status;
 
-/** Reads a gateway's configuration from its parsed JSON. */
+/** Reader of a gateway configuration from its parsed JSON. */
 final class GatewayConfigReader {
   private static final String NAME = "name";
   private static final String LISTEN = "listen";
@@ -31,10 +31,16 @@
   private static final String WEIGHT = "weight";
   private static final String STARTED_MS = "since_ms";
 
+  /** The address of an endpoint entry that states none. */
   private static final String NO_ADDRESS = "0.0.0.0:0";
+
+  /** The seed is written in hexadecimal. */
   private static final int SEED_RADIX = 16;
 
-  /** More connections than an address has ports are of no use. */
+  /**
+   * The upper bound on file descriptors for connections. More are not useful, because an address
+   * has only this many ports.
+   */
   private static final int MAX_SOCKETS = 1 << 16;
 
   private GatewayConfigReader() {}
@@ -42,55 +48,63 @@
   /**
    * Reads the whole configuration.
    *
-   * @throws IllegalArgumentException if a value is missing or unusable; the message says which
+   * @throws IllegalArgumentException if a value is missing or invalid; the exception's message
+   *     names the value
    */
-  static GatewayConfig read(ConfigObject all) {
-    ConfigObject limits = all.objectOrEmpty(LIMITS);
-    ConfigObject known = all.objectOrEmpty(KNOWN);
+  static GatewayConfig read(ConfigObject root) {
+    ConfigObject limits = root.objectOrEmpty(LIMITS);
+    ConfigObject known = root.objectOrEmpty(KNOWN);
     String updatesPath = KNOWN + "." + UPDATES;
     List<EndpointWatchEvent> events = new ArrayList<>();
     for (Object update : known.listOrEmpty(UPDATES, updatesPath)) {
-      events.add(event(ConfigObject.of(update, updatesPath)));
+      events.add(readUpdate(ConfigObject.of(update, updatesPath)));
     }
-    InetSocketAddress resolver = address(all.text(RESOLVER));
+    InetSocketAddress resolver = parseAddress(root.text(RESOLVER));
     if (resolver.getPort() == 0) {
-      throw new InvalidConfigException("'" + RESOLVER + "' has no port");
+      throw new InvalidConfigException(
+          "'" + RESOLVER + "' must have a port above 0, found " + root.text(RESOLVER));
     }
     return new GatewayConfig(
-        all.text(NAME),
-        address(all.text(LISTEN)),
+        root.text(NAME),
+        parseAddress(root.text(LISTEN)),
         resolver,
-        Long.parseUnsignedLong(all.text(SEED), SEED_RADIX),
-        sockets(limits.get(SOCKETS)),
-        ConfigObject.of(all.get(SETTINGS), SETTINGS).values(),
+        Long.parseUnsignedLong(root.text(SEED), SEED_RADIX),
+        readSockets(limits.get(SOCKETS)),
+        ConfigObject.of(root.get(SETTINGS), SETTINGS).values(),
         events);
   }
 
-  /** Without a stated limit, the process has the file descriptors that its system gives it. */
-  private static int sockets(Object stated) {
-    if (stated == null) {
+  /**
+   * Returns the number of file descriptors for connections. Without a configured limit, this is the
+   * limit that the operating system sets for the process.
+   *
+   * @param configured the configured limit, or null if there is none
+   */
+  private static int readSockets(Object configured) {
+    if (configured == null) {
       return ManagementFactory.getOperatingSystemMXBean()
               instanceof UnixOperatingSystemMXBean system
           ? (int) Math.min(MAX_SOCKETS, system.getMaxFileDescriptorCount())
           : MAX_SOCKETS;
     }
-    if (stated instanceof Number number && number.longValue() > 0) {
+    if (configured instanceof Number number && number.longValue() > 0) {
       return (int) Math.min(MAX_SOCKETS, number.longValue());
     }
-    throw new InvalidConfigException("'" + LIMITS + "." + SOCKETS + "' is not a number above 0");
+    throw new InvalidConfigException(
+        "'" + LIMITS + "." + SOCKETS + "' must be a number above 0, found " + configured);
   }
 
-  private static EndpointWatchEvent event(ConfigObject update) {
+  private static EndpointWatchEvent readUpdate(ConfigObject update) {
     ConfigObject endpoints = ConfigObject.of(update.get(ENDPOINTS), ENDPOINTS);
     List<EndpointEntry> entries = new ArrayList<>();
     for (Object raw : endpoints.list(ENDPOINTS, ENDPOINTS + "." + ENDPOINTS)) {
-      entries.add(entry(ConfigObject.of(raw, "an endpoint")));
+      entries.add(readEntry(ConfigObject.of(raw, "endpoints.endpoints[]")));
     }
     boolean whole = Boolean.TRUE.equals(endpoints.get(SNAPSHOT));
     return new EndpointWatchEvent(update.number(INDEX, 0).longValue(), whole, entries);
   }
 
-  private static EndpointEntry entry(ConfigObject endpoint) {
+  private static EndpointEntry readEntry(ConfigObject endpoint) {
     Status status =
         switch (endpoint.text(STATUS)) {
           case SERVING -> Status.READY;
@@ -98,7 +112,7 @@
           default -> Status.GONE;
         };
     InetSocketAddress address =
-        address(endpoint.get(ADDRESS) instanceof String text ? text : NO_ADDRESS);
+        parseAddress(endpoint.get(ADDRESS) instanceof String text ? text : NO_ADDRESS);
     return new EndpointEntry(
         endpoint.text(NAME),
         address.getHostString(),
@@ -111,16 +125,16 @@
         endpoint.number(STARTED_MS, 0).longValue());
   }
 
-  private static InetSocketAddress address(String text) {
+  private static InetSocketAddress parseAddress(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
-      throw new InvalidConfigException("not an address with a port: " + text);
+      throw new InvalidConfigException("expected an address of the form host:port, found " + text);
     }
     InetSocketAddress address =
         new InetSocketAddress(
             text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     if (address.isUnresolved()) {
-      throw new InvalidConfigException("not an address with a port: " + text);
+      throw new InvalidConfigException("cannot resolve the host in address " + text);
     }
     return address;
   }
--- a/gateway/src/main/java/tillerlink/net/wire/HttpParseResult.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpParseResult.java
@@ -1,4 +1,4 @@
 package tillerlink.net.wire;
 
-/** What a client's bytes were parsed to: a request, or the error that ends the connection. */
+/** A result of parsing a client's bytes: a request, or the error that ends the connection. */
 public sealed interface HttpParseResult permits HttpRequest, HttpParseError {}
--- a/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 
 /**
- * Parses the requests of one client connection (RFC 9112), without I/O. The lengths of the request
- * line, the head and the body and the number of headers are bounded. After an error nothing more is
- * parsed.
+ * Parser of the requests of one client connection (RFC 9112); it does no I/O. The lengths of the
+ * request line, the head and the body and the number of header fields are bounded. After an error
+ * nothing more is parsed.
  */
 public final class HttpRequestParser {
-  private static final int MAX_REQUEST_LINE = 4096;
-  private static final int MAX_HEAD = 16_384;
+  private static final int MAX_REQUEST_LINE_BYTES = 4096;
+  private static final int MAX_HEAD_BYTES = 16_384;
   private static final int MAX_FIELDS = 64;
-  private static final int MAX_BODY = 131_072;
+  private static final int MAX_BODY_BYTES = 131_072;
   private static final int MAX_LENGTH_DIGITS = 9;
 
-  /** What a token may have beside letters and digits (RFC 9110, section 5.6.2). */
+  /** The characters allowed in a token besides letters and digits (RFC 9110, section 5.6.2). */
   private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
 
   private static final String HTTP = "HTTP/";
@@ -33,70 +33,79 @@
   private static final String TRANSFER_ENCODING = "transfer-encoding";
   private static final String CONTENT_LENGTH = "content-length";
 
-  /** Headers of these names may come once only. */
+  /** Header fields whose names start with this prefix may occur only once. */
   private static final String CONTENT_PREFIX = "content-";
 
+  /** The prefix of the gateway's own header fields, which may occur only once. */
   private static final String OWN_PREFIX = "x-";
 
   private static final byte[] NO_BODY = new byte[0];
 
   private final ByteAccumulator bytes = new ByteAccumulator();
-  private boolean broken;
+  private boolean failed;
 
-  /** The head of the request whose body is not yet whole, or null. */
+  /** The request whose body has not been received completely, or null. */
   private HttpRequest head;
 
+  /** The length of that body, in bytes. */
   private int bodyLength;
 
-  /** Where the first line begins that was not yet looked at for the head's end. */
+  /** The index of the first line that was not yet searched for the end of the head. */
   private int scanned;
 
   private boolean continueExpected;
 
-  /** Takes received bytes, which may end anywhere in a request. */
+  /** Adds received bytes, which may end at any point of a request. */
   public void feed(byte[] more) {
-    if (!broken) {
-      bytes.feed(more);
+    if (!failed) {
+      bytes.append(more);
     }
   }
 
   /**
-   * How many bytes were not yet consumed; those of one request are bounded, so more than that are
-   * pipelined.
+   * Returns the number of bytes that were not yet consumed. The bytes of one request are bounded,
+   * so any bytes beyond that bound belong to pipelined requests.
    */
   public int waiting() {
     return bytes.size();
   }
 
-  /** Whether a request was received in part. */
+  /** Returns whether a request was received in part. */
   public boolean midway() {
-    return !broken && (head != null || bytes.size() > 0);
+    return !failed && (head != null || bytes.size() > 0);
   }
 
-  /** Whether the client waits for 100 Continue before it sends the body; true once a request. */
+  /**
+   * Returns whether the client waits for the interim response 100 Continue before it sends the
+   * body. Returns true at most once per request, so that the interim response is not sent twice.
+   */
   public boolean wantsGoOn() {
     boolean expected = continueExpected;
     continueExpected = false;
     return expected;
   }
 
-  /** The next request, the error after which nothing more is parsed, or null while not whole. */
+  /**
+   * Returns the next request, or the error after which nothing more is parsed.
+   *
+   * @return null if the next request has not been received completely, and after an error
+   */
   public HttpParseResult next() {
-    if (broken) {
+    if (failed) {
       return null;
     }
     try {
       if ((head == null && !readHead()) || bytes.size() < bodyLength) {
         return null;
       }
-      byte[] body = bytes.take(bodyLength);
-      HttpRequest whole =
+      byte[] body = bytes.consume(bodyLength);
+      HttpRequest request =
           new HttpRequest(head.method(), head.path(), head.fields(), body, head.last());
       head = null;
       continueExpected = false;
-      return whole;
+      return request;
     } catch (BadRequestException e) {
-      broken = true;
+      failed = true;
       bytes.skip(bytes.size());
       return new HttpParseError(e.status, e.getMessage());
     }
@@ -110,12 +119,12 @@
     if (end < 0) {
       return false;
     }
-    String[] lines = bytes.text(end).split("\r?\n");
+    String[] lines = bytes.peekText(end).split("\r?\n");
     bytes.skip(end);
     scanned = 0;
-    String[] requestLine = requestLine(lines[0]);
+    String[] requestLine = parseRequestLine(lines[0]);
     boolean http10 = requestLine[2].equals(HTTP_1_0);
-    Map<String, String> fields = fields(lines);
+    Map<String, String> fields = parseFields(lines);
     if (!http10 && !fields.containsKey(HOST)) {
       throw new BadRequestException(HttpStatus.BAD_REQUEST, "no Host");
     }
@@ -132,16 +141,19 @@
     return true;
   }
 
-  /** The index behind the blank line that ends the head, or -1 while it was not received. */
+  /**
+   * Returns the index after the blank line that ends the head, or -1 if that line was not received
+   * yet.
+   */
   private int headEnd() {
     int lineFrom = scanned;
     while (true) {
-      int lineTo = bytes.find((byte) '\n', lineFrom);
+      int lineTo = bytes.indexOf((byte) '\n', lineFrom);
       int reached = lineTo < 0 ? bytes.size() : lineTo + 1;
-      if (lineFrom == 0 && reached > MAX_REQUEST_LINE) {
+      if (lineFrom == 0 && reached > MAX_REQUEST_LINE_BYTES) {
         throw new BadRequestException(HttpStatus.URI_TOO_LONG, "request line too long");
       }
-      if (reached > MAX_HEAD) {
+      if (reached > MAX_HEAD_BYTES) {
         throw new BadRequestException(HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too long");
       }
       if (lineTo < 0) {
@@ -159,8 +171,8 @@
     return to == from || (to == from + 1 && bytes.at(from) == '\r');
   }
 
-  /** Method, target and version. */
-  private static String[] requestLine(String line) {
+  /** Splits a request line into method, target and version. */
+  private static String[] parseRequestLine(String line) {
     String[] words = line.split(" ", -1);
     if (words.length != 3 || words[0].isEmpty() || words[1].isEmpty()) {
       throw new BadRequestException(HttpStatus.BAD_REQUEST, "request line");
@@ -174,7 +186,7 @@
     return words;
   }
 
-  private static Map<String, String> fields(String[] lines) {
+  private static Map<String, String> parseFields(String[] lines) {
     Map<String, String> fields = new HashMap<>();
     for (int i = 1; i < lines.length; i++) {
       if (i > MAX_FIELDS) {
@@ -213,10 +225,10 @@
       throw new BadRequestException(HttpStatus.LENGTH_REQUIRED, "body without a length");
     }
     String text = fields.getOrDefault(CONTENT_LENGTH, "0");
-    if (!Ascii.digits(text)) {
+    if (!Ascii.isDigits(text)) {
       throw new BadRequestException(HttpStatus.BAD_REQUEST, "Content-Length");
     }
-    if (text.length() > MAX_LENGTH_DIGITS || Integer.parseInt(text) > MAX_BODY) {
+    if (text.length() > MAX_LENGTH_DIGITS || Integer.parseInt(text) > MAX_BODY_BYTES) {
       throw new BadRequestException(HttpStatus.CONTENT_TOO_LARGE, "body too long");
     }
     return Integer.parseInt(text);
@@ -234,7 +246,7 @@
     return HttpRequest.Method.ofWire(word);
   }
 
-  /** The path of a target in origin form or absolute form (RFC 9112, section 3.2). */
+  /** Returns the path of a target in origin form or absolute form (RFC 9112, section 3.2). */
   private static String path(String target) {
     String path = target;
     if (!path.startsWith("/")) {
@@ -254,14 +266,14 @@
   }
 
   private static boolean isTokenCharacter(int character) {
-    return Ascii.letterOrDigit(character) || TOKEN_MARKS.indexOf(character) >= 0;
+    return Ascii.isLetterOrDigit(character) || TOKEN_MARKS.indexOf(character) >= 0;
   }
 
   private static boolean isControl(int character) {
     return character < ' ' && character != '\t';
   }
 
-  /** A request that can't be parsed, with the status of its response. */
+  /** Signals a request that cannot be parsed; states the status of the response to it. */
   private static final class BadRequestException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final int status;
--- a/gateway/src/main/java/tillerlink/net/wire/HttpResponse.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpResponse.java
@@ -3,11 +3,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A response to a client.
+ * An HTTP response to a client.
  *
- * @param retryAfter how long the client should wait before it tries again, in milliseconds; 0 for
- *     no advice
- * @param last whether the connection is closed after it
+ * @param status the status code
+ * @param body the content
+ * @param retryAfter the time that the client should wait before it retries, in milliseconds; 0 if
+ *     the response does not state one
+ * @param last whether the connection is closed after the response
  * @param type the media type of the body
  */
 public record HttpResponse(int status, byte[] body, long retryAfter, boolean last, String type) {
@@ -22,33 +24,39 @@
   private static final String CONTINUE = VERSION + "100 Continue" + END_OF_HEAD;
   private static final String UNKNOWN = "Unknown";
 
-  /** A response with a body in JSON. */
+  /** Creates a response with a JSON body. */
   public HttpResponse(int status, byte[] body, long retryAfter, boolean last) {
     this(status, body, retryAfter, last, JSON);
   }
 
-  /** The metrics, as Prometheus reads them. */
+  /** Returns a response with metrics in the Prometheus text format. */
   public static HttpResponse text(String body) {
     return new HttpResponse(
         HttpStatus.OK, body.getBytes(StandardCharsets.UTF_8), 0, false, PROMETHEUS_TEXT);
   }
 
-  /** Success, without a result. */
+  /** Returns a response that reports success without a result. */
   public static HttpResponse done() {
     return json(HttpStatus.OK, "{}", 0);
   }
 
-  /** Tells the path at which the client goes on waiting for its result. */
+  /** Returns a response that states the path at which the client can fetch its result. */
   public static HttpResponse goOnAt(String path) {
     return json(HttpStatus.OK, "{\"continue\":\"" + path + "\"}", 0);
   }
 
-  /** What the client named is not known here. */
+  /** Returns the response to a request for an unknown resource. */
   public static HttpResponse unknown() {
     return problem(HttpStatus.NOT_FOUND, UNKNOWN, 0);
   }
 
-  /** An error, with a word for the program that reads it. */
+  /**
+   * Returns an error response.
+   *
+   * @param problem the machine-readable reason; must not contain characters that JSON escapes
+   * @param retryAfter the time that the client should wait before it retries, in milliseconds; 0 if
+   *     the response does not state one
+   */
   public static HttpResponse problem(int status, String problem, long retryAfter) {
     return json(status, "{\"problem\":\"" + problem + "\"}", retryAfter);
   }
@@ -57,12 +65,12 @@
     return new HttpResponse(status, body.getBytes(StandardCharsets.UTF_8), retryAfter, false);
   }
 
-  /** The same response, after which the connection is closed. */
+  /** Returns a copy of this response after which the connection is closed. */
   public HttpResponse closingConnection() {
     return new HttpResponse(status, body, retryAfter, true, type);
   }
 
-  /** The bytes on the wire. */
+  /** Returns the encoded response, as sent on the wire. */
   public byte[] encoded() {
     StringBuilder head =
         new StringBuilder(160)
@@ -80,11 +88,11 @@
     if (last) {
       head.append(CLOSE);
     }
-    byte[] start = head.append(END_OF_HEAD).toString().getBytes(StandardCharsets.US_ASCII);
-    return ByteAccumulator.joined(start, body);
+    byte[] encodedHead = head.append(END_OF_HEAD).toString().getBytes(StandardCharsets.US_ASCII);
+    return ByteAccumulator.concat(encodedHead, body);
   }
 
-  /** The interim response for a client that waits for it before it sends a body. */
+  /** Returns the interim response 100 Continue, which a client may await before it sends a body. */
   public static byte[] goOn() {
     return CONTINUE.getBytes(StandardCharsets.US_ASCII);
   }
--- a/gateway/src/main/java/tillerlink/net/wire/HttpStatus.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpStatus.java
@@ -2,7 +2,7 @@
 
 import java.util.Map;
 
-/** The status codes that the gateway answers with (RFC 9110, section 15). */
+/** The status codes of the gateway's responses (RFC 9110, section 15). */
 final class HttpStatus {
   static final int OK = 200;
   static final int BAD_REQUEST = 400;
@@ -36,7 +36,10 @@
 
   private HttpStatus() {}
 
-  /** The reason phrase of a status line. */
+  /**
+   * Returns the reason phrase for a status line. Codes that are not listed here have the reason
+   * phrase of 500.
+   */
   static String reason(int status) {
     return REASONS.getOrDefault(status, OTHER_REASON);
   }
--- a/gateway/src/main/java/tillerlink/net/wire/InvalidConfigException.java
+++ b/gateway/src/main/java/tillerlink/net/wire/InvalidConfigException.java
@@ -1,6 +1,9 @@
 package tillerlink.net.wire;
 
-/** A configuration is not what it should be; the message says why, for the operator. */
+/**
+ * Exception for an invalid configuration. The message is written for the operator: it names the
+ * value, what was expected and what was found.
+ */
 final class InvalidConfigException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/tillerlink/net/wire/MalformedProtocolException.java
+++ b/gateway/src/main/java/tillerlink/net/wire/MalformedProtocolException.java
@@ -1,8 +1,8 @@
 package tillerlink.net.wire;
 
 /**
- * Received bytes are not what their protocol allows. The message says why, for a log line or the
- * client's response.
+ * Signals received bytes that violate their protocol. The message states the violation, for a log
+ * line or the response to the client.
  */
 public final class MalformedProtocolException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
--- a/gateway/src/main/java/tillerlink/net/wire/ResultEncoder.java
+++ b/gateway/src/main/java/tillerlink/net/wire/ResultEncoder.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Checks the pages of a result as engines send them (text with a tab between columns and a line
- * feed after each row) and encodes them as the JSON of a client's response.
+ * Encoder of results for clients. Validates the pages of a result as engines send them (text with a
+ * tab between columns and a line feed after each row) and encodes them as JSON.
  */
 public final class ResultEncoder {
   private static final int COLUMNS = 3;
@@ -21,10 +21,10 @@
   private ResultEncoder() {}
 
   /**
-   * Checks one page, so that damaged data is not passed on as whole.
+   * Validates one page, so that corrupted data is not forwarded as a complete result.
    *
-   * @throws IllegalArgumentException if it does not consist of whole rows of UTF-8 text in three
-   *     columns; the message says why
+   * @throws IllegalArgumentException if the page does not consist of complete rows of UTF-8 text in
+   *     three columns; the exception's message states the reason
    */
   public static void check(byte[] page) {
     int tabs = 0;
@@ -32,18 +32,23 @@
       tabs += octet == '\t' ? 1 : 0;
       if (octet == '\n') {
         if (tabs != COLUMNS - 1) {
-          throw new MalformedProtocolException("a row of " + (tabs + 1) + " columns");
+          throw new MalformedProtocolException(
+              "expected " + COLUMNS + " columns in engine row, got " + (tabs + 1));
         }
         tabs = 0;
       }
     }
     if (page.length > 0 && page[page.length - 1] != '\n') {
-      throw new MalformedProtocolException("a row cut off");
+      throw new MalformedProtocolException("last row of the page does not end with a line feed");
     }
-    Ascii.utf8(page);
+    Ascii.decodeUtf8(page);
   }
 
-  /** The JSON of all pages, which must have been checked. */
+  /**
+   * Encodes all pages of a result as JSON.
+   *
+   * @param pages the pages in order, each of which must have passed {@link #check}
+   */
   public static byte[] answer(byte[][] pages) {
     int size = 32;
     for (byte[] page : pages) {
@@ -59,7 +64,12 @@
     return out.toByteArray();
   }
 
-  /** Writes a page; tells whether a row that follows is still the first of all. */
+  /**
+   * Writes the rows of a page.
+   *
+   * @param first whether the next row is the first row of the result
+   * @return whether the next row is still the first row of the result, as it is after an empty page
+   */
   private static boolean writeRows(ByteArrayOutputStream out, byte[] page, boolean first) {
     boolean firstRow = first;
     boolean inRow = false;
--- a/gateway/src/main/java/tillerlink/net/wire/StatementTableScanner.java
+++ b/gateway/src/main/java/tillerlink/net/wire/StatementTableScanner.java
@@ -5,17 +5,20 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** A small lexer of SQL statements, which finds the group of tables that one reads or writes. */
+/** Lexer of SQL statements that finds the group of tables that a statement reads or writes. */
 public final class StatementTableScanner {
   private static final Set<String> KEYWORDS_BEFORE_TABLES =
       Set.of("from", "join", "into", "update", "table", "using");
+
+  /** The scratch schema, which belongs to no table group. */
   private static final String SCRATCH_SCHEMA = "staging";
+
   private static final int MAX_GROUP_DIGITS = 9;
   private static final String LINE_COMMENT = "--";
   private static final String COMMENT_START = "/*";
   private static final String COMMENT_END = "*/";
 
-  /** The token that stands for a string. */
+  /** The token that replaces a string literal. */
   private static final String STRING = "'";
 
   private static final String DOT = ".";
@@ -24,9 +27,11 @@
   private StatementTableScanner() {}
 
   /**
-   * The number behind the underscore in the name of the statement's schema, or 0 if there is none.
-   * Names where tables stand come first; names in strings and comments and the scratch schema never
-   * count.
+   * Returns the table group of a statement: the number after the underscore in the name of its
+   * schema. A schema in a list of tables takes precedence over one elsewhere, such as in a column
+   * reference. Names in strings and comments and the scratch schema are ignored.
+   *
+   * @return the group, or 0 if the statement names none
    */
   public static int tableGroup(String statement) {
     List<String> tokens = tokens(statement);
@@ -47,14 +52,19 @@
     return groupElsewhere;
   }
 
-  /** Whether a name is the last but one of those joined by dots: the schema of a table. */
+  /**
+   * Returns whether a token is a schema: the last but one in a sequence of names joined by dots.
+   */
   private static boolean isSchema(List<String> tokens, int index) {
     return index + 2 < tokens.size()
         && tokens.get(index + 1).equals(DOT)
         && (index + 3 >= tokens.size() || !tokens.get(index + 3).equals(DOT));
   }
 
-  /** Whether a token is a part of a list of tables, beside the names of schemas. */
+  /**
+   * Returns whether a token other than a schema continues a list of tables: a dot, a comma or the
+   * name after a dot.
+   */
   private static boolean continuesTableList(List<String> tokens, int index) {
     String token = tokens.get(index);
     return token.equals(DOT)
@@ -62,60 +72,69 @@
         || (index > 0 && tokens.get(index - 1).equals(DOT));
   }
 
+  /** Returns the group that a schema name states, or 0 if it states none. */
   private static int group(String name) {
     int underscore = name.lastIndexOf('_');
     String digits = name.substring(underscore + 1);
     if (underscore <= 0
         || digits.length() > MAX_GROUP_DIGITS
-        || !Ascii.digits(digits)
+        || !Ascii.isDigits(digits)
         || name.substring(0, underscore).equals(SCRATCH_SCHEMA)) {
       return 0;
     }
     return Integer.parseInt(digits);
   }
 
-  /** Names in lower case unless quoted, and single marks; comments and white space are left out. */
+  /**
+   * Splits a statement into tokens: names, which are in lower case unless quoted, and single
+   * punctuation characters. Comments and white space are omitted.
+   */
   private static List<String> tokens(String text) {
     List<String> tokens = new ArrayList<>();
-    int at = 0;
-    while (at < text.length()) {
-      at = readToken(text, at, tokens);
+    int index = 0;
+    while (index < text.length()) {
+      index = readToken(text, index, tokens);
     }
     return tokens;
   }
 
-  /** Adds the token at a place, unless it is to be left out, and returns the place behind it. */
-  private static int readToken(String text, int at, List<String> tokens) {
-    char first = text.charAt(at);
-    if (text.startsWith(LINE_COMMENT, at)) {
-      return after(text, "\n", at + LINE_COMMENT.length());
+  /**
+   * Adds the token at an index, unless it is a comment or white space.
+   *
+   * @return the index after the token
+   */
+  private static int readToken(String text, int index, List<String> tokens) {
+    char first = text.charAt(index);
+    if (text.startsWith(LINE_COMMENT, index)) {
+      return indexAfter(text, "\n", index + LINE_COMMENT.length());
     }
-    if (text.startsWith(COMMENT_START, at)) {
-      return after(text, COMMENT_END, at + COMMENT_START.length());
+    if (text.startsWith(COMMENT_START, index)) {
+      return indexAfter(text, COMMENT_END, index + COMMENT_START.length());
     }
     if (first == '\'') {
       tokens.add(STRING);
-      return after(text, STRING, at + 1);
+      return indexAfter(text, STRING, index + 1);
     }
     if (first == '"' || first == '`') {
-      int end = after(text, String.valueOf(first), at + 1);
-      tokens.add(text.substring(at + 1, Math.max(at + 1, end - 1)));
+      int end = indexAfter(text, String.valueOf(first), index + 1);
+      tokens.add(text.substring(index + 1, Math.max(index + 1, end - 1)));
       return end;
     }
     if (isNameCharacter(first)) {
-      int end = nameEnd(text, at);
-      tokens.add(text.substring(at, end).toLowerCase(Locale.ROOT));
+      int end = nameEnd(text, index);
+      tokens.add(text.substring(index, end).toLowerCase(Locale.ROOT));
       return end;
     }
     if (!Character.isWhitespace(first)) {
       tokens.add(String.valueOf(first));
     }
-    return at + 1;
+    return index + 1;
   }
 
-  private static int after(String text, String mark, int from) {
-    int found = text.indexOf(mark, from);
-    return found < 0 ? text.length() : found + mark.length();
+  /** Returns the index after the next occurrence of a delimiter, or the length of the text. */
+  private static int indexAfter(String text, String delimiter, int from) {
+    int found = text.indexOf(delimiter, from);
+    return found < 0 ? text.length() : found + delimiter.length();
   }
 
   private static int nameEnd(String text, int from) {
--- a/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
+++ b/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
@@ -5,15 +5,19 @@
 import tillerlink.plain.Units;
 
 /**
- * A client's request to run a statement. Times are tenths of a millisecond, memory is megabytes.
+ * A client's request to run a statement.
  *
- * @param patience how long the client waits for the result
- * @param repeat whether the client has sent it before
- * @param key the idempotency key by which engines recognise a repetition, or null
- * @param subject what it is about, for request classes that keep their order by it, or null
- * @param estimate the client's estimate of the work; 0 if none
- * @param memory the client's estimate of the memory needed; 0 if none
- * @param tableGroup the group of tables that the statement names; 0 if none
+ * @param id the id that the client assigned, of 16 hexadecimal digits
+ * @param requestClass the name of the request class
+ * @param patience the time for which the client waits for the result, in tenths of a millisecond
+ * @param repeat whether the client states that it has sent the request before
+ * @param key the idempotency key, by which engines recognise a repeated request; null if there is
+ *     none
+ * @param subject the ordering key, for request classes with key ordering; null if there is none
+ * @param estimate the client's estimate of the work, in tenths of a millisecond; 0 if there is none
+ * @param memory the client's estimate of the memory needed, in megabytes; 0 if there is none
+ * @param tableGroup the group of tables that the statement names; 0 if it names none
+ * @param statement the statement, in UTF-8
  */
 public record SubmitRequest(
     String id,
@@ -41,37 +45,37 @@
   private static final int MAX_NUMBER_LENGTH = 9;
 
   /**
-   * Parses a request; its class is the last part of the path.
+   * Parses an HTTP request. The request class is the last segment of its path.
    *
-   * @throws IllegalArgumentException if a header is missing or unusable, with its name as the
-   *     message, or the body is no statement
+   * @throws IllegalArgumentException if a header is missing or invalid, in which case the message
+   *     is its name, or if the body is not a statement
    */
   public static SubmitRequest of(HttpRequest request) {
-    String id = id(request);
-    String key = key(request);
-    String subject = subject(request);
-    double patience = amount(request, DEADLINE_HEADER);
-    if (patience <= 0) {
+    String id = parseId(request);
+    String key = parseKey(request);
+    String subject = parseSubject(request);
+    double patienceMs = parseNumber(request, DEADLINE_HEADER);
+    if (patienceMs <= 0) {
       throw new MalformedProtocolException(DEADLINE_HEADER);
     }
-    String statement = Ascii.utf8(request.body());
+    String statement = Ascii.decodeUtf8(request.body());
     if (statement.isBlank() || statement.indexOf('\0') >= 0) {
       throw new MalformedProtocolException("no statement");
     }
     return new SubmitRequest(
         id,
         request.path().substring(request.path().lastIndexOf('/') + 1),
-        (long) (patience * Units.TENTHS_PER_MS),
+        (long) (patienceMs * Units.TENTHS_PER_MS),
         RESENT.equals(request.header(RESENT_HEADER)),
         key,
         subject,
-        amount(request, ESTIMATE_HEADER) * Units.TENTHS_PER_MS,
-        amount(request, MEMORY_HEADER),
+        parseNumber(request, ESTIMATE_HEADER) * Units.TENTHS_PER_MS,
+        parseNumber(request, MEMORY_HEADER),
         StatementTableScanner.tableGroup(statement),
         request.body());
   }
 
-  private static String id(HttpRequest request) {
+  private static String parseId(HttpRequest request) {
     String id = request.header(ID_HEADER);
     if (id == null || id.length() != ID_DIGITS || !id.chars().allMatch(SubmitRequest::isHexDigit)) {
       throw new MalformedProtocolException(ID_HEADER);
@@ -79,7 +83,7 @@
     return id;
   }
 
-  private static String key(HttpRequest request) {
+  private static String parseKey(HttpRequest request) {
     String key = request.header(KEY_HEADER);
     if (key != null
         && (key.isEmpty()
@@ -90,7 +94,7 @@
     return key;
   }
 
-  private static String subject(HttpRequest request) {
+  private static String parseSubject(HttpRequest request) {
     String subject = request.header(SUBJECT_HEADER);
     if (subject != null && subject.length() > MAX_SUBJECT_LENGTH) {
       throw new MalformedProtocolException(SUBJECT_HEADER);
@@ -103,29 +107,33 @@
   }
 
   private static boolean isKeyCharacter(int character) {
-    return Ascii.letterOrDigit(character)
+    return Ascii.isLetterOrDigit(character)
         || character == '-'
         || character == '_'
         || character == '.';
   }
 
   /**
-   * A number in digits, with a fraction at most; 0 if absent. Other forms that Java would parse
-   * (1e9, NaN, 0x1p3) are errors.
+   * Returns the value of a numeric header; 0 if it is absent. The value must consist of digits with
+   * an optional decimal fraction. Other forms that {@link Double#parseDouble} accepts (1e9, NaN,
+   * 0x1p3) are errors.
    */
-  private static double amount(HttpRequest request, String name) {
-    String stated = request.header(name);
-    String text = stated == null ? "0" : stated;
+  private static double parseNumber(HttpRequest request, String name) {
+    String value = request.header(name);
+    String text = value == null ? "0" : value;
     int point = text.indexOf('.');
     String whole = point < 0 ? text : text.substring(0, point);
     String fraction = point < 0 ? "0" : text.substring(point + 1);
-    if (!Ascii.digits(whole) || !Ascii.digits(fraction) || text.length() > MAX_NUMBER_LENGTH) {
+    if (!Ascii.isDigits(whole) || !Ascii.isDigits(fraction) || text.length() > MAX_NUMBER_LENGTH) {
       throw new MalformedProtocolException(name);
     }
     return Double.parseDouble(text);
   }
 
-  /** Whether another is the same request, sent again by a client whose connection was lost. */
+  /**
+   * Returns whether another request repeats this one, as a client does after it has lost its
+   * connection: the request class, the idempotency key and the statement are equal.
+   */
   public boolean same(SubmitRequest other) {
     return requestClass.equals(other.requestClass)
         && Objects.equals(key, other.key)
--- a/gateway/src/test/java/tillerlink/ServeTest.java
+++ b/gateway/src/test/java/tillerlink/ServeTest.java
@@ -151,7 +151,7 @@
   @Test
   void reportsWhyItCannotStart() throws Exception {
     assertEquals(
-        "1: tillerlink: 'seed' is missing or not a text",
+        "1: tillerlink: 'seed' must be a non-empty string, but is missing",
         failure(configuration().replace("\"seed\"", "\"speed\"")));
     assertTrue(failure("{").startsWith("1: tillerlink: "));
     try (ServerSocket taken = new ServerSocket(port, 1, LOOPBACK)) {
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -26,11 +26,11 @@
 import tillerlink.net.wire.StatementTableScanner;
 
 /**
- * What is spoken, without a socket: each machine is fed whole, bytewise and at every split, and
- * must read the same.
+ * Tests of the parsers of the wire protocols, without sockets. Each parser gets the same bytes at
+ * once, byte by byte and split at every position, and must give the same result.
  */
 class WireTest {
-  private static final String CALLS =
+  private static final String REQUESTS =
       """
       POST /v1/look HTTP/1.1\r
       Host: a\r
@@ -48,67 +48,73 @@
       \r
       """;
 
-  interface Machine {
-    String read(byte[] bytes);
+  interface PrintingParser {
+    /** Parses further bytes and returns a print of what they complete. */
+    String parse(byte[] bytes);
   }
 
-  /** What a new machine reads of the bytes in these pieces. */
-  private static String read(Supplier<Machine> machines, byte[] bytes, int... cuts) {
-    Machine machine = machines.get();
-    StringBuilder read = new StringBuilder();
+  /**
+   * Returns what a new parser prints for the bytes.
+   *
+   * @param cuts the positions at which the bytes are split into pieces, in ascending order
+   */
+  private static String parse(Supplier<PrintingParser> parsers, byte[] bytes, int... cuts) {
+    PrintingParser parser = parsers.get();
+    StringBuilder printed = new StringBuilder();
     int from = 0;
     for (int cut : cuts) {
-      read.append(machine.read(Arrays.copyOfRange(bytes, from, cut)));
+      printed.append(parser.parse(Arrays.copyOfRange(bytes, from, cut)));
       from = cut;
     }
-    return read.append(machine.read(Arrays.copyOfRange(bytes, from, bytes.length))).toString();
+    return printed.append(parser.parse(Arrays.copyOfRange(bytes, from, bytes.length))).toString();
   }
 
-  private static String readAnyhow(Supplier<Machine> machines, byte[] bytes) {
-    String whole = read(machines, bytes);
+  /** Asserts that all splits of the bytes give the same print, and returns it. */
+  private static String parseAllSplits(Supplier<PrintingParser> parsers, byte[] bytes) {
+    String expected = parse(parsers, bytes);
     for (int i = 0; i <= bytes.length; i++) {
-      assertEquals(whole, read(machines, bytes, i), "split at " + i);
+      assertEquals(expected, parse(parsers, bytes, i), "split at " + i);
     }
-    int[] every = new int[bytes.length];
-    Arrays.setAll(every, i -> i);
-    assertEquals(whole, read(machines, bytes, every), "byte by byte");
-    return whole;
+    int[] cuts = new int[bytes.length];
+    Arrays.setAll(cuts, i -> i);
+    assertEquals(expected, parse(parsers, bytes, cuts), "byte by byte");
+    return expected;
   }
 
-  private static Machine http() {
-    HttpRequestParser reader = new HttpRequestParser();
+  private static PrintingParser http() {
+    HttpRequestParser parser = new HttpRequestParser();
     return bytes -> {
-      reader.feed(bytes);
-      StringBuilder read = new StringBuilder();
-      for (HttpParseResult item = reader.next(); item != null; item = reader.next()) {
-        if (item instanceof HttpRequest call) {
-          read.append(
-              call.method()
+      parser.feed(bytes);
+      StringBuilder printed = new StringBuilder();
+      for (HttpParseResult item = parser.next(); item != null; item = parser.next()) {
+        if (item instanceof HttpRequest request) {
+          printed.append(
+              request.method()
                   + " "
-                  + call.path()
+                  + request.path()
                   + " "
-                  + new TreeMap<>(call.fields())
+                  + new TreeMap<>(request.fields())
                   + " '"
-                  + text(call.body())
+                  + text(request.body())
                   + "'"
-                  + (call.last() ? " last" : "")
+                  + (request.last() ? " last" : "")
                   + "\n");
-        } else if (item instanceof HttpParseError fault) {
-          read.append(fault.status() + " " + fault.cause() + "\n");
+        } else if (item instanceof HttpParseError error) {
+          printed.append(error.status() + " " + error.cause() + "\n");
         }
       }
-      return read.toString();
+      return printed.toString();
     };
   }
 
-  private static Machine engine() {
-    EngineResponseParser reader = new EngineResponseParser();
+  private static PrintingParser engine() {
+    EngineResponseParser parser = new EngineResponseParser();
     return bytes -> {
-      StringBuilder read = new StringBuilder();
+      StringBuilder printed = new StringBuilder();
       try {
-        reader.feed(bytes);
-        for (EngineResponse response = reader.next(); response != null; response = reader.next()) {
-          read.append(
+        parser.feed(bytes);
+        for (EngineResponse response = parser.next(); response != null; response = parser.next()) {
+          printed.append(
               response.id()
                   + " "
                   + response.word()
@@ -123,17 +129,17 @@
                   + "'\n");
         }
       } catch (IllegalArgumentException e) {
-        read.append("fault: ").append(e.getMessage()).append('\n');
+        printed.append("fault: ").append(e.getMessage()).append('\n');
       }
-      return read.toString();
+      return printed.toString();
     };
   }
 
   @Test
-  void clientRequestsReadTheSameHoweverTheyAreSplit() {
-    StringBuilder printed = new StringBuilder(readAnyhow(WireTest::http, bytes(CALLS)));
+  void clientRequestsAreParsedTheSameForEverySplit() {
+    StringBuilder printed = new StringBuilder(parseAllSplits(WireTest::http, bytes(REQUESTS)));
     String head = "POST /v1/look HTTP/1.1\r\nHost: a\r\n";
-    for (String bad :
+    for (String malformed :
         List.of(
             "GET /\r\n\r\n",
             "GET / HTTP/2.0\r\n\r\n",
@@ -152,20 +158,20 @@
             head + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
             "GET /" + "a".repeat(5000) + " HTTP/1.1\r\n",
             head + ("A" + "b".repeat(90) + ": c\r\n").repeat(200))) {
-      String shown = bad.length() > 90 ? bad.substring(0, 60) + "..." : bad;
+      String shown = malformed.length() > 90 ? malformed.substring(0, 60) + "..." : malformed;
       printed
           .append(shown.replace("\r\n", "|"))
           .append(" -> ")
-          .append(read(WireTest::http, bytes(bad)));
+          .append(parse(WireTest::http, bytes(malformed)));
     }
     KeptTraces.assertMatches("net-http", printed.toString());
   }
 
   @Test
-  void engineResponsesReadTheSameHoweverTheyAreSplit() {
+  void engineResponsesAreParsedTheSameForEverySplit() {
     StringBuilder printed =
         new StringBuilder(
-            readAnyhow(
+            parseAllSplits(
                 WireTest::engine,
                 bytes(
                     """
@@ -183,7 +189,7 @@
                     7c refused - 0\r
                     \r
                     """)));
-    for (String bad :
+    for (String malformed :
         List.of(
             "9b ok count=1 3\r\nabcd\r\n",
             "9b ok\r\n",
@@ -194,11 +200,11 @@
             "9b ok - 99999\r\n",
             "9b ok - -1\r\n",
             "a".repeat(2000))) {
-      String shown = bad.length() > 90 ? bad.substring(0, 60) + "..." : bad;
+      String shown = malformed.length() > 90 ? malformed.substring(0, 60) + "..." : malformed;
       printed
           .append(shown.replace("\r", "").replace("\n", "|"))
           .append(" -> ")
-          .append(read(WireTest::engine, bytes(bad)));
+          .append(parse(WireTest::engine, bytes(malformed)));
     }
     printed.append(
         text(
@@ -208,7 +214,7 @@
   }
 
   @Test
-  void statementsBelongToTheGroupOfTheirTables() {
+  void statementsHaveTheGroupOfTheirTables() {
     StringBuilder printed = new StringBuilder();
     for (String statement :
         List.of(
@@ -231,7 +237,7 @@
   }
 
   @Test
-  void discoveryAnswersAreReadAndMalformedOnesRefused() {
+  void discoveryAnswersAreParsedAndMalformedOnesRejected() {
     byte[] message =
         DiscoveryAnswers.of(
             77,
@@ -251,16 +257,16 @@
     loop[13] = 12;
     byte[] truncated = message.clone();
     truncated[2] |= 2;
-    EndpointWatchEvent part = Dns.answer(Arrays.copyOf(truncated, message.length - 50), 77);
-    printed.append("truncated behind the first address: ").append(part).append('\n');
-    byte[] refused = message.clone();
-    refused[3] |= 5;
-    Map<String, byte[]> bad =
-        new TreeMap<>(Map.of("loop", loop, "refused", refused, "query", Dns.query(77)));
-    bad.forEach(
-        (what, bytes) ->
+    EndpointWatchEvent partial = Dns.answer(Arrays.copyOf(truncated, message.length - 50), 77);
+    printed.append("truncated after the first address: ").append(partial).append('\n');
+    byte[] refusal = message.clone();
+    refusal[3] |= 5;
+    Map<String, byte[]> malformedMessages =
+        new TreeMap<>(Map.of("loop", loop, "refused", refusal, "query", Dns.query(77)));
+    malformedMessages.forEach(
+        (name, bytes) ->
             printed
-                .append(what)
+                .append(name)
                 .append(": ")
                 .append(
                     assertThrows(IllegalArgumentException.class, () -> Dns.answer(bytes, 77))
@@ -275,11 +281,12 @@
   }
 
   /**
-   * Guards large fleets: names past the reach of a pointer are read, and where an answer did not
-   * hold all, what it tells is taken for a part, cut wherever it may be.
+   * Guards answers about large fleets, which have names beyond the reach of a compression pointer
+   * and may be truncated. A truncated answer must give a partial list, wherever it is cut, and must
+   * not be taken for the complete list.
    */
   @Test
-  void discoveryAnswersOfLargeFleetsAreReadWholeOrInPart() {
+  void discoveryAnswersOfLargeFleetsAreParsedCompletelyOrAsPartial() {
     String[] engines =
         IntStream.range(0, 1024)
             .mapToObj(
@@ -297,7 +304,7 @@
     assertEquals(1024, Dns.answer(message, 9).entries().size());
     assertEquals("127.0.4.24", Dns.answer(message, 9).entries().get(1023).address());
     message[2] |= 2;
-    int readable = 0;
+    int parsed = 0;
     for (int end = 0;
         end <= message.length;
         end += end < 30_000 ? 211 : end < message.length - 2000 ? 71 : 1) {
@@ -308,12 +315,12 @@
         assertEquals(
             341 + 1,
             update.entries().stream().filter(e -> e.standing() == Status.DRAINING).count());
-        readable++;
+        parsed++;
       } catch (IllegalArgumentException e) {
         assertTrue(e.getMessage() != null);
       }
     }
-    assertTrue(readable > 40, "at the ends of records: " + readable);
+    assertTrue(parsed > 40, "expected more than 40 cuts that give a partial list, got " + parsed);
   }
 
   private static byte[] bytes(String text) {
