--- a/gateway/src/main/java/tillerlink/Main.java
+++ b/gateway/src/main/java/tillerlink/Main.java
@@ -6,11 +6,11 @@
 import tillerlink.wirehost.MalformedWireException;
 import tillerlink.wirehost.WireHost;
 
-/** The command line: one subcommand, {@code serve} or {@code wirehost}. */
+/** The entry point, which takes one subcommand: {@code serve} or {@code wirehost}. */
 public final class Main {
   private static final int OK = 0;
-  private static final int FAULT = 1;
-  private static final int USAGE = 2;
+  private static final int FAILURE = 1;
+  private static final int USAGE_ERROR = 2;
 
   private Main() {}
 
@@ -19,30 +19,32 @@
   }
 
   /**
-   * Guards against a process that lives on and serves nobody, since its thread for reading and
-   * writing died: it ends with the reason on standard error, and is started anew.
+   * Prints the reason on standard error and halts the process when a thread dies. Guards against a
+   * process that stays alive but serves no clients because its I/O thread died; a process that
+   * exits can be restarted.
    */
-  private static void died(Thread thread, Throwable why) {
+  private static void onThreadDeath(Thread thread, Throwable cause) {
     System.err.println("tillerlink: the thread '" + thread.getName() + "' died");
-    why.printStackTrace();
-    Runtime.getRuntime().halt(FAULT);
+    cause.printStackTrace();
+    Runtime.getRuntime().halt(FAILURE);
   }
 
-  @SuppressWarnings("CatchAndPrintStackTrace") // There may be no log yet; the process ends.
+  @SuppressWarnings("CatchAndPrintStackTrace") // Logging may not be set up yet; the process exits.
   private static int run(String[] args) {
     try {
       switch (args.length == 1 ? args[0] : "") {
         case "serve" -> {
-          Thread.setDefaultUncaughtExceptionHandler(Main::died);
+          Thread.setDefaultUncaughtExceptionHandler(Main::onThreadDeath);
           new GatewayServer().serve(System.getenv(), DefaultDispatchPolicy::new);
         }
         case "wirehost" -> new WireHost(DefaultDispatchPolicy::new).serve(System.in, System.out);
         default -> {
           System.err.println("usage: java -jar tillerlink.jar serve|wirehost");
-          System.err.println("  serve      one gateway on sockets, as EDGE_CONFIG tells it");
           System.err.println(
-              "  wirehost   read batches from standard input, answer each on standard output");
-          return USAGE;
+              "  serve      one gateway on sockets, configured by the file that EDGE_CONFIG names");
+          System.err.println(
+              "  wirehost   read batches from standard input, write responses to standard output");
+          return USAGE_ERROR;
         }
       }
       return OK;
@@ -53,9 +55,9 @@
     } catch (InterruptedException e) {
       System.err.println("tillerlink: interrupted");
     } catch (RuntimeException | Error e) {
-      // Guards against a process that lives on without the thread that serves.
+      // Guards against a process that stays alive without the thread that serves.
       e.printStackTrace();
     }
-    return FAULT;
+    return FAILURE;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/lifecycle/EventLoop.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/EventLoop.java
@@ -10,12 +10,23 @@
 import tillerlink.net.state.Gateway;
 import tillerlink.plain.Units;
 
-/** The loop of the one thread that owns policy and state, and the queue of its events. */
+/**
+ * The event loop of the single thread that owns the dispatch policy and the gateway's state, with
+ * the queue of its events.
+ */
 final class EventLoop {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
+
+  /** The maximum number of events in one iteration. */
   private static final int MAX_EVENTS = 256;
-  private static final long MIN_PAUSE = 100 * Units.TENTHS_PER_MS;
-  private static final long CATCH_UP = 20 * Units.TENTHS_PER_MS;
+
+  /**
+   * The delay after which the process is assumed to have been paused, in tenths of a millisecond.
+   */
+  private static final long MIN_PAUSE_TENTHS = 100 * Units.TENTHS_PER_MS;
+
+  /** The time to wait for pending input after a pause, in tenths of a millisecond. */
+  private static final long CATCH_UP_TENTHS = 20 * Units.TENTHS_PER_MS;
 
   final BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
   private final LongSupplier clock;
@@ -24,22 +35,22 @@
     this.clock = clock;
   }
 
-  /** Runs iterations until {@code done}. */
+  /** Runs iterations until {@code done} returns true. */
   void run(Gateway gateway, BooleanSupplier done) throws InterruptedException {
     while (!done.getAsBoolean()) {
       long dueAt = gateway.dueAt();
       Runnable first = await(dueAt - clock.getAsLong());
-      // Guards against taking a pause of this machine for a silent engine: what engines said
-      // meanwhile may
-      // still be unread, and is heard before anything that is due.
-      if (first == null && clock.getAsLong() > dueAt + MIN_PAUSE) {
-        first = await(CATCH_UP);
+      // Guards against mistaking a pause of this machine for a silent engine: responses that
+      // arrived during the pause may still be unread, so they are processed before any task that is
+      // due.
+      if (first == null && clock.getAsLong() > dueAt + MIN_PAUSE_TENTHS) {
+        first = await(CATCH_UP_TENTHS);
       }
       iterate(gateway, first);
     }
   }
 
-  /** Runs an iteration if an event has come or something is due; waits for nothing. */
+  /** Runs an iteration if an event is queued or a task is due; never blocks. */
   void runIfDue(Gateway gateway) {
     Runnable first = queue.poll();
     if (first != null || clock.getAsLong() >= gateway.dueAt()) {
@@ -58,6 +69,13 @@
     runSafely(gateway::endIteration);
   }
 
+  /**
+   * Waits for the next event.
+   *
+   * @param tenths the longest wait, in tenths of a millisecond; does not block if it is not
+   *     positive
+   * @return the event, or null if none was queued in that time
+   */
   private Runnable await(long tenths) throws InterruptedException {
     return tenths <= 0
         ? queue.poll()
@@ -65,9 +83,10 @@
   }
 
   /**
-   * One event that fails takes nothing else with it: also one whose classes can't be read any more,
-   * since the jar was replaced under the process, or that went too deep. Other errors say that the
-   * process is at its end.
+   * Runs an event and logs its failure, so that one failing event does not stop the gateway. This
+   * includes an event whose classes cannot be loaded because the jar was replaced while the process
+   * runs, and one whose recursion is too deep. Any other {@link Error} means that the process
+   * cannot continue, so it propagates.
    */
   private static void runSafely(Runnable event) {
     try {
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -19,16 +19,18 @@
 import tillerlink.port.DispatchPolicyFactory;
 
 /**
- * One gateway process: start, event loop, drain, stop. The calling thread becomes the event-loop
- * thread; signals come on threads of their own and only post to its queue.
+ * The lifecycle of one gateway process: start, event loop, drain, stop. The thread that calls
+ * {@code serve} becomes the event-loop thread; signal handlers run on other threads and only add
+ * events to its queue.
  */
 public final class GatewayServer {
   private static final Logger LOG = LoggerFactory.getLogger(GatewayServer.class);
 
   /**
-   * Reserved beside those that the process has open when it starts: two sockets to the discovery
-   * service and one that is being replaced, the listening one, three selectors of three each, the
-   * configuration read again, some of the system's.
+   * The number of file descriptors that the gateway needs besides those that are open at its start
+   * and those of connections: two sockets to the discovery service and one that is being replaced,
+   * the listening socket, three selectors with three descriptors each, the configuration file while
+   * it is read again, and some for the operating system.
    */
   private static final int RESERVED_DESCRIPTORS = 24;
 
@@ -39,19 +41,27 @@
   private Gateway gateway;
   private GracefulShutdown shutdown;
 
-  /** Serves until the process is told to end, with the line protocol and no extension. */
+  /**
+   * Serves until the process receives SIGTERM, with the line protocol and without an extension.
+   *
+   * @param environment the environment variables
+   * @throws IOException if the configuration cannot be read or the gateway cannot listen
+   */
   public void serve(Map<String, String> environment, DispatchPolicyFactory policies)
       throws IOException, InterruptedException {
     serve(environment, policies, null, config -> null, null);
   }
 
   /**
-   * Serves until the process is told to end.
+   * Serves until the process receives SIGTERM.
    *
-   * @param transports how engines are reached, by their kinds; null: over engine lines
-   * @param endpointCaches creates what is cached across restarts, by the configuration; may return
-   *     null
-   * @param extensions creates the gateway's extension; null: it has none
+   * @param environment the environment variables
+   * @param transports creates the transports to engines, by engine kind; null to use the line
+   *     protocol for all engines
+   * @param endpointCaches creates the endpoint cache that persists across restarts, for a
+   *     configuration; may return null for no cache
+   * @param extensions creates the extension of the gateway; null for no extension
+   * @throws IOException if the configuration cannot be read or the gateway cannot listen
    */
   public void serve(
       Map<String, String> environment,
@@ -61,9 +71,10 @@
       GatewayExtension.Factory extensions)
       throws IOException, InterruptedException {
     Path path = configPath(environment);
-    // From the first moment on, for a JVM that nobody told otherwise ends on this signal.
-    boolean signalled = onHangUp(() -> reload(path));
-    // Before it is read: a file that is replaced from then on is read again.
+    // Installed first, because a JVM without a handler terminates on this signal.
+    boolean signalled = handleHangUp(() -> reload(path));
+    // Created before the file is read, so that a replacement from this point on is detected and the
+    // file is read again.
     ConfigFileWatcher watcher = new ConfigFileWatcher(path, () -> reload(path));
     GatewayConfig config = readConfig(path);
     createGateway(config, policies, transports, endpointCaches.apply(config));
@@ -80,27 +91,31 @@
           path);
       watcher.start();
     }
-    run(config, extension);
+    runEventLoop(config, extension);
   }
 
   private static Path configPath(Map<String, String> environment) throws IOException {
     String file = environment.get("EDGE_CONFIG");
     if (file == null) {
-      throw new IOException("EDGE_CONFIG names no file");
+      throw new IOException(
+          "environment variable EDGE_CONFIG is not set; it must name the configuration file");
     }
     return Path.of(file);
   }
 
-  /** The configuration, with the descriptors left that the process needs for itself. */
+  /**
+   * Reads the configuration and subtracts the file descriptors that the process itself needs from
+   * those available for connections.
+   */
   private static GatewayConfig readConfig(Path path) throws IOException {
-    GatewayConfig whole = GatewayConfig.read(path);
+    GatewayConfig fileConfig = GatewayConfig.read(path);
     int reserved = descriptorsInUse() + RESERVED_DESCRIPTORS;
-    GatewayConfig config = whole.withoutDescriptors(reserved);
+    GatewayConfig config = fileConfig.withoutDescriptors(reserved);
     LOG.info(
         "{} starting with {} engines in the configuration, {} descriptors, {} of them reserved",
         config.name(),
         config.known().stream().mapToInt(list -> list.entries().size()).sum(),
-        whole.sockets(),
+        fileConfig.sockets(),
         reserved);
     return config;
   }
@@ -122,22 +137,23 @@
   }
 
   /**
-   * The discovery service is polled meanwhile, so that the endpoint list is confirmed by the time
-   * that clients come.
+   * Warms up the JVM. The discovery service is polled at the same time, so that the endpoint list
+   * is confirmed by the time the first clients connect.
    */
   private void warmUp(GatewayConfig config, DispatchPolicyFactory policies) {
     try {
-      new JvmWarmup(config, policies, clock.now()).play(() -> eventLoop.runIfDue(gateway));
+      new JvmWarmup(config, policies, clock.now()).run(() -> eventLoop.runIfDue(gateway));
     } catch (RuntimeException e) {
       LOG.warn("JVM warm-up failed; starting without it", e);
     }
   }
 
-  private void run(GatewayConfig config, GatewayExtension extension)
+  private void runEventLoop(GatewayConfig config, GatewayExtension extension)
       throws IOException, InterruptedException {
     shutdown = new GracefulShutdown(gateway);
     try {
-      // Before anybody can connect, for whoever does is owed an answer.
+      // Registered before any client can connect, because every client that connects must get a
+      // response.
       Runtime.getRuntime().addShutdownHook(new Thread(this::drain, "drain"));
       driver.listen(config.listen());
       LOG.info("{} listens on {}", config.name(), config.listen());
@@ -152,8 +168,8 @@
   }
 
   /**
-   * What files, channels and sockets of its own the process has open; none is counted if the system
-   * does not tell.
+   * Returns the number of file descriptors that the process has open; 0 if the operating system
+   * does not provide it.
    */
   private static int descriptorsInUse() {
     String[] open = new File("/proc/self/fd").list();
@@ -161,20 +177,23 @@
   }
 
   /**
-   * The JDK has no other way to hear of a signal; without this the process ends on it. False where
-   * the signal was ignored when this process started, as under nohup: then the JVM goes on ignoring
-   * it and calls nobody.
+   * Installs the handler of SIGHUP, on which the process would otherwise terminate. Uses {@code
+   * sun.misc} because the JDK has no other API for signals.
+   *
+   * @return false if the process was started with the signal ignored, as under nohup; the JVM then
+   *     continues to ignore the signal and never runs the handler
    */
-  private static boolean onHangUp(Runnable reload) {
+  private static boolean handleHangUp(Runnable reload) {
     sun.misc.SignalHandler before =
         sun.misc.Signal.handle(new sun.misc.Signal("HUP"), signal -> reload.run());
     return before != sun.misc.SignalHandler.SIG_IGN;
   }
 
   /**
-   * SIGHUP came, or the file changed where that can't be heard: the discovery service is asked
-   * where the configuration says now; all else goes on. Runs on a thread of the signal's own, one
-   * after the other: of two that come at once, the later reading holds.
+   * Reads the configuration again after SIGHUP, or after a change of the file if the signal is
+   * ignored. Only the address of the discovery service is applied; all other settings stay. Runs on
+   * a signal or watcher thread and is synchronized, so that of two concurrent reloads the one that
+   * read the file later takes effect.
    */
   private synchronized void reload(Path path) {
     try {
@@ -190,7 +209,7 @@
     }
   }
 
-  /** SIGTERM came: waits until the last answer is out. */
+  /** Starts the graceful shutdown after SIGTERM and blocks until the last response is written. */
   private void drain() {
     LOG.info("draining");
     eventLoop.queue.add(() -> shutdown.begin(clock.now()));
--- a/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/JvmWarmup.java
@@ -13,20 +13,26 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * Runs simulated requests through a gateway of its own, which has no network, before the real one
- * listens. Runs on the event-loop thread. Guards the first seconds: code that was not yet called is
- * not compiled and takes many times as long, on part of a core.
+ * Warm-up of the JVM before the gateway listens: runs simulated requests through a second gateway
+ * that has no network. Runs on the event-loop thread. Prevents slow responses in the first seconds
+ * of service, because code that was not called before is not compiled yet and takes many times as
+ * long when the process has only part of a core.
  */
 final class JvmWarmup implements NetworkDriver {
-  private static final int HEAP_SHARE = 4;
+  /** The simulated gateway may use the maximum heap size divided by this number. */
+  private static final int HEAP_DIVISOR = 4;
+
   private static final int ROUNDS = 600;
-  private static final long STEP = 20 * Units.TENTHS_PER_MS;
+
+  /** The simulated time between two rounds, in tenths of a millisecond. */
+  private static final long ROUND_TENTHS = 20 * Units.TENTHS_PER_MS;
+
   private static final long MAX_NANOS = 1_500_000_000;
   private static final String STATEMENT =
       "SELECT day, count(*) FROM a_1.b WHERE t = 'x' GROUP BY day";
   private static final String ROW = "a\tb\tc\n";
 
-  private final ArrayDeque<Runnable> next = new ArrayDeque<>();
+  private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
   private final Gateway gateway;
   private final GatewayConfig config;
   private Channel.Owner client;
@@ -41,27 +47,30 @@
             policies,
             this,
             now,
-            Runtime.getRuntime().maxMemory() / HEAP_SHARE,
+            Runtime.getRuntime().maxMemory() / HEAP_DIVISOR,
             null,
             null,
             Telemetry.silent());
   }
 
   /**
-   * @param betweenRounds called between two rounds, for what can't wait until it is over
+   * Runs the simulated requests, 600 at most and for 1.5 s at most. Does nothing if the
+   * configuration has no request classes.
+   *
+   * @param betweenRounds called after each round, for work that cannot wait until the warm-up ends
    */
-  void play(Runnable betweenRounds) {
+  void run(Runnable betweenRounds) {
     List<String> requestClasses = config.requestClasses();
     if (requestClasses.isEmpty()) {
       return;
     }
-    long until = System.nanoTime() + MAX_NANOS;
+    long deadlineNanos = System.nanoTime() + MAX_NANOS;
     client = gateway.onClientConnected(new SimulatedChannel());
-    for (int i = 0; i < ROUNDS && System.nanoTime() < until; i++) {
-      String id = String.format("%016x", i);
+    for (int round = 0; round < ROUNDS && System.nanoTime() < deadlineNanos; round++) {
+      String id = String.format("%016x", round);
       send(
           "POST /v1/"
-              + requestClasses.get(i % requestClasses.size())
+              + requestClasses.get(round % requestClasses.size())
               + " HTTP/1.1\r\nHost: app\r\nX-Correlation-Id: "
               + id
               + "\r\nX-Deadline-Ms: 500\r\nX-Estimate-Ms: 10.5\r\nX-Space: 20\r\nX-Operation-Key: "
@@ -71,19 +80,19 @@
               + "\r\n\r\n"
               + STATEMENT);
       send("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: app\r\n\r\n");
-      now += STEP;
+      now += ROUND_TENTHS;
       betweenRounds.run();
     }
   }
 
   private void send(String text) {
-    inIteration(() -> client.onBytes(text.getBytes(StandardCharsets.ISO_8859_1)));
-    while (!next.isEmpty()) {
-      inIteration(next.poll());
+    runInIteration(() -> client.onBytes(text.getBytes(StandardCharsets.ISO_8859_1)));
+    while (!pendingEvents.isEmpty()) {
+      runInIteration(pendingEvents.poll());
     }
   }
 
-  private void inIteration(Runnable event) {
+  private void runInIteration(Runnable event) {
     gateway.beginIteration(now);
     event.run();
     gateway.endIteration();
@@ -93,33 +102,34 @@
   public Channel connect(InetSocketAddress to, Channel.Owner owner) {
     SimulatedChannel channel = new SimulatedChannel();
     channel.engine = owner;
-    next.add(owner::onOpened);
+    pendingEvents.add(owner::onOpened);
     return channel;
   }
 
   @Override
   public void sendDiscoveryQuery(byte[] datagram) {
-    // Nobody answers.
+    // There is no discovery service; queries remain unanswered.
   }
 
   @Override
   public void flush() {
-    // What was written is taken in the iterations that follow.
+    // Written bytes are processed in the following iterations.
   }
 
-  /** A connection at whose other end an engine answers at once, or a client reads. */
+  /** A connection to a simulated engine that responds immediately, or to a simulated client. */
   private final class SimulatedChannel implements Channel {
+    /** The owner of an engine connection; null for the connection of the client. */
     private Owner engine;
 
     @Override
     public void write(byte[] bytes) {
       if (engine == null) {
-        next.add(client::onWritten);
+        pendingEvents.add(client::onWritten);
         return;
       }
-      next.add(engine::onWritten);
+      pendingEvents.add(engine::onWritten);
       String[] words = new String(bytes, StandardCharsets.ISO_8859_1).split("[ \r]", 4);
-      String answer =
+      String response =
           switch (words[0]) {
             case "want" ->
                 " progress tell=frac,reading=0.5 0\r\n\r\n"
@@ -131,26 +141,27 @@
             case "turn" -> " batch pos=" + words[2] + " " + ROW.length() + "\r\n" + ROW;
             default -> "";
           };
-      if (!answer.isEmpty()) {
-        next.add(
+      if (!response.isEmpty()) {
+        pendingEvents.add(
             () ->
-                engine.onBytes((words[1] + answer + "\r\n").getBytes(StandardCharsets.ISO_8859_1)));
+                engine.onBytes(
+                    (words[1] + response + "\r\n").getBytes(StandardCharsets.ISO_8859_1)));
       }
     }
 
     @Override
     public void close() {
-      // Nobody is there.
+      // There is no peer to notify.
     }
 
     @Override
     public void abort() {
-      // Nobody is there.
+      // There is no peer to notify.
     }
 
     @Override
     public void pauseReading(boolean paused) {
-      // Nothing more comes.
+      // Input arrives only in response to writes.
     }
   }
 }
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -28,44 +28,58 @@
 import tillerlink.port.DispatchActions;
 import tillerlink.port.DispatchPolicy;
 
+/** Tests of the event loop, the JVM warm-up and the archive of classes. */
 class EventLoopTest {
   private static final long START = 17_000_000_000_000L;
-  private static final long PAUSE = 30_000;
+  private static final long PAUSE_TENTHS = 30_000;
 
-  private final List<String> happened = new ArrayList<>();
+  private final List<String> recorded = new ArrayList<>();
   private long now = START;
-  private int reads;
+  private int clockReads;
   private EventLoop eventLoop;
 
-  /** Guards against taking a pause of this machine for a silent engine. */
+  /**
+   * Guards against mistaking a pause of this machine for a silent engine: input that arrived during
+   * the pause must be processed before any task that became due.
+   */
   @Test
-  void inputOfAPauseIsProcessedBeforeWhatIsDue() throws InterruptedException {
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    GatewayConfig config = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
+  void inputReceivedDuringAPauseIsProcessedBeforeDueTasks() throws InterruptedException {
+    InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    GatewayConfig config =
+        new GatewayConfig("n0", unusedAddress, unusedAddress, 7, 1024, Map.of(), List.of());
     eventLoop = new EventLoop(this::clock);
     Gateway gateway =
-        new Gateway(config, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
+        new Gateway(
+            config,
+            (now, seed, settings, actions) -> recordingPolicy(actions),
+            new NoNetwork(),
+            START);
     gateway.beginIteration(START);
     gateway.endIteration();
-    now += PAUSE;
-    eventLoop.run(gateway, () -> happened.size() > 2);
+    now += PAUSE_TENTHS;
+    eventLoop.run(gateway, () -> recorded.size() > 2);
     assertEquals(
         List.of(
-            "onEndpointListStateChanged", "applyDecisions", "heard", "onWakeup", "applyDecisions"),
-        happened);
+            "onEndpointListStateChanged", "applyDecisions", "input", "onWakeup", "applyDecisions"),
+        recorded);
   }
 
   /**
-   * Guards what is beside an event that fails: seen as a process that ended on a class which could
-   * not be loaded.
+   * Guards the events after one that fails. Without that protection, a process exited because a
+   * class could not be loaded.
    */
   @Test
   void aFailingEventDoesNotStopTheOthers() throws InterruptedException {
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    GatewayConfig config = new GatewayConfig("n0", any, any, 7, 1024, Map.of(), List.of());
+    InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    GatewayConfig config =
+        new GatewayConfig("n0", unusedAddress, unusedAddress, 7, 1024, Map.of(), List.of());
     eventLoop = new EventLoop(() -> now);
     Gateway gateway =
-        new Gateway(config, (now, seed, settings, actions) -> policy(actions), new Mute(), START);
+        new Gateway(
+            config,
+            (now, seed, settings, actions) -> recordingPolicy(actions),
+            new NoNetwork(),
+            START);
     eventLoop.queue.add(
         () -> {
           throw new NoClassDefFoundError("Late");
@@ -78,14 +92,14 @@
         () -> {
           throw new IllegalStateException();
         });
-    eventLoop.queue.add(() -> happened.add("the next"));
-    eventLoop.run(gateway, () -> happened.contains("the next"));
+    eventLoop.queue.add(() -> recorded.add("next event"));
+    eventLoop.run(gateway, () -> recorded.contains("next event"));
   }
 
   /**
-   * Guards a process whose jar is replaced under it: each of its classes comes from the archive
-   * that the build writes, also those first needed in trouble. When this fails, add the name that
-   * it prints to deploy/classes.lst.
+   * Guards a process whose jar is replaced while it runs: each class must be in the archive that
+   * the build writes, including classes that are first needed when an error occurs. If this test
+   * fails, add the printed names to deploy/classes.lst.
    */
   @Test
   void everyClassIsInTheArchive() throws IOException, URISyntaxException {
@@ -109,12 +123,12 @@
   }
 
   /**
-   * Guards the first seconds: all that a request passes through has been played often enough to be
-   * compiled.
+   * Guards the first seconds of service: the warm-up must run the whole path of a request often
+   * enough for the JVM to compile it.
    */
   @Test
-  void theWarmupPlaysRequestsToTheirEnd() {
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+  void warmupRunsRequestsToCompletion() {
+    InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     Map<String, Object> terms =
         Map.of(
             "profiles",
@@ -135,8 +149,8 @@
     GatewayConfig config =
         new GatewayConfig(
             "n0",
-            any,
-            any,
+            unusedAddress,
+            unusedAddress,
             7,
             1024,
             terms,
@@ -144,62 +158,65 @@
     new JvmWarmup(
             config,
             (now, seed, settings, actions) -> {
-              DispatchPolicy module = new DefaultDispatchPolicy(now, seed, settings, actions);
+              DispatchPolicy delegate = new DefaultDispatchPolicy(now, seed, settings, actions);
               return (DispatchPolicy)
                   Proxy.newProxyInstance(
                       getClass().getClassLoader(),
                       new Class<?>[] {DispatchPolicy.class},
                       (proxy, method, values) -> {
-                        happened.add(
+                        recorded.add(
                             method.getName().equals("onAttemptEnded")
                                 ? values[2].toString()
                                 : method.getName());
-                        return method.invoke(module, values);
+                        return method.invoke(delegate, values);
                       });
             },
             START)
-        .play(() -> {});
-    assertTrue(happened.stream().filter("SUCCEEDED"::equals).count() > 20, happened::toString);
+        .run(() -> {});
+    assertTrue(recorded.stream().filter("SUCCEEDED"::equals).count() > 20, recorded::toString);
   }
 
   /**
-   * The machine goes on where it stood; only after a moment its other threads read what had come.
+   * Returns the current time, as the clock of the event loop. The second reading adds an event, as
+   * after a pause in which the event loop continues before the I/O threads read the pending input.
    */
   private long clock() {
-    if (++reads == 2) {
-      eventLoop.queue.add(() -> happened.add("heard"));
+    if (++clockReads == 2) {
+      eventLoop.queue.add(() -> recorded.add("input"));
     }
     return now;
   }
 
-  private DispatchPolicy policy(DispatchActions actions) {
+  /** Returns a policy that records its calls and, on the first one, schedules a wakeup. */
+  private DispatchPolicy recordingPolicy(DispatchActions actions) {
     return (DispatchPolicy)
         Proxy.newProxyInstance(
             getClass().getClassLoader(),
             new Class<?>[] {DispatchPolicy.class},
             (proxy, method, values) -> {
-              happened.add(method.getName());
-              if (happened.size() == 1) {
-                actions.scheduleWakeup(START + PAUSE / 10);
+              recorded.add(method.getName());
+              if (recorded.size() == 1) {
+                actions.scheduleWakeup(START + PAUSE_TENTHS / 10);
               }
               return null;
             });
   }
 
-  private static final class Mute implements NetworkDriver {
+  /** A driver without a network. */
+  private static final class NoNetwork implements NetworkDriver {
     @Override
     public Channel connect(InetSocketAddress to, Channel.Owner owner) {
-      throw new IllegalStateException("nothing is to be dialed");
+      throw new IllegalStateException("unexpected connection attempt");
     }
 
     @Override
     public void sendDiscoveryQuery(byte[] datagram) {
-      // Nobody answers.
+      // There is no discovery service; queries remain unanswered.
     }
 
     @Override
     public void flush() {
-      // Nothing is written.
+      // There is nothing to flush.
     }
   }
 }
