--- a/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -75,7 +75,7 @@
   /** A whole request, or what can't be one, has come on a connection. */
   void handle(ClientConnection client, HttpParseResult item) {
     if (item instanceof HttpParseError error) {
-      client.refuse(HttpResponse.problem(error.status(), error.cause(), 0));
+      client.refuse(HttpResponse.problem(error.status(), error.problem(), 0));
       return;
     }
     HttpRequest http = (HttpRequest) item;
--- a/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
+++ b/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
@@ -11,6 +11,7 @@
 import tillerlink.model.Settings;
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
+import tillerlink.net.wire.MalformedProtocolException;
 import tillerlink.net.wire.SubmitRequest;
 import tillerlink.plain.Units;
 import tillerlink.telemetry.EventLog.Topic;
@@ -74,8 +75,8 @@
     SubmitRequest submitted;
     try {
       submitted = SubmitRequest.of(http);
-    } catch (IllegalArgumentException e) {
-      reply.answer(HttpResponse.problem(400, e.getMessage(), 0));
+    } catch (MalformedProtocolException e) {
+      reply.answer(HttpResponse.problem(400, e.problem(), 0));
       return null;
     }
     HttpResponse immediate = answerWithoutAccepting(submitted, requestClass);
--- a/gateway/src/main/java/tillerlink/net/wire/Ascii.java
+++ b/gateway/src/main/java/tillerlink/net/wire/Ascii.java
@@ -28,7 +28,7 @@
     try {
       return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
     } catch (CharacterCodingException e) {
-      throw new MalformedProtocolException("not UTF-8", e);
+      throw new MalformedProtocolException("not UTF-8", "text is not valid UTF-8", e);
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/wire/HttpParseError.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpParseError.java
@@ -1,9 +1,13 @@
 package tillerlink.net.wire;
 
 /**
- * Received bytes are no usable request; the connection ends after the response that says so.
+ * An error in received bytes that are not a valid request. The connection is closed after the
+ * response to it.
  *
- * @param status the status of that response
- * @param cause what is wrong, for that response
+ * @param status the status code of the response
+ * @param problem the reason as the body of the response states it; part of the protocol, so clients
+ *     may match it
+ * @param message the reason in full, with the expected and the received value
  */
-public record HttpParseError(int status, String cause) implements HttpParseResult {}
+public record HttpParseError(int status, String problem, String message)
+    implements HttpParseResult {}
--- a/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
@@ -107,7 +107,7 @@
     } catch (BadRequestException e) {
       failed = true;
       bytes.skip(bytes.size());
-      return new HttpParseError(e.status, e.getMessage());
+      return new HttpParseError(e.status, e.problem, e.getMessage());
     }
   }
 
@@ -126,7 +126,8 @@
     boolean http10 = requestLine[2].equals(HTTP_1_0);
     Map<String, String> fields = parseFields(lines);
     if (!http10 && !fields.containsKey(HOST)) {
-      throw new BadRequestException(HttpStatus.BAD_REQUEST, "no Host");
+      throw new BadRequestException(
+          HttpStatus.BAD_REQUEST, "no Host", "HTTP/1.1 request without a Host header");
     }
     bodyLength = bodyLength(fields);
     head =
@@ -151,10 +152,16 @@
       int lineTo = bytes.indexOf((byte) '\n', lineFrom);
       int reached = lineTo < 0 ? bytes.size() : lineTo + 1;
       if (lineFrom == 0 && reached > MAX_REQUEST_LINE_BYTES) {
-        throw new BadRequestException(HttpStatus.URI_TOO_LONG, "request line too long");
+        throw new BadRequestException(
+            HttpStatus.URI_TOO_LONG,
+            "request line too long",
+            "request line exceeds " + MAX_REQUEST_LINE_BYTES + " bytes");
       }
       if (reached > MAX_HEAD_BYTES) {
-        throw new BadRequestException(HttpStatus.HEADER_FIELDS_TOO_LARGE, "head too long");
+        throw new BadRequestException(
+            HttpStatus.HEADER_FIELDS_TOO_LARGE,
+            "head too long",
+            "request head exceeds " + MAX_HEAD_BYTES + " bytes");
       }
       if (lineTo < 0) {
         scanned = lineFrom;
@@ -175,13 +182,17 @@
   private static String[] parseRequestLine(String line) {
     String[] words = line.split(" ", -1);
     if (words.length != 3 || words[0].isEmpty() || words[1].isEmpty()) {
-      throw new BadRequestException(HttpStatus.BAD_REQUEST, "request line");
+      throw new BadRequestException(
+          HttpStatus.BAD_REQUEST,
+          "request line",
+          "expected method, target and version in request line, got '" + line + "'");
     }
     String version = words[2];
     if (!version.equals(HTTP_1_1) && !version.equals(HTTP_1_0)) {
       throw new BadRequestException(
           version.startsWith(HTTP) ? HttpStatus.VERSION_NOT_SUPPORTED : HttpStatus.BAD_REQUEST,
-          "version");
+          "version",
+          "expected version " + HTTP_1_1 + " or " + HTTP_1_0 + ", got '" + version + "'");
     }
     return words;
   }
@@ -190,7 +201,10 @@
     Map<String, String> fields = new HashMap<>();
     for (int i = 1; i < lines.length; i++) {
       if (i > MAX_FIELDS) {
-        throw new BadRequestException(HttpStatus.HEADER_FIELDS_TOO_LARGE, "header line");
+        throw new BadRequestException(
+            HttpStatus.HEADER_FIELDS_TOO_LARGE,
+            "header line",
+            "request has more than " + MAX_FIELDS + " header fields");
       }
       addField(fields, lines[i]);
     }
@@ -200,16 +214,21 @@
   private static void addField(Map<String, String> fields, String line) {
     int colon = line.indexOf(':');
     if (colon <= 0) {
-      throw new BadRequestException(HttpStatus.BAD_REQUEST, "header line");
+      throw new BadRequestException(
+          HttpStatus.BAD_REQUEST, "header line", "expected 'name: value', got '" + line + "'");
     }
     String name = line.substring(0, colon);
     String value = line.substring(colon + 1).strip();
     if (!isToken(name) || value.chars().anyMatch(HttpRequestParser::isControl)) {
-      throw new BadRequestException(HttpStatus.BAD_REQUEST, "header line");
+      throw new BadRequestException(
+          HttpStatus.BAD_REQUEST, "header line", "invalid character in header line '" + line + "'");
     }
     String lowerCaseName = name.toLowerCase(Locale.ROOT);
     if (isSingle(lowerCaseName) && fields.containsKey(lowerCaseName)) {
-      throw new BadRequestException(HttpStatus.BAD_REQUEST, "doubled header " + lowerCaseName);
+      throw new BadRequestException(
+          HttpStatus.BAD_REQUEST,
+          "doubled header " + lowerCaseName,
+          "header " + lowerCaseName + " occurs more than once");
     }
     fields.merge(lowerCaseName, value, (first, second) -> first + ", " + second);
   }
@@ -222,14 +241,23 @@
 
   private static int bodyLength(Map<String, String> fields) {
     if (fields.containsKey(TRANSFER_ENCODING)) {
-      throw new BadRequestException(HttpStatus.LENGTH_REQUIRED, "body without a length");
+      throw new BadRequestException(
+          HttpStatus.LENGTH_REQUIRED,
+          "body without a length",
+          "transfer-encoding is not supported; expected content-length");
     }
     String text = fields.getOrDefault(CONTENT_LENGTH, "0");
     if (!Ascii.isDigits(text)) {
-      throw new BadRequestException(HttpStatus.BAD_REQUEST, "Content-Length");
+      throw new BadRequestException(
+          HttpStatus.BAD_REQUEST,
+          "Content-Length",
+          "content-length must consist of digits, got '" + text + "'");
     }
     if (text.length() > MAX_LENGTH_DIGITS || Integer.parseInt(text) > MAX_BODY_BYTES) {
-      throw new BadRequestException(HttpStatus.CONTENT_TOO_LARGE, "body too long");
+      throw new BadRequestException(
+          HttpStatus.CONTENT_TOO_LARGE,
+          "body too long",
+          "content-length " + text + " exceeds " + MAX_BODY_BYTES);
     }
     return Integer.parseInt(text);
   }
@@ -241,7 +269,8 @@
 
   private static HttpRequest.Method method(String word) {
     if (!isToken(word)) {
-      throw new BadRequestException(HttpStatus.BAD_REQUEST, "method");
+      throw new BadRequestException(
+          HttpStatus.BAD_REQUEST, "method", "expected a token as the method, got '" + word + "'");
     }
     return HttpRequest.Method.ofWire(word);
   }
@@ -253,7 +282,10 @@
       int authority = path.indexOf(SCHEME_END);
       int slash = authority < 0 ? -1 : path.indexOf('/', authority + SCHEME_END.length());
       if (slash < 0) {
-        throw new BadRequestException(HttpStatus.BAD_REQUEST, "target");
+        throw new BadRequestException(
+            HttpStatus.BAD_REQUEST,
+            "target",
+            "expected a target in origin form or absolute form, got '" + target + "'");
       }
       path = path.substring(slash);
     }
@@ -273,14 +305,16 @@
     return character < ' ' && character != '\t';
   }
 
-  /** Signals a request that cannot be parsed; states the status of the response to it. */
+  /** Exception for a request that cannot be parsed, with the status and problem of the response. */
   private static final class BadRequestException extends RuntimeException {
     private static final long serialVersionUID = 1L;
     private final int status;
+    private final String problem;
 
-    BadRequestException(int status, String cause) {
-      super(cause, null, false, false);
+    BadRequestException(int status, String problem, String message) {
+      super(message, null, false, false);
       this.status = status;
+      this.problem = problem;
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
+++ b/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
@@ -47,8 +47,9 @@
   /**
    * Parses an HTTP request. The request class is the last segment of its path.
    *
-   * @throws IllegalArgumentException if a header is missing or invalid, in which case the message
-   *     is its name, or if the body is not a statement
+   * @throws MalformedProtocolException if a header is missing or invalid, or if the body is not a
+   *     statement; {@link MalformedProtocolException#problem} is the name of the header, or the
+   *     reason why the body is not a statement
    */
   public static SubmitRequest of(HttpRequest request) {
     String id = parseId(request);
@@ -56,11 +57,14 @@
     String subject = parseSubject(request);
     double patienceMs = parseNumber(request, DEADLINE_HEADER);
     if (patienceMs <= 0) {
-      throw new MalformedProtocolException(DEADLINE_HEADER);
+      throw new MalformedProtocolException(
+          DEADLINE_HEADER,
+          DEADLINE_HEADER + " must be above 0, got " + request.header(DEADLINE_HEADER));
     }
     String statement = Ascii.decodeUtf8(request.body());
     if (statement.isBlank() || statement.indexOf('\0') >= 0) {
-      throw new MalformedProtocolException("no statement");
+      throw new MalformedProtocolException(
+          "no statement", "body of " + request.body().length + " bytes is blank or contains NUL");
     }
     return new SubmitRequest(
         id,
@@ -78,7 +82,8 @@
   private static String parseId(HttpRequest request) {
     String id = request.header(ID_HEADER);
     if (id == null || id.length() != ID_DIGITS || !id.chars().allMatch(SubmitRequest::isHexDigit)) {
-      throw new MalformedProtocolException(ID_HEADER);
+      throw new MalformedProtocolException(
+          ID_HEADER, ID_HEADER + " must have " + ID_DIGITS + " hexadecimal digits, got " + id);
     }
     return id;
   }
@@ -89,7 +94,14 @@
         && (key.isEmpty()
             || key.length() > MAX_KEY_LENGTH
             || !key.chars().allMatch(SubmitRequest::isKeyCharacter))) {
-      throw new MalformedProtocolException(KEY_HEADER);
+      throw new MalformedProtocolException(
+          KEY_HEADER,
+          KEY_HEADER
+              + " must have 1 to "
+              + MAX_KEY_LENGTH
+              + " letters, digits or any of -_., got '"
+              + key
+              + "'");
     }
     return key;
   }
@@ -97,7 +109,9 @@
   private static String parseSubject(HttpRequest request) {
     String subject = request.header(SUBJECT_HEADER);
     if (subject != null && subject.length() > MAX_SUBJECT_LENGTH) {
-      throw new MalformedProtocolException(SUBJECT_HEADER);
+      throw new MalformedProtocolException(
+          SUBJECT_HEADER,
+          SUBJECT_HEADER + " length " + subject.length() + " exceeds " + MAX_SUBJECT_LENGTH);
     }
     return subject;
   }
@@ -125,7 +139,14 @@
     String whole = point < 0 ? text : text.substring(0, point);
     String fraction = point < 0 ? "0" : text.substring(point + 1);
     if (!Ascii.isDigits(whole) || !Ascii.isDigits(fraction) || text.length() > MAX_NUMBER_LENGTH) {
-      throw new MalformedProtocolException(name);
+      throw new MalformedProtocolException(
+          name,
+          name
+              + " must be a decimal number of at most "
+              + MAX_NUMBER_LENGTH
+              + " characters, got '"
+              + text
+              + "'");
     }
     return Double.parseDouble(text);
   }
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -1,6 +1,8 @@
 package tillerlink;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertInstanceOf;
+import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -21,9 +23,13 @@
 import tillerlink.net.wire.HttpParseError;
 import tillerlink.net.wire.HttpParseResult;
 import tillerlink.net.wire.HttpRequest;
+import tillerlink.net.wire.HttpRequest.Method;
 import tillerlink.net.wire.HttpRequestParser;
+import tillerlink.net.wire.HttpResponse;
+import tillerlink.net.wire.MalformedProtocolException;
 import tillerlink.net.wire.ResultEncoder;
 import tillerlink.net.wire.StatementTableScanner;
+import tillerlink.net.wire.SubmitRequest;
 
 /**
  * Tests of the parsers of the wire protocols, without sockets. Each parser gets the same bytes at
@@ -100,7 +106,7 @@
                   + (request.last() ? " last" : "")
                   + "\n");
         } else if (item instanceof HttpParseError error) {
-          printed.append(error.status() + " " + error.cause() + "\n");
+          printed.append(error.status() + " " + error.problem() + "\n");
         }
       }
       return printed.toString();
@@ -323,6 +329,80 @@
     assertTrue(parsed > 40, "expected more than 40 cuts that give a partial list, got " + parsed);
   }
 
+  /**
+   * Guards the bodies of error responses, which clients may match: the problem of each rejected
+   * request stays to the byte, while the message beside it may change.
+   */
+  @Test
+  void rejectedHttpRequestsKeepTheBodiesOfTheirResponses() {
+    String head = "POST /v1/look HTTP/1.1\r\nHost: a\r\n";
+    assertRejected(400, "request line", "GET /\r\n\r\n");
+    assertRejected(400, "version", "GET / FTP/1.1\r\n\r\n");
+    assertRejected(505, "version", "GET / HTTP/2.0\r\n\r\n");
+    assertRejected(400, "no Host", "GET / HTTP/1.1\r\n\r\n");
+    assertRejected(400, "method", "G@T / HTTP/1.1\r\nHost: a\r\n\r\n");
+    assertRejected(400, "target", "GET here HTTP/1.1\r\nHost: a\r\n\r\n");
+    assertRejected(400, "doubled header host", head + "Host: b\r\n\r\n");
+    assertRejected(400, "header line", head + "no colon\r\n\r\n");
+    assertRejected(400, "header line", head + "A: \u0001\r\n\r\n");
+    assertRejected(431, "header line", head + "A: b\r\n".repeat(64) + "\r\n");
+    assertRejected(431, "head too long", head + ("A" + "b".repeat(90) + ": c\r\n").repeat(200));
+    assertRejected(414, "request line too long", "GET /" + "a".repeat(5000) + " HTTP/1.1\r\n");
+    assertRejected(411, "body without a length", head + "Transfer-Encoding: chunked\r\n\r\n");
+    assertRejected(400, "Content-Length", head + "Content-Length: -1\r\n\r\n");
+    assertRejected(413, "body too long", head + "Content-Length: 131073\r\n\r\n");
+  }
+
+  private static void assertRejected(int status, String problem, String request) {
+    HttpRequestParser parser = new HttpRequestParser();
+    parser.feed(bytes(request));
+    HttpParseError error = assertInstanceOf(HttpParseError.class, parser.next(), problem);
+    assertEquals(status, error.status(), problem);
+    assertEquals("{\"problem\":\"" + problem + "\"}", body(error.status(), error.problem()));
+  }
+
+  /** Guards the bodies of the 400 responses to submissions with an invalid header or body. */
+  @Test
+  void rejectedSubmissionsKeepTheBodiesOfTheirResponses() {
+    assertSubmissionRejected("X-Correlation-Id", Map.of(), bytes("SELECT 1"));
+    assertSubmissionRejected(
+        "X-Correlation-Id", Map.of("x-correlation-id", "12"), bytes("SELECT 1"));
+    assertSubmissionRejected("X-Deadline-Ms", Map.of("x-deadline-ms", "0"), bytes("SELECT 1"));
+    assertSubmissionRejected("X-Deadline-Ms", Map.of("x-deadline-ms", "soon"), bytes("SELECT 1"));
+    assertSubmissionRejected("X-Estimate-Ms", Map.of("x-estimate-ms", "1e9"), bytes("SELECT 1"));
+    assertSubmissionRejected("X-Space", Map.of("x-space", "-1"), bytes("SELECT 1"));
+    assertSubmissionRejected("X-Operation-Key", Map.of("x-operation-key", ""), bytes("SELECT 1"));
+    assertSubmissionRejected("X-Subject", Map.of("x-subject", "s".repeat(257)), bytes("SELECT 1"));
+    assertSubmissionRejected("no statement", Map.of(), bytes(" \n"));
+    assertSubmissionRejected("no statement", Map.of(), bytes("SELECT \0"));
+    assertSubmissionRejected("not UTF-8", Map.of(), new byte[] {'S', (byte) 0xff});
+  }
+
+  /**
+   * Asserts the body of the response to a submission.
+   *
+   * @param changed the headers in which the submission differs from a valid one; all its headers if
+   *     the problem is the id, so that the id can be missing
+   */
+  private static void assertSubmissionRejected(
+      String problem, Map<String, String> changed, byte[] statement) {
+    Map<String, String> fields = new TreeMap<>();
+    if (!problem.equals("X-Correlation-Id")) {
+      fields.put("x-correlation-id", "00000000000000a1");
+      fields.put("x-deadline-ms", "4500");
+    }
+    fields.putAll(changed);
+    HttpRequest request = new HttpRequest(Method.POST, "/v1/look", fields, statement, false);
+    MalformedProtocolException rejected =
+        assertThrows(MalformedProtocolException.class, () -> SubmitRequest.of(request), problem);
+    assertEquals("{\"problem\":\"" + problem + "\"}", body(400, rejected.problem()));
+    assertNotEquals(problem, rejected.getMessage());
+  }
+
+  private static String body(int status, String problem) {
+    return text(HttpResponse.problem(status, problem, 0).body());
+  }
+
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
