--- a/gateway/src/test/java/tillerlink/net/lifecycle/FakeEngine.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/FakeEngine.java
@@ -9,27 +9,30 @@
 import java.util.List;
 import tillerlink.net.lifecycle.Loopback.Peer;
 
-/** An engine that answers each attempt at once with no rows, and notes when attempts came. */
+/**
+ * A fake engine that responds to each attempt immediately with an empty result and records when
+ * attempts arrived.
+ */
 final class FakeEngine implements Closeable {
   private final ServerSocket listener = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
 
   /**
-   * An attempt that came.
+   * An attempt that was received.
    *
-   * @param at when its first line was read, in nanoseconds
-   * @param limitMs how long it said that the client waits
+   * @param receivedAt when its first line was read, as a {@link System#nanoTime} value
+   * @param limitMs the time that the gateway waits for the response, as the attempt states it
    */
-  record Attempt(long at, long limitMs) {}
+  record Attempt(long receivedAt, long limitMs) {}
 
   private final List<Attempt> attempts = new ArrayList<>();
 
   FakeEngine() throws IOException {
-    daemon(
+    runInBackground(
         () -> {
           while (true) {
             Socket socket = listener.accept();
             socket.setTcpNoDelay(true);
-            daemon(() -> converse(new Peer(socket)));
+            runInBackground(() -> serve(new Peer(socket)));
           }
         });
   }
@@ -38,7 +41,7 @@
     return listener.getLocalPort();
   }
 
-  private void converse(Peer peer) throws IOException {
+  private void serve(Peer peer) throws IOException {
     for (String line = peer.readLine(); line != null; line = peer.readLine()) {
       String[] words = line.split(" ", -1);
       if (words[0].equals("want")) {
@@ -54,25 +57,27 @@
     }
   }
 
+  /** Returns the attempts received so far, in order. */
   List<Attempt> attempts() {
     synchronized (attempts) {
       return List.copyOf(attempts);
     }
   }
 
-  /** Work that may fail when its connection ends. */
-  interface Work {
+  /** A task that may fail when its connection ends. */
+  interface IoTask {
     void run() throws IOException;
   }
 
-  static void daemon(Work work) {
+  /** Runs a task on a daemon thread and ignores the I/O error that ends it. */
+  static void runInBackground(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                work.run();
+                task.run();
               } catch (IOException e) {
-                // The connection or the test has ended.
+                // The connection was closed, or the test has ended.
               }
             },
             "stand-in");
--- a/gateway/src/test/java/tillerlink/net/lifecycle/FakeNameService.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/FakeNameService.java
@@ -15,29 +15,32 @@
 import tillerlink.DiscoveryAnswers;
 
 /**
- * A discovery service for one gateway, with a way to it that delays or loses answers. It notes when
- * each drain counts as notified: when an answer that holds it was sent, and 1.5 s after it happened
- * at the latest.
+ * A fake discovery service for one gateway, over a network path that delays or loses answers. It
+ * records when the gateway counts as notified of each drain: when an answer that states the drain
+ * was sent, and no later than 1.5 s after the drain began.
  */
 final class FakeNameService implements Closeable {
-  private static final long NOTIFIED_AT_THE_LATEST = TimeUnit.MILLISECONDS.toNanos(1500);
+  private static final long MAX_NOTIFICATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
 
   private final DatagramSocket socket;
   private final ScheduledExecutorService delayedAnswers =
       Executors.newSingleThreadScheduledExecutor();
 
-  /** Address by engine. */
+  /** The addresses of the engines by name. */
   private final Map<String, String> engines = new TreeMap<>();
 
-  /** When the drain of an engine counts as notified, in nanoseconds. */
+  /**
+   * The times at which the gateway counts as notified of the drain of an engine, as {@link
+   * System#nanoTime} values.
+   */
   private final Map<String, Long> notifiedAt = new TreeMap<>();
 
-  private int version = 1;
+  private int serial = 1;
   private long delayMs;
-  private long silentMs;
+  private long lossMs;
 
-  /** Until then answers are sent and do not arrive. */
-  private long lossyUntil = System.nanoTime();
+  /** The time until which answers are lost, as a {@link System#nanoTime} value. */
+  private long lostUntil = System.nanoTime();
 
   FakeNameService() throws IOException {
     socket = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -50,31 +53,37 @@
     return socket.getLocalPort();
   }
 
-  synchronized void ready(String engine, int port) {
+  /** Adds a ready engine. */
+  synchronized void addReady(String engine, int port) {
     engines.put(engine, "127.0.0.1:" + port);
   }
 
-  /** Every answer comes that much later than it is sent. */
-  synchronized void delay(long ms) {
+  /** Delays every further answer. */
+  synchronized void delayAnswers(long ms) {
     delayMs = ms;
   }
 
   /**
-   * An engine begins to drain now, and for so long from the first answer that tells it none
-   * arrives.
+   * Begins the drain of an engine and loses answers.
+   *
+   * @param ms the time for which answers are lost, from the first one that states the drain
    */
-  synchronized void drainsWithAnswersLost(String engine, long ms) {
-    drains(engine);
-    silentMs = ms;
+  synchronized void beginDrainAndLoseAnswers(String engine, long ms) {
+    beginDrain(engine);
+    lossMs = ms;
   }
 
-  /** An engine begins to drain now. */
-  synchronized void drains(String engine) {
-    version++;
-    notifiedAt.put(engine, System.nanoTime() + NOTIFIED_AT_THE_LATEST);
+  /** Begins the drain of an engine. */
+  synchronized void beginDrain(String engine) {
+    serial++;
+    notifiedAt.put(engine, System.nanoTime() + MAX_NOTIFICATION_NANOS);
   }
 
-  /** When its drain counts as notified; {@link Long#MAX_VALUE} if it does not drain. */
+  /**
+   * Returns when the gateway counts as notified of the drain of an engine.
+   *
+   * @return a {@link System#nanoTime} value; {@link Long#MAX_VALUE} if the engine does not drain
+   */
   synchronized long notifiedAt(String engine) {
     return notifiedAt.getOrDefault(engine, Long.MAX_VALUE);
   }
@@ -86,12 +95,12 @@
         socket.receive(packet);
         answer(packet);
       } catch (IOException e) {
-        // It ends, or the gateway has gone.
+        // The socket was closed, or the gateway has exited.
       }
     }
   }
 
-  private synchronized void answer(DatagramPacket question) throws IOException {
+  private synchronized void answer(DatagramPacket query) throws IOException {
     String[] lines =
         engines.entrySet().stream()
             .map(
@@ -101,16 +110,16 @@
                         + engine.getValue()
                         + " east std 0 0")
             .toArray(String[]::new);
-    byte[] list = DiscoveryAnswers.of(DiscoveryAnswers.queryId(question.getData()), version, lines);
+    byte[] list = DiscoveryAnswers.of(DiscoveryAnswers.queryId(query.getData()), serial, lines);
     long now = System.nanoTime();
     notifiedAt.replaceAll((engine, at) -> Math.min(at, now));
-    if (silentMs > 0) {
-      lossyUntil = now + TimeUnit.MILLISECONDS.toNanos(silentMs);
-      silentMs = 0;
+    if (lossMs > 0) {
+      lostUntil = now + TimeUnit.MILLISECONDS.toNanos(lossMs);
+      lossMs = 0;
     }
-    if (now >= lossyUntil) {
-      DatagramPacket answer = new DatagramPacket(list, list.length, question.getSocketAddress());
-      // One that could not be sent is as good as lost.
+    if (now >= lostUntil) {
+      DatagramPacket answer = new DatagramPacket(list, list.length, query.getSocketAddress());
+      // An answer that cannot be sent counts as lost.
       Future<?> unused =
           delayedAnswers.schedule(
               () -> {
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -40,17 +40,20 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /**
- * A gateway on real loopback connections whose peers a test plays line by line. Time stands still
- * until the test lets it pass, and an iteration of the event loop can be held open until all that
- * is to be in it has come: so an order that is rare happens each time. Every wait is for something
- * that is seen, and bounded.
+ * A gateway on real loopback connections, whose peers a test controls line by line. The clock
+ * stands still until the test advances it, and an iteration of the event loop can be held open
+ * until all events that belong to it have arrived, so that a rare order of events occurs in every
+ * run. Every wait is bounded and ends when an observable condition is met.
  */
 final class Loopback implements Closeable {
-  static final int PATIENCE_MS = 10_000;
-  private static final long TENTHS = 10;
+  static final int TIMEOUT_MS = 10_000;
+  private static final long TENTHS_PER_MS = 10;
+
+  /** The step of the clock while the endpoint list is not confirmed. */
   private static final long CONFIRM_STEP_MS = 25;
+
   private static final long START = 17_000_000_000_000L;
-  private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+  private static final InetAddress LOCALHOST = InetAddress.getLoopbackAddress();
 
   final List<ServerSocket> engines = new ArrayList<>();
   final DatagramSocket discoveryService;
@@ -71,16 +74,18 @@
   }
 
   /**
-   * @param changed changes the settings, which are those of the first days of the platform's pages
-   *     but for the request classes
+   * Starts a gateway and confirms its endpoint list.
+   *
+   * @param engineCount the number of engines in the configuration
+   * @param customizer modifies the default settings, which are those of {@link TestedSettings}
    */
-  Loopback(int engineCount, Consumer<Map<String, Object>> changed) throws IOException {
-    discoveryService = new DatagramSocket(new InetSocketAddress(HERE, 0));
-    discoveryService.setSoTimeout(PATIENCE_MS);
+  Loopback(int engineCount, Consumer<Map<String, Object>> customizer) throws IOException {
+    discoveryService = new DatagramSocket(new InetSocketAddress(LOCALHOST, 0));
+    discoveryService.setSoTimeout(TIMEOUT_MS);
     List<EndpointEntry> known = new ArrayList<>();
     for (int i = 0; i < engineCount; i++) {
-      ServerSocket engine = new ServerSocket(0, 50, HERE);
-      engine.setSoTimeout(PATIENCE_MS);
+      ServerSocket engine = new ServerSocket(0, 50, LOCALHOST);
+      engine.setSoTimeout(TIMEOUT_MS);
       engines.add(engine);
       known.add(
           new EndpointEntry(
@@ -95,9 +100,9 @@
               0));
     }
     Map<String, Object> settings = TestedSettings.plain();
-    changed.accept(settings);
-    try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
-      listen = new InetSocketAddress(HERE, free.getLocalPort());
+    customizer.accept(settings);
+    try (ServerSocket free = new ServerSocket(0, 1, LOCALHOST)) {
+      listen = new InetSocketAddress(LOCALHOST, free.getLocalPort());
     }
     GatewayConfig config =
         new GatewayConfig(
@@ -125,29 +130,30 @@
   }
 
   /**
-   * The discovery service answers the first question with what is known, so that attempts may go
-   * out.
+   * Answers the first discovery query with the engines of the configuration, because the gateway
+   * sends no attempts before its endpoint list is confirmed.
    */
   private void confirmEndpointList() throws IOException {
     discoveryService.setSoTimeout(1);
-    DatagramPacket question = null;
-    while (question == null) {
+    DatagramPacket query = null;
+    while (query == null) {
       advance(CONFIRM_STEP_MS, CONFIRM_STEP_MS);
       try {
-        question = receiveQuery(discoveryService);
+        query = receiveQuery(discoveryService);
       } catch (SocketTimeoutException e) {
-        assertTrue(now.get() < START + PATIENCE_MS * TENTHS, "no question comes");
+        assertTrue(
+            now.get() < START + TIMEOUT_MS * TENTHS_PER_MS, "no discovery query was received");
       }
     }
-    discoveryService.setSoTimeout(PATIENCE_MS);
+    discoveryService.setSoTimeout(TIMEOUT_MS);
     String[] lines = new String[engines.size()];
     for (int i = 0; i < lines.length; i++) {
       lines[i] =
           "e" + (i + 1) + " ready 127.0.0.1:" + engines.get(i).getLocalPort() + " east std 0 0";
     }
-    byte[] list = DiscoveryAnswers.of(DiscoveryAnswers.queryId(question.getData()), 1, lines);
-    discoveryService.send(new DatagramPacket(list, list.length, question.getSocketAddress()));
-    await(() -> ask(Gateway::listConfirmed), "the list is not confirmed");
+    byte[] list = DiscoveryAnswers.of(DiscoveryAnswers.queryId(query.getData()), 1, lines);
+    discoveryService.send(new DatagramPacket(list, list.length, query.getSocketAddress()));
+    await(() -> evaluate(Gateway::listConfirmed), "the list is not confirmed");
   }
 
   private void run() {
@@ -166,152 +172,170 @@
   // ---- iterations and time ----
 
   /**
-   * Holds the iteration that begins now: what comes from here on is processed in it, once {@link
-   * #releaseIteration} is called.
+   * Begins an iteration and holds it. Events that arrive from here on are processed in it after
+   * {@link #releaseIteration} is called.
    */
   void holdIteration() throws InterruptedException {
-    CountDownLatch entered = new CountDownLatch(1);
+    CountDownLatch begun = new CountDownLatch(1);
     CountDownLatch latch = new CountDownLatch(1);
     heldIteration = latch;
     eventLoop.queue.add(
         () -> {
-          entered.countDown();
+          begun.countDown();
           try {
-            latch.await(PATIENCE_MS, TimeUnit.MILLISECONDS);
+            latch.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    assertTrue(entered.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+    assertTrue(begun.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
   }
 
-  /** Waits until so many events wait for the iteration that is held. */
+  /** Waits until at least this many events are queued for the held iteration. */
   void awaitEvents(int events) {
-    await(
-        () -> eventLoop.queue.size() >= events, "only " + eventLoop.queue.size() + " events came");
+    await(() -> eventLoop.queue.size() >= events, "expected " + events + " events to arrive");
   }
 
+  /** Releases the held iteration and waits until it has ended. */
   void releaseIteration() {
     heldIteration.countDown();
     runIterations();
   }
 
-  /** Only so many further events are delivered; whoever reads or connects waits with the next. */
+  /**
+   * Delivers only this many further events. The I/O thread that has the next one blocks until
+   * {@link #deliverAll} is called.
+   */
   void deliverOnly(int events) {
     gate.deliverable.drainPermits();
     gate.deliverable.release(events);
   }
 
-  /** The others are delivered. */
+  /** Delivers the blocked events and all that follow. */
   void deliverAll() {
     gate.deliverable.release(Gate.ALL);
     runIterations();
   }
 
   /**
-   * After so many events the next is delayed, and those behind it are delivered, as if it came
-   * late.
+   * Delays one event, as if it arrived late. The events after it are delivered.
+   *
+   * @param events the number of events that are delivered before the delayed one
    */
   void delayEventAfter(int events) {
-    gate.until.set(events);
+    gate.eventsBeforeDelayed.set(events);
   }
 
-  /** Whether the event that is delayed has come. */
+  /** Returns whether the event to delay has arrived. */
   boolean hasDelayedEvent() {
     return gate.delayed != null;
   }
 
-  /** The delayed event comes now. */
+  /** Delivers the delayed event. */
   void deliverDelayedEvent() {
     eventLoop.queue.add(gate.delayed);
   }
 
-  /** Runs two iterations, so that what the first ordered has been done. */
+  /** Runs two iterations, so that actions started by the first one are complete. */
   void runIterations() {
     for (int i = 0; i < 2; i++) {
-      CountDownLatch entered = new CountDownLatch(1);
-      eventLoop.queue.add(entered::countDown);
+      CountDownLatch begun = new CountDownLatch(1);
+      eventLoop.queue.add(begun::countDown);
       try {
-        assertTrue(entered.await(PATIENCE_MS, TimeUnit.MILLISECONDS));
+        assertTrue(begun.await(TIMEOUT_MS, TimeUnit.MILLISECONDS));
       } catch (InterruptedException e) {
         throw new IllegalStateException(e);
       }
       long done = iterationsDone.get();
-      await(() -> iterationsDone.get() > done, "the iteration does not end");
+      await(() -> iterationsDone.get() > done, "the iteration does not complete");
     }
   }
 
-  /** Time passes, with iterations at the end of each so many milliseconds. */
+  /**
+   * Advances the clock and runs iterations after each step.
+   *
+   * @param ms the total time, in milliseconds
+   * @param step the length of a step, in milliseconds
+   */
   void advance(long ms, long step) {
-    for (long gone = 0; gone < ms; gone += step) {
-      now.addAndGet(step * TENTHS);
+    for (long elapsed = 0; elapsed < ms; elapsed += step) {
+      now.addAndGet(step * TENTHS_PER_MS);
       runIterations();
     }
   }
 
+  /** Returns the current time, in tenths of a millisecond. */
   long now() {
     return now.get();
   }
 
-  <T> T ask(Function<Gateway, T> question) {
-    List<T> answer = new ArrayList<>();
-    eventLoop.queue.add(() -> answer.add(question.apply(gateway)));
+  /** Evaluates a function of the gateway on the event-loop thread. */
+  <T> T evaluate(Function<Gateway, T> function) {
+    List<T> result = new ArrayList<>();
+    eventLoop.queue.add(() -> result.add(function.apply(gateway)));
     runIterations();
-    return answer.get(0);
+    return result.get(0);
   }
 
-  void moveDiscoveryService(InetSocketAddress moved) {
+  /** Changes the address of the discovery service, as a reload of the configuration does. */
+  void moveDiscoveryService(InetSocketAddress address) {
     eventLoop.queue.add(
         () -> {
-          driver.setDiscoveryAddress(moved);
+          driver.setDiscoveryAddress(address);
           gateway.discoveryAddressChanged();
         });
     runIterations();
   }
 
-  static void await(BooleanSupplier what, String otherwise) {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MS);
-    while (!what.getAsBoolean()) {
-      assertTrue(System.nanoTime() < until, otherwise);
+  /** Waits until a condition is met and fails with a message after 10 s. */
+  static void await(BooleanSupplier condition, String message) {
+    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < until, message);
       Thread.onSpinWait();
     }
   }
 
   // ---- peers ----
 
-  Peer client() throws IOException {
-    Socket socket = new Socket(HERE, listen.getPort());
+  /** Connects a client. */
+  Peer connectClient() throws IOException {
+    Socket socket = new Socket(LOCALHOST, listen.getPort());
     return peer(socket);
   }
 
-  /** A client that hands a statement in and has the path of its result. */
-  Peer posted(String id, String requestClass, int deadlineMs) throws IOException {
-    Peer client = client();
+  /** Connects a client that submits a statement and receives the path of its result. */
+  Peer connectAndSubmit(String id, String requestClass, int deadlineMs) throws IOException {
+    Peer client = connectClient();
     client.post(id, requestClass, deadlineMs);
     client.expectBody("{\"continue\":\"/v1/calls/" + id + "\"}");
     return client;
   }
 
-  /** The next connection that comes up to an engine. */
-  Peer engine(int place) throws IOException {
-    return peer(engines.get(place).accept());
+  /**
+   * Accepts the next connection to an engine.
+   *
+   * @param index the index of the engine
+   */
+  Peer acceptEngine(int index) throws IOException {
+    return peer(engines.get(index).accept());
   }
 
-  /** No further connection has come up to an engine. */
-  void assertNoFurtherConnection(int place) throws IOException {
-    engines.get(place).setSoTimeout(1);
-    assertThrows(SocketTimeoutException.class, () -> engines.get(place).accept());
-    engines.get(place).setSoTimeout(PATIENCE_MS);
+  /** Asserts that no further connection to an engine was opened. */
+  void assertNoFurtherConnection(int index) throws IOException {
+    engines.get(index).setSoTimeout(1);
+    assertThrows(SocketTimeoutException.class, () -> engines.get(index).accept());
+    engines.get(index).setSoTimeout(TIMEOUT_MS);
   }
 
   private Peer peer(Socket socket) throws IOException {
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MS);
     open.add(socket);
     return new Peer(socket);
   }
 
-  /** The next query to the discovery service. */
+  /** Receives the next query to the discovery service. */
   DatagramPacket receiveQuery(DatagramSocket service) throws IOException {
     DatagramPacket packet = new DatagramPacket(new byte[512], 512);
     service.receive(packet);
@@ -325,31 +349,37 @@
       heldIteration.countDown();
     }
     eventLoop.queue.add(() -> {});
-    for (Closeable one : open) {
-      one.close();
+    for (Closeable socket : open) {
+      socket.close();
     }
-    for (ServerSocket one : engines) {
-      one.close();
+    for (ServerSocket engine : engines) {
+      engine.close();
     }
     discoveryService.close();
     driver.close();
   }
 
-  /** Where what was read or came up is handed to the event loop. */
+  /**
+   * The queue through which I/O threads pass events to the event loop. It can block them and delay
+   * one of them.
+   */
   private final class Gate extends AbstractQueue<Runnable> {
     private static final int ALL = 1 << 20;
     private final Semaphore deliverable = new Semaphore(ALL);
-    private final AtomicInteger until = new AtomicInteger(-1);
+
+    /** The number of events before the one to delay; negative if none is to be delayed. */
+    private final AtomicInteger eventsBeforeDelayed = new AtomicInteger(-1);
+
     private volatile Runnable delayed;
 
     @Override
     public boolean offer(Runnable event) {
       try {
-        deliverable.tryAcquire(PATIENCE_MS, TimeUnit.MILLISECONDS);
+        deliverable.tryAcquire(TIMEOUT_MS, TimeUnit.MILLISECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      if (until.getAndUpdate(n -> n < 0 ? n : n - 1) == 0) {
+      if (eventsBeforeDelayed.getAndUpdate(n -> n < 0 ? n : n - 1) == 0) {
         delayed = event;
         return true;
       }
@@ -377,7 +407,7 @@
     }
   }
 
-  /** What these tests set. */
+  /** The default settings of these tests. */
   static final class TestedSettings {
     private TestedSettings() {}
 
@@ -419,7 +449,7 @@
     }
   }
 
-  /** The other end of a connection. */
+  /** The peer of the gateway on a connection: a client or an engine. */
   static final class Peer {
     final Socket socket;
     private final InputStream in;
@@ -453,7 +483,11 @@
       send("GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
     }
 
-    /** The next line, without its end; null where the connection has ended. */
+    /**
+     * Reads the next line.
+     *
+     * @return the line without its end; null if the connection was closed
+     */
     String readLine() throws IOException {
       StringBuilder line = new StringBuilder();
       for (int next = in.read(); next != '\n'; next = in.read()) {
@@ -465,7 +499,7 @@
       return line.toString().strip();
     }
 
-    /** The body of the next answer. */
+    /** Reads the next response and returns its body. */
     String readBody() throws IOException {
       int length = 0;
       for (String line = readLine(); !line.isEmpty(); line = readLine()) {
@@ -475,11 +509,16 @@
       return new String(in.readNBytes(length), StandardCharsets.UTF_8);
     }
 
+    /** Asserts the body of the next response. */
     void expectBody(String body) throws IOException {
       assertEquals(body, readBody());
     }
 
-    /** The id of the next attempt; what else is said on the way is passed over. */
+    /**
+     * Reads up to the next attempt, skipping other commands.
+     *
+     * @return the id of the attempt; null if the connection was closed
+     */
     String nextAttemptId() throws IOException {
       String line = readLine();
       while (line != null && !line.startsWith("want ")) {
@@ -489,14 +528,14 @@
       return statement == null ? null : line.split(" ", -1)[1];
     }
 
-    /** The other end said all that it had to say, and ended without a reset. */
+    /** Asserts that the gateway has closed its side, without a reset and without further bytes. */
     void expectEnd() throws IOException {
       assertEquals(-1, in.read());
     }
 
     /**
-     * The same, and it was no close of both ways: what is said goes on being read, where a reset
-     * would break it.
+     * Asserts that the gateway has closed only its own side of the connection: it continues to read
+     * what is sent, where a full close would reset the connection.
      */
     void expectHalfClose() throws IOException {
       expectEnd();
@@ -505,6 +544,7 @@
       }
     }
 
+    /** Closes the connection with a reset. */
     void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
--- a/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/ProcessTest.java
@@ -25,17 +25,17 @@
 import tillerlink.net.lifecycle.Loopback.Peer;
 
 /**
- * A whole process, told to end while something is owed or short of what it needs; what is said
- * waits for what was seen.
+ * Tests of a whole gateway process that is terminated while requests are pending, or that lacks
+ * resources. Each step waits for an observable effect of the one before.
  */
 @Timeout(120)
 class ProcessTest {
-  private static final String ONE = "00000000000000a1";
-  private static final String TWO = "00000000000000a2";
-  private static final String ROWS = "{\"records\":[]}";
+  private static final String FIRST_ID = "00000000000000a1";
+  private static final String SECOND_ID = "00000000000000a2";
+  private static final String EMPTY_RESULT = "{\"records\":[]}";
   private static final String REFUSED = "{\"problem\":\"Full\"}";
-  private static final InetAddress HERE = InetAddress.getLoopbackAddress();
-  private static final int TERMINATED = 143;
+  private static final InetAddress LOCALHOST = InetAddress.getLoopbackAddress();
+  private static final int SIGTERM_EXIT_CODE = 143;
 
   @TempDir private Path folder;
   private ServerSocket engines;
@@ -44,15 +44,19 @@
 
   @BeforeEach
   void engine() throws IOException {
-    engines = new ServerSocket(0, 50, HERE);
-    engines.setSoTimeout(Loopback.PATIENCE_MS);
+    engines = new ServerSocket(0, 50, LOCALHOST);
+    engines.setSoTimeout(Loopback.TIMEOUT_MS);
   }
 
   /**
-   * @param under what the process is started by, if not as it is; its log goes there
+   * Starts the gateway and waits until it listens.
+   *
+   * @param log the file for its standard error
+   * @param descriptors the limit on descriptors in its configuration
+   * @param wrapper the command, with its arguments, that runs the process; empty to run it directly
    */
-  private void start(File log, int descriptors, String... under) throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
+  private void start(File log, int descriptors, String... wrapper) throws IOException {
+    try (ServerSocket free = new ServerSocket(0, 1, LOCALHOST)) {
       port = free.getLocalPort();
     }
     String entry =
@@ -78,8 +82,8 @@
                 + "\"family_info\":{\"kind_cores\":[8],\"tells_every_us\":9000000},\"profiles\":["
                 + requestClass
                 + "]}}");
-    List<String> line = new ArrayList<>(List.of(under));
-    line.addAll(
+    List<String> command = new ArrayList<>(List.of(wrapper));
+    command.addAll(
         List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-Xmx64m",
@@ -88,18 +92,18 @@
             System.getProperty("java.class.path"),
             "tillerlink.Main",
             "serve"));
-    ProcessBuilder builder = new ProcessBuilder(line);
+    ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("EDGE_CONFIG", file.toString());
     process = builder.redirectError(log).start();
     Loopback.await(
         () -> {
-          try (Socket socket = new Socket(HERE, port)) {
+          try (Socket socket = new Socket(LOCALHOST, port)) {
             return socket.isConnected();
           } catch (IOException e) {
             return false;
           }
         },
-        "it does not listen");
+        "the gateway does not listen");
   }
 
   @AfterEach
@@ -109,8 +113,9 @@
   }
 
   /**
-   * Guards what comes, or has come in part, after the process takes nothing more: it is refused and
-   * not sent on; what was taken before is answered; no connection is cut.
+   * Guards requests that arrive, or are completed, after the process has stopped accepting: they
+   * are refused and not forwarded to an engine. Requests accepted before are answered, and no
+   * connection is reset.
    */
   @Test
   void shutdownRefusesHalfRequestsAndClosesIdleConnections() throws Exception {
@@ -120,7 +125,7 @@
     idleClient.expectBody("{}");
     Peer acceptedClient = client();
     Engine engine = awaitAttempt(acceptedClient);
-    String text = Peer.postRequest(TWO, "look", 8000);
+    String text = Peer.postRequest(SECOND_ID, "look", 8000);
     Peer halfReadClient = client();
     halfReadClient.send(text.substring(0, 60));
     process.destroy();
@@ -132,16 +137,16 @@
     lateClient.send(text);
     lateClient.expectBody(REFUSED);
     lateClient.expectHalfClose();
-    engine.send(ONE + " ok count=1 0\r\n\r\n");
-    acceptedClient.expectBody(ROWS);
+    engine.send(FIRST_ID + " ok count=1 0\r\n\r\n");
+    acceptedClient.expectBody(EMPTY_RESULT);
     acceptedClient.expectHalfClose();
-    assertEquals(Engine.OVER, engine.nextAttemptId());
+    assertEquals(Engine.CLOSED, engine.nextAttemptId());
     assertTerminated("0 requests unanswered");
   }
 
   /**
-   * Guards clients of engines that all hang: each hears before the process is killed, whatever else
-   * it is told.
+   * Guards clients while all engines hang: each client gets a response before the process is
+   * killed, even if further signals arrive.
    */
   @Test
   void shutdownAnswersWhatIsPending() throws Exception {
@@ -155,14 +160,15 @@
     process.destroy();
     waitingClient.expectBody(REFUSED);
     long ms = TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - terminatedAt);
-    assertTrue(ms >= 3000, "given up after " + ms + " ms already");
+    assertTrue(
+        ms >= 3000, "expected the request to be refused after 3000 ms or later, got " + ms + " ms");
     waitingClient.expectHalfClose();
     assertTerminated("0 requests unanswered");
   }
 
   /**
-   * Guards usual clients against idle ones that hold all descriptors they can get, while nobody
-   * tells of engines.
+   * Guards active clients against idle ones that occupy every descriptor they can get, while the
+   * discovery service does not answer.
    */
   @Test
   void idleClientsTakeNoPlaceFromOthers() throws Exception {
@@ -173,50 +179,60 @@
     }
     assertServed();
     assertFalse(Files.readString(folder.resolve("log")).contains("Too many open files"));
-    for (Peer one : idle) {
-      one.close();
+    for (Peer client : idle) {
+      client.close();
     }
   }
 
-  /** Guards against taking a log that can't be written for a reason not to serve. */
+  /** Guards against a gateway that stops serving because its log cannot be written. */
   @Test
   void servesThoughItsLogCannotBeWritten() throws Exception {
     start(new File("/dev/full"), 1024);
     assertServed();
     process.destroy();
-    assertTrue(process.waitFor(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS));
-    assertEquals(TERMINATED, process.exitValue());
+    assertTrue(process.waitFor(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    assertEquals(SIGTERM_EXIT_CODE, process.exitValue());
   }
 
+  /** Asserts that a client gets the result of its request. */
   private void assertServed() throws Exception {
     Peer waitingClient = client();
     Engine engine = awaitAttempt(waitingClient);
-    engine.send(ONE + " ok count=1 0\r\n\r\n");
-    waitingClient.expectBody(ROWS);
+    engine.send(FIRST_ID + " ok count=1 0\r\n\r\n");
+    waitingClient.expectBody(EMPTY_RESULT);
   }
 
-  /** A client hands a statement in and waits for its result; the engine that has it. */
+  /**
+   * Lets the client submit a statement and wait for its result.
+   *
+   * @return the engine connection on which the attempt was received
+   */
   private Engine awaitAttempt(Peer client) throws Exception {
-    client.post(ONE, "look", 8000);
-    client.expectBody("{\"continue\":\"/v1/calls/" + ONE + "\"}");
-    client.get(ONE);
+    client.post(FIRST_ID, "look", 8000);
+    client.expectBody("{\"continue\":\"/v1/calls/" + FIRST_ID + "\"}");
+    client.get(FIRST_ID);
     Engine engine = new Engine(engines.accept());
-    assertEquals(ONE, engine.nextAttemptId());
+    assertEquals(FIRST_ID, engine.nextAttemptId());
     return engine;
   }
 
   private Peer client() throws IOException {
-    Socket socket = new Socket(HERE, port);
+    Socket socket = new Socket(LOCALHOST, port);
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(Loopback.PATIENCE_MS);
+    socket.setSoTimeout(Loopback.TIMEOUT_MS);
     return new Peer(socket);
   }
 
-  /** An engine that takes work and says that it works, and answers nothing unless it is told to. */
+  /**
+   * A fake engine that accepts attempts and responds to liveness checks, but sends a result only
+   * when the test calls {@link #send}.
+   */
   private static final class Engine {
-    static final String OVER = "the connection ended";
+    /** Returned instead of an attempt id once the connection was closed. */
+    static final String CLOSED = "connection closed";
+
     private final Peer peer;
-    private final BlockingQueue<String> wanted = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> attemptIds = new LinkedBlockingQueue<>();
 
     Engine(Socket socket) throws IOException {
       socket.setTcpNoDelay(true);
@@ -233,28 +249,30 @@
           if (words[0].equals("there")) {
             send(words[1] + " yes - 0\r\n\r\n");
           } else if (words[0].equals("want")) {
-            wanted.add(words[1]);
+            attemptIds.add(words[1]);
           }
         }
       } catch (IOException e) {
-        // It ended with a reset, as where a process goes.
+        // The connection was reset, as when a process exits.
       }
-      wanted.add(OVER);
+      attemptIds.add(CLOSED);
     }
 
     synchronized void send(String text) throws IOException {
       peer.send(text);
     }
 
+    /** Returns the id of the next attempt, {@link #CLOSED}, or null after 10 s without either. */
     String nextAttemptId() throws InterruptedException {
-      return wanted.poll(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS);
+      return attemptIds.poll(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
   }
 
-  private void assertTerminated(String lastWord) throws Exception {
-    assertTrue(process.waitFor(Loopback.PATIENCE_MS, TimeUnit.MILLISECONDS));
-    assertEquals(TERMINATED, process.exitValue());
+  /** Asserts that the process exits on SIGTERM and that its log contains a text. */
+  private void assertTerminated(String logged) throws Exception {
+    assertTrue(process.waitFor(Loopback.TIMEOUT_MS, TimeUnit.MILLISECONDS));
+    assertEquals(SIGTERM_EXIT_CODE, process.exitValue());
     String log = Files.readString(folder.resolve("log"), StandardCharsets.UTF_8);
-    assertTrue(log.contains(lastWord), log);
+    assertTrue(log.contains(logged), log);
   }
 }
--- a/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/StaleListTest.java
@@ -21,37 +21,41 @@
 import tillerlink.net.lifecycle.Loopback.Peer;
 
 /**
- * Guards the drain where the process itself can't have heard of it: it started slowly, stood still,
- * or lost what it was told. Real processes, signals and sockets; the rule is judged by what the
- * engines and the discovery service saw.
+ * Tests that no attempt is sent to a draining engine after its grace period, although the gateway
+ * could not learn of the drain in time: it started slowly, was paused, or answers of the discovery
+ * service were lost. Uses real processes, signals and sockets; the assertions use what the engines
+ * and the discovery service recorded.
  */
 @Timeout(120)
 class StaleListTest {
   /**
-   * Between bursts of five: an answer is kept for a second after it was fetched, and 4,096 requests
-   * at most, so that more of them a second are rejected for want of capacity.
+   * The pause between bursts of five requests. A result is retained for one second after it was
+   * fetched, and the gateway retains 4,096 requests at most, so at a higher rate requests would be
+   * rejected for lack of capacity.
    */
   private static final long BURST_PAUSE_MS = 3;
 
-  private static final String DRAINS = "e1";
-  private static final String STAYS = "e2";
+  private static final String DRAINING_ENGINE = "e1";
+  private static final String STAYING_ENGINE = "e2";
   private static final long GRACE_MS = 1000;
 
-  /** How much later than the grace a send on sockets may be. */
+  /** The tolerance for a send after the grace period, because the test uses real sockets. */
   private static final long SLACK_MS = 50;
 
+  /** The time after which the gateway counts as notified of a drain. */
   private static final long NOTIFIED_MS = 1500;
+
   private static final int DEADLINE_MS = 8000;
 
-  /** How much more than the client has left an engine may be told. */
+  /** The tolerance by which the limit sent to an engine may exceed the client's remaining time. */
   private static final long LIMIT_SLACK_MS = 150;
 
   private static final long PAST_THE_GRACE_MS = NOTIFIED_MS + GRACE_MS + 300;
 
-  /** How long a client may take for its first call. */
-  private static final long FIRST_CALL_MS = 2500;
+  /** The time within which a client must send its first request after it connected. */
+  private static final long FIRST_REQUEST_MS = 2500;
 
-  private static final InetAddress HERE = InetAddress.getLoopbackAddress();
+  private static final InetAddress LOCALHOST = InetAddress.getLoopbackAddress();
 
   @TempDir private Path folder;
   private FakeNameService discoveryService;
@@ -59,15 +63,15 @@
   private FakeEngine staying;
   private Process process;
   private int port;
-  private int ids;
+  private int lastId;
 
   @BeforeEach
   void startFakes() throws IOException {
     discoveryService = new FakeNameService();
     draining = new FakeEngine();
     staying = new FakeEngine();
-    discoveryService.ready(DRAINS, draining.port());
-    discoveryService.ready(STAYS, staying.port());
+    discoveryService.addReady(DRAINING_ENGINE, draining.port());
+    discoveryService.addReady(STAYING_ENGINE, staying.port());
   }
 
   @AfterEach
@@ -79,16 +83,17 @@
   }
 
   /**
-   * The list of the configuration is older than the word that counts as told before the process is
-   * up.
+   * Guards a start that takes longer than the grace period: the engine begins to drain while the
+   * process is paused before it listens. The endpoint list in the configuration is older than the
+   * drain, of which the gateway counts as notified before it serves its first request.
    */
   @Test
   void drainDuringASlowStartIsHonoured() throws Exception {
-    discoveryService.delay(300);
+    discoveryService.delayAnswers(300);
     start();
     process.errorReader(StandardCharsets.UTF_8).readLine();
     signal("STOP");
-    discoveryService.drains(DRAINS);
+    discoveryService.beginDrain(DRAINING_ENGINE);
     Thread.sleep(PAST_THE_GRACE_MS);
     signal("CONT");
     awaitListening();
@@ -97,16 +102,17 @@
   }
 
   /**
-   * Requests wait for a process that stands still; when it goes on, they are read before any news.
+   * Guards a pause of the process in which requests arrive: when the process continues, it reads
+   * them before the endpoint update that states the drain.
    */
   @Test
   void drainDuringAPauseIsHonoured() throws Exception {
-    discoveryService.delay(300);
+    discoveryService.delayAnswers(300);
     start();
     awaitListening();
     burst(10);
     signal("STOP");
-    discoveryService.drains(DRAINS);
+    discoveryService.beginDrain(DRAINING_ENGINE);
     Thread.sleep(PAST_THE_GRACE_MS);
     List<Peer> waiting = clients(40);
     for (Peer client : waiting) {
@@ -119,7 +125,10 @@
     assertDrainHonoured(50);
   }
 
-  /** Clients that had only connected hand their requests in while the process stands still. */
+  /**
+   * Guards clients that connected before a pause and send their first requests during it: their
+   * connections must not be closed as idle before the requests are read.
+   */
   @Test
   void whatCameDuringAPauseIsReadBeforeAnyConnectionIsClosed() throws Exception {
     start();
@@ -131,7 +140,7 @@
     for (Peer client : waiting) {
       post(client);
     }
-    Thread.sleep(FIRST_CALL_MS + 200);
+    Thread.sleep(FIRST_REQUEST_MS + 200);
     signal("CONT");
     for (Peer client : waiting) {
       fetch(client);
@@ -139,8 +148,8 @@
   }
 
   /**
-   * What engines are told of the time that clients have left counts from when these wrote, not from
-   * when it was read.
+   * Guards the limits that engines get after a pause: the remaining time of a client counts from
+   * when the client wrote its request, not from when the gateway read it.
    */
   @Test
   void deadlinesCountFromTheClientsWriteAfterAPause() throws Exception {
@@ -150,7 +159,7 @@
     List<Peer> waiting = clients(20);
     awaitAccepted();
     signal("STOP");
-    long posted = System.nanoTime();
+    long postedAt = System.nanoTime();
     for (Peer client : waiting) {
       post(client);
     }
@@ -161,59 +170,67 @@
     }
     List<FakeEngine.Attempt> attempts = new ArrayList<>(draining.attempts());
     attempts.addAll(staying.attempts());
-    attempts.removeIf(attempt -> attempt.at() < posted);
+    attempts.removeIf(attempt -> attempt.receivedAt() < postedAt);
     assertEquals(20, attempts.size());
-    long most =
+    long maxLimitMs =
         attempts.stream()
             .mapToLong(
-                attempt -> attempt.limitMs() + TimeUnit.NANOSECONDS.toMillis(attempt.at() - posted))
+                attempt ->
+                    attempt.limitMs()
+                        + TimeUnit.NANOSECONDS.toMillis(attempt.receivedAt() - postedAt))
             .max()
             .orElseThrow();
     assertTrue(
-        most <= DEADLINE_MS + LIMIT_SLACK_MS,
-        "told " + (most - DEADLINE_MS) + " ms more than the client has left");
+        maxLimitMs <= DEADLINE_MS + LIMIT_SLACK_MS,
+        "limit exceeds the remaining time of the client by " + (maxLimitMs - DEADLINE_MS) + " ms");
   }
 
-  /** Several answers in a row that tell of the drain are lost on their way. */
+  /** Guards against the loss of several consecutive answers that state the drain. */
   @Test
-  void drainIsHonouredThoughAnswersAreLostInARow() throws Exception {
+  void drainIsHonouredWhenConsecutiveAnswersAreLost() throws Exception {
     start();
     awaitListening();
     burst(10);
-    discoveryService.drainsWithAnswersLost(DRAINS, NOTIFIED_MS);
-    long began = System.nanoTime();
-    int asked = 10;
-    while (System.nanoTime() < began + TimeUnit.MILLISECONDS.toNanos(4000)) {
+    discoveryService.beginDrainAndLoseAnswers(DRAINING_ENGINE, NOTIFIED_MS);
+    long startedAt = System.nanoTime();
+    int requests = 10;
+    while (System.nanoTime() < startedAt + TimeUnit.MILLISECONDS.toNanos(4000)) {
       burst(5);
-      asked += 5;
+      requests += 5;
       Thread.sleep(BURST_PAUSE_MS);
     }
-    assertDrainHonoured(asked);
+    assertDrainHonoured(requests);
   }
 
   /**
-   * No attempt came to the engine that drains later than the rule allows, and all that was asked
-   * for was served.
+   * Asserts that the draining engine got no attempt after its grace period.
+   *
+   * @param requests the number of requests sent, each of which must have led to an attempt
    */
-  private void assertDrainHonoured(int asked) {
+  private void assertDrainHonoured(int requests) {
     long until =
-        discoveryService.notifiedAt(DRAINS) + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + SLACK_MS);
+        discoveryService.notifiedAt(DRAINING_ENGINE)
+            + TimeUnit.MILLISECONDS.toNanos(GRACE_MS + SLACK_MS);
     List<Long> late =
-        draining.attempts().stream().map(FakeEngine.Attempt::at).filter(at -> at > until).toList();
+        draining.attempts().stream()
+            .map(FakeEngine.Attempt::receivedAt)
+            .filter(at -> at > until)
+            .toList();
     assertEquals(
         0,
         late.size(),
         () ->
-            "attempts after the grace, the first "
-                + TimeUnit.NANOSECONDS.toMillis(late.get(0) - discoveryService.notifiedAt(DRAINS))
-                + " ms after the drain was told");
+            "expected no attempts after the grace period, got the first "
+                + TimeUnit.NANOSECONDS.toMillis(
+                    late.get(0) - discoveryService.notifiedAt(DRAINING_ENGINE))
+                + " ms after the gateway counted as notified of the drain");
     assertTrue(
-        draining.attempts().size() + staying.attempts().size() >= asked,
-        "not all that was asked for was sent");
+        draining.attempts().size() + staying.attempts().size() >= requests,
+        "expected at least " + requests + " attempts");
   }
 
   private void start() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, HERE)) {
+    try (ServerSocket free = new ServerSocket(0, 1, LOCALHOST)) {
       port = free.getLocalPort();
     }
     String requestClass =
@@ -227,9 +244,9 @@
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"resolver\":\"127.0.0.1:"
                 + discoveryService.port()
                 + "\",\"known\":{\"index\":1,\"updates\":[{\"index\":1,\"endpoints\":{\"snapshot\":true,\"endpoints\":["
-                + endpointJson(DRAINS, draining)
+                + endpointJson(DRAINING_ENGINE, draining)
                 + ","
-                + endpointJson(STAYS, staying)
+                + endpointJson(STAYING_ENGINE, staying)
                 + "]}}]},\"settings\":{\"tick_us\":5000,"
                 + "\"caps\":{\"max_attempts\":3,\"streams_per_conn\":8,\"connect_timeout_us\":1000000,\"may_cancel\":true},"
                 + "\"models\":[\"std\"],\"zones\":[\"east\"],\"guarantees\":{\"drain_grace_us\":"
@@ -259,22 +276,23 @@
         + "\",\"zone\":\"east\",\"type\":\"std\",\"status\":\"SERVING\"}";
   }
 
+  /** Waits until the gateway listens, then copies its log to standard output. */
   private void awaitListening() {
     Loopback.await(
         () -> {
-          try (Socket socket = new Socket(HERE, port)) {
+          try (Socket socket = new Socket(LOCALHOST, port)) {
             return socket.isConnected();
           } catch (IOException e) {
             return false;
           }
         },
-        "it does not listen");
-    FakeEngine.daemon(() -> process.getErrorStream().transferTo(System.out));
+        "the gateway does not listen");
+    FakeEngine.runInBackground(() -> process.getErrorStream().transferTo(System.out));
   }
 
   /**
-   * Until all connections are taken in: a call on a further one is answered, and they came before
-   * it.
+   * Waits until the gateway has accepted all connections so far: they were opened before another
+   * one, on which a request is answered.
    */
   private void awaitAccepted() throws IOException {
     Peer last = clients(1).get(0);
@@ -283,12 +301,13 @@
     last.close();
   }
 
+  /** Sends a signal to the gateway. */
   private void signal(String name) throws Exception {
     assertEquals(
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
-  /** So many requests at once, each waited for. */
+  /** Sends this many requests at once and waits for all results. */
   private void burst(int requests) throws IOException {
     List<Peer> clients = clients(requests);
     for (Peer client : clients) {
@@ -302,16 +321,16 @@
   private List<Peer> clients(int count) throws IOException {
     List<Peer> clients = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      Socket socket = new Socket(HERE, port);
+      Socket socket = new Socket(LOCALHOST, port);
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(Loopback.PATIENCE_MS);
+      socket.setSoTimeout(Loopback.TIMEOUT_MS);
       clients.add(new Peer(socket));
     }
     return clients;
   }
 
   private void post(Peer client) throws IOException {
-    client.post(String.format("%016x", ++ids), "look", DEADLINE_MS);
+    client.post(String.format("%016x", ++lastId), "look", DEADLINE_MS);
   }
 
   private static void fetch(Peer client) throws IOException {
