--- a/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
+++ b/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
@@ -32,19 +32,20 @@
 import tillerlink.port.DispatchActions;
 
 /**
- * Pins the keys and units of a gateway's configuration: what is parsed out of one file with every
- * key, the request class terms made of it, and by which names the settings are asked for.
+ * Guard tests that pin the keys and units of a gateway's configuration: the values parsed from a
+ * file that has every key, the request class settings made from them, and the names under which
+ * settings are looked up.
  */
 class ConfigurationFormatGuardTest {
-  private static final DispatchActions NO_ORDERS =
+  private static final DispatchActions NO_ACTIONS =
       (DispatchActions)
           Proxy.newProxyInstance(
               DispatchActions.class.getClassLoader(),
               new Class<?>[] {DispatchActions.class},
-              (proxy, method, given) -> null);
+              (proxy, method, arguments) -> null);
 
   @Test
-  void startValuesAreReadFromTheirKeys() throws Exception {
+  void gatewayValuesAreReadFromTheirKeys() throws Exception {
     GatewayConfig read = read();
     assertEquals("north-1", read.name());
     assertEquals(new InetSocketAddress("127.0.0.1", 8080), read.listen());
@@ -87,8 +88,8 @@
   }
 
   @Test
-  void settingsStandUnderTheirDottedNames() throws Exception {
-    Map<String, Object> plain = FlattenedConfig.of(read().terms());
+  void settingsAreFlattenedToDottedNames() throws Exception {
+    Map<String, Object> flattened = FlattenedConfig.of(read().terms());
     assertEquals(
         List.of(
             "instances=3",
@@ -149,12 +150,14 @@
             "profiles.2.group=cell",
             "profiles.2.aim=7000",
             "profiles.2.hard_limit=8000"),
-        plain.entrySet().stream().map(entry -> entry.getKey() + "=" + entry.getValue()).toList());
+        flattened.entrySet().stream()
+            .map(entry -> entry.getKey() + "=" + entry.getValue())
+            .toList());
   }
 
   @Test
-  void requestClassesHaveTheTermsOfTheirProfiles() throws Exception {
-    Map<String, Object> plain = FlattenedConfig.of(read().terms());
+  void requestClassesAreReadFromTheirProfiles() throws Exception {
+    Map<String, Object> flattened = FlattenedConfig.of(read().terms());
     assertEquals(
         new RequestClassConfig(
             Effect.PURE,
@@ -171,7 +174,7 @@
             false,
             null,
             null),
-        terms(plain, 0));
+        requestClassConfig(flattened, 0));
     assertEquals(
         new RequestClassConfig(
             Effect.RECEIPTED,
@@ -188,7 +191,7 @@
             true,
             List.of(0, 1),
             List.of(1)),
-        terms(plain, 1));
+        requestClassConfig(flattened, 1));
     assertEquals(
         new RequestClassConfig(
             Effect.EFFECTFUL,
@@ -205,14 +208,14 @@
             false,
             null,
             null),
-        terms(plain, 2));
+        requestClassConfig(flattened, 2));
   }
 
-  /** A name that is asked for under another key would read as absent, without a fault. */
+  /** Guards against a lookup under a wrong key, which would find no value and report no error. */
   @Test
-  void decisionsAskForTheseNamesAndNoOthers() throws Exception {
-    Asked asked = new Asked(FlattenedConfig.of(read().terms()));
-    DefaultDispatchPolicy policy = new DefaultDispatchPolicy(1_000_000, 5, asked, NO_ORDERS);
+  void dispatchPolicyLooksUpOnlyTheseSettings() throws Exception {
+    RecordingSettings settings = new RecordingSettings(FlattenedConfig.of(read().terms()));
+    DefaultDispatchPolicy policy = new DefaultDispatchPolicy(1_000_000, 5, settings, NO_ACTIONS);
     Engine cold = new Engine("a1");
     policy.onEndpointPollFailed(1_000_000);
     policy.onEndpointsChanged(
@@ -231,7 +234,7 @@
     policy.applyDecisions(1_100_200);
     policy.onShutdownDeadline(1_100_300, first);
     Set<String> names = new TreeSet<>();
-    for (String name : asked.names) {
+    for (String name : settings.names) {
       names.add(name.replaceFirst("^profiles[.][0-9]+[.]", "profiles.N."));
     }
     assertEquals(
@@ -279,9 +282,9 @@
   }
 
   @Test
-  void invariantsAskForTheseNames() throws Exception {
-    Asked asked = new Asked(FlattenedConfig.of(read().terms()));
-    new InvariantMonitor(new Settings(asked));
+  void invariantMonitorLooksUpOnlyTheseSettings() throws Exception {
+    RecordingSettings settings = new RecordingSettings(FlattenedConfig.of(read().terms()));
+    new InvariantMonitor(new Settings(settings));
     assertEquals(
         new TreeSet<>(
             Set.of(
@@ -293,12 +296,13 @@
                 "guarantees.fall_multiple",
                 "guarantees.start_capacity",
                 "guarantees.warm_within")),
-        asked.names);
+        settings.names);
   }
 
-  private static RequestClassConfig terms(Map<String, Object> plain, int requestClass) {
+  private static RequestClassConfig requestClassConfig(
+      Map<String, Object> flattened, int requestClass) {
     Request request = request(requestClass, 10);
-    new DefaultDispatchPolicy(10, 5, plain, NO_ORDERS).onRequestArrived(10, request);
+    new DefaultDispatchPolicy(10, 5, flattened, NO_ACTIONS).onRequestArrived(10, request);
     return request.requestClass.config;
   }
 
@@ -312,12 +316,12 @@
             ConfigurationFormatGuardTest.class.getResource("/guards/configuration.json").toURI()));
   }
 
-  /** Settings that note by which names they are asked. */
-  private static final class Asked extends HashMap<String, Object> {
+  /** Settings that record the names under which they are looked up. */
+  private static final class RecordingSettings extends HashMap<String, Object> {
     private static final long serialVersionUID = 1L;
     private final transient Set<String> names = new TreeSet<>();
 
-    Asked(Map<String, Object> values) {
+    RecordingSettings(Map<String, Object> values) {
       super(new LinkedHashMap<>(values));
     }
 
--- a/gateway/src/test/java/tillerlink/KnownRedTest.java
+++ b/gateway/src/test/java/tillerlink/KnownRedTest.java
@@ -13,14 +13,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Plays .ci/run in a made-up repository whose Maven only writes down how it was called and ends as
- * told; the reports are there already. Unless a test changes it, p.OneTest#red fails and is listed,
- * and all else passes: that run passes.
+ * Tests of the script .ci/run in a generated repository. Its Maven is a fake that records its
+ * arguments and exits with a given code; the Surefire reports exist beforehand. Unless a test
+ * changes them, p.OneTest#red fails and is listed as known to fail, all other tests pass, and so
+ * does the run.
  */
 class KnownRedTest {
-  private static final String PLAIN = "-B -ntp clean verify\n";
-  private static final String IGNORING = "-B -ntp clean verify -Dmaven.test.failure.ignore=true\n";
-  private static final String LISTED = "p.OneTest#red | the clock jumps | docs/clock.md\n";
+  private static final String PLAIN_ARGUMENTS = "-B -ntp clean verify\n";
+  private static final String IGNORING_FAILURES =
+      "-B -ntp clean verify -Dmaven.test.failure.ignore=true\n";
+  private static final String LISTED_ENTRY = "p.OneTest#red | the clock jumps | docs/clock.md\n";
   private static final String PASSED = "";
   private static final String FAILED = "<failure type='AssertionFailedError'>expected: 1</failure>";
   private static final String ERROR = "<error type='IllegalStateException'>broken</error>";
@@ -31,7 +33,7 @@
   private record Run(int exit, String output) {}
 
   @BeforeEach
-  void repository() throws IOException {
+  void createRepository() throws IOException {
     for (String script : new String[] {"run", "KnownRed.java"}) {
       write(".ci/" + script, Files.readString(Path.of("..", ".ci", script)));
     }
@@ -49,42 +51,42 @@
         "two",
         "p.q.TwoTest",
         test("p.q.TwoTest", "green", PASSED) + test("p.q.TwoTest", "elsewhere", SKIPPED));
-    write("KNOWN-RED.txt", LISTED);
+    write("KNOWN-RED.txt", LISTED_ENTRY);
   }
 
   @Test
-  void withoutEntriesTheCommandIsThePlainOneAndMavenDecides() throws Exception {
+  void withoutEntriesMavenRunsWithPlainArgumentsAndDecides() throws Exception {
     for (String exit : new String[] {"0", "1"}) {
       write("exit", exit);
       Files.delete(root.resolve("KNOWN-RED.txt"));
       assertEquals(new Run(Integer.parseInt(exit), ""), run());
-      assertEquals(PLAIN, read("called"));
+      assertEquals(PLAIN_ARGUMENTS, read("called"));
       for (String empty : new String[] {"", "\n", "# test | cause | issue\n \t\r\n"}) {
         write("KNOWN-RED.txt", empty);
         assertEquals(new Run(Integer.parseInt(exit), ""), run());
-        assertEquals(PLAIN, read("called"));
+        assertEquals(PLAIN_ARGUMENTS, read("called"));
       }
     }
   }
 
   @Test
-  void aListedTestThatFailsIsPassedOverAndPrinted() throws Exception {
-    write("KNOWN-RED.txt", "# test | cause | issue\n\n" + LISTED);
+  void listedTestThatFailsIsToleratedAndPrinted() throws Exception {
+    write("KNOWN-RED.txt", "# test | cause | issue\n\n" + LISTED_ENTRY);
     Run run = run();
     assertEquals(0, run.exit(), run.output());
-    assertTrue(run.output().contains(LISTED), run.output());
-    assertEquals(IGNORING, read("called"));
+    assertTrue(run.output().contains(LISTED_ENTRY), run.output());
+    assertEquals(IGNORING_FAILURES, read("called"));
   }
 
   @Test
-  void aListedTestThatEndsInAnErrorIsPassedOverToo() throws Exception {
+  void listedTestThatEndsInAnErrorIsTolerated() throws Exception {
     report("one", "p.OneTest", test("p.OneTest", "red", ERROR));
     Run run = run();
     assertEquals(0, run.exit(), run.output());
   }
 
   @Test
-  void threeEntriesAreTakenAndFourAreNot() throws Exception {
+  void threeEntriesAreAcceptedAndFourAreRejected() throws Exception {
     String four = "";
     String tests = "";
     for (int i = 1; i <= 4; i++) {
@@ -101,31 +103,31 @@
   }
 
   @Test
-  void aListedTestThatPassesFails() throws Exception {
+  void listedTestThatPassesFailsTheRun() throws Exception {
     report("one", "p.OneTest", test("p.OneTest", "red", PASSED));
     assertFails("listed, but it passes: p.OneTest#red");
   }
 
   @Test
-  void aListedTestThatPassesOnceOfTwiceFails() throws Exception {
+  void listedTestThatPassesOneOfTwoTimesFailsTheRun() throws Exception {
     report("one", "p.OneTest", test("p.OneTest", "red", FAILED) + test("p.OneTest", "red", PASSED));
     assertFails("listed, but it passes: p.OneTest#red");
   }
 
   @Test
-  void aListedTestThatIsSkippedFails() throws Exception {
+  void skippedListedTestFailsTheRun() throws Exception {
     report("one", "p.OneTest", test("p.OneTest", "red", SKIPPED));
     assertFails("listed, but it was skipped: p.OneTest#red");
   }
 
   @Test
-  void aListedTestThatDoesNotExistFails() throws Exception {
-    write("KNOWN-RED.txt", LISTED + "p.OneTest#gone | cause | issue\n");
+  void missingListedTestFailsTheRun() throws Exception {
+    write("KNOWN-RED.txt", LISTED_ENTRY + "p.OneTest#gone | cause | issue\n");
     assertFails("listed, but there is no such test: p.OneTest#gone");
   }
 
   @Test
-  void anEntryThatIsNotWhollyThereFails() throws Exception {
+  void malformedOrDuplicateEntryFailsTheRun() throws Exception {
     String[] malformed = {
       "p.OneTest#red",
       "p.OneTest#red | cause",
@@ -147,12 +149,12 @@
     }
     write("KNOWN-RED.txt", "p.OneTest#red | cause\n");
     assertFails("not of the form package.Class#method | cause | issue: p.OneTest#red | cause\n");
-    write("KNOWN-RED.txt", LISTED + LISTED);
+    write("KNOWN-RED.txt", LISTED_ENTRY + LISTED_ENTRY);
     assertFails("listed twice: p.OneTest#red");
   }
 
   @Test
-  void anUnlistedTestThatFailsOrEndsInAnErrorFails() throws Exception {
+  void unlistedTestThatFailsOrEndsInAnErrorFailsTheRun() throws Exception {
     for (String outcome : new String[] {FAILED, ERROR}) {
       report("two", "p.q.TwoTest", test("p.q.TwoTest", "green", outcome));
       assertFails("fails and is not listed: p.q.TwoTest#green");
@@ -160,21 +162,21 @@
   }
 
   @Test
-  void whatFailsRoundAWholeClassFails() throws Exception {
+  void errorOutsideOfAnyTestMethodFailsTheRun() throws Exception {
     report("one", "p.OneTest", test("p.OneTest", "red", FAILED) + test("p.OneTest", "", ERROR));
     assertFails("fails and is not listed: p.OneTest#\n");
   }
 
   @Test
-  void aBuildThatMavenItselfFailsFails() throws Exception {
-    // So it ends with Surefire 3.5.4 when a JVM of tests dies, though failing tests are ignored.
+  void failureOfMavenItselfFailsTheRun() throws Exception {
+    // Surefire 3.5.4 exits like this when a test JVM crashes, although test failures are ignored.
     write("exit", "1");
     assertEquals(new Run(1, ""), run());
-    assertEquals(IGNORING, read("called"));
+    assertEquals(IGNORING_FAILURES, read("called"));
   }
 
   @Test
-  void aClassWithoutAReportFails() throws Exception {
+  void testClassWithoutAReportFailsTheRun() throws Exception {
     Files.delete(root.resolve("two/target/surefire-reports/TEST-p.q.TwoTest.xml"));
     assertFails("no test of it ran: p.q.TwoTest");
     report("two", "p.q.TwoTest", "");
@@ -182,31 +184,32 @@
   }
 
   @Test
-  void noReportsAtAllFail() throws Exception {
+  void missingReportsFailTheRun() throws Exception {
     Files.delete(root.resolve("one/target/surefire-reports/TEST-p.OneTest.xml"));
     Files.delete(root.resolve("two/target/surefire-reports/TEST-p.q.TwoTest.xml"));
     assertFails("no tests ran");
   }
 
   @Test
-  void aReportThatCantBeReadFails() throws Exception {
+  void unreadableReportFailsTheRun() throws Exception {
     write(
         "two/target/surefire-reports/TEST-p.q.TwoTest.xml",
         "<testsuite><testcase classname='p.q.TwoTest' name='gr");
     assertFails("can't be read: two/target/surefire-reports/TEST-p.q.TwoTest.xml");
   }
 
-  private void assertFails(String fault) throws Exception {
+  /** Asserts that the run fails and prints a message. */
+  private void assertFails(String message) throws Exception {
     Run run = run();
     assertEquals(1, run.exit(), run.output());
-    assertTrue(run.output().contains(fault), run.output());
+    assertTrue(run.output().contains(message), run.output());
   }
 
   private Run run() throws IOException, InterruptedException {
     ProcessBuilder script =
         new ProcessBuilder("bash", ".ci/run").directory(root.toFile()).redirectErrorStream(true);
     script.environment().put("JAVA_HOME", System.getProperty("java.home"));
-    // The script's Java is compiled anew in each run: half the processor time so.
+    // Each run compiles the Java source of the script; these options halve the processor time.
     script.environment().put("JDK_JAVA_OPTIONS", "-XX:TieredStopAtLevel=1 -XX:+UseSerialGC");
     script
         .environment()
@@ -216,6 +219,7 @@
     return new Run(process.waitFor(), output);
   }
 
+  /** Writes the Surefire report of a test class. */
   private void report(String module, String suite, String tests) throws IOException {
     write(
         module + "/target/surefire-reports/TEST-" + suite + ".xml",
@@ -226,6 +230,7 @@
             + "</testsuite>\n");
   }
 
+  /** Returns the element of one test method in a Surefire report. */
   private static String test(String suite, String name, String outcome) {
     return "<testcase name='" + name + "' classname='" + suite + "'>" + outcome + "</testcase>\n";
   }
--- a/gateway/src/test/java/tillerlink/SingleWriterTest.java
+++ b/gateway/src/test/java/tillerlink/SingleWriterTest.java
@@ -12,14 +12,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards the guard: an attempt can reach a socket in one way only, and each step of it stands in
- * one place. Whoever adds a second has to lead it past the guard first, and then say so here.
+ * Tests that the send guard cannot be bypassed: an attempt has only one path to a socket, and each
+ * step of that path occurs in only one place of the sources. Code that adds a second path must call
+ * the guard on it, and must then be added here.
  */
 class SingleWriterTest {
   private static final Path SOURCES = Path.of("src", "main", "java", "tillerlink");
 
   @Test
-  void socketsAreOpenedAndWrittenInTheDriverAlone() throws IOException {
+  void socketsAreOpenedAndWrittenOnlyInTheDriver() throws IOException {
     assertEquals(
         List.of("net/io/MinaDriver.java", "net/io/ReadProcessor.java"),
         filesWith("NioSocketConnector|\\bSocketChannel\\b|java\\.net\\.Socket\\b"));
@@ -29,29 +30,35 @@
     assertEquals(
         List.of("net/io/DiscoverySocket.java", "net/io/MinaDriver.java"),
         filesWith("session\\.write\\("),
-        "one for datagrams, one for connections");
+        "expected one write of datagrams and one of connection data");
     assertEquals(
         2,
         occurrences("net/io/ReadProcessor.java", "super\\.write\\("),
-        "one for what has no time, one behind the clock");
+        "expected one write without a deadline and one after the check of the deadline");
     assertEquals(List.of("net/io/ReadProcessor.java"), filesWith("super\\.write\\("));
   }
 
   @Test
-  void attemptsAreEncodedAndWrittenOnce() throws IOException {
+  void attemptsAreEncodedAndWrittenInOnePlace() throws IOException {
     assertEquals(List.of("net/state/EngineConnection.java"), filesWith("EngineCommand\\.want\\("));
     assertEquals(1, occurrences("net/state/EngineConnection.java", "EngineCommand\\.want\\("));
     assertEquals(
         List.of("net/state/EngineConnection.java"), filesWith("\\.writeUntil\\(\\s*EngineCommand"));
   }
 
-  /** Right before the one write: the guard's verdict; before the transport gets it: the same. */
+  /**
+   * Asserts that the verdict of the guard is checked immediately before the write of an attempt,
+   * and immediately before an attempt is passed to a transport.
+   */
   @Test
   void eachWriteIsCheckedByTheGuard() throws IOException {
-    String link = Files.readString(SOURCES.resolve("net/state/EngineConnection.java"));
-    assertEquals(1, count(link, "[^.\\w]want\\(inFlight\\);"));
+    String engineConnection = Files.readString(SOURCES.resolve("net/state/EngineConnection.java"));
+    assertEquals(1, count(engineConnection, "[^.\\w]want\\(inFlight\\);"));
     assertEquals(
-        1, count(link, "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+want\\(inFlight\\);"));
+        1,
+        count(
+            engineConnection,
+            "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+want\\(inFlight\\);"));
     String executor = Files.readString(SOURCES.resolve("net/state/ActionExecutor.java"));
     assertEquals(1, count(executor, "inFlight\\.transport\\(\\)\\.send\\(inFlight\\)"));
     assertEquals(
