--- a/gateway/src/main/java/tillerlink/model/Attempt.java
+++ b/gateway/src/main/java/tillerlink/model/Attempt.java
@@ -1,47 +1,59 @@
 package tillerlink.model;
 
 /**
- * One sending of a request to an engine. Times are tenths of a millisecond; used by the event loop
- * alone.
+ * One attempt to execute a request on an engine. Times are tenths of a millisecond. Not
+ * thread-safe: used by the event-loop thread only.
  */
 public final class Attempt {
   public final Request request;
   public final Engine engine;
 
-  /** Its position among the attempts of the request, from 0. */
+  /** The index of this attempt among the attempts of its request, starting at 0. */
   public final int number;
 
-  /** When it was placed on the engine. */
+  /** The time at which the policy placed the attempt on its engine. */
   public final long sentAt;
 
-  /** Time that it is expected to take, as estimated when it was placed. */
+  /** The expected duration, as estimated when the attempt was placed. */
   public final long expectedTime;
 
-  /** Time that it would take alone on an ordinary engine, as estimated when it was placed. */
+  /**
+   * The duration that the attempt would have alone on an engine of average speed, as estimated when
+   * it was placed.
+   */
   public final double nominalTime;
 
-  /** Sent to learn whether an outlier has recovered. */
+  /** Whether the attempt was sent to check if an outlier has recovered. */
   public final boolean healthCheck;
 
-  /** The action to send it was emitted. */
+  /** Whether the action that sends the attempt was emitted. */
   private boolean sent;
 
-  /** It is to be cancelled. */
+  /** Whether the policy wants the attempt cancelled. */
   private boolean cancelRequested;
 
-  /** The action to cancel it was emitted. */
+  /** Whether the action that cancels the attempt was emitted. */
   private boolean cancelSent;
 
-  /** When its first byte was sent; 0 before. */
+  /** The time at which the first byte was sent; 0 until then. */
   private long writtenAt;
 
-  /** Share done, 0 to 1, as last reported. */
+  /** The share that is completed, 0 to 1, as last reported by the engine. */
   private double completedShare;
 
-  /** Null while it is in flight. */
+  /** The outcome; null while the attempt is in flight. */
   public AttemptOutcome outcome;
 
-  /** Creates the next attempt of a request; the caller adds it to the request and the engine. */
+  /**
+   * Creates the next attempt of a request. The caller adds it to the request and to the engine.
+   *
+   * @param request the request to execute
+   * @param engine the engine to execute it on
+   * @param sentAt the time of the placement, in tenths of a millisecond
+   * @param expectedTime the expected duration, in tenths of a millisecond
+   * @param nominalTime the duration alone on an engine of average speed, in tenths of a millisecond
+   * @param healthCheck whether the attempt checks if an outlier has recovered
+   */
   public Attempt(
       Request request,
       Engine engine,
@@ -58,12 +70,12 @@
     this.healthCheck = healthCheck;
   }
 
-  /** Whether it has not ended. */
+  /** Returns whether the attempt has not ended. */
   public boolean isInFlight() {
     return outcome == null;
   }
 
-  /** Whether the request may have been executed by it, now or later. */
+  /** Returns whether this attempt may have executed the request or may still execute it. */
   public boolean mayHaveRun() {
     return outcome == null || !outcome.provesNotExecuted;
   }
--- a/gateway/src/main/java/tillerlink/model/AttemptOutcome.java
+++ b/gateway/src/main/java/tillerlink/model/AttemptOutcome.java
@@ -1,36 +1,36 @@
 package tillerlink.model;
 
-/** How an attempt ended. */
+/** The outcome of an attempt. */
 public enum AttemptOutcome {
-  /** The engine executed it. */
+  /** The engine executed the request. */
   SUCCEEDED(false, false, true),
   /** The engine reported an error. */
   FAILED(false, false, true),
-  /** Refused by an engine that was full or draining. */
+  /** The engine refused the attempt because it was full or draining. */
   REJECTED(true, false, true),
-  /** The client's time was over before it ended. */
+  /** The client's deadline passed before the attempt ended. */
   TIMED_OUT(false, true, false),
-  /** No connection was made in time. */
+  /** No connection to the engine was established in time. */
   CONNECT_FAILED(true, false, false),
-  /** The connection was lost while it was in flight. */
+  /** The connection was lost while the attempt was in flight. */
   CONNECTION_LOST(false, true, false),
   /**
-   * It reached the engine, and the response was lost on the way: that tells nothing of the engine's
-   * health.
+   * The attempt reached the engine, but its response was lost on the way. This outcome indicates
+   * nothing about the engine's health.
    */
   RESPONSE_LOST(false, true, true),
-  /** It was cancelled after it was written. */
+  /** The attempt was cancelled after it was written. */
   CANCELLED(false, true, false),
-  /** Nothing of it was written. */
+  /** No byte of the attempt was written. */
   NOT_SENT(true, false, false);
 
-  /** The request is known not to have run on this attempt. */
+  /** Whether the outcome proves that this attempt did not execute the request. */
   public final boolean provesNotExecuted;
 
-  /** The request may still be running. */
+  /** Whether the request may still be running on the engine. */
   public final boolean mayStillBeRunning;
 
-  /** The engine itself responded. */
+  /** Whether the outcome shows that the engine itself responded. */
   public final boolean engineResponded;
 
   AttemptOutcome(boolean provesNotExecuted, boolean mayStillBeRunning, boolean engineResponded) {
--- a/gateway/src/main/java/tillerlink/model/AttemptProgress.java
+++ b/gateway/src/main/java/tillerlink/model/AttemptProgress.java
@@ -1,11 +1,11 @@
 package tillerlink.model;
 
-/** What an engine reports of an attempt in flight. */
+/** The kind of progress message that an engine sends for an attempt in flight. */
 public enum AttemptProgress {
-  /** A share of it is done. */
+  /** A share of the attempt is completed. */
   PROGRESS,
-  /** It has too little memory. */
+  /** The attempt has too little memory and spills to disk. */
   SPILLS,
-  /** The engine has parked it. */
+  /** The engine has suspended the attempt. */
   WAITS
 }
--- a/gateway/src/main/java/tillerlink/model/BetaDistribution.java
+++ b/gateway/src/main/java/tillerlink/model/BetaDistribution.java
@@ -2,19 +2,29 @@
 
 import java.util.Random;
 
-/** Draws from a beta distribution, as the share of one gamma variable in the sum of two. */
+/**
+ * Draws samples from a beta distribution: the ratio of one gamma variable to the sum of two gamma
+ * variables.
+ */
 public final class BetaDistribution {
   private BetaDistribution() {}
 
-  /** Draws a number between 0 and 1; both shapes must be one or more. */
-  public static double draw(Random random, double one, double other) {
-    double first = gamma(random, one);
-    return first / (first + gamma(random, other));
+  /**
+   * Draws a sample.
+   *
+   * @param random the source of randomness
+   * @param alpha the first shape parameter, 1 or more
+   * @param beta the second shape parameter, 1 or more
+   * @return a number between 0 and 1
+   */
+  public static double draw(Random random, double alpha, double beta) {
+    double gammaAlpha = gamma(random, alpha);
+    return gammaAlpha / (gammaAlpha + gamma(random, beta));
   }
 
   /**
-   * Marsaglia and Tsang, "A simple method for generating gamma variables" (2000), for a shape of
-   * one or more.
+   * Draws a sample from a gamma distribution by the method of Marsaglia and Tsang, "A simple method
+   * for generating gamma variables" (2000), which requires a shape of 1 or more.
    */
   private static double gamma(Random random, double shape) {
     double offset = shape - 1.0 / 3;
--- a/gateway/src/main/java/tillerlink/model/DecayingMean.java
+++ b/gateway/src/main/java/tillerlink/model/DecayingMean.java
@@ -1,6 +1,9 @@
 package tillerlink.model;
 
-/** The mean of values that fade with age, drawn towards a prior while there are few. */
+/**
+ * An exponentially decaying mean with a prior: the weight of each value decays with its age, and
+ * the mean stays close to the prior while few values were added. Times are tenths of a millisecond.
+ */
 public final class DecayingMean {
   private final DecayingSum values;
   private final DecayingSum weights;
@@ -8,36 +11,37 @@
   private final double priorWeight;
 
   /**
-   * Creates a mean of no values.
+   * Creates a mean without values.
    *
-   * @param fadeTime the age at which the weight of a value has faded to 1/e
-   * @param prior the mean of no values
-   * @param priorWeight the weight of the prior, against 1 for a value
+   * @param timeConstant the age at which the weight of a value has decayed to 1/e, in tenths of a
+   *     millisecond
+   * @param prior the mean while there are no values
+   * @param priorWeight the constant weight of the prior; a value usually has weight 1
    */
-  public DecayingMean(double fadeTime, double prior, double priorWeight) {
-    values = new DecayingSum(fadeTime);
-    weights = new DecayingSum(fadeTime);
+  public DecayingMean(double timeConstant, double prior, double priorWeight) {
+    values = new DecayingSum(timeConstant);
+    weights = new DecayingSum(timeConstant);
     this.prior = prior;
     this.priorWeight = priorWeight;
   }
 
-  /** Adds a value with a weight. */
+  /** Adds a value with a weight at the time {@code now}. */
   public void add(long now, double value, double weight) {
     values.add(now, value * weight);
     weights.add(now, weight);
   }
 
-  /** The mean as of now. */
+  /** Returns the mean at the time {@code now}, prior included. */
   public double at(long now) {
     return (values.at(now) + prior * priorWeight) / (weights.at(now) + priorWeight);
   }
 
-  /** The weight of all values as of now, without the prior. */
+  /** Returns the total weight of the values at the time {@code now}, without the prior. */
   public double weight(long now) {
     return weights.at(now);
   }
 
-  /** Forgets all values. */
+  /** Removes all values; the prior remains. */
   public void clear() {
     values.clear();
     weights.clear();
--- a/gateway/src/main/java/tillerlink/model/DecayingSum.java
+++ b/gateway/src/main/java/tillerlink/model/DecayingSum.java
@@ -1,29 +1,32 @@
 package tillerlink.model;
 
-/** A sum whose parts fade with age; brought up to date when read. */
+/**
+ * An exponentially decaying sum. The decay is computed when the sum is read. Times are tenths of a
+ * millisecond.
+ */
 public final class DecayingSum {
-  private final double fadeTime;
+  private final double timeConstant;
   private double sum;
-  private long asOf;
+  private long updatedAt;
 
   /**
    * Creates an empty sum.
    *
-   * @param fadeTime the age at which a part has faded to 1/e
+   * @param timeConstant the age at which an amount has decayed to 1/e, in tenths of a millisecond
    */
-  public DecayingSum(double fadeTime) {
-    this.fadeTime = fadeTime;
+  public DecayingSum(double timeConstant) {
+    this.timeConstant = timeConstant;
   }
 
-  /** Adds an amount, which may be negative. */
+  /** Adds an amount, which may be negative, at the time {@code now}. */
   public void add(long now, double amount) {
     sum = at(now) + amount;
-    asOf = now;
+    updatedAt = now;
   }
 
-  /** The sum as of now. */
+  /** Returns the sum at the time {@code now}. */
   public double at(long now) {
-    return sum == 0 ? 0 : sum * Math.exp((asOf - now) / fadeTime);
+    return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstant);
   }
 
   /** Sets the sum to zero. */
--- a/gateway/src/main/java/tillerlink/model/DeduplicationGroup.java
+++ b/gateway/src/main/java/tillerlink/model/DeduplicationGroup.java
@@ -1,20 +1,25 @@
 package tillerlink.model;
 
-/** The group of engines that discards the repeats of an idempotent request. */
+/** The group of engines within which repeats of an idempotent request are discarded. */
 public enum DeduplicationGroup {
   /** All engines. */
   ALL,
-  /** The engines of a zone. */
+  /** The engines of one zone. */
   ZONE,
-  /** The engines of a cell. */
+  /** The engines of one cell. */
   CELL;
 
-  /** Whether a repeat of what one engine may have run is discarded by the other. */
-  public boolean covers(Engine one, Engine other) {
+  /**
+   * Returns whether a repeat on one engine is discarded if another engine executed the request.
+   *
+   * @param executing the engine that may have executed the request
+   * @param repeating the engine that would receive the repeat
+   */
+  public boolean covers(Engine executing, Engine repeating) {
     return switch (this) {
       case ALL -> true;
-      case ZONE -> one.zone == other.zone;
-      case CELL -> one.cell == other.cell;
+      case ZONE -> executing.zone == repeating.zone;
+      case CELL -> executing.cell == repeating.cell;
     };
   }
 }
--- a/gateway/src/main/java/tillerlink/model/Effect.java
+++ b/gateway/src/main/java/tillerlink/model/Effect.java
@@ -1,14 +1,17 @@
 package tillerlink.model;
 
 /**
- * What executing a request of a request class a second time would do. The operator's file names
- * these constants.
+ * The effect of executing a request of a request class a second time. The operator's configuration
+ * file uses the names of these constants.
  */
 public enum Effect {
-  /** Nothing: it may be executed again. */
+  /** A second execution has no effect: the request may be executed again. */
   PURE,
-  /** It has an idempotency key by which a group of engines discards a repeat, for a time. */
+  /**
+   * The request has an idempotency key, by which the engines of its deduplication group discard
+   * repeats within the deduplication window.
+   */
   RECEIPTED,
-  /** It must never be executed twice. */
+  /** The request must never be executed twice. */
   EFFECTFUL
 }
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -5,21 +5,22 @@
 import java.util.List;
 
 /**
- * One engine as this gateway knows it: the endpoint list's entry, and what the policy counts. Times
- * are tenths of a millisecond; used by the event loop alone.
+ * The state of one engine in this gateway: its entry in the endpoint list, and the counts and
+ * measurements of the policy. Times are tenths of a millisecond. Not thread-safe: used by the
+ * event-loop thread only.
  */
 public final class Engine {
-  /** What the endpoint list says of an engine's process. */
+  /** The status of an engine's process according to the endpoint list. */
   public enum Status {
-    /** It takes new attempts. */
+    /** The engine accepts new attempts. */
     READY,
-    /** It ends what it has and takes nothing new. */
+    /** The engine finishes its attempts in flight and accepts no new ones. */
     DRAINING,
-    /** It is not on the list any more. */
+    /** The engine is no longer on the endpoint list. */
     GONE
   }
 
-  /** The handle of the code that runs the policy, which never looks at it. */
+  /** An opaque handle of the code that runs the policy. The policy never reads it. */
   public final Object tag;
 
   public int kind;
@@ -28,47 +29,48 @@
   public Engine.Status status = Engine.Status.GONE;
 
   /**
-   * The policy knows it. Stored here, since looking up each of a thousand engines in a list of a
-   * thousand is slow.
+   * Whether the policy's engine registry contains the engine. Stored here because looking up each
+   * of a thousand engines in a list of a thousand is slow.
    */
   private boolean registered;
 
   public long startedAt;
 
-  /** Below 1 while it is only known from a cached endpoint list. */
+  /** The trust in the entry, 0 to 1: below 1 while it is known from the endpoint cache only. */
   public double trust = 1;
 
-  /** Attempts in flight, oldest first. */
+  /** The attempts in flight on the engine, oldest first. */
   public final List<Attempt> inFlight = new ArrayList<>();
 
   private int[] inFlightByClass = new int[0];
   private int threadsInFlight;
   private int healthChecksInFlight;
 
-  /** Table groups of the most recent attempts, latest last. */
+  /** The distinct table groups of the most recent attempts, the latest last. */
   private final ArrayDeque<Integer> recentTableGroups = new ArrayDeque<>();
 
   private DecayingSum successes;
   private DecayingSum failures;
 
-  /** Threads of attempts that timed out and may run on. */
+  /** Threads of attempts that timed out and may still be running. */
   private DecayingSum abandonedThreads;
 
   private DecayingMean pace;
   private SlidingSum workSent;
 
   /**
-   * It is warming up, and has quota for the last request only by this gateway's slow-start slot.
+   * Whether the engine is warming up and the request that was checked last exceeds this gateway's
+   * remaining quota there, so that only the gateway's slow-start slot can admit it.
    */
   private boolean usesSlowStartSlot;
 
   private double concurrencyFactor;
   private long overloadedUntil = Long.MIN_VALUE;
 
-  /** When it last seemed to have restarted. */
+  /** The last time at which the engine appeared to have restarted. */
   private long restartSeenAt = Long.MIN_VALUE;
 
-  /** When a connection with an attempt was last lost. */
+  /** The last time at which a connection with an attempt in flight was lost. */
   private long connectionLostAt = Long.MIN_VALUE;
 
   private long limitReducedAt = Long.MIN_VALUE;
@@ -76,55 +78,60 @@
   private long reportedAt = Long.MIN_VALUE;
   private double reportedQueries;
 
-  /** The highest utilization that it reported of its cores and disks, 0 to 1. */
+  /** The highest utilization of cores or disks in the last load report, 0 to 1. */
   private double reportedUtilization;
 
-  /** Requests for each core of the class that was placed last, as last measured. */
+  /** Requests per core of the request class that was placed last, as last measured. */
   private double classLoad;
 
-  /** Threads for each core of all classes, and utilization, as last measured. */
+  /** Threads per core of all request classes plus the utilization, as last measured. */
   private double load;
 
-  /** Cores that it seems to have for the class that was placed last. */
+  /** The estimated cores available to the request class that was placed last. */
   private double spareCores;
 
-  /** Creates an engine that is not on the list yet. */
+  /**
+   * Creates an engine that is not on the endpoint list yet.
+   *
+   * @param tag an opaque handle of the code that runs the policy
+   */
   public Engine(Object tag) {
     this.tag = tag;
   }
 
   /**
-   * Counts an attempt that is sent here.
+   * Counts an attempt that is placed on this engine.
    *
-   * @param groupsKept number of recent table groups that are kept
+   * @param attempt the attempt
+   * @param maxTableGroups the number of recent table groups to remember
    */
-  public void attemptStarted(Attempt attempt, int groupsKept) {
+  public void attemptStarted(Attempt attempt, int maxTableGroups) {
     count(attempt, 1);
     inFlight.add(attempt);
     recentTableGroups.remove((Integer) attempt.request.tableGroup);
     recentTableGroups.addLast(attempt.request.tableGroup);
-    if (recentTableGroups.size() > groupsKept) {
+    if (recentTableGroups.size() > maxTableGroups) {
       recentTableGroups.removeFirst();
     }
   }
 
-  /** Counts an attempt that ended. */
+  /** Removes an attempt that ended from the counts. */
   public void attemptEnded(Attempt attempt) {
     count(attempt, -1);
     inFlight.remove(attempt);
   }
 
-  /** Requests of a class that are in flight here. */
+  /** Returns the number of attempts of a request class in flight on this engine. */
   public int inFlightOfClass(int classIndex) {
     return inFlightByClass[classIndex];
   }
 
-  /** Whether one of the most recent attempts used the table group. */
+  /** Returns whether one of the most recent attempts used the table group. */
   public boolean hasRecentTableGroup(int tableGroup) {
     return recentTableGroups.contains(tableGroup);
   }
 
-  /** Whether an attempt in flight here loads the table group. */
+  /** Returns whether an attempt in flight on this engine loads the table group. */
   public boolean loadsTableGroup(int tableGroup) {
     return inFlight.stream()
         .anyMatch(
@@ -133,7 +140,7 @@
                     && attempt.request.requestClass.config.loadsTableGroup());
   }
 
-  /** Threads in flight of the class that has the most. */
+  /** Returns the threads in flight of the request class that has the most. */
   public int threadsOfLargestClass() {
     return inFlight.stream()
         .mapToInt(
@@ -145,33 +152,34 @@
   }
 
   /**
-   * Begins to count when the engine becomes known to the policy.
+   * Initializes the counts when the engine is added to the policy's registry.
    *
-   * @param requestClasses number of request classes
-   * @param recordTime age at which successes and failures have faded to 1/e
-   * @param paceTime the same for the pace
-   * @param sentWork an empty sum of the work that is sent here
-   * @param initialFactor the concurrency factor to begin with
+   * @param requestClasses the number of request classes
+   * @param recordTimeConstant the age at which successes and failures have decayed to 1/e, in
+   *     tenths of a millisecond
+   * @param paceTimeConstant the same for the pace
+   * @param sentWork an empty sum for the work that is sent to this engine
+   * @param initialFactor the initial concurrency factor
    */
   public void startCounting(
       int requestClasses,
-      double recordTime,
-      double paceTime,
+      double recordTimeConstant,
+      double paceTimeConstant,
       SlidingSum sentWork,
       double initialFactor) {
     inFlightByClass = new int[requestClasses];
-    successes = new DecayingSum(recordTime);
-    failures = new DecayingSum(recordTime);
-    abandonedThreads = new DecayingSum(recordTime);
-    pace = new DecayingMean(paceTime, 1, 2);
+    successes = new DecayingSum(recordTimeConstant);
+    failures = new DecayingSum(recordTimeConstant);
+    abandonedThreads = new DecayingSum(recordTimeConstant);
+    pace = new DecayingMean(paceTimeConstant, 1, 2);
     workSent = sentWork;
     concurrencyFactor = initialFactor;
   }
 
   /**
-   * Forgets what was counted of the previous process.
+   * Clears the history of the engine's previous process.
    *
-   * @param initialFactor the concurrency factor to begin with
+   * @param initialFactor the initial concurrency factor
    */
   public void resetHistory(double initialFactor) {
     successes.clear();
@@ -184,10 +192,10 @@
     restartSeenAt = Long.MIN_VALUE;
   }
 
-  private void count(Attempt attempt, int by) {
-    inFlightByClass[attempt.request.classIndex] += by;
-    threadsInFlight += by * attempt.request.requestClass.config.threadsPerRequest();
-    healthChecksInFlight += attempt.healthCheck ? by : 0;
+  private void count(Attempt attempt, int delta) {
+    inFlightByClass[attempt.request.classIndex] += delta;
+    threadsInFlight += delta * attempt.request.requestClass.config.threadsPerRequest();
+    healthChecksInFlight += attempt.healthCheck ? delta : 0;
   }
 
   public boolean isRegistered() {
--- a/gateway/src/main/java/tillerlink/model/Request.java
+++ b/gateway/src/main/java/tillerlink/model/Request.java
@@ -4,78 +4,97 @@
 import java.util.List;
 
 /**
- * A request of a client, and how far it has come. Times are tenths of a millisecond; used by the
- * event loop alone.
+ * A client's request and its progress through the gateway. Times are tenths of a millisecond. Not
+ * thread-safe: used by the event-loop thread only.
  */
 public final class Request {
-  /** The handle of the code that runs the policy, which never looks at it. */
+  /** An opaque handle of the code that runs the policy. The policy never reads it. */
   public final Object tag;
 
   public final int classIndex;
   public final int tableGroup;
 
-  /** The client has sent it before. */
+  /** Whether the client has sent the request before. */
   public final boolean repeat;
 
   public final long arrivedAt;
 
-  /** When the client stops waiting. */
+  /** The time at which the client stops waiting. */
   public final long clientDeadline;
 
-  /** Estimate of the work of all its threads, as time on one; 0 if none was given. */
+  /**
+   * The client's estimate of the work of all threads together, as time on a single thread; 0 if
+   * none was given.
+   */
   public final double workEstimate;
 
-  /** Estimate of the memory that it needs, in MB; 0 if none was given. */
+  /** The client's estimate of the memory that the request needs, in MB; 0 if none was given. */
   public final double memoryEstimate;
 
-  /** The requests of its key, or null if it has none. */
+  /** The queue of the request's ordering key, or null if it has no key. */
   public final KeyedRequestQueue keyQueue;
 
   public RequestClass requestClass;
   public final List<Attempt> attempts = new ArrayList<>(1);
   public int attemptsInFlight;
 
-  /** It is in the queue of its request class. */
+  /** Whether the request is in the queue of its request class. */
   private boolean queued;
 
-  /** Nobody waits for its answer at present, but the client may ask again. */
+  /** Whether no client waits for the answer at present. The client may ask for it again. */
   public boolean unattended;
 
-  /** The response has begun to reach the client. */
+  /** Whether the client has started to receive the response. */
   private boolean responseStarted;
 
-  /** Null until it has ended for the client. */
+  /** The outcome for the client; null until there is one. */
   public RequestOutcome outcome;
 
-  /** When its client was seen to have disconnected; later than any time before. */
+  /** The time at which the client was found disconnected; {@code Long.MAX_VALUE} until then. */
   public long disconnectedAt = Long.MAX_VALUE;
 
-  /** Why the policy terminated it; null if it did not. */
+  /** The reason why the policy terminated the request; null if it did not. */
   public TerminationReason terminationReason;
 
-  /** No engine can serve it. */
+  /** Whether the request failed on two engines, which means that no engine can serve it. */
   private boolean unservable;
 
-  /** Its client has an answer, or the action for it was emitted. */
+  /** Whether the client has its answer, or the action that sends it was emitted. */
   private boolean notified;
 
-  /** How long a rejected client should stay away. */
+  /** The time after which a rejected client should retry; 0 gives no advice. */
   private long retryAfter;
 
-  /** The wanted priority and grant, and those that were sent last. */
+  /**
+   * The wanted priority, 0 to 3 with 3 the highest; the wanted memory grant, in megabytes; and the
+   * values of both that were sent last.
+   */
   private int priority = 1;
 
   private int prioritySent = 1;
   private long grant;
   private long grantSent;
 
-  /** When it is to be reviewed next. */
+  /** The time of the next review; {@code Long.MAX_VALUE} if none is scheduled. */
   private long wakeAt = Long.MAX_VALUE;
 
-  /** It may have changed since the actions were reconciled last. */
+  /** Whether the request may have changed since its actions were last reconciled. */
   private boolean reconcilePending;
 
-  /** Creates a request that has just arrived. */
+  /**
+   * Creates a request that has just arrived.
+   *
+   * @param tag an opaque handle of the code that runs the policy
+   * @param classIndex the index of the request class
+   * @param tableGroup the number of the request's table group
+   * @param repeat whether the client has sent the request before
+   * @param arrivedAt the time of arrival, in tenths of a millisecond
+   * @param clientDeadline the time at which the client stops waiting, in tenths of a millisecond
+   * @param workEstimate the estimated work of all threads, as tenths of a millisecond on a single
+   *     thread; 0 if none was given
+   * @param memoryEstimate the estimated memory in MB; 0 if none was given
+   * @param keyQueue the queue of the ordering key, or null if the request has no key
+   */
   public Request(
       Object tag,
       int classIndex,
@@ -97,12 +116,15 @@
     this.keyQueue = keyQueue;
   }
 
-  /** Whether it has a key, and its request class keeps the order of a key's requests. */
+  /**
+   * Returns whether the request has a key and its request class executes the requests of a key in
+   * order.
+   */
   public boolean ordered() {
     return keyQueue != null && requestClass.config.keepsOrder();
   }
 
-  /** The first of the other engines that failed on it, or null. */
+  /** Returns the first engine other than the given one that failed on this request, or null. */
   public Engine otherFailedEngine(Engine engine) {
     return attempts.stream()
         .filter(attempt -> attempt.outcome == AttemptOutcome.FAILED && attempt.engine != engine)
@@ -111,7 +133,7 @@
         .orElse(null);
   }
 
-  /** Whether it has ended and no attempt is in flight. */
+  /** Returns whether the request has an outcome and no attempt in flight. */
   public boolean isOver() {
     return outcome != null && attemptsInFlight == 0;
   }
--- a/gateway/src/main/java/tillerlink/model/RequestClass.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClass.java
@@ -2,36 +2,48 @@
 
 import java.util.ArrayDeque;
 
-/** A class of requests: its configuration, its queue and what was measured of it. */
+/**
+ * A request class: its configuration, its queue and its measurements. A pace is the duration of an
+ * attempt divided by the duration that it would have alone.
+ */
 public final class RequestClass {
   public final int index;
   public final RequestClassConfig config;
 
-  /** Queued requests, first in first out. */
+  /** The queued requests, first in, first out. */
   public final ArrayDeque<Request> queue = new ArrayDeque<>();
 
-  /** True work over estimate. */
+  /** The mean ratio of measured to estimated work. */
   public final DecayingMean workBias;
 
-  /** True memory over estimate. */
+  /** The mean ratio of measured to estimated memory. */
   public final DecayingMean memoryBias;
 
-  /** Work of a request. */
+  /** The mean work of a request, in tenths of a millisecond. */
   public final DecayingMean work;
 
-  /** Time taken over the time that the attempt would take alone. */
+  /** The mean pace of its attempts. */
   public final DecayingMean pace;
 
-  /** The lowest mean pace seen; 0 while too little was seen. */
+  /** The lowest mean pace measured so far; 0 while there are too few measurements. */
   private double bestPace;
 
-  /** Work that was asked for recently. */
+  /** The work of the requests that arrived recently. */
   private DecayingSum offeredWork;
 
-  /** Cores of the ready engines that it may run on, as of the last survey. */
+  /** The cores of the ready engines that the class may run on, as of the last fleet survey. */
   private double eligibleCores;
 
-  /** Creates a request class with an empty queue. */
+  /**
+   * Creates a request class with an empty queue.
+   *
+   * @param index the index of the request class in the settings
+   * @param config the configuration
+   * @param workBias the ratio of measured to estimated work
+   * @param memoryBias the ratio of measured to estimated memory
+   * @param work the work of a request, in tenths of a millisecond
+   * @param pace the pace of an attempt
+   */
   public RequestClass(
       int index,
       RequestClassConfig config,
@@ -47,12 +59,16 @@
     this.pace = pace;
   }
 
-  /** The best pace seen, or that of the estimates while too little was seen. */
+  /** Returns the best pace measured so far, or 1 while there are too few measurements. */
   public double bestPaceOrDefault() {
     return bestPace == 0 ? 1 : bestPace;
   }
 
-  /** Removes the ended requests at the front, and returns the first of the others, or null. */
+  /**
+   * Removes the requests at the head of the queue that have an outcome, and returns the new head.
+   *
+   * @return the first queued request without an outcome, or null if there is none
+   */
   public Request firstQueued() {
     while (!queue.isEmpty() && queue.peekFirst().outcome != null) {
       queue.pollFirst().setQueued(false);
--- a/gateway/src/main/java/tillerlink/model/RequestClassConfig.java
+++ b/gateway/src/main/java/tillerlink/model/RequestClassConfig.java
@@ -3,22 +3,22 @@
 import java.util.List;
 
 /**
- * What the settings say of a request class. Times are tenths of a millisecond.
+ * The configuration of a request class. Times are tenths of a millisecond.
  *
- * @param effect what a second execution would do
- * @param deduplicationGroup the engines that discard a repeat
- * @param deduplicationWindow time from the first attempt in which they do
- * @param latencyObjective time within which answers are wanted
- * @param objectiveStretch what the objective grows by for each unit of the time alone
- * @param deadline longest time that a client waits
- * @param priorityWeight weight of an answer within the objective
- * @param latePriorityWeight weight of a later answer; 0 if it is of no use
- * @param threadsPerRequest threads of one request on an engine
- * @param loadsTableGroup its requests load a table group
- * @param waitsForTableGroupLoad its requests wait while their table group is loaded
- * @param keepsOrder the requests of a key run one after another
- * @param zones indices of the zones that it may run in; null for all
- * @param engineKinds indices of the kinds of engines that it may run on; null for all
+ * @param effect the effect of a second execution
+ * @param deduplicationGroup the engines that discard repeats
+ * @param deduplicationWindow the time after the first attempt during which they discard repeats
+ * @param latencyObjective the time within which a request should be answered
+ * @param objectiveStretch the increase of the latency objective per unit of a request's time alone
+ * @param deadline the longest time that a client waits
+ * @param priorityWeight the priority weight of an answer within the latency objective
+ * @param latePriorityWeight the priority weight of a later answer; 0 if it has no value
+ * @param threadsPerRequest the threads of one request on an engine
+ * @param loadsTableGroup whether requests load a table group
+ * @param waitsForTableGroupLoad whether requests wait while their table group is loaded
+ * @param keepsOrder whether the requests of a key are executed one after another
+ * @param zones the indices of the zones that requests may run in; null for all
+ * @param engineKinds the indices of the engine kinds that requests may run on; null for all
  */
 public record RequestClassConfig(
     Effect effect,
@@ -35,7 +35,7 @@
     boolean keepsOrder,
     List<Integer> zones,
     List<Integer> engineKinds) {
-  /** Whether its requests may run on an engine. */
+  /** Returns whether requests of this class may run on an engine. */
   public boolean allows(Engine engine) {
     return (zones == null || zones.contains(engine.zone))
         && (engineKinds == null || engineKinds.contains(engine.kind));
--- a/gateway/src/main/java/tillerlink/model/RequestOutcome.java
+++ b/gateway/src/main/java/tillerlink/model/RequestOutcome.java
@@ -1,13 +1,13 @@
 package tillerlink.model;
 
-/** How a request ended for its client. */
+/** The outcome of a request for its client. */
 public enum RequestOutcome {
-  /** It was executed. */
+  /** The request was executed. */
   SUCCEEDED,
-  /** It certainly had no effect, or may be sent again. */
+  /** The request certainly had no effect, or the client may send it again. */
   REJECTED,
-  /** It may have had an effect. */
+  /** The request failed and may have had an effect. */
   FAILED,
-  /** The client disconnected, or the response reached it by another way. */
+  /** The client disconnected or received its response by another path. */
   CLIENT_DISCONNECTED
 }
--- a/gateway/src/main/java/tillerlink/model/RequestTimers.java
+++ b/gateway/src/main/java/tillerlink/model/RequestTimers.java
@@ -3,24 +3,34 @@
 import java.util.PriorityQueue;
 
 /**
- * When each request is to be reviewed next, in tenths of a millisecond. Setting a timer again
- * replaces the previous one.
+ * The timers for the next review of each request, in tenths of a millisecond. A request has at most
+ * one timer: setting it again replaces the previous one.
  */
 public final class RequestTimers {
-  private record Timer(long at, long order, Request request) {}
+  private record Timer(long at, long sequence, Request request) {}
 
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
-          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-  private long timersSet;
+          (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.sequence, b.sequence));
+  private long nextSequence;
 
-  /** Sets the time of the next review of a request. */
+  /**
+   * Sets the time of the next review of a request.
+   *
+   * @param request the request
+   * @param at the time of the review, in tenths of a millisecond
+   */
   public void set(Request request, long at) {
     request.setWakeAt(at);
-    timers.add(new Timer(at, timersSet++, request));
+    timers.add(new Timer(at, nextSequence++, request));
   }
 
-  /** Removes and returns the next request that is due and has not ended, or null. */
+  /**
+   * Removes and returns the next request whose review is due.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @return a request without an outcome, or null if none is due
+   */
   public Request due(long now) {
     while (!timers.isEmpty() && timers.peek().at <= now) {
       Timer timer = timers.poll();
@@ -33,7 +43,11 @@
     return null;
   }
 
-  /** When the next timer expires; later than any time if there is none. */
+  /**
+   * Returns the time at which the next timer expires.
+   *
+   * @return tenths of a millisecond; {@code Long.MAX_VALUE} if there is no timer
+   */
   public long next() {
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
   }
--- a/gateway/src/main/java/tillerlink/model/Settings.java
+++ b/gateway/src/main/java/tillerlink/model/Settings.java
@@ -4,58 +4,64 @@
 import java.util.Map;
 
 /**
- * Reads settings by their dotted names; what is absent or of another type reads as the given
- * default.
+ * Typed access to settings by their dotted names. A setting that is absent or has another type
+ * reads as the default value.
  *
- * @param values numbers, booleans, texts and lists of them by name
+ * @param values the settings by name: numbers, booleans, strings and lists of them
  */
 public record Settings(Map<String, Object> values) {
-  /** Whether there is a setting of that name. */
+  /** Returns whether a setting with that name exists. */
   public boolean has(String name) {
     return values.containsKey(name);
   }
 
-  /** A whole number. */
-  public long number(String name, long otherwise) {
-    return values.get(name) instanceof Number number ? number.longValue() : otherwise;
+  /** Returns an integer setting, or the default value. */
+  public long number(String name, long defaultValue) {
+    return values.get(name) instanceof Number number ? number.longValue() : defaultValue;
   }
 
-  /** A number with a fraction. */
-  public double amount(String name, double otherwise) {
-    return values.get(name) instanceof Number number ? number.doubleValue() : otherwise;
+  /** Returns a decimal setting, or the default value. */
+  public double amount(String name, double defaultValue) {
+    return values.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
-  /** Whether a setting is true; false if it is absent. */
+  /** Returns a boolean setting; false if it is absent or not a boolean. */
   public boolean flag(String name) {
     return Boolean.TRUE.equals(values.get(name));
   }
 
-  /** A text; empty if it is absent. */
+  /** Returns a string setting; empty if it is absent or not a string. */
   public String text(String name) {
     return values.get(name) instanceof String text ? text : "";
   }
 
-  /** A list; empty if it is absent. */
+  /** Returns a list setting; empty if it is absent or not a list. */
   public List<?> list(String name) {
     return values.get(name) instanceof List<?> list ? list : List.of();
   }
 
-  /** A number out of a list, by its position from 0. */
-  public double nth(String name, int position, double otherwise) {
+  /** Returns the number at an index, starting at 0, of a list setting, or the default value. */
+  public double nth(String name, int index, double defaultValue) {
     List<?> list = list(name);
-    return position < list.size() && list.get(position) instanceof Number number
+    return index < list.size() && list.get(index) instanceof Number number
         ? number.doubleValue()
-        : otherwise;
+        : defaultValue;
   }
 
-  /** Whether an element of a list is true, by its position from 0. */
-  public boolean nthFlag(String name, int position) {
+  /** Returns the boolean at an index, starting at 0, of a list setting; false if it is absent. */
+  public boolean nthFlag(String name, int index) {
     List<?> list = list(name);
-    return position < list.size() && Boolean.TRUE.equals(list.get(position));
+    return index < list.size() && Boolean.TRUE.equals(list.get(index));
   }
 
-  /** A list of whole numbers, or null when there is none. */
+  /**
+   * Returns a list setting as integers, or null if the setting is absent.
+   *
+   * @throws ClassCastException if an element is not a number
+   */
   public List<Integer> numbers(String name) {
-    return has(name) ? list(name).stream().map(n -> ((Number) n).intValue()).toList() : null;
+    return has(name)
+        ? list(name).stream().map(element -> ((Number) element).intValue()).toList()
+        : null;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/SlidingSum.java
+++ b/gateway/src/main/java/tillerlink/model/SlidingSum.java
@@ -1,52 +1,52 @@
 package tillerlink.model;
 
 /**
- * A sum over a sliding period, kept in slices: the bounds are off by the oldest slice at most.
- * Times are tenths of a millisecond.
+ * A sum over a sliding period, stored in slices of time. The bounds differ from the exact sum by at
+ * most the amount of the oldest slice. Times are tenths of a millisecond.
  */
 public final class SlidingSum {
-  private final long slice;
+  private final long sliceLength;
   private final double[] amounts;
-  private final long[] numbers;
+  private final long[] sliceNumbers;
 
   /**
    * Creates an empty sum.
    *
-   * @param period length of the period
-   * @param slices number of slices that it is divided into
+   * @param period the length of the period, in tenths of a millisecond
+   * @param slices the number of slices that the period is divided into
    */
   public SlidingSum(long period, int slices) {
-    slice = Math.max(1, (period + slices - 1) / slices);
+    sliceLength = Math.max(1, (period + slices - 1) / slices);
     amounts = new double[slices + 2];
-    numbers = new long[slices + 2];
-    java.util.Arrays.fill(numbers, Long.MIN_VALUE);
+    sliceNumbers = new long[slices + 2];
+    java.util.Arrays.fill(sliceNumbers, Long.MIN_VALUE);
   }
 
-  /** Adds an amount. */
+  /** Adds an amount at the time {@code now}. */
   public void add(long now, double amount) {
-    long number = now / slice;
-    int at = (int) (number % amounts.length);
-    if (numbers[at] != number) {
-      numbers[at] = number;
-      amounts[at] = 0;
+    long sliceNumber = now / sliceLength;
+    int index = (int) (sliceNumber % amounts.length);
+    if (sliceNumbers[index] != sliceNumber) {
+      sliceNumbers[index] = sliceNumber;
+      amounts[index] = 0;
     }
-    amounts[at] += amount;
+    amounts[index] += amount;
   }
 
-  /** All that may lie within the period. */
+  /** Returns the sum of all slices that may overlap the period that ends at {@code now}. */
   public double upperBound(long now) {
-    return since(now / slice - (amounts.length - 2));
+    return sumSince(now / sliceLength - (amounts.length - 2));
   }
 
-  /** Only what surely lies within the period. */
+  /** Returns the sum of the slices that lie entirely within the period that ends at {@code now}. */
   public double lowerBound(long now) {
-    return since(now / slice - (amounts.length - 4));
+    return sumSince(now / sliceLength - (amounts.length - 4));
   }
 
-  private double since(long oldest) {
+  private double sumSince(long oldestSlice) {
     double sum = 0;
     for (int i = 0; i < amounts.length; i++) {
-      if (numbers[i] >= oldest) {
+      if (sliceNumbers[i] >= oldestSlice) {
         sum += amounts[i];
       }
     }
--- a/gateway/src/main/java/tillerlink/model/TerminationReason.java
+++ b/gateway/src/main/java/tillerlink/model/TerminationReason.java
@@ -1,19 +1,22 @@
 package tillerlink.model;
 
-/** Why the policy terminated a request; logs and counters name these constants. */
+/**
+ * The reason why the policy terminated a request. Log lines and metrics use the names of these
+ * constants.
+ */
 public enum TerminationReason {
-  /** The process shuts down and can't wait any longer. */
+  /** The process shuts down and cannot wait any longer. */
   SHUTDOWN,
-  /** No endpoint list can be trusted. */
+  /** There is no endpoint list that is recent enough to be trusted. */
   ENGINES_UNKNOWN,
-  /** An answer would come too late to be of use. */
+  /** An answer would come too late to be useful. */
   TOO_LATE,
-  /** A queued request could not be answered in time any more, even if it were sent at once. */
+  /** A queued request could no longer be answered in time, even if it were sent at once. */
   NO_TIME_LEFT,
   /** Another attempt would exceed the retry budget. */
   RETRY_BUDGET,
-  /** The queue before it is too long. */
+  /** The queue ahead of the request is too long. */
   QUEUE_TOO_LONG,
-  /** The last attempt failed, and no other is allowed or worthwhile. */
+  /** The last attempt failed, and another attempt is not allowed or not worthwhile. */
   NO_FURTHER_ATTEMPT
 }
--- a/gateway/src/main/java/tillerlink/plain/Json.java
+++ b/gateway/src/main/java/tillerlink/plain/Json.java
@@ -9,16 +9,19 @@
 import java.util.Map;
 
 /**
- * Builds values of the JDK from Jackson's token stream: maps (in the order of the text), lists,
+ * Converts Jackson's token stream to values of the JDK: maps (in the order of the input), lists,
  * strings, numbers, booleans and null.
  */
 public final class Json {
   private Json() {}
 
   /**
-   * The value that begins at the parser's current token; the parser stands at its last token then.
+   * Reads the value that starts at the parser's current token, and leaves the parser at the last
+   * token of that value.
    *
-   * @throws IOException if the text is no JSON
+   * @param parser a parser positioned at the first token of a value
+   * @return the value; null for a JSON null
+   * @throws IOException if the input is not valid JSON
    */
   public static Object value(JsonParser parser) throws IOException {
     return switch (parser.currentToken()) {
--- a/gateway/src/main/java/tillerlink/port/DispatchActions.java
+++ b/gateway/src/main/java/tillerlink/port/DispatchActions.java
@@ -4,38 +4,44 @@
 import tillerlink.model.Request;
 
 /**
- * What the policy wants done by the gateway that runs it. Called on the event loop's thread. Times
- * are tenths of a millisecond, grants megabytes.
+ * The actions that a dispatch policy requests from the gateway that runs it. Called on the
+ * event-loop thread. Times are tenths of a millisecond, memory grants are megabytes.
  */
 public interface DispatchActions {
   /**
    * Changes the priority and the memory grant of a request.
    *
-   * @param priority 0 to 3, the highest last; in force at once, also for attempts in flight
-   * @param grant in force from the next attempt on; 0 leaves it to the engine
+   * @param request the request
+   * @param priority 0 to 3, 3 being the highest; applies at once, also to attempts in flight
+   * @param grant memory in megabytes; applies from the next attempt on; 0 leaves it to the engine
    */
   void updatePriorityAndGrant(Request request, int priority, long grant);
 
-  /** Sends an attempt, with no time-out but the client's. */
+  /** Sends an attempt. Its only time-out is the client's deadline. */
   void sendAttempt(Attempt attempt);
 
-  /** Cancels an attempt that was sent and has not ended. */
+  /** Cancels an attempt that was sent and is still in flight. */
   void cancelAttempt(Attempt attempt);
 
   /**
-   * Answers a request that certainly had no effect, or that may run again.
+   * Answers a request that certainly had no effect, or that may be executed again.
    *
-   * @param retryAfter after which time the client should retry; 0 means no advice
+   * @param request the request
+   * @param retryAfter the time after which the client should retry; 0 gives no advice
    */
   void rejectRequest(Request request, long retryAfter);
 
-  /** Answers a request that may have had an effect. */
+  /** Answers a request that failed and may have had an effect. */
   void failRequest(Request request);
 
-  /** Asks for {@link DispatchPolicy#onWakeup} at that time; an earlier one replaces a later one. */
+  /**
+   * Schedules a call of {@link DispatchPolicy#onWakeup}. An earlier time replaces a later one.
+   *
+   * @param at the time of the call, in tenths of a millisecond
+   */
   void scheduleWakeup(long at);
 
-  /** Asks to be notified of changes to the endpoint list from now on. */
+  /** Starts watching the endpoint list: the policy is notified of its changes from now on. */
   void watchEndpoints();
 
   /** Writes a line to the log. */
--- a/gateway/src/main/java/tillerlink/port/DispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/port/DispatchPolicy.java
@@ -8,55 +8,74 @@
 import tillerlink.model.Request;
 
 /**
- * The events of one gateway, passed to its policy in the order in which they happened, on the event
- * loop's thread. Times are tenths of a millisecond. After the last of the events of one moment,
- * {@link #applyDecisions} is called once; only then does the policy call {@link DispatchActions}. A
- * load report is a row of numbers in the order of the setting {@code report.fields}, or null.
+ * The dispatch policy of one gateway. It receives the gateway's events in the order in which they
+ * happened, on the event-loop thread. Times are tenths of a millisecond. {@link #applyDecisions} is
+ * called once after the last event of each moment; the policy calls {@link DispatchActions} only
+ * then. A load report is an array of numbers in the order of the setting {@code report.fields}, or
+ * null.
  */
 public interface DispatchPolicy {
-  /** The endpoint list changed; {@code whole} means that engines not in it are gone. */
-  void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries);
+  /**
+   * Called when the endpoint list changed.
+   *
+   * @param now the current time
+   * @param complete whether the entries are the complete list, so that engines without an entry are
+   *     gone
+   * @param entries the changed entries, or all entries if {@code complete}
+   */
+  void onEndpointsChanged(long now, boolean complete, List<EndpointUpdate> entries);
 
   /**
-   * There is no endpoint list, or it is too old to be trusted; or that is over.
+   * Called when the endpoint list becomes unknown or known again. It is unknown while there is
+   * none, or while the last one is too old to be trusted.
    *
-   * @param unknown whether it is so from now on
+   * @param now the current time
+   * @param unknown whether the list is unknown from now on
    */
   void onEndpointsUnknown(long now, boolean unknown);
 
   /**
-   * How far the endpoint list may be trusted; called before that has any effect.
+   * Called when the trust in the endpoint list changed, before the change takes effect.
    *
-   * @param usableUntil new attempts may be written before that moment; in the past if none may
+   * @param now the current time
+   * @param state the new state of the list
+   * @param usableUntil the time before which new attempts may be written; in the past if none may
    */
   default void onEndpointListStateChanged(long now, EndpointListState state, long usableUntil) {
-    // Where lists are pushed, the last one remains valid.
+    // Where lists are pushed, the last list remains valid, so there is nothing to change.
   }
 
-  /** A poll of the endpoint list failed, or its watch broke. */
+  /** Called when a poll of the endpoint list failed or its watch was interrupted. */
   void onEndpointPollFailed(long now);
 
-  /** A request was accepted. */
+  /** Called when a request was accepted. */
   void onRequestArrived(long now, Request request);
 
-  /** The response began to reach the client. */
+  /** Called when the response to a client started. */
   void onResponseStarted(long now, Attempt attempt);
 
   /**
-   * An engine reported on an attempt in flight.
+   * Called when an engine reported the progress of an attempt in flight.
    *
-   * @param level the share that is done, for {@link AttemptProgress#PROGRESS}
+   * @param now the current time
+   * @param attempt the attempt
+   * @param progress the kind of the report
+   * @param level the completed share, 0 to 1, for {@link AttemptProgress#PROGRESS}; not used
+   *     otherwise
    */
   void onAttemptProgress(long now, Attempt attempt, AttemptProgress progress, double level);
 
   /**
-   * An attempt ended.
+   * Called when an attempt ended.
    *
-   * @param duration time from the sending to the end
-   * @param answered the client has its final answer
-   * @param work true work in tenths of a millisecond, 0 if not reported
-   * @param memory memory that was needed in MB, 0 if not reported
-   * @param report load report of the engine, or null
+   * @param now the current time
+   * @param attempt the attempt
+   * @param outcome the outcome of the attempt
+   * @param duration the time from sending to the end
+   * @param answered whether the client has its final answer
+   * @param work the measured work in tenths of a millisecond; 0 if the engine did not report it
+   * @param memory the memory used in MB; 0 if the engine did not report it
+   * @param report the load report of the engine, or null
    */
   void onAttemptEnded(
       long now,
@@ -68,40 +87,55 @@
       double memory,
       double[] report);
 
-  /** The client disconnected; it needs no answer any more. */
+  /** Called when the client disconnected and no longer needs an answer. */
   void onClientDisconnected(long now, Request request);
 
   /**
-   * Nobody waits for the answer, though the client may ask for it again; or it has.
+   * Called when no client waits for the answer any more, although the client may ask for it again,
+   * and when it asks again.
    *
-   * @param unattended whether nobody waits from now on
+   * @param now the current time
+   * @param request the request
+   * @param unattended whether no client waits for the answer from now on
    */
   default void onClientAttendanceChanged(long now, Request request, boolean unattended) {
-    // Where clients wait on no connection there is nothing to report.
+    // Where clients do not wait on a connection, there is nothing to report.
   }
 
   /**
-   * Called right before an attempt is written, since that may be long after it was decided on.
-   * Unless it is allowed, it ends as one that was not sent.
+   * Checks whether an attempt may be written. Called immediately before the write, because that may
+   * be long after the decision to send the attempt. An attempt that is not allowed ends with {@link
+   * AttemptOutcome#NOT_SENT}.
+   *
+   * @param now the current time
+   * @param attempt the attempt
+   * @return {@link SendVerdict#ALLOWED}, or the reason against the write
    */
   default SendVerdict checkWrite(long now, Attempt attempt) {
     return attempt.request.outcome == null ? SendVerdict.ALLOWED : SendVerdict.REQUEST_ENDED;
   }
 
   /**
-   * Until when the first byte of an attempt may go out that may be written now; later it must not
-   * go out at all.
+   * Returns the deadline for the write of an attempt that may be written now. If its first byte has
+   * not been sent by then, the attempt must not be sent at all.
+   *
+   * @param now the current time
+   * @param attempt the attempt
+   * @return the deadline, in tenths of a millisecond
    */
   default long writeDeadline(long now, Attempt attempt) {
     return attempt.request.clientDeadline;
   }
 
-  /** The gateway shuts down and can't wait any longer: the request gets its final answer now. */
+  /**
+   * Called when the gateway shuts down and cannot wait any longer: the request gets its final
+   * answer now.
+   */
   void onShutdownDeadline(long now, Request request);
 
-  /** The time asked for by {@link DispatchActions#scheduleWakeup} has come. */
+  /** Called at the time scheduled by {@link DispatchActions#scheduleWakeup}. */
   void onWakeup(long now);
 
-  /** Reviews what is due after the events of this moment, and calls the actions that follow. */
+  /** Reviews what is due after the events of this moment, and calls the resulting actions. */
   void applyDecisions(long now);
 }
--- a/gateway/src/main/java/tillerlink/port/EndpointListState.java
+++ b/gateway/src/main/java/tillerlink/port/EndpointListState.java
@@ -1,16 +1,22 @@
 package tillerlink.port;
 
-/** How far the endpoint list may be trusted for new attempts. */
+/** The degree to which the endpoint list may be trusted for new attempts. */
 public enum EndpointListState {
-  /** An answer confirmed it, and nothing newer can have been in force for longer than the grace. */
+  /**
+   * An answer of the discovery service confirmed the list, and no newer list can have been in force
+   * for longer than the grace.
+   */
   CONFIRMED,
-  /** Something newer may be in force; an answer is expected soon. New attempts wait. */
+  /** A newer list may be in force, and an answer is expected soon. New attempts wait. */
   AWAITED,
   /**
-   * The discovery service seems to be down: nobody was notified of anything newer, so the last list
-   * is used for a while.
+   * The discovery service appears to be down. In an outage no gateway is notified of a newer list,
+   * so the last list is used for a limited time.
    */
   DEGRADED,
-  /** The last list is older than any event may remain unnoticed. New requests are rejected. */
+  /**
+   * The last list is older than the longest time for which an event may remain unnoticed. New
+   * requests are rejected.
+   */
   EXPIRED
 }
--- a/gateway/src/main/java/tillerlink/port/SendVerdict.java
+++ b/gateway/src/main/java/tillerlink/port/SendVerdict.java
@@ -1,31 +1,34 @@
 package tillerlink.port;
 
-/** What the guard says of an attempt that is about to be sent, with its reason. */
+/** The result of the check before an attempt is sent: allowed, or the reason against it. */
 public enum SendVerdict {
-  /** It may be sent. */
+  /** The attempt may be sent. */
   ALLOWED,
-  /** The request has its answer, or its client cancelled. */
+  /** The request has its answer, or its client cancelled it. */
   REQUEST_ENDED,
-  /** Its client is disconnected and has not asked again. */
+  /** The client is disconnected and has not asked for the answer again. */
   CLIENT_GONE,
   /** The attempt was cancelled before it was written. */
   CANCELLED,
-  /** The client does not wait any longer. */
+  /** The deadline of the client has passed. */
   NO_TIME_LEFT,
-  /** The endpoint list is not confirmed: the engine may drain or be gone. */
+  /** The endpoint list is not confirmed, so the engine may be draining or gone. */
   LIST_UNCONFIRMED,
-  /** The engine drains or is gone. */
+  /** The engine is draining or gone. */
   ENGINE_NOT_READY,
-  /** The class may not run on that engine. */
+  /** The request class may not run on that engine. */
   PLACEMENT,
-  /** An earlier attempt may have run, and the request must not run again, there or at all. */
+  /**
+   * An earlier attempt may have executed the request, and the request must not be executed again,
+   * on that engine or at all.
+   */
   REPEAT,
-  /** An earlier request of its key is not finished. */
+  /** An earlier request of the same key is not finished. */
   ORDER,
-  /** It would exceed the retry budget. */
+  /** The attempt would exceed the retry budget. */
   RETRY_BUDGET,
-  /** State shared between gateways does not allow it now. */
+  /** The state shared between gateways does not allow the attempt now. */
   SHARED_STATE,
-  /** It could not be written soon enough after it was decided on. */
+  /** The attempt could not be written soon enough after the decision to send it. */
   WRITE_DELAYED
 }
--- a/gateway/src/main/java/tillerlink/telemetry/Counter.java
+++ b/gateway/src/main/java/tillerlink/telemetry/Counter.java
@@ -1,6 +1,6 @@
 package tillerlink.telemetry;
 
-/** What a gateway counts, by the names and help texts under which monitoring reads it. */
+/** The counters of a gateway, with the metric names and help texts that they are exposed with. */
 public enum Counter {
   REQUESTS_ACCEPTED("requests_accepted_total", "Requests accepted from clients."),
   REQUESTS_ANSWERED(
@@ -34,10 +34,10 @@
 
   private static final String PREFIX = "tillerlink_";
 
-  /** The name in the exposition. */
+  /** The metric name, prefix included, in the exposition. */
   public final String exposedName;
 
-  /** One sentence on what is counted. */
+  /** The help text of the metric, a single sentence. */
   public final String help;
 
   Counter(String name, String help) {
--- a/gateway/src/main/java/tillerlink/telemetry/EventLog.java
+++ b/gateway/src/main/java/tillerlink/telemetry/EventLog.java
@@ -9,13 +9,13 @@
 import org.slf4j.spi.LoggingEventBuilder;
 
 /**
- * Structured lines on what happened and why: a topic, an event, and fields as {@code key=value}.
- * Each topic has a token bucket of its own, so that trouble which repeats fills neither the log nor
- * the processor; suppressed lines are counted, and the count is part of the next line of that
- * topic. Owned by the thread that owns the state.
+ * A structured log of events: each line has a topic, the event, and fields as {@code key=value}.
+ * Each topic is rate-limited by its own token bucket, so that a repeated fault neither fills the
+ * log nor uses up the processor. Suppressed lines are counted, and the count is added to the next
+ * line of that topic. Not thread-safe: owned by the thread that owns the logged state.
  */
 public final class EventLog {
-  /** What a line is about. */
+  /** The subject of a log line. */
   public enum Topic {
     ENGINE,
     DISCOVERY,
@@ -27,20 +27,20 @@
   }
 
   private static final Logger LOG = LoggerFactory.getLogger("Events");
-  private static final int BURST = 40;
+  private static final int BURST_LINES = 40;
   private static final long TENTHS_PER_LINE = 2_000;
 
-  /** Lines that a topic may still write, and those that it suppressed. */
+  /** The token bucket of a topic and the number of lines that it suppressed. */
   private static final class Bucket {
-    private double tokens = BURST;
-    private long filledAt = Long.MIN_VALUE;
+    private double tokens = BURST_LINES;
+    private long refilledAt = Long.MIN_VALUE;
     private long suppressed;
 
-    boolean take(long now) {
-      if (filledAt != Long.MIN_VALUE) {
-        tokens = Math.min(BURST, tokens + (double) (now - filledAt) / TENTHS_PER_LINE);
+    boolean tryTake(long now) {
+      if (refilledAt != Long.MIN_VALUE) {
+        tokens = Math.min(BURST_LINES, tokens + (double) (now - refilledAt) / TENTHS_PER_LINE);
       }
-      filledAt = now;
+      refilledAt = now;
       if (tokens < 1) {
         suppressed++;
         return false;
@@ -54,7 +54,9 @@
   private final boolean enabled;
 
   /**
-   * @param enabled whether anything is written at all
+   * Creates an event log with a full token bucket for each topic.
+   *
+   * @param enabled whether events are written at all
    */
   public EventLog(boolean enabled) {
     this.enabled = enabled;
@@ -64,14 +66,16 @@
   }
 
   /**
-   * Writes a line unless its topic has written too many of late.
+   * Writes a line unless the rate limit of its topic is exceeded.
    *
-   * @param now tenths of a millisecond
-   * @param fields names and values in turn
+   * @param now the current time, in tenths of a millisecond
+   * @param topic the topic whose rate limit applies
+   * @param event a short description of the event
+   * @param fields alternating names and values
    */
-  public void event(long now, Topic topic, String what, Object... fields) {
+  public void event(long now, Topic topic, String event, Object... fields) {
     Bucket bucket = buckets.get(topic);
-    if (!enabled || !bucket.take(now)) {
+    if (!enabled || !bucket.tryTake(now)) {
       return;
     }
     LoggingEventBuilder line =
@@ -84,6 +88,6 @@
       line = line.addKeyValue("suppressed", bucket.suppressed);
       bucket.suppressed = 0;
     }
-    line.log(what);
+    line.log(event);
   }
 }
--- a/gateway/src/main/java/tillerlink/telemetry/Metrics.java
+++ b/gateway/src/main/java/tillerlink/telemetry/Metrics.java
@@ -8,15 +8,15 @@
 import java.util.function.LongSupplier;
 
 /**
- * Counters and gauges of one gateway, exposed in the Prometheus text format. Owned by the thread
- * that owns the state. Labels come from enums of the program alone, so the number of series is
- * bounded.
+ * The counters and gauges of one gateway, exposed in the Prometheus text format. Not thread-safe:
+ * owned by the thread that owns the measured state. Label values come only from enums of the
+ * program, so the number of series is bounded.
  */
 public final class Metrics {
   private static final String UNLABELLED = "";
   private static final String GAUGE_PREFIX = "tillerlink_";
 
-  /** A value that is read when it is exposed. */
+  /** A metric whose value is read at the time of the exposition. */
   private record Gauge(String help, LongSupplier value) {}
 
   private final Map<Counter, Map<String, Long>> counts = new EnumMap<>(Counter.class);
@@ -26,7 +26,9 @@
     add(counter, UNLABELLED);
   }
 
-  /** Counts one of a kind; the kind is exposed as the label {@code reason} in lower case. */
+  /**
+   * Increments a counter for a reason, which is exposed as the label {@code reason} in lower case.
+   */
   public void add(Counter counter, Enum<?> reason) {
     add(counter, reason.name().toLowerCase(Locale.ROOT));
   }
@@ -35,7 +37,7 @@
     counts.computeIfAbsent(counter, key -> new TreeMap<>()).merge(label, 1L, Long::sum);
   }
 
-  /** The sum over all reasons. */
+  /** Returns the value of a counter, summed over all reasons. */
   public long total(Counter counter) {
     return counts.getOrDefault(counter, Map.of()).values().stream()
         .mapToLong(Long::longValue)
@@ -45,13 +47,15 @@
   /**
    * Adds a gauge.
    *
-   * @param name without the program's prefix, in snake case and with its unit
+   * @param name the metric name without the program's prefix, in snake case and with its unit
+   * @param help the help text
+   * @param value supplies the current value
    */
   public void gauge(String name, String help, LongSupplier value) {
     gauges.put(GAUGE_PREFIX + name, new Gauge(help, value));
   }
 
-  /** All of it as Prometheus text. */
+  /** Returns all metrics in the Prometheus text format. */
   public String exposition() {
     StringBuilder text = new StringBuilder(4096);
     for (Counter counter : Counter.values()) {
--- a/gateway/src/main/java/tillerlink/telemetry/Telemetry.java
+++ b/gateway/src/main/java/tillerlink/telemetry/Telemetry.java
@@ -1,13 +1,18 @@
 package tillerlink.telemetry;
 
-/** The counters and the event log of one gateway. */
+/**
+ * The telemetry of one gateway.
+ *
+ * @param metrics the counters and gauges
+ * @param log the event log
+ */
 public record Telemetry(Metrics metrics, EventLog log) {
-  /** Counts and logs. */
+  /** Returns telemetry that counts and writes log lines. */
   public static Telemetry logging() {
     return new Telemetry(new Metrics(), new EventLog(true));
   }
 
-  /** Counts and writes no line, for gateways that are only simulated. */
+  /** Returns telemetry that counts but writes no log lines, for simulated gateways. */
   public static Telemetry silent() {
     return new Telemetry(new Metrics(), new EventLog(false));
   }
--- a/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
+++ b/gateway/src/test/java/tillerlink/telemetry/TelemetryTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.model.AttemptOutcome;
 
-/** What monitoring reads, and how much of a repeated event reaches the log. */
+/** Tests the exposition of the metrics and the rate limit of the event log. */
 class TelemetryTest {
   private static final long SECOND = 10_000;
 
@@ -36,14 +36,14 @@
   }
 
   /**
-   * Guards the log against trouble that repeats: a burst, then five lines a second, and the rest is
-   * counted.
+   * Guards against a repeated event that fills the log: a topic may write a burst of 40 lines, then
+   * five lines per second, and the suppressed lines are counted.
    */
   @Test
-  void aTopicIsRateLimitedAndCountsSuppressedLines() {
-    PrintStream before = System.err;
-    ByteArrayOutputStream written = new ByteArrayOutputStream();
-    System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
+  void topicIsRateLimitedAndCountsSuppressedLines() {
+    PrintStream originalErr = System.err;
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(output, true, StandardCharsets.UTF_8));
     try {
       EventLog log = new EventLog(true);
       for (int i = 0; i < 1000; i++) {
@@ -52,9 +52,9 @@
       log.event(0, EventLog.Topic.ENGINE, "engine state changed", "engine", "e1");
       log.event(SECOND, EventLog.Topic.ATTEMPT, "attempt ended", "id", "later");
     } finally {
-      System.setErr(before);
+      System.setErr(originalErr);
     }
-    String text = written.toString(StandardCharsets.UTF_8);
+    String text = output.toString(StandardCharsets.UTF_8);
     assertEquals(42, text.lines().count(), text);
     assertTrue(text.contains("topic=engine engine=e1"), text);
     assertTrue(text.contains("id=later suppressed=960"), text);
@@ -62,14 +62,14 @@
 
   @Test
   void silentTelemetryWritesNothing() {
-    PrintStream before = System.err;
-    ByteArrayOutputStream written = new ByteArrayOutputStream();
-    System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
+    PrintStream originalErr = System.err;
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    System.setErr(new PrintStream(output, true, StandardCharsets.UTF_8));
     try {
       Telemetry.silent().log().event(0, EventLog.Topic.ENGINE, "engine state changed");
     } finally {
-      System.setErr(before);
+      System.setErr(originalErr);
     }
-    assertFalse(written.toString(StandardCharsets.UTF_8).contains("engine"));
+    assertFalse(output.toString(StandardCharsets.UTF_8).contains("engine"));
   }
 }
