--- a/gateway/src/main/java/tillerlink/plain/FlattenedConfig.java
+++ b/gateway/src/main/java/tillerlink/plain/FlattenedConfig.java
@@ -5,10 +5,10 @@
 import java.util.Map;
 
 /**
- * Flattens nested settings to one map: the values of an object stand under dotted names ({@code
- * caps.max_attempts}), objects in a list under their index ({@code profiles.0.worth}), with the
- * list's length under its own name. A name with the suffix {@code _us} loses it, and its value
- * becomes tenths of a millisecond. Nulls are left out.
+ * Flattens nested settings into a single map. The members of an object get dotted names ({@code
+ * caps.max_attempts}); objects in a list are numbered ({@code profiles.0.worth}), and the list's
+ * own name maps to its length. A number whose name ends in {@code _us} is converted from
+ * microseconds to tenths of a millisecond, and its name loses the suffix. Nulls are omitted.
  */
 public final class FlattenedConfig {
   private static final String MICROS_SUFFIX = "_us";
@@ -16,7 +16,7 @@
 
   private FlattenedConfig() {}
 
-  /** The flattened settings, in the order of the nested ones. */
+  /** Returns the flattened settings, in the order of the nested ones. */
   public static Map<String, Object> of(Map<String, Object> settings) {
     Map<String, Object> flattened = new LinkedHashMap<>();
     settings.forEach((name, value) -> put(flattened, name, value));
@@ -25,7 +25,8 @@
 
   private static void put(Map<String, Object> flattened, String name, Object value) {
     if (value instanceof Map<?, ?> object) {
-      object.forEach((part, partValue) -> put(flattened, name + SEPARATOR + part, partValue));
+      object.forEach(
+          (member, memberValue) -> put(flattened, name + SEPARATOR + member, memberValue));
     } else if (value instanceof List<?> list && !list.isEmpty() && list.get(0) instanceof Map) {
       flattened.put(name, (long) list.size());
       for (int i = 0; i < list.size(); i++) {
@@ -34,7 +35,7 @@
     } else if (value instanceof Number number && name.endsWith(MICROS_SUFFIX)) {
       flattened.put(
           name.substring(0, name.length() - MICROS_SUFFIX.length()),
-          Units.spanToTenths(number.longValue()));
+          Units.durationToTenths(number.longValue()));
     } else if (value != null) {
       flattened.put(name, value);
     }
--- a/gateway/src/main/java/tillerlink/wirehost/ActionWriter.java
+++ b/gateway/src/main/java/tillerlink/wirehost/ActionWriter.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import java.io.UncheckedIOException;
 
-/** Writes the actions of one gateway to the reply: arrays of name, gateway and values. */
+/** Writes the actions of one gateway to the reply, each as an array of name, gateway and values. */
 final class ActionWriter {
   private final JsonGenerator out;
   private final int gateway;
@@ -14,12 +14,12 @@
     this.gateway = gateway;
   }
 
-  void updatePriorityAndGrant(String request, int rank, long grant) {
+  void updatePriorityAndGrant(String request, int priority, long grant) {
     write(
         SimulatorWire.UPDATE_PRIORITY_AND_GRANT,
         () -> {
           out.writeString(request);
-          out.writeNumber(rank);
+          out.writeNumber(priority);
           out.writeNumber(grant);
         });
   }
@@ -73,22 +73,22 @@
     write(SimulatorWire.LOG, () -> out.writeString(line));
   }
 
-  /** Reports an internal error of the gateway. */
+  /** Writes the action that reports an internal error of the gateway. */
   void panic(String cause) {
     write(SimulatorWire.PANIC, () -> out.writeString(cause));
   }
 
-  /** What writes the values of an action. */
-  private interface Values {
+  /** Writes the values of an action. */
+  private interface ValueWriter {
     void write() throws IOException;
   }
 
-  private void write(String name, Values values) {
+  private void write(String name, ValueWriter valueWriter) {
     try {
       out.writeStartArray();
       out.writeString(name);
       out.writeNumber(gateway);
-      values.write();
+      valueWriter.write();
       out.writeEndArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/gateway/src/main/java/tillerlink/wirehost/Instance.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Instance.java
@@ -17,12 +17,14 @@
 import tillerlink.port.DispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
 
-/** One gateway on the simulator's wire: maps ids of the wire to objects of its policy and back. */
+/**
+ * One gateway on the simulator's wire. Maps the ids of the wire to objects of its policy and back.
+ */
 final class Instance implements DispatchActions {
   private final ActionWriter actions;
   private final Map<String, Engine> engines = new HashMap<>();
   private final Map<String, Request> requests = new HashMap<>();
-  private final Map<String, KeyedRequestQueue> queues = new HashMap<>();
+  private final Map<String, KeyedRequestQueue> keyQueues = new HashMap<>();
   private final DispatchPolicy policy;
 
   Instance(
@@ -44,13 +46,16 @@
   /**
    * Passes an event to the policy.
    *
-   * @param rows the entries of the list that the event names; empty if it names none
-   * @return whether the event is known
-   * @throws MalformedWireException if it lacks a value, or one has another type
+   * @param now the current time, in tenths of a millisecond
+   * @param event the event
+   * @param entries the entries of the endpoint list that the event refers to; empty if it refers to
+   *     none
+   * @return whether the event's name is known
+   * @throws MalformedWireException if a required value is missing or has another type
    */
-  boolean handle(long now, Message event, List<Row> rows) {
+  boolean handle(long now, Message event, List<Row> entries) {
     switch (event.name()) {
-      case SimulatorWire.ENDPOINTS_CHANGED -> endpointsChanged(now, event, rows);
+      case SimulatorWire.ENDPOINTS_CHANGED -> endpointsChanged(now, event, entries);
       case SimulatorWire.REQUEST_ARRIVED -> requestArrived(now, event);
       case SimulatorWire.RESPONSE_STARTED -> responseStarted(now, event);
       case SimulatorWire.ATTEMPT_PROGRESS -> attemptProgress(now, event);
@@ -65,36 +70,36 @@
     return true;
   }
 
-  private void endpointsChanged(long now, Message event, List<Row> rows) {
+  private void endpointsChanged(long now, Message event, List<Row> entries) {
     int mode = (int) event.number(SimulatorWire.EndpointsChanged.MODE, SimulatorWire.MODE_NAME);
     if (mode == SimulatorWire.EndpointsChanged.MODE_FAILED) {
       policy.onEndpointPollFailed(now);
       return;
     }
-    List<EndpointUpdate> updates = new ArrayList<>(rows.size());
-    for (Row row : rows) {
-      Engine engine = engines.computeIfAbsent(row.engine(), Engine::new);
+    List<EndpointUpdate> updates = new ArrayList<>(entries.size());
+    for (Row entry : entries) {
+      Engine engine = engines.computeIfAbsent(entry.engine(), Engine::new);
       updates.add(
           new EndpointUpdate(
               engine,
-              row.kind(),
-              row.zone(),
-              row.cell(),
-              row.weight(),
-              row.status(),
-              row.startedAt()));
+              entry.kind(),
+              entry.zone(),
+              entry.cell(),
+              entry.weight(),
+              entry.status(),
+              entry.startedAt()));
     }
-    boolean whole =
+    boolean complete =
         mode == SimulatorWire.EndpointsChanged.MODE_CACHED
             || mode == SimulatorWire.EndpointsChanged.MODE_FULL;
-    policy.onEndpointsChanged(now, whole, updates);
+    policy.onEndpointsChanged(now, complete, updates);
   }
 
   private void requestArrived(long now, Message event) {
     String id = requestId(event);
     String key = event.textOr(SimulatorWire.RequestArrived.KEY, null);
     KeyedRequestQueue queue =
-        key == null ? null : queues.computeIfAbsent(key, absent -> new KeyedRequestQueue());
+        key == null ? null : keyQueues.computeIfAbsent(key, absent -> new KeyedRequestQueue());
     Request request =
         new Request(
             id,
@@ -103,8 +108,8 @@
             event.flag(SimulatorWire.RequestArrived.REPEAT),
             now,
             Units.toTenths(event.number(SimulatorWire.RequestArrived.DEADLINE, "deadline_us")),
-            event.amountOr(SimulatorWire.RequestArrived.ESTIMATE, 0) / Units.toMicros(1),
-            event.amountOr(SimulatorWire.RequestArrived.MEMORY, 0),
+            event.decimalOr(SimulatorWire.RequestArrived.ESTIMATE, 0) / Units.toMicros(1),
+            event.decimalOr(SimulatorWire.RequestArrived.MEMORY, 0),
             queue);
     requests.put(id, request);
     policy.onRequestArrived(now, request);
@@ -127,7 +132,7 @@
           default -> null;
         };
     if (attempt != null && progress != null) {
-      double level = event.amountOr(SimulatorWire.Progress.LEVEL, 0);
+      double level = event.decimalOr(SimulatorWire.Progress.LEVEL, 0);
       policy.onAttemptProgress(now, attempt, progress, level);
     }
   }
@@ -137,21 +142,21 @@
     if (attempt == null || !attempt.isInFlight()) {
       return;
     }
-    long bill = event.numberOr(SimulatorWire.AttemptEnded.BILL, 0);
+    long packedUsage = event.numberOr(SimulatorWire.AttemptEnded.RESOURCE_USAGE, 0);
     policy.onAttemptEnded(
         now,
         attempt,
         outcome(event.text(SimulatorWire.AttemptEnded.OUTCOME, "how")),
-        Units.toTenths(event.numberOr(SimulatorWire.AttemptEnded.LAG, 0)),
+        Units.toTenths(event.numberOr(SimulatorWire.AttemptEnded.DURATION, 0)),
         event.flag(SimulatorWire.AttemptEnded.ANSWERED),
-        Units.billedWork(bill),
-        Units.billedMemory(bill),
+        Units.unpackWork(packedUsage),
+        Units.unpackMemory(packedUsage),
         event.report(SimulatorWire.AttemptEnded.LOAD_REPORT));
-    forgetIfOver(attempt.request);
+    removeIfOver(attempt.request);
   }
 
-  private static AttemptOutcome outcome(String word) {
-    return switch (word) {
+  private static AttemptOutcome outcome(String outcomeName) {
+    return switch (outcomeName) {
       case SimulatorWire.AttemptEnded.COMPLETED -> AttemptOutcome.SUCCEEDED;
       case SimulatorWire.AttemptEnded.SATURATED -> AttemptOutcome.REJECTED;
       case SimulatorWire.AttemptEnded.OVERDUE -> AttemptOutcome.TIMED_OUT;
@@ -167,7 +172,7 @@
     Request request = requests.get(id);
     if (request != null) {
       policy.onClientDisconnected(now, request);
-      forgetIfOver(request);
+      removeIfOver(request);
     }
   }
 
@@ -175,16 +180,22 @@
     return event.text(SimulatorWire.REQUEST_ID, SimulatorWire.REQUEST_ID_NAME);
   }
 
-  /** The attempt that an event names, or null if it is not known. */
-  private Attempt attempt(Message event, int place) {
+  /**
+   * Returns the attempt that an event refers to, or null if it is unknown.
+   *
+   * @param event the event
+   * @param index the index of the attempt's number in the event
+   * @throws MalformedWireException if the event has no request id or no attempt number
+   */
+  private Attempt attempt(Message event, int index) {
     Request request = requests.get(requestId(event));
-    long number = event.number(place, SimulatorWire.ATTEMPT_NAME);
+    long number = event.number(index, SimulatorWire.ATTEMPT_NAME);
     return request == null || number < 0 || number >= request.attempts.size()
         ? null
         : request.attempts.get((int) number);
   }
 
-  private void forgetIfOver(Request request) {
+  private void removeIfOver(Request request) {
     if (request.isOver()) {
       requests.remove(id(request));
     }
@@ -197,8 +208,8 @@
   }
 
   @Override
-  public void updatePriorityAndGrant(Request request, int rank, long grant) {
-    actions.updatePriorityAndGrant(id(request), rank, grant);
+  public void updatePriorityAndGrant(Request request, int priority, long grant) {
+    actions.updatePriorityAndGrant(id(request), priority, grant);
   }
 
   @Override
@@ -214,13 +225,13 @@
   @Override
   public void rejectRequest(Request request, long retryAfter) {
     actions.rejectRequest(id(request), Units.toMicros(retryAfter));
-    forgetIfOver(request);
+    removeIfOver(request);
   }
 
   @Override
   public void failRequest(Request request) {
     actions.failRequest(id(request));
-    forgetIfOver(request);
+    removeIfOver(request);
   }
 
   @Override
@@ -238,7 +249,7 @@
     actions.log(line);
   }
 
-  /** Reports an internal error. */
+  /** Reports an internal error of this gateway. */
   void panic(String cause) {
     actions.panic(cause);
   }
--- a/gateway/src/main/java/tillerlink/wirehost/MalformedWireException.java
+++ b/gateway/src/main/java/tillerlink/wirehost/MalformedWireException.java
@@ -1,6 +1,9 @@
 package tillerlink.wirehost;
 
-/** The input is not what the simulator's wire allows; the message says where and why. */
+/**
+ * Signals input that violates the format of the simulator's wire. The message contains the position
+ * and the reason.
+ */
 public final class MalformedWireException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/gateway/src/main/java/tillerlink/wirehost/Message.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Message.java
@@ -4,108 +4,122 @@
 import java.util.Map;
 
 /**
- * One event of the wire.
+ * One event of the simulator's wire.
  *
- * @param values all values of its array, the name first; those that are absent count as null
+ * @param name the name of the event
+ * @param values all values of the event's array, starting with the name; a missing value counts as
+ *     null
  */
 record Message(String name, List<Object> values) {
   /**
-   * The event that a parsed value is.
+   * Creates an event from a parsed JSON value.
    *
-   * @throws MalformedWireException if it is none
+   * @throws MalformedWireException if the value is not an array that starts with a name
    */
   static Message of(Object raw) {
     if (!(raw instanceof List<?> list) || list.isEmpty() || !(list.get(0) instanceof String name)) {
       throw new MalformedWireException(
-          "an event is not an array that begins with its name: " + raw);
+          "expected an event as an array starting with its name, got " + raw);
     }
     @SuppressWarnings("unchecked")
     List<Object> values = (List<Object>) list;
     return new Message(name, values);
   }
 
-  boolean has(int place) {
-    return place < values.size() && values.get(place) != null;
+  boolean has(int index) {
+    return index < values.size() && values.get(index) != null;
   }
 
   /**
-   * A whole number.
+   * Returns an integer.
    *
-   * @param what the value's name, for the error
-   * @throws MalformedWireException if it is absent or no number
+   * @param index the index of the value in the event
+   * @param valueName the name of the value, for the error message
+   * @throws MalformedWireException if the value is missing or not a number
    */
-  long number(int place, String what) {
-    if (has(place) && values.get(place) instanceof Number number) {
+  long number(int index, String valueName) {
+    if (has(index) && values.get(index) instanceof Number number) {
       return number.longValue();
     }
-    throw malformed(place, what, "a number");
+    throw malformed(index, valueName, "a number");
   }
 
-  /** A whole number, or another if it is absent or none. */
-  long numberOr(int place, long otherwise) {
-    return has(place) && values.get(place) instanceof Number number
+  /** Returns an integer, or the default value if it is missing or not a number. */
+  long numberOr(int index, long defaultValue) {
+    return has(index) && values.get(index) instanceof Number number
         ? number.longValue()
-        : otherwise;
+        : defaultValue;
   }
 
-  /** A number with a fraction, or another if it is absent or none. */
-  double amountOr(int place, double otherwise) {
-    return has(place) && values.get(place) instanceof Number number
+  /** Returns a decimal number, or the default value if it is missing or not a number. */
+  double decimalOr(int index, double defaultValue) {
+    return has(index) && values.get(index) instanceof Number number
         ? number.doubleValue()
-        : otherwise;
+        : defaultValue;
   }
 
   /**
-   * A text.
+   * Returns a string.
    *
-   * @throws MalformedWireException if it is absent or none
+   * @param index the index of the value in the event
+   * @param valueName the name of the value, for the error message
+   * @throws MalformedWireException if the value is missing or not a string
    */
-  String text(int place, String what) {
-    if (has(place) && values.get(place) instanceof String text) {
+  String text(int index, String valueName) {
+    if (has(index) && values.get(index) instanceof String text) {
       return text;
     }
-    throw malformed(place, what, "a text");
+    throw malformed(index, valueName, "a string");
   }
 
-  /** A text, or another if it is absent or none. */
-  String textOr(int place, String otherwise) {
-    return has(place) && values.get(place) instanceof String text ? text : otherwise;
+  /** Returns a string, or the default value if it is missing or not a string. */
+  String textOr(int index, String defaultValue) {
+    return has(index) && values.get(index) instanceof String text ? text : defaultValue;
   }
 
-  /** Whether a value is true; false if it is absent. */
-  boolean flag(int place) {
-    return has(place) && Boolean.TRUE.equals(values.get(place));
+  /** Returns a boolean; false if it is missing or not a boolean. */
+  boolean flag(int index) {
+    return has(index) && Boolean.TRUE.equals(values.get(index));
   }
 
   /**
-   * An array.
+   * Returns an array.
    *
-   * @throws MalformedWireException if it is absent or none
+   * @param index the index of the value in the event
+   * @param valueName the name of the value, for the error message
+   * @throws MalformedWireException if the value is missing or not an array
    */
   @SuppressWarnings("unchecked")
-  List<Object> list(int place, String what) {
-    if (has(place) && values.get(place) instanceof List<?> list) {
+  List<Object> list(int index, String valueName) {
+    if (has(index) && values.get(index) instanceof List<?> list) {
       return (List<Object>) list;
     }
-    throw malformed(place, what, "an array");
+    throw malformed(index, valueName, "an array");
   }
 
   /**
-   * An object.
+   * Returns an object.
    *
-   * @throws MalformedWireException if it is absent or none
+   * @param index the index of the value in the event
+   * @param valueName the name of the value, for the error message
+   * @throws MalformedWireException if the value is missing or not an object
    */
   @SuppressWarnings("unchecked")
-  Map<String, Object> object(int place, String what) {
-    if (has(place) && values.get(place) instanceof Map<?, ?> map) {
+  Map<String, Object> object(int index, String valueName) {
+    if (has(index) && values.get(index) instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
-    throw malformed(place, what, "an object");
+    throw malformed(index, valueName, "an object");
   }
 
-  /** The numbers of a load report, where NaN stands for what is none; null if it is absent. */
-  double[] report(int place) {
-    if (!has(place) || !(values.get(place) instanceof List<?> row)) {
+  /**
+   * Returns the numbers of a load report; an element that is not a number is returned as NaN.
+   *
+   * @param index the index of the load report in the event
+   * @return the load report, or null if it is missing or not an array
+   */
+  double[] report(int index) {
+    if (!has(index) || !(values.get(index) instanceof List<?> row)) {
       return null;
     }
     double[] report = new double[row.size()];
@@ -115,8 +129,17 @@
     return report;
   }
 
-  private MalformedWireException malformed(int place, String what, String wanted) {
+  private MalformedWireException malformed(int index, String valueName, String expectedType) {
     return new MalformedWireException(
-        "event " + name + ": value " + place + " (" + what + ") is not " + wanted);
+        "event "
+            + name
+            + ": expected "
+            + expectedType
+            + " as value "
+            + index
+            + " ("
+            + valueName
+            + "), got "
+            + (has(index) ? values.get(index) : "no value"));
   }
 }
--- a/gateway/src/main/java/tillerlink/wirehost/Row.java
+++ b/gateway/src/main/java/tillerlink/wirehost/Row.java
@@ -5,26 +5,36 @@
 import tillerlink.plain.Units;
 
 /**
- * One entry of an endpoint list that events name by its number. Lists are shared by all gateways of
- * the process, so an entry has the engine's id and no object of a gateway.
+ * One entry of a numbered endpoint list. Lists are shared by all gateways of the process, so an
+ * entry contains the engine's id and no object that belongs to a gateway.
+ *
+ * @param kind the index of the engine's kind
+ * @param startedAt the start time of the engine's process, in tenths of a millisecond; 0 if it
+ *     started long ago
+ * @param zone the index of the engine's zone
+ * @param status the status of the engine's process
+ * @param cell the index of the engine's cell
+ * @param weight the engine's weight in the list
+ * @param engine the engine's id
  */
 record Row(
     int kind, long startedAt, int zone, Status status, int cell, double weight, String engine) {
   /**
-   * Reads an entry.
+   * Creates an entry from a parsed JSON value.
    *
-   * @throws MalformedWireException if it lacks a value
+   * @throws MalformedWireException if it is not an array, or its mode or engine id is missing
    */
   static Row of(Object raw) {
     if (!(raw instanceof List<?> values)) {
-      throw new MalformedWireException("event DefineList: an entry is not an array: " + raw);
+      throw new MalformedWireException(
+          "event DefineList: expected an entry as an array, got " + raw);
     }
     @SuppressWarnings("unchecked")
     Message entry = new Message("DefineList entry", (List<Object>) values);
     Status status =
-        switch ((int) entry.number(SimulatorWire.ListEntry.MODE, SimulatorWire.MODE_NAME)) {
-          case SimulatorWire.ListEntry.MODE_READY -> Status.READY;
-          case SimulatorWire.ListEntry.MODE_DRAINING -> Status.DRAINING;
+        switch ((int) entry.number(SimulatorWire.ListEntry.STATUS, SimulatorWire.MODE_NAME)) {
+          case SimulatorWire.ListEntry.STATUS_READY -> Status.READY;
+          case SimulatorWire.ListEntry.STATUS_DRAINING -> Status.DRAINING;
           default -> Status.GONE;
         };
     return new Row(
@@ -33,7 +43,7 @@
         (int) entry.numberOr(SimulatorWire.ListEntry.ZONE, 0),
         status,
         (int) entry.numberOr(SimulatorWire.ListEntry.CELL, 0),
-        entry.amountOr(SimulatorWire.ListEntry.WEIGHT, 1),
+        entry.decimalOr(SimulatorWire.ListEntry.WEIGHT, 1),
         entry.text(SimulatorWire.ListEntry.ENGINE, "engine"));
   }
 }
--- a/gateway/src/main/java/tillerlink/wirehost/SimulatorWire.java
+++ b/gateway/src/main/java/tillerlink/wirehost/SimulatorWire.java
@@ -1,16 +1,16 @@
 package tillerlink.wirehost;
 
-/** The words, the numbers and the places of values on the simulator's wire. */
+/** The names, codes and value indices of the events and actions on the simulator's wire. */
 final class SimulatorWire {
-  // Members of a batch and of its reply.
+  // Members of the objects for a batch and its reply.
   static final String CLOCK = "wall_us";
   static final String EVENTS = "inbox";
   static final String ACTIONS = "do";
 
   // Names of events.
   static final String DEFINE_LIST = "DefineList";
-  static final String UP = "Up";
-  static final String RETIRE = "Retire";
+  static final String GATEWAY_STARTED = "Up";
+  static final String GATEWAY_STOPPED = "Retire";
   static final String ENDPOINTS_CHANGED = "BackendsChanged";
   static final String REQUEST_ARRIVED = "Incoming";
   static final String RESPONSE_STARTED = "HeadReceived";
@@ -32,55 +32,55 @@
   static final String LOG = "Log";
   static final String PANIC = "Panic";
 
-  // Names of values, for errors.
+  // Names of values, for error messages.
   static final String REQUEST_ID_NAME = "tid";
   static final String ATTEMPT_NAME = "seq_no";
   static final String MODE_NAME = "mode";
 
-  /** The place of the gateway's number in every event but {@link #DEFINE_LIST}. */
+  /** The index of the gateway's number in every event except {@link #DEFINE_LIST}. */
   static final int GATEWAY = 1;
 
-  /** The place of the request's id in every event about a request. */
+  /** The index of the request's id in every event about a request. */
   static final int REQUEST_ID = 2;
 
   private SimulatorWire() {}
 
-  /** Places of the values of {@link #DEFINE_LIST}. */
+  /** Indices of the values of {@link #DEFINE_LIST}. */
   static final class DefineList {
-    static final int PAGE = 1;
-    static final int ROWS = 2;
+    static final int LIST_NUMBER = 1;
+    static final int ENTRIES = 2;
 
     private DefineList() {}
   }
 
-  /** Places of the values of an entry in {@link #DEFINE_LIST}, and its statuses. */
+  /** Indices of the values of an entry in {@link #DEFINE_LIST}, and the codes of its status. */
   static final class ListEntry {
     static final int KIND = 0;
     static final int STARTED_AT = 1;
     static final int ZONE = 2;
-    static final int MODE = 3;
+    static final int STATUS = 3;
     static final int CELL = 4;
     static final int WEIGHT = 5;
     static final int ENGINE = 6;
 
-    static final int MODE_READY = 1;
-    static final int MODE_DRAINING = 2;
+    static final int STATUS_READY = 1;
+    static final int STATUS_DRAINING = 2;
 
     private ListEntry() {}
   }
 
-  /** Places of the values of {@link #UP}. */
-  static final class Up {
+  /** Indices of the values of {@link #GATEWAY_STARTED}. */
+  static final class GatewayStarted {
     static final int SEED = 2;
     static final int SETTINGS = 3;
 
-    private Up() {}
+    private GatewayStarted() {}
   }
 
-  /** Places of the values of {@link #ENDPOINTS_CHANGED}, and its modes. */
+  /** Indices of the values of {@link #ENDPOINTS_CHANGED}, and the codes of its modes. */
   static final class EndpointsChanged {
     static final int MODE = 2;
-    static final int PAGE = 4;
+    static final int LIST_NUMBER = 4;
 
     static final int MODE_FAILED = 0;
     static final int MODE_CACHED = 1;
@@ -89,7 +89,7 @@
     private EndpointsChanged() {}
   }
 
-  /** Places of the values of {@link #REQUEST_ARRIVED}. */
+  /** Indices of the values of {@link #REQUEST_ARRIVED}. */
   static final class RequestArrived {
     static final int TABLE_GROUP = 3;
     static final int REPEAT = 5;
@@ -102,14 +102,14 @@
     private RequestArrived() {}
   }
 
-  /** Places of the values of {@link #RESPONSE_STARTED}. */
+  /** Indices of the values of {@link #RESPONSE_STARTED}. */
   static final class ResponseStarted {
     static final int ATTEMPT = 5;
 
     private ResponseStarted() {}
   }
 
-  /** Places of the values of {@link #ATTEMPT_PROGRESS}, and its kinds. */
+  /** Indices of the values of {@link #ATTEMPT_PROGRESS}, and the codes of its kinds. */
   static final class Progress {
     static final int LEVEL = 3;
     static final int KIND = 5;
@@ -122,13 +122,13 @@
     private Progress() {}
   }
 
-  /** Places of the values of {@link #ATTEMPT_ENDED}, and its outcomes. */
+  /** Indices of the values of {@link #ATTEMPT_ENDED}, and the names of its outcomes. */
   static final class AttemptEnded {
     static final int ATTEMPT = 3;
     static final int OUTCOME = 5;
-    static final int LAG = 6;
+    static final int DURATION = 6;
     static final int ANSWERED = 7;
-    static final int BILL = 8;
+    static final int RESOURCE_USAGE = 8;
     static final int LOAD_REPORT = 9;
 
     static final String COMPLETED = "completed";
--- a/gateway/src/main/java/tillerlink/wirehost/WireHost.java
+++ b/gateway/src/main/java/tillerlink/wirehost/WireHost.java
@@ -24,15 +24,15 @@
 import tillerlink.port.DispatchPolicyFactory;
 
 /**
- * Hosts many gateways on the simulator's wire: each line of input is a batch of events, each line
- * of output the actions that answer it. The gateways share nothing but the endpoint lists that
- * events define for them. One thread runs all of it.
+ * Hosts many gateways on the simulator's wire. Each line of input is a batch of events; each line
+ * of output contains the actions in reply to a batch. The gateways share nothing but the endpoint
+ * lists that events define. A single thread runs all gateways.
  */
 public final class WireHost {
-  /** In place of a list's number: the event names none. */
-  private static final int NO_PAGE = -1;
+  /** The list number of an event that refers to no endpoint list. */
+  private static final int NO_LIST = -1;
 
-  /** The events of one line, and the clock in tenths of a millisecond. */
+  /** The events of one line of input and its time, in tenths of a millisecond. */
   private record Batch(long now, List<Message> events) {}
 
   private final DispatchPolicyFactory policies;
@@ -41,16 +41,16 @@
   private final JsonGenerator actions;
   private final Map<Integer, Instance> instances = new HashMap<>();
 
-  /** The endpoint lists under their numbers, which may be defined anew. */
-  private final Map<Integer, List<Row>> pages = new HashMap<>();
+  /** The endpoint lists by number. An event may redefine a number. */
+  private final Map<Integer, List<Row>> endpointLists = new HashMap<>();
 
-  /** The gateways that had events in this batch, whose decisions are due at its end. */
-  private final Set<Integer> touched = new LinkedHashSet<>();
+  /** The gateways with events in the current batch; their decisions are applied at its end. */
+  private final Set<Integer> gatewaysWithEvents = new LinkedHashSet<>();
 
   /**
-   * A host without gateways.
+   * Creates a host without gateways.
    *
-   * @param policies makes the dispatch policy of each gateway
+   * @param policies creates the dispatch policy of each gateway
    */
   public WireHost(DispatchPolicyFactory policies) throws IOException {
     this.policies = policies;
@@ -58,9 +58,13 @@
   }
 
   /**
-   * Answers batches until the input ends. Errors inside a gateway become actions that report them.
+   * Answers batches until the end of the input. An exception inside a gateway is reported as an
+   * action of that gateway.
    *
-   * @throws MalformedWireException if a line is no batch
+   * @param in the batches, one JSON object per line
+   * @param out receives the replies, one JSON object per line
+   * @throws MalformedWireException if a line is not a valid batch
+   * @throws IOException if reading or writing fails
    */
   public void serve(InputStream in, OutputStream out) throws IOException {
     BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8));
@@ -81,7 +85,7 @@
     }
   }
 
-  /** Writes the reply to one batch. */
+  /** Handles one batch and writes its reply. */
   private void answer(String line, OutputStream out) throws IOException {
     try (JsonParser parser = factory.createParser(line)) {
       actions.writeStartObject();
@@ -99,28 +103,29 @@
 
   private static Batch readBatch(JsonParser parser) throws IOException {
     if (parser.nextToken() != JsonToken.START_OBJECT) {
-      throw new MalformedWireException("a batch is not an object");
+      throw new MalformedWireException(
+          "expected a batch as an object, got " + parser.currentToken());
     }
-    Long clock = null;
+    Long wallMicros = null;
     List<Message> events = null;
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String name = parser.currentName();
       JsonToken token = parser.nextToken();
       if (name.equals(SimulatorWire.CLOCK) && token == JsonToken.VALUE_NUMBER_INT) {
-        clock = parser.getLongValue();
+        wallMicros = parser.getLongValue();
       } else if (name.equals(SimulatorWire.EVENTS) && token == JsonToken.START_ARRAY) {
         events = readEvents(parser);
       } else {
         parser.skipChildren();
       }
     }
-    if (clock == null || events == null) {
-      throw new MalformedWireException("a batch lacks its clock (wall_us) or its inbox (an array)");
+    if (wallMicros == null || events == null) {
+      throw new MalformedWireException("batch has no integer wall_us or no inbox array");
     }
     if (parser.nextToken() != null) {
-      throw new MalformedWireException("more than one value on a line");
+      throw new MalformedWireException("expected one batch per line, got another value after it");
     }
-    return new Batch(Units.toTenths(clock), events);
+    return new Batch(Units.toTenths(wallMicros), events);
   }
 
   private static List<Message> readEvents(JsonParser parser) throws IOException {
@@ -135,82 +140,89 @@
     for (Message event : batch.events) {
       handle(batch.now, event);
     }
-    for (int gateway : touched) {
+    for (int gateway : gatewaysWithEvents) {
       Instance instance = instances.get(gateway);
       if (instance != null) {
-        guarded(instance, () -> instance.policy().applyDecisions(batch.now));
+        runIsolated(instance, () -> instance.policy().applyDecisions(batch.now));
       }
     }
-    touched.clear();
+    gatewaysWithEvents.clear();
   }
 
   private void handle(long now, Message event) {
     if (event.name().equals(SimulatorWire.DEFINE_LIST)) {
-      List<Row> rows = new ArrayList<>();
-      event.list(SimulatorWire.DefineList.ROWS, "rows").forEach(entry -> rows.add(Row.of(entry)));
-      pages.put((int) event.number(SimulatorWire.DefineList.PAGE, "page"), rows);
+      List<Row> entries = new ArrayList<>();
+      event
+          .list(SimulatorWire.DefineList.ENTRIES, "rows")
+          .forEach(entry -> entries.add(Row.of(entry)));
+      endpointLists.put((int) event.number(SimulatorWire.DefineList.LIST_NUMBER, "page"), entries);
       return;
     }
     int gateway = (int) event.number(SimulatorWire.GATEWAY, "gateway_id");
     switch (event.name()) {
-      case SimulatorWire.UP -> start(now, gateway, event);
-      case SimulatorWire.RETIRE -> {
+      case SimulatorWire.GATEWAY_STARTED -> start(now, gateway, event);
+      case SimulatorWire.GATEWAY_STOPPED -> {
         instances.remove(gateway);
-        touched.remove(gateway);
+        gatewaysWithEvents.remove(gateway);
       }
-      default -> pass(now, gateway, event);
+      default -> dispatch(now, gateway, event);
     }
   }
 
   private void start(long now, int gateway, Message event) {
-    long seed = event.number(SimulatorWire.Up.SEED, "rng_seed");
-    Map<String, Object> settings = event.object(SimulatorWire.Up.SETTINGS, "settings");
-    touched.remove(gateway);
-    touched.add(gateway);
+    long seed = event.number(SimulatorWire.GatewayStarted.SEED, "rng_seed");
+    Map<String, Object> settings = event.object(SimulatorWire.GatewayStarted.SETTINGS, "settings");
+    gatewaysWithEvents.remove(gateway);
+    gatewaysWithEvents.add(gateway);
     ActionWriter writer = new ActionWriter(actions, gateway);
     try {
       instances.put(gateway, new Instance(now, seed, settings, policies, writer));
     } catch (RuntimeException e) {
       e.printStackTrace();
-      writer.panic(cause(e));
+      writer.panic(describe(e));
     }
   }
 
-  private void pass(long now, int gateway, Message event) {
+  private void dispatch(long now, int gateway, Message event) {
     Instance instance = instances.get(gateway);
     if (instance == null) {
       System.err.println(
-          "tillerlink: event " + event.name() + " for gateway " + gateway + ", which is not up");
+          "tillerlink: ignoring event "
+              + event.name()
+              + " for gateway "
+              + gateway
+              + ", which is not running");
       return;
     }
-    touched.add(gateway);
-    List<Row> rows =
+    gatewaysWithEvents.add(gateway);
+    List<Row> entries =
         event.name().equals(SimulatorWire.ENDPOINTS_CHANGED)
-            ? pages.getOrDefault(
-                (int) event.numberOr(SimulatorWire.EndpointsChanged.PAGE, NO_PAGE), List.of())
+            ? endpointLists.getOrDefault(
+                (int) event.numberOr(SimulatorWire.EndpointsChanged.LIST_NUMBER, NO_LIST),
+                List.of())
             : List.of();
-    guarded(
+    runIsolated(
         instance,
         () -> {
-          if (!instance.handle(now, event, rows)) {
+          if (!instance.handle(now, event, entries)) {
             instance.log("unknown event " + event.name() + " ignored");
           }
         });
   }
 
-  /** Runs work of one gateway, whose errors must not end the others. */
-  private static void guarded(Instance instance, Runnable work) {
+  /** Runs work of one gateway and reports its exceptions, so that they do not end the others. */
+  private static void runIsolated(Instance instance, Runnable task) {
     try {
-      work.run();
+      task.run();
     } catch (MalformedWireException e) {
       throw e;
     } catch (RuntimeException e) {
       e.printStackTrace();
-      instance.panic(cause(e));
+      instance.panic(describe(e));
     }
   }
 
-  private static String cause(RuntimeException e) {
+  private static String describe(RuntimeException e) {
     StackTraceElement[] trace = e.getStackTrace();
     return trace.length == 0 ? e.toString() : e + " at " + trace[0];
   }
--- a/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
+++ b/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
@@ -25,20 +25,24 @@
 import tillerlink.wirehost.WireHost;
 
 /**
- * Pins the simulator's wire: the recorded input has every event kind, every outcome word, every
- * list mode and every progress kind; the recorded output has the actions as they are written.
+ * Pins the simulator's wire to the byte. The recorded input contains every kind of event, every
+ * outcome, every list mode and every kind of progress; the recorded output contains the actions as
+ * they are written.
  */
 class SimulatorWireGuardTest {
   @Test
   void recordedInputGivesTheRecordedOutputByteForByte() throws IOException {
-    assertEquals(resource("simulator-output.jsonl"), played(resource("simulator-input.jsonl")));
+    assertEquals(resource("simulator-output.jsonl"), repliesTo(resource("simulator-input.jsonl")));
   }
 
-  /** What follows " at " is a place in the source of the JDK, and differs between its builds. */
+  /**
+   * The text after " at " is removed before the comparison, because it is a line of the JDK's
+   * source code, which differs between builds of the JDK.
+   */
   @Test
-  void panicTellsTheFaultOfAnInstance() throws IOException {
+  void panicReportsTheExceptionOfAnInstance() throws IOException {
     String output =
-        played(
+        repliesTo(
             "{\"wall_us\":1000,\"inbox\":[[\"Up\",7,5,{\"profiles\":[{}]}],"
                 + "[\"Incoming\",7,\"id-1\",0,false,false,9,900000]]}");
     assertEquals(
@@ -47,11 +51,14 @@
         output.replaceFirst(" at [^\"]*\"", "\""));
   }
 
-  /** Guards words whose confusion the decisions of the recorded input would not show. */
+  /**
+   * Guards against confusing names, codes or value indices whose confusion would not change the
+   * decisions for the recorded input.
+   */
   @Test
-  void eventWordsAndPlacesMeanWhatTheyMeant() throws IOException {
+  void namesCodesAndValueIndicesOfEventsKeepTheirMeaning() throws IOException {
     StringBuilder replies = new StringBuilder();
-    String[] words = {
+    String[] outcomeNames = {
       "completed",
       "saturated",
       "overdue",
@@ -67,7 +74,7 @@
                 + "[\"DefineList\",0,[[1,250000,2,1,4,0.5,\"e1\"],[0,null,0,2,0,1,\"e2\"],"
                 + "[0,null,0,0,0,1,\"e3\"]]],[\"BackendsChanged\",3,1,1,0],"
                 + "[\"BackendsChanged\",3,2,2,7],[\"BackendsChanged\",3,3,2,7]");
-    for (int i = 0; i < words.length; i++) {
+    for (int i = 0; i < outcomeNames.length; i++) {
       input
           .append(",[\"Incoming\",3,\"s")
           .append(i)
@@ -76,13 +83,13 @@
           .append(",[\"Reply\",3,\"s")
           .append(i)
           .append("\",0,\"e1\",\"")
-          .append(words[i])
+          .append(outcomeNames[i])
           .append("\",1800,true,4096012,[3,0.5]]");
     }
     for (int kind = 1; kind <= 3; kind++) {
       input.append(",[\"Change\",3,\"s0\",0.25,0,").append(kind).append(",0]");
     }
-    List<Object> given = new ArrayList<>();
+    List<Object> received = new ArrayList<>();
     List<Request> arrived = new ArrayList<>();
     DispatchPolicy policy =
         (DispatchPolicy)
@@ -95,7 +102,8 @@
                       arrived.add(request);
                       request.attempts.add(new Attempt(request, new Engine("e1"), 0, 1, 1, false));
                     } else if (!(value instanceof Attempt)) {
-                      given.add(value instanceof double[] report ? Arrays.toString(report) : value);
+                      received.add(
+                          value instanceof double[] report ? Arrays.toString(report) : value);
                     }
                   }
                   return null;
@@ -106,7 +114,7 @@
                 (input.append(replies) + "]}").getBytes(StandardCharsets.UTF_8)),
             new ByteArrayOutputStream());
 
-    EndpointUpdate first = endpointUpdate(given, 0);
+    EndpointUpdate first = endpointUpdate(received, 0);
     List<Object> expected =
         new ArrayList<>(
             List.of(
@@ -115,9 +123,9 @@
                 List.of(
                     new EndpointUpdate(first.engine(), 1, 2, 4, 0.5, Status.READY, 2500),
                     new EndpointUpdate(
-                        endpointUpdate(given, 1).engine(), 0, 0, 0, 1, Status.DRAINING, 0),
+                        endpointUpdate(received, 1).engine(), 0, 0, 0, 1, Status.DRAINING, 0),
                     new EndpointUpdate(
-                        endpointUpdate(given, 2).engine(), 0, 0, 0, 1, Status.GONE, 0)),
+                        endpointUpdate(received, 2).engine(), 0, 0, 0, 1, Status.GONE, 0)),
                 10L,
                 false,
                 List.of(),
@@ -149,7 +157,7 @@
       expected.addAll(List.of(10L, outcome, 18L, true, 10_000.0, 48.0, "[3.0, 0.5]"));
     }
     expected.add(10L);
-    assertEquals(expected, given);
+    assertEquals(expected, received);
     assertEquals("e1", first.engine().tag);
     assertEquals("s7", arrived.get(7).tag);
     assertEquals(2, arrived.get(7).classIndex);
@@ -161,11 +169,11 @@
     assertSame(arrived.get(0).keyQueue, arrived.get(7).keyQueue);
   }
 
-  private static EndpointUpdate endpointUpdate(List<Object> given, int place) {
-    return (EndpointUpdate) ((List<?>) given.get(2)).get(place);
+  private static EndpointUpdate endpointUpdate(List<Object> received, int index) {
+    return (EndpointUpdate) ((List<?>) received.get(2)).get(index);
   }
 
-  private static String played(String input) throws IOException {
+  private static String repliesTo(String input) throws IOException {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     new WireHost(DefaultDispatchPolicy::new)
         .serve(new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)), output);
--- a/gateway/src/test/java/tillerlink/WireHostTest.java
+++ b/gateway/src/test/java/tillerlink/WireHostTest.java
@@ -19,11 +19,11 @@
   private static final String LIST =
       "[\"DefineList\",0,[[0,null,0,1,0,1,\"10.0.0.1:7000\",\"later value\"]]],"
           + "[\"BackendsChanged\",3,1,1,0]";
-  private static final String SUBMIT =
+  private static final String INCOMING =
       "[\"Incoming\",3,\"id-1\",11,false,false,0,8652250,0,null,12000,384]";
 
   @Test
-  void answersEachBatchAndSkipsWhatItDoesNotKnow() throws IOException {
+  void answersEachBatchAndIgnoresUnknownEventsAndValues() throws IOException {
     assertEquals(
         """
         {"do":[]}
@@ -31,9 +31,9 @@
         ["Arm",3,8642200,0]]}
         {"do":[]}
         """,
-        played(
+        repliesTo(
             batch(""),
-            batch(UP + "," + LIST + "," + SUBMIT + ",[\"Novelty\",3,1]"),
+            batch(UP + "," + LIST + "," + INCOMING + ",[\"Novelty\",3,1]"),
             batch(
                 "[\"Reply\",3,\"id-1\",0,\"10.0.0.1:7000\",\"completed\",18500,true,0,null],"
                     + "[\"Expired\",3,\"id-1\"],[\"Reply\",3,\"gone\",0,\"10.0.0.1:7000\",\"severed\",1,true]")));
@@ -41,59 +41,61 @@
 
   @Test
   void listNumbersAreReusedWithinABatch() throws IOException {
-    String other = LIST.replace("10.0.0.1", "10.0.0.2").replace(",3,1,1,0]", ",4,1,1,0]");
-    String two =
+    String listOfSecondGateway =
+        LIST.replace("10.0.0.1", "10.0.0.2").replace(",3,1,1,0]", ",4,1,1,0]");
+    String eventsOfTwoGateways =
         UP
             + ","
             + UP.replace("Up\",3", "Up\",4")
             + ","
             + LIST
             + ","
-            + other
+            + listOfSecondGateway
             + ","
-            + SUBMIT
+            + INCOMING
             + ","
-            + SUBMIT.replace("Incoming\",3", "Incoming\",4");
+            + INCOMING.replace("Incoming\",3", "Incoming\",4");
     assertEquals(
         """
         {"do":[["Provide",3,"id-1",2,0],["Try",3,"id-1",0,"10.0.0.1:7000"],["Arm",3,8642200,0],\
         ["Provide",4,"id-1",2,0],["Try",4,"id-1",0,"10.0.0.2:7000"],["Arm",4,8642200,0]]}
         """,
-        played(batch(two)));
+        repliesTo(batch(eventsOfTwoGateways)));
   }
 
   @Test
   void malformedInputIsReported() {
-    assertEquals("line 2 is not JSON", refusal(batch(""), "{oops").substring(0, 18));
-    assertEquals("line 1: a batch is not an object", refusal("[]"));
+    assertEquals("line 2 is not JSON", errorMessage(batch(""), "{oops").substring(0, 18));
+    assertEquals("line 1: expected a batch as an object, got START_ARRAY", errorMessage("[]"));
+    assertEquals("line 1: batch has no integer wall_us or no inbox array", errorMessage("{}"));
     assertEquals(
-        "line 1: a batch lacks its clock (wall_us) or its inbox (an array)", refusal("{}"));
+        "line 1: event Up: expected an object as value 3 (settings), got no value",
+        errorMessage(batch("[\"Up\",3,5]")));
     assertEquals(
-        "line 1: event Up: value 3 (settings) is not an object", refusal(batch("[\"Up\",3,5]")));
-    assertEquals(
-        "line 1: an event is not an array that begins with its name: 7", refusal(batch("7")));
+        "line 1: expected an event as an array starting with its name, got 7",
+        errorMessage(batch("7")));
   }
 
   @Test
-  void faultInsideAnInstanceIsReported() throws IOException {
-    String unknownRequestClass = SUBMIT.replace("false,false,0,", "false,false,9,");
+  void exceptionInsideAnInstanceIsReported() throws IOException {
+    String unknownRequestClass = INCOMING.replace("false,false,0,", "false,false,9,");
     assertEquals(
         "{\"do\":[[\"Panic\",3,\"java.lang.IndexOutOfBoundsException: Index 9",
-        played(batch(UP + "," + unknownRequestClass)).substring(0, 63));
+        repliesTo(batch(UP + "," + unknownRequestClass)).substring(0, 63));
   }
 
   private static String batch(String events) {
     return "{\"wall_us\":8412250,\"inbox\":[" + events + "]}";
   }
 
-  private static String played(String... lines) throws IOException {
+  private static String repliesTo(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] input = String.join("\n", lines).getBytes(StandardCharsets.UTF_8);
     new WireHost(DefaultDispatchPolicy::new).serve(new ByteArrayInputStream(input), out);
     return out.toString(StandardCharsets.UTF_8);
   }
 
-  private static String refusal(String... lines) {
-    return assertThrows(MalformedWireException.class, () -> played(lines)).getMessage();
+  private static String errorMessage(String... lines) {
+    return assertThrows(MalformedWireException.class, () -> repliesTo(lines)).getMessage();
   }
 }
