--- a/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
+++ b/gateway/src/test/java/tillerlink/DefaultDispatchPolicyTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each test plays a short scenario and compares the actions of the policy with the kept trace. The
- * texts of the comments and the words of the traces belong to the kept files.
+ * Plays a short scenario in each test and compares the policy's actions with a kept trace. The
+ * texts passed to {@link PolicyTrace#comment} are part of the kept traces.
  */
 class DefaultDispatchPolicyTest {
   @Test
@@ -34,10 +34,12 @@
   void cachedTableGroupBreaksTies() {
     PolicyTrace trace = new PolicyTrace().requestClass("repeatable").start("a0", "b0", "c0");
     trace.arrive("first", 0, 100, 9, null).advance(100).end("first", SUCCEEDED);
-    trace.comment("idle again: the group's engine is warm").arrive("second", 0, 100, 9, null);
+    trace
+        .comment("idle again: the engine with the cached table group is chosen")
+        .arrive("second", 0, 100, 9, null);
     trace.advance(100).end("second", SUCCEEDED);
     trace
-        .comment("busy with another class: warmth no longer draws")
+        .comment("busy with another class: the cached table group no longer decides")
         .arrive("other", 1, 100, 9, null)
         .arrive("third", 0, 100, 9, null);
     trace.assertMatches("warm");
@@ -50,7 +52,7 @@
         .arrive("s1", 0, 300)
         .arrive("s2", 0, 300)
         .end("s1", REJECTED)
-        .comment("pressure: one or two threads an engine");
+        .comment("overload: one or two threads per engine");
     trace.arrive("s3", 0, 300).arrive("s4", 0, 300).arrive("s5", 0, 300).arrive("s6", 0, 300);
     trace
         .advance(300)
@@ -68,7 +70,7 @@
     trace
         .arrive("s1", 0, 300)
         .end("s1", REJECTED)
-        .comment("one engine was full: the others are not flooded");
+        .comment("one engine was full: the limit applies to the others as well");
     for (int i = 2; i <= 8; i++) {
       trace.arrive("s" + i, 0, 300);
     }
@@ -76,17 +78,17 @@
   }
 
   /**
-   * Guards a gateway with several times the traffic of the others: while its attempts end at an
-   * easy pace, threads over its share of the fleet are no reason to queue or reject. At a pace far
-   * above the best, they are.
+   * Guards against queueing or rejecting requests of a gateway that has several times the traffic
+   * of the others, only because its threads exceed its share of the fleet. The limit on their sum
+   * applies at a pace far above the best, not at an easy pace.
    */
   @Test
-  void gatewayMayExceedItsShareWhileThePaceIsEasy() {
+  void gatewayMayExceedItsShareAtAnEasyPace() {
     PolicyTrace trace = new PolicyTrace().set("instances", 8L).start("a0", "b0");
     for (int i = 1; i <= 12; i++) {
       trace.arrive("k" + i, 0, 100, i, null).advance(100).end("k" + i, SUCCEEDED);
     }
-    trace.comment("an easy pace: eight are out, of a share of two threads");
+    trace.comment("an easy pace: eight attempts in flight, with a share of two threads");
     for (int i = 1; i <= 8; i++) {
       trace.arrive("s" + i, 0, 100, i, null);
     }
@@ -99,7 +101,7 @@
       trace.end("t" + i, SUCCEEDED);
     }
     trace.comment(
-        "all took nearly twice as long, on no engine far too long: now the sum is bounded");
+        "all took nearly twice as long, on no engine far too long: now their sum is limited");
     for (int i = 1; i <= 8; i++) {
       trace.arrive("u" + i, 0, 100, i, null);
     }
@@ -120,12 +122,12 @@
             .requestClass("repeatable");
     trace.start("a0", "b0", "c0").arrive("s1", 0, 300).advance(300).end("s1", SUCCEEDED, 1);
     trace
-        .comment("one engine of three is busy: a heavy query and two look-ups share the other two")
+        .comment("one engine of three is busy: a heavy and two light requests share the other two")
         .arrive("r1", 1, 900)
         .arrive("s2", 0, 300)
         .arrive("s3", 0, 300);
     trace
-        .comment("only then the busy one, for the one query that may always fly")
+        .comment("the busy engine comes last, for the single request that is always allowed")
         .arrive("s4", 0, 300)
         .arrive("s5", 0, 300)
         .assertMatches("jammed-last");
@@ -137,7 +139,7 @@
     trace
         .arrive("s1", 0, 300)
         .end("s1", CONNECT_FAILED)
-        .comment("one engine of four is in doubt: the others take one thread each");
+        .comment("one engine of four is an outlier: the others take one thread each");
     for (int i = 2; i <= 6; i++) {
       trace.arrive("s" + i, 0, 300, i, null);
     }
@@ -152,7 +154,7 @@
     }
     trace
         .comment(
-            "10 threads are over one and a half of this gateway's share and of one query of each"
+            "10 threads exceed one and a half times this gateway's share and one request of each"
                 + " class")
         .assertMatches("flood");
   }
@@ -181,7 +183,7 @@
         .end("r1", CONNECTION_LOST)
         .end("r1", CONNECTION_LOST)
         .advance(350)
-        .comment("the window of 300 ms has passed");
+        .comment("the deduplication window of 300 ms has passed");
     trace.end("r1", CONNECTION_LOST).assertMatches("receipted");
   }
 
@@ -209,13 +211,14 @@
   }
 
   /**
-   * Guards a warming engine for which each of many gateways has less than an attempt: together they
-   * use it, and send in a period exactly as many attempts as it may have. Without slots nobody
-   * would use it until it is warm; with random draws it would be more or less.
+   * Guards against a warming engine that stays idle because the quota of each of many gateways is
+   * less than one attempt. With slow-start slots the gateways together send exactly as many
+   * attempts in a period as the engine may have. Without slots no gateway would use it until it is
+   * warm; with random draws the number would vary.
    */
   @Test
   void gatewaysTakeSlowStartSlotsInTurn() {
-    for (long ago : new long[] {1500, 1717, 2500, 4000}) {
+    for (long uptimeMs : new long[] {1500, 1717, 2500, 4000}) {
       long sent = 0;
       for (long index = 0; index < 200; index++) {
         PolicyTrace trace =
@@ -223,21 +226,21 @@
                 .set("instances", 200L, "me", index)
                 .start()
                 .advance(5000)
-                .endpointChanged("b0", READY, ago);
+                .endpointChanged("b0", READY, uptimeMs);
         sent += trace.arrive("s1", 0, 100).attemptsSent();
       }
-      // 8 cores x 2.5 x 1.5 s is 30 s of work, times the warmth; of that 0.35, in attempts of 0.1
-      // s.
-      double allowed = 300 * 0.35 * (0.3 + 0.7 * ago * ago / 1e8);
+      // 8 cores x 2.5 x 1.5 s is 30 s of work, times the warm capacity. The policy uses 0.35 of
+      // that, in attempts of 0.1 s.
+      double allowed = 300 * 0.35 * (0.3 + 0.7 * uptimeMs * uptimeMs / 1e8);
       assertTrue(
           Math.abs(sent - allowed) <= 2,
-          sent + " attempts of " + allowed + ", " + ago + " ms after the start");
+          sent + " attempts, expected " + allowed + ", " + uptimeMs + " ms after the start");
     }
   }
 
   /**
-   * Guards a gateway that does not know its index among the others: its slots are spread like
-   * random draws.
+   * Guards gateways without a configured index, which is derived from the random seed instead:
+   * their slots are spread like random draws.
    */
   @Test
   void slowStartSlotsWithoutAGatewayIndexAreSpreadLikeRandomDraws() {
@@ -254,14 +257,15 @@
                 .endpointChanged("b0", READY, 1500);
         sent += trace.arrive("s1", 0, 100).attemptsSent();
       }
-      // 32 as above, and twice its root either way.
-      assertTrue(sent >= 20 && sent <= 44, sent + " attempts at seed " + seed);
+      // 32 as above, plus or minus about twice its square root.
+      assertTrue(sent >= 20 && sent <= 44, sent + " attempts with seed " + seed);
     }
   }
 
   /**
-   * Guards a warming engine of which other gateways may not have been notified: in its first period
-   * the sum grows from nothing.
+   * Guards against overloading an engine that has just started, of which other gateways may not
+   * have been notified and may still send it more. In the first period the permitted sum grows from
+   * zero.
    */
   @Test
   void warmingEngineGetsLittleInItsFirstPeriod() {
@@ -275,12 +279,14 @@
               .endpointChanged("b0", READY, 150);
       sent += trace.arrive("s1", 0, 100).attemptsSent();
     }
-    assertTrue(sent >= 2 && sent <= 5, sent + " attempts, a tenth of a period after the start");
+    assertTrue(
+        sent >= 2 && sent <= 5,
+        sent + " attempts, expected 2 to 5 a tenth of a period after the start");
   }
 
   /**
-   * Guards the warming engine whose slow-start slot it is: among engines with as few attempts, it
-   * comes first, or the slot is lost.
+   * Guards against losing a slow-start slot: among engines with equally few attempts, the warming
+   * engine for which this gateway has the slot must be chosen first.
    */
   @Test
   void warmingEngineWithASlowStartSlotComesFirst() {
@@ -293,7 +299,7 @@
               .advance(5000);
       sent += trace.endpointChanged("x0", READY, 1500).arrive("s1", 0, 100).attemptsSentTo("x0");
     }
-    assertTrue(sent >= 30 && sent <= 34, sent + " attempts");
+    assertTrue(sent >= 30 && sent <= 34, sent + " attempts, expected 30 to 34");
   }
 
   @Test
@@ -302,7 +308,7 @@
     trace
         .arrive("s1", 0, 100)
         .advance(1600)
-        .comment("the stated span of 1.5 s has passed")
+        .comment("the slow-start period of 1.5 s has passed")
         .arrive("s2", 0, 100)
         .assertMatches("cold-restart");
   }
@@ -331,7 +337,7 @@
   }
 
   @Test
-  void placementRulesHoldWhenAllAllowedEnginesAreDown() {
+  void placementRulesApplyWhenAllAllowedEnginesAreDown() {
     PolicyTrace trace =
         new PolicyTrace().requestClass("repeatable", "zones_open", List.of(1)).start("a0", "b1");
     trace
@@ -358,7 +364,7 @@
     trace.arrive("s1", 0, 100).end("s1", FAILED).arrive("s2", 0, 100).end("s2", FAILED);
     trace
         .advance(6000)
-        .comment("the span has passed")
+        .comment("the period of the retry budget has passed")
         .end("s1", SUCCEEDED)
         .arrive("s3", 0, 100)
         .end("s3", FAILED);
@@ -376,20 +382,20 @@
   }
 
   @Test
-  void silentEngineLosesItsAttemptAndGetsAHealthCheckLater() {
+  void silentEngineLosesItsAttemptAndIsCheckedLater() {
     PolicyTrace trace = new PolicyTrace().start("a0", "b0");
     trace
         .arrive("s1", 0, 100, 1, null)
         .arrive("s2", 0, 100, 2, null)
         .advance(100)
         .end("s2", SUCCEEDED);
-    trace.advance(500).comment("s1 is called off and sent anew").end("s1", CANCELLED);
+    trace.advance(500).comment("s1 is cancelled and sent again").end("s1", CANCELLED);
     for (int i = 3; i <= 6; i++) {
       trace.arrive("s" + i, 0, 100, i, null);
     }
     trace
         .advance(9000)
-        .comment("it is never quite forgotten")
+        .comment("an outlier is not excluded permanently")
         .arrive("s7", 0, 100, 7, null)
         .arrive("s8", 0, 100, 8, null);
     trace.assertMatches("silent");
@@ -406,16 +412,16 @@
         .end("s1", CONNECTION_LOST);
     trace.advance(100).end("s0", SUCCEEDED).end("s1", SUCCEEDED).advance(7000);
     trace.comment(
-        "in doubt no more, but perhaps cold: room there for 3 s of work once, then for 100 ms");
+        "no outlier any more, but perhaps cold: quota for 3 s of work once, then for 100 ms");
     for (int i = 2; i <= 5; i++) {
       trace.arrive("big" + i, 0, 3000, i, null);
     }
     trace.arrive("small", 0, 100, 6, null).assertMatches("crashed");
   }
 
-  /** Guards against taking a connection that the network dropped for a process that died. */
+  /** Guards against treating a connection that the network dropped as a crashed process. */
   @Test
-  void singleLostConnectionIsNoCrash() {
+  void singleLostConnectionIsNotACrash() {
     PolicyTrace trace =
         new PolicyTrace()
             .start("a0")
@@ -431,12 +437,12 @@
     for (int i = 3; i <= 6; i++) {
       trace.arrive("big" + i, 0, 2000, i, null);
     }
-    trace.comment("both are warm: 2 s of work goes to either").assertMatches("dropped");
+    trace.comment("both are warm: 2 s of work goes to either engine").assertMatches("dropped");
   }
 
   /**
-   * Guards against an engine that fails at once and attracts what the others can't take, one health
-   * check after another.
+   * Guards against an engine that fails every attempt at once and therefore attracts the requests
+   * that the others cannot accept, one health check after another.
    */
   @Test
   void failedHealthCheckConfirmsTheOutlier() {
@@ -444,29 +450,35 @@
     for (int i = 1; i <= 16; i++) {
       trace.arrive("s" + i, 0, 100, i, null).advance(10).end("s" + i, SUCCEEDED);
     }
-    trace.comment("from now on a0 errs at once");
+    trace.comment("from now on every attempt on a0 fails at once");
     for (int i = 17; i <= 40; i++) {
       trace.arrive("t" + i, 0, 100, i, null).advance(10).endAll("t" + i, "a0");
     }
     trace.assertMatches("trials");
   }
 
-  /** Guards the engines' record, and the budget, against a request that no engine can serve. */
+  /**
+   * Guards against a request that no engine can serve: it must neither turn the engines into
+   * outliers nor use up the retry budget.
+   */
   @Test
-  void requestThatFailsOnTwoEnginesIsGivenUp() {
+  void requestThatFailsOnTwoEnginesIsNotRetried() {
     PolicyTrace trace = new PolicyTrace().start("a0", "b0", "c0");
     for (int i = 1; i <= 3; i++) {
       trace.arrive("bad" + i, 0, 100, i, null).end("bad" + i, FAILED).end("bad" + i, FAILED);
     }
     trace
-        .comment("none is in doubt")
+        .comment("no engine is an outlier")
         .arrive("s1", 0, 100, 1, null)
         .arrive("s2", 0, 100, 2, null)
         .arrive("s3", 0, 100, 3, null);
     trace.assertMatches("unusable");
   }
 
-  /** Guards against overload seen where only estimates are low, before anything is known. */
+  /**
+   * Guards against a false overload while the pace is still unknown: attempts that exceed their
+   * estimates may only show that the estimates are too low.
+   */
   @Test
   void latencyObjectiveDetectsAStallBeforeThePaceIsKnown() {
     PolicyTrace trace =
@@ -474,7 +486,7 @@
             .start("a0", "b0")
             .arrive("s1", 0, 30, 1, null)
             .arrive("s2", 0, 30, 2, null);
-    trace.advance(200).comment("six estimates old: no pressure yet");
+    trace.advance(200).comment("in flight for six times the estimate: not overloaded yet");
     for (int i = 3; i <= 12; i++) {
       trace.arrive("s" + i, 0, 30, i, null);
     }
@@ -496,7 +508,9 @@
     for (int i = 0; i < 15; i++) {
       trace.advance(200).reportProgress("s1", 0.1);
     }
-    trace.end("s1", TIMED_OUT).comment("a0 is slow, and s1 runs on there: no more for now");
+    trace
+        .end("s1", TIMED_OUT)
+        .comment("a0 is slow, and s1 still runs there: no further attempt for now");
     trace.arrive("s2", 0, 100).advance(2000).assertMatches("lost-threads");
   }
 
@@ -511,7 +525,7 @@
         .end("s1", TIMED_OUT);
     trace
         .end("s2", TIMED_OUT)
-        .comment("nothing was heard: what timed out does not count as running there");
+        .comment("no response arrived: attempts that timed out do not count as running there");
     trace
         .arrive("s3", 0, 100, 3, null)
         .advance(100)
@@ -535,7 +549,7 @@
         .arrive("s1", 1, 100, 1, null)
         .arrive("s2", 1, 100, 2, null)
         .advance(350)
-        .comment("both are out three times too long");
+        .comment("both have been in flight for three times too long");
     trace
         .arrive("s3", 1, 100, 3, null)
         .arrive("s4", 1, 100, 4, null)
@@ -544,19 +558,21 @@
   }
 
   @Test
-  void underratedAttemptIsNotSilentWhereProgressIsReported() {
+  void underestimatedAttemptIsNotSilentWhereProgressIsReported() {
     PolicyTrace trace =
         new PolicyTrace()
             .set("family_info.tells_every", 20000L)
             .start("a0", "b0")
             .arrive("s1", 0, 80)
             .advance(900);
-    trace.comment("ten times its estimate, but a note is not due before 2 s").end("s1", SUCCEEDED);
+    trace
+        .comment("ten times its estimate, but a progress message is not due before 2 s")
+        .end("s1", SUCCEEDED);
     trace.assertMatches("notes-due");
   }
 
   @Test
-  void overloadedGatewaySendsNothingThatItsClientAbandonsFirst() {
+  void overloadedGatewaySendsNoRequestThatCannotEndBeforeItsDeadline() {
     PolicyTrace trace =
         new PolicyTrace()
             .set("instances", 8L)
@@ -564,7 +580,7 @@
             .arrive("s1", 0, 300)
             .end("s1", REJECTED);
     trace
-        .comment("pressure: of two clients that wait 400 ms, one has work for longer")
+        .comment("overload: of two clients that wait 400 ms, one has a request that takes longer")
         .clientTimeout(400);
     trace
         .arrive("s2", 0, 500)
@@ -575,13 +591,13 @@
   }
 
   @Test
-  void engineWithoutRecentReportsIsNotIdle() {
+  void engineWithoutRecentReportsDoesNotCountAsIdle() {
     PolicyTrace trace =
         new PolicyTrace().set("report.fields", List.of("cpu_share")).start("a0", "b0");
     trace.arrive("s1", 0, 100, 1, null).arrive("s2", 0, 100, 2, null).end("s1", SUCCEEDED, 0.9);
     trace
         .end("s2", SUCCEEDED, 0.4)
-        .comment("one said 90% busy, the other 40%, and goes on saying so")
+        .comment("one engine reported 90% utilization, the other 40%; only the other reports again")
         .advance(900);
     for (int i = 3; i <= 7; i++) {
       trace.arrive("s" + i, 0, 100, i, null).advance(100).end("s" + i, SUCCEEDED, 0.4);
@@ -590,7 +606,7 @@
   }
 
   @Test
-  void outcomesCountFirstAfterAPauseAndLateRequestsAreAnsweredOnce() {
+  void outcomesAreProcessedFirstAfterAPauseAndLateRequestsAreAnsweredOnce() {
     PolicyTrace trace =
         new PolicyTrace()
             .start("a0", "b0")
@@ -598,7 +614,7 @@
             .arrive("s2", 0, 100, 2, null)
             .pauseGateway(900);
     trace
-        .comment("nothing could be heard for 900 ms: s1's end comes before any age is judged")
+        .comment("paused for 900 ms: the end of s1 counts before the age of attempts is checked")
         .end("s1", SUCCEEDED);
     trace
         .arrive("s3", 0, 100, 3, null)
@@ -609,25 +625,25 @@
   }
 
   @Test
-  void badPlanOfAnUnknownRequestClassNeedsALargerMargin() {
+  void badPlanOfARequestClassWithoutMeasurementsNeedsALargerMargin() {
     PolicyTrace trace =
         new PolicyTrace()
             .start("a0", "b0")
             .arrive("s1", 0, 200)
             .advance(300)
             .reportProgress("s1", 0.25);
-    trace.comment("projected at six times its estimate: not yet");
+    trace.comment("projected at six times its estimate: not cancelled yet");
     trace
         .arrive("s2", 0, 200)
         .advance(300)
         .reportProgress("s2", 0.1)
-        .comment("fifteen times: sent anew")
+        .comment("fifteen times: cancelled and sent again")
         .end("s2", CANCELLED);
     trace.assertMatches("plan-unknown");
   }
 
   @Test
-  void enginesOfARestrictedRequestClassAreLeftToIt() {
+  void enginesOfARestrictedRequestClassAreAvoidedByOthers() {
     PolicyTrace trace =
         new PolicyTrace()
             .requestClass("repeatable", "models_allowed", List.of(0))
@@ -639,7 +655,7 @@
         .end("r1", SUCCEEDED)
         .end("r2", SUCCEEDED);
     trace.comment(
-        "the bound track takes most of a0 and b0: others count them with the cores that it leaves");
+        "the restricted class takes most of a0 and b0: others count only the cores that it leaves");
     for (int i = 1; i <= 6; i++) {
       trace.arrive("s" + i, 0, 300, i, null);
     }
--- a/gateway/src/test/java/tillerlink/KeptTraces.java
+++ b/gateway/src/test/java/tillerlink/KeptTraces.java
@@ -9,23 +9,26 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** The kept traces, which stand among the tests' resources. */
+/** Comparison with the kept traces in the test resources. */
 final class KeptTraces {
   private KeptTraces() {}
 
   /**
-   * Compares any print with a kept trace; with {@code -Dkeep=folder} writes it there for people to
-   * read and keep.
+   * Asserts that a printed trace equals a kept trace. With {@code -Dkeep=folder} the printed trace
+   * is also written to that folder, so that it can be reviewed and stored as the new kept trace.
+   *
+   * @param traceName the file name of the kept trace without its extension
+   * @param actual the printed trace
    */
-  static void assertMatches(String kept, String printed) {
+  static void assertMatches(String traceName, String actual) {
     String folder = System.getProperty("keep");
-    try (InputStream in = KeptTraces.class.getResourceAsStream("/traces/" + kept + ".txt")) {
-      String wanted =
+    try (InputStream in = KeptTraces.class.getResourceAsStream("/traces/" + traceName + ".txt")) {
+      String expected =
           in == null ? "(no kept trace)" : new String(in.readAllBytes(), StandardCharsets.UTF_8);
       if (folder != null) {
-        Files.writeString(Path.of(folder, kept + ".txt"), printed);
+        Files.writeString(Path.of(folder, traceName + ".txt"), actual);
       }
-      assertEquals(wanted, printed);
+      assertEquals(expected, actual);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/gateway/src/test/java/tillerlink/OtherSettingsTest.java
+++ b/gateway/src/test/java/tillerlink/OtherSettingsTest.java
@@ -9,9 +9,10 @@
 import org.junit.platform.commons.support.ReflectionSupport;
 
 /**
- * Plays each scenario of the policy under other settings: under other names, and with all times,
- * works and priority weights a few times as large. Its actions must be the same, at times as much
- * larger: no figure of one site decides anything.
+ * Replays each scenario of the policy with other settings: with other names, and with all times,
+ * works and priority weights multiplied by a factor. The actions must be the same, at times
+ * multiplied by the same factor. This guards against decisions that depend on the figures of a
+ * particular site.
  */
 class OtherSettingsTest {
   @TestFactory
@@ -19,16 +20,16 @@
     List<DynamicTest> scenarios = new ArrayList<>();
     for (Method scenario : DefaultDispatchPolicyTest.class.getDeclaredMethods()) {
       if (scenario.isAnnotationPresent(Test.class)) {
-        scenarios.add(replayed(scenario, 1, true));
-        scenarios.add(replayed(scenario, 2, false));
-        scenarios.add(replayed(scenario, 3, true));
-        scenarios.add(replayed(scenario, 7, false));
+        scenarios.add(replay(scenario, 1, true));
+        scenarios.add(replay(scenario, 2, false));
+        scenarios.add(replay(scenario, 3, true));
+        scenarios.add(replay(scenario, 7, false));
       }
     }
     return scenarios;
   }
 
-  private static DynamicTest replayed(Method scenario, int scale, boolean renamed) {
+  private static DynamicTest replay(Method scenario, int scale, boolean renamed) {
     return DynamicTest.dynamicTest(
         scenario.getName() + " x " + scale + (renamed ? " renamed" : ""),
         () -> {
--- a/gateway/src/test/java/tillerlink/PolicyTrace.java
+++ b/gateway/src/test/java/tillerlink/PolicyTrace.java
@@ -16,16 +16,14 @@
 import tillerlink.port.DispatchActions;
 
 /**
- * Plays events to one policy and prints its actions, a line each, in the words of the kept traces.
- * Times are milliseconds unless said otherwise.
+ * Passes the events of a scenario to one policy and prints its actions, one per line, in the format
+ * of the kept traces. Times are milliseconds unless stated otherwise.
  */
 final class PolicyTrace implements DispatchActions {
-  /**
-   * The form in which all scenarios are played: the factor of all times and weights, and whether
-   * under other names.
-   */
+  /** The factor by which all times, works and priority weights of the scenarios are multiplied. */
   static int scale = 1;
 
+  /** Whether the scenarios use other names and indices for zones, engine kinds and settings. */
   static boolean renamed;
 
   private static final String TIME_SETTINGS =
@@ -47,8 +45,8 @@
   private long wakeAt = Long.MAX_VALUE;
 
   /**
-   * Two gateways, 8-core engines, one pure request class of width 1 unless changed; times are
-   * tenths.
+   * Creates a scenario with two gateways, 8-core engines, and one request class without effect that
+   * uses one thread per request. Times in settings are tenths of a millisecond.
    */
   PolicyTrace() {
     set(
@@ -88,37 +86,43 @@
     return this;
   }
 
-  /** Adds a request class: latency objective 1 s, deadline 5 s, value 1. */
-  PolicyTrace requestClass(String semantics, Object... more) {
-    long place = (Long) settings.get("profiles");
-    String at = "profiles." + place + ".";
+  /**
+   * Adds a request class with a latency objective of 1 s, a deadline of 5 s and a priority weight
+   * of 1.
+   *
+   * @param semantics the effect of a second execution, as in the settings
+   * @param moreSettings alternating names and values of further settings of the class
+   */
+  PolicyTrace requestClass(String semantics, Object... moreSettings) {
+    long index = (Long) settings.get("profiles");
+    String prefix = "profiles." + index + ".";
     set(
         "profiles",
-        place + 1,
-        at + "semantics",
+        index + 1,
+        prefix + "semantics",
         semantics,
-        at + "group",
+        prefix + "group",
         "all",
-        at + "aim",
+        prefix + "aim",
         10000L,
-        at + "hard_limit",
+        prefix + "hard_limit",
         50000L,
-        at + "worth",
+        prefix + "worth",
         1.0,
-        at + "window",
+        prefix + "window",
         20000L);
-    for (int i = 0; i < more.length; i += 2) {
-      set(at + more[i], more[i + 1]);
+    for (int i = 0; i < moreSettings.length; i += 2) {
+      set(prefix + moreSettings[i], moreSettings[i + 1]);
     }
     return this;
   }
 
-  PolicyTrace seed(long other) {
-    seed = other;
+  PolicyTrace seed(long newSeed) {
+    seed = newSeed;
     return this;
   }
 
-  /** How many attempts were sent so far. */
+  /** Returns the number of attempts sent so far. */
   long attemptsSent() {
     return printed.toString().lines().filter(line -> line.contains("  send ")).count();
   }
@@ -151,8 +155,8 @@
   }
 
   /**
-   * The same under other names: these are places in lists. In another order, and with more that
-   * nobody knows.
+   * Returns the same settings under other names, which are indices into lists, in another order,
+   * and with additional settings that the policy does not know.
    */
   private Map<String, Object> renamedSettings() {
     Map<String, Object> all =
@@ -170,7 +174,7 @@
                 List.of(1, 2)));
     scaledSettings().entrySet().stream()
         .sorted(Map.Entry.<String, Object>comparingByKey().reversed())
-        .forEach(one -> all.put(one.getKey(), one.getValue()));
+        .forEach(entry -> all.put(entry.getKey(), entry.getValue()));
     all.computeIfPresent(
         "family_info.kind_cores",
         (name, cores) -> List.of(((List<?>) cores).get(1), ((List<?>) cores).get(0)));
@@ -182,15 +186,18 @@
     return all;
   }
 
-  private static List<Integer> mapIndices(Object list, UnaryOperator<Integer> other) {
-    return ((List<?>) list).stream().map(place -> other.apply((Integer) place)).toList();
+  private static List<Integer> mapIndices(Object list, UnaryOperator<Integer> mapping) {
+    return ((List<?>) list).stream().map(index -> mapping.apply((Integer) index)).toList();
   }
 
   /**
-   * An engine's zone is the digit at the end of its name; names that begin with "big" are of kind
-   * 1.
+   * Adds or changes an engine on the endpoint list. Its zone is the digit at the end of its name;
+   * an engine whose name starts with "big" is of kind 1, any other of kind 0.
+   *
+   * @param startedAgo the time since the start of the engine's process, in milliseconds; 0 if it
+   *     started long ago
    */
-  PolicyTrace endpointChanged(String name, Status standing, long startedAgo) {
+  PolicyTrace endpointChanged(String name, Status status, long startedAgo) {
     Engine engine = engines.computeIfAbsent(name, Engine::new);
     int kind = name.startsWith("big") ? 1 : 0;
     int zone = name.charAt(name.length() - 1) - '0';
@@ -204,12 +211,12 @@
                 renamed ? zone + ZONE_OFFSET : zone,
                 0,
                 1,
-                standing,
+                status,
                 startedAgo == 0 ? 0 : now - startedAgo * tenthsPerMs)));
     return applyDecisions();
   }
 
-  /** How long clients wait from now on. */
+  /** Sets the time that the clients of later requests wait. */
   PolicyTrace clientTimeout(long ms) {
     clientTimeout = ms * tenthsPerMs;
     return this;
@@ -243,7 +250,7 @@
     return applyDecisions();
   }
 
-  /** The newest attempt of a request ends, at times with a load report. */
+  /** Ends the newest attempt of a request, with a load report if one is given. */
   PolicyTrace end(String id, AttemptOutcome outcome, double... report) {
     Request request = requests.get(id);
     Attempt attempt = request.attempts.get(request.attempts.size() - 1);
@@ -260,13 +267,16 @@
     return applyDecisions();
   }
 
-  /** Attempt by attempt, until it is over: one engine errs, the others fulfil. */
-  PolicyTrace endAll(String id, String erring) {
+  /**
+   * Ends the attempts of a request one after another until none is in flight: attempts on one
+   * engine fail, the others succeed.
+   */
+  PolicyTrace endAll(String id, String failingEngine) {
     Request request = requests.get(id);
     while (request.attemptsInFlight > 0) {
       end(
           id,
-          request.attempts.get(request.attempts.size() - 1).engine.tag.equals(erring)
+          request.attempts.get(request.attempts.size() - 1).engine.tag.equals(failingEngine)
               ? AttemptOutcome.FAILED
               : AttemptOutcome.SUCCEEDED);
     }
@@ -280,7 +290,7 @@
     return applyDecisions();
   }
 
-  /** Lets time pass, waking the policy when it asked for it. */
+  /** Advances the time and calls the policy at each wakeup that it scheduled. */
   PolicyTrace advance(long ms) {
     long until = now + ms * tenthsPerMs;
     while (wakeAt <= until) {
@@ -293,7 +303,7 @@
     return this;
   }
 
-  /** The gateway stands still: time passes and nothing wakes the policy. */
+  /** Pauses the gateway: advances the time without calling the policy. */
   PolicyTrace pauseGateway(long ms) {
     now += ms * tenthsPerMs;
     return this;
@@ -304,9 +314,9 @@
     return this;
   }
 
-  /** Compares with the kept trace. */
-  void assertMatches(String kept) {
-    KeptTraces.assertMatches(kept, printed.toString());
+  /** Compares the printed actions with a kept trace. */
+  void assertMatches(String traceName) {
+    KeptTraces.assertMatches(traceName, printed.toString());
   }
 
   private PolicyTrace applyDecisions() {
@@ -321,7 +331,7 @@
 
   @Override
   public void updatePriorityAndGrant(Request request, int priority, long grant) {
-    // Ranks and grants are left out of the traces.
+    // Priorities and grants are not part of the traces.
   }
 
   @Override
@@ -331,22 +341,22 @@
             + attempt.request.tag
             + " -> "
             + attempt.engine.tag
-            + (attempt.healthCheck ? " (trial)" : ""));
+            + (attempt.healthCheck ? " (health check)" : ""));
   }
 
   @Override
   public void cancelAttempt(Attempt attempt) {
-    print("call off " + attempt.request.tag + " at " + attempt.engine.tag);
+    print("cancel " + attempt.request.tag + " at " + attempt.engine.tag);
   }
 
   @Override
   public void rejectRequest(Request request, long retryAfter) {
-    print("turn back " + request.tag + ", come back in " + retryAfter / tenthsPerMs);
+    print("reject " + request.tag + ", retry after " + retryAfter / tenthsPerMs);
   }
 
   @Override
   public void failRequest(Request request) {
-    print("break off " + request.tag);
+    print("fail " + request.tag);
   }
 
   @Override
@@ -356,7 +366,7 @@
 
   @Override
   public void watchEndpoints() {
-    print("follow the list");
+    print("watch endpoints");
   }
 
   @Override
--- a/gateway/src/test/java/tillerlink/SharedSettings.java
+++ b/gateway/src/test/java/tillerlink/SharedSettings.java
@@ -2,12 +2,13 @@
 
 import java.util.Map;
 
-/** Settings that the tests of a whole gateway have in common. */
+/** Settings shared by the tests of a whole gateway. */
 public final class SharedSettings {
   private SharedSettings() {}
 
   /**
-   * Capabilities with three attempts, cancellation, 32 streams and a connect time-out of 250 ms.
+   * Returns capabilities with three attempts per request, cancellation, 32 streams per connection
+   * and a connect time-out of 250 ms.
    */
   public static Map<String, Object> caps() {
     return Map.of(
