--- a/gateway/src/test/java/tillerlink/ServeTest.java
+++ b/gateway/src/test/java/tillerlink/ServeTest.java
@@ -31,16 +31,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Starts the program and speaks to it over sockets; an engine and a discovery service of a few
- * lines stand in.
+ * Starts the gateway as a process and communicates with it over sockets. A minimal fake engine and
+ * a minimal fake discovery service run in the test.
  */
 class ServeTest {
-  private static final Duration PATIENCE = Duration.ofSeconds(10);
+  private static final Duration TIMEOUT = Duration.ofSeconds(10);
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
   @TempDir private Path folder;
   private final HttpClient client =
-      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(PATIENCE).build();
+      HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).connectTimeout(TIMEOUT).build();
   private final List<Process> started = new ArrayList<>();
   private ServerSocket engine;
   private DatagramSocket discoveryService;
@@ -53,17 +53,17 @@
     try (ServerSocket free = new ServerSocket(0, 1, LOOPBACK)) {
       port = free.getLocalPort();
     }
-    daemon(
+    startDaemon(
         () -> {
           while (true) {
             Socket socket = engine.accept();
-            daemon(() -> converse(socket));
+            startDaemon(() -> serveEngineConnection(socket));
           }
         });
-    // Not the field: a test that puts another discovery service there is to hear its questions
-    // itself.
+    // A local variable, because a test that replaces the field with another discovery service
+    // receives the queries of that service itself.
     DatagramSocket firstService = discoveryService;
-    daemon(
+    startDaemon(
         () -> {
           while (true) {
             DatagramPacket packet = new DatagramPacket(new byte[512], 512);
@@ -79,29 +79,29 @@
   }
 
   @AfterEach
-  void end() throws IOException {
+  void stopProcesses() throws IOException {
     started.forEach(Process::destroyForcibly);
     engine.close();
     discoveryService.close();
   }
 
   @Test
-  void servesAndEndsWhenAllIsAnswered() throws Exception {
+  void answersPendingRequestsBeforeItEnds() throws Exception {
     Process gateway = start(configuration());
-    awaitHealth();
+    awaitHealthy();
     assertEquals(
         "{\"records\":[[\"SELECT 1\",\"look\",\"\"],[\"page\",\"1\",\"\"]]}",
-        ask("00000000000000a1", "SELECT 1", 200));
-    assertEquals("{\"problem\":\"Error\"}", ask("00000000000000a2", "fail", 500));
+        submit("00000000000000a1", "SELECT 1", 200));
+    assertEquals("{\"problem\":\"Error\"}", submit("00000000000000a2", "fail", 500));
     assertEquals(
         404,
         client
             .send(
-                to("/v1/nobody").POST(HttpRequest.BodyPublishers.ofString("x")).build(),
+                requestTo("/v1/nobody").POST(HttpRequest.BodyPublishers.ofString("x")).build(),
                 HttpResponse.BodyHandlers.ofString())
             .statusCode());
     CompletableFuture<String> slow =
-        CompletableFuture.supplyAsync(() -> ask("00000000000000a3", "slow", 200));
+        CompletableFuture.supplyAsync(() -> submit("00000000000000a3", "slow", 200));
     Thread.sleep(300);
     gateway.destroy();
     assertEquals(
@@ -109,18 +109,18 @@
         slow.get(10, TimeUnit.SECONDS));
     assertTrue(gateway.waitFor(10, TimeUnit.SECONDS));
     start(configuration());
-    awaitHealth();
+    awaitHealthy();
   }
 
-  /** What monitoring reads beside the health path. */
+  /** Checks the metrics that monitoring reads in addition to the health path. */
   @Test
   void metricsCountRequests() throws Exception {
     start(configuration());
-    awaitHealth();
-    ask("00000000000000a1", "SELECT 1", 200);
-    ask("00000000000000a2", "fail", 500);
+    awaitHealthy();
+    submit("00000000000000a1", "SELECT 1", 200);
+    submit("00000000000000a2", "fail", 500);
     HttpResponse<String> metrics =
-        client.send(to("/metrics").build(), HttpResponse.BodyHandlers.ofString());
+        client.send(requestTo("/metrics").build(), HttpResponse.BodyHandlers.ofString());
     assertEquals(
         "text/plain; version=0.0.4; charset=utf-8",
         metrics.headers().firstValue("Content-Type").orElse(""));
@@ -133,11 +133,11 @@
   @Test
   void servesManyClientsAtOnce() throws Exception {
     start(configuration());
-    awaitHealth();
+    awaitHealthy();
     List<CompletableFuture<String>> answers = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       String id = String.format("%016x", i);
-      answers.add(CompletableFuture.supplyAsync(() -> ask(id, "statement " + id, 200)));
+      answers.add(CompletableFuture.supplyAsync(() -> submit(id, "statement " + id, 200)));
     }
     for (int i = 0; i < 60; i++) {
       assertTrue(
@@ -152,119 +152,125 @@
   void reportsWhyItCannotStart() throws Exception {
     assertEquals(
         "1: tillerlink: 'seed' is missing or not a text",
-        failure(configuration().replace("\"seed\"", "\"speed\"")));
-    assertTrue(failure("{").startsWith("1: tillerlink: "));
-    try (ServerSocket taken = new ServerSocket(port, 1, LOOPBACK)) {
+        startFailure(configuration().replace("\"seed\"", "\"speed\"")));
+    assertTrue(startFailure("{").startsWith("1: tillerlink: "));
+    try (ServerSocket portOwner = new ServerSocket(port, 1, LOOPBACK)) {
       assertTrue(
-          failure(configuration()).contains("Address already in use"),
-          "port " + taken.getLocalPort());
+          startFailure(configuration()).contains("Address already in use"),
+          "port " + portOwner.getLocalPort());
     }
   }
 
-  /** Guards the start: signals that come before it listens neither end it nor are lost. */
+  /**
+   * Guards against hang-up signals during the start that end the process or are lost: the gateway
+   * must survive them and still reload its configuration.
+   */
   @Test
-  void survivesHangUpsWhileItStarts() throws Exception {
+  void survivesHangupSignalsWhileStarting() throws Exception {
     Process gateway = start(configuration());
     gateway.errorReader(StandardCharsets.UTF_8).readLine();
     discoveryService.close();
     discoveryService = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
-    discoveryService.setSoTimeout((int) PATIENCE.toMillis());
+    discoveryService.setSoTimeout((int) TIMEOUT.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
     for (int i = 0; i < 3; i++) {
-      hangUp(gateway);
+      sendHangup(gateway);
     }
-    awaitHealth();
+    awaitHealthy();
     discoveryService.receive(new DatagramPacket(new byte[512], 512));
     assertTrue(gateway.isAlive());
   }
 
-  /** Guards the same where SIGHUP was ignored: a file that is replaced before it is watched. */
+  /**
+   * Guards against missing a configuration file that is replaced before the gateway watches it, in
+   * a process that was started with SIGHUP ignored.
+   */
   @Test
-  void reloadsAConfigurationThatChangesDuringAStartWithSignalsIgnored() throws Exception {
+  void reloadsAConfigurationThatChangesDuringStartWhileSighupIsIgnored() throws Exception {
     Process gateway = start(configuration(), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     gateway.errorReader(StandardCharsets.UTF_8).readLine();
     discoveryService.close();
     discoveryService = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
-    discoveryService.setSoTimeout((int) PATIENCE.toMillis());
+    discoveryService.setSoTimeout((int) TIMEOUT.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
     discoveryService.receive(new DatagramPacket(new byte[512], 512));
     assertTrue(gateway.isAlive());
   }
 
   /**
-   * Guards a restart in step: told to end before it listens, it ends at once; told twice while it
-   * serves, as once.
+   * Guards rolling restarts: a process that gets a termination signal before it listens ends at
+   * once, and repeated signals while it serves have the effect of one.
    */
   @Test
-  void endsOnATerminationSignalAtAnyMoment() throws Exception {
-    Process early = start(configuration());
-    early.errorReader(StandardCharsets.UTF_8).readLine();
-    early.destroy();
-    assertTrue(early.waitFor(5, TimeUnit.SECONDS));
-    Process twice = start(configuration());
-    awaitHealth();
+  void endsOnATerminationSignalAtAnyTime() throws Exception {
+    Process starting = start(configuration());
+    starting.errorReader(StandardCharsets.UTF_8).readLine();
+    starting.destroy();
+    assertTrue(starting.waitFor(5, TimeUnit.SECONDS));
+    Process serving = start(configuration());
+    awaitHealthy();
     CompletableFuture<String> slow =
-        CompletableFuture.supplyAsync(() -> ask("00000000000000a4", "slow", 200));
+        CompletableFuture.supplyAsync(() -> submit("00000000000000a4", "slow", 200));
     Thread.sleep(300);
     for (int i = 0; i < 5; i++) {
-      twice.destroy();
-      hangUp(twice);
+      serving.destroy();
+      sendHangup(serving);
     }
     assertEquals(
         "{\"records\":[[\"slow\",\"look\",\"\"],[\"page\",\"1\",\"\"]]}",
         slow.get(10, TimeUnit.SECONDS));
-    assertTrue(twice.waitFor(10, TimeUnit.SECONDS));
+    assertTrue(serving.waitFor(10, TimeUnit.SECONDS));
   }
 
   /**
-   * Guards against a gateway that ends on SIGHUP, or that goes on asking where nobody answers any
-   * more.
+   * Guards against a gateway that ends on SIGHUP, or that continues to query the previous discovery
+   * service after its address changed. An invalid configuration must not replace the previous one.
    */
   @Test
   void reloadsItsConfiguration() throws Exception {
     Process gateway = start(configuration());
-    awaitHealth();
+    awaitHealthy();
     discoveryService.close();
     discoveryService = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
-    discoveryService.setSoTimeout((int) PATIENCE.toMillis());
+    discoveryService.setSoTimeout((int) TIMEOUT.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
-    hangUp(gateway);
-    hangUp(gateway);
+    sendHangup(gateway);
+    sendHangup(gateway);
     discoveryService.receive(new DatagramPacket(new byte[512], 512));
     Files.writeString(folder.resolve("configuration.json"), "{");
-    hangUp(gateway);
+    sendHangup(gateway);
     BufferedReader log = gateway.errorReader(StandardCharsets.UTF_8);
     String line = log.readLine();
     while (!line.contains("keeping the previous one")) {
       line = log.readLine();
     }
     discoveryService.receive(new DatagramPacket(new byte[512], 512));
-    awaitHealth();
+    awaitHealthy();
   }
 
   /**
-   * Guards against a gateway that was started under nohup and never hears that the discovery
-   * service has moved.
+   * Guards against a gateway that was started under nohup, where SIGHUP is ignored, and never
+   * learns that the address of the discovery service changed.
    */
   @Test
-  void reloadsItsConfigurationWhereTheSignalIsIgnored() throws Exception {
+  void reloadsItsConfigurationWhereSighupIsIgnored() throws Exception {
     start(configuration(), "sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
-    awaitHealth();
+    awaitHealthy();
     discoveryService.close();
     discoveryService = new DatagramSocket(new InetSocketAddress(LOOPBACK, 0));
-    discoveryService.setSoTimeout((int) PATIENCE.toMillis());
+    discoveryService.setSoTimeout((int) TIMEOUT.toMillis());
     Files.writeString(folder.resolve("configuration.json"), configuration());
-    hangUp(started.get(0));
+    sendHangup(started.get(0));
     discoveryService.receive(new DatagramPacket(new byte[512], 512));
-    awaitHealth();
+    awaitHealthy();
   }
 
-  private static void hangUp(Process process) throws Exception {
+  private static void sendHangup(Process process) throws Exception {
     assertEquals(
         0, new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor());
   }
 
-  private String failure(String configuration) throws Exception {
+  private String startFailure(String configuration) throws Exception {
     Process process = start(configuration);
     assertTrue(process.waitFor(10, TimeUnit.SECONDS));
     return process.exitValue()
@@ -272,10 +278,10 @@
         + new String(process.getErrorStream().readAllBytes(), StandardCharsets.UTF_8).strip();
   }
 
-  private Process start(String configuration, String... under) throws IOException {
+  private Process start(String configuration, String... commandPrefix) throws IOException {
     Path file = Files.writeString(folder.resolve("configuration.json"), configuration);
-    List<String> line = new ArrayList<>(List.of(under));
-    line.addAll(
+    List<String> command = new ArrayList<>(List.of(commandPrefix));
+    command.addAll(
         List.of(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-Xmx64m",
@@ -284,7 +290,7 @@
             System.getProperty("java.class.path"),
             "tillerlink.Main",
             "serve"));
-    ProcessBuilder builder = new ProcessBuilder(line);
+    ProcessBuilder builder = new ProcessBuilder(command);
     builder.environment().put("EDGE_CONFIG", file.toString());
     started.add(builder.start());
     return started.get(started.size() - 1);
@@ -303,28 +309,36 @@
         + "\"semantics\":\"once\",\"aim_us\":5000000,\"hard_limit_us\":9000000,\"worth\":1,\"late_worth\":0.5}]}}";
   }
 
-  private void awaitHealth() throws Exception {
-    long until = System.nanoTime() + PATIENCE.toNanos();
+  private void awaitHealthy() throws Exception {
+    long until = System.nanoTime() + TIMEOUT.toNanos();
     while (true) {
       try {
-        if (client.send(to("/healthz").build(), HttpResponse.BodyHandlers.ofString()).statusCode()
+        if (client
+                .send(requestTo("/healthz").build(), HttpResponse.BodyHandlers.ofString())
+                .statusCode()
             == 200) {
           return;
         }
       } catch (IOException e) {
-        // Not yet up.
+        // The gateway does not listen yet.
       }
-      assertTrue(System.nanoTime() < until, "not healthy in time");
+      assertTrue(System.nanoTime() < until, "/healthz did not return 200 within " + TIMEOUT);
       Thread.sleep(20);
     }
   }
 
-  /** Hands in a statement and follows the paths to the last answer. */
-  private String ask(String id, String statement, int status) {
+  /**
+   * Submits a statement and follows the continuation paths to the final answer.
+   *
+   * @param id the correlation id
+   * @param status the expected HTTP status of the final answer
+   * @return the body of the final answer
+   */
+  private String submit(String id, String statement, int status) {
     try {
       HttpResponse<String> answer =
           client.send(
-              to("/v1/look")
+              requestTo("/v1/look")
                   .header("X-Correlation-Id", id)
                   .header("X-Deadline-Ms", "8000")
                   .header("X-Estimate-Ms", "100")
@@ -334,7 +348,8 @@
       while (answer.body().startsWith("{\"continue\":\"")) {
         answer =
             client.send(
-                to(answer.body().split("\"", -1)[3]).build(), HttpResponse.BodyHandlers.ofString());
+                requestTo(answer.body().split("\"", -1)[3]).build(),
+                HttpResponse.BodyHandlers.ofString());
       }
       assertEquals(status, answer.statusCode());
       return answer.body();
@@ -343,44 +358,44 @@
     }
   }
 
-  private HttpRequest.Builder to(String path) {
+  private HttpRequest.Builder requestTo(String path) {
     return HttpRequest.newBuilder(
             URI.create("http://" + LOOPBACK.getHostAddress() + ":" + port + path))
-        .timeout(PATIENCE);
+        .timeout(TIMEOUT);
   }
 
   /**
-   * An engine that answers with the statement and one further page; "slow" takes a second and a
-   * half, "fail" fails.
+   * Serves one connection of the fake engine. It answers each request with its statement and one
+   * further page; the statement "slow" takes 1.5 s, and "fail" fails.
    */
-  private static void converse(Socket socket) throws IOException {
+  private static void serveEngineConnection(Socket socket) throws IOException {
     BufferedReader in =
         new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
     OutputStream out = socket.getOutputStream();
     for (String line = in.readLine(); line != null; line = in.readLine()) {
-      String[] words = line.split(" ", -1);
-      if (words[0].equals("want")) {
+      String[] fields = line.split(" ", -1);
+      if (fields[0].equals("want")) {
         String statement = in.readLine();
         String row = statement + "\tlook\t\n";
-        daemon(
+        startDaemon(
             () -> {
               pause(statement.equals("slow") ? 1500 : 0);
-              say(
+              write(
                   out,
-                  words[1]
+                  fields[1]
                       + (statement.equals("fail")
                           ? " error - 0\r\n\r\n"
                           : " ok count=2 " + row.length() + "\r\n" + row + "\r\n"));
             });
-      } else if (words[0].equals("there")) {
-        say(out, words[1] + " yes - 0\r\n\r\n");
-      } else if (words[0].equals("turn")) {
-        say(out, words[1] + " batch pos=" + words[2] + " 8\r\npage\t1\t\n\r\n");
+      } else if (fields[0].equals("there")) {
+        write(out, fields[1] + " yes - 0\r\n\r\n");
+      } else if (fields[0].equals("turn")) {
+        write(out, fields[1] + " batch pos=" + fields[2] + " 8\r\npage\t1\t\n\r\n");
       }
     }
   }
 
-  private static void say(OutputStream out, String text) throws IOException {
+  private static void write(OutputStream out, String text) throws IOException {
     synchronized (out) {
       out.write(text.getBytes(StandardCharsets.UTF_8));
       out.flush();
@@ -395,18 +410,18 @@
     }
   }
 
-  private interface Work {
+  private interface IoTask {
     void run() throws IOException;
   }
 
-  private static void daemon(Work work) {
+  private static void startDaemon(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                work.run();
+                task.run();
               } catch (IOException e) {
-                // The test is over and has closed what this read from.
+                // The test has ended and closed the socket.
               }
             });
     thread.setDaemon(true);
--- a/gateway/src/test/java/tillerlink/SlowStartSimulation.java
+++ b/gateway/src/test/java/tillerlink/SlowStartSimulation.java
@@ -21,46 +21,47 @@
 import tillerlink.port.DispatchActions;
 
 /**
- * One engine of a fleet starts cold, in virtual time: what many gateways, each with a policy of its
- * own, send it together. Traffic is Poisson and uneven by gateway, each is notified of the start
- * after a time of its own, and a tenth of them restart meanwhile. Times are tenths of a
- * millisecond.
+ * A simulation, in virtual time, of one cold engine in a fleet and of the work that many gateways,
+ * each with its own policy, send to it together. Requests arrive as Poisson processes with a
+ * different rate for each gateway, each gateway is notified of the start after a different delay,
+ * and a tenth of the gateways restart meanwhile. Times are tenths of a millisecond.
  */
 final class SlowStartSimulation {
-  /** How the engine comes to be cold. */
+  /** The reason why the engine is cold. */
   enum Kind {
-    /** It was never there before. */
+    /** The engine is new. */
     NEW,
     /**
-     * Its process is replaced: connections break, and gateways not yet notified send it what a warm
-     * one gets.
+     * The engine's process is replaced: its connections break, and gateways that are not notified
+     * yet send it as much as a warm engine.
      */
     REPLACED,
     /**
-     * It says nothing for eight seconds; what is sent to it waits on the way, and what no gateway
-     * has given up by its return comes to the new process.
+     * The engine is silent for eight seconds. Attempts sent to it wait in the network, and those
+     * that no gateway has cancelled or lost by the end of the silence reach the new process.
      */
     SILENT
   }
 
   /**
-   * What came of one start.
+   * The result of one simulated start.
    *
-   * @param maxOverAllowed the largest sum in any period over what the settings allow in it, N
-   * @param maxOverBound the same over N + 2 root N + 2
-   * @param usedShare what the engine was given from a period after the start on, over what it can
-   *     do
-   * @param maxOverBoundNotified the largest sum over its bound of what gateways sent after they had
-   *     been notified
+   * @param maxOverAllowed the largest work sent in any period, divided by the work N that the
+   *     settings allow in that period
+   * @param maxOverBound the same, divided by the bound N + 2 sqrt(N) + 2
+   * @param usedShare the work sent later than one period after the start, divided by the work that
+   *     the engine can do in that time
+   * @param maxOverBoundNotified the largest work that gateways sent in any period after they were
+   *     notified, divided by the bound
    */
-  record Start(
+  record Result(
       double maxOverAllowed, double maxOverBound, double usedShare, double maxOverBoundNotified) {}
 
   private static final long SECOND = 10_000;
   private static final long SLOW_START_PERIOD = 3 * SECOND;
   private static final long WARMUP_TIME = 13 * SECOND;
   private static final double START_CAPACITY = 0.3;
-  private static final double MULTIPLE = 2.5;
+  private static final double SLOW_START_MULTIPLE = 2.5;
   private static final int CORES = 4;
   private static final int ENGINES = 12;
   private static final long SILENCE = 8 * SECOND;
@@ -69,7 +70,7 @@
   private static final double UTILIZATION = 0.6;
   private static final double HEAVY_SHARE = 0.1;
 
-  /** The work of the heavy request class, in multiples of the light one. */
+  /** The mean work of the heavy request class, as a multiple of that of the light one. */
   private static final double HEAVY_FACTOR = 4;
 
   private final int gateways;
@@ -81,42 +82,42 @@
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private final SimulatedEngine[] simulatedEngines = new SimulatedEngine[ENGINES + 1];
   private final SimulatedEngine cold;
-  private final List<Sent> attemptsToColdEngine = new ArrayList<>();
+  private final List<SentAttempt> attemptsToColdEngine = new ArrayList<>();
   private final SimulatedGateway[] simulatedGateways;
-  private long order;
+  private long nextSequence;
   private long now;
 
-  private record Event(long at, long order, Runnable what) implements Comparable<Event> {
+  private record Event(long at, long sequence, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(order, other.order);
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
     }
   }
 
-  private record Sent(long at, double work, boolean notified) {}
+  private record SentAttempt(long at, double work, boolean notified) {}
 
-  /** An engine: attempts share its cores. */
+  /** A simulated engine whose attempts in flight share its cores. */
   private final class SimulatedEngine {
     final Map<Attempt, Double> workLeft = new LinkedHashMap<>();
     long updatedAt;
     long generation;
 
     /**
-     * Works off what was done since the last change, and comes back when the next attempt is
-     * through.
+     * Subtracts the work done since the last update, applies a change to the attempts in flight,
+     * and schedules an event for the time at which the next attempt completes.
      */
-    void change(Runnable what) {
-      double each = rate();
-      workLeft.replaceAll((attempt, work) -> work - (now - updatedAt) * each);
+    void update(Runnable change) {
+      double ratePerAttempt = rate();
+      workLeft.replaceAll((attempt, work) -> work - (now - updatedAt) * ratePerAttempt);
       updatedAt = now;
-      what.run();
-      long scheduledIn = ++generation;
-      double least = workLeft.values().stream().mapToDouble(work -> work).min().orElse(-1);
+      change.run();
+      long scheduledGeneration = ++generation;
+      double leastWorkLeft = workLeft.values().stream().mapToDouble(work -> work).min().orElse(-1);
       if (!workLeft.isEmpty() && rate() > 0) {
         at(
-            now + 1 + (long) Math.max(0, least / rate()),
+            now + 1 + (long) Math.max(0, leastWorkLeft / rate()),
             () -> {
-              if (scheduledIn == generation) {
+              if (scheduledGeneration == generation) {
                 finish();
               }
             });
@@ -124,43 +125,44 @@
     }
 
     private void finish() {
-      List<Attempt> through = new ArrayList<>();
-      change(
+      List<Attempt> completed = new ArrayList<>();
+      update(
           () -> {
             workLeft.forEach(
                 (attempt, work) -> {
                   if (work <= 1) {
-                    through.add(attempt);
+                    completed.add(attempt);
                   }
                 });
-            through.forEach(workLeft::remove);
+            completed.forEach(workLeft::remove);
           });
-      through.forEach(attempt -> gatewayOf(attempt).ended(attempt, AttemptOutcome.SUCCEEDED));
+      completed.forEach(attempt -> gatewayOf(attempt).ended(attempt, AttemptOutcome.SUCCEEDED));
     }
 
     private double rate() {
-      double all = CORES;
+      double capacity = CORES;
       if (this == cold) {
-        all *= now < startAt ? isSilent() ? 0 : 1 : warmCapacity(now);
+        capacity *= now < startAt ? isSilent() ? 0 : 1 : warmCapacity(now);
       }
-      return workLeft.isEmpty() ? 0 : Math.min(1, all / workLeft.size());
+      return workLeft.isEmpty() ? 0 : Math.min(1, capacity / workLeft.size());
     }
   }
 
   /**
-   * What the settings say of the engine's warmth for sure, and in between the curve that the policy
-   * takes.
+   * Returns the share of its capacity that the cold engine has at a time. The start and the end of
+   * the warm-up are stated by the settings; in between the engine follows the curve that the policy
+   * assumes.
    */
   private double warmCapacity(long at) {
-    double gone = Math.min(1, Math.max(0, (double) (at - startAt) / WARMUP_TIME));
-    return START_CAPACITY + (1 - START_CAPACITY) * gone * gone;
+    double progress = Math.min(1, Math.max(0, (double) (at - startAt) / WARMUP_TIME));
+    return START_CAPACITY + (1 - START_CAPACITY) * progress * progress;
   }
 
   private boolean isSilent() {
     return kind == Kind.SILENT && now >= startAt - SILENCE && now < startAt;
   }
 
-  /** One gateway; a restart replaces its policy. */
+  /** A simulated gateway. A restart replaces its policy. */
   private final class SimulatedGateway implements DispatchActions {
     final int index;
     final double rate;
@@ -212,7 +214,7 @@
       for (SimulatedEngine simulatedEngine : simulatedEngines) {
         if (simulatedEngine.workLeft.keySet().stream()
             .anyMatch(attempt -> gatewayOf(attempt) == this)) {
-          simulatedEngine.change(
+          simulatedEngine.update(
               () ->
                   simulatedEngine
                       .workLeft
@@ -236,18 +238,18 @@
       if (policy != null) {
         boolean heavy = random.nextDouble() < HEAVY_SHARE;
         double work =
-            -Math.log(1 - random.nextDouble()) * lightWork() * (heavy ? HEAVY_FACTOR : 1) + 10;
+            -Math.log(1 - random.nextDouble()) * meanLightWork() * (heavy ? HEAVY_FACTOR : 1) + 10;
         double estimate = work * Math.exp(0.4 * random.nextGaussian());
-        long patience = (long) (40 * meanWork);
+        long clientTimeout = (long) (40 * meanWork);
         policy.onRequestArrived(
             now,
             new Request(
-                new Job(this, incarnation, work),
+                new SimulatedRequest(this, incarnation, work),
                 heavy ? 1 : 0,
                 random.nextInt(50),
                 false,
                 now,
-                now + patience,
+                now + clientTimeout,
                 estimate,
                 0,
                 null));
@@ -257,7 +259,9 @@
     }
 
     void ended(Attempt attempt, AttemptOutcome outcome) {
-      if (policy != null && job(attempt).incarnation == incarnation && attempt.isInFlight()) {
+      if (policy != null
+          && simulatedRequest(attempt).incarnation == incarnation
+          && attempt.isInFlight()) {
         policy.onAttemptEnded(
             now,
             attempt,
@@ -279,18 +283,19 @@
     public void sendAttempt(Attempt attempt) {
       SimulatedEngine simulatedEngine = engines.get(attempt.engine);
       if (simulatedEngine == cold && now >= startAt) {
-        attemptsToColdEngine.add(new Sent(now, job(attempt).work, notified));
+        attemptsToColdEngine.add(new SentAttempt(now, simulatedRequest(attempt).work, notified));
       }
-      simulatedEngine.change(() -> simulatedEngine.workLeft.put(attempt, job(attempt).work));
+      simulatedEngine.update(
+          () -> simulatedEngine.workLeft.put(attempt, simulatedRequest(attempt).work));
       if (simulatedEngine == cold && isSilent()) {
-        loseConnectionLater(attempt);
+        scheduleConnectionLoss(attempt);
       }
     }
 
     @Override
     public void cancelAttempt(Attempt attempt) {
       SimulatedEngine simulatedEngine = engines.get(attempt.engine);
-      simulatedEngine.change(() -> simulatedEngine.workLeft.remove(attempt));
+      simulatedEngine.update(() -> simulatedEngine.workLeft.remove(attempt));
       at(now + 10, () -> ended(attempt, AttemptOutcome.CANCELLED));
     }
 
@@ -298,11 +303,11 @@
     public void scheduleWakeup(long at) {
       if (at < wakeAt) {
         wakeAt = at;
-        int scheduledIn = incarnation;
+        int scheduledIncarnation = incarnation;
         at(
             Math.max(at, now),
             () -> {
-              if (policy != null && scheduledIn == incarnation && wakeAt == at) {
+              if (policy != null && scheduledIncarnation == incarnation && wakeAt == at) {
                 wakeAt = Long.MAX_VALUE;
                 policy.onWakeup(now);
                 applyDecisions();
@@ -327,19 +332,26 @@
     public void log(String line) {}
   }
 
-  private record Job(SimulatedGateway gateway, int incarnation, double work) {}
+  private record SimulatedRequest(SimulatedGateway gateway, int incarnation, double work) {}
 
-  private static Job job(Attempt attempt) {
-    return (Job) attempt.request.tag;
+  private static SimulatedRequest simulatedRequest(Attempt attempt) {
+    return (SimulatedRequest) attempt.request.tag;
   }
 
   private static SimulatedGateway gatewayOf(Attempt attempt) {
-    return job(attempt).gateway;
+    return simulatedRequest(attempt).gateway;
   }
 
   /**
-   * @param meanWork the mean work of a request; with it N is 90,000 / meanWork at first
-   * @param latestNotification after this time the last gateway is notified of the start
+   * Creates a simulation of one start.
+   *
+   * @param gateways the number of gateways
+   * @param meanWork the mean work of a request, in tenths of a millisecond; N is initially 90,000 /
+   *     meanWork
+   * @param latestNotification the time after the start, in tenths of a millisecond, by which the
+   *     last gateway is notified
+   * @param kind the reason why the engine is cold
+   * @param seed the seed of all random draws
    */
   SlowStartSimulation(
       int gateways, double meanWork, long latestNotification, Kind kind, long seed) {
@@ -354,27 +366,28 @@
       simulatedEngines[i].updatedAt = now;
     }
     cold = simulatedEngines[ENGINES];
-    double[] parts = new double[gateways];
-    Arrays.setAll(parts, i -> Math.exp(0.8 * random.nextGaussian()));
-    double all = Arrays.stream(parts).sum();
+    double[] trafficParts = new double[gateways];
+    Arrays.setAll(trafficParts, i -> Math.exp(0.8 * random.nextGaussian()));
+    double totalTraffic = Arrays.stream(trafficParts).sum();
     simulatedGateways = new SimulatedGateway[gateways];
     for (int i = 0; i < gateways; i++) {
       simulatedGateways[i] =
-          new SimulatedGateway(i, parts[i] / all * UTILIZATION * ENGINES * CORES / meanWork);
+          new SimulatedGateway(
+              i, trafficParts[i] / totalTraffic * UTILIZATION * ENGINES * CORES / meanWork);
       at(now + random.nextInt((int) SECOND), simulatedGateways[i]::arrive);
     }
   }
 
-  private double lightWork() {
+  private double meanLightWork() {
     return meanWork / (1 - HEAVY_SHARE + HEAVY_SHARE * HEAVY_FACTOR);
   }
 
   private Map<String, Object> settings() {
-    Map<String, Object> all =
+    Map<String, Object> settings =
         new HashMap<>(
             Map.of(
                 "guarantees.fall_multiple",
-                MULTIPLE,
+                SLOW_START_MULTIPLE,
                 "guarantees.fall",
                 SLOW_START_PERIOD,
                 "guarantees.start_capacity",
@@ -383,7 +396,7 @@
                 WARMUP_TIME,
                 "guarantees.drain_grace",
                 5000L));
-    all.putAll(
+    settings.putAll(
         Map.of(
             "instances",
             (long) gateways,
@@ -398,51 +411,53 @@
             "profiles",
             2L));
     for (int i = 0; i < 2; i++) {
-      String at = "profiles." + i + ".";
-      all.put(at + "semantics", "repeatable");
-      all.put(at + "group", "all");
-      all.put(at + "aim", (long) (10 * meanWork));
-      all.put(at + "hard_limit", (long) (40 * meanWork));
-      all.put(at + "worth", i == 0 ? 1.0 : HEAVY_FACTOR);
+      String prefix = "profiles." + i + ".";
+      settings.put(prefix + "semantics", "repeatable");
+      settings.put(prefix + "group", "all");
+      settings.put(prefix + "aim", (long) (10 * meanWork));
+      settings.put(prefix + "hard_limit", (long) (40 * meanWork));
+      settings.put(prefix + "worth", i == 0 ? 1.0 : HEAVY_FACTOR);
     }
-    return all;
+    return settings;
   }
 
-  private void at(long when, Runnable what) {
-    events.add(new Event(when, order++, what));
+  private void at(long when, Runnable action) {
+    events.add(new Event(when, nextSequence++, action));
   }
 
-  Start play() {
+  Result run() {
     if (kind == Kind.SILENT) {
-      at(startAt - SILENCE - 1, this::fallSilent);
+      at(startAt - SILENCE - 1, this::beginSilence);
     }
     at(startAt, this::start);
     for (SimulatedGateway gateway : simulatedGateways) {
       at(startAt + 1 + random.nextInt((int) latestNotification), gateway::notifyOfStart);
       if (random.nextInt(10) == 0) {
-        long down = startAt - SECOND + random.nextInt(9 * (int) SECOND);
-        at(down, gateway::stop);
-        at(down + SECOND / 2, gateway::start);
+        long stoppedAt = startAt - SECOND + random.nextInt(9 * (int) SECOND);
+        at(stoppedAt, gateway::stop);
+        at(stoppedAt + SECOND / 2, gateway::start);
       }
     }
     while (!events.isEmpty() && events.peek().at <= startAt + WARMUP_TIME) {
       Event next = events.poll();
       now = next.at;
-      next.what.run();
+      next.action.run();
     }
     return evaluate();
   }
 
-  /** What is in flight on the engine stands still; what is sent from now on waits on the way. */
-  private void fallSilent() {
-    cold.change(() -> {});
+  /**
+   * Stops the attempts in flight on the cold engine; attempts sent from now on wait in the network.
+   */
+  private void beginSilence() {
+    cold.update(() -> {});
     cold.generation++;
     List<Attempt> inFlight = new ArrayList<>(cold.workLeft.keySet());
-    inFlight.forEach(this::loseConnectionLater);
+    inFlight.forEach(this::scheduleConnectionLoss);
   }
 
-  /** As the connections do with an engine that answers no probe. */
-  private void loseConnectionLater(Attempt attempt) {
+  /** Ends an attempt as lost after the time in which its connection detects the silent engine. */
+  private void scheduleConnectionLoss(Attempt attempt) {
     at(
         now + CONNECTION_LOST_AFTER,
         () -> {
@@ -461,27 +476,32 @@
           attempt -> gatewayOf(attempt).ended(attempt, AttemptOutcome.CONNECTION_LOST));
     } else {
       inFlight.forEach(
-          attempt -> attemptsToColdEngine.add(new Sent(now, job(attempt).work, false)));
+          attempt ->
+              attemptsToColdEngine.add(
+                  new SentAttempt(now, simulatedRequest(attempt).work, false)));
       cold.updatedAt = now;
-      cold.change(() -> {});
+      cold.update(() -> {});
     }
   }
 
-  /** In requests of mean work; N of a period as the engine bears at its beginning. */
-  private Start evaluate() {
+  /**
+   * Computes the result, with work in units of the mean work of a request. N of a period is what
+   * the engine can bear at the beginning of the period.
+   */
+  private Result evaluate() {
     double maxOverAllowed = 0;
     double maxOverBound = 0;
-    double notified = 0;
-    double given = 0;
-    Deque<Sent> period = new ArrayDeque<>();
-    for (Sent attempt : attemptsToColdEngine) {
+    double maxOverBoundNotified = 0;
+    double sentWork = 0;
+    Deque<SentAttempt> period = new ArrayDeque<>();
+    for (SentAttempt attempt : attemptsToColdEngine) {
       period.addLast(attempt);
       while (period.peekFirst().at <= attempt.at - SLOW_START_PERIOD) {
         period.pollFirst();
       }
-      double sum = period.stream().mapToDouble(Sent::work).sum() / meanWork;
+      double sum = period.stream().mapToDouble(SentAttempt::work).sum() / meanWork;
       double allowed =
-          MULTIPLE
+          SLOW_START_MULTIPLE
               * CORES
               * SLOW_START_PERIOD
               * warmCapacity(attempt.at - SLOW_START_PERIOD)
@@ -489,20 +509,20 @@
       double bound = allowed + 2 * Math.sqrt(allowed) + 2;
       maxOverAllowed = Math.max(maxOverAllowed, sum / allowed);
       maxOverBound = Math.max(maxOverBound, sum / bound);
-      notified =
+      maxOverBoundNotified =
           Math.max(
-              notified,
-              period.stream().filter(Sent::notified).mapToDouble(Sent::work).sum()
+              maxOverBoundNotified,
+              period.stream().filter(SentAttempt::notified).mapToDouble(SentAttempt::work).sum()
                   / meanWork
                   / bound);
-      given += attempt.at > startAt + SLOW_START_PERIOD ? attempt.work : 0;
+      sentWork += attempt.at > startAt + SLOW_START_PERIOD ? attempt.work : 0;
     }
-    double possible = 0;
+    double possibleWork = 0;
     for (long time = startAt + SLOW_START_PERIOD;
         time < startAt + WARMUP_TIME;
         time += SECOND / 10) {
-      possible += CORES * warmCapacity(time) * SECOND / 10;
+      possibleWork += CORES * warmCapacity(time) * SECOND / 10;
     }
-    return new Start(maxOverAllowed, maxOverBound, given / possible, notified);
+    return new Result(maxOverAllowed, maxOverBound, sentWork / possibleWork, maxOverBoundNotified);
   }
 }
--- a/gateway/src/test/java/tillerlink/SlowStartTest.java
+++ b/gateway/src/test/java/tillerlink/SlowStartTest.java
@@ -8,14 +8,17 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Slow start over all gateways: together they do not overload a warming engine, and yet use it. */
+/**
+ * Verifies slow start across many gateways: together they do not overload a warming engine, but do
+ * use it.
+ */
 class SlowStartTest {
-  private static final int[] FLEETS = {3, 20, 30, 120};
+  private static final int[] GATEWAY_COUNTS = {3, 20, 30, 120};
   private static final double[] MEAN_WORKS = {1500, 9000};
-  private static final double LATEST_NOTIFICATION = 1;
+  private static final double LATEST_NOTIFICATION_SECONDS = 1;
 
-  private static SlowStartSimulation.Start[] play(
-      int gateways, double meanWork, double latestNotification, int starts) {
+  private static SlowStartSimulation.Result[] simulate(
+      int gateways, double meanWork, double latestNotificationSeconds, int starts) {
     SlowStartSimulation.Kind[] kinds = SlowStartSimulation.Kind.values();
     return IntStream.range(0, starts)
         .parallel()
@@ -24,78 +27,90 @@
                 new SlowStartSimulation(
                         gateways,
                         meanWork,
-                        (long) (10_000 * latestNotification),
+                        (long) (10_000 * latestNotificationSeconds),
                         kinds[i % kinds.length],
                         31L * i + gateways)
-                    .play())
-        .toArray(SlowStartSimulation.Start[]::new);
+                    .run())
+        .toArray(SlowStartSimulation.Result[]::new);
   }
 
   private static double[] sorted(
-      SlowStartSimulation.Start[] starts, ToDoubleFunction<SlowStartSimulation.Start> of) {
-    return Arrays.stream(starts).mapToDouble(of).sorted().toArray();
+      SlowStartSimulation.Result[] results, ToDoubleFunction<SlowStartSimulation.Result> measure) {
+    return Arrays.stream(results).mapToDouble(measure).sorted().toArray();
   }
 
   /**
-   * In no period of any start does what all gateways sent exceed N + 2 root N + 2 requests of mean
-   * work, N being what the settings allow the engine at the period's beginning; and yet it is given
-   * half of what it can do, a third where a gateway's part is an attempt in 30 periods. With {@code
-   * -Dcold.starts=1000} it prints a table of as many starts for each fleet instead, {@code
-   * -Dcold.news} being the seconds until the last gateway is notified: gateways; N at first; the
-   * largest sum in a period over N (median, 90%, 99%, largest); the largest over the bound, and of
-   * what gateways sent after they had been notified; starts over it; the mean share given of what
-   * the engine can do, and where nine in ten lie.
+   * Guards against gateways that together send a warming engine too much or too little. In no
+   * period may they send more than N + 2 sqrt(N) + 2 requests of mean work, where N is what the
+   * settings allow the engine at the beginning of the period. The engine must receive at least half
+   * of the work that it can do, or a third where the share of a gateway is one attempt in 30
+   * periods.
+   *
+   * <p>With {@code -Dcold.starts=1000} the test prints a table of that many starts for each fleet
+   * and checks nothing. {@code -Dcold.news} is the time in seconds until the last gateway is
+   * notified. The columns are: the number of gateways; the initial N; the largest work in a period
+   * divided by N (median, 90%, 99%, maximum); the same maximum divided by the bound, and in
+   * parentheses only for work sent by gateways after their notification; the number of starts above
+   * the bound; the mean share of the possible work that the engine received, and its range in nine
+   * of ten starts.
    */
   @Test
-  void noPeriodExceedsWhatTheOperatorsAllowAndTheEngineIsUsed() {
+  void noPeriodExceedsTheBoundAndTheEngineIsUsed() {
     int starts = Integer.getInteger("cold.starts", 6);
-    boolean table = Integer.getInteger("cold.starts") != null;
-    double latestNotification =
-        Double.parseDouble(System.getProperty("cold.news", String.valueOf(LATEST_NOTIFICATION)));
-    for (int gateways : FLEETS) {
+    boolean printsTable = Integer.getInteger("cold.starts") != null;
+    double latestNotificationSeconds =
+        Double.parseDouble(
+            System.getProperty("cold.news", String.valueOf(LATEST_NOTIFICATION_SECONDS)));
+    for (int gateways : GATEWAY_COUNTS) {
       for (double meanWork : MEAN_WORKS) {
-        SlowStartSimulation.Start[] all = play(gateways, meanWork, latestNotification, starts);
-        long over = Arrays.stream(all).filter(start -> start.maxOverBound() > 1).count();
-        String line = line(gateways, meanWork, all, over);
-        if (table) {
-          System.out.println(line);
+        SlowStartSimulation.Result[] results =
+            simulate(gateways, meanWork, latestNotificationSeconds, starts);
+        long startsOverBound =
+            Arrays.stream(results).filter(result -> result.maxOverBound() > 1).count();
+        String row = tableRow(gateways, meanWork, results, startsOverBound);
+        if (printsTable) {
+          System.out.println(row);
         }
-        double usedShare = mean(sorted(all, SlowStartSimulation.Start::usedShare));
-        assertTrue(table || over == 0, line);
-        assertTrue(table || usedShare >= (gateways > 100 && meanWork > 5000 ? 0.33 : 0.5), line);
+        double usedShare = mean(sorted(results, SlowStartSimulation.Result::usedShare));
+        assertTrue(printsTable || startsOverBound == 0, row);
+        assertTrue(
+            printsTable || usedShare >= (gateways > 100 && meanWork > 5000 ? 0.33 : 0.5), row);
       }
     }
   }
 
-  private static String line(
-      int gateways, double meanWork, SlowStartSimulation.Start[] all, long over) {
-    double[] maxOverAllowed = sorted(all, SlowStartSimulation.Start::maxOverAllowed);
-    double[] usedShare = sorted(all, SlowStartSimulation.Start::usedShare);
+  private static String tableRow(
+      int gateways, double meanWork, SlowStartSimulation.Result[] results, long startsOverBound) {
+    double[] maxOverAllowed = sorted(results, SlowStartSimulation.Result::maxOverAllowed);
+    double[] usedShare = sorted(results, SlowStartSimulation.Result::usedShare);
     double maxOverBound =
-        Arrays.stream(all).mapToDouble(SlowStartSimulation.Start::maxOverBound).max().orElse(0);
+        Arrays.stream(results)
+            .mapToDouble(SlowStartSimulation.Result::maxOverBound)
+            .max()
+            .orElse(0);
     double maxOverBoundNotified =
-        Arrays.stream(all)
-            .mapToDouble(SlowStartSimulation.Start::maxOverBoundNotified)
+        Arrays.stream(results)
+            .mapToDouble(SlowStartSimulation.Result::maxOverBoundNotified)
             .max()
             .orElse(0);
-    int last = all.length - 1;
+    int last = results.length - 1;
     return String.format(
         Locale.ROOT,
-        "| %d | %.0f | %.2f, %.2f, %.2f, %.2f | %.2f (told: %.2f) | %d of %d | %.2f (%.2f to %.2f)"
-            + " |",
+        "| %d | %.0f | %.2f, %.2f, %.2f, %.2f | %.2f (notified: %.2f) | %d of %d | %.2f (%.2f to"
+            + " %.2f) |",
         gateways,
         90_000 / meanWork,
-        maxOverAllowed[all.length / 2],
-        maxOverAllowed[all.length * 9 / 10],
-        maxOverAllowed[all.length * 99 / 100],
+        maxOverAllowed[results.length / 2],
+        maxOverAllowed[results.length * 9 / 10],
+        maxOverAllowed[results.length * 99 / 100],
         maxOverAllowed[last],
         maxOverBound,
         maxOverBoundNotified,
-        over,
-        all.length,
+        startsOverBound,
+        results.length,
         mean(usedShare),
-        usedShare[all.length / 20],
-        usedShare[last - all.length / 20]);
+        usedShare[results.length / 20],
+        usedShare[last - results.length / 20]);
   }
 
   private static double mean(double[] values) {
