--- a/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -6,38 +6,43 @@
 import tillerlink.plain.Units;
 
 /**
- * A client's connection: one HTTP request at a time, and the next is read when the answer to the
- * one before has been written. Owned by the event-loop thread; all times are tenths of a
- * millisecond.
+ * A client's HTTP connection. It processes one request at a time: the next request is parsed only
+ * after the answer to the previous one has been written. Confined to the event-loop thread; all
+ * times are tenths of a millisecond.
  */
 final class ClientConnection implements Channel.Owner {
-  /** Of how much use a connection is, least first. */
+  /** How a connection has been used so far, in the order in which connections are evicted. */
   enum Use {
+    /** No complete request has been received. */
     UNSPOKEN,
+    /** The connection is idle and has carried at most one accepted request for execution. */
     ONCE,
+    /** The connection is idle and has carried several accepted requests for execution. */
     IDLE,
+    /** A request is in progress, an answer is being written, or a result is still pending. */
     OPEN
   }
 
   /**
-   * How long the first whole request may take from the connect on, and a later one from its first
-   * byte on.
+   * The time in which a client has to send a complete request: the first one counted from the
+   * connect, a later one from its first byte.
    */
-  private static final long MAX_REQUEST_TIME = 2500 * Units.TENTHS_PER_MS;
+  private static final long REQUEST_READ_TIMEOUT = 2500 * Units.TENTHS_PER_MS;
 
-  /** Clients close what they leave idle for 4 s. */
-  private static final long MAX_IDLE = 5000 * Units.TENTHS_PER_MS;
+  /** Clients close connections that have been idle for 4 s, so 5 s gives them time to do so. */
+  private static final long IDLE_TIMEOUT = 5000 * Units.TENTHS_PER_MS;
 
   /**
-   * How long none is closed to make room for others: its first bytes may still wait here to be
-   * read.
+   * The time after the last activity during which a connection is not evicted at the connection
+   * limit, because the first bytes that its client has sent may still be waiting to be read.
    */
-  private static final long GRACE = 100 * Units.TENTHS_PER_MS;
+  private static final long EVICTION_GRACE_PERIOD = 100 * Units.TENTHS_PER_MS;
 
-  private static final long MAX_STALL = 5000 * Units.TENTHS_PER_MS;
+  /** How long a write may stay unfinished before the connection is aborted. */
+  private static final long WRITE_STALL_TIMEOUT = 5000 * Units.TENTHS_PER_MS;
 
-  /** How long input is read and discarded after a refusal: an early close might overtake it. */
-  private static final long LINGER = 1000 * Units.TENTHS_PER_MS;
+  /** How long input is discarded after a refusal, since an early close could lose the answer. */
+  private static final long DISCARD_PERIOD = 1000 * Units.TENTHS_PER_MS;
 
   private final ClientRequestHandler handler;
   private final RequestRegistry requests;
@@ -45,38 +50,39 @@
   private final Channel channel;
   private final ClientInput input;
 
-  /** Sizes of what is being written. */
-  private final ArrayDeque<Integer> unwritten = new ArrayDeque<>();
+  /** The sizes in bytes of the writes that have not completed yet, oldest first. */
+  private final ArrayDeque<Integer> unwrittenSizes = new ArrayDeque<>();
 
   private boolean requestInProgress;
   private boolean closeAfterAnswer;
   private boolean closed;
 
-  /** It is to be closed unless something turns out to have come. */
+  /** An action that may close the connection is waiting for pending reads to be processed. */
   private boolean closePending;
 
-  /** Why it was closed from here; null while it was not. */
+  /** Why the gateway closed the connection; null if it has not done so. */
   private ClientDisconnectReason localReason;
 
-  /** A whole request has come. */
-  private boolean spoken;
+  /** At least one complete request has been received. */
+  private boolean requestReceived;
 
-  /** How many requests for execution were accepted on it. */
-  private int submissions;
+  /** The number of requests for execution that were accepted on this connection. */
+  private int acceptedSubmissions;
 
-  /** When the request that is being read began to come: the first with the connect. */
-  private long requestSince;
+  /** The start of the read timeout: the connect, for later requests usually the first byte. */
+  private long requestStartedAt;
 
-  /** The request whose answer it waits for, or null. */
-  private PendingResponse waitsFor;
+  /** The request for whose answer the client is waiting, or null. */
+  private PendingResponse awaitedResponse;
 
-  /** The extension answers the request in progress, in its time. */
-  private boolean answeredLater;
+  /** The request in progress will be answered by the extension, which has not done so yet. */
+  private boolean awaitingExtension;
 
-  /** What was accepted by its latest request, or null. */
+  /** The request for execution that the most recent HTTP request submitted, or null. */
   private PendingResponse submitted;
 
-  private long quietSince;
+  /** When a request last began to arrive, or an answer was last sent or completely written. */
+  private long lastActivityAt;
 
   ClientConnection(ClientRequestHandler handler, Channel channel) {
     this.handler = handler;
@@ -84,24 +90,28 @@
     requests = handler.requests();
     retained = handler.retained();
     input = new ClientInput(channel, retained);
-    quietSince = handler.now();
-    requestSince = quietSince;
+    lastActivityAt = handler.now();
+    requestStartedAt = lastActivityAt;
   }
 
-  // ---- for the bound on connections ----
+  // ---- connection limit ----
 
-  Use use() {
-    boolean open = requestInProgress || writing() || (submitted != null && !submitted.settled());
-    return open ? Use.OPEN : !spoken ? Use.UNSPOKEN : submissions < 2 ? Use.ONCE : Use.IDLE;
+  Use usage() {
+    boolean open =
+        requestInProgress || hasUnwrittenBytes() || (submitted != null && !submitted.isSettled());
+    return open
+        ? Use.OPEN
+        : !requestReceived ? Use.UNSPOKEN : acceptedSubmissions < 2 ? Use.ONCE : Use.IDLE;
   }
 
-  long quietSince() {
-    return quietSince;
+  long lastActivityAt() {
+    return lastActivityAt;
   }
 
-  /** Whether it may be closed at the bound: not before its client had time to send something. */
-  boolean mayBeClosed() {
-    return (closed || use() != Use.OPEN) && handler.now() >= quietSince + GRACE;
+  /** Returns whether it may be evicted: not in use, and its client has had time to send bytes. */
+  boolean isEvictable() {
+    return (closed || usage() != Use.OPEN)
+        && handler.now() >= lastActivityAt + EVICTION_GRACE_PERIOD;
   }
 
   boolean isClosed() {
@@ -112,32 +122,32 @@
 
   @Override
   public void onOpened() {
-    // It was accepted open.
+    // A client connection is already open when the gateway accepts it.
   }
 
   @Override
   public void onBytes(byte[] bytes) {
     if (closed) {
-      input.discard(bytes.length);
+      input.countDiscarded(bytes.length);
       return;
     }
-    if (!input.midway()) {
-      quietSince = handler.now();
-      requestSince = spoken ? quietSince : requestSince;
+    if (!input.hasPartialRequest()) {
+      lastActivityAt = handler.now();
+      requestStartedAt = requestReceived ? lastActivityAt : requestStartedAt;
     }
     input.add(bytes);
     parse();
-    if (!requestInProgress && !closed && input.exceedsLimit()) {
+    if (!requestInProgress && !closed && input.exceedsLimitWhenFull()) {
       refuse(requests.overloaded());
     }
   }
 
   @Override
   public void onWritten() {
-    retained.add(-unwritten.poll());
-    if (unwritten.isEmpty()) {
-      quietSince = handler.now();
-      if (requestInProgress && waitsFor == null && !answeredLater) {
+    retained.add(-unwrittenSizes.poll());
+    if (unwrittenSizes.isEmpty()) {
+      lastActivityAt = handler.now();
+      if (requestInProgress && awaitedResponse == null && !awaitingExtension) {
         requestInProgress = false;
         parse();
         if (handler.closing()) {
@@ -148,86 +158,87 @@
   }
 
   @Override
-  public void onClosed(DisconnectReason how) {
+  public void onClosed(DisconnectReason reason) {
     ClientDisconnectReason remoteReason =
-        how == DisconnectReason.RESET
+        reason == DisconnectReason.RESET
             ? ClientDisconnectReason.RESET_BY_CLIENT
             : ClientDisconnectReason.CLOSED_BY_CLIENT;
     handler
         .connections()
         .onEnded(
             localReason == null ? remoteReason : localReason,
-            waitsFor == null ? submitted : waitsFor);
+            awaitedResponse == null ? submitted : awaitedResponse);
     closed = true;
-    if (waitsFor != null) {
-      waitsFor.waiting = null;
-      requests.onConnectionLost(waitsFor);
+    if (awaitedResponse != null) {
+      awaitedResponse.waitingConnection = null;
+      requests.onConnectionLost(awaitedResponse);
     }
-    if (submitted != null && !unwritten.isEmpty()) {
+    if (submitted != null && !unwrittenSizes.isEmpty()) {
       requests.cancel(submitted);
     } else if (submitted != null) {
       requests.onConnectionLost(submitted);
     }
-    unwritten.forEach(size -> retained.add(-size));
-    unwritten.clear();
+    unwrittenSizes.forEach(size -> retained.add(-size));
+    unwrittenSizes.clear();
     input.release();
     handler.connections().remove(this);
   }
 
+  /** Parses the next request unless one is in progress, and passes it to the request handler. */
   private void parse() {
     if (!requestInProgress && !closed) {
-      HttpParseResult item = input.next();
-      if (input.wantsContinue()) {
+      HttpParseResult parsed = input.next();
+      if (input.expectsContinue()) {
         write(HttpResponse.goOn());
       }
-      if (item != null) {
+      if (parsed != null) {
         requestInProgress = true;
-        spoken = true;
-        requestSince = handler.now();
+        requestReceived = true;
+        requestStartedAt = handler.now();
         submitted = null;
-        handler.handle(this, item);
+        handler.handle(this, parsed);
       }
     }
-    input.regulate(requestInProgress, closed);
+    input.updateReadingPaused(requestInProgress, closed);
   }
 
   private void write(byte[] bytes) {
-    unwritten.add(bytes.length);
+    unwrittenSizes.add(bytes.length);
     retained.add(bytes.length);
     channel.write(bytes);
   }
 
   // ---- the request in progress ----
 
-  /** The connection closes after the answer to the request in progress. */
+  /** Makes the answer to the request in progress the last one on this connection. */
   void closeAfterAnswer() {
     closeAfterAnswer = true;
   }
 
-  /** The request in progress was accepted for execution. */
+  /** Called when the request in progress has been accepted for execution. */
   void onSubmitted(PendingResponse pending) {
     submitted = pending;
-    submissions++;
+    acceptedSubmissions++;
   }
 
-  /** The request in progress is answered once that one is. */
+  /** Defers the answer to the request in progress until the pending response has an answer. */
   void waitFor(PendingResponse pending) {
-    waitsFor = pending;
+    awaitedResponse = pending;
   }
 
-  /** Its client waits for the same answer on another connection, or for none any more. */
+  /** Aborts it because its client waits on another connection or has cancelled the request. */
   void supersede() {
-    waitsFor = null;
+    awaitedResponse = null;
     abort(ClientDisconnectReason.SUPERSEDED);
   }
 
-  /** Answers the request in progress. */
+  /** Sends the answer to the request in progress. */
   void answer(HttpResponse answer) {
     if (closed) {
       return;
     }
-    waitsFor = null;
-    quietSince = handler.now();
+    awaitedResponse = null;
+    lastActivityAt = handler.now();
     write((closeAfterAnswer ? answer.closingConnection() : answer).encoded());
     if (closeAfterAnswer) {
       closed = true;
@@ -236,61 +247,67 @@
     }
   }
 
-  /** Answers what can't be read on from; the client may be sending still. */
+  /**
+   * Sends an error answer after which no further request can be parsed from this connection. Input
+   * is discarded for a while, because the client may still be sending.
+   */
   void refuse(HttpResponse answer) {
-    quietSince = handler.now();
+    lastActivityAt = handler.now();
     write(answer.closingConnection().encoded());
     closed = true;
     localReason = ClientDisconnectReason.AFTER_REFUSAL;
   }
 
-  /** The request in progress is answered by the extension, once, now or later. */
+  /** Returns the reply by which the extension answers the request in progress, now or later. */
   GatewayExtension.Reply answerLater() {
-    answeredLater = true;
+    awaitingExtension = true;
     return new OnceReply();
   }
 
-  /** Takes the first answer and drops the others. */
+  /** Sends the first answer and ignores any further ones. */
   private final class OnceReply implements GatewayExtension.Reply {
-    private boolean given;
+    private boolean answered;
 
     @Override
     public void answer(HttpResponse answer) {
-      if (!given) {
-        given = true;
-        answeredLater = false;
+      if (!answered) {
+        answered = true;
+        awaitingExtension = false;
         ClientConnection.this.answer(answer);
       }
     }
   }
 
   /**
-   * Whether this connection alone waits for an answer: one not written yet, or during shutdown that
-   * to a half-read request.
+   * Returns whether an answer that only this connection knows of is still to be sent: one that is
+   * being written or comes from the extension or, during shutdown, the answer to a request that has
+   * been received in part.
    */
-  boolean busy() {
-    return writing() || (!closed && (answeredLater || (handler.closing() && input.midway())));
+  boolean hasUnsentAnswer() {
+    return hasUnwrittenBytes()
+        || (!closed && (awaitingExtension || (handler.closing() && input.hasPartialRequest())));
   }
 
-  private boolean writing() {
-    return !unwritten.isEmpty();
+  private boolean hasUnwrittenBytes() {
+    return !unwrittenSizes.isEmpty();
   }
 
   // ---- time ----
 
   /**
-   * Guards against clients that connect and send nothing, send half a request, trickle, stay after
-   * one, or don't read. A request that waits for its answer may take its time.
+   * Closes the connection if a timeout has expired. This guards against clients that connect and
+   * send nothing, send only part of a request, send very slowly, stay connected after a request or
+   * do not read answers. No timeout applies while a request waits for its answer.
    */
   void checkTimeouts() {
-    if (closed || writing()) {
-      long limit = closed && !writing() ? LINGER : MAX_STALL;
-      if (handler.now() >= quietSince + limit) {
+    if (closed || hasUnwrittenBytes()) {
+      long limit = closed && !hasUnwrittenBytes() ? DISCARD_PERIOD : WRITE_STALL_TIMEOUT;
+      if (handler.now() >= lastActivityAt + limit) {
         abort(ClientDisconnectReason.STALLED);
       }
-    } else if (halfRequest() && handler.now() >= requestSince + MAX_REQUEST_TIME) {
-      afterPendingReads(this::refuseHalfRequest);
-    } else if (idle()) {
+    } else if (hasPartialRequest() && handler.now() >= requestStartedAt + REQUEST_READ_TIMEOUT) {
+      afterPendingReads(this::refusePartialRequest);
+    } else if (isIdleTimedOut()) {
       afterPendingReads(this::closeIfIdle);
     } else if (handler.closing()) {
       closeIfUnused();
@@ -298,9 +315,9 @@
   }
 
   /**
-   * Guards what has come and was not read yet, for instance while this process was paused: a
-   * connection is closed for its client's silence only once all that can be read of it has been
-   * read.
+   * Runs an action that closes the connection, once all input that can be read has been processed.
+   * This prevents a connection from being closed as idle although input has arrived that was not
+   * read yet, for instance because this process was paused.
    */
   private void afterPendingReads(Runnable close) {
     if (!closePending) {
@@ -315,63 +332,64 @@
     }
   }
 
-  private boolean halfRequest() {
-    return !requestInProgress && input.midway();
+  private boolean hasPartialRequest() {
+    return !requestInProgress && input.hasPartialRequest();
   }
 
-  private boolean idle() {
+  private boolean isIdleTimedOut() {
     return !requestInProgress
-        && !input.midway()
-        && handler.now() >= quietSince + (spoken ? MAX_IDLE : MAX_REQUEST_TIME);
+        && !input.hasPartialRequest()
+        && handler.now()
+            >= lastActivityAt + (requestReceived ? IDLE_TIMEOUT : REQUEST_READ_TIMEOUT);
   }
 
   private void closeIfIdle() {
-    if (idle()) {
+    if (isIdleTimedOut()) {
       close(ClientDisconnectReason.IDLE);
     }
   }
 
-  private void refuseHalfRequest() {
-    if (halfRequest()) {
+  private void refusePartialRequest() {
+    if (hasPartialRequest()) {
       refuse(HttpResponse.problem(408, "Timeout", 0));
     }
   }
 
   /**
-   * Closes it if no request is in progress on it, none has begun to come and its client is not
-   * about to make one.
+   * Closes the connection if no request is in progress, none has been received in part, and its
+   * client is not expected to fetch a result.
    */
   private void closeIfUnused() {
-    if (unused()) {
+    if (isUnused()) {
       afterPendingReads(
           () -> {
-            if (unused()) {
+            if (isUnused()) {
               close(ClientDisconnectReason.SHUTDOWN);
             }
           });
     }
   }
 
-  private boolean unused() {
-    boolean fetches = submitted != null && !submitted.left && !submitted.handedOut;
-    return !closed && !requestInProgress && !input.midway() && !fetches;
+  private boolean isUnused() {
+    boolean awaitsResult = submitted != null && !submitted.cancelled && !submitted.delivered;
+    return !closed && !requestInProgress && !input.hasPartialRequest() && !awaitsResult;
   }
 
-  /** No further request is accepted: the one in progress is the last, and an unused one closes. */
+  /** Closes the connection after the answer to the request in progress, or now if it is unused. */
   void onClosing() {
     closeAfterAnswer |= requestInProgress;
     closeIfUnused();
   }
 
-  /** Closes it with no answer; what its client may be sending in this moment is discarded. */
+  /** Closes the connection without an answer; bytes that still arrive are discarded. */
   void close(ClientDisconnectReason reason) {
     closed = true;
     localReason = reason;
-    quietSince = handler.now();
+    lastActivityAt = handler.now();
     channel.close();
   }
 
-  /** Ends it at once, with no answer. */
+  /** Aborts the connection immediately, without an answer. */
   void abort(ClientDisconnectReason reason) {
     closed = true;
     localReason = localReason == null ? reason : localReason;
--- a/gateway/src/main/java/tillerlink/net/state/ClientConnections.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnections.java
@@ -9,17 +9,23 @@
 import tillerlink.telemetry.Counter;
 import tillerlink.telemetry.EventLog.Topic;
 
-/** The connections of clients, and the bound on their number. Owned by the event-loop thread. */
+/** The open client connections, limited in number. Confined to the event-loop thread. */
 final class ClientConnections {
   private final GatewayContext context;
   private final int limit;
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
+  /**
+   * Creates an empty set of connections.
+   *
+   * @param limit the number of connections above which connections are evicted
+   */
   ClientConnections(GatewayContext context, int limit) {
     this.context = context;
     this.limit = limit;
   }
 
+  /** Adds a connection and evicts others if the limit is exceeded. */
   void add(ClientConnection connection) {
     connections.add(connection);
     enforceLimit();
@@ -30,9 +36,12 @@
   }
 
   /**
-   * Guards usual clients against those that connect by hundreds and send nothing, or request once
-   * and stay: beyond the bound, what is of least use is closed, the longest idle first, and what
-   * was closed here does not linger. If nothing may be closed yet, newcomers wait in the backlog.
+   * Closes connections while their number exceeds the limit. This guards regular clients against
+   * clients that open hundreds of connections and send nothing, or send one request and stay
+   * connected. The least used connections are closed first and, among those, the ones that have
+   * been idle longest. Connections that the gateway has closed already are aborted instead of
+   * waiting for the client. While no connection may be evicted, new clients wait in the accept
+   * backlog.
    */
   private void enforceLimit() {
     int excess = connections.size() - limit;
@@ -40,31 +49,33 @@
       return;
     }
     int closed = (int) connections.stream().filter(ClientConnection::isClosed).count();
-    leastUseful(excess, connections.stream().filter(ClientConnection::isClosed))
+    selectForEviction(excess, connections.stream().filter(ClientConnection::isClosed))
         .forEach(connection -> connection.abort(ClientDisconnectReason.NO_ROOM));
-    leastUseful(excess - closed, connections.stream().filter(connection -> !connection.isClosed()))
+    selectForEviction(
+            excess - closed, connections.stream().filter(connection -> !connection.isClosed()))
         .forEach(connection -> connection.close(ClientDisconnectReason.NO_ROOM));
   }
 
-  /** So many of those that may be closed, those of least use first. */
-  private static List<ClientConnection> leastUseful(
+  /** Returns at most {@code count} of the evictable connections, the least used ones first. */
+  private static List<ClientConnection> selectForEviction(
       int count, Stream<ClientConnection> candidates) {
     return candidates
-        .filter(ClientConnection::mayBeClosed)
+        .filter(ClientConnection::isEvictable)
         .sorted(
-            Comparator.comparing(ClientConnection::use).thenComparing(ClientConnection::quietSince))
+            Comparator.comparing(ClientConnection::usage)
+                .thenComparing(ClientConnection::lastActivityAt))
         .limit(Math.max(0, count))
         .toList();
   }
 
   /**
-   * A connection has ended.
+   * Counts a connection that has ended, and logs it if a request was pending on it.
    *
-   * @param pending the last that was submitted or waited for on it, or null
+   * @param pending the request last submitted or waited for on the connection, or null
    */
-  void onEnded(ClientDisconnectReason how, PendingResponse pending) {
-    context.telemetry().metrics().add(Counter.CLIENT_CONNECTIONS_ENDED, how);
-    if (pending != null && !pending.settled()) {
+  void onEnded(ClientDisconnectReason reason, PendingResponse pending) {
+    context.telemetry().metrics().add(Counter.CLIENT_CONNECTIONS_ENDED, reason);
+    if (pending != null && !pending.isSettled()) {
       long now = context.now();
       context
           .telemetry()
@@ -76,18 +87,19 @@
               "id",
               pending.id(),
               "reason",
-              how,
+              reason,
               "after_ms",
               (now - pending.request.arrivedAt) / Units.TENTHS_PER_MS);
     }
   }
 
+  /** Checks the timeouts of all connections and enforces the limit on their number. */
   void sweep() {
     List.copyOf(connections).forEach(ClientConnection::checkTimeouts);
     enforceLimit();
   }
 
-  /** No further request is accepted: connections close once nothing is owed on them. */
+  /** Starts closing all connections; each one closes after its last pending answer. */
   void onClosing() {
     List.copyOf(connections).forEach(ClientConnection::onClosing);
   }
@@ -96,8 +108,11 @@
     return connections.size();
   }
 
-  /** Whether an answer is owed or not yet written on any of them alone. */
-  boolean anyBusy() {
-    return connections.stream().anyMatch(ClientConnection::busy);
+  /**
+   * Returns whether any connection still has an answer to send that only the connection knows of,
+   * see {@link ClientConnection#hasUnsentAnswer}.
+   */
+  boolean hasUnsentAnswers() {
+    return connections.stream().anyMatch(ClientConnection::hasUnsentAnswer);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/ClientDisconnectReason.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientDisconnectReason.java
@@ -1,19 +1,26 @@
 package tillerlink.net.state;
 
-/** Who ended a client's connection, and why; for logs and counters. */
+/** The reason why a client connection ended, as written to logs and counters. */
 enum ClientDisconnectReason {
+  /** The client closed the connection. */
   CLOSED_BY_CLIENT,
+  /** The client reset the connection. */
   RESET_BY_CLIENT,
-  /** It ended with the answer, because the client asked for that or the process ends. */
+  /**
+   * The gateway closed the connection after an answer, because the client requested that or the
+   * gateway is shutting down.
+   */
   AFTER_ANSWER,
-  /** What it sent could not be read, or could not be taken. */
+  /** The gateway refused input that it could not parse or had no capacity for. */
   AFTER_REFUSAL,
+  /** The client sent no request for too long. */
   IDLE,
-  /** It did not read what was written to it, or stayed after a refusal. */
+  /** The client did not read an answer, or kept the connection open after the gateway closed it. */
   STALLED,
-  /** Its place was needed for another. */
+  /** The connection was evicted because the limit on client connections was reached. */
   NO_ROOM,
-  /** The client fetches the same result over another connection. */
+  /** The client fetches the same result on another connection, or has cancelled the request. */
   SUPERSEDED,
+  /** The gateway is shutting down and the connection was unused. */
   SHUTDOWN
 }
--- a/gateway/src/main/java/tillerlink/net/state/ClientInput.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientInput.java
@@ -4,74 +4,93 @@
 import tillerlink.net.wire.HttpRequestParser;
 
 /**
- * What a client sent and was not yet processed: parses it, counts what of it is retained, and
- * pauses reading from the connection where too much waits. Owned by the event-loop thread.
+ * The input of one client connection that has not been processed yet. It parses requests, counts
+ * the retained bytes, and pauses reading from the connection while too many bytes are waiting.
+ * Confined to the event-loop thread.
  */
 final class ClientInput {
-  /** How much is read and discarded after a refusal. */
-  private static final int MAX_DISCARDED = 262_144;
+  /** The number of bytes that are read and discarded after a refusal before reading is paused. */
+  private static final int MAX_DISCARDED_BYTES = 262_144;
 
   /**
-   * More than this beside a request in progress, where memory is short, and nothing further is read
-   * until that is answered; else a whole request. Where nothing is read, its end is not seen
-   * either.
+   * The number of bytes that may wait behind a request in progress while the limit on retained
+   * bytes is exceeded. Reading is paused above it until that request has been answered. While
+   * reading is paused, the gateway does not notice that the client closes the connection.
    */
-  private static final int MAX_PIPELINED_WHEN_FULL = 16_384;
+  private static final int MAX_PIPELINED_BYTES_WHEN_FULL = 16_384;
 
-  private static final int MAX_PIPELINED = 131_072 + MAX_PIPELINED_WHEN_FULL;
+  /**
+   * The number of bytes that may wait behind a request in progress otherwise; it leaves room for a
+   * complete further request.
+   */
+  private static final int MAX_PIPELINED_BYTES = 131_072 + MAX_PIPELINED_BYTES_WHEN_FULL;
 
   private final HttpRequestParser parser = new HttpRequestParser();
   private final Channel channel;
   private final RetainedBytes retained;
   private boolean readingPaused;
 
-  /** Bytes that are counted as retained. */
-  private int counted;
+  /** The number of waiting bytes that are included in the retained bytes. */
+  private int retainedByteCount;
 
-  private int discarded;
+  /** The number of bytes received after the gateway closed the connection. */
+  private int discardedBytes;
 
   ClientInput(Channel channel, RetainedBytes retained) {
     this.channel = channel;
     this.retained = retained;
   }
 
+  /** Passes received bytes to the parser. */
   void add(byte[] bytes) {
     parser.feed(bytes);
   }
 
-  /** Bytes came after the connection was closed here. */
-  void discard(int more) {
-    discarded += more;
-    if (discarded > MAX_DISCARDED && !readingPaused) {
+  /**
+   * Counts bytes that were received after the gateway closed the connection, and pauses reading for
+   * the rest of its life if there are too many of them.
+   */
+  void countDiscarded(int byteCount) {
+    discardedBytes += byteCount;
+    if (discardedBytes > MAX_DISCARDED_BYTES && !readingPaused) {
       readingPaused = true;
       channel.pauseReading(true);
     }
   }
 
-  /** The next whole request, or what can't be one; null if more has to come. */
+  /** Returns the next complete request or a parse error, or null if more bytes are needed. */
   HttpParseResult next() {
     return parser.next();
   }
 
-  /** Whether the client waits for 100 Continue before it sends the body. */
-  boolean wantsContinue() {
+  /**
+   * Returns whether the client waits for 100 Continue before it sends the body. Returns true only
+   * once for each request.
+   */
+  boolean expectsContinue() {
     return parser.wantsGoOn();
   }
 
-  /** Whether a request has begun to come and is not whole. */
-  boolean midway() {
+  /** Returns whether a request has been received in part. */
+  boolean hasPartialRequest() {
     return parser.midway();
   }
 
-  /** Whether more waits than is retained for one connection where memory is short. */
-  boolean exceedsLimit() {
-    return retained.isFull() && parser.waiting() > MAX_PIPELINED_WHEN_FULL;
+  /**
+   * Returns whether the limit on retained bytes is exceeded and this connection retains more than
+   * its share in that case.
+   */
+  boolean exceedsLimitWhenFull() {
+    return retained.isFull() && parser.waiting() > MAX_PIPELINED_BYTES_WHEN_FULL;
   }
 
-  /** Counts what waits, and pauses or resumes reading unless the connection was closed here. */
-  void regulate(boolean requestInProgress, boolean closed) {
-    count(parser.waiting());
-    int limit = retained.isFull() ? MAX_PIPELINED_WHEN_FULL : MAX_PIPELINED;
+  /**
+   * Updates the count of retained bytes, and pauses or resumes reading unless the gateway has
+   * closed the connection.
+   */
+  void updateReadingPaused(boolean requestInProgress, boolean closed) {
+    setRetainedByteCount(parser.waiting());
+    int limit = retained.isFull() ? MAX_PIPELINED_BYTES_WHEN_FULL : MAX_PIPELINED_BYTES;
     boolean pause = requestInProgress && parser.waiting() > limit;
     if (pause != readingPaused && !closed) {
       readingPaused = pause;
@@ -79,13 +98,13 @@
     }
   }
 
-  /** The connection has ended: nothing of it is retained any more. */
+  /** Stops counting the bytes of this connection as retained, because it has ended. */
   void release() {
-    count(0);
+    setRetainedByteCount(0);
   }
 
-  private void count(int bytes) {
-    retained.add(bytes - counted);
-    counted = bytes;
+  private void setRetainedByteCount(int bytes) {
+    retained.add(bytes - retainedByteCount);
+    retainedByteCount = bytes;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -8,24 +8,31 @@
 import tillerlink.net.wire.HttpResponse;
 
 /**
- * Routes what clients request. A submission is answered at once with the path of its result; a GET
- * of that path is answered once the result is there. Owned by the event-loop thread.
+ * Routes the HTTP requests of clients. A submission is answered immediately with the path of its
+ * result; a GET of that path is answered once the result is available. Confined to the event-loop
+ * thread.
  */
 final class ClientRequestHandler {
-  private static final String HEALTH = "/healthz";
-  private static final String METRICS = "/metrics";
+  private static final String HEALTH_PATH = "/healthz";
+  private static final String METRICS_PATH = "/metrics";
 
   private final GatewayContext context;
   private final RequestRegistry requests;
   private final ClientConnections connections;
   private final RetainedBytes retained;
 
-  /** Handles some paths, or null. */
+  /** The extension, which handles the requests for some paths; null if the gateway has none. */
   private GatewayExtension extension;
 
-  /** The process is to end soon; requests are still accepted. */
+  /** The process will end soon; requests are still accepted, but the health check fails. */
   private boolean draining;
 
+  /**
+   * Creates a handler with no requests and no connections.
+   *
+   * @param maxClients the limit on client connections
+   * @param retained counts the bytes that are retained for clients
+   */
   ClientRequestHandler(
       GatewayContext context, Settings settings, int maxClients, RetainedBytes retained) {
     this.context = context;
@@ -46,81 +53,86 @@
     return retained;
   }
 
-  void setExtension(GatewayExtension added) {
-    extension = added;
+  void setExtension(GatewayExtension newExtension) {
+    extension = newExtension;
   }
 
   // ---- for client connections ----
 
+  /** Called when a client has connected; returns the owner of its channel. */
   ClientConnection onConnected(Channel channel) {
     ClientConnection connection = new ClientConnection(this, channel);
     connections.add(connection);
     return connection;
   }
 
+  /** Returns the time of the current iteration, in tenths of a millisecond. */
   long now() {
     return context.now();
   }
 
-  /** Calls back once all that could be read of any connection has been processed. */
-  void afterPendingReads(Runnable then) {
-    context.driver().runAfterPendingReads(then);
+  /**
+   * Runs an action once all input that could be read from any connection when this method was
+   * called has been processed.
+   */
+  void afterPendingReads(Runnable action) {
+    context.driver().runAfterPendingReads(action);
   }
 
-  /** Whether no further request is accepted. */
+  /** Returns whether the gateway has stopped accepting requests. */
   boolean closing() {
     return requests.isClosed();
   }
 
-  /** A whole request, or what can't be one, has come on a connection. */
-  void handle(ClientConnection client, HttpParseResult item) {
-    if (item instanceof HttpParseError error) {
+  /** Handles the next complete request, or the parse error, of a client connection. */
+  void handle(ClientConnection client, HttpParseResult parsed) {
+    if (parsed instanceof HttpParseError error) {
       client.refuse(HttpResponse.problem(error.status(), error.cause(), 0));
       return;
     }
-    HttpRequest http = (HttpRequest) item;
-    if (http.last() || closing()) {
+    HttpRequest request = (HttpRequest) parsed;
+    if (request.last() || closing()) {
       client.closeAfterAnswer();
     }
-    if (extension != null && extension.handlesPath(http.path())) {
-      passToExtension(client, http);
+    if (extension != null && extension.handlesPath(request.path())) {
+      passToExtension(client, request);
       return;
     }
-    switch (http.method()) {
-      case GET -> get(client, http.path());
-      case POST -> post(client, http);
-      case DELETE -> delete(client, http.path());
+    switch (request.method()) {
+      case GET -> handleGet(client, request.path());
+      case POST -> handlePost(client, request);
+      case DELETE -> handleDelete(client, request.path());
       default -> client.refuse(HttpResponse.problem(405, "Method", 0));
     }
   }
 
-  private void passToExtension(ClientConnection client, HttpRequest http) {
-    if (retained.isFull() && http.body().length > 0) {
+  private void passToExtension(ClientConnection client, HttpRequest request) {
+    if (retained.isFull() && request.body().length > 0) {
       client.answer(requests.overloaded());
     } else {
-      extension.onRequest(http, client.answerLater());
+      extension.onRequest(request, client.answerLater());
     }
   }
 
-  private void get(ClientConnection client, String path) {
-    if (path.equals(HEALTH)) {
+  private void handleGet(ClientConnection client, String path) {
+    if (path.equals(HEALTH_PATH)) {
       client.answer(draining ? HttpResponse.problem(503, "Draining", 0) : HttpResponse.done());
-    } else if (path.equals(METRICS)) {
+    } else if (path.equals(METRICS_PATH)) {
       client.answer(HttpResponse.text(context.telemetry().metrics().exposition()));
     } else {
-      requests.fetch(client, requests.find(path));
+      requests.fetch(client, requests.findByResultPath(path));
     }
   }
 
-  private void post(ClientConnection client, HttpRequest http) {
-    PendingResponse pending = requests.submit(http, null, client::answer);
+  private void handlePost(ClientConnection client, HttpRequest request) {
+    PendingResponse pending = requests.submit(request, null, client::answer);
     if (pending != null) {
       client.onSubmitted(pending);
     }
   }
 
-  private void delete(ClientConnection client, String path) {
-    PendingResponse pending = requests.find(path);
+  private void handleDelete(ClientConnection client, String path) {
+    PendingResponse pending = requests.findByResultPath(path);
     if (pending != null) {
       requests.cancel(pending);
     }
@@ -130,7 +142,7 @@
   // ---- time ----
 
   /**
-   * Ends what has waited too long.
+   * Checks the deadlines of all requests and the timeouts of all client connections.
    *
    * @param timeOut ends the attempts of a request whose deadline has passed
    */
@@ -139,20 +151,20 @@
     connections.sweep();
   }
 
-  /** The process is to end soon; it goes on serving what comes. */
+  /** Makes the health check fail because the process will end soon; requests are still accepted. */
   void drain() {
     draining = true;
   }
 
-  /** No further request is accepted; connections close once nothing is owed on them. */
+  /** Stops accepting requests; each connection closes after its last pending answer. */
   void close() {
     requests.close();
     connections.onClosing();
   }
 
-  /** Whether every answer has been written. */
+  /** Returns whether every answer has been written. */
   boolean allAnswered() {
-    return requests.allHandedOut() && !connections.anyBusy();
+    return requests.allDelivered() && !connections.hasUnsentAnswers();
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
+++ b/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
@@ -8,7 +8,7 @@
 import tillerlink.telemetry.EventLog.Topic;
 import tillerlink.telemetry.Telemetry;
 
-/** Counts and logs what becomes of attempts and requests. Owned by the event-loop thread. */
+/** The counters and event lines of attempts and requests. Confined to the event-loop thread. */
 final class DispatchLog {
   private final IterationContext iteration;
   private final Telemetry telemetry;
@@ -18,6 +18,7 @@
     this.telemetry = telemetry;
   }
 
+  /** Counts an attempt that the policy ordered, and logs it if it is not the first one. */
   void attemptOrdered(InFlightAttempt inFlight) {
     telemetry.metrics().add(Counter.ATTEMPTS_ORDERED);
     int number = inFlight.attempt.number;
@@ -37,10 +38,12 @@
     }
   }
 
+  /** Counts an attempt that was written to its engine. */
   void attemptSent() {
     telemetry.metrics().add(Counter.ATTEMPTS_WRITTEN);
   }
 
+  /** Counts and logs an attempt that was not written because the verdict did not allow it. */
   void attemptBlocked(InFlightAttempt inFlight, SendVerdict verdict) {
     telemetry.metrics().add(Counter.ATTEMPTS_BLOCKED, verdict);
     log(
@@ -56,6 +59,7 @@
         verdict);
   }
 
+  /** Logs an attempt that was cancelled. */
   void attemptCancelled(InFlightAttempt inFlight) {
     log(
         Topic.ATTEMPT,
@@ -67,13 +71,15 @@
         "engine",
         inFlight.engineId(),
         "client_cancelled",
-        inFlight.pending.left,
+        inFlight.pending.cancelled,
         "request_ended",
         inFlight.attempt.request.outcome != null);
   }
 
   /**
-   * @param elapsed since it was sent, in tenths of a millisecond
+   * Counts an attempt that has ended, and logs it unless it succeeded.
+   *
+   * @param elapsed the time since the attempt was sent, in tenths of a millisecond
    */
   void attemptEnded(InFlightAttempt inFlight, AttemptOutcome outcome, long elapsed) {
     telemetry.metrics().add(Counter.ATTEMPTS_ENDED, outcome);
@@ -98,10 +104,12 @@
         inFlight.handedOver());
   }
 
+  /** Counts and logs a request that was rejected. */
   void requestRejected(Request request) {
     requestTerminated(Counter.REQUESTS_REJECTED, "request rejected", request);
   }
 
+  /** Counts and logs a request that failed. */
   void requestFailed(Request request) {
     requestTerminated(Counter.REQUESTS_FAILED, "request failed", request);
   }
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -10,16 +10,17 @@
 import tillerlink.net.wire.HttpRequest;
 
 /**
- * Requests of the extension, whose attempts are written only while a guard holds. It is checked
- * before each write and after it: a pause of this process between the two shows in the second
- * check, and then nothing that came of the attempt is handed out. Owned by the event-loop thread.
+ * The requests that the extension submits, whose attempts may be written only while a guard holds.
+ * The guard is checked before and after each write. If this process was paused between the two
+ * checks, the second one detects that the guard no longer holds, and the result of the attempt is
+ * then not delivered. Confined to the event-loop thread.
  */
 final class FencedRequests implements GatewayExtension.ExtensionContext {
   private final GatewayContext context;
   private final RequestRegistry requests;
 
-  /** Those that are owed an answer. */
-  private final Set<PendingResponse> open = new LinkedHashSet<>();
+  /** The guarded requests that have not been answered or cancelled. */
+  private final Set<PendingResponse> unsettled = new LinkedHashSet<>();
 
   FencedRequests(GatewayContext context, RequestRegistry requests) {
     this.context = context;
@@ -27,33 +28,34 @@
   }
 
   @Override
-  public void submit(HttpRequest http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
-    PendingResponse pending = requests.submit(http, guard, reply);
+  public void submit(
+      HttpRequest request, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
+    PendingResponse pending = requests.submit(request, guard, reply);
     if (pending != null) {
-      open.add(pending);
+      unsettled.add(pending);
     }
   }
 
   @Override
   public void recheckGuards() {
     List<PendingResponse> withdrawn = new ArrayList<>();
-    for (Iterator<PendingResponse> i = open.iterator(); i.hasNext(); ) {
-      PendingResponse pending = i.next();
-      if (pending.settled()) {
-        i.remove();
+    for (Iterator<PendingResponse> iterator = unsettled.iterator(); iterator.hasNext(); ) {
+      PendingResponse pending = iterator.next();
+      if (pending.isSettled()) {
+        iterator.remove();
       } else if (pending.inFlightAttempts.stream()
               .noneMatch(inFlight -> inFlight.attempt.isInFlight())
           && !pending.guard.holds()) {
         withdrawn.add(pending);
-        i.remove();
+        iterator.remove();
       }
     }
     withdrawn.forEach(this::withdraw);
   }
 
   /**
-   * All of an attempt was written. If its guard does not hold any more, that may have been too
-   * late.
+   * Called when an attempt has been written completely. If its guard no longer holds, the attempt
+   * may have been written too late, so its result must not be delivered.
    */
   void written(InFlightAttempt inFlight) {
     if (inFlight.confirmedByGuard || !inFlight.attempt.isInFlight()) {
@@ -67,8 +69,12 @@
   }
 
   /**
-   * What an attempt's end counts as. The answer of one that was written too late, or may have been,
-   * is lost.
+   * Called when an attempt has ended. Notifies its guard and, if the guard does not hold, answers
+   * the request.
+   *
+   * @param outcome the outcome that the transport reported
+   * @return the outcome to be passed on: {@link AttemptOutcome#RESPONSE_LOST} for an attempt that
+   *     succeeded but may have been written too late
    */
   AttemptOutcome ended(InFlightAttempt inFlight, AttemptOutcome outcome) {
     if (inFlight.startNotified) {
@@ -83,38 +89,40 @@
         return AttemptOutcome.RESPONSE_LOST;
       }
     }
-    if (inFlight.pending.settled()) {
-      open.remove(inFlight.pending);
+    if (inFlight.pending.isSettled()) {
+      unsettled.remove(inFlight.pending);
     }
     return outcome;
   }
 
   /**
-   * Up to when its engine may still be at an attempt that began. One of which pages have come has
-   * run, whatever became of the rest.
+   * Returns the time until which the engine may still be executing an attempt that has ended here,
+   * in tenths of a millisecond, or 0 if it certainly is not. Once a part of the result has arrived,
+   * the attempt has been executed, even if the rest of the result is lost.
    */
   private static long mayRunUntil(InFlightAttempt inFlight, AttemptOutcome outcome) {
-    boolean over = !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.resultStarted();
-    return over ? 0 : inFlight.pending.request.clientDeadline;
+    boolean hasStopped =
+        !outcome.mayStillBeRunning || inFlight.pages != null || inFlight.resultStarted();
+    return hasStopped ? 0 : inFlight.pending.request.clientDeadline;
   }
 
   /**
-   * The client is answered at once, for the request can't succeed any more; the policy cancels what
-   * is still in flight.
+   * Answers a request immediately because it can no longer succeed. The request is rejected if it
+   * may be run again, otherwise it fails; the policy cancels the attempts that are still in flight.
    */
   private void withdraw(PendingResponse pending) {
-    open.remove(pending);
-    if (pending.settled()) {
+    unsettled.remove(pending);
+    if (pending.isSettled()) {
       return;
     }
-    boolean pure =
+    boolean isPure =
         pending.request.requestClass != null
             && pending.request.requestClass.config.effect() == Effect.PURE;
-    boolean again =
-        pure
+    boolean mayRunAgain =
+        isPure
             || pending.inFlightAttempts.stream()
                 .allMatch(inFlight -> inFlight.refusedByGuard || !inFlight.attempt.mayHaveRun());
-    if (again) {
+    if (mayRunAgain) {
       requests.reject(pending, pending.guard.retryAfter());
     } else {
       requests.fail(pending);
--- a/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
+++ b/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
@@ -8,33 +8,51 @@
 import tillerlink.net.wire.SubmitRequest;
 
 /**
- * A request as its client sees it: where it waits, and its answer once there is one. Owned by the
- * event-loop thread.
+ * A request from its client's point of view: the connection that waits for the answer, and the
+ * answer once there is one. Confined to the event-loop thread; all times are tenths of a
+ * millisecond.
  */
 final class PendingResponse {
+  /** The request as the client submitted it. */
   final SubmitRequest submitted;
+
+  /** The request as the policy sees it. */
   final Request request;
+
+  /** The attempts that were ordered for this request, by their numbers, including ended ones. */
   final List<InFlightAttempt> inFlightAttempts = new ArrayList<>(1);
 
-  /** The client's connection that waits for the answer, or null. */
-  ClientConnection waiting;
+  /** The client connection that waits for the answer, or null. */
+  ClientConnection waitingConnection;
 
-  /** The final answer, retained for a while for a client whose connection broke. */
+  /**
+   * The final answer, or null. It is retained for a while because a client whose connection broke
+   * may fetch it again.
+   */
   HttpResponse answer;
 
-  boolean handedOut;
+  /** The answer was passed to a client connection. */
+  boolean delivered;
 
-  /** Decides whether its attempts may be written, or null. */
+  /** Decides whether attempts of this request may be written; null if they always may. */
   GatewayExtension.Guard guard;
 
-  boolean left;
-  long forgetAt;
+  /** The client cancelled the request, or disconnected before the submission was answered. */
+  boolean cancelled;
+
+  /** The time from which the retention period of the request counts. */
+  long retentionStart;
 
   /**
-   * @param arrivedAt when it may have come at the earliest: its client's time counts from then
-   * @param line those about the same, of request classes that keep their order; or null
+   * Creates a request that has no answer.
+   *
+   * @param classIndex the index of the request class in the settings
+   * @param arrivedAt the earliest time at which the request may have arrived, from which its
+   *     deadline counts
+   * @param queue the requests with the same key, if its class preserves their order; or null
    */
-  PendingResponse(SubmitRequest submitted, int classIndex, long arrivedAt, KeyedRequestQueue line) {
+  PendingResponse(
+      SubmitRequest submitted, int classIndex, long arrivedAt, KeyedRequestQueue queue) {
     this.submitted = submitted;
     request =
         new Request(
@@ -46,17 +64,17 @@
             arrivedAt + submitted.patience(),
             submitted.estimate(),
             submitted.memory(),
-            line);
-    forgetAt = request.clientDeadline;
+            queue);
+    retentionStart = request.clientDeadline;
   }
 
-  /** The id by which the client correlates its request. */
+  /** Returns the correlation id that the client chose. */
   String id() {
     return submitted.id();
   }
 
-  /** Whether the client is owed nothing more. */
-  boolean settled() {
-    return answer != null || left;
+  /** Returns whether the request has its final answer or was cancelled. */
+  boolean isSettled() {
+    return answer != null || cancelled;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/PolicyEvents.java
+++ b/gateway/src/main/java/tillerlink/net/state/PolicyEvents.java
@@ -10,8 +10,9 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * Notifies the policy of events, wakes it up when it asked for that, and has it apply its decisions
- * once at the end of an iteration in which anything happened. Owned by the event-loop thread.
+ * Passes events to the dispatch policy, wakes it up at the time that it requested, and lets it
+ * apply its decisions once at the end of each iteration in which an event occurred. Confined to the
+ * event-loop thread; all times are tenths of a millisecond.
  */
 final class PolicyEvents {
   private final IterationContext iteration;
@@ -20,7 +21,7 @@
   private DispatchPolicy policy;
   private long wakeupAt = Long.MAX_VALUE;
 
-  /** The policy was notified of something and has not applied its decisions since. */
+  /** The policy has received an event and has not applied its decisions since. */
   private boolean decisionsPending = true;
 
   PolicyEvents(IterationContext iteration, InvariantReporter invariants, Telemetry telemetry) {
@@ -30,7 +31,8 @@
   }
 
   /**
-   * Called once, before the first event: the policy is created with its actions, which need this.
+   * Sets the policy. Called once, before the first event. The policy cannot be passed to the
+   * constructor, because it is created with its actions, which need this object.
    */
   void setPolicy(DispatchPolicy created) {
     policy = created;
@@ -38,6 +40,7 @@
 
   // ---- requests ----
 
+  /** Called when a request has been accepted. */
   void requestArrived(PendingResponse pending) {
     telemetry.metrics().add(Counter.REQUESTS_ACCEPTED);
     invariants.requestAccepted();
@@ -45,7 +48,10 @@
     decisionsPending = true;
   }
 
-  /** The client cancelled the request, or nothing is owed to it any more. */
+  /**
+   * Called when the client has cancelled the request, or when it was answered because its guard
+   * does not hold. The policy cancels the attempts that are still in flight.
+   */
   void clientDisconnected(PendingResponse pending) {
     telemetry.metrics().add(Counter.REQUESTS_CANCELLED);
     policy.onClientDisconnected(iteration.now(), pending.request);
@@ -53,30 +59,34 @@
   }
 
   /**
-   * No connection waits for the answer any more, though the client may fetch it again; or one does
-   * again.
+   * Called when a connection has begun or ceased to wait for the answer to a request.
+   *
+   * @param unattended whether no connection is waiting; the client may still fetch the answer later
    */
   void attendanceChanged(PendingResponse pending, boolean unattended) {
-    if (!pending.settled() && pending.request.unattended != unattended) {
+    if (!pending.isSettled() && pending.request.unattended != unattended) {
       policy.onClientAttendanceChanged(iteration.now(), pending.request, unattended);
       decisionsPending = true;
     }
   }
 
-  /** The process ends: the policy decides the final answer to the request. */
+  /** Lets the policy decide the final answer to the request, because the process is ending. */
   void shutdownDeadline(PendingResponse pending) {
     policy.onShutdownDeadline(iteration.now(), pending.request);
   }
 
   // ---- attempts ----
 
+  /** Called when an attempt has reported progress. */
   void attemptProgressed(InFlightAttempt inFlight, AttemptProgress progress, double level) {
     policy.onAttemptProgress(iteration.now(), inFlight.attempt, progress, level);
     decisionsPending = true;
   }
 
   /**
-   * @param elapsed since it was sent, in tenths of a millisecond
+   * Called when an attempt has ended.
+   *
+   * @param elapsed the time since the attempt was sent, in tenths of a millisecond
    */
   void attemptEnded(InFlightAttempt inFlight, AttemptOutcome outcome, long elapsed) {
     policy.onAttemptEnded(
@@ -84,19 +94,19 @@
         inFlight.attempt,
         outcome,
         elapsed,
-        inFlight.pending.settled(),
+        inFlight.pending.isSettled(),
         0,
         0,
         null);
     decisionsPending = true;
   }
 
-  /** Whether an attempt may still be written now. */
+  /** Returns whether an attempt may be written now, or why not. */
   SendVerdict checkWrite(Attempt attempt) {
     return policy.checkWrite(iteration.now(), attempt);
   }
 
-  /** Until when the first byte of an attempt may be written. */
+  /** Returns the time until which the first byte of an attempt may be written. */
   long writeDeadline(InFlightAttempt inFlight) {
     return policy.writeDeadline(iteration.now(), inFlight.attempt);
   }
@@ -104,7 +114,9 @@
   // ---- endpoint list ----
 
   /**
-   * @param usableUntil until when the list may be used as things are
+   * Called when the state of the endpoint list has changed.
+   *
+   * @param usableUntil the time until which the list may be used unless the state changes again
    */
   void endpointListStateChanged(EndpointListState state, long usableUntil) {
     policy.onEndpointListStateChanged(iteration.now(), state, usableUntil);
@@ -113,16 +125,17 @@
 
   // ---- time ----
 
-  /** The policy is to be woken up then, or earlier if it asked for that before. */
+  /** Schedules a wake-up of the policy; an earlier one that is already scheduled remains. */
   void scheduleWakeup(long at) {
     wakeupAt = Math.min(wakeupAt, at);
   }
 
+  /** Returns the time of the next wake-up, or {@link Long#MAX_VALUE} if none is scheduled. */
   long wakeupAt() {
     return wakeupAt;
   }
 
-  /** Wakes the policy up if that is due. */
+  /** Wakes up the policy if that is due. */
   void wakeUpIfDue() {
     if (iteration.now() >= wakeupAt) {
       wakeupAt = Long.MAX_VALUE;
@@ -131,12 +144,12 @@
     }
   }
 
-  /** Something outside of these events calls for decisions in this iteration. */
+  /** Makes the policy apply its decisions in this iteration even if no event is passed to it. */
   void requireDecisions() {
     decisionsPending = true;
   }
 
-  /** Has the policy apply its decisions if anything happened. */
+  /** Lets the policy apply its decisions if an event has occurred since the last time. */
   void applyDecisions() {
     if (decisionsPending) {
       decisionsPending = false;
--- a/gateway/src/main/java/tillerlink/net/state/RequestClasses.java
+++ b/gateway/src/main/java/tillerlink/net/state/RequestClasses.java
@@ -6,15 +6,15 @@
 import java.util.Set;
 import tillerlink.model.Settings;
 
-/** The request classes of the settings, as far as requests are accepted by them. Immutable. */
+/** The properties of the configured request classes that decide on acceptance. Immutable. */
 final class RequestClasses {
   private final Map<String, Integer> indexByName = new HashMap<>();
 
-  /** Those whose requests bear an idempotency key. */
-  private final Set<Integer> keyed = new HashSet<>();
+  /** The indexes of the classes whose requests must have an idempotency key. */
+  private final Set<Integer> keyRequired = new HashSet<>();
 
-  /** Those that keep the order of requests about the same subject. */
-  private final Set<Integer> ordered = new HashSet<>();
+  /** The indexes of the classes that preserve the order of requests with the same subject. */
+  private final Set<Integer> orderPreserving = new HashSet<>();
 
   private final long longestDeadline;
 
@@ -24,30 +24,30 @@
       String prefix = "profiles." + i;
       indexByName.put(settings.text(prefix + ".name"), i);
       if (settings.text(prefix + ".semantics").equals("by_key")) {
-        keyed.add(i);
+        keyRequired.add(i);
       }
       if (settings.flag(prefix + ".keep_order")) {
-        ordered.add(i);
+        orderPreserving.add(i);
       }
       longest = Math.max(longest, settings.number(prefix + ".hard_limit", 1));
     }
     longestDeadline = longest;
   }
 
-  /** The index of a class in the settings, or null if there is none of that name. */
-  Integer index(String name) {
+  /** Returns the index of a class in the settings, or null if no class has that name. */
+  Integer indexOf(String name) {
     return indexByName.get(name);
   }
 
   boolean requiresKey(int requestClass) {
-    return keyed.contains(requestClass);
+    return keyRequired.contains(requestClass);
   }
 
-  boolean keepsOrder(int requestClass) {
-    return ordered.contains(requestClass);
+  boolean preservesOrder(int requestClass) {
+    return orderPreserving.contains(requestClass);
   }
 
-  /** In tenths of a millisecond. */
+  /** Returns the longest deadline of all classes, in tenths of a millisecond. */
   long longestDeadline() {
     return longestDeadline;
   }
--- a/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
+++ b/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
@@ -16,64 +16,71 @@
 import tillerlink.telemetry.EventLog.Topic;
 
 /**
- * The requests that were accepted, from their submission until their answer was handed out and has
- * been kept for a moment. Owned by the event-loop thread; all times are tenths of a millisecond.
+ * The accepted requests, from their submission until the retention period after the delivery of
+ * their answer has elapsed. Confined to the event-loop thread; all times are tenths of a
+ * millisecond.
  */
 final class RequestRegistry {
   private static final String RESULT_PATH = "/v1/calls/";
   private static final String SUBMIT_PATH = "/v1/";
-  private static final int MAX_OPEN = 4096;
 
-  /** A client that would wait longer than this many of the longest deadlines is none of ours. */
-  private static final int MAX_PATIENCE = 2;
+  /** The largest number of requests in the registry, unless the settings specify fewer. */
+  private static final int MAX_REQUESTS = 4096;
 
-  /** How long an answer is kept for a client whose connection broke. */
-  private static final long LINGER = 1000 * Units.TENTHS_PER_MS;
+  /** A request is refused if its deadline is more than this many times the longest configured. */
+  private static final int MAX_DEADLINE_FACTOR = 2;
+
+  /** How long an answer is retained for a client whose connection broke. */
+  private static final long ANSWER_RETENTION = 1000 * Units.TENTHS_PER_MS;
 
   private final GatewayContext context;
   private final RequestClasses classes;
   private final RetainedBytes retained;
   private final Map<String, PendingResponse> byId = new LinkedHashMap<>();
 
-  /** Open requests by their subjects, of request classes that keep the order. */
+  /** The queues of open requests by subject, for request classes that preserve the order. */
   private final Map<String, KeyedRequestQueue> queues = new HashMap<>();
 
-  private final long maxOpen;
+  private final long maxRequests;
+
+  /** The retry advice for requests rejected because of overload; 0 for no advice. */
   private final long retryAfter;
+
   private boolean closed;
 
   RequestRegistry(GatewayContext context, Settings settings, RetainedBytes retained) {
     this.context = context;
     this.retained = retained;
     classes = new RequestClasses(settings);
-    maxOpen = Math.min(MAX_OPEN, settings.number("caps.max_open", MAX_OPEN));
+    maxRequests = Math.min(MAX_REQUESTS, settings.number("caps.max_open", MAX_REQUESTS));
     retryAfter = settings.flag("caps.retry_after") ? settings.number("caps.max_retry_after", 0) : 0;
   }
 
   // ---- acceptance ----
 
   /**
-   * Accepts a request, or answers why not.
+   * Accepts a request, or answers it with the reason why it is not accepted.
    *
-   * @param guard decides whether its attempts may be written, or null
-   * @return null if none was accepted
+   * @param guard decides whether attempts of the request may be written; null if they always may
+   * @param reply receives the path of the result or the reason
+   * @return null if no new request was accepted
    */
   PendingResponse submit(
-      HttpRequest http, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
+      HttpRequest request, GatewayExtension.Guard guard, GatewayExtension.Reply reply) {
     if (closed) {
       reply.answer(overloaded());
       return null;
     }
-    String path = http.path();
+    String path = request.path();
     Integer requestClass =
-        path.startsWith(SUBMIT_PATH) ? classes.index(path.substring(SUBMIT_PATH.length())) : null;
+        path.startsWith(SUBMIT_PATH) ? classes.indexOf(path.substring(SUBMIT_PATH.length())) : null;
     if (requestClass == null) {
       reply.answer(HttpResponse.unknown());
       return null;
     }
     SubmitRequest submitted;
     try {
-      submitted = SubmitRequest.of(http);
+      submitted = SubmitRequest.of(request);
     } catch (IllegalArgumentException e) {
       reply.answer(HttpResponse.problem(400, e.getMessage(), 0));
       return null;
@@ -86,21 +93,24 @@
     return accept(submitted, requestClass, guard, reply);
   }
 
-  /** The answer to a request that is not accepted, or was accepted before; null for a new one. */
+  /**
+   * Returns the answer to a request that is not accepted or was accepted before, or null if the
+   * request can be accepted.
+   */
   private HttpResponse answerWithoutAccepting(SubmitRequest submitted, int requestClass) {
-    if (submitted.patience() > MAX_PATIENCE * classes.longestDeadline()) {
+    if (submitted.patience() > MAX_DEADLINE_FACTOR * classes.longestDeadline()) {
       return HttpResponse.problem(400, "X-Deadline-Ms", 0);
     }
     if (submitted.key() == null && classes.requiresKey(requestClass)) {
       return HttpResponse.problem(400, "X-Operation-Key", 0);
     }
-    PendingResponse known = byId.get(submitted.id());
-    if (known != null) {
-      return !known.left && known.submitted.same(submitted)
+    PendingResponse existing = byId.get(submitted.id());
+    if (existing != null) {
+      return !existing.cancelled && existing.submitted.same(submitted)
           ? HttpResponse.goOnAt(RESULT_PATH + submitted.id())
           : HttpResponse.problem(409, "Known", 0);
     }
-    if (byId.size() >= maxOpen || retained.isFull()) {
+    if (byId.size() >= maxRequests || retained.isFull()) {
       context.warnRateLimited(
           "request limit reached: "
               + byId.size()
@@ -118,7 +128,7 @@
       GatewayExtension.Guard guard,
       GatewayExtension.Reply reply) {
     KeyedRequestQueue queue =
-        submitted.subject() == null || !classes.keepsOrder(requestClass)
+        submitted.subject() == null || !classes.preservesOrder(requestClass)
             ? null
             : queues.computeIfAbsent(submitted.subject(), subject -> new KeyedRequestQueue());
     PendingResponse pending =
@@ -132,53 +142,56 @@
     return pending;
   }
 
-  /** The answer to what there is no capacity for. */
+  /** Returns the answer to a request for which there is no capacity. */
   HttpResponse overloaded() {
-    return rejection(retryAfter);
+    return overloadResponse(retryAfter);
   }
 
-  private static HttpResponse rejection(long retryAfter) {
+  private static HttpResponse overloadResponse(long retryAfter) {
     return HttpResponse.problem(503, "Full", retryAfter / Units.TENTHS_PER_MS);
   }
 
   // ---- clients ----
 
-  /** The request whose result has that path, or null. */
-  PendingResponse find(String path) {
+  /** Returns the request whose result has the given path, or null. */
+  PendingResponse findByResultPath(String path) {
     return path.startsWith(RESULT_PATH) ? byId.get(path.substring(RESULT_PATH.length())) : null;
   }
 
   /**
-   * A client fetches the result of a request.
+   * Answers a client that fetches the result of a request, at once if the result is available.
    *
-   * @param pending null if there is no such request
+   * @param pending the request, or null if there is no such request
    */
   void fetch(ClientConnection client, PendingResponse pending) {
-    if (pending == null || pending.left) {
+    if (pending == null || pending.cancelled) {
       client.answer(HttpResponse.unknown());
     } else if (pending.answer != null) {
-      handOut(pending, client);
+      deliver(pending, client);
     } else {
-      stopWaiting(pending);
-      pending.waiting = client;
+      supersedeWaitingConnection(pending);
+      pending.waitingConnection = client;
       client.waitFor(pending);
       context.policyEvents().attendanceChanged(pending, false);
     }
   }
 
-  /** It is fetched again, or cancelled: the connection that waited is of no use any more. */
-  private static void stopWaiting(PendingResponse pending) {
-    if (pending.waiting != null) {
-      pending.waiting.supersede();
-      pending.waiting = null;
+  /** Aborts the waiting connection, because the result is fetched on another one or cancelled. */
+  private static void supersedeWaitingConnection(PendingResponse pending) {
+    if (pending.waitingConnection != null) {
+      pending.waitingConnection.supersede();
+      pending.waitingConnection = null;
     }
   }
 
-  /** The client cancelled the request, or has disconnected: nothing is owed any more. */
+  /**
+   * Cancels a request because its client asked for that, or disconnected before the answer to the
+   * submission was written. The request gets no answer.
+   */
   void cancel(PendingResponse pending) {
-    if (!pending.settled()) {
+    if (!pending.isSettled()) {
       long now = context.now();
-      pending.left = true;
+      pending.cancelled = true;
       pending.request.disconnectedAt = now;
       context
           .telemetry()
@@ -193,74 +206,87 @@
               pending.inFlightAttempts.size(),
               "after_ms",
               (now - pending.request.arrivedAt) / Units.TENTHS_PER_MS);
-      pending.forgetAt = now;
-      stopWaiting(pending);
+      pending.retentionStart = now;
+      supersedeWaitingConnection(pending);
       context.policyEvents().clientDisconnected(pending);
     }
   }
 
-  /** The connection on which its client waited, or submitted it and was to wait, has ended. */
+  /**
+   * Called when the connection has ended on which the client waited for the answer, or on which it
+   * submitted the request and was expected to wait.
+   */
   void onConnectionLost(PendingResponse pending) {
-    if (pending.waiting == null) {
+    if (pending.waitingConnection == null) {
       context.policyEvents().attendanceChanged(pending, true);
     }
   }
 
   // ---- answers ----
 
+  /** Answers a request with its result. */
   void succeed(PendingResponse pending, byte[] rows) {
     answer(pending, new HttpResponse(200, rows, 0, false));
   }
 
   /**
-   * @param retryAfterTenths advice for the client; 0 for none
+   * Answers a request that had no effect or may run again.
+   *
+   * @param retryAfterTenths the delay after which the client should retry; 0 for no advice
    */
   void reject(PendingResponse pending, long retryAfterTenths) {
-    answer(pending, rejection(retryAfterTenths));
+    answer(pending, overloadResponse(retryAfterTenths));
   }
 
+  /** Answers a request that failed and may have had an effect. */
   void fail(PendingResponse pending) {
     answer(pending, HttpResponse.problem(500, "Error", 0));
   }
 
   private void answer(PendingResponse pending, HttpResponse answer) {
-    if (pending.settled()) {
+    if (pending.isSettled()) {
       return;
     }
     pending.answer = answer;
     context.invariants().answerReady(pending);
     retained.add(answer.body().length);
-    if (pending.waiting != null) {
-      handOut(pending, pending.waiting);
-      pending.waiting = null;
+    if (pending.waitingConnection != null) {
+      deliver(pending, pending.waitingConnection);
+      pending.waitingConnection = null;
     }
   }
 
-  /** The answer stays for a moment: a client whose connection breaks fetches it again. */
-  private void handOut(PendingResponse pending, ClientConnection client) {
-    pending.handedOut = true;
-    pending.forgetAt = context.now();
+  /**
+   * Sends the answer to a client. The answer is retained for a while, because a client whose
+   * connection breaks fetches it again.
+   */
+  private void deliver(PendingResponse pending, ClientConnection client) {
+    pending.delivered = true;
+    pending.retentionStart = context.now();
     client.answer(pending.answer);
   }
 
   // ---- time ----
 
   /**
-   * Times out attempts whose client's deadline has passed, and forgets what was answered.
+   * Ends the attempts of requests whose deadlines have passed, and removes requests whose retention
+   * period has elapsed.
    *
    * @param timeOut ends the attempts of a request
    */
   void sweep(Consumer<PendingResponse> timeOut) {
     long now = context.now();
-    for (Iterator<PendingResponse> i = byId.values().iterator(); i.hasNext(); ) {
-      PendingResponse pending = i.next();
+    for (Iterator<PendingResponse> iterator = byId.values().iterator(); iterator.hasNext(); ) {
+      PendingResponse pending = iterator.next();
       if (now >= pending.request.clientDeadline) {
         timeOut.accept(pending);
       }
-      if (now >= pending.forgetAt + LINGER && pending.settled() && pending.request.isOver()) {
+      if (now >= pending.retentionStart + ANSWER_RETENTION
+          && pending.isSettled()
+          && pending.request.isOver()) {
         retained.add(-pending.submitted.statement().length);
         retained.add(pending.answer == null ? 0 : -pending.answer.body().length);
-        i.remove();
+        iterator.remove();
       }
     }
     queues
@@ -268,7 +294,7 @@
         .removeIf(queue -> queue.firstUnfinished() == null && now >= queue.cooldownUntil);
   }
 
-  /** Nothing further is accepted. */
+  /** Stops accepting requests. */
   void close() {
     closed = true;
   }
@@ -277,23 +303,25 @@
     return closed;
   }
 
+  /** Returns the longest deadline of all request classes. */
   long longestDeadline() {
     return classes.longestDeadline();
   }
 
+  /** Returns the number of requests in the registry, including those with an answer. */
   int size() {
     return byId.size();
   }
 
-  /** Whether every answer was handed out to whoever waits for it. */
-  boolean allHandedOut() {
-    return byId.values().stream().allMatch(pending -> pending.left || pending.handedOut);
+  /** Returns whether every request has been cancelled or its answer passed to a connection. */
+  boolean allDelivered() {
+    return byId.values().stream().allMatch(pending -> pending.cancelled || pending.delivered);
   }
 
-  /** The requests that are owed an answer. */
+  /** Returns the requests that are neither answered nor cancelled. */
   List<PendingResponse> unanswered() {
     List<PendingResponse> unanswered = new ArrayList<>(byId.values());
-    unanswered.removeIf(PendingResponse::settled);
+    unanswered.removeIf(PendingResponse::isSettled);
     return unanswered;
   }
 }
