--- a/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
+++ b/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
@@ -9,16 +9,17 @@
 import tillerlink.port.SendVerdict;
 
 /**
- * Executes the policy's actions: attempts go to the transports of their engines, rejections and
- * failures to the requests. Owned by the event-loop thread.
+ * Executes the actions that the dispatch policy orders. Attempts are passed to the transports of
+ * their engines; rejections and failures are passed to the request registry. Confined to the
+ * event-loop thread; all times are tenths of a millisecond.
  */
 final class ActionExecutor implements DispatchActions {
   private final GatewayContext context;
   private final RequestRegistry requests;
   private final EngineTransportOwner transports;
 
-  /** Attempts ordered in this iteration. */
-  private List<InFlightAttempt> ordered = new ArrayList<>();
+  /** The attempts that the policy has ordered in the current iteration. */
+  private List<InFlightAttempt> orderedAttempts = new ArrayList<>();
 
   ActionExecutor(
       GatewayContext context, RequestRegistry requests, EngineTransportOwner transports) {
@@ -28,8 +29,8 @@
   }
 
   @Override
-  public void updatePriorityAndGrant(Request request, int rank, long grant) {
-    // This protocol has no message for either.
+  public void updatePriorityAndGrant(Request request, int priority, long grant) {
+    // The engine protocols have no message that changes the priority or the grant of a request.
   }
 
   @Override
@@ -38,25 +39,26 @@
     InFlightAttempt inFlight =
         new InFlightAttempt(attempt, pending, context.policyEvents()::checkWrite);
     pending.inFlightAttempts.add(inFlight);
-    ordered.add(inFlight);
+    orderedAttempts.add(inFlight);
     context.dispatchLog().attemptOrdered(inFlight);
   }
 
   /**
-   * Hands the attempts ordered in this iteration to their transports once all input that can be
-   * read by now has been processed.
+   * Passes the attempts that were ordered in the current iteration to their transports, once all
+   * input that could be read when this method was called has been processed.
    */
   void startOrderedAttempts() {
-    if (!ordered.isEmpty()) {
-      List<InFlightAttempt> batch = ordered;
-      ordered = new ArrayList<>();
+    if (!orderedAttempts.isEmpty()) {
+      List<InFlightAttempt> batch = orderedAttempts;
+      orderedAttempts = new ArrayList<>();
       context.driver().runAfterPendingReads(() -> batch.forEach(this::start));
     }
   }
 
   /**
-   * Guards requests whose client closed at the moment of the order: what could be read by then has
-   * been processed since, and the attempt is checked once more.
+   * Passes an attempt to its transport if it may still be sent. The check is made here once more
+   * because the client may have disconnected just as the policy decided on the attempt. All input
+   * that could be read at that moment has been processed since.
    */
   private void start(InFlightAttempt inFlight) {
     if (!inFlight.attempt.isInFlight()) {
@@ -103,7 +105,7 @@
 
   @Override
   public void watchEndpoints() {
-    // The discovery service is polled all the time.
+    // The gateway polls the discovery service continuously, so there is nothing to start here.
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/Channel.java
+++ b/gateway/src/main/java/tillerlink/net/state/Channel.java
@@ -1,61 +1,64 @@
 package tillerlink.net.state;
 
 /**
- * One connection as seen from here. Used on the event-loop thread alone; what is written goes out
- * at the end of the iteration, in order.
+ * The gateway's end of one network connection. All methods must be called on the event-loop thread.
+ * Written bytes are buffered and sent in order at the end of the event-loop iteration.
  */
 public interface Channel {
-  /** Writes bytes. */
+  /** Appends bytes to the output of this connection. */
   void write(byte[] bytes);
 
   /**
-   * Writes bytes, but none of them if the first can't be written before that moment; then the owner
-   * gets {@link Owner#onWriteExpired} in place of {@link Owner#onWritten}.
+   * Appends bytes to the output of this connection and discards all of them if the first byte
+   * cannot be written before a deadline. In that case the owner is notified by {@link
+   * Owner#onWriteExpired} instead of {@link Owner#onWritten}. The default implementation ignores
+   * the deadline.
    *
-   * @param before tenths of a millisecond
+   * @param deadline in tenths of a millisecond of the gateway's clock
    */
-  default void writeUntil(byte[] bytes, long before) {
+  default void writeUntil(byte[] bytes, long deadline) {
     write(bytes);
   }
 
   /**
-   * Nothing more is written: once everything has been written, the output ends. What the peer still
-   * sends is passed on until it ends the connection as well, or a second has passed.
+   * Closes the output once all buffered bytes have been written; no further writes are allowed.
+   * Input is still passed to the owner until the peer closes the connection as well, for at most
+   * one second.
    */
   void close();
 
-  /** Ends it at once. */
+  /** Closes the connection immediately and discards bytes that have not been written. */
   void abort();
 
-  /** Pauses or resumes reading from it. */
+  /** Pauses or resumes reading from this connection. */
   void pauseReading(boolean paused);
 
-  /** Notified of what happens on a channel, always on the event-loop thread. */
+  /** Receives the events of a channel, always on the event-loop thread. */
   interface Owner {
-    /** The connection has opened. */
+    /** Called when the connection has been established. */
     void onOpened();
 
-    /** Bytes were received. */
+    /** Called when bytes have been received. */
     void onBytes(byte[] bytes);
 
-    /** The oldest write that was not yet reported has been written whole. */
+    /** Called when the oldest write that was not reported yet has been written completely. */
     void onWritten();
 
     /**
-     * The same, for a write with a bound.
+     * Called instead of {@link #onWritten()} for a write that had a deadline.
      *
-     * @param firstByteAt when its first byte was written, in tenths of a millisecond
+     * @param firstByteAt when the first byte was written, in tenths of a millisecond
      */
     default void onWritten(long firstByteAt) {
       onWritten();
     }
 
-    /** The oldest write that was not yet reported was late, and nothing of it was written. */
+    /** Called when the oldest write not reported yet missed its deadline and was discarded. */
     default void onWriteExpired() {
       onWritten();
     }
 
-    /** The connection has ended; called once, and nothing follows. */
-    void onClosed(DisconnectReason how);
+    /** Called once when the connection has ended; no other method is called afterwards. */
+    void onClosed(DisconnectReason reason);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
+++ b/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
@@ -5,9 +5,10 @@
 import tillerlink.plain.Units;
 
 /**
- * One event-loop iteration: {@link #begin}, then whatever events have come, then {@link #end},
- * which does what is due and has the policy apply its decisions once. Owned by the event-loop
- * thread; all times are tenths of a millisecond.
+ * The sequence of steps in an event-loop iteration. The caller invokes {@link #begin}, then
+ * processes the events that have arrived, then invokes {@link #end}, which runs the work that is
+ * due and lets the policy apply its decisions once. Confined to the event-loop thread; all times
+ * are tenths of a millisecond.
  */
 final class EventLoopIteration {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
@@ -21,11 +22,11 @@
   private final ActionExecutor actions;
   private final NetworkSettings settings;
 
-  /** Null if the gateway has none. */
+  /** The extension, or null if the gateway has none. */
   private GatewayExtension extension;
 
-  private long sweepAt;
-  private long summaryAt;
+  private long nextSweepAt;
+  private long nextSummaryAt;
 
   EventLoopIteration(
       GatewayContext context,
@@ -41,14 +42,18 @@
     this.endpointWatch = endpointWatch;
     this.actions = actions;
     this.settings = settings;
-    summaryAt = iteration.now() + SUMMARY_INTERVAL;
+    nextSummaryAt = iteration.now() + SUMMARY_INTERVAL;
   }
 
-  void setExtension(GatewayExtension added) {
-    extension = added;
+  void setExtension(GatewayExtension newExtension) {
+    extension = newExtension;
   }
 
-  /** An iteration begins; its time is never before that of the iteration before. */
+  /**
+   * Begins an iteration. Its time never precedes that of the previous iteration.
+   *
+   * @param clock the current time
+   */
   void begin(long clock) {
     context.pauses().onIterationStarted(iteration.now(), clock);
     iteration.advanceTo(clock);
@@ -58,11 +63,14 @@
     iteration.runDeferredTasks();
   }
 
-  /** All events of this iteration were processed: does what is due, then applies decisions. */
+  /**
+   * Ends an iteration, after all of its events have been processed: runs the work that is due and
+   * then lets the policy apply its decisions.
+   */
   void end() {
     long now = iteration.now();
-    if (now >= sweepAt) {
-      sweepAt = now + settings.sweepInterval();
+    if (now >= nextSweepAt) {
+      nextSweepAt = now + settings.sweepInterval();
       sweep(now);
     }
     endpointWatch.checkTimeouts();
@@ -76,20 +84,22 @@
     context.pauses().expectIterationAt(dueAt());
   }
 
-  /** When the next iteration is due though no event comes. */
+  /** Returns the time at which the next iteration is due if no event arrives before. */
   long dueAt() {
     long dueAt =
         iteration.hasDeferredTasks()
             ? iteration.now()
-            : Math.min(Math.min(context.policyEvents().wakeupAt(), sweepAt), endpointWatch.dueAt());
+            : Math.min(
+                Math.min(context.policyEvents().wakeupAt(), nextSweepAt), endpointWatch.dueAt());
     return extension == null ? dueAt : Math.min(dueAt, extension.nextDueAt());
   }
 
+  /** Checks the timeouts of connections and requests, and logs the summary if it is due. */
   private void sweep(long now) {
     transports.endpoints().checkTimeouts(settings.connectTimeout(), settings.idleTimeout());
     clients.sweep(transports::timeOut);
-    if (now >= summaryAt) {
-      summaryAt = now + SUMMARY_INTERVAL;
+    if (now >= nextSummaryAt) {
+      nextSummaryAt = now + SUMMARY_INTERVAL;
       LOG.atInfo()
           .addKeyValue("engine_connections", transports.openConnections())
           .addKeyValue("endpoint_list_version", transports.endpoints().index())
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -10,22 +10,25 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * One gateway: assembles the objects that own its state and is their interface to the process. The
- * event-loop thread owns it, and every method is called on that thread, within an iteration unless
- * it says otherwise: {@link #beginIteration}, then the events that have come, then {@link
+ * One gateway. It assembles the objects that own the gateway's state and is their interface to the
+ * process. All methods must be called on the event-loop thread and, unless documented otherwise,
+ * within an iteration: {@link #beginIteration}, then the events that have arrived, then {@link
  * #endIteration}. All times are tenths of a millisecond of the gateway's clock.
  *
  * <ul>
- *   <li>{@link ClientRequestHandler}: requests, what is owed for them, and client connections
- *   <li>{@link EngineTransportOwner}: the endpoint list with the transports of its engines, and
- *       what becomes of attempts
- *   <li>{@link EndpointListWatch}: the discovery service, and how far the endpoint list may be used
- *   <li>{@link PolicyEvents} to the policy and {@link ActionExecutor} from it
- *   <li>{@link EventLoopIteration}: the order of what is done in an iteration
+ *   <li>{@link ClientRequestHandler}: requests, their pending answers, and client connections
+ *   <li>{@link EngineTransportOwner}: the endpoint list with the transports of its engines, and the
+ *       outcomes of attempts
+ *   <li>{@link EndpointListWatch}: the polling of the discovery service, and whether the endpoint
+ *       list may be used
+ *   <li>{@link PolicyEvents}: the events that are passed to the policy
+ *   <li>{@link ActionExecutor}: the actions that the policy orders
+ *   <li>{@link EventLoopIteration}: the sequence of steps in an iteration
  * </ul>
  */
 public final class Gateway {
-  private static final int HEAP_SHARE = 4;
+  /** Bytes retained for clients may take the maximum heap size divided by this number. */
+  private static final int HEAP_DIVISOR = 4;
 
   private final GatewayContext context;
   private final ClientRequestHandler clients;
@@ -34,16 +37,19 @@
   private final EndpointListWatch endpointWatch;
   private final EventLoopIteration eventLoop;
 
-  /** Null if the gateway has none. */
+  /** The extension, or null if the gateway has none. */
   private GatewayExtension extension;
 
-  /** With engines reached over engine lines, and nothing cached across restarts. */
+  /** Creates a gateway that uses the line protocol for all engines and has no endpoint cache. */
   public Gateway(
       GatewayConfig config, DispatchPolicyFactory factory, NetworkDriver driver, long now) {
     this(config, factory, driver, now, null, null);
   }
 
-  /** With a bound, by this process' heap, on what is retained for clients. */
+  /**
+   * Creates a gateway that retains at most a quarter of this process's maximum heap size for
+   * clients.
+   */
   public Gateway(
       GatewayConfig config,
       DispatchPolicyFactory factory,
@@ -56,18 +62,21 @@
         factory,
         driver,
         now,
-        Runtime.getRuntime().maxMemory() / HEAP_SHARE,
+        Runtime.getRuntime().maxMemory() / HEAP_DIVISOR,
         transports,
         endpointCache,
         Telemetry.logging());
   }
 
   /**
-   * @param maxBytes how much may be retained for clients; beyond it no request is accepted
-   * @param transportFactory how engines are reached, by their kinds; null, or null for an engine:
-   *     over engine lines
-   * @param endpointCache what is cached across restarts; null: nothing
-   * @param telemetry what it counts and logs
+   * Creates a gateway.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param maxBytes the number of bytes retained for clients above which no request is accepted
+   * @param transportFactory creates the transports of engines by their kinds; the line protocol is
+   *     used if it is null, and for engines for which it returns null
+   * @param endpointCache stores the endpoint list across restarts, or null for no cache
+   * @param telemetry the counters and the event log of the gateway
    */
   public Gateway(
       GatewayConfig config,
@@ -79,25 +88,26 @@
       EndpointCache endpointCache,
       Telemetry telemetry) {
     Map<String, Object> flattened = FlattenedConfig.of(config.terms());
-    Settings terms = new Settings(flattened);
-    context = GatewayContext.create(driver, now, terms, telemetry);
+    Settings settings = new Settings(flattened);
+    context = GatewayContext.create(driver, now, settings, telemetry);
     clients =
-        new ClientRequestHandler(context, terms, config.maxClients(), new RetainedBytes(maxBytes));
+        new ClientRequestHandler(
+            context, settings, config.maxClients(), new RetainedBytes(maxBytes));
     fencedRequests = new FencedRequests(context, clients.requests());
-    NetworkSettings settings =
-        NetworkSettings.of(config, terms, clients.requests().longestDeadline());
+    NetworkSettings networkSettings =
+        NetworkSettings.of(config, settings, clients.requests().longestDeadline());
     transports =
         new EngineTransportOwner(
             context,
             clients.requests(),
             clients.retained(),
             fencedRequests,
+            networkSettings,
             settings,
-            terms,
             transportFactory);
     EndpointList endpoints = transports.endpoints();
     DiscoveryClient discoveryClient =
-        new DiscoveryClient(driver, config.seed(), now, settings.drainGrace(), telemetry);
+        new DiscoveryClient(driver, config.seed(), now, networkSettings.drainGrace(), telemetry);
     ActionExecutor actions = new ActionExecutor(context, clients.requests(), transports);
     DispatchPolicy policy = factory.create(now, config.seed(), flattened, actions);
     context.policyEvents().setPolicy(policy);
@@ -106,7 +116,8 @@
     endpointWatch = new EndpointListWatch(context, discoveryClient, updater, endpoints);
     endpointWatch.start(config.known());
     eventLoop =
-        new EventLoopIteration(context, clients, transports, endpointWatch, actions, settings);
+        new EventLoopIteration(
+            context, clients, transports, endpointWatch, actions, networkSettings);
     registerGauges();
   }
 
@@ -126,71 +137,85 @@
         () -> clients.requests().unanswered().size());
   }
 
-  /** Adds the extension of this gateway, before its first client; null: it has none. */
-  public void setExtension(GatewayExtension added) {
-    extension = added;
-    clients.setExtension(added);
-    eventLoop.setExtension(added);
+  /**
+   * Sets the extension of this gateway. Must be called before the first client connects.
+   *
+   * @param newExtension null if the gateway has no extension
+   */
+  public void setExtension(GatewayExtension newExtension) {
+    extension = newExtension;
+    clients.setExtension(newExtension);
+    eventLoop.setExtension(newExtension);
   }
 
-  /** What the extension may ask of this gateway. */
+  /** Returns the operations that the extension may call on this gateway. */
   public GatewayExtension.ExtensionContext extensionContext() {
     return fencedRequests;
   }
 
   // ---- event loop ----
 
-  /** When the current iteration began. */
+  /** Returns the time at which the current iteration began. */
   public long now() {
     return context.now();
   }
 
-  /** An iteration begins; its time is never before that of the iteration before. */
+  /**
+   * Begins an iteration. Its time never precedes that of the previous iteration.
+   *
+   * @param clock the current time
+   */
   public void beginIteration(long clock) {
     eventLoop.begin(clock);
   }
 
-  /** All events of the iteration were processed: what is due follows, then the decisions. */
+  /**
+   * Ends an iteration, after all of its events have been processed: runs the work that is due and
+   * then lets the policy apply its decisions.
+   */
   public void endIteration() {
     eventLoop.end();
   }
 
-  /** When the next iteration is due though no event comes; called between iterations as well. */
+  /**
+   * Returns the time at which the next iteration is due if no event arrives before. May be called
+   * between iterations as well.
+   */
   public long dueAt() {
     return eventLoop.dueAt();
   }
 
   // ---- network events ----
 
-  /** A client has connected. */
+  /** Called when a client has connected; returns the owner of its channel. */
   public Channel.Owner onClientConnected(Channel channel) {
     context.pauses().onClientActivity(context.now());
     return clients.onConnected(channel);
   }
 
-  /** A datagram of the discovery service has come. */
+  /** Called when a datagram of the discovery service has been received. */
   public void onDiscoveryDatagram(byte[] datagram) {
     endpointWatch.onDatagram(datagram);
   }
 
-  /** The driver sends queries to another address of the discovery service from now on. */
+  /** Called when the driver has begun to send queries to another discovery service address. */
   public void discoveryAddressChanged() {
     endpointWatch.onAddressChanged();
   }
 
-  /** Whether an answer of the discovery service confirms the endpoint list in force. */
+  /** Returns whether an answer of the discovery service confirms the current endpoint list. */
   public boolean listConfirmed() {
     return endpointWatch.confirmed();
   }
 
-  /** How many connections to engines are open or being opened. */
+  /** Returns the number of engine connections that are open or being opened. */
   public int openConnections() {
     return transports.openConnections();
   }
 
   // ---- shutdown ----
 
-  /** The process is to end soon; until {@link #stopAccepting} all requests are served. */
+  /** Called when the process will end soon; requests are served until {@link #stopAccepting}. */
   public void drain() {
     clients.drain();
     if (extension != null) {
@@ -198,27 +223,30 @@
     }
   }
 
-  /** The longest that any client waits for an answer. */
+  /** Returns the longest deadline of all request classes, in tenths of a millisecond. */
   public long longestDeadline() {
     return clients.requests().longestDeadline();
   }
 
-  /** Whether every answer has been written. */
+  /** Returns whether every answer has been written. */
   public boolean allAnswered() {
     return clients.allAnswered();
   }
 
-  /** No further request is accepted; connections close once nothing is owed on them. */
+  /** Stops accepting requests; each connection closes after its last pending answer. */
   public void stopAccepting() {
     clients.close();
   }
 
-  /** Whether no client is connected any more. */
+  /** Returns whether no client is connected. */
   public boolean hasNoClients() {
     return clients.connections().size() == 0;
   }
 
-  /** Time is up: the policy decides the final answer to what is still pending. */
+  /**
+   * Called when the time for the shutdown has elapsed: the policy decides the final answer to each
+   * request that is still pending.
+   */
   public void onShutdownDeadline() {
     if (extension != null) {
       extension.onShutdownDeadline();
@@ -227,7 +255,7 @@
     context.policyEvents().requireDecisions();
   }
 
-  /** How many requests were accepted and have no final answer. */
+  /** Returns the number of accepted requests that have no final answer. */
   public int pendingRequests() {
     return clients.requests().unanswered().size();
   }
--- a/gateway/src/main/java/tillerlink/net/state/GatewayContext.java
+++ b/gateway/src/main/java/tillerlink/net/state/GatewayContext.java
@@ -5,10 +5,19 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * What the parts of one gateway share: the time of the iteration, the network, the way to the
- * policy, and what is counted and logged. Owned by the event-loop thread.
+ * The objects that the parts of one gateway share. Confined to the event-loop thread.
  *
- * @param monitor the checks themselves, for what is not reported through {@code invariants}
+ * @param iteration the time of the current iteration, and the tasks deferred to the next one
+ * @param driver the network
+ * @param pauses detects pauses of this process
+ * @param listStatus the state and version of the endpoint list
+ * @param monitor checks the invariants; used directly for events that {@code invariants} does not
+ *     pass on
+ * @param invariants passes writes and answers to the monitor and reports violations
+ * @param policyEvents passes events to the policy
+ * @param dispatchLog counts and logs attempts and requests
+ * @param warnings logs warnings at a limited rate
+ * @param telemetry the counters and the event log
  */
 record GatewayContext(
     IterationContext iteration,
@@ -23,7 +32,9 @@
     Telemetry telemetry) {
 
   /**
-   * @param now when the gateway starts, in tenths of a millisecond
+   * Creates the shared objects of one gateway.
+   *
+   * @param now the time at which the gateway starts, in tenths of a millisecond
    */
   static GatewayContext create(
       NetworkDriver driver, long now, Settings settings, Telemetry telemetry) {
@@ -46,12 +57,12 @@
         telemetry);
   }
 
-  /** The time of this iteration, in tenths of a millisecond. */
+  /** Returns the time of the current iteration, in tenths of a millisecond. */
   long now() {
     return iteration.now();
   }
 
-  /** Logs a warning, at a bounded rate. */
+  /** Logs a warning, at a limited rate. */
   void warnRateLimited(String line) {
     warnings.warn(iteration.now(), line);
   }
--- a/gateway/src/main/java/tillerlink/net/state/InvariantReporter.java
+++ b/gateway/src/main/java/tillerlink/net/state/InvariantReporter.java
@@ -8,8 +8,8 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * Checks writes and answers against the invariants, and counts and logs what violates them. Owned
- * by the event-loop thread.
+ * Passes writes and answers to the {@link InvariantMonitor}, and counts and logs violations.
+ * Confined to the event-loop thread; all times are tenths of a millisecond.
  */
 final class InvariantReporter {
   private final IterationContext iteration;
@@ -31,37 +31,38 @@
     this.telemetry = telemetry;
   }
 
-  /** A request was accepted. */
+  /** Called when a request has been accepted. */
   void requestAccepted() {
     monitor.onRequestAccepted(iteration.now());
   }
 
   /**
-   * An attempt was written.
+   * Checks an attempt that was written.
    *
-   * @param before by when its first byte had to be written
-   * @param limit how long its engine was told that the client waits
+   * @param firstByteAt when its first byte was written
+   * @param writeDeadline the time by which its first byte had to be written
+   * @param timeLimit how long the client waits, as sent to the engine
    */
-  void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit) {
+  void attemptSent(InFlightAttempt inFlight, long firstByteAt, long writeDeadline, long timeLimit) {
     report(
         monitor.checkWritten(
-            new InvariantMonitor.Written(inFlight.attempt, firstByteAt, before, limit)),
+            new InvariantMonitor.Written(inFlight.attempt, firstByteAt, writeDeadline, timeLimit)),
         inFlight.pending,
         inFlight.engineId());
   }
 
-  /** The answer to a request is ready. */
+  /** Checks the answer to a request when it is ready. */
   void answerReady(PendingResponse pending) {
     long now = iteration.now();
     if (pauses.mayHavePassedDuringPause(now, pending.request.clientDeadline)) {
-      // No program can answer in time while it is paused; the pause itself is counted.
+      // A paused process cannot answer in time; the pause detector counts the pause itself.
       return;
     }
     report(monitor.checkAnswer(now, pending.request), pending, "none");
   }
 
-  private void report(Set<Invariant> broken, PendingResponse pending, String engine) {
-    for (Invariant invariant : broken) {
+  private void report(Set<Invariant> violations, PendingResponse pending, String engine) {
+    for (Invariant invariant : violations) {
       telemetry.metrics().add(Counter.INVARIANT_VIOLATIONS, invariant);
       telemetry
           .log()
--- a/gateway/src/main/java/tillerlink/net/state/IterationContext.java
+++ b/gateway/src/main/java/tillerlink/net/state/IterationContext.java
@@ -3,26 +3,32 @@
 import java.util.ArrayDeque;
 
 /**
- * The time of the event-loop iteration that is running, and the tasks that wait for the next one.
- * Owned by the event-loop thread.
+ * The time of the current event-loop iteration, and the tasks that are deferred to the next one.
+ * Confined to the event-loop thread.
  */
 final class IterationContext {
   private final ArrayDeque<Runnable> deferredTasks = new ArrayDeque<>();
   private long now;
 
   /**
-   * @param now when the gateway starts, in tenths of a millisecond
+   * Creates the context of the first iteration.
+   *
+   * @param now the time at which the gateway starts, in tenths of a millisecond
    */
   IterationContext(long now) {
     this.now = now;
   }
 
-  /** When this iteration began, in tenths of a millisecond; it never goes back. */
+  /** Returns when this iteration began, in tenths of a millisecond. It never decreases. */
   long now() {
     return now;
   }
 
-  /** An iteration begins; a clock that went back is not followed. */
+  /**
+   * Sets the time of a new iteration. A clock that went back is ignored.
+   *
+   * @param clock the current time, in tenths of a millisecond
+   */
   void advanceTo(long clock) {
     now = Math.max(now, clock);
   }
@@ -32,12 +38,12 @@
     deferredTasks.add(task);
   }
 
-  /** Whether tasks wait, so that the next iteration is due at once. */
+  /** Returns whether tasks are deferred, which makes the next iteration due immediately. */
   boolean hasDeferredTasks() {
     return !deferredTasks.isEmpty();
   }
 
-  /** Runs what was deferred up to now; what these tasks defer waits for the next iteration. */
+  /** Runs the deferred tasks. Tasks that these defer in turn wait for the next iteration. */
   void runDeferredTasks() {
     for (int i = deferredTasks.size(); i > 0; i--) {
       deferredTasks.poll().run();
