--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -12,25 +12,28 @@
 import tillerlink.net.wire.HttpRequest;
 import tillerlink.net.wire.HttpResponse;
 
-/** An extension of the gateway: its requests, and requests whose attempts are guarded. */
+/** Tests requests that an extension handles itself, and those that it submits under a guard. */
 class GatewayExtensionTest {
   private static final String ID = "00000000000000a1";
 
   /**
-   * Handles /v1/aside/CLASS by submitting it under a guard; answers /v1/later when the test does,
-   * in a later iteration.
+   * An extension that submits requests for /v1/aside/CLASS under a guard, keeps requests for
+   * /v1/later until the test answers them, and records the calls that it receives.
    */
   private static final class RecordingExtension
       implements GatewayExtension, GatewayExtension.Guard {
     private final GatewayExtension.ExtensionContext context;
-    private final List<Reply> owed = new ArrayList<>();
 
-    /** What the guard answers next; then that it holds. */
-    private final ArrayDeque<Boolean> answers = new ArrayDeque<>();
+    /** The replies to requests for /v1/later. */
+    private final List<Reply> pendingReplies = new ArrayList<>();
 
+    /** The next results of the guard's checks; once none is left, the guard holds. */
+    private final ArrayDeque<Boolean> guardResults = new ArrayDeque<>();
+
+    /** The calls of the methods that the gateway invokes on the extension. */
     private final List<String> calls = new ArrayList<>();
 
-    /** What the guard was notified of. */
+    /** The starts and ends of attempts of which the guard was notified. */
     private final List<String> notifications = new ArrayList<>();
 
     RecordingExtension(GatewayExtension.ExtensionContext context) {
@@ -39,12 +42,12 @@
 
     @Override
     public void beginIteration(long now) {
-      calls.add("begin");
+      calls.add("beginIteration");
     }
 
     @Override
     public void endIteration(long now) {
-      calls.add("settle");
+      calls.add("endIteration");
     }
 
     @Override
@@ -58,17 +61,17 @@
     }
 
     @Override
-    public void onRequest(HttpRequest call, Reply reply) {
-      calls.add("called");
-      if (call.path().equals("/v1/later")) {
-        owed.add(reply);
+    public void onRequest(HttpRequest request, Reply reply) {
+      calls.add("onRequest");
+      if (request.path().equals("/v1/later")) {
+        pendingReplies.add(reply);
         return;
       }
       context.submit(
           new HttpRequest(
-              call.method(),
-              call.path().replace("aside/", ""),
-              call.fields(),
+              request.method(),
+              request.path().replace("aside/", ""),
+              request.fields(),
               "EXECUTE".getBytes(StandardCharsets.US_ASCII),
               false),
           this,
@@ -77,12 +80,12 @@
 
     @Override
     public void onDrain() {
-      calls.add("drain");
+      calls.add("onDrain");
     }
 
     @Override
     public void onShutdownDeadline() {
-      calls.add("time up");
+      calls.add("onShutdownDeadline");
     }
 
     @Override
@@ -92,7 +95,7 @@
 
     @Override
     public boolean holds() {
-      return answers.isEmpty() || answers.poll();
+      return guardResults.isEmpty() || guardResults.poll();
     }
 
     @Override
@@ -102,25 +105,26 @@
 
     @Override
     public void onAttemptStarted() {
-      notifications.add("began");
+      notifications.add("started");
     }
 
     @Override
     public void onAttemptEnded(long mayRunUntil) {
       notifications.add(
           mayRunUntil == 0
-              ? "over"
+              ? "ended"
               : "may run until " + (mayRunUntil - GatewayFixture.SCENARIO_START) / 10);
     }
   }
 
+  /** The extension of the gateway in use, created by {@link #withExtension}. */
   private RecordingExtension extension;
 
-  private GatewayFixture withExtension(GatewayFixture gateway, Boolean... answers) {
+  private GatewayFixture withExtension(GatewayFixture gateway, Boolean... guardResults) {
     return gateway.withExtension(
         context -> {
           extension = new RecordingExtension(context);
-          extension.answers.addAll(List.of(answers));
+          extension.guardResults.addAll(List.of(guardResults));
           return extension;
         });
   }
@@ -135,35 +139,35 @@
             .advance(2000)
             .printWhetherAllAnswered();
     gateway
-        .iterate(() -> extension.owed.get(0).answer(HttpResponse.done()))
+        .iterate(() -> extension.pendingReplies.get(0).answer(HttpResponse.done()))
         .comment("told twice")
-        .iterate(() -> extension.owed.get(0).answer(HttpResponse.done()));
+        .iterate(() -> extension.pendingReplies.get(0).answer(HttpResponse.done()));
     gateway
         .comment("the client goes before the answer")
         .clientSends("c2", "PUT /v1/later HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
         .clientDisconnects("c2", DisconnectReason.CLOSED_BY_PEER)
-        .iterate(() -> extension.owed.get(1).answer(HttpResponse.done()))
+        .iterate(() -> extension.pendingReplies.get(1).answer(HttpResponse.done()))
         .printWhetherAllAnswered();
     gateway.assertMatches("side-calls");
   }
 
   @Test
-  void extensionIsCalledAtEachStepOfAnIteration() {
+  void extensionIsCalledAtEachStepOfAnIterationAndOfTheShutdown() {
     withExtension(new GatewayFixture())
         .clientSends("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
         .drain()
         .passShutdownDeadline();
     assertEquals(
-        List.of("begin", "called", "settle", "drain", "time up"),
+        List.of("beginIteration", "onRequest", "endIteration", "onDrain", "onShutdownDeadline"),
         extension.calls.stream().distinct().toList());
   }
 
   /**
-   * Each point at which a guard may cease to hold, on a request class that may run twice and on one
-   * that must not.
+   * Covers each point at which a guard may cease to hold, on a request class that may run twice and
+   * on one that must not.
    */
   @Test
-  void anAttemptIsWrittenOnlyWhileItsGuardHolds() {
+  void attemptIsWrittenOnlyWhileItsGuardHolds() {
     GatewayFixture gateway = new GatewayFixture();
     for (String requestClass : List.of("aside/look", "aside/book")) {
       gateway.comment(requestClass + ": it holds").restart();
@@ -219,7 +223,7 @@
           .engineConnects(0)
           .iterate(
               () -> {
-                extension.answers.add(false);
+                extension.guardResults.add(false);
                 extension.context.recheckGuards();
               })
           .engineSends(0, ID + " ok count=1 0||");
@@ -227,89 +231,107 @@
     gateway.assertMatches("side-guards");
   }
 
-  private void assertNotified(String what, Runnable scenario, String... wanted) {
+  /** Runs a scenario and compares the notifications that the guard received. */
+  private void assertNotified(String description, Runnable scenario, String... expected) {
     scenario.run();
-    assertEquals(List.of(wanted), extension.notifications, what);
+    assertEquals(List.of(expected), extension.notifications, description);
   }
 
-  private GatewayFixture withAttempt(Boolean... answers) {
-    return withExtension(new GatewayFixture(), answers).post("c1", ID, "aside/book").get("c1", ID);
+  /** Submits a request under a guard on a new gateway, which makes an attempt of it. */
+  private GatewayFixture submitUnderGuard(Boolean... guardResults) {
+    return withExtension(new GatewayFixture(), guardResults)
+        .post("c1", ID, "aside/book")
+        .get("c1", ID);
   }
 
-  private static final String DONE = ID + " ok count=1 0||";
+  private static final String SUCCESS_RESPONSE = ID + " ok count=1 0||";
 
-  /** Every ending of an attempt that was written, and whether its engine may still be at it. */
+  /**
+   * Covers each way in which an attempt can end. The guard must be notified exactly once of each
+   * written attempt, with the time until which its engine may still be executing it.
+   */
   @Test
-  void theGuardIsNotifiedOfEveryEnding() {
+  void guardIsNotifiedWhenAWrittenAttemptEnds() {
     assertNotified(
-        "answered", () -> withAttempt().engineConnects(0).engineSends(0, DONE), "began", "over");
+        "answered",
+        () -> submitUnderGuard().engineConnects(0).engineSends(0, SUCCESS_RESPONSE),
+        "started",
+        "ended");
     assertNotified(
-        "its engine erred",
-        () -> withAttempt().engineConnects(0).engineSends(0, ID + " error - 0||"),
-        "began",
-        "over");
+        "the engine responded with an error",
+        () -> submitUnderGuard().engineConnects(0).engineSends(0, ID + " error - 0||"),
+        "started",
+        "ended");
     assertNotified(
-        "of two pages one came, and the client's time is up",
-        () -> withAttempt().engineConnects(0).engineSends(0, ID + " ok count=2 0||").advance(5000),
-        "began",
-        "over");
-    assertNotified("not written yet", () -> withAttempt(), new String[0]);
-    assertNotified("the guard does not hold", () -> withAttempt(false), new String[0]);
+        "one of two pages was received when the deadline passed",
+        () ->
+            submitUnderGuard()
+                .engineConnects(0)
+                .engineSends(0, ID + " ok count=2 0||")
+                .advance(5000),
+        "started",
+        "ended");
+    assertNotified("not yet written", () -> submitUnderGuard(), new String[0]);
+    assertNotified("the guard does not hold", () -> submitUnderGuard(false), new String[0]);
     assertNotified(
-        "the guard does not hold once the connection is up",
-        () -> withAttempt(true, false).engineConnects(0),
+        "the guard does not hold when the connection has opened",
+        () -> submitUnderGuard(true, false).engineConnects(0),
         new String[0]);
     assertNotified(
-        "never connected",
+        "the engine refuses all connections",
         () ->
-            withAttempt()
+            submitUnderGuard()
                 .engineDisconnects(0, DisconnectReason.REFUSED)
                 .engineDisconnects(1, DisconnectReason.REFUSED),
         new String[0]);
     assertNotified(
         "the connection broke",
-        () -> withAttempt().engineConnects(0).engineDisconnects(0, DisconnectReason.RESET),
-        "began",
+        () -> submitUnderGuard().engineConnects(0).engineDisconnects(0, DisconnectReason.RESET),
+        "started",
         "may run until 4500");
     assertNotified(
-        "the connection broke before it was written whole",
+        "the connection broke before the attempt was completely written",
         () ->
-            withAttempt()
+            submitUnderGuard()
                 .blockWrites()
                 .engineConnects(0)
                 .engineDisconnects(0, DisconnectReason.RESET),
-        "began",
-        "over");
+        "started",
+        "ended");
     assertNotified(
         "the guard does not hold after the write",
-        () -> withAttempt(true, true, false).engineConnects(0),
-        "began",
+        () -> submitUnderGuard(true, true, false).engineConnects(0),
+        "started",
         "may run until 4500");
     assertNotified(
-        "it does not hold any more when the answer is there",
-        () -> withAttempt(true, true, false).blockWrites().engineConnects(0).engineSends(0, DONE),
-        "began",
-        "over");
+        "the guard does not hold when the response arrives before the write is confirmed",
+        () ->
+            submitUnderGuard(true, true, false)
+                .blockWrites()
+                .engineConnects(0)
+                .engineSends(0, SUCCESS_RESPONSE),
+        "started",
+        "ended");
     assertNotified(
-        "the client goes",
+        "the client cancels the request",
         () ->
-            withAttempt()
+            submitUnderGuard()
                 .engineConnects(0)
                 .clientSends("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n"),
-        "began",
+        "started",
         "may run until 4500");
     assertNotified(
-        "the client's time is up",
-        () -> withAttempt().engineConnects(0).advance(5000),
-        "began",
+        "the deadline passes",
+        () -> submitUnderGuard().engineConnects(0).advance(5000),
+        "started",
         "may run until 4500");
     assertNotified(
-        "the process ends",
-        () -> withAttempt().engineConnects(0).passShutdownDeadline(),
-        "began",
+        "the time for the shutdown elapses",
+        () -> submitUnderGuard().engineConnects(0).passShutdownDeadline(),
+        "started",
         "may run until 4500");
     assertNotified(
-        "a pure one goes to another engine",
+        "a request without side effects is retried on another engine",
         () ->
             withExtension(new GatewayFixture())
                 .post("c1", ID, "aside/look")
@@ -317,14 +339,14 @@
                 .engineConnects(0)
                 .engineDisconnects(0, DisconnectReason.RESET)
                 .engineConnects(1)
-                .engineSends(1, DONE),
-        "began",
+                .engineSends(1, SUCCESS_RESPONSE),
+        "started",
         "may run until 4500",
-        "began",
-        "over");
+        "started",
+        "ended");
   }
 
-  /** Queued requests are rejected at once and not only when they would be sent. */
+  /** Queued requests must be rejected immediately, not only when they would be sent. */
   @Test
   void queuedRequestsAreRejectedOnceTheirGuardFails() {
     GatewayFixture gateway = new GatewayFixture().fleet(0, 1024);
@@ -333,7 +355,7 @@
         .get("c1", ID)
         .iterate(
             () -> {
-              extension.answers.add(false);
+              extension.guardResults.add(false);
               extension.context.recheckGuards();
             })
         .assertMatches("side-held");
--- a/gateway/src/test/java/tillerlink/GatewayFixture.java
+++ b/gateway/src/test/java/tillerlink/GatewayFixture.java
@@ -22,46 +22,54 @@
 import tillerlink.policy.DefaultDispatchPolicy;
 
 /**
- * A gateway on a driver that prints. Times are milliseconds; in what engines send, | is a line's
- * end.
+ * A gateway on a network driver that prints all output to a trace. Durations that methods take are
+ * milliseconds; times in fields are tenths of a millisecond. In lines that engines send, | marks a
+ * line end.
  */
 final class GatewayFixture implements NetworkDriver {
-  private static final int TENTHS = 10;
-  static final long START = 17_000_000_000_000L;
-  private static final long CONFIRM_MS = 125;
+  private static final int TENTHS_PER_MS = 10;
+  static final long START_TIME = 17_000_000_000_000L;
 
-  /** When the scenario of a started gateway begins: the list was confirmed by then. */
-  static final long SCENARIO_START = START + CONFIRM_MS * TENTHS;
+  /** The time that passes before a scenario begins, in which the endpoint list is confirmed. */
+  private static final long LIST_CONFIRMATION_MS = 125;
 
-  private final StringBuilder printed = new StringBuilder();
+  /** The time at which a scenario begins on a newly created gateway, in tenths of a millisecond. */
+  static final long SCENARIO_START = START_TIME + LIST_CONFIRMATION_MS * TENTHS_PER_MS;
+
+  private final StringBuilder trace = new StringBuilder();
   private final List<PrintingChannel> engineConnections = new ArrayList<>();
   private final List<PrintingChannel> unwritten = new ArrayList<>();
   private final Map<String, PrintingChannel> clients = new LinkedHashMap<>();
   private List<EndpointEntry> fleet = List.of(entry("e1", "127.0.0.1"), entry("e2", "127.0.0.2"));
   private int descriptorLimit = 1024;
-  private long now = START;
+  private long now = START_TIME;
   private int lastQueryId;
   private int discoveryQueries;
   private boolean minimalSettings;
   private boolean writesBlocked;
   private boolean traceMuted;
 
-  /**
-   * What the discovery service answers unless a test gives an answer of its own, and the query that
-   * waits for it.
-   */
+  /** The endpoint list that the discovery service serves unless a test specifies an answer. */
   private String[] servedEngines;
 
+  /** The version of that endpoint list. */
   private int servedIndex;
-  private boolean discoveryAnswering;
+
+  private boolean discoveryResponding;
+
+  /** The id of the discovery query that has not been answered, or -1. */
   private int unansweredQueryId;
-  private long origin = START;
+
+  /** The time that the trace shows as 0. */
+  private long traceOrigin = START_TIME;
+
   private Gateway gateway;
 
   GatewayFixture() {
     restart();
   }
 
+  /** Replaces the gateway by a new one without connections; a new scenario begins. */
   GatewayFixture restart() {
     engineConnections.clear();
     clients.clear();
@@ -137,34 +145,41 @@
             "family_info",
             Map.of("kind_cores", List.of(8L), "tells_every_us", 2_000_000L));
     EndpointWatchEvent known = new EndpointWatchEvent(1, true, fleet);
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    InetSocketAddress anyAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     servedEngines =
         fleet.stream()
-            .map(e -> e.id() + " ready " + e.address() + ":5050 east std 0 0")
+            .map(endpoint -> endpoint.id() + " ready " + endpoint.address() + ":5050 east std 0 0")
             .toArray(String[]::new);
     servedIndex = 1;
-    discoveryAnswering = true;
+    discoveryResponding = true;
     unansweredQueryId = -1;
     gateway =
         new Gateway(
-            new GatewayConfig("n0", any, any, 7, descriptorLimit, terms, List.of(known)),
+            new GatewayConfig(
+                "n0", anyAddress, anyAddress, 7, descriptorLimit, terms, List.of(known)),
             DefaultDispatchPolicy::new,
             this,
             now);
     iterate(() -> {});
-    // A whole number of sweeps, in which the list is confirmed; scenarios begin then.
-    long before = now;
-    advance(minimalSettings ? 300 : CONFIRM_MS);
-    origin += now - before;
+    // A whole number of sweeps, in which the endpoint list is confirmed; then the scenario begins.
+    long createdAt = now;
+    advance(minimalSettings ? 300 : LIST_CONFIRMATION_MS);
+    traceOrigin += now - createdAt;
     return this;
   }
 
-  /** With settings that leave out all that they may. */
+  /** Restarts with settings that omit everything optional. */
   GatewayFixture withMinimalSettings() {
     minimalSettings = true;
     return restart();
   }
 
+  /**
+   * Restarts with other engines.
+   *
+   * @param engines the number of engines
+   * @param descriptors the limit on file descriptors, which limits the engine connections
+   */
   GatewayFixture fleet(int engines, int descriptors) {
     fleet = IntStream.range(1, engines + 1).mapToObj(i -> entry("e" + i, "127.0.0." + i)).toList();
     descriptorLimit = descriptors;
@@ -175,17 +190,20 @@
     return new EndpointEntry(id, address, 5050, "east", "std", 0, Status.READY, 1, 0);
   }
 
-  /** Adds an extension, from now on. */
-  GatewayFixture withExtension(Function<GatewayExtension.ExtensionContext, GatewayExtension> made) {
-    gateway.setExtension(made.apply(gateway.extensionContext()));
+  /** Adds an extension to the current gateway. */
+  GatewayFixture withExtension(
+      Function<GatewayExtension.ExtensionContext, GatewayExtension> factory) {
+    gateway.setExtension(factory.apply(gateway.extensionContext()));
     return this;
   }
 
+  /** Adds a comment line to the trace. */
   GatewayFixture comment(String comment) {
-    printed.append("# ").append(comment).append('\n');
+    trace.append("# ").append(comment).append('\n');
     return this;
   }
 
+  /** Leaves all writes incomplete until {@link #unblockWrites}. */
   GatewayFixture blockWrites() {
     writesBlocked = true;
     return this;
@@ -206,7 +224,7 @@
             + "\r\nX-Deadline-Ms: 4500\r\nX-Estimate-Ms: 100\r\nContent-Length: 8\r\n\r\nSELECT 1");
   }
 
-  /** Of the request class that keeps its order. */
+  /** Sends a request of the class that preserves the order of requests with the same subject. */
   GatewayFixture postOrdered(String client, String id, String subject) {
     return clientSends(
         client,
@@ -222,28 +240,29 @@
     return clientSends(client, "GET /v1/calls/" + id + " HTTP/1.1\r\nHost: a\r\n\r\n");
   }
 
+  /** Lets a client send bytes, after connecting it if it is not connected. */
   GatewayFixture clientSends(String name, String bytes) {
     PrintingChannel channel =
         clients.computeIfAbsent(
             name,
             newName -> {
-              PrintingChannel made = new PrintingChannel(newName);
-              made.owner = gateway.onClientConnected(made);
-              return made;
+              PrintingChannel newChannel = new PrintingChannel(newName);
+              newChannel.owner = gateway.onClientConnected(newChannel);
+              return newChannel;
             });
     return iterate(() -> channel.owner.onBytes(bytes.getBytes(StandardCharsets.UTF_8)));
   }
 
-  GatewayFixture clientDisconnects(String client, DisconnectReason how) {
-    return iterate(() -> clients.remove(client).owner.onClosed(how));
+  GatewayFixture clientDisconnects(String client, DisconnectReason reason) {
+    return iterate(() -> clients.remove(client).owner.onClosed(reason));
   }
 
   GatewayFixture engineConnects(int connection) {
     return iterate(() -> engineConnections.get(connection).owner.onOpened());
   }
 
-  GatewayFixture engineDisconnects(int connection, DisconnectReason how) {
-    return iterate(() -> engineConnections.get(connection).owner.onClosed(how));
+  GatewayFixture engineDisconnects(int connection, DisconnectReason reason) {
+    return iterate(() -> engineConnections.get(connection).owner.onClosed(reason));
   }
 
   GatewayFixture engineSends(int connection, String lines) {
@@ -255,6 +274,7 @@
                 .onBytes(lines.replace("|", "\r\n").getBytes(StandardCharsets.UTF_8)));
   }
 
+  /** Answers the next discovery query with the given endpoint list. */
   GatewayFixture discoveryAnswers(int index, String... engines) {
     awaitDiscoveryQuery()
         .iterate(
@@ -263,11 +283,11 @@
       servedEngines = engines;
       servedIndex = index;
     }
-    discoveryAnswering = true;
+    discoveryResponding = true;
     return this;
   }
 
-  /** The same, truncated behind its serial. */
+  /** Answers the next discovery query with an answer that is truncated after its serial. */
   GatewayFixture discoveryAnswersTruncated(int index, String... engines) {
     awaitDiscoveryQuery()
         .iterate(
@@ -276,24 +296,24 @@
               bytes[2] |= 2;
               gateway.onDiscoveryDatagram(Arrays.copyOf(bytes, DiscoveryAnswers.serialEnd(bytes)));
             });
-    discoveryAnswering = true;
+    discoveryResponding = true;
     return this;
   }
 
-  /** The discovery service answers nothing from now on. */
+  /** Makes the discovery service ignore all further queries. */
   GatewayFixture silenceDiscovery() {
-    discoveryAnswering = false;
+    discoveryResponding = false;
     return this;
   }
 
-  /** How many queries the discovery service got so far. */
+  /** Returns the number of queries that the discovery service has received. */
   int discoveryQueries() {
     return discoveryQueries;
   }
 
-  /** Time passes until the discovery service is queried. */
+  /** Lets time pass until the discovery service receives a query. */
   private GatewayFixture awaitDiscoveryQuery() {
-    discoveryAnswering = false;
+    discoveryResponding = false;
     lastQueryId = -1;
     for (int i = 0; i < 20 && lastQueryId < 0; i++) {
       advance(25);
@@ -315,8 +335,9 @@
     return iterate(() -> gateway.onShutdownDeadline());
   }
 
+  /** Lets time pass, with an iteration at each time at which one is due. */
   GatewayFixture advance(long ms) {
-    long until = now + ms * TENTHS;
+    long until = now + ms * TENTHS_PER_MS;
     while (gateway.dueAt() <= until) {
       now = Math.max(now, gateway.dueAt());
       iterate(() -> {});
@@ -325,18 +346,19 @@
     return this;
   }
 
-  /** Time passes and no iteration is run. */
+  /** Lets time pass without running an iteration, as a pause of the process does. */
   GatewayFixture pauseGateway(long ms) {
-    now += ms * TENTHS;
+    now += ms * TENTHS_PER_MS;
     return this;
   }
 
-  /** Leaves what happens out of the trace, until it is called with false. */
+  /** Stops printing to the trace, or starts again if the argument is false. */
   GatewayFixture muteTrace(boolean muted) {
     traceMuted = muted;
     return this;
   }
 
+  /** Runs an iteration with an event and all iterations that are due after it. */
   GatewayFixture iterate(Runnable event) {
     gateway.beginIteration(now);
     event.run();
@@ -360,15 +382,15 @@
     }
   }
 
-  void assertMatches(String kept) {
-    KeptTraces.assertMatches(kept, printed.toString());
+  void assertMatches(String traceName) {
+    KeptTraces.assertMatches(traceName, trace.toString());
   }
 
   private void print(String line) {
     if (traceMuted) {
       return;
     }
-    printed.append(String.format("%5d  %s%n", (now - origin) / TENTHS, line));
+    trace.append(String.format("%5d  %s%n", (now - traceOrigin) / TENTHS_PER_MS, line));
   }
 
   @Override
@@ -385,7 +407,7 @@
   public void sendDiscoveryQuery(byte[] datagram) {
     discoveryQueries++;
     lastQueryId = DiscoveryAnswers.queryId(datagram);
-    unansweredQueryId = discoveryAnswering ? lastQueryId : -1;
+    unansweredQueryId = discoveryResponding ? lastQueryId : -1;
   }
 
   @Override
@@ -395,6 +417,7 @@
     }
   }
 
+  /** A channel that prints its output to the trace. */
   private final class PrintingChannel implements Channel {
     private final String name;
     private Owner owner;
@@ -425,8 +448,8 @@
     }
 
     @Override
-    public void pauseReading(boolean held) {
-      print(name + (held ? " not read" : " read again"));
+    public void pauseReading(boolean paused) {
+      print(name + (paused ? " not read" : " read again"));
     }
   }
 }
--- a/gateway/src/test/java/tillerlink/GatewayTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayTest.java
@@ -7,15 +7,19 @@
 import tillerlink.net.state.DisconnectReason;
 
 /**
- * Requests from bytes to actions and back, on a driver that only prints; each scenario is compared
- * with its kept trace.
+ * Tests the gateway from received bytes to sent bytes, on a network driver that only prints. The
+ * output of each scenario is compared with its kept trace.
  */
 class GatewayTest {
   private static final String ID = "00000000000000a1";
-  private static final String OTHER = "00000000000000a2";
+  private static final String OTHER_ID = "00000000000000a2";
 
+  /**
+   * The pages of a result may arrive in any order, and a client whose connection broke fetches the
+   * assembled result again.
+   */
   @Test
-  void aResultOfThreePagesIsAssembled() {
+  void resultOfThreePagesIsAssembled() {
     GatewayFixture gateway =
         new GatewayFixture()
             .post("c1", ID, "look")
@@ -37,19 +41,20 @@
   }
 
   /**
-   * What each ending proves is seen on a request class that must never run twice: another attempt,
-   * or it is failed.
+   * Covers each way in which an attempt can end, on a request class that must never run twice. The
+   * gateway may make another attempt only if the end proves that the previous one did not run;
+   * otherwise the request fails.
    */
   @Test
-  void effectfulRequestIsSentAgainOnlyIfItsEndingProvesItDidNotRun() {
+  void effectfulRequestIsRetriedOnlyIfItsAttemptProvablyDidNotRun() {
     GatewayFixture gateway = new GatewayFixture();
-    for (DisconnectReason how : List.of(DisconnectReason.REFUSED, DisconnectReason.RESET)) {
+    for (DisconnectReason reason : List.of(DisconnectReason.REFUSED, DisconnectReason.RESET)) {
       gateway
-          .comment("before it was connected: " + how)
+          .comment("before it was connected: " + reason)
           .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
-          .engineDisconnects(0, how);
+          .engineDisconnects(0, reason);
     }
     gateway
         .comment("it never comes up")
@@ -65,23 +70,24 @@
         .get("c1", ID)
         .engineConnects(0)
         .engineDisconnects(0, DisconnectReason.RESET);
-    for (DisconnectReason how : List.of(DisconnectReason.RESET, DisconnectReason.CLOSED_BY_PEER)) {
+    for (DisconnectReason reason :
+        List.of(DisconnectReason.RESET, DisconnectReason.CLOSED_BY_PEER)) {
       gateway
-          .comment("after it was written: " + how)
+          .comment("after it was written: " + reason)
           .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
           .engineConnects(0)
-          .engineDisconnects(0, how);
+          .engineDisconnects(0, reason);
     }
-    for (String word : List.of("refused", "stale", "error")) {
+    for (String status : List.of("refused", "stale", "error")) {
       gateway
-          .comment("the engine says " + word)
+          .comment("the engine says " + status)
           .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
           .engineConnects(0)
-          .engineSends(0, ID + " " + word + " - 0||");
+          .engineSends(0, ID + " " + status + " - 0||");
     }
     gateway
         .comment("a page is lost")
@@ -91,7 +97,7 @@
         .engineConnects(0)
         .engineSends(0, ID + " ok count=2 0||")
         .engineSends(0, ID + " error - 0||");
-    for (String bad :
+    for (String response :
         List.of(
             "x|",
             ID + " hello - 0||",
@@ -104,7 +110,7 @@
           .post("c1", ID, "book")
           .get("c1", ID)
           .engineConnects(0)
-          .engineSends(0, bad);
+          .engineSends(0, response);
     }
     gateway
         .comment("nobody is there any more")
@@ -131,23 +137,23 @@
   }
 
   /**
-   * Guards the attempts beside a spoilt answer, and what of a result has come whole, and against
-   * running anything again.
+   * An unreadable response must not end the other attempts on its connection, discard pages that
+   * were received complete, or make the engine execute a request twice.
    */
   @Test
-  void unreadableResponsesSpareOtherAttempts() {
-    String row = " 6|a\t1\tx\n|";
+  void unreadableResponseAffectsNeitherOtherAttemptsNorReceivedPages() {
+    String page = " 6|a\t1\tx\n|";
     GatewayFixture gateway =
         new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
         .comment("more than belongs to it")
         .engineSends(0, "00000000000000ff ok count=1 0||")
-        .engineSends(0, ID + " ok count=2" + row)
-        .engineSends(0, ID + " ok count=2" + row)
+        .engineSends(0, ID + " ok count=2" + page)
+        .engineSends(0, ID + " ok count=2" + page)
         .comment("a page spoilt: asked for again")
         .engineSends(0, ID + " batch pos=1 4|a\tb\n|")
         .engineConnects(1);
-    gateway.engineSends(1, ID + " batch pos=1" + row).engineSends(1, ID + " batch pos=1" + row);
+    gateway.engineSends(1, ID + " batch pos=1" + page).engineSends(1, ID + " batch pos=1" + page);
     gateway
         .comment("the first page spoilt beside another hop")
         .restart()
@@ -182,17 +188,17 @@
         .advance(350)
         .engineConnects(1)
         .advance(100);
-    for (String how : List.of("nobody is there any more", "no connection comes up any more")) {
+    for (String failure : List.of("nobody is there any more", "no connection comes up any more")) {
       gateway
-          .comment("it has run, its connection breaks while its result comes, and " + how)
+          .comment("it has run, its connection breaks while its result comes, and " + failure)
           .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
           .engineConnects(0)
-          .engineSends(0, ID + " ok count=2" + row)
+          .engineSends(0, ID + " ok count=2" + page)
           .engineDisconnects(0, DisconnectReason.RESET);
       gateway =
-          how.startsWith("nobody")
+          failure.startsWith("nobody")
               ? gateway
                   .engineDisconnects(1, DisconnectReason.REFUSED)
                   .engineDisconnects(2, DisconnectReason.REFUSED)
@@ -204,11 +210,11 @@
   }
 
   /**
-   * Guards against waiting for a machine that vanished, and against taking one that is only slow
-   * for it.
+   * Guards against waiting for an engine whose machine vanished without closing its connections,
+   * and against mistaking a slow engine for a vanished one.
    */
   @Test
-  void aSilentConnectionIsProbedAndReplaced() {
+  void silentConnectionIsProbedAndReplaced() {
     GatewayFixture gateway =
         new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
@@ -246,9 +252,12 @@
         .assertMatches("net-silence");
   }
 
-  /** Guards against taking a pause of this machine for a silent engine. */
+  /**
+   * After a pause of the gateway process, responses that arrived during the pause must be read
+   * before their engine is considered silent.
+   */
   @Test
-  void pauseOfTheProcessIsNotTakenForASilentEngine() {
+  void processPauseIsNotMistakenForASilentEngine() {
     GatewayFixture gateway =
         new GatewayFixture()
             .post("c1", ID, "look")
@@ -261,8 +270,9 @@
         .assertMatches("net-stood-still");
   }
 
+  /** Answers that no client fetches occupy the registry until their retention period elapses. */
   @Test
-  void aFullTableRejectsRequests() {
+  void requestsAreRejectedWhileTheRegistryIsFull() {
     GatewayFixture gateway = new GatewayFixture().muteTrace(true);
     for (int i = 0; i < 4096; i++) {
       gateway.post("c1", String.format("%016x", i), "look");
@@ -279,8 +289,9 @@
         .assertMatches("net-full");
   }
 
+  /** A client cancels by DELETE, or by closing before the answer to its submission is written. */
   @Test
-  void clientsThatDisconnectOrCancelAreOwedNothing() {
+  void requestsOfClientsThatDisconnectOrCancelAreCancelled() {
     GatewayFixture gateway =
         new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
@@ -297,19 +308,19 @@
   @Test
   void invalidRequestsAreRefused() {
     GatewayFixture gateway = new GatewayFixture();
-    String[] heads = {
+    String[] requestLines = {
       "POST /v1/nobody",
       "POST /v2/look",
       "GET /v1/calls/00000000000000ff",
       "PUT /v1/look",
       "GET /other"
     };
-    for (String head : heads) {
+    for (String requestLine : requestLines) {
       gateway
-          .clientSends("c1", head + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
+          .clientSends("c1", requestLine + " HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
           .clientDisconnects("c1", DisconnectReason.CLOSED_BY_PEER);
     }
-    for (String fields :
+    for (String headers :
         List.of(
             "",
             "X-Correlation-Id: 12\r\nX-Deadline-Ms: 5\r\n",
@@ -322,14 +333,14 @@
             "X-Correlation-Id: " + ID + "\r\nX-Deadline-Ms: 5\r\nX-Operation-Key: a,b\r\n")) {
       gateway.clientSends(
           "c2",
-          "POST /v1/look HTTP/1.1\r\nHost: a\r\n" + fields + "Content-Length: 8\r\n\r\nSELECT 1");
+          "POST /v1/look HTTP/1.1\r\nHost: a\r\n" + headers + "Content-Length: 8\r\n\r\nSELECT 1");
     }
     gateway.comment("a load without its mark, nothing to run, no text").post("c2", ID, "load");
-    String usable =
+    String validHead =
         "POST /v1/look HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: " + ID + "\r\nX-Deadline-Ms: 5\r\n";
     gateway
-        .clientSends("c2", usable + "Content-Length: 0\r\n\r\n")
-        .clientSends("c2", usable + "Content-Length: 1\r\n\r\n\0");
+        .clientSends("c2", validHead + "Content-Length: 0\r\n\r\n")
+        .clientSends("c2", validHead + "Content-Length: 1\r\n\r\n\0");
     gateway
         .comment("a body that waits to be asked for")
         .clientSends(
@@ -344,15 +355,16 @@
             "the same once more, for a client whose connection broke; the id with another"
                 + " statement")
         .post("c2", ID, "look")
-        .clientSends("c2", usable + "Content-Length: 8\r\n\r\nSELECT 2");
+        .clientSends("c2", validHead + "Content-Length: 8\r\n\r\nSELECT 2");
     gateway
         .comment("a body that hides a call")
         .clientSends(
-            "c5", usable + "Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET ");
+            "c5",
+            validHead + "Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET ");
     gateway
         .comment(
             "60 MB to come: refused, what comes is thrown away for a while, then no longer read")
-        .clientSends("c6", usable + "Content-Length: 60000000\r\n\r\n")
+        .clientSends("c6", validHead + "Content-Length: 60000000\r\n\r\n")
         .clientSends("c6", "x".repeat(200_000))
         .clientSends("c6", "x".repeat(200_000));
     gateway
@@ -365,9 +377,9 @@
     gateway.assertMatches("net-bad-calls");
   }
 
-  /** Guards usual clients against those that take up connections and say nothing. */
+  /** Guards regular clients against clients that open many connections and send nothing. */
   @Test
-  void leastUsefulConnectionIsClosedAtTheConnectionLimit() {
+  void leastUsedConnectionIsEvictedAtTheConnectionLimit() {
     GatewayFixture gateway =
         new GatewayFixture()
             .post("busy", ID, "look")
@@ -401,8 +413,9 @@
         .assertMatches("net-bound");
   }
 
+  /** Also covers a client that does not read its answer: its connection is closed. */
   @Test
-  void pipelinedRequestsAreReadOnceTheAnswerBeforeIsWritten() {
+  void pipelinedRequestIsProcessedOnceThePreviousAnswerIsWritten() {
     GatewayFixture gateway = new GatewayFixture().blockWrites();
     gateway
         .clientSends("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".repeat(3))
@@ -417,8 +430,8 @@
   }
 
   /**
-   * Guards against sending to a process that is gone what was meant for the one that took its
-   * place.
+   * When an engine process is replaced by another one, under the same id or at the same address,
+   * attempts for the new process must not be sent over connections to the old one.
    */
   @Test
   void nothingIsSentToAReplacedOrDrainingProcess() {
@@ -471,10 +484,11 @@
   }
 
   /**
-   * Guards clients' time after a pause: what goes on coming without a gap may all have come in it.
+   * Guards the deadlines of clients after a pause of the process: all input that follows the pause
+   * without a gap may have arrived during it, so its deadlines count from the pause.
    */
   @Test
-  void inputWithoutAGapAfterAPauseCountsFromThePause() {
+  void continuousInputAfterAPauseCountsFromThePause() {
     GatewayFixture gateway =
         new GatewayFixture()
             .advance(500)
@@ -495,9 +509,12 @@
         .assertMatches("net-paused");
   }
 
-  /** Guards the drain, and the engines that an answer had no room for. */
+  /**
+   * A truncated answer of the discovery service must still drain the engines that it lists as
+   * draining, and must not remove the engines for which it had no room.
+   */
   @Test
-  void aTruncatedAnswerStillDrainsEngines() {
+  void truncatedDiscoveryAnswerStillDrainsEngines() {
     GatewayFixture gateway =
         new GatewayFixture()
             .comment("e1 drains; its address, and all of e2, had no room")
@@ -519,11 +536,11 @@
   }
 
   /**
-   * Guards engines that read nothing for a while: what was given up meanwhile is not there for them
+   * An attempt that was cancelled while its engine was not reading must not be there for the engine
    * to read later.
    */
   @Test
-  void aCancelledAttemptIsNotWrittenLater() {
+  void cancelledAttemptIsNotWrittenLater() {
     GatewayFixture gateway =
         new GatewayFixture()
             .post("c1", ID, "look")
@@ -548,11 +565,11 @@
   }
 
   /**
-   * Guards the order of a subject, where a request class asks for it: the next goes out when the
-   * one before is over.
+   * If a request class preserves the order of requests with the same subject, the next request is
+   * sent only after the previous one has ended.
    */
   @Test
-  void requestsOfASubjectKeepTheirOrder() {
+  void requestsWithTheSameSubjectKeepTheirOrder() {
     GatewayFixture gateway =
         new GatewayFixture()
             .postOrdered("c1", "00000000000000a1", "x")
@@ -592,11 +609,11 @@
   }
 
   /**
-   * Guards large fleets: with more engines than connections, each engine is reached, and the
-   * longest idle one ends.
+   * In a fleet with more engines than connections, each engine must be reachable. The connection
+   * that has been idle longest is closed to make room for a new one.
    */
   @Test
-  void withMoreEnginesThanConnectionsTheLongestIdleIsClosed() {
+  void longestIdleConnectionIsClosedIfEnginesOutnumberConnections() {
     GatewayFixture gateway =
         new GatewayFixture().fleet(40, 12).comment("40 engines, four connections: a hop on each");
     for (int i = 0; i < 4; i++) {
@@ -613,11 +630,11 @@
   }
 
   /**
-   * What the settings leave out is measured by the shortest latency objective (400 ms here) and the
-   * longest deadline (5 s), not by any figure of the program's own.
+   * The defaults of omitted settings derive from the shortest latency objective (400 ms here) and
+   * the longest deadline (5 s) and not from constants of the program.
    */
   @Test
-  void settingsThatAreLeftOutHaveDefaults() {
+  void omittedSettingsHaveDefaults() {
     GatewayFixture gateway =
         new GatewayFixture()
             .withMinimalSettings()
@@ -628,19 +645,21 @@
             .advance(2);
     gateway
         .comment("the next is up")
-        .post("c2", OTHER, "look")
-        .get("c2", OTHER)
+        .post("c2", OTHER_ID, "look")
+        .get("c2", OTHER_ID)
         .engineConnects(1)
-        .engineSends(1, OTHER + " ok count=1 6|a\t1\tx\n|");
+        .engineSends(1, OTHER_ID + " ok count=1 6|a\t1\tx\n|");
     gateway
         .comment("idle for a deadline")
         .advance(4_800)
         .comment("and no longer")
         .advance(400)
         .assertMatches("net-unstated");
-    int before = gateway.silenceDiscovery().discoveryQueries();
+    int queriesBefore = gateway.silenceDiscovery().discoveryQueries();
     gateway.advance(40_000);
-    int asked = gateway.discoveryQueries() - before;
-    assertTrue(asked >= 95 && asked <= 105, asked + " questions in a hundred soft limits");
+    int queries = gateway.discoveryQueries() - queriesBefore;
+    assertTrue(
+        queries >= 95 && queries <= 105,
+        queries + " discovery queries in 100 latency objectives, expected 95 to 105");
   }
 }
