--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -11,33 +11,50 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * Queries the discovery service. An answer counts once, and only if it is one to the latest
- * queries.
+ * A client that polls the discovery service. An answer is accepted once, and only if it belongs to
+ * one of the latest queries.
  *
- * <p>Each gateway sends a query once in the grace of a drain: what an answer publishes must be
- * known here a grace after it was sent, and the service counts what it did not send as published
- * only some graces later. A query whose answer does not come is repeated after a quarter of that,
- * at growing waits once many were lost; where two got no answer, over another socket, for the one
- * in use may have fallen silent for good. The period is drawn anew each time: guards the service
- * against a fleet that was started at one moment and would send its queries in step for good.
+ * <p>The client sends one query in each drain grace. The reason is that an update must be obeyed
+ * one grace after the answer that contains it was sent, and that the service counts an update that
+ * it has not sent as published only several graces later.
+ *
+ * <p>A query without an answer is repeated after a quarter of the grace, and at growing intervals
+ * once many queries were lost. After two queries without an answer the next is sent over another
+ * socket, because the current one may have stopped receiving permanently.
+ *
+ * <p>Each interval gets a new random reduction. This guards the service against a fleet whose
+ * gateways were started at the same moment and would otherwise send their queries in step
+ * indefinitely.
  *
  * <p>Owned by the event-loop thread; all times are tenths of a millisecond.
  */
 final class DiscoveryClient {
   private static final int MAX_OUTSTANDING = 8;
+
+  /**
+   * The number of unanswered queries that are repeated at the shortest interval before the interval
+   * grows. The period is that many times as long as the shortest interval.
+   */
   private static final int QUICK_RETRIES = 4;
-  private static final double SPREAD = 0.2;
+
+  /** The largest share of the period by which an interval is randomly shortened. */
+  private static final double INTERVAL_JITTER_SHARE = 0.2;
 
   /**
-   * The first query is sent within this share of the period: nothing is sent to engines before its
-   * answer.
+   * The share of the period within which the first query is sent, at a random time. It is below 1
+   * because no attempt is sent to an engine before the first answer.
    */
-  private static final double FIRST_WITHIN = 0.6;
+  private static final double FIRST_QUERY_WINDOW_SHARE = 0.6;
 
-  /** So many queries in a row without an answer are worth a line in the log. */
-  private static final int MANY_UNANSWERED = 3;
+  /** The number of consecutive queries without an answer that is reported in the log. */
+  private static final int UNANSWERED_LOG_THRESHOLD = 3;
 
-  /** A query that was sent and not yet answered. */
+  /**
+   * A query that was sent and not yet answered.
+   *
+   * @param id the DNS message id
+   * @param sentAt when it was sent, in tenths of a millisecond
+   */
   private record Query(int id, long sentAt) {}
 
   private final ArrayDeque<Query> outstanding = new ArrayDeque<>();
@@ -45,17 +62,25 @@
   private final DiscoveryLease lease;
   private final Random random;
   private final NetworkDriver driver;
+
+  /** The longest interval between queries. */
   private final long period;
-  private long lastAt;
-  private long nextAt;
 
-  /** Queries since the last answer. */
+  private long lastSentAt;
+  private long nextDueAt;
+
+  /** The number of queries sent since the last answer. */
   private int unanswered;
 
   private boolean answeredBefore;
 
   /**
-   * @param grace how long after an answer was sent what it publishes must be obeyed
+   * Creates a client that sends its first query at a random time soon after the start.
+   *
+   * @param seed the seed of the random intervals and query ids
+   * @param now the time of the start, in tenths of a millisecond
+   * @param grace how long after an answer was sent its updates must be obeyed, in tenths of a
+   *     millisecond; also the longest interval between queries
    */
   DiscoveryClient(NetworkDriver driver, long seed, long now, long grace, Telemetry telemetry) {
     this.driver = driver;
@@ -63,35 +88,39 @@
     random = new Random(seed);
     period = Math.max(1, grace);
     lease = new DiscoveryLease(now, period);
-    nextAt = now + (long) (period * FIRST_WITHIN * random.nextDouble());
+    nextDueAt = now + (long) (period * FIRST_QUERY_WINDOW_SHARE * random.nextDouble());
   }
 
-  /** Sends a query if that is due. */
+  /** Sends a query if one is due, or at once if this process was paused. */
   void pollIfDue(long now) {
     if (lease.observe(now)) {
-      nextAt = now;
+      nextDueAt = now;
     }
-    if (now >= nextAt) {
-      long wait = nextWait();
-      warnIfUnanswered(now);
-      lastAt = now;
-      nextAt = now + Math.max(1, wait);
+    if (now >= nextDueAt) {
+      long wait = countAndGetRetryInterval();
+      handleUnanswered(now);
+      lastSentAt = now;
+      nextDueAt = now + Math.max(1, wait);
       send(now);
     }
   }
 
-  /** Until the next query if this one is not answered; counts it as unanswered. */
-  private long nextWait() {
+  /**
+   * Counts the query that is about to be sent as unanswered and returns how long to wait before it
+   * is repeated, in tenths of a millisecond.
+   */
+  private long countAndGetRetryInterval() {
     int doublings = Math.max(0, Math.min(2 * QUICK_RETRIES, unanswered++) - QUICK_RETRIES);
     return Math.min(period, (period / QUICK_RETRIES) << doublings);
   }
 
-  private void warnIfUnanswered(long now) {
+  /** Replaces the socket and logs an event once enough queries in a row got no answer. */
+  private void handleUnanswered(long now) {
     if (unanswered > 1 && unanswered % 2 == 1) {
       telemetry.metrics().add(Counter.DISCOVERY_SOCKETS_REPLACED);
       driver.replaceDiscoverySocket();
     }
-    if (unanswered == MANY_UNANSWERED + 1) {
+    if (unanswered == UNANSWERED_LOG_THRESHOLD + 1) {
       telemetry
           .log()
           .event(
@@ -99,7 +128,7 @@
               Topic.DISCOVERY,
               "discovery service does not answer",
               "unanswered",
-              MANY_UNANSWERED,
+              UNANSWERED_LOG_THRESHOLD,
               "list_age_ms",
               lease.age(now) / Units.TENTHS_PER_MS);
     }
@@ -116,52 +145,61 @@
     driver.sendDiscoveryQuery(Dns.query(id));
   }
 
-  /** When the next query is due, or the state of the list changes. */
+  /**
+   * Returns when the next query is due or the state of the endpoint list changes by itself,
+   * whichever is first, in tenths of a millisecond.
+   */
   long dueAt(long now) {
-    return Math.min(nextAt, lease.changesAt(now));
+    return Math.min(nextDueAt, lease.changesAt(now));
   }
 
-  /** How far the list may be used that its answers published. */
+  /** Returns the lease that limits how long the endpoint list from the answers may be used. */
   DiscoveryLease lease() {
     return lease;
   }
 
-  /** It has another address: it is queried at once, and no earlier query counts any more. */
+  /**
+   * Reacts to a new address of the discovery service: drops all outstanding queries, so that their
+   * answers are not accepted, and makes the next query due at once.
+   */
   void onAddressChanged(long now) {
     outstanding.clear();
     unanswered = 0;
-    nextAt = now;
+    nextDueAt = now;
   }
 
   /**
-   * An answer has come.
+   * Parses an answer and renews the lease.
    *
-   * @param known the number of the newest event that is known: an answer with an older list
-   *     confirms nothing
-   * @throws IllegalArgumentException if the datagram is of no use; the message says why
+   * @param knownIndex the index of the newest complete watch event that was applied; an answer with
+   *     a lower index does not confirm the endpoint list
+   * @return the watch event in the answer
+   * @throws IllegalArgumentException if the datagram answers no outstanding query or cannot be
+   *     parsed; the message states the reason
    */
-  EndpointWatchEvent onAnswer(long now, byte[] datagram, long known) {
+  EndpointWatchEvent onAnswer(long now, byte[] datagram, long knownIndex) {
     int id = Dns.id(datagram);
-    Query query = outstanding.stream().filter(one -> one.id == id).findFirst().orElse(null);
+    Query query =
+        outstanding.stream().filter(candidate -> candidate.id == id).findFirst().orElse(null);
     if (query == null) {
       throw new IllegalArgumentException("an answer to no query of ours");
     }
     outstanding.remove(query);
     EndpointWatchEvent event = Dns.answer(datagram, id);
     logAnswer(now, query, event);
-    if (event.index() >= known) {
+    if (event.index() >= knownIndex) {
       lease.onPollAnswered(query.sentAt, now);
     } else {
       lease.onOutdatedAnswer(now);
     }
     unanswered = 0;
-    nextAt = lastAt + (long) (period * (1 - SPREAD * random.nextDouble()));
+    nextDueAt = lastSentAt + (long) (period * (1 - INTERVAL_JITTER_SHARE * random.nextDouble()));
     return event;
   }
 
   private void logAnswer(long now, Query query, EndpointWatchEvent event) {
     telemetry.metrics().add(Counter.DISCOVERY_ANSWERS);
-    if (!answeredBefore || unanswered > MANY_UNANSWERED) {
+    if (!answeredBefore || unanswered > UNANSWERED_LOG_THRESHOLD) {
       telemetry
           .log()
           .event(
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -14,8 +14,8 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * The engines by their ids as last published, each with its transport. Owned by the event-loop
- * thread; all times are tenths of a millisecond.
+ * The endpoint list: the engines by their ids as last published, each with its transport. Owned by
+ * the event-loop thread; all times are tenths of a millisecond.
  */
 final class EndpointList {
   private final Map<String, EngineAddress> engines = new LinkedHashMap<>();
@@ -23,21 +23,21 @@
   private final List<?> zones;
   private final EndpointListStatus status;
 
-  /** Number of the newest watch event that was not complete. */
+  /** The index of the newest partial watch event that was applied. */
   private long partialIndex;
 
   /**
-   * When a whole list was last published: what is new in a later one was not there then; never, at
-   * first.
+   * The time at which a whole list was last applied; {@link Long#MIN_VALUE} if none was. A process
+   * that is new in a later list was not running at that time, which limits its start time.
    */
-  private long wholeListAt = Long.MIN_VALUE;
+  private long wholeListAppliedAt = Long.MIN_VALUE;
 
   private final Telemetry telemetry;
   private final EngineTransport.Owner owner;
   private final EngineTransport.Factory transports;
 
   EndpointList(
-      Settings terms,
+      Settings settings,
       Telemetry telemetry,
       EndpointListStatus status,
       EngineTransport.Owner owner,
@@ -46,11 +46,15 @@
     this.status = status;
     this.owner = owner;
     this.transports = transports;
-    kinds = terms.list("models");
-    zones = terms.list("zones");
+    kinds = settings.list("models");
+    zones = settings.list("zones");
   }
 
-  /** Applies a watch event; what it updates, or null if it is older than the list. */
+  /**
+   * Applies a watch event.
+   *
+   * @return the updates for the dispatch policy, or null if the event is not newer than the list
+   */
   List<EndpointUpdate> apply(EndpointWatchEvent event) {
     if (event.index() <= index() || event.index() < partialIndex) {
       return null;
@@ -64,8 +68,10 @@
   }
 
   /**
-   * A partial watch event, completed by what is known where only the status was published. Guards
-   * the drain: it is obeyed though the rest of the answer was lost. What is not known yet can wait.
+   * Returns a partial watch event with each entry that contains only a status completed from the
+   * stored list. Guards the drain rule: a drain is obeyed even if the rest of the answer was lost.
+   * An entry without an address for an engine that is not in the list is left out, because a new
+   * engine can wait for the whole answer. An event that is not partial is returned unchanged.
    */
   EndpointWatchEvent complete(EndpointWatchEvent event) {
     if (!event.partial()) {
@@ -83,7 +89,10 @@
     return new EndpointWatchEvent(event.index(), false, true, entries);
   }
 
-  /** Takes over the cached list; any watch event is newer. */
+  /**
+   * Applies the cached list without setting a version, so that any later watch event counts as
+   * newer.
+   */
   List<EndpointUpdate> restore(EndpointCache.CachedList cached) {
     return update(cached.engines(), cached.trust());
   }
@@ -97,7 +106,7 @@
         engineAddress.transport = transports.create(owner, engineAddress, entry.kind());
         engines.put(entry.id(), engineAddress);
       }
-      engineAddress.update(entry, owner.now(), wholeListAt);
+      engineAddress.update(entry, owner.now(), wholeListAppliedAt);
       logChange(engineAddress, entry, event.index());
       updates.add(
           new EndpointUpdate(
@@ -111,7 +120,7 @@
               trust.getOrDefault(entry.id(), 1.0)));
     }
     if (event.whole()) {
-      wholeListAt = owner.now();
+      wholeListAppliedAt = owner.now();
     }
     return updates;
   }
@@ -137,50 +146,68 @@
     }
   }
 
-  /** What was published so far may be of any age: it does not say when a process was missing. */
+  /**
+   * Forgets when a whole list was last applied. Called for lists of unknown age, because such a
+   * list does not show at what time a process was not yet running.
+   */
   void forgetListTime() {
-    wholeListAt = Long.MIN_VALUE;
+    wholeListAppliedAt = Long.MIN_VALUE;
   }
 
-  /** The index of a name in the settings; one that they do not contain follows all others. */
+  /**
+   * Returns the index of a name in a list of the settings, or the length of the list if it does not
+   * contain the name.
+   */
   private static int indexOf(List<?> names, String name) {
     int index = names.indexOf(name);
     return index < 0 ? names.size() : index;
   }
 
-  /** Checks connections; retires those to engines that are gone, and forgets these once empty. */
+  /**
+   * Checks the time-outs of all connections, retires connections to engines that are gone, and
+   * removes such an engine once it has neither connections nor attempts in flight.
+   *
+   * @param connectTimeout how long a connection may take to open, in tenths of a millisecond
+   * @param idleTimeout how long a connection may be idle, in tenths of a millisecond
+   */
   void checkTimeouts(long connectTimeout, long idleTimeout) {
-    for (Iterator<EngineAddress> i = engines.values().iterator(); i.hasNext(); ) {
-      EngineAddress engineAddress = i.next();
+    for (Iterator<EngineAddress> iterator = engines.values().iterator(); iterator.hasNext(); ) {
+      EngineAddress engineAddress = iterator.next();
       engineAddress.transport.checkTimeouts(connectTimeout, idleTimeout);
       if (engineAddress.engine.status == Status.GONE) {
         engineAddress.transport.retireConnections();
         if (engineAddress.transport.isEmpty() && engineAddress.engine.inFlight.isEmpty()) {
-          i.remove();
+          iterator.remove();
         }
       }
     }
   }
 
-  /** Closes the connection that has been idle longest; false if none is idle. */
+  /**
+   * Closes the connection that has been idle longest.
+   *
+   * @return whether a connection was closed; false if none is idle
+   */
   boolean closeLongestIdle() {
-    EngineTransport longest = null;
+    EngineTransport longestIdle = null;
     for (EngineAddress engineAddress : engines.values()) {
       if (engineAddress.transport.idleSince()
-          < (longest == null ? Long.MAX_VALUE : longest.idleSince())) {
-        longest = engineAddress.transport;
+          < (longestIdle == null ? Long.MAX_VALUE : longestIdle.idleSince())) {
+        longestIdle = engineAddress.transport;
       }
     }
-    if (longest != null) {
-      longest.closeIdle();
+    if (longestIdle != null) {
+      longestIdle.closeIdle();
     }
-    return longest != null;
+    return longestIdle != null;
   }
 
+  /** Returns the number of engines, but at least 1, so that limits can be divided by it. */
   int size() {
     return Math.max(1, engines.size());
   }
 
+  /** Returns the index of the newest complete watch event that was applied. */
   long index() {
     return status.version();
   }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
@@ -3,28 +3,29 @@
 import tillerlink.port.EndpointListState;
 
 /**
- * Version and state of the endpoint list in force, for whoever logs them. {@link EndpointList}
- * writes the version, {@link EndpointListWatch} the state. Owned by the event-loop thread.
+ * The version and state of the endpoint list in force, as logged by other classes. {@link
+ * EndpointList} sets the version, {@link EndpointListWatch} the state. Owned by the event-loop
+ * thread.
  */
 final class EndpointListStatus {
   private long version;
   private EndpointListState state = EndpointListState.AWAITED;
 
-  /** Number of the newest complete watch event. */
+  /** Returns the index of the newest complete watch event that was applied. */
   long version() {
     return version;
   }
 
-  void setVersion(long newest) {
-    version = newest;
+  void setVersion(long newVersion) {
+    version = newVersion;
   }
 
-  /** How far the list may be used. */
+  /** Returns whether, and with which restrictions, the list may be used for new attempts. */
   EndpointListState state() {
     return state;
   }
 
-  void setState(EndpointListState now) {
-    state = now;
+  void setState(EndpointListState newState) {
+    state = newState;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
@@ -11,9 +11,10 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * Applies watch events of the discovery service to the endpoint list and notifies the policy of
- * what changed. Starts from the endpoint cache where the discovery service is unavailable at the
- * start. Owned by the event-loop thread; all times are tenths of a millisecond.
+ * An updater that applies watch events of the discovery service to the endpoint list and notifies
+ * the dispatch policy of the changes. It starts from the endpoint cache if the discovery service is
+ * unavailable when the gateway starts. Owned by the event-loop thread; all times are tenths of a
+ * millisecond.
  */
 final class EndpointListUpdater {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
@@ -24,11 +25,13 @@
   private final EndpointCache endpointCache;
   private final Telemetry telemetry;
 
-  /** The discovery service has published no list since the start. */
+  /** Whether no list was known at the start and the discovery service has published none since. */
   private boolean startedWithoutList;
 
   /**
-   * @param endpointCache what is cached across restarts; null: nothing
+   * Creates an updater of an endpoint list.
+   *
+   * @param endpointCache the cache that stores the list across restarts, or null for no cache
    */
   EndpointListUpdater(
       EndpointList endpoints,
@@ -44,14 +47,19 @@
   }
 
   /**
-   * Whether the list in force is the cached one, whose trust the policy weighs, or none, until the
-   * discovery service answers.
+   * Returns whether the discovery service has not answered since a start without a list. The list
+   * in force is then the cached one, whose engines the policy weighs by their trust, or there is
+   * none.
    */
   boolean usesCachedList() {
     return startedWithoutList;
   }
 
-  /** Applies the lists that are known at the start, or the cached one if these are empty. */
+  /**
+   * Applies the lists that are known at the start, or the cached list if these are empty.
+   *
+   * @param known the endpoint lists that the configuration contains
+   */
   void start(long now, List<EndpointWatchEvent> known) {
     known.forEach(event -> apply(now, event));
     endpoints.forgetListTime();
@@ -60,7 +68,11 @@
     }
   }
 
-  /** Applies a watch event; whether the policy was notified of anything. */
+  /**
+   * Applies a watch event, as far as the endpoint cache does not replace it.
+   *
+   * @return whether the policy was notified of a change
+   */
   boolean apply(long now, EndpointWatchEvent received) {
     EndpointWatchEvent completed = endpoints.complete(received);
     boolean newer = completed.index() > endpoints.index();
@@ -95,7 +107,10 @@
     return updates != null;
   }
 
-  /** The discovery service is unavailable: the cached list is used, or none at all. */
+  /**
+   * Applies the cached list, because the discovery service is unavailable. Without a usable cached
+   * list the policy is notified that the engines are unknown.
+   */
   private void startWithoutList(long now) {
     EndpointCache.CachedList cached = endpointCache.loadAtStart(now);
     startedWithoutList = true;
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
@@ -8,8 +8,9 @@
 import tillerlink.telemetry.EventLog.Topic;
 
 /**
- * Polls the discovery service, has its answers taken over, and notifies the policy when the
- * endpoint list may be used for longer, or no more. Owned by the event-loop thread.
+ * A watch on the endpoint list: polls the discovery service, applies its answers, and notifies the
+ * dispatch policy when the time until which the list may be used changes. Owned by the event-loop
+ * thread; all times are tenths of a millisecond.
  */
 final class EndpointListWatch {
   private final GatewayContext context;
@@ -17,6 +18,8 @@
   private final EndpointListUpdater updater;
   private final EndpointList endpoints;
   private final EndpointListStatus status;
+
+  /** The time until which the list may be used, as last sent to the policy; -1 before that. */
   private long usableUntil = -1;
 
   EndpointListWatch(
@@ -32,7 +35,7 @@
   }
 
   /**
-   * The process starts.
+   * Applies the endpoint lists that are known when the process starts.
    *
    * @param known the endpoint lists that the configuration contains
    */
@@ -40,15 +43,17 @@
     updater.start(context.now(), known);
   }
 
-  /** Polls the discovery service if that is due, and notifies the policy of the list's state. */
+  /** Polls the discovery service if a poll is due, and updates the state of the endpoint list. */
   void checkTimeouts() {
     client.pollIfDue(context.now());
     updateState();
   }
 
+  /** Logs a change of the list's state and notifies the policy of it. */
   private void updateState() {
     long now = context.now();
-    // A cached list is known to be old, and the policy weighs how far it trusts each engine of it.
+    // A cached list is always degraded and has no limit in time, because it is known to be old and
+    // the policy weighs the trust in each of its engines.
     boolean cached = updater.usesCachedList();
     EndpointListState state = cached ? EndpointListState.DEGRADED : client.lease().state(now);
     long until = cached ? Long.MAX_VALUE : client.lease().usableUntil(now);
@@ -76,12 +81,15 @@
     }
   }
 
-  /** When the next poll is due, or the state of the list changes by itself. */
+  /**
+   * Returns when the next poll is due or the state of the list changes by itself, whichever is
+   * first, in tenths of a millisecond.
+   */
   long dueAt() {
     return client.dueAt(context.now());
   }
 
-  /** A datagram of the discovery service has come. */
+  /** Applies a datagram from the discovery service; logs a warning if it cannot be used. */
   void onDatagram(byte[] datagram) {
     long now = context.now();
     try {
@@ -94,12 +102,12 @@
     }
   }
 
-  /** The discovery service is to be polled at another address. */
+  /** Makes the next poll due at once, because the discovery service has another address. */
   void onAddressChanged() {
     client.onAddressChanged(context.now());
   }
 
-  /** Whether an answer of the discovery service confirms the list in force. */
+  /** Returns whether a recent answer of the discovery service confirms the list in force. */
   boolean confirmed() {
     return client.lease().state(context.now()) == EndpointListState.CONFIRMED;
   }
--- a/gateway/src/main/java/tillerlink/net/state/NetworkDriver.java
+++ b/gateway/src/main/java/tillerlink/net/state/NetworkDriver.java
@@ -3,32 +3,32 @@
 import java.net.InetSocketAddress;
 
 /**
- * The network as the gateway's state uses it. Called on the event-loop thread; it never blocks, and
- * calls back on that thread.
+ * The driver through which the gateway's state uses the network. Called on the event-loop thread;
+ * no method blocks, and all callbacks run on that thread.
  */
 public interface NetworkDriver {
-  /** Opens a connection; its owner is notified later. */
-  Channel connect(InetSocketAddress to, Channel.Owner owner);
+  /** Starts to open a connection; its owner is notified of the result in a later iteration. */
+  Channel connect(InetSocketAddress address, Channel.Owner owner);
 
   /** Sends a datagram to the discovery service. */
   void sendDiscoveryQuery(byte[] datagram);
 
   /**
-   * Nothing is received on the socket over which the discovery service is queried: the next query
-   * takes another, so from another port.
+   * Replaces the socket over which the discovery service is queried, because nothing is received on
+   * it. The next query is sent from another port.
    */
   default void replaceDiscoverySocket() {
-    // Where there is only one way, that is used.
+    // By default, a driver has a single way to the discovery service and continues to use it.
   }
 
   /**
-   * Calls back, in this iteration or a later one, once all that could be read of any connection
-   * when this was called has been passed to its owner.
+   * Runs a callback, in this iteration or a later one, once all bytes that were readable on any
+   * connection at the time of this call have been passed to their owners.
    */
-  default void runAfterPendingReads(Runnable then) {
-    then.run();
+  default void runAfterPendingReads(Runnable callback) {
+    callback.run();
   }
 
-  /** Writes what was written to channels in this iteration. */
+  /** Performs the writes and the other operations that were queued in this iteration. */
   void flush();
 }
--- a/gateway/src/main/java/tillerlink/net/state/RateLimitedWarning.java
+++ b/gateway/src/main/java/tillerlink/net/state/RateLimitedWarning.java
@@ -5,23 +5,29 @@
 import tillerlink.plain.Units;
 
 /**
- * Logs warnings, but at most a line a second: trouble that repeats must not fill the log. Owned by
- * the event-loop thread.
+ * A log for warnings that writes at most one line a second, so that a repeated fault does not fill
+ * the log. Owned by the event-loop thread; all times are tenths of a millisecond.
  */
 final class RateLimitedWarning {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
-  private static final long EVERY = 1000 * Units.TENTHS_PER_MS;
+  private static final long MIN_INTERVAL = 1000 * Units.TENTHS_PER_MS;
 
-  private long nextAt;
+  private long nextAllowedAt;
   private long suppressed;
 
-  void warn(long now, String line) {
-    if (now < nextAt) {
+  /**
+   * Logs a warning, or counts it as suppressed if the last line was logged less than a second ago.
+   * The next line that is logged contains the count.
+   *
+   * @param now the current time, in tenths of a millisecond
+   */
+  void warn(long now, String message) {
+    if (now < nextAllowedAt) {
       suppressed++;
       return;
     }
-    LOG.warn(suppressed == 0 ? line : line + " (" + suppressed + " lines suppressed)");
-    nextAt = now + EVERY;
+    LOG.warn(suppressed == 0 ? message : message + " (" + suppressed + " lines suppressed)");
+    nextAllowedAt = now + MIN_INTERVAL;
     suppressed = 0;
   }
 }
