--- a/gateway/src/main/java/tillerlink/net/state/AttemptWrites.java
+++ b/gateway/src/main/java/tillerlink/net/state/AttemptWrites.java
@@ -3,66 +3,84 @@
 import java.util.ArrayDeque;
 
 /**
- * The writes of one line-protocol connection by their numbers: which have been completed, and which
- * of them are attempts. Owned by the event-loop thread.
+ * The numbered writes of one line-protocol connection: tracks which of them are complete, and which
+ * carry attempts. Owned by the event-loop thread; all times are tenths of a millisecond.
  */
 final class AttemptWrites {
   /**
-   * An attempt that is being written.
+   * An attempt that was passed to the channel and is not yet known to be written.
    *
-   * @param number of the write
-   * @param before by when its first byte has to be written
-   * @param limit how long the engine is told that the client waits
+   * @param inFlight the attempt
+   * @param writeNumber the number of its write, counted from 1 on each connection
+   * @param deadline the time before which its first byte must be written, in tenths of a
+   *     millisecond
+   * @param announcedWait how long the client waits according to the command sent to the engine, in
+   *     tenths of a millisecond
    */
-  record OutgoingAttempt(InFlightAttempt inFlight, long number, long before, long limit) {}
+  record OutgoingAttempt(
+      InFlightAttempt inFlight, long writeNumber, long deadline, long announcedWait) {}
 
-  /** In the order of their writes. */
+  /** The attempts that are not yet written, in the order of their writes. */
   private final ArrayDeque<OutgoingAttempt> outgoing = new ArrayDeque<>(1);
 
-  private long begun;
-  private long completed;
+  private long writesStarted;
+  private long writesCompleted;
 
-  /** The last attempt that was cancelled before all of it had been written. */
-  private long lastCancelled;
+  /** The write of the attempt that was last cancelled before its write was complete; 0 if none. */
+  private long lastCancelledWrite;
 
-  /** Something other than an attempt is handed to the channel. */
+  /** Counts a write that is passed to the channel and carries no attempt. */
   void onWrite() {
-    begun++;
+    writesStarted++;
   }
 
-  /** An attempt is handed to the channel. */
-  void onAttemptWrite(InFlightAttempt inFlight, long before, long limit) {
-    begun++;
-    inFlight.writeNumber = begun;
-    outgoing.add(new OutgoingAttempt(inFlight, begun, before, limit));
+  /**
+   * Numbers the write of an attempt that is passed to the channel.
+   *
+   * @param deadline the time before which its first byte must be written, in tenths of a
+   *     millisecond
+   * @param announcedWait how long the client waits according to the command, in tenths of a
+   *     millisecond
+   */
+  void onAttemptWrite(InFlightAttempt inFlight, long deadline, long announcedWait) {
+    writesStarted++;
+    inFlight.writeNumber = writesStarted;
+    outgoing.add(new OutgoingAttempt(inFlight, writesStarted, deadline, announcedWait));
   }
 
-  /** An attempt is cancelled: if it was not written whole, that write must not linger. */
+  /**
+   * Records that an attempt was cancelled. If its write is not complete, {@link
+   * #cancelledAttemptPending} reports it, so that the write does not stay in the channel's queue.
+   */
   void onCancelled(InFlightAttempt inFlight) {
     if (inFlight.pages == null && !isCompleted(inFlight)) {
-      lastCancelled = inFlight.writeNumber;
+      lastCancelledWrite = inFlight.writeNumber;
     }
   }
 
-  /** The oldest write is complete; the attempt that it was, or null. */
+  /**
+   * Records that the oldest pending write is complete.
+   *
+   * @return the attempt that it carried, or null if it carried none
+   */
   OutgoingAttempt completeNext() {
-    completed++;
-    boolean attempt = !outgoing.isEmpty() && outgoing.peek().number <= completed;
+    writesCompleted++;
+    boolean attempt = !outgoing.isEmpty() && outgoing.peek().writeNumber <= writesCompleted;
     return attempt ? outgoing.poll() : null;
   }
 
-  /** Whether all of an attempt was written. */
+  /** Returns whether all bytes of an attempt were written. */
   boolean isCompleted(InFlightAttempt inFlight) {
-    return inFlight.writeNumber <= completed;
+    return inFlight.writeNumber <= writesCompleted;
   }
 
-  /** Whether an attempt was handed to the channel and not all of it was written. */
+  /** Returns whether an attempt was passed to the channel and its write is not complete. */
   boolean isPending(InFlightAttempt inFlight) {
     return inFlight.pages == null && inFlight.handedOver() && !isCompleted(inFlight);
   }
 
-  /** Whether a cancelled attempt still waits to be written. */
+  /** Returns whether the write of a cancelled attempt is still pending. */
   boolean cancelledAttemptPending() {
-    return lastCancelled > completed;
+    return lastCancelledWrite > writesCompleted;
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/CarriedAttempts.java
+++ b/gateway/src/main/java/tillerlink/net/state/CarriedAttempts.java
@@ -9,40 +9,48 @@
 
 /**
  * The attempts on one line-protocol connection by their ids, and the ids of those that ended on it
- * last. Owned by the event-loop thread.
+ * most recently. Owned by the event-loop thread.
  */
 final class CarriedAttempts {
-  /** A response to one of the attempts that ended last crossed our command and is no fault. */
-  private static final int RECENTLY_ENDED = 64;
+  /**
+   * The number of ended attempts whose ids are remembered. A response to one of them is not a
+   * protocol error, because the engine may have sent it before it received the cancel command.
+   */
+  private static final int MAX_RECENTLY_ENDED = 64;
 
   private final Map<String, InFlightAttempt> byId = new LinkedHashMap<>();
   private final Set<String> recentlyEnded = new LinkedHashSet<>();
 
+  /** Adds an attempt that the connection carries from now on. */
   void add(InFlightAttempt inFlight) {
     byId.put(inFlight.id(), inFlight);
   }
 
-  /** Nothing more of an attempt is expected; one that is not on the connection is ignored. */
+  /**
+   * Removes an attempt that has ended and remembers its id as recently ended. Does nothing if the
+   * attempt is not on this connection.
+   */
   void remove(InFlightAttempt inFlight) {
     if (byId.remove(inFlight.id(), inFlight)) {
       recentlyEnded.add(inFlight.id());
-      if (recentlyEnded.size() > RECENTLY_ENDED) {
+      if (recentlyEnded.size() > MAX_RECENTLY_ENDED) {
         recentlyEnded.remove(recentlyEnded.iterator().next());
       }
     }
   }
 
-  /** The attempt of that id, or null. */
+  /** Returns the attempt with that id, or null if the connection carries none. */
   InFlightAttempt get(String id) {
     return byId.get(id);
   }
 
+  /** Returns whether an attempt with that id is among the last that ended on the connection. */
   boolean recentlyEnded(String id) {
     return recentlyEnded.contains(id);
   }
 
-  /** Whether an attempt of that id is on the connection, or was until recently. */
-  boolean knows(String id) {
+  /** Returns whether an attempt with that id is on the connection or has ended on it recently. */
+  boolean presentOrRecentlyEnded(String id) {
     return byId.containsKey(id) || recentlyEnded.contains(id);
   }
 
@@ -54,12 +62,15 @@
     return byId.isEmpty();
   }
 
-  /** In the order in which they were added; for iteration that ends none of them. */
+  /**
+   * Returns a view of the attempts in the order in which they were added. No attempt may be removed
+   * while it is iterated over; {@link #copy} allows that.
+   */
   Collection<InFlightAttempt> all() {
     return byId.values();
   }
 
-  /** The same, for iteration that may end them. */
+  /** Returns a copy of {@link #all}, for iterations that may remove attempts. */
   List<InFlightAttempt> copy() {
     return List.copyOf(byId.values());
   }
--- a/gateway/src/main/java/tillerlink/net/state/ConnectionLiveness.java
+++ b/gateway/src/main/java/tillerlink/net/state/ConnectionLiveness.java
@@ -1,119 +1,138 @@
 package tillerlink.net.state;
 
 /**
- * Whether one engine connection still works: when it opened, when the engine was last heard on it,
- * and whether it answers probes. Guards against a machine that vanished, behind which connections
- * stay open and silent: a connection with attempts on which nothing is heard for half a connect
- * time-out is probed. If it does not answer within another half it is silent and takes no further
- * attempts, and a new connection shows whether the engine is there at all. A response of any kind
- * ends all of that.
+ * The liveness of one engine connection: tracks when it opened, when the engine was last heard on
+ * it, and whether the engine answers probes. Guards against a machine that vanished, because
+ * connections to such a machine stay open and silent. A connection that carries attempts and on
+ * which nothing was received for half a connect time-out is probed. If the engine does not answer
+ * within another half, the connection is silent: it takes no further attempts, and a new connection
+ * shows whether the engine can be reached at all. A response of any kind ends the silence.
  *
- * <p>It does no I/O: the connection sends the probes. Owned by the event-loop thread; all times are
- * tenths of a millisecond.
+ * <p>This class does no I/O: the connection sends the probes. Owned by the event-loop thread; all
+ * times are tenths of a millisecond.
  */
 public final class ConnectionLiveness {
-  /** What a silent connection calls for. */
+  /** The action to take on a silent connection. */
   public enum SilenceAction {
-    /** Nothing yet. */
+    /** Do nothing yet. */
     WAIT,
-    /** The engine was not heard on any connection: a new one shows whether it is there. */
+    /**
+     * Open another connection: the engine was not heard on any, and a new one shows whether it can
+     * be reached.
+     */
     OPEN_ANOTHER,
-    /** The engine is heard on other connections: this one alone is dead. */
+    /** Close the connection: the engine is heard on other connections, so only this one is dead. */
     GIVE_UP
   }
 
   private final long dialedAt;
 
-  /** Whether one that has answered a probe is probed half as often until its next attempt. */
+  /**
+   * Whether a connection that has answered a probe is probed half as often until its next attempt.
+   */
   private final boolean backsOff;
 
   private boolean open;
-  private long heardAt;
+  private long lastHeardAt;
   private long idleSince;
 
-  /** When an attempt was last sent over it. */
-  private long sentAt;
+  /** The time at which an attempt was last sent over the connection. */
+  private long lastAttemptSentAt;
 
-  /** It is not probed before it has been quiet for so long. */
+  /** The least time without input before the next probe, if longer than half a connect time-out. */
   private long minQuietTime;
 
-  /** When it was probed and has not answered since; 0 if no probe is outstanding. */
+  /** The time at which the outstanding probe was sent; 0 if no probe is outstanding. */
   private long probedAt;
 
   private boolean silent;
 
   /**
+   * Creates the state of a connection that is being opened.
+   *
+   * @param dialedAt when the connection began to be opened, in tenths of a millisecond
    * @param backsOff whether a connection that has answered a probe is probed half as often until
    *     {@link #onAttemptSent}
    */
   public ConnectionLiveness(long dialedAt, boolean backsOff) {
     this.dialedAt = dialedAt;
     this.backsOff = backsOff;
-    heardAt = dialedAt;
+    lastHeardAt = dialedAt;
     idleSince = dialedAt;
   }
 
-  /** The connection has opened. */
+  /** Records that the connection has opened. */
   public void onOpened(long now) {
     open = true;
-    heardAt = now;
+    lastHeardAt = now;
   }
 
-  /** The engine sent something. */
+  /** Records that the engine sent something, which ends a silence and answers any probe. */
   public void onHeard(long now) {
-    heardAt = now;
+    lastHeardAt = now;
     probedAt = 0;
     silent = false;
   }
 
-  /** An attempt is sent; it is given time to be answered before the connection is probed. */
+  /**
+   * Records that an attempt is sent. The connection is not probed before the engine has had half a
+   * connect time-out to answer it.
+   */
   public void onAttemptSent(long now) {
-    sentAt = now;
+    lastAttemptSentAt = now;
     minQuietTime = 0;
   }
 
-  /** An attempt has ended: if it was the last, the connection is idle from now on. */
+  /** Records that an attempt has ended. If it was the last, the connection is idle from now on. */
   public void onAttemptEnded(long now) {
     idleSince = now;
   }
 
-  /** Whether it has opened. */
+  /** Returns whether the connection has opened. */
   public boolean isOpen() {
     return open;
   }
 
-  /** When it began to be opened. */
+  /** Returns when the connection began to be opened, in tenths of a millisecond. */
   public long dialedAt() {
     return dialedAt;
   }
 
-  /** When the last attempt on it ended, or since when it exists. */
+  /**
+   * Returns when the last attempt on the connection ended, in tenths of a millisecond; when it
+   * began to be opened if none has ended yet.
+   */
   public long idleSince() {
     return idleSince;
   }
 
-  /** Whether it opened, or the engine was heard on it, since then. */
-  public boolean heardSince(long then) {
-    return open && heardAt >= then;
+  /** Returns whether the connection opened, or the engine was heard on it, at or after a time. */
+  public boolean heardSince(long earliest) {
+    return open && lastHeardAt >= earliest;
   }
 
-  /** Whether it should have opened by now. */
+  /** Returns whether the time in which the connection must open has passed. */
   public boolean openTimedOut(long now, long connectTimeout) {
     return now >= dialedAt + connectTimeout;
   }
 
-  /** Whether it is idle, if no attempt is on it, for longer than it may be. */
+  /**
+   * Returns whether the idle time-out has passed since the last attempt ended. Only meaningful
+   * while the connection carries no attempts.
+   */
   public boolean idleTimedOut(long now, long idleTimeout) {
     return now >= idleSince + idleTimeout;
   }
 
-  /** Whether a probe is to be sent, if attempts are on it. */
+  /** Returns whether a probe must be sent, provided that the connection carries attempts. */
   public boolean probeDue(long now, long connectTimeout) {
     return probedAt == 0
-        && now >= Math.max(heardAt, sentAt) + Math.max(minQuietTime, connectTimeout / 2);
+        && now
+            >= Math.max(lastHeardAt, lastAttemptSentAt)
+                + Math.max(minQuietTime, connectTimeout / 2);
   }
 
-  /** A probe is sent. */
+  /** Records that a probe is sent. */
   public void onProbeSent(long now, long connectTimeout) {
     probedAt = now;
     if (backsOff) {
@@ -121,25 +140,28 @@
     }
   }
 
-  /** Notes that a probe was not answered in time. */
+  /** Marks the connection as silent if a probe was not answered within half a connect time-out. */
   public void checkProbe(long now, long connectTimeout) {
     if (probedAt > 0 && !silent && now >= probedAt + connectTimeout / 2) {
       silent = true;
     }
   }
 
-  /** Whether it did not answer a probe in time, and nothing since. */
+  /** Returns whether a probe was not answered in time and nothing was received since. */
   public boolean isSilent() {
     return silent;
   }
 
-  /** When the probe was sent that is not yet answered; 0 if none is outstanding. */
+  /**
+   * Returns when the outstanding probe was sent, in tenths of a millisecond; 0 if no probe is
+   * outstanding.
+   */
   public long probedAt() {
     return probedAt;
   }
 
   /**
-   * What is to be done about a silent connection.
+   * Returns the action to take on a silent connection.
    *
    * @param engineHeard whether the engine was heard on any connection since {@link #probedAt}
    */
--- a/gateway/src/main/java/tillerlink/net/state/DisconnectReason.java
+++ b/gateway/src/main/java/tillerlink/net/state/DisconnectReason.java
@@ -3,47 +3,57 @@
 import tillerlink.model.AttemptOutcome;
 
 /**
- * Every way a connection can end, and what each means for an attempt that was on it. The names are
- * labels of metrics.
+ * The reason for which a connection ended, with the outcome that each reason gives an attempt on
+ * the connection. The names are labels of metrics.
  */
 public enum DisconnectReason {
-  /** Nobody listens at the other end. */
+  /** The connection could not be opened: no process listens at the address. */
   REFUSED,
-  /** It did not come up in time. */
+  /** The connection did not open within the connect time-out. */
   NEVER_UP,
-  /** It did not answer a probe, and a new one to the same address failed. */
+  /** The peer did not answer a probe, and a new connection to the same address failed. */
   SILENT,
+  /** The connection broke with an I/O error. */
   RESET,
   CLOSED_BY_PEER,
   /**
-   * The peer sent what can't be read, or half a response and no more: its attempts were executed,
-   * their responses are lost.
+   * The peer sent bytes that cannot be parsed, or only a part of a response. The attempts on the
+   * connection were executed and their responses are lost.
    */
   GARBLED,
   /**
-   * It did not answer a probe, while the engine answers on another: the connection alone is dead.
+   * The peer did not answer a probe, while the engine answers on another connection: only this
+   * connection is dead.
    */
   MUTE,
-  /** No descriptor or no room was left for it here. */
+  /** This process had no file descriptor, or no room within its limits, for the connection. */
   NO_ROOM,
-  /** Its engine drains, or is gone, and nothing of the attempt was written. */
+  /**
+   * The attempt must not be written any more, for example because its engine is draining or gone,
+   * and no byte of it was written.
+   */
   WITHDRAWN,
-  /** The same, with a part of what was written still waiting here for a peer that does not read. */
+  /**
+   * The engine is draining or gone, or an attempt was cancelled, while bytes passed to the channel
+   * still waited for a peer that does not read.
+   */
   HELD_BACK,
   CLOSED_BY_US;
 
   /**
-   * What it means for an attempt.
+   * Returns the outcome of an attempt on a connection that ended for this reason.
    *
-   * @param whole the attempt may have come whole to the engine; else it surely was not executed
+   * @param whole whether the engine may have received the whole attempt; if false, the attempt was
+   *     certainly not executed
    */
   public AttemptOutcome outcome(boolean whole) {
     return switch (this) {
-      // It may have run before, on a connection that broke while its result came.
+      // If the whole attempt may have been received, it may have been executed on an earlier
+      // connection that broke while its result was being received.
       case REFUSED, NEVER_UP, SILENT ->
           whole ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.CONNECT_FAILED;
-      // A connection that came up and broke says that somebody is there; only what it bore may be
-      // in doubt.
+      // A connection that opened and then broke proves that a process listens there, so only the
+      // attempts that it carried may be in doubt.
       case RESET, CLOSED_BY_PEER ->
           whole ? AttemptOutcome.CONNECTION_LOST : AttemptOutcome.NOT_SENT;
       case GARBLED, MUTE, HELD_BACK ->
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -10,8 +10,8 @@
 import tillerlink.telemetry.EventLog.Topic;
 
 /**
- * A connection to an engine by the platform's line protocol, which carries many attempts. Owned by
- * the event-loop thread.
+ * A connection to an engine over the platform's line protocol, which can carry several attempts at
+ * once. Owned by the event-loop thread; all times are tenths of a millisecond.
  */
 final class EngineConnection implements Channel.Owner {
   private static final String PROBE_ID = "0";
@@ -27,13 +27,13 @@
   private Channel channel;
   private boolean closed;
 
-  /** Takes no new attempts; closes once those on it have ended. */
+  /** Whether this connection takes no new attempts and closes once those on it have ended. */
   private boolean retired;
 
-  /** Aborted because it held back what must not be written any more. */
+  /** Whether the channel was aborted because of an attempt that must not be written any more. */
   private boolean aborted;
 
-  /** Since when half a response waits for the rest; 0 if none does. */
+  /** The time since which a response is incomplete; 0 if none is. */
   private long partialSince;
 
   EngineConnection(LineProtocolTransport transport, long now) {
@@ -54,21 +54,21 @@
     return engineAddress.id;
   }
 
-  /** Whether it can carry one more attempt, of that id. */
+  /** Returns whether it can take one more attempt, whose id was not used on it recently. */
   boolean accepts(String id, int maxAttempts) {
     return !retired
         && !liveness.isSilent()
         && !closed
         && attempts.size() < maxAttempts
-        && !attempts.knows(id);
+        && !attempts.presentOrRecentlyEnded(id);
   }
 
-  /** How many attempts it carries. */
+  /** Returns the number of attempts on the connection. */
   int attemptCount() {
     return attempts.size();
   }
 
-  /** The attempt of that id, or null if it carries none. */
+  /** Returns the attempt with that id, or null if the connection carries none. */
   InFlightAttempt attempt(String id) {
     return attempts.get(id);
   }
@@ -87,9 +87,9 @@
   }
 
   /**
-   * Requests its result, or what is missing of it. Guards the drain: an attempt that waited for the
-   * connection to open is not sent to an engine that began to drain meanwhile, for that may be past
-   * the grace. Pages are no new work.
+   * Writes an attempt, or requests its missing pages. Guards the drain rule: an attempt that waited
+   * for the connection to open is not sent to an engine that began to drain in the meantime,
+   * because the grace may be over. Pages may be requested, since they are no new work.
    */
   private void start(InFlightAttempt inFlight) {
     if (inFlight.pages != null) {
@@ -107,7 +107,7 @@
 
   private void want(InFlightAttempt inFlight) {
     long millisLeft = inFlight.millisLeft(owner.now());
-    long before = owner.writeDeadline(inFlight);
+    long deadline = owner.writeDeadline(inFlight);
     channel.writeUntil(
         EngineCommand.want(
             inFlight.id(),
@@ -115,27 +115,27 @@
             millisLeft,
             inFlight.key(),
             inFlight.statement()),
-        before);
-    writes.onAttemptWrite(inFlight, before, millisLeft * Units.TENTHS_PER_MS);
+        deadline);
+    writes.onAttemptWrite(inFlight, deadline, millisLeft * Units.TENTHS_PER_MS);
   }
 
-  /** Writes a command that is no attempt. */
+  /** Writes a command that carries no attempt. */
   void write(byte[] bytes) {
     channel.write(bytes);
     writes.onWrite();
   }
 
-  /** Cancels an attempt; what that proves about its execution. */
+  /** Cancels an attempt and returns the outcome, which states if it may have been executed. */
   AttemptOutcome cancel(InFlightAttempt inFlight) {
-    boolean sent = inFlight.handedOver();
-    if (sent && !closed) {
+    boolean passedToChannel = inFlight.handedOver();
+    if (passedToChannel && !closed) {
       writes.onCancelled(inFlight);
       write(EngineCommand.cancel(inFlight.id()));
     }
-    return DisconnectReason.CLOSED_BY_US.outcome(sent);
+    return DisconnectReason.CLOSED_BY_US.outcome(passedToChannel);
   }
 
-  /** An attempt has ended: nothing more of it is expected here. */
+  /** Removes an attempt that has ended, and closes a retired connection with its last attempt. */
   void release(InFlightAttempt inFlight) {
     attempts.remove(inFlight);
     liveness.onAttemptEnded(owner.now());
@@ -165,14 +165,14 @@
     AttemptWrites.OutgoingAttempt written = writes.completeNext();
     if (written != null) {
       InFlightAttempt inFlight = written.inFlight();
-      owner.attemptSent(inFlight, firstByteAt, written.before(), written.limit());
+      owner.attemptSent(inFlight, firstByteAt, written.deadline(), written.announcedWait());
       if (inFlight.fenced()) {
         owner.attemptWritten(inFlight);
       }
     }
   }
 
-  /** Nothing of the attempt was written, though it was handed over: it surely was not executed. */
+  /** Ends the attempt as not executed: it was passed to the channel, but no byte was written. */
   @Override
   public void onWriteExpired() {
     InFlightAttempt inFlight = writes.completeNext().inFlight();
@@ -205,34 +205,34 @@
     }
   }
 
-  /** If it closed in the middle of a response, the attempts on it were executed. */
+  /** Treats a close within a response as GARBLED, because the attempts were then executed. */
   @Override
-  public void onClosed(DisconnectReason how) {
+  public void onClosed(DisconnectReason reason) {
     end(
-        aborted ? DisconnectReason.HELD_BACK : parser.midway() ? DisconnectReason.GARBLED : how,
+        aborted ? DisconnectReason.HELD_BACK : parser.midway() ? DisconnectReason.GARBLED : reason,
         true);
   }
 
   // ---- time ----
 
-  /** Whether it is still being opened. */
+  /** Returns whether the connection is still being opened. */
   boolean dialing() {
     return !liveness.isOpen();
   }
 
-  /** Whether it opened, or the engine was heard on it, since then. */
-  boolean heardSince(long then) {
-    return liveness.heardSince(then);
+  /** Returns whether the connection opened, or the engine was heard on it, at or after a time. */
+  boolean heardSince(long earliest) {
+    return liveness.heardSince(earliest);
   }
 
-  /** Since when it is idle; {@link Long#MAX_VALUE} if it carries attempts or is being opened. */
+  /** Returns when it became idle; {@link Long#MAX_VALUE} if it has attempts or is not open yet. */
   long idleSince() {
     return liveness.isOpen() && attempts.isEmpty() ? liveness.idleSince() : Long.MAX_VALUE;
   }
 
   /**
-   * Takes no new attempts. One that is still being opened would send to whoever is at its address
-   * by then: it closes.
+   * Takes no new attempts and closes once none is left. A connection that is still being opened
+   * closes at once, because any process may listen at its address by then.
    */
   void retire() {
     retired = true;
@@ -242,13 +242,13 @@
   }
 
   /**
-   * Closes a connection that did not open, or that is idle, sooner than the engine would: an
-   * attempt must not meet its close. Guards also against a machine that vanished ({@link
-   * ConnectionLiveness}): if no new connection opens either, nobody is there and the attempts end
-   * with their outcome unknown; if another connection to that engine works, this one alone is dead:
-   * its attempts were executed and their responses are lost. The same holds for half a response
-   * whose rest does not come. An attempt that still waits to be written to a draining engine, or
-   * was cancelled, is never sent.
+   * Closes a connection that did not open in time, or that is idle; the latter sooner than the
+   * engine would, so that no attempt is sent while the engine closes it. Guards also against a
+   * machine that vanished ({@link ConnectionLiveness}): if no new connection opens either, the
+   * engine cannot be reached and the attempts end with unknown outcome. If another connection to
+   * the engine works, only this one is dead: its attempts were executed and their responses are
+   * lost. The same applies to a response whose rest is not received. Aborts the connection so that
+   * an attempt is never sent if it was cancelled, or waited too long for a draining engine.
    */
   void checkTimeouts(long connectTimeout, long idleTimeout) {
     if (closed) {
@@ -256,8 +256,8 @@
     }
     long now = owner.now();
     if (!checkUse(now, connectTimeout, idleTimeout) && !checkInput(now, connectTimeout)) {
-      if (!aborted && holdsObsoleteWrite(now)) {
-        // What was written is known once the connection has closed.
+      if (!aborted && hasObsoleteWrite(now)) {
+        // Its attempts end in onClosed, because only then is it known which of them were written.
         aborted = true;
         retired = true;
         channel.abort();
@@ -270,7 +270,7 @@
     }
   }
 
-  /** Ends it if it did not open or is idle for too long; whether that is so. */
+  /** Ends the connection and returns true if it did not open in time or was idle for too long. */
   private boolean checkUse(long now, long connectTimeout, long idleTimeout) {
     if (!liveness.isOpen() && liveness.openTimedOut(now, connectTimeout)) {
       end(DisconnectReason.NEVER_UP);
@@ -283,7 +283,7 @@
     return false;
   }
 
-  /** Sends a probe, or ends it for half a response, if either is due; whether one was. */
+  /** Sends a due probe, or ends the connection if a response stays incomplete; true if either. */
   private boolean checkInput(long now, long connectTimeout) {
     if (liveness.isOpen() && !attempts.isEmpty() && liveness.probeDue(now, connectTimeout)) {
       liveness.onProbeSent(now, connectTimeout);
@@ -307,22 +307,22 @@
   }
 
   /**
-   * Whether it holds an attempt that must not be written any more: cancelled, or kept for too long
-   * by a peer that does not read while its engine drains.
+   * Returns whether an attempt is pending that must not be written any more: one that was
+   * cancelled, or one that waited too long for a peer that does not read, for a draining engine.
    */
-  private boolean holdsObsoleteWrite(long now) {
+  private boolean hasObsoleteWrite(long now) {
     return writes.cancelledAttemptPending()
-        || (!engineAddress.isReady() && holdsWriteSince(now - owner.maxWriteDelay()));
+        || (!engineAddress.isReady() && hasWritePendingSince(now - owner.maxWriteDelay()));
   }
 
-  private boolean holdsWriteSince(long sentAt) {
+  private boolean hasWritePendingSince(long sentAt) {
     return attempts.all().stream()
         .anyMatch(inFlight -> writes.isPending(inFlight) && inFlight.attempt.sentAt <= sentAt);
   }
 
   /**
-   * A new connection to its engine failed: if this one does not answer its probe, its attempts end
-   * with their outcome unknown.
+   * Reacts to a new connection to the engine that failed. If this connection is silent too, it ends
+   * and its attempts end with unknown outcome; if it carries none, it is retired.
    */
   void onEngineUnreachable() {
     if (liveness.isSilent()) {
@@ -338,47 +338,48 @@
     }
   }
 
-  private void end(DisconnectReason how) {
-    end(how, false);
+  private void end(DisconnectReason reason) {
+    end(reason, false);
   }
 
   /**
-   * Ends the connection; each attempt on it ends as that means for it.
+   * Ends the connection and each attempt on it with the outcome that follows from the reason.
    *
-   * @param writesKnown whether the channel has closed, so that it is known what was written: while
-   *     it is open, an attempt that was handed over may be on its way though nobody said so yet
+   * @param writesKnown whether the channel has closed, so that it is known what was written; while
+   *     it is open, an attempt passed to it may have been sent without being reported yet
    */
-  private void end(DisconnectReason how, boolean writesKnown) {
+  private void end(DisconnectReason reason, boolean writesKnown) {
     if (closed) {
       return;
     }
     closed = true;
-    countEnd(how);
+    recordEnd(reason);
     transport.onConnectionEnded(this);
-    if (how == DisconnectReason.CLOSED_BY_US) {
+    if (reason == DisconnectReason.CLOSED_BY_US) {
       channel.close();
     } else {
       channel.abort();
     }
     for (InFlightAttempt inFlight : attempts.copy()) {
-      endAttempt(inFlight, how, writesKnown);
+      endAttempt(inFlight, reason, writesKnown);
     }
-    if (how == DisconnectReason.REFUSED || how == DisconnectReason.NEVER_UP) {
+    if (reason == DisconnectReason.REFUSED || reason == DisconnectReason.NEVER_UP) {
       transport.onConnectFailed();
     }
   }
 
-  private void endAttempt(InFlightAttempt inFlight, DisconnectReason how, boolean writesKnown) {
-    boolean resumable = how != DisconnectReason.CLOSED_BY_US && how != DisconnectReason.SILENT;
+  private void endAttempt(InFlightAttempt inFlight, DisconnectReason reason, boolean writesKnown) {
+    boolean resumable =
+        reason != DisconnectReason.CLOSED_BY_US && reason != DisconnectReason.SILENT;
     if (!resumable || !transport.resume(inFlight)) {
-      boolean whole = writesKnown ? writes.isCompleted(inFlight) : inFlight.handedOver();
-      owner.attemptEnded(inFlight, how.outcome(whole || inFlight.pages != null));
+      boolean maybeReceived = writesKnown ? writes.isCompleted(inFlight) : inFlight.handedOver();
+      owner.attemptEnded(inFlight, reason.outcome(maybeReceived || inFlight.pages != null));
     }
   }
 
-  private void countEnd(DisconnectReason how) {
-    owner.telemetry().metrics().add(Counter.ENGINE_CONNECTIONS_ENDED, how);
-    if (how != DisconnectReason.CLOSED_BY_US || !attempts.isEmpty()) {
+  private void recordEnd(DisconnectReason reason) {
+    owner.telemetry().metrics().add(Counter.ENGINE_CONNECTIONS_ENDED, reason);
+    if (reason != DisconnectReason.CLOSED_BY_US || !attempts.isEmpty()) {
       owner
           .telemetry()
           .log()
@@ -389,7 +390,7 @@
               "engine",
               engineId(),
               "reason",
-              how,
+              reason,
               "attempts",
               attempts.size(),
               "opened",
--- a/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
@@ -6,8 +6,8 @@
 import tillerlink.net.wire.EngineResponse;
 
 /**
- * What the responses on one line-protocol connection mean for its attempts, and requests for the
- * further pages of their results. Owned by the event-loop thread.
+ * A handler that applies the responses on one line-protocol connection to its attempts, and
+ * requests the further pages of their results. Owned by the event-loop thread.
  */
 final class EngineResponseHandler {
   private static final int MAX_PAGES = 64;
@@ -22,10 +22,12 @@
   }
 
   /**
-   * Guards the other attempts against a response that belongs to none here, or that comes twice:
-   * its framing is sound, so it is ignored and the connection goes on.
+   * Applies one response. A response to an attempt that is not on the connection, or a second
+   * response, is ignored and the connection stays open, because its framing is valid. This guards
+   * the other attempts on the connection.
    *
-   * @throws IllegalArgumentException if the connection can't go on
+   * @throws IllegalArgumentException if the response violates the protocol, so that the connection
+   *     must be closed
    */
   void handle(EngineResponse response) {
     InFlightAttempt inFlight = connection.attempt(response.id());
@@ -47,7 +49,11 @@
     }
   }
 
-  /** A page that the engine no longer has says nothing against what it executes. */
+  /**
+   * Returns the outcome of an attempt to which the engine responded with an error. An error in
+   * response to a request for a page means that the engine no longer has the page, so the attempt
+   * has not failed: only its response is lost.
+   */
   private static AttemptOutcome outcomeOfError(InFlightAttempt inFlight) {
     return inFlight.pages == null ? AttemptOutcome.FAILED : AttemptOutcome.RESPONSE_LOST;
   }
@@ -66,7 +72,10 @@
     };
   }
 
-  /** The first page has come: the others are requested at once. */
+  /**
+   * Stores the first page of a result and requests all other pages at once. A second first page is
+   * ignored.
+   */
   private void startResult(InFlightAttempt inFlight, EngineResponse response) {
     if (inFlight.pages != null) {
       return;
@@ -82,26 +91,27 @@
     onPageAdded(inFlight, response);
   }
 
+  /** Stores a further page of a result; ignores one that is not missing. */
   private void addPage(InFlightAttempt inFlight, EngineResponse response) {
-    if (inFlight.lacks(response.number())) {
+    if (inFlight.isPageMissing(response.number())) {
       inFlight.addPage(response.number(), response.body());
       onPageAdded(inFlight, response);
     }
   }
 
-  /** Requests what is missing of a result, on this connection. */
+  /** Requests the missing pages of a result on this connection. */
   void requestMissingPages(InFlightAttempt inFlight) {
     for (int page = 1; page < inFlight.pages.length; page++) {
-      if (inFlight.lacks(page)) {
+      if (inFlight.isPageMissing(page)) {
         connection.write(EngineCommand.turn(inFlight.id(), page));
       }
     }
   }
 
-  /** Counts a page, and ends the attempt with the last. */
+  /** Counts the bytes of a page that was stored, and ends the attempt after its last page. */
   private void onPageAdded(InFlightAttempt inFlight, EngineResponse response) {
     owner.retainedBytesChanged(response.body().length);
-    if (inFlight.bytes > MAX_RESULT_BYTES) {
+    if (inFlight.resultBytes > MAX_RESULT_BYTES) {
       inFlight.pages = null;
       throw new IllegalArgumentException("a result too long");
     }
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
@@ -7,126 +7,163 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * How attempts reach one engine and its responses come back: its connections, in whatever protocol
- * it speaks. Called on the event-loop thread; all times are tenths of a millisecond.
+ * The transport to one engine: sends attempts over its connections, in the protocol of the engine,
+ * and reports their results. Called on the event-loop thread; all times are tenths of a
+ * millisecond.
  */
 public interface EngineTransport {
-  /** What transports use of the gateway, and notify it of in the iteration in which it happened. */
+  /**
+   * The part of the gateway that transports use. A transport reports each event in the iteration in
+   * which it happened.
+   */
   interface Owner {
-    /** The time of this iteration. */
+    /** Returns the time of this iteration, in tenths of a millisecond. */
     long now();
 
-    /** An attempt in flight has made progress. */
+    /**
+     * Reports that an attempt in flight has made progress.
+     *
+     * @param progress the kind of progress
+     * @param level the level that the engine reported
+     */
     void attemptProgressed(InFlightAttempt inFlight, AttemptProgress progress, double level);
 
     /**
-     * An attempt has ended; called once for each. One that was sent in this iteration ends by
-     * {@link #runInNextIteration} at the soonest.
+     * Reports the end of an attempt; called once for each. An attempt that was sent in this
+     * iteration may be ended at the earliest through {@link #runInNextIteration}.
      */
     void attemptEnded(InFlightAttempt inFlight, AttemptOutcome outcome);
 
     /**
-     * All of an attempt that is {@link InFlightAttempt#fenced} has been written; called before
-     * anything that comes of it.
+     * Reports that all bytes of a {@link InFlightAttempt#fenced} attempt have been written; called
+     * before any response to the attempt is reported.
      */
     void attemptWritten(InFlightAttempt inFlight);
 
-    /** An attempt is written in this iteration; until when its first byte may be written. */
+    /**
+     * Returns the time before which the first byte of an attempt must be written, in tenths of a
+     * millisecond. Called for an attempt that is passed to a channel in this iteration.
+     */
     long writeDeadline(InFlightAttempt inFlight);
 
     /**
-     * An attempt was written.
+     * Reports that an attempt was written.
      *
-     * @param before what {@link #writeDeadline} returned
-     * @param limit how long its engine was told that the client waits
+     * @param firstByteAt when its first byte was written, in tenths of a millisecond
+     * @param deadline the deadline that {@link #writeDeadline} returned
+     * @param announcedWait how long the client waits according to the command sent to the engine,
+     *     in tenths of a millisecond
      */
-    void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit);
+    void attemptSent(InFlightAttempt inFlight, long firstByteAt, long deadline, long announcedWait);
 
-    /** An attempt was not written, for the verdict did not allow it. */
+    /** Reports that an attempt was not written because the verdict did not allow it. */
     void attemptBlocked(InFlightAttempt inFlight, SendVerdict verdict);
 
     /** Runs a task at the beginning of the next iteration. */
     void runInNextIteration(Runnable task);
 
-    /** Bytes are retained for a client, or no longer. */
-    void retainedBytesChanged(long more);
+    /**
+     * Reports a change of the number of bytes that are retained for clients.
+     *
+     * @param change the change in bytes; negative if fewer are retained
+     */
+    void retainedBytesChanged(long change);
 
-    /** The counters and the event log. */
+    /** Returns the counters and the event log. */
     Telemetry telemetry();
 
-    /** Logs a warning, at a bounded rate. */
-    void warnRateLimited(String line);
+    /** Logs a warning at a limited rate. */
+    void warnRateLimited(String message);
 
-    /** Opens a connection. */
-    Channel connect(InetSocketAddress to, Channel.Owner owner);
+    /** Starts to open a connection; its owner is notified of the result. */
+    Channel connect(InetSocketAddress address, Channel.Owner owner);
 
-    /** Connections to engines that may be open at once, by all transports together. */
+    /** Returns how many connections all transports together may have open at once. */
     int maxConnections();
 
-    /** How many are open or being opened now. */
+    /** Returns how many connections of all transports are open or being opened. */
     int openConnections();
 
     /**
-     * Whether one more may be opened. At the bound the one that has been idle longest, to any
-     * engine, is closed for it: guards a fleet of more engines than connections, where those that
-     * are idle would lock the others out.
+     * Makes room for one more connection. At the limit, the connection to any engine that has been
+     * idle longest is closed. This guards a fleet with more engines than connections, in which idle
+     * connections would otherwise keep the other engines from being reached.
+     *
+     * @return whether one more connection may be opened
      */
     boolean reserveConnection();
 
-    /** How long what must not be written later may wait here for a peer that does not read. */
+    /**
+     * Returns how long an attempt that must not be written late may wait for a peer that does not
+     * read, in tenths of a millisecond.
+     */
     long maxWriteDelay();
 
-    /** How many engines are known. */
+    /** Returns the number of known engines; at least 1. */
     int engineCount();
 
-    /** Connections are being opened, or have ended. */
-    void connectionCountChanged(int more);
+    /**
+     * Reports that connections are being opened or have ended.
+     *
+     * @param change the change of the number of connections; negative for those that have ended
+     */
+    void connectionCountChanged(int change);
   }
 
   /**
-   * Sends an attempt. If that is not possible, it ends as one that was never sent, in the next
-   * iteration.
+   * Sends an attempt. If that is not possible, the attempt ends in the next iteration as not sent.
    */
   void send(InFlightAttempt inFlight);
 
-  /** Cancels an attempt in flight; what that proves about its execution. The caller ends it. */
+  /**
+   * Cancels an attempt in flight. The caller ends it.
+   *
+   * @return the outcome, which states whether the attempt may have been executed
+   */
   AttemptOutcome abandon(InFlightAttempt inFlight);
 
-  /** An attempt has ended and is expected here no more. */
+  /** Removes an attempt that has ended. */
   void release(InFlightAttempt inFlight);
 
-  /** Does what is due. */
+  /**
+   * Checks the time-outs of all connections.
+   *
+   * @param connectTimeout how long a connection may take to open, in tenths of a millisecond
+   * @param idleTimeout how long a connection may be idle, in tenths of a millisecond
+   */
   void checkTimeouts(long connectTimeout, long idleTimeout);
 
   /**
-   * Sends no new attempts over what is open now: that leads to a process which is not the one that
-   * was published.
+   * Sends no new attempts over the current connections, because they lead to a process that is no
+   * longer the published one.
    */
   void retireConnections();
 
   /**
-   * Since when its connection that has been idle longest carries nothing; {@link Long#MAX_VALUE} if
-   * none is idle.
+   * Returns since when the connection that has been idle longest is idle, in tenths of a
+   * millisecond; {@link Long#MAX_VALUE} if none is idle.
    */
   default long idleSince() {
     return Long.MAX_VALUE;
   }
 
-  /** Closes that connection. */
+  /** Closes the connection that has been idle longest, if any is idle. */
   default void closeIdle() {
-    // Where none is idle, none is closed.
+    // By default, no connection counts as idle.
   }
 
-  /** Whether it has neither connections nor attempts. */
+  /** Returns whether the transport has neither connections nor attempts. */
   boolean isEmpty();
 
-  /** Creates the transport of an engine. */
+  /** A factory of the transports to engines. */
   @FunctionalInterface
   interface Factory {
     /**
-     * Creates one.
+     * Creates the transport to an engine.
      *
-     * @param kind the engine's kind, by its name
+     * @param owner the owner to which the transport reports
+     * @param engineAddress the engine and its current address
+     * @param kind the name of the engine kind
      */
     EngineTransport create(Owner owner, EngineAddress engineAddress, String kind);
   }
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -9,39 +9,42 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * What the transports of all engines share: the bound on connections, and the way by which what
- * becomes of attempts reaches clients and policy. Owns the endpoint list; owned by the event-loop
- * thread.
+ * The owner that the transports of all engines share: limits their connections, and passes the
+ * results of attempts on to clients and to the dispatch policy. Owns the endpoint list; owned by
+ * the event-loop thread.
  */
 final class EngineTransportOwner implements EngineTransport.Owner {
   private final GatewayContext context;
   private final RequestRegistry requests;
   private final RetainedBytes retained;
   private final FencedRequests fencedRequests;
-  private final NetworkSettings settings;
+  private final NetworkSettings networkSettings;
   private final EndpointList endpoints;
   private int openConnections;
 
   /**
-   * @param factory how engines are reached, by their kinds; null, or null for an engine: over
-   *     engine lines
+   * Creates the owner of all transports and its endpoint list.
+   *
+   * @param policySettings the settings with the engine kinds and zones
+   * @param factory the factory of transports by engine kind; the line protocol is used if it is
+   *     null or returns null for an engine
    */
   EngineTransportOwner(
       GatewayContext context,
       RequestRegistry requests,
       RetainedBytes retained,
       FencedRequests fencedRequests,
-      NetworkSettings settings,
-      Settings terms,
+      NetworkSettings networkSettings,
+      Settings policySettings,
       EngineTransport.Factory factory) {
     this.context = context;
     this.requests = requests;
     this.retained = retained;
     this.fencedRequests = fencedRequests;
-    this.settings = settings;
+    this.networkSettings = networkSettings;
     endpoints =
         new EndpointList(
-            terms,
+            policySettings,
             context.telemetry(),
             context.listStatus(),
             this,
@@ -49,11 +52,13 @@
               EngineTransport transport =
                   factory == null ? null : factory.create(owner, engineAddress, kind);
               return transport == null
-                  ? new LineProtocolTransport(owner, engineAddress, settings.streamsPerConnection())
+                  ? new LineProtocolTransport(
+                      owner, engineAddress, networkSettings.streamsPerConnection())
                   : transport;
             });
   }
 
+  /** Returns the endpoint list. */
   EndpointList endpoints() {
     return endpoints;
   }
@@ -69,8 +74,8 @@
   }
 
   @Override
-  public void warnRateLimited(String line) {
-    context.warnRateLimited(line);
+  public void warnRateLimited(String message) {
+    context.warnRateLimited(message);
   }
 
   @Override
@@ -79,8 +84,8 @@
   }
 
   @Override
-  public void retainedBytesChanged(long more) {
-    retained.add(more);
+  public void retainedBytesChanged(long change) {
+    retained.add(change);
   }
 
   // ---- attempts ----
@@ -91,9 +96,10 @@
   }
 
   @Override
-  public void attemptSent(InFlightAttempt inFlight, long firstByteAt, long before, long limit) {
+  public void attemptSent(
+      InFlightAttempt inFlight, long firstByteAt, long deadline, long announcedWait) {
     context.dispatchLog().attemptSent();
-    context.invariants().attemptSent(inFlight, firstByteAt, before, limit);
+    context.invariants().attemptSent(inFlight, firstByteAt, deadline, announcedWait);
   }
 
   @Override
@@ -123,15 +129,15 @@
       requests.succeed(inFlight.pending, ResultEncoder.answer(inFlight.pages));
     }
     inFlight.releaseResult();
-    retainedBytesChanged(-inFlight.bytes);
+    retainedBytesChanged(-inFlight.resultBytes);
     long elapsed = context.now() - inFlight.attempt.sentAt;
     context.dispatchLog().attemptEnded(inFlight, outcome, elapsed);
     context.policyEvents().attemptEnded(inFlight, outcome, elapsed);
   }
 
   /**
-   * The client's time is up: attempts still in flight time out. The engine knows the deadline and
-   * is not notified.
+   * Times out the attempts that are still in flight when the client's deadline has passed. No
+   * cancel command is sent, because the engine knows the deadline.
    */
   void timeOut(PendingResponse pending) {
     pending.inFlightAttempts.forEach(inFlight -> attemptEnded(inFlight, AttemptOutcome.TIMED_OUT));
@@ -140,13 +146,13 @@
   // ---- connections ----
 
   @Override
-  public Channel connect(InetSocketAddress to, Channel.Owner owner) {
-    return context.driver().connect(to, owner);
+  public Channel connect(InetSocketAddress address, Channel.Owner owner) {
+    return context.driver().connect(address, owner);
   }
 
   @Override
   public int maxConnections() {
-    return settings.maxConnections();
+    return networkSettings.maxConnections();
   }
 
   @Override
@@ -156,17 +162,17 @@
 
   @Override
   public boolean reserveConnection() {
-    return openConnections < settings.maxConnections() || endpoints.closeLongestIdle();
+    return openConnections < networkSettings.maxConnections() || endpoints.closeLongestIdle();
   }
 
   @Override
-  public void connectionCountChanged(int more) {
-    openConnections += more;
+  public void connectionCountChanged(int change) {
+    openConnections += change;
   }
 
   @Override
   public long maxWriteDelay() {
-    return settings.maxWriteDelay();
+    return networkSettings.maxWriteDelay();
   }
 
   @Override
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -8,52 +8,67 @@
 import tillerlink.port.SendVerdict;
 
 /**
- * An attempt in flight: the connection that carries it, and what has come of its result. Owned by
- * the event-loop thread.
+ * An attempt in flight, with the connection that carries it and the part of its result that was
+ * received. Owned by the event-loop thread; times are tenths of a millisecond unless a name says
+ * otherwise.
  */
 public final class InFlightAttempt {
-  /** The number of its write while it was not handed to a channel. */
+  /** The value of {@link #writeNumber} while the attempt has not been passed to a channel. */
   static final long UNSENT = Long.MAX_VALUE;
 
   public final Attempt attempt;
   final PendingResponse pending;
 
-  /** Its line-protocol connection, or null. */
+  /** The line-protocol connection that carries it, or null. */
   EngineConnection connection;
 
-  /** The number of its write on that connection; none of it is written before that one is. */
+  /**
+   * The number of its write on the connection, as {@link AttemptWrites} counts them; all its bytes
+   * are written once the write with that number is complete.
+   */
   long writeNumber = UNSENT;
 
-  /** The pages of its result, null where one is missing; null before the first has come. */
+  /**
+   * The pages of its result, with null for each missing page; null before the first page was
+   * received.
+   */
   byte[][] pages;
 
+  /** The number of pages that were requested and not received. */
   int missingPages;
 
-  /** Bytes of its result that have come. */
-  int bytes;
+  /** The number of bytes of its result that were received. */
+  int resultBytes;
 
-  /** Its guard was notified that it may be written. */
+  /** Whether the guard of the request was notified that the attempt may be written. */
   boolean startNotified;
 
-  /** It was not written, for its guard did not hold. */
+  /** Whether it was not written because the guard of the request did not allow it. */
   boolean refusedByGuard;
 
-  /** Its guard held after all of it was written. */
+  /** Whether the guard of the request still allowed it after all its bytes were written. */
   boolean confirmedByGuard;
 
-  /** Its guard did not hold any more after the write: nothing that comes of it is handed out. */
+  /**
+   * Whether the guard of the request no longer allowed it after the write, so that its result must
+   * not be sent to the client.
+   */
   boolean fencedOff;
 
-  /** How often the rest of its result was requested on a further connection. */
+  /** The number of times that the rest of its result was requested on another connection. */
   private int resumptions;
 
-  /** A result that comes as one body, from its first byte on; null before. */
+  /** A result that is received as one body; null before it has started. */
   private ByteArrayOutputStream result;
 
   private final Function<Attempt, SendVerdict> policyCheck;
 
   /**
-   * @param policyCheck whether an attempt may still be written
+   * Creates the state of an attempt that is about to be sent.
+   *
+   * @param attempt the attempt as the dispatch policy knows it
+   * @param pending the request that waits for its response
+   * @param policyCheck returns whether the dispatch policy still allows the attempt to be written
    */
   InFlightAttempt(
       Attempt attempt, PendingResponse pending, Function<Attempt, SendVerdict> policyCheck) {
@@ -62,17 +77,17 @@
     this.policyCheck = policyCheck;
   }
 
-  /** The id by which the client correlates its request. */
+  /** Returns the id by which the client correlates its request. */
   public String id() {
     return pending.id();
   }
 
-  /** The id of its engine, for the log. */
+  /** Returns the id of its engine, for the log. */
   String engineId() {
     return engineAddress().id;
   }
 
-  /** How its engine is reached. */
+  /** Returns the transport to its engine. */
   EngineTransport transport() {
     return engineAddress().transport;
   }
@@ -81,31 +96,35 @@
     return (EngineAddress) attempt.engine.tag;
   }
 
-  /** The name of its request class. */
+  /** Returns the name of its request class. */
   public String requestClass() {
     return pending.submitted.requestClass();
   }
 
-  /** The idempotency key, or null. */
+  /** Returns the idempotency key of the request, or null if it has none. */
   public String key() {
     return pending.submitted.key();
   }
 
-  /** The statement to execute. */
+  /** Returns the statement to execute. */
   public byte[] statement() {
     return pending.submitted.statement();
   }
 
-  /** How long the client still waits, in milliseconds; 1 at least. */
+  /**
+   * Returns how long the client still waits, in milliseconds; at least 1.
+   *
+   * @param now the current time, in tenths of a millisecond
+   */
   public long millisLeft(long now) {
     return Math.max(1, (pending.request.clientDeadline - now) / Units.TENTHS_PER_MS);
   }
 
-  // ---- whether it may be written ----
+  // ---- checks before the write ----
 
   /**
-   * Checked before it is handed to a transport; unless it is allowed it ends as one that was never
-   * sent.
+   * Returns the verdict on passing the attempt to a transport. Unless it is {@link
+   * SendVerdict#ALLOWED}, the attempt ends as not sent.
    */
   SendVerdict checkSend() {
     refusedByGuard = pending.guard != null && !pending.guard.holds();
@@ -113,8 +132,9 @@
   }
 
   /**
-   * Checked by the connection right before it writes the attempt; unless it is allowed it ends as
-   * one that was never sent.
+   * Returns the verdict on writing the attempt, and notifies the guard of the request when the
+   * attempt is allowed for the first time. The connection calls this immediately before the write.
+   * Unless the verdict is {@link SendVerdict#ALLOWED}, the attempt ends as not sent.
    */
   public SendVerdict checkWrite() {
     SendVerdict verdict = checkSend();
@@ -125,53 +145,64 @@
     return verdict;
   }
 
-  /** Whether a guard decides on its result, so that its write has to be reported. */
+  /**
+   * Returns whether the request has a guard, which decides if the result is used, so that the write
+   * of the attempt must be reported.
+   */
   public boolean fenced() {
     return pending.guard != null;
   }
 
-  /** Whether it was handed to a line-protocol connection's channel. */
+  /** Returns whether the attempt was passed to the channel of a line-protocol connection. */
   boolean handedOver() {
     return writeNumber != UNSENT;
   }
 
-  // ---- results that come as pages ----
+  // ---- results received as pages ----
 
-  /** Whether a page is one that was requested and has not come. */
-  boolean lacks(int number) {
+  /** Returns whether a page was requested and has not been received. */
+  boolean isPageMissing(int number) {
     return pages != null && number >= 1 && number < pages.length && pages[number] == null;
   }
 
+  /** Stores a page that was missing. */
   void addPage(int number, byte[] page) {
     pages[number] = page;
-    bytes += page.length;
+    resultBytes += page.length;
     missingPages--;
   }
 
-  // ---- results that come as one body ----
+  // ---- results received as one body ----
 
-  /** Its engine has executed it, and its result begins to come. */
+  /** Records that the engine has executed the attempt and that its result follows. */
   public void startResult() {
     result = new ByteArrayOutputStream();
   }
 
-  /** Whether its result has begun to come: then it was executed, whatever happens afterwards. */
+  /**
+   * Returns whether its result has started. The attempt was then executed, whatever happens to the
+   * rest of the result.
+   */
   public boolean resultStarted() {
     return result != null;
   }
 
-  /** How many bytes of the body have come. */
+  /** Returns the number of bytes of the body that were received. */
   public int resultSize() {
     return result.size();
   }
 
-  /** A part of the body has come. */
-  public void appendResult(byte[] more) {
-    result.writeBytes(more);
-    bytes += more.length;
+  /** Appends a part of the body. */
+  public void appendResult(byte[] part) {
+    result.writeBytes(part);
+    resultBytes += part.length;
   }
 
-  /** The body has come whole; false if it is no result. */
+  /**
+   * Stores the body, which is complete, as the only page of the result.
+   *
+   * @return false if the body is not a valid result
+   */
   public boolean completeResult() {
     byte[] rows = result.toByteArray();
     try {
@@ -183,23 +214,33 @@
     return true;
   }
 
-  // ---- both ----
+  // ---- results received in either way ----
 
-  /** Whether the rest of the result may be requested once more on a further connection. */
+  /**
+   * Returns whether the rest of the result may be requested once more on another connection.
+   *
+   * @param limit how often that is allowed for one attempt
+   */
   boolean mayResume(int limit) {
     return resumptions < limit;
   }
 
-  /** Counts that the rest of the result is requested on a further connection. */
+  /** Counts a request for the rest of the result on another connection. */
   void countResumption() {
     resumptions++;
   }
 
-  /** Counts that the rest is requested on a further connection; false beyond so many times. */
+  /**
+   * Counts a request for the rest of the result on another connection.
+   *
+   * @param limit how often that is allowed for one attempt
+   * @return whether it was still allowed
+   */
   public boolean tryResume(int limit) {
     return resumptions++ < limit;
   }
 
+  /** Releases the memory of the result. */
   void releaseResult() {
     pages = null;
     result = null;
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -7,16 +7,18 @@
 import tillerlink.model.Engine.Status;
 
 /**
- * Carries attempts to one engine by the platform's line protocol: over connections of which each
- * carries as many as the settings allow. Owned by the event-loop thread.
+ * A transport to one engine over the platform's line protocol. Each of its connections carries as
+ * many attempts at once as the settings allow. Owned by the event-loop thread; all times are tenths
+ * of a millisecond.
  */
 final class LineProtocolTransport implements EngineTransport {
+  /** The limit on how often the missing pages of one result are requested on other connections. */
   private static final int MAX_RESUMPTIONS = 3;
 
   final Owner owner;
   final EngineAddress engineAddress;
 
-  /** Attempts that one connection carries at once. */
+  /** The number of attempts that one connection carries at once. */
   private final int maxAttempts;
 
   private final List<EngineConnection> connections = new ArrayList<>(2);
@@ -38,14 +40,15 @@
     }
   }
 
-  /** Nothing of an attempt was written, and nothing will be: it ends in the next iteration. */
+  /** Ends an attempt in the next iteration; nothing of it was or will be written. */
   void endUnsent(InFlightAttempt inFlight, DisconnectReason reason) {
     owner.runInNextIteration(() -> owner.attemptEnded(inFlight, reason.outcome(false)));
   }
 
   /**
-   * One that carries nothing, else a new one, else the one that carries least. Guards against one
-   * unreadable response, which ends its connection, that takes other attempts along.
+   * Returns a connection for an attempt: one that carries no attempts, otherwise a new one,
+   * otherwise the one that carries the fewest; null if there is none. Spreading the attempts guards
+   * them against an unreadable response, which ends its connection and all attempts on it.
    */
   private EngineConnection connectionFor(InFlightAttempt inFlight) {
     EngineConnection connection = leastLoaded(inFlight.id());
@@ -53,7 +56,10 @@
     return opened == null ? connection : opened;
   }
 
-  /** Of the connections that accept one more, the one that carries least, or null. */
+  /**
+   * Returns the connection with the fewest attempts of those that accept one more, or null if none
+   * does.
+   */
   private EngineConnection leastLoaded(String requestId) {
     EngineConnection best = null;
     for (EngineConnection connection : connections) {
@@ -65,11 +71,10 @@
     return best;
   }
 
-  /** A new connection, or null at the limit. */
+  /** Opens a new connection and returns it; returns null at the limit. */
   private EngineConnection dial() {
-    // Each engine has its part, and one connection at the least: with more engines than
-    // connections, those that
-    // are in use pass from engine to engine.
+    // Each engine has an equal share of the connections, but at least one. With more engines than
+    // connections, idle connections are closed in favour of other engines.
     if (connections.size() >= Math.max(1, owner.maxConnections() / owner.engineCount())
         || !owner.reserveConnection()) {
       return null;
@@ -81,33 +86,38 @@
     return connection;
   }
 
-  /** Opens a connection to show whether the engine is there, unless one is being opened already. */
+  /**
+   * Opens a connection that shows whether the engine can be reached, unless one is being opened
+   * already.
+   */
   void openAnother() {
     if (connections.stream().noneMatch(EngineConnection::dialing)) {
       dial();
     }
   }
 
-  /** One has ended. */
+  /** Removes a connection that has ended. */
   void onConnectionEnded(EngineConnection connection) {
     connections.remove(connection);
     owner.connectionCountChanged(-1);
   }
 
-  /** A new connection failed. */
+  /** Notifies all connections that a new connection to the engine failed. */
   void onConnectFailed() {
     List.copyOf(connections).forEach(EngineConnection::onEngineUnreachable);
   }
 
-  /** Whether the engine was heard since then, on any connection. */
-  boolean heardSince(long then) {
-    return connections.stream().anyMatch(connection -> connection.heardSince(then));
+  /** Returns whether the engine was heard on any connection at or after a time. */
+  boolean heardSince(long earliest) {
+    return connections.stream().anyMatch(connection -> connection.heardSince(earliest));
   }
 
   /**
-   * An attempt whose first page is there and whose connection ended: what is missing is asked for
-   * on another. The engine keeps pages, so nothing runs again. False if it can't be, or was tried
-   * too often.
+   * Requests the missing pages of a result on another connection, after the connection of the
+   * attempt ended. The engine stores the pages, so that nothing is executed again.
+   *
+   * @return false if no page was received, no connection is available, the engine is gone, or the
+   *     attempt was resumed too often
    */
   boolean resume(InFlightAttempt inFlight) {
     boolean resumable =
