--- a/gateway/src/main/java/tillerlink/net/io/ConnectionLimiter.java
+++ b/gateway/src/main/java/tillerlink/net/io/ConnectionLimiter.java
@@ -8,22 +8,22 @@
 import org.apache.mina.transport.socket.nio.NioSocketAcceptor;
 
 /**
- * Accepts client connections up to a bound. Guards the descriptors: beyond it newcomers wait in the
- * backlog until others have been closed.
+ * An acceptor of client connections up to a limit. Guards the file descriptors of this process:
+ * beyond the limit, new connections wait in the listen backlog until others have been closed.
  */
 final class ConnectionLimiter extends NioSocketAcceptor {
-  private static final long WAIT_MS = 20;
+  private static final long PERMIT_WAIT_MS = 20;
   private final Semaphore permits;
 
-  ConnectionLimiter(IoProcessor<NioSession> processor, int limit) {
+  ConnectionLimiter(IoProcessor<NioSession> processor, int maxConnections) {
     super(processor);
-    permits = new Semaphore(limit);
+    permits = new Semaphore(maxConnections);
   }
 
   @Override
   protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel listening)
       throws Exception {
-    if (!permits.tryAcquire(WAIT_MS, TimeUnit.MILLISECONDS)) {
+    if (!permits.tryAcquire(PERMIT_WAIT_MS, TimeUnit.MILLISECONDS)) {
       return null;
     }
     NioSession session = null;
--- a/gateway/src/main/java/tillerlink/net/io/DiscoverySocket.java
+++ b/gateway/src/main/java/tillerlink/net/io/DiscoverySocket.java
@@ -11,7 +11,7 @@
 
 /**
  * The datagram socket over which the discovery service is queried. Owned by the event-loop thread;
- * MINA's threads only post what came to its queue.
+ * MINA's threads only post the received datagrams to the queue of that thread.
  */
 final class DiscoverySocket {
   private final Queue<Runnable> queue;
@@ -19,62 +19,70 @@
   private InetSocketAddress address;
   private IoSession session;
 
-  /** Used before that one; an answer may still come there. */
+  /**
+   * The session that was used before the current one, or null. It stays open because an answer may
+   * still be received on it.
+   */
   private IoSession previousSession;
 
-  /** The query that is sent once the socket is open, or null. */
-  private byte[] query;
+  /** The latest query that was passed on while no socket was open; it is sent once one is. */
+  private byte[] queuedQuery;
 
   private boolean opening;
 
   /**
-   * @param datagrams takes what was received, on the event-loop thread
-   * @param maxDatagram the size of the buffer into which one is read
+   * Creates a socket that is opened with the first query.
+   *
+   * @param queue the tasks of the event-loop thread
+   * @param address the address of the discovery service
+   * @param datagramHandler the handler of received datagrams, called on the event-loop thread
+   * @param maxDatagramBytes the size of the receive buffer in bytes; a longer datagram is truncated
    */
   DiscoverySocket(
       Queue<Runnable> queue,
       ReadProcessor processor,
       InetSocketAddress address,
-      Consumer<byte[]> datagrams,
-      int maxDatagram) {
+      Consumer<byte[]> datagramHandler,
+      int maxDatagramBytes) {
     this.queue = queue;
     this.address = address;
     connector = new NioDatagramConnector(processor);
-    MinaDriver.limitReads(connector.getSessionConfig(), maxDatagram);
-    connector.setHandler(new Receiver(datagrams));
+    MinaDriver.limitReads(connector.getSessionConfig(), maxDatagramBytes);
+    connector.setHandler(new Receiver(datagramHandler));
   }
 
+  /** Sends a query, at once or as soon as the socket is open. */
   void send(byte[] datagram) {
     if (session != null && session.isConnected()) {
       session.write(IoBuffer.wrap(datagram));
     } else {
-      query = datagram;
+      queuedQuery = datagram;
       open();
     }
   }
 
   private void open() {
     if (!opening) {
-      InetSocketAddress to = address;
-      ConnectFuture future = connector.connect(to);
+      InetSocketAddress target = address;
+      ConnectFuture future = connector.connect(target);
       opening = true;
-      future.addListener(done -> queue.add(() -> onOpened((ConnectFuture) done, to)));
+      future.addListener(done -> queue.add(() -> onOpened((ConnectFuture) done, target)));
     }
   }
 
-  private void onOpened(ConnectFuture future, InetSocketAddress to) {
+  private void onOpened(ConnectFuture future, InetSocketAddress target) {
     opening = false;
-    if (future.isConnected() && to.equals(address)) {
+    if (future.isConnected() && target.equals(address)) {
       session = future.getSession();
-      session.write(IoBuffer.wrap(query));
+      session.write(IoBuffer.wrap(queuedQuery));
     } else if (future.isConnected()) {
-      // The service moved meanwhile: the query is for where it is now.
+      // The address of the service has changed in the meantime, so the query goes to the new one.
       future.getSession().closeNow();
       open();
     }
   }
 
-  /** The next query is sent over a new socket, so from another port. */
+  /** Makes the next query use a new socket, so that it is sent from another port. */
   void replace() {
     if (previousSession != null) {
       previousSession.closeNow();
@@ -83,13 +91,17 @@
     session = null;
   }
 
-  /** From now on queries are sent to that address. */
-  void moveTo(InetSocketAddress to) {
-    if (!to.equals(address)) {
+  /**
+   * Sets the address to which queries are sent from now on. A change closes both sessions, so that
+   * no answer from the old address is received.
+   */
+  void setAddress(InetSocketAddress target) {
+    if (!target.equals(address)) {
+      // The first call closes the previous session, the second the current one.
       replace();
       replace();
     }
-    address = to;
+    address = target;
   }
 
   void dispose() {
@@ -97,21 +109,21 @@
   }
 
   private final class Receiver extends IoHandlerAdapter {
-    private final Consumer<byte[]> datagrams;
+    private final Consumer<byte[]> datagramHandler;
 
-    Receiver(Consumer<byte[]> datagrams) {
-      this.datagrams = datagrams;
+    Receiver(Consumer<byte[]> datagramHandler) {
+      this.datagramHandler = datagramHandler;
     }
 
     @Override
     public void messageReceived(IoSession receiving, Object message) {
       byte[] bytes = MinaDriver.copy(message);
-      queue.add(() -> datagrams.accept(bytes));
+      queue.add(() -> datagramHandler.accept(bytes));
     }
 
     @Override
     public void exceptionCaught(IoSession failed, Throwable cause) {
-      // A lost query is repeated; a session that can't go on is replaced by the next query.
+      // The query is lost and will be repeated; the next query opens a new session.
       failed.closeNow();
     }
   }
--- a/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
+++ b/gateway/src/main/java/tillerlink/net/io/MinaDriver.java
@@ -23,37 +23,46 @@
 import tillerlink.net.state.NetworkDriver;
 
 /**
- * Reads and writes by Apache MINA. Its methods are called on the event-loop thread; MINA's threads
- * only post what came to that thread's queue.
+ * A network driver that uses Apache MINA. Its methods are called on the event-loop thread; MINA's
+ * threads only post events to the queue of that thread.
  */
 public final class MinaDriver implements NetworkDriver, Closeable {
-  private static final int MAX_READ = 8192;
+  private static final int MAX_READ_BYTES = 8192;
 
   /**
-   * No datagram is longer; one that is longer than the buffer it is read into would come cut, and
-   * be of no use.
+   * The size of the buffer for a datagram, in bytes. No UDP datagram is longer; one longer than the
+   * buffer would be truncated, so that it could not be used.
    */
-  private static final int MAX_DATAGRAM = 65_535;
+  private static final int MAX_DATAGRAM_BYTES = 65_535;
 
-  private static final int BACKLOG = 256;
+  private static final int LISTEN_BACKLOG = 256;
   private static final String CHANNEL = "channel";
 
-  /** Room beyond the bound of clients, for those that are just being accepted or closed. */
-  private static final int MIN_NEWCOMERS = 8;
+  /**
+   * The least number of connections accepted beyond the limit on clients, for connections that are
+   * just being accepted or closed.
+   */
+  private static final int MIN_SPARE_CONNECTIONS = 8;
 
-  private static final int NEWCOMERS_SHARE = 10;
+  /** The limit on clients is divided by this to get the number of such connections. */
+  private static final int SPARE_CONNECTIONS_DIVISOR = 10;
 
   /**
-   * Pieces read from a connection and not yet processed; the other events are bounded by what was
-   * written.
+   * The number of unprocessed reads at which reading from a connection is suspended. The number of
+   * the other events is limited by the number of writes.
    */
-  private static final int MAX_UNREAD = 2;
+  private static final int MAX_UNPROCESSED_READS = 2;
 
-  /** How long what a peer says is read after we have ended. */
+  /** The time for which a connection is still read after its output was shut down. */
   private static final long LINGER_NANOS = 1_000_000_000;
 
-  /** A connection on which we have ended and the peer may not have, and how long it may go on. */
-  private record HalfClosed(IoSession session, long until) {}
+  /**
+   * A connection whose output was shut down while its input may still be open.
+   *
+   * @param session the connection
+   * @param closeAtNanos when it is closed, as a value of {@link System#nanoTime}
+   */
+  private record HalfClosed(IoSession session, long closeAtNanos) {}
 
   private final Queue<HalfClosed> halfClosed = new ConcurrentLinkedQueue<>();
   private final Queue<Runnable> queue;
@@ -61,35 +70,52 @@
   private final NioSocketAcceptor acceptor;
   private final NioSocketConnector connector;
   private final DiscoverySocket discovery;
-  private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
+
+  /** The operations of this iteration, which {@link #flush} performs. */
+  private final ArrayDeque<Runnable> queuedOperations = new ArrayDeque<>();
 
   /**
-   * @param clock the gateway's, in tenths of a millisecond; for any thread
+   * Creates a driver; clients are accepted after {@link #listen}.
+   *
+   * @param queue the tasks of the event-loop thread
+   * @param discoveryAddress the address of the discovery service
+   * @param datagramHandler the handler of datagrams from the discovery service
+   * @param ownerFactory creates the owner of an accepted client connection
+   * @param maxClients the limit on client connections
+   * @param clock returns the gateway's time in tenths of a millisecond; callable on any thread
    */
   public MinaDriver(
       Queue<Runnable> queue,
       InetSocketAddress discoveryAddress,
-      Consumer<byte[]> datagrams,
-      Function<Channel, Channel.Owner> accepted,
+      Consumer<byte[]> datagramHandler,
+      Function<Channel, Channel.Owner> ownerFactory,
       int maxClients,
       LongSupplier clock) {
     this.queue = queue;
     processor = new ReadProcessor(clock);
     acceptor =
         new ConnectionLimiter(
-            processor, maxClients + Math.max(MIN_NEWCOMERS, maxClients / NEWCOMERS_SHARE));
+            processor,
+            maxClients + Math.max(MIN_SPARE_CONNECTIONS, maxClients / SPARE_CONNECTIONS_DIVISOR));
     acceptor.setReuseAddress(true);
-    acceptor.setBacklog(BACKLOG);
+    acceptor.setBacklog(LISTEN_BACKLOG);
     acceptor.getSessionConfig().setTcpNoDelay(true);
-    limitReads(acceptor.getSessionConfig(), MAX_READ);
-    acceptor.setHandler(new AcceptedPoster(accepted));
+    limitReads(acceptor.getSessionConfig(), MAX_READ_BYTES);
+    acceptor.setHandler(new AcceptedPoster(ownerFactory));
     connector = new NioSocketConnector(processor);
     connector.getSessionConfig().setTcpNoDelay(true);
-    limitReads(connector.getSessionConfig(), MAX_READ);
+    limitReads(connector.getSessionConfig(), MAX_READ_BYTES);
     connector.setHandler(new EventPoster());
-    discovery = new DiscoverySocket(queue, processor, discoveryAddress, datagrams, MAX_DATAGRAM);
+    discovery =
+        new DiscoverySocket(
+            queue, processor, discoveryAddress, datagramHandler, MAX_DATAGRAM_BYTES);
   }
 
+  /**
+   * Limits the number of bytes of one read.
+   *
+   * @param limit the limit in bytes, which is also the initial size of the read buffer
+   */
   static void limitReads(IoSessionConfig config, int limit) {
     config.setMaxReadBufferSize(limit);
     config.setReadBufferSize(limit);
@@ -99,7 +125,7 @@
   /**
    * Accepts clients from now on.
    *
-   * @throws IOException if that address is not to be had; the message says why
+   * @throws IOException if the address cannot be bound; the message states the reason
    */
   public void listen(InetSocketAddress address) throws IOException {
     try {
@@ -111,18 +137,18 @@
   }
 
   @Override
-  public Channel connect(InetSocketAddress to, Channel.Owner owner) {
+  public Channel connect(InetSocketAddress address, Channel.Owner owner) {
     MinaChannel channel = new MinaChannel();
     channel.owner = owner;
-    pending.add(
+    queuedOperations.add(
         () -> {
-          ConnectFuture future =
+          ConnectFuture connectFuture =
               connector.connect(
-                  to, (session, connecting) -> session.setAttribute(CHANNEL, channel));
-          channel.future = future;
-          future.addListener(
+                  address, (session, connecting) -> session.setAttribute(CHANNEL, channel));
+          channel.connectFuture = connectFuture;
+          connectFuture.addListener(
               done -> {
-                if (future.getException() != null) {
+                if (connectFuture.getException() != null) {
                   queue.add(() -> channel.owner.onClosed(DisconnectReason.REFUSED));
                 }
               });
@@ -131,8 +157,8 @@
   }
 
   @Override
-  public void runAfterPendingReads(Runnable then) {
-    processor.afterPass(() -> queue.add(then));
+  public void runAfterPendingReads(Runnable callback) {
+    processor.runAfterReadPass(() -> queue.add(callback));
   }
 
   @Override
@@ -145,12 +171,14 @@
     discovery.replace();
   }
 
-  /** From now on discovery queries are sent to that address; called within an iteration. */
+  /**
+   * Sets the address to which discovery queries are sent from now on; called within an iteration.
+   */
   public void setDiscoveryAddress(InetSocketAddress address) {
-    discovery.moveTo(address);
+    discovery.setAddress(address);
   }
 
-  /** Nothing is read or written any more. */
+  /** Closes all sockets and stops MINA's threads. */
   @Override
   public void close() {
     acceptor.dispose();
@@ -161,15 +189,18 @@
 
   @Override
   public void flush() {
-    for (Runnable write = pending.poll(); write != null; write = pending.poll()) {
-      write.run();
+    for (Runnable operation = queuedOperations.poll();
+        operation != null;
+        operation = queuedOperations.poll()) {
+      operation.run();
     }
-    long now = System.nanoTime();
-    while (!halfClosed.isEmpty() && now - halfClosed.peek().until >= 0) {
+    long nanoTime = System.nanoTime();
+    while (!halfClosed.isEmpty() && nanoTime - halfClosed.peek().closeAtNanos >= 0) {
       halfClosed.poll().session.closeNow();
     }
   }
 
+  /** Returns a copy of the bytes that MINA received. */
   static byte[] copy(Object message) {
     IoBuffer buffer = (IoBuffer) message;
     byte[] bytes = new byte[buffer.remaining()];
@@ -177,104 +208,114 @@
     return bytes;
   }
 
+  /** The channel of one TCP connection. */
   private final class MinaChannel implements Channel {
     private Owner owner;
-    private ConnectFuture future;
-    private final AtomicInteger unread = new AtomicInteger();
+
+    /** The result of the connect operation; null for an accepted connection. */
+    private ConnectFuture connectFuture;
+
+    /** The number of reads that the event-loop thread has not yet processed. */
+    private final AtomicInteger unprocessedReads = new AtomicInteger();
+
     private volatile IoSession session;
     private volatile boolean paused;
 
-    /** The last that was written, or null. */
-    private WriteFuture last;
+    /** The result of the last write, or null if nothing was written. */
+    private WriteFuture lastWrite;
 
     @Override
     public void write(byte[] bytes) {
-      pending.add(() -> last = session.write(IoBuffer.wrap(bytes)));
+      queuedOperations.add(() -> lastWrite = session.write(IoBuffer.wrap(bytes)));
     }
 
     @Override
-    public void writeUntil(byte[] bytes, long before) {
-      pending.add(() -> last = session.write(new DeadlineWrite(bytes, before)));
+    public void writeUntil(byte[] bytes, long deadline) {
+      queuedOperations.add(() -> lastWrite = session.write(new DeadlineWrite(bytes, deadline)));
     }
 
     @Override
     public void close() {
-      pending.add(() -> end(false));
+      queuedOperations.add(() -> endSession(false));
     }
 
     @Override
     public void abort() {
-      pending.add(() -> end(true));
+      queuedOperations.add(() -> endSession(true));
     }
 
     @Override
     public void pauseReading(boolean pause) {
       paused = pause;
-      regulate();
+      updateReadSuspension();
     }
 
-    /** On MINA's thread: a piece was read. */
-    private void read(byte[] bytes) {
-      unread.incrementAndGet();
-      regulate();
+    /** Posts bytes that were read to the event-loop thread. Called on MINA's thread. */
+    private void postBytes(byte[] bytes) {
+      unprocessedReads.incrementAndGet();
+      updateReadSuspension();
       queue.add(
           () -> {
-            if (unread.getAndDecrement() == MAX_UNREAD) {
-              regulate();
+            if (unprocessedReads.getAndDecrement() == MAX_UNPROCESSED_READS) {
+              updateReadSuspension();
             }
             owner.onBytes(bytes);
           });
     }
 
     /**
-     * Guards the memory, and the other connections: one of which pieces wait to be taken is not
-     * read further, and none waits for it.
+     * Suspends or resumes reading from the connection. Guards the memory and the other connections:
+     * a connection with too many unprocessed reads is not read further, and no other connection
+     * waits for it.
      */
-    private void regulate() {
-      processor.run(
+    private void updateReadSuspension() {
+      processor.runOnProcessorThread(
           () -> {
-            boolean stop = paused || unread.get() >= MAX_UNREAD;
-            if (stop && !session.isReadSuspended()) {
+            boolean suspend = paused || unprocessedReads.get() >= MAX_UNPROCESSED_READS;
+            if (suspend && !session.isReadSuspended()) {
               session.suspendRead();
-            } else if (!stop && session.isReadSuspended()) {
+            } else if (!suspend && session.isReadSuspended()) {
               session.resumeRead();
             }
           });
     }
 
     /**
-     * Unless it is to end now, only what we say ends, once all of it has gone out: closing over
-     * bytes that are still unread would reset the connection and take the last answer with it. What
-     * the peer says is read until it ends as well, for a while.
+     * Ends the connection. If that is not immediate, only the output is shut down, after everything
+     * has been written, because closing a connection with unread input would reset it and the peer
+     * would lose the last response. The input is read until the peer closes its side as well, but
+     * no longer than {@link #LINGER_NANOS}.
+     *
+     * @param immediately whether to close the connection at once, with unwritten bytes lost
      */
-    private void end(boolean now) {
+    private void endSession(boolean immediately) {
       if (session != null) {
-        if (now) {
+        if (immediately) {
           session.closeNow();
-        } else if (last == null) {
-          endOutput(session);
+        } else if (lastWrite == null) {
+          shutdownOutput(session);
         } else {
-          last.addListener(done -> endOutput(session));
+          lastWrite.addListener(done -> shutdownOutput(session));
         }
-      } else if (future != null) {
-        future.cancel();
-        future.addListener(
+      } else if (connectFuture != null) {
+        connectFuture.cancel();
+        connectFuture.addListener(
             done -> {
-              if (future.isConnected()) {
-                future.getSession().closeNow();
+              if (connectFuture.isConnected()) {
+                connectFuture.getSession().closeNow();
               }
             });
       }
     }
   }
 
-  /** On any thread: what was written is out. */
-  private void endOutput(IoSession session) {
-    processor.run(() -> processor.endOutput(session));
+  /** Shuts down the output of a connection, on which all writes are complete. For any thread. */
+  private void shutdownOutput(IoSession session) {
+    processor.runOnProcessorThread(() -> processor.shutdownOutput(session));
     halfClosed.add(new HalfClosed(session, System.nanoTime() + LINGER_NANOS));
   }
 
-  /** Posts what happens on a connection. */
+  /** Posts the events of connections to the event-loop thread. */
   private class EventPoster extends IoHandlerAdapter {
     private static final String CAUSE = "cause";
 
@@ -287,18 +328,18 @@
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      channel(session).read(copy(message));
+      channel(session).postBytes(copy(message));
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
       MinaChannel channel = channel(session);
-      if (!(message instanceof DeadlineWrite timed)) {
+      if (!(message instanceof DeadlineWrite deadlineWrite)) {
         queue.add(() -> channel.owner.onWritten());
-      } else if (timed.expired()) {
+      } else if (deadlineWrite.expired()) {
         queue.add(() -> channel.owner.onWriteExpired());
       } else {
-        queue.add(() -> channel.owner.onWritten(timed.firstByteAt()));
+        queue.add(() -> channel.owner.onWritten(deadlineWrite.firstByteAt()));
       }
     }
 
@@ -311,11 +352,11 @@
     @Override
     public void sessionClosed(IoSession session) {
       MinaChannel channel = channel(session);
-      DisconnectReason how =
+      DisconnectReason reason =
           session.containsAttribute(CAUSE)
               ? DisconnectReason.RESET
               : DisconnectReason.CLOSED_BY_PEER;
-      queue.add(() -> channel.owner.onClosed(how));
+      queue.add(() -> channel.owner.onClosed(reason));
     }
 
     MinaChannel channel(IoSession session) {
@@ -323,11 +364,12 @@
     }
   }
 
+  /** Posts the events of accepted connections, whose owners are created when they open. */
   private final class AcceptedPoster extends EventPoster {
-    private final Function<Channel, Channel.Owner> accepted;
+    private final Function<Channel, Channel.Owner> ownerFactory;
 
-    AcceptedPoster(Function<Channel, Channel.Owner> accepted) {
-      this.accepted = accepted;
+    AcceptedPoster(Function<Channel, Channel.Owner> ownerFactory) {
+      this.ownerFactory = ownerFactory;
     }
 
     @Override
@@ -335,7 +377,7 @@
       MinaChannel channel = new MinaChannel();
       channel.session = session;
       session.setAttribute(CHANNEL, channel);
-      queue.add(() -> channel.owner = accepted.apply(channel));
+      queue.add(() -> channel.owner = ownerFactory.apply(channel));
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/net/io/ReadProcessor.java
+++ b/gateway/src/main/java/tillerlink/net/io/ReadProcessor.java
@@ -15,51 +15,61 @@
 import org.apache.mina.transport.socket.nio.NioSession;
 
 /**
- * MINA's thread for reading and writing; what changes whether a connection is read must run on it.
+ * MINA's processor for reading and writing, which runs on a single thread. Operations that suspend
+ * or resume reading from a connection must run on that thread.
  */
 final class ReadProcessor extends NioProcessor {
   private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
-  private final Queue<Runnable> afterPass = new ConcurrentLinkedQueue<>();
 
-  /** To be called once what is readable now has been read. */
-  private List<Runnable> duringPass = List.of();
+  /** The callbacks to run after the next read pass, from any thread. */
+  private final Queue<Runnable> queuedCallbacks = new ConcurrentLinkedQueue<>();
+
+  /** The callbacks to run once the connections found by the current selection have been read. */
+  private List<Runnable> readPassCallbacks = List.of();
 
   private volatile Thread thread;
   private final LongSupplier clock;
 
   /**
-   * @param clock the gateway's, in tenths of a millisecond; for any thread
+   * Creates a processor with its thread.
+   *
+   * @param clock returns the gateway's time in tenths of a millisecond; callable on any thread
    */
   ReadProcessor(LongSupplier clock) {
     super(
         Executors.newCachedThreadPool(
-            work -> {
-              Thread thread = new Thread(work, "reading");
+            runnable -> {
+              Thread thread = new Thread(runnable, "reading");
               thread.setDaemon(true);
               return thread;
             }));
     this.clock = clock;
   }
 
-  /** The one place where bytes of a connection are handed to the operating system. */
+  /**
+   * Writes bytes of a buffer to a connection; no other method passes bytes of a connection to the
+   * operating system. A {@link DeadlineWrite} whose deadline has passed before its first byte is
+   * discarded and reported as written.
+   */
   @Override
   protected int write(NioSession session, IoBuffer buffer, int length) throws IOException {
-    if (!(buffer instanceof DeadlineWrite timed) || timed.started()) {
+    if (!(buffer instanceof DeadlineWrite deadlineWrite) || deadlineWrite.started()) {
       return super.write(session, buffer, length);
     }
-    if (!timed.isInTime(clock.getAsLong())) {
-      int all = timed.remaining();
-      timed.expire();
-      return all;
+    if (!deadlineWrite.isInTime(clock.getAsLong())) {
+      int remaining = deadlineWrite.remaining();
+      deadlineWrite.expire();
+      return remaining;
     }
     int written = super.write(session, buffer, length);
     if (written > 0) {
-      timed.onStarted(clock.getAsLong());
+      deadlineWrite.onStarted(clock.getAsLong());
     }
     return written;
   }
 
-  void run(Runnable task) {
+  /** Runs a task on the processor's thread: at once if called on that thread, otherwise soon. */
+  void runOnProcessorThread(Runnable task) {
     if (Thread.currentThread() == thread) {
       task.run();
     } else {
@@ -69,16 +79,19 @@
   }
 
   /**
-   * Calls back on this thread, once a piece of everything that is readable by now has been read and
-   * posted.
+   * Runs a callback on the processor's thread, once each connection that is readable by now has
+   * been read once and the bytes have been posted.
    */
-  void afterPass(Runnable then) {
-    afterPass.add(then);
+  void runAfterReadPass(Runnable callback) {
+    queuedCallbacks.add(callback);
     wakeup();
   }
 
-  /** Ends what we say on a connection and leaves what its peer says to be read; on this thread. */
-  void endOutput(IoSession session) {
+  /**
+   * Shuts down the output of a connection and leaves its input open. Must be called on the
+   * processor's thread. Closes the connection if its output cannot be shut down.
+   */
+  void shutdownOutput(IoSession session) {
     for (SelectionKey key : selector.keys()) {
       if (key.attachment() == session && key.isValid()) {
         try {
@@ -98,19 +111,21 @@
     for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
       task.run();
     }
-    // All that the last selection found has been read.
-    duringPass.forEach(Runnable::run);
-    duringPass = List.of();
-    if (afterPass.isEmpty()) {
+    // All connections that the last selection found have been read.
+    readPassCallbacks.forEach(Runnable::run);
+    readPassCallbacks = List.of();
+    if (queuedCallbacks.isEmpty()) {
       return super.select(timeout);
     }
-    duringPass = new ArrayList<>();
-    for (Runnable callback = afterPass.poll(); callback != null; callback = afterPass.poll()) {
-      duringPass.add(callback);
+    readPassCallbacks = new ArrayList<>();
+    for (Runnable callback = queuedCallbacks.poll();
+        callback != null;
+        callback = queuedCallbacks.poll()) {
+      readPassCallbacks.add(callback);
     }
     int selected = selector.selectNow();
-    // MINA takes a selection that finds nothing at once for a fault of the selector, unless it was
-    // woken.
+    // MINA treats a selection that returns at once without a result as a selector fault, unless the
+    // selector was woken up.
     wakeupCalled.set(true);
     return selected;
   }
