--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -182,7 +182,7 @@
     Query query =
         outstanding.stream().filter(candidate -> candidate.id == id).findFirst().orElse(null);
     if (query == null) {
-      throw new IllegalArgumentException("an answer to no query of ours");
+      throw new IllegalArgumentException("answer id " + id + " matches no outstanding query");
     }
     outstanding.remove(query);
     EndpointWatchEvent event = Dns.answer(datagram, id);
--- a/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
@@ -45,7 +45,9 @@
       case ERROR -> owner.attemptEnded(inFlight, outcomeOfError(inFlight));
       case STALE -> owner.attemptEnded(inFlight, AttemptOutcome.NOT_SENT);
       case PROGRESS -> reportProgress(inFlight, response);
-      default -> throw new IllegalArgumentException("a word that is no response to an attempt");
+      default ->
+          throw new IllegalArgumentException(
+              "response word " + response.word() + " is not valid for an attempt");
     }
   }
 
@@ -82,7 +84,7 @@
     }
     int pages = Math.max(1, response.number());
     if (pages > MAX_PAGES) {
-      throw new IllegalArgumentException("a result of " + pages + " pages");
+      throw new IllegalArgumentException("result page count " + pages + " exceeds " + MAX_PAGES);
     }
     inFlight.pages = new byte[pages][];
     inFlight.missingPages = pages;
@@ -113,7 +115,8 @@
     owner.retainedBytesChanged(response.body().length);
     if (inFlight.resultBytes > MAX_RESULT_BYTES) {
       inFlight.pages = null;
-      throw new IllegalArgumentException("a result too long");
+      throw new IllegalArgumentException(
+          "result length " + inFlight.resultBytes + " exceeds " + MAX_RESULT_BYTES);
     }
     if (inFlight.missingPages == 0) {
       if (inFlight.pages.length > 1) {
