--- a/gateway/src/test/java/tillerlink/DiscoveryAnswers.java
+++ b/gateway/src/test/java/tillerlink/DiscoveryAnswers.java
@@ -5,22 +5,26 @@
 import java.util.Arrays;
 import tillerlink.net.wire.Dns;
 
-/** Answers of a discovery service, for tests. */
+/** Builds and inspects DNS answers of a discovery service, for tests. */
 public final class DiscoveryAnswers {
   private DiscoveryAnswers() {}
 
   /**
-   * An answer of the discovery service, names compressed; engines as "id ready|draining
-   * address:port zone kind cell started".
+   * Returns an answer with compressed names: service records, the record with the serial, then the
+   * address and text records of each engine.
+   *
+   * @param id the id of the query
+   * @param serial the serial of the endpoint list
+   * @param engines the engines, each as "id ready|draining address:port zone kind cell started"
    */
   public static byte[] of(int id, int serial, String... engines) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    put(out, id, 0x8400, 1, engines.length, 1, 2 * engines.length);
+    putShorts(out, id, 0x8400, 1, engines.length, 1, 2 * engines.length);
     out.writeBytes(Arrays.copyOfRange(Dns.query(id), 12, Dns.query(id).length));
     int[] targets = new int[engines.length];
     for (int i = 0; i < engines.length; i++) {
       String[] engine = engines[i].split(" ", -1);
-      put(
+      putShorts(
           out,
           0xc00c,
           33,
@@ -32,68 +36,74 @@
           10,
           Integer.parseInt(engine[2].split(":", -1)[1]));
       targets[i] = out.size();
-      name(out, engine);
+      putName(out, engine);
     }
-    put(out, 0xc00c, 6, 1, 0, 5, 24, 0xc00c, 0xc00c, serial >> 16, serial, 0, 0, 0, 0, 0, 0, 0, 0);
+    putShorts(
+        out, 0xc00c, 6, 1, 0, 5, 24, 0xc00c, 0xc00c, serial >> 16, serial, 0, 0, 0, 0, 0, 0, 0, 0);
     for (int i = 0; i < engines.length; i++) {
       String[] engine = engines[i].split(" ", -1);
-      owner(out, targets[i], engine);
-      put(out, 1, 1, 0, 5, 4);
+      putOwner(out, targets[i], engine);
+      putShorts(out, 1, 1, 0, 5, 4);
       for (String part : engine[2].split(":", -1)[0].split("\\.", -1)) {
         out.write(Integer.parseInt(part));
       }
       ByteArrayOutputStream texts = new ByteArrayOutputStream();
-      label(texts, "kind=" + engine[4]);
-      label(texts, "cell=" + engine[5]);
-      label(texts, "started=" + engine[6]);
-      owner(out, targets[i], engine);
-      put(out, 16, 1, 0, 5, texts.size());
+      putLabel(texts, "kind=" + engine[4]);
+      putLabel(texts, "cell=" + engine[5]);
+      putLabel(texts, "started=" + engine[6]);
+      putOwner(out, targets[i], engine);
+      putShorts(out, 16, 1, 0, 5, texts.size());
       out.writeBytes(texts.toByteArray());
     }
     return out.toByteArray();
   }
 
-  /** Where the record ends that holds the serial of an answer about one engine. */
+  /** Returns the offset of the end of the record with the serial, in an answer with one engine. */
   public static int serialEnd(byte[] answer) {
-    int head = Dns.query(0).length;
-    int service = head + 12 + shortAt(answer, head + 10);
-    return service + 12 + 24;
+    int headerAndQuestion = Dns.query(0).length;
+    int serviceRecord = headerAndQuestion + 12 + readShort(answer, headerAndQuestion + 10);
+    return serviceRecord + 12 + 24;
   }
 
-  /** The number of a query, as its answer has to repeat it. */
+  /** Returns the id of a query, which its answer must repeat. */
   public static int queryId(byte[] query) {
-    return shortAt(query, 0);
+    return readShort(query, 0);
   }
 
-  private static int shortAt(byte[] bytes, int at) {
-    return ((bytes[at] & 255) << 8) | (bytes[at + 1] & 255);
+  private static int readShort(byte[] bytes, int offset) {
+    return ((bytes[offset] & 255) << 8) | (bytes[offset + 1] & 255);
   }
 
-  /** A pointer to the name, or the name itself where a pointer can't reach. */
-  private static void owner(ByteArrayOutputStream out, int target, String[] engine) {
+  /**
+   * Writes the owner name of a record: a pointer to the name, or the name itself if its offset is
+   * too large for the 14 bits of a pointer.
+   */
+  private static void putOwner(ByteArrayOutputStream out, int target, String[] engine) {
     if (target < 0x4000) {
-      put(out, 0xc000 | target);
+      putShorts(out, 0xc000 | target);
     } else {
-      name(out, engine);
+      putName(out, engine);
     }
   }
 
-  private static void name(ByteArrayOutputStream out, String[] engine) {
-    label(out, engine[0]);
-    label(out, engine[3]);
-    label(out, "hosts");
+  private static void putName(ByteArrayOutputStream out, String[] engine) {
+    putLabel(out, engine[0]);
+    putLabel(out, engine[3]);
+    putLabel(out, "hosts");
     out.write(0);
   }
 
-  private static void put(ByteArrayOutputStream out, int... pairs) {
-    for (int pair : pairs) {
-      out.write(pair >> 8);
-      out.write(pair);
+  /** Writes 16-bit numbers, high byte first. */
+  private static void putShorts(ByteArrayOutputStream out, int... values) {
+    for (int value : values) {
+      out.write(value >> 8);
+      out.write(value);
     }
   }
 
-  private static void label(ByteArrayOutputStream out, String label) {
-    out.write(label.length());
-    out.writeBytes(label.getBytes(StandardCharsets.UTF_8));
+  /** Writes a label or text with its length in one byte before it. */
+  private static void putLabel(ByteArrayOutputStream out, String text) {
+    out.write(text.length());
+    out.writeBytes(text.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
+++ b/gateway/src/test/java/tillerlink/net/io/MinaDriverTest.java
@@ -22,93 +22,99 @@
 import tillerlink.net.state.DisconnectReason;
 
 class MinaDriverTest {
-  private static final int PATIENCE_MS = 10_000;
+  private static final int EVENT_TIMEOUT_MS = 10_000;
 
   /**
-   * Guards the list of a large fleet: 16 KB, which some 180 engines fill, are not enough, and short
-   * answers before it must not shrink the room for it.
+   * Guards the endpoint list of a large fleet against truncation. A receive buffer of 16 KB is too
+   * small, because about 180 engines fill it, and short answers before a long one must not shrink
+   * the buffer.
    */
   @Test
-  void aLongDiscoveryAnswerIsReceivedWholeWhateverCameBefore() throws Exception {
+  void longDiscoveryAnswerIsReceivedCompleteAfterShortOnes() throws Exception {
     BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
-    List<Integer> came = new ArrayList<>();
-    try (DatagramSocket names =
+    List<Integer> receivedLengths = new ArrayList<>();
+    try (DatagramSocket discoveryService =
         new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-      names.setSoTimeout(PATIENCE_MS);
+      discoveryService.setSoTimeout(EVENT_TIMEOUT_MS);
       MinaDriver driver =
           new MinaDriver(
               queue,
-              (InetSocketAddress) names.getLocalSocketAddress(),
-              bytes -> came.add(bytes.length),
+              (InetSocketAddress) discoveryService.getLocalSocketAddress(),
+              bytes -> receivedLengths.add(bytes.length),
               channel -> null,
               10,
               () -> 0);
-      List<Integer> sent = List.of(60, 60, 60, 60, 60, 60, 8000, 60, 16_384, 30_000, 60, 65_507);
-      for (int length : sent) {
+      List<Integer> sentLengths =
+          List.of(60, 60, 60, 60, 60, 60, 8000, 60, 16_384, 30_000, 60, 65_507);
+      for (int length : sentLengths) {
         driver.sendDiscoveryQuery(new byte[] {1});
-        while (came.size() < sent.size() && !question(names, length, queue)) {
+        while (receivedLengths.size() < sentLengths.size()
+            && !answerQuery(discoveryService, length, queue)) {
           driver.sendDiscoveryQuery(new byte[] {1});
         }
       }
-      assertEquals(sent, came);
+      assertEquals(sentLengths, receivedLengths);
     }
   }
 
   /**
-   * Guards the wire: what waits behind a peer that does not read is not written any more once its
-   * time has passed, and what was written before it is not torn by that.
+   * Guards against a late write: bytes that wait for a peer that does not read must not be written
+   * after their deadline. The writes before and after them must arrive complete.
    */
   @Test
-  void aLateWriteExpiresWhole() throws Exception {
+  void lateWriteIsDiscardedCompletely() throws Exception {
     BlockingQueue<Runnable> queue = new LinkedBlockingQueue<>();
     AtomicLong clock = new AtomicLong(1);
-    InetAddress here = InetAddress.getLoopbackAddress();
+    InetAddress loopback = InetAddress.getLoopbackAddress();
     try (ServerSocket engine = new ServerSocket()) {
       engine.setReceiveBufferSize(4096);
-      engine.bind(new InetSocketAddress(here, 0));
+      engine.bind(new InetSocketAddress(loopback, 0));
       try (MinaDriver driver =
           new MinaDriver(
               queue,
-              new InetSocketAddress(here, 9),
+              new InetSocketAddress(loopback, 9),
               bytes -> {},
               channel -> null,
               10,
               clock::get)) {
-        Heard heard = new Heard();
-        Channel channel = driver.connect((InetSocketAddress) engine.getLocalSocketAddress(), heard);
+        RecordingOwner recordingOwner = new RecordingOwner();
+        Channel channel =
+            driver.connect((InetSocketAddress) engine.getLocalSocketAddress(), recordingOwner);
         driver.flush();
         try (Socket accepted = engine.accept()) {
-          take(queue, () -> heard.events.contains("opened"));
-          int filled = 16_000_000;
-          channel.write(new byte[filled]);
+          runEventsUntil(queue, () -> recordingOwner.events.contains("opened"));
+          int fillBytes = 16_000_000;
+          channel.write(new byte[fillBytes]);
           channel.writeUntil("late".getBytes(StandardCharsets.US_ASCII), 100);
           channel.writeUntil("soon".getBytes(StandardCharsets.US_ASCII), 1000);
           driver.flush();
-          // The first fills the socket; only what the peer reads makes room for the others.
+          // The first write fills the socket; the others are possible only after the peer reads.
           accepted.getInputStream().readNBytes(1);
           clock.set(100);
-          accepted.getInputStream().readNBytes(filled - 1);
+          accepted.getInputStream().readNBytes(fillBytes - 1);
           assertEquals(
               "soon",
               new String(accepted.getInputStream().readNBytes(4), StandardCharsets.US_ASCII));
-          take(queue, () -> heard.events.size() == 4);
-          assertEquals(List.of("opened", "written", "expired", "written at 100"), heard.events);
+          runEventsUntil(queue, () -> recordingOwner.events.size() == 4);
+          assertEquals(
+              List.of("opened", "written", "expired", "written at 100"), recordingOwner.events);
         }
       }
     }
   }
 
-  private static void take(BlockingQueue<Runnable> queue, BooleanSupplier until)
+  /** Runs queued events until a condition holds; fails if no event is queued in time. */
+  private static void runEventsUntil(BlockingQueue<Runnable> queue, BooleanSupplier condition)
       throws InterruptedException {
-    while (!until.getAsBoolean()) {
-      Runnable event = queue.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
-      assertNotNull(event, "nothing more comes");
+    while (!condition.getAsBoolean()) {
+      Runnable event = queue.poll(EVENT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+      assertNotNull(event, "no event within 10 s");
       event.run();
     }
   }
 
-  /** Notes what it is told. */
-  private static final class Heard implements Channel.Owner {
+  /** A channel owner that records the events of its channel. */
+  private static final class RecordingOwner implements Channel.Owner {
     private final List<String> events = new ArrayList<>();
 
     @Override
@@ -118,7 +124,7 @@
 
     @Override
     public void onBytes(byte[] bytes) {
-      events.add("fed");
+      events.add("bytes received");
     }
 
     @Override
@@ -137,20 +143,24 @@
     }
 
     @Override
-    public void onClosed(DisconnectReason how) {
-      events.add("ended");
+    public void onClosed(DisconnectReason reason) {
+      events.add("closed");
     }
   }
 
-  /** Answers one question and takes what comes of it; false if it was lost on the way. */
-  private static boolean question(DatagramSocket names, int length, BlockingQueue<Runnable> queue)
-      throws Exception {
+  /**
+   * Answers one query with a datagram of the given length and runs the event of its reception.
+   *
+   * @return false if the answer was lost
+   */
+  private static boolean answerQuery(
+      DatagramSocket discoveryService, int length, BlockingQueue<Runnable> queue) throws Exception {
     DatagramPacket packet = new DatagramPacket(new byte[16], 16);
-    // The first question waits for its socket, which opens on another thread.
+    // The first query is sent once its socket is open, which another thread reports in the queue.
     while (true) {
-      names.setSoTimeout(50);
+      discoveryService.setSoTimeout(50);
       try {
-        names.receive(packet);
+        discoveryService.receive(packet);
         break;
       } catch (java.net.SocketTimeoutException e) {
         for (Runnable event = queue.poll(); event != null; event = queue.poll()) {
@@ -158,8 +168,8 @@
         }
       }
     }
-    names.send(new DatagramPacket(new byte[length], length, packet.getSocketAddress()));
-    Runnable event = queue.poll(PATIENCE_MS, TimeUnit.MILLISECONDS);
+    discoveryService.send(new DatagramPacket(new byte[length], length, packet.getSocketAddress()));
+    Runnable event = queue.poll(EVENT_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     if (event == null) {
       return false;
     }
--- a/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
+++ b/gateway/src/test/java/tillerlink/net/state/DiscoveryClientTest.java
@@ -12,134 +12,158 @@
 import tillerlink.DiscoveryAnswers;
 import tillerlink.telemetry.Telemetry;
 
-/** Questions of a whole fleet that was started at one moment. Times are tenths of a millisecond. */
+/**
+ * Tests the discovery queries of a fleet whose gateways were all started at the same moment. Times
+ * are tenths of a millisecond.
+ */
 class DiscoveryClientTest {
   private static final int GATEWAYS = 100;
   private static final long STEP = 1250;
   private static final long GRACE = 5000;
   private static final long SECOND = 10_000;
 
-  /** Guards the service: no more than the drain rule needs, and never all at once. */
+  /**
+   * Guards the discovery service against more queries than the drain rule needs, and against
+   * queries of all gateways at the same time.
+   */
   @Test
-  void aFleetSendsOneQueryPerGraceAndNotInStep() {
-    Asked asked = new Asked();
-    List<DiscoveryClient> fleet = fleet(asked);
-    int most = 0;
+  void fleetSendsOneQueryPerGraceAndNotInStep() {
+    RecordingDriver driver = new RecordingDriver();
+    List<DiscoveryClient> fleet = fleet(driver);
+    int mostInOneStep = 0;
     for (long now = 0; now < 20 * SECOND; now += STEP) {
-      int before = asked.ids.size();
-      for (DiscoveryClient one : fleet) {
-        one.pollIfDue(now);
-        answer(one, now, asked, true);
+      int queriesBefore = driver.queryIds.size();
+      for (DiscoveryClient client : fleet) {
+        client.pollIfDue(now);
+        answer(client, now, driver, true);
       }
-      most = Math.max(most, asked.ids.size() - before);
+      mostInOneStep = Math.max(mostInOneStep, driver.queryIds.size() - queriesBefore);
     }
-    double each = asked.ids.size() / 20.0 / GATEWAYS;
-    assertTrue(each > 1.6 && each < 2.6, each + " questions a second of each");
-    assertTrue(most <= GATEWAYS / 2, most + " of " + GATEWAYS + " at once");
+    double queriesPerSecond = driver.queryIds.size() / 20.0 / GATEWAYS;
+    assertTrue(
+        queriesPerSecond > 1.6 && queriesPerSecond < 2.6,
+        queriesPerSecond + " queries a second from each gateway, expected 1.6 to 2.6");
+    assertTrue(
+        mostInOneStep <= GATEWAYS / 2,
+        mostInOneStep + " of " + GATEWAYS + " gateways sent a query in the same step");
   }
 
   /**
-   * Guards the drain where answers get lost: what one told is known within the grace after it was
-   * sent.
+   * Guards the drain rule against lost answers: the update in a lost answer must be known within
+   * one grace after that answer was sent, even if up to three answers in a row are lost.
    */
   @Test
-  void aLostAnswerIsQueriedAgainWithinTheGrace() {
-    Random lost = new Random(5);
-    Asked asked = new Asked();
-    for (DiscoveryClient one : fleet(asked)) {
-      long sentAt = -1;
-      int losses = 0;
+  void queryWithLostAnswerIsRepeatedWithinGrace() {
+    Random lossRandom = new Random(5);
+    RecordingDriver driver = new RecordingDriver();
+    for (DiscoveryClient client : fleet(driver)) {
+      long firstSentAt = -1;
+      int consecutiveLosses = 0;
       for (long now = 0; now < 20 * SECOND; now += STEP) {
-        int before = asked.ids.size();
-        one.pollIfDue(now);
-        if (asked.ids.size() == before) {
+        int queriesBefore = driver.queryIds.size();
+        client.pollIfDue(now);
+        if (driver.queryIds.size() == queriesBefore) {
           continue;
         }
-        boolean arrives = losses == 3 || lost.nextInt(3) > 0;
-        losses = arrives ? 0 : losses + 1;
-        answer(one, now, asked, arrives);
-        sentAt = sentAt < 0 ? now : sentAt;
+        boolean arrives = consecutiveLosses == 3 || lossRandom.nextInt(3) > 0;
+        consecutiveLosses = arrives ? 0 : consecutiveLosses + 1;
+        answer(client, now, driver, arrives);
+        firstSentAt = firstSentAt < 0 ? now : firstSentAt;
         if (arrives) {
-          assertTrue(now - sentAt < GRACE, "known " + (now - sentAt) + " after it was sent");
-          sentAt = -1;
+          assertTrue(
+              now - firstSentAt < GRACE,
+              "answered " + (now - firstSentAt) + " tenths of a millisecond after the first query");
+          firstSentAt = -1;
         }
       }
     }
   }
 
-  /** Guards a service that is down: each gateway asks ever less often, down to once in a grace. */
+  /**
+   * Guards a discovery service that is down against too many queries: each gateway queries less and
+   * less often, until it sends one query in each grace.
+   */
   @Test
-  void queriesBackOffWhileTheServiceIsDown() {
-    Asked asked = new Asked();
-    List<DiscoveryClient> fleet = fleet(asked);
+  void queriesBackOffWhileServiceIsDown() {
+    RecordingDriver driver = new RecordingDriver();
+    List<DiscoveryClient> fleet = fleet(driver);
     for (long now = 0; now < 20 * SECOND; now += STEP) {
-      for (DiscoveryClient one : fleet) {
-        one.pollIfDue(now);
+      for (DiscoveryClient client : fleet) {
+        client.pollIfDue(now);
       }
     }
-    double each = asked.ids.size() / 20.0 / GATEWAYS;
-    assertTrue(each < 2.6, each + " questions a second of each");
+    double queriesPerSecond = driver.queryIds.size() / 20.0 / GATEWAYS;
+    assertTrue(
+        queriesPerSecond < 2.6,
+        queriesPerSecond + " queries a second from each gateway, expected less than 2.6");
   }
 
   /**
-   * Guards the turn: answers that are of no use, as cut ones, are no answers, and no fault of the
-   * gateway either.
+   * Guards the event-loop iteration against unusable answers. A truncated answer must be rejected
+   * as an illegal argument, which the caller logs, and must leave its query unanswered, so that the
+   * query is repeated.
    */
   @Test
-  void unusableAnswersCountAsUnanswered() {
-    Asked asked = new Asked();
-    DiscoveryClient one = new DiscoveryClient(asked, 7, 0, GRACE, Telemetry.silent());
+  void unusableAnswersLeaveQueriesUnanswered() {
+    RecordingDriver driver = new RecordingDriver();
+    DiscoveryClient client = new DiscoveryClient(driver, 7, 0, GRACE, Telemetry.silent());
     for (long now = 0; now < 5 * SECOND; now += STEP) {
-      one.pollIfDue(now);
-      if (asked.unanswered >= 0) {
-        byte[] cut =
+      client.pollIfDue(now);
+      if (driver.unansweredId >= 0) {
+        byte[] truncated =
             Arrays.copyOf(
-                DiscoveryAnswers.of(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"),
+                DiscoveryAnswers.of(driver.unansweredId, 1, "e1 ready 127.0.0.1:5050 east std 0 0"),
                 60);
-        long at = now;
-        assertThrows(IllegalArgumentException.class, () -> one.onAnswer(at, cut, 1));
-        asked.unanswered = -1;
+        long receivedAt = now;
+        assertThrows(
+            IllegalArgumentException.class, () -> client.onAnswer(receivedAt, truncated, 1));
+        driver.unansweredId = -1;
       }
     }
-    assertTrue(asked.ids.size() > 8, asked.ids.size() + " questions");
+    assertTrue(
+        driver.queryIds.size() > 8, driver.queryIds.size() + " queries, expected more than 8");
   }
 
-  private static List<DiscoveryClient> fleet(Asked asked) {
+  private static List<DiscoveryClient> fleet(RecordingDriver driver) {
     Random seeds = new Random(1);
     List<DiscoveryClient> fleet = new ArrayList<>();
     for (int i = 0; i < GATEWAYS; i++) {
-      fleet.add(new DiscoveryClient(asked, seeds.nextLong(), 0, GRACE, Telemetry.silent()));
+      fleet.add(new DiscoveryClient(driver, seeds.nextLong(), 0, GRACE, Telemetry.silent()));
     }
     return fleet;
   }
 
-  private static void answer(DiscoveryClient one, long now, Asked asked, boolean arrives) {
-    if (asked.unanswered >= 0 && arrives) {
-      one.onAnswer(
-          now, DiscoveryAnswers.of(asked.unanswered, 1, "e1 ready 127.0.0.1:5050 east std 0 0"), 1);
+  /** Answers the client's outstanding query, if there is one, unless the answer is lost. */
+  private static void answer(
+      DiscoveryClient client, long now, RecordingDriver driver, boolean arrives) {
+    if (driver.unansweredId >= 0 && arrives) {
+      client.onAnswer(
+          now,
+          DiscoveryAnswers.of(driver.unansweredId, 1, "e1 ready 127.0.0.1:5050 east std 0 0"),
+          1);
     }
-    asked.unanswered = -1;
+    driver.unansweredId = -1;
   }
 
-  /** Notes what is asked. */
-  private static final class Asked implements NetworkDriver {
-    private final List<Integer> ids = new ArrayList<>();
-    private int unanswered = -1;
+  /** A driver that records the ids of the queries that it is asked to send. */
+  private static final class RecordingDriver implements NetworkDriver {
+    private final List<Integer> queryIds = new ArrayList<>();
+    private int unansweredId = -1;
 
     @Override
-    public Channel connect(InetSocketAddress to, Channel.Owner owner) {
-      throw new AssertionError("nothing is dialed");
+    public Channel connect(InetSocketAddress address, Channel.Owner owner) {
+      throw new AssertionError("unexpected connection");
     }
 
     @Override
     public void sendDiscoveryQuery(byte[] datagram) {
-      unanswered = DiscoveryAnswers.queryId(datagram);
-      ids.add(unanswered);
+      unansweredId = DiscoveryAnswers.queryId(datagram);
+      queryIds.add(unansweredId);
     }
 
     @Override
     public void flush() {
-      throw new AssertionError("nothing is written");
+      throw new AssertionError("unexpected flush");
     }
   }
 }
