--- a/messages/src/main/java/tillerlink/messages/FieldReader.java
+++ b/messages/src/main/java/tillerlink/messages/FieldReader.java
@@ -8,9 +8,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads what {@link FieldWriter} wrote, also by a later release: call {@link #next} until it is
- * false, and read the value of each known field once; fields that are not read are skipped. Reading
- * a field as another type than it has is an error.
+ * Reads the fields of a message that a {@link FieldWriter} of this or a later release wrote.
+ * Callers call {@link #next} until it returns false and read the value of each known field once;
+ * fields that are not read are skipped. Reading a value twice, or with another wire type than it
+ * was written with, is an error.
  */
 public final class FieldReader {
   private static final int MAX_DEPTH = 8;
@@ -18,9 +19,9 @@
   private final CodedInputStream in;
   private final int depth;
   private int tag;
-  private boolean wasRead = true;
+  private boolean valueRead = true;
 
-  /** Makes a reader of a message's fields. */
+  /** Creates a reader of the fields of one message. */
   public FieldReader(byte[] bytes) {
     this(bytes, 0);
   }
@@ -31,21 +32,22 @@
   }
 
   /**
-   * Goes to the next field.
+   * Advances to the next field and skips the current one if its value was not read.
    *
-   * @return false at the end of the message
-   * @throws MalformedMessageException if the bytes are truncated, or no message
+   * @return true if there is a field, false at the end of the message
+   * @throws MalformedMessageException if the bytes are truncated or not in protobuf's wire format
    */
   public boolean next() throws MalformedMessageException {
     try {
-      if (!wasRead) {
+      if (!valueRead) {
         in.skipField(tag);
       }
       tag = in.readTag();
-      wasRead = false;
+      valueRead = false;
       return tag != 0;
     } catch (IOException e) {
-      throw new MalformedMessageException("cut off, or no message");
+      throw new MalformedMessageException(
+          "message is truncated or malformed; last field number read: " + field());
     }
   }
 
@@ -55,10 +57,16 @@
   }
 
   private void checkType(int type) throws MalformedMessageException {
-    if (wasRead || WireFormat.getTagWireType(tag) != type) {
-      throw new MalformedMessageException("field " + field() + " is of another type");
+    if (valueRead || WireFormat.getTagWireType(tag) != type) {
+      throw new MalformedMessageException(
+          "field "
+              + field()
+              + " has wire type "
+              + WireFormat.getTagWireType(tag)
+              + ", expected an unread value of wire type "
+              + type);
     }
-    wasRead = true;
+    valueRead = true;
   }
 
   private interface ValueReader<T> {
@@ -70,77 +78,85 @@
     try {
       return reader.read();
     } catch (IOException e) {
-      throw new MalformedMessageException("field " + field() + " is cut off");
+      throw new MalformedMessageException(
+          "value of field " + field() + " is truncated or malformed");
     }
   }
 
   /**
-   * Reads a number that is not negative.
+   * Reads a non-negative integer.
    *
-   * @throws MalformedMessageException if it is below zero or beyond {@code max}
+   * @param max the highest value accepted, inclusive
+   * @throws MalformedMessageException if the value is negative or exceeds {@code max}, or if the
+   *     field is not a varint
    */
   public long number(long max) throws MalformedMessageException {
     long value = read(WireFormat.WIRETYPE_VARINT, in::readUInt64);
     if (value < 0 || value > max) {
-      throw new MalformedMessageException("field " + field() + " is out of its bounds");
+      throw new MalformedMessageException(
+          "field " + field() + " is " + value + ", expected 0 to " + max);
     }
     return value;
   }
 
   /**
-   * Reads a number that is not negative.
+   * Reads a non-negative integer without an upper limit.
    *
-   * @throws MalformedMessageException if it is below zero
+   * @throws MalformedMessageException if the value is negative or the field is not a varint
    */
   public long number() throws MalformedMessageException {
     return number(Long.MAX_VALUE);
   }
 
   /**
-   * Reads a number that may be negative.
+   * Reads a signed integer in zigzag encoding.
    *
-   * @throws MalformedMessageException if the field is no number
+   * @throws MalformedMessageException if the field is not a varint
    */
   public long signed() throws MalformedMessageException {
     return read(WireFormat.WIRETYPE_VARINT, in::readSInt64);
   }
 
   /**
-   * Reads a number of eight bytes.
+   * Reads a fixed-width integer of eight bytes.
    *
-   * @throws MalformedMessageException if the field is no such number
+   * @throws MalformedMessageException if the field is not a fixed-width integer of eight bytes
    */
   public long fixed() throws MalformedMessageException {
     return read(WireFormat.WIRETYPE_FIXED64, in::readFixed64);
   }
 
   /**
-   * Reads a flag.
+   * Reads a boolean.
    *
-   * @throws MalformedMessageException if the field is no number
+   * @throws MalformedMessageException if the field is not a varint
    */
   public boolean flag() throws MalformedMessageException {
     return read(WireFormat.WIRETYPE_VARINT, in::readBool);
   }
 
   /**
-   * Reads bytes.
+   * Reads a byte array.
    *
-   * @throws MalformedMessageException if there are more than {@code max}
+   * @param max the maximum length in bytes
+   * @throws MalformedMessageException if the value is longer than {@code max} or the field is not
+   *     length-delimited
    */
   public byte[] bytes(int max) throws MalformedMessageException {
     byte[] value = read(WireFormat.WIRETYPE_LENGTH_DELIMITED, in::readByteArray);
     if (value.length > max) {
-      throw new MalformedMessageException("field " + field() + " is too long");
+      throw new MalformedMessageException(
+          "length " + value.length + " of field " + field() + " exceeds " + max + " bytes");
     }
     return value;
   }
 
   /**
-   * Reads a text.
+   * Reads a UTF-8 string.
    *
-   * @param maxBytes bytes of UTF-8 at the most
-   * @throws MalformedMessageException if it is longer, or not UTF-8
+   * @param maxBytes the maximum length of the encoded string, in bytes
+   * @throws MalformedMessageException if the value is longer than {@code maxBytes} or not valid
+   *     UTF-8
    */
   public String text(int maxBytes) throws MalformedMessageException {
     try {
@@ -149,18 +165,19 @@
           .decode(ByteBuffer.wrap(bytes(maxBytes)))
           .toString();
     } catch (CharacterCodingException e) {
-      throw new MalformedMessageException("field " + field() + " is not UTF-8");
+      throw new MalformedMessageException("field " + field() + " is not valid UTF-8");
     }
   }
 
   /**
-   * Returns a reader of the message within this field.
+   * Returns a reader of the message nested in the current field.
    *
-   * @throws MalformedMessageException if messages are nested too deep
+   * @throws MalformedMessageException if messages are nested more than eight levels deep
    */
   public FieldReader within() throws MalformedMessageException {
     if (depth >= MAX_DEPTH) {
-      throw new MalformedMessageException("too deep");
+      throw new MalformedMessageException(
+          "nesting of field " + field() + " exceeds " + MAX_DEPTH + " levels");
     }
     return new FieldReader(bytes(Integer.MAX_VALUE), depth + 1);
   }
--- a/messages/src/main/java/tillerlink/messages/MalformedMessageException.java
+++ b/messages/src/main/java/tillerlink/messages/MalformedMessageException.java
@@ -1,11 +1,11 @@
 package tillerlink.messages;
 
-/** Bytes are no message, or a field of it can't be used. */
+/** Signals bytes that are not a valid message, or a field with an invalid value. */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Makes an exception; {@code what} says what is malformed. */
-  public MalformedMessageException(String what) {
-    super(what);
+  /** Creates an exception; {@code description} states what is malformed. */
+  public MalformedMessageException(String description) {
+    super(description);
   }
 }
--- a/messages/src/main/java/tillerlink/messages/Numbered.java
+++ b/messages/src/main/java/tillerlink/messages/Numbered.java
@@ -1,15 +1,15 @@
 package tillerlink.messages;
 
 /**
- * An enum constant that a number stands for in messages and in stored values. A number, once given
- * to a constant, is never given to another; new constants get the next one.
+ * An enum constant that messages and stored values represent by a number. A number is never reused
+ * for another constant; new constants get the next free number.
  */
 public interface Numbered {
-  /** Returns the number that stands for this constant. */
+  /** Returns the number that represents this constant. */
   int number();
 
   /**
-   * Finds the constant that a number stands for.
+   * Returns the constant with the given number.
    *
    * @param constants all constants of the enum
    * @throws IllegalArgumentException if no constant has the number
@@ -20,6 +20,10 @@
         return constant;
       }
     }
-    throw new IllegalArgumentException("no constant has the number " + number);
+    throw new IllegalArgumentException(
+        "no constant of "
+            + constants.getClass().getComponentType().getSimpleName()
+            + " has number "
+            + number);
   }
 }
--- a/messages/src/main/java/tillerlink/messages/channels/Ballot.java
+++ b/messages/src/main/java/tillerlink/messages/channels/Ballot.java
@@ -1,14 +1,14 @@
 package tillerlink.messages.channels;
 
 /**
- * A Paxos ballot. Ballots are ordered by round, then by proposer; no two proposers use the same
- * one.
+ * A Paxos ballot number. Ballots are ordered by round, then by proposer; no two proposers use the
+ * same ballot.
  *
- * @param round counts the attempts, from 1; 0 for {@link #NONE}
- * @param proposer names the gateway and its incarnation
+ * @param round the number of the attempt, from 1; 0 for {@link #NONE}
+ * @param proposer identifies the gateway and its incarnation
  */
 public record Ballot(long round, String proposer) implements Comparable<Ballot> {
-  /** Lower than every ballot that a proposer uses. */
+  /** The absence of a ballot: lower than every ballot that a proposer uses. */
   public static final Ballot NONE = new Ballot(0, "");
 
   @Override
--- a/messages/src/main/java/tillerlink/messages/channels/ChannelsCodec.java
+++ b/messages/src/main/java/tillerlink/messages/channels/ChannelsCodec.java
@@ -20,9 +20,9 @@
 import tillerlink.messages.channels.ChannelsMessage.Want;
 
 /**
- * Writes and reads messages about the logs of channels: field 1 is the kind, field 2 the message.
- * All kinds share one numbering of fields, {@link ChannelsFields}, so that a field means the same
- * in each of them.
+ * Encodes and decodes messages about the logs of channels: field 1 is the message kind, field 2 the
+ * nested message. All kinds share the field numbers of {@link ChannelsFields}, so that a number has
+ * the same meaning in each of them.
  */
 public final class ChannelsCodec {
   private static final int KIND = 1;
@@ -34,10 +34,10 @@
   // ---- reading ----
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @throws MalformedMessageException if the bytes are no message, or of a kind that this release
-   *     does not know
+   * @throws MalformedMessageException if the bytes are not a valid message, or its kind is unknown
+   *     to this release
    */
   public static ChannelsMessage message(byte[] bytes) throws MalformedMessageException {
     FieldReader in = new FieldReader(bytes);
@@ -55,32 +55,33 @@
 
   // ---- writing ----
 
-  /** Writes a message. */
+  /** Encodes a message. */
   public static byte[] bytes(ChannelsMessage message) {
     FieldWriter out = new FieldWriter();
-    int kind = write(message, out);
+    int kind = writeFields(message, out);
     return new FieldWriter().number(KIND, kind).within(MESSAGE, out).done();
   }
 
   /** Writes the fields of a message and returns the number of its kind. */
-  private static int write(ChannelsMessage message, FieldWriter out) {
+  private static int writeFields(ChannelsMessage message, FieldWriter out) {
     if (message instanceof Report report) {
-      return report(report, out);
+      return writeReport(report, out);
     } else if (message instanceof Want want) {
-      return want(want, out);
+      return writeWant(want, out);
     } else if (message instanceof Piece piece) {
-      return piece(piece, out);
-    } else if (message instanceof CutsWanted wanted) {
-      out.number(ChannelsFields.SLOT, wanted.from());
+      return writePiece(piece, out);
+    } else if (message instanceof CutsWanted request) {
+      out.number(ChannelsFields.SLOT, request.from());
       return ChannelsFields.KIND_CUTS_WANTED;
     } else if (message instanceof Cuts cuts) {
-      cuts.cuts().forEach(cut -> cut(cut, out));
+      cuts.cuts().forEach(cut -> writeCut(cut, out));
       return ChannelsFields.KIND_CUTS;
-    } else if (message instanceof SumWanted wanted) {
-      out.number(ChannelsFields.SLOT, wanted.slot()).number(ChannelsFields.OFFSET, wanted.offset());
+    } else if (message instanceof SumWanted request) {
+      out.number(ChannelsFields.SLOT, request.slot())
+          .number(ChannelsFields.OFFSET, request.offset());
       return ChannelsFields.KIND_SUM_WANTED;
     } else if (message instanceof SumPart part) {
-      return sumPart(part, out);
+      return writeSumPart(part, out);
     }
     return writeConsensus(message, out);
   }
@@ -90,48 +91,48 @@
       out.fixed(ChannelsFields.INCARNATION, ask.incarnation());
       return ChannelsFields.KIND_ASK;
     } else if (message instanceof Answer answer) {
-      return answer(answer, out);
+      return writeAnswer(answer, out);
     } else if (message instanceof Prepare prepare) {
       out.within(ChannelsFields.BALLOT, ValueCodec.ballot(prepare.ballot()))
           .number(ChannelsFields.SLOT, prepare.slot());
       return ChannelsFields.KIND_PREPARE;
     } else if (message instanceof Promise promise) {
-      return promise(promise, out);
+      return writePromise(promise, out);
     } else if (message instanceof Accept accept) {
       out.within(ChannelsFields.BALLOT, ValueCodec.ballot(accept.ballot()));
-      cut(accept.cut(), out);
+      writeCut(accept.cut(), out);
       return ChannelsFields.KIND_ACCEPT;
     }
-    return accepted((Accepted) message, out);
+    return writeAccepted((Accepted) message, out);
   }
 
-  private static int report(Report report, FieldWriter out) {
+  private static int writeReport(Report report, FieldWriter out) {
     out.number(ChannelsFields.WALL, report.wall())
         .within(ChannelsFields.OWN, ValueCodec.standing(report.own()))
         .number(ChannelsFields.APPLIED, report.applied())
         .number(ChannelsFields.DECIDED, report.decided())
         .number(ChannelsFields.BASE, report.base())
         .fixed(ChannelsFields.DIGEST, report.digest());
-    spans(report.extra(), out);
+    writeSpans(report.extra(), out);
     report.others().forEach(other -> out.within(ChannelsFields.OTHER, ValueCodec.standing(other)));
     return ChannelsFields.KIND_REPORT;
   }
 
-  private static int want(Want want, FieldWriter out) {
+  private static int writeWant(Want want, FieldWriter out) {
     out.number(ChannelsFields.NUMBER, want.number())
         .number(ChannelsFields.MAX_BYTES, want.maxBytes())
         .number(ChannelsFields.MAX_ENTRIES, want.maxEntries());
-    spans(want.spans(), out);
+    writeSpans(want.spans(), out);
     return ChannelsFields.KIND_WANT;
   }
 
-  private static int piece(Piece piece, FieldWriter out) {
+  private static int writePiece(Piece piece, FieldWriter out) {
     out.number(ChannelsFields.NUMBER, piece.number()).flag(ChannelsFields.LAST, piece.last());
     piece.entries().forEach(entry -> out.bytes(ChannelsFields.ENTRY, EntryCodec.bytes(entry)));
     return ChannelsFields.KIND_PIECE;
   }
 
-  private static int sumPart(SumPart part, FieldWriter out) {
+  private static int writeSumPart(SumPart part, FieldWriter out) {
     out.number(ChannelsFields.SLOT, part.slot())
         .number(ChannelsFields.OFFSET, part.offset())
         .number(ChannelsFields.SIZE, part.size())
@@ -139,47 +140,47 @@
     return ChannelsFields.KIND_SUM_PART;
   }
 
-  private static int answer(Answer answer, FieldWriter out) {
+  private static int writeAnswer(Answer answer, FieldWriter out) {
     out.fixed(ChannelsFields.INCARNATION, answer.incarnation())
-        .flag(ChannelsFields.KNOWS, answer.knows())
+        .flag(ChannelsFields.CAUGHT_UP, answer.knows())
         .number(ChannelsFields.DECIDED, answer.decided())
         .within(ChannelsFields.PROMISED, ValueCodec.ballot(answer.promised()))
         .within(ChannelsFields.ACCEPTED_IN, ValueCodec.ballot(answer.acceptedIn()));
-    cut(answer.accepted(), out);
+    writeCut(answer.accepted(), out);
     return ChannelsFields.KIND_ANSWER;
   }
 
-  private static int promise(Promise promise, FieldWriter out) {
+  private static int writePromise(Promise promise, FieldWriter out) {
     out.within(ChannelsFields.BALLOT, ValueCodec.ballot(promise.ballot()))
         .number(ChannelsFields.SLOT, promise.slot())
         .within(ChannelsFields.PROMISED, ValueCodec.ballot(promise.promised()))
         .within(ChannelsFields.ACCEPTED_IN, ValueCodec.ballot(promise.acceptedIn()))
         .fixed(ChannelsFields.INCARNATION, promise.incarnation());
-    cut(promise.accepted(), out);
-    lives(promise.lives(), out);
+    writeCut(promise.accepted(), out);
+    writeLives(promise.lives(), out);
     return ChannelsFields.KIND_PROMISE;
   }
 
-  private static int accepted(Accepted accepted, FieldWriter out) {
+  private static int writeAccepted(Accepted accepted, FieldWriter out) {
     out.within(ChannelsFields.BALLOT, ValueCodec.ballot(accepted.ballot()))
         .number(ChannelsFields.SLOT, accepted.slot())
         .within(ChannelsFields.PROMISED, ValueCodec.ballot(accepted.promised()))
         .fixed(ChannelsFields.INCARNATION, accepted.incarnation());
-    lives(accepted.lives(), out);
+    writeLives(accepted.lives(), out);
     return ChannelsFields.KIND_ACCEPTED;
   }
 
-  private static void spans(List<Span> spans, FieldWriter out) {
+  private static void writeSpans(List<Span> spans, FieldWriter out) {
     spans.forEach(span -> out.within(ChannelsFields.SPAN, EntryCodec.span(span)));
   }
 
-  private static void cut(Cut cut, FieldWriter out) {
+  private static void writeCut(Cut cut, FieldWriter out) {
     if (cut != null) {
       out.within(ChannelsFields.CUT, EntryCodec.cut(cut));
     }
   }
 
-  private static void lives(List<Life> lives, FieldWriter out) {
+  private static void writeLives(List<Life> lives, FieldWriter out) {
     lives.forEach(life -> out.within(ChannelsFields.LIFE, ValueCodec.life(life)));
   }
 }
--- a/messages/src/main/java/tillerlink/messages/channels/ChannelsFields.java
+++ b/messages/src/main/java/tillerlink/messages/channels/ChannelsFields.java
@@ -21,8 +21,8 @@
 import tillerlink.messages.channels.ChannelsMessage.Want;
 
 /**
- * The numbers of the kinds and fields of messages about channels, and the values that were read so
- * far of one message. A field that the message does not have keeps its default value.
+ * The kind and field numbers of messages about channels, and the field values read so far from one
+ * message. A field that is missing from the message keeps its default value.
  */
 final class ChannelsFields {
   static final int KIND_REPORT = 1;
@@ -58,7 +58,7 @@
   static final int SIZE = 17;
   static final int PART = 18;
   static final int INCARNATION = 19;
-  static final int KNOWS = 20;
+  static final int CAUGHT_UP = 20;
   static final int BALLOT = 21;
   static final int PROMISED = 22;
   static final int ACCEPTED_IN = 23;
@@ -88,7 +88,7 @@
   private int size;
   private byte[] part = new byte[0];
   private long incarnation;
-  private boolean knows;
+  private boolean caughtUp;
   private Ballot ballot = Ballot.NONE;
   private Ballot promised = Ballot.NONE;
   private Ballot acceptedIn = Ballot.NONE;
@@ -96,7 +96,7 @@
 
   // ---- fields ----
 
-  /** Reads all fields of a message, whatever its kind. */
+  /** Reads all fields of a message of any kind. */
   void read(FieldReader in) throws MalformedMessageException {
     while (in.next()) {
       readReportField(in);
@@ -137,13 +137,13 @@
       case SLOT -> slot = in.number();
       case CUT -> cuts.add(EntryCodec.cut(in.within()));
       case INCARNATION -> incarnation = in.fixed();
-      case KNOWS -> knows = in.flag();
+      case CAUGHT_UP -> caughtUp = in.flag();
       case BALLOT -> ballot = ValueCodec.ballot(in.within());
       case PROMISED -> promised = ValueCodec.ballot(in.within());
       case ACCEPTED_IN -> acceptedIn = ValueCodec.ballot(in.within());
       case LIFE -> lives.add(ValueCodec.life(in.within()));
       default -> {
-        // A field of a later release.
+        // Skips a field of a later release.
       }
     }
   }
@@ -154,13 +154,26 @@
         || entries.size() > MAX_LIST_LENGTH
         || cuts.size() > MAX_LIST_LENGTH
         || lives.size() > MAX_LIST_LENGTH) {
-      throw new MalformedMessageException("a list that is too long");
+      throw new MalformedMessageException(
+          "message has a list of more than "
+              + MAX_LIST_LENGTH
+              + " elements: "
+              + spans.size()
+              + " spans, "
+              + others.size()
+              + " standings, "
+              + entries.size()
+              + " events, "
+              + cuts.size()
+              + " cuts, "
+              + lives.size()
+              + " incarnations");
     }
   }
 
   // ---- messages ----
 
-  /** Makes a message of a kind from the fields that were read. */
+  /** Returns the message of the given kind with the field values read so far. */
   ChannelsMessage toMessage(int kind) throws MalformedMessageException {
     return switch (kind) {
       case KIND_REPORT -> report();
@@ -177,26 +190,28 @@
   private ChannelsMessage toConsensusMessage(int kind) throws MalformedMessageException {
     return switch (kind) {
       case KIND_ASK -> new Ask(incarnation);
-      case KIND_ANSWER -> new Answer(incarnation, knows, decided, promised, acceptedIn, cut());
+      case KIND_ANSWER -> new Answer(incarnation, caughtUp, decided, promised, acceptedIn, cut());
       case KIND_PREPARE -> new Prepare(ballot, slot);
       case KIND_PROMISE ->
           new Promise(ballot, slot, promised, acceptedIn, cut(), incarnation, lives);
       case KIND_ACCEPT -> accept();
       case KIND_ACCEPTED -> new Accepted(ballot, slot, promised, incarnation, lives);
-      default -> throw new MalformedMessageException("a message of a kind not known here");
+      default ->
+          throw new MalformedMessageException("unknown kind " + kind + " of channels message");
     };
   }
 
   private Report report() throws MalformedMessageException {
     if (own == null) {
-      throw new MalformedMessageException("a report of nobody");
+      throw new MalformedMessageException(
+          "report lacks the standing of its sender (field " + OWN + ")");
     }
     return new Report(wall, own, applied, decided, base, digest, spans, others);
   }
 
   private Accept accept() throws MalformedMessageException {
     if (cuts.isEmpty()) {
-      throw new MalformedMessageException("nothing to accept");
+      throw new MalformedMessageException("accept request lacks a cut (field " + CUT + ")");
     }
     return new Accept(ballot, cut());
   }
--- a/messages/src/main/java/tillerlink/messages/channels/ChannelsMessage.java
+++ b/messages/src/main/java/tillerlink/messages/channels/ChannelsMessage.java
@@ -3,34 +3,36 @@
 import java.util.List;
 
 /**
- * Messages between gateways about the logs of channels: anti-entropy (reports, wants, pieces, cuts,
- * compacted state) and consensus (the rest).
+ * A message between gateways about the logs of channels: either anti-entropy (reports, event
+ * requests and responses, cuts, compacted state) or consensus (all others).
  */
 public sealed interface ChannelsMessage {
   /**
-   * How far a gateway has come with writing events of its own.
+   * The progress of a gateway in writing its own events.
    *
    * @param gateway the name of the gateway
-   * @param incarnation its process
-   * @param floor a stamp of the hybrid logical clock; the process appends nothing at or below it
+   * @param incarnation the incarnation of its process
+   * @param floor a stamp of the hybrid logical clock; the process appends no event stamped at or
+   *     below it
    * @param top the sequence number of its last event
    */
   record Standing(String gateway, long incarnation, long floor, long top) {}
 
-  /** The newest incarnation that the sender knows of a gateway. */
+  /** The newest incarnation of a gateway that the sender knows. */
   record Life(String gateway, long incarnation) {}
 
   /**
-   * A gateway's summary of what it holds, sent periodically.
+   * A periodic summary of the events that a gateway stores.
    *
-   * @param wall the sender's clock, milliseconds since 1970
-   * @param own how far the sender's own writing is
-   * @param applied the slot up to which it holds and has applied everything
+   * @param wall the sender's wall clock, milliseconds since 1970
+   * @param own the sender's progress in writing its own events
+   * @param applied the slot up to which it stores and has applied all events
    * @param decided the last slot whose value it knows
-   * @param base the slot up to which its log is compacted: of these it has the compacted state only
-   * @param digest over all stable events up to {@code applied}
-   * @param extra the events it holds beyond {@code applied}
-   * @param others what it knows of the writing of other gateways
+   * @param base the slot up to which its log is compacted; of earlier slots and this one it has
+   *     only the compacted state
+   * @param digest a digest of all stable events up to {@code applied}
+   * @param extra the events that it stores beyond {@code applied}
+   * @param others the known progress of other gateways in writing their events
    */
   record Report(
       long wall,
@@ -44,54 +46,58 @@
       implements ChannelsMessage {}
 
   /**
-   * Requests events.
+   * A request for events.
    *
-   * @param number of the request; its pieces bear the same
-   * @param maxBytes bytes of each {@link Piece} of the response
-   * @param maxEntries events of all pieces together
-   * @param spans the events
+   * @param number the number of the request, repeated in the pieces of the response
+   * @param maxBytes the maximum size of each {@link Piece} of the response, in bytes
+   * @param maxEntries the maximum number of events in all pieces together
+   * @param spans the requested events
    */
   record Want(long number, int maxBytes, int maxEntries, List<Span> spans)
       implements ChannelsMessage {}
 
   /**
-   * Events.
+   * A batch of events, either part of a response or new events.
    *
-   * @param number of the {@link Want} that it responds to; 0 for new events, sent unasked
-   * @param last whether it is the last piece of the response
+   * @param number the number of the {@link Want} that it responds to; 0 for new events, which are
+   *     sent without a request
+   * @param last true for the last piece of the response
    * @param entries the events
    */
   record Piece(long number, boolean last, List<Entry> entries) implements ChannelsMessage {}
 
-  /** Requests the decided cuts from a slot on. */
+  /** A request for the decided cuts, starting at the slot {@code from}. */
   record CutsWanted(long from) implements ChannelsMessage {}
 
-  /** Decided cuts. */
+  /** Decided cuts, sent in response to {@link CutsWanted}. */
   record Cuts(List<Cut> cuts) implements ChannelsMessage {}
 
-  /** Requests a part of the compacted state at a slot, from an offset in bytes on. */
+  /** A request for a part of the compacted state at a slot, starting at an offset in bytes. */
   record SumWanted(long slot, int offset) implements ChannelsMessage {}
 
   /**
    * A part of the compacted state.
    *
-   * @param slot the slot up to which it is compacted
-   * @param offset of the part, in bytes
-   * @param size of the whole state, in bytes
-   * @param bytes the part
+   * @param slot the slot up to which the state is compacted
+   * @param offset the offset of the part in the state, in bytes
+   * @param size the size of the whole state, in bytes
+   * @param bytes the content of the part
    */
   record SumPart(long slot, int offset, int size, byte[] bytes) implements ChannelsMessage {}
 
-  /** A process that has just started asks what its gateway promised and accepted before. */
+  /**
+   * A request of a process that has just started for the promises and accepted values of its
+   * gateway's earlier incarnations.
+   */
   record Ask(long incarnation) implements ChannelsMessage {}
 
   /**
    * The response to an {@link Ask}.
    *
-   * @param incarnation the process that asked
+   * @param incarnation the incarnation of the process that sent the request
    * @param knows false if the responder started with empty storage and has not caught up yet
    * @param decided the last slot whose value the responder knows
-   * @param promised the highest ballot that it promised
+   * @param promised the highest ballot that the responder promised
    * @param acceptedIn the ballot in which it accepted {@code accepted}
    * @param accepted the last cut that it accepted, null if none
    */
@@ -104,19 +110,19 @@
       Cut accepted)
       implements ChannelsMessage {}
 
-  /** Phase 1 of Paxos: a proposer asks for the promise of its ballot. */
+  /** A request of a proposer to promise its ballot; phase 1a of Paxos. */
   record Prepare(Ballot ballot, long slot) implements ChannelsMessage {}
 
   /**
-   * The response to a {@link Prepare}.
+   * The response to a {@link Prepare}; phase 1b of Paxos.
    *
-   * @param ballot the one asked for; it is promised only if {@code promised} is the same
-   * @param slot the slot asked for
+   * @param ballot the ballot of the request; it is promised only if {@code promised} equals it
+   * @param slot the slot of the request
    * @param promised the highest ballot that the acceptor promised
    * @param acceptedIn the ballot in which it accepted {@code accepted}
    * @param accepted the last cut that it accepted, null if none
-   * @param incarnation the acceptor's process
-   * @param lives the processes it knows of the voters
+   * @param incarnation the incarnation of the acceptor's process
+   * @param lives the newest incarnations of the voters that the acceptor knows
    */
   record Promise(
       Ballot ballot,
@@ -128,17 +134,17 @@
       List<Life> lives)
       implements ChannelsMessage {}
 
-  /** Phase 2 of Paxos: a proposer asks to accept a cut in its ballot. */
+  /** A request of a proposer to accept a cut in its ballot; phase 2a of Paxos. */
   record Accept(Ballot ballot, Cut cut) implements ChannelsMessage {}
 
   /**
-   * The response to an {@link Accept}.
+   * The response to an {@link Accept}; phase 2b of Paxos.
    *
-   * @param ballot the one asked for; the cut is accepted only if {@code promised} is the same
-   * @param slot the slot asked for
+   * @param ballot the ballot of the request; the cut is accepted only if {@code promised} equals it
+   * @param slot the slot of the request
    * @param promised the highest ballot that the acceptor promised
-   * @param incarnation the acceptor's process
-   * @param lives the processes it knows of the voters
+   * @param incarnation the incarnation of the acceptor's process
+   * @param lives the newest incarnations of the voters that the acceptor knows
    */
   record Accepted(Ballot ballot, long slot, Ballot promised, long incarnation, List<Life> lives)
       implements ChannelsMessage {}
--- a/messages/src/main/java/tillerlink/messages/channels/EntryCodec.java
+++ b/messages/src/main/java/tillerlink/messages/channels/EntryCodec.java
@@ -7,23 +7,27 @@
 import tillerlink.messages.MalformedMessageException;
 
 /**
- * Writes and reads events and cuts, for messages and for storage. An event carries a checksum of
- * its bytes, so that a corrupted one is never taken for another.
+ * Encodes and decodes events and cuts for messages and for storage. An event carries a checksum of
+ * its bytes, so that a corrupted event is never mistaken for another.
  */
 public final class EntryCodec {
-  /** Bytes of an event at the most: one fits in a message that every link carries. */
+  /**
+   * The maximum size of an event in bytes, so that it fits in a message that every link carries.
+   */
   public static final int MAX_ENTRY_BYTES = 1000;
 
-  /** Spans of a cut at the most. */
+  /** The maximum number of spans in a cut. */
   public static final int MAX_SPANS = 600;
 
-  /** Voters of a cut at the most. */
+  /** The maximum number of voters in a cut. */
   public static final int MAX_VOTERS = 64;
 
   static final int MAX_NAME_BYTES = 255;
   static final int MAX_DOTS = 64;
 
-  /** Longer events are malformed; a later release may write longer ones than this one. */
+  /**
+   * The maximum event size accepted, in bytes; a later release may write longer events than this.
+   */
   static final int MAX_READ_BYTES = 4 * MAX_ENTRY_BYTES;
 
   static final long MAX_SEQUENCE = 1L << 40;
@@ -35,7 +39,7 @@
 
   private static final int SPAN_INCARNATION = 1;
   private static final int SPAN_FROM = 2;
-  private static final int SPAN_FURTHER = 3;
+  private static final int SPAN_LAST_OFFSET = 3;
 
   private static final int CHECKSUM = 1;
   private static final int EVENT = 2;
@@ -51,9 +55,9 @@
 
   private EntryCodec() {}
 
-  // ---- names of events ----
+  // ---- event identifiers ----
 
-  /** Writes the name of an event. */
+  /** Encodes the identifier of an event. */
   public static FieldWriter dot(Dot dot) {
     return new FieldWriter()
         .fixed(DOT_INCARNATION, dot.incarnation())
@@ -62,9 +66,9 @@
   }
 
   /**
-   * Reads the name of an event.
+   * Decodes the identifier of an event.
    *
-   * @throws MalformedMessageException if it can't be read
+   * @throws MalformedMessageException if a field is malformed
    */
   public static Dot dot(FieldReader in) throws MalformedMessageException {
     long incarnation = 0;
@@ -87,39 +91,44 @@
     return new FieldWriter()
         .fixed(SPAN_INCARNATION, span.incarnation())
         .number(SPAN_FROM, span.from())
-        .number(SPAN_FURTHER, span.to() - span.from());
+        .number(SPAN_LAST_OFFSET, span.to() - span.from());
   }
 
   static Span span(FieldReader in) throws MalformedMessageException {
     long incarnation = 0;
     long from = 0;
-    long further = 0;
+    long lastOffset = 0;
     while (in.next()) {
       switch (in.field()) {
         case SPAN_INCARNATION -> incarnation = in.fixed();
         case SPAN_FROM -> from = in.number(MAX_SEQUENCE);
-        case SPAN_FURTHER -> further = in.number(MAX_SEQUENCE);
+        case SPAN_LAST_OFFSET -> lastOffset = in.number(MAX_SEQUENCE);
         default -> {}
       }
     }
     if (incarnation <= 0 || from <= 0) {
-      throw new MalformedMessageException("a span without a start");
+      throw new MalformedMessageException(
+          "span has incarnation "
+              + incarnation
+              + " and first sequence number "
+              + from
+              + ", expected both above 0");
     }
-    return new Span(incarnation, from, from + further);
+    return new Span(incarnation, from, from + lastOffset);
   }
 
   // ---- events ----
 
-  /** Writes an event with its checksum. */
+  /** Encodes an event with its checksum. */
   public static byte[] bytes(Entry entry) {
     byte[] event = EntryFields.write(entry);
     return new FieldWriter().fixed(CHECKSUM, checksum(event)).bytes(EVENT, event).done();
   }
 
   /**
-   * Reads an event.
+   * Decodes an event.
    *
-   * @throws MalformedMessageException if it can't be read, or its checksum does not match
+   * @throws MalformedMessageException if a field is malformed or the checksum does not match
    */
   public static Entry entry(byte[] bytes) throws MalformedMessageException {
     return entry(new FieldReader(bytes));
@@ -136,14 +145,18 @@
       }
     }
     if (checksum != checksum(event)) {
-      throw new MalformedMessageException("an event that was garbled");
+      throw new MalformedMessageException(
+          "event has checksum "
+              + Long.toHexString(checksum)
+              + ", expected "
+              + Long.toHexString(checksum(event)));
     }
     return new EntryFields().read(new FieldReader(event));
   }
 
   // ---- cuts ----
 
-  /** Writes a cut. */
+  /** Encodes a cut. */
   public static FieldWriter cut(Cut cut) {
     FieldWriter out = new FieldWriter().number(CUT_SLOT, cut.slot()).fixed(CUT_UP_TO, cut.upTo());
     cut.spans().forEach(span -> out.within(CUT_SPAN, span(span)));
@@ -152,9 +165,10 @@
   }
 
   /**
-   * Reads a cut.
+   * Decodes a cut.
    *
-   * @throws MalformedMessageException if it can't be read, or has too many spans or voters
+   * @throws MalformedMessageException if a field is malformed, the slot or the voters are missing,
+   *     or there are more than {@link #MAX_SPANS} spans or {@link #MAX_VOTERS} voters
    */
   public static Cut cut(FieldReader in) throws MalformedMessageException {
     long slot = 0;
@@ -171,7 +185,18 @@
       }
     }
     if (slot <= 0 || spans.size() > MAX_SPANS || voters.isEmpty() || voters.size() > MAX_VOTERS) {
-      throw new MalformedMessageException("a step out of its bounds");
+      throw new MalformedMessageException(
+          "cut has slot "
+              + slot
+              + ", "
+              + spans.size()
+              + " spans and "
+              + voters.size()
+              + " voters, expected a slot above 0, at most "
+              + MAX_SPANS
+              + " spans and 1 to "
+              + MAX_VOTERS
+              + " voters");
     }
     return new Cut(slot, upTo, List.copyOf(spans), List.copyOf(voters));
   }
@@ -179,18 +204,18 @@
   // ---- checksums ----
 
   /**
-   * Returns a 64-bit checksum (FNV-1a, mixed) that detects corrupted bytes. It does not withstand
-   * deliberate changes.
+   * Returns a 64-bit checksum that detects corrupted bytes: FNV-1a with a final mixing step. It
+   * does not protect against deliberate changes.
    */
   public static long checksum(byte[] bytes) {
     long hash = FNV_OFFSET_BASIS;
-    for (byte each : bytes) {
-      hash = (hash ^ (each & 0xff)) * FNV_PRIME;
+    for (byte octet : bytes) {
+      hash = (hash ^ (octet & 0xff)) * FNV_PRIME;
     }
     return mix(hash);
   }
 
-  /** Mixes the bits of a hash, so that each bit of the value affects the whole result. */
+  /** Mixes the bits of a hash, so that each input bit affects the whole result. */
   public static long mix(long value) {
     long mixed = (value ^ (value >>> 33)) * MIX_FACTOR;
     return mixed ^ (mixed >>> 33);
--- a/messages/src/main/java/tillerlink/messages/channels/EntryFields.java
+++ b/messages/src/main/java/tillerlink/messages/channels/EntryFields.java
@@ -7,7 +7,7 @@
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.Numbered;
 
-/** Writes and reads the fields of one event, without its checksum. */
+/** Encodes and decodes the fields of one event, without its checksum. */
 final class EntryFields {
   private static final int GATEWAY = 1;
   private static final int SITE = 2;
@@ -24,7 +24,7 @@
   private static final int SEEN = 13;
 
   private static final Kind[] KINDS = Kind.values();
-  private static final int USUAL_DOTS = 2;
+  private static final int TYPICAL_DOT_COUNT = 2;
 
   private String gateway = "";
   private String site = "";
@@ -37,8 +37,8 @@
   private String text = "";
   private long airsAt;
   private String key = "";
-  private final List<Dot> over = new ArrayList<>(USUAL_DOTS);
-  private final List<Dot> seen = new ArrayList<>(USUAL_DOTS);
+  private final List<Dot> over = new ArrayList<>(TYPICAL_DOT_COUNT);
+  private final List<Dot> seen = new ArrayList<>(TYPICAL_DOT_COUNT);
 
   static byte[] write(Entry entry) {
     FieldWriter out =
@@ -61,10 +61,21 @@
 
   Entry read(FieldReader in) throws MalformedMessageException {
     while (in.next()) {
-      readNameField(in);
+      readIdentifierField(in);
     }
     if (incarnation <= 0 || sequence <= 0 || stamp <= 0 || gateway.isEmpty() || channel.isEmpty()) {
-      throw new MalformedMessageException("an event without a name");
+      throw new MalformedMessageException(
+          "event has incarnation "
+              + incarnation
+              + ", sequence number "
+              + sequence
+              + ", stamp "
+              + stamp
+              + ", a gateway name of length "
+              + gateway.length()
+              + " and a channel name of length "
+              + channel.length()
+              + ", expected all above 0");
     }
     return new Entry(
         gateway.intern(),
@@ -82,7 +93,7 @@
         List.copyOf(seen));
   }
 
-  private void readNameField(FieldReader in) throws MalformedMessageException {
+  private void readIdentifierField(FieldReader in) throws MalformedMessageException {
     switch (in.field()) {
       case GATEWAY -> gateway = in.text(EntryCodec.MAX_TEXT_BYTES);
       case SITE -> site = in.text(EntryCodec.MAX_TEXT_BYTES);
@@ -104,14 +115,15 @@
       case OVER -> add(over, EntryCodec.dot(in.within()));
       case SEEN -> add(seen, EntryCodec.dot(in.within()));
       default -> {
-        // A field of a later release.
+        // Skips a field of a later release.
       }
     }
   }
 
   private static void add(List<Dot> dots, Dot dot) throws MalformedMessageException {
     if (dots.size() >= EntryCodec.MAX_DOTS) {
-      throw new MalformedMessageException("too many events named");
+      throw new MalformedMessageException(
+          "event refers to more than " + EntryCodec.MAX_DOTS + " events in one list");
     }
     dots.add(dot);
   }
--- a/messages/src/main/java/tillerlink/messages/channels/Kind.java
+++ b/messages/src/main/java/tillerlink/messages/channels/Kind.java
@@ -2,17 +2,17 @@
 
 import tillerlink.messages.Numbered;
 
-/** What an event says. */
+/** The kind of an event. */
 public enum Kind implements Numbered {
-  /** A cue with its text. */
+  /** Publishes a cue with its text. */
   CUE(0),
-  /** Another text for a cue. */
+  /** Replaces the text of a cue. */
   CORRECTION(1),
   /** Withdraws a cue. */
   RETRACTION(2),
-  /** A cue goes, or went, on the air at a time. */
+  /** Records the time at which a cue goes or went on air. */
   AIR(3),
-  /** A note to people, about no cue. */
+  /** Adds a note for human readers that refers to no cue. */
   NOTE(4);
 
   private final int number;
--- a/messages/src/main/java/tillerlink/messages/channels/ValueCodec.java
+++ b/messages/src/main/java/tillerlink/messages/channels/ValueCodec.java
@@ -6,7 +6,7 @@
 import tillerlink.messages.channels.ChannelsMessage.Life;
 import tillerlink.messages.channels.ChannelsMessage.Standing;
 
-/** Writes and reads the values within messages about channels. */
+/** Encodes and decodes the values nested in messages about channels. */
 final class ValueCodec {
   private static final int STANDING_GATEWAY = 1;
   private static final int STANDING_INCARNATION = 2;
