--- a/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberCodec.java
@@ -5,27 +5,30 @@
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
 
-/** The wire format of the messages between members. */
+/** Encodes and decodes the messages between members. */
 public final class MemberCodec {
-  /** The longest name of a member, in bytes of UTF-8. */
+  /** The maximum length of a member's name, in bytes of UTF-8. */
   public static final int MAX_NAME_BYTES = 64;
 
-  /** The longest address of a member, in bytes of UTF-8. */
+  /** The maximum length of a member's address, in bytes of UTF-8. */
   public static final int MAX_ADDRESS_BYTES = 100;
 
-  /** The longest site of a member, in bytes of UTF-8. */
+  /** The maximum length of a member's site, in bytes of UTF-8. */
   public static final int MAX_SITE_BYTES = 64;
 
-  /** The most gossip updates in a message. */
+  /** The maximum number of gossip updates in a message. */
   public static final int MAX_UPDATES = 64;
 
-  /** How many buckets of names an anti-entropy digest has. */
+  /** The number of buckets into which an anti-entropy digest divides the member names. */
   public static final int BUCKETS = 32;
 
-  /** The greatest age of a gossip update, in tenths of a millisecond: 30 days. */
+  /** The maximum age of a gossip update, in tenths of a millisecond: 30 days. */
   public static final long AGE_MOST = 30L * 24 * 3600 * 10_000;
 
-  /** Field numbers, lengths and the birth of a gossip update, in bytes, at most. */
+  /**
+   * The maximum size of the field numbers, the length prefixes and the birth of a gossip update, in
+   * bytes.
+   */
   private static final int UPDATE_FRAME_BYTES = 30;
 
   private static final int VARINT_BITS = 7;
@@ -34,12 +37,12 @@
 
   private MemberCodec() {}
 
-  /** The bucket that a name falls into; the same in every release. */
+  /** Returns the digest bucket of a name, from 0; it is the same in every release. */
   public static int bucket(String name) {
     return (name.hashCode() * HASH_MULTIPLIER) >>> (Integer.SIZE - BUCKET_BITS);
   }
 
-  /** The bytes of a message. */
+  /** Encodes a message. */
   public static byte[] write(MemberMessage message) {
     FieldWriter out = new FieldWriter();
     if (message instanceof MemberMessage.Probe probe) {
@@ -62,12 +65,12 @@
     } else if (message instanceof MemberMessage.Digest digest) {
       out.number(MemberFields.KIND, MemberFields.DIGEST)
           .fixed(MemberFields.NUMBER, digest.salt())
-          .bytes(MemberFields.SUMS, sums(digest.sums()));
+          .bytes(MemberFields.SUMS, encodeSums(digest.sums()));
     } else if (message instanceof MemberMessage.Listing listing) {
       writeListing(out, listing);
     }
-    out.within(MemberFields.CARD, card(message.card()));
-    message.updates().forEach(update -> out.within(MemberFields.UPDATE, update(update)));
+    out.within(MemberFields.CARD, encodeCard(message.card()));
+    message.updates().forEach(update -> out.within(MemberFields.UPDATE, encodeUpdate(update)));
     return out.done();
   }
 
@@ -87,7 +90,7 @@
         .flag(MemberFields.REPLY, listing.reply());
   }
 
-  private static FieldWriter card(MemberInfo card) {
+  private static FieldWriter encodeCard(MemberInfo card) {
     return new FieldWriter()
         .number(MemberFields.CARD_INCARNATION, card.incarnation())
         .fixed(MemberFields.CARD_BIRTH, card.birth())
@@ -95,11 +98,11 @@
         .text(MemberFields.CARD_SITE, card.site());
   }
 
-  private static FieldWriter update(GossipUpdate update) {
+  private static FieldWriter encodeUpdate(GossipUpdate update) {
     return new FieldWriter()
         .text(MemberFields.UPDATE_NAME, update.name())
         .number(MemberFields.UPDATE_STATUS, update.status().number())
-        .within(MemberFields.UPDATE_CARD, card(update.card()))
+        .within(MemberFields.UPDATE_CARD, encodeCard(update.card()))
         .text(MemberFields.UPDATE_ACCUSER, update.accuser())
         .number(MemberFields.UPDATE_AGE, update.age());
   }
@@ -115,13 +118,13 @@
     }
   }
 
-  private static byte[] sums(List<Integer> sums) {
+  private static byte[] encodeSums(List<Integer> sums) {
     ByteBuffer out = ByteBuffer.allocate(sums.size() * Integer.BYTES);
     sums.forEach(out::putInt);
     return out.array();
   }
 
-  /** How many bytes a gossip update adds to a message, at most. */
+  /** Returns the maximum number of bytes that a gossip update adds to a message. */
   public static int size(GossipUpdate update) {
     MemberInfo card = update.card();
     return UPDATE_FRAME_BYTES
@@ -138,20 +141,24 @@
     return (bits + VARINT_BITS - 1) / VARINT_BITS;
   }
 
-  /** The length of a text; a surrogate pair is counted as six bytes instead of four. */
+  /**
+   * Returns an upper bound of a text's length in bytes of UTF-8: a surrogate pair counts as six
+   * bytes instead of four.
+   */
   private static int utf8Bytes(String text) {
     int bytes = text.length();
     for (int i = 0; i < text.length(); i++) {
-      char unit = text.charAt(i);
-      bytes += unit < 0x80 ? 0 : unit < 0x800 ? 1 : 2;
+      char codeUnit = text.charAt(i);
+      bytes += codeUnit < 0x80 ? 0 : codeUnit < 0x800 ? 1 : 2;
     }
     return bytes;
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @throws MalformedMessageException if it can't be used; also if its kind is of a later release
+   * @throws MalformedMessageException if a field is malformed or missing, or the kind is unknown to
+   *     this release
    */
   public static MemberMessage read(byte[] body) throws MalformedMessageException {
     return new MemberMessageReader().read(body);
--- a/messages/src/main/java/tillerlink/messages/members/MemberFields.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberFields.java
@@ -1,8 +1,8 @@
 package tillerlink.messages.members;
 
 /**
- * The numbers of fields and kinds in the messages between members. They never change, and none is
- * used again for something else.
+ * The field and kind numbers of the messages between members. They never change, and no number is
+ * reused for another field or kind.
  */
 final class MemberFields {
   static final int KIND = 1;
--- a/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberMessage.java
@@ -2,20 +2,21 @@
 
 import java.util.List;
 
-/** A message between two members. The name of its sender is on the envelope. */
+/** A message between two members. The envelope carries the name of the sender. */
 public sealed interface MemberMessage {
-  /** The sender's card. */
+  /** Returns the sender's card. */
   MemberInfo card();
 
-  /** The gossip updates that are attached. */
+  /** Returns the attached gossip updates. */
   List<GossipUpdate> updates();
 
   /**
-   * A probe (SWIM's ping), to be answered with an {@link Ack}.
+   * A probe (SWIM's ping), which is answered with an {@link Ack}.
    *
-   * @param number the number to answer with, which nobody can guess
-   * @param target the name of the probed member; empty for whoever has the address
-   * @param suspicion what the receiver has to refute
+   * @param number the number that the answer has to repeat; unpredictable, so that answers can't be
+   *     forged
+   * @param target the name of the probed member; empty to probe any member at the address
+   * @param suspicion the suspicion of the receiver that it has to refute
    */
   record Probe(
       MemberInfo card,
@@ -29,18 +30,18 @@
    * The acknowledgement of a {@link Probe}.
    *
    * @param number the number of the probe
-   * @param suspicion what the receiver has to refute
+   * @param suspicion the suspicion of the receiver that it has to refute
    */
   record Ack(MemberInfo card, long number, SuspicionLevel suspicion, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /**
-   * A request of an indirect probe (SWIM's ping-req), to be answered with a {@link Vouch}.
+   * A request for an indirect probe (SWIM's ping-req), which is answered with a {@link Vouch}.
    *
-   * @param number the number to answer with
-   * @param target the name of the member to be probed
-   * @param address its address, for a receiver that does not know it
-   * @param suspicion what the target has to refute
+   * @param number the number that the answer has to repeat
+   * @param target the name of the member to probe
+   * @param address the target's address, for a receiver that does not know it
+   * @param suspicion the suspicion of the target that it has to refute
    */
   record Ask(
       MemberInfo card,
@@ -52,30 +53,31 @@
       implements MemberMessage {}
 
   /**
-   * The result of an indirect probe.
+   * The result of an indirect probe, sent in response to an {@link Ask}.
    *
    * @param number the number of the request
-   * @param reached whether the target answered in time
+   * @param reached true if the target answered in time
    */
   record Vouch(MemberInfo card, long number, boolean reached, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /**
-   * Gossip, not to be answered.
+   * A gossip message without an answer.
    *
-   * @param suspicion what the receiver has to refute
+   * @param suspicion the suspicion of the receiver that it has to refute
    */
   record Gossip(MemberInfo card, SuspicionLevel suspicion, List<GossipUpdate> updates)
       implements MemberMessage {}
 
   /**
-   * The anti-entropy digest of all that the sender knows.
+   * The anti-entropy digest of the sender's member table.
    *
-   * @param salt mixed into the sums, so that a collision does not repeat in the next comparison
-   * @param sums one for each of the {@link MemberCodec#BUCKETS} buckets of names
+   * @param salt a number mixed into the sums, so that a collision does not recur in the next
+   *     comparison
+   * @param sums one checksum for each of the {@link MemberCodec#BUCKETS} buckets of names
    */
   record Digest(MemberInfo card, long salt, List<Integer> sums) implements MemberMessage {
-    /** Copies the sums. */
+    /** Creates a digest with a copy of the sums. */
     public Digest {
       sums = List.copyOf(sums);
     }
@@ -87,13 +89,14 @@
   }
 
   /**
-   * What the sender knows of the members in one bucket, within a range of names.
+   * The sender's entries for the members of one digest bucket within a range of names.
    *
-   * @param bucket the bucket of names
-   * @param after the lower end of the range, exclusive; empty for the first name
-   * @param upTo the upper end of the range, inclusive; empty for the last name
-   * @param reply whether the receiver is to send what takes precedence over the listed updates
-   * @param updates the members in the range
+   * @param bucket the number of the bucket, from 0
+   * @param after the lower bound of the names, exclusive; empty to start at the first name
+   * @param upTo the upper bound of the names, inclusive; empty to end at the last name
+   * @param reply true if the receiver should send its updates that take precedence over the listed
+   *     ones
+   * @param updates the entries for the members in the range
    */
   record Listing(
       MemberInfo card,
--- a/messages/src/main/java/tillerlink/messages/members/MemberMessageReader.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberMessageReader.java
@@ -8,13 +8,15 @@
 import tillerlink.messages.Numbered;
 
 /**
- * Reads one message between members: collects the fields, whatever the kind is, and makes the
- * message of them. Fields of later releases are skipped.
+ * Decodes one message between members: collects the fields of any kind of message, then creates the
+ * message from them. Fields of later releases are skipped. An instance decodes one message only.
  */
 final class MemberMessageReader {
   private static final MemberStatus[] STATUSES = MemberStatus.values();
 
-  /** Higher incarnations are malformed, so that a forged one leaves room to refute it. */
+  /**
+   * Higher incarnations are malformed, so that a forged one can still be refuted with a higher one.
+   */
   private static final long MAX_INCARNATION = Long.MAX_VALUE / 2;
 
   private long kind;
@@ -37,7 +39,12 @@
       readField(in);
     }
     if (card.incarnation() == 0 || card.address().isEmpty()) {
-      throw new MalformedMessageException("no card");
+      throw new MalformedMessageException(
+          "sender's card has incarnation "
+              + card.incarnation()
+              + " and an address of length "
+              + card.address().length()
+              + ", expected both above 0");
     }
     return message();
   }
@@ -53,7 +60,8 @@
       case MemberFields.REACHED -> reached = in.flag();
       case MemberFields.UPDATE -> {
         if (updates.size() >= MemberCodec.MAX_UPDATES) {
-          throw new MalformedMessageException("too many");
+          throw new MalformedMessageException(
+              "message has more than " + MemberCodec.MAX_UPDATES + " gossip updates");
         }
         updates.add(readUpdate(in.within()));
       }
@@ -69,7 +77,7 @@
       case MemberFields.REPLY -> reply = in.flag();
       case MemberFields.SUMS -> readSums(in.bytes(MemberCodec.BUCKETS * Integer.BYTES));
       default -> {
-        // of a later release
+        // Skips a field of a later release.
       }
     }
   }
@@ -82,23 +90,26 @@
   }
 
   private MemberMessage message() throws MalformedMessageException {
-    List<GossipUpdate> all = List.copyOf(updates);
+    List<GossipUpdate> attachedUpdates = List.copyOf(updates);
     return switch ((int) Math.min(kind, Integer.MAX_VALUE)) {
-      case MemberFields.PROBE -> new MemberMessage.Probe(card, number, target, suspicion, all);
-      case MemberFields.ACK -> new MemberMessage.Ack(card, number, suspicion, all);
-      case MemberFields.ASK -> new MemberMessage.Ask(card, number, target, address, suspicion, all);
-      case MemberFields.VOUCH -> new MemberMessage.Vouch(card, number, reached, all);
-      case MemberFields.GOSSIP -> new MemberMessage.Gossip(card, suspicion, all);
+      case MemberFields.PROBE ->
+          new MemberMessage.Probe(card, number, target, suspicion, attachedUpdates);
+      case MemberFields.ACK -> new MemberMessage.Ack(card, number, suspicion, attachedUpdates);
+      case MemberFields.ASK ->
+          new MemberMessage.Ask(card, number, target, address, suspicion, attachedUpdates);
+      case MemberFields.VOUCH -> new MemberMessage.Vouch(card, number, reached, attachedUpdates);
+      case MemberFields.GOSSIP -> new MemberMessage.Gossip(card, suspicion, attachedUpdates);
       case MemberFields.DIGEST -> digest();
       case MemberFields.LISTING ->
-          new MemberMessage.Listing(card, (int) bucket, after, upTo, reply, all);
-      default -> throw new MalformedMessageException("a kind that is not known");
+          new MemberMessage.Listing(card, (int) bucket, after, upTo, reply, attachedUpdates);
+      default -> throw new MalformedMessageException("unknown kind " + kind + " of member message");
     };
   }
 
   private MemberMessage digest() throws MalformedMessageException {
     if (sums.size() != MemberCodec.BUCKETS) {
-      throw new MalformedMessageException("a digest with missing sums");
+      throw new MalformedMessageException(
+          "expected " + MemberCodec.BUCKETS + " sums in digest, got " + sums.size());
     }
     return new MemberMessage.Digest(card, number, sums);
   }
@@ -115,7 +126,7 @@
         case MemberFields.CARD_ADDRESS -> address = in.text(MemberCodec.MAX_ADDRESS_BYTES);
         case MemberFields.CARD_SITE -> site = in.text(MemberCodec.MAX_SITE_BYTES);
         default -> {
-          // of a later release
+          // Skips a field of a later release.
         }
       }
     }
@@ -136,12 +147,19 @@
         case MemberFields.UPDATE_ACCUSER -> accuser = in.text(MemberCodec.MAX_NAME_BYTES);
         case MemberFields.UPDATE_AGE -> age = in.number(MemberCodec.AGE_MOST);
         default -> {
-          // of a later release
+          // Skips a field of a later release.
         }
       }
     }
     if (name.isEmpty() || card.incarnation() == 0 || card.address().isEmpty()) {
-      throw new MalformedMessageException("a rumour of nobody");
+      throw new MalformedMessageException(
+          "gossip update has a name of length "
+              + name.length()
+              + ", incarnation "
+              + card.incarnation()
+              + " and an address of length "
+              + card.address().length()
+              + ", expected all above 0");
     }
     return new GossipUpdate(name, status, card, accuser, age);
   }
@@ -156,7 +174,7 @@
         case MemberFields.SUSPICION_INCARNATION -> incarnation = in.number(MAX_INCARNATION);
         case MemberFields.SUSPICION_BIRTH -> birth = in.fixed();
         default -> {
-          // of a later release
+          // Skips a field of a later release.
         }
       }
     }
--- a/messages/src/main/java/tillerlink/messages/members/MemberStatus.java
+++ b/messages/src/main/java/tillerlink/messages/members/MemberStatus.java
@@ -3,20 +3,21 @@
 import tillerlink.messages.Numbered;
 
 /**
- * The status of a member. At one incarnation the later constant takes precedence over the earlier
- * one. The numbers are sent and are part of anti-entropy digests; they never change.
+ * The status of a member. For the same incarnation, a later constant takes precedence over an
+ * earlier one. The numbers are sent in messages and are part of anti-entropy digests; they never
+ * change.
  */
 public enum MemberStatus implements Numbered {
-  /** It takes part. */
+  /** The member is active. */
   ALIVE(0),
-  /** Neither its accuser nor the members that probed it in the accuser's place could reach it. */
+  /** Neither its accuser nor the members that probed it on the accuser's behalf could reach it. */
   SUSPECTED(1),
-  /** It was suspected for long enough without refuting it: it was declared failed. */
+  /** It did not refute the suspicion within the suspicion timeout and was declared failed. */
   GONE(2),
-  /** It announced itself that it leaves. */
+  /** It announced that it was leaving. */
   LEFT(3);
 
-  /** The greatest number of a status. */
+  /** The highest number of a status. */
   static final int MAX_NUMBER = 3;
 
   private final int number;
@@ -30,7 +31,9 @@
     return number;
   }
 
-  /** Whether the member is active: it is still probed and gossiped to. */
+  /**
+   * Returns whether the member is active, which means that it is still probed and receives gossip.
+   */
   public boolean takesPart() {
     return this == ALIVE || this == SUSPECTED;
   }
--- a/messages/src/main/java/tillerlink/messages/members/SuspicionLevel.java
+++ b/messages/src/main/java/tillerlink/messages/members/SuspicionLevel.java
@@ -1,18 +1,18 @@
 package tillerlink.messages.members;
 
 /**
- * What a member has to refute: how the sender of a message holds its receiver, if that is otherwise
- * than the receiver says of itself.
+ * A status that a member has to refute: the sender's status of the receiver, if it differs from the
+ * status that the receiver reports of itself.
  *
- * @param status the status that the sender holds the receiver in
- * @param incarnation the incarnation that it is of; 0 if there is nothing to refute
- * @param birth the process that it is of
+ * @param status the status that the sender has stored for the receiver
+ * @param incarnation the incarnation that the status refers to; 0 if there is nothing to refute
+ * @param birth the birth of the process that the status refers to
  */
 public record SuspicionLevel(MemberStatus status, long incarnation, long birth) {
-  /** Nothing to refute. */
+  /** The value for nothing to refute. */
   public static final SuspicionLevel NONE = new SuspicionLevel(MemberStatus.ALIVE, 0, 0);
 
-  /** Whether there is anything to refute. */
+  /** Returns whether there is a status to refute. */
   public boolean isPresent() {
     return incarnation > 0;
   }
