--- a/messages/src/main/java/tillerlink/messages/statements/Change.java
+++ b/messages/src/main/java/tillerlink/messages/statements/Change.java
@@ -6,22 +6,23 @@
 import java.util.TreeMap;
 
 /**
- * A change of the schema of some table groups. Names are written as in {@link Definition#uses}.
+ * A change of the schema of some table groups. Names have the form of {@link Definition#uses}.
  *
- * @param groups the groups whose schema version it raises, ascending
- * @param removed statements that use one of these names become invalid
- * @param altered statements that use one of these names must be prepared again
- * @param renamed old names and new ones; statements that use an old one must be prepared again
+ * @param groups the table groups whose schema version the change increments, ascending
+ * @param removed the removed names; statements that use one of them become invalid
+ * @param altered the altered names; statements that use one of them must be prepared again
+ * @param renamed the new name for each old name; statements that use an old name must be prepared
+ *     again
  */
 public record Change(
     List<Integer> groups,
     List<String> removed,
     List<String> altered,
     SortedMap<String, String> renamed) {
-  /** Names of each kind at the most. */
+  /** The maximum number of removed, of altered and of renamed names, each. */
   public static final int MAX_NAMES = 48;
 
-  /** Sorts the groups, and copies all lists. */
+  /** Creates a change with sorted, distinct groups and copies of all collections. */
   public Change {
     groups = groups.stream().sorted().distinct().toList();
     removed = List.copyOf(removed);
@@ -29,8 +30,8 @@
     renamed = Collections.unmodifiableSortedMap(new TreeMap<>(renamed));
   }
 
-  /** Whether one of these groups changes. */
-  public boolean touches(List<Integer> others) {
-    return others.stream().anyMatch(groups::contains);
+  /** Returns whether this change affects one of the given table groups. */
+  public boolean touches(List<Integer> tableGroups) {
+    return tableGroups.stream().anyMatch(groups::contains);
   }
 }
--- a/messages/src/main/java/tillerlink/messages/statements/CommandCodec.java
+++ b/messages/src/main/java/tillerlink/messages/statements/CommandCodec.java
@@ -7,7 +7,7 @@
 import tillerlink.messages.MalformedMessageException;
 import tillerlink.messages.Numbered;
 
-/** Writes and reads definitions, changes, commands and entries of the log. */
+/** Encodes and decodes definitions, schema changes, commands and entries of the statement log. */
 public final class CommandCodec {
   private static final int DEFINITION_NAME = 1;
   private static final int DEFINITION_TEXT = 2;
@@ -37,7 +37,7 @@
 
   // ---- definitions ----
 
-  /** Writes a definition. */
+  /** Encodes a definition. */
   public static FieldWriter definition(Definition definition) {
     FieldWriter out =
         new FieldWriter()
@@ -56,9 +56,9 @@
   }
 
   /**
-   * Reads a definition.
+   * Decodes a definition.
    *
-   * @throws MalformedMessageException if it can't be read, or is out of its bounds
+   * @throws MalformedMessageException if a field is malformed or a value exceeds its limit
    */
   public static Definition definition(FieldReader in) throws MalformedMessageException {
     String name = "";
@@ -88,7 +88,7 @@
 
   // ---- changes ----
 
-  /** Writes a change of the schema. */
+  /** Encodes a change of the schema. */
   public static FieldWriter change(Change change) {
     FieldWriter out = new FieldWriter();
     RepeatedFields.integers(out, CHANGE_GROUP, change.groups());
@@ -98,9 +98,9 @@
   }
 
   /**
-   * Reads a change of the schema.
+   * Decodes a change of the schema.
    *
-   * @throws MalformedMessageException if it can't be read, or is out of its bounds
+   * @throws MalformedMessageException if a field is malformed or a value exceeds its limit
    */
   public static Change change(FieldReader in) throws MalformedMessageException {
     List<Integer> groups = RepeatedFields.list();
@@ -121,16 +121,16 @@
 
   // ---- commands ----
 
-  /** Writes a command. */
+  /** Encodes a command. */
   public static FieldWriter command(Command command) {
     return CommandFields.write(command);
   }
 
   /**
-   * Reads a command.
+   * Decodes a command.
    *
-   * @throws MalformedMessageException if it can't be read, or is of a kind that this release does
-   *     not know
+   * @throws MalformedMessageException if a field is malformed or missing, or the kind is unknown to
+   *     this release
    */
   public static Command command(FieldReader in) throws MalformedMessageException {
     return new CommandFields().read(in);
@@ -138,7 +138,7 @@
 
   // ---- entries ----
 
-  /** Writes an entry of the log. */
+  /** Encodes an entry of the log. */
   public static FieldWriter entry(Entry entry) {
     return new FieldWriter()
         .number(ENTRY_INDEX, entry.index())
@@ -149,9 +149,10 @@
   }
 
   /**
-   * Reads an entry of the log.
+   * Decodes an entry of the log.
    *
-   * @throws MalformedMessageException if it can't be read, or has no index or no command
+   * @throws MalformedMessageException if a field is malformed, or the index or the command is
+   *     missing
    */
   public static Entry entry(FieldReader in) throws MalformedMessageException {
     long index = 0;
@@ -170,7 +171,8 @@
       }
     }
     if (command == null || index == 0) {
-      throw new MalformedMessageException("an entry without its command");
+      throw new MalformedMessageException(
+          "log entry with index " + index + " lacks an index above 0 or its command");
     }
     return new Entry(index, term, origin, number, command);
   }
--- a/messages/src/main/java/tillerlink/messages/statements/CommandFields.java
+++ b/messages/src/main/java/tillerlink/messages/statements/CommandFields.java
@@ -6,8 +6,8 @@
 import tillerlink.messages.MalformedMessageException;
 
 /**
- * Writes and reads commands: the numbers of their kinds and fields, and the values that were read
- * so far of one command. A field that the command does not have keeps its default value.
+ * Encodes and decodes commands: defines the kind and field numbers, and holds the field values read
+ * so far from one command. A field that is missing from the command keeps its default value.
  */
 final class CommandFields {
   private static final int KIND_NOTHING = 1;
@@ -22,7 +22,7 @@
   private static final int KIND = 1;
   private static final int DEFINITION = 2;
 
-  /** Also the generation that {@link Command.Anew} replaces. */
+  /** The generation that a command replaces or drops; also used by {@link Command.Anew}. */
   private static final int OVER = 3;
 
   private static final int VERSIONS = 4;
@@ -101,7 +101,7 @@
       case CHANGE_INDEX -> changeIndex = in.number();
       case DISK -> disk = in.fixed();
       default -> {
-        // A field of a later release.
+        // Skips a field of a later release.
       }
     }
   }
@@ -116,14 +116,16 @@
       case KIND_EFFECT -> new Command.Effect(changeIndex);
       case KIND_ANEW -> new Command.Anew(name, over, definition);
       case KIND_READMIT -> new Command.Readmit(name, disk);
-      default -> throw new MalformedMessageException("no command that is known");
+      default ->
+          throw new MalformedMessageException("unknown kind " + kind + " of statement log command");
     };
   }
 
-  private static <T> T required(T object) throws MalformedMessageException {
-    if (object == null) {
-      throw new MalformedMessageException("a command without its object");
+  private static <T> T required(T value) throws MalformedMessageException {
+    if (value == null) {
+      throw new MalformedMessageException(
+          "prepare or announce command lacks its definition or its change");
     }
-    return object;
+    return value;
   }
 }
--- a/messages/src/main/java/tillerlink/messages/statements/ParameterType.java
+++ b/messages/src/main/java/tillerlink/messages/statements/ParameterType.java
@@ -2,15 +2,15 @@
 
 import tillerlink.messages.Numbered;
 
-/** The type of a statement's parameter. */
+/** The type of a statement parameter. */
 public enum ParameterType implements Numbered {
-  /** A text. */
+  /** A string. */
   TEXT(0),
-  /** A whole number. */
+  /** An integer. */
   INTEGER(1),
   /** A decimal number. */
   DECIMAL(2),
-  /** True or false. */
+  /** A boolean. */
   FLAG(3),
   /** A date without a time. */
   DAY(4);
--- a/messages/src/main/java/tillerlink/messages/statements/RepeatedFields.java
+++ b/messages/src/main/java/tillerlink/messages/statements/RepeatedFields.java
@@ -9,11 +9,11 @@
 import tillerlink.messages.MalformedMessageException;
 
 /**
- * Writes and reads lists and small maps as repeated fields. Each element is a message of its own,
- * so that zeros and empty texts keep their place.
+ * Encodes and decodes lists and small maps as repeated fields. Each element is a nested message, so
+ * that zeros and empty texts, which are omitted as plain fields, keep their position.
  */
 final class RepeatedFields {
-  /** Elements of a list or map at the most; a longer one is malformed. */
+  /** The maximum number of elements of a list or map; a longer one is malformed. */
   static final int MAX_LENGTH = 256;
 
   private static final int VALUE = 1;
@@ -21,8 +21,8 @@
   private static final int GROUP = 1;
   private static final int VERSION = 2;
 
-  private static final int FIRST = 1;
-  private static final int SECOND = 2;
+  private static final int OLD_NAME = 1;
+  private static final int NEW_NAME = 2;
 
   private RepeatedFields() {}
 
@@ -52,55 +52,57 @@
 
   static FieldWriter pairs(FieldWriter out, int field, SortedMap<String, String> values) {
     values.forEach(
-        (first, second) ->
-            out.within(field, new FieldWriter().text(FIRST, first).text(SECOND, second)));
+        (oldName, newName) ->
+            out.within(field, new FieldWriter().text(OLD_NAME, oldName).text(NEW_NAME, newName)));
     return out;
   }
 
   // ---- reading ----
 
   /**
-   * Checks that one more element may be added.
+   * Checks that one more element may be added to a list or map.
    *
-   * @throws MalformedMessageException if there are as many as may be
+   * @param length the current number of elements
+   * @param max the maximum number of elements
+   * @throws MalformedMessageException if the list or map already has {@code max} elements
    */
   static void checkLength(int length, int max) throws MalformedMessageException {
     if (length >= max) {
-      throw new MalformedMessageException("too many in a list");
+      throw new MalformedMessageException("list or map has more than " + max + " elements");
     }
   }
 
-  static void addNumber(FieldReader element, List<Long> to) throws MalformedMessageException {
-    checkLength(to.size(), MAX_LENGTH);
+  static void addNumber(FieldReader element, List<Long> target) throws MalformedMessageException {
+    checkLength(target.size(), MAX_LENGTH);
     long value = 0;
     for (FieldReader in = element.within(); in.next(); ) {
       value = in.field() == VALUE ? in.fixed() : value;
     }
-    to.add(value);
+    target.add(value);
   }
 
-  static void addInteger(FieldReader element, List<Integer> to, int max)
+  static void addInteger(FieldReader element, List<Integer> target, int max)
       throws MalformedMessageException {
-    checkLength(to.size(), MAX_LENGTH);
+    checkLength(target.size(), MAX_LENGTH);
     int value = 0;
     for (FieldReader in = element.within(); in.next(); ) {
       value = in.field() == VALUE ? (int) in.number(max) : value;
     }
-    to.add(value);
+    target.add(value);
   }
 
-  static void addText(FieldReader element, List<String> to) throws MalformedMessageException {
-    checkLength(to.size(), MAX_LENGTH);
+  static void addText(FieldReader element, List<String> target) throws MalformedMessageException {
+    checkLength(target.size(), MAX_LENGTH);
     String value = "";
     for (FieldReader in = element.within(); in.next(); ) {
       value = in.field() == VALUE ? in.text(Definition.MAX_TEXT_BYTES) : value;
     }
-    to.add(value);
+    target.add(value);
   }
 
-  static void addVersion(FieldReader element, SortedMap<Integer, Long> to)
+  static void addVersion(FieldReader element, SortedMap<Integer, Long> target)
       throws MalformedMessageException {
-    checkLength(to.size(), MAX_LENGTH);
+    checkLength(target.size(), MAX_LENGTH);
     int group = 0;
     long version = 0;
     for (FieldReader in = element.within(); in.next(); ) {
@@ -110,22 +112,22 @@
         default -> {}
       }
     }
-    to.put(group, version);
+    target.put(group, version);
   }
 
-  static void addPair(FieldReader element, SortedMap<String, String> to)
+  static void addPair(FieldReader element, SortedMap<String, String> target)
       throws MalformedMessageException {
-    checkLength(to.size(), MAX_LENGTH);
-    String first = "";
-    String second = "";
+    checkLength(target.size(), MAX_LENGTH);
+    String oldName = "";
+    String newName = "";
     for (FieldReader in = element.within(); in.next(); ) {
       switch (in.field()) {
-        case FIRST -> first = in.text(Definition.MAX_TEXT_BYTES);
-        case SECOND -> second = in.text(Definition.MAX_TEXT_BYTES);
+        case OLD_NAME -> oldName = in.text(Definition.MAX_TEXT_BYTES);
+        case NEW_NAME -> newName = in.text(Definition.MAX_TEXT_BYTES);
         default -> {}
       }
     }
-    to.put(first, second);
+    target.put(oldName, newName);
   }
 
   static <T> List<T> list() {
--- a/messages/src/main/java/tillerlink/messages/statements/RunEffect.java
+++ b/messages/src/main/java/tillerlink/messages/statements/RunEffect.java
@@ -2,13 +2,13 @@
 
 import tillerlink.messages.Numbered;
 
-/** What running a statement a second time would do. */
+/** The effect of executing a statement a second time. */
 public enum RunEffect implements Numbered {
-  /** It changes nothing, however often it runs. */
+  /** The statement changes nothing, however often it is executed. */
   PURE(0),
-  /** The engine recognises the second run by its idempotency key. */
+  /** The engine detects the second execution by its idempotency key. */
   RECEIPTED(1),
-  /** It would take effect a second time. */
+  /** The second execution would take effect again. */
   EFFECTFUL(2);
 
   private final int number;
--- a/messages/src/main/java/tillerlink/messages/statements/StampCodec.java
+++ b/messages/src/main/java/tillerlink/messages/statements/StampCodec.java
@@ -5,7 +5,7 @@
 import tillerlink.messages.FieldWriter;
 import tillerlink.messages.MalformedMessageException;
 
-/** Writes and reads the stamps of voters. */
+/** Encodes and decodes the stamps of voters. */
 final class StampCodec {
   private static final int VOTERS = 1;
   private static final int DISK = 2;
--- a/messages/src/main/java/tillerlink/messages/statements/StatementCodec.java
+++ b/messages/src/main/java/tillerlink/messages/statements/StatementCodec.java
@@ -22,17 +22,17 @@
 import tillerlink.messages.statements.StatementMessage.Vote;
 
 /**
- * Writes and reads messages about prepared statements. A field has one number, whatever message it
- * is in: see {@link StatementFields}.
+ * Encodes and decodes messages about prepared statements. A field has the same number in all
+ * messages; see {@link StatementFields}.
  */
 public final class StatementCodec {
   private StatementCodec() {}
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @throws MalformedMessageException if the bytes are no message, or of a kind that this release
-   *     does not know
+   * @throws MalformedMessageException if the bytes are not a valid message, or its kind is unknown
+   *     to this release
    */
   public static StatementMessage read(byte[] bytes) throws MalformedMessageException {
     StatementFields fields = new StatementFields();
@@ -40,7 +40,7 @@
     return fields.toMessage();
   }
 
-  /** Writes a message. */
+  /** Encodes a message. */
   public static byte[] write(StatementMessage message) {
     FieldWriter out = new FieldWriter();
     writeElectionMessage(message, out);
@@ -111,8 +111,8 @@
         .within(StatementFields.STAMP, StampCodec.stamp(seen.stamp()))
         .fixed(StatementFields.NONCE, seen.nonce())
         .number(StatementFields.STAGE, seen.stage().number())
-        .number(StatementFields.KNOWN, seen.known())
-        .number(StatementFields.MARK, seen.mark())
+        .number(StatementFields.KNOWN_BOOTS, seen.known())
+        .number(StatementFields.KNOWN_TERM, seen.mark())
         .number(StatementFields.MATCH, seen.match())
         .number(StatementFields.TERM, seen.term())
         .number(StatementFields.LAST_TERM, seen.lastTerm())
@@ -128,15 +128,15 @@
         .number(StatementFields.TERM, request.term())
         .number(StatementFields.LAST_TERM, request.lastTerm())
         .number(StatementFields.LAST_INDEX, request.lastIndex())
-        .flag(StatementFields.PRE, request.pre());
+        .flag(StatementFields.PRE_VOTE, request.pre());
   }
 
   private static void writeVote(Vote vote, FieldWriter out) {
     out.number(StatementFields.KIND, StatementFields.KIND_VOTE)
         .within(StatementFields.STAMP, StampCodec.stamp(vote.stamp()))
         .number(StatementFields.TERM, vote.term())
-        .flag(StatementFields.PRE, vote.pre())
-        .flag(StatementFields.GIVEN, vote.given());
+        .flag(StatementFields.PRE_VOTE, vote.pre())
+        .flag(StatementFields.VOTE_GRANTED, vote.given());
   }
 
   // ---- replication of the log and snapshots ----
@@ -159,7 +159,7 @@
         .within(StatementFields.STAMP, StampCodec.stamp(appended.stamp()))
         .number(StatementFields.TERM, appended.term())
         .number(StatementFields.SEQUENCE, appended.sequence())
-        .flag(StatementFields.FITS, appended.fits())
+        .flag(StatementFields.PREV_ENTRY_MATCHES, appended.fits())
         .number(StatementFields.MATCH, appended.match());
   }
 
@@ -209,7 +209,7 @@
         .fixed(StatementFields.ORIGIN, propose.origin())
         .number(StatementFields.NUMBER, propose.number())
         .within(StatementFields.COMMAND, CommandCodec.command(propose.command()))
-        .flag(StatementFields.ONWARD, propose.onward());
+        .flag(StatementFields.FORWARDED, propose.onward());
   }
 
   private static void writeAskLease(AskLease request, FieldWriter out) {
@@ -248,6 +248,6 @@
     out.number(StatementFields.KIND, StatementFields.KIND_BUSY)
         .fixed(StatementFields.ORIGIN, busy.origin())
         .number(StatementFields.NUMBER, busy.number())
-        .text(StatementFields.WORDS, busy.words());
+        .text(StatementFields.REASON, busy.words());
   }
 }
--- a/messages/src/main/java/tillerlink/messages/statements/StatementFields.java
+++ b/messages/src/main/java/tillerlink/messages/statements/StatementFields.java
@@ -25,8 +25,8 @@
 import tillerlink.messages.statements.StatementMessage.Vote;
 
 /**
- * The numbers of the kinds and fields of messages about prepared statements, and the values that
- * were read so far of one message. A field that the message does not have keeps its default value.
+ * The kind and field numbers of messages about prepared statements, and the field values read so
+ * far from one message. A field that is missing from the message keeps its default value.
  */
 final class StatementFields {
   static final int KIND_HELLO = 1;
@@ -51,8 +51,8 @@
   static final int STAMP = 2;
   static final int NONCE = 3;
   static final int STAGE = 4;
-  static final int KNOWN = 5;
-  static final int MARK = 6;
+  static final int KNOWN_BOOTS = 5;
+  static final int KNOWN_TERM = 6;
   static final int MATCH = 7;
   static final int TERM = 8;
   static final int LAST_TERM = 9;
@@ -60,14 +60,14 @@
   static final int PLEDGE = 11;
   static final int MEMBERS = 12;
   static final int VERSION = 13;
-  static final int PRE = 14;
-  static final int GIVEN = 15;
+  static final int PRE_VOTE = 14;
+  static final int VOTE_GRANTED = 15;
   static final int SEQUENCE = 16;
   static final int PREV_INDEX = 17;
   static final int PREV_TERM = 18;
   static final int COMMIT = 19;
   static final int ENTRIES = 20;
-  static final int FITS = 21;
+  static final int PREV_ENTRY_MATCHES = 21;
   static final int INDEX = 22;
   static final int SIZE = 23;
   static final int OFFSET = 24;
@@ -78,7 +78,7 @@
   static final int ORIGIN = 29;
   static final int NUMBER = 30;
   static final int COMMAND = 31;
-  static final int ONWARD = 32;
+  static final int FORWARDED = 32;
   static final int HOLDER = 33;
   static final int GROUPS = 34;
   static final int DISK = 35;
@@ -86,9 +86,9 @@
   static final int BLOCKED = 37;
   static final int RELEASED = 38;
   static final int CHANGES = 39;
-  static final int WORDS = 40;
+  static final int REASON = 40;
 
-  private static final int MAX_WORDS_BYTES = 256;
+  private static final int MAX_REASON_BYTES = 256;
   private static final int MAX_PIECE_BYTES = 12_000;
   private static final Stage[] STAGES = Stage.values();
 
@@ -96,8 +96,8 @@
   private Stamp stamp = new Stamp(0, 0, 0, List.of());
   private long nonce;
   private Stage stage = Stage.FRESH;
-  private long known;
-  private long mark;
+  private long knownBoots;
+  private long knownTerm;
   private long match;
   private long term;
   private long lastTerm;
@@ -105,14 +105,14 @@
   private final List<Long> pledge = RepeatedFields.list();
   private final List<Long> members = RepeatedFields.list();
   private long version;
-  private boolean pre;
-  private boolean given;
+  private boolean preVote;
+  private boolean voteGranted;
   private long sequence;
   private long prevIndex;
   private long prevTerm;
   private long commit;
   private final List<Entry> entries = RepeatedFields.list();
-  private boolean fits;
+  private boolean prevEntryMatches;
   private long index;
   private long size;
   private long offset;
@@ -123,7 +123,7 @@
   private long origin;
   private long number;
   private Command command = new Command.Nothing();
-  private boolean onward;
+  private boolean forwarded;
   private long holder;
   private final SortedMap<Integer, Long> groups = RepeatedFields.map();
   private long disk;
@@ -131,11 +131,11 @@
   private final List<Integer> blocked = RepeatedFields.list();
   private final List<Integer> released = RepeatedFields.list();
   private final List<Long> changes = RepeatedFields.list();
-  private String words = "";
+  private String reason = "";
 
   // ---- fields ----
 
-  /** Reads all fields of a message, whatever its kind. */
+  /** Reads all fields of a message of any kind. */
   void read(FieldReader in) throws MalformedMessageException {
     while (in.next()) {
       readVoterField(in);
@@ -148,8 +148,8 @@
       case STAMP -> stamp = StampCodec.stamp(in.within());
       case NONCE -> nonce = in.fixed();
       case STAGE -> stage = Numbered.of(STAGES, (int) in.number(STAGES.length - 1));
-      case KNOWN -> known = in.number();
-      case MARK -> mark = in.number();
+      case KNOWN_BOOTS -> knownBoots = in.number();
+      case KNOWN_TERM -> knownTerm = in.number();
       case PLEDGE -> RepeatedFields.addNumber(in, pledge);
       case MEMBERS -> RepeatedFields.addNumber(in, members);
       case VERSION -> version = in.number();
@@ -162,8 +162,8 @@
       case TERM -> term = in.number();
       case LAST_TERM -> lastTerm = in.number();
       case LAST_INDEX -> lastIndex = in.number();
-      case PRE -> pre = in.flag();
-      case GIVEN -> given = in.flag();
+      case PRE_VOTE -> preVote = in.flag();
+      case VOTE_GRANTED -> voteGranted = in.flag();
       default -> readReplicationField(in);
     }
   }
@@ -176,7 +176,7 @@
       case PREV_TERM -> prevTerm = in.number();
       case COMMIT -> commit = in.number();
       case ENTRIES -> addEntry(in);
-      case FITS -> fits = in.flag();
+      case PREV_ENTRY_MATCHES -> prevEntryMatches = in.flag();
       case FROM -> from = in.number();
       default -> readSnapshotField(in);
     }
@@ -204,8 +204,8 @@
       case ORIGIN -> origin = in.fixed();
       case NUMBER -> number = in.number();
       case COMMAND -> command = CommandCodec.command(in.within());
-      case ONWARD -> onward = in.flag();
-      case WORDS -> words = in.text(MAX_WORDS_BYTES);
+      case FORWARDED -> forwarded = in.flag();
+      case REASON -> reason = in.text(MAX_REASON_BYTES);
       default -> readLeaseField(in);
     }
   }
@@ -220,34 +220,44 @@
       case RELEASED -> RepeatedFields.addInteger(in, released, Definition.MAX_GROUP);
       case CHANGES -> RepeatedFields.addNumber(in, changes);
       default -> {
-        // A field of a later release.
+        // Skips a field of a later release.
       }
     }
   }
 
   // ---- messages ----
 
-  /** Makes the message from the fields that were read. */
+  /** Returns the message with the field values read so far. */
   StatementMessage toMessage() throws MalformedMessageException {
     return switch (kind) {
       case KIND_HELLO -> new Hello(stamp, nonce, stage);
       case KIND_SEEN -> seen();
-      case KIND_ASK_VOTE -> new AskVote(stamp, term, lastTerm, lastIndex, pre);
-      case KIND_VOTE -> new Vote(stamp, term, pre, given);
+      case KIND_ASK_VOTE -> new AskVote(stamp, term, lastTerm, lastIndex, preVote);
+      case KIND_VOTE -> new Vote(stamp, term, preVote, voteGranted);
       default -> toReplicationMessage();
     };
   }
 
   private Seen seen() {
     return new Seen(
-        stamp, nonce, stage, known, mark, match, term, lastTerm, lastIndex, pledge, members,
+        stamp,
+        nonce,
+        stage,
+        knownBoots,
+        knownTerm,
+        match,
+        term,
+        lastTerm,
+        lastIndex,
+        pledge,
+        members,
         version);
   }
 
   private StatementMessage toReplicationMessage() throws MalformedMessageException {
     return switch (kind) {
       case KIND_APPEND -> new Append(stamp, term, sequence, prevIndex, prevTerm, commit, entries);
-      case KIND_APPENDED -> new Appended(stamp, term, sequence, fits, match);
+      case KIND_APPENDED -> new Appended(stamp, term, sequence, prevEntryMatches, match);
       case KIND_OFFER -> new Offer(stamp, term, index, size);
       case KIND_ASK_PIECE -> new AskPiece(index, offset, maxBytes);
       case KIND_PIECE -> new Piece(index, offset, size, bytes);
@@ -259,14 +269,15 @@
 
   private StatementMessage toLeaseMessage() throws MalformedMessageException {
     return switch (kind) {
-      case KIND_PROPOSE -> new Propose(origin, number, command, onward);
+      case KIND_PROPOSE -> new Propose(origin, number, command, forwarded);
       case KIND_ASK_LEASE -> new AskLease(holder, sequence, groups);
       case KIND_LEASE ->
           new Lease(holder, sequence, disk, version, members, granted, blocked, commit);
       case KIND_RELEASE -> new Release(holder, sequence, released);
       case KIND_CLEAR -> new Clear(stamp, changes);
-      case KIND_BUSY -> new Busy(origin, number, words);
-      default -> throw new MalformedMessageException("no message that is known");
+      case KIND_BUSY -> new Busy(origin, number, reason);
+      default ->
+          throw new MalformedMessageException("unknown kind " + kind + " of statement message");
     };
   }
 }
