--- a/messages/src/test/java/tillerlink/messages/HexLines.java
+++ b/messages/src/test/java/tillerlink/messages/HexLines.java
@@ -11,11 +11,14 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Reads committed lines of a name and hex digits, and compares what is written now with them. */
+/** Reads resources that list encoded values in hex, and compares encoded and decoded values. */
 public final class HexLines {
   private HexLines() {}
 
-  /** Reads a resource in the guards folder: each line is a name, a space and hex digits. */
+  /**
+   * Returns the values of a resource in the guards folder by name. Each line is a name, a space and
+   * hex digits; lines that start with # are comments.
+   */
   public static Map<String, byte[]> read(String resource) throws IOException {
     Map<String, byte[]> lines = new LinkedHashMap<>();
     try (InputStream in = HexLines.class.getResourceAsStream("/guards/" + resource)) {
@@ -32,12 +35,12 @@
     return lines;
   }
 
-  /** Compares names, their order and their bytes. */
-  public static void compare(Map<String, byte[]> expected, Map<String, byte[]> written) {
-    assertEquals(text(expected), text(written));
+  /** Asserts that both maps have the same names in the same order, and the same bytes. */
+  public static void assertSameLines(Map<String, byte[]> expected, Map<String, byte[]> actual) {
+    assertEquals(text(expected), text(actual));
   }
 
-  /** The lines as a resource has them, without comments. */
+  /** Returns the values as lines in the format of a resource, without comments. */
   public static String text(Map<String, byte[]> values) {
     StringBuilder text = new StringBuilder();
     values.forEach(
@@ -46,16 +49,20 @@
     return text.toString();
   }
 
-  /** Compares two records field by field, as arrays within them have no equals of their own. */
-  public static void same(Record expected, Record read) throws ReflectiveOperationException {
-    assertEquals(expected.getClass(), read.getClass());
+  /**
+   * Asserts that two records are equal, component by component, because the equality of records
+   * compares byte arrays by reference.
+   */
+  public static void assertSameComponents(Record expected, Record actual)
+      throws ReflectiveOperationException {
+    assertEquals(expected.getClass(), actual.getClass());
     for (RecordComponent component : expected.getClass().getRecordComponents()) {
-      Object one = component.getAccessor().invoke(expected);
-      Object other = component.getAccessor().invoke(read);
-      if (one instanceof byte[] bytes) {
-        assertArrayEquals(bytes, (byte[]) other, component.getName());
+      Object expectedValue = component.getAccessor().invoke(expected);
+      Object actualValue = component.getAccessor().invoke(actual);
+      if (expectedValue instanceof byte[] bytes) {
+        assertArrayEquals(bytes, (byte[]) actualValue, component.getName());
       } else {
-        assertEquals(one, other, component.getName());
+        assertEquals(expectedValue, actualValue, component.getName());
       }
     }
   }
--- a/messages/src/test/java/tillerlink/messages/envelope/EnvelopeFormatGuardTest.java
+++ b/messages/src/test/java/tillerlink/messages/envelope/EnvelopeFormatGuardTest.java
@@ -6,15 +6,15 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.messages.HexLines;
 
-/** Guards the bytes of datagrams: the head, the fields of the envelope and the seal. */
+/** Guards the encoding of datagrams: the header, the fields of the envelope and the seal. */
 class EnvelopeFormatGuardTest {
   private static final String RESOURCE = "envelopes.hex";
 
-  private static EnvelopeCodec open() {
+  private static EnvelopeCodec unsealedCodec() {
     return new EnvelopeCodec("fleet-one", null);
   }
 
-  private static EnvelopeCodec sealed() {
+  private static EnvelopeCodec sealedCodec() {
     return new EnvelopeCodec(
         "fleet-one", Seal.of("a secret of tests".getBytes(StandardCharsets.UTF_8)));
   }
@@ -30,28 +30,32 @@
     return all;
   }
 
-  static Map<String, byte[]> written() {
+  static Map<String, byte[]> encoded() {
     Map<String, byte[]> all = new LinkedHashMap<>();
     envelopes()
         .forEach(
             (name, envelope) -> {
-              all.put("open-" + name, open().encode(envelope));
-              all.put("sealed-" + name, sealed().encode(envelope));
+              all.put("open-" + name, unsealedCodec().encode(envelope));
+              all.put("sealed-" + name, sealedCodec().encode(envelope));
             });
     return all;
   }
 
   @Test
-  void datagramsAreWrittenAsBefore() throws Exception {
-    HexLines.compare(HexLines.read(RESOURCE), written());
+  void datagramsAreEncodedAsBefore() throws Exception {
+    HexLines.assertSameLines(HexLines.read(RESOURCE), encoded());
   }
 
   @Test
-  void datagramsAreReadAsBefore() throws Exception {
-    Map<String, byte[]> kept = HexLines.read(RESOURCE);
-    for (Map.Entry<String, Envelope> each : envelopes().entrySet()) {
-      HexLines.same(each.getValue(), open().decode(kept.get("open-" + each.getKey())));
-      HexLines.same(each.getValue(), sealed().decode(kept.get("sealed-" + each.getKey())));
+  void datagramsAreDecodedAsBefore() throws Exception {
+    Map<String, byte[]> storedDatagrams = HexLines.read(RESOURCE);
+    for (Map.Entry<String, Envelope> expected : envelopes().entrySet()) {
+      HexLines.assertSameComponents(
+          expected.getValue(),
+          unsealedCodec().decode(storedDatagrams.get("open-" + expected.getKey())));
+      HexLines.assertSameComponents(
+          expected.getValue(),
+          sealedCodec().decode(storedDatagrams.get("sealed-" + expected.getKey())));
     }
   }
 }
--- a/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
+++ b/messages/src/test/java/tillerlink/messages/members/MemberMessageFormatGuardTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.messages.HexLines;
 
-/** Guards the bytes of every kind of message between members. */
+/** Guards the encoding of every kind of message between members. */
 class MemberMessageFormatGuardTest {
   private static final String RESOURCE = "member-messages.hex";
   private static final MemberInfo CARD = new MemberInfo(3, 0x1122334455667788L, "h1:7001", "north");
@@ -24,15 +24,15 @@
             new GossipUpdate("c", MemberStatus.SUSPECTED, other, "d", 12_345),
             new GossipUpdate("e", MemberStatus.GONE, other, "f", 1),
             new GossipUpdate("g", MemberStatus.LEFT, other, "", MemberCodec.AGE_MOST));
-    SuspicionLevel doubt = new SuspicionLevel(MemberStatus.SUSPECTED, 7, 0x0102030405060708L);
+    SuspicionLevel suspicion = new SuspicionLevel(MemberStatus.SUSPECTED, 7, 0x0102030405060708L);
     Map<String, MemberMessage> all = new LinkedHashMap<>();
-    all.put("probe", new MemberMessage.Probe(CARD, 0x0a0b0c0dL, "b", doubt, updates));
+    all.put("probe", new MemberMessage.Probe(CARD, 0x0a0b0c0dL, "b", suspicion, updates));
     all.put("probe-bare", new MemberMessage.Probe(CARD, 1, "", SuspicionLevel.NONE, List.of()));
-    all.put("ack", new MemberMessage.Ack(CARD, -1, doubt, updates));
-    all.put("ask", new MemberMessage.Ask(CARD, 9, "b", "h2:7002", doubt, updates));
+    all.put("ack", new MemberMessage.Ack(CARD, -1, suspicion, updates));
+    all.put("ask", new MemberMessage.Ask(CARD, 9, "b", "h2:7002", suspicion, updates));
     all.put("vouch", new MemberMessage.Vouch(CARD, 9, true, updates));
     all.put("vouch-not", new MemberMessage.Vouch(CARD, 9, false, List.of()));
-    all.put("gossip", new MemberMessage.Gossip(CARD, doubt, updates));
+    all.put("gossip", new MemberMessage.Gossip(CARD, suspicion, updates));
     all.put(
         "digest",
         new MemberMessage.Digest(
@@ -40,49 +40,49 @@
             0x77L,
             IntStream.range(0, MemberCodec.BUCKETS).mapToObj(i -> i * 0x01010101 - 9).toList()));
     all.put("listing", new MemberMessage.Listing(CARD, 31, "a", "m", true, updates));
-    for (MemberStatus standing : MemberStatus.values()) {
+    for (MemberStatus status : MemberStatus.values()) {
       all.put(
-          "doubt-" + standing.ordinal(),
-          new MemberMessage.Gossip(CARD, new SuspicionLevel(standing, 2, 4), List.of()));
+          "doubt-" + status.ordinal(),
+          new MemberMessage.Gossip(CARD, new SuspicionLevel(status, 2, 4), List.of()));
     }
     return all;
   }
 
-  static Map<String, byte[]> written() {
+  static Map<String, byte[]> encoded() {
     Map<String, byte[]> all = new LinkedHashMap<>();
     messages().forEach((name, message) -> all.put(name, MemberCodec.write(message)));
     return all;
   }
 
   @Test
-  void everyKindIsWrittenAsBefore() throws Exception {
-    HexLines.compare(HexLines.read(RESOURCE), written());
+  void everyKindIsEncodedAsBefore() throws Exception {
+    HexLines.assertSameLines(HexLines.read(RESOURCE), encoded());
   }
 
   @Test
-  void everyKindIsReadAsBefore() throws Exception {
-    Map<String, byte[]> kept = HexLines.read(RESOURCE);
-    assertEquals(messages().keySet(), kept.keySet());
-    for (Map.Entry<String, MemberMessage> each : messages().entrySet()) {
-      assertEquals(each.getValue(), MemberCodec.read(kept.get(each.getKey())));
+  void everyKindIsDecodedAsBefore() throws Exception {
+    Map<String, byte[]> storedMessages = HexLines.read(RESOURCE);
+    assertEquals(messages().keySet(), storedMessages.keySet());
+    for (Map.Entry<String, MemberMessage> expected : messages().entrySet()) {
+      assertEquals(expected.getValue(), MemberCodec.read(storedMessages.get(expected.getKey())));
     }
   }
 
   @Test
-  void noKindIsLeftOut() {
+  void guardCoversEveryKind() {
     assertEquals(
         Stream.of(MemberMessage.class.getPermittedSubclasses()).collect(Collectors.toSet()),
         messages().values().stream().map(Object::getClass).collect(Collectors.toSet()));
   }
 
   @Test
-  void namesFallIntoTheSameBuckets() {
+  void namesKeepTheirDigestBuckets() {
     assertEquals(
         List.of(30, 16), List.of(MemberCodec.bucket("a"), MemberCodec.bucket("gateway-1")));
   }
 
   @Test
-  void standingsThatAreSentByNumberHaveTheirOrder() {
+  void memberStatusesKeepTheirOrder() {
     assertEquals(
         List.of(MemberStatus.ALIVE, MemberStatus.SUSPECTED, MemberStatus.GONE, MemberStatus.LEFT),
         List.of(MemberStatus.values()));
--- a/messages/src/test/java/tillerlink/messages/statements/StatementMessageFormatGuardTest.java
+++ b/messages/src/test/java/tillerlink/messages/statements/StatementMessageFormatGuardTest.java
@@ -12,7 +12,7 @@
 import tillerlink.messages.FieldReader;
 import tillerlink.messages.HexLines;
 
-/** Guards the bytes of every command and of every kind of message about statements. */
+/** Guards the encoding of every command and of every kind of message about statements. */
 class StatementMessageFormatGuardTest {
   private static final String COMMANDS = "statement-commands.hex";
   private static final String MESSAGES = "statement-messages.hex";
@@ -107,7 +107,7 @@
     return all;
   }
 
-  static Map<String, byte[]> writtenCommands() {
+  static Map<String, byte[]> encodedCommands() {
     Map<String, byte[]> all = new LinkedHashMap<>();
     commands().forEach((name, command) -> all.put(name, CommandCodec.command(command).done()));
     commands()
@@ -119,61 +119,64 @@
     return all;
   }
 
-  static Map<String, byte[]> writtenMessages() {
+  static Map<String, byte[]> encodedMessages() {
     Map<String, byte[]> all = new LinkedHashMap<>();
     messages().forEach((name, message) -> all.put(name, StatementCodec.write(message)));
     return all;
   }
 
   @Test
-  void everyCommandIsWrittenAsBefore() throws Exception {
-    HexLines.compare(HexLines.read(COMMANDS), writtenCommands());
+  void everyCommandIsEncodedAsBefore() throws Exception {
+    HexLines.assertSameLines(HexLines.read(COMMANDS), encodedCommands());
   }
 
   @Test
-  void everyCommandIsReadAsBefore() throws Exception {
-    Map<String, byte[]> kept = HexLines.read(COMMANDS);
-    for (Map.Entry<String, Command> each : commands().entrySet()) {
-      assertEquals(each.getValue(), CommandCodec.command(new FieldReader(kept.get(each.getKey()))));
+  void everyCommandIsDecodedAsBefore() throws Exception {
+    Map<String, byte[]> storedValues = HexLines.read(COMMANDS);
+    for (Map.Entry<String, Command> expected : commands().entrySet()) {
       assertEquals(
-          new Entry(300, 2, 0x77, 6, each.getValue()),
-          CommandCodec.entry(new FieldReader(kept.get("entry-" + each.getKey()))));
+          expected.getValue(),
+          CommandCodec.command(new FieldReader(storedValues.get(expected.getKey()))));
+      assertEquals(
+          new Entry(300, 2, 0x77, 6, expected.getValue()),
+          CommandCodec.entry(new FieldReader(storedValues.get("entry-" + expected.getKey()))));
     }
   }
 
   @Test
-  void everyKindOfMessageIsWrittenAsBefore() throws Exception {
-    HexLines.compare(HexLines.read(MESSAGES), writtenMessages());
+  void everyMessageKindIsEncodedAsBefore() throws Exception {
+    HexLines.assertSameLines(HexLines.read(MESSAGES), encodedMessages());
   }
 
   @Test
-  void everyKindOfMessageIsReadAsBefore() throws Exception {
-    Map<String, byte[]> kept = HexLines.read(MESSAGES);
-    assertEquals(messages().keySet(), kept.keySet());
-    for (Map.Entry<String, StatementMessage> each : messages().entrySet()) {
-      HexLines.same(
-          (Record) each.getValue(), (Record) StatementCodec.read(kept.get(each.getKey())));
+  void everyMessageKindIsDecodedAsBefore() throws Exception {
+    Map<String, byte[]> storedValues = HexLines.read(MESSAGES);
+    assertEquals(messages().keySet(), storedValues.keySet());
+    for (Map.Entry<String, StatementMessage> expected : messages().entrySet()) {
+      HexLines.assertSameComponents(
+          (Record) expected.getValue(),
+          (Record) StatementCodec.read(storedValues.get(expected.getKey())));
     }
   }
 
   @Test
-  void noKindIsLeftOut() {
+  void guardCoversEveryCommandAndMessageKind() {
     assertEquals(
-        kinds(Command.class),
+        recordSubtypes(Command.class),
         commands().values().stream().map(Object::getClass).collect(Collectors.toSet()));
     assertEquals(
-        kinds(StatementMessage.class),
+        recordSubtypes(StatementMessage.class),
         messages().values().stream().map(Object::getClass).collect(Collectors.toSet()));
   }
 
-  private static Object kinds(Class<?> sealed) {
+  private static Object recordSubtypes(Class<?> sealed) {
     return Stream.of(sealed.getPermittedSubclasses())
         .filter(Class::isRecord)
         .collect(Collectors.toSet());
   }
 
   @Test
-  void enumsThatAreSentByNumberHaveTheirOrder() {
+  void encodedEnumsKeepTheirOrder() {
     assertEquals(
         List.of(RunEffect.PURE, RunEffect.RECEIPTED, RunEffect.EFFECTFUL),
         List.of(RunEffect.values()));
