--- a/messages/src/main/java/tillerlink/messages/envelope/Envelope.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/Envelope.java
@@ -3,43 +3,45 @@
 /**
  * The frame of every datagram between gateways.
  *
- * @param version the release of the format that its writer knows; from 1 on
- * @param fleet hash of the fleet's name
+ * @param version the format version of the sender, from 1
+ * @param fleet the hash of the fleet's name
  * @param sender the sender's name; 1 to {@value #MAX_NAME_BYTES} bytes
- * @param incarnation drawn by the sender's process at its start: its counter starts with it
- * @param part the component that the message is for; 1 to 255
- * @param counter of this sender's datagrams in this incarnation, from 1 on; never used twice
- * @param first the counter of the first fragment of its message
- * @param piece the place of this fragment among those of the message, from 0 on
- * @param pieces the fragments of the message; 1 for a message that is not fragmented
- * @param body the fragment; at most {@value #MAX_BODY_BYTES} bytes
+ * @param incarnation a number other than 0 drawn by the sender's process at its start; the counter
+ *     restarts with each incarnation
+ * @param component the number of the component that the message is addressed to, 1 to 255
+ * @param counter the number of the datagram among those of this sender and incarnation, from 1;
+ *     never used twice
+ * @param firstCounter the counter of the first fragment of the message
+ * @param fragmentIndex the position of this fragment in the message, from 0
+ * @param fragmentCount the number of fragments of the message; 1 if it is not fragmented
+ * @param body the content of the fragment; at most {@value #MAX_BODY_BYTES} bytes
  */
 public record Envelope(
     int version,
     long fleet,
     String sender,
     long incarnation,
-    int part,
+    int component,
     long counter,
-    long first,
-    int piece,
-    int pieces,
+    long firstCounter,
+    int fragmentIndex,
+    int fragmentCount,
     byte[] body) {
-  /** The version that this release writes. */
+  /** The format version that this release writes. */
   public static final int VERSION = 1;
 
-  /** Bytes of a sender's name at the most. */
+  /** The maximum length of a sender's name, in bytes. */
   public static final int MAX_NAME_BYTES = 64;
 
-  /** Bytes of a body at the most. */
+  /** The maximum size of a body, in bytes. */
   public static final int MAX_BODY_BYTES = 1_100;
 
-  /** Fragments of a message at the most. */
-  public static final int MAX_PIECES = 16;
+  /** The maximum number of fragments of a message. */
+  public static final int MAX_FRAGMENTS = 16;
 
   /**
-   * Bytes of a datagram at the most: one of this size fits into the smallest packet that every IPv6
-   * link must carry.
+   * The maximum size of a datagram, in bytes, so that it fits into the smallest packet that every
+   * IPv6 link must carry.
    */
   public static final int MAX_DATAGRAM_BYTES = 1_232;
 }
--- a/messages/src/main/java/tillerlink/messages/envelope/EnvelopeCodec.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/EnvelopeCodec.java
@@ -6,16 +6,16 @@
 import tillerlink.messages.MalformedMessageException;
 
 /**
- * Writes and reads datagrams: two magic bytes, the version that a reader must know at the least, a
- * byte of flags, the fields of the envelope, and the seal if there is one. A later release adds
- * fields, and raises the version that a reader must know only if it changes what earlier releases
- * rely on. Used by one thread.
+ * Encodes and decodes datagrams. A datagram consists of two magic bytes, the minimum version that a
+ * reader must support, a byte of flags, the fields of the envelope, and the seal if the fleet has a
+ * secret. A later release adds fields, and raises the minimum version only if it changes something
+ * that earlier releases rely on. Instances are not thread-safe.
  */
 public final class EnvelopeCodec {
   private static final int MAGIC_1 = 0x74;
   private static final int MAGIC_2 = 0x6c;
 
-  /** The version that a reader must know to read what this release writes. */
+  /** The minimum version that a reader must support to read the datagrams of this release. */
   private static final int REQUIRED_VERSION = 1;
 
   private static final int FLAG_SEALED = 1;
@@ -26,30 +26,30 @@
   private static final int FLAGS_OFFSET = 3;
   private static final int HEADER_BYTES = 4;
 
-  private static final int MAX_PART = 255;
+  private static final int MAX_COMPONENT = 255;
 
   private static final int VERSION = 1;
   private static final int FLEET = 2;
   private static final int SENDER = 3;
   private static final int INCARNATION = 4;
-  private static final int PART = 5;
+  private static final int COMPONENT = 5;
   private static final int COUNTER = 6;
-  private static final int FIRST = 7;
-  private static final int PIECE = 8;
-  private static final int PIECES = 9;
+  private static final int FIRST_COUNTER = 7;
+  private static final int FRAGMENT_INDEX = 8;
+  private static final int FRAGMENT_COUNT = 9;
   private static final int BODY = 10;
 
   private final long fleet;
   private final Seal seal;
 
   /**
-   * Makes the codec of one fleet.
+   * Creates the codec of one fleet.
    *
    * @param fleet the fleet's name
-   * @param seal null where the fleet has no secret
+   * @param seal the seal made from the fleet's secret, null if the fleet has no secret
    */
   public EnvelopeCodec(String fleet, Seal seal) {
-    this.fleet = Seal.sum(fleet);
+    this.fleet = Seal.hashOf(fleet);
     this.seal = seal;
   }
 
@@ -60,7 +60,7 @@
 
   // ---- writing ----
 
-  /** Writes a datagram, sealed if the fleet has a secret. */
+  /** Encodes a datagram, sealed if the fleet has a secret. */
   public byte[] encode(Envelope envelope) {
     byte[] fields = writeFields(envelope);
     int length = HEADER_BYTES + fields.length;
@@ -71,7 +71,7 @@
     datagram[FLAGS_OFFSET] = (byte) (seal == null ? 0 : FLAG_SEALED);
     System.arraycopy(fields, 0, datagram, HEADER_BYTES, fields.length);
     if (seal != null) {
-      System.arraycopy(seal.of(datagram, length), 0, datagram, length, Seal.BYTES);
+      System.arraycopy(seal.compute(datagram, length), 0, datagram, length, Seal.BYTES);
     }
     return datagram;
   }
@@ -83,12 +83,12 @@
             .fixed(FLEET, envelope.fleet())
             .text(SENDER, envelope.sender())
             .fixed(INCARNATION, envelope.incarnation())
-            .number(PART, envelope.part())
+            .number(COMPONENT, envelope.component())
             .number(COUNTER, envelope.counter());
-    if (envelope.pieces() > 1) {
-      out.number(FIRST, envelope.first())
-          .number(PIECE, envelope.piece())
-          .number(PIECES, envelope.pieces());
+    if (envelope.fragmentCount() > 1) {
+      out.number(FIRST_COUNTER, envelope.firstCounter())
+          .number(FRAGMENT_INDEX, envelope.fragmentIndex())
+          .number(FRAGMENT_COUNT, envelope.fragmentCount());
     }
     return out.bytes(BODY, envelope.body()).done();
   }
@@ -96,9 +96,10 @@
   // ---- reading ----
 
   /**
-   * Reads a datagram. The fields are read only after the seal was verified.
+   * Decodes a datagram. The fields are read only after the seal has been verified.
    *
-   * @throws RefusedException if it is not one of this fleet's
+   * @throws RefusedException if the datagram is malformed, fails verification or belongs to another
+   *     fleet
    */
   public Envelope decode(byte[] datagram) throws RefusedException {
     int length = checkHeader(datagram);
@@ -117,7 +118,7 @@
     }
   }
 
-  /** Checks the header and the seal, and returns where the fields end. */
+  /** Checks the header and the seal, and returns the offset at which the fields end. */
   private int checkHeader(byte[] datagram) throws RefusedException {
     if (datagram.length > Envelope.MAX_DATAGRAM_BYTES) {
       throw new RefusedException(Refusal.OVERSIZED);
@@ -143,23 +144,23 @@
     if (seal != null && !sealed) {
       throw new RefusedException(Refusal.UNSEALED);
     }
-    if (sealed && (seal == null || !seal.fits(datagram, length))) {
+    if (sealed && (seal == null || !seal.verify(datagram, length))) {
       throw new RefusedException(Refusal.FORGED);
     }
     return length;
   }
 
-  /** The values that were read so far of one envelope. */
+  /** The field values read so far from one envelope. */
   private static final class Fields {
     private int version;
     private long fleet;
     private String sender = "";
     private long incarnation;
-    private int part;
+    private int component;
     private long counter;
-    private long first;
-    private int piece;
-    private int pieces = 1;
+    private long firstCounter;
+    private int fragmentIndex;
+    private int fragmentCount = 1;
     private byte[] body = {};
   }
 
@@ -173,35 +174,35 @@
         fields.fleet,
         fields.sender,
         fields.incarnation,
-        fields.part,
+        fields.component,
         fields.counter,
-        fields.pieces > 1 ? fields.first : fields.counter,
-        fields.piece,
-        fields.pieces,
+        fields.fragmentCount > 1 ? fields.firstCounter : fields.counter,
+        fields.fragmentIndex,
+        fields.fragmentCount,
         fields.body);
   }
 
-  private static void readField(FieldReader in, Fields to) throws MalformedMessageException {
+  private static void readField(FieldReader in, Fields fields) throws MalformedMessageException {
     switch (in.field()) {
-      case VERSION -> to.version = (int) in.number(Integer.MAX_VALUE);
-      case FLEET -> to.fleet = in.fixed();
-      case SENDER -> to.sender = in.text(Envelope.MAX_NAME_BYTES);
-      case INCARNATION -> to.incarnation = in.fixed();
-      case PART -> to.part = (int) in.number(MAX_PART);
-      case COUNTER -> to.counter = in.number();
-      case BODY -> to.body = in.bytes(Envelope.MAX_BODY_BYTES);
-      default -> readFragmentField(in, to);
+      case VERSION -> fields.version = (int) in.number(Integer.MAX_VALUE);
+      case FLEET -> fields.fleet = in.fixed();
+      case SENDER -> fields.sender = in.text(Envelope.MAX_NAME_BYTES);
+      case INCARNATION -> fields.incarnation = in.fixed();
+      case COMPONENT -> fields.component = (int) in.number(MAX_COMPONENT);
+      case COUNTER -> fields.counter = in.number();
+      case BODY -> fields.body = in.bytes(Envelope.MAX_BODY_BYTES);
+      default -> readFragmentField(in, fields);
     }
   }
 
-  private static void readFragmentField(FieldReader in, Fields to)
+  private static void readFragmentField(FieldReader in, Fields fields)
       throws MalformedMessageException {
     switch (in.field()) {
-      case FIRST -> to.first = in.number();
-      case PIECE -> to.piece = (int) in.number(Envelope.MAX_PIECES);
-      case PIECES -> to.pieces = (int) in.number(Envelope.MAX_PIECES);
+      case FIRST_COUNTER -> fields.firstCounter = in.number();
+      case FRAGMENT_INDEX -> fields.fragmentIndex = (int) in.number(Envelope.MAX_FRAGMENTS);
+      case FRAGMENT_COUNT -> fields.fragmentCount = (int) in.number(Envelope.MAX_FRAGMENTS);
       default -> {
-        // A field of a later release.
+        // Skips a field of a later release.
       }
     }
   }
@@ -210,17 +211,17 @@
     return envelope.version() >= 1
         && !envelope.sender().isEmpty()
         && envelope.incarnation() != 0
-        && envelope.part() >= 1
+        && envelope.component() >= 1
         && envelope.counter() >= 1
         && isPlausibleFragment(envelope);
   }
 
   private static boolean isPlausibleFragment(Envelope envelope) {
-    return envelope.pieces() >= 1
-        && envelope.piece() < envelope.pieces()
-        && envelope.first() >= 1
-        && envelope.counter() >= envelope.piece() + 1
-        && envelope.counter() - envelope.piece() == envelope.first()
-        && (envelope.pieces() == 1 || envelope.body().length > 0);
+    return envelope.fragmentCount() >= 1
+        && envelope.fragmentIndex() < envelope.fragmentCount()
+        && envelope.firstCounter() >= 1
+        && envelope.counter() >= envelope.fragmentIndex() + 1
+        && envelope.counter() - envelope.fragmentIndex() == envelope.firstCounter()
+        && (envelope.fragmentCount() == 1 || envelope.body().length > 0);
   }
 }
--- a/messages/src/main/java/tillerlink/messages/envelope/FragmentBuffer.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/FragmentBuffer.java
@@ -1,34 +1,35 @@
 package tillerlink.messages.envelope;
 
-/** Collects the fragments of one message. */
+/** A buffer that collects the fragments of one message. */
 final class FragmentBuffer {
   private final byte[][] bodies;
-  private final int part;
+  private final int component;
   private final long startedAt;
   private int missing;
   private int bytes;
 
   /**
-   * Makes the buffer of the message that a fragment belongs to, without the fragment itself.
+   * Creates an empty buffer for the message that a fragment belongs to; the fragment itself is not
+   * added.
    *
-   * @param now tenths of a millisecond
+   * @param now the current time, in tenths of a millisecond
    */
   FragmentBuffer(Envelope fragment, long now) {
-    bodies = new byte[fragment.pieces()][];
-    part = fragment.part();
-    missing = fragment.pieces();
+    bodies = new byte[fragment.fragmentCount()][];
+    component = fragment.component();
+    missing = fragment.fragmentCount();
     startedAt = now;
   }
 
-  /** Whether a fragment agrees with the others and is not there yet. */
+  /** Returns whether a fragment is consistent with the others and has not been added yet. */
   boolean accepts(Envelope fragment) {
-    return fragment.pieces() == bodies.length
-        && fragment.part() == part
-        && bodies[fragment.piece()] == null;
+    return fragment.fragmentCount() == bodies.length
+        && fragment.component() == component
+        && bodies[fragment.fragmentIndex()] == null;
   }
 
   void add(Envelope fragment) {
-    bodies[fragment.piece()] = fragment.body();
+    bodies[fragment.fragmentIndex()] = fragment.body();
     bytes += fragment.body().length;
     missing--;
   }
@@ -37,17 +38,17 @@
     return missing == 0;
   }
 
-  /** When the first fragment arrived, in tenths of a millisecond. */
+  /** Returns the arrival time of the first fragment, in tenths of a millisecond. */
   long startedAt() {
     return startedAt;
   }
 
-  /** Bytes of the fragments that have arrived. */
+  /** Returns the total size of the fragments added so far, in bytes. */
   int bytes() {
     return bytes;
   }
 
-  /** The message, once it is complete. */
+  /** Returns the message; call it only once {@link #isComplete} returns true. */
   byte[] message() {
     byte[] message = new byte[bytes];
     int offset = 0;
--- a/messages/src/main/java/tillerlink/messages/envelope/Outbox.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/Outbox.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Makes the datagrams of the messages that one process sends. Used by one thread. */
+/** Splits the messages that one process sends into datagrams. Instances are not thread-safe. */
 public final class Outbox {
   private final EnvelopeCodec codec;
   private final String name;
@@ -12,10 +12,11 @@
   private long counter;
 
   /**
-   * Makes the outbox of a process.
+   * Creates the outbox of a process.
    *
+   * @param codec the codec of the gateway's fleet
    * @param name the gateway's name
-   * @param incarnation drawn anew by each process; not 0
+   * @param incarnation a number other than 0 that each process draws at its start
    */
   public Outbox(EnvelopeCodec codec, String name, long incarnation) {
     this.codec = codec;
@@ -24,22 +25,24 @@
   }
 
   /**
-   * Makes the datagrams of a message.
+   * Encodes a message as one or more datagrams.
    *
-   * @param part the component that the message is for; 1 to 255
-   * @return the datagrams; none if the message is too long to be sent at all
+   * @param component the number of the component that the message is addressed to, 1 to 255
+   * @param message the bytes of the message
+   * @return the datagrams; empty if the message needs more than {@value Envelope#MAX_FRAGMENTS}
+   *     fragments and so can't be sent
    */
-  public List<byte[]> datagrams(int part, byte[] message) {
-    int pieces =
+  public List<byte[]> datagrams(int component, byte[] message) {
+    int fragmentCount =
         Math.max(1, (message.length + Envelope.MAX_BODY_BYTES - 1) / Envelope.MAX_BODY_BYTES);
-    if (pieces > Envelope.MAX_PIECES) {
+    if (fragmentCount > Envelope.MAX_FRAGMENTS) {
       return List.of();
     }
-    List<byte[]> datagrams = new ArrayList<>(pieces);
-    long first = counter + 1;
-    for (int piece = 0; piece < pieces; piece++) {
+    List<byte[]> datagrams = new ArrayList<>(fragmentCount);
+    long firstCounter = counter + 1;
+    for (int fragmentIndex = 0; fragmentIndex < fragmentCount; fragmentIndex++) {
       counter++;
-      byte[] body = pieces == 1 ? message : fragment(message, piece);
+      byte[] body = fragmentCount == 1 ? message : fragment(message, fragmentIndex);
       datagrams.add(
           codec.encode(
               new Envelope(
@@ -47,18 +50,18 @@
                   codec.fleet(),
                   name,
                   incarnation,
-                  part,
+                  component,
                   counter,
-                  first,
-                  piece,
-                  pieces,
+                  firstCounter,
+                  fragmentIndex,
+                  fragmentCount,
                   body)));
     }
     return datagrams;
   }
 
-  private static byte[] fragment(byte[] message, int piece) {
-    int start = piece * Envelope.MAX_BODY_BYTES;
+  private static byte[] fragment(byte[] message, int fragmentIndex) {
+    int start = fragmentIndex * Envelope.MAX_BODY_BYTES;
     return Arrays.copyOfRange(
         message, start, Math.min(message.length, start + Envelope.MAX_BODY_BYTES));
   }
--- a/messages/src/main/java/tillerlink/messages/envelope/Refusal.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/Refusal.java
@@ -1,38 +1,38 @@
 package tillerlink.messages.envelope;
 
-/** Why a datagram was refused; each kind is counted. */
+/** The reason for which a datagram was refused; refusals are counted for each reason. */
 public enum Refusal {
-  /** It is longer than any datagram between gateways. */
-  OVERSIZED("is longer than any of ours"),
-  /** It is no datagram between gateways, truncated, or has a field that can't be used. */
-  GARBLED("can't be read"),
-  /** It is of a later release that changed what this one relies on. */
-  TOO_NEW("is of a release that this one can't read"),
-  /** It is of another fleet. */
-  FOREIGN("is of another fleet"),
-  /** This gateway has a secret, and the datagram has no seal. */
-  UNSEALED("bears no seal"),
-  /** Its seal is not of the fleet's secret, or this gateway has no secret to verify it. */
-  FORGED("bears a seal that is not the fleet's"),
-  /** It arrived before, or is too old to be checked for that. */
-  REPEATED("came already, or too late to tell"),
-  /** It has this process's own name and incarnation: the network sent it back. */
-  OWN("is of this process itself"),
-  /** It is a fragment that does not agree with the others of its message. */
-  MISFIT("does not fit the pieces before it"),
-  /** It is of a message whose other fragments did not arrive in time, or had no room. */
-  INCOMPLETE("was one of a message that did not come whole"),
-  /** It is for a component that is not enabled at this gateway. */
-  NO_PART("is for a part that is not switched on here");
+  /** The datagram or its reassembled message exceeds the maximum size. */
+  OVERSIZED("exceeds the maximum size"),
+  /** The datagram has another format, is truncated, or has a field with an invalid value. */
+  GARBLED("is malformed or truncated"),
+  /** The datagram requires a format version that this release does not support. */
+  TOO_NEW("requires a newer version of the message format"),
+  /** The datagram belongs to another fleet. */
+  FOREIGN("belongs to another fleet"),
+  /** The datagram has no seal although this gateway has a secret. */
+  UNSEALED("has no seal, but this gateway has a secret"),
+  /** The seal was not made with the fleet's secret, or this gateway has no secret to verify it. */
+  FORGED("fails the verification of its seal"),
+  /** The datagram has already arrived, or is too old to be checked for duplicates. */
+  REPEATED("is a duplicate or too old to be checked"),
+  /** The datagram has this process's own name and incarnation: the network sent it back. */
+  OWN("has this process's own name and incarnation"),
+  /** The fragment is inconsistent with the earlier fragments of its message. */
+  MISFIT("is inconsistent with earlier fragments of its message"),
+  /** The message was dropped because fragments did not arrive in time or the buffers were full. */
+  INCOMPLETE("belongs to a message that was dropped before it was complete"),
+  /** The message is addressed to a component that is not enabled on this gateway. */
+  NO_PART("is addressed to a component that is not enabled on this gateway");
 
-  private final String words;
+  private final String description;
 
-  Refusal(String words) {
-    this.words = words;
+  Refusal(String description) {
+    this.description = description;
   }
 
-  /** Returns the reason in words for the log. */
-  public String words() {
-    return words;
+  /** Returns the reason as a clause without a subject, for the log. */
+  public String description() {
+    return description;
   }
 }
--- a/messages/src/main/java/tillerlink/messages/envelope/RefusedException.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/RefusedException.java
@@ -1,19 +1,22 @@
 package tillerlink.messages.envelope;
 
-/** A datagram is refused. */
+/** Signals that a received datagram is refused. */
 public final class RefusedException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  private final Refusal why;
+  private final Refusal reason;
 
-  /** Makes an exception without a stack trace: many may be thrown, and nobody reads the trace. */
-  public RefusedException(Refusal why) {
-    super(why.words(), null, false, false);
-    this.why = why;
+  /**
+   * Creates an exception without a stack trace, because many may be thrown and the trace is not
+   * used.
+   */
+  public RefusedException(Refusal reason) {
+    super(reason.description(), null, false, false);
+    this.reason = reason;
   }
 
-  /** Returns the reason. */
-  public Refusal why() {
-    return why;
+  /** Returns the reason of the refusal. */
+  public Refusal reason() {
+    return reason;
   }
 }
--- a/messages/src/main/java/tillerlink/messages/envelope/ReplayWindow.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/ReplayWindow.java
@@ -1,37 +1,41 @@
 package tillerlink.messages.envelope;
 
-/** Which of the latest datagrams of one process have arrived; detects repeated ones. */
+/** A sliding window over the counters of one process's datagrams that detects duplicates. */
 final class ReplayWindow {
   /**
-   * Counters behind the newest that can be checked; at 1,000 datagrams a second, those of four
-   * seconds.
+   * The number of counters up to the newest that can be checked; at 1,000 datagrams a second, those
+   * of about four seconds.
    */
-  static final int SPAN = 4096;
+  static final int SIZE = 4096;
 
-  private final long[] arrived = new long[SPAN / Long.SIZE];
+  private final long[] received = new long[SIZE / Long.SIZE];
   private long newest;
 
-  /** Marks a counter as arrived; false if it was already, or is too old to be checked. */
-  boolean isNew(long counter) {
-    if (counter <= newest - SPAN) {
+  /**
+   * Marks a counter as received.
+   *
+   * @return false if it was received before or is too old to be checked
+   */
+  boolean markReceived(long counter) {
+    if (counter <= newest - SIZE) {
       return false;
     }
     if (counter > newest) {
       advance(counter - newest);
       newest = counter;
     }
-    int place = (int) (counter % SPAN);
-    long bit = 1L << place % Long.SIZE;
-    boolean first = (arrived[place / Long.SIZE] & bit) == 0;
-    arrived[place / Long.SIZE] |= bit;
+    int position = (int) (counter % SIZE);
+    long bit = 1L << position % Long.SIZE;
+    boolean first = (received[position / Long.SIZE] & bit) == 0;
+    received[position / Long.SIZE] |= bit;
     return first;
   }
 
-  /** Clears the bits of the counters that enter the window; they were of those that leave it. */
+  /** Clears the bits that the counters entering the window share with those leaving it. */
   private void advance(long steps) {
-    for (long i = 1; i <= Math.min(steps, SPAN); i++) {
-      int place = (int) ((newest + i) % SPAN);
-      arrived[place / Long.SIZE] &= ~(1L << place % Long.SIZE);
+    for (long i = 1; i <= Math.min(steps, SIZE); i++) {
+      int position = (int) ((newest + i) % SIZE);
+      received[position / Long.SIZE] &= ~(1L << position % Long.SIZE);
     }
   }
 }
--- a/messages/src/main/java/tillerlink/messages/envelope/Seal.java
+++ b/messages/src/main/java/tillerlink/messages/envelope/Seal.java
@@ -8,11 +8,12 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Authenticates datagrams by the fleet's secret, with HMAC-SHA256 truncated to {@value #BYTES}
- * bytes. It encrypts nothing. Used by one thread.
+ * A message authentication code made with the fleet's secret: HMAC-SHA256 truncated to {@value
+ * #BYTES} bytes. It authenticates datagrams but does not encrypt them. Instances are not
+ * thread-safe.
  */
 public final class Seal {
-  /** Bytes of a seal. */
+  /** The size of a seal, in bytes. */
   public static final int BYTES = 16;
 
   private static final String ALGORITHM = "HmacSHA256";
@@ -24,9 +25,9 @@
   }
 
   /**
-   * Makes the seal of a secret.
+   * Creates an instance for a secret.
    *
-   * @param secret not empty
+   * @param secret the fleet's secret; not empty
    */
   public static Seal of(byte[] secret) {
     try {
@@ -34,33 +35,36 @@
       mac.init(new SecretKeySpec(secret, ALGORITHM));
       return new Seal(mac);
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every JDK has " + ALGORITHM, e);
+      throw new IllegalStateException("JDK lacks the required algorithm " + ALGORITHM, e);
     }
   }
 
-  /** Returns the hash that distinguishes fleets by their names; it is no secret. */
-  public static long sum(String fleet) {
+  /** Returns a 64-bit hash that distinguishes fleets by name; it is not secret. */
+  public static long hashOf(String fleet) {
     try {
       byte[] digest =
           MessageDigest.getInstance("SHA-256").digest(fleet.getBytes(StandardCharsets.UTF_8));
-      long sum = 0;
+      long hash = 0;
       for (int i = 0; i < Long.BYTES; i++) {
-        sum = (sum << Byte.SIZE) | (digest[i] & 0xff);
+        hash = (hash << Byte.SIZE) | (digest[i] & 0xff);
       }
-      return sum;
+      return hash;
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every JDK has SHA-256", e);
+      throw new IllegalStateException("JDK lacks the required algorithm SHA-256", e);
     }
   }
 
-  byte[] of(byte[] bytes, int length) {
+  byte[] compute(byte[] bytes, int length) {
     mac.update(bytes, 0, length);
     return Arrays.copyOf(mac.doFinal(), BYTES);
   }
 
-  /** Whether the bytes after {@code length} are the seal of those before; in constant time. */
-  boolean fits(byte[] bytes, int length) {
+  /**
+   * Returns whether the bytes after the first {@code length} are the seal of those before, compared
+   * in constant time so that timing reveals nothing about the seal.
+   */
+  boolean verify(byte[] bytes, int length) {
     return MessageDigest.isEqual(
-        of(bytes, length), Arrays.copyOfRange(bytes, length, length + BYTES));
+        compute(bytes, length), Arrays.copyOfRange(bytes, length, length + BYTES));
   }
 }
--- a/messages/src/test/java/tillerlink/messages/envelope/EnvelopeFormatGuardTest.java
+++ b/messages/src/test/java/tillerlink/messages/envelope/EnvelopeFormatGuardTest.java
@@ -20,7 +20,7 @@
   }
 
   static Map<String, Envelope> envelopes() {
-    long fleet = Seal.sum("fleet-one");
+    long fleet = Seal.hashOf("fleet-one");
     Map<String, Envelope> all = new LinkedHashMap<>();
     all.put(
         "whole",
--- a/messages/src/test/java/tillerlink/messages/envelope/EnvelopeTest.java
+++ b/messages/src/test/java/tillerlink/messages/envelope/EnvelopeTest.java
@@ -20,7 +20,9 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.messages.FieldWriter;
 
-/** Which datagrams between gateways are read again, and which are only counted and logged. */
+/**
+ * Tests which datagrams between gateways are accepted, and which are refused, counted and logged.
+ */
 class EnvelopeTest {
   private static final String FLEET = "newsroom";
   private static final byte[] SECRET = "a secret of a fleet".getBytes(StandardCharsets.UTF_8);
@@ -46,9 +48,12 @@
     return bytes;
   }
 
-  /** Of every length at which the fragments change, sealed and not, in order and not. */
+  /**
+   * Covers the lengths around which the number of fragments changes, sealed and unsealed, with the
+   * fragments in random order.
+   */
   @Test
-  void messagesOfEveryLengthArriveComplete() {
+  void messagesOfAllLengthsAreReassembled() {
     for (boolean sealed : List.of(false, true)) {
       Outbox outbox = new Outbox(codec(sealed), "n".repeat(Envelope.MAX_NAME_BYTES), -1);
       Inbox inbox = inbox(sealed);
@@ -59,7 +64,7 @@
         for (byte[] datagram : datagrams) {
           assertTrue(
               datagram.length <= Envelope.MAX_DATAGRAM_BYTES,
-              "of " + length + ": " + datagram.length);
+              "datagram size at message length " + length + ": " + datagram.length);
           assertNull(message);
           message = inbox.take(0, "a", datagram);
         }
@@ -68,32 +73,38 @@
       }
       assertEquals(
           List.of(),
-          outbox.datagrams(1, bytes(Envelope.MAX_BODY_BYTES * Envelope.MAX_PIECES + 1, 1)));
+          outbox.datagrams(1, bytes(Envelope.MAX_BODY_BYTES * Envelope.MAX_FRAGMENTS + 1, 1)));
       assertEquals(Map.of(), inbox.refused());
     }
   }
 
-  /** A truncated datagram, or one with any byte changed, is never taken for the original. */
+  /**
+   * Guards against accepting a sealed datagram that is truncated or has any byte changed, and
+   * against returning part of the body of a truncated unsealed one.
+   */
   @Test
   void truncatedAndCorruptedDatagramsAreNeverAccepted() {
-    byte[] whole = outbox(true).datagrams(1, "hello".getBytes(StandardCharsets.UTF_8)).get(0);
-    for (int length = 0; length < whole.length; length++) {
-      assertNull(inbox(true).take(0, "a", Arrays.copyOf(whole, length)));
-      byte[] flipped = whole.clone();
-      flipped[length] ^= 0x11;
-      assertNull(inbox(true).take(0, "a", flipped), "byte " + length);
+    byte[] original = outbox(true).datagrams(1, "hello".getBytes(StandardCharsets.UTF_8)).get(0);
+    for (int length = 0; length < original.length; length++) {
+      assertNull(inbox(true).take(0, "a", Arrays.copyOf(original, length)));
+      byte[] corrupted = original.clone();
+      corrupted[length] ^= 0x11;
+      assertNull(inbox(true).take(0, "a", corrupted), "byte " + length);
     }
     byte[] open = outbox(false).datagrams(1, "hello".getBytes(StandardCharsets.UTF_8)).get(0);
     for (int length = 0; length < open.length; length++) {
       Inbox.Message message = inbox(false).take(0, "a", Arrays.copyOf(open, length));
-      assertTrue(message == null || message.body().length == 0, "cut off after " + length);
+      assertTrue(message == null || message.body().length == 0, "truncated after " + length);
     }
-    assertNotNull(inbox(true).take(0, "a", whole));
+    assertNotNull(inbox(true).take(0, "a", original));
   }
 
-  /** No datagram makes the inbox throw, or hold more than its bounds allow. */
+  /**
+   * Guards against exceptions and unbounded memory in the inbox under random, corrupted and
+   * incomplete datagrams.
+   */
   @Test
-  void garbageNeitherThrowsNorExceedsTheBounds() {
+  void malformedDatagramsNeitherThrowNorExceedTheLimits() {
     SplittableRandom random = new SplittableRandom(11);
     Inbox inbox = inbox(false);
     Outbox outbox = outbox(false);
@@ -102,8 +113,9 @@
       if (i % 4 == 0) {
         datagram = bytes(random.nextInt(1400), i);
       } else {
-        List<byte[]> any = outbox.datagrams(1 + random.nextInt(4), bytes(random.nextInt(5000), i));
-        datagram = any.get(random.nextInt(any.size()));
+        List<byte[]> fragments =
+            outbox.datagrams(1 + random.nextInt(4), bytes(random.nextInt(5000), i));
+        datagram = fragments.get(random.nextInt(fragments.size()));
         for (int j = random.nextInt(4); j > 0; j--) {
           datagram[random.nextInt(datagram.length)] = (byte) random.nextInt();
         }
@@ -127,7 +139,7 @@
     assertTrue(lines.size() <= Refusal.values().length, lines::toString);
   }
 
-  /** Every refusal is logged with its reason, a second one of a kind after ten seconds. */
+  /** Each refusal is logged with its reason, at most once every ten seconds for each reason. */
   @Test
   void everyRefusalIsLoggedWithItsReason() {
     byte[] body = {1};
@@ -157,43 +169,53 @@
     sealed.take(100_000, "a:1", good);
     assertEquals(
         """
-        a datagram from a:1 is longer than any of ours; 1 so far
-        a datagram from a:1 is of a release that this one can't read; 1 so far
-        a datagram from a:1 is of another fleet; 1 so far
-        a datagram from a:1 bears a seal that is not the fleet's; 1 so far
-        a datagram from a:1 is of this process itself; 1 so far
-        a datagram from a:1 came already, or too late to tell; 1 so far
-        a datagram from a:1 bears no seal; 1 so far
-        a datagram from a:1 bears a seal that is not the fleet's; 1 so far
-        a datagram from a:1 bears no seal; 3 so far\
+        datagram from a:1 refused: it exceeds the maximum size; 1 so far
+        datagram from a:1 refused: it requires a newer version of the message format; 1 so far
+        datagram from a:1 refused: it belongs to another fleet; 1 so far
+        datagram from a:1 refused: it fails the verification of its seal; 1 so far
+        datagram from a:1 refused: it has this process's own name and incarnation; 1 so far
+        datagram from a:1 refused: it is a duplicate or too old to be checked; 1 so far
+        datagram from a:1 refused: it has no seal, but this gateway has a secret; 1 so far
+        datagram from a:1 refused: it fails the verification of its seal; 1 so far
+        datagram from a:1 refused: it has no seal, but this gateway has a secret; 3 so far\
         """,
         String.join("\n", lines));
   }
 
-  /** In any order, each counter within the window is new once; older ones never are. */
+  /**
+   * Counters that arrive in random order are each accepted once within the window; older ones are
+   * never accepted.
+   */
   @Test
-  void everyCounterIsNewOnceWithinTheWindow() {
+  void everyCounterIsAcceptedOnceWithinTheWindow() {
     SplittableRandom random = new SplittableRandom(5);
     for (int round = 0; round < 50; round++) {
       ReplayWindow window = new ReplayWindow();
-      boolean[] came = new boolean[20_000];
+      boolean[] received = new boolean[20_000];
       long newest = 0;
       for (int i = 0; i < 20_000; i++) {
         int counter = Math.max(1, Math.min(19_999, i + random.nextInt(10) - random.nextInt(6000)));
-        boolean isNew = counter > newest - ReplayWindow.SPAN && !came[counter];
-        assertEquals(isNew, window.isNew(counter), "counter " + counter + " after " + newest);
-        came[counter] |= isNew;
+        boolean expected = counter > newest - ReplayWindow.SIZE && !received[counter];
+        assertEquals(
+            expected, window.markReceived(counter), "counter " + counter + " after " + newest);
+        received[counter] |= expected;
         newest = Math.max(newest, counter);
       }
     }
-    ReplayWindow far = new ReplayWindow();
+    ReplayWindow jumpingWindow = new ReplayWindow();
     assertTrue(
-        far.isNew(1) && far.isNew(Long.MAX_VALUE) && !far.isNew(Long.MAX_VALUE) && !far.isNew(1));
+        jumpingWindow.markReceived(1)
+            && jumpingWindow.markReceived(Long.MAX_VALUE)
+            && !jumpingWindow.markReceived(Long.MAX_VALUE)
+            && !jumpingWindow.markReceived(1));
   }
 
-  /** A lost fragment loses its message and no other; one sender can't crowd out another. */
+  /**
+   * Guards against a lost fragment that affects messages other than its own, and against a sender
+   * that crowds out the incomplete messages of another.
+   */
   @Test
-  void aLostFragmentCostsOnlyItsOwnMessage() {
+  void lostFragmentDropsOnlyItsOwnMessage() {
     Outbox outbox = outbox(false);
     Inbox inbox = inbox(false);
     List<byte[]> other = new Outbox(codec(false), "n3", 8).datagrams(1, bytes(2000, 1));
@@ -209,38 +231,38 @@
     assertEquals(1, inbox.incomplete());
   }
 
-  /** Datagrams of release 1 are read by every later one; unknown fields are skipped. */
+  /** Every later release reads the datagrams of release 1; unknown fields are skipped. */
   @Test
-  void datagramsOfTheFirstReleaseAreStillRead() throws IOException, RefusedException {
+  void datagramsOfTheFirstReleaseAreDecoded() throws IOException, RefusedException {
     try (InputStream in = EnvelopeTest.class.getResourceAsStream("/envelope/release-1.txt")) {
-      String kept = new String(in.readAllBytes(), StandardCharsets.UTF_8);
-      for (String line : kept.lines().filter(line -> !line.startsWith("#")).toList()) {
-        String[] words = line.split(" ", -1);
+      String stored = new String(in.readAllBytes(), StandardCharsets.UTF_8);
+      for (String line : stored.lines().filter(line -> !line.startsWith("#")).toList()) {
+        String[] fields = line.split(" ", -1);
         Envelope envelope =
-            codec(words[0].equals("sealed")).decode(HexFormat.of().parseHex(words[2]));
+            codec(fields[0].equals("sealed")).decode(HexFormat.of().parseHex(fields[2]));
         assertEquals(
-            words[1],
+            fields[1],
             envelope.sender()
                 + "/"
                 + envelope.incarnation()
                 + "/"
-                + envelope.part()
+                + envelope.component()
                 + "/"
                 + envelope.counter()
                 + "/"
-                + envelope.first()
+                + envelope.firstCounter()
                 + "/"
-                + envelope.piece()
+                + envelope.fragmentIndex()
                 + "/"
-                + envelope.pieces()
+                + envelope.fragmentCount()
                 + "/"
                 + new String(envelope.body(), StandardCharsets.UTF_8));
       }
     }
     byte[] good = outbox(false).datagrams(1, new byte[] {1}).get(0);
-    byte[] more = new FieldWriter().text(900, "of a later release").number(901, 5).done();
-    byte[] later = Arrays.copyOf(good, good.length + more.length);
-    System.arraycopy(more, 0, later, good.length, more.length);
+    byte[] unknownFields = new FieldWriter().text(900, "of a later release").number(901, 5).done();
+    byte[] later = Arrays.copyOf(good, good.length + unknownFields.length);
+    System.arraycopy(unknownFields, 0, later, good.length, unknownFields.length);
     assertEquals("n1", codec(false).decode(later).sender());
     assertThrows(
         RefusedException.class, () -> codec(false).decode(Arrays.copyOf(later, later.length - 1)));
