--- a/channels/src/main/java/tillerlink/channels/cue/Cue.java
+++ b/channels/src/main/java/tillerlink/channels/cue/Cue.java
@@ -10,18 +10,19 @@
 import tillerlink.messages.channels.Kind;
 
 /**
- * One cue as its events make it, applied in the order of the log. Bounded: what exceeds the bounds
- * is in the log only.
+ * The state of one cue after its events were applied in the order of the log. The numbers of
+ * versions and of retractions are bounded; older ones remain readable in the log only.
  */
 public final class Cue {
+  /** The maximum number of concurrent versions of a cue, and of its retractions. */
   static final int MAX_VERSIONS = 6;
 
   /**
-   * A text that nobody who had seen it has replaced.
+   * A text that no later writer has replaced knowingly, that is, after having seen it.
    *
-   * @param dot names the event that wrote it
-   * @param gateway the gateway that wrote it
-   * @param text the text
+   * @param dot the identifier of the event that wrote the text
+   * @param gateway the name of the gateway that wrote it
+   * @param text the text, empty for an event without one
    */
   public record Version(Dot dot, String gateway, String text) {}
 
@@ -30,7 +31,7 @@
   private final List<Dot> retractions = new ArrayList<>(0);
   private final EnumSet<Flag> flags = EnumSet.noneOf(Flag.class);
 
-  /** Names the air mark in effect, null if there is none. */
+  /** The identifier of the air mark in effect, null if there is no such mark. */
   private Dot air;
 
   private long airsAt;
@@ -65,32 +66,39 @@
     return name;
   }
 
-  /** Returns the concurrent texts; the last one is in effect. */
+  /** Returns the concurrent texts in the order of the log; the last one is in effect. */
   public List<Version> versions() {
     return List.copyOf(versions);
   }
 
-  /** Returns the text in effect, empty if the cue is retracted or has none. */
+  /** Returns the text in effect, empty if the cue is retracted or has no text. */
   public String text() {
     return isRetracted() || versions.isEmpty() ? "" : versions.get(versions.size() - 1).text();
   }
 
-  /** Whether the cue is retracted. */
+  /** Returns true if at least one retraction is in effect. */
   public boolean isRetracted() {
     return !retractions.isEmpty();
   }
 
-  /** Returns when it airs, in milliseconds since 1970; 0 if no air mark is in effect. */
+  /**
+   * Returns the time at which the cue airs.
+   *
+   * @return milliseconds since 1970; 0 if no air mark is in effect
+   */
   public long airsAt() {
     return airsAt;
   }
 
-  /** Returns what people should look at. */
+  /** Returns the conditions of this cue that an operator should check. */
   public Set<Flag> flags() {
     return EnumSet.copyOf(flags);
   }
 
-  /** Returns the events in effect: whoever writes on this cue now has seen them. */
+  /**
+   * Returns the identifiers of the events in effect. An event that is written on this cue now names
+   * them as seen by its writer.
+   */
   public List<Dot> standing() {
     List<Dot> all = new ArrayList<>();
     versions.forEach(version -> all.add(version.dot));
@@ -111,7 +119,7 @@
 
   // ---- events ----
 
-  private static boolean saw(Entry entry, Dot dot) {
+  private static boolean hasSeen(Entry entry, Dot dot) {
     for (Dot seen : entry.over()) {
       if (seen.same(dot)) {
         return true;
@@ -120,9 +128,9 @@
     return false;
   }
 
-  private static boolean sawAll(Entry entry, List<Dot> dots) {
+  private static boolean hasSeenAll(Entry entry, List<Dot> dots) {
     for (Dot dot : dots) {
-      if (!saw(entry, dot)) {
+      if (!hasSeen(entry, dot)) {
         return false;
       }
     }
@@ -130,14 +138,14 @@
   }
 
   /**
-   * Applies the next event.
+   * Applies the next event of the log to this cue.
    *
-   * @param at milliseconds since 1970: when it was written or, if it came late, up to when the log
-   *     before it was decided
+   * @param at the event's effective time in milliseconds since 1970: the time at which it was
+   *     written or, if it came late, the time up to which the log before it was decided
    */
   void apply(Entry entry, long at) {
     boolean aired = air != null && at >= airsAt;
-    if (aired && !(entry.kind() == Kind.CUE && saw(entry, air))) {
+    if (aired && !(entry.kind() == Kind.CUE && hasSeen(entry, air))) {
       flags.add(Flag.AFTER_AIR);
       return;
     }
@@ -151,8 +159,8 @@
   }
 
   private void applyCue(Entry entry) {
-    boolean sawAir = air != null && saw(entry, air);
-    if (sawAir || (isRetracted() && sawAll(entry, retractions))) {
+    boolean hasSeenAir = air != null && hasSeen(entry, air);
+    if (hasSeenAir || (isRetracted() && hasSeenAll(entry, retractions))) {
       versions.clear();
       retractions.clear();
       flags.clear();
@@ -163,7 +171,7 @@
   }
 
   private void applyCorrection(Entry entry) {
-    if (isRetracted() && sawAll(entry, retractions)) {
+    if (isRetracted() && hasSeenAll(entry, retractions)) {
       flags.add(Flag.CORRECTED_RETRACTED);
       return;
     }
@@ -174,7 +182,7 @@
   }
 
   private void addVersion(Entry entry) {
-    versions.removeIf(version -> saw(entry, version.dot));
+    versions.removeIf(version -> hasSeen(entry, version.dot));
     if (isRetracted()) {
       flags.add(Flag.RETRACTED_UNSEEN);
     } else if (versions.isEmpty()) {
@@ -192,12 +200,12 @@
     if (versions.isEmpty() && !isRetracted()) {
       flags.add(Flag.NO_CUE);
     }
-    versions.removeIf(version -> saw(entry, version.dot));
+    versions.removeIf(version -> hasSeen(entry, version.dot));
     if (!versions.isEmpty()) {
       flags.add(Flag.RETRACTED_UNSEEN);
     }
     flags.remove(Flag.CONCURRENT);
-    retractions.removeIf(dot -> saw(entry, dot));
+    retractions.removeIf(dot -> hasSeen(entry, dot));
     retractions.add(entry.dot());
     if (retractions.size() > MAX_VERSIONS) {
       retractions.remove(0);
@@ -212,17 +220,17 @@
     if (versions.isEmpty()) {
       flags.add(Flag.NO_CUE);
     }
-    long airs = Math.max(entry.airsAt(), entry.millis());
+    long effectiveAirsAt = Math.max(entry.airsAt(), entry.millis());
     if (entry.airsAt() < entry.millis()) {
       flags.add(Flag.AIR_PASSED);
     }
-    if (air != null && !saw(entry, air)) {
+    if (air != null && !hasSeen(entry, air)) {
       flags.add(Flag.AIR_TWICE);
-      if (airs >= airsAt) {
+      if (effectiveAirsAt >= airsAt) {
         return;
       }
     }
     air = entry.dot();
-    airsAt = airs;
+    airsAt = effectiveAirsAt;
   }
 }
--- a/channels/src/main/java/tillerlink/channels/cue/CueCodec.java
+++ b/channels/src/main/java/tillerlink/channels/cue/CueCodec.java
@@ -11,7 +11,7 @@
 import tillerlink.messages.channels.Dot;
 import tillerlink.messages.channels.EntryCodec;
 
-/** Writes and reads cues within compacted state. */
+/** The codec for cues as parts of compacted state. */
 final class CueCodec {
   static final int MAX_NAME_BYTES = 255;
 
--- a/channels/src/main/java/tillerlink/channels/entry/AppendRequest.java
+++ b/channels/src/main/java/tillerlink/channels/entry/AppendRequest.java
@@ -7,30 +7,39 @@
 import tillerlink.messages.channels.Kind;
 
 /**
- * An event that a client wants appended.
+ * A client's request to append an event to a channel.
  *
- * @param kind what the event says
- * @param cue the name of the cue; empty for a note only
- * @param text the text of the cue or the correction; of other kinds a remark for people
- * @param airsAt milliseconds since 1970 for an air mark, otherwise 0
- * @param key the client's idempotency key: a retry with it gives the same event; empty for none
- * @param seen events on this cue that the client had read; null if it doesn't say, then all that
- *     this gateway holds counts as seen
+ * @param kind the kind of the event
+ * @param cue the name of the cue; empty for a note, and for no other kind
+ * @param text the text of a cue or correction; for other kinds a remark for human readers
+ * @param airsAt the air time of an air mark in milliseconds since 1970; 0 for other kinds
+ * @param key the client's idempotency key, with which a retry returns the same event; empty if the
+ *     client gives no key
+ * @param seen the events on this cue that the client had read; null if the client does not report
+ *     them, in which case all events on the cue that this gateway has count as seen
  */
 public record AppendRequest(
     Kind kind, String cue, String text, long airsAt, String key, List<Dot> seen) {
-  /** Bytes of a text at the most, so that an event fits in a message that every link carries. */
+  /**
+   * The maximum length of a text in bytes of UTF-8, so that an event fits in a message small enough
+   * for every link.
+   */
   public static final int MAX_TEXT_BYTES = 400;
 
-  /** Bytes of a cue's name, or of a key, at the most. */
+  /** The maximum length of a cue's name and of a key, in bytes of UTF-8. */
   public static final int MAX_NAME_BYTES = 64;
 
-  /** Events that can be named as seen. */
+  /** The maximum number of events that a request can name as seen. */
   public static final int MAX_SEEN = 6;
 
   private static final long MAX_AIRS_AT = 1L << 42;
 
-  /** Returns why the event can't be appended, in words for people; empty if it can. */
+  /**
+   * Validates the request.
+   *
+   * @return the reason why the event cannot be appended, as a text for the client; empty if the
+   *     request is valid
+   */
   public Optional<String> fault() {
     if (kind == null || cue == null || text == null || key == null) {
       return Optional.of("kind, cue, text and key are needed");
--- a/channels/src/main/java/tillerlink/channels/entry/AppendResult.java
+++ b/channels/src/main/java/tillerlink/channels/entry/AppendResult.java
@@ -2,21 +2,22 @@
 
 import tillerlink.messages.channels.Dot;
 
-/** The result of an append. */
+/** The result of an append request. */
 public sealed interface AppendResult {
   /**
-   * The event is durable here; it can be lost only with this disk.
+   * The result for an event that is durable at this gateway. It can be lost only together with this
+   * gateway's disk.
    *
-   * @param id names the event
-   * @param again whether it was appended before, by a request with the same key
+   * @param id the identifier of the event
+   * @param again true if an earlier request with the same key had appended the event
    */
   record Taken(Dot id, boolean again) implements AppendResult {}
 
   /**
-   * The event is not appended.
+   * The result for an event that was not appended.
    *
-   * @param why in words for people
-   * @param retryAfter tenths of a millisecond after which a retry may succeed; 0 if none will
+   * @param why the reason, as a text for the client
+   * @param retryAfter tenths of a millisecond after which a retry may succeed; 0 if no retry will
    */
   record Refused(String why, long retryAfter) implements AppendResult {}
 }
--- a/channels/src/main/java/tillerlink/channels/entry/HybridLogicalClock.java
+++ b/channels/src/main/java/tillerlink/channels/entry/HybridLogicalClock.java
@@ -6,100 +6,118 @@
 import tillerlink.messages.channels.Entry;
 
 /**
- * A hybrid logical clock: it follows the wall clock, never goes back, and is ahead of every stamp
- * that was observed. The fleet's time is the median of the wall clocks heard recently, this
- * machine's included, so that one clock that is off by minutes is outvoted by two that are not.
+ * A hybrid logical clock. It follows the wall clock, never goes back, and each new stamp is greater
+ * than every stamp observed before. The fleet's time is the median of the wall clocks reported
+ * recently, this machine's included, so that one clock that is off by minutes is outvoted by two
+ * that are not.
  *
- * <p>Times {@code now} and {@code wall} are tenths of a millisecond.
+ * <p>The parameters {@code now} (the gateway's monotonic time) and {@code wall} (its wall clock,
+ * since 1970) are tenths of a millisecond.
  */
 public final class HybridLogicalClock {
-  /** Wall clocks heard longer ago don't count. */
-  private static final long MAX_WALL_AGE = 100_000;
+  /** The age beyond which a reported wall clock is ignored: 10 s, in tenths of a millisecond. */
+  private static final long MAX_WALL_CLOCK_AGE_TENTHS = 100_000;
 
   private static final int MAX_GATEWAYS = 1024;
-  private static final int UNITS_PER_MILLI = 10;
+  private static final int TENTHS_PER_MILLI = 10;
 
-  /** When a wall clock was heard, and by how many milliseconds it is ahead of {@code now}. */
-  private record Wall(long heardAt, long offsetMillis) {}
+  /**
+   * A wall clock reported by another gateway.
+   *
+   * @param heardAt the time of the report, in tenths of a millisecond
+   * @param offsetMillis milliseconds by which the wall clock is ahead of {@code now}
+   */
+  private record WallClock(long heardAt, long offsetMillis) {}
 
   private final long maxAheadMillis;
-  private final TreeMap<String, Wall> walls = new TreeMap<>();
+  private final TreeMap<String, WallClock> wallClocks = new TreeMap<>();
   private long last;
 
   /**
-   * Makes a clock.
+   * Creates a clock.
    *
-   * @param maxAheadMillis milliseconds that a stamp may be ahead of the fleet's time
+   * @param maxAheadMillis the maximum by which a stamp may be ahead of the fleet's time, in
+   *     milliseconds
    */
   public HybridLogicalClock(long maxAheadMillis) {
     this.maxAheadMillis = maxAheadMillis;
   }
 
   /**
-   * Takes the wall clock of another gateway.
+   * Records the wall clock that another gateway reported. Reports of further gateways are ignored
+   * while 1024 gateways are recorded.
    *
-   * @param wallMillis milliseconds since 1970
+   * @param now tenths of a millisecond
+   * @param gateway the name of the gateway
+   * @param wallMillis the gateway's wall clock, in milliseconds since 1970
    */
   public void onWall(long now, String gateway, long wallMillis) {
-    if (walls.size() < MAX_GATEWAYS || walls.containsKey(gateway)) {
-      walls.put(gateway, new Wall(now, wallMillis - now / UNITS_PER_MILLI));
+    if (wallClocks.size() < MAX_GATEWAYS || wallClocks.containsKey(gateway)) {
+      wallClocks.put(gateway, new WallClock(now, wallMillis - now / TENTHS_PER_MILLI));
     }
   }
 
-  /** Returns the fleet's time, in milliseconds since 1970. */
+  /** Returns the fleet's time in milliseconds since 1970. */
   public long fleetMillis(long now, long wall) {
-    walls.values().removeIf(other -> now - other.heardAt > MAX_WALL_AGE);
+    wallClocks.values().removeIf(other -> now - other.heardAt > MAX_WALL_CLOCK_AGE_TENTHS);
     List<Long> offsets = new ArrayList<>();
-    offsets.add(wall / UNITS_PER_MILLI - now / UNITS_PER_MILLI);
-    walls.values().forEach(other -> offsets.add(other.offsetMillis));
+    offsets.add(wall / TENTHS_PER_MILLI - now / TENTHS_PER_MILLI);
+    wallClocks.values().forEach(other -> offsets.add(other.offsetMillis));
     offsets.sort(null);
-    return now / UNITS_PER_MILLI + offsets.get((offsets.size() - 1) / 2);
+    return now / TENTHS_PER_MILLI + offsets.get((offsets.size() - 1) / 2);
   }
 
-  /** Whether a stamp is further ahead of the fleet's time than allowed. */
+  /** Returns true if a stamp is further ahead of the fleet's time than allowed. */
   public boolean isTooFarAhead(long now, long wall, long stamp) {
     return stamp >> Entry.COUNTER > fleetMillis(now, wall) + maxAheadMillis;
   }
 
   /**
-   * Returns the milliseconds by which the next stamp would be too far ahead; zero or less if it
-   * would not.
+   * Returns by how much the next stamp would exceed the allowed lead over the fleet's time.
+   *
+   * @return milliseconds; zero or less if the next stamp is within the allowed lead
    */
   public long millisTooFarAhead(long now, long wall) {
-    return Math.max(wall / UNITS_PER_MILLI, last >> Entry.COUNTER)
+    return Math.max(wall / TENTHS_PER_MILLI, last >> Entry.COUNTER)
         - fleetMillis(now, wall)
         - maxAheadMillis;
   }
 
-  /** Returns a stamp ahead of the wall clock and of all that were observed. */
+  /**
+   * Returns a new stamp. It is greater than all stamps returned or observed before, and not behind
+   * the wall clock.
+   */
   public long next(long wall) {
     last = Math.max(last + 1, stampAt(wall));
     return last;
   }
 
-  /** Takes a stamp of another gateway: no later stamp of this clock is at or below it. */
+  /**
+   * Advances the clock to a stamp of another gateway, so that all later stamps of this clock are
+   * greater.
+   */
   public void observe(long stamp) {
     last = Math.max(last, stamp);
   }
 
   /**
-   * Returns the last stamp given or observed, advanced to the wall clock unless that is too far
-   * ahead; no later stamp of this clock is at or below it.
+   * Advances the clock to the wall clock, unless the wall clock is too far ahead of the fleet's
+   * time, and returns the last stamp. All later stamps of this clock are greater.
    */
   public long floor(long now, long wall) {
-    long here = stampAt(wall);
-    if (!isTooFarAhead(now, wall, here)) {
-      last = Math.max(last, here);
+    long local = stampAt(wall);
+    if (!isTooFarAhead(now, wall, local)) {
+      last = Math.max(last, local);
     }
     return last;
   }
 
-  /** Returns the last stamp given or observed. */
+  /** Returns the greatest stamp returned or observed so far; 0 at the start. */
   public long last() {
     return last;
   }
 
   private static long stampAt(long wall) {
-    return (wall / UNITS_PER_MILLI) << Entry.COUNTER;
+    return (wall / TENTHS_PER_MILLI) << Entry.COUNTER;
   }
 }
--- a/channels/src/main/java/tillerlink/channels/quota/StorageQuota.java
+++ b/channels/src/main/java/tillerlink/channels/quota/StorageQuota.java
@@ -4,54 +4,64 @@
 import tillerlink.channels.journal.Journal;
 
 /**
- * Shares the quota for events. Half of it is for provisional events, as those can't be compacted;
- * each gateway may fill an equal part of that, so that the events of all of them fit after a
- * partition. Once its part is half full, a gateway refuses appends to channels that hold more than
- * their equal share of it, one more channel counted.
+ * The division of the storage quota for events between gateways and channels. Half of the quota is
+ * for provisional events, because those cannot be compacted. Each gateway may fill an equal part of
+ * that half, so that the events of all gateways fit together after a partition. Once its part is
+ * half full, a gateway refuses appends to a channel whose events exceed an equal share of the part.
+ * The share is computed with one channel more than there are, which leaves room for a further
+ * channel.
  */
 public final class StorageQuota {
-  /** Tenths of a millisecond after which to retry; nothing becomes stable any sooner. */
+  /**
+   * The delay before a retry, in tenths of a millisecond. An earlier retry would be of no benefit,
+   * because no event becomes stable any sooner.
+   */
   public static final long RETRY_AFTER = 50_000;
 
-  private static final int PROVISIONAL_PARTS = 2;
-  private static final int FREE_PARTS = 4;
+  private static final int PROVISIONAL_DIVISOR = 2;
+  private static final int FREE_DIVISOR = 4;
 
   private final long bytes;
 
   /**
-   * Makes a quota.
+   * Creates a quota.
    *
-   * @param bytes what all events may take, in memory and on disk
+   * @param bytes the maximum size of all events, in memory and on disk
    */
   public StorageQuota(long bytes) {
     this.bytes = bytes;
   }
 
-  /** Returns the bytes of events beyond which the oldest stable ones are compacted. */
+  /**
+   * Returns the size of all events, in bytes, beyond which the oldest stable ones are compacted.
+   */
   public long compactBeyond() {
-    return bytes - bytes / FREE_PARTS;
+    return bytes - bytes / FREE_DIVISOR;
   }
 
   /**
-   * Whether an event of a channel may be appended.
+   * Returns true if an event may be appended to a channel.
    *
-   * @param weight bytes of the event
-   * @param gateways how many gateways write, this one included
-   * @param pending bytes of events that are not durable yet
+   * @param journal the journal whose provisional events are counted
+   * @param channel the name of the channel
+   * @param weight the size of the event in bytes
+   * @param gateways the number of gateways that write, this one included
+   * @param pending the size of the events that are not durable yet, in bytes
    */
   public boolean allows(Journal journal, String channel, int weight, int gateways, long pending) {
-    long part = bytes / PROVISIONAL_PARTS / Math.max(1, gateways);
-    long all = pending + weight;
-    int channels = 1;
-    long own = pending + weight;
+    long gatewayShare = bytes / PROVISIONAL_DIVISOR / Math.max(1, gateways);
+    long totalBytes = pending + weight;
+    int channelCount = 1;
+    long channelBytes = pending + weight;
     for (ChannelLog log : journal.logs().values()) {
-      all += log.tailBytes();
+      totalBytes += log.tailBytes();
       if (log.name().equals(channel)) {
-        own += log.tailBytes();
+        channelBytes += log.tailBytes();
       } else if (log.tailBytes() > 0) {
-        channels++;
+        channelCount++;
       }
     }
-    return all <= part && (all <= part / 2 || own <= part / (channels + 1));
+    return totalBytes <= gatewayShare
+        && (totalBytes <= gatewayShare / 2 || channelBytes <= gatewayShare / (channelCount + 1));
   }
 }
--- a/channels/src/main/java/tillerlink/channels/recovery/Store.java
+++ b/channels/src/main/java/tillerlink/channels/recovery/Store.java
@@ -17,32 +17,39 @@
 import tillerlink.messages.channels.EntryCodec;
 
 /**
- * What a gateway stores, by key: {@code e/INCARNATION/SEQUENCE} events, {@code k/SLOT} decided
- * cuts, {@code v} the acceptor's state, {@code i} its last incarnation, {@code s} which compacted
- * state is valid, {@code s/SLOT/PART} compacted states. Numbers in keys are 16 hex digits. Changes
- * become durable in the order in which they are handed over, so that a promise never outlives the
- * events that it refers to. Nothing here waits for the disk.
+ * The persistent state of a gateway's channels in a key-value store. The keys are {@code
+ * e/INCARNATION/SEQUENCE} for events, {@code k/SLOT} for decided cuts, {@code v} for the acceptor's
+ * state, {@code i} for the gateway's last incarnation, {@code s} for the slot of the valid
+ * compacted state, and {@code s/SLOT/PART} for the parts of compacted states. Numbers in keys are
+ * 16 hex digits.
+ *
+ * <p>Changes become durable in the order of the calls, so that a promise never outlives the events
+ * that it refers to. No method waits for the disk.
  */
 public final class Store {
-  private static final String EVENTS = "e/";
-  private static final String CUTS = "k/";
-  private static final String ACCEPTOR = "v";
-  private static final String INCARNATION = "i";
-  private static final String STATE = "s";
-  private static final String STATES = "s/";
+  private static final String EVENT_PREFIX = "e/";
+  private static final String CUT_PREFIX = "k/";
+  private static final String ACCEPTOR_KEY = "v";
+  private static final String INCARNATION_KEY = "i";
+  private static final String STATE_KEY = "s";
+  private static final String STATE_PART_PREFIX = "s/";
 
   private static final int STATE_SLOT = 1;
   private static final int STATE_PARTS = 2;
   private static final int INCARNATION_NUMBER = 1;
 
   private static final int HEX_DIGITS = 16;
-  private static final int PART_BYTES = 1 << 19;
+  private static final int MAX_PART_BYTES = 1 << 19;
 
   private final KeyValueStore storage;
   private long failures;
   private long unreadable;
 
-  /** Stores in a table of keys and values. */
+  /**
+   * Creates a store on top of a key-value store.
+   *
+   * @param storage the key-value store, with the entries that it had at the start
+   */
   public Store(KeyValueStore storage) {
     this.storage = storage;
   }
@@ -55,15 +62,19 @@
   }
 
   private static String eventKey(Entry entry) {
-    return EVENTS + hex(entry.incarnation()) + "/" + hex(entry.sequence());
+    return EVENT_PREFIX + hex(entry.incarnation()) + "/" + hex(entry.sequence());
   }
 
   private static String partKey(long slot, int part) {
-    return STATES + hex(slot) + "/" + hex(part);
+    return STATE_PART_PREFIX + hex(slot) + "/" + hex(part);
   }
 
-  /** What was stored at the start under keys with a prefix that ends with a slash. */
-  private NavigableMap<String, byte[]> found(String prefix) {
+  /**
+   * Returns the entries that were stored at the start under keys with a prefix.
+   *
+   * @param prefix the prefix, which ends with a slash
+   */
+  private NavigableMap<String, byte[]> initialEntries(String prefix) {
     // '0' is the character after the slash.
     String end = prefix.substring(0, prefix.length() - 1) + "0";
     return storage.initialEntries().subMap(prefix, true, end, false);
@@ -84,8 +95,8 @@
   /**
    * Stores an event.
    *
-   * @param onDurable called once it is durable; may be null
-   * @return false if it is not stored: the disk is full or has failed
+   * @param onDurable called once the event is durable; may be null
+   * @return false if the event is not stored because the disk is full or has failed
    */
   public boolean entry(Entry entry, Runnable onDurable) {
     return set(eventKey(entry), EntryCodec.bytes(entry), onDurable);
@@ -94,68 +105,74 @@
   /**
    * Stores a decided cut.
    *
-   * @return false if it is not stored: the disk is full or has failed
+   * @return false if the cut is not stored because the disk is full or has failed
    */
   public boolean cut(Cut cut) {
-    return set(CUTS + hex(cut.slot()), EntryCodec.cut(cut).done(), null);
+    return set(CUT_PREFIX + hex(cut.slot()), EntryCodec.cut(cut).done(), null);
   }
 
   /**
    * Stores the acceptor's state.
    *
-   * @param onDurable called once it is durable
-   * @return false if it is not stored: the disk is full or has failed
+   * @param bytes the encoded state
+   * @param onDurable called once the state is durable; may be null
+   * @return false if the state is not stored because the disk is full or has failed
    */
   public boolean voting(byte[] bytes, Runnable onDurable) {
-    return set(ACCEPTOR, bytes, onDurable);
+    return set(ACCEPTOR_KEY, bytes, onDurable);
   }
 
   /**
    * Stores the incarnation of this process.
    *
-   * @return false if it is not stored: the disk is full or has failed
+   * @return false if the incarnation is not stored because the disk is full or has failed
    */
   public boolean incarnation(long incarnation) {
     byte[] value = new FieldWriter().fixed(INCARNATION_NUMBER, incarnation).done();
-    return set(INCARNATION, value, null);
+    return set(INCARNATION_KEY, value, null);
   }
 
   /**
-   * Stores compacted state in place of the events and cuts that it covers.
+   * Stores compacted state and removes the events and cuts that it covers.
    *
-   * @param bytes the state
-   * @param slot the slot up to which it is compacted
-   * @param before the slot of the state that it replaces, 0 if there is none
-   * @param covered the events that are removed
+   * @param bytes the encoded state
+   * @param slot the last compacted slot
+   * @param previousSlot the last compacted slot of the state that is replaced, 0 if there is no
+   *     such state
+   * @param covered the events to remove
    * @param firstSlot the first slot whose cut is removed
-   * @return false if it is not stored: the disk is full or has failed
+   * @return false if the state is not stored because the disk is full or has failed
    */
-  public boolean sum(byte[] bytes, long slot, long before, List<Entry> covered, long firstSlot) {
-    int parts = (bytes.length + PART_BYTES - 1) / PART_BYTES;
+  public boolean sum(
+      byte[] bytes, long slot, long previousSlot, List<Entry> covered, long firstSlot) {
+    int parts = (bytes.length + MAX_PART_BYTES - 1) / MAX_PART_BYTES;
     for (int i = 0; i < parts; i++) {
-      int end = Math.min(bytes.length, (i + 1) * PART_BYTES);
-      byte[] part = Arrays.copyOfRange(bytes, i * PART_BYTES, end);
+      int end = Math.min(bytes.length, (i + 1) * MAX_PART_BYTES);
+      byte[] part = Arrays.copyOfRange(bytes, i * MAX_PART_BYTES, end);
       if (!set(partKey(slot, i), part, null)) {
         return false;
       }
     }
     byte[] valid = new FieldWriter().number(STATE_SLOT, slot).number(STATE_PARTS, parts).done();
-    if (!set(STATE, valid, null)) {
+    if (!set(STATE_KEY, valid, null)) {
       return false;
     }
     covered.forEach(entry -> remove(eventKey(entry)));
-    for (long old = firstSlot; old <= slot; old++) {
-      remove(CUTS + hex(old));
+    for (long coveredSlot = firstSlot; coveredSlot <= slot; coveredSlot++) {
+      remove(CUT_PREFIX + hex(coveredSlot));
     }
-    if (before > 0 && before != slot) {
-      removeState(before, parts);
+    if (previousSlot > 0 && previousSlot != slot) {
+      removeState(previousSlot, parts);
     }
     return true;
   }
 
-  /** Removes the parts of a state: those found at the start, and as many as the new one has. */
+  /**
+   * Removes the parts of a compacted state: those stored at the start, and as many as the new state
+   * has.
+   */
   private void removeState(long slot, int parts) {
-    for (String key : found(STATES + hex(slot) + "/").keySet()) {
+    for (String key : initialEntries(STATE_PART_PREFIX + hex(slot) + "/").keySet()) {
       remove(key);
     }
     for (int i = 0; i < parts; i++) {
@@ -165,21 +182,24 @@
 
   // ---- counters ----
 
-  /** Returns how many changes could not be stored. */
+  /** Returns the number of changes that could not be stored. */
   public long failures() {
     return failures;
   }
 
-  /** Returns how many stored values could not be read; they were skipped. */
+  /** Returns the number of stored values that were skipped because they could not be decoded. */
   public long unreadable() {
     return unreadable;
   }
 
   // ---- recovery ----
 
-  /** Returns the incarnation of the last process; 0 if none is stored. */
+  /**
+   * Returns the incarnation that was stored by the last process; 0 if no incarnation is stored or
+   * its value cannot be decoded.
+   */
   public long foundIncarnation() {
-    byte[] value = storage.initialEntries().get(INCARNATION);
+    byte[] value = storage.initialEntries().get(INCARNATION_KEY);
     try {
       FieldReader in = new FieldReader(value == null ? new byte[0] : value);
       return in.next() && in.field() == INCARNATION_NUMBER ? in.fixed() : 0;
@@ -189,16 +209,19 @@
     }
   }
 
-  /** Returns the acceptor's state; null if none is stored. */
+  /** Returns the encoded state of the acceptor as stored at the start; null if it is absent. */
   public byte[] foundVoting() {
-    return storage.initialEntries().get(ACCEPTOR);
+    return storage.initialEntries().get(ACCEPTOR_KEY);
   }
 
-  /** Puts what is stored into a journal, and applies it. */
+  /**
+   * Loads the compacted state, the events and the decided cuts into a journal, and applies the
+   * cuts.
+   */
   public void load(Journal journal) {
     loadState(journal);
     loadEvents(journal);
-    for (byte[] value : found(CUTS).values()) {
+    for (byte[] value : initialEntries(CUT_PREFIX).values()) {
       try {
         journal.learn(EntryCodec.cut(new FieldReader(value)));
       } catch (MalformedMessageException e) {
@@ -209,7 +232,7 @@
   }
 
   private void loadState(Journal journal) {
-    byte[] state = foundState();
+    byte[] state = readState();
     if (state != null) {
       try {
         journal.startFrom(CompactedState.read(state), CompactedState.read(state));
@@ -219,10 +242,13 @@
     }
   }
 
-  /** Puts the events into the journal; those that are compacted are removed from the store. */
+  /**
+   * Loads the events into the journal. Removes from the store those that the compacted state
+   * covers.
+   */
   private void loadEvents(Journal journal) {
     List<Entry> covered = new ArrayList<>();
-    for (byte[] value : found(EVENTS).values()) {
+    for (byte[] value : initialEntries(EVENT_PREFIX).values()) {
       try {
         Entry entry = EntryCodec.entry(value);
         if (!journal.put(entry) && journal.entry(entry.incarnation(), entry.sequence()) == null) {
@@ -235,15 +261,18 @@
     covered.forEach(entry -> remove(eventKey(entry)));
   }
 
-  private byte[] foundState() {
-    long slot = foundStateSlot();
-    return slot == 0 ? null : concatenate(found(STATES + hex(slot) + "/").values());
+  private byte[] readState() {
+    long slot = readStateSlot();
+    return slot == 0
+        ? null
+        : concatenate(initialEntries(STATE_PART_PREFIX + hex(slot) + "/").values());
   }
 
-  private long foundStateSlot() {
+  private long readStateSlot() {
     long slot = 0;
     try {
-      FieldReader in = new FieldReader(storage.initialEntries().getOrDefault(STATE, new byte[0]));
+      FieldReader in =
+          new FieldReader(storage.initialEntries().getOrDefault(STATE_KEY, new byte[0]));
       while (in.next()) {
         if (in.field() == STATE_SLOT) {
           slot = in.number();
@@ -256,8 +285,8 @@
   }
 
   private static byte[] concatenate(Collection<byte[]> parts) {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    parts.forEach(all::writeBytes);
-    return all.toByteArray();
+    ByteArrayOutputStream joined = new ByteArrayOutputStream();
+    parts.forEach(joined::writeBytes);
+    return joined.toByteArray();
   }
 }
