--- a/channels/src/main/java/tillerlink/channels/cue/CueProjection.java
+++ b/channels/src/main/java/tillerlink/channels/cue/CueProjection.java
@@ -12,17 +12,17 @@
 import tillerlink.messages.channels.EntryCodec;
 
 /**
- * The result of a channel's events applied one after the other: the cues, and the clients' keys. It
- * is a function of the events and their order alone, so gateways that compact at different times
- * have the same one.
+ * The result of applying a channel's events in order: the cues and the clients' idempotency keys.
+ * It depends on the events and their order alone, so gateways that compact at different times have
+ * equal projections.
  */
 public final class CueProjection {
-  /** Cues at the most; beyond it those that were changed longest ago are dropped. */
+  /** The maximum number of cues; beyond it the least recently changed cue is evicted. */
   public static final int MAX_CUES = 5000;
 
   /**
-   * Keys at the most: a client's retry gives the same event as long as no more than so many others
-   * with keys came since.
+   * The maximum number of idempotency keys; beyond it the oldest key is evicted. A client's retry
+   * is recognized as long as fewer events with other keys than this have been applied since.
    */
   public static final int MAX_KEYS = 4096;
 
@@ -42,8 +42,8 @@
   /**
    * Applies the next event of the log.
    *
-   * @param at see {@link Cue#apply}
-   * @return whether it has the key of an earlier event, and so changes nothing
+   * @param at the event's effective time in milliseconds since 1970, see {@link Cue#apply}
+   * @return true if an earlier event has the same idempotency key, so that this one has no effect
    */
   public boolean apply(Entry entry, long at) {
     count++;
@@ -52,19 +52,19 @@
         return true;
       }
       keys.put(entry.key(), entry.dot());
-      trim(keys, MAX_KEYS);
+      evictOldestAbove(keys, MAX_KEYS);
     }
     if (!entry.cue().isEmpty()) {
-      Cue known = cues.remove(entry.cue());
-      Cue cue = known == null ? new Cue(entry.cue()) : known;
+      Cue existing = cues.remove(entry.cue());
+      Cue cue = existing == null ? new Cue(entry.cue()) : existing;
       cue.apply(entry, at);
       cues.put(cue.name(), cue);
-      trim(cues, MAX_CUES);
+      evictOldestAbove(cues, MAX_CUES);
     }
     return false;
   }
 
-  private static void trim(Map<String, ?> oldestFirst, int max) {
+  private static void evictOldestAbove(Map<String, ?> oldestFirst, int max) {
     if (oldestFirst.size() > max) {
       oldestFirst.remove(oldestFirst.keySet().iterator().next());
     }
@@ -73,7 +73,7 @@
   /**
    * Applies an event to a cue that is not part of a projection.
    *
-   * @param at see {@link Cue#apply}
+   * @param at the event's effective time in milliseconds since 1970, see {@link Cue#apply}
    */
   public static void apply(Cue cue, Entry entry, long at) {
     cue.apply(entry, at);
@@ -81,31 +81,38 @@
 
   // ---- reading ----
 
-  /** Returns how many events were applied. */
+  /** Returns the number of events applied, repeats included. */
   public long count() {
     return count;
   }
 
-  /** Returns the event that a key stands for, null if none. */
+  /**
+   * Looks up the event that was written with an idempotency key.
+   *
+   * @return the identifier of the event; null if the key is unknown or was evicted
+   */
   public Dot key(String key) {
     return keys.get(key);
   }
 
-  /** Returns a copy of a cue, to apply more events to; an empty one if it is not known. */
+  /**
+   * Returns a copy of a cue, to which the caller can apply further events; a new cue without events
+   * if the name is unknown.
+   */
   public Cue copyOf(String name) {
     Cue cue = cues.get(name);
     return cue == null ? new Cue(name) : new Cue(cue);
   }
 
-  /** Returns the cues, in the order of their last change; a live view. */
+  /** Returns a live view of the cues, the least recently changed one first. */
   public Collection<Cue> cues() {
     return Collections.unmodifiableCollection(cues.values());
   }
 
-  // ---- as bytes ----
+  // ---- encoding ----
 
-  /** Writes the projection, as a part of compacted state. */
-  public FieldWriter written() {
+  /** Encodes the projection as a part of compacted state. */
+  public FieldWriter encode() {
     FieldWriter out = new FieldWriter().number(COUNT, count);
     keys.forEach(
         (key, dot) ->
@@ -116,9 +123,9 @@
   }
 
   /**
-   * Reads a projection.
+   * Decodes a projection.
    *
-   * @throws MalformedMessageException if it can't be read
+   * @throws MalformedMessageException if the fields are truncated or out of range
    */
   public static CueProjection read(FieldReader in) throws MalformedMessageException {
     CueProjection projection = new CueProjection();
--- a/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
+++ b/channels/src/main/java/tillerlink/channels/journal/ChannelLog.java
@@ -16,8 +16,8 @@
 import tillerlink.messages.channels.Entry;
 
 /**
- * The log of one channel: the projection of what is compacted, the stable events after it, and the
- * provisional tail.
+ * The log of one channel: the projection of the compacted events, the stable events after them, and
+ * the provisional tail.
  */
 public final class ChannelLog {
   private final String name;
@@ -30,10 +30,11 @@
   private long tailBytes;
 
   /**
-   * Makes a log without events beyond the compacted ones.
+   * Creates a log that has only compacted events.
    *
+   * @param name the name of the channel
    * @param base the projection of the compacted events
-   * @param projection another copy of it, to which all stable events are applied
+   * @param projection a separate copy of {@code base}, to which all stable events are applied
    */
   ChannelLog(String name, CueProjection base, CueProjection projection) {
     this.name = name;
@@ -43,15 +44,17 @@
 
   // ---- changes ----
 
-  /** Adds a provisional event. */
+  /** Adds an event to the provisional tail. */
   void put(Entry entry) {
     tail.add(entry);
     if (!entry.cue().isEmpty()) {
-      tailByCue.computeIfAbsent(entry.cue(), any -> new TreeSet<>(Entry.ORDER)).add(entry);
+      tailByCue.computeIfAbsent(entry.cue(), cue -> new TreeSet<>(Entry.ORDER)).add(entry);
     }
     if (!entry.key().isEmpty()) {
       tailByKey.merge(
-          entry.key(), entry, (one, other) -> Entry.ORDER.compare(one, other) <= 0 ? one : other);
+          entry.key(),
+          entry,
+          (first, second) -> Entry.ORDER.compare(first, second) <= 0 ? first : second);
     }
     tailBytes += entry.weight();
   }
@@ -59,37 +62,43 @@
   private void removeFromTail(Entry entry) {
     tail.remove(entry);
     tailBytes -= entry.weight();
-    TreeSet<Entry> ofCue = tailByCue.get(entry.cue());
-    if (ofCue != null && ofCue.remove(entry) && ofCue.isEmpty()) {
+    TreeSet<Entry> cueEvents = tailByCue.get(entry.cue());
+    if (cueEvents != null && cueEvents.remove(entry) && cueEvents.isEmpty()) {
       tailByCue.remove(entry.cue());
     }
-    // Another provisional event with this key is a repeat of this one from now on; the projection
-    // knows that.
+    // From now on the projection maps the key to this event, so that any other provisional event
+    // with this key is recognized as its repeat.
     tailByKey.remove(entry.key(), entry);
   }
 
   /**
-   * Makes a provisional event stable, after all that are.
+   * Makes a provisional event stable and appends it to the stable events.
    *
-   * @param slot the slot whose cut it is in
-   * @param upToBefore the upper bound of the cut before
+   * @param entry the event
+   * @param slot the slot whose cut contains the event
+   * @param previousUpTo the upper bound of the previous cut, a stamp of the hybrid logical clock
    */
-  void makeStable(Entry entry, long slot, long upToBefore) {
+  void makeStable(Entry entry, long slot, long previousUpTo) {
     removeFromTail(entry);
-    boolean late = entry.stamp() <= upToBefore;
-    long at = late ? upToBefore >> Entry.COUNTER : entry.millis();
+    boolean late = entry.stamp() <= previousUpTo;
+    long at = late ? previousUpTo >> Entry.COUNTER : entry.millis();
     OrderedEvent last = stable.isEmpty() ? null : stable.get(stable.size() - 1);
     Invariant.holds(
         last == null || last.slot() < slot || Entry.ORDER.compare(last.entry(), entry) < 0,
-        () -> "the stable prefix of " + name + " is not in order at " + entry.dot().text());
+        () ->
+            "stable prefix of channel " + name + " is not in order at event " + entry.dot().text());
     boolean repeat = projection.apply(entry, at);
     stable.add(new OrderedEvent(entry, slot, at, late, repeat));
     Invariant.holds(
         projection.count() == base.count() + stable.size(),
-        () -> "the sum of " + name + " counts otherwise");
+        () -> "event count in the projection of " + name + " differs from its log");
   }
 
-  /** Compacts the first stable events. */
+  /**
+   * Compacts the first stable events: applies them to the base projection and removes them.
+   *
+   * @param count the number of events
+   */
   void compact(int count) {
     for (OrderedEvent event : stable.subList(0, count)) {
       base.apply(event.entry(), event.at());
@@ -97,7 +106,12 @@
     stable.subList(0, count).clear();
   }
 
-  /** Returns how many of the stable events are in cuts up to a slot. */
+  /**
+   * Counts the stable events, not compacted, that belong to cuts up to a slot.
+   *
+   * @param slot the last slot that counts
+   * @return the number of events
+   */
   int upTo(long slot) {
     int count = 0;
     while (count < stable.size() && stable.get(count).slot() <= slot) {
@@ -113,27 +127,32 @@
     return name;
   }
 
-  /** Returns the number of the first event that is not compacted, from 0. */
+  /** Returns the index of the first event that is not compacted; the log's first event has 0. */
   public long first() {
     return base.count();
   }
 
-  /** Returns the number of stable events, compacted ones included. */
+  /** Returns the number of stable events, including compacted ones. */
   public long stableCount() {
     return projection.count();
   }
 
-  /** Returns a stable event that is not compacted, by its number. */
+  /**
+   * Returns a stable event that is not compacted.
+   *
+   * @param index the index of the event in the log, from {@link #first} to below {@link
+   *     #stableCount}
+   */
   public OrderedEvent stable(long index) {
     return stable.get((int) (index - base.count()));
   }
 
-  /** Returns the provisional events, in the order of their stamps; a live view. */
+  /** Returns a live view of the provisional events, in the order of their stamps. */
   public SortedSet<Entry> tail() {
     return Collections.unmodifiableSortedSet(tail);
   }
 
-  /** Returns about the bytes that the provisional events take in memory. */
+  /** Returns the approximate size of the provisional events in memory, in bytes. */
   public long tailBytes() {
     return tailBytes;
   }
@@ -142,30 +161,38 @@
     return base;
   }
 
-  /** Returns the event that a key stands for, a provisional one too; null if none. */
+  /**
+   * Looks up the first event, stable or provisional, with an idempotency key.
+   *
+   * @return the identifier of the event; null if the key is unknown or was evicted
+   */
   public Dot key(String key) {
     Dot dot = projection.key(key);
     Entry entry = dot == null ? tailByKey.get(key) : null;
     return entry == null ? dot : entry.dot();
   }
 
-  /** Whether a provisional event repeats another, in the order of now. */
+  /**
+   * Returns true if a provisional event repeats another event, that is, if in the present order an
+   * earlier event has the same idempotency key.
+   */
   public boolean isRepeat(Entry entry) {
     Dot first = entry.key().isEmpty() ? null : key(entry.key());
     return first != null && !first.same(entry.dot());
   }
 
   /**
-   * Returns a cue with the provisional events applied.
+   * Returns a copy of a cue with the provisional events applied.
    *
-   * @param upTo the upper bound of the last applied cut
+   * @param cue the name of the cue
+   * @param upTo the upper bound of the last applied cut, a stamp of the hybrid logical clock
    */
   public Cue cue(String cue, long upTo) {
     Cue copy = projection.copyOf(cue);
     for (Entry entry : tailByCue.getOrDefault(cue, new TreeSet<>(Entry.ORDER))) {
       if (!isRepeat(entry)) {
-        long counted = Math.max(entry.stamp(), entry.stamp() <= upTo ? upTo : 0);
-        CueProjection.apply(copy, entry, counted >> Entry.COUNTER);
+        long effectiveStamp = Math.max(entry.stamp(), entry.stamp() <= upTo ? upTo : 0);
+        CueProjection.apply(copy, entry, effectiveStamp >> Entry.COUNTER);
       }
     }
     return copy;
@@ -174,17 +201,17 @@
   /**
    * Returns all cues with the provisional events applied.
    *
-   * @param upTo the upper bound of the last applied cut
+   * @param upTo the upper bound of the last applied cut, a stamp of the hybrid logical clock
    */
   public List<Cue> cues(long upTo) {
-    Set<String> done = new HashSet<>();
+    Set<String> names = new HashSet<>();
     List<Cue> all = new ArrayList<>();
     for (Cue cue : projection.cues()) {
-      done.add(cue.name());
+      names.add(cue.name());
       all.add(tailByCue.containsKey(cue.name()) ? cue(cue.name(), upTo) : cue);
     }
     for (Entry entry : tail) {
-      if (!entry.cue().isEmpty() && done.add(entry.cue())) {
+      if (!entry.cue().isEmpty() && names.add(entry.cue())) {
         all.add(cue(entry.cue(), upTo));
       }
     }
--- a/channels/src/main/java/tillerlink/channels/journal/CompactedState.java
+++ b/channels/src/main/java/tillerlink/channels/journal/CompactedState.java
@@ -11,15 +11,15 @@
 import tillerlink.messages.channels.Span;
 
 /**
- * All that was compacted up to a slot: it is stored in place of the events, and a gateway that is
- * far behind starts from it.
+ * The result of compacting all channels up to a slot. It is stored instead of the compacted events,
+ * and a gateway that is far behind starts from it.
  *
- * @param slot the last slot that is compacted
+ * @param slot the last compacted slot
  * @param upTo the upper bound of that slot's cut, a stamp of the hybrid logical clock
- * @param digest over all events up to that slot
+ * @param digest the digest of all stable events up to that slot
  * @param voters the gateways that decide on the next slot
- * @param spans the events that are compacted
- * @param books by channel: the projection of its compacted events
+ * @param spans the identifiers of the compacted events
+ * @param projections the projection of each channel's compacted events, by channel name
  */
 public record CompactedState(
     long slot,
@@ -27,35 +27,35 @@
     long digest,
     List<String> voters,
     List<Span> spans,
-    Map<String, CueProjection> books) {
+    Map<String, CueProjection> projections) {
   private static final int SLOT = 1;
   private static final int UP_TO = 2;
   private static final int DIGEST = 3;
   private static final int VOTER = 4;
   private static final int SPAN = 5;
-  private static final int BOOK = 6;
+  private static final int CHANNEL = 6;
 
   private static final int SPAN_INCARNATION = 1;
   private static final int SPAN_FROM = 2;
   private static final int SPAN_TO = 3;
 
-  private static final int BOOK_CHANNEL = 1;
-  private static final int BOOK_PROJECTION = 2;
+  private static final int CHANNEL_NAME = 1;
+  private static final int CHANNEL_PROJECTION = 2;
 
   private static final int MAX_NAME_BYTES = 255;
 
-  /** Writes the state, for storage and for other gateways. */
+  /** Encodes the state, for storage and for transfer to other gateways. */
   public byte[] bytes() {
     FieldWriter out = new FieldWriter().number(SLOT, slot).fixed(UP_TO, upTo).fixed(DIGEST, digest);
     voters.forEach(voter -> out.text(VOTER, voter));
     spans.forEach(span -> out.within(SPAN, writeSpan(span)));
-    books.forEach(
+    projections.forEach(
         (channel, projection) ->
             out.within(
-                BOOK,
+                CHANNEL,
                 new FieldWriter()
-                    .text(BOOK_CHANNEL, channel)
-                    .within(BOOK_PROJECTION, projection.written())));
+                    .text(CHANNEL_NAME, channel)
+                    .within(CHANNEL_PROJECTION, projection.encode())));
     return out.done();
   }
 
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Reads a state.
+   * Decodes a state.
    *
-   * @throws MalformedMessageException if the bytes are no such state
+   * @throws MalformedMessageException if the bytes are malformed, or lack a positive slot or voters
    */
   public static CompactedState read(byte[] bytes) throws MalformedMessageException {
     FieldReader in = new FieldReader(bytes);
@@ -78,7 +78,7 @@
     long digest = 0;
     List<String> voters = new ArrayList<>();
     List<Span> spans = new ArrayList<>();
-    Map<String, CueProjection> books = new TreeMap<>();
+    Map<String, CueProjection> projections = new TreeMap<>();
     while (in.next()) {
       switch (in.field()) {
         case SLOT -> slot = in.number();
@@ -86,14 +86,14 @@
         case DIGEST -> digest = in.fixed();
         case VOTER -> voters.add(in.text(MAX_NAME_BYTES));
         case SPAN -> spans.add(readSpan(in.within()));
-        case BOOK -> readBook(in.within(), books);
+        case CHANNEL -> readChannel(in.within(), projections);
         default -> {}
       }
     }
     if (slot <= 0 || voters.isEmpty()) {
-      throw new MalformedMessageException("no sum");
+      throw new MalformedMessageException("compacted state lacks a positive slot or voters");
     }
-    return new CompactedState(slot, upTo, digest, List.copyOf(voters), spans, books);
+    return new CompactedState(slot, upTo, digest, List.copyOf(voters), spans, projections);
   }
 
   private static Span readSpan(FieldReader in) throws MalformedMessageException {
@@ -111,17 +111,17 @@
     return new Span(incarnation, from, to);
   }
 
-  private static void readBook(FieldReader in, Map<String, CueProjection> books)
+  private static void readChannel(FieldReader in, Map<String, CueProjection> projections)
       throws MalformedMessageException {
     String channel = "";
     CueProjection projection = new CueProjection();
     while (in.next()) {
       switch (in.field()) {
-        case BOOK_CHANNEL -> channel = in.text(MAX_NAME_BYTES);
-        case BOOK_PROJECTION -> projection = CueProjection.read(in.within());
+        case CHANNEL_NAME -> channel = in.text(MAX_NAME_BYTES);
+        case CHANNEL_PROJECTION -> projection = CueProjection.read(in.within());
         default -> {}
       }
     }
-    books.put(channel, projection);
+    projections.put(channel, projection);
   }
 }
--- a/channels/src/main/java/tillerlink/channels/journal/EventStore.java
+++ b/channels/src/main/java/tillerlink/channels/journal/EventStore.java
@@ -11,12 +11,12 @@
 import tillerlink.messages.channels.Span;
 
 /**
- * The events that are held in memory, and the sets of those that are held, stable and provisional.
- * The sets cover compacted events too.
+ * The events in memory, and the sets of known, stable and provisional events. An event is known if
+ * this gateway has it or has compacted it; the known and stable sets include compacted events.
  */
 final class EventStore {
   private final TreeMap<Long, TreeMap<Long, Entry>> entries = new TreeMap<>();
-  private final EventSet held = new EventSet();
+  private final EventSet known = new EventSet();
   private final EventSet stable = new EventSet();
   private final EventSet provisional = new EventSet();
   private final TreeSet<Entry> tail = new TreeSet<>(Entry.ORDER);
@@ -24,8 +24,8 @@
 
   // ---- reading ----
 
-  EventSet held() {
-    return held;
+  EventSet known() {
+    return known;
   }
 
   EventSet stable() {
@@ -40,58 +40,66 @@
     return tail;
   }
 
-  /** About what the events take in memory. */
+  /** Returns the approximate size of the events in memory, in bytes. */
   long bytes() {
     return bytes;
   }
 
   Entry entry(long incarnation, long sequence) {
-    TreeMap<Long, Entry> own = entries.get(incarnation);
-    return own == null ? null : own.get(sequence);
+    TreeMap<Long, Entry> bySequence = entries.get(incarnation);
+    return bySequence == null ? null : bySequence.get(sequence);
   }
 
-  /** The events of a span that are held and not compacted. */
+  /** Returns a live view of the events of a span that are in memory, that is, not compacted. */
   Collection<Entry> entries(Span span) {
-    TreeMap<Long, Entry> own = entries.get(span.incarnation());
-    return own == null ? List.of() : own.subMap(span.from(), true, span.to(), true).values();
+    TreeMap<Long, Entry> bySequence = entries.get(span.incarnation());
+    return bySequence == null
+        ? List.of()
+        : bySequence.subMap(span.from(), true, span.to(), true).values();
   }
 
-  /** Whether no other event is held in memory under the name of this one. */
-  boolean sameAsHeld(Entry entry) {
-    Entry here = entry(entry.incarnation(), entry.sequence());
-    return here == null || here.equals(entry);
+  /** Returns true unless a different event is in memory under the identifier of this one. */
+  boolean hasNoConflict(Entry entry) {
+    Entry existing = entry(entry.incarnation(), entry.sequence());
+    return existing == null || existing.equals(entry);
   }
 
   // ---- changes ----
 
-  /** Adds a provisional event; false if it is held already, or was and is compacted. */
+  /**
+   * Adds a provisional event.
+   *
+   * @return false if the event is known already, compacted ones included
+   */
   boolean put(Entry entry) {
-    if (held.has(entry.incarnation(), entry.sequence())) {
-      Invariant.holds(sameAsHeld(entry), () -> "two events are called " + entry.dot().text());
+    if (known.has(entry.incarnation(), entry.sequence())) {
+      Invariant.holds(
+          hasNoConflict(entry), () -> "two different events have identifier " + entry.dot().text());
       return false;
     }
     entries
-        .computeIfAbsent(entry.incarnation(), any -> new TreeMap<>())
+        .computeIfAbsent(entry.incarnation(), incarnation -> new TreeMap<>())
         .put(entry.sequence(), entry);
-    held.add(entry.incarnation(), entry.sequence());
+    known.add(entry.incarnation(), entry.sequence());
     provisional.add(entry.incarnation(), entry.sequence());
     tail.add(entry);
     bytes += entry.weight();
     return true;
   }
 
-  /** Makes the events of a span stable, and returns them. */
+  /** Marks the events of a span as stable and returns those that are in memory. */
   Collection<Entry> makeStable(Span span) {
     stable.add(span);
     provisional.remove(span);
     return entries(span);
   }
 
+  /** Removes an event from the provisional tail. */
   void removeFromTail(Entry entry) {
     tail.remove(entry);
   }
 
-  /** Removes the events of a span from memory, and adds them to {@code removed}. */
+  /** Removes the events of a span from memory and appends them to {@code removed}. */
   void compact(Span span, List<Entry> removed) {
     for (Entry entry : List.copyOf(entries(span))) {
       entries.get(span.incarnation()).remove(entry.sequence());
@@ -100,42 +108,43 @@
     }
   }
 
-  /** Forgets the incarnations that have no events in memory any more. */
-  void trim() {
+  /** Removes the index of each incarnation that has no events in memory any more. */
+  void removeEmptyIncarnations() {
     entries.values().removeIf(TreeMap::isEmpty);
   }
 
-  /** The events in memory that are not in a set, in their order. */
+  /** Returns the events in memory that are not in a set, in the order of their stamps. */
   List<Entry> without(EventSet covered) {
-    List<Entry> rest = new ArrayList<>();
-    for (TreeMap<Long, Entry> own : entries.values()) {
-      for (Entry entry : own.values()) {
+    List<Entry> remaining = new ArrayList<>();
+    for (TreeMap<Long, Entry> bySequence : entries.values()) {
+      for (Entry entry : bySequence.values()) {
         if (!covered.has(entry.incarnation(), entry.sequence())) {
-          rest.add(entry);
+          remaining.add(entry);
         }
       }
     }
-    rest.sort(Entry.ORDER);
-    return rest;
+    remaining.sort(Entry.ORDER);
+    return remaining;
   }
 
-  /** Removes all events, and starts from compacted ones, which are held and stable. */
+  /** Replaces all events by compacted ones, which become known and stable. */
   void restart(List<Span> compacted) {
     entries.clear();
     tail.clear();
-    held.clear();
+    known.clear();
     stable.clear();
     provisional.clear();
     bytes = 0;
     for (Span span : compacted) {
-      held.add(span);
+      known.add(span);
       stable.add(span);
     }
   }
 
-  void checkCovered() {
+  /** Checks that each known event is either stable or provisional, by the sizes of the sets. */
+  void checkSizes() {
     Invariant.holds(
-        held.size() == stable.size() + provisional.size(),
-        () -> "the vectors do not cover what is held");
+        known.size() == stable.size() + provisional.size(),
+        () -> "stable and provisional events do not add up to the known events");
   }
 }
--- a/channels/src/main/java/tillerlink/channels/journal/Journal.java
+++ b/channels/src/main/java/tillerlink/channels/journal/Journal.java
@@ -16,18 +16,31 @@
 import tillerlink.messages.channels.Span;
 
 /**
- * The events that are held, and their order: cut by cut as decided, within a cut and after the last
- * one by stamp. What is read of it is a function of the set of events and of the cuts alone. No
- * I/O; used by the gateway's event loop only.
+ * The events known to this gateway and their order. Stable events are ordered by decided cut and,
+ * within a cut, by stamp; provisional events follow in the order of their stamps. The logs depend
+ * on the set of events and the cuts alone. The journal does no I/O, and only the gateway's event
+ * loop uses it.
+ *
+ * <p>An event is known if this gateway has it in memory or has compacted it.
  */
 public final class Journal {
-  /** Decided cuts beyond this are not taken until earlier ones are compacted. */
+  /**
+   * The bound on the decided cuts that are not compacted. Beyond it further cuts are not accepted
+   * until earlier ones are compacted.
+   */
   private static final int MAX_CUTS = 100_000;
 
   private static final long DIGEST_FACTOR = 31;
   private static final long DIGEST_INCARNATION_FACTOR = 7;
 
-  /** The end of what is compacted. */
+  /**
+   * The state at the end of the compacted slots.
+   *
+   * @param slot the last compacted slot
+   * @param upTo the upper bound of its cut, a stamp of the hybrid logical clock
+   * @param digest the digest of all stable events up to it
+   * @param voters the gateways that decide on the next slot
+   */
   private record Base(long slot, long upTo, long digest, List<String> voters) {}
 
   private final EventStore events = new EventStore();
@@ -43,7 +56,7 @@
   private List<String> voters;
 
   /**
-   * Makes an empty journal.
+   * Creates an empty journal.
    *
    * @param founders the gateways that decide on the first slot
    */
@@ -57,7 +70,7 @@
   /**
    * Adds a provisional event.
    *
-   * @return false if it is held already, or was and is compacted
+   * @return false if the event is known already, compacted ones included
    */
   public boolean put(Entry entry) {
     if (!events.put(entry)) {
@@ -67,17 +80,17 @@
     return true;
   }
 
-  /** Whether no other event is held in memory under the name of this one. */
+  /** Returns true unless a different event is in memory under the identifier of this one. */
   public boolean sameAsHeld(Entry entry) {
-    return events.sameAsHeld(entry);
+    return events.hasNoConflict(entry);
   }
 
-  /** Returns an event; null if it is not held, or is compacted. */
+  /** Returns an event; null if it is unknown or compacted. */
   public Entry entry(long incarnation, long sequence) {
     return events.entry(incarnation, sequence);
   }
 
-  /** Returns the events of a span that are held and not compacted; a live view. */
+  /** Returns a live view of the events of a span that are known and not compacted. */
   public Collection<Entry> entries(Span span) {
     return events.entries(span);
   }
@@ -90,15 +103,17 @@
   // ---- decided cuts ----
 
   /**
-   * Takes a decided cut.
+   * Adds a decided cut.
    *
-   * @return false if it is known, or is not the next one
+   * @return false if the cut is not added: it is known already, its slot does not follow the last
+   *     decided one, or too many cuts are not compacted
    */
   public boolean learn(Cut cut) {
     if (cut.slot() != decided + 1 || decided - base.slot > MAX_CUTS) {
-      Cut known = cuts.get(cut.slot());
+      Cut existing = cuts.get(cut.slot());
       Invariant.holds(
-          known == null || known.equals(cut), () -> "two steps are number " + cut.slot());
+          existing == null || existing.equals(cut),
+          () -> "two different cuts are decided for slot " + cut.slot());
       return false;
     }
     cuts.put(cut.slot(), cut);
@@ -106,7 +121,7 @@
     return true;
   }
 
-  /** Applies the decided cuts whose events are all held, up to the first whose are not. */
+  /** Applies the decided cuts in order, up to the first one with an unknown event. */
   public void apply() {
     Cut next = cuts.get(applied + 1);
     while (next != null && isHeld(next)) {
@@ -115,17 +130,20 @@
     }
   }
 
-  /** Whether all events of a cut are held. */
+  /** Returns true if all events of a cut are known. */
   public boolean isHeld(Cut cut) {
     for (Span span : cut.spans()) {
-      if (!events.held().hasAll(span)) {
+      if (!events.known().hasAll(span)) {
         return false;
       }
     }
     return true;
   }
 
-  /** Whether a cut may come next: none of its events is stable, and its bound does not fall. */
+  /**
+   * Returns true if a cut is valid as the next one to apply: its slot follows the last applied one,
+   * its events are not stable yet, and its upper bound is not below that of the last applied cut.
+   */
   public boolean isNext(Cut cut) {
     List<Span> provisional = new ArrayList<>();
     long size = 0;
@@ -138,7 +156,9 @@
   }
 
   private void apply(Cut cut) {
-    Invariant.holds(isNext(cut), () -> "step " + cut.slot() + " does not follow " + applied);
+    Invariant.holds(
+        isNext(cut),
+        () -> "cut of slot " + cut.slot() + " is not a valid successor of slot " + applied);
     List<Entry> ordered = new ArrayList<>();
     for (Span span : cut.spans()) {
       ordered.addAll(events.makeStable(span));
@@ -158,10 +178,14 @@
     upTo = cut.upTo();
     voters = cut.voters();
     digests.put(applied, digest);
-    events.checkCovered();
+    events.checkSizes();
   }
 
-  /** Returns the digest of all stable events up to a slot; null if it is not known. */
+  /**
+   * Returns the digest of all stable events up to a slot.
+   *
+   * @return the digest; null if the slot is not applied, or lies before the last compacted one
+   */
   public Long digest(long slot) {
     return slot == base.slot ? Long.valueOf(base.digest) : digests.get(slot);
   }
@@ -169,9 +193,9 @@
   // ---- compaction ----
 
   /**
-   * Compacts the log up to a slot, or to the last applied one.
+   * Compacts the log up to a slot, at most up to the last applied one.
    *
-   * @return the events that were removed
+   * @return the events that were removed from memory
    */
   public List<Entry> compact(long slot) {
     List<Entry> removed = new ArrayList<>();
@@ -184,44 +208,47 @@
       }
       base = new Base(next, cut.upTo(), digests.remove(next), cut.voters());
     }
-    events.trim();
+    events.removeEmptyIncarnations();
     for (ChannelLog log : logs.values()) {
       log.compact(log.upTo(base.slot));
     }
     return removed;
   }
 
-  /** Returns the state of all that is compacted. */
+  /** Returns the compacted state, which covers all compacted events. */
   public CompactedState sum() {
-    Map<String, CueProjection> books = new TreeMap<>();
+    Map<String, CueProjection> projections = new TreeMap<>();
     logs.forEach(
         (name, log) -> {
           if (log.base().count() > 0) {
-            books.put(name, log.base());
+            projections.put(name, log.base());
           }
         });
     return new CompactedState(
-        base.slot, base.upTo, base.digest, base.voters, compacted.spans(), books);
+        base.slot, base.upTo, base.digest, base.voters, compacted.spans(), projections);
   }
 
   /**
-   * Starts from compacted state; events that are not in it are to be put again afterwards.
+   * Replaces the contents by compacted state. The caller has to put the returned events again
+   * afterwards.
    *
-   * @param state becomes the base
-   * @param copy the same state read a second time, for the events that follow it
-   * @return the events that were held and are not in the state, in their order
+   * @param state the state that becomes the base
+   * @param copy the same state decoded a second time, to which the events that follow are applied
+   * @return the events that were in memory and are not in the state, in the order of their stamps
    */
   public List<Entry> startFrom(CompactedState state, CompactedState copy) {
-    Invariant.holds(state.slot() >= base.slot, () -> "a sum that is older than the own one");
+    Invariant.holds(
+        state.slot() >= base.slot, () -> "compacted state is older than the journal's own");
     EventSet covered = new EventSet();
     state.spans().forEach(covered::add);
-    List<Entry> rest = events.without(covered);
+    List<Entry> remaining = events.without(covered);
     events.restart(state.spans());
     logs.clear();
     state
-        .books()
+        .projections()
         .forEach(
-            (name, book) -> logs.put(name, new ChannelLog(name, book, copy.books().get(name))));
+            (name, projection) ->
+                logs.put(name, new ChannelLog(name, projection, copy.projections().get(name))));
     digests.clear();
     compacted = covered;
     base = new Base(state.slot(), state.upTo(), state.digest(), state.voters());
@@ -229,11 +256,11 @@
     upTo = base.upTo;
     digest = base.digest;
     voters = base.voters;
-    keepCutsAfterBase();
-    return rest;
+    removeCompactedCuts();
+    return remaining;
   }
 
-  private void keepCutsAfterBase() {
+  private void removeCompactedCuts() {
     cuts.headMap(base.slot, true).clear();
     if (!cuts.isEmpty() && cuts.firstKey() != base.slot + 1) {
       cuts.clear();
@@ -243,37 +270,37 @@
 
   // ---- reading ----
 
-  /** Returns the events that are held, compacted ones included. */
+  /** Returns the set of known events, including compacted ones. */
   public EventSet held() {
-    return events.held();
+    return events.known();
   }
 
-  /** Returns the stable events, compacted ones included. */
+  /** Returns the set of stable events, including compacted ones. */
   public EventSet stable() {
     return events.stable();
   }
 
-  /** Returns the events that are held and provisional. */
+  /** Returns the set of known events that are provisional. */
   public EventSet provisional() {
     return events.provisional();
   }
 
-  /** Returns the provisional events, in the order of their stamps; a live view. */
+  /** Returns a live view of the provisional events, in the order of their stamps. */
   public SortedSet<Entry> tail() {
     return Collections.unmodifiableSortedSet(events.tail());
   }
 
-  /** Returns the logs of the channels, by name; a live view. */
+  /** Returns a live view of the logs of the channels, by channel name. */
   public NavigableMap<String, ChannelLog> logs() {
     return Collections.unmodifiableNavigableMap(logs);
   }
 
-  /** Returns the decided cuts that are not compacted, by slot; a live view. */
+  /** Returns a live view of the decided cuts that are not compacted, by slot. */
   public NavigableMap<Long, Cut> cuts() {
     return Collections.unmodifiableNavigableMap(cuts);
   }
 
-  /** Returns the slot up to which the log is compacted. */
+  /** Returns the slot up to which the log is compacted; 0 if no slot is. */
   public long base() {
     return base.slot;
   }
@@ -283,7 +310,7 @@
     return applied;
   }
 
-  /** Returns the last slot whose cut is known. */
+  /** Returns the last slot whose decided cut is known. */
   public long decided() {
     return decided;
   }
@@ -298,12 +325,12 @@
     return digest;
   }
 
-  /** Returns about the bytes that the events take in memory. */
+  /** Returns the approximate size of the events in memory, in bytes. */
   public long bytes() {
     return events.bytes();
   }
 
-  /** Returns the gateways that decide on the slot after the last that is known. */
+  /** Returns the gateways that decide on the slot after the last decided one. */
   public List<String> voters() {
     return decided == applied ? voters : cuts.get(decided).voters();
   }
--- a/channels/src/test/java/tillerlink/channels/InjectedFaultsTest.java
+++ b/channels/src/test/java/tillerlink/channels/InjectedFaultsTest.java
@@ -104,7 +104,7 @@
   @Test
   void oneIncarnationOfTwoProcessesIsCaught() {
     assertEquals(
-        "invariant broken: two events are called ID",
+        "invariant broken: two different events have identifier ID",
         caught(
             history -> {
               RandomGenerator same = new SplittableRandom(1);
@@ -138,7 +138,7 @@
   @Test
   void anEventSetWithoutAHeldEventIsCaught() {
     assertEquals(
-        "invariant broken: the vectors do not cover what is held",
+        "invariant broken: stable and provisional events do not add up to the known events",
         caught(
             each(
                 channels -> {
--- a/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
+++ b/channels/src/test/java/tillerlink/channels/recovery/ChannelJournalFormatGuardTest.java
@@ -34,22 +34,23 @@
 import tillerlink.messages.channels.Span;
 
 /**
- * Guards what a gateway keeps of its channels: events, agreed steps, promises, its incarnation and
- * the sum, by name and by value. What an earlier release kept must be found again, and written
- * again as it was.
+ * Guards the stored format of a gateway's channels, keys and values alike: events, decided cuts,
+ * the acceptor's state, the incarnation and the compacted state. Data stored by an earlier release
+ * must be readable, and encoding it again must give the same bytes; otherwise a gateway would lose
+ * its channels on an upgrade.
  */
 class ChannelJournalFormatGuardTest {
-  private static final String EVENTS = "channel-journal.hex";
-  private static final String SUMMED = "channel-journal-summed.hex";
+  private static final String NOT_COMPACTED = "channel-journal.hex";
+  private static final String COMPACTED = "channel-journal-summed.hex";
   private static final List<String> VOTERS = List.of("n1", "n2", "s1");
   private static final long ONE = 0x1234567890L;
   private static final long OTHER = 0x22L;
 
-  /** A table in memory that keeps at once. */
-  private static final class MapKeep implements KeyValueStore {
+  /** An in-memory key-value store, in which each change is durable at once. */
+  private static final class InMemoryStore implements KeyValueStore {
     final NavigableMap<String, byte[]> values;
 
-    MapKeep(Map<String, byte[]> values) {
+    InMemoryStore(Map<String, byte[]> values) {
       this.values = new TreeMap<>(values);
     }
 
@@ -59,14 +60,14 @@
     }
 
     @Override
-    public boolean set(String name, byte[] value, Runnable kept) {
+    public boolean set(String key, byte[] value, Runnable onDurable) {
       if (value == null) {
-        values.remove(name);
+        values.remove(key);
       } else {
-        values.put(name, value);
+        values.put(key, value);
       }
-      if (kept != null) {
-        kept.run();
+      if (onDurable != null) {
+        onDurable.run();
       }
       return true;
     }
@@ -124,44 +125,48 @@
             2, stamp(5), List.of(new Span(ONE, 4, 4), new Span(OTHER, 2, 3)), List.of("n1", "s1")));
   }
 
-  private static AcceptorState voting() throws Exception {
-    AcceptorState voting = new AcceptorState(null);
-    voting.started("n2", 0x33);
-    voting.started("s1", OTHER);
-    voting.accept(new Ballot(300, "n1"), cuts().get(1));
-    voting.promise(new Ballot(301, "s1"));
-    return voting;
+  private static AcceptorState acceptorState() throws Exception {
+    AcceptorState acceptor = new AcceptorState(null);
+    acceptor.started("n2", 0x33);
+    acceptor.started("s1", OTHER);
+    acceptor.accept(new Ballot(300, "n1"), cuts().get(1));
+    acceptor.promise(new Ballot(301, "s1"));
+    return acceptor;
   }
 
-  /** What a gateway keeps that has put nothing into a sum yet. */
-  static Map<String, byte[]> writtenEvents() throws Exception {
-    MapKeep keep = new MapKeep(Map.of());
-    Store store = new Store(keep);
+  /** Returns the entries that a gateway stores before its first compaction. */
+  static Map<String, byte[]> entriesBeforeCompaction() throws Exception {
+    InMemoryStore storage = new InMemoryStore(Map.of());
+    Store store = new Store(storage);
     store.incarnation(ONE);
     events().forEach(entry -> store.entry(entry, null));
     cuts().forEach(store::cut);
-    store.voting(voting().bytes(), null);
+    store.voting(acceptorState().bytes(), null);
     assertEquals(0, store.failures());
-    return keep.values;
+    return storage.values;
   }
 
-  /** What it keeps once the first step is in a sum; then, the second. */
-  static Map<String, byte[]> writtenSums(int steps) throws Exception {
-    MapKeep keep = new MapKeep(writtenEvents());
-    Store store = new Store(keep);
+  /**
+   * Returns the entries that a gateway stores after it compacted the first slots, one at a time.
+   *
+   * @param slots the number of compacted slots
+   */
+  static Map<String, byte[]> entriesAfterCompaction(int slots) throws Exception {
+    InMemoryStore storage = new InMemoryStore(entriesBeforeCompaction());
+    Store store = new Store(storage);
     Journal journal = new Journal(VOTERS);
     store.load(journal);
-    for (int step = 1; step <= steps; step++) {
-      List<Entry> gone = journal.compact(step);
-      store.sum(journal.sum().bytes(), step, step - 1, gone, step);
+    for (int slot = 1; slot <= slots; slot++) {
+      List<Entry> removed = journal.compact(slot);
+      store.sum(journal.sum().bytes(), slot, slot - 1, removed, slot);
     }
-    return keep.values;
+    return storage.values;
   }
 
-  static Map<String, byte[]> writtenSummed() throws Exception {
+  static Map<String, byte[]> entriesAfterEachCompaction() throws Exception {
     Map<String, byte[]> all = new LinkedHashMap<>();
-    writtenSums(1).forEach((name, value) -> all.put("1:" + name, value));
-    writtenSums(2).forEach((name, value) -> all.put("2:" + name, value));
+    entriesAfterCompaction(1).forEach((name, value) -> all.put("1:" + name, value));
+    entriesAfterCompaction(2).forEach((name, value) -> all.put("2:" + name, value));
     return all;
   }
 
@@ -181,71 +186,71 @@
     return values;
   }
 
-  private static MapKeep summed(int steps) throws IOException {
+  private static InMemoryStore compactedStore(int slots) throws IOException {
     Map<String, byte[]> values = new TreeMap<>();
-    read(SUMMED)
+    read(COMPACTED)
         .forEach(
             (name, value) -> {
-              if (name.startsWith(steps + ":")) {
+              if (name.startsWith(slots + ":")) {
                 values.put(name.substring(2), value);
               }
             });
-    return new MapKeep(values);
+    return new InMemoryStore(values);
   }
 
-  /** The values as lines of a name, a space and hex digits. */
+  /** Formats entries as lines that consist of the key, a space and the value in hex digits. */
   static String text(Map<String, byte[]> values) {
     return values.entrySet().stream()
-        .map(each -> each.getKey() + " " + HexFormat.of().formatHex(each.getValue()) + "\n")
+        .map(entry -> entry.getKey() + " " + HexFormat.of().formatHex(entry.getValue()) + "\n")
         .collect(Collectors.joining());
   }
 
-  private static Journal loaded(MapKeep keep) {
+  private static Journal loadJournal(InMemoryStore storage) {
     Journal journal = new Journal(VOTERS);
-    Store store = new Store(keep);
+    Store store = new Store(storage);
     store.load(journal);
     assertEquals(0, store.unreadable());
     return journal;
   }
 
   @Test
-  void aGatewaysValuesAreWrittenAsBefore() throws Exception {
-    assertEquals(text(read(EVENTS)), text(writtenEvents()));
-    assertEquals(text(read(SUMMED)), text(writtenSummed()));
+  void entriesAreEncodedAsInTheStoredFormat() throws Exception {
+    assertEquals(text(read(NOT_COMPACTED)), text(entriesBeforeCompaction()));
+    assertEquals(text(read(COMPACTED)), text(entriesAfterEachCompaction()));
   }
 
   @Test
-  void everyEventAndStepIsFound() throws Exception {
-    Map<String, byte[]> kept = read(EVENTS);
+  void storedEventsAndCutsAreDecoded() throws Exception {
+    Map<String, byte[]> stored = read(NOT_COMPACTED);
     for (Entry entry : events()) {
       String name = String.format("e/%016x/%016x", entry.incarnation(), entry.sequence());
-      assertEquals(entry, EntryCodec.entry(kept.get(name)));
+      assertEquals(entry, EntryCodec.entry(stored.get(name)));
     }
     for (Cut cut : cuts()) {
       String name = String.format("k/%016x", cut.slot());
-      assertEquals(cut, EntryCodec.cut(new FieldReader(kept.get(name))));
+      assertEquals(cut, EntryCodec.cut(new FieldReader(stored.get(name))));
     }
-    Store store = new Store(new MapKeep(kept));
+    Store store = new Store(new InMemoryStore(stored));
     assertEquals(ONE, store.foundIncarnation());
     assertEquals(
         List.of(Kind.values()), events().stream().map(Entry::kind).distinct().sorted().toList());
   }
 
   @Test
-  void thePromisesAreFound() throws Exception {
-    byte[] kept = new Store(new MapKeep(read(EVENTS))).foundVoting();
-    AcceptorState voting = new AcceptorState(kept);
-    assertTrue(voting.knows());
-    assertEquals(new Ballot(301, "s1"), voting.promised());
-    assertEquals(new Ballot(300, "n1"), voting.acceptedIn());
-    assertEquals(cuts().get(1), voting.accepted());
-    assertEquals(Map.of("n2", 0x33L, "s1", OTHER), voting.lives());
-    assertArrayEquals(kept, voting.bytes());
+  void theStoredAcceptorStateIsDecoded() throws Exception {
+    byte[] stored = new Store(new InMemoryStore(read(NOT_COMPACTED))).foundVoting();
+    AcceptorState acceptor = new AcceptorState(stored);
+    assertTrue(acceptor.knows());
+    assertEquals(new Ballot(301, "s1"), acceptor.promised());
+    assertEquals(new Ballot(300, "n1"), acceptor.acceptedIn());
+    assertEquals(cuts().get(1), acceptor.accepted());
+    assertEquals(Map.of("n2", 0x33L, "s1", OTHER), acceptor.lives());
+    assertArrayEquals(stored, acceptor.bytes());
   }
 
   @Test
-  void theJournalIsFoundWithItsOrder() throws Exception {
-    Journal journal = loaded(new MapKeep(read(EVENTS)));
+  void theStoredJournalIsLoadedInItsOrder() throws Exception {
+    Journal journal = loadJournal(new InMemoryStore(read(NOT_COMPACTED)));
     assertEquals(2, journal.applied());
     assertEquals(stamp(5), journal.upTo());
     assertEquals(List.of("n1", "s1"), journal.voters());
@@ -254,15 +259,15 @@
     ChannelLog tv = journal.logs().get("tv");
     List<String> order = new ArrayList<>();
     for (long i = tv.first(); i < tv.stableCount(); i++) {
-      OrderedEvent placed = tv.stable(i);
+      OrderedEvent event = tv.stable(i);
       order.add(
-          placed.entry().gateway()
+          event.entry().gateway()
               + "-"
-              + placed.entry().sequence()
+              + event.entry().sequence()
               + "@"
-              + placed.slot()
-              + (placed.late() ? " late" : "")
-              + (placed.repeat() ? " repeat" : ""));
+              + event.slot()
+              + (event.late() ? " late" : "")
+              + (event.repeat() ? " repeat" : ""));
     }
     assertEquals(
         List.of("n1-1@1", "s1-1@1", "n1-2@1", "n1-3@1", "s1-3@2 late repeat", "s1-2@2"), order);
@@ -270,36 +275,36 @@
   }
 
   @Test
-  void theSumsAreFound() throws Exception {
-    Journal whole = loaded(new MapKeep(read(EVENTS)));
-    for (int steps = 1; steps <= 2; steps++) {
-      MapKeep keep = summed(steps);
-      byte[] kept = keep.values.get(String.format("s/%016x/%016x", steps, 0));
-      CompactedState sum = CompactedState.read(kept);
-      assertArrayEquals(kept, sum.bytes());
-      assertEquals(steps, sum.slot());
-      assertEquals(cuts().get(steps - 1).upTo(), sum.upTo());
-      assertEquals(cuts().get(steps - 1).voters(), sum.voters());
-      assertEquals(whole.digest(steps).longValue(), sum.digest());
-      Journal journal = loaded(keep);
-      assertEquals(steps, journal.base());
+  void storedCompactedStatesAreDecoded() throws Exception {
+    Journal uncompacted = loadJournal(new InMemoryStore(read(NOT_COMPACTED)));
+    for (int slots = 1; slots <= 2; slots++) {
+      InMemoryStore storage = compactedStore(slots);
+      byte[] stored = storage.values.get(String.format("s/%016x/%016x", slots, 0));
+      CompactedState state = CompactedState.read(stored);
+      assertArrayEquals(stored, state.bytes());
+      assertEquals(slots, state.slot());
+      assertEquals(cuts().get(slots - 1).upTo(), state.upTo());
+      assertEquals(cuts().get(slots - 1).voters(), state.voters());
+      assertEquals(uncompacted.digest(slots).longValue(), state.digest());
+      Journal journal = loadJournal(storage);
+      assertEquals(slots, journal.base());
       assertEquals(2, journal.applied());
-      assertEquals(whole.digest(), journal.digest());
-      assertEquals(whole.upTo(), journal.upTo());
-      assertEquals(whole.voters(), journal.voters());
-      assertEquals(whole.logs().keySet(), journal.logs().keySet());
-      assertArrayEquals(kept, journal.sum().bytes());
+      assertEquals(uncompacted.digest(), journal.digest());
+      assertEquals(uncompacted.upTo(), journal.upTo());
+      assertEquals(uncompacted.voters(), journal.voters());
+      assertEquals(uncompacted.logs().keySet(), journal.logs().keySet());
+      assertArrayEquals(stored, journal.sum().bytes());
     }
   }
 
   @Test
-  void theCuesAndKeysInTheSumAreFound() throws Exception {
-    byte[] kept = summed(2).values.get(String.format("s/%016x/%016x", 2, 0));
-    Map<String, CueProjection> books = CompactedState.read(kept).books();
-    CueProjection tv = books.get("tv");
-    assertEquals(List.of("radio", "tv"), List.copyOf(books.keySet()));
+  void theCuesAndKeysInCompactedStateAreDecoded() throws Exception {
+    byte[] stored = compactedStore(2).values.get(String.format("s/%016x/%016x", 2, 0));
+    Map<String, CueProjection> projections = CompactedState.read(stored).projections();
+    CueProjection tv = projections.get("tv");
+    assertEquals(List.of("radio", "tv"), List.copyOf(projections.keySet()));
     assertEquals(6, tv.count());
-    assertEquals(1, books.get("radio").count());
+    assertEquals(1, projections.get("radio").count());
     assertEquals(events().get(0).dot(), tv.key("key-1"));
     assertEquals(events().get(1).dot(), tv.key("key-2"));
     assertEquals(events().get(5).dot(), tv.key("key-3"));
@@ -332,7 +337,7 @@
   }
 
   @Test
-  void flagsThatAreKeptByNumberHaveTheirOrder() {
+  void flagsKeepTheOrderInWhichTheyAreNumbered() {
     assertEquals(
         List.of(
             Flag.CONCURRENT,
