--- a/channels/src/test/java/tillerlink/channels/CueRulesTest.java
+++ b/channels/src/test/java/tillerlink/channels/CueRulesTest.java
@@ -9,35 +9,36 @@
 import tillerlink.messages.channels.Kind;
 
 /**
- * The table of docs/channels-design.md: two sites write on one cue while they are cut off from each
- * other.
+ * Tests how concurrent events on one cue are resolved. Two sites write on the cue while a network
+ * partition separates them; after it all gateways must show the same text, state and flags. The
+ * expected results are those of the table in docs/channels-design.md.
  */
 class CueRulesTest {
   private final Fleet fleet =
       new Fleet(5, List.of("n1", "s1", "w1"), ChannelLogConfig.of(List.of("n1", "s1", "w1")));
 
-  private String play(Runnable apart) {
+  private String runPartitioned(Runnable duringPartition) {
     fleet.startAll();
     fleet.net.playFor(Fleet.SECOND);
     write("n1", Kind.CUE, "one");
     fleet.net.playFor(3 * Fleet.SECOND);
     fleet.cut(List.of("s1"));
-    apart.run();
+    duringPartition.run();
     fleet.net.heal();
     fleet.net.playFor(10 * Fleet.SECOND);
     return agreedCue();
   }
 
-  /** The cue as all three gateways show it once all is stable. */
+  /** Returns the description of the cue, which must be equal at all three gateways. */
   private String agreedCue() {
     fleet.assertAuditPasses();
-    String cue = shown("n1");
-    assertEquals(cue, shown("s1"));
-    assertEquals(cue, shown("w1"));
+    String cue = describeCue("n1");
+    assertEquals(cue, describeCue("s1"));
+    assertEquals(cue, describeCue("w1"));
     return cue;
   }
 
-  private String shown(String gateway) {
+  private String describeCue(String gateway) {
     Cue cue = fleet.running.get(gateway).cues("news").get(0);
     return "'"
         + cue.text()
@@ -53,22 +54,22 @@
     write(gateway, kind, text, 0);
   }
 
-  private void write(String gateway, Kind kind, String text, long airsIn) {
-    long airs = kind == Kind.AIR ? fleet.net.wall(gateway) / 10 + airsIn : 0;
-    fleet.append(gateway, "news", new AppendRequest(kind, "c", text, airs, "", null));
+  private void write(String gateway, Kind kind, String text, long airsInMillis) {
+    long airsAt = kind == Kind.AIR ? fleet.net.wall(gateway) / 10 + airsInMillis : 0;
+    fleet.append(gateway, "news", new AppendRequest(kind, "c", text, airsAt, "", null));
     fleet.net.playFor(1000);
   }
 
   @Test
-  void aCorrectionReplacesWhatItsWriterSaw() {
-    assertEquals("'two' of [two] []", play(() -> write("n1", Kind.CORRECTION, "two")));
+  void aCorrectionReplacesTheTextItsWriterHadSeen() {
+    assertEquals("'two' of [two] []", runPartitioned(() -> write("n1", Kind.CORRECTION, "two")));
   }
 
   @Test
-  void ofConcurrentCorrectionsTheLaterStandsAndBothAreKept() {
+  void theLaterOfConcurrentCorrectionsIsInEffectAndBothAreStored() {
     assertEquals(
         "'south' of [north, south] [CONCURRENT]",
-        play(
+        runPartitioned(
             () -> {
               write("n1", Kind.CORRECTION, "north");
               write("s1", Kind.CORRECTION, "south");
@@ -76,8 +77,8 @@
   }
 
   @Test
-  void aCorrectionThatSawBothTextsReplacesThem() {
-    play(
+  void aCorrectionReplacesBothTextsIfItsWriterHadSeenThem() {
+    runPartitioned(
         () -> {
           write("n1", Kind.CORRECTION, "north");
           write("s1", Kind.CORRECTION, "south");
@@ -88,10 +89,10 @@
   }
 
   @Test
-  void aRetractionStandsOverAConcurrentCorrection() {
+  void aRetractionOverridesAConcurrentCorrection() {
     assertEquals(
         "'' of [north] retracted [RETRACTED_UNSEEN]",
-        play(
+        runPartitioned(
             () -> {
               write("n1", Kind.CORRECTION, "north");
               write("s1", Kind.RETRACTION, "");
@@ -99,10 +100,10 @@
   }
 
   @Test
-  void aRetractionStandsOverAConcurrentCorrectionThatIsLaterInTheOrder() {
+  void aRetractionOverridesAConcurrentCorrectionThatIsLaterInTheLog() {
     assertEquals(
         "'' of [north] retracted [RETRACTED_UNSEEN]",
-        play(
+        runPartitioned(
             () -> {
               write("s1", Kind.RETRACTION, "");
               write("n1", Kind.CORRECTION, "north");
@@ -110,10 +111,10 @@
   }
 
   @Test
-  void aCorrectionOfWhatIsKnownToBeRetractedChangesNothing() {
+  void aCorrectionHasNoEffectIfItsWriterHadSeenTheRetraction() {
     assertEquals(
         "'' of [] retracted [CORRECTED_RETRACTED]",
-        play(
+        runPartitioned(
             () -> {
               write("n1", Kind.RETRACTION, "");
               write("n1", Kind.CORRECTION, "two");
@@ -121,33 +122,33 @@
   }
 
   @Test
-  void aNewCueAfterTheRetractionStartsAnew() {
+  void aNewCueWrittenAfterTheRetractionReplacesTheRetractedOne() {
     assertEquals(
-        "'anew' of [anew] []",
-        play(
+        "'new' of [new] []",
+        runPartitioned(
             () -> {
               write("n1", Kind.RETRACTION, "");
-              write("n1", Kind.CUE, "anew");
+              write("n1", Kind.CUE, "new");
             }));
   }
 
   @Test
-  void aNewCueThatSawOnlyOneOfTwoRetractionsStaysRetracted() {
+  void aNewCueStaysRetractedIfItsWriterHadSeenOnlyOneOfTwoRetractions() {
     assertEquals(
-        "'' of [anew] retracted [RETRACTED_UNSEEN]",
-        play(
+        "'' of [new] retracted [RETRACTED_UNSEEN]",
+        runPartitioned(
             () -> {
               write("n1", Kind.RETRACTION, "");
               write("s1", Kind.RETRACTION, "");
-              write("s1", Kind.CUE, "anew");
+              write("s1", Kind.CUE, "new");
             }));
   }
 
   @Test
-  void anEventWrittenAfterTheCueAiredChangesNothing() {
+  void anEventWrittenAfterTheCueAiredHasNoEffect() {
     assertEquals(
         "'one' of [one] airs [AFTER_AIR]",
-        play(
+        runPartitioned(
             () -> {
               write("n1", Kind.AIR, "", 300);
               fleet.net.playFor(Fleet.SECOND);
@@ -156,26 +157,26 @@
   }
 
   @Test
-  void anEventThatBecameStableAfterTheCueAiredChangesNothing() {
+  void anEventThatBecameStableAfterTheCueAiredHasNoEffect() {
     assertEquals(
         "'one' of [one] airs [AFTER_AIR]",
-        play(
+        runPartitioned(
             () -> {
               write("n1", Kind.AIR, "", 5000);
               write("s1", Kind.CORRECTION, "in time, but cut off");
               for (int i = 0; i < 50; i++) {
                 fleet.net.playFor(Fleet.SECOND);
                 fleet.append(
-                    "n1", "other", new AppendRequest(Kind.NOTE, "", "goes on", 0, "", null));
+                    "n1", "other", new AppendRequest(Kind.NOTE, "", "still running", 0, "", null));
               }
             }));
   }
 
   @Test
-  void anAirMarkWrittenAfterItsTimeCountsFromWhenItWasWritten() {
+  void anAirMarkWrittenAfterItsAirTimeTakesTheTimeOfWriting() {
     assertEquals(
         "'two' of [two] airs [AIR_PASSED]",
-        play(
+        runPartitioned(
             () -> {
               write("n1", Kind.CORRECTION, "two");
               write("n1", Kind.AIR, "", -60_000);
@@ -183,10 +184,10 @@
   }
 
   @Test
-  void ofConcurrentAirMarksTheEarlierTimeStands() {
+  void theEarlierOfConcurrentAirMarksIsInEffect() {
     assertEquals(
         "'one' of [one] airs [AIR_TWICE]",
-        play(
+        runPartitioned(
             () -> {
               write("n1", Kind.AIR, "", 400_000);
               write("s1", Kind.AIR, "", 500_000);
@@ -197,7 +198,7 @@
   void anAirMarkOfARetractedCueHasNoEffect() {
     assertEquals(
         "'' of [] retracted [AIR_OF_RETRACTED]",
-        play(
+        runPartitioned(
             () -> {
               write("n1", Kind.RETRACTION, "");
               write("n1", Kind.AIR, "", 1000);
@@ -205,7 +206,7 @@
   }
 
   @Test
-  void twoConcurrentCuesOfOneNameAreBothKept() {
+  void twoConcurrentCuesOfTheSameNameAreBothStored() {
     fleet.startAll();
     fleet.net.playFor(Fleet.SECOND);
     fleet.cut(List.of("s1"));
@@ -217,7 +218,7 @@
   }
 
   @Test
-  void aCorrectionOfNoCueIsKeptAndFlagged() {
+  void aCorrectionOfAnUnknownCueIsStoredAndFlagged() {
     fleet.startAll();
     write("n1", Kind.CORRECTION, "of nothing");
     fleet.net.playFor(5 * Fleet.SECOND);
@@ -225,7 +226,7 @@
   }
 
   @Test
-  void theSameKeyOnBothSidesOfAPartitionIsOneEventAndItsRepeat() {
+  void theSameKeyOnBothSidesOfAPartitionGivesOneEventAndOneRepeat() {
     fleet.startAll();
     fleet.net.playFor(Fleet.SECOND);
     fleet.cut(List.of("s1"));
@@ -237,12 +238,12 @@
     assertEquals("'once' of [once] []", agreedCue());
     Page page = fleet.running.get("s1").read("news", 0, Fleet.ALL);
     assertEquals(List.of(false, true), page.lines().stream().map(Page.Line::repeat).toList());
-    String[] again = new String[1];
+    String[] retryId = new String[1];
     fleet.append(
         "w1",
         "news",
         new AppendRequest(Kind.CUE, "c", "once", 0, "key", null),
-        dot -> again[0] = dot.text());
-    assertEquals(page.lines().get(0).entry().dot().text(), again[0]);
+        dot -> retryId[0] = dot.text());
+    assertEquals(page.lines().get(0).entry().dot().text(), retryId[0]);
   }
 }
--- a/channels/src/test/java/tillerlink/channels/Fleet.java
+++ b/channels/src/test/java/tillerlink/channels/Fleet.java
@@ -28,8 +28,9 @@
 import tillerlink.simulation.SimulatedFleet;
 
 /**
- * Gateways with channels in virtual time, and an audit from outside: it knows what was appended and
- * answered, and what readers of each gateway read over time, and nothing of what is inside.
+ * A harness that runs gateways with channels in virtual time and audits them as black boxes. The
+ * audit uses only the appends, their results, and what readers of each gateway read over time; it
+ * does not look at internal state.
  */
 final class Fleet {
   static final long SECOND = 10_000;
@@ -41,20 +42,26 @@
   final ChannelLogConfig config;
   final Map<String, Channels> running = new TreeMap<>();
   final Map<String, InMemoryKeyValueStore> disks = new HashMap<>();
-  final Map<String, NavigableMap<String, byte[]>> copies = new HashMap<>();
+  final Map<String, NavigableMap<String, byte[]>> diskCopies = new HashMap<>();
   final List<String> log = new ArrayList<>();
 
-  /** What was read as stable, by channel and place: whatever is read first holds for good. */
+  /**
+   * The first description of each event that was read as stable, by channel and index. A later read
+   * with another description is a violation, because stable events never change.
+   */
   final Map<String, TreeMap<Long, String>> stableRead = new TreeMap<>();
 
-  /** Answered events, by name: their content. */
-  final Map<String, String> answered = new TreeMap<>();
+  /** The contents of the successfully appended events, by identifier. */
+  final Map<String, String> appended = new TreeMap<>();
 
-  final Map<String, String> texts = new HashMap<>();
+  final Map<String, String> writers = new HashMap<>();
   final List<String> violations = new ArrayList<>();
   int refused;
 
-  /** Replaced where a test injects a fault. */
+  /**
+   * The configuration of each gateway, by name. This function and the two after it are replaced by
+   * tests that inject faults.
+   */
   Function<String, ChannelLogConfig> configOf;
 
   Function<String, RandomGenerator> randomOf;
@@ -102,7 +109,7 @@
     names.forEach(this::start);
   }
 
-  /** Starts a gateway on its disk, an empty one if it has none. */
+  /** Starts a gateway on its disk, or on an empty disk if it has not run before. */
   void start(String name) {
     InMemoryKeyValueStore before = disks.get(name);
     InMemoryKeyValueStore disk =
@@ -136,12 +143,12 @@
     }
   }
 
-  /** Between those of one side and all the rest nothing gets through. */
+  /** Cuts all links between the gateways of one side and all other gateways. */
   void cut(List<String> side) {
-    for (String one : side) {
+    for (String member : side) {
       for (String other : names) {
         if (!side.contains(other)) {
-          net.between(one, other, Fault.CUT);
+          net.between(member, other, Fault.CUT);
         }
       }
     }
@@ -151,7 +158,7 @@
     append(name, channel, request, dot -> {});
   }
 
-  void append(String name, String channel, AppendRequest request, Consumer<Dot> taken) {
+  void append(String name, String channel, AppendRequest request, Consumer<Dot> onAppended) {
     Channels channels = running.get(name);
     if (channels == null) {
       return;
@@ -163,16 +170,16 @@
         request,
         answer -> {
           if (answer instanceof AppendResult.Taken result && result.again()) {
-            taken.accept(result.id());
+            onAppended.accept(result.id());
           } else if (answer instanceof AppendResult.Taken result) {
             String content =
                 channel + " " + request.kind() + " " + request.cue() + " " + request.text();
-            String was = answered.put(result.id().text(), content);
-            if (was != null && !was.equals(content)) {
-              violations.add(result.id().text() + " stands for two contents");
+            String previous = appended.put(result.id().text(), content);
+            if (previous != null && !previous.equals(content)) {
+              violations.add(result.id().text() + " identifies two events with different contents");
             }
-            texts.put(result.id().text(), name);
-            taken.accept(result.id());
+            writers.put(result.id().text(), name);
+            onAppended.accept(result.id());
           } else {
             refused++;
           }
@@ -195,36 +202,38 @@
   }
 
   /**
-   * Reads all channels of one gateway, and compares what is stable with all that was read before.
+   * Reads all channels of one gateway and compares the stable events with those read before at any
+   * gateway. Does nothing if the gateway is down.
    */
-  void look(String name) {
+  void readAndCompare(String name) {
     Channels channels = running.get(name);
     if (channels == null) {
       return;
     }
     for (String channel : channels.names()) {
-      TreeMap<Long, String> known = stableRead.computeIfAbsent(channel, any -> new TreeMap<>());
+      TreeMap<Long, String> known =
+          stableRead.computeIfAbsent(channel, channelName -> new TreeMap<>());
       Page page = channels.read(channel, 0, ALL);
       for (Page.Line line : page.lines()) {
         String id = line.entry().dot().text();
-        String what =
+        String description =
             id + (line.late() ? " late " : " ") + (line.repeat() ? "repeat " : "") + content(line);
-        if (answered.containsKey(id) && !answered.get(id).equals(content(line))) {
-          violations.add(id + " says otherwise at " + name);
+        if (appended.containsKey(id) && !appended.get(id).equals(content(line))) {
+          violations.add(id + " has different content at " + name);
         }
         if (line.stable()) {
-          causes(page, line);
-          String was = known.putIfAbsent(line.index(), what);
-          if (was != null && !was.equals(what)) {
+          checkCausalOrder(page, line);
+          String previous = known.putIfAbsent(line.index(), description);
+          if (previous != null && !previous.equals(description)) {
             violations.add(
                 "stable "
                     + channel
                     + " "
                     + line.index()
                     + " was "
-                    + was
+                    + previous
                     + " and is "
-                    + what
+                    + description
                     + " at "
                     + name);
           }
@@ -234,96 +243,116 @@
   }
 
   /**
-   * What a writer had seen stands before what it wrote, unless it came after that was agreed on.
+   * Checks that the events a writer had seen precede the event that it wrote. A seen event that
+   * came late is exempt, because it became stable only after the order of the others was decided.
    */
-  private void causes(Page page, Page.Line line) {
+  private void checkCausalOrder(Page page, Page.Line line) {
     for (List<Dot> dots : List.of(line.entry().over(), line.entry().seen())) {
       for (Dot dot : dots) {
         if (dot.stamp() >= line.entry().stamp()) {
-          violations.add(line.entry().dot().text() + " is stamped before what its writer had seen");
+          violations.add(
+              line.entry().dot().text() + " has a stamp not above a stamp its writer had seen");
         }
       }
     }
     for (int i = (int) (line.index() - page.first()) + 1; i < page.lines().size(); i++) {
       Page.Line later = page.lines().get(i);
       if (line.entry().over().stream().anyMatch(later.entry().dot()::same) && !later.late()) {
-        violations.add(line.entry().dot().text() + " stands before what its writer had seen");
+        violations.add(line.entry().dot().text() + " precedes an event that its writer had seen");
       }
     }
   }
 
-  void lookAll() {
-    names.forEach(this::look);
+  void readAll() {
+    names.forEach(this::readAndCompare);
   }
 
-  /** At quiescence: all agree, nothing is provisional, nothing that was answered is missing. */
+  /**
+   * Checks the fleet at quiescence: all logs are equal, no event is provisional, and no
+   * successfully appended event is missing.
+   *
+   * @param mayBeLost the identifiers of events that may be missing, because their only disk was
+   *     lost
+   */
   void audit(Set<String> mayBeLost) {
-    lookAll();
-    List<String> all = null;
+    readAll();
+    List<String> expectedLog = null;
     for (String name : names) {
-      List<String> here = new ArrayList<>();
+      List<String> gatewayLog = new ArrayList<>();
       Channels channels = running.get(name);
       for (String channel : channels.names()) {
         Page page = channels.read(channel, 0, ALL);
         page.lines()
             .forEach(
                 line ->
-                    here.add(line.index() + " " + line.stable() + " " + line.entry().dot().text()));
+                    gatewayLog.add(
+                        line.index() + " " + line.stable() + " " + line.entry().dot().text()));
         if (page.stable() != page.first() + page.lines().size()) {
           violations.add(
               name + " " + channel + " has provisional events at quiescence: " + channels.state());
         }
       }
-      if (all != null && !all.equals(here) && channels.state().compacted() == 0) {
-        violations.add(name + " has another log: " + here.size() + " against " + all.size());
+      if (expectedLog != null
+          && !expectedLog.equals(gatewayLog)
+          && channels.state().compacted() == 0) {
+        violations.add(
+            name
+                + " has a different log: events: "
+                + gatewayLog.size()
+                + ", expected "
+                + expectedLog.size());
       }
-      all = all == null ? here : all;
+      expectedLog = expectedLog == null ? gatewayLog : expectedLog;
     }
     List<String> missing = new ArrayList<>();
-    for (String id : answered.keySet()) {
-      boolean isThere = false;
+    for (String id : appended.keySet()) {
+      boolean isStable = false;
       for (TreeMap<Long, String> channel : stableRead.values()) {
-        isThere |= channel.values().stream().anyMatch(what -> what.startsWith(id + " "));
+        isStable |=
+            channel.values().stream().anyMatch(description -> description.startsWith(id + " "));
       }
-      if (!isThere && !mayBeLost.contains(id)) {
-        missing.add(id + " of " + texts.get(id));
+      if (!isStable && !mayBeLost.contains(id)) {
+        missing.add(id + " of " + writers.get(id));
       }
     }
-    // What was compacted before anybody looked can only be counted.
+    // Events that were compacted before any read have no identifiers here and are only counted.
     long count = running.get(names.get(0)).state().stable();
     long unseen = count - stableRead.values().stream().mapToLong(TreeMap::size).sum();
     if (missing.size() > unseen) {
-      violations.add("answered and lost: " + missing);
+      violations.add("successfully appended events are missing: " + missing);
     }
   }
 
-  /** Audits when all is quiet and nothing may be lost, and fails on any violation so far. */
+  /**
+   * Audits the fleet at quiescence, with no event allowed to be missing, and fails on any violation
+   * found so far.
+   */
   void assertAuditPasses() {
     audit(Set.of());
     assertEquals(List.of(), violations);
   }
 
-  /** Whether every gateway shows the same events, all stable. */
+  /** Returns true if every gateway returns the same events and all of them are stable. */
   boolean isSettled() {
-    Set<String> all = new HashSet<>();
+    Set<String> distinctLogs = new HashSet<>();
     for (String name : names) {
-      StringBuilder here = new StringBuilder();
+      StringBuilder identifiers = new StringBuilder();
       Channels channels = running.get(name);
       for (String channel : channels.names()) {
         Page page = channels.read(channel, 0, ALL);
         if (page.stable() != page.first() + page.lines().size()) {
           return false;
         }
-        page.lines().forEach(line -> here.append(line.entry().dot().text()).append(' '));
+        page.lines().forEach(line -> identifiers.append(line.entry().dot().text()).append(' '));
       }
-      all.add(here.toString());
+      distinctLogs.add(identifiers.toString());
     }
-    return all.size() == 1;
+    return distinctLogs.size() == 1;
   }
 
   List<String> shuffled() {
-    List<String> mixed = new ArrayList<>(names);
-    Collections.shuffle(mixed, random);
-    return mixed;
+    List<String> shuffledNames = new ArrayList<>(names);
+    Collections.shuffle(shuffledNames, random);
+    return shuffledNames;
   }
 }
--- a/channels/src/test/java/tillerlink/channels/HistoriesTest.java
+++ b/channels/src/test/java/tillerlink/channels/HistoriesTest.java
@@ -7,19 +7,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Seeded short histories with faults, audited from outside; with {@code -Dhistories=N} more than a
- * build plays.
+ * Runs seeded histories with randomly drawn faults, each followed by the audit of {@link Fleet}.
+ * The property {@code -Dhistories=N} sets the number of histories, 100 by default, and {@code
+ * -Dfirst=N} the first seed.
  */
 class HistoriesTest {
   @Test
-  void noStableEventChangesAndAllGatewaysAgreeInTheEnd() {
+  void stableEventsNeverChangeAndAllGatewaysConverge() {
     long first = Long.getLong("first", 1);
-    int plays = Integer.getInteger("histories", 100);
+    int count = Integer.getInteger("histories", 100);
     List<String> failures = new ArrayList<>();
-    for (long seed = first; seed < first + plays && failures.size() < 5; seed++) {
+    for (long seed = first; seed < first + count && failures.size() < 5; seed++) {
       History history = new History(seed, 40);
       try {
-        List<String> violations = history.play();
+        List<String> violations = history.run();
         if (!violations.isEmpty()) {
           failures.add(
               "seed " + seed + ": " + violations.subList(0, Math.min(3, violations.size())));
--- a/channels/src/test/java/tillerlink/channels/InjectedFaultsTest.java
+++ b/channels/src/test/java/tillerlink/channels/InjectedFaultsTest.java
@@ -18,41 +18,50 @@
 import tillerlink.messages.channels.Span;
 import tillerlink.simulation.InMemoryKeyValueStore;
 
-/** Each check can fail: faults injected into the state of gateways, and what caught them. */
+/**
+ * Verifies that the invariants and the audit detect faults. Each test injects a fault into the
+ * state of running gateways and asserts which check detects it first.
+ */
 class InjectedFaultsTest {
   private static final int SEEDS = 40;
 
-  private static Object get(Object of, String... path) {
+  private static Object get(Object target, String... path) {
     try {
-      Object at = of;
+      Object current = target;
       for (String name : path) {
-        Field field = at.getClass().getDeclaredField(name);
+        Field field = current.getClass().getDeclaredField(name);
         field.setAccessible(true);
-        at = field.get(at);
+        current = field.get(current);
       }
-      return at;
+      return current;
     } catch (ReflectiveOperationException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private static void set(Object of, String name, Object value) {
+  private static void set(Object target, String name, Object value) {
     try {
-      Field field = of.getClass().getDeclaredField(name);
+      Field field = target.getClass().getDeclaredField(name);
       field.setAccessible(true);
-      field.set(of, value);
+      field.set(target, value);
     } catch (ReflectiveOperationException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** What caught it first, over some seeds: an invariant's first words, or the audit's. */
-  private static String caught(Consumer<History> fault) {
+  /**
+   * Runs histories with an injected fault until a check detects it, for at most {@value #SEEDS}
+   * seeds.
+   *
+   * @return the start of the message of the first invariant or audit violation, with identifiers
+   *     replaced; "not detected" if no check detected the fault
+   */
+  private static String firstDetection(Consumer<History> fault) {
     for (long seed = 1; seed <= SEEDS; seed++) {
       History history = new History(seed, 40);
       fault.accept(history);
       try {
-        List<String> violations = history.play();
+        List<String> violations = history.run();
         if (!violations.isEmpty()) {
           return "audit: "
               + violations
@@ -68,19 +77,19 @@
             .strip();
       }
     }
-    return "not caught";
+    return "not detected";
   }
 
-  private static Consumer<History> each(Consumer<Channels> fault) {
-    return history -> history.each = () -> history.fleet.running.values().forEach(fault);
+  private static Consumer<History> afterEachStep(Consumer<Channels> fault) {
+    return history -> history.afterStep = () -> history.fleet.running.values().forEach(fault);
   }
 
   @Test
-  void aForgottenPromiseIsCaught() {
+  void aLostPromiseIsDetected() {
     assertEquals(
         "invariant broken: promised less than was accepted",
-        caught(
-            each(
+        firstDetection(
+            afterEachStep(
                 channels ->
                     set(
                         get(channels, "consensus", "acceptor", "state"),
@@ -89,11 +98,11 @@
   }
 
   @Test
-  void aSequenceNumberUsedTwiceIsCaught() {
+  void aSequenceNumberUsedTwiceIsDetected() {
     assertEquals(
         "invariant broken: an own number is used a second time",
-        caught(
-            each(
+        firstDetection(
+            afterEachStep(
                 channels ->
                     set(
                         get(channels, "writer"),
@@ -102,12 +111,12 @@
   }
 
   @Test
-  void oneIncarnationOfTwoProcessesIsCaught() {
+  void twoProcessesWithTheSameIncarnationAreDetected() {
     assertEquals(
         "invariant broken: two different events have identifier ID",
-        caught(
+        firstDetection(
             history -> {
-              RandomGenerator same = new SplittableRandom(1);
+              RandomGenerator shared = new SplittableRandom(1);
               history.fleet.wallOf =
                   name -> 1_000_000_000L * (1 + history.fleet.names.indexOf(name));
               history.fleet.randomOf =
@@ -115,15 +124,15 @@
                       new RandomGenerator() {
                         @Override
                         public long nextLong() {
-                          return same.nextLong();
+                          return shared.nextLong();
                         }
 
                         @Override
                         public int nextInt(int bound) {
-                          return bound == 1 << 20 ? 7 : same.nextInt(bound);
+                          return bound == 1 << 20 ? 7 : shared.nextInt(bound);
                         }
                       };
-              history.each =
+              history.afterStep =
                   () -> {
                     if (history.fleet.running.containsKey("n1")) {
                       history.fleet.kill("n1");
@@ -136,11 +145,11 @@
   }
 
   @Test
-  void anEventSetWithoutAHeldEventIsCaught() {
+  void aKnownEventMissingFromItsSetIsDetected() {
     assertEquals(
         "invariant broken: stable and provisional events do not add up to the known events",
-        caught(
-            each(
+        firstDetection(
+            afterEachStep(
                 channels -> {
                   EventSet provisional =
                       (EventSet) get(channels, "journal", "events", "provisional");
@@ -152,11 +161,11 @@
   }
 
   @Test
-  void stableEventsThatChangePlacesAreCaught() {
+  void stableEventsThatSwapPositionsAreDetected() {
     assertEquals(
         "audit: stable",
-        caught(
-            each(
+        firstDetection(
+            afterEachStep(
                 channels -> {
                   ChannelLog log =
                       (ChannelLog) ((Map<?, ?>) get(channels, "journal", "logs")).get("news");
@@ -168,11 +177,11 @@
   }
 
   @Test
-  void anotherOrderAtOneGatewayIsCaught() {
+  void aDifferentOrderAtOneGatewayIsDetected() {
     assertEquals(
         "invariant broken: stable events up to step N",
-        caught(
-            each(
+        firstDetection(
+            afterEachStep(
                 channels ->
                     set(
                         get(channels, "journal"),
@@ -181,32 +190,32 @@
   }
 
   @Test
-  void differentCountedGatewaysAreCaught() {
+  void differentFoundingVotersAreDetected() {
     assertEquals(
         "invariant broken: stable events up to step N",
-        caught(
+        firstDetection(
             history -> {
               history.fleet.configOf =
                   name ->
                       name.equals("s1") ? ChannelLogConfig.of(List.of("s1")) : history.fleet.config;
-              history.each = () -> history.fleet.cut(List.of("s1"));
+              history.afterStep = () -> history.fleet.cut(List.of("s1"));
             }));
   }
 
   @Test
-  void aClockThatForgetsObservedStampsIsCaught() {
+  void aClockThatLosesObservedStampsIsDetected() {
     assertEquals(
-        "audit: ID is stamped before what its writer had seen",
-        caught(each(channels -> set(get(channels, "clock"), "last", 0L))));
+        "audit: ID has a stamp not above a stamp its writer had seen",
+        firstDetection(afterEachStep(channels -> set(get(channels, "clock"), "last", 0L))));
   }
 
   @Test
-  void aDiskThatLosesDurableEventsIsCaught() {
+  void aDiskThatLosesDurableEventsIsDetected() {
     assertEquals(
         "audit: n1 news has provisional events",
-        caught(
+        firstDetection(
             history ->
-                history.each =
+                history.afterStep =
                     () -> {
                       for (String name : history.fleet.running.keySet()) {
                         NavigableMap<?, ?> disk =
@@ -217,12 +226,12 @@
   }
 
   @Test
-  void aVoteBeforeTheOthersAnsweredIsCaught() {
+  void aVoteBeforeTheOtherVotersAnsweredIsDetected() {
     assertEquals(
         "audit: stable",
-        caught(
+        firstDetection(
             history ->
-                history.each =
+                history.afterStep =
                     () -> {
                       for (String name : List.copyOf(history.fleet.running.keySet())) {
                         if (history.fleet.random.nextInt(4) == 0) {
--- a/channels/src/test/java/tillerlink/channels/LogTest.java
+++ b/channels/src/test/java/tillerlink/channels/LogTest.java
@@ -6,18 +6,19 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Tests that channel logs converge to one order, also across a network partition. */
 class LogTest {
-  private static final List<String> THREE = List.of("n1", "s1", "w1");
+  private static final List<String> GATEWAYS = List.of("n1", "s1", "w1");
 
   @Test
-  void appendsBecomeStableEverywhereInOneOrder() {
-    Fleet fleet = new Fleet(1, List.of("n1", "n2", "s1", "w1"), ChannelLogConfig.of(THREE));
+  void appendsBecomeStableInTheSameOrderAtAllGateways() {
+    Fleet fleet = new Fleet(1, List.of("n1", "n2", "s1", "w1"), ChannelLogConfig.of(GATEWAYS));
     fleet.startAll();
     fleet.net.playFor(2 * Fleet.SECOND);
     for (int i = 0; i < 40; i++) {
       fleet.append(fleet.names.get(i % 4), "news", Fleet.cue("c" + i, "text " + i));
       fleet.net.playFor(700);
-      fleet.lookAll();
+      fleet.readAll();
     }
     fleet.net.playFor(5 * Fleet.SECOND);
     fleet.assertAuditPasses();
@@ -25,8 +26,8 @@
   }
 
   @Test
-  void aGatewayThatIsCutOffAcceptsAppendsAndTheyComeLate() {
-    Fleet fleet = new Fleet(2, THREE, ChannelLogConfig.of(THREE));
+  void anIsolatedGatewayAcceptsAppendsThatAreLaterMarkedLate() {
+    Fleet fleet = new Fleet(2, GATEWAYS, ChannelLogConfig.of(GATEWAYS));
     fleet.startAll();
     fleet.net.playFor(2 * Fleet.SECOND);
     fleet.append("n1", "news", Fleet.cue("a", "before"));
@@ -36,23 +37,23 @@
       fleet.append("n1", "news", Fleet.cue("n" + i, "n"));
       fleet.append("w1", "news", Fleet.cue("w" + i, "w"));
       fleet.net.playFor(Fleet.SECOND);
-      fleet.lookAll();
+      fleet.readAll();
     }
     assertTrue(
         fleet.running.get("s1").read("news", 0, Fleet.ALL).stable() > 40,
-        "the two go on without the third");
+        "the two connected gateways make events stable without the third");
     assertEquals(List.of("n1", "s1"), fleet.running.get("s1").state().voters());
     assertEquals(
         1,
         fleet.running.get("w1").read("news", 0, Fleet.ALL).stable(),
-        "it alone agrees on nothing");
+        "the isolated gateway makes no further events stable");
     fleet.net.heal();
     fleet.net.playFor(10 * Fleet.SECOND);
     fleet.assertAuditPasses();
-    assertEquals(THREE, fleet.running.get("n1").state().voters());
+    assertEquals(GATEWAYS, fleet.running.get("n1").state().voters());
     assertTrue(
         fleet.running.get("n1").read("news", 0, Fleet.ALL).lines().stream()
             .anyMatch(line -> line.late() && line.entry().gateway().equals("w1")),
-        "its events are marked late");
+        "the events of the isolated gateway are marked late");
   }
 }
--- a/channels/src/test/java/tillerlink/channels/ScenarioTest.java
+++ b/channels/src/test/java/tillerlink/channels/ScenarioTest.java
@@ -10,153 +10,159 @@
 import org.junit.jupiter.api.Test;
 import tillerlink.simulation.InMemoryKeyValueStore;
 
-/** Hard cases as kept timelines: what was done, and what readers of each gateway read. */
+/**
+ * Compares scenarios with stored timelines, which list the actions and what readers of each gateway
+ * read. With {@code -Dkeep=true} the tests overwrite the stored timelines.
+ */
 class ScenarioTest {
-  private static final List<String> THREE = List.of("n1", "s1", "w1");
-  private static final Path KEPT = Path.of("src/test/resources/stories");
+  private static final List<String> GATEWAYS = List.of("n1", "s1", "w1");
+  private static final Path TIMELINES = Path.of("src/test/resources/stories");
 
   private final Fleet fleet =
-      new Fleet(11, THREE, new ChannelLogConfig(THREE, 100_000, 60_000, 64 << 20, 1000, 8));
-  private final List<String> lines = new ArrayList<>();
+      new Fleet(11, GATEWAYS, new ChannelLogConfig(GATEWAYS, 100_000, 60_000, 64 << 20, 1000, 8));
+  private final List<String> timelineLines = new ArrayList<>();
 
-  private void say(String what) {
-    lines.add(String.format("%5.1f s  %s", fleet.net.now() / 1e4, what));
+  private void addAction(String action) {
+    timelineLines.add(String.format("%5.1f s  %s", fleet.net.now() / 1e4, action));
   }
 
   private void write(String gateway, String text) {
-    say(gateway + " takes '" + text + "'");
+    addAction(gateway + " takes '" + text + "'");
     fleet.append(gateway, "news", Fleet.cue(text, text));
     fleet.net.playFor(2000);
   }
 
-  private void wait(int seconds) {
+  private void runFor(int seconds) {
     fleet.net.playFor(seconds * Fleet.SECOND);
-    fleet.lookAll();
+    fleet.readAll();
   }
 
   /**
-   * Stable events, a bar, provisional ones; one that came late has its time of origin behind it.
+   * Appends a line for each gateway to the timeline: the stable events, a bar, the provisional
+   * events and the voters. An event that came late is followed by the time at which it was written.
    */
-  private void show() {
+  private void addReadings() {
     for (String name : fleet.names) {
       Channels channels = fleet.running.get(name);
       if (channels == null) {
-        lines.add("         " + name + " is down");
+        timelineLines.add("         " + name + " is down");
         continue;
       }
       StringBuilder line = new StringBuilder();
-      boolean tail = false;
+      boolean hasProvisional = false;
       for (Page.Line event : channels.read("news", 0, Fleet.ALL).lines()) {
-        line.append(!event.stable() && !tail ? " |" : "").append(' ').append(event.entry().text());
-        tail |= !event.stable();
+        line.append(!event.stable() && !hasProvisional ? " |" : "")
+            .append(' ')
+            .append(event.entry().text());
+        hasProvisional |= !event.stable();
         if (event.late()) {
           line.append(
               String.format(
                   "(late, of %.1f s)", (event.entry().millis() - 1_700_000_000_000L) / 1e3));
         }
       }
-      lines.add(
+      timelineLines.add(
           "         "
               + name
               + ":"
               + line
-              + (tail ? "" : " |")
+              + (hasProvisional ? "" : " |")
               + "   voters "
               + channels.state().voters()
               + (channels.state().votes() ? "" : ", does not vote yet"));
     }
   }
 
-  private void compareWithKept(String name) throws IOException {
+  private void assertEqualsStoredTimeline(String name) throws IOException {
     fleet.assertAuditPasses();
-    Path file = KEPT.resolve(name + ".txt");
-    String timeline = String.join("\n", lines) + "\n";
+    Path file = TIMELINES.resolve(name + ".txt");
+    String timeline = String.join("\n", timelineLines) + "\n";
     if (Boolean.getBoolean("keep")) {
       Files.writeString(file, timeline);
     }
     assertEquals(Files.readString(file), timeline);
   }
 
-  private void begin() {
+  private void startWithOneEvent() {
     fleet.startAll();
-    wait(3);
+    runFor(3);
     write("n1", "a");
-    wait(2);
-    show();
+    runFor(2);
+    addReadings();
   }
 
   @Test
-  void aSiteThatIsCutOffIsLeftOutAndIncludedAgain() throws IOException {
-    begin();
-    say("w1 is cut off");
+  void anIsolatedSiteIsRemovedFromTheVotersAndAddedAgain() throws IOException {
+    startWithOneEvent();
+    addAction("w1 is cut off");
     fleet.cut(List.of("w1"));
     write("w1", "w-b");
     write("n1", "c");
     write("w1", "w-d");
-    wait(3);
-    show();
-    say("10 s later: left out by agreement, the others go on");
-    wait(12);
+    runFor(3);
+    addReadings();
+    addAction("10 s later: left out by agreement, the others go on");
+    runFor(12);
     write("s1", "e");
-    wait(2);
-    show();
-    say("the cut is over");
+    runFor(2);
+    addReadings();
+    addAction("the cut is over");
     fleet.net.heal();
     write("n1", "f");
-    wait(5);
-    show();
-    compareWithKept("cut-off");
+    runFor(5);
+    addReadings();
+    assertEqualsStoredTimeline("cut-off");
   }
 
   @Test
   void aVoterWithALostDiskVotesOnlyAfterTheOthersAnswered() throws IOException {
-    begin();
-    say("w1 is cut off, then s1 is started anew with a lost disk");
+    startWithOneEvent();
+    addAction("w1 is cut off, then s1 is started anew with a lost disk");
     fleet.cut(List.of("w1"));
     write("s1", "b");
     fleet.kill("s1");
     fleet.start("s1", new InMemoryKeyValueStore(fleet.net, 5));
     write("n1", "c");
     write("s1", "d");
-    wait(20);
-    show();
-    say("the cut is over: both others tell s1 what it had agreed to");
+    runFor(20);
+    addReadings();
+    addAction("the cut is over: both others tell s1 what it had agreed to");
     fleet.net.heal();
-    wait(8);
-    show();
-    compareWithKept("lost-disk");
+    runFor(8);
+    addReadings();
+    assertEqualsStoredTimeline("lost-disk");
   }
 
   @Test
-  void anOldCopyOfADiskLosesNothingWhenAllRestart() throws IOException {
-    begin();
-    say("a copy of n1's disk is made");
+  void aRestartOfAllGatewaysWithAnOldDiskCopyLosesNoEvents() throws IOException {
+    startWithOneEvent();
+    addAction("a copy of n1's disk is made");
     var copy = fleet.disks.get("n1").copy();
     write("n1", "b");
     write("w1", "c");
-    wait(3);
-    say("all are killed; n1 is started on the old copy, the others on their disks");
+    runFor(3);
+    addAction("all are killed; n1 is started on the old copy, the others on their disks");
     fleet.names.forEach(fleet::kill);
     fleet.start("n1", InMemoryKeyValueStore.of(fleet.net, 5, copy));
     write("n1", "d");
-    show();
+    addReadings();
     fleet.start("s1");
     fleet.start("w1");
-    wait(8);
-    show();
-    compareWithKept("old-copy");
+    runFor(8);
+    addReadings();
+    assertEqualsStoredTimeline("old-copy");
   }
 
   @Test
-  void twoGatewaysAgreeThroughTheThird() throws IOException {
-    begin();
-    say("n1 and s1 no longer hear each other, both hear w1");
+  void twoGatewaysWithoutALinkAgreeThroughTheThird() throws IOException {
+    startWithOneEvent();
+    addAction("n1 and s1 no longer hear each other, both hear w1");
     fleet.net.between("n1", "s1", tillerlink.simulation.Fault.CUT);
     write("n1", "b");
     write("s1", "c");
     write("w1", "d");
-    wait(30);
-    show();
-    compareWithKept("through-the-third");
+    runFor(30);
+    addReadings();
+    assertEqualsStoredTimeline("through-the-third");
   }
 }
--- a/channels/src/test/java/tillerlink/channels/ShortHistoriesTest.java
+++ b/channels/src/test/java/tillerlink/channels/ShortHistoriesTest.java
@@ -7,21 +7,21 @@
 import tillerlink.simulation.Seeds;
 
 /**
- * Many short histories: a gateway at each of three sites, three to ten appends, one or two faults,
- * then the audit that all agree.
+ * Runs many short histories: one gateway at each of three sites, three to ten appends, one or two
+ * faults, and then the audit that all gateways agree.
  */
 class ShortHistoriesTest {
   private static final class ShortHistory implements Seeds.Seeded {
     final History history;
 
     ShortHistory(long seed) {
-      // Seeds that are multiples of four stand for fleets of three gateways.
+      // A history whose seed is a multiple of four has a fleet of three gateways.
       history = new History(seed * 4, 0);
     }
 
     @Override
     public String play() {
-      List<String> violations = history.playShortly();
+      List<String> violations = history.runShort();
       return violations.isEmpty()
           ? null
           : violations.subList(0, Math.min(3, violations.size())).toString();
@@ -29,19 +29,22 @@
 
     @Override
     public String trace() {
-      return String.join("\n", history.played) + "\n" + String.join("\n", history.fleet.log);
+      return String.join("\n", history.actions) + "\n" + String.join("\n", history.fleet.log);
     }
 
     @Override
     public long[] sums() {
       return new long[] {
-        history.faults, history.appended, history.fleet.answered.size(), history.fleet.refused
+        history.faultCount,
+        history.appendCount,
+        history.fleet.appended.size(),
+        history.fleet.refused
       };
     }
   }
 
   @Test
-  void noStableEventChangesAndAllGatewaysAgreeInTheEnd() {
+  void stableEventsNeverChangeAndAllGatewaysConverge() {
     long[] sums = Seeds.play("channels", 6000, ShortHistory::new);
     System.out.println(
         sums[0]
--- a/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
+++ b/channels/src/test/java/tillerlink/channels/StorageQuotaTest.java
@@ -12,16 +12,20 @@
 import tillerlink.simulation.Fault;
 import tillerlink.simulation.InMemoryKeyValueStore;
 
-/** Compaction, catching up from compacted state, quotas, full disks, links for small messages. */
+/**
+ * Tests for compaction, recovery from compacted state, the storage quota, full and lost disks,
+ * links that carry only small messages, and clocks that are too far ahead.
+ */
 class StorageQuotaTest {
-  private static final List<String> THREE = List.of("n1", "s1", "w1");
+  private static final List<String> GATEWAYS = List.of("n1", "s1", "w1");
 
   private static Fleet fleet(long bytes, int cuts) {
-    return fleet(THREE, bytes, cuts);
+    return fleet(GATEWAYS, bytes, cuts);
   }
 
   private static Fleet fleet(List<String> names, long bytes, int cuts) {
-    Fleet fleet = new Fleet(3, names, new ChannelLogConfig(THREE, 50_000, 60_000, bytes, cuts, 8));
+    Fleet fleet =
+        new Fleet(3, names, new ChannelLogConfig(GATEWAYS, 50_000, 60_000, bytes, cuts, 8));
     fleet.startAll();
     fleet.net.playFor(Fleet.SECOND);
     return fleet;
@@ -35,17 +39,19 @@
     for (int i = 0; i < events; i++) {
       fleet.append(name, "news", Fleet.cue("c" + i % 7, name + " " + i));
       fleet.net.playFor(5000);
-      fleet.lookAll();
+      fleet.readAll();
     }
   }
 
   @Test
-  void aGatewayFarBehindStartsFromCompactedStateAndKeepsItsOwnEvents() {
+  void aGatewayFarBehindStartsFromCompactedStateAndRetainsItsOwnEvents() {
     Fleet fleet = fleet(64 << 20, 8);
     fleet.cut(List.of("w1"));
     write(fleet, "w1", 5);
     write(fleet, "n1", 60);
-    assertTrue(fleet.running.get("n1").state().compacted() > 20, "the two others have compacted");
+    assertTrue(
+        fleet.running.get("n1").state().compacted() > 20,
+        "the two other gateways have not compacted enough events");
     fleet.net.heal();
     fleet.net.playFor(20 * Fleet.SECOND);
     fleet.assertAuditPasses();
@@ -64,7 +70,7 @@
     assertEquals(
         65,
         fleet.running.get("w1").read("news", 0, Fleet.ALL).stable(),
-        "what it started from is kept");
+        "events after a restart from the stored compacted state");
     fleet.net.playFor(5 * Fleet.SECOND);
     fleet.assertAuditPasses();
   }
@@ -73,28 +79,28 @@
   void aFullChannelRefusesAppendsWhileOthersAcceptThem() {
     Fleet fleet = fleet(400_000, 1000);
     fleet.cut(List.of("w1"));
-    int before = 0;
+    int acceptedBefore = 0;
     for (int i = 0; fleet.refused == 0; i++) {
       fleet.append("w1", "loud", note("loud " + i));
       fleet.net.playFor(20);
-      before = i;
+      acceptedBefore = i;
     }
-    assertTrue(before > 50, "it takes some first");
+    assertTrue(acceptedBefore > 50, "too few appends accepted before the first refusal");
     for (int i = 0; i < 10; i++) {
       fleet.append("w1", "quiet", note("quiet " + i));
       fleet.net.playFor(20);
     }
     assertEquals(
-        1, fleet.refused, "a channel that holds little is not refused for one that holds much");
+        1, fleet.refused, "appends to a nearly empty channel refused because of a full one");
     fleet.net.heal();
     fleet.net.playFor(10 * Fleet.SECOND);
     fleet.append("w1", "loud", note("again"));
     fleet.net.playFor(10 * Fleet.SECOND);
-    assertEquals(1, fleet.refused, "once all is agreed on there is room again");
+    assertEquals(1, fleet.refused, "append refused although the earlier events are stable");
     fleet.assertAuditPasses();
     assertTrue(
-        fleet.running.values().stream().allMatch(one -> one.state().bytes() <= 400_000),
-        "bounds hold");
+        fleet.running.values().stream().allMatch(channels -> channels.state().bytes() <= 400_000),
+        "size of the events exceeds the quota");
   }
 
   @Test
@@ -112,7 +118,7 @@
   }
 
   @Test
-  void eventsOfALostDiskAreSentBackAndTheLossIsLogged() {
+  void eventsOfALostDiskAreRestoredFromOtherGatewaysAndTheLossIsLogged() {
     Fleet fleet = fleet(64 << 20, 1000);
     write(fleet, "w1", 4);
     fleet.kill("w1");
@@ -145,7 +151,7 @@
   }
 
   @Test
-  void piecesShrinkForLinksThatCarryStillLess() {
+  void messagesShrinkForLinksWithASmallerLimitThanOneDatagram() {
     Fleet fleet = fleet(64 << 20, 1000);
     fleet.cut(List.of("w1"));
     for (int i = 0; i < 300; i++) {
