--- a/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
+++ b/channels/src/main/java/tillerlink/channels/sync/ChannelTransport.java
@@ -8,11 +8,11 @@
 import tillerlink.messages.channels.ChannelsCodec;
 import tillerlink.messages.channels.ChannelsMessage;
 
-/** Sends messages to other gateways, and selects the recipients of messages for all. */
+/** The transport of channel messages to other gateways; it also selects broadcast recipients. */
 public final class ChannelTransport {
   /**
-   * Recipients of a message for all, at the most. In a larger fleet the others receive the content
-   * from these.
+   * The maximum number of recipients of a broadcast message, unless more voters are reachable. In a
+   * larger fleet the other gateways receive the content from these recipients.
    */
   private static final int MAX_RECIPIENTS = 12;
 
@@ -20,22 +20,29 @@
   private final MessageSender sender;
   private final RandomGenerator random;
 
-  /** Makes a transport; {@code random} selects the recipients in a large fleet. */
+  /**
+   * Creates a transport.
+   *
+   * @param membership the gateways of the fleet
+   * @param sender sends encoded messages to other gateways
+   * @param random the source of random numbers that selects recipients in a large fleet
+   */
   public ChannelTransport(MembershipView membership, MessageSender sender, RandomGenerator random) {
     this.membership = membership;
     this.sender = sender;
     this.random = random;
   }
 
-  /** Sends a message to one gateway; it may be lost. */
+  /** Sends a message to one gateway. The message may be lost. */
   public void send(String to, ChannelsMessage message) {
     sender.send(to, ChannelsCodec.bytes(message));
   }
 
   /**
-   * Sends a message to all reachable gateways; in a large fleet to some of them.
+   * Sends a message to all reachable gateways, or to a random selection of them in a large fleet.
    *
-   * @param always gateways that are among the recipients in any case
+   * @param message the message
+   * @param always the gateways that are always among the recipients if they are reachable
    */
   public void spread(ChannelsMessage message, List<String> always) {
     byte[] body = ChannelsCodec.bytes(message);
@@ -44,6 +51,7 @@
     }
   }
 
+  /** Returns the reachable gateways, or a selection if there are too many. */
   private List<String> recipients(List<String> always) {
     List<String> reachable = new ArrayList<>();
     for (String name : membership.names()) {
@@ -66,7 +74,7 @@
     return selected;
   }
 
-  /** Returns the gateways of the fleet. */
+  /** Returns this gateway's view of the members of the fleet. */
   public MembershipView membership() {
     return membership;
   }
--- a/channels/src/main/java/tillerlink/channels/sync/StateTransfer.java
+++ b/channels/src/main/java/tillerlink/channels/sync/StateTransfer.java
@@ -5,14 +5,14 @@
 import tillerlink.messages.channels.ChannelsMessage.SumWanted;
 
 /**
- * Fetches the compacted state of another gateway, part by part, one after the other. Times are
- * tenths of a millisecond.
+ * The transfer of another gateway's compacted state to this one. Parts are requested one after the
+ * other. Times are tenths of a millisecond.
  */
 final class StateTransfer {
-  /** After this without a part it is requested again. */
+  /** The time without a part after which the next part is requested again. */
   private static final long TIMEOUT = Fetcher.TIMEOUT;
 
-  /** After this without a part another gateway is tried. */
+  /** The time without a part after which the state is requested from another gateway. */
   private static final long SOURCE_TIMEOUT = 5 * TIMEOUT;
 
   private static final int MAX_STATE_BYTES = 256 << 20;
@@ -21,17 +21,24 @@
   private String source = "";
   private long slot;
 
-  /** What has arrived so far, of the whole state's length; null if nothing has. */
+  /** A buffer of the whole state's length with the parts received; null if there are none. */
   private byte[] state;
 
+  /** The number of bytes received. */
   private int received;
-  private long askedAt;
+
+  private long requestedAt;
 
   StateTransfer(ChannelTransport transport) {
     this.transport = transport;
   }
 
-  /** Requests the next part from a gateway, unless a transfer is going on. */
+  /**
+   * Requests the next part from a gateway, unless a request is in flight or a transfer from another
+   * gateway makes progress.
+   *
+   * @param report the gateway's latest report
+   */
   void request(long now, String from, Report report) {
     if (!mayRequest(now, from)) {
       return;
@@ -42,25 +49,26 @@
     }
     source = from;
     slot = report.base();
-    askedAt = now;
+    requestedAt = now;
     transport.send(from, new SumWanted(slot, received));
   }
 
+  /** Returns whether the next part may be requested from a gateway. */
   private boolean mayRequest(long now, String from) {
-    long waited = now - askedAt;
-    return waited > TIMEOUT && (state == null || source.equals(from) || waited > SOURCE_TIMEOUT);
+    long elapsed = now - requestedAt;
+    return elapsed > TIMEOUT && (state == null || source.equals(from) || elapsed > SOURCE_TIMEOUT);
   }
 
   /**
-   * Takes a part, and requests the next one.
+   * Stores a part, and requests the next one.
    *
-   * @return the whole state with the last part, otherwise null
+   * @return the whole state if this was the last part, otherwise null
    */
   byte[] onPart(long now, String from, SumPart part) {
     if (!from.equals(source) || part.size() > MAX_STATE_BYTES || part.size() <= 0) {
       return null;
     }
-    if (!continues(part)) {
+    if (!belongsToTransfer(part)) {
       if (part.offset() != 0) {
         return null;
       }
@@ -73,7 +81,7 @@
     }
     System.arraycopy(part.bytes(), 0, state, received, part.bytes().length);
     received += part.bytes().length;
-    askedAt = now;
+    requestedAt = now;
     if (received < state.length) {
       transport.send(from, new SumWanted(slot, received));
       return null;
@@ -81,11 +89,12 @@
     return finish();
   }
 
-  /** Whether a part is of the state that is being transferred. */
-  private boolean continues(SumPart part) {
+  /** Returns whether a part belongs to the state that is being transferred. */
+  private boolean belongsToTransfer(SumPart part) {
     return part.slot() == slot && state != null && state.length == part.size();
   }
 
+  /** Ends the transfer, and returns the whole state. */
   private byte[] finish() {
     byte[] whole = state;
     state = null;
