--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -243,7 +243,7 @@
 
   @Override
   public void tick(long now, long wall) {
-    standings.start(now);
+    standings.startIfNeeded(now);
     standings.update(now, reporter.standing(now, wall));
     journal.apply();
     fetcher.tick(now);
--- a/channels/src/main/java/tillerlink/channels/consensus/AcceptorRole.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/AcceptorRole.java
@@ -20,8 +20,8 @@
 import tillerlink.messages.channels.Cut;
 
 /**
- * The acceptor of one gateway. Whatever it promises or accepts is persisted before the response is
- * sent.
+ * The acceptor of one gateway. It persists each promise and acceptance before it sends the
+ * response, so that a restart does not revoke what others were sent.
  */
 final class AcceptorRole {
   private final long incarnation;
@@ -41,16 +41,17 @@
     state = recover(store);
   }
 
+  /** Returns the state recovered from the store. Malformed state counts as lost. */
   private static AcceptorState recover(Store store) {
     try {
       return new AcceptorState(store.foundVoting());
     } catch (MalformedMessageException e) {
-      return lost();
+      return lostState();
     }
   }
 
-  /** State that can't be read counts as lost. */
-  private static AcceptorState lost() {
+  /** Returns the state that an acceptor has after the loss of its disk. */
+  private static AcceptorState lostState() {
     try {
       return new AcceptorState(null);
     } catch (MalformedMessageException e) {
@@ -58,35 +59,47 @@
     }
   }
 
+  /** Returns what this acceptor has promised and accepted. */
   AcceptorState state() {
     return state;
   }
 
+  /** Returns whether this acceptor responds to prepare and accept messages. */
   boolean votes() {
     return votes;
   }
 
+  /** Makes this acceptor vote, once it has rejoined. */
   void startVoting() {
     votes = true;
   }
 
   /**
-   * Persists the state as it is now.
+   * Persists the current state.
    *
-   * @param then called once it is durable
+   * @param onDurable called once the state is durable
    */
-  void persist(Runnable then) {
-    store.voting(state.bytes(), then);
+  void persist(Runnable onDurable) {
+    store.voting(state.bytes(), onDurable);
   }
 
   // ---- messages ----
 
-  /** A new process of a gateway started; responses of its earlier ones no longer count. */
-  void onStarted(String gateway, long started) {
-    state.started(gateway, started);
+  /**
+   * Records that a new process of a gateway has started. Responses of the gateway's earlier
+   * processes no longer count.
+   *
+   * @param gateway the gateway's name
+   * @param incarnation the incarnation of the new process
+   */
+  void onStarted(String gateway, long incarnation) {
+    state.started(gateway, incarnation);
   }
 
-  /** Answers a process that has just started, once it is persisted that the process is there. */
+  /**
+   * Answers the rejoin request of a process that has just started. The answer is sent once the new
+   * incarnation is persisted.
+   */
   void answer(String from, Ask ask) {
     persist(
         () ->
@@ -101,23 +114,28 @@
                     state.accepted())));
   }
 
+  /** Promises the ballot of a prepare message if this acceptor votes and the slot is next. */
   void onPrepare(String from, Prepare prepare) {
-    if (isNextSlot(from, prepare.slot()) && votes) {
+    if (checkNextSlot(from, prepare.slot()) && votes) {
       state.promise(prepare.ballot());
       persist(() -> transport.send(from, promise(prepare.ballot(), prepare.slot())));
     }
   }
 
+  /** Accepts the cut of an accept message if this acceptor votes and the cut may be accepted. */
   void onAccept(String from, Accept accept) {
     Cut cut = accept.cut();
-    if (isNextSlot(from, cut.slot()) && votes && mayAccept(cut)) {
+    if (checkNextSlot(from, cut.slot()) && votes && mayAccept(cut)) {
       state.accept(accept.ballot(), cut);
       persist(() -> transport.send(from, accepted(accept.ballot(), cut.slot())));
     }
   }
 
-  /** Whether a slot is the next to decide on; otherwise one side is sent what it lacks. */
-  private boolean isNextSlot(String from, long slot) {
+  /**
+   * Returns whether a slot is the next to decide on. If not, sends the proposer the cuts that it
+   * lacks, or requests from it the cuts that are missing here.
+   */
+  private boolean checkNextSlot(String from, long slot) {
     if (journal.decided() >= slot) {
       server.sendCuts(from, slot);
       return false;
@@ -129,8 +147,9 @@
   }
 
   /**
-   * Whether a cut may be accepted: it comes next, and all its events are held here, so that a
-   * majority holds the events of a decided cut.
+   * Returns whether a cut may be accepted: all decided cuts are applied, the cut comes next, and
+   * all its events are held here. The last condition ensures that a majority holds the events of
+   * every decided cut.
    */
   boolean mayAccept(Cut cut) {
     return journal.applied() == journal.decided() && journal.isHeld(cut) && journal.isNext(cut);
@@ -138,6 +157,7 @@
 
   // ---- responses ----
 
+  /** Returns the response to a prepare message, from the current state. */
   Promise promise(Ballot ballot, long slot) {
     return new Promise(
         ballot,
@@ -146,19 +166,21 @@
         state.acceptedIn(),
         state.accepted(),
         incarnation,
-        voterLives());
+        voterIncarnations());
   }
 
+  /** Returns the response to an accept message, from the current state. */
   Accepted accepted(Ballot ballot, long slot) {
-    return new Accepted(ballot, slot, state.promised(), incarnation, voterLives());
+    return new Accepted(ballot, slot, state.promised(), incarnation, voterIncarnations());
   }
 
-  private List<Life> voterLives() {
+  /** Returns the newest known incarnations of the voters. */
+  private List<Life> voterIncarnations() {
     List<Life> lives = new ArrayList<>();
     for (String voter : journal.voters()) {
-      Long life = state.lives().get(voter);
-      if (life != null) {
-        lives.add(new Life(voter, life));
+      Long newest = state.lives().get(voter);
+      if (newest != null) {
+        lives.add(new Life(voter, newest));
       }
     }
     return lives;
--- a/channels/src/main/java/tillerlink/channels/consensus/ConsensusContext.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/ConsensusContext.java
@@ -9,18 +9,19 @@
 import tillerlink.channels.sync.SyncServer;
 
 /**
- * What consensus works with at one gateway.
+ * The configuration and collaborators of consensus at one gateway.
  *
  * @param self this gateway's name
- * @param incarnation this process
- * @param counted the gateways that the operator counts
- * @param absentAfter tenths of a millisecond after which a silent gateway is left out
+ * @param incarnation the incarnation of this process
+ * @param counted the gateways that the operator's settings allow as voters
+ * @param absentAfter the time without progress, in tenths of a millisecond, after which a gateway
+ *     is no longer waited for
  * @param journal the events and cuts held here
- * @param store where promises and cuts are persisted
- * @param transport sends messages
- * @param server sends decided cuts to those that lack them
- * @param fetcher has the latest reports of other gateways
- * @param standings how far each gateway's own writing is
+ * @param store the store in which promises and cuts are persisted
+ * @param transport sends messages to other gateways
+ * @param server sends decided cuts to gateways that lack them
+ * @param fetcher provides the latest reports of other gateways
+ * @param standings the latest known standing of each gateway
  */
 public record ConsensusContext(
     String self,
@@ -33,7 +34,7 @@
     SyncServer server,
     Fetcher fetcher,
     Standings standings) {
-  /** Copies the list. */
+  /** Creates the context, with a copy of {@code counted}. */
   public ConsensusContext {
     counted = List.copyOf(counted);
   }
--- a/channels/src/main/java/tillerlink/channels/consensus/EpochConsensus.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/EpochConsensus.java
@@ -13,25 +13,32 @@
 import tillerlink.messages.channels.ChannelsMessage.Promise;
 
 /**
- * One gateway's part in deciding on cuts, one slot after the other, by Paxos with voters that
- * change from slot to slot: it is an acceptor once it has rejoined, and a proposer when it is its
- * turn. Used by the gateway's event loop only; times are tenths of a millisecond.
+ * One gateway's part in deciding on cuts, one slot after the other, by Paxos with voters that can
+ * change from slot to slot. The gateway is an acceptor once it has rejoined, and a proposer when it
+ * is its turn. Not thread-safe: used by the gateway's event loop only. Times are tenths of a
+ * millisecond.
  */
 public final class EpochConsensus {
   private final Proposer proposer;
   private final AcceptorRole acceptor;
   private final RejoinProtocol rejoin;
-  private final ProposerRole proposals;
+  private final ProposerRole proposerRole;
 
-  /** Recovers the acceptor's state from the store; it does not vote before it has rejoined. */
+  /**
+   * Recovers the acceptor's state from the store. The acceptor does not vote before it has
+   * rejoined.
+   *
+   * @param context the configuration and collaborators
+   * @param random the source of the random part of back-off times
+   */
   public EpochConsensus(ConsensusContext context, RandomGenerator random) {
     acceptor = new AcceptorRole(context);
     rejoin = new RejoinProtocol(context, acceptor);
     proposer = new Proposer(context.self(), context.incarnation(), random);
-    proposals = new ProposerRole(context, proposer, acceptor);
+    proposerRole = new ProposerRole(context, proposer, acceptor);
   }
 
-  /** Takes a message about consensus; others are ignored. */
+  /** Handles a consensus message from another gateway; other messages are ignored. */
   public void onMessage(long now, String from, ChannelsMessage message) {
     if (message instanceof Ask ask) {
       acceptor.onStarted(from, ask.incarnation());
@@ -54,33 +61,43 @@
     }
   }
 
-  /** Does what is due; this gateway's own standing must be up to date. */
+  /**
+   * Performs the work that is due: rejoining and proposing. This gateway's own standing must be up
+   * to date.
+   */
   public void tick(long now) {
     if (!acceptor.votes()) {
       rejoin.tick(now);
     }
-    proposals.tick(now);
+    proposerRole.tick(now);
   }
 
-  /** The process was paused: the proposal in progress may be decided by now, so it is stopped. */
+  /**
+   * Abandons the proposal in progress after a pause of the process, because its slot may have been
+   * decided meanwhile.
+   */
   public void onPause() {
     proposer.stop();
   }
 
-  /** Returns when the next tick is due. */
+  /** Returns the time at which the next tick is due. */
   public long dueAt() {
-    return proposals.dueAt();
+    return proposerRole.dueAt();
   }
 
   /**
-   * Whether it votes: it has learnt from the others what it may have accepted before it started.
+   * Returns whether this gateway's acceptor votes. It does once the other gateways have answered
+   * what earlier processes of this gateway may have promised and accepted.
    */
   public boolean votes() {
     return acceptor.votes();
   }
 
-  /** Whether a majority has promised this gateway's ballot, so that it needs no phase 1. */
+  /**
+   * Returns whether a majority of the voters has promised this gateway's ballot, so that its next
+   * proposal needs no phase 1.
+   */
   public boolean leads() {
-    return proposals.leads();
+    return proposerRole.leads();
   }
 }
--- a/channels/src/main/java/tillerlink/channels/consensus/ProposerRole.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/ProposerRole.java
@@ -20,23 +20,23 @@
 import tillerlink.messages.channels.Cut;
 
 /**
- * Proposes cuts: the leader at once, the other voters one after the other if nothing is decided for
- * a while. Times are tenths of a millisecond.
+ * The proposer of cuts at one gateway. The leader proposes immediately; if nothing is decided for a
+ * while, the other voters propose one after the other. Times are tenths of a millisecond.
  */
 final class ProposerRole {
-  /** Without anything due, the next tick is due after this. */
+  /** The time to the next tick if nothing is due earlier. */
   private static final long TICK_INTERVAL = 5000;
 
-  /** A leader waits for this long after a decision before it proposes again. */
+  /** The least time between a decision and the leader's next proposal. */
   private static final long MIN_SLOT_INTERVAL = 1500;
 
-  /** Each voter waits for this long after the one before it. */
+  /** The time that each voter waits longer than the voter before it in the order. */
   private static final long TAKEOVER_INTERVAL = 15_000;
 
-  /** Between two plans. */
+  /** The least time between two plans of a cut. */
   private static final long MIN_PLAN_INTERVAL = 500;
 
-  /** A report older than this does not show that its sender has caught up. */
+  /** The age beyond which a report does not prove that its sender has caught up. */
   private static final long MAX_REPORT_AGE = 30_000;
 
   private final String self;
@@ -68,15 +68,17 @@
     planner = new Planner(counted, context.absentAfter());
   }
 
+  /** Returns the time at which the next tick is due. */
   long dueAt() {
     return dueAt;
   }
 
+  /** Returns whether a majority of the voters has promised this gateway's ballot. */
   boolean leads() {
     return proposer.leads(journal.voters());
   }
 
-  /** Does what is due. */
+  /** Ends a proposal whose slot is decided, and proposes if this gateway may. */
   void tick(long now) {
     dueAt = now + TICK_INTERVAL;
     if (journal.decided() != lastDecided) {
@@ -93,20 +95,21 @@
     }
   }
 
+  /** Starts or continues a proposal, and sends the requests that are due. */
   private void propose(long now) {
     if (proposer.stage() == Proposer.Stage.IDLE) {
-      begin(now);
+      startIfDue(now);
     }
     List<String> voters = journal.voters();
     if (proposer.mayAccept(voters)) {
-      Cut bound = proposer.boundCut(voters);
-      Cut cut = bound == null ? plan(now) : bound;
+      Cut boundCut = proposer.boundCut(voters);
+      Cut cut = boundCut == null ? plan(now) : boundCut;
       if (cut == null) {
         proposer.finish();
         return;
       }
-      // A bound cut may not be held here yet; those that accepted it hold it. Until it has been
-      // fetched no other cut is proposed.
+      // The events of a bound cut may not be held here yet; the acceptors that accepted the cut
+      // hold them. No other cut is proposed until they have been fetched.
       if (acceptor.mayAccept(cut)) {
         proposeCut(now, cut);
       }
@@ -115,13 +118,13 @@
       return;
     }
     if (proposer.beginSendIfDue(now)) {
-      send(voters);
+      sendRequests(voters);
     }
     dueAt = Math.min(dueAt, Math.max(now + 1, proposer.dueAt()));
   }
 
-  /** Starts a proposal if there is something to decide on and it is this gateway's turn. */
-  private void begin(long now) {
+  /** Starts a proposal if there is something to decide and it is this gateway's turn. */
+  private void startIfDue(long now) {
     boolean leads = leads();
     long notBefore =
         Math.max(
@@ -142,7 +145,7 @@
     }
   }
 
-  /** Starts phase 1; this gateway's own acceptor is the first to promise. */
+  /** Starts phase 1. This gateway's own acceptor must promise before the others are asked. */
   private void prepare(long now) {
     proposer.prepare(now, journal.decided() + 1, acceptor.state().promised());
     acceptor.state().promise(proposer.ballot());
@@ -151,7 +154,10 @@
     acceptor.persist(() -> proposer.onPromise(now, self, acceptor.promise(ballot, slot)));
   }
 
-  /** Starts phase 2; this gateway's own acceptor is the first to accept. */
+  /**
+   * Starts phase 2 with a cut, which this gateway's own acceptor accepts first. Abandons the
+   * proposal if the acceptor has promised a higher ballot.
+   */
   private void proposeCut(long now, Cut cut) {
     proposer.accept(now, cut);
     if (acceptor.state().accept(proposer.ballot(), cut)) {
@@ -163,16 +169,17 @@
   }
 
   /**
-   * Returns how many other voters propose before this one: the last leader goes first, then the
-   * order is that of names.
+   * Returns the number of voters that propose before this one. The order starts with the last
+   * leader and follows the names cyclically.
    */
   private int rank() {
     List<String> voters = journal.voters();
     String lastLeader = Proposer.gateway(acceptor.state().promised());
-    int last = Math.max(0, voters.indexOf(lastLeader));
-    return Math.floorMod(voters.indexOf(self) - last, voters.size());
+    int leaderIndex = Math.max(0, voters.indexOf(lastLeader));
+    return Math.floorMod(voters.indexOf(self) - leaderIndex, voters.size());
   }
 
+  /** Returns the cut to propose next; null if there is nothing to decide. */
   private Cut plan(long now) {
     Set<String> caughtUp = new TreeSet<>();
     Set<String> waitedFor = new TreeSet<>();
@@ -191,6 +198,7 @@
     return planner.next(now, journal, standings, caughtUp, waitedFor);
   }
 
+  /** Returns whether a recent report shows that a gateway has applied the same cuts. */
   private boolean hasCaughtUp(long now, String name) {
     Report report = fetcher.report(name);
     return report != null
@@ -198,7 +206,11 @@
         && report.applied() == journal.applied();
   }
 
-  private void send(List<String> voters) {
+  /**
+   * Sends the request of the current phase to the other voters that have not responded. In phase 1
+   * nothing is sent before this gateway's own promise is persisted.
+   */
+  private void sendRequests(List<String> voters) {
     if (proposer.stage() == Proposer.Stage.PREPARING && !proposer.hasAnswered(self)) {
       return;
     }
@@ -213,6 +225,7 @@
     }
   }
 
+  /** Stores, publishes and applies the cut that a majority has accepted. */
   private void onDecided(long now) {
     Cut cut = proposer.cut();
     proposer.finish();
--- a/channels/src/main/java/tillerlink/channels/consensus/RejoinProtocol.java
+++ b/channels/src/main/java/tillerlink/channels/consensus/RejoinProtocol.java
@@ -8,11 +8,11 @@
 import tillerlink.messages.channels.ChannelsMessage.Ask;
 
 /**
- * Lets the acceptor of a new process vote only after the other gateways answered what its gateway
- * may have promised and accepted before.
+ * The protocol by which a new process rejoins consensus. Its acceptor votes only after the other
+ * gateways have answered what earlier processes of this gateway may have promised and accepted.
  */
 final class RejoinProtocol {
-  /** Between two requests, in tenths of a millisecond. */
+  /** The time after which the other gateways are asked again, in tenths of a millisecond. */
   private static final long RETRY_INTERVAL = 5000;
 
   private final long incarnation;
@@ -30,16 +30,22 @@
     check = new RejoinCheck(context.self(), context.counted());
   }
 
+  /** Handles another gateway's answer; answers to earlier processes are ignored. */
   void onAnswer(String from, Answer answer) {
     if (answer.incarnation() == incarnation && !check.isDone()) {
       check.onAnswer(from, answer);
     }
   }
 
-  /** Does what is due, while the acceptor does not vote. */
+  /**
+   * Asks the other gateways or, once enough have answered, merges their answers and persists the
+   * result. Called only while the acceptor does not vote.
+   *
+   * @param now the time in tenths of a millisecond
+   */
   void tick(long now) {
     List<String> voters = journal.voters();
-    if (check.completes(voters, journal.applied())) {
+    if (check.checkCompletion(voters, journal.applied())) {
       for (Answer answer : check.answers()) {
         acceptor.state().merge(answer.promised(), answer.acceptedIn(), answer.accepted());
       }
@@ -53,7 +59,7 @@
     if (check.isDone()) {
       acceptor.persist(acceptor::startVoting);
     } else {
-      check.others(voters).forEach(other -> transport.send(other, new Ask(incarnation)));
+      check.gatewaysToAsk(voters).forEach(other -> transport.send(other, new Ask(incarnation)));
     }
   }
 }
--- a/channels/src/main/java/tillerlink/channels/epoch/AcceptorState.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/AcceptorState.java
@@ -11,9 +11,10 @@
 import tillerlink.messages.channels.EntryCodec;
 
 /**
- * What a gateway's acceptor has promised and accepted. It must be persisted before a response that
- * rests on it is sent. A promise never falls: not by a restart and, as {@link RejoinCheck} asks the
- * others first, not by a lost disk or an old copy of it.
+ * The promises and acceptances of a gateway's acceptor. The state must be persisted before a
+ * response that depends on it is sent. The promised ballot never decreases: not by a restart and,
+ * because {@link RejoinCheck} asks the other gateways first, not by a lost disk or an old copy of
+ * it.
  */
 public final class AcceptorState {
   private static final int PROMISED_ROUND = 1;
@@ -21,13 +22,13 @@
   private static final int ACCEPTED_ROUND = 3;
   private static final int ACCEPTED_PROPOSER = 4;
   private static final int ACCEPTED_CUT = 5;
-  private static final int LIFE = 6;
+  private static final int INCARNATION = 6;
 
-  /** Always written, so that the stored value is never empty. */
-  private static final int IS_STORED = 7;
+  /** A field that is always written, so that the stored value is never empty. */
+  private static final int PRESENT = 7;
 
-  private static final int LIFE_GATEWAY = 1;
-  private static final int LIFE_INCARNATION = 2;
+  private static final int INCARNATION_GATEWAY = 1;
+  private static final int INCARNATION_NUMBER = 2;
 
   private static final int MAX_NAME_BYTES = 255;
 
@@ -40,8 +41,8 @@
   /**
    * Recovers the state.
    *
-   * @param stored what {@link #bytes} returned, null if nothing is stored
-   * @throws MalformedMessageException if it can't be read
+   * @param stored the state as encoded by {@link #bytes}; null if nothing is stored
+   * @throws MalformedMessageException if the stored state is malformed
    */
   public AcceptorState(byte[] stored) throws MalformedMessageException {
     if (stored != null) {
@@ -52,32 +53,35 @@
 
   // ---- state ----
 
-  /** Returns the highest ballot that it promised. */
+  /** Returns the highest promised ballot; {@link Ballot#NONE} if there is none. */
   public Ballot promised() {
     return promised;
   }
 
-  /** Returns the ballot in which it accepted {@link #accepted}. */
+  /** Returns the ballot in which {@link #accepted} was accepted. */
   public Ballot acceptedIn() {
     return acceptedIn;
   }
 
-  /** Returns the last cut that it accepted, null if none. */
+  /** Returns the last accepted cut; null if there is none. */
   public Cut accepted() {
     return accepted;
   }
 
-  /** False after a start with nothing stored, until the others have answered. */
+  /**
+   * Returns whether the state is known. After a start with nothing stored it is not, until the
+   * other gateways have answered.
+   */
   public boolean knows() {
     return knows;
   }
 
-  /** The others have answered after a start with nothing stored. */
+  /** Marks the state as known, once enough other gateways have answered. */
   public void markRecovered() {
     knows = true;
   }
 
-  /** Returns the newest incarnations that it knows of other gateways, by name; a live view. */
+  /** Returns the newest known incarnations of other gateways, by name; a live view. */
   public Map<String, Long> lives() {
     return lives;
   }
@@ -85,8 +89,11 @@
   // ---- changes ----
 
   /**
-   * A process of a gateway started; promises of its earlier ones are not counted together with what
-   * is promised from now on.
+   * Records that a process of a gateway has started. Responses of the gateway's earlier processes
+   * are not counted together with responses from now on.
+   *
+   * @param gateway the gateway's name
+   * @param incarnation the incarnation of the process
    */
   public void started(String gateway, long incarnation) {
     lives.merge(gateway, incarnation, Math::max);
@@ -95,7 +102,7 @@
   /**
    * Promises a ballot, unless a higher one was promised.
    *
-   * @return whether it is promised
+   * @return whether the ballot is promised
    */
   public boolean promise(Ballot ballot) {
     Invariant.holds(promised.compareTo(acceptedIn) >= 0, () -> "promised less than was accepted");
@@ -106,17 +113,19 @@
     return true;
   }
 
+  /** Sets the promised ballot, which must not be lower than the previous one. */
   void raise(Ballot ballot) {
-    Ballot before = promised;
+    Ballot previous = promised;
     promised = ballot;
     Invariant.holds(
-        promised.compareTo(before) >= 0, () -> "a promise fell from " + before + " to " + ballot);
+        promised.compareTo(previous) >= 0,
+        () -> "a promise fell from " + previous + " to " + ballot);
   }
 
   /**
    * Accepts a cut in a ballot, unless a higher ballot was promised.
    *
-   * @return whether it is accepted
+   * @return whether the cut is accepted
    */
   public boolean accept(Ballot ballot, Cut cut) {
     if (ballot.compareTo(promised) < 0) {
@@ -134,7 +143,14 @@
     return true;
   }
 
-  /** Takes over what another gateway promised and accepted, if that is higher. */
+  /**
+   * Adopts the ballot that another gateway promised if it is higher, and the cut that it accepted
+   * if that is for a later slot or was accepted in a higher ballot.
+   *
+   * @param otherPromised the ballot that the other gateway promised
+   * @param otherAcceptedIn the ballot in which it accepted {@code otherAccepted}
+   * @param otherAccepted the cut that it accepted last; null if there is none
+   */
   public void merge(Ballot otherPromised, Ballot otherAcceptedIn, Cut otherAccepted) {
     if (otherPromised.compareTo(promised) > 0) {
       raise(otherPromised);
@@ -145,15 +161,16 @@
     }
   }
 
+  /** Returns whether a cut was accepted later than the one that is accepted here. */
   private boolean isLater(Cut cut, Ballot ballot) {
     return accepted == null
         || cut.slot() > accepted.slot()
         || (cut.slot() == accepted.slot() && ballot.compareTo(acceptedIn) > 0);
   }
 
-  // ---- as bytes ----
+  // ---- encoding ----
 
-  /** Writes the state for storage. */
+  /** Returns the state encoded for storage; never empty. */
   public byte[] bytes() {
     FieldWriter out =
         new FieldWriter()
@@ -167,11 +184,11 @@
     lives.forEach(
         (gateway, incarnation) ->
             out.within(
-                LIFE,
+                INCARNATION,
                 new FieldWriter()
-                    .text(LIFE_GATEWAY, gateway)
-                    .fixed(LIFE_INCARNATION, incarnation)));
-    return out.number(IS_STORED, 1).done();
+                    .text(INCARNATION_GATEWAY, gateway)
+                    .fixed(INCARNATION_NUMBER, incarnation)));
+    return out.number(PRESENT, 1).done();
   }
 
   private void read(FieldReader in) throws MalformedMessageException {
@@ -186,7 +203,7 @@
         case ACCEPTED_ROUND -> acceptedRound = in.number();
         case ACCEPTED_PROPOSER -> acceptedProposer = in.text(MAX_NAME_BYTES);
         case ACCEPTED_CUT -> accepted = EntryCodec.cut(in.within());
-        case LIFE -> readLife(in.within());
+        case INCARNATION -> readIncarnation(in.within());
         default -> {}
       }
     }
@@ -194,13 +211,13 @@
     acceptedIn = new Ballot(acceptedRound, acceptedProposer);
   }
 
-  private void readLife(FieldReader in) throws MalformedMessageException {
+  private void readIncarnation(FieldReader in) throws MalformedMessageException {
     String gateway = "";
     long incarnation = 0;
     while (in.next()) {
       switch (in.field()) {
-        case LIFE_GATEWAY -> gateway = in.text(MAX_NAME_BYTES);
-        case LIFE_INCARNATION -> incarnation = in.fixed();
+        case INCARNATION_GATEWAY -> gateway = in.text(MAX_NAME_BYTES);
+        case INCARNATION_NUMBER -> incarnation = in.fixed();
         default -> {}
       }
     }
--- a/channels/src/main/java/tillerlink/channels/epoch/Proposer.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/Proposer.java
@@ -11,38 +11,42 @@
 import tillerlink.messages.channels.Cut;
 
 /**
- * The state of one gateway's proposals for the next slot: a ballot that a majority of the voters
- * promises, then a cut that a majority accepts in it. If acceptors that promised have accepted a
- * cut for the slot before, the one of the highest ballot must be proposed. A promised ballot serves
- * for further slots while the voters stay the same. It sends nothing itself; times are tenths of a
- * millisecond.
+ * The state of one gateway's proposals for the next slot. In phase 1 a majority of the voters
+ * promises a ballot, in phase 2 a majority accepts a cut in that ballot. If acceptors that promised
+ * have already accepted a cut for the slot, the one accepted in the highest ballot must be
+ * proposed. A promised ballot is used for further slots while the voters stay the same. This class
+ * sends nothing itself. Times are tenths of a millisecond.
  */
 public final class Proposer {
-  /** Between two requests to acceptors that have not responded. */
+  /** The time between two requests to an acceptor that does not respond. */
   private static final long RETRY_INTERVAL = 3000;
 
-  /** A proposal that takes longer is abandoned. */
+  /** The time after which a phase of a proposal that has no majority is abandoned. */
   private static final long PROPOSAL_TIMEOUT = 20_000;
 
-  /** After an abandoned proposal nothing is proposed for this long, and a random part of more. */
+  /** The least time after an abandoned proposal during which nothing is proposed. */
   private static final long MIN_BACKOFF = 3000;
 
+  /** The upper limit of the random time that is added to the least back-off. */
   private static final int BACKOFF_JITTER = 10_000;
 
-  /** The phase of the proposal. */
+  /** The phase of a proposal. */
   public enum Stage {
-    /** Nothing is proposed. */
+    /** No proposal is in progress. */
     IDLE,
-    /** Phase 1: promises are collected. */
+    /** Phase 1: collecting promises. */
     PREPARING,
-    /** Phase 2: acceptances are collected. */
+    /** Phase 2: collecting acceptances. */
     ACCEPTING
   }
 
-  private final String name;
+  private final String proposerName;
   private final RandomGenerator random;
   private final TreeMap<String, Promise> promises = new TreeMap<>();
+
+  /** The incarnations of the acceptors that accepted the cut, by gateway. */
   private final TreeMap<String, Long> acceptances = new TreeMap<>();
+
   private Stage stage = Stage.IDLE;
   private Ballot ballot = Ballot.NONE;
   private List<String> promisedBy = List.of();
@@ -55,15 +59,19 @@
   private long backoffUntil;
 
   /**
-   * Makes the proposer of a process. The incarnation is part of each ballot, so that no ballot is
+   * Creates the proposer of a process. The incarnation is part of each ballot, so that no ballot is
    * used twice, not even after a restart with a lost disk.
+   *
+   * @param self this gateway's name
+   * @param incarnation the incarnation of this process
+   * @param random the source of the random part of back-off times
    */
   public Proposer(String self, long incarnation, RandomGenerator random) {
-    name = self + "/" + Long.toHexString(incarnation);
+    proposerName = self + "/" + Long.toHexString(incarnation);
     this.random = random;
   }
 
-  /** Returns the gateway that uses a ballot; empty for {@link Ballot#NONE}. */
+  /** Returns the gateway that a ballot belongs to; empty for {@link Ballot#NONE}. */
   public static String gateway(Ballot ballot) {
     int end = ballot.proposer().lastIndexOf('/');
     return end < 0 ? "" : ballot.proposer().substring(0, end);
@@ -76,7 +84,7 @@
     return stage;
   }
 
-  /** Returns the latest ballot. */
+  /** Returns the latest ballot of this gateway; {@link Ballot#NONE} before the first proposal. */
   public Ballot ballot() {
     return ballot;
   }
@@ -86,25 +94,25 @@
     return slot;
   }
 
-  /** Returns the cut that is to be accepted. */
+  /** Returns the cut of the latest phase 2; null before the first. */
   public Cut cut() {
     return cut;
   }
 
-  /** Returns the time before which nothing is to be proposed. */
+  /** Returns the time before which nothing may be proposed. */
   public long backoffUntil() {
     return backoffUntil;
   }
 
   /**
-   * Whether a majority of these voters has promised this gateway's ballot, and no higher one was
-   * seen.
+   * Returns whether a majority of these voters has promised this gateway's ballot, and no higher
+   * ballot was seen.
    */
   public boolean leads(List<String> voters) {
     return isPromised && promisedBy.equals(voters);
   }
 
-  /** Whether a voter has responded in the current phase. */
+  /** Returns whether a voter has responded in the current phase. */
   public boolean hasAnswered(String voter) {
     return stage == Stage.PREPARING ? promises.containsKey(voter) : acceptances.containsKey(voter);
   }
@@ -114,16 +122,18 @@
   /**
    * Starts phase 1 with a new ballot.
    *
+   * @param now the time in tenths of a millisecond
+   * @param forSlot the slot to decide
    * @param promised the highest ballot that this gateway's own acceptor promised
    */
   public void prepare(long now, long forSlot, Ballot promised) {
     highestRound = Math.max(highestRound, promised.round());
-    ballot = new Ballot(highestRound + 1, name);
+    ballot = new Ballot(highestRound + 1, proposerName);
     highestRound++;
     slot = forSlot;
     isPromised = false;
     promises.clear();
-    begin(now, Stage.PREPARING);
+    beginPhase(now, Stage.PREPARING);
   }
 
   /** Starts phase 2 with a cut. */
@@ -131,10 +141,10 @@
     cut = proposed;
     slot = proposed.slot();
     acceptances.clear();
-    begin(now, Stage.ACCEPTING);
+    beginPhase(now, Stage.ACCEPTING);
   }
 
-  private void begin(long now, Stage phase) {
+  private void beginPhase(long now, Stage phase) {
     stage = phase;
     startedAt = now;
     sentAt = now - RETRY_INTERVAL;
@@ -146,14 +156,17 @@
     stage = Stage.IDLE;
   }
 
-  /** Ends the proposal, as its slot is decided or nothing is to be proposed. */
+  /**
+   * Ends the proposal because its slot is decided or there is nothing to propose. The ballot may be
+   * used again.
+   */
   public void finish() {
     stage = Stage.IDLE;
   }
 
   /**
-   * Abandons the proposal for a while. A second cut must never be proposed in a ballot in which one
-   * was, so the ballot is abandoned too.
+   * Abandons the proposal and sets the time before which none is started. The ballot is abandoned
+   * as well, because two different cuts must never be proposed in the same ballot.
    */
   private void backOff(long now) {
     stop();
@@ -161,8 +174,8 @@
   }
 
   /**
-   * Whether to send the request (again) to those that have not responded; it then counts as sent.
-   * Abandons a proposal that takes too long.
+   * Returns whether the request must be sent, again or for the first time, to the voters that have
+   * not responded; if so, records it as sent. Abandons a proposal that takes too long.
    */
   public boolean beginSendIfDue(long now) {
     if (stage != Stage.IDLE && now - startedAt > PROPOSAL_TIMEOUT) {
@@ -175,17 +188,23 @@
     return true;
   }
 
-  /** Returns when the request is to be sent again. */
+  /**
+   * Returns the time at which the request is to be sent again; {@link Long#MAX_VALUE} if no
+   * proposal is in progress.
+   */
   public long dueAt() {
     return stage == Stage.IDLE ? Long.MAX_VALUE : sentAt + RETRY_INTERVAL;
   }
 
-  // ---- what acceptors and other proposers sent ----
+  // ---- messages from acceptors and other proposers ----
 
-  /** Another ballot was seen; a higher one of another proposer ends this one's lead. */
+  /**
+   * Handles a ballot seen in a message. A higher one of another proposer ends the lead of this one,
+   * and the proposal in progress.
+   */
   public void onBallot(long now, Ballot other) {
     highestRound = Math.max(highestRound, other.round());
-    if (other.compareTo(ballot) > 0 && !other.proposer().equals(name)) {
+    if (other.compareTo(ballot) > 0 && !other.proposer().equals(proposerName)) {
       isPromised = false;
       if (stage != Stage.IDLE) {
         backOff(now);
@@ -193,7 +212,7 @@
     }
   }
 
-  /** Takes an acceptor's response to phase 1. */
+  /** Handles an acceptor's response to phase 1. */
   public void onPromise(long now, String from, Promise promise) {
     if (stage == Stage.PREPARING && promise.ballot().equals(ballot) && promise.slot() == slot) {
       if (promise.promised().equals(ballot)) {
@@ -204,7 +223,7 @@
     }
   }
 
-  /** Takes an acceptor's response to phase 2. */
+  /** Handles an acceptor's response to phase 2. */
   public void onAccepted(long now, String from, Accepted accepted) {
     if (stage == Stage.ACCEPTING && accepted.ballot().equals(ballot) && accepted.slot() == slot) {
       if (accepted.promised().equals(ballot)) {
@@ -216,8 +235,10 @@
   }
 
   /**
-   * Takes what a gateway knows of started processes: responses of earlier processes of the same
-   * gateways do not count.
+   * Discards the responses of processes that are known to have been succeeded by newer processes of
+   * the same gateways.
+   *
+   * @param lives the newest incarnations that another gateway knows
    */
   public void onLives(List<Life> lives) {
     for (Life life : lives) {
@@ -227,7 +248,7 @@
         isPromised = false;
       }
       acceptances.computeIfPresent(
-          life.gateway(), (any, accepted) -> accepted < life.incarnation() ? null : accepted);
+          life.gateway(), (ignored, accepted) -> accepted < life.incarnation() ? null : accepted);
     }
   }
 
@@ -237,7 +258,10 @@
     return voters.stream().filter(responses::containsKey).count() > voters.size() / 2;
   }
 
-  /** Whether phase 2 may start: a majority of these voters promised the ballot. */
+  /**
+   * Returns whether phase 2 may start because a majority of these voters has promised the ballot.
+   * If so, this gateway leads from then on.
+   */
   public boolean mayAccept(List<String> voters) {
     if (stage != Stage.PREPARING || !isMajority(promises, voters)) {
       return false;
@@ -247,7 +271,10 @@
     return true;
   }
 
-  /** Returns the cut that must be proposed in phase 2; null if any may be. */
+  /**
+   * Returns the cut that must be proposed in phase 2: the one that the voters have accepted in the
+   * highest ballot. Null if any cut may be proposed.
+   */
   public Cut boundCut(List<String> voters) {
     Promise highest = null;
     for (String voter : voters) {
@@ -262,7 +289,9 @@
     return highest == null ? null : highest.accepted();
   }
 
-  /** Whether the cut is decided: a majority of these voters accepted it. */
+  /**
+   * Returns whether the cut is decided, which means that a majority of these voters accepted it.
+   */
   public boolean isDecided(List<String> voters) {
     return stage == Stage.ACCEPTING && isMajority(acceptances, voters);
   }
--- a/channels/src/main/java/tillerlink/channels/epoch/RejoinCheck.java
+++ b/channels/src/main/java/tillerlink/channels/epoch/RejoinCheck.java
@@ -9,39 +9,41 @@
 import tillerlink.messages.channels.ChannelsMessage.Answer;
 
 /**
- * Decides when a process that has just started may vote. Its disk may be lost, or an old copy, and
- * it can't tell so itself; so the others are asked first what it may have promised and accepted.
- * More than half of the others must answer: then at least one of any majority that the gateway was
- * ever part of is among them.
+ * The check that decides when a process that has just started may vote. Its disk may have been lost
+ * or replaced by an old copy, which the process cannot detect by itself. Therefore it first asks
+ * the other gateways what it may have promised and accepted. More than half of them must answer, so
+ * that the answers include at least one member of any majority that the gateway was ever part of.
  */
 public final class RejoinCheck {
   private final String self;
   private final List<String> counted;
   private final TreeMap<String, Answer> answers = new TreeMap<>();
-  private boolean done;
+  private boolean isDone;
 
   /**
-   * Starts the check for one process.
+   * Creates the check for one process.
    *
-   * @param counted the gateways that the operator counts; others are not waited for
+   * @param self this gateway's name
+   * @param counted the gateways that the operator's settings allow as voters; voters that are not
+   *     among them are not waited for if there is another voter that is
    */
   public RejoinCheck(String self, List<String> counted) {
     this.self = self;
     this.counted = counted;
   }
 
-  /** Takes the answer of another gateway. */
+  /** Records the answer of another gateway; it replaces an earlier one. */
   public void onAnswer(String from, Answer answer) {
     answers.put(from, answer);
   }
 
-  /** Whether enough have answered. */
+  /** Returns whether enough gateways have answered. */
   public boolean isDone() {
-    return done;
+    return isDone;
   }
 
-  /** Returns those whose answers are waited for. */
-  public Set<String> others(List<String> voters) {
+  /** Returns the other gateways whose answers are waited for. */
+  public Set<String> gatewaysToAsk(List<String> voters) {
     Set<String> others = new TreeSet<>(voters);
     if (others.stream().anyMatch(other -> !other.equals(self) && counted.contains(other))) {
       others.retainAll(counted);
@@ -51,24 +53,26 @@
   }
 
   /**
-   * Checks whether enough have answered.
+   * Checks whether enough gateways have answered. If all have answered, the check also completes
+   * when none of them knows its own state, or when this process has applied no slot.
    *
-   * @param applied the slot up to which this process holds everything; while an answer has a later
-   *     one, the check is not done: a voter that counted as recovered before would leave what was
-   *     on its disk on too few others
-   * @return true the first time that enough have answered
+   * @param voters the gateways that decide on the next slot
+   * @param applied the slot up to which this process holds all events and cuts. The check is not
+   *     done while an answer reports a later decided slot: otherwise the voter would count as
+   *     recovered while events that were on its lost disk are held by too few other gateways
+   * @return true only the first time that enough gateways have answered
    */
-  public boolean completes(List<String> voters, long applied) {
-    if (done) {
+  public boolean checkCompletion(List<String> voters, long applied) {
+    if (isDone) {
       return false;
     }
-    Set<String> others = others(voters);
-    List<Answer> given = others.stream().filter(answers::containsKey).map(answers::get).toList();
-    boolean behind = given.stream().anyMatch(answer -> answer.decided() > applied);
-    long knowing = given.stream().filter(Answer::knows).count();
-    boolean founding = given.size() == others.size() && (knowing == 0 || applied == 0);
-    done = !behind && (knowing > others.size() / 2 || others.isEmpty() || founding);
-    return done;
+    Set<String> others = gatewaysToAsk(voters);
+    List<Answer> received = others.stream().filter(answers::containsKey).map(answers::get).toList();
+    boolean isBehind = received.stream().anyMatch(answer -> answer.decided() > applied);
+    long recovered = received.stream().filter(Answer::knows).count();
+    boolean isFirstStart = received.size() == others.size() && (recovered == 0 || applied == 0);
+    isDone = !isBehind && (recovered > others.size() / 2 || others.isEmpty() || isFirstStart);
+    return isDone;
   }
 
   /** Returns all answers, in the order of the gateways' names. */
