--- a/channels/src/main/java/tillerlink/channels/ChannelLogConfig.java
+++ b/channels/src/main/java/tillerlink/channels/ChannelLogConfig.java
@@ -3,16 +3,17 @@
 import java.util.List;
 
 /**
- * The operator's settings for the logs of channels.
+ * The operator's settings for the replicated logs of channels.
  *
- * @param counted names of the gateways, one for each counted site, that decide what is stable
- * @param absentAfter tenths of a millisecond after which the others go on without a gateway that
- *     was silent
- * @param aheadMillis milliseconds that a stamp may be ahead of what the fleet believes the time to
- *     be
- * @param bytes the quota for events, in memory and on disk
- * @param maxSlots applied slots after which the oldest are compacted
- * @param maxChannels channels at the most
+ * @param counted the names of the 1 to 64 gateways, one for each counted site, that may vote on
+ *     which events are stable; sorted, without duplicates
+ * @param absentAfter the time without progress, in tenths of a millisecond, after which the other
+ *     gateways no longer wait for a gateway
+ * @param aheadMillis the most milliseconds by which an event's stamp may be ahead of the fleet's
+ *     time, which is the median of the gateways' clocks
+ * @param bytes the quota for events in bytes, in memory and on disk
+ * @param maxSlots the number of applied slots beyond which the oldest are compacted
+ * @param maxChannels the maximum number of channels
  */
 public record ChannelLogConfig(
     List<String> counted,
@@ -29,18 +30,19 @@
   private static final int DEFAULT_MAX_CHANNELS = 64;
 
   /**
-   * Sorts the counted gateways; one may be written as SITE/GATEWAY.
+   * Creates the settings. Strips the site from names of the form SITE/GATEWAY, removes duplicates
+   * and sorts the names.
    *
-   * @throws IllegalArgumentException if none is counted, or too many are
+   * @throws IllegalArgumentException if {@code counted} has no name or more than 64
    */
   public ChannelLogConfig {
-    counted = counted.stream().map(ChannelLogConfig::gateway).distinct().sorted().toList();
+    counted = counted.stream().map(ChannelLogConfig::gatewayName).distinct().sorted().toList();
     if (counted.isEmpty() || counted.size() > MAX_COUNTED) {
       throw new IllegalArgumentException("1 to 64 gateways are counted in");
     }
   }
 
-  /** Returns the default settings for some counted gateways. */
+  /** Returns settings with the given counted gateways and defaults for everything else. */
   public static ChannelLogConfig of(List<String> counted) {
     return new ChannelLogConfig(
         counted,
@@ -51,14 +53,17 @@
         DEFAULT_MAX_CHANNELS);
   }
 
-  /** Returns settings with the default number of slots that are not compacted. */
+  /**
+   * Returns settings with the default for {@code maxSlots}; see the record for the parameters'
+   * units.
+   */
   public static ChannelLogConfig of(
       List<String> counted, long absentAfter, long aheadMillis, long bytes, int maxChannels) {
     return new ChannelLogConfig(
         counted, absentAfter, aheadMillis, bytes, DEFAULT_MAX_SLOTS, maxChannels);
   }
 
-  private static String gateway(String counted) {
-    return counted.substring(counted.lastIndexOf('/') + 1);
+  private static String gatewayName(String qualifiedName) {
+    return qualifiedName.substring(qualifiedName.lastIndexOf('/') + 1);
   }
 }
--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -35,16 +35,18 @@
 import tillerlink.messages.channels.ChannelsMessage.Want;
 
 /**
- * The replicated logs of all channels at one gateway. It accepts appends at any time, also while
- * partitioned from the others. A prefix of each log is stable: decided by a majority of the counted
- * gateways, and from then on the same everywhere and for good.
+ * The replicated logs of all channels at one gateway. Appends are accepted at any time, also while
+ * the gateway is partitioned from the others. A prefix of each log is stable: a majority of the
+ * counted gateways has decided it, and from then on it is the same at every gateway and never
+ * changes.
  *
- * <p>Used by the gateway's event loop only; no I/O of its own. Times are tenths of a millisecond:
- * {@code now} of a clock that never jumps, {@code wall} since 1970.
+ * <p>Not thread-safe: used by the gateway's event loop only. It does no I/O of its own. Times are
+ * tenths of a millisecond: {@code now} is the time of a monotonic clock, {@code wall} the time
+ * since 1970 by the machine's clock.
  */
 public final class Channels implements ClusterComponent {
-  /** Units of time in a millisecond. */
-  static final int UNITS_PER_MILLI = 10;
+  /** Time units (tenths of a millisecond) in a millisecond. */
+  static final int TENTHS_PER_MILLI = 10;
 
   private final MembershipView membership;
   private final RateLimitedLog log;
@@ -64,11 +66,15 @@
   private long malformed;
 
   /**
-   * Recovers the logs from what the gateway has stored.
+   * Recovers the logs from the gateway's store, and draws the incarnation of this process.
    *
-   * @param random the source of all random draws
-   * @param wall the machine's clock, in tenths of a millisecond since 1970
-   * @param lines takes lines for the gateway's log, few of each kind
+   * @param config the operator's settings
+   * @param membership the gateways of the fleet
+   * @param sender sends messages to other gateways
+   * @param storage where events, cuts and promises are stored
+   * @param random the source of all random numbers
+   * @param wall the time of the machine's clock, in tenths of a millisecond since 1970
+   * @param lines receives lines for the gateway's log; the rate of each kind of line is limited
    */
   public Channels(
       ChannelLogConfig config,
@@ -111,13 +117,17 @@
     compactor = new Compactor(config.maxSlots(), writer.quota(), journal, store);
   }
 
-  // ---- for clients ----
+  // ---- client operations ----
 
   /**
-   * Appends an event.
+   * Appends an event to a channel's log.
    *
-   * @param onResult called within this call if the event is refused or is there already, otherwise
-   *     once it is durable; never called if the disk fails meanwhile
+   * @param now the monotonic time, in tenths of a millisecond
+   * @param wall the time since 1970, in tenths of a millisecond
+   * @param channel the channel's name
+   * @param request the event and its optional idempotency key
+   * @param onResult receives the result: during this call if the event is refused or already
+   *     stored, otherwise once the event is durable; never called if the disk fails in the meantime
    */
   public void append(
       long now, long wall, String channel, AppendRequest request, Consumer<AppendResult> onResult) {
@@ -125,27 +135,33 @@
   }
 
   /**
-   * Reads a part of a channel's log.
+   * Returns a page of a channel's log.
    *
-   * @param from the number of the first event
-   * @param maxBytes about the bytes of events to return; one event at least is returned
+   * @param channel the channel's name
+   * @param from the index of the first event to return, from 0
+   * @param maxBytes the approximate limit on the events' size in bytes; if there are events, at
+   *     least one is returned whatever its size
+   * @return the page; without events if the channel has none
    */
   public Page read(String channel, long from, int maxBytes) {
     return PageReader.read(journal, channel, from, maxBytes);
   }
 
-  /** Returns all cues of a channel, with the provisional events applied. */
+  /**
+   * Returns all cues of a channel, with the provisional events applied; empty if the channel has no
+   * events.
+   */
   public List<Cue> cues(String channel) {
     ChannelLog channelLog = journal.logs().get(channel);
     return channelLog == null ? List.of() : channelLog.cues(journal.upTo());
   }
 
-  /** Returns the names of the channels that have events. */
+  /** Returns the names of the channels that have events, in their order. */
   public List<String> names() {
     return List.copyOf(journal.logs().keySet());
   }
 
-  /** Returns counters and positions, for the gateway's status. */
+  /** Returns the counters and log positions that the gateway's status shows. */
   public State state() {
     long stable = journal.logs().values().stream().mapToLong(ChannelLog::stableCount).sum();
     return new State(
@@ -163,8 +179,8 @@
         malformed + replicator.malformed(),
         fetcher.timeouts(),
         store.failures(),
-        replicator.ownTakenBack(),
-        replicator.twoContents());
+        replicator.ownRecovered(),
+        replicator.conflictingContents());
   }
 
   // ---- messages ----
@@ -186,8 +202,8 @@
     if (message instanceof Report report) {
       onReport(now, from, report);
     } else if (message instanceof Piece piece) {
-      int taken = replicator.take(now, wall, from, piece);
-      fetcher.onPiece(now, from, piece, taken);
+      int newEvents = replicator.addEvents(now, wall, from, piece);
+      fetcher.onPiece(now, from, piece, newEvents);
     } else if (message instanceof Want want) {
       server.sendEntries(from, want);
     } else if (message instanceof Cuts cuts) {
@@ -197,9 +213,9 @@
     } else if (message instanceof SumWanted wanted) {
       server.sendState(from, wanted);
     } else if (message instanceof SumPart part) {
-      byte[] state = fetcher.onStatePart(now, from, part);
-      if (state != null) {
-        replicator.install(now, from, state);
+      byte[] compactedState = fetcher.onStatePart(now, from, part);
+      if (compactedState != null) {
+        replicator.installState(now, from, compactedState);
       }
     } else {
       consensus.onMessage(now, from, message);
@@ -211,9 +227,9 @@
       malformed++;
       return;
     }
-    Report before = fetcher.report(from);
-    if (before != null && before.own().incarnation() < report.own().incarnation()) {
-      lossDetector.onRestart(now, from, before.own(), report);
+    Report previous = fetcher.report(from);
+    if (previous != null && previous.own().incarnation() < report.own().incarnation()) {
+      lossDetector.onRestart(now, from, previous.own(), report);
     }
     checkDigest(from, report);
     clock.onWall(now, from, report.wall());
@@ -239,7 +255,7 @@
                 + from);
   }
 
-  // ---- time ----
+  // ---- timers ----
 
   @Override
   public void tick(long now, long wall) {
--- a/channels/src/main/java/tillerlink/channels/Compactor.java
+++ b/channels/src/main/java/tillerlink/channels/Compactor.java
@@ -6,13 +6,21 @@
 import tillerlink.channels.recovery.Store;
 import tillerlink.messages.channels.Entry;
 
-/** Compacts the oldest applied slots when there are too many, or their events take too much. */
+/**
+ * The compactor of the oldest applied slots. It runs when there are more slots than allowed, or
+ * when the events take too much of the storage quota.
+ */
 final class Compactor {
-  /** Of the slots allowed, one part in so many is compacted ahead. */
-  private static final int SLOTS_AHEAD = 8;
+  /**
+   * When there are too many slots, the allowed number divided by this is compacted in addition, as
+   * headroom.
+   */
+  private static final int HEADROOM_DIVISOR = 8;
 
-  /** Of the applied slots, one part in so many is compacted when events take too much. */
-  private static final int SLOTS_AT_ONCE = 4;
+  /**
+   * When the events take too many bytes, the number of applied slots divided by this is compacted.
+   */
+  private static final int OVER_QUOTA_DIVISOR = 4;
 
   private final int maxSlots;
   private final StorageQuota quota;
@@ -26,22 +34,27 @@
     this.store = store;
   }
 
-  /** Compacts if that is due. */
+  /** Compacts the log and stores the compacted state if one of the limits is exceeded. */
   void compact() {
     long base = journal.base();
-    long target = target(base, journal.applied() - base);
+    long target = targetSlot(base, journal.applied() - base);
     if (target > base) {
-      List<Entry> covered = journal.compact(target);
-      store.sum(journal.sum().bytes(), journal.base(), base, covered, base + 1);
+      List<Entry> compacted = journal.compact(target);
+      store.sum(journal.sum().bytes(), journal.base(), base, compacted, base + 1);
     }
   }
 
-  /** The slot up to which to compact; the base if nothing is due. */
-  private long target(long base, long slots) {
+  /**
+   * Returns the slot up to which to compact; {@code base} if no limit is exceeded.
+   *
+   * @param base the slot up to which the log is compacted already
+   * @param slots the number of applied slots that are not compacted
+   */
+  private long targetSlot(long base, long slots) {
     if (slots > maxSlots) {
-      return journal.applied() - maxSlots + maxSlots / SLOTS_AHEAD;
+      return journal.applied() - maxSlots + maxSlots / HEADROOM_DIVISOR;
     } else if (journal.bytes() > quota.compactBeyond() && slots > 0) {
-      return base + Math.max(1, slots / SLOTS_AT_ONCE);
+      return base + Math.max(1, slots / OVER_QUOTA_DIVISOR);
     }
     return base;
   }
--- a/channels/src/main/java/tillerlink/channels/LossDetector.java
+++ b/channels/src/main/java/tillerlink/channels/LossDetector.java
@@ -10,8 +10,9 @@
 import tillerlink.messages.channels.Span;
 
 /**
- * Detects that another gateway restarted without events of its own that it had reported before: its
- * disk is lost, or an old copy. It only logs that; the events are sent back by anti-entropy.
+ * The detector of other gateways' data loss: a gateway restarts without some of its own events that
+ * it had reported before, because its disk was lost or replaced by an old copy. The loss is only
+ * logged; anti-entropy sends the events back.
  */
 final class LossDetector {
   private final Journal journal;
@@ -23,36 +24,43 @@
   }
 
   /**
-   * Compares the first report of a new process with what its predecessor reported.
+   * Compares the first report of a gateway's new process with the last one of its previous process,
+   * and logs how many events are missing.
    *
-   * @param before the writing of the earlier process, as last reported
+   * @param now the time in tenths of a millisecond
+   * @param from the gateway that restarted
+   * @param previous the standing that the previous process last reported
+   * @param report the first report of the new process
    */
-  void onRestart(long now, String from, Standing before, Report report) {
-    if (before.top() == 0 || mayHoldMore(report)) {
+  void onRestart(long now, String from, Standing previous, Report report) {
+    if (previous.top() == 0 || mayBeTruncated(report)) {
       return;
     }
-    List<Span> lacking = new ArrayList<>();
-    heldBy(before.incarnation(), report)
-        .missing(new Span(before.incarnation(), 1, before.top()), lacking);
-    long count = lacking.stream().mapToLong(Span::size).sum();
-    if (count > 0) {
+    List<Span> missing = new ArrayList<>();
+    heldBy(previous.incarnation(), report)
+        .missing(new Span(previous.incarnation(), 1, previous.top()), missing);
+    long missingCount = missing.stream().mapToLong(Span::size).sum();
+    if (missingCount > 0) {
       log.log(
           now,
           "lost " + from,
           from
               + " came back with a lost or an old disk: it lacks "
-              + count
+              + missingCount
               + " events of its own, which it is given back");
     }
   }
 
-  /** A report with as many spans as it may have can be truncated: it proves no loss. */
-  private static boolean mayHoldMore(Report report) {
+  /**
+   * Returns whether a report has as many spans as it may have. It may then be truncated, so that a
+   * missing span does not prove a loss.
+   */
+  private static boolean mayBeTruncated(Report report) {
     int spans = report.extra().size();
     return spans == Reporter.SHORT_REPORT_SPANS || spans >= Reporter.FULL_REPORT_SPANS;
   }
 
-  /** What the reporter holds of an incarnation's events. */
+  /** Returns the events of an incarnation that, by its report, the reporting gateway holds. */
   private EventSet heldBy(long incarnation, Report report) {
     EventSet held = new EventSet();
     report.extra().forEach(held::add);
@@ -60,9 +68,9 @@
       journal.stable().spans(incarnation).forEach(held::add);
       long applied = Math.min(report.applied(), journal.applied());
       for (Cut cut : journal.cuts().tailMap(applied, false).values()) {
-        List<Span> notApplied = new ArrayList<>(cut.spans());
-        notApplied.removeIf(span -> span.incarnation() != incarnation);
-        notApplied.forEach(held::remove);
+        List<Span> unapplied = new ArrayList<>(cut.spans());
+        unapplied.removeIf(span -> span.incarnation() != incarnation);
+        unapplied.forEach(held::remove);
       }
       report.extra().forEach(held::add);
     }
--- a/channels/src/main/java/tillerlink/channels/Page.java
+++ b/channels/src/main/java/tillerlink/channels/Page.java
@@ -6,21 +6,24 @@
 /**
  * A part of a channel's log.
  *
- * @param first the number of the first event that can still be read; the events before it are
- *     compacted, see the cues
- * @param stable how many events are stable, from number 0 on: these never change; what follows may
- * @param lines events from the requested number on, stable ones first
- * @param more whether there are further ones
+ * @param first the index of the first event that is not compacted; events before it can no longer
+ *     be read, but their effect is contained in the channel's cues
+ * @param stable the number of stable events, which have the indexes from 0 on and never change; the
+ *     provisional events after them may change their places
+ * @param lines the events from the requested index on, stable ones first
+ * @param more whether the log has events after these
  */
 public record Page(long first, long stable, List<Line> lines, boolean more) {
   /**
-   * One event.
+   * An event with its place in the log.
    *
-   * @param index its number in the log
+   * @param index the event's index in the log, from 0
    * @param entry the event
-   * @param stable whether its place is final
-   * @param late whether it arrived after later ones were decided, and so stands after those
-   * @param repeat whether it has the key of an earlier event, and so changes nothing
+   * @param stable whether the event's place is final
+   * @param late whether the event arrived after events with higher stamps had been decided, so that
+   *     it is ordered after those
+   * @param repeat whether an earlier event has the same idempotency key, so that this one has no
+   *     effect
    */
   public record Line(long index, Entry entry, boolean stable, boolean late, boolean repeat) {}
 }
--- a/channels/src/main/java/tillerlink/channels/PageReader.java
+++ b/channels/src/main/java/tillerlink/channels/PageReader.java
@@ -7,7 +7,7 @@
 import tillerlink.channels.journal.OrderedEvent;
 import tillerlink.messages.channels.Entry;
 
-/** Reads one page of a channel's log: stable events first, provisional ones after them. */
+/** A reader of one page of a channel's log: the stable events first, then the provisional ones. */
 final class PageReader {
   private final ChannelLog log;
   private final long upTo;
@@ -22,10 +22,12 @@
   }
 
   /**
-   * Reads a page.
+   * Returns a page of a channel's log.
    *
-   * @param from the number of the first event
-   * @param maxBytes about the bytes of events on the page; it has one event at least
+   * @param from the index of the first event to return, from 0
+   * @param maxBytes the approximate limit on the events' size in bytes; if there are events, the
+   *     page has at least one whatever its size
+   * @return the page; without events if the channel has none
    */
   static Page read(Journal journal, String channel, long from, int maxBytes) {
     ChannelLog log = journal.logs().get(channel);
@@ -40,7 +42,7 @@
     return new Page(log.first(), log.stableCount(), lines, !isComplete);
   }
 
-  /** Whether all were added. */
+  /** Adds the stable events from an index on, and returns whether all of them fitted. */
   private boolean addStable(long first) {
     for (long index = first; index < log.stableCount(); index++) {
       OrderedEvent event = log.stable(index);
@@ -52,7 +54,7 @@
     return true;
   }
 
-  /** Whether all were added. */
+  /** Adds the provisional events from an index on, and returns whether all of them fitted. */
   private boolean addProvisional(long first) {
     long index = log.stableCount();
     for (Entry entry : log.tail()) {
@@ -68,6 +70,7 @@
     return true;
   }
 
+  /** Counts an event's size, and returns whether the page has no room for the event. */
   private boolean isFull(Entry next) {
     bytes += next.weight();
     return bytes > maxBytes && !lines.isEmpty();
--- a/channels/src/main/java/tillerlink/channels/Replicator.java
+++ b/channels/src/main/java/tillerlink/channels/Replicator.java
@@ -13,7 +13,7 @@
 import tillerlink.messages.channels.Entry;
 import tillerlink.messages.channels.Span;
 
-/** Takes in what other gateways replicate: events, decided cuts and compacted state. */
+/** The receiver of replicated data from other gateways: events, decided cuts, compacted state. */
 final class Replicator {
   private final ChannelLogConfig config;
   private final MembershipView membership;
@@ -23,8 +23,8 @@
   private final RateLimitedLog log;
   private long refusedAhead;
   private long malformed;
-  private long ownTakenBack;
-  private long twoContents;
+  private long ownRecovered;
+  private long conflictingContents;
 
   Replicator(
       ChannelLogConfig config,
@@ -43,14 +43,23 @@
 
   // ---- events ----
 
-  /** Takes the events of a piece, and returns how many of them are new. */
-  int take(long now, long wall, String from, Piece piece) {
-    long before = journal.held().size();
-    piece.entries().forEach(entry -> take(now, wall, from, entry));
-    return (int) (journal.held().size() - before);
+  /**
+   * Adds the events of a piece to the journal and the store. An event whose stamp is too far ahead
+   * of the fleet's time is refused for now, unless it is decided.
+   *
+   * @param now the monotonic time, in tenths of a millisecond
+   * @param wall the time since 1970, in tenths of a millisecond
+   * @param from the gateway that sent the piece
+   * @param piece some events
+   * @return the number of events that were added
+   */
+  int addEvents(long now, long wall, String from, Piece piece) {
+    long sizeBefore = journal.held().size();
+    piece.entries().forEach(entry -> addEvent(now, wall, from, entry));
+    return (int) (journal.held().size() - sizeBefore);
   }
 
-  private void take(long now, long wall, String from, Entry entry) {
+  private void addEvent(long now, long wall, String from, Entry entry) {
     if (journal.held().has(entry.incarnation(), entry.sequence())) {
       checkSameContent(now, from, entry);
       journal.put(entry);
@@ -66,7 +75,7 @@
     }
     clock.observe(entry.stamp());
     if (entry.gateway().equals(membership.self())) {
-      ownTakenBack++;
+      ownRecovered++;
       log.log(
           now,
           "own",
@@ -80,7 +89,7 @@
 
   private void checkSameContent(long now, String from, Entry entry) {
     if (!journal.sameAsHeld(entry)) {
-      twoContents++;
+      conflictingContents++;
       log.log(
           now,
           "two",
@@ -101,7 +110,7 @@
             + " ms allowed");
   }
 
-  /** Whether an event is in a decided cut that is not applied yet. */
+  /** Returns whether an event is in a decided cut that is not applied yet. */
   private boolean isDecided(Entry entry) {
     for (Cut cut : journal.cuts().tailMap(journal.applied(), false).values()) {
       for (Span span : cut.spans()) {
@@ -117,7 +126,10 @@
 
   // ---- decided cuts and compacted state ----
 
-  /** Takes a decided cut if it is the next one, and applies what can be applied. */
+  /**
+   * Adds a decided cut to the journal and the store if it is the next one, and applies the cuts
+   * whose events are all held.
+   */
   void learn(Cut cut) {
     if (journal.learn(cut)) {
       store.cut(cut);
@@ -126,20 +138,27 @@
     }
   }
 
-  /** Replaces the log by another gateway's compacted state, if that is further than this log. */
-  void install(long now, String from, byte[] bytes) {
+  /**
+   * Replaces the logs with another gateway's compacted state if that covers later slots than the
+   * ones applied here. Events that the state does not cover are retained.
+   *
+   * @param now the time in tenths of a millisecond
+   * @param from the gateway that sent the state
+   * @param bytes the encoded state
+   */
+  void installState(long now, String from, byte[] bytes) {
     try {
       CompactedState state = CompactedState.read(bytes);
       if (state.slot() <= journal.applied()) {
         return;
       }
-      long before = journal.base();
+      long previousBase = journal.base();
       List<Entry> covered = new ArrayList<>();
       journal.held().spans().forEach(span -> covered.addAll(journal.entries(span)));
-      List<Entry> rest = journal.startFrom(state, CompactedState.read(bytes));
-      covered.removeAll(rest);
-      store.sum(bytes, state.slot(), before, covered, before + 1);
-      rest.forEach(journal::put);
+      List<Entry> uncovered = journal.startFrom(state, CompactedState.read(bytes));
+      covered.removeAll(uncovered);
+      store.sum(bytes, state.slot(), previousBase, covered, previousBase + 1);
+      uncovered.forEach(journal::put);
       journal.apply();
       clock.observe(journal.upTo());
       log.log(
@@ -156,23 +175,29 @@
 
   // ---- counters ----
 
-  /** Events that were refused because their stamps were too far ahead of the time. */
+  /**
+   * Returns how many times an event was refused because its stamp was too far ahead of the fleet's
+   * time.
+   */
   long refusedAhead() {
     return refusedAhead;
   }
 
-  /** Compacted states that could not be read. */
+  /** Returns the number of compacted states received that were malformed. */
   long malformed() {
     return malformed;
   }
 
-  /** Events of this gateway's earlier processes that came back from others. */
-  long ownTakenBack() {
-    return ownTakenBack;
+  /**
+   * Returns the number of events of this gateway's earlier processes that were recovered from other
+   * gateways.
+   */
+  long ownRecovered() {
+    return ownRecovered;
   }
 
-  /** Events that differ from the one held under the same name. */
-  long twoContents() {
-    return twoContents;
+  /** Returns how many events were received that differ from the one held under the same name. */
+  long conflictingContents() {
+    return conflictingContents;
   }
 }
--- a/channels/src/main/java/tillerlink/channels/Reporter.java
+++ b/channels/src/main/java/tillerlink/channels/Reporter.java
@@ -13,26 +13,26 @@
 import tillerlink.messages.channels.Span;
 
 /**
- * Reports periodically to other gateways what this one holds: the digest that anti-entropy works
- * with. Times are tenths of a millisecond.
+ * The sender of periodic reports to other gateways about the events and cuts that this gateway
+ * holds. Anti-entropy compares them to find what is missing. Times are tenths of a millisecond.
  */
 final class Reporter {
-  /** Spans beyond the applied slot in a full report at the most. */
+  /** The maximum number of spans of provisional events in a full report. */
   static final int FULL_REPORT_SPANS = 32;
 
-  /** The same of a short report. */
+  /** The maximum number of spans of provisional events in a short report. */
   static final int SHORT_REPORT_SPANS = 3;
 
-  /** Between two reports while something is provisional. */
-  private static final long BUSY_INTERVAL = 2500;
+  /** The time between two reports while there are provisional events or cuts not applied yet. */
+  private static final long BUSY_REPORT_INTERVAL = 2500;
 
-  /** Between two reports otherwise. */
-  private static final long IDLE_INTERVAL = 10_000;
+  /** The time between two reports while all events are stable and all cuts applied. */
+  private static final long IDLE_REPORT_INTERVAL = 10_000;
 
-  /** Standings of other gateways in a full report at the most. */
-  private static final int MAX_OTHERS = 8;
+  /** The maximum number of other gateways' standings in a full report. */
+  private static final int MAX_OTHER_STANDINGS = 8;
 
-  private static final long LONG_AGO = Long.MIN_VALUE / 2;
+  private static final long NEVER = Long.MIN_VALUE / 2;
 
   private final String self;
   private final long incarnation;
@@ -42,7 +42,7 @@
   private final Standings standings;
   private final ChannelTransport transport;
   private final RandomGenerator random;
-  private long reportedAt = LONG_AGO;
+  private long reportedAt = NEVER;
   private boolean isShort = true;
 
   Reporter(
@@ -63,47 +63,53 @@
     this.random = random;
   }
 
-  /** How far this gateway's own writing is. */
+  /**
+   * Returns this gateway's own standing: the stamp up to which it appends nothing any more, and the
+   * number of its last durable event.
+   */
   Standing standing(long now, long wall) {
     long floor = clock.floor(now, wall);
     return new Standing(self, incarnation, writer.floor(floor), writer.top());
   }
 
-  /** When the next report is due. */
+  /** Returns the time at which the next report is due. */
   long dueAt() {
-    boolean busy = !journal.tail().isEmpty() || journal.applied() < journal.decided();
-    return reportedAt + (busy ? BUSY_INTERVAL : IDLE_INTERVAL);
+    boolean isBusy = !journal.tail().isEmpty() || journal.applied() < journal.decided();
+    return reportedAt + (isBusy ? BUSY_REPORT_INTERVAL : IDLE_REPORT_INTERVAL);
   }
 
-  /** Makes the next report due at once. */
+  /** Makes the next report due immediately. */
   void makeDue() {
-    reportedAt = LONG_AGO;
+    reportedAt = NEVER;
   }
 
-  /** Sends a report; every other one is short, for links that carry small messages only. */
+  /** Sends a report. Every other one is short, because some links carry only small messages. */
   void report(long now, long wall) {
     reportedAt = now;
     isShort = !isShort;
     Report report =
         new Report(
-            wall / Channels.UNITS_PER_MILLI,
+            wall / Channels.TENTHS_PER_MILLI,
             standing(now, wall),
             journal.applied(),
             journal.decided(),
             journal.base(),
             journal.digest(),
-            extra(isShort ? SHORT_REPORT_SPANS : FULL_REPORT_SPANS),
-            isShort ? List.of() : standings.latest(MAX_OTHERS));
+            selectProvisional(isShort ? SHORT_REPORT_SPANS : FULL_REPORT_SPANS),
+            isShort ? List.of() : standings.latest(MAX_OTHER_STANDINGS));
     transport.spread(report, journal.voters());
   }
 
-  /** Some of the spans beyond the applied slot, other ones each time. */
-  private List<Span> extra(int max) {
-    List<Span> extra = new ArrayList<>(journal.provisional().spans());
-    if (extra.size() <= max) {
-      return extra;
+  /**
+   * Returns up to {@code max} spans of provisional events. If there are more, they start at a
+   * random one, so that successive reports show different ones.
+   */
+  private List<Span> selectProvisional(int max) {
+    List<Span> spans = new ArrayList<>(journal.provisional().spans());
+    if (spans.size() <= max) {
+      return spans;
     }
-    Collections.rotate(extra, random.nextInt(extra.size()));
-    return extra.subList(0, max);
+    Collections.rotate(spans, random.nextInt(spans.size()));
+    return spans.subList(0, max);
   }
 }
--- a/channels/src/main/java/tillerlink/channels/State.java
+++ b/channels/src/main/java/tillerlink/channels/State.java
@@ -3,24 +3,27 @@
 import java.util.List;
 
 /**
- * Positions and counters of the logs at this gateway.
+ * The positions and counters of the logs at this gateway. Counters start at 0 with the process.
  *
- * @param incarnation this process
+ * @param incarnation the incarnation of this process
  * @param applied the slot up to which all cuts are applied
  * @param decided the last slot whose cut is known
  * @param compacted the slot up to which the logs are compacted
- * @param provisional events that are not in a decided cut yet
- * @param stable events that are, compacted ones included
- * @param bytes about what the events take in memory
+ * @param provisional the number of provisional events, which are not in an applied cut yet
+ * @param stable the number of stable events, compacted ones included
+ * @param bytes the approximate size of the events in memory, in bytes
  * @param voters the gateways that decide on the next slot
- * @param votes whether this gateway votes
- * @param leads whether it leads, so that it needs no phase 1
- * @param refusedAhead events refused because their stamps were too far ahead of the time
- * @param malformed messages that could not be read
- * @param askedAgain requests for events that timed out
- * @param keepFailures changes that could not be stored
- * @param ownTakenBack events of this gateway's earlier processes that came back from others
- * @param twoContents events that differed from the one held under the same name
+ * @param votes whether this gateway's acceptor votes
+ * @param leads whether a majority has promised this gateway's ballot, so that it needs no phase 1
+ * @param refusedAhead the number of refusals of events whose stamps were too far ahead of the
+ *     fleet's time
+ * @param malformed the number of malformed messages received
+ * @param askedAgain the number of requests for events that timed out
+ * @param keepFailures the number of changes that could not be stored
+ * @param ownTakenBack the number of events of this gateway's earlier processes that were recovered
+ *     from other gateways
+ * @param twoContents the number of events received that differ from the one held under the same
+ *     name
  */
 public record State(
     long incarnation,
--- a/channels/src/main/java/tillerlink/channels/Writer.java
+++ b/channels/src/main/java/tillerlink/channels/Writer.java
@@ -19,8 +19,8 @@
 import tillerlink.messages.channels.Entry;
 
 /**
- * Writes this gateway's own events: what clients append. Each request gets its result once the
- * event is durable. Times are tenths of a millisecond.
+ * The writer of this gateway's own events, which its clients append. Each request gets its result
+ * once the event is durable. Times are tenths of a millisecond.
  */
 final class Writer {
   private static final int MAX_NAME_LENGTH = 64;
@@ -36,7 +36,10 @@
   private final long incarnation;
   private final PendingAppends pending = new PendingAppends();
   private long sequence;
+
+  /** The sequence number of the last own event that is durable; 0 if there is none. */
   private long top;
+
   private long refusedAhead;
   private List<Dot> lastSeen = List.of();
 
@@ -61,33 +64,42 @@
 
   // ---- state ----
 
-  /** The sequence number of the last own event that is durable. */
+  /** Returns the sequence number of the last own event that is durable; 0 if there is none. */
   long top() {
     return top;
   }
 
-  /** No own event that is pending, nor a later one, has this stamp or a lower one. */
+  /**
+   * Returns the highest stamp, {@code floor} at most, that is lower than those of all own events
+   * that are pending or will be written.
+   *
+   * @param floor the stamp up to which the clock issues no stamps any more
+   */
   long floor(long floor) {
     return pending.floor(floor);
   }
 
-  /** Appends that were refused because this machine's clock is too far ahead. */
+  /**
+   * Returns the number of appends that were refused because this machine's clock is too far ahead
+   * of the fleet's time.
+   */
   long refusedAhead() {
     return refusedAhead;
   }
 
+  /** Returns the storage quota for events. */
   StorageQuota quota() {
     return quota;
   }
 
   // ---- appends ----
 
-  /** See {@link Channels#append}. */
+  /** Appends an event; see {@link Channels#append}. */
   void append(
       long now, long wall, String channel, AppendRequest request, Consumer<AppendResult> onResult) {
-    Optional<String> fault = fault(channel, request);
-    if (fault.isPresent()) {
-      onResult.accept(new AppendResult.Refused(fault.get(), 0));
+    Optional<String> error = findError(channel, request);
+    if (error.isPresent()) {
+      onResult.accept(new AppendResult.Refused(error.get(), 0));
       return;
     }
     if (!request.key().isEmpty() && handleRetry(channel, request, onResult)) {
@@ -107,21 +119,26 @@
     write(now, wall, channel, request, onResult);
   }
 
-  private Optional<String> fault(String channel, AppendRequest request) {
+  /** Returns why an append is invalid; empty if it is valid. */
+  private Optional<String> findError(String channel, AppendRequest request) {
     if (channel.isEmpty() || channel.length() > MAX_NAME_LENGTH) {
       return Optional.of("a channel's name has 1 to 64 characters");
     }
-    Optional<String> fault = request.fault();
-    if (fault.isEmpty()
+    Optional<String> error = request.fault();
+    if (error.isEmpty()
         && !journal.logs().containsKey(channel)
         && journal.logs().size() >= config.maxChannels()) {
       return Optional.of(
           "there are " + config.maxChannels() + " channels already, and no more are allowed");
     }
-    return fault;
+    return error;
   }
 
-  /** Observes the stamps that the client has seen; false at one that is too far ahead. */
+  /**
+   * Advances the clock beyond the stamps of the events that the client has seen.
+   *
+   * @return false if one of the stamps is too far ahead of the fleet's time
+   */
   private boolean observeSeen(long now, long wall, AppendRequest request) {
     if (request.seen() == null) {
       return true;
@@ -135,6 +152,11 @@
     return true;
   }
 
+  /**
+   * Counts, logs and returns the refusal of an append because of this machine's clock.
+   *
+   * @param millis the milliseconds by which the event's stamp would exceed the allowed lead
+   */
   private AppendResult refuseAhead(long now, long millis) {
     refusedAhead++;
     log.log(
@@ -147,17 +169,22 @@
             + config.aheadMillis()
             + " ms allowed; set this machine's clock right");
     return new AppendResult.Refused(
-        "this gateway's clock is too far ahead of the fleet's", millis * Channels.UNITS_PER_MILLI);
+        "this gateway's clock is too far ahead of the fleet's", millis * Channels.TENTHS_PER_MILLI);
   }
 
   // ---- retries ----
 
-  /** Whether a request is the retry of another with its key; then its result is seen to. */
+  /**
+   * Handles a request that is a retry, which means that its key was used before in this channel.
+   * The retry gets the result of the first request, or is refused if its content differs.
+   *
+   * @return whether the request is a retry
+   */
   private boolean handleRetry(
       String channel, AppendRequest request, Consumer<AppendResult> onResult) {
-    AppendRequest waiting = pending.waitingWith(channel, request.key());
-    if (waiting != null) {
-      handlePendingRetry(channel, waiting, request, onResult);
+    AppendRequest original = pending.waitingWith(channel, request.key());
+    if (original != null) {
+      handlePendingRetry(channel, original, request, onResult);
       return true;
     }
     ChannelLog channelLog = journal.logs().get(channel);
@@ -166,17 +193,21 @@
       return false;
     }
     Entry entry = journal.entry(dot.incarnation(), dot.sequence());
-    boolean same = entry == null || hasSameContent(entry, request);
-    onResult.accept(same ? new AppendResult.Taken(dot, true) : refuseOtherContent());
+    boolean isSame = entry == null || hasSameContent(entry, request);
+    onResult.accept(isSame ? new AppendResult.Taken(dot, true) : refuseOtherContent());
     return true;
   }
 
+  /** Adds a retry to the requests that wait for the same event, unless it has to be refused. */
   private void handlePendingRetry(
-      String channel, AppendRequest waiting, AppendRequest retry, Consumer<AppendResult> onResult) {
+      String channel,
+      AppendRequest original,
+      AppendRequest retry,
+      Consumer<AppendResult> onResult) {
     if (pending.isFull(channel, retry.key())) {
       onResult.accept(
           new AppendResult.Refused("too many ask with this key", StorageQuota.RETRY_AFTER));
-    } else if (!hasSameContent(waiting, retry)) {
+    } else if (!hasSameContent(original, retry)) {
       onResult.accept(refuseOtherContent());
     } else {
       pending.addRetry(channel, retry, onResult);
@@ -189,10 +220,10 @@
         && entry.text().equals(request.text());
   }
 
-  private static boolean hasSameContent(AppendRequest one, AppendRequest other) {
-    return one.kind() == other.kind()
-        && one.cue().equals(other.cue())
-        && one.text().equals(other.text());
+  private static boolean hasSameContent(AppendRequest first, AppendRequest second) {
+    return first.kind() == second.kind()
+        && first.cue().equals(second.cue())
+        && first.text().equals(second.text());
   }
 
   private static AppendResult refuseOtherContent() {
@@ -201,9 +232,10 @@
 
   // ---- events ----
 
+  /** Creates the event of a valid request, and starts to store it. */
   private void write(
       long now, long wall, String channel, AppendRequest request, Consumer<AppendResult> onResult) {
-    Entry entry = event(wall, channel, request);
+    Entry entry = createEvent(wall, channel, request);
     if (pending.isFull() || !isWithinQuota(entry)) {
       log.log(
           now,
@@ -226,12 +258,14 @@
     pending.add(entry, request, onResult);
   }
 
+  /** Returns whether the storage quota has room for an event. */
   private boolean isWithinQuota(Entry entry) {
     int gateways = membership.names().size() + 1;
     return quota.allows(journal, entry.channel(), entry.weight(), gateways, pending.bytes());
   }
 
-  private Entry event(long wall, String channel, AppendRequest request) {
+  /** Creates the event of a request, with the next sequence number and stamp. */
+  private Entry createEvent(long wall, String channel, AppendRequest request) {
     return new Entry(
         membership.self(),
         membership.site(membership.self()),
@@ -244,12 +278,15 @@
         request.text(),
         request.airsAt(),
         request.key(),
-        over(channel, request),
-        seen());
+        seenOnCue(channel, request),
+        newlySeen());
   }
 
-  /** The events on the cue that the writer had seen: all in effect here if it doesn't say. */
-  private List<Dot> over(String channel, AppendRequest request) {
+  /**
+   * Returns the events on the request's cue that the client had seen. If the request does not name
+   * them, these are the events in effect at this gateway.
+   */
+  private List<Dot> seenOnCue(String channel, AppendRequest request) {
     if (request.seen() != null) {
       return List.copyOf(request.seen());
     }
@@ -262,34 +299,37 @@
   }
 
   /**
-   * What is held of recently active writers, as far as it is more than when this gateway wrote
-   * last.
+   * Returns the last event held without a gap of each other writer that has provisional events, for
+   * {@link AppendRequest#MAX_SEEN} writers at most. An event that the last non-empty list contained
+   * is omitted.
    */
-  private List<Dot> seen() {
+  private List<Dot> newlySeen() {
     List<Dot> seen = new ArrayList<>();
-    for (long other : journal.provisional().incarnations()) {
-      long prefix = journal.held().prefix(other);
-      if (other != incarnation
+    for (long writer : journal.provisional().incarnations()) {
+      long prefix = journal.held().prefix(writer);
+      if (writer != incarnation
           && prefix > 0
           && seen.size() < AppendRequest.MAX_SEEN
-          && isNew(other, prefix)) {
-        Entry last = journal.entry(other, prefix);
-        seen.add(new Dot(other, prefix, last == null ? 0 : last.stamp()));
+          && isNew(writer, prefix)) {
+        Entry lastEvent = journal.entry(writer, prefix);
+        seen.add(new Dot(writer, prefix, lastEvent == null ? 0 : lastEvent.stamp()));
       }
     }
     lastSeen = seen.isEmpty() ? lastSeen : List.copyOf(seen);
     return seen;
   }
 
-  private boolean isNew(long other, long prefix) {
+  /** Returns whether an event was not in the last non-empty list of events seen. */
+  private boolean isNew(long writer, long prefix) {
     for (Dot dot : lastSeen) {
-      if (dot.incarnation() == other && dot.sequence() == prefix) {
+      if (dot.incarnation() == writer && dot.sequence() == prefix) {
         return false;
       }
     }
     return true;
   }
 
+  /** Publishes an event that has become durable: to the journal, other gateways and the client. */
   private void onDurable(Entry entry, Consumer<AppendResult> onResult) {
     pending.remove(entry);
     top = entry.sequence();
