--- a/channels/src/main/java/tillerlink/channels/ChannelLogConfig.java
+++ b/channels/src/main/java/tillerlink/channels/ChannelLogConfig.java
@@ -38,7 +38,8 @@
   public ChannelLogConfig {
     counted = counted.stream().map(ChannelLogConfig::gatewayName).distinct().sorted().toList();
     if (counted.isEmpty() || counted.size() > MAX_COUNTED) {
-      throw new IllegalArgumentException("1 to 64 gateways are counted in");
+      throw new IllegalArgumentException(
+          "expected 1 to 64 counted gateways, got " + counted.size());
     }
   }
 
--- a/channels/src/main/java/tillerlink/channels/Channels.java
+++ b/channels/src/main/java/tillerlink/channels/Channels.java
@@ -191,10 +191,7 @@
       onMessage(now, wall, from, ChannelsCodec.message(body));
     } catch (MalformedMessageException e) {
       malformed++;
-      log.log(
-          now,
-          "malformed",
-          "a message of " + from + " about channels can't be read: " + e.getMessage());
+      log.log(now, "malformed", "malformed channels message from " + from + ": " + e.getMessage());
     }
   }
 
--- a/channels/src/main/java/tillerlink/channels/Replicator.java
+++ b/channels/src/main/java/tillerlink/channels/Replicator.java
@@ -70,7 +70,7 @@
       return;
     }
     if (!store.entry(entry, null)) {
-      log.log(now, "disk", "events of others can't be kept: the disk is full or has failed");
+      log.log(now, "disk", "cannot store events of other gateways: the disk is full or has failed");
       return;
     }
     clock.observe(entry.stamp());
@@ -79,9 +79,9 @@
       log.log(
           now,
           "own",
-          "events of this gateway's own past are taken back from "
+          "recovering events of this gateway's earlier processes from "
               + from
-              + ": its disk is lost or an old copy");
+              + ": this gateway's disk was lost or replaced by an old copy");
     }
     journal.put(entry);
     journal.apply();
@@ -93,7 +93,7 @@
       log.log(
           now,
           "two",
-          from + " has another event under the name " + entry.dot().text() + "; it is not taken");
+          from + " has a different event named " + entry.dot().text() + "; it is ignored");
     }
   }
 
@@ -102,10 +102,10 @@
     log.log(
         now,
         "ahead of " + entry.gateway(),
-        "an event of "
+        "refused an event of "
             + entry.gateway()
-            + " is not taken yet: its stamp is"
-            + " further ahead of the time than the "
+            + " for now: its stamp is"
+            + " further ahead of the fleet's time than the "
             + config.aheadMillis()
             + " ms allowed");
   }
--- a/channels/src/main/java/tillerlink/channels/Writer.java
+++ b/channels/src/main/java/tillerlink/channels/Writer.java
@@ -162,12 +162,12 @@
     log.log(
         now,
         "ahead",
-        "an append was refused: its stamp would be "
+        "refused an append: its stamp would be "
             + millis
             + " ms further ahead of the"
             + " fleet's time than the "
             + config.aheadMillis()
-            + " ms allowed; set this machine's clock right");
+            + " ms allowed; correct this machine's clock");
     return new AppendResult.Refused(
         "this gateway's clock is too far ahead of the fleet's", millis * Channels.TENTHS_PER_MILLI);
   }
@@ -240,7 +240,7 @@
       log.log(
           now,
           "full",
-          "channel " + channel + " is full of events that are not agreed on: appends are refused");
+          "refused an append to channel " + channel + ": too many events are not stable yet");
       onResult.accept(new AppendResult.Refused("the channel is full", StorageQuota.RETRY_AFTER));
       return;
     }
@@ -248,7 +248,7 @@
         !journal.held().has(incarnation, entry.sequence()),
         () -> "an own number is used a second time");
     if (!store.entry(entry, () -> onDurable(entry, onResult))) {
-      log.log(now, "disk", "an append could not be kept: the disk is full or has failed");
+      log.log(now, "disk", "cannot store an append: the disk is full or has failed");
       onResult.accept(
           new AppendResult.Refused(
               "it can't be kept here: the disk is full or has failed", StorageQuota.RETRY_AFTER));
