--- a/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
@@ -54,7 +54,8 @@
   }
 
   void termIs(long next) {
-    Invariant.holds(next > term, () -> "term falls from " + term + " to " + next);
+    Invariant.holds(
+        next > term, () -> "term does not increase: current term " + term + ", new term " + next);
     term = next;
     votedFor = "";
     votes.clear();
--- a/statements/src/main/java/tillerlink/statements/consensus/Identity.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Identity.java
@@ -107,7 +107,8 @@
 
   void stageIs(Stage next, List<Long> pledged) {
     Invariant.holds(
-        pledge.isEmpty() || pledge.equals(pledged) || next == Stage.LOST, () -> "a second pledge");
+        pledge.isEmpty() || pledge.equals(pledged) || next == Stage.LOST,
+        () -> "pledge changes from " + pledge + " to " + pledged);
     stage = next;
     pledge = List.copyOf(pledged);
     persist();
@@ -132,7 +133,9 @@
   }
 
   void bootsAre(int voter, long count) {
-    Invariant.holds(count >= boots.get(voter), () -> "starts of a voter fall");
+    Invariant.holds(
+        count >= boots.get(voter),
+        () -> "starts of voter " + voter + " fall from " + boots.get(voter) + " to " + count);
     boots.set(voter, count);
     persist();
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/Learner.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Learner.java
@@ -111,7 +111,7 @@
         fetch(now);
       }
     } catch (MalformedMessageException e) {
-      warnings.accept("a snapshot of " + from + " can't be read: " + e.getMessage());
+      warnings.accept("snapshot from " + from + " cannot be decoded: " + e.getMessage());
     }
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/Log.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Log.java
@@ -133,8 +133,11 @@
 
   void append(Entry entry) {
     Invariant.holds(
-        entry.index() == lastIndex() + 1, () -> "a gap in the log before " + entry.index());
-    Invariant.holds(entry.term() >= lastTerm(), () -> "terms in the log fall at " + entry.index());
+        entry.index() == lastIndex() + 1,
+        () -> "entry " + entry.index() + " does not follow the last index " + lastIndex());
+    Invariant.holds(
+        entry.term() >= lastTerm(),
+        () -> "term falls from " + lastTerm() + " to " + entry.term() + " at " + entry.index());
     entries.add(entry);
     writes.add(durable.write(key(entry.index()), CommandCodec.entry(entry).done()));
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/RaftVoter.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RaftVoter.java
@@ -260,8 +260,8 @@
     context
         .warnings()
         .accept(
-            "this voter's disk refused a write: it takes no part until the disk takes writes"
-                + " again");
+            "this voter's disk rejected a write: the voter does not take part in the statement log"
+                + " until a write succeeds");
     context.durable().retry();
     context.ballot().persist();
     context.identity().persist();
--- a/statements/src/main/java/tillerlink/statements/consensus/SnapshotInstallation.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/SnapshotInstallation.java
@@ -74,7 +74,7 @@
       }
       replication.acknowledgeSnapshot(from, snapshot.index());
     } catch (MalformedMessageException e) {
-      context.warnings().accept("a snapshot of " + from + " can't be read: " + e.getMessage());
+      context.warnings().accept("snapshot from " + from + " cannot be decoded: " + e.getMessage());
     }
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/VoterRejoin.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/VoterRejoin.java
@@ -118,9 +118,9 @@
         context
             .warnings()
             .accept(
-                "this voter's disk is an older copy: it started "
+                "this voter's disk is an old copy: another voter has recorded "
                     + response.known()
-                    + " times before");
+                    + " starts from it");
       }
       identity.bootsAre(context.self(), response.known() + 1);
       restartInquiry();
@@ -216,7 +216,8 @@
     if (!members.isEmpty() && members.get(context.self()) != identity.disk()) {
       context
           .warnings()
-          .accept("another disk took this voter's place: it waits to be admitted again");
+          .accept(
+              "another disk has replaced this voter's disk: the voter waits to be admitted again");
       identity.startOver(random);
       restartInquiry();
     } else if (findings.responses() >= voters.rejoinQuorum()) {
--- a/statements/src/main/java/tillerlink/statements/consensus/Voters.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Voters.java
@@ -24,7 +24,8 @@
     this.names = names.stream().sorted().distinct().toList();
     this.self = self;
     if (names.isEmpty() || names.size() > COUNT_MAX || this.names.size() < names.size()) {
-      throw new IllegalArgumentException("voters are 1 to " + COUNT_MAX + ", each named once");
+      throw new IllegalArgumentException(
+          "expected 1 to " + COUNT_MAX + " voters with distinct names, got " + names);
     }
     long sum = HASH_SEED;
     for (String name : this.names) {
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseConfig.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseConfig.java
@@ -24,8 +24,13 @@
         || margin < 0
         || margin * 4 > length) {
       throw new IllegalArgumentException(
-          "a lease lasts 100 ms at least, clocks drift by 0 to 0.2,"
-              + " and the margin is a quarter of the lease at most");
+          "expected a lease of at least 100 ms, a drift of 0 to 0.2 and a margin of 0 to a quarter"
+              + " of the lease, got (times in tenths of a millisecond) lease "
+              + length
+              + ", drift "
+              + drift
+              + ", margin "
+              + margin);
     }
   }
 
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
@@ -157,7 +157,15 @@
     }
     Invariant.holds(
         grantCount >= 0 && grantCount <= GRANTS_MAX && holders.size() <= HOLDERS_MAX,
-        () -> "grants beyond bounds");
+        () ->
+            "expected at most "
+                + GRANTS_MAX
+                + " grants and "
+                + HOLDERS_MAX
+                + " holders, got "
+                + grantCount
+                + " and "
+                + holders.size());
   }
 
   // ---- changes ----
