--- a/statements/src/main/java/tillerlink/statements/lease/GroupLease.java
+++ b/statements/src/main/java/tillerlink/statements/lease/GroupLease.java
@@ -7,32 +7,36 @@
 import tillerlink.statements.catalog.Catalog;
 
 /**
- * What a gateway knows of its lease on one table group: the voters' grants, the attempts that run
- * under it, and its release. Times are in tenths of a millisecond, by the gateway's clock.
+ * The lease of a gateway on one table group: the voters' grants, the attempts that run under it,
+ * and its release. Times are in tenths of a millisecond, by the gateway's clock.
  */
 final class GroupLease {
-  /** The end of a lease that is not held; far from where sums would overflow. */
+  /** The end of a lease that is not held; sums and differences with it do not overflow. */
   static final long NOT_HELD = Long.MIN_VALUE / 4;
 
   private static final long NEVER_GRANTED = Long.MIN_VALUE / 2;
   private static final long NOT_DUE = Long.MAX_VALUE;
+
+  /** Interval at which a release is repeated, because it may have been lost. */
   private static final long RELEASE_INTERVAL = 1500;
 
-  /** What the holder has to send after a tick. */
-  enum Step {
+  /** The message that the holder has to send after a tick. */
+  enum PendingMessage {
+    /** No message. */
     NONE,
-    /** The schema version changed: the lease is to be requested for the new one. */
+    /** A request of the lease for a new schema version. */
     REQUEST,
-    /** The voters are to be notified that the lease is released. */
+    /** A release of the lease, to all voters. */
     RELEASE
   }
 
   /**
-   * A voter's grant.
+   * A voter's grant of the lease.
    *
-   * @param since when it was requested
+   * @param disk the number of the voter's disk
+   * @param requestedAt the time at which the lease was requested
    */
-  private record Grant(long disk, long since) {}
+  private record Grant(long disk, long requestedAt) {}
 
   private final int group;
   private final Grant[] grants;
@@ -40,20 +44,28 @@
   private long neededAt;
   private int inFlight;
 
-  /** Until when an engine may still execute an attempt that ended here; 0 if none does. */
+  /**
+   * The time until which an engine may still execute an attempt that has ended at this gateway; 0
+   * if there is no such attempt.
+   */
   private long uncertainUntil;
 
+  /** Whether the lease was valid at the last call of {@link #updateValidity}. */
   private boolean valid;
 
-  /** Grants were dropped that voters may still count: to be released when no attempt is left. */
-  private boolean releaseOwed;
+  /**
+   * Whether grants were dropped that voters may still count, so that a release has to follow once
+   * no attempt is left.
+   */
+  private boolean releasePending;
 
-  /** A change waits for the release, which waits for attempts. */
+  /** Whether an announced change waits for the release, and the release for attempts. */
   private boolean releaseAwaitsAttempts;
 
-  /** When the release is sent again, as it may have been lost. */
-  private long releaseDueAt = NOT_DUE;
+  /** The time at which the release is sent again, because it may have been lost. */
+  private long releaseRetryDueAt = NOT_DUE;
 
+  /** The time after which the release is no longer sent again. */
   private long releaseRetryUntil;
 
   GroupLease(int group, long version, int voters) {
@@ -64,7 +76,7 @@
 
   // ---- grants ----
 
-  /** The schema version that the lease is for. */
+  /** Returns the schema version that the lease is for. */
   long version() {
     return version;
   }
@@ -73,60 +85,74 @@
     neededAt = now;
   }
 
-  /** When a run last needed the lease. */
+  /** Returns the time at which a run last needed the lease. */
   long neededAt() {
     return neededAt;
   }
 
-  /** A voter granted the lease; of its grants from one disk the latest request counts. */
-  void onGrant(int voter, long disk, long since) {
-    Grant old = grants[voter];
-    if (old == null || old.disk != disk || old.since < since) {
-      grants[voter] = new Grant(disk, since);
+  /**
+   * Records a voter's grant. Among the grants from one disk of a voter, the one that was requested
+   * last counts.
+   *
+   * @param requestedAt the time at which the lease was requested
+   */
+  void onGrant(int voter, long disk, long requestedAt) {
+    Grant previous = grants[voter];
+    if (previous == null || previous.disk != disk || previous.requestedAt < requestedAt) {
+      grants[voter] = new Grant(disk, requestedAt);
     }
   }
 
   /**
-   * Until when the lease is valid by grants of so many voters; {@link #NOT_HELD} if there are
-   * fewer.
+   * Returns the time until which enough members have granted the lease.
    *
-   * @param members the disks that vote, in the order of the voters
+   * @param members the disks that vote, in the order of the voters' names
+   * @param requiredGrants the number of grants that the lease requires
+   * @param duration the duration of a grant from its request
+   * @return the time; {@link #NOT_HELD} if there are fewer grants
    */
-  long validUntil(List<Long> members, int needed, long duration) {
-    long[] since = new long[grants.length];
-    Arrays.fill(since, NEVER_GRANTED);
-    int count = 0;
-    for (int i = 0; i < since.length; i++) {
+  long validUntil(List<Long> members, int requiredGrants, long duration) {
+    long[] requestedAt = new long[grants.length];
+    Arrays.fill(requestedAt, NEVER_GRANTED);
+    int grantCount = 0;
+    for (int i = 0; i < requestedAt.length; i++) {
       Grant grant = grants[i];
       if (grant != null && grant.disk == members.get(i)) {
-        since[i] = grant.since;
-        count++;
+        requestedAt[i] = grant.requestedAt;
+        grantCount++;
       }
     }
-    if (count < needed) {
+    if (grantCount < requiredGrants) {
       return NOT_HELD;
     }
-    Arrays.sort(since);
-    long until = since[since.length - needed] + duration;
+    Arrays.sort(requestedAt);
+    long until = requestedAt[requestedAt.length - requiredGrants] + duration;
     Invariant.holds(
         hasMajorityUntil(until, members, duration),
         () -> "a lease on group " + group + " without a majority");
     return until;
   }
 
-  /** Counted another way than above: a majority of members granted until that moment. */
+  /**
+   * Returns whether a majority of the members has granted the lease until a time. Counts the grants
+   * independently of {@link #validUntil}, whose result it checks.
+   */
   private boolean hasMajorityUntil(long until, List<Long> members, long duration) {
-    int count = 0;
+    int grantCount = 0;
     for (int i = 0; i < grants.length; i++) {
       Grant grant = grants[i];
       boolean counts =
-          grant != null && grant.disk == members.get(i) && grant.since + duration >= until;
-      count += counts ? 1 : 0;
+          grant != null && grant.disk == members.get(i) && grant.requestedAt + duration >= until;
+      grantCount += counts ? 1 : 0;
     }
-    return count * 2 > grants.length;
+    return grantCount * 2 > grants.length;
   }
 
-  /** Notes whether the lease is valid; returns whether it was lost since the last time. */
+  /**
+   * Records whether the lease is valid.
+   *
+   * @return whether the lease was valid at the last call and no longer is
+   */
   boolean updateValidity(boolean nowValid) {
     boolean lost = valid && !nowValid;
     valid = nowValid;
@@ -134,35 +160,43 @@
   }
 
   private boolean hasGrants() {
-    return releaseOwed || Arrays.stream(grants).anyMatch(Objects::nonNull);
+    return releasePending || Arrays.stream(grants).anyMatch(Objects::nonNull);
   }
 
   private void dropGrants() {
     Arrays.fill(grants, null);
-    releaseOwed = false;
+    releasePending = false;
   }
 
   // ---- attempts ----
 
-  /** Counts an attempt that started (1) or ended (-1) under the lease. */
-  void addInFlight(int change) {
+  /**
+   * Changes the number of attempts that run under the lease.
+   *
+   * @param delta 1 for an attempt that started, -1 for one that ended
+   */
+  void addInFlight(int delta) {
     Invariant.holds(
-        inFlight + change >= 0,
+        inFlight + delta >= 0,
         () -> "more attempts of group " + group + " ended than were started");
-    inFlight = Math.max(0, inFlight + change);
+    inFlight = Math.max(0, inFlight + delta);
   }
 
-  /** An attempt ended here that an engine may still execute until then. */
+  /**
+   * Records that an attempt has ended at this gateway while an engine may still execute it.
+   *
+   * @param until the time until which the engine may execute it
+   */
   void onAttemptUncertain(long until) {
     uncertainUntil = Math.max(uncertainUntil, until);
   }
 
-  /** Whether an attempt that was written under the lease may still be executed by an engine. */
+  /** Returns whether an engine may still execute an attempt that was written under the lease. */
   boolean mayHaveAttempts() {
     return inFlight > 0 || uncertainUntil > 0;
   }
 
-  /** Whether the last attempt ended that a release waited for. */
+  /** Returns whether the last attempt that a release waited for has ended. */
   boolean isReadyForRelease() {
     return inFlight == 0 && releaseAwaitsAttempts;
   }
@@ -173,50 +207,60 @@
 
   // ---- release ----
 
-  /** Follows the catalog: the lease is released for a change once no attempt may be left. */
-  Step onTick(long now, Catalog catalog, long leaseLength) {
+  /**
+   * Follows the catalog: drops the grants when the schema version has changed, and releases the
+   * lease for an announced change once no attempt can be left.
+   *
+   * @param leaseLength the time for which the release is repeated
+   * @return the message that has to be sent
+   */
+  PendingMessage onTick(long now, Catalog catalog, long leaseLength) {
     expireUncertainty(now);
     releaseAwaitsAttempts = false;
     if (version != catalog.version(group)) {
       version = catalog.version(group);
       dropGrants();
-      return Step.REQUEST;
+      return PendingMessage.REQUEST;
     }
-    boolean held = hasGrants();
-    if (held && catalog.blocked(group)) {
+    boolean hasGrants = hasGrants();
+    if (hasGrants && catalog.blocked(group)) {
       return release(now, leaseLength);
     }
-    if (now >= releaseDueAt) {
-      boolean again = !held && catalog.blocked(group) && now < releaseRetryUntil;
-      releaseDueAt = again ? now + RELEASE_INTERVAL : NOT_DUE;
-      return again ? Step.RELEASE : Step.NONE;
+    if (now >= releaseRetryDueAt) {
+      boolean retry = !hasGrants && catalog.blocked(group) && now < releaseRetryUntil;
+      releaseRetryDueAt = retry ? now + RELEASE_INTERVAL : NOT_DUE;
+      return retry ? PendingMessage.RELEASE : PendingMessage.NONE;
     }
-    return Step.NONE;
+    return PendingMessage.NONE;
   }
 
-  private Step release(long now, long leaseLength) {
+  private PendingMessage release(long now, long leaseLength) {
     if (mayHaveAttempts()) {
       releaseAwaitsAttempts = true;
-      releaseDueAt = NOT_DUE;
-      return Step.NONE;
+      releaseRetryDueAt = NOT_DUE;
+      return PendingMessage.NONE;
     }
     dropGrants();
-    releaseDueAt = now + RELEASE_INTERVAL;
+    releaseRetryDueAt = now + RELEASE_INTERVAL;
     releaseRetryUntil = now + leaseLength;
-    return Step.RELEASE;
+    return PendingMessage.RELEASE;
   }
 
-  /** Stops relying on the lease; returns whether it can be released at once. */
+  /**
+   * Drops the grants, so that no further attempt relies on the lease.
+   *
+   * @return whether the lease can be released at once, because no attempt can be left
+   */
   boolean abandon(long now) {
     expireUncertainty(now);
-    boolean held = hasGrants();
+    boolean hasGrants = hasGrants();
     dropGrants();
-    releaseOwed = held && mayHaveAttempts();
+    releasePending = hasGrants && mayHaveAttempts();
     return !mayHaveAttempts();
   }
 
-  /** When {@link #onTick} has something to do, if nothing else happens. */
+  /** Returns the time at which {@link #onTick} has to run if no other event occurs before. */
   long nextDueAt() {
-    return uncertainUntil > 0 ? Math.min(releaseDueAt, uncertainUntil) : releaseDueAt;
+    return uncertainUntil > 0 ? Math.min(releaseRetryDueAt, uncertainUntil) : releaseRetryDueAt;
   }
 }
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseConfig.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseConfig.java
@@ -1,21 +1,25 @@
 package tillerlink.statements.lease;
 
 /**
- * How long leases are, in tenths of a millisecond.
+ * The duration of leases. Times are in tenths of a millisecond.
  *
- * @param length what a gateway asks for
- * @param drift how much faster or slower than true time any clock in the cluster may run, as a part
- *     of one
- * @param margin a run needs so much of the lease ahead of it when its attempt is written
+ * @param length the nominal duration of a lease; at least 1000
+ * @param drift the largest deviation of the rate of any clock in the cluster from true time, as a
+ *     fraction; 0 to 0.2
+ * @param margin the remaining validity that a lease needs when an attempt is written under it; 0 to
+ *     a quarter of {@code length}
  */
 public record LeaseConfig(long length, double drift, long margin) {
+  /** The shortest lease: 100 ms. */
   private static final long LENGTH_MIN = 1000;
+
   private static final double DRIFT_MAX = 0.2;
 
   /**
-   * Checks the durations.
+   * Creates a configuration.
    *
-   * @throws IllegalArgumentException if the durations leave nothing of a lease
+   * @throws IllegalArgumentException if a value is out of its range, so that too little of a lease
+   *     would be usable
    */
   public LeaseConfig {
     if (length < LENGTH_MIN
@@ -34,12 +38,23 @@
     }
   }
 
-  /** How long a gateway relies on a lease, by its own clock, from before it asked for it. */
+  /**
+   * Returns the time for which a gateway relies on a lease, by its own clock and counted from
+   * before it sent the request. It is shortened by the drift, so that it ends before the voters'
+   * grants.
+   *
+   * @return the time, in tenths of a millisecond
+   */
   public long holderDuration() {
     return (long) Math.floor(length * (1 - drift));
   }
 
-  /** How long a voter honours a grant, by its own clock, from after it was asked for it. */
+  /**
+   * Returns the time for which a voter honours a grant, by its own clock and counted from after it
+   * received the request. It is extended by the drift, so that it ends after the holder's lease.
+   *
+   * @return the time, in tenths of a millisecond
+   */
   public long grantorDuration() {
     return (long) Math.ceil(length * (1 + drift)) + 1;
   }
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseGrantor.java
@@ -19,11 +19,15 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * A voter's side of leases: which it granted, and which announced changes it is clear of. A voter
- * that says it is clear of a change has the announcement in its durable log, so it grants no lease
- * on those groups until the change is settled, also after a restart; and none that it granted
- * before is valid. It does no I/O itself and is owned by the gateway's event loop. Times are in
- * tenths of a millisecond.
+ * The component of a voter that grants leases. It tracks the leases that the voter has granted, and
+ * the announced changes that the voter is clear of.
+ *
+ * <p>A voter that confirms that it is clear of a change has the announcement in its durable log, so
+ * that it grants no lease on the groups of the change until the change is settled, even after a
+ * restart; and none of the leases that it granted on these groups before is still valid.
+ *
+ * <p>A grantor does no I/O itself and is owned by the gateway's event loop. Times are in tenths of
+ * a millisecond.
  */
 public final class LeaseGrantor {
   private static final int HOLDERS_MAX = 1024;
@@ -33,14 +37,18 @@
    * A grant of a lease on one group.
    *
    * @param sequence the number of the holder's request
+   * @param validUntil the time until which this voter honours the grant
    */
   private record Grant(long sequence, long validUntil) {}
 
-  /** What was granted to one process, by groups. */
+  /** The leases that were granted to one process, by the numbers of the groups. */
   private static final class Holder {
     private final TreeMap<Integer, Grant> grants = new TreeMap<>();
 
-    /** Up to which request leases were released: late requests of before are not granted. */
+    /**
+     * The number of the last request whose lease was released, by group. Requests up to it that
+     * arrive late are not granted.
+     */
     private final TreeMap<Integer, Long> releasedUpTo = new TreeMap<>();
   }
 
@@ -48,15 +56,23 @@
   private final RaftConfig raft;
   private final RaftVoter voter;
 
-  /** By the numbers of the processes that hold leases. */
+  /** The leases granted to each process, by the number of the process. */
   private final TreeMap<Long, Holder> holders = new TreeMap<>();
 
-  /** Announced changes that this voter is clear of. */
+  /** The numbers of the announced changes that this voter is clear of. */
   private final TreeSet<Long> cleared = new TreeSet<>();
 
+  /** The number of grants of all holders. */
   private int grantCount;
 
-  /** Sets up the grantor of a voter; it has granted nothing that it knows of. */
+  /**
+   * Creates the grantor of a voter. It knows of no grants, although the voter may have granted
+   * leases before a restart.
+   *
+   * @param config the duration of leases
+   * @param raft the configuration of the voter
+   * @param voter the voter
+   */
   public LeaseGrantor(LeaseConfig config, RaftConfig raft, RaftVoter voter) {
     this.config = config;
     this.raft = raft;
@@ -66,9 +82,14 @@
   // ---- requests ----
 
   /**
-   * Grants what it can of the leases that a gateway requests.
+   * Grants the requested leases, except on groups that are blocked by an announced change, at other
+   * schema versions than the catalog has, or beyond the limits on holders and grants.
    *
-   * @return the response, to be sent once it is durable; empty if this voter may grant none
+   * @param now the current time, in tenths of a millisecond
+   * @param request the request of a gateway
+   * @param catalog the catalog of this voter
+   * @return the response, to be sent after all earlier writes are durable; empty if this voter may
+   *     not grant leases
    */
   public Optional<Lease> onRequest(long now, AskLease request, Catalog catalog) {
     if (!voter.isOperational() || !voter.isMember(voter.name(), voter.disk())) {
@@ -99,7 +120,7 @@
             catalog.applied()));
   }
 
-  /** Whether a change of the group is announced in the log, applied or not. */
+  /** Returns whether the log announces a change of a group, applied to the catalog or not. */
   private boolean isBlocked(Catalog catalog, int group) {
     boolean announced =
         catalog.blocked(group) || voter.hasAnnouncementAfter(catalog.applied(), group);
@@ -115,18 +136,22 @@
       holder = new Holder();
       holders.put(request.holder(), holder);
     }
-    Grant old = holder.grants.get(group);
-    boolean full = old == null && grantCount >= GRANTS_MAX;
-    if (full || request.sequence() <= holder.releasedUpTo.getOrDefault(group, 0L)) {
+    Grant previous = holder.grants.get(group);
+    boolean grantsExhausted = previous == null && grantCount >= GRANTS_MAX;
+    if (grantsExhausted || request.sequence() <= holder.releasedUpTo.getOrDefault(group, 0L)) {
       return false;
     }
-    grantCount += old == null ? 1 : 0;
-    long sequence = Math.max(request.sequence(), old == null ? 0 : old.sequence);
+    grantCount += previous == null ? 1 : 0;
+    long sequence = Math.max(request.sequence(), previous == null ? 0 : previous.sequence);
     holder.grants.put(group, new Grant(sequence, now + config.grantorDuration()));
     return true;
   }
 
-  /** A gateway released leases. */
+  /**
+   * Removes the grants that a gateway has released.
+   *
+   * @param release the release
+   */
   public void onRelease(Release release) {
     Holder holder = holders.get(release.holder());
     if (holder == null) {
@@ -148,10 +173,10 @@
   private void removeExpired(long now) {
     for (Iterator<Holder> each = holders.values().iterator(); each.hasNext(); ) {
       Holder holder = each.next();
-      int before = holder.grants.size();
+      int countBefore = holder.grants.size();
       holder.grants.values().removeIf(grant -> grant.validUntil < now);
-      grantCount -= before - holder.grants.size();
-      if (holder.grants.isEmpty() && before > 0) {
+      grantCount -= countBefore - holder.grants.size();
+      if (holder.grants.isEmpty() && countBefore > 0) {
         each.remove();
       }
     }
@@ -170,7 +195,9 @@
 
   // ---- changes ----
 
-  /** When the last lease on these groups has expired; 0 if none is valid. */
+  /**
+   * Returns the time at which the last valid lease on the given groups expires; 0 if none is valid.
+   */
   private long lastExpiry(long now, List<Integer> groups) {
     long last = 0;
     for (Holder holder : holders.values()) {
@@ -183,12 +210,22 @@
     return last;
   }
 
-  /** When the last lease that this voter granted before its restart has expired. */
+  /**
+   * Returns the latest time at which a lease that this voter may have granted before its restart
+   * expires.
+   */
   private long earlierGrantsExpiry() {
     return voter.rejoinedAt() + config.grantorDuration();
   }
 
-  /** The announced changes that this voter is clear of, by their numbers. */
+  /**
+   * Returns the announced changes that this voter is clear of. The list is empty while this voter
+   * is not operational, and while leases that it granted before a restart may be valid.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param catalog the catalog of this voter
+   * @return the numbers of the changes
+   */
   public List<Long> clearedChanges(long now, Catalog catalog) {
     cleared.retainAll(catalog.waiting().keySet());
     boolean expired =
@@ -209,9 +246,12 @@
   }
 
   /**
-   * When this voter may be clear of one more change.
+   * Returns the earliest time at which this voter may become clear of a further change.
    *
+   * @param now the current time, in tenths of a millisecond
    * @param waiting the announced changes, by their numbers
+   * @return the time, in tenths of a millisecond, later than {@code now}; {@link Long#MAX_VALUE} if
+   *     this voter is clear of all changes
    */
   public long nextDueAt(long now, SortedMap<Long, Change> waiting) {
     long due = Long.MAX_VALUE;
@@ -224,7 +264,14 @@
     return Math.max(now + 1, due);
   }
 
-  /** A change took effect: if this voter was clear of it, none of its grants may be valid. */
+  /**
+   * Handles a change that took effect. If this voter was clear of the change, none of its grants on
+   * the groups of the change may be valid.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param id the number of the change
+   * @param change the change
+   */
   public void onChangeEffective(long now, long id, Change change) {
     Invariant.holds(
         !cleared.contains(id) || lastExpiry(now, change.groups()) == 0,
--- a/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
+++ b/statements/src/main/java/tillerlink/statements/lease/LeaseHolder.java
@@ -16,21 +16,32 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * A gateway's side of leases on table groups. A lease is held while a majority of the voters has
- * granted it, each from the moment before it was asked, by the gateway's own clock alone. It does
- * no I/O itself and is owned by the gateway's event loop. Times are in tenths of a millisecond.
+ * The leases of a gateway on table groups. A lease is held while a majority of the voters has
+ * granted it. Each grant counts from the time just before the request was sent, measured only by
+ * the gateway's own clock.
+ *
+ * <p>A holder does no I/O itself and is owned by the gateway's event loop. Times are in tenths of a
+ * millisecond.
  */
 public final class LeaseHolder {
   private static final int REQUESTS_MAX = 16;
 
-  /** How long after a run last needed the group its lease is still requested. */
-  private static final long INTEREST_DURATION = 6_000_000;
+  /** Time since a run last needed a group for which its lease is still requested. */
+  private static final long UNUSED_LEASE_TIMEOUT = 6_000_000;
 
+  /** Delay of the next request after a run was rejected because a lease was missing. */
   private static final long EXPEDITED_REQUEST_DELAY = 500;
+
   private static final long NEVER = Long.MIN_VALUE / 2;
 
+  /**
+   * A request that was sent to all voters.
+   *
+   * @param sentAt the time at which it was sent
+   * @param versions the requested schema version of each table group
+   */
   private record LeaseRequest(long sentAt, TreeMap<Integer, Long> versions) {
-    boolean asks(int group, long version) {
+    boolean covers(int group, long version) {
       Long requested = versions.get(group);
       return requested != null && requested == version;
     }
@@ -43,7 +54,7 @@
   private final long holderId;
   private final TreeMap<Integer, GroupLease> leases = new TreeMap<>();
 
-  /** Requests that may still be answered, by their sequence numbers. */
+  /** The requests that voters may still respond to, by their sequence numbers. */
   private final LinkedHashMap<Long, LeaseRequest> requests = new LinkedHashMap<>();
 
   private List<Long> members = List.of();
@@ -54,13 +65,17 @@
   private long losses;
   private long nextExpiryAt = Long.MAX_VALUE;
 
-  /** The last attempt ended that a release waited for. */
+  /** Whether the last attempt that a release waited for has ended. */
   private boolean releaseReady;
 
   /**
-   * Sets up a holder without leases.
+   * Creates a holder without leases.
    *
-   * @param random gives this process its number among the holders
+   * @param config the duration of leases
+   * @param raft the configuration of the voters
+   * @param voters the configured voters
+   * @param outbox sends messages to other gateways
+   * @param random the source of the number that identifies this process as a holder
    */
   public LeaseHolder(
       LeaseConfig config, RaftConfig raft, Voters voters, Outbox outbox, RandomGenerator random) {
@@ -73,22 +88,35 @@
 
   // ---- state ----
 
-  /** The number of this process among the holders of leases; never 0. */
+  /** Returns the random number that identifies this process as a holder of leases; never 0. */
   public long holderId() {
     return holderId;
   }
 
-  /** When a voter last responded to a request for leases. */
+  /**
+   * Returns the time at which a voter last responded to a request for leases.
+   *
+   * @return the time, in tenths of a millisecond; far in the past if no voter has responded
+   */
   public long heardAt() {
     return heardAt;
   }
 
-  /** How often a lease that was held was lost: it expired, was released or dropped. */
+  /**
+   * Returns the number of times that a valid lease ended because it expired, was released or was
+   * dropped.
+   */
   public long losses() {
     return losses;
   }
 
-  /** Until when a lease on the group at that version is valid; in the past if none is held. */
+  /**
+   * Returns the time until which the lease on a group is valid at a schema version.
+   *
+   * @param group the number of the table group
+   * @param version the schema version
+   * @return the time, in tenths of a millisecond; in the past if no such lease is held
+   */
   public long validUntil(int group, long version) {
     GroupLease lease = leases.get(group);
     return lease == null || lease.version() != version ? GroupLease.NOT_HELD : validUntil(lease);
@@ -98,13 +126,20 @@
     if (members.isEmpty()) {
       return GroupLease.NOT_HELD;
     }
-    int needed = voters.quorum() - (raft.injects(InjectedFault.LEASE_WITHOUT_MAJORITY) ? 1 : 0);
-    return lease.validUntil(members, needed, config.holderDuration());
+    int requiredGrants =
+        voters.quorum() - (raft.injects(InjectedFault.LEASE_WITHOUT_MAJORITY) ? 1 : 0);
+    return lease.validUntil(members, requiredGrants, config.holderDuration());
   }
 
   // ---- runs ----
 
-  /** A run needs a lease on the group, now or soon: it is requested from now on. */
+  /**
+   * Records that a run needs a lease on a group now or soon, so that it is requested from now on.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param group the number of the table group
+   * @param catalog the catalog of this gateway
+   */
   public void onGroupNeeded(long now, int group, Catalog catalog) {
     GroupLease lease = leases.get(group);
     if (lease == null) {
@@ -118,34 +153,53 @@
     lease.onNeeded(now);
   }
 
-  /** Requests leases soon, as a run was rejected for want of one. */
+  /**
+   * Makes the next request due soon, because a run was rejected without a lease.
+   *
+   * @param now the current time, in tenths of a millisecond
+   */
   public void expediteRequest(long now) {
     requestDueAt = Math.min(requestDueAt, now + EXPEDITED_REQUEST_DELAY);
   }
 
-  /** An attempt that runs under a lease on the group is written. */
+  /**
+   * Records that an attempt is written that runs under a lease on a group.
+   *
+   * @param group the number of the table group
+   */
   public void onAttemptStarted(int group) {
     countAttempt(group, 1);
   }
 
-  /** An attempt that runs under a lease on the group ended at this gateway. */
+  /**
+   * Records that an attempt that ran under a lease on a group has ended at this gateway.
+   *
+   * @param group the number of the table group
+   */
   public void onAttemptEnded(int group) {
     countAttempt(group, -1);
   }
 
-  private void countAttempt(int group, int change) {
+  private void countAttempt(int group, int delta) {
     GroupLease lease = leases.get(group);
     if (lease != null && !raft.injects(InjectedFault.RELEASES_WITH_ATTEMPTS_IN_FLIGHT)) {
-      lease.addInFlight(change);
+      lease.addInFlight(delta);
       releaseReady |= lease.isReadyForRelease();
     }
   }
 
   /**
-   * An attempt that runs under a lease on the group ends at this gateway while an engine may still
-   * execute it; to be called before {@link #onAttemptEnded}. An engine stops at the deadline that
-   * it was given, by its own clock and from when the attempt reached it; so a whole lease is added,
-   * which an announced change waits for at most.
+   * Records that an attempt that runs under a lease on a group ends at this gateway while an engine
+   * may still execute it. Must be called before {@link #onAttemptEnded}.
+   *
+   * <p>An engine stops at the deadline that it was given, but counts it by its own clock from the
+   * arrival of the attempt. Therefore a whole lease is added to the time, which is the longest that
+   * an announced change waits for.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param group the number of the table group
+   * @param mayRunUntil the deadline of the attempt by this gateway's clock, in tenths of a
+   *     millisecond
    */
   public void onAttemptUncertain(long now, int group, long mayRunUntil) {
     GroupLease lease = leases.get(group);
@@ -158,7 +212,12 @@
 
   // ---- time ----
 
-  /** Releases, expires and requests leases; called on each event-loop iteration. */
+  /**
+   * Releases, expires and requests leases; called on each event-loop iteration.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param catalog the catalog of this gateway
+   */
   public void tick(long now, Catalog catalog) {
     followCatalog(now, catalog);
     updateValidity(now);
@@ -168,11 +227,16 @@
     requestDueAt = now + config.length() / 4;
     leases
         .values()
-        .removeIf(lease -> now - lease.neededAt() > INTEREST_DURATION && !lease.mayHaveAttempts());
+        .removeIf(
+            lease -> now - lease.neededAt() > UNUSED_LEASE_TIMEOUT && !lease.mayHaveAttempts());
     requestLeases(now, catalog);
   }
 
-  /** When {@link #tick} is to be called next, at the latest. */
+  /**
+   * Returns the latest time of the next call of {@link #tick}.
+   *
+   * @return the time, in tenths of a millisecond
+   */
   public long nextDueAt() {
     if (leases.isEmpty()) {
       return Long.MAX_VALUE;
@@ -240,7 +304,14 @@
 
   // ---- grants ----
 
-  /** A voter responded to a request; what answers no open request of this process is dropped. */
+  /**
+   * Handles a voter's response to a request. Ignores responses that do not belong to an open
+   * request of this process.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param from the name of the voter
+   * @param response the response
+   */
   public void onGrant(long now, String from, Lease response) {
     int voter = voters.indexOf(from);
     LeaseRequest request = requests.get(response.sequence());
@@ -255,22 +326,27 @@
       membersVersion = response.version();
       members = response.members();
     }
-    boolean fromResponse = raft.injects(InjectedFault.COUNTS_LEASE_FROM_RESPONSE);
-    long since = fromResponse ? now : request.sentAt;
+    boolean countFromResponse = raft.injects(InjectedFault.COUNTS_LEASE_FROM_RESPONSE);
+    long requestedAt = countFromResponse ? now : request.sentAt;
     response
         .granted()
         .forEach(
             (group, version) -> {
               GroupLease lease = leases.get(group);
-              if (lease != null && lease.version() == version && request.asks(group, version)) {
-                lease.onGrant(voter, response.disk(), since);
+              if (lease != null && lease.version() == version && request.covers(group, version)) {
+                lease.onGrant(voter, response.disk(), requestedAt);
               }
             });
   }
 
   // ---- loss of leases ----
 
-  /** The process was paused: all leases are dropped, and released where no attempt may be left. */
+  /**
+   * Drops all leases after a pause of the process, and releases those under which no attempt can be
+   * left.
+   *
+   * @param now the current time, in tenths of a millisecond
+   */
   public void onPause(long now) {
     if (raft.injects(InjectedFault.TRUSTS_LEASES_AFTER_PAUSE)) {
       return;
@@ -281,8 +357,10 @@
   }
 
   /**
-   * This process ends and writes no attempt any more: leases are released, but for those that an
-   * attempt may be left under, which expire.
+   * Drops all leases because the process ends and writes no further attempts. Leases under which no
+   * attempt can be left are released; the others expire at the voters.
+   *
+   * @param now the current time, in tenths of a millisecond
    */
   public void onShutdown(long now) {
     abandonAll(now);
@@ -299,7 +377,13 @@
     sendRelease(released);
   }
 
-  /** A change took effect: no lease under the schema versions before it may be valid here. */
+  /**
+   * Checks, for a change that took effect, that no lease for the previous schema versions of its
+   * groups is valid at this gateway.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param groups the numbers of the table groups of the change
+   */
   public void onChangeEffective(long now, List<Integer> groups) {
     for (int group : groups) {
       GroupLease lease = leases.get(group);
