--- a/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Ballot.java
@@ -7,22 +7,29 @@
 import tillerlink.messages.MalformedMessageException;
 
 /**
- * The current term and whom this voter voted for in it, both written to durable state before either
- * is shown to another voter; and the votes that it got itself, which are not stored.
+ * The current term of a voter, the candidate that it voted for in this term, and the votes that it
+ * has received itself.
+ *
+ * <p>The term and the candidate are written to durable state before another voter learns either of
+ * them, so that a restart cannot lead to a second vote in the same term. The votes received are not
+ * stored.
  */
 final class Ballot {
-  /** The key of the stored value; part of the stored format. */
+  /** Key of the stored value; part of the stored format. */
   private static final String KEY = "ballot";
 
   private static final int TERM = 1;
   private static final int VOTED_FOR = 2;
   private static final int NAME_BYTES_MAX = 256;
 
-  /** Stored in place of a name if a vote may have been given and forgotten. */
+  /**
+   * Stored instead of a candidate's name if this voter may have voted in the term but no longer
+   * knows for which candidate.
+   */
   private static final String UNKNOWN_CANDIDATE = "?";
 
   private final DurableState durable;
-  private final BitSet votes = new BitSet();
+  private final BitSet votesReceived = new BitSet();
   private long term;
   private String votedFor = "";
 
@@ -44,7 +51,7 @@
     }
   }
 
-  /** Writes it to durable state. */
+  /** Writes the term and the vote to durable state. */
   void persist() {
     durable.write(KEY, new FieldWriter().number(TERM, term).text(VOTED_FOR, votedFor).done());
   }
@@ -53,57 +60,67 @@
     return term;
   }
 
-  void termIs(long next) {
+  /**
+   * Starts a new term without a vote and writes it to durable state.
+   *
+   * @param next the new term; higher than the current one
+   */
+  void startTerm(long next) {
     Invariant.holds(
         next > term, () -> "term does not increase: current term " + term + ", new term " + next);
     term = next;
     votedFor = "";
-    votes.clear();
+    votesReceived.clear();
     persist();
   }
 
+  /** Returns whether this voter has not voted in the current term, or voted for that candidate. */
   boolean mayVoteFor(String name) {
     return votedFor.isEmpty() || votedFor.equals(name);
   }
 
-  void vote(String name) {
+  /** Records the vote for a candidate in the current term and writes it to durable state. */
+  void voteFor(String name) {
     if (!votedFor.equals(name)) {
       votedFor = name;
       persist();
     }
   }
 
-  /** Votes up to that term may have been given and forgotten: none is given in them again. */
+  /**
+   * Prevents votes in all terms up to the given one, because this voter may already have voted in
+   * them and lost the record.
+   */
   void forbidVotesUpTo(long highestTerm) {
     if (highestTerm > term) {
-      termIs(highestTerm);
+      startTerm(highestTerm);
     }
     if (highestTerm == term && votedFor.isEmpty()) {
-      vote(UNKNOWN_CANDIDATE);
+      voteFor(UNKNOWN_CANDIDATE);
     }
   }
 
-  // ---- votes for this voter ----
+  // ---- votes received ----
 
   void clearVotes() {
-    votes.clear();
+    votesReceived.clear();
   }
 
   void recordVote(int voter) {
-    votes.set(voter);
+    votesReceived.set(voter);
   }
 
-  /** That voter restarted: its vote no longer counts. */
+  /** Discards the vote of a voter that has restarted since it voted. */
   void revokeVote(int voter) {
-    votes.clear(voter);
+    votesReceived.clear(voter);
   }
 
   /**
-   * How many voters voted for this one.
+   * Returns the number of voters that voted for this one.
    *
-   * @param excluded a voter whose vote does not count, or -1
+   * @param excluded the index of a voter whose vote does not count; -1 to count all
    */
-  int votes(int excluded) {
-    return votes.cardinality() - (excluded >= 0 && votes.get(excluded) ? 1 : 0);
+  int countVotes(int excluded) {
+    return votesReceived.cardinality() - (excluded >= 0 && votesReceived.get(excluded) ? 1 : 0);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/CommitAdvancer.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/CommitAdvancer.java
@@ -2,7 +2,10 @@
 
 import tillerlink.messages.statements.StatementMessage.Stage;
 
-/** Raises the commit index of a leader, applies committed entries, and compacts the log. */
+/**
+ * The component of a voter that raises the commit index on a leader, applies committed entries and
+ * compacts the log.
+ */
 final class CommitAdvancer {
   private final RaftContext context;
   private final VoterState state;
@@ -23,7 +26,11 @@
     this.learners = learners;
   }
 
-  /** Applies what is committed and durable here. */
+  /**
+   * Applies the entries that are committed and durable on this voter, after raising the commit
+   * index if this voter leads. If entries were applied, completes the rejoin of this voter when it
+   * was readmitted, compacts the log when needed and notifies the learners.
+   */
   void advance() {
     raiseCommitIndex();
     if (applyCommitted()) {
@@ -48,7 +55,7 @@
 
   private boolean applyCommitted() {
     StateMachine machine = context.machine();
-    long upTo = Math.min(state.commitIndex(), context.log().durable());
+    long upTo = Math.min(state.commitIndex(), context.log().durableIndex());
     boolean applied = false;
     while (machine.applied() < upTo) {
       machine.apply(context.log().get(machine.applied() + 1));
@@ -57,7 +64,11 @@
     return applied;
   }
 
-  /** Whether this voter lost its disk and the log readmitted it with the new one. */
+  /**
+   * Returns whether this voter lost its disk and has been readmitted with its new disk.
+   *
+   * @param applied the index of the last applied entry
+   */
   boolean isReadmittedAt(long applied) {
     return context.identity().stage() == Stage.LOST && context.isMemberAt(applied);
   }
@@ -71,7 +82,7 @@
     log.compact(
         new Snapshot(
             applied,
-            log.term(applied),
+            log.termAt(applied),
             0,
             0,
             membership.versionAt(applied),
--- a/statements/src/main/java/tillerlink/statements/consensus/DurableState.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/DurableState.java
@@ -5,8 +5,9 @@
 import tillerlink.cluster.KeyValueStore;
 
 /**
- * A voter's durable key-value store with the actions that wait for its writes: nothing that a voter
- * promises is sent before it is durable.
+ * The durable key-value store of a voter, and the actions that wait until its writes are durable.
+ * Messages that other voters rely on are sent from such actions, so that a voter never sends a
+ * promise that a crash could undo.
  */
 final class DurableState {
   private record PendingAction(long write, Runnable action) {}
@@ -19,21 +20,26 @@
   private boolean failed;
 
   /**
-   * Puts a store to use.
+   * Creates the durable state of a voter on top of a store.
    *
-   * @param assumeDurable an injected fault: actions wait for no write
+   * @param assumeDurable whether every write counts as durable at once, an injected fault
    */
   DurableState(KeyValueStore store, boolean assumeDurable) {
     this.store = store;
     this.assumeDurable = assumeDurable;
   }
 
-  /** What was stored when this process started. */
+  /** Returns the entries that were stored when this process started. */
   NavigableMap<String, byte[]> initialEntries() {
     return store.initialEntries();
   }
 
-  /** Hands a value to the store, null to remove it; returns the number of this write. */
+  /**
+   * Passes a write to the store without waiting for it.
+   *
+   * @param value the new value; null removes the key
+   * @return the number of this write; numbers increase from 1
+   */
   long write(String key, byte[] value) {
     long write = ++lastWrite;
     if (!failed && !store.set(key, value, () -> onDurable(write))) {
@@ -55,7 +61,7 @@
     }
   }
 
-  /** Runs the action once everything written so far is durable; never, if the store fails. */
+  /** Runs the action once all writes so far are durable; drops it if the store has failed. */
   void whenDurable(Runnable action) {
     if (failed) {
       return;
@@ -67,18 +73,24 @@
     }
   }
 
-  /** The number of the last write that is durable. */
+  /** Returns the number of the last durable write; 0 if no write is durable yet. */
   long durableWrite() {
     return durableWrite;
   }
 
-  /** Whether the store refused a write: this voter sends nothing that others would rely on. */
+  /**
+   * Returns whether the store rejected a write. Until {@link #resumeWrites} is called, this voter
+   * sends nothing that others rely on.
+   */
   boolean hasFailed() {
     return failed;
   }
 
-  /** Writes are handed to the store again; the caller writes all of the state after this. */
-  void retry() {
+  /**
+   * Resumes writing after a failure and drops the actions that were waiting. The caller has to
+   * write the whole state again afterwards, because writes since the failure were not stored.
+   */
+  void resumeWrites() {
     failed = false;
     pending.clear();
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/Election.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Election.java
@@ -4,7 +4,7 @@
 import tillerlink.messages.statements.StatementMessage.Vote;
 import tillerlink.statements.testing.InjectedFault;
 
-/** Elections: standing as a candidate after a pre-vote, voting, and counting votes. */
+/** Raft's leader election: pre-vote, election, votes for others, and vote counting. */
 final class Election {
   private final RaftContext context;
   private final VoterState state;
@@ -12,9 +12,9 @@
   private final Runnable onElected;
 
   /**
-   * Sets up elections of one voter.
+   * Creates the election component of one voter.
    *
-   * @param onElected begins to lead; the role is the leader's by then
+   * @param onElected run when this voter has won an election; its role is already leader then
    */
   Election(RaftContext context, VoterState state, Runnable onElected) {
     this.context = context;
@@ -25,12 +25,12 @@
 
   void onElectionTimeout() {
     state.resetElectionTimer();
-    if (canStand()) {
+    if (canStartElection()) {
       preVote.start();
     }
   }
 
-  private boolean canStand() {
+  private boolean canStartElection() {
     Membership membership = context.membership();
     return state.hasRejoined()
         && state.hasCaughtUp()
@@ -41,8 +41,8 @@
   private void start() {
     Ballot ballot = context.ballot();
     state.becomeCandidate();
-    ballot.termIs(ballot.term() + 1);
-    ballot.vote(context.voters().self());
+    ballot.startTerm(ballot.term() + 1);
+    ballot.voteFor(context.voters().self());
     long term = ballot.term();
     context
         .durable()
@@ -58,7 +58,7 @@
   private void countVote(int voter) {
     context.ballot().recordVote(voter);
     int excluded = context.membership().excludedVoter(state.commitIndex());
-    if (context.ballot().votes(excluded) >= context.voters().quorum()) {
+    if (context.ballot().countVotes(excluded) >= context.voters().quorum()) {
       state.becomeLeader();
       onElected.run();
     }
@@ -73,18 +73,22 @@
     if (request.pre()) {
       preVote.onRequest(from, request, upToDate);
     } else {
-      vote(from, request, upToDate);
+      respondToVoteRequest(from, request, upToDate);
     }
   }
 
-  /** Whether the candidate's log is at least as far as this one, and as one to catch up to. */
+  /**
+   * Returns whether the candidate's log is at least as up to date as the log of this voter and, if
+   * this voter has not caught up yet, as the position that it has to reach.
+   */
   private boolean isUpToDate(AskVote request) {
     Log log = context.log();
-    return Log.isAtLeast(request.lastTerm(), request.lastIndex(), log.lastTerm(), log.lastIndex())
+    return Log.isAtLeastAsUpToDate(
+            request.lastTerm(), request.lastIndex(), log.lastTerm(), log.lastIndex())
         && (state.hasCaughtUp() || state.reachesCatchUp(request.lastTerm(), request.lastIndex()));
   }
 
-  private void vote(String from, AskVote request, boolean upToDate) {
+  private void respondToVoteRequest(String from, AskVote request, boolean upToDate) {
     Ballot ballot = context.ballot();
     if (request.term() > ballot.term()) {
       state.becomeFollower(request.term(), VoterState.NO_LEADER);
@@ -94,7 +98,7 @@
             && upToDate
             && (ballot.mayVoteFor(from) || context.config().injects(InjectedFault.VOTES_TWICE));
     if (granted) {
-      ballot.vote(from);
+      ballot.voteFor(from);
       state.resetElectionTimer();
     }
     long term = ballot.term();
--- a/statements/src/main/java/tillerlink/statements/consensus/Identity.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Identity.java
@@ -12,11 +12,11 @@
 import tillerlink.messages.statements.StatementMessage.Stage;
 
 /**
- * Who this voter is to the others: the number of its disk, how often it started from it, and how
- * often it knows the others to have started. All of it is durable.
+ * The durable identity of this voter towards the others: the number of its disk, the number of
+ * starts from that disk, and the highest number of starts that it knows of each other voter.
  */
 final class Identity {
-  /** The key of the stored value; part of the stored format. */
+  /** Key of the stored value; part of the stored format. */
   private static final String KEY = "identity";
 
   private static final int DISK = 1;
@@ -25,7 +25,7 @@
   private static final int PLEDGE = 4;
   private static final int LIST_VALUE = 1;
 
-  /** A stage is stored as its position here: new ones come last. */
+  /** The stages in stored order: a stage is stored as its position, so new ones are appended. */
   private static final List<Stage> STORED_STAGES =
       List.of(Stage.FRESH, Stage.PLEDGED, Stage.FOUNDED, Stage.LOST);
 
@@ -47,10 +47,10 @@
     } else {
       read(new FieldReader(stored));
     }
-    bootsAre(voters.indexOf(voters.self()), boots() + 1);
+    setBoots(voters.indexOf(voters.self()), boots() + 1);
   }
 
-  /** Never 0, which stands for no disk. */
+  /** Returns a random disk number; never 0, because 0 denotes no disk. */
   private static long newDisk(RandomGenerator random) {
     return random.nextLong() | 1;
   }
@@ -81,7 +81,7 @@
     return value;
   }
 
-  /** Writes it to durable state. */
+  /** Writes the identity to durable state. */
   void persist() {
     FieldWriter to =
         new FieldWriter().fixed(DISK, disk).number(STAGE, STORED_STAGES.indexOf(stage));
@@ -90,22 +90,29 @@
     durable.write(KEY, to.done());
   }
 
-  /** The number that this disk was given when it was empty. */
+  /** Returns the random number that was assigned to this disk when it was empty; never 0. */
   long disk() {
     return disk;
   }
 
-  /** How far this voter has come since its disk was empty. */
+  /** Returns the stage that this voter has reached since its disk was empty. */
   Stage stage() {
     return stage;
   }
 
-  /** The disks that it founds the log with, in the order of the voters' names; empty if none. */
+  /**
+   * Returns the disks that this voter has pledged to found the log with, in the order of the
+   * voters' names; empty if it has not pledged.
+   */
   List<Long> pledge() {
     return pledge;
   }
 
-  void stageIs(Stage next, List<Long> pledged) {
+  /**
+   * Sets the stage and the pledge, and writes them to durable state. A pledge does not change
+   * unless the disk was lost, so that the log is not founded twice with different disks.
+   */
+  void setStage(Stage next, List<Long> pledged) {
     Invariant.holds(
         pledge.isEmpty() || pledge.equals(pledged) || next == Stage.LOST,
         () -> "pledge changes from " + pledge + " to " + pledged);
@@ -114,25 +121,33 @@
     persist();
   }
 
-  /** Another disk took this one's place: it is treated as lost, and gets a new number. */
-  void startOver(RandomGenerator random) {
+  /**
+   * Treats this disk as lost and assigns it a new number, because another disk has replaced it
+   * among the members.
+   */
+  void replaceDisk(RandomGenerator random) {
     disk = newDisk(random);
     stage = Stage.LOST;
     pledge = List.of();
     persist();
   }
 
-  /** How often this voter started from this disk. */
+  /** Returns the number of starts of this voter from this disk. */
   long boots() {
     return boots(voters.indexOf(voters.self()));
   }
 
-  /** How often that voter is known to have started. */
+  /** Returns the highest known number of starts of a voter; 0 if none is known. */
   long boots(int voter) {
     return boots.get(voter);
   }
 
-  void bootsAre(int voter, long count) {
+  /**
+   * Sets the known number of starts of a voter and writes it to durable state.
+   *
+   * @param count the number of starts; at least the number known so far
+   */
+  void setBoots(int voter, long count) {
     Invariant.holds(
         count >= boots.get(voter),
         () -> "starts of voter " + voter + " fall from " + boots.get(voter) + " to " + count);
@@ -140,7 +155,7 @@
     persist();
   }
 
-  /** The stamp of this voter's messages. */
+  /** Returns the stamp that this voter puts on its messages. */
   Stamp stamp() {
     return new Stamp(voters.hash(), disk, boots(), boots);
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/LeaderState.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/LeaderState.java
@@ -6,13 +6,13 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * What a leader knows of the other voters, and which entries it may commit by that. Times are in
- * tenths of a millisecond.
+ * The replication progress of the other voters as a leader knows it, and the commit index that
+ * follows from it. Times are in tenths of a millisecond.
  */
 final class LeaderState {
   private static final int UNCOMMITTED_MAX = 512;
 
-  /** How long a voter must be silent before its new disk may replace it. */
+  /** Time for which a voter's old disk must be silent before a new disk may replace it. */
   private static final long SILENCE_BEFORE_READMISSION = 15_000;
 
   private final Voters voters;
@@ -20,7 +20,7 @@
   private final RaftConfig config;
   private final Log log;
   private final Membership membership;
-  private final Progress[] others;
+  private final Progress[] progress;
   private long sequence;
   private long heartbeatDueAt;
   private boolean hasLed;
@@ -31,13 +31,13 @@
     this.config = config;
     this.log = log;
     this.membership = membership;
-    others = new Progress[voters.count()];
+    progress = new Progress[voters.count()];
   }
 
-  /** A term as the leader begins. */
+  /** Resets the progress of all voters at the start of a term as leader. */
   void start(long now) {
-    for (int i = 0; i < others.length; i++) {
-      others[i] = new Progress(log.lastIndex() + 1, now);
+    for (int i = 0; i < progress.length; i++) {
+      progress[i] = new Progress(log.lastIndex() + 1, now);
     }
     heartbeatDueAt = now;
     hasLed = true;
@@ -47,7 +47,7 @@
     return ++sequence;
   }
 
-  /** Whether one more entry may be appended while others are not committed yet. */
+  /** Returns whether the number of uncommitted entries allows one more to be appended. */
   boolean hasCapacity(long commitIndex) {
     return log.lastIndex() - commitIndex < UNCOMMITTED_MAX;
   }
@@ -56,17 +56,24 @@
     return heartbeatDueAt;
   }
 
-  /** The commit index rose: the other voters learn of it at the next replication. */
+  /**
+   * Makes a heartbeat due at once, so that the other voters learn of a higher commit index with the
+   * next replication.
+   */
   void expediteHeartbeat() {
     heartbeatDueAt = Math.min(heartbeatDueAt, 0);
   }
 
-  /** Sends to all voters when a heartbeat is due, else to those that lack entries. */
+  /**
+   * Sends to all other voters if a heartbeat is due, otherwise only to those that lack entries.
+   *
+   * @param send sends append entries or a snapshot offer to the named voter
+   */
   void replicate(long now, BiConsumer<String, Progress> send) {
     boolean heartbeat = now >= heartbeatDueAt;
-    for (int i = 0; i < others.length; i++) {
-      if (i != self && (heartbeat || others[i].needsEntries(log.lastIndex(), now))) {
-        send.accept(voters.names().get(i), others[i]);
+    for (int i = 0; i < progress.length; i++) {
+      if (i != self && (heartbeat || progress[i].needsEntries(log.lastIndex(), now))) {
+        send.accept(voters.names().get(i), progress[i]);
       }
     }
     if (heartbeat) {
@@ -75,39 +82,46 @@
   }
 
   void onResponse(long now, int voter, Appended response) {
-    others[voter].onResponse(now, response, log.lastIndex());
+    progress[voter].onResponse(now, response, log.lastIndex());
   }
 
-  /** Whether a majority was silent for so long that there may be another leader. */
+  /**
+   * Returns whether fewer voters than a majority responded within twice the shortest election
+   * timeout, so that there may be another leader by now.
+   */
   boolean hasLostMajority(long now) {
-    int heard = 1;
-    for (int i = 0; i < others.length; i++) {
-      boolean live = now - others[i].heardAt() < 2 * RaftTiming.ELECTION_TIMEOUT_MIN;
-      heard += i != self && live ? 1 : 0;
+    int heardVoters = 1;
+    for (int i = 0; i < progress.length; i++) {
+      boolean live = now - progress[i].heardAt() < 2 * RaftTiming.ELECTION_TIMEOUT_MIN;
+      heardVoters += i != self && live ? 1 : 0;
     }
-    return heard < voters.quorum();
+    return heardVoters < voters.quorum();
   }
 
   /**
-   * The highest index that is committed, at least the given one. Raft commits only by an entry of
-   * the leader's own term; a voter whose readmission is pending does not count for entries from
-   * there on.
+   * Returns the highest index that the leader may commit. Raft commits only by an entry of the
+   * leader's own term. A voter whose readmission is pending does not count towards the majority for
+   * the readmission itself and the entries after it.
+   *
+   * @param commitIndex the current commit index
+   * @param term the leader's term
+   * @return the new commit index, at least {@code commitIndex}
    */
   long committableIndex(long commitIndex, long term) {
-    long[] durable = new long[others.length];
-    for (int i = 0; i < others.length; i++) {
-      durable[i] = i == self ? log.durable() : others[i].matchIndex();
+    long[] durable = new long[progress.length];
+    for (int i = 0; i < progress.length; i++) {
+      durable[i] = i == self ? log.durableIndex() : progress[i].matchIndex();
     }
-    boolean alone = config.injects(InjectedFault.COMMITS_WITHOUT_MAJORITY);
-    long highest = alone ? log.durable() : majorityIndex(durable);
+    boolean withoutMajority = config.injects(InjectedFault.COMMITS_WITHOUT_MAJORITY);
+    long highest = withoutMajority ? log.durableIndex() : majorityIndex(durable);
     long readmission = membership.pendingReadmission(commitIndex);
     if (readmission > 0 && highest >= readmission) {
       durable[membership.excludedVoter(commitIndex)] = 0;
       highest = Math.min(highest, Math.max(readmission - 1, majorityIndex(durable)));
     }
-    boolean ownTerm =
-        log.term(highest) == term || config.injects(InjectedFault.COMMITS_EARLIER_TERMS);
-    return highest > commitIndex && ownTerm ? highest : commitIndex;
+    boolean committableTerm =
+        log.termAt(highest) == term || config.injects(InjectedFault.COMMITS_EARLIER_TERMS);
+    return highest > commitIndex && committableTerm ? highest : commitIndex;
   }
 
   private long majorityIndex(long[] durable) {
@@ -116,26 +130,27 @@
     return sorted[sorted.length - voters.quorum()];
   }
 
-  /** That voter restarted. */
+  /** Discards the acknowledgements that a voter sent before it restarted. */
   void resetProgress(int voter) {
-    if (others[voter] != null) {
-      others[voter].reset();
+    if (progress[voter] != null) {
+      progress[voter].reset();
     }
   }
 
-  /** Up to where that voter acknowledged this leader's log; 0 if nothing is known. */
-  long matchIndexOf(int voter) {
-    return others[voter] == null ? 0 : others[voter].matchIndex();
+  /** Returns the index up to which a voter acknowledged this leader's log; 0 if unknown. */
+  long matchIndex(int voter) {
+    return progress[voter] == null ? 0 : progress[voter].matchIndex();
   }
 
   /**
-   * Whether the log may readmit a voter by its new disk: one readmission at a time, behind a
-   * committed entry of the own term, and not while the old disk is heard of.
+   * Returns whether a voter may be readmitted with its new disk: only one readmission may be
+   * pending at a time, an entry of the leader's own term must be committed before it, and the old
+   * disk must have been silent for {@link #SILENCE_BEFORE_READMISSION}.
    */
   boolean canReadmit(long now, int voter, long commitIndex, long term) {
     return hasLed
         && membership.pendingReadmission(commitIndex) < 0
-        && log.term(commitIndex) == term
-        && now - others[voter].heardAt() > SILENCE_BEFORE_READMISSION;
+        && log.termAt(commitIndex) == term
+        && now - progress[voter].heardAt() > SILENCE_BEFORE_READMISSION;
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/Learner.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Learner.java
@@ -9,17 +9,20 @@
 import tillerlink.messages.statements.StatementMessage.Piece;
 
 /**
- * Follows the log on a gateway that does not vote: it asks one voter after the other for committed
- * entries. It does no I/O itself and is owned by the gateway's event loop. Times are in tenths of a
- * millisecond.
+ * The replica of the log on a gateway that does not vote. It fetches committed entries from one
+ * voter at a time and changes to the next voter when one is silent or may be behind. It does no I/O
+ * itself and is owned by the gateway's event loop. Times are in tenths of a millisecond.
  */
 public final class Learner {
   private static final long FETCH_INTERVAL = 2500;
 
-  /** How long a voter may be silent before the next one is asked. */
+  /** Time without a response after which the learner changes to the next voter. */
   private static final long VOTER_TIMEOUT = 3000;
 
-  /** After so many fetches another voter is asked: one that responds may itself be behind. */
+  /**
+   * Number of fetches after which the learner changes to the next voter, because a voter that
+   * responds may itself be behind.
+   */
   private static final int FETCHES_PER_VOTER = 6;
 
   private final Voters voters;
@@ -27,35 +30,46 @@
   private final StateMachine machine;
   private final Consumer<String> warnings;
   private final SnapshotFetcher snapshots;
-  private int current;
+  private int currentVoter;
   private int fetches;
   private long fetchDueAt;
   private long heardAt;
 
   /**
-   * Sets up a learner.
+   * Creates a learner that has not fetched anything yet.
    *
-   * @param warnings lines for the operator's log
-   * @param first the index of the voter to ask first, modulo their number
+   * @param voters the voters to fetch from
+   * @param outbox sends the requests
+   * @param machine the state machine that committed entries are applied to
+   * @param warnings receives lines for the operator's log
+   * @param firstVoter the index of the first voter to fetch from, taken modulo the number of voters
    */
   public Learner(
-      Voters voters, Outbox outbox, StateMachine machine, Consumer<String> warnings, int first) {
+      Voters voters,
+      Outbox outbox,
+      StateMachine machine,
+      Consumer<String> warnings,
+      int firstVoter) {
     this.voters = voters;
     this.outbox = outbox;
     this.machine = machine;
     this.warnings = warnings;
     snapshots = new SnapshotFetcher(outbox);
-    current = Math.floorMod(first, voters.count());
+    currentVoter = Math.floorMod(firstVoter, voters.count());
   }
 
-  /** Runs what is due; called on each event-loop iteration. */
+  /**
+   * Sends the fetches that are due; called on each event-loop iteration.
+   *
+   * @param now the current time, in tenths of a millisecond
+   */
   public void tick(long now) {
     snapshots.tick(now);
     if (now < fetchDueAt) {
       return;
     }
     if (now - heardAt > VOTER_TIMEOUT || ++fetches % FETCHES_PER_VOTER == 0) {
-      current = (current + 1) % voters.count();
+      currentVoter = (currentVoter + 1) % voters.count();
       heardAt = now;
     }
     fetch(now);
@@ -63,15 +77,26 @@
 
   private void fetch(long now) {
     fetchDueAt = now + FETCH_INTERVAL;
-    outbox.send(voters.names().get(current), new Fetch(machine.applied() + 1));
+    outbox.send(voters.names().get(currentVoter), new Fetch(machine.applied() + 1));
   }
 
-  /** When {@link #tick} is to be called next, at the latest. */
+  /**
+   * Returns the latest time of the next call of {@link #tick}.
+   *
+   * @return the time, in tenths of a millisecond
+   */
   public long nextDueAt() {
     return Math.min(fetchDueAt, snapshots.nextDueAt());
   }
 
-  /** Takes a message of the log's protocol; others are ignored, and those of other gateways. */
+  /**
+   * Handles a message of the log's protocol. Ignores other messages, and all messages from gateways
+   * that are not voters.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param from the name of the sending gateway
+   * @param message the message
+   */
   public void onMessage(long now, String from, StatementMessage message) {
     if (!voters.contains(from)) {
       return;
@@ -84,11 +109,11 @@
   }
 
   private void onCommitted(long now, String from, Committed committed) {
-    if (from.equals(voters.names().get(current))) {
+    if (from.equals(voters.names().get(currentVoter))) {
       heardAt = now;
     }
-    long before = machine.applied();
-    if (committed.snapshot() > before) {
+    long appliedBefore = machine.applied();
+    if (committed.snapshot() > appliedBefore) {
       snapshots.start(now, from, committed.snapshot(), committed.size());
       return;
     }
@@ -97,7 +122,7 @@
         machine.apply(entry);
       }
     }
-    boolean progressed = committed.entries().isEmpty() || machine.applied() > before;
+    boolean progressed = committed.entries().isEmpty() || machine.applied() > appliedBefore;
     if (committed.commit() > machine.applied() && progressed && !snapshots.isFetching()) {
       fetch(now);
     }
--- a/statements/src/main/java/tillerlink/statements/consensus/LearnerService.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/LearnerService.java
@@ -7,18 +7,22 @@
 import tillerlink.messages.statements.StatementMessage.Committed;
 import tillerlink.messages.statements.StatementMessage.Fetch;
 
-/** Sends committed entries to gateways that do not vote. Times are in tenths of a millisecond. */
+/**
+ * The component of a voter that serves committed entries to learners, the gateways that do not
+ * vote. Times are in tenths of a millisecond.
+ */
 final class LearnerService {
   private static final int LEARNERS_MAX = 1024;
 
-  /** How long after its last fetch a learner is still notified. */
+  /** Time since a learner's last fetch after which it is no longer notified. */
   private static final long LEARNER_TIMEOUT = 50_000;
 
-  private static final int BYTES_MAX = 8000;
+  /** Upper bound on the bytes of entries in one response. */
+  private static final int RESPONSE_ENTRY_BYTES_MAX = 8000;
 
   private final Outbox outbox;
 
-  /** When each learner last fetched, the longest ago first. */
+  /** The time of each learner's last fetch, the least recent first. */
   private final Map<String, Long> learners = new LinkedHashMap<>();
 
   LearnerService(Outbox outbox) {
@@ -36,11 +40,12 @@
         first <= log.base()
             ? new Committed(
                 first, List.of(), applied, log.snapshot().index(), log.snapshotBytes().length)
-            : new Committed(first, log.from(first, applied, BYTES_MAX), applied, 0, 0);
+            : new Committed(
+                first, log.entriesFrom(first, applied, RESPONSE_ENTRY_BYTES_MAX), applied, 0, 0);
     outbox.send(from, response);
   }
 
-  /** Notifies the learners that more is committed. */
+  /** Notifies the learners that more entries are committed, and forgets those that timed out. */
   void onApplied(long now, long applied) {
     for (Iterator<Map.Entry<String, Long>> each = learners.entrySet().iterator();
         each.hasNext(); ) {
--- a/statements/src/main/java/tillerlink/statements/consensus/Log.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Log.java
@@ -10,24 +10,28 @@
 import tillerlink.messages.statements.Entry;
 
 /**
- * A voter's log: a snapshot, the entries behind it, and the last few entries that the snapshot
- * covers.
+ * The log of a voter: a snapshot, the entries after it, and up to {@value #ENTRIES_RETAINED}
+ * entries before it that the snapshot already covers.
  */
 final class Log {
-  /** Keys of the stored values; part of the stored format. */
+  /** Prefix of the keys of stored entries; part of the stored format. */
   private static final String ENTRY_PREFIX = "log/";
 
+  /** Key of the stored snapshot; part of the stored format. */
   private static final String SNAPSHOT_KEY = "snapshot";
 
-  /** Entries applied since the snapshot before there is a new one. */
+  /** Number of entries applied since the last snapshot at which a new one is taken. */
   private static final int ENTRIES_PER_SNAPSHOT = 256;
 
-  /** Entries that a snapshot leaves in the log, for voters that are little behind. */
+  /**
+   * Number of entries that stay in the log although a snapshot covers them, so that voters that are
+   * only slightly behind do not need the snapshot.
+   */
   private static final int ENTRIES_RETAINED = 64;
 
   private static final int ENTRIES_PER_APPEND_MAX = 128;
 
-  /** Bytes around an entry in a message, at most. */
+  /** Upper bound on the bytes that the framing of an entry takes in a message. */
   private static final int ENTRY_OVERHEAD = 8;
 
   private static final long UNKNOWN_TERM = -1;
@@ -35,7 +39,7 @@
   private final DurableState durable;
   private final List<Entry> entries = new ArrayList<>();
 
-  /** The numbers of the writes of the entries. */
+  /** The number of the write of each entry to the store, in the order of {@link #entries}. */
   private final List<Long> writes = new ArrayList<>();
 
   private Snapshot snapshot;
@@ -75,13 +79,13 @@
     return entries.isEmpty() ? baseTerm : entries.get(entries.size() - 1).term();
   }
 
-  /** The index before the first entry that is in the log. */
+  /** Returns the index before the first entry in the log. */
   long base() {
     return base;
   }
 
-  /** The term of the entry at that index; -1 if it is not in the log. */
-  long term(long index) {
+  /** Returns the term of the entry at an index; -1 if the entry is not in the log. */
+  long termAt(long index) {
     if (index == base) {
       return baseTerm;
     }
@@ -100,8 +104,8 @@
     return snapshotBytes;
   }
 
-  /** The index up to which the log would survive a crash. */
-  long durable() {
+  /** Returns the index up to which the log is durable, so that it would survive a crash. */
+  long durableIndex() {
     while (durableIndex < lastIndex()
         && writes.get((int) (durableIndex - base)) <= durable.durableWrite()) {
       durableIndex++;
@@ -109,13 +113,23 @@
     return durableIndex;
   }
 
-  /** Whether a log position is at least as far as another, compared by term first. */
-  static boolean isAtLeast(long term, long index, long otherTerm, long otherIndex) {
+  /**
+   * Returns whether a log that ends at a position is at least as up to date as one that ends at
+   * another position. The terms are compared first, then the indexes.
+   */
+  static boolean isAtLeastAsUpToDate(long term, long index, long otherTerm, long otherIndex) {
     return term > otherTerm || (term == otherTerm && index >= otherIndex);
   }
 
-  /** Entries from one index to another, as many as fit into one message; at least one. */
-  List<Entry> from(long index, long upTo, int maxBytes) {
+  /**
+   * Returns the entries from one index to another that fit into one message; at least one unless
+   * the range is empty.
+   *
+   * @param index the index of the first entry
+   * @param upTo the index of the last entry
+   * @param maxBytes the limit on the encoded size; a single larger entry is returned nevertheless
+   */
+  List<Entry> entriesFrom(long index, long upTo, int maxBytes) {
     List<Entry> fitting = new ArrayList<>();
     int bytes = 0;
     for (long i = index; i <= upTo && fitting.size() < ENTRIES_PER_APPEND_MAX; i++) {
@@ -146,6 +160,7 @@
     return ENTRY_PREFIX + String.format("%019d", index);
   }
 
+  /** Removes all entries from an index on. */
   void truncateFrom(long index) {
     for (long i = lastIndex(); i >= index; i--) {
       entries.remove(entries.size() - 1);
@@ -155,15 +170,18 @@
     durableIndex = Math.min(durableIndex, index - 1);
   }
 
-  /** Whether the log is to be compacted. */
+  /** Returns whether enough entries were applied since the last snapshot to take a new one. */
   boolean needsSnapshot(long applied) {
     return applied - snapshot.index() >= ENTRIES_PER_SNAPSHOT;
   }
 
-  /** Replaces all entries that a snapshot of the applied state covers but the last few. */
+  /**
+   * Replaces the entries that a snapshot of the applied state covers by the snapshot, except for
+   * the last {@value #ENTRIES_RETAINED}.
+   */
   void compact(Snapshot next) {
     long from = Math.max(base, next.index() - ENTRIES_RETAINED);
-    long fromTerm = term(from);
+    long fromTerm = termAt(from);
     long oldBase = base;
     replaceSnapshot(next.withBase(from, fromTerm));
     int dropped = (int) (from - oldBase);
@@ -173,9 +191,12 @@
     deleteEntries(oldBase + 1, from);
   }
 
-  /** Takes the leader's snapshot; entries behind it stay only if the log agrees with it. */
+  /**
+   * Installs a snapshot from the leader. The entries after the snapshot stay only if the log has
+   * the snapshot's last entry with the same term; otherwise the whole log is discarded.
+   */
   void install(Snapshot next) {
-    if (term(next.index()) == next.term()) {
+    if (termAt(next.index()) == next.term()) {
       compact(next);
       return;
     }
@@ -202,7 +223,7 @@
     durable.write(SNAPSHOT_KEY, snapshotBytes);
   }
 
-  /** Writes the whole log to durable state once more. */
+  /** Writes the whole log to durable state again, after the store had rejected a write. */
   void rewrite() {
     durable.write(SNAPSHOT_KEY, snapshotBytes);
     durableIndex = base;
--- a/statements/src/main/java/tillerlink/statements/consensus/LogReplication.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/LogReplication.java
@@ -10,9 +10,9 @@
 import tillerlink.messages.statements.StatementMessage.Stage;
 import tillerlink.statements.testing.InjectedFault;
 
-/** Append entries: a leader sends them, a follower takes them into its log and responds. */
+/** Raft's log replication: a leader sends append entries, a follower stores them and responds. */
 final class LogReplication {
-  /** The sequence number of responses that belong to no append. */
+  /** The sequence number of a response that belongs to no append. */
   private static final long NO_SEQUENCE = 0;
 
   private final RaftContext context;
@@ -30,13 +30,21 @@
 
   // ---- the leader's side ----
 
-  /** The first entry of a leader's term is empty: by it entries of earlier terms are committed. */
+  /**
+   * Starts leading by appending an empty entry, because a leader can commit entries of earlier
+   * terms only through an entry of its own term.
+   */
   void startLeading() {
     leaderState.start(state.now());
     appendAndReplicate(0, 0, new Command.Nothing());
   }
 
-  /** Appends a command to the leader's log and sends it. */
+  /**
+   * Appends a command to the leader's log and replicates it.
+   *
+   * @param origin the number of the process that requested the command; 0 for the leader itself
+   * @param number the number of the request at that process; 0 for the leader itself
+   */
   void appendAndReplicate(long origin, long number, Command command) {
     Log log = context.log();
     log.append(new Entry(log.lastIndex() + 1, context.ballot().term(), origin, number, command));
@@ -68,7 +76,8 @@
       return;
     }
     long previous = progress.nextIndex() - 1;
-    List<Entry> entries = log.from(progress.nextIndex(), log.lastIndex(), progress.maxBytes());
+    List<Entry> entries =
+        log.entriesFrom(progress.nextIndex(), log.lastIndex(), progress.maxBytes());
     context
         .outbox()
         .send(
@@ -78,7 +87,7 @@
                 term,
                 sequence,
                 previous,
-                log.term(previous),
+                log.termAt(previous),
                 state.commitIndex(),
                 entries));
   }
@@ -101,7 +110,10 @@
 
   // ---- the follower's side ----
 
-  /** A voter that lost its disk follows the log too, so that the log can readmit it. */
+  /**
+   * Returns whether this voter accepts entries: it has rejoined, or it lost its disk. A voter that
+   * lost its disk follows the log as well, so that it receives the entry that readmits it.
+   */
   boolean acceptsEntries() {
     return state.hasRejoined() || context.identity().stage() == Stage.LOST;
   }
@@ -139,10 +151,13 @@
     boolean unchecked =
         context.config().injects(InjectedFault.APPENDS_WITHOUT_CHECK)
             && previous <= log.lastIndex();
-    return previous <= log.base() || log.term(previous) == append.prevTerm() || unchecked;
+    return previous <= log.base() || log.termAt(previous) == append.prevTerm() || unchecked;
   }
 
-  /** Tells the leader from which index to try next. */
+  /**
+   * Rejects an append whose previous entry is missing or has another term, and reports the index
+   * after which the leader should continue.
+   */
   private void rejectAppend(String from, Append append) {
     Log log = context.log();
     long hint = Math.max(log.base(), Math.min(log.lastIndex(), append.prevIndex() - 1));
@@ -159,10 +174,15 @@
                             context.identity().stamp(), term, append.sequence(), false, hint)));
   }
 
-  /** Appends an entry unless it is there; returns whether the members may be others by it. */
+  /**
+   * Appends an entry unless the log has it already. Truncates the log first if it has an entry of
+   * another term at that index.
+   *
+   * @return whether the members may have changed
+   */
   private boolean storeEntry(Entry entry) {
     Log log = context.log();
-    if (entry.index() <= log.base() || log.term(entry.index()) == entry.term()) {
+    if (entry.index() <= log.base() || log.termAt(entry.index()) == entry.term()) {
       return false;
     }
     boolean membersChanged = entry.command() instanceof Command.Readmit;
@@ -179,7 +199,7 @@
     return membersChanged;
   }
 
-  /** Acknowledges the log up to an index that a snapshot covers. */
+  /** Acknowledges the log up to the last index that a snapshot covers. */
   void acknowledgeSnapshot(String leader, long matchIndex) {
     acknowledge(leader, NO_SEQUENCE, matchIndex);
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/Membership.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Membership.java
@@ -6,44 +6,48 @@
 import tillerlink.messages.statements.Entry;
 
 /**
- * Which disks vote: those that founded the log, and those that replaced a lost one by a readmission
- * in the log. As with Raft's changes of the configuration, a readmission counts from when it is in
- * the log, committed or not.
+ * The disks that vote: those that founded the log, except where a readmission in the log replaced a
+ * lost disk by a new one. As with Raft's configuration changes, a readmission takes effect as soon
+ * as it is in the log, whether it is committed or not.
  */
 final class Membership {
   private static final int NONE = -1;
 
   private final Voters voters;
   private final Log log;
-  private List<Long> founded = List.of();
+  private List<Long> initialMembers = List.of();
   private List<Long> members = List.of();
   private long version;
 
-  /** The index of the last readmission behind the snapshot. */
+  /** The index of the last readmission after the snapshot; -1 if the log has no such entry. */
   private long readmission = NONE;
 
   private int readmittedVoter = NONE;
 
-  Membership(Voters voters, Log log, List<Long> founded) {
+  Membership(Voters voters, Log log, List<Long> initialMembers) {
     this.voters = voters;
     this.log = log;
-    this.founded = founded;
+    this.initialMembers = initialMembers;
     refresh();
   }
 
-  /** The log was founded with those disks, in the order of the voters' names. */
-  void establish(List<Long> disks) {
-    founded = List.copyOf(disks);
+  /**
+   * Sets the members that apply before any readmission in the log.
+   *
+   * @param disks the disk of each voter, in the order of the voters' names
+   */
+  void setInitialMembers(List<Long> disks) {
+    initialMembers = List.copyOf(disks);
     refresh();
   }
 
   /**
-   * Reads the members again; called when readmissions were appended or truncated, and after a
-   * snapshot.
+   * Recomputes the members from the snapshot and the log. Called after readmissions were appended
+   * or truncated, and after the snapshot was replaced.
    */
   void refresh() {
     Snapshot snapshot = log.snapshot();
-    members = snapshot.members().isEmpty() ? founded : snapshot.members();
+    members = snapshot.members().isEmpty() ? initialMembers : snapshot.members();
     version = snapshot.version();
     readmission = NONE;
     readmittedVoter = NONE;
@@ -68,16 +72,16 @@
     readmittedVoter = voters.indexOf(command.voter());
   }
 
-  /** In the order of the voters' names; empty if nothing is known. */
+  /** Returns the members in the order of the voters' names; empty if they are not known yet. */
   List<Long> members() {
     return members;
   }
 
-  /** The members as of an index that is applied. */
+  /** Returns the members as of an applied index. */
   List<Long> membersAt(long applied) {
     Snapshot snapshot = log.snapshot();
     List<Long> result =
-        new ArrayList<>(snapshot.members().isEmpty() ? founded : snapshot.members());
+        new ArrayList<>(snapshot.members().isEmpty() ? initialMembers : snapshot.members());
     for (long i = Math.max(log.base(), snapshot.index()) + 1; i <= applied; i++) {
       if (log.get(i).command() instanceof Command.Readmit command
           && !result.isEmpty()
@@ -88,7 +92,10 @@
     return result;
   }
 
-  /** The log index that the members as of an applied index date from. */
+  /**
+   * Returns the index of the entry that last changed the members as of an applied index; 0 if none
+   * did.
+   */
   long versionAt(long applied) {
     long result = log.snapshot().version();
     for (long i = Math.max(log.base(), log.snapshot().index()) + 1; i <= applied; i++) {
@@ -97,7 +104,7 @@
     return result;
   }
 
-  /** The log index that the members date from. */
+  /** Returns the index of the entry that last changed the members; 0 if none did. */
   long version() {
     return version;
   }
@@ -106,13 +113,14 @@
     return voter >= 0 && voter < members.size() && members.get(voter) == disk;
   }
 
-  /** The index of a readmission that is not committed yet, or -1. */
+  /** Returns the index of the uncommitted readmission; -1 if no readmission is pending. */
   long pendingReadmission(long commitIndex) {
     return readmission > commitIndex ? readmission : NONE;
   }
 
   /**
-   * The voter whose readmission is pending, or -1: until it is committed it counts for no majority.
+   * Returns the index of the voter whose readmission is pending; -1 if no readmission is pending.
+   * Until the readmission is committed, that voter does not count towards a majority.
    */
   int excludedVoter(long commitIndex) {
     return readmission > commitIndex ? readmittedVoter : NONE;
--- a/statements/src/main/java/tillerlink/statements/consensus/Outbox.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Outbox.java
@@ -2,9 +2,14 @@
 
 import tillerlink.messages.statements.StatementMessage;
 
-/** Sends messages to other gateways. */
+/** The sender of messages to other gateways. */
 @FunctionalInterface
 public interface Outbox {
-  /** Sends a message; it may be lost, duplicated or reordered on the way. */
+  /**
+   * Sends a message, which may be lost, duplicated or reordered in transit.
+   *
+   * @param to the name of the receiving gateway
+   * @param message the message
+   */
   void send(String to, StatementMessage message);
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/PeerIncarnations.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/PeerIncarnations.java
@@ -3,8 +3,9 @@
 import tillerlink.messages.statements.Stamp;
 
 /**
- * Tracks how often each voter started. A voter that restarted has withdrawn its votes and earlier
- * acknowledgements; messages of an earlier start are dropped.
+ * The tracking of the number of starts of each voter. When a voter has restarted, its vote and its
+ * earlier acknowledgements no longer count, and messages that it sent before the restart are
+ * dropped.
  */
 final class PeerIncarnations {
   private final RaftContext context;
@@ -15,36 +16,46 @@
     this.leaderState = leaderState;
   }
 
-  /** Takes in a message's stamp; false if the message is to be dropped. */
+  /**
+   * Checks the stamp of a message and records the numbers of starts in it.
+   *
+   * @param voter the index of the sender
+   * @return false if the message has to be dropped, because it is from before the sender's last
+   *     known start or from a gateway that is configured with other voters
+   */
   boolean accept(int voter, Stamp stamp) {
-    if (!acceptGreeting(voter, stamp)) {
+    if (!acceptHello(voter, stamp)) {
       return false;
     }
-    noteStarts(voter, stamp.boots());
+    recordBoots(voter, stamp.boots());
     return stamp.boots() >= context.identity().boots(voter);
   }
 
   /**
-   * Takes in the stamp of a starting voter's greeting, but not yet how often that voter started:
-   * the response tells what was known before. False if the greeting is to be dropped.
+   * Checks the stamp of a hello from a starting voter and records the numbers of starts in it,
+   * except for the sender's own: the response reports the number that was known before the hello.
+   *
+   * @param voter the index of the sender
+   * @return false if the message has to be dropped, because the sender is configured with other
+   *     voters
    */
-  boolean acceptGreeting(int voter, Stamp stamp) {
+  boolean acceptHello(int voter, Stamp stamp) {
     Voters voters = context.voters();
     if (stamp.voters() != voters.hash() || stamp.seen().size() != voters.count()) {
       return false;
     }
     for (int i = 0; i < voters.count(); i++) {
       if (i != context.self() && i != voter) {
-        noteStarts(i, stamp.seen().get(i));
+        recordBoots(i, stamp.seen().get(i));
       }
     }
     return true;
   }
 
-  /** That voter started so many times. */
-  void noteStarts(int voter, long boots) {
+  /** Records the number of starts of a voter; a higher one revokes its vote and progress. */
+  void recordBoots(int voter, long boots) {
     if (boots > context.identity().boots(voter)) {
-      context.identity().bootsAre(voter, boots);
+      context.identity().setBoots(voter, boots);
       context.ballot().revokeVote(voter);
       leaderState.resetProgress(voter);
     }
--- a/statements/src/main/java/tillerlink/statements/consensus/PreVote.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/PreVote.java
@@ -4,8 +4,9 @@
 import tillerlink.messages.statements.StatementMessage.Vote;
 
 /**
- * The round before an election: a voter raises its term only once a majority would vote for it, so
- * that one that comes back from a partition does not depose a working leader.
+ * The pre-vote round before an election. A voter increases its term only after a majority has
+ * confirmed that it would vote for it, so that a voter that returns from a partition does not
+ * depose a working leader.
  */
 final class PreVote {
   private final RaftContext context;
@@ -13,9 +14,9 @@
   private final Runnable onMajority;
 
   /**
-   * Sets up pre-votes of one voter.
+   * Creates the pre-vote component of one voter.
    *
-   * @param onMajority starts the election
+   * @param onMajority run when a majority granted the pre-vote; starts the election
    */
   PreVote(RaftContext context, VoterState state, Runnable onMajority) {
     this.context = context;
@@ -33,7 +34,7 @@
   private void countVote(int voter) {
     context.ballot().recordVote(voter);
     int excluded = context.membership().excludedVoter(state.commitIndex());
-    if (context.ballot().votes(excluded) >= context.voters().quorum()) {
+    if (context.ballot().countVotes(excluded) >= context.voters().quorum()) {
       onMajority.run();
     }
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/Progress.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Progress.java
@@ -2,11 +2,18 @@
 
 import tillerlink.messages.statements.StatementMessage.Appended;
 
-/** How far the leader knows another voter's log. Times are in tenths of a millisecond. */
+/**
+ * The replication progress of one other voter as the leader knows it. Times are in tenths of a
+ * millisecond.
+ */
 final class Progress {
+  /** Time after which entries are sent again if no response has arrived. */
   private static final long RESEND_INTERVAL = 2000;
 
-  /** After so many unanswered appends smaller ones are sent: links may carry nothing larger. */
+  /**
+   * Number of unanswered appends after which smaller ones are sent, because the link may not carry
+   * larger messages.
+   */
   private static final int UNANSWERED_LARGE_MAX = 3;
 
   private long nextIndex;
@@ -22,22 +29,25 @@
     heardAt = now;
   }
 
-  /** The index of the first entry to be sent next. */
+  /** Returns the index of the first entry to send next. */
   long nextIndex() {
     return nextIndex;
   }
 
-  /** The index up to which the voter said that its durable log agrees with the leader's. */
+  /** Returns the index up to which the voter's durable log is known to match the leader's. */
   long matchIndex() {
     return matchIndex;
   }
 
-  /** When the voter last responded; at first when this leader's term began. */
+  /** Returns the time of the voter's last response; before the first, the start of the term. */
   long heardAt() {
     return heardAt;
   }
 
-  /** Whether entries up to that index are missing there and none is awaiting its response. */
+  /**
+   * Returns whether the voter lacks entries up to an index and no append awaits its response, or
+   * the last one is due to be sent again.
+   */
   boolean needsEntries(long lastIndex, long now) {
     return nextIndex <= lastIndex && (!awaitingResponse || now >= sentAt + RESEND_INTERVAL);
   }
@@ -71,18 +81,20 @@
   }
 
   private void onRejected(Appended response) {
-    long before = nextIndex;
+    long previousNextIndex = nextIndex;
     nextIndex = Math.max(matchIndex + 1, Math.min(nextIndex - 1, response.match() + 1));
-    // An append that makes no progress is not repeated at once.
-    awaitingResponse = nextIndex >= before;
+    // An append that made no progress is repeated only after the resend interval.
+    awaitingResponse = nextIndex >= previousNextIndex;
   }
 
-  /** How many bytes of entries one append may carry. */
+  /** Returns the limit on the bytes of entries in one append. */
   int maxBytes() {
-    return unanswered >= UNANSWERED_LARGE_MAX ? SnapshotFetcher.SMALL : SnapshotFetcher.LARGE;
+    return unanswered >= UNANSWERED_LARGE_MAX
+        ? SnapshotFetcher.SMALL_PIECE_BYTES
+        : SnapshotFetcher.LARGE_PIECE_BYTES;
   }
 
-  /** The voter restarted: what it acknowledged before no longer counts. */
+  /** Discards the acknowledgements of the voter, because it has restarted since. */
   void reset() {
     matchIndex = 0;
     awaitingResponse = false;
--- a/statements/src/main/java/tillerlink/statements/consensus/RaftConfig.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RaftConfig.java
@@ -4,19 +4,19 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * How a voter works.
+ * The configuration of a voter.
  *
- * @param vouched the operator vouches that disks are never restored from a copy: a voter that
- *     starts does not ask the others how far it was
- * @param injectedFaults faults that a test injects; none on a gateway
+ * @param vouched whether the operator guarantees that disks are never restored from a copy; if so,
+ *     a starting voter takes part without asking the others about its earlier state
+ * @param injectedFaults the faults that a test injects; empty on a gateway
  */
 public record RaftConfig(boolean vouched, Set<InjectedFault> injectedFaults) {
-  /** Copies the set. */
+  /** Creates a configuration with a copy of the set of faults. */
   public RaftConfig {
     injectedFaults = Set.copyOf(injectedFaults);
   }
 
-  /** Whether a test injects that fault. */
+  /** Returns whether a test injects a fault. */
   public boolean injects(InjectedFault fault) {
     return injectedFaults.contains(fault);
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/RaftContext.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RaftContext.java
@@ -4,10 +4,19 @@
 import tillerlink.messages.statements.StatementMessage.AskVote;
 
 /**
- * What the parts of one voter work on together.
+ * The state and collaborators that the components of one voter share.
  *
+ * @param voters the configured voters
  * @param self the index of this voter among the voters' names
- * @param warnings lines for the operator's log
+ * @param config the configuration of this voter
+ * @param outbox sends messages to other gateways
+ * @param machine the state machine that committed entries are applied to
+ * @param warnings receives lines for the operator's log
+ * @param durable the durable state of this voter
+ * @param log the log of this voter
+ * @param identity the identity of this voter
+ * @param ballot the term and vote of this voter
+ * @param membership the disks that vote
  */
 record RaftContext(
     Voters voters,
@@ -22,7 +31,7 @@
     Ballot ballot,
     Membership membership) {
 
-  /** Sends a vote request, or a pre-vote request, for that term to every other voter. */
+  /** Sends a vote request or a pre-vote request for a term to every other voter. */
   void requestVotes(boolean preVote, long term) {
     for (String name : voters.names()) {
       if (!name.equals(voters.self())) {
@@ -32,7 +41,7 @@
     }
   }
 
-  /** Whether the members as of that applied index include this voter with this disk. */
+  /** Returns whether this voter's disk is a member as of an applied index. */
   boolean isMemberAt(long applied) {
     var members = membership.membersAt(applied);
     return self < members.size() && members.get(self) == identity.disk();
--- a/statements/src/main/java/tillerlink/statements/consensus/RaftVoter.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RaftVoter.java
@@ -23,10 +23,11 @@
 import tillerlink.statements.testing.InjectedFault;
 
 /**
- * One voter of the replicated log, by Raft: elections with a pre-vote, log replication and
- * snapshots; before it takes part it rejoins by {@link VoterRejoin}. It does no I/O itself and is
- * owned by the gateway's event loop: every method is called from that thread alone. Times are in
- * tenths of a millisecond.
+ * One voter of the replicated log, which uses Raft: elections with a pre-vote, log replication and
+ * snapshots. Before a voter takes part it has to rejoin, see {@link VoterRejoin}.
+ *
+ * <p>A voter does no I/O itself and is owned by the gateway's event loop: every method is called
+ * only from that thread. Times are in tenths of a millisecond.
  */
 public final class RaftVoter {
   private final RaftContext context;
@@ -45,8 +46,14 @@
   /**
    * Restores a voter from its durable state.
    *
-   * @param warnings lines for the operator's log
-   * @throws MalformedMessageException if the stored state can't be read
+   * @param config the configuration
+   * @param voters the configured voters, which include this gateway
+   * @param outbox sends messages to other gateways
+   * @param store the store of the durable state
+   * @param random the source of election timeouts, disk numbers and nonces
+   * @param machine the state machine that committed entries are applied to
+   * @param warnings receives lines for the operator's log
+   * @throws MalformedMessageException if the stored state cannot be decoded
    */
   public RaftVoter(
       RaftConfig config,
@@ -96,70 +103,97 @@
 
   // ---- state ----
 
-  /** Whether this voter leads, as far as it knows. */
+  /**
+   * Returns whether this voter considers itself the leader. Another voter may lead a later term
+   * already.
+   */
   public boolean isLeader() {
     return state.isLeader();
   }
 
-  /** The leader that this voter follows, or itself; empty if it knows none. */
+  /**
+   * Returns the name of the leader that this voter follows, or its own name if it leads; empty if
+   * it knows no leader.
+   */
   public Optional<String> leader() {
     return Optional.of(state.leader()).filter(name -> !name.equals(VoterState.NO_LEADER));
   }
 
-  /** The current term. */
+  /** Returns the current term. */
   public long term() {
     return context.ballot().term();
   }
 
-  /** The commit index. */
+  /** Returns the commit index. */
   public long commitIndex() {
     return state.commitIndex();
   }
 
   /**
-   * Whether this voter may grant leases: it has rejoined, its storage works, and its durable log
-   * holds all that it ever acknowledged.
+   * Returns whether this voter may grant leases: it has rejoined, its storage works, and its
+   * durable log contains every entry that it ever acknowledged.
    */
   public boolean isOperational() {
     return state.hasRejoined() && !context.durable().hasFailed() && state.hasCaughtUp();
   }
 
-  /** When this voter rejoined since its start, in tenths of a millisecond; -1 if it has not. */
+  /**
+   * Returns the time at which this voter rejoined after its start.
+   *
+   * @return the time, in tenths of a millisecond; -1 if it has not rejoined yet
+   */
   public long rejoinedAt() {
     return state.rejoinedAt();
   }
 
-  /** The name of this voter's gateway. */
+  /** Returns the name of this voter's gateway. */
   public String name() {
     return context.voters().self();
   }
 
-  /** The number that this voter's disk was given when it was empty. */
+  /** Returns the number that was assigned to this voter's disk when it was empty. */
   public long disk() {
     return context.identity().disk();
   }
 
-  /** The disks that vote, in the order of the voters' names; empty if they are not known yet. */
+  /**
+   * Returns the numbers of the disks that vote, in the order of the voters' names; empty if they
+   * are not known yet.
+   */
   public List<Long> members() {
     return context.membership().members();
   }
 
-  /** The log index that the members date from. */
+  /** Returns the index of the log entry that last changed the members; 0 if none did. */
   public long membersVersion() {
     return context.membership().version();
   }
 
-  /** The stamp of this voter's messages: its disk, and how often each voter started. */
+  /**
+   * Returns the stamp that this voter puts on its messages: its disk, and the number of starts of
+   * each voter.
+   */
   public Stamp stamp() {
     return context.identity().stamp();
   }
 
-  /** Whether that voter is a member with that disk, as far as the log says. */
-  public boolean isMember(String voter, long itsDisk) {
-    return context.membership().isMember(context.voters().indexOf(voter), itsDisk);
+  /**
+   * Returns whether a voter is a member with a disk, according to the log of this voter.
+   *
+   * @param voter the name of the voter
+   * @param memberDisk the number of its disk
+   */
+  public boolean isMember(String voter, long memberDisk) {
+    return context.membership().isMember(context.voters().indexOf(voter), memberDisk);
   }
 
-  /** Whether the log announces a change of the group after that index, committed or not. */
+  /**
+   * Returns whether the log has an entry after an index that announces a change of a table group,
+   * committed or not.
+   *
+   * @param applied the index of the last entry that is not considered
+   * @param group the number of the table group
+   */
   public boolean hasAnnouncementAfter(long applied, int group) {
     Log log = context.log();
     for (long i = Math.max(applied, log.base()) + 1; i <= log.lastIndex(); i++) {
@@ -171,7 +205,11 @@
     return false;
   }
 
-  /** Runs the action once everything written so far would survive a crash. */
+  /**
+   * Runs an action once all writes so far are durable; drops it if the store has failed.
+   *
+   * @param action the action
+   */
   public void whenDurable(Runnable action) {
     context.durable().whenDurable(action);
   }
@@ -179,11 +217,14 @@
   // ---- events ----
 
   /**
-   * Appends a command to the log if this voter leads and has capacity for it.
+   * Appends a command to the log if this voter leads, its storage works and the number of
+   * uncommitted entries allows it.
    *
-   * @param origin the process that asks, 0 for the leader itself
-   * @param number the number of the request there
-   * @return whether it was appended; it is not committed by that
+   * @param now the current time, in tenths of a millisecond
+   * @param origin the number of the process that requested the command; 0 for the leader itself
+   * @param number the number of the request at that process
+   * @param command the command
+   * @return whether the command was appended, which does not mean that it is or will be committed
    */
   public boolean propose(long now, long origin, long number, Command command) {
     state.setNow(now);
@@ -197,7 +238,11 @@
     return true;
   }
 
-  /** Runs what is due; called on each event-loop iteration. */
+  /**
+   * Runs the tasks that are due; called on each event-loop iteration.
+   *
+   * @param now the current time, in tenths of a millisecond
+   */
   public void tick(long now) {
     state.setNow(now);
     state.startElectionTimer();
@@ -207,28 +252,37 @@
     }
     RaftConfig config = context.config();
     if (config.vouched() || config.injects(InjectedFault.TRUSTS_RESTORED_DISK)) {
-      rejoin.skipInquiry();
+      rejoin.skipHandshake();
     }
     rejoin.tick(now);
     snapshots.tick();
     if (state.isLeader()) {
-      lead();
+      replicateOrStepDown();
     } else if (now >= state.electionDueAt()) {
       election.onElectionTimeout();
     }
     commits.advance();
   }
 
-  /** When {@link #tick} is to be called next, at the latest. */
+  /**
+   * Returns the latest time of the next call of {@link #tick}.
+   *
+   * @return the time, in tenths of a millisecond
+   */
   public long nextDueAt() {
     if (context.durable().hasFailed()) {
       return storageRetryAt;
     }
-    long own = state.isLeader() ? leaderState.nextDueAt() : state.electionDueAt();
-    return Math.min(Math.min(own, rejoin.nextDueAt()), snapshots.nextDueAt());
+    long roleDueAt = state.isLeader() ? leaderState.nextDueAt() : state.electionDueAt();
+    return Math.min(Math.min(roleDueAt, rejoin.nextDueAt()), snapshots.nextDueAt());
   }
 
-  /** The process was paused: a leader steps down, and no election starts for a timeout. */
+  /**
+   * Handles a pause of the process: a leader steps down, and this voter starts no election before
+   * an election timeout has passed.
+   *
+   * @param now the current time, in tenths of a millisecond
+   */
   public void onPause(long now) {
     state.setNow(now);
     stepDown();
@@ -241,7 +295,7 @@
     }
   }
 
-  private void lead() {
+  private void replicateOrStepDown() {
     if (leaderState.hasLostMajority(state.now())) {
       stepDown();
       state.resetElectionTimer();
@@ -250,7 +304,9 @@
     }
   }
 
-  /** The storage refused a write: the whole durable state is written again from time to time. */
+  /**
+   * Writes the whole durable state again at an interval, because the storage has rejected a write.
+   */
   private void retryStorage() {
     stepDown();
     if (state.now() < storageRetryAt) {
@@ -262,7 +318,7 @@
         .accept(
             "this voter's disk rejected a write: the voter does not take part in the statement log"
                 + " until a write succeeds");
-    context.durable().retry();
+    context.durable().resumeWrites();
     context.ballot().persist();
     context.identity().persist();
     context.log().rewrite();
@@ -270,7 +326,13 @@
 
   // ---- messages ----
 
-  /** Takes a message of the log's protocol; others are ignored. */
+  /**
+   * Handles a message of the log's protocol and ignores other messages.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param from the name of the sending gateway
+   * @param message the message
+   */
   public void onMessage(long now, String from, StatementMessage message) {
     state.setNow(now);
     if (message instanceof Fetch fetch) {
@@ -290,7 +352,7 @@
   }
 
   private void onRejoinMessage(String from, int voter, StatementMessage message) {
-    if (message instanceof Hello hello && incarnations.acceptGreeting(voter, hello.stamp())) {
+    if (message instanceof Hello hello && incarnations.acceptHello(voter, hello.stamp())) {
       rejoinResponder.onHello(from, voter, hello);
     } else if (message instanceof Seen response && incarnations.accept(voter, response.stamp())) {
       rejoin.onResponse(voter, response);
--- a/statements/src/main/java/tillerlink/statements/consensus/RejoinResponder.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/RejoinResponder.java
@@ -7,16 +7,25 @@
 import tillerlink.messages.statements.StatementMessage.Seen;
 import tillerlink.messages.statements.StatementMessage.Stage;
 
-/** Tells voters that start what is known of them; a leader readmits one that lost its disk. */
+/**
+ * The component of a voter that responds to the hellos of starting voters with the state that it
+ * knows of them. On a leader, it also readmits a voter that lost its disk.
+ */
 final class RejoinResponder {
-  private record Greeting(long nonce, long knownBoots) {}
+  /**
+   * The last hello of a voter.
+   *
+   * @param nonce the nonce of the hello
+   * @param knownBoots the number of starts of the voter that was known before the hello
+   */
+  private record ReceivedHello(long nonce, long knownBoots) {}
 
   private final RaftContext context;
   private final VoterState state;
   private final LeaderState leaderState;
   private final PeerIncarnations incarnations;
   private final LogReplication replication;
-  private final Map<Integer, Greeting> greetings = new TreeMap<>();
+  private final Map<Integer, ReceivedHello> receivedHellos = new TreeMap<>();
 
   RejoinResponder(
       RaftContext context,
@@ -32,8 +41,8 @@
   }
 
   void onHello(String from, int voter, Hello hello) {
-    long knownBoots = knownBefore(voter, hello);
-    incarnations.noteStarts(voter, hello.stamp().boots());
+    long knownBoots = bootsKnownBefore(voter, hello);
+    incarnations.recordBoots(voter, hello.stamp().boots());
     Seen response = response(voter, hello, knownBoots);
     context.durable().whenDurable(() -> context.outbox().send(from, response));
     boolean lostDisk =
@@ -47,14 +56,14 @@
   }
 
   /**
-   * How many starts of that voter were known before this one; the same for a repeated greeting, as
-   * the first response may be lost.
+   * Returns the number of starts of a voter that was known before its hello. It is the same for a
+   * repeated hello, because the response to the first one may have been lost.
    */
-  private long knownBefore(int voter, Hello hello) {
-    Greeting last = greetings.get(voter);
+  private long bootsKnownBefore(int voter, Hello hello) {
+    ReceivedHello last = receivedHellos.get(voter);
     if (last == null || last.nonce != hello.nonce()) {
-      last = new Greeting(hello.nonce(), context.identity().boots(voter));
-      greetings.put(voter, last);
+      last = new ReceivedHello(hello.nonce(), context.identity().boots(voter));
+      receivedHellos.put(voter, last);
     }
     return last.knownBoots;
   }
@@ -70,7 +79,7 @@
         identity.stage(),
         knownBoots,
         term,
-        leaderState.matchIndexOf(voter),
+        leaderState.matchIndex(voter),
         term,
         log.lastTerm(),
         log.lastIndex(),
--- a/statements/src/main/java/tillerlink/statements/consensus/Snapshot.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Snapshot.java
@@ -7,13 +7,16 @@
 import tillerlink.messages.MalformedMessageException;
 
 /**
- * The state at an index of the log, with the log's members.
+ * A snapshot of the state machine and of the members at an index of the log.
  *
- * @param index the last entry that is in the state
- * @param base the log still has the entries behind this index
- * @param version the log index that the members date from
- * @param members the disks that vote, in the order of the voters' names; empty before the founding
- * @param state the state machine's bytes
+ * @param index the index of the last entry that the state covers
+ * @param term the term of that entry
+ * @param base the index after which the log still has entries
+ * @param baseTerm the term of the entry at {@code base}
+ * @param version the index of the entry that last changed the members; 0 if none did
+ * @param members the disks that vote, in the order of the voters' names; empty before the log is
+ *     founded
+ * @param state the encoded state of the state machine
  */
 record Snapshot(
     long index,
@@ -37,8 +40,8 @@
     members = List.copyOf(members);
   }
 
-  Snapshot withBase(long otherBase, long otherTerm) {
-    return new Snapshot(index, term, otherBase, otherTerm, version, members, state);
+  Snapshot withBase(long newBase, long newBaseTerm) {
+    return new Snapshot(index, term, newBase, newBaseTerm, version, members, state);
   }
 
   byte[] write() {
--- a/statements/src/main/java/tillerlink/statements/consensus/SnapshotFetcher.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/SnapshotFetcher.java
@@ -7,27 +7,32 @@
 import tillerlink.messages.statements.StatementMessage.Piece;
 
 /**
- * Fetches a snapshot in pieces, one after the other; a piece that does not come is asked for again,
- * in smaller ones. Times are in tenths of a millisecond.
+ * The transfer of a snapshot from a voter, piece by piece. A piece that does not arrive is
+ * requested again, and in smaller pieces after repeated failures. Times are in tenths of a
+ * millisecond.
  */
 final class SnapshotFetcher {
-  /** Bytes of a piece, or of the entries of an append. */
-  static final int LARGE = 8000;
+  /** Upper bound on the bytes of a piece, and of the entries in an append. */
+  static final int LARGE_PIECE_BYTES = 8000;
 
-  /** The same over links that carry small messages only. */
-  static final int SMALL = 900;
+  /** Upper bound on the same bytes over links that only carry small messages. */
+  static final int SMALL_PIECE_BYTES = 900;
 
   private static final long RETRY_INTERVAL = 2500;
-  private static final int TRIES_LARGE_MAX = 2;
-  private static final int TRIES_MAX = 20;
+
+  /** Number of consecutive retries from which small pieces are requested. */
+  private static final int SMALL_PIECE_RETRIES_MIN = 2;
+
+  /** Number of consecutive retries after which the transfer is abandoned. */
+  private static final int RETRIES_MAX = 20;
 
   private final Outbox outbox;
   private String source;
   private long index;
   private byte[] bytes;
   private int received;
-  private int tries;
-  private int pieceSize = LARGE;
+  private int retries;
+  private int pieceSize = LARGE_PIECE_BYTES;
   private long requestedAt;
 
   SnapshotFetcher(Outbox outbox) {
@@ -38,17 +43,20 @@
     return source != null;
   }
 
-  /** Begins to fetch that voter's snapshot, unless it is being fetched already. */
+  /**
+   * Starts to fetch the snapshot of a voter, unless it is being fetched already or its size is not
+   * between 1 and {@link KeyValueStore#MAX_VALUE_BYTES}. Replaces a fetch of another snapshot.
+   */
   void start(long now, String from, long snapshotIndex, long size) {
-    boolean already = isFetching() && source.equals(from) && index == snapshotIndex;
-    if (already || size > KeyValueStore.MAX_VALUE_BYTES || size <= 0) {
+    boolean alreadyFetching = isFetching() && source.equals(from) && index == snapshotIndex;
+    if (alreadyFetching || size > KeyValueStore.MAX_VALUE_BYTES || size <= 0) {
       return;
     }
     source = from;
     index = snapshotIndex;
     bytes = new byte[(int) size];
     received = 0;
-    tries = 0;
+    retries = 0;
     requestPiece(now);
   }
 
@@ -61,11 +69,11 @@
     if (!isFetching() || now < requestedAt + RETRY_INTERVAL) {
       return;
     }
-    tries++;
-    if (tries > TRIES_MAX) {
+    retries++;
+    if (retries > RETRIES_MAX) {
       stop();
     } else {
-      pieceSize = tries >= TRIES_LARGE_MAX ? SMALL : pieceSize;
+      pieceSize = retries >= SMALL_PIECE_RETRIES_MIN ? SMALL_PIECE_BYTES : pieceSize;
       requestPiece(now);
     }
   }
@@ -79,7 +87,12 @@
     bytes = null;
   }
 
-  /** Takes a piece; returns the whole snapshot once it is complete. */
+  /**
+   * Handles a piece of the snapshot and requests the next one. Ignores pieces that were not
+   * requested, and stops the fetch if the snapshot has another size than expected.
+   *
+   * @return the whole snapshot if this piece completes it; otherwise empty
+   */
   Optional<byte[]> onPiece(long now, String from, Piece piece) {
     if (!from.equals(source) || piece.index() != index) {
       return Optional.empty();
@@ -94,24 +107,32 @@
     }
     System.arraycopy(piece.bytes(), 0, bytes, received, length);
     received += length;
-    tries = 0;
+    retries = 0;
     if (received < bytes.length) {
       requestPiece(now);
       return Optional.empty();
     }
-    byte[] whole = bytes;
+    byte[] complete = bytes;
     stop();
-    return Optional.of(whole);
+    return Optional.of(complete);
   }
 
-  /** The response to a request for a piece of the snapshot at that index. */
+  /**
+   * Returns the response to a request for a piece of a snapshot.
+   *
+   * @param index the index of the snapshot that is available here
+   * @param snapshot the encoded snapshot
+   * @return the piece; of size 0 if another snapshot or an offset beyond its end was requested
+   */
   static Piece respond(AskPiece request, long index, byte[] snapshot) {
     long offset = request.offset();
     if (request.index() != index || offset >= snapshot.length) {
       return new Piece(request.index(), offset, 0, new byte[0]);
     }
     int length =
-        (int) Math.min(snapshot.length - offset, Math.max(1, Math.min(request.most(), LARGE)));
+        (int)
+            Math.min(
+                snapshot.length - offset, Math.max(1, Math.min(request.most(), LARGE_PIECE_BYTES)));
     byte[] part = Arrays.copyOfRange(snapshot, (int) offset, (int) offset + length);
     return new Piece(index, offset, snapshot.length, part);
   }
--- a/statements/src/main/java/tillerlink/statements/consensus/SnapshotInstallation.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/SnapshotInstallation.java
@@ -5,7 +5,10 @@
 import tillerlink.messages.statements.StatementMessage.Offer;
 import tillerlink.messages.statements.StatementMessage.Piece;
 
-/** Lets a voter that is behind the leader's log install the leader's snapshot. */
+/**
+ * The installation of the leader's snapshot on a voter that lacks entries which the leader's log no
+ * longer has. It also serves pieces of this voter's own snapshot.
+ */
 final class SnapshotInstallation {
   private final RaftContext context;
   private final VoterState state;
--- a/statements/src/main/java/tillerlink/statements/consensus/StateMachine.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/StateMachine.java
@@ -4,23 +4,28 @@
 import tillerlink.messages.statements.Entry;
 
 /**
- * The replicated state machine: the same entries in the same order give the same state on every
- * gateway.
+ * The replicated state machine. It is deterministic: the same entries in the same order lead to the
+ * same state on every gateway.
  */
 public interface StateMachine {
-  /** Applies the entry behind the last one that was applied. */
+  /**
+   * Applies an entry.
+   *
+   * @param entry the entry that follows the last applied one
+   */
   void apply(Entry entry);
 
-  /** The index of the last entry that was applied. */
+  /** Returns the index of the last applied entry; 0 if none was applied. */
   long applied();
 
-  /** The state as bytes for a snapshot. */
+  /** Returns the encoded state, to be stored in a snapshot. */
   byte[] state();
 
   /**
-   * Replaces the state by a further one from a snapshot.
+   * Replaces the state by a later one from a snapshot.
    *
-   * @throws MalformedMessageException if the bytes are no state; then the state stays
+   * @param state the encoded state
+   * @throws MalformedMessageException if the bytes cannot be decoded; the state is unchanged then
    */
   void install(byte[] state) throws MalformedMessageException;
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/VoterRejoin.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/VoterRejoin.java
@@ -11,47 +11,67 @@
 import tillerlink.messages.statements.StatementMessage.Stage;
 
 /**
- * What a voter does before it takes part. From an empty disk: either all voters' disks are empty,
- * then they found the cluster's log together; or its disk was lost, then the log itself has to
- * readmit it with the new one. From any other disk: it asks the others how far they and it were, as
- * its disk may be an old copy. Times are in tenths of a millisecond.
+ * The protocol by which a starting voter rejoins before it takes part.
+ *
+ * <p>A voter with an empty disk either founds the cluster's log together with the others, if all
+ * voters' disks are empty; or its disk was lost, and an entry in the log has to readmit it with the
+ * new disk. A voter with any other disk asks the others how often it has started and how far their
+ * terms and logs have advanced, because its disk may be an old copy.
+ *
+ * <p>Times are in tenths of a millisecond.
  */
 final class VoterRejoin {
-  /** Is called when the voter may take part. */
+  /** A listener that is notified when the voter may take part. */
   interface RejoinListener {
     /**
-     * The voter may vote, but in no term up to that one, and for nobody whose log is behind that
-     * position until its own log reaches it.
+     * Lets the voter take part. It must not vote in terms up to the given one, nor for a candidate
+     * whose log ends before the given position until its own log reaches that position.
+     *
+     * @param term the highest term in which this voter may have voted
+     * @param lastTerm the term of the entry at the position
+     * @param lastIndex the index of the position
      */
     void onRejoined(long term, long lastTerm, long lastIndex);
   }
 
-  /** The furthest that the other voters said they have come. */
-  private record Findings(
+  /**
+   * The most advanced state that the other voters reported.
+   *
+   * @param term the highest term
+   * @param lastTerm the term of the last entry of the most up-to-date log
+   * @param lastIndex the index of that entry
+   * @param version the index of the entry that last changed {@code members}; -1 if none were
+   *     reported
+   * @param members the latest members, in the order of the voters' names
+   * @param responses the number of responses that count towards the rejoin quorum
+   */
+  private record ReportedState(
       long term, long lastTerm, long lastIndex, long version, List<Long> members, int responses) {
 
-    static final Findings NONE = new Findings(0, 0, 0, -1, List.of(), 0);
+    static final ReportedState NONE = new ReportedState(0, 0, 0, -1, List.of(), 0);
 
-    Findings with(Seen seen, int voters) {
-      // At most one voter has lost its disk at a time: if it is the responder, this voter's disk
-      // is in order.
-      int counted = responses + (seen.stage() == Stage.FRESH ? 0 : 1);
+    ReportedState with(Seen seen, int voters) {
+      // At most one voter has lost its disk at a time. If the responder has lost its disk, this
+      // voter's disk is intact, so the response counts although it carries no position.
+      int newResponses = responses + (seen.stage() == Stage.FRESH ? 0 : 1);
       if (seen.stage() != Stage.FOUNDED) {
-        return new Findings(term, lastTerm, lastIndex, version, members, counted);
+        return new ReportedState(term, lastTerm, lastIndex, version, members, newResponses);
       }
-      boolean further = Log.isAtLeast(seen.lastTerm(), seen.lastIndex(), lastTerm, lastIndex);
-      boolean newer = seen.version() > version && seen.members().size() == voters;
-      return new Findings(
+      boolean moreUpToDate =
+          Log.isAtLeastAsUpToDate(seen.lastTerm(), seen.lastIndex(), lastTerm, lastIndex);
+      boolean newerMembers = seen.version() > version && seen.members().size() == voters;
+      return new ReportedState(
           Math.max(term, seen.term()),
-          further ? seen.lastTerm() : lastTerm,
-          further ? seen.lastIndex() : lastIndex,
-          newer ? seen.version() : version,
-          newer ? seen.members() : members,
-          counted);
+          moreUpToDate ? seen.lastTerm() : lastTerm,
+          moreUpToDate ? seen.lastIndex() : lastIndex,
+          newerMembers ? seen.version() : version,
+          newerMembers ? seen.members() : members,
+          newResponses);
     }
   }
 
-  private static final long INQUIRY_INTERVAL = 2000;
+  /** Interval at which the hellos to the other voters are repeated. */
+  private static final long HELLO_INTERVAL = 2000;
 
   private final RaftContext context;
   private final Voters voters;
@@ -60,7 +80,7 @@
   private final RejoinListener listener;
   private final Map<Integer, Seen> responses = new TreeMap<>();
   private long nonce;
-  private long inquiryDueAt;
+  private long helloDueAt;
   private boolean done;
 
   VoterRejoin(RaftContext context, RandomGenerator random, RejoinListener listener) {
@@ -73,11 +93,14 @@
   }
 
   long nextDueAt() {
-    return done ? Long.MAX_VALUE : inquiryDueAt;
+    return done ? Long.MAX_VALUE : helloDueAt;
   }
 
-  /** The operator vouches for the disk: the other voters are not asked about it. */
-  void skipInquiry() {
+  /**
+   * Lets a voter with a known disk take part without asking the others, because the operator
+   * guarantees that the disk is not an old copy.
+   */
+  void skipHandshake() {
     if (identity.stage() == Stage.FOUNDED && !done) {
       done = true;
       listener.onRejoined(0, 0, 0);
@@ -85,17 +108,17 @@
   }
 
   void tick(long now) {
-    if (done || now < inquiryDueAt) {
+    if (done || now < helloDueAt) {
       return;
     }
-    inquiryDueAt = now + INQUIRY_INTERVAL;
+    helloDueAt = now + HELLO_INTERVAL;
     evaluate();
     if (!done) {
-      context.durable().whenDurable(this::inquire);
+      context.durable().whenDurable(this::sendHellos);
     }
   }
 
-  private void inquire() {
+  private void sendHellos() {
     for (String name : voters.names()) {
       if (!name.equals(voters.self())) {
         context.outbox().send(name, new Hello(identity.stamp(), nonce, identity.stage()));
@@ -103,10 +126,10 @@
     }
   }
 
-  private void restartInquiry() {
+  private void restartHandshake() {
     nonce = random.nextLong();
     responses.clear();
-    inquiryDueAt = 0;
+    helloDueAt = 0;
   }
 
   void onResponse(int voter, Seen response) {
@@ -122,8 +145,8 @@
                     + response.known()
                     + " starts from it");
       }
-      identity.bootsAre(context.self(), response.known() + 1);
-      restartInquiry();
+      identity.setBoots(context.self(), response.known() + 1);
+      restartHandshake();
       return;
     }
     responses.put(voter, response);
@@ -152,20 +175,22 @@
                 seen -> seen.stage() == Stage.FOUNDED && !seen.pledge().contains(identity.disk()));
     if (lost) {
       context.warnings().accept("this voter's disk was lost: it waits to be admitted again");
-      identity.stageIs(Stage.LOST, List.of());
+      identity.setStage(Stage.LOST, List.of());
     } else if (allResponded()) {
       foundingDisks()
           .ifPresent(
               disks -> {
-                identity.stageIs(Stage.PLEDGED, disks);
-                restartInquiry();
+                identity.setStage(Stage.PLEDGED, disks);
+                restartHandshake();
               });
     }
   }
 
   /**
-   * The disks to found the log with: those that another voter pledged itself to with this one, else
-   * those that responded; empty if a voter lost its disk.
+   * Returns the disks to found the log with: those of another voter's pledge if it includes this
+   * disk, otherwise the disks of all responses and this one.
+   *
+   * @return the disks in the order of the voters' names; empty if a voter has lost its disk
    */
   private Optional<List<Long>> foundingDisks() {
     for (Seen seen : responses.values()) {
@@ -193,8 +218,8 @@
 
   private void evaluatePledge() {
     if (allResponded() && responses.values().stream().allMatch(this::hasSamePledge)) {
-      identity.stageIs(Stage.FOUNDED, identity.pledge());
-      context.membership().establish(identity.pledge());
+      identity.setStage(Stage.FOUNDED, identity.pledge());
+      context.membership().setInitialMembers(identity.pledge());
       evaluateKnownDisk();
     }
   }
@@ -205,52 +230,57 @@
         && seen.pledge().equals(identity.pledge());
   }
 
-  // ---- return from a known disk ----
+  // ---- rejoining with a known disk ----
 
   private void evaluateKnownDisk() {
-    Findings findings = Findings.NONE;
+    ReportedState reported = ReportedState.NONE;
     for (Seen seen : responses.values()) {
-      findings = findings.with(seen, voters.count());
+      reported = reported.with(seen, voters.count());
     }
-    List<Long> members = findings.members();
+    List<Long> members = reported.members();
     if (!members.isEmpty() && members.get(context.self()) != identity.disk()) {
       context
           .warnings()
           .accept(
               "another disk has replaced this voter's disk: the voter waits to be admitted again");
-      identity.startOver(random);
-      restartInquiry();
-    } else if (findings.responses() >= voters.rejoinQuorum()) {
+      identity.replaceDisk(random);
+      restartHandshake();
+    } else if (reported.responses() >= voters.rejoinQuorum()) {
       done = true;
-      Findings known = findings;
+      ReportedState result = reported;
       context
           .durable()
           .whenDurable(
-              () -> listener.onRejoined(known.term(), known.lastTerm(), known.lastIndex()));
+              () -> listener.onRejoined(result.term(), result.lastTerm(), result.lastIndex()));
     }
   }
 
-  // ---- return from a lost disk ----
+  // ---- rejoining after the loss of a disk ----
 
   /**
-   * The inquiry goes on until the log readmits this voter. Who else votes it takes from the other
-   * voters; that it votes itself only the log can say.
+   * Continues the handshake until the log readmits this voter. The other members are taken from the
+   * responses. This voter's own place is left empty, because only the log can readmit it.
    */
   private void evaluateLostDisk() {
     for (Seen seen : responses.values()) {
       if (seen.stage() == Stage.FOUNDED && seen.members().size() == voters.count()) {
         List<Long> members = new ArrayList<>(seen.members());
         members.set(context.self(), 0L);
-        context.membership().establish(members);
+        context.membership().setInitialMembers(members);
       }
     }
     responses.clear();
   }
 
-  /** The log readmitted this voter with its new disk. */
+  /**
+   * Completes the rejoin of a voter that lost its disk, once the log has readmitted it with its new
+   * disk.
+   *
+   * @param members the members that include the new disk, in the order of the voters' names
+   */
   void onReadmitted(List<Long> members) {
     if (identity.stage() == Stage.LOST) {
-      identity.stageIs(Stage.FOUNDED, members);
+      identity.setStage(Stage.FOUNDED, members);
       done = true;
       context.durable().whenDurable(() -> listener.onRejoined(0, 0, 0));
     }
--- a/statements/src/main/java/tillerlink/statements/consensus/VoterState.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/VoterState.java
@@ -4,11 +4,11 @@
 import tillerlink.cluster.Invariant;
 
 /**
- * A voter's volatile state: its role, the leader that it follows, its commit index and its election
- * timer. Times are in tenths of a millisecond, by the gateway's clock.
+ * The volatile state of a voter: its role, the leader that it follows, its commit index and its
+ * election timer. Times are in tenths of a millisecond, by the gateway's clock.
  */
 final class VoterState {
-  /** Raft's roles, with one more for a voter that asks for pre-votes. */
+  /** The roles of Raft, and an additional one for a voter that requests pre-votes. */
   enum Role {
     FOLLOWER,
     PRE_CANDIDATE,
@@ -16,7 +16,7 @@
     LEADER
   }
 
-  /** Stands for no leader. */
+  /** The leader's name if no leader is known. */
   static final String NO_LEADER = "";
 
   private static final long NEVER = Long.MIN_VALUE / 2;
@@ -34,9 +34,13 @@
   private long rejoinedAt = NOT_REJOINED;
   private long now;
 
-  /** The log position that a voter from a doubtful disk must reach before it is as any other. */
+  /**
+   * The index of the log position that this voter must reach before it may stand for election and
+   * grant leases, because its disk may be an old copy; 0 if it has reached the position.
+   */
   private long catchUpIndex;
 
+  /** The term of the entry at {@link #catchUpIndex}. */
   private long catchUpTerm;
 
   VoterState(String self, Ballot ballot, Log log, RandomGenerator random) {
@@ -64,15 +68,22 @@
     return role == Role.LEADER;
   }
 
-  /** The name of the leader that this voter follows or is; {@link #NO_LEADER} if it knows none. */
+  /**
+   * Returns the name of the leader that this voter follows, or its own name if it leads; {@link
+   * #NO_LEADER} if it knows no leader.
+   */
   String leader() {
     return isLeader() ? self : leader;
   }
 
-  /** Becomes a follower, in that term if it is higher than the current one. */
+  /**
+   * Becomes a follower, and starts the given term if it is higher than the current one.
+   *
+   * @param newLeader the name of the leader to follow, or {@link #NO_LEADER}
+   */
   void becomeFollower(long term, String newLeader) {
     if (term > ballot.term()) {
-      ballot.termIs(term);
+      ballot.startTerm(term);
     }
     if (role != Role.FOLLOWER) {
       role = Role.FOLLOWER;
@@ -95,7 +106,11 @@
     leader = self;
   }
 
-  /** Follows the sender of append entries or of a snapshot, unless its term is an earlier one. */
+  /**
+   * Follows the sender of append entries or of a snapshot offer.
+   *
+   * @return false if the sender's term is lower than the current one, so that it is not followed
+   */
   boolean acceptLeader(String from, long term) {
     if (term < ballot.term()) {
       return false;
@@ -111,12 +126,18 @@
     return true;
   }
 
-  /** Whether this voter leads, or heard a leader within the shortest election timeout. */
+  /**
+   * Returns whether this voter leads, or has heard from a leader within the shortest election
+   * timeout.
+   */
   boolean hasLiveLeader() {
     return role == Role.LEADER || now - leaderHeardAt < RaftTiming.ELECTION_TIMEOUT_MIN;
   }
 
-  /** After a pause nothing is known of the leader: an election timeout passes first. */
+  /**
+   * Restarts the election timeout as if a leader had just been heard, because after a pause nothing
+   * is known of the leader and this voter must not start an election at once.
+   */
   void assumeLeaderHeard() {
     leaderHeardAt = now;
     resetElectionTimer();
@@ -129,7 +150,7 @@
         now + RaftTiming.ELECTION_TIMEOUT_MIN + random.nextLong(RaftTiming.ELECTION_TIMEOUT_SPREAD);
   }
 
-  /** Sets the timer on the first event-loop iteration. */
+  /** Starts the election timer if it has never been started. */
   void startElectionTimer() {
     if (electionDueAt == 0) {
       resetElectionTimer();
@@ -153,8 +174,8 @@
   // ---- rejoin ----
 
   /**
-   * This voter takes part from now on; it votes for nobody whose log is behind that position until
-   * its own log reaches it.
+   * Lets this voter take part from now on. It does not vote in terms up to the given one, nor for a
+   * candidate whose log ends before the given position until its own log reaches that position.
    */
   void rejoin(long term, long lastTerm, long lastIndex) {
     ballot.forbidVotesUpTo(term);
@@ -168,16 +189,16 @@
     return rejoinedAt != NOT_REJOINED;
   }
 
-  /** When this voter rejoined since its start; -1 if it has not. */
+  /** Returns the time at which this voter rejoined after its start; -1 if it has not. */
   long rejoinedAt() {
     return rejoinedAt;
   }
 
-  /** Whether the durable log reached the position that this voter has to catch up to. */
+  /** Returns whether the durable log has reached the position that this voter must reach. */
   boolean hasCaughtUp() {
     if (catchUpIndex > 0) {
-      long durable = log.durable();
-      if (!reachesCatchUp(log.term(durable), durable)) {
+      long durable = log.durableIndex();
+      if (!reachesCatchUp(log.termAt(durable), durable)) {
         return false;
       }
       catchUpIndex = 0;
@@ -186,8 +207,8 @@
     return true;
   }
 
-  /** Whether a log that ends there reaches the position that this voter has to catch up to. */
+  /** Returns whether a log that ends at a position reaches the one that this voter must reach. */
   boolean reachesCatchUp(long lastTerm, long lastIndex) {
-    return Log.isAtLeast(lastTerm, lastIndex, catchUpTerm, catchUpIndex);
+    return Log.isAtLeastAsUpToDate(lastTerm, lastIndex, catchUpTerm, catchUpIndex);
   }
 }
--- a/statements/src/main/java/tillerlink/statements/consensus/Voters.java
+++ b/statements/src/main/java/tillerlink/statements/consensus/Voters.java
@@ -2,9 +2,9 @@
 
 import java.util.List;
 
-/** The configured voters, the same list on every gateway of the cluster. */
+/** The configured voters. The list has to be the same on every gateway of the cluster. */
 public final class Voters {
-  /** Voters at most. */
+  /** The maximum number of voters. */
   public static final int COUNT_MAX = 15;
 
   private static final long HASH_SEED = 17;
@@ -15,10 +15,12 @@
   private final long hash;
 
   /**
-   * Sorts the voters by name.
+   * Creates the list of voters, sorted by name.
    *
+   * @param names the names of the voters, in any order
    * @param self the name of this gateway, which need not be a voter
-   * @throws IllegalArgumentException if there are none or too many, or one is named twice
+   * @throws IllegalArgumentException if there are no voters, there are more than {@link
+   *     #COUNT_MAX}, or a name occurs twice
    */
   public Voters(List<String> names, String self) {
     this.names = names.stream().sorted().distinct().toList();
@@ -27,57 +29,61 @@
       throw new IllegalArgumentException(
           "expected 1 to " + COUNT_MAX + " voters with distinct names, got " + names);
     }
-    long sum = HASH_SEED;
+    long nameHash = HASH_SEED;
     for (String name : this.names) {
-      sum = sum * HASH_FACTOR + name.hashCode();
+      nameHash = nameHash * HASH_FACTOR + name.hashCode();
     }
-    hash = sum;
+    hash = nameHash;
   }
 
-  /** The names in their order, which numbers the voters. */
+  /** Returns the names in ascending order; the position of a name is the index of the voter. */
   public List<String> names() {
     return names;
   }
 
-  /** The name of this gateway. */
+  /** Returns the name of this gateway. */
   public String self() {
     return self;
   }
 
-  /** How many voters there are. */
+  /** Returns the number of voters. */
   public int count() {
     return names.size();
   }
 
-  /** Whether that gateway is a voter. */
+  /** Returns whether a gateway is a voter. */
   public boolean contains(String name) {
     return names.contains(name);
   }
 
-  /** Whether this gateway is a voter. */
+  /** Returns whether this gateway is a voter. */
   public boolean includesSelf() {
     return contains(self);
   }
 
-  /** The number of that voter; -1 if it is none. */
+  /** Returns the index of a voter; -1 if the gateway is not a voter. */
   public int indexOf(String name) {
     return names.indexOf(name);
   }
 
-  /** The size of a majority. */
+  /** Returns the number of voters in a majority. */
   public int quorum() {
     return names.size() / 2 + 1;
   }
 
   /**
-   * How many others have to respond to a voter that starts: so many that among them is one of any
-   * majority that relied on what it acknowledged before.
+   * Returns the number of other voters that have to respond to a starting voter. The number is
+   * large enough that the responses include a member of every majority that may have relied on an
+   * earlier acknowledgement of the starting voter.
    */
   int rejoinQuorum() {
     return names.size() - quorum() + (names.size() > 1 ? 1 : 0);
   }
 
-  /** Tells gateways apart that are configured with other voters. */
+  /**
+   * Returns a hash of the names, by which a voter recognizes messages from gateways that are
+   * configured with other voters.
+   */
   long hash() {
     return hash;
   }
--- a/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
+++ b/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
@@ -157,11 +157,11 @@
     Log log = new Log(disk, EMPTY);
     entries().forEach(log::append);
     Identity identity = new Identity(VOTERS, disk, new Random(7));
-    identity.bootsAre(0, 300);
-    identity.stageIs(Stage.FOUNDED, DISKS);
+    identity.setBoots(0, 300);
+    identity.setStage(Stage.FOUNDED, DISKS);
     Ballot ballot = new Ballot(disk);
-    ballot.termIs(300);
-    ballot.vote("n1");
+    ballot.startTerm(300);
+    ballot.voteFor("n1");
     return keep.values;
   }
 
@@ -215,8 +215,8 @@
   void everyEntryOfTheLogIsFound() throws Exception {
     Log log = new Log(new DurableState(new MapKeep(read(LOG)), false), EMPTY);
     assertEquals(0, log.base());
-    assertEquals(entries(), log.from(1, log.lastIndex(), 1 << 20));
-    assertEquals(20, log.durable());
+    assertEquals(entries(), log.entriesFrom(1, log.lastIndex(), 1 << 20));
+    assertEquals(20, log.durableIndex());
     assertEquals(3, log.lastTerm());
     assertEquals(
         Stream.of(Command.class.getPermittedSubclasses()).collect(Collectors.toSet()),
@@ -241,7 +241,7 @@
     for (Stage stage : Stage.values()) {
       MapKeep keep = new MapKeep(read(LOG));
       Identity identity = new Identity(VOTERS, new DurableState(keep, false), new Random(8));
-      identity.stageIs(stage, DISKS);
+      identity.setStage(stage, DISKS);
       byte[] bytes = keep.values.get("identity");
       // A tag and a fixed number of eight bytes, then the tag and the number of the stage;
       // the number 0 is left out, and the next field stands there.
