--- a/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
+++ b/statements/src/test/java/tillerlink/statements/consensus/StatementsLogFormatGuardTest.java
@@ -31,8 +31,9 @@
 import tillerlink.statements.catalog.State;
 
 /**
- * Guards what a voter keeps: its identity, its ballot, its log and its snapshot, by name and by
- * value. What an earlier release kept must be found again, and written again as it was.
+ * Guards the format of a voter's durable state: the keys and the values of its identity, its
+ * ballot, its log and its snapshot. State that was stored by an earlier release must be readable,
+ * and the same state must be written with the same bytes.
  */
 class StatementsLogFormatGuardTest {
   private static final String LOG = "statements-log.hex";
@@ -42,11 +43,11 @@
   private static final Snapshot EMPTY =
       new Snapshot(0, 0, 0, 0, 0, List.of(), Snapshots.write(new Catalog()));
 
-  /** A table in memory that keeps at once. */
-  private static final class MapKeep implements KeyValueStore {
+  /** A store in memory in which every write is durable at once. */
+  private static final class InMemoryStore implements KeyValueStore {
     final NavigableMap<String, byte[]> values;
 
-    MapKeep(Map<String, byte[]> values) {
+    InMemoryStore(Map<String, byte[]> values) {
       this.values = new TreeMap<>(values);
     }
 
@@ -56,14 +57,14 @@
     }
 
     @Override
-    public boolean set(String name, byte[] value, Runnable kept) {
+    public boolean set(String name, byte[] value, Runnable onPersisted) {
       if (value == null) {
         values.remove(name);
       } else {
         values.put(name, value);
       }
-      if (kept != null) {
-        kept.run();
+      if (onPersisted != null) {
+        onPersisted.run();
       }
       return true;
     }
@@ -92,7 +93,10 @@
         new TreeMap<>(Map.of(group + ":orders.old", group + ":orders.new")));
   }
 
-  /** A log with every kind of command; applied, it leaves a statement in every state. */
+  /**
+   * Returns a log with every kind of command. Applied to a catalog, it leaves statements in every
+   * state.
+   */
   private static List<Entry> entries() {
     List<Command> commands =
         List.of(
@@ -150,25 +154,28 @@
     return catalog;
   }
 
-  /** What a voter keeps that has founded, voted and taken all entries into its log. */
+  /** Returns the stored state of a founded voter that has voted and has all entries in its log. */
   static Map<String, byte[]> writtenLog() throws Exception {
-    MapKeep keep = new MapKeep(Map.of());
-    DurableState disk = new DurableState(keep, false);
-    Log log = new Log(disk, EMPTY);
+    InMemoryStore store = new InMemoryStore(Map.of());
+    DurableState durable = new DurableState(store, false);
+    Log log = new Log(durable, EMPTY);
     entries().forEach(log::append);
-    Identity identity = new Identity(VOTERS, disk, new Random(7));
+    Identity identity = new Identity(VOTERS, durable, new Random(7));
     identity.setBoots(0, 300);
     identity.setStage(Stage.FOUNDED, DISKS);
-    Ballot ballot = new Ballot(disk);
+    Ballot ballot = new Ballot(durable);
     ballot.startTerm(300);
     ballot.voteFor("n1");
-    return keep.values;
+    return store.values;
   }
 
-  /** What the same voter keeps once a snapshot of a later term took the place of its entries. */
+  /**
+   * Returns the stored state of the same voter after a snapshot of a later term has replaced its
+   * entries.
+   */
   static Map<String, byte[]> writtenSnapshot() throws Exception {
-    MapKeep keep = new MapKeep(writtenLog());
-    Log log = new Log(new DurableState(keep, false), EMPTY);
+    InMemoryStore store = new InMemoryStore(writtenLog());
+    Log log = new Log(new DurableState(store, false), EMPTY);
     log.install(
         new Snapshot(
             20,
@@ -179,10 +186,10 @@
             List.of(0x11L, 0x2222222222L, 0x3333333333L),
             Snapshots.write(catalog())));
     log.append(new Entry(21, 6, 0, 0, new Command.Nothing()));
-    return keep.values;
+    return store.values;
   }
 
-  private static Map<String, byte[]> read(String resource) throws IOException {
+  private static Map<String, byte[]> readResource(String resource) throws IOException {
     Map<String, byte[]> values = new TreeMap<>();
     try (InputStream in =
         StatementsLogFormatGuardTest.class.getResourceAsStream("/guards/" + resource)) {
@@ -198,22 +205,22 @@
     return values;
   }
 
-  /** The values as lines of a name, a space and hex digits. */
-  static String text(Map<String, byte[]> values) {
+  /** Formats stored values as lines of a key, a space and the value in hexadecimal digits. */
+  static String toLines(Map<String, byte[]> values) {
     return values.entrySet().stream()
         .map(each -> each.getKey() + " " + HexFormat.of().formatHex(each.getValue()) + "\n")
         .collect(Collectors.joining());
   }
 
   @Test
-  void aVotersValuesAreWrittenAsBefore() throws Exception {
-    assertEquals(text(read(LOG)), text(writtenLog()));
-    assertEquals(text(read(SNAPSHOT)), text(writtenSnapshot()));
+  void stateIsWrittenInTheStoredFormat() throws Exception {
+    assertEquals(toLines(readResource(LOG)), toLines(writtenLog()));
+    assertEquals(toLines(readResource(SNAPSHOT)), toLines(writtenSnapshot()));
   }
 
   @Test
-  void everyEntryOfTheLogIsFound() throws Exception {
-    Log log = new Log(new DurableState(new MapKeep(read(LOG)), false), EMPTY);
+  void everyStoredEntryIsRead() throws Exception {
+    Log log = new Log(new DurableState(new InMemoryStore(readResource(LOG)), false), EMPTY);
     assertEquals(0, log.base());
     assertEquals(entries(), log.entriesFrom(1, log.lastIndex(), 1 << 20));
     assertEquals(20, log.durableIndex());
@@ -224,59 +231,60 @@
   }
 
   @Test
-  void theIdentityIsFound() throws Exception {
-    MapKeep keep = new MapKeep(read(LOG));
-    Identity identity = new Identity(VOTERS, new DurableState(keep, false), new Random(8));
+  void storedIdentityIsRead() throws Exception {
+    InMemoryStore store = new InMemoryStore(readResource(LOG));
+    Identity identity = new Identity(VOTERS, new DurableState(store, false), new Random(8));
     assertEquals(new Random(7).nextLong() | 1, identity.disk());
     assertEquals(Stage.FOUNDED, identity.stage());
     assertEquals(DISKS, identity.pledge());
     assertEquals(300, identity.boots(0));
-    assertEquals(2, identity.boots(), "one start more than was kept");
+    assertEquals(2, identity.boots(), "one more than the stored number of starts");
     assertEquals(0, identity.boots(2));
   }
 
   @Test
-  void everyStageIsKeptAsItsNumber() throws Exception {
-    List<String> kept = new ArrayList<>();
+  void everyStageIsStoredAsItsNumber() throws Exception {
+    List<String> storedBytes = new ArrayList<>();
     for (Stage stage : Stage.values()) {
-      MapKeep keep = new MapKeep(read(LOG));
-      Identity identity = new Identity(VOTERS, new DurableState(keep, false), new Random(8));
+      InMemoryStore store = new InMemoryStore(readResource(LOG));
+      Identity identity = new Identity(VOTERS, new DurableState(store, false), new Random(8));
       identity.setStage(stage, DISKS);
-      byte[] bytes = keep.values.get("identity");
-      // A tag and a fixed number of eight bytes, then the tag and the number of the stage;
-      // the number 0 is left out, and the next field stands there.
-      kept.add(bytes[9] + "," + bytes[10]);
-      Identity again = new Identity(VOTERS, new DurableState(keep, false), new Random(8));
-      assertEquals(stage, again.stage());
+      byte[] identityBytes = store.values.get("identity");
+      // The encoding starts with the disk, a tag and eight bytes, followed by the tag and the
+      // number of the stage. The number 0 is not written, so the next field follows the disk.
+      storedBytes.add(identityBytes[9] + "," + identityBytes[10]);
+      Identity reread = new Identity(VOTERS, new DurableState(store, false), new Random(8));
+      assertEquals(stage, reread.stage());
     }
-    assertEquals(List.of("26,9", "16,1", "16,2", "16,3"), kept);
+    assertEquals(List.of("26,9", "16,1", "16,2", "16,3"), storedBytes);
     assertEquals(
         List.of(Stage.FRESH, Stage.PLEDGED, Stage.FOUNDED, Stage.LOST), List.of(Stage.values()));
   }
 
   @Test
-  void theBallotIsFound() throws Exception {
-    Ballot ballot = new Ballot(new DurableState(new MapKeep(read(LOG)), false));
+  void storedBallotIsRead() throws Exception {
+    Ballot ballot = new Ballot(new DurableState(new InMemoryStore(readResource(LOG)), false));
     assertEquals(300, ballot.term());
     assertTrue(ballot.mayVoteFor("n1"));
     assertTrue(!ballot.mayVoteFor("n2"));
   }
 
   @Test
-  void theMembersAreFound() throws Exception {
-    Log log = new Log(new DurableState(new MapKeep(read(LOG)), false), EMPTY);
+  void membersAreReadFromStoredLogAndSnapshot() throws Exception {
+    Log log = new Log(new DurableState(new InMemoryStore(readResource(LOG)), false), EMPTY);
     Membership membership = new Membership(VOTERS, log, DISKS);
     assertEquals(List.of(0x11L, 0x2222222222L, 0x3333333333L), membership.members());
     assertEquals(20, membership.version());
     assertEquals(DISKS, membership.membersAt(19));
-    Log compacted = new Log(new DurableState(new MapKeep(read(SNAPSHOT)), false), EMPTY);
+    Log compacted =
+        new Log(new DurableState(new InMemoryStore(readResource(SNAPSHOT)), false), EMPTY);
     assertEquals(membership.members(), new Membership(VOTERS, compacted, List.of()).members());
   }
 
   @Test
-  void theSnapshotIsFound() throws Exception {
-    Map<String, byte[]> kept = read(SNAPSHOT);
-    Log log = new Log(new DurableState(new MapKeep(kept), false), EMPTY);
+  void storedSnapshotIsRead() throws Exception {
+    Map<String, byte[]> stored = readResource(SNAPSHOT);
+    Log log = new Log(new DurableState(new InMemoryStore(stored), false), EMPTY);
     Snapshot snapshot = log.snapshot();
     assertEquals(
         List.of(20L, 4L, 20L, 4L, 20L),
@@ -289,20 +297,20 @@
     assertEquals(List.of(0x11L, 0x2222222222L, 0x3333333333L), snapshot.members());
     assertEquals(21, log.lastIndex());
     assertEquals(new Entry(21, 6, 0, 0, new Command.Nothing()), log.get(21));
-    assertArrayEquals(kept.get("snapshot"), snapshot.write());
-    assertArrayEquals(kept.get("snapshot"), log.snapshotBytes());
+    assertArrayEquals(stored.get("snapshot"), snapshot.write());
+    assertArrayEquals(stored.get("snapshot"), log.snapshotBytes());
   }
 
   @Test
-  void theCatalogInTheSnapshotIsFound() throws Exception {
-    byte[] state = Snapshot.read(read(SNAPSHOT).get("snapshot")).state();
-    Catalog found = Snapshots.read(state);
+  void catalogIsReadFromStoredSnapshot() throws Exception {
+    byte[] state = Snapshot.read(readResource(SNAPSHOT).get("snapshot")).state();
+    Catalog restored = Snapshots.read(state);
     Catalog expected = catalog();
-    assertEquals(20, found.applied());
-    assertEquals(expected.statements(), found.statements());
-    assertEquals(expected.versions(), found.versions());
-    assertEquals(expected.waiting(), found.waiting());
-    assertEquals(expected.waitingAnew(), found.waitingAnew());
+    assertEquals(20, restored.applied());
+    assertEquals(expected.statements(), restored.statements());
+    assertEquals(expected.versions(), restored.versions());
+    assertEquals(expected.waiting(), restored.waiting());
+    assertEquals(expected.waitingAnew(), restored.waitingAnew());
     assertEquals(
         Map.of(
             "ready",
@@ -313,7 +321,7 @@
             State.READY,
             "late",
             State.ANEW),
-        found.statements().entrySet().stream()
+        restored.statements().entrySet().stream()
             .collect(Collectors.toMap(Map.Entry::getKey, each -> each.getValue().state())));
     entries().stream()
         .filter(entry -> entry.origin() != 0)
@@ -321,13 +329,13 @@
             entry ->
                 assertEquals(
                     expected.answer(entry.origin(), entry.number()),
-                    found.answer(entry.origin(), entry.number())));
-    assertEquals(Outcome.done(3), found.answer(0x7700000004L, 44).orElse(null));
-    assertArrayEquals(state, Snapshots.write(found));
+                    restored.answer(entry.origin(), entry.number())));
+    assertEquals(Outcome.done(3), restored.answer(0x7700000004L, 44).orElse(null));
+    assertArrayEquals(state, Snapshots.write(restored));
   }
 
   @Test
-  void enumsThatAreKeptByNumberHaveTheirOrder() {
+  void constantsOfEnumsStoredByNumberKeepTheirOrder() {
     assertEquals(List.of(State.READY, State.ANEW, State.INVALID), List.of(State.values()));
     assertEquals(
         List.of(Outcome.Verdict.DONE, Outcome.Verdict.REFUSED, Outcome.Verdict.UNKNOWN),
@@ -335,7 +343,7 @@
   }
 
   @Test
-  void gatewaysWithTheSameVotersHaveTheSameSumOfThem() {
+  void hashOfVotersDependsOnlyOnTheirNames() {
     assertEquals(-1443132049036506185L, VOTERS.hash());
     assertEquals(VOTERS.hash(), new Voters(List.of("n3", "n1", "n2"), "n9").hash());
   }
