--- a/peering/src/main/java/tillerlink/peering/AddressBook.java
+++ b/peering/src/main/java/tillerlink/peering/AddressBook.java
@@ -5,29 +5,36 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The addresses of other gateways: the one that each announces, unless the operator configured
- * another, as for a gateway behind network address translation.
+ * The addresses of other gateways. Each is the address that the gateway announces, unless the
+ * operator configured another one, for example because the gateway is behind network address
+ * translation.
  */
 final class AddressBook {
   private final Map<String, String> overrides;
   private final UnaryOperator<String> announced;
 
   /**
-   * @param overrides configured addresses by the name of a gateway
-   * @param announced the address that the gateway of a name announces; empty if it is not known
+   * Creates an address book.
+   *
+   * @param overrides the configured addresses by gateway name
+   * @param announced returns the address that the named gateway announces, or an empty string if it
+   *     is not known
    */
   AddressBook(Map<String, String> overrides, UnaryOperator<String> announced) {
     this.overrides = new TreeMap<>(overrides);
     this.announced = announced;
   }
 
-  /** The address of the gateway of that name; empty if it is not known. */
+  /** Returns the address of the named gateway, or an empty string if it is not known. */
   String addressOf(String name) {
     String override = overrides.get(name);
     return override == null ? announced.apply(name) : override;
   }
 
-  /** The configured address of the gateway that announces this one; else the address itself. */
+  /**
+   * Returns the configured address of the gateway that announces the given address, or the given
+   * address if none is configured.
+   */
   String resolve(String address) {
     for (Map.Entry<String, String> override : overrides.entrySet()) {
       if (address.equals(announced.apply(override.getKey()))) {
--- a/peering/src/main/java/tillerlink/peering/ComponentLoop.java
+++ b/peering/src/main/java/tillerlink/peering/ComponentLoop.java
@@ -8,17 +8,20 @@
 import tillerlink.peering.component.HostedComponent;
 
 /**
- * Runs the components within the gateway's event loop: passes them time, and notifies them of a
- * pause of the process before anything else reaches them. All methods but {@link #post} are called
- * by the event loop's thread. Times are tenths of a millisecond.
+ * Runs the components within the gateway's event loop. Passes the current time to them and, after a
+ * pause of the process, notifies them of the pause before any other call. All methods except {@link
+ * #post} are called by the event loop's thread. Times are tenths of a millisecond.
  */
 final class ComponentLoop {
   private static final long TENTHS_PER_MS = 10;
 
-  /** An iteration takes place that often though nothing comes, so that pauses are noticed. */
-  private static final long HEARTBEAT = 1000;
+  /** The longest time between two iterations of an idle loop, so that pauses are detected. */
+  private static final long HEARTBEAT_INTERVAL = 1000;
 
-  /** Silence of so much longer than that is a pause of the process. */
+  /**
+   * A gap between two iterations that exceeds {@link #HEARTBEAT_INTERVAL} by more than this is
+   * reported as a pause of the process.
+   */
   private static final long MIN_PAUSE = 2000;
 
   private final Consumer<Runnable> eventLoop;
@@ -27,12 +30,15 @@
   private final List<HostedComponent> components = new ArrayList<>();
   private long now;
 
-  /** Something reached the components since their last tick. */
+  /** True if a call may have reached a component since the last tick. */
   private boolean tickDue = true;
 
   /**
+   * Creates a loop without components.
+   *
    * @param eventLoop runs tasks on the event loop's thread, from any thread
-   * @param clock monotonic, and goes on while the process is stopped
+   * @param clock a monotonic clock in tenths of a millisecond that advances while the process is
+   *     stopped
    */
   ComponentLoop(Consumer<Runnable> eventLoop, LongSupplier clock, Watchdog watchdog) {
     this.eventLoop = eventLoop;
@@ -41,12 +47,16 @@
     now = clock.getAsLong();
   }
 
-  /** The time as of which the components are called; it never goes back. */
+  /**
+   * Returns the time that is passed to the components.
+   *
+   * @return tenths of a millisecond; never less than an earlier result
+   */
   long now() {
     return now;
   }
 
-  /** The machine's clock, in tenths of a millisecond since 1970. */
+  /** Returns the wall-clock time in tenths of a millisecond since 1970. */
   static long wallTime() {
     return System.currentTimeMillis() * TENTHS_PER_MS;
   }
@@ -55,8 +65,8 @@
     components.add(component);
   }
 
-  /** The component to which messages of that number go. */
-  Optional<HostedComponent> withNumber(int number) {
+  /** Returns the component with the given message number, if there is one. */
+  Optional<HostedComponent> findByNumber(int number) {
     for (HostedComponent component : components) {
       if (component.number() == number) {
         return Optional.of(component);
@@ -65,8 +75,8 @@
     return Optional.empty();
   }
 
-  /** The component that answers requests for that path. */
-  Optional<HostedComponent> forPath(String path) {
+  /** Returns the component that handles requests for the given path, if there is one. */
+  Optional<HostedComponent> findByPath(String path) {
     for (HostedComponent component : components) {
       if (component.handlesPath(path)) {
         return Optional.of(component);
@@ -79,12 +89,15 @@
     components.forEach(action);
   }
 
-  /** Runs a task in a later iteration, from any thread. */
+  /** Schedules a task on the event loop's thread; may be called by any thread. */
   void post(Runnable task) {
     eventLoop.accept(() -> run(task));
   }
 
-  /** Runs a task that may reach components: they are notified first if the process was paused. */
+  /**
+   * Runs a task that may call components. If the process was paused, the components are notified of
+   * the pause first.
+   */
   void run(Runnable task) {
     watchdog.run(
         () -> {
@@ -98,7 +111,7 @@
     long previous = now;
     now = Math.max(now, clock.getAsLong());
     long elapsed = now - previous;
-    if (elapsed > HEARTBEAT + MIN_PAUSE) {
+    if (elapsed > HEARTBEAT_INTERVAL + MIN_PAUSE) {
       tickDue = true;
       components.forEach(component -> component.component().onPause(now, wallTime(), elapsed));
     }
@@ -122,9 +135,13 @@
         });
   }
 
-  /** When the next iteration is due though nothing comes. */
+  /**
+   * Returns the time at which the next iteration is due if no event occurs before.
+   *
+   * @return tenths of a millisecond
+   */
   long nextDueAt() {
-    long dueAt = now + HEARTBEAT;
+    long dueAt = now + HEARTBEAT_INTERVAL;
     for (HostedComponent component : components) {
       dueAt = Math.min(dueAt, component.component().nextDueAt());
     }
--- a/peering/src/main/java/tillerlink/peering/LocalMembership.java
+++ b/peering/src/main/java/tillerlink/peering/LocalMembership.java
@@ -10,15 +10,17 @@
 import tillerlink.peering.members.MembersHttpHandler;
 import tillerlink.peering.storage.PrefixedKeyValueStore;
 
-/** Creates this gateway's membership, and persists its incarnation over restarts. */
+/** Creates this gateway's membership and persists its incarnation across restarts. */
 final class LocalMembership {
   private static final String INCARNATION_KEY = "incarnation";
 
   private LocalMembership() {}
 
   /**
-   * @param store the gateway's whole store
-   * @param loop tells the time
+   * Creates the membership with the persisted incarnation.
+   *
+   * @param store the gateway's store, without a component's key prefix
+   * @param loop the source of the current time
    */
   static Members create(
       PeeringConfig config,
@@ -28,7 +30,7 @@
       SplittableRandom random,
       MembershipLogger logger,
       ComponentLoop loop) {
-    KeyValueStore own = new PrefixedKeyValueStore(store, MembersHttpHandler.NAME);
+    KeyValueStore membersStore = new PrefixedKeyValueStore(store, MembersHttpHandler.NAME);
     Identity identity =
         new Identity(
             config.fleet(),
@@ -36,27 +38,36 @@
             config.site(),
             config.listen(),
             config.seeds(),
-            persistedIncarnation(own));
+            persistedIncarnation(membersStore));
     return new Members(
         identity,
         scaledTo(config.probeInterval()),
         transport,
         random,
-        logger.listener(loop::now, incarnation -> persistIncarnation(own, incarnation)),
+        logger.listener(loop::now, incarnation -> persistIncarnation(membersStore, incarnation)),
         ComponentLoop.wallTime());
   }
 
-  /** The incarnation of the last process of this name; 0 if there was none. */
-  private static long persistedIncarnation(KeyValueStore own) {
-    byte[] value = own.initialEntries().get(INCARNATION_KEY);
+  /**
+   * Returns the persisted incarnation of the previous process with this name, or 0 if there is no
+   * valid value.
+   */
+  private static long persistedIncarnation(KeyValueStore membersStore) {
+    byte[] value = membersStore.initialEntries().get(INCARNATION_KEY);
     return value == null || value.length != Long.BYTES ? 0 : ByteBuffer.wrap(value).getLong();
   }
 
-  private static void persistIncarnation(KeyValueStore own, long incarnation) {
-    own.set(INCARNATION_KEY, ByteBuffer.allocate(Long.BYTES).putLong(incarnation).array(), null);
+  private static void persistIncarnation(KeyValueStore membersStore, long incarnation) {
+    membersStore.set(
+        INCARNATION_KEY, ByteBuffer.allocate(Long.BYTES).putLong(incarnation).array(), null);
   }
 
-  /** The usual configuration, with the times that follow from the probe interval scaled to it. */
+  /**
+   * Returns the default configuration with the given probe interval. Time-outs and intervals that
+   * depend on the probe interval are scaled in proportion.
+   *
+   * @param probeInterval tenths of a millisecond
+   */
   private static MembershipConfig scaledTo(long probeInterval) {
     MembershipConfig usual = MembershipConfig.usual();
     double factor = (double) probeInterval / usual.probeInterval();
--- a/peering/src/main/java/tillerlink/peering/MembershipLogger.java
+++ b/peering/src/main/java/tillerlink/peering/MembershipLogger.java
@@ -8,32 +8,37 @@
 import tillerlink.members.config.MembershipListener;
 
 /**
- * Logs changes of the membership, at a bounded rate: a network fault may make hundreds of members
- * come and go at once. Used by the event loop's thread.
+ * Logs changes of the membership at a bounded rate, because a network fault can change the
+ * reachability of hundreds of members at once. Used by the event loop's thread.
  */
 final class MembershipLogger {
   private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
   private static final int MAX_LINES_PER_INTERVAL = 40;
 
-  /** Tenths of a millisecond. */
-  private static final long INTERVAL = 100_000;
+  /** The interval of the rate limit, in tenths of a millisecond. */
+  private static final long LOG_INTERVAL = 100_000;
 
   private long intervalStart = Long.MIN_VALUE;
   private int lines;
   private long suppressed;
 
-  /** Logs that another member's reachability changed. */
+  /**
+   * Logs a change of another member's reachability, or counts it as suppressed if the rate limit is
+   * reached.
+   *
+   * @param now the time of the event loop, in tenths of a millisecond
+   */
   void logReachability(long now, String name, Reachability before, Reachability after) {
-    if (intervalStart == Long.MIN_VALUE || now >= intervalStart + INTERVAL) {
+    if (intervalStart == Long.MIN_VALUE || now >= intervalStart + LOG_INTERVAL) {
       if (suppressed > 0) {
-        LOG.info("members: {} more changes, not logged one by one", suppressed);
+        LOG.info("members: {} more reachability changes were not logged individually", suppressed);
       }
       intervalStart = now;
       lines = 0;
       suppressed = 0;
     }
     if (lines++ < MAX_LINES_PER_INTERVAL) {
-      LOG.info("member {} is {}, was {}", name, describe(after), describe(before));
+      LOG.info("member {} changed to {} from {}", name, describe(after), describe(before));
     } else {
       suppressed++;
     }
@@ -49,16 +54,16 @@
     };
   }
 
-  /** Logs a warning that comes at a bounded rate already. */
+  /** Logs a warning whose rate the caller already limits. */
   void warn(String line) {
     LOG.warn(line);
   }
 
   /**
-   * The listener that logs.
+   * Returns a membership listener that logs the events it receives.
    *
    * @param now the time of the event loop, in tenths of a millisecond
-   * @param onIncarnation takes this gateway's own incarnation when it changes
+   * @param onIncarnation called with this gateway's own incarnation when it changes
    */
   MembershipListener listener(LongSupplier now, LongConsumer onIncarnation) {
     return new MembershipListener() {
--- a/peering/src/main/java/tillerlink/peering/PeerTransport.java
+++ b/peering/src/main/java/tillerlink/peering/PeerTransport.java
@@ -16,21 +16,23 @@
 import tillerlink.peering.io.Datagrams;
 
 /**
- * Sends the components' messages to other gateways as sealed datagrams, and passes received ones to
- * the component that they are for. Used by the event loop's thread.
+ * Sends the components' messages to other gateways as sealed datagrams, and passes each received
+ * message to the component it is addressed to. Used by the event loop's thread.
  */
 final class PeerTransport implements Closeable {
   private final ComponentLoop loop;
   private final Outbox outbox;
   private final Inbox inbox;
 
-  /** Null until the socket is open; what is sent before is lost. */
+  /** Null until the socket is open; messages sent before then are lost. */
   private Datagrams datagrams;
 
   /**
+   * Creates a transport without a socket; see {@link #listen}.
+   *
    * @param self the name of this gateway
-   * @param processId tells this process from earlier ones of the same name; never 0
-   * @param log takes lines about refused datagrams, at a bounded rate
+   * @param processId distinguishes this process from earlier ones with the same name; never 0
+   * @param log receives log lines about refused datagrams, at a bounded rate
    */
   PeerTransport(
       EnvelopeCodec codec, String self, long processId, ComponentLoop loop, Inbox.Lines log) {
@@ -42,9 +44,10 @@
   /**
    * Opens the socket.
    *
-   * @param address host:port, the host as an IP address
+   * @param address the local address as host:port, the host as an IP address
    * @param eventLoop runs tasks on the event loop's thread
-   * @throws IOException in words for the operator
+   * @throws IOException if the address is malformed or can't be bound; the message is shown to the
+   *     operator
    */
   void listen(String address, Consumer<Runnable> eventLoop) throws IOException {
     datagrams =
@@ -55,21 +58,27 @@
             (from, datagram) -> loop.run(() -> receive(from, datagram)));
   }
 
-  /** A live view of how many datagrams were refused, by reason. */
+  /** Returns a live view of the number of refused datagrams by reason. */
   Map<Refusal, Long> refused() {
     return inbox.refused();
   }
 
   /**
-   * Sends a message, which may be lost.
+   * Sends a message without waiting; it may be lost.
    *
-   * @param address host:port
-   * @param component the number of the component that it is for
+   * @param address the destination as host:port
+   * @param component the number of the component the message is addressed to
    */
   void send(String address, int component, byte[] body) {
     Invariant.holds(
         body.length <= MessageSender.MAX_MESSAGE_BYTES,
-        () -> "a message of " + body.length + " bytes to " + address);
+        () ->
+            "message of "
+                + body.length
+                + " bytes to "
+                + address
+                + " exceeds "
+                + MessageSender.MAX_MESSAGE_BYTES);
     if (datagrams == null || body.length > MessageSender.MAX_MESSAGE_BYTES) {
       return;
     }
@@ -83,7 +92,7 @@
     if (message == null) {
       return;
     }
-    Optional<HostedComponent> component = loop.withNumber(message.part());
+    Optional<HostedComponent> component = loop.findByNumber(message.part());
     if (component.isPresent()) {
       component
           .get()
--- a/peering/src/main/java/tillerlink/peering/Peering.java
+++ b/peering/src/main/java/tillerlink/peering/Peering.java
@@ -27,17 +27,17 @@
 import tillerlink.peering.storage.PrefixedKeyValueStore;
 
 /**
- * The gateway's part in a fleet: assembles the membership and the other components of shared state
- * with the event loop, the socket and the store, and passes the gateway's calls on to them.
+ * Connects a gateway to its fleet. Creates the membership and the other components of shared state
+ * with the event loop, the socket and the store, and forwards the gateway's calls to them.
  *
- * <p>Everything runs on the thread of the gateway's event loop. Two more threads are owned here and
- * end with {@link #close}: the socket's, in {@link PeerTransport}, and the store's, in {@link
- * DiskKeyValueStore}; both only post tasks to the event loop.
+ * <p>All calls run on the thread of the gateway's event loop. This object owns two more threads,
+ * which end with {@link #close}: the socket's thread in {@link PeerTransport} and the store's
+ * thread in {@link DiskKeyValueStore}. Both only post tasks to the event loop.
  */
 public final class Peering implements GatewayExtension {
   private static final Logger LOG = LoggerFactory.getLogger(Peering.class);
 
-  /** The store's directory within that of the gateway. */
+  /** The store's directory, relative to the gateway's directory. */
   private static final String STORE_DIRECTORY = "shared";
 
   private static final long YIELDED_RETRY_MS = 1000;
@@ -52,24 +52,28 @@
   private final Members members;
   private final AddressBook addressBook;
 
-  /** Joins the fleet when a gateway starts, with these components beside the membership. */
+  /**
+   * Returns a factory of extensions that join the fleet when a gateway starts.
+   *
+   * @param components creates the components that run in addition to the membership
+   */
   public static GatewayExtension.Factory factory(
       PeeringConfig config, List<ComponentFactory> components) {
-    return (assignment, gateway, eventLoop, clock) ->
-        new Peering(config, components, assignment, gateway, eventLoop, clock);
+    return (gatewayConfig, gateway, eventLoop, clock) ->
+        new Peering(config, components, gatewayConfig, gateway, eventLoop, clock);
   }
 
   private Peering(
       PeeringConfig config,
       List<ComponentFactory> components,
-      GatewayConfig assignment,
+      GatewayConfig gatewayConfig,
       GatewayExtension.ExtensionContext gateway,
       Consumer<Runnable> eventLoop,
       LongSupplier clock)
       throws IOException {
     this.config = config;
     this.clock = clock;
-    name = assignment.name();
+    name = gatewayConfig.name();
     Watchdog watchdog = new Watchdog();
     this.gateway = new WatchedExtensionContext(gateway, watchdog);
     loop = new ComponentLoop(eventLoop, clock, watchdog);
@@ -96,7 +100,7 @@
     }
     transport.listen(config.listen(), eventLoop);
     LOG.info(
-        "{} of fleet {} at site {} is reached by other gateways on {}",
+        "gateway {} of fleet {} at site {} accepts datagrams from other gateways on {}",
         name,
         config.fleet(),
         config.site(),
@@ -161,16 +165,16 @@
 
   @Override
   public boolean handlesPath(String path) {
-    return loop.forPath(path).isPresent();
+    return loop.findByPath(path).isPresent();
   }
 
   @Override
   public void onRequest(HttpRequest request, Reply reply) {
-    Optional<HostedComponent> component = loop.forPath(request.path());
-    loop.run(() -> passOn(component.orElseThrow(), request, reply));
+    Optional<HostedComponent> component = loop.findByPath(request.path());
+    loop.run(() -> dispatch(component.orElseThrow(), request, reply));
   }
 
-  private void passOn(HostedComponent component, HttpRequest request, Reply reply) {
+  private void dispatch(HostedComponent component, HttpRequest request, Reply reply) {
     if (members.yielded() && component.number() != MembersHttpHandler.NUMBER) {
       reply.answer(HttpResponse.problem(503, "Yielded", YIELDED_RETRY_MS));
     } else {
@@ -194,7 +198,10 @@
                 component -> component.onShutdownDeadline(loop.now(), ComponentLoop.wallTime())));
   }
 
-  /** The components' last messages are sent before it returns, as all messages are at once. */
+  /**
+   * Closes the components, the socket and the store. The components' last messages are sent before
+   * this method returns, because messages are sent without queueing.
+   */
   @Override
   public void close() {
     loop.run(
@@ -204,7 +211,7 @@
       try {
         disk.close();
       } catch (IOException e) {
-        LOG.warn("the store of shared state was not closed: {}", e.toString());
+        LOG.warn("could not close the store of shared state: {}", e.toString());
       }
     }
   }
--- a/peering/src/main/java/tillerlink/peering/PeeringConfig.java
+++ b/peering/src/main/java/tillerlink/peering/PeeringConfig.java
@@ -6,17 +6,18 @@
 import java.util.TreeMap;
 
 /**
- * How this gateway takes part in a fleet.
+ * The configuration of a gateway's participation in a fleet.
  *
  * @param fleet the fleet's name
- * @param site the site of this gateway
- * @param listen host:port at which other gateways reach it by UDP; the host is an IP address
- * @param seeds addresses of some members; its own may be among them
- * @param secret the key that messages are sealed with, or null for none
- * @param addressOverrides addresses by the name of a gateway, in place of the one that it announces
- * @param probeInterval between two probes, in tenths of a millisecond
- * @param directory where shared state is persisted, or null for nowhere
- * @param maxStoredBytes bound of what is persisted there
+ * @param site the name of this gateway's site
+ * @param listen the UDP address for messages of other gateways as host:port, the host as an IP
+ *     address
+ * @param seeds addresses of some members; may include this gateway's own address
+ * @param secret the key that messages are sealed with, or null if messages are not sealed
+ * @param addressOverrides addresses by gateway name that are used instead of the announced ones
+ * @param probeInterval the time between two probes, in tenths of a millisecond
+ * @param directory the directory for shared state, or null if it is not persisted
+ * @param maxStoredBytes the maximum size of the persisted state in bytes
  */
 public record PeeringConfig(
     String fleet,
@@ -28,7 +29,7 @@
     long probeInterval,
     Path directory,
     long maxStoredBytes) {
-  /** Copies what is mutable. */
+  /** Copies the mutable arguments. */
   public PeeringConfig {
     seeds = List.copyOf(seeds);
     addressOverrides = new TreeMap<>(addressOverrides);
--- a/peering/src/main/java/tillerlink/peering/Watchdog.java
+++ b/peering/src/main/java/tillerlink/peering/Watchdog.java
@@ -4,12 +4,13 @@
 import tillerlink.cluster.Invariant;
 
 /**
- * Ends the process when a component violates an invariant. Where invariants are checked, one line
- * on standard error names it, and nothing that may be wrong by then reaches anybody. Where they are
- * not, an exception is passed on, and fails only what was being done.
+ * Ends the process when a component violates an invariant. If invariant checks are enabled, a
+ * violation or an unexpected exception writes one line to standard error and halts the process at
+ * once, so that no possibly wrong data leaves it. If they are disabled, an exception is rethrown
+ * and fails only the current operation.
  */
 final class Watchdog {
-  /** The exit code of a process that it ended. */
+  /** The exit code of a process that the watchdog ended. */
   static final int EXIT_CODE = 70;
 
   void run(Runnable action) {
@@ -33,7 +34,10 @@
     }
   }
 
-  /** Never returns; the return type lets callers throw. */
+  /**
+   * Halts the process and never returns. The return type lets callers write {@code throw}, so that
+   * the compiler knows that the call does not complete.
+   */
   private static IllegalStateException halt(String message, Throwable cause) {
     System.err.println("INVARIANT " + message.replaceAll("\\s*\\R\\s*", " "));
     cause.printStackTrace();
--- a/peering/src/main/java/tillerlink/peering/WatchedExtensionContext.java
+++ b/peering/src/main/java/tillerlink/peering/WatchedExtensionContext.java
@@ -4,8 +4,8 @@
 import tillerlink.net.wire.HttpRequest;
 
 /**
- * The gateway's interface as components get it: the gateway calls the guards of their requests
- * under the watchdog.
+ * The gateway interface that is given to components. It wraps the guards of their requests so that
+ * the gateway calls them under the watchdog.
  */
 record WatchedExtensionContext(GatewayExtension.ExtensionContext gateway, Watchdog watchdog)
     implements GatewayExtension.ExtensionContext {
--- a/peering/src/main/java/tillerlink/peering/component/ComponentContext.java
+++ b/peering/src/main/java/tillerlink/peering/component/ComponentContext.java
@@ -8,18 +8,18 @@
 import tillerlink.net.state.GatewayExtension;
 
 /**
- * What a component is given of the process that hosts it. All of it belongs to the event loop's
- * thread.
+ * The services and settings that the hosting process provides to a component. All of them are used
+ * by the event loop's thread only.
  *
  * @param self the name of this gateway
- * @param site the site of this gateway
- * @param membership the members of the fleet
- * @param sender sends to the component of the same number at other gateways
- * @param store its own part of the store on disk
- * @param random its own generator, seeded
- * @param gateway takes requests; may be used from the first event-loop iteration on
- * @param clock tenths of a millisecond, read anew each time; it goes on while the process is
- *     stopped
+ * @param site the name of this gateway's site
+ * @param membership the view of the fleet's members
+ * @param sender sends messages to the component of the same number at other gateways
+ * @param store the component's own part of the store on disk
+ * @param random the component's own seeded generator
+ * @param gateway accepts requests; may be used from the first event-loop iteration on
+ * @param clock returns the current monotonic time in tenths of a millisecond at each call; it
+ *     advances while the process is stopped
  */
 public record ComponentContext(
     String self,
--- a/peering/src/main/java/tillerlink/peering/component/ComponentFactory.java
+++ b/peering/src/main/java/tillerlink/peering/component/ComponentFactory.java
@@ -1,17 +1,22 @@
 package tillerlink.peering.component;
 
-/** Makes a component when the process starts. */
+/** Creates a component when the process starts. */
 public interface ComponentFactory {
-  /** The number of its messages; see {@link HostedComponent#number}. */
+  /** Returns the component's message number; see {@link HostedComponent#number}. */
   int number();
 
-  /** Names its part of the store on disk; letters only, and the same in every release. */
+  /**
+   * Returns the name of the component's part of the store on disk.
+   *
+   * @return letters only, and the same in every release, since persisted keys start with it
+   */
   String name();
 
   /**
-   * Creates the component; called once, before the first event-loop iteration.
+   * Creates the component. Called once, before the first event-loop iteration.
    *
-   * @throws IllegalArgumentException in words for the operator, if it can't run as it is configured
+   * @throws IllegalArgumentException if the component can't run with its configuration or persisted
+   *     state; the message is shown to the operator
    */
   HostedComponent create(ComponentContext context);
 }
--- a/peering/src/main/java/tillerlink/peering/component/HostedComponent.java
+++ b/peering/src/main/java/tillerlink/peering/component/HostedComponent.java
@@ -6,51 +6,60 @@
 
 /**
  * A component of the shared state in a gateway's process, with its HTTP interface. All methods are
- * called by the event loop's thread, and never before the component was notified of a pause of the
- * process. Times are tenths of a millisecond: {@code now} by the gateway's monotonic clock, {@code
- * wall} by the machine's clock.
+ * called by the event loop's thread. After a pause of the process the component is notified of the
+ * pause before any other call. Times are tenths of a millisecond: {@code now} is read from the
+ * gateway's monotonic clock, {@code wall} from the wall clock.
  */
 public interface HostedComponent {
   /**
-   * The number that messages to it bear, from 2 to 255 (1 is for the members); the same in every
-   * release, and no other component's.
+   * Returns the number that identifies the component in messages between gateways.
+   *
+   * @return 2 to 255 (1 is the membership); unique and the same in every release
    */
   int number();
 
-  /** The state machine that messages and time are passed to. */
+  /** Returns the state machine that receives messages and ticks. */
   ClusterComponent component();
 
-  /** Whether requests for that path (without a query) are its own. */
+  /**
+   * Returns whether the component handles requests for a path.
+   *
+   * @param path the path without a query
+   */
   boolean handlesPath(String path);
 
   /**
-   * A client's request for such a path, of any method. It is answered once, now or in a later
-   * event-loop iteration.
+   * Handles a client's request of any method for one of the component's paths. The component
+   * answers it exactly once, in this call or in a later event-loop iteration.
    */
   void onRequest(long now, long wall, HttpRequest request, GatewayExtension.Reply reply);
 
   /**
-   * At the end of every event-loop iteration, so at least ten times a second: requests whose
-   * outcome is known by now, or whose time is up, are answered.
+   * Called at the end of every event-loop iteration, and therefore at least ten times a second.
+   * Answers requests whose outcome is known or whose deadline has passed.
    */
   default void onIterationEnd(long now, long wall) {
-    // A component that answers at once has nothing to do.
+    // A component that answers requests immediately has nothing to do.
   }
 
-  /** The process was told to end; some iterations follow. */
+  /** Called when the process starts to shut down. More iterations follow. */
   default void onDrain(long now, long wall) {
-    // Without state at other gateways there is nothing to hand over.
+    // A component without state at other gateways has nothing to transfer.
   }
 
   /**
-   * Requests that are still open are answered now; later their clients are not reached any more.
+   * Answers all requests that are still pending, because responses can't be sent to clients after
+   * this call.
    */
   default void onShutdownDeadline(long now, long wall) {
-    // A component that answers at once has no open requests.
+    // A component that answers requests immediately has no pending requests.
   }
 
-  /** No iteration follows, and no attempt is sent any more: its last messages to others. */
+  /**
+   * Sends the component's last messages to other gateways. No iteration follows, and no further
+   * attempt is sent.
+   */
   default void close(long now, long wall) {
-    // Without anything held at other gateways there is nothing to release.
+    // A component without leases or other state at other gateways has nothing to release.
   }
 }
--- a/peering/src/main/java/tillerlink/peering/io/Addresses.java
+++ b/peering/src/main/java/tillerlink/peering/io/Addresses.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * A cache of parsed addresses, as members send them to each other: host:port with the host as an IP
- * address. Names of hosts are refused, for looking them up could block. Used by one thread.
+ * A cache of parsed addresses in the form that members send to each other: host:port with the host
+ * as an IP address. Host names are rejected because resolving them could block. Used by one thread.
  */
 final class Addresses {
   private static final int MAX_CACHED = 4096;
@@ -19,7 +19,7 @@
   private final Map<String, InetSocketAddress> cached =
       new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
 
-  /** The address; null if the text is none. */
+  /** Returns the address from the cache or parses it; null if the text is not a valid address. */
   InetSocketAddress of(String text) {
     InetSocketAddress address = cached.get(text);
     if (address == null) {
@@ -34,7 +34,11 @@
     return address;
   }
 
-  /** The address; null if the text is none. */
+  /**
+   * Parses an address.
+   *
+   * @return null if the text is not an IP address with a port from 1 to 65535
+   */
   static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     String host = colon < 0 ? "" : text.substring(0, colon);
--- a/peering/src/main/java/tillerlink/peering/io/Datagrams.java
+++ b/peering/src/main/java/tillerlink/peering/io/Datagrams.java
@@ -13,24 +13,25 @@
 import org.apache.mina.transport.socket.nio.NioDatagramAcceptor;
 
 /**
- * Sends and receives UDP datagrams over one socket, by Apache MINA.
+ * A UDP socket that sends and receives datagrams with Apache MINA.
  *
  * <p>MINA's thread, which this object owns until it is closed, only posts received datagrams to the
- * event loop; beyond a bound of posted ones the newest are dropped. Everything else is called by
- * the event loop's thread, but for the counters.
+ * event loop. If the number of posted datagrams reaches its limit, newly received ones are dropped.
+ * All other methods are called by the event loop's thread, except the counters, which any thread
+ * may read.
  */
 public final class Datagrams implements Closeable {
-  /** Datagrams that were received and not yet taken by the event loop. */
+  /** The maximum number of received datagrams that wait for the event loop. */
   private static final int MAX_QUEUED = 2048;
 
-  /** Bytes that the operating system buffers in each direction. */
+  /** The size of the operating system's socket buffer in each direction. */
   private static final int SOCKET_BUFFER_BYTES = 1 << 20;
 
-  /** Takes received datagrams, on the event loop's thread. */
+  /** Handles received datagrams on the event loop's thread. */
   @FunctionalInterface
   public interface Receiver {
     /**
-     * Takes one.
+     * Handles a received datagram.
      *
      * @param from the sender's address as host:port
      */
@@ -47,12 +48,14 @@
   private final AtomicLong unsent = new AtomicLong();
 
   /**
-   * Binds the socket; datagrams are received from then on.
+   * Binds the socket and starts to receive datagrams.
    *
-   * @param localAddress host:port, the host as an IP address
-   * @param maxBytes of a datagram; a longer one is received cut to one byte more than this
+   * @param localAddress the address to bind as host:port, the host as an IP address
+   * @param maxBytes the maximum size of a datagram; a longer one is truncated to one byte more than
+   *     this, so that the receiver can detect it
    * @param eventLoop runs tasks on the event loop's thread
-   * @throws IOException if the address is malformed or can't be bound, in words for the operator
+   * @throws IOException if the address is malformed or can't be bound; the message is shown to the
+   *     operator
    */
   public Datagrams(
       String localAddress, int maxBytes, Consumer<Runnable> eventLoop, Receiver receiver)
@@ -61,7 +64,7 @@
     this.receiver = receiver;
     this.localAddress = Addresses.parse(localAddress);
     if (this.localAddress == null) {
-      throw new IOException("not an address with a port: " + localAddress);
+      throw new IOException("expected an IP address and port (host:port), got " + localAddress);
     }
     socket.getSessionConfig().setReadBufferSize(maxBytes + 1);
     socket.getSessionConfig().setReceiveBufferSize(SOCKET_BUFFER_BYTES);
@@ -79,10 +82,10 @@
   }
 
   /**
-   * Sends a datagram without waiting; it may be lost, and nobody is notified.
+   * Sends a datagram without waiting. It may be lost without notification.
    *
-   * @param to host:port, the host as an IP address
-   * @return false if that is no address, or the socket is closed
+   * @param to the destination as host:port, the host as an IP address
+   * @return false if the address is malformed or the socket is closed
    */
   public boolean send(String to, byte[] datagram) {
     InetSocketAddress address = addresses.of(to);
@@ -92,19 +95,27 @@
     try {
       socket.newSession(address, localAddress).write(IoBuffer.wrap(datagram));
     } catch (RuntimeException e) {
-      // MINA's own thread makes a session for the sender of a received datagram, and publishes it
-      // before it is ready: what is written in that moment is lost, like any lost on the way.
+      // MINA's own thread creates a session for the sender of a received datagram and publishes it
+      // before it is ready. A write to it at that moment fails, and the datagram is lost, as it
+      // could
+      // be in the network.
       unsent.incrementAndGet();
     }
     return true;
   }
 
-  /** Received datagrams that were dropped because too many were queued. For any thread. */
+  /**
+   * Returns the number of received datagrams that were dropped because too many were queued. May be
+   * called by any thread.
+   */
   public long dropped() {
     return dropped.get();
   }
 
-  /** Datagrams that could not be handed to the socket. For any thread. */
+  /**
+   * Returns the number of datagrams that could not be passed to the socket. May be called by any
+   * thread.
+   */
   public long unsent() {
     return unsent.get();
   }
@@ -135,7 +146,7 @@
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-      // A datagram that could not be sent is lost, like any that is lost on the way.
+      // A datagram that could not be sent is lost, as it could be in the network.
     }
   }
 }
--- a/peering/src/main/java/tillerlink/peering/io/RecentSessions.java
+++ b/peering/src/main/java/tillerlink/peering/io/RecentSessions.java
@@ -8,10 +8,10 @@
 import org.apache.mina.core.session.IoSessionRecycler;
 
 /**
- * MINA's sessions, one for each address that datagrams were sent to or came from. Bounds the memory
- * that datagrams from ever new addresses take: the least recently used session is closed.
+ * A bounded cache of MINA sessions, one for each remote address. It closes the least recently used
+ * session when it is full, so that datagrams from many different addresses can't exhaust memory.
  *
- * <p>Used by the event loop's thread and by MINA's; guarded by a lock.
+ * <p>Used by the event loop's thread and by MINA's thread; guarded by a lock.
  */
 final class RecentSessions implements IoSessionRecycler {
   static final int MAX_SESSIONS = 2048;
--- a/peering/src/main/java/tillerlink/peering/storage/Change.java
+++ b/peering/src/main/java/tillerlink/peering/storage/Change.java
@@ -1,16 +1,17 @@
 package tillerlink.peering.storage;
 
 /**
- * A change of the store that is to be written.
+ * A change of the store that is queued for writing.
  *
- * @param value null removes the name
- * @param onDurable null if the caller does not want to be notified
+ * @param name the key of the entry
+ * @param value the new value, or null to remove the entry
+ * @param onDurable run when the change is durable; null for no notification
  */
 record Change(String name, byte[] value, Runnable onDurable) {
-  /** Counted for each name beside its own length and its value's. */
+  /** The overhead that is counted for each entry in addition to its name and its value. */
   private static final int OVERHEAD_BYTES = 64;
 
-  /** What the change takes in the queue; what a name and its value take in the store. */
+  /** Returns the bytes that the change counts for in the queue and its entry in the store. */
   int bytes() {
     return entryBytes(name, value);
   }
--- a/peering/src/main/java/tillerlink/peering/storage/DisabledKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DisabledKeyValueStore.java
@@ -4,7 +4,7 @@
 import java.util.NavigableMap;
 import tillerlink.cluster.KeyValueStore;
 
-/** Stands in where the operator configured no directory: refuses every change. */
+/** An empty store that refuses every change, for gateways without a configured directory. */
 public final class DisabledKeyValueStore implements KeyValueStore {
   @Override
   public NavigableMap<String, byte[]> initialEntries() {
--- a/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/DiskKeyValueStore.java
@@ -19,29 +19,34 @@
 import tillerlink.store.RecoveryReport;
 
 /**
- * A gateway's store of shared state on disk. Changes are written by a thread of their own in the
- * order in which they were made, so that earlier ones are durable no later. After a fault of the
- * disk all changes are refused. Used by the event loop's thread.
+ * A gateway's store of shared state on disk. A separate thread writes changes in the order in which
+ * they were made, so that a change is never durable before an earlier one. After a disk failure all
+ * changes are refused. Used by the event loop's thread.
  */
 public final class DiskKeyValueStore implements KeyValueStore, Closeable {
   /**
-   * Bound of all names and values together. The store reads no file of more than 256 MB, so neither
-   * a snapshot nor a segment may come near that.
+   * The maximum total size of all names and values in bytes. The store can't read a file of more
+   * than 256 MB, so snapshots and segments must stay well below that size.
    */
   public static final long MAX_BYTES = 192L << 20;
 
-  /** Bounds of the segment length, which is otherwise a quarter of the store's bound. */
+  /** The minimum segment length, which is otherwise a quarter of the store's size limit. */
   private static final long MIN_SEGMENT_BYTES = 1 << 20;
 
+  /** The maximum segment length. */
   private static final long MAX_SEGMENT_BYTES = 1 << 26;
+
   private static final int SEGMENTS_PER_STORE = 4;
 
-  /** The table's bound lies above the store's own, which counts in another way. */
+  /**
+   * The difference between the size limits of the table and of this store. The table's limit is
+   * higher because the two count sizes differently.
+   */
   private static final long TABLE_RESERVE_BYTES = MIN_SEGMENT_BYTES << 1;
 
   private static final int MAX_NAME_LENGTH = 512;
 
-  /** Tells the store of shared state from others of the same gateway. */
+  /** Distinguishes the store of shared state from other stores of the same gateway. */
   private static final long OWNER_KIND = 2;
 
   private static final Logger LOG = LoggerFactory.getLogger(DiskKeyValueStore.class);
@@ -50,7 +55,7 @@
   private final NavigableMap<String, byte[]> initialEntries;
   private final OrderedWriter writer;
 
-  /** What each name and its value take. */
+  /** The counted bytes of each entry by name. */
   private final Map<String, Integer> entryBytes = new HashMap<>();
 
   private long totalBytes;
@@ -66,10 +71,11 @@
    * Opens the store in a directory.
    *
    * @param owner the gateway's name; a directory copied from another gateway is refused
-   * @param maxBytes of all names and values together; {@link #MAX_BYTES} at most
+   * @param maxBytes the maximum total size of all names and values; a value above {@link
+   *     #MAX_BYTES} is reduced to it
    * @param eventLoop runs tasks on the event loop's thread
-   * @throws IOException if the store can't be used, as when another process has it or it belongs to
-   *     another gateway; nothing was changed then
+   * @throws IOException if the store can't be used, for example because another process has locked
+   *     it or it belongs to another gateway; the files are unchanged then
    */
   public static DiskKeyValueStore open(
       Path directory, String owner, long maxBytes, Consumer<Runnable> eventLoop)
@@ -105,7 +111,17 @@
   @Override
   public boolean set(String name, byte[] value, Runnable onDurable) {
     if (name.length() > MAX_NAME_LENGTH || (value != null && value.length > MAX_VALUE_BYTES)) {
-      throw new IllegalArgumentException("more than can be kept: " + name);
+      throw new IllegalArgumentException(
+          "entry "
+              + name
+              + " has a name of "
+              + name.length()
+              + " characters and a value of "
+              + (value == null ? 0 : value.length)
+              + " bytes, expected at most "
+              + MAX_NAME_LENGTH
+              + " and "
+              + MAX_VALUE_BYTES);
     }
     Change change = new Change(name, value, onDurable);
     long bytesAfter = totalBytes + change.bytes() - entryBytes.getOrDefault(name, 0);
@@ -123,12 +139,15 @@
     totalBytes += bytes - (previous == null ? 0 : previous);
   }
 
-  /** Whether the disk failed. For any thread. */
+  /** Returns whether the disk has failed. May be called by any thread. */
   public boolean hasFailed() {
     return writer.hasFailed();
   }
 
-  /** Writes what is queued, as far as the disk allows within two seconds, and closes the files. */
+  /**
+   * Waits up to two seconds for the queued changes to be written, and closes the files. If writing
+   * has not ended by then, the files stay open.
+   */
   @Override
   public void close() throws IOException {
     writer.close();
--- a/peering/src/main/java/tillerlink/peering/storage/OrderedWriter.java
+++ b/peering/src/main/java/tillerlink/peering/storage/OrderedWriter.java
@@ -11,11 +11,10 @@
 import tillerlink.store.DurableTable;
 
 /**
- * Writes changes to a table in the order in which they were queued, on a thread of its own: all
- * that are queued are written and synced together. After a fault of the disk nothing more is
- * written.
+ * Writes changes to a table in the order in which they were queued. A separate thread writes and
+ * syncs all queued changes as one batch. After a disk failure it writes nothing more.
  *
- * <p>The writer owns its thread and, from then on, the table. The queue is guarded by this object's
+ * <p>The writer owns its thread and, once created, the table. The queue is guarded by this object's
  * monitor.
  */
 final class OrderedWriter implements Closeable {
@@ -33,7 +32,7 @@
   private boolean failed;
 
   /**
-   * Starts the thread.
+   * Creates the writer and starts its thread.
    *
    * @param eventLoop runs callbacks on the event loop's thread
    */
@@ -45,7 +44,7 @@
   }
 
   /**
-   * Queues a change; does not wait for the disk.
+   * Queues a change without waiting for the disk.
    *
    * @return false if the queue is full, the disk has failed or the writer is closing
    */
@@ -83,7 +82,11 @@
     }
   }
 
-  /** Waits for changes and takes all that are queued; null once the writer is closed. */
+  /**
+   * Waits for changes and removes all queued ones from the queue.
+   *
+   * @return the changes in order, or null if the queue is empty and the writer is closing
+   */
   private synchronized List<Change> takeBatch() throws InterruptedException {
     while (queue.isEmpty() && !closing) {
       wait();
@@ -108,10 +111,13 @@
 
   private synchronized void fail() {
     failed = true;
-    LOG.error("the disk failed: shared state is not persisted any more");
+    LOG.error("the disk failed: shared state is no longer persisted");
   }
 
-  /** Writes what is queued, as far as the disk allows within two seconds, and closes the table. */
+  /**
+   * Waits up to two seconds for the queued changes to be written, and closes the table. If writing
+   * has not ended by then, the table stays open.
+   */
   @Override
   public void close() throws IOException {
     synchronized (this) {
--- a/peering/src/main/java/tillerlink/peering/storage/PrefixedKeyValueStore.java
+++ b/peering/src/main/java/tillerlink/peering/storage/PrefixedKeyValueStore.java
@@ -6,13 +6,13 @@
 import tillerlink.cluster.KeyValueStore;
 
 /**
- * One component's part of a store: the component's name and a slash stand before each of its names
- * there, which the component does not see.
+ * One component's part of a shared store. Each of the component's keys is stored with the
+ * component's name and a slash as a prefix, which the component does not see.
  */
 public final class PrefixedKeyValueStore implements KeyValueStore {
   private static final char SEPARATOR = '/';
 
-  /** Sorts right after the separator. */
+  /** The character after the separator, for the exclusive upper bound of the key range. */
   private static final char AFTER_SEPARATOR = SEPARATOR + 1;
 
   private final KeyValueStore store;
@@ -20,7 +20,9 @@
   private final NavigableMap<String, byte[]> initialEntries;
 
   /**
-   * @param component no other component's name, and the same after a restart
+   * Creates a view of the component's part of a store.
+   *
+   * @param component the component's name; unique, and the same after a restart
    */
   public PrefixedKeyValueStore(KeyValueStore store, String component) {
     this.store = store;
