--- a/peering/src/main/java/tillerlink/peering/channels/AppendRequestParser.java
+++ b/peering/src/main/java/tillerlink/peering/channels/AppendRequestParser.java
@@ -15,7 +15,7 @@
 import tillerlink.peering.json.JsonBody;
 import tillerlink.peering.json.MalformedRequestException;
 
-/** Parses the body of a client's append, which is one JSON object. */
+/** Parses the body of a client's append request, which is one JSON object. */
 final class AppendRequestParser {
   private static final JsonFactory JSON = new JsonFactory();
 
@@ -28,10 +28,11 @@
   private AppendRequestParser() {}
 
   /**
-   * Parses a body.
+   * Parses the body of an append request.
    *
-   * @param key the client's operation key, empty for none
-   * @throws MalformedRequestException if it is not an event that can be appended
+   * @param key the client's operation key, or an empty string if there is none
+   * @throws MalformedRequestException if the body is not a valid event; the message is sent to the
+   *     client
    */
   static AppendRequest parse(byte[] body, String key) {
     AppendRequestParser fields = new AppendRequestParser();
@@ -81,14 +82,14 @@
   }
 
   private static Kind readKind(JsonParser json, String name) throws IOException {
-    String word = readText(json, name);
+    String kindName = readText(json, name);
     for (Kind kind : Kind.values()) {
-      if (JsonBody.word(kind).equals(word)) {
+      if (JsonBody.lowerCaseName(kind).equals(kindName)) {
         return kind;
       }
     }
     throw new MalformedRequestException(
-        "'" + word + "' is no kind: cue, correction, retraction, air or note");
+        "'" + kindName + "' is no kind: cue, correction, retraction, air or note");
   }
 
   private static List<Dot> readSeen(JsonParser json, String name) throws IOException {
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelResponses.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelResponses.java
@@ -11,7 +11,7 @@
 import tillerlink.net.wire.HttpResponse;
 import tillerlink.peering.json.JsonBody;
 
-/** The responses to requests about the logs of channels. */
+/** Creates the responses to requests for the logs of channels. */
 final class ChannelResponses {
   private static final int TENTHS_PER_MS = 10;
   private static final long UNKNOWN_RETRY_MS = 1000;
@@ -22,15 +22,19 @@
     return new HttpResponse(200, JsonBody.object(fields), 0, false);
   }
 
-  private static HttpResponse problem(int status, String problem, String words, long retryAfterMs) {
-    return new HttpResponse(status, JsonBody.problem(problem, words), retryAfterMs, false);
+  private static HttpResponse problem(
+      int status, String problem, String explanation, long retryAfterMs) {
+    return new HttpResponse(status, JsonBody.problem(problem, explanation), retryAfterMs, false);
   }
 
-  static HttpResponse malformed(String words) {
-    return problem(400, "Malformed", words, 0);
+  static HttpResponse malformed(String explanation) {
+    return problem(400, "Malformed", explanation, 0);
   }
 
-  /** An append that did not become durable in time; it may still do. */
+  /**
+   * Creates the response to an append that did not become durable in time. It may become durable
+   * later.
+   */
   static HttpResponse appendOutcomeUnknown() {
     return problem(503, "Unknown", "it is not kept yet; ask again with its key", UNKNOWN_RETRY_MS);
   }
@@ -73,7 +77,7 @@
     json.writeNumberField("index", line.index());
     json.writeStringField("id", entry.dot().text());
     json.writeBooleanField("stable", line.stable());
-    json.writeStringField("kind", JsonBody.word(entry.kind()));
+    json.writeStringField("kind", JsonBody.lowerCaseName(entry.kind()));
     json.writeStringField("site", entry.site());
     json.writeStringField("gateway", entry.gateway());
     json.writeNumberField("written_ms", entry.millis());
@@ -125,7 +129,8 @@
     json.writeStringField("text", cue.text());
     json.writeBooleanField("retracted", cue.isRetracted());
     writeAirTime(json, cue.airsAt());
-    JsonBody.writeStrings(json, "flags", cue.flags().stream().map(JsonBody::word).toList());
+    JsonBody.writeStrings(
+        json, "flags", cue.flags().stream().map(JsonBody::lowerCaseName).toList());
     json.writeArrayFieldStart("versions");
     for (Cue.Version version : cue.versions()) {
       json.writeStartObject();
--- a/peering/src/main/java/tillerlink/peering/channels/ChannelsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/channels/ChannelsHttpHandler.java
@@ -11,7 +11,7 @@
 import tillerlink.peering.json.MalformedRequestException;
 
 /**
- * The logs of channels, for clients: {@code POST /v1/channels/NAME}, {@code GET
+ * The HTTP interface to the logs of channels. It handles {@code POST /v1/channels/NAME}, {@code GET
  * /v1/channels/NAME/log/FROM}, {@code GET /v1/channels/NAME/cues} and {@code GET /v1/channels}.
  */
 public final class ChannelsHttpHandler implements HostedComponent {
@@ -22,12 +22,13 @@
   private static final int MAX_PAGE_BYTES = 200_000;
 
   /**
-   * Tenths of a millisecond after which an append that is not durable yet is answered as unknown;
-   * sent again with its key it is the same event.
+   * The time in tenths of a millisecond after which an append that is not durable yet is answered
+   * with an unknown outcome. A client can safely repeat it with the same operation key, because it
+   * is then the same event.
    */
   private static final long APPEND_TIMEOUT = 100_000;
 
-  /** The client's connection for an append that is not durable yet; answers it once. */
+  /** An append that is not durable yet. It is answered at most once. */
   private static final class PendingAppend {
     private final long deadline;
     private final GatewayExtension.Reply reply;
@@ -48,7 +49,7 @@
 
   private final Channels channels;
 
-  /** In the order of their deadlines. */
+  /** The unanswered appends in the order of their deadlines. */
   private final ArrayDeque<PendingAppend> pendingAppends = new ArrayDeque<>();
 
   ChannelsHttpHandler(Channels channels) {
@@ -134,9 +135,9 @@
     answerOverdueAppends(now);
   }
 
-  private void answerOverdueAppends(long due) {
+  private void answerOverdueAppends(long dueBy) {
     while (!pendingAppends.isEmpty()
-        && (pendingAppends.peek().answered || pendingAppends.peek().deadline <= due)) {
+        && (pendingAppends.peek().answered || pendingAppends.peek().deadline <= dueBy)) {
       pendingAppends.poll().answer(ChannelResponses.appendOutcomeUnknown());
     }
   }
--- a/peering/src/main/java/tillerlink/peering/channels/HostedChannels.java
+++ b/peering/src/main/java/tillerlink/peering/channels/HostedChannels.java
@@ -8,22 +8,22 @@
 import tillerlink.peering.component.ComponentFactory;
 import tillerlink.peering.component.HostedComponent;
 
-/** Makes the component that holds the logs of channels. */
+/** Creates the component that stores the logs of channels. */
 public final class HostedChannels implements ComponentFactory {
   /** The component's number in messages between gateways. */
   public static final int NUMBER = 2;
 
-  /** The component's name on disk. */
+  /** The component's key prefix in the store on disk. */
   public static final String NAME = "channels";
 
   private static final Logger LOG = LoggerFactory.getLogger(HostedChannels.class);
   private static final long TENTHS_PER_MS = 10;
 
-  private final ChannelLogConfig terms;
+  private final ChannelLogConfig config;
 
-  /** A factory for channels with these settings. */
-  public HostedChannels(ChannelLogConfig terms) {
-    this.terms = terms;
+  /** Creates a factory for channels with the given configuration. */
+  public HostedChannels(ChannelLogConfig config) {
+    this.config = config;
   }
 
   @Override
@@ -40,7 +40,7 @@
   public HostedComponent create(ComponentContext context) {
     Channels channels =
         new Channels(
-            terms,
+            config,
             context.membership(),
             context.sender(),
             context.store(),
--- a/peering/src/main/java/tillerlink/peering/json/JsonBody.java
+++ b/peering/src/main/java/tillerlink/peering/json/JsonBody.java
@@ -12,16 +12,16 @@
 public final class JsonBody {
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** Writes the fields of an object. */
+  /** Writes the fields of a JSON object. */
   @FunctionalInterface
   public interface FieldsWriter {
-    /** Writes them to the generator, in which the object has begun. */
+    /** Writes the fields to a generator whose current context is the object. */
     void write(JsonGenerator json) throws IOException;
   }
 
   private JsonBody() {}
 
-  /** A body that is one object. */
+  /** Returns a body that consists of one object with the given fields. */
   public static byte[] object(FieldsWriter fields) {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (JsonGenerator json = JSON.createGenerator(bytes)) {
@@ -34,16 +34,21 @@
     return bytes.toByteArray();
   }
 
-  /** A problem with its explanation for people. */
-  public static byte[] problem(String problem, String words) {
+  /**
+   * Returns a body that describes a problem.
+   *
+   * @param problem the machine-readable name of the problem
+   * @param explanation a human-readable explanation
+   */
+  public static byte[] problem(String problem, String explanation) {
     return object(
         json -> {
           json.writeStringField("problem", problem);
-          json.writeStringField("words", words);
+          json.writeStringField("words", explanation);
         });
   }
 
-  /** Writes a field that holds a list of strings. */
+  /** Writes a field whose value is an array of strings. */
   public static void writeStrings(JsonGenerator json, String field, Collection<String> values)
       throws IOException {
     json.writeArrayFieldStart(field);
@@ -54,10 +59,10 @@
   }
 
   /**
-   * The word that stands for a constant in requests and responses: its name in lower case. The
-   * names of constants that are printed so are therefore part of the HTTP interface.
+   * Returns the name of a constant in lower case, as it appears in requests and responses. The
+   * names of constants that are written in this way are therefore part of the HTTP interface.
    */
-  public static String word(Enum<?> constant) {
+  public static String lowerCaseName(Enum<?> constant) {
     return constant.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/peering/src/main/java/tillerlink/peering/json/MalformedRequestException.java
+++ b/peering/src/main/java/tillerlink/peering/json/MalformedRequestException.java
@@ -1,20 +1,24 @@
 package tillerlink.peering.json;
 
-/** The body of a client's request can't be used; the message says why, in words for the client. */
+/** Indicates an invalid client request; the message gives the reason and is sent to the client. */
 public final class MalformedRequestException extends IllegalArgumentException {
   private static final long serialVersionUID = 1L;
 
-  /** A body that is not of the wanted form. */
+  /** Creates an exception for a request that does not have the expected form. */
   public MalformedRequestException(String message) {
     super(message);
   }
 
-  /** A body that can't be parsed. */
+  /** Creates an exception for a body that can't be parsed. */
   public MalformedRequestException(String message, Throwable cause) {
     super(message, cause);
   }
 
-  /** Throws unless the condition holds. */
+  /**
+   * Checks a condition on a request.
+   *
+   * @throws MalformedRequestException if the condition is false
+   */
   public static void require(boolean condition, String message) {
     if (!condition) {
       throw new MalformedRequestException(message);
--- a/peering/src/main/java/tillerlink/peering/members/MembersHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/members/MembersHttpHandler.java
@@ -13,14 +13,15 @@
 import tillerlink.peering.json.JsonBody;
 
 /**
- * The members of the fleet, for operators: {@code GET /v1/members}. The names of {@link
- * tillerlink.cluster.Reachability} and {@link Refusal} are part of its JSON.
+ * The HTTP interface that lists the members of the fleet for operators. It handles {@code GET
+ * /v1/members}. The names of the constants of {@link tillerlink.cluster.Reachability} and {@link
+ * Refusal} are part of its JSON format.
  */
 public final class MembersHttpHandler implements HostedComponent {
   /** The component's number in messages between gateways. */
   public static final int NUMBER = 1;
 
-  /** The component's name on disk. */
+  /** The component's key prefix in the store on disk. */
   public static final String NAME = "members";
 
   private static final String PATH = "/v1/members";
@@ -29,7 +30,9 @@
   private final Map<Refusal, Long> refused;
 
   /**
-   * @param refused a live view of how many datagrams were refused, by reason
+   * Creates the handler.
+   *
+   * @param refused a live view of the number of refused datagrams by reason
    */
   public MembersHttpHandler(Members members, Map<Refusal, Long> refused) {
     this.members = members;
--- a/peering/src/main/java/tillerlink/peering/statements/JsonRequestReader.java
+++ b/peering/src/main/java/tillerlink/peering/statements/JsonRequestReader.java
@@ -14,8 +14,8 @@
 import tillerlink.peering.json.MalformedRequestException;
 
 /**
- * Reads a JSON object field by field, within bounds. All methods throw {@link
- * MalformedRequestException} at what is not of the wanted form.
+ * Reads a JSON object field by field with limits on its size. All methods throw {@link
+ * MalformedRequestException} if the input does not have the expected form.
  */
 final class JsonRequestReader {
   private static final int MAX_ITEMS = 256;
@@ -31,11 +31,11 @@
                   .build())
           .build();
 
-  /** Takes the value of a field. */
+  /** Reads the value of a field. */
   @FunctionalInterface
   interface FieldReader {
     /**
-     * Reads the value at which the parser stands.
+     * Reads the value at the parser's current token.
      *
      * @return false if the object has no field of that name
      */
@@ -49,7 +49,7 @@
 
   private JsonRequestReader() {}
 
-  /** Reads a body that is exactly one object. */
+  /** Reads a body that consists of exactly one object. */
   static void readObject(byte[] body, FieldReader fields) {
     try (JsonParser json = JSON.createParser(body)) {
       require(json.nextToken() == JsonToken.START_OBJECT, "an object is wanted");
@@ -82,7 +82,7 @@
     return json.getText();
   }
 
-  /** A whole number from 0 to {@code max}. */
+  /** Reads an integer from 0 to {@code max}. */
   static long readNumber(JsonParser json, long max) throws IOException {
     boolean fits =
         json.currentToken() == JsonToken.VALUE_NUMBER_INT
@@ -101,7 +101,7 @@
     readList(json, () -> numbers.add((int) readNumber(json, max)));
   }
 
-  /** Reads a list of scalar values as texts; null stands for itself. */
+  /** Reads a list of scalar values as strings; a JSON null is added as null. */
   static void readScalars(JsonParser json, List<String> values) throws IOException {
     readList(
         json,
@@ -113,15 +113,15 @@
         });
   }
 
-  private static void readList(JsonParser json, ItemReader items) throws IOException {
+  private static void readList(JsonParser json, ItemReader itemReader) throws IOException {
     require(json.currentToken() == JsonToken.START_ARRAY, "a list is wanted");
     for (int count = 1; json.nextToken() != JsonToken.END_ARRAY; count++) {
       require(count <= MAX_ITEMS, "lists: no more than " + MAX_ITEMS);
-      items.readItem();
+      itemReader.readItem();
     }
   }
 
-  /** Reads the old and new names of a change. */
+  /** Reads the renames of a schema change as a map from the old name to the new name. */
   static void readRenames(JsonParser json, Map<String, String> renames) throws IOException {
     require(json.currentToken() == JsonToken.START_OBJECT, "renamed: an object is wanted");
     while (json.nextToken() == JsonToken.FIELD_NAME) {
--- a/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
+++ b/peering/src/main/java/tillerlink/peering/statements/RunGuard.java
@@ -7,8 +7,9 @@
 import tillerlink.statements.run.Prepared;
 
 /**
- * Checked before and after each attempt of a prepared run is written: whether the statement may
- * still run as it was prepared. Used by the event loop's thread.
+ * The guard of a run of a prepared statement. It is checked before and after each attempt is
+ * written, and holds while the statement may still run as it was prepared. Used by the event loop's
+ * thread.
  */
 final class RunGuard implements GatewayExtension.Guard {
   private final Statements statements;
@@ -22,7 +23,10 @@
     this.clock = clock;
   }
 
-  /** Reads the clock anew, since the process may have been paused. */
+  /**
+   * Returns whether the statement may still run as it was prepared. Reads the clock at each call,
+   * because the process may have been paused since the last one.
+   */
   @Override
   public boolean holds() {
     if (statements.checkRun(clock.getAsLong(), prepared) instanceof Permission.Denied denied) {
@@ -32,7 +36,11 @@
     return true;
   }
 
-  /** Tenths of a millisecond; as of the last check that failed. */
+  /**
+   * Returns the time after which the client should retry, as of the last failed check.
+   *
+   * @return tenths of a millisecond; 0 for no advice
+   */
   @Override
   public long retryAfter() {
     return retryAfter;
--- a/peering/src/main/java/tillerlink/peering/statements/StatementRequestParser.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementRequestParser.java
@@ -14,25 +14,25 @@
 import tillerlink.peering.json.MalformedRequestException;
 
 /**
- * Parses the bodies of clients' requests. All methods throw {@link MalformedRequestException} at
- * what they can't use.
+ * Parses the bodies of clients' requests for statements and schemas. All methods throw {@link
+ * MalformedRequestException} if a body is invalid.
  */
 final class StatementRequestParser {
   private static final long ANY_GENERATION = -1;
 
   /**
-   * A statement to prepare.
+   * A request to prepare a statement.
    *
-   * @param replaces the generation that is to be replaced, 0 if the name must be free, -1 if it
-   *     doesn't matter
+   * @param replaces the generation to be replaced, 0 if no statement may have the name, -1 if any
+   *     generation may be replaced
    */
   record Preparation(Definition definition, long replaces) {}
 
   /**
-   * A prepared statement to run.
+   * A request to run a prepared statement.
    *
-   * @param values of its parameters; null stands for SQL's null
-   * @param minGeneration the earliest generation to run, 0 if it doesn't matter
+   * @param values the values of the statement's parameters; a null element is an SQL null
+   * @param minGeneration the earliest generation that may run, 0 for any generation
    */
   record Run(List<String> values, long minGeneration) {}
 
@@ -45,9 +45,9 @@
   }
 
   /**
-   * Parses a change of schemas.
+   * Parses a schema change.
    *
-   * @param group the table group that the path names; the body may name more
+   * @param group the table group in the request's path; the body may name additional groups
    */
   static Change parseChange(int group, byte[] body) {
     ChangeFields fields = new ChangeFields(group);
@@ -93,7 +93,7 @@
 
     Preparation toPreparation(String name) {
       List<ParameterType> parameters =
-          types.stream().map(word -> constant(ParameterType.class, "parameters", word)).toList();
+          types.stream().map(type -> constant(ParameterType.class, "parameters", type)).toList();
       Definition definition =
           new Definition(
               name,
@@ -106,14 +106,15 @@
       return new Preparation(definition, replaces);
     }
 
-    private static <E extends Enum<E>> E constant(Class<E> type, String field, String word) {
+    private static <E extends Enum<E>> E constant(Class<E> type, String field, String value) {
       for (E constant : type.getEnumConstants()) {
-        if (JsonBody.word(constant).equals(word)) {
+        if (JsonBody.lowerCaseName(constant).equals(value)) {
           return constant;
         }
       }
-      List<String> words = Stream.of(type.getEnumConstants()).map(JsonBody::word).toList();
-      throw new MalformedRequestException(field + ": " + String.join(", ", words));
+      List<String> expected =
+          Stream.of(type.getEnumConstants()).map(JsonBody::lowerCaseName).toList();
+      throw new MalformedRequestException(field + ": " + String.join(", ", expected));
     }
   }
 
--- a/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementResponses.java
@@ -13,7 +13,7 @@
 import tillerlink.statements.catalog.Outcome;
 import tillerlink.statements.run.Permission;
 
-/** The responses to requests about prepared statements and schemas. */
+/** Creates the responses to requests for prepared statements and schemas. */
 final class StatementResponses {
   private static final long TENTHS_PER_MS = 10;
   private static final long UNKNOWN_RETRY_MS = 1000;
@@ -24,14 +24,14 @@
     return new HttpResponse(200, JsonBody.object(fields), 0, false);
   }
 
-  static HttpResponse problem(int status, String problem, String words, long retryAfterMs) {
-    return new HttpResponse(status, JsonBody.problem(problem, words), retryAfterMs, false);
+  static HttpResponse problem(int status, String problem, String explanation, long retryAfterMs) {
+    return new HttpResponse(status, JsonBody.problem(problem, explanation), retryAfterMs, false);
   }
 
   /**
-   * What became of a change of the catalog.
+   * Creates the response for the outcome of a change of the catalog.
    *
-   * @param field names the outcome's number
+   * @param field the name of the JSON field for the outcome's number
    */
   static HttpResponse outcome(Outcome outcome, String field) {
     return switch (outcome.verdict()) {
@@ -41,16 +41,16 @@
     };
   }
 
-  static HttpResponse rejected(Permission.Denied refusal) {
+  static HttpResponse rejected(Permission.Denied denied) {
     String problem =
-        switch (refusal.reason()) {
+        switch (denied.reason()) {
           case OTHER -> "Other";
           case INVALID -> "Invalid";
           case ANEW, CHANGING -> "Changing";
           case UNKNOWN -> "NoLease";
         };
-    int status = refusal.retryAfter() > 0 ? 503 : 409;
-    return problem(status, problem, refusal.message(), toMillisRoundedUp(refusal.retryAfter()));
+    int status = denied.retryAfter() > 0 ? 503 : 409;
+    return problem(status, problem, denied.message(), toMillisRoundedUp(denied.retryAfter()));
   }
 
   private static long toMillisRoundedUp(long tenths) {
@@ -63,17 +63,19 @@
         json -> {
           json.writeStringField("name", definition.name());
           json.writeNumberField("generation", entry.generation());
-          json.writeStringField("state", JsonBody.word(entry.state()));
+          json.writeStringField("state", JsonBody.lowerCaseName(entry.state()));
           if (entry.change() != 0) {
             json.writeNumberField("change", entry.change());
           }
           json.writeStringField("text", definition.text());
           JsonBody.writeStrings(
-              json, "parameters", definition.parameters().stream().map(JsonBody::word).toList());
+              json,
+              "parameters",
+              definition.parameters().stream().map(JsonBody::lowerCaseName).toList());
           writeVersions(json, entry.versions());
           JsonBody.writeStrings(json, "uses", definition.uses());
           json.writeStringField("track", definition.requestClass());
-          json.writeStringField("effect", JsonBody.word(definition.effect()));
+          json.writeStringField("effect", JsonBody.lowerCaseName(definition.effect()));
         });
   }
 
@@ -87,9 +89,10 @@
   }
 
   /**
-   * The schema of a table group.
+   * Creates the response that describes the schema of a table group.
    *
-   * @param now tenths of a millisecond, by the clock of the leases
+   * @param now the current time of the clock that leases are measured with, in tenths of a
+   *     millisecond
    */
   static HttpResponse schema(SchemaState schema, long now) {
     return ok(
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
@@ -16,15 +16,15 @@
 import tillerlink.statements.run.Prepared;
 
 /**
- * Prepared statements for clients: {@code POST}, {@code DELETE} and {@code GET
- * /v1/statements/NAME}, the same under {@code /v1/schemas/GROUP}, and {@code POST /v1/run/NAME}
- * with the headers of a request.
+ * The HTTP interface to prepared statements. It handles {@code POST}, {@code DELETE} and {@code
+ * GET} of {@code /v1/statements/NAME}, the same methods of {@code /v1/schemas/GROUP}, and {@code
+ * POST /v1/run/NAME} with the headers of a request.
  */
 public final class StatementsHttpHandler implements HostedComponent {
   /** The component's number in messages between gateways. */
   public static final int NUMBER = 3;
 
-  /** The component's name on disk. */
+  /** The component's key prefix in the store on disk. */
   public static final String NAME = "statements";
 
   private static final String STATEMENTS_PATH = "/v1/statements/";
@@ -40,9 +40,10 @@
   private final LongSupplier clock;
   private final boolean fence;
 
-  /** The index of the catalog's last entry, and the count of leases lost, at the last recheck. */
+  /** The index of the catalog's last applied entry at the last recheck. */
   private long checkedIndex;
 
+  /** The number of lost leases at the last recheck. */
   private long checkedLeaseLosses;
 
   StatementsHttpHandler(
@@ -106,7 +107,7 @@
         onRunRequest(request, path.substring(RUN_PATH.length()), reply);
       }
     } catch (IllegalArgumentException e) {
-      // A malformed body, or values that a statement does not take.
+      // The body is malformed, or the statement does not accept the given values.
       reply.answer(StatementResponses.problem(400, "Malformed", e.getMessage(), 0));
     }
   }
@@ -145,9 +146,9 @@
   // ---- schemas ----
 
   private void onSchemaRequest(
-      long now, HttpRequest request, String rest, GatewayExtension.Reply reply) {
-    int slash = rest.indexOf('/');
-    String digits = slash < 0 ? rest : rest.substring(0, slash);
+      long now, HttpRequest request, String pathRest, GatewayExtension.Reply reply) {
+    int slash = pathRest.indexOf('/');
+    String digits = slash < 0 ? pathRest : pathRest.substring(0, slash);
     int group = (int) parseNumber("group", digits, MAX_GROUP_DIGITS);
     switch (request.method()) {
       case POST -> {
@@ -155,14 +156,20 @@
         statements.announce(
             now, change, outcome -> reply.answer(StatementResponses.outcome(outcome, "change")));
       }
-      case DELETE -> withdrawChange(now, group, slash < 0 ? "" : rest.substring(slash + 1), reply);
+      case DELETE ->
+          withdrawChange(now, group, slash < 0 ? "" : pathRest.substring(slash + 1), reply);
       case GET ->
           reply.answer(StatementResponses.schema(statements.schema(group), clock.getAsLong()));
       default -> reply.answer(HttpResponse.problem(405, "Method", 0));
     }
   }
 
-  /** Without a number it is the one change that waits; of several, one has to be named. */
+  /**
+   * Withdraws a waiting schema change of a table group.
+   *
+   * @param number the number of the change; empty for the only waiting change, which is refused
+   *     unless exactly one waits
+   */
   private void withdrawChange(long now, int group, String number, GatewayExtension.Reply reply) {
     SchemaState schema = statements.schema(group);
     if (number.isEmpty() && schema.waiting().size() != 1) {
@@ -178,12 +185,12 @@
         now, change, outcome -> reply.answer(StatementResponses.outcome(outcome, "change")));
   }
 
-  private static long parseNumber(String what, String digits, int maxDigits) {
+  private static long parseNumber(String field, String digits, int maxDigits) {
     MalformedRequestException.require(
         !digits.isEmpty()
             && digits.length() <= maxDigits
             && digits.chars().allMatch(digit -> digit >= '0' && digit <= '9'),
-        what + ": a number is wanted");
+        field + ": a number is wanted");
     return Long.parseLong(digits);
   }
 
@@ -208,8 +215,8 @@
     }
     Prepared prepared = statement.get();
     String text = prepared.text(run.values(), fence);
-    if (statements.checkRun(clock.getAsLong(), prepared) instanceof Permission.Denied no) {
-      reply.answer(StatementResponses.rejected(no));
+    if (statements.checkRun(clock.getAsLong(), prepared) instanceof Permission.Denied denied) {
+      reply.answer(StatementResponses.rejected(denied));
       return;
     }
     gateway.submit(
--- a/peering/src/test/java/tillerlink/peering/json/JsonWordsTest.java
+++ b/peering/src/test/java/tillerlink/peering/json/JsonWordsTest.java
@@ -14,12 +14,13 @@
 import tillerlink.statements.catalog.State;
 
 /**
- * Guards the words of the HTTP interface that are made from the names of constants: whoever renames
- * one of these has to give it the old word explicitly.
+ * Guards the values of the HTTP interface that are derived from the names of enum constants. If a
+ * constant is renamed, it must get an attribute that keeps the old value, because clients depend on
+ * it.
  */
 class JsonWordsTest {
-  private static List<String> words(Enum<?>... constants) {
-    return Stream.of(constants).map(JsonBody::word).toList();
+  private static List<String> lowerCaseNames(Enum<?>... constants) {
+    return Stream.of(constants).map(JsonBody::lowerCaseName).toList();
   }
 
   private static List<String> names(Enum<?>... constants) {
@@ -27,16 +28,18 @@
   }
 
   @Test
-  void statementsAreDescribedByTheseWords() {
-    assertEquals(List.of("pure", "receipted", "effectful"), words(RunEffect.values()));
+  void statementConstantsKeepTheirOuterNames() {
+    assertEquals(List.of("pure", "receipted", "effectful"), lowerCaseNames(RunEffect.values()));
     assertEquals(
-        List.of("text", "integer", "decimal", "flag", "day"), words(ParameterType.values()));
-    assertEquals(List.of("ready", "anew", "invalid"), words(State.values()));
+        List.of("text", "integer", "decimal", "flag", "day"),
+        lowerCaseNames(ParameterType.values()));
+    assertEquals(List.of("ready", "anew", "invalid"), lowerCaseNames(State.values()));
   }
 
   @Test
-  void eventsAndCuesAreDescribedByTheseWords() {
-    assertEquals(List.of("cue", "correction", "retraction", "air", "note"), words(Kind.values()));
+  void eventAndCueConstantsKeepTheirOuterNames() {
+    assertEquals(
+        List.of("cue", "correction", "retraction", "air", "note"), lowerCaseNames(Kind.values()));
     assertEquals(
         List.of(
             "concurrent",
@@ -47,11 +50,11 @@
             "air_passed",
             "air_of_retracted",
             "no_cue"),
-        words(Flag.values()));
+        lowerCaseNames(Flag.values()));
   }
 
   @Test
-  void membersAreDescribedByTheseWords() {
+  void memberConstantsKeepTheirOuterNames() {
     assertEquals(
         List.of("REACHABLE", "THROUGH_OTHERS", "SUSPECTED", "GONE", "LEFT"),
         names(Reachability.values()));
