--- a/peering/src/test/java/tillerlink/peering/ChannelsTest.java
+++ b/peering/src/test/java/tillerlink/peering/ChannelsTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.peering.GatewayCluster.TestGateway;
 
-/** Channels over several processes and their HTTP interface. */
+/** Tests channels and their HTTP interface with gateways in several processes. */
 class ChannelsTest {
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   private static String append(GatewayCluster cluster, TestGateway gateway, String json)
       throws InterruptedException {
@@ -19,8 +19,8 @@
   }
 
   @Test
-  void anAppendBecomesStableEverywhereAndSurvivesAKill() throws Exception {
-    try (GatewayCluster cluster = new GatewayCluster(folder)) {
+  void appendsBecomeStableOnAllGatewaysAndSurviveAKill() throws Exception {
+    try (GatewayCluster cluster = new GatewayCluster(directory)) {
       TestGateway n1 = cluster.start("n1", "-", "");
       String seed = "127.0.0.1:" + n1.udp;
       TestGateway n2 = cluster.start("n2", "-", seed);
@@ -38,9 +38,10 @@
       append(cluster, n1, "{\"kind\":\"air\",\"cue\":\"c1\",\"airs_ms\":4000000000000}");
       cluster.start("n3", "-", seed);
       String page =
-          cluster.await(n3, "/v1/channels/news/log/0", it -> it.contains("\"stable\":3,"));
+          cluster.await(n3, "/v1/channels/news/log/0", body -> body.contains("\"stable\":3,"));
       assertEquals(
-          page, cluster.await(n1, "/v1/channels/news/log/0", it -> it.contains("\"stable\":3,")));
+          page,
+          cluster.await(n1, "/v1/channels/news/log/0", body -> body.contains("\"stable\":3,")));
       String cues = cluster.call(n3, "/v1/channels/news/cues", null);
       assertTrue(
           cues.contains(
@@ -53,7 +54,7 @@
 
   @Test
   void malformedAppendsAreRejectedWithAReason() throws Exception {
-    try (GatewayCluster cluster = new GatewayCluster(folder)) {
+    try (GatewayCluster cluster = new GatewayCluster(directory)) {
       TestGateway n1 = cluster.start("n1", "-", "");
       cluster.awaitMembers(n1, "");
       cluster.await(n1, "/v1/channels", state -> state.contains("\"channels\":[]"));
--- a/peering/src/test/java/tillerlink/peering/EchoComponentFactory.java
+++ b/peering/src/test/java/tillerlink/peering/EchoComponentFactory.java
@@ -12,8 +12,8 @@
 import tillerlink.peering.component.HostedComponent;
 
 /**
- * A minimal component: it sends a body to another gateway and back, persists a text, and violates
- * an invariant or throws on request.
+ * Creates a minimal component for tests. It sends a request's body to another gateway and back,
+ * persists a text, and violates an invariant or throws an exception on request.
  */
 final class EchoComponentFactory implements ComponentFactory {
   @Override
@@ -54,12 +54,12 @@
 
     @Override
     public void onRequest(long now, long wall, HttpRequest request, GatewayExtension.Reply reply) {
-      String[] words = request.path().split("/", -1);
-      switch (words[3]) {
+      String[] segments = request.path().split("/", -1);
+      switch (segments[3]) {
         case "send" -> {
           pending[0] = reply;
           byte[] body = Arrays.copyOf(request.body(), request.body().length + 1);
-          context.sender().send(words[4], body);
+          context.sender().send(segments[4], body);
         }
         case "keep" -> {
           if (!context
@@ -73,8 +73,8 @@
         }
         case "found" ->
             reply.answer(ok(context.store().initialEntries().getOrDefault("text", new byte[0])));
-        case "break" -> Invariant.holds(false, () -> "planted,\nto be seen");
-        default -> throw new IllegalStateException("a fault of this part");
+        case "break" -> Invariant.holds(false, () -> "injected fault,\nsecond line");
+        default -> throw new IllegalStateException("exception thrown by the test component");
       }
     }
 
@@ -82,7 +82,7 @@
       return new HttpResponse(200, body, 0, false);
     }
 
-    /** The last byte says whether it comes back. */
+    /** Handles a message; its last byte is 0 on the way there and 1 on the way back. */
     @Override
     public void onMessage(long now, long wall, String from, byte[] body) {
       if (body[body.length - 1] == 0) {
@@ -95,7 +95,7 @@
 
     @Override
     public void tick(long now, long wall) {
-      // Nothing falls due.
+      // The component has no timers.
     }
 
     @Override
@@ -105,7 +105,7 @@
 
     @Override
     public void onPause(long now, long wall, long lasted) {
-      // Nothing of it runs out.
+      // The component has no deadlines.
     }
   }
 }
--- a/peering/src/test/java/tillerlink/peering/GatewayCluster.java
+++ b/peering/src/test/java/tillerlink/peering/GatewayCluster.java
@@ -25,13 +25,13 @@
 import tillerlink.peering.statements.StatementsComponentFactory;
 import tillerlink.policy.DefaultDispatchPolicy;
 
-/** Gateways in processes of their own on loopback; none of them has an engine. */
+/** Runs gateways without engines in separate processes that communicate over loopback. */
 final class GatewayCluster implements AutoCloseable {
   static final int EXIT_CODE_VIOLATION = 70;
   private static final long AWAIT_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(90);
   private static final String LOOPBACK = "127.0.0.1";
 
-  /** One gateway; it keeps its ports over restarts. */
+  /** A gateway process that keeps its ports when it is restarted. */
   static final class TestGateway {
     final String name;
     final int http;
@@ -45,16 +45,20 @@
     }
   }
 
-  private final Path folder;
+  private final Path directory;
   private final HttpClient client =
       HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
   private final Map<String, TestGateway> gateways = new TreeMap<>();
 
-  GatewayCluster(Path folder) {
-    this.folder = folder;
+  GatewayCluster(Path directory) {
+    this.directory = directory;
   }
 
-  /** One process: fleet, site, UDP address, directory, secret or "-", seeds with commas. */
+  /**
+   * Runs one gateway.
+   *
+   * @param args fleet, site, UDP address, directory, secret or "-" for none, comma-separated seeds
+   */
   public static void main(String[] args) throws IOException, InterruptedException {
     PeeringConfig config =
         new PeeringConfig(
@@ -92,9 +96,9 @@
       }
       gateways.put(name, gateway);
     }
-    Path file =
+    Path configFile =
         Files.writeString(
-            folder.resolve(name + ".json"),
+            directory.resolve(name + ".json"),
             "{\"name\":\""
                 + name
                 + "\",\"listen\":\"127.0.0.1:"
@@ -102,7 +106,7 @@
                 + "\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"sockets\":1024},\"resolver\":\"127.0.0.1:9\","
                 + "\"known\":{\"index\":0,\"updates\":[]},\"settings\":{\"tick_us\":5000,\"models\":[\"std\"],\"zones\":[\"east\"],"
                 + "\"family_info\":{\"kind_cores\":[8]},\"profiles\":[]}}");
-    List<String> line =
+    List<String> command =
         new ArrayList<>(
             List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -116,21 +120,21 @@
                 "fleet",
                 "site-" + name,
                 LOOPBACK + ":" + gateway.udp,
-                folder.toString(),
+                directory.toString(),
                 secret,
                 seeds.isEmpty() ? LOOPBACK + ":" + gateway.udp : seeds));
     ProcessBuilder builder =
-        new ProcessBuilder(line)
+        new ProcessBuilder(command)
             .redirectErrorStream(true)
             .redirectOutput(
-                ProcessBuilder.Redirect.appendTo(folder.resolve(name + ".log").toFile()));
-    builder.environment().put("EDGE_CONFIG", file.toString());
+                ProcessBuilder.Redirect.appendTo(directory.resolve(name + ".log").toFile()));
+    builder.environment().put("EDGE_CONFIG", configFile.toString());
     gateway.process = builder.start();
     return gateway;
   }
 
   String log(TestGateway gateway) throws IOException {
-    return Files.readString(folder.resolve(gateway.name + ".log"));
+    return Files.readString(directory.resolve(gateway.name + ".log"));
   }
 
   static void signal(TestGateway gateway, String signal) throws IOException, InterruptedException {
@@ -139,7 +143,7 @@
         .waitFor();
   }
 
-  /** The body of the response; empty if there was none. */
+  /** Sends a request and returns the body of the response, or an empty string if it failed. */
   String call(TestGateway gateway, String path, byte[] body) throws InterruptedException {
     HttpRequest.Builder request =
         HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + gateway.http + path))
@@ -157,7 +161,10 @@
     }
   }
 
-  /** The reachability of all others as one gateway sees it, as in "n2 REACHABLE n3 GONE". */
+  /**
+   * Returns the reachability of all other members as one gateway reports it, for example "n2
+   * REACHABLE n3 GONE".
+   */
   String memberStates(TestGateway gateway) throws InterruptedException {
     String[] members = call(gateway, "/v1/members", null).split("\\{\"name\":\"");
     StringBuilder states = new StringBuilder();
@@ -174,19 +181,25 @@
     return states.toString();
   }
 
-  /** Repeats a request until the body is as expected, however long that takes within reason. */
+  /**
+   * Repeats a request until the body is as expected.
+   *
+   * @param path the path to request, or an empty string for {@link #memberStates}
+   * @return the expected body
+   * @throws AssertionError if the body is not as expected within 90 s
+   */
   String await(TestGateway gateway, String path, Predicate<String> expected)
       throws InterruptedException, IOException {
-    long until = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
+    long deadline = System.nanoTime() + AWAIT_TIMEOUT_NANOS;
     String body = "";
-    while (System.nanoTime() < until) {
+    while (System.nanoTime() < deadline) {
       body = path.isEmpty() ? memberStates(gateway) : call(gateway, path, null);
       if (expected.test(body)) {
         return body;
       }
       Thread.sleep(50);
     }
-    throw new AssertionError(gateway.name + " says " + body + "\n" + log(gateway));
+    throw new AssertionError(gateway.name + " still returned " + body + "\n" + log(gateway));
   }
 
   String awaitMembers(TestGateway gateway, String expected)
--- a/peering/src/test/java/tillerlink/peering/io/DatagramsTest.java
+++ b/peering/src/test/java/tillerlink/peering/io/DatagramsTest.java
@@ -25,7 +25,7 @@
   private final BlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
   private final List<byte[]> received = new ArrayList<>();
 
-  private static String free() throws IOException {
+  private static String freeAddress() throws IOException {
     try (DatagramSocket any = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
       return "127.0.0.1:" + any.getLocalPort();
     }
@@ -37,59 +37,60 @@
 
   private void runNext() throws InterruptedException {
     Runnable task = tasks.poll(30, TimeUnit.SECONDS);
-    assertTrue(task != null, "nothing came");
+    assertTrue(task != null, "no datagram arrived within 30 s");
     task.run();
   }
 
   /**
-   * Bytes arrive unchanged, a datagram that is too long shows as such, and receivers do not run on
-   * MINA's thread.
+   * Bytes arrive unchanged in both directions, a datagram that is too long arrives truncated to the
+   * limit plus one byte, and receivers run as event-loop tasks instead of on MINA's thread.
    */
   @Test
-  void datagramsGoBothWaysAndOversizedOnesShow() throws Exception {
-    String one = free();
-    String other = free();
+  void datagramsArriveUnchangedAndOversizedOnesAreDetectable() throws Exception {
+    String firstAddress = freeAddress();
+    String secondAddress = freeAddress();
     try (Datagrams first =
-            new Datagrams(one, 100, tasks::add, (from, bytes) -> received.add(bytes));
+            new Datagrams(firstAddress, 100, tasks::add, (from, bytes) -> received.add(bytes));
         Datagrams second =
             new Datagrams(
-                other,
+                secondAddress,
                 100,
                 tasks::add,
                 (from, bytes) -> {
                   received.add(bytes);
                   first.send(from, bytes);
                 })) {
-      assertTrue(second.send(one, new byte[] {1, 2}));
+      assertTrue(second.send(firstAddress, new byte[] {1, 2}));
       runNext();
-      assertTrue(first.send(other, new byte[] {3}));
+      assertTrue(first.send(secondAddress, new byte[] {3}));
       runNext();
       runNext();
       assertArrayEquals(new byte[] {1, 2}, received.get(0));
       assertArrayEquals(new byte[] {3}, received.get(1));
       assertArrayEquals(new byte[] {3}, received.get(2));
-      assertTrue(first.send(other, new byte[5000]));
+      assertTrue(first.send(secondAddress, new byte[5000]));
       runNext();
       assertEquals(101, received.get(3).length);
       assertFalse(first.send("nowhere:1", new byte[1]));
       assertThrows(
-          IOException.class, () -> new Datagrams(one, 100, tasks::add, (from, bytes) -> {}));
+          IOException.class,
+          () -> new Datagrams(firstAddress, 100, tasks::add, (from, bytes) -> {}));
     }
   }
 
   /**
-   * Of datagrams that come faster than they are taken the newest are dropped, and those queued are
-   * taken.
+   * If datagrams arrive faster than the event loop handles them, the newest are dropped and the
+   * queued ones are handled.
    */
   @Test
-  void receivedDatagramsAreBounded() throws Exception {
-    String at = free();
+  void queuedDatagramsAreLimited() throws Exception {
+    String at = freeAddress();
     InetSocketAddress to = Addresses.parse(at);
     try (Datagrams socket =
             new Datagrams(at, 100, tasks::add, (from, bytes) -> received.add(bytes));
         DatagramSocket sender = new DatagramSocket()) {
       for (int i = 0; socket.dropped() == 0; i++) {
-        assertTrue(i < 2_000_000, "nothing was dropped, and " + tasks.size() + " wait");
+        assertTrue(i < 2_000_000, "no datagram was dropped, with " + tasks.size() + " queued");
         sender.send(new DatagramPacket(new byte[10], 10, to));
       }
       assertEquals(2048, tasks.size());
@@ -98,7 +99,7 @@
     }
   }
 
-  /** Bounds the memory that ever new addresses take. */
+  /** Guards against unbounded memory use if datagrams come from many different addresses. */
   @Test
   void leastRecentlyUsedSessionsAreClosed() {
     RecentSessions recent = new RecentSessions();
@@ -133,12 +134,12 @@
 
   @Test
   void onlyIpAddressesWithAPortAreParsed() {
-    for (String good : List.of("127.0.0.1:1", "10.1.2.3:65535", "[::1]:7400")) {
+    for (String valid : List.of("127.0.0.1:1", "10.1.2.3:65535", "[::1]:7400")) {
       assertEquals(
-          Integer.parseInt(good.substring(good.lastIndexOf(':') + 1)),
-          Addresses.parse(good).getPort());
+          Integer.parseInt(valid.substring(valid.lastIndexOf(':') + 1)),
+          Addresses.parse(valid).getPort());
     }
-    for (String bad :
+    for (String invalid :
         List.of(
             "",
             ":1",
@@ -151,7 +152,7 @@
             "[localhost]:1",
             "1.2.3:4",
             "999.1.1.1:1")) {
-      assertNull(Addresses.parse(bad), bad);
+      assertNull(Addresses.parse(invalid), invalid);
     }
   }
 }
--- a/peering/src/test/java/tillerlink/peering/storage/DiskKeepFormatGuardTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeepFormatGuardTest.java
@@ -19,18 +19,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards how what gateways share is kept on disk: the file's name, the owner in its head, the
- * records in the order in which they were handed over, and the prefix before each part's names. The
- * resource was written by the release before the renaming and is never written anew. All changes
- * are written one by one, so the log is the same each time and is compared whole. What each part
- * writes as a value is guarded elsewhere.
+ * Guards the format of the shared-state store on disk: the file's name, the owner in its header,
+ * the records in the order of the changes, and the prefix of each component's keys. The resource
+ * was written by an earlier release and must never be regenerated. Changes are written one by one,
+ * so the log is identical in each run and is compared as a whole. Other tests guard the format of
+ * each component's values.
  */
 class DiskKeepFormatGuardTest {
   private static final String OWNER = "gateway-a";
   private static final String LOG = "log-0000000000000001";
 
-  /** The values in hexadecimal digits. */
-  private static final Map<String, String> ALL =
+  /** The entries of the resource, with values in hexadecimal digits. */
+  private static final Map<String, String> ENTRIES =
       Map.of(
           "alone", "6f6e65",
           "channels/empty", "",
@@ -39,7 +39,7 @@
           "members/a", "7365636f6e64",
           "members0", "6e6f742061206d656d626572");
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   private static byte[] resource() throws IOException {
     String path = "/guards/peering/" + LOG + ".bin";
@@ -50,24 +50,24 @@
   }
 
   private DiskKeyValueStore open(String owner) throws IOException {
-    return DiskKeyValueStore.open(folder, owner, 1 << 20, Runnable::run);
+    return DiskKeyValueStore.open(directory, owner, 1 << 20, Runnable::run);
   }
 
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static Map<String, String> inDigits(NavigableMap<String, byte[]> values) {
+  private static Map<String, String> toHex(NavigableMap<String, byte[]> values) {
     Map<String, String> all = new TreeMap<>();
     values.forEach((name, value) -> all.put(name, HexFormat.of().formatHex(value)));
     return all;
   }
 
-  /** Writes what the resource holds. */
+  /** Makes the changes that the resource contains. */
   private void write() throws IOException {
-    try (DiskKeyValueStore keep = open(OWNER)) {
-      PrefixedKeyValueStore members = new PrefixedKeyValueStore(keep, "members");
-      PrefixedKeyValueStore channels = new PrefixedKeyValueStore(keep, "channels");
+    try (DiskKeyValueStore store = open(OWNER)) {
+      PrefixedKeyValueStore members = new PrefixedKeyValueStore(store, "members");
+      PrefixedKeyValueStore channels = new PrefixedKeyValueStore(store, "channels");
       assertTrue(members.set("a", bytes("first"), null));
       assertTrue(members.set("b", bytes("removed"), null));
       assertTrue(channels.set("empty", new byte[0], null));
@@ -75,37 +75,37 @@
       assertTrue(channels.set("r\u00e4ume", HexFormat.of().parseHex("00017f80feff"), null));
       assertTrue(members.set("b", null, null));
       assertTrue(members.set("", bytes("no name"), null));
-      assertTrue(keep.set("members0", bytes("not a member"), null));
-      assertTrue(keep.set("alone", bytes("one"), null));
+      assertTrue(store.set("members0", bytes("not a member"), null));
+      assertTrue(store.set("alone", bytes("one"), null));
     }
   }
 
   @Test
-  void readsWhatTheReleaseBeforeKept() throws IOException {
-    Files.write(folder.resolve(LOG), resource());
-    try (DiskKeyValueStore keep = open(OWNER)) {
-      assertEquals(new TreeMap<>(ALL), inDigits(keep.initialEntries()));
+  void readsTheStoreOfAnEarlierRelease() throws IOException {
+    Files.write(directory.resolve(LOG), resource());
+    try (DiskKeyValueStore store = open(OWNER)) {
+      assertEquals(new TreeMap<>(ENTRIES), toHex(store.initialEntries()));
       assertEquals(
           Map.of("", "6e6f206e616d65", "a", "7365636f6e64"),
-          inDigits(new PrefixedKeyValueStore(keep, "members").initialEntries()));
+          toHex(new PrefixedKeyValueStore(store, "members").initialEntries()));
       assertEquals(
           Map.of("empty", "", "r\u00e4ume", "00017f80feff"),
-          inDigits(new PrefixedKeyValueStore(keep, "channels").initialEntries()));
+          toHex(new PrefixedKeyValueStore(store, "channels").initialEntries()));
       assertEquals(
-          Map.of(), inDigits(new PrefixedKeyValueStore(keep, "statements").initialEntries()));
+          Map.of(), toHex(new PrefixedKeyValueStore(store, "statements").initialEntries()));
     }
   }
 
   @Test
-  void refusesWhatAnotherKept() throws IOException {
-    Files.write(folder.resolve(LOG), resource());
+  void refusesTheStoreOfAnotherGateway() throws IOException {
+    Files.write(directory.resolve(LOG), resource());
     assertThrows(IOException.class, () -> open("gateway-b").close());
-    assertArrayEquals(resource(), Files.readAllBytes(folder.resolve(LOG)));
+    assertArrayEquals(resource(), Files.readAllBytes(directory.resolve(LOG)));
   }
 
   @Test
-  void theSameChangesGiveTheSameLog() throws IOException {
+  void writesTheSameLogForTheSameChanges() throws IOException {
     write();
-    assertArrayEquals(resource(), Files.readAllBytes(folder.resolve(LOG)));
+    assertArrayEquals(resource(), Files.readAllBytes(directory.resolve(LOG)));
   }
 }
--- a/peering/src/test/java/tillerlink/peering/storage/DiskKeyValueStoreTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/DiskKeyValueStoreTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.io.TempDir;
 import tillerlink.cluster.KeyValueStore;
 
-/** Durability, order and bounds of the store; a queue stands in for the gateway's event loop. */
+/** Tests durability, order and limits of the store, with a queue as the gateway's event loop. */
 class DiskKeyValueStoreTest {
-  @TempDir private Path folder;
+  @TempDir private Path directory;
   private final BlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
 
-  private DiskKeyValueStore open(long most) throws IOException {
-    return DiskKeyValueStore.open(folder.resolve("n1"), "n1", most, tasks::add);
+  private DiskKeyValueStore open(long maxBytes) throws IOException {
+    return DiskKeyValueStore.open(directory.resolve("n1"), "n1", maxBytes, tasks::add);
   }
 
   private void runTasksUntil(List<?> notified, int size) throws InterruptedException {
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Callbacks run in the order of the changes, also for several of one name, and the entries are
-   * there after a restart.
+   * Callbacks run in the order of the changes, even for several changes of one name, and the
+   * entries are present after a restart.
    */
   @Test
   void changesBecomeDurableInOrder() throws IOException, InterruptedException {
@@ -65,9 +65,14 @@
     }
   }
 
-  /** Of a copy of the files, all changes that were notified are there, and a prefix of the rest. */
+  /**
+   * A copy of the files, taken at any time, contains all changes whose callbacks have run and a
+   * prefix of the remaining ones. Otherwise a crash could lose a change that was reported durable,
+   * or keep a change without an earlier one.
+   */
   @Test
-  void aCopyOfTheFilesAtAnyMomentHoldsAPrefix() throws IOException, InterruptedException {
+  void aCopyOfTheFilesAtAnyTimeContainsAPrefixOfTheChanges()
+      throws IOException, InterruptedException {
     List<Integer> durable = new ArrayList<>();
     try (DiskKeyValueStore store = open(1 << 22)) {
       for (int i = 0; i < 3000; i++) {
@@ -90,9 +95,10 @@
   }
 
   private Path copy(String name) throws IOException {
-    Path to = Files.createDirectories(folder.resolve(name));
-    try (Stream<Path> files = Files.list(folder.resolve("n1"))) {
-      // The oldest first: what a snapshot replaces goes only after it is there.
+    Path to = Files.createDirectories(directory.resolve(name));
+    try (Stream<Path> files = Files.list(directory.resolve("n1"))) {
+      // Oldest files first, because the files that a snapshot replaces are removed only after the
+      // snapshot exists.
       for (Path file : files.sorted().toList()) {
         Files.copy(file, to.resolve(file.getFileName()), StandardCopyOption.REPLACE_EXISTING);
       }
@@ -100,9 +106,12 @@
     return to;
   }
 
-  /** Changes beyond the bound are refused; shorter values and removals are accepted still. */
+  /**
+   * Changes that would exceed the size limit are refused; values that fit and removals are still
+   * accepted.
+   */
   @Test
-  void changesBeyondTheBoundAreRefused() throws IOException, InterruptedException {
+  void changesBeyondTheSizeLimitAreRefused() throws IOException, InterruptedException {
     List<String> durable = new ArrayList<>();
     try (DiskKeyValueStore store = open(10_000)) {
       assertTrue(store.set("a", new byte[6000], () -> durable.add("a")));
@@ -134,7 +143,7 @@
     }
     assertThrows(
         IOException.class,
-        () -> DiskKeyValueStore.open(folder.resolve("n1"), "n2", 1 << 20, tasks::add));
+        () -> DiskKeyValueStore.open(directory.resolve("n1"), "n2", 1 << 20, tasks::add));
   }
 
   @Test
--- a/peering/src/test/java/tillerlink/peering/storage/PartsFormatGuardTest.java
+++ b/peering/src/test/java/tillerlink/peering/storage/PartsFormatGuardTest.java
@@ -13,22 +13,22 @@
 import tillerlink.peering.members.MembersHttpHandler;
 import tillerlink.peering.statements.StatementsHttpHandler;
 
-/** Guards the numbers of the parts in datagrams and the names under which each part keeps. */
+/** Guards the components' numbers in datagrams and their key prefixes in the store. */
 class PartsFormatGuardTest {
   @Test
-  void partsHaveTheirNumbersInDatagrams() {
+  void componentsKeepTheirNumbersInDatagrams() {
     assertEquals(
         List.of(1, 2, 3),
         List.of(MembersHttpHandler.NUMBER, HostedChannels.NUMBER, StatementsHttpHandler.NUMBER));
   }
 
   @Test
-  void partsKeepUnderTheirNames() {
+  void componentsStoreEntriesUnderTheirNames() {
     assertEquals(
         List.of("members", "channels", "statements"),
         List.of(MembersHttpHandler.NAME, HostedChannels.NAME, StatementsHttpHandler.NAME));
     NavigableMap<String, byte[]> values = new TreeMap<>();
-    KeyValueStore all =
+    KeyValueStore store =
         new KeyValueStore() {
           @Override
           public NavigableMap<String, byte[]> initialEntries() {
@@ -36,21 +36,21 @@
           }
 
           @Override
-          public boolean set(String name, byte[] value, Runnable kept) {
+          public boolean set(String name, byte[] value, Runnable onDurable) {
             values.put(name, value);
             return true;
           }
         };
-    for (String part :
+    for (String component :
         List.of(MembersHttpHandler.NAME, HostedChannels.NAME, StatementsHttpHandler.NAME)) {
-      new PrefixedKeyValueStore(all, part).set("a/b", part.getBytes(), null);
+      new PrefixedKeyValueStore(store, component).set("a/b", component.getBytes(), null);
     }
     assertEquals(Set.of("members/a/b", "channels/a/b", "statements/a/b"), values.keySet());
     assertArrayEquals(
         "channels".getBytes(),
-        new PrefixedKeyValueStore(all, HostedChannels.NAME).initialEntries().get("a/b"));
+        new PrefixedKeyValueStore(store, HostedChannels.NAME).initialEntries().get("a/b"));
     assertEquals(
         Set.of("a/b"),
-        new PrefixedKeyValueStore(all, StatementsHttpHandler.NAME).initialEntries().keySet());
+        new PrefixedKeyValueStore(store, StatementsHttpHandler.NAME).initialEntries().keySet());
   }
 }
--- a/peering/src/test/java/tillerlink/peering/together/PartitionScenario.java
+++ b/peering/src/test/java/tillerlink/peering/together/PartitionScenario.java
@@ -25,62 +25,64 @@
 import tillerlink.statements.run.Permission;
 
 /**
- * Membership, channels and statements on the same gateways: load on each, one partition, perhaps a
- * pause or a kill in it; afterwards all gateways agree.
+ * A scenario with membership, channels and statements on the same gateways. All components are
+ * under load during one network partition, in which one gateway may be paused or killed. After the
+ * partition has healed, all gateways must agree.
  */
 final class PartitionScenario implements Seeds.Seeded {
   private static final long SECOND = 10_000;
-  private static final int AGREED_WITHIN_SECONDS = 120;
-  private static final List<String> ALL = List.of("n1", "s1", "w1", "w2");
+  private static final int MAX_AGREEMENT_SECONDS = 120;
+  private static final List<String> GATEWAYS = List.of("n1", "s1", "w1", "w2");
   private static final String CHANNEL = "news";
 
   private final Random random;
   private final SimulatedFleet fleet;
-  private final Map<String, SimulatedGateway> running = new TreeMap<>();
+  private final Map<String, SimulatedGateway> runningGateways = new TreeMap<>();
   private final Map<String, InMemoryKeyValueStore> disks = new TreeMap<>();
   private final List<String> trace = new ArrayList<>();
   private final List<String> violations = new ArrayList<>();
-  private final Map<Long, String> stable = new TreeMap<>();
-  private final Set<String> answered = new HashSet<>();
-  private final Map<Integer, Long> newest = new TreeMap<>();
+  private final Map<Long, String> stableEvents = new TreeMap<>();
+  private final Set<String> answeredIds = new HashSet<>();
+  private final Map<Integer, Long> newestVersions = new TreeMap<>();
   private long runs;
   private long rejected;
-  private long agreedAfter;
+  private long agreementSeconds;
 
   PartitionScenario(long seed) {
     random = new Random(seed);
     fleet = new SimulatedFleet(new Random(seed + 1));
   }
 
-  private void log(String words) {
-    trace.add(fleet.now() / 10 + " ms: " + words);
+  private void log(String event) {
+    trace.add(fleet.now() / 10 + " ms: " + event);
   }
 
   private String randomName() {
-    return ALL.get(random.nextInt(ALL.size()));
+    return GATEWAYS.get(random.nextInt(GATEWAYS.size()));
   }
 
   private void start(String name) {
-    InMemoryKeyValueStore was = disks.get(name);
-    InMemoryKeyValueStore disk = was == null ? new InMemoryKeyValueStore(fleet, 5) : was.reopen();
+    InMemoryKeyValueStore previousDisk = disks.get(name);
+    InMemoryKeyValueStore disk =
+        previousDisk == null ? new InMemoryKeyValueStore(fleet, 5) : previousDisk.reopen();
     disks.put(name, disk);
     SimulatedGateway gateway =
         new SimulatedGateway(name, fleet, disk, random, this::recordVersions);
-    running.put(name, gateway);
+    runningGateways.put(name, gateway);
     fleet.start(name, gateway);
   }
 
   private void kill(String name) {
     log("kill " + name);
-    running.remove(name).detach();
+    runningGateways.remove(name).detach();
     fleet.kill(name);
     InMemoryKeyValueStore disk = disks.get(name);
     disk.crash(disk.pendingWrites() == 0 ? 0 : random.nextInt(disk.pendingWrites() + 1));
   }
 
-  /** Records the newest schema version that any gateway has applied. */
+  /** Records the newest schema version that any running gateway has applied for each group. */
   private void recordVersions() {
-    running
+    runningGateways
         .values()
         .forEach(
             gateway ->
@@ -88,7 +90,7 @@
                     .statements
                     .catalog()
                     .versions()
-                    .forEach((group, version) -> newest.merge(group, version, Math::max)));
+                    .forEach((group, version) -> newestVersions.merge(group, version, Math::max)));
   }
 
   // ---- load ----
@@ -96,17 +98,17 @@
   private void load(int rounds) {
     for (int i = 0; i < rounds; i++) {
       append(randomName(), i);
-      ALL.forEach(this::run);
+      GATEWAYS.forEach(this::run);
       fleet.playFor(500 + random.nextInt(5_000));
       checkStable(randomName());
     }
   }
 
-  private void append(String name, int n) {
-    if (running.containsKey(name)) {
+  private void append(String name, int number) {
+    if (runningGateways.containsKey(name)) {
       AppendRequest draft =
-          new AppendRequest(Kind.CUE, "c" + random.nextInt(4), "t" + n, 0, "", null);
-      running
+          new AppendRequest(Kind.CUE, "c" + random.nextInt(4), "t" + number, 0, "", null);
+      runningGateways
           .get(name)
           .channels
           .append(
@@ -116,7 +118,7 @@
               draft,
               answer -> {
                 if (answer instanceof AppendResult.Taken taken) {
-                  answered.add(taken.id().text());
+                  answeredIds.add(taken.id().text());
                 }
               });
       fleet.reschedule(name);
@@ -124,7 +126,7 @@
   }
 
   private void run(String name) {
-    SimulatedGateway gateway = running.get(name);
+    SimulatedGateway gateway = runningGateways.get(name);
     if (gateway == null || paused.contains(name)) {
       return;
     }
@@ -140,12 +142,12 @@
                     .versions()
                     .forEach(
                         (group, version) -> {
-                          if (version < newest.getOrDefault(group, 1L)) {
+                          if (version < newestVersions.getOrDefault(group, 1L)) {
                             violations.add(
                                 fleet.now() / 10
                                     + " ms: "
                                     + name
-                                    + " runs under version "
+                                    + " may run a statement under outdated version "
                                     + version
                                     + " of group "
                                     + group);
@@ -161,21 +163,29 @@
   private final Set<String> paused = new HashSet<>();
 
   private Page page(String name) {
-    return running.get(name).channels.read(CHANNEL, 0, 1 << 30);
+    return runningGateways.get(name).channels.read(CHANNEL, 0, 1 << 30);
   }
 
-  /** An event that was stable once must stay so at its index. */
+  /** Checks that events that were reported stable are unchanged at their index. */
   private void checkStable(String name) {
-    if (running.containsKey(name) && running.get(name).channels.names().contains(CHANNEL)) {
+    if (runningGateways.containsKey(name)
+        && runningGateways.get(name).channels.names().contains(CHANNEL)) {
       page(name).lines().stream()
           .filter(Page.Line::stable)
           .forEach(
               line -> {
-                String is = line.entry().dot().text() + " " + line.entry().text();
-                String was = stable.putIfAbsent(line.index(), is);
-                if (was != null && !was.equals(is)) {
+                String current = line.entry().dot().text() + " " + line.entry().text();
+                String recorded = stableEvents.putIfAbsent(line.index(), current);
+                if (recorded != null && !recorded.equals(current)) {
                   violations.add(
-                      "stable " + line.index() + " was " + was + " and is " + is + " at " + name);
+                      "stable event at index "
+                          + line.index()
+                          + " was "
+                          + recorded
+                          + " and is "
+                          + current
+                          + " at "
+                          + name);
                 }
               });
     }
@@ -185,7 +195,7 @@
 
   @Override
   public String play() {
-    ALL.forEach(this::start);
+    GATEWAYS.forEach(this::start);
     fleet.playFor(3 * SECOND);
     Definition definition =
         new Definition(
@@ -196,7 +206,7 @@
             List.of("17:orders.city"),
             "dash",
             RunEffect.PURE);
-    running
+    runningGateways
         .get(randomName())
         .statements
         .prepare(fleet.now(), definition, outcome -> log("prepared: " + outcome));
@@ -206,16 +216,16 @@
     announce();
     load(3);
     pauseOrKill(randomName());
-    // Some partitions last until the others are given up, some don't.
+    // Some partitions last until the unreachable members are declared gone, others are shorter.
     fleet.playFor(8L * SECOND * random.nextInt(4));
     load(4);
     heal();
-    for (int i = 0; i < AGREED_WITHIN_SECONDS && !agree(); i++) {
+    for (int i = 0; i < MAX_AGREEMENT_SECONDS && !agree(); i++) {
       fleet.playFor(SECOND);
-      agreedAfter++;
-      ALL.forEach(this::checkStable);
+      agreementSeconds++;
+      GATEWAYS.forEach(this::checkStable);
     }
-    ALL.forEach(this::run);
+    GATEWAYS.forEach(this::run);
     return verdict();
   }
 
@@ -224,18 +234,18 @@
     if (random.nextBoolean()) {
       side.add(randomName());
     }
-    log("cut off " + side);
-    for (String one : side) {
-      ALL.stream()
-          .filter(other -> !side.contains(other))
-          .forEach(other -> fleet.between(one, other, Fault.CUT));
+    log("partition off " + side);
+    for (String inside : side) {
+      GATEWAYS.stream()
+          .filter(outside -> !side.contains(outside))
+          .forEach(outside -> fleet.between(inside, outside, Fault.CUT));
     }
   }
 
   private void announce() {
     String at = randomName();
     log("announce a change at " + at);
-    running
+    runningGateways
         .get(at)
         .statements
         .announce(
@@ -253,15 +263,15 @@
         paused.add(name);
         fleet.pause(name);
       }
-      default -> log("nothing else");
+      default -> log("no pause or kill");
     }
   }
 
   private void heal() {
-    log("all heals");
+    log("heal all faults");
     fleet.heal();
-    for (String name : ALL) {
-      if (!running.containsKey(name)) {
+    for (String name : GATEWAYS) {
+      if (!runningGateways.containsKey(name)) {
         start(name);
       }
       fleet.resume(name);
@@ -269,17 +279,17 @@
     paused.clear();
   }
 
-  // ---- the end ----
+  // ---- agreement ----
 
-  /** Why the gateways do not agree yet; empty if they do. */
+  /** Returns the reason why the gateways do not agree yet, or an empty string if they agree. */
   private String disagreement() {
     Set<String> logs = new HashSet<>();
     Set<String> catalogs = new HashSet<>();
-    for (String name : ALL) {
-      SimulatedGateway gateway = running.get(name);
-      for (String other : ALL) {
+    for (String name : GATEWAYS) {
+      SimulatedGateway gateway = runningGateways.get(name);
+      for (String other : GATEWAYS) {
         if (!other.equals(name) && gateway.members.reachability(other) != Reachability.REACHABLE) {
-          return name + " holds " + other + " as " + gateway.members.reachability(other);
+          return name + " reports " + other + " as " + gateway.members.reachability(other);
         }
       }
       Page page = page(name);
@@ -290,7 +300,7 @@
       catalogs.add(
           new String(Snapshots.write(gateway.statements.catalog()), StandardCharsets.ISO_8859_1));
       if (!gateway.statements.isIdle() || !gateway.statements.catalog().waiting().isEmpty()) {
-        return name + " has something outstanding among statements";
+        return name + " has pending statement requests or schema changes";
       }
     }
     return logs.size() > 1 ? "logs differ" : catalogs.size() > 1 ? "catalogs differ" : "";
@@ -303,13 +313,13 @@
   private String verdict() {
     Set<String> present = new HashSet<>();
     page("n1").lines().forEach(line -> present.add(line.entry().dot().text()));
-    if (!present.containsAll(answered)) {
+    if (!present.containsAll(answeredIds)) {
       violations.add(
-          "answered and lost: "
-              + answered.stream().filter(id -> !present.contains(id)).sorted().toList());
+          "answered appends that were lost: "
+              + answeredIds.stream().filter(id -> !present.contains(id)).sorted().toList());
     }
     if (!agree()) {
-      violations.add("no agreement in " + AGREED_WITHIN_SECONDS + " s: " + disagreement());
+      violations.add("no agreement within " + MAX_AGREEMENT_SECONDS + " s: " + disagreement());
     }
     return violations.isEmpty()
         ? null
@@ -324,7 +334,7 @@
   @Override
   public long[] sums() {
     return new long[] {
-      answered.size(), runs, rejected, newest.getOrDefault(17, 1L) - 1, agreedAfter
+      answeredIds.size(), runs, rejected, newestVersions.getOrDefault(17, 1L) - 1, agreementSeconds
     };
   }
 }
--- a/peering/src/test/java/tillerlink/peering/together/SimulatedGateway.java
+++ b/peering/src/test/java/tillerlink/peering/together/SimulatedGateway.java
@@ -25,8 +25,8 @@
 import tillerlink.statements.prepare.Renaming;
 
 /**
- * One gateway with the membership, channels and statements; the first byte of a message names the
- * component that it is for.
+ * A simulated gateway with membership, channels and statements. The first byte of a message is the
+ * number of the component it is addressed to.
  */
 final class SimulatedGateway implements ClusterComponent {
   static final List<String> VOTERS = List.of("n1", "s1", "w1");
@@ -41,7 +41,9 @@
   private List<ClusterComponent> components = List.of();
 
   /**
-   * @param onStep run after each step
+   * Creates the gateway and its components.
+   *
+   * @param onStep run after each message and each tick
    */
   SimulatedGateway(
       String name,
@@ -82,7 +84,7 @@
             new MembershipListener() {
               @Override
               public void onReachabilityChanged(String other, Reachability was, Reachability is) {
-                // Scenarios query the membership instead.
+                // Scenarios query the membership directly.
               }
             },
             fleet.wall(name));
@@ -112,7 +114,7 @@
     components = List.of(members, channels, statements);
   }
 
-  /** After a kill: callbacks of its disk are ignored. */
+  /** Stops scheduling the gateway on callbacks of its disk; called when it is killed. */
   void detach() {
     components = List.of();
   }
