--- a/http2/src/main/java/tillerlink/net/http2/AttemptStreams.java
+++ b/http2/src/main/java/tillerlink/net/http2/AttemptStreams.java
@@ -6,7 +6,10 @@
 import java.util.Map;
 import tillerlink.net.state.InFlightAttempt;
 
-/** The attempts on one connection, by stream and by attempt. Owned by the event-loop thread. */
+/**
+ * The attempts on one connection, indexed by stream id and by attempt. Owned by the event-loop
+ * thread.
+ */
 final class AttemptStreams {
   private final Map<Integer, AttemptStream> byStreamId = new LinkedHashMap<>();
   private final IdentityHashMap<InFlightAttempt, AttemptStream> byAttempt = new IdentityHashMap<>();
@@ -16,18 +19,28 @@
     byAttempt.put(stream.inFlight, stream);
   }
 
-  /** Removes a stream; an attempt that was resumed on another stream since is kept. */
+  /**
+   * Removes a stream. The attempt's own entry stays if it has since been resumed on another stream.
+   */
   void remove(AttemptStream stream) {
     byStreamId.remove(stream.streamId);
     byAttempt.remove(stream.inFlight, stream);
   }
 
-  /** The attempt on the stream of that id, or null. */
+  /**
+   * Returns the attempt on a stream.
+   *
+   * @return null if no attempt is on a stream with that id
+   */
   AttemptStream find(int streamId) {
     return byStreamId.get(streamId);
   }
 
-  /** The stream of an attempt, or null if it is not on this connection. */
+  /**
+   * Returns the stream of an attempt.
+   *
+   * @return null if the attempt is not on this connection
+   */
   AttemptStream find(InFlightAttempt inFlight) {
     return byAttempt.get(inFlight);
   }
@@ -40,7 +53,7 @@
     return byStreamId.size();
   }
 
-  /** A copy, in the order in which the streams were opened. */
+  /** Returns a copy of the streams, in the order in which they were opened. */
   List<AttemptStream> copy() {
     return List.copyOf(byStreamId.values());
   }
--- a/http2/src/main/java/tillerlink/net/http2/EngineRequests.java
+++ b/http2/src/main/java/tillerlink/net/http2/EngineRequests.java
@@ -6,11 +6,16 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import tillerlink.net.state.InFlightAttempt;
 
-/** The header lists of requests to engines, as docs/http2-wire.md defines them. */
+/** Builds the header lists of requests to engines, as docs/http2-wire.md defines them. */
 final class EngineRequests {
   private EngineRequests() {}
 
-  /** To execute an attempt's statement, which is the body. */
+  /**
+   * Returns the headers of a request to execute an attempt's statement, which is the body.
+   *
+   * @param bodyLength bytes of the statement
+   * @param now tenths of a millisecond
+   */
   static List<Header> execute(InFlightAttempt inFlight, int bodyLength, long now) {
     List<Header> headers = start("POST", "/v1/run/" + inFlight.requestClass());
     headers.add(new BasicHeader("content-type", "application/sql"));
@@ -23,7 +28,7 @@
     return headers;
   }
 
-  /** For the rest of an attempt's result, with no body. */
+  /** Returns the headers of a request, without a body, for the rest of an attempt's result. */
   static List<Header> resume(InFlightAttempt inFlight) {
     List<Header> headers = start("GET", "/v1/results/" + inFlight.id());
     headers.add(new BasicHeader("range", "bytes=" + inFlight.resultSize() + "-"));
--- a/http2/src/main/java/tillerlink/net/http2/ErrorCode.java
+++ b/http2/src/main/java/tillerlink/net/http2/ErrorCode.java
@@ -1,6 +1,6 @@
 package tillerlink.net.http2;
 
-/** Error codes of RFC 9113, section 7, each with its number on the wire. */
+/** The error codes of RFC 9113, section 7, with their numbers on the wire. */
 public enum ErrorCode {
   NO_ERROR(0x0),
   PROTOCOL_ERROR(0x1),
@@ -25,7 +25,11 @@
     this.code = code;
   }
 
-  /** The code of a number on the wire; an unknown one counts as INTERNAL_ERROR (section 7). */
+  /**
+   * Returns the error code with a number on the wire.
+   *
+   * @return {@link #INTERNAL_ERROR} for an unknown number, which section 7 allows
+   */
   public static ErrorCode of(int code) {
     for (ErrorCode candidate : ALL) {
       if (candidate.code == code) {
@@ -35,7 +39,7 @@
     return INTERNAL_ERROR;
   }
 
-  /** The number on the wire. */
+  /** Returns the number on the wire. */
   public int code() {
     return code;
   }
--- a/http2/src/main/java/tillerlink/net/http2/FlowControl.java
+++ b/http2/src/main/java/tillerlink/net/http2/FlowControl.java
@@ -1,13 +1,13 @@
 package tillerlink.net.http2;
 
 /**
- * The windows of the connection, and the initial window of its streams (RFC 9113, section 5.2,
- * 6.9).
+ * The flow-control windows of the connection, and the initial send window of its streams (RFC 9113,
+ * sections 5.2 and 6.9). All sizes are bytes.
  */
 final class FlowControl {
   static final long MAX_WINDOW = Integer.MAX_VALUE;
 
-  /** What all streams together may send us before we return credit: some sixteen results. */
+  /** Receive window shared by all streams; it holds some sixteen results. */
   private static final int RECEIVE_WINDOW = 1 << 20;
 
   private final FrameWriter writer;
@@ -19,21 +19,23 @@
     this.writer = writer;
   }
 
-  /** Grows our receive window from the protocol's initial size, at the connection's start. */
+  /** Enlarges the receive window from the protocol's initial size when the connection starts. */
   void openReceiveWindow() {
     writer.frame(Frame.WINDOW_UPDATE, 0, 0, RECEIVE_WINDOW - Frame.WINDOW_AT_START);
   }
 
   /**
-   * Counts received DATA, padding included, and returns credit once half of the window is used.
+   * Counts received DATA and returns credit to the peer once half of the window is used.
    *
-   * @throws Http2ConnectionError of FLOW_CONTROL_ERROR if the peer exceeded the window
+   * @param length payload size, including padding
+   * @throws Http2ConnectionError with FLOW_CONTROL_ERROR if the peer exceeded the window
    */
   void consumeReceiveWindow(int length) {
     receiveWindow -= length;
     if (receiveWindow < 0) {
       throw new Http2ConnectionError(
-          ErrorCode.FLOW_CONTROL_ERROR, "more data than the window lets through");
+          ErrorCode.FLOW_CONTROL_ERROR,
+          "DATA exceeds the connection's receive window by " + -receiveWindow + " bytes");
     }
     if (receiveWindow < RECEIVE_WINDOW / 2) {
       writer.frame(Frame.WINDOW_UPDATE, 0, 0, (int) (RECEIVE_WINDOW - receiveWindow));
@@ -50,38 +52,44 @@
   }
 
   /**
-   * Takes the credit of a WINDOW_UPDATE for the whole connection.
+   * Enlarges the send window by the credit of a WINDOW_UPDATE for the connection.
    *
-   * @throws Http2ConnectionError if it is 0 or the window exceeds its maximum
+   * @throws Http2ConnectionError with PROTOCOL_ERROR if the credit is 0, with FLOW_CONTROL_ERROR if
+   *     the window exceeds its maximum
    */
   void growSendWindow(int credit) {
-    FrameChecks.require(credit > 0, "a window update of nothing");
+    FrameChecks.require(credit > 0, "WINDOW_UPDATE for the connection has an increment of 0");
     sendWindow += credit;
     if (sendWindow > MAX_WINDOW) {
       throw new Http2ConnectionError(
-          ErrorCode.FLOW_CONTROL_ERROR, "the connection's window overflows");
+          ErrorCode.FLOW_CONTROL_ERROR,
+          "connection send window " + sendWindow + " exceeds " + MAX_WINDOW);
     }
   }
 
-  /** The window in which a new stream may send. */
+  /** Returns the initial send window of a new stream. */
   long peerInitialWindow() {
     return peerInitialWindow;
   }
 
   /**
-   * Takes SETTINGS_INITIAL_WINDOW_SIZE, which also changes the windows of open streams.
+   * Applies SETTINGS_INITIAL_WINDOW_SIZE, which also changes the send windows of open streams.
    *
-   * @throws Http2ConnectionError of FLOW_CONTROL_ERROR if a window exceeds its maximum
+   * @throws Http2ConnectionError with FLOW_CONTROL_ERROR if a window exceeds its maximum
    */
   void setPeerInitialWindow(long size, StreamTable streams) {
     if (size > MAX_WINDOW) {
-      throw new Http2ConnectionError(ErrorCode.FLOW_CONTROL_ERROR, "a window too large");
+      throw new Http2ConnectionError(
+          ErrorCode.FLOW_CONTROL_ERROR,
+          "SETTINGS_INITIAL_WINDOW_SIZE " + size + " exceeds " + MAX_WINDOW);
     }
     long change = size - peerInitialWindow;
     peerInitialWindow = size;
     for (Http2Stream stream : streams.all()) {
       if (!stream.changeSendWindow(change)) {
-        throw new Http2ConnectionError(ErrorCode.FLOW_CONTROL_ERROR, "a window grown too large");
+        throw new Http2ConnectionError(
+            ErrorCode.FLOW_CONTROL_ERROR,
+            "send window of stream " + stream.id() + " exceeds " + MAX_WINDOW + " after SETTINGS");
       }
     }
   }
--- a/http2/src/main/java/tillerlink/net/http2/Frame.java
+++ b/http2/src/main/java/tillerlink/net/http2/Frame.java
@@ -1,11 +1,12 @@
 package tillerlink.net.http2;
 
 /**
- * One frame as it stands on the wire (RFC 9113, section 4.1), with the protocol's numbers.
+ * An HTTP/2 frame (RFC 9113, section 4.1), with the protocol's constants.
  *
- * @param type its kind, which may be unknown
+ * @param type the frame type, which may be unknown
  * @param flags eight bits, whose meaning depends on the type
- * @param stream the stream's id, 0 for the connection
+ * @param stream the stream id, 0 for the connection
+ * @param payload the bytes after the frame header, including padding
  */
 public record Frame(int type, int flags, int stream, byte[] payload) {
   public static final int DATA = 0;
@@ -32,10 +33,10 @@
   public static final int SETTINGS_MAX_FRAME_SIZE = 5;
   public static final int SETTINGS_MAX_HEADER_LIST_SIZE = 6;
 
-  /** The initial flow-control window of the connection and of each stream. */
+  /** The initial flow-control window, in bytes, of the connection and of each stream. */
   public static final int WINDOW_AT_START = 65_535;
 
-  /** The largest payload that may be sent while the receiver states no other size. */
+  /** The largest payload, in bytes, that may be sent unless the receiver declares another limit. */
   public static final int FRAME_AT_START = 16_384;
 
   static final int PRIORITY_SIZE = 5;
@@ -43,12 +44,12 @@
 
   private static final int STREAM_MASK = 0x7fffffff;
 
-  /** Whether a flag is set. */
+  /** Returns true if a flag is set. */
   public boolean has(int flag) {
     return (flags & flag) != 0;
   }
 
-  /** Four bytes of the payload as an unsigned number. */
+  /** Returns four bytes of the payload, from an offset, as an unsigned number. */
   public long number(int offset) {
     return ((payload[offset] & 255L) << 24)
         | ((payload[offset + 1] & 255) << 16)
@@ -56,26 +57,32 @@
         | (payload[offset + 3] & 255);
   }
 
-  /** Four bytes of the payload as a stream's id or a window's growth: the first bit is reserved. */
+  /**
+   * Returns four bytes of the payload, from an offset, as a stream id or window increment. The
+   * first bit is reserved and ignored.
+   */
   public int id(int offset) {
     return (int) (number(offset) & STREAM_MASK);
   }
 
-  /** Where the content begins in the payload: behind the length of a padding and a priority. */
+  /** Returns the offset of the content in the payload, after any pad length and priority fields. */
   public int from() {
     return isPadded() ? 1 + prioritySize() : prioritySize();
   }
 
   /**
-   * Where the content ends in the payload: before a padding.
+   * Returns the offset in the payload at which the content ends and any padding begins.
    *
-   * @throws Http2ConnectionError if the padding is longer than the rest of the payload
+   * @throws Http2ConnectionError with PROTOCOL_ERROR if the padding is longer than the rest of the
+   *     payload
    */
   public int to() {
     int padding = isPadded() && payload.length > 0 ? payload[0] & 255 : 0;
     int to = payload.length - padding;
     if (to < from()) {
-      throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "more padding than frame");
+      throw new Http2ConnectionError(
+          ErrorCode.PROTOCOL_ERROR,
+          "padding of " + padding + " bytes exceeds the payload of " + payload.length + " bytes");
     }
     return to;
   }
--- a/http2/src/main/java/tillerlink/net/http2/FrameChecks.java
+++ b/http2/src/main/java/tillerlink/net/http2/FrameChecks.java
@@ -1,30 +1,31 @@
 package tillerlink.net.http2;
 
-/** Checks of received frames whose failure ends the connection (RFC 9113, section 5.4.1). */
+/** Checks of received frames whose failure is a connection error (RFC 9113, section 5.4.1). */
 final class FrameChecks {
   private FrameChecks() {}
 
   /**
-   * Requires what the protocol demands.
+   * Checks a condition that the protocol demands.
    *
-   * @param otherwise the reason given if it does not hold
-   * @throws Http2ConnectionError of PROTOCOL_ERROR if it does not hold
+   * @param violation the error text if the condition does not hold
+   * @throws Http2ConnectionError with PROTOCOL_ERROR if the condition does not hold
    */
-  static void require(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, otherwise);
+  static void require(boolean condition, String violation) {
+    if (!condition) {
+      throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, violation);
     }
   }
 
   /**
-   * Requires the size that the protocol demands of a frame.
+   * Checks a condition on the size of a frame.
    *
-   * @param what the kind of frame, for the reason given if it does not hold
-   * @throws Http2ConnectionError of FRAME_SIZE_ERROR if it does not hold
+   * @param frameName the name of the frame type, for the error text
+   * @throws Http2ConnectionError with FRAME_SIZE_ERROR if the condition does not hold
    */
-  static void requireSize(boolean holds, String what) {
-    if (!holds) {
-      throw new Http2ConnectionError(ErrorCode.FRAME_SIZE_ERROR, what + " of a wrong size");
+  static void requireSize(boolean condition, String frameName) {
+    if (!condition) {
+      throw new Http2ConnectionError(
+          ErrorCode.FRAME_SIZE_ERROR, frameName + " frame has an invalid size");
     }
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/FrameReader.java
+++ b/http2/src/main/java/tillerlink/net/http2/FrameReader.java
@@ -3,91 +3,98 @@
 import java.util.Arrays;
 
 /**
- * Splits received bytes into frames, without I/O. It stores what it was fed and has not yet handed
- * out; a frame longer than {@link Frame#FRAME_AT_START} is an error as soon as its length is known.
+ * Splits received bytes into frames, without I/O. It buffers the bytes that were not yet returned
+ * as frames. A frame longer than {@link Frame#FRAME_AT_START} is an error as soon as its header was
+ * received, so that an oversized payload is never buffered whole.
  */
 public final class FrameReader {
   private static final int HEADER_SIZE = 9;
-  private static final int FIRST_CAPACITY = 1024;
+  private static final int INITIAL_CAPACITY = 1024;
 
   private final byte[] preface;
-  private int prefaceSeen;
-  private byte[] buffer = new byte[FIRST_CAPACITY];
-  private int from;
-  private int to;
+  private int prefaceBytesRead;
+  private byte[] buffer = new byte[INITIAL_CAPACITY];
+  private int readIndex;
+  private int writeIndex;
 
   /**
-   * A reader at the start of a connection.
+   * Creates a reader at the start of a connection.
    *
-   * @param preface the bytes required before the first frame; empty for nothing
+   * @param preface the bytes required before the first frame; empty if none are required
    */
   public FrameReader(byte[] preface) {
     this.preface = preface;
   }
 
-  /** Takes received bytes, which may end anywhere in a frame. */
-  public void feed(byte[] more) {
-    if (to + more.length > buffer.length) {
-      int size = to - from;
-      byte[] roomy =
-          size + more.length <= buffer.length
+  /** Buffers received bytes, which may end anywhere in a frame. */
+  public void feed(byte[] bytes) {
+    if (writeIndex + bytes.length > buffer.length) {
+      int size = writeIndex - readIndex;
+      byte[] enlarged =
+          size + bytes.length <= buffer.length
               ? buffer
-              : new byte[Math.max(2 * size, size + more.length)];
-      System.arraycopy(buffer, from, roomy, 0, size);
-      buffer = roomy;
-      from = 0;
-      to = size;
+              : new byte[Math.max(2 * size, size + bytes.length)];
+      System.arraycopy(buffer, readIndex, enlarged, 0, size);
+      buffer = enlarged;
+      readIndex = 0;
+      writeIndex = size;
     }
-    System.arraycopy(more, 0, buffer, to, more.length);
-    to += more.length;
+    System.arraycopy(bytes, 0, buffer, writeIndex, bytes.length);
+    writeIndex += bytes.length;
   }
 
-  /** Whether a frame was received in part. */
+  /** Returns true if bytes are buffered that were not yet returned as a frame. */
   public boolean midway() {
-    return to > from;
+    return writeIndex > readIndex;
   }
 
   /**
-   * The next frame, or null while it is incomplete.
+   * Returns the next frame.
    *
-   * @throws Http2ConnectionError if it is too long, or the preface is another
+   * @return null while the frame is incomplete
+   * @throws Http2ConnectionError if the frame is too long or the preface differs from the required
+   *     one
    */
   public Frame next() {
     skipPreface();
-    if (to - from < HEADER_SIZE || prefaceSeen < preface.length) {
+    if (writeIndex - readIndex < HEADER_SIZE || prefaceBytesRead < preface.length) {
       return null;
     }
     int length =
-        ((buffer[from] & 255) << 16) | ((buffer[from + 1] & 255) << 8) | (buffer[from + 2] & 255);
+        ((buffer[readIndex] & 255) << 16)
+            | ((buffer[readIndex + 1] & 255) << 8)
+            | (buffer[readIndex + 2] & 255);
     if (length > Frame.FRAME_AT_START) {
-      throw new Http2ConnectionError(ErrorCode.FRAME_SIZE_ERROR, "a frame of " + length + " bytes");
+      throw new Http2ConnectionError(
+          ErrorCode.FRAME_SIZE_ERROR,
+          "frame payload of " + length + " bytes exceeds " + Frame.FRAME_AT_START);
     }
-    if (to - from < HEADER_SIZE + length) {
+    if (writeIndex - readIndex < HEADER_SIZE + length) {
       return null;
     }
-    int stream =
-        ((buffer[from + 5] & 127) << 24)
-            | ((buffer[from + 6] & 255) << 16)
-            | ((buffer[from + 7] & 255) << 8)
-            | (buffer[from + 8] & 255);
+    int streamId =
+        ((buffer[readIndex + 5] & 127) << 24)
+            | ((buffer[readIndex + 6] & 255) << 16)
+            | ((buffer[readIndex + 7] & 255) << 8)
+            | (buffer[readIndex + 8] & 255);
     Frame frame =
         new Frame(
-            buffer[from + 3] & 255,
-            buffer[from + 4] & 255,
-            stream,
-            Arrays.copyOfRange(buffer, from + HEADER_SIZE, from + HEADER_SIZE + length));
-    from += HEADER_SIZE + length;
-    if (from == to) {
-      from = 0;
-      to = 0;
+            buffer[readIndex + 3] & 255,
+            buffer[readIndex + 4] & 255,
+            streamId,
+            Arrays.copyOfRange(buffer, readIndex + HEADER_SIZE, readIndex + HEADER_SIZE + length));
+    readIndex += HEADER_SIZE + length;
+    if (readIndex == writeIndex) {
+      readIndex = 0;
+      writeIndex = 0;
     }
     return frame;
   }
 
   private void skipPreface() {
-    while (prefaceSeen < preface.length && from < to) {
-      if (buffer[from++] != preface[prefaceSeen++]) {
-        throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "not the preface");
+    while (prefaceBytesRead < preface.length && readIndex < writeIndex) {
+      if (buffer[readIndex++] != preface[prefaceBytesRead++]) {
+        throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "connection preface is invalid");
       }
     }
   }
--- a/http2/src/main/java/tillerlink/net/http2/FrameWriter.java
+++ b/http2/src/main/java/tillerlink/net/http2/FrameWriter.java
@@ -8,7 +8,7 @@
 import org.apache.hc.core5.http2.hpack.HPackEncoder;
 import org.apache.hc.core5.util.ByteArrayBuffer;
 
-/** Encodes frames into a buffer, without I/O; the bytes are handed out once. */
+/** Encodes frames into a buffer, without I/O. */
 public final class FrameWriter {
   private static final int MAX_TABLE_SIZE = 4096;
 
@@ -16,24 +16,30 @@
   private final HPackEncoder encoder = new HPackEncoder(MAX_TABLE_SIZE, StandardCharsets.US_ASCII);
   private final ByteArrayBuffer block = new ByteArrayBuffer(512);
 
-  /** Whether there is nothing to hand out. */
+  /** Returns true if no encoded bytes are buffered. */
   public boolean isEmpty() {
     return out.size() == 0;
   }
 
-  /** Hands out the bytes encoded since the last call. */
+  /** Returns the bytes encoded since the last call and clears the buffer. */
   public byte[] take() {
     byte[] bytes = out.toByteArray();
     out.reset();
     return bytes;
   }
 
-  /** Adds bytes as they are. */
+  /** Appends bytes unchanged. */
   public void raw(byte[] bytes) {
     out.writeBytes(bytes);
   }
 
-  /** Adds a frame whose payload is a part of an array. */
+  /**
+   * Appends a frame whose payload is a part of an array.
+   *
+   * @param stream the stream id, 0 for the connection
+   * @param from offset of the payload in the array
+   * @param length size of the payload in bytes
+   */
   public void frame(int type, int flags, int stream, byte[] payload, int from, int length) {
     out.write(length >> 16);
     out.write(length >> 8);
@@ -47,7 +53,7 @@
     out.write(payload, from, length);
   }
 
-  /** Adds a frame whose payload consists of numbers of four bytes. */
+  /** Appends a frame whose payload consists of numbers of four bytes each. */
   public void frame(int type, int flags, int stream, int... numbers) {
     byte[] payload = new byte[4 * numbers.length];
     for (int i = 0; i < numbers.length; i++) {
@@ -57,9 +63,9 @@
   }
 
   /**
-   * Adds a SETTINGS frame.
+   * Appends a SETTINGS frame.
    *
-   * @param pairs settings and their values, in turn
+   * @param pairs identifiers of settings, each followed by its value
    */
   public void settings(int... pairs) {
     byte[] payload = new byte[3 * pairs.length];
@@ -80,10 +86,10 @@
   }
 
   /**
-   * Adds a header list, as a HEADERS frame and as many CONTINUATION frames as it takes.
+   * Appends a header list as a HEADERS frame and as many CONTINUATION frames as needed.
    *
-   * @param last whether it ends the stream
-   * @param maxFrameSize the largest payload of one frame
+   * @param last whether the header list ends the stream
+   * @param maxFrameSize the largest payload of one frame in bytes
    * @throws IllegalArgumentException if a header has characters outside ASCII
    */
   public void headers(int stream, List<? extends Header> headers, boolean last, int maxFrameSize) {
@@ -91,32 +97,40 @@
     try {
       encoder.encodeHeaders(block, headers, false);
     } catch (CharacterCodingException e) {
-      throw new IllegalArgumentException("a header that is not plain text", e);
+      throw new IllegalArgumentException("header contains non-ASCII characters", e);
     }
     int from = 0;
     int type = Frame.HEADERS;
     do {
       int length = Math.min(maxFrameSize, block.length() - from);
-      boolean whole = from + length == block.length();
+      boolean endHeaders = from + length == block.length();
       int flags =
-          (type == Frame.HEADERS && last ? Frame.END_STREAM : 0) | (whole ? Frame.END_HEADERS : 0);
+          (type == Frame.HEADERS && last ? Frame.END_STREAM : 0)
+              | (endHeaders ? Frame.END_HEADERS : 0);
       frame(type, flags, stream, block.array(), from, length);
       from += length;
       type = Frame.CONTINUATION;
     } while (from < block.length());
   }
 
-  /** Takes the size of the peer's compression table, which is used up to the default of 4096. */
+  /**
+   * Applies the size of the peer's header compression table, of which at most the protocol's
+   * default of 4096 bytes is used.
+   */
   public void setMaxTableSize(int bytes) {
     encoder.setMaxTableSize(Math.min(MAX_TABLE_SIZE, bytes));
   }
 
-  /** Adds a GOAWAY with the last stream that is acted on. */
+  /**
+   * Appends a GOAWAY frame.
+   *
+   * @param last the highest id of a stream that is processed
+   */
   public void goAway(int last, ErrorCode code) {
     frame(Frame.GOAWAY, 0, 0, last, code.code());
   }
 
-  /** Adds a RST_STREAM. */
+  /** Appends a RST_STREAM frame. */
   public void reset(int stream, ErrorCode code) {
     frame(Frame.RST_STREAM, 0, stream, code.code());
   }
--- a/http2/src/main/java/tillerlink/net/http2/Http2Stream.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Stream.java
@@ -1,13 +1,13 @@
 package tillerlink.net.http2;
 
-/** The state of one open stream: what its request still has to send, and its response so far. */
+/** The state of an open stream: the unsent part of its request, and its response so far. */
 final class Http2Stream {
   /** Interim responses (1xx) that are tolerated ahead of one final response. */
   private static final int MAX_INTERIM_RESPONSES = 1000;
 
   private final int id;
 
-  /** The request's body, or null once it was sent or dropped. */
+  /** The request's body; null if there is none, or it was sent to its end or dropped. */
   private byte[] body;
 
   private int sent;
@@ -18,8 +18,10 @@
   private int interimResponses;
 
   /**
+   * Creates an open stream.
+   *
    * @param body the request's body; null if it has none
-   * @param sendWindow the peer's initial window for a stream
+   * @param sendWindow the peer's initial window for a stream, in bytes
    */
   Http2Stream(int id, byte[] body, long sendWindow) {
     this.id = id;
@@ -33,21 +35,21 @@
 
   // ---- request ----
 
-  /** Whether the request was not yet sent to its end. */
+  /** Returns true if the request was not yet sent to its end. */
   boolean hasUnsentBody() {
     return body != null;
   }
 
-  /** Whether there is a body to send and the stream's window allows some of it. */
+  /** Returns true if a part of the body is unsent and the stream's window allows some of it. */
   boolean canSend() {
     return body != null && sendWindow > 0;
   }
 
   /**
-   * Writes the next DATA frame; {@link #canSend} must hold.
+   * Writes the next DATA frame; {@link #canSend} must be true.
    *
-   * @param connectionWindow what the connection's window allows, at least 1
-   * @return how many bytes were sent
+   * @param connectionWindow the connection's send window in bytes, at least 1
+   * @return the number of bytes sent
    */
   int sendFrame(FrameWriter writer, long connectionWindow) {
     int length =
@@ -65,12 +67,16 @@
     return length;
   }
 
-  /** Gives up what was not yet sent of the body. */
+  /** Discards the unsent part of the body. */
   void dropBody() {
     body = null;
   }
 
-  /** Changes the send window, which may fall below 0; false if it grows beyond the maximum. */
+  /**
+   * Changes the send window, which may fall below 0.
+   *
+   * @return false if the window exceeds its maximum
+   */
   boolean changeSendWindow(long change) {
     sendWindow += change;
     return sendWindow <= FlowControl.MAX_WINDOW;
@@ -78,29 +84,48 @@
 
   // ---- response ----
 
-  /** Whether the final response's headers were received. */
+  /** Returns true if the final response's headers were received. */
   boolean responseStarted() {
     return responseStarted;
   }
 
-  /** Takes the final response's headers, with the length of the body they state. */
+  /**
+   * Records that the final response's headers were received.
+   *
+   * @param contentLength the declared body length in bytes, or negative if none is known
+   */
   void startResponse(long contentLength) {
     responseStarted = true;
     remainingLength = contentLength;
   }
 
-  /** Counts an interim response; false if there were too many. */
+  /**
+   * Counts an interim response.
+   *
+   * @return false if there were too many
+   */
   boolean countInterimResponse() {
     return ++interimResponses <= MAX_INTERIM_RESPONSES;
   }
 
-  /** Counts received bytes, padding included; false if they exceed the stream's window. */
+  /**
+   * Counts received bytes, including padding, against the stream's receive window.
+   *
+   * @return false if they exceed the window
+   */
   boolean consumeReceiveWindow(int length) {
     receiveWindow -= length;
     return receiveWindow >= 0;
   }
 
-  /** Takes a part of the body; false if none is allowed, or it differs from the stated length. */
+  /**
+   * Counts a received part of the body.
+   *
+   * @param length bytes of content, without padding
+   * @param last whether the part ends the body
+   * @return false if no body is allowed before the headers, or the body contradicts the declared
+   *     length
+   */
   boolean acceptBody(int length, boolean last) {
     if (!responseStarted) {
       return false;
@@ -112,7 +137,7 @@
     return remainingLength >= 0 && !(last && remainingLength > 0);
   }
 
-  /** Whether less of the body was received than the headers stated. */
+  /** Returns true if less of the body was received than the headers declared. */
   boolean lacksBody() {
     return remainingLength > 0;
   }
--- a/http2/src/main/java/tillerlink/net/http2/ResponseHeaders.java
+++ b/http2/src/main/java/tillerlink/net/http2/ResponseHeaders.java
@@ -3,18 +3,18 @@
 import java.util.List;
 import org.apache.hc.core5.http.Header;
 
-/** Validates and reads the header lists of responses (RFC 9113, section 8.2, 8.3). */
+/** Validates and reads the header lists of responses (RFC 9113, sections 8.2 and 8.3). */
 final class ResponseHeaders {
-  /** In place of a status: the list is malformed. */
+  /** Returned instead of a status if the header list is malformed. */
   static final int MALFORMED = -1;
 
-  /** In place of a status: the list is well-formed trailers. */
+  /** Returned instead of a status if the header list is well-formed trailers. */
   static final int TRAILERS = 0;
 
-  /** In place of a length: none is stated. */
+  /** Returned instead of a length if the headers declare none. */
   static final long NO_CONTENT_LENGTH = -1;
 
-  /** In place of a length: what is stated is unusable. */
+  /** Returned instead of a length if the declared one is invalid. */
   static final long BAD_CONTENT_LENGTH = -2;
 
   private static final String STATUS = ":status";
@@ -26,9 +26,9 @@
   private ResponseHeaders() {}
 
   /**
-   * The status of a response.
+   * Returns the status of a response.
    *
-   * @param trailers whether the list follows the response's own headers
+   * @param trailers whether the list was received after the headers of the final response
    * @return {@link #TRAILERS} for trailers, {@link #MALFORMED} if the list is malformed
    */
   static int status(List<Header> headers, boolean trailers) {
@@ -51,10 +51,10 @@
   }
 
   /**
-   * The length of the body that a response states.
+   * Returns the body length, in bytes, that a response declares.
    *
-   * @return {@link #NO_CONTENT_LENGTH} if none, {@link #BAD_CONTENT_LENGTH} if more than one or no
-   *     number
+   * @return {@link #NO_CONTENT_LENGTH} if it declares none, {@link #BAD_CONTENT_LENGTH} if it
+   *     declares more than one or an invalid number
    */
   static long contentLength(List<Header> headers) {
     long length = NO_CONTENT_LENGTH;
@@ -102,7 +102,7 @@
         && text.chars().allMatch(character -> character >= '0' && character <= '9');
   }
 
-  /** Headers that HTTP/2 forbids (section 8.2.2). */
+  /** Returns true for connection-specific headers, which HTTP/2 forbids (section 8.2.2). */
   private static boolean isConnectionSpecific(Header header) {
     return switch (header.getName()) {
       case "connection", "proxy-connection", "keep-alive", "transfer-encoding", "upgrade" -> true;
--- a/http2/src/main/java/tillerlink/net/http2/StreamTable.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamTable.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The streams of one connection: those that are open, the ids given out, the latest that ended. */
+/** The open streams of a connection, the next stream id, and the streams that ended recently. */
 final class StreamTable {
   private static final int FIRST_ID = 1;
   private static final int LAST_ID = Integer.MAX_VALUE - 2;
@@ -14,18 +14,22 @@
 
   private final Map<Integer, Http2Stream> open = new LinkedHashMap<>();
 
-  /** The latest streams that the peer ended: a further frame on one of them is an error. */
+  /**
+   * The ids of the streams that the peer ended most recently, because a further frame on one of
+   * them is a connection error.
+   */
   private final ArrayDeque<Integer> ended = new ArrayDeque<>();
 
   private int nextId = FIRST_ID;
 
-  /** How many open streams have an unsent part of their body. */
+  /** The number of open streams whose body was not sent to its end. */
   private int unsentBodies;
 
   /**
    * Opens a stream under the next id.
    *
    * @param body the request's body; empty if it has none
+   * @param sendWindow the initial send window of the stream in bytes
    */
   Http2Stream open(byte[] body, long sendWindow) {
     boolean hasBody = body.length > 0;
@@ -38,17 +42,21 @@
     return stream;
   }
 
-  /** The open stream of that id, or null. */
+  /**
+   * Returns the open stream with an id.
+   *
+   * @return null if no open stream has that id
+   */
   Http2Stream find(int id) {
     return open.get(id);
   }
 
-  /** The open streams, in the order they were opened. */
+  /** Returns the open streams in the order in which they were opened. */
   Collection<Http2Stream> all() {
     return open.values();
   }
 
-  /** The open streams above an id, as a copy. */
+  /** Returns a copy of the open streams with ids above a given one. */
   List<Http2Stream> above(int lastId) {
     return open.values().stream().filter(stream -> stream.id() > lastId).toList();
   }
@@ -57,7 +65,7 @@
     return open.size();
   }
 
-  /** Removes a stream that was reset by either side, with what it had not sent. */
+  /** Removes a stream that was reset by either side, and discards the unsent part of its body. */
   void remove(Http2Stream stream) {
     open.remove(stream.id());
     if (stream.hasUnsentBody()) {
@@ -75,27 +83,27 @@
     }
   }
 
-  /** Whether the peer ended that stream, as far as that is remembered. */
+  /** Returns true if the stream is among those that the peer ended most recently. */
   boolean hasEnded(int id) {
     return ended.contains(id);
   }
 
-  /** Whether that id was never opened here. */
+  /** Returns true if this side never opened a stream with that id. */
   boolean isIdle(int id) {
     return id >= nextId || id % 2 == 0;
   }
 
-  /** Whether no id is left for a further stream. */
+  /** Returns true if no id is left for a further stream. */
   boolean isExhausted() {
     return nextId >= LAST_ID;
   }
 
-  /** Whether any open stream has an unsent part of its body. */
+  /** Returns true if the body of any open stream was not sent to its end. */
   boolean hasUnsentBodies() {
     return unsentBodies > 0;
   }
 
-  /** Counts a body that was sent to its end. */
+  /** Records that the body of an open stream was sent to its end. */
   void bodySent() {
     unsentBodies--;
   }
--- a/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
+++ b/http2/src/main/java/tillerlink/net/http2/StreamTermination.java
@@ -3,42 +3,45 @@
 import tillerlink.model.AttemptOutcome;
 
 /**
- * Every way a stream can end, and what each means for the attempt on it: one outcome if the request
- * may have been received whole by the engine, one if not. Which of them prove that nothing was
- * executed is argued line by line in docs/http2-design.md.
+ * The ways in which a stream can end, each with the outcome of its attempt if the engine may have
+ * received the whole request, and the outcome if it did not. docs/http2-design.md explains for each
+ * of them whether it proves that nothing was executed.
  */
 public enum StreamTermination {
-  /** The response was received whole. */
+  /** The response was received completely. */
   COMPLETED(AttemptOutcome.SUCCEEDED),
-  /** The response states that the engine was full and did not execute it. */
+  /** The response states that the engine was full and did not execute the request. */
   ENGINE_FULL(AttemptOutcome.REJECTED),
-  /** The response states that the request was over already and was not executed. */
+  /** The response states that the request had already ended and was not executed. */
   NOT_EXECUTED(AttemptOutcome.NOT_SENT),
-  /** Any other response but a result. */
+  /** The response carries no result and does not state that nothing was executed. */
   ENGINE_ERROR(AttemptOutcome.FAILED),
-  /** Its id is above the last that a GOAWAY names: not acted on (RFC 9113, 6.8). */
+  /** The id is above the last id of a GOAWAY, so the request was not processed (RFC 9113, 6.8). */
   ABOVE_GOAWAY(AttemptOutcome.NOT_SENT),
-  /** Reset with REFUSED_STREAM: not acted on (8.7). */
+  /** The stream was reset with REFUSED_STREAM, so the request was not processed (8.7). */
   REFUSED(AttemptOutcome.REJECTED),
-  /** Reset with another code before any of the response. */
+  /** The stream was reset with another code before the response began. */
   RESET_BEFORE_ANSWER(AttemptOutcome.FAILED, AttemptOutcome.NOT_SENT),
-  /** Reset after the response began. */
+  /** The stream was reset after the response began. */
   RESET_IN_ANSWER(AttemptOutcome.RESPONSE_LOST),
-  /** The response can't be read, differs from the length it states, or is too long. */
+  /** The response is malformed, contradicts its declared length, or is too long. */
   GARBLED(AttemptOutcome.RESPONSE_LOST, AttemptOutcome.NOT_SENT),
-  /** The connection ended with the stream open. */
+  /** The connection ended while the stream was open. */
   CUT(AttemptOutcome.CONNECTION_LOST, AttemptOutcome.NOT_SENT),
-  /** The connection does not answer a probe, and a new one failed too. */
+  /** The connection did not answer a probe, and a new connection failed too. */
   SILENT(AttemptOutcome.CONNECTION_LOST, AttemptOutcome.CONNECT_FAILED),
-  /** The connection does not answer a probe, while the engine is heard on another. */
+  /** The connection did not answer a probe, while the engine answered on another one. */
   MUTE(AttemptOutcome.RESPONSE_LOST, AttemptOutcome.NOT_SENT),
-  /** The engine's window stayed closed for a body that was not wholly sent. */
+  /** The engine's flow-control window stayed closed before the body was sent to its end. */
   WINDOW_CLOSED(AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT),
-  /** Its engine began to drain before the last byte of the request was handed over. */
+  /**
+   * The request must not be written any more, for example because its engine drains, and its last
+   * byte was not handed to the channel.
+   */
   WITHDRAWN(AttemptOutcome.NOT_SENT),
-  /** No connection had a stream free for it in time. */
+  /** No stream was available in time, or the request exceeds a limit. */
   NO_ROOM(AttemptOutcome.NOT_SENT),
-  /** Cancelled here. */
+  /** The gateway cancelled the attempt. */
   CANCELLED(AttemptOutcome.CANCELLED, AttemptOutcome.NOT_SENT);
 
   private final AttemptOutcome outcomeIfReceived;
@@ -54,13 +57,13 @@
   }
 
   /**
-   * What it means for the attempt.
+   * Returns the outcome of the attempt on the stream.
    *
-   * @param received the request may have been received whole by the engine: its last byte was
-   *     written. An engine acts on a request only when it has received all of it
+   * @param received whether the engine may have received the whole request, because its last byte
+   *     was written. An engine processes a request only when it has received all of it
    *     (docs/http2-wire.md; a shorter body is malformed, 8.1.1)
-   * @param responseStarted the attempt's response had begun, on this stream or on one before it:
-   *     then it was executed
+   * @param responseStarted whether the attempt's response had begun, on this stream or an earlier
+   *     one, which means that the request was executed
    */
   public AttemptOutcome outcome(boolean received, boolean responseStarted) {
     AttemptOutcome outcome = received ? outcomeIfReceived : outcomeIfNotReceived;
@@ -71,7 +74,7 @@
         : outcome;
   }
 
-  /** Whether what is missing of a result may be requested on another connection. */
+  /** Returns true if the rest of a result may be requested on another connection. */
   boolean isResumable() {
     return switch (this) {
       case CUT, MUTE, REFUSED, ABOVE_GOAWAY, RESET_BEFORE_ANSWER, RESET_IN_ANSWER -> true;
--- a/http2/src/main/java/tillerlink/net/pool/StreamPool.java
+++ b/http2/src/main/java/tillerlink/net/pool/StreamPool.java
@@ -3,74 +3,87 @@
 import java.util.List;
 
 /**
- * Decides which connection of one engine the next stream goes to, when another is opened, and when
- * one is retired. It does no I/O, has no clock and stores nothing between calls.
+ * Chooses the connection of an engine for the next stream, and decides when to open another
+ * connection and when to retire one. It does no I/O, reads no clock and stores nothing between
+ * calls. Times are tenths of a millisecond.
  */
 public final class StreamPool {
-  /** A connection as the pool sees it. */
+  /** The pool's view of a connection. */
   public interface Member {
-    /** Whether it is connected and the engine's settings were received. */
+    /** Returns true if it is connected and the engine's settings were received. */
     boolean isUp();
 
-    /** Whether it is still being connected. */
+    /** Returns true if it is still being connected. */
     boolean isDialing();
 
-    /** Whether it may take further streams: not retired, not silent, not spent. */
+    /**
+     * Returns true if it may carry further streams: it is not closed, retired, silent or used up.
+     */
     boolean acceptsStreams();
 
-    /** How many streams are open on it. */
+    /** Returns the number of open streams on it. */
     int openStreams();
 
-    /** How many streams the engine allows to be open on it at once. */
+    /** Returns how many streams the engine allows to be open on it at once. */
     long maxConcurrentStreams();
 
-    /** How many responses were received on it so far. */
+    /** Returns the number of responses received on it so far. */
     long responses();
 
-    /** When it was dialed. */
+    /** Returns the time at which it was dialed. */
     long dialedAt();
 
-    /** When its last stream ended. */
+    /** Returns the time at which its last stream ended, or it was dialed if it had none. */
     long idleSince();
   }
 
-  /** What to do for the next stream: use a connection, dial another, or wait. */
+  /** The action for the next stream: use a connection, dial another, or wait. */
   public enum Verdict {
     USE,
     DIAL,
     WAIT
   }
 
-  /** A verdict, with the connection for {@code USE} and null for the others. */
+  /**
+   * A verdict and its connection.
+   *
+   * @param member the connection to use; null unless the verdict is {@code USE}
+   */
   public record Choice(Verdict verdict, Member member) {}
 
   private static final Choice DIAL = new Choice(Verdict.DIAL, null);
   private static final Choice WAIT = new Choice(Verdict.WAIT, null);
 
-  /** How many streams a connection takes before its first response: it may lead to no engine. */
+  /**
+   * Streams allowed on a connection before its first response. It is low because no engine may be
+   * behind the connection.
+   */
   private static final int STREAMS_BEFORE_FIRST_RESPONSE = 32;
 
-  /** How many more it takes for each response. */
+  /** Further streams allowed for each response. */
   private static final int STREAMS_PER_RESPONSE = 2;
 
-  /** The age at which a connection is retired, so that new ones follow the engine's address. */
+  /**
+   * The age, in idle time-outs, at which a connection is retired, so that new connections follow a
+   * change of the engine's address.
+   */
   private static final int MAX_AGE_IN_IDLE_TIMEOUTS = 20;
 
   private final int maxStreams;
   private final int maxConnections;
 
   /**
-   * A pool with the bounds of one engine.
+   * Creates a pool with the limits of one engine.
    *
-   * @param maxStreams streams on one connection, whatever the engine allows
-   * @param maxConnections connections to one engine, whatever the fleet's bound leaves
+   * @param maxStreams the most streams on one connection, even if the engine allows more
+   * @param maxConnections the most connections to one engine, even if the fleet's limit allows more
    */
   public StreamPool(int maxStreams, int maxConnections) {
     this.maxStreams = maxStreams;
     this.maxConnections = maxConnections;
   }
 
-  /** How many streams may be open on a connection now. */
+  /** Returns how many streams may be open on a connection now. */
   public long streamQuota(Member member) {
     long responseBasedLimit =
         STREAMS_BEFORE_FIRST_RESPONSE + STREAMS_PER_RESPONSE * member.responses();
@@ -78,13 +91,13 @@
   }
 
   /**
-   * Where the next stream goes: to the connection with the fewest open streams of those with
-   * capacity; if there is none, over a new one, unless one being opened will have capacity for it.
-   * Guards against an engine that lowered its limit to 0: no further connection is opened then, for
-   * it would state the same.
+   * Chooses where the next stream goes: to the connection with the fewest open streams among those
+   * with capacity. If there is none, a new connection is dialed, unless one that is being opened
+   * will have capacity for the stream. Guards against an engine that lowered its stream limit to 0:
+   * no further connection is opened then, because it would get the same limit.
    *
-   * @param waiting how many attempts wait for a stream already
-   * @param quota how many connections this engine may have by the fleet's bound
+   * @param waiting how many attempts already wait for a stream
+   * @param quota how many connections this engine may have under the fleet's limit
    */
   public Choice choose(List<? extends Member> members, int waiting, int quota) {
     Member best = leastLoaded(members);
@@ -123,9 +136,10 @@
   }
 
   /**
-   * How many connections an engine may have: its part of the fleet's bound, at least one while the
-   * bound is not reached.
+   * Returns how many connections an engine may have: its share of the fleet's limit, at least one
+   * while the limit is not reached.
    *
+   * @param maxConnections the limit of connections from the gateway to all engines
    * @param openConnections how many connections the gateway has to all engines
    * @param ownConnections how many of them lead to this engine
    */
@@ -136,7 +150,7 @@
         : Math.max(1, maxConnections / Math.max(1, engines));
   }
 
-  /** Whether a connection should be retired: without streams for too long, or too old. */
+  /** Returns true if a connection should be retired: it has been idle too long, or is too old. */
   public boolean shouldRetire(Member member, long now, long idleTimeout) {
     return (member.openStreams() == 0 && now >= member.idleSince() + idleTimeout)
         || now >= member.dialedAt() + MAX_AGE_IN_IDLE_TIMEOUTS * idleTimeout;
