--- a/http2/src/main/java/tillerlink/net/http2/AttemptStream.java
+++ b/http2/src/main/java/tillerlink/net/http2/AttemptStream.java
@@ -2,21 +2,26 @@
 
 import tillerlink.net.state.InFlightAttempt;
 
-/** An attempt on a stream of one connection. Owned by the event-loop thread. */
+/**
+ * An attempt and the stream of one connection that carries it. Owned by the event-loop thread;
+ * times are tenths of a millisecond.
+ */
 final class AttemptStream {
-  /** The number of the last write while that has not been handed to the channel. */
+  /**
+   * The {@link #lastWriteNumber} of a request whose last byte was not yet handed to the channel.
+   */
   static final long UNSENT = Long.MAX_VALUE;
 
   final InFlightAttempt inFlight;
   final int streamId;
 
-  /** The number of the write with the request's last byte. */
+  /** The number of the channel write that contains the request's last byte. */
   long lastWriteNumber = UNSENT;
 
-  /** Its response has begun with a status that stands for a result. */
+  /** True once the response's headers were received with a status that announces a result. */
   boolean responseAccepted;
 
-  /** When the engine's window was found closed for its body; 0 if it is open. */
+  /** When the engine's flow-control window was first found closed for the body; 0 if it was not. */
   long windowClosedSince;
 
   AttemptStream(InFlightAttempt inFlight, int streamId) {
@@ -24,8 +29,8 @@
     this.streamId = streamId;
   }
 
-  /** Whether the request's last byte was handed to the channel. */
-  boolean handedOver() {
+  /** Returns true if the request's last byte was handed to the channel. */
+  boolean isRequestHandedOver() {
     return lastWriteNumber != UNSENT;
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/BodySender.java
+++ b/http2/src/main/java/tillerlink/net/http2/BodySender.java
@@ -4,52 +4,59 @@
 import java.util.Iterator;
 import java.util.List;
 
-/** Sends the bodies of requests: a frame of each stream in turn, as far as both windows reach. */
+/**
+ * Sends request bodies round-robin, one DATA frame per stream and round, within the flow-control
+ * windows of the connection and of each stream.
+ */
 final class BodySender {
   private final FrameWriter writer;
   private final StreamTable streams;
-  private final FlowControl flow;
+  private final FlowControl flowControl;
 
-  /** Streams whose last byte was written since that was last asked. */
-  private final List<Integer> completed = new ArrayList<>();
+  /** Streams whose request was encoded to its end since the last {@link #takeSentRequests}. */
+  private final List<Integer> sentRequests = new ArrayList<>();
 
-  BodySender(FrameWriter writer, StreamTable streams, FlowControl flow) {
+  BodySender(FrameWriter writer, StreamTable streams, FlowControl flowControl) {
     this.writer = writer;
     this.streams = streams;
-    this.flow = flow;
+    this.flowControl = flowControl;
   }
 
-  /** Sends as much as the windows allow. */
+  /** Sends as much of the bodies as the flow-control windows allow. */
   void send() {
-    boolean progress = streams.hasUnsentBodies() && flow.sendWindow() > 0;
+    boolean progress = streams.hasUnsentBodies() && flowControl.sendWindow() > 0;
     while (progress) {
       progress = sendRound() && streams.hasUnsentBodies();
     }
   }
 
-  /** Notes that a request's last byte was written. */
-  void complete(int id) {
-    completed.add(id);
+  /**
+   * Records that a request was encoded to its end.
+   *
+   * @param id the id of its stream
+   */
+  void onRequestSent(int id) {
+    sentRequests.add(id);
   }
 
-  /** The streams completed since the last call. */
-  List<Integer> takeCompleted() {
-    List<Integer> taken = List.copyOf(completed);
-    completed.clear();
-    return taken;
+  /** Returns the ids of streams whose request was encoded to its end since the last call. */
+  List<Integer> takeSentRequests() {
+    List<Integer> ids = List.copyOf(sentRequests);
+    sentRequests.clear();
+    return ids;
   }
 
   private boolean sendRound() {
     boolean progress = false;
     Iterator<Http2Stream> all = streams.all().iterator();
-    while (all.hasNext() && flow.sendWindow() > 0) {
+    while (all.hasNext() && flowControl.sendWindow() > 0) {
       Http2Stream stream = all.next();
       if (stream.canSend()) {
-        flow.consumeSendWindow(stream.sendFrame(writer, flow.sendWindow()));
+        flowControl.consumeSendWindow(stream.sendFrame(writer, flowControl.sendWindow()));
         progress = true;
         if (!stream.hasUnsentBody()) {
           streams.bodySent();
-          complete(stream.id());
+          onRequestSent(stream.id());
         }
       }
     }
--- a/http2/src/main/java/tillerlink/net/http2/EngineResponses.java
+++ b/http2/src/main/java/tillerlink/net/http2/EngineResponses.java
@@ -4,7 +4,7 @@
 import org.apache.hc.core5.http.Header;
 import tillerlink.model.AttemptProgress;
 
-/** What the header lists of engines' responses mean, as docs/http2-wire.md defines them. */
+/** Interprets the header lists of engines' responses, as docs/http2-wire.md defines them. */
 final class EngineResponses {
   private static final int OK = 200;
   private static final int PARTIAL_CONTENT = 206;
@@ -14,10 +14,10 @@
   private EngineResponses() {}
 
   /**
-   * Progress of an attempt.
+   * The attempt progress that an interim response reports.
    *
-   * @param kind null if the response reports none that is known
-   * @param level not a number if it is none
+   * @param kind null if the response reports no kind or an unknown one
+   * @param level NaN if the reported level is not a valid number
    */
   record Progress(AttemptProgress kind, double level) {
     boolean isValid() {
@@ -25,20 +25,21 @@
     }
   }
 
-  static Progress progress(List<Header> headers) {
+  /** Reads the attempt progress from the headers of an interim response. */
+  static Progress parseProgress(List<Header> headers) {
     AttemptProgress kind = null;
     double level = 0;
     for (Header header : headers) {
       switch (header.getName()) {
-        case "note-about" -> kind = kind(header.getValue());
-        case "note-level" -> level = amount(header.getValue());
+        case "note-about" -> kind = parseKind(header.getValue());
+        case "note-level" -> level = parseLevel(header.getValue());
         default -> {}
       }
     }
     return new Progress(kind, level);
   }
 
-  private static AttemptProgress kind(String text) {
+  private static AttemptProgress parseKind(String text) {
     return switch (text) {
       case "share-done" -> AttemptProgress.PROGRESS;
       case "megabytes-missing" -> AttemptProgress.SPILLS;
@@ -47,16 +48,25 @@
     };
   }
 
-  private static double amount(String text) {
+  private static double parseLevel(String text) {
     return text.matches("[0-9]{1,9}([.][0-9]{1,9})?") ? Double.parseDouble(text) : Double.NaN;
   }
 
-  /** Whether a response brings a result, or the rest of one that was resumed. */
-  static boolean bringsResult(Event.Response response, boolean resumed) {
+  /**
+   * Returns true if the response carries a result.
+   *
+   * @param resumed whether the rest of a partly received result was requested; its status is 206
+   *     and not 200
+   */
+  static boolean hasResult(Event.Response response, boolean resumed) {
     return response.status() == (resumed ? PARTIAL_CONTENT : OK);
   }
 
-  /** What a response that brings no result means for its attempt. */
+  /**
+   * Returns how a response without a result ends its stream.
+   *
+   * @param resumed whether the rest of a partly received result was requested
+   */
   static StreamTermination termination(Event.Response response, boolean resumed) {
     if (resumed) {
       return StreamTermination.GARBLED;
--- a/http2/src/main/java/tillerlink/net/http2/FloodGuard.java
+++ b/http2/src/main/java/tillerlink/net/http2/FloodGuard.java
@@ -1,27 +1,33 @@
 package tillerlink.net.http2;
 
-/** Limits the frames without content, which cost work, in relation to those that carry data. */
+/**
+ * Limits the frames without content in relation to those that carry data or a response, because a
+ * peer could otherwise cause unlimited work with frames that transfer nothing.
+ */
 final class FloodGuard {
-  /** Useless frames that are tolerated beyond those that useful ones have made up for. */
-  private static final int MAX_USELESS = 1000;
+  /** Overhead frames tolerated in excess of those offset by content frames. */
+  private static final int MAX_OVERHEAD_FRAMES = 1000;
 
-  private static final int USELESS_PER_USEFUL = 20;
+  /** How many overhead frames one content frame offsets. */
+  private static final int OVERHEAD_PER_CONTENT_FRAME = 20;
 
-  private int useless;
+  private int overheadFrames;
 
   /**
    * Counts a frame without content.
    *
-   * @throws Http2ConnectionError of ENHANCE_YOUR_CALM if there were too many
+   * @throws Http2ConnectionError with ENHANCE_YOUR_CALM if the limit is exceeded
    */
-  void countUseless() {
-    if (++useless > MAX_USELESS) {
-      throw new Http2ConnectionError(ErrorCode.ENHANCE_YOUR_CALM, "too much that brings nothing");
+  void countOverheadFrame() {
+    if (++overheadFrames > MAX_OVERHEAD_FRAMES) {
+      throw new Http2ConnectionError(
+          ErrorCode.ENHANCE_YOUR_CALM,
+          "more than " + MAX_OVERHEAD_FRAMES + " frames without content");
     }
   }
 
-  /** Counts a frame that carried data or a response. */
-  void countUseful() {
-    useless = Math.max(0, useless - USELESS_PER_USEFUL);
+  /** Counts a frame that carried data or a response, which offsets some overhead frames. */
+  void countContentFrame() {
+    overheadFrames = Math.max(0, overheadFrames - OVERHEAD_PER_CONTENT_FRAME);
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/HeaderBlockReader.java
+++ b/http2/src/main/java/tillerlink/net/http2/HeaderBlockReader.java
@@ -12,25 +12,30 @@
 /**
  * Joins HEADERS and CONTINUATION frames to header blocks and decodes them (RFC 9113, section 4.3).
  * The size of a block, the number of its frames and the size of the decoded list are bounded. Every
- * block must be decoded, also that of a stream that is over: the compression table is shared.
+ * block must be decoded, even that of a closed stream, because all streams of the connection share
+ * the compression table.
  */
 final class HeaderBlockReader {
-  /** The largest decoded header list that we take; declared to the peer. */
+  /** The largest accepted size of a decoded header list, in bytes; declared to the peer. */
   static final int MAX_LIST_SIZE = 16_384;
 
   private static final int TABLE_SIZE = 4096;
   private static final int MAX_BLOCK_SIZE = 16_384;
   private static final int MAX_CONTINUATIONS = 8;
 
-  /** A decoded header list; {@code last} if its HEADERS frame ended the stream. */
-  record HeaderList(int stream, List<Header> headers, boolean last) {}
+  /**
+   * A decoded header list.
+   *
+   * @param endStream whether its HEADERS frame ended the stream
+   */
+  record HeaderList(int streamId, List<Header> headers, boolean endStream) {}
 
   private final HPackDecoder decoder = new HPackDecoder(TABLE_SIZE, StandardCharsets.US_ASCII);
 
-  /** The stream whose block is not yet complete, or 0. */
-  private int stream;
+  /** The id of the stream whose block is not yet complete, or 0. */
+  private int streamId;
 
-  private boolean last;
+  private boolean endStream;
   private int continuations;
   private byte[] block = new byte[0];
 
@@ -38,44 +43,48 @@
     decoder.setMaxListSize(MAX_LIST_SIZE);
   }
 
-  /** Whether a frame is allowed now: within a block, only that block's continuation may. */
+  /** Returns true if a frame is allowed now: an open block allows only its own CONTINUATION. */
   boolean allows(Frame frame) {
-    return stream == 0 || (frame.type() == Frame.CONTINUATION && frame.stream() == stream);
+    return streamId == 0 || (frame.type() == Frame.CONTINUATION && frame.stream() == streamId);
   }
 
   /**
-   * Takes a HEADERS frame, which begins a block.
+   * Processes a HEADERS frame, which begins a block.
    *
-   * @return the list, or null while the block is not complete
-   * @throws Http2ConnectionError if it is too long or can't be decoded
+   * @return the header list, or null while the block is not complete
+   * @throws Http2ConnectionError if the block is too long or cannot be decoded
    */
   HeaderList begin(Frame frame) {
     int from = frame.from();
     int to = frame.to();
-    stream = frame.stream();
-    last = frame.has(Frame.END_STREAM);
+    streamId = frame.stream();
+    endStream = frame.has(Frame.END_STREAM);
     continuations = 0;
     block = new byte[0];
     return append(frame, from, to - from);
   }
 
   /**
-   * Takes a CONTINUATION frame.
+   * Processes a CONTINUATION frame.
    *
-   * @return the list, or null while the block is not complete
-   * @throws Http2ConnectionError if no block was begun, it is too long or can't be decoded
+   * @return the header list, or null while the block is not complete
+   * @throws Http2ConnectionError if no block is open, or the block has too many frames, is too long
+   *     or cannot be decoded
    */
   HeaderList continueBlock(Frame frame) {
-    FrameChecks.require(stream != 0, "a continuation of nothing");
+    FrameChecks.require(streamId != 0, "CONTINUATION frame without a preceding HEADERS frame");
     if (++continuations > MAX_CONTINUATIONS) {
-      throw new Http2ConnectionError(ErrorCode.ENHANCE_YOUR_CALM, "endless continuations");
+      throw new Http2ConnectionError(
+          ErrorCode.ENHANCE_YOUR_CALM,
+          "header block has more than " + MAX_CONTINUATIONS + " CONTINUATION frames");
     }
     return append(frame, 0, frame.payload().length);
   }
 
   private HeaderList append(Frame frame, int from, int length) {
     if (block.length + length > MAX_BLOCK_SIZE) {
-      throw new Http2ConnectionError(ErrorCode.ENHANCE_YOUR_CALM, "a header block too long");
+      throw new Http2ConnectionError(
+          ErrorCode.ENHANCE_YOUR_CALM, "header block exceeds " + MAX_BLOCK_SIZE + " bytes");
     }
     byte[] joined = Arrays.copyOf(block, block.length + length);
     System.arraycopy(frame.payload(), from, joined, block.length, length);
@@ -83,8 +92,8 @@
     if (!frame.has(Frame.END_HEADERS)) {
       return null;
     }
-    HeaderList list = new HeaderList(stream, decode(), last);
-    stream = 0;
+    HeaderList list = new HeaderList(streamId, decode(), endStream);
+    streamId = 0;
     block = new byte[0];
     return list;
   }
@@ -93,10 +102,12 @@
     try {
       return decoder.decodeHeaders(ByteBuffer.wrap(block));
     } catch (HeaderListConstraintException e) {
-      // The library stops in the middle, so that the shared table can't be trusted any more.
-      throw new Http2ConnectionError(ErrorCode.ENHANCE_YOUR_CALM, "a header list too long");
+      // The library stops within the block. The shared compression table then differs from that of
+      // the peer, so that the whole connection has to end.
+      throw new Http2ConnectionError(
+          ErrorCode.ENHANCE_YOUR_CALM, "header list exceeds " + MAX_LIST_SIZE + " bytes");
     } catch (HPackException | RuntimeException e) {
-      throw new Http2ConnectionError(ErrorCode.COMPRESSION_ERROR, "headers that can't be decoded");
+      throw new Http2ConnectionError(ErrorCode.COMPRESSION_ERROR, "header block cannot be decoded");
     }
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2ClientConnection.java
@@ -6,38 +6,38 @@
 import org.apache.hc.core5.http.Header;
 
 /**
- * The client's side of one HTTP/2 connection (RFC 9113), without I/O: it is fed received bytes,
- * yields typed events, and hands out the bytes to write. What a peer can make it store or do is
- * bounded, whatever the peer sends. Not thread-safe: it belongs to the thread of its owner.
+ * The client side of one HTTP/2 connection (RFC 9113), without I/O: it is fed received bytes,
+ * returns typed events, and returns the bytes to write. The memory and work that a peer can cause
+ * are bounded, whatever the peer sends. Not thread-safe: it belongs to the thread of its owner.
  */
 public final class Http2ClientConnection {
   private static final byte[] PREFACE =
       "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-  /** What RFC 9113, section 6.5.2, counts for each header in addition to its name and value. */
+  /** Bytes that RFC 9113, section 6.5.2, counts for each header besides its name and value. */
   private static final int HEADER_OVERHEAD = 32;
 
-  /** In place of the last id that the peer accepts: no GOAWAY was received. */
+  /** The value of {@link #lastAcceptedId} while no GOAWAY was received. */
   private static final int NO_GOAWAY = Integer.MAX_VALUE;
 
   private final FrameReader reader = new FrameReader(new byte[0]);
   private final FrameWriter writer = new FrameWriter();
   private final ArrayDeque<Event> events = new ArrayDeque<>();
   private final StreamTable streams = new StreamTable();
-  private final FloodGuard flood = new FloodGuard();
-  private final FlowControl flow = new FlowControl(writer);
-  private final PeerSettings peerSettings = new PeerSettings(writer, streams, flow);
-  private final BodySender sender = new BodySender(writer, streams, flow);
+  private final FloodGuard floodGuard = new FloodGuard();
+  private final FlowControl flowControl = new FlowControl(writer);
+  private final PeerSettings peerSettings = new PeerSettings(writer, streams, flowControl);
+  private final BodySender sender = new BodySender(writer, streams, flowControl);
   private final HeaderBlockReader headerBlocks = new HeaderBlockReader();
   private final ResponseReceiver receiver =
-      new ResponseReceiver(writer, streams, flow, flood, events);
+      new ResponseReceiver(writer, streams, flowControl, floodGuard, events);
 
   private int lastAcceptedId = NO_GOAWAY;
-  private boolean broken;
+  private boolean failed;
   private long pings;
   private boolean pingUnanswered;
 
-  /** A new connection, whose preface and settings are ready to be written. */
+  /** Creates a connection whose preface and settings are ready to be written. */
   public Http2ClientConnection() {
     writer.raw(PREFACE);
     writer.settings(
@@ -45,17 +45,17 @@
         0,
         Frame.SETTINGS_MAX_HEADER_LIST_SIZE,
         HeaderBlockReader.MAX_LIST_SIZE);
-    flow.openReceiveWindow();
+    flowControl.openReceiveWindow();
   }
 
-  // ---- what the owner does ----
+  // ---- operations of the owner ----
 
   /**
-   * Takes received bytes, which may end anywhere in a frame. A connection error becomes an {@link
-   * Event.Broken}, after which further bytes are ignored.
+   * Processes received bytes, which may end anywhere in a frame. A connection error becomes an
+   * {@link Event.ConnectionFailed}, after which further bytes are ignored.
    */
   public void feed(byte[] bytes) {
-    if (broken) {
+    if (failed) {
       return;
     }
     reader.feed(bytes);
@@ -64,63 +64,78 @@
         dispatch(frame);
       }
     } catch (Http2ConnectionError e) {
-      broken = true;
+      failed = true;
       writer.goAway(0, e.code());
-      events.add(new Event.Broken(e.code(), e.getMessage()));
+      events.add(new Event.ConnectionFailed(e.code(), e.getMessage()));
     }
   }
 
-  /** The next event, or null. */
-  public Event next() {
+  /**
+   * Removes and returns the next event.
+   *
+   * @return null if there is none
+   */
+  public Event poll() {
     return events.poll();
   }
 
-  /** The bytes to write, handed out once; empty if there are none. */
-  public byte[] take() {
+  /** Returns the bytes to write that no earlier call returned, possibly none. */
+  public byte[] takeOutput() {
     return writer.isEmpty() ? new byte[0] : writer.take();
   }
 
-  /** The streams whose last byte is in what {@link #take} handed out last. */
+  /**
+   * Returns the ids of streams whose request was encoded to its end since the last call. Called
+   * after {@link #takeOutput}, it names those whose last byte is in the bytes returned there.
+   */
   public List<Integer> takeSentRequests() {
-    return sender.takeCompleted();
+    return sender.takeSentRequests();
   }
 
-  /** Whether a further stream may be opened: the peer's limit, its GOAWAY and the ids allow it. */
-  public boolean takesStreams() {
-    return !isSpent() && streams.size() < peerSettings.maxConcurrentStreams();
+  /**
+   * Returns true if a further stream may be opened now: the peer's limit of open streams is not
+   * reached, no GOAWAY was received and stream ids are left.
+   */
+  public boolean canOpenStream() {
+    return !rejectsNewStreams() && streams.size() < peerSettings.maxConcurrentStreams();
   }
 
-  /** Whether no further stream may ever be opened. */
-  public boolean isSpent() {
-    return broken || lastAcceptedId != NO_GOAWAY || streams.isExhausted();
+  /** Returns true if no further stream may ever be opened on this connection. */
+  public boolean rejectsNewStreams() {
+    return failed || lastAcceptedId != NO_GOAWAY || streams.isExhausted();
   }
 
-  /** How many streams the peer allows to be open; {@code Long.MAX_VALUE} if it states none. */
+  /**
+   * Returns how many streams the peer allows to be open at once.
+   *
+   * @return {@code Long.MAX_VALUE} if the peer states no limit
+   */
   public long maxConcurrentStreams() {
     return peerSettings.maxConcurrentStreams();
   }
 
-  /** Whether the peer's settings were received. */
+  /** Returns true if the peer's settings were received. */
   public boolean settingsReceived() {
     return peerSettings.received();
   }
 
-  /** How many streams are open. */
-  public int open() {
+  /** Returns the number of open streams. */
+  public int openStreamCount() {
     return streams.size();
   }
 
-  /** Whether the request of a stream was sent to its end; true for a stream that is over. */
+  /** Returns true if the request of a stream was sent to its end or the stream is closed. */
   public boolean isRequestSent(int id) {
     Http2Stream stream = streams.find(id);
     return stream == null || !stream.hasUnsentBody();
   }
 
   /**
-   * Opens a stream and sends its request; {@link #takesStreams} must hold.
+   * Opens a stream and sends its request; {@link #canOpenStream} must be true.
    *
+   * @param body the request's body; empty if it has none
    * @return the stream's id
-   * @throws IllegalArgumentException if the header list is longer than the peer takes
+   * @throws IllegalArgumentException if the header list is larger than the peer accepts
    */
   public int open(List<Header> headers, byte[] body) {
     long size = 0;
@@ -128,19 +143,23 @@
       size += header.getName().length() + header.getValue().length() + HEADER_OVERHEAD;
     }
     if (size > peerSettings.maxHeaderListSize()) {
-      throw new IllegalArgumentException("a header list of " + size + " bytes");
+      throw new IllegalArgumentException(
+          "header list of "
+              + size
+              + " bytes exceeds the peer's limit of "
+              + peerSettings.maxHeaderListSize());
     }
-    Http2Stream stream = streams.open(body, flow.peerInitialWindow());
+    Http2Stream stream = streams.open(body, flowControl.peerInitialWindow());
     writer.headers(stream.id(), headers, body.length == 0, Frame.FRAME_AT_START);
     if (body.length == 0) {
-      sender.complete(stream.id());
+      sender.onRequestSent(stream.id());
     } else {
       sender.send();
     }
     return stream.id();
   }
 
-  /** Resets a stream, if it is open; no event follows on it. */
+  /** Resets a stream if it is open; no further event is reported for it. */
   public void cancel(int id, ErrorCode code) {
     Http2Stream stream = streams.find(id);
     if (stream != null) {
@@ -149,16 +168,16 @@
     }
   }
 
-  /** Sends a PING; its acknowledgement becomes an {@link Event.Pong}. */
+  /** Sends a PING; its acknowledgement becomes an {@link Event.PingAcknowledged}. */
   public void ping() {
     pings++;
     pingUnanswered = true;
     writer.frame(Frame.PING, 0, 0, (int) (pings >> 32), (int) pings);
   }
 
-  /** Sends a GOAWAY without an error, unless an error has ended the connection. */
+  /** Sends a GOAWAY with NO_ERROR, unless a connection error has already sent one. */
   public void goAway() {
-    if (!broken) {
+    if (!failed) {
       writer.goAway(0, ErrorCode.NO_ERROR);
     }
   }
@@ -166,130 +185,136 @@
   // ---- frames ----
 
   private void dispatch(Frame frame) {
-    FrameChecks.require(headerBlocks.allows(frame), "a header block was not ended");
+    FrameChecks.require(headerBlocks.allows(frame), "frame interrupts a header block");
     FrameChecks.require(
         peerSettings.received() || (frame.type() == Frame.SETTINGS && !frame.has(Frame.ACK)),
-        "the first frame is no settings");
+        "first frame is not SETTINGS");
     switch (frame.type()) {
-      case Frame.DATA -> receiver.data(frame);
-      case Frame.HEADERS -> headers(frame);
-      case Frame.CONTINUATION -> headerList(headerBlocks.continueBlock(frame));
-      case Frame.RST_STREAM -> receiver.reset(frame);
-      case Frame.PRIORITY -> priority(frame);
+      case Frame.DATA -> receiver.onData(frame);
+      case Frame.HEADERS -> onHeaders(frame);
+      case Frame.CONTINUATION -> onHeaderList(headerBlocks.continueBlock(frame));
+      case Frame.RST_STREAM -> receiver.onReset(frame);
+      case Frame.PRIORITY -> onPriority(frame);
       case Frame.PUSH_PROMISE ->
-          throw new Http2ConnectionError(ErrorCode.PROTOCOL_ERROR, "a push, which was not enabled");
+          throw new Http2ConnectionError(
+              ErrorCode.PROTOCOL_ERROR, "PUSH_PROMISE frame although push is disabled");
       default -> dispatchControl(frame);
     }
   }
 
   private void dispatchControl(Frame frame) {
     switch (frame.type()) {
-      case Frame.SETTINGS -> settings(frame);
-      case Frame.PING -> pingReceived(frame);
-      case Frame.GOAWAY -> goAwayReceived(frame);
-      case Frame.WINDOW_UPDATE -> windowUpdate(frame);
-      // Unknown frames are ignored (section 4.1).
-      default -> flood.countUseless();
+      case Frame.SETTINGS -> onSettings(frame);
+      case Frame.PING -> onPing(frame);
+      case Frame.GOAWAY -> onGoAway(frame);
+      case Frame.WINDOW_UPDATE -> onWindowUpdate(frame);
+      // Frames of unknown types are ignored (section 4.1).
+      default -> floodGuard.countOverheadFrame();
     }
   }
 
-  private void headers(Frame frame) {
-    FrameChecks.require(frame.stream() != 0, "headers on no stream");
-    FrameChecks.require(!streams.isIdle(frame.stream()), "headers on an idle stream");
-    FrameChecks.requireSize(frame.payload().length >= frame.from(), "headers");
-    headerList(headerBlocks.begin(frame));
+  private void onHeaders(Frame frame) {
+    FrameChecks.require(frame.stream() != 0, "HEADERS frame on stream 0");
+    FrameChecks.require(!streams.isIdle(frame.stream()), "HEADERS frame on an idle stream");
+    FrameChecks.requireSize(frame.payload().length >= frame.from(), "HEADERS");
+    onHeaderList(headerBlocks.begin(frame));
   }
 
-  private void headerList(HeaderBlockReader.HeaderList list) {
+  private void onHeaderList(HeaderBlockReader.HeaderList list) {
     if (list != null) {
-      receiver.headers(list);
+      receiver.onHeaders(list);
     }
   }
 
-  /** Priorities are ignored but for their form (section 6.3). */
-  private void priority(Frame frame) {
-    FrameChecks.require(frame.stream() != 0, "a priority on no stream");
+  /** Checks the size and stream id of a PRIORITY frame, whose content is ignored (section 6.3). */
+  private void onPriority(Frame frame) {
+    FrameChecks.require(frame.stream() != 0, "PRIORITY frame on stream 0");
     if (frame.payload().length != Frame.PRIORITY_SIZE) {
       Http2Stream stream = streams.find(frame.stream());
       if (stream == null) {
-        flood.countUseless();
+        floodGuard.countOverheadFrame();
       } else {
-        receiver.fail(stream, ErrorCode.FRAME_SIZE_ERROR);
+        receiver.failStream(stream, ErrorCode.FRAME_SIZE_ERROR);
       }
     }
-    flood.countUseless();
+    floodGuard.countOverheadFrame();
   }
 
-  private void settings(Frame frame) {
-    FrameChecks.require(frame.stream() == 0, "settings on a stream");
+  private void onSettings(Frame frame) {
+    FrameChecks.require(frame.stream() == 0, "SETTINGS frame on a stream");
     if (frame.has(Frame.ACK)) {
-      FrameChecks.requireSize(frame.payload().length == 0, "settings that are a receipt");
-      flood.countUseless();
+      FrameChecks.requireSize(frame.payload().length == 0, "SETTINGS ACK");
+      floodGuard.countOverheadFrame();
       return;
     }
-    FrameChecks.requireSize(PeerSettings.isWholeEntries(frame.payload().length), "settings");
+    FrameChecks.requireSize(PeerSettings.isWholeEntries(frame.payload().length), "SETTINGS");
     if (peerSettings.received()) {
-      flood.countUseless();
+      floodGuard.countOverheadFrame();
     }
     peerSettings.apply(frame);
     writer.frame(Frame.SETTINGS, Frame.ACK, 0);
-    events.add(new Event.Limits(peerSettings.maxConcurrentStreams()));
+    events.add(new Event.SettingsReceived(peerSettings.maxConcurrentStreams()));
     sender.send();
   }
 
-  private void pingReceived(Frame frame) {
-    FrameChecks.require(frame.stream() == 0, "a ping on a stream");
-    FrameChecks.requireSize(frame.payload().length == Frame.PING_SIZE, "a ping");
+  private void onPing(Frame frame) {
+    FrameChecks.require(frame.stream() == 0, "PING frame on a stream");
+    FrameChecks.requireSize(frame.payload().length == Frame.PING_SIZE, "PING");
     boolean acknowledgement = frame.has(Frame.ACK);
     if (acknowledgement && pingUnanswered && ((frame.number(0) << 32) | frame.number(4)) == pings) {
       pingUnanswered = false;
-      events.add(new Event.Pong());
+      events.add(new Event.PingAcknowledged());
       return;
     }
-    flood.countUseless();
+    floodGuard.countOverheadFrame();
     if (!acknowledgement) {
       writer.frame(Frame.PING, Frame.ACK, 0, frame.payload(), 0, Frame.PING_SIZE);
     }
   }
 
-  /** The last id may fall with a further GOAWAY, never rise (section 6.8). */
-  private void goAwayReceived(Frame frame) {
-    FrameChecks.require(frame.stream() == 0, "a GOAWAY on a stream");
-    FrameChecks.requireSize(frame.payload().length >= 8, "a GOAWAY");
-    flood.countUseless();
-    int last = frame.id(0);
+  /**
+   * Processes a GOAWAY. A further GOAWAY may lower the last stream id, never raise it (section
+   * 6.8).
+   */
+  private void onGoAway(Frame frame) {
+    FrameChecks.require(frame.stream() == 0, "GOAWAY frame on a stream");
+    FrameChecks.requireSize(frame.payload().length >= 8, "GOAWAY");
+    floodGuard.countOverheadFrame();
+    int lastStreamId = frame.id(0);
     FrameChecks.require(
-        last <= lastAcceptedId || lastAcceptedId == NO_GOAWAY, "a GOAWAY whose id rises");
+        lastStreamId <= lastAcceptedId || lastAcceptedId == NO_GOAWAY,
+        "GOAWAY raises the last stream id to " + lastStreamId);
     ErrorCode code = ErrorCode.of((int) frame.number(4));
-    // 2^31-1 is the first step of a graceful end: no id is that high, so no stream ends yet, but
-    // none may be opened any more; an id one lower stands for it.
-    lastAcceptedId = Math.min(last, NO_GOAWAY - 1);
-    for (Http2Stream stream : streams.above(last)) {
+    // A last id of 2^31-1 announces a graceful shutdown: no stream ends yet, but none may be opened
+    // any more. It is stored as 2^31-2, because 2^31-1 means that no GOAWAY was received; no stream
+    // opened here has an id above 2^31-2.
+    lastAcceptedId = Math.min(lastStreamId, NO_GOAWAY - 1);
+    for (Http2Stream stream : streams.above(lastStreamId)) {
       streams.remove(stream);
-      events.add(new Event.Ended(stream.id(), StreamTermination.ABOVE_GOAWAY, code));
+      events.add(new Event.StreamEnded(stream.id(), StreamTermination.ABOVE_GOAWAY, code));
     }
-    events.add(new Event.Leaving(last, code));
+    events.add(new Event.GoAwayReceived(lastStreamId, code));
   }
 
-  private void windowUpdate(Frame frame) {
-    FrameChecks.requireSize(frame.payload().length == 4, "a window update");
+  private void onWindowUpdate(Frame frame) {
+    FrameChecks.requireSize(frame.payload().length == 4, "WINDOW_UPDATE");
     int credit = frame.id(0);
     if (frame.stream() == 0) {
-      flow.growSendWindow(credit);
-      flood.countUseless();
+      flowControl.growSendWindow(credit);
+      floodGuard.countOverheadFrame();
       sender.send();
       return;
     }
-    FrameChecks.require(!streams.isIdle(frame.stream()), "a window update on an idle stream");
-    flood.countUseless();
+    FrameChecks.require(!streams.isIdle(frame.stream()), "WINDOW_UPDATE frame on an idle stream");
+    floodGuard.countOverheadFrame();
     Http2Stream stream = streams.find(frame.stream());
     if (stream == null) {
       return;
     }
     if (credit == 0) {
-      receiver.fail(stream, ErrorCode.PROTOCOL_ERROR);
+      receiver.failStream(stream, ErrorCode.PROTOCOL_ERROR);
     } else if (!stream.changeSendWindow(credit)) {
-      receiver.fail(stream, ErrorCode.FLOW_CONTROL_ERROR);
+      receiver.failStream(stream, ErrorCode.FLOW_CONTROL_ERROR);
     } else {
       sender.send();
     }
--- a/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2EngineConnection.java
@@ -13,8 +13,8 @@
 import tillerlink.port.SendVerdict;
 
 /**
- * One HTTP/2 connection to an engine: attempts are streams on it, as docs/http2-wire.md defines
- * them. Owned by the event-loop thread.
+ * An HTTP/2 connection to an engine, on which each attempt is a stream, as docs/http2-wire.md
+ * defines it. Owned by the event-loop thread; times are tenths of a millisecond.
  */
 final class Http2EngineConnection implements Channel.Owner, StreamPool.Member {
   private static final byte[] NO_BODY = {};
@@ -32,7 +32,7 @@
   private Channel channel;
   private boolean closed;
 
-  /** Takes no new attempts; closes once those on it have ended. */
+  /** True once the connection accepts no new attempts; it closes when those on it have ended. */
   private boolean retired;
 
   private long responseCount;
@@ -51,7 +51,7 @@
     channel = owner.connect(engineAddress.socketAddress(), this);
   }
 
-  // ---- for the pool ----
+  // ---- view of the stream pool ----
 
   @Override
   public boolean isUp() {
@@ -65,12 +65,12 @@
 
   @Override
   public boolean acceptsStreams() {
-    return !closed && !retired && !liveness.isSilent() && !protocol.isSpent();
+    return !closed && !retired && !liveness.isSilent() && !protocol.rejectsNewStreams();
   }
 
   @Override
   public int openStreams() {
-    return protocol.open();
+    return protocol.openStreamCount();
   }
 
   @Override
@@ -126,37 +126,37 @@
   }
 
   /**
-   * Cancels an attempt; a request of which a part was written may be received whole before the
-   * reset.
+   * Cancels an attempt. Its request counts as received once its last byte was handed to the
+   * channel, because the engine may receive all of it before the reset.
    */
   AttemptOutcome cancel(InFlightAttempt inFlight) {
-    boolean sent = streams.find(inFlight).handedOver();
+    boolean sent = streams.find(inFlight).isRequestHandedOver();
     release(inFlight);
     boolean started = inFlight.resultStarted();
     return StreamTermination.CANCELLED.outcome(sent || started, started);
   }
 
-  /** An attempt is over, by whatever ended it. */
+  /** Resets the stream of an attempt that has ended for any reason. */
   void release(InFlightAttempt inFlight) {
     AttemptStream stream = streams.find(inFlight);
     protocol.cancel(stream.streamId, ErrorCode.CANCEL);
-    forget(stream);
-    closeIfSpent();
+    removeStream(stream);
+    closeIfDrained();
     flush();
   }
 
-  private void forget(AttemptStream stream) {
+  private void removeStream(AttemptStream stream) {
     streams.remove(stream);
     liveness.onAttemptEnded(owner.now());
   }
 
-  private boolean isSpentAndEmpty() {
-    return streams.isEmpty() && (retired || protocol.isSpent());
+  private boolean isDrained() {
+    return streams.isEmpty() && (retired || protocol.rejectsNewStreams());
   }
 
-  /** What is to be sent before the connection is open waits in the protocol's state. */
+  /** Writes the pending output. Until the connection is open, it stays in the protocol's buffer. */
   private void flush() {
-    byte[] bytes = liveness.isOpen() && !closed ? protocol.take() : NO_BODY;
+    byte[] bytes = liveness.isOpen() && !closed ? protocol.takeOutput() : NO_BODY;
     if (bytes.length == 0) {
       return;
     }
@@ -193,103 +193,106 @@
     }
     liveness.onHeard(owner.now());
     protocol.feed(bytes);
-    for (Event event = protocol.next(); event != null && !closed; event = protocol.next()) {
+    for (Event event = protocol.poll(); event != null && !closed; event = protocol.poll()) {
       handle(event);
     }
     flush();
     if (!closed) {
-      transport.serve();
+      transport.assignStreams();
     }
   }
 
   @Override
-  public void onClosed(DisconnectReason how) {
+  public void onClosed(DisconnectReason reason) {
     writes.onChannelClosed();
-    end(StreamTermination.CUT, how);
+    endConnection(StreamTermination.CUT, reason);
   }
 
   // ---- events of the protocol ----
 
   private void handle(Event event) {
-    if (event instanceof Event.Interim interim) {
-      results.onInterim(streams.find(interim.stream()), interim);
+    if (event instanceof Event.InterimResponse interim) {
+      results.onInterim(streams.find(interim.streamId()), interim);
     } else if (event instanceof Event.Response response) {
-      AttemptStream stream = streams.find(response.stream());
-      conclude(stream, results.onResponse(stream, response));
+      AttemptStream stream = streams.find(response.streamId());
+      applyTermination(stream, results.onResponse(stream, response));
     } else if (event instanceof Event.Body body) {
-      AttemptStream stream = streams.find(body.stream());
-      conclude(stream, results.onBody(stream, body));
-    } else if (event instanceof Event.Ended ended) {
-      conclude(streams.find(ended.stream()), ended.how());
-    } else if (event instanceof Event.Broken broken) {
+      AttemptStream stream = streams.find(body.streamId());
+      applyTermination(stream, results.onBody(stream, body));
+    } else if (event instanceof Event.StreamEnded ended) {
+      applyTermination(streams.find(ended.streamId()), ended.termination());
+    } else if (event instanceof Event.ConnectionFailed failed) {
       owner.warnRateLimited(
-          "HTTP/2 protocol error from engine " + engineAddress.id + ": " + broken.why());
+          "HTTP/2 protocol error from engine " + engineAddress.id + ": " + failed.reason());
       flush();
-      end(StreamTermination.GARBLED, DisconnectReason.GARBLED);
-    } else if (event instanceof Event.Leaving && streams.isEmpty()) {
-      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
+      endConnection(StreamTermination.GARBLED, DisconnectReason.GARBLED);
+    } else if (event instanceof Event.GoAwayReceived && streams.isEmpty()) {
+      endConnection(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
   /**
-   * Ends a stream.
+   * Ends a stream if a termination was determined.
    *
-   * @param stream null if it is over already
-   * @param how null if it goes on
+   * @param stream null if it has already ended
+   * @param termination null if the stream continues
    */
-  private void conclude(AttemptStream stream, StreamTermination how) {
-    if (stream == null || how == null) {
+  private void applyTermination(AttemptStream stream, StreamTermination termination) {
+    if (stream == null || termination == null) {
       return;
     }
-    if (how == StreamTermination.COMPLETED) {
-      complete(stream);
+    if (termination == StreamTermination.COMPLETED) {
+      completeStream(stream);
     } else {
-      finish(stream, how);
+      endStream(stream, termination);
     }
   }
 
-  private void complete(AttemptStream stream) {
+  private void completeStream(AttemptStream stream) {
     responseCount++;
-    forget(stream);
+    removeStream(stream);
     boolean valid = stream.inFlight.completeResult();
     owner.attemptEnded(
         stream.inFlight,
         (valid ? StreamTermination.COMPLETED : StreamTermination.GARBLED).outcome(true, true));
-    closeIfSpent();
+    closeIfDrained();
   }
 
   /**
-   * A stream is over and its attempt with it, unless the rest of its result can be requested on
-   * another connection.
+   * Ends a stream, and its attempt unless the rest of the result can be requested on another
+   * connection.
    */
-  private void finish(AttemptStream stream, StreamTermination how) {
+  private void endStream(AttemptStream stream, StreamTermination termination) {
     protocol.cancel(stream.streamId, ErrorCode.CANCEL);
-    forget(stream);
+    removeStream(stream);
     boolean started = stream.inFlight.resultStarted();
-    if (how == StreamTermination.ENGINE_ERROR || how == StreamTermination.ENGINE_FULL) {
+    if (termination == StreamTermination.ENGINE_ERROR
+        || termination == StreamTermination.ENGINE_FULL) {
       responseCount++;
     }
-    if (!(started && how.isResumable() && transport.resume(stream.inFlight))) {
-      owner.attemptEnded(stream.inFlight, how.outcome(writes.mayHaveBeenReceived(stream), started));
+    if (!(started && termination.isResumable() && transport.resume(stream.inFlight))) {
+      owner.attemptEnded(
+          stream.inFlight, termination.outcome(writes.mayHaveBeenReceived(stream), started));
     }
-    closeIfSpent();
+    closeIfDrained();
   }
 
-  private void closeIfSpent() {
-    if (!closed && isSpentAndEmpty()) {
-      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
+  private void closeIfDrained() {
+    if (!closed && isDrained()) {
+      endConnection(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
-  // ---- time ----
+  // ---- time-outs and connection end ----
 
   boolean heardSince(long then) {
     return liveness.heardSince(then);
   }
 
   /**
-   * Takes no new attempts. One that is still being opened would lead to whichever process then
-   * listens at its address: it closes.
+   * Stops accepting attempts and closes once those on the connection have ended. A connection that
+   * is still being opened closes at once, because it would lead to whichever process listens at the
+   * address by then.
    */
   void retire() {
     if (closed) {
@@ -299,14 +302,15 @@
     if (streams.isEmpty() || !liveness.isOpen()) {
       protocol.goAway();
       flush();
-      end(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
+      endConnection(StreamTermination.CUT, DisconnectReason.CLOSED_BY_US);
     }
   }
 
   /**
-   * Guards against a machine that vanished ({@link ConnectionLiveness}) and against a flow-control
-   * window that stays closed while the path works, which does not mean a slow engine; applies a
-   * drain to requests that were not wholly sent.
+   * Ends the connection or its streams on time-outs. Guards against a machine that vanished ({@link
+   * ConnectionLiveness}) and against a flow-control window that stays closed while the network path
+   * works, which is no sign of a slow engine. Also withdraws requests that were not sent to their
+   * end when their engine drains.
    */
   void checkTimeouts(long connectTimeout) {
     long now = owner.now();
@@ -314,17 +318,17 @@
       return;
     }
     if (!isUp() && liveness.openTimedOut(now, connectTimeout)) {
-      end(StreamTermination.CUT, DisconnectReason.NEVER_UP);
+      endConnection(StreamTermination.CUT, DisconnectReason.NEVER_UP);
       return;
     }
     for (AttemptStream stream : streams.copy()) {
-      if (unsentRequests.holdsObsoleteWrite(stream, now)) {
-        // What was written is known once the connection has closed.
+      if (unsentRequests.hasOverdueWrite(stream, now)) {
+        // How much was written is known only after the channel has closed.
         retired = true;
         channel.abort();
         return;
       }
-      conclude(stream, unsentRequests.check(stream, now, connectTimeout));
+      applyTermination(stream, unsentRequests.check(stream, now, connectTimeout));
     }
     flush();
     if (!closed) {
@@ -345,15 +349,15 @@
     }
     boolean engineHeard = transport.heardSince(liveness.probedAt());
     switch (liveness.silenceAction(now, connectTimeout, engineHeard)) {
-      case OPEN_ANOTHER -> transport.openAnother();
-      case GIVE_UP -> end(StreamTermination.MUTE, DisconnectReason.MUTE);
+      case OPEN_ANOTHER -> transport.dialToCheckEngine();
+      case GIVE_UP -> endConnection(StreamTermination.MUTE, DisconnectReason.MUTE);
       default -> {}
     }
   }
 
   /**
-   * A new connection to its engine failed: if this one does not answer its probe, its attempts end
-   * with their outcome unknown.
+   * Handles the failure of a new connection to the engine. If this connection does not answer its
+   * probe either, its attempts end with unknown outcome.
    */
   void onEngineUnreachable() {
     if (closed) {
@@ -366,14 +370,14 @@
               + " is silent; "
               + streams.size()
               + " attempts end with unknown outcome");
-      end(StreamTermination.SILENT, DisconnectReason.SILENT);
+      endConnection(StreamTermination.SILENT, DisconnectReason.SILENT);
     } else if (streams.isEmpty()) {
       retire();
     }
   }
 
-  /** The connection is over; each attempt on it ends as that means for it. */
-  private void end(StreamTermination how, DisconnectReason reason) {
+  /** Ends the connection, and each stream on it with the given termination. */
+  private void endConnection(StreamTermination termination, DisconnectReason reason) {
     if (closed) {
       return;
     }
@@ -386,11 +390,11 @@
       channel.abort();
     }
     for (AttemptStream stream : streams.copy()) {
-      finish(stream, how);
+      endStream(stream, termination);
     }
     if (reason == DisconnectReason.REFUSED || reason == DisconnectReason.NEVER_UP) {
       transport.onConnectFailed(reason.outcome(false));
     }
-    transport.serve();
+    transport.assignStreams();
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -11,15 +11,16 @@
 import tillerlink.net.state.InFlightAttempt;
 
 /**
- * Carries attempts to one engine over HTTP/2: many on few connections, within the engine's limit of
- * streams. An attempt that finds no stream free waits, for a bounded time; what its ending proves
- * is its outcome. Owned by the event-loop thread.
+ * Carries attempts to one engine over HTTP/2, as many streams on few connections, within the
+ * engine's limit of concurrent streams. An attempt for which no stream is available waits for a
+ * bounded time. The outcome of an attempt states only what the end of its stream proves. Owned by
+ * the event-loop thread; times are tenths of a millisecond.
  */
 public final class Http2Transport implements EngineTransport {
   private static final int MAX_CONNECTIONS = 4;
   private static final int MAX_STREAMS = 256;
 
-  /** How many attempts wait for a stream, in multiples of what one connection carries. */
+  /** How many attempts may wait for a stream, in multiples of the streams on one connection. */
   private static final int WAITING_FACTOR = 2;
 
   private static final int MAX_RESUMPTIONS = 3;
@@ -30,12 +31,13 @@
   private final int maxWaiting;
   private final List<Http2EngineConnection> connections = new ArrayList<>(2);
   private final ArrayDeque<InFlightAttempt> waiting = new ArrayDeque<>();
-  private boolean serving;
+  private boolean assigning;
 
   /**
    * Creates a transport without connections.
    *
-   * @param maxStreams streams on one connection; 0 for the built-in limit
+   * @param maxStreams the most streams on one connection; 0 for the built-in limit, which larger
+   *     values do not exceed
    */
   public Http2Transport(Owner owner, EngineAddress engineAddress, int maxStreams) {
     this.owner = owner;
@@ -53,24 +55,24 @@
       return;
     }
     waiting.add(inFlight);
-    serve();
+    assignStreams();
   }
 
-  /** Nothing of an attempt was written, and nothing will be. */
-  private void endUnsent(InFlightAttempt inFlight, StreamTermination how) {
-    endInNextIteration(inFlight, how.outcome(false, false));
+  /** Ends an attempt of which nothing was or will be written. */
+  private void endUnsent(InFlightAttempt inFlight, StreamTermination termination) {
+    endInNextIteration(inFlight, termination.outcome(false, false));
   }
 
   void endInNextIteration(InFlightAttempt inFlight, AttemptOutcome outcome) {
     owner.runInNextIteration(() -> owner.attemptEnded(inFlight, outcome));
   }
 
-  /** Sends what waits, as far as streams are free; opens connections for the rest. */
-  void serve() {
-    if (serving) {
+  /** Sends waiting attempts while streams are available, and opens connections for the others. */
+  void assignStreams() {
+    if (assigning) {
       return;
     }
-    serving = true;
+    assigning = true;
     while (!waiting.isEmpty()) {
       if (!engineAddress.isReady() && !waiting.peek().resultStarted()) {
         endUnsent(waiting.poll(), StreamTermination.WITHDRAWN);
@@ -91,7 +93,7 @@
         break;
       }
     }
-    serving = false;
+    assigning = false;
   }
 
   private void dial() {
@@ -101,8 +103,8 @@
     connection.dial();
   }
 
-  /** Opens a connection to show whether the engine is there, unless one is being opened already. */
-  void openAnother() {
+  /** Opens a connection to find out whether the engine is reachable, unless one is being opened. */
+  void dialToCheckEngine() {
     if (connections.stream().noneMatch(Http2EngineConnection::isDialing)
         && owner.openConnections() < owner.maxConnections()) {
       dial();
@@ -115,7 +117,10 @@
   }
 
   /**
-   * A new connection failed: silent ones end, and what waits ends unless one that works is left.
+   * Handles the failure of a new connection: silent connections end, and so do the waiting attempts
+   * unless a working connection is left.
+   *
+   * @param outcome the outcome of waiting attempts whose result had not begun
    */
   void onConnectFailed(AttemptOutcome outcome) {
     List.copyOf(connections).forEach(Http2EngineConnection::onEngineUnreachable);
@@ -136,8 +141,10 @@
   }
 
   /**
-   * Requests what is missing of a result on another connection; false if that is not possible, or
-   * was tried too often.
+   * Queues an attempt to request the rest of its result on another connection.
+   *
+   * @return false if no result had begun, the attempt has ended or the limit of resumptions is
+   *     reached
    */
   boolean resume(InFlightAttempt inFlight) {
     if (!inFlight.resultStarted()
@@ -169,7 +176,7 @@
         break;
       }
     }
-    serve();
+    assignStreams();
   }
 
   @Override
@@ -190,7 +197,7 @@
         connection.retire();
       }
     }
-    serve();
+    assignStreams();
   }
 
   @Override
--- a/http2/src/main/java/tillerlink/net/http2/RequestWrites.java
+++ b/http2/src/main/java/tillerlink/net/http2/RequestWrites.java
@@ -4,34 +4,34 @@
 import tillerlink.net.state.EngineTransport;
 
 /**
- * Counts the writes to one connection's channel and determines which requests may have been
- * received whole by the engine. Owned by the event-loop thread.
+ * Counts the writes to the channel of a connection, to determine which requests the engine may have
+ * received completely. Owned by the event-loop thread.
  */
 final class RequestWrites {
   private final EngineTransport.Owner owner;
 
-  /** Fenced attempts whose last byte is being written, in that order. */
+  /** Fenced attempts whose last byte is being written, in the order of the writes. */
   private final ArrayDeque<AttemptStream> fenced = new ArrayDeque<>(0);
 
   private long begun;
   private long completed;
 
-  /** The connection has ended, by whichever side. */
+  /** True once the connection was ended by either side. */
   private boolean connectionEnded;
 
-  /** The channel has closed, so that it is known what was written. */
+  /** True once the channel has closed, so that all completed writes are known. */
   private boolean channelClosed;
 
   RequestWrites(EngineTransport.Owner owner) {
     this.owner = owner;
   }
 
-  /** Bytes were handed to the channel. */
+  /** Counts a write that was handed to the channel. */
   void onWriteBegun() {
     begun++;
   }
 
-  /** The last byte of a stream's request was in the latest write. */
+  /** Records that the last byte of a stream's request is in the latest write. */
   void onLastByteHandedOver(AttemptStream stream) {
     stream.lastWriteNumber = begun;
     if (stream.inFlight.fenced()) {
@@ -39,7 +39,7 @@
     }
   }
 
-  /** The channel has written the earliest of the writes that were outstanding. */
+  /** Records that the channel has completed the earliest of the outstanding writes. */
   void onWriteCompleted() {
     completed++;
     while (!fenced.isEmpty() && fenced.peek().lastWriteNumber <= completed) {
@@ -56,14 +56,14 @@
   }
 
   /**
-   * Whether a request may have been received whole by the engine. The engine's events on a stream,
-   * and the channel's own end, are reported after the completion of the writes before them. If the
-   * connection was ended here, that is not so: what was handed over may be on its way although its
-   * completion was not reported yet.
+   * Returns true if the engine may have received a request completely. The engine's events on a
+   * stream and the close of the channel are reported after the completion of the writes before
+   * them. That does not hold if this side ended the connection: bytes handed to the channel may
+   * still be sent, although their write was not yet reported as completed.
    */
   boolean mayHaveBeenReceived(AttemptStream stream) {
     return (connectionEnded && !channelClosed)
-        ? stream.handedOver()
+        ? stream.isRequestHandedOver()
         : stream.lastWriteNumber <= completed;
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/ResponseReceiver.java
+++ b/http2/src/main/java/tillerlink/net/http2/ResponseReceiver.java
@@ -4,137 +4,138 @@
 import java.util.Queue;
 
 /**
- * Turns what the peer sends on streams into events: responses, their bodies, resets, and the errors
- * that end one stream alone (RFC 9113, section 5.4.2, 8.1).
+ * Converts frames received on streams into events for responses, their bodies and resets. Stream
+ * errors end one stream alone (RFC 9113, sections 5.4.2 and 8.1).
  */
 final class ResponseReceiver {
   private static final int FIRST_FINAL_STATUS = 200;
 
   private final FrameWriter writer;
   private final StreamTable streams;
-  private final FlowControl flow;
-  private final FloodGuard flood;
+  private final FlowControl flowControl;
+  private final FloodGuard floodGuard;
   private final Queue<Event> events;
 
   ResponseReceiver(
       FrameWriter writer,
       StreamTable streams,
-      FlowControl flow,
-      FloodGuard flood,
+      FlowControl flowControl,
+      FloodGuard floodGuard,
       Queue<Event> events) {
     this.writer = writer;
     this.streams = streams;
-    this.flow = flow;
-    this.flood = flood;
+    this.flowControl = flowControl;
+    this.floodGuard = floodGuard;
     this.events = events;
   }
 
   /**
-   * Takes a DATA frame.
+   * Processes a DATA frame.
    *
-   * @throws Http2ConnectionError if it is not allowed on that stream, or exceeds the window
+   * @throws Http2ConnectionError if it is not allowed on that stream or exceeds the connection's
+   *     window
    */
-  void data(Frame frame) {
-    FrameChecks.require(frame.stream() != 0, "data on no stream");
-    FrameChecks.require(!streams.isIdle(frame.stream()), "data on an idle stream");
+  void onData(Frame frame) {
+    FrameChecks.require(frame.stream() != 0, "DATA frame on stream 0");
+    FrameChecks.require(!streams.isIdle(frame.stream()), "DATA frame on an idle stream");
     int flowLength = frame.payload().length;
-    flow.consumeReceiveWindow(flowLength);
+    flowControl.consumeReceiveWindow(flowLength);
     int from = frame.from();
     int to = frame.to();
     boolean last = frame.has(Frame.END_STREAM);
     if (to == from && !last) {
-      flood.countUseless();
+      floodGuard.countOverheadFrame();
     } else {
-      flood.countUseful();
+      floodGuard.countContentFrame();
     }
     Http2Stream stream = streams.find(frame.stream());
     if (stream == null) {
-      frameOnClosedStream(frame.stream());
+      onFrameOfClosedStream(frame.stream());
     } else if (!stream.consumeReceiveWindow(flowLength)) {
-      fail(stream, ErrorCode.FLOW_CONTROL_ERROR);
+      failStream(stream, ErrorCode.FLOW_CONTROL_ERROR);
     } else if (!stream.acceptBody(to - from, last)) {
-      fail(stream, ErrorCode.PROTOCOL_ERROR);
+      failStream(stream, ErrorCode.PROTOCOL_ERROR);
     } else {
       if (last) {
-        finish(stream);
+        endStream(stream);
       }
       events.add(new Event.Body(stream.id(), Arrays.copyOfRange(frame.payload(), from, to), last));
     }
   }
 
   /**
-   * Takes a decoded header list: an interim response, a response or trailers.
+   * Processes a decoded header list: an interim response, a final response or trailers.
    *
-   * @throws Http2ConnectionError if the peer had ended that stream
+   * @throws Http2ConnectionError if the peer has already ended that stream
    */
-  void headers(HeaderBlockReader.HeaderList list) {
-    Http2Stream stream = streams.find(list.stream());
+  void onHeaders(HeaderBlockReader.HeaderList list) {
+    Http2Stream stream = streams.find(list.streamId());
     if (stream == null) {
-      frameOnClosedStream(list.stream());
+      onFrameOfClosedStream(list.streamId());
       return;
     }
     int status = ResponseHeaders.status(list.headers(), stream.responseStarted());
     if (status == ResponseHeaders.MALFORMED) {
-      fail(stream, ErrorCode.PROTOCOL_ERROR);
+      failStream(stream, ErrorCode.PROTOCOL_ERROR);
     } else if (stream.responseStarted()) {
-      trailers(stream, list.last());
+      onTrailers(stream, list.endStream());
     } else if (status < FIRST_FINAL_STATUS) {
-      interimResponse(stream, list);
+      onInterimResponse(stream, list);
     } else {
-      response(stream, status, list);
+      onResponse(stream, status, list);
     }
   }
 
-  private void trailers(Http2Stream stream, boolean last) {
+  private void onTrailers(Http2Stream stream, boolean last) {
     if (!last || stream.lacksBody()) {
-      fail(stream, ErrorCode.PROTOCOL_ERROR);
+      failStream(stream, ErrorCode.PROTOCOL_ERROR);
       return;
     }
-    finish(stream);
+    endStream(stream);
     events.add(new Event.Body(stream.id(), new byte[0], true));
   }
 
-  private void interimResponse(Http2Stream stream, HeaderBlockReader.HeaderList list) {
-    if (list.last()) {
-      fail(stream, ErrorCode.PROTOCOL_ERROR);
+  private void onInterimResponse(Http2Stream stream, HeaderBlockReader.HeaderList list) {
+    if (list.endStream()) {
+      failStream(stream, ErrorCode.PROTOCOL_ERROR);
     } else if (!stream.countInterimResponse()) {
-      fail(stream, ErrorCode.ENHANCE_YOUR_CALM);
+      failStream(stream, ErrorCode.ENHANCE_YOUR_CALM);
     } else {
-      events.add(new Event.Interim(stream.id(), list.headers()));
+      events.add(new Event.InterimResponse(stream.id(), list.headers()));
     }
   }
 
-  private void response(Http2Stream stream, int status, HeaderBlockReader.HeaderList list) {
-    flood.countUseful();
+  private void onResponse(Http2Stream stream, int status, HeaderBlockReader.HeaderList list) {
+    floodGuard.countContentFrame();
     long length = ResponseHeaders.contentLength(list.headers());
     stream.startResponse(length);
-    if (length == ResponseHeaders.BAD_CONTENT_LENGTH || (list.last() && stream.lacksBody())) {
-      fail(stream, ErrorCode.PROTOCOL_ERROR);
+    if (length == ResponseHeaders.BAD_CONTENT_LENGTH || (list.endStream() && stream.lacksBody())) {
+      failStream(stream, ErrorCode.PROTOCOL_ERROR);
       return;
     }
-    if (list.last()) {
-      finish(stream);
+    if (list.endStream()) {
+      endStream(stream);
     }
-    events.add(new Event.Response(stream.id(), status, list.headers(), list.last()));
+    events.add(new Event.Response(stream.id(), status, list.headers(), list.endStream()));
   }
 
   /**
-   * Takes a RST_STREAM frame.
+   * Processes a RST_STREAM frame.
    *
    * @throws Http2ConnectionError if it is malformed or not allowed on that stream
    */
-  void reset(Frame frame) {
-    FrameChecks.require(frame.stream() != 0, "a reset of no stream");
-    FrameChecks.require(!streams.isIdle(frame.stream()), "a reset of an idle stream");
-    FrameChecks.requireSize(frame.payload().length == 4, "a reset");
-    flood.countUseless();
+  void onReset(Frame frame) {
+    FrameChecks.require(frame.stream() != 0, "RST_STREAM frame on stream 0");
+    FrameChecks.require(!streams.isIdle(frame.stream()), "RST_STREAM frame on an idle stream");
+    FrameChecks.requireSize(frame.payload().length == 4, "RST_STREAM");
+    floodGuard.countOverheadFrame();
     Http2Stream stream = streams.find(frame.stream());
     if (stream == null) {
       return;
     }
     ErrorCode code = ErrorCode.of((int) frame.number(0));
     streams.remove(stream);
-    events.add(new Event.Ended(stream.id(), resetTermination(stream, code), code));
+    events.add(new Event.StreamEnded(stream.id(), resetTermination(stream, code), code));
   }
 
   private static StreamTermination resetTermination(Http2Stream stream, ErrorCode code) {
@@ -146,25 +147,29 @@
         : StreamTermination.RESET_BEFORE_ANSWER;
   }
 
-  /** Resets an open stream for an error of the peer's on it. */
-  void fail(Http2Stream stream, ErrorCode code) {
+  /** Resets an open stream because of a stream error of the peer. */
+  void failStream(Http2Stream stream, ErrorCode code) {
     writer.reset(stream.id(), code);
     streams.remove(stream);
-    events.add(new Event.Ended(stream.id(), StreamTermination.GARBLED, code));
+    events.add(new Event.StreamEnded(stream.id(), StreamTermination.GARBLED, code));
   }
 
-  /** An error if the peer had ended the stream; otherwise the frame crossed our reset. */
-  private void frameOnClosedStream(int id) {
+  /**
+   * Handles a frame on a closed stream. It is a connection error if the peer had ended the stream;
+   * otherwise the peer sent the frame before it received the reset, and the frame is ignored.
+   */
+  private void onFrameOfClosedStream(int id) {
     if (streams.hasEnded(id)) {
-      throw new Http2ConnectionError(ErrorCode.STREAM_CLOSED, "more on a stream that had ended");
+      throw new Http2ConnectionError(
+          ErrorCode.STREAM_CLOSED, "frame on stream " + id + ", which the peer has ended");
     }
-    flood.countUseless();
+    floodGuard.countOverheadFrame();
   }
 
   /**
-   * The peer ended the stream; what our request had not sent is not sent any more (section 8.1).
+   * Closes a stream that the peer ended. The unsent part of the request is discarded (section 8.1).
    */
-  private void finish(Http2Stream stream) {
+  private void endStream(Http2Stream stream) {
     if (stream.hasUnsentBody()) {
       writer.reset(stream.id(), ErrorCode.NO_ERROR);
     }
--- a/http2/src/main/java/tillerlink/net/http2/ResultReceiver.java
+++ b/http2/src/main/java/tillerlink/net/http2/ResultReceiver.java
@@ -5,7 +5,7 @@
 import tillerlink.net.state.InFlightAttempt;
 
 /**
- * Turns the responses on one connection's streams into progress and results of their attempts.
+ * Converts the responses on the streams of a connection into progress and results of attempts.
  * Owned by the event-loop thread.
  */
 final class ResultReceiver {
@@ -20,46 +20,46 @@
   }
 
   /**
-   * Takes an interim response, which may report the attempt's progress.
+   * Processes an interim response, which may report the attempt's progress.
    *
-   * @param stream null if it is over already
+   * @param stream null if it has already ended
    */
-  void onInterim(AttemptStream stream, Event.Interim interim) {
+  void onInterim(AttemptStream stream, Event.InterimResponse interim) {
     if (stream == null) {
       return;
     }
-    EngineResponses.Progress progress = EngineResponses.progress(interim.headers());
+    EngineResponses.Progress progress = EngineResponses.parseProgress(interim.headers());
     if (progress.isValid()) {
       owner.attemptProgressed(stream.inFlight, progress.kind(), progress.level());
     }
   }
 
   /**
-   * Takes the headers of the final response.
+   * Processes the headers of the final response.
    *
-   * @param stream null if it is over already
-   * @return how the stream ends by them; null if it goes on
+   * @param stream null if it has already ended
+   * @return how the headers end the stream; null if it continues
    */
   StreamTermination onResponse(AttemptStream stream, Event.Response response) {
     if (stream == null) {
       return null;
     }
     boolean resumed = stream.inFlight.resultStarted();
-    if (!EngineResponses.bringsResult(response, resumed)) {
+    if (!EngineResponses.hasResult(response, resumed)) {
       return EngineResponses.termination(response, resumed);
     }
     stream.responseAccepted = true;
     if (!resumed) {
       stream.inFlight.startResult();
     }
-    return response.last() ? StreamTermination.COMPLETED : null;
+    return response.endStream() ? StreamTermination.COMPLETED : null;
   }
 
   /**
-   * Takes a part of the response's body.
+   * Processes a part of the response's body.
    *
-   * @param stream null if it is over already
-   * @return how the stream ends by it; null if it goes on
+   * @param stream null if it has already ended
+   * @return how the part ends the stream; null if it continues
    */
   StreamTermination onBody(AttemptStream stream, Event.Body body) {
     if (stream == null || !stream.responseAccepted) {
@@ -72,6 +72,6 @@
     }
     inFlight.appendResult(body.bytes());
     owner.retainedBytesChanged(body.bytes().length);
-    return body.last() ? StreamTermination.COMPLETED : null;
+    return body.endStream() ? StreamTermination.COMPLETED : null;
   }
 }
--- a/http2/src/main/java/tillerlink/net/http2/UnsentRequestChecks.java
+++ b/http2/src/main/java/tillerlink/net/http2/UnsentRequestChecks.java
@@ -4,9 +4,9 @@
 import tillerlink.net.state.EngineTransport;
 
 /**
- * Checks the streams of one connection whose request was not wholly sent: whether its engine
- * drains, and whether the engine keeps its flow-control window closed. Owned by the event-loop
- * thread.
+ * Checks the streams of a connection whose request was not sent to its end: whether the engine
+ * drains or keeps its flow-control window closed. Owned by the event-loop thread; times are tenths
+ * of a millisecond.
  */
 final class UnsentRequestChecks {
   private final EngineTransport.Owner owner;
@@ -25,27 +25,32 @@
     this.writes = writes;
   }
 
-  /** Whether its engine drains, and the request was not wholly received there. */
+  /** Returns true if the engine drains and cannot have received the whole request. */
   private boolean mustNotBeWritten(AttemptStream stream) {
     return !writes.mayHaveBeenReceived(stream)
         && !stream.inFlight.resultStarted()
         && !engineAddress.isReady();
   }
 
-  /** Whether a request that must not be written any more has been delayed too long by the peer. */
-  boolean holdsObsoleteWrite(AttemptStream stream, long now) {
-    return stream.handedOver()
+  /**
+   * Returns true if the channel still holds a request that must not be written any more, after the
+   * peer has delayed its write for longer than allowed.
+   */
+  boolean hasOverdueWrite(AttemptStream stream, long now) {
+    return stream.isRequestHandedOver()
         && mustNotBeWritten(stream)
         && now >= stream.inFlight.attempt.sentAt + owner.maxWriteDelay();
   }
 
   /**
-   * Checks a request of which a part was not handed to the channel.
+   * Checks a request that may not have been handed to the channel to its end.
    *
-   * @return how its stream ends; null if it goes on
+   * @param connectTimeout how long the flow-control window may stay closed, in tenths of a
+   *     millisecond
+   * @return how the stream ends; null if it continues
    */
   StreamTermination check(AttemptStream stream, long now, long connectTimeout) {
-    if (!stream.handedOver() && mustNotBeWritten(stream)) {
+    if (!stream.isRequestHandedOver() && mustNotBeWritten(stream)) {
       return StreamTermination.WITHDRAWN;
     }
     if (protocol.isRequestSent(stream.streamId)) {
--- a/http2/src/test/java/tillerlink/net/http2/Http2ClientConnectionTest.java
+++ b/http2/src/test/java/tillerlink/net/http2/Http2ClientConnectionTest.java
@@ -19,7 +19,7 @@
     assertEquals("ACK", peer.receivedFrames(connection));
     Peer.open(connection, "hello");
     Peer.open(connection, "");
-    assertFalse(connection.takesStreams());
+    assertFalse(connection.canOpenStream());
     assertEquals("HEADERS1/p DATA1:5. HEADERS3./p", peer.receivedFrames(connection));
     assertEquals("[1, 3]", connection.takeSentRequests().toString());
     assertEquals(
@@ -30,8 +30,8 @@
             .data(1, "c", true)
             .response(3, 404, true)
             .sendTo(connection));
-    assertTrue(connection.takesStreams());
-    assertEquals(0, connection.open());
+    assertTrue(connection.canOpenStream());
+    assertEquals(0, connection.openStreamCount());
     assertEquals("", peer.receivedFrames(connection));
   }
 
@@ -65,7 +65,7 @@
     Http2ClientConnection connection = Peer.connected(peer, 4);
     peer.writer.goAway(3, ErrorCode.NO_ERROR);
     assertEquals("ended5:ABOVE_GOAWAY ended7:ABOVE_GOAWAY leaving:3", peer.sendTo(connection));
-    assertTrue(connection.isSpent());
+    assertTrue(connection.rejectsNewStreams());
     assertEquals("answer1:200.", peer.response(1, 200, true).sendTo(connection));
     peer.writer.goAway(1, ErrorCode.NO_ERROR);
     assertEquals("ended3:ABOVE_GOAWAY leaving:1", peer.sendTo(connection));
@@ -78,7 +78,7 @@
     Http2ClientConnection connection = Peer.connected(peer, 2);
     peer.writer.goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
     assertEquals("leaving:2147483647", peer.sendTo(connection));
-    assertFalse(connection.takesStreams());
+    assertFalse(connection.canOpenStream());
     peer.writer.goAway(1, ErrorCode.NO_ERROR);
     assertEquals("ended3:ABOVE_GOAWAY leaving:1", peer.sendTo(connection));
   }
@@ -89,7 +89,7 @@
   void aLimitMayFallBelowWhatIsOpenAndRiseAgain() {
     Http2ClientConnection connection = Peer.connected(peer, 3);
     assertEquals("limit=1", peer.settings(3, 1).sendTo(connection));
-    assertFalse(connection.takesStreams());
+    assertFalse(connection.canOpenStream());
     assertEquals(
         "answer1:200. answer3:200. answer5:200. limit=0",
         peer.response(1, 200, true)
@@ -97,9 +97,9 @@
             .response(5, 200, true)
             .settings(3, 0)
             .sendTo(connection));
-    assertFalse(connection.takesStreams());
+    assertFalse(connection.canOpenStream());
     assertEquals("limit=9", peer.settings(3, 9).sendTo(connection));
-    assertTrue(connection.takesStreams());
+    assertTrue(connection.canOpenStream());
   }
 
   @Test
@@ -138,7 +138,7 @@
     assertEquals("ACK HEADERS1/p", peer.receivedFrames(connection));
     assertEquals("answer1:413.", peer.response(1, 413, true).sendTo(connection));
     assertEquals("RST1:NO_ERROR", peer.receivedFrames(connection));
-    assertEquals(0, connection.open());
+    assertEquals(0, connection.openStreamCount());
   }
 
   @Test
@@ -171,7 +171,7 @@
         "it crossed our reset, and is passed over");
     peer.writer.reset(7, ErrorCode.REFUSED_STREAM);
     assertEquals("", peer.sendTo(connection));
-    assertTrue(connection.takesStreams());
+    assertTrue(connection.canOpenStream());
   }
 
   @Test
@@ -198,9 +198,9 @@
   @Test
   void streamIdsRunOut() {
     Http2ClientConnection connection = Peer.connected(peer, 0);
-    assertFalse(connection.isSpent());
+    assertFalse(connection.rejectsNewStreams());
     peer.writer.goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
     peer.sendTo(connection);
-    assertTrue(connection.isSpent());
+    assertTrue(connection.rejectsNewStreams());
   }
 }
--- a/http2/src/test/java/tillerlink/net/http2/Peer.java
+++ b/http2/src/test/java/tillerlink/net/http2/Peer.java
@@ -22,7 +22,7 @@
 
   /** The frames received since the last call, in their order, printed. */
   String receivedFrames(Http2ClientConnection connection) {
-    reader.feed(connection.take());
+    reader.feed(connection.takeOutput());
     for (Frame frame = reader.next(); frame != null; frame = reader.next()) {
       printed.add(print(frame));
     }
@@ -101,30 +101,34 @@
 
   static String events(Http2ClientConnection connection) {
     List<String> all = new ArrayList<>();
-    for (Event event = connection.next(); event != null; event = connection.next()) {
-      if (event instanceof Event.Limits limits) {
+    for (Event event = connection.poll(); event != null; event = connection.poll()) {
+      if (event instanceof Event.SettingsReceived limits) {
         all.add(
             "limit="
                 + (limits.maxConcurrentStreams() == Long.MAX_VALUE
                     ? "none"
                     : limits.maxConcurrentStreams()));
-      } else if (event instanceof Event.Interim interim) {
-        all.add("interim" + interim.stream());
+      } else if (event instanceof Event.InterimResponse interim) {
+        all.add("interim" + interim.streamId());
       } else if (event instanceof Event.Response response) {
         all.add(
-            "answer" + response.stream() + ":" + response.status() + (response.last() ? "." : ""));
+            "answer"
+                + response.streamId()
+                + ":"
+                + response.status()
+                + (response.endStream() ? "." : ""));
       } else if (event instanceof Event.Body body) {
         all.add(
             "body"
-                + body.stream()
+                + body.streamId()
                 + ":"
                 + new String(body.bytes(), StandardCharsets.US_ASCII)
-                + (body.last() ? "." : ""));
-      } else if (event instanceof Event.Ended ended) {
-        all.add("ended" + ended.stream() + ":" + ended.how());
-      } else if (event instanceof Event.Leaving leaving) {
-        all.add("leaving:" + leaving.last());
-      } else if (event instanceof Event.Broken broken) {
+                + (body.endStream() ? "." : ""));
+      } else if (event instanceof Event.StreamEnded ended) {
+        all.add("ended" + ended.streamId() + ":" + ended.termination());
+      } else if (event instanceof Event.GoAwayReceived leaving) {
+        all.add("leaving:" + leaving.lastStreamId());
+      } else if (event instanceof Event.ConnectionFailed broken) {
         all.add("broken:" + broken.code());
       } else {
         all.add("pong");
