--- a/http2/src/test/java/tillerlink/net/http2/Http2ClientConnectionTest.java
+++ b/http2/src/test/java/tillerlink/net/http2/Http2ClientConnectionTest.java
@@ -7,12 +7,12 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** The client's side of RFC 9113, frame by frame. */
+/** Tests the client side of RFC 9113 on the level of frames. */
 class Http2ClientConnectionTest {
   private final Peer peer = new Peer();
 
   @Test
-  void aStreamFromRequestToAnswer() {
+  void reportsResponsesAndEnforcesTheStreamLimit() {
     Http2ClientConnection connection = new Http2ClientConnection();
     assertEquals("SETTINGS WINDOW+983041", peer.receivedFrames(connection));
     assertEquals("limit=2", peer.settings(3, 2).sendTo(connection));
@@ -23,7 +23,7 @@
     assertEquals("HEADERS1/p DATA1:5. HEADERS3./p", peer.receivedFrames(connection));
     assertEquals("[1, 3]", connection.takeSentRequests().toString());
     assertEquals(
-        "interim1 answer1:200 body1:ab body1:c. answer3:404.",
+        "interim1 response1:200 body1:ab body1:c. response3:404.",
         peer.response(1, 102, false)
             .response(1, 200, false, "content-length", "3")
             .data(1, "ab", false)
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void everySplitYieldsTheSameEvents() {
+  void eventsDoNotDependOnHowInputIsSplit() {
     peer.settings(3, 5)
         .response(1, 102, false)
         .response(1, 200, false)
@@ -52,7 +52,7 @@
       connection.feed(Arrays.copyOf(all, split));
       connection.feed(Arrays.copyOfRange(all, split, all.length));
       assertEquals(
-          "limit=5 interim1 answer1:200 body1:ab. answer3:200 body3: body3:z. leaving:3",
+          "limit=5 interim1 response1:200 body1:ab. response3:200 body3: body3:z. goaway:3",
           Peer.events(connection),
           "split " + split);
     }
@@ -61,37 +61,37 @@
   // ---- GOAWAY ----
 
   @Test
-  void goAwayEndsStreamsThatWereNotExecuted() {
+  void goAwayEndsStreamsAboveItsLastId() {
     Http2ClientConnection connection = Peer.connected(peer, 4);
     peer.writer.goAway(3, ErrorCode.NO_ERROR);
-    assertEquals("ended5:ABOVE_GOAWAY ended7:ABOVE_GOAWAY leaving:3", peer.sendTo(connection));
+    assertEquals("ended5:ABOVE_GOAWAY ended7:ABOVE_GOAWAY goaway:3", peer.sendTo(connection));
     assertTrue(connection.rejectsNewStreams());
-    assertEquals("answer1:200.", peer.response(1, 200, true).sendTo(connection));
+    assertEquals("response1:200.", peer.response(1, 200, true).sendTo(connection));
     peer.writer.goAway(1, ErrorCode.NO_ERROR);
-    assertEquals("ended3:ABOVE_GOAWAY leaving:1", peer.sendTo(connection));
+    assertEquals("ended3:ABOVE_GOAWAY goaway:1", peer.sendTo(connection));
     peer.writer.goAway(3, ErrorCode.NO_ERROR);
-    assertEquals("broken:PROTOCOL_ERROR", peer.sendTo(connection));
+    assertEquals("connection-error:PROTOCOL_ERROR", peer.sendTo(connection));
   }
 
   @Test
-  void theGracefulGoAwayHasTwoSteps() {
+  void gracefulGoAwayEndsStreamsInItsSecondStep() {
     Http2ClientConnection connection = Peer.connected(peer, 2);
     peer.writer.goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
-    assertEquals("leaving:2147483647", peer.sendTo(connection));
+    assertEquals("goaway:2147483647", peer.sendTo(connection));
     assertFalse(connection.canOpenStream());
     peer.writer.goAway(1, ErrorCode.NO_ERROR);
-    assertEquals("ended3:ABOVE_GOAWAY leaving:1", peer.sendTo(connection));
+    assertEquals("ended3:ABOVE_GOAWAY goaway:1", peer.sendTo(connection));
   }
 
   // ---- limits and windows ----
 
   @Test
-  void aLimitMayFallBelowWhatIsOpenAndRiseAgain() {
+  void streamLimitMayFallBelowOpenStreamsAndRiseAgain() {
     Http2ClientConnection connection = Peer.connected(peer, 3);
     assertEquals("limit=1", peer.settings(3, 1).sendTo(connection));
     assertFalse(connection.canOpenStream());
     assertEquals(
-        "answer1:200. answer3:200. answer5:200. limit=0",
+        "response1:200. response3:200. response5:200. limit=0",
         peer.response(1, 200, true)
             .response(3, 200, true)
             .response(5, 200, true)
@@ -103,7 +103,7 @@
   }
 
   @Test
-  void bodiesShareTheWindowsInTurn() {
+  void bodiesShareTheFlowControlWindows() {
     Http2ClientConnection connection = Peer.connected(peer, 0);
     peer.settings(4, 30_000).sendTo(connection);
     Peer.open(connection, "a".repeat(40_000));
@@ -125,24 +125,26 @@
     peer.writer.frame(Frame.WINDOW_UPDATE, 0, 3, 10_000);
     peer.sendTo(connection);
     assertEquals(
-        "ACK", peer.receivedFrames(connection), "the window had fallen below 0, and is at 0 now");
+        "ACK",
+        peer.receivedFrames(connection),
+        "the stream's window had fallen below 0 and is 0 now");
     peer.settings(4, 65_535).sendTo(connection);
     assertEquals("ACK DATA3:10000.", peer.receivedFrames(connection));
   }
 
   @Test
-  void anAnswerBeforeTheRequestWasWhollySent() {
+  void responseBeforeRequestWasSentResetsStream() {
     Http2ClientConnection connection = Peer.connected(peer, 0);
     peer.settings(4, 0).sendTo(connection);
     Peer.open(connection, "body");
     assertEquals("ACK HEADERS1/p", peer.receivedFrames(connection));
-    assertEquals("answer1:413.", peer.response(1, 413, true).sendTo(connection));
+    assertEquals("response1:413.", peer.response(1, 413, true).sendTo(connection));
     assertEquals("RST1:NO_ERROR", peer.receivedFrames(connection));
     assertEquals(0, connection.openStreamCount());
   }
 
   @Test
-  void ourWindowIsHandedBack() {
+  void receiveWindowCreditIsReturned() {
     Http2ClientConnection connection = Peer.connected(peer, 40);
     String page = "x".repeat(16_000);
     for (int i = 0; i < 35; i++) {
@@ -152,42 +154,42 @@
     assertEquals("WINDOW+528000", peer.receivedFrames(connection));
   }
 
-  // ---- cancels and resets ----
+  // ---- cancellations and resets ----
 
   @Test
-  void resets() {
+  void resetReportsWhetherTheResponseHadBegun() {
     Http2ClientConnection connection = Peer.connected(peer, 4);
     peer.writer.reset(1, ErrorCode.REFUSED_STREAM);
     peer.writer.reset(3, ErrorCode.INTERNAL_ERROR);
     peer.response(5, 200, false).writer.reset(5, ErrorCode.CANCEL);
     assertEquals(
-        "ended1:REFUSED ended3:RESET_BEFORE_ANSWER answer5:200 ended5:RESET_IN_ANSWER",
+        "ended1:REFUSED ended3:RESET_BEFORE_ANSWER response5:200 ended5:RESET_IN_ANSWER",
         peer.sendTo(connection));
     connection.cancel(7, ErrorCode.CANCEL);
     assertEquals("RST7:CANCEL", peer.receivedFrames(connection));
     assertEquals(
         "",
         peer.response(7, 200, false).data(7, "late", true).sendTo(connection),
-        "it crossed our reset, and is passed over");
+        "frames sent before the peer saw the reset are ignored");
     peer.writer.reset(7, ErrorCode.REFUSED_STREAM);
     assertEquals("", peer.sendTo(connection));
     assertTrue(connection.canOpenStream());
   }
 
   @Test
-  void refusedAfterTheAnswerBeganProvesNothing() {
+  void refusedStreamAfterResponseBeganCountsAsReset() {
     Http2ClientConnection connection = Peer.connected(peer, 1);
     peer.response(1, 200, false).writer.reset(1, ErrorCode.REFUSED_STREAM);
-    assertEquals("answer1:200 ended1:RESET_IN_ANSWER", peer.sendTo(connection));
+    assertEquals("response1:200 ended1:RESET_IN_ANSWER", peer.sendTo(connection));
   }
 
   @Test
-  void pings() {
+  void pingsAreAcknowledgedAndMatched() {
     Http2ClientConnection connection = Peer.connected(peer, 0);
     connection.ping();
     assertEquals("PING", peer.receivedFrames(connection));
     peer.writer.frame(Frame.PING, Frame.ACK, 0, 0, 7);
-    assertEquals("", peer.sendTo(connection), "an answer to no ping of ours");
+    assertEquals("", peer.sendTo(connection), "acknowledges a PING that was never sent");
     peer.writer.frame(Frame.PING, Frame.ACK, 0, 0, 1);
     assertEquals("pong", peer.sendTo(connection));
     peer.writer.frame(Frame.PING, 0, 0, 3, 4);
@@ -196,7 +198,7 @@
   }
 
   @Test
-  void streamIdsRunOut() {
+  void goAwayWithHighestIdRejectsNewStreams() {
     Http2ClientConnection connection = Peer.connected(peer, 0);
     assertFalse(connection.rejectsNewStreams());
     peer.writer.goAway(Integer.MAX_VALUE, ErrorCode.NO_ERROR);
--- a/http2/src/test/java/tillerlink/net/http2/MalformedTest.java
+++ b/http2/src/test/java/tillerlink/net/http2/MalformedTest.java
@@ -7,21 +7,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Malformed input ends what RFC 9113 demands: the stream alone, or the connection. Two streams are
- * open.
+ * Tests that malformed input ends the stream alone or the whole connection, as RFC 9113 demands.
+ * Two streams are open.
  */
 class MalformedTest {
-  private final StringBuilder printed = new StringBuilder();
+  private final StringBuilder reactions = new StringBuilder();
 
-  private void printReaction(String section, String what, Consumer<Peer> input) {
+  private void printReaction(String section, String inputName, Consumer<Peer> input) {
     Peer peer = new Peer();
     Http2ClientConnection connection = Peer.connected(peer, 2);
     input.accept(peer);
     String events = peer.sendTo(connection);
-    printed
+    reactions
         .append(section)
         .append(' ')
-        .append(what)
+        .append(inputName)
         .append(": ")
         .append(events.isEmpty() ? "nothing" : events)
         .append(" / ")
@@ -30,103 +30,108 @@
   }
 
   @Test
-  void bySection() {
-    printReaction("4.1", "an unknown frame", peer -> peer.raw(77, 255, 1, 1, 2, 3));
+  void malformedInputEndsStreamOrConnection() {
+    printReaction("4.1", "frame of unknown type", peer -> peer.raw(77, 255, 1, 1, 2, 3));
     printReaction(
         "4.2",
-        "a frame too long",
+        "oversized frame",
         peer -> peer.writer.frame(Frame.DATA, 0, 1, new byte[16_385], 0, 16_385));
     printReaction(
         "4.3",
-        "headers that can't be decoded",
+        "undecodable header block",
         peer -> peer.raw(Frame.HEADERS, 4, 1, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff));
     printReaction(
         "4.3",
-        "a block interrupted",
+        "interrupted header block",
         peer -> peer.raw(Frame.HEADERS, 0, 1).raw(Frame.PING, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0));
-    printReaction("5.1", "data on an idle stream", peer -> peer.data(9, "x", false));
-    printReaction("5.1", "headers on a stream of the peer's", peer -> peer.response(2, 200, true));
+    printReaction("5.1", "DATA on idle stream", peer -> peer.data(9, "x", false));
+    printReaction("5.1", "HEADERS on server-initiated stream", peer -> peer.response(2, 200, true));
     printReaction(
-        "5.1", "data after the end", peer -> peer.response(1, 200, true).data(1, "x", false));
+        "5.1", "DATA after END_STREAM", peer -> peer.response(1, 200, true).data(1, "x", false));
     printReaction(
-        "5.1", "headers after the end", peer -> peer.response(1, 200, true).response(1, 200, true));
-    printReaction("6.1", "data on no stream", peer -> peer.data(0, "x", false));
+        "5.1",
+        "HEADERS after END_STREAM",
+        peer -> peer.response(1, 200, true).response(1, 200, true));
+    printReaction("6.1", "DATA on stream 0", peer -> peer.data(0, "x", false));
     printReaction(
-        "6.1", "more padding than frame", peer -> peer.raw(Frame.DATA, Frame.PADDED, 1, 5, 0, 0));
+        "6.1",
+        "padding longer than payload",
+        peer -> peer.raw(Frame.DATA, Frame.PADDED, 1, 5, 0, 0));
     printReaction(
         "6.1",
-        "padded data",
+        "padded DATA",
         peer ->
             peer.response(1, 200, false).raw(Frame.DATA, Frame.PADDED | 1, 1, 2, 'o', 'k', 0, 0));
-    printReaction("6.2", "headers on no stream", peer -> peer.response(0, 200, true));
+    printReaction("6.2", "HEADERS on stream 0", peer -> peer.response(0, 200, true));
     printReaction(
-        "6.3", "a priority of a wrong size", peer -> peer.raw(Frame.PRIORITY, 0, 1, 0, 0));
+        "6.3", "PRIORITY with invalid size", peer -> peer.raw(Frame.PRIORITY, 0, 1, 0, 0));
     printReaction(
-        "6.3", "a priority on no stream", peer -> peer.raw(Frame.PRIORITY, 0, 0, 0, 0, 0, 0, 0));
+        "6.3", "PRIORITY on stream 0", peer -> peer.raw(Frame.PRIORITY, 0, 0, 0, 0, 0, 0, 0));
     printReaction(
-        "6.4", "a reset of an idle stream", peer -> peer.writer.reset(9, ErrorCode.CANCEL));
+        "6.4", "RST_STREAM on idle stream", peer -> peer.writer.reset(9, ErrorCode.CANCEL));
     printReaction(
-        "6.4", "a reset of a wrong size", peer -> peer.raw(Frame.RST_STREAM, 0, 1, 0, 0, 0));
-    printReaction("6.5", "settings on a stream", peer -> peer.raw(Frame.SETTINGS, 0, 1));
+        "6.4", "RST_STREAM with invalid size", peer -> peer.raw(Frame.RST_STREAM, 0, 1, 0, 0, 0));
+    printReaction("6.5", "SETTINGS on a stream", peer -> peer.raw(Frame.SETTINGS, 0, 1));
     printReaction(
-        "6.5", "settings of a wrong size", peer -> peer.raw(Frame.SETTINGS, 0, 0, 0, 1, 0));
+        "6.5", "SETTINGS with invalid size", peer -> peer.raw(Frame.SETTINGS, 0, 0, 0, 1, 0));
     printReaction(
         "6.5",
-        "a receipt with settings",
+        "SETTINGS ACK with payload",
         peer -> peer.raw(Frame.SETTINGS, Frame.ACK, 0, 0, 1, 0, 0, 0, 0));
-    printReaction("6.5.2", "push enabled by an engine", peer -> peer.settings(2, 1));
-    printReaction("6.5.2", "a window too large", peer -> peer.settings(4, -1));
-    printReaction("6.5.2", "a frame size too small", peer -> peer.settings(5, 100));
-    printReaction("6.5.2", "an unknown setting", peer -> peer.settings(99, 1));
-    printReaction("6.6", "a push", peer -> peer.raw(Frame.PUSH_PROMISE, 4, 1, 0, 0, 0, 2));
+    printReaction("6.5.2", "push enabled by server", peer -> peer.settings(2, 1));
+    printReaction("6.5.2", "initial window too large", peer -> peer.settings(4, -1));
+    printReaction("6.5.2", "maximum frame size too small", peer -> peer.settings(5, 100));
+    printReaction("6.5.2", "unknown setting", peer -> peer.settings(99, 1));
+    printReaction("6.6", "PUSH_PROMISE", peer -> peer.raw(Frame.PUSH_PROMISE, 4, 1, 0, 0, 0, 2));
     printReaction(
-        "6.7", "a ping on a stream", peer -> peer.raw(Frame.PING, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
-    printReaction("6.7", "a ping of a wrong size", peer -> peer.raw(Frame.PING, 0, 0, 1));
+        "6.7", "PING on a stream", peer -> peer.raw(Frame.PING, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
+    printReaction("6.7", "PING with invalid size", peer -> peer.raw(Frame.PING, 0, 0, 1));
     printReaction(
-        "6.8",
-        "a GOAWAY on a stream",
-        peer -> peer.raw(Frame.GOAWAY, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
-    printReaction("6.8", "a GOAWAY of a wrong size", peer -> peer.raw(Frame.GOAWAY, 0, 0, 0));
+        "6.8", "GOAWAY on a stream", peer -> peer.raw(Frame.GOAWAY, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0));
+    printReaction("6.8", "GOAWAY with invalid size", peer -> peer.raw(Frame.GOAWAY, 0, 0, 0));
     printReaction(
         "6.9",
-        "a window grown by nothing",
+        "stream WINDOW_UPDATE of 0",
         peer -> peer.writer.frame(Frame.WINDOW_UPDATE, 0, 1, 0));
     printReaction(
         "6.9",
-        "the connection's grown by nothing",
+        "connection WINDOW_UPDATE of 0",
         peer -> peer.writer.frame(Frame.WINDOW_UPDATE, 0, 0, 0));
     printReaction(
-        "6.9", "an update of a wrong size", peer -> peer.raw(Frame.WINDOW_UPDATE, 0, 1, 0, 0));
+        "6.9",
+        "WINDOW_UPDATE with invalid size",
+        peer -> peer.raw(Frame.WINDOW_UPDATE, 0, 1, 0, 0));
     printReaction(
         "6.9.1",
-        "a stream's window overflows",
+        "stream window overflow",
         peer -> peer.writer.frame(Frame.WINDOW_UPDATE, 0, 1, Integer.MAX_VALUE));
     printReaction(
         "6.9.1",
-        "the connection's window overflows",
+        "connection window overflow",
         peer -> peer.writer.frame(Frame.WINDOW_UPDATE, 0, 0, Integer.MAX_VALUE));
     printReaction(
         "6.9.1",
-        "more data than a window lets through",
+        "DATA beyond stream window",
         peer -> {
           peer.response(1, 200, false);
           for (int i = 0; i < 5; i++) {
             peer.data(1, "x".repeat(16_000), false);
           }
         });
-    printReaction("6.10", "a continuation of nothing", peer -> peer.raw(Frame.CONTINUATION, 4, 1));
-    printReaction("8.1", "data before headers", peer -> peer.data(1, "x", false));
+    printReaction(
+        "6.10", "CONTINUATION without HEADERS", peer -> peer.raw(Frame.CONTINUATION, 4, 1));
+    printReaction("8.1", "DATA before HEADERS", peer -> peer.data(1, "x", false));
     printReaction(
         "8.1.1",
-        "a body longer than stated",
+        "body longer than content-length",
         peer -> peer.response(1, 200, false, "content-length", "1").data(1, "xy", true));
     printReaction(
         "8.1.1",
-        "a body shorter than stated",
+        "body shorter than content-length",
         peer -> peer.response(1, 200, false, "content-length", "3").data(1, "xy", true));
     printReaction(
         "8.1.1",
-        "a length that is none",
+        "invalid content-length",
         peer -> peer.response(1, 200, false, "content-length", "-3"));
     printReaction(
         "8.1",
@@ -134,84 +139,88 @@
         peer -> peer.response(1, 200, false).data(1, "x", false).raw(Frame.HEADERS, 5, 1));
     printReaction(
         "8.1",
-        "headers in the middle",
+        "HEADERS within body",
         peer -> peer.response(1, 200, false).raw(Frame.HEADERS, 4, 1));
-    printReaction("8.1", "an interim that ends the stream", peer -> peer.response(1, 103, true));
-    printReaction("8.2.1", "a name in capitals", peer -> peer.response(1, 200, true, "Upper", "x"));
+    printReaction("8.1", "interim response with END_STREAM", peer -> peer.response(1, 103, true));
+    printReaction(
+        "8.2.1", "header name in upper case", peer -> peer.response(1, 200, true, "Upper", "x"));
     printReaction(
         "8.2.2",
-        "a header of the connection",
+        "connection-specific header",
         peer -> peer.response(1, 200, true, "connection", "close"));
-    printReaction("8.3.2", "no status", peer -> peer.raw(Frame.HEADERS, 5, 1));
-    printReaction("8.3.2", "a status that is none", peer -> peer.response(1, 99, true));
+    printReaction("8.3.2", "missing status", peer -> peer.raw(Frame.HEADERS, 5, 1));
+    printReaction("8.3.2", "invalid status", peer -> peer.response(1, 99, true));
     printReaction(
-        "8.3", "a pseudo-header twice", peer -> peer.response(1, 200, true, ":status", "200"));
-    printReaction("8.6", "an upgrade", peer -> peer.response(1, 101, true));
+        "8.3", "duplicate pseudo-header", peer -> peer.response(1, 200, true, ":status", "200"));
+    printReaction("8.6", "status 101", peer -> peer.response(1, 101, true));
     assertEquals(
         """
-        4.1 an unknown frame: nothing /\s
-        4.2 a frame too long: broken:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
-        4.3 headers that can't be decoded: broken:COMPRESSION_ERROR / GOAWAY:COMPRESSION_ERROR
-        4.3 a block interrupted: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        5.1 data on an idle stream: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        5.1 headers on a stream of the peer's: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        5.1 data after the end: answer1:200. broken:STREAM_CLOSED / GOAWAY:STREAM_CLOSED
-        5.1 headers after the end: answer1:200. broken:STREAM_CLOSED / GOAWAY:STREAM_CLOSED
-        6.1 data on no stream: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.1 more padding than frame: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.1 padded data: answer1:200 body1:ok. /\s
-        6.2 headers on no stream: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.3 a priority of a wrong size: ended1:GARBLED / RST1:FRAME_SIZE_ERROR
-        6.3 a priority on no stream: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.4 a reset of an idle stream: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.4 a reset of a wrong size: broken:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
-        6.5 settings on a stream: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.5 settings of a wrong size: broken:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
-        6.5 a receipt with settings: broken:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
-        6.5.2 push enabled by an engine: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.5.2 a window too large: broken:FLOW_CONTROL_ERROR / GOAWAY:FLOW_CONTROL_ERROR
-        6.5.2 a frame size too small: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.5.2 an unknown setting: limit=none / ACK
-        6.6 a push: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.7 a ping on a stream: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.7 a ping of a wrong size: broken:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
-        6.8 a GOAWAY on a stream: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.8 a GOAWAY of a wrong size: broken:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
-        6.9 a window grown by nothing: ended1:GARBLED / RST1:PROTOCOL_ERROR
-        6.9 the connection's grown by nothing: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        6.9 an update of a wrong size: broken:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
-        6.9.1 a stream's window overflows: ended1:GARBLED / RST1:FLOW_CONTROL_ERROR
-        6.9.1 the connection's window overflows: broken:FLOW_CONTROL_ERROR / GOAWAY:FLOW_CONTROL_ERROR
+        4.1 frame of unknown type: nothing /\s
+        4.2 oversized frame: connection-error:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
+        4.3 undecodable header block: connection-error:COMPRESSION_ERROR / GOAWAY:COMPRESSION_ERROR
+        4.3 interrupted header block: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        5.1 DATA on idle stream: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        5.1 HEADERS on server-initiated stream: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        5.1 DATA after END_STREAM: response1:200. connection-error:STREAM_CLOSED / GOAWAY:STREAM_CLOSED
+        5.1 HEADERS after END_STREAM: response1:200. connection-error:STREAM_CLOSED / GOAWAY:STREAM_CLOSED
+        6.1 DATA on stream 0: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.1 padding longer than payload: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.1 padded DATA: response1:200 body1:ok. /\s
+        6.2 HEADERS on stream 0: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.3 PRIORITY with invalid size: ended1:GARBLED / RST1:FRAME_SIZE_ERROR
+        6.3 PRIORITY on stream 0: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.4 RST_STREAM on idle stream: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.4 RST_STREAM with invalid size: connection-error:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
+        6.5 SETTINGS on a stream: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.5 SETTINGS with invalid size: connection-error:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
+        6.5 SETTINGS ACK with payload: connection-error:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
+        6.5.2 push enabled by server: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.5.2 initial window too large: connection-error:FLOW_CONTROL_ERROR / GOAWAY:FLOW_CONTROL_ERROR
+        6.5.2 maximum frame size too small: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.5.2 unknown setting: limit=none / ACK
+        6.6 PUSH_PROMISE: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.7 PING on a stream: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.7 PING with invalid size: connection-error:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
+        6.8 GOAWAY on a stream: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.8 GOAWAY with invalid size: connection-error:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
+        6.9 stream WINDOW_UPDATE of 0: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        6.9 connection WINDOW_UPDATE of 0: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        6.9 WINDOW_UPDATE with invalid size: connection-error:FRAME_SIZE_ERROR / GOAWAY:FRAME_SIZE_ERROR
+        6.9.1 stream window overflow: ended1:GARBLED / RST1:FLOW_CONTROL_ERROR
+        6.9.1 connection window overflow: connection-error:FLOW_CONTROL_ERROR / GOAWAY:FLOW_CONTROL_ERROR
         """,
-        printed.substring(0, printed.indexOf("6.9.1 more data")));
+        reactions.substring(0, reactions.indexOf("6.9.1 DATA beyond")));
     String rest =
-        printed
-            .substring(printed.indexOf("6.9.1 more data"))
+        reactions
+            .substring(reactions.indexOf("6.9.1 DATA beyond"))
             .replaceAll("body1:x{100,}", "body1:x*");
     assertEquals(
         """
-        6.9.1 more data than a window lets through: answer1:200 body1:x* body1:x* body1:x* body1:x* ended1:GARBLED / RST1:FLOW_CONTROL_ERROR
-        6.10 a continuation of nothing: broken:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
-        8.1 data before headers: ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.1.1 a body longer than stated: answer1:200 ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.1.1 a body shorter than stated: answer1:200 ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.1.1 a length that is none: ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.1 trailers: answer1:200 body1:x body1:. /\s
-        8.1 headers in the middle: answer1:200 ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.1 an interim that ends the stream: ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.2.1 a name in capitals: ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.2.2 a header of the connection: ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.3.2 no status: ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.3.2 a status that is none: ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.3 a pseudo-header twice: ended1:GARBLED / RST1:PROTOCOL_ERROR
-        8.6 an upgrade: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        6.9.1 DATA beyond stream window: response1:200 body1:x* body1:x* body1:x* body1:x* ended1:GARBLED / RST1:FLOW_CONTROL_ERROR
+        6.10 CONTINUATION without HEADERS: connection-error:PROTOCOL_ERROR / GOAWAY:PROTOCOL_ERROR
+        8.1 DATA before HEADERS: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.1.1 body longer than content-length: response1:200 ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.1.1 body shorter than content-length: response1:200 ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.1.1 invalid content-length: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.1 trailers: response1:200 body1:x body1:. /\s
+        8.1 HEADERS within body: response1:200 ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.1 interim response with END_STREAM: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.2.1 header name in upper case: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.2.2 connection-specific header: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.3.2 missing status: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.3.2 invalid status: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.3 duplicate pseudo-header: ended1:GARBLED / RST1:PROTOCOL_ERROR
+        8.6 status 101: ended1:GARBLED / RST1:PROTOCOL_ERROR
         """,
         rest);
   }
 
-  /** Floods end the connection after bounded work, and nothing is stored for them meanwhile. */
+  /**
+   * Guards against unlimited work and memory: a flood ends its connection or stream after bounded
+   * work, and nothing is stored for it meanwhile.
+   */
   @Test
-  void floods() {
+  void floodsEndTheConnectionOrStream() {
     String[] names = {
       "settings",
       "pings",
@@ -222,13 +231,15 @@
       "continuations",
       "interims"
     };
-    StringBuilder found = new StringBuilder();
+    StringBuilder results = new StringBuilder();
     for (String name : names) {
       Peer peer = new Peer();
       Http2ClientConnection connection = Peer.connected(peer, 2);
       int sentFrames = 0;
       String events = "";
-      while (sentFrames < 20_000 && !events.contains("broken") && !events.contains("ended1")) {
+      while (sentFrames < 20_000
+          && !events.contains("connection-error")
+          && !events.contains("ended1")) {
         sentFrames++;
         switch (name) {
           case "settings" -> peer.settings(3, sentFrames);
@@ -249,7 +260,7 @@
         events = peer.sendTo(connection);
         peer.receivedFrames(connection);
       }
-      found
+      results
           .append(name)
           .append(" after ")
           .append(sentFrames)
@@ -260,23 +271,23 @@
     }
     assertEquals(
         """
-        settings after 1001: broken:ENHANCE_YOUR_CALM
-        pings after 1001: broken:ENHANCE_YOUR_CALM
-        resets after 1001: broken:ENHANCE_YOUR_CALM
-        empty data after 1001: broken:ENHANCE_YOUR_CALM
-        unknown frames after 1001: broken:ENHANCE_YOUR_CALM
-        window updates after 1001: broken:ENHANCE_YOUR_CALM
-        continuations after 10: broken:ENHANCE_YOUR_CALM
+        settings after 1001: connection-error:ENHANCE_YOUR_CALM
+        pings after 1001: connection-error:ENHANCE_YOUR_CALM
+        resets after 1001: connection-error:ENHANCE_YOUR_CALM
+        empty data after 1001: connection-error:ENHANCE_YOUR_CALM
+        unknown frames after 1001: connection-error:ENHANCE_YOUR_CALM
+        window updates after 1001: connection-error:ENHANCE_YOUR_CALM
+        continuations after 10: connection-error:ENHANCE_YOUR_CALM
         interims after 1001: ended1:GARBLED
         """,
-        found.toString());
+        results.toString());
   }
 
   @Test
-  void aHeaderListThatGrowsWhenItIsDecoded() {
+  void headerListThatExpandsWhenDecodedEndsConnection() {
     Peer peer = new Peer();
     Http2ClientConnection connection = Peer.connected(peer, 2);
-    // One long header put into the table, then referred to by one byte each time.
+    // A long header is added to the compression table and then referenced by one byte per copy.
     byte[] bomb = new byte[6000];
     int length = 0;
     bomb[length++] = 0x40;
@@ -292,6 +303,6 @@
       bomb[length++] = (byte) 0xbe;
     }
     peer.writer.frame(Frame.HEADERS, Frame.END_HEADERS, 1, bomb, 0, bomb.length);
-    assertTrue(peer.sendTo(connection).startsWith("broken:"));
+    assertTrue(peer.sendTo(connection).startsWith("connection-error:"));
   }
 }
--- a/http2/src/test/java/tillerlink/net/http2/Peer.java
+++ b/http2/src/test/java/tillerlink/net/http2/Peer.java
@@ -8,7 +8,7 @@
 import org.apache.hc.core5.http.message.BasicHeader;
 import org.apache.hc.core5.http2.hpack.HPackDecoder;
 
-/** The other end of a connection for tests: it sends any frames and prints those it receives. */
+/** A server-side peer for tests, which sends arbitrary frames and formats those it receives. */
 final class Peer {
   final FrameWriter writer = new FrameWriter();
   private final FrameReader reader;
@@ -20,23 +20,23 @@
         new FrameReader("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** The frames received since the last call, in their order, printed. */
+  /** Returns the frames received since the last call, formatted and in order. */
   String receivedFrames(Http2ClientConnection connection) {
     reader.feed(connection.takeOutput());
     for (Frame frame = reader.next(); frame != null; frame = reader.next()) {
-      printed.add(print(frame));
+      printed.add(formatFrame(frame));
     }
     String all = String.join(" ", printed);
     printed.clear();
     return all;
   }
 
-  private String print(Frame frame) {
+  private String formatFrame(Frame frame) {
     String streamId = frame.stream() == 0 ? "" : Integer.toString(frame.stream());
     String last = frame.has(Frame.END_STREAM) && frame.type() < 2 ? "." : "";
     return switch (frame.type()) {
       case Frame.DATA -> "DATA" + streamId + ":" + frame.payload().length + last;
-      case Frame.HEADERS -> "HEADERS" + streamId + last + decoded(frame);
+      case Frame.HEADERS -> "HEADERS" + streamId + last + formatPath(frame);
       case Frame.CONTINUATION -> "CONTINUATION" + streamId;
       case Frame.RST_STREAM -> "RST" + streamId + ":" + ErrorCode.of((int) frame.number(0));
       case Frame.SETTINGS -> frame.has(Frame.ACK) ? "ACK" : "SETTINGS";
@@ -47,7 +47,7 @@
     };
   }
 
-  private String decoded(Frame frame) {
+  private String formatPath(Frame frame) {
     if (!frame.has(Frame.END_HEADERS)) {
       return "..";
     }
@@ -93,7 +93,7 @@
     return this;
   }
 
-  /** Sends what was written to the connection; returns its events, printed. */
+  /** Feeds the written frames to the connection and returns its events, formatted. */
   String sendTo(Http2ClientConnection connection) {
     connection.feed(writer.take());
     return events(connection);
@@ -102,17 +102,17 @@
   static String events(Http2ClientConnection connection) {
     List<String> all = new ArrayList<>();
     for (Event event = connection.poll(); event != null; event = connection.poll()) {
-      if (event instanceof Event.SettingsReceived limits) {
+      if (event instanceof Event.SettingsReceived settings) {
         all.add(
             "limit="
-                + (limits.maxConcurrentStreams() == Long.MAX_VALUE
+                + (settings.maxConcurrentStreams() == Long.MAX_VALUE
                     ? "none"
-                    : limits.maxConcurrentStreams()));
+                    : settings.maxConcurrentStreams()));
       } else if (event instanceof Event.InterimResponse interim) {
         all.add("interim" + interim.streamId());
       } else if (event instanceof Event.Response response) {
         all.add(
-            "answer"
+            "response"
                 + response.streamId()
                 + ":"
                 + response.status()
@@ -126,10 +126,10 @@
                 + (body.endStream() ? "." : ""));
       } else if (event instanceof Event.StreamEnded ended) {
         all.add("ended" + ended.streamId() + ":" + ended.termination());
-      } else if (event instanceof Event.GoAwayReceived leaving) {
-        all.add("leaving:" + leaving.lastStreamId());
-      } else if (event instanceof Event.ConnectionFailed broken) {
-        all.add("broken:" + broken.code());
+      } else if (event instanceof Event.GoAwayReceived goAway) {
+        all.add("goaway:" + goAway.lastStreamId());
+      } else if (event instanceof Event.ConnectionFailed failed) {
+        all.add("connection-error:" + failed.code());
       } else {
         all.add("pong");
       }
@@ -138,8 +138,8 @@
   }
 
   /**
-   * A connection on which so many streams were opened, each with a small body, and whose peer has
-   * sent its settings.
+   * Returns a connection whose peer has sent its settings, with a number of open streams whose
+   * requests have a body of one byte each.
    */
   static Http2ClientConnection connected(Peer peer, int streams) {
     Http2ClientConnection connection = new Http2ClientConnection();
