--- a/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
@@ -76,7 +76,7 @@
       case STORED_READY -> Status.READY;
       case STORED_DRAINING -> Status.DRAINING;
       case STORED_GONE -> Status.GONE;
-      default -> throw new IllegalArgumentException("no status: " + storedName);
+      default -> throw new IllegalArgumentException("unknown stored status: " + storedName);
     };
   }
 
--- a/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
@@ -83,7 +83,8 @@
       report.told().forEach(line -> LOG.atWarn().addKeyValue("store", report.state()).log(line));
       return report.usable() ? Optional.of(table) : Optional.empty();
     } catch (IOException e) {
-      LOG.warn("the store can't be opened, endpoints are not persisted: {}", e.toString());
+      LOG.warn(
+          "cannot open the endpoint cache's store; endpoints are not persisted: {}", e.toString());
       return Optional.empty();
     }
   }
@@ -99,7 +100,7 @@
     try {
       writer.close();
     } catch (IOException e) {
-      LOG.warn("the store was not closed: {}", e.toString());
+      LOG.warn("failed to close the endpoint cache's store: {}", e.toString());
     }
   }
 }
--- a/store/src/main/java/tillerlink/store/DurableTable.java
+++ b/store/src/main/java/tillerlink/store/DurableTable.java
@@ -55,7 +55,7 @@
               : new RecoveryReport(
                   RecoveryReport.State.LOCKED, List.of("another process has the store"));
     } catch (IOException e) {
-      recoveryReport = foreign("the store can't be read: " + e.getMessage());
+      recoveryReport = foreign("cannot read the store: " + e.getMessage());
     }
     failed = !recoveryReport.usable();
     return recoveryReport;
--- a/store/src/main/java/tillerlink/store/FileFormat.java
+++ b/store/src/main/java/tillerlink/store/FileFormat.java
@@ -128,7 +128,15 @@
     byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
     if (keyBytes.length > MAX_KEY_BYTES || value.length > MAX_VALUE_BYTES) {
       throw new IllegalArgumentException(
-          "a record too long: " + keyBytes.length + " and " + value.length + " bytes");
+          "record exceeds the limits of the format: key "
+              + keyBytes.length
+              + " of at most "
+              + MAX_KEY_BYTES
+              + " bytes, value "
+              + value.length
+              + " of at most "
+              + MAX_VALUE_BYTES
+              + " bytes");
     }
     int body = MIN_BODY_BYTES + keyBytes.length + value.length;
     ByteBuffer out = ByteBuffer.allocate(FRAME_BYTES + body);
--- a/store/src/main/java/tillerlink/store/Recovery.java
+++ b/store/src/main/java/tillerlink/store/Recovery.java
@@ -60,14 +60,15 @@
     if (header.version() > FileFormat.VERSION) {
       return Optional.of(
           name
-              + " is of version "
+              + " has format version "
               + header.version()
-              + " of the format; this release reads up to "
+              + "; this release supports versions up to "
               + FileFormat.VERSION);
     }
     return header.owner() == owner
         ? Optional.empty()
-        : Optional.of(name + " belongs to another store");
+        : Optional.of(
+            name + " belongs to another store: owner " + header.owner() + ", expected " + owner);
   }
 
   /**
@@ -135,7 +136,7 @@
             .filter(last -> last.sequence() == entries.size())
             .isPresent();
     if (!complete) {
-      warnings.add(name + " is damaged and was passed over");
+      warnings.add(name + " is corrupt or incomplete; quarantined");
       quarantine(name);
       return false;
     }
@@ -164,7 +165,7 @@
     byte[] file = directory.read(name, MAX_FILE_BYTES);
     if (FileFormat.decodeHeader(file).isEmpty()) {
       if (!last) {
-        warnings.add(name + " has no valid header and was set aside");
+        warnings.add(name + " has no valid header; quarantined");
       }
       quarantine(name);
       return true;
@@ -177,11 +178,11 @@
       if (record.sequence() > expected) {
         warnings.add(
             name
-                + " begins at "
+                + ": found sequence "
                 + record.sequence()
-                + " where "
+                + ", expected "
                 + expected
-                + " was wanted; it was set aside with what follows it");
+                + "; quarantined with all later segments");
         return false;
       }
       offset += record.bytes();
@@ -198,8 +199,8 @@
   private void truncateAfter(String name, int validBytes, int fileBytes, boolean last)
       throws IOException {
     if (validBytes < fileBytes) {
-      String what = last ? ": a tail of " : " is damaged: ";
-      warnings.add(name + what + (fileBytes - validBytes) + " bytes was cut off");
+      String what = last ? ": truncated an invalid tail of " : " is corrupt: truncated the last ";
+      warnings.add(name + what + (fileBytes - validBytes) + " bytes");
       directory.truncate(name, validBytes);
     }
   }
--- a/store/src/test/java/tillerlink/store/DurableTableTest.java
+++ b/store/src/test/java/tillerlink/store/DurableTableTest.java
@@ -202,7 +202,8 @@
     CrashingDirectory torn = written(21);
     String tail = last(torn, FileFormat.SEGMENT_PREFIX);
     torn.truncate(tail, torn.read(tail, 1 << 20).length - 3);
-    assertEquals("CUT [log-0000000000000004: a tail of 26 bytes was cut off]", recover(torn));
+    assertEquals(
+        "CUT [log-0000000000000004: truncated an invalid tail of 26 bytes]", recover(torn));
   }
 
   @Test
@@ -210,7 +211,7 @@
     CrashingDirectory corrupt = written(21);
     String newest = last(corrupt, FileFormat.SNAPSHOT_PREFIX);
     corrupt.corrupt(newest, 40);
-    assertEquals("CUT [" + newest + " is damaged and was passed over]", recover(corrupt));
+    assertEquals("CUT [" + newest + " is corrupt or incomplete; quarantined]", recover(corrupt));
     DurableTable older = new DurableTable(corrupt.copy(), OWNER, 200, 10_000);
     older.open();
     assertEquals(21, older.sequence(), "the older snapshot and the log behind it tell all");
@@ -228,7 +229,8 @@
     middle.corrupt("log-0000000000000001", FileFormat.HEADER_BYTES + 22 * 4 + 15);
     DurableTable cut = new DurableTable(middle, OWNER, 100_000, 10_000);
     assertEquals(
-        "[log-0000000000000001: a tail of 132 bytes was cut off]", cut.open().told().toString());
+        "[log-0000000000000001: truncated an invalid tail of 132 bytes]",
+        cut.open().told().toString());
     assertEquals(4, cut.sequence());
   }
 
@@ -243,8 +245,8 @@
     }
     gap.delete("log-0000000000000002");
     assertEquals(
-        "CUT [log-0000000000000003 begins at 3 where 2 was wanted; it was set aside with what"
-            + " follows it]",
+        "CUT [log-0000000000000003: found sequence 3, expected 2; quarantined with all later"
+            + " segments]",
         recover(gap));
     assertTrue(gap.list().contains("aside-log-0000000000000003"));
   }
@@ -266,12 +268,13 @@
     List<String> before = disk.list();
     RecoveryReport foreign = new DurableTable(disk, OWNER + 1, 200, 10_000).open();
     assertEquals(
-        "FOREIGN [log-0000000000000001 belongs to another store]",
+        "FOREIGN [log-0000000000000001 belongs to another store: owner 77, expected 78]",
         foreign.state() + " " + foreign.told());
     StorageDirectory.AppendOnlyFile later = disk.create("snap-00000000000000ff");
     later.write(FileFormat.encodeHeader(new FileFormat.Header(true, 9, OWNER, 255)));
     assertEquals(
-        "FOREIGN [snap-00000000000000ff is of version 9 of the format; this release reads up to 1]",
+        "FOREIGN [snap-00000000000000ff has format version 9; this release supports versions up to"
+            + " 1]",
         recover(disk));
     disk.delete("snap-00000000000000ff");
     assertEquals(before, disk.list());
