--- a/store/src/main/java/tillerlink/store/AsyncTableWriter.java
+++ b/store/src/main/java/tillerlink/store/AsyncTableWriter.java
@@ -8,25 +8,32 @@
 import java.util.Map;
 
 /**
- * Writes to a table on a thread of its own, so that no caller waits for the disk. Changes queue
- * until a sync is due; of several changes of one key that are queued, only the last is written, so
- * that a value that flaps does not wear the disk.
+ * A writer that applies changes to a table on its own thread, so that no caller waits for the disk.
+ * Changes are queued until a sync is due. If several queued changes have the same key, only the
+ * last one is written, so that a frequently changing value does not wear the disk.
  *
- * <p>The writer owns its thread and, from then on, the table: only that thread touches it until it
- * has ended. The queue is guarded by this object's monitor, and callers may be any threads.
+ * <p>The writer owns its thread and, once constructed, the table: only that thread accesses the
+ * table until the thread has ended. The queue is guarded by this object's monitor, and the methods
+ * may be called from any thread.
  */
 public final class AsyncTableWriter implements Closeable {
-  /** How soon a change is made durable, the strictest first. */
+  /** The time within which a change is made durable, from the strictest to the most relaxed. */
   public enum Durability {
     /** Synced as soon as possible. */
     AT_ONCE,
-    /** Synced within the group delay, together with others. */
+    /** Synced within the group delay, together with other changes. */
     GROUPED,
-    /** Synced with the next change that is, or when the lazy delay is over. */
+    /** Synced with the next change of a stricter durability, at the latest after the lazy delay. */
     LAZY
   }
 
-  /** A change in the queue, and the callbacks of all changes of its key that it stands for. */
+  /**
+   * The last queued change of a key.
+   *
+   * @param value the new value; null removes the key
+   * @param durability the strictest durability of all queued changes of the key
+   * @param callbacks the callbacks of all queued changes of the key, including the replaced ones
+   */
   private record QueuedChange(byte[] value, Durability durability, List<Runnable> callbacks) {}
 
   private static final long NANOS_PER_MS = 1_000_000;
@@ -42,16 +49,16 @@
   private final Map<String, QueuedChange> queue = new LinkedHashMap<>();
   private boolean closing;
 
-  /** By {@link System#nanoTime}, or {@link #NO_SYNC_DUE}. */
+  /** The {@link System#nanoTime} at which the next sync is due, or {@link #NO_SYNC_DUE}. */
   private long syncDueNanos = NO_SYNC_DUE;
 
   /**
-   * Starts the thread.
+   * Creates the writer and starts its thread.
    *
-   * @param table already opened; closed with this writer
-   * @param maxQueuedKeys keys of which changes may be queued at once
-   * @param groupDelayMs see {@link Durability#GROUPED}
-   * @param lazyDelayMs see {@link Durability#LAZY}
+   * @param table the table, which must be open; {@link #close} closes it
+   * @param maxQueuedKeys the maximum number of keys with queued changes
+   * @param groupDelayMs the group delay in milliseconds, see {@link Durability#GROUPED}
+   * @param lazyDelayMs the lazy delay in milliseconds, see {@link Durability#LAZY}
    */
   public AsyncTableWriter(
       DurableTable table, int maxQueuedKeys, long groupDelayMs, long lazyDelayMs) {
@@ -64,32 +71,35 @@
   }
 
   /**
-   * Queues a change; never waits for the disk.
+   * Queues a change without waiting for the disk.
    *
-   * @param value null removes the key
+   * @param key the key to change
+   * @param value the new value; null removes the key
+   * @param durability the time within which the change is made durable
    * @param onDurable called on the writer's thread once the change is durable, and never if it
-   *     can't be made so; may be null
-   * @return false if the queue is full or the writer is closing: then the change is dropped
+   *     cannot be made durable; may be null
+   * @return whether the change was queued; false if the queue is full or the writer is closing, in
+   *     which case the change is dropped
    */
   public synchronized boolean set(
       String key, byte[] value, Durability durability, Runnable onDurable) {
-    QueuedChange queued = queue.get(key);
-    boolean full = queued == null && queue.size() >= maxQueuedKeys;
+    QueuedChange pending = queue.get(key);
+    boolean full = pending == null && queue.size() >= maxQueuedKeys;
     if (full || closing) {
       return false;
     }
-    List<Runnable> callbacks = new ArrayList<>(queued == null ? List.of() : queued.callbacks);
+    List<Runnable> callbacks = new ArrayList<>(pending == null ? List.of() : pending.callbacks);
     if (onDurable != null) {
       callbacks.add(onDurable);
     }
     Durability strictest =
-        queued != null && queued.durability.compareTo(durability) < 0
-            ? queued.durability
+        pending != null && pending.durability.compareTo(durability) < 0
+            ? pending.durability
             : durability;
     queue.put(key, new QueuedChange(value, strictest, callbacks));
-    long due = System.nanoTime() + delayNanos(strictest);
-    if (syncDueNanos == NO_SYNC_DUE || due - syncDueNanos < 0) {
-      syncDueNanos = due;
+    long dueNanos = System.nanoTime() + delayNanos(strictest);
+    if (syncDueNanos == NO_SYNC_DUE || dueNanos - syncDueNanos < 0) {
+      syncDueNanos = dueNanos;
       notifyAll();
     }
     return true;
@@ -119,7 +129,11 @@
     }
   }
 
-  /** Waits until a sync is due and takes all queued changes; null once the writer is closed. */
+  /**
+   * Waits until a sync is due and removes all changes from the queue.
+   *
+   * @return the removed changes by key, or null once the writer is closing and the queue is empty
+   */
   private synchronized Map<String, QueuedChange> takeBatch() throws InterruptedException {
     while (!closing || !queue.isEmpty()) {
       long remainingNanos = remainingNanos();
@@ -142,8 +156,9 @@
   }
 
   /**
-   * Writes the queued changes, as far as the disk allows within a second, ends the thread and
-   * closes the table.
+   * Writes the queued changes, ends the thread and closes the table. Waits at most one second for
+   * the thread; if a slow disk delays it for longer, the table stays open, since the thread still
+   * uses it.
    */
   @Override
   public void close() throws IOException {
--- a/store/src/main/java/tillerlink/store/Compaction.java
+++ b/store/src/main/java/tillerlink/store/Compaction.java
@@ -8,11 +8,14 @@
 import tillerlink.store.FileFormat.LogRecord;
 import tillerlink.store.FileFormat.RecordType;
 
-/** Writes snapshots of a table and deletes the files that they make redundant. */
+/** Writes snapshots of a table and deletes the files that the snapshots make redundant. */
 final class Compaction {
-  private static final int SNAPSHOTS_KEPT = 2;
+  private static final int RETAINED_SNAPSHOTS = 2;
 
-  /** What is read of a segment to decode its first record. */
+  /**
+   * The number of bytes read from the start of a segment to decode its first record. The 64 bytes
+   * leave room for the record's own fields beside its key and value.
+   */
   private static final int MAX_FIRST_RECORD_BYTES =
       FileFormat.HEADER_BYTES + 64 + FileFormat.MAX_KEY_BYTES + FileFormat.MAX_VALUE_BYTES;
 
@@ -24,11 +27,14 @@
     this.owner = owner;
   }
 
-  /** Writes all entries under a temporary name and renames the file once it is durable. */
+  /**
+   * Writes all entries to a snapshot file. The file has a temporary name until it is durable, so
+   * that a crash cannot leave an incomplete file under a snapshot's name.
+   */
   void writeSnapshot(TableState table) throws IOException {
     long sequence = table.sequence();
-    String unfinished = FileFormat.fileName(FileFormat.UNFINISHED_SNAPSHOT_PREFIX, sequence);
-    try (StorageDirectory.AppendOnlyFile file = directory.create(unfinished)) {
+    String temporaryName = FileFormat.fileName(FileFormat.UNFINISHED_SNAPSHOT_PREFIX, sequence);
+    try (StorageDirectory.AppendOnlyFile file = directory.create(temporaryName)) {
       file.write(FileFormat.encodeHeader(new Header(true, FileFormat.VERSION, owner, sequence)));
       for (Map.Entry<String, byte[]> entry : table.values().entrySet()) {
         file.write(
@@ -38,41 +44,47 @@
       file.write(FileFormat.encodeRecord(RecordType.SNAPSHOT_END, entries, "", new byte[0]));
       file.sync();
     }
-    directory.rename(unfinished, FileFormat.fileName(FileFormat.SNAPSHOT_PREFIX, sequence));
+    directory.rename(temporaryName, FileFormat.fileName(FileFormat.SNAPSHOT_PREFIX, sequence));
     directory.syncDirectory();
   }
 
   /**
-   * Deletes all snapshots but the latest two, and the segments that neither of these needs.
+   * Deletes all snapshots except the latest two, and the segments that neither of these needs for
+   * recovery. Does nothing while there are fewer than two snapshots.
    *
-   * @param currentSegment the one that is being written
+   * @param currentSegment the number of the segment that is being written
    */
   void deleteRedundantFiles(long currentSegment) throws IOException {
     List<String> names = directory.list();
     List<Long> snapshots = Recovery.fileNumbers(names, FileFormat.SNAPSHOT_PREFIX);
-    if (snapshots.size() < SNAPSHOTS_KEPT) {
+    if (snapshots.size() < RETAINED_SNAPSHOTS) {
       return;
     }
-    long oldestKept = snapshots.get(snapshots.size() - SNAPSHOTS_KEPT);
+    long oldestRetained = snapshots.get(snapshots.size() - RETAINED_SNAPSHOTS);
     for (long number : snapshots) {
-      if (number < oldestKept) {
+      if (number < oldestRetained) {
         directory.delete(FileFormat.fileName(FileFormat.SNAPSHOT_PREFIX, number));
       }
     }
     List<Long> segments = Recovery.fileNumbers(names, FileFormat.SEGMENT_PREFIX);
     for (int i = 0; i + 1 < segments.size(); i++) {
-      long next = segments.get(i + 1);
-      if (next < currentSegment && lastSequenceBefore(next) <= oldestKept) {
+      long nextSegment = segments.get(i + 1);
+      if (nextSegment < currentSegment && lastSequenceBefore(nextSegment) <= oldestRetained) {
         directory.delete(FileFormat.fileName(FileFormat.SEGMENT_PREFIX, segments.get(i)));
       }
     }
   }
 
-  /** The sequence of the last record before a segment; the largest number if it has no records. */
+  /**
+   * Returns the sequence of the last record before a segment.
+   *
+   * @return the sequence, or {@link Long#MAX_VALUE} if the first record of the segment is missing
+   *     or corrupt
+   */
   private long lastSequenceBefore(long segment) throws IOException {
     String name = FileFormat.fileName(FileFormat.SEGMENT_PREFIX, segment);
-    byte[] start = directory.read(name, MAX_FIRST_RECORD_BYTES);
-    Optional<LogRecord> first = FileFormat.decodeRecord(start, FileFormat.HEADER_BYTES);
+    byte[] firstBytes = directory.read(name, MAX_FIRST_RECORD_BYTES);
+    Optional<LogRecord> first = FileFormat.decodeRecord(firstBytes, FileFormat.HEADER_BYTES);
     return first.map(record -> record.sequence() - 1).orElse(Long.MAX_VALUE);
   }
 }
--- a/store/src/main/java/tillerlink/store/DurableTable.java
+++ b/store/src/main/java/tillerlink/store/DurableTable.java
@@ -8,10 +8,11 @@
 import tillerlink.store.FileFormat.RecordType;
 
 /**
- * A small key-value table that survives crashes. Every change is a record of a write-ahead log;
- * when the current segment has grown long enough, the whole table is written as a snapshot and the
- * segments before it are deleted. After a crash, recovery finds everything that was synced, and of
- * the changes after that a prefix. Not thread-safe: one thread uses it.
+ * A small key-value table in memory that survives crashes. Every change is appended to a
+ * write-ahead log. When the current segment of the log exceeds a bound, the whole table is written
+ * as a snapshot and the segments that are no longer needed are deleted. After a crash, recovery
+ * restores all changes that were synced and a prefix of the changes after the last sync. Not
+ * thread-safe.
  */
 public final class DurableTable implements Closeable {
   private static final byte[] NO_VALUE = new byte[0];
@@ -27,9 +28,13 @@
   private boolean failed = true;
 
   /**
-   * @param owner identifies whose store it is; the files of another owner are not touched
-   * @param maxSegmentBytes length of a log segment beyond which {@link #sync} takes a snapshot
-   * @param maxTableBytes bound of all keys and values together, with an overhead for each
+   * Creates a table that must be opened with {@link #open} before use.
+   *
+   * @param directory the directory of the store; {@link #close} closes it
+   * @param owner the identifier of the store's owner; files of another owner are not changed
+   * @param maxSegmentBytes the length of a log segment beyond which {@link #sync} takes a snapshot
+   * @param maxTableBytes the maximum size of all keys and values together, including a fixed
+   *     overhead for each entry
    */
   public DurableTable(
       StorageDirectory directory, long owner, long maxSegmentBytes, long maxTableBytes) {
@@ -42,10 +47,11 @@
   }
 
   /**
-   * Locks the directory, recovers the table from its files and begins a new segment. To be called
-   * once, before anything else.
+   * Locks the directory, recovers the table from its files and starts a new segment. Must be called
+   * once, before any other method. Throws no exception for an unusable store or an I/O error; the
+   * report describes them instead.
    *
-   * @return also for a store that can't be used, as after an I/O error: nothing is thrown
+   * @return the result of recovery
    */
   public RecoveryReport open() {
     try {
@@ -55,7 +61,7 @@
               : new RecoveryReport(
                   RecoveryReport.State.LOCKED, List.of("another process has the store"));
     } catch (IOException e) {
-      recoveryReport = foreign("cannot read the store: " + e.getMessage());
+      recoveryReport = foreignReport("cannot read the store: " + e.getMessage());
     }
     failed = !recoveryReport.usable();
     return recoveryReport;
@@ -66,45 +72,51 @@
     Recovery recovery = new Recovery(directory, owner, table);
     Optional<String> foreignFile = recovery.findForeignFile(names);
     if (foreignFile.isPresent()) {
-      return foreign(foreignFile.get());
+      return foreignReport(foreignFile.get());
     }
     log.startAfter(recovery.run(names));
     return recovery.report();
   }
 
-  private static RecoveryReport foreign(String reason) {
+  private static RecoveryReport foreignReport(String reason) {
     return new RecoveryReport(RecoveryReport.State.FOREIGN, List.of(reason));
   }
 
-  /** What {@link #open} returned; null before. */
+  /** Returns the report of {@link #open}, or null before that call. */
   public RecoveryReport recoveryReport() {
     return recoveryReport;
   }
 
-  /** A live, unmodifiable view of all entries. */
+  /** Returns a live, unmodifiable view of all entries. */
   public NavigableMap<String, byte[]> values() {
     return table.values();
   }
 
-  /** The sequence of the last change, counted from 1 over the whole life of the store. */
+  /**
+   * Returns the sequence of the last change. Changes are numbered from 1 over the whole lifetime of
+   * the store, across restarts; 0 means that there was no change.
+   */
   public long sequence() {
     return table.sequence();
   }
 
   /**
-   * Whether the store is not usable, or a write or sync failed for good: changes are refused from
-   * then on, and the entries in memory stay as they are.
+   * Returns whether the store is unusable: it is not open, recovery could not use it, or a write or
+   * sync failed and so did its repetition in a new segment. From then on changes are rejected, and
+   * the entries in memory no longer change.
    */
   public boolean hasFailed() {
     return failed;
   }
 
   /**
-   * Changes the table and appends the change to the log; it is durable after the next {@link
-   * #sync}.
+   * Changes the table and appends the change to the log. The change is durable after the next
+   * successful {@link #sync}.
    *
-   * @param value null removes the key
-   * @return false if the table would exceed its bound, or the store has failed
+   * @param key the key to change
+   * @param value the new value; null removes the key
+   * @return false if the table would exceed its size limit or the store has failed; always true for
+   *     the removal of a key that is absent, which changes nothing
    * @throws IllegalArgumentException if the key or the value is longer than the format allows
    */
   public boolean set(String key, byte[] value) {
@@ -129,7 +141,7 @@
   }
 
   /**
-   * Makes all changes before it durable, and takes a snapshot if one is due.
+   * Makes all previous changes durable and takes a snapshot if the current segment is too long.
    *
    * @return false if the store has failed
    */
@@ -157,8 +169,8 @@
   }
 
   /**
-   * Compacts the store: writes the whole table as a snapshot, begins a new segment, and deletes the
-   * files that are redundant then.
+   * Compacts the store: writes the whole table as a snapshot, starts a new segment and deletes the
+   * files that have become redundant.
    */
   public void snapshot() throws IOException {
     compaction.writeSnapshot(table);
--- a/store/src/main/java/tillerlink/store/FileSystemDirectory.java
+++ b/store/src/main/java/tillerlink/store/FileSystemDirectory.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A directory of the file system, locked by a lock file in it. */
+/** A storage directory in the file system, locked through a lock file in it. */
 public final class FileSystemDirectory implements StorageDirectory {
   private static final String LOCK_FILE = "lock";
 
@@ -20,7 +20,11 @@
   private FileChannel lockChannel;
   private FileLock lock;
 
-  /** Creates the directory if it does not exist. */
+  /**
+   * Opens the directory and creates it, with its parents, if it does not exist.
+   *
+   * @throws IOException if the directory cannot be created
+   */
   public FileSystemDirectory(Path path) throws IOException {
     this.path = Files.createDirectories(path);
   }
--- a/store/src/main/java/tillerlink/store/Recovery.java
+++ b/store/src/main/java/tillerlink/store/Recovery.java
@@ -11,8 +11,9 @@
 import tillerlink.store.FileFormat.RecordType;
 
 /**
- * Reads a store's files into a table when it is opened: the latest snapshot that is intact, then
- * the segments in their order. Truncates a torn tail and sets aside what can't be used.
+ * Recovery of a table from the files of a store: reads the latest intact snapshot, then the
+ * segments in ascending order. Truncates an incomplete or corrupt tail of a segment and quarantines
+ * files that cannot be used.
  */
 final class Recovery {
   private static final int MAX_FILE_BYTES = 1 << 28;
@@ -25,7 +26,10 @@
   private boolean empty;
 
   /**
-   * @param table empty; filled with what is read
+   * Creates a recovery, to be run once.
+   *
+   * @param owner the identifier that the headers of the files must contain
+   * @param table the empty table to fill
    */
   Recovery(StorageDirectory directory, long owner, TableState table) {
     this.directory = directory;
@@ -34,11 +38,11 @@
   }
 
   /**
-   * Looks at the headers of the files for one of another owner or of a later version, in which case
-   * none may be touched.
+   * Checks the headers of all files for another owner or a later format version. If there is one,
+   * no file of the store may be changed.
    *
    * @param names the names of all files
-   * @return what is wrong; empty if the files may be read
+   * @return the reason why the store must not be used, or empty if it may be read
    */
   Optional<String> findForeignFile(List<String> names) throws IOException {
     for (String name : names) {
@@ -72,10 +76,10 @@
   }
 
   /**
-   * Fills the table.
+   * Deletes unfinished snapshots and fills the table from the other files.
    *
    * @param names the names of all files
-   * @return the number of the last segment, 0 if there is none
+   * @return the number of the last segment, or 0 if there is no segment
    */
   long run(List<String> names) throws IOException {
     for (String name : names) {
@@ -91,14 +95,14 @@
     return segments.isEmpty() ? 0 : segments.get(segments.size() - 1);
   }
 
-  /** The report for a store that was read. */
+  /** Returns the report on a store that was read by {@link #run}. */
   RecoveryReport report() {
     RecoveryReport.State state =
         warnings.isEmpty() ? RecoveryReport.State.WHOLE : RecoveryReport.State.CUT;
     return new RecoveryReport(empty ? RecoveryReport.State.NEW : state, List.copyOf(warnings));
   }
 
-  /** The numbers of the files with that prefix, ascending. */
+  /** Returns the numbers of the files with the given prefix in ascending order. */
   static List<Long> fileNumbers(List<String> names, String prefix) {
     return names.stream()
         .map(name -> FileFormat.fileNumber(prefix, name))
@@ -122,17 +126,18 @@
     byte[] file = directory.read(name, MAX_FILE_BYTES);
     TreeMap<String, byte[]> entries = new TreeMap<>();
     int offset = FileFormat.HEADER_BYTES;
-    Optional<LogRecord> next =
+    Optional<LogRecord> decoded =
         FileFormat.decodeHeader(file).filter(Header::snapshot).isPresent()
             ? FileFormat.decodeRecord(file, offset)
             : Optional.empty();
-    while (next.isPresent() && next.get().type() == RecordType.PUT) {
-      entries.put(next.get().key(), next.get().value());
-      offset += next.get().bytes();
-      next = FileFormat.decodeRecord(file, offset);
+    while (decoded.isPresent() && decoded.get().type() == RecordType.PUT) {
+      entries.put(decoded.get().key(), decoded.get().value());
+      offset += decoded.get().bytes();
+      decoded = FileFormat.decodeRecord(file, offset);
     }
     boolean complete =
-        next.filter(last -> last.type() == RecordType.SNAPSHOT_END)
+        decoded
+            .filter(last -> last.type() == RecordType.SNAPSHOT_END)
             .filter(last -> last.sequence() == entries.size())
             .isPresent();
     if (!complete) {
@@ -145,20 +150,22 @@
   }
 
   private void readSegments(List<Long> segments) throws IOException {
-    boolean gap = false;
+    boolean gapFound = false;
     for (int i = 0; i < segments.size(); i++) {
-      gap = gap || !readSegment(segments.get(i), i == segments.size() - 1);
-      if (gap) {
+      gapFound = gapFound || !readSegment(segments.get(i), i == segments.size() - 1);
+      if (gapFound) {
         quarantine(FileFormat.fileName(FileFormat.SEGMENT_PREFIX, segments.get(i)));
       }
     }
   }
 
   /**
-   * Applies the records of a segment. Those that were applied already are skipped: after a fault of
-   * the disk the log goes on in a new segment with the records of the old one that were not synced.
+   * Applies the records of a segment. Skips records that were already applied: after a disk fault
+   * the log continues in a new segment that repeats the unsynced records of the old one.
    *
-   * @return false if a record is missing before one of this segment
+   * @param last whether this is the last segment, in which a crash may leave an incomplete tail
+   * @return false if a record of this segment does not follow the last one applied, because records
+   *     in between are missing
    */
   private boolean readSegment(long number, boolean last) throws IOException {
     String name = FileFormat.fileName(FileFormat.SEGMENT_PREFIX, number);
@@ -171,9 +178,9 @@
       return true;
     }
     int offset = FileFormat.HEADER_BYTES;
-    Optional<LogRecord> next = FileFormat.decodeRecord(file, offset);
-    while (next.isPresent()) {
-      LogRecord record = next.get();
+    Optional<LogRecord> decoded = FileFormat.decodeRecord(file, offset);
+    while (decoded.isPresent()) {
+      LogRecord record = decoded.get();
       long expected = table.sequence() + 1;
       if (record.sequence() > expected) {
         warnings.add(
@@ -190,7 +197,7 @@
         table.apply(
             expected, record.key(), record.type() == RecordType.PUT ? record.value() : null);
       }
-      next = FileFormat.decodeRecord(file, offset);
+      decoded = FileFormat.decodeRecord(file, offset);
     }
     truncateAfter(name, offset, file.length, last);
     return true;
@@ -199,13 +206,17 @@
   private void truncateAfter(String name, int validBytes, int fileBytes, boolean last)
       throws IOException {
     if (validBytes < fileBytes) {
-      String what = last ? ": truncated an invalid tail of " : " is corrupt: truncated the last ";
-      warnings.add(name + what + (fileBytes - validBytes) + " bytes");
+      String finding =
+          last ? ": truncated an invalid tail of " : " is corrupt: truncated the last ";
+      warnings.add(name + finding + (fileBytes - validBytes) + " bytes");
       directory.truncate(name, validBytes);
     }
   }
 
-  /** Keeps a file that can't be used for people to look at, and no more than a few of them. */
+  /**
+   * Renames an unusable file so that it is available for diagnosis, and deletes the first of the
+   * quarantined files by name when there are too many, which bounds the disk usage.
+   */
   private void quarantine(String name) throws IOException {
     directory.rename(name, FileFormat.QUARANTINE_PREFIX + name);
     List<String> quarantined =
--- a/store/src/main/java/tillerlink/store/RecoveryReport.java
+++ b/store/src/main/java/tillerlink/store/RecoveryReport.java
@@ -3,28 +3,31 @@
 import java.util.List;
 
 /**
- * The result of recovery: the state in which the store was, and a line for the log about each thing
- * that was not in order.
+ * The result of recovery: the state of the store and a log message for each problem found.
  *
- * @param state whether the store is usable, and if so whether anything was lost
- * @param told the lines, in the order in which recovery came upon them
+ * @param state the state, which determines whether the store is usable and whether data was
+ *     truncated
+ * @param told the messages, in the order in which recovery found the problems
  */
 public record RecoveryReport(State state, List<String> told) {
-  /** The state of a store when it was opened. Its constants' names are printed. */
+  /** The state of a store when it was opened. The names of the constants appear in output. */
   public enum State {
-    /** There was no store; an empty one was created. */
+    /** The directory contained no store; an empty one was created. */
     NEW,
-    /** Everything was read. */
+    /** Recovery found no problem and read the whole table. */
     WHOLE,
-    /** A tail that was never acknowledged, or what followed a corrupt record, was truncated. */
+    /**
+     * The store is usable, but a file was truncated or quarantined. Truncated are a tail that was
+     * never acknowledged and all records after a corrupt one.
+     */
     CUT,
-    /** Another process holds the lock; nothing was read or changed. */
+    /** Another process has locked the store; nothing was read or changed. */
     LOCKED,
-    /** Of a later version, of another owner, or unreadable. */
+    /** The store has a later format version or another owner, or an I/O error occurred. */
     FOREIGN
   }
 
-  /** Whether the table may be read and changed. */
+  /** Returns whether the table may be read and changed. */
   public boolean usable() {
     return state == State.NEW || state == State.WHOLE || state == State.CUT;
   }
--- a/store/src/main/java/tillerlink/store/TableState.java
+++ b/store/src/main/java/tillerlink/store/TableState.java
@@ -5,7 +5,7 @@
 import java.util.NavigableMap;
 import java.util.TreeMap;
 
-/** The entries of a table in memory, their size, and the sequence of the last change. */
+/** The in-memory entries of a table, their total size and the sequence of the last change. */
 final class TableState {
   private final NavigableMap<String, byte[]> values = new TreeMap<>();
   private final NavigableMap<String, byte[]> unmodifiableValues =
@@ -21,7 +21,13 @@
     return sequence;
   }
 
-  /** What the entries would take on disk if that key had that value; null stands for none. */
+  /**
+   * Returns the total size that the entries would have after a change, including the record
+   * overhead of each entry. Keys count by their characters, so the size on disk is larger if keys
+   * contain non-ASCII characters.
+   *
+   * @param value the new value; null removes the key
+   */
   long bytesWith(String key, byte[] value) {
     return bytes + entryBytes(key, value) - entryBytes(key, values.get(key));
   }
@@ -29,7 +35,8 @@
   /**
    * Applies the next change.
    *
-   * @param value null removes the key
+   * @param changeSequence the sequence of the change
+   * @param value the new value; null removes the key
    */
   void apply(long changeSequence, String key, byte[] value) {
     byte[] previous = value == null ? values.remove(key) : values.put(key, value);
@@ -37,7 +44,11 @@
     sequence = changeSequence;
   }
 
-  /** Loads the entries of a snapshot into the empty table. */
+  /**
+   * Loads the entries of a snapshot into the empty table.
+   *
+   * @param snapshotSequence the sequence of the last change in the snapshot
+   */
   void load(long snapshotSequence, Map<String, byte[]> entries) {
     entries.forEach((key, value) -> apply(snapshotSequence, key, value));
     sequence = snapshotSequence;
--- a/store/src/main/java/tillerlink/store/WriteAheadLog.java
+++ b/store/src/main/java/tillerlink/store/WriteAheadLog.java
@@ -5,20 +5,23 @@
 import java.util.List;
 
 /**
- * The append-only log of changes, in numbered segments. A segment that was left for another one is
- * not written to again.
+ * The append-only log of changes, divided into numbered segments. Only the latest segment is
+ * written to.
  */
 final class WriteAheadLog {
   private final StorageDirectory directory;
   private final long owner;
 
-  /** Records appended since the last successful sync; written again if a write or sync fails. */
+  /**
+   * The records appended since the last successful sync. They are written again, to a new segment,
+   * if a write or sync fails.
+   */
   private final List<byte[]> unsynced = new ArrayList<>();
 
   private long segment;
   private long segmentBytes;
 
-  /** The current segment; null until the first one was created. */
+  /** The file of the current segment; null until the first one is created. */
   private StorageDirectory.AppendOnlyFile file;
 
   WriteAheadLog(StorageDirectory directory, long owner) {
@@ -26,23 +29,30 @@
     this.owner = owner;
   }
 
-  /** The number of the current segment. */
+  /** Returns the number of the current segment. */
   long segment() {
     return segment;
   }
 
-  /** How long the current segment is, without what was written again after a fault. */
+  /**
+   * Returns the length of the current segment in bytes, without the records that were written again
+   * after a fault.
+   */
   long segmentBytes() {
     return segmentBytes;
   }
 
-  /** Creates the first segment of this process, after the last one that was found. */
+  /**
+   * Creates the first segment of this process.
+   *
+   * @param lastSegment the number of the last existing segment, or 0 if there is none
+   */
   void startAfter(long lastSegment) throws IOException {
     segment = lastSegment;
     startSegment();
   }
 
-  /** Leaves the current segment and begins a new one. */
+  /** Closes the current segment and starts a new one. */
   void rollOver() throws IOException {
     closeSegment();
     startSegment();
@@ -58,7 +68,7 @@
     segmentBytes = FileFormat.HEADER_BYTES;
   }
 
-  /** Appends a record; it is durable after the next {@link #sync}. */
+  /** Appends a record, which is durable after the next successful {@link #sync}. */
   void append(byte[] record) throws IOException {
     unsynced.add(record);
     segmentBytes += record.length;
@@ -71,9 +81,12 @@
   }
 
   /**
-   * Continues after a failed write or sync. None of the records since the last successful sync
-   * counts as durable: all of them go to a new segment, and the failed one is not written to again.
-   * This guards against an fsync that fails, drops the dirty pages, and succeeds the next time.
+   * Continues after a failed write or sync. None of the records since the last successful sync is
+   * assumed to be durable: all of them are written to a new segment, and the failed segment is not
+   * written to again. This guards against an fsync that fails, drops the dirty pages and succeeds
+   * the next time.
+   *
+   * @throws IOException if the new segment cannot be written either
    */
   void recoverFromFault() throws IOException {
     rollOver();
@@ -91,7 +104,7 @@
     try {
       file.close();
     } catch (IOException e) {
-      // What was synced is durable; the rest was not promised.
+      // Synced records are durable, and the others were never acknowledged.
     }
   }
 }
