--- a/store/src/test/java/tillerlink/store/AsyncTableWriterTest.java
+++ b/store/src/test/java/tillerlink/store/AsyncTableWriterTest.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** No caller waits for the disk, whatever the disk does. */
+/** Tests that callers never wait for the disk, even if it is slow or fails. */
 class AsyncTableWriterTest {
-  /** A directory whose syncs are slow, or fail from some time on. */
+  /** An in-memory directory whose syncs are slow, and fail while {@link #failing} is set. */
   private static final class SlowDirectory implements StorageDirectory {
     private final CrashingDirectory disk = new CrashingDirectory();
     private final long syncMs;
@@ -41,7 +41,7 @@
         @Override
         public void sync() throws IOException {
           if (failing) {
-            throw new IOException("input/output error");
+            throw new IOException("injected sync failure");
           }
           if (syncs.incrementAndGet() > 1) {
             try {
@@ -106,24 +106,26 @@
   void slowSyncsDoNotBlockCallers() throws Exception {
     SlowDirectory disk = new SlowDirectory(2000);
     AsyncTableWriter writer = new AsyncTableWriter(open(disk), 100, 10, 1000);
-    CountDownLatch durable = new CountDownLatch(1);
-    long longest = 0;
-    int refused = 0;
+    CountDownLatch synced = new CountDownLatch(1);
+    long longestNanos = 0;
+    int rejected = 0;
     for (int i = 0; i < 20_000; i++) {
-      long started = System.nanoTime();
-      refused +=
+      long startNanos = System.nanoTime();
+      rejected +=
           writer.set(
                   "k" + i % 300,
                   new byte[10],
                   AsyncTableWriter.Durability.AT_ONCE,
-                  i == 0 ? durable::countDown : null)
+                  i == 0 ? synced::countDown : null)
               ? 0
               : 1;
-      longest = Math.max(longest, System.nanoTime() - started);
+      longestNanos = Math.max(longestNanos, System.nanoTime() - startNanos);
     }
-    assertTrue(longest < 1_000_000_000L, "the longest call took " + longest / 1e6 + " ms");
-    assertTrue(refused > 0, "changes are refused beyond a hundred queued keys");
-    assertTrue(durable.await(10, TimeUnit.SECONDS));
+    assertTrue(
+        longestNanos < 1_000_000_000L,
+        "longest call: expected less than 1000 ms, got " + longestNanos / 1e6 + " ms");
+    assertTrue(rejected > 0, "no change was rejected with 300 keys and at most 100 queued");
+    assertTrue(synced.await(10, TimeUnit.SECONDS));
   }
 
   @Test
@@ -131,25 +133,25 @@
     SlowDirectory disk = new SlowDirectory(0);
     DurableTable table = open(disk);
     AsyncTableWriter writer = new AsyncTableWriter(table, 10, 50, 5000);
-    AtomicInteger notified = new AtomicInteger();
+    AtomicInteger callbacks = new AtomicInteger();
     for (int i = 0; i < 1000; i++) {
       assertTrue(
           writer.set(
-              "flaps",
+              "changing",
               new byte[] {(byte) i},
               AsyncTableWriter.Durability.LAZY,
-              notified::incrementAndGet));
+              callbacks::incrementAndGet));
     }
-    CountDownLatch durable = new CountDownLatch(1);
+    CountDownLatch synced = new CountDownLatch(1);
     assertTrue(
-        writer.set("last", new byte[0], AsyncTableWriter.Durability.GROUPED, durable::countDown));
-    assertTrue(durable.await(10, TimeUnit.SECONDS));
-    assertEquals(1000, notified.get(), "every callback ran");
-    assertTrue(disk.syncs.get() < 10, disk.syncs + " syncs");
+        writer.set("last", new byte[0], AsyncTableWriter.Durability.GROUPED, synced::countDown));
+    assertTrue(synced.await(10, TimeUnit.SECONDS));
+    assertEquals(1000, callbacks.get(), "callbacks that ran");
+    assertTrue(disk.syncs.get() < 10, disk.syncs + " syncs, expected fewer than 10");
     writer.close();
     DurableTable reopened = open(disk);
-    assertEquals((byte) 999, reopened.values().get("flaps")[0]);
-    assertTrue(reopened.sequence() <= 4, reopened.sequence() + " records");
+    assertEquals((byte) 999, reopened.values().get("changing")[0]);
+    assertTrue(reopened.sequence() <= 4, reopened.sequence() + " records, expected at most 4");
   }
 
   @Test
@@ -157,12 +159,12 @@
     SlowDirectory disk = new SlowDirectory(0);
     AsyncTableWriter writer = new AsyncTableWriter(open(disk), 10, 1, 10);
     disk.failing = true;
-    AtomicInteger notified = new AtomicInteger();
+    AtomicInteger callbacks = new AtomicInteger();
     assertTrue(
         writer.set(
-            "a", new byte[1], AsyncTableWriter.Durability.AT_ONCE, notified::incrementAndGet));
+            "a", new byte[1], AsyncTableWriter.Durability.AT_ONCE, callbacks::incrementAndGet));
     writer.close();
-    assertEquals(0, notified.get());
+    assertEquals(0, callbacks.get());
     assertFalse(writer.set("b", new byte[1], AsyncTableWriter.Durability.AT_ONCE, null));
   }
 }
--- a/store/src/test/java/tillerlink/store/CrashingDirectory.java
+++ b/store/src/test/java/tillerlink/store/CrashingDirectory.java
@@ -10,74 +10,90 @@
 import java.util.TreeMap;
 
 /**
- * A directory in memory that can crash at any operation. Afterwards, bytes that were synced are
- * there, and of the others any prefix, torn at any byte. Of the files created, renamed and deleted
- * since the directory was last synced, any prefix is so too.
+ * An in-memory directory that can crash at any operation. After the crash, each file contains all
+ * synced bytes and any prefix of the unsynced ones, which may end within a record. Of the
+ * creations, renames and deletions since the last sync of the directory, any prefix has taken
+ * effect.
  */
 final class CrashingDirectory implements StorageDirectory {
+  /** Signals that the simulated crash point was reached. */
   static final class Crash extends RuntimeException {
     private static final long serialVersionUID = 1L;
   }
 
-  /** The bytes that were written, and how many of them a crash leaves. */
-  private static final class File {
+  /** The bytes written to a file and the number of them that are certain to survive a crash. */
+  private static final class InMemoryFile {
     private final ByteArrayOutputStream written = new ByteArrayOutputStream();
     private int synced;
 
-    File copy(int length) {
-      File copy = new File();
+    InMemoryFile copy(int length) {
+      InMemoryFile copy = new InMemoryFile();
       copy.written.write(written.toByteArray(), 0, length);
       copy.synced = length;
       return copy;
     }
   }
 
-  private final Map<String, File> files = new TreeMap<>();
+  private final Map<String, InMemoryFile> files = new TreeMap<>();
 
-  /** The states a crash may leave: as of the last sync, then after each change since. */
-  private final List<Map<String, File>> possibleStates = new ArrayList<>(List.of(new TreeMap<>()));
+  /**
+   * The states that a crash may leave: that of the last sync, then that after each change since.
+   */
+  private final List<Map<String, InMemoryFile>> possibleStates =
+      new ArrayList<>(List.of(new TreeMap<>()));
 
   private long crashAt = Long.MAX_VALUE;
-  private long faultAt = Long.MAX_VALUE;
-  private long faultsUntil;
+  private long firstFaultAt = Long.MAX_VALUE;
+  private long lastFaultAt;
   private boolean ignoreSyncs;
   long operations;
   boolean locked;
 
+  /**
+   * Sets the crash point.
+   *
+   * @param operation the number of operations that succeed before the crash
+   */
   CrashingDirectory crashAt(long operation) {
     crashAt = operation;
     return this;
   }
 
-  /** That many operations fail, after the given number of them. */
-  CrashingDirectory faults(long from, long count) {
-    faultAt = from;
-    faultsUntil = from + count;
+  /**
+   * Injects I/O errors.
+   *
+   * @param succeeding the number of operations that succeed before the first error
+   * @param count the number of consecutive operations that fail
+   */
+  CrashingDirectory failOperations(long succeeding, long count) {
+    firstFaultAt = succeeding;
+    lastFaultAt = succeeding + count;
     return this;
   }
 
+  /** Makes syncs of files ineffective, so that a test can show that it detects missing syncs. */
   CrashingDirectory ignoreSyncs() {
     ignoreSyncs = true;
     return this;
   }
 
-  private void step() throws IOException {
+  private void startOperation() throws IOException {
     if (operations++ >= crashAt) {
       throw new Crash();
     }
-    if (operations > faultAt && operations <= faultsUntil) {
-      throw new IOException("input/output error");
+    if (operations > firstFaultAt && operations <= lastFaultAt) {
+      throw new IOException("injected I/O error");
     }
   }
 
-  private void namesChanged() {
+  private void recordPossibleState() {
     possibleStates.add(new TreeMap<>(files));
   }
 
-  /** The directory as a process finds it that starts after the crash. */
+  /** Returns the directory as a process that starts after the crash finds it. */
   CrashingDirectory afterCrash(Random random) {
-    CrashingDirectory after = new CrashingDirectory();
-    Map<String, File> state = possibleStates.get(random.nextInt(possibleStates.size()));
+    CrashingDirectory survivor = new CrashingDirectory();
+    Map<String, InMemoryFile> state = possibleStates.get(random.nextInt(possibleStates.size()));
     state.forEach(
         (name, file) -> {
           int unsynced = file.written.size() - file.synced;
@@ -88,23 +104,24 @@
                     case 1 -> unsynced;
                     default -> random.nextInt(unsynced + 1);
                   };
-          after.files.put(name, file.copy(length));
+          survivor.files.put(name, file.copy(length));
         });
-    after.possibleStates.clear();
-    after.possibleStates.add(new TreeMap<>(after.files));
-    return after;
+    survivor.possibleStates.clear();
+    survivor.possibleStates.add(new TreeMap<>(survivor.files));
+    return survivor;
   }
 
   /** Corrupts one byte of a file. */
   void corrupt(String name, int at) {
     byte[] bytes = files.get(name).written.toByteArray();
     bytes[at] ^= 0x55;
-    File file = new File();
+    InMemoryFile file = new InMemoryFile();
     file.written.writeBytes(bytes);
     file.synced = bytes.length;
     files.put(name, file);
   }
 
+  /** Returns a copy in which all written bytes are durable. */
   CrashingDirectory copy() {
     CrashingDirectory copy = new CrashingDirectory();
     files.forEach((name, file) -> copy.files.put(name, file.copy(file.written.size())));
@@ -119,20 +136,20 @@
 
   @Override
   public AppendOnlyFile create(String name) throws IOException {
-    step();
-    File file = new File();
+    startOperation();
+    InMemoryFile file = new InMemoryFile();
     files.put(name, file);
-    namesChanged();
+    recordPossibleState();
     return new AppendOnlyFile() {
       @Override
       public void write(byte[] bytes) throws IOException {
-        step();
+        startOperation();
         file.written.writeBytes(bytes);
       }
 
       @Override
       public void sync() throws IOException {
-        step();
+        startOperation();
         file.synced = ignoreSyncs ? file.synced : file.written.size();
       }
 
@@ -145,7 +162,7 @@
 
   @Override
   public byte[] read(String name, int maxBytes) throws IOException {
-    File file = files.get(name);
+    InMemoryFile file = files.get(name);
     if (file == null) {
       throw new IOException("no such file: " + name);
     }
@@ -155,28 +172,28 @@
 
   @Override
   public void truncate(String name, long size) throws IOException {
-    step();
+    startOperation();
     files.put(name, files.get(name).copy((int) size));
-    namesChanged();
+    recordPossibleState();
   }
 
   @Override
   public void rename(String from, String to) throws IOException {
-    step();
+    startOperation();
     files.put(to, files.remove(from));
-    namesChanged();
+    recordPossibleState();
   }
 
   @Override
   public void delete(String name) throws IOException {
-    step();
+    startOperation();
     files.remove(name);
-    namesChanged();
+    recordPossibleState();
   }
 
   @Override
   public void syncDirectory() throws IOException {
-    step();
+    startOperation();
     possibleStates.clear();
     possibleStates.add(new TreeMap<>(files));
   }
--- a/store/src/test/java/tillerlink/store/DurableTableTest.java
+++ b/store/src/test/java/tillerlink/store/DurableTableTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** After any crash the table is as it was at some moment, with everything acknowledged in it. */
+/**
+ * Tests that after any crash the recovered table equals the table after some change, and that this
+ * change is not earlier than the last one acknowledged by a sync.
+ */
 class DurableTableTest {
   private static final long OWNER = 77;
 
@@ -24,17 +27,19 @@
     return new DurableTable(disk, OWNER, 400, 10_000);
   }
 
-  private static Map<String, String> print(DurableTable table) {
-    Map<String, String> all = new TreeMap<>();
-    table.values().forEach((key, value) -> all.put(key, new String(value, StandardCharsets.UTF_8)));
-    return all;
+  private static Map<String, String> contents(DurableTable table) {
+    Map<String, String> entries = new TreeMap<>();
+    table
+        .values()
+        .forEach((key, value) -> entries.put(key, new String(value, StandardCharsets.UTF_8)));
+    return entries;
   }
 
   private static byte[] bytes(String text) {
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Random changes to a table: its state after each, and the last sequence acknowledged. */
+  /** Random changes to a table, with its state after each and the last acknowledged sequence. */
   private static final class History {
     private final List<Map<String, String>> states = new ArrayList<>(List.of(new TreeMap<>()));
     private long acknowledged;
@@ -61,13 +66,17 @@
   }
 
   /**
-   * Crashes at one operation, perhaps again during recovery, and checks what is recovered.
+   * Crashes at one operation, in a quarter of the cases again during recovery, and checks the
+   * recovered table.
    *
-   * @return what is wrong, empty if nothing is; null if the history ended before the crash
+   * @param point the number of operations before the crash
+   * @param ignoreSyncs whether syncs of files have no effect
+   * @return a description of the failure, or an empty string if there is none; null if the history
+   *     ended before the crash
    */
   private static String crashAndRecover(long seed, long point, boolean ignoreSyncs) {
     Random random = new Random(seed);
-    Random after = new Random(seed * 31 + point);
+    Random crashRandom = new Random(seed * 31 + point);
     CrashingDirectory disk = new CrashingDirectory().crashAt(point);
     if (ignoreSyncs) {
       disk.ignoreSyncs();
@@ -79,36 +88,43 @@
       history.apply(table, random, 40);
       return null;
     } catch (CrashingDirectory.Crash e) {
-      // Expected.
+      // The crash that was set up above.
     }
-    CrashingDirectory afterCrash = disk.afterCrash(after);
-    if (after.nextInt(4) == 0) {
+    CrashingDirectory afterCrash = disk.afterCrash(crashRandom);
+    if (crashRandom.nextInt(4) == 0) {
       try {
-        table(afterCrash.crashAt(after.nextInt(6))).open();
+        table(afterCrash.crashAt(crashRandom.nextInt(6))).open();
       } catch (CrashingDirectory.Crash e) {
-        // A crash during recovery.
+        // The crash during recovery.
       }
-      afterCrash = afterCrash.afterCrash(after);
+      afterCrash = afterCrash.afterCrash(crashRandom);
     }
     DurableTable recovered = table(afterCrash);
     RecoveryReport report = recovered.open();
     if (!report.usable()) {
-      return "not usable: " + report;
+      return "store not usable: " + report;
     }
-    long at = recovered.sequence();
-    if (at < history.acknowledged || at >= history.states.size()) {
-      return "at "
-          + at
-          + " where "
+    long recoveredSequence = recovered.sequence();
+    if (recoveredSequence < history.acknowledged || recoveredSequence >= history.states.size()) {
+      return "recovered sequence "
+          + recoveredSequence
+          + ", expected "
           + history.acknowledged
           + " to "
           + (history.states.size() - 1)
-          + " were possible";
+          + " (last acknowledged to last written)";
     }
-    if (!print(recovered).equals(history.states.get((int) at))) {
-      return "at " + at + " it holds " + print(recovered) + ", not " + history.states.get((int) at);
+    if (!contents(recovered).equals(history.states.get((int) recoveredSequence))) {
+      return "recovered at sequence "
+          + recoveredSequence
+          + ": "
+          + contents(recovered)
+          + ", expected "
+          + history.states.get((int) recoveredSequence);
     }
-    return recovered.set("again", bytes("x")) && recovered.sync() ? "" : "it can't be written to";
+    return recovered.set("again", bytes("x")) && recovered.sync()
+        ? ""
+        : "a change after recovery was rejected";
   }
 
   @Test
@@ -116,11 +132,11 @@
     int points = 0;
     for (int seed = 0; points < 50_000; seed++) {
       for (long point = 0; ; point++) {
-        String wrong = crashAndRecover(seed, point, false);
-        if (wrong == null) {
+        String failure = crashAndRecover(seed, point, false);
+        if (failure == null) {
           break;
         }
-        assertEquals("", wrong, "seed " + seed + ", crash at " + point);
+        assertEquals("", failure, "seed " + seed + ", crash at operation " + point);
         points++;
       }
     }
@@ -128,18 +144,19 @@
 
   @Test
   void crashTestDetectsAMissingSync() {
-    int wrong = 0;
+    int failures = 0;
     for (int seed = 0; seed < 5; seed++) {
       for (long point = 0; point < 60; point++) {
-        String what = crashAndRecover(seed, point, true);
-        wrong += what != null && !what.isEmpty() ? 1 : 0;
+        String failure = crashAndRecover(seed, point, true);
+        failures += failure != null && !failure.isEmpty() ? 1 : 0;
       }
     }
-    assertTrue(wrong > 0);
+    assertTrue(failures > 0);
   }
 
   /**
-   * The disk fails once or for good; what was acknowledged is there, and nothing else is promised.
+   * Guards against the loss of acknowledged changes when one operation of the disk fails, or 1000
+   * in a row, which makes the store fail. Changes that were not acknowledged may be lost.
    */
   @Test
   void acknowledgedChangesSurviveDiskFaults() throws IOException {
@@ -147,7 +164,8 @@
     for (int seed = 0; seed < 300; seed++) {
       Random random = new Random(seed);
       CrashingDirectory disk =
-          new CrashingDirectory().faults(4 + random.nextInt(60), random.nextBoolean() ? 1 : 1000);
+          new CrashingDirectory()
+              .failOperations(4 + random.nextInt(60), random.nextBoolean() ? 1 : 1000);
       History history = new History();
       DurableTable table = table(disk);
       table.open();
@@ -155,16 +173,22 @@
       failed += table.hasFailed() ? 1 : 0;
       DurableTable recovered = table(disk.afterCrash(random));
       assertTrue(recovered.open().usable());
-      long at = recovered.sequence();
+      long recoveredSequence = recovered.sequence();
       assertTrue(
-          at >= history.acknowledged,
-          "seed " + seed + ": at " + at + ", acknowledged " + history.acknowledged);
-      assertEquals(history.states.get((int) at), print(recovered), "seed " + seed);
+          recoveredSequence >= history.acknowledged,
+          "seed "
+              + seed
+              + ": recovered sequence "
+              + recoveredSequence
+              + ", acknowledged "
+              + history.acknowledged);
+      assertEquals(
+          history.states.get((int) recoveredSequence), contents(recovered), "seed " + seed);
     }
     assertTrue(failed > 0);
   }
 
-  private static CrashingDirectory written(int changes) {
+  private static CrashingDirectory storeAfter(int changes) {
     CrashingDirectory disk = new CrashingDirectory();
     DurableTable table = new DurableTable(disk, OWNER, 200, 10_000);
     table.open();
@@ -175,7 +199,7 @@
     return disk;
   }
 
-  private static String last(CrashingDirectory disk, String prefix) {
+  private static String lastFile(CrashingDirectory disk, String prefix) {
     return disk.list().stream()
         .filter(name -> name.startsWith(prefix))
         .reduce((a, b) -> b)
@@ -188,84 +212,85 @@
   }
 
   @Test
-  void anEmptyDirectoryIsANewStore() {
+  void emptyDirectoryGivesANewStore() {
     assertEquals("NEW []", recover(new CrashingDirectory()));
   }
 
   @Test
-  void anIntactStoreIsReadWhole() {
-    assertEquals("WHOLE []", recover(written(21)));
+  void intactStoreIsRecoveredCompletely() {
+    assertEquals("WHOLE []", recover(storeAfter(21)));
   }
 
   @Test
-  void aTornTailIsTruncated() throws IOException {
-    CrashingDirectory torn = written(21);
-    String tail = last(torn, FileFormat.SEGMENT_PREFIX);
-    torn.truncate(tail, torn.read(tail, 1 << 20).length - 3);
+  void incompleteTailIsTruncated() throws IOException {
+    CrashingDirectory store = storeAfter(21);
+    String lastSegment = lastFile(store, FileFormat.SEGMENT_PREFIX);
+    store.truncate(lastSegment, store.read(lastSegment, 1 << 20).length - 3);
     assertEquals(
-        "CUT [log-0000000000000004: truncated an invalid tail of 26 bytes]", recover(torn));
+        "CUT [log-0000000000000004: truncated an invalid tail of 26 bytes]", recover(store));
   }
 
   @Test
-  void aCorruptSnapshotIsReplacedByTheOneBefore() {
-    CrashingDirectory corrupt = written(21);
-    String newest = last(corrupt, FileFormat.SNAPSHOT_PREFIX);
-    corrupt.corrupt(newest, 40);
-    assertEquals("CUT [" + newest + " is corrupt or incomplete; quarantined]", recover(corrupt));
-    DurableTable older = new DurableTable(corrupt.copy(), OWNER, 200, 10_000);
+  void corruptSnapshotFallsBackToThePreviousOne() {
+    CrashingDirectory store = storeAfter(21);
+    String newest = lastFile(store, FileFormat.SNAPSHOT_PREFIX);
+    store.corrupt(newest, 40);
+    assertEquals("CUT [" + newest + " is corrupt or incomplete; quarantined]", recover(store));
+    DurableTable older = new DurableTable(store.copy(), OWNER, 200, 10_000);
     older.open();
-    assertEquals(21, older.sequence(), "the older snapshot and the log behind it tell all");
+    assertEquals(
+        21, older.sequence(), "the older snapshot and the segments after it contain all changes");
   }
 
   @Test
-  void aSegmentIsCutAtItsFirstCorruptRecord() {
-    CrashingDirectory middle = new CrashingDirectory();
-    DurableTable table = new DurableTable(middle, OWNER, 100_000, 10_000);
+  void segmentIsTruncatedAtItsFirstCorruptRecord() {
+    CrashingDirectory store = new CrashingDirectory();
+    DurableTable table = new DurableTable(store, OWNER, 100_000, 10_000);
     table.open();
     for (int i = 0; i < 10; i++) {
       table.set("k" + i, bytes("v"));
     }
     table.sync();
-    middle.corrupt("log-0000000000000001", FileFormat.HEADER_BYTES + 22 * 4 + 15);
-    DurableTable cut = new DurableTable(middle, OWNER, 100_000, 10_000);
+    store.corrupt("log-0000000000000001", FileFormat.HEADER_BYTES + 22 * 4 + 15);
+    DurableTable recovered = new DurableTable(store, OWNER, 100_000, 10_000);
     assertEquals(
         "[log-0000000000000001: truncated an invalid tail of 132 bytes]",
-        cut.open().told().toString());
-    assertEquals(4, cut.sequence());
+        recovered.open().told().toString());
+    assertEquals(4, recovered.sequence());
   }
 
   @Test
-  void segmentsAfterAMissingOneAreSetAside() throws IOException {
-    CrashingDirectory gap = new CrashingDirectory();
+  void segmentsAfterAMissingOneAreQuarantined() throws IOException {
+    CrashingDirectory store = new CrashingDirectory();
     for (int i = 0; i < 3; i++) {
-      DurableTable table = new DurableTable(gap, OWNER, 100_000, 10_000);
+      DurableTable table = new DurableTable(store, OWNER, 100_000, 10_000);
       table.open();
       table.set("k" + i, bytes("v"));
       table.sync();
     }
-    gap.delete("log-0000000000000002");
+    store.delete("log-0000000000000002");
     assertEquals(
         "CUT [log-0000000000000003: found sequence 3, expected 2; quarantined with all later"
             + " segments]",
-        recover(gap));
-    assertTrue(gap.list().contains("aside-log-0000000000000003"));
+        recover(store));
+    assertTrue(store.list().contains("aside-log-0000000000000003"));
   }
 
   @Test
-  void aSnapshotWithoutSegmentsIsEnough() throws IOException {
-    CrashingDirectory noLog = written(21);
-    for (String name : noLog.list()) {
+  void snapshotWithoutSegmentsIsSufficient() throws IOException {
+    CrashingDirectory store = storeAfter(21);
+    for (String name : store.list()) {
       if (name.startsWith(FileFormat.SEGMENT_PREFIX)) {
-        noLog.delete(name);
+        store.delete(name);
       }
     }
-    assertEquals("WHOLE []", recover(noLog), "a snapshot alone is newer than any log, and enough");
+    assertEquals("WHOLE []", recover(store), "the snapshot contains all changes");
   }
 
   @Test
-  void foreignOrLockedStoresAreNotTouched() throws IOException {
-    CrashingDirectory disk = written(3);
-    List<String> before = disk.list();
+  void foreignAndLockedStoresAreNotChanged() throws IOException {
+    CrashingDirectory disk = storeAfter(3);
+    List<String> filesBefore = disk.list();
     RecoveryReport foreign = new DurableTable(disk, OWNER + 1, 200, 10_000).open();
     assertEquals(
         "FOREIGN [log-0000000000000001 belongs to another store: owner 77, expected 78]",
@@ -277,7 +302,7 @@
             + " 1]",
         recover(disk));
     disk.delete("snap-00000000000000ff");
-    assertEquals(before, disk.list());
+    assertEquals(filesBefore, disk.list());
     disk.locked = true;
     DurableTable locked = new DurableTable(disk, OWNER, 200, 10_000);
     assertEquals(RecoveryReport.State.LOCKED, locked.open().state());
@@ -289,11 +314,11 @@
     CrashingDirectory disk = new CrashingDirectory();
     DurableTable table = new DurableTable(disk, OWNER, 2000, 1000);
     table.open();
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < 100; i++) {
-      refused += table.set("key " + i, new byte[40]) ? 0 : 1;
+      rejected += table.set("key " + i, new byte[40]) ? 0 : 1;
     }
-    assertTrue(refused > 80);
+    assertTrue(rejected > 80);
     for (int i = 0; i < 5000; i++) {
       assertTrue(table.set("key 1", new byte[40]));
       assertTrue(table.sync());
@@ -302,17 +327,21 @@
     for (String name : disk.list()) {
       bytes += disk.read(name, 1 << 20).length;
     }
-    assertTrue(bytes < 12_000, bytes + " bytes in " + disk.list());
+    assertTrue(bytes < 12_000, bytes + " bytes, expected fewer than 12000, in " + disk.list());
   }
 
-  /** A real process on a real file system, killed while it writes. */
+  /**
+   * Guards against the loss of acknowledged changes when a process that writes to a real file
+   * system is killed. Each of 25 processes recovers the store of the one before and is killed after
+   * a random amount of output.
+   */
   @Test
-  void aKilledProcessLosesNothingAcknowledged(@TempDir Path folder, @TempDir Path outside)
+  void killedProcessLosesNoAcknowledgedChange(@TempDir Path folder, @TempDir Path outputFolder)
       throws Exception {
     Random random = new Random(5);
-    long before = 0;
+    long lastAcknowledged = 0;
     for (int i = 0; i < 25; i++) {
-      Path log = Files.createTempFile(outside, "acknowledged", "");
+      Path log = Files.createTempFile(outputFolder, "acknowledged", "");
       Process writer =
           new ProcessBuilder(
                   Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -320,26 +349,32 @@
                   "-XX:+UseSerialGC",
                   "-cp",
                   System.getProperty("java.class.path"),
-                  Writer.class.getName(),
+                  WritingProcess.class.getName(),
                   folder.toString())
               .redirectErrorStream(true)
               .redirectOutput(log.toFile())
               .start();
-      int wanted = 20 + random.nextInt(2000);
-      for (int j = 0; j < 2000 && Files.size(log) < wanted && writer.isAlive(); j++) {
+      int outputBytes = 20 + random.nextInt(2000);
+      for (int j = 0; j < 2000 && Files.size(log) < outputBytes && writer.isAlive(); j++) {
         Thread.sleep(5);
       }
       writer.destroyForcibly().waitFor();
-      String all = Files.readString(log);
-      String[] lines = all.substring(0, all.lastIndexOf('\n')).split("\n", -1);
-      long found = Long.parseLong(lines[0]);
-      assertTrue(found >= before, "found " + found + " after " + before + " was acknowledged");
-      before = Long.parseLong(lines[lines.length - 1]);
+      String output = Files.readString(log);
+      String[] lines = output.substring(0, output.lastIndexOf('\n')).split("\n", -1);
+      long recoveredSequence = Long.parseLong(lines[0]);
+      assertTrue(
+          recoveredSequence >= lastAcknowledged,
+          "recovered sequence "
+              + recoveredSequence
+              + ", but "
+              + lastAcknowledged
+              + " was acknowledged");
+      lastAcknowledged = Long.parseLong(lines[lines.length - 1]);
     }
     try (DurableTable table =
         new DurableTable(new FileSystemDirectory(folder), OWNER, 4000, 10_000)) {
       assertTrue(table.open().usable());
-      assertTrue(table.sequence() >= before);
+      assertTrue(table.sequence() >= lastAcknowledged);
       assertEquals(
           RecoveryReport.State.LOCKED,
           new DurableTable(new FileSystemDirectory(folder), OWNER, 4000, 10_000).open().state());
@@ -349,9 +384,12 @@
     }
   }
 
-  /** Writes until it is killed, and prints each acknowledged sequence. */
-  static final class Writer {
-    private Writer() {}
+  /**
+   * The main class of a process that writes until it is killed. Prints the recovered sequence, then
+   * each acknowledged sequence, one a line.
+   */
+  static final class WritingProcess {
+    private WritingProcess() {}
 
     public static void main(String[] args) throws IOException {
       DurableTable table =
--- a/store/src/test/java/tillerlink/store/StoreFormatGuardTest.java
+++ b/store/src/test/java/tillerlink/store/StoreFormatGuardTest.java
@@ -22,19 +22,20 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards how the store's files look: their names, their heads, and each kind of record. The
- * resources were written by the release before the renaming and are never written anew; a store of
- * that release must be read, and the same changes must give the same bytes. The format holds no
- * time and nothing by chance, so all of it is compared. The lock file is empty and is left out.
+ * Guards the format of the store's files against accidental changes: their names, headers and each
+ * type of record. The resources were written by the release before the code's identifiers were
+ * renamed and must not be regenerated. A store of that release must be readable, and the same
+ * changes must produce the same bytes. The format contains neither times nor random values, so
+ * whole files are compared. The lock file is empty and is not compared.
  */
 class StoreFormatGuardTest {
   private static final long OWNER = 0x0123456789abcdefL;
-  private static final String FIRST_LOG = "log-0000000000000001";
-  private static final String SECOND_LOG = "log-0000000000000002";
+  private static final String FIRST_SEGMENT = "log-0000000000000001";
+  private static final String SECOND_SEGMENT = "log-0000000000000002";
   private static final String SNAPSHOT = "snap-0000000000000006";
-  private static final List<String> FILES = List.of(FIRST_LOG, SECOND_LOG, SNAPSHOT);
+  private static final List<String> FILES = List.of(FIRST_SEGMENT, SECOND_SEGMENT, SNAPSHOT);
 
-  /** What was there at the snapshot, the values in hexadecimal digits. */
+  /** The entries at the time of the snapshot, with values in hexadecimal digits. */
   private static final Map<String, String> AT_SNAPSHOT =
       Map.of(
           "", "6e6f206e616d65",
@@ -43,7 +44,7 @@
           "stra\u00dfe/\u65e5\u672c", "00017f80feff0a0d",
           "z", "30");
 
-  /** What was there at the end. */
+  /** The entries after the last change, with values in hexadecimal digits. */
   private static final Map<String, String> AT_END =
       Map.of(
           "engine/alpha", "7365636f6e64",
@@ -61,7 +62,7 @@
     }
   }
 
-  private void copy(String... names) throws IOException {
+  private void copyResources(String... names) throws IOException {
     for (String name : names) {
       Files.write(folder.resolve(name), resource(name));
     }
@@ -75,13 +76,16 @@
     return text.getBytes(StandardCharsets.UTF_8);
   }
 
-  private static Map<String, String> inDigits(NavigableMap<String, byte[]> values) {
-    Map<String, String> all = new TreeMap<>();
-    values.forEach((key, value) -> all.put(key, HexFormat.of().formatHex(value)));
-    return all;
+  private static Map<String, String> inHex(NavigableMap<String, byte[]> values) {
+    Map<String, String> hexValues = new TreeMap<>();
+    values.forEach((key, value) -> hexValues.put(key, HexFormat.of().formatHex(value)));
+    return hexValues;
   }
 
-  /** The changes before the snapshot: new ones, one that replaces, an empty name and value. */
+  /**
+   * Returns the changes before the snapshot, except the last one: new keys, a replaced value, an
+   * empty key and an empty value.
+   */
   private static List<Map.Entry<String, byte[]>> changesBeforeTheSnapshot() {
     return List.of(
         Map.entry("engine/alpha", bytes("first")),
@@ -91,7 +95,7 @@
         Map.entry("", bytes("no name")));
   }
 
-  /** Writes the store that the resources hold. */
+  /** Writes the same store as in the resources. */
   private static void write(Path folder) throws IOException {
     try (DurableTable table =
         new DurableTable(new FileSystemDirectory(folder), OWNER, 1 << 20, 1 << 20)) {
@@ -109,48 +113,48 @@
     }
   }
 
-  private void holds(DurableTable table, Map<String, String> wanted, long sequence) {
-    RecoveryReport found = table.open();
-    assertEquals(List.of(), found.told());
-    assertEquals("WHOLE", found.state().name());
-    assertEquals(new TreeMap<>(wanted), inDigits(table.values()));
+  private void assertRecovered(DurableTable table, Map<String, String> expected, long sequence) {
+    RecoveryReport report = table.open();
+    assertEquals(List.of(), report.told());
+    assertEquals("WHOLE", report.state().name());
+    assertEquals(new TreeMap<>(expected), inHex(table.values()));
     assertEquals(sequence, table.sequence());
   }
 
   @Test
-  void readsAStoreOfTheReleaseBefore() throws IOException {
-    copy(FIRST_LOG, SECOND_LOG, SNAPSHOT);
+  void readsAStoreOfThePreviousRelease() throws IOException {
+    copyResources(FIRST_SEGMENT, SECOND_SEGMENT, SNAPSHOT);
     try (DurableTable table = table(OWNER)) {
-      holds(table, AT_END, 9);
+      assertRecovered(table, AT_END, 9);
     }
   }
 
   @Test
-  void readsTheLogsAlone() throws IOException {
-    copy(FIRST_LOG, SECOND_LOG);
+  void readsSegmentsWithoutASnapshot() throws IOException {
+    copyResources(FIRST_SEGMENT, SECOND_SEGMENT);
     try (DurableTable table = table(OWNER)) {
-      holds(table, AT_END, 9);
+      assertRecovered(table, AT_END, 9);
     }
   }
 
   @Test
-  void readsTheSnapshotAlone() throws IOException {
-    copy(SNAPSHOT);
+  void readsASnapshotWithoutSegments() throws IOException {
+    copyResources(SNAPSHOT);
     try (DurableTable table = table(OWNER)) {
-      holds(table, AT_SNAPSHOT, 6);
+      assertRecovered(table, AT_SNAPSHOT, 6);
     }
   }
 
   @Test
-  void refusesAStoreOfAnotherOwner() throws IOException {
-    copy(FIRST_LOG, SECOND_LOG, SNAPSHOT);
+  void rejectsAStoreOfAnotherOwner() throws IOException {
+    copyResources(FIRST_SEGMENT, SECOND_SEGMENT, SNAPSHOT);
     try (DurableTable table = table(OWNER + 1)) {
       assertEquals("FOREIGN", table.open().state().name());
     }
   }
 
   @Test
-  void theSameChangesGiveTheSameFiles() throws IOException {
+  void sameChangesProduceTheSameFiles() throws IOException {
     write(folder);
     try (Stream<Path> files = Files.list(folder)) {
       assertEquals(
@@ -162,47 +166,50 @@
     }
   }
 
-  /** Each change is waited for: of several of one name the keeper would write only the last. */
+  /**
+   * Waits for each change before the next, because the writer would write only the last of several
+   * queued changes of one key.
+   */
   @Test
-  void theKeeperWritesTheSameLog() throws IOException, InterruptedException {
+  void asyncWriterProducesTheSameSegment() throws IOException, InterruptedException {
     DurableTable table = table(OWNER);
     table.open();
-    try (AsyncTableWriter keeper = new AsyncTableWriter(table, 10, 1, 1)) {
+    try (AsyncTableWriter writer = new AsyncTableWriter(table, 10, 1, 1)) {
       for (Map.Entry<String, byte[]> change : changesBeforeTheSnapshot()) {
-        keep(keeper, change.getKey(), change.getValue());
+        writeAndWait(writer, change.getKey(), change.getValue());
       }
-      keep(keeper, "z", bytes("0"));
+      writeAndWait(writer, "z", bytes("0"));
     }
-    assertArrayEquals(resource(FIRST_LOG), Files.readAllBytes(folder.resolve(FIRST_LOG)));
+    assertArrayEquals(resource(FIRST_SEGMENT), Files.readAllBytes(folder.resolve(FIRST_SEGMENT)));
   }
 
-  private static void keep(AsyncTableWriter keeper, String key, byte[] value)
+  private static void writeAndWait(AsyncTableWriter writer, String key, byte[] value)
       throws InterruptedException {
-    CountDownLatch kept = new CountDownLatch(1);
-    assertTrue(keeper.set(key, value, AsyncTableWriter.Durability.AT_ONCE, kept::countDown));
-    assertTrue(kept.await(60, TimeUnit.SECONDS), key);
+    CountDownLatch durable = new CountDownLatch(1);
+    assertTrue(writer.set(key, value, AsyncTableWriter.Durability.AT_ONCE, durable::countDown));
+    assertTrue(durable.await(60, TimeUnit.SECONDS), key);
   }
 
-  /** The head of a log and its first record, byte by byte but for the checksums. */
+  /** Compares the header of a segment and its first record, except for the checksums. */
   @Test
-  void theFirstBytesOfALogAreThese() throws IOException {
-    String digits = HexFormat.of().formatHex(resource(FIRST_LOG));
+  void segmentHeaderAndFirstRecordAreUnchanged() throws IOException {
+    String hex = HexFormat.of().formatHex(resource(FIRST_SEGMENT));
     assertEquals(
         "544c4c47" + "00000001" + "0123456789abcdef" + "0000000000000001" + "00000000",
-        digits.substring(0, 56));
-    assertEquals("0000001c", digits.substring(64, 72));
+        hex.substring(0, 56));
+    assertEquals("0000001c", hex.substring(64, 72));
     assertEquals(
         "00" + "0000000000000001" + "000c" + "656e67696e652f616c706861" + "6669727374",
-        digits.substring(80, 136));
+        hex.substring(80, 136));
   }
 
-  /** The numbers by which records of each kind are stored. */
+  /** Compares the stored code of each record type. */
   @Test
-  void theKindsOfRecordsAreStoredByTheseNumbers() throws IOException {
+  void recordTypeCodesAreUnchanged() throws IOException {
     byte[] snapshot = resource(SNAPSHOT);
     assertEquals("544c534e", HexFormat.of().formatHex(snapshot, 0, 4));
-    assertEquals(0, snapshot[40], "one that sets");
-    assertEquals(1, resource(SECOND_LOG)[40], "one that removes");
-    assertEquals(2, snapshot[snapshot.length - 11], "the end of a snapshot");
+    assertEquals(0, snapshot[40], "code of PUT");
+    assertEquals(1, resource(SECOND_SEGMENT)[40], "code of REMOVE");
+    assertEquals(2, snapshot[snapshot.length - 11], "code of SNAPSHOT_END");
   }
 }
