--- a/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
@@ -5,25 +5,27 @@
 import tillerlink.net.wire.EndpointEntry;
 
 /**
- * An endpoint as discovery last reported it, and its stored form: tab-separated fields, in which
- * each status has a name of its own that does not follow the constant's.
+ * An endpoint as last reported by the discovery service, with its encoding in the store. The
+ * encoding consists of tab-separated fields. The stored names of the statuses are defined
+ * separately from the enum constants, so that renaming a constant does not change the stored data.
  *
- * @param entry {@code GONE} once discovery left it out
- * @param goneAt since when it has been gone in Unix milliseconds, 0 if it is not
+ * @param entry the endpoint; its status is {@code GONE} once the discovery service has left it out
+ * @param goneSinceMs the Unix time in milliseconds since which the endpoint has been gone; 0 if it
+ *     is not gone
  */
-record CachedEndpoint(EndpointEntry entry, long goneAt) {
+record CachedEndpoint(EndpointEntry entry, long goneSinceMs) {
   private static final String SEPARATOR = "\t";
-  private static final int FIELDS = 10;
+  private static final int FIELD_COUNT = 10;
 
-  /** Written as the last field and not read. */
+  /** The value of the last field, which is written but not read. */
   private static final String LAST_FIELD = "1";
 
   private static final String STORED_READY = "READY";
   private static final String STORED_DRAINING = "DRAINING";
   private static final String STORED_GONE = "GONE";
 
-  /** The stored form, in UTF-8; the id is not part of it. */
-  byte[] encoded() {
+  /** Returns the encoding in UTF-8. It does not contain the id, which is part of the key. */
+  byte[] encode() {
     return String.join(
             SEPARATOR,
             entry.address(),
@@ -34,15 +36,21 @@
             storedName(entry.standing()),
             Double.toString(entry.weight()),
             Long.toString(entry.startedMs()),
-            Long.toString(goneAt),
+            Long.toString(goneSinceMs),
             LAST_FIELD)
         .getBytes(StandardCharsets.UTF_8);
   }
 
-  /** Reads the stored form; null if it is malformed, and then the endpoint counts as unknown. */
-  static CachedEndpoint decoded(String id, byte[] stored) {
+  /**
+   * Decodes a stored value.
+   *
+   * @param id the id of the endpoint
+   * @return the endpoint, or null if the value is malformed, in which case the endpoint is treated
+   *     as unknown
+   */
+  static CachedEndpoint decode(String id, byte[] stored) {
     String[] fields = new String(stored, StandardCharsets.UTF_8).split(SEPARATOR, -1);
-    if (fields.length < FIELDS) {
+    if (fields.length < FIELD_COUNT) {
       return null;
     }
     try {
@@ -81,12 +89,12 @@
   }
 
   /**
-   * The same endpoint, gone.
+   * Returns the same endpoint with the status {@code GONE}.
    *
-   * @param at Unix milliseconds
+   * @param atMs the Unix time in milliseconds since which the endpoint has been gone
    */
-  CachedEndpoint gone(long at) {
-    return new CachedEndpoint(entry.as(Status.GONE), at);
+  CachedEndpoint asGone(long atMs) {
+    return new CachedEndpoint(entry.as(Status.GONE), atMs);
   }
 
   boolean isGone() {
--- a/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -17,32 +17,34 @@
 import tillerlink.net.wire.EndpointWatchEvent;
 
 /**
- * The endpoint list as discovery last reported it and when, the endpoints that were draining or
- * gone, and how fast the fleet changes. Does no I/O: what is to be persisted goes to a {@link
- * Sink}, at a bounded rate. Not thread-safe: the event loop owns it. Times are tenths of a
- * millisecond unless they say otherwise.
+ * An endpoint cache that records the endpoint list last reported by the discovery service, the time
+ * of that report, the endpoints that are draining or gone, and the rate at which the fleet changes.
+ * Performs no I/O: changes to be persisted are passed to a {@link Sink}, and an unchanged list is
+ * confirmed there at a bounded rate. Not thread-safe: only the event loop uses it. Times are tenths
+ * of a millisecond unless a name says otherwise.
  */
 public final class EndpointHistory implements EndpointCache {
-  /** Takes the changes that are to be persisted; it must not block. */
+  /** Receives the values to be persisted. Implementations must not block. */
   @FunctionalInterface
   public interface Sink {
     /**
      * Persists one value.
      *
-     * @param value null removes the key
-     * @param soon whether an endpoint changed; otherwise the list was only confirmed
+     * @param value the value; null removes the key
+     * @param endpointChanged whether an endpoint changed, so that the value should be persisted
+     *     soon; otherwise the list was only confirmed
      */
-    void write(String key, byte[] value, boolean soon);
+    void write(String key, byte[] value, boolean endpointChanged);
   }
 
   private static final String ENDPOINT_PREFIX = "engine/";
   private static final String LIST_KEY = "list";
   private static final int TENTHS_PER_MS = 10;
 
-  // Times as multiples of the longest deadline.
-  private static final double CONFIRMATION_INTERVAL = 1;
-  private static final double GONE_RETENTION = 200;
-  private static final double CHANGE_RATE_DECAY = 2000;
+  // Times in multiples of the longest deadline.
+  private static final double CONFIRMATION_INTERVAL_DEADLINES = 1;
+  private static final double GONE_RETENTION_DEADLINES = 200;
+  private static final double CHANGE_RATE_DECAY_DEADLINES = 2000;
 
   private static final int MAX_ENDPOINTS = 10_000;
 
@@ -51,24 +53,27 @@
   private final long warmupTime;
   private final long maxAge;
 
-  /** What is known of each endpoint by its id. */
+  /** The known endpoints by id, including those that are gone. */
   private final NavigableMap<String, CachedEndpoint> endpoints = new TreeMap<>();
 
-  /** What was handed to the sink. */
+  /** The endpoints by id as last passed to the sink. */
   private final Map<String, CachedEndpoint> persisted = new LinkedHashMap<>();
 
-  private final MassLossGuard lossGuard;
-  private final DecayingSum changes;
+  private final MassLossGuard massLossGuard;
+  private final DecayingSum recentChanges;
   private ListConfirmation confirmationAtStart = ListConfirmation.NONE;
   private long confirmedAt;
   private long confirmationWrittenAt = Long.MIN_VALUE;
-  private boolean receivedAny;
+  private boolean receivedList;
 
   /**
-   * @param stored what an earlier process persisted, by key; values that are malformed are ignored
-   * @param longestDeadline of any request class
-   * @param warmupTime how long after its start an engine counts as warming up
-   * @param maxAge the age from which on a list is not used at all
+   * Creates a history from stored values.
+   *
+   * @param stored the values persisted by an earlier process, by key; malformed values are ignored
+   * @param longestDeadline the longest deadline of any request class
+   * @param warmupTime the time after its start for which an engine is considered to be warming up
+   * @param maxAge the age beyond which a cached list is not used
+   * @param sink receives the values to be persisted
    */
   public EndpointHistory(
       NavigableMap<String, byte[]> stored,
@@ -80,28 +85,28 @@
     this.longestDeadline = longestDeadline;
     this.warmupTime = warmupTime;
     this.maxAge = maxAge;
-    lossGuard = new MassLossGuard(longestDeadline);
-    changes = new DecayingSum(CHANGE_RATE_DECAY * longestDeadline);
+    massLossGuard = new MassLossGuard(longestDeadline);
+    recentChanges = new DecayingSum(CHANGE_RATE_DECAY_DEADLINES * longestDeadline);
     stored.forEach(this::load);
   }
 
   private void load(String key, byte[] value) {
     if (key.startsWith(ENDPOINT_PREFIX)) {
       String id = key.substring(ENDPOINT_PREFIX.length());
-      CachedEndpoint endpoint = CachedEndpoint.decoded(id, value);
+      CachedEndpoint endpoint = CachedEndpoint.decode(id, value);
       if (endpoint != null) {
         endpoints.put(id, endpoint);
         persisted.put(id, endpoint);
       }
     } else if (key.equals(LIST_KEY)) {
-      confirmationAtStart = ListConfirmation.decoded(value);
+      confirmationAtStart = ListConfirmation.decode(value);
       confirmedAt = confirmationAtStart.confirmedAt();
     }
   }
 
-  // ---- a start without discovery ----
+  // ---- start without the discovery service ----
 
-  /** How stale the list is now. */
+  /** Returns the staleness of the cached list at the time {@code now}. */
   public StalenessModel staleness(long now) {
     return confirmedAt == 0
         ? StalenessModel.TOO_OLD
@@ -127,8 +132,9 @@
   }
 
   /**
-   * An engine that was warming up when the list was confirmed may have been restarted since, so it
-   * counts as just started.
+   * Returns the entry with the start time {@code now} if the engine was warming up when the list
+   * was confirmed, and otherwise the entry itself. Such an engine may have been restarted since
+   * then, so it is treated as just started.
    */
   private EndpointEntry warmingUpIfRecent(EndpointEntry entry, long now) {
     boolean warmingUp =
@@ -147,32 +153,37 @@
         : entry;
   }
 
-  // ---- events of discovery ----
+  // ---- events of the discovery service ----
 
   @Override
   public EndpointWatchEvent onEndpointsReceived(long now, EndpointWatchEvent event) {
-    Set<String> lost = lostBy(event);
-    boolean heldBack = lossGuard.holdsBack(now, lost, countPresent());
+    Set<String> lost = missingFrom(event);
+    boolean lossDeferred = massLossGuard.shouldDefer(now, lost, countPresent());
     List<EndpointEntry> effective = new ArrayList<>(event.entries());
-    if (heldBack) {
-      // Nothing new is sent to the endpoints left out, yet nothing known of them is dropped.
+    if (lossDeferred) {
+      // No new requests are sent to the endpoints left out, but they remain known until the loss
+      // is accepted.
       lost.forEach(id -> effective.add(endpoints.get(id).entry().as(Status.DRAINING)));
     } else {
-      lost.forEach(id -> endpoints.put(id, endpoints.get(id).gone(now / TENTHS_PER_MS)));
-      changes.add(now, lost.size());
+      lost.forEach(id -> endpoints.put(id, endpoints.get(id).asGone(now / TENTHS_PER_MS)));
+      recentChanges.add(now, lost.size());
     }
-    event.entries().forEach(entry -> update(now, entry));
-    if (!heldBack) {
+    event.entries().forEach(entry -> updateEndpoint(now, entry));
+    if (!lossDeferred) {
       confirmedAt = now;
     }
-    receivedAny = true;
-    forgetLongGone(now);
+    receivedList = true;
+    evictLongGone(now);
     persistChanges(now);
     return new EndpointWatchEvent(event.index(), event.whole(), event.partial(), effective);
   }
 
-  /** The endpoints known so far that a whole list leaves out. */
-  private Set<String> lostBy(EndpointWatchEvent event) {
+  /**
+   * Returns the ids of the known endpoints that are not gone and that a complete list leaves out.
+   *
+   * @return the ids; empty if the event is only a change to the list
+   */
+  private Set<String> missingFrom(EndpointWatchEvent event) {
     Set<String> lost = new LinkedHashSet<>();
     if (event.whole()) {
       Set<String> listed = new HashSet<>();
@@ -187,14 +198,15 @@
     return lost;
   }
 
-  private void update(long now, EndpointEntry entry) {
+  private void updateEndpoint(long now, EndpointEntry entry) {
     CachedEndpoint known = endpoints.get(entry.id());
     boolean replaced =
         known == null || known.isGone() || known.entry().startedMs() != entry.startedMs();
-    changes.add(now, receivedAny && replaced ? 1 : 0);
+    recentChanges.add(now, receivedList && replaced ? 1 : 0);
     if (known != null || endpoints.size() < MAX_ENDPOINTS) {
       CachedEndpoint endpoint = new CachedEndpoint(entry, 0);
-      endpoints.put(entry.id(), endpoint.isGone() ? endpoint.gone(now / TENTHS_PER_MS) : endpoint);
+      endpoints.put(
+          entry.id(), endpoint.isGone() ? endpoint.asGone(now / TENTHS_PER_MS) : endpoint);
     }
   }
 
@@ -202,22 +214,30 @@
     return endpoints.values().stream().filter(endpoint -> !endpoint.isGone()).count();
   }
 
-  /** Drops endpoints gone for so long that no list still in use can bring them back. */
-  private void forgetLongGone(long now) {
-    double retention = GONE_RETENTION * longestDeadline;
+  /**
+   * Removes endpoints that have been gone for so long that no list still in use can bring them
+   * back.
+   */
+  private void evictLongGone(long now) {
+    double retention = GONE_RETENTION_DEADLINES * longestDeadline;
     endpoints
         .values()
         .removeIf(
-            endpoint -> endpoint.isGone() && now > endpoint.goneAt() * TENTHS_PER_MS + retention);
+            endpoint ->
+                endpoint.isGone() && now > endpoint.goneSinceMs() * TENTHS_PER_MS + retention);
   }
 
-  /** The one place that compares what is known with what was persisted. */
+  /**
+   * Passes all differences between the known and the persisted endpoints to the sink; this is the
+   * only place that compares them. Also writes the confirmation of the list: immediately after a
+   * change, and otherwise at most once per confirmation interval.
+   */
   private void persistChanges(long now) {
     boolean changed = false;
     for (Map.Entry<String, CachedEndpoint> known : endpoints.entrySet()) {
       if (!known.getValue().equals(persisted.get(known.getKey()))) {
         persisted.put(known.getKey(), known.getValue());
-        sink.write(ENDPOINT_PREFIX + known.getKey(), known.getValue().encoded(), true);
+        sink.write(ENDPOINT_PREFIX + known.getKey(), known.getValue().encode(), true);
         changed = true;
       }
     }
@@ -229,15 +249,16 @@
         changed = true;
       }
     }
-    if (changed || now >= confirmationWrittenAt + CONFIRMATION_INTERVAL * longestDeadline) {
+    if (changed
+        || now >= confirmationWrittenAt + CONFIRMATION_INTERVAL_DEADLINES * longestDeadline) {
       confirmationWrittenAt = now;
-      sink.write(LIST_KEY, new ListConfirmation(confirmedAt, changeRate(now)).encoded(), changed);
+      sink.write(LIST_KEY, new ListConfirmation(confirmedAt, changeRate(now)).encode(), changed);
     }
   }
 
-  /** The fraction of the fleet that changes in a tenth of a millisecond, of late. */
+  /** Returns the recent fraction of the fleet that changes per tenth of a millisecond. */
   private double changeRate(long now) {
     long present = Math.max(1, countPresent());
-    return changes.at(now) / present / (CHANGE_RATE_DECAY * longestDeadline);
+    return recentChanges.at(now) / present / (CHANGE_RATE_DECAY_DEADLINES * longestDeadline);
   }
 }
--- a/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
@@ -19,8 +19,8 @@
 import tillerlink.store.RecoveryReport;
 
 /**
- * Opens the endpoint cache of a gateway in a directory of its own. A store that can't be used costs
- * the cache, not the gateway: it then starts empty and persists nothing.
+ * A factory for the endpoint cache of a gateway, which is persisted in a directory per gateway. If
+ * the store cannot be used, the gateway still starts: the cache is then empty and persists nothing.
  */
 public final class PersistentEndpointCache {
   private static final Logger LOG = LoggerFactory.getLogger(PersistentEndpointCache.class);
@@ -29,18 +29,20 @@
   private static final long GROUP_DELAY_MS = 100;
   private static final long LAZY_DELAY_MS = 5000;
 
-  /** Tells the store of the endpoint cache from others of the same gateway. */
+  /** Distinguishes the store of the endpoint cache from other stores of the same gateway. */
   private static final long OWNER_KIND = 1;
 
   private PersistentEndpointCache() {}
 
   /**
-   * Opens the cache. Its writer thread belongs to the cache and ends, with the store, at the end of
-   * the process.
+   * Opens the cache. The cache owns its writer thread; a shutdown hook ends the thread and closes
+   * the store.
    *
-   * @param parent the directory in which each gateway has one of its name
-   * @param maxAge tenths of a millisecond from which on a list is not used at all
-   * @param maxBytes bound of what is persisted
+   * @param parent the directory that contains a directory for each gateway, named after it
+   * @param config supplies the gateway's name, the deadlines of the request classes and the warm-up
+   *     time
+   * @param maxAge the age in tenths of a millisecond beyond which a cached list is not used
+   * @param maxBytes the maximum size of the persisted entries
    */
   public static EndpointCache open(Path parent, GatewayConfig config, long maxAge, long maxBytes) {
     Settings settings = new Settings(FlattenedConfig.of(config.terms()));
@@ -50,12 +52,16 @@
           Math.max(longestDeadline, settings.number("profiles." + i + ".hard_limit", 1));
     }
     long warmupTime = settings.number("guarantees.warm_within", 0);
-    Optional<DurableTable> opened = openTable(parent, config.name(), maxBytes);
-    if (opened.isEmpty()) {
+    Optional<DurableTable> openedTable = openTable(parent, config.name(), maxBytes);
+    if (openedTable.isEmpty()) {
       return new EndpointHistory(
-          new TreeMap<>(), longestDeadline, warmupTime, maxAge, (key, value, soon) -> {});
+          new TreeMap<>(),
+          longestDeadline,
+          warmupTime,
+          maxAge,
+          (key, value, endpointChanged) -> {});
     }
-    DurableTable table = opened.get();
+    DurableTable table = openedTable.get();
     TreeMap<String, byte[]> stored = new TreeMap<>(table.values());
     AsyncTableWriter writer =
         new AsyncTableWriter(table, MAX_QUEUED_KEYS, GROUP_DELAY_MS, LAZY_DELAY_MS);
@@ -66,11 +72,15 @@
         longestDeadline,
         warmupTime,
         maxAge,
-        (key, value, soon) ->
-            writer.set(key, value, soon ? Durability.GROUPED : Durability.LAZY, null));
+        (key, value, endpointChanged) ->
+            writer.set(key, value, endpointChanged ? Durability.GROUPED : Durability.LAZY, null));
   }
 
-  /** Empty if the store can't be used; the log says why. */
+  /**
+   * Opens the table of a gateway and logs all problems found.
+   *
+   * @return the table, or empty if the store cannot be used
+   */
   private static Optional<DurableTable> openTable(Path parent, String gateway, long maxBytes) {
     try {
       DurableTable table =
@@ -80,7 +90,9 @@
               MAX_SEGMENT_BYTES,
               maxBytes);
       RecoveryReport report = table.open();
-      report.told().forEach(line -> LOG.atWarn().addKeyValue("store", report.state()).log(line));
+      report
+          .told()
+          .forEach(message -> LOG.atWarn().addKeyValue("store", report.state()).log(message));
       return report.usable() ? Optional.of(table) : Optional.empty();
     } catch (IOException e) {
       LOG.warn(
@@ -89,7 +101,10 @@
     }
   }
 
-  /** The owner of a gateway's store; a store copied from another gateway is refused by it. */
+  /**
+   * Returns the identifier of the owner of a gateway's store. It is derived from the gateway's
+   * name, so that a store copied from another gateway is rejected.
+   */
   public static long owner(String gateway) {
     CRC32C crc = new CRC32C();
     crc.update(gateway.getBytes(StandardCharsets.UTF_8));
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointHistoryTest.java
@@ -15,8 +15,8 @@
 import tillerlink.net.wire.EndpointWatchEvent;
 
 /**
- * What a restarted gateway knows of the endpoints, what is persisted for it, and which lists are
- * held back.
+ * Tests which endpoints a restarted gateway loads from the cache, which values are persisted, and
+ * which losses of endpoints are deferred.
  */
 class EndpointHistoryTest {
   private static final long SECOND = 10_000;
@@ -33,7 +33,7 @@
         DEADLINE,
         13 * SECOND,
         24 * HOUR,
-        (key, value, soon) -> {
+        (key, value, endpointChanged) -> {
           writes++;
           if (value == null) {
             stored.remove(key);
@@ -43,35 +43,44 @@
         });
   }
 
-  private static EndpointEntry engine(String id, Status standing, long startedMs) {
-    return new EndpointEntry(id, "127.0.0.1", 5050, "east", "std", 0, standing, 1, startedMs);
+  private static EndpointEntry engine(String id, Status status, long startedMs) {
+    return new EndpointEntry(id, "127.0.0.1", 5050, "east", "std", 0, status, 1, startedMs);
   }
 
+  /**
+   * Returns a complete list; an id with the suffix {@code -} gives an endpoint that is draining.
+   */
   private static EndpointWatchEvent list(long index, String... ids) {
     List<EndpointEntry> entries = new ArrayList<>();
     for (String id : ids) {
-      boolean drains = id.endsWith("-");
+      boolean draining = id.endsWith("-");
       entries.add(
           engine(
-              drains ? id.substring(0, id.length() - 1) : id,
-              drains ? Status.DRAINING : Status.READY,
+              draining ? id.substring(0, id.length() - 1) : id,
+              draining ? Status.DRAINING : Status.READY,
               0));
     }
     return new EndpointWatchEvent(index, true, entries);
   }
 
-  private static String print(EndpointWatchEvent event) {
-    StringBuilder all = new StringBuilder();
+  /**
+   * Returns the ids of the event's endpoints; those that are draining have the suffix {@code -}.
+   */
+  private static String format(EndpointWatchEvent event) {
+    StringBuilder ids = new StringBuilder();
     event
         .entries()
         .forEach(
-            e -> all.append(e.id()).append(e.standing() == Status.DRAINING ? "-" : "").append(' '));
-    return all.toString().strip();
+            entry ->
+                ids.append(entry.id())
+                    .append(entry.standing() == Status.DRAINING ? "-" : "")
+                    .append(' '));
+    return ids.toString().strip();
   }
 
   @Test
   void stalenessGrowsWithAgeAndChangeRate() {
-    StringBuilder all = new StringBuilder();
+    StringBuilder ratings = new StringBuilder();
     for (long age :
         new long[] {
           -2 * HOUR,
@@ -85,9 +94,9 @@
           Long.MAX_VALUE / 2
         }) {
       for (double perHour : new double[] {0, 0.5, 60}) {
-        all.append(StalenessModel.of(age, perHour / HOUR, DEADLINE, 24 * HOUR)).append(' ');
+        ratings.append(StalenessModel.of(age, perHour / HOUR, DEADLINE, 24 * HOUR)).append(' ');
       }
-      all.append('\n');
+      ratings.append('\n');
     }
     assertEquals(
         """
@@ -101,28 +110,28 @@
         TOO_OLD TOO_OLD TOO_OLD\s
         TOO_OLD TOO_OLD TOO_OLD\s
         """,
-        all.toString());
+        ratings.toString());
   }
 
   @Test
-  void aCachedListBringsNoEndpointBack() {
+  void cachedListContainsNoGoneEndpoint() {
     EndpointHistory first = history();
     first.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
     first.onEndpointsReceived(NOW + SECOND, list(2, "a", "b-", "c"));
     EndpointCache.CachedList cached = history().loadAtStart(NOW + 60 * SECOND);
-    assertEquals("a b- c", print(cached.engines()));
+    assertEquals("a b- c", format(cached.engines()));
     assertEquals(0.9, cached.trust().get("a"));
     assertNull(history().loadAtStart(NOW + 30 * HOUR).engines());
-    EndpointHistory third = history();
-    third.onEndpointsReceived(NOW + 500 * DEADLINE, list(3, "a", "c"));
+    EndpointHistory afterRetention = history();
+    afterRetention.onEndpointsReceived(NOW + 500 * DEADLINE, list(3, "a", "c"));
     assertEquals(
         "[engine/a, engine/b, engine/c, list]",
         stored.keySet().toString(),
-        "d has been gone for long enough");
+        "d has been gone for longer than the retention time");
   }
 
   @Test
-  void anEngineThatWasWarmingUpCountsAsJustStarted() {
+  void engineThatWasWarmingUpIsTreatedAsJustStarted() {
     history()
         .onEndpointsReceived(
             NOW,
@@ -146,32 +155,33 @@
   }
 
   @Test
-  void aMassLossIsAcceptedOnceItIsReportedRepeatedly() {
+  void massLossIsAcceptedOnceItIsReportedRepeatedly() {
     EndpointHistory history = history();
     history.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
-    assertEquals("a b- c- d-", print(history.onEndpointsReceived(NOW + SECOND, list(2, "a"))));
+    assertEquals("a b- c- d-", format(history.onEndpointsReceived(NOW + SECOND, list(2, "a"))));
     assertEquals(
-        "a b- c- d-", print(history.onEndpointsReceived(NOW + SECOND + 2000, list(2, "a"))));
+        "a b- c- d-", format(history.onEndpointsReceived(NOW + SECOND + 2000, list(2, "a"))));
     assertEquals(
         "a b c d",
-        print(history.onEndpointsReceived(NOW + SECOND + 4000, list(3, "a", "b", "c", "d"))),
-        "it was the list's fault");
+        format(history.onEndpointsReceived(NOW + SECOND + 4000, list(3, "a", "b", "c", "d"))),
+        "a complete list revokes the deferred loss");
     for (int i = 0; i < 2; i++) {
       assertEquals(
-          "a- b- c- d-", print(history.onEndpointsReceived(NOW + 2 * SECOND + i * 2000L, list(4))));
+          "a- b- c- d-",
+          format(history.onEndpointsReceived(NOW + 2 * SECOND + i * 2000L, list(4))));
     }
     assertEquals(
         "",
-        print(history.onEndpointsReceived(NOW + 3 * SECOND, list(4))),
-        "reported three times over a while");
-    assertEquals("", print(history().loadAtStart(NOW + 4 * SECOND).engines()));
+        format(history.onEndpointsReceived(NOW + 3 * SECOND, list(4))),
+        "the loss was reported three times over the minimum time");
+    assertEquals("", format(history().loadAtStart(NOW + 4 * SECOND).engines()));
   }
 
   @Test
-  void aLossOfFewEndpointsIsAcceptedAtOnce() {
+  void lossOfFewEndpointsIsAcceptedAtOnce() {
     EndpointHistory history = history();
     history.onEndpointsReceived(NOW, list(1, "a", "b", "c", "d"));
-    assertEquals("a b", print(history.onEndpointsReceived(NOW + SECOND, list(2, "a", "b"))));
+    assertEquals("a b", format(history.onEndpointsReceived(NOW + SECOND, list(2, "a", "b"))));
   }
 
   @Test
@@ -180,7 +190,7 @@
     for (int i = 0; i < 1000; i++) {
       history.onEndpointsReceived(NOW + i * 2000L, list(i + 1, "a", "b"));
     }
-    assertTrue(writes <= 2 + 1 + 200 / 2 + 1, writes + " writes in 200 s");
+    assertTrue(writes <= 2 + 1 + 200 / 2 + 1, writes + " writes in 200 s, expected at most 104");
   }
 
   @Test
@@ -190,8 +200,8 @@
     stored.put(
         "engine/x",
         "127.0.0.1\tport\teast\tstd\t0\tREADY\t1\t0\t0\t1".getBytes(StandardCharsets.UTF_8));
-    assertEquals("b", print(history().loadAtStart(NOW + SECOND).engines()));
-    stored.put("list", "soon".getBytes(StandardCharsets.UTF_8));
+    assertEquals("b", format(history().loadAtStart(NOW + SECOND).engines()));
+    stored.put("list", "malformed".getBytes(StandardCharsets.UTF_8));
     assertNull(history().loadAtStart(NOW + SECOND).engines());
   }
 }
--- a/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
+++ b/endpointcache/src/test/java/tillerlink/endpointcache/EndpointMemoryFormatGuardTest.java
@@ -30,18 +30,19 @@
 import tillerlink.store.FileSystemDirectory;
 
 /**
- * Guards how the remembered list of endpoints is stored: the names, the fields in their order, and
- * the word that stands for each standing, which is the name of a constant. The resource was written
- * by the release before the renaming, with an endpoint of each standing, and is never written anew.
- * The words below must stay as they are, however the constants are called. Since one list is told
- * and nothing is told twice, the log is the same each time and is compared whole.
+ * Guards the stored format of the cached endpoint list against accidental changes: the keys, the
+ * order of the fields and the stored name of each status, which was originally the name of the enum
+ * constant. The resource was written by the release before the code's identifiers were renamed,
+ * contains an endpoint of each status, and must not be regenerated. The stored names below must not
+ * change even if the constants are renamed. Since a single list is received and no value is written
+ * twice, the segment is always the same, so that whole files are compared.
  */
 class EndpointMemoryFormatGuardTest {
   private static final String GATEWAY = "gateway-a";
-  private static final String LOG = "log-0000000000000001";
-  private static final long LONGEST = 20_000;
-  private static final long TOLD_AT = 17_000_000_000_000L;
-  private static final long AGE_MOST = 864_000_000;
+  private static final String SEGMENT = "log-0000000000000001";
+  private static final long LONGEST_DEADLINE = 20_000;
+  private static final long RECEIVED_AT = 17_000_000_000_000L;
+  private static final long MAX_AGE = 864_000_000;
   private static final Map<String, String> STORED =
       Map.of(
           "engine/drains",
@@ -56,30 +57,32 @@
   @TempDir private Path folder;
 
   private static byte[] resource() throws IOException {
-    String path = "/guards/blind/" + LOG + ".bin";
+    String path = "/guards/blind/" + SEGMENT + ".bin";
     try (InputStream in = EndpointMemoryFormatGuardTest.class.getResourceAsStream(path)) {
       assertNotNull(in, path);
       return in.readAllBytes();
     }
   }
 
-  private void copy() throws IOException {
+  private void copyResource() throws IOException {
     Files.createDirectories(folder.resolve(GATEWAY));
-    Files.write(folder.resolve(GATEWAY).resolve(LOG), resource());
+    Files.write(folder.resolve(GATEWAY).resolve(SEGMENT), resource());
   }
 
   private EndpointCache open() {
-    InetSocketAddress any = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    Map<String, Object> terms = Map.of("profiles", List.of(Map.of("hard_limit", LONGEST)));
-    GatewayConfig assignment = new GatewayConfig(GATEWAY, any, any, 7, 1024, terms, List.of());
-    return PersistentEndpointCache.open(folder, assignment, AGE_MOST, 1 << 20);
+    InetSocketAddress anyAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
+    Map<String, Object> settings =
+        Map.of("profiles", List.of(Map.of("hard_limit", LONGEST_DEADLINE)));
+    GatewayConfig config =
+        new GatewayConfig(GATEWAY, anyAddress, anyAddress, 7, 1024, settings, List.of());
+    return PersistentEndpointCache.open(folder, config, MAX_AGE, 1 << 20);
   }
 
-  private static EndpointEntry serves() {
+  private static EndpointEntry readyEndpoint() {
     return new EndpointEntry("serves", "127.0.0.1", 5051, "east", "std", 0, Status.READY, 1, 0);
   }
 
-  private static EndpointEntry drains() {
+  private static EndpointEntry drainingEndpoint() {
     return new EndpointEntry(
         "drains",
         "engine-2.example",
@@ -92,19 +95,22 @@
         1_699_990_000_123L);
   }
 
-  private static EndpointEntry leaves() {
+  private static EndpointEntry goneEndpoint() {
     return new EndpointEntry("leaves", "10.0.0.3", 5053, "", "std", -1, Status.GONE, 0.00001, 0);
   }
 
-  private static Map<String, String> asTexts(NavigableMap<String, byte[]> values) {
-    Map<String, String> all = new TreeMap<>();
-    values.forEach((key, value) -> all.put(key, new String(value, StandardCharsets.UTF_8)));
-    return all;
+  private static Map<String, String> inText(NavigableMap<String, byte[]> values) {
+    Map<String, String> texts = new TreeMap<>();
+    values.forEach((key, value) -> texts.put(key, new String(value, StandardCharsets.UTF_8)));
+    return texts;
   }
 
-  /** Opened by the store alone, with the owner that this gateway's name gives. */
-  private NavigableMap<String, byte[]> stored() throws IOException {
-    copy();
+  /**
+   * Returns the entries of the resource, read by the store alone with the owner derived from this
+   * gateway's name.
+   */
+  private NavigableMap<String, byte[]> storedValues() throws IOException {
+    copyResource();
     try (DurableTable table =
         new DurableTable(
             new FileSystemDirectory(folder.resolve(GATEWAY)),
@@ -117,93 +123,105 @@
   }
 
   @Test
-  void theStoreHoldsTheseNamesAndTexts() throws IOException {
-    assertEquals(new TreeMap<>(STORED), asTexts(stored()));
+  void storedKeysAndValuesAreUnchanged() throws IOException {
+    assertEquals(new TreeMap<>(STORED), inText(storedValues()));
   }
 
   @Test
-  void eachStandingIsReadFromItsWord() throws IOException {
-    NavigableMap<String, byte[]> values = stored();
+  void eachStatusIsDecodedFromItsStoredName() throws IOException {
+    NavigableMap<String, byte[]> values = storedValues();
     assertEquals(
-        new CachedEndpoint(serves(), 0),
-        CachedEndpoint.decoded("serves", values.get("engine/serves")));
+        new CachedEndpoint(readyEndpoint(), 0),
+        CachedEndpoint.decode("serves", values.get("engine/serves")));
     assertEquals(
-        new CachedEndpoint(drains(), 0),
-        CachedEndpoint.decoded("drains", values.get("engine/drains")));
+        new CachedEndpoint(drainingEndpoint(), 0),
+        CachedEndpoint.decode("drains", values.get("engine/drains")));
     assertEquals(
-        new CachedEndpoint(leaves(), 1_700_000_000_000L),
-        CachedEndpoint.decoded("leaves", values.get("engine/leaves")));
-    Set<Status> read = EnumSet.noneOf(Status.class);
+        new CachedEndpoint(goneEndpoint(), 1_700_000_000_000L),
+        CachedEndpoint.decode("leaves", values.get("engine/leaves")));
+    Set<Status> statuses = EnumSet.noneOf(Status.class);
     for (String id : List.of("serves", "drains", "leaves")) {
-      read.add(CachedEndpoint.decoded(id, values.get("engine/" + id)).entry().standing());
+      statuses.add(CachedEndpoint.decode(id, values.get("engine/" + id)).entry().standing());
     }
-    assertEquals(EnumSet.allOf(Status.class), read, "one standing is not guarded");
+    assertEquals(EnumSet.allOf(Status.class), statuses, "statuses in the resource");
   }
 
   @Test
-  void eachStandingIsWrittenAsItsWord() {
-    assertEquals(STORED.get("engine/serves"), text(new CachedEndpoint(serves(), 0)));
-    assertEquals(STORED.get("engine/drains"), text(new CachedEndpoint(drains(), 0)));
+  void eachStatusIsEncodedAsItsStoredName() {
+    assertEquals(STORED.get("engine/serves"), encodedText(new CachedEndpoint(readyEndpoint(), 0)));
     assertEquals(
-        STORED.get("engine/leaves"), text(new CachedEndpoint(leaves(), 1_700_000_000_000L)));
+        STORED.get("engine/drains"), encodedText(new CachedEndpoint(drainingEndpoint(), 0)));
+    assertEquals(
+        STORED.get("engine/leaves"),
+        encodedText(new CachedEndpoint(goneEndpoint(), 1_700_000_000_000L)));
   }
 
-  private static String text(CachedEndpoint seen) {
-    return new String(seen.encoded(), StandardCharsets.UTF_8);
+  private static String encodedText(CachedEndpoint endpoint) {
+    return new String(endpoint.encode(), StandardCharsets.UTF_8);
   }
 
   @Test
-  void aGatewayStartsFromTheListOfTheReleaseBefore() throws IOException {
-    copy();
-    EndpointCache.CachedList remembered = open().loadAtStart(TOLD_AT + 10_000);
+  void gatewayStartsFromTheListOfThePreviousRelease() throws IOException {
+    copyResource();
+    EndpointCache.CachedList cached = open().loadAtStart(RECEIVED_AT + 10_000);
     assertEquals(
-        new EndpointWatchEvent(0, true, List.of(drains(), serves())), remembered.engines());
-    assertEquals(Set.of("drains", "serves"), remembered.trust().keySet());
+        new EndpointWatchEvent(0, true, List.of(drainingEndpoint(), readyEndpoint())),
+        cached.engines());
+    assertEquals(Set.of("drains", "serves"), cached.trust().keySet());
   }
 
   @Test
-  void theSameListGivesTheSameLog() throws IOException, InterruptedException {
+  void sameListProducesTheSameSegment() throws IOException, InterruptedException {
     write();
-    assertArrayEquals(resource(), Files.readAllBytes(folder.resolve(GATEWAY).resolve(LOG)));
+    assertArrayEquals(resource(), Files.readAllBytes(folder.resolve(GATEWAY).resolve(SEGMENT)));
   }
 
-  /** Writes what the resource holds; only the end of the process closes the store. */
+  /**
+   * Writes the same list as in the resource and waits until it is in the file, because the store is
+   * closed only at the end of the process.
+   */
   private void write() throws IOException, InterruptedException {
-    EndpointWatchEvent news =
-        new EndpointWatchEvent(3, true, List.of(serves(), drains(), leaves()));
-    open().onEndpointsReceived(TOLD_AT, news);
-    Path log = folder.resolve(GATEWAY).resolve(LOG);
-    long until = System.nanoTime() + 60_000_000_000L;
-    while (Files.size(log) < resource().length) {
-      if (System.nanoTime() > until) {
-        throw new AssertionError("the list was not written");
+    EndpointWatchEvent event =
+        new EndpointWatchEvent(
+            3, true, List.of(readyEndpoint(), drainingEndpoint(), goneEndpoint()));
+    open().onEndpointsReceived(RECEIVED_AT, event);
+    Path segment = folder.resolve(GATEWAY).resolve(SEGMENT);
+    long deadlineNanos = System.nanoTime() + 60_000_000_000L;
+    while (Files.size(segment) < resource().length) {
+      if (System.nanoTime() > deadlineNanos) {
+        throw new AssertionError("the list was not written within 60 s");
       }
       Thread.sleep(10);
     }
   }
 
-  /** An endpoint that the list leaves out, the rate of change, and one long gone. */
+  /**
+   * Compares the values passed to the sink for an endpoint that a list leaves out, for the change
+   * rate, and for the removal of an endpoint that has been gone for longer than the retention time.
+   */
   @Test
-  void whatIsHandedToTheStoreIsThis() {
-    List<String> handed = new ArrayList<>();
-    EndpointHistory memory =
+  void valuesPassedToTheSinkAreUnchanged() {
+    List<String> written = new ArrayList<>();
+    EndpointHistory history =
         new EndpointHistory(
             new TreeMap<>(),
-            LONGEST,
+            LONGEST_DEADLINE,
             0,
-            AGE_MOST,
-            (key, value, soon) -> {
-              String text = value == null ? null : new String(value, StandardCharsets.UTF_8);
-              handed.add(key + " " + soon + " " + text);
+            MAX_AGE,
+            (key, value, endpointChanged) -> {
+              String encodedText = value == null ? null : new String(value, StandardCharsets.UTF_8);
+              written.add(key + " " + endpointChanged + " " + encodedText);
             });
-    memory.onEndpointsReceived(
-        TOLD_AT, new EndpointWatchEvent(1, true, List.of(serves(), drains())));
-    memory.onEndpointsReceived(
-        TOLD_AT + LONGEST, new EndpointWatchEvent(2, true, List.of(serves())));
-    memory.onEndpointsReceived(
-        TOLD_AT + LONGEST + 1, new EndpointWatchEvent(3, true, List.of(serves())));
-    memory.onEndpointsReceived(
-        TOLD_AT + 2 * LONGEST + 200 * LONGEST, new EndpointWatchEvent(4, false, List.of()));
+    history.onEndpointsReceived(
+        RECEIVED_AT, new EndpointWatchEvent(1, true, List.of(readyEndpoint(), drainingEndpoint())));
+    history.onEndpointsReceived(
+        RECEIVED_AT + LONGEST_DEADLINE, new EndpointWatchEvent(2, true, List.of(readyEndpoint())));
+    history.onEndpointsReceived(
+        RECEIVED_AT + LONGEST_DEADLINE + 1,
+        new EndpointWatchEvent(3, true, List.of(readyEndpoint())));
+    history.onEndpointsReceived(
+        RECEIVED_AT + 2 * LONGEST_DEADLINE + 200 * LONGEST_DEADLINE,
+        new EndpointWatchEvent(4, false, List.of()));
     assertEquals(
         List.of(
             "engine/drains true " + STORED.get("engine/drains"),
@@ -213,9 +231,9 @@
                 + "\t1699990000123\t1700000002000\t1",
             "list true 1700000002000\t2.5E-8",
             "engine/drains true null"),
-        handed.subList(0, handed.size() - 1));
-    // The rate has faded by an exponential, whose last digit need not be the same everywhere.
-    String last = handed.get(handed.size() - 1);
-    assertTrue(last.matches("list true 1700000404000\t[0-9.]+E-8"), last);
+        written.subList(0, written.size() - 1));
+    // The rate has decayed exponentially, and the last digit of exp() may differ by platform.
+    String lastWritten = written.get(written.size() - 1);
+    assertTrue(lastWritten.matches("list true 1700000404000\t[0-9.]+E-8"), lastWritten);
   }
 }
