--- a/fakes/src/test/java/tillerlink/fakes/FakesTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/FakesTest.java
@@ -26,13 +26,13 @@
   void commandsAreParsedAtEverySplit() {
     byte[] all =
         joined(
-            EngineCommand.want(
+            EngineCommand.run(
                 "a1", "look", 500, "k", "SELECT 1\r\n".getBytes(StandardCharsets.UTF_8)),
-            EngineCommand.turn("a1", 2),
-            EngineCommand.there("0"),
+            EngineCommand.fetchPage("a1", 2),
+            EngineCommand.checkLiveness("0"),
             EngineCommand.cancel("a1"),
-            EngineCommand.shut("a1"),
-            EngineCommand.want("a2", "load", 9, null, "x".getBytes(StandardCharsets.UTF_8)));
+            EngineCommand.release("a1"),
+            EngineCommand.run("a2", "load", 9, null, "x".getBytes(StandardCharsets.UTF_8)));
     for (int split = 0; split <= all.length; split++) {
       EngineCommandParser parser = new EngineCommandParser();
       StringBuilder parsed = new StringBuilder();
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -98,18 +98,18 @@
     }
     SendVerdict verdict = inFlight.checkWrite();
     if (verdict == SendVerdict.ALLOWED) {
-      want(inFlight);
+      writeAttempt(inFlight);
     } else {
       owner.attemptBlocked(inFlight, verdict);
       transport.endUnsent(inFlight, DisconnectReason.WITHDRAWN);
     }
   }
 
-  private void want(InFlightAttempt inFlight) {
+  private void writeAttempt(InFlightAttempt inFlight) {
     long millisLeft = inFlight.millisLeft(owner.now());
     long deadline = owner.writeDeadline(inFlight);
     channel.writeUntil(
-        EngineCommand.want(
+        EngineCommand.run(
             inFlight.id(),
             inFlight.requestClass(),
             millisLeft,
@@ -287,7 +287,7 @@
   private boolean checkInput(long now, long connectTimeout) {
     if (liveness.isOpen() && !attempts.isEmpty() && liveness.probeDue(now, connectTimeout)) {
       liveness.onProbeSent(now, connectTimeout);
-      write(EngineCommand.there(PROBE_ID));
+      write(EngineCommand.checkLiveness(PROBE_ID));
       return true;
     }
     if (partialSince > 0 && now >= partialSince + connectTimeout) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
@@ -105,7 +105,7 @@
   void requestMissingPages(InFlightAttempt inFlight) {
     for (int page = 1; page < inFlight.pages.length; page++) {
       if (inFlight.isPageMissing(page)) {
-        connection.write(EngineCommand.turn(inFlight.id(), page));
+        connection.write(EngineCommand.fetchPage(inFlight.id(), page));
       }
     }
   }
@@ -120,7 +120,7 @@
     }
     if (inFlight.missingPages == 0) {
       if (inFlight.pages.length > 1) {
-        connection.write(EngineCommand.shut(inFlight.id()));
+        connection.write(EngineCommand.release(inFlight.id()));
       }
       owner.attemptEnded(inFlight, AttemptOutcome.SUCCEEDED);
     }
--- a/gateway/src/main/java/tillerlink/net/wire/EngineCommand.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineCommand.java
@@ -23,7 +23,7 @@
    * @param limit the time for which the gateway waits for the response, in milliseconds
    * @param key the idempotency key, or null if there is none
    */
-  public static byte[] want(
+  public static byte[] run(
       String id, String requestClass, long limit, String key, byte[] statement) {
     String fields =
         CLASS_FIELD
@@ -47,12 +47,12 @@
    * @param id the id of the attempt
    * @param page the number of the page; the first page is part of the response itself
    */
-  public static byte[] turn(String id, int page) {
+  public static byte[] fetchPage(String id, int page) {
     return ascii(FETCH_PAGE + id + " " + page + CRLF);
   }
 
   /** Encodes the command that releases a result that was read completely. */
-  public static byte[] shut(String id) {
+  public static byte[] release(String id) {
     return ascii(RELEASE + id + CRLF);
   }
 
@@ -61,7 +61,7 @@
    *
    * @param tag the text that the engine repeats in its response
    */
-  public static byte[] there(String tag) {
+  public static byte[] checkLiveness(String tag) {
     return ascii(LIVENESS_CHECK + tag + CRLF);
   }
 
--- a/gateway/src/test/java/tillerlink/SingleWriterTest.java
+++ b/gateway/src/test/java/tillerlink/SingleWriterTest.java
@@ -40,8 +40,8 @@
 
   @Test
   void attemptsAreEncodedAndWrittenInOnePlace() throws IOException {
-    assertEquals(List.of("net/state/EngineConnection.java"), filesWith("EngineCommand\\.want\\("));
-    assertEquals(1, occurrences("net/state/EngineConnection.java", "EngineCommand\\.want\\("));
+    assertEquals(List.of("net/state/EngineConnection.java"), filesWith("EngineCommand\\.run\\("));
+    assertEquals(1, occurrences("net/state/EngineConnection.java", "EngineCommand\\.run\\("));
     assertEquals(
         List.of("net/state/EngineConnection.java"), filesWith("\\.writeUntil\\(\\s*EngineCommand"));
   }
@@ -53,12 +53,12 @@
   @Test
   void eachWriteIsCheckedByTheGuard() throws IOException {
     String engineConnection = Files.readString(SOURCES.resolve("net/state/EngineConnection.java"));
-    assertEquals(1, count(engineConnection, "[^.\\w]want\\(inFlight\\);"));
+    assertEquals(1, count(engineConnection, "[^.\\w]writeAttempt\\(inFlight\\);"));
     assertEquals(
         1,
         count(
             engineConnection,
-            "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+want\\(inFlight\\);"));
+            "if \\(verdict == SendVerdict\\.ALLOWED\\) \\{\\s+writeAttempt\\(inFlight\\);"));
     String executor = Files.readString(SOURCES.resolve("net/state/ActionExecutor.java"));
     assertEquals(1, count(executor, "inFlight\\.transport\\(\\)\\.send\\(inFlight\\)"));
     assertEquals(
