--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -142,7 +142,7 @@
     }
     telemetry.metrics().add(Counter.DISCOVERY_QUERIES);
     lease.onPollSent(now);
-    driver.sendDiscoveryQuery(Dns.query(id));
+    driver.sendDiscoveryQuery(Dns.encodeQuery(id));
   }
 
   /**
@@ -178,14 +178,14 @@
    *     parsed; the message states the reason
    */
   EndpointWatchEvent onAnswer(long now, byte[] datagram, long knownIndex) {
-    int id = Dns.id(datagram);
+    int id = Dns.messageId(datagram);
     Query query =
         outstanding.stream().filter(candidate -> candidate.id == id).findFirst().orElse(null);
     if (query == null) {
       throw new IllegalArgumentException("answer id " + id + " matches no outstanding query");
     }
     outstanding.remove(query);
-    EndpointWatchEvent event = Dns.answer(datagram, id);
+    EndpointWatchEvent event = Dns.parseAnswer(datagram, id);
     logAnswer(now, query, event);
     if (event.index() >= knownIndex) {
       lease.onPollAnswered(query.sentAt, now);
--- a/gateway/src/main/java/tillerlink/net/wire/Dns.java
+++ b/gateway/src/main/java/tillerlink/net/wire/Dns.java
@@ -27,7 +27,7 @@
    *
    * @param id the id of the query, of 16 bits
    */
-  public static byte[] query(int id) {
+  public static byte[] encodeQuery(int id) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(64);
     int[] header = {id >> 8, id, RECURSION_DESIRED, 0, 0, 1, 0, 0, 0, 0, 0, 0};
     for (int octet : header) {
@@ -44,7 +44,7 @@
   }
 
   /** Returns the id of the query that a message answers, or -1 if the message is too short. */
-  public static int id(byte[] message) {
+  public static int messageId(byte[] message) {
     return message.length < 2 ? -1 : new DnsReader(message, 0).unsignedShortAt(0);
   }
 
@@ -56,7 +56,7 @@
    * @throws IllegalArgumentException if the message is not a usable answer to that query; the
    *     exception's message states the reason
    */
-  public static EndpointWatchEvent answer(byte[] message, int id) {
+  public static EndpointWatchEvent parseAnswer(byte[] message, int id) {
     try {
       return new DnsAnswerParser(message).parse(id);
     } catch (IndexOutOfBoundsException e) {
--- a/gateway/src/test/java/tillerlink/DiscoveryAnswers.java
+++ b/gateway/src/test/java/tillerlink/DiscoveryAnswers.java
@@ -20,7 +20,7 @@
   public static byte[] of(int id, int serial, String... engines) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     putShorts(out, id, 0x8400, 1, engines.length, 1, 2 * engines.length);
-    out.writeBytes(Arrays.copyOfRange(Dns.query(id), 12, Dns.query(id).length));
+    out.writeBytes(Arrays.copyOfRange(Dns.encodeQuery(id), 12, Dns.encodeQuery(id).length));
     int[] targets = new int[engines.length];
     for (int i = 0; i < engines.length; i++) {
       String[] engine = engines[i].split(" ", -1);
@@ -60,7 +60,7 @@
 
   /** Returns the offset of the end of the record with the serial, in an answer with one engine. */
   public static int serialEnd(byte[] answer) {
-    int headerAndQuestion = Dns.query(0).length;
+    int headerAndQuestion = Dns.encodeQuery(0).length;
     int serviceRecord = headerAndQuestion + 12 + readShort(answer, headerAndQuestion + 10);
     return serviceRecord + 12 + 24;
   }
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -250,38 +250,40 @@
             41,
             "s-1 ready 127.0.0.1:5050 east std 2 0",
             "s-2 draining 127.0.0.2:5051 west big 3 1700000000123");
-    StringBuilder printed = new StringBuilder("index " + Dns.answer(message, 77).index() + "\n");
-    for (EndpointEntry entry : Dns.answer(message, 77).entries()) {
+    StringBuilder printed =
+        new StringBuilder("index " + Dns.parseAnswer(message, 77).index() + "\n");
+    for (EndpointEntry entry : Dns.parseAnswer(message, 77).entries()) {
       printed.append(entry).append('\n');
     }
     for (int end = 0; end < message.length; end++) {
       byte[] shorter = Arrays.copyOf(message, end);
-      assertThrows(IllegalArgumentException.class, () -> Dns.answer(shorter, 77), "cut at " + end);
+      assertThrows(
+          IllegalArgumentException.class, () -> Dns.parseAnswer(shorter, 77), "cut at " + end);
     }
     byte[] loop = message.clone();
     loop[12] = (byte) 0xc0;
     loop[13] = 12;
     byte[] truncated = message.clone();
     truncated[2] |= 2;
-    EndpointWatchEvent partial = Dns.answer(Arrays.copyOf(truncated, message.length - 50), 77);
+    EndpointWatchEvent partial = Dns.parseAnswer(Arrays.copyOf(truncated, message.length - 50), 77);
     printed.append("truncated after the first address: ").append(partial).append('\n');
     byte[] refusal = message.clone();
     refusal[3] |= 5;
     Map<String, byte[]> malformedMessages =
-        new TreeMap<>(Map.of("loop", loop, "refused", refusal, "query", Dns.query(77)));
+        new TreeMap<>(Map.of("loop", loop, "refused", refusal, "query", Dns.encodeQuery(77)));
     malformedMessages.forEach(
         (name, bytes) ->
             printed
                 .append(name)
                 .append(": ")
                 .append(
-                    assertThrows(IllegalArgumentException.class, () -> Dns.answer(bytes, 77))
+                    assertThrows(IllegalArgumentException.class, () -> Dns.parseAnswer(bytes, 77))
                         .getMessage())
                 .append('\n'));
     printed
         .append("foreign: ")
         .append(
-            assertThrows(IllegalArgumentException.class, () -> Dns.answer(message, 78))
+            assertThrows(IllegalArgumentException.class, () -> Dns.parseAnswer(message, 78))
                 .getMessage());
     KeptTraces.assertMatches("net-dns", printed.append('\n').toString());
   }
@@ -307,8 +309,8 @@
                         + ":5050 east std 1 0")
             .toArray(String[]::new);
     byte[] message = DiscoveryAnswers.of(9, 7, engines);
-    assertEquals(1024, Dns.answer(message, 9).entries().size());
-    assertEquals("127.0.4.24", Dns.answer(message, 9).entries().get(1023).address());
+    assertEquals(1024, Dns.parseAnswer(message, 9).entries().size());
+    assertEquals("127.0.4.24", Dns.parseAnswer(message, 9).entries().get(1023).address());
     message[2] |= 2;
     int parsed = 0;
     for (int end = 0;
@@ -316,7 +318,7 @@
         end += end < 30_000 ? 211 : end < message.length - 2000 ? 71 : 1) {
       byte[] shorter = Arrays.copyOf(message, end);
       try {
-        EndpointWatchEvent update = Dns.answer(shorter, 9);
+        EndpointWatchEvent update = Dns.parseAnswer(shorter, 9);
         assertTrue(update.partial() && !update.whole());
         assertEquals(
             341 + 1,
