--- a/fakes/src/test/java/tillerlink/fakes/FakesTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/FakesTest.java
@@ -79,10 +79,10 @@
   void responsesAreParsedAtEverySplit() {
     byte[] all =
         joined(
-            HttpResponse.goOn(),
-            HttpResponse.goOnAt("/v1/calls/a").encoded(),
-            HttpResponse.problem(503, "Full", 250).encoded(),
-            HttpResponse.done().closingConnection().encoded());
+            HttpResponse.continueResponse(),
+            HttpResponse.continueAt("/v1/calls/a").encode(),
+            HttpResponse.problem(503, "Full", 250).encode(),
+            HttpResponse.done().closingConnection().encode());
     for (int split = 0; split <= all.length; split++) {
       HttpResponseParser parser = new HttpResponseParser();
       StringBuilder parsed = new StringBuilder();
--- a/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientConnection.java
@@ -189,7 +189,7 @@
     if (!requestInProgress && !closed) {
       HttpParseResult parsed = input.next();
       if (input.expectsContinue()) {
-        write(HttpResponse.goOn());
+        write(HttpResponse.continueResponse());
       }
       if (parsed != null) {
         requestInProgress = true;
@@ -239,7 +239,7 @@
     }
     awaitedResponse = null;
     lastActivityAt = handler.now();
-    write((closeAfterAnswer ? answer.closingConnection() : answer).encoded());
+    write((closeAfterAnswer ? answer.closingConnection() : answer).encode());
     if (closeAfterAnswer) {
       closed = true;
       localReason = ClientDisconnectReason.AFTER_ANSWER;
@@ -253,7 +253,7 @@
    */
   void refuse(HttpResponse answer) {
     lastActivityAt = handler.now();
-    write(answer.closingConnection().encoded());
+    write(answer.closingConnection().encode());
     closed = true;
     localReason = ClientDisconnectReason.AFTER_REFUSAL;
   }
--- a/gateway/src/main/java/tillerlink/net/state/ClientInput.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientInput.java
@@ -68,12 +68,12 @@
    * once for each request.
    */
   boolean expectsContinue() {
-    return parser.wantsGoOn();
+    return parser.takeContinueExpected();
   }
 
   /** Returns whether a request has been received in part. */
   boolean hasPartialRequest() {
-    return parser.midway();
+    return parser.hasPartialRequest();
   }
 
   /**
@@ -81,7 +81,7 @@
    * its share in that case.
    */
   boolean exceedsLimitWhenFull() {
-    return retained.isFull() && parser.waiting() > MAX_PIPELINED_BYTES_WHEN_FULL;
+    return retained.isFull() && parser.unconsumedBytes() > MAX_PIPELINED_BYTES_WHEN_FULL;
   }
 
   /**
@@ -89,9 +89,9 @@
    * closed the connection.
    */
   void updateReadingPaused(boolean requestInProgress, boolean closed) {
-    setRetainedByteCount(parser.waiting());
+    setRetainedByteCount(parser.unconsumedBytes());
     int limit = retained.isFull() ? MAX_PIPELINED_BYTES_WHEN_FULL : MAX_PIPELINED_BYTES;
-    boolean pause = requestInProgress && parser.waiting() > limit;
+    boolean pause = requestInProgress && parser.unconsumedBytes() > limit;
     if (pause != readingPaused && !closed) {
       readingPaused = pause;
       channel.pauseReading(pause);
--- a/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/ClientRequestHandler.java
@@ -91,7 +91,7 @@
       return;
     }
     HttpRequest request = (HttpRequest) parsed;
-    if (request.last() || closing()) {
+    if (request.closesConnection() || closing()) {
       client.closeAfterAnswer();
     }
     if (extension != null && extension.handlesPath(request.path())) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -48,8 +48,6 @@
     channel = owner.connect(engineAddress.socketAddress(), this);
   }
 
-  // ---- attempts ----
-
   String engineId() {
     return engineAddress.id;
   }
@@ -197,7 +195,7 @@
           response = parser.next()) {
         responses.handle(response);
       }
-      partialSince = !parser.midway() ? 0 : partialSince == 0 ? now : partialSince;
+      partialSince = !parser.hasPartialResponse() ? 0 : partialSince == 0 ? now : partialSince;
     } catch (IllegalArgumentException e) {
       owner.warnRateLimited(
           "unreadable response from engine " + engineId() + ": " + e.getMessage());
@@ -209,7 +207,9 @@
   @Override
   public void onClosed(DisconnectReason reason) {
     end(
-        aborted ? DisconnectReason.HELD_BACK : parser.midway() ? DisconnectReason.GARBLED : reason,
+        aborted
+            ? DisconnectReason.HELD_BACK
+            : parser.hasPartialResponse() ? DisconnectReason.GARBLED : reason,
         true);
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
+++ b/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
@@ -108,7 +108,7 @@
     PendingResponse existing = byId.get(submitted.id());
     if (existing != null) {
       return !existing.cancelled && existing.submitted.same(submitted)
-          ? HttpResponse.goOnAt(RESULT_PATH + submitted.id())
+          ? HttpResponse.continueAt(RESULT_PATH + submitted.id())
           : HttpResponse.problem(409, "Known", 0);
     }
     if (byId.size() >= maxRequests || retained.isFull()) {
@@ -138,7 +138,7 @@
     pending.guard = guard;
     byId.put(submitted.id(), pending);
     retained.add(submitted.statement().length);
-    reply.answer(HttpResponse.goOnAt(RESULT_PATH + submitted.id()));
+    reply.answer(HttpResponse.continueAt(RESULT_PATH + submitted.id()));
     context.policyEvents().requestArrived(pending);
     return pending;
   }
--- a/gateway/src/main/java/tillerlink/net/wire/EngineResponseParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EngineResponseParser.java
@@ -31,7 +31,7 @@
   }
 
   /** Returns whether a response was received in part. */
-  public boolean midway() {
+  public boolean hasPartialResponse() {
     return words != null || bytes.size() > 0;
   }
 
--- a/gateway/src/main/java/tillerlink/net/wire/HttpRequest.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpRequest.java
@@ -9,10 +9,10 @@
  * @param path the path of the request target, without the query
  * @param fields the header fields by name in lower case
  * @param body the content; empty if the request has none
- * @param last whether the client wants the connection to be closed after the response
+ * @param closesConnection whether the client wants the connection to be closed after the response
  */
 public record HttpRequest(
-    Method method, String path, Map<String, String> fields, byte[] body, boolean last)
+    Method method, String path, Map<String, String> fields, byte[] body, boolean closesConnection)
     implements HttpParseResult {
   /** The methods that the gateway supports, and {@code OTHER} for any other. */
   public enum Method {
--- a/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpRequestParser.java
@@ -66,12 +66,12 @@
    * Returns the number of bytes that were not yet consumed. The bytes of one request are bounded,
    * so any bytes beyond that bound belong to pipelined requests.
    */
-  public int waiting() {
+  public int unconsumedBytes() {
     return bytes.size();
   }
 
   /** Returns whether a request was received in part. */
-  public boolean midway() {
+  public boolean hasPartialRequest() {
     return !failed && (head != null || bytes.size() > 0);
   }
 
@@ -79,7 +79,7 @@
    * Returns whether the client waits for the interim response 100 Continue before it sends the
    * body. Returns true at most once per request, so that the interim response is not sent twice.
    */
-  public boolean wantsGoOn() {
+  public boolean takeContinueExpected() {
     boolean expected = continueExpected;
     continueExpected = false;
     return expected;
@@ -100,7 +100,7 @@
       }
       byte[] body = bytes.consume(bodyLength);
       HttpRequest request =
-          new HttpRequest(head.method(), head.path(), head.fields(), body, head.last());
+          new HttpRequest(head.method(), head.path(), head.fields(), body, head.closesConnection());
       head = null;
       continueExpected = false;
       return request;
--- a/gateway/src/main/java/tillerlink/net/wire/HttpResponse.java
+++ b/gateway/src/main/java/tillerlink/net/wire/HttpResponse.java
@@ -9,10 +9,11 @@
  * @param body the content
  * @param retryAfter the time that the client should wait before it retries, in milliseconds; 0 if
  *     the response does not state one
- * @param last whether the connection is closed after the response
+ * @param closesConnection whether the connection is closed after the response
  * @param type the media type of the body
  */
-public record HttpResponse(int status, byte[] body, long retryAfter, boolean last, String type) {
+public record HttpResponse(
+    int status, byte[] body, long retryAfter, boolean closesConnection, String type) {
   private static final String JSON = "application/json";
   private static final String PROMETHEUS_TEXT = "text/plain; version=0.0.4; charset=utf-8";
   private static final String VERSION = "HTTP/1.1 ";
@@ -25,8 +26,8 @@
   private static final String UNKNOWN = "Unknown";
 
   /** Creates a response with a JSON body. */
-  public HttpResponse(int status, byte[] body, long retryAfter, boolean last) {
-    this(status, body, retryAfter, last, JSON);
+  public HttpResponse(int status, byte[] body, long retryAfter, boolean closesConnection) {
+    this(status, body, retryAfter, closesConnection, JSON);
   }
 
   /** Returns a response with metrics in the Prometheus text format. */
@@ -41,7 +42,7 @@
   }
 
   /** Returns a response that states the path at which the client can fetch its result. */
-  public static HttpResponse goOnAt(String path) {
+  public static HttpResponse continueAt(String path) {
     return json(HttpStatus.OK, "{\"continue\":\"" + path + "\"}", 0);
   }
 
@@ -70,8 +71,8 @@
     return new HttpResponse(status, body, retryAfter, true, type);
   }
 
-  /** Returns the encoded response, as sent on the wire. */
-  public byte[] encoded() {
+  /** Encodes the response as sent on the wire. */
+  public byte[] encode() {
     StringBuilder head =
         new StringBuilder(160)
             .append(VERSION)
@@ -85,7 +86,7 @@
     if (retryAfter > 0) {
       head.append(RETRY_AFTER).append(retryAfter);
     }
-    if (last) {
+    if (closesConnection) {
       head.append(CLOSE);
     }
     byte[] encodedHead = head.append(END_OF_HEAD).toString().getBytes(StandardCharsets.US_ASCII);
@@ -93,7 +94,7 @@
   }
 
   /** Returns the interim response 100 Continue, which a client may await before it sends a body. */
-  public static byte[] goOn() {
+  public static byte[] continueResponse() {
     return CONTINUE.getBytes(StandardCharsets.US_ASCII);
   }
 }
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -103,7 +103,7 @@
                   + " '"
                   + text(request.body())
                   + "'"
-                  + (request.last() ? " last" : "")
+                  + (request.closesConnection() ? " last" : "")
                   + "\n");
         } else if (item instanceof HttpParseError error) {
           printed.append(error.status() + " " + error.problem() + "\n");
--- a/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
+++ b/peering/src/main/java/tillerlink/peering/statements/StatementsHttpHandler.java
@@ -218,7 +218,7 @@
             "/v1/" + prepared.definition().requestClass(),
             request.fields(),
             text.getBytes(StandardCharsets.UTF_8),
-            request.last()),
+            request.closesConnection()),
         new RunGuard(statements, prepared, clock),
         reply);
   }
