--- a/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
+++ b/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
@@ -61,8 +61,8 @@
   }
 
   @Override
-  public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
-    if (whole) {
+  public void onEndpointsChanged(long now, boolean complete, List<EndpointUpdate> entries) {
+    if (complete) {
       engines.forEach(engine -> engine.status = Status.GONE);
     }
     for (EndpointUpdate entry : entries) {
--- a/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
@@ -86,7 +86,7 @@
    * @param at Unix milliseconds
    */
   CachedEndpoint gone(long at) {
-    return new CachedEndpoint(entry.as(Status.GONE), at);
+    return new CachedEndpoint(entry.withStatus(Status.GONE), at);
   }
 
   boolean isGone() {
--- a/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -156,7 +156,7 @@
     List<EndpointEntry> effective = new ArrayList<>(event.entries());
     if (heldBack) {
       // Nothing new is sent to the endpoints left out, yet nothing known of them is dropped.
-      lost.forEach(id -> effective.add(endpoints.get(id).entry().as(Status.DRAINING)));
+      lost.forEach(id -> effective.add(endpoints.get(id).entry().withStatus(Status.DRAINING)));
     } else {
       lost.forEach(id -> endpoints.put(id, endpoints.get(id).gone(now / TENTHS_PER_MS)));
       changes.add(now, lost.size());
@@ -168,13 +168,13 @@
     receivedAny = true;
     forgetLongGone(now);
     persistChanges(now);
-    return new EndpointWatchEvent(event.index(), event.whole(), event.partial(), effective);
+    return new EndpointWatchEvent(event.serial(), event.complete(), event.partial(), effective);
   }
 
   /** The endpoints known so far that a whole list leaves out. */
   private Set<String> lostBy(EndpointWatchEvent event) {
     Set<String> lost = new LinkedHashSet<>();
-    if (event.whole()) {
+    if (event.complete()) {
       Set<String> listed = new HashSet<>();
       event.entries().forEach(entry -> listed.add(entry.id()));
       endpoints.forEach(
--- a/fakes/src/test/java/tillerlink/fakes/FakesTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/FakesTest.java
@@ -155,6 +155,6 @@
             new EndpointEntry("e3", "127.0.0.3", 5052, "west", "big-16", 0, Status.GONE, 2, 0));
     byte[] answer = DiscoveryResponse.withId(0xabcd, DiscoveryResponse.of(7, 70_001, list));
     assertEquals(list.subList(0, 2), Dns.parseAnswer(answer, 0xabcd).entries());
-    assertEquals(70_001, Dns.parseAnswer(answer, 0xabcd).index());
+    assertEquals(70_001, Dns.parseAnswer(answer, 0xabcd).serial());
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -171,13 +171,13 @@
   /**
    * Parses an answer and renews the lease.
    *
-   * @param knownIndex the index of the newest complete watch event that was applied; an answer with
-   *     a lower index does not confirm the endpoint list
+   * @param knownSerial the serial of the newest complete watch event that was applied; an answer
+   *     with a lower serial does not confirm the endpoint list
    * @return the watch event in the answer
    * @throws IllegalArgumentException if the datagram answers no outstanding query or cannot be
    *     parsed; the message states the reason
    */
-  EndpointWatchEvent onAnswer(long now, byte[] datagram, long knownIndex) {
+  EndpointWatchEvent onAnswer(long now, byte[] datagram, long knownSerial) {
     int id = Dns.messageId(datagram);
     Query query =
         outstanding.stream().filter(candidate -> candidate.id == id).findFirst().orElse(null);
@@ -187,7 +187,7 @@
     outstanding.remove(query);
     EndpointWatchEvent event = Dns.parseAnswer(datagram, id);
     logAnswer(now, query, event);
-    if (event.index() >= knownIndex) {
+    if (event.serial() >= knownSerial) {
       lease.onPollAnswered(query.sentAt, now);
     } else {
       lease.onOutdatedAnswer(now);
@@ -209,7 +209,7 @@
                   ? "discovery service answers again"
                   : "first answer of the discovery service",
               "version",
-              event.index(),
+              event.serial(),
               "unanswered",
               unanswered - 1,
               "asked_ms_ago",
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -23,14 +23,14 @@
   private final List<?> zones;
   private final EndpointListStatus status;
 
-  /** The index of the newest partial watch event that was applied. */
-  private long partialIndex;
+  /** The serial of the newest partial watch event that was applied. */
+  private long partialSerial;
 
   /**
-   * The time at which a whole list was last applied; {@link Long#MIN_VALUE} if none was. A process
-   * that is new in a later list was not running at that time, which limits its start time.
+   * The time at which a complete list was last applied; {@link Long#MIN_VALUE} if none was. A
+   * process that is new in a later list was not running at that time, which limits its start time.
    */
-  private long wholeListAppliedAt = Long.MIN_VALUE;
+  private long completeListAppliedAt = Long.MIN_VALUE;
 
   private final Telemetry telemetry;
   private final EngineTransport.Owner owner;
@@ -56,13 +56,13 @@
    * @return the updates for the dispatch policy, or null if the event is not newer than the list
    */
   List<EndpointUpdate> apply(EndpointWatchEvent event) {
-    if (event.index() <= index() || event.index() < partialIndex) {
+    if (event.serial() <= serial() || event.serial() < partialSerial) {
       return null;
     }
     if (event.partial()) {
-      partialIndex = event.index();
+      partialSerial = event.serial();
     } else {
-      status.setVersion(event.index());
+      status.setVersion(event.serial());
     }
     return update(event, Map.of());
   }
@@ -83,10 +83,10 @@
       if (entry.address() != null) {
         entries.add(entry);
       } else if (engineAddress != null && engineAddress.entry != null) {
-        entries.add(engineAddress.entry.as(entry.standing()));
+        entries.add(engineAddress.entry.withStatus(entry.standing()));
       }
     }
-    return new EndpointWatchEvent(event.index(), false, true, entries);
+    return new EndpointWatchEvent(event.serial(), false, true, entries);
   }
 
   /**
@@ -106,8 +106,8 @@
         engineAddress.transport = transports.create(owner, engineAddress, entry.kind());
         engines.put(entry.id(), engineAddress);
       }
-      engineAddress.update(entry, owner.now(), wholeListAppliedAt);
-      logChange(engineAddress, entry, event.index());
+      engineAddress.update(entry, owner.now(), completeListAppliedAt);
+      logChange(engineAddress, entry, event.serial());
       updates.add(
           new EndpointUpdate(
               engineAddress.engine,
@@ -119,8 +119,8 @@
               engineAddress.startedAt(),
               trust.getOrDefault(entry.id(), 1.0)));
     }
-    if (event.whole()) {
-      wholeListAppliedAt = owner.now();
+    if (event.complete()) {
+      completeListAppliedAt = owner.now();
     }
     return updates;
   }
@@ -147,11 +147,11 @@
   }
 
   /**
-   * Forgets when a whole list was last applied. Called for lists of unknown age, because such a
+   * Forgets when a complete list was last applied. Called for lists of unknown age, because such a
    * list does not show at what time a process was not yet running.
    */
   void forgetListTime() {
-    wholeListAppliedAt = Long.MIN_VALUE;
+    completeListAppliedAt = Long.MIN_VALUE;
   }
 
   /**
@@ -207,8 +207,8 @@
     return Math.max(1, engines.size());
   }
 
-  /** Returns the index of the newest complete watch event that was applied. */
-  long index() {
+  /** Returns the serial of the newest complete watch event that was applied. */
+  long serial() {
     return status.version();
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
@@ -11,7 +11,7 @@
   private long version;
   private EndpointListState state = EndpointListState.AWAITED;
 
-  /** Returns the index of the newest complete watch event that was applied. */
+  /** Returns the serial of the newest complete watch event that was applied. */
   long version() {
     return version;
   }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
@@ -75,7 +75,7 @@
    */
   boolean apply(long now, EndpointWatchEvent received) {
     EndpointWatchEvent completed = endpoints.complete(received);
-    boolean newer = completed.index() > endpoints.index();
+    boolean newer = completed.serial() > endpoints.serial();
     EndpointWatchEvent event =
         endpointCache != null && newer
             ? endpointCache.onEndpointsReceived(now, completed)
@@ -89,20 +89,20 @@
               Topic.DISCOVERY,
               "endpoint list updated",
               "version",
-              event.index(),
+              event.serial(),
               "engines",
               updates.size(),
               "whole",
-              event.whole(),
+              event.complete(),
               "newer",
               newer);
-      invariants.onEndpointsChanged(now, event.whole(), updates);
-      policy.onEndpointsChanged(now, event.whole(), updates);
+      invariants.onEndpointsChanged(now, event.complete(), updates);
+      policy.onEndpointsChanged(now, event.complete(), updates);
     }
     if (startedWithoutList && newer) {
       startedWithoutList = false;
       policy.onEndpointsUnknown(now, false);
-      LOG.info("discovery service answers; endpoint list version {}", event.index());
+      LOG.info("discovery service answers; endpoint list version {}", event.serial());
     }
     return updates != null;
   }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
@@ -72,7 +72,7 @@
               "list_age_ms",
               client.lease().age(now) / Units.TENTHS_PER_MS,
               "version",
-              endpoints.index());
+              endpoints.serial());
     }
     if (state != status.state() || until != usableUntil) {
       status.setState(state);
@@ -93,7 +93,7 @@
   void onDatagram(byte[] datagram) {
     long now = context.now();
     try {
-      if (updater.apply(now, client.onAnswer(now, datagram, endpoints.index()))) {
+      if (updater.apply(now, client.onAnswer(now, datagram, endpoints.serial()))) {
         context.policyEvents().requireDecisions();
       }
     } catch (IllegalArgumentException e) {
--- a/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
+++ b/gateway/src/main/java/tillerlink/net/state/EventLoopIteration.java
@@ -102,7 +102,7 @@
       nextSummaryAt = now + SUMMARY_INTERVAL;
       LOG.atInfo()
           .addKeyValue("engine_connections", transports.openConnections())
-          .addKeyValue("endpoint_list_version", transports.endpoints().index())
+          .addKeyValue("endpoint_list_version", transports.endpoints().serial())
           .log("{}", clients);
     }
   }
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -126,7 +126,7 @@
     metrics.gauge(
         "endpoint_list_version",
         "Number of the last event of the endpoint list.",
-        transports.endpoints()::index);
+        transports.endpoints()::serial);
     metrics.gauge(
         "engine_connections",
         "Engine connections open or being opened.",
--- a/gateway/src/main/java/tillerlink/net/wire/EndpointEntry.java
+++ b/gateway/src/main/java/tillerlink/net/wire/EndpointEntry.java
@@ -24,7 +24,7 @@
     double weight,
     long startedMs) {
   /** Returns a copy of this entry with another status. */
-  public EndpointEntry as(Engine.Status status) {
+  public EndpointEntry withStatus(Engine.Status status) {
     return new EndpointEntry(id, address, port, zone, kind, cell, status, weight, startedMs);
   }
 }
--- a/gateway/src/main/java/tillerlink/net/wire/GatewayConfigReader.java
+++ b/gateway/src/main/java/tillerlink/net/wire/GatewayConfigReader.java
@@ -100,8 +100,8 @@
     for (Object raw : endpoints.list(ENDPOINTS, ENDPOINTS + "." + ENDPOINTS)) {
       entries.add(readEntry(ConfigObject.of(raw, "endpoints.endpoints[]")));
     }
-    boolean whole = Boolean.TRUE.equals(endpoints.get(SNAPSHOT));
-    return new EndpointWatchEvent(update.number(INDEX, 0).longValue(), whole, entries);
+    boolean complete = Boolean.TRUE.equals(endpoints.get(SNAPSHOT));
+    return new EndpointWatchEvent(update.number(INDEX, 0).longValue(), complete, entries);
   }
 
   private static EndpointEntry readEntry(ConfigObject endpoint) {
--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -86,8 +86,8 @@
   }
 
   @Override
-  public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
-    registry.update(whole, entries);
+  public void onEndpointsChanged(long now, boolean complete, List<EndpointUpdate> entries) {
+    registry.update(complete, entries);
     reconciler.cancelWatchRetry();
   }
 
--- a/gateway/src/test/java/tillerlink/GatewayFixture.java
+++ b/gateway/src/test/java/tillerlink/GatewayFixture.java
@@ -53,7 +53,7 @@
   private String[] servedEngines;
 
   /** The version of that endpoint list. */
-  private int servedIndex;
+  private int servedSerial;
 
   private boolean discoveryResponding;
 
@@ -150,7 +150,7 @@
         fleet.stream()
             .map(endpoint -> endpoint.id() + " ready " + endpoint.address() + ":5050 east std 0 0")
             .toArray(String[]::new);
-    servedIndex = 1;
+    servedSerial = 1;
     discoveryResponding = true;
     unansweredQueryId = -1;
     gateway =
@@ -275,24 +275,24 @@
   }
 
   /** Answers the next discovery query with the given endpoint list. */
-  GatewayFixture discoveryAnswers(int index, String... engines) {
+  GatewayFixture discoveryAnswers(int serial, String... engines) {
     awaitDiscoveryQuery()
         .iterate(
-            () -> gateway.onDiscoveryDatagram(DiscoveryAnswers.of(lastQueryId, index, engines)));
-    if (index > servedIndex) {
+            () -> gateway.onDiscoveryDatagram(DiscoveryAnswers.of(lastQueryId, serial, engines)));
+    if (serial > servedSerial) {
       servedEngines = engines;
-      servedIndex = index;
+      servedSerial = serial;
     }
     discoveryResponding = true;
     return this;
   }
 
   /** Answers the next discovery query with an answer that is truncated after its serial. */
-  GatewayFixture discoveryAnswersTruncated(int index, String... engines) {
+  GatewayFixture discoveryAnswersTruncated(int serial, String... engines) {
     awaitDiscoveryQuery()
         .iterate(
             () -> {
-              byte[] bytes = DiscoveryAnswers.of(lastQueryId, index, engines);
+              byte[] bytes = DiscoveryAnswers.of(lastQueryId, serial, engines);
               bytes[2] |= 2;
               gateway.onDiscoveryDatagram(Arrays.copyOf(bytes, DiscoveryAnswers.serialEnd(bytes)));
             });
@@ -368,7 +368,7 @@
       int id = unansweredQueryId;
       unansweredQueryId = -1;
       gateway.beginIteration(now);
-      gateway.onDiscoveryDatagram(DiscoveryAnswers.of(id, servedIndex, servedEngines));
+      gateway.onDiscoveryDatagram(DiscoveryAnswers.of(id, servedSerial, servedEngines));
       gateway.endIteration();
       runDueIterations();
     }
--- a/gateway/src/test/java/tillerlink/WireTest.java
+++ b/gateway/src/test/java/tillerlink/WireTest.java
@@ -251,7 +251,7 @@
             "s-1 ready 127.0.0.1:5050 east std 2 0",
             "s-2 draining 127.0.0.2:5051 west big 3 1700000000123");
     StringBuilder printed =
-        new StringBuilder("index " + Dns.parseAnswer(message, 77).index() + "\n");
+        new StringBuilder("serial " + Dns.parseAnswer(message, 77).serial() + "\n");
     for (EndpointEntry entry : Dns.parseAnswer(message, 77).entries()) {
       printed.append(entry).append('\n');
     }
@@ -319,7 +319,7 @@
       byte[] shorter = Arrays.copyOf(message, end);
       try {
         EndpointWatchEvent update = Dns.parseAnswer(shorter, 9);
-        assertTrue(update.partial() && !update.whole());
+        assertTrue(update.partial() && !update.complete());
         assertEquals(
             341 + 1,
             update.entries().stream().filter(e -> e.standing() == Status.DRAINING).count());
