--- a/gateway/src/main/java/tillerlink/model/Request.java
+++ b/gateway/src/main/java/tillerlink/model/Request.java
@@ -15,7 +15,7 @@
   public final int tableGroup;
 
   /** Whether the client has sent the request before. */
-  public final boolean repeat;
+  public final boolean resent;
 
   public final long arrivedAt;
 
@@ -87,7 +87,7 @@
    * @param tag an opaque handle of the code that runs the policy
    * @param classIndex the index of the request class
    * @param tableGroup the number of the request's table group
-   * @param repeat whether the client has sent the request before
+   * @param resent whether the client has sent the request before
    * @param arrivedAt the time of arrival, in tenths of a millisecond
    * @param clientDeadline the time at which the client stops waiting, in tenths of a millisecond
    * @param workEstimate the estimated work of all threads, as tenths of a millisecond on a single
@@ -99,7 +99,7 @@
       Object tag,
       int classIndex,
       int tableGroup,
-      boolean repeat,
+      boolean resent,
       long arrivedAt,
       long clientDeadline,
       double workEstimate,
@@ -108,7 +108,7 @@
     this.tag = tag;
     this.classIndex = classIndex;
     this.tableGroup = tableGroup;
-    this.repeat = repeat;
+    this.resent = resent;
     this.arrivedAt = arrivedAt;
     this.clientDeadline = clientDeadline;
     this.workEstimate = workEstimate;
@@ -120,7 +120,7 @@
    * Returns whether the request has a key and its request class executes the requests of a key in
    * order.
    */
-  public boolean ordered() {
+  public boolean isOrdered() {
     return keyQueue != null && requestClass.config.keepsOrder();
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
+++ b/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
@@ -59,9 +59,9 @@
             this,
             classIndex,
             submitted.tableGroup(),
-            submitted.repeat(),
+            submitted.resent(),
             arrivedAt,
-            arrivedAt + submitted.patience(),
+            arrivedAt + submitted.timeLimit(),
             submitted.estimate(),
             submitted.memory(),
             queue);
--- a/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
+++ b/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
@@ -99,7 +99,7 @@
    * request can be accepted.
    */
   private HttpResponse answerWithoutAccepting(SubmitRequest submitted, int requestClass) {
-    if (submitted.patience() > MAX_DEADLINE_FACTOR * classes.longestDeadline()) {
+    if (submitted.timeLimit() > MAX_DEADLINE_FACTOR * classes.longestDeadline()) {
       return HttpResponse.problem(400, "X-Deadline-Ms", 0);
     }
     if (submitted.key() == null && classes.requiresKey(requestClass)) {
@@ -107,7 +107,7 @@
     }
     PendingResponse existing = byId.get(submitted.id());
     if (existing != null) {
-      return !existing.cancelled && existing.submitted.same(submitted)
+      return !existing.cancelled && existing.submitted.isRepeatedBy(submitted)
           ? HttpResponse.continueAt(RESULT_PATH + submitted.id())
           : HttpResponse.problem(409, "Known", 0);
     }
--- a/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
+++ b/gateway/src/main/java/tillerlink/net/wire/SubmitRequest.java
@@ -9,8 +9,8 @@
  *
  * @param id the id that the client assigned, of 16 hexadecimal digits
  * @param requestClass the name of the request class
- * @param patience the time for which the client waits for the result, in tenths of a millisecond
- * @param repeat whether the client states that it has sent the request before
+ * @param timeLimit the time for which the client waits for the result, in tenths of a millisecond
+ * @param resent whether the client states that it has sent the request before
  * @param key the idempotency key, by which engines recognise a repeated request; null if there is
  *     none
  * @param subject the ordering key, for request classes with key ordering; null if there is none
@@ -22,8 +22,8 @@
 public record SubmitRequest(
     String id,
     String requestClass,
-    long patience,
-    boolean repeat,
+    long timeLimit,
+    boolean resent,
     String key,
     String subject,
     double estimate,
@@ -55,8 +55,8 @@
     String id = parseId(request);
     String key = parseKey(request);
     String subject = parseSubject(request);
-    double patienceMs = parseNumber(request, DEADLINE_HEADER);
-    if (patienceMs <= 0) {
+    double timeLimitMs = parseNumber(request, DEADLINE_HEADER);
+    if (timeLimitMs <= 0) {
       throw new MalformedProtocolException(
           DEADLINE_HEADER,
           DEADLINE_HEADER + " must be above 0, got " + request.header(DEADLINE_HEADER));
@@ -69,7 +69,7 @@
     return new SubmitRequest(
         id,
         request.path().substring(request.path().lastIndexOf('/') + 1),
-        (long) (patienceMs * Units.TENTHS_PER_MS),
+        (long) (timeLimitMs * Units.TENTHS_PER_MS),
         RESENT.equals(request.header(RESENT_HEADER)),
         key,
         subject,
@@ -155,7 +155,7 @@
    * Returns whether another request repeats this one, as a client does after it has lost its
    * connection: the request class, the idempotency key and the statement are equal.
    */
-  public boolean same(SubmitRequest other) {
+  public boolean isRepeatedBy(SubmitRequest other) {
     return requestClass.equals(other.requestClass)
         && Objects.equals(key, other.key)
         && Arrays.equals(statement, other.statement);
--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -115,7 +115,7 @@
     request.requestClass = estimator.requestClasses().get(request.classIndex);
     budget.recordRequest(now);
     estimator.recordArrival(now, request);
-    if (request.ordered()) {
+    if (request.isOrdered()) {
       request.keyQueue.requests.addLast(request);
       timers.set(request, deadlines.tooLateAt(now, request));
       ordering.advance(now, request);
@@ -206,7 +206,7 @@
   private void resume(long now, Request request) {
     if (!request.attempts.isEmpty()) {
       retryOrTerminate(now, request);
-    } else if (request.ordered()) {
+    } else if (request.isOrdered()) {
       ordering.advance(now, request);
     } else {
       queues.addFirst(request);
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -181,7 +181,7 @@
   }
 
   private static boolean isOutOfOrder(Request request) {
-    return request.ordered()
+    return request.isOrdered()
         && request.keyQueue.firstUnfinished() != request
         && request.outcome == null;
   }
--- a/gateway/src/main/java/tillerlink/policy/KeyOrdering.java
+++ b/gateway/src/main/java/tillerlink/policy/KeyOrdering.java
@@ -24,7 +24,7 @@
    * passed. Does nothing for a request that is not ordered.
    */
   void advance(long now, Request request) {
-    Request first = request.ordered() ? request.keyQueue.firstUnfinished() : null;
+    Request first = request.isOrdered() ? request.keyQueue.firstUnfinished() : null;
     if (first == null || first.outcome != null || first.isQueued() || !first.attempts.isEmpty()) {
       return;
     }
@@ -38,7 +38,7 @@
 
   /** Starts the cooldown of a key after an attempt that may still be running. */
   void recordOutcome(long now, Request request, AttemptOutcome outcome) {
-    if (request.ordered() && outcome.mayStillBeRunning) {
+    if (request.isOrdered() && outcome.mayStillBeRunning) {
       request.keyQueue.cooldownUntil =
           Math.max(request.keyQueue.cooldownUntil, now + config.keyCooldown);
     }
--- a/gateway/src/main/java/tillerlink/policy/SendGuard.java
+++ b/gateway/src/main/java/tillerlink/policy/SendGuard.java
@@ -80,7 +80,7 @@
     if (now >= listUsableUntil) {
       return SendVerdict.LIST_UNCONFIRMED;
     }
-    if (request.ordered() && request.keyQueue.firstUnfinished() != request) {
+    if (request.isOrdered() && request.keyQueue.firstUnfinished() != request) {
       return SendVerdict.ORDER;
     }
     return checkEndpoint(now, request, attempt.engine, attempt);
--- a/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
+++ b/gateway/src/test/java/tillerlink/SimulatorWireGuardTest.java
@@ -162,7 +162,7 @@
     assertEquals("s7", arrived.get(7).tag);
     assertEquals(2, arrived.get(7).classIndex);
     assertEquals(11, arrived.get(7).tableGroup);
-    assertEquals(true, arrived.get(7).repeat);
+    assertEquals(true, arrived.get(7).resent);
     assertEquals(9000, arrived.get(7).clientDeadline);
     assertEquals(120.0, arrived.get(7).workEstimate);
     assertEquals(384.0, arrived.get(7).memoryEstimate);
