--- a/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
@@ -43,7 +43,7 @@
    * @param maxBytes bound of what is persisted
    */
   public static EndpointCache open(Path parent, GatewayConfig config, long maxAge, long maxBytes) {
-    Settings settings = new Settings(FlattenedConfig.of(config.terms()));
+    Settings settings = new Settings(FlattenedConfig.of(config.settings()));
     long longestDeadline = 1;
     for (int i = 0; i < settings.number("profiles", 0); i++) {
       longestDeadline =
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GatewayServer.java
@@ -114,7 +114,7 @@
     LOG.info(
         "{} starting with {} engines in the configuration, {} descriptors, {} of them reserved",
         config.name(),
-        config.known().stream().mapToInt(list -> list.entries().size()).sum(),
+        config.initialEndpointUpdates().stream().mapToInt(list -> list.entries().size()).sum(),
         fileConfig.sockets(),
         reserved);
     return config;
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
@@ -58,12 +58,13 @@
   /**
    * Applies the lists that are known at the start, or the cached list if these are empty.
    *
-   * @param known the endpoint lists that the configuration contains
+   * @param initialUpdates the endpoint lists that the configuration contains
    */
-  void start(long now, List<EndpointWatchEvent> known) {
-    known.forEach(event -> apply(now, event));
+  void start(long now, List<EndpointWatchEvent> initialUpdates) {
+    initialUpdates.forEach(event -> apply(now, event));
     endpoints.forgetListTime();
-    if (endpointCache != null && known.stream().allMatch(event -> event.entries().isEmpty())) {
+    if (endpointCache != null
+        && initialUpdates.stream().allMatch(event -> event.entries().isEmpty())) {
       startWithoutList(now);
     }
   }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
@@ -37,10 +37,10 @@
   /**
    * Applies the endpoint lists that are known when the process starts.
    *
-   * @param known the endpoint lists that the configuration contains
+   * @param initialUpdates the endpoint lists that the configuration contains
    */
-  void start(List<EndpointWatchEvent> known) {
-    updater.start(context.now(), known);
+  void start(List<EndpointWatchEvent> initialUpdates) {
+    updater.start(context.now(), initialUpdates);
   }
 
   /** Polls the discovery service if a poll is due, and updates the state of the endpoint list. */
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -87,7 +87,7 @@
       EngineTransport.Factory transportFactory,
       EndpointCache endpointCache,
       Telemetry telemetry) {
-    Map<String, Object> flattened = FlattenedConfig.of(config.terms());
+    Map<String, Object> flattened = FlattenedConfig.of(config.settings());
     Settings settings = new Settings(flattened);
     context = GatewayContext.create(driver, now, settings, telemetry);
     clients =
@@ -114,7 +114,7 @@
     EndpointListUpdater updater =
         new EndpointListUpdater(endpoints, policy, context.monitor(), endpointCache, telemetry);
     endpointWatch = new EndpointListWatch(context, discoveryClient, updater, endpoints);
-    endpointWatch.start(config.known());
+    endpointWatch.start(config.initialEndpointUpdates());
     eventLoop =
         new EventLoopIteration(
             context, clients, transports, endpointWatch, actions, networkSettings);
--- a/gateway/src/main/java/tillerlink/net/wire/GatewayConfig.java
+++ b/gateway/src/main/java/tillerlink/net/wire/GatewayConfig.java
@@ -20,8 +20,8 @@
  * @param resolver the address of the discovery service
  * @param seed the seed of the gateway's random number generator
  * @param sockets the number of file descriptors available for connections
- * @param terms the settings of the dispatch policy and of extensions, as stated in the file
- * @param known the endpoint lists and changes to start with, oldest first
+ * @param settings the settings of the dispatch policy and of extensions, as stated in the file
+ * @param initialEndpointUpdates the endpoint lists and changes to start with, oldest first
  */
 public record GatewayConfig(
     String name,
@@ -29,8 +29,8 @@
     InetSocketAddress resolver,
     long seed,
     int sockets,
-    Map<String, Object> terms,
-    List<EndpointWatchEvent> known) {
+    Map<String, Object> settings,
+    List<EndpointWatchEvent> initialEndpointUpdates) {
   private static final String REQUEST_CLASSES = "profiles";
   private static final String REQUEST_CLASS_NAME = "name";
 
@@ -40,7 +40,7 @@
    * @throws IllegalArgumentException if the settings have request classes of the wrong form
    */
   public List<String> requestClasses() {
-    return new ConfigObject(terms)
+    return new ConfigObject(settings)
         .listOrEmpty(REQUEST_CLASSES, REQUEST_CLASSES).stream()
             .map(profile -> ConfigObject.of(profile, "profiles[]").text(REQUEST_CLASS_NAME))
             .toList();
@@ -66,7 +66,13 @@
    */
   public GatewayConfig withoutDescriptors(int inUse) {
     return new GatewayConfig(
-        name, listen, resolver, seed, Math.max(1, sockets - inUse), terms, known);
+        name,
+        listen,
+        resolver,
+        seed,
+        Math.max(1, sockets - inUse),
+        settings,
+        initialEndpointUpdates);
   }
 
   /**
--- a/gateway/src/main/java/tillerlink/net/wire/GatewayConfigReader.java
+++ b/gateway/src/main/java/tillerlink/net/wire/GatewayConfigReader.java
@@ -53,10 +53,10 @@
    */
   static GatewayConfig read(ConfigObject root) {
     ConfigObject limits = root.objectOrEmpty(LIMITS);
-    ConfigObject known = root.objectOrEmpty(KNOWN);
+    ConfigObject initialLists = root.objectOrEmpty(KNOWN);
     String updatesPath = KNOWN + "." + UPDATES;
     List<EndpointWatchEvent> events = new ArrayList<>();
-    for (Object update : known.listOrEmpty(UPDATES, updatesPath)) {
+    for (Object update : initialLists.listOrEmpty(UPDATES, updatesPath)) {
       events.add(readUpdate(ConfigObject.of(update, updatesPath)));
     }
     InetSocketAddress resolver = parseAddress(root.text(RESOLVER));
--- a/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
+++ b/gateway/src/test/java/tillerlink/ConfigurationFormatGuardTest.java
@@ -84,12 +84,12 @@
                 false,
                 List.of(
                     new EndpointEntry("a2", "0.0.0.0", 0, "null", "null", 0, Status.GONE, 1, 0)))),
-        read().known());
+        read().initialEndpointUpdates());
   }
 
   @Test
   void settingsAreFlattenedToDottedNames() throws Exception {
-    Map<String, Object> flattened = FlattenedConfig.of(read().terms());
+    Map<String, Object> flattened = FlattenedConfig.of(read().settings());
     assertEquals(
         List.of(
             "instances=3",
@@ -157,7 +157,7 @@
 
   @Test
   void requestClassesAreReadFromTheirProfiles() throws Exception {
-    Map<String, Object> flattened = FlattenedConfig.of(read().terms());
+    Map<String, Object> flattened = FlattenedConfig.of(read().settings());
     assertEquals(
         new RequestClassConfig(
             Effect.PURE,
@@ -214,7 +214,7 @@
   /** Guards against a lookup under a wrong key, which would find no value and report no error. */
   @Test
   void dispatchPolicyLooksUpOnlyTheseSettings() throws Exception {
-    RecordingSettings settings = new RecordingSettings(FlattenedConfig.of(read().terms()));
+    RecordingSettings settings = new RecordingSettings(FlattenedConfig.of(read().settings()));
     DefaultDispatchPolicy policy = new DefaultDispatchPolicy(1_000_000, 5, settings, NO_ACTIONS);
     Engine cold = new Engine("a1");
     policy.onEndpointPollFailed(1_000_000);
@@ -283,7 +283,7 @@
 
   @Test
   void invariantMonitorLooksUpOnlyTheseSettings() throws Exception {
-    RecordingSettings settings = new RecordingSettings(FlattenedConfig.of(read().terms()));
+    RecordingSettings settings = new RecordingSettings(FlattenedConfig.of(read().settings()));
     new InvariantMonitor(new Settings(settings));
     assertEquals(
         new TreeSet<>(
--- a/gateway/src/test/java/tillerlink/GatewayFixture.java
+++ b/gateway/src/test/java/tillerlink/GatewayFixture.java
@@ -128,7 +128,7 @@
             5_000_000L,
             "worth",
             1.0);
-    Map<String, Object> terms =
+    Map<String, Object> settings =
         Map.of(
             "caps",
             caps,
@@ -144,7 +144,7 @@
             minimalSettings ? Map.of() : Map.of("drain_grace_us", 100_000L),
             "family_info",
             Map.of("kind_cores", List.of(8L), "tells_every_us", 2_000_000L));
-    EndpointWatchEvent known = new EndpointWatchEvent(1, true, fleet);
+    EndpointWatchEvent initialList = new EndpointWatchEvent(1, true, fleet);
     InetSocketAddress anyAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
     servedEngines =
         fleet.stream()
@@ -156,7 +156,7 @@
     gateway =
         new Gateway(
             new GatewayConfig(
-                "n0", anyAddress, anyAddress, 7, descriptorLimit, terms, List.of(known)),
+                "n0", anyAddress, anyAddress, 7, descriptorLimit, settings, List.of(initialList)),
             DefaultDispatchPolicy::new,
             this,
             now);
--- a/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/EventLoopTest.java
@@ -129,7 +129,7 @@
   @Test
   void warmupRunsRequestsToCompletion() {
     InetSocketAddress unusedAddress = new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
-    Map<String, Object> terms =
+    Map<String, Object> configuredSettings =
         Map.of(
             "profiles",
             List.of(
@@ -153,7 +153,7 @@
             unusedAddress,
             7,
             1024,
-            terms,
+            configuredSettings,
             List.of(new EndpointWatchEvent(1, true, List.of(engine))));
     new JvmWarmup(
             config,
--- a/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
+++ b/gateway/src/test/java/tillerlink/net/lifecycle/Loopback.java
@@ -82,12 +82,12 @@
   Loopback(int engineCount, Consumer<Map<String, Object>> customizer) throws IOException {
     discoveryService = new DatagramSocket(new InetSocketAddress(LOCALHOST, 0));
     discoveryService.setSoTimeout(TIMEOUT_MS);
-    List<EndpointEntry> known = new ArrayList<>();
+    List<EndpointEntry> initialEntries = new ArrayList<>();
     for (int i = 0; i < engineCount; i++) {
       ServerSocket engine = new ServerSocket(0, 50, LOCALHOST);
       engine.setSoTimeout(TIMEOUT_MS);
       engines.add(engine);
-      known.add(
+      initialEntries.add(
           new EndpointEntry(
               "e" + (i + 1),
               "127.0.0.1",
@@ -112,7 +112,7 @@
             7,
             1024,
             settings,
-            List.of(new EndpointWatchEvent(1, true, known)));
+            List.of(new EndpointWatchEvent(1, true, initialEntries)));
     driver =
         new MinaDriver(
             gate,
