--- a/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
+++ b/gateway/src/main/java/tillerlink/net/state/ActionExecutor.java
@@ -38,7 +38,7 @@
     PendingResponse pending = (PendingResponse) attempt.request.tag;
     InFlightAttempt inFlight =
         new InFlightAttempt(attempt, pending, context.policyEvents()::checkWrite);
-    pending.inFlightAttempts.add(inFlight);
+    pending.attempts.add(inFlight);
     orderedAttempts.add(inFlight);
     context.dispatchLog().attemptOrdered(inFlight);
   }
@@ -77,8 +77,7 @@
 
   @Override
   public void cancelAttempt(Attempt attempt) {
-    InFlightAttempt inFlight =
-        ((PendingResponse) attempt.request.tag).inFlightAttempts.get(attempt.number);
+    InFlightAttempt inFlight = ((PendingResponse) attempt.request.tag).attempts.get(attempt.number);
     if (attempt.isInFlight()) {
       AttemptOutcome outcome = inFlight.transport().abandon(inFlight);
       context.dispatchLog().attemptCancelled(inFlight);
--- a/gateway/src/main/java/tillerlink/net/state/AttemptWrites.java
+++ b/gateway/src/main/java/tillerlink/net/state/AttemptWrites.java
@@ -76,7 +76,7 @@
 
   /** Returns whether an attempt was passed to the channel and its write is not complete. */
   boolean isPending(InFlightAttempt inFlight) {
-    return inFlight.pages == null && inFlight.handedOver() && !isCompleted(inFlight);
+    return inFlight.pages == null && inFlight.passedToChannel() && !isCompleted(inFlight);
   }
 
   /** Returns whether the write of a cancelled attempt is still pending. */
--- a/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
+++ b/gateway/src/main/java/tillerlink/net/state/DispatchLog.java
@@ -101,7 +101,7 @@
         "after_ms",
         elapsed / Units.TENTHS_PER_MS,
         "written",
-        inFlight.handedOver());
+        inFlight.passedToChannel());
   }
 
   /** Counts and logs a request that was rejected. */
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -125,7 +125,7 @@
 
   /** Cancels an attempt and returns the outcome, which states if it may have been executed. */
   AttemptOutcome cancel(InFlightAttempt inFlight) {
-    boolean passedToChannel = inFlight.handedOver();
+    boolean passedToChannel = inFlight.passedToChannel();
     if (passedToChannel && !closed) {
       writes.onCancelled(inFlight);
       write(EngineCommand.cancel(inFlight.id()));
@@ -164,7 +164,7 @@
     if (written != null) {
       InFlightAttempt inFlight = written.inFlight();
       owner.attemptSent(inFlight, firstByteAt, written.deadline(), written.announcedWait());
-      if (inFlight.fenced()) {
+      if (inFlight.hasGuard()) {
         owner.attemptWritten(inFlight);
       }
     }
@@ -372,8 +372,8 @@
     boolean resumable =
         reason != DisconnectReason.CLOSED_BY_US && reason != DisconnectReason.SILENT;
     if (!resumable || !transport.resume(inFlight)) {
-      boolean maybeReceived = writesKnown ? writes.isCompleted(inFlight) : inFlight.handedOver();
-      owner.attemptEnded(inFlight, reason.outcome(maybeReceived || inFlight.pages != null));
+      boolean mayHaveRun = writesKnown ? writes.isCompleted(inFlight) : inFlight.passedToChannel();
+      owner.attemptEnded(inFlight, reason.outcome(mayHaveRun || inFlight.pages != null));
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransport.java
@@ -35,8 +35,8 @@
     void attemptEnded(InFlightAttempt inFlight, AttemptOutcome outcome);
 
     /**
-     * Reports that all bytes of a {@link InFlightAttempt#fenced} attempt have been written; called
-     * before any response to the attempt is reported.
+     * Reports that all bytes of an attempt that {@link InFlightAttempt#hasGuard has a guard} have
+     * been written; called before any response to the attempt is reported.
      */
     void attemptWritten(InFlightAttempt inFlight);
 
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -109,7 +109,7 @@
 
   @Override
   public void attemptWritten(InFlightAttempt inFlight) {
-    fencedRequests.written(inFlight);
+    fencedRequests.onWritten(inFlight);
   }
 
   @Override
@@ -124,7 +124,7 @@
     }
     inFlight.transport().release(inFlight);
     AttemptOutcome outcome =
-        inFlight.fenced() ? fencedRequests.ended(inFlight, reported) : reported;
+        inFlight.hasGuard() ? fencedRequests.onEnded(inFlight, reported) : reported;
     if (outcome == AttemptOutcome.SUCCEEDED) {
       requests.succeed(inFlight.pending, ResultEncoder.answer(inFlight.pages));
     }
@@ -140,7 +140,7 @@
    * cancel command is sent, because the engine knows the deadline.
    */
   void timeOut(PendingResponse pending) {
-    pending.inFlightAttempts.forEach(inFlight -> attemptEnded(inFlight, AttemptOutcome.TIMED_OUT));
+    pending.attempts.forEach(inFlight -> attemptEnded(inFlight, AttemptOutcome.TIMED_OUT));
   }
 
   // ---- connections ----
--- a/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
+++ b/gateway/src/main/java/tillerlink/net/state/FencedRequests.java
@@ -43,8 +43,7 @@
       PendingResponse pending = iterator.next();
       if (pending.isSettled()) {
         iterator.remove();
-      } else if (pending.inFlightAttempts.stream()
-              .noneMatch(inFlight -> inFlight.attempt.isInFlight())
+      } else if (pending.attempts.stream().noneMatch(inFlight -> inFlight.attempt.isInFlight())
           && !pending.guard.holds()) {
         withdrawn.add(pending);
         iterator.remove();
@@ -57,13 +56,13 @@
    * Called when an attempt has been written completely. If its guard no longer holds, the attempt
    * may have been written too late, so its result must not be delivered.
    */
-  void written(InFlightAttempt inFlight) {
+  void onWritten(InFlightAttempt inFlight) {
     if (inFlight.confirmedByGuard || !inFlight.attempt.isInFlight()) {
       return;
     }
     inFlight.confirmedByGuard = inFlight.pending.guard.holds();
     if (!inFlight.confirmedByGuard) {
-      inFlight.fencedOff = true;
+      inFlight.resultDiscarded = true;
       context.iteration().runInNextIteration(() -> withdraw(inFlight.pending));
     }
   }
@@ -76,15 +75,15 @@
    * @return the outcome to be passed on: {@link AttemptOutcome#RESPONSE_LOST} for an attempt that
    *     succeeded but may have been written too late
    */
-  AttemptOutcome ended(InFlightAttempt inFlight, AttemptOutcome outcome) {
+  AttemptOutcome onEnded(InFlightAttempt inFlight, AttemptOutcome outcome) {
     if (inFlight.startNotified) {
       inFlight.pending.guard.onAttemptEnded(mayRunUntil(inFlight, outcome));
     }
     if (inFlight.refusedByGuard) {
       withdraw(inFlight.pending);
     } else if (outcome == AttemptOutcome.SUCCEEDED) {
-      inFlight.fencedOff |= !inFlight.confirmedByGuard && !inFlight.pending.guard.holds();
-      if (inFlight.fencedOff) {
+      inFlight.resultDiscarded |= !inFlight.confirmedByGuard && !inFlight.pending.guard.holds();
+      if (inFlight.resultDiscarded) {
         withdraw(inFlight.pending);
         return AttemptOutcome.RESPONSE_LOST;
       }
@@ -120,7 +119,7 @@
             && pending.request.requestClass.config.effect() == Effect.PURE;
     boolean mayRunAgain =
         isPure
-            || pending.inFlightAttempts.stream()
+            || pending.attempts.stream()
                 .allMatch(inFlight -> inFlight.refusedByGuard || !inFlight.attempt.mayHaveRun());
     if (mayRunAgain) {
       requests.reject(pending, pending.guard.retryAfter());
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -53,7 +53,7 @@
    * Whether the guard of the request no longer allowed it after the write, so that its result must
    * not be sent to the client.
    */
-  boolean fencedOff;
+  boolean resultDiscarded;
 
   /** The number of times that the rest of its result was requested on another connection. */
   private int resumptions;
@@ -149,12 +149,12 @@
    * Returns whether the request has a guard, which decides if the result is used, so that the write
    * of the attempt must be reported.
    */
-  public boolean fenced() {
+  public boolean hasGuard() {
     return pending.guard != null;
   }
 
   /** Returns whether the attempt was passed to the channel of a line-protocol connection. */
-  boolean handedOver() {
+  boolean passedToChannel() {
     return writeNumber != UNSENT;
   }
 
@@ -236,7 +236,7 @@
    * @param limit how often that is allowed for one attempt
    * @return whether it was still allowed
    */
-  public boolean tryResume(int limit) {
+  public boolean countAndCheckResumption(int limit) {
     return resumptions++ < limit;
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/InvariantReporter.java
+++ b/gateway/src/main/java/tillerlink/net/state/InvariantReporter.java
@@ -77,7 +77,7 @@
               "engine",
               engine,
               "attempts",
-              pending.inFlightAttempts.size(),
+              pending.attempts.size(),
               "list_state",
               listStatus.state(),
               "version",
--- a/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
+++ b/gateway/src/main/java/tillerlink/net/state/PendingResponse.java
@@ -20,7 +20,7 @@
   final Request request;
 
   /** The attempts that were ordered for this request, by their numbers, including ended ones. */
-  final List<InFlightAttempt> inFlightAttempts = new ArrayList<>(1);
+  final List<InFlightAttempt> attempts = new ArrayList<>(1);
 
   /** The client connection that waits for the answer, or null. */
   ClientConnection waitingConnection;
--- a/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
+++ b/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
@@ -204,7 +204,7 @@
               "id",
               pending.id(),
               "attempts",
-              pending.inFlightAttempts.size(),
+              pending.attempts.size(),
               "after_ms",
               (now - pending.request.arrivedAt) / Units.TENTHS_PER_MS);
       pending.retentionStart = now;
--- a/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
+++ b/http2/src/main/java/tillerlink/net/http2/Http2Transport.java
@@ -142,7 +142,7 @@
   boolean resume(InFlightAttempt inFlight) {
     if (!inFlight.resultStarted()
         || !inFlight.attempt.isInFlight()
-        || !inFlight.tryResume(MAX_RESUMPTIONS)) {
+        || !inFlight.countAndCheckResumption(MAX_RESUMPTIONS)) {
       return false;
     }
     waiting.addFirst(inFlight);
--- a/http2/src/main/java/tillerlink/net/http2/RequestWrites.java
+++ b/http2/src/main/java/tillerlink/net/http2/RequestWrites.java
@@ -34,7 +34,7 @@
   /** The last byte of a stream's request was in the latest write. */
   void onLastByteHandedOver(AttemptStream stream) {
     stream.lastWriteNumber = begun;
-    if (stream.inFlight.fenced()) {
+    if (stream.inFlight.hasGuard()) {
       fenced.add(stream);
     }
   }
