--- a/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
+++ b/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
@@ -90,7 +90,7 @@
 
   @Override
   public void onRequestArrived(long now, Request request) {
-    List<Integer> kinds = settings.numbers("profiles." + request.classIndex + ".models_allowed");
+    List<Integer> kinds = settings.integers("profiles." + request.classIndex + ".models_allowed");
     Engine best = null;
     double least = Double.MAX_VALUE;
     for (Engine engine : engines) {
--- a/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -238,6 +238,6 @@
   /** The fraction of the fleet that changes in a tenth of a millisecond, of late. */
   private double changeRate(long now) {
     long present = Math.max(1, countPresent());
-    return changes.at(now) / present / (CHANGE_RATE_DECAY * longestDeadline);
+    return changes.valueAt(now) / present / (CHANGE_RATE_DECAY * longestDeadline);
   }
 }
--- a/gateway/src/main/java/tillerlink/model/DecayingMean.java
+++ b/gateway/src/main/java/tillerlink/model/DecayingMean.java
@@ -32,13 +32,13 @@
   }
 
   /** Returns the mean at the time {@code now}, prior included. */
-  public double at(long now) {
-    return (values.at(now) + prior * priorWeight) / (weights.at(now) + priorWeight);
+  public double valueAt(long now) {
+    return (values.valueAt(now) + prior * priorWeight) / (weights.valueAt(now) + priorWeight);
   }
 
   /** Returns the total weight of the values at the time {@code now}, without the prior. */
   public double weight(long now) {
-    return weights.at(now);
+    return weights.valueAt(now);
   }
 
   /** Removes all values; the prior remains. */
--- a/gateway/src/main/java/tillerlink/model/DecayingSum.java
+++ b/gateway/src/main/java/tillerlink/model/DecayingSum.java
@@ -20,12 +20,12 @@
 
   /** Adds an amount, which may be negative, at the time {@code now}. */
   public void add(long now, double amount) {
-    sum = at(now) + amount;
+    sum = valueAt(now) + amount;
     updatedAt = now;
   }
 
   /** Returns the sum at the time {@code now}. */
-  public double at(long now) {
+  public double valueAt(long now) {
     return sum == 0 ? 0 : sum * Math.exp((updatedAt - now) / timeConstant);
   }
 
--- a/gateway/src/main/java/tillerlink/model/RequestTimers.java
+++ b/gateway/src/main/java/tillerlink/model/RequestTimers.java
@@ -31,7 +31,7 @@
    * @param now the current time, in tenths of a millisecond
    * @return a request without an outcome, or null if none is due
    */
-  public Request due(long now) {
+  public Request pollDue(long now) {
     while (!timers.isEmpty() && timers.peek().at <= now) {
       Timer timer = timers.poll();
       Request request = timer.request;
@@ -48,7 +48,7 @@
    *
    * @return tenths of a millisecond; {@code Long.MAX_VALUE} if there is no timer
    */
-  public long next() {
+  public long nextDueAt() {
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
   }
 }
--- a/gateway/src/main/java/tillerlink/model/Settings.java
+++ b/gateway/src/main/java/tillerlink/model/Settings.java
@@ -21,7 +21,7 @@
   }
 
   /** Returns a decimal setting, or the default value. */
-  public double amount(String name, double defaultValue) {
+  public double decimal(String name, double defaultValue) {
     return values.get(name) instanceof Number number ? number.doubleValue() : defaultValue;
   }
 
@@ -41,7 +41,7 @@
   }
 
   /** Returns the number at an index, starting at 0, of a list setting, or the default value. */
-  public double nth(String name, int index, double defaultValue) {
+  public double numberAt(String name, int index, double defaultValue) {
     List<?> list = list(name);
     return index < list.size() && list.get(index) instanceof Number number
         ? number.doubleValue()
@@ -49,7 +49,7 @@
   }
 
   /** Returns the boolean at an index, starting at 0, of a list setting; false if it is absent. */
-  public boolean nthFlag(String name, int index) {
+  public boolean flagAt(String name, int index) {
     List<?> list = list(name);
     return index < list.size() && Boolean.TRUE.equals(list.get(index));
   }
@@ -59,7 +59,7 @@
    *
    * @throws ClassCastException if an element is not a number
    */
-  public List<Integer> numbers(String name) {
+  public List<Integer> integers(String name) {
     return has(name)
         ? list(name).stream().map(element -> ((Number) element).intValue()).toList()
         : null;
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -93,7 +93,7 @@
 
   /** Sends a query if one is due, or at once if this process was paused. */
   void pollIfDue(long now) {
-    if (lease.observe(now)) {
+    if (lease.detectPause(now)) {
       nextDueAt = now;
     }
     if (now >= nextDueAt) {
@@ -150,7 +150,7 @@
    * whichever is first, in tenths of a millisecond.
    */
   long dueAt(long now) {
-    return Math.min(nextDueAt, lease.changesAt(now));
+    return Math.min(nextDueAt, lease.nextChangeAt(now));
   }
 
   /** Returns the lease that limits how long the endpoint list from the answers may be used. */
--- a/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -53,7 +53,8 @@
       }
       if (published.startedMs() != startedMs || entry == null) {
         startedAt =
-            StartTime.bounded(published.startedMs() * Units.TENTHS_PER_MS, now, lastMissingAt);
+            StartTime.limitToPossible(
+                published.startedMs() * Units.TENTHS_PER_MS, now, lastMissingAt);
       }
       socketAddress = address;
       startedMs = published.startedMs();
--- a/gateway/src/main/java/tillerlink/policy/ActionReconciler.java
+++ b/gateway/src/main/java/tillerlink/policy/ActionReconciler.java
@@ -99,7 +99,7 @@
       request.attempts.forEach(this::reconcileAttempt);
     }
     changedRequests.clear();
-    long nextWakeupAt = Math.min(timers.next(), watchRetryAt);
+    long nextWakeupAt = Math.min(timers.nextDueAt(), watchRetryAt);
     if (nextWakeupAt < wakeupScheduledFor) {
       wakeupScheduledFor = Math.max(nextWakeupAt, now + 1);
       actions.scheduleWakeup(wakeupScheduledFor);
--- a/gateway/src/main/java/tillerlink/policy/AdmissionController.java
+++ b/gateway/src/main/java/tillerlink/policy/AdmissionController.java
@@ -153,7 +153,7 @@
         Math.max(1, LoadEstimator.latencyObjective(now, first) - estimator.usualTime(now, first));
     double usedShare = (now - first.arrivedAt) / maxWait;
     double maxWork =
-        request.requestClass.work.at(now)
+        request.requestClass.work.valueAt(now)
             * Math.max(0, 1 - usedShare)
             / Math.max(MIN_USED_SHARE, usedShare);
     return LoadEstimator.work(now, request) > maxWork;
--- a/gateway/src/main/java/tillerlink/policy/ConcurrencyLimiter.java
+++ b/gateway/src/main/java/tillerlink/policy/ConcurrencyLimiter.java
@@ -87,7 +87,7 @@
   void surveyFleet(long now) {
     survey.reset();
     for (RequestClass requestClass : estimator.requestClasses()) {
-      survey.offeredWork += requestClass.offeredWork().at(now);
+      survey.offeredWork += requestClass.offeredWork().valueAt(now);
       requestClass.setEligibleCores(0);
     }
     for (Engine engine : registry.engines()) {
@@ -116,7 +116,7 @@
       }
     }
     boolean overloaded = isOverloaded(now, engine);
-    survey.addHealth(overloaded, outliers.isOutlier(now, engine), engine.pace().at(now));
+    survey.addHealth(overloaded, outliers.isOutlier(now, engine), engine.pace().valueAt(now));
     if (reports.isRecent(now, engine)) {
       survey.reportingEngines++;
       survey.meanUtilization += engine.reportedUtilization();
@@ -213,7 +213,7 @@
    * may have run.
    */
   private static double threads(long now, Engine engine) {
-    return engine.threadsInFlight() + engine.abandonedThreads().at(now);
+    return engine.threadsInFlight() + engine.abandonedThreads().valueAt(now);
   }
 
   private static boolean isOverloaded(long now, Engine engine) {
@@ -249,7 +249,7 @@
    * queued.
    */
   void adjustLimit(long now, Engine engine) {
-    double pace = engine.pace().at(now);
+    double pace = engine.pace().valueAt(now);
     if (pace > LoadEstimator.SLOW_PACE) {
       markOverloaded(now, engine);
       reduceLimit(now, engine);
--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -249,7 +249,9 @@
 
   @Override
   public void applyDecisions(long now) {
-    for (Request dueRequest = timers.due(now); dueRequest != null; dueRequest = timers.due(now)) {
+    for (Request dueRequest = timers.pollDue(now);
+        dueRequest != null;
+        dueRequest = timers.pollDue(now)) {
       review(now, dueRequest);
     }
     reconciler.requestWatchIfDue(now);
--- a/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
+++ b/gateway/src/main/java/tillerlink/policy/DiscoveryLease.java
@@ -107,7 +107,7 @@
    * @return whether the process was paused, in which case the discovery service is to be polled at
    *     once
    */
-  public boolean observe(long now) {
+  public boolean detectPause(long now) {
     boolean paused = now > lastIterationAt + Math.max(grace / 2, MIN_PAUSE);
     lastIterationAt = now;
     if (paused) {
@@ -183,7 +183,7 @@
    * Returns the time at which the state changes next without any event, or {@link Long#MAX_VALUE}
    * if it does not change.
    */
-  public long changesAt(long now) {
+  public long nextChangeAt(long now) {
     return switch (state(now)) {
       case CONFIRMED -> confirmedUntil();
       case AWAITED -> outageFrom();
--- a/gateway/src/main/java/tillerlink/policy/EngineSelector.java
+++ b/gateway/src/main/java/tillerlink/policy/EngineSelector.java
@@ -147,7 +147,7 @@
   private void considerOutlier(long now, Engine engine) {
     double chance =
         BetaDistribution.draw(
-            random, 1 + engine.successes().at(now), 1 + engine.failures().at(now));
+            random, 1 + engine.successes().valueAt(now), 1 + engine.failures().valueAt(now));
     if (engine.healthChecksInFlight() == 0 && chance > likeliestOutlierChance) {
       likeliestOutlierChance = chance;
       likeliestOutlier = engine;
@@ -261,7 +261,7 @@
    * than the fleet or still warming up.
    */
   private double effectiveCores(long now, Engine engine) {
-    double slowness = engine.pace().at(now) / survey.meanPace;
+    double slowness = engine.pace().valueAt(now) / survey.meanPace;
     return config.cores(engine)
         * slowStart.warmCapacity(now, engine)
         / (slowness > MIN_SLOWNESS ? slowness : 1);
@@ -282,7 +282,7 @@
       if (other != requestClass
           && other.eligibleCores() < survey.cores
           && other.config.allows(engine)) {
-        boundWorkPerCore += other.offeredWork().at(now) / other.eligibleCores();
+        boundWorkPerCore += other.offeredWork().valueAt(now) / other.eligibleCores();
       }
     }
     return Math.max(
--- a/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
+++ b/gateway/src/main/java/tillerlink/policy/InvariantMonitor.java
@@ -79,11 +79,11 @@
     this.settings = settings;
     grace = settings.number("guarantees.drain_grace", 0);
     budgetPeriod = settings.number("guarantees.budget_span", 0);
-    budgetFloor = settings.amount("guarantees.extra_floor", 0);
-    budgetRatio = settings.amount("guarantees.further_ratio", 0);
+    budgetFloor = settings.decimal("guarantees.extra_floor", 0);
+    budgetRatio = settings.decimal("guarantees.further_ratio", 0);
     slowStartPeriod = settings.number("guarantees.fall", 0);
-    slowStartMultiple = settings.amount("guarantees.fall_multiple", 1);
-    startCapacity = settings.amount("guarantees.start_capacity", 1);
+    slowStartMultiple = settings.decimal("guarantees.fall_multiple", 1);
+    startCapacity = settings.decimal("guarantees.start_capacity", 1);
     warmupTime = settings.number("guarantees.warm_within", 0);
     requests = new SlidingSum(Math.max(1, budgetPeriod), SUM_SLICES);
     retries = new SlidingSum(Math.max(1, budgetPeriod), SUM_SLICES);
@@ -236,7 +236,7 @@
     }
     double progress = Math.max(0, (double) (writtenAt - startedAt) / warmupTime);
     double warmCapacity = startCapacity + (1 - startCapacity) * progress;
-    double cores = Math.max(1, settings.nth("family_info.kind_cores", attempt.engine.kind, 1));
+    double cores = Math.max(1, settings.numberAt("family_info.kind_cores", attempt.engine.kind, 1));
     double meanWork = totalWork / writtenAttempts;
     double allowedRequests = slowStartMultiple * warmCapacity * cores * slowStartPeriod / meanWork;
     return recentWork.lowerBound(writtenAt)
--- a/gateway/src/main/java/tillerlink/policy/LoadEstimator.java
+++ b/gateway/src/main/java/tillerlink/policy/LoadEstimator.java
@@ -131,7 +131,7 @@
   private static void recordPace(long now, RequestClass requestClass, double pace) {
     requestClass.pace.add(now, Math.min(pace, MAX_RATIO * requestClass.bestPaceOrDefault()), 1);
     if (requestClass.pace.weight(now) >= MIN_PACE_ATTEMPTS) {
-      double mean = requestClass.pace.at(now);
+      double mean = requestClass.pace.valueAt(now);
       requestClass.setBestPace(
           requestClass.bestPace() == 0 ? mean : Math.min(requestClass.bestPace(), mean));
     }
@@ -150,7 +150,7 @@
 
   /** Returns whether the attempts that ended recently took little more than their best time. */
   boolean isRecentPaceEasy(long now) {
-    return recentPace.weight(now) >= MIN_PACE_ATTEMPTS && recentPace.at(now) < EASY_PACE;
+    return recentPace.weight(now) >= MIN_PACE_ATTEMPTS && recentPace.valueAt(now) < EASY_PACE;
   }
 
   /**
@@ -159,8 +159,8 @@
    */
   static double work(long now, Request request) {
     return request.workEstimate > 0
-        ? request.workEstimate * request.requestClass.workBias.at(now)
-        : request.requestClass.work.at(now);
+        ? request.workEstimate * request.requestClass.workBias.valueAt(now)
+        : request.requestClass.work.valueAt(now);
   }
 
   /**
@@ -179,7 +179,7 @@
     return (long)
         (nominalTime(now, request)
             * request.requestClass.bestPaceOrDefault()
-            * Math.max(1, engine.pace().at(now)));
+            * Math.max(1, engine.pace().valueAt(now)));
   }
 
   /**
@@ -190,7 +190,7 @@
     RequestClass requestClass = request.requestClass;
     double pace =
         Math.max(
-            requestClass.pace.at(now),
+            requestClass.pace.valueAt(now),
             requestClass.bestPaceOrDefault() * Math.max(1, survey.meanPace));
     return (long) (nominalTime(now, request) * pace);
   }
@@ -212,7 +212,7 @@
    * @return the priority, 0 (lowest) to 3 (highest)
    */
   int priority(long now, Request request) {
-    double usualDensity = offeredWeight.at(now) / Math.max(1, survey.offeredWork);
+    double usualDensity = offeredWeight.valueAt(now) / Math.max(1, survey.offeredWork);
     double weight = request.requestClass.config.priorityWeight();
     double priorityDensity = weight / Math.max(1, work(now, request)) / usualDensity;
     if (priorityDensity >= 4) {
--- a/gateway/src/main/java/tillerlink/policy/MemoryGrants.java
+++ b/gateway/src/main/java/tillerlink/policy/MemoryGrants.java
@@ -19,7 +19,7 @@
    * an estimate. The grant is limited to a share of the engine's memory if that is known.
    */
   void update(long now, Request request, Engine engine) {
-    double memory = request.memoryEstimate * request.requestClass.memoryBias.at(now) * MARGIN;
+    double memory = request.memoryEstimate * request.requestClass.memoryBias.valueAt(now) * MARGIN;
     if (config.grantsMemory && memory > 0) {
       double maxGrant = config.maxGrantShare * config.memory(engine);
       request.setGrant((long) Math.ceil(maxGrant > 0 ? Math.min(memory, maxGrant) : memory));
--- a/gateway/src/main/java/tillerlink/policy/OutlierDetector.java
+++ b/gateway/src/main/java/tillerlink/policy/OutlierDetector.java
@@ -39,9 +39,9 @@
 
   /** Returns whether an engine failed so often recently that it gets only health-check attempts. */
   boolean isOutlier(long now, Engine engine) {
-    double recentFailures = engine.failures().at(now);
+    double recentFailures = engine.failures().valueAt(now);
     return recentFailures > MIN_FAILURES
-        && recentFailures > FAILURE_RATIO * engine.successes().at(now);
+        && recentFailures > FAILURE_RATIO * engine.successes().valueAt(now);
   }
 
   /** Returns whether an engine has sent nothing since an attempt was sent there. */
@@ -69,7 +69,7 @@
   /** Records that an engine was silent for too long, and makes it an outlier. */
   void recordSilence(long now, Engine engine) {
     if (!isOutlier(now, engine)) {
-      engine.failures().add(now, SILENCE_WEIGHT + FAILURE_RATIO * engine.successes().at(now));
+      engine.failures().add(now, SILENCE_WEIGHT + FAILURE_RATIO * engine.successes().valueAt(now));
     }
   }
 
@@ -147,7 +147,7 @@
       DecayingSum oppositeOutcomes) {
     outcomes.add(now, weight);
     if (attempt.healthCheck) {
-      oppositeOutcomes.add(now, -HEALTH_CHECK_CLEARED_SHARE * oppositeOutcomes.at(now));
+      oppositeOutcomes.add(now, -HEALTH_CHECK_CLEARED_SHARE * oppositeOutcomes.valueAt(now));
     }
   }
 }
--- a/gateway/src/main/java/tillerlink/policy/PolicyConfig.java
+++ b/gateway/src/main/java/tillerlink/policy/PolicyConfig.java
@@ -112,19 +112,19 @@
     retryAfter = settings.flag("caps.retry_after") ? settings.number("caps.max_retry_after", 0) : 0;
     keyCooldown = settings.number("guarantees.settle_after_doubt", 0) + tick;
     slowStartPeriod = settings.number("guarantees.fall", 0);
-    slowStartMultiple = settings.amount("guarantees.fall_multiple", 1);
+    slowStartMultiple = settings.decimal("guarantees.fall_multiple", 1);
     warmupTime = settings.number("guarantees.warm_within", 0);
-    startCapacity = settings.amount("guarantees.start_capacity", 1);
+    startCapacity = settings.decimal("guarantees.start_capacity", 1);
     retryBudgetPeriod = settings.number("guarantees.budget_span", 0);
-    retryBudgetFloor = settings.amount("guarantees.extra_floor", 0);
-    retryBudgetRatio = settings.amount("guarantees.further_ratio", 0);
+    retryBudgetFloor = settings.decimal("guarantees.extra_floor", 0);
+    retryBudgetRatio = settings.decimal("guarantees.further_ratio", 0);
     watchesEndpoints = settings.text("discovery").equals("ask");
     reportFields = settings.list("report.fields").stream().map(String::valueOf).toList();
     progressPeriod = settings.number("family_info.tells_every", 0);
     grantsMemory = settings.flag("family_info.grants");
-    maxGrantShare = settings.amount("family_info.max_grant_share", 1);
-    coresByKind = amounts(settings, "family_info.kind_cores", 1);
-    memoryByKind = amounts(settings, "family_info.size_mb", 0);
+    maxGrantShare = settings.decimal("family_info.max_grant_share", 1);
+    coresByKind = decimals(settings, "family_info.kind_cores", 1);
+    memoryByKind = decimals(settings, "family_info.size_mb", 0);
     requestClasses = requestClasses(settings);
     minLatencyObjective = latencyObjectives().min().orElse(Long.MAX_VALUE);
     maxLatencyObjective = Math.max(1, latencyObjectives().max().orElse(1));
@@ -148,9 +148,9 @@
     return requestClasses.stream().mapToLong(RequestClassConfig::latencyObjective);
   }
 
-  private static List<Double> amounts(Settings settings, String name, double defaultValue) {
+  private static List<Double> decimals(Settings settings, String name, double defaultValue) {
     return IntStream.range(0, settings.list(name).size())
-        .mapToObj(index -> settings.nth(name, index, defaultValue))
+        .mapToObj(index -> settings.numberAt(name, index, defaultValue))
         .collect(Collectors.toCollection(ArrayList::new));
   }
 
@@ -170,16 +170,16 @@
         deduplicationGroup(settings.text(prefix + "group")),
         settings.number(prefix + "window", 0),
         Math.max(1, settings.number(prefix + "aim", deadline)),
-        settings.amount(prefix + "aim_stretch", 0),
+        settings.decimal(prefix + "aim_stretch", 0),
         deadline,
-        settings.amount(prefix + "worth", 1),
-        settings.amount(prefix + "late_worth", 0),
-        (int) Math.max(1, settings.nth("family_info.width_by_class", index, 1)),
-        settings.nthFlag("family_info.loads", index),
-        settings.nthFlag("family_info.waits_for_loads", index),
+        settings.decimal(prefix + "worth", 1),
+        settings.decimal(prefix + "late_worth", 0),
+        (int) Math.max(1, settings.numberAt("family_info.width_by_class", index, 1)),
+        settings.flagAt("family_info.loads", index),
+        settings.flagAt("family_info.waits_for_loads", index),
         settings.flag(prefix + "keep_order"),
-        settings.numbers(prefix + "zones_open"),
-        settings.numbers(prefix + "models_allowed"));
+        settings.integers(prefix + "zones_open"),
+        settings.integers(prefix + "models_allowed"));
   }
 
   private static Effect effect(String semantics) {
--- a/gateway/src/main/java/tillerlink/policy/RetryPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/RetryPolicy.java
@@ -87,11 +87,12 @@
   static boolean isProjectedTooSlow(long now, Attempt attempt) {
     RequestClass requestClass = attempt.request.requestClass;
     double margin = requestClass.bestPace() > 0 ? 1 : UNMEASURED_CLASS_MARGIN;
-    double enginePace = Math.max(1, attempt.engine.pace().at(now));
+    double enginePace = Math.max(1, attempt.engine.pace().valueAt(now));
     double usualTime =
         margin
             * attempt.nominalTime
-            * Math.max(requestClass.pace.at(now), requestClass.bestPaceOrDefault() * enginePace);
+            * Math.max(
+                requestClass.pace.valueAt(now), requestClass.bestPaceOrDefault() * enginePace);
     double projectedTime = projectedTime(now, attempt);
     return projectedTime > TOO_SLOW_PACE * usualTime
         && projectedTime - (now - attempt.sentAt) > LoadEstimator.SLOW_PACE * usualTime;
--- a/gateway/src/main/java/tillerlink/policy/StartTime.java
+++ b/gateway/src/main/java/tillerlink/policy/StartTime.java
@@ -19,7 +19,7 @@
    * @return the limited start in tenths of a millisecond; {@code reportedStart} if that is 0 or
    *     less
    */
-  public static long bounded(long reportedStart, long now, long missingAt) {
+  public static long limitToPossible(long reportedStart, long now, long missingAt) {
     if (reportedStart <= 0) {
       return reportedStart;
     }
--- a/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
+++ b/gateway/src/test/java/tillerlink/policy/DiscoveryLeaseTest.java
@@ -41,7 +41,7 @@
     assertEquals(until, lease.usableUntil(START + SECOND));
     assertEquals(EndpointListState.CONFIRMED, lease.state(until - 1));
     assertEquals(EndpointListState.AWAITED, lease.state(until));
-    assertEquals(until, lease.changesAt(START));
+    assertEquals(until, lease.nextChangeAt(START));
   }
 
   /** An outstanding poll may have been answered at once, with the answer lost on its way. */
@@ -94,13 +94,13 @@
   void pauseResetsTheCountOfUnansweredPolls() {
     confirm(START);
     for (int i = 0; i < 6; i++) {
-      lease.observe(START + 4_000 + i * 1_250L);
+      lease.detectPause(START + 4_000 + i * 1_250L);
       lease.onPollSent(START + 4_000 + i * 1_250L);
     }
     assertEquals(EndpointListState.DEGRADED, lease.state(START + 20_000));
-    assertTrue(lease.observe(START + 40_000));
+    assertTrue(lease.detectPause(START + 40_000));
     assertEquals(EndpointListState.AWAITED, lease.state(START + 40_000));
-    assertFalse(lease.observe(START + 41_000));
+    assertFalse(lease.detectPause(START + 41_000));
   }
 
   /**
@@ -111,7 +111,7 @@
   void outdatedAnswersDoNotConfirmTheListButPostponeItsExpiry() {
     confirm(START);
     for (long polledAt = START + 4_000; polledAt < START + 200_000; polledAt += 2_500) {
-      lease.observe(polledAt);
+      lease.detectPause(polledAt);
       lease.onPollSent(polledAt);
       lease.onOutdatedAnswer(polledAt + 10);
     }
@@ -127,7 +127,7 @@
     confirm(START);
     int awaitedTime = 0;
     for (long now = START; now < START + 60 * SECOND; now += 500) {
-      lease.observe(now);
+      lease.detectPause(now);
       if ((now - START) % 2_500 == 0) {
         lease.onPollSent(now);
       }
@@ -154,7 +154,7 @@
       long firstLostAt = Long.MAX_VALUE;
       long nextPollAt = START;
       for (long now = START; now < START + 20 * SECOND; now += 250) {
-        randomLease.observe(now);
+        randomLease.detectPause(now);
         if (now >= nextPollAt) {
           randomLease.onPollSent(now);
           boolean lost = random.nextInt(3) == 0;
--- a/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
+++ b/gateway/src/test/java/tillerlink/policy/StartTimeTest.java
@@ -15,16 +15,16 @@
 
   @Test
   void possibleReportedStartIsReturnedUnchanged() {
-    assertEquals(NOW - SECOND, StartTime.bounded(NOW - SECOND, NOW, NOW - SECOND));
-    assertEquals(NOW - HOUR, StartTime.bounded(NOW - HOUR, NOW, Long.MIN_VALUE));
-    assertEquals(0, StartTime.bounded(0, NOW, NOW - SECOND));
+    assertEquals(NOW - SECOND, StartTime.limitToPossible(NOW - SECOND, NOW, NOW - SECOND));
+    assertEquals(NOW - HOUR, StartTime.limitToPossible(NOW - HOUR, NOW, Long.MIN_VALUE));
+    assertEquals(0, StartTime.limitToPossible(0, NOW, NOW - SECOND));
   }
 
   /** Otherwise the engine would count as cold, and get no attempts, for an hour. */
   @Test
   void startInTheFutureBecomesNow() {
-    assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, Long.MIN_VALUE));
-    assertEquals(NOW, StartTime.bounded(NOW + HOUR, NOW, NOW - SECOND));
+    assertEquals(NOW, StartTime.limitToPossible(NOW + HOUR, NOW, Long.MIN_VALUE));
+    assertEquals(NOW, StartTime.limitToPossible(NOW + HOUR, NOW, NOW - SECOND));
   }
 
   /** Otherwise an engine that has just started would count as warm, and be overloaded. */
@@ -32,6 +32,6 @@
   void startLongBeforeTheProcessWasSeenMissingIsLimited() {
     assertEquals(
         NOW - SECOND - DiscoveryLease.ASSUMED_NOTIFIED_AFTER,
-        StartTime.bounded(NOW - HOUR, NOW, NOW - SECOND));
+        StartTime.limitToPossible(NOW - HOUR, NOW, NOW - SECOND));
   }
 }
