--- a/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayExtensionTest.java
@@ -134,16 +134,16 @@
     GatewayFixture gateway =
         withExtension(new GatewayFixture())
             .clientSends("c1", "GET /v1/later HTTP/1.1\r\nHost: a\r\n\r\n")
-            .comment("the next call waits its turn")
+            .comment("the next request waits until the first is answered")
             .clientSends("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
             .advance(2000)
             .printWhetherAllAnswered();
     gateway
         .iterate(() -> extension.pendingReplies.get(0).answer(HttpResponse.done()))
-        .comment("told twice")
+        .comment("answered twice")
         .iterate(() -> extension.pendingReplies.get(0).answer(HttpResponse.done()));
     gateway
-        .comment("the client goes before the answer")
+        .comment("the client disconnects before the answer")
         .clientSends("c2", "PUT /v1/later HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n")
         .clientDisconnects("c2", DisconnectReason.CLOSED_BY_PEER)
         .iterate(() -> extension.pendingReplies.get(1).answer(HttpResponse.done()))
@@ -170,20 +170,22 @@
   void attemptIsWrittenOnlyWhileItsGuardHolds() {
     GatewayFixture gateway = new GatewayFixture();
     for (String requestClass : List.of("aside/look", "aside/book")) {
-      gateway.comment(requestClass + ": it holds").restart();
+      gateway.comment(requestClass + ": the guard holds").restart();
       withExtension(gateway)
           .post("c1", ID, requestClass)
           .get("c1", ID)
           .engineConnects(0)
           .engineSends(0, ID + " ok count=1 0||");
-      gateway.comment(requestClass + ": not before anything is written").restart();
+      gateway.comment(requestClass + ": the guard does not hold before the write").restart();
       withExtension(gateway, false).post("c1", ID, requestClass).get("c1", ID);
-      gateway.comment(requestClass + ": not any more once the connection is up").restart();
+      gateway
+          .comment(requestClass + ": the guard no longer holds when the connection opens")
+          .restart();
       withExtension(gateway, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
           .engineConnects(0);
-      gateway.comment(requestClass + ": not any more once it was written").restart();
+      gateway.comment(requestClass + ": the guard no longer holds after the write").restart();
       withExtension(gateway, true, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
@@ -192,7 +194,7 @@
       gateway
           .comment(
               requestClass
-                  + ": the answer comes before it is known to be written, and it does not hold")
+                  + ": the response precedes the notice of the write, and the guard does not hold")
           .restart()
           .blockWrites();
       withExtension(gateway, true, true, false)
@@ -202,7 +204,7 @@
           .engineSends(0, ID + " ok count=1 0||")
           .unblockWrites();
       gateway
-          .comment(requestClass + ": an earlier hop may have run, the next does not go")
+          .comment(requestClass + ": an earlier attempt may have run, the next is not written")
           .restart();
       withExtension(gateway, true, true, true, false)
           .post("c1", ID, requestClass)
@@ -210,13 +212,13 @@
           .engineConnects(0)
           .engineDisconnects(0, DisconnectReason.RESET);
       gateway
-          .comment(requestClass + ": an earlier hop surely did not run, the next does not go")
+          .comment(requestClass + ": an earlier attempt did not run, the next is not written")
           .restart();
       withExtension(gateway, true, false)
           .post("c1", ID, requestClass)
           .get("c1", ID)
           .engineDisconnects(0, DisconnectReason.REFUSED);
-      gateway.comment(requestClass + ": written in time, it may end").restart();
+      gateway.comment(requestClass + ": written in time, the guard may cease to hold").restart();
       withExtension(gateway)
           .post("c1", ID, requestClass)
           .get("c1", ID)
--- a/gateway/src/test/java/tillerlink/GatewayFixture.java
+++ b/gateway/src/test/java/tillerlink/GatewayFixture.java
@@ -444,12 +444,12 @@
 
     @Override
     public void abort() {
-      print(name + " dropped");
+      print(name + " aborted");
     }
 
     @Override
     public void pauseReading(boolean paused) {
-      print(name + (paused ? " not read" : " read again"));
+      print(name + (paused ? " reading paused" : " reading resumed"));
     }
   }
 }
--- a/gateway/src/test/java/tillerlink/GatewayTest.java
+++ b/gateway/src/test/java/tillerlink/GatewayTest.java
@@ -32,7 +32,7 @@
         .engineSends(0, ID + " batch pos=2 6|c\t3\tz\n|")
         .engineSends(0, ID + " batch pos=1 6|b\t2\ty\n|");
     gateway
-        .comment("the same again after a broken connection")
+        .comment("the answer is fetched again after the client's connection broke")
         .clientDisconnects("c1", DisconnectReason.RESET)
         .get("c2", ID)
         .advance(2500)
@@ -50,20 +50,20 @@
     GatewayFixture gateway = new GatewayFixture();
     for (DisconnectReason reason : List.of(DisconnectReason.REFUSED, DisconnectReason.RESET)) {
       gateway
-          .comment("before it was connected: " + reason)
+          .comment("connection ends before it opens: " + reason)
           .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
           .engineDisconnects(0, reason);
     }
     gateway
-        .comment("it never comes up")
+        .comment("connection never opens")
         .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
         .advance(300);
     gateway
-        .comment("reset before it was wholly written")
+        .comment("connection reset before the attempt was completely written")
         .restart()
         .blockWrites()
         .post("c1", ID, "book")
@@ -73,7 +73,7 @@
     for (DisconnectReason reason :
         List.of(DisconnectReason.RESET, DisconnectReason.CLOSED_BY_PEER)) {
       gateway
-          .comment("after it was written: " + reason)
+          .comment("connection ends after the attempt was written: " + reason)
           .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
@@ -82,7 +82,7 @@
     }
     for (String status : List.of("refused", "stale", "error")) {
       gateway
-          .comment("the engine says " + status)
+          .comment("the engine responds with " + status)
           .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
@@ -90,7 +90,7 @@
           .engineSends(0, ID + " " + status + " - 0||");
     }
     gateway
-        .comment("a page is lost")
+        .comment("a page of the result is lost")
         .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
@@ -105,7 +105,7 @@
             ID + " ok count=1 1|ab|",
             ID + " batch pos=1 0||")) {
       gateway
-          .comment("it can't be read")
+          .comment("unreadable response")
           .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
@@ -113,14 +113,14 @@
           .engineSends(0, response);
     }
     gateway
-        .comment("nobody is there any more")
+        .comment("the engine no longer answers")
         .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
         .engineConnects(0)
         .advance(800);
     gateway
-        .comment("a result too long")
+        .comment("result too long")
         .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
@@ -146,16 +146,16 @@
     GatewayFixture gateway =
         new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
-        .comment("more than belongs to it")
+        .comment("response to an unknown attempt, then the first page twice")
         .engineSends(0, "00000000000000ff ok count=1 0||")
         .engineSends(0, ID + " ok count=2" + page)
         .engineSends(0, ID + " ok count=2" + page)
-        .comment("a page spoilt: asked for again")
+        .comment("unreadable page: requested again on a new connection")
         .engineSends(0, ID + " batch pos=1 4|a\tb\n|")
         .engineConnects(1);
     gateway.engineSends(1, ID + " batch pos=1" + page).engineSends(1, ID + " batch pos=1" + page);
     gateway
-        .comment("the first page spoilt beside another hop")
+        .comment("unreadable first page while other attempts are pending")
         .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
@@ -164,7 +164,7 @@
         .post("c3", "00000000000000a3", "look")
         .engineSends(0, ID + " ok count=1 6|a\t1\u0001x\n|");
     gateway
-        .comment("no end comes")
+        .comment("the rest of a response never arrives")
         .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
@@ -172,7 +172,7 @@
         .engineSends(0, ID + " ok count=1 60|a\t1")
         .advance(300);
     gateway
-        .comment("it breaks off on the way")
+        .comment("connection closed in the middle of a response")
         .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
@@ -180,7 +180,7 @@
         .engineSends(0, ID + " ok cou")
         .engineDisconnects(0, DisconnectReason.CLOSED_BY_PEER);
     gateway
-        .comment("the connection alone is dead")
+        .comment("only the connection is dead: a new one to the engine opens")
         .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
@@ -188,9 +188,9 @@
         .advance(350)
         .engineConnects(1)
         .advance(100);
-    for (String failure : List.of("nobody is there any more", "no connection comes up any more")) {
+    for (String failure : List.of("new connections are refused", "no new connection opens")) {
       gateway
-          .comment("it has run, its connection breaks while its result comes, and " + failure)
+          .comment("the attempt was executed, its connection breaks during the result, " + failure)
           .restart()
           .post("c1", ID, "book")
           .get("c1", ID)
@@ -198,7 +198,7 @@
           .engineSends(0, ID + " ok count=2" + page)
           .engineDisconnects(0, DisconnectReason.RESET);
       gateway =
-          failure.startsWith("nobody")
+          failure.startsWith("new")
               ? gateway
                   .engineDisconnects(1, DisconnectReason.REFUSED)
                   .engineDisconnects(2, DisconnectReason.REFUSED)
@@ -218,14 +218,14 @@
     GatewayFixture gateway =
         new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
-        .comment("quiet, but it works")
+        .comment("silent connection, but the engine answers the liveness check")
         .advance(200)
         .engineSends(0, "0 yes - 0||")
-        .comment("quiet again, for longer, and nobody is there")
+        .comment("silent again, and the engine no longer answers")
         .advance(750);
     gateway.engineConnects(2).engineSends(2, ID + " ok count=1 6|a\t1\tx\n|");
     gateway
-        .comment("quiet, and nobody listens any more")
+        .comment("silent connection, and the engine refuses a new one")
         .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
@@ -233,7 +233,7 @@
         .advance(350)
         .engineDisconnects(1, DisconnectReason.REFUSED);
     gateway
-        .comment("it does not say that it works, but a new connection comes up")
+        .comment("liveness check unanswered, but a new connection opens")
         .restart()
         .post("c1", ID, "look")
         .get("c1", ID)
@@ -245,9 +245,9 @@
         .post("c2", "00000000000000a3", "look")
         .post("c2", "00000000000000a4", "look");
     gateway
-        .comment("a late answer is as good")
+        .comment("a late response is used")
         .engineSends(0, ID + " ok count=1 0||")
-        .comment("a later answer to what is over is no fault")
+        .comment("a response to an ended attempt is not an error")
         .engineSends(0, ID + " progress - 0||")
         .assertMatches("net-silence");
   }
@@ -265,7 +265,7 @@
             .engineConnects(0)
             .pauseGateway(3000);
     gateway
-        .comment("what was said meanwhile is heard first")
+        .comment("input received during the pause is processed first")
         .engineSends(0, ID + " progress tell=frac,reading=0.9 0||")
         .assertMatches("net-stood-still");
   }
@@ -280,7 +280,7 @@
     gateway
         .muteTrace(false)
         .post("c1", "00000000000f00a1", "look")
-        .comment("answers that nobody fetches are kept until their clients have gone");
+        .comment("unfetched answers are stored until their retention period elapses");
     gateway
         .muteTrace(true)
         .advance(6000)
@@ -295,10 +295,10 @@
     GatewayFixture gateway =
         new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
-        .comment("by DELETE")
+        .comment("cancelled by DELETE")
         .clientSends("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n");
     gateway
-        .comment("by a close before the path was out")
+        .comment("cancelled by closing before the answer to the submission is written")
         .blockWrites()
         .post("c3", "00000000000000a2", "look")
         .clientDisconnects("c3", DisconnectReason.CLOSED_BY_PEER);
@@ -335,14 +335,16 @@
           "c2",
           "POST /v1/look HTTP/1.1\r\nHost: a\r\n" + headers + "Content-Length: 8\r\n\r\nSELECT 1");
     }
-    gateway.comment("a load without its mark, nothing to run, no text").post("c2", ID, "load");
+    gateway
+        .comment("a load without an idempotency key, an empty body, a body with NUL")
+        .post("c2", ID, "load");
     String validHead =
         "POST /v1/look HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: " + ID + "\r\nX-Deadline-Ms: 5\r\n";
     gateway
         .clientSends("c2", validHead + "Content-Length: 0\r\n\r\n")
         .clientSends("c2", validHead + "Content-Length: 1\r\n\r\n\0");
     gateway
-        .comment("a body that waits to be asked for")
+        .comment("a body that is sent after 100 Continue")
         .clientSends(
             "c3",
             "POST /v1/look HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n"
@@ -352,26 +354,24 @@
         .clientSends("c3", "SELECT 1");
     gateway
         .comment(
-            "the same once more, for a client whose connection broke; the id with another"
-                + " statement")
+            "the request again, as after a broken connection; its id with another" + " statement")
         .post("c2", ID, "look")
         .clientSends("c2", validHead + "Content-Length: 8\r\n\r\nSELECT 2");
     gateway
-        .comment("a body that hides a call")
+        .comment("a body that may hide another request")
         .clientSends(
             "c5",
             validHead + "Content-Length: 8\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nGET ");
     gateway
-        .comment(
-            "60 MB to come: refused, what comes is thrown away for a while, then no longer read")
+        .comment("a body of 60 MB: refused, discarded for a while, then reading is paused")
         .clientSends("c6", validHead + "Content-Length: 60000000\r\n\r\n")
         .clientSends("c6", "x".repeat(200_000))
         .clientSends("c6", "x".repeat(200_000));
     gateway
-        .comment("half a call")
+        .comment("an incomplete request")
         .clientSends("c4", "POST /v1/lo")
         .advance(1000)
-        .comment("and a little more")
+        .comment("more bytes of it, but not all")
         .clientSends("c4", "ok")
         .advance(10000);
     gateway.assertMatches("net-bad-calls");
@@ -391,7 +391,7 @@
     }
     gateway
         .muteTrace(false)
-        .comment("409 are connected, and had time to speak")
+        .comment("409 clients are connected and had time to send a request")
         .advance(150)
         .clientSends("late1", "")
         .clientSends("late2", "");
@@ -401,14 +401,14 @@
     }
     gateway
         .muteTrace(false)
-        .comment("those who asked once go next; nobody who had no time to speak")
+        .comment("clients that sent one request are next; none without time to send one")
         .advance(1)
         .clientSends("last", "")
         .muteTrace(true);
     gateway
         .advance(150)
         .muteTrace(false)
-        .comment("now they had")
+        .comment("now they had time to send a request")
         .clientSends("later", "")
         .assertMatches("net-bound");
   }
@@ -419,7 +419,7 @@
     GatewayFixture gateway = new GatewayFixture().blockWrites();
     gateway
         .clientSends("c1", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n".repeat(3))
-        .comment("the first answer is out")
+        .comment("the first answer is written")
         .unblockWrites();
     gateway
         .comment("a client that does not read")
@@ -438,31 +438,30 @@
     GatewayFixture gateway =
         new GatewayFixture().post("c1", ID, "look").get("c1", ID).engineConnects(0);
     gateway
-        .comment("the engine restarted under its name, the other is gone: a new connection")
+        .comment("the engine restarted with the same id, the other was removed")
         .discoveryAnswers(5, "e1 ready 127.0.0.1:5050 east std 0 1700000000000")
         .engineSends(0, "0 yes - 0||")
         .post("c2", "00000000000000a2", "look")
         .engineConnects(1);
     gateway
-        .comment("older news are dropped")
+        .comment("an older list is ignored")
         .discoveryAnswers(4, "e9 ready 127.0.0.9:5050 east std 0 0")
         .engineSends(1, "0 yes - 0||")
         .post("c2", "00000000000000a3", "look");
     gateway
-        .comment("another engine under its address")
+        .comment("another engine at its address")
         .discoveryAnswers(6, "e2 ready 127.0.0.1:5050 east std 0 0")
         .post("c3", "00000000000000a4", "look")
         .engineConnects(2);
     gateway
-        .comment(
-            "restarted elsewhere while a connection to it comes up: what waits for that goes anew")
+        .comment("restarted at another address while a connection opens: another is opened")
         .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
         .discoveryAnswers(5, "e1 ready 127.0.0.3:5050 east std 0 1700000000000")
         .engineConnects(1);
     gateway
-        .comment("drains while a connection to it comes up: nothing is written there")
+        .comment("drains while a connection to it opens: the attempt is not written")
         .restart()
         .post("c1", ID, "book")
         .get("c1", ID)
@@ -470,7 +469,7 @@
             5, "e1 draining 127.0.0.1:5050 east std 0 0", "e2 ready 127.0.0.2:5050 east std 0 0")
         .engineConnects(0);
     gateway
-        .comment("drains while what was said still waits here for a peer that does not read")
+        .comment("drains while the attempt is buffered, because the engine does not read")
         .restart()
         .blockWrites()
         .post("c1", ID, "book")
@@ -492,15 +491,12 @@
     GatewayFixture gateway =
         new GatewayFixture()
             .advance(500)
-            .comment("the process stands still, then what had come is read bit by bit")
+            .comment("the process is paused, then the received input is read in parts")
             .pauseGateway(600);
     for (int i = 1; i <= 4; i++) {
       gateway.post("c" + i, "00000000000000a" + i, "look").advance(40);
     }
-    gateway
-        .comment("a gap, and what comes after it")
-        .advance(100)
-        .post("c5", "00000000000000a5", "look");
+    gateway.comment("input after a gap").advance(100).post("c5", "00000000000000a5", "look");
     gateway
         .engineConnects(1)
         .engineConnects(2)
@@ -517,18 +513,18 @@
   void truncatedDiscoveryAnswerStillDrainsEngines() {
     GatewayFixture gateway =
         new GatewayFixture()
-            .comment("e1 drains; its address, and all of e2, had no room")
+            .comment("truncated: e1 drains, without its address; e2 is missing")
             .discoveryAnswersTruncated(5, "e1 draining 127.0.0.1:5050 east std 0 0");
     for (int i = 0; i < 3; i++) {
       gateway.post("c" + i, "00000000000000a" + i, "look").engineConnects(i);
     }
     gateway
-        .comment("older news in part")
+        .comment("an older, truncated list")
         .discoveryAnswersTruncated(4, "e2 draining 127.0.0.2:5050 east std 0 0")
         .post("c4", "00000000000000a4", "look")
         .engineConnects(3);
     gateway
-        .comment("the whole of the same number")
+        .comment("the complete list with the same serial")
         .discoveryAnswers(
             5, "e2 ready 127.0.0.2:5050 east std 0 0", "e3 ready 127.0.0.3:5050 east std 0 0")
         .post("c5", "00000000000000a5", "look");
@@ -549,12 +545,12 @@
             .engineConnects(0)
             .advance(100);
     gateway
-        .comment("the client leaves; the engine has read nothing")
+        .comment("the request is cancelled; the engine has read nothing")
         .clientSends("c2", "DELETE /v1/calls/" + ID + " HTTP/1.1\r\nHost: a\r\n\r\n")
         .advance(150)
         .engineDisconnects(0, DisconnectReason.RESET);
     gateway
-        .comment("one that has read all")
+        .comment("the engine has read the whole attempt")
         .unblockWrites()
         .post("c3", "00000000000000a2", "look")
         .get("c3", "00000000000000a2")
@@ -580,7 +576,7 @@
         .postOrdered("c3", "00000000000000a3", "y")
         .engineConnects(1);
     gateway
-        .comment("the first is over")
+        .comment("the first request has ended")
         .engineSends(0, "00000000000000a1 ok count=1 0||")
         .assertMatches("net-order");
   }
@@ -592,7 +588,7 @@
             .post("c1", ID, "look")
             .get("c1", ID)
             .engineConnects(0)
-            .comment("told to end")
+            .comment("the drain begins")
             .drain();
     gateway
         .clientSends("c2", "GET /healthz HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -601,7 +597,7 @@
     gateway
         .engineSends(0, ID + " ok count=1 0||")
         .printWhetherAllAnswered()
-        .comment("time is up")
+        .comment("the shutdown deadline passes")
         .passShutdownDeadline()
         .get("c2", "00000000000000a2")
         .printWhetherAllAnswered()
@@ -615,14 +611,16 @@
   @Test
   void longestIdleConnectionIsClosedIfEnginesOutnumberConnections() {
     GatewayFixture gateway =
-        new GatewayFixture().fleet(40, 12).comment("40 engines, four connections: a hop on each");
+        new GatewayFixture()
+            .fleet(40, 12)
+            .comment("40 engines, four connections: an attempt on each");
     for (int i = 0; i < 4; i++) {
       gateway.post("c" + i, "00000000000000b" + i, "look").engineConnects(i);
     }
     gateway
-        .comment("none is idle")
+        .comment("no connection is idle")
         .post("c4", "00000000000000b4", "look")
-        .comment("the second is idle longer than the first")
+        .comment("the second connection is idle longer than the first")
         .engineSends(1, "00000000000000b1 ok count=1 0||")
         .advance(20)
         .engineSends(0, "00000000000000b0 ok count=1 0||");
@@ -640,19 +638,19 @@
             .withMinimalSettings()
             .post("c1", ID, "look")
             .get("c1", ID)
-            .comment("not up for a soft limit")
+            .comment("connection not open within a latency objective")
             .advance(399)
             .advance(2);
     gateway
-        .comment("the next is up")
+        .comment("the next connection opens")
         .post("c2", OTHER_ID, "look")
         .get("c2", OTHER_ID)
         .engineConnects(1)
         .engineSends(1, OTHER_ID + " ok count=1 6|a\t1\tx\n|");
     gateway
-        .comment("idle for a deadline")
+        .comment("idle for less than a deadline")
         .advance(4_800)
-        .comment("and no longer")
+        .comment("idle for longer than a deadline")
         .advance(400)
         .assertMatches("net-unstated");
     int queriesBefore = gateway.silenceDiscovery().discoveryQueries();
