--- a/gateway/src/main/java/tillerlink/model/Attempt.java
+++ b/gateway/src/main/java/tillerlink/model/Attempt.java
@@ -1,8 +1,8 @@
 package tillerlink.model;
 
 /**
- * One attempt to execute a request on an engine. Times are tenths of a millisecond. Not
- * thread-safe: used by the event-loop thread only.
+ * One attempt to execute a request on an engine. Times are tenths of a millisecond. Confined to the
+ * event-loop thread.
  */
 public final class Attempt {
   public final Request request;
--- a/gateway/src/main/java/tillerlink/model/Engine.java
+++ b/gateway/src/main/java/tillerlink/model/Engine.java
@@ -6,8 +6,7 @@
 
 /**
  * The state of one engine in this gateway: its entry in the endpoint list, and the counts and
- * measurements of the policy. Times are tenths of a millisecond. Not thread-safe: used by the
- * event-loop thread only.
+ * measurements of the policy. Times are tenths of a millisecond. Confined to the event-loop thread.
  */
 public final class Engine {
   /** The status of an engine's process according to the endpoint list. */
--- a/gateway/src/main/java/tillerlink/model/Request.java
+++ b/gateway/src/main/java/tillerlink/model/Request.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A client's request and its progress through the gateway. Times are tenths of a millisecond. Not
- * thread-safe: used by the event-loop thread only.
+ * A client's request and its progress through the gateway. Times are tenths of a millisecond.
+ * Confined to the event-loop thread.
  */
 public final class Request {
   /** An opaque handle of the code that runs the policy. The policy never reads it. */
--- a/gateway/src/main/java/tillerlink/net/io/DiscoverySocket.java
+++ b/gateway/src/main/java/tillerlink/net/io/DiscoverySocket.java
@@ -10,8 +10,8 @@
 import org.apache.mina.transport.socket.nio.NioDatagramConnector;
 
 /**
- * The datagram socket over which the discovery service is queried. Owned by the event-loop thread;
- * MINA's threads only post the received datagrams to the queue of that thread.
+ * The datagram socket over which the discovery service is queried. Confined to the event-loop
+ * thread; MINA's threads only post the received datagrams to the queue of that thread.
  */
 final class DiscoverySocket {
   private final Queue<Runnable> queue;
--- a/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
+++ b/gateway/src/main/java/tillerlink/net/lifecycle/GracefulShutdown.java
@@ -8,7 +8,7 @@
  * learn of the shutdown late. It then accepts nothing further: new requests are refused, idle
  * connections are closed, and connections with a pending request are closed after its response.
  * Time is reserved for writing the last responses and for clients to close their side, because a
- * process that exits with unread bytes resets its connections. Used on the event-loop thread only;
+ * process that exits with unread bytes resets its connections. Confined to the event-loop thread;
  * all times are tenths of a millisecond.
  */
 final class GracefulShutdown {
--- a/gateway/src/main/java/tillerlink/net/state/AttemptWrites.java
+++ b/gateway/src/main/java/tillerlink/net/state/AttemptWrites.java
@@ -4,7 +4,7 @@
 
 /**
  * The numbered writes of one line-protocol connection: tracks which of them are complete, and which
- * carry attempts. Owned by the event-loop thread; all times are tenths of a millisecond.
+ * carry attempts. Confined to the event-loop thread; all times are tenths of a millisecond.
  */
 final class AttemptWrites {
   /**
--- a/gateway/src/main/java/tillerlink/net/state/CarriedAttempts.java
+++ b/gateway/src/main/java/tillerlink/net/state/CarriedAttempts.java
@@ -9,7 +9,7 @@
 
 /**
  * The attempts on one line-protocol connection by their ids, and the ids of those that ended on it
- * most recently. Owned by the event-loop thread.
+ * most recently. Confined to the event-loop thread.
  */
 final class CarriedAttempts {
   /**
--- a/gateway/src/main/java/tillerlink/net/state/ConnectionLiveness.java
+++ b/gateway/src/main/java/tillerlink/net/state/ConnectionLiveness.java
@@ -8,8 +8,8 @@
  * within another half, the connection is silent: it takes no further attempts, and a new connection
  * shows whether the engine can be reached at all. A response of any kind ends the silence.
  *
- * <p>This class does no I/O: the connection sends the probes. Owned by the event-loop thread; all
- * times are tenths of a millisecond.
+ * <p>This class does no I/O: the connection sends the probes. Confined to the event-loop thread;
+ * all times are tenths of a millisecond.
  */
 public final class ConnectionLiveness {
   /** The action to take on a silent connection. */
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -26,7 +26,7 @@
  * gateways were started at the same moment and would otherwise send their queries in step
  * indefinitely.
  *
- * <p>Owned by the event-loop thread; all times are tenths of a millisecond.
+ * <p>Confined to the event-loop thread; all times are tenths of a millisecond.
  */
 final class DiscoveryClient {
   private static final int MAX_OUTSTANDING = 8;
--- a/gateway/src/main/java/tillerlink/net/state/EndpointList.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointList.java
@@ -14,8 +14,8 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * The endpoint list: the engines by their ids as last published, each with its transport. Owned by
- * the event-loop thread; all times are tenths of a millisecond.
+ * The endpoint list: the engines by their ids as last published, each with its transport. Confined
+ * to the event-loop thread; all times are tenths of a millisecond.
  */
 final class EndpointList {
   private final Map<String, EngineAddress> engines = new LinkedHashMap<>();
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
@@ -4,7 +4,7 @@
 
 /**
  * The version and state of the endpoint list in force, as logged by other classes. {@link
- * EndpointList} sets the version, {@link EndpointListWatch} the state. Owned by the event-loop
+ * EndpointList} sets the version, {@link EndpointListWatch} the state. Confined to the event-loop
  * thread.
  */
 final class EndpointListStatus {
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
@@ -13,7 +13,7 @@
 /**
  * An updater that applies watch events of the discovery service to the endpoint list and notifies
  * the dispatch policy of the changes. It starts from the endpoint cache if the discovery service is
- * unavailable when the gateway starts. Owned by the event-loop thread; all times are tenths of a
+ * unavailable when the gateway starts. Confined to the event-loop thread; all times are tenths of a
  * millisecond.
  */
 final class EndpointListUpdater {
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
@@ -9,8 +9,8 @@
 
 /**
  * A watch on the endpoint list: polls the discovery service, applies its answers, and notifies the
- * dispatch policy when the time until which the list may be used changes. Owned by the event-loop
- * thread; all times are tenths of a millisecond.
+ * dispatch policy when the time until which the list may be used changes. Confined to the
+ * event-loop thread; all times are tenths of a millisecond.
  */
 final class EndpointListWatch {
   private final GatewayContext context;
--- a/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineAddress.java
@@ -8,7 +8,7 @@
 import tillerlink.policy.StartTime;
 
 /**
- * The address of an engine, with its state and the transport that reaches it. Owned by the
+ * The address of an engine, with its state and the transport that reaches it. Confined to the
  * event-loop thread; times are tenths of a millisecond unless a name ends in "Ms".
  */
 public final class EngineAddress {
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -11,7 +11,7 @@
 
 /**
  * A connection to an engine over the platform's line protocol, which can carry several attempts at
- * once. Owned by the event-loop thread; all times are tenths of a millisecond.
+ * once. Confined to the event-loop thread; all times are tenths of a millisecond.
  */
 final class EngineConnection implements Channel.Owner {
   private static final String PROBE_ID = "0";
--- a/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineResponseHandler.java
@@ -7,7 +7,7 @@
 
 /**
  * A handler that applies the responses on one line-protocol connection to its attempts, and
- * requests the further pages of their results. Owned by the event-loop thread.
+ * requests the further pages of their results. Confined to the event-loop thread.
  */
 final class EngineResponseHandler {
   private static final int MAX_PAGES = 64;
--- a/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineTransportOwner.java
@@ -10,7 +10,7 @@
 
 /**
  * The owner that the transports of all engines share: limits their connections, and passes the
- * results of attempts on to clients and to the dispatch policy. Owns the endpoint list; owned by
+ * results of attempts on to clients and to the dispatch policy. Owns the endpoint list. Confined to
  * the event-loop thread.
  */
 final class EngineTransportOwner implements EngineTransport.Owner {
--- a/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
+++ b/gateway/src/main/java/tillerlink/net/state/InFlightAttempt.java
@@ -9,7 +9,7 @@
 
 /**
  * An attempt in flight, with the connection that carries it and the part of its result that was
- * received. Owned by the event-loop thread; times are tenths of a millisecond unless a name says
+ * received. Confined to the event-loop thread; times are tenths of a millisecond unless a name says
  * otherwise.
  */
 public final class InFlightAttempt {
--- a/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
+++ b/gateway/src/main/java/tillerlink/net/state/LineProtocolTransport.java
@@ -8,8 +8,8 @@
 
 /**
  * A transport to one engine over the platform's line protocol. Each of its connections carries as
- * many attempts at once as the settings allow. Owned by the event-loop thread; all times are tenths
- * of a millisecond.
+ * many attempts at once as the settings allow. Confined to the event-loop thread; all times are
+ * tenths of a millisecond.
  */
 final class LineProtocolTransport implements EngineTransport {
   /** The limit on how often the missing pages of one result are requested on other connections. */
--- a/gateway/src/main/java/tillerlink/net/state/PauseDetector.java
+++ b/gateway/src/main/java/tillerlink/net/state/PauseDetector.java
@@ -8,7 +8,7 @@
 /**
  * A detector of pauses of this process, which show as event-loop iterations that begin much later
  * than they were due. It also determines which input may have arrived during a pause although it
- * was read only after it. Owned by the event-loop thread; all times are tenths of a millisecond.
+ * was read only after it. Confined to the event-loop thread; all times are tenths of a millisecond.
  */
 final class PauseDetector {
   /** The delay of an iteration beyond which the process counts as paused. */
--- a/gateway/src/main/java/tillerlink/net/state/RateLimitedWarning.java
+++ b/gateway/src/main/java/tillerlink/net/state/RateLimitedWarning.java
@@ -6,7 +6,7 @@
 
 /**
  * A log for warnings that writes at most one line a second, so that a repeated fault does not fill
- * the log. Owned by the event-loop thread; all times are tenths of a millisecond.
+ * the log. Confined to the event-loop thread; all times are tenths of a millisecond.
  */
 final class RateLimitedWarning {
   private static final Logger LOG = LoggerFactory.getLogger(Gateway.class);
--- a/gateway/src/main/java/tillerlink/telemetry/EventLog.java
+++ b/gateway/src/main/java/tillerlink/telemetry/EventLog.java
@@ -12,7 +12,7 @@
  * A structured log of events: each line has a topic, the event, and fields as {@code key=value}.
  * Each topic is rate-limited by its own token bucket, so that a repeated fault neither fills the
  * log nor uses up the processor. Suppressed lines are counted, and the count is added to the next
- * line of that topic. Not thread-safe: owned by the thread that owns the logged state.
+ * line of that topic. Confined to the event-loop thread.
  */
 public final class EventLog {
   /** The subject of a log line. */
--- a/gateway/src/main/java/tillerlink/telemetry/Metrics.java
+++ b/gateway/src/main/java/tillerlink/telemetry/Metrics.java
@@ -8,9 +8,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The counters and gauges of one gateway, exposed in the Prometheus text format. Not thread-safe:
- * owned by the thread that owns the measured state. Label values come only from enums of the
- * program, so the number of series is bounded.
+ * The counters and gauges of one gateway, exposed in the Prometheus text format. Confined to the
+ * event-loop thread. Label values come only from enums of the program, so the number of series is
+ * bounded.
  */
 public final class Metrics {
   private static final String UNLABELLED = "";
