--- a/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
+++ b/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
@@ -61,8 +61,8 @@
   }
 
   @Override
-  public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
-    if (whole) {
+  public void onEndpointsChanged(long now, boolean complete, List<EndpointUpdate> entries) {
+    if (complete) {
       engines.forEach(engine -> engine.status = Status.GONE);
     }
     for (EndpointUpdate entry : entries) {
@@ -90,7 +90,7 @@
 
   @Override
   public void onRequestArrived(long now, Request request) {
-    List<Integer> kinds = settings.numbers("profiles." + request.classIndex + ".models_allowed");
+    List<Integer> kinds = settings.integers("profiles." + request.classIndex + ".models_allowed");
     Engine best = null;
     double least = Double.MAX_VALUE;
     for (Engine engine : engines) {
--- a/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/CachedEndpoint.java
@@ -94,7 +94,7 @@
    * @param atMs the Unix time in milliseconds since which the endpoint has been gone
    */
   CachedEndpoint asGone(long atMs) {
-    return new CachedEndpoint(entry.as(Status.GONE), atMs);
+    return new CachedEndpoint(entry.withStatus(Status.GONE), atMs);
   }
 
   boolean isGone() {
--- a/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/EndpointHistory.java
@@ -163,7 +163,7 @@
     if (lossDeferred) {
       // No new requests are sent to the endpoints left out, but they remain known until the loss
       // is accepted.
-      lost.forEach(id -> effective.add(endpoints.get(id).entry().as(Status.DRAINING)));
+      lost.forEach(id -> effective.add(endpoints.get(id).entry().withStatus(Status.DRAINING)));
     } else {
       lost.forEach(id -> endpoints.put(id, endpoints.get(id).asGone(now / TENTHS_PER_MS)));
       recentChanges.add(now, lost.size());
@@ -175,7 +175,7 @@
     receivedList = true;
     evictLongGone(now);
     persistChanges(now);
-    return new EndpointWatchEvent(event.index(), event.whole(), event.partial(), effective);
+    return new EndpointWatchEvent(event.serial(), event.complete(), event.partial(), effective);
   }
 
   /**
@@ -185,7 +185,7 @@
    */
   private Set<String> missingFrom(EndpointWatchEvent event) {
     Set<String> lost = new LinkedHashSet<>();
-    if (event.whole()) {
+    if (event.complete()) {
       Set<String> listed = new HashSet<>();
       event.entries().forEach(entry -> listed.add(entry.id()));
       endpoints.forEach(
@@ -259,6 +259,6 @@
   /** Returns the recent fraction of the fleet that changes per tenth of a millisecond. */
   private double changeRate(long now) {
     long present = Math.max(1, countPresent());
-    return recentChanges.at(now) / present / (CHANGE_RATE_DECAY_DEADLINES * longestDeadline);
+    return recentChanges.valueAt(now) / present / (CHANGE_RATE_DECAY_DEADLINES * longestDeadline);
   }
 }
--- a/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
+++ b/endpointcache/src/main/java/tillerlink/endpointcache/PersistentEndpointCache.java
@@ -45,7 +45,7 @@
    * @param maxBytes the maximum size of the persisted entries
    */
   public static EndpointCache open(Path parent, GatewayConfig config, long maxAge, long maxBytes) {
-    Settings settings = new Settings(FlattenedConfig.of(config.terms()));
+    Settings settings = new Settings(FlattenedConfig.of(config.settings()));
     long longestDeadline = 1;
     for (int i = 0; i < settings.number("profiles", 0); i++) {
       longestDeadline =
--- a/fakes/src/test/java/tillerlink/fakes/FakesTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/FakesTest.java
@@ -26,13 +26,13 @@
   void commandsAreParsedAtEverySplit() {
     byte[] all =
         joined(
-            EngineCommand.want(
+            EngineCommand.run(
                 "a1", "look", 500, "k", "SELECT 1\r\n".getBytes(StandardCharsets.UTF_8)),
-            EngineCommand.turn("a1", 2),
-            EngineCommand.there("0"),
+            EngineCommand.fetchPage("a1", 2),
+            EngineCommand.checkLiveness("0"),
             EngineCommand.cancel("a1"),
-            EngineCommand.shut("a1"),
-            EngineCommand.want("a2", "load", 9, null, "x".getBytes(StandardCharsets.UTF_8)));
+            EngineCommand.release("a1"),
+            EngineCommand.run("a2", "load", 9, null, "x".getBytes(StandardCharsets.UTF_8)));
     for (int split = 0; split <= all.length; split++) {
       EngineCommandParser parser = new EngineCommandParser();
       StringBuilder parsed = new StringBuilder();
@@ -79,10 +79,10 @@
   void responsesAreParsedAtEverySplit() {
     byte[] all =
         joined(
-            HttpResponse.goOn(),
-            HttpResponse.goOnAt("/v1/calls/a").encoded(),
-            HttpResponse.problem(503, "Full", 250).encoded(),
-            HttpResponse.done().closingConnection().encoded());
+            HttpResponse.continueResponse(),
+            HttpResponse.continueAt("/v1/calls/a").encode(),
+            HttpResponse.problem(503, "Full", 250).encode(),
+            HttpResponse.done().closingConnection().encode());
     for (int split = 0; split <= all.length; split++) {
       HttpResponseParser parser = new HttpResponseParser();
       StringBuilder parsed = new StringBuilder();
@@ -154,7 +154,7 @@
             new EndpointEntry("e2", "127.0.0.9", 5051, "west", "big-16", 0, Status.DRAINING, 2, 0),
             new EndpointEntry("e3", "127.0.0.3", 5052, "west", "big-16", 0, Status.GONE, 2, 0));
     byte[] answer = DiscoveryResponse.withId(0xabcd, DiscoveryResponse.of(7, 70_001, list));
-    assertEquals(list.subList(0, 2), Dns.answer(answer, 0xabcd).entries());
-    assertEquals(70_001, Dns.answer(answer, 0xabcd).index());
+    assertEquals(list.subList(0, 2), Dns.parseAnswer(answer, 0xabcd).entries());
+    assertEquals(70_001, Dns.parseAnswer(answer, 0xabcd).serial());
   }
 }
--- a/gateway/src/main/java/tillerlink/net/state/AttemptWrites.java
+++ b/gateway/src/main/java/tillerlink/net/state/AttemptWrites.java
@@ -4,7 +4,7 @@
 
 /**
  * The numbered writes of one line-protocol connection: tracks which of them are complete, and which
- * carry attempts. Owned by the event-loop thread; all times are tenths of a millisecond.
+ * carry attempts. Confined to the event-loop thread; all times are tenths of a millisecond.
  */
 final class AttemptWrites {
   /**
@@ -76,7 +76,7 @@
 
   /** Returns whether an attempt was passed to the channel and its write is not complete. */
   boolean isPending(InFlightAttempt inFlight) {
-    return inFlight.pages == null && inFlight.handedOver() && !isCompleted(inFlight);
+    return inFlight.pages == null && inFlight.passedToChannel() && !isCompleted(inFlight);
   }
 
   /** Returns whether the write of a cancelled attempt is still pending. */
--- a/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
+++ b/gateway/src/main/java/tillerlink/net/state/DiscoveryClient.java
@@ -26,7 +26,7 @@
  * gateways were started at the same moment and would otherwise send their queries in step
  * indefinitely.
  *
- * <p>Owned by the event-loop thread; all times are tenths of a millisecond.
+ * <p>Confined to the event-loop thread; all times are tenths of a millisecond.
  */
 final class DiscoveryClient {
   private static final int MAX_OUTSTANDING = 8;
@@ -93,7 +93,7 @@
 
   /** Sends a query if one is due, or at once if this process was paused. */
   void pollIfDue(long now) {
-    if (lease.observe(now)) {
+    if (lease.detectPause(now)) {
       nextDueAt = now;
     }
     if (now >= nextDueAt) {
@@ -142,7 +142,7 @@
     }
     telemetry.metrics().add(Counter.DISCOVERY_QUERIES);
     lease.onPollSent(now);
-    driver.sendDiscoveryQuery(Dns.query(id));
+    driver.sendDiscoveryQuery(Dns.encodeQuery(id));
   }
 
   /**
@@ -150,7 +150,7 @@
    * whichever is first, in tenths of a millisecond.
    */
   long dueAt(long now) {
-    return Math.min(nextDueAt, lease.changesAt(now));
+    return Math.min(nextDueAt, lease.nextChangeAt(now));
   }
 
   /** Returns the lease that limits how long the endpoint list from the answers may be used. */
@@ -171,23 +171,23 @@
   /**
    * Parses an answer and renews the lease.
    *
-   * @param knownIndex the index of the newest complete watch event that was applied; an answer with
-   *     a lower index does not confirm the endpoint list
+   * @param knownSerial the serial of the newest complete watch event that was applied; an answer
+   *     with a lower serial does not confirm the endpoint list
    * @return the watch event in the answer
    * @throws IllegalArgumentException if the datagram answers no outstanding query or cannot be
    *     parsed; the message states the reason
    */
-  EndpointWatchEvent onAnswer(long now, byte[] datagram, long knownIndex) {
-    int id = Dns.id(datagram);
+  EndpointWatchEvent onAnswer(long now, byte[] datagram, long knownSerial) {
+    int id = Dns.messageId(datagram);
     Query query =
         outstanding.stream().filter(candidate -> candidate.id == id).findFirst().orElse(null);
     if (query == null) {
       throw new IllegalArgumentException("answer id " + id + " matches no outstanding query");
     }
     outstanding.remove(query);
-    EndpointWatchEvent event = Dns.answer(datagram, id);
+    EndpointWatchEvent event = Dns.parseAnswer(datagram, id);
     logAnswer(now, query, event);
-    if (event.index() >= knownIndex) {
+    if (event.serial() >= knownSerial) {
       lease.onPollAnswered(query.sentAt, now);
     } else {
       lease.onOutdatedAnswer(now);
@@ -209,7 +209,7 @@
                   ? "discovery service answers again"
                   : "first answer of the discovery service",
               "version",
-              event.index(),
+              event.serial(),
               "unanswered",
               unanswered - 1,
               "asked_ms_ago",
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListStatus.java
@@ -4,14 +4,14 @@
 
 /**
  * The version and state of the endpoint list in force, as logged by other classes. {@link
- * EndpointList} sets the version, {@link EndpointListWatch} the state. Owned by the event-loop
+ * EndpointList} sets the version, {@link EndpointListWatch} the state. Confined to the event-loop
  * thread.
  */
 final class EndpointListStatus {
   private long version;
   private EndpointListState state = EndpointListState.AWAITED;
 
-  /** Returns the index of the newest complete watch event that was applied. */
+  /** Returns the serial of the newest complete watch event that was applied. */
   long version() {
     return version;
   }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListUpdater.java
@@ -13,7 +13,7 @@
 /**
  * An updater that applies watch events of the discovery service to the endpoint list and notifies
  * the dispatch policy of the changes. It starts from the endpoint cache if the discovery service is
- * unavailable when the gateway starts. Owned by the event-loop thread; all times are tenths of a
+ * unavailable when the gateway starts. Confined to the event-loop thread; all times are tenths of a
  * millisecond.
  */
 final class EndpointListUpdater {
@@ -58,12 +58,13 @@
   /**
    * Applies the lists that are known at the start, or the cached list if these are empty.
    *
-   * @param known the endpoint lists that the configuration contains
+   * @param initialUpdates the endpoint lists that the configuration contains
    */
-  void start(long now, List<EndpointWatchEvent> known) {
-    known.forEach(event -> apply(now, event));
+  void start(long now, List<EndpointWatchEvent> initialUpdates) {
+    initialUpdates.forEach(event -> apply(now, event));
     endpoints.forgetListTime();
-    if (endpointCache != null && known.stream().allMatch(event -> event.entries().isEmpty())) {
+    if (endpointCache != null
+        && initialUpdates.stream().allMatch(event -> event.entries().isEmpty())) {
       startWithoutList(now);
     }
   }
@@ -75,7 +76,7 @@
    */
   boolean apply(long now, EndpointWatchEvent received) {
     EndpointWatchEvent completed = endpoints.complete(received);
-    boolean newer = completed.index() > endpoints.index();
+    boolean newer = completed.serial() > endpoints.serial();
     EndpointWatchEvent event =
         endpointCache != null && newer
             ? endpointCache.onEndpointsReceived(now, completed)
@@ -89,20 +90,20 @@
               Topic.DISCOVERY,
               "endpoint list updated",
               "version",
-              event.index(),
+              event.serial(),
               "engines",
               updates.size(),
               "whole",
-              event.whole(),
+              event.complete(),
               "newer",
               newer);
-      invariants.onEndpointsChanged(now, event.whole(), updates);
-      policy.onEndpointsChanged(now, event.whole(), updates);
+      invariants.onEndpointsChanged(now, event.complete(), updates);
+      policy.onEndpointsChanged(now, event.complete(), updates);
     }
     if (startedWithoutList && newer) {
       startedWithoutList = false;
       policy.onEndpointsUnknown(now, false);
-      LOG.info("discovery service answers; endpoint list version {}", event.index());
+      LOG.info("discovery service answers; endpoint list version {}", event.serial());
     }
     return updates != null;
   }
--- a/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
+++ b/gateway/src/main/java/tillerlink/net/state/EndpointListWatch.java
@@ -9,8 +9,8 @@
 
 /**
  * A watch on the endpoint list: polls the discovery service, applies its answers, and notifies the
- * dispatch policy when the time until which the list may be used changes. Owned by the event-loop
- * thread; all times are tenths of a millisecond.
+ * dispatch policy when the time until which the list may be used changes. Confined to the
+ * event-loop thread; all times are tenths of a millisecond.
  */
 final class EndpointListWatch {
   private final GatewayContext context;
@@ -37,10 +37,10 @@
   /**
    * Applies the endpoint lists that are known when the process starts.
    *
-   * @param known the endpoint lists that the configuration contains
+   * @param initialUpdates the endpoint lists that the configuration contains
    */
-  void start(List<EndpointWatchEvent> known) {
-    updater.start(context.now(), known);
+  void start(List<EndpointWatchEvent> initialUpdates) {
+    updater.start(context.now(), initialUpdates);
   }
 
   /** Polls the discovery service if a poll is due, and updates the state of the endpoint list. */
@@ -72,7 +72,7 @@
               "list_age_ms",
               client.lease().age(now) / Units.TENTHS_PER_MS,
               "version",
-              endpoints.index());
+              endpoints.serial());
     }
     if (state != status.state() || until != usableUntil) {
       status.setState(state);
@@ -93,7 +93,7 @@
   void onDatagram(byte[] datagram) {
     long now = context.now();
     try {
-      if (updater.apply(now, client.onAnswer(now, datagram, endpoints.index()))) {
+      if (updater.apply(now, client.onAnswer(now, datagram, endpoints.serial()))) {
         context.policyEvents().requireDecisions();
       }
     } catch (IllegalArgumentException e) {
--- a/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
+++ b/gateway/src/main/java/tillerlink/net/state/EngineConnection.java
@@ -11,7 +11,7 @@
 
 /**
  * A connection to an engine over the platform's line protocol, which can carry several attempts at
- * once. Owned by the event-loop thread; all times are tenths of a millisecond.
+ * once. Confined to the event-loop thread; all times are tenths of a millisecond.
  */
 final class EngineConnection implements Channel.Owner {
   private static final String PROBE_ID = "0";
@@ -48,8 +48,6 @@
     channel = owner.connect(engineAddress.socketAddress(), this);
   }
 
-  // ---- attempts ----
-
   String engineId() {
     return engineAddress.id;
   }
@@ -98,18 +96,18 @@
     }
     SendVerdict verdict = inFlight.checkWrite();
     if (verdict == SendVerdict.ALLOWED) {
-      want(inFlight);
+      writeAttempt(inFlight);
     } else {
       owner.attemptBlocked(inFlight, verdict);
       transport.endUnsent(inFlight, DisconnectReason.WITHDRAWN);
     }
   }
 
-  private void want(InFlightAttempt inFlight) {
+  private void writeAttempt(InFlightAttempt inFlight) {
     long millisLeft = inFlight.millisLeft(owner.now());
     long deadline = owner.writeDeadline(inFlight);
     channel.writeUntil(
-        EngineCommand.want(
+        EngineCommand.run(
             inFlight.id(),
             inFlight.requestClass(),
             millisLeft,
@@ -127,7 +125,7 @@
 
   /** Cancels an attempt and returns the outcome, which states if it may have been executed. */
   AttemptOutcome cancel(InFlightAttempt inFlight) {
-    boolean passedToChannel = inFlight.handedOver();
+    boolean passedToChannel = inFlight.passedToChannel();
     if (passedToChannel && !closed) {
       writes.onCancelled(inFlight);
       write(EngineCommand.cancel(inFlight.id()));
@@ -166,7 +164,7 @@
     if (written != null) {
       InFlightAttempt inFlight = written.inFlight();
       owner.attemptSent(inFlight, firstByteAt, written.deadline(), written.announcedWait());
-      if (inFlight.fenced()) {
+      if (inFlight.hasGuard()) {
         owner.attemptWritten(inFlight);
       }
     }
@@ -197,7 +195,7 @@
           response = parser.next()) {
         responses.handle(response);
       }
-      partialSince = !parser.midway() ? 0 : partialSince == 0 ? now : partialSince;
+      partialSince = !parser.hasPartialResponse() ? 0 : partialSince == 0 ? now : partialSince;
     } catch (IllegalArgumentException e) {
       owner.warnRateLimited(
           "unreadable response from engine " + engineId() + ": " + e.getMessage());
@@ -209,7 +207,9 @@
   @Override
   public void onClosed(DisconnectReason reason) {
     end(
-        aborted ? DisconnectReason.HELD_BACK : parser.midway() ? DisconnectReason.GARBLED : reason,
+        aborted
+            ? DisconnectReason.HELD_BACK
+            : parser.hasPartialResponse() ? DisconnectReason.GARBLED : reason,
         true);
   }
 
@@ -287,7 +287,7 @@
   private boolean checkInput(long now, long connectTimeout) {
     if (liveness.isOpen() && !attempts.isEmpty() && liveness.probeDue(now, connectTimeout)) {
       liveness.onProbeSent(now, connectTimeout);
-      write(EngineCommand.there(PROBE_ID));
+      write(EngineCommand.checkLiveness(PROBE_ID));
       return true;
     }
     if (partialSince > 0 && now >= partialSince + connectTimeout) {
@@ -372,8 +372,8 @@
     boolean resumable =
         reason != DisconnectReason.CLOSED_BY_US && reason != DisconnectReason.SILENT;
     if (!resumable || !transport.resume(inFlight)) {
-      boolean maybeReceived = writesKnown ? writes.isCompleted(inFlight) : inFlight.handedOver();
-      owner.attemptEnded(inFlight, reason.outcome(maybeReceived || inFlight.pages != null));
+      boolean mayHaveRun = writesKnown ? writes.isCompleted(inFlight) : inFlight.passedToChannel();
+      owner.attemptEnded(inFlight, reason.outcome(mayHaveRun || inFlight.pages != null));
     }
   }
 
--- a/gateway/src/main/java/tillerlink/net/state/Gateway.java
+++ b/gateway/src/main/java/tillerlink/net/state/Gateway.java
@@ -87,7 +87,7 @@
       EngineTransport.Factory transportFactory,
       EndpointCache endpointCache,
       Telemetry telemetry) {
-    Map<String, Object> flattened = FlattenedConfig.of(config.terms());
+    Map<String, Object> flattened = FlattenedConfig.of(config.settings());
     Settings settings = new Settings(flattened);
     context = GatewayContext.create(driver, now, settings, telemetry);
     clients =
@@ -114,7 +114,7 @@
     EndpointListUpdater updater =
         new EndpointListUpdater(endpoints, policy, context.monitor(), endpointCache, telemetry);
     endpointWatch = new EndpointListWatch(context, discoveryClient, updater, endpoints);
-    endpointWatch.start(config.known());
+    endpointWatch.start(config.initialEndpointUpdates());
     eventLoop =
         new EventLoopIteration(
             context, clients, transports, endpointWatch, actions, networkSettings);
@@ -126,7 +126,7 @@
     metrics.gauge(
         "endpoint_list_version",
         "Number of the last event of the endpoint list.",
-        transports.endpoints()::index);
+        transports.endpoints()::serial);
     metrics.gauge(
         "engine_connections",
         "Engine connections open or being opened.",
--- a/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
+++ b/gateway/src/main/java/tillerlink/net/state/RequestRegistry.java
@@ -99,7 +99,7 @@
    * request can be accepted.
    */
   private HttpResponse answerWithoutAccepting(SubmitRequest submitted, int requestClass) {
-    if (submitted.patience() > MAX_DEADLINE_FACTOR * classes.longestDeadline()) {
+    if (submitted.timeLimit() > MAX_DEADLINE_FACTOR * classes.longestDeadline()) {
       return HttpResponse.problem(400, "X-Deadline-Ms", 0);
     }
     if (submitted.key() == null && classes.requiresKey(requestClass)) {
@@ -107,8 +107,8 @@
     }
     PendingResponse existing = byId.get(submitted.id());
     if (existing != null) {
-      return !existing.cancelled && existing.submitted.same(submitted)
-          ? HttpResponse.goOnAt(RESULT_PATH + submitted.id())
+      return !existing.cancelled && existing.submitted.isRepeatedBy(submitted)
+          ? HttpResponse.continueAt(RESULT_PATH + submitted.id())
           : HttpResponse.problem(409, "Known", 0);
     }
     if (byId.size() >= maxRequests || retained.isFull()) {
@@ -138,7 +138,7 @@
     pending.guard = guard;
     byId.put(submitted.id(), pending);
     retained.add(submitted.statement().length);
-    reply.answer(HttpResponse.goOnAt(RESULT_PATH + submitted.id()));
+    reply.answer(HttpResponse.continueAt(RESULT_PATH + submitted.id()));
     context.policyEvents().requestArrived(pending);
     return pending;
   }
@@ -204,7 +204,7 @@
               "id",
               pending.id(),
               "attempts",
-              pending.inFlightAttempts.size(),
+              pending.attempts.size(),
               "after_ms",
               (now - pending.request.arrivedAt) / Units.TENTHS_PER_MS);
       pending.retentionStart = now;
--- a/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
+++ b/gateway/src/main/java/tillerlink/policy/DefaultDispatchPolicy.java
@@ -86,8 +86,8 @@
   }
 
   @Override
-  public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
-    registry.update(whole, entries);
+  public void onEndpointsChanged(long now, boolean complete, List<EndpointUpdate> entries) {
+    registry.update(complete, entries);
     reconciler.cancelWatchRetry();
   }
 
@@ -115,7 +115,7 @@
     request.requestClass = estimator.requestClasses().get(request.classIndex);
     budget.recordRequest(now);
     estimator.recordArrival(now, request);
-    if (request.ordered()) {
+    if (request.isOrdered()) {
       request.keyQueue.requests.addLast(request);
       timers.set(request, deadlines.tooLateAt(now, request));
       ordering.advance(now, request);
@@ -206,7 +206,7 @@
   private void resume(long now, Request request) {
     if (!request.attempts.isEmpty()) {
       retryOrTerminate(now, request);
-    } else if (request.ordered()) {
+    } else if (request.isOrdered()) {
       ordering.advance(now, request);
     } else {
       queues.addFirst(request);
@@ -249,7 +249,9 @@
 
   @Override
   public void applyDecisions(long now) {
-    for (Request dueRequest = timers.due(now); dueRequest != null; dueRequest = timers.due(now)) {
+    for (Request dueRequest = timers.pollDue(now);
+        dueRequest != null;
+        dueRequest = timers.pollDue(now)) {
       review(now, dueRequest);
     }
     reconciler.requestWatchIfDue(now);
