--- a/harness/src/main/java/tillerlink/harness/ClientSockets.java
+++ b/harness/src/main/java/tillerlink/harness/ClientSockets.java
@@ -11,7 +11,7 @@
 import org.apache.mina.transport.socket.nio.NioSocketConnector;
 import tillerlink.replay.ClientTransport;
 
-/** Socket connections of clients to gateway processes. */
+/** A client transport that connects simulated clients to gateway processes over TCP sockets. */
 final class ClientSockets implements ClientTransport, Closeable {
   private static final String CONNECTION = "connection";
 
@@ -20,6 +20,13 @@
   private final boolean[] up;
   private final NioSocketConnector connector = new NioSocketConnector(1);
 
+  /**
+   * Creates the transport; all gateways count as down until {@link #setUp} is called.
+   *
+   * @param gateways the client address of each gateway, by its index
+   * @param post runs a callback on the thread that owns the clients, because MINA calls its
+   *     handlers on its own threads
+   */
   ClientSockets(InetSocketAddress[] gateways, Consumer<Runnable> post) {
     this.gateways = gateways;
     this.post = post;
@@ -28,6 +35,7 @@
     connector.setHandler(new Handler());
   }
 
+  /** Sets whether clients may connect to a gateway. */
   void setUp(int gateway, boolean isUp) {
     up[gateway] = isUp;
   }
@@ -58,10 +66,10 @@
     connector.dispose(false);
   }
 
-  /** What is sent before the connection is open waits. */
+  /** A client's connection. Bytes that are sent before it is open are queued until it is. */
   private static final class SocketConnection implements Connection {
     private final Listener listener;
-    private final ArrayDeque<byte[]> waiting = new ArrayDeque<>();
+    private final ArrayDeque<byte[]> unsent = new ArrayDeque<>();
     private IoSession session;
     private boolean closed;
 
@@ -74,7 +82,7 @@
       if (closed) {
         session.closeNow();
       }
-      for (byte[] bytes = waiting.poll(); bytes != null; bytes = waiting.poll()) {
+      for (byte[] bytes = unsent.poll(); bytes != null; bytes = unsent.poll()) {
         session.write(IoBuffer.wrap(bytes));
       }
     }
@@ -82,7 +90,7 @@
     @Override
     public void send(byte[] bytes) {
       if (session == null) {
-        waiting.add(bytes);
+        unsent.add(bytes);
       } else {
         session.write(IoBuffer.wrap(bytes));
       }
@@ -110,6 +118,7 @@
     }
   }
 
+  /** Forwards MINA's events to the thread that owns the clients. */
   private final class Handler extends IoHandlerAdapter {
     @Override
     public void sessionOpened(IoSession session) {
--- a/harness/src/main/java/tillerlink/harness/EngineSockets.java
+++ b/harness/src/main/java/tillerlink/harness/EngineSockets.java
@@ -29,15 +29,15 @@
 import tillerlink.net.state.DisconnectReason;
 
 /**
- * Fake engines on loopback: the emulated engines behind sockets. Each gateway reaches each engine
- * at a port of its own, which identifies the gateway.
+ * The listening sockets of the emulated engines on loopback. Each engine has a separate port for
+ * each gateway, so that the port of a connection identifies the gateway.
  */
 final class EngineSockets implements Closeable {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
   private static final int ACCEPT_BACKLOG = 256;
   private static final String CONNECTION = "connection";
 
-  /** The engine behind a port, and the gateway that connects there. */
+  /** The engine that listens on a port, and the index of the gateway that connects to it. */
   private record Listener(EmulatedEngine engine, int gateway) {}
 
   private final EmulatedCluster cluster;
@@ -47,6 +47,13 @@
   private final Map<String, List<InetSocketAddress>> ports = new HashMap<>();
   private final Set<EmulatedEngine> closed = new HashSet<>();
 
+  /**
+   * Creates the sockets' acceptor; {@link #open} starts to listen for an engine.
+   *
+   * @param cluster the cluster that the engines belong to
+   * @param post runs a callback on the thread that owns the cluster, because MINA calls its
+   *     handlers on its own threads
+   */
   EngineSockets(EmulatedCluster cluster, Consumer<Runnable> post) {
     this.cluster = cluster;
     this.post = post;
@@ -56,7 +63,11 @@
     acceptor.setHandler(new Handler());
   }
 
-  /** Listens for an engine that has come up. */
+  /**
+   * Opens one port for each gateway for an engine that has started.
+   *
+   * @throws IllegalStateException if a port cannot be opened
+   */
   void open(EmulatedEngine engine) {
     List<InetSocketAddress> enginePorts = new ArrayList<>();
     for (int gateway = 0; gateway < cluster.fleet.gateways(); gateway++) {
@@ -75,7 +86,7 @@
     ports.put(engine.spec.name(), enginePorts);
   }
 
-  /** Where a gateway reaches an engine. */
+  /** Returns the address at which a gateway reaches an engine. */
   InetSocketAddress port(String engine, int gateway) {
     return ports.get(engine).get(gateway);
   }
@@ -95,7 +106,7 @@
     acceptor.dispose(false);
   }
 
-  /** A gateway's connection to an engine. */
+  /** An engine's end of a connection from a gateway. */
   private final class SocketConnection implements ServerConnection {
     private final Listener listener;
     private final IoSession session;
@@ -157,7 +168,7 @@
         try {
           ((SocketSessionConfig) session.getConfig()).setSoLinger(0);
         } catch (RuntimeIoException e) {
-          // The gateway closed it in the meantime.
+          // The gateway has closed the connection in the meantime, so there is nothing to reset.
         }
       }
       session.closeNow();
@@ -173,6 +184,7 @@
     }
   }
 
+  /** Forwards MINA's events to the thread that owns the cluster. */
   private final class Handler extends IoHandlerAdapter {
     @Override
     public void sessionOpened(IoSession session) {
--- a/harness/src/main/java/tillerlink/harness/GatewayProcess.java
+++ b/harness/src/main/java/tillerlink/harness/GatewayProcess.java
@@ -16,7 +16,7 @@
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
-/** One gateway in a process of its own, as in production. */
+/** A gateway that runs in a separate process, as in production. */
 final class GatewayProcess {
   private static final long READY_TIMEOUT_NANOS = 30_000_000_000L;
   private static final int CONNECT_TIMEOUT_MS = 500;
@@ -30,10 +30,13 @@
   private Process process;
 
   /**
-   * Describes a gateway; it is not started.
+   * Describes a gateway without starting it.
    *
-   * @param http2Kinds the kinds of engines that are reached over HTTP/2
-   * @param store the folder in which it stores what outlives it, or null
+   * @param folder the folder for its configuration and its log
+   * @param name the gateway's name, which also names its files
+   * @param listen the address on which it accepts clients
+   * @param http2Kinds the engine kinds that are reached over HTTP/2
+   * @param store the folder of the store that outlives the process, or null if it has none
    */
   GatewayProcess(
       Path folder, String name, InetSocketAddress listen, List<String> http2Kinds, Path store) {
@@ -44,26 +47,36 @@
     this.listen = listen;
   }
 
-  /** Writes its configuration and starts it, without waiting until it is ready. */
+  /**
+   * Writes the configuration and starts the process, without waiting until it is ready.
+   *
+   * @param seed the seed of the gateway's random generator
+   * @param resolver the address of the discovery service
+   * @param sockets the gateway's limit on open sockets
+   * @param settings the settings of the dispatch policy
+   * @param listVersion the version of the endpoint list
+   * @param engines the endpoint list to start with
+   * @throws IOException if the configuration cannot be written or the process cannot be started
+   */
   void start(
       long seed,
       InetSocketAddress resolver,
       int sockets,
       Map<String, Object> settings,
-      long index,
+      long listVersion,
       List<EndpointEntry> engines)
       throws IOException {
     Path file = folder.resolve(name + ".json");
     try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
       json.writeStartObject();
       json.writeStringField("name", name);
-      json.writeStringField("listen", text(listen));
-      json.writeStringField("resolver", text(resolver));
+      json.writeStringField("listen", hostAndPort(listen));
+      json.writeStringField("resolver", hostAndPort(resolver));
       json.writeStringField("seed", Long.toHexString(seed));
       json.writeObjectFieldStart("limits");
       json.writeNumberField("sockets", sockets);
       json.writeEndObject();
-      writeEndpoints(json, index, engines);
+      writeEndpoints(json, listVersion, engines);
       json.writeFieldName("settings");
       write(json, settings);
       json.writeEndObject();
@@ -92,6 +105,7 @@
     process = builder.start();
   }
 
+  /** Writes the operator's file, which names the HTTP/2 engine kinds and the store's folder. */
   private Path operatorFile() throws IOException {
     String kinds =
         http2Kinds.isEmpty()
@@ -101,19 +115,19 @@
     return Files.writeString(folder.resolve(name + ".hcl"), kinds + storeBlock);
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String hostAndPort(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
-  private static void writeEndpoints(JsonGenerator json, long index, List<EndpointEntry> engines)
-      throws IOException {
+  private static void writeEndpoints(
+      JsonGenerator json, long listVersion, List<EndpointEntry> engines) throws IOException {
     json.writeObjectFieldStart("known");
-    json.writeNumberField("index", index);
+    json.writeNumberField("index", listVersion);
     json.writeArrayFieldStart("updates");
     json.writeStartObject();
-    json.writeNumberField("index", index);
+    json.writeNumberField("index", listVersion);
     json.writeObjectFieldStart("endpoints");
-    json.writeNumberField("index", index);
+    json.writeNumberField("index", listVersion);
     json.writeBooleanField("snapshot", true);
     json.writeArrayFieldStart("endpoints");
     for (EndpointEntry engine : engines) {
@@ -168,10 +182,15 @@
     }
   }
 
-  /** Waits until its health check succeeds. */
+  /**
+   * Waits until the health check succeeds, for at most 30 s.
+   *
+   * @throws IOException if the process exits or the time runs out before that, or if the thread is
+   *     interrupted
+   */
   void awaitReady() throws IOException {
-    long until = System.nanoTime() + READY_TIMEOUT_NANOS;
-    while (System.nanoTime() < until && process.isAlive()) {
+    long timeoutAt = System.nanoTime() + READY_TIMEOUT_NANOS;
+    while (System.nanoTime() < timeoutAt && process.isAlive()) {
       try (Socket socket = new Socket()) {
         socket.connect(listen, CONNECT_TIMEOUT_MS);
         socket.setSoTimeout(CONNECT_TIMEOUT_MS);
@@ -185,7 +204,7 @@
           return;
         }
       } catch (IOException e) {
-        // Not yet.
+        // The gateway does not answer yet; the loop tries again.
       }
       try {
         Thread.sleep(POLL_INTERVAL_MS);
@@ -198,11 +217,15 @@
         "gateway " + name + " did not come up; its log is " + folder.resolve(name + ".log"));
   }
 
+  /** Kills the process without a chance to shut down. */
   void kill() {
     process.destroyForcibly();
   }
 
-  /** Tells it to end, and sees that it does. */
+  /**
+   * Requests a shutdown and kills the process if it has not exited within 10 s. Does nothing if it
+   * was never started.
+   */
   void end() {
     if (process == null) {
       return;
--- a/harness/src/main/java/tillerlink/harness/NameSockets.java
+++ b/harness/src/main/java/tillerlink/harness/NameSockets.java
@@ -10,13 +10,21 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** A fake discovery service on loopback, with one port for each gateway. */
+/**
+ * The UDP sockets of a fake discovery service on loopback. Each gateway has a separate port, which
+ * identifies it.
+ */
 final class NameSockets implements Closeable {
   private static final int MAX_DATAGRAM_BYTES = 512;
 
-  /** Answers queries. */
+  /** Makes the responses of the discovery service. */
   interface Responder {
-    /** The response datagram to a query of a gateway, or null for none. */
+    /**
+     * Returns the response datagram to a query, or null to send no response.
+     *
+     * @param gateway the index of the gateway that sent the query
+     * @param query the query datagram
+     */
     byte[] respond(int gateway, byte[] query);
   }
 
@@ -24,6 +32,14 @@
   private final Consumer<Runnable> post;
   private final Responder responder;
 
+  /**
+   * Opens one socket for each gateway and starts a thread that receives on it.
+   *
+   * @param gateways the number of gateways
+   * @param post runs a callback on the thread that owns the responder
+   * @param responder makes the responses
+   * @throws IOException if a socket cannot be opened
+   */
   NameSockets(int gateways, Consumer<Runnable> post, Responder responder) throws IOException {
     this.post = post;
     this.responder = responder;
@@ -37,6 +53,7 @@
     }
   }
 
+  /** Returns the address to which a gateway sends its queries. */
   InetSocketAddress address(int gateway) {
     return (InetSocketAddress) sockets[gateway].getLocalSocketAddress();
   }
@@ -50,7 +67,8 @@
         SocketAddress from = packet.getSocketAddress();
         post.accept(() -> reply(gateway, query, from));
       } catch (IOException e) {
-        // The sender has gone; wait for the next query.
+        // Either the sender no longer exists and the next query follows, or the socket was closed
+        // and the loop ends.
       }
     }
   }
@@ -63,7 +81,7 @@
     try {
       sockets[gateway].send(new DatagramPacket(response, response.length, to));
     } catch (IOException e) {
-      // The gateway repeats its query.
+      // The lost response needs no handling, because the gateway repeats its query.
     }
   }
 
--- a/harness/src/main/java/tillerlink/harness/ProcessHarness.java
+++ b/harness/src/main/java/tillerlink/harness/ProcessHarness.java
@@ -30,17 +30,26 @@
 import tillerlink.workload.Arrival;
 
 /**
- * Replays a trace in real time over loopback sockets, through gateway processes. One thread owns
- * engines, clients and auditor; the threads of the sockets only post to its queue. The load is open
- * loop: it keeps the times of the trace, and how late requests were sent is measured.
+ * A harness that replays a trace in real time through gateway processes, over loopback sockets. One
+ * thread owns the engines, the clients and the auditor; the socket threads only post to its queue.
+ * The load is open-loop: requests are sent at the times of the trace, whether or not earlier ones
+ * have been answered, and the delay of each request behind its due time is recorded.
  */
 public final class ProcessHarness implements AutoCloseable {
   // Times in tenths of a millisecond.
+
+  /** The lead over their due times with which requests are read from the trace and scheduled. */
   private static final long LOOKAHEAD = 10_000;
+
   private static final long POLL_INTERVAL = 500;
   private static final long START_DELAY = 2000;
+
+  /** The time for which events are still processed after the last request has ended. */
   private static final long SETTLING_TIME = 10_000;
+
   private static final long PROGRESS_INTERVAL = 10_000;
+
+  /** The largest delay behind a due time that the histogram distinguishes. */
   private static final long MAX_LAG = 600_000;
 
   private final ReplayConfig config;
@@ -92,7 +101,11 @@
   /**
    * Runs a replay.
    *
-   * @param progress called from time to time with the number of requests that have arrived
+   * @param config the fleet, the request classes and the scheduled faults
+   * @param arrivals the requests of the trace
+   * @param progress called about once a second with the number of requests read from the trace
+   * @throws IOException if a gateway does not start, the trace cannot be read, or the thread is
+   *     interrupted
    */
   public static ReplayResult play(
       ReplayConfig config, ArrivalSource arrivals, LongConsumer progress) throws IOException {
@@ -102,9 +115,13 @@
   /**
    * Runs a replay on a cluster that is prepared first.
    *
-   * @param progress called from time to time with the number of requests that have arrived
-   * @param store the folder in which gateways store what outlives them, or null
+   * @param config the fleet, the request classes and the scheduled faults
+   * @param arrivals the requests of the trace
+   * @param progress called about once a second with the number of requests read from the trace
+   * @param store the folder of the store that outlives gateway processes, or null for none
    * @param preparation changes the cluster before any gateway starts
+   * @throws IOException if a gateway does not start, the trace cannot be read, or the thread is
+   *     interrupted
    */
   public static ReplayResult play(
       ReplayConfig config,
@@ -125,15 +142,18 @@
 
   // ---- gateways ----
 
-  /** Runs the event loop while they start, because they query the discovery service. */
+  /**
+   * Starts all gateways and waits until they are ready. The event loop runs meanwhile, because
+   * starting gateways query the discovery service.
+   */
   private void startGateways() throws IOException, InterruptedException {
     for (int i = 0; i < gateways.length; i++) {
       start(i);
     }
     for (int i = 0; i < gateways.length; i++) {
       int gateway = i;
-      Thread waiting = waitUntilReady(gateway);
-      while (waiting.isAlive()) {
+      Thread waiter = waitUntilReady(gateway);
+      while (waiter.isAlive()) {
         runEvents(clock.now() + POLL_INTERVAL);
       }
       if (!transport.isUp(gateway)) {
@@ -146,21 +166,22 @@
     }
   }
 
+  /** Starts a thread that waits until a gateway is ready and then lets clients connect to it. */
   private Thread waitUntilReady(int gateway) {
-    Thread waiting =
+    Thread waiter =
         new Thread(
             () -> {
               try {
                 gateways[gateway].awaitReady();
                 queue.add(() -> transport.setUp(gateway, true));
               } catch (IOException e) {
-                // Clients find it down.
+                // The gateway stays marked as down, so that clients do not connect to it.
               }
             },
             "ready-" + gateway);
-    waiting.setDaemon(true);
-    waiting.start();
-    return waiting;
+    waiter.setDaemon(true);
+    waiter.start();
+    return waiter;
   }
 
   private void start(int gateway) throws IOException {
@@ -203,6 +224,7 @@
     return DiscoveryResponse.of(id, listVersion(), endpointsFor(gateway));
   }
 
+  /** Returns the version of the endpoint list, after raising it if the list has changed. */
   private long listVersion() {
     List<EndpointEntry> now = cluster.list();
     if (!now.equals(lastList)) {
@@ -212,7 +234,7 @@
     return listVersion;
   }
 
-  /** The endpoint list of one gateway, with the ports at which it reaches the engines. */
+  /** Returns the endpoint list for a gateway, with the ports at which it reaches the engines. */
   private List<EndpointEntry> endpointsFor(int gateway) {
     return cluster.list().stream()
         .map(
@@ -232,6 +254,7 @@
         .toList();
   }
 
+  /** Reports to the auditor which engines a gateway now learns to be not ready. */
   private void auditNotReady(int gateway) {
     for (EndpointEntry entry : cluster.list()) {
       if (entry.standing() != Status.READY) {
@@ -280,12 +303,17 @@
     return new ReplayResult(config, arrivals, cluster, auditor, metrics, start, lasted, lag);
   }
 
+  /** Records how late a request is and passes it to the clients. */
   private void send(ReplayClients clients, Arrival arrival, long due) {
     lag.recordValue(Math.min(MAX_LAG, Math.max(1, clock.now() - due)));
     clients.arrive(arrival);
   }
 
-  /** Runs posted and due events; waits for the next one until then. */
+  /**
+   * Runs the posted and the due events, after waiting for the first of them.
+   *
+   * @param until when the wait ends at the latest, in tenths of a millisecond
+   */
   private void runEvents(long until) throws InterruptedException {
     cluster.timeline.follow(clock.now());
     long wait = Math.min(until, cluster.timeline.next()) - clock.now();
