--- a/simulation/src/main/java/tillerlink/simulation/InMemoryKeyValueStore.java
+++ b/simulation/src/main/java/tillerlink/simulation/InMemoryKeyValueStore.java
@@ -8,11 +8,13 @@
 import tillerlink.cluster.KeyValueStore;
 
 /**
- * A simulated disk in virtual time. A change is pending until the write time has passed; a crash
- * persists a prefix of the pending changes, whose length the caller of {@link #crash} draws. One
- * instance serves one process; {@link #reopen} gives the store that its successor opens.
+ * A key-value store on a simulated disk, in virtual time. A change is pending until the write time
+ * has passed. A crash persists only the oldest of the pending changes, as many as the caller of
+ * {@link #crash} chooses. An instance serves a single process; {@link #reopen} returns the store
+ * for the process that follows it on the same disk.
  */
 public final class InMemoryKeyValueStore implements KeyValueStore {
+  /** A pending change of an entry; a null value removes the entry. */
   private record Change(String name, byte[] value) {}
 
   private final SimulatedFleet fleet;
@@ -25,10 +27,10 @@
   private boolean failed;
 
   /**
-   * Makes an empty store.
+   * Creates an empty store.
    *
-   * @param fleet whose virtual time is used
-   * @param writeTime tenths of a millisecond until a change is persisted
+   * @param fleet the simulated fleet whose virtual time is used
+   * @param writeTime the time from a change until it is persisted, in tenths of a millisecond
    */
   public InMemoryKeyValueStore(SimulatedFleet fleet, long writeTime) {
     this(fleet, writeTime, new TreeMap<>());
@@ -75,20 +77,23 @@
     }
   }
 
-  /** Sets whether the disk is full; a full disk accepts no change. */
-  public void full(boolean nowFull) {
-    full = nowFull;
+  /** Sets whether the disk is full; {@link #set} rejects all changes while it is. */
+  public void full(boolean isFull) {
+    full = isFull;
   }
 
-  /** The disk fails: nothing more is persisted, and nobody is notified. */
+  /**
+   * Makes the disk fail permanently. From now on, changes are rejected, pending changes are not
+   * persisted, and their callbacks are not run.
+   */
   public void fail() {
     failed = true;
   }
 
   /**
-   * The process crashes.
+   * Simulates a crash of the process, which closes the store without running any callback.
    *
-   * @param persisted how many of the pending changes reached the disk nevertheless, in their order
+   * @param persisted how many of the pending changes still reach the disk, starting with the oldest
    */
   public void crash(int persisted) {
     for (int i = 0; i < persisted && !pending.isEmpty(); i++) {
@@ -97,23 +102,29 @@
     closed = true;
   }
 
-  /** How many changes are accepted but not yet persisted. */
+  /** Returns the number of changes that are accepted but not yet persisted. */
   public int pendingWrites() {
     return pending.size();
   }
 
-  /** A copy of what is persisted now, to be restored later. */
+  /** Returns a copy of the persisted entries, which {@link #of} can restore later. */
   public NavigableMap<String, byte[]> copy() {
     return new TreeMap<>(disk);
   }
 
-  /** Closes this store and opens the same disk for the next process. */
+  /** Closes this store and returns a store on the same disk for the next process. */
   public InMemoryKeyValueStore reopen() {
     closed = true;
     return new InMemoryKeyValueStore(fleet, writeTime, disk);
   }
 
-  /** A store with the given contents, such as an old {@link #copy}. */
+  /**
+   * Creates a store with the given entries.
+   *
+   * @param fleet the simulated fleet whose virtual time is used
+   * @param writeTime the time from a change until it is persisted, in tenths of a millisecond
+   * @param contents the persisted entries, such as an earlier {@link #copy}
+   */
   public static InMemoryKeyValueStore of(
       SimulatedFleet fleet, long writeTime, NavigableMap<String, byte[]> contents) {
     return new InMemoryKeyValueStore(fleet, writeTime, new TreeMap<>(contents));
--- a/simulation/src/main/java/tillerlink/simulation/Seeds.java
+++ b/simulation/src/main/java/tillerlink/simulation/Seeds.java
@@ -6,31 +6,40 @@
 import java.util.stream.LongStream;
 
 /**
- * Runs seeded random histories that share no state, several in parallel, and reports them in the
- * order of their seeds, so that the report does not depend on the number of cores. {@code
- * -Dhistories.seed=N} runs one seed and prints its trace, {@code -Dhistories.count=N} runs another
- * number of seeds, {@code -Dhistories.first=N} starts at another seed.
+ * A runner for randomly drawn histories, each determined by its seed. The histories share no state
+ * and run in parallel; their results are reported in the order of the seeds, so that the report
+ * does not depend on the number of cores. Three system properties select the seeds: {@code
+ * -Dhistories.seed=N} runs a single seed and prints its trace, {@code -Dhistories.count=N} sets the
+ * number of seeds, and {@code -Dhistories.first=N} sets the first one, which is 1 by default.
  */
 public final class Seeds {
+  /** The default of {@code histories.seed}, which selects no single seed. */
   private static final int ALL_SEEDS = -1;
+
   private static final long SINGLE_SEED = Long.getLong("histories.seed", ALL_SEEDS);
+
+  /** The number of failed histories whose traces are printed. */
   private static final int MAX_TRACES = 3;
+
+  /** The number of failures that the error message lists. */
   private static final int MAX_LISTED_FAILURES = 20;
+
+  /** The number of stack frames that the description of an exception contains. */
   private static final int MAX_STACK_FRAMES = 4;
 
-  /** One history, made from its seed; it shares no state with others. */
+  /** A history that is determined by its seed and shares no state with other histories. */
   public interface Seeded {
     /**
-     * Runs the history once. An exception or error counts as a failure, too.
+     * Runs the history; called once. An exception or an assertion error also counts as a failure.
      *
-     * @return what went wrong, or null
+     * @return a description of the failure, or null if the history succeeded
      */
     String play();
 
-    /** A readable account of what happened so far. */
+    /** Returns a readable trace of the events so far. */
     String trace();
 
-    /** Figures to be added up over all histories, the same number for each. */
+    /** Returns figures to be summed over all histories; every history returns equally many. */
     long[] sums();
   }
 
@@ -39,14 +48,14 @@
   private Seeds() {}
 
   /**
-   * Runs histories of successive seeds.
+   * Runs the histories of successive seeds.
    *
-   * @param name what the histories are of, for the message of a failure
-   * @param defaultCount how many to run, unless a system property says otherwise
-   * @param history makes the history of a seed
-   * @return the number of histories, followed by the sums over all of them
-   * @throws AssertionError if any failed: it names the seeds, and the traces of the first few are
-   *     printed
+   * @param name the name of the system under test, for the message of a failure
+   * @param defaultCount the number of histories to run, unless a system property sets another one
+   * @param history creates the history of a seed
+   * @return the number of histories, followed by the sums of their figures
+   * @throws AssertionError if a history failed. The message lists the first 20 failed seeds, and
+   *     the traces of the first 3 are printed.
    */
   public static long[] play(String name, int defaultCount, LongFunction<Seeded> history) {
     long first = isSingle() ? SINGLE_SEED : Long.getLong("histories.first", 1);
--- a/simulation/src/main/java/tillerlink/simulation/SimulatedFleet.java
+++ b/simulation/src/main/java/tillerlink/simulation/SimulatedFleet.java
@@ -11,23 +11,34 @@
 import tillerlink.cluster.MessageSender;
 
 /**
- * A discrete-event simulation of a fleet in virtual time: hosts that run one component each, and
- * links between them with configurable faults. A seed determines the whole history; events of the
- * same moment happen in the order in which they were scheduled. Times are tenths of a millisecond.
+ * A discrete-event simulation of a fleet in virtual time. It consists of hosts, each of which runs
+ * one process with one component, and of links between them, into which faults can be injected. The
+ * seed of the random generator determines the whole history; events at the same time run in the
+ * order in which they were scheduled. Times are tenths of a millisecond.
  */
 public final class SimulatedFleet {
-  /** Messages buffered for a paused host, as a socket's receive buffer would hold them. */
+  /**
+   * The number of messages that are buffered for a paused host, which models the receive buffer of
+   * a socket. Further ones are lost.
+   */
   private static final int MAX_BUFFERED_MESSAGES = 512;
 
-  /** A host that was paused for longer is notified of the pause when it resumes. */
+  /**
+   * The longest pause of which a component is not notified when its host resumes, in tenths of a
+   * millisecond.
+   */
   private static final long MAX_UNNOTICED_PAUSE = 2000;
 
-  /** The wall clock at the start: well after 1970, so that a clock set back stays positive. */
+  /**
+   * The wall-clock time at the start, in tenths of a millisecond since 1970. It is well above 0, so
+   * that a clock that is set back stays positive.
+   */
   private static final long WALL_CLOCK_START = 17_000_000_000_000L;
 
   private static final long NOT_PAUSED = -1;
   private static final long NOT_SCHEDULED = Long.MAX_VALUE;
 
+  /** A scheduled action; the sequence number orders events at the same time. */
   private record Event(long at, long sequence, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
@@ -37,13 +48,19 @@
 
   private record Message(String from, byte[] body) {}
 
-  /** One process: its component, and the messages buffered while it is paused. */
+  /** A host's process, with its component and the messages buffered while it is paused. */
   private static final class Host {
     final ClusterComponent component;
     final Queue<Message> buffered = new ArrayDeque<>();
+
+    /** The lead of its wall clock over the true time, in tenths of a millisecond. */
     long clockOffset;
+
     long pausedAt = NOT_PAUSED;
+
+    /** The time of the next tick; ticks that were scheduled for other times are ignored. */
     long scheduledAt = NOT_SCHEDULED;
+
     boolean alive = true;
 
     Host(ClusterComponent component) {
@@ -67,9 +84,9 @@
   private long delivered;
 
   /**
-   * Makes a fleet without hosts.
+   * Creates a fleet without hosts.
    *
-   * @param random a seeded generator, the only source of chance
+   * @param random a seeded generator, the only source of randomness in the simulation
    */
   public SimulatedFleet(RandomGenerator random) {
     this.random = random;
@@ -77,7 +94,7 @@
 
   // ---- hosts ----
 
-  /** Starts a process under a name; a process that has the name already is killed. */
+  /** Starts a process on the named host and kills the process that ran there before, if any. */
   public void start(String name, ClusterComponent component) {
     kill(name);
     Host host = new Host(component);
@@ -85,12 +102,15 @@
     tick(host);
   }
 
-  /** Sends in the name of a host. */
+  /** Returns a sender whose messages come from the named host. */
   public MessageSender sender(String from) {
     return (to, body) -> send(from, to, body);
   }
 
-  /** Kills a process; messages in transit to it are lost unless a successor is up by then. */
+  /**
+   * Kills the process on a host. Messages in transit to it are lost, unless a new process runs
+   * there when they arrive.
+   */
   public void kill(String name) {
     Host host = hosts.remove(name);
     if (host != null) {
@@ -98,12 +118,15 @@
     }
   }
 
-  /** Whether a process of that name runs, paused or not. */
+  /** Returns whether a process runs on the named host; it may be paused. */
   public boolean isUp(String name) {
     return hosts.containsKey(name);
   }
 
-  /** Pauses a process as SIGSTOP would: time goes on, it does nothing, messages are buffered. */
+  /**
+   * Pauses a process as SIGSTOP does. It processes nothing while time advances, and messages to it
+   * are buffered.
+   */
   public void pause(String name) {
     Host host = hosts.get(name);
     if (host != null && !host.isPaused()) {
@@ -111,7 +134,7 @@
     }
   }
 
-  /** Resumes a paused process and delivers what was buffered for it. */
+  /** Resumes a paused process and delivers the messages that were buffered for it. */
   public void resume(String name) {
     Host host = hosts.get(name);
     if (host == null || !host.isPaused()) {
@@ -128,7 +151,12 @@
     tick(host);
   }
 
-  /** Sets how far a host's wall clock is ahead of the true time; negative if it is behind. */
+  /**
+   * Sets the error of a host's wall clock.
+   *
+   * @param offset how far it is ahead of the true time, in tenths of a millisecond; negative if it
+   *     is behind
+   */
   public void setClock(String name, long offset) {
     Host host = hosts.get(name);
     if (host != null) {
@@ -137,8 +165,8 @@
   }
 
   /**
-   * Ticks a host and schedules its next tick anew; to be called after its component was used from
-   * outside the simulation.
+   * Ticks a host and reschedules its next tick. Must be called after its component was used from
+   * outside the simulation, because that can change when the component is due next.
    */
   public void reschedule(String name) {
     Host host = hosts.get(name);
@@ -151,7 +179,10 @@
     return WALL_CLOCK_START + now + host.clockOffset;
   }
 
-  /** The wall clock of a host; the true time if it is not up. */
+  /**
+   * Returns the wall-clock time of a host, in tenths of a millisecond since 1970; the true time if
+   * no process runs there.
+   */
   public long wall(String name) {
     Host host = hosts.get(name);
     return host == null ? WALL_CLOCK_START + now : wall(host);
@@ -159,24 +190,32 @@
 
   // ---- links ----
 
-  /** Sets the fault of all links that have none of their own. */
+  /** Sets the default fault, which applies to all links for which no other fault is set. */
   public void setDefaultFault(Fault fault) {
     defaultFault = fault;
   }
 
-  /** Sets the fault of one direction of a link; null restores the default. */
+  /**
+   * Sets the fault of one direction of a link.
+   *
+   * @param fault the fault, or null to restore the default
+   */
   public void link(String from, String to, Fault fault) {
     if (fault == null) {
       faults.getOrDefault(from, new HashMap<>()).remove(to);
     } else {
-      faults.computeIfAbsent(from, any -> new HashMap<>()).put(to, fault);
+      faults.computeIfAbsent(from, sender -> new HashMap<>()).put(to, fault);
     }
   }
 
-  /** Sets the fault of both directions of a link; null restores the default. */
-  public void between(String one, String other, Fault fault) {
-    link(one, other, fault);
-    link(other, one, fault);
+  /**
+   * Sets the fault of both directions of a link.
+   *
+   * @param fault the fault, or null to restore the default
+   */
+  public void between(String first, String second, Fault fault) {
+    link(first, second, fault);
+    link(second, first, fault);
   }
 
   /** Restores the default fault on all links. */
@@ -209,6 +248,7 @@
     return fault.minDelay() + (spread > 0 ? random.nextLong(spread + 1) : 0);
   }
 
+  /** Delivers a message, unless its receiver is down or the link was cut in the meantime. */
   private void deliver(String from, String to, byte[] body) {
     Host host = hosts.get(to);
     if (host == null || fault(from, to).cut()) {
@@ -227,31 +267,37 @@
 
   // ---- time ----
 
-  /** The virtual time, 0 at the start. */
+  /** Returns the virtual time in tenths of a millisecond, which is 0 at the start. */
   public long now() {
     return now;
   }
 
-  /** How many messages were sent by all hosts. */
+  /** Returns the number of messages that all hosts have sent. */
   public long sent() {
     return sent;
   }
 
-  /** The length of all messages sent, in bytes. */
+  /** Returns the total length of all messages that were sent, in bytes. */
   public long sentBytes() {
     return sentBytes;
   }
 
-  /** How many messages were delivered, those buffered during a pause not counted. */
+  /** Returns the number of delivered messages, without those that were buffered in a pause. */
   public long delivered() {
     return delivered;
   }
 
-  /** Schedules an action; a moment that has passed already counts as now. */
+  /**
+   * Schedules an action.
+   *
+   * @param when the virtual time at which it runs, in tenths of a millisecond; a time in the past
+   *     means now
+   */
   public void at(long when, Runnable action) {
     events.add(new Event(Math.max(now, when), nextSequence++, action));
   }
 
+  /** Ticks a host's component and schedules its next tick. */
   private void tick(Host host) {
     host.component.tick(now, wall(host));
     schedule(host);
@@ -275,7 +321,7 @@
     }
   }
 
-  /** Runs the simulation up to a moment, events at that moment included. */
+  /** Runs the simulation up to a virtual time, including the events at that time. */
   public void playTo(long until) {
     while (!events.isEmpty() && events.peek().at <= until) {
       Event event = events.poll();
@@ -285,7 +331,7 @@
     now = Math.max(now, until);
   }
 
-  /** Runs the simulation for a while. */
+  /** Runs the simulation for a duration, in tenths of a millisecond. */
   public void playFor(long duration) {
     playTo(now + duration);
   }
