--- a/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
+++ b/emulator/src/main/java/tillerlink/baseline/BaselinePolicy.java
@@ -21,19 +21,26 @@
 import tillerlink.port.DispatchPolicyFactory;
 
 /**
- * Simple policies to compare with. They send each request once and at once, and answer just before
- * the client's deadline. They respect placement and drains, and nothing else.
+ * A simple dispatch policy, as a baseline for comparisons. It makes a single attempt for each
+ * request, immediately, and fails the request shortly before the client's deadline if the attempt
+ * has not ended by then. It respects placement and drains; it has no retries, hedged attempts,
+ * concurrency limits, slow start or key ordering.
  */
 public final class BaselinePolicy implements DispatchPolicy {
-  /** How an engine is selected. */
+  /** The rule by which an engine is selected. */
   public enum Choice {
+    /** Any usable engine, with equal probability. */
     RANDOM,
+
+    /** The usable engine with the fewest attempts in flight; a tie is broken at random. */
     LEAST_OUTSTANDING
   }
 
+  /** The time before its deadline at which a request is failed, in tenths of a millisecond. */
   private static final long DEADLINE_MARGIN = 200;
 
-  private record Deadline(long at, long number, Request request) {}
+  /** The time at which a request is failed; the sequence number orders equal times. */
+  private record Deadline(long at, long sequence, Request request) {}
 
   private final Choice choice;
   private final DispatchActions actions;
@@ -44,7 +51,7 @@
   private final List<Runnable> decisions = new ArrayList<>();
   private final PriorityQueue<Deadline> deadlines =
       new PriorityQueue<>(
-          Comparator.comparingLong(Deadline::at).thenComparingLong(Deadline::number));
+          Comparator.comparingLong(Deadline::at).thenComparingLong(Deadline::sequence));
   private long deadlinesAdded;
 
   private BaselinePolicy(
@@ -55,14 +62,14 @@
     random = new Random(seed);
   }
 
-  /** A factory of policies that select engines in that way. */
+  /** Returns a factory of policies that select engines by the given rule. */
   public static DispatchPolicyFactory of(Choice choice) {
     return (now, seed, settings, actions) -> new BaselinePolicy(choice, seed, settings, actions);
   }
 
   @Override
-  public void onEndpointsChanged(long now, boolean whole, List<EndpointUpdate> entries) {
-    if (whole) {
+  public void onEndpointsChanged(long now, boolean complete, List<EndpointUpdate> entries) {
+    if (complete) {
       engines.forEach(engine -> engine.status = Status.GONE);
     }
     for (EndpointUpdate entry : entries) {
@@ -79,26 +86,26 @@
   }
 
   @Override
-  public void onEndpointsUnknown(long now, boolean on) {
-    // Ignored: without engines every request is rejected.
+  public void onEndpointsUnknown(long now, boolean unknown) {
+    // Ignored, because requests are rejected anyway while the list has no usable engine.
   }
 
   @Override
   public void onEndpointPollFailed(long now) {
-    // The last list stays in use.
+    // Ignored, because the last list stays in use.
   }
 
   @Override
   public void onRequestArrived(long now, Request request) {
     List<Integer> kinds = settings.numbers("profiles." + request.classIndex + ".models_allowed");
     Engine best = null;
-    double least = Double.MAX_VALUE;
+    double bestScore = Double.MAX_VALUE;
     for (Engine engine : engines) {
       if (engine.status == Status.READY && (kinds == null || kinds.contains(engine.kind))) {
         double load = choice == Choice.RANDOM ? 0 : outstanding.getOrDefault(engine, 0);
         double score = load + random.nextDouble() / 2;
-        if (score < least) {
-          least = score;
+        if (score < bestScore) {
+          bestScore = score;
           best = engine;
         }
       }
@@ -117,6 +124,7 @@
         new Deadline(request.clientDeadline - DEADLINE_MARGIN, deadlinesAdded++, request));
   }
 
+  /** Sets the outcome of a request and plans its answer, unless it has an outcome already. */
   private void end(Request request, RequestOutcome outcome) {
     if (request.outcome == null) {
       request.outcome = outcome;
@@ -138,12 +146,12 @@
 
   @Override
   public void onResponseStarted(long now, Attempt attempt) {
-    // Ignored: only complete responses count here.
+    // Ignored, because only the end of an attempt matters to this policy.
   }
 
   @Override
   public void onAttemptProgress(long now, Attempt attempt, AttemptProgress progress, double level) {
-    // Ignored.
+    // Ignored, because engines are selected without regard to progress.
   }
 
   @Override
@@ -180,6 +188,7 @@
     cancel(request);
   }
 
+  /** Plans the cancellation of the attempts in flight of a request. */
   private void cancel(Request request) {
     for (Attempt attempt : request.attempts) {
       if (attempt.isInFlight()) {
@@ -190,7 +199,7 @@
 
   @Override
   public void onWakeup(long now) {
-    // Deadlines are checked in applyDecisions.
+    // Nothing to do, because applyDecisions checks the deadlines in every iteration.
   }
 
   @Override
--- a/emulator/src/main/java/tillerlink/emulator/AttemptObserver.java
+++ b/emulator/src/main/java/tillerlink/emulator/AttemptObserver.java
@@ -7,21 +7,35 @@
 import tillerlink.fakes.EngineCommandParser.Command;
 import tillerlink.fakes.EngineReply;
 
-/** Reports the attempts on one connection to the auditor, from the commands and replies on it. */
+/**
+ * An observer of a connection between a gateway and an engine, which reports the attempts on it to
+ * the auditor.
+ */
 public final class AttemptObserver {
   private final Auditor auditor;
   private final int gateway;
   private final String engine;
   private final Set<String> attempts = new LinkedHashSet<>();
 
-  /** Observes a connection of that gateway to that engine. */
+  /**
+   * Creates the observer of a connection.
+   *
+   * @param auditor receives the start and the end of each attempt
+   * @param gateway the index of the gateway
+   * @param engine the name of the engine
+   */
   public AttemptObserver(Auditor auditor, int gateway, String engine) {
     this.auditor = auditor;
     this.gateway = gateway;
     this.engine = engine;
   }
 
-  /** The gateway sends a command. */
+  /**
+   * Records a command that the gateway sends.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param command a command that may start or cancel an attempt
+   */
   public void onCommand(long now, Command command) {
     switch (command.word()) {
       case WANT -> {
@@ -40,7 +54,8 @@
   }
 
   /**
-   * The engine replies. A reply that ends an attempt counts when the gateway is about to read it.
+   * Records a reply of the engine, at the time when the gateway is about to read it. An attempt
+   * that the reply ends counts as in flight until then.
    */
   public void onReply(EngineReply reply) {
     switch (reply.word()) {
@@ -50,17 +65,25 @@
     }
   }
 
-  /** The engine declares, by other means than a reply, that an attempt never ran. */
+  /** Records that the engine has declared, other than by a reply, that an attempt never ran. */
   public void onNotExecuted(String id) {
     attemptEnded(id, true);
   }
 
-  /** The same for all attempts that the predicate accepts. */
-  public void onNotExecuted(Predicate<String> which) {
-    attempts.stream().filter(which).toList().forEach(this::onNotExecuted);
+  /**
+   * Records that the engine has declared, other than by a reply, that some attempts never ran.
+   *
+   * @param condition accepts the ids of these attempts
+   */
+  public void onNotExecuted(Predicate<String> condition) {
+    attempts.stream().filter(condition).toList().forEach(this::onNotExecuted);
   }
 
-  /** The connection has ended. */
+  /**
+   * Records the end of the connection, and with it of all its attempts.
+   *
+   * @param provesNotExecuted whether it is known that the engine executed none of them
+   */
   public void onConnectionEnded(boolean provesNotExecuted) {
     Set.copyOf(attempts).stream().sorted().forEach(id -> attemptEnded(id, provesNotExecuted));
   }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedCluster.java
@@ -24,22 +24,28 @@
 import tillerlink.workload.RequestClassSpec;
 
 /**
- * Engines, the discovery service with their endpoint list, and gateways, in virtual time. The same
- * seed and events give the same history on every machine.
+ * An emulated cluster in virtual time: engines, the discovery service with their endpoint list, and
+ * gateways. The same seed and events result in the same history on every machine.
  */
 public final class EmulatedCluster {
-  /** The cost of a request, which engines and the auditor know and no gateway does. */
+  /**
+   * The cost of a request, which the engines and the auditor know but the gateways do not.
+   *
+   * @param work the core-time that it needs, in tenths of a millisecond
+   * @param threads the number of threads that share the work
+   * @param memory the memory that it occupies, in megabytes
+   */
   public record RequestCost(double work, int threads, double memory) {}
 
-  /** One-way delay within a zone, in tenths of a millisecond. */
+  /** The one-way delay within a zone, in tenths of a millisecond. */
   private static final long DELAY_IN_ZONE = 2;
 
-  /** One-way delay between zones, in tenths of a millisecond. */
+  /** The one-way delay between zones, in tenths of a millisecond. */
   private static final long DELAY_BETWEEN_ZONES = 5;
 
-  private static final long TICKS_PER_MS = 10;
+  private static final long TENTHS_PER_MS = 10;
 
-  /** How long it takes until the endpoint list shows that a process has ended by itself. */
+  /** The delay until the list shows that an engine ended undrained, in tenths of a millisecond. */
   private static final long LIST_DELAY = 2 * Fleet.SECOND;
 
   public final Fleet fleet;
@@ -65,7 +71,12 @@
   private int enginesStarted;
   private long loopIterations;
 
-  /** A cluster with its engines; gateways are started apart. */
+  /**
+   * Creates a cluster and starts its engines; {@link #startGateways} starts gateways.
+   *
+   * @param requestClasses the request classes, whose longest window is that of deduplication
+   * @param start the virtual time at the start, in tenths of a millisecond
+   */
   public EmulatedCluster(
       Fleet fleet, List<RequestClassSpec> requestClasses, Auditor auditor, long start) {
     this.fleet = fleet;
@@ -82,7 +93,7 @@
     }
   }
 
-  /** Starts the gateways, each on an in-memory network driver. */
+  /** Starts the gateways, each on an in-memory network driver, and returns this cluster. */
   public EmulatedCluster startGateways(DispatchPolicyFactory policies, long seed) {
     for (int i = 0; i < fleet.gateways(); i++) {
       gateways.add(new EmulatedGateway(this, i, policies, seed));
@@ -92,16 +103,17 @@
     return this;
   }
 
-  /** Sets the moment from which the times of planned troubles count. */
+  /** Sets the time from which the times of scheduled faults and incidents count. */
   public void startIncidentClock(long at) {
     incidents.startClock(at);
   }
 
+  /** Returns the virtual time, in tenths of a millisecond. */
   public long now() {
     return timeline.now();
   }
 
-  /** How many event-loop iterations the gateways have run. */
+  /** Returns the number of event-loop iterations that all gateways have run. */
   public long loopIterations() {
     return loopIterations;
   }
@@ -110,63 +122,67 @@
     loopIterations++;
   }
 
-  // ---- how the cluster behaves ----
+  // ---- configuration ----
 
-  /** Sets which protocol engines speak on a new connection; tests put in some that misbehave. */
+  /** Sets what creates the engine's end of a new connection; tests set ones that misbehave. */
   public void protocolFactory(Function<EngineSpec, EngineProtocolServer> factory) {
     protocolFactory = factory;
   }
 
-  /** The engine's end of the protocol on a new connection to it. */
+  /** Creates the engine's end of the protocol for a new connection to it. */
   public EngineProtocolServer newProtocolServer(EngineSpec engine) {
     return protocolFactory.apply(engine);
   }
 
-  /** Sets the endpoint cache of each gateway, by its index, which survives restarts. */
+  /** Sets what returns each gateway's endpoint cache, which survives restarts, or null. */
   public void endpointCaches(IntFunction<EndpointCache> caches) {
     endpointCaches = caches;
   }
 
+  /** Returns the endpoint cache of a gateway, or null if it has none. */
   EndpointCache endpointCache(int index) {
     return endpointCaches.apply(index);
   }
 
-  /** Until then the discovery service answers nobody, and a starting gateway gets no list. */
+  /**
+   * Makes the discovery service unavailable until a time, in tenths of a millisecond. Until then,
+   * it answers no queries, and gateways start without an endpoint list.
+   */
   public void discoveryDownUntil(long time) {
     discoveryDownUntil = time;
   }
 
-  /** Measures what gateways cost. */
+  /** Sets the meter of the gateways' cost, or null to measure nothing. */
   public void costMeter(CostMeter meter) {
     costMeter = meter;
   }
 
-  /** The meter, or null if nothing is measured. */
+  /** Returns the meter of the gateways' cost, or null if nothing is measured. */
   CostMeter costMeter() {
     return costMeter;
   }
 
-  /** Sets what chooses a fault at each point at which one is possible. */
+  /** Sets the chooser that is asked at each point at which a fault is possible. */
   public void faultChooser(FaultChooser chooser) {
     faults = chooser;
   }
 
-  /** Chooses a fault at each point at which one is possible. */
+  /** Returns the chooser that is asked at each point at which a fault is possible. */
   public FaultChooser faults() {
     return faults;
   }
 
-  /** Splits and delays bytes between gateways and engines at random. */
+  /** Sets the source of random splits and delays of bytes to and from engines; null for none. */
   public void deliveryJitter(Random random) {
     deliveryJitter = random;
   }
 
-  /** The source of splits and delays, or null if bytes come whole and in time. */
+  /** Returns the source of random splits and delays, or null if there are none. */
   Random deliveryJitter() {
     return deliveryJitter;
   }
 
-  /** A gateway by its index. */
+  /** Returns a gateway by its index. */
   public EmulatedGateway gateway(int index) {
     return gateways.get(index);
   }
@@ -176,7 +192,7 @@
     InetSocketAddress address = Fleet.address(engine.index);
     byAddress.put(address, engine);
     byName.put(spec.name(), engine);
-    discovery.put(fleet.entry(spec, address, Status.READY, startedAt / TICKS_PER_MS));
+    discovery.put(fleet.entry(spec, address, Status.READY, startedAt / TENTHS_PER_MS));
     auditor.onEngineStarted(spec.name(), spec.kind(), startedAt);
     engineListeners.forEach(listener -> listener.accept(engine));
     return engine;
@@ -184,33 +200,38 @@
 
   // ---- requests ----
 
-  /** Announces a request to engines, before it is sent. */
+  /** Registers the cost of a request; engines fail requests whose cost is not registered. */
   public void expect(String id, RequestCost cost) {
     requestCosts.put(id, cost);
   }
 
-  /** Forgets a request. */
+  /** Removes the cost of a request. */
   public void forget(String id) {
     requestCosts.remove(id);
   }
 
+  /** Returns the cost of a request, or null if it is not registered. */
   RequestCost requestCost(String id) {
     return requestCosts.get(id);
   }
 
   // ---- the network ----
 
-  /** Calls the listener for the present engines, and for each that comes up from now on. */
+  /** Adds a listener and calls it for each present engine and for each that starts later. */
   public void onEngine(Consumer<EmulatedEngine> listener) {
     byName.values().forEach(listener);
     engineListeners.add(listener);
   }
 
+  /** Returns the engine at an address, or null if there is none. */
   EmulatedEngine engineAt(InetSocketAddress address) {
     return byAddress.get(address);
   }
 
-  /** The one-way delay in tenths of a millisecond, longer to an engine in another zone. */
+  /**
+   * Returns the one-way delay between a gateway and an address, in tenths of a millisecond. It is
+   * shorter if an engine in the gateway's zone has the address.
+   */
   long delay(int gateway, InetSocketAddress to) {
     EmulatedEngine engine = byAddress.get(to);
     return engine != null && engine.spec.zone() == gateway % fleet.zones().size()
@@ -220,53 +241,57 @@
 
   // ---- the endpoint list ----
 
-  /** The current endpoint list. */
+  /** Returns the current endpoint list, whether or not the discovery service is available. */
   public List<EndpointEntry> list() {
     return discovery.list();
   }
 
-  /** The full list as a watch event; empty while the discovery service is down. */
+  /**
+   * Returns a watch event with the complete endpoint list, or with an empty one of version 0 while
+   * the discovery service is down.
+   */
   public EndpointWatchEvent watchEvent() {
     return isDiscoveryDown() ? new EndpointWatchEvent(0, true, List.of()) : discovery.watchEvent();
   }
 
-  /** Whether the discovery service is down. */
+  /** Returns whether the discovery service is down. */
   public boolean isDiscoveryDown() {
     return now() < discoveryDownUntil;
   }
 
-  /** The response to a query, or null while the discovery service is down. */
+  /** Returns the response to a query, or null while the discovery service is down. */
   byte[] discoveryResponse() {
     return isDiscoveryDown() ? null : discovery.response();
   }
 
   /**
-   * Plans a trouble. If what it names does not exist by then, the incident list says so instead.
+   * Schedules a fault. If the engine or gateway that it names does not exist by then, an incident
+   * is logged instead.
    */
-  public void plan(ScheduledFault trouble) {
-    timeline.at(incidents.clockStart() + trouble.at(), () -> begin(trouble));
+  public void plan(ScheduledFault fault) {
+    timeline.at(incidents.clockStart() + fault.at(), () -> inject(fault));
   }
 
-  private void begin(ScheduledFault trouble) {
-    if (trouble.what() == ScheduledFault.What.KILLED) {
-      gatewayKills.kill(trouble);
+  private void inject(ScheduledFault fault) {
+    if (fault.what() == ScheduledFault.What.KILLED) {
+      gatewayKills.kill(fault);
       return;
     }
-    EmulatedEngine engine = byName.get(trouble.whom());
+    EmulatedEngine engine = byName.get(fault.whom());
     if (engine == null || engine.isEnded()) {
-      logIncident(trouble.whom() + " is not there");
+      logIncident(fault.whom() + " is not there");
       return;
     }
-    long until = now() + trouble.lasts();
-    switch (trouble.what()) {
+    long until = now() + fault.lasts();
+    switch (fault.what()) {
       case SLOW -> {
-        engine.slow(trouble.factor());
-        logIncident(trouble.whom() + " is " + trouble.factor() + " times slower");
+        engine.setSlowness(fault.factor());
+        logIncident(fault.whom() + " is " + fault.factor() + " times slower");
         timeline.at(until, () -> endSlowness(engine));
       }
       case SILENT -> {
-        engine.silence(true);
-        logIncident(trouble.whom() + " falls silent");
+        engine.setSilent(true);
+        logIncident(fault.whom() + " falls silent");
         timeline.at(until, () -> endSilence(engine));
       }
       case GONE -> {
@@ -282,12 +307,12 @@
   }
 
   private void endSilence(EmulatedEngine engine) {
-    engine.silence(false);
+    engine.setSilent(false);
     logIncident(engine.spec.name() + " is heard again");
   }
 
   private void endSlowness(EmulatedEngine engine) {
-    engine.slow(1);
+    engine.setSlowness(1);
     logIncident(engine.spec.name() + " is as fast as before");
   }
 
@@ -310,6 +335,7 @@
     }
   }
 
+  /** Removes an engine from the endpoint list now and from the cluster's maps later. */
   private void delist(EmulatedEngine engine) {
     String name = engine.spec.name();
     discovery.remove(name);
@@ -325,36 +351,42 @@
         });
   }
 
-  private void replace(EngineSpec old) {
+  /** Starts a cold engine of the same kind and zone under a new name. */
+  private void replace(EngineSpec predecessor) {
     String name =
-        old.name().replaceFirst("-[0-9]+$", "")
+        predecessor.name().replaceFirst("-[0-9]+$", "")
             + "-"
             + (enginesStarted - fleet.engines().size() + 1);
-    startEngine(new EngineSpec(name, old.kind(), old.zone()), now());
+    startEngine(new EngineSpec(name, predecessor.kind(), predecessor.zone()), now());
     logIncident(name + " takes its place, cold");
   }
 
-  /** Calls the listener with a gateway's index just before it is killed. */
+  /** Adds a listener that is called with a gateway's index when the gateway is to be killed. */
   public void onKill(IntConsumer listener) {
     gatewayKills.onKill(listener);
   }
 
-  /** Calls the listener with a gateway's index when it starts again. */
+  /** Adds a listener that is called with a gateway's index when the gateway is to be restarted. */
   public void onStart(IntConsumer listener) {
     gatewayKills.onStart(listener);
   }
 
-  /** Adds a line to the incidents, with the time since they are counted. */
-  void logIncident(String what) {
-    incidents.add(now(), what);
+  /** Logs an incident with the time since the start of the incident clock. */
+  void logIncident(String description) {
+    incidents.add(now(), description);
   }
 
-  /** The incidents so far, a line each. */
+  /** Returns the incidents so far, one per line, the oldest first. */
   public List<String> incidents() {
     return incidents.lines();
   }
 
-  /** The share of its cores that each present engine has used over that time. */
+  /**
+   * Returns the utilization of the present engines.
+   *
+   * @param time the duration over which it is averaged, in tenths of a millisecond
+   * @return the share of its cores that each engine has used, by the engine's name
+   */
   public Map<String, Double> utilization(long time) {
     Map<String, Double> utilization = new LinkedHashMap<>();
     byName.forEach((name, engine) -> utilization.put(name, engine.utilization(time)));
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
@@ -12,43 +12,54 @@
 import tillerlink.net.state.DisconnectReason;
 
 /**
- * A connection from a gateway to an engine. Bytes arrive in order after a delay; an engine that is
- * silent loses them.
+ * An emulated connection from a gateway to an engine. Bytes arrive in order after a delay; those
+ * that arrive while the engine is silent are lost.
  */
 final class EmulatedConnection implements Channel, ServerConnection {
   // Times in tenths of a millisecond.
+
+  /** The exclusive upper bound of the random extra delay. */
   private static final int MAX_JITTER = 200;
+
+  /** The delay of the confirmation of a write that an injected fault causes. */
   private static final long WRITE_CONFIRMATION_DELAY = 1000;
+
+  /** The extra delay of bytes from the engine that an injected fault causes. */
   private static final long REPLY_DELAY = 3000;
 
+  /** The bytes that replace garbled bytes from the engine. */
   private static final byte[] GARBAGE = "x\r\n".getBytes(StandardCharsets.US_ASCII);
 
-  /** Faults of a connect; the number is the choice of {@link FaultChooser}. */
+  /** The faults of a connection attempt, numbered as {@link FaultChooser} chooses them. */
   private static final class ConnectFault {
     static final int NONE = 0;
     static final int REFUSED = 1;
 
-    /** How many choices there are; the last one is that the connection never opens. */
+    /** The number of choices; by the last one, 2, the connection never opens. */
     static final int COUNT = 3;
   }
 
-  /** Faults of a write to the engine; the number is the choice of {@link FaultChooser}. */
+  /** The faults of a write to the engine, numbered as {@link FaultChooser} chooses them. */
   private static final class WriteFault {
     static final int RESET_BEFORE = 1;
     static final int RESET_AFTER = 2;
     static final int LOST = 3;
+
+    /** The number of choices, including 0 for no fault. */
     static final int COUNT = 4;
   }
 
-  /** Faults of bytes from the engine; the number is the choice of {@link FaultChooser}. */
+  /** The faults of bytes from the engine, numbered as {@link FaultChooser} chooses them. */
   private static final class ReplyFault {
     static final int RESET = 1;
     static final int DELAYED = 2;
     static final int GARBLED = 3;
+
+    /** The number of choices, including 0 for no fault. */
     static final int COUNT = 4;
   }
 
-  /** Choices on the confirmation of a write: whether it is late. */
+  /** The number of choices for the confirmation of a write: 0 for in time, 1 for late. */
   private static final int CONFIRMATION_CHOICES = 2;
 
   private final EmulatedCluster cluster;
@@ -60,27 +71,39 @@
   private final AttemptObserver attempts;
   private final EngineProtocolServer engineProtocol;
 
-  /** Parses what the gateway writes, with the same parser as the engine's end. */
+  /**
+   * Parses the bytes of the gateway at the time of the write, with the same parser as the engine's
+   * end, which parses them when they arrive.
+   */
   private final EngineProtocolServer gatewayView;
 
   private boolean opened;
   private boolean closed;
 
-  /** Bytes of the engine have arrived at the gateway. */
+  /** Set once bytes of the engine have arrived at the gateway. */
   private boolean receivedByGateway;
 
-  /** Bytes to the engine were lost, so that what follows can't be parsed. */
+  /** Set once bytes to the engine were lost, so that the bytes after them cannot be parsed. */
   private boolean bytesLost;
 
-  /** When the last bytes under way to the engine arrive; later ones don't overtake them. */
+  /** The arrival time of the last bytes to the engine, which later bytes must not overtake. */
   private long lastArrivalAtEngine;
 
-  /** When the last bytes under way to the gateway arrive. */
+  /** The arrival time of the last bytes to the gateway, which later bytes must not overtake. */
   private long lastArrivalAtGateway;
 
-  /** Writes that the driver has not confirmed to the gateway. */
+  /** The number of writes that have not been confirmed to the gateway. */
   private int unconfirmedWrites;
 
+  /**
+   * Starts to connect. The connection opens, or is refused, after a round trip.
+   *
+   * @param cluster the cluster of both ends
+   * @param gateway the gateway that connects
+   * @param owner the gateway's handler of the connection
+   * @param engine the engine at the address, or null if there is none
+   * @param delay the one-way delay, in tenths of a millisecond
+   */
   EmulatedConnection(
       EmulatedCluster cluster,
       EmulatedGateway gateway,
@@ -110,7 +133,7 @@
     int fault = cluster.faults().choose("connect", ConnectFault.COUNT);
     if (engine == null || engine.isEnded() || fault == ConnectFault.REFUSED) {
       disconnect(DisconnectReason.REFUSED);
-    } else if (engine.takesConnections() && fault == ConnectFault.NONE) {
+    } else if (engine.acceptsConnections() && fault == ConnectFault.NONE) {
       opened = true;
       engine.onConnected(this);
       gateway.post(incarnation, owner::onOpened);
@@ -121,7 +144,7 @@
   @Override
   public void write(byte[] bytes) {
     if (closed) {
-      // The gateway is about to learn that the connection has ended.
+      // The write is ignored, because the gateway is about to learn that the connection has ended.
       return;
     }
     gatewayView.feed(bytes);
@@ -129,7 +152,7 @@
       attempts.onCommand(cluster.now(), command);
     }
     if (receivedByGateway) {
-      // An attempt beyond a GOAWAY that the gateway has received never runs.
+      // An attempt above the last stream of a GOAWAY that the gateway has received never runs.
       attempts.onNotExecuted(id -> engineProtocol.isBeyondGoAway(gatewayView, id));
     }
     int fault = cluster.faults().choose("to the engine", WriteFault.COUNT);
@@ -139,7 +162,7 @@
       return;
     }
     bytesLost |= fault == WriteFault.LOST;
-    for (byte[] part : parts(bytes)) {
+    for (byte[] part : splitAtRandom(bytes)) {
       lastArrivalAtEngine = Math.max(lastArrivalAtEngine, cluster.now() + delay + jitter());
       cluster.timeline.at(lastArrivalAtEngine, () -> arrive(part));
     }
@@ -148,9 +171,12 @@
     }
   }
 
-  /** Confirms a write, possibly late, but never after the end of the connection is reported. */
-  private void confirmWrite(boolean later) {
-    if (!later && unconfirmedWrites == 0) {
+  /**
+   * Confirms a write, possibly late, but never after the end of the connection is reported. Writes
+   * are confirmed in order, so one that follows a late one is late as well.
+   */
+  private void confirmWrite(boolean late) {
+    if (!late && unconfirmedWrites == 0) {
       gateway.post(incarnation, owner::onWritten);
       return;
     }
@@ -164,11 +190,13 @@
     }
   }
 
+  /** Draws an extra delay in tenths of a millisecond; 0 if jitter is not enabled. */
   private long jitter() {
     return cluster.deliveryJitter() == null ? 0 : cluster.deliveryJitter().nextInt(MAX_JITTER);
   }
 
-  private List<byte[]> parts(byte[] bytes) {
+  /** Splits bytes in two at a random place; does not split them if jitter is not enabled. */
+  private List<byte[]> splitAtRandom(byte[] bytes) {
     if (cluster.deliveryJitter() == null || bytes.length < 2) {
       return List.of(bytes);
     }
@@ -176,6 +204,7 @@
     return List.of(Arrays.copyOf(bytes, split), Arrays.copyOfRange(bytes, split, bytes.length));
   }
 
+  /** Handles bytes that arrive at the engine. */
   private void arrive(byte[] bytes) {
     if (closed) {
       return;
@@ -202,6 +231,7 @@
     sendToGateway(engineProtocol.takePendingOutput());
   }
 
+  /** Sends bytes of the engine, which reach the gateway after the delay. */
   private void sendToGateway(byte[] bytes) {
     int fault =
         bytes.length == 0 ? 0 : cluster.faults().choose("from the engine", ReplyFault.COUNT);
@@ -214,7 +244,7 @@
         fault == ReplyFault.DELAYED
             ? Math.max(lastArrivalAtGateway, cluster.now()) + REPLY_DELAY
             : lastArrivalAtGateway;
-    for (byte[] part : bytes.length == 0 ? List.<byte[]>of() : parts(sent)) {
+    for (byte[] part : bytes.length == 0 ? List.<byte[]>of() : splitAtRandom(sent)) {
       lastArrivalAtGateway = Math.max(lastArrivalAtGateway, cluster.now() + delay + jitter());
       cluster.timeline.at(
           lastArrivalAtGateway,
@@ -245,7 +275,7 @@
         });
   }
 
-  /** Breaks the connection, which the gateway learns after the delay. */
+  /** Ends the connection from the engine's end, which the gateway learns after the delay. */
   @Override
   public void disconnect(DisconnectReason reason) {
     if (!closed) {
@@ -261,6 +291,11 @@
     }
   }
 
+  /**
+   * Ends the connection at the gateway's end.
+   *
+   * @param provesNotExecuted whether it is known that the engine executed none of the attempts
+   */
   private void end(boolean provesNotExecuted) {
     closed = true;
     gateway.forget(this);
@@ -285,6 +320,6 @@
 
   @Override
   public void pauseReading(boolean paused) {
-    // Only reading from clients is ever paused.
+    // Nothing to do, because a gateway only pauses reading from its clients.
   }
 }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedDiscovery.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedDiscovery.java
@@ -8,26 +8,27 @@
 import tillerlink.net.wire.EndpointEntry;
 import tillerlink.net.wire.EndpointWatchEvent;
 
-/** The endpoint list of the emulated discovery service, with its version. */
+/** The emulated discovery service, with its endpoint list and the list's version. */
 final class EmulatedDiscovery {
   private final Map<String, EndpointEntry> endpoints = new LinkedHashMap<>();
   private long version = 1;
 
-  /** The encoded response with the present list, or null until it is asked for. */
+  /** The encoded response with the current list; null until the first query after a change. */
   private byte[] response;
 
+  /** Returns the current endpoint list. */
   List<EndpointEntry> list() {
     return List.copyOf(endpoints.values());
   }
 
-  /** Adds or replaces an entry. */
+  /** Adds an entry, or replaces the one of the same engine. */
   void put(EndpointEntry entry) {
     endpoints.put(entry.id(), entry);
     version++;
     response = null;
   }
 
-  /** Changes the status of an engine, if it is in the list. */
+  /** Changes the status of an engine; does nothing if it is not in the list. */
   void update(String engine, Status status) {
     EndpointEntry entry = endpoints.get(engine);
     if (entry != null) {
@@ -45,18 +46,18 @@
     }
   }
 
-  /** Lists an engine as gone and drops its entry. */
+  /** Removes the entry of an engine, and raises the version if it had one. */
   void remove(String engine) {
     update(engine, Status.GONE);
     endpoints.remove(engine);
   }
 
-  /** The full list as a watch event. */
+  /** Returns a watch event with the complete list. */
   EndpointWatchEvent watchEvent() {
     return new EndpointWatchEvent(version, true, list());
   }
 
-  /** The response to a query, with the id 0. */
+  /** Returns the response to a query, with the query id 0; callers must not change it. */
   byte[] response() {
     if (response == null) {
       response = DiscoveryResponse.of(0, version, list());
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedEngine.java
@@ -15,36 +15,44 @@
 import tillerlink.net.state.DisconnectReason;
 
 /**
- * One engine process: it runs requests on shared cores, reports their progress, keeps result pages,
- * and refuses requests while it drains or is full.
+ * An emulated engine process. It runs requests on shared cores, reports their progress, stores
+ * results for paging, and refuses requests while it drains or all its sessions are in use.
  */
 public final class EmulatedEngine {
-  /** Faults of a request; the number is the choice of {@link FaultChooser}. */
+  /** The faults of a request, numbered as {@link FaultChooser} chooses them. */
   private static final class RequestFault {
     static final int REFUSED = 1;
     static final int FAILED = 2;
     static final int NEVER_ANSWERED = 3;
+
+    /** The number of choices, including 0 for no fault. */
     static final int COUNT = 4;
   }
 
   private static final int SESSIONS_PER_CORE = 16;
-  private static final int TICKS_PER_MS = 10;
+  private static final int TENTHS_PER_MS = 10;
 
+  /** The interval between rises of the capacity while warming up, in tenths of a millisecond. */
   private static final long WARM_UP_STEP = 1000;
+
+  /** The time for which the pages of a result can be fetched, in tenths of a millisecond. */
   private static final long RESULT_RETENTION = 10 * Fleet.SECOND;
+
+  /** The start time of an engine that is not warming up. */
   private static final long ALREADY_WARM = 0;
 
-  /** A running request. */
-  private static final class Query {
+  /** A request that is running on the engine. */
+  private static final class RunningRequest {
     private final ServerConnection connection;
     private final String id;
     private final SharedCpu.Load load;
     private boolean ended;
 
-    /** Runs without ever sending a reply. */
-    private boolean mute;
+    /** Set if it runs without ever sending a reply, because of an injected fault. */
+    private boolean withholdsReply;
 
-    Query(ServerConnection connection, String id, double work, int threads, double memory) {
+    RunningRequest(
+        ServerConnection connection, String id, double work, int threads, double memory) {
       this.connection = connection;
       this.id = id;
       load = new SharedCpu.Load(this, threads, memory, work);
@@ -55,24 +63,31 @@
   public final int index;
   final long startedAt;
   private final EmulatedCluster cluster;
-  private final SharedCpu cores;
+  private final SharedCpu cpu;
   private final int maxSessions;
 
-  /** Running requests by connection and id. */
-  private final Map<ServerConnection, Map<String, Query>> running = new LinkedHashMap<>();
+  /** The running requests, by connection and id. */
+  private final Map<ServerConnection, Map<String, RunningRequest>> running = new LinkedHashMap<>();
 
   private final Set<ServerConnection> connections = new LinkedHashSet<>();
 
-  /** Results whose pages can still be fetched, and until when. */
+  /** The ids of the results whose pages can be fetched, with their times of expiry. */
   private final LinkedHashMap<String, Long> results = new LinkedHashMap<>();
 
-  private long checkAt = Long.MAX_VALUE;
+  /** The time of the next check for ended requests; {@code Long.MAX_VALUE} if there is none. */
+  private long nextCheckAt = Long.MAX_VALUE;
+
   private boolean silent;
   private boolean draining;
   private boolean ended;
 
   /**
-   * @param startedAt when it started cold, or 0 if it is warm already
+   * Creates an engine and starts it.
+   *
+   * @param cluster the cluster that it belongs to
+   * @param spec its name, kind and zone
+   * @param index its number in the order of starts
+   * @param startedAt when it started cold, in tenths of a millisecond, or 0 if it is not warming up
    */
   EmulatedEngine(EmulatedCluster cluster, EngineSpec spec, int index, long startedAt) {
     this.cluster = cluster;
@@ -80,60 +95,61 @@
     this.index = index;
     this.startedAt = startedAt;
     EngineKind kind = cluster.fleet.kinds().get(spec.kind());
-    cores = new SharedCpu(kind.cores(), kind.memory());
+    cpu = new SharedCpu(kind.cores(), kind.memory());
     maxSessions = kind.cores() * SESSIONS_PER_CORE;
-    cores.advance(cluster.now());
+    cpu.advance(cluster.now());
     warmUp();
   }
 
+  /** Sets the capacity for the current age and schedules the next step until it is warm. */
   private void warmUp() {
     long age = cluster.now() - startedAt;
-    long within = cluster.fleet.warmupTime();
-    if (startedAt == ALREADY_WARM || age >= within || ended) {
-      cores.warmth(1);
+    long warmupTime = cluster.fleet.warmupTime();
+    if (startedAt == ALREADY_WARM || age >= warmupTime || ended) {
+      cpu.setWarmth(1);
       return;
     }
-    double start = cluster.fleet.startCapacity();
-    cores.advance(cluster.now());
-    cores.warmth(start + (1 - start) * age / within);
+    double startCapacity = cluster.fleet.startCapacity();
+    cpu.advance(cluster.now());
+    cpu.setWarmth(startCapacity + (1 - startCapacity) * age / warmupTime);
     finishEnded();
     cluster.timeline.at(cluster.now() + WARM_UP_STEP, this::warmUp);
   }
 
   // ---- connections ----
 
-  /** Whether connects to it succeed. */
-  public boolean takesConnections() {
+  /** Returns whether it accepts connections. */
+  public boolean acceptsConnections() {
     return !silent && !ended;
   }
 
-  /** Whether it neither reads nor writes, as a machine that is cut off. */
+  /** Returns whether it neither reads nor writes, like a host that is cut off from the network. */
   public boolean isSilent() {
     return silent && !ended;
   }
 
-  /** A connection to it has opened. */
+  /** Records that a connection to it has opened. */
   public void onConnected(ServerConnection connection) {
     connections.add(connection);
   }
 
-  /** A connection to it has ended; its requests stop. */
+  /** Records that a connection to it has ended, and stops the requests on it. */
   public void onDisconnected(ServerConnection connection) {
     connections.remove(connection);
-    Map<String, Query> stopped = running.remove(connection);
+    Map<String, RunningRequest> stopped = running.remove(connection);
     if (stopped != null) {
-      cores.advance(cluster.now());
+      cpu.advance(cluster.now());
       stopped.values().forEach(this::stop);
       finishEnded();
     }
   }
 
-  private void stop(Query query) {
-    query.ended = true;
-    cores.remove(query.load);
+  private void stop(RunningRequest request) {
+    request.ended = true;
+    cpu.remove(request.load);
   }
 
-  /** Handles a command of a gateway. */
+  /** Handles a command of a gateway; ignores it if the engine is silent or has ended. */
   public void onCommand(ServerConnection connection, Command command) {
     if (silent || ended) {
       return;
@@ -141,9 +157,9 @@
     switch (command.word()) {
       case WANT -> submit(connection, command);
       case NEVER_MIND -> {
-        Query query = query(connection, command.id());
-        if (query != null) {
-          cancel(query);
+        RunningRequest request = findRunning(connection, command.id());
+        if (request != null) {
+          cancel(request);
         }
       }
       case TURN ->
@@ -157,15 +173,15 @@
     }
   }
 
-  private Query query(ServerConnection connection, String id) {
-    Map<String, Query> byId = running.get(connection);
+  private RunningRequest findRunning(ServerConnection connection, String id) {
+    Map<String, RunningRequest> byId = running.get(connection);
     return byId == null ? null : byId.get(id);
   }
 
-  private void forget(Query query) {
-    Map<String, Query> byId = running.get(query.connection);
-    if (byId != null && byId.remove(query.id, query) && byId.isEmpty()) {
-      running.remove(query.connection);
+  private void forget(RunningRequest request) {
+    Map<String, RunningRequest> byId = running.get(request.connection);
+    if (byId != null && byId.remove(request.id, request) && byId.isEmpty()) {
+      running.remove(request.connection);
     }
   }
 
@@ -176,7 +192,7 @@
       connection.reply(EngineReply.error(command.id()));
       return;
     }
-    if (fault == RequestFault.REFUSED || draining || cores.running() >= maxSessions) {
+    if (fault == RequestFault.REFUSED || draining || cpu.running() >= maxSessions) {
       connection.reply(EngineReply.refused(command.id()));
       return;
     }
@@ -187,91 +203,94 @@
     double work = cost.work();
     if (command.nonce() != null
         && !cluster.deduplicationLog.isFirst(cluster.now(), command.nonce())) {
-      // A repeat is recognized at once and does not run again.
+      // A repeat is recognized by its idempotency key and answered at once instead of run again.
       work = 1;
     } else {
       cluster.auditor.onAttemptExecuted(cluster.now(), spec.name(), command.id(), work);
     }
-    cores.advance(cluster.now());
-    Query query = new Query(connection, command.id(), work, cost.threads(), cost.memory());
-    query.mute = fault == RequestFault.NEVER_ANSWERED;
-    running.computeIfAbsent(connection, l -> new LinkedHashMap<>()).put(command.id(), query);
-    cores.add(query.load);
+    cpu.advance(cluster.now());
+    RunningRequest request =
+        new RunningRequest(connection, command.id(), work, cost.threads(), cost.memory());
+    request.withholdsReply = fault == RequestFault.NEVER_ANSWERED;
+    running.computeIfAbsent(connection, any -> new LinkedHashMap<>()).put(command.id(), request);
+    cpu.add(request.load);
     finishEnded();
     cluster.timeline.at(
-        cluster.now() + cluster.fleet.progressInterval(), () -> reportProgress(query));
+        cluster.now() + cluster.fleet.progressInterval(), () -> reportProgress(request));
     cluster.timeline.at(
-        cluster.now() + Math.max(1, command.limit()) * TICKS_PER_MS, () -> expire(query));
+        cluster.now() + Math.max(1, command.limit()) * TENTHS_PER_MS, () -> expire(request));
   }
 
-  /** Stops a request by itself when the gateway waits for it no longer. */
-  private void expire(Query query) {
-    if (!query.ended) {
-      cancel(query);
+  /** Stops a request whose time limit has passed, because the gateway no longer waits for it. */
+  private void expire(RunningRequest request) {
+    if (!request.ended) {
+      cancel(request);
     }
   }
 
-  private void cancel(Query query) {
-    cores.advance(cluster.now());
-    forget(query);
-    stop(query);
+  private void cancel(RunningRequest request) {
+    cpu.advance(cluster.now());
+    forget(request);
+    stop(request);
     finishEnded();
   }
 
-  private void reportProgress(Query query) {
-    if (query.ended || ended) {
+  /** Sends a progress report for a request and schedules the next one. */
+  private void reportProgress(RunningRequest request) {
+    if (request.ended || ended) {
       return;
     }
-    if (!silent && !query.mute) {
-      cores.advance(cluster.now());
-      double missing = cores.megabytesMissing();
-      double shareDone = Math.rint(cores.shareDone(query.load) * 1000) / 1000;
-      query.connection.reply(
-          missing > 0
-              ? EngineReply.progress(query.id, "missing", Math.rint(missing))
-              : EngineReply.progress(query.id, "frac", shareDone));
+    if (!silent && !request.withholdsReply) {
+      cpu.advance(cluster.now());
+      double megabytesMissing = cpu.megabytesMissing();
+      double shareDone = Math.rint(cpu.shareDone(request.load) * 1000) / 1000;
+      request.connection.reply(
+          megabytesMissing > 0
+              ? EngineReply.progress(request.id, "missing", Math.rint(megabytesMissing))
+              : EngineReply.progress(request.id, "frac", shareDone));
     }
     cluster.timeline.at(
-        cluster.now() + cluster.fleet.progressInterval(), () -> reportProgress(query));
+        cluster.now() + cluster.fleet.progressInterval(), () -> reportProgress(request));
   }
 
-  /** Finishes the requests that have ended, and schedules the next check. */
+  /** Sends the replies of the requests that have ended and schedules the next check. */
   private void finishEnded() {
-    for (SharedCpu.Load load : cores.takeEnded()) {
-      finish((Query) load.owner);
+    for (SharedCpu.Load load : cpu.takeEnded()) {
+      finish((RunningRequest) load.owner);
     }
-    long next = cores.nextEnd();
-    if (next < checkAt || checkAt < cluster.now()) {
-      checkAt = next;
+    long next = cpu.nextEnd();
+    if (next < nextCheckAt || nextCheckAt < cluster.now()) {
+      nextCheckAt = next;
       if (next != Long.MAX_VALUE) {
-        cluster.timeline.at(next, this::check);
+        cluster.timeline.at(next, this::checkEnded);
       }
     }
   }
 
-  private void check() {
-    if (ended || cluster.now() < checkAt) {
+  private void checkEnded() {
+    if (ended || cluster.now() < nextCheckAt) {
       return;
     }
-    checkAt = Long.MAX_VALUE;
-    cores.advance(cluster.now());
+    nextCheckAt = Long.MAX_VALUE;
+    cpu.advance(cluster.now());
     finishEnded();
   }
 
-  private void finish(Query query) {
-    query.ended = true;
-    forget(query);
-    if (silent || query.mute) {
+  private void finish(RunningRequest request) {
+    request.ended = true;
+    forget(request);
+    if (silent || request.withholdsReply) {
       return;
     }
-    int pages = Results.pages(query.id);
+    int pages = Results.pages(request.id);
     if (pages > 1 || cluster.fleet.kinds().get(spec.kind()).http2()) {
-      keepResult(query.id);
+      storeResult(request.id);
     }
-    query.connection.reply(EngineReply.ok(query.id, pages, Results.page(query.id, 0)));
+    request.connection.reply(EngineReply.ok(request.id, pages, Results.page(request.id, 0)));
   }
 
-  private void keepResult(String id) {
+  /** Stores a result for paging and removes those that have expired. */
+  private void storeResult(String id) {
     results.remove(id);
     results.put(id, cluster.now() + RESULT_RETENTION);
     while (results.values().iterator().next() < cluster.now()) {
@@ -279,47 +298,56 @@
     }
   }
 
-  // ---- troubles ----
+  // ---- faults ----
 
-  void slow(double factor) {
-    cores.advance(cluster.now());
-    cores.slowness(factor);
+  /** Sets the factor by which all requests run slower than normal, which is 1. */
+  void setSlowness(double factor) {
+    cpu.advance(cluster.now());
+    cpu.setSlowness(factor);
     finishEnded();
   }
 
-  void silence(boolean whether) {
-    silent = whether;
+  /** Sets whether it neither reads nor writes, like a host that is cut off from the network. */
+  void setSilent(boolean isSilent) {
+    silent = isSilent;
   }
 
+  /** Makes it refuse all new requests from now on. */
   void drain() {
     draining = true;
   }
 
-  /** Ends the process; its connections are reset. */
+  /** Ends the process and resets its connections. */
   void end() {
     ended = true;
-    cores.clear();
+    cpu.clear();
     running.clear();
     List<ServerConnection> open = new ArrayList<>(connections);
     connections.clear();
     open.forEach(connection -> connection.disconnect(DisconnectReason.RESET));
   }
 
-  /** Whether the process has ended. */
+  /** Returns whether the process has ended. */
   public boolean isEnded() {
     return ended;
   }
 
+  /** Returns the core-time that it has used so far, in tenths of a millisecond. */
   double coreTimeUsed() {
-    cores.advance(cluster.now());
-    return cores.coreTimeUsed();
+    cpu.advance(cluster.now());
+    return cpu.coreTimeUsed();
   }
 
+  /** Returns the number of running requests. */
   int running() {
-    return cores.running();
+    return cpu.running();
   }
 
-  /** The share of its cores that it has used over that time. */
+  /**
+   * Returns the share of its cores that it has used.
+   *
+   * @param time the duration over which it is averaged, in tenths of a millisecond
+   */
   double utilization(long time) {
     return coreTimeUsed() / time / cluster.fleet.kinds().get(spec.kind()).cores();
   }
--- a/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedGateway.java
@@ -18,15 +18,16 @@
 import tillerlink.telemetry.Telemetry;
 
 /**
- * A real gateway with its state and its dispatch policy on an in-memory network driver. Events of
- * one moment are handled in one event-loop iteration in the order in which they came, as by the
- * event-loop thread of a process.
+ * A host of a real gateway, with its state and its dispatch policy, on an in-memory network driver.
+ * Events at the same time are handled in a single event-loop iteration, in the order in which they
+ * were posted, as the event-loop thread of a gateway process does.
  */
 public final class EmulatedGateway implements NetworkDriver {
-  /** One-way delay to the discovery service, in tenths of a millisecond. */
+  /** The one-way delay to the discovery service, in tenths of a millisecond. */
   private static final long DISCOVERY_DELAY = 5;
 
-  private static final long MAX_BYTES_HELD = 16L << 20;
+  /** The gateway's limit on buffered bytes. */
+  private static final long MAX_BUFFERED_BYTES = 16L << 20;
 
   final int index;
   private final EmulatedCluster cluster;
@@ -40,6 +41,14 @@
   private int incarnation;
   private final Set<EmulatedConnection> connections = new LinkedHashSet<>();
 
+  /**
+   * Creates a gateway and starts it.
+   *
+   * @param cluster the cluster that it belongs to
+   * @param index its index in the cluster
+   * @param policies creates the dispatch policy of each incarnation
+   * @param seed the cluster's seed, from which the seeds of the incarnations are drawn
+   */
   EmulatedGateway(EmulatedCluster cluster, int index, DispatchPolicyFactory policies, long seed) {
     this.cluster = cluster;
     this.index = index;
@@ -48,7 +57,7 @@
     start();
   }
 
-  /** Starts a new incarnation, without the state of the one before. */
+  /** Starts a new incarnation, which has no in-memory state of the previous one. */
   void start() {
     incarnation++;
     inbox.clear();
@@ -64,62 +73,71 @@
             policies,
             this,
             cluster.now(),
-            MAX_BYTES_HELD,
+            MAX_BUFFERED_BYTES,
             cluster.fleet.transports(),
             cluster.endpointCache(index),
             Telemetry.silent());
     post(() -> {});
   }
 
-  /** Adds an extension to the gateway, until it is killed. */
+  /** Adds an extension to the gateway; it is not added again after a restart. */
   public void addExtension(Function<GatewayExtension.ExtensionContext, GatewayExtension> factory) {
     gateway.setExtension(factory.apply(gateway.extensionContext()));
   }
 
-  /** Kills the gateway: what it had planned does not happen. */
+  /** Kills the gateway and aborts its connections; events scheduled for it are discarded. */
   void kill() {
     incarnation++;
     gateway = null;
     List.copyOf(connections).forEach(EmulatedConnection::abort);
   }
 
-  /** How many connections to engines the gateway counts as open or opening. */
+  /** Returns the number of engine connections that the gateway counts as open or opening. */
   public int engineConnections() {
     return gateway.openConnections();
   }
 
-  /** Whether it runs. */
+  /** Returns whether the gateway is running. */
   public boolean isUp() {
     return gateway != null;
   }
 
-  /** A client connects. */
+  /**
+   * Accepts the connection of a client.
+   *
+   * @param channel the gateway's end of the connection
+   * @return the gateway's handler of the connection
+   */
   public Channel.Owner accept(Channel channel) {
     return gateway.onClientConnected(channel);
   }
 
-  /** Counts starts and kills, so that events for a killed gateway don't reach the next one. */
+  /**
+   * Returns the number of starts and kills so far, which identifies the incarnation. It prevents
+   * events for a killed gateway from reaching the next incarnation.
+   */
   public int incarnation() {
     return incarnation;
   }
 
-  /** Its connections to engines, as the engines see them. */
+  /** Returns the engines' ends of its connections to engines. */
   public List<ServerConnection> connections() {
     return List.copyOf(connections);
   }
 
+  /** Removes a connection that has ended. */
   void forget(EmulatedConnection connection) {
     connections.remove(connection);
   }
 
-  /** Posts an event to the event loop, unless that incarnation has ended. */
+  /** Posts an event to the event loop; discards it if the given incarnation has ended. */
   public void post(int forIncarnation, Runnable event) {
     if (forIncarnation == incarnation) {
       post(event);
     }
   }
 
-  /** Posts an event for the iteration of this moment. */
+  /** Posts an event for the event-loop iteration at the current time. */
   private void post(Runnable event) {
     if (gateway == null) {
       return;
@@ -132,6 +150,7 @@
     }
   }
 
+  /** Runs an event-loop iteration with the posted events. */
   private void iterate(int forIncarnation) {
     if (forIncarnation != incarnation || gateway == null) {
       return;
@@ -139,7 +158,7 @@
     iterationDue = false;
     CostMeter meter = cluster.costMeter();
     if (meter != null) {
-      meter.iterationBegins();
+      meter.beginIteration();
     }
     gateway.beginIteration(cluster.now());
     List<Runnable> events = inbox;
@@ -151,7 +170,7 @@
     spareInbox = events;
     gateway.endIteration();
     if (meter != null) {
-      meter.iterationEnds();
+      meter.endIteration();
     }
     cluster.countLoopIteration();
     scheduleWakeup();
@@ -205,6 +224,7 @@
         });
   }
 
+  /** Reports to the auditor which engines the gateway learns to be not ready. */
   private void auditNotReady(List<EndpointEntry> endpoints) {
     for (EndpointEntry entry : endpoints) {
       if (entry.standing() != Status.READY) {
@@ -215,6 +235,6 @@
 
   @Override
   public void flush() {
-    // What was written is already on its way.
+    // Nothing to do, because writes are sent immediately.
   }
 }
--- a/emulator/src/main/java/tillerlink/emulator/FaultChooser.java
+++ b/emulator/src/main/java/tillerlink/emulator/FaultChooser.java
@@ -1,17 +1,20 @@
 package tillerlink.emulator;
 
-/** Chooses, at each point of a history at which a fault is possible, whether one happens. */
+/**
+ * A source of decisions on faults. It is asked at each point of a history at which a fault is
+ * possible.
+ */
 @FunctionalInterface
 public interface FaultChooser {
-  /** Never a fault. */
+  /** A chooser that injects no faults. */
   FaultChooser NONE = (point, options) -> 0;
 
   /**
-   * Chooses at one point.
+   * Chooses what happens at a point of the history.
    *
-   * @param point the name of the point
-   * @param options how many choices there are
-   * @return 0 for no fault, else the number of a fault
+   * @param point the name of the point, which identifies the kind of event
+   * @param options the number of choices, including that of no fault
+   * @return 0 for no fault, or the number of the fault, below {@code options}
    */
   int choose(String point, int options);
 }
--- a/emulator/src/main/java/tillerlink/emulator/GatewayKills.java
+++ b/emulator/src/main/java/tillerlink/emulator/GatewayKills.java
@@ -5,7 +5,7 @@
 import java.util.function.IntConsumer;
 import tillerlink.fleet.ScheduledFault;
 
-/** Kills gateways of an emulated cluster and starts them again; who listens is called for both. */
+/** The injector of gateway kills. Its listeners carry out the kill and the restart of a gateway. */
 final class GatewayKills {
   private static final String GATEWAY_NAME = "n[0-9]{1,6}";
 
@@ -17,15 +17,20 @@
     this.cluster = cluster;
   }
 
+  /** Adds a listener that is called with a gateway's index when the gateway is to be killed. */
   void onKill(IntConsumer listener) {
     killListeners.add(listener);
   }
 
+  /** Adds a listener that is called with a gateway's index when the gateway is to be restarted. */
   void onStart(IntConsumer listener) {
     startListeners.add(listener);
   }
 
-  /** Kills the gateway that the fault names, if it exists, and starts it again after its time. */
+  /**
+   * Kills the gateway that the fault names and schedules its restart at the end of the fault. If
+   * there is no such gateway, it only logs that.
+   */
   void kill(ScheduledFault fault) {
     String name = fault.whom();
     int index = name.matches(GATEWAY_NAME) ? Integer.parseInt(name.substring(1)) : -1;
--- a/emulator/src/main/java/tillerlink/emulator/ServerConnection.java
+++ b/emulator/src/main/java/tillerlink/emulator/ServerConnection.java
@@ -3,11 +3,15 @@
 import tillerlink.fakes.EngineReply;
 import tillerlink.net.state.DisconnectReason;
 
-/** A connection to a gateway as the engine's process sees it. */
+/** An engine's end of a connection from a gateway. */
 public interface ServerConnection {
-  /** Sends a reply. */
+  /** Sends a reply to the gateway. */
   void reply(EngineReply reply);
 
-  /** Breaks the connection from the engine's end. */
+  /**
+   * Ends the connection from the engine's end.
+   *
+   * @param reason how it ends, as the gateway will see it
+   */
   void disconnect(DisconnectReason reason);
 }
--- a/emulator/src/main/java/tillerlink/emulator/SharedCpu.java
+++ b/emulator/src/main/java/tillerlink/emulator/SharedCpu.java
@@ -6,20 +6,32 @@
 import java.util.PriorityQueue;
 
 /**
- * The cores of an engine under processor sharing: each thread gets the same rate. Progress is
- * counted in the core-time that one thread has got so far, so that a change of rate touches nothing
- * else. When memory is exceeded all run slower, as if pages were swapped out.
+ * A model of an engine's cores under processor sharing, in which all threads get the same rate.
+ * Progress is counted as the core-time that a single thread has received so far, so that a change
+ * of the rate requires no update of the loads. When the memory limit is exceeded, all loads run
+ * slower, as if pages were swapped out.
  */
 final class SharedCpu {
-  /** A running piece of work. */
+  /** Work that occupies threads and memory until it is done. */
   static final class Load {
     final Object owner;
     final int threads;
     final double memory;
     final double work;
+
+    /** The core-time per thread at which it is done. */
     private double endsAt;
+
     private boolean ended;
 
+    /**
+     * Creates a load; {@link SharedCpu#add} starts it.
+     *
+     * @param owner the caller's object for the load
+     * @param threads the number of threads that share the work
+     * @param memory the memory that it occupies, in megabytes
+     * @param work the core-time that it needs, in tenths of a millisecond
+     */
     Load(Object owner, int threads, double memory, double work) {
       this.owner = owner;
       this.threads = threads;
@@ -28,7 +40,10 @@
     }
   }
 
+  /** The tolerance for rounding errors in core-time, in tenths of a millisecond. */
   private static final double EPSILON = 1e-6;
+
+  /** The rate falls with this power of the ratio of the memory limit to the memory in use. */
   private static final double SWAP_EXPONENT = 2;
 
   private final int cores;
@@ -43,15 +58,21 @@
   private double memory;
   private int running;
 
-  /** Core-time used so far. */
+  /** The core-time used by all threads so far, in tenths of a millisecond. */
   private double coreTimeUsed;
 
+  /**
+   * Creates idle cores.
+   *
+   * @param cores the number of cores
+   * @param memoryLimit the memory that is available without swapping, in megabytes
+   */
   SharedCpu(int cores, double memoryLimit) {
     this.cores = cores;
     this.memoryLimit = memoryLimit;
   }
 
-  /** The core-time that a thread gets per unit of time. */
+  /** Returns the core-time that a thread receives per unit of time, from 0 to 1. */
   private double rate() {
     if (threads == 0) {
       return 0;
@@ -60,7 +81,12 @@
     return Math.min(1, cores * warmth / threads) * swapFactor / slowness;
   }
 
-  /** Accounts for the time up to now; to be called before every change. */
+  /**
+   * Adds the progress up to now. Must be called before every change of the loads or the rate,
+   * because it applies the current rate to the time since the last call.
+   *
+   * @param now the current time, in tenths of a millisecond
+   */
   void advance(long now) {
     double gained = rate() * (now - advancedTo);
     coreTimePerThread += gained;
@@ -68,6 +94,7 @@
     advancedTo = now;
   }
 
+  /** Starts a load. */
   void add(Load load) {
     load.endsAt = coreTimePerThread + load.work / load.threads;
     loads.add(load);
@@ -76,7 +103,7 @@
     running++;
   }
 
-  /** Removes a load before its end. */
+  /** Removes a load before it is done; does nothing if it has ended already. */
   void remove(Load load) {
     if (!load.ended) {
       end(load);
@@ -97,7 +124,7 @@
     }
   }
 
-  /** Removes and returns the loads that have ended by now, in the order of their ends. */
+  /** Removes and returns the loads that are done by now, in the order in which they ended. */
   List<Load> takeEnded() {
     List<Load> ended = new ArrayList<>(1);
     dropEnded();
@@ -109,7 +136,12 @@
     return ended;
   }
 
-  /** When the next load ends if nothing changes, rounded up; {@code Long.MAX_VALUE} if none. */
+  /**
+   * Returns the time at which the next load ends if nothing changes until then.
+   *
+   * @return the time in tenths of a millisecond, rounded up, or {@code Long.MAX_VALUE} if no load
+   *     runs
+   */
   long nextEnd() {
     dropEnded();
     double rate = rate();
@@ -120,36 +152,47 @@
         + (long) Math.ceil(Math.max(0, loads.peek().endsAt - coreTimePerThread) / rate - EPSILON);
   }
 
+  /** Returns the share of a load's work that is done, from 0 to 1. */
   double shareDone(Load load) {
-    double left = Math.max(0, load.endsAt - coreTimePerThread) * load.threads;
-    return Math.min(1, Math.max(0, 1 - left / load.work));
+    double remaining = Math.max(0, load.endsAt - coreTimePerThread) * load.threads;
+    return Math.min(1, Math.max(0, 1 - remaining / load.work));
   }
 
+  /** Returns by how many megabytes the memory in use exceeds the limit; 0 if it does not. */
   double megabytesMissing() {
     return Math.max(0, memory - memoryLimit);
   }
 
-  void warmth(double share) {
+  /**
+   * Sets the capacity of a cold engine.
+   *
+   * @param share the share of the cores that is available, 1 once the engine is warm
+   */
+  void setWarmth(double share) {
     warmth = share;
   }
 
-  void slowness(double factor) {
+  /** Sets the factor by which all loads run slower than normal, which is 1. */
+  void setSlowness(double factor) {
     slowness = factor;
   }
 
+  /** Returns the number of running loads. */
   int running() {
     return running;
   }
 
+  /** Returns the number of threads of all running loads. */
   int threads() {
     return threads;
   }
 
+  /** Returns the core-time used by all threads so far, in tenths of a millisecond. */
   double coreTimeUsed() {
     return coreTimeUsed;
   }
 
-  /** Removes all loads. */
+  /** Removes all loads without returning them. */
   void clear() {
     loads.forEach(load -> load.ended = true);
     loads.clear();
--- a/emulator/src/main/java/tillerlink/emulator/Timeline.java
+++ b/emulator/src/main/java/tillerlink/emulator/Timeline.java
@@ -4,38 +4,57 @@
 import java.util.PriorityQueue;
 
 /**
- * The event queue of virtual time. Events of one moment run in the order in which they were
- * scheduled. A heap of four branches over plain arrays was measured against this and was no faster
- * (docs/replay-design.md).
+ * The event queue of an emulated cluster, with its virtual time. Events at the same time run in the
+ * order in which they were scheduled. A 4-ary heap over plain arrays was no faster than the
+ * priority queue (docs/replay-design.md).
  */
 public final class Timeline {
-  private record Event(long at, long number, Runnable action) {}
+  /** A scheduled action; the sequence number orders events at the same time. */
+  private record Event(long at, long sequence, Runnable action) {}
 
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
-  private long scheduled;
+      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequence));
+  private long nextSequence;
   private long now;
 
+  /**
+   * Creates an empty queue.
+   *
+   * @param start the time at which it starts, in tenths of a millisecond
+   */
   public Timeline(long start) {
     now = start;
   }
 
-  /** The time in tenths of a millisecond; never goes back. */
+  /** Returns the virtual time in tenths of a millisecond, which never goes back. */
   public long now() {
     return now;
   }
 
-  /** Schedules an event; one in the past runs now. */
+  /**
+   * Schedules an event.
+   *
+   * @param time when it runs, in tenths of a millisecond; a time in the past means now
+   * @param event the action to run
+   */
   public void at(long time, Runnable event) {
-    events.add(new Event(Math.max(now, time), scheduled++, event));
+    events.add(new Event(Math.max(now, time), nextSequence++, event));
   }
 
-  /** When the next event is due; {@code Long.MAX_VALUE} if there is none. */
+  /**
+   * Returns the time of the next event.
+   *
+   * @return the time in tenths of a millisecond, or {@code Long.MAX_VALUE} if none is scheduled
+   */
   public long next() {
     return events.isEmpty() ? Long.MAX_VALUE : events.peek().at;
   }
 
-  /** Advances to the next event and runs it; false if there is none. */
+  /**
+   * Advances the time to the next event and runs it.
+   *
+   * @return false if no event is scheduled
+   */
   public boolean step() {
     Event event = events.poll();
     if (event == null) {
@@ -46,7 +65,11 @@
     return true;
   }
 
-  /** Runs what is due by that time of another clock, and advances to it. */
+  /**
+   * Advances the time to that of another clock and runs the events that are due by then.
+   *
+   * @param clock the other clock's time, in tenths of a millisecond
+   */
   public void follow(long clock) {
     while (next() <= clock) {
       step();
--- a/emulator/src/test/java/tillerlink/emulator/EmulatorPartsTest.java
+++ b/emulator/src/test/java/tillerlink/emulator/EmulatorPartsTest.java
@@ -72,7 +72,7 @@
         }
         if (now == 9000 || now == 15_000) {
           slowness = now == 9000 ? 3 : 1;
-          cores.slowness(slowness);
+          cores.setSlowness(slowness);
         }
         int all = 0;
         double used = 0;
