--- a/emulator/src/test/java/tillerlink/emulator/EmulatorPartsTest.java
+++ b/emulator/src/test/java/tillerlink/emulator/EmulatorPartsTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The parts of the emulator against simple models of them. */
+/** Tests of the emulator's parts, which compare some of them with simple models. */
 class EmulatorPartsTest {
   @Test
   void timelineRunsEventsInOrderOfTimeAndScheduling() {
@@ -19,17 +19,18 @@
       Timeline timeline = new Timeline(100);
       PriorityQueue<long[]> model =
           new PriorityQueue<>(
-              Comparator.<long[]>comparingLong(e -> e[0]).thenComparingLong(e -> e[1]));
-      List<Long> happened = new ArrayList<>();
+              Comparator.<long[]>comparingLong(event -> event[0])
+                  .thenComparingLong(event -> event[1]));
+      List<Long> actual = new ArrayList<>();
       List<Long> expected = new ArrayList<>();
-      long scheduled = 0;
+      long nextSequence = 0;
       long now = 100;
       for (int i = 0; i < 4000; i++) {
         if (random.nextInt(5) < 3 || model.isEmpty()) {
           long at = now + random.nextInt(50) - 5;
-          long number = scheduled++;
-          model.add(new long[] {Math.max(at, now), number});
-          timeline.at(at, () -> happened.add(number));
+          long sequence = nextSequence++;
+          model.add(new long[] {Math.max(at, now), sequence});
+          timeline.at(at, () -> actual.add(sequence));
         } else {
           long[] next = model.poll();
           now = next[0];
@@ -38,17 +39,21 @@
           assertEquals(now, timeline.now());
         }
       }
-      assertEquals(expected, happened, "seed " + seed);
+      assertEquals(expected, actual, "seed " + seed);
     }
   }
 
-  /** The model advances each load in small steps with the same rate for each thread. */
+  /**
+   * Compares {@link SharedCpu} with a model that advances each load in steps of 0.1 ms, with the
+   * same rate for each thread. Guards against loads that end too early or too late when other
+   * loads, the memory in use or the slowness change the rate.
+   */
   @Test
-  void threadsShareCoresEvenly() {
+  void threadsShareCoresEqually() {
     for (int seed = 0; seed < 20; seed++) {
       Random random = new Random(seed);
       SharedCpu cores = new SharedCpu(4, 1000);
-      double[] left = new double[30];
+      double[] remaining = new double[30];
       int[] threads = new int[30];
       double[] memory = new double[30];
       long[] endedAt = new long[30];
@@ -61,12 +66,12 @@
           endedAt[(Integer) load.owner] = now;
         }
         if (now % 700 == 0 && loads.size() < 30) {
-          int number = loads.size();
-          threads[number] = 1 + random.nextInt(4);
-          memory[number] = 1 + random.nextInt(150);
-          left[number] = 100 + random.nextInt(5000);
+          int index = loads.size();
+          threads[index] = 1 + random.nextInt(4);
+          memory[index] = 1 + random.nextInt(150);
+          remaining[index] = 100 + random.nextInt(5000);
           SharedCpu.Load load =
-              new SharedCpu.Load(number, threads[number], memory[number], left[number]);
+              new SharedCpu.Load(index, threads[index], memory[index], remaining[index]);
           loads.add(load);
           cores.add(load);
         }
@@ -74,30 +79,30 @@
           slowness = now == 9000 ? 3 : 1;
           cores.setSlowness(slowness);
         }
-        int all = 0;
-        double used = 0;
+        int runningThreads = 0;
+        double usedMemory = 0;
         for (int i = 0; i < loads.size(); i++) {
-          all += left[i] > 0 ? threads[i] : 0;
-          used += left[i] > 0 ? memory[i] : 0;
+          runningThreads += remaining[i] > 0 ? threads[i] : 0;
+          usedMemory += remaining[i] > 0 ? memory[i] : 0;
         }
-        double spill = used > 1000 ? Math.pow(1000 / used, 2) : 1;
+        double swapFactor = usedMemory > 1000 ? Math.pow(1000 / usedMemory, 2) : 1;
         for (int i = 0; i < loads.size(); i++) {
-          if (left[i] > 0) {
-            left[i] -= Math.min(1, 4.0 / all) * spill / slowness * threads[i];
-            modelEnd[i] = left[i] <= 0 ? now + 1 : 0;
+          if (remaining[i] > 0) {
+            remaining[i] -= Math.min(1, 4.0 / runningThreads) * swapFactor / slowness * threads[i];
+            modelEnd[i] = remaining[i] <= 0 ? now + 1 : 0;
           }
         }
       }
       for (int i = 0; i < loads.size(); i++) {
         assertTrue(
             modelEnd[i] > 0 && Math.abs(modelEnd[i] - endedAt[i]) <= 12,
-            seed + ": load " + i + " ended at " + endedAt[i] + ", modelly at " + modelEnd[i]);
+            seed + ": load " + i + " ended at " + endedAt[i] + ", in the model at " + modelEnd[i]);
       }
     }
   }
 
   @Test
-  void idempotencyKeyIsForgottenAfterItsWindow() {
+  void idempotencyKeyExpiresAfterItsWindow() {
     DeduplicationLog log = new DeduplicationLog(100);
     assertTrue(log.isFirst(0, "a"));
     assertTrue(!log.isFirst(99, "a"));
