--- a/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
+++ b/emulator/src/main/java/tillerlink/emulator/EmulatedConnection.java
@@ -156,7 +156,7 @@
       attempts.onNotExecuted(id -> engineProtocol.isBeyondGoAway(gatewayView, id));
     }
     int fault = cluster.faults().choose("to the engine", WriteFault.COUNT);
-    confirmWrite(cluster.faults().choose("word of a write", CONFIRMATION_CHOICES) == 1);
+    confirmWrite(cluster.faults().choose("confirmation of a write", CONFIRMATION_CHOICES) == 1);
     if (fault == WriteFault.RESET_BEFORE) {
       disconnect(DisconnectReason.RESET);
       return;
--- a/harness/src/main/java/tillerlink/harness/EngineSockets.java
+++ b/harness/src/main/java/tillerlink/harness/EngineSockets.java
@@ -80,7 +80,9 @@
         listeners.put(port, new Listener(engine, gateway));
         enginePorts.add(port);
       } catch (IOException e) {
-        throw new IllegalStateException("an engine can't listen: " + e.getMessage(), e);
+        throw new IllegalStateException(
+            "cannot open a loopback port for engine " + engine.spec.name() + ": " + e.getMessage(),
+            e);
       }
     }
     ports.put(engine.spec.name(), enginePorts);
--- a/harness/src/main/java/tillerlink/harness/GatewayProcess.java
+++ b/harness/src/main/java/tillerlink/harness/GatewayProcess.java
@@ -214,7 +214,10 @@
       }
     }
     throw new IOException(
-        "gateway " + name + " did not come up; its log is " + folder.resolve(name + ".log"));
+        "gateway "
+            + name
+            + " is not ready: it exited, timed out after 30 s, or the wait was interrupted; see "
+            + folder.resolve(name + ".log"));
   }
 
   /** Kills the process without a chance to shut down. */
--- a/harness/src/main/java/tillerlink/harness/ProcessHarness.java
+++ b/harness/src/main/java/tillerlink/harness/ProcessHarness.java
@@ -209,7 +209,7 @@
       waitUntilReady(gateway);
     } catch (IOException e) {
       throw new IllegalStateException(
-          "gateway n" + gateway + " can't be started again: " + e.getMessage(), e);
+          "cannot restart gateway n" + gateway + ": " + e.getMessage(), e);
     }
   }
 
--- a/simulation/src/main/java/tillerlink/simulation/Seeds.java
+++ b/simulation/src/main/java/tillerlink/simulation/Seeds.java
@@ -100,7 +100,7 @@
         + count
         + " histories of "
         + name
-        + " went wrong; play one again by -Dhistories.seed=N: "
+        + " failed; reproduce one with -Dhistories.seed=N: "
         + failures.stream()
             .limit(MAX_LISTED_FAILURES)
             .map(result -> "\nseed " + result.seed + ": " + result.failure)
