--- a/fleet/src/main/java/tillerlink/fleet/EngineSpec.java
+++ b/fleet/src/main/java/tillerlink/fleet/EngineSpec.java
@@ -1,9 +1,9 @@
 package tillerlink.fleet;
 
 /**
- * One engine of a fleet at the start.
+ * An engine that is in the fleet from the start.
  *
- * @param kind an index of the fleet's kinds
- * @param zone an index of the fleet's zones
+ * @param kind the index of its kind in the fleet's kinds
+ * @param zone the index of its zone in the fleet's zones
  */
 public record EngineSpec(String name, int kind, int zone) {}
--- a/fleet/src/main/java/tillerlink/fleet/Fleet.java
+++ b/fleet/src/main/java/tillerlink/fleet/Fleet.java
@@ -17,27 +17,29 @@
 import tillerlink.workload.RequestClassSpec;
 
 /**
- * Gateways and engines of a replay, and the guarantees between them. Times are tenths of a
+ * The gateways and engines of a replay, and the guarantees between them. Times are tenths of a
  * millisecond.
  *
- * @param gateways how many there are
- * @param sockets file descriptors of one gateway
- * @param kinds the kinds of engine; engines name them by index
- * @param zones the names of the zones; engines name them by index
+ * @param gateways the number of gateways
+ * @param sockets the number of file descriptors of one gateway
+ * @param kinds the engine kinds; engines refer to them by index
+ * @param zones the names of the zones; engines refer to them by index
  * @param engines the engines at the start
- * @param progressInterval how often engines report the progress of an attempt
- * @param startCapacity the fraction of its cores that an engine has when it was just started
- * @param warmupTime how long an engine is warming up, until it has all of them
- * @param overloadFactor an engine that is warming up fails if it is sent more than this many times
- *     what it can do within {@code overloadWindow}
- * @param overloadWindow see {@code overloadFactor}; 0 if engines never fail so
- * @param drainGrace how long after a gateway was notified new work may still go to a draining
- *     engine
- * @param minRetries retries that are always allowed within {@code retryBudgetWindow}
- * @param retryRatio further retries for each request accepted in it
- * @param retryBudgetWindow the retry budget's sliding window
- * @param maxAttempts attempts of one request, at most
- * @param maxRetryAfter the longest time that clients are asked to stay away; 0 for never
+ * @param progressInterval the interval at which engines report the progress of an attempt
+ * @param startCapacity the fraction of its cores that an engine can use directly after its start
+ * @param warmupTime the time that an engine is warming up, until it can use all its cores
+ * @param overloadFactor the overload at which an engine that is warming up fails: it is sent more
+ *     than this many times the work that it can do within {@code overloadWindow}
+ * @param overloadWindow the window of {@code overloadFactor}; 0 if engines do not fail from
+ *     overload
+ * @param drainGrace the time for which new work may still go to a draining engine, from when the
+ *     gateway was notified
+ * @param minRetries the number of retries that are always allowed within {@code retryBudgetWindow}
+ * @param retryRatio the number of further retries for each request accepted in that window
+ * @param retryBudgetWindow the sliding window of the retry budget
+ * @param maxAttempts the maximum number of attempts of one request
+ * @param maxRetryAfter the maximum time after which rejected clients are asked to retry; 0 if they
+ *     are not asked to
  */
 public record Fleet(
     int gateways,
@@ -56,26 +58,32 @@
     long retryBudgetWindow,
     int maxAttempts,
     long maxRetryAfter) {
-  /** Microseconds in a tenth of a millisecond. */
-  private static final long MICROS = 100;
+  private static final long MICROS_PER_TENTH = 100;
 
   private static final int HOSTS_PER_SUBNET = 250;
   private static final int FIRST_PORT = 5050;
   private static final int FILE_DESCRIPTORS = 4096;
-  private static final InetSocketAddress UNUSED =
+  private static final InetSocketAddress UNUSED_ADDRESS =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
-  /** In tenths of a millisecond. */
+  /** One second, in tenths of a millisecond. */
   public static final long SECOND = 10_000;
 
-  /** Twelve engines of two kinds in three zones, 128 cores, behind three gateways. */
+  /**
+   * Returns the default fleet: twelve engines of two kinds in three zones, with 128 cores.
+   *
+   * @param gateways the number of gateways
+   */
   public static Fleet builtIn(int gateways) {
     return of(gateways, 12);
   }
 
   /**
-   * A third of the engines have 16 cores, the others 8. Its guarantees are invented: they are no
-   * deployment's.
+   * Returns a fleet in which a third of the engines have 16 cores and the others 8. Its guarantees
+   * are example values and not taken from a deployment.
+   *
+   * @param gateways the number of gateways
+   * @param engines the number of engines
    */
   public static Fleet of(int gateways, int engines) {
     List<EngineSpec> specs = new ArrayList<>();
@@ -103,7 +111,7 @@
         4 * SECOND / 5);
   }
 
-  /** The same engines behind that many gateways. */
+  /** Returns the same fleet with another number of gateways. */
   public Fleet withGateways(int count) {
     return new Fleet(
         count,
@@ -125,8 +133,10 @@
   }
 
   /**
-   * The same fleet with engines of those kinds reached over HTTP/2, the others over the line
-   * protocol.
+   * Returns the same fleet, in which engines of the selected kinds are reached over HTTP/2 and the
+   * others over the line protocol.
+   *
+   * @param which selects the kinds
    */
   public Fleet overHttp2(Predicate<EngineKind> which) {
     return new Fleet(
@@ -150,7 +160,7 @@
         maxRetryAfter);
   }
 
-  /** How gateways reach its engines. */
+  /** Returns the transports over which gateways reach the engines. */
   public EngineTransport.Factory transports() {
     return new Http2TransportFactory(
         false,
@@ -161,14 +171,15 @@
         0);
   }
 
-  /** The cores of all engines. */
+  /** Returns the number of cores of all engines together. */
   public double cores() {
     return engines.stream().mapToInt(engine -> kinds.get(engine.kind()).cores()).sum();
   }
 
   /**
-   * The address of an engine, by its index among all that were ever started: hosts and ports of the
-   * loopback range.
+   * Returns the address of an engine, which is in the loopback range.
+   *
+   * @param index the index of the engine among all engines that were ever started
    */
   public static InetSocketAddress address(int index) {
     return new InetSocketAddress(
@@ -179,57 +190,72 @@
         FIRST_PORT + index / HOSTS_PER_SUBNET / HOSTS_PER_SUBNET);
   }
 
-  /** An engine as discovery reports it. */
+  /**
+   * Returns the entry of an engine in the endpoint list, as the discovery service reports it.
+   *
+   * @param address the address of the engine
+   * @param startedMs the time at which the engine started, in milliseconds
+   */
   public EndpointEntry entry(
-      EngineSpec engine, InetSocketAddress at, Engine.Status standing, long startedMs) {
+      EngineSpec engine, InetSocketAddress address, Engine.Status status, long startedMs) {
     EngineKind kind = kinds.get(engine.kind());
     return new EndpointEntry(
         engine.name(),
-        at.getAddress().getHostAddress(),
-        at.getPort(),
+        address.getAddress().getHostAddress(),
+        address.getPort(),
         zones.get(engine.zone()),
         kind.name(),
         0,
-        standing,
+        status,
         kind.cores() / 8.0,
         startedMs);
   }
 
-  /** The configuration of a gateway at its start. */
+  /**
+   * Returns the configuration of a gateway at its start.
+   *
+   * @param gateway the index of the gateway
+   * @param seed the seed of the gateway's random numbers
+   * @param known the endpoint list that the gateway starts with
+   */
   public GatewayConfig assignment(
       int gateway, long seed, List<RequestClassSpec> requestClasses, EndpointWatchEvent known) {
     return new GatewayConfig(
         "n" + gateway,
-        UNUSED,
-        UNUSED,
+        UNUSED_ADDRESS,
+        UNUSED_ADDRESS,
         seed,
         sockets,
         settings(requestClasses, gateway),
         List.of(known));
   }
 
-  /** The settings in the form in which a gateway's configuration holds them. */
+  /**
+   * Returns the settings in the form of a gateway's configuration. Times are microseconds.
+   *
+   * @param gateway the index of the gateway
+   */
   public Map<String, Object> settings(List<RequestClassSpec> requestClasses, int gateway) {
     Map<String, Object> caps = new LinkedHashMap<>();
     caps.put("max_attempts", (long) maxAttempts);
     caps.put("may_cancel", true);
     caps.put("retry_after", maxRetryAfter > 0);
-    caps.put("max_retry_after_us", maxRetryAfter * MICROS);
+    caps.put("max_retry_after_us", maxRetryAfter * MICROS_PER_TENTH);
     caps.put("streams_per_conn", 32L);
     caps.put("connect_timeout_us", 400_000L);
     caps.put("conn_idle_us", 20_000_000L);
     Map<String, Object> guarantees = new LinkedHashMap<>();
-    guarantees.put("drain_grace_us", drainGrace * MICROS);
+    guarantees.put("drain_grace_us", drainGrace * MICROS_PER_TENTH);
     guarantees.put("extra_floor", minRetries);
     guarantees.put("further_ratio", retryRatio);
-    guarantees.put("budget_span_us", retryBudgetWindow * MICROS);
+    guarantees.put("budget_span_us", retryBudgetWindow * MICROS_PER_TENTH);
     guarantees.put("fall_multiple", overloadFactor);
-    guarantees.put("fall_us", overloadWindow * MICROS);
+    guarantees.put("fall_us", overloadWindow * MICROS_PER_TENTH);
     guarantees.put("start_capacity", startCapacity);
-    guarantees.put("warm_within_us", warmupTime * MICROS);
+    guarantees.put("warm_within_us", warmupTime * MICROS_PER_TENTH);
     Map<String, Object> info = new LinkedHashMap<>();
     info.put("kind_cores", kinds.stream().map(kind -> (long) kind.cores()).toList());
-    info.put("tells_every_us", progressInterval * MICROS);
+    info.put("tells_every_us", progressInterval * MICROS_PER_TENTH);
     info.put(
         "width_by_class",
         requestClasses.stream().map(requestClass -> (long) requestClass.width()).toList());
@@ -247,14 +273,15 @@
     return all;
   }
 
+  /** Returns the settings of a request class. Times are microseconds. */
   private Map<String, Object> profile(RequestClassSpec requestClass) {
     Map<String, Object> profile = new LinkedHashMap<>();
     profile.put("name", requestClass.name());
     profile.put("semantics", requestClass.semantics());
     profile.put("group", "all");
-    profile.put("window_us", requestClass.window() * MICROS);
-    profile.put("aim_us", requestClass.latencyObjective() * MICROS);
-    profile.put("hard_limit_us", requestClass.deadline() * MICROS);
+    profile.put("window_us", requestClass.window() * MICROS_PER_TENTH);
+    profile.put("aim_us", requestClass.latencyObjective() * MICROS_PER_TENTH);
+    profile.put("hard_limit_us", requestClass.deadline() * MICROS_PER_TENTH);
     profile.put("worth", requestClass.value());
     profile.put("late_worth", requestClass.lateValue() / requestClass.value());
     if (!requestClass.kinds().isEmpty()) {
@@ -265,7 +292,7 @@
     return profile;
   }
 
-  /** The index of a kind, or -1 if there is none of that name. */
+  /** Returns the index of an engine kind, or -1 if no kind has the name. */
   public int kindNamed(String name) {
     for (int i = 0; i < kinds.size(); i++) {
       if (kinds.get(i).name().equals(name)) {
--- a/fleet/src/main/java/tillerlink/fleet/ScheduledFault.java
+++ b/fleet/src/main/java/tillerlink/fleet/ScheduledFault.java
@@ -3,25 +3,34 @@
 /**
  * A fault or an operation at a set time of a replay. Times are tenths of a millisecond.
  *
+ * @param at the time since the start of the replay
  * @param whom the name of an engine, or of a gateway: n0, n1, and so on
- * @param lasts how long, where it passes; how long a drained engine goes on, or a killed gateway
- *     stays down
- * @param factor how many times slower
+ * @param lasts the duration of a temporary fault, the time that a draining engine continues to run,
+ *     or the time that a killed gateway is down
+ * @param factor the factor by which a slow engine takes longer
  */
 public record ScheduledFault(long at, What what, String whom, long lasts, double factor) {
-  /** What happens; the operator's file names it by the constant. */
+  /** The kind of a fault or operation. The operator's file uses the names of the constants. */
   public enum What {
-    /** Everything that runs on the engine takes that many times as long. */
+    /** All work on the engine takes longer by the factor. */
     SLOW,
-    /** The engine is cut off, and comes back as it was. */
+    /**
+     * The network to the engine is cut; the engine keeps its state and is reachable again later.
+     */
     SILENT,
-    /** The engine's process ends: connections are reset, discovery reports it after a while. */
+    /**
+     * The engine's process ends: its connections are reset, and the discovery service reports it
+     * after a delay.
+     */
     GONE,
-    /** Discovery reports the engine as draining; it refuses new work, and ends. */
+    /**
+     * The discovery service reports the engine as draining; the engine refuses new work and ends
+     * later.
+     */
     DRAINED,
-    /** The engine drains and ends, and one of another name, warming up, takes its place. */
+    /** The engine drains and ends, and a cold engine with another name replaces it. */
     REPLACED,
-    /** A gateway is killed without warning, and started again. */
+    /** A gateway is killed without warning and started again later. */
     KILLED
   }
 }
