--- a/operator/src/main/java/com/bertramlabs/plugins/hcl4j/Symbols.java
+++ b/operator/src/main/java/com/bertramlabs/plugins/hcl4j/Symbols.java
@@ -6,15 +6,18 @@
 import java.util.List;
 
 /**
- * Gives access to the symbols of hcl4j's lexer, with lines and columns. The parser of the library
- * drops these, and its lexer is visible in this package only.
+ * Access to the symbols of the hcl4j lexer with their lines and columns. The class is in the
+ * package of the library because the lexer is package-private and the public parser drops the
+ * positions.
  */
 public final class Symbols {
   private Symbols() {}
 
   /**
-   * Reads the top-level symbols of a file with those below them; lines and columns count from 0.
+   * Returns the top-level symbols of a file with their child symbols.
    *
+   * @return symbols whose lines and columns count from 0
+   * @throws IOException if the text cannot be read
    * @throws HCLParserException if the text is not HCL
    */
   public static List<Symbol> read(Reader in) throws IOException, HCLParserException {
--- a/operator/src/main/java/tillerlink/operator/ConfigError.java
+++ b/operator/src/main/java/tillerlink/operator/ConfigError.java
@@ -2,7 +2,13 @@
 
 import java.util.Comparator;
 
-/** An error in an operator's file, and its place. */
+/**
+ * An error in an operator's file. Errors are ordered by position, then by message.
+ *
+ * @param line the line, counted from 1
+ * @param column the column, counted from 1
+ * @param what the message
+ */
 public record ConfigError(int line, int column, String what) implements Comparable<ConfigError> {
   private static final Comparator<ConfigError> ORDER =
       Comparator.comparingInt(ConfigError::line)
--- a/operator/src/main/java/tillerlink/operator/DelimiterCheck.java
+++ b/operator/src/main/java/tillerlink/operator/DelimiterCheck.java
@@ -4,14 +4,18 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Finds the first quote, comment, bracket or brace that is unclosed, or that closes nothing. */
+/**
+ * A scanner that finds the first unterminated string or block comment and the first unmatched
+ * bracket or brace, with its position. It also records the positions of all assignment signs.
+ */
 final class DelimiterCheck {
+  /** An opening bracket or brace and its position, counted from 1. */
   private record Opening(char character, int line, int column) {}
 
   private final String text;
   private final ArrayDeque<Opening> openings = new ArrayDeque<>();
   private final List<ConfigError> assignments = new ArrayList<>();
-  private int at;
+  private int position;
   private int line = 1;
   private int column = 1;
 
@@ -19,15 +23,22 @@
     this.text = text;
   }
 
-  /** Every sign that assigns a value, as the error that it is if no value was read there. */
+  /**
+   * Returns one error for each assignment sign that was scanned. The caller reports those at which
+   * the HCL library read no attribute.
+   */
   List<ConfigError> assignments() {
     return assignments;
   }
 
-  /** Returns the first error, or null if there is none. */
-  ConfigError find() {
-    while (at < text.length()) {
-      ConfigError error = token();
+  /**
+   * Scans the text up to the first error.
+   *
+   * @return the first error, or null if there is none
+   */
+  ConfigError findFirstError() {
+    while (position < text.length()) {
+      ConfigError error = checkToken();
       if (error != null) {
         return error;
       }
@@ -36,79 +47,86 @@
     if (openings.isEmpty()) {
       return null;
     }
-    Opening open = openings.peek();
-    return new ConfigError(open.line, open.column, "'" + open.character + "' is not closed");
+    Opening unclosed = openings.peek();
+    return new ConfigError(unclosed.line, unclosed.column, "unclosed '" + unclosed.character + "'");
   }
 
-  /** Checks one token and stops at its last character. */
-  private ConfigError token() {
-    char character = text.charAt(at);
-    if (character == '#' || text.startsWith("//", at)) {
+  /**
+   * Checks one token and stops at its last character.
+   *
+   * @return the error, or null if there is none
+   */
+  private ConfigError checkToken() {
+    char character = text.charAt(position);
+    if (character == '#' || text.startsWith("//", position)) {
       skipLineComment();
       return null;
     }
-    if (text.startsWith("/*", at)) {
-      return blockComment();
+    if (text.startsWith("/*", position)) {
+      return skipBlockComment();
     }
     return switch (character) {
-      case '"' -> quote();
+      case '"' -> checkString();
       case '=', ':' -> {
         assignments.add(
-            new ConfigError(line, column, "'" + character + "' gives no name a value here"));
+            new ConfigError(line, column, "'" + character + "' is not part of an attribute"));
         yield null;
       }
       case '{', '[' -> {
         openings.push(new Opening(character, line, column));
         yield null;
       }
-      case '}' -> closing('{', character);
-      case ']' -> closing('[', character);
+      case '}' -> checkClosing('{', character);
+      case ']' -> checkClosing('[', character);
       default -> null;
     };
   }
 
-  private ConfigError quote() {
-    ConfigError error = new ConfigError(line, column, "a quote that does not end on its line");
+  private ConfigError checkString() {
+    ConfigError error =
+        new ConfigError(line, column, "unterminated string: no closing quote on this line");
     advance();
-    while (at < text.length() && text.charAt(at) != '"' && text.charAt(at) != '\n') {
-      if (text.charAt(at) == '\\' && at + 1 < text.length()) {
+    while (position < text.length()
+        && text.charAt(position) != '"'
+        && text.charAt(position) != '\n') {
+      if (text.charAt(position) == '\\' && position + 1 < text.length()) {
         advance();
       }
       advance();
     }
-    return at >= text.length() || text.charAt(at) == '\n' ? error : null;
+    return position >= text.length() || text.charAt(position) == '\n' ? error : null;
   }
 
   private void skipLineComment() {
-    while (at + 1 < text.length() && text.charAt(at + 1) != '\n') {
+    while (position + 1 < text.length() && text.charAt(position + 1) != '\n') {
       advance();
     }
   }
 
-  private ConfigError blockComment() {
-    int end = text.indexOf("*/", at + 2);
+  private ConfigError skipBlockComment() {
+    int end = text.indexOf("*/", position + 2);
     if (end < 0) {
-      return new ConfigError(line, column, "a comment that does not end");
+      return new ConfigError(line, column, "unterminated block comment");
     }
-    while (at < end + 1) {
+    while (position < end + 1) {
       advance();
     }
     return null;
   }
 
-  private ConfigError closing(char opening, char character) {
+  private ConfigError checkClosing(char opening, char character) {
     return openings.isEmpty() || openings.pop().character != opening
-        ? new ConfigError(line, column, "'" + character + "' closes nothing")
+        ? new ConfigError(line, column, "unmatched '" + character + "'")
         : null;
   }
 
   private void advance() {
-    if (text.charAt(at) == '\n') {
+    if (text.charAt(position) == '\n') {
       line++;
       column = 1;
     } else {
       column++;
     }
-    at++;
+    position++;
   }
 }
--- a/operator/src/main/java/tillerlink/operator/FleetPart.java
+++ b/operator/src/main/java/tillerlink/operator/FleetPart.java
@@ -6,27 +6,32 @@
 import tillerlink.fleet.EngineSpec;
 import tillerlink.fleet.Fleet;
 
-/** The block <code>fleet</code>: the emulated fleet of a replay. */
+/** Reader of the block {@code fleet}: the emulated fleet of a replay. */
 final class FleetPart {
   private FleetPart() {}
 
+  /**
+   * Reads the block.
+   *
+   * @return null if the block is absent
+   */
   static Fleet read(Section section) {
     if (section == null) {
       return null;
     }
     List<EngineKind> kinds = kinds(section);
-    List<String> zones = section.texts("zones", true);
+    List<String> zones = section.strings("zones", true);
     List<EngineSpec> specs = engines(section, kinds, zones);
     if (kinds.isEmpty() || specs.isEmpty()) {
-      section.fault("a fleet wants kinds and engines");
+      section.error("fleet requires at least one 'kind' block and one 'engines' block");
     }
-    Section cold = section.oneOrEmpty("cold");
-    Section budget = section.oneOrEmpty("budget");
+    Section cold = section.blockOrEmpty("cold");
+    Section budget = section.blockOrEmpty("budget");
     Fleet defaults = Fleet.builtIn(1);
     Fleet fleet =
         new Fleet(
-            (int) section.whole("gateways", 1, 1000, 3),
-            (int) section.whole("sockets", 32, 1 << 20, defaults.sockets()),
+            (int) section.integer("gateways", 1, 1000, 3),
+            (int) section.integer("sockets", 32, 1 << 20, defaults.sockets()),
             kinds,
             zones,
             specs,
@@ -39,7 +44,7 @@
             budget.number("floor", 0, 1e6, defaults.minRetries()),
             budget.number("ratio", 0, 10, defaults.retryRatio()),
             seconds(budget, "span_s", 0.1, defaults.retryBudgetWindow()),
-            (int) section.whole("hops_most", 1, 100, defaults.maxAttempts()),
+            (int) section.integer("hops_most", 1, 100, defaults.maxAttempts()),
             seconds(section, "come_back_s", 0, defaults.maxRetryAfter()));
     cold.close();
     budget.close();
@@ -49,7 +54,7 @@
 
   private static List<EngineKind> kinds(Section fleet) {
     List<EngineKind> kinds = new ArrayList<>();
-    for (Section kind : fleet.all("kind")) {
+    for (Section kind : fleet.blocks("kind")) {
       kinds.add(
           new EngineKind(
               kind.label(),
@@ -61,36 +66,50 @@
     return kinds;
   }
 
-  private static long seconds(Section section, String name, double min, long otherwise) {
-    double seconds = section.number(name, min, Units.DAY_S, otherwise / Units.TENTHS_PER_S);
+  /**
+   * Reads a duration in seconds.
+   *
+   * @param min the minimum, in seconds
+   * @param defaultValue the default, in tenths of a millisecond
+   * @return tenths of a millisecond
+   */
+  private static long seconds(Section section, String name, double min, long defaultValue) {
+    double seconds = section.number(name, min, Units.DAY_S, defaultValue / Units.TENTHS_PER_S);
     return Math.round(seconds * Units.TENTHS_PER_S);
   }
 
+  /** Returns the engines; each is named by the label of its block and a number counted from 1. */
   private static List<EngineSpec> engines(
       Section fleet, List<EngineKind> kinds, List<String> zones) {
     List<EngineSpec> specs = new ArrayList<>();
     List<String> kindNames = kinds.stream().map(EngineKind::name).toList();
-    for (Section group : fleet.all("engines")) {
+    for (Section group : fleet.blocks("engines")) {
       String name = group.label();
       int kind = index(group, "kind", kindNames);
       int zone = index(group, "zone", zones);
-      long count = group.whole("count", 1, 5000, 1);
+      long count = group.integer("count", 1, 5000, 1);
       for (long i = 1; i <= count; i++) {
         specs.add(new EngineSpec(name + i, kind, zone));
       }
       group.close();
     }
     if (specs.stream().map(EngineSpec::name).distinct().count() < specs.size()) {
-      fleet.fault("two engines have the same name");
+      fleet.error(
+          "duplicate engine name in fleet; an engine's name is its block's label and a number");
     }
     return specs;
   }
 
+  /**
+   * Reads a name and returns its index in a list.
+   *
+   * @return 0 after an error, so that reading continues with a valid index
+   */
   private static int index(Section section, String name, List<String> names) {
-    String given = section.text(name, null);
+    String given = section.string(name, null);
     int index = names.indexOf(given);
     if (index < 0 && !given.isEmpty()) {
-      section.faultAt(name, "there is no " + name + " '" + given + "'");
+      section.errorAt(name, "unknown " + name + " '" + given + "'");
     }
     return Math.max(0, index);
   }
--- a/operator/src/main/java/tillerlink/operator/HclReader.java
+++ b/operator/src/main/java/tillerlink/operator/HclReader.java
@@ -19,17 +19,27 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Reads HCL into sections. Values are literals: strings, numbers, booleans, and lists of these. */
+/**
+ * Reader of HCL files into sections. Values are literals: strings, numbers, booleans, and lists of
+ * these.
+ */
 final class HclReader {
   private static final long MAX_BYTES = 1 << 20;
   private static final int MAX_DEPTH = 8;
-  private static final Pattern PLACE = Pattern.compile("[Ll]ine:? (\\d+)");
+  private static final Pattern LINE_NUMBER = Pattern.compile("[Ll]ine:? (\\d+)");
 
   private HclReader() {}
 
-  static Section read(Path path, List<ConfigError> faults) throws IOException {
+  /**
+   * Reads a file.
+   *
+   * @param errors receives the errors of the file
+   * @return the top-level section, whose blocks and attributes are those of the file
+   * @throws IOException if the file cannot be read, exceeds 1 MiB or is not UTF-8
+   */
+  static Section read(Path path, List<ConfigError> errors) throws IOException {
     if (Files.size(path) > MAX_BYTES) {
-      throw new IOException(path + ": more than " + MAX_BYTES + " bytes");
+      throw new IOException(path + ": file size exceeds " + MAX_BYTES + " bytes");
     }
     String text;
     try {
@@ -39,56 +49,61 @@
               .decode(ByteBuffer.wrap(Files.readAllBytes(path)))
               .toString();
     } catch (CharacterCodingException e) {
-      throw new IOException(path + ": not UTF-8", e);
+      throw new IOException(path + ": file is not valid UTF-8", e);
     }
-    return of(text, faults);
+    return parse(text, errors);
   }
 
   /**
-   * Reads a text. One that is no HCL gives one error, at the place where the braces or quotes go
-   * wrong.
+   * Reads a text. If the text is not HCL, one error is recorded: at the first unmatched delimiter
+   * if there is one, otherwise at the line that the library reports.
+   *
+   * @param errors receives the errors of the text
    */
-  static Section of(String text, List<ConfigError> faults) throws IOException {
-    Section all = new Section("", List.of(), 1, 1, faults);
+  static Section parse(String text, List<ConfigError> errors) throws IOException {
+    Section root = new Section("", List.of(), 1, 1, errors);
     DelimiterCheck delimiters = new DelimiterCheck(text);
-    ConfigError delimiterError = delimiters.find();
+    ConfigError delimiterError = delimiters.findFirstError();
     if (delimiterError != null) {
-      faults.add(delimiterError);
-      return all;
+      errors.add(delimiterError);
+      return root;
     }
     try {
       List<Symbol> symbols = Symbols.read(new StringReader(text));
       for (Symbol symbol : symbols) {
-        put(all, symbol, faults, 0);
+        addTo(root, symbol, errors, 0);
       }
-      checkAllAttributesRead(symbols, delimiters.assignments(), faults);
+      checkAllAttributesRead(symbols, delimiters.assignments(), errors);
     } catch (HCLParserException | RuntimeException | Error e) {
       if (e instanceof VirtualMachineError fatal) {
         throw fatal;
       }
-      Matcher place = PLACE.matcher(String.valueOf(e.getMessage()));
-      faults.add(
+      Matcher lineNumber = LINE_NUMBER.matcher(String.valueOf(e.getMessage()));
+      errors.add(
           new ConfigError(
-              place.find() ? Integer.parseInt(place.group(1)) : 1, 1, "this can't be read as HCL"));
+              lineNumber.find() ? Integer.parseInt(lineNumber.group(1)) : 1,
+              1,
+              "invalid HCL syntax"));
     }
-    return all;
+    return root;
   }
 
   /**
-   * Guards against attributes that the library skips silently: as many must have been read as there
-   * are signs of assignment.
+   * Records an error for each assignment sign on whose line no attribute was read. Guards against
+   * attributes that the library skips silently.
    */
   private static void checkAllAttributesRead(
-      List<Symbol> symbols, List<ConfigError> assignments, List<ConfigError> faults) {
+      List<Symbol> symbols, List<ConfigError> assignments, List<ConfigError> errors) {
     List<Integer> lines = new ArrayList<>();
     symbols.forEach(symbol -> collectLines(symbol, lines));
     for (ConfigError assignment : assignments) {
       if (!lines.remove((Integer) assignment.line())) {
-        faults.add(assignment);
+        errors.add(assignment);
       }
     }
   }
 
+  /** Adds the lines of a symbol's attributes to a list, including those of its child symbols. */
   private static void collectLines(Symbol symbol, List<Integer> lines) {
     if (symbol instanceof HCLAttribute) {
       lines.add(line(symbol));
@@ -104,7 +119,8 @@
     return symbol.getColumn() + 1;
   }
 
-  private static void put(Section into, Symbol symbol, List<ConfigError> faults, int depth) {
+  /** Adds a symbol and its child symbols to a section, and records errors for invalid ones. */
+  private static void addTo(Section target, Symbol symbol, List<ConfigError> errors, int depth) {
     if (symbol instanceof HCLBlock block && depth < MAX_DEPTH) {
       List<String> names = block.blockNames;
       Section section =
@@ -113,28 +129,31 @@
               List.copyOf(names.subList(1, names.size())),
               line(symbol),
               column(symbol),
-              faults);
-      into.add(section);
+              errors);
+      target.add(section);
       for (Symbol child : children(symbol)) {
-        put(section, child, faults, depth + 1);
+        addTo(section, child, errors, depth + 1);
       }
     } else if (symbol instanceof HCLAttribute) {
       List<Symbol> value = children(symbol);
       Object literal = value.size() == 1 ? literal(value.get(0)) : null;
       if (literal == null) {
-        faults.add(
+        errors.add(
             new ConfigError(
                 line(symbol),
                 column(symbol),
                 "'"
                     + symbol.getName()
-                    + "' is not a plain value; texts stand in quotes, and nothing is worked out"
-                    + " here"));
+                    + "' is not a literal: expected a quoted string, a number, a boolean or a list"
+                    + " of these"));
       }
-      into.put(symbol.getName(), new Section.Value(literal, line(symbol), column(symbol)));
+      target.put(symbol.getName(), new Section.Value(literal, line(symbol), column(symbol)));
     } else {
-      faults.add(
-          new ConfigError(line(symbol), column(symbol), "neither a block nor a value with a name"));
+      errors.add(
+          new ConfigError(
+              line(symbol),
+              column(symbol),
+              "expected an attribute, or a block nested at most " + MAX_DEPTH + " levels deep"));
     }
   }
 
@@ -142,7 +161,7 @@
     return symbol.getChildren() == null ? List.of() : symbol.getChildren();
   }
 
-  /** The value of a literal; null if it is none. */
+  /** Returns the value of a literal, or null if the symbol is not a literal. */
   private static Object literal(Symbol symbol) {
     if (symbol instanceof HCLArray) {
       List<Object> list = new ArrayList<>();
@@ -163,6 +182,7 @@
     };
   }
 
+  /** Returns the value of a number, or null if the text is not a number. */
   private static Object number(String text) {
     try {
       return Double.valueOf(text);
--- a/operator/src/main/java/tillerlink/operator/Http2Part.java
+++ b/operator/src/main/java/tillerlink/operator/Http2Part.java
@@ -4,11 +4,15 @@
 import java.util.Set;
 import tillerlink.net.http2.Http2TransportFactory;
 
-/** The block <code>http2</code>. */
+/** Reader of the block {@code http2}: which engines are reached over HTTP/2. */
 final class Http2Part {
   private Http2Part() {}
 
-  /** The engines that are reached over HTTP/2. */
+  /**
+   * Reads the block.
+   *
+   * @return null if the block is absent
+   */
   static Http2TransportFactory read(Section section) {
     if (section == null) {
       return null;
@@ -16,10 +20,10 @@
     Http2TransportFactory transports =
         new Http2TransportFactory(
             section.flag("all", false),
-            Set.copyOf(new LinkedHashSet<>(section.texts("kinds", false))),
-            (int) section.whole("streams_most", 1, 100_000, 0));
+            Set.copyOf(new LinkedHashSet<>(section.strings("kinds", false))),
+            (int) section.integer("streams_most", 1, 100_000, 0));
     if (!transports.all() && transports.kinds().isEmpty()) {
-      section.fault("http2 wants kinds, or all = true");
+      section.error("http2 requires 'kinds' or 'all = true'");
     }
     section.close();
     return transports;
--- a/operator/src/main/java/tillerlink/operator/LayoutPart.java
+++ b/operator/src/main/java/tillerlink/operator/LayoutPart.java
@@ -6,31 +6,38 @@
 import java.util.List;
 import tillerlink.trace.Layout;
 
-/** The blocks <code>layout</code>: how the rows of traces are read. */
+/** Reader of the blocks {@code layout}: how the rows of traces are read. */
 final class LayoutPart {
   private static final String DEFAULT_DELIMITER = ",";
   private static final char LAST_PRINTABLE = 126;
 
   private LayoutPart() {}
 
-  static List<Layout> read(Section all) {
+  /**
+   * Reads all layouts of the file. The names of built-in layouts cannot be reused.
+   *
+   * @return the layouts in the order of the file
+   */
+  static List<Layout> read(Section root) {
     List<Layout> layouts = new ArrayList<>();
-    for (Section section : all.all("layout")) {
+    for (Section section : root.blocks("layout")) {
       Layout layout = layout(section);
       if (Layout.KNOWN.stream().anyMatch(known -> known.name().equals(layout.name()))
           || layouts.stream().anyMatch(other -> other.name().equals(layout.name()))) {
-        section.fault("a layout '" + layout.name() + "' is there already");
+        section.error("layout '" + layout.name() + "' is already defined");
       }
       layouts.add(layout);
     }
     return layouts;
   }
 
+  /** The unit of the times in a trace. */
   private enum TimeUnit {
     US(1e-2),
     MS(Units.TENTHS_PER_MS),
     S(Units.TENTHS_PER_S);
 
+    /** Tenths of a millisecond in the unit. */
     private final double tenths;
 
     TimeUnit(double tenths) {
@@ -41,7 +48,7 @@
   private static Layout layout(Section section) {
     String name = section.label();
     boolean header = section.flag("header", false);
-    List<String> columns = section.texts("columns", !header);
+    List<String> columns = section.strings("columns", !header);
     char delimiter = delimiter(section);
     Layout.Pairing pairing = pairing(section, columns);
     Layout layout =
@@ -64,33 +71,46 @@
             RowTests.read(section, "only", columns),
             section.number("unknown_time", 0, Double.MAX_VALUE, Double.MAX_VALUE));
     if (pairing != null && layout.end() != null) {
-      section.faultAt("end", "'end' has no meaning where rows are paired");
+      section.errorAt("end", "'end' must be absent in a layout with a 'pairs' block");
     }
     section.close();
     return layout;
   }
 
+  /**
+   * Reads the delimiter of columns.
+   *
+   * @return the default after an error
+   */
   private static char delimiter(Section section) {
-    String given = section.text("delimiter", DEFAULT_DELIMITER);
+    String given = section.string("delimiter", DEFAULT_DELIMITER);
     if (given.length() != 1 || "\"\n\r".contains(given) || given.charAt(0) > LAST_PRINTABLE) {
-      section.faultAt("delimiter", "'delimiter' is not one plain character");
+      section.errorAt(
+          "delimiter",
+          "'delimiter' is '"
+              + given
+              + "', expected one ASCII character other than a quote or a line break");
       given = DEFAULT_DELIMITER;
     }
     return given.charAt(0);
   }
 
-  /** How start rows and end rows are paired, or null. */
+  /**
+   * Reads how start rows and end rows are paired.
+   *
+   * @return null if each row is a whole task
+   */
   private static Layout.Pairing pairing(Section section, List<String> columns) {
-    Section pairs = section.one("pairs");
+    Section pairs = section.block("pairs");
     if (pairs == null) {
       return null;
     }
     Layout.Pairing pairing =
         new Layout.Pairing(
             column(pairs, columns, "column", true),
-            pairs.texts("starts", true),
-            pairs.texts("ends", true),
-            pairs.texts("breaks", false));
+            pairs.strings("starts", true),
+            pairs.strings("ends", true),
+            pairs.strings("breaks", false));
     pairs.close();
     return pairing;
   }
--- a/operator/src/main/java/tillerlink/operator/LogPart.java
+++ b/operator/src/main/java/tillerlink/operator/LogPart.java
@@ -4,10 +4,15 @@
 import tillerlink.operator.OperatorFile.Level;
 import tillerlink.operator.OperatorFile.LogConfig;
 
-/** The block <code>log</code>. */
+/** Reader of the block {@code log}: the format and the level of the log. */
 final class LogPart {
   private LogPart() {}
 
+  /**
+   * Reads the block.
+   *
+   * @return null if the block is absent
+   */
   static LogConfig read(Section section) {
     if (section == null) {
       return null;
--- a/operator/src/main/java/tillerlink/operator/MembersConfig.java
+++ b/operator/src/main/java/tillerlink/operator/MembersConfig.java
@@ -10,15 +10,18 @@
 import java.util.TreeMap;
 
 /**
- * The block <code>members</code>: which fleet this gateway belongs to, and how it finds the others.
+ * The settings of the block {@code members}: the fleet that this gateway belongs to, and how it
+ * finds the other gateways.
  *
  * @param fleet the name of the fleet; messages of other fleets are dropped
  * @param site the site of this gateway
- * @param listen where other gateways reach it over UDP, as host:port; see {@link Addresses}
- * @param seeds addresses of gateways to contact first; its own may be among them
- * @param secretFile the file with the secret that authenticates members; null for none
- * @param reach by gateway, the address at which this one reaches it, if it differs from the
- *     advertised one
+ * @param listen the address at which other gateways reach this one over UDP, as host:port; see
+ *     {@link Addresses}
+ * @param seeds the addresses of gateways to contact first; may include the address of this gateway
+ * @param secretFile the file with the secret that authenticates members; null if members are not
+ *     authenticated
+ * @param reach addresses by gateway name, for gateways that this one reaches at another address
+ *     than the advertised one
  * @param probeEvery the probe interval, in tenths of a millisecond
  */
 public record MembersConfig(
@@ -34,6 +37,11 @@
   private static final int MIN_SECRET_BYTES = 16;
   private static final int MAX_SECRET_BYTES = 4096;
 
+  /**
+   * Reads the block.
+   *
+   * @return null if the block is absent
+   */
   static MembersConfig read(Section section) {
     if (section == null) {
       return null;
@@ -43,34 +51,37 @@
             NameRules.read(section, "fleet"),
             NameRules.read(section, "site"),
             Addresses.read(section, "listen"),
-            Addresses.list(section, "seeds", MAX_SEEDS),
-            section.textOrNull("secret_file"),
+            Addresses.readList(section, "seeds", MAX_SEEDS),
+            section.stringOrNull("secret_file"),
             reach(section),
             Math.round(section.number("probe_ms", 50, 60_000, 500) * Units.TENTHS_PER_MS));
     section.close();
     return members;
   }
 
+  /** Returns the addresses of the blocks {@code reach}, by gateway name. */
   private static Map<String, String> reach(Section members) {
     Map<String, String> reach = new TreeMap<>();
-    for (Section section : members.all("reach")) {
-      String name = NameRules.label(section);
+    for (Section section : members.blocks("reach")) {
+      String name = NameRules.readLabel(section);
       if (reach.putIfAbsent(name, Addresses.read(section, "at")) != null) {
-        section.fault("a second reach '" + name + "'");
+        section.error("duplicate reach '" + name + "'");
       }
       section.close();
     }
     if (reach.size() > MAX_REACH) {
-      members.fault("more than " + MAX_REACH + " reach in " + members);
+      members.error(
+          reach.size() + " 'reach' blocks in " + members + ", expected at most " + MAX_REACH);
     }
     return Collections.unmodifiableMap(reach);
   }
 
   /**
-   * Reads the fleet's secret from its file, without trailing line ends and blanks; null if none is
-   * set.
+   * Reads the fleet's secret from its file, without trailing line ends and spaces.
    *
-   * @throws IOException if it can't be read, or is too short or too long
+   * @return null if no secret file is configured
+   * @throws IOException if the file cannot be read or exceeds 4096 bytes, or if the secret is
+   *     shorter than 16 bytes
    */
   public byte[] secret() throws IOException {
     if (secretFile == null) {
@@ -78,10 +89,10 @@
     }
     Path file = Path.of(secretFile);
     if (!Files.isRegularFile(file) || !Files.isReadable(file)) {
-      throw new IOException(secretFile + ": there is no secret to be read there");
+      throw new IOException(secretFile + ": secret file does not exist or is not readable");
     }
     if (Files.size(file) > MAX_SECRET_BYTES) {
-      throw new IOException(secretFile + ": a secret of more than " + MAX_SECRET_BYTES + " bytes");
+      throw new IOException(secretFile + ": secret file exceeds " + MAX_SECRET_BYTES + " bytes");
     }
     byte[] bytes = Files.readAllBytes(file);
     int length = bytes.length;
@@ -91,12 +102,7 @@
     }
     if (length < MIN_SECRET_BYTES) {
       throw new IOException(
-          secretFile
-              + ": a secret of "
-              + length
-              + " bytes; it wants "
-              + MIN_SECRET_BYTES
-              + " at the least");
+          secretFile + ": secret has " + length + " bytes, expected at least " + MIN_SECRET_BYTES);
     }
     return Arrays.copyOf(bytes, length);
   }
--- a/operator/src/main/java/tillerlink/operator/NameRules.java
+++ b/operator/src/main/java/tillerlink/operator/NameRules.java
@@ -5,53 +5,74 @@
 import java.util.Set;
 
 /**
- * The rules for names of fleets, sites and gateways, which appear in messages, log lines and file
- * names.
+ * Validation of the names of fleets, sites and gateways. The set of characters is restricted
+ * because these names appear in messages, log lines and file names.
  */
 final class NameRules {
-  private static final String FORM = "[A-Za-z0-9._-]{1,64}";
+  private static final String PATTERN = "[A-Za-z0-9._-]{1,64}";
 
   private NameRules() {}
 
+  /**
+   * Reads a required name and records an error if it is invalid.
+   *
+   * @return the name as written, or an empty string if it is missing
+   */
   static String read(Section section, String name) {
-    String given = section.text(name, null);
-    if (!given.isEmpty() && !given.matches(FORM)) {
-      section.faultAt(name, invalid(given));
+    String given = section.string(name, null);
+    if (!given.isEmpty() && !given.matches(PATTERN)) {
+      section.errorAt(name, invalidName(given));
     }
     return given;
   }
 
-  /** Names in the order of the file, each unique. */
-  static List<String> list(Section section, String name, int limit) {
-    List<String> given = distinct(section, name, section.texts(name, true), limit);
+  /**
+   * Reads a required list of unique names and records an error for each invalid one.
+   *
+   * @param limit the maximum number of names
+   * @return the unique names in the order of the file
+   */
+  static List<String> readList(Section section, String name, int limit) {
+    List<String> given = distinct(section, name, section.strings(name, true), limit);
     given.stream()
-        .filter(element -> !element.matches(FORM))
-        .forEach(element -> section.faultAt(name, invalid(element)));
+        .filter(element -> !element.matches(PATTERN))
+        .forEach(element -> section.errorAt(name, invalidName(element)));
     return given;
   }
 
-  /** The one label of a block. */
-  static String label(Section section) {
+  /**
+   * Returns the label of a block, which must be a valid name.
+   *
+   * @return the first label after an error, or "?" if there is none
+   */
+  static String readLabel(Section section) {
     String given = section.label();
-    if (!given.matches(FORM) && !given.isEmpty() && section.hasOneLabel()) {
-      section.fault(invalid(given));
+    if (!given.matches(PATTERN) && !given.isEmpty() && section.hasOneLabel()) {
+      section.error(invalidName(given));
     }
     return given;
   }
 
-  private static String invalid(String given) {
-    return "'" + given + "' is not a name of letters, digits, '.', '-' and '_', 64 at most";
+  private static String invalidName(String given) {
+    return "invalid name '" + given + "': expected 1 to 64 letters, digits, '.', '-' or '_'";
   }
 
+  /**
+   * Removes duplicates from a list, and records errors for duplicates and for too many elements.
+   *
+   * @param limit the maximum number of unique elements
+   */
   static List<String> distinct(Section section, String name, List<String> given, int limit) {
     Set<String> unique = new LinkedHashSet<>();
     for (String element : given) {
       if (!unique.add(element)) {
-        section.faultAt(name, "'" + element + "' stands twice in '" + name + "'");
+        section.errorAt(name, "duplicate '" + element + "' in '" + name + "'");
       }
     }
     if (unique.size() > limit) {
-      section.faultAt(name, "more than " + limit + " in '" + name + "'");
+      section.errorAt(
+          name,
+          "'" + name + "' has " + unique.size() + " unique elements, expected at most " + limit);
     }
     return List.copyOf(unique);
   }
--- a/operator/src/main/java/tillerlink/operator/ReplayPart.java
+++ b/operator/src/main/java/tillerlink/operator/ReplayPart.java
@@ -2,10 +2,15 @@
 
 import tillerlink.workload.WorkloadScaling;
 
-/** The block <code>replay</code>. */
+/** Reader of the block {@code replay}: the default settings of a replay. */
 final class ReplayPart {
   private ReplayPart() {}
 
+  /**
+   * Reads the block.
+   *
+   * @return null if the block is absent
+   */
   static OperatorFile.ReplayDefaults read(Section section) {
     if (section == null) {
       return null;
@@ -17,7 +22,7 @@
             Math.round(section.number("window_s", 0, 1e7, 3600) * Units.TENTHS_PER_S),
             section.number("estimate_error", 0, 5, 0.4),
             section.number("bad_most", 0, 1, 0.1),
-            section.whole("seed", 0, 1L << 40, 1));
+            section.integer("seed", 0, 1L << 40, 1));
     section.close();
     return replay;
   }
--- a/operator/src/main/java/tillerlink/operator/RequestClassPart.java
+++ b/operator/src/main/java/tillerlink/operator/RequestClassPart.java
@@ -5,31 +5,32 @@
 import tillerlink.model.Effect;
 import tillerlink.workload.RequestClassSpec;
 
-/** The blocks <code>track</code>: request classes. */
+/** Reader of the blocks {@code track}: the request classes. */
 final class RequestClassPart {
   private RequestClassPart() {}
 
-  static List<RequestClassSpec> read(Section all) {
+  /** Returns the request classes in the order of the file. */
+  static List<RequestClassSpec> read(Section root) {
     List<RequestClassSpec> requestClasses = new ArrayList<>();
-    for (Section section : all.all("track")) {
+    for (Section section : root.blocks("track")) {
       String name = name(section, requestClasses);
       Effect effect = section.choice("effect", null, Effect.class);
       long latencyObjective = milliseconds(section, "soft_limit_ms");
       long deadline = milliseconds(section, "hard_stop_ms");
       if (deadline < latencyObjective) {
-        section.faultAt("hard_stop_ms", "'hard_stop_ms' is below 'soft_limit_ms'");
+        section.errorAt("hard_stop_ms", "'hard_stop_ms' is below 'soft_limit_ms'");
       }
       double value = section.number("payoff", 1e-6, 1e9, 1);
       requestClasses.add(
           new RequestClassSpec(
               name,
               effect,
-              (int) section.whole("threads", 1, 1024, 1),
+              (int) section.integer("threads", 1, 1024, 1),
               latencyObjective,
               deadline,
               value,
               section.number("late_payoff", 0, value, 0),
-              section.texts("kinds", false),
+              section.strings("kinds", false),
               keyWindow(section, effect, deadline),
               section.number("median_work_ms", 0.1, 1e7, Units.REQUIRED) * Units.TENTHS_PER_MS,
               RowTests.read(section, "rows", List.of())));
@@ -38,24 +39,37 @@
     return requestClasses;
   }
 
-  private static String name(Section section, List<RequestClassSpec> before) {
+  /** Returns the name of a request class, which must be valid and unique. */
+  private static String name(Section section, List<RequestClassSpec> previous) {
     String name = section.label();
     if (!name.matches("[A-Za-z0-9_-]{1,32}")) {
-      section.fault("a track's name is of letters, digits, - and _, 32 at most");
+      section.error(
+          "invalid track name '" + name + "': expected 1 to 32 letters, digits, '-' or '_'");
     }
-    if (before.stream().anyMatch(requestClass -> requestClass.name().equals(name))) {
-      section.fault("a second track '" + name + "'");
+    if (previous.stream().anyMatch(requestClass -> requestClass.name().equals(name))) {
+      section.error("duplicate track '" + name + "'");
     }
     return name;
   }
 
+  /**
+   * Reads a required time in milliseconds.
+   *
+   * @return tenths of a millisecond
+   */
   private static long milliseconds(Section section, String name) {
     return Math.round(section.number(name, 1, 1e7, Units.REQUIRED) * Units.TENTHS_PER_MS);
   }
 
-  /** How long engines remember an idempotency key. */
+  /**
+   * Reads how long engines remember an idempotency key. The default is the deadline for request
+   * classes that are deduplicated by key, otherwise 0.
+   *
+   * @param deadline tenths of a millisecond
+   * @return tenths of a millisecond
+   */
   private static long keyWindow(Section section, Effect effect, long deadline) {
-    double otherwise = effect == Effect.RECEIPTED ? deadline / Units.TENTHS_PER_MS : 0;
-    return Math.round(section.number("mark_kept_ms", 0, 1e8, otherwise) * Units.TENTHS_PER_MS);
+    double defaultValue = effect == Effect.RECEIPTED ? deadline / Units.TENTHS_PER_MS : 0;
+    return Math.round(section.number("mark_kept_ms", 0, 1e8, defaultValue) * Units.TENTHS_PER_MS);
   }
 }
--- a/operator/src/main/java/tillerlink/operator/RowTests.java
+++ b/operator/src/main/java/tillerlink/operator/RowTests.java
@@ -4,15 +4,20 @@
 import java.util.List;
 import tillerlink.trace.Layout;
 
-/** Tests on the rows of a trace, and the columns that they refer to. */
+/** Reader of tests on the rows of a trace, and of the columns that they refer to. */
 final class RowTests {
   private static final double UNBOUNDED = 1e300;
 
   private RowTests() {}
 
-  /** A column, which the file gives by its name or by its place from 1 on. */
+  /**
+   * Reads a reference to a column, which is its name or its number counted from 1.
+   *
+   * @param columns the names of the columns; empty if only the header of the trace defines them
+   * @return the name of the column; null if it is optional and absent
+   */
   static String column(Section section, List<String> columns, String name, boolean required) {
-    String given = required ? section.text(name, null) : section.textOrNull(name);
+    String given = required ? section.string(name, null) : section.stringOrNull(name);
     if (given == null || given.isEmpty() || columns.contains(given)) {
       return given;
     }
@@ -20,23 +25,32 @@
       return columnAt(section, columns, name, given);
     }
     if (!columns.isEmpty()) {
-      section.faultAt(name, "there is no column '" + given + "'");
+      section.errorAt(name, "unknown column '" + given + "'");
     }
     return given;
   }
 
+  /**
+   * Returns the name of the column with a number.
+   *
+   * @param given the number as written, counted from 1
+   * @return the first column after an error, or the number as written if there are no columns
+   */
   private static String columnAt(Section section, List<String> columns, String name, String given) {
-    int place = Integer.parseInt(given);
-    if (place >= 1 && place <= columns.size()) {
-      return columns.get(place - 1);
+    int number = Integer.parseInt(given);
+    if (number >= 1 && number <= columns.size()) {
+      return columns.get(number - 1);
     }
-    section.faultAt(name, "there is no column " + place);
+    section.errorAt(
+        name,
+        "column " + number + " does not exist: 'columns' has " + columns.size() + " elements");
     return columns.isEmpty() ? given : columns.get(0);
   }
 
+  /** Returns the tests of all blocks of a type, in the order of the file. */
   static List<Layout.Test> read(Section section, String type, List<String> columns) {
     List<Layout.Test> tests = new ArrayList<>();
-    for (Section test : section.all(type)) {
+    for (Section test : section.blocks(type)) {
       tests.add(test(test, columns));
       test.close();
     }
@@ -45,19 +59,20 @@
 
   private static Layout.Test test(Section test, List<String> columns) {
     String name = column(test, columns, "column", true);
-    boolean byText = test.has("in") || test.has("not_in");
+    boolean byValue = test.has("in") || test.has("not_in");
     boolean byNumber = test.has("least") || test.has("most");
-    List<String> in = test.texts("in", false);
-    List<String> notIn = test.texts("not_in", false);
+    List<String> in = test.strings("in", false);
+    List<String> notIn = test.strings("not_in", false);
     double min = test.number("least", -UNBOUNDED, UNBOUNDED, -UNBOUNDED);
     double max = test.number("most", -UNBOUNDED, UNBOUNDED, UNBOUNDED);
-    boolean bothTexts = !in.isEmpty() && !notIn.isEmpty();
-    if (byText == byNumber || bothTexts) {
-      test.fault("a test wants one of: in, not_in, or least and most");
+    boolean bothLists = !in.isEmpty() && !notIn.isEmpty();
+    if (byValue == byNumber || bothLists) {
+      test.error(
+          "expected exactly one of 'in', 'not_in' or a range by 'least' and 'most' in " + test);
     } else if (byNumber && min > max) {
-      test.fault("'least' is above 'most'");
+      test.error("'least' is greater than 'most'");
     }
-    return byText
+    return byValue
         ? new Layout.Test(name, in.isEmpty() ? notIn : in, in.isEmpty(), Double.NaN, Double.NaN)
         : Layout.Test.between(name, min, max);
   }
--- a/operator/src/main/java/tillerlink/operator/Section.java
+++ b/operator/src/main/java/tillerlink/operator/Section.java
@@ -9,12 +9,19 @@
 import java.util.Set;
 
 /**
- * One block of an operator's file while it is read into records. Values are checked when they are
- * read, and keys that were never read are unknown. Every error is recorded with its place, and
- * reading goes on with a valid value.
+ * A block of an operator's file that is being read into records. Values are validated when they are
+ * read, and attributes and blocks that were never read are unknown. Every error is recorded with
+ * its position, and reading continues with a valid value, so that one run reports all errors.
  */
 final class Section {
-  /** A value and its place; lists hold literals. An unreadable value is null. */
+  /**
+   * A value and its position.
+   *
+   * @param value a string, a number, a boolean or a list of these; null if the value is not a
+   *     literal
+   * @param line the line of the attribute, counted from 1
+   * @param column the column of the attribute, counted from 1
+   */
   record Value(Object value, int line, int column) {}
 
   private final String type;
@@ -25,20 +32,29 @@
   private final List<Section> sections = new ArrayList<>();
   private final Set<String> keysRead = new LinkedHashSet<>();
   private final Set<String> blocksRead = new LinkedHashSet<>();
-  private final List<ConfigError> faults;
+  private final List<ConfigError> errors;
 
-  Section(String type, List<String> labels, int line, int column, List<ConfigError> faults) {
+  /**
+   * Creates an empty block.
+   *
+   * @param type the type of the block; empty for the file itself
+   * @param labels the quoted labels after the type
+   * @param line the line of the block, counted from 1
+   * @param column the column of the block, counted from 1
+   * @param errors receives the errors
+   */
+  Section(String type, List<String> labels, int line, int column, List<ConfigError> errors) {
     this.type = type;
     this.labels = labels;
     this.line = line;
     this.column = column;
-    this.faults = faults;
+    this.errors = errors;
   }
 
+  /** Adds an attribute and records an error if the block has it already. */
   void put(String name, Value value) {
     if (values.putIfAbsent(name, value) != null) {
-      faults.add(
-          new ConfigError(value.line, value.column, "'" + name + "' stands twice in " + this));
+      errors.add(new ConfigError(value.line, value.column, "duplicate '" + name + "' in " + this));
     }
   }
 
@@ -53,37 +69,39 @@
         : type + (labels.isEmpty() ? "" : " \"" + String.join("\" \"", labels) + "\"");
   }
 
-  void fault(String what) {
-    faults.add(new ConfigError(line, column, what));
+  /** Records an error at the position of the block. */
+  void error(String message) {
+    errors.add(new ConfigError(line, column, message));
   }
 
-  private void fault(Value at, String what) {
-    faults.add(new ConfigError(at.line, at.column, what));
+  private void error(Value at, String message) {
+    errors.add(new ConfigError(at.line, at.column, message));
   }
 
-  /** Records an error, unless one was recorded when the value turned out to be unreadable. */
-  private void faultUnlessUnreadable(Value at, String what) {
+  /** Records an error, unless the value is not a literal: that error is recorded already. */
+  private void errorUnlessUnreadable(Value at, String message) {
     if (at.value != null) {
-      fault(at, what);
+      error(at, message);
     }
   }
 
-  // ---- reading ----
-
-  /** An empty block, in which every key has its default. */
+  /** Returns an empty block, in which every attribute has its default. */
   private Section emptyBlock(String blockType) {
-    return new Section(blockType, List.of(), line, column, faults);
+    return new Section(blockType, List.of(), line, column, errors);
   }
 
-  /** Whether the block has exactly one label. */
   boolean hasOneLabel() {
     return labels.size() == 1;
   }
 
-  /** The one label of a block of this type. */
+  /**
+   * Returns the label of a block that must have exactly one, and records an error otherwise.
+   *
+   * @return the first label after an error, or "?" if there is none
+   */
   String label() {
     if (labels.size() != 1 || labels.get(0).isEmpty()) {
-      fault(type + " wants one name in quotes");
+      error(type + " requires exactly one non-empty quoted label");
       return labels.isEmpty() ? "?" : labels.get(0);
     }
     return labels.get(0);
@@ -93,11 +111,16 @@
     return values.containsKey(name);
   }
 
-  private Value take(String name, boolean required) {
+  /**
+   * Returns a value and marks it as read. Records an error if a required attribute is absent.
+   *
+   * @return null if the attribute is absent
+   */
+  private Value find(String name, boolean required) {
     keysRead.add(name);
     Value value = values.get(name);
     if (value == null && required) {
-      fault("'" + name + "' is missing in " + this);
+      error("'" + name + "' is missing in " + this);
     }
     return value;
   }
@@ -105,42 +128,44 @@
   /**
    * Reads a number.
    *
-   * @param otherwise the default; NaN if the key is required
+   * @param min the smallest valid number
+   * @param max the largest valid number
+   * @param defaultValue the default; NaN if the attribute is required
+   * @return {@code min} after an error
    */
-  double number(String name, double min, double max, double otherwise) {
-    Value value = take(name, Double.isNaN(otherwise));
+  double number(String name, double min, double max, double defaultValue) {
+    Value value = find(name, Double.isNaN(defaultValue));
     if (value == null) {
-      return Double.isNaN(otherwise) ? min : otherwise;
+      return Double.isNaN(defaultValue) ? min : defaultValue;
     }
     if (!(value.value instanceof Number number)) {
-      faultUnlessUnreadable(value, "'" + name + "' is not a number");
+      errorUnlessUnreadable(value, "'" + name + "' is '" + value.value + "', expected a number");
       return min;
     }
     double given = number.doubleValue();
     if (!(given >= min && given <= max)) {
-      fault(
+      error(
           value,
-          "'"
-              + name
-              + "' is "
-              + plain(given)
-              + ", not within "
-              + plain(min)
-              + " and "
-              + plain(max));
+          "'" + name + "' is " + plain(given) + ", expected " + plain(min) + " to " + plain(max));
       return min;
     }
     return given;
   }
 
-  long whole(String name, long min, long max, long otherwise) {
-    double given = number(name, (double) min, (double) max, (double) otherwise);
+  /**
+   * Reads an integer; see {@link #number}.
+   *
+   * @param defaultValue the default
+   */
+  long integer(String name, long min, long max, long defaultValue) {
+    double given = number(name, (double) min, (double) max, (double) defaultValue);
     if (given != Math.rint(given)) {
-      fault(values.get(name), "'" + name + "' is not a whole number");
+      error(values.get(name), "'" + name + "' is " + plain(given) + ", expected an integer");
     }
     return (long) given;
   }
 
+  /** Formats a number, without a fraction if it is an integer. */
   private static String plain(double number) {
     return number == Math.rint(number) && Math.abs(number) < 1e15
         ? Long.toString((long) number)
@@ -148,39 +173,46 @@
   }
 
   /**
-   * Reads a text.
+   * Reads a non-empty string.
    *
-   * @param otherwise the default; null if the key is required
+   * @param defaultValue the default; null if the attribute is required
+   * @return an empty string after an error
    */
-  String text(String name, String otherwise) {
-    Value value = take(name, otherwise == null);
+  String string(String name, String defaultValue) {
+    Value value = find(name, defaultValue == null);
     if (value == null) {
-      return otherwise == null ? "" : otherwise;
+      return defaultValue == null ? "" : defaultValue;
     }
-    return text(name, value);
+    return string(name, value);
   }
 
-  /** Reads a text; null if the key is absent. */
-  String textOrNull(String name) {
-    Value value = take(name, false);
-    return value == null ? null : text(name, value);
+  /**
+   * Reads an optional non-empty string.
+   *
+   * @return null if the attribute is absent; an empty string after an error
+   */
+  String stringOrNull(String name) {
+    Value value = find(name, false);
+    return value == null ? null : string(name, value);
   }
 
-  private String text(String name, Value value) {
+  private String string(String name, Value value) {
     if (value.value instanceof String text && !text.isEmpty()) {
       return text;
     }
-    faultUnlessUnreadable(value, "'" + name + "' is not a text in quotes");
+    errorUnlessUnreadable(
+        value, "'" + name + "' is '" + value.value + "', expected a non-empty quoted string");
     return "";
   }
 
   /**
-   * Reads one of the constants of an enum, by its name in any case.
+   * Reads a constant of an enum by its name; case is ignored.
    *
-   * @param otherwise the default; null if the key is required
+   * @param defaultValue the default; null if the attribute is required
+   * @return the default after an error, or the first constant if there is no default
    */
-  <E extends Enum<E>> E choice(String name, E otherwise, Class<E> type) {
-    Value value = take(name, otherwise == null);
+  <E extends Enum<E>> E choice(String name, E defaultValue, Class<E> type) {
+    Value value = find(name, defaultValue == null);
     String given = value != null && value.value instanceof String text ? text : null;
     for (E constant : type.getEnumConstants()) {
       if (constant.name().equalsIgnoreCase(given)) {
@@ -188,91 +220,108 @@
       }
     }
     if (value != null && value.value != null) {
-      StringBuilder all = new StringBuilder();
+      StringBuilder names = new StringBuilder();
       for (E constant : type.getEnumConstants()) {
-        all.append(all.length() == 0 ? "" : ", ").append(constant.name().toLowerCase(Locale.ROOT));
+        names
+            .append(names.length() == 0 ? "" : ", ")
+            .append(constant.name().toLowerCase(Locale.ROOT));
       }
-      fault(value, "'" + name + "' is none of " + all);
+      error(value, "'" + name + "' is '" + value.value + "', expected one of " + names);
     }
-    return otherwise == null ? type.getEnumConstants()[0] : otherwise;
+    return defaultValue == null ? type.getEnumConstants()[0] : defaultValue;
   }
 
-  boolean flag(String name, boolean otherwise) {
-    Value value = take(name, false);
+  /**
+   * Reads an optional boolean.
+   *
+   * @param defaultValue the default, which is also returned after an error
+   */
+  boolean flag(String name, boolean defaultValue) {
+    Value value = find(name, false);
     if (value == null) {
-      return otherwise;
+      return defaultValue;
     }
     if (!(value.value instanceof Boolean flag)) {
-      faultUnlessUnreadable(value, "'" + name + "' is neither true nor false");
-      return otherwise;
+      errorUnlessUnreadable(
+          value, "'" + name + "' is '" + value.value + "', expected true or false");
+      return defaultValue;
     }
     return flag;
   }
 
-  /** Reads a list of texts; empty if the key is absent. */
-  List<String> texts(String name, boolean required) {
-    Value value = take(name, required);
+  /**
+   * Reads a list of strings.
+   *
+   * @param required whether an absent attribute and an empty list are errors
+   * @return an empty list if the attribute is absent, and after an error
+   */
+  List<String> strings(String name, boolean required) {
+    Value value = find(name, required);
     if (value == null) {
       return List.of();
     }
-    List<String> texts = new ArrayList<>();
+    List<String> strings = new ArrayList<>();
     if (value.value instanceof List<?> list) {
-      list.forEach(one -> texts.add(one instanceof String text ? text : null));
+      list.forEach(element -> strings.add(element instanceof String string ? string : null));
     }
-    if (required && value.value instanceof List && texts.isEmpty()) {
-      fault(value, "'" + name + "' is empty");
-    } else if (!(value.value instanceof List) || texts.contains(null)) {
-      faultUnlessUnreadable(value, "'" + name + "' is not a list of texts in quotes");
+    if (required && value.value instanceof List && strings.isEmpty()) {
+      error(value, "'" + name + "' is empty");
+    } else if (!(value.value instanceof List) || strings.contains(null)) {
+      errorUnlessUnreadable(value, "'" + name + "' is not a list of quoted strings");
       return List.of();
     }
-    return texts;
+    return strings;
   }
 
-  /** Records an error at the place of a value that was read. */
-  void faultAt(String name, String what) {
+  /** Records an error at the position of an attribute, or of the block if it is absent. */
+  void errorAt(String name, String message) {
     Value value = values.get(name);
     if (value == null) {
-      fault(what);
+      error(message);
     } else {
-      fault(value, what);
+      error(value, message);
     }
   }
 
-  /** All blocks of a type. */
-  List<Section> all(String blockType) {
+  /** Returns all blocks of a type, in the order of the file. */
+  List<Section> blocks(String blockType) {
     blocksRead.add(blockType);
     return sections.stream().filter(section -> section.type.equals(blockType)).toList();
   }
 
-  /** The one block of a type, or null. */
-  Section one(String blockType) {
-    List<Section> found = all(blockType);
+  /**
+   * Returns the block of a type and records an error if there are several.
+   *
+   * @return the first block, or null if there is none
+   */
+  Section block(String blockType) {
+    List<Section> found = blocks(blockType);
     if (found.size() > 1) {
-      found.get(1).fault("a second " + blockType + " in " + this);
+      found.get(1).error("duplicate block '" + blockType + "' in " + this);
     }
     return found.isEmpty() ? null : found.get(0);
   }
 
-  /** The one block of a type, or an empty one in its place. */
-  Section oneOrEmpty(String blockType) {
-    Section found = one(blockType);
+  /** Returns the block of a type, or an empty one if there is none; see {@link #block}. */
+  Section blockOrEmpty(String blockType) {
+    Section found = block(blockType);
     return found == null ? emptyBlock(blockType) : found;
   }
 
   /**
-   * Ends reading: keys and blocks that were not read are unknown. Each block in it is closed by its
-   * own reader.
+   * Records an error for each attribute and block that was not read. Nested blocks are checked by
+   * their own readers.
    */
   void close() {
     values.forEach(
         (name, value) -> {
           if (!keysRead.contains(name)) {
-            fault(value, "'" + name + "' is not known in " + this);
+            error(value, "unknown attribute '" + name + "' in " + this);
           }
         });
     for (Section section : sections) {
       if (!blocksRead.contains(section.type)) {
-        section.fault("a block '" + section.type + "' is not known in " + this);
+        section.error("unknown block '" + section.type + "' in " + this);
       }
     }
   }
--- a/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileGuardTest.java
@@ -19,8 +19,8 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * Pins the keys, words and units of the operator's file by a copy of the example: every value of
- * every part is compared with what it says.
+ * Pins the format of the operator's file. A stored copy of the example is read, and every value of
+ * every block is compared, so that a changed key, constant or unit is detected.
  */
 class OperatorFileGuardTest {
   private OperatorFile file;
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void logHttp2StoreAndReplay() {
+  void readsLogHttp2StoreAndReplay() {
     assertEquals(
         new OperatorFile.LogConfig(OperatorFile.Form.TEXT, OperatorFile.Level.INFO), file.log());
     assertEquals(new Http2TransportFactory(false, Set.of("big-16"), 256), file.http2());
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void membersChannelsAndStatements() {
+  void readsMembersChannelsAndStatements() {
     assertEquals(
         new MembersConfig(
             "newsroom",
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void layouts() {
+  void readsLayouts() {
     assertEquals(
         List.of(
             new Layout(
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void fleet() {
+  void readsFleet() {
     assertEquals(
         new Fleet(
             3,
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void requestClasses() {
+  void readsRequestClasses() {
     assertEquals(
         List.of(
             new RequestClassSpec(
@@ -188,7 +188,7 @@
   }
 
   @Test
-  void troubles() {
+  void readsScheduledFaults() {
     assertEquals(
         List.of(
             new ScheduledFault(200_000, ScheduledFault.What.SLOW, "a2", 100_000, 4),
--- a/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
+++ b/operator/src/test/java/tillerlink/operator/OperatorFileTest.java
@@ -14,7 +14,10 @@
 import tillerlink.fleet.Fleet;
 import tillerlink.trace.Layout;
 
-/** One run reports all errors of an operator's file, each with its line and column. */
+/**
+ * Tests that one run reports all errors of an operator's file, each with its line and column, and
+ * that valid files are read with their defaults.
+ */
 class OperatorFileTest {
   @TempDir private Path folder;
 
@@ -31,23 +34,24 @@
   }
 
   @Test
-  void allErrorsAreReported() {
+  void reportsAllErrorsOfAFile() {
     assertEquals(
         """
-        2:3: 'form' is none of text, json
-        3:3: 'colour' is not known in log
+        2:3: 'form' is 'xml', expected one of text, json
+        3:3: unknown attribute 'colour' in log
         5:12: 'median_work_ms' is missing in track "a b"
-        5:12: a track's name is of letters, digits, - and _, 32 at most
-        6:3: 'effect' is none of pure, receipted, effectful
-        7:3: 'soft_limit_ms' is not a number
-        8:3: 'hard_stop_ms' is not a plain value; texts stand in quotes, and nothing is worked out here
-        9:3: 'threads' is not a whole number
-        10:3: 'kinds' is not a list of texts in quotes
-        12:6: a fleet wants kinds and engines
-        13:3: 'gateways' is 0, not within 1 and 1000
-        14:3: 'zones' is not a list of texts in quotes
-        15:8: a block 'bogus' is not known in fleet
-        18:1: 'alone' is not known in the file
+        5:12: invalid track name 'a b': expected 1 to 32 letters, digits, '-' or '_'
+        6:3: 'effect' is 'maybe', expected one of pure, receipted, effectful
+        7:3: 'soft_limit_ms' is 'ten', expected a number
+        8:3: 'hard_stop_ms' is not a literal: expected a quoted string, a number, a boolean or a \
+        list of these
+        9:3: 'threads' is 1.5, expected an integer
+        10:3: 'kinds' is not a list of quoted strings
+        12:6: fleet requires at least one 'kind' block and one 'engines' block
+        13:3: 'gateways' is 0, expected 1 to 1000
+        14:3: 'zones' is not a list of quoted strings
+        15:8: unknown block 'bogus' in fleet
+        18:1: unknown attribute 'alone' in the file
         """,
         errors(
             """
@@ -73,16 +77,16 @@
   }
 
   @Test
-  void referencesMustExist() {
+  void reportsReferencesToUnknownNames() {
     assertEquals(
         """
-        11:5: there is no kind 'k2'
-        21:3: there is no kind 'k9' in the fleet
-        26:3: there is no engine 'e7'
-        31:3: there is no gateway 'e1'
-        35:3: there is no column 'no'
-        36:3: there is no column 9
-        39:7: a test wants one of: in, not_in, or least and most
+        11:5: unknown kind 'k2'
+        21:3: the fleet has no kind 'k9'
+        26:3: the fleet has no engine 'e7'
+        31:3: the fleet has no gateway 'e1'
+        35:3: unknown column 'no'
+        36:3: column 9 does not exist: 'columns' has 3 elements
+        39:7: expected exactly one of 'in', 'not_in' or a range by 'least' and 'most' in only
         """,
         errors(
             """
@@ -132,26 +136,29 @@
   }
 
   @Test
-  void membersChannelsAndStatementsAreChecked() {
+  void reportsErrorsOfMembersChannelsAndStatements() {
     assertEquals(
         """
         1:8: 'site' is missing in members
-        2:3: 'a b' is not a name of letters, digits, '.', '-' and '_', 64 at most
-        3:3: '0.0.0.0:7400' is not the address and port of one gateway, as in 10.0.0.7:7400
-        4:3: '10.0.0.300:1' is not the address and port of one gateway, as in 10.0.0.7:7400
-        4:3: '127.0.0.1:7401' stands twice in 'seeds'
-        4:3: '[::1]:70000' is not the address and port of one gateway, as in 10.0.0.7:7400
-        4:3: 'gw1:7400' is not the address and port of one gateway, as in 10.0.0.7:7400
-        5:3: 'probe_ms' is 5, not within 50 and 60000
+        2:3: invalid name 'a b': expected 1 to 64 letters, digits, '.', '-' or '_'
+        3:3: '0.0.0.0:7400' in 'listen' is not a unicast IP address with a port, such as \
+        10.0.0.7:7400
+        4:3: '10.0.0.300:1' in 'seeds' is not a unicast IP address with a port, such as \
+        10.0.0.7:7400
+        4:3: '[::1]:70000' in 'seeds' is not a unicast IP address with a port, such as 10.0.0.7:7400
+        4:3: 'gw1:7400' in 'seeds' is not a unicast IP address with a port, such as 10.0.0.7:7400
+        4:3: duplicate '127.0.0.1:7401' in 'seeds'
+        5:3: 'probe_ms' is 5, expected 50 to 60000
         6:13: 'at' is missing in reach "n1"
-        9:13: a second reach 'n1'
-        12:3: 'port' is not known in members
-        14:9: channels wants the parts members and store too
-        15:3: 'north' stands twice in 'sites'
-        16:3: 'absent_after_s' is not a number
-        18:11: statements wants the parts members and store too
-        19:3: an even number of voters bears no more failures than one voter fewer
-        20:3: 'fence' is neither true nor false
+        9:13: duplicate reach 'n1'
+        12:3: unknown attribute 'port' in members
+        14:9: channels requires the blocks 'members' and 'store'
+        15:3: duplicate 'north' in 'sites'
+        16:3: 'absent_after_s' is 'long', expected a number
+        18:11: statements requires the blocks 'members' and 'store'
+        19:3: 'voters' has 2 names, expected an odd number: an even number tolerates no more \
+        failures than one voter fewer
+        20:3: 'fence' is 'no', expected true or false
         """,
         errors(
             """
@@ -180,10 +187,10 @@
   }
 
   @Test
-  void sharedStateRequiresVotersAndTheOwnSite() {
+  void reportsMissingVotersAndMissingOwnSite() {
     assertEquals(
         """
-        10:3: the site 'west' of this gateway is not among 'sites'
+        10:3: 'sites' does not contain 'west', the site of this gateway
         13:3: 'voters' is empty
         """,
         errors(
@@ -206,13 +213,13 @@
     assertEquals(
         """
         1:11: 'voters' is missing in statements
-        1:11: statements wants the parts members and store too
+        1:11: statements requires the blocks 'members' and 'store'
         """,
         errors("statements {\n}\n"));
   }
 
   @Test
-  void exampleHasEveryBlock() throws IOException {
+  void readsMembersChannelsAndStatementsOfTheExample() throws IOException {
     OperatorFile file = OperatorFile.read(Path.of("../deploy/operator.hcl"));
     assertEquals(
         new MembersConfig(
@@ -240,13 +247,13 @@
   }
 
   /**
-   * What the example states of a fleet is the default, and a mark is kept for its request class's
-   * deadline.
+   * The settings of the fleet in the example are the defaults, and an idempotency key is remembered
+   * for the deadline of its request class unless the file sets another time.
    */
   @Test
-  void exampleStatesTheDefaults() throws IOException {
-    Fleet said = OperatorFile.read(Path.of("../deploy/operator.hcl")).fleet();
-    OperatorFile terse =
+  void exampleContainsTheDefaults() throws IOException {
+    Fleet example = OperatorFile.read(Path.of("../deploy/operator.hcl")).fleet();
+    OperatorFile minimal =
         read(
             """
             fleet {
@@ -267,59 +274,60 @@
               median_work_ms = 1
             }
             """);
-    Fleet left = terse.fleet();
+    Fleet defaults = minimal.fleet();
     assertEquals(
-        said,
+        example,
         new Fleet(
-            left.gateways(),
-            left.sockets(),
-            said.kinds(),
-            said.zones(),
-            said.engines(),
-            left.progressInterval(),
-            left.startCapacity(),
-            left.warmupTime(),
-            left.overloadFactor(),
-            left.overloadWindow(),
-            left.drainGrace(),
-            left.minRetries(),
-            left.retryRatio(),
-            left.retryBudgetWindow(),
-            left.maxAttempts(),
-            left.maxRetryAfter()));
-    assertEquals(700, terse.requestClasses().get(0).window());
+            defaults.gateways(),
+            defaults.sockets(),
+            example.kinds(),
+            example.zones(),
+            example.engines(),
+            defaults.progressInterval(),
+            defaults.startCapacity(),
+            defaults.warmupTime(),
+            defaults.overloadFactor(),
+            defaults.overloadWindow(),
+            defaults.drainGrace(),
+            defaults.minRetries(),
+            defaults.retryRatio(),
+            defaults.retryBudgetWindow(),
+            defaults.maxAttempts(),
+            defaults.maxRetryAfter()));
+    assertEquals(700, minimal.requestClasses().get(0).window());
   }
 
   @Test
-  void secretIsReadWhenServing() throws IOException {
+  void readsTheSecretUnlessItIsMissingOrTooShort() throws IOException {
     String file = folder.resolve("secret").toString();
     MembersConfig members =
         new MembersConfig("f", "s", "127.0.0.1:1", List.of(), file, Map.of(), 5000);
     assertEquals(
-        file + ": there is no secret to be read there",
+        file + ": secret file does not exist or is not readable",
         assertThrows(IOException.class, members::secret).getMessage());
     Files.writeString(Path.of(file), "too short\n");
     assertEquals(
-        file + ": a secret of 9 bytes; it wants 16 at the least",
+        file + ": secret has 9 bytes, expected at least 16",
         assertThrows(IOException.class, members::secret).getMessage());
     Files.writeString(Path.of(file), "0123456789abcdef\r\n");
     assertEquals("0123456789abcdef", new String(members.secret(), StandardCharsets.US_ASCII));
   }
 
   @Test
-  void syntaxErrorIsReportedAtItsPlace() {
+  void reportsSyntaxErrorsAtTheirPositions() {
     assertEquals(
-        "2:10: a quote that does not end on its line\n", errors("log {\n  form = \"te\n}\n"));
-    assertEquals("1:5: '{' is not closed\n", errors("log {\n"));
-    assertEquals("2:1: '}' closes nothing\n", errors("a = 1\n}\n"));
-    assertEquals("3:1: a comment that does not end\n", errors("\n\n/* x\n"));
+        "2:10: unterminated string: no closing quote on this line\n",
+        errors("log {\n  form = \"te\n}\n"));
+    assertEquals("1:5: unclosed '{'\n", errors("log {\n"));
+    assertEquals("2:1: unmatched '}'\n", errors("a = 1\n}\n"));
+    assertEquals("3:1: unterminated block comment\n", errors("\n\n/* x\n"));
     assertEquals(
-        "1:1: 'log' is not known in the file\n2:3: '=' gives no name a value here\n",
+        "1:1: unknown attribute 'log' in the file\n2:3: '=' is not part of an attribute\n",
         errors("log = 1\n  = 3\n"));
   }
 
   @Test
-  void ownLayoutIsRead() throws IOException {
+  void readsALayoutOfTheOperator() throws IOException {
     Layout layout =
         read("""
         layout "mine" {
