--- a/traces/src/main/java/tillerlink/workload/BuiltInRequestClasses.java
+++ b/traces/src/main/java/tillerlink/workload/BuiltInRequestClasses.java
@@ -16,8 +16,9 @@
   private BuiltInRequestClasses() {}
 
   /**
-   * Four classes: short read-only "look", wide read-only "sheet" for one kind of engine, idempotent
-   * "intake", and "book" with effects.
+   * Returns the four request classes of a layout, in the order in which rows are matched: "book"
+   * with effects, "intake" that is deduplicated by its idempotency key, read-only "sheet" with
+   * several threads for one engine kind, and short read-only "look".
    */
   public static List<RequestClassSpec> requestClasses(Layout layout) {
     return switch (layout.name()) {
--- a/traces/src/main/java/tillerlink/workload/TraceSurvey.java
+++ b/traces/src/main/java/tillerlink/workload/TraceSurvey.java
@@ -19,7 +19,7 @@
   private long tasks;
   private long noRequestClass;
 
-  /** An empty survey over that many request classes. */
+  /** Creates an empty survey for a number of request classes. */
   public TraceSurvey(int requestClasses) {
     for (int i = 0; i < requestClasses; i++) {
       DoubleHistogram histogram = new DoubleHistogram(HISTOGRAM_RANGE, SIGNIFICANT_DIGITS);
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Adds one task. */
+  /** Adds a task to the statistics. */
   public void add(Task task) {
     first = Math.min(first, task.start());
     last = Math.max(last, task.start());
@@ -40,7 +40,12 @@
     }
   }
 
-  /** Adds all tasks, or the first ones up to a limit. */
+  /**
+   * Adds the tasks of a source.
+   *
+   * @param limit the maximum number of tasks to add
+   * @return this survey
+   */
   public TraceSurvey addAll(TaskSource source, long limit) throws IOException {
     for (long i = 0; i < limit; i++) {
       Task task = source.next();
@@ -52,11 +57,16 @@
     return this;
   }
 
+  /** Returns the first start in tenths of a millisecond, or 0 if there are no tasks. */
   public long first() {
     return tasks == 0 ? 0 : first;
   }
 
-  /** The time from the first start to the last. */
+  /**
+   * Returns the time from the first start to the last, in tenths of a millisecond.
+   *
+   * @return 0 if there are no tasks, otherwise at least 1
+   */
   public long span() {
     return tasks == 0 ? 0 : Math.max(1, last - first);
   }
@@ -65,19 +75,31 @@
     return tasks;
   }
 
-  /** Tasks that fit no request class. */
+  /** Returns the number of tasks that belong to no request class. */
   public long noRequestClass() {
     return noRequestClass;
   }
 
-  /** The median work of a request class, or 1 if it has no task. */
+  /**
+   * Returns the median work of the tasks of a request class, in tenths of a millisecond on one
+   * core.
+   *
+   * @return 1 if the request class has no tasks
+   */
   public double median(int requestClass) {
     return work.get(requestClass).getTotalCount() == 0
         ? 1
         : work.get(requestClass).getValueAtPercentile(50);
   }
 
-  /** The work of a request class's tasks once each is scaled and bounded. */
+  /**
+   * Returns the total work of the tasks of a request class after scaling, in tenths of a
+   * millisecond on one core.
+   *
+   * @param factor the factor on the work of each task
+   * @param min the lower bound of the scaled work of each task
+   * @param max the upper bound of the scaled work of each task
+   */
   double scaled(int requestClass, double factor, double min, double max) {
     double sum = 0;
     for (DoubleHistogramIterationValue value : work.get(requestClass).recordedValues()) {
--- a/traces/src/main/java/tillerlink/workload/WorkloadScaling.java
+++ b/traces/src/main/java/tillerlink/workload/WorkloadScaling.java
@@ -5,12 +5,13 @@
 import tillerlink.trace.Task;
 
 /**
- * How a trace is scaled to a fleet: its time is compressed or stretched, jobs are sampled, and the
- * work of each request class is scaled so that its median is what the request class states. A job's
- * hash alone decides whether it is sampled, so that all its tasks are in or out, on every machine.
+ * The scaling of a trace to a fleet. The time of the trace is compressed or stretched, jobs are
+ * sampled, and the work of each request class is scaled so that its median is the configured one.
+ * Only the hash of a job decides whether it is sampled, so that either all its tasks are in the
+ * sample or none, on every machine.
  */
 public final class WorkloadScaling {
-  /** What is adapted to reach the stated load. */
+  /** The quantity that is adapted to reach the configured load. */
   public enum Scale {
     TIME,
     JOBS,
@@ -20,14 +21,17 @@
   private static final double MIN_WORK = 20;
   private static final double HASH_RANGE = 0x1p53;
 
-  /** With both, time is compressed by the square root of the whole factor. */
-  private static final double EVEN_EXPONENT = 0.5;
+  /**
+   * The exponent of an even split with the scale BOTH: time is compressed by the square root of the
+   * whole factor, and the share of jobs takes the other half.
+   */
+  private static final double EVEN_SPLIT_EXPONENT = 0.5;
 
   private final List<RequestClassSpec> requestClasses;
   private final double[] factors;
   private final long firstStart;
 
-  /** Units of trace time per unit of replayed time. */
+  /** The units of trace time per unit of replayed time. */
   private final double timeCompression;
 
   private final double jobShare;
@@ -37,16 +41,16 @@
   private WorkloadScaling(
       List<RequestClassSpec> requestClasses,
       double[] factors,
-      long first,
+      long firstStart,
       double timeCompression,
-      double share,
+      double jobShare,
       double memoryPerSecond,
       double load) {
     this.requestClasses = requestClasses;
     this.factors = factors;
-    this.firstStart = first;
+    this.firstStart = firstStart;
     this.timeCompression = timeCompression;
-    this.jobShare = share;
+    this.jobShare = jobShare;
     this.memoryPerSecond = memoryPerSecond;
     this.load = load;
   }
@@ -54,10 +58,11 @@
   /**
    * Computes the scaling.
    *
-   * @param load the share of the fleet's cores that the work is to take
-   * @param jobs the share of jobs when both are adapted; 0 splits the factor evenly
-   * @param memoryPerSecond megabytes for each second of work on one core
-   * @throws IllegalArgumentException if the load can't be reached; the message says why
+   * @param cores the number of cores of the fleet
+   * @param load the share of the fleet's cores that the work should take
+   * @param jobs the share of jobs in the sample with the scale BOTH; 0 splits the factor evenly
+   * @param memoryPerSecond the memory for each second of work on one core, in megabytes
+   * @throws IllegalArgumentException if the load cannot be reached; the message contains the reason
    */
   public static WorkloadScaling of(
       TraceSurvey survey,
@@ -75,7 +80,7 @@
       work += survey.scaled(i, factors[i], MIN_WORK, requestClass.maxWork());
     }
     if (work == 0) {
-      throw new IllegalArgumentException("no task of the trace fits a track");
+      throw new IllegalArgumentException("no task of the trace matches a track");
     }
     double traceLoad = work / (survey.span() * cores);
     double needed = load / traceLoad;
@@ -93,13 +98,13 @@
           throw new IllegalArgumentException(
               String.format(
                   Locale.ROOT,
-                  "the trace loads the fleet to %.4f only; sampling jobs can't raise that, so scale"
-                      + " time",
-                  traceLoad));
+                  "trace load %.4f is below %.4f; sampling jobs cannot increase it, so scale time",
+                  traceLoad,
+                  load));
         }
       }
       default -> {
-        share = jobs > 0 ? jobs : needed > 1 ? 1 : Math.pow(needed, EVEN_EXPONENT);
+        share = jobs > 0 ? jobs : needed > 1 ? 1 : Math.pow(needed, EVEN_SPLIT_EXPONENT);
         timeCompression = needed / share;
       }
     }
@@ -108,8 +113,10 @@
   }
 
   /**
-   * The request that a task becomes, or null if its job is not in the sample or it fits no request
-   * class.
+   * Returns the arrival of the request that a task is mapped to.
+   *
+   * @param tableGroups the number of groups of tables
+   * @return null if the task's job is not in the sample, or if the task belongs to no request class
    */
   public Arrival map(Task task, int tableGroups) {
     if (task.kind() < 0 || !sampled(task.job())) {
@@ -129,24 +136,31 @@
         at, task.number(), task.kind(), work, memory, group, task.job() * 31 + task.number());
   }
 
-  /** Whether a job is in the sample. */
+  /**
+   * Returns whether a job is in the sample.
+   *
+   * @param job the hash of the job
+   */
   public boolean sampled(long job) {
     return (job >>> 11) / HASH_RANGE < jobShare;
   }
 
+  /** Returns the units of trace time per unit of replayed time. */
   public double timeCompression() {
     return timeCompression;
   }
 
+  /** Returns the share of jobs in the sample. */
   public double jobShare() {
     return jobShare;
   }
 
+  /** Returns the share of the fleet's cores that the work should take. */
   public double load() {
     return load;
   }
 
-  /** The factor on the work of a request class. */
+  /** Returns the factor on the work of a request class. */
   public double factor(int requestClass) {
     return factors[requestClass];
   }
