--- a/traces/src/main/java/tillerlink/trace/CsvRow.java
+++ b/traces/src/main/java/tillerlink/trace/CsvRow.java
@@ -7,8 +7,8 @@
 import java.util.Arrays;
 
 /**
- * The columns of one line as bytes, split in place. A line with quotes goes through the CSV
- * library.
+ * The columns of one line as bytes. A line without quotes is split in place; a line with quotes is
+ * parsed by the CSV library.
  */
 final class CsvRow {
   private static final int MAX_COLUMNS = 512;
@@ -19,14 +19,15 @@
   private static final long FNV_PRIME = 0x100000001b3L;
 
   private final byte delimiter;
-  private final CsvReader.CsvReaderBuilder quoted;
+  private final CsvReader.CsvReaderBuilder quotedLines;
   private final int[] starts = new int[MAX_COLUMNS + 1];
   private byte[] bytes;
   private int count;
 
+  /** Creates a row without columns. */
   CsvRow(char delimiter) {
     this.delimiter = (byte) delimiter;
-    quoted =
+    quotedLines =
         CsvReader.builder()
             .fieldSeparator(delimiter)
             .skipEmptyLines(false)
@@ -34,7 +35,13 @@
             .maxBufferSize(2 * LineReader.MAX_LINE_BYTES);
   }
 
-  /** Splits a line; returns what is wrong with it, or null. */
+  /**
+   * Splits a line into columns.
+   *
+   * @param line the bytes of the line, which are not copied
+   * @param length the number of bytes of the line
+   * @return why the line must be skipped, or null if it is valid
+   */
   SkipReason split(byte[] line, int length) {
     bytes = line;
     count = 0;
@@ -55,7 +62,10 @@
     return null;
   }
 
-  /** Parses each line alone, so that an unclosed quote does not swallow the lines after it. */
+  /**
+   * Splits a line with quotes. Each line is parsed by itself, so that an unclosed quote does not
+   * include the lines after it.
+   */
   private SkipReason splitQuoted(String line) {
     CsvRecord record;
     try {
@@ -63,7 +73,7 @@
       if (quotes % 2 != 0) {
         return SkipReason.QUOTE_OPEN;
       }
-      record = quoted.ofSingleCsvRecord(line);
+      record = quotedLines.ofSingleCsvRecord(line);
     } catch (CsvParseException e) {
       return SkipReason.QUOTE_OPEN;
     }
@@ -75,20 +85,22 @@
             .map(field -> field.getBytes(StandardCharsets.UTF_8))
             .toArray(byte[][]::new);
     bytes = new byte[Arrays.stream(parts).mapToInt(part -> part.length + 1).sum()];
-    int at = 0;
+    int position = 0;
     for (count = 0; count < parts.length; count++) {
-      starts[count] = at;
-      System.arraycopy(parts[count], 0, bytes, at, parts[count].length);
-      at += parts[count].length + 1;
+      starts[count] = position;
+      System.arraycopy(parts[count], 0, bytes, position, parts[count].length);
+      position += parts[count].length + 1;
     }
-    starts[count] = at;
+    starts[count] = position;
     return null;
   }
 
+  /** Returns the number of columns. */
   int columns() {
     return count;
   }
 
+  /** Returns the length of a column in bytes. */
   int length(int column) {
     return starts[column + 1] - 1 - starts[column];
   }
@@ -97,54 +109,68 @@
     return new String(bytes, starts[column], length(column), StandardCharsets.UTF_8);
   }
 
-  boolean is(int column, byte[] value) {
+  /** Returns whether a column consists of the given bytes. */
+  boolean equalTo(int column, byte[] value) {
     return Arrays.equals(
         bytes, starts[column], starts[column] + length(column), value, 0, value.length);
   }
 
-  /** A hash of a column's bytes that is the same on every machine (FNV-1a, then mixed). */
+  /**
+   * Returns a hash of a column's bytes that is the same on every machine (FNV-1a, followed by the
+   * finalizer of MurmurHash3).
+   */
   long hash(int column) {
     long hash = FNV_OFFSET_BASIS;
     for (int i = starts[column]; i < starts[column + 1] - 1; i++) {
       hash = (hash ^ (bytes[i] & 255)) * FNV_PRIME;
     }
-    return mixed(hash);
+    return mix(hash);
   }
 
-  /** The finalizer of MurmurHash3. */
-  static long mixed(long hash) {
+  /** Returns a hash after the finalizer of MurmurHash3. */
+  static long mix(long hash) {
     long mixed = (hash ^ (hash >>> 33)) * 0xff51afd7ed558ccdL;
     mixed = (mixed ^ (mixed >>> 33)) * 0xc4ceb9fe1a85ec53L;
     return mixed ^ (mixed >>> 33);
   }
 
-  /** A number, or NaN if the column holds none; integers, the usual case, are read in place. */
+  /**
+   * Returns the number in a column. Integers, the usual case, are parsed in place.
+   *
+   * @return NaN if the column is not a number
+   */
   double number(int column) {
     int from = starts[column];
     int to = starts[column + 1] - 1;
-    boolean minus = from < to && bytes[from] == '-';
-    long whole = 0;
-    int first = minus ? from + 1 : from;
-    int at = first;
-    while (at < to && bytes[at] >= '0' && bytes[at] <= '9' && at - first < MAX_DIGITS) {
-      whole = whole * 10 + bytes[at++] - '0';
+    boolean negative = from < to && bytes[from] == '-';
+    long integer = 0;
+    int firstDigit = negative ? from + 1 : from;
+    int position = firstDigit;
+    while (position < to
+        && bytes[position] >= '0'
+        && bytes[position] <= '9'
+        && position - firstDigit < MAX_DIGITS) {
+      integer = integer * 10 + bytes[position++] - '0';
     }
-    if (at == to && at > first) {
-      return minus ? -whole : whole;
+    if (position == to && position > firstDigit) {
+      return negative ? -integer : integer;
     }
     return decimal(text(column));
   }
 
-  /** Rejects what {@link Double#parseDouble} would accept (0x1p3, 1d, NaN) and no trace means. */
+  /**
+   * Returns a decimal number, or NaN if the text is not a finite one. Rejects forms that {@link
+   * Double#parseDouble} accepts but that do not occur as numbers in traces (0x1p3, 1d, NaN).
+   */
   private static double decimal(String text) {
-    String plain = text.strip();
-    if (plain.isEmpty()
-        || plain.length() > MAX_DECIMAL_LENGTH
-        || !plain.chars().allMatch(c -> DECIMAL_CHARACTERS.indexOf(c) >= 0)) {
+    String stripped = text.strip();
+    if (stripped.isEmpty()
+        || stripped.length() > MAX_DECIMAL_LENGTH
+        || !stripped.chars().allMatch(c -> DECIMAL_CHARACTERS.indexOf(c) >= 0)) {
       return Double.NaN;
     }
     try {
-      double number = Double.parseDouble(plain);
+      double number = Double.parseDouble(stripped);
       return Double.isInfinite(number) ? Double.NaN : number;
     } catch (NumberFormatException e) {
       return Double.NaN;
--- a/traces/src/main/java/tillerlink/trace/ExternalSort.java
+++ b/traces/src/main/java/tillerlink/trace/ExternalSort.java
@@ -17,12 +17,12 @@
 
 /**
  * External merge sort for tasks that do not fit into memory. Sorted runs are spilled to a temporary
- * folder and merged. The folder is deleted when the process ends; what a killed process left behind
- * is deleted by the next sort.
+ * folder and merged. The folder is deleted when the process ends; the folder of a killed process is
+ * deleted by the next sort.
  */
 public final class ExternalSort implements TaskSource, Closeable {
   private static final String PREFIX = "tillerlink-sort-";
-  private static final int RUN_TASKS = 100_000;
+  private static final int TASKS_PER_RUN = 100_000;
   private static final int RECORD_BYTES =
       3 * Long.BYTES + 2 * Double.BYTES + 2 * Long.BYTES + 2 * Integer.BYTES;
   private static final int FAN_IN = 64;
@@ -30,18 +30,20 @@
   private static final Comparator<Task> ORDER =
       Comparator.comparingLong(Task::start).thenComparingLong(Task::number);
 
-  /** One sorted run while it is merged. */
+  /** A sorted run that is being merged. */
   private static final class Run implements Closeable {
     private final Path file;
     private final DataInputStream in;
     private Task head;
 
+    /** Opens a run and reads its first task. */
     Run(Path file) throws IOException {
       this.file = file;
       in = new DataInputStream(new BufferedInputStream(Files.newInputStream(file), BUFFER_BYTES));
       advance();
     }
 
+    /** Reads the next task; the head is null at the end of the run. */
     void advance() throws IOException {
       try {
         head =
@@ -69,8 +71,8 @@
 
   private final Path folder;
   private final long maxBytes;
-  private final Thread cleaner = new Thread(this::clean, "clean");
-  private final PriorityQueue<Run> merged =
+  private final Thread cleaner = new Thread(this::deleteFolder, "clean");
+  private final PriorityQueue<Run> openRuns =
       new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
   private final List<Path> runs = new ArrayList<>();
   private final TaskSource source;
@@ -80,31 +82,37 @@
   private int filesCreated;
 
   /**
-   * Prepares a sort; it reads its source on the first call of {@link #next}.
+   * Creates a sort, which reads its source on the first call of {@link #next}.
    *
-   * @param within the folder in which the temporary one is created
-   * @param maxBytes how much may be spilled; beyond it the sort fails
+   * @param within the folder in which the temporary folder is created
+   * @param maxBytes the maximum number of bytes to spill; the sort fails if it needs more
+   * @throws IOException if the temporary folder cannot be created or a leftover one cannot be
+   *     deleted
    */
   public ExternalSort(TaskSource source, Path within, long maxBytes) throws IOException {
     this.source = source;
     this.maxBytes = maxBytes;
-    removeLeftOvers(within);
+    deleteLeftoverFolders(within);
     folder = Files.createTempDirectory(within, PREFIX + ProcessHandle.current().pid() + "-");
     Runtime.getRuntime().addShutdownHook(cleaner);
   }
 
-  /** Deletes folders of processes that no longer run; the name contains the process id. */
-  private static void removeLeftOvers(Path within) throws IOException {
+  /**
+   * Deletes the folders of processes that no longer run. The name of a folder contains the id of
+   * its process.
+   */
+  private static void deleteLeftoverFolders(Path within) throws IOException {
     try (DirectoryStream<Path> folders = Files.newDirectoryStream(within, PREFIX + "*")) {
-      for (Path left : folders) {
-        String pid = left.getFileName().toString().substring(PREFIX.length()).split("-", -1)[0];
+      for (Path leftover : folders) {
+        String pid = leftover.getFileName().toString().substring(PREFIX.length()).split("-", -1)[0];
         if (pid.matches("[0-9]{1,9}") && ProcessHandle.of(Long.parseLong(pid)).isEmpty()) {
-          delete(left);
+          delete(leftover);
         }
       }
     }
   }
 
+  /** Deletes a folder and the files in it. */
   private static void delete(Path folder) throws IOException {
     try (DirectoryStream<Path> files = Files.newDirectoryStream(folder)) {
       for (Path file : files) {
@@ -122,24 +130,25 @@
     if (nextInMemory < inMemory.size()) {
       return inMemory.get(nextInMemory++);
     }
-    Run least = merged.poll();
-    if (least == null) {
+    Run smallest = openRuns.poll();
+    if (smallest == null) {
       return null;
     }
-    Task task = least.head;
-    least.advance();
-    if (least.head != null) {
-      merged.add(least);
+    Task task = smallest.head;
+    smallest.advance();
+    if (smallest.head != null) {
+      openRuns.add(smallest);
     } else {
-      least.close();
+      smallest.close();
     }
     return task;
   }
 
+  /** Reads all tasks of the source and prepares the merge, or sorts in memory if they fit. */
   private void sort() throws IOException {
-    List<Task> run = new ArrayList<>(RUN_TASKS);
+    List<Task> run = new ArrayList<>(TASKS_PER_RUN);
     for (Task task = source.next(); task != null; task = source.next()) {
-      if (run.size() == RUN_TASKS) {
+      if (run.size() == TASKS_PER_RUN) {
         spill(run);
         run.clear();
       }
@@ -156,15 +165,20 @@
       mergeFirstRuns();
     }
     for (Path file : runs) {
-      merged.add(new Run(file));
+      openRuns.add(new Run(file));
     }
   }
 
+  /**
+   * Sorts a run and writes it to a file.
+   *
+   * @throws IOException if the file cannot be written or the limit is exceeded
+   */
   private void spill(List<Task> run) throws IOException {
     run.sort(ORDER);
     bytesSpilled += (long) run.size() * RECORD_BYTES;
     if (bytesSpilled > maxBytes) {
-      throw new IOException("sorting takes more than " + maxBytes / (1 << 20) + " MB on disk");
+      throw new IOException("sort exceeds its limit of " + maxBytes / (1 << 20) + " MB on disk");
     }
     Path file = folder.resolve("run-" + filesCreated++);
     try (DataOutputStream out = output(file)) {
@@ -175,7 +189,7 @@
     runs.add(file);
   }
 
-  /** Merges as many runs as may be open at once into one, to bound the open files. */
+  /** Merges the first runs into one, to limit the number of open files. */
   private void mergeFirstRuns() throws IOException {
     PriorityQueue<Run> heads = new PriorityQueue<>((a, b) -> ORDER.compare(a.head, b.head));
     for (Path file : runs.subList(0, FAN_IN)) {
@@ -214,25 +228,26 @@
     out.writeInt(task.rows());
   }
 
-  private void clean() {
+  /** Deletes the temporary folder. A failure is ignored. */
+  private void deleteFolder() {
     try {
       delete(folder);
     } catch (IOException e) {
-      // The next sort removes what is left.
+      // The next sort deletes the remaining files.
     }
   }
 
   @Override
   public void close() throws IOException {
-    for (Run run : merged) {
+    for (Run run : openRuns) {
       run.close();
     }
-    merged.clear();
-    clean();
+    openRuns.clear();
+    deleteFolder();
     try {
       Runtime.getRuntime().removeShutdownHook(cleaner);
     } catch (IllegalStateException e) {
-      // The process is ending and the hook runs.
+      // The process is ending and the shutdown hook is running.
     }
   }
 }
--- a/traces/src/main/java/tillerlink/trace/Layout.java
+++ b/traces/src/main/java/tillerlink/trace/Layout.java
@@ -3,24 +3,28 @@
 import java.util.List;
 
 /**
- * How the columns of a trace are read. Columns are named; without a header in the file, the names
- * stand here in the file's order.
+ * The layout of a trace: how the columns of its rows are read. Columns are identified by name. The
+ * names come from the header of the file or, if it has none, from this layout.
  *
- * @param columns names in order; with a header only those that are used need to be here
- * @param tenthsPer tenths of a millisecond in the file's unit of time
+ * @param name the name of the layout
+ * @param delimiter the character between columns
+ * @param header whether the first line of each file contains the names of its columns
+ * @param columns the names of the columns in the order of the file; with a header, only those that
+ *     are used are required
+ * @param tenthsPer the number of tenths of a millisecond in the file's unit of time
  * @param start the column of the start, or of the time of an event where rows are paired
  * @param end the column of the end, or null
- * @param cores the column of the cores asked for, or null for one core
- * @param coresPer cores in the file's unit
+ * @param cores the column of the requested cores, or null if each task has one core
+ * @param coresPer the number of cores in the file's unit
  * @param memory the column of the memory, or null
- * @param job the column that names the job
- * @param task a column that, with the job, names the task where rows are paired, or null
- * @param owner the column that names the user, or null for the job
- * @param copies a column with how often the row ran, or null
- * @param pairing how start rows and end rows are recognized, or null
- * @param wanted tests that a row must pass to be used
- * @param unknownTime a time from which on a row has none that is known, as in traces that mark them
- *     by a huge figure
+ * @param job the column of the job's name
+ * @param task the column that, with the job, identifies the task where rows are paired, or null
+ * @param owner the column of the user, or null if the job is the owner
+ * @param copies the column of the number of times that the row ran, or null
+ * @param pairing how start rows and end rows are recognized, or null if each row is a whole task
+ * @param wanted the tests that a row must pass to be used
+ * @param unknownTime the smallest value, in the file's unit, that marks an unknown time; some
+ *     traces mark unknown times by a very large number
  */
 public record Layout(
     String name,
@@ -40,31 +44,45 @@
     Pairing pairing,
     List<Test> wanted,
     double unknownTime) {
-  /** The events that start a task, those that complete it, and those that abort it. */
+  /**
+   * The values of an event column by which start rows and end rows are recognized.
+   *
+   * @param column the column of the event
+   * @param starts the events that start a task
+   * @param ends the events that complete a task
+   * @param breaks the events that abort a task
+   */
   public record Pairing(
       String column, List<String> starts, List<String> ends, List<String> breaks) {}
 
   /**
-   * A test whether a column holds, or does not hold, one of some texts, or lies in a closed range.
+   * A test on a column: whether it is one of several texts, or a number within a closed range.
+   *
+   * @param column the name of the column
+   * @param values the texts; empty if the number is tested
+   * @param not whether the test must not match
+   * @param least the smallest number in the range; NaN if the text is tested
+   * @param most the largest number in the range; NaN if the text is tested
    */
   public record Test(String column, List<String> values, boolean not, double least, double most) {
-    /** The column holds one of the texts. */
+    /** Returns a test that the column is one of the texts. */
     public static Test in(String column, String... values) {
       return new Test(column, List.of(values), false, Double.NaN, Double.NaN);
     }
 
-    /** The column holds a number in the closed range. */
+    /** Returns a test that the column is a number within the closed range. */
     public static Test between(String column, double least, double most) {
       return new Test(column, List.of(), false, least, most);
     }
 
+    /** Returns whether the number is tested, instead of the text. */
     boolean byNumber() {
       return !Double.isNaN(least);
     }
   }
 
-  private static final double TICKS_PER_MICROSECOND = 1e-2;
-  private static final double TICKS_PER_SECOND = 10_000;
+  private static final double TENTHS_PER_US = 1e-2;
+  private static final double TENTHS_PER_S = 10_000;
 
   /** Google ClusterData 2011, table task_events: 13 columns, times in microseconds, no header. */
   public static final Layout GOOGLE_2011 =
@@ -86,7 +104,7 @@
               "memory_request",
               "disk_space_request",
               "different_machines_restriction"),
-          TICKS_PER_MICROSECOND,
+          TENTHS_PER_US,
           "time",
           null,
           "cpu_request",
@@ -119,7 +137,7 @@
               "end_time",
               "plan_cpu",
               "plan_mem"),
-          TICKS_PER_SECOND,
+          TENTHS_PER_S,
           "start_time",
           "end_time",
           "plan_cpu",
@@ -151,7 +169,7 @@
               "vm_category",
               "vm_core_count_bucket",
               "vm_memory_bucket"),
-          TICKS_PER_SECOND,
+          TENTHS_PER_S,
           "vm_created",
           "vm_deleted",
           "vm_core_count_bucket",
@@ -168,7 +186,7 @@
   /** The built-in layouts, in the order in which the help lists them. */
   public static final List<Layout> KNOWN = List.of(GOOGLE_2011, ALIBABA_2018, AZURE_2019);
 
-  /** How many columns a row must have; -1 if a header names them. */
+  /** Returns the number of columns of a row, or -1 if a header defines the columns. */
   int width() {
     return header ? -1 : columns.size();
   }
--- a/traces/src/main/java/tillerlink/trace/LineReader.java
+++ b/traces/src/main/java/tillerlink/trace/LineReader.java
@@ -10,9 +10,9 @@
 import java.util.List;
 
 /**
- * Reads the lines of several shards as one stream. Of an overlong line only the beginning is kept.
- * A shard that can't be read further is reported as the fault of one line, and the next shard
- * follows.
+ * Reader of the lines of several shards as one stream. An overlong line is truncated, so that the
+ * memory for a line is bounded. If reading a shard fails, its current line gets a skip reason and
+ * reading continues with the next shard.
  */
 final class LineReader implements Closeable {
   static final int MAX_LINE_BYTES = 16_384;
@@ -29,11 +29,11 @@
   private long bytesRead;
   private long number;
 
-  /** The current line, without its end. */
+  /** The current line, without its line end. */
   private final byte[] line = new byte[MAX_LINE_BYTES];
 
   private int length;
-  private SkipReason fault;
+  private SkipReason skipReason;
   private boolean first;
   private boolean nonAscii;
 
@@ -41,34 +41,42 @@
     this.shards = shards;
   }
 
-  /** The bytes of the current line; valid up to {@link #length}. */
+  /** Returns the bytes of the current line, which are valid up to {@link #length}. */
   byte[] line() {
     return line;
   }
 
+  /** Returns the length of the current line in bytes. */
   int length() {
     return length;
   }
 
-  /** What is wrong with the current line, or null. */
-  SkipReason fault() {
-    return fault;
+  /** Returns why the current line must be skipped, or null if it is valid. */
+  SkipReason skipReason() {
+    return skipReason;
   }
 
-  /** Whether the current line is the first of its shard. */
+  /** Returns whether the current line is the first of its shard. */
   boolean isFirst() {
     return first;
   }
 
+  /** Returns the name of the shard of the current line. */
   String shardName() {
     return shards.get(shard).name();
   }
 
+  /** Returns the number of the current line in its shard, counted from 1. */
   long number() {
     return number;
   }
 
-  /** Advances to the next line; false if there is none. */
+  /**
+   * Advances to the next line.
+   *
+   * @return false if there is no further line
+   * @throws IOException if a shard cannot be opened or closed
+   */
   boolean next() throws IOException {
     while (true) {
       if (in == null) {
@@ -77,13 +85,14 @@
         }
         open();
       }
-      if (read()) {
+      if (readLine()) {
         return true;
       }
       close();
     }
   }
 
+  /** Opens the next shard. */
   private void open() throws IOException {
     shard++;
     Shard.Opened opened = shards.get(shard).open();
@@ -95,56 +104,65 @@
     number = 0;
   }
 
-  /** Reads one line; false at the end of the shard. */
-  private boolean read() {
+  /**
+   * Reads one line.
+   *
+   * @return false at the end of the shard
+   */
+  private boolean readLine() {
     length = 0;
-    fault = null;
+    skipReason = null;
     first = number == 0;
     nonAscii = false;
-    boolean any = false;
+    boolean anyBytes = false;
     boolean ended = false;
     while (!ended) {
       if (bufferFrom == bufferTo && fill() < 0) {
-        if (!any && fault == null) {
+        if (!anyBytes && skipReason == null) {
           return false;
         }
         break;
       }
-      any = true;
+      anyBytes = true;
       int end = scanToLineEnd();
-      keep(end);
+      appendToLine(end);
       ended = end < bufferTo;
       bufferFrom = ended ? end + 1 : end;
     }
     number++;
-    finish();
+    finishLine();
     return true;
   }
 
-  /** Returns where the line or the buffer ends, and notes the bytes that are not plain ASCII. */
+  /**
+   * Returns the index at which the line or the buffer ends. Records whether there are bytes outside
+   * ASCII, so that only such lines are decoded to check them.
+   */
   private int scanToLineEnd() {
     int end = bufferFrom;
     while (end < bufferTo && buffer[end] != '\n') {
       byte value = buffer[end++];
       if (value <= 0) {
         nonAscii |= value < 0;
-        fault = value == 0 && fault == null ? SkipReason.NUL : fault;
+        skipReason = value == 0 && skipReason == null ? SkipReason.NUL : skipReason;
       }
     }
     return end;
   }
 
-  private void keep(int end) {
+  /** Appends the buffered bytes up to an index to the line, as far as they fit. */
+  private void appendToLine(int end) {
     int count = end - bufferFrom;
     if (length + count > MAX_LINE_BYTES) {
-      fault = SkipReason.LINE_TOO_LONG;
+      skipReason = SkipReason.LINE_TOO_LONG;
       count = MAX_LINE_BYTES - length;
     }
     System.arraycopy(buffer, bufferFrom, line, length, count);
     length += count;
   }
 
-  private void finish() {
+  /** Removes a carriage return and a byte order mark, and checks the encoding of the line. */
+  private void finishLine() {
     if (length > 0 && line[length - 1] == '\r') {
       length--;
     }
@@ -155,33 +173,38 @@
       length -= BYTE_ORDER_MARK.length;
       System.arraycopy(line, BYTE_ORDER_MARK.length, line, 0, length);
     }
-    if (nonAscii && fault == null) {
+    if (nonAscii && skipReason == null) {
       try {
         StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(line, 0, length));
       } catch (CharacterCodingException e) {
-        fault = SkipReason.BROKEN_UTF8;
+        skipReason = SkipReason.BROKEN_UTF8;
       }
     }
   }
 
-  /** Fills the buffer. The last line of a truncated shard gets a fault, so that it is no row. */
+  /**
+   * Fills the buffer. The last line of a truncated shard gets a skip reason, so that a partial line
+   * is not used as a row.
+   *
+   * @return the number of bytes read, or -1 at the end of the shard
+   */
   private int fill() {
-    if (fault == SkipReason.CUT_OFF) {
+    if (skipReason == SkipReason.CUT_OFF) {
       return -1;
     }
     try {
-      int got = in.read(buffer);
-      if (got > 0) {
-        bytesRead += got;
+      int count = in.read(buffer);
+      if (count > 0) {
+        bytesRead += count;
         bufferFrom = 0;
-        bufferTo = got;
+        bufferTo = count;
       } else if (bytesExpected > bytesRead) {
-        fault = SkipReason.CUT_OFF;
+        skipReason = SkipReason.CUT_OFF;
         bytesExpected = Shard.UNKNOWN;
       }
-      return got;
+      return count;
     } catch (IOException e) {
-      fault = SkipReason.CUT_OFF;
+      skipReason = SkipReason.CUT_OFF;
       bytesExpected = Shard.UNKNOWN;
       in = InputStream.nullInputStream();
       return -1;
--- a/traces/src/main/java/tillerlink/trace/ReorderBuffer.java
+++ b/traces/src/main/java/tillerlink/trace/ReorderBuffer.java
@@ -6,10 +6,10 @@
 import java.util.List;
 
 /**
- * Sorts tasks that are out of order by at most a window of trace time. A wheel of slots covers the
- * window, and only the slot that is due is sorted. A task later than the window is counted and
- * skipped. When too many wait, the earliest slots are released before their time, and tasks that
- * belong before them count as late.
+ * A buffer that sorts tasks that are out of order by at most a window of trace time. A wheel of
+ * time slots covers the window, and each slot is sorted when it is released. A task that is out of
+ * order by more than the window is counted as late and skipped. If the buffer is full, the earliest
+ * slots are released before the window has passed, and tasks that belong before them count as late.
  */
 public final class ReorderBuffer implements TaskSource {
   private static final int SLOTS = 512;
@@ -22,13 +22,13 @@
   private final int maxWaiting;
   private final List<List<Task>> wheel = new ArrayList<>(SLOTS);
 
-  /** A task beyond the wheel's reach, which waits until the slots before it are released. */
-  private Task ahead;
+  /** A task beyond the wheel, which waits until the slots before it are released; or null. */
+  private Task deferred;
 
-  /** Number of the slot that is released next, counted from time 0. */
+  /** The number of the slot that is released next, counted from time 0. */
   private long nextSlot = Long.MIN_VALUE;
 
-  /** The last slot that has been filled. */
+  /** The number of the last slot that has been filled. */
   private long lastSlot = Long.MIN_VALUE;
 
   private int waiting;
@@ -38,7 +38,12 @@
   private long releasedEarly;
 
   /**
-   * @param window in tenths of a millisecond of the trace
+   * Creates an empty buffer.
+   *
+   * @param window the time by which a task may be out of order, in tenths of a millisecond of the
+   *     trace
+   * @param maxWaiting the maximum number of tasks that wait in the wheel
+   * @param counts receives the rows of late tasks
    */
   public ReorderBuffer(TaskSource source, long window, int maxWaiting, RowCounts counts) {
     this.source = source;
@@ -50,7 +55,7 @@
     }
   }
 
-  /** How many tasks were released before the window had passed, because too many waited. */
+  /** Returns the number of tasks released before the window had passed because it was full. */
   public long releasedEarly() {
     return releasedEarly;
   }
@@ -65,14 +70,18 @@
     return ready.get(nextReady++);
   }
 
-  /** Reads until the next slot is complete, then makes it ready; false at the end. */
+  /**
+   * Reads until the next slot is complete, and releases that slot.
+   *
+   * @return false if there are no further tasks
+   */
   private boolean releaseSlot() throws IOException {
     fillWheel();
-    if (waiting == 0 && ahead == null) {
+    if (waiting == 0 && deferred == null) {
       return false;
     }
     if (waiting == 0) {
-      nextSlot = Math.max(nextSlot, slot(ahead) - SLOTS + 2);
+      nextSlot = Math.max(nextSlot, slot(deferred) - SLOTS + 2);
       return true;
     }
     if (!ended && waiting >= maxWaiting && !wheelIsFull()) {
@@ -89,10 +98,11 @@
     return true;
   }
 
+  /** Reads tasks until the wheel is full, too many tasks wait, or the source has ended. */
   private void fillWheel() throws IOException {
     while (!ended && waiting < maxWaiting && (nextSlot == Long.MIN_VALUE || !wheelIsFull())) {
-      Task task = ahead != null ? ahead : source.next();
-      ahead = null;
+      Task task = deferred != null ? deferred : source.next();
+      deferred = null;
       if (task == null) {
         ended = true;
       } else if (!insert(task)) {
@@ -105,7 +115,12 @@
     return lastSlot >= nextSlot + SLOTS - 1;
   }
 
-  /** False if the task lies beyond the wheel; it waits until the slots before it are released. */
+  /**
+   * Adds a task to its slot, or counts it as late.
+   *
+   * @return false if the task is beyond the wheel; it is deferred until the slots before it are
+   *     released
+   */
   private boolean insert(Task task) {
     long slot = slot(task);
     if (nextSlot == Long.MIN_VALUE) {
@@ -113,11 +128,11 @@
       nextSlot = slot - SLOTS + 2;
     }
     if (slot < nextSlot) {
-      counts.usedBecomesSkipped(task.rows(), SkipReason.LATE);
+      counts.reclassifyAsSkipped(task.rows(), SkipReason.LATE);
       return true;
     }
     if (slot >= nextSlot + SLOTS) {
-      ahead = task;
+      deferred = task;
       lastSlot = nextSlot + SLOTS - 1;
       return false;
     }
@@ -127,10 +142,12 @@
     return true;
   }
 
+  /** Returns the number of a task's slot, counted from time 0. */
   private long slot(Task task) {
     return task.start() / slotSpan;
   }
 
+  /** Returns the index in the wheel of a slot. */
   private static int index(long slot) {
     return (int) Math.floorMod(slot, (long) SLOTS);
   }
--- a/traces/src/main/java/tillerlink/trace/RowCounts.java
+++ b/traces/src/main/java/tillerlink/trace/RowCounts.java
@@ -6,13 +6,18 @@
 import java.util.Map;
 
 /**
- * Accounts for the rows of a trace. Each is counted once, as used or as skipped, and of each reason
- * the first places are kept.
+ * Counts of the rows of a trace. Each row is counted once, as used or as skipped, and the first
+ * positions of skipped rows are recorded for each reason.
  */
 public final class RowCounts {
   private static final int MAX_PLACES = 5;
 
-  /** The place of a row. */
+  /**
+   * The position of a row.
+   *
+   * @param shard the name of the shard
+   * @param line the number of the line, counted from 1
+   */
   public record Place(String shard, long line) {
     @Override
     public String toString() {
@@ -26,34 +31,42 @@
   private long used;
   private long outOfOrder;
 
-  void read() {
+  /** Counts a row as read. */
+  void countRead() {
     read++;
   }
 
-  void outOfOrder(boolean isOutOfOrder) {
+  /** Counts a row as out of order if it is. */
+  void countIfOutOfOrder(boolean isOutOfOrder) {
     outOfOrder += isOutOfOrder ? 1 : 0;
   }
 
-  /** How many rows stand behind one of a later time. */
+  /** Returns the number of rows that follow a row of a later time. */
   public long rowsOutOfOrder() {
     return outOfOrder;
   }
 
-  /** Counts the rows of a task as used: one, or a start and its end. */
-  void used(int rows) {
+  /** Counts the rows of a task as used: one row, or a start and its end. */
+  void countUsed(int rows) {
     used += rows;
   }
 
-  void skip(SkipReason reason, String shard, long line) {
+  /**
+   * Counts a row as skipped.
+   *
+   * @param shard the name of the shard
+   * @param line the number of the line, counted from 1
+   */
+  void countSkipped(SkipReason reason, String shard, long line) {
     skipped.merge(reason, 1L, Long::sum);
-    List<Place> first = places.computeIfAbsent(reason, c -> new ArrayList<>(MAX_PLACES));
+    List<Place> first = places.computeIfAbsent(reason, key -> new ArrayList<>(MAX_PLACES));
     if (first.size() < MAX_PLACES) {
       first.add(new Place(shard, line));
     }
   }
 
-  /** Counts a task as skipped that was counted as used. */
-  void usedBecomesSkipped(int rows, SkipReason reason) {
+  /** Counts rows as skipped that were counted as used. */
+  void reclassifyAsSkipped(int rows, SkipReason reason) {
     used -= rows;
     skipped.merge(reason, (long) rows, Long::sum);
   }
@@ -66,11 +79,12 @@
     return used;
   }
 
+  /** Returns the number of rows that were skipped for a reason. */
   public long skipped(SkipReason reason) {
     return skipped.getOrDefault(reason, 0L);
   }
 
-  /** How many rows are faults of the file. */
+  /** Returns the number of malformed rows; see {@link SkipReason#isBad}. */
   public long bad() {
     long sum = 0;
     for (Map.Entry<SkipReason, Long> entry : skipped.entrySet()) {
@@ -79,15 +93,17 @@
     return sum;
   }
 
+  /** Returns the share of malformed rows among the rows read, from 0 to 1. */
   public double badShare() {
     return read == 0 ? 0 : (double) bad() / read;
   }
 
+  /** Returns the positions of the first rows that were skipped for a reason, at most 5. */
   public List<Place> places(SkipReason reason) {
     return places.getOrDefault(reason, List.of());
   }
 
-  /** Whether every row that was read is accounted for. */
+  /** Returns whether every row that was read is counted as used or skipped. */
   public boolean addsUp() {
     return read == used + skipped.values().stream().mapToLong(Long::longValue).sum();
   }
--- a/traces/src/main/java/tillerlink/trace/SkipReason.java
+++ b/traces/src/main/java/tillerlink/trace/SkipReason.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * Why a row of a trace was skipped. Some reasons are faults of the file, others follow from its
- * layout.
+ * The reason for which a row of a trace was skipped. Some reasons mean that the row is malformed,
+ * others follow from the layout or from limits of the reader.
  */
 public enum SkipReason {
   LINE_TOO_LONG(true),
@@ -17,17 +17,17 @@
   OUT_OF_RANGE(true),
   ENDS_BEFORE_START(true),
   /**
-   * A compressed shard that ends too early or can't be unpacked, or a file that shrank while it was
-   * read.
+   * The shard is truncated: a compressed shard that ends too early or cannot be decompressed, or a
+   * file that shrank while it was read.
    */
   CUT_OFF(true),
-  /** Of a kind that this layout does not replay, or with no known time. */
+  /** The row is of a type that the layout does not replay, or has no known time. */
   OTHER_KIND(false),
-  /** An end whose start was never seen, or a start whose end did not come. */
+  /** The row is an end without a start, or a start without an end. */
   UNPAIRED(false),
-  /** A start that later ones evicted from the bounded join. */
+  /** The row is a start that later starts evicted from the bounded join. */
   EVICTED(false),
-  /** Later than the window in which rows are put in order. */
+  /** The row is out of order by more than the window in which rows are sorted. */
   LATE(false);
 
   private final boolean bad;
@@ -36,12 +36,12 @@
     this.bad = bad;
   }
 
-  /** Whether the row is a fault of the file. */
+  /** Returns whether the reason means that the row is malformed. */
   public boolean isBad() {
     return bad;
   }
 
-  /** The name in reports. */
+  /** Returns the name in reports. */
   public String word() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/traces/src/main/java/tillerlink/trace/StartEndJoin.java
+++ b/traces/src/main/java/tillerlink/trace/StartEndJoin.java
@@ -3,9 +3,9 @@
 import java.util.Arrays;
 
 /**
- * A bounded join of start events with their end events, keyed by a hash of the task's name: a hash
- * table with open addressing over plain arrays, and a ring in the order of arrival, of which the
- * oldest entry is evicted when all places are taken.
+ * A bounded join of start events with their end events, keyed by a hash of the task's name. It is a
+ * hash table with open addressing over arrays, whose entries form a ring in the order of arrival.
+ * If the ring is full, the oldest entry is evicted.
  */
 final class StartEndJoin {
   private static final int EMPTY = -1;
@@ -19,14 +19,19 @@
   private final double[] cores;
   private final double[] memory;
   private final long[] numbers;
-  private final int[] kinds;
+  private final int[] requestClasses;
   private final boolean[] occupied;
 
-  /** Where the next start goes: the oldest place of the ring. */
-  private int nextPlace;
+  /** The entry of the next start, which is the oldest entry of the ring. */
+  private int nextEntry;
 
   private int waiting;
 
+  /**
+   * Creates an empty join.
+   *
+   * @param capacity the maximum number of starts that wait for their ends
+   */
   StartEndJoin(int capacity) {
     this.capacity = capacity;
     int slots = Integer.highestOneBit(Math.max(2, capacity * TABLE_SLOTS_PER_ENTRY) - 1) << 1;
@@ -38,69 +43,79 @@
     cores = new double[capacity];
     memory = new double[capacity];
     numbers = new long[capacity];
-    kinds = new int[capacity];
+    requestClasses = new int[capacity];
     occupied = new boolean[capacity];
   }
 
-  /** How many starts the next one would evict: 0 or 1. */
+  /** Returns the number of starts that the next start would evict: 0 or 1. */
   int evictions() {
-    return occupied[nextPlace] ? 1 : 0;
+    return occupied[nextEntry] ? 1 : 0;
   }
 
-  /** Adds a start. It replaces one of the same name that still waits; true if there was one. */
-  boolean open(long key, long start, double taskCores, double taskMemory, long number, int kind) {
-    int before = find(key);
-    boolean replaced = before != EMPTY;
+  /**
+   * Adds a start. It replaces a waiting start with the same key.
+   *
+   * @param start tenths of a millisecond
+   * @return whether a start was replaced
+   */
+  boolean addStart(
+      long key, long start, double taskCores, double taskMemory, long number, int requestClass) {
+    int previous = find(key);
+    boolean replaced = previous != EMPTY;
     if (replaced) {
-      remove(before);
+      remove(previous);
     }
-    if (occupied[nextPlace]) {
-      remove(nextPlace);
+    if (occupied[nextEntry]) {
+      remove(nextEntry);
     }
-    int place = nextPlace;
-    nextPlace = (nextPlace + 1) % capacity;
-    keys[place] = key;
-    startedAt[place] = start;
-    cores[place] = taskCores;
-    memory[place] = taskMemory;
-    numbers[place] = number;
-    kinds[place] = kind;
-    occupied[place] = true;
+    int entry = nextEntry;
+    nextEntry = (nextEntry + 1) % capacity;
+    keys[entry] = key;
+    startedAt[entry] = start;
+    cores[entry] = taskCores;
+    memory[entry] = taskMemory;
+    numbers[entry] = number;
+    requestClasses[entry] = requestClass;
+    occupied[entry] = true;
     waiting++;
     int slot = (int) key & mask;
     while (table[slot] != EMPTY) {
       slot = (slot + 1) & mask;
     }
-    table[slot] = place;
+    table[slot] = entry;
     return replaced;
   }
 
   /**
-   * Removes the start of that name and returns the task that it and the end make; null if none
-   * waits.
+   * Removes the start with a key and returns the task from that start to an end.
+   *
+   * @param end tenths of a millisecond
+   * @return null if no start with the key waits
    */
-  Task close(long key, long end, long job, long owner) {
-    int place = find(key);
-    if (place == EMPTY) {
+  Task matchEnd(long key, long end, long job, long owner) {
+    int entry = find(key);
+    if (entry == EMPTY) {
       return null;
     }
-    remove(place);
+    remove(entry);
     return new Task(
-        startedAt[place],
-        end - startedAt[place],
-        cores[place],
-        memory[place],
+        startedAt[entry],
+        end - startedAt[entry],
+        cores[entry],
+        memory[entry],
         job,
         owner,
-        numbers[place],
-        kinds[place],
+        numbers[entry],
+        requestClasses[entry],
         2);
   }
 
+  /** Returns the number of starts that wait for their ends. */
   int waiting() {
     return waiting;
   }
 
+  /** Returns the entry with a key, or {@link #EMPTY} if there is none. */
   private int find(long key) {
     for (int slot = (int) key & mask; table[slot] != EMPTY; slot = (slot + 1) & mask) {
       if (keys[table[slot]] == key) {
@@ -110,13 +125,16 @@
     return EMPTY;
   }
 
-  /** Removes an entry and moves up those behind it in the same run, so that no gap hides them. */
-  private void remove(int place) {
-    int gap = (int) keys[place] & mask;
-    while (table[gap] != place) {
+  /**
+   * Removes an entry. The entries after it in the same probe sequence are moved up, because a
+   * lookup stops at the first empty slot and would not find them beyond the gap.
+   */
+  private void remove(int entry) {
+    int gap = (int) keys[entry] & mask;
+    while (table[gap] != entry) {
       gap = (gap + 1) & mask;
     }
-    occupied[place] = false;
+    occupied[entry] = false;
     waiting--;
     int slot = gap;
     while (true) {
--- a/traces/src/main/java/tillerlink/trace/Task.java
+++ b/traces/src/main/java/tillerlink/trace/Task.java
@@ -1,19 +1,18 @@
 package tillerlink.trace;
 
 /**
- * One piece of work of a trace, as the cluster ran it. Times are tenths of a millisecond of the
- * trace.
+ * A task of a trace, as the cluster ran it. Times are tenths of a millisecond of the trace.
  *
- * @param start when it began
- * @param span how long it ran
- * @param cores how many cores it asked for or used
- * @param memory what share of a machine's memory, or how many GB, as the layout has it; for scale
- *     only
- * @param job a hash of the job that it belongs to
- * @param owner a hash of the user that it belongs to
- * @param number counts the tasks of a trace in the order of the file; breaks ties
- * @param kind index of the request class that it is mapped to, or -1
- * @param rows how many rows of the file describe it
+ * @param start the start time
+ * @param span the run time
+ * @param cores the number of cores that the task requested or used
+ * @param memory the memory as a share of a machine's memory or in GB, depending on the layout; used
+ *     for scaling only
+ * @param job a hash of the job that the task belongs to
+ * @param owner a hash of the user that the task belongs to
+ * @param number the number of the task in the order of the file; breaks ties between start times
+ * @param kind the index of the request class that the task is mapped to, or -1
+ * @param rows the number of rows of the file that describe the task
  */
 public record Task(
     long start,
@@ -25,12 +24,12 @@
     long number,
     int kind,
     int rows) {
-  /** The work of all its cores, as time on one, in tenths of a millisecond. */
+  /** Returns the work on all cores, as tenths of a millisecond on one core. */
   public double work() {
     return span * cores;
   }
 
-  /** Whether it comes first in the order of start and place in the file. */
+  /** Returns whether this task is before another one, by start time and then by number. */
   public boolean before(Task other) {
     return start < other.start || (start == other.start && number < other.number);
   }
--- a/traces/src/main/java/tillerlink/trace/TaskReader.java
+++ b/traces/src/main/java/tillerlink/trace/TaskReader.java
@@ -5,20 +5,20 @@
 import java.util.List;
 
 /**
- * Reads the tasks of a trace from its shards, in the order of the files. A row that can't be used
- * is counted with its reason and skipped.
+ * Reader of the tasks of a trace from its shards, in the order of the files. A row that cannot be
+ * used is skipped and counted with its reason.
  */
 public final class TaskReader implements TaskSource, Closeable {
-  /** Times beyond this many tenths of a millisecond, some 30 years, are out of range. */
+  /** The largest valid time, in tenths of a millisecond: about 30 years. */
   private static final double MAX_TIME = 1e13;
 
   private static final double MAX_CORES = 1e6;
 
-  /** How many starts may wait for their ends. */
+  /** The maximum number of starts that wait for their ends. */
   public static final int MAX_OPEN_STARTS = 1 << 16;
 
   private final Layout layout;
-  private final List<List<Layout.Test>> kinds;
+  private final List<List<Layout.Test>> requestClassTests;
   private final LineReader lines;
   private final CsvRow row;
   private final RowCounts counts;
@@ -29,20 +29,25 @@
   private double latestStart = Double.NEGATIVE_INFINITY;
 
   /**
-   * Reads the shards one after the other.
+   * Creates a reader, which reads the shards one after the other.
    *
-   * @param kinds the tests of each request class; a row belongs to the first whose tests all hold
+   * @param requestClassTests the tests of each request class; a row belongs to the first class
+   *     whose tests it passes
+   * @param counts receives the number of rows read, used and skipped
    */
   public TaskReader(
-      Layout layout, List<Shard> shards, List<List<Layout.Test>> kinds, RowCounts counts) {
+      Layout layout,
+      List<Shard> shards,
+      List<List<Layout.Test>> requestClassTests,
+      RowCounts counts) {
     this.layout = layout;
-    this.kinds = kinds;
+    this.requestClassTests = requestClassTests;
     this.counts = counts;
     lines = new LineReader(shards);
     row = new CsvRow(layout.delimiter());
     join = layout.pairing() == null ? null : new StartEndJoin(MAX_OPEN_STARTS);
     if (!layout.header()) {
-      columns = new ColumnMapping(layout, layout.columns(), kinds);
+      columns = new ColumnMapping(layout, layout.columns(), requestClassTests);
     }
   }
 
@@ -50,16 +55,16 @@
   public Task next() throws IOException {
     while (lines.next()) {
       if (layout.header() && lines.isFirst()) {
-        header();
+        readHeader();
         continue;
       }
-      if (lines.length() == 0 && lines.fault() == null) {
+      if (lines.length() == 0 && lines.skipReason() == null) {
         continue;
       }
-      counts.read();
+      counts.countRead();
       Task task = task();
       if (task != null) {
-        counts.used(task.rows());
+        counts.countUsed(task.rows());
         return task;
       }
     }
@@ -67,24 +72,29 @@
     return null;
   }
 
-  /** The task that the current line gives or completes, or null; a skipped row is counted. */
+  /**
+   * Returns the task that the current line describes or completes. A row that is skipped is
+   * counted.
+   *
+   * @return null if the line does not complete a task
+   */
   private Task task() {
-    SkipReason fault = fault();
-    if (fault != null) {
-      counts.skip(fault, lines.shardName(), lines.number());
+    SkipReason reason = skipReason();
+    if (reason != null) {
+      counts.countSkipped(reason, lines.shardName(), lines.number());
       return null;
     }
     double start = time(columns.start);
-    counts.outOfOrder(start < latestStart);
+    counts.countIfOutOfOrder(start < latestStart);
     latestStart = Math.max(latestStart, start);
-    return join == null ? wholeTask() : joinedTask();
+    return join == null ? taskOfOneRow() : taskOfPairedRows();
   }
 
-  /** What is wrong with the current line, or null. */
-  private SkipReason fault() {
-    SkipReason fault = split();
-    if (fault != null) {
-      return fault;
+  /** Returns why the current line must be skipped, or null if it is valid. */
+  private SkipReason skipReason() {
+    SkipReason reason = split();
+    if (reason != null) {
+      return reason;
     }
     if (row.columns() != columns.width) {
       return row.columns() < columns.width
@@ -94,77 +104,89 @@
     if (!columns.isWanted(row)) {
       return SkipReason.OTHER_KIND;
     }
-    fault = startFault();
-    if (fault == null && columns.end >= 0) {
-      fault = endFault();
+    reason = startSkipReason();
+    if (reason == null && columns.end >= 0) {
+      reason = endSkipReason();
     }
-    return fault != null ? fault : sizeFault();
+    return reason != null ? reason : sizeSkipReason();
   }
 
+  /** Splits the current line; returns why it must be skipped, or null if it is valid. */
   private SkipReason split() {
-    return lines.fault() != null ? lines.fault() : row.split(lines.line(), lines.length());
+    return lines.skipReason() != null
+        ? lines.skipReason()
+        : row.split(lines.line(), lines.length());
   }
 
+  /** Counts the starts that still wait at the end of the trace as unpaired, once. */
   private void countOpenStarts() {
     if (!endReached) {
       endReached = true;
       for (int i = join == null ? 0 : join.waiting(); i > 0; i--) {
-        counts.skip(SkipReason.UNPAIRED, "end", 0);
+        counts.countSkipped(SkipReason.UNPAIRED, "end", 0);
       }
     }
   }
 
-  private void header() throws IOException {
-    SkipReason fault = split();
-    if (fault != null) {
-      throw new IOException(lines.shardName() + ": the header can't be read: " + fault.word());
+  /**
+   * Reads the names of the columns from the current line.
+   *
+   * @throws IOException if the line is malformed or a required column is missing
+   */
+  private void readHeader() throws IOException {
+    SkipReason reason = split();
+    if (reason != null) {
+      throw new IOException(lines.shardName() + ": invalid header: " + reason.word());
     }
     try {
-      columns = new ColumnMapping(layout, ColumnMapping.header(row), kinds);
+      columns = new ColumnMapping(layout, ColumnMapping.header(row), requestClassTests);
     } catch (IllegalArgumentException e) {
       throw new IOException(lines.shardName() + ": " + e.getMessage() + " in the header");
     }
   }
 
+  /** Returns the time in a column, in tenths of a millisecond; NaN if it is not a number. */
   private double time(int column) {
     return row.number(column) * layout.tenthsPer();
   }
 
-  private boolean unknown(int column) {
+  /** Returns whether a column contains a value that marks an unknown time. */
+  private boolean isUnknownTime(int column) {
     return row.number(column) >= layout.unknownTime();
   }
 
-  private static boolean outOfRange(double time) {
+  private static boolean isOutOfRange(double time) {
     return time < 0 || time > MAX_TIME;
   }
 
-  private SkipReason startFault() {
+  private SkipReason startSkipReason() {
     double start = time(columns.start);
     if (Double.isNaN(start)) {
       return notANumber(columns.start);
     }
-    if (unknown(columns.start)) {
+    if (isUnknownTime(columns.start)) {
       return SkipReason.OTHER_KIND;
     }
-    return outOfRange(start) ? SkipReason.OUT_OF_RANGE : null;
+    return isOutOfRange(start) ? SkipReason.OUT_OF_RANGE : null;
   }
 
-  private SkipReason endFault() {
+  private SkipReason endSkipReason() {
     double end = time(columns.end);
     if (Double.isNaN(end)) {
       return notANumber(columns.end);
     }
-    if (outOfRange(end)) {
+    if (isOutOfRange(end)) {
       return SkipReason.OUT_OF_RANGE;
     }
     return end < time(columns.start) ? SkipReason.ENDS_BEFORE_START : null;
   }
 
+  /** Returns the reason for a time that is not a number; an empty one is not malformed. */
   private SkipReason notANumber(int column) {
     return row.length(column) == 0 ? SkipReason.OTHER_KIND : SkipReason.NOT_A_NUMBER;
   }
 
-  private SkipReason sizeFault() {
+  private SkipReason sizeSkipReason() {
     double cores = cores();
     double memory = memory();
     if (Double.isNaN(cores) || Double.isNaN(memory)) {
@@ -173,19 +195,28 @@
     return cores < 0 || cores > MAX_CORES || memory < 0 ? SkipReason.OUT_OF_RANGE : null;
   }
 
-  /** One core if the column is empty; both "8" and the bucket ">24" are numbers. */
+  /** Returns the number of cores; one core if the column is absent or empty. */
   private double cores() {
     if (columns.cores < 0 || row.length(columns.cores) == 0) {
       return 1;
     }
-    return bucket(columns.cores) * layout.coresPer();
+    return numberOrBucket(columns.cores) * layout.coresPer();
   }
 
+  /** Returns the memory in the file's unit; 0 if the column is absent or empty. */
   private double memory() {
-    return columns.memory < 0 || row.length(columns.memory) == 0 ? 0 : bucket(columns.memory);
+    return columns.memory < 0 || row.length(columns.memory) == 0
+        ? 0
+        : numberOrBucket(columns.memory);
   }
 
-  private double bucket(int column) {
+  /**
+   * Returns the number in a column, which is either written out, such as "8", or the bound of an
+   * open-ended bucket, such as "&gt;24".
+   *
+   * @return NaN if the column is neither
+   */
+  private double numberOrBucket(int column) {
     double number = row.number(column);
     if (Double.isNaN(number)) {
       String text = row.text(column);
@@ -200,11 +231,13 @@
     return number;
   }
 
+  /** Returns the hash of the user, or of the job if the layout has no user. */
   private long owner() {
     return columns.owner < 0 ? row.hash(columns.job) : row.hash(columns.owner);
   }
 
-  private Task wholeTask() {
+  /** Returns the task that the current line describes. */
+  private Task taskOfOneRow() {
     long start = (long) time(columns.start);
     double copies = columns.copies < 0 ? 1 : row.number(columns.copies);
     return new Task(
@@ -215,18 +248,23 @@
         row.hash(columns.job),
         owner(),
         tasksStarted++,
-        columns.kind(row),
+        columns.requestClass(row),
         1);
   }
 
-  /** Adds a start to the join, or returns the task that this end completes. */
-  private Task joinedTask() {
+  /**
+   * Adds a start to the join, or returns the task that an end completes.
+   *
+   * @return null if the current line does not complete a task
+   */
+  private Task taskOfPairedRows() {
     long key =
-        CsvRow.mixed(row.hash(columns.job) * 31 + (columns.task < 0 ? 0 : row.hash(columns.task)));
-    long at = (long) time(columns.start);
+        CsvRow.mix(row.hash(columns.job) * 31 + (columns.task < 0 ? 0 : row.hash(columns.task)));
+    long time = (long) time(columns.start);
     if (columns.isStart(row)) {
       skip(join.evictions(), SkipReason.EVICTED);
-      boolean replaced = join.open(key, at, cores(), memory(), tasksStarted++, columns.kind(row));
+      boolean replaced =
+          join.addStart(key, time, cores(), memory(), tasksStarted++, columns.requestClass(row));
       skip(replaced ? 1 : 0, SkipReason.UNPAIRED);
       return null;
     }
@@ -234,7 +272,7 @@
       skip(1, SkipReason.OTHER_KIND);
       return null;
     }
-    Task task = join.close(key, at, row.hash(columns.job), owner());
+    Task task = join.matchEnd(key, time, row.hash(columns.job), owner());
     if (task == null) {
       skip(1, SkipReason.UNPAIRED);
     } else if (!columns.isEnd(row)) {
@@ -247,9 +285,10 @@
     return task;
   }
 
+  /** Counts rows as skipped at the position of the current line. */
   private void skip(int rows, SkipReason reason) {
     for (int i = 0; i < rows; i++) {
-      counts.skip(reason, lines.shardName(), lines.number());
+      counts.countSkipped(reason, lines.shardName(), lines.number());
     }
   }
 
--- a/traces/src/main/java/tillerlink/trace/TaskSource.java
+++ b/traces/src/main/java/tillerlink/trace/TaskSource.java
@@ -2,9 +2,14 @@
 
 import java.io.IOException;
 
-/** A stream of tasks. */
+/** A source from which tasks are read one after the other. */
 @FunctionalInterface
 public interface TaskSource {
-  /** Returns the next task, or null at the end. */
+  /**
+   * Returns the next task.
+   *
+   * @return null at the end
+   * @throws IOException if reading fails
+   */
   Task next() throws IOException;
 }
--- a/traces/src/main/java/tillerlink/trace/TraceGenerator.java
+++ b/traces/src/main/java/tillerlink/trace/TraceGenerator.java
@@ -14,9 +14,9 @@
 import java.util.Random;
 
 /**
- * Generates a synthetic trace in a published layout: jobs come in bursts, spans are log-normal, and
- * a few users own most jobs. Some rows are corrupted and some are out of order, and the generator
- * reports how many of each it wrote. It contains no real data.
+ * A generator of synthetic traces in the published layouts. Jobs arrive in bursts, spans are
+ * log-normal, and a few users own most jobs. Some rows are corrupted and some are out of order; the
+ * generator reports the number of each. The traces contain no real data.
  */
 public final class TraceGenerator implements Closeable {
   private static final double SPAN_SIGMA = 1.2;
@@ -24,31 +24,38 @@
   private static final double GAP_MEAN_S = 0.5;
   private static final int USERS = 300;
   private static final int MAX_TASKS_PER_JOB = 12;
-  private static final double TICKS_PER_SECOND = 10_000;
-  private static final int MICROS_PER_TICK = 100;
+  private static final double TENTHS_PER_S = 10_000;
+  private static final int MICROS_PER_TENTH = 100;
   private static final int GOOGLE_MACHINES = 12_000;
   private static final List<String> AZURE_CORES = List.of("2", "4", "8", ">24");
 
-  /** How many rows may wait to be written; those of layouts with end times wait long. */
+  /** The maximum number of rows that wait to be written; end rows of paired layouts wait long. */
   private static final int MAX_WAITING = 1 << 18;
 
   /**
-   * What was written.
+   * The numbers of rows and tasks that were written.
    *
-   * @param shuffled rows that stand behind one of a later time
+   * @param rows all rows, including corrupted ones
+   * @param tasks the tasks that the intact rows describe
+   * @param bad the corrupted rows, by the reason for which a reader skips them
+   * @param shuffled the rows that follow a row of a later time
    */
   public record Generated(long rows, long tasks, Map<SkipReason, Long> bad, long shuffled) {
-    /** How many corrupted rows there are, of all kinds. */
+    /** Returns the number of corrupted rows of all kinds. */
     public long allBad() {
       return bad.values().stream().mapToLong(Long::longValue).sum();
     }
   }
 
   /**
-   * One row: when it is written, its place among those written at once, and its own time in the
-   * file's unit.
+   * A row that waits to be written.
+   *
+   * @param writeAt the time at which the row is written, in tenths of a millisecond
+   * @param number the order among rows that are written at the same time
+   * @param ownTime the time in the row, in the file's unit
+   * @param text the row without its line end
    */
-  private record Line(long at, long number, long ownTime, String text) {}
+  private record Line(long writeAt, long number, long ownTime, String text) {}
 
   private static final SkipReason[] CORRUPTIONS = {
     SkipReason.TOO_FEW_COLUMNS,
@@ -68,7 +75,7 @@
   private final OutputStream out;
   private final Map<SkipReason, Long> bad = new EnumMap<>(SkipReason.class);
   private final PriorityQueue<Line> lines =
-      new PriorityQueue<>(Comparator.comparingLong(Line::at).thenComparingLong(Line::number));
+      new PriorityQueue<>(Comparator.comparingLong(Line::writeAt).thenComparingLong(Line::number));
   private long now;
   private long rows;
   private long tasks;
@@ -78,30 +85,38 @@
   private long latestWritten = Long.MIN_VALUE;
 
   /**
-   * Prepares a generator; the same seed gives the same trace.
+   * Creates a generator; the same seed generates the same trace.
    *
-   * @param badShare the share of corrupted rows
-   * @param shuffle by how much a row may be behind its place, in tenths of a millisecond of the
-   *     trace
+   * @param badShare the probability, for each intact row, that a corrupted row follows it
+   * @param shuffle the maximum time by which a row is written late, in tenths of a millisecond of
+   *     the trace
+   * @throws IllegalArgumentException if the layout is not a built-in one
    */
   public TraceGenerator(Layout layout, long seed, double badShare, long shuffle, OutputStream out) {
     if (!Layout.KNOWN.contains(layout)) {
-      throw new IllegalArgumentException("only the layouts that are built in can be made");
+      throw new IllegalArgumentException(
+          "cannot generate layout '" + layout.name() + "': expected a built-in layout");
     }
     this.layout = layout;
     this.random = new Random(seed);
     this.badShare = badShare;
     this.shuffle = shuffle;
     this.out = new BufferedOutputStream(out, 1 << 16);
-    now = layout.equals(Layout.GOOGLE_2011) ? (long) (600 * TICKS_PER_SECOND) : 0;
+    now = layout.equals(Layout.GOOGLE_2011) ? (long) (600 * TENTHS_PER_S) : 0;
   }
 
-  /** Writes about that many intact rows and, between them, the corrupted ones. */
+  /**
+   * Writes the trace: intact rows with corrupted rows between them.
+   *
+   * @param rowsWanted the approximate number of intact rows
+   * @throws IOException if writing fails
+   */
   public Generated make(long rowsWanted) throws IOException {
     long perTask = layout.pairing() == null ? 1 : 2;
     while (tasksMade * perTask < rowsWanted) {
-      job(rowsWanted, perTask);
-      while (lines.size() > MAX_WAITING || (!lines.isEmpty() && lines.peek().at + shuffle < now)) {
+      addJob(rowsWanted, perTask);
+      while (lines.size() > MAX_WAITING
+          || (!lines.isEmpty() && lines.peek().writeAt + shuffle < now)) {
         write(lines.poll());
       }
     }
@@ -112,27 +127,29 @@
     return new Generated(rows, tasks, bad, shuffled);
   }
 
-  private void job(long rowsWanted, long perTask) {
+  /** Adds the rows of one job and advances the time to its start. */
+  private void addJob(long rowsWanted, long perTask) {
     double burst = random.nextInt(20) == 0 ? 0.1 : 1;
-    now += (long) (-Math.log(1 - random.nextDouble()) * GAP_MEAN_S * burst * TICKS_PER_SECOND);
+    now += (long) (-Math.log(1 - random.nextDouble()) * GAP_MEAN_S * burst * TENTHS_PER_S);
     long job = 3_000_000_000L + random.nextInt(1 << 30);
     int user = (int) (USERS * Math.pow(random.nextDouble(), 3));
     int size = 1 + (int) (MAX_TASKS_PER_JOB * Math.pow(random.nextDouble(), 4));
     int importance = random.nextInt(10) < 7 ? 0 : 1 + random.nextInt(10);
     for (int i = 0; i < size && tasksMade * perTask < rowsWanted; i++) {
-      long start = now + random.nextInt((int) TICKS_PER_SECOND);
-      double span = Math.exp(random.nextGaussian() * SPAN_SIGMA) * SPAN_MEDIAN_S * TICKS_PER_SECOND;
-      task(job, i, user, importance, start, start + (long) Math.max(TICKS_PER_SECOND, span));
+      long start = now + random.nextInt((int) TENTHS_PER_S);
+      double span = Math.exp(random.nextGaussian() * SPAN_SIGMA) * SPAN_MEDIAN_S * TENTHS_PER_S;
+      addTask(job, i, user, importance, start, start + (long) Math.max(TENTHS_PER_S, span));
       tasksMade++;
     }
   }
 
-  private void task(long job, int index, int user, int importance, long start, long end) {
+  /** Adds the rows of one task. Times are tenths of a millisecond. */
+  private void addTask(long job, int index, int user, int importance, long start, long end) {
     tasks++;
-    long startSecond = (long) (start / TICKS_PER_SECOND);
-    long endSecond = (long) Math.ceil(end / TICKS_PER_SECOND);
+    long startSecond = (long) (start / TENTHS_PER_S);
+    long endSecond = (long) Math.ceil(end / TENTHS_PER_S);
     if (layout.equals(Layout.GOOGLE_2011)) {
-      google(job, index, user, importance, start, end);
+      addGoogleRows(job, index, user, importance, start, end);
     } else if (layout.equals(Layout.ALIBABA_2018)) {
       int cores = 50 * (1 + random.nextInt(4));
       String memory = decimal(0.1 + random.nextDouble());
@@ -150,11 +167,11 @@
               cores,
               memory));
     } else {
-      azure(job, index, user, importance, start, startSecond, endSecond);
+      addAzureRow(job, index, user, importance, start, startSecond, endSecond);
     }
   }
 
-  private void azure(
+  private void addAzureRow(
       long job, int index, int user, int importance, long start, long startSecond, long endSecond) {
     int size = (int) (AZURE_CORES.size() * Math.pow(random.nextDouble(), 4));
     add(
@@ -174,7 +191,8 @@
             4 << size));
   }
 
-  private void google(long job, int index, int user, int importance, long start, long end) {
+  /** Adds the start row and the end row of one task. */
+  private void addGoogleRows(long job, int index, int user, int importance, long start, long end) {
     double cpu = 0.01 + 0.05 * random.nextInt(5);
     String memory = decimal(0.005 + 0.1 * random.nextDouble());
     String tail =
@@ -188,8 +206,8 @@
             memory);
     String head =
         String.format(Locale.ROOT, ",,%d,%d,%d,", job, index, random.nextInt(GOOGLE_MACHINES));
-    add(start, start, start * MICROS_PER_TICK + head + "1" + tail);
-    add(end, end, end * MICROS_PER_TICK + head + "4" + tail);
+    add(start, start, start * MICROS_PER_TENTH + head + "1" + tail);
+    add(end, end, end * MICROS_PER_TENTH + head + "4" + tail);
   }
 
   private static String azureCategory(int importance) {
@@ -203,11 +221,18 @@
     return String.format(Locale.ROOT, "%.4f", number);
   }
 
+  /**
+   * Adds a row that is written with a random delay.
+   *
+   * @param at the time of the row, in tenths of a millisecond
+   * @param ownTime the time in the row, in the file's unit
+   */
   private void add(long at, long ownTime, String text) {
-    long late = shuffle == 0 ? 0 : (long) (random.nextDouble() * shuffle);
-    lines.add(new Line(at + late, linesAdded++, ownTime, text));
+    long delay = shuffle == 0 ? 0 : (long) (random.nextDouble() * shuffle);
+    lines.add(new Line(at + delay, linesAdded++, ownTime, text));
   }
 
+  /** Writes a row and, at random, a corrupted copy of it. */
   private void write(Line line) throws IOException {
     put(line.text.getBytes(StandardCharsets.UTF_8));
     if (line.ownTime < latestWritten) {
@@ -227,6 +252,7 @@
     rows++;
   }
 
+  /** Returns a copy of a row that a reader must skip for the given reason. */
   private byte[] corrupted(SkipReason reason, String line) {
     String[] parts = line.split(",", -1);
     int time = layout.equals(Layout.GOOGLE_2011) ? 0 : layout.columns().indexOf(layout.start());
@@ -236,10 +262,10 @@
           case TOO_MANY_COLUMNS -> line + ",x";
           case QUOTE_OPEN -> line.replaceFirst(",", ",\"");
           case NUL, BROKEN_UTF8 -> line;
-          case NOT_A_NUMBER -> with(parts, time, "soon");
-          case OUT_OF_RANGE -> with(parts, time, "-7");
+          case NOT_A_NUMBER -> replaceColumn(parts, time, "soon");
+          case OUT_OF_RANGE -> replaceColumn(parts, time, "-7");
           default ->
-              with(
+              replaceColumn(
                   parts,
                   parts.length - 1,
                   "9".repeat(LineReader.MAX_LINE_BYTES + random.nextInt(100)));
@@ -253,9 +279,10 @@
     return row;
   }
 
-  private static String with(String[] parts, int place, String text) {
+  /** Returns a row in which one column is replaced. */
+  private static String replaceColumn(String[] parts, int column, String text) {
     String[] changed = parts.clone();
-    changed[place] = text;
+    changed[column] = text;
     return String.join(",", changed);
   }
 
--- a/traces/src/test/java/tillerlink/trace/OrderingTest.java
+++ b/traces/src/test/java/tillerlink/trace/OrderingTest.java
@@ -19,7 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tasks that are out of order are sorted within the window; ties keep the order of the file. */
+/**
+ * Tests that tasks out of order are sorted, with ties in the order of the file, and that the
+ * reorder buffer, the join of starts and ends and the external sort keep their limits.
+ */
 class OrderingTest {
   private static final Comparator<Task> ORDER =
       Comparator.comparingLong(Task::start).thenComparingLong(Task::number);
@@ -43,24 +46,29 @@
     return all;
   }
 
-  /** Tasks whose places in the file are off by up to a window. */
+  /**
+   * Returns tasks of which each is at most a window late in the file.
+   *
+   * @param window the maximum delay of a task, in tenths of a millisecond
+   * @param gap the upper bound of the usual time between two starts
+   */
   private static List<Task> shuffled(Random random, int count, long window, long gap) {
-    List<long[]> places = new ArrayList<>();
+    List<long[]> startsAndDelayedStarts = new ArrayList<>();
     long now = 0;
     for (int i = 0; i < count; i++) {
       now += random.nextInt(20) == 0 ? random.nextInt((int) gap * 50) : random.nextInt((int) gap);
-      places.add(new long[] {now, now + (long) (random.nextDouble() * window)});
+      startsAndDelayedStarts.add(new long[] {now, now + (long) (random.nextDouble() * window)});
     }
-    places.sort(Comparator.comparingLong(place -> place[1]));
+    startsAndDelayedStarts.sort(Comparator.comparingLong(starts -> starts[1]));
     List<Task> tasks = new ArrayList<>();
-    for (long[] place : places) {
-      tasks.add(task(place[0], tasks.size()));
+    for (long[] starts : startsAndDelayedStarts) {
+      tasks.add(task(starts[0], tasks.size()));
     }
     return tasks;
   }
 
   @Test
-  void tasksWithinTheWindowAreAllSorted() throws IOException {
+  void sortsAllTasksWithinTheWindow() throws IOException {
     for (int seed = 0; seed < 60; seed++) {
       Random random = new Random(seed);
       long window = 1L + random.nextInt(100_000);
@@ -75,7 +83,7 @@
   }
 
   @Test
-  void tasksBeyondTheWindowAreCountedAndTheRestSorted() throws IOException {
+  void countsTasksBeyondTheWindowAndSortsTheRest() throws IOException {
     for (int seed = 0; seed < 40; seed++) {
       Random random = new Random(seed);
       List<Task> tasks = shuffled(random, 2000, 400_000, 300);
@@ -90,49 +98,49 @@
   }
 
   @Test
-  void reorderBufferHoldsNoMoreThanItsLimit() throws IOException {
+  void reorderBufferReleasesEarlyWhenItIsFull() throws IOException {
     List<Task> tasks = shuffled(new Random(3), 5000, 50_000, 10);
-    long[] taken = {0};
+    long[] read = {0};
     Iterator<Task> source = tasks.iterator();
     ReorderBuffer reorder =
         new ReorderBuffer(
             () -> {
-              taken[0]++;
+              read[0]++;
               return source.hasNext() ? source.next() : null;
             },
             50_000,
             300,
             new RowCounts());
-    long given = 0;
+    long released = 0;
     for (Task task = reorder.next(); task != null; task = reorder.next()) {
-      given++;
-      assertTrue(taken[0] - given <= 5000);
+      released++;
+      assertTrue(read[0] - released <= 5000);
     }
     assertTrue(reorder.releasedEarly() > 0);
-    assertTrue(given > 0);
+    assertTrue(released > 0);
   }
 
   @Test
   void joinIsBoundedAndEvictsTheOldestFirst() {
     for (int seed = 0; seed < 30; seed++) {
       Random random = new Random(seed);
-      int most = 1 + random.nextInt(50);
-      StartEndJoin join = new StartEndJoin(most);
-      Map<Long, Long> kept = new HashMap<>();
+      int capacity = 1 + random.nextInt(50);
+      StartEndJoin join = new StartEndJoin(capacity);
+      Map<Long, Long> startsByKey = new HashMap<>();
       for (int i = 0; i < 3000; i++) {
-        long key = CsvRow.mixed(random.nextInt(most * 3));
+        long key = CsvRow.mix(random.nextInt(capacity * 3));
         if (random.nextBoolean()) {
-          join.open(key, i, 1, 0, i, 0);
-          kept.put(key, (long) i);
+          join.addStart(key, i, 1, 0, i, 0);
+          startsByKey.put(key, (long) i);
         } else {
-          Task task = join.close(key, i, 0, 0);
+          Task task = join.matchEnd(key, i, 0, 0);
           if (task != null) {
-            assertEquals(kept.remove(key), task.start(), "seed " + seed);
+            assertEquals(startsByKey.remove(key), task.start(), "seed " + seed);
           }
         }
-        assertTrue(join.waiting() <= most);
+        assertTrue(join.waiting() <= capacity);
       }
-      assertTrue(join.waiting() <= kept.size());
+      assertTrue(join.waiting() <= startsByKey.size());
     }
   }
 
@@ -140,8 +148,9 @@
   void externalSortOrdersAllTasksAndLeavesNoFiles() throws IOException {
     int count = 450_000;
     Random random = new Random(4);
-    int[] made = {0};
-    TaskSource source = () -> made[0] == count ? null : task(random.nextInt(1 << 20), made[0]++);
+    int[] created = {0};
+    TaskSource source =
+        () -> created[0] == count ? null : task(random.nextInt(1 << 20), created[0]++);
     long last = -1;
     long lastNumber = -1;
     long seen = 0;
@@ -154,25 +163,26 @@
       }
     }
     assertEquals(count, seen);
-    try (Stream<Path> left = Files.list(folder)) {
-      assertEquals(0, left.count(), "nothing stays behind");
+    try (Stream<Path> remaining = Files.list(folder)) {
+      assertEquals(0, remaining.count(), "files remain after the sort");
     }
   }
 
   @Test
   void externalSortLimitsDiskAndRemovesFilesOfDeadProcesses() throws IOException {
-    Path left = Files.createDirectory(folder.resolve("tillerlink-sort-999999999-x"));
-    Files.writeString(left.resolve("run-0"), "x");
+    Path leftover = Files.createDirectory(folder.resolve("tillerlink-sort-999999999-x"));
+    Files.writeString(leftover.resolve("run-0"), "x");
     Path own =
         Files.createDirectory(
             folder.resolve("tillerlink-sort-" + ProcessHandle.current().pid() + "-y"));
-    int[] made = {0};
-    try (ExternalSort sort = new ExternalSort(() -> task(made[0], made[0]++), folder, 1 << 20)) {
+    int[] created = {0};
+    try (ExternalSort sort =
+        new ExternalSort(() -> task(created[0], created[0]++), folder, 1 << 20)) {
       assertEquals(
-          "sorting takes more than 1 MB on disk",
+          "sort exceeds its limit of 1 MB on disk",
           assertThrows(IOException.class, sort::next).getMessage());
     }
-    assertFalse(Files.exists(left));
+    assertFalse(Files.exists(leftover));
     assertTrue(Files.exists(own));
   }
 }
--- a/traces/src/test/java/tillerlink/trace/TraceReadingTest.java
+++ b/traces/src/test/java/tillerlink/trace/TraceReadingTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Rows of the published layouts become tasks, and every kind of bad row is counted by its reason
- * and passed over.
+ * Tests that rows of the published layouts are read as tasks, and that every kind of malformed row
+ * is skipped and counted with its reason.
  */
 class TraceReadingTest {
   private static final Layout OWN =
@@ -62,7 +62,7 @@
         tasks.add(task);
       }
     }
-    assertTrue(counts.addsUp(), "every row is accounted for");
+    assertTrue(counts.addsUp(), "some rows are counted neither as used nor as skipped");
     return tasks;
   }
 
@@ -80,7 +80,7 @@
   }
 
   @Test
-  void alibabaRowsBecomeTasks() throws IOException {
+  void readsTasksFromAlibabaRows() throws IOException {
     List<Task> tasks =
         read(
             Layout.ALIBABA_2018,
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void azureRowsBecomeTasks() throws IOException {
+  void readsTasksFromAzureRows() throws IOException {
     assertEquals(
         "0+36000000x2.0 3000000+3000000x24.0",
         print(
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void googleStartsAndEndsAreJoined() throws IOException {
+  void joinsStartsAndEndsOfGoogleRows() throws IOException {
     String tail = ",u,0,0,0.5,0.1,0,0\n";
     List<Task> tasks =
         read(
@@ -120,7 +120,7 @@
             shard(
                 "g.csv",
                 "600000000,,1,0,5,0"
-                    + tail // submitted
+                    + tail // the submission
                     + "601000000,,1,0,5,1"
                     + tail
                     + "602000000,,1,1,5,1"
@@ -146,7 +146,7 @@
   }
 
   @Test
-  void headerNamesTheColumnsOfEachShard() throws IOException {
+  void readsTheColumnsOfEachShardFromItsHeader() throws IOException {
     Shard one =
         shard(
             "1.csv", "\ufeffjob;state;begin;finish;cpu;team\nj;done;5;9;200;a\nj;lost;5;9;200;a\n");
@@ -157,9 +157,9 @@
     assertEquals("3.csv: no column 'finish' in the header", missing.getMessage());
   }
 
-  /** Each kind of malformed row, alone between two good ones, which are both used. */
+  /** Reads each kind of malformed row between two valid rows, which must both be used. */
   @Test
-  void eachKindOfBadRowIsCountedWithItsReason() throws IOException {
+  void countsEachKindOfMalformedRowWithItsReason() throws IOException {
     String good = "a,1,j,1,Terminated,1,2,100,0.5\n";
     StringBuilder found = new StringBuilder();
     Map<String, byte[]> rows = new LinkedHashMap<>();
@@ -234,26 +234,27 @@
   }
 
   @Test
-  void truncatedShardLosesOnlyItsMissingRows() throws IOException {
+  void usesTheRowsBeforeTheEndOfATruncatedShard() throws IOException {
     String good = "a,1,j,1,Terminated,1,2,100,0.5\n";
     ByteArrayOutputStream packed = new ByteArrayOutputStream();
     try (OutputStream out = new GZIPOutputStream(packed)) {
       out.write(good.repeat(5000).getBytes(StandardCharsets.UTF_8));
     }
-    byte[] cut = Arrays.copyOf(packed.toByteArray(), packed.size() - 12);
+    byte[] truncated = Arrays.copyOf(packed.toByteArray(), packed.size() - 12);
     List<Task> tasks =
         read(
             Layout.ALIBABA_2018,
-            shard("cut.csv.gz", cut),
+            shard("cut.csv.gz", truncated),
             shard("empty.csv", ""),
             shard("z.csv", good));
     assertEquals(1, counts.skipped(SkipReason.CUT_OFF));
     assertEquals(counts.rowsRead() - 1, tasks.size());
-    assertTrue(tasks.size() > 1000, "what came before the cut is used, and the shards behind it");
+    assertTrue(
+        tasks.size() > 1000, "the rows before the truncation and the following shards are used");
   }
 
   @Test
-  void fileThatShrinksWhileReadIsCutOff() throws IOException {
+  void reportsAFileThatShrinksWhileItIsReadAsCutOff() throws IOException {
     Shard shard = shard("shrinks.csv", "a,1,j,1,Terminated,1,2,100,0.5\n".repeat(20_000));
     long tasks = 0;
     try (TaskReader reader =
@@ -274,7 +275,7 @@
   }
 
   @Test
-  void overlongLineIsOneBadRow() throws IOException {
+  void countsAnOverlongLineAsOneMalformedRow() throws IOException {
     Path file = folder.resolve("long.csv");
     try (OutputStream out = Files.newOutputStream(file)) {
       byte[] piece = "x".repeat(1 << 20).getBytes(StandardCharsets.UTF_8);
@@ -287,9 +288,11 @@
     assertEquals(1, counts.skipped(SkipReason.LINE_TOO_LONG));
   }
 
-  /** Reading a generated trace finds what the generator reported. */
+  /**
+   * Compares the counts of reading a generated trace with the numbers that the generator reports.
+   */
   @Test
-  void readingFindsWhatTheGeneratorReports() throws IOException {
+  void countsOfAGeneratedTraceMatchTheGenerator() throws IOException {
     for (Layout layout : Layout.KNOWN) {
       Path file = folder.resolve(layout.name());
       TraceGenerator.Generated generated;
@@ -297,25 +300,25 @@
           new TraceGenerator(layout, 11, 0.05, 30_000, Files.newOutputStream(file))) {
         generated = generator.make(4000);
       }
-      RowCounts found = new RowCounts();
+      RowCounts actual = new RowCounts();
       long tasks = 0;
       try (TaskReader reader =
-          new TaskReader(layout, List.of(Shard.of(file)), List.of(List.of()), found)) {
+          new TaskReader(layout, List.of(Shard.of(file)), List.of(List.of()), actual)) {
         while (reader.next() != null) {
           tasks++;
         }
       }
-      assertTrue(found.addsUp(), layout.name());
-      assertEquals(generated.rows(), found.rowsRead(), layout.name());
-      assertEquals(generated.shuffled(), found.rowsOutOfOrder(), layout.name());
+      assertTrue(actual.addsUp(), layout.name());
+      assertEquals(generated.rows(), actual.rowsRead(), layout.name());
+      assertEquals(generated.shuffled(), actual.rowsOutOfOrder(), layout.name());
       for (SkipReason reason : SkipReason.values()) {
         assertEquals(
             generated.bad().getOrDefault(reason, 0L),
-            reason.isBad() ? found.skipped(reason) : 0,
+            reason.isBad() ? actual.skipped(reason) : 0,
             layout.name() + reason);
       }
       assertEquals(
-          generated.tasks(), tasks + found.skipped(SkipReason.UNPAIRED) / 2, layout.name());
+          generated.tasks(), tasks + actual.skipped(SkipReason.UNPAIRED) / 2, layout.name());
     }
   }
 
