--- a/operator/src/main/java/tillerlink/operator/ChannelsConfig.java
+++ b/operator/src/main/java/tillerlink/operator/ChannelsConfig.java
@@ -39,19 +39,19 @@
     ChannelsConfig channels =
         new ChannelsConfig(
             sites,
-            voters(section, sites),
+            readVoters(section, sites),
             Math.round(
                 section.number("absent_after_s", 1, 7 * Units.DAY_S, 300) * Units.TENTHS_PER_S),
             Math.round(section.number("ahead_ms", 1, 3_600_000, 60_000) * Units.TENTHS_PER_MS),
             section.integer("memory_mb", 1, 1 << 16, 64) << 20,
             section.integer("disk_mb", 1, 1 << 20, 1024) << 20,
             (int) section.integer("channels_most", 1, 10_000, 64));
-    section.close();
+    section.reportUnknown();
     return channels;
   }
 
   /** Returns the voters; if the file lists none, the gateway "SITE-1" of each site. */
-  private static List<String> voters(Section section, List<String> sites) {
+  private static List<String> readVoters(Section section, List<String> sites) {
     List<String> given =
         NameRules.distinct(section, "voters", section.strings("voters", false), MAX_SITES);
     return given.isEmpty()
--- a/operator/src/main/java/tillerlink/operator/FleetPart.java
+++ b/operator/src/main/java/tillerlink/operator/FleetPart.java
@@ -19,9 +19,9 @@
     if (section == null) {
       return null;
     }
-    List<EngineKind> kinds = kinds(section);
+    List<EngineKind> kinds = readKinds(section);
     List<String> zones = section.strings("zones", true);
-    List<EngineSpec> specs = engines(section, kinds, zones);
+    List<EngineSpec> specs = readEngines(section, kinds, zones);
     if (kinds.isEmpty() || specs.isEmpty()) {
       section.error("fleet requires at least one 'kind' block and one 'engines' block");
     }
@@ -35,24 +35,24 @@
             kinds,
             zones,
             specs,
-            seconds(section, "notes_every_s", 0.01, defaults.progressInterval()),
+            readSeconds(section, "notes_every_s", 0.01, defaults.progressInterval()),
             cold.number("start_capacity", 0.01, 1, defaults.startCapacity()),
-            seconds(cold, "warm_within_s", 0, defaults.warmupTime()),
+            readSeconds(cold, "warm_within_s", 0, defaults.warmupTime()),
             cold.number("fall_multiple", 1, 100, defaults.overloadFactor()),
-            seconds(cold, "fall_s", 0, defaults.overloadWindow()),
-            seconds(section, "drain_grace_s", 0, defaults.drainGrace()),
+            readSeconds(cold, "fall_s", 0, defaults.overloadWindow()),
+            readSeconds(section, "drain_grace_s", 0, defaults.drainGrace()),
             budget.number("floor", 0, 1e6, defaults.minRetries()),
             budget.number("ratio", 0, 10, defaults.retryRatio()),
-            seconds(budget, "span_s", 0.1, defaults.retryBudgetWindow()),
+            readSeconds(budget, "span_s", 0.1, defaults.retryBudgetWindow()),
             (int) section.integer("hops_most", 1, 100, defaults.maxAttempts()),
-            seconds(section, "come_back_s", 0, defaults.maxRetryAfter()));
-    cold.close();
-    budget.close();
-    section.close();
+            readSeconds(section, "come_back_s", 0, defaults.maxRetryAfter()));
+    cold.reportUnknown();
+    budget.reportUnknown();
+    section.reportUnknown();
     return fleet;
   }
 
-  private static List<EngineKind> kinds(Section fleet) {
+  private static List<EngineKind> readKinds(Section fleet) {
     List<EngineKind> kinds = new ArrayList<>();
     for (Section kind : fleet.blocks("kind")) {
       kinds.add(
@@ -61,7 +61,7 @@
               (int) kind.number("cores", 1, 1024, Units.REQUIRED),
               kind.number("memory_mb", 1, 1e9, Units.REQUIRED),
               false));
-      kind.close();
+      kind.reportUnknown();
     }
     return kinds;
   }
@@ -73,25 +73,25 @@
    * @param defaultValue the default, in tenths of a millisecond
    * @return tenths of a millisecond
    */
-  private static long seconds(Section section, String name, double min, long defaultValue) {
+  private static long readSeconds(Section section, String name, double min, long defaultValue) {
     double seconds = section.number(name, min, Units.DAY_S, defaultValue / Units.TENTHS_PER_S);
     return Math.round(seconds * Units.TENTHS_PER_S);
   }
 
   /** Returns the engines; each is named by the label of its block and a number counted from 1. */
-  private static List<EngineSpec> engines(
+  private static List<EngineSpec> readEngines(
       Section fleet, List<EngineKind> kinds, List<String> zones) {
     List<EngineSpec> specs = new ArrayList<>();
     List<String> kindNames = kinds.stream().map(EngineKind::name).toList();
     for (Section group : fleet.blocks("engines")) {
       String name = group.label();
-      int kind = index(group, "kind", kindNames);
-      int zone = index(group, "zone", zones);
+      int kind = readIndex(group, "kind", kindNames);
+      int zone = readIndex(group, "zone", zones);
       long count = group.integer("count", 1, 5000, 1);
       for (long i = 1; i <= count; i++) {
         specs.add(new EngineSpec(name + i, kind, zone));
       }
-      group.close();
+      group.reportUnknown();
     }
     if (specs.stream().map(EngineSpec::name).distinct().count() < specs.size()) {
       fleet.error(
@@ -105,7 +105,7 @@
    *
    * @return 0 after an error, so that reading continues with a valid index
    */
-  private static int index(Section section, String name, List<String> names) {
+  private static int readIndex(Section section, String name, List<String> names) {
     String given = section.string(name, null);
     int index = names.indexOf(given);
     if (index < 0 && !given.isEmpty()) {
--- a/operator/src/main/java/tillerlink/operator/Http2Part.java
+++ b/operator/src/main/java/tillerlink/operator/Http2Part.java
@@ -25,7 +25,7 @@
     if (!transports.all() && transports.kinds().isEmpty()) {
       section.error("http2 requires 'kinds' or 'all = true'");
     }
-    section.close();
+    section.reportUnknown();
     return transports;
   }
 }
--- a/operator/src/main/java/tillerlink/operator/LayoutPart.java
+++ b/operator/src/main/java/tillerlink/operator/LayoutPart.java
@@ -1,6 +1,6 @@
 package tillerlink.operator;
 
-import static tillerlink.operator.RowTests.column;
+import static tillerlink.operator.RowTests.readColumn;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -21,7 +21,7 @@
   static List<Layout> read(Section root) {
     List<Layout> layouts = new ArrayList<>();
     for (Section section : root.blocks("layout")) {
-      Layout layout = layout(section);
+      Layout layout = readLayout(section);
       if (Layout.KNOWN.stream().anyMatch(known -> known.name().equals(layout.name()))
           || layouts.stream().anyMatch(other -> other.name().equals(layout.name()))) {
         section.error("layout '" + layout.name() + "' is already defined");
@@ -45,12 +45,12 @@
     }
   }
 
-  private static Layout layout(Section section) {
+  private static Layout readLayout(Section section) {
     String name = section.label();
     boolean header = section.flag("header", false);
     List<String> columns = section.strings("columns", !header);
-    char delimiter = delimiter(section);
-    Layout.Pairing pairing = pairing(section, columns);
+    char delimiter = readDelimiter(section);
+    Layout.Pairing pairing = readPairing(section, columns);
     Layout layout =
         new Layout(
             name,
@@ -58,22 +58,22 @@
             header,
             columns,
             section.choice("time_unit", TimeUnit.S, TimeUnit.class).tenths,
-            column(section, columns, "start", true),
-            column(section, columns, "end", pairing == null),
-            column(section, columns, "cores", false),
+            readColumn(section, columns, "start", true),
+            readColumn(section, columns, "end", pairing == null),
+            readColumn(section, columns, "cores", false),
             section.number("cores_unit", 1e-9, 1e9, 1),
-            column(section, columns, "memory", false),
-            column(section, columns, "job", true),
-            column(section, columns, "task", pairing != null),
-            column(section, columns, "owner", false),
-            column(section, columns, "copies", false),
+            readColumn(section, columns, "memory", false),
+            readColumn(section, columns, "job", true),
+            readColumn(section, columns, "task", pairing != null),
+            readColumn(section, columns, "owner", false),
+            readColumn(section, columns, "copies", false),
             pairing,
             RowTests.read(section, "only", columns),
             section.number("unknown_time", 0, Double.MAX_VALUE, Double.MAX_VALUE));
     if (pairing != null && layout.end() != null) {
       section.errorAt("end", "'end' must be absent in a layout with a 'pairs' block");
     }
-    section.close();
+    section.reportUnknown();
     return layout;
   }
 
@@ -82,7 +82,7 @@
    *
    * @return the default after an error
    */
-  private static char delimiter(Section section) {
+  private static char readDelimiter(Section section) {
     String given = section.string("delimiter", DEFAULT_DELIMITER);
     if (given.length() != 1 || "\"\n\r".contains(given) || given.charAt(0) > LAST_PRINTABLE) {
       section.errorAt(
@@ -100,18 +100,18 @@
    *
    * @return null if each row is a whole task
    */
-  private static Layout.Pairing pairing(Section section, List<String> columns) {
+  private static Layout.Pairing readPairing(Section section, List<String> columns) {
     Section pairs = section.block("pairs");
     if (pairs == null) {
       return null;
     }
     Layout.Pairing pairing =
         new Layout.Pairing(
-            column(pairs, columns, "column", true),
+            readColumn(pairs, columns, "column", true),
             pairs.strings("starts", true),
             pairs.strings("ends", true),
             pairs.strings("breaks", false));
-    pairs.close();
+    pairs.reportUnknown();
     return pairing;
   }
 }
--- a/operator/src/main/java/tillerlink/operator/LogPart.java
+++ b/operator/src/main/java/tillerlink/operator/LogPart.java
@@ -21,7 +21,7 @@
         new LogConfig(
             section.choice("form", Form.TEXT, Form.class),
             section.choice("level", Level.INFO, Level.class));
-    section.close();
+    section.reportUnknown();
     return log;
   }
 }
--- a/operator/src/main/java/tillerlink/operator/MembersConfig.java
+++ b/operator/src/main/java/tillerlink/operator/MembersConfig.java
@@ -53,21 +53,21 @@
             Addresses.read(section, "listen"),
             Addresses.readList(section, "seeds", MAX_SEEDS),
             section.stringOrNull("secret_file"),
-            reach(section),
+            readReach(section),
             Math.round(section.number("probe_ms", 50, 60_000, 500) * Units.TENTHS_PER_MS));
-    section.close();
+    section.reportUnknown();
     return members;
   }
 
   /** Returns the addresses of the blocks {@code reach}, by gateway name. */
-  private static Map<String, String> reach(Section members) {
+  private static Map<String, String> readReach(Section members) {
     Map<String, String> reach = new TreeMap<>();
     for (Section section : members.blocks("reach")) {
       String name = NameRules.readLabel(section);
       if (reach.putIfAbsent(name, Addresses.read(section, "at")) != null) {
         section.error("duplicate reach '" + name + "'");
       }
-      section.close();
+      section.reportUnknown();
     }
     if (reach.size() > MAX_REACH) {
       members.error(
--- a/operator/src/main/java/tillerlink/operator/OperatorFile.java
+++ b/operator/src/main/java/tillerlink/operator/OperatorFile.java
@@ -118,7 +118,7 @@
             RequestClassPart.read(root),
             TroublePart.read(root),
             ReplayPart.read(root.block("replay")));
-    root.close();
+    root.reportUnknown();
     ReferenceCheck.check(root, file);
     if (!errors.isEmpty()) {
       throw new InvalidFileException(path, errors.stream().sorted().distinct().toList());
--- a/operator/src/main/java/tillerlink/operator/ReplayPart.java
+++ b/operator/src/main/java/tillerlink/operator/ReplayPart.java
@@ -23,7 +23,7 @@
             section.number("estimate_error", 0, 5, 0.4),
             section.number("bad_most", 0, 1, 0.1),
             section.integer("seed", 0, 1L << 40, 1));
-    section.close();
+    section.reportUnknown();
     return replay;
   }
 }
--- a/operator/src/main/java/tillerlink/operator/RequestClassPart.java
+++ b/operator/src/main/java/tillerlink/operator/RequestClassPart.java
@@ -13,10 +13,10 @@
   static List<RequestClassSpec> read(Section root) {
     List<RequestClassSpec> requestClasses = new ArrayList<>();
     for (Section section : root.blocks("track")) {
-      String name = name(section, requestClasses);
+      String name = readName(section, requestClasses);
       Effect effect = section.choice("effect", null, Effect.class);
-      long latencyObjective = milliseconds(section, "soft_limit_ms");
-      long deadline = milliseconds(section, "hard_stop_ms");
+      long latencyObjective = readMilliseconds(section, "soft_limit_ms");
+      long deadline = readMilliseconds(section, "hard_stop_ms");
       if (deadline < latencyObjective) {
         section.errorAt("hard_stop_ms", "'hard_stop_ms' is below 'soft_limit_ms'");
       }
@@ -31,16 +31,16 @@
               value,
               section.number("late_payoff", 0, value, 0),
               section.strings("kinds", false),
-              keyWindow(section, effect, deadline),
+              readKeyWindow(section, effect, deadline),
               section.number("median_work_ms", 0.1, 1e7, Units.REQUIRED) * Units.TENTHS_PER_MS,
               RowTests.read(section, "rows", List.of())));
-      section.close();
+      section.reportUnknown();
     }
     return requestClasses;
   }
 
   /** Returns the name of a request class, which must be valid and unique. */
-  private static String name(Section section, List<RequestClassSpec> previous) {
+  private static String readName(Section section, List<RequestClassSpec> previous) {
     String name = section.label();
     if (!name.matches("[A-Za-z0-9_-]{1,32}")) {
       section.error(
@@ -57,7 +57,7 @@
    *
    * @return tenths of a millisecond
    */
-  private static long milliseconds(Section section, String name) {
+  private static long readMilliseconds(Section section, String name) {
     return Math.round(section.number(name, 1, 1e7, Units.REQUIRED) * Units.TENTHS_PER_MS);
   }
 
@@ -68,7 +68,7 @@
    * @param deadline tenths of a millisecond
    * @return tenths of a millisecond
    */
-  private static long keyWindow(Section section, Effect effect, long deadline) {
+  private static long readKeyWindow(Section section, Effect effect, long deadline) {
     double defaultValue = effect == Effect.RECEIPTED ? deadline / Units.TENTHS_PER_MS : 0;
     return Math.round(section.number("mark_kept_ms", 0, 1e8, defaultValue) * Units.TENTHS_PER_MS);
   }
--- a/operator/src/main/java/tillerlink/operator/RowTests.java
+++ b/operator/src/main/java/tillerlink/operator/RowTests.java
@@ -16,7 +16,7 @@
    * @param columns the names of the columns; empty if only the header of the trace defines them
    * @return the name of the column; null if it is optional and absent
    */
-  static String column(Section section, List<String> columns, String name, boolean required) {
+  static String readColumn(Section section, List<String> columns, String name, boolean required) {
     String given = required ? section.string(name, null) : section.stringOrNull(name);
     if (given == null || given.isEmpty() || columns.contains(given)) {
       return given;
@@ -51,14 +51,14 @@
   static List<Layout.Test> read(Section section, String type, List<String> columns) {
     List<Layout.Test> tests = new ArrayList<>();
     for (Section test : section.blocks(type)) {
-      tests.add(test(test, columns));
-      test.close();
+      tests.add(readTest(test, columns));
+      test.reportUnknown();
     }
     return tests;
   }
 
-  private static Layout.Test test(Section test, List<String> columns) {
-    String name = column(test, columns, "column", true);
+  private static Layout.Test readTest(Section test, List<String> columns) {
+    String name = readColumn(test, columns, "column", true);
     boolean byValue = test.has("in") || test.has("not_in");
     boolean byNumber = test.has("least") || test.has("most");
     List<String> in = test.strings("in", false);
--- a/operator/src/main/java/tillerlink/operator/Section.java
+++ b/operator/src/main/java/tillerlink/operator/Section.java
@@ -30,7 +30,7 @@
   private final int column;
   private final Map<String, Value> values = new LinkedHashMap<>();
   private final List<Section> sections = new ArrayList<>();
-  private final Set<String> keysRead = new LinkedHashSet<>();
+  private final Set<String> attributesRead = new LinkedHashSet<>();
   private final Set<String> blocksRead = new LinkedHashSet<>();
   private final List<ConfigError> errors;
 
@@ -78,8 +78,8 @@
     errors.add(new ConfigError(at.line, at.column, message));
   }
 
-  /** Records an error, unless the value is not a literal: that error is recorded already. */
-  private void errorUnlessUnreadable(Value at, String message) {
+  /** Records an error if the value is a literal; otherwise an error is recorded already. */
+  private void errorIfLiteral(Value at, String message) {
     if (at.value != null) {
       error(at, message);
     }
@@ -117,7 +117,7 @@
    * @return null if the attribute is absent
    */
   private Value find(String name, boolean required) {
-    keysRead.add(name);
+    attributesRead.add(name);
     Value value = values.get(name);
     if (value == null && required) {
       error("'" + name + "' is missing in " + this);
@@ -139,7 +139,7 @@
       return Double.isNaN(defaultValue) ? min : defaultValue;
     }
     if (!(value.value instanceof Number number)) {
-      errorUnlessUnreadable(value, "'" + name + "' is '" + value.value + "', expected a number");
+      errorIfLiteral(value, "'" + name + "' is '" + value.value + "', expected a number");
       return min;
     }
     double given = number.doubleValue();
@@ -200,7 +200,7 @@
     if (value.value instanceof String text && !text.isEmpty()) {
       return text;
     }
-    errorUnlessUnreadable(
+    errorIfLiteral(
         value, "'" + name + "' is '" + value.value + "', expected a non-empty quoted string");
     return "";
   }
@@ -242,8 +242,7 @@
       return defaultValue;
     }
     if (!(value.value instanceof Boolean flag)) {
-      errorUnlessUnreadable(
-          value, "'" + name + "' is '" + value.value + "', expected true or false");
+      errorIfLiteral(value, "'" + name + "' is '" + value.value + "', expected true or false");
       return defaultValue;
     }
     return flag;
@@ -267,7 +266,7 @@
     if (required && value.value instanceof List && strings.isEmpty()) {
       error(value, "'" + name + "' is empty");
     } else if (!(value.value instanceof List) || strings.contains(null)) {
-      errorUnlessUnreadable(value, "'" + name + "' is not a list of quoted strings");
+      errorIfLiteral(value, "'" + name + "' is not a list of quoted strings");
       return List.of();
     }
     return strings;
@@ -312,10 +311,10 @@
    * Records an error for each attribute and block that was not read. Nested blocks are checked by
    * their own readers.
    */
-  void close() {
+  void reportUnknown() {
     values.forEach(
         (name, value) -> {
-          if (!keysRead.contains(name)) {
+          if (!attributesRead.contains(name)) {
             error(value, "unknown attribute '" + name + "' in " + this);
           }
         });
--- a/operator/src/main/java/tillerlink/operator/StatementsConfig.java
+++ b/operator/src/main/java/tillerlink/operator/StatementsConfig.java
@@ -37,7 +37,7 @@
               + " names, expected an odd number: an even number tolerates no more failures than one"
               + " voter fewer");
     }
-    section.close();
+    section.reportUnknown();
     return statements;
   }
 }
--- a/operator/src/main/java/tillerlink/operator/StorePart.java
+++ b/operator/src/main/java/tillerlink/operator/StorePart.java
@@ -23,7 +23,7 @@
                     * SECONDS_PER_HOUR
                     * Units.TENTHS_PER_S),
             section.integer("memory_mb", 1, 1024, 16) << 20);
-    section.close();
+    section.reportUnknown();
     return store;
   }
 }
--- a/operator/src/main/java/tillerlink/operator/TroublePart.java
+++ b/operator/src/main/java/tillerlink/operator/TroublePart.java
@@ -20,7 +20,7 @@
               section.string("whom", null),
               Math.round(section.number("lasts_s", 0, 1e7, 2) * Units.TENTHS_PER_S),
               section.number("factor", 1, 1e6, what == ScheduledFault.What.SLOW ? 4 : 1)));
-      section.close();
+      section.reportUnknown();
     }
     return troubles;
   }
--- a/traces/src/main/java/tillerlink/trace/ExternalSort.java
+++ b/traces/src/main/java/tillerlink/trace/ExternalSort.java
@@ -21,7 +21,7 @@
  * deleted by the next sort.
  */
 public final class ExternalSort implements TaskSource, Closeable {
-  private static final String PREFIX = "tillerlink-sort-";
+  private static final String FOLDER_PREFIX = "tillerlink-sort-";
   private static final int TASKS_PER_RUN = 100_000;
   private static final int RECORD_BYTES =
       3 * Long.BYTES + 2 * Double.BYTES + 2 * Long.BYTES + 2 * Integer.BYTES;
@@ -93,7 +93,7 @@
     this.source = source;
     this.maxBytes = maxBytes;
     deleteLeftoverFolders(within);
-    folder = Files.createTempDirectory(within, PREFIX + ProcessHandle.current().pid() + "-");
+    folder = Files.createTempDirectory(within, FOLDER_PREFIX + ProcessHandle.current().pid() + "-");
     Runtime.getRuntime().addShutdownHook(cleaner);
   }
 
@@ -102,9 +102,10 @@
    * its process.
    */
   private static void deleteLeftoverFolders(Path within) throws IOException {
-    try (DirectoryStream<Path> folders = Files.newDirectoryStream(within, PREFIX + "*")) {
+    try (DirectoryStream<Path> folders = Files.newDirectoryStream(within, FOLDER_PREFIX + "*")) {
       for (Path leftover : folders) {
-        String pid = leftover.getFileName().toString().substring(PREFIX.length()).split("-", -1)[0];
+        String pid =
+            leftover.getFileName().toString().substring(FOLDER_PREFIX.length()).split("-", -1)[0];
         if (pid.matches("[0-9]{1,9}") && ProcessHandle.of(Long.parseLong(pid)).isEmpty()) {
           delete(leftover);
         }
