--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Audit.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Audit.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Checks the observations of clients and engines against the rules. Of the inside of processes it
- * knows only what their logs report. Thread-safe.
+ * Checks the observations of clients and engines against the rules of {@link Rule}. The only
+ * internal state of a process that it uses is what the process reports in its log. Thread-safe.
  */
 public final class Audit {
   private final Violations violations = new Violations();
@@ -15,25 +15,31 @@
   // ---- plain requests ----
 
   /**
-   * A request is submitted.
+   * Records that a client submits a request.
    *
-   * @param statement a unique one, so that what an engine ran identifies its request
+   * @param id the id of the request
+   * @param statement the text of the statement; unique, so that a statement that an engine runs
+   *     identifies its request
+   * @param effectful whether the request must not run twice
    */
   public synchronized void submitted(String id, String statement, boolean effectful) {
     requests.submitted(id, statement, effectful);
   }
 
-  /** A request got its final response. */
+  /** Records the final response to a request, with its HTTP status. */
   public synchronized void answered(String id, int status) {
     requests.answered(id, status);
   }
 
-  /** A request may rightly stay without a response: its connection or its gateway broke. */
+  /**
+   * Records that a request may correctly stay without a response, because its connection or its
+   * gateway failed.
+   */
   public synchronized void excused(String id) {
     requests.excused(id);
   }
 
-  /** An engine runs a statement. */
+  /** Records that an engine runs a statement. */
   public synchronized void ran(String engine, String statement) {
     requests.ran(engine, statement);
   }
@@ -41,11 +47,11 @@
   // ---- channels ----
 
   /**
-   * A gateway accepted an append.
+   * Records that a gateway accepted an append.
    *
-   * @param incarnation the number of disks that the gateway had before
-   * @param key the client's, or null
-   * @param id the event's
+   * @param incarnation the number of disks that the gateway has lost
+   * @param key the idempotency key of the client, or null
+   * @param id the id of the event
    */
   public synchronized void appended(
       String channel, String gateway, int incarnation, String key, String id) {
@@ -53,19 +59,19 @@
   }
 
   /**
-   * A gateway starts with less on its disk than it had: entries that no other gateway had may be
-   * lost.
+   * Records that a gateway starts with data missing from its disk: entries that no other gateway
+   * had may be lost.
    */
   public synchronized void diskLost(String gateway) {
     logs.diskLost(gateway);
   }
 
-  /** A client read a part of a gateway's log. */
+  /** Records that a client read a part of a gateway's log. */
   public synchronized void read(String channel, String gateway, List<ChannelLogEntry> lines) {
     logs.read(channel, gateway, lines);
   }
 
-  /** A client read the whole log of a gateway at rest. */
+  /** Records the whole log of a gateway after the load has ended and the logs have settled. */
   public synchronized void last(String channel, String gateway, List<ChannelLogEntry> lines) {
     logs.last(channel, gateway, lines);
   }
@@ -73,27 +79,35 @@
   // ---- prepared statements ----
 
   /**
-   * A client learned at that time, in nanoseconds, that a version of a group's schema is in effect.
+   * Records that a client learned that a version of a group's schema is in effect.
+   *
+   * @param nanos the time of that observation, by {@code System.nanoTime()}
    */
   public synchronized void schemaInEffect(String group, long version, long nanos) {
     prepared.inEffect(group, version, nanos);
   }
 
   /**
-   * A client runs a prepared statement.
+   * Records that a client requests a run of a prepared statement.
    *
-   * @param marker a unique parameter of the run
+   * @param marker a unique parameter that identifies the run
+   * @param nanos the time of the request, by {@code System.nanoTime()}
    */
   public synchronized void runRequested(String marker, String gateway, String group, long nanos) {
     prepared.requested(marker, gateway, group, nanos);
   }
 
-  /** An engine received a prepared statement with that marker, prepared under that version. */
+  /**
+   * Records that an engine received a prepared statement.
+   *
+   * @param marker the parameter that identifies the run
+   * @param version the version of the schema under which the statement was prepared
+   */
   public synchronized void preparedRan(String marker, String engine, long version) {
     prepared.ran(marker, engine, version);
   }
 
-  /** A gateway reported the generation and text of a prepared statement. */
+  /** Records the generation and the text of a prepared statement that a gateway reported. */
   public synchronized void reported(
       String gateway, int incarnation, String name, long generation, String text) {
     prepared.reported(gateway, incarnation, name, generation, text);
@@ -101,12 +115,16 @@
 
   // ---- in general ----
 
-  /** Records a violation that the harness itself found. */
+  /** Adds a violation that the harness itself found. */
   public synchronized void violation(Rule rule, String description) {
     violations.add(rule, description);
   }
 
-  /** Checks what must hold at rest, and returns all violations. */
+  /**
+   * Checks the rules that apply once the run has ended.
+   *
+   * @return the first violations of each rule during the whole run
+   */
   public synchronized List<Violation> end() {
     requests.end();
     logs.end();
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/ChannelLogChecker.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/ChannelLogChecker.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 import java.util.TreeMap;
 
-/** Checks channel logs, as their writers and readers saw them. */
+/** Checks the channel logs against the rules, from the observations of their clients. */
 final class ChannelLogChecker {
-  /** An append that a gateway accepted. */
+  /** An append that a gateway accepted, with the number of disks that the gateway had lost. */
   private record Append(String gateway, int incarnation, String id) {}
 
-  /** The observations of one channel. */
+  /** The observations of one channel. Places are positions in its log, from 0. */
   private static final class Channel {
     private final List<Append> appended = new ArrayList<>();
     private final Map<String, String> contents = new HashMap<>();
@@ -21,7 +21,7 @@
     private final Map<Long, String> reportedBy = new HashMap<>();
     private final Map<String, String> keys = new HashMap<>();
 
-    /** By id, the gateways in whose logs the entry was seen. */
+    /** The gateways in whose logs an entry was seen, by the id of the entry. */
     private final Map<String, Set<String>> seenAt = new HashMap<>();
 
     private final Set<String> excused = new HashSet<>();
@@ -41,10 +41,12 @@
   }
 
   /**
-   * A gateway accepted an append.
+   * Records an accepted append, and checks that its idempotency key does not have two events.
    *
-   * @param incarnation the number of disks that the gateway had before; a lost disk forgets keys
+   * @param incarnation the number of disks that the gateway has lost; after a loss the same key
+   *     counts as a different one, because the gateway's keys are lost with the disk
    * @param key the idempotency key, or null
+   * @param id the id of the event
    */
   void appended(String name, String gateway, int incarnation, String key, String id) {
     Channel channel = channel(name);
@@ -56,11 +58,14 @@
     } else if (!before.equals(id)) {
       violations.add(
           Rule.KEY_TWICE,
-          name + " at " + gateway + ": key " + key + " gave " + before + " and " + id);
+          name + " at " + gateway + ": key " + key + " has two events, " + before + " and " + id);
     }
   }
 
-  /** A gateway's disk is lost: entries that no other gateway had may be lost with it. */
+  /**
+   * Excuses the loss of the entries that a gateway accepted and that were seen at no other gateway
+   * before its disk was lost.
+   */
   void diskLost(String gateway) {
     for (Channel channel : channels.values()) {
       for (Append append : channel.appended) {
@@ -72,7 +77,7 @@
     }
   }
 
-  /** A client read a gateway's log or a part of it. */
+  /** Records entries that a client read from a gateway, and checks their content and places. */
   void read(String name, String gateway, List<ChannelLogEntry> lines) {
     Channel channel = channel(name);
     for (ChannelLogEntry line : lines) {
@@ -90,19 +95,19 @@
       violations.add(
           Rule.TWO_CONTENTS,
           name
-              + ": "
+              + ": the content of "
               + line.id()
-              + " is '"
+              + " was '"
               + content
-              + "' and at "
+              + "', and at "
               + gateway
-              + " '"
+              + " is '"
               + line.content()
               + "'");
     }
   }
 
-  /** A provisional entry may still move, so that only stable ones are compared here. */
+  /** Checks the place of a stable entry; a provisional one may still move, so it is not checked. */
   private void checkStable(String name, Channel channel, String gateway, ChannelLogEntry line) {
     String before = channel.stable.get(line.place());
     if (before == null) {
@@ -118,14 +123,14 @@
               + before
               + " as "
               + channel.reportedBy.get(line.place())
-              + " told, and is "
+              + " reported, and is "
               + line.id()
               + " at "
               + gateway);
     }
   }
 
-  /** The whole log of a gateway at rest. */
+  /** Records the whole log of a gateway after the logs have settled. */
   void last(String name, String gateway, List<ChannelLogEntry> lines) {
     read(name, gateway, lines);
     channel(name).finalLogs.put(gateway, List.copyOf(lines));
@@ -145,11 +150,12 @@
     for (Map.Entry<String, List<ChannelLogEntry>> entry : channel.finalLogs.entrySet()) {
       List<String> ids = entry.getValue().stream().map(ChannelLogEntry::id).toList();
       checkAppends(name, entry.getKey(), ids, channel);
-      checkStableInEnd(name, entry.getKey(), entry.getValue(), channel);
+      checkStableAtEnd(name, entry.getKey(), entry.getValue(), channel);
       if (first != null && !first.equals(ids)) {
-        int at = 0;
-        while (at < Math.min(first.size(), ids.size()) && first.get(at).equals(ids.get(at))) {
-          at++;
+        int place = 0;
+        while (place < Math.min(first.size(), ids.size())
+            && first.get(place).equals(ids.get(place))) {
+          place++;
         }
         violations.add(
             Rule.LOGS_DIFFER,
@@ -163,7 +169,7 @@
                 + " "
                 + ids.size()
                 + "; they differ from place "
-                + at
+                + place
                 + " on");
       }
       first = first == null ? ids : first;
@@ -190,7 +196,7 @@
                 + append.id
                 + ", which "
                 + append.gateway
-                + " took, is "
+                + " accepted, is "
                 + (times == 0 ? "not" : times + " times")
                 + " in the log of "
                 + gateway);
@@ -198,7 +204,7 @@
     }
   }
 
-  private void checkStableInEnd(
+  private void checkStableAtEnd(
       String name, String gateway, List<ChannelLogEntry> lines, Channel channel) {
     Map<Long, String> idByPlace = new HashMap<>();
     lines.forEach(line -> idByPlace.put(line.place(), line.id()));
@@ -214,16 +220,19 @@
                     + id
                     + " as "
                     + channel.reportedBy.get(place)
-                    + " told, and is "
+                    + " reported, and is "
                     + idByPlace.get(place)
                     + " at "
                     + gateway
-                    + " in the end");
+                    + " at the end of the run");
           }
         });
   }
 
-  /** The appends of one gateway keep their order, as it had seen the earlier ones. */
+  /**
+   * Checks that the appends of one gateway keep their order: the gateway had seen the earlier ones
+   * when it accepted a later one.
+   */
   private void checkOrder(String name, Channel channel, List<String> log) {
     Map<String, Integer> places = new HashMap<>();
     for (int i = 0; i < log.size(); i++) {
@@ -233,18 +242,18 @@
     for (Append append : channel.appended) {
       Append earlier = before.put(append.gateway + "/" + append.incarnation, append);
       Integer place = places.get(append.id);
-      Integer other = earlier == null ? null : places.get(earlier.id);
-      if (place != null && other != null && place < other) {
+      Integer earlierPlace = earlier == null ? null : places.get(earlier.id);
+      if (place != null && earlierPlace != null && place < earlierPlace) {
         violations.add(
             Rule.ORDER_OF_CAUSE,
             name
                 + ": "
                 + append.id
-                + " stands before "
+                + " is placed before "
                 + earlier.id
                 + ", which "
                 + append.gateway
-                + " had taken before");
+                + " had accepted earlier");
       }
     }
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/PreparedStatementChecker.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/PreparedStatementChecker.java
@@ -4,8 +4,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Checks prepared statements and schema changes, as clients and engines saw them. */
+/** Checks prepared statements and schema changes, as clients and engines observed them. */
 final class PreparedStatementChecker {
+  /** A requested run, with its time by {@code System.nanoTime()}. */
   private record RequestedRun(String gateway, String group, long nanos) {}
 
   private final Violations violations;
@@ -19,18 +20,23 @@
     this.violations = violations;
   }
 
-  /** A client learned that a version of a group's schema is in effect. */
+  /** Records when a client first learned that a version of a group's schema is in effect. */
   void inEffect(String group, long version, long nanos) {
     effects.computeIfAbsent(group, g -> new TreeMap<>()).merge(version, nanos, Math::min);
   }
 
-  /** A client requests a run with a unique marker. */
+  /** Records that a client requests a run, identified by a unique marker. */
   void requested(String marker, String gateway, String group, long nanos) {
     requestedRuns.put(marker, new RequestedRun(gateway, group, nanos));
     runs++;
   }
 
-  /** An engine received the statement of a run, prepared under that version. */
+  /**
+   * Checks that an engine did not receive a run under a schema version that was superseded before
+   * the run was requested.
+   *
+   * @param version the version under which the statement was prepared
+   */
   void ran(String marker, String engine, long version) {
     RequestedRun run = requestedRuns.get(marker);
     if (run == null) {
@@ -45,32 +51,32 @@
                 violations.add(
                     Rule.OLD_SCHEMA,
                     engine
-                        + " was sent "
+                        + " received "
                         + marker
-                        + " of "
+                        + " from "
                         + run.gateway
                         + ", prepared under "
                         + run.group
                         + " "
                         + version
-                        + ", asked for after "
+                        + ", requested after version "
                         + later
                         + " was in effect");
               }
             });
   }
 
-  /** A gateway reported the text of a name. */
+  /** Checks the generation and the text that a gateway reported for a statement's name. */
   void reported(String gateway, int incarnation, String name, long generation, String text) {
     String before = texts.putIfAbsent(name + "/" + generation, text);
     if (before != null && !before.equals(text)) {
-      violations.add(Rule.GENERATION_FELL, name + " has two texts of generation " + generation);
+      violations.add(Rule.GENERATION_FELL, name + " has two texts in generation " + generation);
     }
-    Long was = generations.put(gateway + "/" + incarnation + "/" + name, generation);
-    if (was != null && was > generation) {
+    Long previous = generations.put(gateway + "/" + incarnation + "/" + name, generation);
+    if (previous != null && previous > generation) {
       violations.add(
           Rule.GENERATION_FELL,
-          name + " fell from generation " + was + " to " + generation + " at " + gateway);
+          name + " went back from generation " + previous + " to " + generation + " at " + gateway);
     }
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/RequestChecker.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/RequestChecker.java
@@ -5,15 +5,19 @@
 import java.util.Objects;
 import java.util.TreeMap;
 
-/** Checks plain requests, as clients and engines saw them. */
+/** Checks plain requests, from the observations of clients and engines. */
 final class RequestChecker {
   private static final int SUCCEEDED = 200;
   private static final int REJECTED = 503;
 
+  /** A request with the observations of its client and of the engines. */
   private static final class TrackedRequest {
     private final String statement;
     private final boolean effectful;
+
+    /** The status of the final response, or null. */
     private Integer status;
+
     private boolean excused;
     private int timesRun;
 
@@ -41,7 +45,8 @@
     TrackedRequest request = byStatement.get(statement);
     if (request != null && ++request.timesRun > 1 && request.effectful) {
       violations.add(
-          Rule.RUN_TWICE, engine + " ran '" + statement + "' for the time " + request.timesRun);
+          Rule.RUN_TWICE,
+          engine + " ran '" + statement + "' again, run number " + request.timesRun);
     }
   }
 
@@ -49,14 +54,14 @@
     TrackedRequest request = byId.get(id);
     if (request.status != null) {
       violations.add(
-          Rule.ONE_ANSWER, id + " was answered " + request.status + " and then " + status);
+          Rule.ONE_ANSWER, id + " got two final responses, " + request.status + " and " + status);
     }
     request.status = status;
   }
 
   /**
-   * The request may stay without a response: its connection broke, or its gateway was stopped or
-   * killed.
+   * Records that a request may stay without a response, because its connection broke or its gateway
+   * was stopped or killed.
    */
   void excused(String id) {
     byId.get(id).excused = true;
@@ -71,13 +76,14 @@
         (id, request) -> {
           if (request.status == null && !request.excused) {
             violations.add(
-                Rule.ONE_ANSWER, id + " ('" + request.statement + "') was never answered");
+                Rule.ONE_ANSWER, id + " ('" + request.statement + "') got no final response");
           } else if (Objects.equals(request.status, SUCCEEDED) && request.timesRun == 0) {
-            violations.add(Rule.ANSWER_UNTRUE, id + " was fulfilled, but no engine ran it");
+            violations.add(Rule.ANSWER_UNTRUE, id + " succeeded, but no engine ran it");
           } else if (Objects.equals(request.status, REJECTED)
               && request.effectful
               && request.timesRun > 0) {
-            violations.add(Rule.ANSWER_UNTRUE, id + " was turned back, but an engine ran it");
+            violations.add(
+                Rule.ANSWER_UNTRUE, id + " was rejected as not executed, but an engine ran it");
           }
         });
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Rule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Rule.java
@@ -1,33 +1,33 @@
 package tillerlink.faultinjection.audit;
 
-/** The rules, as clients and engines see them from outside. */
+/** The rules that {@link Audit} checks from the observations of clients and engines. */
 public enum Rule {
-  /** A request has at most one final response, and exactly one if its gateway ran all the time. */
+  /** A request has at most one final response, and exactly one if its gateway ran throughout. */
   ONE_ANSWER,
-  /** A request with effects runs at most once. */
+  /** A request with side effects runs at most once. */
   RUN_TWICE,
   /** A request that was rejected as never executed did not run; one that succeeded ran. */
   ANSWER_UNTRUE,
-  /** An accepted append is in every log exactly once in the end. */
+  /** An accepted append is in every gateway's log exactly once at the end of the run. */
   APPEND_LOST,
-  /** No id has two contents. */
+  /** All gateways report the same content for an event id. */
   TWO_CONTENTS,
   /** An entry that was reported as stable keeps its place, at every gateway. */
   STABLE_CHANGED,
-  /** In the end every gateway has the same log. */
+  /** All gateways have the same log at the end of the run. */
   LOGS_DIFFER,
-  /** At rest all entries are stable. */
+  /** After the load has ended, all entries become stable and all prepared statements run. */
   NOT_SETTLED,
-  /** The same idempotency key at the same gateway gives the same event. */
+  /** A repeated append with the same idempotency key at the same gateway returns the same event. */
   KEY_TWICE,
-  /** The appends of one writer keep their order. */
+  /** The appends that one gateway accepted keep their order in the log. */
   ORDER_OF_CAUSE,
   /** No statement that was prepared under an older schema runs after a change is in effect. */
   OLD_SCHEMA,
-  /** The generation of a name never decreases, and no generation has two texts. */
+  /** The generation of a statement never decreases, and no generation has two texts. */
   GENERATION_FELL,
-  /** At rest every gateway reports every other as reachable. */
+  /** Before and after the faults, every gateway reports every other one as reachable. */
   NOT_TOGETHER,
-  /** No process reports a violated invariant or a crash. */
+  /** No process reports a violated invariant, crashes or fails to start. */
   INSIDE
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/audit/Violation.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/audit/Violation.java
@@ -1,6 +1,6 @@
 package tillerlink.faultinjection.audit;
 
-/** A rule that was violated, with a description. */
+/** A violation of a rule, with a description of what was observed. */
 public record Violation(Rule rule, String description) {
   @Override
   public String toString() {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/ChannelsClient.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/ChannelsClient.java
@@ -7,18 +7,22 @@
 import java.util.Map;
 import tillerlink.faultinjection.audit.ChannelLogEntry;
 
-/** Appends to channel logs and reads them, as a client of one gateway. */
+/** Appends to channel logs and reads them through one gateway. */
 public final class ChannelsClient {
   private static final String PATH = "/v1/channels/";
 
   private ChannelsClient() {}
 
   /**
-   * Appends.
+   * Appends an event to a channel's log.
    *
-   * @param kind cue, correction, retraction, air or note
-   * @return the event's id; null if it was rejected for now
-   * @throws IOException if it is unknown whether it was appended, or it can't be
+   * @param key the idempotency key
+   * @param kind the kind of event: cue, correction, retraction, air or note
+   * @param cue the name of the cue that the event is about, or empty
+   * @param airsMs the time at which the cue airs, in milliseconds; not sent unless above 0
+   * @return the id of the event; null if the gateway rejected the append for now (status 503)
+   * @throws IOException if the outcome is unknown, or the gateway rejected the append for another
+   *     reason
    */
   public static String append(
       HttpEndpointClient client,
@@ -42,31 +46,43 @@
       return null;
     }
     if (reply.status() != 200 || !(reply.object().get("id") instanceof String id)) {
-      throw new IOException("append to " + channel + ": " + reply.status() + " " + reply.body());
+      throw new IOException(
+          "append to channel " + channel + " failed: " + reply.status() + " " + reply.body());
     }
     return id;
   }
 
-  /** Reads the log from a place to its end. */
+  /**
+   * Reads a channel's log to its end, page by page.
+   *
+   * @param from the first place to read, from 0
+   * @throws IOException if the gateway cannot be reached or does not return entries
+   */
   public static List<ChannelLogEntry> log(HttpEndpointClient client, String channel, long from)
       throws IOException {
-    List<ChannelLogEntry> lines = new ArrayList<>();
+    List<ChannelLogEntry> entries = new ArrayList<>();
     long next = from;
     for (boolean more = true; more; ) {
       HttpEndpointClient.Reply reply = client.get(PATH + channel + "/log/" + next);
       if (reply.status() != 200 || !(reply.object().get("events") instanceof List<?> events)) {
-        throw new IOException("log of " + channel + ": " + reply.status() + " " + reply.body());
+        throw new IOException(
+            "reading the log of channel "
+                + channel
+                + " failed: "
+                + reply.status()
+                + " "
+                + reply.body());
       }
       for (Object event : events) {
-        lines.add(line((Map<?, ?>) event));
+        entries.add(toEntry((Map<?, ?>) event));
       }
-      next = lines.isEmpty() ? next : lines.get(lines.size() - 1).place() + 1;
+      next = entries.isEmpty() ? next : entries.get(entries.size() - 1).place() + 1;
       more = Boolean.TRUE.equals(reply.object().get("more")) && !events.isEmpty();
     }
-    return lines;
+    return entries;
   }
 
-  private static ChannelLogEntry line(Map<?, ?> event) {
+  private static ChannelLogEntry toEntry(Map<?, ?> event) {
     Map<Object, Object> content = new LinkedHashMap<>(event);
     content.keySet().removeAll(List.of("index", "stable", "late", "repeat"));
     long place = event.get("index") instanceof Number number ? number.longValue() : -1;
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpEndpointClient.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/HttpEndpointClient.java
@@ -15,8 +15,8 @@
 import tillerlink.plain.Json;
 
 /**
- * An HTTP client of one gateway. Each request has its own connection, so that no response waits for
- * an earlier one.
+ * An HTTP client of one gateway. Each request uses its own connection, so that no response waits
+ * for an earlier one.
  */
 public final class HttpEndpointClient {
   private static final int CONNECT_TIMEOUT_MS = 2000;
@@ -25,30 +25,40 @@
   /**
    * A final response.
    *
-   * @param retryAfterMs the retry delay that the gateway named, or 0
+   * @param status the HTTP status
+   * @param retryAfterMs the retry delay that the gateway requested, in milliseconds; 0 if none
    */
   public record Reply(int status, String body, long retryAfterMs) {
-    /** The body as JSON: maps, lists, texts, numbers. */
+    /**
+     * Parses the body as JSON.
+     *
+     * @return a map, list, string, number or boolean, or null
+     * @throws IOException if the body is not JSON
+     */
     public Object json() throws IOException {
       try (JsonParser parser = new JsonFactory().createParser(body)) {
         parser.nextToken();
         return Json.value(parser);
       } catch (IllegalArgumentException e) {
-        throw new IOException("not JSON: " + body, e);
+        throw new IOException("response body is not JSON: " + body, e);
       }
     }
 
-    /** The body as a JSON object. */
+    /**
+     * Parses the body as a JSON object.
+     *
+     * @throws IOException if the body is not a JSON object
+     */
     @SuppressWarnings("unchecked")
     public Map<String, Object> object() throws IOException {
       if (json() instanceof Map<?, ?> map) {
         return (Map<String, Object>) map;
       }
-      throw new IOException("no object: " + body);
+      throw new IOException("response body is not a JSON object: " + body);
     }
   }
 
-  /** One connection. */
+  /** A connection to the gateway, over which requests are sent one after the other. */
   private static final class HttpConnection implements Closeable {
     private final Socket socket = new Socket();
     private final HttpResponseParser parser = new HttpResponseParser();
@@ -75,10 +85,10 @@
               .append("\r\n");
       headers.forEach((name, value) -> head.append(name).append(": ").append(value).append("\r\n"));
       head.append("Content-Length: ").append(content.length).append("\r\n\r\n");
-      byte[] start = head.toString().getBytes(StandardCharsets.US_ASCII);
-      byte[] all = Arrays.copyOf(start, start.length + content.length);
-      System.arraycopy(content, 0, all, start.length, content.length);
-      socket.getOutputStream().write(all);
+      byte[] headBytes = head.toString().getBytes(StandardCharsets.US_ASCII);
+      byte[] requestBytes = Arrays.copyOf(headBytes, headBytes.length + content.length);
+      System.arraycopy(content, 0, requestBytes, headBytes.length, content.length);
+      socket.getOutputStream().write(requestBytes);
       InputStream in = socket.getInputStream();
       byte[] buffer = new byte[BUFFER_BYTES];
       try {
@@ -87,14 +97,14 @@
           int count = in.read(buffer);
           if (count < 0) {
             throw new IOException(
-                "the connection ended before the answer to " + method + " " + path);
+                "connection closed before the response to " + method + " " + path);
           }
           parser.feed(Arrays.copyOf(buffer, count));
           response = parser.next();
         }
         return response;
       } catch (IllegalArgumentException e) {
-        throw new IOException("no answer that can be read", e);
+        throw new IOException("unreadable response to " + method + " " + path, e);
       }
     }
 
@@ -108,21 +118,21 @@
   private final int timeoutMs;
 
   /**
-   * A client of the gateway at that port of loopback.
+   * Creates a client of the gateway at a port of the loopback interface.
    *
-   * @param timeoutMs how long it waits for a response
+   * @param timeoutMs the read timeout, in milliseconds
    */
   public HttpEndpointClient(int port, long timeoutMs) {
     this.port = port;
     this.timeoutMs = (int) timeoutMs;
   }
 
-  /** Sends a GET and follows the paths to the final response. */
+  /** Sends a GET, and follows continuation paths until the final response. */
   public Reply get(String path) throws IOException {
     return send("GET", path, Map.of(), "");
   }
 
-  /** Sends a POST and follows the paths to the final response. */
+  /** Sends a POST, and follows continuation paths until the final response. */
   public Reply post(String path, Map<String, String> headers, String body) throws IOException {
     return send("POST", path, headers, body);
   }
@@ -138,7 +148,7 @@
     }
   }
 
-  /** Whether its health check succeeds. */
+  /** Returns whether the gateway's health check succeeds; false if it cannot be reached. */
   public boolean healthy() {
     try {
       return get("/healthz").status() == 200;
@@ -148,10 +158,12 @@
   }
 
   /**
-   * Submits a statement and follows the paths to its final response.
+   * Submits a statement, and follows continuation paths until the final response.
    *
-   * @param id 16 hexadecimal digits
-   * @throws IOException if the connection broke: the outcome is unknown
+   * @param requestClass the name of the request class
+   * @param id the correlation id, 16 hexadecimal digits
+   * @param deadlineMs the time that the request may take, in milliseconds
+   * @throws IOException if the connection broke, which leaves the outcome unknown
    */
   public Reply submit(String requestClass, String id, String statement, long deadlineMs)
       throws IOException {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/client/MembersClient.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/client/MembersClient.java
@@ -6,26 +6,31 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Reads which members a gateway knows. */
+/** Reads the members of the fleet as one gateway reports them. */
 public final class MembersClient {
   private MembersClient() {}
 
-  /** The reachability of each other gateway in lower case, by its name. */
+  /**
+   * Returns the reachability of each other gateway, by name. Values are in lower case with blanks,
+   * such as {@code through others}.
+   *
+   * @throws IOException if the gateway cannot be reached or does not list its members
+   */
   public static Map<String, String> of(HttpEndpointClient client) throws IOException {
     HttpEndpointClient.Reply reply = client.get("/v1/members");
     if (reply.status() != 200) {
-      throw new IOException("members: " + reply.status() + " " + reply.body());
+      throw new IOException("reading the members failed: " + reply.status() + " " + reply.body());
     }
-    Map<String, String> all = new TreeMap<>();
+    Map<String, String> reachability = new TreeMap<>();
     if (reply.object().get("members") instanceof List<?> list) {
       for (Object element : list) {
         if (element instanceof Map<?, ?> member) {
-          all.put(
+          reachability.put(
               String.valueOf(member.get("name")),
               String.valueOf(member.get("reach")).toLowerCase(Locale.ROOT).replace('_', ' '));
         }
       }
     }
-    return all;
+    return reachability;
   }
 }
