--- a/faultinjection/src/main/java/tillerlink/faultinjection/FaultInjectionRunner.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/FaultInjectionRunner.java
@@ -22,9 +22,10 @@
 import tillerlink.faultinjection.schedule.Step;
 
 /**
- * Runs random schedules of faults on clusters of gateway processes for some minutes. The exit code
- * is 0 only if no rule was violated. A schedule with a violation is shrunk, and the shortest that
- * still fails is printed.
+ * Command-line program that runs random fault schedules on clusters of gateway processes for a
+ * given number of minutes. It stops at the first schedule that violates a rule, shrinks it, and
+ * prints the shortest schedule that still fails. The exit code is 0 if no rule was violated, 1 if
+ * one was, and 2 if arguments are missing.
  */
 public final class FaultInjectionRunner {
   private static final double NANOS_PER_MINUTE = 60e9;
@@ -48,15 +49,16 @@
   }
 
   /**
-   * Runs from the command line.
+   * Runs the program.
    *
-   * @param args the seed, and for how many minutes runs may begin; with a third argument, only the
-   *     one run of exactly that seed
+   * @param args the seed, and the number of minutes within which new runs may start; with a third
+   *     argument, the schedule of exactly that seed is run once
+   * @throws IOException if the folders or processes of a run cannot be created
    */
   public static void main(String[] args) throws IOException {
     if (args.length < 2) {
       System.err.println(
-          "SEED MINUTES, or SEED 0 once for one play of a seed that an earlier run has named");
+          "usage: SEED MINUTES, or SEED 0 once to repeat the schedule of a reported seed");
       System.exit(2);
     }
     FaultInjectionRunner runner =
@@ -70,14 +72,14 @@
   }
 
   private boolean run(long seed, double minutes, boolean once) throws IOException {
-    RandomGenerator chance = new SplittableRandom(seed);
+    RandomGenerator random = new SplittableRandom(seed);
     long deadline = System.nanoTime() + (long) (minutes * NANOS_PER_MINUTE);
     do {
-      runOne(Schedule.of(once ? seed : chance.nextLong(1L << 48), SCHEDULE_MS));
+      runOne(Schedule.of(once ? seed : random.nextLong(1L << 48), SCHEDULE_MS));
     } while (!once && violationCount == 0 && System.nanoTime() < deadline);
     out.printf(
         Locale.ROOT,
-        "%d plays; faults: %s; %d submissions, %d appends, %d prepared runs; %d violations%n",
+        "%d runs; faults: %s; %d requests, %d appends, %d prepared runs; %d violations%n",
         schedulesRun,
         faults,
         requests,
@@ -97,7 +99,7 @@
     result.faults().forEach((kind, count) -> faults.merge(kind, count, Integer::sum));
     out.printf(
         Locale.ROOT,
-        "play %d: seed %d, %d gateways, %d faults, %d submissions, %d appends, %d runs: %s%n",
+        "run %d: seed %d, %d gateways, %d faults, %d requests, %d appends, %d prepared runs: %s%n",
         schedulesRun,
         schedule.seed(),
         schedule.gateways(),
@@ -110,14 +112,14 @@
       result.violations().forEach(out::println);
       Rule rule = result.violations().get(0).rule();
       out.println(
-          "cutting it down to what still breaks "
+          "shrinking the schedule while it still violates "
               + rule
-              + ", "
+              + ", in at most "
               + MAX_SHRINK_RUNS
-              + " plays at the most");
+              + " runs");
       Schedule shortest =
           ScheduleShrinker.shrink(schedule, shorter -> violates(shorter, rule), MAX_SHRINK_RUNS);
-      out.println("the shortest that still does:");
+      out.println("shortest failing schedule found:");
       out.print(shortest);
     }
   }
@@ -127,7 +129,7 @@
       List<Violation> violations = run(schedule).violations();
       return violations.stream().anyMatch(violation -> violation.rule() == rule);
     } catch (IOException e) {
-      out.println("a shorter one could not be played: " + e.getMessage());
+      out.println("a shorter schedule could not be run: " + e.getMessage());
       return false;
     }
   }
@@ -143,7 +145,7 @@
         }
       }
     } else {
-      out.println("its logs are kept in " + runFolder);
+      out.println("logs of the failed run: " + runFolder);
     }
     return result;
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeEngine.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeEngine.java
@@ -16,23 +16,23 @@
 import tillerlink.fakes.EngineCommandParser.Command;
 
 /**
- * A minimal engine: it answers every statement with one row, the statement itself, and reports what
- * it runs when it begins.
+ * A fake engine that answers every statement with one row, which contains the statement, and
+ * reports each request when it starts to run it.
  */
 public final class FakeEngine implements Closeable {
   private static final int BUFFER_BYTES = 8192;
 
   private final ServerSocket listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private final String name;
   private final BiConsumer<String, Command> onRun;
   private final long workMs;
 
   /**
-   * Starts an engine.
+   * Starts an engine on a free port of the loopback interface.
    *
-   * @param onRun called from any thread with the name of the engine and each request that it runs
-   * @param workMs how long each request takes
+   * @param workMs the run time of each request, in milliseconds
+   * @param onRun called on any thread with the name of the engine and each request that it runs
    */
   public FakeEngine(String name, long workMs, BiConsumer<String, Command> onRun)
       throws IOException {
@@ -43,20 +43,20 @@
         () -> {
           while (!listener.isClosed()) {
             Socket socket = listener.accept();
-            open.add(socket);
+            openSockets.add(socket);
             daemon(() -> serve(socket));
           }
         });
   }
 
-  /** The port at which it listens. */
+  /** Returns the port on which the engine listens. */
   public int port() {
     return listener.getLocalPort();
   }
 
   /**
-   * Serves one connection. Its failures end here, so that a connection that is reset at once does
-   * not end the listener.
+   * Serves one connection on its own thread, so that a connection that is reset at once does not
+   * stop the listener.
    */
   private void serve(Socket socket) throws IOException {
     try (socket) {
@@ -72,7 +72,7 @@
         }
       }
     } finally {
-      open.remove(socket);
+      openSockets.remove(socket);
     }
   }
 
@@ -80,7 +80,7 @@
     switch (command.word()) {
       case WANT -> {
         onRun.accept(name, command);
-        pause();
+        simulateWork();
         String row =
             new String(command.statement(), StandardCharsets.UTF_8).replaceAll("[\\t\\n\\r]", " ")
                 + "\t"
@@ -91,7 +91,7 @@
       }
       case THERE -> write(out, command.id() + " yes - 0\r\n\r\n");
       default -> {
-        // It has no further pages, and never cancels.
+        // Results have a single page, and requests are never cancelled.
       }
     }
   }
@@ -101,7 +101,7 @@
     out.flush();
   }
 
-  private void pause() {
+  private void simulateWork() {
     try {
       Thread.sleep(workMs);
     } catch (InterruptedException e) {
@@ -109,6 +109,7 @@
     }
   }
 
+  /** The body of a thread; its exceptions end only that thread. */
   private interface Work {
     void run() throws IOException;
   }
@@ -131,7 +132,7 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    for (Socket socket : open) {
+    for (Socket socket : openSockets) {
       socket.close();
     }
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeNameService.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/engine/FakeNameService.java
@@ -13,8 +13,8 @@
 import tillerlink.net.wire.EndpointEntry;
 
 /**
- * The discovery service of one gateway, which lists engines e1, e2, ... at the ports at which that
- * gateway reaches them.
+ * A fake discovery service for one gateway. It lists engines e1, e2, ... under the ports through
+ * which that gateway reaches them.
  */
 public final class FakeNameService implements Closeable {
   private static final int MAX_QUERY_BYTES = 512;
@@ -24,19 +24,31 @@
       new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
   private final List<EndpointEntry> entries = new ArrayList<>();
 
-  /** Starts a service that lists engines at these ports. */
-  public FakeNameService(List<Integer> engines) throws IOException {
-    for (int i = 0; i < engines.size(); i++) {
+  /**
+   * Starts a service on a free port of the loopback interface.
+   *
+   * @param enginePorts the ports of engines e1, e2, ...
+   */
+  public FakeNameService(List<Integer> enginePorts) throws IOException {
+    for (int i = 0; i < enginePorts.size(); i++) {
       entries.add(
           new EndpointEntry(
-              "e" + (i + 1), "127.0.0.1", engines.get(i), "east", "std", 0, Status.READY, 1, 0));
+              "e" + (i + 1),
+              "127.0.0.1",
+              enginePorts.get(i),
+              "east",
+              "std",
+              0,
+              Status.READY,
+              1,
+              0));
     }
     Thread thread = new Thread(this::run, "names");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** The port at which it listens. */
+  /** Returns the port on which the service listens. */
   public int port() {
     return socket.getLocalPort();
   }
@@ -51,7 +63,7 @@
             DiscoveryResponse.of((query[0] & 255) << 8 | (query[1] & 255), LIST_VERSION, entries);
         socket.send(new DatagramPacket(response, response.length, packet.getSocketAddress()));
       } catch (IOException e) {
-        // The gateway was killed; wait for the next query.
+        // The gateway was killed or the service closed; the loop ends only in the latter case.
       }
     }
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessCluster.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessCluster.java
@@ -22,8 +22,8 @@
 import tillerlink.faultinjection.process.Ports;
 
 /**
- * A cluster of gateway processes n0, n1, ..., the engines e1, e2, ... behind them, and the network
- * between all.
+ * A cluster of gateway processes n0, n1, ..., with fake engines e1, e2, ... and the network between
+ * gateways, engines and clients.
  */
 public final class ProcessCluster implements Closeable {
   private static final long READY_TIMEOUT_MS = 60_000;
@@ -32,13 +32,13 @@
   private static final int MAX_VOTERS = 5;
 
   /**
-   * The size of a cluster.
+   * The size and the components of a cluster.
    *
-   * @param gateways how many processes
-   * @param sites over how many sites they are spread, round robin
-   * @param engines how many engines each reaches
-   * @param workMs how long an engine takes for each statement
-   * @param shared which components of shared state are on
+   * @param gateways the number of gateway processes
+   * @param sites the number of sites over which the gateways are spread, round robin
+   * @param engines the number of engines that each gateway reaches
+   * @param workMs the run time of each statement at an engine, in milliseconds
+   * @param shared the components of shared state that are enabled
    */
   public record Topology(
       int gateways, int sites, int engines, long workMs, GatewaySpec.Shared shared) {}
@@ -51,9 +51,12 @@
   private final Map<String, GatewayProcess> gateways = new LinkedHashMap<>();
 
   /**
-   * Sets up a cluster; its gateways are not started.
+   * Sets up a cluster without starting its gateways.
    *
-   * @param onRun called with the name of the engine and each request that it runs
+   * @param folder the folder for the files of the gateways
+   * @param seed the seed of the network's faults
+   * @param classPath the class path of the gateway processes
+   * @param onRun called on any thread with the name of an engine and each request that it runs
    */
   public ProcessCluster(
       Path folder,
@@ -70,9 +73,9 @@
     for (int i = 0; i < topology.gateways(); i++) {
       gatewayNames.add("n" + i);
     }
-    // A site is named after its first gateway, which represents it in the agreement of sites.
+    // A site is named after its first gateway, which is the site's voter for the channel logs.
     List<String> sites = gatewayNames.subList(0, topology.sites());
-    // An odd number, so that a majority is as small as possible.
+    // An odd number of voters: one more would need a larger majority but tolerate no more failures.
     int voters = Math.min(MAX_VOTERS, topology.gateways() - 1 + topology.gateways() % 2);
     for (String name : gatewayNames) {
       Map<String, Integer> reach = new TreeMap<>();
@@ -112,7 +115,7 @@
     return service.port();
   }
 
-  /** The network between the gateways. */
+  /** Returns the network between the gateways. */
   public FaultyNetwork network() {
     return network;
   }
@@ -127,45 +130,52 @@
     }
   }
 
-  /** Waits until a gateway is healthy. */
+  /**
+   * Waits until a gateway is healthy.
+   *
+   * @throws IOException if its process ends or it is not healthy within {@value #READY_TIMEOUT_MS}
+   *     ms; the message contains its log
+   */
   public void awaitHealthy(String name) throws IOException {
     long deadline = System.nanoTime() + READY_TIMEOUT_MS * 1_000_000;
     HttpEndpointClient client = client(name);
     while (!client.healthy()) {
       if (System.nanoTime() > deadline || !gateways.get(name).isAlive()) {
         throw new IOException(
-            name + " did not come up; its log: " + Files.readString(gateways.get(name).log()));
+            name
+                + " did not become healthy; its log: "
+                + Files.readString(gateways.get(name).log()));
       }
       pause(POLL_INTERVAL_MS);
     }
   }
 
-  /** The names of the gateways. */
+  /** Returns the names of the gateways, in order. */
   public List<String> names() {
     return List.copyOf(gateways.keySet());
   }
 
-  /** A gateway by its name. */
+  /** Returns a gateway by its name. */
   public GatewayProcess gateway(String name) {
     return gateways.get(name);
   }
 
-  /** A client that comes through its proxy to that gateway. */
+  /** Creates a client that reaches a gateway through its client proxy. */
   public HttpEndpointClient client(String name) {
     return new HttpEndpointClient(clientProxies.get(name).port(), RESPONSE_TIMEOUT_MS);
   }
 
-  /** A client with another timeout. */
+  /** Creates a client that reaches a gateway through its client proxy, with a read timeout. */
   public HttpEndpointClient client(String name, long timeoutMs) {
     return new HttpEndpointClient(clientProxies.get(name).port(), timeoutMs);
   }
 
-  /** The proxy between clients and a gateway. */
+  /** Returns the proxy between clients and a gateway. */
   public TcpProxy clientProxy(String name) {
     return clientProxies.get(name);
   }
 
-  /** The proxies between a gateway and the engines. */
+  /** Returns the proxies between a gateway and the engines, in the order of the engines. */
   public List<TcpProxy> engineProxies(String name) {
     return engineProxies.get(name);
   }
@@ -189,7 +199,7 @@
         .forEach(proxies -> proxies.forEach(proxy -> proxy.set(LinkBehaviour.NONE)));
   }
 
-  /** Violations inside the processes. */
+  /** Returns the violations that the processes report by their logs and exit codes. */
   public List<String> violations() throws IOException {
     List<String> all = new ArrayList<>();
     for (GatewayProcess gateway : gateways.values()) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessIncarnations.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/ProcessIncarnations.java
@@ -3,16 +3,16 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts the disks that each gateway had; it does not know what was on earlier ones. */
+/** Counts the disks that each gateway has lost; a gateway knows nothing of its earlier disks. */
 public final class ProcessIncarnations {
   private final Map<String, Integer> incarnations = new HashMap<>();
 
-  /** The number of disks that a gateway has lost. */
+  /** Returns the number of disks that a gateway has lost. */
   public synchronized int of(String gateway) {
     return incarnations.getOrDefault(gateway, 0);
   }
 
-  /** A gateway starts with less on its disk than it had. */
+  /** Records that a gateway starts with data missing from its disk. */
   public synchronized void diskLost(String gateway) {
     incarnations.merge(gateway, 1, Integer::sum);
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/harness/ScenarioLog.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/harness/ScenarioLog.java
@@ -3,14 +3,14 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The events of a scenario, in words that are the same in every run. */
+/** A log of the events of a scenario, whose lines are the same in every run that passes. */
 public final class ScenarioLog {
   private static final long POLL_INTERVAL_MS = 20;
 
   /** A condition that is polled; an exception counts as false. */
   @FunctionalInterface
   public interface Condition {
-    /** Whether it holds now. */
+    /** Returns whether the condition is true now. */
     boolean holds() throws Exception;
   }
 
@@ -19,9 +19,10 @@
   private boolean failed;
 
   /**
-   * An empty log.
+   * Creates an empty log.
    *
-   * @param timeoutMs how long a condition may take; only broken programs reach it
+   * @param timeoutMs the time that a condition may take, in milliseconds; only a faulty program
+   *     reaches it
    */
   public ScenarioLog(long timeoutMs) {
     this.timeoutMs = timeoutMs;
@@ -32,9 +33,14 @@
     lines.add(line);
   }
 
-  /** Waits until a condition holds, and records that it does, or that it never did. */
+  /**
+   * Waits until a condition is true, and records the line, or a line with the last error if the
+   * condition does not become true in time.
+   *
+   * @return whether the condition became true
+   */
   public boolean until(String line, Condition condition) {
-    // After one failure the rest most likely fails as well, so that it is not waited for.
+    // After one failure the other conditions most likely fail too, so they are not waited for.
     long deadline = System.nanoTime() + (failed ? 0 : timeoutMs * 1_000_000);
     String problem = "";
     while (System.nanoTime() < deadline) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/network/FaultyNetwork.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/network/FaultyNetwork.java
@@ -18,22 +18,24 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A network that carries all datagrams between processes and injects faults. Each ordered pair of
- * processes has a link with its own socket, which the first takes for the second. What the second
- * receives comes from the socket at which it reaches the first, so that replies take the reverse
- * link. One thread forwards everything.
+ * A network that forwards all datagrams between processes and injects faults. Each ordered pair of
+ * processes has a link with its own socket, to which the first process sends what is meant for the
+ * second. The network delivers from the socket of the reverse link, so that replies take that link.
+ * One thread forwards all datagrams.
  */
 public final class FaultyNetwork implements Closeable {
   private static final int MAX_DATAGRAM_BYTES = 65_535;
 
-  /** How many datagrams may wait for delivery; further ones are dropped, to bound the memory. */
+  /** The number of datagrams that may wait for delivery; more are dropped, to bound the memory. */
   private static final int MAX_DELAYED = 20_000;
 
+  /** A tick is a tenth of a millisecond. */
   private static final long NANOS_PER_TICK = 100_000;
+
   private static final long IDLE_MS = 50;
 
-  /** A datagram that is delivered at that time. */
-  private record Delayed(long at, long order, Link link, byte[] bytes) {}
+  /** A datagram that is delivered at a time in ticks; equal times keep the order of sequence. */
+  private record Delayed(long deliverAt, long sequence, Link link, byte[] bytes) {}
 
   private final long seed;
   private final NetworkCounters counters = new NetworkCounters();
@@ -41,11 +43,12 @@
   private final Map<String, Link> links = new TreeMap<>();
   private final Map<String, InetSocketAddress> processes = new ConcurrentHashMap<>();
   private final PriorityQueue<Delayed> delayed =
-      new PriorityQueue<>(Comparator.comparingLong(Delayed::at).thenComparingLong(Delayed::order));
+      new PriorityQueue<>(
+          Comparator.comparingLong(Delayed::deliverAt).thenComparingLong(Delayed::sequence));
   private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
   private final Thread thread = new Thread(this::run, "fabric");
   private volatile boolean closed;
-  private long order;
+  private long sequence;
 
   /**
    * Starts a network without faults.
@@ -58,12 +61,12 @@
     thread.start();
   }
 
-  /** Registers the port of loopback at which a process listens. */
+  /** Registers the loopback port on which a process receives datagrams. */
   public void register(String name, int port) {
     processes.put(name, new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
   }
 
-  /** The port at which one process reaches another; opens the links of both directions. */
+  /** Returns the port at which one process reaches another, and opens the links both ways. */
   public int port(String from, String to) {
     link(to, from);
     return Link.port(link(from, to).channel);
@@ -74,12 +77,12 @@
     link(from, to).behaviour = behaviour;
   }
 
-  /** The behaviour of a link. */
+  /** Returns the behaviour of the link from one process to another. */
   public LinkBehaviour behaviour(String from, String to) {
     return link(from, to).behaviour;
   }
 
-  /** Removes the faults of all links; delayed datagrams still arrive. */
+  /** Removes the faults of all links; datagrams that are already delayed still arrive. */
   public void heal() {
     synchronized (links) {
       links.values().forEach(link -> link.behaviour = LinkBehaviour.NONE);
@@ -106,7 +109,8 @@
       channel.register(selector, SelectionKey.OP_READ, link);
       return link;
     } catch (IOException e) {
-      throw new IllegalStateException("no socket for the link from " + from + " to " + to, e);
+      throw new IllegalStateException(
+          "cannot open a socket for the link from " + from + " to " + to, e);
     }
   }
 
@@ -120,7 +124,7 @@
         long wait =
             delayed.isEmpty()
                 ? IDLE_MS
-                : Math.min(IDLE_MS, Math.max(1, (delayed.peek().at - now()) / 10));
+                : Math.min(IDLE_MS, Math.max(1, (delayed.peek().deliverAt - now()) / 10));
         selector.select(wait);
         List<SelectionKey> ready = new ArrayList<>(selector.selectedKeys());
         selector.selectedKeys().clear();
@@ -129,7 +133,7 @@
         }
         deliver();
       } catch (IOException | ClosedSelectorException e) {
-        // A process has ended, or the network is closed; go on with the next datagram.
+        // A process has ended, or the network was closed; the next datagram is not affected.
       }
     }
   }
@@ -164,13 +168,13 @@
     if (delayed.size() >= MAX_DELAYED) {
       counters.add(NetworkCounters.Counter.TOO_MUCH);
     } else {
-      delayed.add(new Delayed(now() + ticks, order++, link, bytes));
+      delayed.add(new Delayed(now() + ticks, sequence++, link, bytes));
     }
   }
 
   private void deliver() {
     long now = now();
-    while (!delayed.isEmpty() && delayed.peek().at <= now) {
+    while (!delayed.isEmpty() && delayed.peek().deliverAt <= now) {
       Delayed datagram = delayed.poll();
       InetSocketAddress target = processes.get(datagram.link.to);
       try {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/network/Link.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/network/Link.java
@@ -5,9 +5,12 @@
 import java.net.SocketAddress;
 import java.nio.channels.DatagramChannel;
 
-/** The link from one process to another: a socket at which the first reaches the second. */
+/** The link from one process to another: the socket to which the first sends for the second. */
 final class Link {
-  /** The queue of a slow link in tenths of a millisecond; a router drops what exceeds it. */
+  /**
+   * The greatest queueing time on a link with limited rate, in tenths of a millisecond. Datagrams
+   * beyond it are dropped, as routers do.
+   */
   private static final long MAX_QUEUE_TIME = 20_000;
 
   private static final long TICKS_PER_SECOND = 10_000;
@@ -18,6 +21,8 @@
   volatile LinkBehaviour behaviour = LinkBehaviour.NONE;
   private final long seed;
   private long datagrams;
+
+  /** The time at which the last datagram leaves the queue, in tenths of a millisecond. */
   private long freeAt;
 
   Link(long seed, String from, String to, DatagramChannel channel) {
@@ -28,7 +33,11 @@
   }
 
   /**
-   * Decides what happens to the next datagram; null if it is dropped, for a reason that is counted.
+   * Decides what happens to the next datagram, and counts the reason if it is dropped.
+   *
+   * @param now the current time, in tenths of a millisecond
+   * @param length the length of the datagram, in bytes
+   * @return the outcome; null if the datagram is dropped
    */
   DatagramOutcome next(long now, int length, NetworkCounters counters) {
     LinkBehaviour current = behaviour;
@@ -68,7 +77,7 @@
       SocketAddress address = channel.getLocalAddress();
       return ((InetSocketAddress) address).getPort();
     } catch (IOException e) {
-      throw new IllegalStateException("the fabric was closed", e);
+      throw new IllegalStateException("the socket of the link is closed", e);
     }
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/network/TcpProxy.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/network/TcpProxy.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A TCP proxy on loopback that forwards connections to another port. They can be delayed, cut
- * (bytes wait, as in a network partition), slowed down and reset.
+ * A TCP proxy on the loopback interface that forwards connections to another port. Connections can
+ * be delayed, limited in rate, reset, or cut, in which case bytes wait, as in a network partition.
  */
 public final class TcpProxy implements Closeable {
   private static final int BUFFER_BYTES = 4096;
@@ -23,11 +23,16 @@
   private final ServerSocket listener;
   private final InetSocketAddress target;
   private final NetworkCounters counters;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private volatile LinkBehaviour behaviour = LinkBehaviour.NONE;
   private volatile boolean closed;
 
-  /** A proxy to that port of loopback. */
+  /**
+   * Starts a proxy on a free port.
+   *
+   * @param target the loopback port to which connections are forwarded
+   * @param counters counts resets and failed connections
+   */
   public TcpProxy(int target, NetworkCounters counters) throws IOException {
     this.counters = counters;
     this.target = new InetSocketAddress(InetAddress.getLoopbackAddress(), target);
@@ -35,14 +40,14 @@
     daemon(this::accept);
   }
 
-  /** The port at which it listens. */
+  /** Returns the port on which the proxy listens. */
   public int port() {
     return listener.getLocalPort();
   }
 
   /**
-   * Changes the behaviour of connections. The cut, the least delay (for each read) and the rate
-   * apply.
+   * Changes the behaviour of present and new connections. Of the faults, only the cut, the smallest
+   * delay (for each read) and the rate apply.
    */
   public void set(LinkBehaviour newBehaviour) {
     synchronized (this) {
@@ -51,9 +56,9 @@
     }
   }
 
-  /** Resets all present connections; new ones are accepted. */
+  /** Resets all open connections; new ones are still accepted. */
   public void reset() {
-    for (Socket socket : open) {
+    for (Socket socket : openSockets) {
       counters.add(NetworkCounters.Counter.RESET);
       end(socket, true);
     }
@@ -64,10 +69,10 @@
       try {
         Socket client = listener.accept();
         client.setTcpNoDelay(true);
-        open.add(client);
+        openSockets.add(client);
         daemon(() -> connect(client));
       } catch (IOException e) {
-        // Closed, or out of descriptors for a moment; the client retries.
+        // The proxy is closed, or there is no free file descriptor for now; the client retries.
       }
     }
   }
@@ -78,7 +83,7 @@
       delay(0);
       server.connect(target, CONNECT_TIMEOUT_MS);
       server.setTcpNoDelay(true);
-      open.add(server);
+      openSockets.add(server);
       daemon(() -> forward(server, client));
       forward(client, server);
     } catch (IOException e) {
@@ -105,7 +110,7 @@
     }
   }
 
-  /** Waits as long as the current behaviour demands for that many bytes. */
+  /** Waits while the link is cut, and then for the delay of a number of bytes. */
   private void delay(int bytes) throws IOException {
     try {
       synchronized (this) {
@@ -114,25 +119,25 @@
         }
       }
       LinkBehaviour current = behaviour;
-      long ms = current.least() / 10 + (current.rate() > 0 ? bytes * 1000L / current.rate() : 0);
+      long ms = current.minDelay() / 10 + (current.rate() > 0 ? bytes * 1000L / current.rate() : 0);
       if (ms > 0) {
         Thread.sleep(ms);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("the proxy is closed", e);
+      throw new IOException("interrupted while delaying bytes", e);
     }
   }
 
   private void end(Socket socket, boolean reset) {
-    open.remove(socket);
+    openSockets.remove(socket);
     try {
       if (reset && !socket.isClosed()) {
         socket.setSoLinger(true, 0);
       }
       socket.close();
     } catch (IOException e) {
-      // It is closed already.
+      // The socket is already closed.
     }
   }
 
@@ -147,6 +152,6 @@
     closed = true;
     set(LinkBehaviour.NONE);
     listener.close();
-    open.forEach(socket -> end(socket, true));
+    openSockets.forEach(socket -> end(socket, true));
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ChannelLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ChannelLoad.java
@@ -15,19 +15,22 @@
 import tillerlink.faultinjection.harness.ProcessIncarnations;
 
 /**
- * Writers who append cues, corrections and retractions to two channels, each at one gateway, and
- * read the logs.
+ * A load of one client per gateway that appends cues, corrections, retractions and notes to two
+ * channels and reads their logs.
  */
 final class ChannelLoad extends Load {
   private static final List<String> CHANNELS = List.of("north", "south");
   private static final long SETTLE_TIMEOUT_MS = 60_000;
   private static final long POLL_INTERVAL_MS = 300;
 
-  /** An append, repeated with its key until it is known to be accepted. */
-  private record Draft(String channel, String key, String kind, String cue, String text) {}
+  /** An append that is repeated with its idempotency key until its outcome is known. */
+  private record PendingAppend(String channel, String key, String kind, String cue, String text) {}
 
   private final ProcessIncarnations incarnations;
-  private final Map<String, Draft> unconfirmed = new ConcurrentHashMap<>();
+
+  /** The append of each gateway whose outcome is unknown because the connection failed. */
+  private final Map<String, PendingAppend> unconfirmed = new ConcurrentHashMap<>();
+
   private final Map<String, Integer> counts = new ConcurrentHashMap<>();
 
   ChannelLoad(
@@ -46,70 +49,71 @@
   }
 
   @Override
-  long paceMs() {
+  long meanPauseMs() {
     return 30;
   }
 
   @Override
-  void once(String gateway, RandomGenerator chance) throws IOException {
-    int drawn = chance.nextInt(10);
-    String channel = CHANNELS.get(chance.nextInt(CHANNELS.size()));
+  void sendOne(String gateway, RandomGenerator random) throws IOException {
+    int draw = random.nextInt(10);
+    String channel = CHANNELS.get(random.nextInt(CHANNELS.size()));
     if (!cluster.gateway(gateway).isRunning()) {
       return;
     }
-    if (drawn < 2) {
+    if (draw < 2) {
       audit.read(channel, gateway, ChannelsClient.log(cluster.client(gateway), channel, 0));
     } else {
-      Draft draft =
+      PendingAppend pending =
           unconfirmed.containsKey(gateway)
               ? unconfirmed.get(gateway)
-              : draft(gateway, channel, chance);
-      append(gateway, draft);
-      if (drawn == 9) {
-        append(gateway, draft);
+              : newAppend(gateway, channel, random);
+      append(gateway, pending);
+      if (draw == 9) {
+        append(gateway, pending);
       }
     }
   }
 
-  private Draft draft(String gateway, String channel, RandomGenerator chance) {
+  private PendingAppend newAppend(String gateway, String channel, RandomGenerator random) {
     int number = counts.merge(gateway, 1, Integer::sum);
     String kind =
-        List.of("cue", "cue", "cue", "correction", "retraction", "note").get(chance.nextInt(6));
-    String cue = kind.equals("note") ? "" : "cue" + chance.nextInt(40);
-    return new Draft(
+        List.of("cue", "cue", "cue", "correction", "retraction", "note").get(random.nextInt(6));
+    String cue = kind.equals("note") ? "" : "cue" + random.nextInt(40);
+    return new PendingAppend(
         channel, gateway + "-" + number, kind, cue, "line " + number + " of " + gateway);
   }
 
-  private void append(String gateway, Draft draft) throws IOException {
-    unconfirmed.put(gateway, draft);
+  private void append(String gateway, PendingAppend pending) throws IOException {
+    unconfirmed.put(gateway, pending);
     String id =
         ChannelsClient.append(
             cluster.client(gateway),
-            draft.channel,
-            draft.key,
-            draft.kind,
-            draft.cue,
-            draft.text,
+            pending.channel,
+            pending.key,
+            pending.kind,
+            pending.cue,
+            pending.text,
             0);
     unconfirmed.remove(gateway);
     if (id != null) {
-      audit.appended(draft.channel, gateway, incarnations.of(gateway), draft.key, id);
+      audit.appended(pending.channel, gateway, incarnations.of(gateway), pending.key, id);
     }
   }
 
   /**
-   * Waits until all gateways have the same logs with all entries stable, and passes these to the
-   * audit.
+   * Waits until all gateways have the same logs with all entries stable, and passes the logs to the
+   * audit. Adds a violation for each channel that has not settled {@value #SETTLE_TIMEOUT_MS} ms
+   * after the call.
    */
   void settle() {
-    long until = System.nanoTime() + SETTLE_TIMEOUT_MS * 1_000_000;
+    long deadline = System.nanoTime() + SETTLE_TIMEOUT_MS * 1_000_000;
     for (String channel : CHANNELS) {
       Map<String, List<ChannelLogEntry>> logs = new HashMap<>();
       String difference = "";
       do {
         pause(POLL_INTERVAL_MS);
         difference = readLogs(channel, logs);
-      } while (!difference.isEmpty() && System.nanoTime() < until);
+      } while (!difference.isEmpty() && System.nanoTime() < deadline);
       if (!difference.isEmpty()) {
         audit.violation(Rule.NOT_SETTLED, channel + ": " + difference);
       }
@@ -117,7 +121,7 @@
     }
   }
 
-  /** Reads all logs; returns the differences, or an empty text. */
+  /** Reads the logs of a channel at all gateways; returns the differences, or an empty text. */
   private String readLogs(String channel, Map<String, List<ChannelLogEntry>> logs) {
     Map<String, String> differences = new TreeMap<>();
     List<String> first = null;
@@ -127,11 +131,11 @@
         logs.put(gateway, log);
         audit.read(channel, gateway, log);
         List<String> ids = log.stream().map(ChannelLogEntry::id).toList();
-        long tail = log.stream().filter(line -> !line.stable()).count();
+        long provisional = log.stream().filter(line -> !line.stable()).count();
         if (first != null && !first.equals(ids)) {
-          differences.put(gateway, "another log, of " + ids.size() + " entries");
-        } else if (tail > 0) {
-          differences.put(gateway, tail + " of " + ids.size() + " entries not stable");
+          differences.put(gateway, "a different log, of " + ids.size() + " entries");
+        } else if (provisional > 0) {
+          differences.put(gateway, provisional + " of " + ids.size() + " entries are not stable");
         }
         first = first == null ? ids : first;
       } catch (IOException e) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/LinkBehaviours.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/LinkBehaviours.java
@@ -5,7 +5,7 @@
 import tillerlink.faultinjection.network.FaultyNetwork;
 import tillerlink.faultinjection.network.LinkBehaviour;
 
-/** Combines the active faults into the behaviour of each link. */
+/** The behaviour of a link, combined from the active faults. */
 final class LinkBehaviours {
   private static final int TICKS_PER_MS = 10;
 
@@ -13,8 +13,8 @@
   private final String from;
   private final String to;
   private boolean cut;
-  private double lost;
-  private double muddled;
+  private double lostShare;
+  private double muddledShare;
   private long maxDelay;
   private int maxBytes = Integer.MAX_VALUE;
   private long rate;
@@ -25,6 +25,7 @@
     this.to = to;
   }
 
+  /** Sets the behaviour of each link between the gateways according to the active faults. */
   static void apply(FaultyNetwork network, List<String> gateways, Collection<Step> active) {
     for (String from : gateways) {
       for (String to : gateways) {
@@ -38,11 +39,11 @@
   }
 
   private void add(Step step) {
-    if (leads(step)) {
+    if (isForward(step)) {
       addForward(step);
     }
-    if (touches(step)) {
-      addTouching(step);
+    if (affectsEndpoint(step)) {
+      addToBothDirections(step);
     }
     if (step.kind() == Step.Kind.PARTED) {
       cut |= isBefore(from, step.who()) != isBefore(to, step.who());
@@ -51,7 +52,7 @@
     }
   }
 
-  /** Faults of this link alone. */
+  /** Adds a fault that applies to this link alone. */
   private void addForward(Step step) {
     switch (step.kind()) {
       case CUT_ONE_WAY -> cut = true;
@@ -61,25 +62,25 @@
     }
   }
 
-  /** Faults of all links of a gateway, and the cut in both directions. */
-  private void addTouching(Step step) {
+  /** Adds a fault that applies to all links of a gateway, or to a pair of gateways both ways. */
+  private void addToBothDirections(Step step) {
     switch (step.kind()) {
-      case CUT -> cut |= leads(step) || leadsBack(step);
-      case LOSSY -> lost = Math.max(lost, step.amount());
-      case MUDDLED -> muddled = Math.max(muddled, step.amount());
+      case CUT -> cut |= isForward(step) || isReverse(step);
+      case LOSSY -> lostShare = Math.max(lostShare, step.amount());
+      case MUDDLED -> muddledShare = Math.max(muddledShare, step.amount());
       default -> {}
     }
   }
 
-  private boolean leads(Step step) {
+  private boolean isForward(Step step) {
     return step.who().equals(from) && step.other().equals(to);
   }
 
-  private boolean leadsBack(Step step) {
+  private boolean isReverse(Step step) {
     return step.who().equals(to) && step.other().equals(from);
   }
 
-  private boolean touches(Step step) {
+  private boolean affectsEndpoint(Step step) {
     return step.who().equals(from) || step.who().equals(to);
   }
 
@@ -88,6 +89,7 @@
   }
 
   private LinkBehaviour combined() {
-    return new LinkBehaviour(cut, lost, muddled, muddled, 0, maxDelay, maxBytes, rate);
+    return new LinkBehaviour(
+        cut, lostShare, muddledShare, muddledShare, 0, maxDelay, maxBytes, rate);
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Load.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Load.java
@@ -9,7 +9,7 @@
 import tillerlink.faultinjection.audit.Audit;
 import tillerlink.faultinjection.harness.ProcessCluster;
 
-/** Clients that run during a schedule: one per gateway, each with its own seed. */
+/** A load that runs during a schedule, with one client per gateway, each with its own seed. */
 abstract class Load {
   private static final long JOIN_TIMEOUT_MS = 60_000;
 
@@ -27,38 +27,47 @@
     this.seed = seed;
   }
 
-  /** Sends one request to a gateway, and reports to the audit. */
-  abstract void once(String gateway, RandomGenerator chance) throws IOException;
+  /**
+   * Sends one request to a gateway, and reports the outcome to the audit.
+   *
+   * @throws IOException if the connection failed, after that was reported to the audit
+   */
+  abstract void sendOne(String gateway, RandomGenerator random) throws IOException;
 
-  /** A part of the seed that stays when the class is renamed, so that old seeds can be replayed. */
+  /**
+   * Returns a name from which the seeds of the clients are derived. It stays when the class is
+   * renamed, so that earlier seeds can be replayed.
+   */
   abstract String seedName();
 
-  /** The average pause of a client between requests, in milliseconds. */
-  abstract long paceMs();
+  /** Returns the mean pause of a client between two requests, in milliseconds. */
+  abstract long meanPauseMs();
 
+  /** Starts the clients. */
   final void begin() {
     for (String gateway : cluster.names()) {
       String clientName = seedName() + "-" + gateway;
-      RandomGenerator chance =
+      RandomGenerator random =
           new SplittableRandom(seed ^ (clientName.hashCode() * 0x9e3779b97f4a7c15L));
-      Thread thread = new Thread(() -> sendUntilEnd(gateway, chance, () -> !ended), clientName);
+      Thread thread = new Thread(() -> sendUntilEnd(gateway, random, () -> !ended), clientName);
       thread.setDaemon(true);
       thread.start();
       threads.add(thread);
     }
   }
 
-  private void sendUntilEnd(String gateway, RandomGenerator chance, BooleanSupplier isRunning) {
+  private void sendUntilEnd(String gateway, RandomGenerator random, BooleanSupplier isRunning) {
     while (isRunning.getAsBoolean()) {
       try {
-        once(gateway, chance);
+        sendOne(gateway, random);
       } catch (IOException e) {
-        // The connection failed, which the load has reported to the audit.
+        // The connection failed, which the load has already reported to the audit.
       }
-      pause(1 + chance.nextLong(2 * paceMs()));
+      pause(1 + random.nextLong(2 * meanPauseMs()));
     }
   }
 
+  /** Stops the clients, and waits for their last requests. */
   final void end() {
     ended = true;
     for (Thread thread : threads) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/RequestLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/RequestLoad.java
@@ -9,12 +9,13 @@
 import tillerlink.faultinjection.client.HttpEndpointClient;
 import tillerlink.faultinjection.harness.ProcessCluster;
 
-/** Plain requests, half of them with effects. */
+/** A load of plain requests, half of which have side effects. */
 final class RequestLoad extends Load {
   private static final long DEADLINE_MS = 3500;
 
   /**
-   * Far above the deadline, so that on a busy machine no client gives up on an undisturbed gateway.
+   * The read timeout of clients, far above the deadline, so that no client times out on an
+   * undisturbed gateway of a busy machine.
    */
   private static final long RESPONSE_TIMEOUT_MS = 30_000;
 
@@ -32,13 +33,13 @@
   }
 
   @Override
-  long paceMs() {
+  long meanPauseMs() {
     return 40;
   }
 
   @Override
-  void once(String gateway, RandomGenerator chance) throws IOException {
-    boolean effectful = chance.nextBoolean();
+  void sendOne(String gateway, RandomGenerator random) throws IOException {
+    boolean effectful = random.nextBoolean();
     String id = String.format("%016x", ids.incrementAndGet());
     String statement =
         (effectful ? "UPDATE air SET mark = " : "SELECT * FROM air WHERE mark = ") + id;
@@ -57,7 +58,13 @@
       } else {
         audit.violation(
             Rule.ONE_ANSWER,
-            gateway + " answered " + id + " with " + reply.status() + " " + reply.body());
+            gateway
+                + " responded to "
+                + id
+                + " with unexpected status "
+                + reply.status()
+                + " "
+                + reply.body());
       }
     } catch (IOException e) {
       if (disruptions.disruptedSince(gateway, sentAt)) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Schedule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Schedule.java
@@ -6,7 +6,16 @@
 import java.util.SplittableRandom;
 import java.util.random.RandomGenerator;
 
-/** The faults that hit a cluster in one run; all follow from the seed. */
+/**
+ * The faults that are injected into a cluster in one run. A generated schedule depends only on its
+ * seed and length.
+ *
+ * @param seed the seed of the schedule
+ * @param gateways the number of gateways
+ * @param sites the number of sites
+ * @param lengthMs the length of the run, in milliseconds
+ * @param steps the faults
+ */
 public record Schedule(long seed, int gateways, int sites, long lengthMs, List<Step> steps) {
   private static final List<Step.Kind> KINDS = List.of(Step.Kind.values());
   private static final int MIN_GATEWAYS = 3;
@@ -18,30 +27,35 @@
     steps = List.copyOf(steps);
   }
 
-  /** The schedule of a seed; mostly with few gateways, which covers the most cases per minute. */
+  /**
+   * Generates the schedule of a seed. Most schedules have few gateways, because these cover the
+   * most cases per minute.
+   *
+   * @param lengthMs the length of the run, in milliseconds
+   */
   public static Schedule of(long seed, long lengthMs) {
-    RandomGenerator chance = new SplittableRandom(seed);
+    RandomGenerator random = new SplittableRandom(seed);
     int gateways =
-        chance.nextInt(4) == 0
-            ? chance.nextInt(MIN_GATEWAYS, MAX_GATEWAYS + 1)
-            : chance.nextInt(MIN_GATEWAYS, MIN_GATEWAYS + 3);
-    int sites = chance.nextInt(2, Math.min(4, gateways) + 1);
+        random.nextInt(4) == 0
+            ? random.nextInt(MIN_GATEWAYS, MAX_GATEWAYS + 1)
+            : random.nextInt(MIN_GATEWAYS, MIN_GATEWAYS + 3);
+    int sites = random.nextInt(2, Math.min(4, gateways) + 1);
     List<Step> steps = new ArrayList<>();
-    int count = chance.nextInt(3, 10);
+    int count = random.nextInt(3, 10);
     for (int i = 0; i < count; i++) {
-      steps.add(step(chance, gateways, lengthMs));
+      steps.add(step(random, gateways, lengthMs));
     }
     steps.sort(Comparator.comparingLong(Step::atMs));
     return new Schedule(seed, gateways, sites, lengthMs, steps);
   }
 
-  private static Step step(RandomGenerator chance, int gateways, long lengthMs) {
-    Step.Kind kind = KINDS.get(chance.nextInt(KINDS.size()));
-    long at = chance.nextLong(FIRST_FAULT_MS, lengthMs);
-    int who = chance.nextInt(gateways);
-    int other = (who + 1 + chance.nextInt(gateways - 1)) % gateways;
-    long duration = chance.nextLong(200, Math.max(201, lengthMs / 2));
-    double draw = chance.nextDouble();
+  private static Step step(RandomGenerator random, int gateways, long lengthMs) {
+    Step.Kind kind = KINDS.get(random.nextInt(KINDS.size()));
+    long at = random.nextLong(FIRST_FAULT_MS, lengthMs);
+    int who = random.nextInt(gateways);
+    int other = (who + 1 + random.nextInt(gateways - 1)) % gateways;
+    long duration = random.nextLong(200, Math.max(201, lengthMs / 2));
+    double draw = random.nextDouble();
     double amount =
         switch (kind) {
           case LOSSY -> 0.1 + draw * 0.4;
@@ -51,17 +65,18 @@
           case SMALL -> 200 + draw * 1000;
           default -> 0;
         };
-    boolean pair =
+    boolean hasOtherEnd =
         switch (kind) {
           case CUT, CUT_ONE_WAY, SLOW, SMALL -> true;
           default -> false;
         };
-    // The gateways before this one are on one side of the partition, so that each side has one.
+    // A partition separates the gateways before the named one from it and the later ones. Gateway 0
+    // is never named, so that neither side is empty.
     String name = "n" + (kind == Step.Kind.PARTED ? Math.max(1, who) : who);
-    return new Step(at, kind, name, pair ? "n" + other : "", duration, amount);
+    return new Step(at, kind, name, hasOtherEnd ? "n" + other : "", duration, amount);
   }
 
-  /** The same schedule with other steps. */
+  /** Returns the same schedule with other steps. */
   public Schedule with(List<Step> otherSteps) {
     return new Schedule(seed, gateways, sites, lengthMs, otherSteps);
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ScheduleRunner.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ScheduleRunner.java
@@ -14,7 +14,7 @@
 import tillerlink.faultinjection.harness.ProcessIncarnations;
 import tillerlink.faultinjection.process.GatewaySpec;
 
-/** Runs one schedule of faults on a cluster of processes under load, and audits it. */
+/** Runs one schedule of faults on a cluster of gateway processes under load, and audits the run. */
 public final class ScheduleRunner {
   private static final long CONVERGENCE_TIMEOUT_MS = 60_000;
   private static final long POLL_INTERVAL_MS = 50;
@@ -29,7 +29,8 @@
    * Prepares a run.
    *
    * @param folder an empty folder for the files, logs and disks of the processes
-   * @param shared which components of shared state are on
+   * @param classPath the class path of the gateway processes
+   * @param shared the components of shared state that are enabled
    */
   public ScheduleRunner(Path folder, String classPath, GatewaySpec.Shared shared) {
     this.shared = shared;
@@ -37,7 +38,11 @@
     this.classPath = classPath;
   }
 
-  /** Runs a schedule and returns what the audit found. */
+  /**
+   * Runs a schedule and returns the result of the audit.
+   *
+   * @throws IOException if the cluster cannot be set up or its logs cannot be read
+   */
   public RunResult run(Schedule schedule) throws IOException {
     Audit audit = new Audit();
     ProcessCluster.Topology topology =
@@ -72,10 +77,10 @@
         new ChannelLoad(cluster, audit, disruptions, incarnations, schedule.seed());
     StatementLoad statements = new StatementLoad(cluster, audit, disruptions, schedule.seed());
     List<Load> loads = new ArrayList<>(List.of(requests));
-    if (has(GatewaySpec.Shared.CHANNELS)) {
+    if (isEnabled(GatewaySpec.Shared.CHANNELS)) {
       loads.add(channels);
     }
-    if (has(GatewaySpec.Shared.STATEMENTS)) {
+    if (isEnabled(GatewaySpec.Shared.STATEMENTS)) {
       loads.add(statements);
     }
     StepExecutor executor =
@@ -86,20 +91,20 @@
               incarnations.diskLost(gateway);
               audit.diskLost(gateway);
             });
-    awaitConvergence(cluster, audit, "before the play");
+    awaitConvergence(cluster, audit, "before the faults,");
     loads.forEach(Load::begin);
     execute(executor, schedule, audit);
     cluster.heal();
     statements.stopChanges();
     loads.forEach(Load::end);
-    awaitConvergence(cluster, audit, "after the play");
-    if (has(GatewaySpec.Shared.CHANNELS)) {
+    awaitConvergence(cluster, audit, "after the faults,");
+    if (isEnabled(GatewaySpec.Shared.CHANNELS)) {
       channels.settle();
     }
-    if (has(GatewaySpec.Shared.STATEMENTS)) {
+    if (isEnabled(GatewaySpec.Shared.STATEMENTS)) {
       statements.settle();
     }
-    return result(schedule, audit, endOf(cluster, audit), executor.counts());
+    return result(schedule, audit, finalViolations(cluster, audit), executor.counts());
   }
 
   private static void execute(StepExecutor executor, Schedule schedule, Audit audit) {
@@ -110,12 +115,13 @@
     }
   }
 
-  private static List<Violation> endOf(ProcessCluster cluster, Audit audit) throws IOException {
-    cluster.violations().forEach(words -> audit.violation(Rule.INSIDE, words));
+  private static List<Violation> finalViolations(ProcessCluster cluster, Audit audit)
+      throws IOException {
+    cluster.violations().forEach(description -> audit.violation(Rule.INSIDE, description));
     return audit.end();
   }
 
-  private boolean has(GatewaySpec.Shared component) {
+  private boolean isEnabled(GatewaySpec.Shared component) {
     return shared.compareTo(component) >= 0;
   }
 
@@ -131,26 +137,29 @@
         audit.violationCount());
   }
 
-  /** Waits until every gateway reports every other as reachable. */
-  private void awaitConvergence(ProcessCluster cluster, Audit audit, String when) {
+  /**
+   * Waits until every gateway reports every other one as reachable. Adds a violation if that takes
+   * more than {@value #CONVERGENCE_TIMEOUT_MS} ms for all gateways.
+   */
+  private void awaitConvergence(ProcessCluster cluster, Audit audit, String phase) {
     if (shared == GatewaySpec.Shared.NOTHING) {
       return;
     }
-    long until = System.nanoTime() + CONVERGENCE_TIMEOUT_MS * 1_000_000;
+    long deadline = System.nanoTime() + CONVERGENCE_TIMEOUT_MS * 1_000_000;
     for (String name : cluster.names()) {
-      String problem = unreachable(cluster, name);
-      while (!problem.isEmpty() && System.nanoTime() < until) {
+      String problem = reachabilityProblem(cluster, name);
+      while (!problem.isEmpty() && System.nanoTime() < deadline) {
         Load.pause(POLL_INTERVAL_MS);
-        problem = unreachable(cluster, name);
+        problem = reachabilityProblem(cluster, name);
       }
       if (!problem.isEmpty()) {
-        audit.violation(Rule.NOT_TOGETHER, when + " " + name + " says: " + problem);
+        audit.violation(Rule.NOT_TOGETHER, phase + " " + name + " reports: " + problem);
       }
     }
   }
 
-  /** What a gateway reports while not all others are reachable; empty when they are. */
-  private static String unreachable(ProcessCluster cluster, String name) {
+  /** Returns the members that a gateway reports, or the error; empty if all are reachable. */
+  private static String reachabilityProblem(ProcessCluster cluster, String name) {
     try {
       Map<String, String> members = MembersClient.of(cluster.client(name));
       for (String other : cluster.names()) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ScheduleShrinker.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/ScheduleShrinker.java
@@ -5,36 +5,40 @@
 import java.util.function.Predicate;
 
 /**
- * Shrinks a schedule that fails to a shorter one that still does, by delta debugging: it removes
- * halves, then smaller parts, within a limit of attempts.
+ * Shrinks a failing schedule to a shorter one that still fails, by delta debugging: it removes
+ * halves of the steps, then smaller parts, within a limit of runs.
  */
 public final class ScheduleShrinker {
   private ScheduleShrinker() {}
 
   /**
-   * Returns the shortest failing schedule that it finds.
+   * Returns the shortest failing schedule that is found.
    *
    * @param fails runs a schedule and returns whether it fails in the same way
-   * @param attempts the greatest number of runs
+   * @param maxRuns the maximum number of runs
    */
-  public static Schedule shrink(Schedule failing, Predicate<Schedule> fails, int attempts) {
-    return failing.with(
-        shrink(failing.steps(), steps -> fails.test(failing.with(steps)), attempts));
+  public static Schedule shrink(Schedule failing, Predicate<Schedule> fails, int maxRuns) {
+    return failing.with(shrink(failing.steps(), steps -> fails.test(failing.with(steps)), maxRuns));
   }
 
-  /** The same for any list of steps. */
-  public static <S> List<S> shrink(List<S> failing, Predicate<List<S>> fails, int attempts) {
+  /**
+   * Returns the shortest failing list of steps that is found.
+   *
+   * @param fails runs a list of steps and returns whether it fails in the same way
+   * @param maxRuns the maximum number of runs
+   */
+  public static <S> List<S> shrink(List<S> failing, Predicate<List<S>> fails, int maxRuns) {
     List<S> best = failing;
-    int left = attempts;
-    for (int parts = 2; left > 0 && !best.isEmpty(); ) {
+    int remainingRuns = maxRuns;
+    for (int parts = 2; remainingRuns > 0 && !best.isEmpty(); ) {
       int size = Math.max(1, (best.size() + parts - 1) / parts);
       List<S> shorter = null;
-      for (int from = 0; from < best.size() && shorter == null && left > 0; from += size) {
-        List<S> rest = new ArrayList<>(best);
-        rest.subList(from, Math.min(rest.size(), from + size)).clear();
-        left--;
-        if (fails.test(rest)) {
-          shorter = rest;
+      for (int from = 0; from < best.size() && shorter == null && remainingRuns > 0; from += size) {
+        List<S> candidate = new ArrayList<>(best);
+        candidate.subList(from, Math.min(candidate.size(), from + size)).clear();
+        remainingRuns--;
+        if (fails.test(candidate)) {
+          shorter = candidate;
         }
       }
       if (shorter != null) {
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/StatementLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/StatementLoad.java
@@ -19,24 +19,25 @@
 import tillerlink.faultinjection.harness.ProcessCluster;
 
 /**
- * Statements that are prepared at one gateway and run at all, while the schemas of their groups
- * change: each change renames a column that the text names, from v1 to v2 and so on, so that what
- * an engine is sent tells under which schema it was prepared.
+ * A load of prepared statements, each prepared at one gateway and run at all, while the schemas of
+ * their groups change. Each change renames a column that the statements use, from v1 to v2 and so
+ * on, so that the text that an engine receives shows under which schema it was prepared.
  */
 final class StatementLoad extends Load {
   private static final long SETTLE_TIMEOUT_NANOS = 60_000_000_000L;
-  private static final int GROUP = 17;
-  private static final int GROUPS = 2;
-  private static final int NAMES = 4;
+  private static final int FIRST_GROUP = 17;
+  private static final int GROUP_COUNT = 2;
+  private static final int STATEMENT_COUNT = 4;
   private static final long DEADLINE_MS = 3500;
   private static final long RESPONSE_TIMEOUT_MS = 30_000;
   private static final long EFFECT_TIMEOUT_MS = 30_000;
-  private static final Pattern SENT = Pattern.compile("v([0-9]+) = 1 AND mark = '(m[0-9]+)'");
+  private static final Pattern PREPARED_TEXT =
+      Pattern.compile("v([0-9]+) = 1 AND mark = '(m[0-9]+)'");
 
   private final AtomicLong ids = new AtomicLong(0x9100);
   private final AtomicLong markers = new AtomicLong();
 
-  /** By group, the number of the column v; below 0 while a change is not known to be in effect. */
+  /** The number of column v by group; negated while a change is not known to be in effect. */
   private final Map<Integer, Integer> columns = new TreeMap<>();
 
   private final Set<String> prepared = ConcurrentHashMap.newKeySet();
@@ -44,7 +45,7 @@
 
   StatementLoad(ProcessCluster cluster, Audit audit, DisruptionTracker disruptions, long seed) {
     super(cluster, audit, disruptions, seed);
-    for (int group = GROUP; group < GROUP + GROUPS; group++) {
+    for (int group = FIRST_GROUP; group < FIRST_GROUP + GROUP_COUNT; group++) {
       columns.put(group, 1);
     }
   }
@@ -55,13 +56,14 @@
   }
 
   @Override
-  long paceMs() {
+  long meanPauseMs() {
     return 40;
   }
 
-  /** Reports a command of an engine to the audit if it runs a prepared statement. */
+  /** Reports a command that an engine runs to the audit if it is a prepared statement. */
   static void onRun(Audit audit, String engine, Command command) {
-    Matcher matcher = SENT.matcher(new String(command.statement(), StandardCharsets.UTF_8));
+    Matcher matcher =
+        PREPARED_TEXT.matcher(new String(command.statement(), StandardCharsets.UTF_8));
     if (matcher.find()) {
       audit.ran(engine, matcher.group(2));
       audit.preparedRan(matcher.group(2), engine, Long.parseLong(matcher.group(1)));
@@ -69,25 +71,25 @@
   }
 
   private static int group(int name) {
-    return GROUP + name % GROUPS;
+    return FIRST_GROUP + name % GROUP_COUNT;
   }
 
   private static boolean effectful(int name) {
-    return name >= NAMES / 2;
+    return name >= STATEMENT_COUNT / 2;
   }
 
   @Override
-  void once(String gateway, RandomGenerator chance) throws IOException {
-    int name = chance.nextInt(NAMES);
-    int drawn = chance.nextInt(100);
+  void sendOne(String gateway, RandomGenerator random) throws IOException {
+    int name = random.nextInt(STATEMENT_COUNT);
+    int draw = random.nextInt(100);
     if (!cluster.gateway(gateway).isRunning() || changesStopped) {
       return;
     }
     if (!prepared.contains("s" + name)) {
       prepare(gateway, name);
-    } else if (drawn < 3) {
+    } else if (draw < 3) {
       change(gateway, group(name));
-    } else if (drawn < 6) {
+    } else if (draw < 6) {
       prepare(gateway, name);
     } else {
       run(gateway, name);
@@ -119,8 +121,8 @@
   }
 
   /**
-   * Announces a change and waits until it is in effect; if it does not learn that, the group is not
-   * changed again.
+   * Announces a schema change and waits until it is in effect. If that is not observed in time, the
+   * group is not changed again, because its column is unknown.
    */
   private void change(String gateway, int group) throws IOException {
     synchronized (columns) {
@@ -133,8 +135,8 @@
       long before = version(group);
       StatementsClient.rename(
           cluster.client(gateway, RESPONSE_TIMEOUT_MS), group, name + column, name + (column + 1));
-      long until = System.nanoTime() + EFFECT_TIMEOUT_MS * 1_000_000;
-      while (System.nanoTime() < until && !changesStopped) {
+      long deadline = System.nanoTime() + EFFECT_TIMEOUT_MS * 1_000_000;
+      while (System.nanoTime() < deadline && !changesStopped) {
         if (version(group) > before) {
           audit.schemaInEffect("g" + group, column + 1, System.nanoTime());
           columns.put(group, column + 1);
@@ -145,7 +147,10 @@
     }
   }
 
-  /** The highest schema version that any gateway reports; one seen in effect stays in effect. */
+  /**
+   * Returns the highest schema version that any gateway reports, or -1. One report is enough,
+   * because a version that was in effect is never withdrawn.
+   */
   private long version(int group) {
     long highest = -1;
     for (String name : cluster.names()) {
@@ -155,7 +160,7 @@
                 ? Math.max(highest, StatementsClient.version(cluster.client(name, 2000), group))
                 : highest;
       } catch (IOException e) {
-        // Stopped or not running; another gateway knows.
+        // The gateway is stopped or not running; another one reports the version.
       }
     }
     return highest;
@@ -174,12 +179,18 @@
       if (List.of(200, 500, 503).contains(reply.status())) {
         audit.answered(id, reply.status());
       } else if (List.of(404, 409).contains(reply.status())) {
-        // Unknown here yet, or invalid: rejected, and not run.
+        // The statement is not yet known at this gateway, or invalid: rejected without a run.
         audit.answered(id, 503);
       } else {
         audit.violation(
             Rule.ONE_ANSWER,
-            gateway + " answered " + id + " with " + reply.status() + " " + reply.body());
+            gateway
+                + " responded to "
+                + id
+                + " with unexpected status "
+                + reply.status()
+                + " "
+                + reply.body());
       }
     } catch (IOException e) {
       if (disruptions.disruptedSince(gateway, sentAt)) {
@@ -189,25 +200,27 @@
     }
   }
 
-  /** Begins no further changes, and stops waiting for the present one. */
+  /** Stops the load: no further requests or changes are sent, and no change is waited for. */
   void stopChanges() {
     changesStopped = true;
   }
 
   /**
-   * Waits until every gateway runs every statement under the schema that was last seen in effect.
+   * Waits until every prepared statement runs at every gateway. Adds a violation, and stops, if one
+   * does not run within {@value #SETTLE_TIMEOUT_NANOS} ns.
    */
   void settle() {
     changesStopped = false;
     for (String gateway : cluster.names()) {
-      for (int name = 0; name < NAMES; name++) {
-        // A timeout per statement: the first run of a group only requests its lease.
-        long until = System.nanoTime() + SETTLE_TIMEOUT_NANOS;
-        String problem = "never tried";
+      for (int name = 0; name < STATEMENT_COUNT; name++) {
+        // Each statement has its own timeout, because the first run of a group only requests its
+        // lease.
+        long deadline = System.nanoTime() + SETTLE_TIMEOUT_NANOS;
+        String problem = "not tried";
         while (!problem.isEmpty() && prepared.contains("s" + name)) {
           problem = tryRun(gateway, name);
-          if (!problem.isEmpty() && System.nanoTime() > until) {
-            audit.violation(Rule.NOT_SETTLED, gateway + " runs s" + name + " no more: " + problem);
+          if (!problem.isEmpty() && System.nanoTime() > deadline) {
+            audit.violation(Rule.NOT_SETTLED, gateway + " does not run s" + name + ": " + problem);
             return;
           }
           pause(100);
@@ -216,6 +229,7 @@
     }
   }
 
+  /** Runs a statement once; returns the error, or an empty text if it ran. */
   private String tryRun(String gateway, int name) {
     String id = String.format("%016x", ids.incrementAndGet());
     String marker = "m" + markers.incrementAndGet();
@@ -231,7 +245,7 @@
           : reply.status()
               + " "
               + reply.body()
-              + ", come back in "
+              + ", retry after "
               + reply.retryAfterMs()
               + " ms; schema "
               + cluster.client(gateway).get("/v1/schemas/" + group(name)).body();
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Step.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/Step.java
@@ -3,48 +3,53 @@
 import java.util.Locale;
 
 /**
- * One fault of a schedule.
+ * A fault of a schedule.
  *
- * @param atMs when it begins, from the start of the play on
- * @param who the gateway that it hits, or from which the link leads
- * @param other the gateway to which the link leads, or empty
- * @param lastsMs how long it lasts
- * @param amount depending on the kind, a chance, milliseconds or bytes
+ * @param atMs the time at which the fault begins, in milliseconds since the start of the run
+ * @param who the affected gateway, or the sender of the affected link
+ * @param other the receiver of the affected link, or empty
+ * @param durationMs the duration of the fault, in milliseconds
+ * @param amount a probability, milliseconds, bytes or bytes per second, depending on the kind; 0 if
+ *     the kind needs none
  */
-public record Step(long atMs, Kind kind, String who, String other, long lastsMs, double amount) {
+public record Step(long atMs, Kind kind, String who, String other, long durationMs, double amount) {
   /** The kinds of fault. */
   public enum Kind {
-    /** SIGSTOP, and SIGCONT at the end. */
+    /** The gateway is stopped with SIGSTOP, and resumed with SIGCONT at the end. */
     STOPPED("stopped"),
-    /** SIGKILL, and restarted with its disk. */
+    /** The gateway is killed with SIGKILL, and restarted with its disk at the end. */
     KILLED("killed"),
-    /** SIGKILL, and restarted with an empty disk. */
+    /** The gateway is killed with SIGKILL, and restarted with an empty disk at the end. */
     DISK_LOST("disk lost"),
-    /** SIGKILL, and restarted with an earlier copy of its disk. */
+    /**
+     * The gateway is killed, its disk is copied, and it is restarted. At the end it is killed again
+     * and restarted with that copy.
+     */
     OLD_DISK("old disk"),
-    /** SIGTERM, and restarted. */
+    /** The gateway leaves the fleet on SIGTERM, and is restarted at the end. */
     LEFT("left"),
     /** The link from one gateway to another is cut. */
     CUT_ONE_WAY("cut one way"),
-    /** The links between two gateways are cut; both reach the others. */
+    /** Both links between two gateways are cut; both still reach the other gateways. */
     CUT("cut"),
-    /** A network partition between the gateways before one and those from it on. */
+    /** A network partition separates the gateways before one from it and the later ones. */
     PARTED("parted"),
-    /** That share of datagrams is lost on all links of one gateway. */
+    /** A share of the datagrams, given by the amount, is lost on all links of one gateway. */
     LOSSY("lossy"),
     /**
-     * That share of datagrams is repeated, and that share reordered, on all links of one gateway.
+     * A share of the datagrams, given by the amount, is repeated, and the same share is reordered,
+     * on all links of one gateway.
      */
     MUDDLED("muddled"),
-    /** All datagrams to one gateway are delayed by up to that many milliseconds. */
+    /** All datagrams to one gateway are delayed by up to the amount, in milliseconds. */
     LATE("late"),
-    /** The link carries that many bytes per second. */
+    /** One link is limited to the amount, in bytes per second. */
     SLOW("slow"),
-    /** The link carries only datagrams up to that length. */
+    /** One link drops datagrams longer than the amount, in bytes. */
     SMALL("small"),
-    /** All connections of clients are reset. */
+    /** All client connections of one gateway are reset. */
     CLIENTS_RESET("clients reset"),
-    /** All connections to engines are reset. */
+    /** All engine connections of one gateway are reset. */
     ENGINES_RESET("engines reset");
 
     private final String description;
@@ -68,7 +73,7 @@
         kind,
         who,
         other.isEmpty() ? "" : " > " + other,
-        lastsMs,
+        durationMs,
         amount == 0 ? "" : String.format(Locale.ROOT, " (%.4g)", amount));
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/schedule/StepExecutor.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/schedule/StepExecutor.java
@@ -11,46 +11,47 @@
 import tillerlink.faultinjection.network.TcpProxy;
 import tillerlink.faultinjection.process.GatewayProcess;
 
-/** Injects the faults of a schedule, and ends them. */
+/** Begins and ends the faults of a schedule at their times. */
 final class StepExecutor {
-  /** The begin or the end of a step. */
-  private record Moment(long atMs, Step step, boolean begins) {}
+  /** The beginning or the end of a step. */
+  private record Transition(long atMs, Step step, boolean begins) {}
 
   private final ProcessCluster cluster;
   private final DisruptionTracker disruptions;
-  private final Consumer<String> diskLost;
+  private final Consumer<String> onDiskLost;
   private final List<Step> active = new ArrayList<>();
   private final Map<Step.Kind, Integer> counts = new EnumMap<>(Step.Kind.class);
 
   /**
-   * Executes steps on that cluster.
+   * Creates an executor for the steps on a cluster.
    *
-   * @param diskLost called before a gateway starts with less on its disk than it had
+   * @param onDiskLost called with the name of a gateway before its disk is deleted or replaced by
+   *     an older copy
    */
-  StepExecutor(ProcessCluster cluster, DisruptionTracker disruptions, Consumer<String> diskLost) {
+  StepExecutor(ProcessCluster cluster, DisruptionTracker disruptions, Consumer<String> onDiskLost) {
     this.cluster = cluster;
     this.disruptions = disruptions;
-    this.diskLost = diskLost;
+    this.onDiskLost = onDiskLost;
   }
 
-  /** Runs all steps at their times. */
+  /** Runs all steps of a schedule, and returns at the end of its length. */
   void run(Schedule schedule) throws IOException {
-    List<Moment> moments = new ArrayList<>();
+    List<Transition> transitions = new ArrayList<>();
     for (Step step : schedule.steps()) {
-      moments.add(new Moment(step.atMs(), step, true));
-      moments.add(new Moment(step.atMs() + step.lastsMs(), step, false));
+      transitions.add(new Transition(step.atMs(), step, true));
+      transitions.add(new Transition(step.atMs() + step.durationMs(), step, false));
     }
-    moments.sort(Comparator.comparingLong(Moment::atMs));
+    transitions.sort(Comparator.comparingLong(Transition::atMs));
     long startNanos = System.nanoTime();
-    for (Moment moment : moments) {
-      awaitTime(startNanos, moment.atMs);
-      if (moment.begins) {
-        if (begin(moment.step)) {
-          active.add(moment.step);
-          counts.merge(moment.step.kind(), 1, Integer::sum);
+    for (Transition transition : transitions) {
+      awaitTime(startNanos, transition.atMs);
+      if (transition.begins) {
+        if (begin(transition.step)) {
+          active.add(transition.step);
+          counts.merge(transition.step.kind(), 1, Integer::sum);
         }
-      } else if (active.remove(moment.step)) {
-        end(moment.step);
+      } else if (active.remove(transition.step)) {
+        end(transition.step);
       }
       LinkBehaviours.apply(cluster.network(), cluster.names(), active);
     }
@@ -65,7 +66,8 @@
   }
 
   /**
-   * Whether it hits the process itself or all its clients; a gateway has one of these at a time.
+   * Returns whether a step affects the process of a gateway or all its clients. A gateway has at
+   * most one such step at a time.
    */
   private static boolean disrupts(Step step) {
     return switch (step.kind()) {
@@ -74,7 +76,7 @@
     };
   }
 
-  /** Begins a step; false if another one already disrupts the gateway. */
+  /** Begins a step; returns false, without effect, if the gateway is already disrupted. */
   private boolean begin(Step step) throws IOException {
     GatewayProcess gateway = cluster.gateway(step.who());
     if (disrupts(step)) {
@@ -113,13 +115,13 @@
       case STOPPED -> gateway.resume();
       case KILLED, LEFT -> restart(gateway);
       case DISK_LOST -> {
-        diskLost.accept(step.who());
+        onDiskLost.accept(step.who());
         gateway.loseDisk();
         restart(gateway);
       }
       case OLD_DISK -> {
         gateway.kill();
-        diskLost.accept(step.who());
+        onDiskLost.accept(step.who());
         gateway.restoreDisk();
         restart(gateway);
       }
@@ -135,6 +137,7 @@
     cluster.awaitHealthy(gateway.name());
   }
 
+  /** Returns the number of steps of each kind that have begun. */
   Map<Step.Kind, Integer> counts() {
     return counts;
   }
