--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/ChildProcesses.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/ChildProcesses.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The processes that this one has started. All are ended with it, also stopped ones; no other
- * process is ever ended.
+ * The child processes of this one. All of them, including stopped ones, are killed when this one
+ * exits, so that none is left behind; no other process is ever killed.
  */
 final class ChildProcesses {
   private static final Set<Process> STARTED = ConcurrentHashMap.newKeySet();
@@ -18,6 +18,7 @@
 
   private ChildProcesses() {}
 
+  /** Registers a child process, and returns it. */
   static Process add(Process process) {
     STARTED.add(process);
     CompletableFuture<Void> unused = process.onExit().thenAccept(STARTED::remove);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/ConfigurationFiles.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/ConfigurationFiles.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.stream.Collectors;
 
-/** Writes the files that a gateway is started with. */
+/** Writes the configuration files of a gateway. */
 final class ConfigurationFiles {
   private static final String LOOPBACK = "127.0.0.1:";
 
-  // Short intervals, so that a run of seconds covers what takes minutes in production.
+  // Shorter than in production, so that a run of seconds covers what takes minutes there.
   private static final int PROBE_MS = 200;
 
   private static final long SEED = 0x8c1f30d2L;
@@ -27,7 +27,7 @@
     this.spec = spec;
   }
 
-  /** Writes the configuration of the platform. */
+  /** Writes the JSON configuration that the platform provides, and returns its path. */
   Path configuration() throws IOException {
     Path file = spec.folder().resolve("configuration.json");
     try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
@@ -92,13 +92,13 @@
     json.writeEndObject();
   }
 
-  /** Writes the operator's file with the components of shared state. */
+  /** Writes the operator's file, with the components of shared state, and returns its path. */
   Path operatorFile() throws IOException {
     StringBuilder text = new StringBuilder();
     text.append("log {\n  form = \"text\"\n}\n");
     text.append("store {\n  folder = \"").append(store()).append("\"\n}\n");
     if (spec.shared().compareTo(GatewaySpec.Shared.MEMBERS) >= 0) {
-      members(text);
+      appendMembers(text);
     }
     if (spec.shared().compareTo(GatewaySpec.Shared.CHANNELS) >= 0) {
       text.append("channels {\n  sites = ")
@@ -119,7 +119,7 @@
     return Files.writeString(spec.folder().resolve("operator.hcl"), text);
   }
 
-  private void members(StringBuilder text) {
+  private void appendMembers(StringBuilder text) {
     text.append("members {\n  fleet = \"storm\"\n  listen = \"")
         .append(LOOPBACK)
         .append(spec.members())
@@ -145,7 +145,7 @@
     return texts.stream().map(text -> '"' + text + '"').collect(Collectors.joining(", ", "[", "]"));
   }
 
-  /** The folder of its store. */
+  /** Returns the folder of the gateway's store. */
   Path store() {
     return spec.folder().resolve("store");
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/ControlledProcess.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/ControlledProcess.java
@@ -7,65 +7,74 @@
 
 /** A child process that can be stopped, continued, terminated, killed and restarted. */
 public final class ControlledProcess {
-  /** The exit value of a process that was never started or has not ended. */
+  /** The exit code of a process that was never started or has not ended. */
   public static final int NONE = -1;
 
   private static final long END_TIMEOUT_S = 10;
 
   private final String name;
-  private final List<String> complaints = new ArrayList<>();
+  private final List<String> terminationFailures = new ArrayList<>();
   private Process process;
   private boolean stopped;
 
-  /** A process of that name, which is not started. */
+  /**
+   * Creates a process without starting it.
+   *
+   * @param name the name of the process in errors
+   */
   public ControlledProcess(String name) {
     this.name = name;
   }
 
-  /** Starts it. */
+  /** Starts the process. */
   public synchronized void start(ProcessBuilder builder) throws IOException {
     stopped = false;
     process = ChildProcesses.add(builder.start());
   }
 
-  /** Whether it exists, stopped or not. */
+  /** Returns whether the process exists, stopped or not. */
   public synchronized boolean isAlive() {
     return process != null && process.isAlive();
   }
 
-  /** Whether it exists and is not stopped. */
+  /** Returns whether the process exists and is not stopped. */
   public synchronized boolean isRunning() {
     return isAlive() && !stopped;
   }
 
-  /** Sends SIGSTOP. */
+  /** Suspends the process with SIGSTOP. */
   public synchronized void stop() throws IOException {
     signal("STOP");
     stopped = true;
   }
 
-  /** Sends SIGCONT. */
+  /** Resumes the process with SIGCONT. */
   public synchronized void resume() throws IOException {
     signal("CONT");
     stopped = false;
   }
 
-  /** Sends a signal by its name without SIG. */
+  /**
+   * Sends a signal.
+   *
+   * @param signal the name of the signal without SIG
+   * @throws IOException if the process does not exist or the signal cannot be sent
+   */
   public synchronized void signal(String signal) throws IOException {
     if (!isAlive()) {
-      throw new IOException(name + " is not there");
+      throw new IOException("cannot send SIG" + signal + ": " + name + " is not alive");
     }
     try {
       Process kill = new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start();
       if (kill.waitFor() != 0 && process.isAlive()) {
-        throw new IOException("no SIG" + signal + " to " + name);
+        throw new IOException("cannot send SIG" + signal + " to " + name);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Sends SIGKILL and waits for the end, also of a stopped process. */
+  /** Sends SIGKILL, which also ends a stopped process, and waits until it has ended. */
   public synchronized void kill() {
     if (isAlive()) {
       process.destroyForcibly();
@@ -73,7 +82,11 @@
     }
   }
 
-  /** Sends SIGTERM and waits for the end. */
+  /**
+   * Sends SIGTERM and waits until the process has ended. A stopped process is resumed first. A
+   * process that does not end within {@value #END_TIMEOUT_S} s is killed and reported by {@link
+   * #terminationFailures}.
+   */
   public synchronized void terminate() throws IOException {
     if (isAlive()) {
       if (stopped) {
@@ -83,7 +96,7 @@
       if (!awaitEnd()) {
         process.destroyForcibly();
         awaitEnd();
-        complaints.add(name + " did not end on SIGTERM within " + END_TIMEOUT_S + " s");
+        terminationFailures.add(name + " did not end on SIGTERM within " + END_TIMEOUT_S + " s");
       }
     }
   }
@@ -97,13 +110,13 @@
     }
   }
 
-  /** Its exit value, or {@link #NONE}. */
+  /** Returns the exit code, or {@link #NONE}. */
   public synchronized int exitValue() {
     return process == null || process.isAlive() ? NONE : process.exitValue();
   }
 
-  /** Signals that it did not obey, a line each. */
-  public synchronized List<String> complaints() {
-    return List.copyOf(complaints);
+  /** Returns a line for each SIGTERM on which the process did not end in time. */
+  public synchronized List<String> terminationFailures() {
+    return List.copyOf(terminationFailures);
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewayProcess.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewayProcess.java
@@ -9,14 +9,15 @@
 import java.util.stream.Stream;
 
 /**
- * One gateway in its own process, which can be stopped, killed and restarted, also with a lost or
- * an old disk.
+ * A gateway in its own process, which can be stopped, killed and restarted, also with its disk lost
+ * or replaced by an older copy.
  */
 public final class GatewayProcess {
-  /** The exit value of a process in which an invariant was violated. */
+  /** The exit code of a process in which an invariant was violated. */
   private static final int INVARIANT_VIOLATED = 70;
 
-  private static final List<String> ILL =
+  /** Texts in the log of a gateway that report a violated invariant or a crash. */
+  private static final List<String> FAILURE_MARKERS =
       List.of("INVARIANT", "invariant broken", "Exception in thread");
 
   private final GatewaySpec spec;
@@ -25,9 +26,9 @@
   private final ControlledProcess process;
 
   /**
-   * Describes a gateway; it is not started.
+   * Creates a gateway without starting its process.
    *
-   * @param classPath the class path of the program
+   * @param classPath the class path of the gateway's program
    */
   public GatewayProcess(GatewaySpec spec, String classPath) {
     this.spec = spec;
@@ -36,7 +37,7 @@
     files = new ConfigurationFiles(spec);
   }
 
-  /** Its name. */
+  /** Returns the name of the gateway. */
   public String name() {
     return spec.name();
   }
@@ -45,7 +46,7 @@
     return spec;
   }
 
-  /** Starts it with its present disk, without waiting until it is ready. */
+  /** Starts the process with its present disk, without waiting until the gateway is ready. */
   public synchronized void start() throws IOException {
     Files.createDirectories(files.store());
     List<String> command =
@@ -75,57 +76,70 @@
     process.start(builder);
   }
 
-  /** The process itself. */
+  /** Returns the process of the gateway. */
   public ControlledProcess process() {
     return process;
   }
 
-  /** Whether it exists, stopped or not. */
+  /** Returns whether the process exists, stopped or not. */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Whether it exists and is not stopped. */
+  /** Returns whether the process exists and is not stopped. */
   public boolean isRunning() {
     return process.isRunning();
   }
 
-  /** Sends SIGSTOP. */
+  /** Suspends the process with SIGSTOP. */
   public void stop() throws IOException {
     process.stop();
   }
 
-  /** Sends SIGCONT. */
+  /** Resumes the process with SIGCONT. */
   public void resume() throws IOException {
     process.resume();
   }
 
-  /** Sends SIGKILL and waits for the end, also of a stopped process. */
+  /** Sends SIGKILL, which also ends a stopped process, and waits until it has ended. */
   public void kill() {
     process.kill();
   }
 
-  /** Sends SIGTERM, upon which it leaves the fleet, and waits for the end. */
+  /** Sends SIGTERM, on which the gateway leaves the fleet, and waits until it has ended. */
   public void terminate() throws IOException {
     process.terminate();
   }
 
-  /** Deletes its disk; it must not run. */
+  /**
+   * Deletes the disk of the gateway.
+   *
+   * @throws IOException if the process is alive
+   */
   public synchronized void loseDisk() throws IOException {
-    requireDown();
+    requireNotAlive();
     delete(files.store());
   }
 
-  /** Copies its present disk, like a backup; it must not run. */
+  /**
+   * Copies the present disk of the gateway, as a backup does.
+   *
+   * @throws IOException if the process is alive
+   */
   public synchronized void copyDisk() throws IOException {
-    requireDown();
+    requireNotAlive();
     delete(spec.folder().resolve("copy"));
     copy(files.store(), spec.folder().resolve("copy"));
   }
 
-  /** Restores the copy of its disk; it must not run. False if there is no copy. */
+  /**
+   * Replaces the disk of the gateway by its copy.
+   *
+   * @return whether there was a copy
+   * @throws IOException if the process is alive
+   */
   public synchronized boolean restoreDisk() throws IOException {
-    requireDown();
+    requireNotAlive();
     if (!Files.isDirectory(spec.folder().resolve("copy"))) {
       return false;
     }
@@ -134,9 +148,9 @@
     return true;
   }
 
-  private void requireDown() throws IOException {
+  private void requireNotAlive() throws IOException {
     if (isAlive()) {
-      throw new IOException(spec.name() + " is still there");
+      throw new IOException("cannot change the disk of " + spec.name() + ": its process is alive");
     }
   }
 
@@ -158,21 +172,21 @@
     }
   }
 
-  /** Its log file. */
+  /** Returns the log file of the gateway. */
   public Path log() {
     return spec.folder().resolve("log.txt");
   }
 
-  /** Violations inside the process, by its log and its exit value. */
+  /** Returns the violations that the process reports by its log and its exit code. */
   public synchronized List<String> violations() throws IOException {
-    List<String> found = new ArrayList<>(process.complaints());
+    List<String> found = new ArrayList<>(process.terminationFailures());
     if (process.exitValue() == INVARIANT_VIOLATED) {
-      found.add(spec.name() + " ended with " + INVARIANT_VIOLATED);
+      found.add(spec.name() + " ended with exit code " + INVARIANT_VIOLATED);
     }
     if (Files.exists(log())) {
       for (String line : Files.readString(log()).split("\n", -1)) {
-        if (ILL.stream().anyMatch(line::contains)) {
-          found.add(spec.name() + " says: " + line.strip());
+        if (FAILURE_MARKERS.stream().anyMatch(line::contains)) {
+          found.add(spec.name() + " logged: " + line.strip());
         }
       }
     }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewaySpec.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/process/GatewaySpec.java
@@ -8,17 +8,18 @@
 /**
  * The configuration of one gateway of a cluster.
  *
- * @param folder its folder with configuration, log and store
- * @param name its name
- * @param site its site
- * @param http the port at which it listens for clients
- * @param members the port at which it listens for other gateways
- * @param reach the ports of loopback at which it reaches the other gateways
- * @param channelVoters the gateways, one of each site, that agree on what is stable in channel logs
- * @param voters the gateways of which a majority grants leases
+ * @param folder the folder for the gateway's configuration, log and store
+ * @param name the name of the gateway
+ * @param site the name of the gateway's site
+ * @param http the port on which the gateway listens for clients
+ * @param members the port on which the gateway listens for other gateways
+ * @param reach the loopback ports at which the gateway reaches each other gateway, by name
+ * @param channelVoters the gateways, one of each site, that agree on which entries of channel logs
+ *     are stable
+ * @param voters the gateways that vote on the statement log; a majority of them grants leases
  * @param discovery the port of the discovery service
- * @param engines the ports at which it reaches engines e1, e2, ...
- * @param shared which components of shared state are on
+ * @param engines the ports at which the gateway reaches engines e1, e2, ...
+ * @param shared the components of shared state that are enabled
  */
 public record GatewaySpec(
     Path folder,
@@ -32,7 +33,7 @@
     int discovery,
     List<Integer> engines,
     Shared shared) {
-  /** The components of shared state; each includes those before it. */
+  /** The enabled components of shared state; each value includes those before it. */
   public enum Shared {
     NOTHING,
     MEMBERS,
@@ -40,7 +41,7 @@
     STATEMENTS
   }
 
-  /** Copies the map. */
+  /** Copies the ports of the other gateways. */
   public GatewaySpec {
     reach = new TreeMap<>(reach);
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/ServiceHistory.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/ServiceHistory.java
@@ -3,12 +3,18 @@
 import java.util.function.Supplier;
 import tillerlink.model.Engine.Status;
 
-/** What gateways know of engines, by the record of the discovery service of what it sent. */
+/**
+ * The knowledge of the gateways about the engines, derived from the endpoint lists that the
+ * discovery service recorded as sent.
+ */
 final class ServiceHistory implements SoakOracle.DiscoveryHistory {
   private final Supplier<SoakDiscovery> discovery;
   private final Supplier<SoakGateways> gateways;
 
-  /** The suppliers are used on the first question, when all parts of the run exist. */
+  /**
+   * Creates a history. The suppliers are first called by a query, because the parts of the run are
+   * created after this object.
+   */
   ServiceHistory(Supplier<SoakDiscovery> discovery, Supplier<SoakGateways> gateways) {
     this.discovery = discovery;
     this.gateways = gateways;
@@ -18,6 +24,7 @@
     return discovery.get().eventsOf("e" + engine);
   }
 
+  /** Returns when a gateway counts as knowing an event. */
   private double knownAt(int gateway, SoakDiscovery.Event event) {
     SoakGateways processes = gateways.get();
     return discovery
@@ -35,7 +42,7 @@
     for (SoakDiscovery.Event event : eventsOf(engine)) {
       double knownAt = knownAt(gateway, event);
       if (event.entry().standing() == Status.READY) {
-        // A gateway that knows this, or could know it, may send there again.
+        // From the time of the event on the gateway may know it, and then may send there again.
         since = event.at() <= at ? Double.MAX_VALUE : since;
       } else {
         since = Math.min(since, knownAt);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/Soak.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/Soak.java
@@ -16,9 +16,10 @@
 import tillerlink.faultinjection.schedule.ScheduleShrinker;
 
 /**
- * Runs random schedules of overlapping faults on real gateway processes for some minutes, and
- * checks the rules from outside. The exit code is 0 only if no rule was violated. A schedule with a
- * violation is printed and shrunk.
+ * Command-line program that runs random schedules of overlapping faults on gateway processes for a
+ * given number of minutes, and checks the rules from the observations of clients, engines and the
+ * discovery service. A schedule with a violation is printed and shrunk. The exit code is 0 if no
+ * rule was violated, 1 if one was, and 2 if arguments are missing.
  */
 public final class Soak {
   private static final long SCHEDULE_MS = 20_000;
@@ -42,14 +43,15 @@
   }
 
   /**
-   * Runs from the command line.
+   * Runs the program.
    *
-   * @param args the seed, for how many minutes runs may begin, and how many processes; with a
-   *     fourth argument, only the one run of exactly that seed
+   * @param args the seed, the number of minutes within which new runs may start, and the number of
+   *     gateway processes; with a fourth argument, the schedule of exactly that seed is run once
+   * @throws IOException if the folders or processes of a run cannot be created
    */
   public static void main(String[] args) throws IOException {
     if (args.length < 3) {
-      System.err.println("soak SEED MINUTES PROCESSES, or soak SEED 0 PROCESSES once");
+      System.err.println("usage: soak SEED MINUTES PROCESSES, or soak SEED 0 PROCESSES once");
       System.exit(2);
     }
     Soak soak = new Soak(Files.createTempDirectory("soak"), System.out);
@@ -63,15 +65,15 @@
   }
 
   private boolean run(long seed, double minutes, int processes, boolean once) throws IOException {
-    RandomGenerator chance = new SplittableRandom(seed);
+    RandomGenerator random = new SplittableRandom(seed);
     long deadline = System.nanoTime() + (long) (minutes * NANOS_PER_MINUTE);
     do {
-      runOne(SoakSchedule.of(once ? seed : chance.nextLong(1L << 40), processes, SCHEDULE_MS));
+      runOne(SoakSchedule.of(once ? seed : random.nextLong(1L << 40), processes, SCHEDULE_MS));
     } while (!once && System.nanoTime() < deadline);
     out.printf(Locale.ROOT, "faults by kind: %s%n", faults);
     out.printf(
         Locale.ROOT,
-        "pairs of kinds that overlapped: %d of %d%n",
+        "overlapping pairs of fault kinds: %d of %d%n",
         pairs.size(),
         SoakFault.Kind.values().length * (SoakFault.Kind.values().length + 1) / 2);
     out.printf(
@@ -97,8 +99,8 @@
     schedulesFailed += passed ? 0 : 1;
     out.printf(
         Locale.ROOT,
-        "run %d: seed %d, %d faults, %d requests (%d served, %d refused), %d attempts, rig late by"
-            + " %.0f ms at most: %s%n",
+        "run %d: seed %d, %d faults, %d requests (%d served, %d refused), %d attempts, harness lag"
+            + " up to %.0f ms: %s%n",
         schedulesRun,
         schedule.seed(),
         schedule.faults().size(),
@@ -113,15 +115,15 @@
       out.print(schedule);
       SoakRule rule = result.violations().get(0).rule();
       out.println(
-          "cutting it down to what still breaks "
+          "shrinking the schedule while it still violates "
               + rule
-              + ", "
+              + ", in at most "
               + MAX_SHRINK_RUNS
-              + " runs at the most");
+              + " runs");
       List<SoakFault> shortest =
           ScheduleShrinker.shrink(
               schedule.faults(), steps -> violates(schedule.with(steps), rule), MAX_SHRINK_RUNS);
-      out.println("the shortest that still does:");
+      out.println("shortest failing schedule found:");
       out.print(schedule.with(shortest));
     }
   }
@@ -130,7 +132,7 @@
     try {
       return run(schedule).counts().containsKey(rule);
     } catch (IOException e) {
-      out.println("a shorter one could not be played: " + e.getMessage());
+      out.println("a shorter schedule could not be run: " + e.getMessage());
       return false;
     }
   }
@@ -149,7 +151,7 @@
         }
       }
     } else {
-      out.println("its logs are kept in " + runFolder);
+      out.println("logs of the failed run: " + runFolder);
     }
     return result;
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakClock.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakClock.java
@@ -1,15 +1,15 @@
 package tillerlink.faultinjection.soak;
 
 /**
- * The clock of a run, in milliseconds since its start, which also measures how far the harness
- * itself lags, so that its own delays are not counted against a gateway.
+ * The clock of a run, in milliseconds since its start. It also measures the scheduling lag of the
+ * harness itself, so that delays of the harness are not counted against a gateway.
  */
 final class SoakClock {
   private static final long INTERVAL_MS = 10;
-  private static final int LAGS_KEPT = 512;
+  private static final int SAMPLES = 512;
 
   private final long startNanos = System.nanoTime();
-  private final double[] lags = new double[LAGS_KEPT];
+  private final double[] lags = new double[SAMPLES];
   private volatile boolean ended;
   private double worst;
   private int measurements;
@@ -20,6 +20,7 @@
     thread.start();
   }
 
+  /** Returns the time since the start of the run, in milliseconds. */
   double now() {
     return (System.nanoTime() - startNanos) / 1e6;
   }
@@ -37,11 +38,11 @@
   }
 
   private synchronized void record(double lag) {
-    lags[measurements++ % LAGS_KEPT] = lag;
+    lags[measurements++ % SAMPLES] = lag;
     worst = Math.max(worst, lag);
   }
 
-  /** The greatest lag in the last seconds. */
+  /** Returns the greatest of the last {@value #SAMPLES} lags, about 5 s, in milliseconds. */
   synchronized double lag() {
     double max = 0;
     for (double lag : lags) {
@@ -50,7 +51,7 @@
     return max;
   }
 
-  /** The greatest lag of the whole run. */
+  /** Returns the greatest lag of the whole run, in milliseconds. */
   synchronized double worstLag() {
     return worst;
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakDiscovery.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakDiscovery.java
@@ -20,14 +20,15 @@
 import tillerlink.net.wire.EndpointEntry;
 
 /**
- * The discovery service of all gateways: one endpoint list with numbered events, and a link to each
- * gateway with its own faults. It records which events each gateway was sent, and when.
+ * The fake discovery service of all gateways, with one endpoint list that changes by numbered
+ * events, and a link to each gateway with its own injected faults. It records which events were
+ * sent to each gateway, and when. Times are milliseconds on the clock of the run.
  */
 final class SoakDiscovery implements Closeable {
   private static final int MAX_DATAGRAM_BYTES = 512;
   private static final long REPETITION_DELAY_MS = 30;
 
-  /** A change of an engine: its entry from then on. */
+  /** A change of an engine's entry; the index counts events from 1. */
   record Event(long index, double at, EndpointEntry entry) {}
 
   /** The link between the service and one gateway. */
@@ -39,12 +40,12 @@
     private double lossShare;
     private double maxDelayMs;
 
-    /** Start and end of the last outage of the service on this link. */
+    /** The start of the present outage of the service, and the end of the last one. */
     private double downSince = Double.MAX_VALUE;
 
     private double upSince;
 
-    /** When the first response with all events up to a number was sent. */
+    /** The time of the first response with exactly the events up to an index, by that index. */
     private final TreeMap<Long, Double> sentAt = new TreeMap<>();
   }
 
@@ -80,13 +81,13 @@
     return links.get(gateway).socket.getLocalPort();
   }
 
-  /** Moves the service to another port for that gateway; the old port is closed. */
+  /** Moves the service for a gateway to another port, and closes the old one. */
   synchronized void move(int gateway) throws IOException {
     links.get(gateway).socket.close();
     open(gateway);
   }
 
-  /** Adapts an entry to a gateway, as each reaches engines at its own ports. */
+  /** Adapts an entry to a gateway, because each gateway reaches the engines at its own ports. */
   interface EntryAdapter {
     EndpointEntry adapt(EndpointEntry entry, int gateway);
   }
@@ -97,17 +98,18 @@
 
   // ---- the list ----
 
-  /** Changes the entry of an engine. */
+  /** Adds an event that changes the entry of an engine. */
   synchronized void update(EndpointEntry entry) {
     events.add(new Event(events.size() + 1, clock.now(), entry));
     engines.put(entry.id(), entry);
   }
 
-  /** The present list. */
+  /** Returns the present endpoint list. */
   synchronized List<EndpointEntry> list() {
     return engines.values().stream().filter(entry -> entry.standing() != Status.GONE).toList();
   }
 
+  /** Returns the index of the last event, or 0. */
   synchronized long index() {
     return events.size();
   }
@@ -118,6 +120,11 @@
 
   // ---- faults ----
 
+  /**
+   * Begins or ends a fault on the link to a gateway.
+   *
+   * @param amount the share of lost datagrams or the greatest delay in milliseconds, by kind
+   */
   synchronized void set(int gateway, SoakFault.Kind kind, double amount, boolean active) {
     Link link = links.get(gateway);
     if (!active) {
@@ -155,7 +162,7 @@
             Arrays.copyOf(packet.getData(), packet.getLength()),
             packet.getSocketAddress());
       } catch (IOException e) {
-        // The gateway has gone, or the service has moved.
+        // The gateway has ended, or the service has moved.
       }
     }
   }
@@ -221,37 +228,40 @@
     try {
       socket.send(new DatagramPacket(bytes, bytes.length, to));
     } catch (IOException e) {
-      // The gateway has gone, or the service has moved.
+      // The gateway has ended, or the service has moved.
     }
   }
 
-  // ---- which gateway knows what ----
+  // ---- knowledge of gateways ----
 
-  /** The events so far of an engine, oldest first. */
+  /** Returns the events of an engine so far, oldest first. */
   synchronized List<Event> eventsOf(String engine) {
     return events.stream().filter(event -> event.entry.id().equals(engine)).toList();
   }
 
   /**
-   * When a gateway that started then counts as knowing an event: when a response with it was sent,
-   * but at most 1.5 s after the event or the start of the gateway; 7 s after an outage.
+   * Returns when a gateway counts as knowing an event. That is when a response with the event was
+   * sent to it, but no later than 1.5 s after the event or the start of the gateway, or 7 s if the
+   * service had an outage in the meantime.
+   *
+   * @param startedAt the time at which the gateway's present process started
+   * @param indexAtStart the index of the last event in the configuration of that process
    */
   synchronized double knownAt(int gateway, Event event, double startedAt, long indexAtStart) {
     if (event.index <= indexAtStart) {
       return startedAt;
     }
     Link link = links.get(gateway);
-    double happened = Math.max(event.at, startedAt);
+    double start = Math.max(event.at, startedAt);
     double sent =
         link.sentAt.tailMap(event.index).values().stream()
             .filter(at -> at >= startedAt)
             .min(Double::compare)
             .orElse(Double.MAX_VALUE);
-    double atLatest = happened + SoakSettings.LEARNS_AT_LATEST_AFTER_MS;
-    boolean outage =
-        happened + SoakSettings.LEARNS_AFTER_MS >= link.downSince || link.upSince > happened;
-    double unsent = outage ? atLatest : happened + SoakSettings.LEARNS_AFTER_MS;
-    return Math.min(sent, Math.min(unsent, atLatest));
+    double latest = start + SoakSettings.OUTAGE_PROPAGATION_MS;
+    boolean outage = start + SoakSettings.PROPAGATION_MS >= link.downSince || link.upSince > start;
+    double unsent = outage ? latest : start + SoakSettings.PROPAGATION_MS;
+    return Math.min(sent, Math.min(unsent, latest));
   }
 
   @Override
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakEngines.java
@@ -23,8 +23,9 @@
 import tillerlink.fakes.EngineCommandParser.Command;
 
 /**
- * The engines of a soak, each with one port per gateway, which identifies the gateway. Requests are
- * read and recorded at once whatever the fault; a fault decides the reply and its time.
+ * The fake engines of a soak run. Each has one port per gateway, which identifies the gateway.
+ * Requests are read and recorded at once whatever faults are active; a fault affects only the
+ * response and its time, or resets the connection.
  */
 final class SoakEngines implements Closeable {
   private static final int BUFFER_BYTES = 4096;
@@ -37,10 +38,10 @@
   private static final int ACCEPT_BACKLOG = 64;
   private static final int STACK_BYTES = 128 * 1024;
 
-  /** The port at which a gateway reaches an engine. */
+  /** A port, identified by the engine and the gateway that reaches the engine there. */
   private record Port(int engine, int gateway) {}
 
-  /** The present state of an engine. */
+  /** The present state of an engine; all its connections are reset while it is down. */
   private static final class State {
     private final Set<SoakFault.Kind> faults = ConcurrentHashMap.newKeySet();
     private final Set<Connection> open = ConcurrentHashMap.newKeySet();
@@ -54,7 +55,7 @@
   private final List<State> states = new ArrayList<>();
   private final int[][] ports;
 
-  /** The active faults of the links from each gateway. */
+  /** The active faults of the links from each gateway to the engines. */
   private final List<Set<SoakFault.Kind>> linkFaults = new ArrayList<>();
 
   private final Selector selector = Selector.open();
@@ -88,11 +89,12 @@
     return listener.socket().getLocalPort();
   }
 
-  /** The port at which a gateway reaches an engine. */
+  /** Returns the port at which a gateway reaches an engine. */
   int port(int engine, int gateway) {
     return ports[engine][gateway];
   }
 
+  /** Begins or ends a fault of an engine. */
   void set(int engine, SoakFault.Kind kind, boolean active) {
     State state = states.get(engine);
     if (active) {
@@ -102,6 +104,7 @@
     }
   }
 
+  /** Begins or ends a fault of the links from a gateway to all engines. */
   void setLink(int gateway, SoakFault.Kind kind, boolean active) {
     if (active) {
       linkFaults.get(gateway).add(kind);
@@ -110,7 +113,7 @@
     }
   }
 
-  /** Ends the process of an engine: connections are reset, also new ones. */
+  /** Ends the process of an engine: its connections are reset, and new ones too. */
   void down(int engine) {
     states.get(engine).down = true;
     states.get(engine).open.forEach(Connection::reset);
@@ -145,7 +148,7 @@
     thread.start();
   }
 
-  /** A gateway's connection to an engine. */
+  /** A connection from a gateway to an engine. */
   private final class Connection {
     private final Socket socket;
     private final Port port;
@@ -162,14 +165,14 @@
     void serve() {
       state.open.add(this);
       try (socket) {
-        if (state.down || (hasFault(SoakFault.Kind.ENGINE_RESETS) && chance(RESET_SHARE))) {
+        if (state.down || (hasFault(SoakFault.Kind.ENGINE_RESETS) && drawBelow(RESET_SHARE))) {
           reset();
           return;
         }
         socket.setTcpNoDelay(true);
         readCommands();
       } catch (IOException | IllegalArgumentException e) {
-        // The connection broke; its attempts are given up.
+        // The connection broke; its attempts are reported below.
       } finally {
         state.open.remove(this);
         running.forEach(id -> oracle.attemptEnded(port.engine, id, SoakOracle.End.GIVEN_UP));
@@ -216,18 +219,18 @@
               command.limit(),
               at));
       running.add(command.id());
-      double ms = MIN_WORK_MS + WORK_SPREAD_MS * draw();
+      double workMs = MIN_WORK_MS + WORK_SPREAD_MS * draw();
       if (linkFaults.get(port.gateway).contains(SoakFault.Kind.DIAL_LATE) && !answered) {
-        ms += MAX_DIAL_DELAY_MS * draw();
+        workMs += MAX_DIAL_DELAY_MS * draw();
       }
-      if (hasFault(SoakFault.Kind.ENGINE_RESETS) && chance(RESET_SHARE)) {
-        timer.after(ms / 2, this::reset);
+      if (hasFault(SoakFault.Kind.ENGINE_RESETS) && drawBelow(RESET_SHARE)) {
+        timer.after(workMs / 2, this::reset);
       }
-      timer.after(ms, () -> end(command));
+      timer.after(workMs, () -> end(command));
     }
 
     private void end(Command command) {
-      if (silent() || !running.contains(command.id())) {
+      if (isSilent() || !running.contains(command.id())) {
         return;
       }
       SoakOracle.End end = drawEnd();
@@ -240,15 +243,15 @@
           timer.after(MAX_IDLE_MS * draw(), this::closeIfIdle);
         }
       } catch (IOException e) {
-        // The connection broke during the reply, which is lost.
+        // The connection broke during the response, which is lost.
       }
     }
 
     private SoakOracle.End drawEnd() {
-      if (hasFault(SoakFault.Kind.ENGINE_REFUSES) && chance(FAILURE_SHARE)) {
+      if (hasFault(SoakFault.Kind.ENGINE_REFUSES) && drawBelow(FAILURE_SHARE)) {
         return SoakOracle.End.REFUSED;
       }
-      return hasFault(SoakFault.Kind.ENGINE_ERRS) && chance(FAILURE_SHARE)
+      return hasFault(SoakFault.Kind.ENGINE_ERRS) && drawBelow(FAILURE_SHARE)
           ? SoakOracle.End.ERRED
           : SoakOracle.End.ANSWERED;
     }
@@ -261,7 +264,8 @@
       };
     }
 
-    private boolean silent() {
+    /** Returns whether an active fault suppresses all responses on this connection. */
+    private boolean isSilent() {
       return state.down
           || linkFaults.get(port.gateway).contains(SoakFault.Kind.PARTED)
           || EnumSet.of(SoakFault.Kind.ENGINE_HANGS, SoakFault.Kind.ENGINE_VANISHES).stream()
@@ -273,13 +277,13 @@
         try {
           socket.close();
         } catch (IOException e) {
-          // It is closed already.
+          // The socket is already closed.
         }
       }
     }
 
     private synchronized void write(String text) throws IOException {
-      if (!silent()) {
+      if (!isSilent()) {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
       }
     }
@@ -289,7 +293,7 @@
         socket.setSoLinger(true, 0);
         socket.close();
       } catch (IOException e) {
-        // It is closed already.
+        // The socket is already closed.
       }
     }
   }
@@ -298,7 +302,7 @@
     return random.nextDouble();
   }
 
-  private boolean chance(double share) {
+  private boolean drawBelow(double share) {
     return draw() < share;
   }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakFault.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakFault.java
@@ -3,60 +3,61 @@
 import java.util.Locale;
 
 /**
- * One fault of a soak.
+ * A fault of a soak run.
  *
- * @param atMs when it begins
- * @param lastsMs how long it lasts
- * @param who the number of the gateway or engine that it hits
- * @param amount depending on the kind, a chance or a share of the greatest delay
+ * @param atMs the time at which the fault begins, in milliseconds since the start of the load
+ * @param durationMs the duration of the fault, in milliseconds
+ * @param who the number of the affected gateway or engine, from 0
+ * @param amount the strength of the fault, from 0 to 1; only {@code NAMES_LOSSY} and {@code
+ *     NAMES_SLOW} use it
  */
-public record SoakFault(long atMs, long lastsMs, Kind kind, int who, double amount) {
-  /** What a fault hits. */
+public record SoakFault(long atMs, long durationMs, Kind kind, int who, double amount) {
+  /** The kind of process that a fault affects. */
   public enum Target {
     GATEWAY,
     ENGINE
   }
 
-  /** The kinds of fault; schedules and reports print the names. */
+  /** The kinds of fault, whose names are printed in schedules and reports. */
   public enum Kind {
     STOPPED(Target.GATEWAY),
     KILLED(Target.GATEWAY),
     TERMINATED(Target.GATEWAY),
-    /** The discovery service moves, which a new configuration and SIGHUP announce. */
+    /** The discovery service moves to another port, announced by a new configuration and SIGHUP. */
     RELOADED(Target.GATEWAY),
-    /** Three in a row, 50 ms apart. */
+    /** Three such moves in a row, 50 ms apart. */
     RELOADED_THRICE(Target.GATEWAY),
-    /** The discovery service receives queries and sends no responses. */
+    /** The discovery service receives queries but sends no responses. */
     NAMES_DOWN(Target.GATEWAY),
-    /** Responses are computed and sent late. */
+    /** The discovery service computes and sends responses late. */
     NAMES_SLOW(Target.GATEWAY),
-    /** Queries and responses are lost. */
+    /** A share of the discovery queries and responses is lost. */
     NAMES_LOSSY(Target.GATEWAY),
-    /** Responses are repeated later. */
+    /** Each discovery response is sent a second time later, so that it may follow newer ones. */
     NAMES_REORDERED(Target.GATEWAY),
-    /** Responses contain an older list. */
+    /** Discovery responses contain an older endpoint list. */
     NAMES_OLDER(Target.GATEWAY),
-    /** Responses are truncated. */
+    /** About half of the discovery responses are truncated. */
     NAMES_TRUNCATED(Target.GATEWAY),
-    /** Responses to the port from which the gateway now sends are lost. */
+    /** Discovery responses to the port from which the gateway sends at the beginning are lost. */
     NAMES_WAY_SILENT(Target.GATEWAY),
-    /** Connections to engines are served late at first. */
+    /** The first response on each new connection to an engine is late. */
     DIAL_LATE(Target.GATEWAY),
-    /** A network partition between a gateway and its engines; open connections are silent. */
+    /** A network partition between a gateway and its engines: connections stay open but silent. */
     PARTED(Target.GATEWAY),
-    /** Many clients at once. */
+    /** Many clients send requests at once. */
     CLIENTS_FLOOD(Target.GATEWAY),
     ENGINE_DRAINS(Target.ENGINE),
-    /** It is removed without a drain, and its connections are silent. */
+    /** The engine is removed from the list without a drain, and its connections are silent. */
     ENGINE_VANISHES(Target.ENGINE),
     ENGINE_HANGS(Target.ENGINE),
-    /** Its connections are reset; it restarts cold at the same address. */
+    /** The engine's connections are reset, and it restarts cold at the same address. */
     ENGINE_CRASHES(Target.ENGINE),
     ENGINE_REFUSES(Target.ENGINE),
     ENGINE_ERRS(Target.ENGINE),
-    /** It resets connections before, during and after requests. */
+    /** The engine resets connections when they open and while requests run. */
     ENGINE_RESETS(Target.ENGINE),
-    /** It closes idle connections. */
+    /** The engine closes idle connections. */
     ENGINE_CLOSES_IDLE(Target.ENGINE);
 
     final Target target;
@@ -75,7 +76,7 @@
         kind,
         kind.target == Target.GATEWAY ? "n" : "e",
         who,
-        lastsMs,
+        durationMs,
         amount);
   }
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakGateways.java
@@ -17,18 +17,21 @@
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
-/** The gateway processes of a soak, started as in production, with their configurations. */
+/** The gateway processes of a soak run with their configurations, started as in production. */
 final class SoakGateways {
+  /** The exit codes of processes that a signal ended: 128 plus the number of the signal. */
   private static final int TERMINATED = 143;
+
   private static final int KILLED = 137;
   private static final double READY_TIMEOUT_MS = 60_000;
   private static final int CONNECT_TIMEOUT_MS = 500;
   private static final long POLL_INTERVAL_MS = 20;
 
-  /** For how long clients open connections after SIGTERM. */
+  /** The time after SIGTERM during which clients still open connections. */
   private static final double CLIENTS_AFTER_SIGTERM_MS = 250;
 
-  private static final List<String> ILL =
+  /** Texts in the log of a gateway that report a violated invariant or a crash. */
+  private static final List<String> FAILURE_MARKERS =
       List.of(
           "invariant violated",
           "internal error",
@@ -36,12 +39,13 @@
           "Exception in thread",
           "died");
 
+  /** A gateway with its present process. Times are milliseconds on the clock of the run. */
   private static final class Gateway {
     private final String name;
     private final int port = Ports.free();
     private final ControlledProcess process;
 
-    /** Clients connect from then on, but not while it is down. */
+    /** The interval in which clients connect to the gateway; none while it is down. */
     private volatile double servesFrom = Double.MAX_VALUE;
 
     private volatile double servesUntil = Double.MAX_VALUE;
@@ -62,11 +66,12 @@
   private final SoakClock clock;
   private final List<Gateway> gateways = new ArrayList<>();
 
-  /** The ports of engines; each gateway reaches them at its own ones. */
+  /** The ports of the engines; each gateway reaches an engine at its own port. */
   private final PortOf ports;
 
-  /** The port at which a gateway reaches an engine. */
+  /** A mapping from engines and gateways to ports. */
   interface PortOf {
+    /** Returns the port at which a gateway reaches an engine. */
     int port(int engine, int gateway);
   }
 
@@ -105,12 +110,15 @@
     return gateways.get(gateway).indexAtStart;
   }
 
-  /** Counts its processes: a later one does not answer requests to an earlier one. */
+  /**
+   * Returns a number that increases with each start and kill of the gateway. Requests sent under an
+   * earlier number may stay without a response.
+   */
   int incarnation(int gateway) {
     return gateways.get(gateway).incarnation.get();
   }
 
-  /** Whether clients connect to it now. */
+  /** Returns whether clients connect to the gateway now. */
   boolean serves(int gateway) {
     Gateway instance = gateways.get(gateway);
     double now = clock.now();
@@ -123,6 +131,7 @@
 
   // ---- start ----
 
+  /** Starts a process of the gateway, without waiting until it is ready. */
   void start(int gateway) throws IOException {
     Gateway instance = gateways.get(gateway);
     instance.servesFrom = Double.MAX_VALUE;
@@ -153,21 +162,27 @@
     instance.process.start(builder);
   }
 
-  /** Waits until it is healthy. */
+  /**
+   * Waits until the gateway is healthy, from when on clients connect to it.
+   *
+   * @throws IOException if its process ends or it is not healthy within 60 s; the message contains
+   *     its log
+   */
   void awaitReady(int gateway) throws IOException {
     Gateway instance = gateways.get(gateway);
     double deadline = clock.now() + READY_TIMEOUT_MS;
     while (!new HttpEndpointClient(instance.port, (long) READY_TIMEOUT_MS).healthy()) {
       if (!instance.process.isAlive() || clock.now() > deadline) {
-        oracle.inside(instance.name + " did not come up");
+        oracle.inside(instance.name + " did not become healthy");
         throw new IOException(
-            instance.name + " did not come up; its log: " + Files.readString(log(gateway)));
+            instance.name + " did not become healthy; its log: " + Files.readString(log(gateway)));
       }
       pause(POLL_INTERVAL_MS);
     }
     instance.servesFrom = clock.now();
   }
 
+  /** Writes the gateway's configuration with the present endpoint list, atomically. */
   private void configure(int gateway) throws IOException {
     Gateway instance = gateways.get(gateway);
     String entries;
@@ -205,6 +220,7 @@
         StandardCopyOption.ATOMIC_MOVE);
   }
 
+  /** Returns the entry of an engine as JSON, with the port at which the gateway reaches it. */
   private String json(EndpointEntry entry, int gateway) {
     int engine = Integer.parseInt(entry.id().substring(1));
     String status = entry.standing() == Status.DRAINING ? "DRAINING" : "SERVING";
@@ -236,7 +252,7 @@
     Gateway instance = gateways.get(gateway);
     long index = instance.indexAtStart;
     configure(gateway);
-    // A running process takes over the port of the discovery service only.
+    // On a reload a process takes over only the port of the discovery service, not the list.
     instance.indexAtStart = index;
     instance.process.signal("HUP");
   }
@@ -254,41 +270,45 @@
   void kill(int gateway) {
     Gateway instance = gateways.get(gateway);
     instance.servesFrom = Double.MAX_VALUE;
-    // Before the kill, because clients see their connections end at once.
+    // Incremented before the kill, because clients see their connections end at once.
     instance.incarnation.incrementAndGet();
     instance.process.kill();
     oracle.interrupted(gateway, clock.now());
   }
 
-  /** Sends SIGTERM, while clients connect for a moment more, and waits for the end. */
+  /**
+   * Sends SIGTERM, after which clients still connect for a short time, and waits until the process
+   * has ended. Reports a violation if its exit code is not that of SIGTERM.
+   */
   void terminate(int gateway) throws IOException {
     Gateway instance = gateways.get(gateway);
     instance.servesUntil = clock.now() + CLIENTS_AFTER_SIGTERM_MS;
     instance.process.terminate();
     int exit = instance.process.exitValue();
     if (exit != TERMINATED) {
-      oracle.inside(instance.name + " ended with " + exit + " on SIGTERM");
+      oracle.inside(
+          instance.name + " ended with exit code " + exit + " on SIGTERM, expected " + TERMINATED);
     }
   }
 
-  /** Reports processes that ended by themselves. */
+  /** Reports processes that ended without SIGTERM or SIGKILL. */
   void reportCrashes() {
     for (Gateway instance : gateways) {
       int exit = instance.process.exitValue();
       if (exit != ControlledProcess.NONE && exit != TERMINATED && exit != KILLED) {
-        oracle.inside(instance.name + " ended with " + exit);
+        oracle.inside(instance.name + " ended with exit code " + exit);
       }
     }
   }
 
-  /** Reports violations that the processes count or log themselves. */
+  /** Reports violations that the processes log, count in a metric, or show on SIGTERM. */
   void reportInside() throws IOException {
     for (int i = 0; i < gateways.size(); i++) {
       Gateway instance = gateways.get(i);
-      instance.process.complaints().forEach(oracle::inside);
+      instance.process.terminationFailures().forEach(oracle::inside);
       for (String line : Files.readString(log(i)).split("\n", -1)) {
-        if (ILL.stream().anyMatch(line::contains)) {
-          oracle.inside(instance.name + " says: " + line.strip());
+        if (FAILURE_MARKERS.stream().anyMatch(line::contains)) {
+          oracle.inside(instance.name + " logged: " + line.strip());
         }
       }
       if (instance.process.isRunning()) {
@@ -298,7 +318,7 @@
                 .body()
                 .split("\n", -1)) {
           if (line.startsWith("tillerlink_invariant_violations_total") && !line.endsWith(" 0")) {
-            oracle.inside(instance.name + " counts: " + line);
+            oracle.inside(instance.name + " reports the metric " + line);
           }
         }
       }
@@ -309,6 +329,7 @@
     gateways.forEach(instance -> instance.process.kill());
   }
 
+  /** Returns whether a loopback port accepts connections. */
   static boolean isListening(int port) {
     try (Socket socket = new Socket()) {
       socket.connect(
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakLoad.java
@@ -19,11 +19,11 @@
 import tillerlink.faultinjection.soak.SoakSettings.RequestClass;
 
 /**
- * The clients of a soak: regular ones, and some that disconnect, cancel, pipeline, write slowly,
- * keep connections idle, or come all at once.
+ * The clients of a soak run: regular ones, and some that disconnect, cancel, pipeline requests,
+ * write slowly, keep connections idle, or send requests all at once.
  */
 final class SoakLoad {
-  /** The estimate of each request, in milliseconds on one core. */
+  /** The estimated work of each request, in milliseconds on one core. */
   static final double ESTIMATE_MS = 50;
 
   private static final int MAX_RECONNECTS = 3;
@@ -37,7 +37,7 @@
   private static final String HEALTH_CHECK = "GET /healthz HTTP/1.1\r\nHost: soak\r\n\r\n";
   private static final int SUBJECTS = 4;
 
-  /** How a client behaves. */
+  /** The behaviour of a client. */
   enum ClientBehaviour {
     REGULAR,
     DISCONNECTS_AT_ONCE,
@@ -77,22 +77,22 @@
     }
   }
 
-  private void generate(int gateway, RandomGenerator chance) {
+  private void generate(int gateway, RandomGenerator random) {
     while (!ended) {
-      SoakGateways.pause((long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1000));
+      SoakGateways.pause((long) (-Math.log(1 - random.nextDouble()) / perSecond * 1000));
       if (!ended && gateways.serves(gateway)) {
-        RequestClass requestClass = REQUEST_CLASSES.get(chance.nextInt(REQUEST_CLASSES.size()));
+        RequestClass requestClass = REQUEST_CLASSES.get(random.nextInt(REQUEST_CLASSES.size()));
         ClientBehaviour behaviour =
-            chance.nextInt(3) > 0
+            random.nextInt(3) > 0
                 ? ClientBehaviour.REGULAR
-                : BEHAVIOURS.get(chance.nextInt(BEHAVIOURS.size()));
+                : BEHAVIOURS.get(random.nextInt(BEHAVIOURS.size()));
         start(
-            gateway, requestClass, behaviour, chance.nextInt(SUBJECTS), chance.nextLong(50, 1500));
+            gateway, requestClass, behaviour, random.nextInt(SUBJECTS), random.nextLong(50, 1500));
       }
     }
   }
 
-  /** Sends many requests at once. */
+  /** Sends many requests to a gateway at once. */
   void flood(int gateway) {
     for (int i = 0; i < FLOOD_REQUESTS && gateways.serves(gateway); i++) {
       start(gateway, RequestClass.LOOK, ClientBehaviour.REGULAR, 0, 0);
@@ -110,7 +110,7 @@
     clients.execute(client::run);
   }
 
-  /** Starts no further clients, and waits for the present ones. */
+  /** Stops starting clients, and waits for those that run. */
   void end() {
     ended = true;
     clients.shutdown();
@@ -121,7 +121,7 @@
     }
   }
 
-  /** A client with one request, from its connection to its response. */
+  /** A client that sends one request and follows it to its final response. */
   private final class Client {
     private final String id;
     private final int gateway;
@@ -156,7 +156,7 @@
       }
     }
 
-    /** Reports a lost connection; it is excused if its gateway was killed in the meantime. */
+    /** Reports a lost connection, which is excused if the gateway was restarted or killed. */
     private void failed(String description) {
       if (!submitted) {
         return;
@@ -193,8 +193,8 @@
     }
 
     /**
-     * The request crossed the gateway's close of the idle connection: sends it again on a new one,
-     * if the gateway accepts any.
+     * Sends the request again on a new connection, if the gateway accepts any. The gateway closed
+     * the idle connection while the request was on its way.
      */
     private void retryAfterIdleClose() throws IOException {
       oracle.excused(id);
@@ -248,7 +248,7 @@
           + body;
     }
 
-    /** Polls until the final response, over new connections where one is lost. */
+    /** Polls until the final response, and opens a new connection when one is lost. */
     private void follow(HttpConnection first, HttpResponseParser.Response submitResponse)
         throws IOException {
       HttpResponseParser.Response response = submitResponse;
@@ -259,7 +259,7 @@
           if (response == null) {
             if (reconnects++ == MAX_RECONNECTS
                 || !SoakGateways.isListening(gateways.port(gateway))) {
-              failed("its connection ended without an answer");
+              failed("connection closed without a response");
               return;
             }
             if (connection != first) {
@@ -302,7 +302,7 @@
     }
   }
 
-  /** A connection of a client. */
+  /** A connection from a client to a gateway. */
   private static final class HttpConnection implements AutoCloseable {
     private final Socket socket = new Socket();
     private final HttpResponseParser parser = new HttpResponseParser();
@@ -317,7 +317,7 @@
       socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
     }
 
-    /** Whether the gateway has closed the idle connection. */
+    /** Returns whether the gateway has closed the idle connection. */
     boolean isClosedByPeer() throws IOException {
       socket.setSoTimeout(1);
       try {
@@ -327,7 +327,7 @@
       }
     }
 
-    /** Reads the next response; null if the connection ended. */
+    /** Reads the next response; returns null if the connection was closed. */
     HttpResponseParser.Response read() throws IOException {
       InputStream in = socket.getInputStream();
       byte[] buffer = new byte[BUFFER_BYTES];
@@ -344,7 +344,7 @@
         }
         return response;
       } catch (SocketTimeoutException e) {
-        throw new IOException("nothing came in time", e);
+        throw new IOException("no response within the read timeout", e);
       }
     }
 
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakOracle.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakOracle.java
@@ -11,17 +11,18 @@
 import tillerlink.faultinjection.soak.SoakSettings.RequestClass;
 
 /**
- * Checks the rules by the observations of clients, engines and the discovery service, and by
- * nothing that a gateway decided. Thread-safe. Times are milliseconds on the clock of the run.
+ * Checks the rules of {@link SoakRule} from the observations of clients, engines and the discovery
+ * service, without use of any decision of a gateway. Thread-safe. Times are milliseconds on the
+ * clock of the run.
  */
 final class SoakOracle {
   private static final double BUDGET_TOLERANCE = 1.15;
   private static final int MAX_PER_RULE = 6;
 
-  /** The order of attempts that are closer than this is unknown. */
+  /** The order of requests whose times differ by less than this is not certain. */
   private static final double ORDER_UNCERTAINTY_MS = 5;
 
-  /** How an attempt ended at its engine; violations print the names. */
+  /** The outcome of an attempt at its engine; the names are printed in violations. */
   enum End {
     ANSWERED,
     REFUSED,
@@ -29,32 +30,32 @@
     GIVEN_UP
   }
 
-  /** How a request ended for its client. */
+  /** The outcome of a request for its client. */
   enum Answer {
     SERVED,
     REFUSED,
     FAILED
   }
 
-  /** An attempt that has reached an engine. */
+  /** An attempt that has reached an engine, with the time limit that the gateway sent. */
   record Attempt(
       String id, int gateway, int engine, String requestClass, long limitMs, double at) {}
 
-  /** What the discovery service announced, and where an engine is. */
+  /** The history of the announcements of the discovery service, and the zones of the engines. */
   interface DiscoveryHistory {
     /**
-     * Since when a gateway knows that the engine drains or is gone, unless it has learnt otherwise
-     * since; {@code Double.MAX_VALUE} for never.
+     * Returns the time since which a gateway knows that an engine drains or was removed; {@code
+     * Double.MAX_VALUE} if it does not know that, or may know of a later start of the engine.
      */
     double notReadyAt(int gateway, int engine, double at);
 
-    /** When the present process of the engine started, or 0 if it always ran. */
+    /** Returns when the engine's process at a time had started, or 0 if it was never replaced. */
     double startedAt(int engine, double at);
 
-    /** When a gateway learnt of that start. */
+    /** Returns when a gateway learnt of that start, or {@code Double.MAX_VALUE}. */
     double startKnownAt(int gateway, int engine, double at);
 
-    /** Whether the engine is in the first zone. */
+    /** Returns whether the engine is in the first zone. */
     boolean inFirstZone(int engine);
   }
 
@@ -66,7 +67,7 @@
   private final SlowStartRule slowStart;
   private final Map<String, SoakRequest> lastBySubject = new HashMap<>();
 
-  /** Until when the requests of a gateway are excused, because it was killed or stopped. */
+  /** The time up to which the requests of a gateway are excused after a kill or a stop. */
   private final Map<Integer, Double> interruptedUntil = new HashMap<>();
 
   private final Map<SoakRule, Integer> counts = new EnumMap<>(SoakRule.class);
@@ -81,7 +82,7 @@
 
   // ---- clients ----
 
-  /** The last byte of a request is about to be written on an open connection. */
+  /** Records a request whose last byte is about to be written on an open connection. */
   synchronized void submitted(
       String id,
       int gateway,
@@ -93,21 +94,25 @@
     requestTimes.computeIfAbsent(gateway, g -> new ArrayDeque<>()).addLast(at);
   }
 
-  /** A request got its final response. */
+  /** Records the final response to a request. */
   synchronized void answered(String id, Answer answer, double at) {
     SoakRequest request = requests.get(id);
     if (request.answer != null) {
       violation(
-          SoakRule.ANSWER_UNTRUE, "%s was answered %s and then %s", id, request.answer, answer);
+          SoakRule.ANSWER_UNTRUE,
+          "%s got two final responses, %s and %s",
+          id,
+          request.answer,
+          answer);
     }
     request.answer = answer;
     boolean ran = request.runs.stream().anyMatch(run -> run.end == End.ANSWERED);
     if (answer == Answer.SERVED && !ran) {
-      violation(SoakRule.ANSWER_UNTRUE, "%s was served, and no engine answered it", id);
+      violation(SoakRule.ANSWER_UNTRUE, "%s was served, but no engine answered it", id);
     }
     boolean mayHaveRun = request.runs.stream().anyMatch(run -> run.end != End.REFUSED);
     if (answer == Answer.REFUSED && request.requestClass == RequestClass.BOOK && mayHaveRun) {
-      violation(SoakRule.ANSWER_UNTRUE, "%s was refused, and may have run", id);
+      violation(SoakRule.ANSWER_UNTRUE, "%s was refused, but may have run", id);
     }
     if (!request.excused
         && at
@@ -115,24 +120,24 @@
         && !wasInterrupted(request.gateway, request.submittedAt)) {
       violation(
           SoakRule.LOST,
-          "%s of n%d was answered %.0f ms after its time",
+          "%s of n%d got its response %.0f ms after its deadline",
           id,
           request.gateway,
           at - request.deadline);
     }
   }
 
-  /** The client cancelled a request or closed its connection. */
+  /** Records that the client cancelled a request or closed its connection. */
   synchronized void clientDisconnected(String id, double at) {
     requests.get(id).disconnectedAt = Math.min(requests.get(id).disconnectedAt, at);
   }
 
-  /** A request may rightly stay without a response: the harness broke its connection. */
+  /** Records that a request may stay without a response, as the harness broke its connection. */
   synchronized void excused(String id) {
     requests.get(id).excused = true;
   }
 
-  /** A connection ended without a response, and only the gateway can have ended it. */
+  /** Records that a connection ended without a response, which only the gateway can have caused. */
   synchronized void connectionLost(String id, String description) {
     SoakRequest request = requests.get(id);
     if (!request.excused
@@ -141,7 +146,7 @@
       request.excused = true;
       violation(
           SoakRule.LOST,
-          "%s of n%d, handed in at %.0f ms: %s at %.0f ms",
+          "%s of n%d, submitted at %.0f ms: %s at %.0f ms",
           id,
           request.gateway,
           request.submittedAt,
@@ -153,15 +158,16 @@
   // ---- gateways ----
 
   /**
-   * A gateway was killed or stopped: earlier requests may be late or lost.
+   * Records that a gateway was killed or stopped, so that earlier requests may be late or lost.
    *
-   * @param until when it was resumed; {@code Double.MAX_VALUE} while it is stopped
+   * @param until the time of the kill or the resumption; {@code Double.MAX_VALUE} while the gateway
+   *     is stopped
    */
   synchronized void interrupted(int gateway, double until) {
     interruptedUntil.put(gateway, until);
   }
 
-  /** A new process of a gateway starts: budgets and orders count from now. */
+  /** Records that a new process of a gateway starts, with new retry budgets and orders. */
   synchronized void started(int gateway) {
     requestTimes.remove(gateway);
     retries.remove(gateway);
@@ -174,20 +180,21 @@
 
   // ---- engines ----
 
-  /** An attempt has reached an engine. */
+  /** Records an attempt that has reached an engine, and checks the rules for it. */
   synchronized void attempt(Attempt attempt) {
     attempts++;
     SoakRequest request = requests.get(attempt.id);
     if (request == null) {
-      violation(SoakRule.DUPLICATE, "an attempt for %s, which nobody asked for", attempt.id);
+      violation(SoakRule.DUPLICATE, "an attempt for %s, which no client submitted", attempt.id);
       return;
     }
     double slack = SoakSettings.SLACK_MS + clock.lag();
     checkDrain(attempt, slack);
     checkDuplicate(request, attempt, slack);
     checkClient(request, attempt, slack);
-    if (request.requestClass.bound && !discovery.inFirstZone(attempt.engine)) {
-      violation(SoakRule.PLACEMENT, "%s went to e%d", attempt.id, attempt.engine);
+    if (request.requestClass.firstZoneOnly && !discovery.inFirstZone(attempt.engine)) {
+      violation(
+          SoakRule.PLACEMENT, "%s reached e%d, outside the first zone", attempt.id, attempt.engine);
     }
     checkOrder(request, attempt);
     checkRetryBudget(request, attempt);
@@ -203,7 +210,7 @@
     if (attempt.at > since + SoakSettings.GRACE_MS + slack) {
       violation(
           SoakRule.DRAIN,
-          "n%d sent %s to e%d at %.0f ms, %.0f ms after it was told",
+          "n%d sent %s to e%d at %.0f ms, %.0f ms after it knew of the drain or removal",
           attempt.gateway,
           attempt.id,
           attempt.engine,
@@ -223,7 +230,7 @@
       if (!inWindow) {
         violation(
             SoakRule.DUPLICATE,
-            "%s came to e%d at %.0f ms, after e%d at %.0f ms (%s)",
+            "%s reached e%d at %.0f ms, after e%d at %.0f ms (%s)",
             attempt.id,
             attempt.engine,
             attempt.at,
@@ -238,7 +245,7 @@
     if (attempt.at > request.disconnectedAt + SoakSettings.CANCELLED_SLACK_MS + slack) {
       violation(
           SoakRule.CANCELLED,
-          "n%d sent %s to e%d %.0f ms after its client left",
+          "n%d sent %s to e%d %.0f ms after its client disconnected",
           attempt.gateway,
           attempt.id,
           attempt.engine,
@@ -248,7 +255,7 @@
     if (attempt.limitMs > Math.max(0, remaining) + SoakSettings.LIMIT_SLACK_MS + slack) {
       violation(
           SoakRule.LIMIT,
-          "n%d told e%d that %s waits %d ms, and it waits %.0f",
+          "n%d sent e%d a limit for %s of %d ms, %.0f ms before its deadline",
           attempt.gateway,
           attempt.engine,
           attempt.id,
@@ -268,7 +275,7 @@
     if (before.isInFlight() && !wasInterrupted(request.gateway, before.submittedAt)) {
       violation(
           SoakRule.ORDER,
-          "%s of %s is out at n%d while one before it is",
+          "%s of %s is in flight at n%d together with an earlier request",
           attempt.id,
           request.subject,
           request.gateway);
@@ -277,7 +284,7 @@
         && !wasInterrupted(request.gateway, request.submittedAt)) {
       violation(
           SoakRule.ORDER,
-          "%s of %s went out after one that came later to n%d",
+          "%s of %s was sent after a request that was submitted later to n%d",
           attempt.id,
           request.subject,
           request.gateway);
@@ -302,14 +309,14 @@
     if (recentRetries.size() > limit) {
       violation(
           SoakRule.RETRY_BUDGET,
-          "n%d made %d further attempts in 10 s with %d requests",
+          "n%d made %d retries in 10 s with %d requests",
           attempt.gateway,
           recentRetries.size(),
           recent);
     }
   }
 
-  /** An attempt has ended at its engine. */
+  /** Records the outcome of an attempt at its engine. */
   synchronized void attemptEnded(int engine, String id, End end) {
     SoakRequest request = requests.get(id);
     if (request != null) {
@@ -321,7 +328,7 @@
 
   // ---- in general ----
 
-  /** A violation inside a process. */
+  /** Adds a violation that a process or the harness reported. */
   synchronized void inside(String description) {
     violation(SoakRule.INSIDE, "%s", description);
   }
@@ -332,7 +339,7 @@
     }
   }
 
-  /** The run has ended: requests without a response are lost. */
+  /** Ends the run: reports requests without a response as lost, and returns the violations. */
   synchronized List<SoakViolation> end() {
     requests.forEach(
         (id, request) -> {
@@ -341,7 +348,7 @@
               && !wasInterrupted(request.gateway, request.submittedAt)) {
             violation(
                 SoakRule.LOST,
-                "%s of n%d, handed in at %.0f ms, was never answered",
+                "%s of n%d, submitted at %.0f ms, got no final response",
                 id,
                 request.gateway,
                 request.submittedAt);
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRequest.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRequest.java
@@ -4,9 +4,9 @@
 import java.util.List;
 import tillerlink.faultinjection.soak.SoakSettings.RequestClass;
 
-/** A request as the oracle tracks it, with its attempts. */
+/** The state of a request in the oracle, with its attempts. Times are milliseconds. */
 final class SoakRequest {
-  /** An attempt, and how it ended at its engine, or null. */
+  /** An attempt, with its outcome at the engine, or null while it is in flight. */
   static final class Run {
     final SoakOracle.Attempt attempt;
     SoakOracle.End end;
@@ -26,10 +26,10 @@
   /** The final response, or null. */
   SoakOracle.Answer answer;
 
-  /** When its client cancelled it or disconnected. */
+  /** The time at which the client cancelled the request or disconnected. */
   double disconnectedAt = Double.MAX_VALUE;
 
-  /** Whether it may rightly stay without a response. */
+  /** Whether the request may correctly stay without a response. */
   boolean excused;
 
   SoakRequest(
@@ -41,10 +41,12 @@
     this.deadline = deadline;
   }
 
+  /** Returns whether the client still waits for a response. */
   boolean isOpen() {
     return answer == null && disconnectedAt == Double.MAX_VALUE;
   }
 
+  /** Returns whether the client still waits and an attempt has not ended at its engine. */
   boolean isInFlight() {
     return isOpen() && runs.stream().anyMatch(run -> run.end == null);
   }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRule.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRule.java
@@ -1,37 +1,42 @@
 package tillerlink.faultinjection.soak;
 
 /**
- * The rules that a soak judges, as clients, engines and the discovery service see them from
- * outside.
+ * The rules that a soak run checks from the observations of clients, engines and the discovery
+ * service.
  */
 public enum SoakRule {
   /**
-   * An accepted request gets a complete final response, at most half a second after its deadline.
+   * Violated by an accepted request without a complete final response within half a second after
+   * its deadline.
    */
   LOST,
-  /** A second final response, or a success without a response of an engine. */
+  /**
+   * Violated by a second final response, a success that no engine answered, or a refusal of a
+   * request that may have run and must not run twice.
+   */
   ANSWER_UNTRUE,
   /**
-   * A request that must not run twice reaches an engine again after it may have run; with a key,
-   * after its window.
+   * Violated by a request that must not run twice and reaches an engine again after it may have
+   * run. With deduplication by key, that is allowed within the deduplication window.
    */
   DUPLICATE,
-  /** An attempt at an engine after the grace period since its drain or end was announced. */
+  /** Violated by an attempt at an engine later than the grace period after its drain or removal. */
   DRAIN,
   /**
-   * A cold engine gets more than its slow-start capacity, mostly from gateways that knew its start.
+   * Violated by more attempts at a cold engine than its slow-start capacity, most of them from
+   * gateways that knew of its start.
    */
   SLOW_START,
-  /** Two requests of one subject are in flight at a gateway at once, or out of order. */
+  /** Violated by two requests of one subject in flight at a gateway at once, or out of order. */
   ORDER,
-  /** An attempt at an engine where its class may not run. */
+  /** Violated by an attempt at an engine where its request class may not run. */
   PLACEMENT,
-  /** More retries than the budget allows. */
+  /** Violated by more retries than the retry budget allows. */
   RETRY_BUDGET,
-  /** An attempt that begins more than 0.1 s after its client disconnected. */
+  /** Violated by an attempt that begins more than 0.1 s after the client disconnected. */
   CANCELLED,
-  /** The time limit of an attempt is more than the client has left. */
+  /** Violated by an attempt with a time limit beyond the deadline of its request. */
   LIMIT,
-  /** A process crashed, did not end, did not start, or reports a violated invariant. */
+  /** Violated by a process that crashes, does not start or end, or reports a broken invariant. */
   INSIDE
 }
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRun.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakRun.java
@@ -16,15 +16,27 @@
 import tillerlink.model.Engine.Status;
 import tillerlink.net.wire.EndpointEntry;
 
-/** Runs one schedule on real processes under load, and checks the rules. */
+/** Runs one schedule on gateway processes under load, and checks the rules. */
 final class SoakRun implements Closeable {
   private static final long RELOAD_INTERVAL_MS = 50;
   private static final double REQUESTS_PER_SECOND = 8;
 
-  /** How long an engine that is replaced or drained still runs after its drain was listed. */
+  /** The time for which a draining engine still runs after the end of its fault. */
   private static final long DRAIN_STAY_MS = 3_000;
 
-  /** The result of a run. */
+  /**
+   * The result of a run.
+   *
+   * @param violations the first violations of each rule
+   * @param counts the number of violations of each rule
+   * @param faults the number of injected faults of each kind
+   * @param pairs the number of times that two kinds of fault overlapped, by both names
+   * @param requests the number of requests
+   * @param served the number of requests that succeeded
+   * @param refused the number of requests that were refused
+   * @param attempts the number of attempts that reached an engine
+   * @param worstLag the greatest lag of the harness, in milliseconds
+   */
   record Result(
       List<SoakViolation> violations,
       Map<SoakRule, Integer> counts,
@@ -36,8 +48,8 @@
       int attempts,
       double worstLag) {}
 
-  /** The begin or the end of a fault. */
-  private record Moment(double atMs, SoakFault fault, boolean begins) {}
+  /** The beginning or the end of a fault. */
+  private record Transition(double atMs, SoakFault fault, boolean begins) {}
 
   private final SoakSchedule schedule;
   private final SoakClock clock = new SoakClock();
@@ -138,30 +150,30 @@
         clock.worstLag());
   }
 
-  /** Begins and ends all faults at their times, and waits until the last one has ended. */
+  /** Begins and ends all faults at their times, and waits until all have ended. */
   private void injectFaults(double start) {
-    List<Moment> moments = new ArrayList<>();
+    List<Transition> transitions = new ArrayList<>();
     for (SoakFault fault : schedule.faults()) {
-      moments.add(new Moment(fault.atMs(), fault, true));
-      moments.add(new Moment(fault.atMs() + fault.lastsMs(), fault, false));
+      transitions.add(new Transition(fault.atMs(), fault, true));
+      transitions.add(new Transition(fault.atMs() + fault.durationMs(), fault, false));
     }
-    moments.sort(Comparator.comparingDouble(Moment::atMs));
-    CountDownLatch unfinished = new CountDownLatch(moments.size());
-    for (Moment moment : moments) {
-      pauseUntil(start + moment.atMs);
+    transitions.sort(Comparator.comparingDouble(Transition::atMs));
+    CountDownLatch unfinished = new CountDownLatch(transitions.size());
+    for (Transition transition : transitions) {
+      pauseUntil(start + transition.atMs);
       faultExecutor.execute(
           () -> {
             try {
-              beginOrEnd(moment);
+              beginOrEnd(transition);
             } catch (IOException | RuntimeException e) {
-              oracle.inside(moment.fault + " could not be brought about: " + e);
+              oracle.inside(transition.fault + " could not be injected: " + e);
             } finally {
               unfinished.countDown();
             }
           });
     }
     pauseUntil(start + schedule.lengthMs());
-    await(unfinished);
+    awaitLatch(unfinished);
   }
 
   private void pauseUntil(double time) {
@@ -171,7 +183,7 @@
     }
   }
 
-  private static void await(CountDownLatch latch) {
+  private static void awaitLatch(CountDownLatch latch) {
     try {
       latch.await();
     } catch (InterruptedException e) {
@@ -181,20 +193,20 @@
 
   // ---- faults ----
 
-  private void beginOrEnd(Moment moment) throws IOException {
-    SoakFault fault = moment.fault;
-    if (!mayProceed(moment)) {
+  private void beginOrEnd(Transition transition) throws IOException {
+    SoakFault fault = transition.fault;
+    if (!mayProceed(transition)) {
       return;
     }
-    // Faults that need the same process run one after the other.
+    // Changes of the same process are serialized.
     synchronized (lockOf(fault)) {
       if (fault.kind().target == SoakFault.Target.ENGINE) {
-        engineFault(fault, moment.begins);
+        engineFault(fault, transition.begins);
       } else {
-        gatewayFault(fault, moment.begins);
+        gatewayFault(fault, transition.begins);
       }
     }
-    if (!moment.begins) {
+    if (!transition.begins) {
       synchronized (active) {
         active.remove(fault);
       }
@@ -202,13 +214,13 @@
   }
 
   /**
-   * Whether a fault can begin together with the active ones, which is counted; or has begun, so
-   * that it can end.
+   * Returns whether a transition may proceed. A beginning may if the fault does not clash with an
+   * active one, and is then counted; an end may if the fault has begun.
    */
-  private boolean mayProceed(Moment moment) {
-    SoakFault fault = moment.fault;
+  private boolean mayProceed(Transition transition) {
+    SoakFault fault = transition.fault;
     synchronized (active) {
-      if (!moment.begins) {
+      if (!transition.begins) {
         return active.contains(fault);
       }
       if (clashes(fault)) {
@@ -222,7 +234,7 @@
   }
 
   private Object lockOf(SoakFault fault) {
-    String key = needsProcess(fault) ? fault.kind().target + " " + fault.who() : fault.toString();
+    String key = changesProcess(fault) ? fault.kind().target + " " + fault.who() : fault.toString();
     return locks.computeIfAbsent(key, any -> new Object());
   }
 
@@ -231,8 +243,8 @@
   }
 
   /**
-   * Whether an active fault excludes it: one of the same kind at the same place, or another one
-   * that needs the process.
+   * Returns whether an active fault excludes another one: a fault of the same kind with the same
+   * target, or one that also changes the process of that target.
    */
   private boolean clashes(SoakFault fault) {
     return active.stream()
@@ -241,10 +253,11 @@
                 other.who() == fault.who()
                     && other.kind().target == fault.kind().target
                     && (other.kind() == fault.kind()
-                        || (needsProcess(other) && needsProcess(fault))));
+                        || (changesProcess(other) && changesProcess(fault))));
   }
 
-  private static boolean needsProcess(SoakFault fault) {
+  /** Returns whether a fault changes the process of its target. */
+  private static boolean changesProcess(SoakFault fault) {
     return switch (fault.kind()) {
       case STOPPED,
           KILLED,
@@ -278,7 +291,7 @@
     }
   }
 
-  /** A share of losses, or a delay in milliseconds. */
+  /** Returns the share of lost datagrams, or the greatest delay in milliseconds. */
   private static double discoveryAmount(SoakFault fault) {
     return switch (fault.kind()) {
       case NAMES_LOSSY -> 0.05 + 0.15 * fault.amount();
@@ -342,7 +355,12 @@
     }
   }
 
-  /** Starts a new process at the address of an engine, possibly listed as gone for a moment. */
+  /**
+   * Replaces the process of an engine by a new one at the same address.
+   *
+   * @param first {@code GONE} if the engine is first removed from the list for a second, or {@code
+   *     READY}
+   */
   private void replace(int engine, Status first) {
     if (first == Status.GONE) {
       discovery.update(entry(engine, Status.GONE, 0));
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakSettings.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakSettings.java
@@ -4,23 +4,31 @@
 import java.util.Locale;
 
 /**
- * The settings of the gateways of a soak, by which the oracle checks them. Times are milliseconds.
+ * The settings of the gateways of a soak run, against which the oracle checks them. Times are
+ * milliseconds.
  */
 final class SoakSettings {
   static final long GRACE_MS = 500;
 
-  /** What every rule allows beyond its limit for the sockets. */
+  /** The tolerance of every time limit for the delay of sockets. */
   static final long SLACK_MS = 50;
 
-  static final long LEARNS_AFTER_MS = 1_500;
-  static final long LEARNS_AT_LATEST_AFTER_MS = 7_000;
+  /** The time after which a gateway counts as knowing an update even if none was sent to it. */
+  static final long PROPAGATION_MS = 1_500;
+
+  /** The corresponding time if the discovery service had an outage. */
+  static final long OUTAGE_PROPAGATION_MS = 7_000;
+
   static final long ANSWER_SLACK_MS = 500;
   static final long CANCELLED_SLACK_MS = 100;
   static final long LIMIT_SLACK_MS = 150;
   static final long BUDGET_SPAN_MS = 10_000;
   static final double BUDGET_FLOOR = 3;
   static final double BUDGET_SHARE = 0.1;
+
+  /** The span within which attempts at a cold engine are counted. */
   static final long FALL_MS = 3_000;
+
   static final double FALL_MULTIPLE = 2.5;
   static final double START_CAPACITY = 0.3;
   static final long WARM_WITHIN_MS = 13_000;
@@ -30,8 +38,8 @@
   static final List<String> ZONES = List.of("east", "west");
 
   /**
-   * The request classes, with the effect of a repetition, and where and in which order they may
-   * run.
+   * The request classes. {@code semantics} says whether a request may run twice, as in the settings
+   * of the gateway.
    */
   enum RequestClass {
     LOOK("repeatable", false, false),
@@ -41,17 +49,20 @@
     LOCAL("repeatable", false, true);
 
     final String semantics;
+
+    /** Whether the order of requests with one subject is preserved. */
     final boolean ordered;
 
-    /** Whether it may run in the first zone only. */
-    final boolean bound;
+    /** Whether requests may run in the first zone only. */
+    final boolean firstZoneOnly;
 
-    RequestClass(String semantics, boolean ordered, boolean bound) {
+    RequestClass(String semantics, boolean ordered, boolean firstZoneOnly) {
       this.semantics = semantics;
       this.ordered = ordered;
-      this.bound = bound;
+      this.firstZoneOnly = firstZoneOnly;
     }
 
+    /** Returns the name of the class in settings and paths. */
     String wireName() {
       return name().toLowerCase(Locale.ROOT);
     }
@@ -61,7 +72,12 @@
 
   private SoakSettings() {}
 
-  /** The settings of one of the gateways as JSON. */
+  /**
+   * Returns the settings of a gateway as JSON.
+   *
+   * @param instances the number of gateways
+   * @param instance the number of the gateway, from 0
+   */
   static String settings(int instances, int instance) {
     return "{\"tick_us\":5000,\"instances\":"
         + instances
@@ -115,7 +131,7 @@
           .append(DEADLINE_MS * MICROS_PER_MS)
           .append(",\"worth\":1,\"late_worth\":0.5")
           .append(requestClass.ordered ? ",\"keep_order\":true" : "")
-          .append(requestClass.bound ? ",\"zones_open\":[0]" : "")
+          .append(requestClass.firstZoneOnly ? ",\"zones_open\":[0]" : "")
           .append('}');
     }
     return requestClasses.toString();
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakTimer.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakTimer.java
@@ -18,13 +18,16 @@
     return thread;
   }
 
-  /** Runs an action after that many milliseconds. */
-  void after(double ms, Runnable action) {
+  /** Runs an action after a delay in milliseconds. */
+  void after(double delayMs, Runnable action) {
     Future<?> unused =
-        executor.schedule(() -> runAndReport(action), (long) ms, TimeUnit.MILLISECONDS);
+        executor.schedule(() -> runAndReport(action), (long) delayMs, TimeUnit.MILLISECONDS);
   }
 
-  /** An exception of an action is a bug of the harness; it must not vanish in a future. */
+  /**
+   * Runs an action, and passes its exception to the thread's handler. An exception is a bug of the
+   * harness, and would otherwise be lost in the unused future.
+   */
   private static void runAndReport(Runnable action) {
     try {
       action.run();
--- a/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakViolation.java
+++ b/faultinjection/src/main/java/tillerlink/faultinjection/soak/SoakViolation.java
@@ -1,6 +1,6 @@
 package tillerlink.faultinjection.soak;
 
-/** A rule that was violated, with a description. */
+/** A violation of a rule, with a description of what was observed. */
 public record SoakViolation(SoakRule rule, String description) {
   @Override
   public String toString() {
