--- a/replay/src/main/java/tillerlink/replay/ArrivalSource.java
+++ b/replay/src/main/java/tillerlink/replay/ArrivalSource.java
@@ -18,8 +18,9 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * The requests of a trace in the order of their arrival. Files are read twice, first to compute the
- * scaling; of standard input the first rows are buffered for that.
+ * Reads the requests of a trace in order of arrival. Files are read twice: the first pass computes
+ * the scaling. Standard input can be read only once, so its first tasks are buffered and the
+ * scaling is computed from them.
  */
 public final class ArrivalSource implements Closeable {
   private static final int TABLE_GROUPS = 64;
@@ -27,7 +28,7 @@
   private static final int SURVEY_TASKS = 20_000;
   private static final long MIN_ROWS = 1000;
 
-  /** The assumed memory of one second of work on a core. */
+  /** Memory that a request is assumed to need for each second of work on a core, in megabytes. */
   private static final double MEGABYTES_PER_SECOND = 400;
 
   private final ReplayConfig config;
@@ -43,11 +44,17 @@
   private long arrived;
   private long latestArrival;
 
-  /** Opens the trace of a replay and computes its scaling. */
+  /**
+   * Opens the trace of a replay and computes its scaling.
+   *
+   * @throws InvalidTraceException if the trace has no usable row, too many bad rows, or no scaling
+   *     reaches the configured load
+   * @throws IOException if the trace cannot be read
+   */
   public ArrivalSource(ReplayConfig config) throws IOException {
     this.config = config;
     survey = new TraceSurvey(config.requestClasses().size());
-    reader = reader(counts);
+    reader = openReader(counts);
     List<Task> prefix = new ArrayList<>();
     if (config.shards().stream().allMatch(Shard::readableAgain)) {
       surveyFiles();
@@ -55,10 +62,10 @@
       surveyPrefix(prefix);
     }
     if (survey.tasks() == 0) {
-      throw new InvalidTraceException("the trace has no row of use");
+      throw new InvalidTraceException("the trace has no usable row");
     }
     scaling = computeScaling();
-    TaskSource source = joined(prefix, guarded(reader, counts));
+    TaskSource source = concatenate(prefix, limitBadRows(reader, counts));
     sort =
         config.sortFolder() == null
             ? null
@@ -69,14 +76,16 @@
 
   private void surveyFiles() throws IOException {
     RowCounts surveyCounts = new RowCounts();
-    try (TaskReader surveyReader = reader(surveyCounts)) {
-      survey.addAll(guarded(surveyReader, surveyCounts), Long.MAX_VALUE);
+    try (TaskReader surveyReader = openReader(surveyCounts)) {
+      survey.addAll(limitBadRows(surveyReader, surveyCounts), Long.MAX_VALUE);
     }
   }
 
-  /** Surveys the first tasks, and keeps them for the replay. */
+  /**
+   * Surveys the first tasks and adds them to the given list, from which they are replayed later.
+   */
   private void surveyPrefix(List<Task> prefix) throws IOException {
-    TaskSource source = guarded(reader, counts);
+    TaskSource source = limitBadRows(reader, counts);
     for (Task task = source.next();
         task != null;
         task = prefix.size() < SURVEY_TASKS ? source.next() : null) {
@@ -100,7 +109,7 @@
     }
   }
 
-  private TaskReader reader(RowCounts rowCounts) {
+  private TaskReader openReader(RowCounts rowCounts) {
     return new TaskReader(
         config.layout(),
         config.shards(),
@@ -108,15 +117,18 @@
         rowCounts);
   }
 
-  /** Stops when too many rows are bad, as the file is probably no such trace. */
-  private TaskSource guarded(TaskSource source, RowCounts rows) {
+  /**
+   * Returns a source that throws once the share of bad rows exceeds the configured limit, because
+   * the file is then probably not a trace in the configured layout.
+   */
+  private TaskSource limitBadRows(TaskSource source, RowCounts rows) {
     return () -> {
       Task task = source.next();
       if ((task == null || rows.rowsRead() >= MIN_ROWS) && rows.badShare() > config.maxBadShare()) {
         throw new InvalidTraceException(
             String.format(
                 Locale.ROOT,
-                "%d of %d rows are bad, a share of %.4f where %.4f is allowed",
+                "%d of %d rows are bad: share %.4f exceeds the limit of %.4f",
                 rows.bad(),
                 rows.rowsRead(),
                 rows.badShare(),
@@ -126,12 +138,15 @@
     };
   }
 
-  private static TaskSource joined(List<Task> prefix, TaskSource rest) {
+  private static TaskSource concatenate(List<Task> prefix, TaskSource rest) {
     int[] index = {0};
     return () -> index[0] < prefix.size() ? prefix.set(index[0]++, null) : rest.next();
   }
 
-  /** Returns the next request, or null at the end; arrival times never decrease. */
+  /**
+   * Returns the next request, or null at the end of the trace. Arrival times never decrease: a
+   * request that the reorder buffer released too late gets the latest arrival time returned so far.
+   */
   public Arrival next() throws IOException {
     for (Task task = ordered.next(); task != null; task = ordered.next()) {
       Arrival arrival = scaling.map(task, TABLE_GROUPS);
@@ -170,12 +185,12 @@
     return survey;
   }
 
-  /** How many tasks have jobs outside the sample. */
+  /** Returns the number of tasks that were skipped because their jobs are outside the sample. */
   public long sampledOut() {
     return sampledOut;
   }
 
-  /** How many tasks fit no request class. */
+  /** Returns the number of tasks that were skipped because they match no request class. */
   public long noRequestClass() {
     return noRequestClass;
   }
@@ -184,7 +199,7 @@
     return arrived;
   }
 
-  /** How many tasks were released before the window had passed. */
+  /** Returns the number of tasks that were released before the reorder window had passed. */
   public long releasedEarly() {
     return reorder == null ? 0 : reorder.releasedEarly();
   }
--- a/replay/src/main/java/tillerlink/replay/ClientTransport.java
+++ b/replay/src/main/java/tillerlink/replay/ClientTransport.java
@@ -1,31 +1,39 @@
 package tillerlink.replay;
 
-/** How the clients of a replay connect to gateways. */
+/** Connects the clients of a replay to gateways. */
 public interface ClientTransport {
-  /** A connection as its client uses it. */
+  /** The client's side of a connection to a gateway. */
   interface Connection {
     /** Sends bytes to the gateway. */
     void send(byte[] bytes);
 
-    /** Closes the connection; nothing is reported to the listener after this. */
+    /** Closes the connection. The listener is not called afterwards. */
     void disconnect();
   }
 
-  /** Receives what comes on a connection. */
+  /** Receives the events of a connection. */
   interface Listener {
-    /** Bytes of the gateway have come. */
+    /** Handles bytes that the gateway sent. */
     void onBytes(byte[] bytes);
 
     /**
-     * The gateway closed the connection, or it never opened. Called once, and not after the client
-     * closed it.
+     * Handles the end of the connection: the gateway closed it, or it could not be opened. Called
+     * at most once, and never after the client closed the connection.
      */
     void onClosed();
   }
 
-  /** Whether a gateway accepts connections. */
+  /**
+   * Returns whether a gateway accepts connections.
+   *
+   * @param gateway the index of the gateway
+   */
   boolean isUp(int gateway);
 
-  /** Opens a connection to a gateway. */
+  /**
+   * Opens a connection to a gateway.
+   *
+   * @param gateway the index of the gateway
+   */
   Connection open(int gateway, Listener listener);
 }
--- a/replay/src/main/java/tillerlink/replay/End.java
+++ b/replay/src/main/java/tillerlink/replay/End.java
@@ -1,21 +1,21 @@
 package tillerlink.replay;
 
-/** How a request ended for its client; reports print the names. */
+/** The end of a request, as its client sees it. Reports print the names of the constants. */
 public enum End {
   /** Succeeded within the latency objective. */
   IN_TIME,
-  /** Succeeded, but later. */
+  /** Succeeded after the latency objective. */
   LATE,
   /** Rejected by the gateway. */
   TURNED_BACK,
-  /** Failed. */
+  /** Failed with an error response. */
   BROKEN_OFF,
-  /** The client disconnected at its deadline without a response. */
+  /** Ended by the client, which disconnected before it had a response, usually at its deadline. */
   CLIENT_GONE,
-  /** Lost with its gateway, which was killed. */
+  /** Lost because its gateway was killed, or because no gateway was up. */
   KILLED;
 
-  /** Whether the client got its result. */
+  /** Returns whether the client got its result, in time or late. */
   public boolean isSuccess() {
     return this == IN_TIME || this == LATE;
   }
--- a/replay/src/main/java/tillerlink/replay/GatewayConnections.java
+++ b/replay/src/main/java/tillerlink/replay/GatewayConnections.java
@@ -5,14 +5,14 @@
 import tillerlink.net.state.Channel;
 import tillerlink.net.state.DisconnectReason;
 
-/** In-memory connections of clients to gateways. */
+/** Connects clients to emulated gateways in memory. */
 public final class GatewayConnections implements ClientTransport {
-  /** One-way delay, in tenths of a millisecond. */
+  /** The one-way delay of a connection, in tenths of a millisecond. */
   private static final long DELAY = 2;
 
   private final EmulatedCluster cluster;
 
-  /** Connections to the gateways of that cluster. */
+  /** Creates a transport to the gateways of a cluster. */
   public GatewayConnections(EmulatedCluster cluster) {
     this.cluster = cluster;
   }
@@ -27,7 +27,7 @@
     return new InMemoryConnection(cluster.gateway(gateway), listener);
   }
 
-  /** Bytes arrive after the delay, in order, both ways. */
+  /** A connection that delivers bytes in order and after the delay, in both directions. */
   private final class InMemoryConnection implements Connection, Channel {
     private final EmulatedGateway gateway;
     private final Listener listener;
@@ -90,7 +90,7 @@
       abort();
     }
 
-    /** What was written before still arrives. */
+    /** Closes the connection. Bytes that were written before are still delivered. */
     @Override
     public void abort() {
       if (!closed) {
--- a/replay/src/main/java/tillerlink/replay/HtmlReport.java
+++ b/replay/src/main/java/tillerlink/replay/HtmlReport.java
@@ -16,7 +16,7 @@
   private static final int HEIGHT = 180;
   private static final int TOP_MARGIN = 10;
   private static final int GRID_LINES = 4;
-  private static final double MIN_SCALE = 1e-9;
+  private static final double MIN_AXIS_MAX = 1e-9;
   private static final int LEFT_MARGIN = 56;
   private static final int BOTTOM_MARGIN = 24;
   private static final double[] PERCENTILES = {0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9};
@@ -24,7 +24,7 @@
     "#9aa4b2", "#2b6cb0", "#dd6b20", "#c53030", "#6b46c1", "#2f855a", "#1a202c"
   };
 
-  /** A curve of a plot, with one value for each bin. */
+  /** A curve of a plot, with one value for each point on the horizontal axis. */
   private record Curve(String name, double[] values) {}
 
   private final ReplayResult result;
@@ -35,12 +35,16 @@
     this.out = out;
   }
 
-  /** Writes the page to a file. */
+  /**
+   * Writes the page to a file.
+   *
+   * @throws IOException if the file cannot be written
+   */
   public static void write(ReplayResult result, Path file) throws IOException {
     try (PrintWriter out = new PrintWriter(Files.newBufferedWriter(file))) {
       new HtmlReport(result, out).print();
       if (out.checkError()) {
-        throw new IOException(file + " can't be written");
+        throw new IOException(file + ": the report could not be written");
       }
     }
   }
@@ -76,11 +80,11 @@
           "<p class=\"bad\">Rule broken: %s s, %s</p>",
           result.sinceStart(violation.at()), escaped(violation.what()));
     }
-    table();
-    bySecond();
-    byRequestClass();
-    engines();
-    incidents();
+    printRequestClasses();
+    plotEndsBySecond();
+    plotResponseTimes();
+    printUtilization();
+    printIncidents();
     out.println("</html>");
   }
 
@@ -88,7 +92,7 @@
     return text.replace("&", "&amp;").replace("<", "&lt;").replace("\"", "&quot;");
   }
 
-  private void table() {
+  private void printRequestClasses() {
     out.print(
         "<h2>By track</h2><table><tr><th>track<th>arrived<th>in time<th>late<th>turned"
             + " back<th>broken off<th>gone<th>killed<th>half, ms<th>99 of 100, ms");
@@ -110,16 +114,16 @@
     out.println("</table>");
   }
 
-  private void bySecond() {
+  private void plotEndsBySecond() {
     TimeSeries series = result.metrics().series();
     List<Curve> curves = new ArrayList<>();
-    curves.add(new Curve("arrived", values(series, 0)));
+    curves.add(new Curve("arrived", countsPerSecond(series, 0)));
     for (End end : End.values()) {
       if (result.metrics().ended(end) > 0) {
         curves.add(
             new Curve(
                 end.name().toLowerCase(Locale.ROOT).replace('_', ' '),
-                values(series, ReplayMetrics.seriesOf(end))));
+                countsPerSecond(series, ReplayMetrics.seriesOf(end))));
       }
     }
     plot(
@@ -129,7 +133,7 @@
         "s");
   }
 
-  private static double[] values(TimeSeries series, int kind) {
+  private static double[] countsPerSecond(TimeSeries series, int kind) {
     double[] values = new double[series.bins()];
     for (int i = 0; i < values.length; i++) {
       values[i] = series.count(kind, i) * (double) ReplayMetrics.SECOND / series.span();
@@ -137,7 +141,7 @@
     return values;
   }
 
-  private void byRequestClass() {
+  private void plotResponseTimes() {
     List<Curve> curves = new ArrayList<>();
     for (ReplayMetrics.RequestClassMetrics requestClass : result.metrics().requestClasses()) {
       double[] values = new double[PERCENTILES.length];
@@ -154,7 +158,7 @@
         "");
   }
 
-  private void engines() {
+  private void printUtilization() {
     out.print("<h2>Cores given out, as a share, by engine</h2><table>");
     for (Map.Entry<String, Double> engine :
         result.cluster().utilization(result.lasted()).entrySet()) {
@@ -170,16 +174,16 @@
     out.println("</table>");
   }
 
-  private void incidents() {
+  private void printIncidents() {
     if (!result.cluster().incidents().isEmpty()) {
       out.print("<h2>What happened</h2><pre>");
-      result.cluster().incidents().forEach(curve -> out.println(escaped(curve)));
+      result.cluster().incidents().forEach(incident -> out.println(escaped(incident)));
       out.println("</pre>");
     }
   }
 
   private void plot(String title, List<Curve> curves, double end, String unit) {
-    double max = MIN_SCALE;
+    double max = MIN_AXIS_MAX;
     for (Curve curve : curves) {
       for (double value : curve.values) {
         max = Math.max(max, value);
--- a/replay/src/main/java/tillerlink/replay/InvalidTraceException.java
+++ b/replay/src/main/java/tillerlink/replay/InvalidTraceException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Too many rows of a trace are bad, or none is usable. */
+/** Thrown if a trace has too many bad rows, no usable row, or cannot be scaled to the load. */
 public final class InvalidTraceException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  /** An exception with that message. */
+  /** Creates an exception with a message. */
   public InvalidTraceException(String message) {
     super(message);
   }
--- a/replay/src/main/java/tillerlink/replay/JsonReport.java
+++ b/replay/src/main/java/tillerlink/replay/JsonReport.java
@@ -14,16 +14,20 @@
 import tillerlink.trace.RowCounts;
 import tillerlink.trace.SkipReason;
 
-/** Writes the result of a replay as JSON, byte for byte the same for the same replay. */
+/** Writes the result of a replay as JSON. Equal replays in virtual time give identical bytes. */
 public final class JsonReport {
-  private static final double SECOND = ReplayMetrics.SECOND;
+  private static final double TICKS_PER_SECOND = ReplayMetrics.SECOND;
 
   private static final int MAX_VIOLATIONS = 10;
   private static final double TICKS_PER_MS = 10;
 
   private JsonReport() {}
 
-  /** Writes the report to a file. */
+  /**
+   * Writes the report to a file.
+   *
+   * @throws IOException if the file cannot be written
+   */
   public static void write(ReplayResult result, Path file) throws IOException {
     try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
       json.useDefaultPrettyPrinter();
@@ -41,33 +45,34 @@
       json.writeNumberField("cores", (long) result.config().fleet().cores());
       if (result.lag() != null) {
         json.writeObjectFieldStart("lag_ms");
-        number(json, "half", result.lag().getValueAtPercentile(50) / TICKS_PER_MS);
-        number(json, "99_of_100", result.lag().getValueAtPercentile(99) / TICKS_PER_MS);
-        number(json, "most", result.lag().getMaxValue() / TICKS_PER_MS);
+        writeDecimal(json, "half", result.lag().getValueAtPercentile(50) / TICKS_PER_MS);
+        writeDecimal(json, "99_of_100", result.lag().getValueAtPercentile(99) / TICKS_PER_MS);
+        writeDecimal(json, "most", result.lag().getMaxValue() / TICKS_PER_MS);
         json.writeBooleanField("figure_counts", result.loadWasInTime());
         json.writeEndObject();
       }
-      rows(json, result.arrivals());
-      scaling(json, result);
-      service(json, result);
-      rules(json, result);
+      writeRows(json, result.arrivals());
+      writeScaling(json, result);
+      writeService(json, result);
+      writeViolations(json, result);
       json.writeArrayFieldStart("timeline");
       for (String line : result.cluster().incidents()) {
         json.writeString(line.strip());
       }
       json.writeEndArray();
-      engines(json, result);
-      series(json, result.metrics().series());
+      writeUtilization(json, result);
+      writeSeries(json, result.metrics().series());
       json.writeEndObject();
     }
   }
 
-  private static void number(JsonGenerator json, String name, double value) throws IOException {
+  private static void writeDecimal(JsonGenerator json, String name, double value)
+      throws IOException {
     json.writeFieldName(name);
     json.writeNumber(Double.isNaN(value) ? "null" : String.format(Locale.ROOT, "%.4f", value));
   }
 
-  private static void rows(JsonGenerator json, ArrivalSource arrivals) throws IOException {
+  private static void writeRows(JsonGenerator json, ArrivalSource arrivals) throws IOException {
     RowCounts counts = arrivals.counts();
     json.writeObjectFieldStart("rows");
     json.writeNumberField("read", counts.rowsRead());
@@ -93,13 +98,13 @@
     json.writeEndObject();
   }
 
-  private static void scaling(JsonGenerator json, ReplayResult result) throws IOException {
+  private static void writeScaling(JsonGenerator json, ReplayResult result) throws IOException {
     ArrivalSource arrivals = result.arrivals();
     json.writeObjectFieldStart("scaling");
-    number(json, "load_wanted", result.config().load());
+    writeDecimal(json, "load_wanted", result.config().load());
     json.writeStringField("by", result.config().scale().name().toLowerCase(Locale.ROOT));
-    number(json, "trace_time_per_time", arrivals.scaling().timeCompression());
-    number(json, "share_of_jobs", arrivals.scaling().jobShare());
+    writeDecimal(json, "trace_time_per_time", arrivals.scaling().timeCompression());
+    writeDecimal(json, "share_of_jobs", arrivals.scaling().jobShare());
     json.writeNumberField("tasks_sampled_out", arrivals.sampledOut());
     json.writeNumberField("tasks_of_no_track", arrivals.noRequestClass());
     json.writeObjectFieldStart("work_times");
@@ -111,14 +116,14 @@
     json.writeEndObject();
   }
 
-  private static void service(JsonGenerator json, ReplayResult result) throws IOException {
+  private static void writeService(JsonGenerator json, ReplayResult result) throws IOException {
     ReplayMetrics metrics = result.metrics();
     json.writeObjectFieldStart("service");
-    number(json, "whole", metrics.whole());
-    number(json, "worst_10_s", metrics.worstWindow());
-    number(json, "worst_10_s_from", metrics.worstWindowStart() / SECOND);
-    number(json, "worst_track", metrics.worstRequestClass());
-    number(json, "seconds", result.lasted() / SECOND);
+    writeDecimal(json, "whole", metrics.whole());
+    writeDecimal(json, "worst_10_s", metrics.worstWindow());
+    writeDecimal(json, "worst_10_s_from", metrics.worstWindowStart() / TICKS_PER_SECOND);
+    writeDecimal(json, "worst_track", metrics.worstRequestClass());
+    writeDecimal(json, "seconds", result.lasted() / TICKS_PER_SECOND);
     json.writeNumberField("arrived", metrics.arrived());
     for (End end : End.values()) {
       json.writeNumberField(end.name().toLowerCase(Locale.ROOT), metrics.ended(end));
@@ -133,16 +138,16 @@
       for (End end : End.values()) {
         json.writeNumberField(end.name().toLowerCase(Locale.ROOT), requestClass.ended(end));
       }
-      number(json, "served", requestClass.served());
-      number(json, "ms_half", requestClass.timeMs(50));
-      number(json, "ms_99_of_100", requestClass.timeMs(99));
+      writeDecimal(json, "served", requestClass.served());
+      writeDecimal(json, "ms_half", requestClass.timeMs(50));
+      writeDecimal(json, "ms_99_of_100", requestClass.timeMs(99));
       json.writeEndObject();
     }
     json.writeEndObject();
     json.writeEndObject();
   }
 
-  private static void rules(JsonGenerator json, ReplayResult result) throws IOException {
+  private static void writeViolations(JsonGenerator json, ReplayResult result) throws IOException {
     json.writeObjectFieldStart("rules_broken");
     for (Map.Entry<Rule, Long> count : result.auditor().counts().entrySet()) {
       json.writeNumberField(count.getKey().name().toLowerCase(Locale.ROOT), count.getValue());
@@ -154,41 +159,41 @@
       json.writeString(result.sinceStart(violation.at()) + " s " + violation.what());
     }
     json.writeEndArray();
-    number(json, "cold_engine_most", result.auditor().maxSlowStartLoad());
+    writeDecimal(json, "cold_engine_most", result.auditor().maxSlowStartLoad());
     json.writeArrayFieldStart("troubles");
-    for (ScheduledFault trouble : result.config().troubles()) {
+    for (ScheduledFault fault : result.config().troubles()) {
       json.writeString(
           String.format(
               Locale.ROOT,
               "%.1f s %s %s for %.1f s",
-              trouble.at() / SECOND,
-              trouble.what().name().toLowerCase(Locale.ROOT),
-              trouble.whom(),
-              trouble.lasts() / SECOND));
+              fault.at() / TICKS_PER_SECOND,
+              fault.what().name().toLowerCase(Locale.ROOT),
+              fault.whom(),
+              fault.lasts() / TICKS_PER_SECOND));
     }
     json.writeEndArray();
   }
 
-  private static void engines(JsonGenerator json, ReplayResult result) throws IOException {
+  private static void writeUtilization(JsonGenerator json, ReplayResult result) throws IOException {
     json.writeObjectFieldStart("busy_share_by_engine");
     for (Map.Entry<String, Double> engine :
         result.cluster().utilization(result.lasted()).entrySet()) {
-      number(json, engine.getKey(), engine.getValue());
+      writeDecimal(json, engine.getKey(), engine.getValue());
     }
     json.writeEndObject();
   }
 
-  private static void series(JsonGenerator json, TimeSeries series) throws IOException {
+  private static void writeSeries(JsonGenerator json, TimeSeries series) throws IOException {
     json.writeObjectFieldStart("series");
-    number(json, "seconds_a_bin", series.span() / SECOND);
-    counts(json, "arrived", series, 0);
+    writeDecimal(json, "seconds_a_bin", series.span() / TICKS_PER_SECOND);
+    writeCounts(json, "arrived", series, 0);
     for (End end : End.values()) {
-      counts(json, end.name().toLowerCase(Locale.ROOT), series, ReplayMetrics.seriesOf(end));
+      writeCounts(json, end.name().toLowerCase(Locale.ROOT), series, ReplayMetrics.seriesOf(end));
     }
     json.writeEndObject();
   }
 
-  private static void counts(JsonGenerator json, String name, TimeSeries series, int kind)
+  private static void writeCounts(JsonGenerator json, String name, TimeSeries series, int kind)
       throws IOException {
     json.writeArrayFieldStart(name);
     for (int i = 0; i < series.bins(); i++) {
--- a/replay/src/main/java/tillerlink/replay/ReplayClients.java
+++ b/replay/src/main/java/tillerlink/replay/ReplayClients.java
@@ -14,17 +14,23 @@
 import tillerlink.workload.RequestClassSpec;
 
 /**
- * The clients of a replay, an open-loop load: each request is sent at its arrival time, independent
- * of the outcome of earlier ones, to a gateway that is up, and its result is fetched by the HTTP
- * protocol of the gateway.
+ * The clients of a replay. They produce an open-loop load: each request is sent at its arrival
+ * time, independent of the outcome of earlier requests, to a gateway that is up. A client fetches
+ * its result with the HTTP protocol of the gateway.
  */
 public final class ReplayClients {
   private static final int MAX_FETCHES = 3;
 
-  /** Added to each deadline, in tenths of a millisecond: 50 ms for the sockets. */
+  /**
+   * Time after its deadline at which a client disconnects, in tenths of a millisecond: 50 ms, which
+   * allows for the delay of the sockets.
+   */
   private static final long DEADLINE_SLACK = 500;
 
+  /** Time allowed for a gateway to receive a cancellation, in tenths of a millisecond. */
   private static final long DISCONNECT_DELAY = 10;
+
+  /** Time after which an idle connection is not used again, in tenths of a millisecond. */
   private static final long MAX_IDLE_TIME = 4 * ReplayMetrics.SECOND;
 
   private static final long HASH_MULTIPLIER = 0x9e3779b97f4a7c15L;
@@ -33,14 +39,17 @@
   private static final int UNAVAILABLE = 503;
   private static final int NO_GATEWAY = -1;
 
-  /** Faults of a client that polls; the number is the choice of the fault chooser. */
+  /**
+   * The faults of a client that polls, as the numbers that the fault chooser returns. 0 is no
+   * fault.
+   */
   private static final class ClientFault {
     static final int RECONNECTS = 1;
     static final int DISCONNECTS = 2;
     static final int COUNT = 3;
   }
 
-  /** One request and its client. */
+  /** A request and the state of its client. */
   private static final class Request {
     private final Arrival arrival;
     private final RequestClassSpec requestClass;
@@ -49,7 +58,7 @@
     private final long sentAt;
     private String path;
     private int fetches;
-    private boolean over;
+    private boolean ended;
 
     Request(Arrival arrival, RequestClassSpec requestClass, String id, int gateway, long sentAt) {
       this.arrival = arrival;
@@ -69,7 +78,9 @@
   private final List<ArrayDeque<HttpConnection>> idleConnections = new ArrayList<>();
   private final List<Set<HttpConnection>> connections = new ArrayList<>();
 
-  /** Clients of that cluster, which use the transport and report to the metrics. */
+  /**
+   * Creates clients for a cluster. They connect through the transport and report to the metrics.
+   */
   public ReplayClients(
       EmulatedCluster cluster,
       ClientTransport transport,
@@ -87,17 +98,25 @@
     cluster.onKill(this::onGatewayKilled);
   }
 
-  /** Sets the start of the run, which is now otherwise. */
+  /**
+   * Sets the start of the run, to which the times in the metrics relate. The default is the time at
+   * which this object was created.
+   *
+   * @param time the start, in tenths of a millisecond
+   */
   public void startAt(long time) {
     start = time;
   }
 
-  /** How many requests wait for their responses. */
+  /** Returns the number of requests that wait for their responses. */
   public int open() {
     return openRequests.size();
   }
 
-  /** Sends a request that arrives now. */
+  /**
+   * Sends a request whose arrival time is now. If no gateway is up, the request ends as {@link
+   * End#KILLED}.
+   */
   public void arrive(Arrival arrival) {
     RequestClassSpec requestClass = cluster.requestClasses.get(arrival.requestClass());
     metrics.arrived(cluster.now() - start, arrival.requestClass());
@@ -125,7 +144,10 @@
         () -> disconnectAtDeadline(request));
   }
 
-  /** The gateway follows from the request alone, skipping gateways that are down. */
+  /**
+   * Returns the gateway for a request, which depends on the key of the request alone, except that
+   * gateways that are down are skipped. Returns {@link #NO_GATEWAY} if all are down.
+   */
   private int gatewayFor(Arrival arrival) {
     int count = cluster.fleet.gateways();
     int first = (int) Long.remainderUnsigned((arrival.key() * HASH_MULTIPLIER) >>> 16, count);
@@ -138,11 +160,11 @@
   }
 
   private void send(Request request, byte[] bytes) {
-    ArrayDeque<HttpConnection> free = idleConnections.get(request.gateway);
-    HttpConnection connection = free.pollLast();
+    ArrayDeque<HttpConnection> idle = idleConnections.get(request.gateway);
+    HttpConnection connection = idle.pollLast();
     while (connection != null && connection.isStaleAt(cluster.now())) {
       connection.close();
-      connection = free.pollLast();
+      connection = idle.pollLast();
     }
     connection = connection == null ? new HttpConnection(request.gateway) : connection;
     connection.request = request;
@@ -157,14 +179,14 @@
       return;
     }
     connection.release();
-    if (!request.over) {
+    if (!request.ended) {
       onFinalResponse(request, response);
     }
   }
 
-  /** Polls for the result, unless a client fault is chosen. */
+  /** Polls for the result, unless the fault chooser selects a fault of the client. */
   private void fetchOrFail(HttpConnection connection, Request request) {
-    int fault = request.over ? 0 : cluster.faults().choose("client", ClientFault.COUNT);
+    int fault = request.ended ? 0 : cluster.faults().choose("client", ClientFault.COUNT);
     switch (fault) {
       case ClientFault.RECONNECTS -> {
         connection.close();
@@ -173,7 +195,7 @@
       case ClientFault.DISCONNECTS -> {
         connection.close();
         new HttpConnection(request.gateway).send(RequestEncoder.cancel(request.path));
-        // The gateway rightly goes on until it has received the cancellation.
+        // The gateway may continue the request until it has received the cancellation.
         cluster.timeline.at(
             cluster.now() + DISCONNECT_DELAY,
             () -> {
@@ -186,29 +208,29 @@
   }
 
   private void onFinalResponse(Request request, Response response) {
-    long took = cluster.now() - request.sentAt;
+    long responseTime = cluster.now() - request.sentAt;
     if (response.status() == OK) {
       if (!response.body().equals(Results.whole(request.id))) {
         cluster.auditor.onWrongResult(cluster.now(), request.id);
       }
-      answered(
+      recordAnswer(
           request,
           Auditor.Answer.SUCCEEDED,
-          took <= request.requestClass.latencyObjective() ? End.IN_TIME : End.LATE);
+          responseTime <= request.requestClass.latencyObjective() ? End.IN_TIME : End.LATE);
     } else if (response.status() == UNAVAILABLE || response.status() == TOO_MANY_REQUESTS) {
-      answered(request, Auditor.Answer.REJECTED, End.TURNED_BACK);
+      recordAnswer(request, Auditor.Answer.REJECTED, End.TURNED_BACK);
     } else {
-      answered(request, Auditor.Answer.FAILED, End.BROKEN_OFF);
+      recordAnswer(request, Auditor.Answer.FAILED, End.BROKEN_OFF);
     }
   }
 
-  private void answered(Request request, Auditor.Answer answer, End end) {
+  private void recordAnswer(Request request, Auditor.Answer answer, End end) {
     cluster.auditor.onAnswer(cluster.now(), request.id, answer);
     finish(request, end);
   }
 
   private void finish(Request request, End end) {
-    request.over = true;
+    request.ended = true;
     openRequests.remove(request);
     cluster.forget(request.id);
     metrics.ended(
@@ -219,17 +241,18 @@
   }
 
   /**
-   * The connection ended without a response: the result is fetched again on another connection,
-   * three times at most.
+   * Continues a request whose connection ended without a response. The result is fetched again on
+   * another connection, at most three times. A request that had no response at all is submitted
+   * once more. Otherwise the client gives up.
    */
   private void retry(Request request) {
-    if (request == null || request.over) {
+    if (request == null || request.ended) {
       return;
     }
     if (request.path != null && request.fetches++ < MAX_FETCHES) {
       send(request, RequestEncoder.fetch(request.path));
     } else if (request.path == null && request.fetches++ == 0) {
-      // The request crossed the gateway's close of an idle connection.
+      // The gateway closed the idle connection while the request was on its way.
       send(request, encoder.submit(request.arrival, request.requestClass, request.id));
     } else {
       cluster.auditor.onClientDisconnected(cluster.now(), request.id, true);
@@ -237,9 +260,9 @@
     }
   }
 
-  /** The deadline has passed: the client disconnects. */
+  /** Ends a request whose deadline has passed: the client disconnects and cancels it. */
   private void disconnectAtDeadline(Request request) {
-    if (request.over) {
+    if (request.ended) {
       return;
     }
     cluster.auditor.onClientDisconnected(cluster.now(), request.id, true);
@@ -264,7 +287,7 @@
     private final HttpResponseParser parser = new HttpResponseParser();
     private final ClientTransport.Connection connection;
     private Request request;
-    private boolean over;
+    private boolean closed;
     private long idleSince;
 
     HttpConnection(int gateway) {
@@ -279,13 +302,13 @@
 
     @Override
     public void onBytes(byte[] bytes) {
-      if (over) {
+      if (closed) {
         return;
       }
       try {
         parser.feed(bytes);
         for (Response response = parser.next();
-            response != null && !over;
+            response != null && !closed;
             response = parser.next()) {
           Request current = request;
           if (current == null) {
@@ -307,27 +330,27 @@
     }
 
     boolean isStaleAt(long now) {
-      return over || now >= idleSince + MAX_IDLE_TIME;
+      return closed || now >= idleSince + MAX_IDLE_TIME;
     }
 
-    /** The client closes the connection. */
+    /** Closes the connection from the client's side. */
     void close() {
-      if (!over) {
-        forget();
+      if (!closed) {
+        markClosed();
         connection.disconnect();
       }
     }
 
-    private void forget() {
-      over = true;
+    private void markClosed() {
+      closed = true;
       connections.get(gateway).remove(this);
       idleConnections.get(gateway).remove(this);
     }
 
     @Override
     public void onClosed() {
-      if (!over) {
-        forget();
+      if (!closed) {
+        markClosed();
         retry(request);
       }
     }
--- a/replay/src/main/java/tillerlink/replay/ReplayResult.java
+++ b/replay/src/main/java/tillerlink/replay/ReplayResult.java
@@ -10,10 +10,10 @@
 /**
  * The result of a replay.
  *
- * @param start when it began, in tenths of a millisecond
- * @param lasted how long it lasted, in tenths of a millisecond
- * @param lag how late requests were sent over sockets, in tenths of a millisecond; null in virtual
- *     time
+ * @param start the start of the run, in tenths of a millisecond
+ * @param lasted the duration of the run, in tenths of a millisecond
+ * @param lag the delay with which requests were sent over sockets, in tenths of a millisecond; null
+ *     in virtual time
  */
 public record ReplayResult(
     ReplayConfig config,
@@ -24,27 +24,31 @@
     long start,
     long lasted,
     Histogram lag) {
-  private static final double MAX_LAG_99 = 200;
+  private static final double MAX_LAG_P99 = 200;
   private static final double MAX_LAG = 5000;
   private static final int TICKS_PER_MS = 10;
 
-  /** A time as seconds since the start. */
+  /**
+   * Formats a time as seconds since the start, with three decimals.
+   *
+   * @param time in tenths of a millisecond
+   */
   String sinceStart(long time) {
     return String.format(Locale.ROOT, "%.3f", (time - start) / (double) ReplayMetrics.SECOND);
   }
 
   /**
-   * Whether the load was sent as the trace has it: of 100 requests 99 within 20 ms, all within half
-   * a second.
+   * Returns whether the load was sent at the times of the trace: 99 of 100 requests at most 20 ms
+   * late, and all at most half a second late.
    */
   public boolean loadWasInTime() {
     return lag == null
-        || (lag.getValueAtPercentile(99) <= MAX_LAG_99 && lag.getMaxValue() <= MAX_LAG);
+        || (lag.getValueAtPercentile(99) <= MAX_LAG_P99 && lag.getMaxValue() <= MAX_LAG);
   }
 
   /**
-   * Faults of the gateways or the replay, independent of the load of the machine: violated rules,
-   * and rows or requests that are not accounted for.
+   * Returns the faults of the gateways or of the replay, which do not depend on the load of the
+   * machine: violated rules, and rows or requests that are not accounted for.
    */
   public List<String> faults() {
     List<String> faults = new ArrayList<>();
@@ -67,12 +71,12 @@
     return faults;
   }
 
-  /** Whether the figures are valid: the load was in time, and there are no faults. */
+  /** Returns whether the figures are valid: the load was sent in time, and there are no faults. */
   public boolean isValid() {
     return loadWasInTime() && faults().isEmpty();
   }
 
-  /** One line on why the figures are valid or not. */
+  /** Returns one line that says whether the figures are valid, with the reason if they are not. */
   public String verdict() {
     List<String> faults = faults();
     String summary =
--- a/replay/src/main/java/tillerlink/replay/RequestEncoder.java
+++ b/replay/src/main/java/tillerlink/replay/RequestEncoder.java
@@ -7,7 +7,7 @@
 import tillerlink.workload.Arrival;
 import tillerlink.workload.RequestClassSpec;
 
-/** Encodes requests to gateways, the same in virtual time and over sockets. */
+/** Encodes the HTTP requests to gateways, identically in virtual time and over sockets. */
 public final class RequestEncoder {
   private static final int TICKS_PER_MS = 10;
   private static final int HEX_DIGITS = 16;
@@ -18,21 +18,25 @@
   private final double estimateSigma;
 
   /**
-   * Encodes with that seed.
+   * Creates an encoder with a seed.
    *
-   * @param estimateSigma the scatter of estimates: the sigma of a log-normal factor
+   * @param seed the seed of the ids and of the errors of estimates
+   * @param estimateSigma the error of estimates: the sigma of a log-normal factor
    */
   public RequestEncoder(long seed, double estimateSigma) {
     this.seed = seed;
     this.estimateSigma = estimateSigma;
   }
 
-  /** The id of a request, unique in the run because the mapping is one to one. */
+  /**
+   * Returns the id of a request. It is unique in the run, because the mapping from the number of
+   * the arrival is one to one.
+   */
   public String id(Arrival arrival) {
     return hex(((arrival.number() + 1) * HASH_MULTIPLIER) ^ seed);
   }
 
-  /** The idempotency key of a request. */
+  /** Returns the idempotency key of a request. */
   public String idempotencyKey(Arrival arrival) {
     return hex(arrival.key() * HASH_MULTIPLIER) + hex(arrival.number());
   }
@@ -42,7 +46,7 @@
     return "0".repeat(HEX_DIGITS - digits.length()) + digits;
   }
 
-  /** The HTTP request that submits it. */
+  /** Encodes the HTTP request that submits a statement. */
   public byte[] submit(Arrival arrival, RequestClassSpec requestClass, String id) {
     Random random = new Random(arrival.key() ^ seed);
     double estimate =
@@ -74,12 +78,12 @@
         .getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** The HTTP request that fetches a result. */
+  /** Encodes the HTTP request that fetches a result. */
   public static byte[] fetch(String path) {
     return ("GET " + path + " HTTP/1.1\r\nHost: app\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** The HTTP request that cancels a request. */
+  /** Encodes the HTTP request that cancels a request. */
   public static byte[] cancel(String path) {
     return ("DELETE " + path + " HTTP/1.1\r\nHost: app\r\n\r\n")
         .getBytes(StandardCharsets.US_ASCII);
--- a/replay/src/main/java/tillerlink/replay/TimeSeries.java
+++ b/replay/src/main/java/tillerlink/replay/TimeSeries.java
@@ -1,8 +1,9 @@
 package tillerlink.replay;
 
 /**
- * Counts over the time of a run in a bounded number of equal bins. When the run outgrows them, each
- * two bins are merged. Times are tenths of a millisecond from the start.
+ * Counts over the time of a run, in a bounded number of bins of equal span. When the run exceeds
+ * the bins, adjacent pairs are merged and the span doubles. Times are tenths of a millisecond from
+ * the start.
  */
 public final class TimeSeries {
   private static final int MAX_BINS = 600;
@@ -11,13 +12,18 @@
   private long span;
   private int binsUsed;
 
-  /** A series of that many kinds, with bins of that span at first. */
+  /**
+   * Creates a series.
+   *
+   * @param kinds the number of kinds that are counted separately
+   * @param span the initial span of a bin, in tenths of a millisecond
+   */
   public TimeSeries(int kinds, long span) {
     counts = new long[kinds][MAX_BINS];
     this.span = span;
   }
 
-  /** Adds to the count of a kind in the bin of a time. */
+  /** Adds to the count of a kind in the bin that contains a time. */
   public void add(long time, int kind, long count) {
     while (time / span >= MAX_BINS) {
       mergeBins();
--- a/replay/src/main/java/tillerlink/replay/VirtualTimeReplay.java
+++ b/replay/src/main/java/tillerlink/replay/VirtualTimeReplay.java
@@ -8,8 +8,14 @@
 
 /** Replays a trace in virtual time. */
 public final class VirtualTimeReplay {
+  /** The virtual time at which a replay starts, in tenths of a millisecond. */
   private static final long START = 17_000_000_000_000L;
+
+  /**
+   * Time after the last response in which engines and gateways finish, in tenths of a millisecond.
+   */
   private static final long SETTLING_TIME = 2 * ReplayMetrics.SECOND;
+
   private static final long STEPS_PER_PROGRESS = 1 << 16;
 
   private VirtualTimeReplay() {}
@@ -17,7 +23,8 @@
   /**
    * Runs a replay.
    *
-   * @param progress called from time to time with the number of requests that have arrived
+   * @param progress called repeatedly with the number of requests that have arrived
+   * @throws IOException if the trace cannot be read
    */
   public static ReplayResult play(
       ReplayConfig config, ArrivalSource arrivals, LongConsumer progress) throws IOException {
--- a/replay/src/main/java/tillerlink/replay/WorstWindow.java
+++ b/replay/src/main/java/tillerlink/replay/WorstWindow.java
@@ -3,18 +3,19 @@
 import java.util.ArrayDeque;
 
 /**
- * The worst window of a run: value served in time over value requested, by time of request. Windows
- * are closed once all their requests must have ended, so that few are kept.
+ * Finds the worst window of a run: the least value served in time as a share of the value
+ * requested, by time of request. A window is closed once all its requests must have ended, so that
+ * only a few windows are in memory. Times are tenths of a millisecond.
  */
 final class WorstWindow {
   private static final class Window {
-    private final long number;
+    private final long index;
     private double requested;
     private double served;
     private long count;
 
-    Window(long number) {
-      this.number = number;
+    Window(long index) {
+      this.index = index;
     }
   }
 
@@ -23,10 +24,14 @@
   private final long minCount;
   private final ArrayDeque<Window> open = new ArrayDeque<>();
   private double worst = Double.NaN;
-  private long worstNumber;
+  private long worstIndex;
 
   /**
-   * @param minCount windows with fewer requests are ignored
+   * Creates a search over consecutive windows.
+   *
+   * @param span the span of a window
+   * @param closedAfter the time after the end of a window at which all its requests must have ended
+   * @param minCount the number of requests below which a window is ignored
    */
   WorstWindow(long span, long closedAfter, long minCount) {
     this.span = span;
@@ -46,44 +51,45 @@
   }
 
   private Window windowAt(long time) {
-    long number = time / span;
+    long index = time / span;
     for (Window window : open) {
-      if (window.number == number) {
+      if (window.index == index) {
         return window;
       }
     }
-    Window window = new Window(number);
+    Window window = new Window(index);
     open.add(window);
     return window;
   }
 
   private void close(long now) {
-    while (!open.isEmpty() && (open.peekFirst().number + 1) * span + closedAfter < now) {
-      judge(open.pollFirst());
+    while (!open.isEmpty() && (open.peekFirst().index + 1) * span + closedAfter < now) {
+      evaluate(open.pollFirst());
     }
   }
 
-  private void judge(Window window) {
+  private void evaluate(Window window) {
     if (window.count >= minCount) {
       double share = window.served / window.requested;
       if (Double.isNaN(worst) || share < worst) {
         worst = share;
-        worstNumber = window.number;
+        worstIndex = window.index;
       }
     }
   }
 
   void end() {
-    open.forEach(this::judge);
+    open.forEach(this::evaluate);
     open.clear();
   }
 
-  /** The worst share; NaN if no window had enough requests. */
+  /** Returns the worst share; NaN if no window had enough requests. */
   double worst() {
     return worst;
   }
 
+  /** Returns the start of the worst window. */
   long worstStart() {
-    return worstNumber * span;
+    return worstIndex * span;
   }
 }
--- a/tools/src/test/java/tillerlink/replay/ReplayTest.java
+++ b/tools/src/test/java/tillerlink/replay/ReplayTest.java
@@ -30,8 +30,8 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * Small whole replays: deterministic, with every row and request accounted for and no rule
- * violated.
+ * Plays small complete replays. They are deterministic, account for every row and request, and
+ * violate no rule.
  */
 class ReplayTest {
   private static final long SECOND = 10_000;
@@ -59,13 +59,13 @@
       Fleet fleet,
       double load,
       DispatchPolicyFactory policies,
-      ScheduledFault... troubles) {
+      ScheduledFault... faults) {
     return new ReplayConfig(
         List.of(Shard.of(trace)),
         layout,
         BuiltInRequestClasses.requestClasses(layout),
         fleet,
-        List.of(troubles),
+        List.of(faults),
         3600 * SECOND,
         null,
         0,
@@ -127,11 +127,11 @@
   }
 
   /**
-   * Every kind of trouble once: the incidents and, second by second, how requests ended, in
-   * readable form.
+   * Injects every kind of scheduled fault once. The kept trace has the incidents and, for each
+   * second, how requests ended.
    */
   @Test
-  void troublesGiveTheKeptTrace() throws IOException {
+  void scheduledFaultsGiveTheKeptTrace() throws IOException {
     Path trace = trace(Layout.ALIBABA_2018, 6000, 0);
     ReplayResult result =
         play(
@@ -149,22 +149,25 @@
                 new ScheduledFault(17 * SECOND, ScheduledFault.What.KILLED, "n1", SECOND, 1),
                 new ScheduledFault(18 * SECOND, ScheduledFault.What.DRAINED, "e4", SECOND, 1)));
     assertTrue(result.isValid(), result.auditor().violations().toString());
-    StringBuilder print = new StringBuilder();
-    result.cluster().incidents().forEach(line -> print.append(line).append('\n'));
+    StringBuilder printed = new StringBuilder();
+    result.cluster().incidents().forEach(line -> printed.append(line).append('\n'));
     TimeSeries series = result.metrics().series();
-    print.append("second  arrived in_time late turned_back broken_off gone killed\n");
+    printed.append("second  arrived in_time late turned_back broken_off gone killed\n");
     for (int i = 0; i < series.bins(); i++) {
-      print.append(String.format(Locale.ROOT, "%4d %8d", i, series.count(0, i)));
+      printed.append(String.format(Locale.ROOT, "%4d %8d", i, series.count(0, i)));
       for (End end : End.values()) {
-        print.append(
+        printed.append(
             String.format(Locale.ROOT, " %5d", series.count(ReplayMetrics.seriesOf(end), i)));
       }
-      print.append('\n');
+      printed.append('\n');
     }
-    assertKept("replay-troubles", print.toString());
+    assertKept("replay-troubles", printed.toString());
   }
 
-  /** Compares with the kept trace; with {@code -Dkeep=folder} writes the new one to that folder. */
+  /**
+   * Compares a printed trace with the kept one. With {@code -Dkeep=folder} it also writes the
+   * printed trace to that folder.
+   */
   static void assertKept(String name, String printed) throws IOException {
     String keep = System.getProperty("keep");
     if (keep != null) {
@@ -192,10 +195,10 @@
                             0.5,
                             DefaultDispatchPolicy::new)))
             .getMessage()
-            .endsWith("rows are bad, a share of 1.0000 where 0.1000 is allowed"));
+            .endsWith("rows are bad: share 1.0000 exceeds the limit of 0.1000"));
     Path empty = Files.createFile(folder.resolve("empty"));
     assertEquals(
-        "the trace has no row of use",
+        "the trace has no usable row",
         assertThrows(
                 InvalidTraceException.class,
                 () ->
@@ -210,8 +213,8 @@
   }
 
   /**
-   * A gateway that is killed while discovery is down starts from its endpoint cache on disk and
-   * serves; the engine that it had seen draining gets no request.
+   * A gateway that is killed while the discovery service is down starts from its endpoint cache on
+   * disk and serves. The engine that it had seen draining gets no request.
    */
   @Test
   void gatewayStartsFromItsStoreWhileDiscoveryIsDown() throws IOException {
@@ -235,7 +238,7 @@
               cluster ->
                   cluster.timeline.at(
                       cluster.now() + 1,
-                      () -> cluster.onKill(place -> cluster.discoveryDownUntil(Long.MAX_VALUE))));
+                      () -> cluster.onKill(gateway -> cluster.discoveryDownUntil(Long.MAX_VALUE))));
       assertTrue(result.auditor().counts().isEmpty(), result.auditor().violations().toString());
       assertTrue(result.metrics().addsUp());
       TimeSeries series = result.metrics().series();
@@ -252,8 +255,8 @@
   }
 
   /**
-   * Real processes in real time: engines over both protocols, one drained, one killed, and one of
-   * two gateways killed.
+   * Runs real processes in real time: engines over both protocols, of which one is drained and one
+   * is killed, and two gateways, of which one is killed.
    */
   @Test
   void replayOverSocketsKeepsTheRules() throws IOException {
