--- a/tools/src/main/java/tillerlink/cli/CheckCommand.java
+++ b/tools/src/main/java/tillerlink/cli/CheckCommand.java
@@ -11,11 +11,11 @@
 import tillerlink.operator.ConfigError;
 import tillerlink.operator.OperatorFile;
 
-/** Checks an operator's file and tells all that is wrong in it. */
+/** Checks an operator's file and reports every error in it. */
 @Command(
     name = "check",
     mixinStandardHelpOptions = true,
-    description = "Check an operator's file; every fault is told with its line and column.")
+    description = "Check an operator's file; every error is reported with its line and column.")
 final class CheckCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
@@ -25,20 +25,20 @@
   @Override
   public Integer call() throws IOException {
     try {
-      OperatorFile read = OperatorFile.read(file);
+      OperatorFile config = OperatorFile.read(file);
       spec.commandLine()
           .getOut()
           .printf(
               Locale.ROOT,
               "%s is fine: %d layouts, %d tracks, %d troubles%s%s%n",
               file,
-              read.layouts().size(),
-              read.requestClasses().size(),
-              read.troubles().size(),
-              read.fleet() == null
+              config.layouts().size(),
+              config.requestClasses().size(),
+              config.troubles().size(),
+              config.fleet() == null
                   ? ""
-                  : ", a fleet of " + read.fleet().engines().size() + " engines",
-              sharedState(read));
+                  : ", a fleet of " + config.fleet().engines().size() + " engines",
+              sharedState(config));
       spec.commandLine().getOut().flush();
       return 0;
     } catch (OperatorFile.InvalidFileException e) {
@@ -49,23 +49,27 @@
     }
   }
 
-  /** Describes the blocks of state that gateways share. */
-  private static String sharedState(OperatorFile read) {
-    StringBuilder all = new StringBuilder();
-    if (read.members() != null) {
-      all.append("; a member of '")
-          .append(read.members().fleet())
+  /** Describes the blocks of the file that configure state shared by gateways. */
+  private static String sharedState(OperatorFile config) {
+    StringBuilder blocks = new StringBuilder();
+    if (config.members() != null) {
+      blocks
+          .append("; a member of '")
+          .append(config.members().fleet())
           .append("' at site ")
-          .append(read.members().site())
+          .append(config.members().site())
           .append(" on ")
-          .append(read.members().listen());
+          .append(config.members().listen());
     }
-    if (read.channels() != null) {
-      all.append(", channels among ").append(read.channels().sites().size()).append(" sites");
+    if (config.channels() != null) {
+      blocks.append(", channels among ").append(config.channels().sites().size()).append(" sites");
     }
-    if (read.statements() != null) {
-      all.append(", statements by ").append(read.statements().voters().size()).append(" voters");
+    if (config.statements() != null) {
+      blocks
+          .append(", statements by ")
+          .append(config.statements().voters().size())
+          .append(" voters");
     }
-    return all.toString();
+    return blocks.toString();
   }
 }
--- a/tools/src/main/java/tillerlink/cli/DemoCommand.java
+++ b/tools/src/main/java/tillerlink/cli/DemoCommand.java
@@ -23,13 +23,13 @@
 import tillerlink.workload.BuiltInRequestClasses;
 import tillerlink.workload.WorkloadScaling;
 
-/** Demonstrates the gateway on this machine alone. */
+/** Runs a demonstration replay with two gateways on this machine alone. */
 @Command(
     name = "demo",
     mixinStandardHelpOptions = true,
     description = {
-      "Start two gateways, stand-in engines and a name service on loopback, replay a small made-up",
-      "trace over sockets for some ten seconds, and print the figure by track."
+      "Start two gateways, stand-in engines and a name service on loopback, replay a small",
+      "generated trace over sockets for about ten seconds, and print the figure by track."
     })
 final class DemoCommand implements Callable<Integer> {
   private static final Layout LAYOUT = Layout.ALIBABA_2018;
@@ -57,7 +57,7 @@
       try (ArrivalSource arrivals = new ArrivalSource(config)) {
         spec.commandLine()
             .getErr()
-            .println("two gateways are starting; the replay takes some ten seconds");
+            .println("starting two gateways; the replay takes about ten seconds");
         spec.commandLine().getErr().flush();
         ReplayResult result =
             ProcessHarness.play(
@@ -94,8 +94,8 @@
   }
 
   /**
-   * The demonstration fails only on faults. A busy machine, which makes the figures invalid, is
-   * none.
+   * Returns the exit code, which reports only faults of the gateways or the replay. A load that was
+   * sent late because the machine was busy makes the figures invalid, but is not a fault.
    */
   static int exitCode(ReplayResult result) {
     return result.faults().isEmpty() ? 0 : 1;
--- a/tools/src/main/java/tillerlink/cli/ExploreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ExploreCommand.java
@@ -12,12 +12,12 @@
 import tillerlink.explore.HistoryPlayer;
 import tillerlink.policy.DefaultDispatchPolicy;
 
-/** Explores small histories exhaustively. */
+/** Explores small histories exhaustively and checks the rules in each. */
 @Command(
     name = "explore",
     mixinStandardHelpOptions = true,
     description =
-        "Play every small history in which so many things go otherwise than usual, and check all"
+        "Play every small history with at most the given number of injected faults, and check all"
             + " rules.")
 final class ExploreCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
@@ -37,7 +37,8 @@
   @Option(
       names = "--failures",
       defaultValue = "1",
-      description = "how many things go otherwise in one history (default ${DEFAULT-VALUE})")
+      description =
+          "how many faults are injected in one history at most (default ${DEFAULT-VALUE})")
   private int failures;
 
   @Option(names = "--h2", description = "engines speak HTTP/2")
@@ -46,7 +47,7 @@
   @Option(
       names = "--minutes",
       defaultValue = "5",
-      description = "after which it ends (default ${DEFAULT-VALUE})")
+      description = "after which the exploration ends (default ${DEFAULT-VALUE})")
   private double minutes;
 
   @Override
@@ -76,7 +77,13 @@
   private void checkOptions() {
     if (!within(engines, 1, 20) || !within(requests, 1, 50) || !within(failures, 0, 10)) {
       throw new CommandLine.ParameterException(
-          spec.commandLine(), "--engines is 1 to 20, --submissions 1 to 50, --failures 0 to 10");
+          spec.commandLine(),
+          "--engines must be 1 to 20, --submissions 1 to 50 and --failures 0 to 10; got "
+              + engines
+              + ", "
+              + requests
+              + " and "
+              + failures);
     }
   }
 
@@ -104,6 +111,8 @@
     if (result.violation() != null) {
       return "a rule broken";
     }
-    return result.complete() ? "all of them, no rule broken" : "not all of them: the time was up";
+    return result.complete()
+        ? "all of them, no rule broken"
+        : "not all of them: the time limit was reached";
   }
 }
--- a/tools/src/main/java/tillerlink/cli/ExtensionBuilder.java
+++ b/tools/src/main/java/tillerlink/cli/ExtensionBuilder.java
@@ -16,13 +16,17 @@
 import tillerlink.peering.component.ComponentFactory;
 import tillerlink.peering.statements.StatementsComponentFactory;
 
-/** Builds the extension of a gateway that the operator's file configures. */
+/** Builds the extension of a gateway as configured in the operator's file. */
 final class ExtensionBuilder {
   private static final long TICKS_PER_MS = 10;
 
   private ExtensionBuilder() {}
 
-  /** The factory of the extension; null if the file has no block members. */
+  /**
+   * Returns the factory of the extension; null if the file has no block {@code members}.
+   *
+   * @throws IOException if the configuration of the extension cannot be used
+   */
   static GatewayExtension.Factory of(OperatorFile file) throws IOException {
     MembersConfig members = file.members();
     if (members == null) {
@@ -47,7 +51,7 @@
         components(file));
   }
 
-  /** The components of state shared by gateways, in addition to membership. */
+  /** Returns the components for state shared by gateways, in addition to membership. */
   private static List<ComponentFactory> components(OperatorFile file) {
     List<ComponentFactory> components = new ArrayList<>();
     ChannelsConfig channels = file.channels();
--- a/tools/src/main/java/tillerlink/cli/LogSetup.java
+++ b/tools/src/main/java/tillerlink/cli/LogSetup.java
@@ -9,10 +9,13 @@
 import org.slf4j.LoggerFactory;
 import tillerlink.operator.OperatorFile;
 
-/** Configures the log from the operator's file; without one it stays plain text. */
+/**
+ * Configures the log from the operator's file. Without that configuration the log stays plain text.
+ */
 final class LogSetup {
   private LogSetup() {}
 
+  /** Applies the configuration of the log; null changes nothing. */
   static void apply(OperatorFile.LogConfig log) {
     if (log == null || !(LoggerFactory.getILoggerFactory() instanceof LoggerContext context)) {
       return;
@@ -39,7 +42,10 @@
     }
   }
 
-  /** Keeps the logs of hundreds of emulated gateways out of the output of a replay. */
+  /**
+   * Limits the logs of emulated gateways to errors, because hundreds of gateways would flood the
+   * output of a replay.
+   */
   static void muteGateways() {
     if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
       context.getLogger("tillerlink.net.state").setLevel(Level.ERROR);
--- a/tools/src/main/java/tillerlink/cli/OptionValues.java
+++ b/tools/src/main/java/tillerlink/cli/OptionValues.java
@@ -7,14 +7,14 @@
 import tillerlink.trace.Layout;
 import tillerlink.trace.Shard;
 
-/** Conversion of the values of options. */
+/** Converts the values of command-line options. */
 final class OptionValues {
-  /** Tenths of a millisecond in a second. */
+  /** The number of tenths of a millisecond in a second. */
   static final double TICKS_PER_SECOND = 10_000;
 
   private OptionValues() {}
 
-  /** The names of the layouts, for the help. */
+  /** The names of the known layouts, for the usage help. */
   static final class LayoutNames implements Iterable<String> {
     @Override
     public Iterator<String> iterator() {
@@ -25,6 +25,7 @@
   /**
    * Finds a layout by its name.
    *
+   * @param ownLayouts the layouts of the operator's file, in addition to the known ones
    * @throws IllegalArgumentException if there is no layout of that name
    */
   static Layout layout(String name, List<Layout> ownLayouts) {
@@ -36,13 +37,13 @@
         .orElseThrow(
             () ->
                 new IllegalArgumentException(
-                    "no layout '"
+                    "unknown layout '"
                         + name
-                        + "'; there are "
+                        + "'; known layouts are "
                         + String.join(", ", all.stream().map(Layout::name).toList())));
   }
 
-  /** Files in the order given; "-" is standard input. */
+  /** Returns the files as shards, in the order given; "-" is standard input. */
   static List<Shard> shards(List<String> names) {
     return names.stream()
         .map(name -> name.equals("-") ? Shard.STANDARD_INPUT : Shard.of(Path.of(name)))
--- a/tools/src/main/java/tillerlink/cli/ReplayCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ReplayCommand.java
@@ -28,7 +28,7 @@
 import tillerlink.workload.BuiltInRequestClasses;
 import tillerlink.workload.WorkloadScaling;
 
-/** Replays a trace through gateways and prints its metrics. */
+/** Replays a trace through gateways and prints the metrics. */
 @Command(
     name = "replay",
     mixinStandardHelpOptions = true,
@@ -40,14 +40,14 @@
       "(vmtable). The figure is the value answered within the soft limit over the value asked for."
     })
 final class ReplayCommand implements Callable<Integer> {
-  /** The dispatch policy. */
+  /** The dispatch policy of the gateways. */
   enum Policy {
     MODULE,
     RANDOM,
     LEAST_OUTSTANDING
   }
 
-  /** The protocol of engines. */
+  /** The protocol between gateways and engines. */
   enum Protocol {
     LINES,
     H2,
@@ -81,34 +81,35 @@
       description = "one of ${COMPLETION-CANDIDATES}")
   private String layout;
 
-  @Option(names = "--report", paramLabel = "OUT.json", description = "where the report goes")
+  @Option(names = "--report", paramLabel = "OUT.json", description = "the file for the report")
   private Path report;
 
   @Option(
       names = "--operator",
       paramLabel = "FILE",
       description =
-          "the operator's file: layouts, fleet, tracks, troubles, and what is not said here")
+          "the operator's file: layouts, fleet, tracks, troubles, and defaults for these options")
   private Path operator;
 
-  @Option(names = "--html", paramLabel = "OUT.html", description = "where a page with plots goes")
+  @Option(names = "--html", paramLabel = "OUT.html", description = "the file for a page with plots")
   private Path html;
 
   @Option(
       names = "--load",
-      description = "the share of the fleet's cores that the work takes (default 0.6)")
+      description = "the share of the fleet's cores that the work should use (default 0.6)")
   private Double load;
 
   @Option(
       names = "--scale",
-      description = "what gives way for that: ${COMPLETION-CANDIDATES} (default TIME)")
+      description = "what is scaled to reach that load: ${COMPLETION-CANDIDATES} (default TIME)")
   private WorkloadScaling.Scale scale;
 
   @Option(
       names = "--jobs",
       defaultValue = "0",
       paramLabel = "SHARE",
-      description = "with --scale both: the share of jobs that is in; time gives way for the rest")
+      description =
+          "with --scale both: the share of jobs to replay; time is scaled to reach the load")
   private double jobs;
 
   @Option(names = "--gateways", description = "how many (default 3, or as in the operator's fleet)")
@@ -121,53 +122,55 @@
       names = "--engines",
       defaultValue = "LINES",
       description =
-          "what they speak: ${COMPLETION-CANDIDATES}, mixed being every second kind over HTTP/2"
+          "their protocol: ${COMPLETION-CANDIDATES}, mixed being every second kind over HTTP/2"
               + " (default ${DEFAULT-VALUE}, or as in the operator's file)")
   private Protocol protocol;
 
   @Option(
       names = "--window",
-      description = "seconds of trace time in which rows may stand out of order (default 3600)")
+      description = "seconds of trace time within which rows may be out of order (default 3600)")
   private Double window;
 
   @Option(
       names = "--sort",
       paramLabel = "FOLDER",
-      description = "sort outside memory first, in this folder")
+      description = "sort the trace first, on disk in this folder")
   private Path sortFolder;
 
   @Option(
       names = "--sort-most",
       defaultValue = "4096",
       paramLabel = "MB",
-      description = "how much that may take there (default ${DEFAULT-VALUE})")
+      description = "the disk space for that (default ${DEFAULT-VALUE})")
   private long maxSortMegabytes;
 
-  @Option(names = "--estimate-error", description = "sigma by which estimates miss (default 0.4)")
+  @Option(
+      names = "--estimate-error",
+      description = "sigma of the log-normal error of estimates (default 0.4)")
   private Double estimateSigma;
 
   @Option(
       names = "--bad-most",
-      description = "share of bad rows above which it ends with 1 (default 0.1)")
+      description = "share of bad rows above which the exit code is 1 (default 0.1)")
   private Double maxBadShare;
 
-  @Option(names = "--seed", description = "what is drawn (default 1)")
+  @Option(names = "--seed", description = "seed of the random choices (default 1)")
   private Long seed;
 
   @Option(
       names = "--policy",
       defaultValue = "MODULE",
-      description = "what decides: ${COMPLETION-CANDIDATES} (default ${DEFAULT-VALUE})")
+      description = "the dispatch policy: ${COMPLETION-CANDIDATES} (default ${DEFAULT-VALUE})")
   private Policy policy;
 
   @Option(
       names = "--sockets",
       description =
-          "in real time, over loopback sockets, through gateway processes, against stand-in"
+          "replay in real time over loopback sockets, with gateway processes and stand-in"
               + " engines")
   private boolean sockets;
 
-  @Option(names = "--quiet", description = "no progress")
+  @Option(names = "--quiet", description = "print no progress")
   private boolean quiet;
 
   private long lastProgress = System.nanoTime();
@@ -202,7 +205,10 @@
     }
   }
 
-  /** Options take precedence over the operator's file, and that over built-in defaults. */
+  /**
+   * Returns the configuration of the replay. Options take precedence over the operator's file,
+   * which takes precedence over the built-in defaults.
+   */
   private ReplayConfig config(OperatorFile file) throws IOException {
     ReplayDefaults defaults =
         file != null && file.replay() != null ? file.replay() : BUILT_IN_DEFAULTS;
@@ -241,14 +247,20 @@
   }
 
   private void checkOptions(ReplayDefaults chosen) {
-    check(chosen.load() > 0 && chosen.load() <= 10, "--load is above 0 and at most 10");
-    check(jobs >= 0 && jobs <= 1, "--jobs is a share");
-    check(gateways == null || (gateways >= 1 && gateways <= 1000), "--gateways is 1 to 1000");
-    check(engines == null || (engines >= 1 && engines <= 5000), "--engine-count is 1 to 5000");
+    check(
+        chosen.load() > 0 && chosen.load() <= 10,
+        "--load must be above 0 and at most 10, got " + chosen.load());
+    check(jobs >= 0 && jobs <= 1, "--jobs must be between 0 and 1, got " + jobs);
+    check(
+        gateways == null || (gateways >= 1 && gateways <= 1000),
+        "--gateways must be 1 to 1000, got " + gateways);
+    check(
+        engines == null || (engines >= 1 && engines <= 5000),
+        "--engine-count must be 1 to 5000, got " + engines);
     check(
         chosen.window() >= 0 && chosen.error() >= 0 && chosen.maxBadShare() >= 0,
-        "nothing is below 0");
-    check(!sockets || policy == Policy.MODULE, "--sockets plays the module only");
+        "--window, --estimate-error and --bad-most must not be negative");
+    check(!sockets || policy == Policy.MODULE, "--sockets requires --policy module, got " + policy);
   }
 
   private Fleet fleet(OperatorFile file) {
@@ -279,9 +291,9 @@
     };
   }
 
-  private void check(boolean holds, String otherwise) {
-    if (!holds) {
-      throw new CommandLine.ParameterException(spec.commandLine(), otherwise);
+  private void check(boolean valid, String message) {
+    if (!valid) {
+      throw new CommandLine.ParameterException(spec.commandLine(), message);
     }
   }
 
--- a/tools/src/main/java/tillerlink/cli/ServeCommand.java
+++ b/tools/src/main/java/tillerlink/cli/ServeCommand.java
@@ -13,7 +13,7 @@
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
-    description = "Serve as one gateway on sockets, as the file that EDGE_CONFIG names tells it.")
+    description = "Run one gateway on sockets, configured by the file that EDGE_CONFIG names.")
 final class ServeCommand implements Callable<Integer> {
   @Option(
       names = "--operator",
--- a/tools/src/main/java/tillerlink/cli/StoreCommand.java
+++ b/tools/src/main/java/tillerlink/cli/StoreCommand.java
@@ -21,7 +21,7 @@
 @Command(
     name = "store",
     mixinStandardHelpOptions = true,
-    description = "Look at, or compact, what a stopped gateway remembers.",
+    description = "Inspect or compact the store of a stopped gateway.",
     subcommands = {StoreCommand.Check.class, StoreCommand.Show.class, StoreCommand.Compact.class})
 final class StoreCommand implements Runnable {
   private static final long MAX_SEGMENT_BYTES = 1 << 20;
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Common to the three commands: opens the folder as its gateway would, which truncates a torn
-   * tail.
+   * The base of the three commands. It opens the folder as the gateway would, which truncates a
+   * torn tail of the log.
    */
   private abstract static class FolderCommand implements Callable<Integer> {
     @Spec private CommandSpec spec;
@@ -64,7 +64,7 @@
         report.told().forEach(out::println);
         if (!report.usable()) {
           out.flush();
-          throw new IOException(folder + ": the store can't be used");
+          throw new IOException(folder + ": the store is not usable");
         }
         run(table, out);
         out.flush();
@@ -78,7 +78,7 @@
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
-      description = "Tell whether it is whole.")
+      description = "Check whether the store is intact.")
   static final class Check extends FolderCommand {
     @Override
     void run(DurableTable table, PrintWriter out) {
@@ -110,7 +110,7 @@
   @Command(
       name = "compact",
       mixinStandardHelpOptions = true,
-      description = "Write a snapshot and drop the log that it makes needless.")
+      description = "Write a snapshot and delete the log that it replaces.")
   static final class Compact extends FolderCommand {
     @Override
     void run(DurableTable table, PrintWriter out) throws IOException {
--- a/tools/src/main/java/tillerlink/cli/Summary.java
+++ b/tools/src/main/java/tillerlink/cli/Summary.java
@@ -6,7 +6,7 @@
 import tillerlink.replay.ReplayMetrics;
 import tillerlink.replay.ReplayResult;
 
-/** Prints the result of a replay to a terminal. */
+/** Prints the result of a replay in a few lines. */
 final class Summary {
   private static final int MAX_VIOLATIONS = 5;
   private static final double TICKS_PER_MS = 10;
--- a/tools/src/main/java/tillerlink/cli/Tillerlink.java
+++ b/tools/src/main/java/tillerlink/cli/Tillerlink.java
@@ -11,7 +11,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line. Exit codes: 0 success, 1 a failure, 2 wrong usage. A failure prints one line.
+ * The command line. Exit codes: 0 success, 1 a failure, which is reported in one line, 2 wrong
+ * usage.
  */
 @Command(
     name = "tillerlink",
@@ -19,7 +20,7 @@
     version = "tillerlink 0.1.0",
     description = "A query gateway that decides what runs, where, and with how much memory.",
     exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {"0:fine", "1:a fault, told in one line", "2:wrong usage"},
+    exitCodeList = {"0:fine", "1:a failure, reported in one line", "2:wrong usage"},
     subcommands = {
       ServeCommand.class,
       WireHostCommand.class,
@@ -38,26 +39,30 @@
     System.exit(execute(args));
   }
 
-  /** Runs one command and returns its exit code. */
+  /**
+   * Runs one command.
+   *
+   * @return the exit code
+   */
   public static int execute(String... args) {
     CommandLine line = new CommandLine(new Tillerlink());
     line.setCaseInsensitiveEnumValuesAllowed(true);
-    line.setParameterExceptionHandler(Tillerlink::usage);
-    line.setExecutionExceptionHandler(Tillerlink::fault);
+    line.setParameterExceptionHandler(Tillerlink::reportUsage);
+    line.setExecutionExceptionHandler(Tillerlink::reportFailure);
     return line.execute(args);
   }
 
-  private static int usage(ParameterException e, String[] args) {
+  private static int reportUsage(ParameterException e, String[] args) {
     PrintWriter err = e.getCommandLine().getErr();
     err.println("tillerlink: " + oneLine(e.getMessage()));
     err.println(
         "tillerlink: '"
             + e.getCommandLine().getCommandSpec().qualifiedName()
-            + " --help' tells more");
+            + " --help' shows the usage");
     return ExitCode.USAGE;
   }
 
-  private static int fault(Exception e, CommandLine line, CommandLine.ParseResult parsed) {
+  private static int reportFailure(Exception e, CommandLine line, CommandLine.ParseResult parsed) {
     if (e instanceof IOException
         || e instanceof IllegalArgumentException
         || e instanceof IllegalStateException) {
--- a/tools/src/main/java/tillerlink/cli/TraceCommand.java
+++ b/tools/src/main/java/tillerlink/cli/TraceCommand.java
@@ -25,11 +25,11 @@
 import tillerlink.workload.RequestClassSpec;
 import tillerlink.workload.TraceSurvey;
 
-/** Generates traces, and checks them. */
+/** Generates traces and checks traces. */
 @Command(
     name = "trace",
     mixinStandardHelpOptions = true,
-    description = "Make a trace, or look through one.",
+    description = "Generate a trace, or check one.",
     subcommands = {TraceCommand.Make.class, TraceCommand.Check.class})
 final class TraceCommand implements Runnable {
   @Spec private CommandSpec spec;
@@ -43,7 +43,7 @@
   @Command(
       name = "make",
       mixinStandardHelpOptions = true,
-      description = "Write a made-up trace in a published layout, and tell what was written.")
+      description = "Write a generated trace in a published layout, and print what was written.")
   static final class Make implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -63,19 +63,19 @@
     @Option(
         names = "--seed",
         defaultValue = "1",
-        description = "what is drawn (default ${DEFAULT-VALUE})")
+        description = "seed of the random choices (default ${DEFAULT-VALUE})")
     private long seed;
 
     @Option(
         names = "--bad",
         defaultValue = "0",
-        description = "the share of bad rows beside the good ones")
+        description = "the share of bad rows in addition to the good ones")
     private double bad;
 
     @Option(
         names = "--shuffle",
         defaultValue = "0",
-        description = "by how many seconds rows stand out of order")
+        description = "by how many seconds rows are out of order")
     private double shuffle;
 
     @Option(
@@ -88,14 +88,24 @@
     public Integer call() throws IOException {
       if (rows < 1 || bad < 0 || bad > 1 || shuffle < 0) {
         throw new CommandLine.ParameterException(
-            spec.commandLine(), "--rows is 1 or more, --bad a share, --shuffle no less than 0");
+            spec.commandLine(),
+            "--rows must be at least 1, --bad between 0 and 1, --shuffle at least 0; got "
+                + rows
+                + ", "
+                + bad
+                + " and "
+                + shuffle);
       }
-      Layout chosen = OptionValues.layout(layout, List.of());
+      Layout chosenLayout = OptionValues.layout(layout, List.of());
       TraceGenerator.Generated generated;
       try (OutputStream file = open();
           TraceGenerator generator =
               new TraceGenerator(
-                  chosen, seed, bad, (long) (shuffle * OptionValues.TICKS_PER_SECOND), file)) {
+                  chosenLayout,
+                  seed,
+                  bad,
+                  (long) (shuffle * OptionValues.TICKS_PER_SECOND),
+                  file)) {
         generated = generator.make(rows);
       }
       PrintWriter print = spec.commandLine().getOut();
@@ -122,7 +132,7 @@
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
-      description = "Read a trace through and tell what is in it and what can't be used.")
+      description = "Read a trace and print what it contains and which rows cannot be used.")
   static final class Check implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -147,13 +157,13 @@
 
     @Override
     public Integer call() throws IOException {
-      Layout chosen = OptionValues.layout(layout, List.of());
-      List<RequestClassSpec> requestClasses = BuiltInRequestClasses.requestClasses(chosen);
+      Layout chosenLayout = OptionValues.layout(layout, List.of());
+      List<RequestClassSpec> requestClasses = BuiltInRequestClasses.requestClasses(chosenLayout);
       RowCounts counts = new RowCounts();
       TraceSurvey survey = new TraceSurvey(requestClasses.size());
       try (TaskReader reader =
           new TaskReader(
-              chosen,
+              chosenLayout,
               OptionValues.shards(files),
               requestClasses.stream().map(RequestClassSpec::rows).toList(),
               counts)) {
@@ -161,13 +171,13 @@
       }
       print(counts, survey);
       if (counts.rowsUsed() == 0) {
-        throw new IOException("the trace has no row of use");
+        throw new IOException("the trace has no usable row");
       }
       if (counts.badShare() > maxBadShare) {
         throw new IOException(
             String.format(
                 Locale.ROOT,
-                "a share of %.4f of the rows is bad where %.4f is allowed",
+                "the share of bad rows, %.4f, exceeds the limit of %.4f",
                 counts.badShare(),
                 maxBadShare));
       }
--- a/tools/src/main/java/tillerlink/cli/WireHostCommand.java
+++ b/tools/src/main/java/tillerlink/cli/WireHostCommand.java
@@ -7,7 +7,7 @@
 import tillerlink.wirehost.MalformedWireException;
 import tillerlink.wirehost.WireHost;
 
-/** Runs many gateways on the simulator's wire. */
+/** Runs many gateways on the wire of the simulator. */
 @Command(
     name = "wirehost",
     mixinStandardHelpOptions = true,
--- a/tools/src/main/java/tillerlink/explore/Explorer.java
+++ b/tools/src/main/java/tillerlink/explore/Explorer.java
@@ -7,15 +7,17 @@
 import java.util.Set;
 
 /**
- * Explores, breadth first, all histories with at most a given number of faults (deviations). Every
- * choice at every point after the last deviation is tried. A history is rebuilt from its
- * deviations. Of histories with the same events only the first is expanded.
+ * Explores, breadth first, all histories with at most a given number of injected faults
+ * (deviations). At every point after the last deviation of a history, each possible choice is
+ * tried. A history is replayed from its deviations. Of histories with the same events only the
+ * first is expanded.
  */
 public final class Explorer {
   /**
    * The result of an exploration.
    *
-   * @param distinct how many histories have different events
+   * @param histories the number of histories that were played
+   * @param distinct the number of histories with different events
    * @param deviations the greatest number of deviations in a history
    * @param complete whether all histories were played
    * @param violation the first history that violates a rule, or null
@@ -23,10 +25,10 @@
   public record Result(
       long histories, long distinct, int deviations, boolean complete, History violation) {}
 
-  /** Receives progress. */
+  /** Receives the progress of an exploration. */
   @FunctionalInterface
   public interface Progress {
-    /** Called from time to time. */
+    /** Called after every thousand histories. */
     void at(long histories, long distinct, int deviations);
   }
 
@@ -37,26 +39,34 @@
   private final int maxDeviations;
   private final long maxNanos;
 
-  /** An exploration that ends after that time. */
+  /**
+   * Creates an exploration.
+   *
+   * @param maxDeviations the maximum number of deviations in a history
+   * @param minutes the time after which the exploration ends
+   */
   public Explorer(HistoryPlayer player, int maxDeviations, double minutes) {
     this.player = player;
     this.maxDeviations = maxDeviations;
     maxNanos = (long) (minutes * NANOS_PER_MINUTE);
   }
 
-  /** Runs the exploration. */
+  /**
+   * Runs the exploration until all histories were played, one violates a rule, or the time limit is
+   * reached.
+   */
   public Result explore(Progress progress) {
     long deadline = System.nanoTime() + maxNanos;
-    ArrayDeque<List<int[]>> waiting = new ArrayDeque<>();
-    waiting.add(List.of());
+    ArrayDeque<List<int[]>> pending = new ArrayDeque<>();
+    pending.add(List.of());
     Set<Integer> seen = new HashSet<>();
     long histories = 0;
     int depth = 0;
-    while (!waiting.isEmpty()) {
+    while (!pending.isEmpty()) {
       if (System.nanoTime() > deadline) {
         return new Result(histories, seen.size(), depth, false, null);
       }
-      List<int[]> deviations = waiting.poll();
+      List<int[]> deviations = pending.poll();
       History history = player.play(deviations);
       histories++;
       depth = Math.max(depth, deviations.size());
@@ -67,20 +77,20 @@
         progress.at(histories, seen.size(), depth);
       }
       if (seen.add(history.events().hashCode()) && deviations.size() < maxDeviations) {
-        expand(history, waiting);
+        expand(history, pending);
       }
     }
     return new Result(histories, seen.size(), depth, true, null);
   }
 
-  private static void expand(History history, ArrayDeque<List<int[]>> waiting) {
+  private static void expand(History history, ArrayDeque<List<int[]>> pending) {
     List<int[]> before = history.deviations();
     int from = before.isEmpty() ? 0 : before.get(before.size() - 1)[0] + 1;
     for (int point = from; point < history.options().length; point++) {
       for (int choice = 1; choice < history.options()[point]; choice++) {
         List<int[]> next = new ArrayList<>(before);
         next.add(new int[] {point, choice});
-        waiting.add(next);
+        pending.add(next);
       }
     }
   }
--- a/tools/src/main/java/tillerlink/explore/HistoryPlayer.java
+++ b/tools/src/main/java/tillerlink/explore/HistoryPlayer.java
@@ -21,7 +21,7 @@
 import tillerlink.workload.Arrival;
 import tillerlink.workload.RequestClassSpec;
 
-/** Plays one history of the real gateway and policy from its deviations, deterministically. */
+/** Plays histories of the real gateway and policy. A history depends on its deviations alone. */
 public final class HistoryPlayer {
   private static final long START = 17_000_000_000_000L;
   private static final long SECOND = 10_000;
@@ -59,18 +59,24 @@
   private final DispatchPolicyFactory policies;
 
   /**
-   * Plays histories of one gateway with that many engines and requests.
+   * Creates a player of histories with one gateway.
    *
-   * @param http2 whether engines speak HTTP/2, else engine lines
+   * @param engines the number of engines
+   * @param requests the number of requests
+   * @param http2 true if engines speak HTTP/2, false for engine lines
+   * @param policies creates the policy of the gateway
    */
   public HistoryPlayer(int engines, int requests, boolean http2, DispatchPolicyFactory policies) {
-    Fleet plain = Fleet.of(1, engines);
-    fleet = plain.overHttp2(kind -> http2);
+    Fleet defaultFleet = Fleet.of(1, engines);
+    fleet = defaultFleet.overHttp2(kind -> http2);
     this.requests = requests;
     this.policies = policies;
   }
 
-  /** Records the points, and takes the choices of the deviations. */
+  /**
+   * Records the number of choices at each point, and returns the choices that the deviations
+   * define.
+   */
   private static final class RecordingChooser implements FaultChooser {
     private final List<int[]> deviations;
     private final List<String> events;
@@ -95,7 +101,7 @@
           events.add(
               String.format(
                   Locale.ROOT,
-                  "%7.1f ms  %s goes otherwise, way %d",
+                  "%7.1f ms  %s deviates, choice %d",
                   (cluster.now() - START) / 10.0,
                   point,
                   deviation[1]));
@@ -109,33 +115,33 @@
   /** Records the events that the auditor receives. */
   private static final class RecordingAuditor extends Auditor {
     private final List<String> events;
-    private final Set<String> ran = new HashSet<>();
+    private final Set<String> executed = new HashSet<>();
 
     RecordingAuditor(Fleet fleet, List<String> events) {
       super(fleet, REQUEST_CLASSES);
       this.events = events;
     }
 
-    private void record(long now, String what) {
-      events.add(String.format(Locale.ROOT, "%7.1f ms  %s", (now - START) / 10.0, what));
+    private void record(long now, String event) {
+      events.add(String.format(Locale.ROOT, "%7.1f ms  %s", (now - START) / 10.0, event));
     }
 
     @Override
     public void onRequestAccepted(
         long now, int gateway, String id, int requestClass, String key, long clientDeadline) {
-      record(now, "a " + REQUEST_CLASSES.get(requestClass).name() + " is handed in: " + id);
+      record(now, "a " + REQUEST_CLASSES.get(requestClass).name() + " arrives: " + id);
       super.onRequestAccepted(now, gateway, id, requestClass, key, clientDeadline);
     }
 
     @Override
     public void onAttemptSent(long now, int gateway, String engine, String id) {
-      record(now, id + " goes out to " + engine);
+      record(now, id + " is sent to " + engine);
       super.onAttemptSent(now, gateway, engine, id);
     }
 
     @Override
     public void onAttemptExecuted(long now, String engine, String id, double work) {
-      record(now, id + " runs at " + engine + (ran.add(id) ? "" : " again"));
+      record(now, id + " runs at " + engine + (executed.add(id) ? "" : " again"));
       super.onAttemptExecuted(now, engine, id, work);
     }
 
@@ -146,7 +152,11 @@
     }
   }
 
-  /** Plays the history with these deviations. */
+  /**
+   * Plays the history with these deviations.
+   *
+   * @param deviations each the index of a point and the choice there, in the order of the points
+   */
   public History play(List<int[]> deviations) {
     List<String> events = new ArrayList<>();
     RecordingAuditor auditor = new RecordingAuditor(fleet, events);
@@ -172,19 +182,19 @@
       violations.add(violation.rule() + ": " + violation.what());
     }
     if (!metrics.addsUp()) {
-      violations.add("ANSWER: submissions and endings do not add up");
+      violations.add("ANSWER: not every request ended exactly once");
     }
     return new History(
         deviations, events, violations, Arrays.copyOf(chooser.options, chooser.points));
   }
 
-  /** One of the choices of a history: an engine stays, drains or ends. */
+  /** Lets the chooser decide whether an engine stays, drains or disappears. */
   private static void withdrawEngineIfChosen(EmulatedCluster cluster, RecordingChooser chooser) {
     int choice = chooser.choose("the list", 3);
     if (choice > 0) {
-      ScheduledFault.What what =
+      ScheduledFault.What fault =
           choice == 1 ? ScheduledFault.What.DRAINED : ScheduledFault.What.GONE;
-      cluster.plan(new ScheduledFault(cluster.now() - START, what, "e1", 2 * SECOND, 1));
+      cluster.plan(new ScheduledFault(cluster.now() - START, fault, "e1", 2 * SECOND, 1));
     }
   }
 }
