--- a/tools/src/test/java/tillerlink/cli/TillerlinkTest.java
+++ b/tools/src/test/java/tillerlink/cli/TillerlinkTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Exit codes: 0 success, 1 a failure, 2 wrong usage. */
+/** The exit codes of commands: 0 success, 1 a failure, 2 wrong usage. */
 class TillerlinkTest {
   @TempDir private Path folder;
 
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void exitCodesTellUsageFromFailures() throws IOException {
+  void wrongUsageAndFailuresHaveDifferentExitCodes() throws IOException {
     assertEquals(2, Tillerlink.execute());
     assertEquals(2, Tillerlink.execute("nothing"));
     assertEquals(2, Tillerlink.execute("replay", "x"));
--- a/tools/src/test/java/tillerlink/cli/VerdictTest.java
+++ b/tools/src/test/java/tillerlink/cli/VerdictTest.java
@@ -28,7 +28,8 @@
 
 /**
  * The last line of a replay's summary and its exit code, for valid, late and faulty replays in
- * virtual time.
+ * virtual time. A load that was sent late makes the figures invalid, but is no fault of the
+ * gateways.
  */
 class VerdictTest {
   @TempDir private Path folder;
@@ -64,8 +65,12 @@
     }
   }
 
-  /** The same result, as if it had been sent over sockets with that lag. */
-  private ReplayResult sent(int lagTicks) {
+  /**
+   * Returns the same result, as if it had been sent over sockets with that lag.
+   *
+   * @param lagTicks the lag of half of the requests, in tenths of a millisecond
+   */
+  private ReplayResult sentWithLag(int lagTicks) {
     Histogram lag = new Histogram(3);
     lag.recordValueWithCount(5, 10);
     lag.recordValueWithCount(lagTicks, 10);
@@ -80,24 +85,24 @@
         lag);
   }
 
-  private static String lastLine(ReplayResult played) {
+  private static String lastLine(ReplayResult result) {
     StringWriter out = new StringWriter();
-    Summary.print(played, new PrintWriter(out));
+    Summary.print(result, new PrintWriter(out));
     return out.toString().strip().lines().reduce("", (before, line) -> line);
   }
 
   @Test
-  void lateLoadIsReportedButNoFault() {
-    ReplayResult late = sent(680);
+  void lateLoadIsReportedButIsNotAFault() {
+    ReplayResult late = sentWithLag(680);
     assertEquals(
         "no rule broke, and all is accounted for; the figure does not count: the load was sent"
             + " late, by 68.0 ms at the most, as the machine was busy",
         lastLine(late));
     assertFalse(late.isValid());
     assertEquals(0, DemoCommand.exitCode(late));
-    assertEquals("no rule broke, and all is accounted for", lastLine(sent(6)));
+    assertEquals("no rule broke, and all is accounted for", lastLine(sentWithLag(6)));
     assertEquals("no rule broke, and all is accounted for", lastLine(inTime));
-    assertTrue(sent(6).isValid());
+    assertTrue(sentWithLag(6).isValid());
   }
 
   @Test
@@ -105,11 +110,12 @@
     inTime.auditor().onWrongResult(inTime.start(), "q1");
     inTime.metrics().arrived(inTime.start(), 0);
     for (int lag : new int[] {6, 680}) {
-      assertTrue(lastLine(sent(lag)).startsWith("rule broken: "), lastLine(sent(lag)));
       assertTrue(
-          lastLine(sent(lag)).contains("; submissions are not all accounted for"),
-          lastLine(sent(lag)));
-      assertEquals(1, DemoCommand.exitCode(sent(lag)));
+          lastLine(sentWithLag(lag)).startsWith("rule broken: "), lastLine(sentWithLag(lag)));
+      assertTrue(
+          lastLine(sentWithLag(lag)).contains("; submissions are not all accounted for"),
+          lastLine(sentWithLag(lag)));
+      assertEquals(1, DemoCommand.exitCode(sentWithLag(lag)));
     }
   }
 }
--- a/tools/src/test/java/tillerlink/explore/ExplorerTest.java
+++ b/tools/src/test/java/tillerlink/explore/ExplorerTest.java
@@ -16,7 +16,10 @@
 import tillerlink.port.DispatchPolicy;
 import tillerlink.port.DispatchPolicyFactory;
 
-/** All small histories keep the rules; each injected fault is found, with a readable history. */
+/**
+ * All small histories keep the rules. Each injected fault of the policy or its adapter is detected,
+ * with a history that shows it.
+ */
 class ExplorerTest {
   @BeforeAll
   static void muteGateways() {
@@ -49,7 +52,10 @@
     assertEquals(player.play(deviations).events(), player.play(deviations).events());
   }
 
-  /** The policy is told that attempts on a lost connection never ran. */
+  /**
+   * A policy that is informed of lost connections as if the attempt had never been sent repeats
+   * requests that ran. This violates the rule EFFECT.
+   */
   @Test
   void wrongOutcomeMappingIsFound() {
     Explorer.Result result =
@@ -78,7 +84,10 @@
     assertEquals(1, result.deviations());
   }
 
-  /** Requests that the policy fails are never answered. */
+  /**
+   * Requests that the policy fails get no response, because the action is dropped. This violates
+   * the rule ANSWER.
+   */
   @Test
   void missingResponseIsFound() {
     Explorer.Result result =
--- a/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/GuardedHistoriesTest.java
@@ -25,15 +25,16 @@
 import tillerlink.workload.RequestClassSpec;
 
 /**
- * Many short histories of requests whose guards cease to hold at any moment, also between the check
- * and the write, as if the process had been stopped there. They run over both protocols, with
+ * Plays many short histories of requests whose guards cease to hold at any moment, also between the
+ * check and the write, as if the process had been paused there. The result of an attempt that was
+ * written without a valid guard must not reach the client. Histories run over both protocols, with
  * failing engines and connections.
  */
 class GuardedHistoriesTest {
   private static final long START = 17_000_000_000_000L;
   private static final int REQUESTS = 6;
 
-  /** Time after the last response for cancelled attempts, in tenths of a millisecond. */
+  /** Time after the last response in which cancelled attempts end, in tenths of a millisecond. */
   private static final long SETTLING_TIME = 20;
 
   private static final List<RequestClassSpec> REQUEST_CLASSES =
@@ -45,7 +46,7 @@
           new RequestClassSpec(
               "look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
 
-  /** A fault that is injected to see that it is detected. */
+  /** A fault that is injected to verify that the checks detect it. */
   private enum InjectedFault {
     NONE,
     CHECKED_BEFORE_WRITE_ONLY,
@@ -53,14 +54,14 @@
   }
 
   /**
-   * Detects attempts that were written although their guard did not hold, and results of these that
-   * were delivered.
+   * Detects attempts that were written although their guard did not hold, and results of such
+   * attempts that were delivered.
    */
   private static final class GuardAuditor extends Auditor {
     private final Map<String, RandomGuard> guards = new HashMap<>();
     private final Map<String, Boolean> validAtWrite = new HashMap<>();
     private final Set<String> writtenInvalid = new HashSet<>();
-    private final StringBuilder wrong = new StringBuilder();
+    private final StringBuilder failures = new StringBuilder();
     private final Map<Answer, Integer> answers = new HashMap<>();
 
     GuardAuditor(Fleet fleet) {
@@ -74,7 +75,7 @@
       if (!guard.valid) {
         writtenInvalid.add(id);
         if (!guard.ceasedAfterCheck) {
-          wrong.append(id).append(" was written though its guard had said no; ");
+          failures.append(id).append(" was written although its guard did not hold; ");
         }
       }
       super.onAttemptSent(now, gateway, engine, id);
@@ -83,7 +84,9 @@
     @Override
     public void onAnswer(long now, String id, Answer answer) {
       if (answer == Answer.SUCCEEDED && !validAtWrite.getOrDefault(id, false)) {
-        wrong.append(id).append(" was fulfilled by a hop that was written too late; ");
+        failures
+            .append(id)
+            .append(" got the result of an attempt that was written without a valid guard; ");
       }
       answers.merge(answer, 1, Integer::sum);
       super.onAnswer(now, id, answer);
@@ -97,7 +100,7 @@
     private boolean checked;
     private boolean ceasedAfterCheck;
 
-    /** Attempts that began and did not end. */
+    /** The number of attempts that started and did not end. */
     private int inFlight;
 
     private boolean endedWithoutStart;
@@ -109,7 +112,7 @@
 
     @Override
     public boolean holds() {
-      boolean answer =
+      boolean result =
           valid
               || fault == InjectedFault.NEVER_CHECKED
               || (fault == InjectedFault.CHECKED_BEFORE_WRITE_ONLY && checked);
@@ -118,7 +121,7 @@
         valid = false;
         ceasedAfterCheck = true;
       }
-      return answer;
+      return result;
     }
 
     @Override
@@ -138,7 +141,7 @@
     }
   }
 
-  /** Handles the requests of all classes and submits each under its own guard. */
+  /** An extension that handles the requests of all classes and submits each under its own guard. */
   private record GuardingExtension(
       GatewayExtension.ExtensionContext context,
       GuardAuditor auditor,
@@ -192,7 +195,13 @@
     }
   }
 
-  /** Plays one history; returns what was wrong with it, or an empty text. */
+  /**
+   * Plays one history.
+   *
+   * @param answers counts the answers, added to by this history
+   * @param writtenInvalid collects the attempts that were written without a valid guard
+   * @return the failed checks, or an empty string
+   */
   private static String play(
       long seed,
       boolean http2,
@@ -255,34 +264,35 @@
     cluster.timeline.follow(cluster.timeline.now() + SETTLING_TIME);
     auditor.guards.forEach(
         (id, guard) ->
-            auditor.wrong.append(
+            auditor.failures.append(
                 guard.inFlight == 0 && !guard.endedWithoutStart
                     ? ""
-                    : id + " has hops that began and did not end, or the other way round; "));
+                    : id
+                        + " has attempts that started without an end, or ended without a start; "));
     auditor
         .violations()
         .forEach(
             violation ->
                 auditor
-                    .wrong
+                    .failures
                     .append(violation.rule())
                     .append(' ')
                     .append(violation.what())
                     .append("; "));
     if (!metrics.addsUp()) {
-      auditor.wrong.append("submissions do not add up; ");
+      auditor.failures.append("not every request ended exactly once; ");
     }
     auditor.answers.forEach((answer, count) -> answers.merge(answer, count, Integer::sum));
     auditor.writtenInvalid.forEach(id -> writtenInvalid.add(seed + "/" + id));
-    return auditor.wrong.toString();
+    return auditor.failures.toString();
   }
 
-  private static int countWrong(int histories, boolean http2, InjectedFault fault) {
-    int wrong = 0;
+  private static int countFailingHistories(int histories, boolean http2, InjectedFault fault) {
+    int failures = 0;
     for (int seed = 0; seed < histories; seed++) {
-      wrong += play(seed, http2, fault, new HashMap<>(), new HashSet<>()).isEmpty() ? 0 : 1;
+      failures += play(seed, http2, fault, new HashMap<>(), new HashSet<>()).isEmpty() ? 0 : 1;
     }
-    return wrong;
+    return failures;
   }
 
   private static void muteGateways() {
@@ -311,15 +321,16 @@
     }
   }
 
-  /** The same check fails where the guard is not checked, or checked before the write only. */
+  /** The checks fail if the guard is never checked, or is checked only before the write. */
   @Test
   void injectedFaultsAreDetected() {
     muteGateways();
     for (boolean http2 : new boolean[] {false, true}) {
       assertTrue(
-          countWrong(100, http2, InjectedFault.CHECKED_BEFORE_WRITE_ONLY) > 0,
+          countFailingHistories(100, http2, InjectedFault.CHECKED_BEFORE_WRITE_ONLY) > 0,
           "checked before the write only");
-      assertTrue(countWrong(100, http2, InjectedFault.NEVER_CHECKED) > 0, "never checked");
+      assertTrue(
+          countFailingHistories(100, http2, InjectedFault.NEVER_CHECKED) > 0, "never checked");
     }
   }
 }
--- a/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
+++ b/tools/src/test/java/tillerlink/replay/Http2HistoriesTest.java
@@ -39,13 +39,14 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * Many short in-memory histories of a real gateway and two engines over HTTP/2, in which engines
- * send GOAWAY, refuse, reset and lower limits, connections break, and bytes come split and late.
+ * Plays many short in-memory histories of a real gateway and two engines over HTTP/2. Engines send
+ * GOAWAY, refuse and reset streams, and lower the stream limit; connections break, and bytes arrive
+ * split and late. A request that provably never ran must not fail, and no rule may be violated.
  */
 class Http2HistoriesTest {
   private static final long START = 17_000_000_000_000L;
   private static final int REQUESTS = 5;
-  private static final boolean PRINTED = System.getProperty("story") != null;
+  private static final boolean PRINT_HISTORY = System.getProperty("story") != null;
   private static final List<RequestClassSpec> REQUEST_CLASSES =
       List.of(
           new RequestClassSpec(
@@ -55,44 +56,50 @@
           new RequestClassSpec(
               "look", Effect.PURE, 1, 10_000, 20_000, 1, 0.5, List.of(), 0, 1, List.of()));
 
-  /** How engines misbehave. */
+  /** The way in which engines misbehave. */
   private enum Behaviour {
-    /** Only in ways that prove that a request never ran: refusals, GOAWAY, limits. */
+    /**
+     * Only in ways that prove that a request never ran: refused streams, GOAWAY and stream limits.
+     */
     PROVABLE,
-    /** In any way. */
+    /** In any way, resets and protocol errors included. */
     ARBITRARY,
-    /** They send GOAWAY with an id two too low, and run that stream all the same. */
+    /** Send GOAWAY with a last stream id that is two too low, and run that stream nevertheless. */
     GOAWAY_TOO_LOW,
     /**
-     * They send GOAWAY with an id two too high, so that a stream that they never run may have run.
+     * Send GOAWAY with a last stream id that is two too high, so that a stream that never runs may
+     * have run as far as the gateway knows.
      */
     GOAWAY_TOO_HIGH
   }
 
   private static final class RecordingAuditor extends Auditor {
-    private final Set<String> ran = new HashSet<>();
+    private final Set<String> executed = new HashSet<>();
     private final Set<String> failed = new HashSet<>();
 
     RecordingAuditor(Fleet fleet) {
       super(fleet, REQUEST_CLASSES);
     }
 
-    /** With {@code -Dstory=SEED} the history of that seed is printed. */
-    private void print(long now, String what) {
-      if (PRINTED) {
-        System.out.println((now - START) + " " + what);
+    /**
+     * Prints an event if {@code -Dstory=SEED} selects a history; only the history of that seed is
+     * then played.
+     */
+    private void print(long now, String event) {
+      if (PRINT_HISTORY) {
+        System.out.println((now - START) + " " + event);
       }
     }
 
     @Override
     public void onAttemptSent(long now, int gateway, String engine, String id) {
-      print(now, id + " goes out to " + engine);
+      print(now, id + " is sent to " + engine);
       super.onAttemptSent(now, gateway, engine, id);
     }
 
     @Override
     public void onAttemptEnded(String id, boolean provesNotExecuted) {
-      print(START, id + (provesNotExecuted ? " never ran" : " is over"));
+      print(START, id + (provesNotExecuted ? " never ran" : " has ended"));
       super.onAttemptEnded(id, provesNotExecuted);
     }
 
@@ -100,7 +107,7 @@
     public void onAttemptExecuted(long now, String engine, String id, double work) {
       print(now, id + " runs at " + engine);
       super.onAttemptExecuted(now, engine, id, work);
-      ran.add(id);
+      executed.add(id);
     }
 
     @Override
@@ -113,7 +120,7 @@
     }
   }
 
-  /** An engine's end of a connection that misbehaves now and then. */
+  /** An engine's end of a connection that randomly misbehaves. */
   private static final class MisbehavingServer implements EngineProtocolServer {
     private final Http2Server server;
     private final Random random;
@@ -142,7 +149,11 @@
       return null;
     }
 
-    /** Misbehaves on a request; true if it never runs. */
+    /**
+     * Handles a request in a random way.
+     *
+     * @return true if the request never runs
+     */
     private boolean refuses(Command command) {
       int stream = server.streamOf(command.id());
       if (attemptsUntilLimitRises > 0 && --attemptsUntilLimitRises == 0) {
@@ -229,7 +240,11 @@
     }
   }
 
-  /** Plays one history; returns what was wrong with it, or an empty text. */
+  /**
+   * Plays one history.
+   *
+   * @return the failed checks, or an empty string
+   */
   private static String play(long seed, Behaviour behaviour) {
     Random random = new Random(seed);
     Fleet fleet = Fleet.of(1, 2).overHttp2(kind -> true);
@@ -284,27 +299,33 @@
     while (metrics.arrived() < REQUESTS || clients.open() > 0) {
       cluster.timeline.step();
     }
-    StringBuilder wrong = new StringBuilder();
+    StringBuilder failures = new StringBuilder();
     auditor
         .violations()
         .forEach(
             violation ->
-                wrong.append(violation.rule()).append(' ').append(violation.what()).append("; "));
+                failures
+                    .append(violation.rule())
+                    .append(' ')
+                    .append(violation.what())
+                    .append("; "));
     if (!metrics.addsUp()) {
-      wrong.append("submissions do not add up; ");
+      failures.append("not every request ended exactly once; ");
     }
     if (behaviour != Behaviour.ARBITRARY) {
       RequestEncoder encoder = new RequestEncoder(seed, 0.2);
       for (Arrival arrival : arrivals) {
         String id = encoder.id(arrival);
-        if (auditor.failed.contains(id) && !auditor.ran.contains(id)) {
-          wrong.append(id).append(" was lost though it never ran; ");
+        if (auditor.failed.contains(id) && !auditor.executed.contains(id)) {
+          failures.append(id).append(" failed although it never ran; ");
         }
       }
     }
     servers.forEach(
-        side -> wrong.append(side.server.streamsOverLimit() > 0 ? "a limit was passed; " : ""));
-    return wrong.toString();
+        peer ->
+            failures.append(
+                peer.server.streamsOverLimit() > 0 ? "a stream limit was exceeded; " : ""));
+    return failures.toString();
   }
 
   private static void muteGateways() {
@@ -312,19 +333,19 @@
         .setLevel(ch.qos.logback.classic.Level.ERROR);
   }
 
-  private static int countWrong(int from, int to, Behaviour behaviour) {
-    int wrong = 0;
+  private static int countFailingHistories(int from, int to, Behaviour behaviour) {
+    int failures = 0;
     for (int seed = from; seed < to; seed++) {
-      wrong += play(seed, behaviour).isEmpty() ? 0 : 1;
+      failures += play(seed, behaviour).isEmpty() ? 0 : 1;
     }
-    return wrong;
+    return failures;
   }
 
   @Test
   void requestThatNeverRanIsNeverFailed() {
     muteGateways();
     for (int seed = Integer.getInteger("story", 0);
-        seed < (PRINTED ? Integer.getInteger("story") + 1 : 12_000);
+        seed < (PRINT_HISTORY ? Integer.getInteger("story") + 1 : 12_000);
         seed++) {
       assertEquals("", play(seed, Behaviour.PROVABLE), "seed " + seed);
     }
@@ -334,15 +355,15 @@
   void rulesHoldUnderArbitraryMisbehaviour() {
     muteGateways();
     for (int seed = Integer.getInteger("story", 0);
-        seed < (PRINTED ? Integer.getInteger("story") + 1 : 12_000);
+        seed < (PRINT_HISTORY ? Integer.getInteger("story") + 1 : 12_000);
         seed++) {
       assertEquals("", play(seed, Behaviour.ARBITRARY), "seed " + seed);
     }
   }
 
   /**
-   * The same misbehaviour over loopback with a gateway process: a failure at any frame ends what it
-   * must, and no more.
+   * Runs the same misbehaviour over loopback sockets with a gateway process. A failure at any frame
+   * must end only the requests that it affects.
    */
   @Test
   void rulesHoldOverSockets(@TempDir Path folder) throws IOException {
@@ -387,15 +408,17 @@
     }
   }
 
-  /** The same checks fail where the id of a GOAWAY is off by one stream, either way. */
+  /**
+   * The checks fail if the last stream id of a GOAWAY is off by one stream, in either direction.
+   */
   @Test
   void goAwayIdOffByOneIsDetected() {
     muteGateways();
     assertTrue(
-        countWrong(0, 600, Behaviour.GOAWAY_TOO_LOW) > 0,
-        "a stream that ran taken for one that never did");
+        countFailingHistories(0, 600, Behaviour.GOAWAY_TOO_LOW) > 0,
+        "a stream that ran was treated as one that never ran");
     assertTrue(
-        countWrong(0, 600, Behaviour.GOAWAY_TOO_HIGH) > 0,
-        "a stream that never ran taken for one that may have");
+        countFailingHistories(0, 600, Behaviour.GOAWAY_TOO_HIGH) > 0,
+        "a stream that never ran was treated as one that may have run");
   }
 }
--- a/tools/src/test/java/tillerlink/replay/StartWithoutDiscoveryTest.java
+++ b/tools/src/test/java/tillerlink/replay/StartWithoutDiscoveryTest.java
@@ -28,8 +28,9 @@
 import tillerlink.workload.RequestClassSpec;
 
 /**
- * Gateways that start while discovery is down, from cached endpoint lists of all ages, until
- * discovery is back.
+ * Starts gateways from cached endpoint lists of different ages while the discovery service is down,
+ * which lasts eight seconds. Engines that a list shows as draining, or that have ended, must get
+ * nothing in that time, and no rule may be violated.
  */
 class StartWithoutDiscoveryTest {
   private static final long SECOND = 10_000;
@@ -55,7 +56,7 @@
               1,
               List.of()));
 
-  /** Counts the attempts at each engine. */
+  /** Counts the attempts sent to each engine. */
   private static final class CountingAuditor extends Auditor {
     private final Map<String, Integer> sent = new TreeMap<>();
     private final Set<Integer> gateways = new HashSet<>();
@@ -74,10 +75,15 @@
     }
   }
 
-  /** The cached list of that age: e2 was draining and e3 had just ended; all others were ready. */
+  /**
+   * Returns a cached endpoint list of a given age. Engine e2 was draining and e3 had just ended;
+   * all others were ready.
+   *
+   * @param age in tenths of a millisecond; negative if the clock was ahead when the list was stored
+   */
   private static NavigableMap<String, byte[]> cachedList(EmulatedCluster cluster, long age) {
     NavigableMap<String, byte[]> stored = new TreeMap<>();
-    EndpointHistory memory =
+    EndpointHistory history =
         new EndpointHistory(
             new TreeMap<>(),
             DEADLINE,
@@ -90,10 +96,10 @@
                 stored.put(key, value);
               }
             });
-    List<EndpointEntry> all = new ArrayList<>(cluster.list());
-    memory.onEndpointsReceived(START - age - SECOND, new EndpointWatchEvent(1, true, all));
-    all.removeIf(entry -> entry.id().equals("e3"));
-    all.replaceAll(
+    List<EndpointEntry> entries = new ArrayList<>(cluster.list());
+    history.onEndpointsReceived(START - age - SECOND, new EndpointWatchEvent(1, true, entries));
+    entries.removeIf(entry -> entry.id().equals("e3"));
+    entries.replaceAll(
         entry ->
             entry.id().equals("e2")
                 ? new EndpointEntry(
@@ -107,10 +113,11 @@
                     entry.weight(),
                     entry.startedMs())
                 : entry);
-    memory.onEndpointsReceived(START - age, new EndpointWatchEvent(2, true, all));
+    history.onEndpointsReceived(START - age, new EndpointWatchEvent(2, true, entries));
     return stored;
   }
 
+  /** A start: its line of the kept trace and its auditor. */
   private record Start(String line, CountingAuditor auditor) {}
 
   private static Start play(String name, int gateways, Long age, boolean down) throws IOException {
@@ -122,7 +129,7 @@
     NavigableMap<String, byte[]> stored = age == null ? new TreeMap<>() : cachedList(cluster, age);
     cluster.discoveryDownUntil(down ? START + 8 * SECOND : 0);
     cluster.endpointCaches(
-        place ->
+        gateway ->
             new EndpointHistory(
                 stored, DEADLINE, 13 * SECOND, 24 * HOUR, (key, value, soon) -> {}));
     cluster.startGateways(DefaultDispatchPolicy::new, 4);
@@ -136,14 +143,14 @@
       cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
     StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%-12s", name));
-    long before = 0;
+    long servedBefore = 0;
     for (int second = 1; second <= 13; second++) {
       while (cluster.timeline.next() <= START + second * SECOND) {
         cluster.timeline.step();
       }
       long served = metrics.ended(End.IN_TIME);
-      line.append(String.format(Locale.ROOT, " %4d", served - before));
-      before = served;
+      line.append(String.format(Locale.ROOT, " %4d", served - servedBefore));
+      servedBefore = served;
     }
     while (metrics.arrived() < count || clients.open() > 0) {
       cluster.timeline.step();
@@ -152,18 +159,18 @@
     assertTrue(metrics.addsUp());
     assertTrue(
         !down || auditor.sentToUnavailable == 0,
-        name + ": e2 or e3 was sent work while discovery was down");
+        name + ": e2 or e3 got an attempt while discovery was down");
     line.append(String.format(Locale.ROOT, "  turned back %4d%n", metrics.ended(End.TURNED_BACK)));
     return new Start(line.toString(), auditor);
   }
 
   /**
-   * Requests served in each second after a start, of 500 a second; discovery is back after eight
-   * seconds.
+   * Compares the number of requests served in each second after the start with the kept trace. 500
+   * requests a second arrive, and the discovery service is back after eight seconds.
    */
   @Test
   void startFromListsOfAllAgesGivesTheKeptTrace() throws IOException {
-    StringBuilder all = new StringBuilder();
+    StringBuilder trace = new StringBuilder();
     Map<String, Long> ages = new LinkedHashMap<>();
     ages.put("a minute", 60 * SECOND);
     ages.put("an hour", HOUR);
@@ -173,23 +180,25 @@
     ages.put("nothing", null);
     for (Map.Entry<String, Long> age : ages.entrySet()) {
       Start start = play(age.getKey(), 3, age.getValue(), true);
-      all.append(start.line());
+      trace.append(start.line());
     }
-    all.append(play("discovery up", 3, HOUR, false).line());
-    ReplayTest.assertKept("blind-start", all.toString());
+    trace.append(play("discovery up", 3, HOUR, false).line());
+    ReplayTest.assertKept("blind-start", trace.toString());
   }
 
   /**
-   * While discovery is down no engine that was seen draining or gone gets a request, and a hundred
-   * gateways spread their load.
+   * While the discovery service is down, a hundred gateways distribute their load over the engines
+   * of the cached list, so that no engine gets 2,400 of 6,000 requests. No engine that was draining
+   * or has ended gets a request.
    */
   @Test
-  void hundredGatewaysSpreadTheirLoad() throws IOException {
+  void hundredGatewaysDistributeTheirLoad() throws IOException {
     Start start = play("a hundred", 100, 60 * SECOND, true);
     assertEquals(100, start.auditor().gateways.size());
-    int most = start.auditor().sent.values().stream().mapToInt(n -> n).max().orElse(0);
+    int maxAttempts =
+        start.auditor().sent.values().stream().mapToInt(attempts -> attempts).max().orElse(0);
     assertTrue(
-        most < 2400,
-        "the engine that was sent most had " + most + " of 6000: " + start.auditor().sent);
+        maxAttempts < 2400,
+        "the busiest engine got " + maxAttempts + " of 6000: " + start.auditor().sent);
   }
 }
--- a/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
+++ b/tools/src/test/java/tillerlink/replay/WholeFleetTest.java
@@ -22,8 +22,8 @@
 import tillerlink.workload.WorkloadScaling;
 
 /**
- * 120 gateways in front of 300 engines, with fewer connections each than there are engines, through
- * events that hit the whole fleet.
+ * Runs 120 gateways in front of 300 engines through events that affect the whole fleet. Each
+ * gateway may have fewer connections than there are engines.
  */
 class WholeFleetTest {
   private static final long SECOND = 10_000;
@@ -46,7 +46,7 @@
     }
   }
 
-  private ReplayResult play(List<ScheduledFault> troubles) throws IOException {
+  private ReplayResult play(List<ScheduledFault> faults) throws IOException {
     Fleet defaults = Fleet.of(GATEWAYS, ENGINES);
     Fleet fleet =
         new Fleet(
@@ -72,7 +72,7 @@
             Layout.ALIBABA_2018,
             BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018),
             fleet,
-            troubles,
+            faults,
             3600 * SECOND,
             null,
             0,
@@ -97,26 +97,26 @@
     assertEquals(first.metrics().whole(), play(List.of()).metrics().whole());
   }
 
-  /** Seven in ten gateways restart at one moment, without state. */
+  /** Seven in ten gateways restart at the same moment, without persistent state. */
   @Test
   void massRestartKeepsTheRules() throws IOException {
-    List<ScheduledFault> troubles = new ArrayList<>();
+    List<ScheduledFault> faults = new ArrayList<>();
     for (int i = 0; i < GATEWAYS * 7 / 10; i++) {
-      troubles.add(new ScheduledFault(SECOND, ScheduledFault.What.KILLED, "n" + i, SECOND, 1));
+      faults.add(new ScheduledFault(SECOND, ScheduledFault.What.KILLED, "n" + i, SECOND, 1));
     }
-    ReplayResult result = play(troubles);
+    ReplayResult result = play(faults);
     assertTrue(result.isValid(), result.auditor().violations().toString());
   }
 
   /**
-   * Six in ten engines are replaced within seconds: cold ones are used, and none is overloaded by
-   * all gateways together.
+   * Six in ten engines are replaced within seconds. Cold engines must be used, and all gateways
+   * together must not overload one.
    */
   @Test
   void massReplacementKeepsTheRules() throws IOException {
-    List<ScheduledFault> troubles = new ArrayList<>();
+    List<ScheduledFault> faults = new ArrayList<>();
     for (int i = 0; i < ENGINES * 6 / 10; i++) {
-      troubles.add(
+      faults.add(
           new ScheduledFault(
               SECOND / 10 + i * SECOND / 100,
               ScheduledFault.What.REPLACED,
@@ -124,21 +124,21 @@
               SECOND,
               1));
     }
-    ReplayResult result = play(troubles);
+    ReplayResult result = play(faults);
     assertTrue(result.isValid(), result.auditor().violations().toString());
   }
 
-  /** A third of the engines is silent for two seconds. */
+  /** A third of the engines does not respond for two seconds. */
   @Test
   void zoneOutageKeepsTheRules() throws IOException {
-    List<ScheduledFault> troubles = new ArrayList<>();
+    List<ScheduledFault> faults = new ArrayList<>();
     for (int i = 0; i < ENGINES; i++) {
       if (i / 3 % 3 == 1) {
-        troubles.add(
+        faults.add(
             new ScheduledFault(SECOND, ScheduledFault.What.SILENT, "e" + (i + 1), 2 * SECOND, 1));
       }
     }
-    ReplayResult result = play(troubles);
+    ReplayResult result = play(faults);
     assertTrue(result.isValid(), result.auditor().violations().toString());
   }
 }
