--- a/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/ChannelEvents.java
@@ -27,8 +27,9 @@
 import tillerlink.messages.channels.Kind;
 
 /**
- * A correction of a cue as bytes and back: numbered fields with a sum, as gateways speak; fields at
- * fixed places with the same sum; JSON by Jackson's streams, without one.
+ * Measures encoding and decoding the correction of a cue in three formats: numbered fields with a
+ * checksum, as gateways use between each other; fields at fixed places with the same checksum; and
+ * JSON by Jackson's streaming API, without a checksum.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -44,9 +45,9 @@
   private byte[] places;
   private byte[] json;
 
-  /** Writes the message in each form, and checks that each reads back as it was. */
+  /** Encodes the message in each format, and checks that each decodes to an equal message. */
   @Setup
-  public void make() throws IOException, MalformedMessageException {
+  public void setUp() throws IOException, MalformedMessageException {
     long incarnation = 0x51d2c3b4a5968778L;
     long stamp = 1_796_173_245_885L << Entry.COUNTER;
     event =
@@ -84,7 +85,7 @@
 
   // ---- at fixed places ----
 
-  /** Writes the message with each field at its place, without numbers. */
+  /** Encodes the message with each field at a fixed place, without field numbers. */
   @Benchmark
   public byte[] writePlaces() {
     ByteBuffer out = ByteBuffer.allocate(Encodings.BUFFER_SIZE);
@@ -117,14 +118,14 @@
         dot -> out.putLong(dot.incarnation()).putLong(dot.sequence()).putLong(dot.stamp()));
   }
 
-  /** Reads fields at fixed places, after the sum over them was compared. */
+  /** Decodes fields at fixed places after verifying their checksum. */
   @Benchmark
   public Entry readPlaces() {
     ByteBuffer in = ByteBuffer.wrap(places);
-    long sum = in.getLong();
+    long checksum = in.getLong();
     byte[] body = new byte[in.remaining()];
     in.slice().get(body);
-    if (sum != EntryCodec.checksum(body)) {
+    if (checksum != EntryCodec.checksum(body)) {
       throw new IllegalStateException("garbled");
     }
     return new Entry(
@@ -158,7 +159,7 @@
 
   // ---- as JSON ----
 
-  /** Writes the message by Jackson's generator. */
+  /** Encodes the message with Jackson's generator. */
   @Benchmark
   public byte[] writeJson() throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(Encodings.BUFFER_SIZE);
@@ -193,7 +194,7 @@
     out.writeEndArray();
   }
 
-  /** Reads JSON by Jackson's parser, its fields in any order. */
+  /** Decodes JSON with Jackson's parser, which accepts the fields in any order. */
   @Benchmark
   public Entry readJson() throws IOException {
     ReadEntry read = new ReadEntry();
--- a/bench/src/main/java/tillerlink/jmh/Envelopes.java
+++ b/bench/src/main/java/tillerlink/jmh/Envelopes.java
@@ -20,8 +20,8 @@
 import tillerlink.messages.envelope.Seal;
 
 /**
- * What a message between gateways costs on its way: written, or written and read, with a seal and
- * without.
+ * Measures the cost of a message between gateways: encoding it as datagrams, or encoding and
+ * decoding it, with a seal and without.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -30,11 +30,11 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 public class Envelopes {
-  /** The length of a message's body. */
+  /** The length of a message's body in bytes. */
   @Param({"100", "1100", "12000"})
   private int bytes;
 
-  /** Whether datagrams carry a seal. */
+  /** Whether datagrams are sealed. */
   @Param({"false", "true"})
   private boolean sealed;
 
@@ -42,15 +42,15 @@
   private Inbox inbox;
   private byte[] body;
 
-  /** Opens an outbox and an inbox between two gateways. */
+  /** Creates an outbox and an inbox of two gateways. */
   @Setup
-  public void make() {
+  public void setUp() {
     body = new byte[bytes];
-    outbox = new Outbox(codec(), "north-1", 7);
-    inbox = new Inbox(codec(), "south-1", 8, bytes, line -> {});
+    outbox = new Outbox(newCodec(), "north-1", 7);
+    inbox = new Inbox(newCodec(), "south-1", 8, bytes, line -> {});
   }
 
-  private EnvelopeCodec codec() {
+  private EnvelopeCodec newCodec() {
     byte[] secret = "a secret of a fleet".getBytes(StandardCharsets.UTF_8);
     return new EnvelopeCodec("newsroom", sealed ? Seal.of(secret) : null);
   }
@@ -60,7 +60,7 @@
     return outbox.datagrams(1, body);
   }
 
-  /** Writes a message as datagrams and reads it back from them. */
+  /** Encodes a message as datagrams and decodes it from them. */
   @Benchmark
   public Inbox.Message writtenAndRead() {
     Inbox.Message message = null;
--- a/bench/src/main/java/tillerlink/jmh/FleetSizes.java
+++ b/bench/src/main/java/tillerlink/jmh/FleetSizes.java
@@ -30,8 +30,8 @@
 import tillerlink.workload.BuiltInRequestClasses;
 
 /**
- * What a list and a decision cost the module in fleets of 36, 300 and 1,024 engines, with a tenth
- * of them in use.
+ * Measures the cost of an endpoint list and of a decision for the policy in fleets of 36, 300 and
+ * 1,024 engines, with a tenth of the engines in use.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -40,26 +40,27 @@
 @Measurement(iterations = 4, time = 1)
 @Fork(1)
 public class FleetSizes {
-  private static final long LAG = 3000;
+  /** The duration of each attempt, in tenths of a millisecond. */
+  private static final long ATTEMPT_DURATION = 3000;
 
-  /** How many engines the fleet has. */
+  /** The number of engines in the fleet. */
   @Param({"36", "300", "1024"})
   public int engines;
 
   private final List<EndpointUpdate> list = new ArrayList<>();
-  private final List<Request> out = new ArrayList<>();
+  private final List<Request> inFlight = new ArrayList<>();
   private DefaultDispatchPolicy policy;
   private long now = 17_000_000_000_000L;
-  private int next;
+  private int nextId;
 
-  /** Starts the module with the fleet and submits a request for every ten engines. */
+  /** Starts the policy with the fleet and submits a request for every ten engines. */
   @Setup
-  public void start() {
+  public void setUp() {
     Fleet fleet = Fleet.of(100, engines);
     Map<String, Object> settings =
         FlattenedConfig.of(
             fleet.settings(BuiltInRequestClasses.requestClasses(Layout.ALIBABA_2018), 0));
-    policy = new DefaultDispatchPolicy(now, 7, settings, new Nobody());
+    policy = new DefaultDispatchPolicy(now, 7, settings, new NoOpActions());
     for (EngineSpec spec : fleet.engines()) {
       list.add(
           new EndpointUpdate(
@@ -72,13 +73,14 @@
   }
 
   private void submit() {
-    Request request = new Request(next, 0, next++ % 16, false, now, now + 100_000, 2000, 0, null);
+    Request request =
+        new Request(nextId, 0, nextId++ % 16, false, now, now + 100_000, 2000, 0, null);
     policy.onRequestArrived(now, request);
     policy.applyDecisions(now);
-    out.add(request);
+    inFlight.add(request);
   }
 
-  /** A whole list that changes nothing, and the turn that settles it. */
+  /** Processes a complete endpoint list that changes nothing, and the decisions that follow it. */
   @Benchmark
   public void list() {
     now += 10;
@@ -86,58 +88,59 @@
     policy.applyDecisions(now);
   }
 
-  /** One request comes and is placed, the oldest one out ends. */
+  /** Processes a new request and places it, and ends the oldest request in flight. */
   @Benchmark
   public void decision() {
     now += 10;
-    Request oldest = out.remove(0);
+    Request oldest = inFlight.remove(0);
     if (!oldest.attempts.isEmpty()) {
       Attempt attempt = oldest.attempts.get(oldest.attempts.size() - 1);
-      policy.onAttemptEnded(now, attempt, AttemptOutcome.SUCCEEDED, LAG, true, 0, 0, null);
+      policy.onAttemptEnded(
+          now, attempt, AttemptOutcome.SUCCEEDED, ATTEMPT_DURATION, true, 0, 0, null);
     }
     submit();
   }
 
-  /** Takes orders and does nothing. */
-  private static final class Nobody implements DispatchActions {
+  /** Ignores all actions of the policy. */
+  private static final class NoOpActions implements DispatchActions {
     @Override
     public void updatePriorityAndGrant(Request request, int rank, long grant) {
-      // Nothing is told on.
+      // No engine is informed.
     }
 
     @Override
     public void sendAttempt(Attempt attempt) {
-      // It is out from here on.
+      // The benchmark ends attempts itself.
     }
 
     @Override
     public void cancelAttempt(Attempt attempt) {
-      // Nothing runs.
+      // There is no engine.
     }
 
     @Override
     public void rejectRequest(Request request, long retryAfter) {
-      // Nobody waits.
+      // There is no client.
     }
 
     @Override
     public void failRequest(Request request) {
-      // Nobody waits.
+      // There is no client.
     }
 
     @Override
     public void scheduleWakeup(long at) {
-      // The next round comes by itself.
+      // The benchmark calls applyDecisions itself.
     }
 
     @Override
     public void watchEndpoints() {
-      // Lists come by themselves.
+      // The benchmark supplies the lists.
     }
 
     @Override
     public void log(String line) {
-      // Nobody reads.
+      // The log is not part of the measurement.
     }
   }
 }
--- a/bench/src/main/java/tillerlink/jmh/GossipQueueAgainstHeap.java
+++ b/bench/src/main/java/tillerlink/jmh/GossipQueueAgainstHeap.java
@@ -25,9 +25,9 @@
 import tillerlink.messages.members.MemberStatus;
 
 /**
- * One gossip update is queued in place of the one of the same member, and a message takes those
- * sent least often: the queue that members use against a heap, in which the update that is replaced
- * has to be searched for.
+ * Compares the queue of gossip updates that members use with a heap. A gossip update is queued and
+ * replaces the update of the same member; a message then takes the updates that were sent least
+ * often. In the heap, the update that is replaced has to be searched for.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -41,7 +41,7 @@
 
   private record Item(String name, int transmissions, long sequence) {}
 
-  /** How many members there are updates of. */
+  /** The number of members that have updates in the queue. */
   @Param({"10", "100", "1000"})
   private int members;
 
@@ -56,9 +56,9 @@
   private long nextSequence;
   private int lastPicked;
 
-  /** Queues one update of each member, in both queues. */
+  /** Queues one update of each member in both queues. */
   @Setup
-  public void make() {
+  public void setUp() {
     names = new String[members];
     queue = new GossipQueue(members);
     for (int i = 0; i < members; i++) {
@@ -75,14 +75,17 @@
     return names[lastPicked];
   }
 
-  /** Queues an update and takes a message of them, with the queue that members use. */
+  /** Queues an update and takes the updates of one message, with the queue that members use. */
   @Benchmark
   public List<GossipUpdate> queue() {
     queue.put(pickMember(), "");
-    return queue.take(CAPACITY_BYTES, MAX_TRANSMISSIONS, (name, by) -> updates.get(name));
+    return queue.take(CAPACITY_BYTES, MAX_TRANSMISSIONS, (name, accuser) -> updates.get(name));
   }
 
-  /** The same with the heap; what was taken goes back with one transmission more. */
+  /**
+   * Queues an update and takes the updates of one message, with a heap. The updates taken are
+   * queued again with one more transmission.
+   */
   @Benchmark
   public List<GossipUpdate> heap() {
     putIntoHeap(pickMember());
@@ -100,9 +103,9 @@
       sent.add(heap.poll());
     }
     for (Item item : sent) {
-      Item again = new Item(item.name, item.transmissions + 1, item.sequence);
-      itemsByName.put(item.name, again);
-      heap.add(again);
+      Item requeued = new Item(item.name, item.transmissions + 1, item.sequence);
+      itemsByName.put(item.name, requeued);
+      heap.add(requeued);
     }
     return taken;
   }
--- a/bench/src/main/java/tillerlink/jmh/HeldEvents.java
+++ b/bench/src/main/java/tillerlink/jmh/HeldEvents.java
@@ -30,9 +30,10 @@
 import tillerlink.messages.channels.Span;
 
 /**
- * Which of 100,000 events of eight gateways are held, and what is missing of a peer's: ranges with
- * gaps against a set of names and against a sorted set of numbers for each; and what a journal
- * takes for an event against the plainest that finds it by name and in order.
+ * Compares ways to record which of 100,000 events of eight gateways were received, and to find
+ * which events of a peer are missing: ranges with gaps, a set of names, and a sorted set of numbers
+ * for each writer. It also compares the cost of an event in a journal with that of a plain map by
+ * name and a sorted set.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -46,7 +47,7 @@
 
   private record Name(long incarnation, long sequence) {}
 
-  /** How far events come out of the order of their numbers, in events. */
+  /** The distance by which events arrive out of the order of their numbers, in events. */
   @Param({"1", "1000"})
   private int mixed;
 
@@ -57,23 +58,23 @@
 
   /** Shuffles the events, leaves gaps, and fills each of the three sets. */
   @Setup
-  public void make() {
+  public void setUp() {
     Random random = new Random(1);
     TreeMap<Double, Entry> shuffled = new TreeMap<>();
     for (int i = 0; i < EVENTS; i++) {
       long sequence = 1 + (long) i / WRITERS;
-      // One in a hundred is missing: gaps.
+      // One in a hundred events is left out, which makes gaps.
       if (random.nextInt(100) > 0) {
         shuffled.put(i + random.nextDouble() * mixed, event(1 + i % WRITERS, sequence, i));
       }
     }
     events = new Entry[EVENTS];
-    int at = 0;
+    int index = 0;
     for (Entry event : shuffled.values()) {
-      events[at++] = event;
+      events[index++] = event;
     }
-    for (long further = 1L << 20; at < EVENTS; further++) {
-      events[at++] = event(1, further, (int) further);
+    for (long extraSequence = 1L << 20; index < EVENTS; extraSequence++) {
+      events[index++] = event(1, extraSequence, (int) extraSequence);
     }
     ranges = ranges();
     names = names();
@@ -97,46 +98,48 @@
         List.of());
   }
 
-  // ---- taking all in ----
+  // ---- adding all events ----
 
-  /** Takes all events in as ranges with gaps. */
+  /** Adds all events to ranges with gaps. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public EventSet ranges() {
-    EventSet held = new EventSet();
+    EventSet received = new EventSet();
     for (Entry event : events) {
-      if (!held.has(event.incarnation(), event.sequence())) {
-        held.add(event.incarnation(), event.sequence());
+      if (!received.has(event.incarnation(), event.sequence())) {
+        received.add(event.incarnation(), event.sequence());
       }
     }
-    return held;
+    return received;
   }
 
-  /** Takes all events in as a set of names. */
+  /** Adds all events to a set of names. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Set<Name> names() {
-    Set<Name> held = new HashSet<>();
+    Set<Name> received = new HashSet<>();
     for (Entry event : events) {
-      held.add(new Name(event.incarnation(), event.sequence()));
+      received.add(new Name(event.incarnation(), event.sequence()));
     }
-    return held;
+    return received;
   }
 
-  /** Takes all events in as a sorted set of numbers for each writer. */
+  /** Adds all events to a sorted set of numbers for each writer. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Map<Long, NavigableSet<Long>> numbers() {
-    Map<Long, NavigableSet<Long>> held = new TreeMap<>();
+    Map<Long, NavigableSet<Long>> received = new TreeMap<>();
     for (Entry event : events) {
-      held.computeIfAbsent(event.incarnation(), any -> new TreeSet<>()).add(event.sequence());
+      received
+          .computeIfAbsent(event.incarnation(), writer -> new TreeSet<>())
+          .add(event.sequence());
     }
-    return held;
+    return received;
   }
 
-  // ---- what is missing of all that a peer could have: once for all events ----
+  // ---- finding the missing events of a peer: one operation covers all events ----
 
-  /** Lists the spans that are missing of all that a peer could have. */
+  /** Lists the spans of a peer's possible events that are missing. */
   @Benchmark
   public List<Span> missingByRanges() {
     List<Span> missing = new ArrayList<>();
@@ -146,7 +149,7 @@
     return missing;
   }
 
-  /** Lists the events that are missing, asking for each name. */
+  /** Lists the events that are missing, with a look-up for each name. */
   @Benchmark
   public List<Name> missingByNames() {
     List<Name> missing = new ArrayList<>();
@@ -161,7 +164,7 @@
     return missing;
   }
 
-  /** Lists the events that are missing, by the gaps between sorted numbers. */
+  /** Lists the events that are missing, from the gaps between sorted numbers. */
   @Benchmark
   public List<Name> missingByNumbers() {
     List<Name> missing = new ArrayList<>();
@@ -177,9 +180,9 @@
     return missing;
   }
 
-  // ---- events themselves ----
+  // ---- storing the events ----
 
-  /** Puts all events into a journal. */
+  /** Adds all events to a journal. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Journal journal() {
@@ -190,7 +193,7 @@
     return journal;
   }
 
-  /** Puts all events into a map by name and a set in order. */
+  /** Adds all events to a map by name and to a sorted set. */
   @Benchmark
   @OperationsPerInvocation(EVENTS)
   public Object plainMapAndOrder() {
--- a/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
+++ b/bench/src/main/java/tillerlink/jmh/LinesAgainstHttp2.java
@@ -16,9 +16,9 @@
 import tillerlink.workload.RequestClassSpec;
 
 /**
- * Engine lines against HTTP/2, side by side in one run on one thread, in virtual time: connections
- * at 1,000 attempts in flight over 30 engines, what a gateway takes and allocates for a request,
- * and its times at half load.
+ * Compares engine lines with HTTP/2 in one run, on one thread, in virtual time: the connections at
+ * 1,000 attempts in flight over 30 engines, the processor time and allocation of a gateway for a
+ * request, and its response times at half load.
  */
 public final class LinesAgainstHttp2 {
   private static final long START = 17_000_000_000_000L;
@@ -34,8 +34,8 @@
   public static void main(String[] args) {
     for (int round = 0; round < ROUNDS; round++) {
       for (boolean http2 : new boolean[] {false, true}) {
-        inFlight(http2);
-        atHalfLoad(http2);
+        measureConnections(http2);
+        measureAtHalfLoad(http2);
       }
     }
   }
@@ -47,7 +47,7 @@
         .startGateways(DefaultDispatchPolicy::new, 1);
   }
 
-  private static void inFlight(boolean http2) {
+  private static void measureConnections(boolean http2) {
     EmulatedCluster cluster = cluster(http2);
     ReplayClients clients =
         new ReplayClients(
@@ -59,22 +59,22 @@
       Arrival arrival = new Arrival(i * 10L, i, 0, 60_000, 1, i % 64, i);
       cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
-    int most = 0;
-    int outMost = 0;
+    int maxConnections = 0;
+    int maxInFlight = 0;
     while (cluster.now() < START + 30_000) {
       cluster.timeline.step();
-      most = Math.max(most, cluster.gateway(0).engineConnections());
-      outMost = Math.max(outMost, clients.open());
+      maxConnections = Math.max(maxConnections, cluster.gateway(0).engineConnections());
+      maxInFlight = Math.max(maxInFlight, clients.open());
     }
     System.out.printf(
         Locale.ROOT,
         "%s: %d connections at %d submissions in flight%n",
-        name(http2),
-        most,
-        outMost);
+        protocolName(http2),
+        maxConnections,
+        maxInFlight);
   }
 
-  private static void atHalfLoad(boolean http2) {
+  private static void measureAtHalfLoad(boolean http2) {
     EmulatedCluster cluster = cluster(http2);
     CostMeter meter = new CostMeter();
     cluster.costMeter(meter);
@@ -82,31 +82,31 @@
     ReplayClients clients =
         new ReplayClients(
             cluster, new GatewayConnections(cluster), metrics, new RequestEncoder(1, 0.2));
-    double gap = 500 / (cluster.fleet.cores() * 0.5);
+    double arrivalInterval = 500 / (cluster.fleet.cores() * 0.5);
     for (int i = 0; i < REQUESTS; i++) {
-      Arrival arrival = new Arrival((long) (i * gap), i, 0, 500, 1, i % 64, i);
+      Arrival arrival = new Arrival((long) (i * arrivalInterval), i, 0, 500, 1, i % 64, i);
       cluster.timeline.at(START + arrival.at(), () -> clients.arrive(arrival));
     }
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     while (metrics.arrived() < REQUESTS || clients.open() > 0) {
       cluster.timeline.step();
     }
-    double seconds = (System.nanoTime() - began) / 1e9;
-    ReplayMetrics.RequestClassMetrics of = metrics.requestClasses().get(0);
+    double seconds = (System.nanoTime() - startNanos) / 1e9;
+    ReplayMetrics.RequestClassMetrics classMetrics = metrics.requestClasses().get(0);
     System.out.printf(
         Locale.ROOT,
         "%s: %.1f us and %d bytes of a gateway a submission, %.0f a second with "
             + "all stand-ins, half in %.1f ms, 99 of 100 in %.1f ms, %d connections%n",
-        name(http2),
+        protocolName(http2),
         meter.nanos() / 1e3 / REQUESTS,
         meter.bytes() / REQUESTS,
         REQUESTS / seconds,
-        of.timeMs(50),
-        of.timeMs(99),
+        classMetrics.timeMs(50),
+        classMetrics.timeMs(99),
         cluster.gateway(0).engineConnections());
   }
 
-  private static String name(boolean http2) {
+  private static String protocolName(boolean http2) {
     return http2 ? "HTTP/2" : "lines ";
   }
 }
--- a/bench/src/main/java/tillerlink/jmh/LogLines.java
+++ b/bench/src/main/java/tillerlink/jmh/LogLines.java
@@ -10,7 +10,10 @@
 import java.util.Locale;
 import org.slf4j.Logger;
 
-/** What a log line with two key-values costs as plain text and as JSON, thrown away. */
+/**
+ * Measures the cost of a log line with two key-value pairs as plain text and as JSON. The output is
+ * discarded.
+ */
 public final class LogLines {
   private static final int LINES = 200_000;
 
@@ -27,6 +30,7 @@
     }
   }
 
+  /** Returns the time for a line, in microseconds. */
   private static double time(LoggerContext context, Encoder<ILoggingEvent> encoder) {
     encoder.setContext(context);
     encoder.start();
@@ -39,13 +43,13 @@
     root.detachAndStopAllAppenders();
     root.addAppender(appender);
     Logger log = context.getLogger("tillerlink.net.state.Gateway");
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     for (int i = 0; i < LINES; i++) {
       log.atInfo()
           .addKeyValue("engine_connections", i)
           .addKeyValue("endpoint_list_version", 7)
           .log("{} requests", i);
     }
-    return (System.nanoTime() - began) / 1e3 / LINES;
+    return (System.nanoTime() - startNanos) / 1e3 / LINES;
   }
 }
--- a/bench/src/main/java/tillerlink/jmh/MemberMessages.java
+++ b/bench/src/main/java/tillerlink/jmh/MemberMessages.java
@@ -29,9 +29,9 @@
 import tillerlink.messages.members.SuspicionLevel;
 
 /**
- * A probe with six gossip updates as bytes and back: numbered fields of protobuf's wire format, as
- * gateways speak; fields at fixed places in a byte buffer, which no later release could add to;
- * JSON by Jackson's streams.
+ * Measures encoding and decoding a probe with six gossip updates in three formats: numbered fields
+ * in protobuf's wire format, as gateways use between each other; fields at fixed places in a byte
+ * buffer, which later releases could not extend; and JSON by Jackson's streaming API.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -48,9 +48,9 @@
   private byte[] places;
   private byte[] json;
 
-  /** Writes the message in each form, and checks that each reads back as it was. */
+  /** Encodes the message in each format, and checks that each decodes to an equal message. */
   @Setup
-  public void make() throws IOException, MalformedMessageException {
+  public void setUp() throws IOException, MalformedMessageException {
     List<GossipUpdate> updates = new ArrayList<>();
     for (int i = 0; i < UPDATES; i++) {
       updates.add(
@@ -89,7 +89,7 @@
 
   // ---- at fixed places ----
 
-  /** Writes the message with each field at its place, without numbers. */
+  /** Encodes the message with each field at a fixed place, without field numbers. */
   @Benchmark
   public byte[] writePlaces() {
     ByteBuffer out = ByteBuffer.allocate(Encodings.BUFFER_SIZE);
@@ -119,7 +119,7 @@
     out.put((byte) bytes.length).put(bytes);
   }
 
-  /** Reads fields at fixed places. */
+  /** Decodes fields at fixed places. */
   @Benchmark
   public MemberMessage readPlaces() {
     ByteBuffer in = ByteBuffer.wrap(places);
@@ -151,7 +151,7 @@
 
   // ---- as JSON ----
 
-  /** Writes the message by Jackson's generator. */
+  /** Encodes the message with Jackson's generator. */
   @Benchmark
   public byte[] writeJson() throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream(Encodings.BUFFER_SIZE);
@@ -186,7 +186,7 @@
     out.writeEndObject();
   }
 
-  /** Reads JSON by Jackson's parser, its fields in any order. */
+  /** Decodes JSON with Jackson's parser, which accepts the fields in any order. */
   @Benchmark
   public MemberMessage readJson() throws IOException {
     try (JsonParser in = Encodings.JSON.createParser(json)) {
@@ -215,7 +215,7 @@
   }
 
   private static GossipUpdate readUpdate(JsonParser in) throws IOException {
-    String called = "";
+    String memberName = "";
     int status = 0;
     MemberInfo info = null;
     String accuser = "";
@@ -224,7 +224,7 @@
       String name = in.currentName();
       in.nextToken();
       switch (name) {
-        case "name" -> called = in.getText();
+        case "name" -> memberName = in.getText();
         case "standing" -> status = in.getIntValue();
         case "card" -> info = readInfo(in);
         case "by" -> accuser = in.getText();
@@ -232,7 +232,7 @@
         default -> in.skipChildren();
       }
     }
-    return new GossipUpdate(called, Numbered.of(STATUSES, status), info, accuser, age);
+    return new GossipUpdate(memberName, Numbered.of(STATUSES, status), info, accuser, age);
   }
 
   private static MemberInfo readInfo(JsonParser in) throws IOException {
--- a/bench/src/main/java/tillerlink/jmh/Ordering.java
+++ b/bench/src/main/java/tillerlink/jmh/Ordering.java
@@ -22,7 +22,8 @@
 import tillerlink.trace.Task;
 
 /**
- * Putting tasks in order that stand out of order by a window: the wheel against a priority queue.
+ * Compares the wheel of the reorder buffer with a priority queue for sorting tasks that are out of
+ * order by up to a window.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -32,39 +33,44 @@
 @Measurement(iterations = 5, time = 1)
 public class Ordering {
   private static final int TASKS = 200_000;
-  private static final long GAP = 50;
 
-  /** How many tasks a window spans. */
+  /** The time between the starts of two tasks, in tenths of a millisecond. */
+  private static final long START_INTERVAL = 50;
+
+  /** The number of tasks in a window. */
   @Param({"100", "10000", "100000"})
   private int waiting;
 
   private Task[] tasks;
   private long window;
 
-  /** Makes the tasks, out of order by up to a window. */
+  /** Generates the tasks, out of order by up to a window. */
   @Setup
-  public void make() {
+  public void setUp() {
     Random random = new Random(1);
-    window = waiting * GAP;
+    window = waiting * START_INTERVAL;
     tasks = new Task[TASKS];
-    long[][] places = new long[TASKS][];
+    long[][] positions = new long[TASKS][];
     for (int i = 0; i < TASKS; i++) {
-      places[i] = new long[] {i * GAP, i * GAP + (long) (random.nextDouble() * window)};
+      positions[i] =
+          new long[] {
+            i * START_INTERVAL, i * START_INTERVAL + (long) (random.nextDouble() * window)
+          };
     }
-    java.util.Arrays.sort(places, Comparator.comparingLong(place -> place[1]));
+    java.util.Arrays.sort(positions, Comparator.comparingLong(position -> position[1]));
     for (int i = 0; i < TASKS; i++) {
-      tasks[i] = new Task(places[i][0], 10, 1, 0, i, 0, i, 0, 1);
+      tasks[i] = new Task(positions[i][0], 10, 1, 0, i, 0, i, 0, 1);
     }
   }
 
-  /** Puts the tasks in order with the wheel that traces are read with. */
+  /** Sorts the tasks with the wheel that is used for reading traces. */
   @Benchmark
   @OperationsPerInvocation(TASKS)
   public long wheel() throws IOException {
-    int[] at = {0};
+    int[] index = {0};
     ReorderBuffer reorder =
         new ReorderBuffer(
-            () -> at[0] < TASKS ? tasks[at[0]++] : null, window, TASKS, new RowCounts());
+            () -> index[0] < TASKS ? tasks[index[0]++] : null, window, TASKS, new RowCounts());
     long sum = 0;
     for (Task task = reorder.next(); task != null; task = reorder.next()) {
       sum += task.start();
@@ -72,7 +78,7 @@
     return sum;
   }
 
-  /** Puts the tasks in order with a heap that holds a window of them. */
+  /** Sorts the tasks with a heap that contains one window of them. */
   @Benchmark
   @OperationsPerInvocation(TASKS)
   public long priorityQueue() {
--- a/bench/src/main/java/tillerlink/jmh/ProcessorTime.java
+++ b/bench/src/main/java/tillerlink/jmh/ProcessorTime.java
@@ -13,14 +13,15 @@
 import org.openjdk.jmh.results.ScalarResult;
 
 /**
- * Nanoseconds of processor time for each operation, beside JMH's own clock: what the whole process
- * took, collection and compilation too. On a machine with more to do than processors the clock
- * counts waiting for one; this does not. Use: {@code -prof tillerlink.jmh.ProcessorTime}.
+ * Reports the processor time of the process for each operation in nanoseconds, in addition to JMH's
+ * elapsed time. It includes garbage collection and compilation. On a machine with more runnable
+ * threads than processors the elapsed time includes waiting for a processor; the processor time
+ * does not. Use: {@code -prof tillerlink.jmh.ProcessorTime}.
  */
 public final class ProcessorTime implements InternalProfiler {
-  private final OperatingSystemMXBean machine =
+  private final OperatingSystemMXBean operatingSystem =
       (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-  private long before;
+  private long cpuNanosBefore;
 
   @Override
   public String getDescription() {
@@ -28,17 +29,18 @@
   }
 
   @Override
-  public void beforeIteration(BenchmarkParams of, IterationParams iteration) {
-    before = machine.getProcessCpuTime();
+  public void beforeIteration(BenchmarkParams benchmark, IterationParams iteration) {
+    cpuNanosBefore = operatingSystem.getProcessCpuTime();
   }
 
   @Override
   public Collection<? extends Result<?>> afterIteration(
-      BenchmarkParams of, IterationParams iteration, IterationResult result) {
-    double took = machine.getProcessCpuTime() - before;
+      BenchmarkParams benchmark, IterationParams iteration, IterationResult result) {
+    double cpuNanos = operatingSystem.getProcessCpuTime() - cpuNanosBefore;
     long operations = result.getMetadata().getAllOps();
     return operations == 0
         ? List.of()
-        : List.of(new ScalarResult("processor", took / operations, "ns/op", AggregationPolicy.AVG));
+        : List.of(
+            new ScalarResult("processor", cpuNanos / operations, "ns/op", AggregationPolicy.AVG));
   }
 }
--- a/bench/src/main/java/tillerlink/jmh/StoreAppends.java
+++ b/bench/src/main/java/tillerlink/jmh/StoreAppends.java
@@ -11,7 +11,8 @@
 import tillerlink.store.FileSystemDirectory;
 
 /**
- * The store against H2 MVStore in one run: appends by durability, recovery, and what lies on disk.
+ * Compares the store with H2 MVStore in one run: appends by durability, recovery time, and disk
+ * space.
  */
 public final class StoreAppends {
   private static final int VALUE_BYTES = 90;
@@ -32,7 +33,7 @@
     }
   }
 
-  private static long bytes(Path folder) throws IOException {
+  private static long diskBytes(Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
       return files.filter(Files::isRegularFile).mapToLong(file -> file.toFile().length()).sum();
     }
@@ -44,8 +45,8 @@
     try (DurableTable table =
         new DurableTable(new FileSystemDirectory(folder), 1, 4 << 20, 1 << 24)) {
       table.open();
-      long until = System.nanoTime() + RUN_NANOS;
-      while (System.nanoTime() < until) {
+      long endNanos = System.nanoTime() + RUN_NANOS;
+      while (System.nanoTime() < endNanos) {
         for (int i = 0; i < group; i++) {
           table.set("engine/e" + count++ % 1000, new byte[VALUE_BYTES]);
         }
@@ -57,7 +58,7 @@
         "store,   %5d a sync: %8.0f appends a second, %d KB on disk%n",
         group,
         count / (RUN_NANOS / 1e9),
-        bytes(folder) / 1024);
+        diskBytes(folder) / 1024);
   }
 
   private static void appendToMvStore(int group) throws IOException {
@@ -66,8 +67,8 @@
     MVStore store =
         new MVStore.Builder().fileName(folder.resolve("mv").toString()).autoCommitDisabled().open();
     MVMap<String, byte[]> map = store.openMap("engines");
-    long until = System.nanoTime() + RUN_NANOS;
-    while (System.nanoTime() < until) {
+    long endNanos = System.nanoTime() + RUN_NANOS;
+    while (System.nanoTime() < endNanos) {
       for (int i = 0; i < group; i++) {
         map.put("engine/e" + count++ % 1000, new byte[VALUE_BYTES]);
       }
@@ -80,7 +81,7 @@
         "MVStore, %5d a sync: %8.0f appends a second, %d KB on disk%n",
         group,
         count / (RUN_NANOS / 1e9),
-        bytes(folder) / 1024);
+        diskBytes(folder) / 1024);
   }
 
   private static void measureRecovery(int engines) throws IOException {
@@ -89,7 +90,7 @@
     try (DurableTable table =
         new DurableTable(new FileSystemDirectory(folder), 1, 1 << 20, 1 << 28)) {
       table.open();
-      for (int turn = 0; turn < 5; turn++) {
+      for (int round = 0; round < 5; round++) {
         for (int i = 0; i < engines; i++) {
           table.set("engine/e" + i, new byte[VALUE_BYTES]);
           written += VALUE_BYTES;
@@ -97,7 +98,7 @@
         table.sync();
       }
     }
-    long began = System.nanoTime();
+    long startNanos = System.nanoTime();
     try (DurableTable table =
         new DurableTable(new FileSystemDirectory(folder), 1, 1 << 20, 1 << 28)) {
       table.open();
@@ -106,9 +107,9 @@
           "%d engines: %d KB on disk, %.2f bytes on disk a byte of values written, "
               + "recovered in %.1f ms%n",
           engines,
-          bytes(folder) / 1024,
-          (double) bytes(folder) / written,
-          (System.nanoTime() - began) / 1e6);
+          diskBytes(folder) / 1024,
+          (double) diskBytes(folder) / written,
+          (System.nanoTime() - startNanos) / 1e6);
     }
   }
 }
