--- a/.ci/KnownRed.java
+++ b/.ci/KnownRed.java
@@ -17,14 +17,14 @@
 import org.xml.sax.SAXException;
 
 /**
- * Judges the reports of a build in which failing tests were ignored: it ends with 0 only if each
- * test listed in KNOWN-RED.txt failed and every other passed. It is run at the root of the
- * repository, after the build.
+ * Checks the reports of a build in which test failures were ignored. Exits with 0 only if each test
+ * listed in KNOWN-RED.txt failed and every other test passed or was skipped. Run it at the root of
+ * the repository, after the build.
  */
 public final class KnownRed {
-  private static final int MOST_ENTRIES = 3;
+  private static final int MAX_ENTRIES = 3;
 
-  /** The file names that Surefire takes for tests unless told otherwise. */
+  /** The names of files that Surefire's default configuration runs as tests. */
   private static final String TEST_FILE = "Test.*\\.java|.*(Test|Tests|TestCase)\\.java";
 
   private enum Outcome {
@@ -36,22 +36,25 @@
   private final List<String> faults = new ArrayList<>();
   private final Set<String> listed = new TreeSet<>();
 
-  /** By Class#method; more than one outcome where a method ran more than once. */
+  /** The outcomes by Class#method. A method has more than one outcome if it ran more than once. */
   private final Map<String, Set<Outcome>> outcomes = new TreeMap<>();
 
   public static void main(String[] args) throws IOException, ParserConfigurationException {
-    KnownRed judged = new KnownRed();
-    judged.readList();
-    judged.readReports();
-    judged.compare();
-    if (!judged.faults.isEmpty()) {
+    KnownRed check = new KnownRed();
+    check.readList();
+    check.readReports();
+    check.compare();
+    if (!check.faults.isEmpty()) {
       System.out.println("Not passed over:");
-      judged.faults.forEach(fault -> System.out.println("  " + fault));
+      check.faults.forEach(fault -> System.out.println("  " + fault));
       System.exit(1);
     }
   }
 
-  /** Prints the entries, so that none is passed over unseen. */
+  /**
+   * Reads KNOWN-RED.txt and prints its entries, so that every ignored failure is visible in the
+   * output.
+   */
   private void readList() throws IOException {
     List<String> entries =
         Files.readAllLines(Path.of("KNOWN-RED.txt")).stream()
@@ -60,8 +63,8 @@
             .toList();
     System.out.println("Known red:");
     entries.forEach(entry -> System.out.println("  " + entry));
-    if (entries.size() > MOST_ENTRIES) {
-      faults.add(entries.size() + " entries; " + MOST_ENTRIES + " at most");
+    if (entries.size() > MAX_ENTRIES) {
+      faults.add(entries.size() + " entries; " + MAX_ENTRIES + " at most");
     }
     for (String entry : entries) {
       String[] parts = entry.split("\\|", -1);
@@ -97,7 +100,7 @@
       for (Path report : files(reports, "TEST-.*\\.xml")) {
         readReport(report);
       }
-      // A class whose tests were never begun leaves no failure behind, only no report.
+      // A class whose tests were never started leaves no failure, only a missing report.
       Path sources = Path.of(module, "src", "test", "java");
       for (Path source : files(sources, TEST_FILE)) {
         String name =
@@ -117,9 +120,9 @@
       NodeList tests = parse(report).getElementsByTagName("testcase");
       for (int i = 0; i < tests.getLength(); i++) {
         Element test = (Element) tests.item(i);
-        // What fails round a whole class, as in @BeforeAll, has an empty name: it can't be listed.
+        // A failure outside a test method, as in @BeforeAll, has an empty name: it can't be listed.
         String name = test.getAttribute("classname") + "#" + test.getAttribute("name");
-        outcomes.computeIfAbsent(name, any -> EnumSet.noneOf(Outcome.class)).add(outcome(test));
+        outcomes.computeIfAbsent(name, key -> EnumSet.noneOf(Outcome.class)).add(outcome(test));
       }
     } catch (SAXException e) {
       faults.add("can't be read: " + report + ": " + e.getMessage());
--- a/examples/ToyPool.java
+++ b/examples/ToyPool.java
@@ -16,14 +16,14 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A toy pool to try a gateway with: two engines on 127.0.0.1, ports 5051 and 5052, and their
- * discovery service on port 5353. Start it with {@code java examples/ToyPool.java}; it ends with
- * Ctrl-C. A statement's answer is the engine's port, the request class and the statement itself;
- * "sleep N" takes N milliseconds, and "fail" fails.
+ * A toy pool for trying out a gateway: two engines on 127.0.0.1, ports 5051 and 5052, and their
+ * discovery service on port 5353. Start it with {@code java examples/ToyPool.java} and end it with
+ * Ctrl-C. The result of a statement has the engine's port, the request class and the statement
+ * itself. The statement "sleep N" takes N milliseconds, and "fail" fails.
  */
 public final class ToyPool {
   private static final int[] PORTS = {5051, 5052};
-  private static final int NAMES = 5353;
+  private static final int DISCOVERY_PORT = 5353;
 
   private ToyPool() {}
 
@@ -35,22 +35,24 @@
           () -> {
             while (true) {
               Socket socket = listening.accept();
-              start(() -> converse(socket, port));
+              start(() -> serve(socket, port));
             }
           });
     }
-    try (DatagramSocket names = new DatagramSocket(new InetSocketAddress(loopback, NAMES))) {
+    try (DatagramSocket socket =
+        new DatagramSocket(new InetSocketAddress(loopback, DISCOVERY_PORT))) {
       System.out.println("two engines and their name service are up");
       while (true) {
         DatagramPacket packet = new DatagramPacket(new byte[512], 512);
-        names.receive(packet);
-        byte[] list = list(packet);
-        names.send(new DatagramPacket(list, list.length, packet.getSocketAddress()));
+        socket.receive(packet);
+        byte[] response = endpointList(packet);
+        socket.send(new DatagramPacket(response, response.length, packet.getSocketAddress()));
       }
     }
   }
 
-  private static void converse(Socket socket, int port) throws IOException {
+  /** Processes the commands of a gateway on one connection until it closes. */
+  private static void serve(Socket socket, int port) throws IOException {
     BufferedReader in =
         new BufferedReader(
             new InputStreamReader(socket.getInputStream(), StandardCharsets.ISO_8859_1));
@@ -67,15 +69,17 @@
           }
           in.readLine();
           String statement = new String(body);
-          String track = words[2].replaceAll(".*cls=([^,]*).*", "$1");
-          rows.put(words[1], port + "\t" + track + "\t" + statement.replaceAll("\\s+", " ") + "\n");
+          String requestClass = words[2].replaceAll(".*cls=([^,]*).*", "$1");
+          rows.put(
+              words[1],
+              port + "\t" + requestClass + "\t" + statement.replaceAll("\\s+", " ") + "\n");
           running.add(words[1]);
           start(() -> run(words[1], statement, out, running, rows));
         }
         case "never_mind" -> running.remove(words[1]);
         case "turn" -> {
           String row = rows.getOrDefault(words[1], "");
-          say(
+          send(
               out,
               row.isEmpty()
                   ? words[1] + " error - 0\r\n\r\n"
@@ -89,33 +93,36 @@
                       + "\r\n");
         }
         case "shut" -> rows.remove(words[1]);
-        case "there" -> say(out, words[1] + " yes - 0\r\n\r\n");
+        case "there" -> send(out, words[1] + " yes - 0\r\n\r\n");
         default -> socket.close();
       }
     }
   }
 
-  /** Tells every second how far it is, then answers with two pages of a row each. */
+  /**
+   * Runs a statement: reports its progress every second, then answers with the first of two pages,
+   * each of which has one row.
+   */
   private static void run(
       String id, String statement, OutputStream out, Set<String> running, Map<String, String> rows)
       throws IOException {
     long millis = statement.matches("sleep \\d{1,5}") ? Long.parseLong(statement.substring(6)) : 20;
-    long begun = System.currentTimeMillis();
-    for (long gone = 0; gone < millis; gone = System.currentTimeMillis() - begun) {
+    long startMillis = System.currentTimeMillis();
+    for (long elapsed = 0; elapsed < millis; elapsed = System.currentTimeMillis() - startMillis) {
       try {
-        Thread.sleep(Math.min(1000, millis - gone));
+        Thread.sleep(Math.min(1000, millis - elapsed));
       } catch (InterruptedException e) {
         return;
       }
       if (!running.contains(id)) {
         return;
       }
-      double share = Math.min(1, (System.currentTimeMillis() - begun) / (double) millis);
-      say(out, id + " progress tell=frac,reading=" + share + " 0\r\n\r\n");
+      double share = Math.min(1, (System.currentTimeMillis() - startMillis) / (double) millis);
+      send(out, id + " progress tell=frac,reading=" + share + " 0\r\n\r\n");
     }
     if (running.remove(id)) {
       String row = rows.get(id);
-      say(
+      send(
           out,
           statement.equals("fail")
               ? id + " error - 0\r\n\r\n"
@@ -123,7 +130,7 @@
     }
   }
 
-  private static void say(OutputStream out, String text) throws IOException {
+  private static void send(OutputStream out, String text) throws IOException {
     synchronized (out) {
       out.write(text.getBytes(StandardCharsets.ISO_8859_1));
       out.flush();
@@ -131,26 +138,26 @@
   }
 
   /**
-   * The answer to a query for the whole list: RFC 1035, names without compression but for the
-   * owner.
+   * Encodes the response to a DNS query for the whole endpoint list (RFC 1035). Names are not
+   * compressed, except where they refer to the name in the query.
    */
-  private static byte[] list(DatagramPacket query) throws IOException {
+  private static byte[] endpointList(DatagramPacket query) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DataOutputStream out = new DataOutputStream(bytes);
     out.write(query.getData(), 0, 2);
-    shorts(out, 0x8400, 1, PORTS.length, 1, 2 * PORTS.length);
+    writeShorts(out, 0x8400, 1, PORTS.length, 1, 2 * PORTS.length);
     out.write(query.getData(), 12, query.getLength() - 12);
     for (int port : PORTS) {
-      shorts(out, 0xc00c, 33, 1, 0, 1, 6 + name(port).length, 0, 10, port);
+      writeShorts(out, 0xc00c, 33, 1, 0, 1, 6 + name(port).length, 0, 10, port);
       out.write(name(port));
     }
-    shorts(out, 0xc00c, 6, 1, 0, 1, 24, 0xc00c, 0xc00c, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0);
+    writeShorts(out, 0xc00c, 6, 1, 0, 1, 24, 0xc00c, 0xc00c, 0, 1, 0, 0, 0, 0, 0, 0, 0, 0);
     for (int port : PORTS) {
       out.write(name(port));
-      shorts(out, 1, 1, 0, 1, 4, 127 << 8, 1);
+      writeShorts(out, 1, 1, 0, 1, 4, 127 << 8, 1);
       out.write(name(port));
       byte[] text = labels("kind=std", "cell=0", "started=0");
-      shorts(out, 16, 1, 0, 1, text.length);
+      writeShorts(out, 16, 1, 0, 1, text.length);
       out.write(text);
     }
     return bytes.toByteArray();
@@ -172,7 +179,7 @@
     return out.toByteArray();
   }
 
-  private static void shorts(DataOutputStream out, int... values) throws IOException {
+  private static void writeShorts(DataOutputStream out, int... values) throws IOException {
     for (int value : values) {
       out.writeShort(value);
     }
