--- a/audit/src/main/java/tillerlink/audit/AuditedEngine.java
+++ b/audit/src/main/java/tillerlink/audit/AuditedEngine.java
@@ -5,15 +5,18 @@
 import java.util.OptionalLong;
 import tillerlink.fleet.Fleet;
 
-/** What the auditor knows of an engine that is up. */
+/** The auditor's state of an engine that is up. */
 final class AuditedEngine {
   private final int kind;
   private final SlowStartWindow slowStart;
   private final Map<Integer, Long> withdrawnAt = new HashMap<>();
 
   /**
-   * @param kind an index of the fleet's kinds
-   * @param startedAt tenths of a millisecond; long ago if not above 0
+   * Creates the state of an engine.
+   *
+   * @param kind an index into the fleet's engine kinds
+   * @param startedAt the start of the engine, in tenths of a millisecond; 0 or less means that it
+   *     started long ago and has warmed up
    */
   AuditedEngine(Fleet fleet, int kind, long startedAt) {
     this.kind = kind;
@@ -28,17 +31,23 @@
     return slowStart;
   }
 
-  void withdraw(int gateway, long now) {
+  /** Records that a gateway was notified that the engine is draining or gone. */
+  void onWithdrawn(int gateway, long now) {
     withdrawnAt.putIfAbsent(gateway, now);
   }
 
-  /** Since when that gateway knows that the engine is draining or gone. */
+  /**
+   * Returns when a gateway was first notified that the engine is draining or gone.
+   *
+   * @return tenths of a millisecond, empty if the gateway was not notified
+   */
   OptionalLong withdrawnAt(int gateway) {
-    Long since = withdrawnAt.get(gateway);
-    return since == null ? OptionalLong.empty() : OptionalLong.of(since);
+    Long notifiedAt = withdrawnAt.get(gateway);
+    return notifiedAt == null ? OptionalLong.empty() : OptionalLong.of(notifiedAt);
   }
 
-  void forgetGateway(int gateway) {
+  /** Removes the notification of a gateway that was killed. */
+  void removeGateway(int gateway) {
     withdrawnAt.remove(gateway);
   }
 }
--- a/audit/src/main/java/tillerlink/audit/AuditedRequest.java
+++ b/audit/src/main/java/tillerlink/audit/AuditedRequest.java
@@ -3,7 +3,10 @@
 import tillerlink.model.Effect;
 import tillerlink.workload.RequestClassSpec;
 
-/** What the auditor knows of a request that a gateway has accepted and that is not over. */
+/**
+ * The auditor's state of a request that a gateway has accepted and that has not ended. Times are
+ * tenths of a millisecond.
+ */
 final class AuditedRequest {
   private static final long NEVER = Long.MIN_VALUE;
 
@@ -16,16 +19,19 @@
   private int attempts;
   private int attemptsInFlight;
 
-  /** Attempts that ended without proof that nothing ran. */
+  /** Attempts that have ended without proof that the engine did not execute them. */
   private int attemptsThatMayHaveRun;
 
+  /** Attempts that engines have executed. */
   private int executions;
 
-  /** When the first attempt that may have run was sent. */
+  /** When the first attempt that may have run was sent; {@link #NEVER} if none may have run. */
   private long firstPossibleRunAt = NEVER;
 
   /**
-   * @param clientDeadline tenths of a millisecond
+   * Creates the state of a request without attempts.
+   *
+   * @param clientDeadline when the client stops waiting, in tenths of a millisecond
    * @param key the idempotency key, or null
    */
   AuditedRequest(int gateway, RequestClassSpec requestClass, long clientDeadline, String key) {
@@ -55,21 +61,21 @@
     return answer != null;
   }
 
-  void onAnswer(Auditor.Answer given) {
-    answer = given;
+  void onAnswer(Auditor.Answer newAnswer) {
+    answer = newAnswer;
   }
 
   void onClientDisconnected() {
     clientDisconnected = true;
   }
 
-  /** Whether the client has its answer, or does not wait for it any more. */
+  /** Returns whether the client has received its answer or has disconnected. */
   boolean isClosedForClient() {
     return answer != null || clientDisconnected;
   }
 
-  /** Whether nothing more can be said of it. */
-  boolean isOver() {
+  /** Returns whether the request is closed for its client and has no attempt in flight. */
+  boolean hasEnded() {
     return attemptsInFlight <= 0 && isClosedForClient();
   }
 
@@ -89,16 +95,20 @@
     executions++;
   }
 
+  /** Returns whether an attempt that has ended may have run. */
   boolean mayHaveRun() {
     return attemptsThatMayHaveRun > 0;
   }
 
-  /** Whether an attempt may have run or may be running. */
+  /** Returns whether an attempt may have run or is in flight, so that it may still run. */
   boolean mayRunOrHaveRun() {
     return attemptsThatMayHaveRun > 0 || attemptsInFlight > 0;
   }
 
-  /** Whether engines have forgotten by now that they may have run it. */
+  /**
+   * Returns whether the deduplication window has passed since the first attempt that may have run,
+   * so that engines no longer recognize the idempotency key.
+   */
   boolean isDeduplicationWindowOver(long now) {
     return requestClass.effect() == Effect.RECEIPTED
         && firstPossibleRunAt != NEVER
@@ -113,6 +123,11 @@
     }
   }
 
+  /**
+   * Records the end of an attempt.
+   *
+   * @param provesNotExecuted whether the engine is known not to have executed the attempt
+   */
   void onAttemptEnded(boolean provesNotExecuted) {
     attemptsInFlight--;
     attemptsThatMayHaveRun += provesNotExecuted ? 0 : 1;
--- a/audit/src/main/java/tillerlink/audit/Auditor.java
+++ b/audit/src/main/java/tillerlink/audit/Auditor.java
@@ -13,17 +13,18 @@
 import tillerlink.workload.RequestClassSpec;
 
 /**
- * Observes what passes between clients, gateways and engines, and reports violations of the rules.
- * It knows nothing of how a gateway decides, and forgets a request once nothing more can be said of
- * it. Not thread-safe. Times are tenths of a millisecond.
+ * Checks the messages between clients, gateways and engines against the rules and reports
+ * violations. It does not depend on how gateways decide. A request is dropped when it has ended, so
+ * that memory use is bounded by the requests in progress. Not thread-safe. Times are tenths of a
+ * millisecond.
  */
 public class Auditor {
-  /** How late a final answer may be, for what sockets take. */
+  /** How late a final answer may arrive, because transmission through sockets takes time. */
   private static final long MAX_ANSWER_DELAY = 500;
 
   private static final int TENTHS_PER_MS = 10;
 
-  /** How a request was answered, as its client saw it. Its constants' names are printed. */
+  /** The final answer to a request, as its client received it. The constants' names are printed. */
   public enum Answer {
     SUCCEEDED,
     REJECTED,
@@ -39,15 +40,17 @@
   private final List<RetryBudgetWindow> retryBudgets = new ArrayList<>();
   private final KeyOrder keyOrder = new KeyOrder();
 
-  /** Engines that were reported once for too much work while they were warming up. */
-  private final Set<String> overloaded = new HashSet<>();
+  /** Engines whose overload while they were warming up was already reported, once each. */
+  private final Set<String> reportedOverloads = new HashSet<>();
 
   private long attempts;
   private long retries;
 
   /**
-   * @param ordered of each request class, whether requests of one key run in their order; false for
-   *     those not given
+   * Creates an auditor that knows no engines and no requests.
+   *
+   * @param ordered for each request class, whether requests of one key must run in the order of
+   *     their acceptance; false for classes beyond the given ones
    */
   public Auditor(Fleet fleet, List<RequestClassSpec> requestClasses, boolean... ordered) {
     this.fleet = fleet;
@@ -61,10 +64,11 @@
   // ---- clients ----
 
   /**
-   * A gateway has accepted a request.
+   * Records that a gateway has accepted a request.
    *
-   * @param requestClass an index of the request classes
-   * @param key the idempotency key, or null
+   * @param requestClass an index into the request classes
+   * @param key the idempotency key, which is also the key of the order, or null
+   * @param clientDeadline when the client stops waiting
    */
   public void onRequestAccepted(
       long now, int gateway, String id, int requestClass, String key, long clientDeadline) {
@@ -76,62 +80,68 @@
     retryBudgets.get(gateway).addRequest(now);
   }
 
-  /** A client has got an answer. */
+  /** Records that a client has received the answer to a request. */
   public void onAnswer(long now, String id, Answer answer) {
     AuditedRequest request = requests.get(id);
     if (request == null || request.isAnswered()) {
       findings.report(
           Rule.ANSWER,
           now,
-          id + " was answered " + answer + (request == null ? " after its end" : " once more"));
+          id
+              + " was answered "
+              + answer
+              + (request == null ? " after it had ended" : " a second time"));
       return;
     }
     request.onAnswer(answer);
     if (now > request.clientDeadline() + MAX_ANSWER_DELAY) {
       long lateMs = (now - request.clientDeadline()) / TENTHS_PER_MS;
-      findings.report(Rule.ANSWER, now, id + " was answered " + lateMs + " ms too late");
+      findings.report(
+          Rule.ANSWER, now, id + " was answered " + lateMs + " ms after its client's deadline");
     }
     if (answer == Answer.REJECTED && request.isEffectful() && request.mayHaveRun()) {
       findings.report(Rule.EFFECT, now, id + " was rejected though it may have run");
     }
     if (answer == Answer.SUCCEEDED && request.executions() == 0) {
-      findings.report(Rule.ANSWER, now, id + " succeeded though no engine ran it");
+      findings.report(Rule.ANSWER, now, id + " succeeded though no engine executed it");
     }
-    forgetIfOver(id, request);
+    removeIfEnded(id, request);
   }
 
-  /** A client was given another result than its engine's. */
+  /** Records that a client has received a result that differs from the engine's result. */
   public void onWrongResult(long now, String id) {
-    findings.report(Rule.ANSWER, now, id + " was given another result than its engine's");
+    findings.report(
+        Rule.ANSWER, now, id + " was answered with a result that differs from the engine's");
   }
 
   /**
-   * A client disconnected without an answer.
+   * Records that a client disconnected without an answer.
    *
-   * @param timeUp whether its deadline had passed, so that it should have had one
+   * @param deadlinePassed whether the client's deadline had passed, so that the missing answer is a
+   *     violation
    */
-  public void onClientDisconnected(long now, String id, boolean timeUp) {
+  public void onClientDisconnected(long now, String id, boolean deadlinePassed) {
     AuditedRequest request = requests.get(id);
     if (request == null) {
       return;
     }
-    if (timeUp && !request.isAnswered()) {
-      findings.report(Rule.ANSWER, now, id + " was not answered in time");
+    if (deadlinePassed && !request.isAnswered()) {
+      findings.report(Rule.ANSWER, now, id + " was not answered by its client's deadline");
     }
     request.onClientDisconnected();
-    forgetIfOver(id, request);
+    removeIfEnded(id, request);
   }
 
-  /** A gateway was killed: its requests are not audited any more. */
+  /** Records that a gateway was killed. Its requests are no longer audited. */
   public void onGatewayKilled(int gateway) {
     retryBudgets.get(gateway).clear();
-    engines.values().forEach(engine -> engine.forgetGateway(gateway));
+    engines.values().forEach(engine -> engine.removeGateway(gateway));
     requests.values().removeIf(request -> request.gateway() == gateway);
     keyOrder.removeIf(id -> !requests.containsKey(id));
   }
 
-  private void forgetIfOver(String id, AuditedRequest request) {
-    if (request.isOver()) {
+  private void removeIfEnded(String id, AuditedRequest request) {
+    if (request.hasEnded()) {
       requests.remove(id);
       keyOrder.remove(request.key(), id);
     }
@@ -140,46 +150,54 @@
   // ---- engines ----
 
   /**
-   * An engine came up.
+   * Records that an engine is up.
    *
-   * @param kind an index of the fleet's kinds
-   * @param startedAt long ago if not above 0
+   * @param kind an index into the fleet's engine kinds
+   * @param startedAt the start of the engine; 0 or less means that it started long ago and has
+   *     warmed up
    */
   public void onEngineStarted(String engine, int kind, long startedAt) {
     engines.put(engine, new AuditedEngine(fleet, kind, startedAt));
   }
 
-  /** A gateway was notified that an engine is draining or gone. */
+  /** Records that a gateway was notified that an engine is draining or gone. */
   public void onEndpointWithdrawn(long now, int gateway, String engine) {
-    AuditedEngine withdrawn = engines.get(engine);
-    if (withdrawn != null) {
-      withdrawn.withdraw(gateway, now);
+    AuditedEngine engineState = engines.get(engine);
+    if (engineState != null) {
+      engineState.onWithdrawn(gateway, now);
     }
   }
 
-  /** An engine ended for good, and all gateways were notified. */
+  /** Records that an engine has ended, will not return, and all gateways were notified of it. */
   public void onEngineForgotten(String engine) {
     engines.remove(engine);
   }
 
   // ---- attempts ----
 
-  /** The first byte of an attempt was sent. */
+  /** Records that the first byte of an attempt was sent, and checks the attempt. */
   public void onAttemptSent(long now, int gateway, String engine, String id) {
     AuditedEngine target = engines.get(engine);
     AuditedRequest request = requests.get(id);
     if (request == null) {
       findings.report(
-          Rule.ANSWER, now, "an attempt of " + id + " went to " + engine + " though it was over");
+          Rule.ANSWER,
+          now,
+          "an attempt of " + id + " was sent to " + engine + " though the request had ended");
       return;
     }
     if (target == null) {
       findings.report(
-          Rule.DRAIN, now, "an attempt of " + id + " went to " + engine + ", which nobody knows");
+          Rule.DRAIN,
+          now,
+          "an attempt of " + id + " was sent to " + engine + ", which is not a known engine");
       return;
     }
     if (request.isClosedForClient()) {
-      findings.report(Rule.ANSWER, now, "an attempt of " + id + " went out after its answer");
+      findings.report(
+          Rule.ANSWER,
+          now,
+          "an attempt of " + id + " was sent after its client was answered or had disconnected");
     }
     checkDrain(now, gateway, engine, target, id);
     checkPlacement(now, engine, target, id, request);
@@ -188,7 +206,7 @@
       findings.report(
           Rule.ORDER,
           now,
-          id + " went out before " + keyOrder.first(request.key()) + " of the same key was over");
+          id + " was sent before " + keyOrder.first(request.key()) + " of the same key had ended");
     }
     attempts++;
     if (request.wasSent()) {
@@ -199,19 +217,19 @@
   }
 
   private void checkDrain(long now, int gateway, String engine, AuditedEngine target, String id) {
-    OptionalLong since = target.withdrawnAt(gateway);
-    if (since.isPresent() && now > since.getAsLong() + fleet.drainGrace()) {
+    OptionalLong notifiedAt = target.withdrawnAt(gateway);
+    if (notifiedAt.isPresent() && now > notifiedAt.getAsLong() + fleet.drainGrace()) {
       findings.report(
           Rule.DRAIN,
           now,
           id
-              + " went from n"
+              + " was sent from n"
               + gateway
               + " to "
               + engine
               + " "
-              + (now - since.getAsLong()) / TENTHS_PER_MS
-              + " ms after it was reported as draining or gone");
+              + (now - notifiedAt.getAsLong()) / TENTHS_PER_MS
+              + " ms after the engine was reported as draining or gone");
     }
   }
 
@@ -220,17 +238,23 @@
     List<String> allowed = request.requestClass().kinds();
     if (!allowed.isEmpty() && !allowed.contains(fleet.kinds().get(target.kind()).name())) {
       findings.report(
-          Rule.PLACEMENT, now, id + " of " + request.requestClass().name() + " went to " + engine);
+          Rule.PLACEMENT,
+          now,
+          id
+              + " of request class "
+              + request.requestClass().name()
+              + " was sent to an engine of another kind, "
+              + engine);
     }
   }
 
   private void checkEffect(long now, String id, AuditedRequest request) {
     if (request.isEffectful() && request.mayRunOrHaveRun()) {
-      findings.report(Rule.EFFECT, now, id + " went out again though it may have run");
+      findings.report(Rule.EFFECT, now, id + " was sent again though it may have run");
     }
     if (request.isDeduplicationWindowOver(now)) {
       findings.report(
-          Rule.EFFECT, now, id + " went out again after engines forgot its idempotency key");
+          Rule.EFFECT, now, id + " was sent again after engines had dropped its idempotency key");
     }
   }
 
@@ -243,25 +267,25 @@
           now,
           "n"
               + gateway
-              + " made "
+              + " sent "
               + budget.retries()
-              + " retries where "
+              + " retries, and the retry budget allowed "
               + Math.floor(budget.allowedRetries())
-              + " were allowed");
+              + " within its window");
     }
   }
 
   /**
-   * An attempt came whole to an engine that will execute it.
+   * Records that an engine has received an attempt completely and will execute it.
    *
-   * @param work what it takes on one core
+   * @param work the execution time of the attempt on one core
    */
   public void onAttemptExecuted(long now, String engine, String id, double work) {
     AuditedRequest request = requests.get(id);
     if (request != null) {
       request.onExecuted();
       if (request.isEffectful() && request.executions() > 1) {
-        findings.report(Rule.EFFECT, now, id + " ran twice");
+        findings.report(Rule.EFFECT, now, id + " was executed more than once");
       }
     }
     AuditedEngine target = engines.get(engine);
@@ -271,7 +295,7 @@
   }
 
   private void checkSlowStart(long now, String engine, SlowStartWindow slowStart, double work) {
-    if (slowStart.add(now, work) && overloaded.add(engine)) {
+    if (slowStart.add(now, work) && reportedOverloads.add(engine)) {
       findings.report(
           Rule.COLD,
           now,
@@ -287,21 +311,24 @@
   }
 
   /**
-   * An attempt ended.
+   * Records that an attempt has ended.
    *
-   * @param provesNotExecuted whether it is known that the engine did not execute it
+   * @param provesNotExecuted whether the engine is known not to have executed the attempt
    */
   public void onAttemptEnded(String id, boolean provesNotExecuted) {
     AuditedRequest request = requests.get(id);
     if (request != null) {
       request.onAttemptEnded(provesNotExecuted);
-      forgetIfOver(id, request);
+      removeIfEnded(id, request);
     }
   }
 
   // ---- results ----
 
-  /** The most work sent to an engine that was warming up, as a fraction of what it could bear. */
+  /**
+   * Returns the maximum load of an engine that was warming up: the work sent to it within a window,
+   * as a fraction of the work that it could bear then.
+   */
   public double maxSlowStartLoad() {
     return engines.values().stream()
         .mapToDouble(engine -> engine.slowStart().maxLoad())
@@ -309,27 +336,27 @@
         .orElse(0);
   }
 
-  /** How often each rule was violated; rules that were not are left out. */
+  /** Returns how often each rule was violated, without the rules that were not violated. */
   public Map<Rule, Long> counts() {
     return findings.counts();
   }
 
-  /** The first violations of each rule, in the order of their time. */
+  /** Returns the first violations of each rule, in the order of their reports. */
   public List<Violation> violations() {
     return findings.violations();
   }
 
-  /** How many attempts were sent. */
+  /** Returns the number of attempts that were sent. */
   public long attempts() {
     return attempts;
   }
 
-  /** How many attempts were sent beyond each request's first. */
+  /** Returns the number of attempts that were sent after the first one of their request. */
   public long retries() {
     return retries;
   }
 
-  /** How many requests are not over. */
+  /** Returns the number of requests that have not ended. */
   public int openRequests() {
     return requests.size();
   }
--- a/audit/src/main/java/tillerlink/audit/Findings.java
+++ b/audit/src/main/java/tillerlink/audit/Findings.java
@@ -5,16 +5,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Counts the violations of each rule and keeps the first few of each. */
+/** The violations found so far: their number for each rule, and the first 20 of each rule. */
 final class Findings {
-  private static final int MAX_KEPT_OF_EACH_RULE = 20;
+  private static final int MAX_STORED_PER_RULE = 20;
 
   private final Map<Rule, Long> counts = new EnumMap<>(Rule.class);
   private final List<Violation> violations = new ArrayList<>();
 
-  void report(Rule rule, long at, String what) {
-    if (counts.merge(rule, 1L, Long::sum) <= MAX_KEPT_OF_EACH_RULE) {
-      violations.add(new Violation(rule, at, what));
+  /**
+   * Counts a violation and stores it if it is among the first of its rule.
+   *
+   * @param at tenths of a millisecond
+   * @param description what happened, for people to read
+   */
+  void report(Rule rule, long at, String description) {
+    if (counts.merge(rule, 1L, Long::sum) <= MAX_STORED_PER_RULE) {
+      violations.add(new Violation(rule, at, description));
     }
   }
 
--- a/audit/src/main/java/tillerlink/audit/KeyOrder.java
+++ b/audit/src/main/java/tillerlink/audit/KeyOrder.java
@@ -5,26 +5,31 @@
 import java.util.Map;
 import java.util.function.Predicate;
 
-/** For each key of the ordered request classes, the requests that are not over, oldest first. */
+/** The open requests of each key of the ordered request classes, oldest first. */
 final class KeyOrder {
   private final Map<String, ArrayDeque<String>> requests = new HashMap<>();
 
+  /** Adds a request as the youngest of its key. */
   void add(String key, String id) {
     requests.computeIfAbsent(key, absent -> new ArrayDeque<>()).add(id);
   }
 
-  /** Whether no older request of the key is open; true also if the key has no order. */
+  /** Returns whether no older request of the key is open. A null or unordered key has none. */
   boolean isFirst(String key, String id) {
     ArrayDeque<String> queue = key == null ? null : requests.get(key);
     return queue == null || id.equals(queue.peekFirst());
   }
 
-  /** The oldest open request of a key that has an order; null if there is none. */
+  /**
+   * Returns the oldest open request of a key, or null if it has none.
+   *
+   * @param key a key that has been added
+   */
   String first(String key) {
     return requests.get(key).peekFirst();
   }
 
-  /** Removes a request that is over. */
+  /** Removes a request that has ended; does nothing if its key is null or unordered. */
   void remove(String key, String id) {
     ArrayDeque<String> queue = key == null ? null : requests.get(key);
     if (queue != null) {
@@ -35,6 +40,7 @@
     }
   }
 
+  /** Removes all requests whose id satisfies a condition. */
   void removeIf(Predicate<String> condition) {
     requests.values().forEach(queue -> queue.removeIf(condition));
   }
--- a/audit/src/main/java/tillerlink/audit/RetryBudgetWindow.java
+++ b/audit/src/main/java/tillerlink/audit/RetryBudgetWindow.java
@@ -3,7 +3,10 @@
 import java.util.ArrayDeque;
 import tillerlink.fleet.Fleet;
 
-/** The requests and retries of one gateway within the retry budget's sliding window. */
+/**
+ * The requests and retries of one gateway within the retry budget's sliding window. Times are
+ * tenths of a millisecond.
+ */
 final class RetryBudgetWindow {
   private final Fleet fleet;
   private final ArrayDeque<Long> requests = new ArrayDeque<>();
@@ -28,11 +31,14 @@
     return retries.size();
   }
 
-  /** How many retries the requests in the window allow. */
+  /**
+   * Returns the number of retries that the requests in the window allow, which may be fractional.
+   */
   double allowedRetries() {
     return fleet.minRetries() + fleet.retryRatio() * requests.size();
   }
 
+  /** Removes all requests and retries, after the gateway was killed. */
   void clear() {
     requests.clear();
     retries.clear();
--- a/audit/src/main/java/tillerlink/audit/Rule.java
+++ b/audit/src/main/java/tillerlink/audit/Rule.java
@@ -1,19 +1,29 @@
 package tillerlink.audit;
 
-/** The rules that every gateway keeps, in the order of their numbers. Their names are printed. */
+/** The rules that every gateway obeys, in the order of their numbers. Their names are printed. */
 public enum Rule {
-  /** Each request has one final answer, in time, and nothing after it. */
+  /**
+   * Each request receives exactly one final answer by its deadline, and no attempt or answer
+   * follows it.
+   */
   ANSWER,
-  /** No effect happens twice, and what may have run and must not run twice is not rejected. */
+  /**
+   * No request's effect happens twice, and a request that must not run twice is not rejected if it
+   * may have run.
+   */
   EFFECT,
-  /** No new work is sent to draining or gone engines after the grace time. */
+  /** No attempt is sent to an engine that is draining or gone after the grace time. */
   DRAIN,
-  /** All gateways together send an engine that is warming up no more than it can bear. */
+  /**
+   * All gateways together do not send more work to an engine that is warming up than it can bear.
+   */
   COLD,
-  /** Requests of one key run in their order where the request class asks for it. */
+  /**
+   * Requests of one key run in the order of their acceptance if their request class requires it.
+   */
   ORDER,
-  /** Every attempt goes to an engine that the request class is bound to. */
+  /** Every attempt is sent to an engine of a kind that the request class allows. */
   PLACEMENT,
-  /** Retries stay within the sliding budget. */
+  /** The retries of a gateway stay within the retry budget of the sliding window. */
   BUDGET
 }
--- a/audit/src/main/java/tillerlink/audit/SlowStartWindow.java
+++ b/audit/src/main/java/tillerlink/audit/SlowStartWindow.java
@@ -4,8 +4,8 @@
 import tillerlink.fleet.Fleet;
 
 /**
- * The work that an engine was sent of late, against what it can bear while it is warming up. Times
- * and work are tenths of a millisecond.
+ * The work that was sent to an engine within the overload window, compared with the work that the
+ * engine can bear while it is warming up. Times and work are tenths of a millisecond.
  */
 final class SlowStartWindow {
   private record SentWork(long at, double work) {}
@@ -23,23 +23,29 @@
     this.startedAt = startedAt;
   }
 
+  /** Returns the time since the engine started. */
   long age(long now) {
     return now - startedAt;
   }
 
+  /** Returns the work that was sent within the window that ends with the last addition. */
   double workInWindow() {
     return workInWindow;
   }
 
-  /** The most that was sent within a window, as a fraction of what the engine could bear then. */
+  /**
+   * Returns the maximum work that was sent within a window, as a fraction of the work that the
+   * engine could bear then.
+   */
   double maxLoad() {
     return maxLoad;
   }
 
   /**
-   * Adds work that was sent.
+   * Adds work that was sent to the engine.
    *
-   * @return whether the engine is warming up and was sent more than it can bear
+   * @param work the execution time on one core
+   * @return whether the engine is warming up and the work in the window exceeds what it can bear
    */
   boolean add(long now, double work) {
     if (startedAt <= 0 || age(now) > fleet.warmupTime() + fleet.overloadWindow()) {
@@ -56,11 +62,15 @@
     return workInWindow > bearable;
   }
 
+  /**
+   * Returns the work that the engine can bear within a window. Its capacity grows linearly from the
+   * start capacity to that of all its cores at the end of the warm-up.
+   */
   private double bearableWork(long now) {
-    double warmth =
+    double capacityFraction =
         Math.min(
             1, fleet.startCapacity() + (1 - fleet.startCapacity()) * age(now) / fleet.warmupTime());
-    return warmth
+    return capacityFraction
         * fleet.kinds().get(kind).cores()
         * fleet.overloadWindow()
         * fleet.overloadFactor();
--- a/audit/src/test/java/tillerlink/audit/AuditorTest.java
+++ b/audit/src/test/java/tillerlink/audit/AuditorTest.java
@@ -8,9 +8,12 @@
 import tillerlink.model.Effect;
 import tillerlink.workload.RequestClassSpec;
 
-/** A violation of each rule is injected and reported, and so is none without one. */
+/**
+ * Tests that the auditor reports an injected violation of each rule, and reports nothing if there
+ * is no violation.
+ */
 class AuditorTest {
-  private static final long T = 1_000_000;
+  private static final long NOW = 1_000_000;
   private static final int PURE = 0;
   private static final int RECEIPTED = 1;
   private static final int EFFECTFUL = 2;
@@ -30,7 +33,7 @@
     auditor = new Auditor(Fleet.builtIn(2), requestClasses, false, false, false, false, true);
     auditor.onEngineStarted("e1", 0, 0);
     auditor.onEngineStarted("big", 1, 0);
-    auditor.onEngineStarted("cold", 0, T - 10_000);
+    auditor.onEngineStarted("cold", 0, NOW - 10_000);
   }
 
   private static RequestClassSpec requestClass(String name, Effect effect, String... kinds) {
@@ -39,7 +42,7 @@
   }
 
   private AuditorTest accept(String id, int requestClass, String key) {
-    auditor.onRequestAccepted(T, 0, id, requestClass, key, T + 50_000);
+    auditor.onRequestAccepted(NOW, 0, id, requestClass, key, NOW + 50_000);
     return this;
   }
 
@@ -50,29 +53,33 @@
   }
 
   private void assertFindings(String expected) {
-    StringBuilder all = new StringBuilder();
+    StringBuilder reported = new StringBuilder();
     auditor
         .violations()
         .forEach(
             violation ->
-                all.append(violation.rule()).append(": ").append(violation.what()).append('\n'));
-    assertEquals(expected, all.toString());
+                reported
+                    .append(violation.rule())
+                    .append(": ")
+                    .append(violation.what())
+                    .append('\n'));
+    assertEquals(expected, reported.toString());
   }
 
   @Test
-  void nothingIsReportedWhereAllRulesHold() {
-    accept("a", PURE, null).executeAt(T, "e1", "a", 100);
+  void validHistoryHasNoViolations() {
+    accept("a", PURE, null).executeAt(NOW, "e1", "a", 100);
     auditor.onAttemptEnded("a", false);
-    auditor.onAttemptSent(T + 5, 0, "big", "a");
-    auditor.onAttemptExecuted(T + 5, "big", "a", 100);
+    auditor.onAttemptSent(NOW + 5, 0, "big", "a");
+    auditor.onAttemptExecuted(NOW + 5, "big", "a", 100);
     auditor.onAttemptEnded("a", false);
-    auditor.onAnswer(T + 49_999, "a", Auditor.Answer.SUCCEEDED);
+    auditor.onAnswer(NOW + 49_999, "a", Auditor.Answer.SUCCEEDED);
     accept("b", EFFECTFUL, null);
-    auditor.onAttemptSent(T, 0, "e1", "b");
+    auditor.onAttemptSent(NOW, 0, "e1", "b");
     auditor.onAttemptEnded("b", true);
-    auditor.onAttemptSent(T + 9, 0, "big", "b");
+    auditor.onAttemptSent(NOW + 9, 0, "big", "b");
     auditor.onAttemptEnded("b", true);
-    auditor.onAnswer(T + 10, "b", Auditor.Answer.REJECTED);
+    auditor.onAnswer(NOW + 10, "b", Auditor.Answer.REJECTED);
     assertFindings("");
     assertEquals(0, auditor.openRequests());
   }
@@ -80,71 +87,72 @@
   @Test
   void missingLateRepeatedAndWrongAnswersAreReported() {
     accept("a", PURE, null);
-    auditor.onAnswer(T + 10, "a", Auditor.Answer.FAILED);
-    auditor.onAnswer(T + 11, "a", Auditor.Answer.FAILED);
+    auditor.onAnswer(NOW + 10, "a", Auditor.Answer.FAILED);
+    auditor.onAnswer(NOW + 11, "a", Auditor.Answer.FAILED);
     accept("b", PURE, null);
-    auditor.onAnswer(T + 50_501, "b", Auditor.Answer.FAILED);
+    auditor.onAnswer(NOW + 50_501, "b", Auditor.Answer.FAILED);
     accept("c", PURE, null);
-    auditor.onClientDisconnected(T + 50_500, "c", true);
+    auditor.onClientDisconnected(NOW + 50_500, "c", true);
     accept("d", PURE, null);
-    auditor.onAnswer(T + 10, "d", Auditor.Answer.SUCCEEDED);
+    auditor.onAnswer(NOW + 10, "d", Auditor.Answer.SUCCEEDED);
     accept("e", PURE, null);
-    auditor.onWrongResult(T, "e");
-    auditor.onAnswer(T + 10, "e", Auditor.Answer.FAILED);
-    auditor.onAttemptSent(T + 11, 0, "e1", "e");
+    auditor.onWrongResult(NOW, "e");
+    auditor.onAnswer(NOW + 10, "e", Auditor.Answer.FAILED);
+    auditor.onAttemptSent(NOW + 11, 0, "e1", "e");
     accept("f", PURE, null);
-    auditor.onClientDisconnected(T + 10, "f", false);
+    auditor.onClientDisconnected(NOW + 10, "f", false);
     assertFindings(
         """
-        ANSWER: a was answered FAILED after its end
-        ANSWER: b was answered 50 ms too late
-        ANSWER: c was not answered in time
-        ANSWER: d succeeded though no engine ran it
-        ANSWER: e was given another result than its engine's
-        ANSWER: an attempt of e went to e1 though it was over
+        ANSWER: a was answered FAILED after it had ended
+        ANSWER: b was answered 50 ms after its client's deadline
+        ANSWER: c was not answered by its client's deadline
+        ANSWER: d succeeded though no engine executed it
+        ANSWER: e was answered with a result that differs from the engine's
+        ANSWER: an attempt of e was sent to e1 though the request had ended
         """);
   }
 
   @Test
   void effectsThatMayHappenTwiceAreReported() {
-    accept("a", EFFECTFUL, null).executeAt(T, "e1", "a", 100);
+    accept("a", EFFECTFUL, null).executeAt(NOW, "e1", "a", 100);
     auditor.onAttemptEnded("a", false);
-    executeAt(T + 5, "big", "a", 100);
+    executeAt(NOW + 5, "big", "a", 100);
     auditor.onAttemptEnded("a", false);
-    auditor.onAnswer(T + 10, "a", Auditor.Answer.REJECTED);
-    accept("b", RECEIPTED, "k").executeAt(T, "e1", "b", 100);
+    auditor.onAnswer(NOW + 10, "a", Auditor.Answer.REJECTED);
+    accept("b", RECEIPTED, "k").executeAt(NOW, "e1", "b", 100);
     auditor.onAttemptEnded("b", false);
-    auditor.onAttemptSent(T + 20_000, 0, "big", "b");
+    auditor.onAttemptSent(NOW + 20_000, 0, "big", "b");
     assertFindings(
         """
-        EFFECT: a went out again though it may have run
-        EFFECT: a ran twice
+        EFFECT: a was sent again though it may have run
+        EFFECT: a was executed more than once
         EFFECT: a was rejected though it may have run
-        EFFECT: b went out again after engines forgot its idempotency key
+        EFFECT: b was sent again after engines had dropped its idempotency key
         """);
   }
 
   @Test
   void attemptsAtDrainingOrUnknownEnginesAreReported() {
     accept("a", PURE, null).accept("b", PURE, null);
-    auditor.onEndpointWithdrawn(T, 0, "e1");
-    auditor.onAttemptSent(T + 8000, 0, "e1", "a");
-    auditor.onAttemptSent(T + 8001, 0, "e1", "b");
+    auditor.onEndpointWithdrawn(NOW, 0, "e1");
+    auditor.onAttemptSent(NOW + 8000, 0, "e1", "a");
+    auditor.onAttemptSent(NOW + 8001, 0, "e1", "b");
     accept("c", PURE, null);
-    auditor.onAttemptSent(T, 0, "nobody", "c");
+    auditor.onAttemptSent(NOW, 0, "e9", "c");
     assertFindings(
         """
-        DRAIN: b went from n0 to e1 800 ms after it was reported as draining or gone
-        DRAIN: an attempt of c went to nobody, which nobody knows
+        DRAIN: b was sent from n0 to e1 800 ms after the engine was reported as draining or gone
+        DRAIN: an attempt of c was sent to e9, which is not a known engine
         """);
   }
 
   @Test
   void overloadOfAnEngineThatIsWarmingUpIsReported() {
-    // A second after its start it can do (0.25 + 0.75 / 10) * 8 cores * 2 s * 3.5 = 18.2 s of work.
-    accept("a", PURE, null).accept("b", PURE, null).executeAt(T, "cold", "a", 170_000);
+    // One second after its start the engine can bear (0.25 + 0.75 / 10) * 8 cores * 2 s * 3.5 =
+    // 18.2 s of work.
+    accept("a", PURE, null).accept("b", PURE, null).executeAt(NOW, "cold", "a", 170_000);
     assertFindings("");
-    executeAt(T + 10, "cold", "b", 20_000);
+    executeAt(NOW + 10, "cold", "b", 20_000);
     assertFindings(
         "COLD: cold was sent 19000 ms of work within 2000 ms, 1001 ms after its start\n");
   }
@@ -152,34 +160,38 @@
   @Test
   void attemptsOutOfKeyOrderAreReported() {
     accept("a", ORDERED, "k").accept("b", ORDERED, "k").accept("c", ORDERED, "other");
-    auditor.onAttemptSent(T, 0, "e1", "a");
-    auditor.onAttemptSent(T, 0, "e1", "c");
-    auditor.onAttemptSent(T + 1, 0, "e1", "b");
-    assertFindings("ORDER: b went out before a of the same key was over\n");
+    auditor.onAttemptSent(NOW, 0, "e1", "a");
+    auditor.onAttemptSent(NOW, 0, "e1", "c");
+    auditor.onAttemptSent(NOW + 1, 0, "e1", "b");
+    assertFindings("ORDER: b was sent before a of the same key had ended\n");
   }
 
   @Test
   void attemptsAtEnginesOfAnotherKindAreReported() {
     accept("a", BOUND, null);
-    auditor.onAttemptSent(T, 0, "e1", "a");
+    auditor.onAttemptSent(NOW, 0, "e1", "a");
     auditor.onAttemptEnded("a", true);
-    auditor.onAttemptSent(T, 0, "big", "a");
-    assertFindings("PLACEMENT: a of bound went to big\n");
+    auditor.onAttemptSent(NOW, 0, "big", "a");
+    assertFindings(
+        "PLACEMENT: a of request class bound was sent to an engine of another kind, big\n");
   }
 
   @Test
   void retriesBeyondTheBudgetAreReported() {
     for (int i = 0; i < 20; i++) {
       accept("a" + i, PURE, null);
-      auditor.onAttemptSent(T, 0, "e1", "a" + i);
+      auditor.onAttemptSent(NOW, 0, "e1", "a" + i);
       auditor.onAttemptEnded("a" + i, true);
     }
     for (int i = 0; i < 8; i++) {
-      auditor.onAttemptSent(T + 119_999, 0, "e1", "a" + i);
+      auditor.onAttemptSent(NOW + 119_999, 0, "e1", "a" + i);
     }
-    // Four and three twentieths of twenty; a window later the twenty count no more.
-    assertFindings("BUDGET: n0 made 8 retries where 7.0 were allowed\n");
-    auditor.onAttemptSent(T + 120_000, 0, "e1", "a8");
+    // The budget allows 4 retries plus 3 twentieths of the 20 requests, which is 7. After the
+    // window
+    // the 20 requests no longer count.
+    assertFindings(
+        "BUDGET: n0 sent 8 retries, and the retry budget allowed 7.0 within its window\n");
+    auditor.onAttemptSent(NOW + 120_000, 0, "e1", "a8");
     assertEquals(2, auditor.counts().get(Rule.BUDGET));
   }
 }
