--- a/fakes/src/main/java/tillerlink/fakes/DiscoveryResponse.java
+++ b/fakes/src/main/java/tillerlink/fakes/DiscoveryResponse.java
@@ -9,8 +9,8 @@
 import tillerlink.net.wire.EndpointEntry;
 
 /**
- * A DNS response of the discovery service with the full endpoint list (RFC 1035, RFC 2782). Engines
- * that are gone have no records.
+ * Encoder of the discovery service's DNS responses, which contain the full endpoint list (RFC 1035,
+ * RFC 2782). Engines whose status is {@code GONE} have no records.
  */
 public final class DiscoveryResponse {
   private static final int QUESTION_OFFSET = 12;
@@ -28,8 +28,11 @@
   private DiscoveryResponse() {}
 
   /**
-   * Encodes the response to a query. Its first two bytes are the query's id; {@link #withId} reuses
-   * the rest.
+   * Encodes the response to a query. The query's id is in the first two bytes only, so {@link
+   * #withId} can reuse the rest for other queries.
+   *
+   * @param id the query's id, of which the lower 16 bits are used
+   * @param serial the version of the endpoint list, encoded as the serial of the SOA record
    */
   public static byte[] of(int id, long serial, List<EndpointEntry> entries) {
     DiscoveryResponse response = new DiscoveryResponse();
@@ -37,7 +40,7 @@
     return response.out.toByteArray();
   }
 
-  /** Returns the same response to another query. */
+  /** Returns a copy of an encoded response with the id of another query. */
   public static byte[] withId(int id, byte[] response) {
     byte[] copy = response.clone();
     copy[0] = (byte) (id >> 8);
@@ -46,41 +49,41 @@
   }
 
   private void write(int id, long serial, List<EndpointEntry> entries) {
-    shorts(id, ANSWER_FLAGS, 1, entries.size(), 1, 2 * entries.size());
-    name(QUESTION);
-    shorts(SRV, IN);
+    writeShorts(id, ANSWER_FLAGS, 1, entries.size(), 1, 2 * entries.size());
+    writeName(QUESTION);
+    writeShorts(SRV, IN);
     for (EndpointEntry entry : entries) {
-      pointerToQuestion();
-      shorts(SRV, IN, 0, 0);
+      writePointerToQuestion();
+      writeShorts(SRV, IN, 0, 0);
       byte[] target = encoded(target(entry));
-      shorts(
+      writeShorts(
           6 + target.length,
           entry.standing() == Status.DRAINING ? 1 : 0,
           (int) Math.round(entry.weight() * 10),
           entry.port());
       out.writeBytes(target);
     }
-    pointerToQuestion();
-    shorts(SOA, IN, 0, 0);
+    writePointerToQuestion();
+    writeShorts(SOA, IN, 0, 0);
     byte[] nameServer = encoded("ns");
-    shorts(2 * nameServer.length + 20);
+    writeShorts(2 * nameServer.length + 20);
     out.writeBytes(nameServer);
     out.writeBytes(nameServer);
-    shorts((int) (serial >>> 16), (int) (serial & 0xffff), 0, 0, 0, 0, 0, 0, 0, 0);
+    writeShorts((int) (serial >>> 16), (int) (serial & 0xffff), 0, 0, 0, 0, 0, 0, 0, 0);
     for (EndpointEntry entry : entries) {
       byte[] target = encoded(target(entry));
       out.writeBytes(target);
-      shorts(A, IN, 0, 0, 4);
-      out.writeBytes(address(entry));
+      writeShorts(A, IN, 0, 0, 4);
+      out.writeBytes(addressBytes(entry));
       out.writeBytes(target);
-      shorts(TXT, IN, 0, 0);
+      writeShorts(TXT, IN, 0, 0);
       ByteArrayOutputStream text = new ByteArrayOutputStream();
       for (String part :
           List.of("kind=" + entry.kind(), "cell=" + entry.cell(), "started=" + entry.startedMs())) {
         text.write(part.length());
         text.writeBytes(part.getBytes(StandardCharsets.US_ASCII));
       }
-      shorts(text.size());
+      writeShorts(text.size());
       out.writeBytes(text.toByteArray());
     }
   }
@@ -89,26 +92,26 @@
     return new String[] {entry.id(), entry.zone(), "hosts"};
   }
 
-  private static byte[] address(EndpointEntry entry) {
+  private static byte[] addressBytes(EndpointEntry entry) {
     try {
       return InetAddress.getByName(entry.address()).getAddress();
     } catch (UnknownHostException e) {
-      throw new IllegalArgumentException("not an address: " + entry.address(), e);
+      throw new IllegalArgumentException("engine address can't be resolved: " + entry.address(), e);
     }
   }
 
-  private void shorts(int... values) {
+  private void writeShorts(int... values) {
     for (int value : values) {
       out.write(value >> 8);
       out.write(value);
     }
   }
 
-  private void pointerToQuestion() {
-    shorts(COMPRESSION_POINTER | QUESTION_OFFSET);
+  private void writePointerToQuestion() {
+    writeShorts(COMPRESSION_POINTER | QUESTION_OFFSET);
   }
 
-  private void name(String... labels) {
+  private void writeName(String... labels) {
     out.writeBytes(encoded(labels));
   }
 
--- a/fakes/src/main/java/tillerlink/fakes/EngineCommandParser.java
+++ b/fakes/src/main/java/tillerlink/fakes/EngineCommandParser.java
@@ -4,13 +4,13 @@
 import java.util.Arrays;
 
 /**
- * The engine's end of the line protocol: parses the bytes of one connection into commands; has no
- * socket.
+ * A parser for the engine's end of the line protocol, which turns the bytes of one connection into
+ * commands. It has no socket.
  */
 public final class EngineCommandParser {
   private static final int MAX_LINE_BYTES = 1024;
 
-  /** The first word of a command, as it stands on the wire. */
+  /** The kind of a command; in lower case, the first field of its line on the wire. */
   public enum Word {
     WANT,
     NEVER_MIND,
@@ -20,13 +20,15 @@
   }
 
   /**
-   * One command.
+   * One command of the gateway.
    *
-   * @param requestClass the class of a request, or empty
-   * @param limit how long the gateway waits, in milliseconds
-   * @param nonce the idempotency key, or null
-   * @param page the requested page
-   * @param statement the statement to run
+   * @param word the kind of the command
+   * @param id the attempt's id, or the tag of a keep-alive
+   * @param requestClass the request class of a {@code WANT}, empty if it has none
+   * @param limit how long the gateway waits for a {@code WANT}, in milliseconds, 0 if not given
+   * @param nonce the idempotency key of a {@code WANT}, or null
+   * @param page the number of the page that a {@code TURN} requests, else 0
+   * @param statement the statement that a {@code WANT} runs, else empty
    */
   public record Command(
       Word word,
@@ -40,10 +42,14 @@
   private byte[] buffer = new byte[256];
   private int readAt;
   private int writeAt;
+
+  /** The command whose line is parsed and whose body may be incomplete, or null. */
   private Command head;
+
+  /** Bytes of the body that follows the line of {@link #head}, or -1 if it has no body. */
   private int bodyLength;
 
-  /** Takes bytes that the gateway sent. */
+  /** Appends bytes that the gateway sent to the input. */
   public void feed(byte[] bytes) {
     if (writeAt + bytes.length > buffer.length) {
       byte[] larger = new byte[Math.max(2 * (writeAt - readAt), writeAt - readAt + bytes.length)];
@@ -59,7 +65,7 @@
   /**
    * Returns the next command, or null while it is incomplete.
    *
-   * @throws IllegalArgumentException if the bytes are not a command
+   * @throws IllegalArgumentException if the bytes do not form a valid command
    */
   public Command next() {
     if (head == null && !parseLine()) {
@@ -75,7 +81,7 @@
     }
     byte[] body = Arrays.copyOfRange(buffer, readAt, readAt + bodyLength);
     if (buffer[readAt + bodyLength] != '\r' || buffer[readAt + bodyLength + 1] != '\n') {
-      throw new IllegalArgumentException("a length that does not fit");
+      throw new IllegalArgumentException("expected CR LF after a body of " + bodyLength + " bytes");
     }
     readAt += bodyLength + 2;
     Command complete =
@@ -84,65 +90,70 @@
     return complete;
   }
 
+  /** Parses the next line into {@link #head}; returns false while it is incomplete. */
   private boolean parseLine() {
     int end = readAt;
     while (end < writeAt && buffer[end] != '\n') {
       end++;
     }
     if (end - readAt > MAX_LINE_BYTES) {
-      throw new IllegalArgumentException("a line too long");
+      throw new IllegalArgumentException("command line exceeds " + MAX_LINE_BYTES + " bytes");
     }
     if (end == writeAt) {
       return false;
     }
-    String[] words =
+    String[] fields =
         new String(buffer, readAt, Math.max(0, end - 1 - readAt), StandardCharsets.ISO_8859_1)
             .split(" ", -1);
     readAt = end + 1;
     bodyLength = -1;
     head =
-        switch (words[0]) {
-          case "want" -> submit(words);
-          case "never_mind" -> withoutBody(Word.NEVER_MIND, words, 2);
-          case "turn" -> withoutBody(Word.TURN, words, 3);
-          case "shut" -> withoutBody(Word.SHUT, words, 2);
-          case "there" -> withoutBody(Word.THERE, words, 2);
-          default -> throw new IllegalArgumentException("an unknown command");
+        switch (fields[0]) {
+          case "want" -> parseRequest(fields);
+          case "never_mind" -> parseWithoutBody(Word.NEVER_MIND, fields, 2);
+          case "turn" -> parseWithoutBody(Word.TURN, fields, 3);
+          case "shut" -> parseWithoutBody(Word.SHUT, fields, 2);
+          case "there" -> parseWithoutBody(Word.THERE, fields, 2);
+          default -> throw new IllegalArgumentException("unknown engine command: " + fields[0]);
         };
     return true;
   }
 
-  private static Command withoutBody(Word word, String[] words, int count) {
-    if (words.length != count) {
-      throw new IllegalArgumentException("a command of " + words.length + " words");
+  private static Command parseWithoutBody(Word word, String[] fields, int count) {
+    if (fields.length != count) {
+      throw new IllegalArgumentException(
+          "engine command " + fields[0] + " has " + fields.length + " fields, expected " + count);
     }
-    return new Command(word, words[1], "", 0, null, count == 3 ? number(words[2]) : 0, new byte[0]);
+    return new Command(
+        word, fields[1], "", 0, null, count == 3 ? parseNumber(fields[2]) : 0, new byte[0]);
   }
 
-  private Command submit(String[] words) {
-    if (words.length != 4) {
-      throw new IllegalArgumentException("a request of " + words.length + " words");
+  private Command parseRequest(String[] fields) {
+    if (fields.length != 4) {
+      throw new IllegalArgumentException(
+          "engine command want has " + fields.length + " fields, expected 4");
     }
     String requestClass = "";
     long limit = 0;
     String nonce = null;
-    for (String field : words[2].split(",", -1)) {
-      int sign = field.indexOf('=');
-      String value = field.substring(sign + 1);
-      switch (sign < 0 ? "" : field.substring(0, sign)) {
+    for (String field : fields[2].split(",", -1)) {
+      int separator = field.indexOf('=');
+      String value = field.substring(separator + 1);
+      switch (separator < 0 ? "" : field.substring(0, separator)) {
         case "cls" -> requestClass = value;
-        case "limit" -> limit = number(value);
+        case "limit" -> limit = parseNumber(value);
         case "nonce" -> nonce = value;
         default -> {}
       }
     }
-    bodyLength = number(words[3]);
-    return new Command(Word.WANT, words[1], requestClass, limit, nonce, 0, null);
+    bodyLength = parseNumber(fields[3]);
+    return new Command(Word.WANT, fields[1], requestClass, limit, nonce, 0, null);
   }
 
-  private static int number(String text) {
+  private static int parseNumber(String text) {
     if (text.isEmpty() || text.length() > 9 || !text.chars().allMatch(c -> c >= '0' && c <= '9')) {
-      throw new IllegalArgumentException("not a whole number: " + text);
+      throw new IllegalArgumentException(
+          "expected a whole number of at most 9 digits, got " + text);
     }
     return Integer.parseInt(text);
   }
--- a/fakes/src/main/java/tillerlink/fakes/EngineReply.java
+++ b/fakes/src/main/java/tillerlink/fakes/EngineReply.java
@@ -4,16 +4,19 @@
 import java.util.Locale;
 
 /**
- * One reply of an engine, independent of the protocol.
+ * A reply of an engine, independent of the protocol.
  *
+ * @param word the kind of reply
  * @param id the attempt's id, or the tag of a keep-alive
- * @param number the number of pages with {@code OK}, the page's number with {@code BATCH}
- * @param about what a progress report is about: frac, missing or parked
- * @param level the reported figure
+ * @param number the number of pages for {@code OK}, the page's number for {@code BATCH}, else 0
+ * @param about the quantity of a progress report: "frac", "missing" or "parked"; null for other
+ *     replies
+ * @param level the reported value of that quantity; 0 for other replies
+ * @param body the page for {@code OK} and {@code BATCH}, else empty
  */
 public record EngineReply(
     Word word, String id, int number, String about, double level, byte[] body) {
-  /** The kind of reply, as it stands on the wire. */
+  /** The kind of a reply; in lower case, the name of the reply in the line protocol. */
   public enum Word {
     OK,
     BATCH,
@@ -23,39 +26,39 @@
     PROGRESS
   }
 
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] NO_BODY = new byte[0];
 
-  /** The request succeeded; the first page and how many there are. */
+  /** Returns the reply to a request that succeeded, with the number of pages and the first page. */
   public static EngineReply ok(String id, int pages, byte[] first) {
     return new EngineReply(Word.OK, id, pages, null, 0, first);
   }
 
-  /** A further page. */
+  /** Returns the reply that contains a further page of a result. */
   public static EngineReply batch(String id, int page, byte[] body) {
     return new EngineReply(Word.BATCH, id, page, null, 0, body);
   }
 
-  /** The engine did not start the request. */
+  /** Returns the reply that rejects a request that the engine did not start. */
   public static EngineReply refused(String id) {
-    return new EngineReply(Word.REFUSED, id, 0, null, 0, NOTHING);
+    return new EngineReply(Word.REFUSED, id, 0, null, 0, NO_BODY);
   }
 
-  /** The request failed, or is unknown. */
+  /** Returns the reply to a request that failed or is unknown to the engine. */
   public static EngineReply error(String id) {
-    return new EngineReply(Word.ERROR, id, 0, null, 0, NOTHING);
+    return new EngineReply(Word.ERROR, id, 0, null, 0, NO_BODY);
   }
 
-  /** The answer to a keep-alive. */
+  /** Returns the reply to a keep-alive. */
   public static EngineReply yes(String tag) {
-    return new EngineReply(Word.YES, tag, 0, null, 0, NOTHING);
+    return new EngineReply(Word.YES, tag, 0, null, 0, NO_BODY);
   }
 
-  /** A progress report of a running request. */
+  /** Returns a progress report of a running request. */
   public static EngineReply progress(String id, String about, double level) {
-    return new EngineReply(Word.PROGRESS, id, 0, about, level, NOTHING);
+    return new EngineReply(Word.PROGRESS, id, 0, about, level, NO_BODY);
   }
 
-  /** The reply in the line protocol. */
+  /** Encodes the reply in the line protocol. */
   public byte[] line() {
     String fields =
         switch (word) {
--- a/fakes/src/main/java/tillerlink/fakes/Http2ResponseWriter.java
+++ b/fakes/src/main/java/tillerlink/fakes/Http2ResponseWriter.java
@@ -9,13 +9,17 @@
 import tillerlink.net.http2.Frame;
 import tillerlink.net.http2.FrameWriter;
 
-/** Writes responses on the streams of one connection, as far as flow-control windows allow. */
+/** A writer of responses on the streams of one connection, within the flow-control windows. */
 final class Http2ResponseWriter {
   private final FrameWriter writer;
   private final Consumer<Http2ServerStream> onResponseSent;
+
+  /** The connection's flow-control window, in bytes. */
   private long window = Frame.WINDOW_AT_START;
 
   /**
+   * Creates a writer.
+   *
    * @param onResponseSent called when the last frame of a stream's response has been written
    */
   Http2ResponseWriter(FrameWriter writer, Consumer<Http2ServerStream> onResponseSent) {
@@ -23,12 +27,12 @@
     this.onResponseSent = onResponseSent;
   }
 
-  /** Opens the connection's window further. */
+  /** Increases the connection's flow-control window by a number of bytes. */
   void enlargeWindow(long increment) {
     window += increment;
   }
 
-  /** Writes a response of headers alone. */
+  /** Writes a response that consists of a status only and ends the stream. */
   void status(Http2ServerStream stream, int status) {
     writer.headers(
         stream.id,
@@ -37,7 +41,7 @@
         Frame.FRAME_AT_START);
   }
 
-  /** Writes an informational response with the progress of an attempt. */
+  /** Writes an informational response (102) with a progress report of an attempt. */
   void progress(Http2ServerStream stream, String about, double level) {
     writer.headers(
         stream.id,
@@ -57,7 +61,7 @@
     };
   }
 
-  /** Starts a response with a body; {@link #writePending} writes the body. */
+  /** Writes the headers of a response; {@link #writePending} then writes its body, if any. */
   void start(Http2ServerStream stream, int status, byte[] body) {
     List<Header> headers = new ArrayList<>();
     headers.add(new BasicHeader(":status", Integer.toString(status)));
@@ -71,33 +75,33 @@
     }
   }
 
-  /** Writes the bodies that wait, in the order of their streams, as far as the windows reach. */
+  /** Writes as much of the pending bodies as the windows allow, in the order of the streams. */
   void writePending(Collection<Http2ServerStream> streams) {
     for (Http2ServerStream stream : List.copyOf(streams)) {
       while (stream.responseBody != null && window > 0 && stream.window > 0) {
-        writeFrame(stream);
+        writeDataFrame(stream);
       }
     }
   }
 
-  private void writeFrame(Http2ServerStream stream) {
-    int length =
+  private void writeDataFrame(Http2ServerStream stream) {
+    int frameBytes =
         (int)
             Math.min(
                 Math.min(window, stream.window),
                 Math.min(Frame.FRAME_AT_START, stream.responseBody.length - stream.sent));
-    boolean last = stream.sent + length == stream.responseBody.length;
+    boolean endsStream = stream.sent + frameBytes == stream.responseBody.length;
     writer.frame(
         Frame.DATA,
-        last ? Frame.END_STREAM : 0,
+        endsStream ? Frame.END_STREAM : 0,
         stream.id,
         stream.responseBody,
         stream.sent,
-        length);
-    window -= length;
-    stream.window -= length;
-    stream.sent += length;
-    if (last) {
+        frameBytes);
+    window -= frameBytes;
+    stream.window -= frameBytes;
+    stream.sent += frameBytes;
+    if (endsStream) {
       stream.responseBody = null;
       onResponseSent.accept(stream);
     }
--- a/fakes/src/main/java/tillerlink/fakes/Http2Server.java
+++ b/fakes/src/main/java/tillerlink/fakes/Http2Server.java
@@ -21,7 +21,10 @@
 import tillerlink.net.http2.FrameWriter;
 import tillerlink.net.http2.Http2ConnectionError;
 
-/** A fake engine's end of HTTP/2, as docs/http2-wire.md specifies it; tests make it misbehave. */
+/**
+ * A fake engine's end of one HTTP/2 connection, as docs/http2-wire.md specifies it. Tests can make
+ * it violate the protocol.
+ */
 public final class Http2Server implements EngineProtocolServer {
   private static final byte[] PREFACE =
       "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -39,34 +42,39 @@
   private final Map<String, Integer> byAttempt = new HashMap<>();
   private final List<String> notExecuted = new ArrayList<>();
   private final ArrayDeque<Command> commands = new ArrayDeque<>();
-  private final Http2ResponseWriter responses = new Http2ResponseWriter(writer, this::forget);
+  private final Http2ResponseWriter responses = new Http2ResponseWriter(writer, this::closeStream);
   private long initialWindow = Frame.WINDOW_AT_START;
   private ByteArrayOutputStream headerBlock;
-  private int blockStream;
-  private boolean blockEndsStream;
+  private int headerBlockStream;
+  private boolean headerBlockEndsStream;
   private int highestStream;
   private int goAwayLastStream = Integer.MAX_VALUE;
 
-  /** Limits on open streams that were sent and not yet acknowledged. */
+  /** Limits on open streams that were sent and are not yet acknowledged, oldest first. */
   private final ArrayDeque<Integer> unacknowledgedLimits = new ArrayDeque<>();
 
   private int streamLimit = Integer.MAX_VALUE;
   private int streamsOverLimit;
 
   /**
+   * Creates the engine's end of a connection.
+   *
    * @param maxStreams how many streams may be open at once
    */
   public Http2Server(int maxStreams) {
     limitStreams(maxStreams);
   }
 
-  /** Limits the streams that may be open, from when the peer has acknowledged the setting. */
+  /**
+   * Limits the number of streams that may be open at once. The limit applies once the peer has
+   * acknowledged the setting.
+   */
   public void limitStreams(int maxStreams) {
     writer.settings(Frame.SETTINGS_MAX_CONCURRENT_STREAMS, maxStreams);
     unacknowledgedLimits.add(maxStreams);
   }
 
-  /** How often a stream was opened beyond a limit that had been acknowledged. */
+  /** Returns how many streams were opened beyond a limit that had been acknowledged. */
   public int streamsOverLimit() {
     return streamsOverLimit;
   }
@@ -95,22 +103,26 @@
     return writer.isEmpty() ? new byte[0] : writer.take();
   }
 
-  /** The frame writer itself, for tests that break the protocol. */
+  /** Returns the frame writer, for tests that violate the protocol. */
   public FrameWriter writer() {
     return writer;
   }
 
-  /** The stream of an attempt that is open, or null. */
+  /** Returns the id of an attempt's stream, or null if the attempt has no open stream. */
   public Integer streamOf(String attempt) {
     return byAttempt.get(attempt);
   }
 
-  /** The highest stream id that was opened. */
+  /** Returns the highest id of a stream that was opened. */
   public int highestStream() {
     return highestStream;
   }
 
-  /** Sends GOAWAY and drops the streams above the last one that it acts on. */
+  /**
+   * Sends GOAWAY, and declares the attempts on all higher streams as not executed.
+   *
+   * @param last the highest id of a stream that is still processed
+   */
   public void goAway(int last) {
     goAwayLastStream = last;
     writer.goAway(last, ErrorCode.NO_ERROR);
@@ -127,16 +139,16 @@
     return id != null && id > goAwayLastStream;
   }
 
-  /** Resets a stream; nothing more is written on it. */
+  /** Resets a stream. Nothing more is written on it. */
   public void reset(int id, ErrorCode code) {
     writer.reset(id, code);
     Http2ServerStream stream = streams.get(id);
     if (stream != null) {
-      forget(stream);
+      closeStream(stream);
     }
   }
 
-  /** Refuses a stream that was never acted on. */
+  /** Refuses a stream whose request was not processed, and declares its attempt as not executed. */
   public void refuse(int id) {
     Http2ServerStream stream = streams.get(id);
     if (stream != null) {
@@ -146,7 +158,7 @@
   }
 
   private void declareNotExecuted(Http2ServerStream stream) {
-    forget(stream);
+    closeStream(stream);
     String attempt = stream.header(Http2ServerStream.ATTEMPT_HEADER);
     if (attempt != null) {
       notExecuted.add(attempt);
@@ -166,8 +178,8 @@
       case Frame.PING -> ping(frame);
       case Frame.HEADERS -> {
         headerBlock = new ByteArrayOutputStream();
-        blockStream = frame.stream();
-        blockEndsStream = frame.has(Frame.END_STREAM);
+        headerBlockStream = frame.stream();
+        headerBlockEndsStream = frame.has(Frame.END_STREAM);
         headers(frame, frame.from(), frame.to());
       }
       case Frame.CONTINUATION -> headers(frame, 0, frame.payload().length);
@@ -209,9 +221,9 @@
     for (int at = 0; at + SETTING_BYTES <= frame.payload().length; at += SETTING_BYTES) {
       int name = (frame.payload()[at] & 255) << 8 | (frame.payload()[at + 1] & 255);
       if (name == Frame.SETTINGS_INITIAL_WINDOW_SIZE) {
-        long change = frame.number(at + 2) - initialWindow;
-        initialWindow += change;
-        streams.values().forEach(stream -> stream.window += change);
+        long delta = frame.number(at + 2) - initialWindow;
+        initialWindow += delta;
+        streams.values().forEach(stream -> stream.window += delta);
       }
     }
     writer.frame(Frame.SETTINGS, Frame.ACK, 0);
@@ -223,19 +235,20 @@
     if (!frame.has(Frame.END_HEADERS)) {
       return;
     }
-    List<Header> list = decoder.decodeHeaders(ByteBuffer.wrap(headerBlock.toByteArray()));
-    highestStream = Math.max(highestStream, blockStream);
-    if (blockStream > goAwayLastStream) {
-      list.stream()
+    List<Header> decodedHeaders = decoder.decodeHeaders(ByteBuffer.wrap(headerBlock.toByteArray()));
+    highestStream = Math.max(highestStream, headerBlockStream);
+    if (headerBlockStream > goAwayLastStream) {
+      decodedHeaders.stream()
           .filter(header -> header.getName().equals(Http2ServerStream.ATTEMPT_HEADER))
           .forEach(header -> notExecuted.add(header.getValue()));
       return;
     }
     streamsOverLimit += streams.size() >= streamLimit ? 1 : 0;
-    Http2ServerStream stream = new Http2ServerStream(blockStream, initialWindow, list);
-    streams.put(blockStream, stream);
-    if (blockEndsStream) {
-      requestComplete(stream);
+    Http2ServerStream stream =
+        new Http2ServerStream(headerBlockStream, initialWindow, decodedHeaders);
+    streams.put(headerBlockStream, stream);
+    if (headerBlockEndsStream) {
+      onRequestComplete(stream);
     }
   }
 
@@ -250,17 +263,17 @@
     }
     stream.requestBody.write(frame.payload(), frame.from(), frame.to() - frame.from());
     if (frame.has(Frame.END_STREAM)) {
-      requestComplete(stream);
+      onRequestComplete(stream);
     } else if (length > 0) {
       writer.frame(Frame.WINDOW_UPDATE, 0, stream.id, length);
     }
   }
 
   /**
-   * A request is complete; one whose body has another length than its header says is malformed and
-   * not acted on.
+   * Turns a complete request into a command. A request whose body differs in length from its
+   * content-length header is malformed, so its stream is reset and the request is ignored.
    */
-  private void requestComplete(Http2ServerStream stream) {
+  private void onRequestComplete(Http2ServerStream stream) {
     String path = stream.path();
     String attempt = stream.attempt();
     String length = stream.header("content-length");
@@ -302,7 +315,7 @@
 
   private void write(Http2ServerStream stream, EngineReply reply) {
     switch (reply.word()) {
-      case OK -> respond(stream, 200, wholeResult(reply));
+      case OK -> respond(stream, 200, concatenatedPages(reply));
       case BATCH -> {
         byte[] result = Results.allPages(reply.id());
         int from = Math.min(stream.sent, result.length);
@@ -311,11 +324,11 @@
       }
       case REFUSED -> {
         writer.reset(stream.id, ErrorCode.REFUSED_STREAM);
-        forget(stream);
+        closeStream(stream);
       }
       case ERROR -> {
         responses.status(stream, stream.path().startsWith(RESULTS_PATH) ? 404 : 500);
-        forget(stream);
+        closeStream(stream);
       }
       case PROGRESS -> {
         if (stream.responseBody == null) {
@@ -326,7 +339,7 @@
     }
   }
 
-  private static byte[] wholeResult(EngineReply reply) {
+  private static byte[] concatenatedPages(EngineReply reply) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     all.writeBytes(reply.body());
     for (int page = 1; page < reply.number(); page++) {
@@ -340,7 +353,7 @@
     responses.writePending(streams.values());
   }
 
-  private void forget(Http2ServerStream stream) {
+  private void closeStream(Http2ServerStream stream) {
     streams.remove(stream.id);
     byAttempt.values().remove(stream.id);
   }
--- a/fakes/src/main/java/tillerlink/fakes/Http2ServerStream.java
+++ b/fakes/src/main/java/tillerlink/fakes/Http2ServerStream.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import org.apache.hc.core5.http.Header;
 
-/** One open stream: its request, and the part of its response that waits for a window. */
+/** One open stream with its request and the part of its response that is not yet written. */
 final class Http2ServerStream {
   static final String ATTEMPT_HEADER = "hop-id";
 
@@ -14,13 +14,16 @@
   final ByteArrayOutputStream requestBody = new ByteArrayOutputStream();
   private final Map<String, String> headers = new HashMap<>();
 
-  /** Flow-control window of the stream, in bytes. */
+  /** The stream's flow-control window, in bytes. */
   long window;
 
-  /** The response's body while it is not written whole, else null. */
+  /** The body of the response until all of it is written, else null. */
   byte[] responseBody;
 
-  /** Bytes of the response's body that are written, or are to be left out. */
+  /**
+   * Bytes of the response's body that are written. Until the response to a request with a range
+   * starts, the number of bytes that the range leaves out.
+   */
   int sent;
 
   Http2ServerStream(int id, long window, List<Header> headers) {
@@ -29,20 +32,20 @@
     headers.forEach(header -> this.headers.put(header.getName(), header.getValue()));
   }
 
-  /** A header's value, or null if there is no such header. */
+  /** Returns a header's value, or null if there is no such header. */
   String header(String name) {
     return headers.get(name);
   }
 
-  String header(String name, String otherwise) {
-    return headers.getOrDefault(name, otherwise);
+  String header(String name, String defaultValue) {
+    return headers.getOrDefault(name, defaultValue);
   }
 
   String path() {
     return header(":path", "");
   }
 
-  /** The id of the attempt, or empty. */
+  /** Returns the id of the attempt, empty if the request has none. */
   String attempt() {
     return header(ATTEMPT_HEADER, "");
   }
--- a/fakes/src/main/java/tillerlink/fakes/HttpResponseParser.java
+++ b/fakes/src/main/java/tillerlink/fakes/HttpResponseParser.java
@@ -5,32 +5,34 @@
 import java.util.Locale;
 
 /**
- * The client's end of HTTP/1.1: parses the bytes of one connection into responses; has no socket.
+ * A parser for the client's end of HTTP/1.1, which turns the bytes of one connection into
+ * responses. It has no socket.
  */
 public final class HttpResponseParser {
   private static final int MAX_HEAD_BYTES = 16_384;
   private static final int CONTINUE = 100;
-  private static final String CONTINUATION = "{\"continue\":\"";
+  private static final String CONTINUATION_PREFIX = "{\"continue\":\"";
   private static final byte[] HEAD_END = "\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
   /**
    * One response.
    *
-   * @param retryAfter milliseconds, or 0 if the gateway named none
+   * @param retryAfter milliseconds to wait before a retry, 0 if the gateway sent no such header
    * @param closes whether the gateway closes the connection after it
    */
   public record Response(int status, long retryAfter, boolean closes, String body) {
-    /** The path to poll for the result, or null if this is the final response. */
+    /** Returns the path to poll for the result, or null if this is the final response. */
     public String continuationPath() {
-      return body.startsWith(CONTINUATION)
-          ? body.substring(CONTINUATION.length(), body.indexOf('"', CONTINUATION.length()))
+      return body.startsWith(CONTINUATION_PREFIX)
+          ? body.substring(
+              CONTINUATION_PREFIX.length(), body.indexOf('"', CONTINUATION_PREFIX.length()))
           : null;
     }
   }
 
   private byte[] buffered = new byte[0];
 
-  /** Takes bytes that the gateway sent. */
+  /** Appends bytes that the gateway sent to the input. */
   public void feed(byte[] bytes) {
     if (buffered.length == 0) {
       buffered = bytes;
@@ -44,13 +46,13 @@
   /**
    * Returns the next response, or null while it is incomplete. Interim responses (100) are skipped.
    *
-   * @throws IllegalArgumentException if it can't be parsed
+   * @throws IllegalArgumentException if the bytes are not a valid response
    */
   public Response next() {
     int end = headEnd();
     if (end < 0) {
       if (buffered.length > MAX_HEAD_BYTES) {
-        throw new IllegalArgumentException("a head too long");
+        throw new IllegalArgumentException("response head exceeds " + MAX_HEAD_BYTES + " bytes");
       }
       return null;
     }
@@ -69,23 +71,26 @@
         default -> {}
       }
     }
-    int bodyAt = end + HEAD_END.length;
-    if (buffered.length < bodyAt + length) {
+    int bodyStart = end + HEAD_END.length;
+    if (buffered.length < bodyStart + length) {
       return null;
     }
-    String body = new String(buffered, bodyAt, length, StandardCharsets.UTF_8);
-    buffered = Arrays.copyOfRange(buffered, bodyAt + length, buffered.length);
+    String body = new String(buffered, bodyStart, length, StandardCharsets.UTF_8);
+    buffered = Arrays.copyOfRange(buffered, bodyStart + length, buffered.length);
     return status == CONTINUE ? next() : new Response(status, retryAfter, closes, body);
   }
 
   private static int status(String statusLine) {
-    String[] words = statusLine.split(" ", 3);
-    if (words.length < 2 || !words[0].equals("HTTP/1.1") || !words[1].matches("[1-5][0-9][0-9]")) {
-      throw new IllegalArgumentException("no status line");
+    String[] fields = statusLine.split(" ", 3);
+    if (fields.length < 2
+        || !fields[0].equals("HTTP/1.1")
+        || !fields[1].matches("[1-5][0-9][0-9]")) {
+      throw new IllegalArgumentException("expected an HTTP/1.1 status line, got " + statusLine);
     }
-    return Integer.parseInt(words[1]);
+    return Integer.parseInt(fields[1]);
   }
 
+  /** Returns the index at which the blank line after the headers starts, or -1 if incomplete. */
   private int headEnd() {
     for (int i = 0; i + HEAD_END.length <= buffered.length; i++) {
       if (buffered[i] == '\r'
--- a/fakes/src/main/java/tillerlink/fakes/LineProtocolServer.java
+++ b/fakes/src/main/java/tillerlink/fakes/LineProtocolServer.java
@@ -1,8 +1,8 @@
 package tillerlink.fakes;
 
-/** A fake engine's end of one connection that speaks engine lines (the line protocol). */
+/** A fake engine's end of one connection in the line protocol. */
 public final class LineProtocolServer implements EngineProtocolServer {
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] NO_OUTPUT = new byte[0];
 
   private final EngineCommandParser parser = new EngineCommandParser();
 
@@ -23,6 +23,6 @@
 
   @Override
   public byte[] takePendingOutput() {
-    return NOTHING;
+    return NO_OUTPUT;
   }
 }
--- a/fakes/src/main/java/tillerlink/fakes/Results.java
+++ b/fakes/src/main/java/tillerlink/fakes/Results.java
@@ -4,8 +4,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * The result of a request, derived from its id alone, so that whoever knows the id can verify that
- * the result is complete.
+ * The results of fake engines. A result is derived from the request's id alone, so that a client
+ * can verify that the result it received is complete.
  */
 public final class Results {
   private static final int MAX_PAGES = 3;
@@ -13,12 +13,16 @@
 
   private Results() {}
 
-  /** How many pages the result has. */
+  /** Returns the number of pages of a request's result, from 1 to 3. */
   public static int pages(String id) {
     return 1 + Math.floorMod(id.hashCode(), MAX_PAGES);
   }
 
-  /** One page as tab-separated rows, as an engine sends it. */
+  /**
+   * Returns one page in the form in which an engine sends it, as tab-separated rows.
+   *
+   * @param page the page's number, from 0
+   */
   public static byte[] page(String id, int page) {
     StringBuilder rows = new StringBuilder();
     for (int row = 0; row < ROWS_PER_PAGE; row++) {
@@ -27,7 +31,7 @@
     return rows.toString().getBytes(StandardCharsets.US_ASCII);
   }
 
-  /** All pages, one after the other. */
+  /** Returns all pages of a result, concatenated. */
   static byte[] allPages(String id) {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     for (int page = 0; page < pages(id); page++) {
@@ -36,7 +40,7 @@
     return all.toByteArray();
   }
 
-  /** The body that a client must have received. */
+  /** Returns the JSON body that a client must receive for a request. */
   public static String whole(String id) {
     StringBuilder rows = new StringBuilder("{\"records\":[");
     for (int page = 0; page < pages(id); page++) {
--- a/fakes/src/test/java/tillerlink/fakes/FakesTest.java
+++ b/fakes/src/test/java/tillerlink/fakes/FakesTest.java
@@ -14,9 +14,9 @@
 import tillerlink.net.wire.EngineResponseParser;
 import tillerlink.net.wire.HttpResponse;
 
-/** The fakes speak the same protocols as the gateway, however the bytes are split. */
+/** Tests that the fakes and the gateway understand each other, however the bytes are split. */
 class FakesTest {
-  private static byte[] joined(byte[]... parts) {
+  private static byte[] concatenated(byte[]... parts) {
     return String.join(
             "", Arrays.stream(parts).map(p -> new String(p, StandardCharsets.ISO_8859_1)).toList())
         .getBytes(StandardCharsets.ISO_8859_1);
@@ -25,7 +25,7 @@
   @Test
   void commandsAreParsedAtEverySplit() {
     byte[] all =
-        joined(
+        concatenated(
             EngineCommand.want(
                 "a1", "look", 500, "k", "SELECT 1\r\n".getBytes(StandardCharsets.UTF_8)),
             EngineCommand.turn("a1", 2),
@@ -61,7 +61,7 @@
           parsed.toString(),
           "split " + split);
     }
-    for (String bad :
+    for (String malformed :
         List.of(
             "hello\r\n",
             "want a - x\r\n",
@@ -70,15 +70,15 @@
             "want a - 1\r\nxy\r\n",
             "turn a -1\r\n")) {
       EngineCommandParser parser = new EngineCommandParser();
-      parser.feed(bad.getBytes(StandardCharsets.UTF_8));
-      assertThrows(IllegalArgumentException.class, parser::next, bad);
+      parser.feed(malformed.getBytes(StandardCharsets.UTF_8));
+      assertThrows(IllegalArgumentException.class, parser::next, malformed);
     }
   }
 
   @Test
   void responsesAreParsedAtEverySplit() {
     byte[] all =
-        joined(
+        concatenated(
             HttpResponse.goOn(),
             HttpResponse.goOnAt("/v1/calls/a").encoded(),
             HttpResponse.problem(503, "Full", 250).encoded(),
@@ -112,10 +112,10 @@
   }
 
   @Test
-  void engineRepliesAreUnderstoodByTheGateway() {
+  void engineRepliesAreParsedByTheGateway() {
     EngineResponseParser parser = new EngineResponseParser();
     parser.feed(
-        joined(
+        concatenated(
             EngineReply.ok("a", 2, Results.page("a", 0)).line(),
             EngineReply.batch("a", 1, Results.page("a", 1)).line(),
             EngineReply.refused("a").line(),
@@ -138,7 +138,7 @@
   }
 
   @Test
-  void gatewayDecodesTheListThatWasEncoded() {
+  void gatewayDecodesTheEncodedEndpointList() {
     List<EndpointEntry> list =
         List.of(
             new EndpointEntry(
@@ -153,8 +153,8 @@
                 1_700_000_000_000L),
             new EndpointEntry("e2", "127.0.0.9", 5051, "west", "big-16", 0, Status.DRAINING, 2, 0),
             new EndpointEntry("e3", "127.0.0.3", 5052, "west", "big-16", 0, Status.GONE, 2, 0));
-    byte[] answer = DiscoveryResponse.withId(0xabcd, DiscoveryResponse.of(7, 70_001, list));
-    assertEquals(list.subList(0, 2), Dns.answer(answer, 0xabcd).entries());
-    assertEquals(70_001, Dns.answer(answer, 0xabcd).index());
+    byte[] encoded = DiscoveryResponse.withId(0xabcd, DiscoveryResponse.of(7, 70_001, list));
+    assertEquals(list.subList(0, 2), Dns.answer(encoded, 0xabcd).entries());
+    assertEquals(70_001, Dns.answer(encoded, 0xabcd).index());
   }
 }
