--- a/faultinjection/src/test/java/tillerlink/faultinjection/audit/AuditTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/audit/AuditTest.java
@@ -7,18 +7,18 @@
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 
-/** Each rule of the audit is violated once on purpose, after a history that keeps all rules. */
+/** Tests that the audit detects each violation injected after a history that keeps all rules. */
 class AuditTest {
-  private static ChannelLogEntry stable(long place, String id) {
-    return new ChannelLogEntry(place, id, true, "text of " + id);
+  private static ChannelLogEntry stable(long position, String id) {
+    return new ChannelLogEntry(position, id, true, "text of " + id);
   }
 
-  private static ChannelLogEntry tail(long place, String id) {
-    return new ChannelLogEntry(place, id, false, "text of " + id);
+  private static ChannelLogEntry provisional(long position, String id) {
+    return new ChannelLogEntry(position, id, false, "text of " + id);
   }
 
-  /** A history in which all rules hold. */
-  private static void keepRules(Audit audit) {
+  /** Records observations that violate no rule. */
+  private static void recordValidHistory(Audit audit) {
     audit.submitted("a1", "UPDATE 1", true);
     audit.ran("e1", "UPDATE 1");
     audit.answered("a1", 200);
@@ -31,10 +31,10 @@
     audit.appended("c", "n0", 0, "k1", "s0.1");
     audit.appended("c", "n0", 0, "k1", "s0.1");
     audit.appended("c", "n1", 0, null, "s1.1");
-    audit.read("c", "n0", List.of(tail(0, "s0.1")));
-    audit.read("c", "n1", List.of(stable(0, "s1.1"), tail(1, "s0.1")));
+    audit.read("c", "n0", List.of(provisional(0, "s0.1")));
+    audit.read("c", "n1", List.of(stable(0, "s1.1"), provisional(1, "s0.1")));
     audit.last("c", "n0", List.of(stable(0, "s1.1"), stable(1, "s0.1")));
-    audit.last("c", "n1", List.of(stable(0, "s1.1"), tail(1, "s0.1")));
+    audit.last("c", "n1", List.of(stable(0, "s1.1"), provisional(1, "s0.1")));
     audit.schemaInEffect("cues", 2, 100);
     audit.runRequested("m1", "n0", "cues", 50);
     audit.preparedRan("m1", "e1", 1);
@@ -44,16 +44,21 @@
     audit.reported("n0", 0, "find", 2, "SELECT 2");
   }
 
-  private static String violatedRules(Consumer<Audit> injected) {
+  /**
+   * Returns the names of the rules that an observation violates after the valid history.
+   *
+   * @return names separated by "; ", empty if no rule is violated
+   */
+  private static String violatedRules(Consumer<Audit> injectedViolation) {
     Audit audit = new Audit();
-    keepRules(audit);
-    injected.accept(audit);
+    recordValidHistory(audit);
+    injectedViolation.accept(audit);
     return String.join(
         "; ", audit.end().stream().map(violation -> violation.rule().name()).distinct().toList());
   }
 
   @Test
-  void historyThatKeepsAllRulesPasses() {
+  void validHistoryHasNoViolations() {
     assertEquals("", violatedRules(audit -> {}));
   }
 
@@ -75,7 +80,9 @@
         violatedRules(
             audit ->
                 audit.last(
-                    "c", "n1", List.of(stable(0, "s1.1"), stable(1, "s0.1"), tail(2, "s0.1")))));
+                    "c",
+                    "n1",
+                    List.of(stable(0, "s1.1"), stable(1, "s0.1"), provisional(2, "s0.1")))));
     detected.add(
         violatedRules(
             audit ->
@@ -86,7 +93,9 @@
         violatedRules(
             audit ->
                 audit.last(
-                    "c", "n1", List.of(stable(0, "s1.1"), stable(1, "s0.1"), tail(2, "s0.7")))));
+                    "c",
+                    "n1",
+                    List.of(stable(0, "s1.1"), stable(1, "s0.1"), provisional(2, "s0.7")))));
     detected.add(violatedRules(audit -> audit.appended("c", "n0", 0, "k1", "s1.1")));
     detected.add(
         violatedRules(
@@ -121,7 +130,10 @@
         detected);
   }
 
-  /** The audit does not report what no gateway could know. */
+  /**
+   * Tests that the audit does not report outcomes that no gateway can know: the missing answer to a
+   * request whose connection broke, and appends whose only copy was on a lost disk.
+   */
   @Test
   void unknowableOutcomesAreExcused() {
     assertEquals(
--- a/faultinjection/src/test/java/tillerlink/faultinjection/network/FaultyNetworkTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/network/FaultyNetworkTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The faulty network with two plain sockets in the place of processes. */
+/** Tests the faulty network with two plain datagram sockets instead of gateway processes. */
 class FaultyNetworkTest {
   private static final int TIMEOUT_MS = 10_000;
   private FaultyNetwork network;
@@ -64,8 +64,8 @@
   }
 
   /**
-   * A reply to the address from which a datagram came takes the link on which its sender is
-   * reached.
+   * Tests that a datagram's source address is the port of the reverse link, so that a reply to it
+   * is subject to the faults of that link.
    */
   @Test
   void replyTakesTheReverseLink() throws IOException {
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void cutAppliesToOneDirection() throws IOException {
+  void cutDropsDatagramsOfOneDirectionOnly() throws IOException {
     network.set("a", "b", LinkBehaviour.CUT);
     send(first, network.port("a", "b"), "never");
     send(second, network.port("b", "a"), "this way");
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void longDatagramsAreDropped() throws IOException {
+  void datagramsLongerThanTheLimitAreDropped() throws IOException {
     network.set("a", "b", LinkBehaviour.small(100));
     send(first, network.port("a", "b"), "x".repeat(101));
     send(first, network.port("a", "b"), "y".repeat(100));
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void datagramsAreRepeatedAndReordered() throws IOException {
+  void datagramsAreDuplicatedAndReordered() throws IOException {
     network.set("a", "b", LinkBehaviour.bad(0, 1, 0));
     send(first, network.port("a", "b"), "twice");
     assertEquals("twice", text(receive(second)));
@@ -114,24 +114,24 @@
   }
 
   /**
-   * The loss of a datagram follows from the seed, the link and its number, and not from the speed
-   * of the machine.
+   * Tests that the loss of a datagram depends only on the seed, the link and the datagram's number
+   * on the link, so that a run can be repeated on a machine of another speed.
    */
   @Test
   void lossFollowsFromTheSeed() throws IOException {
     network.set("a", "b", LinkBehaviour.lossy(0.5));
     Set<Integer> expected = new TreeSet<>();
-    Set<Integer> other = new TreeSet<>();
+    Set<Integer> otherSeedExpected = new TreeSet<>();
     for (int i = 0; i < 64; i++) {
       if (!DatagramOutcome.of(7, "a", "b", i, LinkBehaviour.lossy(0.5)).lost()) {
         expected.add(i);
       }
       if (!DatagramOutcome.of(8, "a", "b", i, LinkBehaviour.lossy(0.5)).lost()) {
-        other.add(i);
+        otherSeedExpected.add(i);
       }
       send(first, network.port("a", "b"), Integer.toString(i));
     }
-    assertNotEquals(expected, other);
+    assertNotEquals(expected, otherSeedExpected);
     assertTrue(expected.size() > 16 && expected.size() < 48, expected.toString());
     Set<Integer> received = new TreeSet<>();
     while (received.size() < expected.size()) {
@@ -155,11 +155,11 @@
     assertEquals(sent.get(1), text(receive(second)));
     assertTrue(
         System.nanoTime() - startNanos > 700_000_000L,
-        "1000 bytes at 1000 a second received at once");
+        "1000 bytes arrived within 700 ms on a link of 1000 bytes per second");
   }
 
   @Test
-  void proxyHoldsAndResetsConnections() throws IOException {
+  void proxyBlocksAndResetsConnections() throws IOException {
     try (ServerSocket listener = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         TcpProxy proxy = new TcpProxy(listener.getLocalPort(), network.counters());
         Socket client = new Socket(InetAddress.getLoopbackAddress(), proxy.port());
@@ -178,6 +178,7 @@
     }
   }
 
+  /** Returns whether a byte arrives before the socket's read timeout, its end or its reset. */
   private static boolean canRead(Socket socket) throws IOException {
     try {
       return socket.getInputStream().read() >= 0;
@@ -186,10 +187,11 @@
     }
   }
 
+  /** Waits until a counter reaches a count; fails after {@link #TIMEOUT_MS}. */
   private void awaitCount(NetworkCounters.Counter counter, long count) {
     long deadline = System.nanoTime() + TIMEOUT_MS * 1_000_000L;
     while (network.counters().of(counter) < count) {
-      assertTrue(System.nanoTime() < deadline, "no " + counter);
+      assertTrue(System.nanoTime() < deadline, "timed out waiting for counter " + counter);
       Thread.onSpinWait();
     }
   }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/scenario/AllAtOnceScenarioTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/scenario/AllAtOnceScenarioTest.java
@@ -15,14 +15,14 @@
 import tillerlink.faultinjection.schedule.Step;
 
 /**
- * All components of shared state under load: a partition, during which one gateway is stopped and
- * another killed.
+ * Tests all shared-state components under load through a partition, during which one gateway is
+ * stopped and another is killed, and then through duplicated and reordered datagrams.
  */
 class AllAtOnceScenarioTest {
   @TempDir private Path folder;
 
   @Test
-  void rulesHoldDuringAPartitionUnderLoad() throws IOException {
+  void rulesHoldThroughOverlappingFaultsUnderLoad() throws IOException {
     Schedule schedule =
         new Schedule(
             11,
@@ -39,8 +39,8 @@
                 folder, System.getProperty("java.class.path"), GatewaySpec.Shared.STATEMENTS)
             .run(schedule);
     assertEquals(List.of(), result.violations());
-    assertEquals(4, result.faults().size(), "all of it befell");
-    Scenario.assertKept("all-at-once", schedule + "every rule holds\n");
+    assertEquals(4, result.faults().size(), "number of injected faults");
+    Scenario.assertMatchesStored("all-at-once", schedule + "every rule holds\n");
     assertTrue(
         result.requests() > 50 && result.appends() > 50 && result.runs() > 50, result.toString());
   }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/scenario/ChannelScenarioTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/scenario/ChannelScenarioTest.java
@@ -21,7 +21,10 @@
 import tillerlink.faultinjection.process.GatewayProcess;
 import tillerlink.faultinjection.process.GatewaySpec;
 
-/** Channel logs of three processes at three sites; each scenario has its own channel. */
+/**
+ * Tests that the channel logs of three gateway processes at three sites converge after faults. Each
+ * scenario uses its own channel.
+ */
 class ChannelScenarioTest {
   @TempDir private static Path folder;
   private static ProcessCluster cluster;
@@ -55,7 +58,7 @@
     scenario.awaitConvergence();
   }
 
-  /** A gateway accepts an append of a cue of that text, which is also its key. */
+  /** Appends a cue through a gateway, with its text as its key; retries until it is accepted. */
   private void append(String gateway, String text) {
     scenario.log.until(
         gateway + " takes '" + text + "'",
@@ -70,20 +73,27 @@
         });
   }
 
+  /** Reads the channel's log from a gateway and reports it to the audit. */
   private List<ChannelLogEntry> log(String gateway) throws IOException {
     List<ChannelLogEntry> log = ChannelsClient.log(cluster.client(gateway), channel, 0);
     audit.read(channel, gateway, log);
     return log;
   }
 
+  /** Waits until a gateway reports exactly that many entries as stable. */
   private void awaitStable(String gateway, int count) {
     scenario.log.until(
         gateway + " tells " + count + " entries as stable",
         () -> log(gateway).stream().filter(ChannelLogEntry::stable).count() == count);
   }
 
-  /** All gateways have the same log of stable entries, and the audit finds no violation. */
-  private void assertSameLog(int count) throws IOException {
+  /**
+   * Waits until all gateways report the same log, in which every entry is stable, and asserts that
+   * the audit found no violation.
+   *
+   * @param count the expected number of entries
+   */
+  private void assertLogsConverge(int count) throws IOException {
     scenario.log.until(
         "all have one log of " + count + " entries, all stable",
         () -> {
@@ -106,7 +116,7 @@
   @Test
   void bothSidesOfAPartitionKeepAppending() throws IOException {
     append("n0", "first");
-    assertSameLog(1);
+    assertLogsConverge(1);
     cluster.partition(List.of("n0", "n1"), List.of("n2"));
     scenario.log.record("n0 and n1 are parted from n2");
     append("n0", "a");
@@ -118,16 +128,16 @@
     awaitStable("n2", 1);
     cluster.heal();
     scenario.log.record("the partition is healed");
-    assertSameLog(5);
-    scenario.assertKept("channels-parted");
+    assertLogsConverge(5);
+    scenario.assertMatchesStored("channels-parted");
   }
 
   @Test
-  void gatewayWithLostDiskGetsTheLogBack() throws IOException {
+  void gatewayRecoversTheLogAfterLosingItsDisk() throws IOException {
     GatewayProcess n1 = cluster.gateway("n1");
     append("n1", "before");
     append("n0", "too");
-    assertSameLog(2);
+    assertLogsConverge(2);
     n1.kill();
     scenario.log.record("n1 is killed, and its disk is lost");
     INCARNATIONS.diskLost("n1");
@@ -138,15 +148,15 @@
     cluster.awaitHealthy("n1");
     scenario.log.record("n1 is started with an empty disk");
     append("n1", "after");
-    assertSameLog(4);
-    scenario.assertKept("channels-disk-lost");
+    assertLogsConverge(4);
+    scenario.assertMatchesStored("channels-disk-lost");
   }
 
   @Test
-  void gatewayWithOldDiskGetsTheLogBack() throws IOException {
+  void gatewayRecoversTheLogAfterRestoringAnOldDisk() throws IOException {
     GatewayProcess n1 = cluster.gateway("n1");
     append("n1", "in the copy");
-    assertSameLog(1);
+    assertLogsConverge(1);
     n1.kill();
     n1.copyDisk();
     scenario.log.record("n1 is killed, and its disk copied");
@@ -154,7 +164,7 @@
     cluster.awaitHealthy("n1");
     append("n1", "not in the copy");
     append("n1", "neither");
-    assertSameLog(3);
+    assertLogsConverge(3);
     n1.kill();
     INCARNATIONS.diskLost("n1");
     audit.diskLost("n1");
@@ -163,7 +173,7 @@
     cluster.awaitHealthy("n1");
     scenario.log.record("n1 is killed, and started with the copy");
     append("n1", "after");
-    assertSameLog(4);
-    scenario.assertKept("channels-old-copy");
+    assertLogsConverge(4);
+    scenario.assertMatchesStored("channels-old-copy");
   }
 }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/scenario/MembersScenarioTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/scenario/MembersScenarioTest.java
@@ -12,7 +12,10 @@
 import tillerlink.faultinjection.network.LinkBehaviour;
 import tillerlink.faultinjection.process.GatewaySpec;
 
-/** Membership of three processes under faults of one of them or of the link between two. */
+/**
+ * Tests the membership that three gateway processes report while one of them or the link between
+ * two of them is faulty.
+ */
 class MembersScenarioTest {
   @TempDir private static Path folder;
   private static ProcessCluster cluster;
@@ -42,7 +45,7 @@
   }
 
   @Test
-  void stoppedMemberIsGoneUntilItResumes() throws IOException {
+  void stoppedMemberIsReportedGoneUntilItResumes() throws IOException {
     cluster.gateway("n2").stop();
     scenario.log.record("n2 is stopped");
     scenario.awaitState("n0", "n2", "gone");
@@ -52,40 +55,40 @@
     scenario.log.record("n2 goes on");
     scenario.awaitState("n2", "n0", "reachable");
     scenario.awaitConvergence();
-    scenario.assertKept("members-stopped");
+    scenario.assertMatchesStored("members-stopped");
   }
 
   @Test
-  void oneWayCutIsBridgedByOthers() throws IOException {
+  void oneWayCutIsBypassedThroughTheThirdMember() throws IOException {
     cluster.network().set("n0", "n1", LinkBehaviour.CUT);
     scenario.log.record("what n0 sends to n1 is lost");
     scenario.awaitState("n1", "n0", "through others");
-    scenario.assertNeverGivesUp(1500, "n1", "n0");
-    scenario.assertNeverGivesUp(1500, "n0", "n1");
-    scenario.assertNeverGivesUp(500, "n2", "n0");
+    scenario.assertNeverReportedGone(1500, "n1", "n0");
+    scenario.assertNeverReportedGone(1500, "n0", "n1");
+    scenario.assertNeverReportedGone(500, "n2", "n0");
     cluster.heal();
     scenario.log.record("the way is healed");
     scenario.awaitConvergence();
-    scenario.assertKept("members-one-sided");
+    scenario.assertMatchesStored("members-one-sided");
   }
 
   @Test
-  void cutBetweenTwoIsBridgedByTheThird() throws IOException {
+  void cutBetweenTwoIsBypassedThroughTheThirdMember() throws IOException {
     cluster.partition(List.of("n0"), List.of("n1"));
     scenario.log.record("nothing gets between n0 and n1");
     scenario.awaitState("n0", "n1", "through others");
     scenario.awaitState("n1", "n0", "through others");
-    scenario.assertNeverGivesUp(1000, "n0", "n1");
-    scenario.assertNeverGivesUp(1000, "n1", "n0");
-    scenario.assertNeverGivesUp(500, "n2", "n0");
+    scenario.assertNeverReportedGone(1000, "n0", "n1");
+    scenario.assertNeverReportedGone(1000, "n1", "n0");
+    scenario.assertNeverReportedGone(500, "n2", "n0");
     cluster.heal();
     scenario.log.record("the way is healed");
     scenario.awaitConvergence();
-    scenario.assertKept("members-through-others");
+    scenario.assertMatchesStored("members-through-others");
   }
 
   @Test
-  void partitionSeparatesAndHeals() throws IOException {
+  void partitionedMembersAreReportedGoneUntilThePartitionHeals() throws IOException {
     cluster.partition(List.of("n0", "n1"), List.of("n2"));
     scenario.log.record("n0 and n1 are parted from n2");
     scenario.awaitState("n0", "n2", "gone");
@@ -96,9 +99,10 @@
     cluster.heal();
     scenario.log.record("the partition is healed");
     scenario.awaitConvergence();
-    scenario.assertKept("members-parted");
+    scenario.assertMatchesStored("members-parted");
   }
 
+  /** Starts n1 again and waits until all gateways reach each other. */
   private void restartN1() throws IOException {
     cluster.gateway("n1").start();
     cluster.awaitHealthy("n1");
@@ -107,22 +111,22 @@
   }
 
   @Test
-  void killedMemberIsGoneUntilItRestarts() throws IOException {
+  void killedMemberIsReportedGoneUntilItRestarts() throws IOException {
     cluster.gateway("n1").kill();
     scenario.log.record("n1 is killed");
     scenario.awaitState("n0", "n1", "gone");
     scenario.awaitState("n2", "n1", "gone");
     restartN1();
-    scenario.assertKept("members-killed");
+    scenario.assertMatchesStored("members-killed");
   }
 
   @Test
-  void terminatedMemberHasLeft() throws IOException {
+  void terminatedMemberIsReportedAsLeft() throws IOException {
     cluster.gateway("n1").terminate();
     scenario.log.record("n1 is told to end, and ends");
     scenario.awaitState("n0", "n1", "left");
     scenario.awaitState("n2", "n1", "left");
     restartN1();
-    scenario.assertKept("members-left");
+    scenario.assertMatchesStored("members-left");
   }
 }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/scenario/RequestScenarioTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/scenario/RequestScenarioTest.java
@@ -12,7 +12,8 @@
 import tillerlink.faultinjection.process.GatewaySpec;
 
 /**
- * Checks the harness itself: a single gateway forwards requests to engines and terminates cleanly.
+ * Tests the harness itself: a single gateway forwards requests to engines and terminates without a
+ * violation.
  */
 class RequestScenarioTest {
   @TempDir private Path folder;
--- a/faultinjection/src/test/java/tillerlink/faultinjection/scenario/Scenario.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/scenario/Scenario.java
@@ -12,7 +12,10 @@
 import tillerlink.faultinjection.harness.ProcessCluster;
 import tillerlink.faultinjection.harness.ScenarioLog;
 
-/** A scenario: steps on a cluster, and the states that its gateways then report. */
+/**
+ * A scenario: a log of the steps applied to a cluster and of the states that its gateways then
+ * report.
+ */
 final class Scenario {
   private static final long CONDITION_TIMEOUT_MS = 30_000;
   final ScenarioLog log = new ScenarioLog(CONDITION_TIMEOUT_MS);
@@ -38,7 +41,7 @@
         });
   }
 
-  /** Waits until a gateway reports one of these states of another. */
+  /** Waits until a gateway reports another in one of the given states. */
   void awaitState(String name, String other, String... states) {
     log.until(
         name + " says that " + other + " is " + String.join(" or ", states),
@@ -46,10 +49,12 @@
   }
 
   /**
-   * During that time a gateway never reports another as gone. That it suspects another for a moment
-   * on a busy machine is no fault.
+   * Checks for some time that a gateway does not report another as gone, left or unknown, and
+   * records the result. A short suspicion is allowed, because a busy machine delays probes.
+   *
+   * @param ms how long to check, in milliseconds
    */
-  void assertNeverGivesUp(long ms, String name, String other) throws IOException {
+  void assertNeverReportedGone(long ms, String name, String other) throws IOException {
     String observed = "";
     for (long end = System.nanoTime() + ms * 1_000_000; System.nanoTime() < end; pause(50)) {
       String state = reachability(name, other);
@@ -59,6 +64,7 @@
     log.record(name + " never gives " + other + " up" + observed);
   }
 
+  /** Returns the state that a gateway reports of another, "unknown" if it reports none. */
   String reachability(String name, String other) throws IOException {
     return MembersClient.of(cluster.client(name)).getOrDefault(other, "unknown");
   }
@@ -71,21 +77,28 @@
     }
   }
 
-  /** Compares with the kept scenario, and checks that no process reports a violation. */
-  void assertKept(String name) throws IOException {
-    assertKept(name, log.toString());
+  /** Asserts that the log equals the stored scenario and that no process reports a violation. */
+  void assertMatchesStored(String name) throws IOException {
+    assertMatchesStored(name, log.toString());
     assertEquals(List.of(), cluster.violations());
   }
 
-  /** Compares with the kept scenario; -Dkeep=FOLDER writes it anew. */
-  static void assertKept(String name, String events) throws IOException {
-    String keep = System.getProperty("keep");
-    if (keep != null) {
-      Files.writeString(Path.of(keep, name + ".txt"), events);
+  /**
+   * Asserts that events equal a stored scenario. With {@code -Dkeep=FOLDER} the events are also
+   * written to that folder, to replace the stored scenario.
+   *
+   * @param name the file name of the stored scenario, without its extension
+   */
+  static void assertMatchesStored(String name, String events) throws IOException {
+    String outputFolder = System.getProperty("keep");
+    if (outputFolder != null) {
+      Files.writeString(Path.of(outputFolder, name + ".txt"), events);
     }
     try (InputStream in = Scenario.class.getResourceAsStream("/scenarios/" + name + ".txt")) {
       assertEquals(
-          in == null ? "(no kept scenario)" : new String(in.readAllBytes(), StandardCharsets.UTF_8),
+          in == null
+              ? "(no stored scenario of that name)"
+              : new String(in.readAllBytes(), StandardCharsets.UTF_8),
           events);
     }
   }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/scenario/StatementScenarioTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/scenario/StatementScenarioTest.java
@@ -29,35 +29,37 @@
 import tillerlink.faultinjection.process.GatewaySpec;
 
 /**
- * Prepared statements while a schema changes, on three processes that are all voters; each scenario
- * has its own group.
+ * Tests prepared statements while a schema changes, on three gateway processes that are all voters.
+ * Each scenario uses its own group.
  */
 class StatementScenarioTest {
-  private static final Pattern SENT = Pattern.compile("v([0-9]+) = 1 AND mark = '(m[0-9]+)'");
-  private static final AtomicInteger MARKERS = new AtomicInteger();
-  private static final AtomicInteger GROUPS = new AtomicInteger(100);
+  private static final Pattern MARKED_RUN = Pattern.compile("v([0-9]+) = 1 AND mark = '(m[0-9]+)'");
+  private static final AtomicInteger MARKER_COUNT = new AtomicInteger();
+  private static final AtomicInteger GROUP_COUNT = new AtomicInteger(100);
   @TempDir private static Path folder;
   private static ProcessCluster cluster;
   private static final Audit AUDIT = new Audit();
 
   /**
-   * The least time for which a lease that was just renewed lasts: it is of a second and renewed
-   * four times in it.
+   * A lower bound of the remaining time of a lease, in milliseconds: leases last one second and are
+   * renewed four times within it. A change that takes effect within this time after its
+   * announcement can't have waited for the lease to expire.
    */
-  private static final long LEASE_LEFT_MS = 600;
+  private static final long MIN_REMAINING_LEASE_MS = 600;
 
-  private static final long WATCHED_MS = 300;
+  /** How long a scenario checks that the change does not take effect. */
+  private static final long OBSERVATION_MS = 300;
 
   /**
-   * Where an engine that begins a run waits twice for the scenario: when it is seen, and until it
-   * may go on.
+   * The barrier at which the next engine that starts a run waits twice for the scenario: once to
+   * announce that it has started, and once until it may continue. Null if engines must not wait.
    */
   private static final AtomicReference<CyclicBarrier> ENGINE_BARRIER = new AtomicReference<>();
 
   private Scenario scenario;
-  private String name;
+  private String statementName;
   private int group;
-  private long before;
+  private long versionBeforeChange;
 
   @BeforeAll
   static void start() throws IOException {
@@ -69,25 +71,25 @@
             System.getProperty("java.class.path"),
             (engine, command) -> {
               Matcher matcher =
-                  SENT.matcher(new String(command.statement(), StandardCharsets.UTF_8));
+                  MARKED_RUN.matcher(new String(command.statement(), StandardCharsets.UTF_8));
               if (matcher.find()) {
                 AUDIT.ran(engine, matcher.group(2));
                 AUDIT.preparedRan(matcher.group(2), engine, Long.parseLong(matcher.group(1)));
-                holdEngine();
+                blockEngine();
               }
             });
     cluster.start();
   }
 
-  private static void holdEngine() {
+  private static void blockEngine() {
     CyclicBarrier barrier = ENGINE_BARRIER.getAndSet(null);
     if (barrier != null) {
-      meet(barrier);
-      meet(barrier);
+      awaitBarrier(barrier);
+      awaitBarrier(barrier);
     }
   }
 
-  private static void meet(CyclicBarrier barrier) {
+  private static void awaitBarrier(CyclicBarrier barrier) {
     try {
       barrier.await(30, TimeUnit.SECONDS);
     } catch (InterruptedException | BrokenBarrierException | TimeoutException e) {
@@ -102,8 +104,8 @@
 
   @BeforeEach
   void begin(TestInfo info) {
-    name = info.getTestMethod().orElseThrow().getName();
-    group = GROUPS.incrementAndGet();
+    statementName = info.getTestMethod().orElseThrow().getName();
+    group = GROUP_COUNT.incrementAndGet();
     scenario = new Scenario(cluster);
     scenario.awaitConvergence();
     scenario.log.until(
@@ -111,7 +113,7 @@
         () ->
             StatementsClient.prepare(
                     cluster.client("n0"),
-                    name,
+                    statementName,
                     "UPDATE air SET seen = 1 WHERE v1 = 1 AND mark = $1",
                     group,
                     group + ":air.v1",
@@ -122,18 +124,26 @@
     }
   }
 
+  /**
+   * Runs the statement at a gateway with a unique marker, by which the audit recognizes the run.
+   * The audit is given the statuses 404 and 409 as 503, because they also mean that nothing ran.
+   */
   private HttpEndpointClient.Reply run(String gateway) throws IOException {
-    String marker = "m" + MARKERS.incrementAndGet();
-    String id = String.format("%016x", 0x7000 + MARKERS.get());
+    String marker = "m" + MARKER_COUNT.incrementAndGet();
+    String id = String.format("%016x", 0x7000 + MARKER_COUNT.get());
     AUDIT.submitted(id, marker, true);
     AUDIT.runRequested(marker, gateway, "g" + group, System.nanoTime());
     HttpEndpointClient.Reply reply =
-        StatementsClient.run(cluster.client(gateway, 60_000), name, id, marker, 3500);
+        StatementsClient.run(cluster.client(gateway, 60_000), statementName, id, marker, 3500);
     AUDIT.answered(id, reply.status() == 404 || reply.status() == 409 ? 503 : reply.status());
     return reply;
   }
 
-  /** Waits until a run at a gateway succeeds under that schema. */
+  /**
+   * Waits until a run at a gateway succeeds under a version of the schema.
+   *
+   * @param column the number in the name of the column that the executed statement must use
+   */
   private void awaitRun(String gateway, int column) {
     scenario.log.until(
         gateway + " runs it under v" + column,
@@ -143,6 +153,7 @@
         });
   }
 
+  /** Waits until a gateway rejects a run with status 503 and a time after which to retry. */
   private void awaitRejection(String gateway) {
     scenario.log.until(
         gateway + " turns it back, with a time to come again",
@@ -152,47 +163,51 @@
         });
   }
 
+  /** Renames the column through n0 and waits until n0 reports that the change is in effect. */
   private void changeSchema() throws IOException {
-    before = StatementsClient.version(cluster.client("n0"), group);
+    versionBeforeChange = StatementsClient.version(cluster.client("n0"), group);
     scenario.log.until(
         "n0 is told that v1 is v2 from now on",
         () ->
             StatementsClient.rename(
                     cluster.client("n0"), group, group + ":air.v1", group + ":air.v2")
                 > 0);
-    awaitEffect("n0");
+    awaitSchemaInEffect("n0");
   }
 
-  private void awaitEffect(String gateway) {
+  /** Waits until a gateway reports that the schema change is in effect. */
+  private void awaitSchemaInEffect(String gateway) {
     scenario.log.until(
         gateway + " says that the change is in effect",
-        () -> StatementsClient.version(cluster.client(gateway), group) > before);
+        () -> StatementsClient.version(cluster.client(gateway), group) > versionBeforeChange);
     AUDIT.schemaInEffect("g" + group, 2, System.nanoTime());
   }
 
-  private void assertKept(String scenarioName) throws IOException {
+  private void assertMatchesStored(String scenarioName) throws IOException {
     assertEquals(List.of(), AUDIT.end());
-    scenario.assertKept(scenarioName);
+    scenario.assertMatchesStored(scenarioName);
   }
 
   @Test
-  void stoppedGatewayRunsUnderTheNewSchema() throws Exception {
+  void resumedGatewayRunsUnderTheNewSchema() throws Exception {
     cluster.gateway("n2").stop();
     scenario.log.record("n2 is stopped");
-    CompletableFuture<Integer> early = CompletableFuture.supplyAsync(() -> status("n2"));
+    CompletableFuture<Integer> sentBeforeChange = CompletableFuture.supplyAsync(() -> status("n2"));
     changeSchema();
     awaitRun("n0", 2);
     awaitRun("n1", 2);
-    CompletableFuture<Integer> late = CompletableFuture.supplyAsync(() -> status("n2"));
+    CompletableFuture<Integer> sentAfterChange = CompletableFuture.supplyAsync(() -> status("n2"));
     Scenario.pause(200);
     cluster.gateway("n2").resume();
     scenario.log.record(
         "n2 goes on, and finds what clients asked of it before and after the change");
-    scenario.log.until("both are answered", () -> early.get() > 0 && late.get() > 0);
+    scenario.log.until(
+        "both are answered", () -> sentBeforeChange.get() > 0 && sentAfterChange.get() > 0);
     awaitRun("n2", 2);
-    assertKept("statements-stopped");
+    assertMatchesStored("statements-stopped");
   }
 
+  /** Returns the status of a run at a gateway, or -1 if its connection failed. */
   private int status(String gateway) {
     try {
       return run(gateway).status();
@@ -202,12 +217,13 @@
   }
 
   /**
-   * The engine holds a run of another gateway until the change is announced and has had time to
-   * take effect.
+   * Guards against a schema change that takes effect while an engine still executes a run under the
+   * old schema. The engine blocks a run of n1 while n0 announces the change and has had time to put
+   * it into effect.
    */
   @Test
   void changeWaitsForARunAtAnEngine() throws Exception {
-    before = StatementsClient.version(cluster.client("n0"), group);
+    versionBeforeChange = StatementsClient.version(cluster.client("n0"), group);
     CyclicBarrier barrier = new CyclicBarrier(2);
     ENGINE_BARRIER.set(barrier);
     CompletableFuture<HttpEndpointClient.Reply> run =
@@ -219,9 +235,9 @@
                 throw new UncheckedIOException(e);
               }
             });
-    meet(barrier);
+    awaitBarrier(barrier);
     scenario.log.record("an engine is at a run of n1 under v1");
-    long asked = System.nanoTime();
+    long announcedAt = System.nanoTime();
     scenario.log.until(
         "n0 is told that v1 is v2 from now on",
         () ->
@@ -230,35 +246,39 @@
                 > 0);
     awaitRejection("n1");
     long effectAt = 0;
-    for (long end = System.nanoTime() + millis(WATCHED_MS);
+    for (long end = System.nanoTime() + nanos(OBSERVATION_MS);
         System.nanoTime() < end && effectAt == 0;
         Scenario.pause(5)) {
       effectAt =
-          StatementsClient.version(cluster.client("n0"), group) > before ? System.nanoTime() : 0;
+          StatementsClient.version(cluster.client("n0"), group) > versionBeforeChange
+              ? System.nanoTime()
+              : 0;
     }
-    boolean early = effectAt > 0 && effectAt - asked < millis(LEASE_LEFT_MS);
+    boolean tookEffectEarly =
+        effectAt > 0 && effectAt - announcedAt < nanos(MIN_REMAINING_LEASE_MS);
     scenario.log.record(
         "while the engine is at it the change does not take effect"
-            + (early ? ", BUT IT DID" : ""));
-    meet(barrier);
+            + (tookEffectEarly ? ", BUT IT DID" : ""));
+    awaitBarrier(barrier);
     scenario.log.until(
         "the engine goes on, and the run is fulfilled under v1",
         () -> {
           HttpEndpointClient.Reply reply = run.get(30, TimeUnit.SECONDS);
           return reply.status() == 200 && reply.body().contains(" v1 = 1 ");
         });
-    awaitEffect("n0");
+    awaitSchemaInEffect("n0");
     awaitRun("n0", 2);
     awaitRun("n1", 2);
-    assertKept("statements-at-an-engine");
+    assertMatchesStored("statements-at-an-engine");
   }
 
-  private static long millis(long ms) {
+  /** Converts milliseconds to nanoseconds. */
+  private static long nanos(long ms) {
     return ms * 1_000_000;
   }
 
   @Test
-  void cutOffGatewayRejectsUntilItIsBack() throws Exception {
+  void partitionedGatewayRejectsRunsUntilThePartitionHeals() throws Exception {
     cluster.partition(List.of("n0", "n1"), List.of("n2"));
     scenario.log.record("n0 and n1 are parted from n2");
     awaitRejection("n2");
@@ -269,7 +289,7 @@
                     .client("n2")
                     .submit(
                         "look",
-                        String.format("%016x", 0x8000 + MARKERS.incrementAndGet()),
+                        String.format("%016x", 0x8000 + MARKER_COUNT.incrementAndGet()),
                         "SELECT 1",
                         3500)
                     .status()
@@ -280,6 +300,6 @@
     cluster.heal();
     scenario.log.record("the partition is healed");
     awaitRun("n2", 2);
-    assertKept("statements-cut-off");
+    assertMatchesStored("statements-cut-off");
   }
 }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/schedule/ScheduleShrinkerTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/schedule/ScheduleShrinkerTest.java
@@ -24,36 +24,38 @@
     }
   }
 
-  /** The two necessary steps are found among all in few runs. */
+  /**
+   * Tests that the two steps that cause a failure are found among all in fewer than 60 attempts.
+   */
   @Test
   void findsTheTwoNecessarySteps() {
-    Schedule whole =
+    Schedule original =
         schedule(3)
             .with(
                 java.util.stream.Stream.of(3, 4, 5, 6)
-                    .flatMap(s -> schedule(s).steps().stream())
+                    .flatMap(otherSeed -> schedule(otherSeed).steps().stream())
                     .toList());
-    Step first = whole.steps().get(2);
-    Step second = whole.steps().get(whole.steps().size() - 2);
+    Step first = original.steps().get(2);
+    Step second = original.steps().get(original.steps().size() - 2);
     AtomicInteger attempts = new AtomicInteger();
-    Schedule cut =
+    Schedule shrunk =
         ScheduleShrinker.shrink(
-            whole,
+            original,
             shorter -> {
               attempts.incrementAndGet();
               return shorter.steps().contains(first) && shorter.steps().contains(second);
             },
             100);
-    assertEquals(List.of(first, second), cut.steps());
-    assertTrue(attempts.get() < 60, "plays: " + attempts);
+    assertEquals(List.of(first, second), shrunk.steps());
+    assertTrue(attempts.get() < 60, "attempts: " + attempts);
   }
 
   @Test
-  void stopsAfterItsAttempts() {
-    Schedule whole = schedule(9);
+  void stopsAfterTheMaximumNumberOfAttempts() {
+    Schedule original = schedule(9);
     AtomicInteger attempts = new AtomicInteger();
     assertEquals(
-        whole, ScheduleShrinker.shrink(whole, shorter -> attempts.incrementAndGet() < 0, 3));
+        original, ScheduleShrinker.shrink(original, shorter -> attempts.incrementAndGet() < 0, 3));
     assertEquals(3, attempts.get());
   }
 }
--- a/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakOracleTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakOracleTest.java
@@ -10,14 +10,17 @@
 import tillerlink.faultinjection.soak.SoakOracle.End;
 import tillerlink.faultinjection.soak.SoakSettings.RequestClass;
 
-/** A violation of each rule is detected, and no other rule is. Times are milliseconds. */
+/**
+ * Tests that the oracle detects a violation of each rule and then reports that rule only. Times are
+ * milliseconds.
+ */
 class SoakOracleTest {
   private static final long DEADLINE = SoakSettings.DEADLINE_MS;
-  private static final String ONE = "00000000000000a1";
-  private static final String TWO = "00000000000000a2";
+  private static final String FIRST_ID = "00000000000000a1";
+  private static final String SECOND_ID = "00000000000000a2";
 
-  /** More than the allowance for the lag of the harness on a busy machine. */
-  private static final double FAR = 5_000;
+  /** A time that exceeds the oracle's allowance for the lag of the harness on a busy machine. */
+  private static final double BEYOND_ALLOWANCE_MS = 5_000;
 
   private final SoakClock clock = new SoakClock();
   private double notReadyAt = Double.MAX_VALUE;
@@ -54,20 +57,20 @@
   }
 
   @Test
-  void requestThatKeepsAllRulesPasses() {
-    submit(ONE, RequestClass.BOOK);
-    attempt(ONE, 0, 1010, 2990);
-    oracle.attemptEnded(0, ONE, End.ANSWERED);
-    oracle.answered(ONE, Answer.SERVED, 1100);
+  void validRequestHasNoViolations() {
+    submit(FIRST_ID, RequestClass.BOOK);
+    attempt(FIRST_ID, 0, 1010, 2990);
+    oracle.attemptEnded(0, FIRST_ID, End.ANSWERED);
+    oracle.answered(FIRST_ID, Answer.SERVED, 1100);
     assertViolations();
   }
 
   @Test
-  void unansweredLateAndDisconnectedRequestsAreLost() {
-    submit(ONE, RequestClass.LOOK);
+  void unansweredLateAndCutOffRequestsAreReportedAsLost() {
+    submit(FIRST_ID, RequestClass.LOOK);
     assertViolations(SoakRule.LOST);
-    submit(TWO, RequestClass.LOOK);
-    oracle.answered(TWO, Answer.REFUSED, 1000 + DEADLINE + FAR);
+    submit(SECOND_ID, RequestClass.LOOK);
+    oracle.answered(SECOND_ID, Answer.REFUSED, 1000 + DEADLINE + BEYOND_ALLOWANCE_MS);
     assertEquals(2, oracle.counts().get(SoakRule.LOST));
     submit("00000000000000a3", RequestClass.LOOK);
     oracle.connectionLost("00000000000000a3", "its connection ended without an answer");
@@ -75,13 +78,13 @@
   }
 
   @Test
-  void contradictingAnswersAreUntrue() {
-    submit(ONE, RequestClass.LOOK);
-    oracle.answered(ONE, Answer.REFUSED, 1100);
-    oracle.answered(ONE, Answer.FAILED, 1200);
+  void contradictingAnswersAreReportedAsUntrue() {
+    submit(FIRST_ID, RequestClass.LOOK);
+    oracle.answered(FIRST_ID, Answer.REFUSED, 1100);
+    oracle.answered(FIRST_ID, Answer.FAILED, 1200);
     assertEquals(1, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
-    submit(TWO, RequestClass.LOOK);
-    oracle.answered(TWO, Answer.SERVED, 1100);
+    submit(SECOND_ID, RequestClass.LOOK);
+    oracle.answered(SECOND_ID, Answer.SERVED, 1100);
     assertEquals(2, oracle.counts().get(SoakRule.ANSWER_UNTRUE));
     submit("00000000000000a3", RequestClass.BOOK);
     attempt("00000000000000a3", 0, 1010, 100);
@@ -90,50 +93,52 @@
   }
 
   @Test
-  void requestWithEffectsMustNotRunTwice() {
-    submit(ONE, RequestClass.BOOK);
-    attempt(ONE, 0, 1010, 100);
-    oracle.attemptEnded(0, ONE, End.REFUSED);
-    attempt(ONE, 2, 1020, 100);
-    answered(ONE);
+  void secondRunOfARequestWithEffectsIsReported() {
+    submit(FIRST_ID, RequestClass.BOOK);
+    attempt(FIRST_ID, 0, 1010, 100);
+    oracle.attemptEnded(0, FIRST_ID, End.REFUSED);
+    attempt(FIRST_ID, 2, 1020, 100);
+    answered(FIRST_ID);
     assertViolations();
-    submit(TWO, RequestClass.BOOK);
-    attempt(TWO, 0, 1010, 100);
-    attempt(TWO, 2, 1020, 100);
-    answered(TWO);
+    submit(SECOND_ID, RequestClass.BOOK);
+    attempt(SECOND_ID, 0, 1010, 100);
+    attempt(SECOND_ID, 2, 1020, 100);
+    answered(SECOND_ID);
     assertViolations(SoakRule.DUPLICATE);
   }
 
   @Test
-  void keyedRequestMustNotRunAfterItsWindow() {
-    submit(ONE, RequestClass.LOAD);
-    attempt(ONE, 0, 1010, 100);
-    attempt(ONE, 2, 1020, 100);
-    answered(ONE);
+  void runOfAKeyedRequestAfterItsWindowIsReported() {
+    submit(FIRST_ID, RequestClass.LOAD);
+    attempt(FIRST_ID, 0, 1010, 100);
+    attempt(FIRST_ID, 2, 1020, 100);
+    answered(FIRST_ID);
     assertViolations();
-    attempt(ONE, 0, 1010 + SoakSettings.WINDOW_MS + FAR, 0);
+    attempt(FIRST_ID, 0, 1010 + SoakSettings.WINDOW_MS + BEYOND_ALLOWANCE_MS, 0);
     assertEquals(true, oracle.counts().containsKey(SoakRule.DUPLICATE));
   }
 
   @Test
-  void drainingEngineGetsNoRequests() {
+  void attemptAtADrainingEngineIsReported() {
     notReadyAt = 1000;
-    submit(ONE, RequestClass.LOOK);
-    attempt(ONE, 0, 1000 + SoakSettings.GRACE_MS, 100);
-    answered(ONE);
+    submit(FIRST_ID, RequestClass.LOOK);
+    attempt(FIRST_ID, 0, 1000 + SoakSettings.GRACE_MS, 100);
+    answered(FIRST_ID);
     assertViolations();
-    submit(TWO, RequestClass.LOOK);
-    oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakSettings.GRACE_MS + FAR));
-    answered(TWO);
+    submit(SECOND_ID, RequestClass.LOOK);
+    oracle.attempt(
+        new Attempt(
+            SECOND_ID, 0, 0, "look", 0, 1000 + SoakSettings.GRACE_MS + BEYOND_ALLOWANCE_MS));
+    answered(SECOND_ID);
     assertViolations(SoakRule.DRAIN);
   }
 
   /**
-   * 2.5 times 0.3 of 8 cores for 3 s are 360 requests of 50 ms; with twice the root and 2 they are
-   * 400.
+   * Tests that the oracle detects 420 requests to a cold engine. It allows 400: 2.5 times 0.3 of 8
+   * cores for 3 s are 360 requests of 50 ms, to which it adds twice their square root and 2.
    */
   @Test
-  void coldEngineIsNotOverloaded() {
+  void overloadOfAColdEngineIsReported() {
     startedAt = 1000;
     startKnownAt = 1000;
     for (int i = 0; i < 420; i++) {
@@ -146,7 +151,7 @@
   }
 
   @Test
-  void unknownColdEngineIsExcused() {
+  void overloadBeforeAGatewayCanKnowTheStartIsExcused() {
     startedAt = 1000;
     startKnownAt = 9000;
     for (int i = 0; i < 420; i++) {
@@ -159,49 +164,49 @@
   }
 
   @Test
-  void requestsOfASubjectRunOneAfterTheOther() {
-    submit(ONE, RequestClass.FILE);
-    submit(TWO, RequestClass.FILE);
-    attempt(ONE, 0, 1010, 100);
-    attempt(TWO, 2, 1020, 100);
-    answered(ONE);
-    answered(TWO);
+  void concurrentAttemptsOfOneSubjectAreReported() {
+    submit(FIRST_ID, RequestClass.FILE);
+    submit(SECOND_ID, RequestClass.FILE);
+    attempt(FIRST_ID, 0, 1010, 100);
+    attempt(SECOND_ID, 2, 1020, 100);
+    answered(FIRST_ID);
+    answered(SECOND_ID);
     assertViolations(SoakRule.ORDER);
   }
 
   @Test
-  void requestClassRunsInItsZoneOnly() {
-    submit(ONE, RequestClass.LOCAL);
-    attempt(ONE, 1, 1010, 100);
-    answered(ONE);
+  void attemptOutsideTheZoneOfARequestClassIsReported() {
+    submit(FIRST_ID, RequestClass.LOCAL);
+    attempt(FIRST_ID, 1, 1010, 100);
+    answered(FIRST_ID);
     assertViolations(SoakRule.PLACEMENT);
   }
 
   @Test
-  void retriesStayWithinTheBudget() {
-    submit(ONE, RequestClass.LOOK);
+  void retriesBeyondTheBudgetAreReported() {
+    submit(FIRST_ID, RequestClass.LOOK);
     for (int i = 0; i < 5; i++) {
-      attempt(ONE, 0, 1010 + i, 100);
+      attempt(FIRST_ID, 0, 1010 + i, 100);
     }
     assertViolations(SoakRule.LOST);
-    attempt(ONE, 0, 1020, 100);
-    answered(ONE);
+    attempt(FIRST_ID, 0, 1020, 100);
+    answered(FIRST_ID);
     assertEquals(true, oracle.counts().containsKey(SoakRule.RETRY_BUDGET));
   }
 
   @Test
-  void noAttemptAfterTheClientDisconnected() {
-    submit(ONE, RequestClass.LOOK);
-    oracle.clientDisconnected(ONE, 1050);
-    attempt(ONE, 0, 1050 + FAR, 0);
+  void attemptAfterTheClientDisconnectedIsReported() {
+    submit(FIRST_ID, RequestClass.LOOK);
+    oracle.clientDisconnected(FIRST_ID, 1050);
+    attempt(FIRST_ID, 0, 1050 + BEYOND_ALLOWANCE_MS, 0);
     assertViolations(SoakRule.CANCELLED);
   }
 
   @Test
-  void limitDoesNotExceedTheDeadline() {
-    submit(ONE, RequestClass.LOOK);
-    attempt(ONE, 0, 2000, DEADLINE + (long) FAR);
-    answered(ONE);
+  void limitBeyondTheDeadlineIsReported() {
+    submit(FIRST_ID, RequestClass.LOOK);
+    attempt(FIRST_ID, 0, 2000, DEADLINE + (long) BEYOND_ALLOWANCE_MS);
+    answered(FIRST_ID);
     assertViolations(SoakRule.LIMIT);
   }
 
@@ -212,19 +217,21 @@
   }
 
   /**
-   * What a gateway owes that was killed or stood still meanwhile is not held against it; where it
-   * sends is.
+   * Tests that a gateway that was killed or stopped is excused for late answers, but not for
+   * sending attempts to a draining engine.
    */
   @Test
-  void stoppedGatewayIsExcused() {
-    submit(ONE, RequestClass.LOOK);
+  void interruptedGatewayIsExcusedForLateAnswersOnly() {
+    submit(FIRST_ID, RequestClass.LOOK);
     oracle.interrupted(0, 1500);
-    oracle.answered(ONE, Answer.REFUSED, 1000 + DEADLINE + FAR);
+    oracle.answered(FIRST_ID, Answer.REFUSED, 1000 + DEADLINE + BEYOND_ALLOWANCE_MS);
     assertViolations();
     notReadyAt = 1000;
-    submit(TWO, RequestClass.LOOK);
-    oracle.attempt(new Attempt(TWO, 0, 0, "look", 0, 1000 + SoakSettings.GRACE_MS + FAR));
-    answered(TWO);
+    submit(SECOND_ID, RequestClass.LOOK);
+    oracle.attempt(
+        new Attempt(
+            SECOND_ID, 0, 0, "look", 0, 1000 + SoakSettings.GRACE_MS + BEYOND_ALLOWANCE_MS));
+    answered(SECOND_ID);
     assertViolations(SoakRule.DRAIN);
   }
 
@@ -236,6 +243,7 @@
     oracle.attempt(new Attempt(id, 0, engine, "look", limit, at));
   }
 
+  /** Ends all attempts of a request with an answer and serves its client in time. */
   private void answered(String id) {
     oracle.attemptEnded(0, id, End.ANSWERED);
     oracle.attemptEnded(2, id, End.ANSWERED);
@@ -243,6 +251,7 @@
     oracle.answered(id, Answer.SERVED, 1200);
   }
 
+  /** Asserts that exactly these rules have been violated. */
   private void assertViolations(SoakRule... rules) {
     oracle.end();
     assertEquals(Set.of(rules), oracle.counts().keySet());
--- a/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakTest.java
+++ b/faultinjection/src/test/java/tillerlink/faultinjection/soak/SoakTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Schedules of seeds, and one bounded run on processes. */
+/** Tests the schedules drawnKinds from seeds, and a bounded soak of ten gateway processes. */
 class SoakTest {
   private static final int GATEWAYS = 10;
 
@@ -25,15 +25,20 @@
   }
 
   @Test
-  void manySeedsDrawEveryKindOfFault() {
-    Set<SoakFault.Kind> drawn = EnumSet.noneOf(SoakFault.Kind.class);
+  void fiftySeedsDrawEveryKindOfFault() {
+    Set<SoakFault.Kind> drawnKinds = EnumSet.noneOf(SoakFault.Kind.class);
     for (int seed = 0; seed < 50; seed++) {
-      SoakSchedule.of(seed, GATEWAYS, 20_000).faults().forEach(fault -> drawn.add(fault.kind()));
+      SoakSchedule.of(seed, GATEWAYS, 20_000)
+          .faults()
+          .forEach(fault -> drawnKinds.add(fault.kind()));
     }
-    assertEquals(EnumSet.allOf(SoakFault.Kind.class), drawn);
+    assertEquals(EnumSet.allOf(SoakFault.Kind.class), drawnKinds);
   }
 
-  /** The faults of incident 1 and some more on ten processes: the run in CI. */
+  /**
+   * Runs the soak that CI runs: ten gateway processes under the faults of incident 1
+   * (docs/incidents/incident-1.md) and some more, which overlap.
+   */
   @Test
   @Timeout(180)
   void rulesHoldUnderOverlappingFaultsOfTenGateways() throws Exception {
@@ -61,7 +66,10 @@
           faults.size(), result.faults().values().stream().mapToInt(Integer::intValue).sum());
       assertTrue(
           result.served() > result.requests() / 2,
-          result.served() + " of " + result.requests() + " were served");
+          result.served()
+              + " of "
+              + result.requests()
+              + " requests were served, expected more than half");
     }
   }
 }
